--- a/cmd/magpiebank-operator/digest.go
+++ b/cmd/magpiebank-operator/digest.go
@@ -9,11 +9,11 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/digest"
-	"magpiebank/internal/importer"
-	"magpiebank/internal/operator"
-	"magpiebank/internal/statement"
-	"magpiebank/internal/trace"
+	"magpiebank/internal/query/costmodel"
+	"magpiebank/internal/query/digest"
+	"magpiebank/internal/traffic/importer"
+	"magpiebank/internal/traffic/trace"
+	"magpiebank/internal/workload"
 )
 
 func digestCommand() *cobra.Command {
@@ -28,7 +28,7 @@
 			}
 			var costs digest.Costs
 			if snapshot != "" {
-				known, err := operator.ReadSnapshot(snapshot)
+				known, err := workload.ReadSnapshot(snapshot)
 				if err != nil {
 					return err
 				}
@@ -114,7 +114,7 @@
 	show := &cobra.Command{Use: "show FILE...", Short: "Say what snapshots hold, or what is amiss with them", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, file := range args {
-				s, err := operator.ReadSnapshot(file)
+				s, err := workload.ReadSnapshot(file)
 				if err != nil {
 					return err
 				}
@@ -129,16 +129,16 @@
 			if out == "" {
 				return errors.New("flag out: expected the file to write")
 			}
-			var list []*statement.Snapshot
+			var list []*costmodel.Snapshot
 			for _, file := range args {
-				s, err := operator.ReadSnapshot(file)
+				s, err := workload.ReadSnapshot(file)
 				if err != nil {
 					return err
 				}
 				list = append(list, s)
 			}
-			one := statement.Merge(list...)
-			if err := operator.WriteSnapshot(out, one); err != nil {
+			one := costmodel.Merge(list...)
+			if err := workload.WriteSnapshot(out, one); err != nil {
 				return err
 			}
 			shapes, answers := one.Records()
--- a/cmd/magpiebank-operator/explain.go
+++ b/cmd/magpiebank-operator/explain.go
@@ -10,11 +10,11 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/operator"
-	"magpiebank/internal/operator/source"
-	"magpiebank/internal/route"
-	"magpiebank/internal/sqltext"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/query/sqltext"
+	"magpiebank/internal/resourcegroup"
+	"magpiebank/internal/workload"
+	"magpiebank/internal/workload/source"
 )
 
 func statementCommand() *cobra.Command {
@@ -24,8 +24,8 @@
 }
 
 // statements reads what an operator's file says of statements; no file says nothing.
-func statements(file string) (*operator.Statements, error) {
-	s := &operator.Statements{Memory: 1 << 20}
+func statements(file string) (*workload.Statements, error) {
+	s := &workload.Statements{Memory: 1 << 20}
 	if file == "" {
 		return s, nil
 	}
@@ -89,7 +89,7 @@
 		}}
 }
 
-func explain(out io.Writer, s *operator.Statements, lane string, sql []byte) error {
+func explain(out io.Writer, s *workload.Statements, lane string, sql []byte) error {
 	if request, err := mysql.ReadRequest(sql); err == nil {
 		if lane == "" {
 			lane = string(request.Class)
@@ -99,7 +99,7 @@
 	lanes := []string{lane}
 	b := s.Book(len(lanes))
 	if s.Snapshot != "" {
-		known, err := operator.ReadSnapshot(s.Snapshot)
+		known, err := workload.ReadSnapshot(s.Snapshot)
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
@@ -165,7 +165,7 @@
 	if e.Doubt {
 		fmt.Fprintln(out, "doubt      a load ended on its tables, or its cost moved: the upper figure is doubled")
 	}
-	subject := route.Subject{Lane: lane, Features: f, Estimate: e}
+	subject := resourcegroup.Subject{Lane: lane, Features: f, Estimate: e}
 	n = s.Plan.Find(&subject)
 	if n == 0 {
 		fmt.Fprintln(out, "class      none: no limits, all engines")
--- a/cmd/magpiebank-operator/fleet.go
+++ b/cmd/magpiebank-operator/fleet.go
@@ -7,20 +7,20 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/fleet"
-	"magpiebank/internal/operator/source"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/workload/source"
 )
 
 // fleetCommand tells what a gateway knows of the others.
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "What a gateway knows of the others"}
-	c.AddCommand(told("status", "Members with their age and state; budgets and counts; engines with own and heard evidence", (*fleet.Status).Text),
-		told("budgets", "Budgets of the whole fleet: what is held, used and lent, member by member, and counts by class", (*fleet.Status).BudgetText))
+	c.AddCommand(told("status", "Members with their age and state; budgets and counts; engines with own and heard evidence", (*agent.Status).Text),
+		told("budgets", "Budgets of the whole fleet: what is held, used and lent, member by member, and counts by class", (*agent.Status).BudgetText))
 	return c
 }
 
 // told is a command that asks a gateway for its state and writes it.
-func told(use, short string, text func(*fleet.Status, io.Writer)) *cobra.Command {
+func told(use, short string, text func(*agent.Status, io.Writer)) *cobra.Command {
 	var file, control string
 	var asJSON bool
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
@@ -37,7 +37,7 @@
 			if control == "" {
 				return fmt.Errorf("fleet %s: name the gateway's socket by --control, or its file with fleet.control by --operator", use)
 			}
-			s, err := fleet.Ask(control)
+			s, err := agent.Ask(control)
 			if err != nil {
 				return err
 			}
--- a/cmd/magpiebank-operator/main.go
+++ b/cmd/magpiebank-operator/main.go
@@ -10,30 +10,30 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/command"
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/fleet"
-	"magpiebank/internal/operator"
-	"magpiebank/internal/operator/source"
+	"magpiebank/internal/cli"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/config"
 	"magpiebank/internal/router"
+	"magpiebank/internal/workload"
+	"magpiebank/internal/workload/source"
 )
 
 func main() {
-	p := command.Program{Operator: read, Commands: []*cobra.Command{statementCommand(), fleetCommand(), policyCommand()}}
+	p := cli.Program{Operator: read, Commands: []*cobra.Command{statementCommand(), fleetCommand(), policyCommand()}}
 	os.Exit(p.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
 
 // rules are an operator's, with the file that they come from.
 type rules struct {
 	file  string
-	plan  *fleet.Plan
+	plan  *agent.Plan
 	log   *slog.Logger
-	desk  *operator.Desk // nil: the file has no statements
-	fleet *fleet.Fleet   // nil: it has no fleet, or the site allows no messages
+	desk  *workload.Desk // nil: the file has no statements
+	fleet *agent.Fleet   // nil: it has no fleet, or the site allows no messages
 }
 
 // read reads an operator's file for a gateway.
-func read(file string, start *deployment.Start, log *slog.Logger) (command.Rules, error) {
+func read(file string, start *config.Start, log *slog.Logger) (cli.Rules, error) {
 	f, err := source.Read(file)
 	if err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 		return nil, fmt.Errorf("%s: statements: expected what is to be known of statements, or a fleet, found nothing", file)
 	}
 	if f.Statements != nil {
-		if r.desk, err = operator.NewDesk(f.Statements, start, log); err != nil {
+		if r.desk, err = workload.NewDesk(f.Statements, start, log); err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 	}
@@ -55,7 +55,7 @@
 	case !start.Site.Peers:
 		log.Warn("fleet", "code", "not_allowed", "error", "the site's settings[limits peerMessages] don't allow messages between gateways")
 	default:
-		if r.fleet, err = fleet.New(*f.Fleet, start, log); err != nil {
+		if r.fleet, err = agent.New(*f.Fleet, start, log); err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // renewFleet goes by other totals of the fleet's classes; what else there is of a fleet stays until a restart.
-func (r *rules) renewFleet(next *fleet.Plan) error {
+func (r *rules) renewFleet(next *agent.Plan) error {
 	if r.fleet != nil && next != nil && r.plan.Budgets != nil && next.Budgets != nil && !reflect.DeepEqual(next.Budgets, r.plan.Budgets) {
 		if err := r.fleet.Renew(next.Budgets); err != nil {
 			return err
--- a/cmd/magpiebank-sim/main.go
+++ b/cmd/magpiebank-sim/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"magpiebank/internal/simwire"
+	"magpiebank/internal/simadapter"
 )
 
 func main() {
-	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "magpiebank-sim:", err)
 		os.Exit(1)
 	}
--- a/cmd/magpielab/clock.go
+++ b/cmd/magpiebank-testbed/clock.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/importer"
-	"magpiebank/internal/load/experiment"
+	"magpiebank/internal/testbed/load/experiment"
+	"magpiebank/internal/traffic/importer"
 )
 
 // clockJumps records a load with a clock that jumps, imports it, and plays what was mended against what is true.
--- a/cmd/magpielab/experiment.go
+++ b/cmd/magpiebank-testbed/experiment.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/load/experiment"
-	"magpiebank/internal/report"
+	"magpiebank/internal/testbed/load/experiment"
+	"magpiebank/internal/testbed/report"
 )
 
 // output is where a run's results go.
@@ -29,7 +29,7 @@
 func (o *output) flags(c *cobra.Command) {
 	c.Flags().BoolVar(&o.json, "json", false, "print the result as JSON")
 	c.Flags().StringVar(&o.page, "html", "", "write the report's page to this file")
-	c.Flags().StringVar(&o.archive, "archive", "", "keep the run in this archive (see magpielab runs)")
+	c.Flags().StringVar(&o.archive, "archive", "", "keep the run in this archive (see magpiebank-testbed runs)")
 	c.Flags().StringVar(&o.note, "note", "", "a line kept with the run in the archive")
 	c.Flags().StringVar(&o.folder, "folder", "", "folder for the logs of gateways; default one under the temporary folder")
 	c.Flags().StringVar(&o.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one")
--- a/cmd/magpielab/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -17,11 +17,11 @@
 	"gonum.org/v1/plot/vg"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/budget"
-	"magpiebank/internal/charter"
-	"magpiebank/internal/crowd"
-	"magpiebank/internal/explore"
-	"magpiebank/internal/scenario"
+	"magpiebank/internal/cluster/quota"
+	"magpiebank/internal/cluster/rollout"
+	"magpiebank/internal/testbed/faulttest"
+	"magpiebank/internal/testbed/modelcheck"
+	"magpiebank/internal/testbed/simcluster"
 )
 
 // fleetCommand plays faults between gateways.
@@ -33,8 +33,8 @@
 
 func fleetList() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "The scenarios that are built in", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		for _, name := range scenario.Builtin() {
-			s, err := scenario.Read(name)
+		for _, name := range faulttest.Builtin() {
+			s, err := faulttest.Read(name)
 			if err != nil {
 				return err
 			}
@@ -49,12 +49,12 @@
 
 func (p *place) flags(c *cobra.Command) {
 	c.Flags().StringVar(&p.folder, "folder", "", "folder for logs and histories; default one under the temporary folder")
-	c.Flags().StringVar(&p.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one; clocks that run off need one built with -tags lab")
+	c.Flags().StringVar(&p.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one; clocks that run off need one built with -tags testbed")
 }
 
 func (p *place) find(name string) error {
 	if p.folder == "" {
-		p.folder = filepath.Join(os.TempDir(), "magpielab-fleet-"+strings.TrimSuffix(filepath.Base(name), ".jsonnet"))
+		p.folder = filepath.Join(os.TempDir(), "magpiebank-testbed-fleet-"+strings.TrimSuffix(filepath.Base(name), ".jsonnet"))
 	}
 	if p.gateway == "" {
 		self, err := os.Executable()
@@ -73,7 +73,7 @@
 	var few int
 	c := &cobra.Command{Use: "run NAME|FILE", Short: "Play one scenario; those that measure judgements are played with sharing and without, those that measure budgets with each way to share", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := scenario.Read(args[0])
+			s, err := faulttest.Read(args[0])
 			if err != nil {
 				return badFile{err}
 			}
@@ -81,7 +81,7 @@
 				return err
 			}
 			out := c.OutOrStdout()
-			played, err := scenario.Play(c.Context(), s, p.folder, p.gateway, both, few)
+			played, err := faulttest.Play(c.Context(), s, p.folder, p.gateway, both, few)
 			if err != nil {
 				return err
 			}
@@ -119,7 +119,7 @@
 	return out.Encode(v)
 }
 
-func fleetPage(path string, r *scenario.Result) error {
+func fleetPage(path string, r *faulttest.Result) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
@@ -154,14 +154,14 @@
 					defer all.Done()
 					folder := filepath.Join(p.folder, fmt.Sprint(w))
 					for seed := range turns {
-						s := scenario.Draw(uint64(seed), gateways, engines)
-						r, err := scenario.Run(c.Context(), s, folder, p.gateway)
+						s := faulttest.Draw(uint64(seed), gateways, engines)
+						r, err := faulttest.Run(c.Context(), s, folder, p.gateway)
 						if err == nil && r.Good() {
 							continue
 						}
 						if err == nil && shrink {
-							s = scenario.Shrink(s, shrinkTries, func(less *scenario.Scenario) bool {
-								again, err := scenario.Run(c.Context(), less, folder, p.gateway)
+							s = faulttest.Shrink(s, shrinkTries, func(less *faulttest.Scenario) bool {
+								again, err := faulttest.Run(c.Context(), less, folder, p.gateway)
 								return err == nil && !again.Good()
 							})
 						}
@@ -209,12 +209,12 @@
 	c := &cobra.Command{Use: "explore", Short: "Walk every interleaving of small fleets that share a budget, or change their policy, up to a number of states", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			good, out := true, c.OutOrStdout()
-			each := func(what string, r explore.Result) {
+			each := func(what string, r modelcheck.Result) {
 				r.Text(out, what)
 				good = good && r.Violated == ""
 			}
-			budget.Explore(states, each)
-			charter.Explore(states, each)
+			quota.Explore(states, each)
+			rollout.Explore(states, each)
 			if !good {
 				return errMissed
 			}
@@ -229,54 +229,54 @@
 	var picture string
 	c := &cobra.Command{Use: "scale", Short: "Fleets of 8 to 500 members in one process, in virtual time: detection, sharing, budgets, counts, changes of policy", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var bySize, byLoss []crowd.Figures
+			var bySize, byLoss []simcluster.Figures
 			sizes := []int{8, 32, 100, 200, 500}
 			for _, n := range sizes {
 				if n <= most {
-					bySize = append(bySize, crowd.Measure(n, 0, 0, 1))
+					bySize = append(bySize, simcluster.Measure(n, 0, 0, 1))
 				}
 			}
 			n := most
 			for _, of := range []struct{ loss, stopped float64 }{{0.05, 0}, {0.2, 0}, {0.4, 0}, {0, 0.1}, {0.05, 0.1}} {
-				byLoss = append(byLoss, crowd.Measure(n, of.loss, of.stopped, 1))
+				byLoss = append(byLoss, simcluster.Measure(n, of.loss, of.stopped, 1))
 			}
 			fmt.Fprintln(c.OutOrStdout(), "simulated: one process, virtual time, seed 1")
-			crowd.Text(c.OutOrStdout(), append(bySize, byLoss...))
-			var shared []crowd.Sharing
+			simcluster.Text(c.OutOrStdout(), append(bySize, byLoss...))
+			var shared []simcluster.Sharing
 			for _, n := range sizes {
 				if n <= most {
-					shared = append(shared, crowd.Share(n, max(6, n/5), 1.3, 0.01, 0, 1))
+					shared = append(shared, simcluster.Share(n, max(6, n/5), 1.3, 0.01, 0, 1))
 				}
 			}
-			shared = append(shared, crowd.Share(min(n, 100), max(6, min(n, 100)/5), 1.3, 0.01, 0.2, 1),
-				crowd.Share(min(n, 100), max(6, min(n, 100)/5), 1.3, 0.05, 0, 1))
+			shared = append(shared, simcluster.Share(min(n, 100), max(6, min(n, 100)/5), 1.3, 0.01, 0.2, 1),
+				simcluster.Share(min(n, 100), max(6, min(n, 100)/5), 1.3, 0.05, 0, 1))
 			fmt.Fprintln(c.OutOrStdout())
-			crowd.ShareText(c.OutOrStdout(), shared)
-			var divided []crowd.Division
+			simcluster.ShareText(c.OutOrStdout(), shared)
+			var divided []simcluster.Division
 			for _, n := range sizes {
 				if n <= most {
-					divided = append(divided, crowd.Divide(n, 1))
+					divided = append(divided, simcluster.Divide(n, 1))
 				}
 			}
 			fmt.Fprintln(c.OutOrStdout())
-			crowd.DivideText(c.OutOrStdout(), divided)
-			var counted []crowd.Counted
+			simcluster.DivideText(c.OutOrStdout(), divided)
+			var counted []simcluster.Counted
 			for _, n := range sizes {
 				if n <= most {
-					counted = append(counted, crowd.Census(n, 0, 1))
+					counted = append(counted, simcluster.Census(n, 0, 1))
 				}
 			}
-			counted = append(counted, crowd.Census(min(most, 32), 0.2, 1))
+			counted = append(counted, simcluster.Census(min(most, 32), 0.2, 1))
 			fmt.Fprintln(c.OutOrStdout())
-			crowd.CensusText(c.OutOrStdout(), counted)
-			var enacted []crowd.Enacted
+			simcluster.CensusText(c.OutOrStdout(), counted)
+			var enacted []simcluster.Enacted
 			for _, n := range sizes {
 				if n <= most {
-					enacted = append(enacted, crowd.Enact(n, 1))
+					enacted = append(enacted, simcluster.Enact(n, 1))
 				}
 			}
 			fmt.Fprintln(c.OutOrStdout())
-			crowd.EnactText(c.OutOrStdout(), enacted)
+			simcluster.EnactText(c.OutOrStdout(), enacted)
 			if picture == "" {
 				return nil
 			}
@@ -288,7 +288,7 @@
 }
 
 // plotScale draws times and bytes by the size of the fleet.
-func plotScale(path string, members []crowd.Figures, divided []crowd.Division) error {
+func plotScale(path string, members []simcluster.Figures, divided []simcluster.Division) error {
 	p := plot.New()
 	p.Title.Text = "A fleet's cost by its size (simulated)"
 	p.X.Label.Text = "members"
--- a/cmd/magpielab/main.go
+++ b/cmd/magpiebank-testbed/main.go
@@ -34,7 +34,7 @@
 
 func run(ctx context.Context, args []string) int {
 	root := &cobra.Command{
-		Use:   "magpielab",
+		Use:   "magpiebank-testbed",
 		Short: "Puts gateways under load on loopback and tells what came of it",
 		Long: `Magpielab is the laboratory of magpiebank. It starts stand-ins of engines and of their list, gateways between
 them and a load, and tells what came of it. All of it stays on this machine's loopback addresses.`,
@@ -52,12 +52,12 @@
 	case errors.Is(err, errMissed):
 		return missed
 	case errors.Is(err, context.Canceled):
-		fmt.Fprintln(os.Stderr, "magpielab: called off")
+		fmt.Fprintln(os.Stderr, "magpiebank-testbed: called off")
 		return missed
 	case errors.As(err, &bad):
-		fmt.Fprintln(os.Stderr, "magpielab:", err)
+		fmt.Fprintln(os.Stderr, "magpiebank-testbed:", err)
 		return misuse
 	}
-	fmt.Fprintln(os.Stderr, "magpielab:", err)
+	fmt.Fprintln(os.Stderr, "magpiebank-testbed:", err)
 	return missed
 }
--- a/cmd/magpielab/restart.go
+++ b/cmd/magpiebank-testbed/restart.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/load/experiment"
-	"magpiebank/internal/load/restart"
+	"magpiebank/internal/testbed/load/crashtest"
+	"magpiebank/internal/testbed/load/experiment"
 )
 
 // restarts kills a gateway with a record of its tasks a hundred times under load.
@@ -18,7 +18,7 @@
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return err
 	}
-	r, err := restart.Run(c.Context(), restart.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, Loads: 24, Looks: 8, Seed: seed, Without: without})
+	r, err := crashtest.Run(c.Context(), crashtest.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, Loads: 24, Looks: 8, Seed: seed, Without: without})
 	if err != nil {
 		return err
 	}
--- a/cmd/magpielab/runs.go
+++ b/cmd/magpiebank-testbed/runs.go
@@ -8,10 +8,11 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/load/experiment"
-	"magpiebank/internal/report"
+	"magpiebank/internal/testbed/load/experiment"
+	"magpiebank/internal/testbed/report"
 )
 
+// usualArchive is the default of --archive; archives of earlier versions lie under this name.
 const usualArchive = "magpielab.runs"
 
 func runsCommand() *cobra.Command {
--- a/cmd/magpielab/search.go
+++ b/cmd/magpiebank-testbed/search.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/experiment"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/experiment"
 )
 
 // searchCommand finds the highest rate at which an experiment keeps its bounds.
--- a/cmd/magpielab/standin.go
+++ b/cmd/magpiebank-testbed/standin.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/load/experiment"
-	"magpiebank/internal/site"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/experiment"
 )
 
 // standinCommand keeps an experiment's installation up, for other loads or to be looked at by hand.
@@ -29,14 +29,14 @@
 			}
 			switch {
 			case e.Front:
-				f, err := standin.StartFront("127.0.0.1:0", e.Works, nil)
+				f, err := fake.StartFront("127.0.0.1:0", e.Works, nil)
 				if err != nil {
 					return err
 				}
 				defer f.Close()
 				fmt.Fprintf(c.OutOrStdout(), "front %s\n", f.Address)
 			case e.Site != nil:
-				s, err := site.Up(*e.Site, folder)
+				s, err := installation.Up(*e.Site, folder)
 				if err != nil {
 					return err
 				}
--- a/cmd/magpielab/starved.go
+++ b/cmd/magpiebank-testbed/starved.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/experiment"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/experiment"
 )
 
 // starved plays a load on one processor beside a busy loop: the run must say that it was late, and not be called good.
--- a/cmd/magpielab/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -14,12 +14,12 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/classes"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/experiment"
-	"magpiebank/internal/site"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/classification"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/experiment"
 )
 
 // The operator's file of the run with classes: what reads a whole table goes to one zone, and few of it at a time.
@@ -50,14 +50,14 @@
 // statementsExperiment measures classes by simulation, and the same traffic on sockets without and with classes.
 func statementsExperiment(c *cobra.Command, o *output, seed int64) error {
 	out := c.OutOrStdout()
-	m := classes.Several(seed, measureSeeds, measureForms, measureGroups, measureStatements)
-	delays := classes.Delays(1000000, 20000)
+	m := classification.Several(seed, measureSeeds, measureForms, measureGroups, measureStatements)
+	delays := classification.Delays(1000000, 20000)
 	runs, err := classedRuns(c, o, seed)
 	if err != nil {
 		return err
 	}
 	good, lines := m.Verdict()
-	quick, more := classes.JudgeDelays(delays)
+	quick, more := classification.JudgeDelays(delays)
 	good, lines = good && quick, append(lines, more...)
 	if o.json {
 		e := json.NewEncoder(out)
@@ -67,7 +67,7 @@
 		}
 	} else {
 		m.Text(out)
-		classes.ShowDelays(out, delays)
+		classification.ShowDelays(out, delays)
 		showRuns(out, runs)
 	}
 	calm := runs[1].LooksP99 <= runs[0].LooksP99 && runs[1].Swapped <= runs[0].Swapped && runs[1].Earned >= runs[0].Earned
@@ -114,7 +114,7 @@
 		name string
 		more []string
 	}{{"without classes", nil}, {"with classes", []string{"--operator", file}}} {
-		planner := standin.NewPlanner(seed, measureForms)
+		planner := fake.NewPlanner(seed, measureForms)
 		e := classedExperiment(seed, planner, with.more)
 		e.Name = "statements, " + with.name
 		one := *o
@@ -158,8 +158,8 @@
 
 const reportEarnings = 10
 
-func classedExperiment(seed int64, p *standin.Planner, more []string) *experiment.Experiment {
-	texts := func(kinds ...standin.Kind) (out []string) {
+func classedExperiment(seed int64, p *fake.Planner, more []string) *experiment.Experiment {
+	texts := func(kinds ...fake.Kind) (out []string) {
 		for i := range p.Forms {
 			if slices.Contains(kinds, p.Forms[i].Kind) {
 				out = append(out, p.Forms[i].Text)
@@ -171,13 +171,13 @@
 		return arrival.Lane{Name: name, As: as, Share: 1, Statements: statements, Groups: statementGroups, Literals: 40, Quoted: quoted,
 			Patience: patience, Repeat: true, MarkRetry: true}
 	}
-	looks := texts(standin.LookUp)
+	looks := texts(fake.LookUp)
 	e := &experiment.Experiment{Seed: seed, Length: statementsLength, Manners: client.Manners{Reused: 1, Tries: 1},
 		Lanes: []arrival.Lane{
 			lane("look-ups", "look", time.Second, 5*time.Second, looks),
 			lane("look-ups in the burst", "look", time.Second, 5*time.Second, looks),
-			lane("reports", "report", 4*time.Second, 12*time.Second, texts(standin.Span, standin.Joined)),
-			lane("whole tables", "look", time.Second, 5*time.Second, texts(standin.Whole)),
+			lane("reports", "report", 4*time.Second, 12*time.Second, texts(fake.Span, fake.Joined)),
+			lane("whole tables", "look", time.Second, 5*time.Second, texts(fake.Whole)),
 		},
 		Bounds: experiment.Bounds{Own: 10 * time.Millisecond, Offered: 0.01, Allow: []client.Outcome{client.GivenUp}},
 	}
@@ -210,12 +210,12 @@
 		e.Shape.Times = append(e.Shape.Times, t.at)
 		e.Shape.Marks = append(e.Shape.Marks, arrival.Mark{Lane: t.lane, Group: 1 + r.Intn(statementGroups)})
 	}
-	e.Site = &site.Plan{Gateways: 2, Engines: statementEngines, Zones: []string{"norte", "sur"}, Cores: engineCores, MemoryMB: 192, Sockets: 1024,
+	e.Site = &installation.Plan{Gateways: 2, Engines: statementEngines, Zones: []string{"norte", "sur"}, Cores: engineCores, MemoryMB: 192, Sockets: 1024,
 		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: seed, More: more,
-		Lanes: []site.Lane{
+		Lanes: []installation.Lane{
 			{Name: "look", Quoted: time.Second, Longest: 5 * time.Second, Earnings: 1, Effect: "idempotent", Threads: 1},
 			{Name: "report", Quoted: 4 * time.Second, Longest: 12 * time.Second, Earnings: reportEarnings, Late: 0.4, Effect: "idempotent", Threads: 1}},
-		Manner: standin.Manner{Threads: engineSlot, Cores: engineCores, Works: []standin.Work{{Rows: 3}}, Planner: p, MemoryMB: engineMemory,
+		Manner: fake.Manner{Threads: engineSlot, Cores: engineCores, Works: []fake.Work{{Rows: 3}}, Planner: p, MemoryMB: engineMemory,
 			Pace: 300 * time.Millisecond}}
 	return e
 }
--- a/cmd/magpielab/trace.go
+++ b/cmd/magpiebank-testbed/trace.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/importer"
-	"magpiebank/internal/trace"
+	"magpiebank/internal/traffic/importer"
+	"magpiebank/internal/traffic/trace"
 )
 
 func traceCommand() *cobra.Command {
@@ -129,7 +129,7 @@
 				return badFile{err}
 			}
 			if err != nil {
-				fmt.Fprintln(c.ErrOrStderr(), "magpielab:", err)
+				fmt.Fprintln(c.ErrOrStderr(), "magpiebank-testbed:", err)
 			}
 			if speed <= 0 || thin < 0 || thin > 1 || loop < 1 || from < 0 || to < 0 {
 				return badFile{fmt.Errorf("expected speed above 0, thin from 0 to 1, loop from 1, and times from 0")}
--- a/cmd/magpielab/worker.go
+++ b/cmd/magpiebank-testbed/worker.go
@@ -11,17 +11,17 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/load/crew"
-	"magpiebank/internal/load/drive"
-	"magpiebank/internal/load/experiment"
-	"magpiebank/internal/load/figures"
+	"magpiebank/internal/testbed/load/driver"
+	"magpiebank/internal/testbed/load/experiment"
+	"magpiebank/internal/testbed/load/stats"
+	"magpiebank/internal/testbed/load/workers"
 )
 
 func workerCommand() *cobra.Command {
 	var join string
 	var index int
-	c := &cobra.Command{Use: "worker", Short: "Send a share of a run; magpielab run --workers starts these", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return crew.Work(join, index) }}
+	c := &cobra.Command{Use: "worker", Short: "Send a share of a run; magpiebank-testbed run --workers starts these", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error { return workers.Work(join, index) }}
 	c.Flags().StringVar(&join, "join", "", "address of the coordinator")
 	c.Flags().IntVar(&index, "index", 0, "number of this worker, from 0")
 	c.MarkFlagRequired("join")
@@ -30,8 +30,8 @@
 
 // crewSender sends a run by worker processes.
 func crewSender(e *experiment.Experiment, folder string) experiment.Sender {
-	return func(ctx context.Context, l drive.Load, start time.Time, say func(experiment.Progress)) (*figures.Figures, int64, int64, error) {
-		co, err := crew.NewCoordinator(folder, e.Workers, e.OnLoss == "drop", l, start)
+	return func(ctx context.Context, l driver.Load, start time.Time, say func(experiment.Progress)) (*stats.Figures, int64, int64, error) {
+		co, err := workers.NewCoordinator(folder, e.Workers, e.OnLoss == "drop", l, start)
 		if err != nil {
 			return nil, 0, 0, err
 		}
@@ -56,7 +56,7 @@
 			go cmd.Wait()
 			return nil
 		}
-		co.Say = func(text string) { fmt.Fprintln(os.Stderr, "magpielab:", text) }
+		co.Say = func(text string) { fmt.Fprintln(os.Stderr, "magpiebank-testbed:", text) }
 		co.Progress = func(at time.Duration, offered, ended, open int64) {
 			say(experiment.Progress{At: at, Offered: offered, Ended: ended, Open: open})
 		}
@@ -78,13 +78,13 @@
 	if len(e.Targets) == 0 {
 		return badFile{fmt.Errorf("only a run against targets can be gone on with: what the coordinator itself had started died with it")}
 	}
-	co, err := crew.ResumeCoordinator(folder)
+	co, err := workers.ResumeCoordinator(folder)
 	if err != nil {
 		return err
 	}
 	e.Workers, o.folder = co.Run().Workers, folder
-	co.Say = func(text string) { fmt.Fprintln(c.ErrOrStderr(), "magpielab:", text) }
-	r, err := e.Finish(co.Run().Start, func() (*figures.Figures, int64, int64, error) { return co.Serve() })
+	co.Say = func(text string) { fmt.Fprintln(c.ErrOrStderr(), "magpiebank-testbed:", text) }
+	r, err := e.Finish(co.Run().Start, func() (*stats.Figures, int64, int64, error) { return co.Serve() })
 	if err != nil {
 		return err
 	}
--- a/cmd/magpiebank/main.go
+++ b/cmd/magpiebank/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"magpiebank/internal/command"
+	"magpiebank/internal/cli"
 )
 
-func main() { os.Exit(command.Program{}.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
+func main() { os.Exit(cli.Program{}.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
--- a/examples/replay.jsonnet
+++ b/examples/replay.jsonnet
@@ -1,5 +1,5 @@
 // A recorded load. Make the trace first, for example:
-//   bin/magpielab trace import --form jsonl -o examples/small.trace examples/small.jsonl
+//   bin/magpiebank-testbed trace import --form jsonl -o examples/small.trace examples/small.jsonl
 // or with a gateway's own recording (magpiebank serve --capture FILE).
 local lanes = import 'lanes.libsonnet';
 {
--- a/internal/command/build.go
+++ b/internal/cli/build.go
@@ -1,6 +1,6 @@
-//go:build !lab
+//go:build !testbed
 
-package command
+package cli
 
 // build names what is special of this program; nothing.
 const build = ""
--- a/internal/command/build_lab.go
+++ b/internal/cli/build_testbed.go
@@ -1,6 +1,6 @@
-//go:build lab
+//go:build testbed
 
-package command
+package cli
 
 // build tells that clocks may run off and defects may be planted here: never for a gateway that serves.
 const build = " (laboratory)"
--- a/internal/command/command.go
+++ b/internal/cli/command.go
@@ -1,6 +1,6 @@
-// Package command is the gateway's command line, which two programs share: magpiebank, and magpiebank-operator, which has
+// Package cli is the gateway's command line, which two programs share: magpiebank, and magpiebank-operator, which has
 // an operator's rules besides and takes magpiebank's place where they are asked for.
-package command
+package cli
 
 import (
 	"errors"
@@ -17,9 +17,9 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/capture"
-	"magpiebank/internal/deployment"
+	"magpiebank/internal/config"
 	"magpiebank/internal/router"
+	"magpiebank/internal/traffic/capture"
 )
 
 const version = "0.1.0"
@@ -34,7 +34,7 @@
 
 // Program is what a program has besides the gateway.
 type Program struct {
-	Operator func(file string, start *deployment.Start, log *slog.Logger) (Rules, error) // nil: another program has the rules
+	Operator func(file string, start *config.Start, log *slog.Logger) (Rules, error) // nil: another program has the rules
 	Commands []*cobra.Command
 }
 
@@ -64,7 +64,7 @@
   magpiebank store       what a folder of --state holds
   magpiebank version     print the version
 
-Each takes --help. To see it at work without a configuration: magpielab demo.
+Each takes --help. To see it at work without a configuration: magpiebank-testbed demo.
 `
 
 // The exit statuses.
@@ -78,7 +78,7 @@
 
 // errNoConfiguration says what a first start lacks.
 var errNoConfiguration = errors.New("no configuration: name its file by --config or $RELAY_CONFIG; " +
-	"to see a gateway at work without one, run magpielab demo")
+	"to see a gateway at work without one, run magpiebank-testbed demo")
 
 // Run carries out one command and returns its exit status.
 func (p Program) Run(args []string, env func(string) string, out, errs io.Writer) int {
@@ -133,14 +133,14 @@
 	c.Flags().StringVar(&s.level, "log-level", "info", "least level logged: debug, info, warn or error")
 }
 
-func (s *source) read() (start *deployment.Start, least slog.Level, err error) {
+func (s *source) read() (start *config.Start, least slog.Level, err error) {
 	if err := least.UnmarshalText([]byte(s.level)); err != nil {
 		return nil, least, fmt.Errorf("flag log-level: %w", err)
 	}
 	if s.path == "" {
 		return nil, least, errNoConfiguration
 	}
-	if start, err = deployment.ReadStart(s.path); err != nil {
+	if start, err = config.ReadStart(s.path); err != nil {
 		return nil, least, err
 	}
 	if s.listen != "" {
@@ -222,7 +222,7 @@
 				}()
 				defer rules.Save()
 			}
-			stop, renewed := make(chan struct{}), make(chan *deployment.Start)
+			stop, renewed := make(chan struct{}), make(chan *config.Start)
 			go func() {
 				<-ends
 				close(stop)
@@ -252,7 +252,7 @@
 			return nil
 		}}
 	from.flags(c, env)
-	c.Flags().StringVar(&file, "capture", "", "record the tasks that come to this new file, for magpielab to play again")
+	c.Flags().StringVar(&file, "capture", "", "record the tasks that come to this new file, for magpiebank-testbed to play again")
 	c.Flags().Int64Var(&most, "capture-mb", usualCapture, "most megabytes that the file grows to")
 	c.Flags().StringVar(&state, "state", "", "folder for the record of tasks, which survives a crash; default none is kept")
 	c.Flags().Int64Var(&stateMB, "state-mb", usualState, "most megabytes that the folder takes")
--- a/internal/command/command_test.go
+++ b/internal/cli/command_test.go
@@ -1,4 +1,4 @@
-package command
+package cli
 
 import (
 	"fmt"
--- a/internal/command/state.go
+++ b/internal/cli/state.go
@@ -1,4 +1,4 @@
-package command
+package cli
 
 import (
 	"bytes"
@@ -15,11 +15,11 @@
 	"github.com/spf13/cobra"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/ledger"
+	"magpiebank/internal/config"
 	"magpiebank/internal/router"
-	"magpiebank/internal/store"
-	"magpiebank/internal/store/sick"
+	"magpiebank/internal/storage/faultdisk"
+	"magpiebank/internal/storage/requestjournal"
+	"magpiebank/internal/storage/store"
 )
 
 const (
@@ -36,11 +36,13 @@
 // stateLog joins the ledger to the store, which is there only once the ledger has been told of its records.
 type stateLog struct{ s *store.Store }
 
-func (l *stateLog) Put(k ledger.Key, b []byte, done func(error)) { l.s.Put(store.Key(k), b, done) }
-func (l *stateLog) Delete(k ledger.Key, done func(error))        { l.s.Delete(store.Key(k), done) }
+func (l *stateLog) Put(k requestjournal.Key, b []byte, done func(error)) {
+	l.s.Put(store.Key(k), b, done)
+}
+func (l *stateLog) Delete(k requestjournal.Key, done func(error)) { l.s.Delete(store.Key(k), done) }
 
 // openState opens a folder's record of tasks and recovers it; without a folder there is none. shut closes it.
-func openState(folder string, megabytes int64, start *deployment.Start, log *slog.Logger) (keep *router.Keeping, shut func() error, err error) {
+func openState(folder string, megabytes int64, start *config.Start, log *slog.Logger) (keep *router.Keeping, shut func() error, err error) {
 	if folder == "" {
 		return nil, func() error { return nil }, nil
 	}
@@ -52,20 +54,20 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("state: %w", err)
 	}
-	var lanes []ledger.Lane
+	var lanes []requestjournal.Lane
 	for i, l := range start.Site.Classes {
-		lanes = append(lanes, ledger.Lane{Effect: l.Effect, Remember: l.DedupWindow, Longest: admission.Time(start.Network.Longest[i] / tenth)})
+		lanes = append(lanes, requestjournal.Lane{Effect: l.Effect, Remember: l.DedupWindow, Longest: admission.Time(start.Network.Longest[i] / tenth)})
 	}
 	var behind stateLog
-	book := ledger.New(&behind, lanes, int(megabytes)*tasksPerMB)
+	book := requestjournal.New(&behind, lanes, int(megabytes)*tasksPerMB)
 	var bad error
 	memories := memoryParts{}
-	s, found, err := store.Open(sick.Folder(disk), start.Name, store.Limits{Most: megabytes << 20}, func(k store.Key, b []byte, gone bool) {
+	s, found, err := store.Open(faultdisk.Folder(disk), start.Name, store.Limits{Most: megabytes << 20}, func(k store.Key, b []byte, gone bool) {
 		if n, ok := memoryPart(k); ok {
 			memories[n] = append([]byte(nil), b...)
 			return
 		}
-		if e := book.Replay(ledger.Key(k), b, gone); e != nil && bad == nil {
+		if e := book.Replay(requestjournal.Key(k), b, gone); e != nil && bad == nil {
 			bad = fmt.Errorf("task %s: %w", k[:], e)
 		}
 	})
@@ -160,7 +162,7 @@
 				if _, ok := memoryPart(k); ok || gone {
 					return
 				}
-				if _, e := ledger.Decode(b); e != nil && bad == nil {
+				if _, e := requestjournal.Decode(b); e != nil && bad == nil {
 					bad = fmt.Errorf("task %s: %w", k[:], e)
 				}
 			})
@@ -203,13 +205,13 @@
 }
 
 func inspectState(out io.Writer, folder string) error {
-	tasks := map[store.Key]*ledger.Entry{}
+	tasks := map[store.Key]*requestjournal.Entry{}
 	l, err := look(folder, func(k store.Key, b []byte, gone bool) {
 		if _, ok := memoryPart(k); ok {
 			return
 		}
 		if delete(tasks, k); !gone {
-			if e, err := ledger.Decode(b); err == nil {
+			if e, err := requestjournal.Decode(b); err == nil {
 				tasks[k] = e
 			}
 		}
@@ -221,15 +223,15 @@
 	for _, g := range l.Segments {
 		fmt.Fprintf(out, "%s  %d bytes, %d records from %d on\n", g.Name, g.Size, g.Records, g.First)
 	}
-	counts := map[ledger.Outcome]int{}
+	counts := map[requestjournal.Outcome]int{}
 	doubt := 0
 	for _, e := range tasks {
-		if counts[e.Outcome]++; e.Outcome == ledger.Open && (e.Out || e.MayRan) {
+		if counts[e.Outcome]++; e.Outcome == requestjournal.Open && (e.Out || e.MayRan) {
 			doubt++
 		}
 	}
 	fmt.Fprintf(out, "%d tasks: %d open, of which %d may have run; %d delivered, %d nacked, %d written off, %d left\n", len(tasks),
-		counts[ledger.Open], doubt, counts[ledger.Delivered], counts[ledger.Nacked], counts[ledger.WrittenOff], counts[ledger.Left])
+		counts[requestjournal.Open], doubt, counts[requestjournal.Delivered], counts[requestjournal.Nacked], counts[requestjournal.WrittenOff], counts[requestjournal.Left])
 	if l.Torn > 0 {
 		fmt.Fprintf(out, "%d bytes at the end are torn, as a crash leaves them; the next start cuts them\n", l.Torn)
 	}
@@ -245,7 +247,7 @@
 		fmt.Fprintf(out, "%s forgotten\n", k[:])
 		return
 	}
-	e, err := ledger.Decode(b)
+	e, err := requestjournal.Decode(b)
 	if err != nil {
 		fmt.Fprintf(out, "%s %v\n", k[:], err)
 		return
--- a/internal/fleet/counts.go
+++ b/internal/cluster/agent/counts.go
@@ -1,12 +1,12 @@
-package fleet
+package agent
 
 import (
 	"strings"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/history"
+	"magpiebank/internal/cluster/counters"
+	"magpiebank/internal/cluster/history"
 	"magpiebank/internal/router"
-	"magpiebank/internal/tally"
 )
 
 // counter is what the counts' core acts on.
@@ -26,11 +26,11 @@
 		return
 	}
 	var all [3]int64 // waits, runs, handed off
-	var changes [5]tally.Change
+	var changes [5]counters.Change
 	n := 0
-	add := func(kind tally.Kind, name string, by [3]int64) {
-		if kind == tally.All || name != "" {
-			changes[n] = tally.Change{Key: tally.Key{Kind: kind, Name: name}, By: by}
+	add := func(kind counters.Kind, name string, by [3]int64) {
+		if kind == counters.All || name != "" {
+			changes[n] = counters.Change{Key: counters.Key{Kind: kind, Name: name}, By: by}
 			n++
 		}
 	}
@@ -42,22 +42,22 @@
 		switch {
 		case !p.In:
 		case p.Engine == "":
-			all[tally.Waits] += p.by
+			all[counters.Waits] += p.by
 		default:
-			all[tally.Runs] += p.by
-			all[tally.Handed] += handed
-			add(tally.Engine, string(p.Engine), [3]int64{0, p.by, handed})
+			all[counters.Runs] += p.by
+			all[counters.Handed] += handed
+			add(counters.Engine, string(p.Engine), [3]int64{0, p.by, handed})
 		}
 	}
-	add(tally.All, "", all)
-	add(tally.Lane, lane, all)
-	add(tally.Class, class, all)
+	add(counters.All, "", all)
+	add(counters.Lane, lane, all)
+	add(counters.Class, class, all)
 	f.counts.Count(f.clock.Now(), changes[:n]...)
 	if f.history == nil {
 		return
 	}
-	own := f.counts.Own(tally.Key{})
-	f.history.Write(history.Event{What: history.Counted, Number: int(own[tally.Waits]), Most: int(own[tally.Runs])})
+	own := f.counts.Own(counters.Key{})
+	f.history.Write(history.Event{What: history.Counted, Number: int(own[counters.Waits]), Most: int(own[counters.Runs])})
 }
 
 // readings are for a checker: what is known of all twice a second.
@@ -66,7 +66,7 @@
 		return
 	}
 	f.readAt = now
-	r := f.counts.Read(now, tally.Key{})
+	r := f.counts.Read(now, counters.Key{})
 	for figure, name := range []string{"waits", "runs"} {
 		of := r.Counts[0].Of[figure]
 		f.history.Write(history.Event{What: history.Reading, Code: name, Age: int64(r.Age) * 1e5, Number: int(of.Low), Most: int(of.High), Of: uint64(r.Silent)})
@@ -92,19 +92,19 @@
 
 // counted reads all that this gateway can name: its lanes, the classes it had tasks of, and the engines it knows.
 func (f *Fleet) counted(now admission.Time) *CountStatus {
-	keys := []tally.Key{{}}
+	keys := []counters.Key{{}}
 	for _, l := range f.lanes {
-		keys = append(keys, tally.Key{Kind: tally.Lane, Name: l})
+		keys = append(keys, counters.Key{Kind: counters.Lane, Name: l})
 	}
-	keys = append(keys, f.counts.Keys(tally.Class)...)
+	keys = append(keys, f.counts.Keys(counters.Class)...)
 	for _, l := range f.book.Status(now) {
-		keys = append(keys, tally.Key{Kind: tally.Engine, Name: string(l.Engine)})
+		keys = append(keys, counters.Key{Kind: counters.Engine, Name: string(l.Engine)})
 	}
 	r := f.counts.Read(now, keys...)
 	s := &CountStatus{Age: seconds(r.Age), Heard: r.Heard, Silent: r.Silent}
 	for _, c := range r.Counts {
 		of := func(figure int) [2]int64 { return [2]int64{c.Of[figure].Low, c.Of[figure].High} }
-		s.Lines = append(s.Lines, CountLine{strings.TrimSpace(c.Kind.String() + " " + c.Name), of(tally.Waits), of(tally.Runs), of(tally.Handed)})
+		s.Lines = append(s.Lines, CountLine{strings.TrimSpace(c.Kind.String() + " " + c.Name), of(counters.Waits), of(counters.Runs), of(counters.Handed)})
 	}
 	return s
 }
--- a/internal/fleet/fleet.go
+++ b/internal/cluster/agent/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet joins a gateway to the other gateways: one goroutine steps the cores that know who is there (member) and what
+// Package agent joins a gateway to the other gateways: one goroutine steps the cores that know who is there (member) and what
 // others saw of engines (judgement), and carries their messages over UDP, sealed with one key. The owner of the decisions
 // tells it what it saw and is told what was found; neither waits for the other.
-package fleet
+package agent
 
 import (
 	"context"
@@ -18,14 +18,14 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/budget"
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/history"
-	"magpiebank/internal/inbox"
-	"magpiebank/internal/judgement"
-	"magpiebank/internal/member"
+	"magpiebank/internal/cluster/counters"
+	"magpiebank/internal/cluster/healthreport"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/cluster/membership"
+	"magpiebank/internal/cluster/quota"
+	"magpiebank/internal/config"
+	"magpiebank/internal/eventqueue"
 	"magpiebank/internal/router"
-	"magpiebank/internal/tally"
 )
 
 // Plan is what the operator's file says.
@@ -55,7 +55,7 @@
 	name    string
 	log     *slog.Logger
 	seal    *seal
-	box     *inbox.Box
+	box     *eventqueue.Box
 	socket  *net.UDPConn
 	control net.Listener
 	stop    chan struct{}
@@ -67,8 +67,8 @@
 	// Of the fleet's goroutine, once it runs.
 	clock    router.Clock
 	tell     func(func(admission.Time, *admission.Router))
-	core     *member.Core
-	book     *judgement.Book
+	core     *membership.Core
+	book     *healthreport.Book
 	numbers  map[string]*seen
 	number   uint64
 	start    uint64  // as it was last looked at
@@ -83,16 +83,16 @@
 	out      map[admission.EngineID]bool           // by hearsay alone, as the log has it
 	sent     int64
 	heard    int64
-	rights   *budget.Plan
+	rights   *quota.Plan
 	seat     int
 	tip      admission.Time // after which a cold engine falls over, by the site's rule
 	gateways int            // of the installation
 	shares   shares         // of budgets; nil: nothing is shared
-	purse    *budget.Purse  // the same, but in a measurement of the laboratory's
+	purse    *quota.Purse   // the same, but in a measurement of the laboratory's
 	heir     *succession    // nil: who follows comes with nothing
 	settled  bool           // the part is held under this start, and may be used,
 	partAt   admission.Time // under which it was first claimed then
-	counts   *tally.Core
+	counts   *counters.Core
 	most     int64 // tasks in hand
 	readAt   admission.Time
 	lanes    []string
@@ -107,11 +107,11 @@
 }
 
 // New makes a gateway's part; nothing is opened yet.
-func New(plan Plan, start *deployment.Start, log *slog.Logger) (*Fleet, error) {
+func New(plan Plan, start *config.Start, log *slog.Logger) (*Fleet, error) {
 	if plan.Advertise == "" {
 		plan.Advertise = plan.Listen
 	}
-	if _, err := netip.ParseAddrPort(plan.Advertise); err != nil || !member.CheckName(start.Name, plan.Advertise) {
+	if _, err := netip.ParseAddrPort(plan.Advertise); err != nil || !membership.CheckName(start.Name, plan.Advertise) {
 		return nil, fmt.Errorf("fleet.advertise: expected an address and port that the others reach, with a name of up to 40 bytes, found %q", plan.Advertise)
 	}
 	for i, s := range plan.Seeds {
@@ -123,8 +123,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{plan: plan, name: start.Name, log: log, seal: key, box: inbox.New(), stop: make(chan struct{}), ended: make(chan struct{}),
-		share: judgement.Share(start.Site, len(start.Network.Zones)), numbers: map[string]*seen{}, dropped: map[error]int{},
+	f := &Fleet{plan: plan, name: start.Name, log: log, seal: key, box: eventqueue.New(), stop: make(chan struct{}), ended: make(chan struct{}),
+		share: healthreport.Share(start.Site, len(start.Network.Zones)), numbers: map[string]*seen{}, dropped: map[error]int{},
 		listed: map[admission.EngineID]admission.Time{}, out: map[admission.EngineID]bool{}, rated: map[int]rated{}, saidAt: time.Now(), seat: start.Site.Me, gateways: start.Site.Gateways}
 	if p := plan.Policy; p != nil {
 		if plan.Control == "" {
@@ -182,15 +182,15 @@
 	}
 	f.start = start
 	now := clock.Now()
-	self := member.Member{Name: f.name, Start: start, Address: f.plan.Advertise}
-	f.core = member.New(now, self, f.plan.Seeds, rand.New(rand.NewPCG(start, 1)), host{f})
-	f.book = judgement.New(1, f.share, judgement.Turn(f.name))
+	self := membership.Member{Name: f.name, Start: start, Address: f.plan.Advertise}
+	f.core = membership.New(now, self, f.plan.Seeds, rand.New(rand.NewPCG(start, 1)), host{f})
+	f.book = healthreport.New(1, f.share, healthreport.Turn(f.name))
 	if f.history != nil {
 		f.book.Note = f.note
 	}
 	f.history.Write(history.Event{What: history.Began, Number: int(1000 * f.share), State: f.plan.Advertise})
 	if f.plan.Counts {
-		f.counts = tally.New(now, f.name, f.gateways, f.most, tenths(f.longest), counter{f})
+		f.counts = counters.New(now, f.name, f.gateways, f.most, tenths(f.longest), counter{f})
 	}
 	if f.rights != nil {
 		f.rights.Plant()
@@ -199,7 +199,7 @@
 			return err
 		}
 		if f.shares = f.beside(now); f.shares == nil {
-			f.purse = budget.NewPurse(f.part(now))
+			f.purse = quota.NewPurse(f.part(now))
 			f.shares = f.purse
 		}
 		f.cold = f.newCold()
@@ -329,7 +329,7 @@
 			f.box.Run()
 			f.core.Leave(f.clock.Now())
 			if f.purse != nil {
-				f.purse.Step(func(c *budget.Core) { f.bequeath(c.Farewell(f.clock.Now())) })
+				f.purse.Step(func(c *quota.Core) { f.bequeath(c.Farewell(f.clock.Now())) })
 			}
 			if f.policies.core != nil {
 				f.policies.stop(f.clock.Now())
@@ -388,7 +388,7 @@
 	f.tokens = min(float64(f.plan.Rate), f.tokens+float64(f.plan.Rate)*float64(now-f.paidAt)/float64(admission.Second))
 	f.paidAt = now
 	peers := f.core.Living()
-	if !f.plan.Sharing || peers == 0 || f.core.Quiet() || f.tokens < float64(peers*judgement.Most) && f.tokens < float64(f.plan.Rate) {
+	if !f.plan.Sharing || peers == 0 || f.core.Quiet() || f.tokens < float64(peers*healthreport.Most) && f.tokens < float64(f.plan.Rate) {
 		return
 	}
 	f.book.Peers(peers)
@@ -397,7 +397,7 @@
 		return
 	}
 	for _, other := range f.core.Members() {
-		if other.State <= member.Suspect {
+		if other.State <= membership.Suspect {
 			f.tokens -= float64(f.send(other.Address, part{partJudgement, m}))
 		}
 	}
@@ -431,7 +431,7 @@
 	}
 	f.looked(at)
 	if err == nil && f.plan.Sharing && at >= f.deafTo {
-		f.book.Met(at, judgement.Source{Name: l.name, Start: l.start}, l.clock)
+		f.book.Met(at, healthreport.Source{Name: l.name, Start: l.start}, l.clock)
 	}
 	for _, p := range parts(l, err) {
 		switch p.what {
@@ -440,7 +440,7 @@
 				err = errBroken
 			}
 		case partBudget:
-			m, bad := budget.Decode(p.bytes)
+			m, bad := quota.Decode(p.bytes)
 			if bad != nil || m.From != l.name || m.Start != l.start {
 				err = errBroken
 			} else if f.shares != nil && !f.core.Quiet() {
@@ -456,7 +456,7 @@
 			}
 		case partJudgement:
 			if m, ok := f.core.Find(l.name); f.plan.Sharing && at >= f.deafTo && ok && (m.Start <= l.start || ignoresStart) {
-				if f.book.Heard(at, judgement.Source{Name: l.name, Start: l.start}, p.bytes) != nil {
+				if f.book.Heard(at, healthreport.Source{Name: l.name, Start: l.start}, p.bytes) != nil {
 					err = errBroken
 				}
 			}
@@ -497,14 +497,14 @@
 
 func (h host) Send(to string, m []byte) { h.f.send(to, part{partMembers, m}) }
 
-func (h host) Changed(code member.Code, m member.Member) {
+func (h host) Changed(code membership.Code, m membership.Member) {
 	f := h.f
-	if f.counts != nil && m.State == member.Left {
+	if f.counts != nil && m.State == membership.Left {
 		f.counts.Gone(m.Name, m.Start)
 	}
 	f.history.Write(history.Event{What: history.Member, Code: string(code), Member: m.Name, Of: m.Start, State: m.State.String()})
 	level := slog.LevelInfo
-	if code == member.Split || code == member.Displaced {
+	if code == membership.Split || code == membership.Displaced {
 		level = slog.LevelWarn
 	}
 	f.log.Log(context.Background(), level, "fleet", "code", string(code), "member", m.Name, "start", m.Start, "address", m.Address, "lost", f.lost())
@@ -518,12 +518,12 @@
 }
 
 // note writes evidence that was taken in into the history.
-func (f *Fleet) note(from judgement.Source, e *admission.Listing, goodAge, badAge admission.Time) {
+func (f *Fleet) note(from healthreport.Source, e *admission.Listing, goodAge, badAge admission.Time) {
 	for _, outcome := range []struct {
 		good bool
 		age  admission.Time
 	}{{true, goodAge}, {false, badAge}} {
-		if outcome.age < judgement.Use {
+		if outcome.age < healthreport.Use {
 			f.history.Write(history.Event{What: history.Heard, Member: from.Name, Of: from.Start, Engine: string(e.Engine), Since: int64(e.Since), Good: outcome.good,
 				Age: int64(outcome.age) * 1e5})
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/cluster/agent/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/deployment"
+	"magpiebank/internal/config"
 )
 
 // wall is a clock for a gateway's owner.
@@ -67,7 +67,7 @@
 	clock := wall{time.Now()}
 	for i, a := range addresses {
 		site := &admission.Deployment{Gateways: 4, Me: i, Peers: true, Classes: []admission.Class{{Threads: 1, LatencyTarget: 1000}}}
-		start := &deployment.Start{Name: fmt.Sprint("g", i), Site: site, Network: &deployment.Network{Zones: []string{"a"}, Longest: []time.Duration{50 * time.Millisecond}}}
+		start := &config.Start{Name: fmt.Sprint("g", i), Site: site, Network: &config.Network{Zones: []string{"a"}, Longest: []time.Duration{50 * time.Millisecond}}}
 		f, err := New(Plan{Listen: a, Seeds: addresses[:2], Key: filepath.Join(folder, "key"), Rate: 1 << 20, Control: filepath.Join(folder, start.Name+".sock"),
 			History: filepath.Join(folder, start.Name+".history"), Sharing: true,
 			Budgets: &Budgets{Keepers: []string{"g0", "g1", "g2"}, Term: time.Second, Number: 1, Names: []string{"c"}, Totals: []int64{6}}}, start, slog.New(slog.DiscardHandler))
--- a/internal/fleet/planted_on.go
+++ b/internal/cluster/agent/planted_on.go
@@ -1,6 +1,6 @@
-//go:build lab
+//go:build testbed
 
-package fleet
+package agent
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/inbox"
-	"magpiebank/internal/quorum"
+	"magpiebank/internal/eventqueue"
+	"magpiebank/internal/testbed/quorumquota"
 )
 
 // A defect that the laboratory plants to see that its checkers find it.
@@ -32,13 +32,13 @@
 	if !strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "quorum") {
 		return nil
 	}
-	return asking{quorum.New(now, f.rights, f.name, f.core.Self().Start, lender{f}), f.box}
+	return asking{quorumquota.New(now, f.rights, f.name, f.core.Self().Start, lender{f}), f.box}
 }
 
 // asking has what the owner's calls lead to be sent at once, by the fleet's goroutine.
 type asking struct {
-	*quorum.Core
-	box *inbox.Box
+	*quorumquota.Core
+	box *eventqueue.Box
 }
 
 func (a asking) Open(now admission.Time, b int, amount int64, length admission.Time) bool {
--- a/internal/fleet/policy.go
+++ b/internal/cluster/agent/policy.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/charter"
-	"magpiebank/internal/consensus"
-	"magpiebank/internal/history"
-	"magpiebank/internal/member"
-	"magpiebank/internal/store"
-	"magpiebank/internal/store/sick"
+	"magpiebank/internal/cluster/consensus"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/cluster/membership"
+	"magpiebank/internal/cluster/rollout"
+	"magpiebank/internal/storage/faultdisk"
+	"magpiebank/internal/storage/store"
 )
 
 // PolicyPlan is how the fleet changes its policy.
@@ -33,18 +33,18 @@
 	// Read reads a policy's text; an error is why this gateway can't follow it. Any goroutine may call it.
 	Read(text []byte) (Policy, error)
 	// Counted is what became of tasks since a policy or a rehearsal began here.
-	Counted() charter.Count
+	Counted() rollout.Count
 }
 
 // Policy is one that was read.
 type Policy interface {
-	Terms() charter.Terms
+	Terms() rollout.Terms
 	Budgets() (names []string, totals []int64) // of the whole fleet
 }
 
 // Ruling is what this gateway may go by, as those see it that decide.
 type Ruling struct {
-	charter.Standing
+	rollout.Standing
 	Policy Policy   // in force, or last so; nil: none is known
 	Other  Policy   // that may be gone by beside it
 	Known  []Policy // that were heard of
@@ -56,10 +56,10 @@
 	f      *Fleet
 	plan   PolicyPlan
 	desk   Policies
-	core   *charter.Core
+	core   *rollout.Core
 	store  *store.Store
-	read   map[charter.Digest]Policy
-	inUse  charter.Digest // whose budgets are gone by
+	read   map[rollout.Digest]Policy
+	inUse  rollout.Digest // whose budgets are gone by
 	number uint64
 	parts  []parcel
 	sent   uint32
@@ -81,19 +81,19 @@
 // newPolicies opens the folder.
 func (f *Fleet) newPolicies(now admission.Time, start uint64) (*policies, error) {
 	p := &f.policies
-	p.f, p.plan, p.read = f, *f.plan.Policy, map[charter.Digest]Policy{}
-	plan := &charter.Plan{Voters: p.plan.Voters, Lease: tenths(p.plan.Lease), Within: tenths(p.plan.Within), Drift: 20, Folder: p.plan.Folder != ""}
+	p.f, p.plan, p.read = f, *f.plan.Policy, map[rollout.Digest]Policy{}
+	plan := &rollout.Plan{Voters: p.plan.Voters, Lease: tenths(p.plan.Lease), Within: tenths(p.plan.Within), Drift: 20, Folder: p.plan.Folder != ""}
 	plan.Plant(planted())
-	var kept *charter.Kept
+	var kept *rollout.Kept
 	if p.plan.Folder != "" {
 		disk, err := store.Disk(p.plan.Folder)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.policy.folder: %w", err)
 		}
-		kept = &charter.Kept{}
+		kept = &rollout.Kept{}
 		// The last sixteen policies of a megabyte each, as many again while they are rewritten, and the log.
 		limits := store.Limits{Most: 64 << 20}
-		p.store, _, err = store.Open(sick.Folder(disk), f.name, limits, func(k store.Key, b []byte, gone bool) {
+		p.store, _, err = store.Open(faultdisk.Folder(disk), f.name, limits, func(k store.Key, b []byte, gone bool) {
 			kept.Take([16]byte(k), slices.Clone(b), gone)
 		})
 		if err != nil {
@@ -103,7 +103,7 @@
 			return nil, errors.Join(fmt.Errorf("fleet.policy.folder: %s: %w", p.plan.Folder, err), p.store.Close())
 		}
 	}
-	p.core = charter.New(now, plan, f.name, start, rand.New(rand.NewPCG(start, 3)), kept, p)
+	p.core = rollout.New(now, plan, f.name, start, rand.New(rand.NewPCG(start, 3)), kept, p)
 	return p, nil
 }
 
@@ -178,7 +178,7 @@
 		return
 	}
 	other, ok := f.core.Find(to)
-	if !ok || other.State == member.Left {
+	if !ok || other.State == membership.Left {
 		return
 	}
 	moment("sent")
@@ -238,7 +238,7 @@
 func (p *policies) Others() []string { return lender{p.f}.Others() }
 
 // Check reads a policy beside the fleet's goroutine: a long one takes its time.
-func (p *policies) Check(d charter.Digest, text []byte, done func(charter.Terms, error)) {
+func (p *policies) Check(d rollout.Digest, text []byte, done func(rollout.Terms, error)) {
 	f := p.f
 	go func() {
 		policy, err := p.desk.Read(text)
@@ -252,7 +252,7 @@
 		}
 		f.box.Put(func() {
 			if err != nil {
-				done(charter.Terms{}, err)
+				done(rollout.Terms{}, err)
 				return
 			}
 			p.read[d] = policy
@@ -276,27 +276,27 @@
 	}
 }
 
-func (p *policies) Load(d charter.Digest) []byte {
+func (p *policies) Load(d rollout.Digest) []byte {
 	if p.store == nil {
 		return nil
 	}
-	return charter.Text(d, func(key [16]byte) []byte {
+	return rollout.Text(d, func(key [16]byte) []byte {
 		b, _, err := p.store.Get(store.Key(key))
 		if err != nil {
-			p.f.log.Warn("policy", "code", string(charter.CantKeep), "error", err)
+			p.f.log.Warn("policy", "code", string(rollout.CantKeep), "error", err)
 		}
 		return b
 	})
 }
 
 // Stand has this gateway go by another standing: the fleet's budgets at once, the desk at its next decision.
-func (p *policies) Stand(s *charter.Standing) {
+func (p *policies) Stand(s *rollout.Standing) {
 	f := p.f
 	r := &Ruling{Standing: *s, Policy: p.read[s.Digest], Trial: p.read[s.Rehearse]}
-	if (s.Other != charter.Digest{}) {
+	if (s.Other != rollout.Digest{}) {
 		r.Other = p.read[s.Other]
 	}
-	keep := []charter.Digest{s.Digest, s.Other, s.Rehearse}
+	keep := []rollout.Digest{s.Digest, s.Other, s.Rehearse}
 	for _, d := range s.Known {
 		keep = append(keep, d)
 		if k := p.read[d]; k != nil {
@@ -336,13 +336,13 @@
 }
 
 func (p *policies) Drained() bool        { return p.f.passing.Load() == 0 }
-func (p *policies) Count() charter.Count { return p.desk.Counted() }
+func (p *policies) Count() rollout.Count { return p.desk.Counted() }
 func (p *policies) Wall() int64          { return time.Now().Unix() }
 
-func (p *policies) Say(code charter.Code, more ...any) {
+func (p *policies) Say(code rollout.Code, more ...any) {
 	level := slog.LevelInfo
 	switch code {
-	case charter.Behind, charter.Lost, charter.Forced, charter.Overruled, charter.CantKeep, charter.TakenBack, charter.Follows:
+	case rollout.Behind, rollout.Lost, rollout.Forced, rollout.Overruled, rollout.CantKeep, rollout.TakenBack, rollout.Follows:
 		level = slog.LevelWarn
 	}
 	moment(string(code))
@@ -354,7 +354,7 @@
 	p.core.Leave(now)
 	if p.store != nil {
 		if err := p.store.Close(); err != nil {
-			p.f.log.Warn("policy", "code", string(charter.CantKeep), "error", err)
+			p.f.log.Warn("policy", "code", string(rollout.CantKeep), "error", err)
 		}
 	}
 }
@@ -433,9 +433,9 @@
 // ask serves one request of the control socket, in the fleet's goroutine; reply is called once.
 func (p *policies) ask(now admission.Time, q *PolicyAsk, reply func(*PolicyAnswer)) {
 	failed := func(err error) { reply(&PolicyAnswer{Error: err.Error()}) }
-	propose := func(kind charter.Kind) {
-		err := p.core.Propose(now, charter.Proposal{ID: q.ID, Kind: kind, Text: q.Text, Base: q.Base, Of: q.Number, For: tenths(time.Duration(q.For) * time.Millisecond)},
-			func(r charter.Result) { reply(&PolicyAnswer{Result: result(r)}) })
+	propose := func(kind rollout.Kind) {
+		err := p.core.Propose(now, rollout.Proposal{ID: q.ID, Kind: kind, Text: q.Text, Base: q.Base, Of: q.Number, For: tenths(time.Duration(q.For) * time.Millisecond)},
+			func(r rollout.Result) { reply(&PolicyAnswer{Result: result(r)}) })
 		if err != nil {
 			failed(err)
 		}
@@ -444,11 +444,11 @@
 	case "status":
 		reply(&PolicyAnswer{Status: p.status(now)})
 	case "propose":
-		propose(charter.Change)
+		propose(rollout.Change)
 	case "rehearse":
-		propose(charter.Rehearsal)
+		propose(rollout.Rehearsal)
 	case "rollback":
-		propose(charter.Rollback)
+		propose(rollout.Rollback)
 	case "await": // how far one is that was made here
 		r, ok := p.core.Progress(q.ID)
 		if !ok {
@@ -463,7 +463,7 @@
 			return
 		}
 		text := p.core.Text(d)
-		if text == nil && (d != charter.Digest{}) {
+		if text == nil && (d != rollout.Digest{}) {
 			failed(fmt.Errorf("the text of number %d isn't here: ask a voter", q.Number))
 			return
 		}
@@ -486,7 +486,7 @@
 }
 
 // digest is that of a number that this gateway knows.
-func (p *policies) digest(now admission.Time, number uint64) (charter.Digest, error) {
+func (p *policies) digest(now admission.Time, number uint64) (rollout.Digest, error) {
 	s := p.core.State(now)
 	if number == s.Standing.Number {
 		return s.Standing.Digest, nil
@@ -497,12 +497,12 @@
 		}
 	}
 	if number == 0 {
-		return charter.Digest{}, nil
+		return rollout.Digest{}, nil
 	}
-	return charter.Digest{}, fmt.Errorf("number %d isn't known here: ask a voter, which knows the last ones", number)
+	return rollout.Digest{}, fmt.Errorf("number %d isn't known here: ask a voter, which knows the last ones", number)
 }
 
-func result(r charter.Result) *PolicyResult {
+func result(r rollout.Result) *PolicyResult {
 	return &PolicyResult{ID: r.ID, End: r.End.String(), Number: r.Number, Why: r.Why}
 }
 
@@ -513,14 +513,14 @@
 	if s.Open != 0 {
 		out.Proposal, out.Offered = fmt.Sprintf("%08x", uint32(s.Open>>32)), s.OpenIs.String()
 	}
-	if (s.Cannot != charter.Digest{}) {
+	if (s.Cannot != rollout.Digest{}) {
 		out.Cannot = s.Cannot.String()
 	}
 	for _, a := range s.Past {
 		out.Past = append(out.Past, PolicyAct{a.Number, a.Digest.String(), a.Size, a.Kind.String(), a.By, a.At, a.Of})
 	}
 	for _, e := range s.Ends {
-		out.Ends = append(out.Ends, *result(charter.Result(e)))
+		out.Ends = append(out.Ends, *result(rollout.Result(e)))
 	}
 	for _, m := range s.Members {
 		out.Members = append(out.Members, PolicyMember{m.Name, seconds(m.Heard), seconds(m.Lease), m.Ready, m.Out, m.Why})
--- a/internal/fleet/rights.go
+++ b/internal/cluster/agent/rights.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/budget"
-	"magpiebank/internal/history"
-	"magpiebank/internal/member"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/cluster/membership"
+	"magpiebank/internal/cluster/quota"
 )
 
 // Budgets are what classes of the whole fleet may use.
@@ -27,7 +27,7 @@
 // others the owner's.
 type shares interface {
 	Due(now admission.Time)
-	Heard(now admission.Time, m budget.Message) (more bool)
+	Heard(now admission.Time, m quota.Message) (more bool)
 	Open(now admission.Time, b int, amount int64, length admission.Time) bool
 	Take(now admission.Time, b int, amount int64, length admission.Time) bool
 	Done(now admission.Time, b int, amount int64) (awaited bool)
@@ -43,17 +43,17 @@
 
 // shared is what the budgets' core goes by. A loan is two uses long: it is renewed after the first quarter and is then good for a
 // whole use more; what is lent across a cut is of no use to either side for the rest, so it is no longer. Clocks of machines drift by some parts in a million; one in twenty leaves room for those that are being set.
-func (f *Fleet) shared(b *Budgets, seats int) *budget.Plan {
-	p := &budget.Plan{Seats: seats, Keepers: b.Keepers, Term: tenths(b.Term), Longest: tenths(f.longest), Loan: 2 * tenths(f.longest), Drift: 20, Number: b.Number, Totals: b.Totals}
+func (f *Fleet) shared(b *Budgets, seats int) *quota.Plan {
+	p := &quota.Plan{Seats: seats, Keepers: b.Keepers, Term: tenths(b.Term), Longest: tenths(f.longest), Loan: 2 * tenths(f.longest), Drift: 20, Number: b.Number, Totals: b.Totals}
 	for _, name := range b.Names {
-		p.IDs = append(p.IDs, budget.ID(name))
+		p.IDs = append(p.IDs, quota.ID(name))
 	}
 	return p
 }
 
 // Renew goes by other totals, under a higher number, whole or not at all.
 func (f *Fleet) Renew(b *Budgets) (err error) {
-	f.purse.Step(func(c *budget.Core) {
+	f.purse.Step(func(c *quota.Core) {
 		if err = c.Renew(f.clock.Now(), f.shared(b, f.rights.Seats)); err != nil {
 			err = fmt.Errorf("fleet.budgets.%w", err)
 			return
@@ -101,9 +101,9 @@
 }
 
 // part is this process's in the budgets, with nothing but what processes before it surely have no more.
-func (f *Fleet) part(now admission.Time) *budget.Core {
+func (f *Fleet) part(now admission.Time) *quota.Core {
 	start := f.core.Self().Start
-	c := budget.New(now, f.rights, f.name, start, f.seat, lender{f})
+	c := quota.New(now, f.rights, f.name, start, f.seat, lender{f})
 	if f.settled, f.partAt = false, now; f.heir == nil {
 		return c
 	}
@@ -137,7 +137,7 @@
 		return
 	}
 	var held bool
-	f.purse.Step(func(c *budget.Core) { held, f.settled = c.Seated(now) })
+	f.purse.Step(func(c *quota.Core) { held, f.settled = c.Seated(now) })
 	if held && f.heir != nil {
 		f.inFolder(f.heir.held())
 	}
@@ -164,7 +164,7 @@
 }
 
 // paid takes in a message on budgets; where more of one may be used now, tasks that wait for it go out at once.
-func (f *Fleet) paid(at admission.Time, m budget.Message) {
+func (f *Fleet) paid(at admission.Time, m quota.Message) {
 	if f.shares.Heard(at, m) {
 		f.tell(func(now admission.Time, r *admission.Router) { r.Opened(now) })
 	}
@@ -173,18 +173,18 @@
 // lender is what the budgets' core acts on.
 type lender struct{ f *Fleet }
 
-func (h lender) Send(to string, m budget.Message) {
+func (h lender) Send(to string, m quota.Message) {
 	f := h.f
 	if to == f.name {
 		f.box.Put(func() { f.paid(f.clock.Now(), m) })
-	} else if other, ok := f.core.Find(to); ok && other.State <= member.Suspect {
+	} else if other, ok := f.core.Find(to); ok && other.State <= membership.Suspect {
 		f.send(other.Address, part{partBudget, m.Encode()})
 	}
 }
 
 func (h lender) Others() (out []string) {
 	for _, m := range h.f.core.Members() {
-		if m.State == member.Alive {
+		if m.State == membership.Alive {
 			out = append(out, m.Name)
 		}
 	}
--- a/internal/fleet/seal_test.go
+++ b/internal/cluster/agent/seal_test.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"errors"
--- a/internal/fleet/status.go
+++ b/internal/cluster/agent/status.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/charter"
+	"magpiebank/internal/cluster/rollout"
 )
 
 // Status is what a member tells of itself over its control socket.
@@ -158,7 +158,7 @@
 	}
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	var q request
-	if err := json.NewDecoder(io.LimitReader(c, 2*charter.MostText)).Decode(&q); err != nil {
+	if err := json.NewDecoder(io.LimitReader(c, 2*rollout.MostText)).Decode(&q); err != nil {
 		return fmt.Errorf("expected a request, found %w", err)
 	}
 	got := make(chan any, 1)
--- a/internal/fleet/succession.go
+++ b/internal/cluster/agent/succession.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"magpiebank/internal/budget"
+	"magpiebank/internal/cluster/quota"
 )
 
 // succession is a file in a folder that survives the process. It has the starts under which this gateway held its part of the budgets, for
@@ -78,8 +78,8 @@
 // written outlives it, and after a loss of power the file proves nothing anyway.
 func (s *succession) begin(start uint64) (after []uint64, err error) {
 	after = slices.Clone(s.ours.Starts)
-	if len(after) > budget.MostAfter {
-		after = append(after[:1], after[len(after)-budget.MostAfter+1:]...)
+	if len(after) > quota.MostAfter {
+		after = append(after[:1], after[len(after)-quota.MostAfter+1:]...)
 	}
 	s.ours.Starts = append(slices.Clone(after), start)
 	return after, s.write()
--- a/internal/fleet/wake_test.go
+++ b/internal/cluster/agent/wake_test.go
@@ -1,11 +1,11 @@
-package fleet
+package agent
 
 import (
 	"path/filepath"
 	"testing"
 	"time"
 
-	"magpiebank/internal/history"
+	"magpiebank/internal/cluster/history"
 )
 
 // A goroutine that was woken late says so once in the history, and one in time says nothing.
--- a/internal/tally/planted_off.go
+++ b/internal/cluster/counters/planted_off.go
@@ -1,6 +1,6 @@
-//go:build !lab
+//go:build !testbed
 
-package tally
+package counters
 
 // A defect that the laboratory plants to see that its checkers find it; none in an ordinary build.
 const trustsOld = false
--- a/internal/tally/planted_on.go
+++ b/internal/cluster/counters/planted_on.go
@@ -1,6 +1,6 @@
-//go:build lab
+//go:build testbed
 
-package tally
+package counters
 
 import (
 	"os"
--- a/internal/tally/tally.go
+++ b/internal/cluster/counters/tally.go
@@ -1,9 +1,9 @@
-// Package tally counts what runs, waits and was handed off over the whole fleet. Every process tells the others, now and then, between
+// Package counters counts what runs, waits and was handed off over the whole fleet. Every process tells the others, now and then, between
 // which bounds its own counts lay over the last seconds; a reading is taken as of an instant that these times cover, and is an
 // interval in which the true sum lay at that instant. Whose times don't cover it may have had anything up to the most that one
 // process has in hand: who hears nothing reads wide intervals, never wrong ones. It does no I/O: docs/counts.md has the rules, and
 // why they hold.
-package tally
+package counters
 
 import (
 	"encoding/binary"
--- a/internal/tally/tally_test.go
+++ b/internal/cluster/counters/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package counters
 
 import (
 	"fmt"
--- a/internal/judgement/judgement.go
+++ b/internal/cluster/healthreport/judgement.go
@@ -1,7 +1,7 @@
-// Package judgement keeps what gateways tell each other of engines: evidence, not verdicts. Each tells what it saw itself,
+// Package healthreport keeps what gateways tell each other of engines: evidence, not verdicts. Each tells what it saw itself,
 // with its age: the engine's report, when a task last came back from it well, and when one last failed there. It does no I/O;
 // what a finding means for the way of a task is decided in package admission. docs/fleet.md has the reasons.
-package judgement
+package healthreport
 
 import (
 	"cmp"
--- a/internal/judgement/message.go
+++ b/internal/cluster/healthreport/message.go
@@ -1,4 +1,4 @@
-package judgement
+package healthreport
 
 import (
 	"encoding/binary"
--- a/internal/judgement/planted_off.go
+++ b/internal/cluster/healthreport/planted_off.go
@@ -1,6 +1,6 @@
-//go:build !lab
+//go:build !testbed
 
-package judgement
+package healthreport
 
 // Defects that the laboratory plants to see that its checkers find them; none in an ordinary build.
 const relaysHearsay, agesNothing = false, false
--- a/internal/member/member.go
+++ b/internal/cluster/membership/member.go
@@ -1,7 +1,7 @@
-// Package member knows which gateways of a fleet are there. It is the protocol of SWIM (probes, indirect probes, suspicion
+// Package membership knows which gateways of a fleet are there. It is the protocol of SWIM (probes, indirect probes, suspicion
 // that the suspected can refute, news carried by the probes) with the local health of Lifeguard. It does no I/O: its caller
 // steps it with clock and chance handed in, and carries its messages. docs/fleet.md has the reasons and the figures.
-package member
+package membership
 
 import (
 	"cmp"
--- a/internal/member/message.go
+++ b/internal/cluster/membership/message.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"encoding/binary"
--- a/internal/member/planted_off.go
+++ b/internal/cluster/membership/planted_off.go
@@ -1,6 +1,6 @@
-//go:build !lab
+//go:build !testbed
 
-package member
+package membership
 
 // Defects that the laboratory plants to see that its checkers find them; none in an ordinary build.
 const ignoresStart = false
--- a/internal/budget/budget.go
+++ b/internal/cluster/quota/budget.go
@@ -1,4 +1,4 @@
-// Package budget shares what an operator allows the whole installation (threads, places, turns) among its gateways, so that
+// Package quota shares what an operator allows the whole installation (threads, places, turns) among its gateways, so that
 // all together never use more than the total, whoever is cut off, stopped, killed, started again or doubled under one name, and
 // however late messages come. It does no I/O: its caller steps it with the clock handed in and carries its messages.
 // docs/budgets.md has the protocol, why it holds, and which test shows it.
@@ -7,7 +7,7 @@
 // majority of the keepers, a few named gateways, has lately confirmed it; a confirmation counts from when it was asked for. The
 // holder lends to others what it doesn't need; a loan ends at the borrower a stated time after it was asked for, and at the lender
 // only when the borrower's slowest clock has surely come to that.
-package budget
+package quota
 
 import (
 	"fmt"
--- a/internal/budget/defect.go
+++ b/internal/cluster/quota/defect.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 // defect is a mistake in the protocol that the laboratory plants, to show that its checkers find it.
 type defect uint8
--- a/internal/budget/holdings.go
+++ b/internal/cluster/quota/holdings.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 import "slices"
 
--- a/internal/budget/model.go
+++ b/internal/cluster/quota/model.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"magpiebank/internal/explore"
+	"magpiebank/internal/testbed/modelcheck"
 )
 
 // The two models that are walked. Safety falls into two parts, which meet only in that a loan must end before its lender's seat
@@ -57,7 +57,7 @@
 	doubles int
 	pairs   bool // of the keepers two hear what is asked, no more
 	lacks   int  // times that a lender's own tasks begin to lack what is out
-	walk    func(*world) []explore.Move
+	walk    func(*world) []modelcheck.Move
 	bad     func(*world) string
 }
 
@@ -83,7 +83,7 @@
 }
 
 // after is the world after something is done in a copy of it.
-func (w *world) after(do func(*world)) explore.State {
+func (w *world) after(do func(*world)) modelcheck.State {
 	n := *w
 	n.actors = make([]*actor, len(w.actors))
 	for i, a := range w.actors {
@@ -140,27 +140,27 @@
 }
 
 // Moves are the model's.
-func (w *world) Moves() []explore.Move { return w.walk(w) }
+func (w *world) Moves() []modelcheck.Move { return w.walk(w) }
 
 // Violated is the model's.
 func (w *world) Violated() string { return w.bad(w) }
 
 // common are the moves of both models: time passes, a message comes to whoever bears the name, once or once more.
-func (w *world) common(moves []explore.Move, steps ...Time) []explore.Move {
+func (w *world) common(moves []modelcheck.Move, steps ...Time) []modelcheck.Move {
 	for _, units := range steps {
-		moves = append(moves, explore.Move{Name: fmt.Sprintf("%d units of time pass", units), Next: func() explore.State { return w.after(func(w *world) { w.pass(units) }) }})
+		moves = append(moves, modelcheck.Move{Name: fmt.Sprintf("%d units of time pass", units), Next: func() modelcheck.State { return w.after(func(w *world) { w.pass(units) }) }})
 	}
 	for i, e := range w.mail {
 		for k, a := range w.actors {
 			if !a.alive || a.core.name != e.to || e.m.From == a.core.name && e.m.Start == a.core.start {
 				continue
 			}
-			comes := func(again bool) explore.Move {
+			comes := func(again bool) modelcheck.Move {
 				name := fmt.Sprintf("%s of %s/%d comes to %s/%d", kinds[e.m.Kind], e.m.From, e.m.Start, a.core.name, a.core.start)
 				if again {
 					name += ", and is still under way"
 				}
-				return explore.Move{Name: name, Next: func() explore.State {
+				return modelcheck.Move{Name: name, Next: func() modelcheck.State {
 					return w.after(func(w *world) {
 						if again {
 							w.doubles--
@@ -292,10 +292,10 @@
 		}
 		return ""
 	}
-	w.walk = func(w *world) []explore.Move {
+	w.walk = func(w *world) []modelcheck.Move {
 		moves := w.common(nil, 1)
 		do := func(name string, f func(*world)) {
-			moves = append(moves, explore.Move{Name: name, Next: func() explore.State { return w.after(f) }})
+			moves = append(moves, modelcheck.Move{Name: name, Next: func() modelcheck.State { return w.after(f) }})
 		}
 		for i, a := range w.actors {
 			if !a.alive {
@@ -382,10 +382,10 @@
 		}
 		return ""
 	}
-	w.walk = func(w *world) []explore.Move {
+	w.walk = func(w *world) []modelcheck.Move {
 		moves := w.common(nil, steps...)
 		do := func(name string, f func(*world)) {
-			moves = append(moves, explore.Move{Name: name, Next: func() explore.State { return w.after(f) }})
+			moves = append(moves, modelcheck.Move{Name: name, Next: func() modelcheck.State { return w.after(f) }})
 		}
 		for i, a := range w.actors {
 			if !a.alive {
@@ -535,17 +535,17 @@
 }
 
 // Explore walks both models, each up to a number of states, and tells what it came to by name.
-func Explore(most int, each func(what string, r explore.Result)) {
+func Explore(most int, each func(what string, r modelcheck.Result)) {
 	for _, total := range []int64{2, 3} {
-		r := explore.Walk(loans(none, total), most, 1000)
+		r := modelcheck.Walk(loans(none, total), most, 1000)
 		each(fmt.Sprintf("lending, 3 members, a total of %d, one killed, a message doubled", total), r)
 	}
-	each("lending, 3 members, a total of 3, a lender's own tasks lack it, a message doubled", explore.Walk(recalls(none), most, 1000))
-	each("lending, 3 members, a total of 3, one killed and followed, a message doubled", explore.Walk(returns(none), most, 1000))
-	each("seats, 3 keepers, a member and its double, one of them killed and followed", explore.Walk(seats(none, 0, 1, 0, 1, 3), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper's double, known by one", explore.Walk(doubled(none), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper's double, known by none any more", explore.Walk(forgotten(none), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper's double, and another that enters", explore.Walk(entering(none), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper killed", explore.Walk(seats(none, 1, 0, 0, 1, 3), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper doubled", explore.Walk(seats(none, 0, 0, 1, 1, 7), most, 1000))
+	each("lending, 3 members, a total of 3, a lender's own tasks lack it, a message doubled", modelcheck.Walk(recalls(none), most, 1000))
+	each("lending, 3 members, a total of 3, one killed and followed, a message doubled", modelcheck.Walk(returns(none), most, 1000))
+	each("seats, 3 keepers, a member and its double, one of them killed and followed", modelcheck.Walk(seats(none, 0, 1, 0, 1, 3), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper's double, known by one", modelcheck.Walk(doubled(none), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper's double, known by none any more", modelcheck.Walk(forgotten(none), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper's double, and another that enters", modelcheck.Walk(entering(none), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper killed", modelcheck.Walk(seats(none, 1, 0, 0, 1, 3), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper doubled", modelcheck.Walk(seats(none, 0, 0, 1, 1, 7), most, 1000))
 }
--- a/internal/budget/plant_off.go
+++ b/internal/cluster/quota/plant_off.go
@@ -1,6 +1,6 @@
-//go:build !lab
+//go:build !testbed
 
-package budget
+package quota
 
 // Plant is for the laboratory, which plants defects to see that its checkers find them; in an ordinary build it does nothing.
 func (p *Plan) Plant() {}
--- a/internal/budget/plant_on.go
+++ b/internal/cluster/quota/plant_on.go
@@ -1,6 +1,6 @@
-//go:build lab
+//go:build testbed
 
-package budget
+package quota
 
 import (
 	"os"
--- a/internal/charter/attempt.go
+++ b/internal/cluster/rollout/attempt.go
@@ -1,4 +1,4 @@
-package charter
+package rollout
 
 import (
 	"fmt"
--- a/internal/charter/charter.go
+++ b/internal/cluster/rollout/charter.go
@@ -1,11 +1,11 @@
-// Package charter has a policy take hold at all gateways of a fleet or at none: which classes there are, what they may use, what is
+// Package rollout has a policy take hold at all gateways of a fleet or at none: which classes there are, what they may use, what is
 // never sent. It does no I/O: its caller steps it with the clock handed in, carries its messages and keeps its records.
 // docs/policy.md has the protocol, why it holds, and which test shows it.
 //
 // A few voters keep a log of what was decided (package consensus). Every gateway goes by the decided policy for as long as it holds a
 // lease on it, which the voters' leader gives once a majority has borne out that it leads. A change is proposed, taken by all gateways
 // that are heard, and decided only when no lease on the policy before it can still be running; from then on leases are given on it.
-package charter
+package rollout
 
 import (
 	"crypto/sha256"
@@ -14,7 +14,7 @@
 	"slices"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/consensus"
+	"magpiebank/internal/cluster/consensus"
 )
 
 // Time is a point on the caller's monotonic clock.
--- a/internal/charter/charter_test.go
+++ b/internal/cluster/rollout/charter_test.go
@@ -1,4 +1,4 @@
-package charter
+package rollout
 
 import (
 	"fmt"
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"magpiebank/internal/explore"
+	"magpiebank/internal/testbed/modelcheck"
 )
 
 // The walk finds nothing, and each defect that is planted.
 func TestExplore(t *testing.T) {
-	most := 50_000 // .ci/run walks further by magpielab
-	if explore.Raced {
+	most := 50_000 // .ci/run walks further by magpiebank-testbed
+	if modelcheck.Raced {
 		most = 5_000
 	}
 	for _, c := range []struct {
@@ -28,11 +28,11 @@
 		{"lease-from-answer", modelled(fromAnswer, 0, 0, 0, 0)},
 		{"both-forever", modelled(bothForever, 6*unit, 0, 0, 0)},
 	} {
-		if explore.Raced {
+		if modelcheck.Raced {
 			break // made without the race detector
 		}
 		began := time.Now()
-		r := explore.Walk(c.w, 600_000, 1000)
+		r := modelcheck.Walk(c.w, 600_000, 1000)
 		if r.Violated == "" {
 			t.Errorf("%s: not found in %d states, %d deep", c.name, r.States, r.Depth)
 			continue
@@ -40,7 +40,7 @@
 		t.Logf("%s: found after %d moves, %d states, %.1f s: %s", c.name, r.Depth, r.States, time.Since(began).Seconds(), r.Violated)
 		t.Log(strings.Join(r.Trace, "; "))
 	}
-	Explore(most, func(what string, r explore.Result) {
+	Explore(most, func(what string, r modelcheck.Result) {
 		t.Log(what, fmt.Sprintf("%d states, %d deep", r.States, r.Depth))
 		if r.Violated != "" {
 			t.Errorf("%s: %s", what, r.Violated)
--- a/internal/charter/model.go
+++ b/internal/cluster/rollout/model.go
@@ -1,4 +1,4 @@
-package charter
+package rollout
 
 import (
 	"encoding/binary"
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
-	"magpiebank/internal/consensus"
-	"magpiebank/internal/explore"
+	"magpiebank/internal/cluster/consensus"
+	"magpiebank/internal/testbed/modelcheck"
 )
 
 // The model that is walked: three voters, of which two can be elected, with clocks true and fast, and a member with a slow one, all gateways
@@ -134,7 +134,7 @@
 func (w *world) clock(a *actor) Time { return w.at * unit * a.rate / 4 }
 
 // after is the world after something is done in a copy of it.
-func (w *world) after(do func(*world)) explore.State {
+func (w *world) after(do func(*world)) modelcheck.State {
 	n := *w
 	n.draft.decided = slices.Clone(w.draft.decided)
 	n.actors = make([]*actor, len(w.actors))
@@ -302,9 +302,9 @@
 func (w *world) Violated() string { return w.wrong }
 
 // Moves are all that can happen next.
-func (w *world) Moves() (moves []explore.Move) {
+func (w *world) Moves() (moves []modelcheck.Move) {
 	add := func(name string, do func(*world)) {
-		moves = append(moves, explore.Move{Name: name, Next: func() explore.State { return w.after(do) }})
+		moves = append(moves, modelcheck.Move{Name: name, Next: func() modelcheck.State { return w.after(do) }})
 	}
 	add("time passes", func(w *world) {
 		w.at++
@@ -566,9 +566,9 @@
 }
 
 // Explore walks the model in some forms, each up to a number of states, and tells what it came to by name.
-func Explore(most int, each func(what string, r explore.Result)) {
+func Explore(most int, each func(what string, r modelcheck.Result)) {
 	walk := func(what string, w *world) {
-		each("policy, 3 voters, 1 member, 2 proposals, "+what, explore.Walk(w, most, 1000))
+		each("policy, 3 voters, 1 member, 2 proposals, "+what, modelcheck.Walk(w, most, 1000))
 	}
 	walk("the member killed, a message doubled", modelled(none, 0, 1, 0, 1))
 	walk("two elections", modelled(none, 0, 0, 2, 0))
--- a/internal/charter/own.go
+++ b/internal/cluster/rollout/own.go
@@ -1,9 +1,9 @@
-package charter
+package rollout
 
 import (
 	"slices"
 
-	"magpiebank/internal/consensus"
+	"magpiebank/internal/cluster/consensus"
 )
 
 const (
--- a/internal/charter/shelf.go
+++ b/internal/cluster/rollout/shelf.go
@@ -1,4 +1,4 @@
-package charter
+package rollout
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"magpiebank/internal/consensus"
+	"magpiebank/internal/cluster/consensus"
 )
 
 const (
--- a/internal/charter/voter_host.go
+++ b/internal/cluster/rollout/voter_host.go
@@ -1,4 +1,4 @@
-package charter
+package rollout
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"magpiebank/internal/consensus"
+	"magpiebank/internal/cluster/consensus"
 )
 
 // voterHost is what the voters' log acts on.
--- a/internal/charter/voter_roll.go
+++ b/internal/cluster/rollout/voter_roll.go
@@ -1,4 +1,4 @@
-package charter
+package rollout
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"magpiebank/internal/consensus"
+	"magpiebank/internal/cluster/consensus"
 )
 
 // together begins the log: all voters of the file are there, none of them has one, and all are of one mind on leases. Where another has
--- a/internal/charter/voters.go
+++ b/internal/cluster/rollout/voters.go
@@ -1,10 +1,10 @@
-package charter
+package rollout
 
 import (
 	"math/rand/v2"
 	"slices"
 
-	"magpiebank/internal/consensus"
+	"magpiebank/internal/cluster/consensus"
 )
 
 const (
--- a/internal/deployment/deployment.go
+++ b/internal/config/deployment.go
@@ -1,27 +1,27 @@
-// Package deployment decodes what a router is told at start, for the simulator's wire and for sockets.
-package deployment
+// Package config decodes what a router is told at start, for the simulator's wire and for sockets.
+package config
 
 import (
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/sheet"
+	"magpiebank/internal/jsonvalue"
 )
 
 // tenth is the project's unit of time in the settings' microseconds.
 const tenth = 100
 
 // down and up read microseconds as a Time, rounded so that a rule's figure stays safe.
-func down(s *sheet.Sheet, path ...any) admission.Time {
+func down(s *jsonvalue.Sheet, path ...any) admission.Time {
 	return admission.Time(int64(s.Num(path...)) / tenth)
 }
 
-func up(s *sheet.Sheet, path ...any) admission.Time {
+func up(s *jsonvalue.Sheet, path ...any) admission.Time {
 	return admission.Time((int64(s.Num(path...)) + tenth - 1) / tenth)
 }
 
 // places is nil where the key is absent, and empty but not nil where nothing is allowed.
-func places(s *sheet.Sheet, path ...any) []int {
+func places(s *jsonvalue.Sheet, path ...any) []int {
 	if s.At(path...) == nil {
 		return nil
 	}
@@ -33,7 +33,7 @@
 }
 
 // Read decodes the part of the settings that decisions rest on.
-func Read(s *sheet.Sheet) (*admission.Deployment, error) {
+func Read(s *jsonvalue.Sheet) (*admission.Deployment, error) {
 	d := &admission.Deployment{
 		Gateways:    max(1, int(s.Num("fleetSize"))),
 		Me:          int(s.Num("me")),
@@ -120,7 +120,7 @@
 }
 
 // ReadNetwork decodes the part of the settings that the router's sockets rest on.
-func ReadNetwork(s *sheet.Sheet) (*Network, error) {
+func ReadNetwork(s *jsonvalue.Sheet) (*Network, error) {
 	n := &Network{
 		Zones:         s.Texts("zones"),
 		Kinds:         s.Texts("skus"),
--- a/internal/deployment/report.go
+++ b/internal/config/report.go
@@ -1,4 +1,4 @@
-package deployment
+package config
 
 import (
 	"strconv"
--- a/internal/deployment/start.go
+++ b/internal/config/start.go
@@ -1,4 +1,4 @@
-package deployment
+package config
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/sheet"
+	"magpiebank/internal/jsonvalue"
 )
 
 // Start is what one router is told when its process begins.
@@ -15,8 +15,8 @@
 	EngineList   string // address of the engine list
 	Seed         int64
 	MemoryMB     int
-	Sockets      int          // descriptors that the process may hold; 0: not told
-	Known        *sheet.Sheet // the engine list's events so far
+	Sockets      int              // descriptors that the process may hold; 0: not told
+	Known        *jsonvalue.Sheet // the engine list's events so far
 	Site         *admission.Deployment
 	Network      *Network
 }
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := sheet.Parse("configuration", text)
+	c, err := jsonvalue.Parse("configuration", text)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/form/form.go
+++ b/internal/configfile/form.go
@@ -1,6 +1,6 @@
-// Package form reads the files that operators write: Jsonnet, with units in texts ("250ms", "64MB"). Everything amiss
+// Package configfile reads the files that operators write: Jsonnet, with units in texts ("250ms", "64MB"). Everything amiss
 // is named as FILE:LINE: FIELD: expected WHAT, found WHAT; unknown fields get the nearest known name.
-package form
+package configfile
 
 import (
 	"encoding/json"
--- a/internal/form/form_test.go
+++ b/internal/configfile/form_test.go
@@ -1,4 +1,4 @@
-package form
+package configfile
 
 import (
 	"fmt"
--- a/internal/inbox/inbox.go
+++ b/internal/eventqueue/inbox.go
@@ -1,5 +1,5 @@
-// Package inbox is how other goroutines reach the one that owns something.
-package inbox
+// Package eventqueue is how other goroutines reach the one that owns something.
+package eventqueue
 
 import "sync"
 
--- a/internal/sheet/sheet.go
+++ b/internal/jsonvalue/sheet.go
@@ -1,5 +1,5 @@
-// Package sheet reads values by path out of decoded JSON; the first thing amiss is kept until asked for.
-package sheet
+// Package jsonvalue reads values by path out of decoded JSON; the first thing amiss is kept until asked for.
+package jsonvalue
 
 import (
 	"encoding/json"
--- a/internal/enginelist/enginelist.go
+++ b/internal/protocol/discovery/enginelist.go
@@ -1,5 +1,5 @@
-// Package enginelist parses and writes the engine list's wire, polls over HTTP/1.1, on bytes alone.
-package enginelist
+// Package discovery parses and writes the engine list's wire, polls over HTTP/1.1, on bytes alone.
+package discovery
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"strings"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/sheet"
+	"magpiebank/internal/jsonvalue"
 )
 
 // Request appends the poll for events after one that is held.
@@ -106,7 +106,7 @@
 // beside them, and returns the number of the last. It stops before an event that can't be read, as a list that
 // broke off or was spoilt on its way is whole when it is asked for again; pass: that event is told with the
 // entries that can be read, and it stops behind it.
-func Events(s *sheet.Sheet, held int64, pass bool, zones, kinds []string,
+func Events(s *jsonvalue.Sheet, held int64, pass bool, zones, kinds []string,
 	told func(whole bool, list []admission.Listing, addresses []string)) int64 {
 	for i := range s.List("updates") {
 		index := int64(s.Num("updates", i, "index"))
@@ -139,7 +139,7 @@
 }
 
 // listing reads one entry of an event; ok tells whether all that it needs could be read.
-func listing(s *sheet.Sheet, zones, kinds []string, at ...any) (l admission.Listing, address string, ok bool) {
+func listing(s *jsonvalue.Sheet, zones, kinds []string, at ...any) (l admission.Listing, address string, ok bool) {
 	entry := func(field string) []any { return append(at[:len(at):len(at)], field) }
 	l = admission.Listing{
 		Engine: admission.EngineID(s.Needed(entry("id")...)),
--- a/internal/enginelist/enginelist_test.go
+++ b/internal/protocol/discovery/enginelist_test.go
@@ -1,11 +1,11 @@
-package enginelist
+package discovery
 
 import (
 	"fmt"
 	"testing"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/sheet"
+	"magpiebank/internal/jsonvalue"
 )
 
 func ExampleRequest() {
@@ -49,15 +49,15 @@
 	  {"id":"s-1","addr":"127.0.0.2:5050","zone":"east","kind":"std","cell":2,"state":"Ready","started_ms":0},
 	  {"id":"s-2","addr":"127.0.0.3:5050","zone":"west","kind":"new","cell":3,"state":"Terminating","started_ms":5}]}},
 	 {"index":9,"endpoints":{"full":false,"servers":[{"id":"s-3","state":"Lost"},{"id":"s-1","state":"Gone"}]}}]}`)
-	s, _ := sheet.Parse("events", text)
+	s, _ := jsonvalue.Parse("events", text)
 	told := func(whole bool, list []admission.Listing, addresses []string) { fmt.Println(whole, list, addresses) }
 	held := Events(s, 7, false, []string{"west", "east"}, []string{"std"}, told)
 	fmt.Println(held, s.Err()) // the last event is amiss: it is asked for again
-	s, _ = sheet.Parse("events", text)
+	s, _ = jsonvalue.Parse("events", text)
 	fmt.Println(Events(s, held, true, []string{"west", "east"}, []string{"std"}, told))
 	for _, text := range []string{`{"index":9,"updates":[]}`, `{"index":8,"updates":[{"index":8,"endpoints":{"servers":[
 	 {"id":"s-4","addr":"127.0.0.2","state":"Ready"}]}}]}`} {
-		s, _ := sheet.Parse("events", []byte(text))
+		s, _ := jsonvalue.Parse("events", []byte(text))
 		fmt.Println(Events(s, 7, false, nil, nil, told), s.Err())
 	}
 	// Output:
@@ -79,7 +79,7 @@
 		if length < 0 || length > len(b) || err != nil && length > 0 {
 			t.Fatalf("%q: length %d, %v", b, length, err)
 		}
-		if s, err := sheet.Parse("events", body); err == nil {
+		if s, err := jsonvalue.Parse("events", body); err == nil {
 			Events(s, 0, true, nil, nil, func(bool, []admission.Listing, []string) {})
 		}
 	})
--- a/internal/mysql/statement.go
+++ b/internal/protocol/mysql/statement.go
@@ -7,7 +7,7 @@
 	"strings"
 	"unicode/utf8"
 
-	"magpiebank/internal/sqltext"
+	"magpiebank/internal/query/sqltext"
 )
 
 // The fields that a statement's leading comment can lack or get wrong.
--- a/internal/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -8,7 +8,7 @@
 	"strconv"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/deployment"
+	"magpiebank/internal/config"
 )
 
 // MostArray is the longest array that Parse takes: a page of 6,000 bytes with its head has ample room.
@@ -163,6 +163,6 @@
 
 // Report reads an engine's load report, as in inflight:7;util:0.61.
 func Report(fields []byte) admission.Report {
-	r, _ := deployment.Report(string(Field(fields, "gauges")), ";")
+	r, _ := config.Report(string(Field(fields, "gauges")), ";")
 	return r
 }
--- a/internal/statement/book.go
+++ b/internal/query/costmodel/book.go
@@ -1,4 +1,4 @@
-package statement
+package costmodel
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 	"gonum.org/v1/gonum/mat"
 
-	"magpiebank/internal/sqltext"
+	"magpiebank/internal/query/sqltext"
 )
 
 // Estimate is what a statement will cost, as far as is known.
--- a/internal/statement/features.go
+++ b/internal/query/costmodel/features.go
@@ -1,12 +1,12 @@
-// Package statement tells what statements will cost: it reads features once a shape, and learns from answers. What it
+// Package costmodel tells what statements will cost: it reads features once a shape, and learns from answers. What it
 // can't make sense of still gets features from its tokens.
-package statement
+package costmodel
 
 import (
 	"strconv"
 	"strings"
 
-	"magpiebank/internal/sqltext"
+	"magpiebank/internal/query/sqltext"
 )
 
 // Verb is what a statement does.
--- a/internal/statement/grammar_test.go
+++ b/internal/query/costmodel/grammar_test.go
@@ -1,4 +1,4 @@
-package statement
+package costmodel
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
 
-	"magpiebank/internal/sqltext"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/query/sqltext"
+	"magpiebank/internal/testbed/fake"
 )
 
 // The token types that the grammar sees.
@@ -134,7 +134,7 @@
 		"DELETE m.* FROM a_1.m AS m JOIN a_1.n AS n ON m.k = n.k WHERE n.x = 'y'", "SELECT /*+ X(1) */ a FROM a_1.m FOR UPDATE SKIP LOCKED;",
 		"SELECT left(a, 2), mod(a, 5), replace(a, 'b', 'c'), a MOD 2, `select` FROM a_1.`from` WHERE a_1.`from`.b = 1",
 	}
-	p := standin.NewPlanner(5, 60)
+	p := fake.NewPlanner(5, 60)
 	for i := range p.Forms {
 		list = append(list, strings.NewReplacer("{group}", "1", "{literal}", "v").Replace(p.Forms[i].Text))
 	}
--- a/internal/statement/parse.go
+++ b/internal/query/costmodel/parse.go
@@ -1,11 +1,11 @@
-package statement
+package costmodel
 
 import (
 	"errors"
 	"fmt"
 	"strings"
 
-	"magpiebank/internal/sqltext"
+	"magpiebank/internal/query/sqltext"
 )
 
 // A tree is the analytic part of MySQL's language. Expressions are kept flat, terms and operators in turn, as predicates are
--- a/internal/statement/parse_change.go
+++ b/internal/query/costmodel/parse_change.go
@@ -1,6 +1,6 @@
-package statement
+package costmodel
 
-import "magpiebank/internal/sqltext"
+import "magpiebank/internal/query/sqltext"
 
 func (r *reader) insert() *insert {
 	i := &insert{Verb: r.now().key}
--- a/internal/statement/parse_expression.go
+++ b/internal/query/costmodel/parse_expression.go
@@ -1,6 +1,6 @@
-package statement
+package costmodel
 
-import "magpiebank/internal/sqltext"
+import "magpiebank/internal/query/sqltext"
 
 // operator tells whether a word or sign is one that stands between two terms.
 func (t *token) operator() bool {
--- a/internal/statement/parse_select.go
+++ b/internal/query/costmodel/parse_select.go
@@ -1,6 +1,6 @@
-package statement
+package costmodel
 
-import "magpiebank/internal/sqltext"
+import "magpiebank/internal/query/sqltext"
 
 // isUnion tells whether the bracket here holds a query. One in which another stands holds one if that does and what
 // follows it goes on with a query.
--- a/internal/statement/sketch.go
+++ b/internal/query/costmodel/sketch.go
@@ -1,4 +1,4 @@
-package statement
+package costmodel
 
 import "math"
 
--- a/internal/statement/skew.go
+++ b/internal/query/costmodel/skew.go
@@ -1,9 +1,9 @@
-package statement
+package costmodel
 
 import (
 	"math"
 
-	"magpiebank/internal/sqltext"
+	"magpiebank/internal/query/sqltext"
 )
 
 // skew watches whether a shape's cost follows one of its literals: answers are summed up by the places of the first
--- a/internal/digest/digest.go
+++ b/internal/query/digest/digest.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"magpiebank/internal/sqltext"
-	"magpiebank/internal/statement"
+	"magpiebank/internal/query/costmodel"
+	"magpiebank/internal/query/sqltext"
 )
 
 // Entry is one recorded statement.
@@ -64,7 +64,7 @@
 	total    float64
 	worst    float64
 	examined int64
-	sketch   statement.Sketch
+	sketch   costmodel.Sketch
 	groups   map[int]bool
 	text     string
 }
@@ -74,7 +74,7 @@
 
 // Of sums up entries and keeps the dearest shapes. tables is what an operator says of tables, costs what a snapshot says;
 // both may be nil.
-func Of(entries []Entry, most int, tables statement.Tables, costs Costs) *Digest {
+func Of(entries []Entry, most int, tables costmodel.Tables, costs Costs) *Digest {
 	d := &Digest{Statements: len(entries)}
 	sums := map[uint64]*sum{}
 	var order []*sum
@@ -130,7 +130,7 @@
 			_, _, r.Bad, _ = s.sketch.Modes()
 		}
 		if s.text != "" {
-			f := statement.ReadWith([]byte(s.text), tables)
+			f := costmodel.ReadWith([]byte(s.text), tables)
 			r.Verb, r.Parsed = f.Verb.String(), f.Parsed
 			if t := f.Full(); t != nil {
 				r.Full = t.String()
--- a/internal/digest/digest_test.go
+++ b/internal/query/digest/digest_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/sqltext"
-	"magpiebank/internal/statement"
+	"magpiebank/internal/query/costmodel"
+	"magpiebank/internal/query/sqltext"
 )
 
 func ExampleOf() {
@@ -21,7 +21,7 @@
 	add("select a from ACTAS_2.mesas where clave = 'y'", 2, 10)
 	add("SELECT dia, count(*) FROM actas_1.mesas GROUP BY dia", 1, 900, 1100)
 	add("SELEC x", 0, 1)
-	tables := func(t *statement.Table) (float64, []string, bool) { return 0, []string{"clave"}, true }
+	tables := func(t *costmodel.Table) (float64, []string, bool) { return 0, []string{"clave"}, true }
 	d := Of(list, 2, tables, nil)
 	d.Text(os.Stdout)
 	// Where no time was recorded, what a snapshot knows stands for it.
--- a/internal/route/desk.go
+++ b/internal/resourcegroup/desk.go
@@ -1,4 +1,4 @@
-package route
+package resourcegroup
 
 import (
 	"fmt"
--- a/internal/route/desk_test.go
+++ b/internal/resourcegroup/desk_test.go
@@ -1,4 +1,4 @@
-package route
+package resourcegroup
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/statement"
+	"magpiebank/internal/query/costmodel"
 )
 
 var keep = flag.Bool("keep", false, "write the kept traces anew")
@@ -266,7 +266,7 @@
 	}}
 	for _, sql := range []string{"SELECT a FROM actas_3.mesas", "SELECT a FROM actas_3.mesas LIMIT 5", "SELECT a FROM actas_3.mesas ORDER BY a LIMIT 5",
 		"SELECT a FROM actas_3.mesas m, actas_3.otra WHERE m.b = 1", "INSERT INTO actas_3.mesas SELECT * FROM staging.l", "SELECT 1"} {
-		book := statement.NewBook(1<<20, 1, nil)
+		book := costmodel.NewBook(1<<20, 1, nil)
 		for _, cost := range []float64{0, 20000} {
 			s := book.Look([]byte(sql), 3, 0)
 			for range 8 {
--- a/internal/route/plan.go
+++ b/internal/resourcegroup/plan.go
@@ -1,14 +1,14 @@
-// Package route decides what an operator's rules make of statements: of which class one is, which engines a class may use,
+// Package resourcegroup decides what an operator's rules make of statements: of which class one is, which engines a class may use,
 // how much of it may run and wait at the same time, and what is never sent. Which engine, whether again and whom to turn
 // away stays with the decisions (package admission), which ask the Desk here as their Gate. There is no I/O; the clock
 // comes with each call.
-package route
+package resourcegroup
 
 import (
 	"path"
 	"slices"
 
-	"magpiebank/internal/statement"
+	"magpiebank/internal/query/costmodel"
 )
 
 // Plan is what an operator's file says of classes and pools.
@@ -69,7 +69,7 @@
 type Table struct{ Schema, Name string }
 
 // Is tells whether a table is meant.
-func (p Table) Is(t *statement.Table) bool {
+func (p Table) Is(t *costmodel.Table) bool {
 	schema, _ := path.Match(p.Schema, t.Schema)
 	name, _ := path.Match(p.Name, t.Name)
 	return schema && name
@@ -78,8 +78,8 @@
 // Subject is a statement as classes see it.
 type Subject struct {
 	Lane     string
-	Features *statement.Features
-	Estimate statement.Estimate
+	Features *costmodel.Features
+	Estimate costmodel.Estimate
 }
 
 // Find is the number of the first class that fits, counted from 1; 0: none. It is meant for the goroutine that read the
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/mysql"
+	"magpiebank/internal/protocol/mysql"
 )
 
 // acceptor starts a session for each client that connects.
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/protocol/resp"
 )
 
 // nextAnswer reads until an engine's next answer is whole: its parts, which lie in the reader's buffer until its n
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/resp"
 )
 
 // attempt is one attempt of a request to an engine. The owner has n, over, again, doubt and stop; mu of the engine
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/resp"
 )
 
 // onDial has the next connections to engines made by a hook; it must come before any engine is listed.
--- a/internal/router/clock_lab.go
+++ b/internal/router/clock_testbed.go
@@ -1,4 +1,4 @@
-//go:build lab
+//go:build testbed
 
 package router
 
--- a/internal/router/cut_test.go
+++ b/internal/router/cut_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/resp"
 )
 
 // kept counts what the router holds for clients and requests: nothing once they are over.
--- a/internal/router/driver_test.go
+++ b/internal/router/driver_test.go
@@ -10,21 +10,21 @@
 
 	driver "github.com/go-sql-driver/mysql"
 
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
 )
 
 // The server's side against a client that others wrote: ping, rows, an answer that failed, a cancelled context, a
 // refusal.
 func TestDriver(t *testing.T) {
 	driver.SetLogger(&driver.NopLogger{})
-	e, err := standin.StartEngine("e-1", "127.0.0.1:0", standin.Manner{Threads: 4, Cores: 8, Works: []standin.Work{
-		{Contains: "slow", Service: standin.Spread{Mean: 30 * time.Second}}, {Rows: 500}}}, standin.NewLog(), 1)
+	e, err := fake.StartEngine("e-1", "127.0.0.1:0", fake.Manner{Threads: 4, Cores: 8, Works: []fake.Work{
+		{Contains: "slow", Service: fake.Spread{Mean: 30 * time.Second}}, {Rows: 500}}}, fake.NewLog(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer e.Close()
-	entry := standin.Entry{ID: "e-1", Address: e.Address, Zone: "hall", Kind: "std", State: "Ready"}
-	list, err := standin.StartList("127.0.0.1:0", []standin.Entry{entry})
+	entry := fake.Entry{ID: "e-1", Address: e.Address, Zone: "hall", Kind: "std", State: "Ready"}
+	list, err := fake.StartList("127.0.0.1:0", []fake.Entry{entry})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/resp"
 )
 
 // engineConn is a connection for attempts.
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/resp"
 )
 
 func TestPagesAreGatheredInOrder(t *testing.T) { // gathered in order, whatever order they come in; one connection carries two requests
--- a/internal/router/limiter_test.go
+++ b/internal/router/limiter_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"magpiebank/internal/mysql"
+	"magpiebank/internal/protocol/mysql"
 )
 
 // Beyond the descriptors for clients a newcomer takes the place of one without a query, strangers first.
--- a/internal/router/mailbox.go
+++ b/internal/router/mailbox.go
@@ -5,17 +5,17 @@
 	"sync"
 	"time"
 
-	"magpiebank/internal/inbox"
+	"magpiebank/internal/eventqueue"
 )
 
 // mailbox is how the owner reaches the goroutine of a session, also while that reads from its client.
 type mailbox struct {
-	*inbox.Box
+	*eventqueue.Box
 	mu      sync.Mutex
 	reading net.Conn // whose read a call interrupts; nil: none
 }
 
-func newMailbox() *mailbox { return &mailbox{Box: inbox.New()} }
+func newMailbox() *mailbox { return &mailbox{Box: eventqueue.New()} }
 
 // longAgo is a read deadline that ends a read at once.
 var longAgo = time.Unix(1, 0)
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -9,19 +9,19 @@
 	"sync/atomic"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/capture"
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/inbox"
-	"magpiebank/internal/ledger"
+	"magpiebank/internal/config"
+	"magpiebank/internal/eventqueue"
+	"magpiebank/internal/storage/requestjournal"
+	"magpiebank/internal/traffic/capture"
 )
 
 // owner is the one goroutine that calls the module. Sockets reach it through its inbox, and it reaches them
 // through the mailboxes of sessions and the wake-up channels of engines; it never waits for either.
 type owner struct {
 	clock          Clock
-	inbox          *inbox.Box
+	inbox          *eventqueue.Box
 	log            *slog.Logger
-	network        *deployment.Network
+	network        *config.Network
 	site           *admission.Deployment
 	desk           Desk             // nil: there are no classes
 	keep           *Keeping         // nil: nothing of requests is recorded
@@ -49,8 +49,8 @@
 // the listener, the engine list's connection, files as they are read; and what ends while its successor begins.
 const ownDescriptors = 24
 
-func newOwner(start *deployment.Start, clock Clock, log *slog.Logger) *owner {
-	o := &owner{clock: clock, inbox: inbox.New(), log: log, network: start.Network, site: start.Site, now: clock.Now(),
+func newOwner(start *config.Start, clock Clock, log *slog.Logger) *owner {
+	o := &owner{clock: clock, inbox: eventqueue.New(), log: log, network: start.Network, site: start.Site, now: clock.Now(),
 		sessions: map[uint32]*session{}, requests: map[admission.RequestID]*request{},
 		engines: map[admission.EngineID]engineClient{}}
 	o.dial = func(address string) (net.Conn, error) {
@@ -213,7 +213,7 @@
 	case admission.Served:
 		work, memory = h.work, h.needs
 		if o.requests[t.id] == t {
-			o.answer(now, t, ledger.Delivered, h.pages, func() { t.by.served(h) })
+			o.answer(now, t, requestjournal.Delivered, h.pages, func() { t.by.served(h) })
 		}
 	case admission.TimedOut, admission.Cancelled:
 		unsent := admission.Unreachable
@@ -285,5 +285,5 @@
 	if t.out != nil { // so its time is over
 		o.ended(now, t.out, admission.Cancelled)
 	}
-	o.answer(now, t, ledger.Left, nil, t.by.left)
+	o.answer(now, t, requestjournal.Left, nil, t.by.left)
 }
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/resp"
 )
 
 // prober asks one engine for its report on a connection of its own.
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/config"
+	"magpiebank/internal/testbed/fake"
 )
 
 // asRouter names the configuration by which this program is a router in place of its tests.
@@ -32,7 +32,7 @@
 func serveAsProcess(path string) int {
 	ends := make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM)
-	start, err := deployment.ReadStart(path)
+	start, err := config.ReadStart(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
@@ -101,8 +101,8 @@
 // probes still get theirs, and a client that asks is served.
 func TestDescriptorsForListAndEngines(t *testing.T) {
 	const descriptors = 96
-	e, err := standin.StartEngine("e-1", "127.0.0.1:0", standin.Manner{Threads: 4, Cores: 8,
-		Works: []standin.Work{{Rows: 1}}}, standin.NewLog(), 1)
+	e, err := fake.StartEngine("e-1", "127.0.0.1:0", fake.Manner{Threads: 4, Cores: 8,
+		Works: []fake.Work{{Rows: 1}}}, fake.NewLog(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 		}
 	}
 	fill()
-	list, err := standin.StartList(listAddress, []standin.Entry{
+	list, err := fake.StartList(listAddress, []fake.Entry{
 		{ID: "e-1", Address: e.Address, Zone: "hall", Kind: "std", State: "Ready"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/mysql"
+	"magpiebank/internal/config"
+	"magpiebank/internal/protocol/mysql"
 )
 
 // query queues a statement as a request and sees it through.
@@ -98,7 +98,7 @@
 
 // checkRequest tells what of a request doesn't fit the deployment's settings: its class has the given number, below 0 where it
 // is none of theirs.
-func checkRequest(r *mysql.Request, class int, n *deployment.Network, site *admission.Deployment) error {
+func checkRequest(r *mysql.Request, class int, n *config.Network, site *admission.Deployment) error {
 	switch {
 	case class < 0:
 		return mysql.ErrClass
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -2,12 +2,12 @@
 
 import (
 	"magpiebank/internal/admission"
-	"magpiebank/internal/ledger"
+	"magpiebank/internal/storage/requestjournal"
 )
 
 // Keeping is a record of requests that survives this process.
 type Keeping struct {
-	Ledger *ledger.Ledger
+	Ledger *requestjournal.Ledger
 	Failed func() error // why nothing can be recorded any more; nil: it can
 
 	Memory   *admission.Snapshot // what the process before knew; nil: nothing
@@ -34,16 +34,16 @@
 func (o *owner) known(t *request) bool {
 	standing, e := o.keep.Ledger.Ask(t.id)
 	switch {
-	case standing == ledger.Again:
+	case standing == requestjournal.Again:
 		t.foreseen.Past = admission.Past{MayRan: e.MayRan, DoubtAt: e.DoubtAt, Zone: e.Zone, Group: e.Group}
 		return false
-	case standing != ledger.Answered:
+	case standing != requestjournal.Answered:
 		return false
-	case e.Outcome == ledger.Delivered && e.Whole():
+	case e.Outcome == requestjournal.Delivered && e.Whole():
 		t.by.served(&attempt{of: t, pages: e.Rows})
-	case e.Outcome == ledger.Delivered:
+	case e.Outcome == requestjournal.Delivered:
 		t.by.denied("it was delivered before, and its rows are not kept")
-	case e.Outcome == ledger.WrittenOff, e.Outcome == ledger.Left && e.MayRan && o.strict(t):
+	case e.Outcome == requestjournal.WrittenOff, e.Outcome == requestjournal.Left && e.MayRan && o.strict(t):
 		t.by.failed()
 	default:
 		t.by.rejected(o.site.RetryAfter)
@@ -96,7 +96,7 @@
 
 // answer gives a request its final answer, once that is recorded where a second one could be given after a crash. An answer
 // that can't be recorded is given all the same: it is true now.
-func (o *owner) answer(now admission.Time, t *request, outcome ledger.Outcome, rows [][]byte, give func()) {
+func (o *owner) answer(now admission.Time, t *request, outcome requestjournal.Outcome, rows [][]byte, give func()) {
 	o.answered(t)
 	if o.keep != nil && o.keep.Ledger.End(now, t.id, outcome, rows, func(error) { o.tell(func(admission.Time) { give() }) }) {
 		return
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/capture"
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/config"
+	"magpiebank/internal/protocol/resp"
+	"magpiebank/internal/traffic/capture"
 )
 
 // With is what a router has besides; what is nil it hasn't.
@@ -29,7 +29,7 @@
 
 // Serve runs a router until stop is closed and all it had taken is answered. What comes by renewed is a new
 // configuration.
-func Serve(start *deployment.Start, with With, log *slog.Logger, stop <-chan struct{}, renewed <-chan *deployment.Start) error {
+func Serve(start *config.Start, with With, log *slog.Logger, stop <-chan struct{}, renewed <-chan *config.Start) error {
 	if start.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(start.MemoryMB) << 20 * 3 / 4) // the rest is for stacks and the sockets' buffers
 	}
@@ -56,8 +56,8 @@
 	return nil
 }
 
-func (o *owner) serve(start *deployment.Start, listener net.Listener, stop <-chan struct{},
-	renewed <-chan *deployment.Start) {
+func (o *owner) serve(start *config.Start, listener net.Listener, stop <-chan struct{},
+	renewed <-chan *config.Start) {
 	f := newWatcher(o, start.EngineList)
 	f.tell(start.Known, admission.Remembered)
 	o.log.Info("serving", "name", start.Name, "address", listener.Addr().String())
@@ -69,7 +69,7 @@
 	go f.serve(ended)
 	a := &acceptor{o: o, listener: listener, ended: make(chan struct{})}
 	go a.serve()
-	renew := func(next *deployment.Start) { o.renew(f, start, next) }
+	renew := func(next *config.Start) { o.renew(f, start, next) }
 	for stopping := false; !stopping; {
 		select {
 		case next := <-renewed:
@@ -91,7 +91,7 @@
 }
 
 // renew goes by a new configuration, as far as one can while serving: the engine list's address and its events.
-func (o *owner) renew(f *watcher, start, next *deployment.Start) {
+func (o *owner) renew(f *watcher, start, next *config.Start) {
 	for name, same := range map[string]bool{
 		"name": next.Name == start.Name, "limits": next.MemoryMB == start.MemoryMB,
 		"settings": reflect.DeepEqual(next.Site, start.Site) && reflect.DeepEqual(next.Network, start.Network)} {
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/mysql"
+	"magpiebank/internal/protocol/mysql"
 )
 
 // session is one client's connection. Its goroutine reads a query, queues it as a request, and then does what its
--- a/internal/router/session_test.go
+++ b/internal/router/session_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/mysql"
+	"magpiebank/internal/protocol/mysql"
 )
 
 func TestRequestWithoutAnEngineIsRejected(t *testing.T) { // no engine, so it is held while that is of use
--- a/internal/router/shapes_test.go
+++ b/internal/router/shapes_test.go
@@ -16,8 +16,8 @@
 
 	driver "github.com/go-sql-driver/mysql"
 
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/config"
+	"magpiebank/internal/testbed/fake"
 )
 
 // The two shapes of a deployment during the move, as settings: the old one probes and reads utilisation; the new one
@@ -37,24 +37,24 @@
 // sends it more.
 func TestShapesSide(t *testing.T) {
 	driver.SetLogger(&driver.NopLogger{})
-	kindA, kindB := standin.NewLog(), standin.NewLog()
-	manner := standin.Manner{Threads: 4, Cores: 4, Most: 40, Pace: 100 * time.Millisecond, Works: []standin.Work{
-		{Lane: "look", Service: standin.Spread{Mean: 20 * time.Millisecond}},
-		{Lane: "report", Service: standin.Spread{Mean: 150 * time.Millisecond}}}}
-	var entries []standin.Entry
+	kindA, kindB := fake.NewLog(), fake.NewLog()
+	manner := fake.Manner{Threads: 4, Cores: 4, Most: 40, Pace: 100 * time.Millisecond, Works: []fake.Work{
+		{Lane: "look", Service: fake.Spread{Mean: 20 * time.Millisecond}},
+		{Lane: "report", Service: fake.Spread{Mean: 150 * time.Millisecond}}}}
+	var entries []fake.Entry
 	for i, kind := range []string{"a", "a", "b"} {
 		log := kindA
 		if kind == "b" {
 			log = kindB
 		}
-		e, err := standin.StartEngine(fmt.Sprint("e-", i), "127.0.0.1:0", manner, log, uint64(i+1))
+		e, err := fake.StartEngine(fmt.Sprint("e-", i), "127.0.0.1:0", manner, log, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer e.Close()
-		entries = append(entries, standin.Entry{ID: e.Name, Address: e.Address, Zone: "hall", Kind: kind, State: "Ready"})
+		entries = append(entries, fake.Entry{ID: e.Name, Address: e.Address, Zone: "hall", Kind: kind, State: "Ready"})
 	}
-	list, err := standin.StartList("127.0.0.1:0", entries)
+	list, err := fake.StartList("127.0.0.1:0", entries)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 	}
 	const heard = 500 * time.Millisecond // the list answers a waiting poll at once; the module stops on hearing it
 	late, before := 0, 0
-	kindB.Each(func(truth standin.Truth) {
+	kindB.Each(func(truth fake.Truth) {
 		if strings.HasPrefix(truth.ID, "0b") && strings.HasSuffix(truth.ID, "1") {
 			t.Errorf("%s: a report of the new shape came to kind b", truth.ID)
 		}
@@ -138,7 +138,7 @@
 }
 
 // startGateway serves settings before the engines of a list, until stop.
-func startGateway(t *testing.T, list *standin.List, settings string) (address string, stop func()) {
+func startGateway(t *testing.T, list *fake.List, settings string) (address string, stop func()) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -151,7 +151,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	start, err := deployment.ReadStart(path)
+	start, err := config.ReadStart(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"magpiebank/internal/deployment"
+	"magpiebank/internal/config"
 )
 
 // The steps of a stop. The protocol lets connections and requests come for lastRequests after the order; they are served as ever.
@@ -16,7 +16,7 @@
 
 // shutDown stops taking requests and returns once all that were taken are answered. A new configuration still counts meanwhile:
 // it may name the address from which drains are told.
-func (o *owner) shutDown(a *acceptor, renewed <-chan *deployment.Start, renew func(*deployment.Start)) {
+func (o *owner) shutDown(a *acceptor, renewed <-chan *config.Start, renew func(*config.Start)) {
 	o.log.Info("stopping")
 	wait := func(until <-chan time.Time) {
 		for {
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/resp"
 )
 
 // queryPacket is a request as it lies on the wire.
--- a/internal/router/stage_test.go
+++ b/internal/router/stage_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/deployment"
+	"magpiebank/internal/config"
 )
 
 var keep = flag.Bool("keep", false, "keep the traces as they come out now")
@@ -85,8 +85,8 @@
 	held   int
 	things []io.Closer
 
-	start   *deployment.Start
-	renewed chan *deployment.Start
+	start   *config.Start
+	renewed chan *config.Start
 }
 
 type lockedBuffer struct {
@@ -119,7 +119,7 @@
 func playSettings(t *testing.T, settings string, engines ...*standEngine) *stage {
 	s := &stage{t: t, clock: &handClock{now: 17e12, timers: map[*handTimer]bool{}}, stop: make(chan struct{}),
 		ended: make(chan struct{}), list: make(chan string, 8), polls: make(chan string, 8), held: 1,
-		renewed: make(chan *deployment.Start)}
+		renewed: make(chan *config.Start)}
 	var servers []string
 	for _, e := range engines {
 		e.s = s
@@ -131,7 +131,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	start, err := deployment.ReadStart(path)
+	start, err := config.ReadStart(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/protocol/resp"
 )
 
 // lateConn is a connection of a process that stands still right after it has set a deadline, for longer than that: while it is armed,
--- a/internal/router/stand_test.go
+++ b/internal/router/stand_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/protocol/resp"
 )
 
 // standEngine is an engine that shows the script what it is sent; it answers probes by itself.
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/enginelist"
-	"magpiebank/internal/sheet"
+	"magpiebank/internal/jsonvalue"
+	"magpiebank/internal/protocol/discovery"
 )
 
 // watcher polls the engine list. Its goroutine owns held and amiss.
@@ -21,9 +21,9 @@
 
 	mu      sync.Mutex
 	address string
-	known   *sheet.Sheet  // events of a new configuration, to be told; nil: none
-	leave   func()        // ends the connection at hand
-	moved   chan struct{} // rung by a new configuration
+	known   *jsonvalue.Sheet // events of a new configuration, to be told; nil: none
+	leave   func()           // ends the connection at hand
+	moved   chan struct{}    // rung by a new configuration
 }
 
 func newWatcher(o *owner, address string) *watcher {
@@ -31,7 +31,7 @@
 }
 
 // move goes on at another address, with the events that a new configuration knows.
-func (f *watcher) move(address string, known *sheet.Sheet) {
+func (f *watcher) move(address string, known *jsonvalue.Sheet) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.known = known
@@ -49,9 +49,9 @@
 const mostAmiss = 8
 
 // tell takes in events; whole is the form of those that hold the whole list. It tells whether all could be read.
-func (f *watcher) tell(s *sheet.Sheet, whole admission.Form) bool {
+func (f *watcher) tell(s *jsonvalue.Sheet, whole admission.Form) bool {
 	held := f.held
-	f.held = enginelist.Events(s, held, f.amiss >= mostAmiss, f.o.network.Zones, f.o.network.Kinds,
+	f.held = discovery.Events(s, held, f.amiss >= mostAmiss, f.o.network.Zones, f.o.network.Kinds,
 		func(all bool, list []admission.Listing, addresses []string) {
 			form := admission.Changes
 			if all {
@@ -175,14 +175,14 @@
 	r := bufio.NewReaderSize(tcp, 4096)
 	var request, buffer []byte
 	for {
-		request = enginelist.Request(request[:0], address, f.held, pollWait.Milliseconds())
+		request = discovery.Request(request[:0], address, f.held, pollWait.Milliseconds())
 		tcp.SetDeadline(time.Now().Add(pollWait + within))
 		if _, err := tcp.Write(request); err != nil {
 			return useful, endCode(err)
 		}
 		for {
-			status, body, length, last, err := enginelist.Answer(buffer)
-			if err != nil || len(buffer) > 2*enginelist.MostAnswer {
+			status, body, length, last, err := discovery.Answer(buffer)
+			if err != nil || len(buffer) > 2*discovery.MostAnswer {
 				return useful, "bad_answer"
 			}
 			if length == 0 {
@@ -198,7 +198,7 @@
 				last = true // more than was asked for: the next answer would be taken for another poll's
 			}
 			if status == 200 {
-				s, err := sheet.Parse("events", body)
+				s, err := jsonvalue.Parse("events", body)
 				if err != nil || !f.tell(s, admission.Whole) {
 					return useful, "bad_answer"
 				}
--- a/internal/simwire/simwire.go
+++ b/internal/simadapter/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire connects the decisions to the bench's wire: it reads batches of events, hands each
+// Package simadapter connects the decisions to the bench's wire: it reads batches of events, hands each
 // decoded field to the router it is for, and prints what the routers do.
-package simwire
+package simadapter
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"strings"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/judgement"
-	"magpiebank/internal/sheet"
+	"magpiebank/internal/cluster/healthreport"
+	"magpiebank/internal/config"
+	"magpiebank/internal/jsonvalue"
 )
 
 // tenth is the project's unit of time in the wire's microseconds.
@@ -67,8 +67,8 @@
 	w      *wire
 	id     int
 	lanes  int
-	router *admission.Router // nil once retired or failed
-	book   *judgement.Book   // what peers tell of engines; nil: they may not
+	router *admission.Router  // nil once retired or failed
+	book   *healthreport.Book // what peers tell of engines; nil: they may not
 }
 
 func (w *wire) fail(field, want string) {
@@ -147,7 +147,7 @@
 }
 
 func (w *wire) report(field string) admission.Report {
-	r, ok := deployment.Report(w.opt(field), ",")
+	r, ok := config.Report(w.opt(field), ",")
 	if !ok {
 		w.fail(field, "name:value pairs set apart by commas")
 	}
@@ -227,10 +227,10 @@
 	if w.err != nil {
 		return
 	}
-	info, err := sheet.Parse("info", []byte(w.rest))
+	info, err := jsonvalue.Parse("info", []byte(w.rest))
 	var d *admission.Deployment
 	if err == nil {
-		d, err = deployment.Read(info)
+		d, err = config.Read(info)
 	}
 	if err != nil {
 		w.err = fmt.Errorf("line %d: boot: %w", w.line, err)
@@ -239,7 +239,7 @@
 	i := &instance{w: w, id: n, lanes: len(d.Classes)}
 	w.routers[n] = i
 	if d.Peers && d.Gateways > 1 {
-		i.book = judgement.New(d.Gateways-1, judgement.Share(d, len(info.Texts("zones"))),
+		i.book = healthreport.New(d.Gateways-1, healthreport.Share(d, len(info.Texts("zones"))),
 			float64(d.Me)/float64(d.Gateways))
 	}
 	i.guard(func() { i.router = admission.New(w.now, seed, d, i) })
@@ -323,7 +323,7 @@
 		report := w.report("serverStats")
 		call = func(r *admission.Router) { r.Probed(now, engine, how, report) }
 	case "neighbour_says":
-		from := judgement.Source{Name: strconv.FormatInt(w.num("src"), 10)}
+		from := healthreport.Source{Name: strconv.FormatInt(w.num("src"), 10)}
 		payload, err := hex.DecodeString(w.text("payload"))
 		if err != nil {
 			w.fail("payload", "bytes in hex")
--- a/internal/simwire/simwire_test.go
+++ b/internal/simadapter/simwire_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simadapter
 
 import (
 	"os"
--- a/internal/store/sick/sick_lab.go
+++ b/internal/storage/faultdisk/sick_testbed.go
@@ -1,7 +1,7 @@
-//go:build lab
+//go:build testbed
 
-// Package sick has disks fail on purpose, in the laboratory's build alone.
-package sick
+// Package faultdisk has disks fail on purpose, in the laboratory's build alone.
+package faultdisk
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/store"
+	"magpiebank/internal/storage/store"
 )
 
 // Folder is one on the disk of a laboratory's process, which fails from a time after its start on: MAGPIEBANK_DISK="full 5s" has no room,
--- a/internal/store/faulty/faulty.go
+++ b/internal/storage/faultfs/faulty.go
@@ -1,6 +1,6 @@
-// Package faulty is a folder in memory that fails on purpose: power is lost at any operation, and of what was not synced any
+// Package faultfs is a folder in memory that fails on purpose: power is lost at any operation, and of what was not synced any
 // part is kept, by sectors and torn at any byte; operations return errors; syncs lie; bits flip. It is for tests.
-package faulty
+package faultfs
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"slices"
 	"sync"
 
-	"magpiebank/internal/store"
+	"magpiebank/internal/storage/store"
 )
 
 // sector is the unit in which what was not synced may come to the disk. Real ones are as large or larger.
--- a/internal/ledger/ledger.go
+++ b/internal/storage/requestjournal/ledger.go
@@ -1,7 +1,7 @@
-// Package ledger keeps what is known of tasks across a crash: taken, handed off, ended, answered. It decides nothing of engines; it
+// Package requestjournal keeps what is known of tasks across a crash: taken, handed off, ended, answered. It decides nothing of engines; it
 // says what may have run and what was answered, and what must survive before a hand-off or an answer may go on its way. It
 // does no I/O: records go to a Log, and come back from one.
-package ledger
+package requestjournal
 
 import (
 	"cmp"
--- a/internal/ledger/ledger_test.go
+++ b/internal/storage/requestjournal/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package requestjournal_test
 
 import (
 	"encoding/binary"
@@ -10,31 +10,31 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/ledger"
-	"magpiebank/internal/store"
-	"magpiebank/internal/store/faulty"
+	"magpiebank/internal/storage/faultfs"
+	"magpiebank/internal/storage/requestjournal"
+	"magpiebank/internal/storage/store"
 )
 
 const second = admission.Second
 
 // lanes: 0 may run again, 1 must not, 2 is dropped as a repeat for three seconds.
-var lanes = []ledger.Lane{{Effect: admission.Idempotent, Longest: 5 * second}, {Effect: admission.Unrepeatable, Longest: 20 * second},
+var lanes = []requestjournal.Lane{{Effect: admission.Idempotent, Longest: 5 * second}, {Effect: admission.Unrepeatable, Longest: 20 * second},
 	{Effect: admission.Deduplicated, Remember: 3 * second, Longest: 20 * second}}
 
 // log joins a ledger to a store.
 type log struct{ s *store.Store }
 
-func (l log) Put(k ledger.Key, b []byte, done func(error)) { l.s.Put(store.Key(k), b, done) }
-func (l log) Delete(k ledger.Key, done func(error))        { l.s.Delete(store.Key(k), done) }
+func (l log) Put(k requestjournal.Key, b []byte, done func(error)) { l.s.Put(store.Key(k), b, done) }
+func (l log) Delete(k requestjournal.Key, done func(error))        { l.s.Delete(store.Key(k), done) }
 
 // open opens a folder's ledger, recovered at a time.
-func open(f store.Folder, now admission.Time) (*ledger.Ledger, *store.Store, error) {
-	var l *ledger.Ledger
+func open(f store.Folder, now admission.Time) (*requestjournal.Ledger, *store.Store, error) {
+	var l *requestjournal.Ledger
 	var behind log
-	l = ledger.New(&behind, lanes, 1000)
+	l = requestjournal.New(&behind, lanes, 1000)
 	var bad error
 	s, _, err := store.Open(f, "g1", store.Limits{Rewrite: time.Hour}, func(k store.Key, b []byte, gone bool) {
-		bad = errors.Join(bad, l.Replay(ledger.Key(k), b, gone))
+		bad = errors.Join(bad, l.Replay(requestjournal.Key(k), b, gone))
 	})
 	if err == nil {
 		behind.s = s
@@ -59,7 +59,7 @@
 	id     admission.RequestID
 	sent   bool // a hand-off's first byte,
 	proved bool // or proof that nothing of it ran; else an answer
-	out    ledger.Outcome
+	out    requestjournal.Outcome
 	size   int // of the log by then
 }
 
@@ -67,7 +67,7 @@
 const segment = "0000000000000001.log"
 
 // day plays tasks of all lanes through every way that they can go; it stops when power is lost.
-func day(f *faulty.Folder, planted bool) (seen []told) {
+func day(f *faultfs.Folder, planted bool) (seen []told) {
 	l, s, err := open(f, 1000*second)
 	if err != nil {
 		return nil
@@ -83,7 +83,7 @@
 		if n == 11 {
 			break // taken, and nothing more
 		}
-		answer := func(out ledger.Outcome, rows [][]byte) bool {
+		answer := func(out requestjournal.Outcome, rows [][]byte) bool {
 			if planted { // the defect: the client sees the answer before it is recorded
 				see(told{id: id, out: out})
 			}
@@ -109,9 +109,9 @@
 		if n >= 9 {
 			continue
 		}
-		out := []ledger.Outcome{ledger.Delivered, ledger.WrittenOff, ledger.Delivered, ledger.Nacked}[n%4]
-		l.Ended(now, id, out == ledger.Nacked)
-		if out == ledger.Nacked {
+		out := []requestjournal.Outcome{requestjournal.Delivered, requestjournal.WrittenOff, requestjournal.Delivered, requestjournal.Nacked}[n%4]
+		l.Ended(now, id, out == requestjournal.Nacked)
+		if out == requestjournal.Nacked {
 			see(told{id: id, proved: true})
 		}
 		if !answer(out, [][]byte{[]byte("a\tb\tc\n")}) {
@@ -145,13 +145,13 @@
 			}
 			switch {
 			case proved:
-			case standing == ledger.Unknown:
+			case standing == requestjournal.Unknown:
 				return fmt.Errorf("%s went out, and nothing is known of it", t.id)
-			case standing == ledger.Again && !e.MayRan:
+			case standing == requestjournal.Again && !e.MayRan:
 				return fmt.Errorf("%s went out, and would be sent as a new one", t.id)
-			case standing == ledger.Again && lane == 1:
+			case standing == requestjournal.Again && lane == 1:
 				return fmt.Errorf("%s went out and must not run twice, and has no answer", t.id)
-			case standing == ledger.Again && now >= e.DoubtAt+3*second:
+			case standing == requestjournal.Again && now >= e.DoubtAt+3*second:
 				return fmt.Errorf("%s went out, its window is past, and it has no answer", t.id)
 			}
 			continue
@@ -159,10 +159,10 @@
 		if t.proved {
 			continue
 		}
-		if standing != ledger.Answered || e.Outcome != t.out {
+		if standing != requestjournal.Answered || e.Outcome != t.out {
 			return fmt.Errorf("%s was answered: %v; asked for again it is %v", t.id, t.out, e)
 		}
-		if t.out == ledger.Delivered && (!e.Whole() || string(e.Rows[0]) != "a\tb\tc\n") {
+		if t.out == requestjournal.Delivered && (!e.Whole() || string(e.Rows[0]) != "a\tb\tc\n") {
 			return fmt.Errorf("%s was delivered, and its rows are %q", t.id, e.Rows)
 		}
 	}
@@ -172,15 +172,15 @@
 // crashes loses power at each operation of a day, in every way up to a bound, and once more while it recovers.
 func crashes(most int, planted bool) (states int, bad error) {
 	for at := 0; bad == nil; at++ {
-		f := &faulty.Folder{At: func(n int, _ string) error {
+		f := &faultfs.Folder{At: func(n int, _ string) error {
 			if n >= at {
-				return faulty.ErrLost
+				return faultfs.ErrLost
 			}
 			return nil
 		}}
 		seen := day(f, planted)
 		now := 1000*second + 2*second
-		states += f.Each(most, int64(at), func(left *faulty.Folder) {
+		states += f.Each(most, int64(at), func(left *faultfs.Folder) {
 			if err := right(left, seen, now); err != nil && bad == nil {
 				bad = fmt.Errorf("power lost at operation %d: %w", at, err)
 			}
@@ -189,12 +189,12 @@
 			left := f.Left(func(part int) bool { return (part+again)%2 == 0 }, -1)
 			left.At = func(n int, _ string) error {
 				if n >= again {
-					return faulty.ErrLost
+					return faultfs.ErrLost
 				}
 				return nil
 			}
 			right(left, nil, now)
-			states += left.Each(most, int64(again), func(second_ *faulty.Folder) {
+			states += left.Each(most, int64(again), func(second_ *faultfs.Folder) {
 				if err := right(second_, seen, now+5*second); err != nil && bad == nil {
 					bad = fmt.Errorf("power lost at operation %d, and at operation %d of the recovery: %w", at, again, err)
 				}
@@ -223,11 +223,11 @@
 // The log cut at every byte, as power lost while it was written may leave it, holds all that an engine or client had seen
 // by then.
 func TestEveryByte(t *testing.T) {
-	f := &faulty.Folder{}
+	f := &faultfs.Folder{}
 	seen := day(f, false)
 	whole := f.Bytes(segment)
 	for cut := 48; cut <= len(whole); cut++ {
-		left := &faulty.Folder{}
+		left := &faultfs.Folder{}
 		b := f.Bytes("manifest")
 		copy(b[40:48], make([]byte, 8)) // not closed in order
 		left.Put("manifest", withSum(b))
@@ -246,7 +246,7 @@
 }
 
 func TestClockBack(t *testing.T) { // an hour back between two starts: nothing is younger for it, and no window is longer
-	f := &faulty.Folder{}
+	f := &faultfs.Folder{}
 	l, s, err := open(f, 5000*second)
 	if err != nil {
 		t.Fatal(err)
@@ -260,14 +260,14 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if standing, e := l.Ask("0000000000000001"); standing != ledger.Answered || e.Outcome != ledger.WrittenOff {
+	if standing, e := l.Ask("0000000000000001"); standing != requestjournal.Answered || e.Outcome != requestjournal.WrittenOff {
 		t.Errorf("%v %+v", standing, e)
 	}
 }
 
 // A disk that takes long for a sync: look-ups don't ask for leave at all, a load gets it once the disk is through.
 func TestSlowDisk(t *testing.T) {
-	f := &faulty.Folder{}
+	f := &faultfs.Folder{}
 	l, s, err := open(f, 1000*second)
 	if err != nil {
 		t.Fatal(err)
@@ -294,7 +294,7 @@
 			t.Fatal("a look-up waits for the disk")
 		}
 		l.Ended(1000*second, id, false)
-		if l.End(1000*second, id, ledger.Delivered, nil, nil) {
+		if l.End(1000*second, id, requestjournal.Delivered, nil, nil) {
 			t.Fatal("a look-up's answer waits for the disk")
 		}
 	}
@@ -310,7 +310,7 @@
 }
 
 func TestLeft(t *testing.T) { // what was open at a start and is not asked for again ends at its cut-off, and is forgotten later
-	f := &faulty.Folder{}
+	f := &faultfs.Folder{}
 	l, s, err := open(f, 1000*second)
 	if err != nil {
 		t.Fatal(err)
@@ -329,7 +329,7 @@
 	defer s.Close()
 	l.Take(1002*second, "0000000000000005", 2, 1020*second)
 	l.Due(1011 * second)
-	for n, want := range []ledger.Outcome{ledger.Nacked, ledger.WrittenOff, ledger.WrittenOff, ledger.Nacked, ledger.Nacked, ledger.Open} {
+	for n, want := range []requestjournal.Outcome{requestjournal.Nacked, requestjournal.WrittenOff, requestjournal.WrittenOff, requestjournal.Nacked, requestjournal.Nacked, requestjournal.Open} {
 		if _, e := l.Ask(admission.RequestID(fmt.Sprintf("%016x", n))); e == nil || e.Outcome != want {
 			t.Errorf("task %d: %+v, expected %v", n, e, want)
 		}
@@ -341,7 +341,7 @@
 }
 
 func TestForgotten(t *testing.T) { // by time, never before the windows are past; by space the oldest first
-	f := &faulty.Folder{}
+	f := &faultfs.Folder{}
 	l, s, err := open(f, 1000*second)
 	if err != nil {
 		t.Fatal(err)
@@ -351,7 +351,7 @@
 		id := admission.RequestID(fmt.Sprintf("%016x", n))
 		now := 1000*second + admission.Time(n)
 		l.Take(now, id, 0, now+second)
-		l.End(now, id, ledger.Nacked, nil, func(error) {})
+		l.End(now, id, requestjournal.Nacked, nil, func(error) {})
 	}
 	if l.Len() != 1000 || l.Counts.Dropped != 500 {
 		t.Errorf("%d kept, %d dropped", l.Len(), l.Counts.Dropped)
--- a/internal/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -11,7 +11,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"magpiebank/internal/store"
+	"magpiebank/internal/storage/store"
 )
 
 // commits has so many writers commit a value of 100 bytes each in turn, and reports commits a second and p99.
--- a/internal/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
-	"magpiebank/internal/store"
-	"magpiebank/internal/store/faulty"
+	"magpiebank/internal/storage/faultfs"
+	"magpiebank/internal/storage/store"
 )
 
 func key(n int) (k store.Key) {
@@ -43,7 +43,7 @@
 }
 
 // check opens what is left of a folder and holds it against what must be there.
-func (k *kept) check(f *faulty.Folder) error {
+func (k *kept) check(f *faultfs.Folder) error {
 	got := map[store.Key]string{}
 	s, _, err := store.Open(f, "g1", small, func(key store.Key, value []byte, gone bool) {
 		if got[key] = string(value); gone {
@@ -71,7 +71,7 @@
 }
 
 // work writes and deletes until an operation fails, or it is through.
-func work(f *faulty.Folder, k *kept, steps int) error {
+func work(f *faultfs.Folder, k *kept, steps int) error {
 	s, _, err := store.Open(f, "g1", small, func(store.Key, []byte, bool) {})
 	if err != nil {
 		return err
@@ -110,15 +110,15 @@
 func crashes(steps, most int, lies func(n int, what string) bool) (states int, bad error) {
 	for at := 0; bad == nil; at++ {
 		k := &kept{values: map[store.Key][]string{}}
-		f := &faulty.Folder{Lies: lies}
+		f := &faultfs.Folder{Lies: lies}
 		f.At = func(n int, _ string) error {
 			if n >= at {
-				return faulty.ErrLost
+				return faultfs.ErrLost
 			}
 			return nil
 		}
 		err := work(f, k, steps)
-		states += f.Each(most, int64(at), func(left *faulty.Folder) {
+		states += f.Each(most, int64(at), func(left *faultfs.Folder) {
 			if bad != nil {
 				return
 			}
@@ -132,12 +132,12 @@
 			left.Lies = lies
 			left.At = func(n int, _ string) error {
 				if n >= again {
-					return faulty.ErrLost
+					return faultfs.ErrLost
 				}
 				return nil
 			}
 			k.check(left)
-			states += left.Each(most, int64(again), func(second *faulty.Folder) {
+			states += left.Each(most, int64(again), func(second *faultfs.Folder) {
 				if err := k.check(second); err != nil && bad == nil {
 					bad = fmt.Errorf("power lost at operation %d, and at operation %d of the recovery: %w", at, again, err)
 				}
@@ -178,15 +178,15 @@
 }
 
 // recorded is a run's folder, with the values that hold after each record.
-func recorded(t *testing.T) *faulty.Folder {
-	f := &faulty.Folder{}
+func recorded(t *testing.T) *faultfs.Folder {
+	f := &faultfs.Folder{}
 	if err := work(f, &kept{values: map[store.Key][]string{}}, 30); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-func copyOf(f *faulty.Folder) *faulty.Folder { return f.Left(func(int) bool { return true }, -1) }
+func copyOf(f *faultfs.Folder) *faultfs.Folder { return f.Left(func(int) bool { return true }, -1) }
 
 // Cut at any byte the last segment is either read up to a whole record, or, as the store was closed in order and records
 // are missing, refused. A bit flipped anywhere in the log is refused, or is in what nobody reads.
@@ -279,7 +279,7 @@
 
 // After a sync that failed nothing is taken any more, and what was not said to survive is not claimed to.
 func TestFailedSync(t *testing.T) {
-	f := &faulty.Folder{}
+	f := &faultfs.Folder{}
 	s, _, err := store.Open(f, "g1", store.Limits{}, func(store.Key, []byte, bool) {})
 	if err != nil {
 		t.Fatal(err)
@@ -317,7 +317,7 @@
 
 // A disk that stands still holds nobody up who doesn't wait for it, and what waits for it is bounded.
 func TestBehind(t *testing.T) {
-	f := &faulty.Folder{}
+	f := &faultfs.Folder{}
 	begun, through := make(chan bool, 1000), make(chan bool)
 	s, _, err := store.Open(f, "g1", store.Limits{}, func(store.Key, []byte, bool) {})
 	if err != nil {
@@ -355,7 +355,7 @@
 
 // A full disk refuses what finds no room and takes the rest; so does the store's own bound, which deletions may pass.
 func TestFull(t *testing.T) {
-	f := &faulty.Folder{}
+	f := &faultfs.Folder{}
 	full, part := false, 0
 	f.At = func(_ int, what string) error {
 		if full && (what[:5] == "write" || what[:6] == "create") {
@@ -464,7 +464,7 @@
 func TestModel(t *testing.T) {
 	flag.Set("rapid.seed", "11")
 	rapid.Check(t, func(t *rapid.T) {
-		f := &faulty.Folder{}
+		f := &faultfs.Folder{}
 		k := &kept{values: map[store.Key][]string{}}
 		open := func() *store.Store {
 			if err := k.check(f); err != nil {
--- a/internal/standin/engine.go
+++ b/internal/testbed/fake/engine.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"magpiebank/internal/load/wheel"
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/resp"
+	"magpiebank/internal/testbed/load/timerwheel"
 )
 
 // Manner is how an engine works.
@@ -45,7 +45,7 @@
 	once     sync.Once
 
 	// Of the owner's goroutine.
-	wheel   *wheel.Wheel
+	wheel   *timerwheel.Wheel
 	began   time.Time
 	born    time.Duration // on its own clock, of the last start
 	paused  bool
@@ -94,7 +94,7 @@
 	runs    bool
 	over    bool
 	place   int
-	timer   wheel.Timer
+	timer   timerwheel.Timer
 	pages   [][]byte
 	asked   int  // pages that were asked for
 	noted   *job // this one stands for a note's timer
@@ -110,7 +110,7 @@
 		return nil, fmt.Errorf("engine %s: %w", name, err)
 	}
 	e := &Engine{Name: name, Address: l.Addr().String(), Log: log, m: m, listener: l, calls: make(chan func(), 1024),
-		ended: make(chan struct{}), wheel: wheel.New(0), began: time.Now(), speed: 1, conns: map[*engineConn]bool{},
+		ended: make(chan struct{}), wheel: timerwheel.New(0), began: time.Now(), speed: 1, conns: map[*engineConn]bool{},
 		jobs: map[jobKey]*job{}, chance: rand.New(rand.NewPCG(seed, 7))}
 	e.m.Threads = max(1, m.Threads)
 	go e.loop()
@@ -285,7 +285,7 @@
 	for {
 		rest := time.Hour
 		if !e.paused {
-			e.wheel.Advance(wheel.Tick(e.own()/engineTick), func(what uint64) { e.due(int(what)) })
+			e.wheel.Advance(timerwheel.Tick(e.own()/engineTick), func(what uint64) { e.due(int(what)) })
 			if at, ok := e.wheel.Next(); ok {
 				rest = max(0, time.Duration(at)*engineTick-e.own())
 			}
@@ -426,7 +426,7 @@
 			e.swapped++
 		}
 		last := e.own() + time.Duration(float64(j.left)/speed)
-		j.timer = e.wheel.Add(wheel.Tick(last/engineTick), e.place(j))
+		j.timer = e.wheel.Add(timerwheel.Tick(last/engineTick), e.place(j))
 		j.last = last
 		e.setNote(j)
 	}
@@ -435,7 +435,7 @@
 // setNote sets the timer of the next note on a task.
 func (e *Engine) setNote(j *job) {
 	if e.m.Pace > 0 && e.own()+e.m.Pace < j.last {
-		e.wheel.Add(wheel.Tick((e.own()+e.m.Pace)/engineTick), e.place(&job{noted: j}))
+		e.wheel.Add(timerwheel.Tick((e.own()+e.m.Pace)/engineTick), e.place(&job{noted: j}))
 	}
 }
 
--- a/internal/standin/front.go
+++ b/internal/testbed/fake/front.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"magpiebank/internal/mysql"
+	"magpiebank/internal/protocol/mysql"
 )
 
 // Front is a stand-in for a gateway: it speaks MySQL and answers each query by itself after its service time, as many at
--- a/internal/standin/list.go
+++ b/internal/testbed/fake/list.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
--- a/internal/standin/standin_test.go
+++ b/internal/testbed/fake/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"magpiebank/internal/resp"
+	"magpiebank/internal/protocol/resp"
 )
 
 // caller speaks to an engine by hand.
--- a/internal/standin/truth.go
+++ b/internal/testbed/fake/truth.go
@@ -1,7 +1,7 @@
-// Package standin plays the outside systems of a gateway on loopback: engines, an engine list, and a gateway's own
+// Package fake plays the outside systems of a gateway on loopback: engines, an engine list, and a gateway's own
 // front for a load to be measured against. Each does what a script or a call says, and keeps a log of when things
 // truly happened.
-package standin
+package fake
 
 import (
 	"slices"
--- a/internal/fault/fault.go
+++ b/internal/testbed/faultproxy/fault.go
@@ -1,6 +1,6 @@
-// Package fault stands between the processes of an installation: every message of theirs passes a relay here, which cuts,
+// Package faultproxy stands between the processes of an installation: every message of theirs passes a relay here, which cuts,
 // loses, delays, doubles, reorders, flips or slows it, in each direction by itself. All of it is on loopback.
-package fault
+package faultproxy
 
 import (
 	"errors"
--- a/internal/fault/fault_test.go
+++ b/internal/testbed/faultproxy/fault_test.go
@@ -1,4 +1,4 @@
-package fault
+package faultproxy
 
 import (
 	"bufio"
--- a/internal/scenario/builtin/budgets.jsonnet
+++ b/internal/testbed/faulttest/builtin/budgets.jsonnet
@@ -1,5 +1,5 @@
 // How well a total is used, by how it is shared: even demand, by Zipf's law, nine tenths at one gateway and at another every 5 s, with a
-// third cut off, and after it. Played with each way of sharing in turn: magpielab fleet run budgets.
+// third cut off, and after it. Played with each way of sharing in turn: magpiebank-testbed fleet run budgets.
 local n = 32, total = 64, service = 0.4;
 local demand = 1.4 * total / service;  // tasks a second
 local calm = 1.5;  // at each gateway: three tenths of what the total has room for
--- a/internal/scenario/builtin/minute-deaf.jsonnet
+++ b/internal/testbed/faulttest/builtin/minute-deaf.jsonnet
@@ -1,5 +1,5 @@
 // A third of fifteen gateways hears nothing from the others for a minute, one way for half of it, then both ways; engines turn bad
-// meanwhile. Too long for every test run: magpielab fleet run minute-deaf.
+// meanwhile. Too long for every test run: magpiebank-testbed fleet run minute-deaf.
 {
   name: 'minute-deaf', gateways: 15, length: '66s', rate: 2,
   steps: [
--- a/internal/scenario/builtin/policy.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy.jsonnet
@@ -1,5 +1,5 @@
 // A hundred changes of what loads may use over 32 gateways: with all connected, with a third silent, and under faults drawn from a seed all the while.
-// Played once with a charter, and once with the same changes read from files at SIGHUP, one gateway after the other: magpielab fleet run policy.
+// Played once with a charter, and once with the same changes read from files at SIGHUP, one gateway after the other: magpiebank-testbed fleet run policy.
 local n = 32, seed = 1;
 local chance(k, what) = std.parseHex(std.substr(std.md5('%d %s %d' % [seed, what, k]), 0, 6)) / 16777216;
 local pick(k, what, of) = std.floor(chance(k, what) * of);
--- a/internal/scenario/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/history"
-	"magpiebank/internal/judgement"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/cluster/healthreport"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/testbed/fake"
 )
 
 // slack is how far an age that was told may be off: the steps in which ages are told, a tenth of the longest age for clocks that run
@@ -17,7 +17,7 @@
 const slack = int64(1500 * time.Millisecond)
 
 // use is the longest that evidence counts anywhere.
-const use = int64(judgement.Borne * 1e5)
+const use = int64(healthreport.Borne * 1e5)
 
 // totals are what budgets had for totals, under which numbers, and from when on.
 type totals struct {
@@ -76,7 +76,7 @@
 
 // CheckEngines holds the loads that the engines themselves say run against the total of threads. What a gateway gave up, and the engine
 // couldn't hear of it, still runs there: a scenario in which engines are out of reach, or stand still, is not read.
-func CheckEngines(s *Scenario, runs []standin.Run, began time.Time, zero int64, t *totals) (out []string) {
+func CheckEngines(s *Scenario, runs []fake.Run, began time.Time, zero int64, t *totals) (out []string) {
 	if s.Whole.Threads == 0 || slices.ContainsFunc(s.Steps, func(k Step) bool {
 		return k.Do == "engine" && k.Be != "gone" && k.Be != "drains" || slices.ContainsFunc(slices.Concat(k.To, k.From), func(n string) bool { return n == "*" || strings.HasPrefix(n, "e") })
 	}) {
--- a/internal/scenario/clients.go
+++ b/internal/testbed/faulttest/clients.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"magpiebank/internal/load/single"
-	"magpiebank/internal/site"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/sqlclient"
 )
 
 // rate is how many tasks a second come to a gateway at a time.
-func (p *play) rate(g *site.Gateway, at time.Duration) float64 {
+func (p *play) rate(g *installation.Gateway, at time.Duration) float64 {
 	rate := p.s.Rate
 	for _, t := range p.s.Steps {
 		if t.Do == "surge" && at >= t.At && (t.Until == 0 || at < t.Until) {
@@ -30,11 +30,11 @@
 }
 
 // client sends a gateway its load: open, each task at its time, whatever became of the others.
-func (p *play) client(ctx context.Context, g *site.Gateway) {
+func (p *play) client(ctx context.Context, g *installation.Gateway) {
 	if p.s.Rate == 0 {
 		return
 	}
-	db, err := single.Open(g.Address)
+	db, err := sqlclient.Open(g.Address)
 	if err != nil {
 		return
 	}
@@ -89,5 +89,5 @@
 	if t.Load {
 		lane, statement = "load", fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", k%4+1, k)
 	}
-	return single.Ask(db, lane, t.id, statement, wait)
+	return sqlclient.Ask(db, lane, t.id, statement, wait)
 }
--- a/internal/scenario/cold.go
+++ b/internal/testbed/faulttest/cold.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"time"
 
-	"magpiebank/internal/site"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/installation"
 )
 
 // ColdStart is what an engine was sent after it had started, by its own count.
@@ -20,7 +20,7 @@
 }
 
 // coldStarts reads what engines that restarted were sent until they were warm.
-func coldStarts(s *Scenario, c site.Cold, cores float64, sent []standin.Sent, began time.Time) (out []ColdStart) {
+func coldStarts(s *Scenario, c installation.Cold, cores float64, sent []fake.Sent, began time.Time) (out []ColdStart) {
 	if c.Warm == 0 {
 		return nil
 	}
@@ -31,7 +31,7 @@
 		}
 		for _, engine := range t.Engines {
 			start := ColdStart{Engine: engine, At: t.At, Tasks: make([]int, int(c.Warm/time.Second))}
-			var window []standin.Sent
+			var window []fake.Sent
 			work := 0.0
 			for _, v := range sent {
 				at := v.At.Sub(began)
--- a/internal/scenario/disturbance.go
+++ b/internal/testbed/faulttest/disturbance.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"path"
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"magpiebank/internal/history"
+	"magpiebank/internal/cluster/history"
 )
 
 // connectWithin is how long a connection between the processes of a scenario may take to come up: the shortest time limit that they keep.
--- a/internal/scenario/disturbance_test.go
+++ b/internal/testbed/faulttest/disturbance_test.go
@@ -1,10 +1,10 @@
-package scenario
+package faulttest
 
 import (
 	"testing"
 	"time"
 
-	"magpiebank/internal/history"
+	"magpiebank/internal/cluster/history"
 )
 
 // Only a disturbed run in which nothing but time was missed is played again.
--- a/internal/scenario/figures.go
+++ b/internal/testbed/faulttest/figures.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"magpiebank/internal/history"
-	"magpiebank/internal/load/single"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/testbed/load/sqlclient"
 )
 
 // Outage is what became of one engine's bad time.
@@ -53,7 +53,7 @@
 			}
 			asked, earned := 0.0, 0.0
 			for i := range r.Tasks {
-				if k := &r.Tasks[i]; k.At >= t.At && k.At < t.Until && k.End != single.NotTaken {
+				if k := &r.Tasks[i]; k.At >= t.At && k.At < t.Until && k.End != sqlclient.NotTaken {
 					asked += k.worth()
 					earned += k.Worth()
 				}
--- a/internal/scenario/judge.go
+++ b/internal/testbed/faulttest/judge.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
-	"magpiebank/internal/history"
-	"magpiebank/internal/load/single"
-	"magpiebank/internal/site"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/sqlclient"
 )
 
 // judge holds what clients, engines and histories tell against what must hold.
-func (p *play) judge(r *Result, plan *site.Plan) {
+func (p *play) judge(r *Result, plan *installation.Plan) {
 	s := p.s
 	r.Tasks = p.tasks
 	r.miss(p.wrong...)
@@ -55,7 +55,7 @@
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		r.Ends[t.End]++
-		if t.End != single.NotTaken {
+		if t.End != sqlclient.NotTaken {
 			asked += t.worth()
 			earned += t.Worth()
 		}
@@ -64,21 +64,21 @@
 			r.violate(fmt.Sprintf("rule 2: load %s of %s began %d times", t.id, t.Gateway, truth.Began))
 		}
 		switch t.End {
-		case single.Delivered:
+		case sqlclient.Delivered:
 			if !came || truth.Runs == 0 {
 				r.violate(fmt.Sprintf("rule 1: %s of %s was delivered, and never ran", t.id, t.Gateway))
 			}
-		case single.Nacked:
+		case sqlclient.Nacked:
 			if t.Load && truth.Began > 0 {
 				r.violate(fmt.Sprintf("rule 1: load %s of %s was nacked, and ran", t.id, t.Gateway))
 			}
-		case single.WrittenOff, single.NotTaken:
+		case sqlclient.WrittenOff, sqlclient.NotTaken:
 		default:
 			if p.excused(t) {
 				continue
 			}
 			what := fmt.Sprintf("rule 1: %s of %s, sent at %v, ended as %q", t.id, t.Gateway, t.At.Round(time.Millisecond), t.End)
-			if t.End == single.Late || t.End == single.Broken { // as for a client that is slow, whose connection is closed
+			if t.End == sqlclient.Late || t.End == sqlclient.Broken { // as for a client that is slow, whose connection is closed
 				r.miss(what)
 			} else {
 				r.violate(what)
--- a/internal/scenario/page.go
+++ b/internal/testbed/faulttest/page.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	_ "embed"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/history"
+	"magpiebank/internal/cluster/history"
 )
 
 //go:embed page.html
--- a/internal/scenario/play.go
+++ b/internal/testbed/faulttest/play.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"context"
--- a/internal/scenario/policy.go
+++ b/internal/testbed/faulttest/policy.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/charter"
-	"magpiebank/internal/fleet"
-	"magpiebank/internal/history"
-	"magpiebank/internal/load/single"
-	"magpiebank/internal/site"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/cluster/rollout"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/sqlclient"
 )
 
 // Proposed is a proposal that was made, and what became of it.
@@ -45,7 +45,7 @@
 }
 
 // asks has a gateway asked something, and while it is away another.
-func (p *play) asks(ctx context.Context, first *site.Gateway, q *fleet.PolicyAsk, by time.Time) (*fleet.PolicyAnswer, error) {
+func (p *play) asks(ctx context.Context, first *installation.Gateway, q *agent.PolicyAsk, by time.Time) (*agent.PolicyAnswer, error) {
 	turn := slices.Index(p.site.Gateways, first)
 	var last error
 	for time.Now().Before(by) {
@@ -57,7 +57,7 @@
 		p.mu.Unlock()
 		if !down && g.Up() {
 			until, stop := context.WithDeadline(ctx, by)
-			a, err := fleet.AskPolicy(until, g.Control, q)
+			a, err := agent.AskPolicy(until, g.Control, q)
 			stop()
 			if err == nil && a.Error == "" {
 				return a, nil
@@ -77,8 +77,8 @@
 
 // offer makes a proposal, and waits for its end beside what else happens.
 func (p *play) offer(t Step) {
-	var first *site.Gateway
-	p.each(t.Gateways, func(g *site.Gateway) error {
+	var first *installation.Gateway
+	p.each(t.Gateways, func(g *installation.Gateway) error {
 		if first == nil {
 			first = g
 		}
@@ -89,7 +89,7 @@
 		return
 	}
 	if t.Do == "voters" || t.Do == "force" {
-		q := &fleet.PolicyAsk{Do: t.Do, Voters: t.Gateways}
+		q := &agent.PolicyAsk{Do: t.Do, Voters: t.Gateways}
 		if _, err := p.asks(context.Background(), first, q, time.Now().Add(10*time.Second)); err != nil {
 			p.wrong = append(p.wrong, fmt.Sprintf("step at %v: %s: %v", t.At, t.Do, err))
 		}
@@ -105,7 +105,7 @@
 		}
 	}
 	t.Policy.Fleet = p.s.Whole.Any()
-	q := &fleet.PolicyAsk{Do: map[string]string{"change": "propose", "rollback": "rollback", "rehearse": "rehearse"}[t.Kind], ID: id, Text: t.Policy.Text(), Number: uint64(t.Number),
+	q := &agent.PolicyAsk{Do: map[string]string{"change": "propose", "rollback": "rollback", "rehearse": "rehearse"}[t.Kind], ID: id, Text: t.Policy.Text(), Number: uint64(t.Number),
 		For: t.Policy.Rehearse.Milliseconds()}
 	if t.Kind == "rollback" {
 		q.Text = nil
@@ -120,10 +120,10 @@
 }
 
 // attempt makes a proposal and waits for its end; true: another one was open.
-func (p *play) attempt(first *site.Gateway, q *fleet.PolicyAsk) bool {
+func (p *play) attempt(first *installation.Gateway, q *agent.PolicyAsk) bool {
 	began := time.Now()
 	a, err := p.asks(context.Background(), first, q, began.Add(p.s.endsWithin()))
-	k := Proposed{At: began.Sub(p.began), By: first.Label(), Took: time.Since(began), End: "unknown", id: q.ID, digest: charter.Of(q.Text).String()}
+	k := Proposed{At: began.Sub(p.began), By: first.Label(), Took: time.Since(began), End: "unknown", id: q.ID, digest: rollout.Of(q.Text).String()}
 	if q.Text == nil { // of one before
 		k.digest = ""
 	}
@@ -140,12 +140,12 @@
 
 // firstText is the first policy's: the scenario's limits.
 func (p *play) firstText() []byte {
-	return (&site.Policy{Whole: p.s.Whole, Fleet: p.s.Whole.Any()}).Text()
+	return (&installation.Policy{Whole: p.s.Whole, Fleet: p.s.Whole.Any()}).Text()
 }
 
 // first has the scenario's limits be the first policy, and all go by it.
 func (p *play) first(ctx context.Context) error {
-	q := &fleet.PolicyAsk{Do: "propose", ID: 1, Text: p.firstText()}
+	q := &agent.PolicyAsk{Do: "propose", ID: 1, Text: p.firstText()}
 	by := time.Now().Add(p.s.Settle + 5*p.s.Charter.Lease)
 	a, err := p.asks(ctx, p.site.Gateways[len(p.site.Gateways)-1], q, by)
 	if err != nil {
@@ -173,11 +173,11 @@
 		if down {
 			continue
 		}
-		if s, err := fleet.Ask(g.Control); err != nil || s.Quiet {
+		if s, err := agent.Ask(g.Control); err != nil || s.Quiet {
 			continue // another process has its name
 		}
 		ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
-		a, err := fleet.AskPolicy(ctx, g.Control, &fleet.PolicyAsk{Do: "status"})
+		a, err := agent.AskPolicy(ctx, g.Control, &agent.PolicyAsk{Do: "status"})
 		stop()
 		switch {
 		case err != nil:
@@ -314,7 +314,7 @@
 		}
 		ends[k.id] = k
 	}
-	decided := map[string]bool{charter.Of(p.firstText()).String(): true}
+	decided := map[string]bool{rollout.Of(p.firstText()).String(): true}
 	for _, k := range r.Proposals {
 		decided[k.digest] = decided[k.digest] || k.End != "dropped" && k.End != "refused" && k.End != "rehearsed"
 	}
@@ -379,7 +379,7 @@
 // PolicyWays plays a scenario with a charter, and the same changes from files that gateways read at SIGHUP one after the other.
 func PolicyWays(ctx context.Context, s *Scenario, folder, program string) (list []*PolicyWay, err error) {
 	files := *s
-	files.Charter, files.Steps = site.Charter{}, nil
+	files.Charter, files.Steps = installation.Charter{}, nil
 	number := 1
 	const between = 100 * time.Millisecond // as a script would go through them
 	for _, t := range s.Steps {
@@ -459,10 +459,10 @@
 	asked, earned := 0.0, 0.0
 	took = took[:0]
 	for i := range r.Tasks {
-		if t := &r.Tasks[i]; in(t.At) && t.End != single.NotTaken {
+		if t := &r.Tasks[i]; in(t.At) && t.End != sqlclient.NotTaken {
 			f.Loads += btoi(t.Load)
 			asked, earned = asked+t.worth(), earned+t.Worth()
-			if t.End == single.Delivered && !t.Load {
+			if t.End == sqlclient.Delivered && !t.Load {
 				took = append(took, t.Took)
 			}
 		}
--- a/internal/scenario/result.go
+++ b/internal/testbed/faulttest/result.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/fault"
-	"magpiebank/internal/history"
-	"magpiebank/internal/load/single"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/faultproxy"
+	"magpiebank/internal/testbed/load/sqlclient"
 )
 
 // Task is one task of the load as its client saw it.
@@ -25,7 +25,7 @@
 
 // Worth is what it earns.
 func (t *Task) Worth() float64 {
-	if t.End != single.Delivered || t.Took > quoted {
+	if t.End != sqlclient.Delivered || t.Took > quoted {
 		return 0
 	}
 	return t.worth()
@@ -40,29 +40,29 @@
 
 // Result is what came of a run.
 type Result struct {
-	Scenario   *Scenario       `json:"-"`
-	Folder     string          `json:"folder"`
-	Joined     time.Duration   `json:"joined"`  // until all had found each other at first
-	Settled    time.Duration   `json:"settled"` // and again, after the last fault
-	Violations []string        `json:"violations"`
-	WakeDelay  time.Duration   `json:"wake_delay"` // the longest of the laboratory and of gateways: see Disturbed
-	Tasks      []Task          `json:"-"`
-	Ends       map[string]int  `json:"ends"`
-	Served     float64         `json:"served"` // share of the worth asked for
-	Counts     fault.Counts    `json:"counts"`
-	Events     []history.Event `json:"-"`
-	Zero       int64           `json:"-"` // CLOCK_MONOTONIC of the load's begin
-	Processes  []string        `json:"-"`
-	Done       []Step          `json:"-"`
-	Displaced  int             `json:"displaced"` // processes that found their name taken by a later one
-	Played     time.Duration   `json:"played"`    // while datagrams were counted
-	Colds      []ColdStart     `json:"colds,omitempty"`
-	Runs       []standin.Run   `json:"-"` // loads and look-ups, as the engines have them
-	Began      time.Time       `json:"-"` // of the load
-	Proposals  []Proposed      `json:"proposals,omitempty"`
-	Policies   *PolicyFigures  `json:"policies,omitempty"`
-	Voters     []string        `json:"voters,omitempty"` // of policies, at the end
-	timely     int             // how many of the violations rest on time
+	Scenario   *Scenario         `json:"-"`
+	Folder     string            `json:"folder"`
+	Joined     time.Duration     `json:"joined"`  // until all had found each other at first
+	Settled    time.Duration     `json:"settled"` // and again, after the last fault
+	Violations []string          `json:"violations"`
+	WakeDelay  time.Duration     `json:"wake_delay"` // the longest of the laboratory and of gateways: see Disturbed
+	Tasks      []Task            `json:"-"`
+	Ends       map[string]int    `json:"ends"`
+	Served     float64           `json:"served"` // share of the worth asked for
+	Counts     faultproxy.Counts `json:"counts"`
+	Events     []history.Event   `json:"-"`
+	Zero       int64             `json:"-"` // CLOCK_MONOTONIC of the load's begin
+	Processes  []string          `json:"-"`
+	Done       []Step            `json:"-"`
+	Displaced  int               `json:"displaced"` // processes that found their name taken by a later one
+	Played     time.Duration     `json:"played"`    // while datagrams were counted
+	Colds      []ColdStart       `json:"colds,omitempty"`
+	Runs       []fake.Run        `json:"-"` // loads and look-ups, as the engines have them
+	Began      time.Time         `json:"-"` // of the load
+	Proposals  []Proposed        `json:"proposals,omitempty"`
+	Policies   *PolicyFigures    `json:"policies,omitempty"`
+	Voters     []string          `json:"voters,omitempty"` // of policies, at the end
+	timely     int               // how many of the violations rest on time
 }
 
 // Good tells whether all held.
--- a/internal/scenario/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/fault"
-	"magpiebank/internal/fleet"
-	"magpiebank/internal/history"
-	"magpiebank/internal/site"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/faultproxy"
+	"magpiebank/internal/testbed/installation"
 )
 
 // The load's lanes. Look-ups may run again, loads may not; an engine has room for some times what the load asks.
@@ -36,8 +36,8 @@
 // play is a scenario while it is played.
 type play struct {
 	s       *Scenario
-	site    *site.Site
-	net     *fault.Net
+	site    *installation.Site
+	net     *faultproxy.Net
 	mu      sync.Mutex
 	tasks   []Task
 	killed  map[string][]time.Duration // by process: when it was killed or told to leave, from the begin
@@ -62,12 +62,12 @@
 	if err := clearFolder(folder); err != nil {
 		return nil, err
 	}
-	p := &play{s: s, folder: folder, net: fault.New(s.Seed), killed: map[string][]time.Duration{}, down: map[string]bool{}, dbs: map[string]*sql.DB{}}
+	p := &play{s: s, folder: folder, net: faultproxy.New(s.Seed), killed: map[string][]time.Duration{}, down: map[string]bool{}, dbs: map[string]*sql.DB{}}
 	for _, g := range s.Down {
 		p.down[g] = true
 	}
 	plan := p.plan(program)
-	up, err := site.Up(plan, folder)
+	up, err := installation.Up(plan, folder)
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 		return nil
 	}
 	if out, err := exec.Command(program, "version").Output(); err != nil || !strings.Contains(string(out), "laboratory") {
-		return fmt.Errorf("scenario %s: clocks that run off, disks that fail and planted defects need a gateway built with -tags lab, %s is none", s.Name, program)
+		return fmt.Errorf("scenario %s: clocks that run off, disks that fail and planted defects need a gateway built with -tags testbed, %s is none", s.Name, program)
 	}
 	return nil
 }
@@ -119,26 +119,26 @@
 }
 
 // plan is the installation that a scenario is played on.
-func (p *play) plan(program string) site.Plan {
+func (p *play) plan(program string) installation.Plan {
 	s := p.s
-	loads := standin.Spread{Kind: "exponential", Mean: loadService}
+	loads := fake.Spread{Kind: "exponential", Mean: loadService}
 	if s.Service > 0 {
-		loads = standin.Spread{Kind: "constant", Mean: s.Service}
+		loads = fake.Spread{Kind: "constant", Mean: s.Service}
 	}
-	plan := site.Plan{
+	plan := installation.Plan{
 		Gateways: s.Gateways, Engines: s.Engines, Zones: s.Zones, Down: s.Down, State: s.State,
 		Cores: 8, MemoryMB: 96, Sockets: 384, ConnectWithin: connectWithin, Idle: 30 * time.Second,
 		Seed: int64(s.Seed), Program: program, Env: p.env, Relayed: p.net,
-		Fleet: &site.Fleet{Seeds: 2, Sharing: s.Sharing, Counts: s.Counts, Whole: s.Whole, Term: s.Term, Charter: s.Charter},
-		Lanes: []site.Lane{
+		Fleet: &installation.Fleet{Seeds: 2, Sharing: s.Sharing, Counts: s.Counts, Whole: s.Whole, Term: s.Term, Charter: s.Charter},
+		Lanes: []installation.Lane{
 			{Name: "look", Quoted: quoted, Longest: s.Longest, Earnings: lookWorth, Effect: "idempotent", Threads: 1},
 			{Name: "load", Quoted: quoted, Longest: s.Longest, Earnings: loadWorth, Effect: "unrepeatable", Threads: 1}},
-		Manner: standin.Manner{Threads: 16, Cores: 8, Pace: 250 * time.Millisecond, Works: []standin.Work{
+		Manner: fake.Manner{Threads: 16, Cores: 8, Pace: 250 * time.Millisecond, Works: []fake.Work{
 			{Lane: "load", Rows: 1, Service: loads},
-			{Lane: "look", Rows: 1, Service: standin.Spread{Kind: "exponential", Mean: lookService}}}},
+			{Lane: "look", Rows: 1, Service: fake.Spread{Kind: "exponential", Mean: lookService}}}},
 	}
 	if s.Warm > 0 { // a third of the speed at first; twice what they can do for a second has them tip over
-		plan.Cold = site.Cold{Share: 0.32, Factor: 2, Warm: s.Warm, Tip: time.Second}
+		plan.Cold = installation.Cold{Share: 0.32, Factor: 2, Warm: s.Warm, Tip: time.Second}
 		plan.Manner.Cold, plan.Manner.Warm, plan.Fleet.Cold = plan.Cold.Share, s.Warm, s.Cold
 	}
 	return plan
@@ -192,7 +192,7 @@
 // voters are the gateways that say of themselves that they vote on policies.
 func (p *play) voters(ctx context.Context) (names []string) {
 	for _, g := range p.site.Gateways {
-		answer, err := fleet.AskPolicy(ctx, g.Control, &fleet.PolicyAsk{Do: "status"})
+		answer, err := agent.AskPolicy(ctx, g.Control, &agent.PolicyAsk{Do: "status"})
 		if err == nil && answer.Status != nil && answer.Status.Votes {
 			names = append(names, g.Name)
 		}
@@ -207,7 +207,7 @@
 		histories = append(histories, g.History)
 		g.Signal(syscall.SIGTERM)
 	}
-	for by := time.Now().Add(endWithin); time.Now().Before(by) && slices.ContainsFunc(p.site.Gateways, (*site.Gateway).Up); {
+	for by := time.Now().Add(endWithin); time.Now().Before(by) && slices.ContainsFunc(p.site.Gateways, (*installation.Gateway).Up); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, g := range p.site.Gateways {
--- a/internal/scenario/scenario.go
+++ b/internal/testbed/faulttest/scenario.go
@@ -1,7 +1,7 @@
-// Package scenario plays faults between the processes of a fleet: real gateways before stand-in engines, a load, and steps at
+// Package faulttest plays faults between the processes of a fleet: real gateways before stand-in engines, a load, and steps at
 // stated times that cut, lose, delay, kill, stop and restart. What must hold at every instant is read from the merged history
 // afterwards; what must come about in the end, within a stated time. A scenario that was drawn from a seed prints as a file.
-package scenario
+package faulttest
 
 import (
 	"embed"
@@ -14,9 +14,9 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/fault"
-	"magpiebank/internal/form"
-	"magpiebank/internal/site"
+	"magpiebank/internal/configfile"
+	"magpiebank/internal/testbed/faultproxy"
+	"magpiebank/internal/testbed/installation"
 )
 
 // Scenario is what is played.
@@ -27,26 +27,26 @@
 	Zones    []string
 	Seed     uint64
 	Length   time.Duration
-	Settle   time.Duration // within which all must know each other again, once the last fault has ended
-	Rate     float64       // tasks a second at each gateway
-	Loads    float64       // share of them that are loads
-	Service  time.Duration // of a load, always the same; 0: as it comes
-	Warm     time.Duration // until an engine that has started is warm; 0: it is at once
-	Cold     bool          // what cold engines may be sent is shared
-	Whole    site.Whole    // that loads may use over the whole fleet
-	Term     time.Duration // for which a part of it is held without a word
-	Longest  time.Duration // that a client waits
+	Settle   time.Duration      // within which all must know each other again, once the last fault has ended
+	Rate     float64            // tasks a second at each gateway
+	Loads    float64            // share of them that are loads
+	Service  time.Duration      // of a load, always the same; 0: as it comes
+	Warm     time.Duration      // until an engine that has started is warm; 0: it is at once
+	Cold     bool               // what cold engines may be sent is shared
+	Whole    installation.Whole // that loads may use over the whole fleet
+	Term     time.Duration      // for which a part of it is held without a word
+	Longest  time.Duration      // that a client waits
 	Sharing  bool
 	Counts   bool // are shared
 	State    bool
-	Charter  site.Charter      // how policies are decided on; without voters each gateway goes by its file
-	Planted  string            // a defect, to see that it is found
-	Clocks   map[string]string // by process: rate, jump and when, as MAGPIEBANK_CLOCK
-	Born     map[string]string // by process: how far its wall clock is off at its start, as MAGPIEBANK_BORN
-	Defects  map[string]string // by process: what is planted there alone
-	Dies     string            // where the first voter that comes to it ends itself, or stands still, as MAGPIEBANK_DIE without its file
-	Disks    map[string]string // by gateway: how the disk under its record fails and when, as MAGPIEBANK_DISK
-	Down     []string          // gateways that are not started before a step does it
+	Charter  installation.Charter // how policies are decided on; without voters each gateway goes by its file
+	Planted  string               // a defect, to see that it is found
+	Clocks   map[string]string    // by process: rate, jump and when, as MAGPIEBANK_CLOCK
+	Born     map[string]string    // by process: how far its wall clock is off at its start, as MAGPIEBANK_BORN
+	Defects  map[string]string    // by process: what is planted there alone
+	Dies     string               // where the first voter that comes to it ends itself, or stands still, as MAGPIEBANK_DIE without its file
+	Disks    map[string]string    // by gateway: how the disk under its record fails and when, as MAGPIEBANK_DISK
+	Down     []string             // gateways that are not started before a step does it
 	Steps    []Step
 	Expect   []Expectation
 	Phases   []Phase // in which the use of budgets is measured
@@ -78,17 +78,17 @@
 	Do        string        // link, kill, stop, leave, start, twin, engine, list, limit, surge, propose, voters, force, keep or revive
 	From, To  []string      // of a link
 	Both      bool          // the other direction too
-	Rule      fault.Rule
+	Rule      faultproxy.Rule
 	Gateways  []string
 	Folder    string // after a kill: same, none or older, which is as it was kept, or at the kill
 	Kind      string // of what is proposed: change, rollback or rehearse
-	Policy    site.Policy
+	Policy    installation.Policy
 	Number    int    // of the policy gone back to
 	As        string // proposals of one name are one, proposed again
 	Engines   []string
-	Whole     site.Whole // the limits that some go by from then on
-	Rate      float64    // tasks a second more at some, while it lasts
-	Be        string     // of engines: silent, errs, loses, slow, refuses, paused, restarts, drains, gone; of the list: held or broken
+	Whole     installation.Whole // the limits that some go by from then on
+	Rate      float64            // tasks a second more at some, while it lasts
+	Be        string             // of engines: silent, errs, loses, slow, refuses, paused, restarts, drains, gone; of the list: held or broken
 }
 
 // The words of a step.
@@ -129,7 +129,7 @@
 	if _, err := os.Stat(name); err != nil {
 		return nil, fmt.Errorf("%s: no such file, nor one of the built-in scenarios %s", name, strings.Join(Builtin(), ", "))
 	}
-	_, o, err := form.Read(name)
+	_, o, err := configfile.Read(name)
 	if err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 
 // Parse reads a text that stands for a file of that name.
 func Parse(name, text string) (*Scenario, error) {
-	_, o, err := form.Parse(name, text)
+	_, o, err := configfile.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
@@ -146,11 +146,11 @@
 }
 
 // whole reads limits of the whole fleet.
-func whole(o *form.Object) site.Whole {
-	return site.Whole{Threads: o.Count("threads", 0, 0, 10000), Waiting: o.Count("waiting", 0, 0, 10000), Work: o.Duration("work", 0), Number: 1}
+func whole(o *configfile.Object) installation.Whole {
+	return installation.Whole{Threads: o.Count("threads", 0, 0, 10000), Waiting: o.Count("waiting", 0, 0, 10000), Work: o.Duration("work", 0), Number: 1}
 }
 
-func decode(o *form.Object) (*Scenario, error) {
+func decode(o *configfile.Object) (*Scenario, error) {
 	s := &Scenario{Name: o.Needed("name"), Gateways: o.Count("gateways", 8, 1, 64), Engines: o.Count("engines", 6, 1, 100), Zones: o.Texts("zones"),
 		Seed: uint64(o.Count("seed", 1, 0, 1<<31)), Length: o.Duration("length", 10*time.Second), Settle: o.Duration("settle", 20*time.Second),
 		Rate: o.Number("rate", 4, 0, 1000), Loads: o.Share("loads", 0.2), Whole: whole(o), Term: o.Duration("term", 24*time.Second), Longest: o.Duration("longest", longest), Service: o.Duration("service", 0), Warm: o.Duration("warm", 0), Cold: o.Flag("cold", false), Sharing: o.Flag("sharing", true), Counts: o.Flag("counts", true), State: o.Flag("state", false), Planted: o.Text("planted", ""), Down: o.Texts("down")}
@@ -158,7 +158,7 @@
 		s.Zones = []string{"norte", "sur"}
 	}
 	if c := o.Object("policy"); c != nil {
-		s.Charter = site.Charter{Voters: c.Count("voters", 5, 1, 7), Lease: c.Duration("lease", 2*time.Second), Within: c.Duration("within", 3*time.Second)}
+		s.Charter = installation.Charter{Voters: c.Count("voters", 5, 1, 7), Lease: c.Duration("lease", 2*time.Second), Within: c.Duration("within", 3*time.Second)}
 		if s.Charter.Voters > s.Gateways || s.Charter.Voters%2 == 0 {
 			c.Fail("voters", "1, 3, 5 or 7 of the gateways")
 		}
@@ -207,14 +207,14 @@
 	for _, k := range o.Objects("steps") {
 		t := Step{At: k.Duration("at", 0), Until: k.Duration("until", 0), Do: k.OneOf("do", "link", doings...), From: k.Texts("from"), To: k.Texts("to"), Both: k.Flag("both", false),
 			Gateways: k.Texts("gateways"), Folder: k.OneOf("folder", "same", "same", "none", "older"), Engines: k.Texts("engines"),
-			Rule: fault.Rule{Cut: k.Flag("cut", false), Refuse: k.Flag("refuse", false), Loss: k.Share("loss", 0), Double: k.Share("double", 0), Reorder: k.Share("reorder", 0),
+			Rule: faultproxy.Rule{Cut: k.Flag("cut", false), Refuse: k.Flag("refuse", false), Loss: k.Share("loss", 0), Double: k.Share("double", 0), Reorder: k.Share("reorder", 0),
 				Flip: k.Share("flip", 0), Delay: k.Duration("delay", 0), Spread: k.Duration("spread", 0), Rate: k.Size("rate", 0)}}
 		if t.Do == "limit" {
 			t.Whole = whole(k)
 		}
 		if t.Do == "propose" {
 			t.Kind, t.Number, t.As = k.OneOf("kind", "change", "change", "rollback", "rehearse"), k.Count("number", 0, 0, 1e6), k.Text("as", "")
-			t.Policy = site.Policy{Whole: whole(k), Refuse: k.Flag("refuse", false), Looks: k.Flag("looks", false), Zones: k.Texts("zones"), Field: k.Text("field", ""),
+			t.Policy = installation.Policy{Whole: whole(k), Refuse: k.Flag("refuse", false), Looks: k.Flag("looks", false), Zones: k.Texts("zones"), Field: k.Text("field", ""),
 				Both: k.Duration("both_for", 0), Rehearse: k.Duration("rehearse", 0), Guard: k.Share("guard", 0), Probation: k.Duration("probation", 0), Bound: k.Share("bound", 0),
 				Size: k.Size("size", 0)}
 			if s.Charter.Voters == 0 {
@@ -228,7 +228,7 @@
 		switch {
 		case t.Until != 0 && t.Until <= t.At:
 			k.Fail("until", "a time after at")
-		case t.Do == "link" && (len(t.From) == 0 || len(t.To) == 0 || t.Rule == fault.Rule{}):
+		case t.Do == "link" && (len(t.From) == 0 || len(t.To) == 0 || t.Rule == faultproxy.Rule{}):
 			k.Fail("do", "from, to, and what such a link does, as in cut: true")
 		case (t.Do == "engine") != (len(t.Engines) > 0) || (t.Do == "engine" || t.Do == "list") != (t.Be != ""):
 			k.Fail("do", "engines and be where engines are told to be something, be where the list is")
@@ -273,7 +273,7 @@
 	if s.Longest != longest {
 		field("longest", d(s.Longest))
 	}
-	limits := func(w site.Whole) {
+	limits := func(w installation.Whole) {
 		if w.Threads > 0 {
 			field("threads", w.Threads)
 		}
@@ -459,7 +459,7 @@
 		return out
 	}
 	if r.IntN(2) == 0 { // with a budget, and clients that wait for less, as a part of it is held six times as long at least
-		s.Whole, s.Loads, s.Longest, s.Term = site.Whole{Threads: 1 + r.IntN(2*gateways), Number: 1}, 0.6, 2*time.Second, 12*time.Second
+		s.Whole, s.Loads, s.Longest, s.Term = installation.Whole{Threads: 1 + r.IntN(2*gateways), Number: 1}, 0.6, 2*time.Second, 12*time.Second
 		s.Clocks = map[string]string{}
 		for n := range gateways {
 			s.Clocks[fmt.Sprint("g", n)] = fmt.Sprintf("%g 0s 0s", 0.96+0.01*float64(r.IntN(9)))
@@ -469,7 +469,7 @@
 			s.Steps = append(s.Steps, Step{At: at, Until: at + time.Duration(1+r.IntN(4))*time.Second, Do: "surge", Gateways: some(2), Rate: float64(20 + r.IntN(60)), Folder: "same"})
 		}
 		if r.IntN(3) == 0 {
-			s.Steps = append(s.Steps, Step{At: time.Duration(500+r.IntN(8000)) * time.Millisecond, Do: "limit", Gateways: []string{"g*"}, Whole: site.Whole{Threads: 1 + r.IntN(2*gateways), Number: 1}, Folder: "same"})
+			s.Steps = append(s.Steps, Step{At: time.Duration(500+r.IntN(8000)) * time.Millisecond, Do: "limit", Gateways: []string{"g*"}, Whole: installation.Whole{Threads: 1 + r.IntN(2*gateways), Number: 1}, Folder: "same"})
 		}
 	}
 	for range 3 + r.IntN(4) {
@@ -483,7 +483,7 @@
 			}
 		case 2:
 			t.Do, t.From, t.To, t.Both = "link", []string{"g*"}, []string{"g*"}, true
-			t.Rule = fault.Rule{Loss: 0.6 * r.Float64(), Double: 0.3 * r.Float64(), Reorder: 0.3 * r.Float64(), Flip: 0.1 * r.Float64(), Delay: time.Duration(r.IntN(80)) * time.Millisecond,
+			t.Rule = faultproxy.Rule{Loss: 0.6 * r.Float64(), Double: 0.3 * r.Float64(), Reorder: 0.3 * r.Float64(), Flip: 0.1 * r.Float64(), Delay: time.Duration(r.IntN(80)) * time.Millisecond,
 				Spread: time.Duration(1+r.IntN(100)) * time.Millisecond}
 		case 3:
 			t.Do, t.Gateways, t.Folder = "kill", some(gateways/2), []string{"same", "none"}[r.IntN(2)]
@@ -499,11 +499,11 @@
 		s.Steps = append(s.Steps, t)
 	}
 	if r.IntN(3) == 0 { // with a charter, and changes while all of that happens
-		s.Charter = site.Charter{Voters: 5, Lease: 2 * time.Second, Within: 2 * time.Second}
+		s.Charter = installation.Charter{Voters: 5, Lease: 2 * time.Second, Within: 2 * time.Second}
 		for i := range s.Steps {
 			if t := &s.Steps[i]; t.Do == "limit" {
-				t.Do, t.Kind, t.Policy = "propose", "change", site.Policy{Whole: t.Whole}
-				t.Whole = site.Whole{}
+				t.Do, t.Kind, t.Policy = "propose", "change", installation.Policy{Whole: t.Whole}
+				t.Whole = installation.Whole{}
 			}
 			s.Steps[i].Folder = "same" // a majority of voters that lose theirs is not what this is about
 		}
--- a/internal/scenario/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"magpiebank/internal/history"
-	"magpiebank/internal/site"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/installation"
 )
 
 var built string // folder of the laboratory's build
@@ -32,7 +32,7 @@
 		return "", err
 	}
 	built = dir
-	out, err := exec.Command("go", "build", "-tags", "lab", "-o", dir+"/", "magpiebank/cmd/magpiebank", "magpiebank/cmd/magpiebank-operator").CombinedOutput()
+	out, err := exec.Command("go", "build", "-tags", "testbed", "-o", dir+"/", "magpiebank/cmd/magpiebank", "magpiebank/cmd/magpiebank-operator").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w\n%s", err, out)
 	}
@@ -79,7 +79,7 @@
 				t.Fatal(err)
 			}
 			if s.Gateways > 12 {
-				t.Skip("a measurement: magpielab fleet run " + name)
+				t.Skip("a measurement: magpiebank-testbed fleet run " + name)
 			}
 			if r := undisturbed(t, s); !r.Good() {
 				t.Errorf("scenario: %s", s.Text())
@@ -279,12 +279,12 @@
 // What engines say runs there is held against the total, where they could hear of all that was given up.
 func TestCheckEngines(t *testing.T) {
 	began := time.Now()
-	run := func(seconds float64, lane string, by int) standin.Run {
-		return standin.Run{At: began.Add(time.Duration(seconds * float64(time.Second))), Lane: lane, By: by}
+	run := func(seconds float64, lane string, by int) fake.Run {
+		return fake.Run{At: began.Add(time.Duration(seconds * float64(time.Second))), Lane: lane, By: by}
 	}
 	limits := readTotals([]history.Event{{What: history.Total, Code: "loads threads", Number: 2, Of: 1, Process: "g0"}}, []string{"g0"}, time.Second)
-	s := &Scenario{Whole: site.Whole{Threads: 2}}
-	runs := []standin.Run{run(1, "load", 1), run(1.1, "look", 1), run(1.2, "load", 1), run(1.3, "load", -1), run(1.4, "load", 1)}
+	s := &Scenario{Whole: installation.Whole{Threads: 2}}
+	runs := []fake.Run{run(1, "load", 1), run(1.1, "look", 1), run(1.2, "load", 1), run(1.3, "load", -1), run(1.4, "load", 1)}
 	if out := CheckEngines(s, runs, began, 0, limits); out != nil {
 		t.Errorf("found %q", out)
 	}
--- a/internal/scenario/settle.go
+++ b/internal/testbed/faulttest/settle.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"magpiebank/internal/fleet"
+	"magpiebank/internal/cluster/agent"
 )
 
 // settle waits until all that are there know each other; it tells how long that took.
@@ -30,7 +30,7 @@
 	for by := time.Now().Add(p.s.Term + p.s.Term/4 + within); time.Now().Before(by) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
 		all := true
 		for _, g := range p.site.Gateways {
-			if s, err := fleet.Ask(g.Control); !p.down[g.Label()] && (err != nil || len(s.Budgets) == 0 || s.Budgets[0].Seat < 0) {
+			if s, err := agent.Ask(g.Control); !p.down[g.Label()] && (err != nil || len(s.Budgets) == 0 || s.Budgets[0].Seat < 0) {
 				all = false
 			}
 		}
@@ -45,7 +45,7 @@
 func (p *play) apart() string {
 	type one struct {
 		label  string
-		status *fleet.Status
+		status *agent.Status
 	}
 	var all []one
 	for _, g := range p.site.Gateways {
@@ -55,7 +55,7 @@
 		if down {
 			continue
 		}
-		s, err := fleet.Ask(g.Control)
+		s, err := agent.Ask(g.Control)
 		if err != nil {
 			return g.Label() + " doesn't answer: " + err.Error()
 		}
@@ -71,7 +71,7 @@
 			if a.status.Name == b.status.Name {
 				return fmt.Sprintf("%s and %s both take part as %s", a.label, b.label, a.status.Name)
 			}
-			i := slices.IndexFunc(a.status.Members, func(m fleet.MemberStatus) bool { return m.Name == b.status.Name })
+			i := slices.IndexFunc(a.status.Members, func(m agent.MemberStatus) bool { return m.Name == b.status.Name })
 			if i < 0 {
 				return fmt.Sprintf("%s has not heard of %s", a.label, b.label)
 			}
--- a/internal/scenario/steps.go
+++ b/internal/testbed/faulttest/steps.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/site"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/installation"
 )
 
 // act carries out the steps, each begin and end in its turn.
@@ -40,14 +40,14 @@
 	}
 	for _, t := range p.s.Steps { // whoever is still stopped goes on
 		if t.Do == "stop" && t.Until == 0 {
-			p.each(t.Gateways, func(g *site.Gateway) error { g.Signal(syscall.SIGCONT); return nil })
+			p.each(t.Gateways, func(g *installation.Gateway) error { g.Signal(syscall.SIGCONT); return nil })
 		}
 	}
 	return nil
 }
 
 // each calls f for the gateways that some names fit.
-func (p *play) each(names []string, f func(*site.Gateway) error) error {
+func (p *play) each(names []string, f func(*installation.Gateway) error) error {
 	for _, g := range slices.Clone(p.site.Gateways) {
 		for _, n := range names {
 			if ok, _ := path.Match(n, g.Label()); ok {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (p *play) engines(names []string, f func(i int, e *standin.Engine) error) error {
+func (p *play) engines(names []string, f func(i int, e *fake.Engine) error) error {
 	for i, e := range p.site.Engines {
 		for _, n := range names {
 			if ok, _ := path.Match(n, e.Name); ok {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func (p *play) gone(g *site.Gateway, down bool) {
+func (p *play) gone(g *installation.Gateway, down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.killed[g.Label()] = append(p.killed[g.Label()], time.Since(p.began))
@@ -90,7 +90,7 @@
 			p.net.Set(name, t.To, t.From, t.Rule)
 		}
 	case "kill":
-		return p.each(t.Gateways, func(g *site.Gateway) error {
+		return p.each(t.Gateways, func(g *installation.Gateway) error {
 			if t.Folder == "older" && !g.Kept() {
 				g.Keep()
 			}
@@ -99,14 +99,14 @@
 			return nil
 		})
 	case "leave":
-		return p.each(t.Gateways, func(g *site.Gateway) error { p.gone(g, true); g.Signal(syscall.SIGTERM); return nil })
+		return p.each(t.Gateways, func(g *installation.Gateway) error { p.gone(g, true); g.Signal(syscall.SIGTERM); return nil })
 	case "start":
 		return p.each(t.Gateways, p.start)
 	case "stop":
-		return p.each(t.Gateways, func(g *site.Gateway) error { g.Signal(syscall.SIGSTOP); return nil })
+		return p.each(t.Gateways, func(g *installation.Gateway) error { g.Signal(syscall.SIGSTOP); return nil })
 	case "limit":
-		var some []*site.Gateway
-		p.each(t.Gateways, func(g *site.Gateway) error { some = append(some, g); return nil })
+		var some []*installation.Gateway
+		p.each(t.Gateways, func(g *installation.Gateway) error { some = append(some, g); return nil })
 		w := t.Whole
 		w.Number = 2
 		for _, before := range p.s.Steps { // each change has a number of its own
@@ -119,7 +119,7 @@
 		}
 		p.site.Change(w, some)
 	case "twin":
-		return p.each(t.Gateways, func(g *site.Gateway) error {
+		return p.each(t.Gateways, func(g *installation.Gateway) error {
 			for i, of := range p.site.Gateways {
 				if of == g {
 					_, err := p.site.Twin(i)
@@ -129,7 +129,7 @@
 			return nil
 		})
 	case "revive": // whoever is not there, or stands still
-		return p.each(t.Gateways, func(g *site.Gateway) error {
+		return p.each(t.Gateways, func(g *installation.Gateway) error {
 			g.Signal(syscall.SIGCONT)
 			if g.Up() {
 				return nil
@@ -138,7 +138,7 @@
 			return p.start(g)
 		})
 	case "keep":
-		return p.each(t.Gateways, (*site.Gateway).Keep)
+		return p.each(t.Gateways, (*installation.Gateway).Keep)
 	case "propose", "voters", "force":
 		p.offer(t)
 	case "list":
@@ -150,12 +150,12 @@
 			}
 		}
 	case "engine":
-		return p.engines(t.Engines, func(i int, e *standin.Engine) error { return p.be(t.Be, i, e) })
+		return p.engines(t.Engines, func(i int, e *fake.Engine) error { return p.be(t.Be, i, e) })
 	}
 	return nil
 }
 
-func (p *play) start(g *site.Gateway) error {
+func (p *play) start(g *installation.Gateway) error {
 	if g.Up() { // it is still leaving, or another step has started it
 		p.gone(g, true)
 		g.Kill()
@@ -166,7 +166,7 @@
 	return g.Start()
 }
 
-func (p *play) be(what string, i int, e *standin.Engine) error {
+func (p *play) be(what string, i int, e *fake.Engine) error {
 	switch what {
 	case "silent":
 		e.Silent()
@@ -197,7 +197,7 @@
 	case "link":
 		p.net.Clear(name)
 	case "kill":
-		return p.each(t.Gateways, func(g *site.Gateway) error {
+		return p.each(t.Gateways, func(g *installation.Gateway) error {
 			var err error
 			switch t.Folder {
 			case "none":
@@ -213,13 +213,13 @@
 	case "leave":
 		return p.each(t.Gateways, p.start)
 	case "stop":
-		return p.each(t.Gateways, func(g *site.Gateway) error { g.Signal(syscall.SIGCONT); return nil })
+		return p.each(t.Gateways, func(g *installation.Gateway) error { g.Signal(syscall.SIGCONT); return nil })
 	case "list":
 		for _, l := range p.site.Lists {
 			l.Mend()
 		}
 	case "engine":
-		return p.engines(t.Engines, func(i int, e *standin.Engine) error {
+		return p.engines(t.Engines, func(i int, e *fake.Engine) error {
 			switch t.Be {
 			case "silent":
 				e.Speak()
