--- a/internal/scenario/ways.go
+++ b/internal/testbed/faulttest/ways.go
@@ -1,4 +1,4 @@
-package scenario
+package faulttest
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"magpiebank/internal/history"
-	"magpiebank/internal/load/single"
-	"magpiebank/internal/site"
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/sqlclient"
 )
 
 // Way is one way of sharing a budget, and what came of a run with it.
@@ -50,7 +50,7 @@
 	for i, w := range list {
 		one := *s
 		if one.Planted = w.Planted; i == len(list)-1 {
-			one.Whole = site.Whole{}
+			one.Whole = installation.Whole{}
 		}
 		if w.Result, err = Run(ctx, &one, filepath.Join(folder, fmt.Sprint("way", i)), program); err != nil {
 			return nil, fmt.Errorf("%s: %w", w.Name, err)
@@ -60,7 +60,7 @@
 	rest := list[len(list)-1].Result
 	for _, w := range list {
 		perSecond := func(r *Result) float64 { return float64(r.Counts.Datagrams) / r.Played.Seconds() }
-		w.Sent = (perSecond(w.Result) - perSecond(rest)) * w.Result.Played.Seconds() / float64(max(1, w.Result.Ends[single.Delivered]))
+		w.Sent = (perSecond(w.Result) - perSecond(rest)) * w.Result.Played.Seconds() / float64(max(1, w.Result.Ends[sqlclient.Delivered]))
 	}
 	return list, nil
 }
@@ -168,7 +168,7 @@
 		var took []time.Duration
 		for i := range r.Tasks {
 			if t := &r.Tasks[i]; t.At >= p.At && t.At < p.Until {
-				if u.Tasks++; t.End == single.Delivered {
+				if u.Tasks++; t.End == sqlclient.Delivered {
 					took = append(took, t.Took-s.Service)
 				}
 			}
@@ -229,7 +229,7 @@
 	}
 	fmt.Fprintf(out, "\n%-17s", "delivered")
 	for _, w := range list {
-		fmt.Fprintf(out, "  %-29s", fmt.Sprintf("%d of %d", w.Result.Ends[single.Delivered], len(w.Result.Tasks)))
+		fmt.Fprintf(out, "  %-29s", fmt.Sprintf("%d of %d", w.Result.Ends[sqlclient.Delivered], len(w.Result.Tasks)))
 	}
 	fmt.Fprintln(out)
 	for _, w := range list {
--- a/internal/site/fleet.go
+++ b/internal/testbed/installation/fleet.go
@@ -1,4 +1,4 @@
-package site
+package installation
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
 )
 
 // Fleet is how the gateways of an installation know of each other.
@@ -159,7 +159,7 @@
 		g.list, g.known = s.List.Address, s.List.Known
 		return g, nil
 	}
-	entries := make([]standin.Entry, len(s.entries))
+	entries := make([]fake.Entry, len(s.entries))
 	for i, e := range s.entries {
 		address, err := net.Stream(label, e.ID, func() string { return s.Engines[i].Address })
 		if err != nil {
@@ -169,7 +169,7 @@
 		entries[i] = e
 		entries[i].Address = address
 	}
-	l, err := standin.StartList("127.0.0.1:0", entries)
+	l, err := fake.StartList("127.0.0.1:0", entries)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/site/site.go
+++ b/internal/testbed/installation/site.go
@@ -1,6 +1,6 @@
-// Package site is one installation on loopback: stand-ins of engines and of their list, and gateways as processes of
+// Package installation is one installation on loopback: stand-ins of engines and of their list, and gateways as processes of
 // their own between them and a load.
-package site
+package installation
 
 import (
 	"encoding/json"
@@ -18,8 +18,8 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/fault"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/faultproxy"
 )
 
 // Lane is a lane as gateways are told of it.
@@ -42,7 +42,7 @@
 	Zones         []string // engines stand in them in turn
 	Cores         float64  // of an engine
 	Lanes         []Lane
-	Manner        standin.Manner
+	Manner        fake.Manner
 	MemoryMB      int // of a gateway
 	Sockets       int
 	ConnectWithin time.Duration
@@ -52,7 +52,7 @@
 	More          []string // arguments after serve --config FILE
 
 	Fleet   *Fleet                      // the gateways speak to each other; nil: they don't
-	Relayed *fault.Net                  // all that passes between processes passes it; nil: they reach each other directly
+	Relayed *faultproxy.Net             // all that passes between processes passes it; nil: they reach each other directly
 	State   bool                        // each keeps a record of its tasks in a folder of its own
 	Down    []string                    // gateways that are not started
 	Cold    Cold                        // engines that have just started are slow, and tip over
@@ -84,14 +84,14 @@
 
 // Site is an installation that is up.
 type Site struct {
-	Engines  []*standin.Engine
-	List     *standin.List
-	Lists    []*standin.List // where relays stand between, one for each gateway, as each reaches engines by its own; else the one
-	Log      *standin.Log
+	Engines  []*fake.Engine
+	List     *fake.List
+	Lists    []*fake.List // where relays stand between, one for each gateway, as each reaches engines by its own; else the one
+	Log      *fake.Log
 	Gateways []*Gateway
 	Folder   string
 	plan     Plan
-	entries  []standin.Entry
+	entries  []fake.Entry
 }
 
 // Gateway is one gateway's process.
@@ -133,7 +133,7 @@
 	if _, err := os.Stat(p.Program); err != nil {
 		return nil, fmt.Errorf("the gateway's program: %w (build both with: go build -o bin/ ./cmd/...)", err)
 	}
-	s = &Site{plan: p, Folder: folder, Log: standin.NewLog()}
+	s = &Site{plan: p, Folder: folder, Log: fake.NewLog()}
 	defer func() {
 		if err != nil {
 			s.Down()
@@ -141,13 +141,13 @@
 	}()
 	for i := range p.Engines {
 		name := fmt.Sprintf("e-%03d", i+1)
-		var e *standin.Engine
+		var e *fake.Engine
 		for range 3 { // another process may take the address first
 			address, none := freeAddress() // one that refuses for a while comes back to it
 			if none != nil {
 				return s, none
 			}
-			if e, err = standin.StartEngine(name, address, p.Manner, s.Log, uint64(p.Seed)+uint64(i)); err == nil {
+			if e, err = fake.StartEngine(name, address, p.Manner, s.Log, uint64(p.Seed)+uint64(i)); err == nil {
 				break
 			}
 		}
@@ -155,14 +155,14 @@
 			return s, err
 		}
 		s.Engines = append(s.Engines, e)
-		s.entries = append(s.entries, standin.Entry{ID: name, Address: e.Address, Zone: p.Zones[i%len(p.Zones)], Kind: "std",
+		s.entries = append(s.entries, fake.Entry{ID: name, Address: e.Address, Zone: p.Zones[i%len(p.Zones)], Kind: "std",
 			Cell: i / 4, State: "Ready", Weight: int(p.Cores)})
 	}
 	if p.Relayed == nil {
-		if s.List, err = standin.StartList("127.0.0.1:0", s.entries); err != nil {
+		if s.List, err = fake.StartList("127.0.0.1:0", s.entries); err != nil {
 			return s, err
 		}
-		s.Lists = []*standin.List{s.List}
+		s.Lists = []*fake.List{s.List}
 	}
 	for i := range p.Gateways {
 		g, err := s.gateway("g"+strconv.Itoa(i), i)
--- a/internal/load/classes/classes.go
+++ b/internal/testbed/load/classification/classes.go
@@ -1,7 +1,7 @@
-// Package classes measures how well statements are classed by what they will cost, against stand-ins whose true cost is
+// Package classification measures how well statements are classed by what they will cost, against stand-ins whose true cost is
 // known: at first sight, and after so many answers; and how soon a cost that moved is found. Its figures are simulated: no
 // clock and no socket, the stand-ins' costs are drawn.
-package classes
+package classification
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 	"strings"
 	"text/tabwriter"
 
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/standin"
-	"magpiebank/internal/statement"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/query/costmodel"
+	"magpiebank/internal/testbed/fake"
 )
 
 // The classes that are told apart, by the ms under which the first and second stay: look-ups, reports, and what an
@@ -81,9 +81,9 @@
 // Measure plays statements of a planner through a book, in the order that clients would send them: forms, groups and
 // literals drawn, loads among them that grow tables.
 func Measure(seed int64, forms, groups, statements int) *Result {
-	p := standin.NewPlanner(seed, forms)
-	book := statement.NewBook(64<<20, 1, func(t *statement.Table) (rows float64, keys []string, ok bool) {
-		return 1e6, standin.Keys, strings.HasPrefix(t.Schema, "actas_")
+	p := fake.NewPlanner(seed, forms)
+	book := costmodel.NewBook(64<<20, 1, func(t *costmodel.Table) (rows float64, keys []string, ok bool) {
+		return 1e6, fake.Keys, strings.HasPrefix(t.Schema, "actas_")
 	})
 	r := &Result{Seed: seed, Forms: forms, Statements: statements}
 	for _, n := range after {
@@ -97,7 +97,7 @@
 	for n := range statements {
 		form := int(zipf.Uint64())
 		f := &p.Forms[form]
-		if f.Kind == standin.Fill && n%200 != 0 { // loads are rare
+		if f.Kind == fake.Fill && n%200 != 0 { // loads are rare
 			continue
 		}
 		group := 1 + chance.Intn(groups)
@@ -124,7 +124,7 @@
 		answers[k]++
 		took, memory, _ := p.Run(text, strconv.Itoa(n)+"-"+strconv.FormatInt(seed, 10))
 		book.Answered(&s, float64(took)/1e6, memory)
-		if p.Ran(text); f.Kind == standin.Fill {
+		if p.Ran(text); f.Kind == fake.Fill {
 			book.Loaded(group)
 		}
 	}
@@ -167,13 +167,13 @@
 	return true
 }
 
-func (r *Result) first(f *standin.Form, e *statement.Estimate) {
-	switch scan := f.Kind == standin.Whole || f.Kind == standin.Loose; {
+func (r *Result) first(f *fake.Form, e *costmodel.Estimate) {
+	switch scan := f.Kind == fake.Whole || f.Kind == fake.Loose; {
 	case scan:
 		if r.Scans++; e.Full != "" {
 			r.Named++
 		}
-	case f.Kind != standin.Fill && e.Full != "":
+	case f.Kind != fake.Fill && e.Full != "":
 		r.Mistaken++
 	}
 }
@@ -189,7 +189,7 @@
 	sum := 0
 	for n := range runs {
 		chance := rand.New(rand.NewSource(seed*1000 + int64(n)))
-		book := statement.NewBook(1<<20, 1, nil)
+		book := costmodel.NewBook(1<<20, 1, nil)
 		s := book.Look([]byte("SELECT a FROM t_1.m WHERE b = 1"), 1, 0)
 		draw := func(mean float64) {
 			v := mean * math.Exp(scatter*chance.NormFloat64())
--- a/internal/load/classes/classes_test.go
+++ b/internal/testbed/load/classification/classes_test.go
@@ -1,8 +1,8 @@
-package classes
+package classification
 
 import "testing"
 
-// A small measurement, of statements that no constant was chosen with; the full one is magpielab experiment run statements.
+// A small measurement, of statements that no constant was chosen with; the full one is magpiebank-testbed experiment run statements.
 func TestMeasure(t *testing.T) {
 	r := Several(201, 3, 100, 2, 40000)
 	good, lines := r.Verdict()
--- a/internal/load/classes/delay.go
+++ b/internal/testbed/load/classification/delay.go
@@ -1,4 +1,4 @@
-package classes
+package classification
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/route"
-	"magpiebank/internal/standin"
-	"magpiebank/internal/statement"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/query/costmodel"
+	"magpiebank/internal/resourcegroup"
+	"magpiebank/internal/testbed/fake"
 )
 
 // Delay is what reading, costing and classing adds to a look-up, on this machine's clock.
@@ -29,9 +29,9 @@
 // among which every tenth is of a shape that never comes again.
 func Delays(known, fresh int) []Delay {
 	yes := true
-	plan := &route.Plan{Classes: []route.Class{{Name: "scan", When: route.Fits{Full: &yes, Tables: []route.Table{{Schema: "actas_*", Name: "mesas"}}}},
-		{Name: "dear", When: route.Fits{UpperFrom: 5000}}}}
-	tables := func(*statement.Table) (float64, []string, bool) { return 1e6, standin.Keys, true }
+	plan := &resourcegroup.Plan{Classes: []resourcegroup.Class{{Name: "scan", When: resourcegroup.Fits{Full: &yes, Tables: []resourcegroup.Table{{Schema: "actas_*", Name: "mesas"}}}},
+		{Name: "dear", When: resourcegroup.Fits{UpperFrom: 5000}}}}
+	tables := func(*costmodel.Table) (float64, []string, bool) { return 1e6, fake.Keys, true }
 	look := func(n int) []byte {
 		return fmt.Appendf(nil, "SELECT nota, mesa FROM actas_%d.mesas WHERE clave = 'v%d' AND distrito IN (%d, 7, 9) ORDER BY dia LIMIT 20", n%12+1, n, n)
 	}
@@ -39,19 +39,19 @@
 		return fmt.Appendf(nil, "SELECT c%d, count(*), max(nota) AS m FROM actas_%d.mesas WHERE clave = 'v' AND nota > 3 GROUP BY c%d ORDER BY m DESC LIMIT 5", n, n%12+1, n)
 	}
 	measure := func(name string, count int, text func(n int) []byte, timed func(n int) bool) Delay {
-		book := statement.NewBook(2<<20, 1, tables)
+		book := costmodel.NewBook(2<<20, 1, tables)
 		for n := range 1000 {
 			s := book.Look(look(n), n%12+1, 0)
 			book.Answered(&s, 15, 8)
 		}
 		h := hdrhistogram.New(1, int64(10*time.Second), 3)
 		d := Delay{Name: name}
-		var subject route.Subject
+		var subject resourcegroup.Subject
 		for n := range count {
 			sql := text(n)
 			began := time.Now()
 			s := book.Look(sql, mysql.Tables(sql), 0)
-			subject = route.Subject{Features: s.Features(), Estimate: book.Estimate(&s)}
+			subject = resourcegroup.Subject{Features: s.Features(), Estimate: book.Estimate(&s)}
 			plan.Find(&subject)
 			if took := time.Since(began); timed(n) {
 				d.Count++
--- a/internal/load/client/client.go
+++ b/internal/testbed/load/client/client.go
@@ -6,7 +6,7 @@
 	"math/rand"
 	"time"
 
-	"magpiebank/internal/load/arrival"
+	"magpiebank/internal/testbed/load/arrival"
 )
 
 // Outcome is how a task ended for the client that wanted it.
--- a/internal/load/client/client_test.go
+++ b/internal/testbed/load/client/client_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"magpiebank/internal/load/arrival"
+	"magpiebank/internal/testbed/load/arrival"
 )
 
 var keep = flag.Bool("keep", false, "keep the traces as they come out now")
--- a/internal/load/restart/restart.go
+++ b/internal/testbed/load/crashtest/restart.go
@@ -1,7 +1,7 @@
-// Package restart kills a gateway that keeps a record of its tasks, again and again under load, and holds what its clients and
+// Package crashtest kills a gateway that keeps a record of its tasks, again and again under load, and holds what its clients and
 // engines have seen against the rules: no task that may not run twice runs twice, each gets one answer, and whoever asks
 // again is told the same.
-package restart
+package crashtest
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/load/single"
-	"magpiebank/internal/site"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/sqlclient"
 )
 
 // Plan is what is done.
@@ -79,22 +79,22 @@
 
 // Run makes a run.
 func Run(ctx context.Context, p Plan) (*Result, error) {
-	plan := site.Plan{Gateways: 1, Engines: 4, Zones: []string{"norte", "sur"}, Cores: 8, MemoryMB: 192, Sockets: 512,
+	plan := installation.Plan{Gateways: 1, Engines: 4, Zones: []string{"norte", "sur"}, Cores: 8, MemoryMB: 192, Sockets: 512,
 		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: p.Seed, Program: p.Program,
-		Lanes: []site.Lane{{Name: "look", Quoted: time.Second, Longest: patience, Earnings: 1, Effect: "idempotent", Threads: 1},
+		Lanes: []installation.Lane{{Name: "look", Quoted: time.Second, Longest: patience, Earnings: 1, Effect: "idempotent", Threads: 1},
 			{Name: "load", Quoted: 4 * time.Second, Longest: patience, Earnings: 10, Effect: "unrepeatable", Threads: 1}},
-		Manner: standin.Manner{Threads: 16, Cores: 8, Works: []standin.Work{{Lane: "load", Rows: 2, Service: standin.Spread{Kind: "exponential", Mean: loadService}},
-			{Lane: "look", Rows: 1, Service: standin.Spread{Kind: "exponential", Mean: lookService}}}}}
+		Manner: fake.Manner{Threads: 16, Cores: 8, Works: []fake.Work{{Lane: "load", Rows: 2, Service: fake.Spread{Kind: "exponential", Mean: loadService}},
+			{Lane: "look", Rows: 1, Service: fake.Spread{Kind: "exponential", Mean: lookService}}}}}
 	if !p.Without {
 		plan.More = []string{"--state", filepath.Join(p.Folder, "state")}
 	}
-	s, err := site.Up(plan, p.Folder)
+	s, err := installation.Up(plan, p.Folder)
 	if err != nil {
 		return nil, err
 	}
 	defer s.Down()
 	r := &runner{p: p, gots: map[string]string{}}
-	if r.db, err = single.Open(s.Targets()[0]); err != nil {
+	if r.db, err = sqlclient.Open(s.Targets()[0]); err != nil {
 		return nil, err
 	}
 	defer r.db.Close()
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	gateway.Signal(syscall.SIGTERM)
-	s.Log.Each(func(t standin.Truth) {
+	s.Log.Each(func(t fake.Truth) {
 		if strings.HasPrefix(t.ID, "1") && t.Began > 1 {
 			r.result.Twice = append(r.result.Twice, fmt.Sprintf("%s began %d times", t.ID, t.Began))
 		}
@@ -147,9 +147,9 @@
 
 // ask sends one statement and tells how it ended. A gateway that is not there, or says nothing, is asked again like one that broke.
 func (r *runner) ask(lane, id, statement string) string {
-	end := single.Ask(r.db, lane, id, statement, patience)
-	if end == single.NotTaken || end == single.Late {
-		return single.Broken
+	end := sqlclient.Ask(r.db, lane, id, statement, patience)
+	if end == sqlclient.NotTaken || end == sqlclient.Late {
+		return sqlclient.Broken
 	}
 	return end
 }
@@ -161,8 +161,8 @@
 		id := fmt.Sprintf("1%07x%08x", c, n)
 		statement := fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", c%4+1, n)
 		began := time.Now()
-		got, asks := single.Broken, 0
-		for got == single.Broken && time.Since(began) < answerBy {
+		got, asks := sqlclient.Broken, 0
+		for got == sqlclient.Broken && time.Since(began) < answerBy {
 			if asks > 0 {
 				time.Sleep(time.Duration(chance.Int63n(int64(20 * time.Millisecond))))
 			}
@@ -171,8 +171,8 @@
 		}
 		took := time.Since(began)
 		again := got
-		if got != single.Broken && chance.Intn(3) == 0 {
-			for again = single.Broken; again == single.Broken && time.Since(began) < 2*answerBy; asks++ {
+		if got != sqlclient.Broken && chance.Intn(3) == 0 {
+			for again = sqlclient.Broken; again == sqlclient.Broken && time.Since(began) < 2*answerBy; asks++ {
 				again = r.ask("load", id, statement)
 			}
 		}
@@ -180,13 +180,13 @@
 		r.result.Tasks++
 		r.result.Asked += asks - 1
 		switch got {
-		case single.Delivered:
+		case sqlclient.Delivered:
 			r.result.Delivered++
-		case single.Nacked:
+		case sqlclient.Nacked:
 			r.result.Nacked++
-		case single.WrittenOff:
+		case sqlclient.WrittenOff:
 			r.result.Off++
-		case single.Broken:
+		case sqlclient.Broken:
 			r.result.Lost = append(r.result.Lost, id)
 		default:
 			r.result.Untrue = append(r.result.Untrue, id+": "+got)
@@ -203,9 +203,9 @@
 }
 
 // judge holds answers against what engines did.
-func (r *runner) judge(log *standin.Log) {
+func (r *runner) judge(log *fake.Log) {
 	for id, got := range r.gots {
-		if t, _ := log.Of(id); got == single.Delivered && t.Runs != 1 || got == single.Nacked && t.Began > 0 {
+		if t, _ := log.Of(id); got == sqlclient.Delivered && t.Runs != 1 || got == sqlclient.Nacked && t.Began > 0 {
 			r.result.Untrue = append(r.result.Untrue, fmt.Sprintf("%s was %s, and ran %d times", id, got, t.Began))
 		}
 	}
@@ -215,7 +215,7 @@
 func (r *runner) looker(c int) {
 	for n := 0; !r.over.Load(); n++ {
 		began := time.Now()
-		if r.ask("look", fmt.Sprintf("2%07x%08x", c, n), fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", n%4+1, n)) == single.Delivered {
+		if r.ask("look", fmt.Sprintf("2%07x%08x", c, n), fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", n%4+1, n)) == sqlclient.Delivered {
 			r.mu.Lock()
 			r.looks = append(r.looks, time.Since(began))
 			r.mu.Unlock()
--- a/internal/load/restart/restart_test.go
+++ b/internal/testbed/load/crashtest/restart_test.go
@@ -1,4 +1,4 @@
-package restart
+package crashtest
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Some kills of a real gateway; the full run is magpielab experiment run restart. Without a record the same run shows loads
+// Some kills of a real gateway; the full run is magpiebank-testbed experiment run restart. Without a record the same run shows loads
 // that ran twice, so it can tell.
 func TestRestarts(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "magpiebank")
--- a/internal/load/drive/conn.go
+++ b/internal/testbed/load/driver/conn.go
@@ -1,4 +1,4 @@
-package drive
+package driver
 
 import (
 	"bufio"
@@ -9,9 +9,9 @@
 	"strconv"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/mysql"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
 )
 
 const (
--- a/internal/load/drive/drive.go
+++ b/internal/testbed/load/driver/drive.go
@@ -1,6 +1,6 @@
-// Package drive sends a schedule over sockets at its intended times. It carries out what the clients of a load decide;
+// Package driver sends a schedule over sockets at its intended times. It carries out what the clients of a load decide;
 // each loop is one goroutine that owns its clients, its timers and its part of the schedule.
-package drive
+package driver
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/figures"
-	"magpiebank/internal/load/wheel"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/stats"
+	"magpiebank/internal/testbed/load/timerwheel"
 )
 
 // Load is what one process sends.
@@ -71,7 +71,7 @@
 		if m.Connections > 0 { // the limit is the process's: each loop has its part of it
 			m.Connections = max(1, (m.Connections+l.Loops-1-k)/l.Loops)
 		}
-		w := &loop{d: d, k: k, schedule: schedule, wheel: wheel.New(0), figures: figures.New(names, quoted),
+		w := &loop{d: d, k: k, schedule: schedule, wheel: timerwheel.New(0), figures: stats.New(names, quoted),
 			wake: make(chan struct{}, 1), targets: make([]time.Duration, len(l.Targets))}
 		// Ids are drawn by the run's seed and the task's number, back-offs by a source of each loop's own.
 		w.crowd = client.NewCrowd(w, m, l.Lanes, l.Seed, int64(l.Shard*l.Loops+k))
@@ -91,13 +91,13 @@
 func (d *Drive) Stop() { d.stopped.Do(func() { close(d.stop) }) }
 
 // Wait returns the figures when all tasks have their outcomes.
-func (d *Drive) Wait() *figures.Figures {
+func (d *Drive) Wait() *stats.Figures {
 	d.wg.Wait()
 	return d.merged()
 }
 
-func (d *Drive) merged() *figures.Figures {
-	all := figures.New(nil, nil)
+func (d *Drive) merged() *stats.Figures {
+	all := stats.New(nil, nil)
 	for i, w := range d.loops {
 		if i == 0 {
 			all = w.figures
@@ -136,8 +136,8 @@
 	k        int
 	schedule *arrival.Schedule
 	crowd    *client.Crowd
-	wheel    *wheel.Wheel
-	figures  *figures.Figures
+	wheel    *timerwheel.Wheel
+	figures  *stats.Figures
 	conns    []*conn // by session
 	buffer   []byte
 	turn     int             // of the targets
@@ -190,7 +190,7 @@
 func (w *loop) take(e *event) {
 	c := e.c
 	if e.kind == unasked {
-		w.figures.Break(figures.Unasked, e.id)
+		w.figures.Break(stats.Unasked, e.id)
 		return
 	}
 	if w.conns[c.s] != c { // closed by this side meanwhile
@@ -246,7 +246,7 @@
 	for {
 		w.drain()
 		now := w.now()
-		w.wheel.Advance(wheel.Tick(now/tickSize), func(what uint64) { w.fire(now, int32(what)) })
+		w.wheel.Advance(timerwheel.Tick(now/tickSize), func(what uint64) { w.fire(now, int32(what)) })
 		for more && next.At <= now {
 			if w.mine(&next) {
 				w.figures.Offer(next.At)
@@ -332,7 +332,7 @@
 		i = int32(len(w.timers) - 1)
 	}
 	w.timers[i] = timer{at, q, turn}
-	w.wheel.Add(wheel.Tick((at+tickSize-1)/tickSize), uint64(i))
+	w.wheel.Add(timerwheel.Tick((at+tickSize-1)/tickSize), uint64(i))
 }
 
 func (w *loop) Dial(s client.Session) {
--- a/internal/load/drive/drive_test.go
+++ b/internal/testbed/load/driver/drive_test.go
@@ -1,18 +1,18 @@
-package drive
+package driver
 
 import (
 	"net"
 	"testing"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/figures"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/stats"
 )
 
-func front(t *testing.T, w ...standin.Work) *standin.Front {
-	f, err := standin.StartFront("127.0.0.1:0", w, nil)
+func front(t *testing.T, w ...fake.Work) *fake.Front {
+	f, err := fake.StartFront("127.0.0.1:0", w, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,14 +20,14 @@
 	return f
 }
 
-func load(f *standin.Front) Load {
+func load(f *fake.Front) Load {
 	return Load{Targets: []string{f.Address}, Shape: &arrival.Shape{Kind: arrival.Steady, Rate: 400},
 		Lanes: []arrival.Lane{{Name: "look", Share: 1, Statements: []string{"SELECT {literal} FROM actas_{group}.mesas"}, Groups: 3,
 			Quoted: time.Second, Patience: 3 * time.Second}},
 		Manners: client.Manners{Reused: 1, Tries: 1}, Seed: 1, Length: time.Second, Loops: 2, CheckRows: true}
 }
 
-func play(t *testing.T, l Load) *figures.Figures {
+func play(t *testing.T, l Load) *stats.Figures {
 	t.Helper()
 	d, err := Start(l, time.Now().Add(50*time.Millisecond))
 	if err != nil {
@@ -45,7 +45,7 @@
 	for _, m := range []client.Manners{{Reused: 1}, {Kept: 1, Connections: 300}, {}, {Reused: 0.5, Kept: 0.3, Connections: 8},
 		{Reused: 1, Slow: 0.02, Leave: 0.1, Mute: 0.02}} {
 		m.Tries = 1
-		l := load(front(t, standin.Work{Rows: 30, Service: standin.Spread{Mean: 2 * time.Millisecond}}))
+		l := load(front(t, fake.Work{Rows: 30, Service: fake.Spread{Mean: 2 * time.Millisecond}}))
 		l.Manners = m
 		f := play(t, l)
 		if len(f.Breach) > 0 || f.Count(client.Delivered)+f.Odd.Offered != 400 {
@@ -59,14 +59,14 @@
 func TestChecker(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		spoil func(*standin.Front)
+		spoil func(*fake.Front)
 		want  string
 	}{
-		{"spoilt", func(f *standin.Front) { f.Spoil.Store(40) }, figures.RowsBroken},
-		{"twice", func(f *standin.Front) { f.Double.Store(39) }, figures.Unasked},
-		{"dropped", func(f *standin.Front) { f.Drop.Store(40) }, figures.LostAnswer},
+		{"spoilt", func(f *fake.Front) { f.Spoil.Store(40) }, stats.RowsBroken},
+		{"twice", func(f *fake.Front) { f.Double.Store(39) }, stats.Unasked},
+		{"dropped", func(f *fake.Front) { f.Drop.Store(40) }, stats.LostAnswer},
 	} {
-		f := front(t, standin.Work{Rows: 2, Service: standin.Spread{Mean: 60 * time.Millisecond}})
+		f := front(t, fake.Work{Rows: 2, Service: fake.Spread{Mean: 60 * time.Millisecond}})
 		c.spoil(f)
 		if got := play(t, load(f)); got.Breach[c.want] != 10 || len(got.Breach) != 1 {
 			t.Errorf("%s: %v", c.name, got.Breach)
@@ -107,7 +107,7 @@
 	if got := play(t, l); got.Count(client.GivenUp) != 400 {
 		t.Errorf("nothing is said: %d gave up", got.Count(client.GivenUp))
 	}
-	l.Targets = []string{front(t, standin.Work{Rows: 1, Service: standin.Spread{Mean: time.Second}}).Address}
+	l.Targets = []string{front(t, fake.Work{Rows: 1, Service: fake.Spread{Mean: time.Second}}).Address}
 	if got := play(t, l); got.Count(client.GivenUp) != 400 {
 		t.Errorf("slow: %d gave up", got.Count(client.GivenUp))
 	}
--- a/internal/load/experiment/experiment_test.go
+++ b/internal/testbed/load/experiment/experiment_test.go
@@ -17,7 +17,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	files, _ := filepath.Glob("../../../examples/*.jsonnet")
+	files, _ := filepath.Glob("../../../../examples/*.jsonnet")
 	for _, path := range files {
 		if _, err := Read(path); err != nil {
 			t.Errorf("%v", err)
--- a/internal/load/experiment/judge.go
+++ b/internal/testbed/load/experiment/judge.go
@@ -9,15 +9,15 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/figures"
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/stats"
 )
 
 // verdicts judges a run by its bounds.
-func (r *Result) verdicts(e *Experiment, log *standin.Log) {
+func (r *Result) verdicts(e *Experiment, log *fake.Log) {
 	b, f := &e.Bounds, r.Figures
 	f.Settle(r.Scheduled - r.NotSent - r.Unknown)
 	own := f.OwnQuantile(0.99)
@@ -52,11 +52,11 @@
 	for _, o := range b.Allow {
 		switch o {
 		case client.Lost:
-			allowed[figures.LostAnswer] = true
+			allowed[stats.LostAnswer] = true
 		case client.GivenUp:
-			allowed[figures.NoAnswer] = true
+			allowed[stats.NoAnswer] = true
 		case client.Spoilt:
-			allowed[figures.RowsBroken] = true
+			allowed[stats.RowsBroken] = true
 		}
 	}
 	broken := ""
@@ -142,7 +142,7 @@
 
 // compare holds what the figures report against what the stand-ins' log says: an answer's latency is from the intended
 // time to when its last byte left.
-func (r *Result) compare(e *Experiment, log *standin.Log) {
+func (r *Result) compare(e *Experiment, log *fake.Log) {
 	r.truths = map[int][]truthTask{}
 	unanswered := 0
 	r.eachTask(e, func(t *arrival.Task) {
@@ -168,7 +168,7 @@
 
 var compared = []float64{0.5, 0.9, 0.99, 0.999, 1}
 
-func compareLane(l *figures.Lane, tasks []truthTask, b *Bounds) Comparison {
+func compareLane(l *stats.Lane, tasks []truthTask, b *Bounds) Comparison {
 	c := Comparison{Lane: l.Name, Tasks: len(tasks), Good: int64(len(tasks)) == l.Outcomes[client.Delivered].TotalCount()}
 	all := make([]time.Duration, len(tasks))
 	for i, t := range tasks {
--- a/internal/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -9,12 +9,12 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/form"
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/site"
-	"magpiebank/internal/standin"
-	"magpiebank/internal/trace"
+	"magpiebank/internal/configfile"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/traffic/trace"
 )
 
 // Experiment is what a file says.
@@ -25,10 +25,10 @@
 	Shape   arrival.Shape
 	Lanes   []arrival.Lane
 	Manners client.Manners
-	Works   []standin.Work
-	Site    *site.Plan // gateways between stand-ins; nil: none are started
-	Front   bool       // a stand-in for the gateway takes the load
-	Targets []string   // or addresses that are there
+	Works   []fake.Work
+	Site    *installation.Plan // gateways between stand-ins; nil: none are started
+	Front   bool               // a stand-in for the gateway takes the load
+	Targets []string           // or addresses that are there
 	Script  []Step
 	Bounds  Bounds
 	Loops   int
@@ -91,7 +91,7 @@
 
 // Read reads an experiment's file.
 func Read(path string) (*Experiment, error) {
-	_, o, err := form.Read(path)
+	_, o, err := configfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
@@ -100,18 +100,18 @@
 
 // Parse reads an experiment from a text that stands for a file of that name.
 func Parse(name, text string) (*Experiment, error) {
-	_, o, err := form.Parse(name, text)
+	_, o, err := configfile.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
 	return decode(o, filepath.Dir(name))
 }
 
-func decode(o *form.Object, folder string) (*Experiment, error) {
+func decode(o *configfile.Object, folder string) (*Experiment, error) {
 	e := &Experiment{Name: o.Needed("name"), Seed: int64(o.Count("seed", 1, 0, 1<<31)),
 		Length: o.Duration("length", 0), Targets: o.Texts("targets"), Loops: o.Count("loops", 0, 0, 256),
 		Workers: o.Count("workers", 0, 0, 64), OnLoss: o.OneOf("on_loss", "share", "share", "drop")}
-	var siteLanes []site.Lane
+	var siteLanes []installation.Lane
 	for _, l := range o.Objects("lanes") {
 		e.lane(l, &siteLanes)
 	}
@@ -172,19 +172,19 @@
 	return e, nil
 }
 
-func (e *Experiment) lane(l *form.Object, lanes *[]site.Lane) {
+func (e *Experiment) lane(l *configfile.Object, lanes *[]installation.Lane) {
 	a := arrival.Lane{Name: l.Needed("name"), As: l.Text("as", ""), Share: l.Number("share", 1, 0, 1e6), Statements: l.Texts("statements"),
 		Groups: l.Count("groups", 1, 1, 1<<20), Zipf: l.Number("zipf", 0, 0, 10), Literals: l.Count("literals", 0, 0, 1<<30),
 		Quoted: l.Duration("quoted", time.Second), Patience: l.Duration("patience", 5*time.Second),
 		MarkRetry: l.Flag("mark_retry", true)}
-	s := site.Lane{Name: a.Name, Quoted: a.Quoted, Longest: a.Patience, Earnings: l.Number("earnings", 1, 0, 1e6),
+	s := installation.Lane{Name: a.Name, Quoted: a.Quoted, Longest: a.Patience, Earnings: l.Number("earnings", 1, 0, 1e6),
 		Late: l.Share("late", 0), Effect: l.OneOf("effect", "idempotent", "idempotent", "deduplicated", "unrepeatable"),
 		Threads: l.Count("threads", 1, 1, 64), Load: l.Flag("loads", false), HeldByLoads: l.Flag("held_by_loads", false)}
 	a.Repeat = l.Flag("repeat", s.Effect == "idempotent")
 	if len(a.Statements) == 0 {
 		a.Statements = []string{"SELECT dia, count(*), max(nota) FROM actas_{group}.mesas WHERE clave = '{literal}' GROUP BY dia"}
 	}
-	w := standin.Work{Lane: a.Told(), Rows: l.Count("rows", 3, 1, 2000), MemoryMB: float64(l.Size("memory", 64<<20)) / (1 << 20),
+	w := fake.Work{Lane: a.Told(), Rows: l.Count("rows", 3, 1, 2000), MemoryMB: float64(l.Size("memory", 64<<20)) / (1 << 20),
 		Fails: l.Share("fails", 0)}
 	if v := l.Object("service"); v != nil {
 		w.Service = spread(v)
@@ -203,13 +203,13 @@
 	e.Lanes = append(e.Lanes, a)
 	if a.As == "" {
 		*lanes = append(*lanes, s)
-	} else if !slices.ContainsFunc(*lanes, func(o site.Lane) bool { return o.Name == a.As }) {
+	} else if !slices.ContainsFunc(*lanes, func(o installation.Lane) bool { return o.Name == a.As }) {
 		l.Fail("as", "the name of a lane before it")
 	}
 }
 
-func spread(v *form.Object) standin.Spread {
-	s := standin.Spread{Kind: v.OneOf("kind", "constant", "constant", "exponential", "lognormal", "pareto"),
+func spread(v *configfile.Object) fake.Spread {
+	s := fake.Spread{Kind: v.OneOf("kind", "constant", "constant", "exponential", "lognormal", "pareto"),
 		Mean: v.Duration("mean", 0), CV: v.Number("cv", 1, 0, 100), Tail: v.Number("tail", 2, 1.01, 100)}
 	if s.Mean > time.Hour {
 		v.Fail("mean", "a time up to 1h")
@@ -218,7 +218,7 @@
 }
 
 // decodeShape reads one shape of arrivals with its parts.
-func (e *Experiment) decodeShape(o *form.Object, folder string) arrival.Shape {
+func (e *Experiment) decodeShape(o *configfile.Object, folder string) arrival.Shape {
 	s := arrival.Shape{Kind: arrival.Kind(o.OneOf("kind", "poisson", "poisson", "steady", "bursts", "on-off", "ramp", "step",
 		"diurnal", "flash", "replay", "sum", "scale", "thin", "sequence")),
 		Rate: o.Number("rate", 0, 0, 1e7), Peak: o.Number("peak", 0, 0, 1e7), Swing: o.Share("swing", 0),
@@ -257,7 +257,7 @@
 	return s
 }
 
-func manners(c *form.Object) client.Manners {
+func manners(c *configfile.Object) client.Manners {
 	return client.Manners{Connections: c.Count("connections", 0, 0, 1<<20), Reused: c.Share("reused", 1), Kept: c.Share("kept", 0),
 		Idle: c.Duration("idle", 4*time.Second), Tries: c.Count("tries", 1, 1, 60), BackOff: c.Duration("back_off", 100*time.Millisecond),
 		MostBackOff: c.Duration("most_back_off", 2*time.Second), Jitter: c.Share("jitter", 0.5), Honour: c.Share("honour", 1),
@@ -266,12 +266,12 @@
 		Slow:         c.Share("slow", 0), Leave: c.Share("leave", 0), Mute: c.Share("mute", 0)}
 }
 
-func decodeSite(s *form.Object, lanes []site.Lane, works []standin.Work, seed int64) *site.Plan {
-	p := &site.Plan{Gateways: s.Count("gateways", 1, 1, 64), Engines: s.Count("engines", 4, 1, 1000), Zones: s.Texts("zones"),
+func decodeSite(s *configfile.Object, lanes []installation.Lane, works []fake.Work, seed int64) *installation.Plan {
+	p := &installation.Plan{Gateways: s.Count("gateways", 1, 1, 64), Engines: s.Count("engines", 4, 1, 1000), Zones: s.Texts("zones"),
 		Cores: s.Number("cores", 8, 1, 1024), Lanes: lanes, MemoryMB: int(s.Size("memory", 192<<20) >> 20),
 		Sockets: s.Count("sockets", 1024, 64, 1<<20), ConnectWithin: s.Duration("connect_within", 250*time.Millisecond),
 		Idle: s.Duration("idle", 30*time.Second), Seed: seed, Program: s.Text("program", ""), More: s.Texts("arguments"),
-		Manner: standin.Manner{Threads: s.Count("threads", 32, 1, 1<<16), Most: s.Count("most", 0, 0, 1<<20), Works: works,
+		Manner: fake.Manner{Threads: s.Count("threads", 32, 1, 1<<16), Most: s.Count("most", 0, 0, 1<<20), Works: works,
 			Cold: s.Share("cold", 0), Warm: s.Duration("warm", 0), Pace: s.Duration("notes", 0)}}
 	if p.Manner.Cores = p.Cores; len(p.Zones) == 0 {
 		p.Zones = []string{"norte", "sur"}
@@ -279,7 +279,7 @@
 	return p
 }
 
-func (e *Experiment) bounds(b *form.Object) {
+func (e *Experiment) bounds(b *configfile.Object) {
 	e.Bounds = Bounds{Own: usualOwn, Offered: usualOffered, Truth: usualTruth, TruthLeast: time.Millisecond}
 	if b == nil {
 		return
--- a/internal/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -10,11 +10,11 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/drive"
-	"magpiebank/internal/load/figures"
-	"magpiebank/internal/site"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/driver"
+	"magpiebank/internal/testbed/load/stats"
 )
 
 // Happened is a step of the script as it was done.
@@ -33,7 +33,7 @@
 	Scheduled int64               `json:"scheduled"`
 	NotSent   int64               `json:"not_offered"` // counted as such when a worker was lost
 	Unknown   int64               `json:"unknown"`     // of a lost worker: whether they were sent can't be told
-	Figures   *figures.Figures    `json:"figures"`
+	Figures   *stats.Figures      `json:"figures"`
 	Script    []Happened          `json:"script"`
 	Verdicts  []Verdict           `json:"verdicts"`
 	Truth     []Comparison        `json:"truth,omitempty"`
@@ -80,7 +80,7 @@
 }
 
 // Sender sends a load in place of this process: workers do.
-type Sender func(ctx context.Context, l drive.Load, start time.Time, say func(Progress)) (f *figures.Figures, notSent, unknown int64, err error)
+type Sender func(ctx context.Context, l driver.Load, start time.Time, say func(Progress)) (f *stats.Figures, notSent, unknown int64, err error)
 
 // Progress is how far a run is.
 type Progress struct {
@@ -98,24 +98,24 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	l := drive.Load{Targets: e.Targets, Shape: &e.Shape, Lanes: e.Lanes, Manners: e.Manners, Seed: e.Seed, Length: e.Length,
+	l := driver.Load{Targets: e.Targets, Shape: &e.Shape, Lanes: e.Lanes, Manners: e.Manners, Seed: e.Seed, Length: e.Length,
 		Loops: e.Loops, CheckRows: e.Site != nil || e.Front}
-	var s *site.Site
-	var front *standin.Front
-	var log *standin.Log
+	var s *installation.Site
+	var front *fake.Front
+	var log *fake.Log
 	var err error
 	switch {
 	case e.Site != nil:
-		if s, err = site.Up(*e.Site, folder); err != nil {
+		if s, err = installation.Up(*e.Site, folder); err != nil {
 			return nil, err
 		}
 		defer s.Down()
 		l.Targets, log = s.Targets(), s.Log
 	case e.Front:
 		if e.Bounds.CheckTruth {
-			log = standin.NewLog()
+			log = fake.NewLog()
 		}
-		if front, err = standin.StartFront("127.0.0.1:0", e.Works, log); err != nil {
+		if front, err = fake.StartFront("127.0.0.1:0", e.Works, log); err != nil {
 			return nil, err
 		}
 		defer front.Close()
@@ -160,7 +160,7 @@
 }
 
 // Finish judges a run that another process had begun: its figures come from serve.
-func (e *Experiment) Finish(began time.Time, serve func() (*figures.Figures, int64, int64, error)) (*Result, error) {
+func (e *Experiment) Finish(began time.Time, serve func() (*stats.Figures, int64, int64, error)) (*Result, error) {
 	r := &Result{Name: e.Name, Seed: e.Seed, Length: e.Length, Began: began}
 	err := r.schedule(e)
 	if err != nil {
@@ -182,8 +182,8 @@
 )
 
 // alone sends a load from this process.
-func alone(ctx context.Context, l drive.Load, start time.Time, say func(Progress)) (*figures.Figures, int64, int64, error) {
-	d, err := drive.Start(l, start)
+func alone(ctx context.Context, l driver.Load, start time.Time, say func(Progress)) (*stats.Figures, int64, int64, error) {
+	d, err := driver.Start(l, start)
 	if err != nil {
 		return nil, 0, 0, err
 	}
@@ -227,7 +227,7 @@
 }
 
 // play does the script's steps at their times.
-func (e *Experiment) play(r *Result, s *site.Site, front *standin.Front, stop <-chan struct{}) {
+func (e *Experiment) play(r *Result, s *installation.Site, front *fake.Front, stop <-chan struct{}) {
 	for _, step := range e.Script {
 		select {
 		case <-stop:
@@ -243,7 +243,7 @@
 	}
 }
 
-func (s *Step) do(site *site.Site, front *standin.Front) error {
+func (s *Step) do(site *installation.Site, front *fake.Front) error {
 	switch s.verbFor {
 	case ofFront:
 		if s.Do == "pause" {
@@ -302,7 +302,7 @@
 
 var errNoSite = fmt.Errorf("there is no site")
 
-func (s *Step) engine(site *site.Site, i int, e *standin.Engine) error {
+func (s *Step) engine(site *installation.Site, i int, e *fake.Engine) error {
 	switch s.Do {
 	case "pause":
 		e.Pause()
@@ -334,5 +334,5 @@
 
 // Folder is where a run's files go when no other place is named.
 func Folder(name string) string {
-	return filepath.Join(os.TempDir(), fmt.Sprintf("magpielab-%s-%d", name, os.Getpid()))
+	return filepath.Join(os.TempDir(), fmt.Sprintf("magpiebank-testbed-%s-%d", name, os.Getpid()))
 }
--- a/internal/load/single/single.go
+++ b/internal/testbed/load/sqlclient/single.go
@@ -1,6 +1,6 @@
-// Package single sends tasks one by one, by another project's client of the protocol, and tells how each ended: for runs whose checks
+// Package sqlclient sends tasks one by one, by another project's client of the protocol, and tells how each ended: for runs whose checks
 // are about single answers, where package client is about many.
-package single
+package sqlclient
 
 import (
 	"context"
--- a/internal/load/figures/figures.go
+++ b/internal/testbed/load/stats/figures.go
@@ -1,6 +1,6 @@
-// Package figures counts what became of a load: latencies from the intended times, outcomes by lane and second, what
+// Package stats counts what became of a load: latencies from the intended times, outcomes by lane and second, what
 // of the delay was the generator's own, and whether each task had one whole answer.
-package figures
+package stats
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"magpiebank/internal/load/client"
+	"magpiebank/internal/testbed/load/client"
 )
 
 // Latencies are counted in whole microseconds up to the longest wait that a load states, in three digits: a tenth of
--- a/internal/load/figures/figures_test.go
+++ b/internal/testbed/load/stats/figures_test.go
@@ -1,12 +1,12 @@
-package figures
+package stats
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
 )
 
 func over(f *Figures, n uint64, how client.Outcome, at, latency time.Duration) {
--- a/internal/load/wheel/wheel.go
+++ b/internal/testbed/load/timerwheel/wheel.go
@@ -1,6 +1,6 @@
-// Package wheel keeps many timers for one goroutine: a hierarchical wheel, whose timers cost no allocation, no
+// Package timerwheel keeps many timers for one goroutine: a hierarchical wheel, whose timers cost no allocation, no
 // goroutine and no lock. Adding and calling off take constant time.
-package wheel
+package timerwheel
 
 import "math/bits"
 
--- a/internal/load/wheel/wheel_test.go
+++ b/internal/testbed/load/timerwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
--- a/internal/load/crew/coordinator.go
+++ b/internal/testbed/load/workers/coordinator.go
@@ -1,4 +1,4 @@
-package crew
+package workers
 
 import (
 	"crypto/rand"
@@ -12,20 +12,20 @@
 	"sync"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/drive"
-	"magpiebank/internal/load/figures"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/driver"
+	"magpiebank/internal/testbed/load/stats"
 )
 
 // Run is what a coordinator writes down at its start, so that another can go on in its place.
 type Run struct {
-	ID      string     `json:"id"`
-	Address string     `json:"address"`
-	Start   time.Time  `json:"start"`
-	Workers int        `json:"workers"`
-	Drop    bool       `json:"drop"`
-	Load    drive.Load `json:"load"`
+	ID      string      `json:"id"`
+	Address string      `json:"address"`
+	Start   time.Time   `json:"start"`
+	Workers int         `json:"workers"`
+	Drop    bool        `json:"drop"`
+	Load    driver.Load `json:"load"`
 }
 
 const runFile = "run.json"
@@ -42,7 +42,7 @@
 	mu      sync.Mutex // of all below: links bring events
 	muster  *Muster
 	links   []*link
-	figures *figures.Figures
+	figures *stats.Figures
 	got     []int64 // reports taken in, by worker
 	open    []int64
 	skipped map[uint64]bool
@@ -50,7 +50,7 @@
 }
 
 // NewCoordinator begins a run and writes it down in a folder.
-func NewCoordinator(folder string, workers int, drop bool, l drive.Load, start time.Time) (*Coordinator, error) {
+func NewCoordinator(folder string, workers int, drop bool, l driver.Load, start time.Time) (*Coordinator, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -118,12 +118,12 @@
 }
 
 // Serve plays the run to its end.
-func (c *Coordinator) Serve() (*figures.Figures, int64, int64, error) {
+func (c *Coordinator) Serve() (*stats.Figures, int64, int64, error) {
 	names, quoted := make([]string, len(c.run.Load.Lanes)), make([]time.Duration, len(c.run.Load.Lanes))
 	for i, l := range c.run.Load.Lanes {
 		names[i], quoted[i] = l.Name, l.Quoted
 	}
-	c.figures = figures.New(names, quoted)
+	c.figures = stats.New(names, quoted)
 	c.links, c.got, c.open = make([]*link, c.run.Workers), make([]int64, c.run.Workers), make([]int64, c.run.Workers)
 	c.skipped = map[uint64]bool{}
 	c.muster = NewMuster(c.now(), c.run.Workers, c.run.Drop, c.resumed, coordinatorHost{c})
--- a/internal/load/crew/crew_test.go
+++ b/internal/testbed/load/workers/crew_test.go
@@ -1,4 +1,4 @@
-package crew
+package workers
 
 import (
 	"encoding/json"
@@ -16,11 +16,11 @@
 
 	"pgregory.net/rapid"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/drive"
-	"magpiebank/internal/load/figures"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/driver"
+	"magpiebank/internal/testbed/load/stats"
 )
 
 // world plays a coordinator and its workers in steps of 10 ms: words take some steps, workers stall, die and come back,
@@ -277,21 +277,21 @@
 type crewStage struct {
 	t       *testing.T
 	folder  string
-	front   *standin.Front
-	log     *standin.Log
-	load    drive.Load
+	front   *fake.Front
+	log     *fake.Log
+	load    driver.Load
 	mu      sync.Mutex
 	workers []*exec.Cmd
 }
 
 func newCrewStage(t *testing.T) *crewStage {
-	log := standin.NewLog()
-	front, err := standin.StartFront("127.0.0.1:0", nil, log)
+	log := fake.NewLog()
+	front, err := fake.StartFront("127.0.0.1:0", nil, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &crewStage{t: t, folder: t.TempDir(), front: front, log: log}
-	s.load = drive.Load{Targets: []string{front.Address}, Shape: &arrival.Shape{Kind: arrival.Poisson, Rate: 500},
+	s.load = driver.Load{Targets: []string{front.Address}, Shape: &arrival.Shape{Kind: arrival.Poisson, Rate: 500},
 		Lanes:   []arrival.Lane{{Name: "look", Share: 1, Statements: []string{"SELECT 1"}, Quoted: time.Second, Patience: 2 * time.Second}},
 		Manners: client.Manners{Reused: 1, Tries: 1}, Seed: 3, Length: 4 * time.Second, Loops: 1, CheckRows: true}
 	t.Cleanup(func() {
@@ -321,7 +321,7 @@
 }
 
 // settled checks that every task is counted once, as sent, not offered or unknown, and that the front saw none twice.
-func (s *crewStage) settled(f *figures.Figures, notSent, unknown int64) {
+func (s *crewStage) settled(f *stats.Figures, notSent, unknown int64) {
 	s.t.Helper()
 	schedule, err := arrival.NewSchedule(s.load.Shape, s.load.Lanes, s.load.Seed, s.load.Length)
 	if err != nil {
@@ -332,8 +332,8 @@
 		all++
 	}
 	ids := 0
-	s.log.Each(func(standin.Truth) { ids++ })
-	if f.Total()+notSent+unknown != all || s.log.Requests() != ids || f.Breach[figures.Twice] > 0 {
+	s.log.Each(func(fake.Truth) { ids++ })
+	if f.Total()+notSent+unknown != all || s.log.Requests() != ids || f.Breach[stats.Twice] > 0 {
 		s.t.Errorf("%d tasks: %d with outcomes, %d not offered, %d unknown; %d requests of %d ids came; %v", all, f.Total(), notSent, unknown,
 			s.log.Requests(), ids, f.Breach)
 	}
--- a/internal/load/crew/muster.go
+++ b/internal/testbed/load/workers/muster.go
@@ -1,7 +1,7 @@
-// Package crew shares a schedule among worker processes. Who sends a task depends on its number, its time and the
+// Package workers shares a schedule among worker processes. Who sends a task depends on its number, its time and the
 // workers lost so far, so all agree without talking about tasks; leases see to it that a lost worker has stopped before
 // others take its share.
-package crew
+package workers
 
 import (
 	"fmt"
--- a/internal/load/crew/wire.go
+++ b/internal/testbed/load/workers/wire.go
@@ -1,4 +1,4 @@
-package crew
+package workers
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
 )
 
 // A frame on the wire between coordinator and worker is a kind (one byte), the payload's length (u32, little-endian)
--- a/internal/load/crew/worker.go
+++ b/internal/testbed/load/workers/worker.go
@@ -1,4 +1,4 @@
-package crew
+package workers
 
 import (
 	"encoding/json"
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/drive"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/driver"
 )
 
 // Worker is a process that sends its share of a run.
@@ -22,7 +22,7 @@
 	start   time.Time
 	run     Run
 	begun   bool
-	drive   *drive.Drive
+	drive   *driver.Drive
 	done    atomic.Bool
 
 	mu   sync.Mutex
@@ -139,7 +139,7 @@
 		w.kept = packReport(w.kept, r)
 		w.mu.Unlock()
 	}
-	d, err := drive.Start(l, run.Start)
+	d, err := driver.Start(l, run.Start)
 	if err != nil {
 		return err
 	}
--- a/internal/explore/explore.go
+++ b/internal/testbed/modelcheck/explore.go
@@ -1,6 +1,6 @@
-// Package explore walks every interleaving of a small system, breadth first, up to a bound: what it finds violated comes with
+// Package modelcheck walks every interleaving of a small system, breadth first, up to a bound: what it finds violated comes with
 // the shortest run that leads there. The system says what can happen next and which states are the same.
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/explore/explore_test.go
+++ b/internal/testbed/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/quorum/quorum.go
+++ b/internal/testbed/quorumquota/quorum.go
@@ -1,7 +1,7 @@
-// Package quorum is what the budgets are measured against: each unit of a total is asked of a majority of the keepers for each use,
+// Package quorumquota is what the budgets are measured against: each unit of a total is asked of a majority of the keepers for each use,
 // when a task waits for it, and is given back at the use's end. Nothing is held ahead and nothing is lent. Only the laboratory's
 // builds have it. It does no I/O.
-package quorum
+package quorumquota
 
 import (
 	"math/rand/v2"
@@ -9,7 +9,7 @@
 	"sync"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/budget"
+	"magpiebank/internal/cluster/quota"
 )
 
 // Time is a point on the caller's clock.
@@ -24,8 +24,8 @@
 // Core is one process's part. Its calls may come from two goroutines.
 type Core struct {
 	mu     sync.Mutex
-	plan   *budget.Plan
-	host   budget.Host
+	plan   *quota.Plan
+	host   quota.Host
 	name   string
 	start  uint64
 	chance *rand.Rand
@@ -60,7 +60,7 @@
 }
 
 // New begins with nothing.
-func New(now Time, plan *budget.Plan, name string, start uint64, host budget.Host) *Core {
+func New(now Time, plan *quota.Plan, name string, start uint64, host quota.Host) *Core {
 	c := &Core{plan: plan, host: host, name: name, start: start, chance: rand.New(rand.NewPCG(start, 5)), now: now, keeps: slices.Contains(plan.Keepers, name)}
 	n := len(plan.Totals)
 	c.wanted, c.takes, c.hints, c.restAt = make([]int64, n), make([]int64, n), make([][]int, n), make([]Time, n)
@@ -77,19 +77,19 @@
 // margin is a lease at a keeper, by whose clock it must have ended surely.
 func (c *Core) margin() Time { return c.lease() + 3*c.lease()/c.plan.Drift + 1 }
 
-func (c *Core) send(to string, m budget.Message) {
+func (c *Core) send(to string, m quota.Message) {
 	m.From, m.Start, m.Number = c.name, c.start, c.plan.Number
 	c.host.Send(to, m)
 }
 
-func (c *Core) all(kind budget.Kind, u *unit) {
+func (c *Core) all(kind quota.Kind, u *unit) {
 	for _, k := range c.plan.Keepers {
-		c.send(k, budget.Message{Kind: kind, Budget: c.plan.IDs[u.budget], Seat: u.n, Seq: u.seq})
+		c.send(k, quota.Message{Kind: kind, Budget: c.plan.IDs[u.budget], Seat: u.n, Seq: u.seq})
 	}
 }
 
 // Heard takes in a message; true: a unit has come.
-func (c *Core) Heard(now Time, m budget.Message) bool {
+func (c *Core) Heard(now Time, m quota.Message) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
@@ -98,26 +98,26 @@
 		return false
 	}
 	switch m.Kind {
-	case budget.Ask:
+	case quota.Ask:
 		if c.keeps && c.now >= c.openAt {
 			c.asked(b, m)
 		}
-	case budget.Back:
+	case quota.Back:
 		if g := &c.grants[b][m.Seat]; g.holder == m.From && g.start == m.Start {
 			*g = grant{}
 		}
-	case budget.Lend, budget.Refuse:
+	case quota.Lend, quota.Refuse:
 		return c.answered(b, m)
 	}
 	return false
 }
 
 // asked grants a unit that nobody holds; a refusal names one that is free, if there is any.
-func (c *Core) asked(b int, m budget.Message) {
+func (c *Core) asked(b int, m quota.Message) {
 	g := &c.grants[b][m.Seat]
-	kind, free := budget.Lend, 0
+	kind, free := quota.Lend, 0
 	if g.start > 0 && c.now < g.until && (g.holder != m.From || g.start != m.Start) {
-		kind = budget.Refuse
+		kind = quota.Refuse
 		from := c.chance.IntN(len(c.grants[b]))
 		for k := range c.grants[b] {
 			if n := (from + k) % len(c.grants[b]); c.grants[b][n].start == 0 || c.now >= c.grants[b][n].until {
@@ -128,17 +128,17 @@
 	} else {
 		*g = grant{m.From, m.Start, c.now + c.margin()}
 	}
-	c.send(m.From, budget.Message{Kind: kind, For: m.Start, Budget: m.Budget, Seat: m.Seat, Seq: m.Seq, ID: uint32(free)})
+	c.send(m.From, quota.Message{Kind: kind, For: m.Start, Budget: m.Budget, Seat: m.Seat, Seq: m.Seq, ID: uint32(free)})
 }
 
-func (c *Core) answered(b int, m budget.Message) bool {
+func (c *Core) answered(b int, m quota.Message) bool {
 	i := slices.IndexFunc(c.tries, func(u unit) bool { return u.budget == b && u.n == m.Seat && u.seq == m.Seq })
 	if i < 0 || m.For != c.start {
 		return false
 	}
 	u := &c.tries[i]
 	list := &u.yes
-	if m.Kind == budget.Refuse {
+	if m.Kind == quota.Refuse {
 		list = &u.no
 		if m.ID > 0 {
 			c.hints[b] = append(c.hints[b], int(m.ID)-1)
@@ -164,7 +164,7 @@
 func (c *Core) giveBack(list *[]unit, i int) {
 	u := (*list)[i]
 	*list = slices.Delete(*list, i, i+1)
-	c.all(budget.Back, &u)
+	c.all(quota.Back, &u)
 }
 
 // Due is the timer.
@@ -205,7 +205,7 @@
 		c.last++
 		u.seq = c.last
 		c.tries = append(c.tries, u)
-		c.all(budget.Ask, &u)
+		c.all(quota.Ask, &u)
 	}
 }
 
@@ -283,7 +283,7 @@
 }
 
 // Rate and Shrink are not measured.
-func (c *Core) Rate(Time, int, int64) (int64, Time) { return 0, budget.Never }
+func (c *Core) Rate(Time, int, int64) (int64, Time) { return 0, quota.Never }
 
 // Shrink does nothing.
 func (c *Core) Shrink(Time, int, float64) {}
--- a/internal/quorum/quorum_test.go
+++ b/internal/testbed/quorumquota/quorum_test.go
@@ -1,4 +1,4 @@
-package quorum
+package quorumquota
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/budget"
+	"magpiebank/internal/cluster/quota"
 )
 
 // link carries messages that may be lost, doubled and late.
@@ -20,10 +20,10 @@
 type mail struct {
 	at Time
 	to int
-	m  budget.Message
+	m  quota.Message
 }
 
-func (l *link) Send(to string, m budget.Message) {
+func (l *link) Send(to string, m quota.Message) {
 	var n int
 	fmt.Sscanf(to, "g%d", &n)
 	for range l.chance.IntN(3) {
@@ -35,7 +35,7 @@
 
 // Never more uses than units, and all are used, though a third of the messages is lost and members are started anew.
 func TestNeverMore(t *testing.T) {
-	plan := &budget.Plan{Seats: 8, Keepers: []string{"g0", "g1", "g2"}, Longest: admission.Second / 2, Drift: 20, Number: 1, IDs: []uint32{7}, Totals: []int64{10}}
+	plan := &quota.Plan{Seats: 8, Keepers: []string{"g0", "g1", "g2"}, Longest: admission.Second / 2, Drift: 20, Number: 1, IDs: []uint32{7}, Totals: []int64{10}}
 	l := &link{chance: rand.New(rand.NewPCG(1, 2))}
 	start := uint64(1)
 	begin := func(n int) *Core { start++; return New(l.now, plan, fmt.Sprint("g", n), start, l) }
--- a/internal/report/archive.go
+++ b/internal/testbed/report/archive.go
@@ -9,7 +9,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"magpiebank/internal/load/experiment"
+	"magpiebank/internal/testbed/load/experiment"
 )
 
 // Archive keeps runs in one file.
--- a/internal/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -8,8 +8,8 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/experiment"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/experiment"
 )
 
 // measure is one figure of a run; better tells the direction (1: more is better).
--- a/internal/report/page.go
+++ b/internal/testbed/report/page.go
@@ -17,8 +17,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/experiment"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/experiment"
 )
 
 //go:embed page.html
--- a/internal/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -9,15 +9,15 @@
 	"testing"
 	"time"
 
-	"magpiebank/internal/load/arrival"
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/experiment"
-	"magpiebank/internal/load/figures"
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/experiment"
+	"magpiebank/internal/testbed/load/stats"
 )
 
 // result is one of a run in which look-ups took about so long.
 func result(name string, about time.Duration) *experiment.Result {
-	f := figures.New([]string{"look", "load"}, []time.Duration{50 * time.Millisecond, time.Second})
+	f := stats.New([]string{"look", "load"}, []time.Duration{50 * time.Millisecond, time.Second})
 	for n := range uint64(2000) {
 		at := time.Duration(n) * 5 * time.Millisecond
 		how := client.Delivered
@@ -120,7 +120,7 @@
 	if n := strings.Count(page, "<svg"); n != 5 || strings.Contains(page, "src=") || strings.Contains(page, "href=\"http") {
 		t.Errorf("%d pictures", n)
 	}
-	empty := &experiment.Result{Name: "empty", Figures: figures.New([]string{"look"}, []time.Duration{1})}
+	empty := &experiment.Result{Name: "empty", Figures: stats.New([]string{"look"}, []time.Duration{1})}
 	if err := Page(&bytes.Buffer{}, empty); err != nil {
 		t.Errorf("a run without a task: %v", err)
 	}
--- a/internal/report/text.go
+++ b/internal/testbed/report/text.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/load/client"
-	"magpiebank/internal/load/experiment"
-	"magpiebank/internal/load/figures"
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/experiment"
+	"magpiebank/internal/testbed/load/stats"
 )
 
 // quantiles that the tables show.
@@ -53,9 +53,9 @@
 }
 
 // laneRows are the figures by lane.
-func laneRows(f *figures.Figures) [][]string {
+func laneRows(f *stats.Figures) [][]string {
 	rows := [][]string{{"lane", "offered", "delivered", "in quoted time", "p50 ms", "p90", "p99", "p99.9", "max", "tries"}}
-	lanes := append([]figures.Lane(nil), f.Lanes...)
+	lanes := append([]stats.Lane(nil), f.Lanes...)
 	if f.Odd.Offered > 0 {
 		lanes = append(lanes, f.Odd)
 	}
@@ -79,7 +79,7 @@
 }
 
 // outcomeRows are the ends that came.
-func outcomeRows(f *figures.Figures) [][]string {
+func outcomeRows(f *stats.Figures) [][]string {
 	head := []string{"outcomes"}
 	var shown []client.Outcome
 	for o := range client.Outcome(client.Outcomes) {
--- a/internal/crowd/assembly.go
+++ b/internal/testbed/simcluster/assembly.go
@@ -1,4 +1,4 @@
-package crowd
+package simcluster
 
 import (
 	"bytes"
@@ -9,15 +9,15 @@
 	"slices"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/charter"
-	"magpiebank/internal/consensus"
+	"magpiebank/internal/cluster/consensus"
+	"magpiebank/internal/cluster/rollout"
 )
 
 // assembly is a fleet that goes by one charter, in one process and virtual time: links that lose, delay, double and cut, processes that are
 // killed, doubled and stopped, disks that are slow, full or lie, clocks that run off.
 type assembly struct {
 	post[[]byte]
-	plan     *charter.Plan
+	plan     *rollout.Plan
 	people   []*citizen
 	starts   uint64
 	byName   map[string][]int
@@ -27,20 +27,20 @@
 	without  int       // and how many times a living process could decide nothing
 	wrong    string    // the first decision that was made by an older one
 	voters   []string
-	onSay    func(p *citizen, code charter.Code, more []any)
-	policies map[charter.Digest]bool // that went into force anywhere
+	onSay    func(p *citizen, code rollout.Code, more []any)
+	policies map[rollout.Digest]bool // that went into force anywhere
 }
 
 type citizen struct {
 	a        *assembly
 	place    int
 	name     string
-	core     *charter.Core
+	core     *rollout.Core
 	rate     float64
 	ahead    float64
 	up       bool
 	stopped  Time
-	standing charter.Standing
+	standing rollout.Standing
 	disk     []consensus.Record // what survives
 	behind   []consensus.Record // what doesn't yet
 	done     []todo
@@ -55,18 +55,18 @@
 
 type todo struct {
 	at   Time
-	life *charter.Core
+	life *rollout.Core
 	do   func()
 	save int // records of behind that survive with it
 }
 
 func newAssembly(seed uint64, n, voters int, lease Time) *assembly {
-	a := &assembly{byName: map[string][]int{}, policies: map[charter.Digest]bool{}}
+	a := &assembly{byName: map[string][]int{}, policies: map[rollout.Digest]bool{}}
 	a.chance = rand.New(rand.NewPCG(seed, 9))
 	for k := range voters {
 		a.voters = append(a.voters, fmt.Sprint("g", k))
 	}
-	a.plan = &charter.Plan{Voters: a.voters, Lease: lease, Within: 3 * admission.Second, Drift: 20, Folder: true}
+	a.plan = &rollout.Plan{Voters: a.voters, Lease: lease, Within: 3 * admission.Second, Drift: 20, Folder: true}
 	a.latest, a.by = [2]uint64{}, "nobody"
 	for k := range n {
 		p := &citizen{a: a, name: fmt.Sprint("g", k), rate: 0.955 + 0.09*a.chance.Float64(), ahead: float64(a.chance.IntN(1e6)), sync: 2 * admission.Millisecond}
@@ -87,8 +87,8 @@
 
 func (p *citizen) begin() {
 	p.a.starts++
-	p.up, p.standing, p.done, p.held, p.from, p.behind, p.busy = true, charter.Standing{}, nil, nil, nil, nil, 0
-	kept := &charter.Kept{}
+	p.up, p.standing, p.done, p.held, p.from, p.behind, p.busy = true, rollout.Standing{}, nil, nil, nil, nil, 0
+	kept := &rollout.Kept{}
 	last := map[[16]byte]int{}
 	for i, r := range p.disk {
 		last[r.Key] = i
@@ -102,7 +102,7 @@
 		panic(kept.Err())
 	}
 	p.core = nil
-	p.core = charter.New(p.clock(), p.a.plan, p.name, p.a.starts, rand.New(rand.NewPCG(p.a.chance.Uint64(), 4)), kept, p)
+	p.core = rollout.New(p.clock(), p.a.plan, p.name, p.a.starts, rand.New(rand.NewPCG(p.a.chance.Uint64(), 4)), kept, p)
 }
 
 // kill ends a process; of what its disk had not yet, any first part survives.
@@ -131,9 +131,9 @@
 }
 
 // Check can't follow what says so of it.
-func (p *citizen) Check(d charter.Digest, text []byte, done func(charter.Terms, error)) {
+func (p *citizen) Check(d rollout.Digest, text []byte, done func(rollout.Terms, error)) {
 	p.later(Time(p.a.chance.IntN(50)), 0, func() {
-		var t charter.Terms
+		var t rollout.Terms
 		if bytes.Contains(text, []byte("not for "+p.name+";")) {
 			done(t, errors.New("statements.pools[0].zones: expected some of [norte], found [este]"))
 			return
@@ -145,7 +145,7 @@
 			t.Rehearse = admission.Second / 2
 		}
 		if bytes.Contains(text, []byte("probation;")) {
-			t.Probation, t.Bounds = 2*admission.Second, charter.Bounds{Refused: 0.1, Held: 0.1}
+			t.Probation, t.Bounds = 2*admission.Second, rollout.Bounds{Refused: 0.1, Held: 0.1}
 		}
 		done(t, nil)
 	})
@@ -171,8 +171,8 @@
 	p.done = append(p.done, todo{at, p.core, do, save})
 }
 
-func (p *citizen) Load(d charter.Digest) []byte {
-	return charter.Text(d, func(key [16]byte) (out []byte) {
+func (p *citizen) Load(d rollout.Digest) []byte {
+	return rollout.Text(d, func(key [16]byte) (out []byte) {
 		for _, list := range [][]consensus.Record{p.disk, p.behind} {
 			for _, r := range list {
 				if r.Key == key {
@@ -184,7 +184,7 @@
 	})
 }
 
-func (p *citizen) Stand(s *charter.Standing) {
+func (p *citizen) Stand(s *rollout.Standing) {
 	if p.standing.Holds(p.clock()) && p.a.chance.IntN(4) == 0 {
 		p.busy = p.a.now + Time(p.a.chance.IntN(200))
 	}
@@ -193,8 +193,8 @@
 
 func (p *citizen) Drained() bool { return p.a.now >= p.busy }
 
-func (p *citizen) Count() charter.Count {
-	k := charter.Count{Of: p.standing.Number, Tasks: 100}
+func (p *citizen) Count() rollout.Count {
+	k := rollout.Count{Of: p.standing.Number, Tasks: 100}
 	if p.worse {
 		k.Held = 50
 	}
@@ -203,7 +203,7 @@
 
 func (p *citizen) Wall() int64 { return int64(p.a.now / admission.Second) }
 
-func (p *citizen) Say(code charter.Code, more ...any) {
+func (p *citizen) Say(code rollout.Code, more ...any) {
 	if p.a.onSay != nil {
 		p.a.onSay(p, code, more)
 	}
@@ -253,7 +253,7 @@
 			a.latest, a.by = at, p.name
 		}
 		a.policies[s.Digest] = true
-	case s.Other != (charter.Digest{}) && now < s.BothUntil:
+	case s.Other != (rollout.Digest{}) && now < s.BothUntil:
 		next := [2]uint64{s.Era, s.Number + 1}
 		if a.wrong == "" && (later(a.latest, next) || a.latest == next && !a.policies[s.Other]) {
 			a.wrong = fmt.Sprintf("%.3f s: %s decides by what number %d and a proposal after it allow, after %s has decided by %d", float64(a.now)/float64(admission.Second), p.name, s.Number,
@@ -289,15 +289,15 @@
 }
 
 // propose has a process propose a policy.
-func (a *assembly) propose(p *citizen, text string, done func(charter.Result)) {
+func (a *assembly) propose(p *citizen, text string, done func(rollout.Result)) {
 	id := a.chance.Uint64() | 1
-	if err := p.core.Propose(p.clock(), charter.Proposal{ID: id, Kind: charter.Change, Text: []byte(text)}, done); err != nil {
-		done(charter.Result{ID: id, End: charter.WasRefused, Why: err.Error()})
+	if err := p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.Change, Text: []byte(text)}, done); err != nil {
+		done(rollout.Result{ID: id, End: rollout.WasRefused, Why: err.Error()})
 	}
 }
 
 // holding is how many processes may decide by a policy now.
-func (a *assembly) holding(d charter.Digest) (n int) {
+func (a *assembly) holding(d rollout.Digest) (n int) {
 	for _, p := range a.people {
 		if p.up && p.standing.Holds(p.clock()) && p.standing.Digest == d {
 			n++
@@ -335,8 +335,8 @@
 	change := func(k, of int) Time {
 		text := fmt.Sprintf("policy %d %s", k, bytes.Repeat([]byte("x"), 3000))
 		at := a.now
-		a.propose(a.people[n-1], text, func(charter.Result) {})
-		for a.holding(charter.Of([]byte(text))) < of && a.now-at < 60*second {
+		a.propose(a.people[n-1], text, func(rollout.Result) {})
+		for a.holding(rollout.Of([]byte(text))) < of && a.now-at < 60*second {
 			a.pass(10 * admission.Millisecond)
 		}
 		return a.now - at
--- a/internal/crowd/assembly_test.go
+++ b/internal/testbed/simcluster/assembly_test.go
@@ -1,4 +1,4 @@
-package crowd
+package simcluster
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/charter"
+	"magpiebank/internal/cluster/rollout"
 )
 
 // decisions is how many seeds are played; some hundreds were once.
@@ -21,7 +21,7 @@
 	a := newAssembly(seed, 8, []int{3, 5}[seed%2], 2*second)
 	a.plan.Plant(planted)
 	if log != nil {
-		a.onSay = func(p *citizen, code charter.Code, more []any) {
+		a.onSay = func(p *citizen, code rollout.Code, more []any) {
 			log(fmt.Sprintf("%.2f %s/%d %s %v", float64(a.now)/10000, p.name, p.place, code, more))
 		}
 	}
@@ -44,8 +44,8 @@
 		if a.chance.IntN(6) == 0 {
 			text += "rehearse; "
 		}
-		a.propose(p, text, func(r charter.Result) {
-			if r.End == charter.WasDecided {
+		a.propose(p, text, func(r rollout.Result) {
+			if r.End == rollout.WasDecided {
 				decided++
 			}
 		})
@@ -111,15 +111,15 @@
 	if a.wrong != "" {
 		return a.wrong
 	}
-	var last charter.Result
+	var last rollout.Result
 	text := fmt.Sprint("the last policy of seed ", seed)
-	a.propose(a.people[7], text, func(r charter.Result) { last = r })
+	a.propose(a.people[7], text, func(r rollout.Result) { last = r })
 	a.pass(5 * second)
 	switch {
 	case a.wrong != "":
 		return a.wrong
-	case a.holding(charter.Of([]byte(text))) != 8:
-		return fmt.Sprintf("eventual: 5 s after a proposal in a fleet that hears itself again %d of 8 go by it: %s %s", a.holding(charter.Of([]byte(text))), last.End, last.Why)
+	case a.holding(rollout.Of([]byte(text))) != 8:
+		return fmt.Sprintf("eventual: 5 s after a proposal in a fleet that hears itself again %d of 8 go by it: %s %s", a.holding(rollout.Of([]byte(text))), last.End, last.Why)
 	case a.decided < 1000:
 		return fmt.Sprintf("eventual: only %d looks found somebody with a lease", a.decided)
 	}
--- a/internal/crowd/counts.go
+++ b/internal/testbed/simcluster/counts.go
@@ -1,4 +1,4 @@
-package crowd
+package simcluster
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/tally"
+	"magpiebank/internal/cluster/counters"
 )
 
 // census is a fleet in one process and virtual time whose processes count what they have in hand.
@@ -24,7 +24,7 @@
 	n       int
 	name    string
 	start   uint64
-	core    *tally.Core
+	core    *counters.Core
 	rate    float64
 	ahead   float64
 	up      bool
@@ -72,7 +72,7 @@
 	p.t.starts++
 	p.start, p.up, p.nextAt = p.t.starts, true, p.t.now
 	p.truth = append(p.truth, instant{p.t.now, [3]int64{}, p.start})
-	p.core = tally.New(p.clock(), p.name, len(p.t.people), mostInHand, longInHand, p)
+	p.core = counters.New(p.clock(), p.name, len(p.t.people), mostInHand, longInHand, p)
 }
 
 // end is its death: it has nothing any more.
@@ -100,20 +100,20 @@
 	now := p.clock()
 	for p.nextAt <= p.t.now {
 		p.nextAt += Time(p.t.chance.ExpFloat64() * float64(admission.Second) / p.t.busy)
-		had := p.core.Own(tally.Key{})
+		had := p.core.Own(counters.Key{})
 		var waits, runs, handed int64
 		switch p.t.chance.IntN(3) {
 		case 0:
-			waits = btoi64(had[tally.Waits]+had[tally.Runs] < mostInHand)
+			waits = btoi64(had[counters.Waits]+had[counters.Runs] < mostInHand)
 		case 1:
-			waits = -btoi64(had[tally.Waits] > 0)
+			waits = -btoi64(had[counters.Waits] > 0)
 			runs, handed = -waits, -waits
 		case 2:
-			runs = -btoi64(had[tally.Runs] > 0)
+			runs = -btoi64(had[counters.Runs] > 0)
 		}
 		by := [3]int64{waits, runs, handed}
-		p.core.Count(now, tally.Change{By: by}, tally.Change{Key: tally.Key{Kind: tally.Lane, Name: "look"}, By: by})
-		p.truth = append(p.truth, instant{p.t.now, p.core.Own(tally.Key{}), p.start})
+		p.core.Count(now, counters.Change{By: by}, counters.Change{Key: counters.Key{Kind: counters.Lane, Name: "look"}, By: by})
+		p.truth = append(p.truth, instant{p.t.now, p.core.Own(counters.Key{}), p.start})
 	}
 	p.core.Due(now)
 }
@@ -142,7 +142,7 @@
 		i, _ := slices.BinarySearchFunc(p.truth, at, func(v instant, at Time) int { return int(v.at - at) })
 		l, h := int64(-1), int64(0)
 		from := max(0, i-1)
-		if figure == tally.Handed && (p.truth[0].start != p.truth[from].start || p.truth[from].of[figure] == 0) {
+		if figure == counters.Handed && (p.truth[0].start != p.truth[from].start || p.truth[from].of[figure] == 0) {
 			from = 0
 		}
 		for k := from; k < len(p.truth) && (k < i || p.truth[k].at <= at+1); k++ {
@@ -160,9 +160,9 @@
 }
 
 // wrong reads at one process, and tells what a reading says that was not so; empty: nothing.
-func (t *census) wrong(p *counted) (r tally.Reading, text string) {
-	k := tally.Key{Kind: tally.Lane, Name: "look"}
-	r = p.core.Read(p.clock(), tally.Key{}, k)
+func (t *census) wrong(p *counted) (r counters.Reading, text string) {
+	k := counters.Key{Kind: counters.Lane, Name: "look"}
+	r = p.core.Read(p.clock(), counters.Key{}, k)
 	at := p.since(p.clock() - r.Age)
 	for _, c := range r.Counts {
 		for f, of := range c.Of {
@@ -209,9 +209,9 @@
 		out.Reads++
 		out.Age += r.Age
 		out.Silent += float64(r.Silent)
-		low, _ := t.true(tally.Runs, p.since(p.clock()-r.Age))
+		low, _ := t.true(counters.Runs, p.since(p.clock()-r.Age))
 		truth += float64(low)
-		out.Width += float64(r.Counts[0].Of[tally.Runs].High - r.Counts[0].Of[tally.Runs].Low)
+		out.Width += float64(r.Counts[0].Of[counters.Runs].High - r.Counts[0].Of[counters.Runs].Low)
 	})
 	out.Age /= Time(out.Reads)
 	out.Silent /= float64(out.Reads)
--- a/internal/crowd/counts_test.go
+++ b/internal/testbed/simcluster/counts_test.go
@@ -1,4 +1,4 @@
-package crowd
+package simcluster
 
 import (
 	"testing"
--- a/internal/crowd/crowd.go
+++ b/internal/testbed/simcluster/crowd.go
@@ -1,7 +1,7 @@
-// Package crowd plays a fleet of some hundred members in one process, in virtual time under a seeded schedule: the same
+// Package simcluster plays a fleet of some hundred members in one process, in virtual time under a seeded schedule: the same
 // cores that gateways run, with links that lose, delay, double and cut, processes that die, stop and come back, and clocks
 // that run off. Same seed, same run.
-package crowd
+package simcluster
 
 import (
 	"container/heap"
@@ -9,8 +9,8 @@
 	"math/rand/v2"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/judgement"
-	"magpiebank/internal/member"
+	"magpiebank/internal/cluster/healthreport"
+	"magpiebank/internal/cluster/membership"
 )
 
 // Time is virtual, in tenths of a millisecond from the run's begin.
@@ -27,8 +27,8 @@
 type Process struct {
 	N        int
 	Name     string
-	Core     *member.Core
-	Book     *judgement.Book
+	Core     *membership.Core
+	Book     *healthreport.Book
 	Up       bool
 	Sent     int64 // bytes
 	Messages int64
@@ -46,8 +46,8 @@
 type Told struct {
 	At     Time
 	By     int
-	Code   member.Code
-	Member member.Member
+	Code   membership.Code
+	Member membership.Member
 }
 
 // Crowd is a fleet.
@@ -125,9 +125,9 @@
 	}
 	p.life++
 	p.Up, p.stopped, p.waiting, p.due = true, 0, nil, false
-	self := member.Member{Name: p.Name, Start: start, Address: fmt.Sprint("a", p.N)}
-	p.Core = member.New(p.clock(), self, c.seeds, rand.New(rand.NewPCG(c.chance.Uint64(), 2)), host{p})
-	p.Book = judgement.New(len(c.Processes)-1, 0.25, judgement.Turn(p.Name))
+	self := membership.Member{Name: p.Name, Start: start, Address: fmt.Sprint("a", p.N)}
+	p.Core = membership.New(p.clock(), self, c.seeds, rand.New(rand.NewPCG(c.chance.Uint64(), 2)), host{p})
+	p.Book = healthreport.New(len(c.Processes)-1, 0.25, healthreport.Turn(p.Name))
 	p.timer()
 }
 
@@ -172,7 +172,7 @@
 	h.p.crowd.carry(h.p, h.p.crowd.Processes[n], m, ofMembers)
 }
 
-func (h host) Changed(code member.Code, m member.Member) {
+func (h host) Changed(code membership.Code, m membership.Member) {
 	c := h.p.crowd
 	t := Told{c.Now, h.p.N, code, m}
 	if c.OnTold != nil {
@@ -217,7 +217,7 @@
 	before := p.Sent
 	for _, other := range p.Core.Members() {
 		var n int
-		if _, err := fmt.Sscanf(other.Address, "a%d", &n); err == nil && other.State <= member.Suspect {
+		if _, err := fmt.Sscanf(other.Address, "a%d", &n); err == nil && other.State <= membership.Suspect {
 			p.crowd.carry(p, p.crowd.Processes[n], m, ofEngines)
 		}
 	}
@@ -243,7 +243,9 @@
 	p.timer()
 }
 
-func source(m member.Member) judgement.Source { return judgement.Source{Name: m.Name, Start: m.Start} }
+func source(m membership.Member) healthreport.Source {
+	return healthreport.Source{Name: m.Name, Start: m.Start}
+}
 
 // timer sets the next call of Due.
 func (p *Process) timer() {
@@ -288,7 +290,7 @@
 				continue
 			}
 			m, ok := p.Core.Find(q.Name)
-			if !ok || m.State > member.Suspect || m.Start != q.Core.Self().Start {
+			if !ok || m.State > membership.Suspect || m.Start != q.Core.Self().Start {
 				wrong++
 			}
 		}
--- a/internal/crowd/enact_test.go
+++ b/internal/testbed/simcluster/enact_test.go
@@ -1,4 +1,4 @@
-package crowd
+package simcluster
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/charter"
+	"magpiebank/internal/cluster/rollout"
 )
 
 // calm is a fleet that has a leader and leases.
@@ -18,17 +18,17 @@
 	t.Helper()
 	a := newAssembly(seed, n, voters, 2*second)
 	a.pass(6 * second)
-	if got := a.holding(charter.Digest{}); got != n {
+	if got := a.holding(rollout.Digest{}); got != n {
 		t.Fatalf("%d of %d hold a lease", got, n)
 	}
 	return a
 }
 
 // enact proposes a policy and waits for its end.
-func (a *assembly) enact(by int, text string, wait Time) charter.Result {
-	r := charter.Result{Why: "it has not ended"}
-	a.propose(a.people[by], text, func(end charter.Result) { r = end })
-	for until := a.now + wait; a.now < until && r.End == charter.Pending; {
+func (a *assembly) enact(by int, text string, wait Time) rollout.Result {
+	r := rollout.Result{Why: "it has not ended"}
+	a.propose(a.people[by], text, func(end rollout.Result) { r = end })
+	for until := a.now + wait; a.now < until && r.End == rollout.Pending; {
 		a.pass(10 * admission.Millisecond)
 	}
 	return r
@@ -38,27 +38,27 @@
 func TestEnds(t *testing.T) {
 	a := calm(t, 1, 8, 5)
 	var got []string
-	tell := func(what string, r charter.Result) {
+	tell := func(what string, r rollout.Result) {
 		got = append(got, fmt.Sprintf("%s: %s %d %s", what, r.End, r.Number, r.Why))
 	}
 	tell("plain", a.enact(6, "one", 5*second))
 	tell("a member can't follow", a.enact(5, "two; not for g7;", 5*second))
 	tell("the leader can't follow", a.enact(5, "two; not for g0; not for g1; not for g2; not for g3; not for g4;", 5*second))
 	tell("the same again", a.enact(4, "one", 5*second))
-	one, two := charter.Result{}, charter.Result{}
-	a.propose(a.people[6], "three; rehearse;", func(r charter.Result) { one = r })
-	a.propose(a.people[7], "four", func(r charter.Result) { two = r })
+	one, two := rollout.Result{}, rollout.Result{}
+	a.propose(a.people[6], "three; rehearse;", func(r rollout.Result) { one = r })
+	a.propose(a.people[7], "four", func(r rollout.Result) { two = r })
 	a.pass(3 * second)
-	if one.End == charter.WasRefused {
+	if one.End == rollout.WasRefused {
 		one, two = two, one
 	}
 	two.Why = two.Why[strings.LastIndex(two.Why, " of "):]
-	tell("one of two at once", charter.Result{End: one.End, Number: one.Number})
-	tell("the other", charter.Result{End: two.End, Why: "proposal ... of one " + two.Why[len(two.Why)-7:]})
-	p := charter.Proposal{ID: 99, Kind: charter.Change, Text: []byte("five")}
+	tell("one of two at once", rollout.Result{End: one.End, Number: one.Number})
+	tell("the other", rollout.Result{End: two.End, Why: "proposal ... of one " + two.Why[len(two.Why)-7:]})
+	p := rollout.Proposal{ID: 99, Kind: rollout.Change, Text: []byte("five")}
 	for range 3 { // its answer was lost: it is proposed again, here and elsewhere
 		for _, by := range []int{7, 3} {
-			if err := a.people[by].core.Propose(a.people[by].clock(), p, func(charter.Result) {}); err != nil {
+			if err := a.people[by].core.Propose(a.people[by].clock(), p, func(rollout.Result) {}); err != nil {
 				t.Error(err)
 			}
 		}
@@ -66,18 +66,18 @@
 	}
 	r, _ := a.people[3].core.Progress(99)
 	tell("one proposed six times", r)
-	p = charter.Proposal{ID: 100, Kind: charter.Rollback, Of: 1}
-	a.people[2].core.Propose(a.people[2].clock(), p, func(charter.Result) {})
+	p = rollout.Proposal{ID: 100, Kind: rollout.Rollback, Of: 1}
+	a.people[2].core.Propose(a.people[2].clock(), p, func(rollout.Result) {})
 	a.pass(2 * second)
 	r, _ = a.people[2].core.Progress(100)
 	tell("back to 1", r)
-	p = charter.Proposal{ID: 101, Kind: charter.Rollback, Of: 77}
-	a.people[2].core.Propose(a.people[2].clock(), p, func(charter.Result) {})
+	p = rollout.Proposal{ID: 101, Kind: rollout.Rollback, Of: 77}
+	a.people[2].core.Propose(a.people[2].clock(), p, func(rollout.Result) {})
 	a.pass(2 * second)
 	r, _ = a.people[2].core.Progress(101)
 	tell("back to 77", r)
-	p = charter.Proposal{ID: 102, Kind: charter.Change, Text: []byte("six"), Base: 1}
-	a.people[2].core.Propose(a.people[2].clock(), p, func(charter.Result) {})
+	p = rollout.Proposal{ID: 102, Kind: rollout.Change, Text: []byte("six"), Base: 1}
+	a.people[2].core.Propose(a.people[2].clock(), p, func(rollout.Result) {})
 	a.pass(2 * second)
 	r, _ = a.people[2].core.Progress(102)
 	tell("meant to follow 1", r)
@@ -98,8 +98,8 @@
 	if text != want {
 		t.Errorf("found\n%s\nexpected\n%s", text, want)
 	}
-	if a.holding(charter.Of([]byte("one"))) != 8 || a.wrong != "" {
-		t.Errorf("%d of 8 go by it; %s", a.holding(charter.Of([]byte("one"))), a.wrong)
+	if a.holding(rollout.Of([]byte("one"))) != 8 || a.wrong != "" {
+		t.Errorf("%d of 8 go by it; %s", a.holding(rollout.Of([]byte("one"))), a.wrong)
 	}
 }
 
@@ -112,12 +112,12 @@
 	for k := range 1000 {
 		size := 100
 		if k == 500 {
-			size = charter.MostText
+			size = rollout.MostText
 		}
 		text := fmt.Sprintf("%d %s", k, strings.Repeat("x", size-5))
-		if r := a.enact(k%3, text, 20*second); r.End == charter.WasDecided {
+		if r := a.enact(k%3, text, 20*second); r.End == rollout.WasDecided {
 			decided++
-		} else if r.End != charter.WasRefused {
+		} else if r.End != rollout.WasRefused {
 			t.Fatalf("change %d: %s %s", k, r.End, r.Why)
 		}
 		if p := a.people[4+k%5]; k%20 == 7 {
@@ -158,9 +158,9 @@
 // comes with an older folder finds that out, where the leader knows better.
 func TestVotersFolders(t *testing.T) {
 	a := calm(t, 5, 6, 3)
-	said := map[charter.Code]int{}
-	a.onSay = func(p *citizen, code charter.Code, _ []any) { said[code]++ }
-	if r := a.enact(5, "one", 5*second); r.End != charter.WasDecided {
+	said := map[rollout.Code]int{}
+	a.onSay = func(p *citizen, code rollout.Code, _ []any) { said[code]++ }
+	if r := a.enact(5, "one", 5*second); r.End != rollout.WasDecided {
 		t.Fatal(r)
 	}
 	leader := slices.IndexFunc(a.people, func(p *citizen) bool { return len(p.core.State(p.clock()).Members) > 0 })
@@ -173,12 +173,12 @@
 		t.Error("a voter without its folder votes before the one that it was is known to be gone")
 	}
 	a.pass(8 * second)
-	if s := lost.core.State(lost.clock()); !s.Votes || said[charter.Voting] == 0 {
+	if s := lost.core.State(lost.clock()); !s.Votes || said[rollout.Voting] == 0 {
 		t.Errorf("a voter that lost its folder has not come back as another: %v", said)
 	}
 	older := slices.Clone(old.disk)
 	for k := range 3 {
-		if r := a.enact(5, fmt.Sprint("more ", k), 5*second); r.End != charter.WasDecided {
+		if r := a.enact(5, fmt.Sprint("more ", k), 5*second); r.End != rollout.WasDecided {
 			t.Fatal(r)
 		}
 	}
@@ -186,11 +186,11 @@
 	old.disk = older
 	old.begin()
 	a.pass(16 * second)
-	if s := old.core.State(old.clock()); !s.Votes || said[charter.Lost] == 0 {
+	if s := old.core.State(old.clock()); !s.Votes || said[rollout.Lost] == 0 {
 		t.Errorf("an older folder was not found out, or its voter has not come back as another: %v", said)
 	}
 	a.people[leader].kill()
-	if r := a.enact(5, "the last", 20*second); r.End != charter.WasDecided || a.wrong != "" {
+	if r := a.enact(5, "the last", 20*second); r.End != rollout.WasDecided || a.wrong != "" {
 		t.Errorf("%s %s; %s", r.End, r.Why, a.wrong)
 	}
 }
@@ -200,19 +200,19 @@
 func TestLyingDisk(t *testing.T) {
 	a := calm(t, 6, 6, 3)
 	behind := 0
-	a.onSay = func(p *citizen, code charter.Code, _ []any) {
-		if code == charter.Behind {
+	a.onSay = func(p *citizen, code rollout.Code, _ []any) {
+		if code == rollout.Behind {
 			behind++
 		}
 	}
-	if r := a.enact(5, "one", 5*second); r.End != charter.WasDecided {
+	if r := a.enact(5, "one", 5*second); r.End != rollout.WasDecided {
 		t.Fatal(r)
 	}
 	leader := slices.IndexFunc(a.people, func(p *citizen) bool { return len(p.core.State(p.clock()).Members) > 0 })
 	liar, late := a.people[(leader+1)%3], a.people[(leader+2)%3]
 	liar.lies = true
 	a.cut = func(from, to int) bool { return from == late.place != (to == late.place) }
-	if r := a.enact(5, "two", 10*second); r.End != charter.WasDecided {
+	if r := a.enact(5, "two", 10*second); r.End != rollout.WasDecided {
 		t.Fatal(r)
 	}
 	a.pass(second) // all but one go by it
@@ -222,17 +222,17 @@
 	a.pass(second) // what was said to it is gone
 	liar.begin()
 	a.pass(15 * second)
-	if n := a.holding(charter.Of([]byte("one"))) + a.holding(charter.Of([]byte("two"))); behind == 0 || n > 0 {
+	if n := a.holding(rollout.Of([]byte("one"))) + a.holding(rollout.Of([]byte("two"))); behind == 0 || n > 0 {
 		t.Errorf("said %d times that voters are behind; %d hold a lease", behind, n)
 	}
 	if err := a.people[4].core.Force(a.people[4].clock(), []string{"g3", "g4", "g5"}); err != nil {
 		t.Fatal(err)
 	}
 	a.pass(30 * second)
-	if n := a.holding(charter.Of([]byte("two"))); n < 5 || a.wrong != "" {
+	if n := a.holding(rollout.Of([]byte("two"))); n < 5 || a.wrong != "" {
 		t.Errorf("%d go by the policy that was lost after it was forced; %s", n, a.wrong)
 	}
-	if r := a.enact(5, "three", 10*second); r.End != charter.WasDecided {
+	if r := a.enact(5, "three", 10*second); r.End != rollout.WasDecided {
 		t.Errorf("%s %s", r.End, r.Why)
 	}
 	for _, n := range []int{3, 4, 5} {
@@ -245,28 +245,28 @@
 // Without a lease what both policies allow goes on, where the policy says so, and ends in time.
 func TestBoth(t *testing.T) {
 	a := calm(t, 7, 6, 3)
-	if r := a.enact(5, "one", 5*second); r.End != charter.WasDecided {
+	if r := a.enact(5, "one", 5*second); r.End != rollout.WasDecided {
 		t.Fatal(r)
 	}
 	apart := 4
 	a.cut = func(from, to int) bool { return from == apart != (to == apart) }
-	var one, two charter.Result
+	var one, two rollout.Result
 	a.pass(second)
-	a.propose(a.people[5], "two; both;", func(r charter.Result) { one = r }) // g4 is silent: the others wait for its lease
+	a.propose(a.people[5], "two; both;", func(r rollout.Result) { one = r }) // g4 is silent: the others wait for its lease
 	a.pass(second / 2)
 	cut := a.cut
 	a.cut = func(from, to int) bool { return cut(from, to) || from == 3 != (to == 3) } // and now g3 is, which has heard of both
 	a.pass(3 * second)
 	s := a.people[3].standing
-	if one.End != charter.WasDecided || s.Other != charter.Of([]byte("two; both;")) || s.Holds(a.people[3].clock()) || a.people[3].clock() >= s.BothUntil {
+	if one.End != rollout.WasDecided || s.Other != rollout.Of([]byte("two; both;")) || s.Holds(a.people[3].clock()) || a.people[3].clock() >= s.BothUntil {
 		t.Errorf("%v; g3 goes by %s and %s", one, s.Digest, s.Other)
 	}
 	at := a.now
-	a.propose(a.people[5], "three", func(r charter.Result) { two = r })
-	for two.End == charter.Pending && a.now-at < 30*second {
+	a.propose(a.people[5], "three", func(r rollout.Result) { two = r })
+	for two.End == rollout.Pending && a.now-at < 30*second {
 		a.pass(10 * admission.Millisecond)
 	}
-	if two.End != charter.WasDecided || a.now-at < second {
+	if two.End != rollout.WasDecided || a.now-at < second {
 		t.Errorf("the change after it: %s %s after %.1f s", two.End, two.Why, float64(a.now-at)/float64(second))
 	}
 	if a.wrong != "" {
@@ -277,24 +277,24 @@
 // A policy on probation that is worse than it says it may be is taken back once, as a change of its own.
 func TestProbation(t *testing.T) {
 	a := calm(t, 8, 6, 3)
-	if r := a.enact(5, "one", 5*second); r.End != charter.WasDecided {
+	if r := a.enact(5, "one", 5*second); r.End != rollout.WasDecided {
 		t.Fatal(r)
 	}
 	for _, p := range a.people {
 		p.worse = true
 	}
-	if r := a.enact(5, "two; probation;", 5*second); r.End != charter.WasDecided {
+	if r := a.enact(5, "two; probation;", 5*second); r.End != rollout.WasDecided {
 		t.Fatal(r)
 	}
 	a.pass(3 * second)
 	p := a.people[0]
-	if n := a.holding(charter.Of([]byte("one"))); n != 6 || p.standing.Number != 3 {
+	if n := a.holding(rollout.Of([]byte("one"))); n != 6 || p.standing.Number != 3 {
 		t.Errorf("%d of 6 go by the one before, under number %d", n, p.standing.Number)
 	}
 	for _, p := range a.people {
 		p.worse = false
 	}
-	if r := a.enact(5, "three; probation;", 5*second); r.End != charter.WasDecided {
+	if r := a.enact(5, "three; probation;", 5*second); r.End != rollout.WasDecided {
 		t.Fatal(r)
 	}
 	a.pass(5 * second)
@@ -337,10 +337,10 @@
 				id := a.chance.Uint64() | 1
 				open[id] = len(ops)
 				ops = append(ops, porcupine.Operation{ClientId: 10 + k, Input: input{true, id}, Call: int64(a.now), Output: uint64(math.MaxUint64), Return: math.MaxInt64})
-				p.core.Propose(p.clock(), charter.Proposal{ID: id, Kind: charter.Change, Text: []byte(fmt.Sprint("policy ", seed, k))}, func(r charter.Result) {
+				p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.Change, Text: []byte(fmt.Sprint("policy ", seed, k))}, func(r rollout.Result) {
 					op := &ops[open[id]]
 					op.Return, op.Output = int64(a.now)+1, uint64(0)
-					if r.End == charter.WasDecided {
+					if r.End == rollout.WasDecided {
 						op.Output = r.Number
 					}
 				})
--- a/internal/crowd/figures.go
+++ b/internal/testbed/simcluster/figures.go
@@ -1,4 +1,4 @@
-package crowd
+package simcluster
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/member"
+	"magpiebank/internal/cluster/membership"
 )
 
 // Figures are what one run of membership came to.
@@ -51,9 +51,9 @@
 	}
 	c.OnTold = func(t Told) {
 		switch {
-		case t.Code == member.Died:
+		case t.Code == membership.Died:
 			f.False++
-		case t.Code == member.Suspected && t.Member.Accuser == c.Processes[t.By].Name:
+		case t.Code == membership.Suspected && t.Member.Accuser == c.Processes[t.By].Name:
 			f.Suspected++
 		}
 	}
@@ -65,7 +65,7 @@
 	killed := map[string][]Time{}
 	began := c.Now
 	c.OnTold = func(t Told) {
-		if _, ok := killed[t.Member.Name]; ok && t.Code == member.Died {
+		if _, ok := killed[t.Member.Name]; ok && t.Code == membership.Died {
 			killed[t.Member.Name] = append(killed[t.Member.Name], t.At-began)
 		}
 	}
--- a/internal/crowd/member_test.go
+++ b/internal/testbed/simcluster/member_test.go
@@ -1,4 +1,4 @@
-package crowd
+package simcluster
 
 import (
 	"flag"
@@ -8,7 +8,7 @@
 	"testing"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/member"
+	"magpiebank/internal/cluster/membership"
 )
 
 var keep = flag.Bool("keep", false, "keep the traces as they come out now")
@@ -40,7 +40,7 @@
 // died is how often a member was taken for dead that the test didn't kill.
 func (c *Crowd) died(except func(name string) bool) (n int) {
 	for _, told := range c.Told {
-		if told.Code == member.Died && !except(told.Member.Name) {
+		if told.Code == membership.Died && !except(told.Member.Name) {
 			n++
 		}
 	}
@@ -192,7 +192,7 @@
 	c.Processes[4].Stop(20 * second)
 	c.Run(c.Now + 60*second)
 	for _, told := range c.Told {
-		if told.By == 4 && (told.Code == member.Died || told.Code == member.Suspected && told.Member.Accuser == "g004") {
+		if told.By == 4 && (told.Code == membership.Died || told.Code == membership.Suspected && told.Member.Accuser == "g004") {
 			t.Errorf("at %.1f s it took %s for %s", float64(told.At)/float64(second), told.Member.Name, told.Code)
 		}
 	}
@@ -228,7 +228,7 @@
 	}
 }
 
-// Two hundred, with loss and with members that stand still; the table up to five hundred is magpielab fleet scale.
+// Two hundred, with loss and with members that stand still; the table up to five hundred is magpiebank-testbed fleet scale.
 func TestTwoHundred(t *testing.T) {
 	f := Measure(200, 0.05, 0.02, 10)
 	t.Logf("%+v", f)
--- a/internal/crowd/town.go
+++ b/internal/testbed/simcluster/town.go
@@ -1,4 +1,4 @@
-package crowd
+package simcluster
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"slices"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/budget"
+	"magpiebank/internal/cluster/quota"
 )
 
 // perDatagram is what a message costs besides itself: the datagram's heads, and what sealing and the sender's name add.
@@ -17,8 +17,8 @@
 // town is a fleet in one process and virtual time, with links that lose, delay and double, processes that are killed, doubled and
 // stopped, and clocks that run off.
 type town struct {
-	post[budget.Message]
-	plan   *budget.Plan
+	post[quota.Message]
+	plan   *quota.Plan
 	people []*person
 	starts uint64
 	tasks  int
@@ -30,7 +30,7 @@
 	n       int // its seat is this by the seats
 	place   int // among all processes
 	name    string
-	core    *budget.Core
+	core    *quota.Core
 	rate    float64
 	ahead   float64
 	up      bool
@@ -42,7 +42,7 @@
 	before  []uint64 // starts of its processes
 }
 
-func (p *person) Send(to string, m budget.Message) {
+func (p *person) Send(to string, m quota.Message) {
 	p.t.send(p.place, p.t.byName[to], m, len(m.Encode()))
 }
 
@@ -60,7 +60,7 @@
 func (p *person) begin() {
 	p.t.starts++
 	p.up, p.jobs, p.width = true, nil, max(1, p.width)
-	p.core = budget.New(p.clock(), p.t.plan, p.name, p.t.starts, p.n%p.t.plan.Seats, p)
+	p.core = quota.New(p.clock(), p.t.plan, p.name, p.t.starts, p.n%p.t.plan.Seats, p)
 	p.before = append(p.before, p.t.starts)
 }
 
@@ -68,12 +68,12 @@
 func (p *person) follow() {
 	before := p.before
 	p.begin()
-	p.core.Follow(before[max(0, len(before)-budget.MostAfter):])
+	p.core.Follow(before[max(0, len(before)-quota.MostAfter):])
 }
 
 // newTown starts a fleet of so many seats, the first of which are keepers.
 func newTown(seed uint64, seats, keepers int, total int64) *town {
-	t := &town{byName: map[string][]int{}, plan: &budget.Plan{Seats: seats, Term: 2 * admission.Second, Loan: admission.Second, Longest: admission.Second / 4, Drift: 20, Number: 1, IDs: []uint32{7}, Totals: []int64{total}}}
+	t := &town{byName: map[string][]int{}, plan: &quota.Plan{Seats: seats, Term: 2 * admission.Second, Loan: admission.Second, Longest: admission.Second / 4, Drift: 20, Number: 1, IDs: []uint32{7}, Totals: []int64{total}}}
 	t.chance, t.latest = rand.New(rand.NewPCG(seed, 3)), 3*t.plan.Term
 	for k := range keepers {
 		t.plan.Keepers = append(t.plan.Keepers, fmt.Sprint("g", k))
@@ -94,9 +94,9 @@
 
 // pass plays some time; check is told after each step.
 func (t *town) pass(length Time, check func()) {
-	t.post.pass(length, func(l letter[budget.Message]) {
+	t.post.pass(length, func(l letter[quota.Message]) {
 		if p := t.people[l.to]; p.up && p.stopped <= t.now {
-			m, err := budget.Decode(l.message.Encode())
+			m, err := quota.Decode(l.message.Encode())
 			if err != nil {
 				panic(err)
 			}
--- a/internal/capture/capture.go
+++ b/internal/traffic/capture/capture.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/sqltext"
-	"magpiebank/internal/trace"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/query/sqltext"
+	"magpiebank/internal/traffic/trace"
 )
 
 const (
--- a/internal/capture/capture_test.go
+++ b/internal/traffic/capture/capture_test.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"magpiebank/internal/trace"
+	"magpiebank/internal/traffic/trace"
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/importer/importer_test.go
+++ b/internal/traffic/importer/importer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"magpiebank/internal/trace"
+	"magpiebank/internal/traffic/trace"
 )
 
 func show(form Form, text string, o Options) {
--- a/internal/importer/read.go
+++ b/internal/traffic/importer/read.go
@@ -14,9 +14,9 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/sqltext"
-	"magpiebank/internal/trace"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/query/sqltext"
+	"magpiebank/internal/traffic/trace"
 )
 
 // Form names what a recording is written in.
--- a/internal/importer/repair.go
+++ b/internal/traffic/importer/repair.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"magpiebank/internal/trace"
+	"magpiebank/internal/traffic/trace"
 )
 
 // Raw is one entry as it was recorded, in the order of the file.
--- a/internal/operator/desk.go
+++ b/internal/workload/desk.go
@@ -1,4 +1,4 @@
-package operator
+package workload
 
 import (
 	"fmt"
@@ -8,25 +8,25 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/fleet"
-	"magpiebank/internal/route"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/config"
+	"magpiebank/internal/query/costmodel"
+	"magpiebank/internal/resourcegroup"
 	"magpiebank/internal/router"
-	"magpiebank/internal/statement"
 )
 
 // Desk joins the book of statements and the operator's classes to a gateway.
 type Desk struct {
 	file  *Statements
-	book  *statement.Book
-	route *route.Desk
+	book  *costmodel.Book
+	route *resourcegroup.Desk
 	lanes []string
 	loads []bool // lanes whose tasks change tables
 	log   *slog.Logger
 	keeps string // the snapshot's file; empty: nothing is kept
 
-	plan   atomic.Pointer[route.Plan] // that sessions class by
-	next   atomic.Pointer[Statements] // a file that was read and is not yet gone by
+	plan   atomic.Pointer[resourcegroup.Plan] // that sessions class by
+	next   atomic.Pointer[Statements]         // a file that was read and is not yet gone by
 	saidAt time.Time
 	agedAt time.Time
 	said   told
@@ -40,8 +40,8 @@
 type told struct{ seen, parsed, answers, wrong int64 }
 
 // NewDesk makes a desk for a gateway's deployment. With a snapshot's file that can't be used it begins without, and says so.
-func NewDesk(s *Statements, start *deployment.Start, log *slog.Logger) (*Desk, error) {
-	r, err := route.New(0, &s.Plan, start.Site.Cores, start.Network.Zones, start.Network.Kinds)
+func NewDesk(s *Statements, start *config.Start, log *slog.Logger) (*Desk, error) {
+	r, err := resourcegroup.New(0, &s.Plan, start.Site.Cores, start.Network.Zones, start.Network.Kinds)
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 }
 
 // Share has classes of the fleet go by the rights that its gateways share.
-func (d *Desk) Share(r route.Rights) { d.route.Share(r) }
+func (d *Desk) Share(r resourcegroup.Rights) { d.route.Share(r) }
 
 // Renew has another file gone by; it takes effect within the timer's pace, whole or not at all, and the log says which.
 func (d *Desk) Renew(s *Statements) {
@@ -180,9 +180,9 @@
 	}
 	number, ruling, text := d.route.Arrived(k.entry)
 	switch ruling {
-	case route.Refused:
+	case resourcegroup.Refused:
 		return f, false, "class " + k.plan.Classes[k.entry-1].Name + ": " + text
-	case route.Crowded:
+	case resourcegroup.Crowded:
 		return f, true, ""
 	}
 	f = k.foreseen()
@@ -249,13 +249,13 @@
 // Reader reads the statements of one session.
 type Reader struct {
 	d       *Desk
-	sight   statement.Sight
-	subject route.Subject
-	plan    *route.Plan
+	sight   costmodel.Sight
+	subject resourcegroup.Subject
+	plan    *resourcegroup.Plan
 	entry   int // of the plan's classes, from 1; 0: none
 
 	// Where the fleet decides.
-	ruling  *fleet.Ruling
+	ruling  *agent.Ruling
 	second  int  // of the policy that may be gone by besides
 	tried   int  // of the one that is rehearsed
 	touched bool // some policy that was heard of has a class for it
@@ -264,7 +264,7 @@
 // Read finds a statement's shape, cost and class.
 func (r *Reader) Read(sql []byte, lane, tables int) {
 	r.sight = r.d.book.Look(sql, tables, lane)
-	r.subject = route.Subject{Lane: r.d.lanes[lane], Features: r.sight.Features(), Estimate: r.d.book.Estimate(&r.sight)}
+	r.subject = resourcegroup.Subject{Lane: r.d.lanes[lane], Features: r.sight.Features(), Estimate: r.d.book.Estimate(&r.sight)}
 	if r.d.law != nil {
 		r.look(r.d.law.Ruling())
 		return
--- a/internal/operator/keep.go
+++ b/internal/workload/keep.go
@@ -1,4 +1,4 @@
-package operator
+package workload
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"os"
 	"path/filepath"
 
-	"magpiebank/internal/statement"
+	"magpiebank/internal/query/costmodel"
 )
 
 // recover has the book know what a snapshot says; one that can't be used leaves it empty, with one line.
@@ -41,12 +41,12 @@
 }
 
 // ReadSnapshot reads a snapshot's file.
-func ReadSnapshot(file string) (*statement.Snapshot, error) {
+func ReadSnapshot(file string) (*costmodel.Snapshot, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	s, err := statement.Decode(b)
+	s, err := costmodel.Decode(b)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -54,7 +54,7 @@
 }
 
 // WriteSnapshot puts a snapshot in the place of a file, whole or not at all: it is on the disk before the name is its own.
-func WriteSnapshot(file string, s *statement.Snapshot) (err error) {
+func WriteSnapshot(file string, s *costmodel.Snapshot) (err error) {
 	folder := filepath.Dir(file)
 	f, err := os.CreateTemp(folder, filepath.Base(file)+".*")
 	if err != nil {
--- a/internal/operator/law.go
+++ b/internal/workload/law.go
@@ -1,27 +1,27 @@
-package operator
+package workload
 
 import (
 	"slices"
 	"sync/atomic"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/charter"
-	"magpiebank/internal/fleet"
-	"magpiebank/internal/route"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/cluster/rollout"
+	"magpiebank/internal/resourcegroup"
 	"magpiebank/internal/router"
 )
 
 // Policy is what a fleet may decide on: pools and classes, and what is asked of the change.
 type Policy struct {
-	Plan  route.Plan
-	Asked charter.Terms
+	Plan  resourcegroup.Plan
+	Asked rollout.Terms
 
-	rest  *route.Plan // with the class of the rest
-	other int         // which is this one, counted from 1
+	rest  *resourcegroup.Plan // with the class of the rest
+	other int                 // which is this one, counted from 1
 }
 
 // Terms are what is asked of the change.
-func (p *Policy) Terms() charter.Terms { return p.Asked }
+func (p *Policy) Terms() rollout.Terms { return p.Asked }
 
 // Budgets are the totals of classes of the whole fleet.
 func (p *Policy) Budgets() (names []string, totals []int64) {
@@ -40,7 +40,7 @@
 
 // Law is what the fleet has decided, as far as this gateway may go by it.
 type Law interface {
-	Ruling() *fleet.Ruling
+	Ruling() *agent.Ruling
 	Pass(by uint64, task admission.RequestID) bool
 	Passed(by uint64, task admission.RequestID)
 	Decided(what string, by uint64, task admission.RequestID, asOf int64)
@@ -57,24 +57,24 @@
 	begun    bool
 	number   uint64
 	opened   uint64 // what the last task that found its way open was decided by
-	shadow   *route.Desk
+	shadow   *resourcegroup.Desk
 	trial    uint64
 	tries    *Policy
 	turn     int // of shadows: tasks of one before are nothing to this one
-	count    charter.Count
-	tried    charter.Count
-	told     atomic.Pointer[charter.Count]
+	count    rollout.Count
+	tried    rollout.Count
+	told     atomic.Pointer[rollout.Count]
 	Unsure   int64 // tasks that were turned away as nobody knew what held for them
 }
 
 // Obey has the desk go by what the fleet decides; parse reads a policy's text. It is called before anything is told.
 func (d *Desk) Obey(law Law, parse func(text []byte) (*Policy, error), gateways int) {
 	d.law, d.parse, d.gateways = law, parse, gateways
-	d.told.Store(&charter.Count{})
+	d.told.Store(&rollout.Count{})
 }
 
 // Read reads a policy for this gateway's site.
-func (d *Desk) Read(text []byte) (fleet.Policy, error) {
+func (d *Desk) Read(text []byte) (agent.Policy, error) {
 	p, err := d.parse(text)
 	if err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 }
 
 // Counted is what became of tasks since the policy, or a rehearsal, began here.
-func (d *Desk) Counted() charter.Count { return *d.told.Load() }
+func (d *Desk) Counted() rollout.Count { return *d.told.Load() }
 
 // nothing is the policy that there is before any.
 var nothing = func() *Policy {
@@ -96,7 +96,7 @@
 	return p
 }()
 
-func policyOf(p fleet.Policy) *Policy {
+func policyOf(p agent.Policy) *Policy {
 	if p, ok := p.(*Policy); ok {
 		return p
 	}
@@ -104,7 +104,7 @@
 }
 
 // look classes a statement by all policies that matter now.
-func (r *Reader) look(v *fleet.Ruling) {
+func (r *Reader) look(v *agent.Ruling) {
 	r.ruling = v
 	r.entry, r.second, r.tried, r.touched = policyOf(v.Policy).Plan.Find(&r.subject), 0, 0, false
 	if v.Other != nil {
@@ -119,14 +119,14 @@
 }
 
 // same tells whether two rulings are of the same policies.
-func same(a, b *fleet.Ruling) bool {
+func same(a, b *agent.Ruling) bool {
 	return a == b || a != nil && b != nil && a.Policy == b.Policy && a.Other == b.Other && a.Trial == b.Trial && slices.Equal(a.Known, b.Known)
 }
 
 // follow has the limits be those of what is gone by; false: they can't be.
-func (d *Desk) follow(now admission.Time, v *fleet.Ruling, by uint64) bool {
+func (d *Desk) follow(now admission.Time, v *agent.Ruling, by uint64) bool {
 	p, with := policyOf(v.Policy), (*Policy)(nil)
-	if fleet.Both(by) {
+	if agent.Both(by) {
 		with = policyOf(v.Other)
 	}
 	if d.begun && d.policy == p && d.with == with && d.number == v.Number {
@@ -134,14 +134,14 @@
 	}
 	plan := p.rest
 	if with != nil {
-		plan, _ = route.Meet(&p.Plan, &with.Plan).WithRest()
+		plan, _ = resourcegroup.Meet(&p.Plan, &with.Plan).WithRest()
 	}
 	if err := d.route.Renew(now, plan); err != nil {
 		d.log.Error("policy", "code", "kept", "number", v.Number, "error", err)
 		return false
 	}
 	if d.number != v.Number || !d.begun {
-		d.count = charter.Count{Of: v.Number}
+		d.count = rollout.Count{Of: v.Number}
 	}
 	d.begun, d.policy, d.with, d.number = true, p, with, v.Number
 	d.log.Info("policy", "code", "gone_by", "number", v.Number, "digest", v.Digest.String(), "both", with != nil, "pools", len(p.Plan.Pools), "classes", len(p.Plan.Classes))
@@ -149,7 +149,7 @@
 }
 
 // rehearse keeps a second desk beside the one in force while a policy is tried.
-func (d *Desk) rehearse(now admission.Time, v *fleet.Ruling) {
+func (d *Desk) rehearse(now admission.Time, v *agent.Ruling) {
 	if v.Trial == nil {
 		d.shadow, d.trial, d.tries = nil, 0, nil
 		return
@@ -160,7 +160,7 @@
 			return // it was looked at before
 		}
 		d.turn++
-		d.shadow, d.trial, d.tries, d.tried = s, v.Standing.Trial, p, charter.Count{Of: v.Standing.Trial}
+		d.shadow, d.trial, d.tries, d.tried = s, v.Standing.Trial, p, rollout.Count{Of: v.Standing.Trial}
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	plan := &policyOf(v.Policy).Plan
 	unsure := by == 0 && (k.touched || !v.Heard)
-	if fleet.Both(by) {
+	if agent.Both(by) {
 		unsure = classOf(plan, k.entry) != classOf(&policyOf(v.Other).Plan, k.second)
 	}
 	if unsure || by != 0 && !d.follow(now, v, by) {
@@ -200,9 +200,9 @@
 		d.count.Classed++
 	}
 	switch ruling {
-	case route.Refused:
+	case resourcegroup.Refused:
 		d.count.Refused++
-	case route.Crowded:
+	case resourcegroup.Crowded:
 		d.count.Held++
 	}
 	if d.shadow != nil {
@@ -211,24 +211,24 @@
 		if k.tried > 0 {
 			d.tried.Classed++
 		}
-		if would == route.Refused && ruling != route.Refused {
+		if would == resourcegroup.Refused && ruling != resourcegroup.Refused {
 			d.tried.Refused++
 		}
-		if would == route.Crowded && ruling != route.Crowded {
+		if would == resourcegroup.Crowded && ruling != resourcegroup.Crowded {
 			d.tried.Held++
 		}
-		if f.Trial = d.turn<<trialBits | n; ruling != route.Taken && would == route.Taken && n > 0 {
+		if f.Trial = d.turn<<trialBits | n; ruling != resourcegroup.Taken && would == resourcegroup.Taken && n > 0 {
 			d.shadow.Left(n)
 		}
-		if n == 0 || would != route.Taken {
+		if n == 0 || would != resourcegroup.Taken {
 			f.Trial = 0
 		}
 	}
 	switch ruling {
-	case route.Refused:
+	case resourcegroup.Refused:
 		d.law.Decided("refused", by, "", asOf)
 		return f, false, "class " + plan.Classes[k.entry-1].Name + ": " + text
-	case route.Crowded:
+	case resourcegroup.Crowded:
 		d.law.Decided("crowded", by, "", asOf)
 		return f, true, ""
 	}
@@ -237,7 +237,7 @@
 	return f, false, ""
 }
 
-func classOf(p *route.Plan, entry int) string {
+func classOf(p *resourcegroup.Plan, entry int) string {
 	if entry == 0 || entry > len(p.Classes) {
 		return ""
 	}
--- a/internal/operator/law_test.go
+++ b/internal/workload/law_test.go
@@ -1,4 +1,4 @@
-package operator
+package workload
 
 import (
 	"fmt"
@@ -9,33 +9,33 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/charter"
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/fleet"
-	"magpiebank/internal/mysql"
-	"magpiebank/internal/route"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/cluster/rollout"
+	"magpiebank/internal/config"
+	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/resourcegroup"
 )
 
 // court stands for the fleet: what it has decided is set by hand.
-type court struct{ ruling *fleet.Ruling }
+type court struct{ ruling *agent.Ruling }
 
-func (c *court) Ruling() *fleet.Ruling                              { return c.ruling }
+func (c *court) Ruling() *agent.Ruling                              { return c.ruling }
 func (c *court) Pass(by uint64, _ admission.RequestID) bool         { return by == c.ruling.By(0) }
 func (c *court) Passed(uint64, admission.RequestID)                 {}
 func (c *court) Decided(string, uint64, admission.RequestID, int64) {}
 func (c *court) AsOf() int64                                        { return 0 }
-func (c *court) hold(number uint64, p fleet.Policy)                 { c.ruling = held(number, p) }
+func (c *court) hold(number uint64, p agent.Policy)                 { c.ruling = held(number, p) }
 
-func held(number uint64, p fleet.Policy) *fleet.Ruling {
-	r := &fleet.Ruling{Standing: charter.Standing{Number: number, Until: 1 << 50, Heard: true}, Policy: p}
+func held(number uint64, p agent.Policy) *agent.Ruling {
+	r := &agent.Ruling{Standing: rollout.Standing{Number: number, Until: 1 << 50, Heard: true}, Policy: p}
 	if p != nil {
-		r.Known = []fleet.Policy{p}
+		r.Known = []agent.Policy{p}
 	}
 	return r
 }
 
-func judged(t testing.TB) (*Desk, *court, func(classes string) fleet.Policy) {
-	start := &deployment.Start{Site: &admission.Deployment{Classes: make([]admission.Class, 2), Cores: []float64{8}}, Network: &deployment.Network{Lanes: []string{"look", "load"}, Zones: []string{"norte", "sur"}, Kinds: []string{"std"}}}
+func judged(t testing.TB) (*Desk, *court, func(classes string) agent.Policy) {
+	start := &config.Start{Site: &admission.Deployment{Classes: make([]admission.Class, 2), Cores: []float64{8}}, Network: &config.Network{Lanes: []string{"look", "load"}, Zones: []string{"norte", "sur"}, Kinds: []string{"std"}}}
 	d, err := NewDesk(&Statements{Memory: 1 << 20, LogEvery: time.Hour}, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -44,11 +44,11 @@
 	texts := map[string]*Policy{}
 	d.Obey(c, func(text []byte) (*Policy, error) { return texts[string(text)], nil }, 4)
 	d.Listed(0, admission.Whole, []admission.Listing{{Engine: "n", Zone: 0}, {Engine: "s", Zone: 1}})
-	return d, c, func(classes string) fleet.Policy {
+	return d, c, func(classes string) agent.Policy {
 		p := &Policy{}
 		for _, k := range strings.Fields(classes) { // name:lane:threads, or name:lane:refuse
 			f := strings.Split(k, ":")
-			class := route.Class{Name: f[0], When: route.Fits{Lanes: []string{f[1]}}}
+			class := resourcegroup.Class{Name: f[0], When: resourcegroup.Fits{Lanes: []string{f[1]}}}
 			if f[2] == "refuse" {
 				class.Refuse = "no " + f[0]
 			} else {
@@ -92,7 +92,7 @@
 					if c.Pass(by, "") {
 						fmt.Fprint(&out, ", is written")
 					}
-					if fleet.Both(by) {
+					if agent.Both(by) {
 						fmt.Fprint(&out, " by both")
 					}
 					d.Back(f, 2, charged, 0, false)
@@ -189,7 +189,7 @@
 		out = append(out, f)
 	}
 	d.Due(30)
-	if got := d.Counted(); got != (charter.Count{Of: 7, Tasks: 4, Classed: 4, Refused: 2, Held: 1}) {
+	if got := d.Counted(); got != (rollout.Count{Of: 7, Tasks: 4, Classed: 4, Refused: 2, Held: 1}) {
 		t.Errorf("%+v", got)
 	}
 	c.ruling = held(1, c.ruling.Policy)
--- a/internal/operator/operator.go
+++ b/internal/workload/operator.go
@@ -1,22 +1,22 @@
-// Package operator is what a gateway does besides what the platform asks for, as the operator's own file says: statements are
+// Package workload is what a gateway does besides what the platform asks for, as the operator's own file says: statements are
 // read and costed, put into classes, and held to pools and limits. All of it is off unless it is asked for, and stands in a
 // program of its own (cmd/magpiebank-operator), so that a gateway without it carries nothing of it. Package source reads the
 // file, which is Jsonnet with units.
-package operator
+package workload
 
 import (
 	"path"
 	"time"
 
-	"magpiebank/internal/fleet"
-	"magpiebank/internal/route"
-	"magpiebank/internal/statement"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/query/costmodel"
+	"magpiebank/internal/resourcegroup"
 )
 
 // File is what the operator asks for.
 type File struct {
 	Statements *Statements // nil: statements are not looked at
-	Fleet      *fleet.Plan // nil: this gateway speaks to no other
+	Fleet      *agent.Plan // nil: this gateway speaks to no other
 	Proposed   bool        // it has classes or pools that are gone by only once the fleet has decided so
 }
 
@@ -26,7 +26,7 @@
 	Tables   []Table
 	LogEvery time.Duration
 	Snapshot string // file that what is learned is kept in; empty: it is lost at the end
-	Plan     route.Plan
+	Plan     resourcegroup.Plan
 }
 
 // Table is what is known of tables before any answer.
@@ -37,12 +37,12 @@
 }
 
 // Book is an empty book of statements for so many lanes.
-func (s *Statements) Book(lanes int) *statement.Book {
-	return statement.NewBook(s.Memory, lanes, s.Known())
+func (s *Statements) Book(lanes int) *costmodel.Book {
+	return costmodel.NewBook(s.Memory, lanes, s.Known())
 }
 
 // Known is what the file says of tables; nil: nothing.
-func (s *Statements) Known() statement.Tables {
+func (s *Statements) Known() costmodel.Tables {
 	if len(s.Tables) == 0 {
 		return nil
 	}
@@ -50,7 +50,7 @@
 }
 
 // lookUp finds the first entry that a table fits.
-func (s *Statements) lookUp(t *statement.Table) (rows float64, keys []string, ok bool) {
+func (s *Statements) lookUp(t *costmodel.Table) (rows float64, keys []string, ok bool) {
 	for i := range s.Tables {
 		e := &s.Tables[i]
 		schema, _ := path.Match(e.Schema, t.Schema)
--- a/internal/operator/operator_test.go
+++ b/internal/workload/operator_test.go
@@ -1,4 +1,4 @@
-package operator_test
+package workload_test
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 
 	driver "github.com/go-sql-driver/mysql"
 
-	"magpiebank/internal/deployment"
-	"magpiebank/internal/operator"
-	"magpiebank/internal/operator/source"
+	"magpiebank/internal/config"
 	"magpiebank/internal/router"
-	"magpiebank/internal/standin"
+	"magpiebank/internal/testbed/fake"
+	"magpiebank/internal/workload"
+	"magpiebank/internal/workload/source"
 )
 
 const settings = `{"fleetSize":1,"zones":["norte","sur"],"skus":["std"],
@@ -57,11 +57,11 @@
 type gateway struct {
 	t       *testing.T
 	log     log
-	desk    *operator.Desk
+	desk    *workload.Desk
 	db      *sql.DB
-	engines [2]*standin.Engine
-	entries [2]standin.Entry
-	list    *standin.List
+	engines [2]*fake.Engine
+	entries [2]fake.Entry
+	list    *fake.List
 	end     func()
 }
 
@@ -70,15 +70,15 @@
 	g := &gateway{t: t}
 	for i, zone := range []string{"norte", "sur"} {
 		name := "e-" + zone
-		e, err := standin.StartEngine(name, "127.0.0.1:0", standin.Manner{Threads: 8, Cores: 8, Works: []standin.Work{
-			{Contains: "otra", Service: standin.Spread{Mean: 300 * time.Millisecond}, Rows: 1}, {Service: standin.Spread{Mean: 2 * time.Millisecond}, Rows: 1, MemoryMB: 32}}}, standin.NewLog(), 1)
+		e, err := fake.StartEngine(name, "127.0.0.1:0", fake.Manner{Threads: 8, Cores: 8, Works: []fake.Work{
+			{Contains: "otra", Service: fake.Spread{Mean: 300 * time.Millisecond}, Rows: 1}, {Service: fake.Spread{Mean: 2 * time.Millisecond}, Rows: 1, MemoryMB: 32}}}, fake.NewLog(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.engines[i], g.entries[i] = e, standin.Entry{ID: name, Address: e.Address, Zone: zone, Kind: "std", State: "Ready"}
+		g.engines[i], g.entries[i] = e, fake.Entry{ID: name, Address: e.Address, Zone: zone, Kind: "std", State: "Ready"}
 	}
 	var err error
-	if g.list, err = standin.StartList("127.0.0.1:0", g.entries[:]); err != nil {
+	if g.list, err = fake.StartList("127.0.0.1:0", g.entries[:]); err != nil {
 		t.Fatal(err)
 	}
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,7 +90,7 @@
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	os.WriteFile(path, []byte(fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","coordinator":%q,"known":%s,"settings":%s}`, address,
 		g.list.Address, g.list.Known(), settings)), 0o600)
-	start, err := deployment.ReadStart(path)
+	start, err := config.ReadStart(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.desk, err = operator.NewDesk(f.Statements, start, logger); err != nil {
+	if g.desk, err = workload.NewDesk(f.Statements, start, logger); err != nil {
 		t.Fatal(err)
 	}
 	stop, ended := make(chan struct{}), make(chan error)
@@ -217,7 +217,7 @@
 	g.logs("msg=statements seen=")
 	g.end()
 	g.logs("code=saved")
-	s, err := operator.ReadSnapshot(kept)
+	s, err := workload.ReadSnapshot(kept)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operator/source/policy.go
+++ b/internal/workload/source/policy.go
@@ -7,15 +7,15 @@
 	"time"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/charter"
-	"magpiebank/internal/form"
-	"magpiebank/internal/operator"
+	"magpiebank/internal/cluster/rollout"
+	"magpiebank/internal/configfile"
+	"magpiebank/internal/workload"
 )
 
 // Policy takes the part of an operator's file that is the fleet's policy (pools, classes, and what is asked of a change) out of it,
 // as members read it: JSON, with nothing left to evaluate.
 func Policy(file string) (text []byte, err error) {
-	f, o, err := form.Read(file)
+	f, o, err := configfile.Read(file)
 	if err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 	if _, err := os.Stat(file); err != nil {
 		return why
 	}
-	f, _, err := form.Read(file)
+	f, _, err := configfile.Read(file)
 	if err != nil {
 		return why
 	}
@@ -54,12 +54,12 @@
 }
 
 // ParsePolicy reads a policy; an error begins with the field.
-func ParsePolicy(text []byte) (*operator.Policy, error) {
-	o, err := form.FromJSON(text)
+func ParsePolicy(text []byte) (*workload.Policy, error) {
+	o, err := configfile.FromJSON(text)
 	if err != nil {
 		return nil, err
 	}
-	p := &operator.Policy{}
+	p := &workload.Policy{}
 	if s := o.Object("statements"); s != nil {
 		p.Plan = plan(s)
 	}
@@ -73,8 +73,8 @@
 const usualBoth = 30 * time.Second
 
 // terms reads what a policy asks of the change to it.
-func terms(k *form.Object) (t charter.Terms) {
-	length := func(o *form.Object, name string, usual, most time.Duration) admission.Time {
+func terms(k *configfile.Object) (t rollout.Terms) {
+	length := func(o *configfile.Object, name string, usual, most time.Duration) admission.Time {
 		d := o.Duration(name, usual)
 		if d < 100*time.Millisecond || d > most {
 			o.Fail(name, fmt.Sprintf(`a time from "100ms" to "%v"`, most))
@@ -86,8 +86,8 @@
 	} else if k.Has("both_for") {
 		k.Fail("both_for", `none but with silent: "both"`)
 	}
-	bounds := func(o *form.Object) charter.Bounds {
-		return charter.Bounds{Refused: o.Share("refused_above", 1), Held: o.Share("held_above", 1)}
+	bounds := func(o *configfile.Object) rollout.Bounds {
+		return rollout.Bounds{Refused: o.Share("refused_above", 1), Held: o.Share("held_above", 1)}
 	}
 	if o := k.Object("rehearse"); o != nil {
 		t.Rehearse, t.Guard = length(o, "length", 5*time.Second, 5*time.Minute), bounds(o)
--- a/internal/operator/source/source.go
+++ b/internal/workload/source/source.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"magpiebank/internal/fleet"
-	"magpiebank/internal/form"
-	"magpiebank/internal/operator"
-	"magpiebank/internal/route"
-	"magpiebank/internal/statement"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/configfile"
+	"magpiebank/internal/query/costmodel"
+	"magpiebank/internal/resourcegroup"
+	"magpiebank/internal/workload"
 )
 
 // The figures where the file names none: a gateway of 48 MB keeps to 8, so what is learned may have two more; a line a
@@ -26,8 +26,8 @@
 )
 
 // Read reads the file.
-func Read(file string) (*operator.File, error) {
-	_, o, err := form.Read(file)
+func Read(file string) (*workload.File, error) {
+	_, o, err := configfile.Read(file)
 	if err != nil {
 		return nil, err
 	}
@@ -35,18 +35,18 @@
 }
 
 // Parse reads a text that stands for a file of that name.
-func Parse(name, text string) (*operator.File, error) {
-	_, o, err := form.Parse(name, text)
+func Parse(name, text string) (*workload.File, error) {
+	_, o, err := configfile.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
 	return decode(o)
 }
 
-func decode(o *form.Object) (*operator.File, error) {
-	f := &operator.File{}
+func decode(o *configfile.Object) (*workload.File, error) {
+	f := &workload.File{}
 	if s := o.Object("statements"); s != nil {
-		f.Statements = &operator.Statements{Memory: s.Size("memory", usualMemory), LogEvery: s.Duration("log_every", usualLog)}
+		f.Statements = &workload.Statements{Memory: s.Size("memory", usualMemory), LogEvery: s.Duration("log_every", usualLog)}
 		if m := f.Statements.Memory; m < 64<<10 || m > 1<<30 {
 			s.Fail("memory", `a size from "64kB" to "1GB"`)
 		}
@@ -56,7 +56,7 @@
 		f.Statements.Snapshot = s.Text("snapshot", "")
 		for _, t := range s.Objects("tables") {
 			p := pattern(t)
-			f.Statements.Tables = append(f.Statements.Tables, operator.Table{Schema: p.Schema, Name: p.Name,
+			f.Statements.Tables = append(f.Statements.Tables, workload.Table{Schema: p.Schema, Name: p.Name,
 				Rows: t.Number("rows", 0, 0, 1e15), Keys: t.Texts("keys")})
 		}
 		f.Statements.Plan = plan(s)
@@ -64,7 +64,7 @@
 	if l := o.Object("fleet"); l != nil {
 		f.Fleet = members(l)
 		if k := l.Object("budgets"); k != nil {
-			b := &fleet.Budgets{Keepers: k.Texts("keepers"), Term: k.Duration("term", usualTerm), Number: uint64(k.Count("number", 1, 1, 1<<30)), Folder: k.Text("folder", "")}
+			b := &agent.Budgets{Keepers: k.Texts("keepers"), Term: k.Duration("term", usualTerm), Number: uint64(k.Count("number", 1, 1, 1<<30)), Folder: k.Text("folder", "")}
 			if n := len(b.Keepers); n != 1 && n != 3 && n != 5 {
 				k.Fail("keepers", "the names of 1, 3 or 5 gateways")
 			}
@@ -77,7 +77,7 @@
 				b.Number = 0
 			}
 			if b.Cold = k.Flag("cold", false); b.Cold {
-				b.Names, b.Totals = fleet.ColdBudgets()
+				b.Names, b.Totals = agent.ColdBudgets()
 			}
 			f.Fleet.Budgets = b
 		}
@@ -90,7 +90,7 @@
 	}
 	if s := f.Statements; s != nil && f.Fleet != nil && f.Fleet.Policy != nil {
 		f.Proposed = len(s.Plan.Pools)+len(s.Plan.Classes) > 0
-		s.Plan = route.Plan{} // what is gone by is what the fleet has decided
+		s.Plan = resourcegroup.Plan{} // what is gone by is what the fleet has decided
 	}
 	if s := f.Statements; s != nil {
 		for i, c := range s.Plan.Classes {
@@ -127,8 +127,8 @@
 const usualTerm = time.Minute
 
 // members reads how the gateways of a fleet reach each other.
-func members(l *form.Object) *fleet.Plan {
-	p := &fleet.Plan{Listen: l.Needed("listen"), Advertise: l.Text("advertise", ""), Seeds: l.Texts("seeds"), Key: l.Needed("key"),
+func members(l *configfile.Object) *agent.Plan {
+	p := &agent.Plan{Listen: l.Needed("listen"), Advertise: l.Text("advertise", ""), Seeds: l.Texts("seeds"), Key: l.Needed("key"),
 		Rate: l.Size("bytes_per_second", usualRate), Control: l.Text("control", ""), History: l.Text("history", ""),
 		Sharing: l.Flag("judgements", true), Counts: l.Flag("counts", false)}
 	if _, err := netip.ParseAddrPort(p.Listen); p.Listen != "" && err != nil {
@@ -147,7 +147,7 @@
 		}
 	}
 	if k := l.Object("policy"); k != nil {
-		p.Policy = &fleet.PolicyPlan{Voters: k.Texts("voters"), Folder: k.Text("folder", ""), Lease: k.Duration("lease", usualLease), Within: k.Duration("within", usualWithin)}
+		p.Policy = &agent.PolicyPlan{Voters: k.Texts("voters"), Folder: k.Text("folder", ""), Lease: k.Duration("lease", usualLease), Within: k.Duration("within", usualWithin)}
 		if n := len(p.Policy.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
 			k.Fail("voters", "the names of 3, 5 or 7 gateways, or of one")
 		}
@@ -165,8 +165,8 @@
 }
 
 // pattern reads a pattern of tables' names.
-func pattern(t *form.Object) route.Table {
-	p := route.Table{Schema: t.Text("schema", "*"), Name: t.Needed("name")}
+func pattern(t *configfile.Object) resourcegroup.Table {
+	p := resourcegroup.Table{Schema: t.Text("schema", "*"), Name: t.Needed("name")}
 	for _, f := range []struct{ field, text string }{{"schema", p.Schema}, {"name", p.Name}} {
 		if _, err := path.Match(f.text, ""); err != nil {
 			t.Fail(f.field, "a name, with * for any letters")
@@ -176,10 +176,10 @@
 }
 
 // plan reads pools and classes. A class that follows one for all statements would never be reached.
-func plan(s *form.Object) (p route.Plan) {
+func plan(s *configfile.Object) (p resourcegroup.Plan) {
 	pools, classes := map[string]bool{"": true}, map[string]bool{}
 	for _, o := range s.Objects("pools") {
-		pool := route.Pool{Name: o.Needed("name"), Zones: o.Texts("zones"), Kinds: o.Texts("kinds")}
+		pool := resourcegroup.Pool{Name: o.Needed("name"), Zones: o.Texts("zones"), Kinds: o.Texts("kinds")}
 		if pools[pool.Name] && pool.Name != "" {
 			o.Fail("name", "a name that no other pool has")
 		}
@@ -188,7 +188,7 @@
 	}
 	all := ""
 	for _, o := range s.Objects("classes") {
-		c := route.Class{Name: o.Needed("name"), Pool: o.Text("pool", ""), Threads: o.Number("threads", 0, 0.1, 1e6),
+		c := resourcegroup.Class{Name: o.Needed("name"), Pool: o.Text("pool", ""), Threads: o.Number("threads", 0, 0.1, 1e6),
 			Waiting: o.Count("waiting", 0, 1, 1e6), Work: float64(o.Duration("work_per_second", 0)) / 1e6, Refuse: o.Text("refuse", ""), Fleet: o.Flag("fleet", false)}
 		if c.Fleet && c.Threads != math.Trunc(c.Threads) {
 			o.Fail("threads", "a whole number of threads, where they are the fleet's")
@@ -218,13 +218,13 @@
 		}
 		p.Classes = append(p.Classes, c)
 	}
-	if len(p.Classes) > route.MostClasses {
-		s.Fail("classes", fmt.Sprintf("at most %d", route.MostClasses))
+	if len(p.Classes) > resourcegroup.MostClasses {
+		s.Fail("classes", fmt.Sprintf("at most %d", resourcegroup.MostClasses))
 	}
 	return p
 }
 
-func fits(w *form.Object) (f route.Fits) {
+func fits(w *configfile.Object) (f resourcegroup.Fits) {
 	flag := func(name string) *bool {
 		if !w.Has(name) {
 			return nil
@@ -233,12 +233,12 @@
 		return &v
 	}
 	ms := func(name string) float64 { return float64(w.Duration(name, 0)) / 1e6 }
-	f = route.Fits{Lanes: w.Texts("lanes"), Verbs: w.Texts("verbs"), Full: flag("full"), Limited: flag("limited"), Doubt: flag("doubt"),
+	f = resourcegroup.Fits{Lanes: w.Texts("lanes"), Verbs: w.Texts("verbs"), Full: flag("full"), Limited: flag("limited"), Doubt: flag("doubt"),
 		WorkFrom: ms("work_from"), UpperFrom: ms("upper_from"), MemoryFrom: float64(w.Size("memory_from", 0)) / (1 << 20),
 		BadFrom: w.Share("bad_from", 0), JoinsFrom: w.Count("joins_from", 0, 0, 1e6), LooseFrom: w.Count("loose_from", 0, 0, 1e6)}
 	for _, v := range f.Verbs {
-		if !slices.Contains(statement.Verbs(), v) {
-			w.Fail("verbs", "some of "+strings.Join(statement.Verbs(), ", "))
+		if !slices.Contains(costmodel.Verbs(), v) {
+			w.Fail("verbs", "some of "+strings.Join(costmodel.Verbs(), ", "))
 		}
 	}
 	for _, t := range w.Objects("tables") {
