--- /dev/null
+++ b/internal/testbed/golden/golden.go
@@ -0,0 +1,131 @@
+// Package golden holds stored and exchanged forms against files that an earlier version wrote. Each form has a file with its bytes
+// and one with the values that the earlier version had put into it, so that renamed or regrouped fields still read what they read
+// before. The files lie in testdata/format of the package that reads the form; they are never written anew.
+package golden
+
+import (
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const folder = "testdata/format"
+
+// Read returns the bytes of a file in testdata/format.
+func Read(t testing.TB, file string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join(folder, file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// CheckRoundTrip decodes the file NAME.form, compares the decoded values with those listed in NAME.values, and expects that encoding
+// gives the bytes of the file again.
+func CheckRoundTrip[T any](t testing.TB, name string, decode func([]byte) (T, error), encode func(T) []byte) {
+	t.Helper()
+	form := Read(t, name+".form")
+	value, err := decode(form)
+	if err != nil {
+		t.Fatalf("%s: decoding what an earlier version wrote: %v", name, err)
+	}
+	CheckValues(t, name, value)
+	again := encode(value)
+	if string(again) != string(form) {
+		t.Errorf("%s: encoding again gives other bytes:\nexpected %q\nfound    %q", name, form, again)
+	}
+}
+
+// CheckValues compares the non-zero values below a value, in the order of its fields, with those listed in NAME.values.
+func CheckValues(t testing.TB, name string, value any) {
+	t.Helper()
+	expected := strings.Split(strings.TrimSuffix(string(Read(t, name+".values")), "\n"), "\n")
+	found := Values(value)
+	for i := range max(len(expected), len(found)) {
+		switch {
+		case i >= len(found):
+			t.Fatalf("%s: value %d: expected %s, found no more", name, i+1, expected[i])
+		case i >= len(expected):
+			t.Fatalf("%s: value %d: expected no more, found %s", name, i+1, found[i])
+		case expected[i] != found[i]:
+			t.Fatalf("%s: value %d: expected %s, found %s (values are in the order of the fields)", name, i+1, expected[i], found[i])
+		}
+	}
+}
+
+// Values lists the non-zero numbers, texts and truths below a value, exported or not, in the order of the fields.
+func Values(value any) []string { return appendValues(nil, reflect.ValueOf(value)) }
+
+func appendValues(list []string, v reflect.Value) []string {
+	if !v.IsValid() || v.IsZero() {
+		return list
+	}
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		return appendValues(list, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			list = appendValues(list, v.Field(i))
+		}
+		return list
+	case reflect.Slice, reflect.Array:
+		return appendElements(list, v)
+	case reflect.String:
+		return append(list, strconv.Quote(v.String()))
+	case reflect.Bool:
+		return append(list, "true")
+	case reflect.Float32, reflect.Float64:
+		return append(list, strconv.FormatFloat(v.Float(), 'g', -1, 64))
+	}
+	if v.CanInt() {
+		return append(list, strconv.FormatInt(v.Int(), 10))
+	}
+	if v.CanUint() {
+		return append(list, strconv.FormatUint(v.Uint(), 10))
+	}
+	panic("golden: no way to list a " + v.Kind().String())
+}
+
+func appendElements(list []string, v reflect.Value) []string {
+	if v.Type().Elem().Kind() == reflect.Uint8 {
+		bytes := make([]byte, v.Len())
+		for i := range bytes {
+			bytes[i] = byte(v.Index(i).Uint())
+		}
+		return append(list, hex.EncodeToString(bytes))
+	}
+	for i := range v.Len() {
+		list = appendValues(list, v.Index(i))
+	}
+	return list
+}
+
+// ZeroFields lists the fields below a value that hold nothing, by their paths.
+func ZeroFields(value any) []string { return appendZeroFields(nil, "", reflect.ValueOf(value)) }
+
+func appendZeroFields(list []string, path string, v reflect.Value) []string {
+	if !v.IsValid() || v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0 {
+		return append(list, path)
+	}
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		return appendZeroFields(list, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			list = appendZeroFields(list, path+"."+v.Type().Field(i).Name, v.Field(i))
+		}
+	case reflect.Slice:
+		if v.Type().Elem().Kind() == reflect.Uint8 {
+			return list
+		}
+		for i := range v.Len() {
+			list = appendZeroFields(list, path+"["+strconv.Itoa(i)+"]", v.Index(i))
+		}
+	}
+	return list
+}
