--- a/cmd/magpiebank-operator/digest.go
+++ b/cmd/magpiebank-operator/digest.go
@@ -26,13 +26,13 @@
 			if err != nil {
 				return err
 			}
-			var costs digest.Costs
+			var costs digest.CostLookup
 			if snapshot != "" {
 				known, err := workload.ReadSnapshot(snapshot)
 				if err != nil {
 					return err
 				}
-				costs = known.Cost
+				costs = known.UsualMillis
 			}
 			entries, amiss, err := recorded(args[0], form)
 			if err != nil {
@@ -44,13 +44,13 @@
 			if len(entries) == 0 {
 				return fmt.Errorf("%s: expected statements, found none", args[0])
 			}
-			d := digest.Of(entries, most, s.Known(), costs)
+			d := digest.Summarize(entries, most, s.Known(), costs)
 			if page != "" {
 				f, err := os.Create(page)
 				if err != nil {
 					return err
 				}
-				if err := errors.Join(d.Page(f), f.Close()); err != nil {
+				if err := errors.Join(d.WriteHTML(f), f.Close()); err != nil {
 					return err
 				}
 			}
@@ -59,7 +59,7 @@
 				out.SetIndent("", " ")
 				return out.Encode(d)
 			}
-			return d.Text(c.OutOrStdout())
+			return d.WriteText(c.OutOrStdout())
 		}}
 	c.Flags().StringVar(&form, "form", "", "trace, mysql-slow, mysql-general, jsonl or csv; default told from the file's beginning: a trace, or a slow log")
 	c.Flags().StringVar(&file, "operator", "", "the operator's file, for what it says of tables")
@@ -87,16 +87,16 @@
 			form = "trace"
 		}
 	}
-	var raws []importer.Raw
+	var raws []importer.Entry
 	if form == "trace" {
 		t, err := trace.Read(f)
 		if err != nil {
 			return nil, nil, err
 		}
 		for _, r := range t.Records {
-			raws = append(raws, importer.Raw{Record: r})
+			raws = append(raws, importer.Entry{Record: r})
 		}
-	} else if raws, amiss, err = importer.Read(f, importer.Form(form), importer.Options{KeepText: true}); err != nil {
+	} else if raws, amiss, err = importer.Read(f, importer.Format(form), importer.Options{KeepText: true}); err != nil {
 		return nil, nil, err
 	}
 	for i := range raws {
@@ -104,7 +104,7 @@
 		if r.Record.Shape == 0 {
 			continue // nothing of its statement was recorded
 		}
-		entries = append(entries, digest.Entry{Shape: r.Record.Shape, Group: r.Record.Group, Text: r.Record.Text, Took: r.Took, Examined: r.Examined})
+		entries = append(entries, digest.Entry{Shape: r.Record.Shape, Group: r.Record.Group, Text: r.Record.Text, Elapsed: r.Elapsed, RowsExamined: r.RowsExamined})
 	}
 	return entries, amiss, nil
 }
@@ -118,8 +118,8 @@
 				if err != nil {
 					return err
 				}
-				shapes, answers := s.Records()
-				fmt.Fprintf(c.OutOrStdout(), "%s: lanes %q, %d shapes on groups of tables, %d answers\n", file, s.Lanes(), shapes, answers)
+				shapes, answers := s.CountRecords()
+				fmt.Fprintf(c.OutOrStdout(), "%s: lanes %q, %d shapes on groups of tables, %d answers\n", file, s.ClassNames(), shapes, answers)
 			}
 			return nil
 		}}
@@ -137,11 +137,11 @@
 				}
 				list = append(list, s)
 			}
-			one := costmodel.Merge(list...)
+			one := costmodel.MergeSnapshots(list...)
 			if err := workload.WriteSnapshot(out, one); err != nil {
 				return err
 			}
-			shapes, answers := one.Records()
+			shapes, answers := one.CountRecords()
 			fmt.Fprintf(c.OutOrStdout(), "%s: %d shapes on groups of tables, %d answers\n", out, shapes, answers)
 			return nil
 		}}
--- a/cmd/magpiebank-operator/explain.go
+++ b/cmd/magpiebank-operator/explain.go
@@ -46,7 +46,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			text := strings.Join(args, " ")
 			if len(args) == 0 {
-				b, err := io.ReadAll(io.LimitReader(c.InOrStdin(), sqltext.MostText+1))
+				b, err := io.ReadAll(io.LimitReader(c.InOrStdin(), sqltext.MaxStatementBytes+1))
 				if err != nil {
 					return err
 				}
@@ -104,10 +104,10 @@
 			return err
 		}
 		if err == nil {
-			b.Begin(known, lanes)
+			b.Restore(known, lanes)
 		}
 	}
-	sight := b.Look(sql, mysql.Tables(sql), 0)
+	sight := b.Inspect(sql, mysql.TableGroup(sql), 0)
 	f, e := sight.Features(), b.Estimate(&sight)
 	if lane != "" {
 		fmt.Fprintf(out, "lane       %s\n", lane)
@@ -124,11 +124,11 @@
 		fmt.Fprintf(out, "and %d more", f.Tokens-n)
 	}
 	fmt.Fprintln(out)
-	fmt.Fprintf(out, "shape      %016x\nnormal     %s\ngroup      %d\n", sight.Shape, sqltext.Normal(nil, sql), sight.Group)
+	fmt.Fprintf(out, "shape      %016x\nnormal     %s\ngroup      %d\n", sight.Shape, sqltext.AppendNormalized(nil, sql), sight.Group)
 	if f.Parsed {
 		fmt.Fprintf(out, "read       by the grammar, %d tokens\n", f.Tokens)
 	} else {
-		fmt.Fprintf(out, "read       from its tokens alone: %s\n", f.Why)
+		fmt.Fprintf(out, "read       from its tokens alone: %s\n", f.ParseError)
 	}
 	fmt.Fprintf(out, "verb       %s\n", f.Verb)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
@@ -147,22 +147,22 @@
 	}
 	w.Flush()
 	fmt.Fprintf(out, "joins %d (%d loose), subqueries %d, unions %d, aggregates %d, groups %d, sorts %d, windows %d, limit %d\n", f.Joins,
-		f.Loose, f.Subqueries, f.Unions, f.Aggregates, f.Groups, f.Sorts, f.Windows, f.Limit)
-	if e.Full != "" {
-		fmt.Fprintf(out, "full scan  of %s: no equality, range or prefix on a key narrows it\n", e.Full)
+		f.UnboundJoins, f.Subqueries, f.Unions, f.Aggregates, f.Groups, f.Sorts, f.Windows, f.Limit)
+	if e.FullScan != "" {
+		fmt.Fprintf(out, "full scan  of %s: no equality, range or prefix on a key narrows it\n", e.FullScan)
 	}
 	switch {
-	case e.Answers > 0:
-		fmt.Fprintf(out, "estimate   %.1f ms usually, nine of ten under %.1f ms, %.0f MB; by %d answers\n", e.Work, e.Upper, e.Memory, e.Answers)
-		if e.Bad > 0 {
-			fmt.Fprintf(out, "bad plans  %.0f%% of answers took %.0f times the usual\n", 100*e.Bad, e.Times)
+	case e.Observations > 0:
+		fmt.Fprintf(out, "estimate   %.1f ms usually, nine of ten under %.1f ms, %.0f MB; by %d answers\n", e.WorkMillis, e.UpperMillis, e.MemoryMB, e.Observations)
+		if e.BadPlanShare > 0 {
+			fmt.Fprintf(out, "bad plans  %.0f%% of answers took %.0f times the usual\n", 100*e.BadPlanShare, e.BadPlanFactor)
 		}
 	case e.Known:
-		fmt.Fprintf(out, "estimate   %.1f ms usually, nine of ten under %.1f ms; by its features and its lane's answers\n", e.Work, e.Upper)
+		fmt.Fprintf(out, "estimate   %.1f ms usually, nine of ten under %.1f ms; by its features and its lane's answers\n", e.WorkMillis, e.UpperMillis)
 	default:
-		fmt.Fprintf(out, "estimate   %.1f times its lane's usual work; no answer is known of the lane\n", e.Work)
+		fmt.Fprintf(out, "estimate   %.1f times its lane's usual work; no answer is known of the lane\n", e.WorkMillis)
 	}
-	if e.Doubt {
+	if e.Uncertain {
 		fmt.Fprintln(out, "doubt      a load ended on its tables, or its cost moved: the upper figure is doubled")
 	}
 	subject := resourcegroup.Subject{Lane: lane, Features: f, Estimate: e}
@@ -175,7 +175,7 @@
 	fmt.Fprintf(out, "class      %s, the %d. of the file: pool %q, %g threads, %d waiting, %g ms of work a second\n", k.Name, n, k.Pool, k.Threads,
 		k.Waiting, k.Work)
 	if k.Refuse != "" {
-		fmt.Fprintf(out, "never sent: error %d, %s\n", mysql.ErrBarred, k.Refuse)
+		fmt.Fprintf(out, "never sent: error %d, %s\n", mysql.ErrForbidden, k.Refuse)
 	}
 	return nil
 }
--- a/cmd/magpiebank-testbed/clock.go
+++ b/cmd/magpiebank-testbed/clock.go
@@ -23,23 +23,23 @@
 		return err
 	}
 	truth, recorded := jumpingLog()
-	raws, amiss, err := importer.Read(bytes.NewReader(recorded), importer.JSONLines, importer.Options{Lane: "look", Wait: 5 * time.Second})
+	raws, amiss, err := importer.Read(bytes.NewReader(recorded), importer.JSONLines, importer.Options{Class: "look", Wait: 5 * time.Second})
 	if err != nil {
 		return err
 	}
-	t, repairs := importer.Mend(raws, importer.Clock{})
+	t, repairs := importer.RepairClock(raws, importer.ClockRepair{})
 	path := filepath.Join(o.folder, "mended.trace")
 	if err := t.WriteFile(path); err != nil {
 		return err
 	}
 	for _, r := range repairs {
-		if r.Count > 1 || r.Kind != importer.Repeated {
+		if r.Count > 1 || r.Kind != importer.RepeatedTimestamp {
 			fmt.Fprintln(c.OutOrStdout(), "mended:", r)
 		}
 	}
 	var worst time.Duration
 	for i := range t.Records {
-		worst = max(worst, (t.Records[i].At - truth[i]).Abs())
+		worst = max(worst, (t.Records[i].Offset - truth[i]).Abs())
 	}
 	const bound = 250 * time.Millisecond // three jumps whose true gaps nobody knows any more, and stamps spread evenly
 	fmt.Fprintf(c.OutOrStdout(), "%d records, %d amiss; intended times differ from the true ones by %v at most, the bound is %v\n\n",
--- a/cmd/magpiebank-testbed/trace.go
+++ b/cmd/magpiebank-testbed/trace.go
@@ -23,12 +23,12 @@
 func importCommand() *cobra.Command {
 	var form, out, lane, columns string
 	var wait time.Duration
-	var clock importer.Clock
+	var clock importer.ClockRepair
 	var keepText, asJSON bool
 	c := &cobra.Command{Use: "import FILE", Short: "Make a trace of JSON lines, CSV or MySQL's general or slow log, and mend its clock",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			options := importer.Options{Lane: lane, Wait: wait, KeepText: keepText, Columns: map[string]string{}}
+			options := importer.Options{Class: lane, Wait: wait, KeepText: keepText, Columns: map[string]string{}}
 			for _, pair := range strings.Split(columns, ",") {
 				if pair == "" {
 					continue
@@ -48,11 +48,11 @@
 				defer f.Close()
 				in = f
 			}
-			raws, amiss, err := importer.Read(in, importer.Form(form), options)
+			raws, amiss, err := importer.Read(in, importer.Format(form), options)
 			if err != nil {
 				return badFile{fmt.Errorf("%s: %w", args[0], err)}
 			}
-			t, repairs := importer.Mend(raws, clock)
+			t, repairs := importer.RepairClock(raws, clock)
 			if err := t.WriteFile(out); err != nil {
 				return err
 			}
@@ -75,7 +75,7 @@
 	c.Flags().StringVar(&columns, "columns", "", "names in the file for time, lane, group, wait_ms, retry, statement: NAME=COLUMN,...")
 	c.Flags().BoolVar(&keepText, "keep-text", false, "keep statements, not their shapes only")
 	c.Flags().BoolVar(&clock.KeepGaps, "keep-gaps", false, "long gaps are quiet times, not jumps of the clock")
-	c.Flags().DurationVar(&clock.MostGap, "most-gap", time.Minute, "a longer gap is a jump of the clock")
+	c.Flags().DurationVar(&clock.MaxGap, "most-gap", time.Minute, "a longer gap is a jump of the clock")
 	c.Flags().BoolVar(&asJSON, "json", false, "print the report as JSON")
 	c.MarkFlagRequired("out")
 	return c
@@ -85,7 +85,7 @@
 	if len(t.Records) == 0 {
 		return 0
 	}
-	return t.Records[len(t.Records)-1].At
+	return t.Records[len(t.Records)-1].Offset
 }
 
 func showTraceCommand() *cobra.Command {
@@ -101,7 +101,7 @@
 						fmt.Fprintf(c.OutOrStdout(), "and %d more\n", len(t.Records)-i)
 						break
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%12.6f s  %-16s group %-4d wait %d ms  retry %v  shape %016x  %s\n", r.At.Seconds(), r.Lane,
+					fmt.Fprintf(c.OutOrStdout(), "%12.6f s  %-16s group %-4d wait %d ms  retry %v  shape %016x  %s\n", r.Offset.Seconds(), r.Class,
 						r.Group, r.WaitMS, r.Retry, r.Shape, r.Text)
 				}
 			}
@@ -135,12 +135,12 @@
 				return badFile{fmt.Errorf("expected speed above 0, thin from 0 to 1, loop from 1, and times from 0")}
 			}
 			if from > 0 || to > 0 {
-				t = importer.Cut(t, from, to)
+				t = importer.Trim(t, from, to)
 			}
 			if thin < 1 {
-				t = importer.Thin(t, thin, seed)
+				t = importer.Sample(t, thin, seed)
 			}
-			t = importer.Loop(importer.Speed(t, speed), loop)
+			t = importer.Repeat(importer.Accelerate(t, speed), loop)
 			if err := t.WriteFile(out); err != nil {
 				return err
 			}
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -199,7 +199,7 @@
 				return err
 			}
 			log := slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: least}))
-			var tape *capture.Capture
+			var tape *capture.Recorder
 			if file != "" {
 				if tape, err = capture.Start(file, most<<20, text, log); err != nil {
 					return cannot{err}
--- a/internal/configfile/form.go
+++ b/internal/configfile/configfile.go
@@ -69,8 +69,8 @@
 	return f, f.object(nil, object), nil
 }
 
-// FromJSON reads a text with nothing to evaluate, and no lines to name: errors begin with the field.
-func FromJSON(text []byte) (*Object, error) {
+// ParseJSON reads a text with nothing to evaluate, and no lines to name: errors begin with the field.
+func ParseJSON(text []byte) (*Object, error) {
 	var root any
 	if err := json.Unmarshal(text, &root); err != nil {
 		return nil, err
@@ -82,8 +82,8 @@
 	return (&File{lines: &places{}}).object(nil, object), nil
 }
 
-// Place puts the file's name and line before an error that begins with the path of a field, as in "load.parts[1].rate: expected ...".
-func (f *File) Place(text string) string {
+// LocateError puts the file's name and line before an error that begins with the path of a field, as in "load.parts[1].rate: expected ...".
+func (f *File) LocateError(text string) string {
 	path, _, _ := strings.Cut(text, ": ")
 	return fmt.Sprintf("%s:%d: %s", f.name, f.lines.line(steps(nil, path)), text)
 }
@@ -117,8 +117,8 @@
 	return &Object{file: f, path: path, value: value, known: map[string]bool{}}
 }
 
-// Err is all that was amiss, in the order of lines; it looks for unknown fields of the objects that were asked.
-func (o *Object) Err() error {
+// Validate is all that was amiss, in the order of lines; it looks for unknown fields of the objects that were asked.
+func (o *Object) Validate() error {
 	f := o.file
 	o.unknown()
 	sort.SliceStable(f.errs, func(i, j int) bool { return f.errs[i].line < f.errs[j].line })
@@ -164,18 +164,18 @@
 	return fmt.Sprintf("%s:%d: ", f.name, line)
 }
 
-// Raw is a field's value as it is.
-func (o *Object) Raw(name string) any {
+// RawValue is a field's value as it is.
+func (o *Object) RawValue(name string) any {
 	o.known[name] = true
 	return o.value[name]
 }
 
-// Fail notes what was expected of a field, for what only the caller can tell.
-func (o *Object) Fail(name, want string) { o.file.fail(o.at(name), want, show(o.value[name])) }
+// Reject notes what was expected of a field, for what only the caller can tell.
+func (o *Object) Reject(name, want string) { o.file.fail(o.at(name), want, show(o.value[name])) }
 
-// Refuse notes what another check found, whose error begins with the path of the field, as in "load.parts[1].rate:
+// RejectError notes what another check found, whose error begins with the path of the field, as in "load.parts[1].rate:
 // expected ...".
-func (o *Object) Refuse(err error) {
+func (o *Object) RejectError(err error) {
 	path, text, _ := strings.Cut(err.Error(), ": ")
 	at := steps(o.path, path)
 	line := o.file.lines.line(at)
@@ -225,8 +225,8 @@
 	return "true or false"
 }
 
-// Has tells whether a field is there.
-func (o *Object) Has(name string) bool {
+// HasField tells whether a field is there.
+func (o *Object) HasField(name string) bool {
 	o.known[name] = true
 	return o.value[name] != nil
 }
@@ -252,8 +252,8 @@
 	return usual
 }
 
-// Needed is a text that must be there.
-func (o *Object) Needed(name string) string {
+// RequiredText is a text that must be there.
+func (o *Object) RequiredText(name string) string {
 	v := o.Text(name, "")
 	if v == "" && o.value[name] == nil {
 		o.file.fail(o.at(name), "a text", "nothing")
@@ -278,8 +278,8 @@
 	return v
 }
 
-// Flag is true or false.
-func (o *Object) Flag(name string, usual bool) bool {
+// Bool is true or false.
+func (o *Object) Bool(name string, usual bool) bool {
 	if v, ok := get[bool](o, name, "true or false"); ok {
 		return v
 	}
@@ -302,8 +302,8 @@
 	}
 }
 
-// Count is a whole number between two bounds.
-func (o *Object) Count(name string, usual, least, most int) int {
+// Int is a whole number between two bounds.
+func (o *Object) Int(name string, usual, least, most int) int {
 	v := o.Number(name, float64(usual), float64(least), float64(most))
 	if v != math.Trunc(v) {
 		o.file.fail(o.at(name), "a whole number", show(v))
@@ -311,8 +311,8 @@
 	return int(v)
 }
 
-// Share is a number from 0 to 1.
-func (o *Object) Share(name string, usual float64) float64 { return o.Number(name, usual, 0, 1) }
+// Fraction is a number from 0 to 1.
+func (o *Object) Fraction(name string, usual float64) float64 { return o.Number(name, usual, 0, 1) }
 
 // Duration is a time with its unit, as in "250ms"; a bare number is refused.
 func (o *Object) Duration(name string, usual time.Duration) time.Duration {
--- a/internal/configfile/form_test.go
+++ b/internal/configfile/configfile_test.go
@@ -8,21 +8,21 @@
 )
 
 func read(o *Object) {
-	o.Needed("name")
+	o.RequiredText("name")
 	o.Number("rate", 1, 0, 100)
 	o.Duration("length", time.Second)
 	o.Duration("patience", time.Second)
 	o.OneOf("kind", "poisson", "poisson", "steady")
 	for _, l := range o.Objects("lanes") {
-		l.Needed("name")
-		l.Share("share", 1)
+		l.RequiredText("name")
+		l.Fraction("share", 1)
 		l.Size("memory", 0)
-		l.Count("groups", 1, 1, 100)
+		l.Int("groups", 1, 1, 100)
 	}
 }
 
 // Every kind of slip is named with its line and what was expected, all of them at once.
-func ExampleObject_Err() {
+func ExampleObject_Validate() {
 	_, o, err := Parse("load.jsonnet", `local base = {
   rate: 500,
   lenght: '5s',
@@ -42,7 +42,7 @@
 		return
 	}
 	read(o)
-	fmt.Println(o.Err())
+	fmt.Println(o.Validate())
 	// Output:
 	// load.jsonnet:1: name: expected a text, found nothing
 	// load.jsonnet:2: rate: expected a number from 0 to 100, found 500
@@ -81,6 +81,6 @@
 		return
 	}
 	l := o.Objects("lanes")[0]
-	fmt.Println(o.Needed("name"), l.Needed("name"), l.Size("memory", 0), o.Err())
+	fmt.Println(o.RequiredText("name"), l.RequiredText("name"), l.Size("memory", 0), o.Validate())
 	// Output: x look 1610612736 <nil>
 }
--- a/internal/protocol/discovery/enginelist.go
+++ b/internal/protocol/discovery/discovery.go
@@ -13,37 +13,37 @@
 	"magpiebank/internal/jsonvalue"
 )
 
-// Request appends the poll for events after one that is held.
-func Request(dst []byte, host string, follow, waitMS int64) []byte {
+// AppendPollRequest appends the poll for events after one that is held.
+func AppendPollRequest(dst []byte, host string, follow, waitMS int64) []byte {
 	dst = strconv.AppendInt(append(dst, "GET /v2/stream?follow="...), follow, 10)
 	dst = strconv.AppendInt(append(dst, "&wait_ms="...), waitMS, 10)
 	return append(append(append(dst, " HTTP/1.1\r\nHost: "...), host...), "\r\nAccept: application/json\r\n\r\n"...)
 }
 
-// ErrAnswer is what is no answer in HTTP/1.1 with a body.
-var ErrAnswer = errors.New("malformed answer")
+// ErrMalformedResponse is what is no answer in HTTP/1.1 with a body.
+var ErrMalformedResponse = errors.New("malformed answer")
 
-// MostAnswer is the longest answer that Answer takes: some ten thousand entries. Its head is far shorter.
+// MaxResponseBytes is the longest answer that Answer takes: some ten thousand entries. Its head is far shorter.
 const (
-	MostAnswer = 1 << 21
-	mostHead   = 1 << 13
+	MaxResponseBytes = 1 << 21
+	maxHeadBytes     = 1 << 13
 )
 
-// Answer reads the answer at the start of b and tells how long it is; 0 where b does not hold all of it. last:
+// ParseResponse reads the answer at the start of b and tells how long it is; 0 where b does not hold all of it. last:
 // the connection carries no further one.
-func Answer(b []byte) (status int, body []byte, length int, last bool, err error) {
+func ParseResponse(b []byte) (status int, body []byte, length int, last bool, err error) {
 	at := bytes.Index(b, []byte("\r\n\r\n"))
-	if at < 0 && len(b) <= mostHead {
+	if at < 0 && len(b) <= maxHeadBytes {
 		return 0, nil, 0, false, nil
 	}
-	if at < 0 || at > mostHead {
-		return 0, nil, 0, false, ErrAnswer
+	if at < 0 || at > maxHeadBytes {
+		return 0, nil, 0, false, ErrMalformedResponse
 	}
 	lines := strings.Split(string(b[:at]), "\r\n")
 	protocol, rest, _ := strings.Cut(lines[0], " ")
 	code, _, _ := strings.Cut(rest, " ")
 	if status, err = strconv.Atoi(code); err != nil || !strings.HasPrefix(protocol, "HTTP/1.") {
-		return 0, nil, 0, false, ErrAnswer
+		return 0, nil, 0, false, ErrMalformedResponse
 	}
 	at += 4
 	size, chunked := -1, false
@@ -52,8 +52,8 @@
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
-			if size, err = strconv.Atoi(value); err != nil || size < 0 || size > MostAnswer {
-				return 0, nil, 0, false, ErrAnswer
+			if size, err = strconv.Atoi(value); err != nil || size < 0 || size > MaxResponseBytes {
+				return 0, nil, 0, false, ErrMalformedResponse
 			}
 		case "transfer-encoding":
 			chunked = strings.EqualFold(value, "chunked")
@@ -63,19 +63,19 @@
 	}
 	switch {
 	case chunked:
-		body, length, err = chunks(b, at)
+		body, length, err = readChunks(b, at)
 	case status == 204 || status == 304:
 		length = at
 	case size < 0:
-		err = ErrAnswer
+		err = ErrMalformedResponse
 	case at+size <= len(b):
 		body, length = b[at:at+size], at+size
 	}
 	return status, body, length, last, err
 }
 
-// chunks reads a body in chunks that starts at a place, and tells where the next answer begins.
-func chunks(b []byte, at int) (body []byte, next int, err error) {
+// readChunks reads a body in chunks that starts at a place, and tells where the next answer begins.
+func readChunks(b []byte, at int) (body []byte, next int, err error) {
 	for {
 		i := bytes.Index(b[at:], []byte("\r\n"))
 		if i < 0 {
@@ -83,8 +83,8 @@
 		}
 		digits, _, _ := bytes.Cut(b[at:at+i], []byte{';'})
 		size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
-		if err != nil || size > MostAnswer {
-			return nil, 0, ErrAnswer
+		if err != nil || size > MaxResponseBytes {
+			return nil, 0, ErrMalformedResponse
 		}
 		at += i + 2
 		if size == 0 {
@@ -102,11 +102,11 @@
 	}
 }
 
-// Events calls told for each event after one that is held, in turn, with the addresses of the listed engines
+// ReadWatchEvents calls told for each event after one that is held, in turn, with the addresses of the listed engines
 // beside them, and returns the number of the last. It stops before an event that can't be read, as a list that
 // broke off or was spoilt on its way is whole when it is asked for again; pass: that event is told with the
 // entries that can be read, and it stops behind it.
-func Events(s *jsonvalue.Sheet, held int64, pass bool, zones, kinds []string,
+func ReadWatchEvents(s *jsonvalue.Sheet, held int64, pass bool, zones, kinds []string,
 	told func(whole bool, list []admission.Listing, addresses []string)) int64 {
 	for i := range s.List("updates") {
 		index := int64(s.Num("updates", i, "index"))
@@ -116,7 +116,7 @@
 		var list []admission.Listing
 		var addresses []string
 		for k := range s.List("updates", i, "endpoints", "servers") {
-			if l, address, ok := listing(s, zones, kinds, "updates", i, "endpoints", "servers", k); ok {
+			if l, address, ok := readEndpoint(s, zones, kinds, "updates", i, "endpoints", "servers", k); ok {
 				list, addresses = append(list, l), append(addresses, address)
 			}
 		}
@@ -138,8 +138,8 @@
 	return held
 }
 
-// listing reads one entry of an event; ok tells whether all that it needs could be read.
-func listing(s *jsonvalue.Sheet, zones, kinds []string, at ...any) (l admission.Listing, address string, ok bool) {
+// readEndpoint reads one entry of an event; ok tells whether all that it needs could be read.
+func readEndpoint(s *jsonvalue.Sheet, zones, kinds []string, at ...any) (l admission.Listing, address string, ok bool) {
 	entry := func(field string) []any { return append(at[:len(at):len(at)], field) }
 	l = admission.Listing{
 		Engine: admission.EngineID(s.Needed(entry("id")...)),
--- a/internal/protocol/discovery/enginelist_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -8,12 +8,12 @@
 	"magpiebank/internal/jsonvalue"
 )
 
-func ExampleRequest() {
-	fmt.Printf("%q\n", Request(nil, "127.0.0.1:4222", 41, 1000))
+func ExampleAppendPollRequest() {
+	fmt.Printf("%q\n", AppendPollRequest(nil, "127.0.0.1:4222", 41, 1000))
 	// Output: "GET /v2/stream?follow=41&wait_ms=1000 HTTP/1.1\r\nHost: 127.0.0.1:4222\r\nAccept: application/json\r\n\r\n"
 }
 
-func ExampleAnswer() {
+func ExampleParseResponse() {
 	for _, b := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhellonext",
 		"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\nConnection: close\r\n\r\n3\r\nhel\r\n2;x=1\r\nlo\r\n0\r\n\r\nnext",
@@ -26,7 +26,7 @@
 		"SIP/2.0 200 OK\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 	} {
-		status, body, length, last, err := Answer([]byte(b))
+		status, body, length, last, err := ParseResponse([]byte(b))
 		fmt.Printf("%d %q of %d, %d more, last %v, %v\n", status, body, length, len(b)-length, last, err)
 	}
 	// Output:
@@ -42,7 +42,7 @@
 	// 200 "" of 0, 51 more, last false, malformed answer
 }
 
-func ExampleEvents() {
+func ExampleReadWatchEvents() {
 	text := []byte(`{"index":9,"updates":[
 	 {"index":7,"endpoints":{"full":true,"servers":[{"id":"old","state":"Ready"}]}},
 	 {"index":8,"endpoints":{"full":true,"servers":[
@@ -51,14 +51,14 @@
 	 {"index":9,"endpoints":{"full":false,"servers":[{"id":"s-3","state":"Lost"},{"id":"s-1","state":"Gone"}]}}]}`)
 	s, _ := jsonvalue.Parse("events", text)
 	told := func(whole bool, list []admission.Listing, addresses []string) { fmt.Println(whole, list, addresses) }
-	held := Events(s, 7, false, []string{"west", "east"}, []string{"std"}, told)
+	held := ReadWatchEvents(s, 7, false, []string{"west", "east"}, []string{"std"}, told)
 	fmt.Println(held, s.Err()) // the last event is amiss: it is asked for again
 	s, _ = jsonvalue.Parse("events", text)
-	fmt.Println(Events(s, held, true, []string{"west", "east"}, []string{"std"}, told))
+	fmt.Println(ReadWatchEvents(s, held, true, []string{"west", "east"}, []string{"std"}, told))
 	for _, text := range []string{`{"index":9,"updates":[]}`, `{"index":8,"updates":[{"index":8,"endpoints":{"servers":[
 	 {"id":"s-4","addr":"127.0.0.2","state":"Ready"}]}}]}`} {
 		s, _ := jsonvalue.Parse("events", []byte(text))
-		fmt.Println(Events(s, 7, false, nil, nil, told), s.Err())
+		fmt.Println(ReadWatchEvents(s, 7, false, nil, nil, told), s.Err())
 	}
 	// Output:
 	// true [{s-1 1 0 2 0 0} {s-2 0 -1 3 1 50}] [127.0.0.2:5050 127.0.0.3:5050]
@@ -75,12 +75,12 @@
 	f.Add([]byte(`HTTP/1.1 200 OK` + "\r\nContent-Length: 60\r\n\r\n" +
 		`{"index":1,"updates":[{"index":1,"endpoints":{"servers":[{}]}}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		_, body, length, _, err := Answer(b)
+		_, body, length, _, err := ParseResponse(b)
 		if length < 0 || length > len(b) || err != nil && length > 0 {
 			t.Fatalf("%q: length %d, %v", b, length, err)
 		}
 		if s, err := jsonvalue.Parse("events", body); err == nil {
-			Events(s, 0, true, nil, nil, func(bool, []admission.Listing, []string) {})
+			ReadWatchEvents(s, 0, true, nil, nil, func(bool, []admission.Listing, []string) {})
 		}
 	})
 }
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -15,7 +15,7 @@
 	} {
 		r, err := ReadRequest([]byte(sql))
 		fmt.Printf("%s %s %d %v [%s] %v\n", r.Class, r.ID, r.WaitMS, r.Retry, r.Statement, err)
-		fmt.Printf("%q %q %q %g ms %g MB\n", r.Tenant, r.Key, r.Once, r.WorkMS, r.MemoryMB)
+		fmt.Printf("%q %q %q %g ms %g MB\n", r.Tenant, r.Key, r.IdempotencyToken, r.WorkMS, r.MemoryMB)
 	}
 	// Output:
 	// report 9b1f03aa5c7e2d41 1500 true [SELECT day FROM sales_17.orders] <nil>
@@ -24,33 +24,33 @@
 	// "east-coast" "000f32068cc24621" "6520e9b9eb7682deebfe42a23d2c027c" 3701.6 ms 888 MB
 }
 
-func ExampleRows() {
-	rows, number, err := Rows(nil, 5, []byte("mon\t3\tx\ntue\t\tlong\n"))
+func ExampleAppendRows() {
+	rows, number, err := AppendRows(nil, 5, []byte("mon\t3\tx\ntue\t\tlong\n"))
 	fmt.Printf("%q next %d, %v\n", rows, number, err)
-	_, _, err = Rows(nil, 5, []byte("mon\t3\tx\ntue\t4"))
+	_, _, err = AppendRows(nil, 5, []byte("mon\t3\tx\ntue\t4"))
 	fmt.Println(err)
 	// Output:
 	// "\b\x00\x00\x05\x03mon\x013\x01x\n\x00\x00\x06\x03tue\x00\x04long" next 7, <nil>
 	// malformed rows
 }
 
-func ExampleNack() {
-	fmt.Printf("%q\n", Nack(nil, 1, 250))
-	fmt.Printf("%q\n", Error(nil, 1, ErrWrittenOff, "written off"))
+func ExampleAppendRejection() {
+	fmt.Printf("%q\n", AppendRejection(nil, 1, 250))
+	fmt.Printf("%q\n", AppendError(nil, 1, ErrInterrupted, "written off"))
 	// Output:
 	// "\x1f\x00\x00\x01\xff\xb3\x04#42000no room now, after=250"
 	// "\x14\x00\x00\x01\xff%\x05#70100written off"
 }
 
-func ExampleGreeting() {
-	greeting := Greeting(nil, 7, &[20]byte{0: 'a', 7: 'h', 8: 'i', 19: 't'})
+func ExampleAppendGreeting() {
+	greeting := AppendGreeting(nil, 7, &[20]byte{0: 'a', 7: 'h', 8: 'i', 19: 't'})
 	fmt.Printf("%q\n", greeting)
 	// Output: "U\x00\x00\x00\n8.0.36-magpiebank\x00\a\x00\x00\x00a\x00\x00\x00\x00\x00\x00h\x00\t\xa2!\x02\x00\b\x00\x15\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00i\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00t\x00mysql_native_password\x00"
 }
 
-func ExampleColumns() {
-	head, number := Columns(nil, 1)
-	fmt.Printf("%q\nnext %d\n%q\n", head[:38], number, EOF(nil, number))
+func ExampleAppendColumns() {
+	head, number := AppendColumns(nil, 1)
+	fmt.Printf("%q\nnext %d\n%q\n", head[:38], number, AppendEOF(nil, number))
 	// Output:
 	// "\x01\x00\x00\x01\x03\x1a\x00\x00\x02\x03def\x00\x00\x00\x02c1\x02c1\f!\x00\xff\xff\x00\x00\xfd\x00\x00\x00\x00\x00\x1a\x00\x00"
 	// next 6
@@ -75,12 +75,12 @@
 		{loginPacket(secure, "app\x00\x03abcreports"), "app", "abc", "reports", nil},
 		{loginPacket(protocol41|secureLogin, "app\x00\x00"), "app", "", "", nil},
 		{loginPacket(protocol41, "app\x00\x00"), "app", "", "", nil},
-		{loginPacket(secure, "app\x00\x09abc"), "", "", "", ErrLogin},
-		{loginPacket(secure, "app"), "", "", "", ErrLogin},
-		{loginPacket(secureLogin, "app\x00\x00"), "", "", "", ErrLogin},
-		{[]byte("short"), "", "", "", ErrLogin},
+		{loginPacket(secure, "app\x00\x09abc"), "", "", "", ErrMalformedLogin},
+		{loginPacket(secure, "app"), "", "", "", ErrMalformedLogin},
+		{loginPacket(secureLogin, "app\x00\x00"), "", "", "", ErrMalformedLogin},
+		{[]byte("short"), "", "", "", ErrMalformedLogin},
 	} {
-		user, password, base, err := Login(c.packet)
+		user, password, base, err := ParseLogin(c.packet)
 		if string(user) != c.user || string(password) != c.password || string(base) != c.base || err != c.err {
 			t.Errorf("%q: got %q %q %q %v", c.packet, user, password, base, err)
 		}
@@ -113,7 +113,7 @@
 		{"/* class=a,id=0123456789abcdef,wait=5,cost=1e99 */ SELECT 1", ErrCost},
 		{"/* class=a,id=0123456789abcdef,wait=5,tenant= */ SELECT 1", ErrTenant},
 		{"/* class=a,id=0123456789abcdef,wait=5,tenant=t,tenant=t */ SELECT 1", ErrField},
-		{"/* class=a,id=0123456789abcdef,wait=5,once=6520e9b9eb7682de */ SELECT 1", ErrOnce},
+		{"/* class=a,id=0123456789abcdef,wait=5,once=6520e9b9eb7682de */ SELECT 1", ErrIdempotencyToken},
 		{"/* class=a,id=0123456789abcdef,wait=5,key=000F32068cc24621 */ SELECT 1", ErrKey},
 		{"/* class=a,id=0123456789abcdef,wait=5,prio=3 */ SELECT 1", ErrField},
 		{"/* class=a,id=0123456789abcdef,wait=5,retry=1,retry=1 */ SELECT 1", ErrField},
@@ -157,7 +157,7 @@
 		"SELECT a FROM north_sales_21.x":                                                                      21,
 		"SELECT 1 FROM sales_.x":                                                                              0, "SELECT 1": 0, "SELECT 'open": 0, "SELECT `a": 0, "/* open": 0, "": 0,
 	} {
-		if got := Tables([]byte(sql)); got != want {
+		if got := TableGroup([]byte(sql)); got != want {
 			t.Errorf("%q: got %d, want %d", sql, got, want)
 		}
 	}
@@ -165,12 +165,12 @@
 
 func TestKill(t *testing.T) {
 	for sql, want := range map[string]uint32{"KILL QUERY 77": 77, "kill query 4294967295;": 1<<32 - 1} {
-		if got, ok := Kill([]byte(sql)); !ok || got != want {
+		if got, ok := ParseKillQuery([]byte(sql)); !ok || got != want {
 			t.Errorf("%q: got %d, %v", sql, got, ok)
 		}
 	}
 	for _, sql := range []string{"KILL 77", "KILL QUERY", "KILL QUERY x", "KILL QUERY 4294967296", "SELECT 1 2"} {
-		if _, ok := Kill([]byte(sql)); ok {
+		if _, ok := ParseKillQuery([]byte(sql)); ok {
 			t.Errorf("%q: taken for one", sql)
 		}
 	}
@@ -180,10 +180,10 @@
 	f.Add([]byte("/* class=a,id=0123456789abcdef,wait=5 */ SELECT `x`, 'y\\'' FROM a_1.b -- c"))
 	f.Add([]byte("INSERT INTO `staging`.x SELECT \"\" FROM # \n a_2 . `b"))
 	f.Fuzz(func(t *testing.T, sql []byte) {
-		Tables(sql)
-		Kill(sql)
+		TableGroup(sql)
+		ParseKillQuery(sql)
 		if r, err := ReadRequest(sql); err == nil && (len(r.ID) != 16 || r.WaitMS <= 0 || !bytes.HasSuffix(sql, r.Statement) ||
-			!(r.WorkMS >= 0 && r.WorkMS <= mostEstimate) || !(r.MemoryMB >= 0 && r.MemoryMB <= mostEstimate)) {
+			!(r.WorkMS >= 0 && r.WorkMS <= maxEstimate) || !(r.MemoryMB >= 0 && r.MemoryMB <= maxEstimate)) {
 			t.Errorf("%q: %+v", sql, r)
 		}
 	})
@@ -193,69 +193,69 @@
 	f.Add([]byte("a\tb\tc\n"))
 	f.Add(loginPacket(protocol41|secureLogin, "app\x00\x00"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		Login(b)
-		rows, _, err := Rows(nil, 0, b)
-		if err != nil && !errors.Is(err, ErrRows) {
+		ParseLogin(b)
+		rows, _, err := AppendRows(nil, 0, b)
+		if err != nil && !errors.Is(err, ErrMalformedRows) {
 			t.Error(err)
 		}
 		for n := 0; len(rows) > 0; n++ {
-			length, number := Head(rows)
-			if number != byte(n) || length > len(rows)-HeadSize {
-				t.Fatalf("packet %d has number %d and length %d of %d", n, number, length, len(rows)-HeadSize)
+			length, number := ParseHeader(rows)
+			if number != byte(n) || length > len(rows)-HeaderSize {
+				t.Fatalf("packet %d has number %d and length %d of %d", n, number, length, len(rows)-HeaderSize)
 			}
-			rows = rows[HeadSize+length:]
+			rows = rows[HeaderSize+length:]
 		}
 	})
 }
 
 // The client's side: what it writes is what the server's side reads, and back; a request costs it no allocation.
 func TestClient(t *testing.T) {
-	if connection, err := ReadGreeting(Greeting(nil, 77, &[20]byte{})[HeadSize:]); connection != 77 || err != nil {
+	if connection, err := ReadGreeting(AppendGreeting(nil, 77, &[20]byte{})[HeaderSize:]); connection != 77 || err != nil {
 		t.Errorf("greeting: %d, %v", connection, err)
 	}
-	name, password, db, err := Login(AppendLogin(nil, "app", "reports")[HeadSize:])
+	name, password, db, err := ParseLogin(AppendLogin(nil, "app", "reports")[HeaderSize:])
 	if string(name) != "app" || len(password) > 0 || string(db) != "reports" || err != nil {
 		t.Errorf("login: %q %q %q %v", name, password, db, err)
 	}
-	if connection, ok := Kill(AppendKill(nil, 77)[HeadSize+1:]); connection != 77 || !ok {
+	if connection, ok := ParseKillQuery(AppendKill(nil, 77)[HeaderSize+1:]); connection != 77 || !ok {
 		t.Errorf("kill: %d", connection)
 	}
 	statement := func(b []byte) []byte { return append(b, "SELECT 1 FROM actas_4.m"...) }
 	var out, got []byte
-	got, number := Columns(got, 1)
-	got, number, _ = Rows(got, number, []byte("a\tb\tc\nd\te\tf\n"))
-	got = EOF(got, number)
+	got, number := AppendColumns(got, 1)
+	got, number, _ = AppendRows(got, number, []byte("a\tb\tc\nd\te\tf\n"))
+	got = AppendEOF(got, number)
 	var rows int
 	row := func([3][]byte) { rows++ }
 	allocations := testing.AllocsPerRun(100, func() {
 		out = AppendQuery(out[:0], "look", 0xab, 1500, true, statement)
-		var a Answer
+		var a Response
 		for rest := got; len(rest) > 0; {
-			length, _ := Head(rest)
-			whole, err := a.Take(rest[HeadSize:HeadSize+length], row)
-			rest = rest[HeadSize+length:]
+			length, _ := ParseHeader(rest)
+			whole, err := a.ReadPacket(rest[HeaderSize:HeaderSize+length], row)
+			rest = rest[HeaderSize+length:]
 			if err != nil || whole != (len(rest) == 0) {
 				t.Fatal(whole, err)
 			}
 		}
 	})
-	r, err := ReadRequest(out[HeadSize+1:])
-	if string(r.Class) != "look" || string(r.ID) != "00000000000000ab" || r.WaitMS != 1500 || !r.Retry || !Retried(out[HeadSize+1:]) ||
+	r, err := ReadRequest(out[HeaderSize+1:])
+	if string(r.Class) != "look" || string(r.ID) != "00000000000000ab" || r.WaitMS != 1500 || !r.Retry || !IsRetry(out[HeaderSize+1:]) ||
 		rows != 202 || string(r.Statement) != "SELECT 1 FROM actas_4.m" || err != nil || allocations != 0 {
 		t.Errorf("%+v %v, %d rows, %.0f allocations", r, err, rows, allocations)
 	}
 }
 
-func ExampleAnswer() { // errors, what is none, and rows that stop short
-	for _, packets := range [][]byte{OK(nil, 1), Nack(nil, 1, 250), Error(nil, 1, ErrWrittenOff, "x"), {1, 0, 0, 1, 9}, {2, 0, 0, 1, 3, 3},
-		append(func() []byte { b, _ := Columns(nil, 1); return b }(), 2, 0, 0, 6, 5, 'a')} {
-		var a Answer
+func ExampleResponse() { // errors, what is none, and rows that stop short
+	for _, packets := range [][]byte{AppendOK(nil, 1), AppendRejection(nil, 1, 250), AppendError(nil, 1, ErrInterrupted, "x"), {1, 0, 0, 1, 9}, {2, 0, 0, 1, 3, 3},
+		append(func() []byte { b, _ := AppendColumns(nil, 1); return b }(), 2, 0, 0, 6, 5, 'a')} {
+		var a Response
 		var whole bool
 		var err error
-		for ; len(packets) > 0 && err == nil; packets = packets[HeadSize+int(packets[0]):] {
-			whole, err = a.Take(packets[HeadSize:HeadSize+int(packets[0])], func([3][]byte) {})
+		for ; len(packets) > 0 && err == nil; packets = packets[HeaderSize+int(packets[0]):] {
+			whole, err = a.ReadPacket(packets[HeaderSize:HeaderSize+int(packets[0])], func([3][]byte) {})
 		}
-		fmt.Println(whole, a.Code, Nacked(a.Code), a.ComeBack, err)
+		fmt.Println(whole, a.Code, IsRejected(a.Code), a.RetryAfterMS, err)
 	}
 	// Output:
 	// true 0 false 0 <nil>
--- a/internal/protocol/mysql/packet.go
+++ b/internal/protocol/mysql/packet.go
@@ -8,11 +8,11 @@
 	"strconv"
 )
 
-// HeadSize is the length of the head before each packet's payload.
-const HeadSize = 4
+// HeaderSize is the length of the head before each packet's payload.
+const HeaderSize = 4
 
-// Head reads a packet's head: the payload's length and the packet's number.
-func Head(b []byte) (length int, number byte) {
+// ParseHeader reads a packet's head: the payload's length and the packet's number.
+func ParseHeader(b []byte) (length int, number byte) {
 	return int(b[0]) | int(b[1])<<8 | int(b[2])<<16, b[3]
 }
 
@@ -42,20 +42,20 @@
 	loginFixedSize = 32
 )
 
-// packet appends the head of a packet and leaves its length open; seal fills it in.
-func packet(dst []byte, number byte) ([]byte, int) {
+// beginPacket appends the head of a packet and leaves its length open; seal fills it in.
+func beginPacket(dst []byte, number byte) ([]byte, int) {
 	return append(dst, 0, 0, 0, number), len(dst)
 }
 
-func seal(dst []byte, at int) []byte {
-	n := len(dst) - at - HeadSize
+func endPacket(dst []byte, at int) []byte {
+	n := len(dst) - at - HeaderSize
 	dst[at], dst[at+1], dst[at+2] = byte(n), byte(n>>8), byte(n>>16)
 	return dst
 }
 
-// Greeting appends the server's first packet.
-func Greeting(dst []byte, connection uint32, salt *[20]byte) []byte {
-	dst, at := packet(dst, 0)
+// AppendGreeting appends the server's first packet.
+func AppendGreeting(dst []byte, connection uint32, salt *[20]byte) []byte {
+	dst, at := beginPacket(dst, 0)
 	dst = append(append(append(dst, 10), serverVersion...), 0)
 	dst = binary.LittleEndian.AppendUint32(dst, connection)
 	dst = append(append(dst, salt[:8]...), 0)
@@ -67,35 +67,35 @@
 	dst = append(dst, make([]byte, 10)...)
 	dst = append(append(dst, salt[8:]...), 0)
 	dst = append(append(dst, plugin...), 0)
-	return seal(dst, at)
+	return endPacket(dst, at)
 }
 
-// ErrLogin is a login that is no packet of the protocol 4.1.
-var ErrLogin = errors.New("malformed login")
+// ErrMalformedLogin is a login that is no packet of the protocol 4.1.
+var ErrMalformedLogin = errors.New("malformed login")
 
-// Login reads the client's first packet. The parts lie in the payload.
-func Login(payload []byte) (user, password, database []byte, err error) {
+// ParseLogin reads the client's first packet. The parts lie in the payload.
+func ParseLogin(payload []byte) (user, password, database []byte, err error) {
 	if len(payload) < loginFixedSize {
-		return nil, nil, nil, ErrLogin
+		return nil, nil, nil, ErrMalformedLogin
 	}
 	flags := binary.LittleEndian.Uint32(payload)
 	if flags&protocol41 == 0 {
-		return nil, nil, nil, ErrLogin
+		return nil, nil, nil, ErrMalformedLogin
 	}
 	rest := payload[loginFixedSize:]
 	user, rest, ok := bytes.Cut(rest, []byte{0})
 	if !ok {
-		return nil, nil, nil, ErrLogin
+		return nil, nil, nil, ErrMalformedLogin
 	}
 	switch {
 	case flags&(secureLogin|lengthInLogin) != 0: // a password of 20 bytes or none; longer ones are no use here
 		if len(rest) == 0 || len(rest)-1 < int(rest[0]) {
-			return nil, nil, nil, ErrLogin
+			return nil, nil, nil, ErrMalformedLogin
 		}
 		password, rest = rest[1:1+rest[0]], rest[1+rest[0]:]
 	default:
 		if password, rest, ok = bytes.Cut(rest, []byte{0}); !ok {
-			return nil, nil, nil, ErrLogin
+			return nil, nil, nil, ErrMalformedLogin
 		}
 	}
 	if flags&withDatabase != 0 && len(rest) > 0 {
@@ -104,123 +104,123 @@
 	return user, password, database, nil
 }
 
-// OK appends the packet that says so.
-func OK(dst []byte, number byte) []byte {
-	dst, at := packet(dst, number)
+// AppendOK appends the packet that says so.
+func AppendOK(dst []byte, number byte) []byte {
+	dst, at := beginPacket(dst, number)
 	dst = append(dst, 0, 0, 0, autocommit, 0, 0, 0)
-	return seal(dst, at)
+	return endPacket(dst, at)
 }
 
 // The errors that sessions answer with. The first two are nacks: trying again is harmless.
 const (
-	ErrNoRoom         = 1040 // ER_CON_COUNT_ERROR
-	ErrNacked         = 1203 // ER_TOO_MANY_USER_CONNECTIONS
-	ErrBarred         = 1104 // ER_TOO_BIG_SELECT
-	ErrWrittenOff     = 1317 // ER_QUERY_INTERRUPTED
-	ErrAccess         = 1045
-	ErrNoDatabase     = 1049
-	ErrUnknownCommand = 1047
-	ErrParse          = 1064
-	ErrTooLarge       = 1153
+	ErrTooManyConnections = 1040 // ER_CON_COUNT_ERROR
+	ErrRejected           = 1203 // ER_TOO_MANY_USER_CONNECTIONS
+	ErrForbidden          = 1104 // ER_TOO_BIG_SELECT
+	ErrInterrupted        = 1317 // ER_QUERY_INTERRUPTED
+	ErrAccess             = 1045
+	ErrNoDatabase         = 1049
+	ErrUnknownCommand     = 1047
+	ErrParse              = 1064
+	ErrTooLarge           = 1153
 )
 
-// Error appends an error packet.
-func Error(dst []byte, number byte, code uint16, text string) []byte {
+// AppendError appends an error packet.
+func AppendError(dst []byte, number byte, code uint16, text string) []byte {
 	state := "HY000"
 	switch code {
 	case ErrAccess:
 		state = "28000"
-	case ErrNoDatabase, ErrParse, ErrNacked:
+	case ErrNoDatabase, ErrParse, ErrRejected:
 		state = "42000"
-	case ErrUnknownCommand, ErrTooLarge, ErrNoRoom:
+	case ErrUnknownCommand, ErrTooLarge, ErrTooManyConnections:
 		state = "08S01"
-	case ErrWrittenOff:
+	case ErrInterrupted:
 		state = "70100"
 	}
-	dst, at := packet(dst, number)
+	dst, at := beginPacket(dst, number)
 	dst = append(binary.LittleEndian.AppendUint16(append(dst, 0xff), code), '#')
-	return seal(append(append(dst, state...), text...), at)
+	return endPacket(append(append(dst, state...), text...), at)
 }
 
-// Nack appends the error packet of a nack, with the milliseconds to stay away where there are any.
-func Nack(dst []byte, number byte, comeBackMS int64) []byte {
+// AppendRejection appends the error packet of a nack, with the milliseconds to stay away where there are any.
+func AppendRejection(dst []byte, number byte, comeBackMS int64) []byte {
 	text := "no room now"
 	if comeBackMS > 0 {
 		text += ", after=" + strconv.FormatInt(comeBackMS, 10)
 	}
-	return Error(dst, number, ErrNacked, text)
+	return AppendError(dst, number, ErrRejected, text)
 }
 
-// EOF appends the packet after the columns and after the rows.
-func EOF(dst []byte, number byte) []byte {
-	dst, at := packet(dst, number)
-	return seal(append(dst, 0xfe, 0, 0, autocommit, 0), at)
+// AppendEOF appends the packet after the columns and after the rows.
+func AppendEOF(dst []byte, number byte) []byte {
+	dst, at := beginPacket(dst, number)
+	return endPacket(append(dst, 0xfe, 0, 0, autocommit, 0), at)
 }
 
 // columns is how many a result has.
 const columns = 3
 
-// Columns appends what stands before a result's rows and returns the number of the next packet.
-func Columns(dst []byte, number byte) ([]byte, byte) {
-	dst, at := packet(dst, number)
-	dst = seal(append(dst, columns), at)
+// AppendColumns appends what stands before a result's rows and returns the number of the next packet.
+func AppendColumns(dst []byte, number byte) ([]byte, byte) {
+	dst, at := beginPacket(dst, number)
+	dst = endPacket(append(dst, columns), at)
 	for _, name := range [columns]string{"c1", "c2", "c3"} {
 		number++
-		dst, at = packet(dst, number)
+		dst, at = beginPacket(dst, number)
 		for _, s := range [...]string{"def", "", "", "", name, name} {
-			dst = text(dst, s)
+			dst = appendLengthEncoded(dst, s)
 		}
 		dst = append(dst, 0x0c, charset, 0)
 		dst = binary.LittleEndian.AppendUint32(dst, 1<<16-1)
 		dst = append(dst, typeVarString, 0, 0, 0, 0, 0)
-		dst = seal(dst, at)
+		dst = endPacket(dst, at)
 	}
-	return EOF(dst, number+1), number + 2
+	return AppendEOF(dst, number+1), number + 2
 }
 
-// ErrRows is text that isn't whole rows of three columns.
-var ErrRows = errors.New("malformed rows")
+// ErrMalformedRows is text that isn't whole rows of three columns.
+var ErrMalformedRows = errors.New("malformed rows")
 
-// WholeRows tells whether a page is text in whole rows of three columns, a tab between columns and a line feed
+// ValidRows tells whether a page is text in whole rows of three columns, a tab between columns and a line feed
 // behind each row.
-func WholeRows(page []byte) bool {
+func ValidRows(page []byte) bool {
 	for ok := true; len(page) > 0; {
-		if _, page, ok = row(page); !ok {
+		if _, page, ok = cutRow(page); !ok {
 			return false
 		}
 	}
 	return true
 }
 
-// row cuts the first row off a page; ok tells whether it is one.
-func row(page []byte) (line, rest []byte, ok bool) {
+// cutRow cuts the first row off a page; ok tells whether it is one.
+func cutRow(page []byte) (line, rest []byte, ok bool) {
 	line, rest, ok = bytes.Cut(page, []byte{'\n'})
 	return line, rest, ok && bytes.Count(line, []byte{'\t'}) == columns-1
 }
 
-// Rows appends the packets of the rows of a page.
-func Rows(dst []byte, number byte, page []byte) ([]byte, byte, error) {
+// AppendRows appends the packets of the rows of a page.
+func AppendRows(dst []byte, number byte, page []byte) ([]byte, byte, error) {
 	for len(page) > 0 {
-		line, rest, ok := row(page)
+		line, rest, ok := cutRow(page)
 		if !ok {
-			return dst, number, ErrRows
+			return dst, number, ErrMalformedRows
 		}
 		var at int
-		dst, at = packet(dst, number)
+		dst, at = beginPacket(dst, number)
 		for range columns {
 			var column []byte
 			column, line, _ = bytes.Cut(line, []byte{'\t'})
-			dst = text(dst, column)
+			dst = appendLengthEncoded(dst, column)
 		}
-		dst = seal(dst, at)
+		dst = endPacket(dst, at)
 		number++
 		page = rest
 	}
 	return dst, number, nil
 }
 
-// text appends a length-encoded string.
-func text[T string | []byte](dst []byte, s T) []byte {
+// appendLengthEncoded appends a length-encoded string.
+func appendLengthEncoded[T string | []byte](dst []byte, s T) []byte {
 	switch n := len(s); {
 	case n < 251:
 		dst = append(dst, byte(n))
--- a/internal/protocol/mysql/statement.go
+++ b/internal/protocol/mysql/query.go
@@ -12,25 +12,25 @@
 
 // The fields that a statement's leading comment can lack or get wrong.
 var (
-	ErrFields = errors.New("no fields in a comment before the statement")
-	ErrClass  = errors.New("field class: expected a name")
-	ErrID     = errors.New("field id: expected 16 hex digits in lower case")
-	ErrWait   = errors.New("field wait: expected milliseconds above 0, at most the class's longest wait")
-	ErrTenant = errors.New("field tenant: expected a name of the settings")
-	ErrOnce   = errors.New("field once: expected 32 hex digits in lower case")
-	ErrKey    = errors.New("field key: expected 16 hex digits in lower case")
-	ErrCost   = errors.New("field cost: expected milliseconds of 0 or more")
-	ErrMemory = errors.New("field mb: expected megabytes of 0 or more")
-	ErrField  = errors.New("a field stands twice, or is none of class, id, wait, retry=1, tenant, key, once, cost and mb")
-	ErrText   = errors.New("expected the text of one statement")
+	ErrFields           = errors.New("no fields in a comment before the statement")
+	ErrClass            = errors.New("field class: expected a name")
+	ErrID               = errors.New("field id: expected 16 hex digits in lower case")
+	ErrWait             = errors.New("field wait: expected milliseconds above 0, at most the class's longest wait")
+	ErrTenant           = errors.New("field tenant: expected a name of the settings")
+	ErrIdempotencyToken = errors.New("field once: expected 32 hex digits in lower case")
+	ErrKey              = errors.New("field key: expected 16 hex digits in lower case")
+	ErrCost             = errors.New("field cost: expected milliseconds of 0 or more")
+	ErrMemory           = errors.New("field mb: expected megabytes of 0 or more")
+	ErrField            = errors.New("a field stands twice, or is none of class, id, wait, retry=1, tenant, key, once, cost and mb")
+	ErrText             = errors.New("expected the text of one statement")
 )
 
 // The lengths of the fields that are hexadecimal digits, and the longest estimate that is taken: days, or a petabyte.
 const (
-	idDigits     = 16
-	keyDigits    = 16
-	onceDigits   = 32
-	mostEstimate = 1e9
+	idDigits    = 16
+	keyDigits   = 16
+	onceDigits  = 32
+	maxEstimate = 1e9
 )
 
 // Request is a client's query: the fields in the comment before its statement, and the statement without it. The slices lie in
@@ -41,11 +41,11 @@
 	Retry     bool  // it is a client's own further try
 
 	// What clients of some deployments send besides; empty or 0 where they don't.
-	Tenant   []byte
-	Key      []byte  // requests with the same key may have to run in order
-	Once     []byte  // the idempotency token, by which engines tell a repeat; the same for all tries of a client
-	WorkMS   float64 // the client's estimate of the work, in milliseconds on one thread
-	MemoryMB float64 // and of the memory
+	Tenant           []byte
+	Key              []byte  // requests with the same key may have to run in order
+	IdempotencyToken []byte  // the idempotency token, by which engines tell a repeat; the same for all tries of a client
+	WorkMS           float64 // the client's estimate of the work, in milliseconds on one thread
+	MemoryMB         float64 // and of the memory
 
 	Statement []byte
 }
@@ -66,21 +66,21 @@
 		var field []byte
 		field, fields, _ = bytes.Cut(fields, []byte{','})
 		name, value, _ := bytes.Cut(bytes.TrimSpace(field), []byte{'='})
-		if err := r.set(string(name), value); err != nil {
+		if err := r.setField(string(name), value); err != nil {
 			return r, err
 		}
 	}
 	r.Statement = bytes.TrimLeft(body, " \t\r\n")
-	return r, r.check()
+	return r, r.validate()
 }
 
-// set takes in one field.
-func (r *Request) set(name string, value []byte) (err error) {
+// setField takes in one field.
+func (r *Request) setField(name string, value []byte) (err error) {
 	switch name {
 	case "class":
-		return once(&r.Class, value)
+		return setOnce(&r.Class, value)
 	case "id":
-		return once(&r.ID, value)
+		return setOnce(&r.ID, value)
 	case "wait":
 		if r.WaitMS != 0 {
 			return ErrField
@@ -97,29 +97,29 @@
 		if len(value) == 0 {
 			return ErrTenant
 		}
-		return once(&r.Tenant, value)
+		return setOnce(&r.Tenant, value)
 	case "key":
-		if !hexDigits(value, keyDigits) {
+		if !isHexDigits(value, keyDigits) {
 			return ErrKey
 		}
-		return once(&r.Key, value)
+		return setOnce(&r.Key, value)
 	case "once":
-		if !hexDigits(value, onceDigits) {
-			return ErrOnce
+		if !isHexDigits(value, onceDigits) {
+			return ErrIdempotencyToken
 		}
-		return once(&r.Once, value)
+		return setOnce(&r.IdempotencyToken, value)
 	case "cost":
-		return estimate(&r.WorkMS, value, ErrCost)
+		return setEstimate(&r.WorkMS, value, ErrCost)
 	case "mb":
-		return estimate(&r.MemoryMB, value, ErrMemory)
+		return setEstimate(&r.MemoryMB, value, ErrMemory)
 	default:
 		return ErrField
 	}
 	return nil
 }
 
-// once keeps the value of a field that may stand only once.
-func once(field *[]byte, value []byte) error {
+// setOnce keeps the value of a field that may stand only once.
+func setOnce(field *[]byte, value []byte) error {
 	if *field != nil {
 		return ErrField
 	}
@@ -127,28 +127,28 @@
 	return nil
 }
 
-// estimate keeps the value of a field that is an amount.
-func estimate(field *float64, value []byte, malformed error) error {
+// setEstimate keeps the value of a field that is an amount.
+func setEstimate(field *float64, value []byte, malformed error) error {
 	if *field != 0 {
 		return ErrField
 	}
 	amount, err := strconv.ParseFloat(string(value), 64)
-	if err != nil || !(amount >= 0 && amount <= mostEstimate) {
+	if err != nil || !(amount >= 0 && amount <= maxEstimate) {
 		return malformed
 	}
 	*field = amount
 	return nil
 }
 
-// check tells what a request lacks.
-func (r *Request) check() error {
+// validate tells what a request lacks.
+func (r *Request) validate() error {
 	body := r.Statement
 	switch {
-	case len(body) == 0 || !utf8.Valid(body) || bytes.IndexByte(body, 0) >= 0 || !single(body):
+	case len(body) == 0 || !utf8.Valid(body) || bytes.IndexByte(body, 0) >= 0 || !isSingleStatement(body):
 		return ErrText
 	case len(r.Class) == 0:
 		return ErrClass
-	case !hexDigits(r.ID, idDigits):
+	case !isHexDigits(r.ID, idDigits):
 		return ErrID
 	case r.WaitMS <= 0:
 		return ErrWait
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// hexDigits tells whether a text is so many hexadecimal digits in lower case.
-func hexDigits(text []byte, count int) bool {
+// isHexDigits tells whether a text is so many hexadecimal digits in lower case.
+func isHexDigits(text []byte, count int) bool {
 	if len(text) != count {
 		return false
 	}
@@ -169,8 +169,8 @@
 	return true
 }
 
-// single tells whether a text is one statement; a semicolon may end it.
-func single(sql []byte) bool {
+// isSingleStatement tells whether a text is one statement; a semicolon may end it.
+func isSingleStatement(sql []byte) bool {
 	if bytes.IndexByte(sql, ';') < 0 { // as good as all
 		return true
 	}
@@ -183,8 +183,8 @@
 	return true
 }
 
-// Kill reads the connection id of a KILL QUERY statement.
-func Kill(sql []byte) (connection uint32, ok bool) {
+// ParseKillQuery reads the connection id of a KILL QUERY statement.
+func ParseKillQuery(sql []byte) (connection uint32, ok bool) {
 	if sql = bytes.TrimLeft(sql, " \t\r\n"); len(sql) == 0 || sql[0]|0x20 != 'k' { // as good as all
 		return 0, false
 	}
@@ -196,10 +196,10 @@
 	return uint32(n), err == nil
 }
 
-// Tables finds the group of tables that a statement reads or writes: the number behind the underscore in the
+// TableGroup finds the group of tables that a statement reads or writes: the number behind the underscore in the
 // name of the schema before a table's name. Strings, comments and the schema staging do not count, nor do
 // columns qualified by a table's other name.
-func Tables(sql []byte) int {
+func TableGroup(sql []byte) int {
 	l := sqltext.Lexer{Text: sql}
 	place := false // a table's name may stand here
 	from := false  // in a list of tables, where a comma brings the next
@@ -209,7 +209,7 @@
 			place = true
 		case t.Kind == sqltext.Word || t.Kind == sqltext.Quoted:
 			name := l.Bytes(t)
-			if l.Dotted() {
+			if l.NextIsDot() {
 				l.Next()
 				l.Next()
 				if group, ok := schemaGroup(name); ok && place {
@@ -243,8 +243,8 @@
 	return int(n), err == nil
 }
 
-// Retried tells whether the fields of a query mark it as a client's own further try.
-func Retried(sql []byte) bool {
+// IsRetry tells whether the fields of a query mark it as a client's own further try.
+func IsRetry(sql []byte) bool {
 	fields, _, ok := bytes.Cut(sql, []byte("*/"))
 	if _, fields, _ = bytes.Cut(fields, []byte("/*")); !ok {
 		return false
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -11,71 +11,71 @@
 	"magpiebank/internal/config"
 )
 
-// MostArray is the longest array that Parse takes: a page of 6,000 bytes with its head has ample room.
-const MostArray = 1 << 14
+// MaxBulkBytes is the longest array that Parse takes: a page of 6,000 bytes with its head has ample room.
+const MaxBulkBytes = 1 << 14
 
-// ErrArray is what is no array of bulk strings.
-var ErrArray = errors.New("malformed array")
+// ErrMalformedArray is what is no array of bulk strings.
+var ErrMalformedArray = errors.New("malformed array")
 
 // Parse reads the array at the start of b into parts, which lie in b, and tells how long it is; 0 where b does
 // not hold all of it.
 func Parse(b []byte, parts [][]byte) ([][]byte, int, error) {
-	count, at, err := number(b, 0, '*')
+	count, at, err := readLength(b, 0, '*')
 	if err != nil || at == 0 {
 		return parts, 0, err
 	}
 	if count < 1 || count > 16 {
-		return parts, 0, ErrArray
+		return parts, 0, ErrMalformedArray
 	}
 	for range count {
-		length, from, err := number(b, at, '$')
+		length, from, err := readLength(b, at, '$')
 		if err != nil || from == 0 {
 			return parts, 0, err
 		}
-		if length < 0 || length > MostArray {
-			return parts, 0, ErrArray
+		if length < 0 || length > MaxBulkBytes {
+			return parts, 0, ErrMalformedArray
 		}
 		if at = from + length + 2; at > len(b) {
 			return parts, 0, nil
 		}
 		if b[at-2] != '\r' || b[at-1] != '\n' {
-			return parts, 0, ErrArray
+			return parts, 0, ErrMalformedArray
 		}
 		parts = append(parts, b[from:at-2])
 	}
 	return parts, at, nil
 }
 
-// number reads a line of a mark and a number, and tells where the next one begins; 0 where it isn't all there.
-func number(b []byte, at int, mark byte) (n, next int, err error) {
+// readLength reads a line of a mark and a number, and tells where the next one begins; 0 where it isn't all there.
+func readLength(b []byte, at int, mark byte) (n, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, nil
 	}
 	if b[at] != mark {
-		return 0, 0, ErrArray
+		return 0, 0, ErrMalformedArray
 	}
 	i := bytes.IndexByte(b[at:], '\n')
 	if i < 0 {
 		if len(b)-at > 16 {
-			return 0, 0, ErrArray
+			return 0, 0, ErrMalformedArray
 		}
 		return 0, 0, nil
 	}
 	if i < 3 || b[at+i-1] != '\r' {
-		return 0, 0, ErrArray
+		return 0, 0, ErrMalformedArray
 	}
 	n, err = strconv.Atoi(string(b[at+1 : at+i-1]))
 	if err != nil {
-		return 0, 0, ErrArray
+		return 0, 0, ErrMalformedArray
 	}
 	return n, at + i + 1, nil
 }
 
-// Array appends an array of bulk strings.
-func Array(dst []byte, parts ...string) []byte {
-	dst = head(dst, '*', len(parts))
+// AppendArray appends an array of bulk strings.
+func AppendArray(dst []byte, parts ...string) []byte {
+	dst = appendLength(dst, '*', len(parts))
 	for _, p := range parts {
-		dst = bulk(dst, p)
+		dst = appendBulk(dst, p)
 	}
 	return dst
 }
@@ -90,10 +90,10 @@
 	Statement []byte
 }
 
-// Do gathers an attempt: a head made in dst, and the statement as it lies.
-func Do(dst []byte, a Attempt) net.Buffers {
-	dst = append(head(dst, '*', 4), "$2\r\ndo\r\n"...)
-	dst = bulk(dst, a.ID)
+// AppendAttempt gathers an attempt: a head made in dst, and the statement as it lies.
+func AppendAttempt(dst []byte, a Attempt) net.Buffers {
+	dst = append(appendLength(dst, '*', 4), "$2\r\ndo\r\n"...)
+	dst = appendBulk(dst, a.ID)
 	fields := make([]byte, 0, 144)
 	fields = append(append(fields, "kind="...), a.Class...)
 	fields = strconv.AppendInt(append(fields, ",ms="...), a.TimeoutMS, 10)
@@ -104,21 +104,21 @@
 	if len(a.Token) > 0 {
 		fields = append(append(fields, ",token="...), a.Token...)
 	}
-	dst = bulk(dst, fields)
-	dst = head(dst, '$', len(a.Statement))
+	dst = appendBulk(dst, fields)
+	dst = appendLength(dst, '$', len(a.Statement))
 	return net.Buffers{dst, a.Statement, []byte("\r\n")}
 }
 
-func head(dst []byte, mark byte, n int) []byte {
+func appendLength(dst []byte, mark byte, n int) []byte {
 	return append(strconv.AppendInt(append(dst, mark), int64(n), 10), '\r', '\n')
 }
 
-func bulk[T string | []byte](dst []byte, s T) []byte {
-	return append(append(head(dst, '$', len(s)), s...), '\r', '\n')
+func appendBulk[T string | []byte](dst []byte, s T) []byte {
+	return append(append(appendLength(dst, '$', len(s)), s...), '\r', '\n')
 }
 
-// Field finds a field's value in a list name=value,name=value; - is the empty list.
-func Field(fields []byte, name string) []byte {
+// FindField finds a field's value in a list name=value,name=value; - is the empty list.
+func FindField(fields []byte, name string) []byte {
 	for len(fields) > 0 {
 		var field []byte
 		field, fields, _ = bytes.Cut(fields, []byte{','})
@@ -129,25 +129,25 @@
 	return nil
 }
 
-// mostAmount is more than any amount on the wire, milliseconds or MB, can be: years, or petabytes.
-const mostAmount = 1e12
+// maxAmount is more than any amount on the wire, milliseconds or MB, can be: years, or petabytes.
+const maxAmount = 1e12
 
-// Amount is a field's value as a number from 0, 0 where there is none; ok tells whether it can be one.
-func Amount(fields []byte, name string) (v float64, ok bool) {
-	text := Field(fields, name)
+// ParseAmount is a field's value as a number from 0, 0 where there is none; ok tells whether it can be one.
+func ParseAmount(fields []byte, name string) (v float64, ok bool) {
+	text := FindField(fields, name)
 	if len(text) == 0 {
 		return 0, true
 	}
 	v, err := strconv.ParseFloat(string(text), 64)
-	if err != nil || !(v >= 0 && v <= mostAmount) {
+	if err != nil || !(v >= 0 && v <= maxAmount) {
 		return 0, false
 	}
 	return v, true
 }
 
-// News reads a note about a running task; ok tells whether it is one we know.
-func News(fields []byte) (news admission.News, value float64, ok bool) {
-	switch string(Field(fields, "res")) {
+// ParseProgress reads a note about a running task; ok tells whether it is one we know.
+func ParseProgress(fields []byte) (news admission.News, value float64, ok bool) {
+	switch string(FindField(fields, "res")) {
 	case "so_far":
 		news = admission.Progress
 	case "lacking":
@@ -157,12 +157,12 @@
 	default:
 		return 0, 0, false
 	}
-	value, ok = Amount(fields, "v")
+	value, ok = ParseAmount(fields, "v")
 	return news, value, ok
 }
 
-// Report reads an engine's load report, as in inflight:7;util:0.61.
-func Report(fields []byte) admission.Report {
-	r, _ := config.Report(string(Field(fields, "gauges")), ";")
+// ParseLoadReport reads an engine's load report, as in inflight:7;util:0.61.
+func ParseLoadReport(fields []byte) admission.Report {
+	r, _ := config.Report(string(FindField(fields, "gauges")), ";")
 	return r
 }
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -8,13 +8,13 @@
 	"magpiebank/internal/admission"
 )
 
-func ExampleDo() {
+func ExampleAppendAttempt() {
 	for _, a := range []Attempt{
 		{ID: "9b1f03aa5c7e2d41", Class: "report", TimeoutMS: 1500, MemoryMB: 640, Priority: 2, Statement: []byte("SELECT 1")},
 		{ID: "9b1f03aa5c7e2d41", Class: "report", TimeoutMS: 1500, Priority: 1},
 		{ID: "9b1f03aa5c7e2d41", Class: "load", TimeoutMS: 1500, Priority: 1, Token: []byte("6520e9b9eb7682de")},
 	} {
-		fmt.Printf("%q\n", bytes.Join(Do(nil, a), nil))
+		fmt.Printf("%q\n", bytes.Join(AppendAttempt(nil, a), nil))
 	}
 	// Output:
 	// "*4\r\n$2\r\ndo\r\n$16\r\n9b1f03aa5c7e2d41\r\n$34\r\nkind=report,ms=1500,mem=640,prio=2\r\n$8\r\nSELECT 1\r\n"
@@ -23,13 +23,13 @@
 }
 
 func ExampleParse() {
-	b := append(Array(nil, "id1", "data", "pages=2,cost=31,need=12", "a\tb\tc\n"), Array(nil, "id2", "full")...)
+	b := append(AppendArray(nil, "id1", "data", "pages=2,cost=31,need=12", "a\tb\tc\n"), AppendArray(nil, "id2", "full")...)
 	for len(b) > 0 {
 		parts, n, err := Parse(b, nil)
 		fmt.Printf("%q %d %v\n", parts, n, err)
 		b = b[n:]
 	}
-	parts, n, err := Parse(Array(nil, "id1", "data")[:20], nil)
+	parts, n, err := Parse(AppendArray(nil, "id1", "data")[:20], nil)
 	fmt.Println(len(parts) < 2, n, err)
 	// Output:
 	// ["id1" "data" "pages=2,cost=31,need=12" "a\tb\tc\n"] 65 <nil>
@@ -40,7 +40,7 @@
 func TestMalformed(t *testing.T) {
 	for _, b := range []string{"+OK\r\n", "*0\r\n", "*-1\r\n", "*99\r\n", "*1\r\n:5\r\n", "*1\r\n$-1\r\n", "*1\r\n$1\r\nab\r\n",
 		"*1\r\n$99999999\r\n", "*x\r\n", "*1\n", "*111111111111111111111"} {
-		if _, n, err := Parse([]byte(b), nil); err != ErrArray || n != 0 {
+		if _, n, err := Parse([]byte(b), nil); err != ErrMalformedArray || n != 0 {
 			t.Errorf("%q: got %d, %v", b, n, err)
 		}
 	}
@@ -48,29 +48,29 @@
 
 func TestFields(t *testing.T) {
 	fields := []byte("pages=3,cost=1.5,res=so_far,v=0.25,gauges=inflight:7;util:0.61;x0:0.5;x1:0.75;new:1;bad:x")
-	if got, want := Report(fields), (admission.Report{Held: 7, Util: 0.61, Memory: 0.5, Disks: 0.75}); got != want {
+	if got, want := ParseLoadReport(fields), (admission.Report{Held: 7, Util: 0.61, Memory: 0.5, Disks: 0.75}); got != want {
 		t.Errorf("report: got %v", got)
 	}
-	if news, v, ok := News(fields); news != admission.Progress || v != 0.25 || !ok {
+	if news, v, ok := ParseProgress(fields); news != admission.Progress || v != 0.25 || !ok {
 		t.Errorf("news: got %v %v %v", news, v, ok)
 	}
-	if got, ok := Amount(fields, "cost"); got != 1.5 || !ok {
+	if got, ok := ParseAmount(fields, "cost"); got != 1.5 || !ok {
 		t.Errorf("cost: got %v %v", got, ok)
 	}
 	for _, odd := range []string{"-1", "x", "NaN", "Inf", "1e300", "1,5e"} {
-		if got, ok := Amount([]byte("cost="+odd), "cost"); ok && odd != "1,5e" {
+		if got, ok := ParseAmount([]byte("cost="+odd), "cost"); ok && odd != "1,5e" {
 			t.Errorf("cost %s: got %v", odd, got)
 		}
 	}
 	for _, empty := range []string{"-", "", "res", "=", "gauges=,res=other"} {
-		if _, _, ok := News([]byte(empty)); ok || Report([]byte(empty)) != admission.NoReport {
+		if _, _, ok := ParseProgress([]byte(empty)); ok || ParseLoadReport([]byte(empty)) != admission.NoReport {
 			t.Errorf("%q has something", empty)
 		}
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(Array(nil, "id1", "data", "pages=2,gauges=util:0.5", "a\tb\tc\n"))
+	f.Add(AppendArray(nil, "id1", "data", "pages=2,gauges=util:0.5", "a\tb\tc\n"))
 	f.Add([]byte("*1\r\n$-1\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		parts, n, err := Parse(b, nil)
@@ -78,8 +78,8 @@
 			return
 		}
 		for _, p := range parts {
-			News(p)
-			Report(p)
+			ParseProgress(p)
+			ParseLoadReport(p)
 		}
 		if again, _, err := Parse(b[:n], nil); err != nil || len(again) != len(parts) {
 			t.Errorf("%q: %d parts, then %d, %v", b[:n], len(parts), len(again), err)
--- a/internal/query/costmodel/cache.go
+++ b/internal/query/costmodel/cache.go
@@ -60,12 +60,12 @@
 
 // Get finds a value.
 func (c *Cache[V]) Get(key uint64) (v V, ok bool) {
-	ok = c.With(key, func(found V) { v = found })
+	ok = c.Visit(key, func(found V) { v = found })
 	return v, ok
 }
 
-// With calls f with a value while nobody else has it.
-func (c *Cache[V]) With(key uint64, f func(V)) bool {
+// Visit calls f with a value while nobody else has it.
+func (c *Cache[V]) Visit(key uint64, f func(V)) bool {
 	p := c.part(key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,8 +132,8 @@
 	return n
 }
 
-// Each calls f for all values, in no order.
-func (c *Cache[V]) Each(f func(key uint64, v V)) {
+// VisitAll calls f for all values, in no order.
+func (c *Cache[V]) VisitAll(f func(key uint64, v V)) {
 	for i := range c.parts {
 		p := &c.parts[i]
 		p.mu.Lock()
--- a/internal/query/costmodel/features.go
+++ b/internal/query/costmodel/features.go
@@ -28,8 +28,8 @@
 
 func (v Verb) String() string { return verbNames[v] }
 
-// Verbs are the names of all verbs.
-func Verbs() []string { return verbNames[:] }
+// VerbNames are the names of all verbs.
+func VerbNames() []string { return verbNames[:] }
 
 // Match is how a predicate narrows what is read.
 type Match uint8
@@ -68,23 +68,23 @@
 
 // Features are what a statement's cost is estimated from.
 type Features struct {
-	Verb       Verb
-	Parsed     bool // by the grammar; else they are from its tokens alone
-	Why        string
-	Tables     []Table
-	Predicates []Predicate
-	Joins      int
-	Loose      int // joins of tables that no condition binds
-	Subqueries int
-	Unions     int
-	Aggregates int
-	Groups     int
-	Sorts      int
-	Windows    int
-	Distinct   bool
-	Limit      int64 // rows; -1: none
-	Rows       int   // of VALUES
-	Tokens     int
+	Verb         Verb
+	Parsed       bool // by the grammar; else they are from its tokens alone
+	ParseError   string
+	Tables       []Table
+	Predicates   []Predicate
+	Joins        int
+	UnboundJoins int // joins of tables that no condition binds
+	Subqueries   int
+	Unions       int
+	Aggregates   int
+	Groups       int
+	Sorts        int
+	Windows      int
+	Distinct     bool
+	Limit        int64 // rows; -1: none
+	ValueRows    int   // of VALUES
+	Tokens       int
 }
 
 // mostTables and mostPredicates bound what is kept of a statement; there is no more to be learned from further ones.
@@ -93,12 +93,12 @@
 	mostPredicates = 32
 )
 
-// Read is a statement's features; it never fails.
-func Read(sql []byte) *Features {
+// ReadFeatures is a statement's features; it never fails.
+func ReadFeatures(sql []byte) *Features {
 	f := &Features{Limit: -1}
 	t, err := parse(sql)
 	if err != nil {
-		f.Why = err.Error()
+		f.ParseError = err.Error()
 		f.scan(sql)
 	} else {
 		f.Parsed = true
@@ -112,9 +112,9 @@
 	return f
 }
 
-// ReadWith is a statement's features by what an operator says of tables; nil: nothing.
-func ReadWith(sql []byte, tables Tables) *Features {
-	f := Read(sql)
+// ReadFeaturesWith is a statement's features by what an operator says of tables; nil: nothing.
+func ReadFeaturesWith(sql []byte, tables TableLookup) *Features {
+	f := ReadFeatures(sql)
 	if tables != nil {
 		f.narrow(func(t *Table) []string {
 			_, keys, ok := tables(t)
@@ -135,8 +135,8 @@
 	return t.Schema + "." + t.Name
 }
 
-// Full tells whether a statement reads a whole table and hands on more than a few rows of it or all it says of it.
-func (f *Features) Full() (table *Table) {
+// FullScan tells whether a statement reads a whole table and hands on more than a few rows of it or all it says of it.
+func (f *Features) FullScan() (table *Table) {
 	if f.Verb != Select && f.Verb != InsertSelect && f.Verb != Update && f.Verb != Delete {
 		return nil
 	}
@@ -289,7 +289,7 @@
 		f.Verb = Select
 		f.union(t.Query)
 	case t.Insert != nil:
-		f.Verb, f.Rows = Insert, len(t.Insert.Rows)
+		f.Verb, f.ValueRows = Insert, len(t.Insert.Rows)
 		f.table(t.Insert.Table, "", true)
 		if t.Insert.Query != nil {
 			f.Verb = InsertSelect
@@ -368,7 +368,7 @@
 			}
 		}
 		loose -= f.Joins - joins // those with ON or USING were counted there
-		f.Loose += max(0, loose)
+		f.UnboundJoins += max(0, loose)
 	}
 }
 
--- a/internal/query/costmodel/grammar_test.go
+++ b/internal/query/costmodel/grammar_test.go
@@ -60,7 +60,7 @@
 	case sqltext.Quoted:
 		out.Type, out.Value = typeName, string(text)
 	case sqltext.Text:
-		if tok.Open {
+		if tok.Unterminated {
 			return out, errOpen
 		}
 		out.Type, out.Value = typeText, "'"+string(text)
@@ -101,12 +101,12 @@
 // same holds what is read by hand against what the library reads by the tags.
 func same(t *testing.T, sql string) (both bool) {
 	want, err := byLibrary([]byte(sql))
-	got := Read([]byte(sql))
+	got := ReadFeatures([]byte(sql))
 	if err != nil {
 		return false // the reader by hand may take more, as it looks further ahead
 	}
 	if !got.Parsed {
-		t.Errorf("%s\nby hand: %s, by the library: %s", sql, got.Why, show(want))
+		t.Errorf("%s\nby hand: %s, by the library: %s", sql, got.ParseError, show(want))
 	} else if show(got) != show(want) {
 		t.Errorf("%s\nby hand        %s\nby the library %s", sql, show(got), show(want))
 	}
@@ -115,7 +115,7 @@
 
 // Whatever the library takes is read the same by hand: statements of people, of planners, and each of them with a token
 // taken out, doubled or put in another's place.
-func TestByHand(t *testing.T) {
+func TestParserAgreesWithGrammar(t *testing.T) {
 	list := []string{
 		"SELECT DISTINCT a, b AS x, c 'y' FROM a_1.m m USE INDEX (i, j) WHERE a = 1 AND (b = 2 OR c = 3) AND d IS NOT NULL",
 		"SELECT count(DISTINCT a), group_concat(b ORDER BY c DESC SEPARATOR ';'), cast(d AS decimal(10, 2)), trim(a FROM b) FROM a_1.m",
@@ -177,7 +177,7 @@
 	f.Add("SELECT a FROM t_1.m WHERE x IN (1,2) AND y = 'z' OR (a + 1) > 5 ORDER BY b LIMIT 5")
 	f.Add("INSERT INTO t SELECT * FROM ((a JOIN b ON a.x = b.x)) WHERE CASE WHEN a THEN b END")
 	f.Fuzz(func(t *testing.T, sql string) {
-		x := Read([]byte(sql))
+		x := ReadFeatures([]byte(sql))
 		if len(x.Tables) > mostTables || len(x.Predicates) > mostPredicates {
 			t.Fatalf("%d tables, %d predicates", len(x.Tables), len(x.Predicates))
 		}
--- a/internal/query/costmodel/book.go
+++ b/internal/query/costmodel/model.go
@@ -13,25 +13,25 @@
 
 // Estimate is what a statement will cost, as far as is known.
 type Estimate struct {
-	Work    float64 // milliseconds, usually
-	Upper   float64 // nine of ten stay under it
-	Memory  float64 // MB; 0: not known
-	Answers int     // of this shape and group that it rests on
-	Bad     float64 // share of answers that took several times the usual
-	Times   float64 // and how many times
-	Doubt   bool    // a load has ended on its tables, or its cost has moved, since it was sure
-	Full    string  // the table that it reads as a whole; empty: none
-	Known   bool    // there were answers to rest on, of its own or of its lane; else Work and Upper mean nothing
+	WorkMillis    float64 // milliseconds, usually
+	UpperMillis   float64 // nine of ten stay under it
+	MemoryMB      float64 // MB; 0: not known
+	Observations  int     // of this shape and group that it rests on
+	BadPlanShare  float64 // share of answers that took several times the usual
+	BadPlanFactor float64 // and how many times
+	Uncertain     bool    // a load has ended on its tables, or its cost has moved, since it was sure
+	FullScan      string  // the table that it reads as a whole; empty: none
+	Known         bool    // there were answers to rest on, of its own or of its lane; else Work and Upper mean nothing
 }
 
-// Tables knows what an operator says of tables.
-type Tables func(t *Table) (rows float64, keys []string, ok bool)
+// TableLookup knows what an operator says of tables.
+type TableLookup func(t *Table) (rows float64, keys []string, ok bool)
 
-// Book holds what answers have taught of statements. Its calls may come from many goroutines.
-type Book struct {
+// Model holds what answers have taught of statements. Its calls may come from many goroutines.
+type Model struct {
 	shapes *Cache[*sight]
 	costs  *Cache[*record]
-	tables Tables
+	tables TableLookup
 
 	mu     sync.Mutex // of what all shapes share
 	lanes  []laneCost
@@ -43,9 +43,9 @@
 	mostWatching int64        // and how many may be
 
 	// Counts since the start.
-	Seen, Parsed, Unparsed, Moved atomic.Int64
-	Split                         atomic.Int64 // shapes whose cost follows a literal
-	Answers, Wrong                atomic.Int64 // answers, and those that took three times what was estimated, or a third of it
+	Statements, Parsed, Unparsed, Shifts atomic.Int64
+	SplitShapes                          atomic.Int64 // shapes whose cost follows a literal
+	Observations, Mispredicted           atomic.Int64 // answers, and those that took three times what was estimated, or a third of it
 }
 
 // sight is what is known of a shape at first sight.
@@ -119,9 +119,9 @@
 	return min(0.2, max(0, (t.xy/t.n-middle*t.y/t.n)/spread)), middle
 }
 
-// NewBook holds up to so many bytes. tables may be nil.
-func NewBook(bytes int64, lanes int, tables Tables) *Book {
-	b := &Book{tables: tables, lanes: make([]laneCost, lanes), groups: map[int]*tablesGroup{}}
+// NewModel holds up to so many bytes. tables may be nil.
+func NewModel(bytes int64, lanes int, tables TableLookup) *Model {
+	b := &Model{tables: tables, lanes: make([]laneCost, lanes), groups: map[int]*tablesGroup{}}
 	b.shapes = NewCache[*sight](bytes/4, sightBytes)
 	b.costs = NewCache[*record](bytes-bytes/4, recordBytes)
 	b.shared.begin()
@@ -129,16 +129,16 @@
 	return b
 }
 
-// Catalogue goes by what an operator says of tables from now on. Shapes are read again, as what narrows them may differ.
-func (b *Book) Catalogue(tables Tables) {
+// SetTables goes by what an operator says of tables from now on. Shapes are read again, as what narrows them may differ.
+func (b *Model) SetTables(tables TableLookup) {
 	b.mu.Lock()
 	b.tables = tables
 	b.mu.Unlock()
 	b.shapes.Clear()
 }
 
-// Age tells how many hours have passed since the last call: old answers fade.
-func (b *Book) Age(hours int64) { b.hours.Add(hours) }
+// AdvanceHours tells how many hours have passed since the last call: old answers fade.
+func (b *Model) AdvanceHours(hours int64) { b.hours.Add(hours) }
 
 // halfAfter is the hours in which an answer comes to count half, if no other comes: loads of data come by the day.
 const halfAfter = 24
@@ -149,29 +149,29 @@
 	recordBytes = 420
 )
 
-// Sight is a statement that was looked at.
-type Sight struct {
+// Query is a statement that was looked at.
+type Query struct {
 	Shape uint64
 	Group int
-	Lane  int
+	Class int
 	sight *sight
 
 	literals sqltext.Literals
 }
 
 // Features are what is known of the shape.
-func (s *Sight) Features() *Features { return s.sight.features }
+func (s *Query) Features() *Features { return s.sight.features }
 
 func costKey(shape uint64, group int) uint64 {
 	return shape ^ (uint64(group)+1)*0x9e3779b97f4a7c15
 }
 
-// Look finds a statement's shape, and parses it where the shape is new. It is meant for the goroutine that read the
+// Inspect finds a statement's shape, and parses it where the shape is new. It is meant for the goroutine that read the
 // statement.
-func (b *Book) Look(sql []byte, group, lane int) Sight {
-	s := Sight{Group: group, Lane: lane}
-	s.Shape, s.literals = sqltext.ShapeAnd(sql)
-	b.Seen.Add(1)
+func (b *Model) Inspect(sql []byte, group, lane int) Query {
+	s := Query{Group: group, Class: lane}
+	s.Shape, s.literals = sqltext.ShapeAndLiterals(sql)
+	b.Statements.Add(1)
 	if known, ok := b.shapes.Get(s.Shape); ok {
 		s.sight = known
 		return s
@@ -179,7 +179,7 @@
 	b.mu.Lock()
 	tables := b.tables
 	b.mu.Unlock()
-	f := ReadWith(sql, tables)
+	f := ReadFeaturesWith(sql, tables)
 	if b.Parsed.Add(1); !f.Parsed {
 		b.Unparsed.Add(1)
 	}
@@ -188,9 +188,9 @@
 	return s
 }
 
-func see(f *Features, tables Tables) *sight {
+func see(f *Features, tables TableLookup) *sight {
 	s := &sight{features: f}
-	if t := f.Full(); t != nil {
+	if t := f.FullScan(); t != nil {
 		s.full = t.String()
 	}
 	s.vector = vector(f, s.full != "", tables)
@@ -201,11 +201,11 @@
 const knownFrom = 8
 
 // Estimate is what a statement will cost.
-func (b *Book) Estimate(s *Sight) (e Estimate) {
-	e.Full = s.sight.full
+func (b *Model) Estimate(s *Query) (e Estimate) {
+	e.FullScan = s.sight.full
 	b.mu.Lock()
-	first := b.lanes[s.Lane].mean + b.shared.value(&s.sight.vector)
-	e.Known = b.lanes[s.Lane].n >= knownFrom
+	first := b.lanes[s.Class].mean + b.shared.value(&s.sight.vector)
+	e.Known = b.lanes[s.Class].n >= knownFrom
 	loads := 0
 	if g := b.groups[s.Group]; g != nil {
 		loads = g.loads
@@ -213,24 +213,24 @@
 	b.mu.Unlock()
 	work, spread := first, unsure
 	key, place := costKey(s.Shape, s.Group), 0
-	b.costs.With(key, func(r *record) {
+	b.costs.Visit(key, func(r *record) {
 		place = r.place
 		work, spread = b.blend(&e, r, first, loads)
 	})
 	if place > 0 {
-		b.costs.With(splitKey(key, &s.literals, place), func(r *record) {
+		b.costs.Visit(splitKey(key, &s.literals, place), func(r *record) {
 			if r.n >= ownFrom {
 				work, spread = b.blend(&e, r, first, loads)
 			}
 		})
 	}
-	e.Work = math.Exp(min(work, longest))
-	e.Upper = math.Exp(min(work+nine*spread, longest))
-	if e.Bad >= 0.05 { // nine of ten don't stay under it for sure
-		e.Upper = max(e.Upper, e.Work*e.Times)
+	e.WorkMillis = math.Exp(min(work, longest))
+	e.UpperMillis = math.Exp(min(work+nine*spread, longest))
+	if e.BadPlanShare >= 0.05 { // nine of ten don't stay under it for sure
+		e.UpperMillis = max(e.UpperMillis, e.WorkMillis*e.BadPlanFactor)
 	}
-	if e.Doubt {
-		e.Upper *= 2
+	if e.Uncertain {
+		e.UpperMillis *= 2
 	}
 	return e
 }
@@ -245,9 +245,9 @@
 )
 
 // blend sets what a record says into an estimate; it returns the mean and deviation of the logarithms.
-func (b *Book) blend(e *Estimate, r *record, first float64, loads int) (work, spread float64) {
-	usual, dev, share, times := r.sketch.Modes()
-	e.Answers, e.Bad, e.Times, e.Memory = r.n, share, times, max(r.memory, 0.7*r.most)
+func (b *Model) blend(e *Estimate, r *record, first float64, loads int) (work, spread float64) {
+	usual, dev, share, times := r.sketch.SplitModes()
+	e.Observations, e.BadPlanShare, e.BadPlanFactor, e.MemoryMB = r.n, share, times, max(r.memory, 0.7*r.most)
 	if slope, middle := r.trend.slope(); slope > 0 {
 		usual += slope * (float64(loads) - middle)
 	}
@@ -258,24 +258,24 @@
 	}
 	n := float64(r.sketch.Count()) * math.Exp2(-float64(b.hours.Load()-r.hours)/halfAfter)
 	e.Known = e.Known || r.n >= ownFrom
-	e.Doubt = r.doubt > 0 || loads > r.loads
+	e.Uncertain = r.doubt > 0 || loads > r.loads
 	if weight+n == 0 {
 		return first, unsure
 	}
 	return (weight*first + n*usual) / (weight + n), (weight*unsure + n*max(leastDev, dev)) / (weight + n)
 }
 
-// Answered takes in what a statement cost in milliseconds, and the MB it needed (0: not told).
-func (b *Book) Answered(s *Sight, ms, memory float64) {
+// Observe takes in what a statement cost in milliseconds, and the MB it needed (0: not told).
+func (b *Model) Observe(s *Query, ms, memory float64) {
 	if !(ms > 0) || math.IsInf(ms, 0) {
 		return
 	}
 	y := math.Log(max(ms, least))
 	const wrong = 3 // what a class of costs spans, as a rule
-	if e := b.Estimate(s); e.Known && (ms > wrong*e.Work || ms < e.Work/wrong) {
-		b.Wrong.Add(1)
+	if e := b.Estimate(s); e.Known && (ms > wrong*e.WorkMillis || ms < e.WorkMillis/wrong) {
+		b.Mispredicted.Add(1)
 	}
-	b.Answers.Add(1)
+	b.Observations.Add(1)
 	b.mu.Lock()
 	loads := 0
 	if g := b.groups[s.Group]; g != nil {
@@ -286,17 +286,17 @@
 	fresh, place, usual := true, 0, y
 	b.into(key, loads, func(r *record) {
 		fresh = r.n < 6
-		r.learn(y, ms, memory, loads, &b.Moved)
+		r.learn(y, ms, memory, loads, &b.Shifts)
 		usual = r.usual(y)
 		b.watch(r, &s.literals, y)
 		place = r.place
 	})
-	if place > 0 && place <= s.literals.N*skewWays {
-		b.into(splitKey(key, &s.literals, place), loads, func(r *record) { r.learn(y, ms, memory, loads, &b.Moved) })
+	if place > 0 && place <= s.literals.Count*skewWays {
+		b.into(splitKey(key, &s.literals, place), loads, func(r *record) { r.learn(y, ms, memory, loads, &b.Shifts) })
 	}
 	b.mu.Lock()
 	if fresh { // further answers of a shape teach nothing of others
-		lane := &b.lanes[s.Lane]
+		lane := &b.lanes[s.Class]
 		lane.n = min(lane.n+1, mostLane)
 		lane.mean += (y - lane.mean) / lane.n
 		b.shared.learn(&s.sight.vector, usual-lane.mean)
@@ -305,9 +305,9 @@
 }
 
 // into calls f with the record of a key, a new one where there is none.
-func (b *Book) into(key uint64, loads int, f func(r *record)) {
+func (b *Model) into(key uint64, loads int, f func(r *record)) {
 	hours := b.hours.Load()
-	if b.costs.With(key, func(r *record) {
+	if b.costs.Visit(key, func(r *record) {
 		for ; hours-r.hours >= halfAfter; r.hours += halfAfter {
 			r.sketch.Fade()
 			if r.sketch.Count() == 0 {
@@ -356,7 +356,7 @@
 	r.sketch.Add(ms)
 	if r.n == learnt || r.n%64 == 0 && r.n > learnt { // what is usual is looked at again now and then
 		var bad float64
-		r.base, r.dev, bad, _ = r.sketch.Modes()
+		r.base, r.dev, bad, _ = r.sketch.SplitModes()
 		r.base += bad * clip * max(leastDev, r.dev) // what clipping leaves of the bad mode belongs to what is usual
 		r.dev = max(leastDev, r.dev)
 	}
@@ -385,8 +385,8 @@
 	}
 }
 
-// Loaded takes in that a load has ended on a group of tables: what reads it is in doubt.
-func (b *Book) Loaded(group int) {
+// RecordLoad takes in that a load has ended on a group of tables: what reads it is in doubt.
+func (b *Model) RecordLoad(group int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.groups[group]
@@ -452,11 +452,11 @@
 }
 
 // vector is what the regression sees of a statement.
-func vector(f *Features, full bool, tables Tables) (x [terms]float64) {
+func vector(f *Features, full bool, tables TableLookup) (x [terms]float64) {
 	log := func(n int) float64 { return math.Log1p(float64(n)) }
 	x[0] = 1
 	x[1] = log(f.Joins)
-	x[2] = log(f.Loose)
+	x[2] = log(f.UnboundJoins)
 	rows, known := 0.0, false
 	if full {
 		x[3] = 1
--- a/internal/query/costmodel/read_test.go
+++ b/internal/query/costmodel/model_test.go
@@ -31,16 +31,16 @@
 	for _, p := range f.Predicates {
 		fmt.Fprintf(&b, " %s:%s", p.Column, p.Match)
 	}
-	fmt.Fprintf(&b, " joins %d loose %d sub %d unions %d agg %d groups %d sorts %d windows %d limit %d", f.Joins, f.Loose, f.Subqueries,
+	fmt.Fprintf(&b, " joins %d loose %d sub %d unions %d agg %d groups %d sorts %d windows %d limit %d", f.Joins, f.UnboundJoins, f.Subqueries,
 		f.Unions, f.Aggregates, f.Groups, f.Sorts, f.Windows, f.Limit)
-	if t := f.Full(); t != nil {
+	if t := f.FullScan(); t != nil {
 		b.WriteString(" FULL " + t.Name)
 	}
 	return b.String()
 }
 
 // One line a statement: what is read of it.
-func ExampleRead() {
+func ExampleReadFeatures() {
 	for _, sql := range []string{
 		"SELECT dia, count(*), max(nota) FROM actas_17.mesas WHERE clave = '3f9c' GROUP BY dia",
 		"SELECT dia, count(*) FROM actas_17.mesas GROUP BY dia",
@@ -62,7 +62,7 @@
 		"SELECT a FROM b WHERE c = 'open",
 		"",
 	} {
-		fmt.Println(show(Read([]byte(sql))))
+		fmt.Println(show(ReadFeatures([]byte(sql))))
 	}
 	// Output:
 	// select parsed true [actas_17.mesas] clave:equal joins 0 loose 0 sub 0 unions 0 agg 2 groups 1 sorts 0 windows 0 limit -1
@@ -88,32 +88,32 @@
 
 func BenchmarkRead(b *testing.B) { // a shape seen for the first time
 	sql := []byte(short)
-	Read(sql)
+	ReadFeatures(sql)
 	b.ReportAllocs()
 	for b.Loop() {
-		Read(sql)
+		ReadFeatures(sql)
 	}
 }
 
 func BenchmarkWarm(b *testing.B) { // a shape that is known, up to its estimate
-	book := NewBook(1<<20, 1, nil)
+	book := NewModel(1<<20, 1, nil)
 	sql := []byte(short)
-	s := book.Look(sql, 17, 0)
-	book.Answered(&s, 40, 64)
+	s := book.Inspect(sql, 17, 0)
+	book.Observe(&s, 40, 64)
 	b.ReportAllocs()
 	for b.Loop() {
-		s := book.Look(sql, 17, 0)
+		s := book.Inspect(sql, 17, 0)
 		book.Estimate(&s)
 	}
 }
 
 func TestWarmAllocatesNothing(t *testing.T) {
-	book := NewBook(1<<20, 1, nil)
+	book := NewModel(1<<20, 1, nil)
 	sql := []byte(short)
-	s := book.Look(sql, 17, 0)
-	book.Answered(&s, 40, 64)
+	s := book.Inspect(sql, 17, 0)
+	book.Observe(&s, 40, 64)
 	if n := testing.AllocsPerRun(100, func() {
-		s = book.Look(sql, 17, 0)
+		s = book.Inspect(sql, 17, 0)
 		book.Estimate(&s)
 	}); n != 0 {
 		t.Errorf("%.0f allocations", n)
@@ -135,20 +135,20 @@
 	found, late, alarms, answers := 0, 0, int64(0), 0
 	for seed := range int64(200) {
 		r := rand.New(rand.NewSource(seed))
-		book := NewBook(1<<20, 1, nil)
-		s := book.Look([]byte("SELECT a FROM t_1.m WHERE b = 1"), 1, 0)
+		book := NewModel(1<<20, 1, nil)
+		s := book.Inspect([]byte("SELECT a FROM t_1.m WHERE b = 1"), 1, 0)
 		for range 400 {
-			book.Answered(&s, costs(r, 100, 0.7, 0.1), 0)
+			book.Observe(&s, costs(r, 100, 0.7, 0.1), 0)
 			answers++
 		}
-		alarms += book.Moved.Load()
-		if e := book.Estimate(&s); seed == 0 && (e.Work < 70 || e.Work > 140 || e.Bad < 0.05 || e.Bad > 0.18 || e.Times < 8 || e.Upper < 1000) {
+		alarms += book.Shifts.Load()
+		if e := book.Estimate(&s); seed == 0 && (e.WorkMillis < 70 || e.WorkMillis > 140 || e.BadPlanShare < 0.05 || e.BadPlanShare > 0.18 || e.BadPlanFactor < 8 || e.UpperMillis < 1000) {
 			t.Errorf("after 400 answers: %+v", e)
 		}
-		before := book.Moved.Load()
+		before := book.Shifts.Load()
 		n := 0
-		for ; n < 60 && book.Moved.Load() == before; n++ {
-			book.Answered(&s, costs(r, 300, 0.7, 0.1), 0)
+		for ; n < 60 && book.Shifts.Load() == before; n++ {
+			book.Observe(&s, costs(r, 300, 0.7, 0.1), 0)
 		}
 		if n <= 20 {
 			found++
@@ -165,23 +165,23 @@
 // First sight: scans and look-ups of one lane are told apart once a few of either have been seen elsewhere.
 func TestFirstSight(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
-	book := NewBook(1<<20, 1, nil)
+	book := NewModel(1<<20, 1, nil)
 	for i := range 30 {
 		look := fmt.Sprintf("SELECT a FROM t_%d.m WHERE k%d = 1", i%5, i)
 		scan := fmt.Sprintf("SELECT k%d, count(*) FROM t_%d.m GROUP BY k%d", i, i%5, i)
 		for range 5 {
-			s := book.Look([]byte(look), i%5, 0)
-			book.Answered(&s, costs(r, 50, 0.5, 0), 0)
+			s := book.Inspect([]byte(look), i%5, 0)
+			book.Observe(&s, costs(r, 50, 0.5, 0), 0)
 		}
 		if i%5 == 0 {
-			s := book.Look([]byte(scan), i%5, 0)
-			book.Answered(&s, costs(r, 2000, 0.5, 0), 0)
+			s := book.Inspect([]byte(scan), i%5, 0)
+			book.Observe(&s, costs(r, 2000, 0.5, 0), 0)
 		}
 	}
-	one := book.Look([]byte("SELECT z FROM t_9.other WHERE y = 7"), 9, 0)
-	two := book.Look([]byte("SELECT z, count(*) FROM t_9.other GROUP BY z"), 9, 0)
+	one := book.Inspect([]byte("SELECT z FROM t_9.other WHERE y = 7"), 9, 0)
+	two := book.Inspect([]byte("SELECT z, count(*) FROM t_9.other GROUP BY z"), 9, 0)
 	look, scan := book.Estimate(&one), book.Estimate(&two)
-	if look.Answers != 0 || look.Work < 20 || look.Work > 150 || scan.Work < 600 || scan.Full != "t_9.other" || look.Full != "" {
+	if look.Observations != 0 || look.WorkMillis < 20 || look.WorkMillis > 150 || scan.WorkMillis < 600 || scan.FullScan != "t_9.other" || look.FullScan != "" {
 		t.Errorf("look-up %+v\nscan %+v", look, scan)
 	}
 }
@@ -189,24 +189,24 @@
 // Loads raise doubt, and a cost that grows with them is followed between them.
 func TestLoads(t *testing.T) {
 	r := rand.New(rand.NewSource(5))
-	book := NewBook(1<<20, 1, nil)
-	s := book.Look([]byte("SELECT a FROM t_1.m WHERE b > 1"), 1, 0)
+	book := NewModel(1<<20, 1, nil)
+	s := book.Inspect([]byte("SELECT a FROM t_1.m WHERE b > 1"), 1, 0)
 	mean := 100.0
 	for range 30 {
 		for range 10 {
-			book.Answered(&s, costs(r, mean, 0.2, 0), 0)
+			book.Observe(&s, costs(r, mean, 0.2, 0), 0)
 		}
-		if e := book.Estimate(&s); e.Doubt {
+		if e := book.Estimate(&s); e.Uncertain {
 			t.Fatal("in doubt after ten answers")
 		}
-		book.Loaded(1)
-		if e := book.Estimate(&s); !e.Doubt {
+		book.RecordLoad(1)
+		if e := book.Estimate(&s); !e.Uncertain {
 			t.Fatal("sure after a load")
 		}
 		mean *= 1.04
 	}
-	if e := book.Estimate(&s); e.Work < 0.75*mean || e.Work > 1.3*mean {
-		t.Errorf("estimate %.0f, truth %.0f", e.Work, mean)
+	if e := book.Estimate(&s); e.WorkMillis < 0.75*mean || e.WorkMillis > 1.3*mean {
+		t.Errorf("estimate %.0f, truth %.0f", e.WorkMillis, mean)
 	}
 }
 
@@ -334,10 +334,10 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	book := NewBook(most, 1, nil)
+	book := NewModel(most, 1, nil)
 	for i := range 30000 {
-		s := book.Look([]byte(fmt.Sprintf("SELECT c%d FROM t_%d.m WHERE k%d = 1 GROUP BY c%d", i, i%7, i%11, i)), i%7, 0)
-		book.Answered(&s, 50, 64)
+		s := book.Inspect([]byte(fmt.Sprintf("SELECT c%d FROM t_%d.m WHERE k%d = 1 GROUP BY c%d", i, i%7, i%11, i)), i%7, 0)
+		book.Observe(&s, 50, 64)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -359,9 +359,9 @@
 	for seed := range int64(40) {
 		r := rand.New(rand.NewSource(seed))
 		for _, skewed := range []bool{true, false} {
-			book := NewBook(1<<20, 1, nil)
-			ask := func(literal int) (s Sight, cost float64) {
-				s = book.Look([]byte(fmt.Sprintf("SELECT a FROM t_1.m WHERE b > 5 AND c = 'v%d'", literal)), 1, 0)
+			book := NewModel(1<<20, 1, nil)
+			ask := func(literal int) (s Query, cost float64) {
+				s = book.Inspect([]byte(fmt.Sprintf("SELECT a FROM t_1.m WHERE b > 5 AND c = 'v%d'", literal)), 1, 0)
 				if cost = costs(r, 100, 0.35, 0.1); skewed && literal == 3 {
 					cost *= 25
 				}
@@ -373,17 +373,17 @@
 					literal = r.Int()
 				}
 				s, cost := ask(literal)
-				book.Answered(&s, cost, 0)
+				book.Observe(&s, cost, 0)
 			}
 			switch {
 			case !skewed:
-				falsely += int(book.Split.Load())
-			case book.Split.Load() > 0:
+				falsely += int(book.SplitShapes.Load())
+			case book.SplitShapes.Load() > 0:
 				split++
 				dear, _ := ask(3)
 				cheap, _ := ask(4)
-				if e, f := book.Estimate(&dear), book.Estimate(&cheap); e.Work < 800 || f.Work > 250 {
-					t.Errorf("seed %d: dear %.0f, cheap %.0f", seed, e.Work, f.Work)
+				if e, f := book.Estimate(&dear), book.Estimate(&cheap); e.WorkMillis < 800 || f.WorkMillis > 250 {
+					t.Errorf("seed %d: dear %.0f, cheap %.0f", seed, e.WorkMillis, f.WorkMillis)
 				}
 			}
 			if n := book.watching.Load(); n != 0 {
@@ -398,57 +398,57 @@
 }
 
 // learned is a book that has seen some shapes in two lanes.
-func learned(seed int64) *Book {
+func learned(seed int64) *Model {
 	r := rand.New(rand.NewSource(seed))
-	book := NewBook(1<<20, 2, nil)
+	book := NewModel(1<<20, 2, nil)
 	for i := range 300 {
-		s := book.Look([]byte(fmt.Sprintf("SELECT k%d FROM t_%d.m WHERE b = 1 ORDER BY k%d", i%7, i%3, i%7)), i%3, i%2)
-		book.Answered(&s, costs(r, 50*float64(1+i%7), 0.3, 0.1), 32)
+		s := book.Inspect([]byte(fmt.Sprintf("SELECT k%d FROM t_%d.m WHERE b = 1 ORDER BY k%d", i%7, i%3, i%7)), i%3, i%2)
+		book.Observe(&s, costs(r, 50*float64(1+i%7), 0.3, 0.1), 32)
 		if i%50 == 0 {
-			book.Loaded(i % 3)
+			book.RecordLoad(i % 3)
 		}
 	}
-	book.Age(30)
+	book.AdvanceHours(30)
 	return book
 }
 
 func TestSnapshot(t *testing.T) {
 	lanes := []string{"look", "report"}
 	book := learned(1)
-	b := book.Take(lanes).Encode()
-	s, err := Decode(b)
+	b := book.Snapshot(lanes).Encode()
+	s, err := DecodeSnapshot(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := NewBook(1<<20, 2, nil)
-	again.Begin(s, lanes)
+	again := NewModel(1<<20, 2, nil)
+	again.Restore(s, lanes)
 	for i := range 7 {
 		sql := []byte(fmt.Sprintf("SELECT k%d FROM t_1.m WHERE b = 1 ORDER BY k%d", i, i))
-		one, two := book.Look(sql, 1, 1), again.Look(sql, 1, 1)
-		if e, f := book.Estimate(&one), again.Estimate(&two); e != f || e.Answers == 0 {
+		one, two := book.Inspect(sql, 1, 1), again.Inspect(sql, 1, 1)
+		if e, f := book.Estimate(&one), again.Estimate(&two); e != f || e.Observations == 0 {
 			t.Errorf("%+v is not %+v", f, e)
 		}
 	}
-	if string(again.Take(lanes).Encode()) != string(b) {
+	if string(again.Snapshot(lanes).Encode()) != string(b) {
 		t.Error("written again it is another")
 	}
 	// Cut anywhere, with any bit flipped, or of another version, it is refused as a whole.
 	for n := range b {
-		if _, err := Decode(b[:n]); err == nil {
+		if _, err := DecodeSnapshot(b[:n]); err == nil {
 			t.Fatalf("cut to %d bytes it is read", n)
 		}
 		bad := append([]byte(nil), b...)
 		bad[n] ^= 1 << (n % 8)
-		if _, err := Decode(bad); err == nil {
+		if _, err := DecodeSnapshot(bad); err == nil {
 			t.Fatalf("with byte %d changed it is read", n)
 		}
 	}
-	if _, err := Decode(append(append([]byte(nil), b...), 0)); err == nil {
+	if _, err := DecodeSnapshot(append(append([]byte(nil), b...), 0)); err == nil {
 		t.Error("with a byte more it is read")
 	}
 	other := append([]byte(nil), b...)
 	other[4]++
-	if _, err := Decode(other); err == nil || err.Error() != "version 2 of the form, this program knows 1" {
+	if _, err := DecodeSnapshot(other); err == nil || err.Error() != "version 2 of the form, this program knows 1" {
 		t.Error(err)
 	}
 }
@@ -457,9 +457,9 @@
 // regression lies between the two.
 func TestMerge(t *testing.T) {
 	lanes := []string{"look", "report"}
-	one, two := learned(1).Take(lanes), learned(2).Take(lanes)
-	m := Merge(one, two)
-	if r, n := m.Records(); r != 21 || n != 600 {
+	one, two := learned(1).Snapshot(lanes), learned(2).Snapshot(lanes)
+	m := MergeSnapshots(one, two)
+	if r, n := m.CountRecords(); r != 21 || n != 600 {
 		t.Errorf("%d shapes, %d answers", r, n)
 	}
 	for i := range m.records {
@@ -479,16 +479,16 @@
 			t.Errorf("weight %d: %.2f of %.2f and %.2f", i, w, one.weights[i], two.weights[i])
 		}
 	}
-	if same := Merge(one); same.weights[0]-one.weights[0] > 1e-6 || one.weights[0]-same.weights[0] > 1e-6 {
+	if same := MergeSnapshots(one); same.weights[0]-one.weights[0] > 1e-6 || one.weights[0]-same.weights[0] > 1e-6 {
 		t.Errorf("one alone: %v, %v", same.weights, one.weights)
 	}
-	if _, err := Decode(m.Encode()); err != nil {
+	if _, err := DecodeSnapshot(m.Encode()); err != nil {
 		t.Error(err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(learned(1).Take([]string{"a", "b"}).Encode())
+	f.Add(learned(1).Snapshot([]string{"a", "b"}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if len(b) > 16 { // past the checksum, so that what is behind it is reached
 			b = append([]byte(nil), b...)
@@ -497,12 +497,12 @@
 			binary.LittleEndian.PutUint32(b[8:], uint32(len(b)-16))
 			binary.LittleEndian.PutUint32(b[len(b)-4:], crc32.Checksum(b[:len(b)-4], castagnoli))
 		}
-		if s, err := Decode(b); err == nil {
-			book := NewBook(1<<16, 2, nil)
-			book.Begin(s, []string{"a", "b"})
-			look := book.Look([]byte("SELECT 1"), 0, 0)
-			book.Answered(&look, 5, 0)
-			if _, err := Decode(Merge(s, book.Take([]string{"a", "b"})).Encode()); err != nil {
+		if s, err := DecodeSnapshot(b); err == nil {
+			book := NewModel(1<<16, 2, nil)
+			book.Restore(s, []string{"a", "b"})
+			look := book.Inspect([]byte("SELECT 1"), 0, 0)
+			book.Observe(&look, 5, 0)
+			if _, err := DecodeSnapshot(MergeSnapshots(s, book.Snapshot([]string{"a", "b"})).Encode()); err != nil {
 				t.Log(err) // sums of what was read may leave what can be read, and are refused
 			}
 		}
--- a/internal/query/costmodel/parse.go
+++ b/internal/query/costmodel/parse.go
@@ -251,7 +251,7 @@
 				k.key = key(l.Bytes(t))
 			}
 		case sqltext.Text:
-			if t.Open {
+			if t.Unterminated {
 				return nil, errOpen
 			}
 			if t.From > 0 && (all[t.From-1] == '\'' || all[t.From-1] == '"') {
--- a/internal/query/costmodel/sketch.go
+++ b/internal/query/costmodel/sketch.go
@@ -78,10 +78,10 @@
 	return middle(steps - 1)
 }
 
-// Modes tells the usual mode from the bad one: bad are answers of so many times the median and more, which come of plans
+// SplitModes tells the usual mode from the bad one: bad are answers of so many times the median and more, which come of plans
 // that went wrong and not of chance in a usual one. usual and spread are the mean and deviation of the logarithms of the
 // usual ones; factor is how many times the usual a bad one takes.
-func (s *Sketch) Modes() (usual, spread, share, factor float64) {
+func (s *Sketch) SplitModes() (usual, spread, share, factor float64) {
 	const times = 5 // a usual answer of a lognormal cost with a deviation of 0.8 comes there one time in forty
 	edge := step(s.Quantile(0.5) * times)
 	var n, sum, squares, bad, badSum float64
--- a/internal/query/costmodel/skew.go
+++ b/internal/query/costmodel/skew.go
@@ -19,7 +19,7 @@
 	// Each literal is grouped in two ways: a dear one that shares its group with another is hidden by it, and 13 of 40 shapes
 	// with one dear literal of sixteen, of which another fell into its group, were split by one way alone.
 	skewWays   = 2
-	skewPlaces = skewWays * len(sqltext.Literals{}.Hash)
+	skewPlaces = skewWays * len(sqltext.Literals{}.Hashes)
 	skewGroups = 64
 	skewBytes  = skewPlaces*skewGroups*6 + 32
 	// With so many answers a literal of one in twenty has come six times; and when so many have come without a finding, no
@@ -36,11 +36,11 @@
 // skewGroup is a literal's group by a place, from 0: which literal it is, and in which way it is grouped.
 func skewGroup(l *sqltext.Literals, place int) int {
 	times := [skewWays]uint32{0x9e3779b1, 0x85ebca6b}
-	return int(l.Hash[place/skewWays]*times[place%skewWays]>>26) % skewGroups
+	return int(l.Hashes[place/skewWays]*times[place%skewWays]>>26) % skewGroups
 }
 
 func (k *skew) add(l *sqltext.Literals, y float64) {
-	for p := range l.N * skewWays {
+	for p := range l.Count * skewWays {
 		g := skewGroup(l, p)
 		k.n[p][g]++
 		k.sum[p][g] += float32(y)
@@ -83,19 +83,19 @@
 
 // splitKey is the key of the record for a literal's group.
 func splitKey(key uint64, l *sqltext.Literals, place int) uint64 {
-	if place > l.N*skewWays {
+	if place > l.Count*skewWays {
 		return key
 	}
 	return key ^ (uint64(place)<<8|uint64(skewGroup(l, place-1))+1)*0xd6e8feb86659fd93
 }
 
 // watch takes an answer into the search for a literal that matters.
-func (b *Book) watch(r *record, l *sqltext.Literals, y float64) {
-	if r.place > 0 || l.N == 0 || r.n < learnt || r.searched {
+func (b *Model) watch(r *record, l *sqltext.Literals, y float64) {
+	if r.place > 0 || l.Count == 0 || r.n < learnt || r.searched {
 		return
 	}
 	if r.skew == nil {
-		if _, dev, bad, _ := r.sketch.Modes(); dev < skewSpread && bad < 0.02 || b.watching.Load() >= b.mostWatching {
+		if _, dev, bad, _ := r.sketch.SplitModes(); dev < skewSpread && bad < 0.02 || b.watching.Load() >= b.mostWatching {
 			return
 		}
 		b.watching.Add(1)
@@ -104,7 +104,7 @@
 	r.skew.add(l, y)
 	if n := r.skew.total; n >= skewFrom && math.Mod(n, 16) == 0 {
 		if r.place = r.skew.find(); r.place > 0 {
-			b.Split.Add(1)
+			b.SplitShapes.Add(1)
 		}
 		if r.place > 0 || n >= skewUntil {
 			r.skew, r.searched = nil, true
--- a/internal/query/costmodel/snapshot.go
+++ b/internal/query/costmodel/snapshot.go
@@ -45,8 +45,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Take is a snapshot of a book whose lanes have these names.
-func (b *Book) Take(lanes []string) *Snapshot {
+// Snapshot is a snapshot of a book whose lanes have these names.
+func (b *Model) Snapshot(lanes []string) *Snapshot {
 	s := &Snapshot{}
 	b.mu.Lock()
 	for i, l := range b.lanes {
@@ -65,7 +65,7 @@
 	}
 	b.mu.Unlock()
 	hours := b.hours.Load()
-	b.costs.Each(func(key uint64, r *record) {
+	b.costs.VisitAll(func(key uint64, r *record) {
 		known := recordKnown{key: key, age: max(0, hours-r.hours), record: *r}
 		known.skew, known.hours = nil, 0
 		s.records = append(s.records, known)
@@ -75,9 +75,9 @@
 	return s
 }
 
-// Begin has an empty book know what a snapshot says. Lanes are found by their names; those with most answers come first
+// Restore has an empty book know what a snapshot says. Lanes are found by their names; those with most answers come first
 // where not all records have room.
-func (b *Book) Begin(s *Snapshot, lanes []string) {
+func (b *Model) Restore(s *Snapshot, lanes []string) {
 	b.mu.Lock()
 	for _, l := range s.lanes {
 		if i := slices.Index(lanes, l.name); i >= 0 {
@@ -112,35 +112,35 @@
 	}
 }
 
-// Records tells how many shapes on groups of tables it knows, and how many answers they rest on.
-func (s *Snapshot) Records() (records, answers int) {
+// CountRecords tells how many shapes on groups of tables it knows, and how many answers they rest on.
+func (s *Snapshot) CountRecords() (records, answers int) {
 	for i := range s.records {
 		answers += s.records[i].n
 	}
 	return len(s.records), answers
 }
 
-// Lanes are the names of its lanes.
-func (s *Snapshot) Lanes() (out []string) {
+// ClassNames are the names of its lanes.
+func (s *Snapshot) ClassNames() (out []string) {
 	for _, l := range s.lanes {
 		out = append(out, l.name)
 	}
 	return out
 }
 
-// Cost is what a shape on a group of tables usually takes in milliseconds, as far as the snapshot knows it.
-func (s *Snapshot) Cost(shape uint64, group int) (ms float64, ok bool) {
+// UsualMillis is what a shape on a group of tables usually takes in milliseconds, as far as the snapshot knows it.
+func (s *Snapshot) UsualMillis(shape uint64, group int) (ms float64, ok bool) {
 	key := costKey(shape, group)
 	i, ok := slices.BinarySearchFunc(s.records, key, func(r recordKnown, key uint64) int { return cmp.Compare(r.key, key) })
 	if !ok || s.records[i].sketch.Count() == 0 {
 		return 0, false
 	}
-	usual, _, _, _ := s.records[i].sketch.Modes()
+	usual, _, _, _ := s.records[i].sketch.SplitModes()
 	return math.Exp(usual), true
 }
 
-// Merge makes one snapshot of those of several gateways.
-func Merge(list ...*Snapshot) *Snapshot {
+// MergeSnapshots makes one snapshot of those of several gateways.
+func MergeSnapshots(list ...*Snapshot) *Snapshot {
 	out := &Snapshot{}
 	lanes, groups, records := map[string]int{}, map[int]int{}, map[uint64]int{}
 	for _, s := range list {
@@ -322,8 +322,8 @@
 	errFigures    = errors.New("it holds figures that can't be")
 )
 
-// Decode reads a snapshot; one of another version, cut short or changed is refused as a whole.
-func Decode(b []byte) (*Snapshot, error) {
+// DecodeSnapshot reads a snapshot; one of another version, cut short or changed is refused as a whole.
+func DecodeSnapshot(b []byte) (*Snapshot, error) {
 	const head, tail = 12, 4
 	switch {
 	case len(b) < head+tail || string(b[:4]) != snapshotMagic:
--- a/internal/query/digest/digest.go
+++ b/internal/query/digest/digest.go
@@ -17,46 +17,46 @@
 
 // Entry is one recorded statement.
 type Entry struct {
-	Shape    uint64
-	Group    int
-	Text     string // empty: it was not recorded
-	Took     time.Duration
-	Examined int64 // rows
+	Shape        uint64
+	Group        int
+	Text         string // empty: it was not recorded
+	Elapsed      time.Duration
+	RowsExamined int64 // rows
 }
 
 // Row is what is known of one shape.
 type Row struct {
-	Shape    string   `json:"shape"`
-	Count    int      `json:"count"`
-	Share    float64  `json:"share"`    // of the time of all, or of their number where no time is known
-	TotalMS  float64  `json:"total_ms"` // 0: not known
-	MeanMS   float64  `json:"mean_ms"`
-	P50MS    float64  `json:"p50_ms"`
-	P99MS    float64  `json:"p99_ms"`
-	WorstMS  float64  `json:"worst_ms"`
-	Bad      float64  `json:"bad_share"` // of those that took five times the median and more
-	Examined float64  `json:"rows_examined_mean"`
-	Groups   int      `json:"groups"` // of tables
-	Verb     string   `json:"verb"`   // empty: no text was recorded
-	Full     string   `json:"full_scan_of"`
-	Parsed   bool     `json:"parsed"`
-	Tables   []string `json:"tables"`
-	Normal   string   `json:"normal"`
+	Shape            string   `json:"shape"`
+	Count            int      `json:"count"`
+	Share            float64  `json:"share"`    // of the time of all, or of their number where no time is known
+	TotalMS          float64  `json:"total_ms"` // 0: not known
+	MeanMS           float64  `json:"mean_ms"`
+	P50MS            float64  `json:"p50_ms"`
+	P99MS            float64  `json:"p99_ms"`
+	WorstMS          float64  `json:"worst_ms"`
+	BadPlanShare     float64  `json:"bad_share"` // of those that took five times the median and more
+	MeanRowsExamined float64  `json:"rows_examined_mean"`
+	TableGroups      int      `json:"groups"` // of tables
+	Verb             string   `json:"verb"`   // empty: no text was recorded
+	FullScanOf       string   `json:"full_scan_of"`
+	Parsed           bool     `json:"parsed"`
+	Tables           []string `json:"tables"`
+	Normalized       string   `json:"normal"`
 }
 
 // Digest is a whole recording.
 type Digest struct {
-	Statements int     `json:"statements"`
-	Shapes     int     `json:"shapes"`
-	TotalMS    float64 `json:"total_ms"`
-	Learned    int     `json:"statements_by_snapshot"` // whose time is what a snapshot says they usually take
-	Rows       []Row   `json:"rows"`                   // the dearest first
-	LeftOut    int     `json:"shapes_left_out"`
-	LeftShare  float64 `json:"share_left_out"`
+	Statements           int     `json:"statements"`
+	Shapes               int     `json:"shapes"`
+	TotalMS              float64 `json:"total_ms"`
+	StatementsBySnapshot int     `json:"statements_by_snapshot"` // whose time is what a snapshot says they usually take
+	Rows                 []Row   `json:"rows"`                   // the dearest first
+	ShapesLeftOut        int     `json:"shapes_left_out"`
+	ShareLeftOut         float64 `json:"share_left_out"`
 }
 
-// Costs says what a shape on a group of tables usually takes, for recordings without times.
-type Costs func(shape uint64, group int) (ms float64, ok bool)
+// CostLookup says what a shape on a group of tables usually takes, for recordings without times.
+type CostLookup func(shape uint64, group int) (ms float64, ok bool)
 
 type sum struct {
 	shape    uint64
@@ -72,9 +72,9 @@
 // mostGroups bounds the groups counted of a shape; more are shown as that many.
 const mostGroups = 1000
 
-// Of sums up entries and keeps the dearest shapes. tables is what an operator says of tables, costs what a snapshot says;
+// Summarize sums up entries and keeps the dearest shapes. tables is what an operator says of tables, costs what a snapshot says;
 // both may be nil.
-func Of(entries []Entry, most int, tables costmodel.Tables, costs Costs) *Digest {
+func Summarize(entries []Entry, most int, tables costmodel.TableLookup, costs CostLookup) *Digest {
 	d := &Digest{Statements: len(entries)}
 	sums := map[uint64]*sum{}
 	var order []*sum
@@ -87,11 +87,11 @@
 			order = append(order, s)
 		}
 		s.count++
-		ms := float64(e.Took) / float64(time.Millisecond)
+		ms := float64(e.Elapsed) / float64(time.Millisecond)
 		if ms == 0 && costs != nil {
 			if usual, ok := costs(e.Shape, e.Group); ok {
 				ms = usual
-				d.Learned++
+				d.StatementsBySnapshot++
 			}
 		}
 		if ms > 0 {
@@ -99,7 +99,7 @@
 			s.worst = max(s.worst, ms)
 			s.sketch.Add(ms)
 		}
-		s.examined += e.Examined
+		s.examined += e.RowsExamined
 		if len(s.groups) < mostGroups {
 			s.groups[e.Group] = true
 		}
@@ -118,61 +118,61 @@
 	slices.SortStableFunc(order, func(a, b *sum) int { return cmp.Compare(share(b), share(a)) })
 	for n, s := range order {
 		if n >= most {
-			d.LeftOut++
-			d.LeftShare += share(s)
+			d.ShapesLeftOut++
+			d.ShareLeftOut += share(s)
 			continue
 		}
 		r := Row{Shape: fmt.Sprintf("%016x", s.shape), Count: s.count, Share: share(s), TotalMS: s.total, WorstMS: s.worst,
-			Examined: float64(s.examined) / float64(s.count), Groups: len(s.groups)}
+			MeanRowsExamined: float64(s.examined) / float64(s.count), TableGroups: len(s.groups)}
 		if timed := s.sketch.Count(); timed > 0 {
 			r.MeanMS = s.total / float64(s.count)
 			r.P50MS, r.P99MS = min(s.worst, s.sketch.Quantile(0.5)), min(s.worst, s.sketch.Quantile(0.99))
-			_, _, r.Bad, _ = s.sketch.Modes()
+			_, _, r.BadPlanShare, _ = s.sketch.SplitModes()
 		}
 		if s.text != "" {
-			f := costmodel.ReadWith([]byte(s.text), tables)
+			f := costmodel.ReadFeaturesWith([]byte(s.text), tables)
 			r.Verb, r.Parsed = f.Verb.String(), f.Parsed
-			if t := f.Full(); t != nil {
-				r.Full = t.String()
+			if t := f.FullScan(); t != nil {
+				r.FullScanOf = t.String()
 			}
 			for i := range f.Tables {
 				r.Tables = append(r.Tables, f.Tables[i].String())
 			}
-			r.Normal = strings.TrimSpace(string(sqltext.Normal(nil, []byte(s.text))))
+			r.Normalized = strings.TrimSpace(string(sqltext.AppendNormalized(nil, []byte(s.text))))
 		}
 		d.Rows = append(d.Rows, r)
 	}
 	return d
 }
 
-// Text writes a digest as a table.
-func (d *Digest) Text(out io.Writer) error {
+// WriteText writes a digest as a table.
+func (d *Digest) WriteText(out io.Writer) error {
 	fmt.Fprintf(out, "%d statements of %d shapes, %.1f s in all\n", d.Statements, d.Shapes, d.TotalMS/1000)
-	if d.Learned > 0 {
-		fmt.Fprintf(out, "%d of them by what the snapshot says they usually take\n", d.Learned)
+	if d.StatementsBySnapshot > 0 {
+		fmt.Fprintf(out, "%d of them by what the snapshot says they usually take\n", d.StatementsBySnapshot)
 	}
 	fmt.Fprintln(out)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "share\tcount\tmean ms\tp50\tp99\tworst\tbad\trows read\tgroups\tverb\t")
 	for _, r := range d.Rows {
 		fmt.Fprintf(w, "%.1f%%\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f%%\t%.0f\t%d\t%s\t\n", 100*r.Share, r.Count, r.MeanMS, r.P50MS, r.P99MS,
-			r.WorstMS, 100*r.Bad, r.Examined, r.Groups, r.Verb)
+			r.WorstMS, 100*r.BadPlanShare, r.MeanRowsExamined, r.TableGroups, r.Verb)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if d.LeftOut > 0 {
-		fmt.Fprintf(out, "%d more shapes, %.1f%%\n", d.LeftOut, 100*d.LeftShare)
+	if d.ShapesLeftOut > 0 {
+		fmt.Fprintf(out, "%d more shapes, %.1f%%\n", d.ShapesLeftOut, 100*d.ShareLeftOut)
 	}
 	for n, r := range d.Rows {
 		fmt.Fprintf(out, "\n%d. shape %s\n", n+1, r.Shape)
-		if r.Normal == "" {
+		if r.Normalized == "" {
 			fmt.Fprintln(out, "   its text was not recorded")
 			continue
 		}
-		fmt.Fprintf(out, "   %s\n", cut(r.Normal, 400))
-		if r.Full != "" {
-			fmt.Fprintf(out, "   reads the whole of %s\n", r.Full)
+		fmt.Fprintf(out, "   %s\n", cut(r.Normalized, 400))
+		if r.FullScanOf != "" {
+			fmt.Fprintf(out, "   reads the whole of %s\n", r.FullScanOf)
 		}
 	}
 	return nil
@@ -196,14 +196,14 @@
 <style>body{font:15px/1.5 sans-serif;margin:2em;max-width:80em}table{border-collapse:collapse}th,td{padding:.3em .7em;text-align:right;
 border-bottom:1px solid #ccc;vertical-align:top}td.t,th.t{text-align:left}code{white-space:pre-wrap;word-break:break-word}.f{color:#a33}</style></head>
 <body><h1>Statements by cost</h1>
-<p>{{.Statements}} statements of {{.Shapes}} shapes, {{seconds .TotalMS}} s in all.{{if .Learned}} {{.Learned}} of them by what the
-snapshot says they usually take.{{end}}{{if .LeftOut}} {{.LeftOut}} further shapes, {{percent .LeftShare}}, are left out.{{end}}</p>
+<p>{{.Statements}} statements of {{.Shapes}} shapes, {{seconds .TotalMS}} s in all.{{if .StatementsBySnapshot}} {{.StatementsBySnapshot}} of them by what the
+snapshot says they usually take.{{end}}{{if .ShapesLeftOut}} {{.ShapesLeftOut}} further shapes, {{percent .ShareLeftOut}}, are left out.{{end}}</p>
 <table><tr><th>share</th><th>count</th><th>mean ms</th><th>p50</th><th>p99</th><th>worst</th><th>bad plans</th><th>rows read</th><th>groups</th><th class="t">statement</th></tr>
 {{range .Rows}}<tr><td>{{percent .Share}}</td><td>{{.Count}}</td><td>{{one .MeanMS}}</td><td>{{one .P50MS}}</td><td>{{one .P99MS}}</td><td>{{one .WorstMS}}</td>
-<td>{{percent .Bad}}</td><td>{{one .Examined}}</td><td>{{.Groups}}</td><td class="t"><code>{{if .Normal}}{{cut .Normal}}{{else}}shape {{.Shape}}, text not recorded{{end}}</code>
-{{if .Full}}<br><span class="f">reads the whole of {{.Full}}</span>{{end}}</td></tr>
+<td>{{percent .BadPlanShare}}</td><td>{{one .MeanRowsExamined}}</td><td>{{.TableGroups}}</td><td class="t"><code>{{if .Normalized}}{{cut .Normalized}}{{else}}shape {{.Shape}}, text not recorded{{end}}</code>
+{{if .FullScanOf}}<br><span class="f">reads the whole of {{.FullScanOf}}</span>{{end}}</td></tr>
 {{end}}</table></body></html>
 `))
 
-// Page writes a digest as one page.
-func (d *Digest) Page(out io.Writer) error { return page.Execute(out, d) }
+// WriteHTML writes a digest as one page.
+func (d *Digest) WriteHTML(out io.Writer) error { return page.Execute(out, d) }
--- a/internal/query/digest/digest_test.go
+++ b/internal/query/digest/digest_test.go
@@ -10,11 +10,11 @@
 	"magpiebank/internal/query/sqltext"
 )
 
-func ExampleOf() {
+func ExampleSummarize() {
 	var list []Entry
 	add := func(sql string, group int, ms ...int) {
 		for _, v := range ms {
-			list = append(list, Entry{Shape: sqltext.Shape([]byte(sql)), Group: group, Text: sql, Took: time.Duration(v) * time.Millisecond, Examined: int64(10 * v)})
+			list = append(list, Entry{Shape: sqltext.Shape([]byte(sql)), Group: group, Text: sql, Elapsed: time.Duration(v) * time.Millisecond, RowsExamined: int64(10 * v)})
 		}
 	}
 	add("SELECT a FROM actas_1.mesas WHERE clave = 'x'", 1, 10, 12, 11, 10, 9, 200)
@@ -22,17 +22,17 @@
 	add("SELECT dia, count(*) FROM actas_1.mesas GROUP BY dia", 1, 900, 1100)
 	add("SELEC x", 0, 1)
 	tables := func(t *costmodel.Table) (float64, []string, bool) { return 0, []string{"clave"}, true }
-	d := Of(list, 2, tables, nil)
-	d.Text(os.Stdout)
+	d := Summarize(list, 2, tables, nil)
+	d.WriteText(os.Stdout)
 	// Where no time was recorded, what a snapshot knows stands for it.
 	for i := range list {
-		list[i].Took = 0
+		list[i].Elapsed = 0
 	}
-	d = Of(list, 1, nil, func(shape uint64, group int) (float64, bool) { return 50, group == 1 })
-	fmt.Println(d.Learned, d.TotalMS, d.Rows[0].Count)
+	d = Summarize(list, 1, nil, func(shape uint64, group int) (float64, bool) { return 50, group == 1 })
+	fmt.Println(d.StatementsBySnapshot, d.TotalMS, d.Rows[0].Count)
 	var page strings.Builder
 	list[0].Text = "SELECT `<b>` FROM t"
-	fmt.Println(Of(list[:1], 1, nil, nil).Page(&page), strings.Contains(page.String(), "<b>"), strings.Contains(page.String(), "&lt;b&gt;"))
+	fmt.Println(Summarize(list[:1], 1, nil, nil).WriteHTML(&page), strings.Contains(page.String(), "<b>"), strings.Contains(page.String(), "&lt;b&gt;"))
 	// Output:
 	// 10 statements of 3 shapes, 2.3 s in all
 	//
--- a/internal/query/sqltext/lexer.go
+++ b/internal/query/sqltext/lexer.go
@@ -24,10 +24,10 @@
 
 // Token is a piece of a statement; its text is the statement's bytes From to To.
 type Token struct {
-	Kind     Kind
-	Sign     byte // of a Sign, the character
-	Open     bool // a string, name or comment that doesn't end
-	From, To int
+	Kind         Kind
+	Sign         byte // of a Sign, the character
+	Unterminated bool // a string, name or comment that doesn't end
+	From, To     int
 }
 
 // Lexer splits a statement into tokens, without comments and white space. It looks at each byte a bounded number of
@@ -82,9 +82,9 @@
 		case c == '/' && l.ahead(1) == '*':
 			if l.ahead(2) == '+' {
 				t = Token{Kind: Hint, From: from + 3}
-				t.Open = !l.past(from+3, "*/")
+				t.Unterminated = !l.past(from+3, "*/")
 				t.To = max(t.From, l.At-2)
-				if t.Open {
+				if t.Unterminated {
 					t.To = l.At
 				}
 				return l.is(t)
@@ -104,7 +104,7 @@
 			return l.is(l.text(from, c))
 		case c == '`':
 			t = Token{Kind: Quoted, From: from + 1}
-			if t.Open = !l.past(from+1, "`"); t.Open {
+			if t.Unterminated = !l.past(from+1, "`"); t.Unterminated {
 				t.To = l.At
 			} else {
 				t.To = l.At - 1
@@ -133,8 +133,8 @@
 	return ahead.Next()
 }
 
-// Dotted tells whether the next token is a dot: the name before it qualifies another.
-func (l *Lexer) Dotted() bool {
+// NextIsDot tells whether the next token is a dot: the name before it qualifies another.
+func (l *Lexer) NextIsDot() bool {
 	at := l.At
 	for at < len(l.Text) && class[l.Text[at]] == space {
 		at++
@@ -191,7 +191,7 @@
 		}
 	}
 	l.At = len(l.Text)
-	return Token{Kind: Text, Open: true, From: min(from+1, l.At), To: l.At}
+	return Token{Kind: Text, Unterminated: true, From: min(from+1, l.At), To: l.At}
 }
 
 // number reads a number; letters that belong to none make a word of it, as names may begin with a digit.
--- a/internal/query/sqltext/shape.go
+++ b/internal/query/sqltext/shape.go
@@ -4,38 +4,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostText is the longest statement that has a shape: what a gateway takes at the most.
-const MostText = 1 << 18
+// MaxStatementBytes is the longest statement that has a shape: what a gateway takes at the most.
+const MaxStatementBytes = 1 << 18
 
-// TooLong is the shape of all statements that are longer.
-const TooLong = 1
+// ShapeTooLong is the shape of all statements that are longer.
+const ShapeTooLong = 1
 
 // Shape is the same number for statements that differ only in literals, the length of lists of literals and of VALUES, the
 // number in a schema's name, spacing, comments and the case of words. It allocates nothing.
 func Shape(sql []byte) uint64 {
-	shape, _ := ShapeAnd(sql)
+	shape, _ := ShapeAndLiterals(sql)
 	return shape
 }
 
 // Literals are the first of a statement's literals, of a list the first one, as numbers that are the same for the same text.
 type Literals struct {
-	N    int
-	Hash [4]uint32
+	Count  int
+	Hashes [4]uint32
 }
 
 func (l *Literals) add(text []byte) {
-	if l.N == len(l.Hash) {
+	if l.Count == len(l.Hashes) {
 		return
 	}
 	h := xxhash.Sum64(text)
-	l.Hash[l.N] = uint32(h ^ h>>32)
-	l.N++
+	l.Hashes[l.Count] = uint32(h ^ h>>32)
+	l.Count++
 }
 
-// ShapeAnd is a statement's shape, and its literals.
-func ShapeAnd(sql []byte) (uint64, Literals) {
-	if len(sql) > MostText {
-		return TooLong, Literals{}
+// ShapeAndLiterals is a statement's shape, and its literals.
+func ShapeAndLiterals(sql []byte) (uint64, Literals) {
+	if len(sql) > MaxStatementBytes {
+		return ShapeTooLong, Literals{}
 	}
 	var n normal
 	n.hash.Reset()
@@ -44,9 +44,9 @@
 	return n.hash.Sum64(), n.literals
 }
 
-// Normal appends a statement's normal form, which its shape is the hash of.
-func Normal(dst, sql []byte) []byte {
-	if len(sql) > MostText {
+// AppendNormalized appends a statement's normal form, which its shape is the hash of.
+func AppendNormalized(dst, sql []byte) []byte {
+	if len(sql) > MaxStatementBytes {
 		return append(dst, "a statement that is too long"...)
 	}
 	n := normal{text: dst, keep: true}
@@ -153,7 +153,7 @@
 				break
 			}
 			n.literals.add(l.Bytes(t))
-			if t.Open {
+			if t.Unterminated {
 				n.word([]byte("'..."), false)
 			} else {
 				n.sign('?')
@@ -198,7 +198,7 @@
 			n.sign(t.Sign)
 		case Word:
 			text := l.Bytes(t)
-			if l.Dotted() {
+			if l.NextIsDot() {
 				n.schema(text, true)
 			} else {
 				n.word(text, true)
@@ -217,7 +217,7 @@
 			}
 		case Quoted:
 			n.byte('`')
-			if l.Dotted() {
+			if l.NextIsDot() {
 				n.schema(l.Bytes(t), false)
 			} else {
 				n.word(l.Bytes(t), false)
--- a/internal/query/sqltext/sqltext_test.go
+++ b/internal/query/sqltext/sqltext_test.go
@@ -9,7 +9,7 @@
 )
 
 // One line a statement: its normal form.
-func ExampleNormal() {
+func ExampleAppendNormalized() {
 	for _, sql := range []string{
 		"SELECT a, 1.5e-3 FROM actas_17.mesas /* c */ WHERE b = 'it''s' AND c IN (1, 2, -3) -- end",
 		"select A,.5 from ACTAS_3 . mesas where b=\"x\" and c in(9);",
@@ -22,7 +22,7 @@
 		"SELECT a /* open",
 		"",
 	} {
-		fmt.Printf("%s\n", bytes.TrimSpace(Normal(nil, []byte(sql))))
+		fmt.Printf("%s\n", bytes.TrimSpace(AppendNormalized(nil, []byte(sql))))
 	}
 	// Output:
 	// select a , ? from actas_? . mesas where b = ? and c in ( ? + )
@@ -46,10 +46,10 @@
 	if Shape([]byte(rows)) != Shape([]byte("insert into t values (1,2,(3)),(4)")) {
 		t.Error("ten thousand rows are not two")
 	}
-	for _, c := range []struct{ name, text string }{{"brackets", strings.Repeat("(", MostText)}, {"quotes", strings.Repeat("'\\", MostText/2)},
-		{"back quotes", strings.Repeat("`", MostText)}, {"comments", strings.Repeat("/*", MostText/2)}, {"hints", strings.Repeat("/*+*/", MostText/5)},
-		{"commas", strings.Repeat("1,(", MostText/3)}, {"signs", strings.Repeat("-", MostText)}, {"list", in}, {"rows", rows},
-		{"values", strings.Repeat("values(),(", MostText/10)}, {"too long", strings.Repeat("a", MostText+1)}} {
+	for _, c := range []struct{ name, text string }{{"brackets", strings.Repeat("(", MaxStatementBytes)}, {"quotes", strings.Repeat("'\\", MaxStatementBytes/2)},
+		{"back quotes", strings.Repeat("`", MaxStatementBytes)}, {"comments", strings.Repeat("/*", MaxStatementBytes/2)}, {"hints", strings.Repeat("/*+*/", MaxStatementBytes/5)},
+		{"commas", strings.Repeat("1,(", MaxStatementBytes/3)}, {"signs", strings.Repeat("-", MaxStatementBytes)}, {"list", in}, {"rows", rows},
+		{"values", strings.Repeat("values(),(", MaxStatementBytes/10)}, {"too long", strings.Repeat("a", MaxStatementBytes+1)}} {
 		began := time.Now()
 		Shape([]byte(c.text))
 		if took := time.Since(began); took > 30*time.Second { // linear is some milliseconds, squared hours
@@ -70,7 +70,7 @@
 			}
 			text := sql[tok.From:tok.To]
 			switch {
-			case tok.Open, tok.Kind == Hint, tok.Kind == Sign && (tok.Sign == '\\'):
+			case tok.Unterminated, tok.Kind == Hint, tok.Kind == Sign && (tok.Sign == '\\'):
 				return // what is open takes in what would be put behind it
 			case tok.Kind == Quoted:
 				out = append(append(append(out, '`'), text...), "` "...)
@@ -83,7 +83,7 @@
 				other = append(append(other, text...), " /* c */ "...)
 			}
 		}
-		if a, b := Normal(nil, out), Normal(nil, other); !bytes.Equal(a, b) { // other literals and spacing
+		if a, b := AppendNormalized(nil, out), AppendNormalized(nil, other); !bytes.Equal(a, b) { // other literals and spacing
 			t.Fatalf("%q: %q\n%q: %q", out, a, other, b)
 		}
 	})
--- a/internal/resourcegroup/desk_test.go
+++ b/internal/resourcegroup/desk_test.go
@@ -266,11 +266,11 @@
 	}}
 	for _, sql := range []string{"SELECT a FROM actas_3.mesas", "SELECT a FROM actas_3.mesas LIMIT 5", "SELECT a FROM actas_3.mesas ORDER BY a LIMIT 5",
 		"SELECT a FROM actas_3.mesas m, actas_3.otra WHERE m.b = 1", "INSERT INTO actas_3.mesas SELECT * FROM staging.l", "SELECT 1"} {
-		book := costmodel.NewBook(1<<20, 1, nil)
+		book := costmodel.NewModel(1<<20, 1, nil)
 		for _, cost := range []float64{0, 20000} {
-			s := book.Look([]byte(sql), 3, 0)
+			s := book.Inspect([]byte(sql), 3, 0)
 			for range 8 {
-				book.Answered(&s, cost, 0)
+				book.Observe(&s, cost, 0)
 			}
 			n := p.Find(&Subject{"look", s.Features(), book.Estimate(&s)})
 			fmt.Printf("%d ", n)
--- a/internal/resourcegroup/plan.go
+++ b/internal/resourcegroup/plan.go
@@ -99,10 +99,10 @@
 	switch {
 	case len(w.Lanes) > 0 && !slices.Contains(w.Lanes, s.Lane),
 		len(w.Verbs) > 0 && !slices.Contains(w.Verbs, f.Verb.String()),
-		!asked(w.Full, e.Full != ""), !asked(w.Limited, f.Limit >= 0), !asked(w.Doubt, e.Doubt),
-		e.Bad < w.BadFrom, e.Memory < w.MemoryFrom, f.Joins < w.JoinsFrom, f.Loose < w.LooseFrom:
+		!asked(w.Full, e.FullScan != ""), !asked(w.Limited, f.Limit >= 0), !asked(w.Doubt, e.Uncertain),
+		e.BadPlanShare < w.BadFrom, e.MemoryMB < w.MemoryFrom, f.Joins < w.JoinsFrom, f.UnboundJoins < w.LooseFrom:
 		return false
-	case (w.WorkFrom > 0 || w.UpperFrom > 0) && !e.Known, e.Work < w.WorkFrom, e.Upper < w.UpperFrom:
+	case (w.WorkFrom > 0 || w.UpperFrom > 0) && !e.Known, e.WorkMillis < w.WorkFrom, e.UpperMillis < w.UpperFrom:
 		return false // before the first answers of a lane nothing is known of its work
 	}
 	if len(w.Tables) == 0 {
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -100,7 +100,7 @@
 		s.tcp.Close()
 		a.o.connectionEnded("client", s.tcp.RemoteAddr().String(), "no_room", 0, nil)
 	}
-	s.write(mysql.Error(nil, 0, mysql.ErrNoRoom, "too many connections"))
+	s.write(mysql.AppendError(nil, 0, mysql.ErrTooManyConnections, "too many connections"))
 	if !a.o.clients.linger() {
 		end()
 		return
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -19,14 +19,14 @@
 		b, _ := r.Peek(r.Buffered())
 		parts, n, err = resp.Parse(b, parts[:0])
 		if err == nil && n > 0 && len(parts) < 2 {
-			err = resp.ErrArray
+			err = resp.ErrMalformedArray
 		}
 		if err != nil || n > 0 {
 			return parts, n, err
 		}
 		before()
 		if _, err = r.Peek(len(b) + 1); errors.Is(err, bufio.ErrBufferFull) {
-			err = resp.ErrArray
+			err = resp.ErrMalformedArray
 		}
 		if err != nil {
 			return parts, 0, err
@@ -64,21 +64,21 @@
 		return l.passOver()
 	}
 	if word != "news" && word != "page" && e.o.network.AnswersTell { // the owner reads it once the end is told
-		h.report = resp.Report(fields)
+		h.report = resp.ParseLoadReport(fields)
 	}
 	switch word {
 	case "news":
 		if !h.mayNote(time.Now(), time.Duration(e.o.site.Pace)*tenth) {
 			return false
 		}
-		news, value, ok := resp.News(fields)
+		news, value, ok := resp.ParseProgress(fields)
 		if ok {
 			e.o.tell(func(now admission.Time) { e.o.module.Noted(now, request, h.n, news, value) })
 		}
 	case "data":
 		return l.first(h, fields, body)
 	case "page":
-		n, err := strconv.Atoi(string(resp.Field(fields, "page")))
+		n, err := strconv.Atoi(string(resp.FindField(fields, "page")))
 		if h.pages == nil || err == nil && (n < 1 || n >= len(h.pages)) {
 			return l.passOver() // not one that it was asked for
 		}
@@ -133,9 +133,9 @@
 	if h.pages != nil {
 		return l.passOver() // once is enough
 	}
-	all, err := strconv.Atoi(string(resp.Field(fields, "pages")))
-	work, ok := resp.Amount(fields, "cost")
-	memory, too := resp.Amount(fields, "need")
+	all, err := strconv.Atoi(string(resp.FindField(fields, "pages")))
+	work, ok := resp.ParseAmount(fields, "cost")
+	memory, too := resp.ParseAmount(fields, "need")
 	if err != nil || all < 1 || all > mostPages || !ok || !too {
 		return false
 	}
@@ -150,7 +150,7 @@
 		l.write(func() net.Buffers {
 			var asks []byte
 			for n := 1; n < all; n++ {
-				asks = append(asks, resp.Array(nil, "page", string(h.request), strconv.Itoa(n))...)
+				asks = append(asks, resp.AppendArray(nil, "page", string(h.request), strconv.Itoa(n))...)
 			}
 			return net.Buffers{asks}
 		}, nothing)
@@ -164,7 +164,7 @@
 		return l.passOver()
 	}
 	l.unasked = 0
-	if h.size += len(body); len(body) > mostPage || h.size > mostResult || !mysql.WholeRows(body) {
+	if h.size += len(body); len(body) > mostPage || h.size > mostResult || !mysql.ValidRows(body) {
 		return false
 	}
 	h.pages[n] = append([]byte{}, body...)
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -82,7 +82,7 @@
 	l.e.mu.Unlock()
 	if open { // nothing answers this, but a page that the engine doesn't know is failed: then it has heard it
 		l.write(func() net.Buffers {
-			return net.Buffers{resp.Array(nil, word, string(h.request)), resp.Array(nil, "page", string(h.request), "1")}
+			return net.Buffers{resp.AppendArray(nil, word, string(h.request)), resp.AppendArray(nil, "page", string(h.request), "1")}
 		}, nothing)
 	}
 }
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -191,14 +191,16 @@
 		what, code string
 		flood      func(k net.Conn)
 	}{
-		{"notes", "bad_answer", forever(func(n int) []byte { return resp.Array(nil, id, "news", fmt.Sprintf("res=so_far,v=0.%d", n%9+1), "") })},
+		{"notes", "bad_answer", forever(func(n int) []byte {
+			return resp.AppendArray(nil, id, "news", fmt.Sprintf("res=so_far,v=0.%d", n%9+1), "")
+		})},
 		{"answers of nobody", "bad_answer", forever(func(n int) []byte {
-			return resp.Array(nil, fmt.Sprintf("f%015x", n), "data", "pages=1,cost=1,need=1", "a\tb\tc\n")
+			return resp.AppendArray(nil, fmt.Sprintf("f%015x", n), "data", "pages=1,cost=1,need=1", "a\tb\tc\n")
 		})},
-		{"pages of no result", "bad_answer", forever(func(n int) []byte { return resp.Array(nil, id, "page", "page=1", "a\tb\tc\n") })},
+		{"pages of no result", "bad_answer", forever(func(n int) []byte { return resp.AppendArray(nil, id, "page", "page=1", "a\tb\tc\n") })},
 		{"the same page", "bad_answer", func(k net.Conn) {
-			k.Write(resp.Array(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n"))
-			forever(func(n int) []byte { return resp.Array(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n") })(k)
+			k.Write(resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n"))
+			forever(func(n int) []byte { return resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n") })(k)
 		}},
 		{"one array that grows", "cut_short", func(k net.Conn) {
 			io.WriteString(k, "*4\r\n$16\r\n"+id+"\r\n$4\r\ndata\r\n$7\r\npages=1\r\n$5000\r\n")
--- a/internal/router/cut_test.go
+++ b/internal/router/cut_test.go
@@ -52,7 +52,7 @@
 	a := s.client()
 	for cut := 0; ; cut++ {
 		id := fmt.Sprintf("00000000000000%02x", cut)
-		whole := resp.Array(nil, id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+		whole := resp.AppendArray(nil, id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 		if cut == len(whole) {
 			break
 		}
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -83,7 +83,7 @@
 		if passed = h.by != 0; !h.state.CompareAndSwap(fresh, written) {
 			return nil
 		}
-		return resp.Do(make([]byte, 0, 320), resp.Attempt{ID: string(h.request), Class: h.class,
+		return resp.AppendAttempt(make([]byte, 0, 320), resp.Attempt{ID: string(h.request), Class: h.class,
 			TimeoutMS: max(1, int64(h.timeout/admission.Millisecond)), MemoryMB: h.memory, Priority: rank,
 			Token: h.token, Statement: h.statement})
 	}, func() { h.state.CompareAndSwap(written, fresh) })
@@ -133,7 +133,7 @@
 func nothing() {}
 
 func (l *engineConn) say(words ...string) {
-	l.write(func() net.Buffers { return net.Buffers{resp.Array(nil, words...)} }, nothing)
+	l.write(func() net.Buffers { return net.Buffers{resp.AppendArray(nil, words...)} }, nothing)
 }
 
 // over counts an attempt out that has its last answer or needs none.
@@ -232,7 +232,7 @@
 
 // read takes in answers until the connection ends, has been idle, or brings nothing where it should.
 func (l *engineConn) read() (code string) {
-	r := bufio.NewReaderSize(l.tcp, resp.MostArray)
+	r := bufio.NewReaderSize(l.tcp, resp.MaxBulkBytes)
 	var parts [][]byte
 	var last time.Time // until when it looks once more: its time is over, but what came while this process stood still counts
 	for {
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -153,7 +153,7 @@
 func TestSpoiltAnswerEndsItsConnection(t *testing.T) {
 	const id = "00000000000000aa"
 	var out strings.Builder
-	whole := string(resp.Array(nil, id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
+	whole := string(resp.AppendArray(nil, id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
 	for _, c := range []struct{ what, answer, code string }{
 		{"noise", "\x00\x17%&\r\n", "bad_answer"},
 		{"an unending line", "*" + strings.Repeat("4", 99), "bad_answer"},
@@ -164,7 +164,7 @@
 		{"no cost", strings.Replace(whole, "cost=120", "cost=NaN", 1), "bad_answer"},
 		{"half a row", strings.Replace(whole, "\n\r", " \r", 1), "bad_answer"},
 		{"a column too few", strings.Replace(whole, "a\tb", "a b", 1), "bad_answer"},
-		{"a page too long", string(resp.Array(nil, id, "data", "pages=1", strings.Repeat("a\tb\tc\n", 1001))), "bad_answer"},
+		{"a page too long", string(resp.AppendArray(nil, id, "data", "pages=1", strings.Repeat("a\tb\tc\n", 1001))), "bad_answer"},
 		{"half an answer and no more", whole[:40], "cut_short"},
 		{"half an answer and the end", whole[:40], "closed"},
 		{"nothing at all", "", "mute"},
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -23,10 +23,10 @@
 	log            *slog.Logger
 	network        *config.Network
 	site           *admission.Deployment
-	desk           Desk             // nil: there are no classes
-	keep           *Keeping         // nil: nothing of requests is recorded
-	peers          Peers            // nil: this gateway speaks to no other
-	tape           *capture.Capture // nil: nothing is recorded
+	desk           Desk              // nil: there are no classes
+	keep           *Keeping          // nil: nothing of requests is recorded
+	peers          Peers             // nil: this gateway speaks to no other
+	tape           *capture.Recorder // nil: nothing is recorded
 	clients        connectionLimiter
 	statements     atomic.Int64 // bytes set aside for long statements,
 	mostStatements int64        // and how many may be; 0: no limit
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -74,13 +74,13 @@
 			p.end(endCode(err), nil)
 			return admission.Unreachable, admission.NoReport
 		}
-		p.tcp, p.r = tcp, bufio.NewReaderSize(tcp, resp.MostArray)
+		p.tcp, p.r = tcp, bufio.NewReaderSize(tcp, resp.MaxBulkBytes)
 	}
 	p.used = time.Now()
 	p.tcp.SetDeadline(p.used.Add(within))
 	p.tag++
 	tag := "top" + strconv.Itoa(p.tag)
-	if _, err := p.tcp.Write(resp.Array(nil, "top", tag)); err != nil {
+	if _, err := p.tcp.Write(resp.AppendArray(nil, "top", tag)); err != nil {
 		p.end(endCode(err), nil)
 		return admission.Reset, admission.NoReport
 	}
@@ -96,7 +96,7 @@
 			}
 			p.end(endCode(err), nil)
 			switch {
-			case errors.Is(err, resp.ErrArray):
+			case errors.Is(err, resp.ErrMalformedArray):
 				return admission.Errored, admission.NoReport
 			case errors.Is(err, os.ErrDeadlineExceeded):
 				return admission.TimedOut, admission.NoReport
@@ -111,7 +111,7 @@
 		if string(parts[1]) == "ill" || string(parts[1]) == "failed" {
 			how = admission.Errored
 		} else if len(parts) > 2 {
-			report = resp.Report(parts[2])
+			report = resp.ParseLoadReport(parts[2])
 		}
 		p.r.Discard(n)
 		return how, report
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -45,7 +45,7 @@
 	if s.reader != nil {
 		s.reader.Read(t.statement, class, t.tables)
 	}
-	s.o.tape.Task(t.className, t.tables, request.WaitMS, sql, t.statement)
+	s.o.tape.RecordQuery(t.className, t.tables, request.WaitMS, sql, t.statement)
 	s.o.tell(func(now admission.Time) {
 		t.deadline = now + admission.Time(wait/tenth)
 		s.taken = t
@@ -91,7 +91,7 @@
 // endFlooded ends a session whose client sends without waiting for answers, with an error if its request had no answer yet.
 func (s *session) endFlooded() {
 	if s.unanswered {
-		s.write(mysql.Error(nil, s.number+1, mysql.ErrWrittenOff, "too much was sent before the answer"))
+		s.write(mysql.AppendError(nil, s.number+1, mysql.ErrInterrupted, "too much was sent before the answer"))
 	}
 	s.dismissed = true
 }
@@ -106,7 +106,7 @@
 		return mysql.ErrWait
 	case len(r.Tenant) > 0 && !slices.Contains(n.Tenants, string(r.Tenant)):
 		return mysql.ErrTenant
-	case len(r.Once) > 0 && site.Classes[class].Effect != admission.Deduplicated:
+	case len(r.IdempotencyToken) > 0 && site.Classes[class].Effect != admission.Deduplicated:
 		return mysql.ErrField
 	}
 	return nil
@@ -115,8 +115,8 @@
 // newRequest makes a request of a request; its statement and token lie in the session's buffer.
 func (s *session) newRequest(r *mysql.Request, class int) *request {
 	return &request{id: admission.RequestID(r.ID), by: s, class: class, className: s.o.network.Lanes[class], statement: r.Statement,
-		tables: mysql.Tables(r.Statement), tenant: max(0, slices.Index(s.o.network.Tenants, string(r.Tenant))),
-		key: string(r.Key), token: r.Once, reader: s.reader, foreseen: s.o.estimate(r, class)}
+		tables: mysql.TableGroup(r.Statement), tenant: max(0, slices.Index(s.o.network.Tenants, string(r.Tenant))),
+		key: string(r.Key), token: r.IdempotencyToken, reader: s.reader, foreseen: s.o.estimate(r, class)}
 }
 
 // estimate is what a client says that its request will take, within what could be served at all: a wrong one must not
@@ -144,7 +144,7 @@
 // ahead tells of commands that came before the answer to the one in hand; that the client leaves then is fine.
 func (s *session) ahead() bool {
 	next, _ := s.r.Peek(s.r.Buffered())
-	return len(next) > 0 && !(len(next) == mysql.HeadSize+1 && next[mysql.HeadSize] == mysql.Quit)
+	return len(next) > 0 && !(len(next) == mysql.HeaderSize+1 && next[mysql.HeaderSize] == mysql.Quit)
 }
 
 // What the owner tells it; the calls that write are made by the session's goroutine.
@@ -196,37 +196,37 @@
 // deliver writes a result.
 func (s *session) deliver(pages [][]byte) {
 	s.waiting, s.turns = false, 0
-	head, number := mysql.Columns(make([]byte, 0, 512), s.number+1)
+	head, number := mysql.AppendColumns(make([]byte, 0, 512), s.number+1)
 	size := 0
 	for _, page := range pages {
 		size += len(page) + len(page)/2
 	}
 	rows, err := make([]byte, 0, size), error(nil)
 	for _, page := range pages {
-		if rows, number, err = mysql.Rows(rows, number, page); err != nil {
-			s.write(mysql.Error(nil, s.number+1, mysql.ErrWrittenOff, "the engine's answer can't be read"))
+		if rows, number, err = mysql.AppendRows(rows, number, page); err != nil {
+			s.write(mysql.AppendError(nil, s.number+1, mysql.ErrInterrupted, "the engine's answer can't be read"))
 			return
 		}
 	}
-	s.write(head, rows, mysql.EOF(nil, number))
+	s.write(head, rows, mysql.AppendEOF(nil, number))
 }
 
 // deny gives a request the final answer that an operator's rule has for it.
 func (s *session) deny(why string) {
 	s.waiting = false
 	s.turnAway()
-	s.write(mysql.Error(nil, s.number+1, mysql.ErrBarred, why))
+	s.write(mysql.AppendError(nil, s.number+1, mysql.ErrForbidden, why))
 }
 
 func (s *session) reject(retryAfterMS int64) {
 	s.waiting = false
 	s.turnAway()
-	s.write(mysql.Nack(nil, s.number+1, retryAfterMS))
+	s.write(mysql.AppendRejection(nil, s.number+1, retryAfterMS))
 }
 
 func (s *session) fail() {
 	s.waiting = false
-	s.write(mysql.Error(nil, s.number+1, mysql.ErrWrittenOff, "written off"))
+	s.write(mysql.AppendError(nil, s.number+1, mysql.ErrInterrupted, "written off"))
 }
 
 // refuse answers a query that never became a request.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,10 +21,10 @@
 
 // With is what a router has besides; what is nil it hasn't.
 type With struct {
-	Tape  *capture.Capture // records the requests that come
-	Desk  Desk             // an operator's rules
-	Keep  *Keeping         // the record of requests
-	Peers Peers            // the other gateways
+	Tape  *capture.Recorder // records the requests that come
+	Desk  Desk              // an operator's rules
+	Keep  *Keeping          // the record of requests
+	Peers Peers             // the other gateways
 }
 
 // Serve runs a router until stop is closed and all it had taken is answered. What comes by renewed is a new
@@ -144,7 +144,7 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		return "closed"
-	case errors.Is(err, resp.ErrArray):
+	case errors.Is(err, resp.ErrMalformedArray):
 		return "bad_answer"
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return "refused"
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -92,7 +92,7 @@
 
 // dismiss answers a client for the last time.
 func (s *session) dismiss(code string, number uint16, text string) {
-	s.write(mysql.Error(nil, s.number+1, number, text))
+	s.write(mysql.AppendError(nil, s.number+1, number, text))
 	s.code, s.dismissed = code, true
 }
 
@@ -130,13 +130,13 @@
 		s.endUnread(err)
 		return false
 	}
-	length, number := mysql.Head(head)
+	length, number := mysql.ParseHeader(head)
 	s.number = number
 	if length > mostStatement {
 		s.dismiss("too_large", mysql.ErrTooLarge, "packet too large")
 		return false
 	}
-	s.r.Discard(mysql.HeadSize)
+	s.r.Discard(mysql.HeaderSize)
 	s.tcp.SetReadDeadline(time.Now().Add(wholePacket))
 	for s.payload = s.payload[:0]; len(s.payload) < length; {
 		if !s.grow(min(length-len(s.payload), someStatement)) {
@@ -158,15 +158,15 @@
 
 // peekHead waits for the head of the next packet. One that has begun to come as the time runs out has lastLook to become whole.
 func (s *session) peekHead() ([]byte, error) {
-	head, err := s.r.Peek(mysql.HeadSize)
+	head, err := s.r.Peek(mysql.HeaderSize)
 	if !errors.Is(err, os.ErrDeadlineExceeded) || !speaks(s.tcp) {
 		return head, err
 	}
-	if err := readArrived(s.tcp, s.r, mysql.HeadSize); err != nil {
+	if err := readArrived(s.tcp, s.r, mysql.HeaderSize); err != nil {
 		return nil, err
 	}
 	s.tcp.SetReadDeadline(time.Now().Add(lastLook))
-	return s.r.Peek(mysql.HeadSize)
+	return s.r.Peek(mysql.HeaderSize)
 }
 
 // endUnread ends a session that waited for a packet, of which nothing or less than its head came.
@@ -231,11 +231,11 @@
 	for i := range salt { // passwords are empty, so there is nothing for it to guard
 		salt[i] = byte('a' + (int(s.connection)+i)%26)
 	}
-	s.write(mysql.Greeting(nil, s.connection, &salt))
+	s.write(mysql.AppendGreeting(nil, s.connection, &salt))
 	if s.code != "" || !s.read() {
 		return
 	}
-	name, password, db, err := mysql.Login(s.payload)
+	name, password, db, err := mysql.ParseLogin(s.payload)
 	switch {
 	case err != nil:
 		s.dismiss("bad_login", mysql.ErrParse, err.Error())
@@ -244,7 +244,7 @@
 	case len(db) > 0 && string(db) != database:
 		s.dismiss("denied", mysql.ErrNoDatabase, "unknown database")
 	default:
-		s.write(mysql.OK(nil, s.number+1))
+		s.write(mysql.AppendOK(nil, s.number+1))
 	}
 }
 
@@ -257,7 +257,7 @@
 		s.dismiss("no_protocol", code, text)
 		return
 	}
-	s.write(mysql.Error(nil, s.number+1, code, text))
+	s.write(mysql.AppendError(nil, s.number+1, code, text))
 }
 
 func (s *session) command() {
@@ -271,17 +271,17 @@
 	case mysql.Quit:
 		s.code = "quit"
 	case mysql.Ping:
-		s.write(mysql.OK(nil, s.number+1))
+		s.write(mysql.AppendOK(nil, s.number+1))
 	case mysql.InitDB:
 		if string(arg) == database {
-			s.write(mysql.OK(nil, s.number+1))
+			s.write(mysql.AppendOK(nil, s.number+1))
 		} else {
 			s.amiss(mysql.ErrNoDatabase, "unknown database")
 		}
 	case mysql.Query:
-		if connection, ok := mysql.Kill(arg); ok {
+		if connection, ok := mysql.ParseKillQuery(arg); ok {
 			s.o.tell(func(now admission.Time) { s.o.killed(now, connection) })
-			s.write(mysql.OK(nil, s.number+1))
+			s.write(mysql.AppendOK(nil, s.number+1))
 			return
 		}
 		s.query(arg)
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -57,7 +57,7 @@
 	a.stop()
 	for range clients {
 		h := <-e.heard
-		h.c.Write(resp.Array(nil, h.parts[1], "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
+		h.c.Write(resp.AppendArray(nil, h.parts[1], "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
 	}
 	for _, c := range clients {
 		c.c.SetReadDeadline(time.Now().Add(patience))
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -243,7 +243,7 @@
 	c.look("aa")
 	k := e.hears()
 	conn := <-conns
-	answer := resp.Array(nil, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	answer := resp.AppendArray(nil, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	stands, goOn := conn.standStill()
 	k.Write(answer[:9])
 	stands()
@@ -278,7 +278,7 @@
 		conn := late(tcp)
 		engine := <-far
 		defer func() { far <- engine }()
-		engine.Write(resp.Array(nil, "top1", "well", "gauges=util:0.2", "")) // it is there before the wait begins
+		engine.Write(resp.AppendArray(nil, "top1", "well", "gauges=util:0.2", "")) // it is there before the wait begins
 		arrived(t, conn)
 		conn.arm(true, false)
 		dialled <- conn
--- a/internal/router/stand_test.go
+++ b/internal/router/stand_test.go
@@ -67,7 +67,7 @@
 		}
 		buffer = buffer[n:]
 		if words[0] == "top" {
-			c.Write(resp.Array(nil, words[1], "well", "gauges=util:0.2", ""))
+			c.Write(resp.AppendArray(nil, words[1], "well", "gauges=util:0.2", ""))
 			continue
 		}
 		e.heard <- heard{c, words}
@@ -83,7 +83,7 @@
 
 func (e *standEngine) says(c net.Conn, parts ...string) {
 	e.s.say("%s says: %s", e.name, strings.Join(parts, " | "))
-	c.Write(resp.Array(nil, parts...))
+	c.Write(resp.AppendArray(nil, parts...))
 }
 
 // client speaks the client's side, and logs in before it reads the greeting.
@@ -125,11 +125,11 @@
 }
 
 func (c *client) packet() []byte {
-	head := make([]byte, mysql.HeadSize)
+	head := make([]byte, mysql.HeaderSize)
 	if _, err := io.ReadFull(c.r, head); err != nil {
 		return []byte("end of connection")
 	}
-	length, _ := mysql.Head(head)
+	length, _ := mysql.ParseHeader(head)
 	payload := make([]byte, length)
 	io.ReadFull(c.r, payload)
 	return payload
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -51,7 +51,7 @@
 // tell takes in events; whole is the form of those that hold the whole list. It tells whether all could be read.
 func (f *watcher) tell(s *jsonvalue.Sheet, whole admission.Form) bool {
 	held := f.held
-	f.held = discovery.Events(s, held, f.amiss >= mostAmiss, f.o.network.Zones, f.o.network.Kinds,
+	f.held = discovery.ReadWatchEvents(s, held, f.amiss >= mostAmiss, f.o.network.Zones, f.o.network.Kinds,
 		func(all bool, list []admission.Listing, addresses []string) {
 			form := admission.Changes
 			if all {
@@ -175,14 +175,14 @@
 	r := bufio.NewReaderSize(tcp, 4096)
 	var request, buffer []byte
 	for {
-		request = discovery.Request(request[:0], address, f.held, pollWait.Milliseconds())
+		request = discovery.AppendPollRequest(request[:0], address, f.held, pollWait.Milliseconds())
 		tcp.SetDeadline(time.Now().Add(pollWait + within))
 		if _, err := tcp.Write(request); err != nil {
 			return useful, endCode(err)
 		}
 		for {
-			status, body, length, last, err := discovery.Answer(buffer)
-			if err != nil || len(buffer) > 2*discovery.MostAnswer {
+			status, body, length, last, err := discovery.ParseResponse(buffer)
+			if err != nil || len(buffer) > 2*discovery.MaxResponseBytes {
 				return useful, "bad_answer"
 			}
 			if length == 0 {
--- a/internal/testbed/fake/engine.go
+++ b/internal/testbed/fake/engine.go
@@ -368,14 +368,14 @@
 		return
 	}
 	c.tcp.SetWriteDeadline(time.Now().Add(time.Second)) // a caller that takes nothing must not stop the others
-	if _, err := c.tcp.Write(resp.Array(nil, parts...)); err != nil {
+	if _, err := c.tcp.Write(resp.AppendArray(nil, parts...)); err != nil {
 		c.tcp.Close()
 	}
 }
 
 // begin takes a task in.
 func (e *Engine) begin(k jobKey, fields, statement string) {
-	lane := string(resp.Field([]byte(fields), "kind"))
+	lane := string(resp.FindField([]byte(fields), "kind"))
 	work := find(e.m.Works, lane, statement)
 	switch {
 	case e.jobs[k] != nil:
--- a/internal/testbed/fake/front.go
+++ b/internal/testbed/fake/front.go
@@ -121,15 +121,15 @@
 	}()
 	r := bufio.NewReaderSize(tcp, 4096)
 	var salt [20]byte
-	tcp.Write(mysql.Greeting(nil, f.next.Add(1), &salt))
+	tcp.Write(mysql.AppendGreeting(nil, f.next.Add(1), &salt))
 	var payload, out []byte
 	for n := 0; ; n++ {
-		head, err := r.Peek(mysql.HeadSize)
+		head, err := r.Peek(mysql.HeaderSize)
 		if err != nil {
 			return
 		}
-		length, number := mysql.Head(head)
-		r.Discard(mysql.HeadSize)
+		length, number := mysql.ParseHeader(head)
+		r.Discard(mysql.HeaderSize)
 		if cap(payload) < length {
 			payload = make([]byte, length)
 		}
@@ -140,14 +140,14 @@
 		came := time.Now()
 		switch {
 		case n == 0 || payload[0] == mysql.Ping || payload[0] == mysql.InitDB:
-			out = mysql.OK(out[:0], number+1)
+			out = mysql.AppendOK(out[:0], number+1)
 		case payload[0] == mysql.Quit:
 			return
 		case payload[0] != mysql.Query:
-			out = mysql.Error(out[:0], number+1, mysql.ErrUnknownCommand, "unknown command")
+			out = mysql.AppendError(out[:0], number+1, mysql.ErrUnknownCommand, "unknown command")
 		default:
-			if _, ok := mysql.Kill(payload[1:]); ok {
-				out = mysql.OK(out[:0], number+1)
+			if _, ok := mysql.ParseKillQuery(payload[1:]); ok {
+				out = mysql.AppendOK(out[:0], number+1)
 				break
 			}
 			if !f.query(tcp, &out, number, payload[1:], came) {
@@ -165,7 +165,7 @@
 func (f *Front) query(tcp net.Conn, out *[]byte, number byte, sql []byte, came time.Time) bool {
 	request, err := mysql.ReadRequest(sql)
 	if err != nil {
-		_, err := tcp.Write(mysql.Error((*out)[:0], number+1, mysql.ErrParse, err.Error()))
+		_, err := tcp.Write(mysql.AppendError((*out)[:0], number+1, mysql.ErrParse, err.Error()))
 		return err == nil
 	}
 	if f.Log != nil {
@@ -182,13 +182,13 @@
 	if every(&f.Spoil) {
 		of = "0000000000000000" // rows of another task
 	}
-	b, next := mysql.Columns((*out)[:0], number+1)
+	b, next := mysql.AppendColumns((*out)[:0], number+1)
 	for _, page := range pages(of, w.Rows) {
-		if b, next, err = mysql.Rows(b, next, page); err != nil {
+		if b, next, err = mysql.AppendRows(b, next, page); err != nil {
 			panic(err) // its own pages
 		}
 	}
-	b = mysql.EOF(b, next)
+	b = mysql.AppendEOF(b, next)
 	if every(&f.Double) {
 		b = append(b, b...)
 	}
--- a/internal/testbed/fake/standin_test.go
+++ b/internal/testbed/fake/standin_test.go
@@ -28,7 +28,7 @@
 	return &caller{t: t, tcp: tcp}
 }
 
-func (c *caller) say(words ...string) { c.tcp.Write(resp.Array(nil, words...)) }
+func (c *caller) say(words ...string) { c.tcp.Write(resp.AppendArray(nil, words...)) }
 
 // hear is the next answer, or why there is none within a time.
 func (c *caller) hear(within time.Duration) string {
--- a/internal/testbed/faulttest/scenario.go
+++ b/internal/testbed/faulttest/scenario.go
@@ -147,20 +147,20 @@
 
 // whole reads limits of the whole fleet.
 func whole(o *configfile.Object) installation.Whole {
-	return installation.Whole{Threads: o.Count("threads", 0, 0, 10000), Waiting: o.Count("waiting", 0, 0, 10000), Work: o.Duration("work", 0), Number: 1}
+	return installation.Whole{Threads: o.Int("threads", 0, 0, 10000), Waiting: o.Int("waiting", 0, 0, 10000), Work: o.Duration("work", 0), Number: 1}
 }
 
 func decode(o *configfile.Object) (*Scenario, error) {
-	s := &Scenario{Name: o.Needed("name"), Gateways: o.Count("gateways", 8, 1, 64), Engines: o.Count("engines", 6, 1, 100), Zones: o.Texts("zones"),
-		Seed: uint64(o.Count("seed", 1, 0, 1<<31)), Length: o.Duration("length", 10*time.Second), Settle: o.Duration("settle", 20*time.Second),
-		Rate: o.Number("rate", 4, 0, 1000), Loads: o.Share("loads", 0.2), Whole: whole(o), Term: o.Duration("term", 24*time.Second), Longest: o.Duration("longest", longest), Service: o.Duration("service", 0), Warm: o.Duration("warm", 0), Cold: o.Flag("cold", false), Sharing: o.Flag("sharing", true), Counts: o.Flag("counts", true), State: o.Flag("state", false), Planted: o.Text("planted", ""), Down: o.Texts("down")}
+	s := &Scenario{Name: o.RequiredText("name"), Gateways: o.Int("gateways", 8, 1, 64), Engines: o.Int("engines", 6, 1, 100), Zones: o.Texts("zones"),
+		Seed: uint64(o.Int("seed", 1, 0, 1<<31)), Length: o.Duration("length", 10*time.Second), Settle: o.Duration("settle", 20*time.Second),
+		Rate: o.Number("rate", 4, 0, 1000), Loads: o.Fraction("loads", 0.2), Whole: whole(o), Term: o.Duration("term", 24*time.Second), Longest: o.Duration("longest", longest), Service: o.Duration("service", 0), Warm: o.Duration("warm", 0), Cold: o.Bool("cold", false), Sharing: o.Bool("sharing", true), Counts: o.Bool("counts", true), State: o.Bool("state", false), Planted: o.Text("planted", ""), Down: o.Texts("down")}
 	if len(s.Zones) == 0 {
 		s.Zones = []string{"norte", "sur"}
 	}
 	if c := o.Object("policy"); c != nil {
-		s.Charter = installation.Charter{Voters: c.Count("voters", 5, 1, 7), Lease: c.Duration("lease", 2*time.Second), Within: c.Duration("within", 3*time.Second)}
+		s.Charter = installation.Charter{Voters: c.Int("voters", 5, 1, 7), Lease: c.Duration("lease", 2*time.Second), Within: c.Duration("within", 3*time.Second)}
 		if s.Charter.Voters > s.Gateways || s.Charter.Voters%2 == 0 {
-			c.Fail("voters", "1, 3, 5 or 7 of the gateways")
+			c.Reject("voters", "1, 3, 5 or 7 of the gateways")
 		}
 	}
 	s.Dies = o.Text("dies", "")
@@ -168,14 +168,14 @@
 		if s.Defects == nil {
 			s.Defects = map[string]string{}
 		}
-		s.Defects[k.Needed("gateway")] = k.Needed("defect")
+		s.Defects[k.RequiredText("gateway")] = k.RequiredText("defect")
 	}
 	if c := o.Objects("clocks"); len(c) > 0 {
 		s.Clocks = map[string]string{}
 		for _, k := range c {
-			g := k.Needed("gateway")
+			g := k.RequiredText("gateway")
 			s.Clocks[g] = fmt.Sprintf("%g %s %s", k.Number("rate", 1, 0.5, 2), k.Text("jump", "0s"), k.Duration("after", 0))
-			if k.Has("born") {
+			if k.HasField("born") {
 				if s.Born == nil {
 					s.Born = map[string]string{}
 				}
@@ -186,63 +186,63 @@
 	if d := o.Objects("disks"); len(d) > 0 {
 		s.Disks = map[string]string{}
 		for _, k := range d {
-			s.Disks[k.Needed("gateway")] = k.OneOf("be", "full", "full", "slow", "unsynced", "lies") + " " + k.Duration("after", 0).String()
+			s.Disks[k.RequiredText("gateway")] = k.OneOf("be", "full", "full", "slow", "unsynced", "lies") + " " + k.Duration("after", 0).String()
 		}
 		if !s.State && s.Charter.Voters == 0 {
-			o.Fail("state", "true, or a policy, where disks fail")
+			o.Reject("state", "true, or a policy, where disks fail")
 		}
 	}
 	for _, k := range o.Objects("expect") {
-		x := Expectation{Served: k.Share("served", 0), Displaced: k.Count("displaced", 0, 0, 64), Engine: k.Text("engine", ""), Within: k.Duration("within", 0)}
-		x.Decided, x.Ends, x.Why = k.Count("decided", 0, 0, 1000), k.Text("ends", ""), k.Text("why", "")
+		x := Expectation{Served: k.Fraction("served", 0), Displaced: k.Int("displaced", 0, 0, 64), Engine: k.Text("engine", ""), Within: k.Duration("within", 0)}
+		x.Decided, x.Ends, x.Why = k.Int("decided", 0, 0, 1000), k.Text("ends", ""), k.Text("why", "")
 		x.Voters = k.Texts("voters")
 		if (x.Engine == "") != (x.Within == 0) {
-			k.Fail("engine", "an engine that turns bad, and within which time it is left alone")
+			k.Reject("engine", "an engine that turns bad, and within which time it is left alone")
 		}
 		s.Expect = append(s.Expect, x)
 	}
 	for _, k := range o.Objects("phases") {
-		s.Phases = append(s.Phases, Phase{k.Needed("name"), k.Duration("at", 0), k.Duration("until", s.Length), k.Texts("part")})
+		s.Phases = append(s.Phases, Phase{k.RequiredText("name"), k.Duration("at", 0), k.Duration("until", s.Length), k.Texts("part")})
 	}
 	for _, k := range o.Objects("steps") {
-		t := Step{At: k.Duration("at", 0), Until: k.Duration("until", 0), Do: k.OneOf("do", "link", doings...), From: k.Texts("from"), To: k.Texts("to"), Both: k.Flag("both", false),
+		t := Step{At: k.Duration("at", 0), Until: k.Duration("until", 0), Do: k.OneOf("do", "link", doings...), From: k.Texts("from"), To: k.Texts("to"), Both: k.Bool("both", false),
 			Gateways: k.Texts("gateways"), Folder: k.OneOf("folder", "same", "same", "none", "older"), Engines: k.Texts("engines"),
-			Rule: faultproxy.Rule{Cut: k.Flag("cut", false), Refuse: k.Flag("refuse", false), Loss: k.Share("loss", 0), Double: k.Share("double", 0), Reorder: k.Share("reorder", 0),
-				Flip: k.Share("flip", 0), Delay: k.Duration("delay", 0), Spread: k.Duration("spread", 0), Rate: k.Size("rate", 0)}}
+			Rule: faultproxy.Rule{Cut: k.Bool("cut", false), Refuse: k.Bool("refuse", false), Loss: k.Fraction("loss", 0), Double: k.Fraction("double", 0), Reorder: k.Fraction("reorder", 0),
+				Flip: k.Fraction("flip", 0), Delay: k.Duration("delay", 0), Spread: k.Duration("spread", 0), Rate: k.Size("rate", 0)}}
 		if t.Do == "limit" {
 			t.Whole = whole(k)
 		}
 		if t.Do == "propose" {
-			t.Kind, t.Number, t.As = k.OneOf("kind", "change", "change", "rollback", "rehearse"), k.Count("number", 0, 0, 1e6), k.Text("as", "")
-			t.Policy = installation.Policy{Whole: whole(k), Refuse: k.Flag("refuse", false), Looks: k.Flag("looks", false), Zones: k.Texts("zones"), Field: k.Text("field", ""),
-				Both: k.Duration("both_for", 0), Rehearse: k.Duration("rehearse", 0), Guard: k.Share("guard", 0), Probation: k.Duration("probation", 0), Bound: k.Share("bound", 0),
+			t.Kind, t.Number, t.As = k.OneOf("kind", "change", "change", "rollback", "rehearse"), k.Int("number", 0, 0, 1e6), k.Text("as", "")
+			t.Policy = installation.Policy{Whole: whole(k), Refuse: k.Bool("refuse", false), Looks: k.Bool("looks", false), Zones: k.Texts("zones"), Field: k.Text("field", ""),
+				Both: k.Duration("both_for", 0), Rehearse: k.Duration("rehearse", 0), Guard: k.Fraction("guard", 0), Probation: k.Duration("probation", 0), Bound: k.Fraction("bound", 0),
 				Size: k.Size("size", 0)}
 			if s.Charter.Voters == 0 {
-				k.Fail("do", "policy in the file, by which it is decided on")
+				k.Reject("do", "policy in the file, by which it is decided on")
 			}
 		}
 		t.Rate = k.Number("more", 0, 0, 1000)
-		if k.Has("be") {
+		if k.HasField("be") {
 			t.Be = k.OneOf("be", "", beings...)
 		}
 		switch {
 		case t.Until != 0 && t.Until <= t.At:
-			k.Fail("until", "a time after at")
+			k.Reject("until", "a time after at")
 		case t.Do == "link" && (len(t.From) == 0 || len(t.To) == 0 || t.Rule == faultproxy.Rule{}):
-			k.Fail("do", "from, to, and what such a link does, as in cut: true")
+			k.Reject("do", "from, to, and what such a link does, as in cut: true")
 		case (t.Do == "engine") != (len(t.Engines) > 0) || (t.Do == "engine" || t.Do == "list") != (t.Be != ""):
-			k.Fail("do", "engines and be where engines are told to be something, be where the list is")
+			k.Reject("do", "engines and be where engines are told to be something, be where the list is")
 		case slices.Contains([]string{"kill", "stop", "leave", "start", "twin", "limit", "surge", "propose", "voters", "force", "keep", "revive"}, t.Do) && len(t.Gateways) == 0:
-			k.Fail("gateways", "some of them, as in ['g1']")
+			k.Reject("gateways", "some of them, as in ['g1']")
 		}
 		for _, p := range slices.Concat(t.From, t.To, t.Gateways, t.Engines) {
 			if _, err := path.Match(p, ""); err != nil {
-				k.Fail("do", "names, with * for any letters; "+p+" is none")
+				k.Reject("do", "names, with * for any letters; "+p+" is none")
 			}
 		}
 		s.Steps = append(s.Steps, t)
 	}
-	return s, o.Err()
+	return s, o.Validate()
 }
 
 // Text is a file that reads as this scenario.
--- a/internal/testbed/load/classification/classes.go
+++ b/internal/testbed/load/classification/classes.go
@@ -82,7 +82,7 @@
 // literals drawn, loads among them that grow tables.
 func Measure(seed int64, forms, groups, statements int) *Result {
 	p := fake.NewPlanner(seed, forms)
-	book := costmodel.NewBook(64<<20, 1, func(t *costmodel.Table) (rows float64, keys []string, ok bool) {
+	book := costmodel.NewModel(64<<20, 1, func(t *costmodel.Table) (rows float64, keys []string, ok bool) {
 		return 1e6, fake.Keys, strings.HasPrefix(t.Schema, "actas_")
 	})
 	r := &Result{Seed: seed, Forms: forms, Statements: statements}
@@ -103,7 +103,7 @@
 		group := 1 + chance.Intn(groups)
 		text := fill(f.Text, group, chance.Intn(40))
 		sql := []byte(text)
-		s := book.Look(sql, mysql.Tables(sql), 0)
+		s := book.Inspect(sql, mysql.TableGroup(sql), 0)
 		e := book.Estimate(&s)
 		if !seen[form] {
 			seen[form] = true
@@ -116,19 +116,19 @@
 				usual, _, _ := p.Usual(text)
 				given := len(names)
 				if e.Known {
-					given = classOf(e.Work)
+					given = classOf(e.WorkMillis)
 				}
 				r.Matrices[i].Count[classOf(usual)][given]++
 			}
 		}
 		answers[k]++
 		took, memory, _ := p.Run(text, strconv.Itoa(n)+"-"+strconv.FormatInt(seed, 10))
-		book.Answered(&s, float64(took)/1e6, memory)
+		book.Observe(&s, float64(took)/1e6, memory)
 		if p.Ran(text); f.Kind == fake.Fill {
-			book.Loaded(group)
+			book.RecordLoad(group)
 		}
 	}
-	r.Split, r.Skewed = book.Split.Load(), p.Skewed()
+	r.Split, r.Skewed = book.SplitShapes.Load(), p.Skewed()
 	r.shifts(seed)
 	return r
 }
@@ -170,10 +170,10 @@
 func (r *Result) first(f *fake.Form, e *costmodel.Estimate) {
 	switch scan := f.Kind == fake.Whole || f.Kind == fake.Loose; {
 	case scan:
-		if r.Scans++; e.Full != "" {
+		if r.Scans++; e.FullScan != "" {
 			r.Named++
 		}
-	case f.Kind != fake.Fill && e.Full != "":
+	case f.Kind != fake.Fill && e.FullScan != "":
 		r.Mistaken++
 	}
 }
@@ -189,25 +189,25 @@
 	sum := 0
 	for n := range runs {
 		chance := rand.New(rand.NewSource(seed*1000 + int64(n)))
-		book := costmodel.NewBook(1<<20, 1, nil)
-		s := book.Look([]byte("SELECT a FROM t_1.m WHERE b = 1"), 1, 0)
+		book := costmodel.NewModel(1<<20, 1, nil)
+		s := book.Inspect([]byte("SELECT a FROM t_1.m WHERE b = 1"), 1, 0)
 		draw := func(mean float64) {
 			v := mean * math.Exp(scatter*chance.NormFloat64())
 			if chance.Float64() < badShare {
 				v *= 10 + 10*chance.Float64()
 			}
-			book.Answered(&s, v, 0)
+			book.Observe(&s, v, 0)
 		}
 		for range steady {
 			draw(100)
 		}
 		r.Answers += steady
-		before := book.Moved.Load()
+		before := book.Shifts.Load()
 		r.Alarms += before
-		book.Loaded(1)
+		book.RecordLoad(1)
 		r.Shifts++
 		k := 0
-		for ; k < until && book.Moved.Load() == before; k++ {
+		for ; k < until && book.Shifts.Load() == before; k++ {
 			draw(300)
 		}
 		if sum += k; k <= within {
--- a/internal/testbed/load/classification/delay.go
+++ b/internal/testbed/load/classification/delay.go
@@ -39,10 +39,10 @@
 		return fmt.Appendf(nil, "SELECT c%d, count(*), max(nota) AS m FROM actas_%d.mesas WHERE clave = 'v' AND nota > 3 GROUP BY c%d ORDER BY m DESC LIMIT 5", n, n%12+1, n)
 	}
 	measure := func(name string, count int, text func(n int) []byte, timed func(n int) bool) Delay {
-		book := costmodel.NewBook(2<<20, 1, tables)
+		book := costmodel.NewModel(2<<20, 1, tables)
 		for n := range 1000 {
-			s := book.Look(look(n), n%12+1, 0)
-			book.Answered(&s, 15, 8)
+			s := book.Inspect(look(n), n%12+1, 0)
+			book.Observe(&s, 15, 8)
 		}
 		h := hdrhistogram.New(1, int64(10*time.Second), 3)
 		d := Delay{Name: name}
@@ -50,7 +50,7 @@
 		for n := range count {
 			sql := text(n)
 			began := time.Now()
-			s := book.Look(sql, mysql.Tables(sql), 0)
+			s := book.Inspect(sql, mysql.TableGroup(sql), 0)
 			subject = resourcegroup.Subject{Features: s.Features(), Estimate: book.Estimate(&s)}
 			plan.Find(&subject)
 			if took := time.Since(began); timed(n) {
--- a/internal/testbed/load/driver/conn.go
+++ b/internal/testbed/load/driver/conn.go
@@ -105,12 +105,12 @@
 
 // packet reads the next packet's payload into a buffer.
 func packet(r *bufio.Reader, into []byte) ([]byte, error) {
-	head, err := r.Peek(mysql.HeadSize)
+	head, err := r.Peek(mysql.HeaderSize)
 	if err != nil {
 		return into[:0], err
 	}
-	length, _ := mysql.Head(head)
-	r.Discard(mysql.HeadSize)
+	length, _ := mysql.ParseHeader(head)
+	r.Discard(mysql.HeaderSize)
 	if cap(into) < length {
 		into = make([]byte, length)
 	}
@@ -125,14 +125,14 @@
 	var err error
 	var check rows
 	for {
-		var a mysql.Answer
+		var a mysql.Response
 		if _, err := c.r.Peek(1); err != nil {
 			return err
 		}
 		id := c.expect.Load()
 		if id == 0 {
 			c.w.tell(event{kind: unasked, c: c})
-			return mysql.ErrAnswer
+			return mysql.ErrMalformedResponse
 		}
 		check = rows{id: id, check: c.w.d.load.CheckRows}
 		for whole := false; !whole; {
@@ -142,7 +142,7 @@
 			if payload, err = packet(c.r, payload); err != nil {
 				return err
 			}
-			if whole, err = a.Take(payload, check.row); err != nil {
+			if whole, err = a.ReadPacket(payload, check.row); err != nil {
 				break
 			}
 		}
@@ -152,17 +152,17 @@
 		case err != nil || a.Code == 0 && !check.whole():
 			how = client.Spoilt
 		case a.Code == 0:
-		case mysql.Nacked(a.Code):
+		case mysql.IsRejected(a.Code):
 			how = client.Nacked
 		default:
 			how = client.WrittenOff
 		}
 		c.expect.Store(0)
 		extra := c.r.Buffered() > 0 // nothing more was asked for
-		c.w.tell(event{kind: answered, at: at, c: c, id: id, how: how, comeBack: time.Duration(a.ComeBack) * time.Millisecond})
+		c.w.tell(event{kind: answered, at: at, c: c, id: id, how: how, comeBack: time.Duration(a.RetryAfterMS) * time.Millisecond})
 		if extra {
 			c.w.tell(event{kind: unasked, c: c, id: id})
-			return mysql.ErrAnswer
+			return mysql.ErrMalformedResponse
 		}
 		if err != nil {
 			return err
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -108,23 +108,23 @@
 }
 
 func decode(o *configfile.Object, folder string) (*Experiment, error) {
-	e := &Experiment{Name: o.Needed("name"), Seed: int64(o.Count("seed", 1, 0, 1<<31)),
-		Length: o.Duration("length", 0), Targets: o.Texts("targets"), Loops: o.Count("loops", 0, 0, 256),
-		Workers: o.Count("workers", 0, 0, 64), OnLoss: o.OneOf("on_loss", "share", "share", "drop")}
+	e := &Experiment{Name: o.RequiredText("name"), Seed: int64(o.Int("seed", 1, 0, 1<<31)),
+		Length: o.Duration("length", 0), Targets: o.Texts("targets"), Loops: o.Int("loops", 0, 0, 256),
+		Workers: o.Int("workers", 0, 0, 64), OnLoss: o.OneOf("on_loss", "share", "share", "drop")}
 	var siteLanes []installation.Lane
 	for _, l := range o.Objects("lanes") {
 		e.lane(l, &siteLanes)
 	}
 	if len(e.Lanes) == 0 {
-		o.Fail("lanes", "at least one lane")
+		o.Reject("lanes", "at least one lane")
 	}
 	if shape := o.Object("load"); shape != nil {
 		e.Shape = e.decodeShape(shape, folder)
 		if err := e.Shape.Check("load"); err != nil {
-			o.Refuse(err)
+			o.RejectError(err)
 		}
 	} else {
-		o.Fail("load", "a shape")
+		o.Reject("load", "a shape")
 	}
 	if c := o.Object("clients"); c != nil {
 		e.Manners = manners(c)
@@ -134,16 +134,16 @@
 	if s := o.Object("site"); s != nil {
 		e.Site = decodeSite(s, siteLanes, e.Works, e.Seed)
 	}
-	e.Front = o.Flag("front", false)
+	e.Front = o.Bool("front", false)
 	for _, s := range o.Objects("script") {
-		step := Step{At: s.Duration("at", 0), Do: s.Needed("do"), Which: s.Text("which", "all"), Share: s.Number("share", 0, 0, 100)}
+		step := Step{At: s.Duration("at", 0), Do: s.RequiredText("do"), Which: s.Text("which", "all"), Share: s.Number("share", 0, 0, 100)}
 		kind, ok := verbs[step.Do]
 		if !ok {
 			s.OneOf("do", "", slices.Sorted(maps.Keys(verbs))...)
 		}
 		if step.verbFor = kind; e.Front && kind == ofEngines {
 			if step.verbFor = ofFront; ok && step.Do != "pause" && step.Do != "resume" {
-				s.Fail("do", "pause or resume, as there is no site")
+				s.Reject("do", "pause or resume, as there is no site")
 			}
 		}
 		e.Script = append(e.Script, step)
@@ -156,43 +156,43 @@
 		}
 	}
 	if there != 1 {
-		o.Fail("site", "one of site, front: true, and targets")
+		o.Reject("site", "one of site, front: true, and targets")
 	}
-	if !o.Has("length") && e.Shape.Kind != arrival.Replay && e.Shape.For <= 0 {
-		o.Fail("length", "a time above 0")
+	if !o.HasField("length") && e.Shape.Kind != arrival.Replay && e.Shape.For <= 0 {
+		o.Reject("length", "a time above 0")
 	}
 	for _, t := range e.Targets {
 		if !strings.HasPrefix(t, "127.") && !strings.HasPrefix(t, "[::1]:") && !strings.HasPrefix(t, "localhost:") {
-			o.Fail("targets", "addresses on loopback")
+			o.Reject("targets", "addresses on loopback")
 		}
 	}
-	if err := o.Err(); err != nil {
+	if err := o.Validate(); err != nil {
 		return nil, err
 	}
 	return e, nil
 }
 
 func (e *Experiment) lane(l *configfile.Object, lanes *[]installation.Lane) {
-	a := arrival.Lane{Name: l.Needed("name"), As: l.Text("as", ""), Share: l.Number("share", 1, 0, 1e6), Statements: l.Texts("statements"),
-		Groups: l.Count("groups", 1, 1, 1<<20), Zipf: l.Number("zipf", 0, 0, 10), Literals: l.Count("literals", 0, 0, 1<<30),
+	a := arrival.Lane{Name: l.RequiredText("name"), As: l.Text("as", ""), Share: l.Number("share", 1, 0, 1e6), Statements: l.Texts("statements"),
+		Groups: l.Int("groups", 1, 1, 1<<20), Zipf: l.Number("zipf", 0, 0, 10), Literals: l.Int("literals", 0, 0, 1<<30),
 		Quoted: l.Duration("quoted", time.Second), Patience: l.Duration("patience", 5*time.Second),
-		MarkRetry: l.Flag("mark_retry", true)}
+		MarkRetry: l.Bool("mark_retry", true)}
 	s := installation.Lane{Name: a.Name, Quoted: a.Quoted, Longest: a.Patience, Earnings: l.Number("earnings", 1, 0, 1e6),
-		Late: l.Share("late", 0), Effect: l.OneOf("effect", "idempotent", "idempotent", "deduplicated", "unrepeatable"),
-		Threads: l.Count("threads", 1, 1, 64), Load: l.Flag("loads", false), HeldByLoads: l.Flag("held_by_loads", false)}
-	a.Repeat = l.Flag("repeat", s.Effect == "idempotent")
+		Late: l.Fraction("late", 0), Effect: l.OneOf("effect", "idempotent", "idempotent", "deduplicated", "unrepeatable"),
+		Threads: l.Int("threads", 1, 1, 64), Load: l.Bool("loads", false), HeldByLoads: l.Bool("held_by_loads", false)}
+	a.Repeat = l.Bool("repeat", s.Effect == "idempotent")
 	if len(a.Statements) == 0 {
 		a.Statements = []string{"SELECT dia, count(*), max(nota) FROM actas_{group}.mesas WHERE clave = '{literal}' GROUP BY dia"}
 	}
-	w := fake.Work{Lane: a.Told(), Rows: l.Count("rows", 3, 1, 2000), MemoryMB: float64(l.Size("memory", 64<<20)) / (1 << 20),
-		Fails: l.Share("fails", 0)}
+	w := fake.Work{Lane: a.Told(), Rows: l.Int("rows", 3, 1, 2000), MemoryMB: float64(l.Size("memory", 64<<20)) / (1 << 20),
+		Fails: l.Fraction("fails", 0)}
 	if v := l.Object("service"); v != nil {
 		w.Service = spread(v)
 	}
 	for _, v := range l.Objects("heavy") { // statements that are not what their lane is as a rule
 		h := w
-		if h.Contains = v.Needed("contains"); v.Has("rows") {
-			h.Rows = v.Count("rows", 1, 1, 2000)
+		if h.Contains = v.RequiredText("contains"); v.HasField("rows") {
+			h.Rows = v.Int("rows", 1, 1, 2000)
 		}
 		if s := v.Object("service"); s != nil {
 			h.Service = spread(s)
@@ -204,7 +204,7 @@
 	if a.As == "" {
 		*lanes = append(*lanes, s)
 	} else if !slices.ContainsFunc(*lanes, func(o installation.Lane) bool { return o.Name == a.As }) {
-		l.Fail("as", "the name of a lane before it")
+		l.Reject("as", "the name of a lane before it")
 	}
 }
 
@@ -212,7 +212,7 @@
 	s := fake.Spread{Kind: v.OneOf("kind", "constant", "constant", "exponential", "lognormal", "pareto"),
 		Mean: v.Duration("mean", 0), CV: v.Number("cv", 1, 0, 100), Tail: v.Number("tail", 2, 1.01, 100)}
 	if s.Mean > time.Hour {
-		v.Fail("mean", "a time up to 1h")
+		v.Reject("mean", "a time up to 1h")
 	}
 	return s
 }
@@ -221,7 +221,7 @@
 func (e *Experiment) decodeShape(o *configfile.Object, folder string) arrival.Shape {
 	s := arrival.Shape{Kind: arrival.Kind(o.OneOf("kind", "poisson", "poisson", "steady", "bursts", "on-off", "ramp", "step",
 		"diurnal", "flash", "replay", "sum", "scale", "thin", "sequence")),
-		Rate: o.Number("rate", 0, 0, 1e7), Peak: o.Number("peak", 0, 0, 1e7), Swing: o.Share("swing", 0),
+		Rate: o.Number("rate", 0, 0, 1e7), Peak: o.Number("peak", 0, 0, 1e7), Swing: o.Fraction("swing", 0),
 		Factor: o.Number("factor", 1, 0, 1e4), Levels: o.Numbers("levels", 0, 1e7), Tail: o.Number("tail", 1.5, 1.01, 100),
 		On: o.Duration("on", 0), Off: o.Duration("off", 0), Dwell: o.Duration("dwell", 0), Over: o.Duration("over", 0),
 		Period: o.Duration("period", 0), Peaks: o.Duration("peaks", 0), From: o.Duration("from", 0),
@@ -230,20 +230,20 @@
 		s.Parts = append(s.Parts, e.decodeShape(p, folder))
 	}
 	if s.Kind == arrival.Replay {
-		path := o.Needed("trace")
+		path := o.RequiredText("trace")
 		if !filepath.IsAbs(path) {
 			path = filepath.Join(folder, path)
 		}
 		t, err := trace.ReadFile(path, false)
 		if err != nil {
-			o.Fail("trace", fmt.Sprintf("a trace that can be read (%v)", err))
+			o.Reject("trace", fmt.Sprintf("a trace that can be read (%v)", err))
 			return s
 		}
 		for _, r := range t.Records {
-			s.Times = append(s.Times, r.At)
-			lane := e.laneIndex(r.Lane)
+			s.Times = append(s.Times, r.Offset)
+			lane := e.laneIndex(r.Class)
 			if lane < 0 {
-				o.Fail("trace", fmt.Sprintf("tasks of lanes that the experiment names; the trace has lane %q", r.Lane))
+				o.Reject("trace", fmt.Sprintf("tasks of lanes that the experiment names; the trace has lane %q", r.Class))
 				return s
 			}
 			s.Marks = append(s.Marks, arrival.Mark{Lane: lane, Group: r.Group})
@@ -258,21 +258,21 @@
 }
 
 func manners(c *configfile.Object) client.Manners {
-	return client.Manners{Connections: c.Count("connections", 0, 0, 1<<20), Reused: c.Share("reused", 1), Kept: c.Share("kept", 0),
-		Idle: c.Duration("idle", 4*time.Second), Tries: c.Count("tries", 1, 1, 60), BackOff: c.Duration("back_off", 100*time.Millisecond),
-		MostBackOff: c.Duration("most_back_off", 2*time.Second), Jitter: c.Share("jitter", 0.5), Honour: c.Share("honour", 1),
-		Budget: c.Number("budget", 0.2, 0, 10), BudgetFree: c.Count("budget_free", 10, 0, 1<<20),
+	return client.Manners{Connections: c.Int("connections", 0, 0, 1<<20), Reused: c.Fraction("reused", 1), Kept: c.Fraction("kept", 0),
+		Idle: c.Duration("idle", 4*time.Second), Tries: c.Int("tries", 1, 1, 60), BackOff: c.Duration("back_off", 100*time.Millisecond),
+		MostBackOff: c.Duration("most_back_off", 2*time.Second), Jitter: c.Fraction("jitter", 0.5), Honour: c.Fraction("honour", 1),
+		Budget: c.Number("budget", 0.2, 0, 10), BudgetFree: c.Int("budget_free", 10, 0, 1<<20),
 		BudgetWindow: c.Duration("budget_window", 10*time.Second),
-		Slow:         c.Share("slow", 0), Leave: c.Share("leave", 0), Mute: c.Share("mute", 0)}
+		Slow:         c.Fraction("slow", 0), Leave: c.Fraction("leave", 0), Mute: c.Fraction("mute", 0)}
 }
 
 func decodeSite(s *configfile.Object, lanes []installation.Lane, works []fake.Work, seed int64) *installation.Plan {
-	p := &installation.Plan{Gateways: s.Count("gateways", 1, 1, 64), Engines: s.Count("engines", 4, 1, 1000), Zones: s.Texts("zones"),
+	p := &installation.Plan{Gateways: s.Int("gateways", 1, 1, 64), Engines: s.Int("engines", 4, 1, 1000), Zones: s.Texts("zones"),
 		Cores: s.Number("cores", 8, 1, 1024), Lanes: lanes, MemoryMB: int(s.Size("memory", 192<<20) >> 20),
-		Sockets: s.Count("sockets", 1024, 64, 1<<20), ConnectWithin: s.Duration("connect_within", 250*time.Millisecond),
+		Sockets: s.Int("sockets", 1024, 64, 1<<20), ConnectWithin: s.Duration("connect_within", 250*time.Millisecond),
 		Idle: s.Duration("idle", 30*time.Second), Seed: seed, Program: s.Text("program", ""), More: s.Texts("arguments"),
-		Manner: fake.Manner{Threads: s.Count("threads", 32, 1, 1<<16), Most: s.Count("most", 0, 0, 1<<20), Works: works,
-			Cold: s.Share("cold", 0), Warm: s.Duration("warm", 0), Pace: s.Duration("notes", 0)}}
+		Manner: fake.Manner{Threads: s.Int("threads", 32, 1, 1<<16), Most: s.Int("most", 0, 0, 1<<20), Works: works,
+			Cold: s.Fraction("cold", 0), Warm: s.Duration("warm", 0), Pace: s.Duration("notes", 0)}}
 	if p.Manner.Cores = p.Cores; len(p.Zones) == 0 {
 		p.Zones = []string{"norte", "sur"}
 	}
@@ -287,11 +287,11 @@
 	v := &e.Bounds
 	v.Own = b.Duration("own", v.Own)
 	v.Queued = b.Duration("queued", 0)
-	v.Offered = b.Share("offered", v.Offered)
-	v.CheckTruth = b.Flag("check_truth", false)
-	v.Truth = b.Share("truth", v.Truth)
+	v.Offered = b.Fraction("offered", v.Offered)
+	v.CheckTruth = b.Bool("check_truth", false)
+	v.Truth = b.Fraction("truth", v.Truth)
 	v.TruthLeast = b.Duration("truth_least", v.TruthLeast)
-	v.ClosedUsers = b.Count("closed_users", 0, 0, 1<<20)
+	v.ClosedUsers = b.Int("closed_users", 0, 0, 1<<20)
 	for _, word := range b.Texts("allow") {
 		found := false
 		for o := range client.Outcome(client.Outcomes) {
@@ -300,14 +300,14 @@
 			}
 		}
 		if !found {
-			b.Fail("allow", "names of outcomes, as in \"given up\"")
+			b.Reject("allow", "names of outcomes, as in \"given up\"")
 		}
 	}
 	for _, g := range b.Objects("goals") {
-		goal := Goal{Lane: g.Needed("lane"), Quantile: g.Share("quantile", 0), Within: g.Duration("within", 0),
-			Share: g.Share("delivered", 0)}
+		goal := Goal{Lane: g.RequiredText("lane"), Quantile: g.Fraction("quantile", 0), Within: g.Duration("within", 0),
+			Share: g.Fraction("delivered", 0)}
 		if e.laneIndex(goal.Lane) < 0 {
-			g.Fail("lane", "the name of a lane")
+			g.Reject("lane", "the name of a lane")
 		}
 		v.Goals = append(v.Goals, goal)
 	}
--- a/internal/traffic/capture/capture.go
+++ b/internal/traffic/capture/capture.go
@@ -24,8 +24,8 @@
 	pace = time.Second
 )
 
-// Capture is a recording under way. A nil one records nothing.
-type Capture struct {
+// Recorder is a recording under way. A nil one records nothing.
+type Recorder struct {
 	start   time.Time
 	text    bool
 	tasks   chan trace.Record
@@ -36,12 +36,12 @@
 
 // Start begins a recording to a new file of at most so many bytes; text: statements are recorded, too, and not only
 // their shapes.
-func Start(path string, most int64, text bool, log *slog.Logger) (*Capture, error) {
+func Start(path string, most int64, text bool, log *slog.Logger) (*Recorder, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	c := &Capture{start: time.Now(), text: text, tasks: make(chan trace.Record, mostWaiting), done: make(chan struct{})}
+	c := &Recorder{start: time.Now(), text: text, tasks: make(chan trace.Record, mostWaiting), done: make(chan struct{})}
 	b := bufio.NewWriterSize(f, 1<<15)
 	w, err := trace.NewWriter(b, c.start)
 	if err != nil {
@@ -60,7 +60,7 @@
 
 // write takes tasks until the file is full or the recording is stopped. Sessions put them in order of their own, so
 // one may come a little before the last.
-func (c *Capture) write(w *trace.Writer, b *bufio.Writer, most int64) (count int, err error) {
+func (c *Recorder) write(w *trace.Writer, b *bufio.Writer, most int64) (count int, err error) {
 	tick := time.NewTicker(pace)
 	defer tick.Stop()
 	var last time.Duration
@@ -78,13 +78,13 @@
 				c.dropped.Add(1)
 				continue
 			}
-			r.At = max(r.At, last)
+			r.Offset = max(r.Offset, last)
 			if err = w.Write(&r); err != nil {
 				full = true
 				c.dropped.Add(1)
 				continue
 			}
-			last = r.At
+			last = r.Offset
 			count++
 		case <-tick.C:
 			if full {
@@ -98,12 +98,12 @@
 	}
 }
 
-// Task records a task that has just come. sql is the query with its fields, statement without.
-func (c *Capture) Task(lane string, group int, waitMS int64, sql, statement []byte) {
+// RecordQuery records a task that has just come. sql is the query with its fields, statement without.
+func (c *Recorder) RecordQuery(lane string, group int, waitMS int64, sql, statement []byte) {
 	if c == nil {
 		return
 	}
-	r := trace.Record{At: time.Since(c.start), Lane: lane, Group: group, WaitMS: waitMS, Retry: mysql.Retried(sql),
+	r := trace.Record{Offset: time.Since(c.start), Class: lane, Group: group, WaitMS: waitMS, Retry: mysql.IsRetry(sql),
 		Shape: sqltext.Shape(statement)}
 	if c.text {
 		r.Text = string(statement)
@@ -121,7 +121,7 @@
 }
 
 // Stop ends a recording; the file is whole when it returns.
-func (c *Capture) Stop() {
+func (c *Recorder) Stop() {
 	if c == nil {
 		return
 	}
--- a/internal/traffic/capture/capture_test.go
+++ b/internal/traffic/capture/capture_test.go
@@ -25,25 +25,25 @@
 			t.Fatal(err)
 		}
 		for range 100 {
-			c.Task("look", 3, 700, []byte(sql), []byte(statement))
+			c.RecordQuery("look", 3, 700, []byte(sql), []byte(statement))
 		}
 		c.Stop()
 		c.Stop()
-		c.Task("look", 3, 700, []byte(sql), []byte(statement)) // after its end it is left out
+		c.RecordQuery("look", 3, 700, []byte(sql), []byte(statement)) // after its end it is left out
 		got, err := trace.ReadFile(path, false)
 		if err != nil || len(got.Records) != 100 {
 			t.Fatalf("%v, %v", got, err)
 		}
 		r := got.Records[99]
-		if r.Lane != "look" || r.Group != 3 || r.WaitMS != 700 || !r.Retry || r.Shape == 0 || (r.Text == statement) != text {
+		if r.Class != "look" || r.Group != 3 || r.WaitMS != 700 || !r.Retry || r.Shape == 0 || (r.Text == statement) != text {
 			t.Errorf("%+v", r)
 		}
 		if _, err := Start(path, 1, text, quiet); err == nil {
 			t.Error("a file that was there is written over")
 		}
 	}
-	var none *Capture
-	none.Task("look", 3, 700, nil, nil)
+	var none *Recorder
+	none.RecordQuery("look", 3, 700, nil, nil)
 	none.Stop()
 }
 
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	for range 5000 {
-		c.Task("look", 3, 700, []byte(sql), []byte(statement))
+		c.RecordQuery("look", 3, 700, []byte(sql), []byte(statement))
 	}
 	c.Stop()
 	got, err := trace.ReadFile(path, false)
--- a/internal/traffic/importer/importer_test.go
+++ b/internal/traffic/importer/importer_test.go
@@ -9,12 +9,12 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-func show(form Form, text string, o Options) {
+func show(form Format, text string, o Options) {
 	raws, amiss, err := Read(strings.NewReader(text), form, o)
-	t, repairs := Mend(raws, Clock{})
+	t, repairs := RepairClock(raws, ClockRepair{})
 	fmt.Printf("%s: %d, %v\n", form, len(raws), err)
 	for _, r := range t.Records {
-		fmt.Printf("  %v %s group %d wait %d retry %v text %q\n", r.At, r.Lane, r.Group, r.WaitMS, r.Retry, r.Text)
+		fmt.Printf("  %v %s group %d wait %d retry %v text %q\n", r.Offset, r.Class, r.Group, r.WaitMS, r.Retry, r.Text)
 	}
 	for _, r := range repairs {
 		fmt.Println("  mended", r)
@@ -26,7 +26,7 @@
 
 // Each form that can be read, with slips in it.
 func ExampleRead() {
-	o := Options{Lane: "look", Wait: 5 * time.Second, KeepText: true}
+	o := Options{Class: "look", Wait: 5 * time.Second, KeepText: true}
 	show(JSONLines, `{"time":"2026-11-01T18:00:00Z","lane":"report","group":4,"wait_ms":900,"retry":true}
 
 {"time":1793556000250,"statement":"SELECT 1 FROM actas_9.m"}
@@ -87,12 +87,12 @@
 }
 
 // raw is entries with stamps in milliseconds from noon; -1: none.
-func raw(ms ...int64) (out []Raw) {
+func raw(ms ...int64) (out []Entry) {
 	noon := time.Date(2026, 11, 1, 12, 0, 0, 0, time.UTC)
 	for i, m := range ms {
-		r := Raw{Line: i + 1, Record: trace.Record{Group: i}}
+		r := Entry{Line: i + 1, Record: trace.Record{Group: i}}
 		if m >= 0 {
-			r.Stamp = noon.Add(time.Duration(m) * time.Millisecond)
+			r.Timestamp = noon.Add(time.Duration(m) * time.Millisecond)
 		}
 		out = append(out, r)
 	}
@@ -100,28 +100,28 @@
 }
 
 // One line a rule: the times that come of some stamps, and what was mended.
-func ExampleMend() {
+func ExampleRepairClock() {
 	const hour, day = int64(3600_000), int64(86400_000)
 	for _, c := range []struct {
 		name  string
-		raws  []Raw
-		clock Clock
+		raws  []Entry
+		clock ClockRepair
 	}{
-		{"as it was", raw(0, 100, 200, 300), Clock{}},
-		{"jumps back an hour", raw(2*hour, 2*hour+100, hour+200, hour+300), Clock{}},
-		{"jumps forward a day", raw(0, 100, 200, day+300, day+400), Clock{}},
-		{"a day of quiet, kept", raw(0, 100, 200, day+300, day+400), Clock{KeepGaps: true}},
-		{"days in the wrong order", raw(day, day+100, 0, 100, 2*day, 2*day+100), Clock{}},
-		{"a little out of order", raw(0, 200, 150, 300), Clock{}},
-		{"no stamps", raw(0, -1, -1, 300), Clock{}},
-		{"none at all", raw(-1, -1), Clock{}},
-		{"whole seconds", raw(0, 0, 0, 0, 1000, 1000, 2000), Clock{}},
-		{"nothing", nil, Clock{}},
+		{"as it was", raw(0, 100, 200, 300), ClockRepair{}},
+		{"jumps back an hour", raw(2*hour, 2*hour+100, hour+200, hour+300), ClockRepair{}},
+		{"jumps forward a day", raw(0, 100, 200, day+300, day+400), ClockRepair{}},
+		{"a day of quiet, kept", raw(0, 100, 200, day+300, day+400), ClockRepair{KeepGaps: true}},
+		{"days in the wrong order", raw(day, day+100, 0, 100, 2*day, 2*day+100), ClockRepair{}},
+		{"a little out of order", raw(0, 200, 150, 300), ClockRepair{}},
+		{"no stamps", raw(0, -1, -1, 300), ClockRepair{}},
+		{"none at all", raw(-1, -1), ClockRepair{}},
+		{"whole seconds", raw(0, 0, 0, 0, 1000, 1000, 2000), ClockRepair{}},
+		{"nothing", nil, ClockRepair{}},
 	} {
-		t, repairs := Mend(c.raws, c.clock)
+		t, repairs := RepairClock(c.raws, c.clock)
 		fmt.Printf("%-24s", c.name)
 		for _, r := range t.Records {
-			fmt.Printf(" %v", r.At)
+			fmt.Printf(" %v", r.Offset)
 		}
 		fmt.Println()
 		for _, r := range repairs {
@@ -153,18 +153,18 @@
 }
 
 func ExampleCut() {
-	t := &trace.Trace{Records: []trace.Record{{At: 0}, {At: time.Second}, {At: 2 * time.Second}, {At: 5 * time.Second}}}
+	t := &trace.Trace{Records: []trace.Record{{Offset: 0}, {Offset: time.Second}, {Offset: 2 * time.Second}, {Offset: 5 * time.Second}}}
 	show := func(name string, t *trace.Trace) {
 		fmt.Print(name)
 		for _, r := range t.Records {
-			fmt.Print(" ", r.At)
+			fmt.Print(" ", r.Offset)
 		}
 		fmt.Println()
 	}
-	show("cut ", Cut(t, time.Second, 5*time.Second))
-	show("fast", Speed(t, 2.5))
-	show("thin", Thin(t, 0.5, 2))
-	show("loop", Loop(t, 2))
+	show("cut ", Trim(t, time.Second, 5*time.Second))
+	show("fast", Accelerate(t, 2.5))
+	show("thin", Sample(t, 0.5, 2))
+	show("loop", Repeat(t, 2))
 	// Output:
 	// cut  0s 1s
 	// fast 0s 400ms 800ms 2s
@@ -176,9 +176,9 @@
 func TestOrder(t *testing.T) {
 	stamps := []int64{5, 5, -1, 3, 86400_000 * 3, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 0, 3600_000, -1, 1}
 	for turn := range stamps {
-		got, _ := Mend(raw(append(stamps[turn:len(stamps):len(stamps)], stamps[:turn]...)...), Clock{})
+		got, _ := RepairClock(raw(append(stamps[turn:len(stamps):len(stamps)], stamps[:turn]...)...), ClockRepair{})
 		for i, r := range got.Records {
-			if r.Group != i || i > 0 && r.At < got.Records[i-1].At {
+			if r.Group != i || i > 0 && r.Offset < got.Records[i-1].Offset {
 				t.Fatalf("turn %d: record %d is %+v", turn, i, r)
 			}
 		}
--- a/internal/traffic/importer/read.go
+++ b/internal/traffic/importer/read.go
@@ -19,27 +19,27 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-// Form names what a recording is written in.
-type Form string
+// Format names what a recording is written in.
+type Format string
 
 // The forms that can be read.
 const (
-	JSONLines  Form = "jsonl"
-	CSV        Form = "csv"
-	GeneralLog Form = "mysql-general"
-	SlowLog    Form = "mysql-slow"
+	JSONLines  Format = "jsonl"
+	CSV        Format = "csv"
+	GeneralLog Format = "mysql-general"
+	SlowLog    Format = "mysql-slow"
 )
 
 // Options are what a reader can't see in the file.
 type Options struct {
-	Lane     string            // of entries that name none
+	Class    string            // of entries that name none
 	Wait     time.Duration     // of entries that state none
 	Columns  map[string]string // of CSV and JSON lines: time, lane, group, wait_ms, retry, statement to the names there
 	KeepText bool              // statements are kept, not their shapes only
 }
 
 // Read reads a recording. Entries that can't be read are listed by line and passed over.
-func Read(r io.Reader, form Form, o Options) (raws []Raw, amiss []string, err error) {
+func Read(r io.Reader, form Format, o Options) (raws []Entry, amiss []string, err error) {
 	in := &input{o: o}
 	switch form {
 	case JSONLines:
@@ -58,7 +58,7 @@
 
 type input struct {
 	o     Options
-	raws  []Raw
+	raws  []Entry
 	amiss []string
 	more  int
 }
@@ -90,12 +90,12 @@
 
 // add takes an entry in.
 func (in *input) add(line int, stamp time.Time, lane, statement string, group int, waitMS int64, retry bool) {
-	r := trace.Record{Lane: lane, Group: group, WaitMS: waitMS, Retry: retry}
+	r := trace.Record{Class: lane, Group: group, WaitMS: waitMS, Retry: retry}
 	if statement != "" {
 		text := []byte(statement)
 		if request, err := mysql.ReadRequest(text); err == nil { // fields of our own protocol
-			if r.Lane == "" {
-				r.Lane = string(request.Class)
+			if r.Class == "" {
+				r.Class = string(request.Class)
 			}
 			if r.WaitMS == 0 {
 				r.WaitMS = request.WaitMS
@@ -104,19 +104,19 @@
 		}
 		r.Shape = sqltext.Shape(text)
 		if r.Group == 0 {
-			r.Group = mysql.Tables(text)
+			r.Group = mysql.TableGroup(text)
 		}
 		if in.o.KeepText {
 			r.Text = string(text)
 		}
 	}
-	if r.Lane == "" {
-		r.Lane = in.o.Lane
+	if r.Class == "" {
+		r.Class = in.o.Class
 	}
 	if r.WaitMS == 0 {
 		r.WaitMS = in.o.Wait.Milliseconds()
 	}
-	in.raws = append(in.raws, Raw{Stamp: stamp, Line: line, Record: r})
+	in.raws = append(in.raws, Entry{Timestamp: stamp, Line: line, Record: r})
 }
 
 // stamp reads a time: RFC 3339, MySQL's own form, or a number of seconds, milliseconds, micro- or nanoseconds since
@@ -308,7 +308,7 @@
 		}
 		in.add(from, begun, "", text, 0, 0, false)
 		last := &in.raws[len(in.raws)-1]
-		last.Took, last.Examined = took, examined
+		last.Elapsed, last.RowsExamined = took, examined
 		took, examined = 0, 0
 	}
 	for n := 1; s.Scan(); n++ {
