--- a/internal/traffic/importer/repair.go
+++ b/internal/traffic/importer/repair.go
@@ -10,21 +10,21 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-// Raw is one entry as it was recorded, in the order of the file.
-type Raw struct {
-	Stamp  time.Time // zero: it had none that could be read
-	Line   int       // where it stood
-	Record trace.Record
-
-	Took     time.Duration // as a slow log tells; 0: not told
-	Examined int64         // rows, likewise
+// Entry is one entry as it was recorded, in the order of the file.
+type Entry struct {
+	Timestamp time.Time // zero: it had none that could be read
+	Line      int       // where it stood
+	Record    trace.Record
+
+	Elapsed      time.Duration // as a slow log tells; 0: not told
+	RowsExamined int64         // rows, likewise
 }
 
-// Clock is how stamps are mended.
-type Clock struct {
-	KeepGaps bool          // long gaps are quiet times, not jumps of the clock
-	MostGap  time.Duration // a longer gap is a jump of the clock; 0: one minute
-	Untidy   time.Duration // entries that are so little out of order are not a jump back; 0: one second
+// ClockRepair is how stamps are mended.
+type ClockRepair struct {
+	KeepGaps         bool          // long gaps are quiet times, not jumps of the clock
+	MaxGap           time.Duration // a longer gap is a jump of the clock; 0: one minute
+	ReorderTolerance time.Duration // entries that are so little out of order are not a jump back; 0: one second
 }
 
 // A minute without one task is longer than any pause seen in a service worth recording, and clocks that are set jump
@@ -36,25 +36,25 @@
 
 // Repair is one thing that was mended.
 type Repair struct {
-	Line  int           `json:"line"`
-	Kind  string        `json:"kind"`
-	Count int           `json:"count"`   // of entries that it concerns
-	By    time.Duration `json:"by_ns"`   // of a jump: how far
-	Used  time.Duration `json:"used_ns"` // the gap, or the span, that stands there now
+	Line    int           `json:"line"`
+	Kind    string        `json:"kind"`
+	Count   int           `json:"count"`   // of entries that it concerns
+	Jump    time.Duration `json:"by_ns"`   // of a jump: how far
+	Applied time.Duration `json:"used_ns"` // the gap, or the span, that stands there now
 }
 
 func (r Repair) String() string {
-	return fmt.Sprintf("line %d: %s, %d entries, by %v; now %v", r.Line, r.Kind, r.Count, r.By, r.Used)
+	return fmt.Sprintf("line %d: %s, %d entries, by %v; now %v", r.Line, r.Kind, r.Count, r.Jump, r.Applied)
 }
 
 // The kinds of repairs, with their rules.
 const (
-	JumpBack    = "the clock jumped back"              // order is kept; the usual gap stands between the two entries
-	JumpForward = "the clock jumped forward"           // the usual gap, unless long gaps are kept
-	OutOfOrder  = "entries are a little out of order"  // order is kept; the later one's time counts for both
-	NoStamp     = "entries have no stamp"              // they get the time of the one before
-	RepeatedFew = "stamps are shared by a few entries" // as those; from this line on, listed once
-	Repeated    = "a stamp is repeated"                // the entries are spread evenly up to the next stamp
+	JumpBack              = "the clock jumped back"              // order is kept; the usual gap stands between the two entries
+	JumpForward           = "the clock jumped forward"           // the usual gap, unless long gaps are kept
+	OutOfOrder            = "entries are a little out of order"  // order is kept; the later one's time counts for both
+	NoTimestamp           = "entries have no stamp"              // they get the time of the one before
+	RepeatedFewTimestamps = "stamps are shared by a few entries" // as those; from this line on, listed once
+	RepeatedTimestamp     = "a stamp is repeated"                // the entries are spread evenly up to the next stamp
 )
 
 // mostSpread is the span over which entries of one stamp may be spread, if the usual gap between so many doesn't ask
@@ -65,13 +65,13 @@
 // listed is how many entries of one stamp are worth a line of their own: fewer come of chance where stamps are coarse.
 const listed = 10
 
-// Mend gives entries times from the trace's start on that never go back, and lists what was mended.
-func Mend(raws []Raw, c Clock) (*trace.Trace, []Repair) {
-	if c.MostGap <= 0 {
-		c.MostGap = usualMostGap
+// RepairClock gives entries times from the trace's start on that never go back, and lists what was mended.
+func RepairClock(raws []Entry, c ClockRepair) (*trace.Trace, []Repair) {
+	if c.MaxGap <= 0 {
+		c.MaxGap = usualMostGap
 	}
-	if c.Untidy <= 0 {
-		c.Untidy = usualUntidy
+	if c.ReorderTolerance <= 0 {
+		c.ReorderTolerance = usualUntidy
 	}
 	t := &trace.Trace{Records: make([]trace.Record, len(raws))}
 	var repairs []Repair
@@ -82,28 +82,28 @@
 		r := &raws[i]
 		t.Records[i] = r.Record
 		switch {
-		case r.Stamp.IsZero():
-			repairs = note(repairs, Repair{r.Line, NoStamp, 1, 0, 0}, i > 0 && raws[i-1].Stamp.IsZero())
+		case r.Timestamp.IsZero():
+			repairs = note(repairs, Repair{r.Line, NoTimestamp, 1, 0, 0}, i > 0 && raws[i-1].Timestamp.IsZero())
 		case last.IsZero():
-			t.Start, last = r.Stamp, r.Stamp
+			t.Start, last = r.Timestamp, r.Timestamp
 		default:
-			gap := r.Stamp.Sub(last)
+			gap := r.Timestamp.Sub(last)
 			switch {
-			case gap < -c.Untidy:
+			case gap < -c.ReorderTolerance:
 				repairs = append(repairs, Repair{r.Line, JumpBack, 1, gap, usual})
-				gap, last = usual, r.Stamp
+				gap, last = usual, r.Timestamp
 			case gap < 0:
 				repairs = note(repairs, Repair{r.Line, OutOfOrder, 1, gap, 0}, false)
 				gap = 0 // the stamp before goes on counting, so that no time is added
-			case gap > c.MostGap && !c.KeepGaps:
+			case gap > c.MaxGap && !c.KeepGaps:
 				repairs = append(repairs, Repair{r.Line, JumpForward, 1, gap, usual})
-				gap, last = usual, r.Stamp
+				gap, last = usual, r.Timestamp
 			default:
-				last = r.Stamp
+				last = r.Timestamp
 			}
 			at += gap
 		}
-		t.Records[i].At = at
+		t.Records[i].Offset = at
 	}
 	return t, spread(t, raws, usual, repairs)
 }
@@ -118,19 +118,19 @@
 }
 
 // usualGap is the mean of the gaps that are no jumps: what has no time of its own gets it.
-func usualGap(raws []Raw, c Clock) time.Duration {
+func usualGap(raws []Entry, c ClockRepair) time.Duration {
 	var sum time.Duration
 	n := 0
 	var last time.Time
 	for i := range raws {
-		if raws[i].Stamp.IsZero() {
+		if raws[i].Timestamp.IsZero() {
 			continue
 		}
-		if gap := raws[i].Stamp.Sub(last); !last.IsZero() && gap >= 0 && gap <= c.MostGap {
+		if gap := raws[i].Timestamp.Sub(last); !last.IsZero() && gap >= 0 && gap <= c.MaxGap {
 			sum += gap
 			n++
 		}
-		last = raws[i].Stamp
+		last = raws[i].Timestamp
 	}
 	if n == 0 {
 		return 0
@@ -139,30 +139,30 @@
 }
 
 // spread moves entries that share a time apart: evenly up to the next entry, but over no more than mostSpread.
-func spread(t *trace.Trace, raws []Raw, usual time.Duration, repairs []Repair) []Repair {
+func spread(t *trace.Trace, raws []Entry, usual time.Duration, repairs []Repair) []Repair {
 	var few Repair
 	for i := 0; i < len(t.Records); {
 		k := i + 1
-		for k < len(t.Records) && t.Records[k].At == t.Records[i].At {
+		for k < len(t.Records) && t.Records[k].Offset == t.Records[i].Offset {
 			k++
 		}
 		if n := k - i; n > 1 {
 			room := time.Duration(n) * max(usual, time.Microsecond)
 			if k < len(t.Records) {
-				room = t.Records[k].At - t.Records[i].At
+				room = t.Records[k].Offset - t.Records[i].Offset
 			}
 			room = min(room, max(mostSpread, time.Duration(n)*usual))
 			for j := i; j < k; j++ {
-				t.Records[j].At += room * time.Duration(j-i) / time.Duration(n)
+				t.Records[j].Offset += room * time.Duration(j-i) / time.Duration(n)
 			}
 			if n >= listed {
-				repairs = append(repairs, Repair{raws[i].Line, Repeated, n, 0, room})
+				repairs = append(repairs, Repair{raws[i].Line, RepeatedTimestamp, n, 0, room})
 			} else {
 				if few.Count == 0 {
-					few = Repair{raws[i].Line, RepeatedFew, 0, 0, 0}
+					few = Repair{raws[i].Line, RepeatedFewTimestamps, 0, 0, 0}
 				}
 				few.Count += n
-				few.Used = max(few.Used, room)
+				few.Applied = max(few.Applied, room)
 			}
 		}
 		i = k
@@ -174,29 +174,29 @@
 	return repairs
 }
 
-// Cut keeps what lies between two times, and lets it begin at 0.
-func Cut(t *trace.Trace, from, to time.Duration) *trace.Trace {
+// Trim keeps what lies between two times, and lets it begin at 0.
+func Trim(t *trace.Trace, from, to time.Duration) *trace.Trace {
 	out := &trace.Trace{Start: t.Start.Add(from)}
 	for _, r := range t.Records {
-		if r.At >= from && (to <= 0 || r.At < to) {
-			r.At -= from
+		if r.Offset >= from && (to <= 0 || r.Offset < to) {
+			r.Offset -= from
 			out.Records = append(out.Records, r)
 		}
 	}
 	return out
 }
 
-// Speed plays a trace so many times as fast.
-func Speed(t *trace.Trace, times float64) *trace.Trace {
+// Accelerate plays a trace so many times as fast.
+func Accelerate(t *trace.Trace, times float64) *trace.Trace {
 	out := &trace.Trace{Start: t.Start, Records: slices.Clone(t.Records)}
 	for i := range out.Records {
-		out.Records[i].At = time.Duration(float64(out.Records[i].At) / times)
+		out.Records[i].Offset = time.Duration(float64(out.Records[i].Offset) / times)
 	}
 	return out
 }
 
-// Thin keeps a share of the records, drawn by a seed.
-func Thin(t *trace.Trace, share float64, seed int64) *trace.Trace {
+// Sample keeps a share of the records, drawn by a seed.
+func Sample(t *trace.Trace, share float64, seed int64) *trace.Trace {
 	r := rand.New(rand.NewSource(seed))
 	out := &trace.Trace{Start: t.Start}
 	for _, one := range t.Records {
@@ -207,17 +207,17 @@
 	return out
 }
 
-// Loop plays a trace so many times, one behind the other, the mean gap between them.
-func Loop(t *trace.Trace, times int) *trace.Trace {
+// Repeat plays a trace so many times, one behind the other, the mean gap between them.
+func Repeat(t *trace.Trace, times int) *trace.Trace {
 	out := &trace.Trace{Start: t.Start}
 	if len(t.Records) == 0 {
 		return out
 	}
-	last := t.Records[len(t.Records)-1].At
+	last := t.Records[len(t.Records)-1].Offset
 	length := last + last/time.Duration(max(1, len(t.Records)-1))
 	for k := range times {
 		for _, r := range t.Records {
-			r.At += time.Duration(k) * length
+			r.Offset += time.Duration(k) * length
 			out.Records = append(out.Records, r)
 		}
 	}
--- a/internal/traffic/trace/trace.go
+++ b/internal/traffic/trace/trace.go
@@ -27,8 +27,8 @@
 
 // Record is one task that was asked for.
 type Record struct {
-	At     time.Duration // from the trace's start
-	Lane   string
+	Offset time.Duration // from the trace's start
+	Class  string
 	Group  int // of tables; 0: none was found
 	WaitMS int64
 	Retry  bool
@@ -72,21 +72,21 @@
 	return t, err
 }
 
-// ErrOrder is a record that comes before the one ahead of it.
-var ErrOrder = errors.New("a record before the last one")
+// ErrOutOfOrder is a record that comes before the one ahead of it.
+var ErrOutOfOrder = errors.New("a record before the last one")
 
 // Write adds a record. Times are kept to whole microseconds.
 func (t *Writer) Write(r *Record) error {
-	if r.At < t.last {
-		return ErrOrder
+	if r.Offset < t.last {
+		return ErrOutOfOrder
 	}
-	b := binary.AppendUvarint(t.block, uint64(r.At/time.Microsecond-t.last/time.Microsecond))
-	t.last = r.At
-	n := t.names[r.Lane]
+	b := binary.AppendUvarint(t.block, uint64(r.Offset/time.Microsecond-t.last/time.Microsecond))
+	t.last = r.Offset
+	n := t.names[r.Class]
 	b = binary.AppendUvarint(b, n)
 	if n == 0 {
-		t.names[r.Lane] = uint64(len(t.names) + 1)
-		lane := r.Lane[:min(len(r.Lane), mostLane)]
+		t.names[r.Class] = uint64(len(t.names) + 1)
+		lane := r.Class[:min(len(r.Class), mostLane)]
 		b = append(binary.AppendUvarint(b, uint64(len(lane))), lane...)
 	}
 	b = binary.AppendUvarint(b, uint64(max(0, r.Group)))
@@ -150,13 +150,13 @@
 	return err
 }
 
-// Damage is where a trace can't be read any further.
-type Damage struct {
+// CorruptError is where a trace can't be read any further.
+type CorruptError struct {
 	Offset int64 // of the part that is amiss
-	Why    string
+	Reason string
 }
 
-func (d *Damage) Error() string { return fmt.Sprintf("offset %d: %s", d.Offset, d.Why) }
+func (d *CorruptError) Error() string { return fmt.Sprintf("offset %d: %s", d.Offset, d.Reason) }
 
 // Reader reads a trace block by block.
 type Reader struct {
@@ -177,16 +177,16 @@
 	t := &Reader{r: bufio.NewReaderSize(r, 1<<16)}
 	var head [headSize]byte
 	if _, err := io.ReadFull(t.r, head[:]); err != nil {
-		return nil, &Damage{0, "the head of a trace is not whole"}
+		return nil, &CorruptError{0, "the head of a trace is not whole"}
 	}
 	switch sum := crc32.Checksum(head[:headSize-4], castagnoli); {
 	case string(head[:8]) != Magic:
-		return nil, &Damage{0, "this is no trace"}
+		return nil, &CorruptError{0, "this is no trace"}
 	case sum != binary.LittleEndian.Uint32(head[headSize-4:]):
-		return nil, &Damage{8, "the checksum of the head is wrong"}
+		return nil, &CorruptError{8, "the checksum of the head is wrong"}
 	}
 	if v := binary.LittleEndian.Uint16(head[8:]); v != version {
-		return nil, &Damage{8, fmt.Sprintf("version %d, expected %d", v, version)}
+		return nil, &CorruptError{8, fmt.Sprintf("version %d, expected %d", v, version)}
 	}
 	t.Start = time.UnixMicro(int64(binary.LittleEndian.Uint64(head[12:])))
 	t.offset = headSize
@@ -204,12 +204,12 @@
 		}
 	}
 	if why := t.record(r); why != "" {
-		return &Damage{t.offset - int64(len(t.rest)), why}
+		return &CorruptError{t.offset - int64(len(t.rest)), why}
 	}
 	t.left--
 	t.total++
 	if t.left == 0 && len(t.rest) > 0 {
-		return &Damage{t.offset - int64(len(t.rest)), "a block holds more than its records"}
+		return &CorruptError{t.offset - int64(len(t.rest)), "a block holds more than its records"}
 	}
 	return nil
 }
@@ -217,38 +217,38 @@
 func (t *Reader) readBlock() error {
 	var head [blockHead]byte
 	if n, err := io.ReadFull(t.r, head[:]); err != nil {
-		return &Damage{t.offset + int64(n), "the trace breaks off"}
+		return &CorruptError{t.offset + int64(n), "the trace breaks off"}
 	}
 	length, count := binary.LittleEndian.Uint32(head[:]), binary.LittleEndian.Uint32(head[4:])
 	first, sum := binary.LittleEndian.Uint32(head[8:]), binary.LittleEndian.Uint32(head[12:])
 	if length == 0 {
 		switch {
 		case sum != blockSum(head[:], nil):
-			return &Damage{t.offset, "the checksum of the end is wrong"}
+			return &CorruptError{t.offset, "the checksum of the end is wrong"}
 		case first != t.total:
-			return &Damage{t.offset, fmt.Sprintf("%d records were written, %d are here", first, t.total)}
+			return &CorruptError{t.offset, fmt.Sprintf("%d records were written, %d are here", first, t.total)}
 		}
 		if _, err := t.r.ReadByte(); err == nil {
-			return &Damage{t.offset + blockHead, "something stands behind the end"}
+			return &CorruptError{t.offset + blockHead, "something stands behind the end"}
 		}
 		t.ended = true
 		return nil
 	}
 	if length > mostBlock || count == 0 || count > length {
-		return &Damage{t.offset, fmt.Sprintf("a block of %d bytes with %d records can't be", length, count)}
+		return &CorruptError{t.offset, fmt.Sprintf("a block of %d bytes with %d records can't be", length, count)}
 	}
 	if cap(t.block) < int(length) {
 		t.block = make([]byte, length)
 	}
 	t.block = t.block[:length]
 	if n, err := io.ReadFull(t.r, t.block); err != nil {
-		return &Damage{t.offset + blockHead + int64(n), "the trace breaks off"}
+		return &CorruptError{t.offset + blockHead + int64(n), "the trace breaks off"}
 	}
 	if sum != blockSum(head[:], t.block) {
-		return &Damage{t.offset, "the checksum of a block is wrong"}
+		return &CorruptError{t.offset, "the checksum of a block is wrong"}
 	}
 	if first != t.total {
-		return &Damage{t.offset, fmt.Sprintf("a block from record %d on, expected %d", first, t.total)}
+		return &CorruptError{t.offset, fmt.Sprintf("a block from record %d on, expected %d", first, t.total)}
 	}
 	t.offset += blockHead + int64(length)
 	t.rest, t.left, t.names = t.block, count, t.names[:0]
@@ -282,13 +282,13 @@
 		return "a time that can't be"
 	}
 	t.last += time.Duration(gap) * time.Microsecond
-	*r = Record{At: t.last}
+	*r = Record{Offset: t.last}
 	switch n := number(); {
 	case n == 0:
 		t.names = append(t.names, string(bytes(mostLane)))
-		r.Lane = t.names[len(t.names)-1]
+		r.Class = t.names[len(t.names)-1]
 	case n <= uint64(len(t.names)):
-		r.Lane = t.names[n-1]
+		r.Class = t.names[n-1]
 	default:
 		return "a lane that was not named"
 	}
--- a/internal/traffic/trace/trace_test.go
+++ b/internal/traffic/trace/trace_test.go
@@ -14,7 +14,7 @@
 func some(n int) *Trace {
 	t := &Trace{Start: time.UnixMicro(1764600000_000001)}
 	for i := range n {
-		r := Record{At: time.Duration(i*i) * time.Microsecond, Lane: []string{"look", "report", "load"}[i%3], Group: i % 20,
+		r := Record{Offset: time.Duration(i*i) * time.Microsecond, Class: []string{"look", "report", "load"}[i%3], Group: i % 20,
 			WaitMS: int64(1000 + i), Retry: i%7 == 0, Shape: uint64(i) * 0x9e3779b97f4a7c15}
 		if i%4 == 0 {
 			r.Text = fmt.Sprintf("SELECT %d FROM actas_%d.mesas", i, i%20)
@@ -55,7 +55,7 @@
 	}
 	check := func(what string, b []byte) {
 		got, err := Read(bytes.NewReader(b))
-		var d *Damage
+		var d *CorruptError
 		if !errors.As(err, &d) || d.Offset < 0 || d.Offset > int64(len(file))+blockHead {
 			t.Fatalf("%s: %v", what, err)
 		}
@@ -86,8 +86,8 @@
 		t.Fatal(err)
 	}
 	bad := some(3)
-	bad.Records[2].At = 0
-	if err := bad.WriteFile(path); !errors.Is(err, ErrOrder) {
+	bad.Records[2].Offset = 0
+	if err := bad.WriteFile(path); !errors.Is(err, ErrOutOfOrder) {
 		t.Errorf("records out of order: %v", err)
 	}
 	got, err := ReadFile(path, false)
@@ -107,7 +107,7 @@
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
 	w, _ := NewWriter(&b, time.UnixMicro(5))
-	w.Write(&Record{At: time.Second, Lane: "look", Text: "SELECT 1"})
+	w.Write(&Record{Offset: time.Second, Class: "look", Text: "SELECT 1"})
 	w.Close()
 	f.Add(b.Bytes())
 	f.Fuzz(func(t *testing.T, file []byte) {
@@ -134,7 +134,7 @@
 	w, _ := NewWriter(&file, time.Now())
 	const n = 10000
 	for i := range n {
-		w.Write(&Record{At: time.Duration(i) * time.Millisecond, Lane: "look", Group: 3, WaitMS: 5000, Shape: 7})
+		w.Write(&Record{Offset: time.Duration(i) * time.Millisecond, Class: "look", Group: 3, WaitMS: 5000, Shape: 7})
 	}
 	w.Close()
 	b.ReportAllocs()
--- a/internal/workload/desk.go
+++ b/internal/workload/desk.go
@@ -18,7 +18,7 @@
 // Desk joins the book of statements and the operator's classes to a gateway.
 type Desk struct {
 	file  *Statements
-	book  *costmodel.Book
+	book  *costmodel.Model
 	route *resourcegroup.Desk
 	lanes []string
 	loads []bool // lanes whose tasks change tables
@@ -84,7 +84,7 @@
 		}
 	}
 	if !reflect.DeepEqual(s.Tables, d.file.Tables) {
-		d.book.Catalogue(s.Known())
+		d.book.SetTables(s.Known())
 	}
 	d.file = s
 	d.plan.Store(&s.Plan)
@@ -143,7 +143,7 @@
 	wall := time.Now()
 	if hours := int64(wall.Sub(d.agedAt) / time.Hour); hours > 0 {
 		d.agedAt = d.agedAt.Add(time.Duration(hours) * time.Hour)
-		d.book.Age(hours)
+		d.book.AdvanceHours(hours)
 	}
 	if wall.Sub(d.saidAt) >= d.file.LogEvery {
 		d.saidAt = wall
@@ -154,11 +154,11 @@
 // say writes what was counted since the last line.
 func (d *Desk) say() {
 	b := d.book
-	now := told{b.Seen.Load(), b.Parsed.Load(), b.Answers.Load(), b.Wrong.Load()}
+	now := told{b.Statements.Load(), b.Parsed.Load(), b.Observations.Load(), b.Mispredicted.Load()}
 	last := d.said
 	d.said = now
 	d.log.Info("statements", "seen", now.seen-last.seen, "new_shapes", now.parsed-last.parsed, "answers", now.answers-last.answers,
-		"wrong", now.wrong-last.wrong, "unread", b.Unparsed.Load(), "moved", b.Moved.Load(), "split", b.Split.Load())
+		"wrong", now.wrong-last.wrong, "unread", b.Unparsed.Load(), "moved", b.Shifts.Load(), "split", b.SplitShapes.Load())
 	if d.law != nil {
 		d.log.Info("policy", "code", "counts", "number", d.count.Of, "tasks", d.count.Tasks, "classed", d.count.Classed, "refused", d.count.Refused, "held", d.count.Held,
 			"unsure", d.Unsure)
@@ -192,7 +192,7 @@
 
 func (r *Reader) foreseen() (f admission.Foreseen) {
 	if e := &r.subject.Estimate; e.Known {
-		f = admission.Foreseen{Work: tenths(e.Work), Upper: tenths(e.Upper), Memory: e.Memory}
+		f = admission.Foreseen{Work: tenths(e.WorkMillis), Upper: tenths(e.UpperMillis), Memory: e.MemoryMB}
 	}
 	return f
 }
@@ -249,7 +249,7 @@
 // Reader reads the statements of one session.
 type Reader struct {
 	d       *Desk
-	sight   costmodel.Sight
+	sight   costmodel.Query
 	subject resourcegroup.Subject
 	plan    *resourcegroup.Plan
 	entry   int // of the plan's classes, from 1; 0: none
@@ -263,7 +263,7 @@
 
 // Read finds a statement's shape, cost and class.
 func (r *Reader) Read(sql []byte, lane, tables int) {
-	r.sight = r.d.book.Look(sql, tables, lane)
+	r.sight = r.d.book.Inspect(sql, tables, lane)
 	r.subject = resourcegroup.Subject{Lane: r.d.lanes[lane], Features: r.sight.Features(), Estimate: r.d.book.Estimate(&r.sight)}
 	if r.d.law != nil {
 		r.look(r.d.law.Ruling())
@@ -275,9 +275,9 @@
 
 // Answered takes in what it has cost.
 func (r *Reader) Answered(work admission.Time, memory float64) {
-	r.d.book.Answered(&r.sight, ms(work), memory)
-	if r.d.loads[r.sight.Lane] {
-		r.d.book.Loaded(r.sight.Group)
+	r.d.book.Observe(&r.sight, ms(work), memory)
+	if r.d.loads[r.sight.Class] {
+		r.d.book.RecordLoad(r.sight.Group)
 	}
 }
 
--- a/internal/workload/keep.go
+++ b/internal/workload/keep.go
@@ -19,8 +19,8 @@
 	case err != nil:
 		d.log.Warn("statements", "code", "cold", "error", err)
 	default:
-		d.book.Begin(s, d.lanes)
-		records, answers := s.Records()
+		d.book.Restore(s, d.lanes)
+		records, answers := s.CountRecords()
 		d.log.Info("statements", "code", "recovered", "snapshot", file, "shapes", records, "answers", answers)
 	}
 }
@@ -31,12 +31,12 @@
 	if file == "" {
 		return
 	}
-	s := d.book.Take(d.lanes)
+	s := d.book.Snapshot(d.lanes)
 	if err := WriteSnapshot(file, s); err != nil {
 		d.log.Warn("statements", "code", "not_saved", "error", err)
 		return
 	}
-	records, answers := s.Records()
+	records, answers := s.CountRecords()
 	d.log.Info("statements", "code", "saved", "snapshot", file, "shapes", records, "answers", answers)
 }
 
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := costmodel.Decode(b)
+	s, err := costmodel.DecodeSnapshot(b)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
--- a/internal/workload/law_test.go
+++ b/internal/workload/law_test.go
@@ -73,7 +73,7 @@
 	try := func(what string) {
 		fmt.Fprintf(&out, "%s:", what)
 		for lane, name := range []string{"look", "load"} {
-			reader.Read([]byte("SELECT nota FROM actas.mesas WHERE clave = 'a'"), lane, mysql.Tables([]byte("SELECT nota FROM actas.mesas")))
+			reader.Read([]byte("SELECT nota FROM actas.mesas WHERE clave = 'a'"), lane, mysql.TableGroup([]byte("SELECT nota FROM actas.mesas")))
 			f, crowded, refuse := d.Arrived(10, reader)
 			fmt.Fprintf(&out, "  %s ", name)
 			switch {
--- a/internal/workload/operator.go
+++ b/internal/workload/operator.go
@@ -37,12 +37,12 @@
 }
 
 // Book is an empty book of statements for so many lanes.
-func (s *Statements) Book(lanes int) *costmodel.Book {
-	return costmodel.NewBook(s.Memory, lanes, s.Known())
+func (s *Statements) Book(lanes int) *costmodel.Model {
+	return costmodel.NewModel(s.Memory, lanes, s.Known())
 }
 
 // Known is what the file says of tables; nil: nothing.
-func (s *Statements) Known() costmodel.Tables {
+func (s *Statements) Known() costmodel.TableLookup {
 	if len(s.Tables) == 0 {
 		return nil
 	}
--- a/internal/workload/operator_test.go
+++ b/internal/workload/operator_test.go
@@ -221,7 +221,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if shapes, answers := s.Records(); shapes != 4 || answers != 25 {
+	if shapes, answers := s.CountRecords(); shapes != 4 || answers != 25 {
 		t.Errorf("%d shapes, %d answers", shapes, answers)
 	}
 	// Begun again it knows them; from half a file it begins cold, and says so.
--- a/internal/workload/source/policy.go
+++ b/internal/workload/source/policy.go
@@ -20,7 +20,7 @@
 		return nil, err
 	}
 	whole := map[string]any{}
-	if s, ok := o.Raw("statements").(map[string]any); ok {
+	if s, ok := o.RawValue("statements").(map[string]any); ok {
 		part := map[string]any{}
 		for _, name := range []string{"pools", "classes"} {
 			if v := s[name]; v != nil {
@@ -29,14 +29,14 @@
 		}
 		whole["statements"] = part
 	}
-	if p := o.Raw("policy"); p != nil {
+	if p := o.RawValue("policy"); p != nil {
 		whole["policy"] = p
 	}
 	if text, err = json.Marshal(whole); err != nil {
 		return nil, err
 	}
 	if _, err := ParsePolicy(text); err != nil {
-		return nil, fmt.Errorf("%s", f.Place(err.Error()))
+		return nil, fmt.Errorf("%s", f.LocateError(err.Error()))
 	}
 	return text, nil
 }
@@ -50,12 +50,12 @@
 	if err != nil {
 		return why
 	}
-	return f.Place(why)
+	return f.LocateError(why)
 }
 
 // ParsePolicy reads a policy; an error begins with the field.
 func ParsePolicy(text []byte) (*workload.Policy, error) {
-	o, err := configfile.FromJSON(text)
+	o, err := configfile.ParseJSON(text)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	if k := o.Object("policy"); k != nil {
 		p.Asked = terms(k)
 	}
-	return p, o.Err()
+	return p, o.Validate()
 }
 
 // usualBoth is how long a gateway that hears nothing goes by what two policies allow, where it does.
@@ -77,17 +77,17 @@
 	length := func(o *configfile.Object, name string, usual, most time.Duration) admission.Time {
 		d := o.Duration(name, usual)
 		if d < 100*time.Millisecond || d > most {
-			o.Fail(name, fmt.Sprintf(`a time from "100ms" to "%v"`, most))
+			o.Reject(name, fmt.Sprintf(`a time from "100ms" to "%v"`, most))
 		}
 		return admission.Time(d / (100 * time.Microsecond))
 	}
 	if k.OneOf("silent", "nack", "nack", "both") == "both" {
 		t.Both = length(k, "both_for", usualBoth, 5*time.Minute)
-	} else if k.Has("both_for") {
-		k.Fail("both_for", `none but with silent: "both"`)
+	} else if k.HasField("both_for") {
+		k.Reject("both_for", `none but with silent: "both"`)
 	}
 	bounds := func(o *configfile.Object) rollout.Bounds {
-		return rollout.Bounds{Refused: o.Share("refused_above", 1), Held: o.Share("held_above", 1)}
+		return rollout.Bounds{Refused: o.Fraction("refused_above", 1), Held: o.Fraction("held_above", 1)}
 	}
 	if o := k.Object("rehearse"); o != nil {
 		t.Rehearse, t.Guard = length(o, "length", 5*time.Second, 5*time.Minute), bounds(o)
--- a/internal/workload/source/source.go
+++ b/internal/workload/source/source.go
@@ -48,10 +48,10 @@
 	if s := o.Object("statements"); s != nil {
 		f.Statements = &workload.Statements{Memory: s.Size("memory", usualMemory), LogEvery: s.Duration("log_every", usualLog)}
 		if m := f.Statements.Memory; m < 64<<10 || m > 1<<30 {
-			s.Fail("memory", `a size from "64kB" to "1GB"`)
+			s.Reject("memory", `a size from "64kB" to "1GB"`)
 		}
 		if f.Statements.LogEvery < time.Second {
-			s.Fail("log_every", `a time from "1s" on`)
+			s.Reject("log_every", `a time from "1s" on`)
 		}
 		f.Statements.Snapshot = s.Text("snapshot", "")
 		for _, t := range s.Objects("tables") {
@@ -64,26 +64,26 @@
 	if l := o.Object("fleet"); l != nil {
 		f.Fleet = members(l)
 		if k := l.Object("budgets"); k != nil {
-			b := &agent.Budgets{Keepers: k.Texts("keepers"), Term: k.Duration("term", usualTerm), Number: uint64(k.Count("number", 1, 1, 1<<30)), Folder: k.Text("folder", "")}
+			b := &agent.Budgets{Keepers: k.Texts("keepers"), Term: k.Duration("term", usualTerm), Number: uint64(k.Int("number", 1, 1, 1<<30)), Folder: k.Text("folder", "")}
 			if n := len(b.Keepers); n != 1 && n != 3 && n != 5 {
-				k.Fail("keepers", "the names of 1, 3 or 5 gateways")
+				k.Reject("keepers", "the names of 1, 3 or 5 gateways")
 			}
 			if b.Term < time.Second || b.Term > time.Hour {
-				k.Fail("term", `a time from "1s" to "1h"`)
+				k.Reject("term", `a time from "1s" to "1h"`)
 			}
-			if k.Has("number") && f.Fleet.Policy != nil {
-				k.Fail("number", "none where there is fleet.policy: totals follow the policy's number")
+			if k.HasField("number") && f.Fleet.Policy != nil {
+				k.Reject("number", "none where there is fleet.policy: totals follow the policy's number")
 			} else if f.Fleet.Policy != nil {
 				b.Number = 0
 			}
-			if b.Cold = k.Flag("cold", false); b.Cold {
+			if b.Cold = k.Bool("cold", false); b.Cold {
 				b.Names, b.Totals = agent.ColdBudgets()
 			}
 			f.Fleet.Budgets = b
 		}
 	}
 	if p := o.Object("policy"); p != nil && (f.Fleet == nil || f.Fleet.Policy == nil) {
-		o.Refuse(errors.New("policy: expected fleet.policy in the file, by which it takes hold, found nothing"))
+		o.RejectError(errors.New("policy: expected fleet.policy in the file, by which it takes hold, found nothing"))
 		terms(p)
 	} else if p != nil {
 		terms(p)
@@ -98,7 +98,7 @@
 				continue
 			}
 			if f.Fleet == nil || f.Fleet.Budgets == nil {
-				o.Refuse(fmt.Errorf("statements.classes[%d].fleet: expected fleet.budgets in the file, by which gateways share it, found nothing", i))
+				o.RejectError(fmt.Errorf("statements.classes[%d].fleet: expected fleet.budgets in the file, by which gateways share it, found nothing", i))
 				continue
 			}
 			names, totals := c.BudgetNames()
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	return f, o.Err()
+	return f, o.Validate()
 }
 
 // usualRate bounds what a gateway tells of engines: a hundred bytes to each of five hundred, four times a second.
@@ -128,48 +128,48 @@
 
 // members reads how the gateways of a fleet reach each other.
 func members(l *configfile.Object) *agent.Plan {
-	p := &agent.Plan{Listen: l.Needed("listen"), Advertise: l.Text("advertise", ""), Seeds: l.Texts("seeds"), Key: l.Needed("key"),
+	p := &agent.Plan{Listen: l.RequiredText("listen"), Advertise: l.Text("advertise", ""), Seeds: l.Texts("seeds"), Key: l.RequiredText("key"),
 		Rate: l.Size("bytes_per_second", usualRate), Control: l.Text("control", ""), History: l.Text("history", ""),
-		Sharing: l.Flag("judgements", true), Counts: l.Flag("counts", false)}
+		Sharing: l.Bool("judgements", true), Counts: l.Bool("counts", false)}
 	if _, err := netip.ParseAddrPort(p.Listen); p.Listen != "" && err != nil {
-		l.Fail("listen", `an address and port, as in "10.0.0.3:7100"`)
+		l.Reject("listen", `an address and port, as in "10.0.0.3:7100"`)
 	}
-	if l.Has("advertise") {
+	if l.HasField("advertise") {
 		if _, err := netip.ParseAddrPort(p.Advertise); err != nil {
-			l.Fail("advertise", `an address and port that the others reach, as in "10.0.0.3:7100"`)
+			l.Reject("advertise", `an address and port that the others reach, as in "10.0.0.3:7100"`)
 		}
 	} else if a, err := netip.ParseAddrPort(p.Listen); err == nil && a.Addr().IsUnspecified() {
-		l.Fail("listen", "an address of this machine, or advertise with the one that the others reach")
+		l.Reject("listen", "an address of this machine, or advertise with the one that the others reach")
 	}
 	for _, s := range p.Seeds {
 		if _, err := netip.ParseAddrPort(s); err != nil {
-			l.Fail("seeds", "addresses and ports, of which "+s+" is none")
+			l.Reject("seeds", "addresses and ports, of which "+s+" is none")
 		}
 	}
 	if k := l.Object("policy"); k != nil {
 		p.Policy = &agent.PolicyPlan{Voters: k.Texts("voters"), Folder: k.Text("folder", ""), Lease: k.Duration("lease", usualLease), Within: k.Duration("within", usualWithin)}
 		if n := len(p.Policy.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
-			k.Fail("voters", "the names of 3, 5 or 7 gateways, or of one")
+			k.Reject("voters", "the names of 3, 5 or 7 gateways, or of one")
 		}
 		if d := p.Policy.Lease; d < time.Second || d > time.Minute {
-			k.Fail("lease", `a time from "1s" to "1m"`)
+			k.Reject("lease", `a time from "1s" to "1m"`)
 		}
 		if d := p.Policy.Within; d < time.Second || d > time.Minute {
-			k.Fail("within", `a time from "1s" to "1m"`)
+			k.Reject("within", `a time from "1s" to "1m"`)
 		}
 	}
 	if p.Rate < 1<<10 || p.Rate > 1<<30 {
-		l.Fail("bytes_per_second", `a size from "1kB" to "1GB"`)
+		l.Reject("bytes_per_second", `a size from "1kB" to "1GB"`)
 	}
 	return p
 }
 
 // pattern reads a pattern of tables' names.
 func pattern(t *configfile.Object) resourcegroup.Table {
-	p := resourcegroup.Table{Schema: t.Text("schema", "*"), Name: t.Needed("name")}
+	p := resourcegroup.Table{Schema: t.Text("schema", "*"), Name: t.RequiredText("name")}
 	for _, f := range []struct{ field, text string }{{"schema", p.Schema}, {"name", p.Name}} {
 		if _, err := path.Match(f.text, ""); err != nil {
-			t.Fail(f.field, "a name, with * for any letters")
+			t.Reject(f.field, "a name, with * for any letters")
 		}
 	}
 	return p
@@ -179,37 +179,37 @@
 func plan(s *configfile.Object) (p resourcegroup.Plan) {
 	pools, classes := map[string]bool{"": true}, map[string]bool{}
 	for _, o := range s.Objects("pools") {
-		pool := resourcegroup.Pool{Name: o.Needed("name"), Zones: o.Texts("zones"), Kinds: o.Texts("kinds")}
+		pool := resourcegroup.Pool{Name: o.RequiredText("name"), Zones: o.Texts("zones"), Kinds: o.Texts("kinds")}
 		if pools[pool.Name] && pool.Name != "" {
-			o.Fail("name", "a name that no other pool has")
+			o.Reject("name", "a name that no other pool has")
 		}
 		pools[pool.Name] = true
 		p.Pools = append(p.Pools, pool)
 	}
 	all := ""
 	for _, o := range s.Objects("classes") {
-		c := resourcegroup.Class{Name: o.Needed("name"), Pool: o.Text("pool", ""), Threads: o.Number("threads", 0, 0.1, 1e6),
-			Waiting: o.Count("waiting", 0, 1, 1e6), Work: float64(o.Duration("work_per_second", 0)) / 1e6, Refuse: o.Text("refuse", ""), Fleet: o.Flag("fleet", false)}
+		c := resourcegroup.Class{Name: o.RequiredText("name"), Pool: o.Text("pool", ""), Threads: o.Number("threads", 0, 0.1, 1e6),
+			Waiting: o.Int("waiting", 0, 1, 1e6), Work: float64(o.Duration("work_per_second", 0)) / 1e6, Refuse: o.Text("refuse", ""), Fleet: o.Bool("fleet", false)}
 		if c.Fleet && c.Threads != math.Trunc(c.Threads) {
-			o.Fail("threads", "a whole number of threads, where they are the fleet's")
+			o.Reject("threads", "a whole number of threads, where they are the fleet's")
 		} else if c.Fleet && c.Threads == 0 && c.Waiting == 0 && c.Work < 1 {
-			o.Fail("fleet", "threads, waiting or work_per_second, which it has the fleet share")
+			o.Reject("fleet", "threads, waiting or work_per_second, which it has the fleet share")
 		}
-		if o.Has("work_per_second") && c.Work == 0 {
-			o.Fail("work_per_second", "a time of work above 0, as in \"4s\"")
+		if o.HasField("work_per_second") && c.Work == 0 {
+			o.Reject("work_per_second", "a time of work above 0, as in \"4s\"")
 		}
-		if o.Has("refuse") && c.Refuse == "" {
-			o.Fail("refuse", "the text of the error that clients get")
+		if o.HasField("refuse") && c.Refuse == "" {
+			o.Reject("refuse", "the text of the error that clients get")
 		}
 		if classes[c.Name] && c.Name != "" {
-			o.Fail("name", "a name that no other class has")
+			o.Reject("name", "a name that no other class has")
 		}
 		classes[c.Name] = true
 		if !pools[c.Pool] {
-			o.Fail("pool", "the name of one of the pools")
+			o.Reject("pool", "the name of one of the pools")
 		}
 		if all != "" {
-			o.Fail("name", "no further class, as "+all+" before it takes all statements")
+			o.Reject("name", "no further class, as "+all+" before it takes all statements")
 		}
 		if w := o.Object("when"); w != nil {
 			c.When = fits(w)
@@ -219,26 +219,26 @@
 		p.Classes = append(p.Classes, c)
 	}
 	if len(p.Classes) > resourcegroup.MostClasses {
-		s.Fail("classes", fmt.Sprintf("at most %d", resourcegroup.MostClasses))
+		s.Reject("classes", fmt.Sprintf("at most %d", resourcegroup.MostClasses))
 	}
 	return p
 }
 
 func fits(w *configfile.Object) (f resourcegroup.Fits) {
 	flag := func(name string) *bool {
-		if !w.Has(name) {
+		if !w.HasField(name) {
 			return nil
 		}
-		v := w.Flag(name, false)
+		v := w.Bool(name, false)
 		return &v
 	}
 	ms := func(name string) float64 { return float64(w.Duration(name, 0)) / 1e6 }
 	f = resourcegroup.Fits{Lanes: w.Texts("lanes"), Verbs: w.Texts("verbs"), Full: flag("full"), Limited: flag("limited"), Doubt: flag("doubt"),
 		WorkFrom: ms("work_from"), UpperFrom: ms("upper_from"), MemoryFrom: float64(w.Size("memory_from", 0)) / (1 << 20),
-		BadFrom: w.Share("bad_from", 0), JoinsFrom: w.Count("joins_from", 0, 0, 1e6), LooseFrom: w.Count("loose_from", 0, 0, 1e6)}
+		BadFrom: w.Fraction("bad_from", 0), JoinsFrom: w.Int("joins_from", 0, 0, 1e6), LooseFrom: w.Int("loose_from", 0, 0, 1e6)}
 	for _, v := range f.Verbs {
-		if !slices.Contains(costmodel.Verbs(), v) {
-			w.Fail("verbs", "some of "+strings.Join(costmodel.Verbs(), ", "))
+		if !slices.Contains(costmodel.VerbNames(), v) {
+			w.Reject("verbs", "some of "+strings.Join(costmodel.VerbNames(), ", "))
 		}
 	}
 	for _, t := range w.Objects("tables") {
--- a/internal/workload/source/source_test.go
+++ b/internal/workload/source/source_test.go
@@ -23,9 +23,9 @@
 			b := f.Statements.Book(1)
 			for _, sql := range []string{"SELECT a FROM actas_3.mesas WHERE clave = 1", "SELECT a FROM actas_3.mesas WHERE nota = 1",
 				"SELECT a FROM actas_3.otra WHERE nota = 1"} {
-				look := b.Look([]byte(sql), 3, 0)
+				look := b.Inspect([]byte(sql), 3, 0)
 				e := b.Estimate(&look)
-				fmt.Printf("%-45s full %q\n", sql, e.Full)
+				fmt.Printf("%-45s full %q\n", sql, e.FullScan)
 			}
 		}
 	}
