--- a/cmd/magpiebank-operator/fleet.go
+++ b/cmd/magpiebank-operator/fleet.go
@@ -14,8 +14,8 @@
 // fleetCommand tells what a gateway knows of the others.
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "What a gateway knows of the others"}
-	c.AddCommand(told("status", "Members with their age and state; budgets and counts; engines with own and heard evidence", (*agent.Status).Text),
-		told("budgets", "Budgets of the whole fleet: what is held, used and lent, member by member, and counts by class", (*agent.Status).BudgetText))
+	c.AddCommand(told("status", "Members with their age and state; budgets and counts; engines with own and heard evidence", (*agent.Status).WriteText),
+		told("budgets", "Budgets of the whole fleet: what is held, used and lent, member by member, and counts by class", (*agent.Status).WriteBudgets))
 	return c
 }
 
@@ -31,13 +31,13 @@
 					return err
 				}
 				if f.Fleet != nil {
-					control = f.Fleet.Control
+					control = f.Fleet.ControlSocket
 				}
 			}
 			if control == "" {
 				return fmt.Errorf("fleet %s: name the gateway's socket by --control, or its file with fleet.control by --operator", use)
 			}
-			s, err := agent.Ask(control)
+			s, err := agent.FetchStatus(control)
 			if err != nil {
 				return err
 			}
--- a/cmd/magpiebank-operator/main.go
+++ b/cmd/magpiebank-operator/main.go
@@ -26,10 +26,10 @@
 // rules are an operator's, with the file that they come from.
 type rules struct {
 	file  string
-	plan  *agent.Plan
+	plan  *agent.Config
 	log   *slog.Logger
 	desk  *workload.Desk // nil: the file has no statements
-	fleet *agent.Fleet   // nil: it has no fleet, or the site allows no messages
+	fleet *agent.Agent   // nil: it has no fleet, or the site allows no messages
 }
 
 // read reads an operator's file for a gateway.
@@ -47,7 +47,7 @@
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 	}
-	budgets := f.Fleet != nil && f.Fleet.Budgets != nil && (len(f.Fleet.Budgets.Names) > 0 || f.Fleet.Policy != nil)
+	budgets := f.Fleet != nil && f.Fleet.Quota != nil && (len(f.Fleet.Quota.Names) > 0 || f.Fleet.Policy != nil)
 	switch {
 	case f.Fleet == nil:
 	case !start.Site.Peers && budgets:
@@ -70,7 +70,7 @@
 			return nil, fmt.Errorf("%s: fleet.policy: what the fleet decides needs messages between gateways, which the site's settings[limits peerMessages] don't allow", file)
 		}
 		r.desk.Obey(r.fleet, source.ParsePolicy, start.Site.Gateways)
-		r.fleet.Follow(r.desk)
+		r.fleet.SetPolicyReader(r.desk)
 		if f.Proposed {
 			log.Info("operator's file", "code", "by_policy", "error", "its pools and classes are gone by once they were proposed: magpiebank policy propose "+file)
 		}
@@ -112,12 +112,12 @@
 }
 
 // renewFleet goes by other totals of the fleet's classes; what else there is of a fleet stays until a restart.
-func (r *rules) renewFleet(next *agent.Plan) error {
-	if r.fleet != nil && next != nil && r.plan.Budgets != nil && next.Budgets != nil && !reflect.DeepEqual(next.Budgets, r.plan.Budgets) {
-		if err := r.fleet.Renew(next.Budgets); err != nil {
+func (r *rules) renewFleet(next *agent.Config) error {
+	if r.fleet != nil && next != nil && r.plan.Quota != nil && next.Quota != nil && !reflect.DeepEqual(next.Quota, r.plan.Quota) {
+		if err := r.fleet.ReplaceQuota(next.Quota); err != nil {
 			return err
 		}
-		r.plan.Budgets = next.Budgets
+		r.plan.Quota = next.Quota
 	}
 	if !reflect.DeepEqual(next, r.plan) {
 		r.log.Warn("operator's file", "code", "needs_restart", "field", "fleet")
--- a/cmd/magpiebank-operator/policy.go
+++ b/cmd/magpiebank-operator/policy.go
@@ -48,21 +48,21 @@
 		if err != nil && file == a.file {
 			return "", err
 		}
-		if err == nil && f.Fleet != nil && f.Fleet.Control != "" {
-			return f.Fleet.Control, nil
+		if err == nil && f.Fleet != nil && f.Fleet.ControlSocket != "" {
+			return f.Fleet.ControlSocket, nil
 		}
 	}
 	return "", errors.New("policy: name the gateway's socket by --control, or its file with fleet.control by --operator")
 }
 
-func (a *at) ask(c *cobra.Command, q *agent.PolicyAsk, files ...string) (*agent.PolicyAnswer, error) {
+func (a *at) ask(c *cobra.Command, q *agent.PolicyRequest, files ...string) (*agent.PolicyReply, error) {
 	socket, err := a.socket(files...)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := agent.AskPolicy(c.Context(), socket, q)
+	answer, err := agent.SendPolicyRequest(c.Context(), socket, q)
 	if err == nil && answer.Error != "" {
-		err = fmt.Errorf("policy %s: %s", q.Do, answer.Error)
+		err = fmt.Errorf("policy %s: %s", q.Operation, answer.Error)
 	}
 	return answer, err
 }
@@ -71,12 +71,12 @@
 var errNot = errors.New("nothing has changed")
 
 // ended writes what became of a proposal.
-func ended(out io.Writer, file string, r *agent.PolicyResult) error {
-	why := r.Why
-	if who, what, ok := strings.Cut(r.Why, ": "); ok && file != "" && strings.HasPrefix(what, "statements") || strings.HasPrefix(what, "policy") {
+func ended(out io.Writer, file string, r *agent.ProposalResult) error {
+	why := r.Reason
+	if who, what, ok := strings.Cut(r.Reason, ": "); ok && file != "" && strings.HasPrefix(what, "statements") || strings.HasPrefix(what, "policy") {
 		why = who + ": " + source.Place(file, what)
 	}
-	switch r.End {
+	switch r.Outcome {
 	case "decided":
 		fmt.Fprintf(out, "proposal %08x: number %d is in force everywhere\n", uint32(r.ID>>32), r.Number)
 		return nil
@@ -84,11 +84,11 @@
 		fmt.Fprintf(out, "proposal %08x: %s\n", uint32(r.ID>>32), why)
 		return nil
 	}
-	return fmt.Errorf("proposal %08x: %s: %s; %w", uint32(r.ID>>32), r.End, why, errNot)
+	return fmt.Errorf("proposal %08x: %s: %s; %w", uint32(r.ID>>32), r.Outcome, why, errNot)
 }
 
 // carried has a proposal made, and tells on the way how far it is.
-func (a *at) carried(c *cobra.Command, q *agent.PolicyAsk, files ...string) error {
+func (a *at) carried(c *cobra.Command, q *agent.PolicyRequest, files ...string) error {
 	socket, err := a.socket(files...)
 	if err != nil {
 		return err
@@ -106,13 +106,13 @@
 				return
 			case <-time.After(500 * time.Millisecond):
 			}
-			if s, err := agent.AskPolicy(ctx, socket, &agent.PolicyAsk{Do: "await", ID: q.ID}); err == nil && s.Result != nil && s.Result.Why != last && s.Result.End == "pending" {
-				last = s.Result.Why
+			if s, err := agent.SendPolicyRequest(ctx, socket, &agent.PolicyRequest{Operation: agent.AwaitOperation, ID: q.ID}); err == nil && s.Result != nil && s.Result.Reason != last && s.Result.Outcome == "pending" {
+				last = s.Result.Reason
 				fmt.Fprintln(c.ErrOrStderr(), last)
 			}
 		}
 	}()
-	answer, err := agent.AskPolicy(ctx, socket, q)
+	answer, err := agent.SendPolicyRequest(ctx, socket, q)
 	switch {
 	case err != nil:
 		return fmt.Errorf("%w; whether it took hold is not known: the same with --id %016x tells", err, q.ID)
@@ -137,7 +137,7 @@
 			if err != nil {
 				return err
 			}
-			q := &agent.PolicyAsk{Do: use, Text: text, Base: base, For: length.Milliseconds()}
+			q := &agent.PolicyRequest{Operation: agent.PolicyOperation(use), Text: text, BaseNumber: base, DurationMillis: length.Milliseconds()}
 			if id != "" {
 				if q.ID, err = strconv.ParseUint(id, 16, 64); err != nil {
 					return fmt.Errorf("flag id: expected 16 hex digits, found %q", id)
@@ -163,7 +163,7 @@
 			if err != nil {
 				return fmt.Errorf("expected a number, found %q", args[0])
 			}
-			return a.carried(c, &agent.PolicyAsk{Do: "rollback", Number: n})
+			return a.carried(c, &agent.PolicyRequest{Operation: agent.RollbackOperation, Number: n})
 		}}
 	a.flags(c)
 	return c
@@ -174,7 +174,7 @@
 	var asJSON bool
 	c := &cobra.Command{Use: "status", Short: "What a gateway goes by, and how far a change is", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			answer, err := a.ask(c, &agent.PolicyAsk{Do: "status"})
+			answer, err := a.ask(c, &agent.PolicyRequest{Operation: agent.StatusOperation})
 			if err != nil {
 				return err
 			}
@@ -183,7 +183,7 @@
 				out.SetIndent("", " ")
 				return out.Encode(answer.Status)
 			}
-			answer.Status.Text(c.OutOrStdout())
+			answer.Status.WriteText(c.OutOrStdout())
 			return nil
 		}}
 	a.flags(c)
@@ -195,15 +195,15 @@
 	var a at
 	c := &cobra.Command{Use: "history", Short: "The policies that were in force, and what became of proposals, as a voter knows them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			answer, err := a.ask(c, &agent.PolicyAsk{Do: "status"})
+			answer, err := a.ask(c, &agent.PolicyRequest{Operation: agent.StatusOperation})
 			if err != nil {
 				return err
 			}
 			s, out := answer.Status, c.OutOrStdout()
-			if len(s.Past)+len(s.Ends) == 0 && !s.Votes {
+			if len(s.Records)+len(s.Results) == 0 && !s.IsVoter {
 				return fmt.Errorf("policy history: %s doesn't vote and keeps none; ask one of %s", s.Name, strings.Join(s.Voters, ", "))
 			}
-			s.History(out)
+			s.WriteHistory(out)
 			return nil
 		}}
 	a.flags(c)
@@ -230,7 +230,7 @@
 func (a *at) policy(c *cobra.Command, what string) (v any, err error) {
 	var text []byte
 	if n, bad := strconv.ParseUint(what, 10, 64); bad == nil {
-		answer, err := a.ask(c, &agent.PolicyAsk{Do: "text", Number: n})
+		answer, err := a.ask(c, &agent.PolicyRequest{Operation: agent.TextOperation, Number: n})
 		if err != nil {
 			return nil, err
 		}
@@ -256,7 +256,7 @@
 			if len(args) == 2 {
 				name = args[1]
 			} else {
-				answer, err := a.ask(c, &agent.PolicyAsk{Do: "status"}, args[0])
+				answer, err := a.ask(c, &agent.PolicyRequest{Operation: agent.StatusOperation}, args[0])
 				if err != nil {
 					return err
 				}
@@ -356,7 +356,7 @@
 	var a at
 	c := &cobra.Command{Use: "voters NAME...", Short: "Have other gateways decide from now on, replaced one at a time; asked of the leader", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			answer, err := a.ask(c, &agent.PolicyAsk{Do: "voters", Voters: args})
+			answer, err := a.ask(c, &agent.PolicyRequest{Operation: agent.VotersOperation, Voters: args})
 			if err != nil {
 				return err
 			}
@@ -376,7 +376,7 @@
 				return errors.New("policy force: what the lost voters decided last may be lost with them, and if they are not gone two groups decide apart: " +
 					"make sure that they are ended for good, choose the gateway with the highest number in policy status, and say --yes")
 			}
-			answer, err := a.ask(c, &agent.PolicyAsk{Do: "force", Voters: args})
+			answer, err := a.ask(c, &agent.PolicyRequest{Operation: agent.ForceOperation, Voters: args})
 			if err != nil {
 				return err
 			}
--- a/internal/cluster/agent/cold.go
+++ b/internal/cluster/agent/cold.go
@@ -18,8 +18,8 @@
 	coldWhole = 12
 )
 
-// ColdBudgets are their names and totals.
-func ColdBudgets() (names []string, totals []int64) {
+// SlowStartBudgets are their names and totals.
+func SlowStartBudgets() (names []string, totals []int64) {
 	for n := range coldSlots {
 		names, totals = append(names, fmt.Sprint("cold ", n)), append(totals, coldWhole)
 	}
@@ -28,7 +28,7 @@
 
 // cold is the owner's side of these budgets.
 type cold struct {
-	f      *Fleet
+	f      *Agent
 	length admission.Time // for which what was sent counts
 	slots  [coldSlots]struct {
 		budget int
@@ -41,14 +41,14 @@
 	amount int64
 }
 
-func (f *Fleet) newCold() *cold {
-	if !f.plan.Budgets.Cold {
+func (f *Agent) newCold() *cold {
+	if !f.plan.Quota.SlowStart {
 		return nil
 	}
 	// What was sent counts half as long again as the time after which an engine tips over: a hand-off that waited for its
 	// connection may come in the same window as a later one that did not.
 	c := &cold{f: f, length: f.tip + f.tip/2}
-	names, _ := ColdBudgets()
+	names, _ := SlowStartBudgets()
 	for n := range c.slots {
 		c.slots[n].budget = f.Index(names[n])
 	}
@@ -56,7 +56,7 @@
 }
 
 // ColdRoom tells whether a part of what an engine may be sent is this gateway's to send next; otherwise it is wanted.
-func (f *Fleet) ColdRoom(now admission.Time, engine admission.EngineID, part float64) (room, shared bool) {
+func (f *Agent) ColdRoom(now admission.Time, engine admission.EngineID, part float64) (room, shared bool) {
 	c := f.cold
 	if c == nil {
 		return false, false
@@ -84,7 +84,7 @@
 }
 
 // Due tells what is wanted, and that what was promised and not used is free again.
-func (f *Fleet) Due(now admission.Time) {
+func (f *Agent) Due(now admission.Time) {
 	const lately = 3 * admission.Second / 10 // longer than the pause between two looks of tasks that wait
 	if f.cold == nil {
 		return
--- a/internal/cluster/agent/control.go
+++ b/internal/cluster/agent/control.go
@@ -30,8 +30,8 @@
 	return l, os.Chmod(path, 0o600) // the state is for who runs the gateway
 }
 
-// Ask asks a gateway for its state by its control socket.
-func Ask(path string) (*Status, error) {
+// FetchStatus asks a gateway for its state by its control socket.
+func FetchStatus(path string) (*Status, error) {
 	c, err := net.DialTimeout("unix", path, 2*time.Second)
 	if err != nil {
 		return nil, err
@@ -42,8 +42,8 @@
 	return s, exchange(c, path, &request{}, s)
 }
 
-// AskPolicy asks a gateway something of policies by its control socket. A proposal is answered when it has ended.
-func AskPolicy(ctx context.Context, path string, q *PolicyAsk) (*PolicyAnswer, error) {
+// SendPolicyRequest asks a gateway something of policies by its control socket. A proposal is answered when it has ended.
+func SendPolicyRequest(ctx context.Context, path string, q *PolicyRequest) (*PolicyReply, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "unix", path)
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.SetDeadline(time.Now()) })()
-	a := &PolicyAnswer{}
+	a := &PolicyReply{}
 	return a, exchange(c, path, &request{q}, a)
 }
 
@@ -90,18 +90,18 @@
 	return nil
 }
 
-// Text writes a state as tables.
-func (s *Status) Text(out io.Writer) {
+// WriteText writes a state as tables.
+func (s *Status) WriteText(out io.Writer) {
 	quiet := ""
-	if s.Quiet {
+	if s.Displaced {
 		quiet = "; displaced: a later process has its name, and it takes no part"
 	}
 	fmt.Fprintf(out, "%s at %s, start %d: %d members known, %d of them lost; judges %d times slower than usual%s\n", s.Name, s.Address, s.Start, len(s.Members), s.Lost,
-		s.Health, quiet)
-	fmt.Fprintf(out, "%d datagrams sent, %d taken in; dropped since the last line in the log: %v\n\n", s.Sent, s.Heard, s.Dropped)
+		s.SuspicionMultiplier, quiet)
+	fmt.Fprintf(out, "%d datagrams sent, %d taken in; dropped since the last line in the log: %v\n\n", s.Sent, s.Received, s.Dropped)
 	fmt.Fprintf(out, "%-20s %-8s %10s  %s\n", "member", "state", "since s", "address")
 	for _, m := range s.Members {
-		fmt.Fprintf(out, "%-20s %-8s %10.1f  %s\n", m.Name, m.State, m.Seconds, m.Address)
+		fmt.Fprintf(out, "%-20s %-8s %10.1f  %s\n", m.Name, m.State, m.StateSeconds, m.Address)
 	}
 	if len(s.Budgets) > 0 {
 		fmt.Fprintln(out)
@@ -117,13 +117,13 @@
 		}
 		return fmt.Sprintf("%.1f", v)
 	}
-	for _, e := range s.Lines {
-		fmt.Fprintf(out, "%-20s %12s %24s %8.2f %10d %14s  %s\n", e.Engine, age(e.Answered), strings.TrimSpace(e.How+" "+age(e.Failed)), e.Against, e.Witnesses, age(e.Report), e.Heard)
+	for _, e := range s.Engines {
+		fmt.Fprintf(out, "%-20s %12s %24s %8.2f %10d %14s  %s\n", e.Engine, age(e.AnsweredSeconds), strings.TrimSpace(e.Failure+" "+age(e.FailedSeconds)), e.Evidence, e.Witnesses, age(e.ReportSeconds), e.ReportedFailures)
 	}
 }
 
 func (c *CountStatus) text(out io.Writer) {
-	fmt.Fprintf(out, "\ncounts of the fleet as of %.1f s ago: %d gateways heard, %d silent\n", c.Age, c.Heard, c.Silent)
+	fmt.Fprintf(out, "\ncounts of the fleet as of %.1f s ago: %d gateways heard, %d silent\n", c.AgeSeconds, c.KnownGateways, c.SilentGateways)
 	fmt.Fprintf(out, "%-28s %12s %12s %16s\n", "of", "waits", "runs", "handed off")
 	between := func(v [2]int64) string {
 		switch {
@@ -135,34 +135,34 @@
 		return fmt.Sprintf("%d to %d", v[0], v[1])
 	}
 	for _, l := range c.Lines {
-		fmt.Fprintf(out, "%-28s %12s %12s %16s\n", l.Of, between(l.Waits), between(l.Runs), between(l.Handed))
+		fmt.Fprintf(out, "%-28s %12s %12s %16s\n", l.Subject, between(l.Waiting), between(l.Running), between(l.Attempts))
 	}
 }
 
 func (s *Status) budgets(out io.Writer) {
 	fmt.Fprintf(out, "%-20s %6s %6s %6s %9s %6s %7s %12s\n", "budget", "total", "own", "lent", "borrowed", "used", "wanted", "seat held s")
 	for _, b := range s.Budgets {
-		fmt.Fprintf(out, "%-20s %6d %6d %6d %9d %6d %7d %12.1f\n", b.Budget, b.Total, b.Own, b.Lent, b.Borrowed, b.Used, b.Wanted, b.Seat)
+		fmt.Fprintf(out, "%-20s %6d %6d %6d %9d %6d %7d %12.1f\n", b.Budget, b.Total, b.LocalShare, b.Lent, b.Borrowed, b.Used, b.Wanted, b.ShareSeconds)
 	}
 }
 
-// Text writes what a gateway knows of policies.
-func (s *PolicyStatus) Text(out io.Writer) {
-	held := fmt.Sprintf("lease for %.1f s", s.Lease)
-	if s.Lease == 0 {
+// WriteText writes what a gateway knows of policies.
+func (s *PolicyStatus) WriteText(out io.Writer) {
+	held := fmt.Sprintf("lease for %.1f s", s.LeaseSeconds)
+	if s.LeaseSeconds == 0 {
 		held = "NO LEASE: tasks that a class of any policy has to do with are turned away"
 	}
 	fmt.Fprintf(out, "%s goes by number %d, %s; %s\n", s.Name, s.Number, s.Digest, held)
-	if s.Decided != s.Number {
-		fmt.Fprintf(out, "number %d is decided\n", s.Decided)
+	if s.DecidedNumber != s.Number {
+		fmt.Fprintf(out, "number %d is decided\n", s.DecidedNumber)
 	}
-	if s.Cannot != "" {
-		fmt.Fprintf(out, "it can't follow %s: its log says why\n", s.Cannot)
+	if s.UnusableDigest != "" {
+		fmt.Fprintf(out, "it can't follow %s: its log says why\n", s.UnusableDigest)
 	}
 	role := ""
-	if s.Votes {
+	if s.IsVoter {
 		role = "; it is one of them"
-	} else if s.Learning {
+	} else if s.IsLearner {
 		role = "; it is to be one of them, and is not yet"
 	}
 	leader := s.Leader
@@ -174,43 +174,43 @@
 		ready := "not ready for it"
 		if s.Ready {
 			ready = "ready for it"
-		} else if s.Why != "" {
-			ready = "refuses it: " + s.Why
+		} else if s.Reason != "" {
+			ready = "refuses it: " + s.Reason
 		}
-		fmt.Fprintf(out, "proposal %s, %s, is open; %s\n", s.Proposal, s.Offered, ready)
+		fmt.Fprintf(out, "proposal %s, %s, is open; %s\n", s.Proposal, s.ProposalDigest, ready)
 	}
-	if s.Change != "" {
-		fmt.Fprintln(out, s.Change)
+	if s.VoterChange != "" {
+		fmt.Fprintln(out, s.VoterChange)
 	}
 	if len(s.Members) > 0 {
 		fmt.Fprintf(out, "\n%-20s %8s %8s %6s  %s\n", "member", "heard s", "lease s", "ready", "")
 		for _, m := range s.Members {
-			more := m.Why
-			if m.Out {
+			more := m.Reason
+			if m.Excluded {
 				more = strings.TrimSpace("left out " + more)
 			}
-			fmt.Fprintf(out, "%-20s %8.1f %8.1f %6t  %s\n", m.Name, m.Heard, m.Lease, m.Ready, more)
+			fmt.Fprintf(out, "%-20s %8.1f %8.1f %6t  %s\n", m.Name, m.ContactSeconds, m.LeaseSeconds, m.Ready, more)
 		}
 	}
 }
 
-// History writes the policies that were in force, and how proposals ended.
-func (s *PolicyStatus) History(out io.Writer) {
+// WriteHistory writes the policies that were in force, and how proposals ended.
+func (s *PolicyStatus) WriteHistory(out io.Writer) {
 	fmt.Fprintf(out, "%7s  %-12s %8s  %-9s %-20s %s\n", "number", "digest", "bytes", "kind", "by", "at")
-	for _, a := range s.Past {
+	for _, a := range s.Records {
 		kind := a.Kind
-		if a.Of > 0 {
-			kind = fmt.Sprintf("%s %d", a.Kind, a.Of)
+		if a.SourceNumber > 0 {
+			kind = fmt.Sprintf("%s %d", a.Kind, a.SourceNumber)
 		}
-		fmt.Fprintf(out, "%7d  %-12s %8d  %-9s %-20s %s\n", a.Number, a.Digest, a.Size, kind, a.By, time.Unix(a.At, 0).UTC().Format(time.RFC3339))
+		fmt.Fprintf(out, "%7d  %-12s %8d  %-9s %-20s %s\n", a.Number, a.Digest, a.Size, kind, a.Proposer, time.Unix(a.UnixSeconds, 0).UTC().Format(time.RFC3339))
 	}
-	for _, e := range s.Ends {
-		fmt.Fprintf(out, "proposal %08x: %s %s\n", uint32(e.ID>>32), e.End, e.Why)
+	for _, e := range s.Results {
+		fmt.Fprintf(out, "proposal %08x: %s %s\n", uint32(e.ID>>32), e.Outcome, e.Reason)
 	}
 }
 
-// BudgetText writes budgets member by member, and the counts of the whole fleet by class.
-func (s *Status) BudgetText(out io.Writer) {
+// WriteBudgets writes budgets member by member, and the counts of the whole fleet by class.
+func (s *Status) WriteBudgets(out io.Writer) {
 	if len(s.Budgets) == 0 {
 		fmt.Fprintf(out, "%s shares no budget\n", s.Name)
 		return
@@ -218,8 +218,8 @@
 	s.budgets(out)
 	for _, b := range s.Budgets {
 		fmt.Fprintf(out, "\n%s, %s with\n%-20s %6s %9s %7s %10s %8s\n", b.Budget, s.Name, "member", "lent", "borrowed", "ends s", "could lend", "told s")
-		for _, p := range b.Parts {
-			fmt.Fprintf(out, "%-20s %6d %9d %7.1f %10d %8.1f\n", p.Member, p.Lent, p.Borrowed, p.Ends, p.Spare, p.Told)
+		for _, p := range b.Peers {
+			fmt.Fprintf(out, "%-20s %6d %9d %7.1f %10d %8.1f\n", p.Member, p.Lent, p.Borrowed, p.LeaseSeconds, p.Lendable, p.ReportSeconds)
 		}
 	}
 	if s.Counts != nil {
--- a/internal/cluster/agent/counts.go
+++ b/internal/cluster/agent/counts.go
@@ -10,7 +10,7 @@
 )
 
 // counter is what the counts' core acts on.
-type counter struct{ f *Fleet }
+type counter struct{ f *Agent }
 
 func (h counter) Send(to string, m []byte) {
 	if other, ok := h.f.core.Find(to); ok {
@@ -21,7 +21,7 @@
 func (h counter) Others() []string { return lender(h).Others() }
 
 // Moved is the owner's.
-func (f *Fleet) Moved(lane, class string, was, is router.Place) {
+func (f *Agent) Moved(lane, class string, was, is router.Place) {
 	if f.counts == nil {
 		return
 	}
@@ -57,11 +57,11 @@
 		return
 	}
 	own := f.counts.Own(counters.Key{})
-	f.history.Write(history.Event{What: history.Counted, Number: int(own[counters.Waits]), Most: int(own[counters.Runs])})
+	f.history.Write(history.Event{Kind: history.RequestsCounted, Number: int(own[counters.Waits]), Most: int(own[counters.Runs])})
 }
 
 // readings are for a checker: what is known of all twice a second.
-func (f *Fleet) readings(now admission.Time) {
+func (f *Agent) readings(now admission.Time) {
 	if f.history == nil || now-f.readAt < admission.Second/2 {
 		return
 	}
@@ -69,29 +69,29 @@
 	r := f.counts.Read(now, counters.Key{})
 	for figure, name := range []string{"waits", "runs"} {
 		of := r.Counts[0].Of[figure]
-		f.history.Write(history.Event{What: history.Reading, Code: name, Age: int64(r.Age) * 1e5, Number: int(of.Low), Most: int(of.High), Of: uint64(r.Silent)})
+		f.history.Write(history.Event{Kind: history.CountersRead, Code: name, AgeNanos: int64(r.Age) * 1e5, Number: int(of.Low), Most: int(of.High), Of: uint64(r.Silent)})
 	}
 }
 
 // CountStatus are the counts of the whole fleet as of some seconds ago: intervals in which the truth was, as low and high; a high of -1 is
 // no bound.
 type CountStatus struct {
-	Age    float64     `json:"age"`
-	Heard  int         `json:"heard"`  // gateways whose counts are known for then
-	Silent int         `json:"silent"` // those that may have had anything
-	Lines  []CountLine `json:"lines"`
+	AgeSeconds     float64     `json:"age"`
+	KnownGateways  int         `json:"heard"`  // gateways whose counts are known for then
+	SilentGateways int         `json:"silent"` // those that may have had anything
+	Lines          []CountLine `json:"lines"`
 }
 
 // CountLine is one lane, class or engine, or all.
 type CountLine struct {
-	Of     string   `json:"of"`
-	Waits  [2]int64 `json:"waits"`
-	Runs   [2]int64 `json:"runs"`
-	Handed [2]int64 `json:"handed_off"` // since the gateways' starts
+	Subject  string   `json:"of"`
+	Waiting  [2]int64 `json:"waits"`
+	Running  [2]int64 `json:"runs"`
+	Attempts [2]int64 `json:"handed_off"` // since the gateways' starts
 }
 
 // counted reads all that this gateway can name: its lanes, the classes it had tasks of, and the engines it knows.
-func (f *Fleet) counted(now admission.Time) *CountStatus {
+func (f *Agent) counted(now admission.Time) *CountStatus {
 	keys := []counters.Key{{}}
 	for _, l := range f.lanes {
 		keys = append(keys, counters.Key{Kind: counters.Lane, Name: l})
@@ -101,7 +101,7 @@
 		keys = append(keys, counters.Key{Kind: counters.Engine, Name: string(l.Engine)})
 	}
 	r := f.counts.Read(now, keys...)
-	s := &CountStatus{Age: seconds(r.Age), Heard: r.Heard, Silent: r.Silent}
+	s := &CountStatus{AgeSeconds: seconds(r.Age), KnownGateways: r.Heard, SilentGateways: r.Silent}
 	for _, c := range r.Counts {
 		of := func(figure int) [2]int64 { return [2]int64{c.Of[figure].Low, c.Of[figure].High} }
 		s.Lines = append(s.Lines, CountLine{strings.TrimSpace(c.Kind.String() + " " + c.Name), of(counters.Waits), of(counters.Runs), of(counters.Handed)})
--- a/internal/cluster/agent/fleet.go
+++ b/internal/cluster/agent/fleet.go
@@ -28,19 +28,19 @@
 	"magpiebank/internal/router"
 )
 
-// Plan is what the operator's file says.
-type Plan struct {
-	Listen    string // address for datagrams
-	Advertise string // by which the others reach it; Listen if empty
-	Seeds     []string
-	Key       string // file
-	Rate      int64  // most bytes a second that are told of engines
-	Control   string // Unix socket that tells the state; empty: none
-	History   string // file; empty: none
-	Sharing   bool   // of judgements on engines; else only who is there
-	Counts    bool   // are shared
-	Budgets   *Budgets
-	Policy    *PolicyPlan // nil: each gateway reads its own file
+// Config is what the operator's file says.
+type Config struct {
+	Listen         string // address for datagrams
+	Advertise      string // by which the others reach it; Listen if empty
+	Seeds          []string
+	Key            string // file
+	BytesPerSecond int64  // most bytes a second that are told of engines
+	ControlSocket  string // Unix socket that tells the state; empty: none
+	HistoryFile    string // file; empty: none
+	ShareHealth    bool   // of judgements on engines; else only who is there
+	ShareCounters  bool   // are shared
+	Quota          *QuotaConfig
+	Policy         *PolicyConfig // nil: each gateway reads its own file
 }
 
 // The pace of the fleet's goroutine while there is something to do: reports wait some 100 ms for others, failures this long.
@@ -49,9 +49,9 @@
 // mostWaiting bounds the datagrams that wait for the goroutine: a second of all that 500 members say.
 const mostWaiting = 4096
 
-// Fleet is this gateway's part in it.
-type Fleet struct {
-	plan    Plan
+// Agent is this gateway's part in it.
+type Agent struct {
+	plan    Config
 	name    string
 	log     *slog.Logger
 	seal    *seal
@@ -102,12 +102,12 @@
 	naming   sync.Mutex
 	names    []string // of the budgets, in the core's order
 	policies policies
-	ruling   atomic.Pointer[Ruling] // nil: the fleet has no charter
-	passing  atomic.Int32           // hand-offs that were looked at and are being written
+	ruling   atomic.Pointer[ActivePolicy] // nil: the fleet has no charter
+	passing  atomic.Int32                 // hand-offs that were looked at and are being written
 }
 
 // New makes a gateway's part; nothing is opened yet.
-func New(plan Plan, start *config.Start, log *slog.Logger) (*Fleet, error) {
+func New(plan Config, start *config.Start, log *slog.Logger) (*Agent, error) {
 	if plan.Advertise == "" {
 		plan.Advertise = plan.Listen
 	}
@@ -123,11 +123,11 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{plan: plan, name: start.Name, log: log, seal: key, box: eventqueue.New(), stop: make(chan struct{}), ended: make(chan struct{}),
+	f := &Agent{plan: plan, name: start.Name, log: log, seal: key, box: eventqueue.New(), stop: make(chan struct{}), ended: make(chan struct{}),
 		share: healthreport.Share(start.Site, len(start.Network.Zones)), numbers: map[string]*seen{}, dropped: map[error]int{},
 		listed: map[admission.EngineID]admission.Time{}, out: map[admission.EngineID]bool{}, rated: map[int]rated{}, saidAt: time.Now(), seat: start.Site.Me, gateways: start.Site.Gateways}
 	if p := plan.Policy; p != nil {
-		if plan.Control == "" {
+		if plan.ControlSocket == "" {
 			return nil, errors.New("fleet.control: expected a socket's path, as policies are proposed there, found nothing")
 		}
 		if p.Folder == "" && slices.Contains(p.Voters, start.Name) {
@@ -138,18 +138,18 @@
 		f.longest = time.Hour // it isn't told how long clients wait: more than any should
 	}
 	f.most, f.lanes = int64(start.Sockets), start.Network.Lanes
-	if b := plan.Budgets; b != nil {
+	if b := plan.Quota; b != nil {
 		f.longest = slices.Max(start.Network.Longest)
 		if slices.Min(start.Network.Longest) <= 0 {
 			return nil, errors.New("fleet.budgets: expected a longest wait (deadlineUs) of every class of the site, as by that a right's use ends, found none of one")
 		}
 		f.names, f.tip = slices.Clone(b.Names), start.Site.TipAfter
-		if b.Cold && f.tip <= 0 {
+		if b.SlowStart && f.tip <= 0 {
 			return nil, errors.New("fleet.budgets.cold: expected a site with a rule for engines that have just started (rules.tipAfterUs), found none")
 		}
 		f.rights = f.shared(b, start.Site.Gateways)
 		if f.rights.Term < 2*f.rights.Loan {
-			return nil, fmt.Errorf("fleet.budgets.term: expected six times the longest wait of a class at least, %v, found %v", 6*f.longest, b.Term)
+			return nil, fmt.Errorf("fleet.budgets.term: expected six times the longest wait of a class at least, %v, found %v", 6*f.longest, b.ShareTerm)
 		}
 	}
 	return f, nil
@@ -158,7 +158,7 @@
 func tenths(d time.Duration) admission.Time { return admission.Time(d / (100 * time.Microsecond)) }
 
 // Start opens the socket and begins.
-func (f *Fleet) Start(clock router.Clock, tell func(func(admission.Time, *admission.Router))) error {
+func (f *Agent) Start(clock router.Clock, tell func(func(admission.Time, *admission.Router))) error {
 	address, err := net.ResolveUDPAddr("udp", f.plan.Listen)
 	if err != nil {
 		return fmt.Errorf("fleet.listen: %w", err)
@@ -168,14 +168,14 @@
 	}
 	f.clock, f.tell = clock, tell
 	start := uint64(time.Now().Add(born()).UnixNano()) // of two processes under one name the later counts
-	if f.plan.History != "" {
-		if f.history, err = history.Open(f.plan.History, f.name, start); err != nil {
+	if f.plan.HistoryFile != "" {
+		if f.history, err = history.Open(f.plan.HistoryFile, f.name, start); err != nil {
 			f.socket.Close()
 			return err
 		}
 	}
-	if f.plan.Control != "" {
-		if f.control, err = listen(f.plan.Control); err != nil {
+	if f.plan.ControlSocket != "" {
+		if f.control, err = listen(f.plan.ControlSocket); err != nil {
 			f.socket.Close()
 			return fmt.Errorf("fleet.control: %w", err)
 		}
@@ -188,8 +188,8 @@
 	if f.history != nil {
 		f.book.Note = f.note
 	}
-	f.history.Write(history.Event{What: history.Began, Number: int(1000 * f.share), State: f.plan.Advertise})
-	if f.plan.Counts {
+	f.history.Write(history.Event{Kind: history.ProcessStarted, Number: int(1000 * f.share), State: f.plan.Advertise})
+	if f.plan.ShareCounters {
 		f.counts = counters.New(now, f.name, f.gateways, f.most, tenths(f.longest), counter{f})
 	}
 	if f.rights != nil {
@@ -203,7 +203,7 @@
 			f.shares = f.purse
 		}
 		f.cold = f.newCold()
-		f.tellTotals(f.plan.Budgets)
+		f.tellTotals(f.plan.Quota)
 	}
 	if f.plan.Policy != nil {
 		if _, err := f.newPolicies(now, start); err != nil {
@@ -221,7 +221,7 @@
 }
 
 // Listed takes in an event of the engine list, from the owner as Saw and Sent.
-func (f *Fleet) Listed(now admission.Time, form admission.Form, list []admission.Listing) {
+func (f *Agent) Listed(now admission.Time, form admission.Form, list []admission.Listing) {
 	f.box.Put(func() {
 		f.book.Listed(form, list)
 		if f.history != nil {
@@ -231,41 +231,41 @@
 }
 
 // Saw takes in what the decisions saw themselves.
-func (f *Fleet) Saw(now admission.Time, engine admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
+func (f *Agent) Saw(now admission.Time, engine admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
 	f.box.Put(func() {
 		f.book.Saw(now, engine, saw, report, room)
 		if f.history != nil && saw != admission.Reported {
-			f.history.Write(history.Event{What: history.Saw, Engine: string(engine), Since: int64(f.listed[engine]), Good: !saw.Fails()})
+			f.history.Write(history.Event{Kind: history.OutcomeObserved, Engine: string(engine), EngineStart: int64(f.listed[engine]), Success: !saw.Fails()})
 		}
 	})
 }
 
 // Sent takes in a hand-off.
-func (f *Fleet) Sent(now admission.Time, task admission.RequestID, engine admission.EngineID) {
+func (f *Agent) Sent(now admission.Time, task admission.RequestID, engine admission.EngineID) {
 	f.cold.sent(now, engine)
-	if asOf := f.AsOf(); f.history != nil {
+	if asOf := f.HistoryNow(); f.history != nil {
 		f.box.Put(func() { // in the order in which the owner told it and the list
-			f.history.Write(history.Event{What: history.Sent, Engine: string(engine), Task: string(task), AsOf: asOf})
+			f.history.Write(history.Event{Kind: history.AttemptSent, Engine: string(engine), Request: string(task), ObservedAt: asOf})
 		})
 	}
 }
 
 // Stop says farewell and ends.
-func (f *Fleet) Stop() {
+func (f *Agent) Stop() {
 	close(f.stop)
 	<-f.ended
 	f.socket.Close()
 	if f.control != nil {
 		f.control.Close()
 	}
-	f.history.Write(history.Event{What: history.Ended})
+	f.history.Write(history.Event{Kind: history.ProcessStopped})
 	if err := f.history.Close(); err != nil {
 		f.log.Warn("fleet", "code", "history", "error", err)
 	}
 }
 
 // read takes datagrams in. When they came is told here, not when the goroutine gets to them.
-func (f *Fleet) read() {
+func (f *Agent) read() {
 	for {
 		b := make([]byte, mostDatagram+1)
 		n, err := f.socket.Read(b)
@@ -290,7 +290,7 @@
 
 // looked notes when the goroutine was at work last. Where it stood still, as the whole process may have, datagrams that lay in the
 // socket are read with the time at which it woke: for a moment what they say of engines is not taken, as nobody knows how old it is.
-func (f *Fleet) looked(at admission.Time) {
+func (f *Agent) looked(at admission.Time) {
 	const still, moment = admission.Second / 2, admission.Second / 5 // it looks every 20 ms; a full socket is read within some
 	if at-f.lookedAt >= still && f.lookedAt > 0 {
 		f.deafTo = at + moment
@@ -301,20 +301,20 @@
 
 // noteWake writes down that the goroutine was woken late, by the clock of all histories. It tells a reader of them what the machine was
 // too busy for.
-func (f *Fleet) noteWake() {
+func (f *Agent) noteWake() {
 	const late = 100 * time.Millisecond // it looks every pace
 	if f.history == nil {
 		return
 	}
 	now := history.Now()
 	if gap := now - f.wokeAt; f.wokeAt > 0 && gap >= int64(late) {
-		f.history.Write(history.Event{What: history.Woke, Age: gap})
+		f.history.Write(history.Event{Kind: history.LateWake, AgeNanos: gap})
 	}
 	f.wokeAt = now
 }
 
 // run is the fleet's goroutine.
-func (f *Fleet) run() {
+func (f *Agent) run() {
 	defer close(f.ended)
 	ticker := time.NewTicker(pace)
 	defer ticker.Stop()
@@ -341,13 +341,13 @@
 }
 
 // due steps the cores, and passes on what was found.
-func (f *Fleet) due(now admission.Time) {
+func (f *Agent) due(now admission.Time) {
 	if now >= f.core.Next() {
 		f.core.Due(now)
 	}
 	if start := f.core.Self().Start; start != f.start {
 		f.start = start
-		f.history.Write(history.Event{What: history.Renamed, Of: start})
+		f.history.Write(history.Event{Kind: history.StartChanged, Of: start})
 	}
 	if f.counts != nil && !f.core.Quiet() {
 		f.counts.Due(now)
@@ -369,8 +369,8 @@
 	}
 	f.book.Findings(now, func(found *admission.Finding) {
 		finding := *found
-		f.history.Write(history.Event{What: history.Found, Engine: string(finding.Engine), Since: int64(finding.Since), Against: finding.Against, Number: finding.Witnesses, Out: finding.Shuts(),
-			AsOf: asOf, Until: int64(max(0, finding.Until-now)) * 1e5})
+		f.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(finding.Engine), EngineStart: int64(finding.Since), Evidence: finding.Against, Number: finding.Witnesses, Out: finding.Shuts(),
+			ObservedAt: asOf, ValidNanos: int64(max(0, finding.Until-now)) * 1e5})
 		if out := finding.Shuts(); out != f.out[finding.Engine] {
 			f.out[finding.Engine] = out
 			f.log.Info("fleet", "code", "found", "engine", string(finding.Engine), "out", out, "against", math.Round(100*finding.Against)/100, "witnesses", finding.Witnesses)
@@ -384,11 +384,11 @@
 }
 
 // speak tells the others what is worth it, within the bytes that the operator allows.
-func (f *Fleet) speak(now admission.Time) {
-	f.tokens = min(float64(f.plan.Rate), f.tokens+float64(f.plan.Rate)*float64(now-f.paidAt)/float64(admission.Second))
+func (f *Agent) speak(now admission.Time) {
+	f.tokens = min(float64(f.plan.BytesPerSecond), f.tokens+float64(f.plan.BytesPerSecond)*float64(now-f.paidAt)/float64(admission.Second))
 	f.paidAt = now
 	peers := f.core.Living()
-	if !f.plan.Sharing || peers == 0 || f.core.Quiet() || f.tokens < float64(peers*healthreport.Most) && f.tokens < float64(f.plan.Rate) {
+	if !f.plan.ShareHealth || peers == 0 || f.core.Quiet() || f.tokens < float64(peers*healthreport.Most) && f.tokens < float64(f.plan.BytesPerSecond) {
 		return
 	}
 	f.book.Peers(peers)
@@ -404,7 +404,7 @@
 }
 
 // say counts what was dropped, one line a minute at most.
-func (f *Fleet) say() {
+func (f *Agent) say() {
 	f.saidAt = time.Now()
 	if len(f.dropped) > 0 {
 		f.log.Warn("fleet", "code", "dropped", "other_version", f.dropped[errOther], "stranger", f.dropped[errStranger], "broken", f.dropped[errBroken],
@@ -414,7 +414,7 @@
 }
 
 // take takes a datagram in.
-func (f *Fleet) take(at admission.Time, b []byte) {
+func (f *Agent) take(at admission.Time, b []byte) {
 	l, err := f.seal.open(b)
 	if err == nil {
 		n := f.numbers[l.name]
@@ -430,7 +430,7 @@
 		}
 	}
 	f.looked(at)
-	if err == nil && f.plan.Sharing && at >= f.deafTo {
+	if err == nil && f.plan.ShareHealth && at >= f.deafTo {
 		f.book.Met(at, healthreport.Source{Name: l.name, Start: l.start}, l.clock)
 	}
 	for _, p := range parts(l, err) {
@@ -455,7 +455,7 @@
 				err = errBroken
 			}
 		case partJudgement:
-			if m, ok := f.core.Find(l.name); f.plan.Sharing && at >= f.deafTo && ok && (m.Start <= l.start || ignoresStart) {
+			if m, ok := f.core.Find(l.name); f.plan.ShareHealth && at >= f.deafTo && ok && (m.Start <= l.start || ignoresStart) {
 				if f.book.Heard(at, healthreport.Source{Name: l.name, Start: l.start}, p.bytes) != nil {
 					err = errBroken
 				}
@@ -477,7 +477,7 @@
 }
 
 // send writes one datagram, and tells its size. One that can't be sent is as one that is lost.
-func (f *Fleet) send(to string, p part) int {
+func (f *Agent) send(to string, p part) int {
 	address, err := netip.ParseAddrPort(to)
 	if err != nil {
 		return 0
@@ -493,7 +493,7 @@
 }
 
 // host is what the members' core acts on.
-type host struct{ f *Fleet }
+type host struct{ f *Agent }
 
 func (h host) Send(to string, m []byte) { h.f.send(to, part{partMembers, m}) }
 
@@ -502,7 +502,7 @@
 	if f.counts != nil && m.State == membership.Left {
 		f.counts.Gone(m.Name, m.Start)
 	}
-	f.history.Write(history.Event{What: history.Member, Code: string(code), Member: m.Name, Of: m.Start, State: m.State.String()})
+	f.history.Write(history.Event{Kind: history.MemberChanged, Code: string(code), Member: m.Name, Of: m.Start, State: m.State.String()})
 	level := slog.LevelInfo
 	if code == membership.Split || code == membership.Displaced {
 		level = slog.LevelWarn
@@ -510,7 +510,7 @@
 	f.log.Log(context.Background(), level, "fleet", "code", string(code), "member", m.Name, "start", m.Start, "address", m.Address, "lost", f.lost())
 }
 
-func (f *Fleet) lost() int {
+func (f *Agent) lost() int {
 	if f.core == nil {
 		return 0
 	}
@@ -518,20 +518,20 @@
 }
 
 // note writes evidence that was taken in into the history.
-func (f *Fleet) note(from healthreport.Source, e *admission.Listing, goodAge, badAge admission.Time) {
+func (f *Agent) note(from healthreport.Source, e *admission.Listing, goodAge, badAge admission.Time) {
 	for _, outcome := range []struct {
 		good bool
 		age  admission.Time
 	}{{true, goodAge}, {false, badAge}} {
 		if outcome.age < healthreport.Use {
-			f.history.Write(history.Event{What: history.Heard, Member: from.Name, Of: from.Start, Engine: string(e.Engine), Since: int64(e.Since), Good: outcome.good,
-				Age: int64(outcome.age) * 1e5})
+			f.history.Write(history.Event{Kind: history.EvidenceReceived, Member: from.Name, Of: from.Start, Engine: string(e.Engine), EngineStart: int64(e.Since), Success: outcome.good,
+				AgeNanos: int64(outcome.age) * 1e5})
 		}
 	}
 }
 
 // noteList writes what the own list says of engines, where it has changed.
-func (f *Fleet) noteList(form admission.Form, list []admission.Listing) {
+func (f *Agent) noteList(form admission.Form, list []admission.Listing) {
 	if form == admission.NoAnswer {
 		return
 	}
@@ -543,13 +543,13 @@
 		} else if f.listed[l.Engine] = l.Since; ok && since == l.Since {
 			continue
 		}
-		f.history.Write(history.Event{What: history.Listed, Engine: string(l.Engine), Since: int64(l.Since), State: [...]string{"live", "draining", "gone"}[l.State]})
+		f.history.Write(history.Event{Kind: history.EngineListed, Engine: string(l.Engine), EngineStart: int64(l.Since), State: [...]string{"live", "draining", "gone"}[l.State]})
 	}
 	if form != admission.Changes {
 		for name := range f.listed {
 			if !said[name] {
 				delete(f.listed, name)
-				f.history.Write(history.Event{What: history.Listed, Engine: string(name), State: "gone"})
+				f.history.Write(history.Event{Kind: history.EngineListed, Engine: string(name), State: "gone"})
 			}
 		}
 	}
--- a/internal/cluster/agent/fleet_test.go
+++ b/internal/cluster/agent/fleet_test.go
@@ -63,14 +63,14 @@
 		c.Close()
 	}
 	list := []admission.Listing{{Engine: "e1"}, {Engine: "e2"}, {Engine: "e3"}, {Engine: "e4"}}
-	var all []*Fleet
+	var all []*Agent
 	clock := wall{time.Now()}
 	for i, a := range addresses {
 		site := &admission.Deployment{Gateways: 4, Me: i, Peers: true, Classes: []admission.Class{{Threads: 1, LatencyTarget: 1000}}}
 		start := &config.Start{Name: fmt.Sprint("g", i), Site: site, Network: &config.Network{Zones: []string{"a"}, Longest: []time.Duration{50 * time.Millisecond}}}
-		f, err := New(Plan{Listen: a, Seeds: addresses[:2], Key: filepath.Join(folder, "key"), Rate: 1 << 20, Control: filepath.Join(folder, start.Name+".sock"),
-			History: filepath.Join(folder, start.Name+".history"), Sharing: true,
-			Budgets: &Budgets{Keepers: []string{"g0", "g1", "g2"}, Term: time.Second, Number: 1, Names: []string{"c"}, Totals: []int64{6}}}, start, slog.New(slog.DiscardHandler))
+		f, err := New(Config{Listen: a, Seeds: addresses[:2], Key: filepath.Join(folder, "key"), BytesPerSecond: 1 << 20, ControlSocket: filepath.Join(folder, start.Name+".sock"),
+			HistoryFile: filepath.Join(folder, start.Name+".history"), ShareHealth: true,
+			Quota: &QuotaConfig{Voters: []string{"g0", "g1", "g2"}, ShareTerm: time.Second, Number: 1, Names: []string{"c"}, Totals: []int64{6}}}, start, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +91,7 @@
 		}
 	}
 	ask := func(i int) *Status {
-		s, err := Ask(all[i].plan.Control)
+		s, err := FetchStatus(all[i].plan.ControlSocket)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,7 +110,7 @@
 			f.Saw(clock.Now(), "e2", admission.Erred, admission.NoReport, 1e9)
 			f.Sent(clock.Now(), "t", "e2")
 		}
-		return ask(3).Lines[1].Against >= 3
+		return ask(3).Engines[1].Evidence >= 3
 	})
 	var mu sync.Mutex
 	used, most := 0, 0
--- a/internal/cluster/agent/planted_off.go
+++ b/internal/cluster/agent/planted_off.go
@@ -15,7 +15,7 @@
 func born() time.Duration { return 0 }
 
 // beside is another way to share budgets, in a measurement of the laboratory's.
-func (f *Fleet) beside(admission.Time) shares { return nil }
+func (f *Agent) beside(admission.Time) shares { return nil }
 
 // planted are the names of defects, for the laboratory alone.
 func planted() string { return "" }
--- a/internal/cluster/agent/planted_on.go
+++ b/internal/cluster/agent/planted_on.go
@@ -28,7 +28,7 @@
 }
 
 // beside is another way to share budgets, which ours is measured against.
-func (f *Fleet) beside(now admission.Time) shares {
+func (f *Agent) beside(now admission.Time) shares {
 	if !strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "quorum") {
 		return nil
 	}
--- a/internal/cluster/agent/policy.go
+++ b/internal/cluster/agent/policy.go
@@ -20,20 +20,20 @@
 	"magpiebank/internal/storage/store"
 )
 
-// PolicyPlan is how the fleet changes its policy.
-type PolicyPlan struct {
-	Voters []string      // names of the gateways that decide, at first
-	Folder string        // for the log and the policies; empty: none, as for a gateway that doesn't vote
-	Lease  time.Duration // for which a gateway that hears nothing goes on by the policy it has
-	Within time.Duration // that a proposal waits for gateways that are heard and take no part
+// PolicyConfig is how the fleet changes its policy.
+type PolicyConfig struct {
+	Voters          []string      // names of the gateways that decide, at first
+	Folder          string        // for the log and the policies; empty: none, as for a gateway that doesn't vote
+	LeaseDuration   time.Duration // for which a gateway that hears nothing goes on by the policy it has
+	ProposalTimeout time.Duration // that a proposal waits for gateways that are heard and take no part
 }
 
-// Policies reads policies for the gateway that goes by them; the operator's desk does.
-type Policies interface {
-	// Read reads a policy's text; an error is why this gateway can't follow it. Any goroutine may call it.
-	Read(text []byte) (Policy, error)
-	// Counted is what became of tasks since a policy or a rehearsal began here.
-	Counted() rollout.Count
+// PolicyReader reads policies for the gateway that goes by them; the operator's desk does.
+type PolicyReader interface {
+	// ReadPolicy reads a policy's text; an error is why this gateway can't follow it. Any goroutine may call it.
+	ReadPolicy(text []byte) (Policy, error)
+	// RequestCounts is what became of requests since a policy or a rehearsal began here.
+	RequestCounts() rollout.Count
 }
 
 // Policy is one that was read.
@@ -42,20 +42,20 @@
 	Budgets() (names []string, totals []int64) // of the whole fleet
 }
 
-// Ruling is what this gateway may go by, as those see it that decide.
-type Ruling struct {
+// ActivePolicy is what this gateway may go by, as those see it that decide.
+type ActivePolicy struct {
 	rollout.Standing
-	Policy Policy   // in force, or last so; nil: none is known
-	Other  Policy   // that may be gone by beside it
-	Known  []Policy // that were heard of
-	Trial  Policy   // that is rehearsed
+	Current   Policy   // in force, or last so; nil: none is known
+	Proposed  Policy   // that may be gone by beside it
+	Parsed    []Policy // that were heard of
+	Rehearsed Policy   // that is rehearsed
 }
 
 // policies is the fleet's part in changes of policy.
 type policies struct {
-	f      *Fleet
-	plan   PolicyPlan
-	desk   Policies
+	f      *Agent
+	plan   PolicyConfig
+	desk   PolicyReader
 	core   *rollout.Core
 	store  *store.Store
 	read   map[rollout.Digest]Policy
@@ -75,14 +75,14 @@
 	at    admission.Time
 }
 
-// Follow has the fleet's policies be gone by; it is called before Start.
-func (f *Fleet) Follow(desk Policies) { f.policies.desk = desk }
+// SetPolicyReader has the fleet's policies be gone by; it is called before Start.
+func (f *Agent) SetPolicyReader(desk PolicyReader) { f.policies.desk = desk }
 
 // newPolicies opens the folder.
-func (f *Fleet) newPolicies(now admission.Time, start uint64) (*policies, error) {
+func (f *Agent) newPolicies(now admission.Time, start uint64) (*policies, error) {
 	p := &f.policies
 	p.f, p.plan, p.read = f, *f.plan.Policy, map[rollout.Digest]Policy{}
-	plan := &rollout.Plan{Voters: p.plan.Voters, Lease: tenths(p.plan.Lease), Within: tenths(p.plan.Within), Drift: 20, Folder: p.plan.Folder != ""}
+	plan := &rollout.Plan{Voters: p.plan.Voters, Lease: tenths(p.plan.LeaseDuration), Within: tenths(p.plan.ProposalTimeout), Drift: 20, Folder: p.plan.Folder != ""}
 	plan.Plant(planted())
 	var kept *rollout.Kept
 	if p.plan.Folder != "" {
@@ -107,60 +107,60 @@
 	return p, nil
 }
 
-// Ruling is what may be gone by now; nil: the fleet has no charter.
-func (f *Fleet) Ruling() *Ruling { return f.ruling.Load() }
+// ActivePolicy is what may be gone by now; nil: the fleet has no charter.
+func (f *Agent) ActivePolicy() *ActivePolicy { return f.ruling.Load() }
 
-// Pass tells whether a hand-off that a number had go out may be written now; Passed follows once it is.
-func (f *Fleet) Pass(by uint64, task admission.RequestID) bool {
+// TryBeginWrite tells whether a hand-off that a number had go out may be written now; Passed follows once it is.
+func (f *Agent) TryBeginWrite(by uint64, task admission.RequestID) bool {
 	f.passing.Add(1)
-	asOf := f.AsOf()
-	if by != f.ruling.Load().By(f.clock.Now()) {
+	asOf := f.HistoryNow()
+	if by != f.ruling.Load().BasisAt(f.clock.Now()) {
 		f.passing.Add(-1)
 		return false
 	}
-	f.Decided("sent", by, task, asOf)
+	f.RecordDecision("sent", by, task, asOf)
 	return true
 }
 
-// Passed takes in that it is written.
-func (f *Fleet) Passed(by uint64, task admission.RequestID) {
+// EndWrite takes in that it is written.
+func (f *Agent) EndWrite(by uint64, task admission.RequestID) {
 	f.passing.Add(-1)
 	if f.history != nil {
-		f.history.Write(history.Event{What: history.Wrote, Task: string(task)})
+		f.history.Write(history.Event{Kind: history.AttemptWritten, Request: string(task)})
 	}
 }
 
-// AsOf is when something is looked at that is decided by; only histories need it.
-func (f *Fleet) AsOf() int64 {
+// HistoryNow is when something is looked at that is decided by; only histories need it.
+func (f *Agent) HistoryNow() int64 {
 	if f.history == nil {
 		return 0
 	}
 	return history.Now()
 }
 
-// Decided has the history know what was decided of a task, by what (0: without any number), and when that was looked at.
-func (f *Fleet) Decided(what string, by uint64, task admission.RequestID, asOf int64) {
+// RecordDecision has the history know what was decided of a task, by what (0: without any number), and when that was looked at.
+func (f *Agent) RecordDecision(what string, by uint64, task admission.RequestID, asOf int64) {
 	if f.history != nil {
-		f.history.Write(history.Event{What: history.Decided, Code: what, Number: int(by&^byBoth) - 1, Out: by&byBoth != 0, Task: string(task), AsOf: asOf})
+		f.history.Write(history.Event{Kind: history.RequestDecided, Code: what, Number: int(by&^byBoth) - 1, Out: by&byBoth != 0, Request: string(task), ObservedAt: asOf})
 	}
 }
 
 // byBoth marks decisions by what a number and the proposal after it both allow.
 const byBoth = uint64(1) << 63
 
-// By is what may be gone by at a time: a number from 1 up, as a number and one, or, marked, two of them; 0: nothing.
-func (r *Ruling) By(now admission.Time) uint64 {
+// BasisAt is what may be gone by at a time: a number from 1 up, as a number and one, or, marked, two of them; 0: nothing.
+func (r *ActivePolicy) BasisAt(now admission.Time) uint64 {
 	switch {
 	case r.Holds(now):
 		return r.Number + 1
-	case r.Other != nil && now < r.BothUntil:
+	case r.Proposed != nil && now < r.BothUntil:
 		return r.Number + 1 | byBoth
 	}
 	return 0
 }
 
-// Both tells whether it is two policies.
-func Both(by uint64) bool { return by&byBoth != 0 }
+// CoversBoth tells whether it is two policies.
+func CoversBoth(by uint64) bool { return by&byBoth != 0 }
 
 // due steps the charter.
 func (p *policies) due(now admission.Time) {
@@ -241,7 +241,7 @@
 func (p *policies) Check(d rollout.Digest, text []byte, done func(rollout.Terms, error)) {
 	f := p.f
 	go func() {
-		policy, err := p.desk.Read(text)
+		policy, err := p.desk.ReadPolicy(text)
 		if err == nil {
 			err = olderBuild(text)
 		}
@@ -292,15 +292,15 @@
 // Stand has this gateway go by another standing: the fleet's budgets at once, the desk at its next decision.
 func (p *policies) Stand(s *rollout.Standing) {
 	f := p.f
-	r := &Ruling{Standing: *s, Policy: p.read[s.Digest], Trial: p.read[s.Rehearse]}
+	r := &ActivePolicy{Standing: *s, Current: p.read[s.Digest], Rehearsed: p.read[s.Rehearse]}
 	if (s.Other != rollout.Digest{}) {
-		r.Other = p.read[s.Other]
+		r.Proposed = p.read[s.Other]
 	}
 	keep := []rollout.Digest{s.Digest, s.Other, s.Rehearse}
 	for _, d := range s.Known {
 		keep = append(keep, d)
 		if k := p.read[d]; k != nil {
-			r.Known = append(r.Known, k)
+			r.Parsed = append(r.Parsed, k)
 		}
 	}
 	if s.Until > 0 && f.rights != nil && (p.inUse != s.Digest || p.number != s.Number) {
@@ -313,30 +313,30 @@
 		}
 	}
 	if f.history != nil {
-		f.history.Write(history.Event{What: history.Stands, Of: s.Era, Number: int(s.Number), Good: s.Until > 0, Code: s.Digest.String()})
+		f.history.Write(history.Event{Kind: history.PolicyChanged, Of: s.Era, Number: int(s.Number), Success: s.Until > 0, Code: s.Digest.String()})
 	}
 	f.ruling.Store(r)
 }
 
 // share goes by the budgets of a policy under its number.
-func (p *policies) share(r *Ruling) {
+func (p *policies) share(r *ActivePolicy) {
 	f := p.f
-	b := *f.plan.Budgets
+	b := *f.plan.Quota
 	b.Number, b.Names, b.Totals = r.Number+1, nil, nil
-	if b.Cold {
-		b.Names, b.Totals = ColdBudgets()
+	if b.SlowStart {
+		b.Names, b.Totals = SlowStartBudgets()
 	}
-	if r.Policy != nil {
-		names, totals := r.Policy.Budgets()
+	if r.Current != nil {
+		names, totals := r.Current.Budgets()
 		b.Names, b.Totals = append(b.Names, names...), append(b.Totals, totals...)
 	}
-	if err := f.Renew(&b); err != nil {
+	if err := f.ReplaceQuota(&b); err != nil {
 		f.log.Error("fleet", "code", "kept", "error", err)
 	}
 }
 
 func (p *policies) Drained() bool        { return p.f.passing.Load() == 0 }
-func (p *policies) Count() rollout.Count { return p.desk.Counted() }
+func (p *policies) Count() rollout.Count { return p.desk.RequestCounts() }
 func (p *policies) Wall() int64          { return time.Now().Unix() }
 
 func (p *policies) Say(code rollout.Code, more ...any) {
@@ -359,104 +359,119 @@
 	}
 }
 
-// PolicyAsk is what a control socket is asked for.
-type PolicyAsk struct {
-	Do     string   `json:"do"` // status, propose, rehearse, rollback, await, text, voters or force
-	ID     uint64   `json:"id,omitempty"`
-	Text   []byte   `json:"text,omitempty"`
-	Base   uint64   `json:"base,omitempty"`
-	Number uint64   `json:"number,omitempty"`
-	For    int64    `json:"for,omitempty"` // ms
-	Voters []string `json:"voters,omitempty"`
+// PolicyOperation is what a PolicyRequest asks for.
+type PolicyOperation string
+
+// The operations of a PolicyRequest.
+const (
+	StatusOperation   PolicyOperation = "status"
+	ProposeOperation  PolicyOperation = "propose"
+	RehearseOperation PolicyOperation = "rehearse"
+	RollbackOperation PolicyOperation = "rollback"
+	AwaitOperation    PolicyOperation = "await" // how far a proposal is that was made at this gateway
+	TextOperation     PolicyOperation = "text"
+	VotersOperation   PolicyOperation = "voters"
+	ForceOperation    PolicyOperation = "force"
+)
+
+// PolicyRequest is a request on policies to a gateway's control socket.
+type PolicyRequest struct {
+	Operation      PolicyOperation `json:"do"`
+	ID             uint64          `json:"id,omitempty"`
+	Text           []byte          `json:"text,omitempty"`
+	BaseNumber     uint64          `json:"base,omitempty"`
+	Number         uint64          `json:"number,omitempty"`
+	DurationMillis int64           `json:"for,omitempty"` // ms
+	Voters         []string        `json:"voters,omitempty"`
 }
 
-// PolicyAnswer is what it answers.
-type PolicyAnswer struct {
-	Error  string        `json:"error,omitempty"`
-	Result *PolicyResult `json:"result,omitempty"`
-	Status *PolicyStatus `json:"status,omitempty"`
-	Text   []byte        `json:"text,omitempty"`
+// PolicyReply is what it answers.
+type PolicyReply struct {
+	Error  string          `json:"error,omitempty"`
+	Result *ProposalResult `json:"result,omitempty"`
+	Status *PolicyStatus   `json:"status,omitempty"`
+	Text   []byte          `json:"text,omitempty"`
 }
 
-// PolicyResult is what became of a proposal.
-type PolicyResult struct {
-	ID     uint64 `json:"id"`
-	End    string `json:"end"`
-	Number uint64 `json:"number,omitempty"`
-	Why    string `json:"why,omitempty"`
+// ProposalResult is what became of a proposal.
+type ProposalResult struct {
+	ID      uint64 `json:"id"`
+	Outcome string `json:"end"`
+	Number  uint64 `json:"number,omitempty"`
+	Reason  string `json:"why,omitempty"`
 }
 
 // PolicyStatus is what a gateway knows of policies.
 type PolicyStatus struct {
-	Name     string         `json:"name"`
-	Number   uint64         `json:"number"` // that it goes by, or went by last
-	Era      uint64         `json:"era"`
-	Digest   string         `json:"digest"`
-	Lease    float64        `json:"lease"` // seconds for which it holds without another word; 0: it does not
-	Decided  uint64         `json:"decided"`
-	Leader   string         `json:"leader"`
-	Voters   []string       `json:"voters"`
-	Votes    bool           `json:"votes"`
-	Learning bool           `json:"learning,omitempty"`
-	Proposal string         `json:"proposal,omitempty"`
-	Offered  string         `json:"offered,omitempty"` // its digest
-	Ready    bool           `json:"ready,omitempty"`
-	Why      string         `json:"why,omitempty"`
-	Change   string         `json:"change,omitempty"`
-	Cannot   string         `json:"cannot_follow,omitempty"`
-	Past     []PolicyAct    `json:"past,omitempty"`
-	Ends     []PolicyResult `json:"ends,omitempty"`
-	Members  []PolicyMember `json:"members,omitempty"`
-}
-
-// PolicyAct is one policy that was in force.
-type PolicyAct struct {
-	Number uint64 `json:"number"`
-	Digest string `json:"digest"`
-	Size   int    `json:"size"`
-	Kind   string `json:"kind"`
-	By     string `json:"by"`
-	At     int64  `json:"at"` // seconds, Unix
-	Of     uint64 `json:"of,omitempty"`
+	Name           string           `json:"name"`
+	Number         uint64           `json:"number"` // that it goes by, or went by last
+	Era            uint64           `json:"era"`
+	Digest         string           `json:"digest"`
+	LeaseSeconds   float64          `json:"lease"` // seconds for which it holds without another word; 0: it does not
+	DecidedNumber  uint64           `json:"decided"`
+	Leader         string           `json:"leader"`
+	Voters         []string         `json:"voters"`
+	IsVoter        bool             `json:"votes"`
+	IsLearner      bool             `json:"learning,omitempty"`
+	Proposal       string           `json:"proposal,omitempty"`
+	ProposalDigest string           `json:"offered,omitempty"` // its digest
+	Ready          bool             `json:"ready,omitempty"`
+	Reason         string           `json:"why,omitempty"`
+	VoterChange    string           `json:"change,omitempty"`
+	UnusableDigest string           `json:"cannot_follow,omitempty"`
+	Records        []PolicyRecord   `json:"past,omitempty"`
+	Results        []ProposalResult `json:"ends,omitempty"`
+	Members        []PolicyMember   `json:"members,omitempty"`
+}
+
+// PolicyRecord is one policy that was in force.
+type PolicyRecord struct {
+	Number       uint64 `json:"number"`
+	Digest       string `json:"digest"`
+	Size         int    `json:"size"`
+	Kind         string `json:"kind"`
+	Proposer     string `json:"by"`
+	UnixSeconds  int64  `json:"at"` // seconds, Unix
+	SourceNumber uint64 `json:"of,omitempty"`
 }
 
 // PolicyMember is one as the leader knows it.
 type PolicyMember struct {
-	Name  string  `json:"name"`
-	Heard float64 `json:"heard"` // seconds ago
-	Lease float64 `json:"lease"` // seconds until it has surely ended
-	Ready bool    `json:"ready"`
-	Out   bool    `json:"out"`
-	Why   string  `json:"why,omitempty"`
+	Name           string  `json:"name"`
+	ContactSeconds float64 `json:"heard"` // seconds ago
+	LeaseSeconds   float64 `json:"lease"` // seconds until it has surely ended
+	Ready          bool    `json:"ready"`
+	Excluded       bool    `json:"out"`
+	Reason         string  `json:"why,omitempty"`
 }
 
 // ask serves one request of the control socket, in the fleet's goroutine; reply is called once.
-func (p *policies) ask(now admission.Time, q *PolicyAsk, reply func(*PolicyAnswer)) {
-	failed := func(err error) { reply(&PolicyAnswer{Error: err.Error()}) }
+func (p *policies) ask(now admission.Time, q *PolicyRequest, reply func(*PolicyReply)) {
+	failed := func(err error) { reply(&PolicyReply{Error: err.Error()}) }
 	propose := func(kind rollout.Kind) {
-		err := p.core.Propose(now, rollout.Proposal{ID: q.ID, Kind: kind, Text: q.Text, Base: q.Base, Of: q.Number, For: tenths(time.Duration(q.For) * time.Millisecond)},
-			func(r rollout.Result) { reply(&PolicyAnswer{Result: result(r)}) })
+		err := p.core.Propose(now, rollout.Proposal{ID: q.ID, Kind: kind, Text: q.Text, Base: q.BaseNumber, Of: q.Number, For: tenths(time.Duration(q.DurationMillis) * time.Millisecond)},
+			func(r rollout.Result) { reply(&PolicyReply{Result: result(r)}) })
 		if err != nil {
 			failed(err)
 		}
 	}
-	switch q.Do {
-	case "status":
-		reply(&PolicyAnswer{Status: p.status(now)})
-	case "propose":
+	switch q.Operation {
+	case StatusOperation:
+		reply(&PolicyReply{Status: p.status(now)})
+	case ProposeOperation:
 		propose(rollout.Change)
-	case "rehearse":
+	case RehearseOperation:
 		propose(rollout.Rehearsal)
-	case "rollback":
+	case RollbackOperation:
 		propose(rollout.Rollback)
-	case "await": // how far one is that was made here
+	case AwaitOperation: // how far one is that was made here
 		r, ok := p.core.Progress(q.ID)
 		if !ok {
 			failed(fmt.Errorf("no proposal %08x was made here", uint32(q.ID>>32)))
 			return
 		}
-		reply(&PolicyAnswer{Result: result(r)})
-	case "text":
+		reply(&PolicyReply{Result: result(r)})
+	case TextOperation:
 		d, err := p.digest(now, q.Number)
 		if err != nil {
 			failed(err)
@@ -467,21 +482,21 @@
 			failed(fmt.Errorf("the text of number %d isn't here: ask a voter", q.Number))
 			return
 		}
-		reply(&PolicyAnswer{Text: text})
-	case "voters":
+		reply(&PolicyReply{Text: text})
+	case VotersOperation:
 		if err := p.core.Want(now, q.Voters); err != nil {
 			failed(err)
 			return
 		}
-		reply(&PolicyAnswer{Status: p.status(now)})
-	case "force":
+		reply(&PolicyReply{Status: p.status(now)})
+	case ForceOperation:
 		if err := p.core.Force(now, q.Voters); err != nil {
 			failed(err)
 			return
 		}
-		reply(&PolicyAnswer{Status: p.status(now)})
+		reply(&PolicyReply{Status: p.status(now)})
 	default:
-		failed(fmt.Errorf("expected status, propose, rehearse, rollback, await, text, voters or force, found %q", q.Do))
+		failed(fmt.Errorf("expected status, propose, rehearse, rollback, await, text, voters or force, found %q", q.Operation))
 	}
 }
 
@@ -502,25 +517,25 @@
 	return rollout.Digest{}, fmt.Errorf("number %d isn't known here: ask a voter, which knows the last ones", number)
 }
 
-func result(r rollout.Result) *PolicyResult {
-	return &PolicyResult{ID: r.ID, End: r.End.String(), Number: r.Number, Why: r.Why}
+func result(r rollout.Result) *ProposalResult {
+	return &ProposalResult{ID: r.ID, Outcome: r.End.String(), Number: r.Number, Reason: r.Why}
 }
 
 func (p *policies) status(now admission.Time) *PolicyStatus {
 	s := p.core.State(now)
-	out := &PolicyStatus{Name: s.Name, Number: s.Standing.Number, Era: s.Standing.Era, Digest: s.Standing.Digest.String(), Lease: seconds(s.Lease), Decided: s.Decided,
-		Leader: s.Leader, Voters: s.Voters, Votes: s.Votes, Learning: s.Learning, Ready: s.Ready, Why: s.Why, Change: s.Change}
+	out := &PolicyStatus{Name: s.Name, Number: s.Standing.Number, Era: s.Standing.Era, Digest: s.Standing.Digest.String(), LeaseSeconds: seconds(s.Lease), DecidedNumber: s.Decided,
+		Leader: s.Leader, Voters: s.Voters, IsVoter: s.Votes, IsLearner: s.Learning, Ready: s.Ready, Reason: s.Why, VoterChange: s.Change}
 	if s.Open != 0 {
-		out.Proposal, out.Offered = fmt.Sprintf("%08x", uint32(s.Open>>32)), s.OpenIs.String()
+		out.Proposal, out.ProposalDigest = fmt.Sprintf("%08x", uint32(s.Open>>32)), s.OpenIs.String()
 	}
 	if (s.Cannot != rollout.Digest{}) {
-		out.Cannot = s.Cannot.String()
+		out.UnusableDigest = s.Cannot.String()
 	}
 	for _, a := range s.Past {
-		out.Past = append(out.Past, PolicyAct{a.Number, a.Digest.String(), a.Size, a.Kind.String(), a.By, a.At, a.Of})
+		out.Records = append(out.Records, PolicyRecord{a.Number, a.Digest.String(), a.Size, a.Kind.String(), a.By, a.At, a.Of})
 	}
 	for _, e := range s.Ends {
-		out.Ends = append(out.Ends, *result(rollout.Result(e)))
+		out.Results = append(out.Results, *result(rollout.Result(e)))
 	}
 	for _, m := range s.Members {
 		out.Members = append(out.Members, PolicyMember{m.Name, seconds(m.Heard), seconds(m.Lease), m.Ready, m.Out, m.Why})
--- a/internal/cluster/agent/rights.go
+++ b/internal/cluster/agent/rights.go
@@ -12,15 +12,15 @@
 	"magpiebank/internal/cluster/quota"
 )
 
-// Budgets are what classes of the whole fleet may use.
-type Budgets struct {
-	Keepers []string      // names of the gateways that confirm who holds which part
-	Term    time.Duration // for which a part is held without a word from them
-	Number  uint64        // raised with every change of the totals
-	Names   []string      // of the budgets: a class and what is shared of it
-	Totals  []int64
-	Cold    bool   // what engines that have just started may be sent is among them
-	Folder  string // by that the part passes to the process that follows; empty: after its term alone
+// QuotaConfig are what classes of the whole fleet may use.
+type QuotaConfig struct {
+	Voters    []string      // names of the gateways that confirm who holds which part
+	ShareTerm time.Duration // for which a part is held without a word from them
+	Number    uint64        // raised with every change of the totals
+	Names     []string      // of the budgets: a class and what is shared of it
+	Totals    []int64
+	SlowStart bool   // what engines that have just started may be sent is among them
+	Folder    string // by that the part passes to the process that follows; empty: after its term alone
 }
 
 // shares are this gateway's part of what classes of the whole fleet may use. The first two calls are the fleet's goroutine's, the
@@ -43,16 +43,16 @@
 
 // shared is what the budgets' core goes by. A loan is two uses long: it is renewed after the first quarter and is then good for a
 // whole use more; what is lent across a cut is of no use to either side for the rest, so it is no longer. Clocks of machines drift by some parts in a million; one in twenty leaves room for those that are being set.
-func (f *Fleet) shared(b *Budgets, seats int) *quota.Plan {
-	p := &quota.Plan{Seats: seats, Keepers: b.Keepers, Term: tenths(b.Term), Longest: tenths(f.longest), Loan: 2 * tenths(f.longest), Drift: 20, Number: b.Number, Totals: b.Totals}
+func (f *Agent) shared(b *QuotaConfig, seats int) *quota.Plan {
+	p := &quota.Plan{Seats: seats, Keepers: b.Voters, Term: tenths(b.ShareTerm), Longest: tenths(f.longest), Loan: 2 * tenths(f.longest), Drift: 20, Number: b.Number, Totals: b.Totals}
 	for _, name := range b.Names {
 		p.IDs = append(p.IDs, quota.ID(name))
 	}
 	return p
 }
 
-// Renew goes by other totals, under a higher number, whole or not at all.
-func (f *Fleet) Renew(b *Budgets) (err error) {
+// ReplaceQuota goes by other totals, under a higher number, whole or not at all.
+func (f *Agent) ReplaceQuota(b *QuotaConfig) (err error) {
 	f.purse.Step(func(c *quota.Core) {
 		if err = c.Renew(f.clock.Now(), f.shared(b, f.rights.Seats)); err != nil {
 			err = fmt.Errorf("fleet.budgets.%w", err)
@@ -74,7 +74,7 @@
 }
 
 // tellTotals has the history say what is gone by.
-func (f *Fleet) tellTotals(b *Budgets) {
+func (f *Agent) tellTotals(b *QuotaConfig) {
 	f.naming.Lock()
 	names := slices.Clone(f.names)
 	f.naming.Unlock()
@@ -83,25 +83,25 @@
 		if i := slices.Index(b.Names, name); i >= 0 {
 			total = b.Totals[i]
 		}
-		f.history.Write(history.Event{What: history.Total, Code: name, Number: int(total), Of: b.Number})
+		f.history.Write(history.Event{Kind: history.TotalChanged, Code: name, Number: int(total), Of: b.Number})
 	}
 }
 
 // Index is a budget's number by its name.
-func (f *Fleet) Index(name string) int {
+func (f *Agent) Index(name string) int {
 	f.naming.Lock()
 	defer f.naming.Unlock()
 	return slices.Index(f.names, name)
 }
 
-func (f *Fleet) called(b int) string {
+func (f *Agent) called(b int) string {
 	f.naming.Lock()
 	defer f.naming.Unlock()
 	return f.names[b]
 }
 
 // part is this process's in the budgets, with nothing but what processes before it surely have no more.
-func (f *Fleet) part(now admission.Time) *quota.Core {
+func (f *Agent) part(now admission.Time) *quota.Core {
 	start := f.core.Self().Start
 	c := quota.New(now, f.rights, f.name, start, f.seat, lender{f})
 	if f.settled, f.partAt = false, now; f.heir == nil {
@@ -117,8 +117,8 @@
 }
 
 // inherit opens the folder that passes the part on. Where another process goes by it, this one comes with nothing.
-func (f *Fleet) inherit() (err error) {
-	folder := f.plan.Budgets.Folder
+func (f *Agent) inherit() (err error) {
+	folder := f.plan.Quota.Folder
 	if folder == "" {
 		return nil
 	}
@@ -132,7 +132,7 @@
 }
 
 // settle takes in that the part is held, and that it may be used.
-func (f *Fleet) settle(now admission.Time) {
+func (f *Agent) settle(now admission.Time) {
 	if f.settled || f.purse == nil {
 		return
 	}
@@ -147,7 +147,7 @@
 }
 
 // bequeath leaves the part to whoever follows; free: it is nobody's already.
-func (f *Fleet) bequeath(free bool) {
+func (f *Agent) bequeath(free bool) {
 	if f.heir == nil {
 		return
 	}
@@ -157,21 +157,21 @@
 	f.inFolder(f.heir.close())
 }
 
-func (f *Fleet) inFolder(err error) {
+func (f *Agent) inFolder(err error) {
 	if err != nil {
 		f.log.Warn("fleet", "code", "folder", "error", err)
 	}
 }
 
 // paid takes in a message on budgets; where more of one may be used now, tasks that wait for it go out at once.
-func (f *Fleet) paid(at admission.Time, m quota.Message) {
+func (f *Agent) paid(at admission.Time, m quota.Message) {
 	if f.shares.Heard(at, m) {
 		f.tell(func(now admission.Time, r *admission.Router) { r.Opened(now) })
 	}
 }
 
 // lender is what the budgets' core acts on.
-type lender struct{ f *Fleet }
+type lender struct{ f *Agent }
 
 func (h lender) Send(to string, m quota.Message) {
 	f := h.f
@@ -192,35 +192,35 @@
 }
 
 // Open tells whether a class of the whole fleet may use so much more. The owner calls it, as it calls Take, Done and Want.
-func (f *Fleet) Open(now admission.Time, b int, amount int64) bool {
+func (f *Agent) Open(now admission.Time, b int, amount int64) bool {
 	return f.shares != nil && f.shares.Open(now, b, amount, f.rights.Longest)
 }
 
 // Take has a hand-off use what was promised.
-func (f *Fleet) Take(now admission.Time, b int, amount int64) bool {
+func (f *Agent) Take(now admission.Time, b int, amount int64) bool {
 	return f.spend(now, b, amount, f.rights.Longest)
 }
 
 // spend has some of a budget be used for so long.
-func (f *Fleet) spend(now admission.Time, b int, amount int64, length admission.Time) bool {
+func (f *Agent) spend(now admission.Time, b int, amount int64, length admission.Time) bool {
 	ok := f.shares != nil && f.shares.Take(now, b, amount, length)
 	if !ok { // it goes out all the same
 		f.log.Error("fleet", "code", "overrun", "budget", f.called(b), "amount", amount)
 	}
-	f.history.Write(history.Event{What: history.Took, Code: f.called(b), Number: int(amount), Until: int64(length) * 1e5})
+	f.history.Write(history.Event{Kind: history.BudgetUsed, Code: f.called(b), Number: int(amount), ValidNanos: int64(length) * 1e5})
 	return ok
 }
 
 // Done ends a use.
-func (f *Fleet) Done(now admission.Time, b int, amount int64) {
+func (f *Agent) Done(now admission.Time, b int, amount int64) {
 	if f.shares.Done(now, b, amount) {
 		f.box.Put(func() {}) // others asked for it in vain: they are told at once
 	}
-	f.history.Write(history.Event{What: history.Done, Code: f.called(b), Number: int(amount)})
+	f.history.Write(history.Event{Kind: history.BudgetReleased, Code: f.called(b), Number: int(amount)})
 }
 
 // Want tells what tasks that wait would use.
-func (f *Fleet) Want(now admission.Time, b int, amount int64) {
+func (f *Agent) Want(now admission.Time, b int, amount int64) {
 	if f.shares != nil {
 		f.shares.Want(now, b, amount)
 		if amount > 0 {
@@ -230,20 +230,20 @@
 }
 
 // Rate has a budget that is used as a rate be used by so much, as far as there is that.
-func (f *Fleet) Rate(now admission.Time, b int, need int64) int64 {
+func (f *Agent) Rate(now admission.Time, b int, need int64) int64 {
 	if f.shares == nil {
 		return 0
 	}
 	n, until := f.shares.Rate(now, b, need)
 	if f.history != nil && (n != f.rated[b].n || now-f.rated[b].at >= admission.Second/2) {
 		f.rated[b] = rated{n, now}
-		f.history.Write(history.Event{What: history.Rate, Code: f.called(b), Number: int(n), Until: int64(min(until-now, admission.Second)) * 1e5})
+		f.history.Write(history.Event{Kind: history.RateGranted, Code: f.called(b), Number: int(n), ValidNanos: int64(min(until-now, admission.Second)) * 1e5})
 	}
 	return n
 }
 
 // Shrink has a total be a part of itself.
-func (f *Fleet) Shrink(now admission.Time, b int, part float64) {
+func (f *Agent) Shrink(now admission.Time, b int, part float64) {
 	if f.shares != nil {
 		f.shares.Shrink(now, b, part)
 	}
--- a/internal/cluster/agent/status.go
+++ b/internal/cluster/agent/status.go
@@ -15,64 +15,64 @@
 
 // Status is what a member tells of itself over its control socket.
 type Status struct {
-	Name    string         `json:"name"`
-	Start   uint64         `json:"start"`
-	Address string         `json:"address"`
-	Quiet   bool           `json:"quiet"`  // displaced: another process has its name
-	Health  int            `json:"health"` // how many times slower it judges
-	Lost    int            `json:"lost"`
-	Sent    int64          `json:"sent"` // datagrams
-	Heard   int64          `json:"heard"`
-	Members []MemberStatus `json:"members"`
-	Lines   []EngineStatus `json:"engines"`
-	Dropped map[string]int `json:"dropped"` // since the last line in the log
-	Share   float64        `json:"share"`   // of the engines that hearsay may take out
-	Budgets []BudgetStatus `json:"budgets,omitempty"`
-	Counts  *CountStatus   `json:"counts,omitempty"`
+	Name                string         `json:"name"`
+	Start               uint64         `json:"start"`
+	Address             string         `json:"address"`
+	Displaced           bool           `json:"quiet"`  // displaced: another process has its name
+	SuspicionMultiplier int            `json:"health"` // how many times slower it judges
+	Lost                int            `json:"lost"`
+	Sent                int64          `json:"sent"` // datagrams
+	Received            int64          `json:"heard"`
+	Members             []MemberStatus `json:"members"`
+	Engines             []EngineStatus `json:"engines"`
+	Dropped             map[string]int `json:"dropped"` // since the last line in the log
+	EjectionShare       float64        `json:"share"`   // of the engines that hearsay may take out
+	Budgets             []BudgetStatus `json:"budgets,omitempty"`
+	Counts              *CountStatus   `json:"counts,omitempty"`
 }
 
 // MemberStatus is one other member.
 type MemberStatus struct {
-	Name    string  `json:"name"`
-	State   string  `json:"state"`
-	Start   uint64  `json:"start"`
-	Address string  `json:"address"`
-	Seconds float64 `json:"seconds"` // since it came to that state
+	Name         string  `json:"name"`
+	State        string  `json:"state"`
+	Start        uint64  `json:"start"`
+	Address      string  `json:"address"`
+	StateSeconds float64 `json:"seconds"` // since it came to that state
 }
 
 // BudgetStatus is one budget as this member has it.
 type BudgetStatus struct {
-	Budget   string       `json:"budget"` // the class and what is shared of it
-	Total    int64        `json:"total"`
-	Own      int64        `json:"own"` // of its seat
-	Lent     int64        `json:"lent"`
-	Borrowed int64        `json:"borrowed"`
-	Used     int64        `json:"used"`
-	Wanted   int64        `json:"wanted"`
-	Seat     float64      `json:"seat"` // seconds for which the seat is held without another word; -1: it is not
-	Parts    []PartStatus `json:"parts"`
+	Budget       string             `json:"budget"` // the class and what is shared of it
+	Total        int64              `json:"total"`
+	LocalShare   int64              `json:"own"` // of its seat
+	Lent         int64              `json:"lent"`
+	Borrowed     int64              `json:"borrowed"`
+	Used         int64              `json:"used"`
+	Wanted       int64              `json:"wanted"`
+	ShareSeconds float64            `json:"seat"` // seconds for which the seat is held without another word; -1: it is not
+	Peers        []BudgetPeerStatus `json:"parts"`
 }
 
-// PartStatus is what there is of a budget between this member and another.
-type PartStatus struct {
-	Member   string  `json:"member"`
-	Lent     int64   `json:"lent"`
-	Borrowed int64   `json:"borrowed"`
-	Ends     float64 `json:"ends"`  // seconds until the first of that ends, unless it is renewed
-	Spare    int64   `json:"spare"` // what it said last that it could lend
-	Told     float64 `json:"told"`  // seconds ago; -1: never
+// BudgetPeerStatus is what there is of a budget between this member and another.
+type BudgetPeerStatus struct {
+	Member        string  `json:"member"`
+	Lent          int64   `json:"lent"`
+	Borrowed      int64   `json:"borrowed"`
+	LeaseSeconds  float64 `json:"ends"`  // seconds until the first of that ends, unless it is renewed
+	Lendable      int64   `json:"spare"` // what it said last that it could lend
+	ReportSeconds float64 `json:"told"`  // seconds ago; -1: never
 }
 
 // EngineStatus is one engine: seconds since its own last answer and failure (-1: not lately), and what was heard.
 type EngineStatus struct {
-	Engine    string  `json:"engine"`
-	Answered  float64 `json:"answered"`
-	Failed    float64 `json:"failed"`
-	How       string  `json:"how"` // the own last failure
-	Against   float64 `json:"against"`
-	Witnesses int     `json:"witnesses"`
-	Heard     string  `json:"heard"`  // how it last failed for others, as "2 erred, 1 unreached"
-	Report    float64 `json:"report"` // age of the latest report heard
+	Engine           string  `json:"engine"`
+	AnsweredSeconds  float64 `json:"answered"`
+	FailedSeconds    float64 `json:"failed"`
+	Failure          string  `json:"how"` // the own last failure
+	Evidence         float64 `json:"against"`
+	Witnesses        int     `json:"witnesses"`
+	ReportedFailures string  `json:"heard"`  // how it last failed for others, as "2 erred, 1 unreached"
+	ReportSeconds    float64 `json:"report"` // age of the latest report heard
 }
 
 func seconds(t admission.Time) float64 {
@@ -83,10 +83,10 @@
 }
 
 // status is made in the fleet's goroutine.
-func (f *Fleet) status(now admission.Time) *Status {
+func (f *Agent) status(now admission.Time) *Status {
 	self := f.core.Self()
-	s := &Status{Name: f.name, Start: self.Start, Address: self.Address, Quiet: f.core.Quiet(), Health: f.core.Health(), Lost: f.core.Lost(), Sent: f.sent, Heard: f.heard,
-		Dropped: map[string]int{}, Share: f.share}
+	s := &Status{Name: f.name, Start: self.Start, Address: self.Address, Displaced: f.core.Quiet(), SuspicionMultiplier: f.core.Health(), Lost: f.core.Lost(), Sent: f.sent, Received: f.heard,
+		Dropped: map[string]int{}, EjectionShare: f.share}
 	for err, n := range f.dropped {
 		s.Dropped[err.Error()] = n
 	}
@@ -95,20 +95,20 @@
 	}
 	if f.purse != nil {
 		for _, b := range f.purse.States(now) {
-			one := BudgetStatus{Budget: f.called(b.Budget), Total: b.Total, Own: b.Own, Lent: b.Lent, Borrowed: b.Borrowed, Used: b.Used, Wanted: b.Wanted, Seat: seconds(b.Seat)}
+			one := BudgetStatus{Budget: f.called(b.Budget), Total: b.Total, LocalShare: b.Own, Lent: b.Lent, Borrowed: b.Borrowed, Used: b.Used, Wanted: b.Wanted, ShareSeconds: seconds(b.Seat)}
 			for _, p := range b.Parts {
-				one.Parts = append(one.Parts, PartStatus{p.Member, p.Lent, p.Borrowed, seconds(p.Ends), p.Spare, seconds(p.Told)})
+				one.Peers = append(one.Peers, BudgetPeerStatus{p.Member, p.Lent, p.Borrowed, seconds(p.Ends), p.Spare, seconds(p.Told)})
 			}
 			s.Budgets = append(s.Budgets, one)
 		}
 	}
 	for _, l := range f.book.Status(now) {
-		e := EngineStatus{Engine: string(l.Engine), Answered: seconds(l.Answered), Failed: seconds(l.Failed), Against: l.Found.Against, Witnesses: l.Found.Witnesses,
-			Heard: heard(l.Heard), Report: seconds(l.ReportAge)}
+		e := EngineStatus{Engine: string(l.Engine), AnsweredSeconds: seconds(l.Answered), FailedSeconds: seconds(l.Failed), Evidence: l.Found.Against, Witnesses: l.Found.Witnesses,
+			ReportedFailures: heard(l.Heard), ReportSeconds: seconds(l.ReportAge)}
 		if l.Failed >= 0 {
-			e.How = l.How.String()
+			e.Failure = l.How.String()
 		}
-		s.Lines = append(s.Lines, e)
+		s.Engines = append(s.Engines, e)
 	}
 	if f.counts != nil {
 		s.Counts = f.counted(now)
@@ -134,7 +134,7 @@
 }
 
 // answer serves whoever connects to the control socket: one request, as a JSON object, and its answer.
-func (f *Fleet) answer() {
+func (f *Agent) answer() {
 	for {
 		c, err := f.control.Accept()
 		if err != nil {
@@ -152,7 +152,7 @@
 // longestAsk is how long a proposal may be waited for at the control socket.
 const longestAsk = 10 * time.Minute
 
-func (f *Fleet) serve(c net.Conn) error {
+func (f *Agent) serve(c net.Conn) error {
 	if err := allowed(c); err != nil {
 		return err
 	}
@@ -168,9 +168,9 @@
 		case q.Policy == nil:
 			got <- f.status(now)
 		case f.policies.core == nil:
-			got <- &PolicyAnswer{Error: errNoCharter.Error()}
+			got <- &PolicyReply{Error: errNoCharter.Error()}
 		default:
-			f.policies.ask(now, q.Policy, func(a *PolicyAnswer) {
+			f.policies.ask(now, q.Policy, func(a *PolicyReply) {
 				select {
 				case got <- a:
 				default: // it was answered
@@ -190,5 +190,5 @@
 
 // request is what a control socket is asked; with nothing, for the state.
 type request struct {
-	Policy *PolicyAsk `json:"policy,omitempty"`
+	Policy *PolicyRequest `json:"policy,omitempty"`
 }
--- a/internal/cluster/agent/wake_test.go
+++ b/internal/cluster/agent/wake_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Fleet{history: writer}
+	f := &Agent{history: writer}
 	f.noteWake()
 	f.wokeAt -= int64(time.Second)
 	f.noteWake()
@@ -24,8 +24,8 @@
 	if err := writer.Close(); err != nil {
 		t.Fatal(err)
 	}
-	events, err := history.Merge(path)
-	if err != nil || len(events) != 1 || events[0].What != history.Woke || events[0].Age < int64(time.Second) {
+	events, err := history.MergeFiles(path)
+	if err != nil || len(events) != 1 || events[0].Kind != history.LateWake || events[0].AgeNanos < int64(time.Second) {
 		t.Errorf("found %+v, %v", events, err)
 	}
 }
--- a/internal/testbed/faulttest/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -36,7 +36,7 @@
 	t := &totals{map[string][]total{}, map[uint64]map[string]int64{}, keepers, int64(lowered)}
 	for i := range events {
 		e := &events[i]
-		if e.What != history.Total {
+		if e.Kind != history.TotalChanged {
 			continue
 		}
 		if !slices.Contains(t.of[e.Code], total{e.Of, e.Number}) {
@@ -112,12 +112,12 @@
 	for i := range events {
 		e := &events[i]
 		k := owner{e.Process, e.Start, e.Code}
-		switch e.What {
-		case history.Took:
-			uses[k] = append(uses[k], use{e.Number, e.At + e.Until})
-		case history.Rate:
-			rates[k] = use{e.Number, e.At + e.Until}
-		case history.Done:
+		switch e.Kind {
+		case history.BudgetUsed:
+			uses[k] = append(uses[k], use{e.Number, e.At + e.ValidNanos})
+		case history.RateGranted:
+			rates[k] = use{e.Number, e.At + e.ValidNanos}
+		case history.BudgetReleased:
 			first := -1
 			for n, u := range uses[k] {
 				if u.amount == e.Number && (first < 0 || u.until < uses[k][first].until) {
@@ -173,10 +173,10 @@
 	}
 	failed, began := map[sight][]int64{}, map[process]process{} // by the start that one goes by: the one that it began with
 	for _, e := range events {
-		if e.What == history.Saw && !e.Good {
-			k := sight{process{e.Process, e.Start}, e.Engine, e.Since}
+		if e.Kind == history.OutcomeObserved && !e.Success {
+			k := sight{process{e.Process, e.Start}, e.Engine, e.EngineStart}
 			failed[k] = append(failed[k], e.At)
-		} else if e.What == history.Renamed {
+		} else if e.Kind == history.StartChanged {
 			began[process{e.Process, e.Of}] = process{e.Process, e.Start}
 		}
 	}
@@ -195,22 +195,22 @@
 			v = &view{listed: map[string]int64{}, starts: map[string]uint64{}, heard: map[string]map[string]int64{}, out: map[string]int64{}}
 			views[process{e.Process, e.Start}] = v
 		}
-		switch e.What {
-		case history.Began:
+		switch e.Kind {
+		case history.ProcessStarted:
 			v.share = float64(e.Number) / 1000
-		case history.Listed:
+		case history.EngineListed:
 			if e.State == "gone" {
 				delete(v.listed, e.Engine)
 			} else {
-				v.listed[e.Engine] = e.Since
+				v.listed[e.Engine] = e.EngineStart
 			}
 			delete(v.heard, e.Engine)
 			delete(v.out, e.Engine)
-		case history.Sent:
+		case history.AttemptSent:
 			if _, ok := v.listed[e.Engine]; !ok {
 				broken = append(broken, text(e, "list: a hand-off went to %s, which its own list doesn't name", e.Engine))
 			}
-		case history.Member:
+		case history.MemberChanged:
 			if e.Code == "displaced" {
 				break
 			}
@@ -218,48 +218,48 @@
 				broken = append(broken, text(e, "start: %s under start %d is %s, after start %d was known", e.Member, e.Of, e.Code, v.starts[e.Member]))
 			}
 			v.starts[e.Member] = max(v.starts[e.Member], e.Of)
-		case history.Heard:
+		case history.EvidenceReceived:
 			if e.Of < v.starts[e.Member] {
 				broken = append(broken, text(e, "start: evidence of %s under start %d was taken in, after start %d was known", e.Member, e.Of, v.starts[e.Member]))
 			}
-			if since, ok := v.listed[e.Engine]; !ok || since != e.Since {
-				broken = append(broken, text(e, "engine's start: evidence on %s of start %d was taken in, its own list has %d", e.Engine, e.Since, since))
+			if since, ok := v.listed[e.Engine]; !ok || since != e.EngineStart {
+				broken = append(broken, text(e, "engine's start: evidence on %s of start %d was taken in, its own list has %d", e.Engine, e.EngineStart, since))
 			}
-			if e.Good {
+			if e.Success {
 				break
 			}
 			if v.heard[e.Engine] == nil {
 				v.heard[e.Engine] = map[string]int64{}
 			}
 			v.heard[e.Engine][e.Member] = e.At
-			at, own, teller := e.At-e.Age, false, process{e.Member, e.Of}
+			at, own, teller := e.At-e.AgeNanos, false, process{e.Member, e.Of}
 			if b, ok := began[teller]; ok {
 				teller = b
 			}
-			for _, saw := range failed[sight{teller, e.Engine, e.Since}] {
+			for _, saw := range failed[sight{teller, e.Engine, e.EngineStart}] {
 				own = own || at >= saw-slack && at <= saw+slack
 			}
 			if !own {
-				late = append(late, text(e, "evidence: %s is said to have failed at %s some %.1f s ago, and wrote down no such failure", e.Member, e.Engine, float64(e.Age)/1e9))
+				late = append(late, text(e, "evidence: %s is said to have failed at %s some %.1f s ago, and wrote down no such failure", e.Member, e.Engine, float64(e.AgeNanos)/1e9))
 			}
-		case history.Found:
+		case history.EngineAssessed:
 			witnesses := 0
 			for _, at := range v.heard[e.Engine] {
-				if e.AsOf-at <= use+slack {
+				if e.ObservedAt-at <= use+slack {
 					witnesses++
 				}
 			}
-			for _, saw := range failed[sight{process{e.Process, e.Start}, e.Engine, e.Since}] {
-				if e.AsOf-saw <= use+slack && saw <= e.At {
+			for _, saw := range failed[sight{process{e.Process, e.Start}, e.Engine, e.EngineStart}] {
+				if e.ObservedAt-saw <= use+slack && saw <= e.At {
 					witnesses++ // its own word counts beside others'
 					break
 				}
 			}
-			if e.Against > 0 && e.Number > witnesses || e.Against > float64(e.Number)+1e-9 {
-				late = append(late, text(e, "witnesses: %.2f is held against %s by %d witnesses, and %d were heard", e.Against, e.Engine, e.Number, witnesses))
+			if e.Evidence > 0 && e.Number > witnesses || e.Evidence > float64(e.Number)+1e-9 {
+				late = append(late, text(e, "witnesses: %.2f is held against %s by %d witnesses, and %d were heard", e.Evidence, e.Engine, e.Number, witnesses))
 			}
-			if delete(v.out, e.Engine); e.Against > 0 {
-				v.out[e.Engine] = e.AsOf + e.Until // the decisions let it end by their own clock, however late they hear of it
+			if delete(v.out, e.Engine); e.Evidence > 0 {
+				v.out[e.Engine] = e.ObservedAt + e.ValidNanos // the decisions let it end by their own clock, however late they hear of it
 			}
 			n := 0
 			for _, until := range v.out {
@@ -292,10 +292,10 @@
 	for i := range events {
 		e := &events[i]
 		k := owner{e.Process, e.Start}
-		if last[k] = e.At; e.What == history.Ended {
+		if last[k] = e.At; e.Kind == history.ProcessStopped {
 			ended[k] = true
 		}
-		if e.What == history.Counted {
+		if e.Kind == history.RequestsCounted {
 			if truth[k] == nil {
 				owners = append(owners, k)
 			}
@@ -306,12 +306,12 @@
 	const written = int64(30 * time.Millisecond)
 	for i := range events {
 		e := &events[i]
-		if e.What != history.Reading {
+		if e.Kind != history.CountersRead {
 			continue
 		}
 		figure := btoi(e.Code == "runs")
-		at := e.At - e.Age
-		spread := written + e.Age/18
+		at := e.At - e.AgeNanos
+		spread := written + e.AgeNanos/18
 		least, most := 0, 0
 		for _, k := range owners {
 			list := truth[k]
@@ -334,7 +334,7 @@
 		}
 		if e.Number > most || e.Most >= 0 && e.Most < least {
 			out = append(out, fmt.Sprintf("%.3f s, %s: count: as of %.3f s ago %d to %d tasks were read that %s, in truth %d to %d", float64(e.At-events[0].At)/1e9, e.Process,
-				float64(e.Age)/1e9, e.Number, e.Most, e.Code[:len(e.Code)-1], least, most))
+				float64(e.AgeNanos)/1e9, e.Number, e.Most, e.Code[:len(e.Code)-1], least, most))
 		}
 	}
 	return out
--- a/internal/testbed/faulttest/disturbance.go
+++ b/internal/testbed/faulttest/disturbance.go
@@ -62,8 +62,8 @@
 func (s *Scenario) wakeDelay(events []history.Event) time.Duration {
 	longest := int64(0)
 	for i := range events {
-		if e := &events[i]; e.What == history.Woke && e.Age > longest && !s.stands(e.Label) {
-			longest = e.Age
+		if e := &events[i]; e.Kind == history.LateWake && e.AgeNanos > longest && !s.stands(e.Label) {
+			longest = e.AgeNanos
 		}
 	}
 	return time.Duration(longest)
--- a/internal/testbed/faulttest/disturbance_test.go
+++ b/internal/testbed/faulttest/disturbance_test.go
@@ -69,9 +69,9 @@
 // What gateways wrote down of themselves counts, but for those that the scenario has stand still.
 func TestGatewaysWokenLateDisturbARun(t *testing.T) {
 	woke := func(label string, after time.Duration) history.Event {
-		return history.Event{What: history.Woke, Label: label, Age: int64(after)}
+		return history.Event{Kind: history.LateWake, Label: label, AgeNanos: int64(after)}
 	}
-	events := []history.Event{woke("g0", 3*time.Second), woke("g1", time.Second), woke("g2", 2*time.Second), {What: history.Saw, Label: "g1", Age: int64(time.Hour)}}
+	events := []history.Event{woke("g0", 3*time.Second), woke("g1", time.Second), woke("g2", 2*time.Second), {Kind: history.OutcomeObserved, Label: "g1", AgeNanos: int64(time.Hour)}}
 	s := &Scenario{Steps: []Step{{Do: "stop", Gateways: []string{"g0"}}, {Do: "kill", Gateways: []string{"g2"}}}}
 	if got := s.wakeDelay(events); got != 2*time.Second {
 		t.Errorf("%v", got)
--- a/internal/testbed/faulttest/figures.go
+++ b/internal/testbed/faulttest/figures.go
@@ -33,7 +33,7 @@
 			last := map[string]time.Duration{}
 			for _, e := range r.Events {
 				at := time.Duration(e.At - r.Zero)
-				if e.What != history.Sent || at < t.At || at >= t.Until {
+				if e.Kind != history.AttemptSent || at < t.At || at >= t.Until {
 					continue
 				}
 				if e.Engine != engine {
--- a/internal/testbed/faulttest/judge.go
+++ b/internal/testbed/faulttest/judge.go
@@ -39,7 +39,7 @@
 	r.violate(CheckBudgets(r.Events, limits)...)
 	r.violate(CheckEngines(s, r.Runs, r.Began, r.Zero, limits)...)
 	for _, e := range r.Events {
-		if e.What == history.Member && e.Code == "displaced" {
+		if e.Kind == history.MemberChanged && e.Code == "displaced" {
 			r.Displaced++
 		}
 	}
--- a/internal/testbed/faulttest/page.go
+++ b/internal/testbed/faulttest/page.go
@@ -115,18 +115,18 @@
 		}
 		at := x(time.Duration(e.At - r.Zero))
 		m := mark{X: at, Y: y + rowHeight/2}
-		switch e.What {
-		case history.Sent:
-			m.Class, m.Say = "sent", e.Task+" to "+e.Engine
+		switch e.Kind {
+		case history.AttemptSent:
+			m.Class, m.Say = "sent", e.Request+" to "+e.Engine
 			if ey, ok := rows[e.Engine]; ok {
 				p.Marks = append(p.Marks, mark{at, ey + rowHeight/2, "sent", "from " + e.Process})
 			}
-		case history.Found:
+		case history.EngineAssessed:
 			if !e.Out {
 				continue
 			}
-			m.Class, m.Say = "found", fmt.Sprintf("%s: against %.1f by %d", e.Engine, e.Against, e.Number)
-		case history.Member:
+			m.Class, m.Say = "found", fmt.Sprintf("%s: against %.1f by %d", e.Engine, e.Evidence, e.Number)
+		case history.MemberChanged:
 			m.Class, m.Say = e.Code, e.Code+" "+e.Member
 		default:
 			continue
--- a/internal/testbed/faulttest/policy.go
+++ b/internal/testbed/faulttest/policy.go
@@ -45,7 +45,7 @@
 }
 
 // asks has a gateway asked something, and while it is away another.
-func (p *play) asks(ctx context.Context, first *installation.Gateway, q *agent.PolicyAsk, by time.Time) (*agent.PolicyAnswer, error) {
+func (p *play) asks(ctx context.Context, first *installation.Gateway, q *agent.PolicyRequest, by time.Time) (*agent.PolicyReply, error) {
 	turn := slices.Index(p.site.Gateways, first)
 	var last error
 	for time.Now().Before(by) {
@@ -57,7 +57,7 @@
 		p.mu.Unlock()
 		if !down && g.Up() {
 			until, stop := context.WithDeadline(ctx, by)
-			a, err := agent.AskPolicy(until, g.Control, q)
+			a, err := agent.SendPolicyRequest(until, g.Control, q)
 			stop()
 			if err == nil && a.Error == "" {
 				return a, nil
@@ -89,7 +89,7 @@
 		return
 	}
 	if t.Do == "voters" || t.Do == "force" {
-		q := &agent.PolicyAsk{Do: t.Do, Voters: t.Gateways}
+		q := &agent.PolicyRequest{Operation: agent.PolicyOperation(t.Do), Voters: t.Gateways}
 		if _, err := p.asks(context.Background(), first, q, time.Now().Add(10*time.Second)); err != nil {
 			p.wrong = append(p.wrong, fmt.Sprintf("step at %v: %s: %v", t.At, t.Do, err))
 		}
@@ -105,8 +105,8 @@
 		}
 	}
 	t.Policy.Fleet = p.s.Whole.Any()
-	q := &agent.PolicyAsk{Do: map[string]string{"change": "propose", "rollback": "rollback", "rehearse": "rehearse"}[t.Kind], ID: id, Text: t.Policy.Text(), Number: uint64(t.Number),
-		For: t.Policy.Rehearse.Milliseconds()}
+	q := &agent.PolicyRequest{Operation: map[string]agent.PolicyOperation{"change": agent.ProposeOperation, "rollback": agent.RollbackOperation, "rehearse": agent.RehearseOperation}[t.Kind], ID: id, Text: t.Policy.Text(), Number: uint64(t.Number),
+		DurationMillis: t.Policy.Rehearse.Milliseconds()}
 	if t.Kind == "rollback" {
 		q.Text = nil
 	}
@@ -120,7 +120,7 @@
 }
 
 // attempt makes a proposal and waits for its end; true: another one was open.
-func (p *play) attempt(first *installation.Gateway, q *agent.PolicyAsk) bool {
+func (p *play) attempt(first *installation.Gateway, q *agent.PolicyRequest) bool {
 	began := time.Now()
 	a, err := p.asks(context.Background(), first, q, began.Add(p.s.endsWithin()))
 	k := Proposed{At: began.Sub(p.began), By: first.Label(), Took: time.Since(began), End: "unknown", id: q.ID, digest: rollout.Of(q.Text).String()}
@@ -128,7 +128,7 @@
 		k.digest = ""
 	}
 	if err == nil && a.Result != nil {
-		k.End, k.Number, k.Why = a.Result.End, a.Result.Number, a.Result.Why
+		k.End, k.Number, k.Why = a.Result.Outcome, a.Result.Number, a.Result.Reason
 	} else if err != nil {
 		k.Why = err.Error()
 	}
@@ -145,13 +145,13 @@
 
 // first has the scenario's limits be the first policy, and all go by it.
 func (p *play) first(ctx context.Context) error {
-	q := &agent.PolicyAsk{Do: "propose", ID: 1, Text: p.firstText()}
+	q := &agent.PolicyRequest{Operation: agent.ProposeOperation, ID: 1, Text: p.firstText()}
 	by := time.Now().Add(p.s.Settle + 5*p.s.Charter.Lease)
 	a, err := p.asks(ctx, p.site.Gateways[len(p.site.Gateways)-1], q, by)
 	if err != nil {
 		return fmt.Errorf("eventual: the first policy was not decided: %w", err)
 	}
-	if a.Result == nil || a.Result.End != "decided" {
+	if a.Result == nil || a.Result.Outcome != "decided" {
 		return fmt.Errorf("eventual: the first policy was not decided: %+v", a.Result)
 	}
 	for time.Now().Before(by) {
@@ -173,16 +173,16 @@
 		if down {
 			continue
 		}
-		if s, err := agent.Ask(g.Control); err != nil || s.Quiet {
+		if s, err := agent.FetchStatus(g.Control); err != nil || s.Displaced {
 			continue // another process has its name
 		}
 		ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
-		a, err := agent.AskPolicy(ctx, g.Control, &agent.PolicyAsk{Do: "status"})
+		a, err := agent.SendPolicyRequest(ctx, g.Control, &agent.PolicyRequest{Operation: agent.StatusOperation})
 		stop()
 		switch {
 		case err != nil:
 			return g.Label() + ": " + err.Error()
-		case a.Status == nil || a.Status.Lease == 0:
+		case a.Status == nil || a.Status.LeaseSeconds == 0:
 			return g.Label() + " holds no lease"
 		case of != "" && a.Status.Number != number:
 			return fmt.Sprintf("%s goes by number %d, %s by %d", g.Label(), a.Status.Number, of, number)
@@ -231,7 +231,7 @@
 	begun := map[int]first{} // by number: when one was surely decided by it
 	for i := range events {
 		e := &events[i]
-		if e.What != history.Decided || e.Number < 0 || e.Out {
+		if e.Kind != history.RequestDecided || e.Number < 0 || e.Out {
 			continue
 		}
 		if b, ok := begun[e.Number]; !ok || e.At < b.at {
@@ -241,22 +241,22 @@
 	for i := range events {
 		e := &events[i]
 		k := process{e.Process, e.Start}
-		switch e.What {
-		case history.Stands:
-			if d, ok := digests[e.Number]; ok && d != e.Code && e.Good {
+		switch e.Kind {
+		case history.PolicyChanged:
+			if d, ok := digests[e.Number]; ok && d != e.Code && e.Success {
 				say(e, "number %d is %s here, and %s elsewhere", e.Number, e.Code, d)
-			} else if e.Good {
+			} else if e.Success {
 				digests[e.Number] = e.Code
 			}
-			if e.Good {
+			if e.Success {
 				holds[k] = max(holds[k], e.Number+1)
 			}
-		case history.Wrote:
-			if at, ok := looked[hand{k, e.Task}]; ok {
+		case history.AttemptWritten:
+			if at, ok := looked[hand{k, e.Request}]; ok {
 				gaps = append(gaps, time.Duration(e.At-at))
-				delete(looked, hand{k, e.Task})
+				delete(looked, hand{k, e.Request})
 			}
-		case history.Decided:
+		case history.RequestDecided:
 			if e.Code == "unsure" {
 				f.Unsure++
 				break
@@ -266,7 +266,7 @@
 			}
 			f.Decisions++
 			if f.Highest = max(f.Highest, e.Number); e.Code == "sent" {
-				looked[hand{k, e.Task}] = e.AsOf
+				looked[hand{k, e.Request}] = e.ObservedAt
 			}
 			if holds[k] < e.Number+1 {
 				say(e, "%s by number %d, without a word that it goes by it", e.Code, e.Number)
@@ -278,13 +278,13 @@
 			}
 			number := 0
 			for n, b := range begun {
-				if n > most && b.at < e.AsOf && (later == 0 || b.at < later) {
+				if n > most && b.at < e.ObservedAt && (later == 0 || b.at < later) {
 					later, by, number = b.at, b.by, n
 				}
 			}
 			if later > 0 {
 				f.Older++
-				say(e, "%s of %s by number %d, %.1f ms after %s decided by %d", e.Code, e.Task, e.Number, float64(e.AsOf-later)/1e6, by, number)
+				say(e, "%s of %s by number %d, %.1f ms after %s decided by %d", e.Code, e.Request, e.Number, float64(e.ObservedAt-later)/1e6, by, number)
 			}
 		}
 	}
@@ -320,7 +320,7 @@
 	}
 	for _, k := range r.Proposals {
 		for i := range r.Events {
-			if e := &r.Events[i]; !decided[k.digest] && e.What == history.Stands && e.Good && e.Code == k.digest {
+			if e := &r.Events[i]; !decided[k.digest] && e.Kind == history.PolicyChanged && e.Success && e.Code == k.digest {
 				wrong = append(wrong, fmt.Sprintf("policy: %s went by what was %s", e.Process, k))
 				break
 			}
@@ -422,10 +422,10 @@
 	for i := range r.Events {
 		e := &r.Events[i]
 		k := process{e.Process, e.Start}
-		switch e.What {
-		case history.Total:
+		switch e.Kind {
+		case history.TotalChanged:
 			goes[k] = max(goes[k], e.Of)
-		case history.Took:
+		case history.BudgetUsed:
 			out.uses++
 			if highest = max(highest, goes[k]); goes[k] < highest {
 				out.at = append(out.at, time.Duration(e.At-r.Zero))
@@ -475,7 +475,7 @@
 		f.Served = earned / asked
 	}
 	for i := range r.Events {
-		if e := &r.Events[i]; e.What == history.Decided && e.Code == "unsure" && in(time.Duration(e.At-r.Zero)) {
+		if e := &r.Events[i]; e.Kind == history.RequestDecided && e.Code == "unsure" && in(time.Duration(e.At-r.Zero)) {
 			f.Unsure++
 		}
 	}
--- a/internal/testbed/faulttest/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.Events, err = history.Merge(histories...); err != nil {
+	if r.Events, err = history.MergeFiles(histories...); err != nil {
 		return nil, err
 	}
 	r.WakeDelay = max(r.WakeDelay, s.wakeDelay(r.Events))
@@ -192,8 +192,8 @@
 // voters are the gateways that say of themselves that they vote on policies.
 func (p *play) voters(ctx context.Context) (names []string) {
 	for _, g := range p.site.Gateways {
-		answer, err := agent.AskPolicy(ctx, g.Control, &agent.PolicyAsk{Do: "status"})
-		if err == nil && answer.Status != nil && answer.Status.Votes {
+		answer, err := agent.SendPolicyRequest(ctx, g.Control, &agent.PolicyRequest{Operation: agent.StatusOperation})
+		if err == nil && answer.Status != nil && answer.Status.IsVoter {
 			names = append(names, g.Name)
 		}
 	}
--- a/internal/testbed/faulttest/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -182,49 +182,49 @@
 // What the checker reads off histories made up for it.
 func TestCheck(t *testing.T) {
 	event := func(at float64, process string, e history.Event) history.Event {
-		e.At, e.Process, e.Start, e.AsOf = int64(at*1e9)+1, process, 1, int64(at*1e9)+1
-		if e.Engine == "" && e.What != history.Began && e.What != history.Member {
+		e.At, e.Process, e.Start, e.ObservedAt = int64(at*1e9)+1, process, 1, int64(at*1e9)+1
+		if e.Engine == "" && e.Kind != history.ProcessStarted && e.Kind != history.MemberChanged {
 			e.Engine = "e1"
 		}
 		return e
 	}
-	base := []history.Event{event(0, "g0", history.Event{What: history.Began, Number: 250}), event(0, "g0", history.Event{What: history.Listed, State: "live"}),
-		event(1, "g1", history.Event{What: history.Saw})}
-	rate := history.Event{What: history.Rate, Code: "loads", Number: 2, Until: int64(time.Second)}
-	took := history.Event{What: history.Took, Code: "loads", Number: 1, Until: int64(4 * time.Second)}
-	heard := history.Event{What: history.Heard, Member: "g1", Of: 1, Age: int64(time.Second / 2)}
-	counted := history.Event{What: history.Counted, Number: 0, Most: 2}
+	base := []history.Event{event(0, "g0", history.Event{Kind: history.ProcessStarted, Number: 250}), event(0, "g0", history.Event{Kind: history.EngineListed, State: "live"}),
+		event(1, "g1", history.Event{Kind: history.OutcomeObserved})}
+	rate := history.Event{Kind: history.RateGranted, Code: "loads", Number: 2, ValidNanos: int64(time.Second)}
+	took := history.Event{Kind: history.BudgetUsed, Code: "loads", Number: 1, ValidNanos: int64(4 * time.Second)}
+	heard := history.Event{Kind: history.EvidenceReceived, Member: "g1", Of: 1, AgeNanos: int64(time.Second / 2)}
+	counted := history.Event{Kind: history.RequestsCounted, Number: 0, Most: 2}
 	reading := func(low, high int) history.Event {
-		return history.Event{What: history.Reading, Code: "runs", Age: 1e9, Number: low, Most: high}
+		return history.Event{Kind: history.CountersRead, Code: "runs", AgeNanos: 1e9, Number: low, Most: high}
 	}
 	for _, c := range []struct {
 		what string
 		more []history.Event
 		want string
 	}{
-		{"all well", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{What: history.Found, Against: 1, Number: 1, Until: 1e10})}, ""},
+		{"all well", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, Evidence: 1, Number: 1, ValidNanos: 1e10})}, ""},
 		{"evidence of nothing", []history.Event{event(9, "g0", heard)}, "evidence:"},
-		{"another's evidence", []history.Event{event(1.5, "g0", history.Event{What: history.Heard, Member: "g2", Of: 1})}, "evidence:"},
-		{"one witness for two", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{What: history.Found, Against: 2, Number: 2, Until: 1e10})}, "witnesses:"},
-		{"too many out", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{What: history.Found, Against: 1, Number: 1, Until: 1e10}),
-			event(1.7, "g0", history.Event{What: history.Listed, Engine: "e2", State: "live"}), event(1.8, "g1", history.Event{What: history.Saw, Engine: "e2"}),
-			event(1.9, "g0", history.Event{What: history.Heard, Member: "g1", Of: 1, Engine: "e2"}),
-			event(2, "g0", history.Event{What: history.Found, Engine: "e2", Against: 1, Number: 1, Until: 1e10})}, "part:"},
-		{"an earlier start", []history.Event{event(2, "g0", history.Event{What: history.Member, Code: "joined", Member: "g3", Of: 5}),
-			event(3, "g0", history.Event{What: history.Member, Code: "joined", Member: "g3", Of: 4})}, "start:"},
-		{"an engine that the list doesn't name", []history.Event{event(2, "g0", history.Event{What: history.Sent, Engine: "e9"})}, "list:"},
-		{"within the total", []history.Event{event(1, "g0", history.Event{What: history.Total, Code: "loads", Number: 2}), event(2, "g0", took), event(2, "g1", took),
-			event(2.5, "g0", history.Event{What: history.Done, Code: "loads", Number: 1}), event(2.6, "g1", took), event(7, "g2", took)}, ""},
-		{"beyond a total that was lowered", []history.Event{event(1, "g0", history.Event{What: history.Total, Code: "loads", Number: 2, Of: 1}), event(2, "g0", history.Event{What: history.Total, Code: "loads", Number: 1, Of: 2}),
+		{"another's evidence", []history.Event{event(1.5, "g0", history.Event{Kind: history.EvidenceReceived, Member: "g2", Of: 1})}, "evidence:"},
+		{"one witness for two", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, Evidence: 2, Number: 2, ValidNanos: 1e10})}, "witnesses:"},
+		{"too many out", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, Evidence: 1, Number: 1, ValidNanos: 1e10}),
+			event(1.7, "g0", history.Event{Kind: history.EngineListed, Engine: "e2", State: "live"}), event(1.8, "g1", history.Event{Kind: history.OutcomeObserved, Engine: "e2"}),
+			event(1.9, "g0", history.Event{Kind: history.EvidenceReceived, Member: "g1", Of: 1, Engine: "e2"}),
+			event(2, "g0", history.Event{Kind: history.EngineAssessed, Engine: "e2", Evidence: 1, Number: 1, ValidNanos: 1e10})}, "part:"},
+		{"an earlier start", []history.Event{event(2, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Of: 5}),
+			event(3, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Of: 4})}, "start:"},
+		{"an engine that the list doesn't name", []history.Event{event(2, "g0", history.Event{Kind: history.AttemptSent, Engine: "e9"})}, "list:"},
+		{"within the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", took), event(2, "g1", took),
+			event(2.5, "g0", history.Event{Kind: history.BudgetReleased, Code: "loads", Number: 1}), event(2.6, "g1", took), event(7, "g2", took)}, ""},
+		{"beyond a total that was lowered", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2, Of: 1}), event(2, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 1, Of: 2}),
 			event(4, "g0", took), event(4.5, "g1", took), event(5.5, "g2", took)}, "budget: 3 of loads"},
-		{"a rate beyond the total", []history.Event{event(1, "g0", history.Event{What: history.Total, Code: "loads", Number: 2}), event(2, "g0", rate), event(2.5, "g1", rate)}, "budget:"},
-		{"rates one after the other", []history.Event{event(1, "g0", history.Event{What: history.Total, Code: "loads", Number: 2}), event(2, "g0", rate), event(3.5, "g1", rate)}, ""},
-		{"beyond the total", []history.Event{event(1, "g0", history.Event{What: history.Total, Code: "loads", Number: 2}), event(2, "g0", took), event(2, "g1", took),
+		{"a rate beyond the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", rate), event(2.5, "g1", rate)}, "budget:"},
+		{"rates one after the other", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", rate), event(3.5, "g1", rate)}, ""},
+		{"beyond the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", took), event(2, "g1", took),
 			event(2.6, "g2", took)}, "budget:"},
 		{"a count in its interval", []history.Event{event(2, "g0", counted), event(2.5, "g1", counted), event(4, "g1", reading(3, 5))}, ""},
 		{"a count above its interval", []history.Event{event(2, "g0", counted), event(2.5, "g1", counted), event(4, "g1", reading(0, 3)), event(9, "g0", counted), event(9, "g1", counted)}, "count:"},
 		{"a count below its interval", []history.Event{event(2, "g0", counted), event(3.5, "g1", counted), event(4, "g1", reading(3, -1))}, "count:"},
-		{"an engine's earlier start", []history.Event{event(1.2, "g0", history.Event{What: history.Listed, State: "live", Since: 7}), event(1.5, "g0", heard)}, "engine's start:"},
+		{"an engine's earlier start", []history.Event{event(1.2, "g0", history.Event{Kind: history.EngineListed, State: "live", EngineStart: 7}), event(1.5, "g0", heard)}, "engine's start:"},
 	} {
 		all := append(append([]history.Event{}, base...), c.more...)
 		broken, late := Check(all)
@@ -239,22 +239,22 @@
 func TestCheckPolicies(t *testing.T) {
 	event := func(at float64, process string, e history.Event) history.Event {
 		e.At, e.Process, e.Start = int64(at*1e9)+1, process, 1
-		if e.AsOf == 0 {
-			e.AsOf = e.At - 1e6
+		if e.ObservedAt == 0 {
+			e.ObservedAt = e.At - 1e6
 		}
 		return e
 	}
 	stands := func(at float64, process string, number int, digest string) history.Event {
-		return event(at, process, history.Event{What: history.Stands, Number: number, Good: true, Code: digest})
+		return event(at, process, history.Event{Kind: history.PolicyChanged, Number: number, Success: true, Code: digest})
 	}
 	decided := func(at float64, process string, number int) history.Event {
-		return event(at, process, history.Event{What: history.Decided, Code: "sent", Number: number, Task: fmt.Sprint(at)})
+		return event(at, process, history.Event{Kind: history.RequestDecided, Code: "sent", Number: number, Request: fmt.Sprint(at)})
 	}
 	base := []history.Event{stands(0, "g0", 1, "aa"), stands(0, "g1", 1, "aa"), decided(1, "g0", 1), decided(1.1, "g1", 1)}
 	both := decided(3, "g1", 1)
 	both.Out = true
 	late := decided(3, "g1", 1) // looked at before, written after
-	late.AsOf = int64(1.9e9)
+	late.ObservedAt = int64(1.9e9)
 	for _, c := range []struct {
 		what string
 		more []history.Event
@@ -267,7 +267,7 @@
 		{"what two allow, too late", []history.Event{stands(2, "g0", 2, "bb"), decided(2.1, "g0", 2), stands(2.5, "g0", 3, "cc"), decided(2.6, "g0", 3), both}, "after g0 decided by 3"},
 		{"two policies of one number", []history.Event{stands(2, "g0", 2, "bb"), stands(2.1, "g1", 2, "cc")}, "number 2 is cc here, and bb elsewhere"},
 		{"without a word", []history.Event{decided(2.1, "g0", 2)}, "without a word that it goes by it"},
-		{"by none", []history.Event{stands(2, "g0", 2, "bb"), decided(2.1, "g0", 2), event(3, "g1", history.Event{What: history.Decided, Code: "taken", Number: -1})}, ""},
+		{"by none", []history.Event{stands(2, "g0", 2, "bb"), decided(2.1, "g0", 2), event(3, "g1", history.Event{Kind: history.RequestDecided, Code: "taken", Number: -1})}, ""},
 	} {
 		_, out := CheckPolicies(append(append([]history.Event{}, base...), c.more...))
 		if got := strings.Join(out, "; "); (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
@@ -282,7 +282,7 @@
 	run := func(seconds float64, lane string, by int) fake.Run {
 		return fake.Run{At: began.Add(time.Duration(seconds * float64(time.Second))), Lane: lane, By: by}
 	}
-	limits := readTotals([]history.Event{{What: history.Total, Code: "loads threads", Number: 2, Of: 1, Process: "g0"}}, []string{"g0"}, time.Second)
+	limits := readTotals([]history.Event{{Kind: history.TotalChanged, Code: "loads threads", Number: 2, Of: 1, Process: "g0"}}, []string{"g0"}, time.Second)
 	s := &Scenario{Whole: installation.Whole{Threads: 2}}
 	runs := []fake.Run{run(1, "load", 1), run(1.1, "look", 1), run(1.2, "load", 1), run(1.3, "load", -1), run(1.4, "load", 1)}
 	if out := CheckEngines(s, runs, began, 0, limits); out != nil {
--- a/internal/testbed/faulttest/settle.go
+++ b/internal/testbed/faulttest/settle.go
@@ -30,7 +30,7 @@
 	for by := time.Now().Add(p.s.Term + p.s.Term/4 + within); time.Now().Before(by) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
 		all := true
 		for _, g := range p.site.Gateways {
-			if s, err := agent.Ask(g.Control); !p.down[g.Label()] && (err != nil || len(s.Budgets) == 0 || s.Budgets[0].Seat < 0) {
+			if s, err := agent.FetchStatus(g.Control); !p.down[g.Label()] && (err != nil || len(s.Budgets) == 0 || s.Budgets[0].ShareSeconds < 0) {
 				all = false
 			}
 		}
@@ -55,11 +55,11 @@
 		if down {
 			continue
 		}
-		s, err := agent.Ask(g.Control)
+		s, err := agent.FetchStatus(g.Control)
 		if err != nil {
 			return g.Label() + " doesn't answer: " + err.Error()
 		}
-		if !s.Quiet {
+		if !s.Displaced {
 			all = append(all, one{g.Label(), s})
 		}
 	}
--- a/internal/testbed/faulttest/ways.go
+++ b/internal/testbed/faulttest/ways.go
@@ -94,13 +94,13 @@
 	}
 	for i := range r.Events {
 		e := &r.Events[i]
-		if !strings.HasSuffix(e.Code, " threads") || e.What != history.Took && e.What != history.Done {
+		if !strings.HasSuffix(e.Code, " threads") || e.Kind != history.BudgetUsed && e.Kind != history.BudgetReleased {
 			continue
 		}
 		flush(e.At)
 		label := of[process{e.Process, e.Start}]
-		if e.What == history.Took {
-			open = append(open, taken{label, e.At + e.Until})
+		if e.Kind == history.BudgetUsed {
+			open = append(open, taken{label, e.At + e.ValidNanos})
 		} else if k := slices.IndexFunc(open, func(t taken) bool { return t.label == label }); k >= 0 {
 			open = slices.Delete(open, k, k+1)
 		}
--- a/internal/workload/desk.go
+++ b/internal/workload/desk.go
@@ -95,8 +95,8 @@
 func (d *Desk) Open(now admission.Time, class int, threads float64) bool {
 	d.now = now
 	if d.law != nil {
-		v := d.law.Ruling()
-		by := v.By(now)
+		v := d.law.ActivePolicy()
+		by := v.BasisAt(now)
 		if by == 0 || !d.follow(now, v, by) {
 			return false
 		}
@@ -129,8 +129,8 @@
 	}
 	d.now = now
 	if d.law != nil {
-		v := d.law.Ruling()
-		if by := v.By(now); by != 0 {
+		v := d.law.ActivePolicy()
+		if by := v.BasisAt(now); by != 0 {
 			d.follow(now, v, by)
 		}
 		d.rehearse(now, v)
@@ -233,13 +233,13 @@
 
 // Pass tells whether a hand-off may be written that was decided by some number of the fleet's policies.
 func (d *Desk) Pass(by uint64, task admission.RequestID) bool {
-	return d.law == nil || d.law.Pass(by, task)
+	return d.law == nil || d.law.TryBeginWrite(by, task)
 }
 
 // Passed takes in that it is written.
 func (d *Desk) Passed(by uint64, task admission.RequestID) {
 	if d.law != nil {
-		d.law.Passed(by, task)
+		d.law.EndWrite(by, task)
 	}
 }
 
@@ -255,7 +255,7 @@
 	entry   int // of the plan's classes, from 1; 0: none
 
 	// Where the fleet decides.
-	ruling  *agent.Ruling
+	ruling  *agent.ActivePolicy
 	second  int  // of the policy that may be gone by besides
 	tried   int  // of the one that is rehearsed
 	touched bool // some policy that was heard of has a class for it
@@ -266,7 +266,7 @@
 	r.sight = r.d.book.Inspect(sql, tables, lane)
 	r.subject = resourcegroup.Subject{Lane: r.d.lanes[lane], Features: r.sight.Features(), Estimate: r.d.book.Estimate(&r.sight)}
 	if r.d.law != nil {
-		r.look(r.d.law.Ruling())
+		r.look(r.d.law.ActivePolicy())
 		return
 	}
 	r.plan = r.d.plan.Load()
--- a/internal/workload/law.go
+++ b/internal/workload/law.go
@@ -40,11 +40,11 @@
 
 // Law is what the fleet has decided, as far as this gateway may go by it.
 type Law interface {
-	Ruling() *agent.Ruling
-	Pass(by uint64, task admission.RequestID) bool
-	Passed(by uint64, task admission.RequestID)
-	Decided(what string, by uint64, task admission.RequestID, asOf int64)
-	AsOf() int64
+	ActivePolicy() *agent.ActivePolicy
+	TryBeginWrite(by uint64, task admission.RequestID) bool
+	EndWrite(by uint64, task admission.RequestID)
+	RecordDecision(what string, by uint64, task admission.RequestID, asOf int64)
+	HistoryNow() int64
 }
 
 // ruled is the desk's part in going by what the fleet decides. It is the owner's, but for what other goroutines read.
@@ -73,8 +73,8 @@
 	d.told.Store(&rollout.Count{})
 }
 
-// Read reads a policy for this gateway's site.
-func (d *Desk) Read(text []byte) (agent.Policy, error) {
+// ReadPolicy reads a policy for this gateway's site.
+func (d *Desk) ReadPolicy(text []byte) (agent.Policy, error) {
 	p, err := d.parse(text)
 	if err != nil {
 		return nil, err
@@ -86,8 +86,8 @@
 	return p, nil
 }
 
-// Counted is what became of tasks since the policy, or a rehearsal, began here.
-func (d *Desk) Counted() rollout.Count { return *d.told.Load() }
+// RequestCounts is what became of tasks since the policy, or a rehearsal, began here.
+func (d *Desk) RequestCounts() rollout.Count { return *d.told.Load() }
 
 // nothing is the policy that there is before any.
 var nothing = func() *Policy {
@@ -104,30 +104,30 @@
 }
 
 // look classes a statement by all policies that matter now.
-func (r *Reader) look(v *agent.Ruling) {
+func (r *Reader) look(v *agent.ActivePolicy) {
 	r.ruling = v
-	r.entry, r.second, r.tried, r.touched = policyOf(v.Policy).Plan.Find(&r.subject), 0, 0, false
-	if v.Other != nil {
-		r.second = policyOf(v.Other).Plan.Find(&r.subject)
+	r.entry, r.second, r.tried, r.touched = policyOf(v.Current).Plan.Find(&r.subject), 0, 0, false
+	if v.Proposed != nil {
+		r.second = policyOf(v.Proposed).Plan.Find(&r.subject)
 	}
-	if v.Trial != nil {
-		r.tried = policyOf(v.Trial).Plan.Find(&r.subject)
+	if v.Rehearsed != nil {
+		r.tried = policyOf(v.Rehearsed).Plan.Find(&r.subject)
 	}
-	for _, k := range v.Known {
+	for _, k := range v.Parsed {
 		r.touched = r.touched || policyOf(k).Plan.Find(&r.subject) > 0
 	}
 }
 
 // same tells whether two rulings are of the same policies.
-func same(a, b *agent.Ruling) bool {
-	return a == b || a != nil && b != nil && a.Policy == b.Policy && a.Other == b.Other && a.Trial == b.Trial && slices.Equal(a.Known, b.Known)
+func same(a, b *agent.ActivePolicy) bool {
+	return a == b || a != nil && b != nil && a.Current == b.Current && a.Proposed == b.Proposed && a.Rehearsed == b.Rehearsed && slices.Equal(a.Parsed, b.Parsed)
 }
 
 // follow has the limits be those of what is gone by; false: they can't be.
-func (d *Desk) follow(now admission.Time, v *agent.Ruling, by uint64) bool {
-	p, with := policyOf(v.Policy), (*Policy)(nil)
-	if agent.Both(by) {
-		with = policyOf(v.Other)
+func (d *Desk) follow(now admission.Time, v *agent.ActivePolicy, by uint64) bool {
+	p, with := policyOf(v.Current), (*Policy)(nil)
+	if agent.CoversBoth(by) {
+		with = policyOf(v.Proposed)
 	}
 	if d.begun && d.policy == p && d.with == with && d.number == v.Number {
 		return true
@@ -149,12 +149,12 @@
 }
 
 // rehearse keeps a second desk beside the one in force while a policy is tried.
-func (d *Desk) rehearse(now admission.Time, v *agent.Ruling) {
-	if v.Trial == nil {
+func (d *Desk) rehearse(now admission.Time, v *agent.ActivePolicy) {
+	if v.Rehearsed == nil {
 		d.shadow, d.trial, d.tries = nil, 0, nil
 		return
 	}
-	if p := policyOf(v.Trial); d.trial != v.Standing.Trial || d.tries != p {
+	if p := policyOf(v.Rehearsed); d.trial != v.Standing.Trial || d.tries != p {
 		s, err := d.route.Shadow(now, &p.Plan, d.gateways)
 		if err != nil {
 			return // it was looked at before
@@ -168,25 +168,25 @@
 
 // arrivedBy rules on a task by what the fleet has decided.
 func (d *Desk) arrivedBy(now admission.Time, k *Reader) (f admission.Foreseen, crowded bool, refuse string) {
-	asOf := d.law.AsOf()
-	v := d.law.Ruling()
-	by := v.By(now)
+	asOf := d.law.HistoryNow()
+	v := d.law.ActivePolicy()
+	by := v.BasisAt(now)
 	if !same(v, k.ruling) {
 		k.look(v)
 	}
-	plan := &policyOf(v.Policy).Plan
+	plan := &policyOf(v.Current).Plan
 	unsure := by == 0 && (k.touched || !v.Heard)
-	if agent.Both(by) {
-		unsure = classOf(plan, k.entry) != classOf(&policyOf(v.Other).Plan, k.second)
+	if agent.CoversBoth(by) {
+		unsure = classOf(plan, k.entry) != classOf(&policyOf(v.Proposed).Plan, k.second)
 	}
 	if unsure || by != 0 && !d.follow(now, v, by) {
 		d.Unsure++
-		d.law.Decided("unsure", 0, "", asOf)
+		d.law.RecordDecision("unsure", 0, "", asOf)
 		return f, true, ""
 	}
 	f = k.foreseen()
 	if by == 0 {
-		d.law.Decided("taken", 0, "", asOf) // no class of any policy has to do with it
+		d.law.RecordDecision("taken", 0, "", asOf) // no class of any policy has to do with it
 		return f, false, ""
 	}
 	d.rehearse(now, v)
@@ -226,13 +226,13 @@
 	}
 	switch ruling {
 	case resourcegroup.Refused:
-		d.law.Decided("refused", by, "", asOf)
+		d.law.RecordDecision("refused", by, "", asOf)
 		return f, false, "class " + plan.Classes[k.entry-1].Name + ": " + text
 	case resourcegroup.Crowded:
-		d.law.Decided("crowded", by, "", asOf)
+		d.law.RecordDecision("crowded", by, "", asOf)
 		return f, true, ""
 	}
-	d.law.Decided("taken", by, "", asOf)
+	d.law.RecordDecision("taken", by, "", asOf)
 	f.PolicyClass = number
 	return f, false, ""
 }
--- a/internal/workload/law_test.go
+++ b/internal/workload/law_test.go
@@ -17,19 +17,21 @@
 )
 
 // court stands for the fleet: what it has decided is set by hand.
-type court struct{ ruling *agent.Ruling }
+type court struct{ ruling *agent.ActivePolicy }
 
-func (c *court) Ruling() *agent.Ruling                              { return c.ruling }
-func (c *court) Pass(by uint64, _ admission.RequestID) bool         { return by == c.ruling.By(0) }
-func (c *court) Passed(uint64, admission.RequestID)                 {}
-func (c *court) Decided(string, uint64, admission.RequestID, int64) {}
-func (c *court) AsOf() int64                                        { return 0 }
-func (c *court) hold(number uint64, p agent.Policy)                 { c.ruling = held(number, p) }
+func (c *court) ActivePolicy() *agent.ActivePolicy { return c.ruling }
+func (c *court) TryBeginWrite(by uint64, _ admission.RequestID) bool {
+	return by == c.ruling.BasisAt(0)
+}
+func (c *court) EndWrite(uint64, admission.RequestID)                      {}
+func (c *court) RecordDecision(string, uint64, admission.RequestID, int64) {}
+func (c *court) HistoryNow() int64                                         { return 0 }
+func (c *court) hold(number uint64, p agent.Policy)                        { c.ruling = held(number, p) }
 
-func held(number uint64, p agent.Policy) *agent.Ruling {
-	r := &agent.Ruling{Standing: rollout.Standing{Number: number, Until: 1 << 50, Heard: true}, Policy: p}
+func held(number uint64, p agent.Policy) *agent.ActivePolicy {
+	r := &agent.ActivePolicy{Standing: rollout.Standing{Number: number, Until: 1 << 50, Heard: true}, Current: p}
 	if p != nil {
-		r.Known = []agent.Policy{p}
+		r.Parsed = []agent.Policy{p}
 	}
 	return r
 }
@@ -57,7 +59,7 @@
 			p.Plan.Classes = append(p.Plan.Classes, class)
 		}
 		texts[classes] = p
-		read, err := d.Read([]byte(classes))
+		read, err := d.ReadPolicy([]byte(classes))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -89,10 +91,10 @@
 				} else {
 					charged, by := d.Sent(f, 2)
 					fmt.Fprintf(&out, ", goes by %d", by&^(1<<63))
-					if c.Pass(by, "") {
+					if c.TryBeginWrite(by, "") {
 						fmt.Fprint(&out, ", is written")
 					}
-					if agent.Both(by) {
+					if agent.CoversBoth(by) {
 						fmt.Fprint(&out, " by both")
 					}
 					d.Back(f, 2, charged, 0, false)
@@ -110,13 +112,13 @@
 	try("no policy")
 	c.hold(1, one)
 	try("the first")
-	c.ruling.Known = append(c.ruling.Known, two)
+	c.ruling.Parsed = append(c.ruling.Parsed, two)
 	try("the second is proposed")
 	c.ruling.Until = 0
 	try("the lease is over")
-	c.ruling.Other, c.ruling.BothUntil = two, 1<<50
+	c.ruling.Proposed, c.ruling.BothUntil = two, 1<<50
 	try("what both allow")
-	c.ruling.Other = three
+	c.ruling.Proposed = three
 	try("what the first and the third allow")
 	c.hold(2, two)
 	try("the second")
@@ -173,7 +175,7 @@
 func TestTrial(t *testing.T) {
 	d, c, policy := judged(t)
 	c.hold(1, policy("loads:load:4"))
-	c.ruling.Trial, c.ruling.Standing.Trial = policy("loads:load:2 looks:look:refuse"), 7
+	c.ruling.Rehearsed, c.ruling.Standing.Trial = policy("loads:load:2 looks:look:refuse"), 7
 	reader := d.Reader().(*Reader)
 	var out []admission.Foreseen
 	for n := range 4 {
@@ -189,15 +191,15 @@
 		out = append(out, f)
 	}
 	d.Due(30)
-	if got := d.Counted(); got != (rollout.Count{Of: 7, Tasks: 4, Classed: 4, Refused: 2, Held: 1}) {
+	if got := d.RequestCounts(); got != (rollout.Count{Of: 7, Tasks: 4, Classed: 4, Refused: 2, Held: 1}) {
 		t.Errorf("%+v", got)
 	}
-	c.ruling = held(1, c.ruling.Policy)
+	c.ruling = held(1, c.ruling.Current)
 	for _, f := range out { // of a rehearsal that is over
 		d.Back(f, 2, 0, 0, false)
 	}
 	d.Due(40)
-	if got := d.Counted(); got.Of != 1 || got.Tasks != 4 || got.Refused+got.Held > 0 {
+	if got := d.RequestCounts(); got.Of != 1 || got.Tasks != 4 || got.Refused+got.Held > 0 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -210,7 +212,7 @@
 			c.hold(1, policy("loads:load:4"))
 			if by == "file" {
 				d.law = nil
-				plan := &c.ruling.Policy.(*Policy).Plan
+				plan := &c.ruling.Current.(*Policy).Plan
 				d.plan.Store(plan)
 				if err := d.route.Renew(0, plan); err != nil {
 					b.Fatal(err)
--- a/internal/workload/operator.go
+++ b/internal/workload/operator.go
@@ -15,9 +15,9 @@
 
 // File is what the operator asks for.
 type File struct {
-	Statements *Statements // nil: statements are not looked at
-	Fleet      *agent.Plan // nil: this gateway speaks to no other
-	Proposed   bool        // it has classes or pools that are gone by only once the fleet has decided so
+	Statements *Statements   // nil: statements are not looked at
+	Fleet      *agent.Config // nil: this gateway speaks to no other
+	Proposed   bool          // it has classes or pools that are gone by only once the fleet has decided so
 }
 
 // Statements has statements estimated before they are handed to the decisions.
--- a/internal/workload/source/source.go
+++ b/internal/workload/source/source.go
@@ -64,11 +64,11 @@
 	if l := o.Object("fleet"); l != nil {
 		f.Fleet = members(l)
 		if k := l.Object("budgets"); k != nil {
-			b := &agent.Budgets{Keepers: k.Texts("keepers"), Term: k.Duration("term", usualTerm), Number: uint64(k.Int("number", 1, 1, 1<<30)), Folder: k.Text("folder", "")}
-			if n := len(b.Keepers); n != 1 && n != 3 && n != 5 {
+			b := &agent.QuotaConfig{Voters: k.Texts("keepers"), ShareTerm: k.Duration("term", usualTerm), Number: uint64(k.Int("number", 1, 1, 1<<30)), Folder: k.Text("folder", "")}
+			if n := len(b.Voters); n != 1 && n != 3 && n != 5 {
 				k.Reject("keepers", "the names of 1, 3 or 5 gateways")
 			}
-			if b.Term < time.Second || b.Term > time.Hour {
+			if b.ShareTerm < time.Second || b.ShareTerm > time.Hour {
 				k.Reject("term", `a time from "1s" to "1h"`)
 			}
 			if k.HasField("number") && f.Fleet.Policy != nil {
@@ -76,10 +76,10 @@
 			} else if f.Fleet.Policy != nil {
 				b.Number = 0
 			}
-			if b.Cold = k.Bool("cold", false); b.Cold {
-				b.Names, b.Totals = agent.ColdBudgets()
+			if b.SlowStart = k.Bool("cold", false); b.SlowStart {
+				b.Names, b.Totals = agent.SlowStartBudgets()
 			}
-			f.Fleet.Budgets = b
+			f.Fleet.Quota = b
 		}
 	}
 	if p := o.Object("policy"); p != nil && (f.Fleet == nil || f.Fleet.Policy == nil) {
@@ -97,15 +97,15 @@
 			if !c.Fleet {
 				continue
 			}
-			if f.Fleet == nil || f.Fleet.Budgets == nil {
+			if f.Fleet == nil || f.Fleet.Quota == nil {
 				o.RejectError(fmt.Errorf("statements.classes[%d].fleet: expected fleet.budgets in the file, by which gateways share it, found nothing", i))
 				continue
 			}
 			names, totals := c.BudgetNames()
 			for k, total := range totals {
 				if total > 0 {
-					f.Fleet.Budgets.Names = append(f.Fleet.Budgets.Names, names[k])
-					f.Fleet.Budgets.Totals = append(f.Fleet.Budgets.Totals, total)
+					f.Fleet.Quota.Names = append(f.Fleet.Quota.Names, names[k])
+					f.Fleet.Quota.Totals = append(f.Fleet.Quota.Totals, total)
 				}
 			}
 		}
@@ -127,10 +127,10 @@
 const usualTerm = time.Minute
 
 // members reads how the gateways of a fleet reach each other.
-func members(l *configfile.Object) *agent.Plan {
-	p := &agent.Plan{Listen: l.RequiredText("listen"), Advertise: l.Text("advertise", ""), Seeds: l.Texts("seeds"), Key: l.RequiredText("key"),
-		Rate: l.Size("bytes_per_second", usualRate), Control: l.Text("control", ""), History: l.Text("history", ""),
-		Sharing: l.Bool("judgements", true), Counts: l.Bool("counts", false)}
+func members(l *configfile.Object) *agent.Config {
+	p := &agent.Config{Listen: l.RequiredText("listen"), Advertise: l.Text("advertise", ""), Seeds: l.Texts("seeds"), Key: l.RequiredText("key"),
+		BytesPerSecond: l.Size("bytes_per_second", usualRate), ControlSocket: l.Text("control", ""), HistoryFile: l.Text("history", ""),
+		ShareHealth: l.Bool("judgements", true), ShareCounters: l.Bool("counts", false)}
 	if _, err := netip.ParseAddrPort(p.Listen); p.Listen != "" && err != nil {
 		l.Reject("listen", `an address and port, as in "10.0.0.3:7100"`)
 	}
@@ -147,18 +147,18 @@
 		}
 	}
 	if k := l.Object("policy"); k != nil {
-		p.Policy = &agent.PolicyPlan{Voters: k.Texts("voters"), Folder: k.Text("folder", ""), Lease: k.Duration("lease", usualLease), Within: k.Duration("within", usualWithin)}
+		p.Policy = &agent.PolicyConfig{Voters: k.Texts("voters"), Folder: k.Text("folder", ""), LeaseDuration: k.Duration("lease", usualLease), ProposalTimeout: k.Duration("within", usualWithin)}
 		if n := len(p.Policy.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
 			k.Reject("voters", "the names of 3, 5 or 7 gateways, or of one")
 		}
-		if d := p.Policy.Lease; d < time.Second || d > time.Minute {
+		if d := p.Policy.LeaseDuration; d < time.Second || d > time.Minute {
 			k.Reject("lease", `a time from "1s" to "1m"`)
 		}
-		if d := p.Policy.Within; d < time.Second || d > time.Minute {
+		if d := p.Policy.ProposalTimeout; d < time.Second || d > time.Minute {
 			k.Reject("within", `a time from "1s" to "1m"`)
 		}
 	}
-	if p.Rate < 1<<10 || p.Rate > 1<<30 {
+	if p.BytesPerSecond < 1<<10 || p.BytesPerSecond > 1<<30 {
 		l.Reject("bytes_per_second", `a size from "1kB" to "1GB"`)
 	}
 	return p
--- a/internal/workload/source/source_test.go
+++ b/internal/workload/source/source_test.go
@@ -83,5 +83,5 @@
 	// operator.jsonnet:1: fleet.budgets.term: expected a time from "1s" to "1h", found "1ms"
 	// operator.jsonnet:2: statements.classes[0].threads: expected a whole number of threads, where they are the fleet's, found 1.5
 	// operator.jsonnet:1: statements.classes[0].fleet: expected fleet.budgets in the file, by which gateways share it, found nothing
-	// {Listen:0.0.0.0:7100 Advertise:10.0.0.3:7100 Seeds:[10.0.0.1:7100] Key:/etc/fleet.key Rate:204800 Control: History: Sharing:true Counts:false Budgets:<nil> Policy:<nil>}
+	// {Listen:0.0.0.0:7100 Advertise:10.0.0.3:7100 Seeds:[10.0.0.1:7100] Key:/etc/fleet.key BytesPerSecond:204800 ControlSocket: HistoryFile: ShareHealth:true ShareCounters:false Quota:<nil> Policy:<nil>}
 }
