--- a/cmd/magpiebank-operator/digest.go
+++ b/cmd/magpiebank-operator/digest.go
@@ -44,7 +44,7 @@
 			if len(entries) == 0 {
 				return fmt.Errorf("%s: expected statements, found none", args[0])
 			}
-			d := digest.Summarize(entries, most, s.Known(), costs)
+			d := digest.Summarize(entries, most, s.TableLookup(), costs)
 			if page != "" {
 				f, err := os.Create(page)
 				if err != nil {
--- a/cmd/magpiebank-operator/explain.go
+++ b/cmd/magpiebank-operator/explain.go
@@ -25,7 +25,7 @@
 
 // statements reads what an operator's file says of statements; no file says nothing.
 func statements(file string) (*workload.Statements, error) {
-	s := &workload.Statements{Memory: 1 << 20}
+	s := &workload.Statements{MemoryBytes: 1 << 20}
 	if file == "" {
 		return s, nil
 	}
@@ -76,13 +76,13 @@
 				return nil
 			}
 			s := f.Statements
-			fmt.Fprintf(out, "statements: %d kB, %d tables, %d pools, %d classes; a line every %v; snapshot %q\n", s.Memory>>10, len(s.Tables),
-				len(s.Plan.Pools), len(s.Plan.Classes), s.LogEvery, s.Snapshot)
+			fmt.Fprintf(out, "statements: %d kB, %d tables, %d pools, %d classes; a line every %v; snapshot %q\n", s.MemoryBytes>>10, len(s.Tables),
+				len(s.Plan.Pools), len(s.Plan.Classes), s.LogInterval, s.SnapshotFile)
 			for i, k := range s.Plan.Classes {
-				fmt.Fprintf(out, "%d. class %s: pool %q, %g threads, %d waiting, %g ms of work a second\n", i+1, k.Name, k.Pool, k.Threads,
-					k.Waiting, k.Work)
-				if k.Refuse != "" {
-					fmt.Fprintf(out, "   never sent: %s\n", k.Refuse)
+				fmt.Fprintf(out, "%d. class %s: pool %q, %g threads, %d waiting, %g ms of work a second\n", i+1, k.Name, k.Pool, k.MaxThreads,
+					k.MaxWaiting, k.WorkMillisPerSecond)
+				if k.RejectText != "" {
+					fmt.Fprintf(out, "   never sent: %s\n", k.RejectText)
 				}
 			}
 			return nil
@@ -97,9 +97,9 @@
 		sql = request.Statement
 	}
 	lanes := []string{lane}
-	b := s.Book(len(lanes))
-	if s.Snapshot != "" {
-		known, err := workload.ReadSnapshot(s.Snapshot)
+	b := s.NewCostModel(len(lanes))
+	if s.SnapshotFile != "" {
+		known, err := workload.ReadSnapshot(s.SnapshotFile)
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
@@ -165,17 +165,17 @@
 	if e.Uncertain {
 		fmt.Fprintln(out, "doubt      a load ended on its tables, or its cost moved: the upper figure is doubled")
 	}
-	subject := resourcegroup.Subject{Lane: lane, Features: f, Estimate: e}
-	n = s.Plan.Find(&subject)
+	subject := resourcegroup.Subject{RequestClass: lane, Features: f, Estimate: e}
+	n = s.Plan.Classify(&subject)
 	if n == 0 {
 		fmt.Fprintln(out, "class      none: no limits, all engines")
 		return nil
 	}
 	k := s.Plan.Classes[n-1]
-	fmt.Fprintf(out, "class      %s, the %d. of the file: pool %q, %g threads, %d waiting, %g ms of work a second\n", k.Name, n, k.Pool, k.Threads,
-		k.Waiting, k.Work)
-	if k.Refuse != "" {
-		fmt.Fprintf(out, "never sent: error %d, %s\n", mysql.ErrForbidden, k.Refuse)
+	fmt.Fprintf(out, "class      %s, the %d. of the file: pool %q, %g threads, %d waiting, %g ms of work a second\n", k.Name, n, k.Pool, k.MaxThreads,
+		k.MaxWaiting, k.WorkMillisPerSecond)
+	if k.RejectText != "" {
+		fmt.Fprintf(out, "never sent: error %d, %s\n", mysql.ErrForbidden, k.RejectText)
 	}
 	return nil
 }
--- a/cmd/magpiebank-operator/main.go
+++ b/cmd/magpiebank-operator/main.go
@@ -28,8 +28,8 @@
 	file  string
 	plan  *agent.Config
 	log   *slog.Logger
-	desk  *workload.Desk // nil: the file has no statements
-	fleet *agent.Agent   // nil: it has no fleet, or the site allows no messages
+	desk  *workload.Manager // nil: the file has no statements
+	fleet *agent.Agent      // nil: it has no fleet, or the site allows no messages
 }
 
 // read reads an operator's file for a gateway.
@@ -43,7 +43,7 @@
 		return nil, fmt.Errorf("%s: statements: expected what is to be known of statements, or a fleet, found nothing", file)
 	}
 	if f.Statements != nil {
-		if r.desk, err = workload.NewDesk(f.Statements, start, log); err != nil {
+		if r.desk, err = workload.NewManager(f.Statements, start, log); err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 	}
@@ -60,7 +60,7 @@
 		}
 	}
 	if budgets && r.desk != nil {
-		r.desk.Share(r.fleet)
+		r.desk.UseQuota(r.fleet)
 	}
 	if f.Fleet != nil && f.Fleet.Policy != nil {
 		switch {
@@ -69,9 +69,9 @@
 		case r.fleet == nil:
 			return nil, fmt.Errorf("%s: fleet.policy: what the fleet decides needs messages between gateways, which the site's settings[limits peerMessages] don't allow", file)
 		}
-		r.desk.Obey(r.fleet, source.ParsePolicy, start.Site.Gateways)
+		r.desk.FollowFleetPolicy(r.fleet, source.ParsePolicy, start.Site.Gateways)
 		r.fleet.SetPolicyReader(r.desk)
-		if f.Proposed {
+		if f.PolicyProposed {
 			log.Info("operator's file", "code", "by_policy", "error", "its pools and classes are gone by once they were proposed: magpiebank policy propose "+file)
 		}
 	}
@@ -107,7 +107,7 @@
 		}
 		return nil
 	}
-	r.desk.Renew(f.Statements)
+	r.desk.ReplaceFile(f.Statements)
 	return nil
 }
 
@@ -128,6 +128,6 @@
 // Save keeps what was learned of statements.
 func (r *rules) Save() {
 	if r.desk != nil {
-		r.desk.Save()
+		r.desk.SaveSnapshot()
 	}
 }
--- a/cmd/magpiebank-operator/policy.go
+++ b/cmd/magpiebank-operator/policy.go
@@ -74,7 +74,7 @@
 func ended(out io.Writer, file string, r *agent.ProposalResult) error {
 	why := r.Reason
 	if who, what, ok := strings.Cut(r.Reason, ": "); ok && file != "" && strings.HasPrefix(what, "statements") || strings.HasPrefix(what, "policy") {
-		why = who + ": " + source.Place(file, what)
+		why = who + ": " + source.LocateError(file, what)
 	}
 	switch r.Outcome {
 	case "decided":
@@ -133,7 +133,7 @@
 	var length time.Duration
 	c := &cobra.Command{Use: use + " FILE", Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			text, err := source.Policy(args[0])
+			text, err := source.ExtractPolicy(args[0])
 			if err != nil {
 				return err
 			}
@@ -235,7 +235,7 @@
 			return nil, err
 		}
 		text = answer.Text
-	} else if text, err = source.Policy(what); err != nil {
+	} else if text, err = source.ExtractPolicy(what); err != nil {
 		return nil, err
 	}
 	if len(text) == 0 {
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -50,19 +50,19 @@
 		return nil, nil, fmt.Errorf("flag state-mb: expected at least %d, found %d", leastState, megabytes)
 	}
 	began := time.Now()
-	disk, err := store.Disk(folder)
+	disk, err := store.CreateFolder(folder)
 	if err != nil {
 		return nil, nil, fmt.Errorf("state: %w", err)
 	}
-	var lanes []requestjournal.Lane
+	var lanes []requestjournal.Class
 	for i, l := range start.Site.Classes {
-		lanes = append(lanes, requestjournal.Lane{Effect: l.Effect, Remember: l.DedupWindow, Longest: admission.Time(start.Network.Longest[i] / tenth)})
+		lanes = append(lanes, requestjournal.Class{Effect: l.Effect, DedupWindow: l.DedupWindow, LongestWait: admission.Time(start.Network.Longest[i] / tenth)})
 	}
 	var behind stateLog
 	book := requestjournal.New(&behind, lanes, int(megabytes)*tasksPerMB)
 	var bad error
 	memories := memoryParts{}
-	s, found, err := store.Open(faultdisk.Folder(disk), start.Name, store.Limits{Most: megabytes << 20}, func(k store.Key, b []byte, gone bool) {
+	s, found, err := store.Open(faultdisk.WrapFolder(disk), start.Name, store.Limits{MaxBytes: megabytes << 20}, func(k store.Key, b []byte, gone bool) {
 		if n, ok := memoryPart(k); ok {
 			memories[n] = append([]byte(nil), b...)
 			return
@@ -84,7 +84,7 @@
 	}
 	book.Recover(admission.Time(time.Now().UnixNano() / int64(tenth)))
 	log.Info("state", "code", "recovered", "folder", folder, "fresh", found.Fresh, "segments", found.Segments, "records", found.Records,
-		"tasks", book.Len(), "open", book.Counts.Recovered, "may_have_run", book.Counts.Doubtful, "cut_bytes", found.Cut, "warm", memory != nil, "took", time.Since(began))
+		"tasks", book.Len(), "open", book.Counts.Recovered, "may_have_run", book.Counts.Uncertain, "cut_bytes", found.TornBytes, "warm", memory != nil, "took", time.Since(began))
 	return &router.Keeping{Ledger: book, Failed: s.Err, Memory: memory, Remember: func(b []byte) { remember(s, b) }}, func() error {
 		if err := s.Close(); err != nil {
 			return fmt.Errorf("state: %s: %w", folder, err)
@@ -142,8 +142,8 @@
 }
 
 // look reads a folder without changing it.
-func look(folder string, told func(k store.Key, b []byte, gone bool)) (*store.Look, error) {
-	disk, err := store.Existing(folder)
+func look(folder string, told func(k store.Key, b []byte, gone bool)) (*store.Inspection, error) {
+	disk, err := store.OpenFolder(folder)
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 				}
 			})
 			if err = errors.Join(err, bad); err == nil {
-				fmt.Fprintf(out, "sound: %d records, %d bytes torn at the end\n", l.Records, l.Torn)
+				fmt.Fprintf(out, "sound: %d records, %d bytes torn at the end\n", l.Records, l.TornBytes)
 			}
 			return err
 		}}
@@ -181,7 +181,7 @@
 	repair := &cobra.Command{Use: "repair FOLDER", Short: "Say what a damaged folder must lose to be read again, and with --drop lose it",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			disk, err := store.Existing(args[0])
+			disk, err := store.OpenFolder(args[0])
 			if err != nil {
 				return err
 			}
@@ -219,21 +219,21 @@
 	if l == nil {
 		return err
 	}
-	fmt.Fprintf(out, "gateway %q, store %x, closed in order %t\n", l.Owner, l.Store, l.Closed)
+	fmt.Fprintf(out, "gateway %q, store %x, closed in order %t\n", l.Owner, l.StoreID, l.ClosedCleanly)
 	for _, g := range l.Segments {
-		fmt.Fprintf(out, "%s  %d bytes, %d records from %d on\n", g.Name, g.Size, g.Records, g.First)
+		fmt.Fprintf(out, "%s  %d bytes, %d records from %d on\n", g.Name, g.Bytes, g.Records, g.FirstSequence)
 	}
 	counts := map[requestjournal.Outcome]int{}
 	doubt := 0
 	for _, e := range tasks {
-		if counts[e.Outcome]++; e.Outcome == requestjournal.Open && (e.Out || e.MayRan) {
+		if counts[e.Outcome]++; e.Outcome == requestjournal.Pending && (e.InFlight || e.MayHaveRun) {
 			doubt++
 		}
 	}
 	fmt.Fprintf(out, "%d tasks: %d open, of which %d may have run; %d delivered, %d nacked, %d written off, %d left\n", len(tasks),
-		counts[requestjournal.Open], doubt, counts[requestjournal.Delivered], counts[requestjournal.Nacked], counts[requestjournal.WrittenOff], counts[requestjournal.Left])
-	if l.Torn > 0 {
-		fmt.Fprintf(out, "%d bytes at the end are torn, as a crash leaves them; the next start cuts them\n", l.Torn)
+		counts[requestjournal.Pending], doubt, counts[requestjournal.Served], counts[requestjournal.Rejected], counts[requestjournal.Failed], counts[requestjournal.Abandoned])
+	if l.TornBytes > 0 {
+		fmt.Fprintf(out, "%d bytes at the end are torn, as a crash leaves them; the next start cuts them\n", l.TornBytes)
 	}
 	return err
 }
@@ -255,9 +255,9 @@
 	at := func(t admission.Time) string {
 		return time.Unix(0, int64(t)*int64(tenth)).UTC().Format(time.RFC3339Nano)
 	}
-	fmt.Fprintf(out, "%s lane %d taken %s tries %d out %t may have run %t %s", k[:], e.Lane, at(e.Taken), e.Tries, e.Out, e.MayRan, e.Outcome)
-	if e.Over > 0 {
-		fmt.Fprintf(out, " at %s", at(e.Over))
+	fmt.Fprintf(out, "%s lane %d taken %s tries %d out %t may have run %t %s", k[:], e.Class, at(e.AcceptedAt), e.Attempts, e.InFlight, e.MayHaveRun, e.Outcome)
+	if e.AnsweredAt > 0 {
+		fmt.Fprintf(out, " at %s", at(e.AnsweredAt))
 	}
 	fmt.Fprintln(out)
 }
--- a/internal/cluster/agent/policy.go
+++ b/internal/cluster/agent/policy.go
@@ -86,14 +86,14 @@
 	plan.Plant(planted())
 	var kept *rollout.Kept
 	if p.plan.Folder != "" {
-		disk, err := store.Disk(p.plan.Folder)
+		disk, err := store.CreateFolder(p.plan.Folder)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.policy.folder: %w", err)
 		}
 		kept = &rollout.Kept{}
 		// The last sixteen policies of a megabyte each, as many again while they are rewritten, and the log.
-		limits := store.Limits{Most: 64 << 20}
-		p.store, _, err = store.Open(faultdisk.Folder(disk), f.name, limits, func(k store.Key, b []byte, gone bool) {
+		limits := store.Limits{MaxBytes: 64 << 20}
+		p.store, _, err = store.Open(faultdisk.WrapFolder(disk), f.name, limits, func(k store.Key, b []byte, gone bool) {
 			kept.Take([16]byte(k), slices.Clone(b), gone)
 		})
 		if err != nil {
--- a/internal/resourcegroup/desk_test.go
+++ b/internal/resourcegroup/limiter_test.go
@@ -21,7 +21,7 @@
 // script plays a desk and the decisions together, and writes down what happens.
 type script struct {
 	*admission.Router
-	desk  *Desk
+	desk  *Limiter
 	at    admission.Time
 	out   strings.Builder
 	class map[admission.RequestID]int // of tasks in hand
@@ -35,7 +35,7 @@
 func (s *script) Send(t admission.RequestID, e admission.EngineID, _, _ admission.Time) {
 	s.say("  -> hand %s to %s", t, e)
 	if n := s.class[t]; n > 0 {
-		s.desk.Sent(n, 2, 100)
+		s.desk.BeginAttempt(n, 2, 100)
 	}
 	s.sent[t] = true
 }
@@ -44,7 +44,7 @@
 func (s *script) over(t admission.RequestID, how string) {
 	s.say("  -> %s %s", how, t)
 	if n := s.class[t]; n > 0 && !s.sent[t] {
-		s.desk.Left(n)
+		s.desk.EndWaiting(n)
 	}
 	delete(s.class, t)
 }
@@ -76,7 +76,7 @@
 }
 
 func (s *script) list(form admission.Form, l ...admission.Listing) {
-	s.desk.Listed(s.at, form, l)
+	s.desk.UpdateEndpoints(s.at, form, l)
 	s.Listed(s.at, form, l)
 }
 
@@ -90,7 +90,7 @@
 func (s *script) pass(t admission.Time) {
 	for s.at+20*ms <= t {
 		s.at += 20 * ms
-		s.desk.Due(s.at)
+		s.desk.Tick(s.at)
 		s.Due(s.at)
 	}
 	s.at = t
@@ -99,12 +99,12 @@
 // task brings one of the plan's n-th class.
 func (s *script) task(id admission.RequestID, n int) {
 	s.say("%s arrives, class %d of the plan", id, n)
-	number, ruling, text := s.desk.Arrived(n)
+	number, ruling, text := s.desk.Admit(n)
 	switch ruling {
-	case Refused:
+	case Rejected:
 		s.say("  -> refuse: %s", text)
 		return
-	case Crowded:
+	case OverCapacity:
 		s.say("  -> nack, crowded")
 		return
 	}
@@ -115,7 +115,7 @@
 func (s *script) end(id admission.RequestID, how admission.Outcome, cost float64) {
 	s.say("%s ends: %s", id, map[admission.Outcome]string{admission.Served: "delivered", admission.Reset: "reset"}[how])
 	if n := s.class[id]; n > 0 {
-		s.desk.Back(n, 2, 100, cost, how != admission.Served)
+		s.desk.EndAttempt(n, 2, 100, cost, how != admission.Served)
 	}
 	s.sent[id] = false
 	s.Ended(s.at, id, how, how == admission.Served, 0, 0, admission.NoReport)
@@ -125,13 +125,13 @@
 }
 
 func (s *script) states() {
-	for _, c := range s.desk.States() {
-		s.say("class %s: retired %t, limit %.1f, running %.0f, out %d, waiting %d", c.Name, c.Retired, c.Limit, c.Running, c.Out, c.Waiting)
+	for _, c := range s.desk.ClassStates() {
+		s.say("class %s: retired %t, limit %.1f, running %.0f, out %d, waiting %d", c.Name, c.Retired, c.ThreadLimit, c.RunningThreads, c.InFlight, c.Waiting)
 	}
 }
 
 func (s *script) renew(p *Plan) {
-	if err := s.desk.Renew(s.at, p); err != nil {
+	if err := s.desk.ReplacePlan(s.at, p); err != nil {
 		s.say("kept: %v", err)
 		return
 	}
@@ -142,7 +142,7 @@
 
 var scripts = map[string]func() *script{
 	"limit": func() *script { // two of a class at a time, then in order; a third that waits is nacked at once
-		s := begin(&Plan{Classes: []Class{{Name: "scan", Threads: 4, Waiting: 2}}})
+		s := begin(&Plan{Classes: []Class{{Name: "scan", MaxThreads: 4, MaxWaiting: 2}}})
 		for _, id := range []admission.RequestID{"t1", "t2", "t3", "t4", "t5"} {
 			s.task(id, 1)
 		}
@@ -153,11 +153,11 @@
 		return s
 	},
 	"lowered": func() *script { // below what runs: nothing more goes out until enough has ended
-		s := begin(&Plan{Classes: []Class{{Name: "scan", Threads: 8}}})
+		s := begin(&Plan{Classes: []Class{{Name: "scan", MaxThreads: 8}}})
 		for _, id := range []admission.RequestID{"t1", "t2", "t3", "t4", "t5"} {
 			s.task(id, 1)
 		}
-		s.renew(&Plan{Classes: []Class{{Name: "scan", Threads: 4}}})
+		s.renew(&Plan{Classes: []Class{{Name: "scan", MaxThreads: 4}}})
 		s.states()
 		for _, id := range []admission.RequestID{"t1", "t2", "t3"} {
 			s.end(id, admission.Served, 80)
@@ -185,7 +185,7 @@
 		return s
 	},
 	"limits by engines": func() *script { // down at once with the pool's engines, up again by steps
-		s := begin(&Plan{Pools: norte, Classes: []Class{{Name: "scan", Pool: "n", Threads: 16}}})
+		s := begin(&Plan{Pools: norte, Classes: []Class{{Name: "scan", Pool: "n", MaxThreads: 16}}})
 		s.states()
 		s.tell("a1", 0, admission.Gone)
 		s.states()
@@ -198,7 +198,7 @@
 		return s
 	},
 	"work a second": func() *script { // what costs more than foreseen is owed, what isn't used for a second is gone
-		s := begin(&Plan{Classes: []Class{{Name: "scan", Work: 150}}})
+		s := begin(&Plan{Classes: []Class{{Name: "scan", WorkMillisPerSecond: 150}}})
 		s.pass(5 * second)
 		for _, id := range []admission.RequestID{"t1", "t2", "t3"} {
 			s.task(id, 1)
@@ -209,7 +209,7 @@
 		return s
 	},
 	"renewed": func() *script { // whole or not at all; what an older plan named stands until its tasks have ended
-		s := begin(&Plan{Pools: norte, Classes: []Class{{Name: "scan", Pool: "n", Threads: 2}, {Name: "never", Refuse: "a whole table"}}})
+		s := begin(&Plan{Pools: norte, Classes: []Class{{Name: "scan", Pool: "n", MaxThreads: 2}, {Name: "never", RejectText: "a whole table"}}})
 		s.task("t1", 1)
 		s.task("t2", 1)
 		s.task("t3", 2)
@@ -217,7 +217,7 @@
 		s.renew(&Plan{Classes: []Class{{Name: "scan", Pool: "n"}}})
 		s.renew(&Plan{Classes: []Class{{Name: "a"}, {Name: "a"}}})
 		s.states()
-		s.renew(&Plan{Classes: []Class{{Name: "new", Threads: 6}}})
+		s.renew(&Plan{Classes: []Class{{Name: "new", MaxThreads: 6}}})
 		s.task("t4", 1)
 		s.states()
 		s.end("t1", admission.Served, 80)
@@ -256,13 +256,13 @@
 	}
 }
 
-func ExamplePlan_Find() {
+func ExamplePlan_Classify() {
 	yes, no := true, false
 	p := &Plan{Classes: []Class{
-		{Name: "never", When: Fits{Full: &yes, Limited: &no, Tables: []Table{{"actas_*", "mesas"}}}},
-		{Name: "dear", When: Fits{UpperFrom: 5000}},
-		{Name: "loads", When: Fits{Verbs: []string{"load", "insert-select"}}},
-		{Name: "look", When: Fits{Lanes: []string{"look"}, Full: &no}},
+		{Name: "never", Conditions: Conditions{FullScan: &yes, HasLimit: &no, Tables: []TablePattern{{"actas_*", "mesas"}}}},
+		{Name: "dear", Conditions: Conditions{MinUpperMillis: 5000}},
+		{Name: "loads", Conditions: Conditions{Verbs: []string{"load", "insert-select"}}},
+		{Name: "look", Conditions: Conditions{RequestClasses: []string{"look"}, FullScan: &no}},
 	}}
 	for _, sql := range []string{"SELECT a FROM actas_3.mesas", "SELECT a FROM actas_3.mesas LIMIT 5", "SELECT a FROM actas_3.mesas ORDER BY a LIMIT 5",
 		"SELECT a FROM actas_3.mesas m, actas_3.otra WHERE m.b = 1", "INSERT INTO actas_3.mesas SELECT * FROM staging.l", "SELECT 1"} {
@@ -272,7 +272,7 @@
 			for range 8 {
 				book.Observe(&s, cost, 0)
 			}
-			n := p.Find(&Subject{"look", s.Features(), book.Estimate(&s)})
+			n := p.Classify(&Subject{"look", s.Features(), book.Estimate(&s)})
 			fmt.Printf("%d ", n)
 		}
 		fmt.Println(sql)
@@ -291,9 +291,9 @@
 	flag.Set("rapid.seed", "7") // the same verdict every time
 	rapid.Check(t, func(t *rapid.T) {
 		plans := []*Plan{
-			{Pools: norte, Classes: []Class{{Name: "a", Threads: 4, Pool: "n", Waiting: 3}, {Name: "b", Work: 200}}},
-			{Pools: norte, Classes: []Class{{Name: "a", Threads: 2}, {Name: "c", Threads: 8, Pool: "n"}}},
-			{Classes: []Class{{Name: "c", Waiting: 1}}}, {},
+			{Pools: norte, Classes: []Class{{Name: "a", MaxThreads: 4, Pool: "n", MaxWaiting: 3}, {Name: "b", WorkMillisPerSecond: 200}}},
+			{Pools: norte, Classes: []Class{{Name: "a", MaxThreads: 2}, {Name: "c", MaxThreads: 8, Pool: "n"}}},
+			{Classes: []Class{{Name: "c", MaxWaiting: 1}}}, {},
 		}
 		d, _ := New(0, plans[0], nil, []string{"norte", "sur"}, nil)
 		type task struct {
@@ -325,7 +325,7 @@
 		now := admission.Time(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
-				if n, r, _ := d.Arrived(rapid.IntRange(0, 3).Draw(t, "class")); r == Taken && n > 0 {
+				if n, r, _ := d.Admit(rapid.IntRange(0, 3).Draw(t, "class")); r == Admitted && n > 0 {
 					tasks = append(tasks, &task{number: n, threads: float64(rapid.IntRange(1, 3).Draw(t, "threads"))})
 				}
 			},
@@ -333,32 +333,32 @@
 				k := pick(false)
 				c := &d.classes[k.number]
 				if !d.Open(now, k.number, k.threads) {
-					if c.Threads == 0 && c.Work == 0 {
+					if c.MaxThreads == 0 && c.WorkMillisPerSecond == 0 {
 						t.Fatal("closed without a limit")
 					}
 					return
 				}
-				if c.Threads > 0 && c.out > 0 && c.running+k.threads > min(c.limit, c.Threads) {
-					t.Fatalf("%.0f threads and %.0f more under a limit of %.1f", c.running, k.threads, c.limit)
+				if c.MaxThreads > 0 && c.inFlight > 0 && c.runningThreads+k.threads > min(c.threadLimit, c.MaxThreads) {
+					t.Fatalf("%.0f threads and %.0f more under a limit of %.1f", c.runningThreads, k.threads, c.threadLimit)
 				}
-				d.Sent(k.number, k.threads, float64(rapid.IntRange(0, 500).Draw(t, "work")))
+				d.BeginAttempt(k.number, k.threads, float64(rapid.IntRange(0, 500).Draw(t, "work")))
 				k.out = true
 			},
 			"back": func(t *rapid.T) {
 				k := pick(true)
 				waits := rapid.Bool().Draw(t, "waits")
-				d.Back(k.number, k.threads, 100, float64(rapid.IntRange(0, 500).Draw(t, "cost")), waits)
+				d.EndAttempt(k.number, k.threads, 100, float64(rapid.IntRange(0, 500).Draw(t, "cost")), waits)
 				if k.out = false; !waits {
 					drop(k)
 				}
 			},
-			"leave": func(t *rapid.T) { k := pick(false); d.Left(k.number); drop(k) },
-			"pass":  func(t *rapid.T) { now += admission.Time(rapid.IntRange(0, 30000).Draw(t, "by")); d.Due(now) },
-			"renew": func(t *rapid.T) { d.Renew(now, rapid.SampledFrom(plans).Draw(t, "plan")) },
+			"leave": func(t *rapid.T) { k := pick(false); d.EndWaiting(k.number); drop(k) },
+			"pass":  func(t *rapid.T) { now += admission.Time(rapid.IntRange(0, 30000).Draw(t, "by")); d.Tick(now) },
+			"renew": func(t *rapid.T) { d.ReplacePlan(now, rapid.SampledFrom(plans).Draw(t, "plan")) },
 			"list": func(t *rapid.T) {
 				l := engine(fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "engine")), rapid.IntRange(0, 1).Draw(t, "zone"))
 				l.State = admission.State(rapid.IntRange(0, 2).Draw(t, "state"))
-				d.Listed(now, admission.Changes, []admission.Listing{l})
+				d.UpdateEndpoints(now, admission.Changes, []admission.Listing{l})
 			},
 			"": func(t *rapid.T) {
 				out, waiting := make([]int, len(d.classes)), make([]int, len(d.classes))
@@ -371,7 +371,7 @@
 				}
 				for n := range d.classes {
 					c := &d.classes[n]
-					if c.out != out[n] || c.waiting != waiting[n] || c.running < 0 || c.out == 0 && c.running != 0 || c.limit > c.Threads {
+					if c.inFlight != out[n] || c.waiting != waiting[n] || c.runningThreads < 0 || c.inFlight == 0 && c.runningThreads != 0 || c.threadLimit > c.MaxThreads {
 						t.Fatalf("number %d: %+v, %d out, %d waiting", n, c, out[n], waiting[n])
 					}
 				}
@@ -384,14 +384,14 @@
 }
 
 // What two plans both allow.
-func ExampleMeet() {
+func ExampleIntersect() {
 	a := &Plan{Pools: []Pool{{Name: "n", Zones: []string{"norte", "sur"}}, {Name: "o", Zones: []string{"norte"}}},
-		Classes: []Class{{Name: "loads", Threads: 8, Pool: "n"}, {Name: "reports", Waiting: 9}, {Name: "gone", Threads: 1}, {Name: "apart", Pool: "o"}}}
-	b := &Plan{Pools: []Pool{{Name: "s", Zones: []string{"sur", "este"}}}, Classes: []Class{{Name: "reports", Threads: 3, Waiting: 5, Refuse: "not now"}, {Name: "loads", Threads: 5, Pool: "s"},
+		Classes: []Class{{Name: "loads", MaxThreads: 8, Pool: "n"}, {Name: "reports", MaxWaiting: 9}, {Name: "gone", MaxThreads: 1}, {Name: "apart", Pool: "o"}}}
+	b := &Plan{Pools: []Pool{{Name: "s", Zones: []string{"sur", "este"}}}, Classes: []Class{{Name: "reports", MaxThreads: 3, MaxWaiting: 5, RejectText: "not now"}, {Name: "loads", MaxThreads: 5, Pool: "s"},
 		{Name: "apart", Pool: "s"}}}
-	out := Meet(a, b)
+	out := Intersect(a, b)
 	for _, c := range out.Classes {
-		fmt.Printf("%s: %g threads, %d waiting, pool %q, refuse %q\n", c.Name, c.Threads, c.Waiting, c.Pool, c.Refuse)
+		fmt.Printf("%s: %g threads, %d waiting, pool %q, refuse %q\n", c.Name, c.MaxThreads, c.MaxWaiting, c.Pool, c.RejectText)
 	}
 	fmt.Println(out.Pools, out.Check([]string{"norte", "sur"}, nil))
 	// Output:
--- a/internal/router/desk.go
+++ b/internal/router/desk.go
@@ -58,7 +58,7 @@
 		o.moved(t, Place{In: true})
 	}
 	if o.keep != nil {
-		o.keep.Ledger.Ended(now, h.of.id, how.NeverRan())
+		o.keep.Ledger.EndAttempt(now, h.of.id, how.NeverRan())
 	}
 	o.module.Ended(now, h.of.id, how, over, work, memory, h.report)
 }
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -37,12 +37,12 @@
 
 func (a host) Reject(id admission.RequestID, comeBack admission.Time) {
 	t := a.o.requests[id]
-	a.o.answer(a.o.now, t, requestjournal.Nacked, nil, func() { t.by.rejected(comeBack) })
+	a.o.answer(a.o.now, t, requestjournal.Rejected, nil, func() { t.by.rejected(comeBack) })
 }
 
 func (a host) Fail(id admission.RequestID) {
 	t := a.o.requests[id]
-	a.o.answer(a.o.now, t, requestjournal.WrittenOff, nil, t.by.failed)
+	a.o.answer(a.o.now, t, requestjournal.Failed, nil, t.by.failed)
 }
 
 func (a host) Terms(id admission.RequestID, memory float64, rank int) {
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -213,7 +213,7 @@
 	case admission.Served:
 		work, memory = h.work, h.needs
 		if o.requests[t.id] == t {
-			o.answer(now, t, requestjournal.Delivered, h.pages, func() { t.by.served(h) })
+			o.answer(now, t, requestjournal.Served, h.pages, func() { t.by.served(h) })
 		}
 	case admission.TimedOut, admission.Cancelled:
 		unsent := admission.Unreachable
@@ -285,5 +285,5 @@
 	if t.out != nil { // so its time is over
 		o.ended(now, t.out, admission.Cancelled)
 	}
-	o.answer(now, t, requestjournal.Left, nil, t.by.left)
+	o.answer(now, t, requestjournal.Abandoned, nil, t.by.left)
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -7,7 +7,7 @@
 
 // Keeping is a record of requests that survives this process.
 type Keeping struct {
-	Ledger *requestjournal.Ledger
+	Ledger *requestjournal.Journal
 	Failed func() error // why nothing can be recorded any more; nil: it can
 
 	Memory   *admission.Snapshot // what the process before knew; nil: nothing
@@ -22,7 +22,7 @@
 
 // due is the record's part of the timer.
 func (k *Keeping) due(now admission.Time, module *admission.Router) {
-	k.Ledger.Due(now)
+	k.Ledger.Tick(now)
 	if now-k.rememberedAt >= rememberEvery {
 		k.rememberedAt = now
 		k.Remember(module.Memory(now).Encode())
@@ -32,18 +32,18 @@
 // known answers a request that was answered before; it tells whether it did. One that was in hand when the process before died
 // goes on with what is known of it.
 func (o *owner) known(t *request) bool {
-	standing, e := o.keep.Ledger.Ask(t.id)
+	standing, e := o.keep.Ledger.Lookup(t.id)
 	switch {
-	case standing == requestjournal.Again:
-		t.foreseen.Past = admission.Past{MayRan: e.MayRan, DoubtAt: e.DoubtAt, Zone: e.Zone, Group: e.Group}
+	case standing == requestjournal.Resumable:
+		t.foreseen.Past = admission.Past{MayRan: e.MayHaveRun, DoubtAt: e.UncertainSince, Zone: e.Zone, Group: e.Group}
 		return false
 	case standing != requestjournal.Answered:
 		return false
-	case e.Outcome == requestjournal.Delivered && e.Whole():
-		t.by.served(&attempt{of: t, pages: e.Rows})
-	case e.Outcome == requestjournal.Delivered:
+	case e.Outcome == requestjournal.Served && e.Complete():
+		t.by.served(&attempt{of: t, pages: e.Pages})
+	case e.Outcome == requestjournal.Served:
 		t.by.denied("it was delivered before, and its rows are not kept")
-	case e.Outcome == requestjournal.WrittenOff, e.Outcome == requestjournal.Left && e.MayRan && o.strict(t):
+	case e.Outcome == requestjournal.Failed, e.Outcome == requestjournal.Abandoned && e.MayHaveRun && o.strict(t):
 		t.by.failed()
 	default:
 		t.by.rejected(o.site.RetryAfter)
@@ -63,7 +63,7 @@
 		t.by.rejected(o.site.RetryAfter)
 		return false
 	}
-	o.keep.Ledger.Take(now, t.id, t.class, t.deadline)
+	o.keep.Ledger.Accept(now, t.id, t.class, t.deadline)
 	return true
 }
 
@@ -71,7 +71,7 @@
 func (o *owner) going(h *attempt, name admission.EngineID) {
 	if o.keep != nil {
 		place := o.places[name]
-		if o.keep.Ledger.Going(o.now, h.of.id, place.Zone, place.Group, func(err error) {
+		if o.keep.Ledger.BeginAttempt(o.now, h.of.id, place.Zone, place.Group, func(err error) {
 			o.tell(func(now admission.Time) { o.mayGo(now, h, err) })
 		}) {
 			return
@@ -98,7 +98,7 @@
 // that can't be recorded is given all the same: it is true now.
 func (o *owner) answer(now admission.Time, t *request, outcome requestjournal.Outcome, rows [][]byte, give func()) {
 	o.answered(t)
-	if o.keep != nil && o.keep.Ledger.End(now, t.id, outcome, rows, func(error) { o.tell(func(admission.Time) { give() }) }) {
+	if o.keep != nil && o.keep.Ledger.RecordAnswer(now, t.id, outcome, rows, func(error) { o.tell(func(admission.Time) { give() }) }) {
 		return
 	}
 	give()
--- a/internal/storage/faultdisk/sick_off.go
+++ b/internal/storage/faultdisk/faultdisk.go
@@ -6,4 +6,4 @@
 import "magpiebank/internal/storage/store"
 
 // Folder is a folder as it is: disks fail by themselves.
-func Folder(f store.Folder) store.Folder { return f }
+func WrapFolder(f store.Folder) store.Folder { return f }
--- a/internal/storage/faultfs/faulty.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -14,67 +14,67 @@
 )
 
 // sector is the unit in which what was not synced may come to the disk. Real ones are as large or larger.
-const sector = 512
+const sectorSize = 512
 
 // ErrLost is what operations return after power was lost.
-var ErrLost = errors.New("power is lost")
+var ErrPowerLost = errors.New("power is lost")
 
 // Folder is a folder whose files are in memory. The zero Folder is empty and sound.
 type Folder struct {
-	mu    sync.Mutex
-	names map[string]*inode // as the process sees them
-	disk  map[string]*inode // as they survive
-	ops   []nameOp          // since names were synced
-	lost  bool
-	held  bool
+	mu            sync.Mutex
+	current       map[string]*inode // as the process sees them
+	durable       map[string]*inode // as they survive
+	unsyncedNames []nameChange      // since names were synced
+	powerLost     bool
+	locked        bool
 
 	// At, where it is set, is asked before each operation that changes something; an error is what it returns. After
 	// ErrLost nothing works any more.
-	At func(n int, what string) error
+	BeforeOperation func(n int, what string) error
 	// Lies tells whether a sync is to do nothing and say that it did.
-	Lies func(n int, what string) bool
-	N    int // operations so far
+	SyncLies   func(n int, what string) bool
+	Operations int // operations so far
 	// Short has a write keep only a part of its bytes when At returns an error for it.
-	Short func(n int) int
+	ShortWrite func(n int) int
 }
 
-type nameOp struct {
+type nameChange struct {
 	from, to string // "" is none: create, or remove
 	file     *inode
 }
 
 type inode struct {
-	now  []byte // as the process sees it
-	disk []byte // as it survives
-	ops  []op   // since it was synced
+	current  []byte       // as the process sees it
+	durable  []byte       // as it survives
+	unsynced []dataChange // since it was synced
 }
 
-type op struct {
-	at   int64
-	data []byte // nil: a truncation to at
+type dataChange struct {
+	offset int64
+	data   []byte // nil: a truncation to at
 }
 
 var _ store.Folder = (*Folder)(nil)
 
 // step counts an operation and has it fail if it is to.
-func (f *Folder) step(what string) error {
-	if f.lost {
-		return ErrLost
-	}
-	n := f.N
-	f.N++
-	if f.At != nil {
-		if err := f.At(n, what); err != nil {
-			f.lost = f.lost || errors.Is(err, ErrLost)
+func (f *Folder) beginOperation(what string) error {
+	if f.powerLost {
+		return ErrPowerLost
+	}
+	n := f.Operations
+	f.Operations++
+	if f.BeforeOperation != nil {
+		if err := f.BeforeOperation(n, what); err != nil {
+			f.powerLost = f.powerLost || errors.Is(err, ErrPowerLost)
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *Folder) begin() {
-	if f.names == nil {
-		f.names, f.disk = map[string]*inode{}, map[string]*inode{}
+func (f *Folder) init() {
+	if f.current == nil {
+		f.current, f.durable = map[string]*inode{}, map[string]*inode{}
 	}
 }
 
@@ -82,16 +82,16 @@
 func (f *Folder) Create(name string) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.begin()
-	if err := f.step("create " + name); err != nil {
+	f.init()
+	if err := f.beginOperation("create " + name); err != nil {
 		return nil, err
 	}
-	if f.names[name] != nil {
+	if f.current[name] != nil {
 		return nil, fmt.Errorf("%s exists", name)
 	}
 	i := &inode{}
-	f.names[name] = i
-	f.ops = append(f.ops, nameOp{to: name, file: i})
+	f.current[name] = i
+	f.unsyncedNames = append(f.unsyncedNames, nameChange{to: name, file: i})
 	return &file{f, i, name}, nil
 }
 
@@ -99,11 +99,11 @@
 func (f *Folder) Open(name string) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.begin()
-	if f.lost {
-		return nil, ErrLost
+	f.init()
+	if f.powerLost {
+		return nil, ErrPowerLost
 	}
-	i := f.names[name]
+	i := f.current[name]
 	if i == nil {
 		return nil, fmt.Errorf("%s is not there", name)
 	}
@@ -114,10 +114,10 @@
 func (f *Folder) Names() (out []string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lost {
-		return nil, ErrLost
+	if f.powerLost {
+		return nil, ErrPowerLost
 	}
-	for name := range f.names {
+	for name := range f.current {
 		out = append(out, name)
 	}
 	slices.Sort(out)
@@ -128,16 +128,16 @@
 func (f *Folder) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step("rename " + from); err != nil {
+	if err := f.beginOperation("rename " + from); err != nil {
 		return err
 	}
-	i := f.names[from]
+	i := f.current[from]
 	if i == nil {
 		return fmt.Errorf("%s is not there", from)
 	}
-	delete(f.names, from)
-	f.names[to] = i
-	f.ops = append(f.ops, nameOp{from: from, to: to, file: i})
+	delete(f.current, from)
+	f.current[to] = i
+	f.unsyncedNames = append(f.unsyncedNames, nameChange{from: from, to: to, file: i})
 	return nil
 }
 
@@ -145,14 +145,14 @@
 func (f *Folder) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step("remove " + name); err != nil {
+	if err := f.beginOperation("remove " + name); err != nil {
 		return err
 	}
-	if f.names[name] == nil {
+	if f.current[name] == nil {
 		return fmt.Errorf("%s is not there", name)
 	}
-	delete(f.names, name)
-	f.ops = append(f.ops, nameOp{from: name})
+	delete(f.current, name)
+	f.unsyncedNames = append(f.unsyncedNames, nameChange{from: name})
 	return nil
 }
 
@@ -160,20 +160,20 @@
 func (f *Folder) SyncNames() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step("sync names"); err != nil {
+	if err := f.beginOperation("sync names"); err != nil {
 		return err
 	}
-	if f.Lies != nil && f.Lies(f.N-1, "sync names") {
+	if f.SyncLies != nil && f.SyncLies(f.Operations-1, "sync names") {
 		return nil
 	}
-	for _, o := range f.ops {
-		o.do(f.disk)
+	for _, o := range f.unsyncedNames {
+		o.apply(f.durable)
 	}
-	f.ops = nil
+	f.unsyncedNames = nil
 	return nil
 }
 
-func (o *nameOp) do(names map[string]*inode) {
+func (o *nameChange) apply(names map[string]*inode) {
 	if o.from != "" {
 		delete(names, o.from)
 	}
@@ -186,82 +186,82 @@
 func (f *Folder) Lock() (func() error, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.begin()
-	if f.held {
+	f.init()
+	if f.locked {
 		return nil, store.ErrLocked
 	}
-	f.held = true
+	f.locked = true
 	return func() error {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.held = false
+		f.locked = false
 		return nil
 	}, nil
 }
 
 // Flip changes a bit of a file, as it is and as it survives.
-func (f *Folder) Flip(name string, at int64, bit uint) {
+func (f *Folder) FlipBit(name string, at int64, bit uint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	i := f.names[name]
-	i.now[at] ^= 1 << bit
-	i.disk = slices.Clone(i.now)
+	i := f.current[name]
+	i.current[at] ^= 1 << bit
+	i.durable = slices.Clone(i.current)
 }
 
 // Bytes is a file as it is.
-func (f *Folder) Bytes(name string) []byte {
+func (f *Folder) Contents(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.names[name] == nil {
+	if f.current[name] == nil {
 		return nil
 	}
-	return slices.Clone(f.names[name].now)
+	return slices.Clone(f.current[name].current)
 }
 
 // Put sets a file, so that it survives.
-func (f *Folder) Put(name string, b []byte) {
+func (f *Folder) SetFile(name string, b []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.begin()
-	i := &inode{now: slices.Clone(b), disk: slices.Clone(b)}
-	f.names[name], f.disk[name] = i, i
+	f.init()
+	i := &inode{current: slices.Clone(b), durable: slices.Clone(b)}
+	f.current[name], f.durable[name] = i, i
 }
 
 type file struct {
-	f    *Folder
-	i    *inode
-	name string
+	folder *Folder
+	inode  *inode
+	name   string
 }
 
 func (k *file) Write(b []byte) (int, error) {
-	k.f.mu.Lock()
-	defer k.f.mu.Unlock()
-	if err := k.f.step("write " + k.name); err != nil {
+	k.folder.mu.Lock()
+	defer k.folder.mu.Unlock()
+	if err := k.folder.beginOperation("write " + k.name); err != nil {
 		n := 0
-		if k.f.Short != nil {
-			n = min(len(b), k.f.Short(k.f.N-1))
+		if k.folder.ShortWrite != nil {
+			n = min(len(b), k.folder.ShortWrite(k.folder.Operations-1))
 		}
-		k.i.write(b[:n])
+		k.inode.write(b[:n])
 		return n, err
 	}
-	k.i.write(b)
+	k.inode.write(b)
 	return len(b), nil
 }
 
 func (i *inode) write(b []byte) {
 	if len(b) > 0 {
-		i.ops = append(i.ops, op{int64(len(i.now)), slices.Clone(b)})
-		i.now = append(i.now, b...)
+		i.unsynced = append(i.unsynced, dataChange{int64(len(i.current)), slices.Clone(b)})
+		i.current = append(i.current, b...)
 	}
 }
 
 func (k *file) ReadAt(b []byte, at int64) (int, error) {
-	k.f.mu.Lock()
-	defer k.f.mu.Unlock()
-	if k.f.lost {
-		return 0, ErrLost
+	k.folder.mu.Lock()
+	defer k.folder.mu.Unlock()
+	if k.folder.powerLost {
+		return 0, ErrPowerLost
 	}
-	n := copy(b, k.i.now[min(at, int64(len(k.i.now))):])
+	n := copy(b, k.inode.current[min(at, int64(len(k.inode.current))):])
 	if n < len(b) {
 		return n, io.EOF
 	}
@@ -269,64 +269,64 @@
 }
 
 func (k *file) Size() (int64, error) {
-	k.f.mu.Lock()
-	defer k.f.mu.Unlock()
-	return int64(len(k.i.now)), nil
+	k.folder.mu.Lock()
+	defer k.folder.mu.Unlock()
+	return int64(len(k.inode.current)), nil
 }
 
 func (k *file) Truncate(size int64) error {
-	k.f.mu.Lock()
-	defer k.f.mu.Unlock()
-	if err := k.f.step("truncate " + k.name); err != nil {
+	k.folder.mu.Lock()
+	defer k.folder.mu.Unlock()
+	if err := k.folder.beginOperation("truncate " + k.name); err != nil {
 		return err
 	}
-	k.i.now = k.i.now[:size:size]
-	k.i.ops = append(k.i.ops, op{at: size})
+	k.inode.current = k.inode.current[:size:size]
+	k.inode.unsynced = append(k.inode.unsynced, dataChange{offset: size})
 	return nil
 }
 
 func (k *file) Sync() error {
-	k.f.mu.Lock()
-	defer k.f.mu.Unlock()
-	if err := k.f.step("sync " + k.name); err != nil {
+	k.folder.mu.Lock()
+	defer k.folder.mu.Unlock()
+	if err := k.folder.beginOperation("sync " + k.name); err != nil {
 		return err
 	}
-	if k.f.Lies != nil && k.f.Lies(k.f.N-1, "sync "+k.name) {
+	if k.folder.SyncLies != nil && k.folder.SyncLies(k.folder.Operations-1, "sync "+k.name) {
 		return nil
 	}
-	k.i.disk, k.i.ops = slices.Clone(k.i.now), nil
+	k.inode.durable, k.inode.unsynced = slices.Clone(k.inode.current), nil
 	return nil
 }
 
 func (k *file) Close() error { return nil }
 
 // Unsynced counts what may or may not have come to the disk: operations on names, truncations, and sectors of writes.
-func (f *Folder) Unsynced() int {
+func (f *Folder) CountUnsynced() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := len(f.ops)
+	n := len(f.unsyncedNames)
 	for _, name := range f.reachable() {
-		for _, o := range f.file(name).ops {
+		for _, o := range f.inodeByName(name).unsynced {
 			n += o.parts()
 		}
 	}
 	return n
 }
 
-func (o *op) parts() int {
+func (o *dataChange) parts() int {
 	if o.data == nil {
 		return 1
 	}
-	return int((o.at+int64(len(o.data))-1)/sector-o.at/sector) + 1
+	return int((o.offset+int64(len(o.data))-1)/sectorSize-o.offset/sectorSize) + 1
 }
 
 // reachable are the names of all files, as they survive or as the process sees them, in order.
 func (f *Folder) reachable() (out []string) {
-	for name := range f.names {
+	for name := range f.current {
 		out = append(out, name)
 	}
-	for name, i := range f.disk {
-		if f.names[name] != i {
+	for name, i := range f.durable {
+		if f.current[name] != i {
 			out = append(out, name+"\x00disk")
 		}
 	}
@@ -334,49 +334,49 @@
 	return out
 }
 
-func (f *Folder) file(name string) *inode {
+func (f *Folder) inodeByName(name string) *inode {
 	if n := len(name) - 5; n > 0 && name[n:] == "\x00disk" {
-		return f.disk[name[:n]]
+		return f.durable[name[:n]]
 	}
-	return f.names[name]
+	return f.current[name]
 }
 
 // Left is what is found after power was lost: of each unsynced part, in order, keep says whether it came to the disk; tear,
 // where it isn't negative, is how many bytes of the last kept sector did.
-func (f *Folder) Left(keep func(part int) bool, tear int) *Folder {
+func (f *Folder) AfterPowerLoss(keep func(part int) bool, tear int) *Folder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := &Folder{}
-	out.begin()
+	out.init()
 	part := 0
 	kept := func() bool { part++; return keep(part - 1) }
 	names := map[string]*inode{}
-	for name, i := range f.disk {
+	for name, i := range f.durable {
 		names[name] = i
 	}
-	for _, o := range f.ops {
+	for _, o := range f.unsyncedNames {
 		if kept() {
-			o.do(names)
+			o.apply(names)
 		}
 	}
 	contents := map[*inode][]byte{}
 	for _, name := range f.reachable() {
-		i := f.file(name)
+		i := f.inodeByName(name)
 		if contents[i] != nil {
 			continue
 		}
-		b := append(make([]byte, 0, len(i.now)+1), i.disk...)
-		for _, o := range i.ops {
+		b := append(make([]byte, 0, len(i.current)+1), i.durable...)
+		for _, o := range i.unsynced {
 			if o.data == nil {
-				if kept() && o.at < int64(len(b)) {
-					b = b[:o.at]
+				if kept() && o.offset < int64(len(b)) {
+					b = b[:o.offset]
 				}
 				continue
 			}
-			for from := o.at; from < o.at+int64(len(o.data)); {
-				to := min((from/sector+1)*sector, o.at+int64(len(o.data)))
+			for from := o.offset; from < o.offset+int64(len(o.data)); {
+				to := min((from/sectorSize+1)*sectorSize, o.offset+int64(len(o.data)))
 				if kept() {
-					data := o.data[from-o.at : to-o.at]
+					data := o.data[from-o.offset : to-o.offset]
 					if tear >= 0 && tear < len(data) {
 						data = data[:tear]
 					}
@@ -393,27 +393,27 @@
 	for name, i := range names {
 		b := contents[i]
 		if b == nil {
-			b = slices.Clone(i.disk)
+			b = slices.Clone(i.durable)
 		}
-		out.Put(name, b)
+		out.SetFile(name, b)
 	}
 	return out
 }
 
 // Each calls f with what may be found after power was lost: all combinations of unsynced parts where they are at most most,
 // else none, all, and as many drawn; each also with the parts torn.
-func (f *Folder) Each(most int, seed int64, each func(left *Folder)) (states int) {
-	parts := f.Unsynced()
+func (f *Folder) ForEachCrashState(most int, seed int64, each func(left *Folder)) (states int) {
+	parts := f.CountUnsynced()
 	r := rand.New(rand.NewSource(seed))
 	one := func(keep func(int) bool, tear int) {
 		states++
-		each(f.Left(keep, tear))
+		each(f.AfterPowerLoss(keep, tear))
 	}
 	if parts <= most {
 		for bits := range 1 << parts {
 			one(func(part int) bool { return bits>>part&1 == 1 }, -1)
 			if bits > 0 {
-				one(func(part int) bool { return bits>>part&1 == 1 }, r.Intn(sector))
+				one(func(part int) bool { return bits>>part&1 == 1 }, r.Intn(sectorSize))
 			}
 		}
 		return states
@@ -428,7 +428,7 @@
 		}
 		tear := -1
 		if draw.Intn(2) == 0 {
-			tear = draw.Intn(sector)
+			tear = draw.Intn(sectorSize)
 		}
 		one(func(part int) bool { return chosen[part] }, tear)
 	}
--- a/internal/storage/requestjournal/ledger_test.go
+++ b/internal/storage/requestjournal/journal_test.go
@@ -18,8 +18,8 @@
 const second = admission.Second
 
 // lanes: 0 may run again, 1 must not, 2 is dropped as a repeat for three seconds.
-var lanes = []requestjournal.Lane{{Effect: admission.Idempotent, Longest: 5 * second}, {Effect: admission.Unrepeatable, Longest: 20 * second},
-	{Effect: admission.Deduplicated, Remember: 3 * second, Longest: 20 * second}}
+var lanes = []requestjournal.Class{{Effect: admission.Idempotent, LongestWait: 5 * second}, {Effect: admission.Unrepeatable, LongestWait: 20 * second},
+	{Effect: admission.Deduplicated, DedupWindow: 3 * second, LongestWait: 20 * second}}
 
 // log joins a ledger to a store.
 type log struct{ s *store.Store }
@@ -28,12 +28,12 @@
 func (l log) Delete(k requestjournal.Key, done func(error))        { l.s.Delete(store.Key(k), done) }
 
 // open opens a folder's ledger, recovered at a time.
-func open(f store.Folder, now admission.Time) (*requestjournal.Ledger, *store.Store, error) {
-	var l *requestjournal.Ledger
+func open(f store.Folder, now admission.Time) (*requestjournal.Journal, *store.Store, error) {
+	var l *requestjournal.Journal
 	var behind log
 	l = requestjournal.New(&behind, lanes, 1000)
 	var bad error
-	s, _, err := store.Open(f, "g1", store.Limits{Rewrite: time.Hour}, func(k store.Key, b []byte, gone bool) {
+	s, _, err := store.Open(f, "g1", store.Limits{CompactionInterval: time.Hour}, func(k store.Key, b []byte, gone bool) {
 		bad = errors.Join(bad, l.Replay(requestjournal.Key(k), b, gone))
 	})
 	if err == nil {
@@ -74,12 +74,12 @@
 	}
 	defer s.Close()
 	now := 1000 * second
-	see := func(t told) { t.size = len(f.Bytes(segment)); seen = append(seen, t) }
+	see := func(t told) { t.size = len(f.Contents(segment)); seen = append(seen, t) }
 	for n := range 12 {
 		id := admission.RequestID(fmt.Sprintf("%016x", n))
 		lane := n % 3
 		now += second / 10
-		l.Take(now, id, lane, now+10*second)
+		l.Accept(now, id, lane, now+10*second)
 		if n == 11 {
 			break // taken, and nothing more
 		}
@@ -87,14 +87,14 @@
 			if planted { // the defect: the client sees the answer before it is recorded
 				see(told{id: id, out: out})
 			}
-			if wait(func(may func(error)) bool { return l.End(now, id, out, rows, may) }) != nil {
+			if wait(func(may func(error)) bool { return l.RecordAnswer(now, id, out, rows, may) }) != nil {
 				return false
 			}
 			see(told{id: id, out: out})
 			return true
 		}
 		for try := range 1 + n%2 {
-			if wait(func(may func(error)) bool { return l.Going(now, id, 1, n%4, may) }) != nil {
+			if wait(func(may func(error)) bool { return l.BeginAttempt(now, id, 1, n%4, may) }) != nil {
 				return seen
 			}
 			see(told{id: id, sent: true})
@@ -102,16 +102,16 @@
 				break // it is out when the day ends
 			}
 			if try < n%2 {
-				l.Ended(now, id, true)
+				l.EndAttempt(now, id, true)
 				see(told{id: id, proved: true})
 			}
 		}
 		if n >= 9 {
 			continue
 		}
-		out := []requestjournal.Outcome{requestjournal.Delivered, requestjournal.WrittenOff, requestjournal.Delivered, requestjournal.Nacked}[n%4]
-		l.Ended(now, id, out == requestjournal.Nacked)
-		if out == requestjournal.Nacked {
+		out := []requestjournal.Outcome{requestjournal.Served, requestjournal.Failed, requestjournal.Served, requestjournal.Rejected}[n%4]
+		l.EndAttempt(now, id, out == requestjournal.Rejected)
+		if out == requestjournal.Rejected {
 			see(told{id: id, proved: true})
 		}
 		if !answer(out, [][]byte{[]byte("a\tb\tc\n")}) {
@@ -137,7 +137,7 @@
 		if lane == 0 {
 			continue // look-ups' records are not waited for
 		}
-		standing, e := l.Ask(t.id)
+		standing, e := l.Lookup(t.id)
 		if t.sent {
 			proved := false
 			for _, o := range seen[i+1:] {
@@ -147,11 +147,11 @@
 			case proved:
 			case standing == requestjournal.Unknown:
 				return fmt.Errorf("%s went out, and nothing is known of it", t.id)
-			case standing == requestjournal.Again && !e.MayRan:
+			case standing == requestjournal.Resumable && !e.MayHaveRun:
 				return fmt.Errorf("%s went out, and would be sent as a new one", t.id)
-			case standing == requestjournal.Again && lane == 1:
+			case standing == requestjournal.Resumable && lane == 1:
 				return fmt.Errorf("%s went out and must not run twice, and has no answer", t.id)
-			case standing == requestjournal.Again && now >= e.DoubtAt+3*second:
+			case standing == requestjournal.Resumable && now >= e.UncertainSince+3*second:
 				return fmt.Errorf("%s went out, its window is past, and it has no answer", t.id)
 			}
 			continue
@@ -162,8 +162,8 @@
 		if standing != requestjournal.Answered || e.Outcome != t.out {
 			return fmt.Errorf("%s was answered: %v; asked for again it is %v", t.id, t.out, e)
 		}
-		if t.out == requestjournal.Delivered && (!e.Whole() || string(e.Rows[0]) != "a\tb\tc\n") {
-			return fmt.Errorf("%s was delivered, and its rows are %q", t.id, e.Rows)
+		if t.out == requestjournal.Served && (!e.Complete() || string(e.Pages[0]) != "a\tb\tc\n") {
+			return fmt.Errorf("%s was delivered, and its rows are %q", t.id, e.Pages)
 		}
 	}
 	return nil
@@ -172,35 +172,35 @@
 // crashes loses power at each operation of a day, in every way up to a bound, and once more while it recovers.
 func crashes(most int, planted bool) (states int, bad error) {
 	for at := 0; bad == nil; at++ {
-		f := &faultfs.Folder{At: func(n int, _ string) error {
+		f := &faultfs.Folder{BeforeOperation: func(n int, _ string) error {
 			if n >= at {
-				return faultfs.ErrLost
+				return faultfs.ErrPowerLost
 			}
 			return nil
 		}}
 		seen := day(f, planted)
 		now := 1000*second + 2*second
-		states += f.Each(most, int64(at), func(left *faultfs.Folder) {
+		states += f.ForEachCrashState(most, int64(at), func(left *faultfs.Folder) {
 			if err := right(left, seen, now); err != nil && bad == nil {
 				bad = fmt.Errorf("power lost at operation %d: %w", at, err)
 			}
 		})
 		for again := range 10 {
-			left := f.Left(func(part int) bool { return (part+again)%2 == 0 }, -1)
-			left.At = func(n int, _ string) error {
+			left := f.AfterPowerLoss(func(part int) bool { return (part+again)%2 == 0 }, -1)
+			left.BeforeOperation = func(n int, _ string) error {
 				if n >= again {
-					return faultfs.ErrLost
+					return faultfs.ErrPowerLost
 				}
 				return nil
 			}
 			right(left, nil, now)
-			states += left.Each(most, int64(again), func(second_ *faultfs.Folder) {
+			states += left.ForEachCrashState(most, int64(again), func(second_ *faultfs.Folder) {
 				if err := right(second_, seen, now+5*second); err != nil && bad == nil {
 					bad = fmt.Errorf("power lost at operation %d, and at operation %d of the recovery: %w", at, again, err)
 				}
 			})
 		}
-		if f.N < at {
+		if f.Operations < at {
 			break
 		}
 	}
@@ -225,13 +225,13 @@
 func TestEveryByte(t *testing.T) {
 	f := &faultfs.Folder{}
 	seen := day(f, false)
-	whole := f.Bytes(segment)
+	whole := f.Contents(segment)
 	for cut := 48; cut <= len(whole); cut++ {
 		left := &faultfs.Folder{}
-		b := f.Bytes("manifest")
+		b := f.Contents("manifest")
 		copy(b[40:48], make([]byte, 8)) // not closed in order
-		left.Put("manifest", withSum(b))
-		left.Put(segment, whole[:cut])
+		left.SetFile("manifest", withSum(b))
+		left.SetFile(segment, whole[:cut])
 		var by []told
 		for _, s := range seen {
 			if s.size <= cut {
@@ -251,16 +251,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Take(5000*second, "0000000000000001", 2, 5010*second)
-	wait(func(may func(error)) bool { return l.Going(5000*second, "0000000000000001", 0, 0, may) })
-	l.Take(5004*second, "0000000000000002", 0, 5010*second)
+	l.Accept(5000*second, "0000000000000001", 2, 5010*second)
+	wait(func(may func(error)) bool { return l.BeginAttempt(5000*second, "0000000000000001", 0, 0, may) })
+	l.Accept(5004*second, "0000000000000002", 0, 5010*second)
 	s.Close()
 	l, s, err = open(f, 5004*second-3600*second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if standing, e := l.Ask("0000000000000001"); standing != requestjournal.Answered || e.Outcome != requestjournal.WrittenOff {
+	if standing, e := l.Lookup("0000000000000001"); standing != requestjournal.Answered || e.Outcome != requestjournal.Failed {
 		t.Errorf("%v %+v", standing, e)
 	}
 }
@@ -274,27 +274,27 @@
 	}
 	defer s.Close()
 	begun, through := make(chan bool, 100), make(chan bool)
-	f.At = func(_ int, what string) error {
+	f.BeforeOperation = func(_ int, what string) error {
 		if strings.HasPrefix(what, "sync ") {
 			begun <- true
 			<-through
 		}
 		return nil
 	}
-	l.Take(1000*second, "0000000000000001", 1, 1020*second)
+	l.Accept(1000*second, "0000000000000001", 1, 1020*second)
 	leave := make(chan error, 1)
-	if !l.Going(1000*second, "0000000000000001", 0, 0, func(err error) { leave <- err }) {
+	if !l.BeginAttempt(1000*second, "0000000000000001", 0, 0, func(err error) { leave <- err }) {
 		t.Fatal("a load may go out before its record survives")
 	}
 	<-begun
 	for n := range 1000 {
 		id := admission.RequestID(fmt.Sprintf("%016x", 100+n))
-		l.Take(1000*second, id, 0, 1010*second)
-		if l.Going(1000*second, id, 0, 0, nil) {
+		l.Accept(1000*second, id, 0, 1010*second)
+		if l.BeginAttempt(1000*second, id, 0, 0, nil) {
 			t.Fatal("a look-up waits for the disk")
 		}
-		l.Ended(1000*second, id, false)
-		if l.End(1000*second, id, requestjournal.Delivered, nil, nil) {
+		l.EndAttempt(1000*second, id, false)
+		if l.RecordAnswer(1000*second, id, requestjournal.Served, nil, nil) {
 			t.Fatal("a look-up's answer waits for the disk")
 		}
 	}
@@ -317,9 +317,9 @@
 	}
 	for n := range 6 {
 		id := admission.RequestID(fmt.Sprintf("%016x", n))
-		l.Take(1000*second, id, n%3, 1010*second)
+		l.Accept(1000*second, id, n%3, 1010*second)
 		if n < 3 {
-			wait(func(may func(error)) bool { return l.Going(1000*second, id, 0, 0, may) })
+			wait(func(may func(error)) bool { return l.BeginAttempt(1000*second, id, 0, 0, may) })
 		}
 	}
 	s.Close()
@@ -327,14 +327,14 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	l.Take(1002*second, "0000000000000005", 2, 1020*second)
-	l.Due(1011 * second)
-	for n, want := range []requestjournal.Outcome{requestjournal.Nacked, requestjournal.WrittenOff, requestjournal.WrittenOff, requestjournal.Nacked, requestjournal.Nacked, requestjournal.Open} {
-		if _, e := l.Ask(admission.RequestID(fmt.Sprintf("%016x", n))); e == nil || e.Outcome != want {
+	l.Accept(1002*second, "0000000000000005", 2, 1020*second)
+	l.Tick(1011 * second)
+	for n, want := range []requestjournal.Outcome{requestjournal.Rejected, requestjournal.Failed, requestjournal.Failed, requestjournal.Rejected, requestjournal.Rejected, requestjournal.Pending} {
+		if _, e := l.Lookup(admission.RequestID(fmt.Sprintf("%016x", n))); e == nil || e.Outcome != want {
 			t.Errorf("task %d: %+v, expected %v", n, e, want)
 		}
 	}
-	l.Due(1200 * second)
+	l.Tick(1200 * second)
 	if l.Len() != 1 {
 		t.Errorf("%d are known", l.Len())
 	}
@@ -350,17 +350,17 @@
 	for n := range 1500 {
 		id := admission.RequestID(fmt.Sprintf("%016x", n))
 		now := 1000*second + admission.Time(n)
-		l.Take(now, id, 0, now+second)
-		l.End(now, id, requestjournal.Nacked, nil, func(error) {})
+		l.Accept(now, id, 0, now+second)
+		l.RecordAnswer(now, id, requestjournal.Rejected, nil, func(error) {})
 	}
-	if l.Len() != 1000 || l.Counts.Dropped != 500 {
-		t.Errorf("%d kept, %d dropped", l.Len(), l.Counts.Dropped)
+	if l.Len() != 1000 || l.Counts.Evicted != 500 {
+		t.Errorf("%d kept, %d dropped", l.Len(), l.Counts.Evicted)
 	}
-	l.Due(1000*second + 59*second)
+	l.Tick(1000*second + 59*second)
 	if l.Len() != 1000 {
 		t.Errorf("%d kept after 59 s", l.Len())
 	}
-	l.Due(1000*second + 70*second)
+	l.Tick(1000*second + 70*second)
 	if l.Len() != 0 {
 		t.Errorf("%d kept after 70 s", l.Len())
 	}
--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -51,11 +51,11 @@
 func BenchmarkCommits(b *testing.B) {
 	for _, writers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("ours-%d", writers), func(b *testing.B) {
-			d, err := store.Disk(b.TempDir())
+			d, err := store.CreateFolder(b.TempDir())
 			if err != nil {
 				b.Fatal(err)
 			}
-			s, _, err := store.Open(d, "g1", store.Limits{Most: 1 << 30}, func(store.Key, []byte, bool) {})
+			s, _, err := store.Open(d, "g1", store.Limits{MaxBytes: 1 << 30}, func(store.Key, []byte, bool) {})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -97,11 +97,11 @@
 // BenchmarkRecovery opens a log of a million records that all hold.
 func BenchmarkRecovery(b *testing.B) {
 	folder := b.TempDir()
-	d, err := store.Disk(folder)
+	d, err := store.CreateFolder(folder)
 	if err != nil {
 		b.Fatal(err)
 	}
-	limits := store.Limits{Most: 1 << 30, Segment: 64 << 20}
+	limits := store.Limits{MaxBytes: 1 << 30, SegmentBytes: 64 << 20}
 	s, _, err := store.Open(d, "g1", limits, func(store.Key, []byte, bool) {})
 	if err != nil {
 		b.Fatal(err)
@@ -116,10 +116,10 @@
 	}
 	for b.Loop() {
 		s, found, err := store.Open(d, "g1", limits, func(store.Key, []byte, bool) {})
-		if err != nil || found.Live != million {
+		if err != nil || found.LiveKeys != million {
 			b.Fatal(found, err)
 		}
-		b.ReportMetric(float64(found.Took.Milliseconds()), "ms/million")
+		b.ReportMetric(float64(found.Duration.Milliseconds()), "ms/million")
 		s.Close()
 	}
 }
--- a/internal/storage/store/fs.go
+++ b/internal/storage/store/folder.go
@@ -42,24 +42,24 @@
 var ErrLocked = errors.New("another process has the folder")
 
 // disk is a folder of the system's.
-type disk struct{ path string }
+type diskFolder struct{ path string }
 
 // Disk is a folder of the system's; it is made if it isn't there.
-func Disk(path string) (Folder, error) {
+func CreateFolder(path string) (Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	return disk{path}, nil
+	return diskFolder{path}, nil
 }
 
 // Existing is a folder of the system's that is there.
-func Existing(path string) (Folder, error) {
+func OpenFolder(path string) (Folder, error) {
 	if info, err := os.Stat(path); err != nil {
 		return nil, err
 	} else if !info.IsDir() {
 		return nil, fmt.Errorf("%s: expected a folder, found a file", path)
 	}
-	return disk{path}, nil
+	return diskFolder{path}, nil
 }
 
 type diskFile struct{ *os.File }
@@ -72,7 +72,7 @@
 	return info.Size(), nil
 }
 
-func (d disk) Create(name string) (File, error) {
+func (d diskFolder) Create(name string) (File, error) {
 	f, err := os.OpenFile(filepath.Join(d.path, name), os.O_RDWR|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	return diskFile{f}, nil
 }
 
-func (d disk) Open(name string) (File, error) {
+func (d diskFolder) Open(name string) (File, error) {
 	f, err := os.OpenFile(filepath.Join(d.path, name), os.O_RDWR|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 	return diskFile{f}, nil
 }
 
-func (d disk) Names() (out []string, err error) {
+func (d diskFolder) Names() (out []string, err error) {
 	entries, err := os.ReadDir(d.path)
 	for _, e := range entries {
 		if e.Type().IsRegular() {
@@ -99,13 +99,13 @@
 	return out, err
 }
 
-func (d disk) Rename(from, to string) error {
+func (d diskFolder) Rename(from, to string) error {
 	return os.Rename(filepath.Join(d.path, from), filepath.Join(d.path, to))
 }
 
-func (d disk) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
+func (d diskFolder) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
 
-func (d disk) SyncNames() error {
+func (d diskFolder) SyncNames() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 	return f.Sync()
 }
 
-func (d disk) Lock() (func() error, error) {
+func (d diskFolder) Lock() (func() error, error) {
 	f, err := os.OpenFile(filepath.Join(d.path, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -130,4 +130,4 @@
 }
 
 // isFull tells of an error for want of room on the disk, or in the user's part of it.
-func isFull(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
+func isDiskFull(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
--- a/internal/storage/store/index_test.go
+++ b/internal/storage/store/index_test.go
@@ -19,9 +19,9 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				k, at := hexKey(keys.Draw(t, "key")), rapid.Uint32().Draw(t, "at")
-				old, had := x.put(place{key: k, segment: 1, at: at})
-				if want, ok := m[k]; ok != had || had && old.at != want {
-					t.Fatalf("%v %v, expected %v %v", old.at, had, want, ok)
+				old, had := x.put(location{key: k, segment: 1, offset: at})
+				if want, ok := m[k]; ok != had || had && old.offset != want {
+					t.Fatalf("%v %v, expected %v %v", old.offset, had, want, ok)
 				}
 				m[k] = at
 			},
@@ -34,11 +34,11 @@
 				delete(m, k)
 			},
 			"": func(t *rapid.T) {
-				if x.used != len(m) {
-					t.Fatalf("%d, expected %d", x.used, len(m))
+				if x.count != len(m) {
+					t.Fatalf("%d, expected %d", x.count, len(m))
 				}
 				for k, at := range m {
-					if p, ok := x.get(&k); !ok || p.at != at {
+					if p, ok := x.get(&k); !ok || p.offset != at {
 						t.Fatalf("%s: %v %v", k, p, ok)
 					}
 				}
@@ -80,7 +80,7 @@
 	runtime.ReadMemStats(&before)
 	var x index
 	for i := range keys {
-		x.put(place{key: keys[i], segment: 1, at: uint32(i)})
+		x.put(location{key: keys[i], segment: 1, offset: uint32(i)})
 	}
 	i := 0
 	for b.Loop() {
--- a/internal/storage/store/look.go
+++ b/internal/storage/store/inspect.go
@@ -7,47 +7,47 @@
 )
 
 // Look is what a folder holds, read without changing it.
-type Look struct {
-	Owner    string
-	Store    [16]byte
-	Closed   bool // in order
-	Segments []SegmentLook
-	Records  int
-	Torn     int64 // bytes at the end, as a crash leaves them
+type Inspection struct {
+	Owner         string
+	StoreID       [16]byte
+	ClosedCleanly bool // in order
+	Segments      []SegmentInfo
+	Records       int
+	TornBytes     int64 // bytes at the end, as a crash leaves them
 }
 
 // SegmentLook is one file of the log.
-type SegmentLook struct {
-	Name    string
-	First   uint64 // sequence of its first record
-	Size    int64
-	Records int
+type SegmentInfo struct {
+	Name          string
+	FirstSequence uint64 // sequence of its first record
+	Bytes         int64
+	Records       int
 }
 
 // still is a folder that is only read.
-type still struct{ Folder }
+type readOnlyFolder struct{ Folder }
 
-var errStill = errors.New("the folder is only read")
+var errReadOnly = errors.New("the folder is only read")
 
-func (still) Create(string) (File, error) { return nil, errStill }
-func (still) Rename(string, string) error { return errStill }
-func (still) Remove(string) error         { return nil } // as if it had been: what is read is what the next start would
-func (still) SyncNames() error            { return errStill }
-func (s still) Open(name string) (File, error) {
+func (readOnlyFolder) Create(string) (File, error) { return nil, errReadOnly }
+func (readOnlyFolder) Rename(string, string) error { return errReadOnly }
+func (readOnlyFolder) Remove(string) error         { return nil } // as if it had been: what is read is what the next start would
+func (readOnlyFolder) SyncNames() error            { return errReadOnly }
+func (s readOnlyFolder) Open(name string) (File, error) {
 	f, err := s.Folder.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	return stillFile{f}, nil
+	return readOnlyFile{f}, nil
 }
 
-type stillFile struct{ File }
+type readOnlyFile struct{ File }
 
-func (stillFile) Truncate(int64) error { return nil }
-func (stillFile) Sync() error          { return nil }
+func (readOnlyFile) Truncate(int64) error { return nil }
+func (readOnlyFile) Sync() error          { return nil }
 
 // Inspect reads a folder as the next start would, and changes nothing. What is read up to damage comes back with it.
-func Inspect(folder Folder, told func(key Key, value []byte, gone bool)) (*Look, error) {
+func Inspect(folder Folder, told func(key Key, value []byte, gone bool)) (*Inspection, error) {
 	unlock, err := folder.Lock()
 	if err != nil {
 		return nil, err
@@ -58,30 +58,30 @@
 		return nil, err
 	}
 	if !slices.Contains(names, manifestName) {
-		return nil, &Damage{manifestName, 0, "it is not there"}
+		return nil, &CorruptionError{manifestName, 0, "it is not there"}
 	}
 	b, err := readAll(folder, manifestName)
 	if err != nil {
 		return nil, err
 	}
-	m, ok := readManifest(b)
+	m, ok := decodeManifest(b)
 	if !ok {
-		return nil, &Damage{manifestName, 0, "it can't be read"}
+		return nil, &CorruptionError{manifestName, 0, "it can't be read"}
 	}
-	l := &Look{Owner: m.owner, Store: m.store, Closed: m.closed > 0}
-	s := &Store{folder: still{folder}}
-	var found Found
-	err = s.read(m.owner, told, &found)
-	if errors.Is(err, errStill) { // it had come to where it would have gone on
+	l := &Inspection{Owner: m.owner, StoreID: m.storeID, ClosedCleanly: m.closedAtSequence > 0}
+	s := &Store{folder: readOnlyFolder{folder}}
+	var found RecoveryReport
+	err = s.recoverLog(m.owner, told, &found)
+	if errors.Is(err, errReadOnly) { // it had come to where it would have gone on
 		err = nil
 	}
 	for _, g := range s.segments {
-		look := SegmentLook{Name: segmentName(g.number), Size: g.size}
+		look := SegmentInfo{Name: segmentName(g.number), Bytes: g.size}
 		if part, e := readAll(folder, look.Name); e == nil {
-			h, _ := readHead(part)
-			look.First = h.first
-			for at := int64(segmentHead); at < g.size; look.Records++ {
-				r, ok := readRecord(part[at:])
+			h, _ := decodeSegmentHeader(part)
+			look.FirstSequence = h.firstSequence
+			for at := int64(segmentHeaderSize); at < g.size; look.Records++ {
+				r, ok := decodeRecord(part[at:])
 				if !ok {
 					break
 				}
@@ -91,7 +91,7 @@
 		l.Segments = append(l.Segments, look)
 		g.file.Close()
 	}
-	l.Records, l.Torn = found.Records, found.Cut
+	l.Records, l.TornBytes = found.Records, found.TornBytes
 	return l, err
 }
 
@@ -100,7 +100,7 @@
 func Repair(folder Folder, drop bool) (lost []string, err error) {
 	for range 3 { // a manifest and a log may both be damaged
 		_, err := Inspect(folder, func(Key, []byte, bool) {})
-		var d *Damage
+		var d *CorruptionError
 		if err == nil {
 			return lost, nil
 		}
@@ -123,7 +123,7 @@
 			switch {
 			case !ok || n < number:
 				continue
-			case n > number || d.Offset < segmentHead:
+			case n > number || d.Offset < segmentHeaderSize:
 				lost = append(lost, fmt.Sprintf("%s: all of it", name))
 				if drop {
 					if err := folder.Rename(name, name+".lost"); err != nil {
@@ -137,7 +137,7 @@
 				}
 				lost = append(lost, fmt.Sprintf("%v; %d bytes from there on", d, int64(len(b))-d.Offset))
 				if drop {
-					if err := part(folder, name, b, d.Offset); err != nil {
+					if err := cutFile(folder, name, b, d.Offset); err != nil {
 						return lost, err
 					}
 				}
@@ -152,8 +152,8 @@
 			return lost, err
 		}
 		s := &Store{folder: folder}
-		s.man, _ = readManifest(b)
-		s.man.closed = 0
+		s.manifest, _ = decodeManifest(b)
+		s.manifest.closedAtSequence = 0
 		if err := s.writeManifest(); err != nil {
 			return lost, err
 		}
@@ -162,7 +162,7 @@
 }
 
 // part keeps the whole file beside and cuts it.
-func part(folder Folder, name string, b []byte, at int64) error {
+func cutFile(folder Folder, name string, b []byte, at int64) error {
 	f, err := folder.Create(name + ".lost")
 	if err != nil {
 		return err
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -11,71 +11,73 @@
 
 // Limits bound a store; a zero figure is the usual one.
 type Limits struct {
-	Segment int64 // bytes at which a segment is closed and the next begun
-	Most    int64 // bytes that all may take
+	SegmentBytes int64 // bytes at which a segment is closed and the next begun
+	MaxBytes     int64 // bytes that all may take
 	// Rewrite is the least time between two parts of the oldest segment that are rewritten.
-	Rewrite time.Duration
+	CompactionInterval time.Duration
 }
 
 // The usual limits, and what holds within them.
 const (
-	usualSegment = 4 << 20  // a few seconds of a busy gateway, and quickly rewritten
-	usualMost    = 64 << 20 // a day of outcomes of a gateway that takes a load a second
+	defaultSegmentBytes = 4 << 20  // a few seconds of a busy gateway, and quickly rewritten
+	defaultMaxBytes     = 64 << 20 // a day of outcomes of a gateway that takes a load a second
 	// What goes beyond the bound for records that free space: deletions, and live records of the segment that is to go.
-	reserve = 2
+	reserveSegments = 2
 	// Records that nobody waits for survive after so long at the latest.
-	lazily = 50 * time.Millisecond
+	maxUnsyncedTime = 50 * time.Millisecond
 	// The part of a sync's usual time for which a batch waits for as many as the last one had, and the most: a sync costs
 	// what it costs, so a little more to share it among many pays, and none where writers come one by one.
-	gatherShare = 8
-	mostGather  = 2 * time.Millisecond
-	leastGather = 200 * time.Microsecond // a sleep that is shorter takes longer than it says
+	batchWaitShare = 8
+	maxBatchWait   = 2 * time.Millisecond
+	minBatchWait   = 200 * time.Microsecond // a sleep that is shorter takes longer than it says
 	// Records that may wait for the disk: some seconds of a busy gateway, in some megabytes. Beyond, those that nobody waits for
 	// are left out, which a crash might have done too, and the others are refused.
-	mostWaiting = 1 << 16
+	maxQueuedWrites = 1 << 16
 	// Live records of the oldest segment are written again at most so fast, so that running writes have the disk.
-	compactBytes = 256 << 10
-	usualRewrite = 20 * time.Millisecond
+	compactionBytes           = 256 << 10
+	defaultCompactionInterval = 20 * time.Millisecond
 )
 
 // The errors of writes.
 var (
-	ErrFull   = errors.New("the store is full")
-	ErrClosed = errors.New("the store is closed")
-	ErrBehind = errors.New("the disk is too far behind")
+	ErrFull        = errors.New("the store is full")
+	ErrClosed      = errors.New("the store is closed")
+	ErrBacklogFull = errors.New("the disk is too far behind")
 )
 
 // Failed is the error of all writes after one whose end is not known: the system's word for what was written before
 // can't be trusted any more, and trying again as if nothing had happened would make it a lie.
-type Failed struct{ Cause error }
+type FailedError struct{ Cause error }
 
-func (f *Failed) Error() string { return "the store has failed: " + f.Cause.Error() }
-func (f *Failed) Unwrap() error { return f.Cause }
+func (f *FailedError) Error() string { return "the store has failed: " + f.Cause.Error() }
+func (f *FailedError) Unwrap() error { return f.Cause }
 
 // Damage is a place in a file that holds what no crash leaves.
-type Damage struct {
+type CorruptionError struct {
 	File   string
 	Offset int64
-	Why    string
+	Reason string
 }
 
-func (d *Damage) Error() string { return fmt.Sprintf("%s: offset %d: %s", d.File, d.Offset, d.Why) }
+func (d *CorruptionError) Error() string {
+	return fmt.Sprintf("%s: offset %d: %s", d.File, d.Offset, d.Reason)
+}
 
 // Found tells what there was when a store was opened.
-type Found struct {
-	Fresh    bool  // nothing
-	Segments int   // files of the log
-	Records  int   // read
-	Live     int   // of them with a value that still holds
-	Cut      int64 // bytes of a torn tail
-	Took     time.Duration
+type RecoveryReport struct {
+	Fresh     bool  // nothing
+	Segments  int   // files of the log
+	Records   int   // read
+	LiveKeys  int   // of them with a value that still holds
+	TornBytes int64 // bytes of a torn tail
+	Duration  time.Duration
 }
 
 type segment struct {
-	number uint64
-	file   File
-	size   int64
-	live   int64 // bytes of records that the index points to
+	number    uint64
+	file      File
+	size      int64
+	liveBytes int64 // bytes of records that the index points to
 }
 
 // Store is an open store. Its calls may come from many goroutines.
@@ -92,49 +94,49 @@
 	closing  bool
 	counts   Counts
 
-	wake  chan struct{}
-	ended chan struct{}
+	wake       chan struct{}
+	writerDone chan struct{}
 
 	// The writer's.
-	man      manifest
-	last     uint64 // sequence of the last record written
-	synced   uint64 // and of the last known to survive
-	buffer   []byte
-	syncTook time.Duration // usual
-	waiters  int           // of the last batch
-	lazySet  time.Time     // since when something written isn't synced; zero: all is
-	cursor   int64         // up to where the oldest segment was rewritten
-	rewrote  time.Time
+	manifest         manifest
+	lastSequence     uint64 // sequence of the last record written
+	syncedSequence   uint64 // and of the last known to survive
+	buffer           []byte
+	usualSyncTime    time.Duration // usual
+	lastBatchWaiters int           // of the last batch
+	unsyncedSince    time.Time     // since when something written isn't synced; zero: all is
+	compactionOffset int64         // up to where the oldest segment was rewritten
+	lastCompaction   time.Time
 }
 
 // Counts are of one store since it was opened.
 type Counts struct {
-	Writes, Syncs, Moved int64 // records, syncs, and live records written again
-	Bytes                int64 // written
-	Refused              int64 // for want of room, or as the disk was behind
+	Writes, Syncs, Rewritten int64 // records, syncs, and live records written again
+	Bytes                    int64 // written
+	Refused                  int64 // for want of room, or as the disk was behind
 }
 
 type write struct {
-	key   Key
-	gone  bool
-	value []byte
-	done  func(error) // nil: nobody waits for it
+	key     Key
+	deleted bool
+	value   []byte
+	done    func(error) // nil: nobody waits for it
 }
 
 // Open opens a folder's store for its owner, or makes one. Each record that was written is told in order, so that the last
 // one told of a key holds. A torn tail is cut; what no crash leaves is a *Damage, and nothing is changed.
-func Open(folder Folder, owner string, limits Limits, told func(key Key, value []byte, gone bool)) (s *Store, found Found, err error) {
+func Open(folder Folder, owner string, limits Limits, told func(key Key, value []byte, gone bool)) (s *Store, found RecoveryReport, err error) {
 	began := time.Now()
-	if limits.Segment == 0 {
-		limits.Segment = usualSegment
+	if limits.SegmentBytes == 0 {
+		limits.SegmentBytes = defaultSegmentBytes
 	}
-	if limits.Most == 0 {
-		limits.Most = usualMost
+	if limits.MaxBytes == 0 {
+		limits.MaxBytes = defaultMaxBytes
 	}
-	if limits.Rewrite == 0 {
-		limits.Rewrite = usualRewrite
+	if limits.CompactionInterval == 0 {
+		limits.CompactionInterval = defaultCompactionInterval
 	}
-	s = &Store{folder: folder, limits: limits, wake: make(chan struct{}, 1), ended: make(chan struct{})}
+	s = &Store{folder: folder, limits: limits, wake: make(chan struct{}, 1), writerDone: make(chan struct{})}
 	if s.unlock, err = folder.Lock(); err != nil {
 		return nil, found, err
 	}
@@ -147,16 +149,16 @@
 			s = nil
 		}
 	}()
-	if err = s.read(owner, told, &found); err != nil {
+	if err = s.recoverLog(owner, told, &found); err != nil {
 		return s, found, err
 	}
-	found.Took = time.Since(began)
-	go s.serve()
+	found.Duration = time.Since(began)
+	go s.runWriter()
 	return s, found, nil
 }
 
 // read reads the folder and leaves it as one that goes on.
-func (s *Store) read(owner string, told func(Key, []byte, bool), found *Found) error {
+func (s *Store) recoverLog(owner string, told func(Key, []byte, bool), found *RecoveryReport) error {
 	names, err := s.folder.Names()
 	if err != nil {
 		return err
@@ -169,57 +171,57 @@
 	}
 	if !slices.Contains(names, manifestName) {
 		if len(numbers) > 0 {
-			return &Damage{manifestName, 0, fmt.Sprintf("it is missing, though %s is there", segmentName(numbers[0]))}
+			return &CorruptionError{manifestName, 0, fmt.Sprintf("it is missing, though %s is there", segmentName(numbers[0]))}
 		}
 		found.Fresh = true
-		s.man = manifest{owner: owner, first: 1, begins: 1}
-		rand.Read(s.man.store[:])
+		s.manifest = manifest{owner: owner, firstSegment: 1, firstSequence: 1}
+		rand.Read(s.manifest.storeID[:])
 	} else {
 		b, err := readAll(s.folder, manifestName)
 		if err != nil {
 			return err
 		}
 		ok := false
-		if s.man, ok = readManifest(b); !ok {
-			return &Damage{manifestName, 0, "it can't be read"}
+		if s.manifest, ok = decodeManifest(b); !ok {
+			return &CorruptionError{manifestName, 0, "it can't be read"}
 		}
-		if s.man.owner != owner {
-			return fmt.Errorf("%s: the folder belongs to %q, not to %q", manifestName, s.man.owner, owner)
+		if s.manifest.owner != owner {
+			return fmt.Errorf("%s: the folder belongs to %q, not to %q", manifestName, s.manifest.owner, owner)
 		}
 	}
-	want := s.man.first
-	s.last = s.man.begins - 1
+	want := s.manifest.firstSegment
+	s.lastSequence = s.manifest.firstSequence - 1
 	for i, n := range numbers {
-		if n < s.man.first { // rewritten, and not removed before the process died
+		if n < s.manifest.firstSegment { // rewritten, and not removed before the process died
 			if err := s.folder.Remove(segmentName(n)); err != nil {
 				return err
 			}
 			continue
 		}
 		if n != want {
-			return &Damage{segmentName(want), 0, fmt.Sprintf("it is missing, though %s is there", segmentName(n))}
+			return &CorruptionError{segmentName(want), 0, fmt.Sprintf("it is missing, though %s is there", segmentName(n))}
 		}
-		if err := s.readSegment(n, i == len(numbers)-1, told, found); err != nil {
+		if err := s.recoverSegment(n, i == len(numbers)-1, told, found); err != nil {
 			return err
 		}
 		want++
 	}
-	if s.man.closed > s.last {
-		return &Damage{segmentName(want - 1), s.end(), fmt.Sprintf("records up to %d are missing, which were there when it was closed", s.man.closed)}
+	if s.manifest.closedAtSequence > s.lastSequence {
+		return &CorruptionError{segmentName(want - 1), s.activeEnd(), fmt.Sprintf("records up to %d are missing, which were there when it was closed", s.manifest.closedAtSequence)}
 	}
-	s.synced = s.last
-	found.Segments, found.Live = len(s.segments), s.index.used
-	s.man.closed = 0
+	s.syncedSequence = s.lastSequence
+	found.Segments, found.LiveKeys = len(s.segments), s.index.count
+	s.manifest.closedAtSequence = 0
 	if err := s.writeManifest(); err != nil {
 		return err
 	}
 	if len(s.segments) == 0 {
-		return s.begin()
+		return s.startSegment()
 	}
 	return nil
 }
 
-func (s *Store) end() int64 {
+func (s *Store) activeEnd() int64 {
 	if len(s.segments) == 0 {
 		return 0
 	}
@@ -244,7 +246,7 @@
 }
 
 // readSegment reads one segment. Only the last may end in what a crash left of it.
-func (s *Store) readSegment(number uint64, last bool, told func(Key, []byte, bool), found *Found) error {
+func (s *Store) recoverSegment(number uint64, last bool, told func(Key, []byte, bool), found *RecoveryReport) error {
 	name := segmentName(number)
 	f, err := s.folder.Open(name)
 	if err != nil {
@@ -261,37 +263,37 @@
 		f.Close()
 		return err
 	}
-	h, ok := readHead(b)
-	if !ok || h.store != s.man.store || h.number != number || h.first != s.last+1 {
+	h, ok := decodeSegmentHeader(b)
+	if !ok || h.storeID != s.manifest.storeID || h.number != number || h.firstSequence != s.lastSequence+1 {
 		f.Close()
-		if !last || later(b, s.last+1, 0) {
-			return &Damage{name, 0, "its head can't be read, or is another store's"}
+		if !last || hasLaterRecord(b, s.lastSequence+1, 0) {
+			return &CorruptionError{name, 0, "its head can't be read, or is another store's"}
 		}
 		// The process died while it made the file: records come only once its head survives.
-		found.Cut += size
+		found.TornBytes += size
 		return s.folder.Remove(name)
 	}
-	g := &segment{number: number, file: f, size: segmentHead}
+	g := &segment{number: number, file: f, size: segmentHeaderSize}
 	s.segments = append(s.segments, g)
 	for g.size < size {
-		r, ok := readRecord(b[g.size:])
-		if !ok || r.sequence != s.last+1 {
+		r, ok := decodeRecord(b[g.size:])
+		if !ok || r.sequence != s.lastSequence+1 {
 			break
 		}
-		s.last = r.sequence
+		s.lastSequence = r.sequence
 		found.Records++
-		s.point(g, &r, g.size)
+		s.indexRecord(g, &r, g.size)
 		g.size += int64(r.size())
-		told(r.key, r.value, r.gone)
+		told(r.key, r.value, r.deleted)
 	}
 	if g.size == size {
 		return nil
 	}
 	// What is not whole is a torn tail if nothing behind it says that it was to survive.
-	if !last || later(b[g.size:], s.last+1, s.last+1) {
-		return &Damage{name, g.size, fmt.Sprintf("record %d can't be read, and what follows tells that it was written", s.last+1)}
+	if !last || hasLaterRecord(b[g.size:], s.lastSequence+1, s.lastSequence+1) {
+		return &CorruptionError{name, g.size, fmt.Sprintf("record %d can't be read, and what follows tells that it was written", s.lastSequence+1)}
 	}
-	found.Cut += size - g.size
+	found.TornBytes += size - g.size
 	if err := f.Truncate(g.size); err != nil {
 		return err
 	}
@@ -299,13 +301,13 @@
 }
 
 // later tells whether a whole record stands anywhere in b that has a later sequence and says that one up to synced survived.
-func later(b []byte, sequence, synced uint64) bool {
+func hasLaterRecord(b []byte, sequence, synced uint64) bool {
 	const ahead = 1 << 24 // more records than a segment holds: what claims more is none
 	for at := range b {
-		if b[at] != recordMark && b[at] != goneMark {
+		if b[at] != recordMark && b[at] != deletionMark {
 			continue
 		}
-		if r, ok := readRecord(b[at:]); ok && r.sequence >= sequence && r.sequence < sequence+ahead && r.synced >= synced {
+		if r, ok := decodeRecord(b[at:]); ok && r.sequence >= sequence && r.sequence < sequence+ahead && r.synced >= synced {
 			return true
 		}
 	}
@@ -313,22 +315,22 @@
 }
 
 // point has the index find a record, and counts what lives where. The caller has mu, or is alone.
-func (s *Store) point(g *segment, r *record, at int64) {
-	var old place
+func (s *Store) indexRecord(g *segment, r *record, at int64) {
+	var old location
 	var had bool
-	if r.gone {
+	if r.deleted {
 		old, had = s.index.remove(&r.key)
 	} else {
-		old, had = s.index.put(place{key: r.key, segment: uint32(g.number), at: uint32(at), size: uint32(r.size())})
-		g.live += int64(r.size())
+		old, had = s.index.put(location{key: r.key, segment: uint32(g.number), offset: uint32(at), size: uint32(r.size())})
+		g.liveBytes += int64(r.size())
 	}
 	if had {
-		s.segment(old.segment).live -= int64(old.size)
+		s.segmentByNumber(old.segment).liveBytes -= int64(old.size)
 	}
 }
 
 // segment finds one by its number; the numbers of those that are there follow on each other.
-func (s *Store) segment(number uint32) *segment {
+func (s *Store) segmentByNumber(number uint32) *segment {
 	return s.segments[number-uint32(s.segments[0].number)]
 }
 
@@ -336,30 +338,30 @@
 func (s *Store) writeManifest() error {
 	if names, err := s.folder.Names(); err != nil {
 		return err
-	} else if slices.Contains(names, newManifest) {
-		if err := s.folder.Remove(newManifest); err != nil {
+	} else if slices.Contains(names, newManifestName) {
+		if err := s.folder.Remove(newManifestName); err != nil {
 			return err
 		}
 	}
-	f, err := s.folder.Create(newManifest)
+	f, err := s.folder.Create(newManifestName)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(s.man.encode()); err == nil {
+	if _, err = f.Write(s.manifest.encode()); err == nil {
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	if err := s.folder.Rename(newManifest, manifestName); err != nil {
+	if err := s.folder.Rename(newManifestName, manifestName); err != nil {
 		return err
 	}
 	return s.folder.SyncNames()
 }
 
 // begin makes the next segment. All that was written before survives by then, so that only the last one can be torn.
-func (s *Store) begin() error {
-	number := s.man.first
+func (s *Store) startSegment() error {
+	number := s.manifest.firstSegment
 	if n := len(s.segments); n > 0 {
 		number = s.segments[n-1].number + 1
 	}
@@ -367,7 +369,7 @@
 	if err != nil {
 		return err
 	}
-	h := head{store: s.man.store, number: number, first: s.last + 1}
+	h := segmentHeader{storeID: s.manifest.storeID, number: number, firstSequence: s.lastSequence + 1}
 	if _, err = f.Write(h.encode()); err == nil {
 		if err = f.Sync(); err == nil {
 			err = s.folder.SyncNames()
@@ -378,7 +380,7 @@
 		return errors.Join(err, s.folder.Remove(segmentName(number)))
 	}
 	s.mu.Lock()
-	s.segments = append(s.segments, &segment{number: number, file: f, size: segmentHead})
+	s.segments = append(s.segments, &segment{number: number, file: f, size: segmentHeaderSize})
 	s.mu.Unlock()
 	return nil
 }
@@ -386,26 +388,28 @@
 // Put sets a key's value. done is told, by the store's goroutine, once it survives a crash, or why it may not; where it is
 // nil nobody waits, and the value survives some time later. The store keeps value.
 func (s *Store) Put(key Key, value []byte, done func(error)) {
-	if len(value) > mostValue {
+	if len(value) > maxValueSize {
 		if done != nil {
-			done(fmt.Errorf("a value of %d bytes, the most is %d", len(value), mostValue))
+			done(fmt.Errorf("a value of %d bytes, the most is %d", len(value), maxValueSize))
 		}
 		return
 	}
-	s.write(write{key: key, value: value, done: done})
+	s.enqueue(write{key: key, value: value, done: done})
 }
 
 // Delete has a key have no value.
-func (s *Store) Delete(key Key, done func(error)) { s.write(write{key: key, gone: true, done: done}) }
+func (s *Store) Delete(key Key, done func(error)) {
+	s.enqueue(write{key: key, deleted: true, done: done})
+}
 
-func (s *Store) write(w write) {
+func (s *Store) enqueue(w write) {
 	s.mu.Lock()
 	err := s.failed
 	if s.closing && err == nil {
 		err = ErrClosed
 	}
-	if err == nil && len(s.queue) >= mostWaiting {
-		err = ErrBehind
+	if err == nil && len(s.queue) >= maxQueuedWrites {
+		err = ErrBacklogFull
 		s.counts.Refused++
 	}
 	if err == nil {
@@ -418,10 +422,10 @@
 		}
 		return
 	}
-	s.ring()
+	s.wakeWriter()
 }
 
-func (s *Store) ring() {
+func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -436,20 +440,20 @@
 	if !ok {
 		return nil, false, nil
 	}
-	r, err := s.at(p)
+	r, err := s.readAt(p)
 	return r.value, err == nil, err
 }
 
 // at reads the record at a place.
-func (s *Store) at(p place) (record, error) {
-	g := s.segment(p.segment)
+func (s *Store) readAt(p location) (record, error) {
+	g := s.segmentByNumber(p.segment)
 	b := make([]byte, p.size)
-	if n, err := g.file.ReadAt(b, int64(p.at)); n < len(b) {
+	if n, err := g.file.ReadAt(b, int64(p.offset)); n < len(b) {
 		return record{}, err
 	}
-	r, ok := readRecord(b)
+	r, ok := decodeRecord(b)
 	if !ok || r.key != p.key {
-		return record{}, &Damage{segmentName(g.number), int64(p.at), "a record that was written there can't be read"}
+		return record{}, &CorruptionError{segmentName(g.number), int64(p.offset), "a record that was written there can't be read"}
 	}
 	return r, nil
 }
@@ -467,9 +471,9 @@
 	defer s.mu.Unlock()
 	for _, g := range s.segments {
 		bytes += g.size
-		live += g.live
+		live += g.liveBytes
 	}
-	return bytes, live, s.index.used
+	return bytes, live, s.index.count
 }
 
 // Counts are what it has done since it was opened.
@@ -485,14 +489,14 @@
 	again := s.closing
 	s.closing = true
 	s.mu.Unlock()
-	s.ring()
-	<-s.ended
+	s.wakeWriter()
+	<-s.writerDone
 	if again {
 		return nil
 	}
 	err := s.Err()
 	if err == nil {
-		s.man.closed = s.last
+		s.manifest.closedAtSequence = s.lastSequence
 		err = s.writeManifest()
 	}
 	for _, g := range s.segments {
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -22,7 +22,7 @@
 }
 
 // small limits, so that a short run has segments begun, rewritten and removed.
-var small = store.Limits{Segment: 600, Most: 1 << 20, Rewrite: 1}
+var small = store.Limits{SegmentBytes: 600, MaxBytes: 1 << 20, CompactionInterval: 1}
 
 // kept is what a store must have: of each key the last value that was said to survive, or one that was written after it.
 type kept struct {
@@ -110,15 +110,15 @@
 func crashes(steps, most int, lies func(n int, what string) bool) (states int, bad error) {
 	for at := 0; bad == nil; at++ {
 		k := &kept{values: map[store.Key][]string{}}
-		f := &faultfs.Folder{Lies: lies}
-		f.At = func(n int, _ string) error {
+		f := &faultfs.Folder{SyncLies: lies}
+		f.BeforeOperation = func(n int, _ string) error {
 			if n >= at {
-				return faultfs.ErrLost
+				return faultfs.ErrPowerLost
 			}
 			return nil
 		}
 		err := work(f, k, steps)
-		states += f.Each(most, int64(at), func(left *faultfs.Folder) {
+		states += f.ForEachCrashState(most, int64(at), func(left *faultfs.Folder) {
 			if bad != nil {
 				return
 			}
@@ -128,22 +128,22 @@
 		})
 		// Again while it recovers.
 		for again := 0; bad == nil && again < 8; again++ {
-			left := f.Left(func(part int) bool { return part%2 == again%2 }, -1)
-			left.Lies = lies
-			left.At = func(n int, _ string) error {
+			left := f.AfterPowerLoss(func(part int) bool { return part%2 == again%2 }, -1)
+			left.SyncLies = lies
+			left.BeforeOperation = func(n int, _ string) error {
 				if n >= again {
-					return faultfs.ErrLost
+					return faultfs.ErrPowerLost
 				}
 				return nil
 			}
 			k.check(left)
-			states += left.Each(most, int64(again), func(second *faultfs.Folder) {
+			states += left.ForEachCrashState(most, int64(again), func(second *faultfs.Folder) {
 				if err := k.check(second); err != nil && bad == nil {
 					bad = fmt.Errorf("power lost at operation %d, and at operation %d of the recovery: %w", at, again, err)
 				}
 			})
 		}
-		if err == nil && f.N < at {
+		if err == nil && f.Operations < at {
 			return states, bad
 		}
 	}
@@ -186,7 +186,9 @@
 	return f
 }
 
-func copyOf(f *faultfs.Folder) *faultfs.Folder { return f.Left(func(int) bool { return true }, -1) }
+func copyOf(f *faultfs.Folder) *faultfs.Folder {
+	return f.AfterPowerLoss(func(int) bool { return true }, -1)
+}
 
 // Cut at any byte the last segment is either read up to a whole record, or, as the store was closed in order and records
 // are missing, refused. A bit flipped anywhere in the log is refused, or is in what nobody reads.
@@ -195,16 +197,16 @@
 	names, _ := f.Names()
 	cut, flipped, read := 0, 0, 0
 	for _, name := range names {
-		b := f.Bytes(name)
+		b := f.Contents(name)
 		for at := range b {
 			g := copyOf(f)
-			g.Put(name, b[:at])
+			g.SetFile(name, b[:at])
 			if _, _, err := store.Open(g, "g1", small, func(store.Key, []byte, bool) {}); err == nil {
 				t.Fatalf("%s cut to %d bytes was read, though it was closed in order", name, at)
 			}
 			cut++
 			g = copyOf(f)
-			g.Flip(name, int64(at), uint(at%8))
+			g.FlipBit(name, int64(at), uint(at%8))
 			s, _, err := store.Open(g, "g1", small, func(store.Key, []byte, bool) {})
 			if err == nil {
 				read++
@@ -212,7 +214,7 @@
 				t.Errorf("%s with byte %d changed was read", name, at)
 				continue
 			}
-			var d *store.Damage
+			var d *store.CorruptionError
 			if !errors.As(err, &d) {
 				t.Fatalf("%s with byte %d changed: %v", name, at, err)
 			}
@@ -227,17 +229,17 @@
 	f := recorded(t)
 	names, _ := f.Names()
 	last := names[len(names)-2] // before the manifest
-	before := f.Bytes(last)
-	f.Flip(last, 60, 1)
+	before := f.Contents(last)
+	f.FlipBit(last, 60, 1)
 	_, _, err := store.Open(f, "g1", small, func(store.Key, []byte, bool) {})
-	var d *store.Damage
+	var d *store.CorruptionError
 	if !errors.As(err, &d) || d.File != last || d.Offset != 48 {
 		t.Errorf("%v", err)
 	}
-	if len(f.Bytes(last)) != len(before) {
+	if len(f.Contents(last)) != len(before) {
 		t.Error("it was cut")
 	}
-	f.Flip(last, 60, 1)
+	f.FlipBit(last, 60, 1)
 	if s, _, err := store.Open(f, "g2", small, func(store.Key, []byte, bool) {}); err == nil {
 		s.Close()
 		t.Error("another gateway took the folder")
@@ -257,14 +259,14 @@
 	f := recorded(t)
 	names, _ := f.Names()
 	first := names[0]
-	before := f.Bytes(first)
-	f.Flip(first, 48+3, 1) // the first record of the first segment
+	before := f.Contents(first)
+	f.FlipBit(first, 48+3, 1) // the first record of the first segment
 	lost, err := store.Repair(f, false)
-	if err != nil || len(lost) != len(names)-1 || len(f.Bytes(first)) != len(before) {
+	if err != nil || len(lost) != len(names)-1 || len(f.Contents(first)) != len(before) {
 		t.Errorf("%q, %v", lost, err)
 	}
-	if lost, err = store.Repair(f, true); err != nil || len(f.Bytes(first)) != 48 || len(f.Bytes(first+".lost")) != len(before) {
-		t.Errorf("%q, %v; %d bytes", lost, err, len(f.Bytes(first)))
+	if lost, err = store.Repair(f, true); err != nil || len(f.Contents(first)) != 48 || len(f.Contents(first+".lost")) != len(before) {
+		t.Errorf("%q, %v; %d bytes", lost, err, len(f.Contents(first)))
 	}
 	got := 0
 	s, _, err := store.Open(f, "g1", small, func(store.Key, []byte, bool) { got++ })
@@ -293,14 +295,14 @@
 		t.Fatal(err)
 	}
 	failing := true
-	f.At = func(_ int, what string) error {
+	f.BeforeOperation = func(_ int, what string) error {
 		if failing && what[:4] == "sync" {
 			failing = false
 			return syscall.EIO
 		}
 		return nil
 	}
-	var failed *store.Failed
+	var failed *store.FailedError
 	if err := put(2); !errors.As(err, &failed) || !errors.Is(err, syscall.EIO) {
 		t.Errorf("%v", err)
 	}
@@ -323,7 +325,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.At = func(_ int, what string) error {
+	f.BeforeOperation = func(_ int, what string) error {
 		if strings.HasPrefix(what, "sync ") {
 			begun <- true
 			<-through
@@ -341,7 +343,7 @@
 	}
 	late := make(chan error, 1)
 	s.Put(key(1), []byte("y"), func(err error) { late <- err })
-	if err := <-late; !errors.Is(err, store.ErrBehind) {
+	if err := <-late; !errors.Is(err, store.ErrBacklogFull) {
 		t.Errorf("%v", err)
 	}
 	close(through)
@@ -357,14 +359,14 @@
 func TestFull(t *testing.T) {
 	f := &faultfs.Folder{}
 	full, part := false, 0
-	f.At = func(_ int, what string) error {
+	f.BeforeOperation = func(_ int, what string) error {
 		if full && (what[:5] == "write" || what[:6] == "create") {
 			return syscall.ENOSPC
 		}
 		return nil
 	}
-	f.Short = func(int) int { part += 7; return part }
-	limits := store.Limits{Segment: 2000, Most: 6000}
+	f.ShortWrite = func(int) int { part += 7; return part }
+	limits := store.Limits{SegmentBytes: 2000, MaxBytes: 6000}
 	s, _, err := store.Open(f, "g1", limits, func(store.Key, []byte, bool) {})
 	if err != nil {
 		t.Fatal(err)
@@ -421,7 +423,7 @@
 
 // Writers that come together share a sync.
 func TestGroups(t *testing.T) {
-	d, err := store.Disk(t.TempDir())
+	d, err := store.CreateFolder(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -516,7 +518,7 @@
 			},
 			"lose power": func(t *rapid.T) {
 				bits := rapid.Uint64().Draw(t, "kept")
-				left := f.Left(func(part int) bool { return bits>>(part%64)&1 == 1 }, rapid.IntRange(-1, 500).Draw(t, "tear"))
+				left := f.AfterPowerLoss(func(part int) bool { return bits>>(part%64)&1 == 1 }, rapid.IntRange(-1, 500).Draw(t, "tear"))
 				old := s
 				f = left
 				s = open()
--- a/internal/testbed/load/classification/delay.go
+++ b/internal/testbed/load/classification/delay.go
@@ -29,8 +29,8 @@
 // among which every tenth is of a shape that never comes again.
 func Delays(known, fresh int) []Delay {
 	yes := true
-	plan := &resourcegroup.Plan{Classes: []resourcegroup.Class{{Name: "scan", When: resourcegroup.Fits{Full: &yes, Tables: []resourcegroup.Table{{Schema: "actas_*", Name: "mesas"}}}},
-		{Name: "dear", When: resourcegroup.Fits{UpperFrom: 5000}}}}
+	plan := &resourcegroup.Plan{Classes: []resourcegroup.Class{{Name: "scan", Conditions: resourcegroup.Conditions{FullScan: &yes, Tables: []resourcegroup.TablePattern{{Schema: "actas_*", Name: "mesas"}}}},
+		{Name: "dear", Conditions: resourcegroup.Conditions{MinUpperMillis: 5000}}}}
 	tables := func(*costmodel.Table) (float64, []string, bool) { return 1e6, fake.Keys, true }
 	look := func(n int) []byte {
 		return fmt.Appendf(nil, "SELECT nota, mesa FROM actas_%d.mesas WHERE clave = 'v%d' AND distrito IN (%d, 7, 9) ORDER BY dia LIMIT 20", n%12+1, n, n)
@@ -52,7 +52,7 @@
 			began := time.Now()
 			s := book.Inspect(sql, mysql.TableGroup(sql), 0)
 			subject = resourcegroup.Subject{Features: s.Features(), Estimate: book.Estimate(&s)}
-			plan.Find(&subject)
+			plan.Classify(&subject)
 			if took := time.Since(began); timed(n) {
 				d.Count++
 				h.RecordValue(int64(took))
--- a/internal/workload/law_test.go
+++ b/internal/workload/fleetpolicy_test.go
@@ -36,25 +36,25 @@
 	return r
 }
 
-func judged(t testing.TB) (*Desk, *court, func(classes string) agent.Policy) {
+func judged(t testing.TB) (*Manager, *court, func(classes string) agent.Policy) {
 	start := &config.Start{Site: &admission.Deployment{Classes: make([]admission.Class, 2), Cores: []float64{8}}, Network: &config.Network{Lanes: []string{"look", "load"}, Zones: []string{"norte", "sur"}, Kinds: []string{"std"}}}
-	d, err := NewDesk(&Statements{Memory: 1 << 20, LogEvery: time.Hour}, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	d, err := NewManager(&Statements{MemoryBytes: 1 << 20, LogInterval: time.Hour}, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &court{held(0, nil)}
 	texts := map[string]*Policy{}
-	d.Obey(c, func(text []byte) (*Policy, error) { return texts[string(text)], nil }, 4)
+	d.FollowFleetPolicy(c, func(text []byte) (*Policy, error) { return texts[string(text)], nil }, 4)
 	d.Listed(0, admission.Whole, []admission.Listing{{Engine: "n", Zone: 0}, {Engine: "s", Zone: 1}})
 	return d, c, func(classes string) agent.Policy {
 		p := &Policy{}
 		for _, k := range strings.Fields(classes) { // name:lane:threads, or name:lane:refuse
 			f := strings.Split(k, ":")
-			class := resourcegroup.Class{Name: f[0], When: resourcegroup.Fits{Lanes: []string{f[1]}}}
+			class := resourcegroup.Class{Name: f[0], Conditions: resourcegroup.Conditions{RequestClasses: []string{f[1]}}}
 			if f[2] == "refuse" {
-				class.Refuse = "no " + f[0]
+				class.RejectText = "no " + f[0]
 			} else {
-				fmt.Sscan(f[2], &class.Threads)
+				fmt.Sscan(f[2], &class.MaxThreads)
 			}
 			p.Plan.Classes = append(p.Plan.Classes, class)
 		}
@@ -70,7 +70,7 @@
 // What becomes of a look-up and a load, as policies change.
 func TestByWhat(t *testing.T) {
 	d, c, policy := judged(t)
-	reader := d.Reader().(*Reader)
+	reader := d.Reader().(*StatementReader)
 	var out strings.Builder
 	try := func(what string) {
 		fmt.Fprintf(&out, "%s:", what)
@@ -145,7 +145,7 @@
 	one, two := policy("loads:load:4 old:look:1"), policy("loads:load:2")
 	c.hold(1, one)
 	arrive := func(lane int) admission.Foreseen {
-		reader := d.Reader().(*Reader)
+		reader := d.Reader().(*StatementReader)
 		reader.Read([]byte("SELECT 1"), lane, 0)
 		f, crowded, refuse := d.Arrived(20, reader)
 		if crowded || refuse != "" {
@@ -176,7 +176,7 @@
 	d, c, policy := judged(t)
 	c.hold(1, policy("loads:load:4"))
 	c.ruling.Rehearsed, c.ruling.Standing.Trial = policy("loads:load:2 looks:look:refuse"), 7
-	reader := d.Reader().(*Reader)
+	reader := d.Reader().(*StatementReader)
 	var out []admission.Foreseen
 	for n := range 4 {
 		reader.Read([]byte("SELECT 1"), n%2, 0)
@@ -211,14 +211,14 @@
 			d, c, policy := judged(b)
 			c.hold(1, policy("loads:load:4"))
 			if by == "file" {
-				d.law = nil
+				d.inForce = nil
 				plan := &c.ruling.Current.(*Policy).Plan
 				d.plan.Store(plan)
-				if err := d.route.Renew(0, plan); err != nil {
+				if err := d.limiter.ReplacePlan(0, plan); err != nil {
 					b.Fatal(err)
 				}
 			}
-			reader := d.Reader().(*Reader)
+			reader := d.Reader().(*StatementReader)
 			reader.Read([]byte("SELECT 1"), 1, 0)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/workload/keep.go
+++ b/internal/workload/snapshot.go
@@ -11,7 +11,7 @@
 )
 
 // recover has the book know what a snapshot says; one that can't be used leaves it empty, with one line.
-func (d *Desk) recover(file string) {
+func (d *Manager) loadSnapshot(file string) {
 	s, err := ReadSnapshot(file)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -19,19 +19,19 @@
 	case err != nil:
 		d.log.Warn("statements", "code", "cold", "error", err)
 	default:
-		d.book.Restore(s, d.lanes)
+		d.costModel.Restore(s, d.requestClasses)
 		records, answers := s.CountRecords()
 		d.log.Info("statements", "code", "recovered", "snapshot", file, "shapes", records, "answers", answers)
 	}
 }
 
 // Save writes what was learned, if the operator names a file for it; it may be called from any goroutine.
-func (d *Desk) Save() {
-	file := d.keeps
+func (d *Manager) SaveSnapshot() {
+	file := d.snapshotFile
 	if file == "" {
 		return
 	}
-	s := d.book.Snapshot(d.lanes)
+	s := d.costModel.Snapshot(d.requestClasses)
 	if err := WriteSnapshot(file, s); err != nil {
 		d.log.Warn("statements", "code", "not_saved", "error", err)
 		return
--- a/internal/workload/source/policy.go
+++ b/internal/workload/source/policy_text.go
@@ -14,7 +14,7 @@
 
 // Policy takes the part of an operator's file that is the fleet's policy (pools, classes, and what is asked of a change) out of it,
 // as members read it: JSON, with nothing left to evaluate.
-func Policy(file string) (text []byte, err error) {
+func ExtractPolicy(file string) (text []byte, err error) {
 	f, o, err := configfile.Read(file)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 }
 
 // Place puts a file's name and line before what a member found amiss, whose text begins with the field.
-func Place(file, why string) string {
+func LocateError(file, why string) string {
 	if _, err := os.Stat(file); err != nil {
 		return why
 	}
@@ -61,19 +61,19 @@
 	}
 	p := &workload.Policy{}
 	if s := o.Object("statements"); s != nil {
-		p.Plan = plan(s)
+		p.Plan = readPlan(s)
 	}
 	if k := o.Object("policy"); k != nil {
-		p.Asked = terms(k)
+		p.Requirements = readRequirements(k)
 	}
 	return p, o.Validate()
 }
 
 // usualBoth is how long a gateway that hears nothing goes by what two policies allow, where it does.
-const usualBoth = 30 * time.Second
+const defaultBothFor = 30 * time.Second
 
 // terms reads what a policy asks of the change to it.
-func terms(k *configfile.Object) (t rollout.Terms) {
+func readRequirements(k *configfile.Object) (t rollout.Terms) {
 	length := func(o *configfile.Object, name string, usual, most time.Duration) admission.Time {
 		d := o.Duration(name, usual)
 		if d < 100*time.Millisecond || d > most {
@@ -82,7 +82,7 @@
 		return admission.Time(d / (100 * time.Microsecond))
 	}
 	if k.OneOf("silent", "nack", "nack", "both") == "both" {
-		t.Both = length(k, "both_for", usualBoth, 5*time.Minute)
+		t.Both = length(k, "both_for", defaultBothFor, 5*time.Minute)
 	} else if k.HasField("both_for") {
 		k.Reject("both_for", `none but with silent: "both"`)
 	}
--- a/internal/workload/source/policy_test.go
+++ b/internal/workload/source/policy_text_test.go
@@ -22,24 +22,24 @@
     pools: [{ name: 'n', zones: ['norte'] }],
     classes: [{ name: 'loads', when: { lanes: ['load'] }, pool: 'n', threads: 2 * n }] },
   policy: { silent: 'both', both_for: '10s', probation: { length: '20s', held_above: 0.1 } } }`)
-	text, err := Policy(file)
+	text, err := ExtractPolicy(file)
 	want := `{"policy":{"both_for":"10s","probation":{"held_above":0.1,"length":"20s"},"silent":"both"},"statements":{"classes":[{"name":"loads","pool":"n","threads":12,"when":{"lanes":["load"]}}],"pools":[{"name":"n","zones":["norte"]}]}}`
 	if err != nil || string(text) != want {
 		t.Fatalf("%v\n%s\nexpected\n%s", err, text, want)
 	}
 	p, err := ParsePolicy(text)
-	if err != nil || len(p.Plan.Classes) != 1 || p.Asked.Both != 100000 || p.Asked.Bounds.Held != 0.1 || p.Asked.Bounds.Refused != 1 {
+	if err != nil || len(p.Plan.Classes) != 1 || p.Requirements.Both != 100000 || p.Requirements.Bounds.Held != 0.1 || p.Requirements.Bounds.Refused != 1 {
 		t.Errorf("%v: %+v", err, p)
 	}
 	f, err := Read(file)
-	if err != nil || !f.Proposed || len(f.Statements.Plan.Classes) > 0 || f.Statements.Memory != 4<<20 {
+	if err != nil || !f.PolicyProposed || len(f.Statements.Plan.Classes) > 0 || f.Statements.MemoryBytes != 4<<20 {
 		t.Errorf("%v: %+v", err, f)
 	}
-	if got := Place(file, "statements.pools[0].zones: expected some of [\"sur\"], which this site has, found \"norte\""); !strings.HasPrefix(got, file+":4: statements.pools[0].zones: expected") {
+	if got := LocateError(file, "statements.pools[0].zones: expected some of [\"sur\"], which this site has, found \"norte\""); !strings.HasPrefix(got, file+":4: statements.pools[0].zones: expected") {
 		t.Error(got)
 	}
 	write("{ statements: {\n classes: [{ name: 'a', thread: 2 }],\n }, policy: { silent: 'booth' } }")
-	if _, err := Policy(file); err == nil || !strings.HasPrefix(err.Error(), file+":2: ") && !strings.HasPrefix(err.Error(), file+":3: ") {
+	if _, err := ExtractPolicy(file); err == nil || !strings.HasPrefix(err.Error(), file+":2: ") && !strings.HasPrefix(err.Error(), file+":3: ") {
 		t.Error(err)
 	}
 }
--- a/internal/workload/source/source.go
+++ b/internal/workload/source/source.go
@@ -21,8 +21,8 @@
 // The figures where the file names none: a gateway of 48 MB keeps to 8, so what is learned may have two more; a line a
 // minute is one among some thousands.
 const (
-	usualMemory = 2 << 20
-	usualLog    = time.Minute
+	defaultMemoryBytes = 2 << 20
+	defaultLogInterval = time.Minute
 )
 
 // Read reads the file.
@@ -46,25 +46,25 @@
 func decode(o *configfile.Object) (*workload.File, error) {
 	f := &workload.File{}
 	if s := o.Object("statements"); s != nil {
-		f.Statements = &workload.Statements{Memory: s.Size("memory", usualMemory), LogEvery: s.Duration("log_every", usualLog)}
-		if m := f.Statements.Memory; m < 64<<10 || m > 1<<30 {
+		f.Statements = &workload.Statements{MemoryBytes: s.Size("memory", defaultMemoryBytes), LogInterval: s.Duration("log_every", defaultLogInterval)}
+		if m := f.Statements.MemoryBytes; m < 64<<10 || m > 1<<30 {
 			s.Reject("memory", `a size from "64kB" to "1GB"`)
 		}
-		if f.Statements.LogEvery < time.Second {
+		if f.Statements.LogInterval < time.Second {
 			s.Reject("log_every", `a time from "1s" on`)
 		}
-		f.Statements.Snapshot = s.Text("snapshot", "")
+		f.Statements.SnapshotFile = s.Text("snapshot", "")
 		for _, t := range s.Objects("tables") {
-			p := pattern(t)
+			p := readTablePattern(t)
 			f.Statements.Tables = append(f.Statements.Tables, workload.Table{Schema: p.Schema, Name: p.Name,
 				Rows: t.Number("rows", 0, 0, 1e15), Keys: t.Texts("keys")})
 		}
-		f.Statements.Plan = plan(s)
+		f.Statements.Plan = readPlan(s)
 	}
 	if l := o.Object("fleet"); l != nil {
-		f.Fleet = members(l)
+		f.Fleet = readFleet(l)
 		if k := l.Object("budgets"); k != nil {
-			b := &agent.QuotaConfig{Voters: k.Texts("keepers"), ShareTerm: k.Duration("term", usualTerm), Number: uint64(k.Int("number", 1, 1, 1<<30)), Folder: k.Text("folder", "")}
+			b := &agent.QuotaConfig{Voters: k.Texts("keepers"), ShareTerm: k.Duration("term", defaultQuotaTerm), Number: uint64(k.Int("number", 1, 1, 1<<30)), Folder: k.Text("folder", "")}
 			if n := len(b.Voters); n != 1 && n != 3 && n != 5 {
 				k.Reject("keepers", "the names of 1, 3 or 5 gateways")
 			}
@@ -84,17 +84,17 @@
 	}
 	if p := o.Object("policy"); p != nil && (f.Fleet == nil || f.Fleet.Policy == nil) {
 		o.RejectError(errors.New("policy: expected fleet.policy in the file, by which it takes hold, found nothing"))
-		terms(p)
+		readRequirements(p)
 	} else if p != nil {
-		terms(p)
+		readRequirements(p)
 	}
 	if s := f.Statements; s != nil && f.Fleet != nil && f.Fleet.Policy != nil {
-		f.Proposed = len(s.Plan.Pools)+len(s.Plan.Classes) > 0
+		f.PolicyProposed = len(s.Plan.Pools)+len(s.Plan.Classes) > 0
 		s.Plan = resourcegroup.Plan{} // what is gone by is what the fleet has decided
 	}
 	if s := f.Statements; s != nil {
 		for i, c := range s.Plan.Classes {
-			if !c.Fleet {
+			if !c.FleetWide {
 				continue
 			}
 			if f.Fleet == nil || f.Fleet.Quota == nil {
@@ -114,22 +114,22 @@
 }
 
 // usualRate bounds what a gateway tells of engines: a hundred bytes to each of five hundred, four times a second.
-const usualRate = 200 << 10
+const defaultBytesPerSecond = 200 << 10
 
 // A gateway that hears nothing goes on by its policy for three seconds: a leader that dies is followed within two. A proposal is taken
 // within some tenths of a second; who needs five is in trouble, and the change goes on without it.
 const (
-	usualLease  = 3 * time.Second
-	usualWithin = 5 * time.Second
+	defaultLease           = 3 * time.Second
+	defaultProposalTimeout = 5 * time.Second
 )
 
 // usualTerm is how long a gateway that hears nothing goes on with its part: a restart of the network's gear, and not for good.
-const usualTerm = time.Minute
+const defaultQuotaTerm = time.Minute
 
 // members reads how the gateways of a fleet reach each other.
-func members(l *configfile.Object) *agent.Config {
+func readFleet(l *configfile.Object) *agent.Config {
 	p := &agent.Config{Listen: l.RequiredText("listen"), Advertise: l.Text("advertise", ""), Seeds: l.Texts("seeds"), Key: l.RequiredText("key"),
-		BytesPerSecond: l.Size("bytes_per_second", usualRate), ControlSocket: l.Text("control", ""), HistoryFile: l.Text("history", ""),
+		BytesPerSecond: l.Size("bytes_per_second", defaultBytesPerSecond), ControlSocket: l.Text("control", ""), HistoryFile: l.Text("history", ""),
 		ShareHealth: l.Bool("judgements", true), ShareCounters: l.Bool("counts", false)}
 	if _, err := netip.ParseAddrPort(p.Listen); p.Listen != "" && err != nil {
 		l.Reject("listen", `an address and port, as in "10.0.0.3:7100"`)
@@ -147,7 +147,7 @@
 		}
 	}
 	if k := l.Object("policy"); k != nil {
-		p.Policy = &agent.PolicyConfig{Voters: k.Texts("voters"), Folder: k.Text("folder", ""), LeaseDuration: k.Duration("lease", usualLease), ProposalTimeout: k.Duration("within", usualWithin)}
+		p.Policy = &agent.PolicyConfig{Voters: k.Texts("voters"), Folder: k.Text("folder", ""), LeaseDuration: k.Duration("lease", defaultLease), ProposalTimeout: k.Duration("within", defaultProposalTimeout)}
 		if n := len(p.Policy.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
 			k.Reject("voters", "the names of 3, 5 or 7 gateways, or of one")
 		}
@@ -165,8 +165,8 @@
 }
 
 // pattern reads a pattern of tables' names.
-func pattern(t *configfile.Object) resourcegroup.Table {
-	p := resourcegroup.Table{Schema: t.Text("schema", "*"), Name: t.RequiredText("name")}
+func readTablePattern(t *configfile.Object) resourcegroup.TablePattern {
+	p := resourcegroup.TablePattern{Schema: t.Text("schema", "*"), Name: t.RequiredText("name")}
 	for _, f := range []struct{ field, text string }{{"schema", p.Schema}, {"name", p.Name}} {
 		if _, err := path.Match(f.text, ""); err != nil {
 			t.Reject(f.field, "a name, with * for any letters")
@@ -176,7 +176,7 @@
 }
 
 // plan reads pools and classes. A class that follows one for all statements would never be reached.
-func plan(s *configfile.Object) (p resourcegroup.Plan) {
+func readPlan(s *configfile.Object) (p resourcegroup.Plan) {
 	pools, classes := map[string]bool{"": true}, map[string]bool{}
 	for _, o := range s.Objects("pools") {
 		pool := resourcegroup.Pool{Name: o.RequiredText("name"), Zones: o.Texts("zones"), Kinds: o.Texts("kinds")}
@@ -188,17 +188,17 @@
 	}
 	all := ""
 	for _, o := range s.Objects("classes") {
-		c := resourcegroup.Class{Name: o.RequiredText("name"), Pool: o.Text("pool", ""), Threads: o.Number("threads", 0, 0.1, 1e6),
-			Waiting: o.Int("waiting", 0, 1, 1e6), Work: float64(o.Duration("work_per_second", 0)) / 1e6, Refuse: o.Text("refuse", ""), Fleet: o.Bool("fleet", false)}
-		if c.Fleet && c.Threads != math.Trunc(c.Threads) {
+		c := resourcegroup.Class{Name: o.RequiredText("name"), Pool: o.Text("pool", ""), MaxThreads: o.Number("threads", 0, 0.1, 1e6),
+			MaxWaiting: o.Int("waiting", 0, 1, 1e6), WorkMillisPerSecond: float64(o.Duration("work_per_second", 0)) / 1e6, RejectText: o.Text("refuse", ""), FleetWide: o.Bool("fleet", false)}
+		if c.FleetWide && c.MaxThreads != math.Trunc(c.MaxThreads) {
 			o.Reject("threads", "a whole number of threads, where they are the fleet's")
-		} else if c.Fleet && c.Threads == 0 && c.Waiting == 0 && c.Work < 1 {
+		} else if c.FleetWide && c.MaxThreads == 0 && c.MaxWaiting == 0 && c.WorkMillisPerSecond < 1 {
 			o.Reject("fleet", "threads, waiting or work_per_second, which it has the fleet share")
 		}
-		if o.HasField("work_per_second") && c.Work == 0 {
+		if o.HasField("work_per_second") && c.WorkMillisPerSecond == 0 {
 			o.Reject("work_per_second", "a time of work above 0, as in \"4s\"")
 		}
-		if o.HasField("refuse") && c.Refuse == "" {
+		if o.HasField("refuse") && c.RejectText == "" {
 			o.Reject("refuse", "the text of the error that clients get")
 		}
 		if classes[c.Name] && c.Name != "" {
@@ -212,19 +212,19 @@
 			o.Reject("name", "no further class, as "+all+" before it takes all statements")
 		}
 		if w := o.Object("when"); w != nil {
-			c.When = fits(w)
+			c.Conditions = readConditions(w)
 		} else {
 			all = c.Name
 		}
 		p.Classes = append(p.Classes, c)
 	}
-	if len(p.Classes) > resourcegroup.MostClasses {
-		s.Reject("classes", fmt.Sprintf("at most %d", resourcegroup.MostClasses))
+	if len(p.Classes) > resourcegroup.MaxClasses {
+		s.Reject("classes", fmt.Sprintf("at most %d", resourcegroup.MaxClasses))
 	}
 	return p
 }
 
-func fits(w *configfile.Object) (f resourcegroup.Fits) {
+func readConditions(w *configfile.Object) (f resourcegroup.Conditions) {
 	flag := func(name string) *bool {
 		if !w.HasField(name) {
 			return nil
@@ -233,16 +233,16 @@
 		return &v
 	}
 	ms := func(name string) float64 { return float64(w.Duration(name, 0)) / 1e6 }
-	f = resourcegroup.Fits{Lanes: w.Texts("lanes"), Verbs: w.Texts("verbs"), Full: flag("full"), Limited: flag("limited"), Doubt: flag("doubt"),
-		WorkFrom: ms("work_from"), UpperFrom: ms("upper_from"), MemoryFrom: float64(w.Size("memory_from", 0)) / (1 << 20),
-		BadFrom: w.Fraction("bad_from", 0), JoinsFrom: w.Int("joins_from", 0, 0, 1e6), LooseFrom: w.Int("loose_from", 0, 0, 1e6)}
+	f = resourcegroup.Conditions{RequestClasses: w.Texts("lanes"), Verbs: w.Texts("verbs"), FullScan: flag("full"), HasLimit: flag("limited"), Uncertain: flag("doubt"),
+		MinWorkMillis: ms("work_from"), MinUpperMillis: ms("upper_from"), MinMemoryMB: float64(w.Size("memory_from", 0)) / (1 << 20),
+		MinBadShare: w.Fraction("bad_from", 0), MinJoins: w.Int("joins_from", 0, 0, 1e6), MinLooseTables: w.Int("loose_from", 0, 0, 1e6)}
 	for _, v := range f.Verbs {
 		if !slices.Contains(costmodel.VerbNames(), v) {
 			w.Reject("verbs", "some of "+strings.Join(costmodel.VerbNames(), ", "))
 		}
 	}
 	for _, t := range w.Objects("tables") {
-		f.Tables = append(f.Tables, pattern(t))
+		f.Tables = append(f.Tables, readTablePattern(t))
 	}
 	return f
 }
--- a/internal/workload/source/source_test.go
+++ b/internal/workload/source/source_test.go
@@ -20,7 +20,7 @@
 		}
 		fmt.Println(f.Statements != nil)
 		if f.Statements != nil {
-			b := f.Statements.Book(1)
+			b := f.Statements.NewCostModel(1)
 			for _, sql := range []string{"SELECT a FROM actas_3.mesas WHERE clave = 1", "SELECT a FROM actas_3.mesas WHERE nota = 1",
 				"SELECT a FROM actas_3.otra WHERE nota = 1"} {
 				look := b.Inspect([]byte(sql), 3, 0)
--- a/internal/workload/operator.go
+++ b/internal/workload/workload.go
@@ -15,18 +15,18 @@
 
 // File is what the operator asks for.
 type File struct {
-	Statements *Statements   // nil: statements are not looked at
-	Fleet      *agent.Config // nil: this gateway speaks to no other
-	Proposed   bool          // it has classes or pools that are gone by only once the fleet has decided so
+	Statements     *Statements   // nil: statements are not looked at
+	Fleet          *agent.Config // nil: this gateway speaks to no other
+	PolicyProposed bool          // it has classes or pools that are gone by only once the fleet has decided so
 }
 
 // Statements has statements estimated before they are handed to the decisions.
 type Statements struct {
-	Memory   int64 // bytes that what is learned may take
-	Tables   []Table
-	LogEvery time.Duration
-	Snapshot string // file that what is learned is kept in; empty: it is lost at the end
-	Plan     resourcegroup.Plan
+	MemoryBytes  int64 // bytes that what is learned may take
+	Tables       []Table
+	LogInterval  time.Duration
+	SnapshotFile string // file that what is learned is kept in; empty: it is lost at the end
+	Plan         resourcegroup.Plan
 }
 
 // Table is what is known of tables before any answer.
@@ -37,20 +37,20 @@
 }
 
 // Book is an empty book of statements for so many lanes.
-func (s *Statements) Book(lanes int) *costmodel.Model {
-	return costmodel.NewModel(s.Memory, lanes, s.Known())
+func (s *Statements) NewCostModel(lanes int) *costmodel.Model {
+	return costmodel.NewModel(s.MemoryBytes, lanes, s.TableLookup())
 }
 
 // Known is what the file says of tables; nil: nothing.
-func (s *Statements) Known() costmodel.TableLookup {
+func (s *Statements) TableLookup() costmodel.TableLookup {
 	if len(s.Tables) == 0 {
 		return nil
 	}
-	return s.lookUp
+	return s.lookUpTable
 }
 
 // lookUp finds the first entry that a table fits.
-func (s *Statements) lookUp(t *costmodel.Table) (rows float64, keys []string, ok bool) {
+func (s *Statements) lookUpTable(t *costmodel.Table) (rows float64, keys []string, ok bool) {
 	for i := range s.Tables {
 		e := &s.Tables[i]
 		schema, _ := path.Match(e.Schema, t.Schema)
--- a/internal/workload/operator_test.go
+++ b/internal/workload/workload_test.go
@@ -57,7 +57,7 @@
 type gateway struct {
 	t       *testing.T
 	log     log
-	desk    *workload.Desk
+	desk    *workload.Manager
 	db      *sql.DB
 	engines [2]*fake.Engine
 	entries [2]fake.Entry
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.desk, err = workload.NewDesk(f.Statements, start, logger); err != nil {
+	if g.desk, err = workload.NewManager(f.Statements, start, logger); err != nil {
 		t.Fatal(err)
 	}
 	stop, ended := make(chan struct{}), make(chan error)
@@ -116,7 +116,7 @@
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		g.desk.Save()
+		g.desk.SaveSnapshot()
 		g.list.Close()
 		for _, e := range g.engines {
 			e.Close()
@@ -204,9 +204,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.desk.Renew(f.Statements)
+	g.desk.ReplaceFile(f.Statements)
 	g.logs(`code=kept error="statements.pools[0].zones: expected some of`)
-	g.desk.Renew(nil)
+	g.desk.ReplaceFile(nil)
 	g.logs("code=renewed pools=0 classes=0")
 	if number, _ := g.ask(300, "look", "SELECT nota FROM actas_3.mesas"); number != 0 {
 		t.Errorf("no rules: %d", number)
