--- a/cmd/magpiebank-testbed/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -210,8 +210,8 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			good, out := true, c.OutOrStdout()
 			each := func(what string, r modelcheck.Result) {
-				r.Text(out, what)
-				good = good && r.Violated == ""
+				r.WriteText(out, what)
+				good = good && r.Violation == ""
 			}
 			quota.Explore(states, each)
 			rollout.Explore(states, each)
--- a/internal/cluster/agent/cold.go
+++ b/internal/cluster/agent/cold.go
@@ -66,7 +66,7 @@
 	if amount > coldWhole {
 		return false, true
 	}
-	if !f.shares.Open(now, s.budget, amount, c.length) {
+	if !f.shares.TryReserve(now, s.budget, amount, c.length) {
 		s.wanted, s.at = amount, now
 		return false, true
 	}
@@ -96,7 +96,7 @@
 			s.wanted = 0
 		}
 		if s.wanted > 0 || s.told {
-			f.shares.Want(now, s.budget, s.wanted)
+			f.shares.SetDemand(now, s.budget, s.wanted)
 			s.told = s.wanted > 0
 		}
 	}
--- a/internal/cluster/agent/counts.go
+++ b/internal/cluster/agent/counts.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func (h counter) Others() []string { return lender(h).Others() }
+func (h counter) Peers() []string { return lender(h).Peers() }
 
 // Moved is the owner's.
 func (f *Agent) Moved(lane, class string, was, is router.Place) {
@@ -29,8 +29,8 @@
 	var changes [5]counters.Change
 	n := 0
 	add := func(kind counters.Kind, name string, by [3]int64) {
-		if kind == counters.All || name != "" {
-			changes[n] = counters.Change{Key: counters.Key{Kind: kind, Name: name}, By: by}
+		if kind == counters.KindAll || name != "" {
+			changes[n] = counters.Change{Key: counters.Key{Kind: kind, Name: name}, Delta: by}
 			n++
 		}
 	}
@@ -42,22 +42,22 @@
 		switch {
 		case !p.In:
 		case p.Engine == "":
-			all[counters.Waits] += p.by
+			all[counters.Waiting] += p.by
 		default:
-			all[counters.Runs] += p.by
-			all[counters.Handed] += handed
-			add(counters.Engine, string(p.Engine), [3]int64{0, p.by, handed})
+			all[counters.Running] += p.by
+			all[counters.Attempted] += handed
+			add(counters.KindEngine, string(p.Engine), [3]int64{0, p.by, handed})
 		}
 	}
-	add(counters.All, "", all)
-	add(counters.Lane, lane, all)
-	add(counters.Class, class, all)
-	f.counts.Count(f.clock.Now(), changes[:n]...)
+	add(counters.KindAll, "", all)
+	add(counters.KindClass, lane, all)
+	add(counters.KindPolicyClass, class, all)
+	f.counts.ApplyChanges(f.clock.Now(), changes[:n]...)
 	if f.history == nil {
 		return
 	}
-	own := f.counts.Own(counters.Key{})
-	f.history.Write(history.Event{Kind: history.RequestsCounted, Number: int(own[counters.Waits]), Most: int(own[counters.Runs])})
+	own := f.counts.OwnCounts(counters.Key{})
+	f.history.Write(history.Event{Kind: history.RequestsCounted, Number: int(own[counters.Waiting]), Most: int(own[counters.Running])})
 }
 
 // readings are for a checker: what is known of all twice a second.
@@ -66,10 +66,10 @@
 		return
 	}
 	f.readAt = now
-	r := f.counts.Read(now, counters.Key{})
+	r := f.counts.TakeReading(now, counters.Key{})
 	for figure, name := range []string{"waits", "runs"} {
-		of := r.Counts[0].Of[figure]
-		f.history.Write(history.Event{Kind: history.CountersRead, Code: name, AgeNanos: int64(r.Age) * 1e5, Number: int(of.Low), Most: int(of.High), Of: uint64(r.Silent)})
+		of := r.Counts[0].Ranges[figure]
+		f.history.Write(history.Event{Kind: history.CountersRead, Code: name, AgeNanos: int64(r.Age) * 1e5, Number: int(of.Low), Most: int(of.High), Of: uint64(r.Unknown)})
 	}
 }
 
@@ -94,17 +94,17 @@
 func (f *Agent) counted(now admission.Time) *CountStatus {
 	keys := []counters.Key{{}}
 	for _, l := range f.lanes {
-		keys = append(keys, counters.Key{Kind: counters.Lane, Name: l})
+		keys = append(keys, counters.Key{Kind: counters.KindClass, Name: l})
 	}
-	keys = append(keys, f.counts.Keys(counters.Class)...)
+	keys = append(keys, f.counts.ListKeys(counters.KindPolicyClass)...)
 	for _, l := range f.book.Status(now) {
-		keys = append(keys, counters.Key{Kind: counters.Engine, Name: string(l.Engine)})
+		keys = append(keys, counters.Key{Kind: counters.KindEngine, Name: string(l.Engine)})
 	}
-	r := f.counts.Read(now, keys...)
-	s := &CountStatus{AgeSeconds: seconds(r.Age), KnownGateways: r.Heard, SilentGateways: r.Silent}
+	r := f.counts.TakeReading(now, keys...)
+	s := &CountStatus{AgeSeconds: seconds(r.Age), KnownGateways: r.Known, SilentGateways: r.Unknown}
 	for _, c := range r.Counts {
-		of := func(figure int) [2]int64 { return [2]int64{c.Of[figure].Low, c.Of[figure].High} }
-		s.Lines = append(s.Lines, CountLine{strings.TrimSpace(c.Kind.String() + " " + c.Name), of(counters.Waits), of(counters.Runs), of(counters.Handed)})
+		of := func(figure int) [2]int64 { return [2]int64{c.Ranges[figure].Low, c.Ranges[figure].High} }
+		s.Lines = append(s.Lines, CountLine{strings.TrimSpace(c.Kind.String() + " " + c.Name), of(counters.Waiting), of(counters.Running), of(counters.Attempted)})
 	}
 	return s
 }
--- a/internal/cluster/agent/fleet.go
+++ b/internal/cluster/agent/fleet.go
@@ -68,7 +68,7 @@
 	clock    router.Clock
 	tell     func(func(admission.Time, *admission.Router))
 	core     *membership.Core
-	book     *healthreport.Book
+	book     *healthreport.Table
 	numbers  map[string]*seen
 	number   uint64
 	start    uint64  // as it was last looked at
@@ -85,13 +85,13 @@
 	heard    int64
 	rights   *quota.Plan
 	seat     int
-	tip      admission.Time // after which a cold engine falls over, by the site's rule
-	gateways int            // of the installation
-	shares   shares         // of budgets; nil: nothing is shared
-	purse    *quota.Purse   // the same, but in a measurement of the laboratory's
-	heir     *succession    // nil: who follows comes with nothing
-	settled  bool           // the part is held under this start, and may be used,
-	partAt   admission.Time // under which it was first claimed then
+	tip      admission.Time      // after which a cold engine falls over, by the site's rule
+	gateways int                 // of the installation
+	shares   shares              // of budgets; nil: nothing is shared
+	purse    *quota.Synchronized // the same, but in a measurement of the laboratory's
+	heir     *succession         // nil: who follows comes with nothing
+	settled  bool                // the part is held under this start, and may be used,
+	partAt   admission.Time      // under which it was first claimed then
 	counts   *counters.Core
 	most     int64 // tasks in hand
 	readAt   admission.Time
@@ -111,7 +111,7 @@
 	if plan.Advertise == "" {
 		plan.Advertise = plan.Listen
 	}
-	if _, err := netip.ParseAddrPort(plan.Advertise); err != nil || !membership.CheckName(start.Name, plan.Advertise) {
+	if _, err := netip.ParseAddrPort(plan.Advertise); err != nil || !membership.ValidNameAndAddress(start.Name, plan.Advertise) {
 		return nil, fmt.Errorf("fleet.advertise: expected an address and port that the others reach, with a name of up to 40 bytes, found %q", plan.Advertise)
 	}
 	for i, s := range plan.Seeds {
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	f := &Agent{plan: plan, name: start.Name, log: log, seal: key, box: eventqueue.New(), stop: make(chan struct{}), ended: make(chan struct{}),
-		share: healthreport.Share(start.Site, len(start.Network.Zones)), numbers: map[string]*seen{}, dropped: map[error]int{},
+		share: healthreport.MaxEjectedShare(start.Site, len(start.Network.Zones)), numbers: map[string]*seen{}, dropped: map[error]int{},
 		listed: map[admission.EngineID]admission.Time{}, out: map[admission.EngineID]bool{}, rated: map[int]rated{}, saidAt: time.Now(), seat: start.Site.Me, gateways: start.Site.Gateways}
 	if p := plan.Policy; p != nil {
 		if plan.ControlSocket == "" {
@@ -148,7 +148,7 @@
 			return nil, errors.New("fleet.budgets.cold: expected a site with a rule for engines that have just started (rules.tipAfterUs), found none")
 		}
 		f.rights = f.shared(b, start.Site.Gateways)
-		if f.rights.Term < 2*f.rights.Loan {
+		if f.rights.ShareTerm < 2*f.rights.LeaseTerm {
 			return nil, fmt.Errorf("fleet.budgets.term: expected six times the longest wait of a class at least, %v, found %v", 6*f.longest, b.ShareTerm)
 		}
 	}
@@ -182,24 +182,24 @@
 	}
 	f.start = start
 	now := clock.Now()
-	self := membership.Member{Name: f.name, Start: start, Address: f.plan.Advertise}
+	self := membership.Member{Name: f.name, Incarnation: start, Address: f.plan.Advertise}
 	f.core = membership.New(now, self, f.plan.Seeds, rand.New(rand.NewPCG(start, 1)), host{f})
-	f.book = healthreport.New(1, f.share, healthreport.Turn(f.name))
+	f.book = healthreport.New(1, f.share, healthreport.RetryPhase(f.name))
 	if f.history != nil {
-		f.book.Note = f.note
+		f.book.OnObservation = f.note
 	}
 	f.history.Write(history.Event{Kind: history.ProcessStarted, Number: int(1000 * f.share), State: f.plan.Advertise})
 	if f.plan.ShareCounters {
 		f.counts = counters.New(now, f.name, f.gateways, f.most, tenths(f.longest), counter{f})
 	}
 	if f.rights != nil {
-		f.rights.Plant()
+		f.rights.ApplyMutation()
 		if err := f.inherit(); err != nil {
 			f.socket.Close()
 			return err
 		}
 		if f.shares = f.beside(now); f.shares == nil {
-			f.purse = quota.NewPurse(f.part(now))
+			f.purse = quota.NewSynchronized(f.part(now))
 			f.shares = f.purse
 		}
 		f.cold = f.newCold()
@@ -223,7 +223,7 @@
 // Listed takes in an event of the engine list, from the owner as Saw and Sent.
 func (f *Agent) Listed(now admission.Time, form admission.Form, list []admission.Listing) {
 	f.box.Put(func() {
-		f.book.Listed(form, list)
+		f.book.UpdateEngines(form, list)
 		if f.history != nil {
 			f.noteList(form, list)
 		}
@@ -233,7 +233,7 @@
 // Saw takes in what the decisions saw themselves.
 func (f *Agent) Saw(now admission.Time, engine admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
 	f.box.Put(func() {
-		f.book.Saw(now, engine, saw, report, room)
+		f.book.Observe(now, engine, saw, report, room)
 		if f.history != nil && saw != admission.Reported {
 			f.history.Write(history.Event{Kind: history.OutcomeObserved, Engine: string(engine), EngineStart: int64(f.listed[engine]), Success: !saw.Fails()})
 		}
@@ -329,7 +329,7 @@
 			f.box.Run()
 			f.core.Leave(f.clock.Now())
 			if f.purse != nil {
-				f.purse.Step(func(c *quota.Core) { f.bequeath(c.Farewell(f.clock.Now())) })
+				f.purse.WithCore(func(c *quota.Core) { f.bequeath(c.ReleaseShares(f.clock.Now())) })
 			}
 			if f.policies.core != nil {
 				f.policies.stop(f.clock.Now())
@@ -342,32 +342,32 @@
 
 // due steps the cores, and passes on what was found.
 func (f *Agent) due(now admission.Time) {
-	if now >= f.core.Next() {
-		f.core.Due(now)
+	if now >= f.core.NextTick() {
+		f.core.Tick(now)
 	}
-	if start := f.core.Self().Start; start != f.start {
+	if start := f.core.Self().Incarnation; start != f.start {
 		f.start = start
 		f.history.Write(history.Event{Kind: history.StartChanged, Of: start})
 	}
-	if f.counts != nil && !f.core.Quiet() {
-		f.counts.Due(now)
+	if f.counts != nil && !f.core.IsInactive() {
+		f.counts.Tick(now)
 		f.readings(now)
 	}
-	if f.shares != nil && !f.core.Quiet() {
-		if f.purse != nil && f.purse.Start() != f.start { // it had to take a later start than it began with: as that it comes with nothing
-			f.purse.Renew(f.part(now))
+	if f.shares != nil && !f.core.IsInactive() {
+		if f.purse != nil && f.purse.Incarnation() != f.start { // it had to take a later start than it began with: as that it comes with nothing
+			f.purse.ReplaceCore(f.part(now))
 		}
-		f.shares.Due(now)
+		f.shares.Tick(now)
 		f.settle(now)
 	}
-	if f.policies.core != nil && !f.core.Quiet() {
+	if f.policies.core != nil && !f.core.IsInactive() {
 		f.policies.due(now)
 	}
 	asOf := int64(0)
 	if f.history != nil {
 		asOf = history.Now() - int64(f.clock.Now()-now)*1e5
 	}
-	f.book.Findings(now, func(found *admission.Finding) {
+	f.book.VisitChangedFindings(now, func(found *admission.Finding) {
 		finding := *found
 		f.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(finding.Engine), EngineStart: int64(finding.Since), Evidence: finding.Against, Number: finding.Witnesses, Out: finding.Shuts(),
 			ObservedAt: asOf, ValidNanos: int64(max(0, finding.Until-now)) * 1e5})
@@ -387,12 +387,12 @@
 func (f *Agent) speak(now admission.Time) {
 	f.tokens = min(float64(f.plan.BytesPerSecond), f.tokens+float64(f.plan.BytesPerSecond)*float64(now-f.paidAt)/float64(admission.Second))
 	f.paidAt = now
-	peers := f.core.Living()
-	if !f.plan.ShareHealth || peers == 0 || f.core.Quiet() || f.tokens < float64(peers*healthreport.Most) && f.tokens < float64(f.plan.BytesPerSecond) {
+	peers := f.core.CountReachable()
+	if !f.plan.ShareHealth || peers == 0 || f.core.IsInactive() || f.tokens < float64(peers*healthreport.MaxMessageBytes) && f.tokens < float64(f.plan.BytesPerSecond) {
 		return
 	}
-	f.book.Peers(peers)
-	m := f.book.Message(now)
+	f.book.SetPeerCount(peers)
+	m := f.book.NextMessage(now)
 	if m == nil {
 		return
 	}
@@ -431,32 +431,32 @@
 	}
 	f.looked(at)
 	if err == nil && f.plan.ShareHealth && at >= f.deafTo {
-		f.book.Met(at, healthreport.Source{Name: l.name, Start: l.start}, l.clock)
+		f.book.ObserveClock(at, healthreport.Source{Name: l.name, Incarnation: l.start}, l.clock)
 	}
 	for _, p := range parts(l, err) {
 		switch p.what {
 		case partMembers:
-			if f.core.Heard(at, p.bytes) != nil {
+			if f.core.HandleMessage(at, p.bytes) != nil {
 				err = errBroken
 			}
 		case partBudget:
 			m, bad := quota.Decode(p.bytes)
-			if bad != nil || m.From != l.name || m.Start != l.start {
+			if bad != nil || m.Sender != l.name || m.SenderIncarnation != l.start {
 				err = errBroken
-			} else if f.shares != nil && !f.core.Quiet() {
+			} else if f.shares != nil && !f.core.IsInactive() {
 				f.paid(at, m)
 			}
 		case partTally:
-			if f.counts != nil && !f.core.Quiet() && f.counts.Heard(at, l.name, l.start, p.bytes) != nil {
+			if f.counts != nil && !f.core.IsInactive() && f.counts.HandleMessage(at, l.name, l.start, p.bytes) != nil {
 				err = errBroken
 			}
 		case partCharter:
-			if f.policies.core != nil && !f.core.Quiet() && f.policies.part(at, l, p.bytes) != nil {
+			if f.policies.core != nil && !f.core.IsInactive() && f.policies.part(at, l, p.bytes) != nil {
 				err = errBroken
 			}
 		case partJudgement:
-			if m, ok := f.core.Find(l.name); f.plan.ShareHealth && at >= f.deafTo && ok && (m.Start <= l.start || ignoresStart) {
-				if f.book.Heard(at, healthreport.Source{Name: l.name, Start: l.start}, p.bytes) != nil {
+			if m, ok := f.core.Find(l.name); f.plan.ShareHealth && at >= f.deafTo && ok && (m.Incarnation <= l.start || ignoresStart) {
+				if f.book.HandleMessage(at, healthreport.Source{Name: l.name, Incarnation: l.start}, p.bytes) != nil {
 					err = errBroken
 				}
 			}
@@ -483,7 +483,7 @@
 		return 0
 	}
 	f.number++
-	b, err := f.seal.close(&letter{name: f.name, start: f.core.Self().Start, number: f.number, clock: uint32(f.clock.Now()), parts: []part{p}})
+	b, err := f.seal.close(&letter{name: f.name, start: f.core.Self().Incarnation, number: f.number, clock: uint32(f.clock.Now()), parts: []part{p}})
 	if err != nil {
 		return 0
 	}
@@ -497,24 +497,24 @@
 
 func (h host) Send(to string, m []byte) { h.f.send(to, part{partMembers, m}) }
 
-func (h host) Changed(code membership.Code, m membership.Member) {
+func (h host) MemberChanged(code membership.EventCode, m membership.Member) {
 	f := h.f
 	if f.counts != nil && m.State == membership.Left {
-		f.counts.Gone(m.Name, m.Start)
+		f.counts.MarkStopped(m.Name, m.Incarnation)
 	}
-	f.history.Write(history.Event{Kind: history.MemberChanged, Code: string(code), Member: m.Name, Of: m.Start, State: m.State.String()})
+	f.history.Write(history.Event{Kind: history.MemberChanged, Code: string(code), Member: m.Name, Of: m.Incarnation, State: m.State.String()})
 	level := slog.LevelInfo
-	if code == membership.Split || code == membership.Displaced {
+	if code == membership.Partitioned || code == membership.Superseded {
 		level = slog.LevelWarn
 	}
-	f.log.Log(context.Background(), level, "fleet", "code", string(code), "member", m.Name, "start", m.Start, "address", m.Address, "lost", f.lost())
+	f.log.Log(context.Background(), level, "fleet", "code", string(code), "member", m.Name, "start", m.Incarnation, "address", m.Address, "lost", f.lost())
 }
 
 func (f *Agent) lost() int {
 	if f.core == nil {
 		return 0
 	}
-	return f.core.Lost()
+	return f.core.CountDead()
 }
 
 // note writes evidence that was taken in into the history.
@@ -523,8 +523,8 @@
 		good bool
 		age  admission.Time
 	}{{true, goodAge}, {false, badAge}} {
-		if outcome.age < healthreport.Use {
-			f.history.Write(history.Event{Kind: history.EvidenceReceived, Member: from.Name, Of: from.Start, Engine: string(e.Engine), EngineStart: int64(e.Since), Success: outcome.good,
+		if outcome.age < healthreport.OutcomeLifetime {
+			f.history.Write(history.Event{Kind: history.EvidenceReceived, Member: from.Name, Of: from.Incarnation, Engine: string(e.Engine), EngineStart: int64(e.Since), Success: outcome.good,
 				AgeNanos: int64(outcome.age) * 1e5})
 		}
 	}
--- a/internal/cluster/agent/planted_on.go
+++ b/internal/cluster/agent/planted_on.go
@@ -32,7 +32,7 @@
 	if !strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "quorum") {
 		return nil
 	}
-	return asking{quorumquota.New(now, f.rights, f.name, f.core.Self().Start, lender{f}), f.box}
+	return asking{quorumquota.New(now, f.rights, f.name, f.core.Self().Incarnation, lender{f}), f.box}
 }
 
 // asking has what the owner's calls lead to be sent at once, by the fleet's goroutine.
@@ -41,16 +41,16 @@
 	box *eventqueue.Box
 }
 
-func (a asking) Open(now admission.Time, b int, amount int64, length admission.Time) bool {
-	ok := a.Core.Open(now, b, amount, length)
+func (a asking) TryReserve(now admission.Time, b int, amount int64, length admission.Time) bool {
+	ok := a.Core.TryReserve(now, b, amount, length)
 	if !ok {
 		a.box.Put(func() {})
 	}
 	return ok
 }
 
-func (a asking) Done(now admission.Time, b int, amount int64) bool {
-	a.Core.Done(now, b, amount)
+func (a asking) Release(now admission.Time, b int, amount int64) bool {
+	a.Core.Release(now, b, amount)
 	return true
 }
 
--- a/internal/cluster/agent/policy.go
+++ b/internal/cluster/agent/policy.go
@@ -235,7 +235,7 @@
 	return nil
 }
 
-func (p *policies) Others() []string { return lender{p.f}.Others() }
+func (p *policies) Others() []string { return lender{p.f}.Peers() }
 
 // Check reads a policy beside the fleet's goroutine: a long one takes its time.
 func (p *policies) Check(d rollout.Digest, text []byte, done func(rollout.Terms, error)) {
--- a/internal/cluster/agent/rights.go
+++ b/internal/cluster/agent/rights.go
@@ -26,14 +26,14 @@
 // shares are this gateway's part of what classes of the whole fleet may use. The first two calls are the fleet's goroutine's, the
 // others the owner's.
 type shares interface {
-	Due(now admission.Time)
-	Heard(now admission.Time, m quota.Message) (more bool)
-	Open(now admission.Time, b int, amount int64, length admission.Time) bool
-	Take(now admission.Time, b int, amount int64, length admission.Time) bool
-	Done(now admission.Time, b int, amount int64) (awaited bool)
-	Want(now admission.Time, b int, amount int64)
-	Rate(now admission.Time, b int, need int64) (n int64, until admission.Time)
-	Shrink(now admission.Time, b int, part float64)
+	Tick(now admission.Time)
+	HandleMessage(now admission.Time, m quota.Message) (more bool)
+	TryReserve(now admission.Time, b int, amount int64, length admission.Time) bool
+	CommitReservation(now admission.Time, b int, amount int64, length admission.Time) bool
+	Release(now admission.Time, b int, amount int64) (awaited bool)
+	SetDemand(now admission.Time, b int, amount int64)
+	ReserveRate(now admission.Time, b int, need int64) (n int64, until admission.Time)
+	ScaleTotal(now admission.Time, b int, part float64)
 }
 
 type rated struct {
@@ -44,17 +44,17 @@
 // shared is what the budgets' core goes by. A loan is two uses long: it is renewed after the first quarter and is then good for a
 // whole use more; what is lent across a cut is of no use to either side for the rest, so it is no longer. Clocks of machines drift by some parts in a million; one in twenty leaves room for those that are being set.
 func (f *Agent) shared(b *QuotaConfig, seats int) *quota.Plan {
-	p := &quota.Plan{Seats: seats, Keepers: b.Voters, Term: tenths(b.ShareTerm), Longest: tenths(f.longest), Loan: 2 * tenths(f.longest), Drift: 20, Number: b.Number, Totals: b.Totals}
+	p := &quota.Plan{Shares: seats, Voters: b.Voters, ShareTerm: tenths(b.ShareTerm), LongestUse: tenths(f.longest), LeaseTerm: 2 * tenths(f.longest), DriftDivisor: 20, Number: b.Number, Totals: b.Totals}
 	for _, name := range b.Names {
-		p.IDs = append(p.IDs, quota.ID(name))
+		p.QuotaIDs = append(p.QuotaIDs, quota.HashName(name))
 	}
 	return p
 }
 
 // ReplaceQuota goes by other totals, under a higher number, whole or not at all.
 func (f *Agent) ReplaceQuota(b *QuotaConfig) (err error) {
-	f.purse.Step(func(c *quota.Core) {
-		if err = c.Renew(f.clock.Now(), f.shared(b, f.rights.Seats)); err != nil {
+	f.purse.WithCore(func(c *quota.Core) {
+		if err = c.ReplacePlan(f.clock.Now(), f.shared(b, f.rights.Shares)); err != nil {
 			err = fmt.Errorf("fleet.budgets.%w", err)
 			return
 		}
@@ -102,7 +102,7 @@
 
 // part is this process's in the budgets, with nothing but what processes before it surely have no more.
 func (f *Agent) part(now admission.Time) *quota.Core {
-	start := f.core.Self().Start
+	start := f.core.Self().Incarnation
 	c := quota.New(now, f.rights, f.name, start, f.seat, lender{f})
 	if f.settled, f.partAt = false, now; f.heir == nil {
 		return c
@@ -110,7 +110,7 @@
 	after, err := f.heir.begin(start)
 	f.inFolder(err)
 	if len(after) > 0 {
-		c.Follow(after)
+		c.SucceedIncarnations(after)
 		f.log.Info("fleet", "code", "follows", "starts", after)
 	}
 	return c
@@ -137,7 +137,7 @@
 		return
 	}
 	var held bool
-	f.purse.Step(func(c *quota.Core) { held, f.settled = c.Seated(now) })
+	f.purse.WithCore(func(c *quota.Core) { held, f.settled = c.ShareStatus(now) })
 	if held && f.heir != nil {
 		f.inFolder(f.heir.held())
 	}
@@ -165,7 +165,7 @@
 
 // paid takes in a message on budgets; where more of one may be used now, tasks that wait for it go out at once.
 func (f *Agent) paid(at admission.Time, m quota.Message) {
-	if f.shares.Heard(at, m) {
+	if f.shares.HandleMessage(at, m) {
 		f.tell(func(now admission.Time, r *admission.Router) { r.Opened(now) })
 	}
 }
@@ -182,7 +182,7 @@
 	}
 }
 
-func (h lender) Others() (out []string) {
+func (h lender) Peers() (out []string) {
 	for _, m := range h.f.core.Members() {
 		if m.State == membership.Alive {
 			out = append(out, m.Name)
@@ -193,17 +193,17 @@
 
 // Open tells whether a class of the whole fleet may use so much more. The owner calls it, as it calls Take, Done and Want.
 func (f *Agent) Open(now admission.Time, b int, amount int64) bool {
-	return f.shares != nil && f.shares.Open(now, b, amount, f.rights.Longest)
+	return f.shares != nil && f.shares.TryReserve(now, b, amount, f.rights.LongestUse)
 }
 
 // Take has a hand-off use what was promised.
 func (f *Agent) Take(now admission.Time, b int, amount int64) bool {
-	return f.spend(now, b, amount, f.rights.Longest)
+	return f.spend(now, b, amount, f.rights.LongestUse)
 }
 
 // spend has some of a budget be used for so long.
 func (f *Agent) spend(now admission.Time, b int, amount int64, length admission.Time) bool {
-	ok := f.shares != nil && f.shares.Take(now, b, amount, length)
+	ok := f.shares != nil && f.shares.CommitReservation(now, b, amount, length)
 	if !ok { // it goes out all the same
 		f.log.Error("fleet", "code", "overrun", "budget", f.called(b), "amount", amount)
 	}
@@ -213,7 +213,7 @@
 
 // Done ends a use.
 func (f *Agent) Done(now admission.Time, b int, amount int64) {
-	if f.shares.Done(now, b, amount) {
+	if f.shares.Release(now, b, amount) {
 		f.box.Put(func() {}) // others asked for it in vain: they are told at once
 	}
 	f.history.Write(history.Event{Kind: history.BudgetReleased, Code: f.called(b), Number: int(amount)})
@@ -222,7 +222,7 @@
 // Want tells what tasks that wait would use.
 func (f *Agent) Want(now admission.Time, b int, amount int64) {
 	if f.shares != nil {
-		f.shares.Want(now, b, amount)
+		f.shares.SetDemand(now, b, amount)
 		if amount > 0 {
 			f.box.Put(func() {}) // it is asked for at once
 		}
@@ -234,7 +234,7 @@
 	if f.shares == nil {
 		return 0
 	}
-	n, until := f.shares.Rate(now, b, need)
+	n, until := f.shares.ReserveRate(now, b, need)
 	if f.history != nil && (n != f.rated[b].n || now-f.rated[b].at >= admission.Second/2) {
 		f.rated[b] = rated{n, now}
 		f.history.Write(history.Event{Kind: history.RateGranted, Code: f.called(b), Number: int(n), ValidNanos: int64(min(until-now, admission.Second)) * 1e5})
@@ -245,6 +245,6 @@
 // Shrink has a total be a part of itself.
 func (f *Agent) Shrink(now admission.Time, b int, part float64) {
 	if f.shares != nil {
-		f.shares.Shrink(now, b, part)
+		f.shares.ScaleTotal(now, b, part)
 	}
 }
--- a/internal/cluster/agent/status.go
+++ b/internal/cluster/agent/status.go
@@ -85,28 +85,28 @@
 // status is made in the fleet's goroutine.
 func (f *Agent) status(now admission.Time) *Status {
 	self := f.core.Self()
-	s := &Status{Name: f.name, Start: self.Start, Address: self.Address, Displaced: f.core.Quiet(), SuspicionMultiplier: f.core.Health(), Lost: f.core.Lost(), Sent: f.sent, Received: f.heard,
+	s := &Status{Name: f.name, Start: self.Incarnation, Address: self.Address, Displaced: f.core.IsInactive(), SuspicionMultiplier: f.core.LocalHealth(), Lost: f.core.CountDead(), Sent: f.sent, Received: f.heard,
 		Dropped: map[string]int{}, EjectionShare: f.share}
 	for err, n := range f.dropped {
 		s.Dropped[err.Error()] = n
 	}
 	for _, m := range f.core.Members() {
-		s.Members = append(s.Members, MemberStatus{m.Name, m.State.String(), m.Start, m.Address, seconds(now - m.Since)})
+		s.Members = append(s.Members, MemberStatus{m.Name, m.State.String(), m.Incarnation, m.Address, seconds(now - m.StateSince)})
 	}
 	if f.purse != nil {
-		for _, b := range f.purse.States(now) {
-			one := BudgetStatus{Budget: f.called(b.Budget), Total: b.Total, LocalShare: b.Own, Lent: b.Lent, Borrowed: b.Borrowed, Used: b.Used, Wanted: b.Wanted, ShareSeconds: seconds(b.Seat)}
-			for _, p := range b.Parts {
-				one.Peers = append(one.Peers, BudgetPeerStatus{p.Member, p.Lent, p.Borrowed, seconds(p.Ends), p.Spare, seconds(p.Told)})
+		for _, b := range f.purse.Statuses(now) {
+			one := BudgetStatus{Budget: f.called(b.Index), Total: b.Total, LocalShare: b.OwnShare, Lent: b.LeasedOut, Borrowed: b.LeasedIn, Used: b.InUse, Wanted: b.Demand, ShareSeconds: seconds(b.ShareExpiresIn)}
+			for _, p := range b.Peers {
+				one.Peers = append(one.Peers, BudgetPeerStatus{p.Name, p.LeasedOut, p.LeasedIn, seconds(p.ExpiresIn), p.SpareUnits, seconds(p.SpareAge)})
 			}
 			s.Budgets = append(s.Budgets, one)
 		}
 	}
 	for _, l := range f.book.Status(now) {
-		e := EngineStatus{Engine: string(l.Engine), AnsweredSeconds: seconds(l.Answered), FailedSeconds: seconds(l.Failed), Evidence: l.Found.Against, Witnesses: l.Found.Witnesses,
-			ReportedFailures: heard(l.Heard), ReportSeconds: seconds(l.ReportAge)}
-		if l.Failed >= 0 {
-			e.Failure = l.How.String()
+		e := EngineStatus{Engine: string(l.Engine), AnsweredSeconds: seconds(l.AnswerAge), FailedSeconds: seconds(l.FailureAge), Evidence: l.Finding.Against, Witnesses: l.Finding.Witnesses,
+			ReportedFailures: heard(l.PeerFailures), ReportSeconds: seconds(l.ReportAge)}
+		if l.FailureAge >= 0 {
+			e.Failure = l.LastFailure.String()
 		}
 		s.Engines = append(s.Engines, e)
 	}
--- a/internal/cluster/agent/succession.go
+++ b/internal/cluster/agent/succession.go
@@ -78,8 +78,8 @@
 // written outlives it, and after a loss of power the file proves nothing anyway.
 func (s *succession) begin(start uint64) (after []uint64, err error) {
 	after = slices.Clone(s.ours.Starts)
-	if len(after) > quota.MostAfter {
-		after = append(after[:1], after[len(after)-quota.MostAfter+1:]...)
+	if len(after) > quota.MaxPredecessors {
+		after = append(after[:1], after[len(after)-quota.MaxPredecessors+1:]...)
 	}
 	s.ours.Starts = append(slices.Clone(after), start)
 	return after, s.write()
--- a/internal/cluster/counters/tally.go
+++ b/internal/cluster/counters/core.go
@@ -30,8 +30,8 @@
 	slots = 8
 	// Clocks run at most one part in twenty fast or slow; two are apart by less than one in eight.
 	apart = 8
-	// MostBytes is the longest message: rows that don't fit are not told, and whoever reads knows.
-	MostBytes = 1000
+	// MaxMessageBytes is the longest message: rows that don't fit are not told, and whoever reads knows.
+	MaxMessageBytes = 1000
 	// mostKept bounds the processes that are known.
 	mostKept = 1024
 )
@@ -52,10 +52,10 @@
 
 // The kinds.
 const (
-	All Kind = iota
-	Lane
-	Class
-	Engine
+	KindAll Kind = iota
+	KindClass
+	KindPolicyClass
+	KindEngine
 )
 
 func (k Kind) String() string { return [...]string{"all", "lane", "class", "engine"}[k] }
@@ -69,9 +69,9 @@
 
 // The figures of a key: tasks that wait, that run, and hand-offs since the process's start.
 const (
-	Waits = iota
-	Runs
-	Handed
+	Waiting = iota
+	Running
+	Attempted
 	figures
 )
 
@@ -87,24 +87,24 @@
 	}
 }
 
-// Count is what is known of a key.
-type Count struct {
+// KeyCounts is what is known of a key.
+type KeyCounts struct {
 	Key
-	Of [figures]Range
+	Ranges [figures]Range
 }
 
 // Reading is what is known of the fleet as of one instant.
 type Reading struct {
-	Age    Time // of that instant
-	Heard  int  // processes whose counts are known for it, this one among them
-	Silent int  // those that may have had anything, up to the most of one
-	Counts []Count
+	Age     Time // of that instant
+	Known   int  // processes whose counts are known for it, this one among them
+	Unknown int  // those that may have had anything, up to the most of one
+	Counts  []KeyCounts
 }
 
 // Host is what a core acts on.
 type Host interface {
 	Send(to string, message []byte)
-	Others() []string // the members that are there, by name
+	Peers() []string // the members that are there, by name
 }
 
 type bounds struct{ low, high [figures]int64 }
@@ -193,33 +193,33 @@
 // Change is that so many tasks more of a key wait or run, or were handed off.
 type Change struct {
 	Key
-	By [figures]int64
+	Delta [figures]int64
 }
 
-// Count takes in what changes at once.
-func (c *Core) Count(now Time, changes ...Change) {
+// ApplyChanges takes in what changes at once.
+func (c *Core) ApplyChanges(now Time, changes ...Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pass(now)
 	for i := range changes {
 		r := c.row(changes[i].Key)
 		b := &r.slots[c.slot]
-		for f, n := range changes[i].By {
+		for f, n := range changes[i].Delta {
 			r.now[f] += n
 			b.low[f], b.high[f] = min(b.low[f], r.now[f]), max(b.high[f], r.now[f])
 		}
 	}
 }
 
-// Own is what this process has of a key.
-func (c *Core) Own(k Key) [figures]int64 {
+// OwnCounts is what this process has of a key.
+func (c *Core) OwnCounts(k Key) [figures]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.row(k).now
 }
 
-// Keys are those of a kind that this process counts by, by name.
-func (c *Core) Keys(kind Kind) (out []Key) {
+// ListKeys are those of a kind that this process counts by, by name.
+func (c *Core) ListKeys(kind Kind) (out []Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.rows {
@@ -271,8 +271,8 @@
 	return out
 }
 
-// Due is the timer: a round is told to the next of the others.
-func (c *Core) Due(now Time) {
+// Tick is the timer: a round is told to the next of the others.
+func (c *Core) Tick(now Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pass(now)
@@ -281,7 +281,7 @@
 		return
 	}
 	c.nextAt = c.now + every
-	others := c.host.Others()
+	others := c.host.Peers()
 	c.step = window(len(others)) / slots
 	some := min(fanOut, len(others))
 	for k := range some {
@@ -313,7 +313,7 @@
 		for _, v := range of {
 			b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(v.Low)), uint64(v.High-v.Low))
 		}
-		if len(b) > MostBytes {
+		if len(b) > MaxMessageBytes {
 			b = b[:before]
 			b[1] = 0 // not all
 			break
@@ -335,8 +335,8 @@
 	return &c.sources[i]
 }
 
-// Heard takes in a message of a process, whole or not at all. An older one than is known changes nothing.
-func (c *Core) Heard(now Time, from string, start uint64, b []byte) error {
+// HandleMessage takes in a message of a process, whole or not at all. An older one than is known changes nothing.
+func (c *Core) HandleMessage(now Time, from string, start uint64, b []byte) error {
 	next, err := decode(b)
 	if err != nil {
 		return err
@@ -382,7 +382,7 @@
 }
 
 func decode(b []byte) (m letter, err error) {
-	if len(b) < 2 || len(b) > MostBytes || b[0] != version || b[1] > 1 {
+	if len(b) < 2 || len(b) > MaxMessageBytes || b[0] != version || b[1] > 1 {
 		return m, ErrMessage
 	}
 	m.whole = b[1] == 1
@@ -415,8 +415,8 @@
 	return m, nil
 }
 
-// Gone takes in that a process has stopped in good order: it has nothing.
-func (c *Core) Gone(name string, start uint64) {
+// MarkStopped takes in that a process has stopped in good order: it has nothing.
+func (c *Core) MarkStopped(name string, start uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.find(name); s != nil && s.start <= start {
@@ -424,8 +424,8 @@
 	}
 }
 
-// Forget takes in that a name is surely no more.
-func (c *Core) Forget(name string) {
+// ForgetProcess takes in that a name is surely no more.
+func (c *Core) ForgetProcess(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sources = slices.DeleteFunc(c.sources, func(s source) bool { return s.name == name })
@@ -452,8 +452,8 @@
 
 func abs(t Time) Time { return max(t, -t) }
 
-// Read takes a reading of some keys, as of the latest instant that all who were heard lately cover.
-func (c *Core) Read(now Time, keys ...Key) Reading {
+// TakeReading takes a reading of some keys, as of the latest instant that all who were heard lately cover.
+func (c *Core) TakeReading(now Time, keys ...Key) Reading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pass(now)
@@ -466,30 +466,30 @@
 	}
 	t = max(t, c.oldest())
 	strange := max(0, c.fleet-1-len(c.sources)) // of which nothing was ever heard
-	out := Reading{Age: c.now - t, Heard: 1, Silent: len(c.endings) + strange}
+	out := Reading{Age: c.now - t, Known: 1, Unknown: len(c.endings) + strange}
 	covered := make([]bool, len(c.sources))
 	for i := range c.sources {
 		if covered[i] = c.sources[i].gone || c.covers(&c.sources[i], t); covered[i] {
-			out.Heard++
+			out.Known++
 		} else {
-			out.Silent++
+			out.Unknown++
 		}
 	}
 	for _, k := range keys {
-		n := Count{Key: k, Of: c.own(c.row(k), t, t)}
+		n := KeyCounts{Key: k, Ranges: c.own(c.row(k), t, t)}
 		hash := k.hash()
 		for i := range c.sources {
 			s := &c.sources[i]
 			add := s.of(hash)
 			if !covered[i] {
-				least := add[Handed].Low
+				least := add[Attempted].Low
 				if !c.begins(s, t) {
 					least = 0
 				}
 				add = anything(s.most, least)
 			}
-			for f := range n.Of {
-				n.Of[f].add(add[f])
+			for f := range n.Ranges {
+				n.Ranges[f].add(add[f])
 			}
 		}
 		for e := range len(c.endings) + strange {
@@ -498,7 +498,7 @@
 				most = c.endings[e].most
 			}
 			for f, r := range anything(most, 0) {
-				n.Of[f].add(r)
+				n.Ranges[f].add(r)
 			}
 		}
 		out.Counts = append(out.Counts, n)
--- a/internal/cluster/counters/tally_test.go
+++ b/internal/cluster/counters/core_test.go
@@ -16,7 +16,7 @@
 type post struct{ sent map[string][]byte }
 
 func (p *post) Send(to string, m []byte) { p.sent[to] = m }
-func (p *post) Others() []string         { return []string{"g0", "g1", "g2"} }
+func (p *post) Peers() []string          { return []string{"g0", "g1", "g2"} }
 
 type fleet struct {
 	posts []*post
@@ -35,20 +35,20 @@
 
 func (f *fleet) pass(now Time) {
 	for _, c := range f.cores {
-		c.Count(now)
+		c.ApplyChanges(now)
 	}
 }
 
 // round has all tell all, but for some that are cut off from all.
 func (f *fleet) round(now Time, cut ...int) {
 	for i, c := range f.cores {
-		c.Due(now)
+		c.Tick(now)
 		for to, m := range f.posts[i].sent {
 			k := int(to[1] - '0')
 			if k == i || strings.Contains(fmt.Sprint(cut), fmt.Sprint(i)) || strings.Contains(fmt.Sprint(cut), fmt.Sprint(k)) {
 				continue
 			}
-			if err := f.cores[k].Heard(now, fmt.Sprint("g", i), 1, m); err != nil {
+			if err := f.cores[k].HandleMessage(now, fmt.Sprint("g", i), 1, m); err != nil {
 				panic(err)
 			}
 		}
@@ -56,10 +56,10 @@
 }
 
 func (f *fleet) read(now Time, what string, keys ...Key) {
-	r := f.cores[0].Read(now, append([]Key{{}}, keys...)...)
-	fmt.Fprintf(&f.out, "%s: %.1f s old, %d heard, %d silent\n", what, float64(r.Age)/float64(second), r.Heard, r.Silent)
+	r := f.cores[0].TakeReading(now, append([]Key{{}}, keys...)...)
+	fmt.Fprintf(&f.out, "%s: %.1f s old, %d heard, %d silent\n", what, float64(r.Age)/float64(second), r.Known, r.Unknown)
 	for _, c := range r.Counts {
-		fmt.Fprintf(&f.out, "  %s waits %v runs %v handed %v\n", strings.TrimSpace(c.Kind.String()+" "+c.Name), c.Of[Waits], c.Of[Runs], c.Of[Handed])
+		fmt.Fprintf(&f.out, "  %s waits %v runs %v handed %v\n", strings.TrimSpace(c.Kind.String()+" "+c.Name), c.Ranges[Waiting], c.Ranges[Running], c.Ranges[Attempted])
 	}
 }
 
@@ -67,7 +67,7 @@
 // the earlier process are surely over.
 func TestReadings(t *testing.T) {
 	f := newFleet(3)
-	engine := Key{Engine, "e-1"}
+	engine := Key{KindEngine, "e-1"}
 	at := Time(0)
 	rounds := func(n int, cut ...int) {
 		for range n {
@@ -81,34 +81,34 @@
 	f.read(at, "nobody heard of")
 	rounds(3)
 	f.read(at, "all idle")
-	f.cores[1].Count(at, Change{By: [3]int64{5}}, Change{Key: Key{Lane, "look"}, By: [3]int64{5}})
-	f.cores[2].Count(at, Change{By: [3]int64{0, 2, 2}}, Change{Key: engine, By: [3]int64{0, 2, 2}})
+	f.cores[1].ApplyChanges(at, Change{Delta: [3]int64{5}}, Change{Key: Key{KindClass, "look"}, Delta: [3]int64{5}})
+	f.cores[2].ApplyChanges(at, Change{Delta: [3]int64{0, 2, 2}}, Change{Key: engine, Delta: [3]int64{0, 2, 2}})
 	rounds(1)
 	f.read(at, "seven came, heard of once")
 	rounds(4)
-	f.read(at, "two seconds later", Key{Lane, "look"}, engine)
+	f.read(at, "two seconds later", Key{KindClass, "look"}, engine)
 	rounds(4, 2)
 	f.read(at, "g2 cut off for two seconds", engine)
 	rounds(3)
 	f.read(at, "and back", engine)
-	f.cores[1].Count(at, Change{By: [3]int64{-5}})
+	f.cores[1].ApplyChanges(at, Change{Delta: [3]int64{-5}})
 	rounds(4)
-	f.cores[0].Gone("g1", 1)
+	f.cores[0].MarkStopped("g1", 1)
 	f.read(at, "g1 has left")
 	f.posts[2] = &post{map[string][]byte{}}
 	f.cores[2] = New(at, "g2", 3, 100, 4*second, f.posts[2])
-	f.cores[2].Due(at)
-	f.cores[0].Heard(at, "g2", 2, f.posts[2].sent["g0"])
+	f.cores[2].Tick(at)
+	f.cores[0].HandleMessage(at, "g2", 2, f.posts[2].sent["g0"])
 	f.read(at, "g2 was started anew")
 	for range 11 {
 		for range 10 {
 			at += every / 10
 			f.pass(at)
 		}
-		f.cores[0].Due(at)
-		f.cores[2].Heard(at, "g0", 1, f.posts[0].sent["g2"])
-		f.cores[2].Due(at)
-		f.cores[0].Heard(at, "g2", 2, f.posts[2].sent["g0"])
+		f.cores[0].Tick(at)
+		f.cores[2].HandleMessage(at, "g0", 1, f.posts[0].sent["g2"])
+		f.cores[2].Tick(at)
+		f.cores[0].HandleMessage(at, "g2", 2, f.posts[2].sent["g0"])
 	}
 	f.read(at, "five seconds later")
 	const kept = `nobody heard of: 0.0 s old, 1 heard, 2 silent
@@ -144,19 +144,19 @@
 	f := newFleet(3)
 	var words [][]byte
 	for at := every; at < 20*every; at += every {
-		f.cores[1].Count(at, Change{By: [3]int64{1, 0, 0}})
+		f.cores[1].ApplyChanges(at, Change{Delta: [3]int64{1, 0, 0}})
 		f.round(at, 2)
 		words = append(words, f.posts[1].sent["g0"])
 	}
 	at := 20 * every
-	want := f.cores[0].Read(at, Key{})
+	want := f.cores[0].TakeReading(at, Key{})
 	chance := rand.New(rand.NewPCG(1, 1))
 	for range 100 {
-		if err := f.cores[0].Heard(at, "g1", 1, words[chance.IntN(len(words))]); err != nil {
+		if err := f.cores[0].HandleMessage(at, "g1", 1, words[chance.IntN(len(words))]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := f.cores[0].Read(at, Key{}); !reflect.DeepEqual(got, want) {
+	if got := f.cores[0].TakeReading(at, Key{}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, expected %v", got, want)
 	}
 }
@@ -169,23 +169,23 @@
 	hearer, teller := New(0, "g0", 2, 100, 4*second, mine), New(0, "g1", 2, 100, 4*second, theirs)
 	fast := func(t Time) Time { return t + t/20 }
 	slow := func(t Time) Time { return t - t/20 }
-	teller.Count(0, Change{By: [3]int64{9}})
+	teller.ApplyChanges(0, Change{Delta: [3]int64{9}})
 	gone := 20 * second
 	for t0 := Time(0); t0 < 21*second; t0 += second / 20 {
-		teller.Due(fast(t0))
-		hearer.Due(slow(t0))
+		teller.Tick(fast(t0))
+		hearer.Tick(slow(t0))
 		if m := theirs.sent["g0"]; m != nil {
-			hearer.Heard(slow(t0), "g1", 1, m)
+			hearer.HandleMessage(slow(t0), "g1", 1, m)
 		}
 		if m := mine.sent["g1"]; m != nil && t0 < 10*second {
-			teller.Heard(fast(t0), "g0", 1, m)
+			teller.HandleMessage(fast(t0), "g0", 1, m)
 		}
 		if t0 == gone {
-			teller.Count(fast(t0), Change{By: [3]int64{-9}})
+			teller.ApplyChanges(fast(t0), Change{Delta: [3]int64{-9}})
 		}
-		r := hearer.Read(slow(t0), Key{})
-		if at := t0 - r.Age*20/19; at > gone+second/50 && r.Counts[0].Of[Waits].Low > 0 {
-			t.Fatalf("as of %.2f s %v tasks are read that wait, which ended at %.2f s", float64(at)/float64(second), r.Counts[0].Of[Waits], float64(gone)/float64(second))
+		r := hearer.TakeReading(slow(t0), Key{})
+		if at := t0 - r.Age*20/19; at > gone+second/50 && r.Counts[0].Ranges[Waiting].Low > 0 {
+			t.Fatalf("as of %.2f s %v tasks are read that wait, which ended at %.2f s", float64(at)/float64(second), r.Counts[0].Ranges[Waiting], float64(gone)/float64(second))
 		}
 	}
 }
@@ -194,22 +194,22 @@
 func TestManyKeys(t *testing.T) {
 	f := newFleet(3)
 	for i := range 300 {
-		f.cores[1].Count(0, Change{Key: Key{Engine, fmt.Sprint("e-", i)}, By: [3]int64{0, 1, 1}})
+		f.cores[1].ApplyChanges(0, Change{Key: Key{KindEngine, fmt.Sprint("e-", i)}, Delta: [3]int64{0, 1, 1}})
 	}
 	f.round(every)
 	f.round(2 * every)
-	if n := len(f.posts[1].sent["g0"]); n > MostBytes {
+	if n := len(f.posts[1].sent["g0"]); n > MaxMessageBytes {
 		t.Errorf("%d bytes", n)
 	}
-	r := f.cores[0].Read(2*every, Key{Engine, "e-0"}, Key{Engine, "e-299"})
-	if got := fmt.Sprint(r.Counts[0].Of[Runs], r.Counts[1].Of[Runs]); got != "{0 1} {0 100}" {
+	r := f.cores[0].TakeReading(2*every, Key{KindEngine, "e-0"}, Key{KindEngine, "e-299"})
+	if got := fmt.Sprint(r.Counts[0].Ranges[Running], r.Counts[1].Ranges[Running]); got != "{0 1} {0 100}" {
 		t.Errorf("runs %s", got)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
 	c := New(0, "g0", 3, 100, second, &post{map[string][]byte{}})
-	c.Count(5, Change{By: [3]int64{3, 1, 1}})
+	c.ApplyChanges(5, Change{Delta: [3]int64{3, 1, 1}})
 	f.Add(c.message("g1"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if m, err := decode(b); err != nil && (m.at != 0 || m.rows != nil) {
@@ -220,9 +220,9 @@
 
 func BenchmarkCount(b *testing.B) {
 	c := New(0, "g0", 32, 100, second, &post{map[string][]byte{}})
-	changes := []Change{{By: [3]int64{1}}, {Key: Key{Lane, "look"}, By: [3]int64{1}}, {Key: Key{Engine, "e-1"}, By: [3]int64{0, 1, 1}}}
+	changes := []Change{{Delta: [3]int64{1}}, {Key: Key{KindClass, "look"}, Delta: [3]int64{1}}, {Key: Key{KindEngine, "e-1"}, Delta: [3]int64{0, 1, 1}}}
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Count(5, changes...)
+		c.ApplyChanges(5, changes...)
 	}
 }
--- a/internal/cluster/healthreport/message.go
+++ b/internal/cluster/healthreport/message.go
@@ -8,8 +8,8 @@
 	"magpiebank/internal/admission"
 )
 
-// Most is the longest message in bytes: the simulator's wire carries no longer one, and a datagram has room for more beside it.
-const Most = 256
+// MaxMessageBytes is the longest message in bytes: the simulator's wire carries no longer one, and a datagram has room for more beside it.
+const MaxMessageBytes = 256
 
 const (
 	version    = 1
@@ -53,7 +53,7 @@
 }
 
 func begin(now Time) *writer {
-	b := make([]byte, 0, Most)
+	b := make([]byte, 0, MaxMessageBytes)
 	return &writer{b: binary.BigEndian.AppendUint32(append(b, version), uint32(now))}
 }
 
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	if b[n+7] = byte(flags); len(b) > Most {
+	if b[n+7] = byte(flags); len(b) > MaxMessageBytes {
 		return false
 	}
 	w.b = b
@@ -119,7 +119,7 @@
 
 // read checks a whole message before any of it is used.
 func read(b []byte) (*reader, error) {
-	if len(b) < headBytes || len(b) > Most || b[0] != version {
+	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version {
 		return nil, ErrMessage
 	}
 	r := &reader{b: b[headBytes:], sent: binary.BigEndian.Uint32(b[1:])}
--- a/internal/cluster/healthreport/judgement.go
+++ b/internal/cluster/healthreport/table.go
@@ -17,22 +17,22 @@
 
 // The ages up to which evidence counts.
 const (
-	// Use is for answers and failures. In a fleet of some hundred, where each gateway meets an engine every 25 s, it holds the
+	// OutcomeLifetime is for answers and failures. In a fleet of some hundred, where each gateway meets an engine every 25 s, it holds the
 	// fleet's last dozens of tries there; an engine that is out gets its next one when the last failures are this old. Each
 	// gateway has its own figure between this and twice this, so that one tries it before all do.
-	Use = 10 * admission.Second
-	// Borne is for failures that a fresh one bears out: while anybody's last failure there is in use, those before it count up to
+	OutcomeLifetime = 10 * admission.Second
+	// ConfirmedFailureLifetime is for failures that a fresh one bears out: while anybody's last failure there is in use, those before it count up to
 	// this age. So one gateway's try is enough to tell that an engine is still out, and one whose own network fails can't
 	// hold it out for longer than this on the word of others.
-	Borne = 3 * Use
-	// Fresh is for reports, as the decisions take them.
-	Fresh = 3 * admission.Second
+	ConfirmedFailureLifetime = 3 * OutcomeLifetime
+	// ReportLifetime is for reports, as the decisions take them.
+	ReportLifetime = 3 * admission.Second
 )
 
 // Source is a gateway that tells something; of two starts under a name the later counts.
 type Source struct {
-	Name  string
-	Start uint64
+	Name        string
+	Incarnation uint64
 }
 
 // Finding is what is known of one engine from others' evidence.
@@ -89,8 +89,8 @@
 	heardAt Time
 }
 
-// Book is what one gateway knows.
-type Book struct {
+// Table is what one gateway knows.
+type Table struct {
 	peers   int     // that a message goes to
 	use     Time    // how long evidence counts here
 	share   float64 // of the fleet that hearsay may take out at a time
@@ -101,22 +101,22 @@
 	room    float64  // bytes that may be told, to all peers together
 	touched []int
 
-	// Note, if set, is told of each outcome taken in, with its age; Use or older where there is none.
-	Note func(from Source, engine *admission.Listing, goodAge, badAge Time)
+	// OnObservation, if set, is told of each outcome taken in, with its age; Use or older where there is none.
+	OnObservation func(from Source, engine *admission.Listing, goodAge, badAge Time)
 }
 
 // New makes a book. peers is how many a message goes to; share is the part of the fleet that hearsay may take out at a time; turn,
 // from 0 to 1, sets the gateway apart from others in when it tries again what is out.
-func New(peers int, share, turn float64) *Book {
-	return &Book{peers: max(1, peers), use: Use + Time(turn*float64(Use)), share: share, byHash: map[uint32]int{}, named: map[admission.EngineID]int{}}
+func New(peers int, share, turn float64) *Table {
+	return &Table{peers: max(1, peers), use: OutcomeLifetime + Time(turn*float64(OutcomeLifetime)), share: share, byHash: map[uint32]int{}, named: map[admission.EngineID]int{}}
 }
 
-// Peers has a message paid for by so many receivers from now on.
-func (b *Book) Peers(n int) { b.peers = max(1, n) }
+// SetPeerCount has a message paid for by so many receivers from now on.
+func (b *Table) SetPeerCount(n int) { b.peers = max(1, n) }
 
-// Share is the part of the fleet that may be out at a time by hearsay: what the ration lets go again, as by that the site
+// MaxEjectedShare is the part of the fleet that may be out at a time by hearsay: what the ration lets go again, as by that the site
 // says how many tasks may fail at first; else a zone's, which it must do without when it loses one; else a quarter.
-func Share(d *admission.Deployment, zones int) float64 {
+func MaxEjectedShare(d *admission.Deployment, zones int) float64 {
 	switch {
 	case d.RetryWindow > 0 && d.RetryRatio > 0:
 		return min(0.5, d.RetryRatio)
@@ -126,8 +126,8 @@
 	return 0.25
 }
 
-// Turn is a gateway's own by its name.
-func Turn(name string) float64 { return float64(hash(admission.EngineID(name))%997) / 997 }
+// RetryPhase is a gateway's own by its name.
+func RetryPhase(name string) float64 { return float64(hash(admission.EngineID(name))%997) / 997 }
 
 func hash(name admission.EngineID) uint32 {
 	h := fnv.New32a()
@@ -135,9 +135,9 @@
 	return h.Sum32()
 }
 
-// Listed takes in a delivery of the own engine list: of what it doesn't name nothing is used, and what was known of an engine
+// UpdateEngines takes in a delivery of the own engine list: of what it doesn't name nothing is used, and what was known of an engine
 // ends with its start.
-func (b *Book) Listed(form admission.Form, list []admission.Listing) {
+func (b *Table) UpdateEngines(form admission.Form, list []admission.Listing) {
 	if form == admission.NoAnswer {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // place finds room for an engine; that of one which is gone is used again.
-func (b *Book) place(name admission.EngineID) int {
+func (b *Table) place(name admission.EngineID) int {
 	i := slices.IndexFunc(b.engines, func(e known) bool { return !e.listed })
 	if i < 0 {
 		i = len(b.engines)
@@ -186,7 +186,7 @@
 }
 
 // begin has an engine be one of which nothing is known.
-func (b *Book) begin(i int) {
+func (b *Table) begin(i int) {
 	e := &b.engines[i]
 	nothing := Finding{Engine: e.Engine, Since: e.Since, Report: admission.NoReport, ReportAt: never}
 	*e = known{Listing: e.Listing, hash: e.hash, listed: e.listed, own: empty, told: empty, wait: never, found: nothing, gave: nothing}
@@ -194,16 +194,16 @@
 }
 
 // forget ends all that was heard of an engine.
-func (b *Book) forget(i int) {
+func (b *Table) forget(i int) {
 	for k := range b.sources {
 		b.sources[k].records[i] = empty
 	}
 	b.touch(i)
 }
 
-// Saw takes in what this gateway saw itself, and the bytes that it may tell more from now on.
-func (b *Book) Saw(now Time, name admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
-	b.room = min(b.room+room, float64(4*Most*b.peers)) // some messages at once; a quiet hour doesn't pay for a flood
+// Observe takes in what this gateway saw itself, and the bytes that it may tell more from now on.
+func (b *Table) Observe(now Time, name admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
+	b.room = min(b.room+room, float64(4*MaxMessageBytes*b.peers)) // some messages at once; a quiet hour doesn't pay for a flood
 	i, ok := b.named[name]
 	if !ok {
 		return
@@ -229,7 +229,7 @@
 
 // news tells whether something turned: a failure after a success, or the reverse after a failure that was told by this gateway
 // or another. Successes as such are not told: they are many.
-func (b *Book) news(e *known) bool {
+func (b *Table) news(e *known) bool {
 	if e.denies {
 		return true
 	}
@@ -239,16 +239,16 @@
 }
 
 // worth tells whether an own report is newer than any that was heard, by more than one is usually made after another.
-func (b *Book) worth(now Time, e *known) bool {
+func (b *Table) worth(now Time, e *known) bool {
 	const apart = 100 * admission.Millisecond // half of the fastest pace of reports, so that every second gateway's is not told
-	if e.own.reportAt == e.told.reportAt || now-e.own.reportAt >= Fresh {
+	if e.own.reportAt == e.told.reportAt || now-e.own.reportAt >= ReportLifetime {
 		return false
 	}
 	return e.own.reportAt > e.gave.ReportAt+apart
 }
 
-// Message is what is worth telling now, or nil: news of failures at once, reports some together; never more than is paid for.
-func (b *Book) Message(now Time) []byte {
+// NextMessage is what is worth telling now, or nil: news of failures at once, reports some together; never more than is paid for.
+func (b *Table) NextMessage(now Time) []byte {
 	const patient = 100 * admission.Millisecond // some reports share a head
 	const several = 6
 	waiting, urgent, due := 0, false, false
@@ -291,7 +291,7 @@
 }
 
 // telling is what is told of an engine: what this gateway saw itself, and nothing that it heard.
-func (b *Book) telling(e *known) record {
+func (b *Table) telling(e *known) record {
 	if relaysHearsay { // a defect planted by the laboratory
 		r := e.own
 		for k := range b.sources {
@@ -302,16 +302,16 @@
 	return e.own
 }
 
-// Met takes in that a gateway said anything at all, and its clock as it did: by that the age of its words is known.
-func (b *Book) Met(now Time, from Source, sent uint32) {
+// ObserveClock takes in that a gateway said anything at all, and its clock as it did: by that the age of its words is known.
+func (b *Table) ObserveClock(now Time, from Source, sent uint32) {
 	if s := b.source(now, from); s != nil {
 		s.late(now, sent)
 		s.heard++
 	}
 }
 
-// Heard takes in a gateway's message; Findings then tells what came of it.
-func (b *Book) Heard(now Time, from Source, message []byte) error {
+// HandleMessage takes in a gateway's message; Findings then tells what came of it.
+func (b *Table) HandleMessage(now Time, from Source, message []byte) error {
 	r, err := read(message)
 	if err != nil {
 		return err
@@ -344,15 +344,15 @@
 		}
 		told := entry.at(now, late)
 		s.records[i] = join(s.records[i], told)
-		if b.Note != nil {
-			b.Note(from, &e.Listing, now-told.goodAt, now-told.badAt)
+		if b.OnObservation != nil {
+			b.OnObservation(from, &e.Listing, now-told.goodAt, now-told.badAt)
 		}
 		b.touch(i)
 		accuses = accuses || entry.bad >= 0
 	}
 	if accuses { // its voice is split anew over all that it accuses
 		for i := range b.engines {
-			if r := &s.records[i]; r.badAt > r.goodAt && now-r.badAt < Borne {
+			if r := &s.records[i]; r.badAt > r.goodAt && now-r.badAt < ConfirmedFailureLifetime {
 				b.touch(i)
 			}
 		}
@@ -360,7 +360,7 @@
 	return nil
 }
 
-func (b *Book) touch(i int) {
+func (b *Table) touch(i int) {
 	if !slices.Contains(b.touched, i) {
 		b.touched = append(b.touched, i)
 	}
@@ -370,7 +370,7 @@
 const mostSources = 512
 
 // source finds or makes a gateway's place; nil: it is one before the process that is known, or there are too many.
-func (b *Book) source(now Time, from Source) *source {
+func (b *Table) source(now Time, from Source) *source {
 	k, ok := slices.BinarySearchFunc(b.sources, from.Name, func(s source, name string) int { return cmp.Compare(s.Name, name) })
 	if !ok {
 		if len(b.sources) >= mostSources {
@@ -384,10 +384,10 @@
 	}
 	s := &b.sources[k]
 	switch {
-	case s.Start > from.Start:
+	case s.Incarnation > from.Incarnation:
 		return nil
-	case s.Start < from.Start: // another process: its clock is another's, and what the one before saw it didn't
-		s.Start, s.heard = from.Start, 0
+	case s.Incarnation < from.Incarnation: // another process: its clock is another's, and what the one before saw it didn't
+		s.Incarnation, s.heard = from.Incarnation, 0
 		for i := range s.records {
 			s.records[i] = empty
 		}
@@ -411,9 +411,9 @@
 	return apart - s.least
 }
 
-// Findings calls f for each engine of which what was heard has changed what is found; what f is handed is the book's. What no
+// VisitChangedFindings calls f for each engine of which what was heard has changed what is found; what f is handed is the book's. What no
 // longer counts is told first, so that at no time more is out by hearsay than may be.
-func (b *Book) Findings(now Time, f func(*Finding)) {
+func (b *Table) VisitChangedFindings(now Time, f func(*Finding)) {
 	if len(b.touched) == 0 {
 		return
 	}
@@ -438,26 +438,26 @@
 
 // find weighs what is known of an engine. A failure counts while nobody, this gateway included, has had an answer from there
 // since, and it counts once for each gateway that tells of it, however many it saw.
-func (b *Book) find(now Time, i int) Finding {
+func (b *Table) find(now Time, i int) Finding {
 	e := &b.engines[i]
 	out := Finding{Engine: e.Engine, Since: e.Since, Report: admission.NoReport, ReportAt: never}
 	good, bad := e.own.goodAt, never
 	for k := range b.sources {
 		r := &b.sources[k].records[i]
 		good, bad = max(good, r.goodAt), max(bad, r.badAt)
-		if r.reportAt > out.ReportAt && now-r.reportAt < Fresh {
+		if r.reportAt > out.ReportAt && now-r.reportAt < ReportLifetime {
 			out.Report, out.ReportAt = r.report, min(now, r.reportAt)
 		}
 	}
 	for k := range b.sources {
 		r := &b.sources[k].records[i]
-		if r.badAt > good && now-r.badAt < Borne && now-bad < b.use {
+		if r.badAt > good && now-r.badAt < ConfirmedFailureLifetime && now-bad < b.use {
 			out.Against += 1 / float64(b.accuses(now, func(i int) *record { return &b.sources[k].records[i] }))
 			out.Witnesses++
 			out.Until = bad + b.use
 		}
 	}
-	if own := &e.own; out.Witnesses > 0 && own.badAt > good && now-own.badAt < Borne { // beside others' word its own counts as much
+	if own := &e.own; out.Witnesses > 0 && own.badAt > good && now-own.badAt < ConfirmedFailureLifetime { // beside others' word its own counts as much
 		out.Against += 1 / float64(b.accuses(now, func(i int) *record { return &b.engines[i].own }))
 		out.Witnesses++
 	}
@@ -466,9 +466,9 @@
 
 // accuses is how many engines a gateway has found failing and not well since: its one voice is split over them, since one that
 // accuses many is likelier itself at fault, or its network.
-func (b *Book) accuses(now Time, of func(i int) *record) (n int) {
+func (b *Table) accuses(now Time, of func(i int) *record) (n int) {
 	for i := range b.engines {
-		if r := of(i); b.engines[i].listed && r.badAt > r.goodAt && now-r.badAt < Borne {
+		if r := of(i); b.engines[i].listed && r.badAt > r.goodAt && now-r.badAt < ConfirmedFailureLifetime {
 			n++
 		}
 	}
@@ -476,7 +476,7 @@
 }
 
 // mayOut tells whether an engine is among the few against which most is said: hearsay takes out a part of the fleet at most.
-func (b *Book) mayOut(now Time, i int) bool {
+func (b *Table) mayOut(now Time, i int) bool {
 	listed, before, own := 0, 0, b.engines[i].found.Against
 	for k := range b.engines {
 		if e := &b.engines[k]; e.listed {
@@ -489,20 +489,20 @@
 	return before < max(1, int(b.share*float64(listed)))
 }
 
-// Line is one line of a status: what is known of an engine.
-type Line struct {
-	Engine           admission.EngineID
-	Answered, Failed Time // ages of what this gateway saw itself; below 0: not lately
-	How              admission.Sight
-	Found            Finding
-	ReportAge        Time
-	Heard            []admission.Sight // how it last failed for those that say so
+// EngineStatus is one line of a status: what is known of an engine.
+type EngineStatus struct {
+	Engine                admission.EngineID
+	AnswerAge, FailureAge Time // ages of what this gateway saw itself; below 0: not lately
+	LastFailure           admission.Sight
+	Finding               Finding
+	ReportAge             Time
+	PeerFailures          []admission.Sight // how it last failed for those that say so
 }
 
 // Status is what is known of all engines of the own list, by name.
-func (b *Book) Status(now Time) (out []Line) {
+func (b *Table) Status(now Time) (out []EngineStatus) {
 	age := func(at Time) Time {
-		if now-at > 10*Use {
+		if now-at > 10*OutcomeLifetime {
 			return -1
 		}
 		return now - at
@@ -513,15 +513,15 @@
 			if now >= f.Until {
 				f.Against, f.Witnesses = 0, 0
 			}
-			l := Line{Engine: e.Engine, Answered: age(e.own.goodAt), Failed: age(e.own.badAt), How: e.own.bad, Found: f, ReportAge: age(f.ReportAt)}
+			l := EngineStatus{Engine: e.Engine, AnswerAge: age(e.own.goodAt), FailureAge: age(e.own.badAt), LastFailure: e.own.bad, Finding: f, ReportAge: age(f.ReportAt)}
 			for k := range b.sources {
-				if r := &b.sources[k].records[i]; now-r.badAt < Borne && r.badAt > r.goodAt {
-					l.Heard = append(l.Heard, r.bad)
+				if r := &b.sources[k].records[i]; now-r.badAt < ConfirmedFailureLifetime && r.badAt > r.goodAt {
+					l.PeerFailures = append(l.PeerFailures, r.bad)
 				}
 			}
 			out = append(out, l)
 		}
 	}
-	slices.SortFunc(out, func(a, b Line) int { return cmp.Compare(a.Engine, b.Engine) })
+	slices.SortFunc(out, func(a, b EngineStatus) int { return cmp.Compare(a.Engine, b.Engine) })
 	return out
 }
--- a/internal/cluster/healthreport/judgement_test.go
+++ b/internal/cluster/healthreport/table_test.go
@@ -30,15 +30,15 @@
 func name(i int) admission.EngineID { return admission.EngineID(fmt.Sprint("e", i)) }
 
 // book is one that knows n engines.
-func book(n int) *Book {
+func book(n int) *Table {
 	b := New(1, 0.25, 0)
-	b.Listed(admission.Whole, engines(n))
+	b.UpdateEngines(admission.Whole, engines(n))
 	return b
 }
 
 // gateway is a peer with a book of its own, whose words reach a hearer.
 type gateway struct {
-	*Book
+	*Table
 	Source
 }
 
@@ -47,23 +47,23 @@
 const plenty = 1e6
 
 // greet sends messages with nothing new, so that the hearer trusts the clock.
-func (g *gateway) greet(now Time, to *Book) {
+func (g *gateway) greet(now Time, to *Table) {
 	for k := range 3 {
-		to.Heard(now+Time(k), g.Source, begin(now+Time(k)).bytes())
+		to.HandleMessage(now+Time(k), g.Source, begin(now+Time(k)).bytes())
 	}
 }
 
 // say carries what a gateway has to say.
-func (g *gateway) say(now Time, to ...*Book) {
-	g.Saw(now, "", admission.Reported, admission.NoReport, plenty)
-	for m := g.Message(now); m != nil; m = g.Message(now) {
+func (g *gateway) say(now Time, to ...*Table) {
+	g.Observe(now, "", admission.Reported, admission.NoReport, plenty)
+	for m := g.NextMessage(now); m != nil; m = g.NextMessage(now) {
 		for _, b := range to {
-			b.Heard(now, g.Source, m)
+			b.HandleMessage(now, g.Source, m)
 		}
 	}
 }
 
-func (b *Book) against(now Time, i int) (against float64, witnesses int) {
+func (b *Table) against(now Time, i int) (against float64, witnesses int) {
 	f := b.find(now, b.named[name(i)])
 	return f.Against, f.Witnesses
 }
@@ -77,27 +77,27 @@
 	for i := range 4 {
 		peers = append(peers, peer(12, fmt.Sprint("g", i)))
 	}
-	all := []*Book{hearer}
+	all := []*Table{hearer}
 	for _, p := range peers {
-		all = append(all, p.Book)
+		all = append(all, p.Table)
 	}
 	for _, p := range peers {
 		for _, b := range all {
 			p.greet(now, b)
 		}
 	}
-	others := func(p int) []*Book { return append(slices.Clone(all[:p+1]), all[p+2:]...) }
+	others := func(p int) []*Table { return append(slices.Clone(all[:p+1]), all[p+2:]...) }
 	line := func(what string) {
 		for _, p := range peers {
-			p.Findings(now, func(*Finding) {})
+			p.VisitChangedFindings(now, func(*Finding) {})
 		}
-		hearer.Findings(now, func(f *Finding) {
+		hearer.VisitChangedFindings(now, func(f *Finding) {
 			fmt.Fprintf(&out, "%7.1f s  %-52s %s: against %.2f of %d, report %v\n", float64(now)/float64(second), what, f.Engine, f.Against, f.Witnesses, f.Report.Util)
 		})
 	}
 	fail := func(p int, e int, what string) {
 		now += 10 * ms
-		peers[p].Saw(now, name(e), admission.Erred, admission.NoReport, plenty)
+		peers[p].Observe(now, name(e), admission.Erred, admission.NoReport, plenty)
 		peers[p].say(now, others(p)...)
 		line(what)
 	}
@@ -106,20 +106,20 @@
 	fail(1, 3, "g1 too")
 	fail(2, 3, "g2 too")
 	now += second
-	peers[3].Saw(now, name(3), admission.Answered, admission.NoReport, plenty)
+	peers[3].Observe(now, name(3), admission.Answered, admission.NoReport, plenty)
 	fail(3, 4, "g3 has an answer from e3, and fails at e4")
 	now += 200 * ms
-	peers[1].Saw(now, name(3), admission.Reported, admission.Report{Held: 3, Util: 0.5, Memory: -1, Disks: -1}, plenty)
+	peers[1].Observe(now, name(3), admission.Reported, admission.Report{Held: 3, Util: 0.5, Memory: -1, Disks: -1}, plenty)
 	now += 200 * ms
 	peers[1].say(now, others(1)...)
 	line("g1 tells a report of e3")
 	for e := range 12 {
 		now += 10 * ms
-		peers[0].Saw(now, name(e), admission.Erred, admission.NoReport, plenty)
+		peers[0].Observe(now, name(e), admission.Erred, admission.NoReport, plenty)
 	}
 	peers[0].say(now, others(0)...)
 	line("g0 accuses all twelve: one voice over them")
-	now += Use
+	now += OutcomeLifetime
 	hearer.touched = []int{3, 4}
 	line("ten seconds later")
 	if *keep {
@@ -134,7 +134,7 @@
 // The hard cases, each told by what is found.
 func TestHardCases(t *testing.T) {
 	const now = 100 * second
-	three := func() (*Book, []*gateway) {
+	three := func() (*Table, []*gateway) {
 		h := book(12)
 		var peers []*gateway
 		for i := range 3 {
@@ -144,7 +144,7 @@
 		}
 		return h, peers
 	}
-	check := func(t *testing.T, h *Book, at Time, e int, want float64) {
+	check := func(t *testing.T, h *Table, at Time, e int, want float64) {
 		t.Helper()
 		if got, _ := h.against(at, e); got != want {
 			t.Errorf("against e%d: %.2f, expected %.2f", e, got, want)
@@ -153,91 +153,91 @@
 	t.Run("own answer counts against what others saw before it", func(t *testing.T) {
 		h, peers := three()
 		for _, p := range peers {
-			p.Saw(now, name(1), admission.Erred, admission.NoReport, 0)
+			p.Observe(now, name(1), admission.Erred, admission.NoReport, 0)
 			p.say(now, h)
 		}
 		check(t, h, now, 1, 3)
-		h.Saw(now+1, name(1), admission.Answered, admission.NoReport, 0)
+		h.Observe(now+1, name(1), admission.Answered, admission.NoReport, 0)
 		check(t, h, now+1, 1, 0)
 	})
 	t.Run("a restart ends evidence, and what is under way about the start before it", func(t *testing.T) {
 		h, peers := three()
-		peers[0].Saw(now, name(1), admission.Erred, admission.NoReport, plenty)
-		old := peers[0].Message(now)
-		h.Heard(now, peers[0].Source, old)
+		peers[0].Observe(now, name(1), admission.Erred, admission.NoReport, plenty)
+		old := peers[0].NextMessage(now)
+		h.HandleMessage(now, peers[0].Source, old)
 		for _, since := range []Time{now + 100*ms, now + 600*ms} { // twice in a second
-			h.Listed(admission.Changes, []admission.Listing{{Engine: name(1), Since: since}})
+			h.UpdateEngines(admission.Changes, []admission.Listing{{Engine: name(1), Since: since}})
 			check(t, h, now+second, 1, 0)
-			h.Heard(now+second, peers[0].Source, old)
+			h.HandleMessage(now+second, peers[0].Source, old)
 			check(t, h, now+second, 1, 0)
 		}
 	})
 	t.Run("a peer whose list has a later start ends what was heard of the one before", func(t *testing.T) {
 		h, peers := three()
 		for _, p := range peers[:2] {
-			p.Saw(now, name(1), admission.Unreached, admission.NoReport, 0)
+			p.Observe(now, name(1), admission.Unreached, admission.NoReport, 0)
 			p.say(now, h)
 		}
 		check(t, h, now, 1, 2)
-		peers[2].Listed(admission.Changes, []admission.Listing{{Engine: name(1), Since: now}})
-		peers[2].Saw(now+1, name(1), admission.Erred, admission.NoReport, 0)
+		peers[2].UpdateEngines(admission.Changes, []admission.Listing{{Engine: name(1), Since: now}})
+		peers[2].Observe(now+1, name(1), admission.Erred, admission.NoReport, 0)
 		peers[2].say(now+1, h)
 		check(t, h, now+1, 1, 0)
-		peers[0].Listed(admission.Changes, []admission.Listing{{Engine: name(1), Since: now}})
-		h.Listed(admission.Changes, []admission.Listing{{Engine: name(1), Since: now}})
-		peers[1].Saw(now+2, name(1), admission.Erred, admission.NoReport, 0) // whose list is behind
+		peers[0].UpdateEngines(admission.Changes, []admission.Listing{{Engine: name(1), Since: now}})
+		h.UpdateEngines(admission.Changes, []admission.Listing{{Engine: name(1), Since: now}})
+		peers[1].Observe(now+2, name(1), admission.Erred, admission.NoReport, 0) // whose list is behind
 		peers[1].say(now+2, h)
 		check(t, h, now+2, 1, 0)
 	})
 	t.Run("how it failed is told", func(t *testing.T) {
 		h, peers := three()
 		for i, saw := range []admission.Sight{admission.Erred, admission.Unanswered, admission.Unreached} {
-			peers[i].Saw(now, name(1), saw, admission.NoReport, 0)
+			peers[i].Observe(now, name(1), saw, admission.NoReport, 0)
 			peers[i].say(now, h)
 		}
-		if got := fmt.Sprint(h.Status(now)[1].Heard); got != "[erred unanswered unreached]" {
+		if got := fmt.Sprint(h.Status(now)[1].PeerFailures); got != "[erred unanswered unreached]" {
 			t.Error(got)
 		}
 	})
 	t.Run("a message a minute late counts by its age", func(t *testing.T) {
 		h, peers := three()
-		peers[0].Saw(now, name(1), admission.Erred, admission.NoReport, plenty)
-		old := peers[0].Message(now)
+		peers[0].Observe(now, name(1), admission.Erred, admission.NoReport, plenty)
+		old := peers[0].NextMessage(now)
 		for at := now; at < now+60*second; at += second {
-			h.Heard(at, peers[0].Source, begin(at).bytes())
+			h.HandleMessage(at, peers[0].Source, begin(at).bytes())
 		}
-		h.Heard(now+60*second, peers[0].Source, old)
+		h.HandleMessage(now+60*second, peers[0].Source, old)
 		check(t, h, now+60*second, 1, 0)
 	})
 	t.Run("a first message of a process is not believed, as it may be old", func(t *testing.T) {
 		h, _ := three()
 		p := peer(12, "new")
-		p.Saw(now, name(1), admission.Erred, admission.NoReport, 0)
+		p.Observe(now, name(1), admission.Erred, admission.NoReport, 0)
 		p.say(now, h)
 		check(t, h, now, 1, 0)
 	})
 	t.Run("a later process under the name takes the place of the one before", func(t *testing.T) {
 		h, peers := three()
-		peers[0].Saw(now, name(1), admission.Erred, admission.NoReport, 0)
+		peers[0].Observe(now, name(1), admission.Erred, admission.NoReport, 0)
 		peers[0].say(now, h)
 		next := &gateway{book(12), Source{"g0", 2}}
 		next.greet(now, h)
 		check(t, h, now, 1, 0)
-		peers[0].Saw(now+1, name(1), admission.Erred, admission.NoReport, 0)
+		peers[0].Observe(now+1, name(1), admission.Erred, admission.NoReport, 0)
 		peers[0].say(now+1, h) // the earlier one still speaks
 		check(t, h, now+1, 1, 0)
 	})
 	t.Run("a fresh failure bears out those before it, but not for ever", func(t *testing.T) {
 		h, peers := three()
 		for _, p := range peers {
-			p.Saw(now, name(1), admission.Erred, admission.NoReport, 0)
+			p.Observe(now, name(1), admission.Erred, admission.NoReport, 0)
 			p.say(now, h)
 		}
-		check(t, h, now+Use, 1, 0) // nobody has tried
-		for at := now + Use; at < now+5*Use; at += Use {
+		check(t, h, now+OutcomeLifetime, 1, 0) // nobody has tried
+		for at := now + OutcomeLifetime; at < now+5*OutcomeLifetime; at += OutcomeLifetime {
 			h.sources[0].records[1].badAt = at // g0 alone goes on failing there
 			want := 3.0
-			if at >= now+Borne {
+			if at >= now+ConfirmedFailureLifetime {
 				want = 1
 			}
 			check(t, h, at, 1, want)
@@ -250,10 +250,10 @@
 			p := peer(12, fmt.Sprint("h", i))
 			p.greet(now, h)
 			for _, e := range []int{i % 5, (i + 1) % 5} {
-				p.Saw(now+1, name(e), admission.Erred, admission.NoReport, plenty)
+				p.Observe(now+1, name(e), admission.Erred, admission.NoReport, plenty)
 			}
 			p.say(now+1, h)
-			h.Findings(now+1, func(*Finding) {})
+			h.VisitChangedFindings(now+1, func(*Finding) {})
 		}
 		for e := range 12 {
 			if h.engines[e].gave.Against > 0 {
@@ -266,9 +266,9 @@
 	})
 	t.Run("after this process stood still what comes first is what is oldest", func(t *testing.T) {
 		h, peers := three()
-		peers[0].Saw(now, name(1), admission.Erred, admission.NoReport, plenty)
-		old := peers[0].Message(now + second)
-		h.Heard(now+21*second, peers[0].Source, old)
+		peers[0].Observe(now, name(1), admission.Erred, admission.NoReport, plenty)
+		old := peers[0].NextMessage(now + second)
+		h.HandleMessage(now+21*second, peers[0].Source, old)
 		check(t, h, now+21*second, 1, 0)
 	})
 	t.Run("clocks a twentieth fast and slow", func(t *testing.T) {
@@ -277,23 +277,23 @@
 			p := peer(12, "g")
 			at := func(now Time) Time { return Time(float64(now) * rate) }
 			for when := now; when < now+100*second; when += second / 2 {
-				h.Heard(when, p.Source, begin(at(when)).bytes())
+				h.HandleMessage(when, p.Source, begin(at(when)).bytes())
 			}
 			when := now + 100*second
-			p.Saw(at(when), name(1), admission.Erred, admission.NoReport, plenty)
-			h.Heard(when, p.Source, p.Message(at(when)))
-			check(t, h, when+Use/2, 1, 1)
-			check(t, h, when+Use, 1, 0)
+			p.Observe(at(when), name(1), admission.Erred, admission.NoReport, plenty)
+			h.HandleMessage(when, p.Source, p.NextMessage(at(when)))
+			check(t, h, when+OutcomeLifetime/2, 1, 1)
+			check(t, h, when+OutcomeLifetime, 1, 0)
 		}
 	})
 	t.Run("what is heard is never told on", func(t *testing.T) {
 		h, peers := three()
 		for _, p := range peers {
-			p.Saw(now, name(1), admission.Erred, admission.NoReport, 0)
+			p.Observe(now, name(1), admission.Erred, admission.NoReport, 0)
 			p.say(now, h)
 		}
-		h.Saw(now, name(2), admission.Answered, admission.Report{Held: -1, Util: 0.3, Memory: -1, Disks: -1}, plenty)
-		m := h.Message(now + second)
+		h.Observe(now, name(2), admission.Answered, admission.Report{Held: -1, Util: 0.3, Memory: -1, Disks: -1}, plenty)
+		m := h.NextMessage(now + second)
 		r, err := read(m)
 		if err != nil {
 			t.Fatal(err)
@@ -306,13 +306,13 @@
 	})
 	t.Run("no message beyond what is paid for", func(t *testing.T) {
 		b := New(39, 0.25, 0)
-		b.Listed(admission.Whole, engines(12))
-		b.Saw(now, name(1), admission.Erred, admission.NoReport, 39*10)
-		if b.Message(now+second) != nil {
+		b.UpdateEngines(admission.Whole, engines(12))
+		b.Observe(now, name(1), admission.Erred, admission.NoReport, 39*10)
+		if b.NextMessage(now+second) != nil {
 			t.Error("it speaks")
 		}
-		b.Saw(now, name(1), admission.Erred, admission.NoReport, 39*30)
-		if b.Message(now+second) == nil {
+		b.Observe(now, name(1), admission.Erred, admission.NoReport, 39*30)
+		if b.NextMessage(now+second) == nil {
 			t.Error("it is silent")
 		}
 	})
@@ -335,9 +335,9 @@
 				at := now + Time(k)*200*ms
 				for range 2 {
 					saw := admission.Sight(rapid.IntRange(0, 2).Draw(t, "saw"))
-					p.Saw(at, name(rapid.IntRange(0, 3).Draw(t, "engine")), saw, admission.Report{Held: float64(rapid.IntRange(0, 3).Draw(t, "held")), Util: 0.5, Memory: -1, Disks: -1}, plenty)
+					p.Observe(at, name(rapid.IntRange(0, 3).Draw(t, "engine")), saw, admission.Report{Held: float64(rapid.IntRange(0, 3).Draw(t, "held")), Util: 0.5, Memory: -1, Disks: -1}, plenty)
 				}
-				if m := p.Message(at + 150*ms); m != nil {
+				if m := p.NextMessage(at + 150*ms); m != nil {
 					words = append(words, word{p.Source, m, at + 150*ms})
 				}
 			}
@@ -348,7 +348,7 @@
 				peer(4, fmt.Sprint("g", g)).greet(now, h)
 			}
 			for _, w := range list {
-				h.Heard(w.at, w.from, w.bytes) // each comes when it was sent, so its ages are exact
+				h.HandleMessage(w.at, w.from, w.bytes) // each comes when it was sent, so its ages are exact
 			}
 			var out []string
 			for i := range h.engines {
@@ -385,16 +385,16 @@
 
 func FuzzHeard(f *testing.F) {
 	p := peer(3, "g")
-	p.Saw(100, name(1), admission.Erred, admission.Report{Held: 3, Util: 0.5, Memory: 0.25, Disks: 0.1}, plenty)
-	f.Add(p.Message(200))
+	p.Observe(100, name(1), admission.Erred, admission.Report{Held: 3, Util: 0.5, Memory: 0.25, Disks: 0.1}, plenty)
+	f.Add(p.NextMessage(200))
 	f.Add([]byte{version, 0, 0, 0, 1})
 	f.Fuzz(func(t *testing.T, m []byte) {
 		h := book(3)
 		peer(3, "g").greet(100*second, h)
-		if err := h.Heard(100*second, Source{"g", 1}, m); err != nil && len(h.touched) > 0 {
+		if err := h.HandleMessage(100*second, Source{"g", 1}, m); err != nil && len(h.touched) > 0 {
 			t.Fatal("part of a message that can't be read was used")
 		}
-		h.Findings(100*second, func(f *Finding) {
+		h.VisitChangedFindings(100*second, func(f *Finding) {
 			if f.Against > 1 || f.ReportAt > 100*second {
 				t.Fatalf("%+v", f)
 			}
@@ -408,9 +408,9 @@
 	for n := 0; b.Loop(); n++ {
 		now := Time(n+10) * second
 		for e := range 12 {
-			p.Saw(now, name(e), admission.Reported, admission.Report{Held: -1, Util: float64(n%10) / 10, Memory: 0.5, Disks: 0.25}, plenty)
+			p.Observe(now, name(e), admission.Reported, admission.Report{Held: -1, Util: float64(n%10) / 10, Memory: 0.5, Disks: 0.25}, plenty)
 		}
-		if p.Message(now+second/2) == nil {
+		if p.NextMessage(now+second/2) == nil {
 			b.Fatal("nothing to say")
 		}
 	}
@@ -423,12 +423,12 @@
 	}
 	p := book(40)
 	for e := range 12 {
-		p.Saw(second, name(e), admission.Reported, admission.Report{Held: -1, Util: 0.5, Memory: 0.5, Disks: 0.25}, plenty)
+		p.Observe(second, name(e), admission.Reported, admission.Report{Held: -1, Util: 0.5, Memory: 0.5, Disks: 0.25}, plenty)
 	}
-	m := p.Message(second + second/2)
+	m := p.NextMessage(second + second/2)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		h.Heard(Time(n%1000)*second/100, Source{fmt.Sprint("g", n%40), 1}, m)
-		h.Findings(Time(n%1000)*second/100, func(*Finding) {})
+		h.HandleMessage(Time(n%1000)*second/100, Source{fmt.Sprint("g", n%40), 1}, m)
+		h.VisitChangedFindings(Time(n%1000)*second/100, func(*Finding) {})
 	}
 }
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/core.go
@@ -30,51 +30,51 @@
 
 // Member is one process of the fleet as it is known here. Start tells processes under one name apart: the later one counts.
 type Member struct {
-	Name    string
-	Start   uint64
-	Refuted uint32 // times that it has refuted a suspicion
-	State   State
-	Address string
-	Accuser string // who suspects it
-	Since   Time   // when it came to this state here
+	Name        string
+	Incarnation uint64
+	Refutations uint32 // times that it has refuted a suspicion
+	State       State
+	Address     string
+	Accuser     string // who suspects it
+	StateSince  Time   // when it came to this state here
 }
 
-// Code names what happened to a member.
-type Code string
+// EventCode names what happened to a member.
+type EventCode string
 
 // What is told of members, and of the fleet as a whole.
 const (
-	Joined    Code = "joined"
-	Restarted Code = "restarted" // another process under its name
-	Suspected Code = "suspected"
-	Refuted   Code = "refuted"
-	Died      Code = "dead"
-	Gone      Code = "left"
-	Displaced Code = "displaced" // a later process has this one's own name
-	Split     Code = "split"     // a quarter of the fleet, or more, is lost
-	Healed    Code = "healed"
+	Joined      EventCode = "joined"
+	Restarted   EventCode = "restarted" // another process under its name
+	Suspected   EventCode = "suspected"
+	Refuted     EventCode = "refuted"
+	Died        EventCode = "dead"
+	Departed    EventCode = "left"
+	Superseded  EventCode = "displaced" // a later process has this one's own name
+	Partitioned EventCode = "split"     // a quarter of the fleet, or more, is lost
+	Healed      EventCode = "healed"
 )
 
 // Host is what a core acts on.
 type Host interface {
 	Send(to string, message []byte)
-	Changed(code Code, m Member)
+	MemberChanged(code EventCode, m Member)
 }
 
 // The protocol's figures. A probe's answer is a loopback or hall away, some milliseconds, so half of the interval is far
 // more than it needs; the rest of the interval is for the three that are asked to look as well, the number of SWIM's paper.
 const (
-	Interval    = 500 * admission.Millisecond
-	helpers     = 3
-	mostHealth  = 8                            // Lifeguard's: how many times slower a member in doubt of itself judges
-	mostName    = 40                           // bytes
-	mostAddress = 64                           // bytes
-	mostMembers = 1024                         // twice the largest fleet that is spoken of
-	Forget      = 24 * 3600 * admission.Second // the dead; more than any split that is meant to find itself again
-	reach       = 5 * admission.Second         // how often the lost and the seeds are called: a fleet of ten finds itself in seconds
-	settled     = 5 * admission.Second         // a process that has served so long under its name doesn't outbid a later one
-	growing     = 2 * admission.Second         // after a member new to it, it asks for as many more as fit: a newcomer knows 500 in seconds
-	usualFill   = 8                            // members told in turn with each message: 500 are told anew in half a minute
+	ProbeInterval = 500 * admission.Millisecond
+	helpers       = 3
+	mostHealth    = 8                            // Lifeguard's: how many times slower a member in doubt of itself judges
+	mostName      = 40                           // bytes
+	mostAddress   = 64                           // bytes
+	mostMembers   = 1024                         // twice the largest fleet that is spoken of
+	ForgetAfter   = 24 * 3600 * admission.Second // the dead; more than any split that is meant to find itself again
+	reach         = 5 * admission.Second         // how often the lost and the seeds are called: a fleet of ten finds itself in seconds
+	settled       = 5 * admission.Second         // a process that has served so long under its name doesn't outbid a later one
+	growing       = 2 * admission.Second         // after a member new to it, it asks for as many more as fit: a newcomer knows 500 in seconds
+	usualFill     = 8                            // members told in turn with each message: 500 are told anew in half a minute
 )
 
 // Core is one process's part. Its calls come one at a time, with a clock that never goes back.
@@ -136,24 +136,24 @@
 
 // New begins a process's part under a name; start must be higher than that of any process before it, as far as known.
 func New(now Time, self Member, seeds []string, chance *rand.Rand, host Host) *Core {
-	self.State, self.Since = Alive, now
+	self.State, self.StateSince = Alive, now
 	return &Core{host: host, chance: chance, now: now, began: now, self: self, seeds: seeds, dueAt: now}
 }
 
 // Self is this process.
 func (c *Core) Self() Member { return c.self }
 
-// Quiet tells whether it takes no part any more: a later process has its name, or it has left.
-func (c *Core) Quiet() bool { return c.silent }
+// IsInactive tells whether it takes no part any more: a later process has its name, or it has left.
+func (c *Core) IsInactive() bool { return c.silent }
 
-// Health is how many times slower than usual it judges others, from 0.
-func (c *Core) Health() int { return c.health }
+// LocalHealth is how many times slower than usual it judges others, from 0.
+func (c *Core) LocalHealth() int { return c.health }
 
 // Members are all that it knows of besides itself, by name. They are the core's: not to be kept or changed.
 func (c *Core) Members() []Member { return c.members }
 
-// Lost is how many are dead that did not leave.
-func (c *Core) Lost() (n int) {
+// CountDead is how many are dead that did not leave.
+func (c *Core) CountDead() (n int) {
 	for i := range c.members {
 		if c.members[i].State == Dead {
 			n++
@@ -162,8 +162,8 @@
 	return n
 }
 
-// Living is how many others are taken to be there, suspects among them.
-func (c *Core) Living() (n int) {
+// CountReachable is how many others are taken to be there, suspects among them.
+func (c *Core) CountReachable() (n int) {
 	for i := range c.members {
 		if c.members[i].State <= Suspect {
 			n++
@@ -184,19 +184,19 @@
 	return slices.BinarySearchFunc(c.members, name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
 }
 
-// Next is when Due is to be called.
-func (c *Core) Next() Time { return c.dueAt }
+// NextTick is when Due is to be called.
+func (c *Core) NextTick() Time { return c.dueAt }
 
-// Due is the timer. One that comes far too late tells that this process stood still: it then can't know what it missed, so
+// Tick is the timer. One that comes far too late tells that this process stood still: it then can't know what it missed, so
 // it judges nobody by it and trusts itself less.
-func (c *Core) Due(now Time) {
+func (c *Core) Tick(now Time) {
 	late := now - c.dueAt
 	c.now = now
 	if c.silent {
-		c.dueAt = now + Interval
+		c.dueAt = now + ProbeInterval
 		return
 	}
-	if late > Interval {
+	if late > ProbeInterval {
 		c.probe.out = false
 		for i := range c.doubts {
 			c.doubts[i].began += late
@@ -218,7 +218,7 @@
 		c.call()
 	}
 	c.forget()
-	c.dueAt = now + Interval/5
+	c.dueAt = now + ProbeInterval/5
 	if c.probe.out && !c.probe.help {
 		c.dueAt = min(c.dueAt, max(now+1, c.probe.helpAt))
 	}
@@ -236,7 +236,7 @@
 		c.round = c.round[:len(c.round)-1]
 		if i, ok := c.at(name); ok && c.members[i].State <= Suspect {
 			c.seq++
-			c.probe = probe{seq: c.seq, name: name, begun: c.now, helpAt: c.now + c.scale(Interval/2), until: c.now + c.scale(Interval), out: true}
+			c.probe = probe{seq: c.seq, name: name, begun: c.now, helpAt: c.now + c.scale(ProbeInterval/2), until: c.now + c.scale(ProbeInterval), out: true}
 			c.send(c.members[i].Address, message{kind: ping, seq: c.seq, about: name}, c.now-c.grewAt < growing)
 			return
 		}
@@ -247,7 +247,7 @@
 		}
 	}
 	c.chance.Shuffle(len(c.round), func(i, j int) { c.round[i], c.round[j] = c.round[j], c.round[i] })
-	c.probe.until = c.now + Interval/5 // nobody is there, or the next round begins
+	c.probe.until = c.now + ProbeInterval/5 // nobody is there, or the next round begins
 }
 
 func (c *Core) askHelpers() {
@@ -296,7 +296,7 @@
 // call reaches out to what may have come back: the seeds while nobody else is there, and one of the lost or the seeds else.
 func (c *Core) call() {
 	c.reachAt = c.now + reach
-	if c.Living() == 0 {
+	if c.CountReachable() == 0 {
 		c.reachAt = c.now + admission.Second
 	}
 	var to []string
@@ -322,7 +322,7 @@
 // while nobody shares it. One in doubt of itself waits longer, but a part that is cut off and whose probes mostly fail
 // still comes to know it within two minutes.
 func (c *Core) patience(d *doubt) Time {
-	least := float64(Interval) * (1 + float64(c.health)/4) * 2 * max(1, math.Log2(float64(len(c.members)+2)))
+	least := float64(ProbeInterval) * (1 + float64(c.health)/4) * 2 * max(1, math.Log2(float64(len(c.members)+2)))
 	const most, shared = 3, 3.0
 	part := math.Log2(float64(len(d.accusers))) / math.Log2(shared+1)
 	return Time(least * max(1, most-(most-1)*part))
@@ -349,7 +349,7 @@
 
 // is tells whether a suspicion is the one that a member is under: one that it has refuted is over.
 func (d *doubt) is(m *Member) bool {
-	return d.name == m.Name && d.start == m.Start && d.refuted == m.Refuted
+	return d.name == m.Name && d.start == m.Incarnation && d.refuted == m.Refutations
 }
 
 // accuse notes who shares a suspicion.
@@ -357,7 +357,7 @@
 	i := slices.IndexFunc(c.doubts, func(d doubt) bool { return d.is(m) })
 	if i < 0 {
 		i = len(c.doubts)
-		c.doubts = append(c.doubts, doubt{name: m.Name, start: m.Start, refuted: m.Refuted, began: c.now})
+		c.doubts = append(c.doubts, doubt{name: m.Name, start: m.Incarnation, refuted: m.Refutations, began: c.now})
 	}
 	if d := &c.doubts[i]; len(d.accusers) < 4 && !slices.Contains(d.accusers, by) {
 		d.accusers = append(d.accusers, by)
@@ -370,7 +370,7 @@
 // forget drops the dead after their time, and the longest dead where there are too many.
 func (c *Core) forget() {
 	for i := 0; i < len(c.members); {
-		if m := &c.members[i]; m.State >= Dead && c.now-m.Since >= Forget {
+		if m := &c.members[i]; m.State >= Dead && c.now-m.StateSince >= ForgetAfter {
 			c.members = slices.Delete(c.members, i, i+1)
 			continue
 		}
@@ -380,7 +380,7 @@
 		oldest := 0
 		for i := range c.members {
 			a, b := &c.members[i], &c.members[oldest]
-			if a.State >= Dead && b.State < Dead || (a.State >= Dead) == (b.State >= Dead) && a.Since < b.Since {
+			if a.State >= Dead && b.State < Dead || (a.State >= Dead) == (b.State >= Dead) && a.StateSince < b.StateSince {
 				oldest = i
 			}
 		}
@@ -391,9 +391,9 @@
 // overrides tells whether what is said replaces what is known.
 func overrides(said, known *Member) bool {
 	if ignoresStart { // a defect planted by the laboratory
-		return cmp.Or(cmp.Compare(said.Refuted, known.Refuted), cmp.Compare(said.State, known.State)) > 0
+		return cmp.Or(cmp.Compare(said.Refutations, known.Refutations), cmp.Compare(said.State, known.State)) > 0
 	}
-	return cmp.Or(cmp.Compare(said.Start, known.Start), cmp.Compare(said.Refuted, known.Refuted), cmp.Compare(said.State, known.State)) > 0
+	return cmp.Or(cmp.Compare(said.Incarnation, known.Incarnation), cmp.Compare(said.Refutations, known.Refutations), cmp.Compare(said.State, known.State)) > 0
 }
 
 // learn takes in what is said of a member, and passes it on if it is new.
@@ -402,7 +402,7 @@
 		c.ofMyself(said)
 		return
 	}
-	said.Since = c.now
+	said.StateSince = c.now
 	i, known := c.at(said.Name)
 	if !known {
 		if len(c.members) >= 2*mostMembers {
@@ -412,7 +412,7 @@
 		c.grewAt = c.now
 		c.spread(said.Name)
 		if said.State <= Suspect {
-			c.host.Changed(Joined, said)
+			c.host.MemberChanged(Joined, said)
 		}
 		if said.State == Suspect {
 			c.accuse(&c.members[i], said.Accuser)
@@ -421,7 +421,7 @@
 		return
 	}
 	was := c.members[i]
-	if said.State == Suspect && was.State == Suspect && said.Start == was.Start && said.Refuted == was.Refuted {
+	if said.State == Suspect && was.State == Suspect && said.Incarnation == was.Incarnation && said.Refutations == was.Refutations {
 		c.accuse(&c.members[i], said.Accuser)
 		return
 	}
@@ -431,20 +431,20 @@
 	c.members[i] = said
 	c.spread(said.Name)
 	switch {
-	case said.Start > was.Start && said.State <= Suspect:
-		c.host.Changed(Restarted, said)
+	case said.Incarnation > was.Incarnation && said.State <= Suspect:
+		c.host.MemberChanged(Restarted, said)
 	case said.State <= Suspect && was.State >= Dead:
-		c.host.Changed(Joined, said)
+		c.host.MemberChanged(Joined, said)
 	case said.State == Alive && was.State == Suspect:
-		c.host.Changed(Refuted, said)
+		c.host.MemberChanged(Refuted, said)
 	case said.State == Dead && was.State != Dead:
-		c.host.Changed(Died, said)
+		c.host.MemberChanged(Died, said)
 	case said.State == Left && was.State != Left:
-		c.host.Changed(Gone, said)
+		c.host.MemberChanged(Departed, said)
 	}
 	if said.State == Suspect {
 		if was.State != Suspect {
-			c.host.Changed(Suspected, said)
+			c.host.MemberChanged(Suspected, said)
 		}
 		c.accuse(&c.members[i], said.Accuser)
 	}
@@ -455,15 +455,15 @@
 // one's part, unless this one has only just begun and so must be the later.
 func (c *Core) ofMyself(said Member) {
 	switch {
-	case said.Start > c.self.Start && c.now-c.began < settled && !c.outbid:
+	case said.Incarnation > c.self.Incarnation && c.now-c.began < settled && !c.outbid:
 		c.outbid = true // its clock is behind that of the process before it
-		c.self.Start, c.self.Refuted = said.Start+1, 0
+		c.self.Incarnation, c.self.Refutations = said.Incarnation+1, 0
 		c.spread(c.self.Name)
-	case said.Start > c.self.Start:
+	case said.Incarnation > c.self.Incarnation:
 		c.silent = true
-		c.host.Changed(Displaced, said)
-	case said.Start == c.self.Start && said.State != Alive && said.Refuted >= c.self.Refuted:
-		c.self.Refuted = said.Refuted + 1
+		c.host.MemberChanged(Superseded, said)
+	case said.Incarnation == c.self.Incarnation && said.State != Alive && said.Refutations >= c.self.Refutations:
+		c.self.Refutations = said.Refutations + 1
 		c.ail(1)
 		c.spread(c.self.Name)
 	}
@@ -484,9 +484,9 @@
 		c.split = split
 		code := Healed
 		if split {
-			code = Split
+			code = Partitioned
 		}
-		c.host.Changed(code, c.self)
+		c.host.MemberChanged(code, c.self)
 	}
 }
 
@@ -503,7 +503,7 @@
 		return
 	}
 	c.self.State = Left
-	c.self.Refuted++
+	c.self.Refutations++
 	for range 3 * helpers {
 		if m, ok := c.any(func(m *Member) bool { return m.State == Alive }); ok {
 			c.send(m.Address, message{kind: ack}, false)
@@ -512,8 +512,8 @@
 	c.silent = true
 }
 
-// Heard takes in a message. It is an error if it can't be read.
-func (c *Core) Heard(now Time, b []byte) error {
+// HandleMessage takes in a message. It is an error if it can't be read.
+func (c *Core) HandleMessage(now Time, b []byte) error {
 	m, err := decode(b)
 	if err != nil {
 		return err
@@ -531,7 +531,7 @@
 	}
 	c.learn(m.from)
 	i, known := c.at(from)
-	if !known || c.members[i].Start > m.from.Start && !ignoresStart {
+	if !known || c.members[i].Incarnation > m.from.Incarnation && !ignoresStart {
 		// A process that has been replaced still speaks: it is told, and nothing it says counts as a sign of the one that is there.
 		if known {
 			c.send(m.from.Address, message{kind: ack, seq: 0, about: from}, false)
@@ -550,8 +550,8 @@
 	case ack:
 		if p := &c.probe; p.out && m.seq == p.seq && (from == p.name || m.about == p.name) {
 			p.out = false
-			if p.until = p.begun + Interval; c.now-c.grewAt < growing {
-				p.until = p.begun + Interval/5
+			if p.until = p.begun + ProbeInterval; c.now-c.grewAt < growing {
+				p.until = p.begun + ProbeInterval/5
 			}
 			if !p.help {
 				c.ail(-1)
--- a/internal/cluster/membership/member_test.go
+++ b/internal/cluster/membership/core_test.go
@@ -10,18 +10,18 @@
 )
 
 // mute is a host that says nothing.
-type mute struct{ changed []Code }
+type mute struct{ changed []EventCode }
 
-func (m *mute) Send(string, []byte)         {}
-func (m *mute) Changed(code Code, _ Member) { m.changed = append(m.changed, code) }
+func (m *mute) Send(string, []byte)                    {}
+func (m *mute) MemberChanged(code EventCode, _ Member) { m.changed = append(m.changed, code) }
 
 func core(name string, start uint64) *Core {
-	return New(0, Member{Name: name, Start: start, Address: name}, nil, rand.New(rand.NewPCG(1, 1)), &mute{})
+	return New(0, Member{Name: name, Incarnation: start, Address: name}, nil, rand.New(rand.NewPCG(1, 1)), &mute{})
 }
 
 func members(t *rapid.T) Member {
-	m := Member{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), Start: rapid.Uint64Range(1, 3).Draw(t, "start"),
-		Refuted: rapid.Uint32Range(0, 2).Draw(t, "refuted"), State: State(rapid.IntRange(0, 3).Draw(t, "state")), Address: "x"}
+	m := Member{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "start"),
+		Refutations: rapid.Uint32Range(0, 2).Draw(t, "refuted"), State: State(rapid.IntRange(0, 3).Draw(t, "state")), Address: "x"}
 	if m.State == Suspect {
 		m.Accuser = "z"
 	}
@@ -68,17 +68,17 @@
 
 // Whatever comes, a message is read whole or not at all, and nothing longer than it was takes room.
 func FuzzHeard(f *testing.F) {
-	w := newWriter(message{kind: ping, seq: 7, from: Member{Name: "b", Start: 3, Address: "x:1"}, about: "a"})
-	w.add(&Member{Name: "c", Start: 9, State: Suspect, Accuser: "b", Address: "y:1"})
+	w := newWriter(message{kind: ping, seq: 7, from: Member{Name: "b", Incarnation: 3, Address: "x:1"}, about: "a"})
+	w.add(&Member{Name: "c", Incarnation: 9, State: Suspect, Accuser: "b", Address: "y:1"})
 	f.Add(w.bytes())
 	f.Add([]byte{version, 1, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c := core("a", 1)
-		err := c.Heard(1, b)
+		err := c.HandleMessage(1, b)
 		if n := len(c.Members()); err != nil && n > 0 || n > 256 {
 			t.Fatalf("%v, %d members", err, n)
 		}
-		c.Due(Interval)
+		c.Tick(ProbeInterval)
 	})
 }
 
@@ -86,9 +86,9 @@
 func TestBounded(t *testing.T) {
 	c := core("self", 1)
 	for i := range 5000 {
-		c.learn(Member{Name: fmt.Sprint("m", i), Start: 1, State: Dead, Address: "x"})
+		c.learn(Member{Name: fmt.Sprint("m", i), Incarnation: 1, State: Dead, Address: "x"})
 	}
-	c.Due(1)
+	c.Tick(1)
 	if n := len(c.Members()); n > mostMembers {
 		t.Errorf("%d members are kept", n)
 	}
@@ -96,13 +96,13 @@
 
 func BenchmarkHeard(b *testing.B) {
 	c := core("self", 1)
-	w := newWriter(message{kind: ping, from: Member{Name: "m0", Start: 1, Address: "127.0.0.1:1000"}})
+	w := newWriter(message{kind: ping, from: Member{Name: "m0", Incarnation: 1, Address: "127.0.0.1:1000"}})
 	for i := range 20 {
-		w.add(&Member{Name: fmt.Sprint("m", i), Start: 1, Address: "127.0.0.1:1000"})
+		w.add(&Member{Name: fmt.Sprint("m", i), Incarnation: 1, Address: "127.0.0.1:1000"})
 	}
 	m := w.bytes()
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Heard(1, m)
+		c.HandleMessage(1, m)
 	}
 }
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -24,9 +24,9 @@
 	said   []Member
 }
 
-// Most is the longest message, in bytes: with what others put into the same datagram it stays under what any network carries
+// MaxMessageBytes is the longest message, in bytes: with what others put into the same datagram it stays under what any network carries
 // whole.
-const Most = 720
+const MaxMessageBytes = 720
 
 // version is the first byte of every message; another's are not read.
 const version = 1
@@ -42,7 +42,7 @@
 }
 
 func newWriter(m message) *writer {
-	b := make([]byte, 0, Most)
+	b := make([]byte, 0, MaxMessageBytes)
 	k := byte(m.kind)
 	if m.full {
 		k |= 0x80
@@ -63,7 +63,7 @@
 		return true
 	}
 	n := len(w.b)
-	if w.b = appendMember(w.b, m); len(w.b) > Most || w.count == 255 {
+	if w.b = appendMember(w.b, m); len(w.b) > MaxMessageBytes || w.count == 255 {
 		w.b = w.b[:n]
 		return false
 	}
@@ -81,8 +81,8 @@
 
 func appendMember(b []byte, m *Member) []byte {
 	b = appendText(b, m.Name)
-	b = binary.AppendUvarint(b, m.Start)
-	b = binary.AppendUvarint(b, uint64(m.Refuted))
+	b = binary.AppendUvarint(b, m.Incarnation)
+	b = binary.AppendUvarint(b, uint64(m.Refutations))
 	b = append(b, byte(m.State))
 	b = appendText(b, m.Address)
 	if m.State == Suspect {
@@ -128,9 +128,9 @@
 }
 
 func (r *reader) member() (m Member) {
-	m.Name, m.Start = r.text(mostName), r.uvarint()
+	m.Name, m.Incarnation = r.text(mostName), r.uvarint()
 	refuted := r.uvarint()
-	m.Refuted, m.State = uint32(refuted), State(r.byte())
+	m.Refutations, m.State = uint32(refuted), State(r.byte())
 	m.Address = r.text(mostAddress)
 	if m.State == Suspect {
 		m.Accuser = r.text(mostName)
@@ -142,7 +142,7 @@
 }
 
 func decode(b []byte) (m message, err error) {
-	if len(b) < 6 || len(b) > Most || b[0] != version {
+	if len(b) < 6 || len(b) > MaxMessageBytes || b[0] != version {
 		return m, ErrMessage
 	}
 	m.kind, m.full = kind(b[1]&^0x80), b[1]&0x80 != 0
@@ -162,7 +162,7 @@
 	return m, nil
 }
 
-// CheckName tells whether a name and an address fit into messages.
-func CheckName(name, address string) bool {
+// ValidNameAndAddress tells whether a name and an address fit into messages.
+func ValidNameAndAddress(name, address string) bool {
 	return name != "" && len(name) <= mostName && address != "" && len(address) <= mostAddress
 }
--- a/internal/cluster/quota/budget_test.go
+++ b/internal/cluster/quota/budget_test.go
@@ -10,14 +10,14 @@
 // Every interleaving up to the bound: nothing is violated.
 func TestExplore(t *testing.T) {
 	most := 50_000 // .ci/run walks further by magpiebank-testbed
-	if modelcheck.Raced {
+	if modelcheck.RaceEnabled {
 		most = 10_000
 	}
 	Explore(most, func(what string, r modelcheck.Result) {
 		var text strings.Builder
-		r.Text(&text, what)
+		r.WriteText(&text, what)
 		t.Log("\n" + text.String())
-		if r.Violated != "" {
+		if r.Violation != "" {
 			t.Error(what)
 		}
 	})
@@ -25,7 +25,7 @@
 
 // Planted defects are found, each by the model that claims to see its kind.
 func TestPlanted(t *testing.T) {
-	if modelcheck.Raced {
+	if modelcheck.RaceEnabled {
 		t.Skip("made without the race detector")
 	}
 	for _, c := range []struct {
@@ -45,11 +45,11 @@
 		{"a keeper that enters by others who know less than it", entering(entersUnequal)},
 		{"a confirmation that counts from when it came", seats(fromArrival, 0, 0, 0, 1, 3)},
 	} {
-		r := modelcheck.Walk(c.w, 1_500_000, 1000)
+		r := modelcheck.Explore(c.w, 1_500_000, 1000)
 		var text strings.Builder
-		r.Text(&text, c.what)
+		r.WriteText(&text, c.what)
 		t.Log("\n" + text.String())
-		if r.Violated == "" {
+		if r.Violation == "" {
 			t.Errorf("not found: %s", c.what)
 		}
 	}
--- a/internal/cluster/quota/budget.go
+++ b/internal/cluster/quota/core.go
@@ -20,39 +20,39 @@
 
 // The kinds of messages.
 const (
-	Enter   Kind = iota + 1 // a keeper that has started asks the others to know it by its new start
-	Entered                 // and is known
-	Claim                   // a member asks a keeper to confirm its seat
-	Confirm                 // and is confirmed
-	Refuse                  // or not: the seat is another's; of a loan: none is given, or no more time on it
-	Ask                     // for a loan, or for more time
-	Lend                    // is given
-	Back                    // a loan is over before its end
-	News                    // how much a member could lend
-	Leave                   // a holder is gone: its seat is free at once
+	KindVoterJoin    Kind = iota + 1 // a keeper that has started asks the others to know it by its new start
+	KindVoterJoined                  // and is known
+	KindShareClaim                   // a member asks a keeper to confirm its seat
+	KindShareConfirm                 // and is confirmed
+	KindReject                       // or not: the seat is another's; of a loan: none is given, or no more time on it
+	KindLeaseRequest                 // for a loan, or for more time
+	KindLeaseGrant                   // is given
+	KindLeaseReturn                  // a loan is over before its end
+	KindSpareUnits                   // how much a member could lend
+	KindShareRelease                 // a holder is gone: its seat is free at once
 )
 
 // Message is one message. Starts tell processes apart: what is meant for another process is not taken.
 type Message struct {
-	Kind   Kind
-	From   string
-	Start  uint64 // of the sender
-	For    uint64 // start of the one who is answered
-	Number uint64 // of the totals
-	Seat   int
-	Seq    uint32
-	Starts []uint64 // of the keepers, as the sender knows them
-	Known  []uint64 // of a confirmation: of the keepers that knew its sender when it began to confirm
-	After  []uint64 // of a claim: of processes under its name that have surely ended
-	Budget uint32   // its ID
-	Amount int64
-	ID     uint32 // of a loan, the borrower's
+	Kind                 Kind
+	Sender               string
+	SenderIncarnation    uint64 // of the sender
+	RecipientIncarnation uint64 // start of the one who is answered
+	PlanNumber           uint64 // of the totals
+	Share                int
+	Sequence             uint32
+	VoterIncarnations    []uint64 // of the keepers, as the sender knows them
+	KnownIncarnations    []uint64 // of a confirmation: of the keepers that knew its sender when it began to confirm
+	Predecessors         []uint64 // of a claim: of processes under its name that have surely ended
+	QuotaID              uint32   // its ID
+	Units                int64
+	LeaseID              uint32 // of a loan, the borrower's
 }
 
 // Host is what a core acts on.
 type Host interface {
 	Send(to string, m Message)
-	Others() []string // the members that are there, by name
+	Peers() []string // the members that are there, by name
 }
 
 // Core is one process's part. Its calls come one at a time, with a clock that never goes back.
@@ -110,39 +110,39 @@
 
 // New begins a process's part: with nothing, whatever a process before it under its name had.
 func New(now Time, plan *Plan, name string, start uint64, seatNumber int, host Host) *Core {
-	c := &Core{plan: plan, host: host, now: now, name: name, start: start, seat: seatNumber, keeper: slices.Index(plan.Keepers, name),
+	c := &Core{plan: plan, host: host, now: now, name: name, start: start, seat: seatNumber, keeper: slices.Index(plan.Voters, name),
 		claims: []claim{{seat: seatNumber, until: now, next: now}},
-		starts: make([]uint64, len(plan.Keepers)), highest: plan.Number, openAt: Never,
-		toldTo: int(ID(name) >> 1), blindTo: int(ID(name) >> 1)} // each begins with others
+		starts: make([]uint64, len(plan.Voters)), highest: plan.Number, openAt: Never,
+		toldTo: int(HashName(name) >> 1), blindTo: int(HashName(name) >> 1)} // each begins with others
 	c.widen()
 	if c.keeper >= 0 {
 		c.starts[c.keeper] = start
-		c.known = make([]uint64, len(plan.Keepers))
+		c.known = make([]uint64, len(plan.Voters))
 		c.known[c.keeper] = start
-		c.seats = make([]seat, plan.Seats)
+		c.seats = make([]seat, plan.Shares)
 		c.entered()
 	}
 	return c
 }
 
-// Renew goes by other totals, under a higher number. A budget that they lack has a total of 0 from now on. What is used beyond the new
+// ReplacePlan goes by other totals, under a higher number. A budget that they lack has a total of 0 from now on. What is used beyond the new
 // part ends by itself, what was borrowed of a larger total goes back as soon as it can; nothing more of it is lent or used before.
-func (c *Core) Renew(now Time, next *Plan) error {
+func (c *Core) ReplacePlan(now Time, next *Plan) error {
 	c.pass(now)
 	old := c.plan
 	switch {
 	case next.Number <= old.Number:
 		return fmt.Errorf("number: expected above %d, under which other totals are gone by, found %d", old.Number, next.Number)
-	case next.Seats != old.Seats || !slices.Equal(next.Keepers, old.Keepers) || next.Term != old.Term || next.Loan != old.Loan || next.Longest != old.Longest:
+	case next.Shares != old.Shares || !slices.Equal(next.Voters, old.Voters) || next.ShareTerm != old.ShareTerm || next.LeaseTerm != old.LeaseTerm || next.LongestUse != old.LongestUse:
 		return fmt.Errorf("expected the seats, keepers and term that there are; others need a restart of all")
 	}
 	plan := *old
-	plan.Number, plan.IDs, plan.Totals = next.Number, slices.Clone(old.IDs), make([]int64, len(old.IDs))
-	for i, id := range next.IDs {
-		b := slices.Index(plan.IDs, id)
+	plan.Number, plan.QuotaIDs, plan.Totals = next.Number, slices.Clone(old.QuotaIDs), make([]int64, len(old.QuotaIDs))
+	for i, id := range next.QuotaIDs {
+		b := slices.Index(plan.QuotaIDs, id)
 		if b < 0 {
-			b = len(plan.IDs)
-			plan.IDs, plan.Totals = append(plan.IDs, id), append(plan.Totals, 0)
+			b = len(plan.QuotaIDs)
+			plan.QuotaIDs, plan.Totals = append(plan.QuotaIDs, id), append(plan.Totals, 0)
 		}
 		plan.Totals[b] = next.Totals[i]
 	}
@@ -154,7 +154,7 @@
 	c.plan, c.highest = &plan, max(c.highest, plan.Number)
 	c.widen()
 	for b := range old.Totals {
-		c.GiveBack(c.now, b, 0)
+		c.ReturnLeases(c.now, b, 0)
 	}
 	for i := range c.claims {
 		c.claims[i].next = min(c.claims[i].next, c.now) // under the new number at once
@@ -162,14 +162,14 @@
 	return nil
 }
 
-// Farewell gives back what was borrowed and, if nothing is used or lent any more, the seats, so that a process that follows needn't
+// ReleaseShares gives back what was borrowed and, if nothing is used or lent any more, the seats, so that a process that follows needn't
 // wait for their term; false: it has to, or to follow.
-func (c *Core) Farewell(now Time) bool {
+func (c *Core) ReleaseShares(now Time) bool {
 	c.pass(now)
 	c.tidy()
 	for b := range c.plan.Totals {
 		c.wanted[b], c.standing[b], c.promised[b] = 0, 0, 0
-		c.GiveBack(now, b, math.MaxInt64)
+		c.ReturnLeases(now, b, math.MaxInt64)
 	}
 	if len(c.uses) > 0 || len(c.lent) > 0 || c.now < c.claims[0].from {
 		return false
@@ -177,8 +177,8 @@
 	for i := range c.claims {
 		c.claims[i].until, c.claims[i].next, c.claims[i].seq = 0, Never, 0
 	}
-	for _, k := range c.plan.Keepers {
-		c.send(k, Message{Kind: Leave})
+	for _, k := range c.plan.Voters {
+		c.send(k, Message{Kind: KindShareRelease})
 	}
 	return true
 }
@@ -187,12 +187,12 @@
 func (c *Core) pass(now Time) { c.now = max(c.now, now) }
 
 func (c *Core) send(to string, m Message) {
-	m.From, m.Start, m.Number = c.name, c.start, c.plan.Number
+	m.Sender, m.SenderIncarnation, m.PlanNumber = c.name, c.start, c.plan.Number
 	c.host.Send(to, m)
 }
 
-// Due is the timer: claims, entries, the end of loans.
-func (c *Core) Due(now Time) {
+// Tick is the timer: claims, entries, the end of loans.
+func (c *Core) Tick(now Time) {
 	c.pass(now)
 	c.tidy()
 	c.announce()
@@ -217,7 +217,7 @@
 	c.claims = slices.DeleteFunc(c.claims, func(k claim) bool { return k.seat != c.seat && k.next == Never && c.now >= k.until })
 	over := func(l loan) bool { return c.now >= l.until }
 	c.lent, c.loans = slices.DeleteFunc(c.lent, over), slices.DeleteFunc(c.loans, over)
-	c.asks = slices.DeleteFunc(c.asks, func(a asked) bool { return c.now-a.at >= c.plan.Loan })
+	c.asks = slices.DeleteFunc(c.asks, func(a asked) bool { return c.now-a.at >= c.plan.LeaseTerm })
 }
 
 // announce has the other keepers know this one by its start.
@@ -225,44 +225,44 @@
 	if c.openAt != Never || c.keeper < 0 {
 		return
 	}
-	for i, k := range c.plan.Keepers {
+	for i, k := range c.plan.Voters {
 		if c.known[i] == 0 {
-			c.send(k, Message{Kind: Enter, Starts: slices.Clone(c.starts)})
+			c.send(k, Message{Kind: KindVoterJoin, VoterIncarnations: slices.Clone(c.starts)})
 		}
 	}
 }
 
-// Heard takes in a message.
-func (c *Core) Heard(now Time, m Message) {
+// HandleMessage takes in a message.
+func (c *Core) HandleMessage(now Time, m Message) {
 	c.pass(now)
-	c.highest = max(c.highest, m.Number)
+	c.highest = max(c.highest, m.PlanNumber)
 	switch m.Kind {
-	case Enter:
-		if k := slices.Index(c.plan.Keepers, m.From); k >= 0 && c.keeper >= 0 && k != c.keeper && m.Start >= c.starts[k] && len(m.Starts) == len(c.starts) {
+	case KindVoterJoin:
+		if k := slices.Index(c.plan.Voters, m.Sender); k >= 0 && c.keeper >= 0 && k != c.keeper && m.SenderIncarnation >= c.starts[k] && len(m.VoterIncarnations) == len(c.starts) {
 			if c.plan.planted != entersUnequal {
-				c.learn(m.Starts)
+				c.learn(m.VoterIncarnations)
 			}
-			c.send(m.From, Message{Kind: Entered, For: m.Start, Starts: slices.Clone(c.starts)})
+			c.send(m.Sender, Message{Kind: KindVoterJoined, RecipientIncarnation: m.SenderIncarnation, VoterIncarnations: slices.Clone(c.starts)})
 		}
-	case Entered:
-		if k := slices.Index(c.plan.Keepers, m.From); k >= 0 && c.keeper >= 0 && m.For == c.start && len(m.Starts) == len(c.starts) {
-			if c.learn(m.Starts); c.openAt == Never && m.Start == c.starts[k] && (slices.Equal(m.Starts, c.starts) || c.plan.planted == entersUnequal) {
-				c.known[k] = m.Start
+	case KindVoterJoined:
+		if k := slices.Index(c.plan.Voters, m.Sender); k >= 0 && c.keeper >= 0 && m.RecipientIncarnation == c.start && len(m.VoterIncarnations) == len(c.starts) {
+			if c.learn(m.VoterIncarnations); c.openAt == Never && m.SenderIncarnation == c.starts[k] && (slices.Equal(m.VoterIncarnations, c.starts) || c.plan.planted == entersUnequal) {
+				c.known[k] = m.SenderIncarnation
 				c.entered()
 			}
 		}
-	case Claim:
+	case KindShareClaim:
 		c.asksSeat(m)
-	case Confirm:
+	case KindShareConfirm:
 		c.confirmed(m)
-	case Leave:
+	case KindShareRelease:
 		for i := range c.seats {
-			if k := &c.seats[i]; k.holder == m.From && k.start == m.Start {
+			if k := &c.seats[i]; k.holder == m.Sender && k.start == m.SenderIncarnation {
 				*k = seat{until: c.now} // whoever follows soon is before those that take over
 			}
 		}
 	default:
-		if b := slices.Index(c.plan.IDs, m.Budget); b >= 0 {
+		if b := slices.Index(c.plan.QuotaIDs, m.QuotaID); b >= 0 {
 			c.ofBudget(b, m)
 		}
 	}
--- a/internal/cluster/quota/demand.go
+++ b/internal/cluster/quota/demand.go
@@ -38,12 +38,12 @@
 // tell has the others know what this member could lend.
 func (c *Core) tell() {
 	c.newsAt = c.now + newsEvery
-	others := c.host.Others()
+	others := c.host.Peers()
 	some := min(newsTo, len(others))
 	turn := max(1, (len(others)+newsTo-1)/newsTo) // rounds until all have heard
 	c.round++
 	for b := range c.plan.Totals {
-		n := max(0, c.lendable(b, c.now+c.plan.margin(c.plan.Loan)))
+		n := max(0, c.lendable(b, c.now+c.plan.margin(c.plan.LeaseTerm)))
 		if n != c.told[b] {
 			c.told[b], c.toldAt[b] = n, c.round
 		}
@@ -51,7 +51,7 @@
 			continue
 		}
 		for k := range some {
-			c.send(others[(c.toldTo+k)%len(others)], Message{Kind: News, Budget: c.plan.IDs[b], Amount: n})
+			c.send(others[(c.toldTo+k)%len(others)], Message{Kind: KindSpareUnits, QuotaID: c.plan.QuotaIDs[b], Units: n})
 		}
 	}
 	c.toldTo += some
@@ -74,23 +74,23 @@
 			return true // by now it has heard of others
 		}
 		for len(left) <= d.budget {
-			left = append(left, max(0, c.lendable(len(left), c.now+c.plan.margin(c.plan.Loan))))
+			left = append(left, max(0, c.lendable(len(left), c.now+c.plan.margin(c.plan.LeaseTerm))))
 		}
 		if left[d.budget] == 0 {
 			return false
 		}
-		c.send(d.by, Message{Kind: News, Budget: c.plan.IDs[d.budget], Amount: left[d.budget]})
+		c.send(d.by, Message{Kind: KindSpareUnits, QuotaID: c.plan.QuotaIDs[d.budget], Units: left[d.budget]})
 		left[d.budget]--
 		return true
 	})
 }
 
 func (c *Core) hears(b int, m Message) {
-	if m.Number != c.plan.Number {
+	if m.PlanNumber != c.plan.Number {
 		return
 	}
-	s := c.spareOf(m.From)
-	s.amount[b], s.at = m.Amount, c.now
+	s := c.spareOf(m.Sender)
+	s.amount[b], s.at = m.Units, c.now
 }
 
 // spareOf is what is known of a member, made where there is nothing.
@@ -110,7 +110,7 @@
 	if c.credit == 0 {
 		return ""
 	}
-	others := c.host.Others()
+	others := c.host.Peers()
 	for range others {
 		c.blindTo++
 		name := others[c.blindTo%len(others)]
@@ -126,14 +126,14 @@
 	return ""
 }
 
-// Want tells how much tasks that wait would use at once.
-func (c *Core) Want(now Time, budget int, amount int64) {
+// SetDemand tells how much tasks that wait would use at once.
+func (c *Core) SetDemand(now Time, budget int, amount int64) {
 	c.pass(now)
 	c.wanted[budget] = amount
 }
 
-// Wide tells how much the next task needs: less is of no use.
-func (c *Core) Wide(budget int, one int64) { c.one[budget] = one }
+// SetNextRequestUnits tells how much the next task needs: less is of no use.
+func (c *Core) SetNextRequestUnits(budget int, one int64) { c.one[budget] = one }
 
 // demand borrows what tasks wait for, asks for more time while it is needed, and gives it back after.
 func (c *Core) demand(b int) {
@@ -152,13 +152,13 @@
 	if c.now-c.needAt[b] < keepIdle {
 		spared = 0
 	}
-	c.GiveBack(c.now, b, spared)
+	c.ReturnLeases(c.now, b, spared)
 	for i := range c.loans { // in time for the next task's whole length
-		if l := &c.loans[i]; l.budget == b && !l.last && l.until-c.now < c.plan.Loan-c.plan.Loan/4 && !c.asking(b, l.with, l.id) {
+		if l := &c.loans[i]; l.budget == b && !l.last && l.until-c.now < c.plan.LeaseTerm-c.plan.LeaseTerm/4 && !c.asking(b, l.with, l.id) {
 			c.borrow(b, l.with, l.amount, l.id)
 		}
 	}
-	free := max(0, c.free(b, c.now+c.plan.Longest))
+	free := max(0, c.free(b, c.now+c.plan.LongestUse))
 	if c.yields(b, free) {
 		return
 	}
@@ -219,8 +219,8 @@
 		c.failed[b] = min(c.failed[b]+1, doubled)
 	}
 	c.pauses++
-	c.pauseTo[b] = c.now + collect*Time(1+(ID(c.name)+c.pauses*7919)%(few<<c.failed[b]))
-	c.GiveBack(c.now, b, math.MaxInt64)
+	c.pauseTo[b] = c.now + collect*Time(1+(HashName(c.name)+c.pauses*7919)%(few<<c.failed[b]))
+	c.ReturnLeases(c.now, b, math.MaxInt64)
 	return true
 }
 
@@ -247,5 +247,5 @@
 	c.last++
 	fresh := !slices.ContainsFunc(c.loans, func(l loan) bool { return l.budget == b && l.with == of && l.id == id })
 	c.asks = append(c.asks, asked{budget: b, of: of, id: id, seq: c.last, amount: amount, at: c.now, fresh: fresh})
-	c.send(of, Message{Kind: Ask, Budget: c.plan.IDs[b], Amount: amount, Seq: c.last, ID: id})
+	c.send(of, Message{Kind: KindLeaseRequest, QuotaID: c.plan.QuotaIDs[b], Units: amount, Sequence: c.last, LeaseID: id})
 }
--- a/internal/cluster/quota/loans.go
+++ b/internal/cluster/quota/lease.go
@@ -41,33 +41,35 @@
 
 func (c *Core) ofBudget(b int, m Message) {
 	switch m.Kind {
-	case Ask:
+	case KindLeaseRequest:
 		c.told[b] = -1 // who asks counts with less from then on
 		c.asksLoan(b, m)
-	case Lend:
+	case KindLeaseGrant:
 		c.lentTo(b, m)
-	case Refuse:
+	case KindReject:
 		c.refused(b, m)
-	case News:
+	case KindSpareUnits:
 		c.hears(b, m)
-	case Back:
+	case KindLeaseReturn:
 		c.told[b] = -1
 		c.lent = slices.DeleteFunc(c.lent, func(l loan) bool {
-			return m.For == c.start && l.with == m.From && l.start == m.Start && l.budget == b && l.id == m.ID
+			return m.RecipientIncarnation == c.start && l.with == m.Sender && l.start == m.SenderIncarnation && l.budget == b && l.id == m.LeaseID
 		})
 	}
 }
 
 // asksLoan lends what is free of the own part, or gives more time to what is lent, unless own tasks lack it; each ask is answered once.
 func (c *Core) asksLoan(b int, m Message) {
-	if m.Amount <= 0 || m.Number != c.plan.Number {
+	if m.Units <= 0 || m.PlanNumber != c.plan.Number {
 		return
 	}
-	end := c.now + c.plan.margin(c.plan.Loan)
+	end := c.now + c.plan.margin(c.plan.LeaseTerm)
 	i := slices.IndexFunc(c.lent, func(l loan) bool {
-		return l.with == m.From && l.start == m.Start && l.budget == b && l.id == m.ID
+		return l.with == m.Sender && l.start == m.SenderIncarnation && l.budget == b && l.id == m.LeaseID
 	})
-	refuse := func() { c.send(m.From, Message{Kind: Refuse, For: m.Start, Budget: m.Budget, Seq: m.Seq, ID: m.ID}) }
+	refuse := func() {
+		c.send(m.Sender, Message{Kind: KindReject, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Sequence: m.Sequence, LeaseID: m.LeaseID})
+	}
 	switch {
 	case i >= 0 && c.now < c.lent[i].until:
 		if c.lent[i].last = c.lent[i].last || c.needs(b)-max(0, c.free(b, c.now)) > c.recalled(b); c.lent[i].last {
@@ -81,24 +83,24 @@
 			return
 		}
 	case i >= 0 || slices.ContainsFunc(c.lent, func(l loan) bool {
-		return l.with == m.From && l.start == m.Start && l.budget == b && l.id > m.ID
+		return l.with == m.Sender && l.start == m.SenderIncarnation && l.budget == b && l.id > m.LeaseID
 	}):
 		return // it ended, or the ask is older than what is out
 	default:
-		n := min(m.Amount, c.lendable(b, end))
+		n := min(m.Units, c.lendable(b, end))
 		if n <= 0 {
-			c.deny(b, m.From)
+			c.deny(b, m.Sender)
 			refuse()
 			return
 		}
-		m.Amount = n
-		c.deny(b, m.From) // who asks may lack more: it is told once there is
-		c.lent = append(c.lent, loan{budget: b, with: m.From, start: m.Start, id: m.ID, amount: n, until: end})
+		m.Units = n
+		c.deny(b, m.Sender) // who asks may lack more: it is told once there is
+		c.lent = append(c.lent, loan{budget: b, with: m.Sender, start: m.SenderIncarnation, id: m.LeaseID, amount: n, until: end})
 	}
 	if i >= 0 {
-		m.Amount = c.lent[i].amount
+		m.Units = c.lent[i].amount
 	}
-	c.send(m.From, Message{Kind: Lend, For: m.Start, Budget: m.Budget, Amount: m.Amount, Seq: m.Seq, ID: m.ID})
+	c.send(m.Sender, Message{Kind: KindLeaseGrant, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Units: m.Units, Sequence: m.Sequence, LeaseID: m.LeaseID})
 }
 
 // recalled is what comes back as soon as it can.
@@ -125,48 +127,52 @@
 
 // lentTo takes a loan, or more time on one; it ends a loan's length after it was asked for.
 func (c *Core) lentTo(b int, m Message) {
-	k := slices.IndexFunc(c.asks, func(a asked) bool { return a.of == m.From && a.seq == m.Seq && a.id == m.ID && a.budget == b })
-	if k < 0 || m.For != c.start || m.Amount <= 0 || m.Amount > c.asks[k].amount {
+	k := slices.IndexFunc(c.asks, func(a asked) bool {
+		return a.of == m.Sender && a.seq == m.Sequence && a.id == m.LeaseID && a.budget == b
+	})
+	if k < 0 || m.RecipientIncarnation != c.start || m.Units <= 0 || m.Units > c.asks[k].amount {
 		return
 	}
-	until := c.asks[k].at + c.plan.Loan
+	until := c.asks[k].at + c.plan.LeaseTerm
 	if c.asks[k].blind {
 		c.credit = min(c.credit+2, atOnce)
 	}
 	if c.plan.planted != takesTwice {
 		c.asks = slices.Delete(c.asks, k, k+1)
 	}
-	if m.Number != c.plan.Number { // it is of another total
-		c.send(m.From, Message{Kind: Back, For: m.Start, Budget: m.Budget, ID: m.ID})
+	if m.PlanNumber != c.plan.Number { // it is of another total
+		c.send(m.Sender, Message{Kind: KindLeaseReturn, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, LeaseID: m.LeaseID})
 		return
 	}
 	if c.now >= until {
 		return
 	}
 	i := slices.IndexFunc(c.loans, func(l loan) bool {
-		return l.with == m.From && l.start == m.Start && l.budget == b && l.id == m.ID
+		return l.with == m.Sender && l.start == m.SenderIncarnation && l.budget == b && l.id == m.LeaseID
 	})
 	if i >= 0 && c.plan.planted != takesTwice {
 		c.loans[i].until = max(c.loans[i].until, until)
 		return
 	}
-	c.loans = append(c.loans, loan{budget: b, with: m.From, start: m.Start, id: m.ID, amount: m.Amount, until: until})
+	c.loans = append(c.loans, loan{budget: b, with: m.Sender, start: m.SenderIncarnation, id: m.LeaseID, amount: m.Units, until: until})
 }
 
 // refused takes in that a member has nothing to lend, or gives no more time: others are asked at once.
 func (c *Core) refused(b int, m Message) {
-	k := slices.IndexFunc(c.asks, func(a asked) bool { return a.of == m.From && a.seq == m.Seq && a.id == m.ID && a.budget == b })
-	if k < 0 || m.For != c.start {
+	k := slices.IndexFunc(c.asks, func(a asked) bool {
+		return a.of == m.Sender && a.seq == m.Sequence && a.id == m.LeaseID && a.budget == b
+	})
+	if k < 0 || m.RecipientIncarnation != c.start {
 		return
 	}
 	c.asks = slices.Delete(c.asks, k, k+1)
 	for i := range c.loans {
-		if l := &c.loans[i]; l.budget == b && l.with == m.From && l.start == m.Start && l.id == m.ID {
+		if l := &c.loans[i]; l.budget == b && l.with == m.Sender && l.start == m.SenderIncarnation && l.id == m.LeaseID {
 			l.last = true
 		}
 	}
 	for i := range c.spares {
-		if c.spares[i].of == m.From {
+		if c.spares[i].of == m.Sender {
 			c.spares[i].amount[b], c.spares[i].at = 0, c.now
 		}
 	}
--- a/internal/cluster/quota/message.go
+++ b/internal/cluster/quota/message.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Most is the longest message in bytes.
-const Most = 200
+// MaxMessageBytes is the longest message in bytes.
+const MaxMessageBytes = 200
 
-// MostAfter is how many processes a claim follows at most: those since the last that held its seat, where each ended soon after its start.
-const MostAfter = 4
+// MaxPredecessors is how many processes a claim follows at most: those since the last that held its seat, where each ended soon after its start.
+const MaxPredecessors = 4
 
 const version = 1
 
@@ -20,14 +20,14 @@
 // Encode writes a message: version, kind, the length of the sender's name and the name, then all figures as varints, the starts of
 // keepers with their count before them. A confirmation has those that knew its sender after that, a claim those that it follows, if any.
 func (m *Message) Encode() []byte {
-	b := append([]byte{version, byte(m.Kind), byte(len(m.From))}, m.From...)
-	for _, v := range []uint64{m.Start, m.For, m.Number, uint64(m.Seat + 1), uint64(m.Seq), uint64(m.Budget), uint64(m.Amount), uint64(m.ID), uint64(len(m.Starts))} {
+	b := append([]byte{version, byte(m.Kind), byte(len(m.Sender))}, m.Sender...)
+	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber, uint64(m.Share + 1), uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID), uint64(len(m.VoterIncarnations))} {
 		b = binary.AppendUvarint(b, v)
 	}
-	for _, v := range m.Starts {
+	for _, v := range m.VoterIncarnations {
 		b = binary.AppendUvarint(b, v)
 	}
-	if more := slices.Concat(m.Known, m.After); len(more) > 0 {
+	if more := slices.Concat(m.KnownIncarnations, m.Predecessors); len(more) > 0 {
 		b = binary.AppendUvarint(b, uint64(len(more)))
 		for _, v := range more {
 			b = binary.AppendUvarint(b, v)
@@ -38,10 +38,10 @@
 
 // Decode reads one, whole or not at all.
 func Decode(b []byte) (m Message, err error) {
-	if len(b) < 3 || len(b) > Most || b[0] != version || Kind(b[1]) < Enter || Kind(b[1]) > Leave || len(b) < 3+int(b[2]) {
+	if len(b) < 3 || len(b) > MaxMessageBytes || b[0] != version || Kind(b[1]) < KindVoterJoin || Kind(b[1]) > KindShareRelease || len(b) < 3+int(b[2]) {
 		return m, ErrMessage
 	}
-	m.Kind, m.From = Kind(b[1]), string(b[3:3+int(b[2])])
+	m.Kind, m.Sender = Kind(b[1]), string(b[3:3+int(b[2])])
 	b = b[3+int(b[2]):]
 	bad := false
 	next := func(most uint64) uint64 {
@@ -53,21 +53,21 @@
 		return v
 	}
 	const any = 1<<64 - 1
-	m.Start, m.For, m.Number = next(any), next(any), next(any)
-	m.Seat, m.Seq, m.Budget = int(next(1<<20))-1, uint32(next(1<<32-1)), uint32(next(1<<32-1))
-	m.Amount, m.ID = int64(next(1<<40)), uint32(next(1<<32-1))
+	m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber = next(any), next(any), next(any)
+	m.Share, m.Sequence, m.QuotaID = int(next(1<<20))-1, uint32(next(1<<32-1)), uint32(next(1<<32-1))
+	m.Units, m.LeaseID = int64(next(1<<40)), uint32(next(1<<32-1))
 	for range next(7) {
-		m.Starts = append(m.Starts, next(any))
+		m.VoterIncarnations = append(m.VoterIncarnations, next(any))
 	}
 	if more := []uint64(nil); len(b) > 0 {
 		for range next(7) {
 			more = append(more, next(any))
 		}
 		switch m.Kind {
-		case Confirm:
-			m.Known = more
-		case Claim:
-			m.After = more
+		case KindShareConfirm:
+			m.KnownIncarnations = more
+		case KindShareClaim:
+			m.Predecessors = more
 		default:
 			bad = true
 		}
--- a/internal/cluster/quota/model.go
+++ b/internal/cluster/quota/model.go
@@ -25,12 +25,12 @@
 }
 
 func seal(to string, m Message) envelope {
-	b := append([]byte(to), byte(m.Kind), byte(m.Seat))
-	b = append(b, m.From...)
-	for _, v := range []uint64{m.Start, m.For, m.Number, uint64(m.Seq), uint64(m.Budget), uint64(m.Amount), uint64(m.ID)} {
+	b := append([]byte(to), byte(m.Kind), byte(m.Share))
+	b = append(b, m.Sender...)
+	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber, uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID)} {
 		b = binary.AppendUvarint(b, v)
 	}
-	for _, v := range slices.Concat(m.Starts, m.Known, m.After) {
+	for _, v := range slices.Concat(m.VoterIncarnations, m.KnownIncarnations, m.Predecessors) {
 		b = binary.AppendUvarint(b, v)
 	}
 	return envelope{to, m, string(b)}
@@ -57,7 +57,7 @@
 	doubles int
 	pairs   bool // of the keepers two hear what is asked, no more
 	lacks   int  // times that a lender's own tasks begin to lack what is out
-	walk    func(*world) []modelcheck.Move
+	walk    func(*world) []modelcheck.Transition
 	bad     func(*world) string
 }
 
@@ -65,7 +65,7 @@
 type post struct{ w *world }
 
 func (p post) Send(to string, m Message) { p.w.mail = append(p.w.mail, seal(to, m)) }
-func (p post) Others() []string          { return nil }
+func (p post) Peers() []string           { return nil }
 
 func (c *Core) clone(h Host) *Core {
 	d := *c
@@ -104,7 +104,7 @@
 		for i, e := range w.mail {
 			if a := w.speaker(e.m); a != nil && a.alive && a.core.name == e.to {
 				w.mail = slices.Delete(w.mail, i, i+1)
-				a.core.Heard(w.clock(a), e.m)
+				a.core.HandleMessage(w.clock(a), e.m)
 				again = true
 				break
 			}
@@ -119,7 +119,7 @@
 
 func (w *world) speaker(m Message) *actor {
 	for _, a := range w.actors {
-		if a.core.name == m.From && a.core.start == m.Start {
+		if a.core.name == m.Sender && a.core.start == m.SenderIncarnation {
 			return a
 		}
 	}
@@ -139,35 +139,35 @@
 	}
 }
 
-// Moves are the model's.
-func (w *world) Moves() []modelcheck.Move { return w.walk(w) }
+// Transitions are the model's.
+func (w *world) Transitions() []modelcheck.Transition { return w.walk(w) }
 
-// Violated is the model's.
-func (w *world) Violated() string { return w.bad(w) }
+// Violation is the model's.
+func (w *world) Violation() string { return w.bad(w) }
 
 // common are the moves of both models: time passes, a message comes to whoever bears the name, once or once more.
-func (w *world) common(moves []modelcheck.Move, steps ...Time) []modelcheck.Move {
+func (w *world) common(moves []modelcheck.Transition, steps ...Time) []modelcheck.Transition {
 	for _, units := range steps {
-		moves = append(moves, modelcheck.Move{Name: fmt.Sprintf("%d units of time pass", units), Next: func() modelcheck.State { return w.after(func(w *world) { w.pass(units) }) }})
+		moves = append(moves, modelcheck.Transition{Name: fmt.Sprintf("%d units of time pass", units), Next: func() modelcheck.State { return w.after(func(w *world) { w.pass(units) }) }})
 	}
 	for i, e := range w.mail {
 		for k, a := range w.actors {
-			if !a.alive || a.core.name != e.to || e.m.From == a.core.name && e.m.Start == a.core.start {
+			if !a.alive || a.core.name != e.to || e.m.Sender == a.core.name && e.m.SenderIncarnation == a.core.start {
 				continue
 			}
-			comes := func(again bool) modelcheck.Move {
-				name := fmt.Sprintf("%s of %s/%d comes to %s/%d", kinds[e.m.Kind], e.m.From, e.m.Start, a.core.name, a.core.start)
+			comes := func(again bool) modelcheck.Transition {
+				name := fmt.Sprintf("%s of %s/%d comes to %s/%d", kinds[e.m.Kind], e.m.Sender, e.m.SenderIncarnation, a.core.name, a.core.start)
 				if again {
 					name += ", and is still under way"
 				}
-				return modelcheck.Move{Name: name, Next: func() modelcheck.State {
+				return modelcheck.Transition{Name: name, Next: func() modelcheck.State {
 					return w.after(func(w *world) {
 						if again {
 							w.doubles--
 						} else {
 							w.mail = slices.Delete(w.mail, i, i+1)
 						}
-						w.actors[k].core.Heard(w.clock(w.actors[k]), e.m)
+						w.actors[k].core.HandleMessage(w.clock(w.actors[k]), e.m)
 					})
 				}}
 			}
@@ -269,9 +269,9 @@
 
 // loans is the model of lending: three holders whose seats stand, one of them with a fast clock and one with a slow one.
 func loans(p defect, total int64) *world {
-	plan := &Plan{Seats: 3, Keepers: []string{"a", "b", "c"}, Term: 1000 * unit, Loan: 2 * unit, Drift: modelDrift, Number: 1, IDs: []uint32{0}, Totals: []int64{total}, planted: p}
+	plan := &Plan{Shares: 3, Voters: []string{"a", "b", "c"}, ShareTerm: 1000 * unit, LeaseTerm: 2 * unit, DriftDivisor: modelDrift, Number: 1, QuotaIDs: []uint32{0}, Totals: []int64{total}, planted: p}
 	w := &world{plan: plan, most: 3, crashes: 1, doubles: 1, starts: 3}
-	for i, name := range plan.Keepers {
+	for i, name := range plan.Voters {
 		a := &actor{rate: []Time{5, 4, 3}[i], alive: true}
 		a.core = New(0, plan, name, uint64(i+1), i, post{w})
 		a.core.claims[0].until, a.core.claims[0].next = Never-1, Never
@@ -282,7 +282,7 @@
 		sum, parts := int64(0), ""
 		for _, a := range w.actors {
 			if a.alive {
-				n := a.core.Has(w.clock(a), 0)
+				n := a.core.HeldUnits(w.clock(a), 0)
 				sum += n
 				parts += fmt.Sprintf(" %s/%d %d", a.core.name, a.core.start, n)
 			}
@@ -292,10 +292,10 @@
 		}
 		return ""
 	}
-	w.walk = func(w *world) []modelcheck.Move {
+	w.walk = func(w *world) []modelcheck.Transition {
 		moves := w.common(nil, 1)
 		do := func(name string, f func(*world)) {
-			moves = append(moves, modelcheck.Move{Name: name, Next: func() modelcheck.State { return w.after(f) }})
+			moves = append(moves, modelcheck.Transition{Name: name, Next: func() modelcheck.State { return w.after(f) }})
 		}
 		for i, a := range w.actors {
 			if !a.alive {
@@ -306,7 +306,7 @@
 				do(fmt.Sprintf("%s asks %s", a.core.name, of), func(w *world) { w.actors[i].core.again(of) })
 			}
 			if len(a.core.loans) > 0 {
-				do(a.core.name+" gives back", func(w *world) { w.actors[i].core.GiveBack(w.clock(w.actors[i]), 0, 100) })
+				do(a.core.name+" gives back", func(w *world) { w.actors[i].core.ReturnLeases(w.clock(w.actors[i]), 0, 100) })
 			}
 			if w.lacks > 0 && len(a.core.lent) > 0 {
 				do(a.core.name+"'s own tasks lack it", func(w *world) {
@@ -318,7 +318,7 @@
 				w.starts++
 				w.actors[i].core = New(w.clock(w.actors[i]), plan, a.core.name, w.starts, i, post{w})
 				w.actors[i].core.claims[0].next = Never
-				w.mail = slices.DeleteFunc(w.mail, func(e envelope) bool { return e.m.Kind == Enter })
+				w.mail = slices.DeleteFunc(w.mail, func(e envelope) bool { return e.m.Kind == KindVoterJoin })
 			}
 			if w.crashes > 0 {
 				do(a.core.name+" is killed and starts with nothing", func(w *world) { w.crashes--; begins(w) })
@@ -327,7 +327,7 @@
 				do(a.core.name+" is killed, and who follows has its seat", func(w *world) {
 					w.returns--
 					begins(w)
-					w.actors[i].core.Follow([]uint64{a.core.start})
+					w.actors[i].core.SucceedIncarnations([]uint64{a.core.start})
 					w.actors[i].core.claims[0].until = Never - 1
 				})
 			}
@@ -354,12 +354,12 @@
 // seats is the model of holding: three keepers with clocks true, fast and slow, and a member that holds the one seat and is doubled,
 // or killed and followed; keepers are killed and doubled as well, each a new process that knows nothing. Time passes by some numbers of units.
 func seats(p defect, crashes, returns, twins int, steps ...Time) *world {
-	plan := &Plan{Seats: 1, Keepers: []string{"a", "b", "c"}, Term: 4 * unit, Loan: unit, Drift: modelDrift, Number: 1, IDs: []uint32{0}, Totals: []int64{1}, planted: p}
+	plan := &Plan{Shares: 1, Voters: []string{"a", "b", "c"}, ShareTerm: 4 * unit, LeaseTerm: unit, DriftDivisor: modelDrift, Number: 1, QuotaIDs: []uint32{0}, Totals: []int64{1}, planted: p}
 	w := &world{plan: plan, most: 3, crashes: crashes, returns: returns, twins: twins, doubles: 0, starts: 5}
-	for i, name := range plan.Keepers {
+	for i, name := range plan.Voters {
 		a := &actor{rate: []Time{4, 5, 3}[i], alive: true}
 		a.core = New(0, plan, name, uint64(i+1), -1, post{w})
-		for k := range plan.Keepers {
+		for k := range plan.Voters {
 			a.core.starts[k], a.core.known[k] = uint64(k+1), uint64(k+1)
 		}
 		a.core.openAt = 0 // they have long been there
@@ -373,7 +373,7 @@
 	w.bad = func(w *world) string {
 		var holders []string
 		for _, a := range w.actors {
-			if a.alive && a.core.Has(w.clock(a), 0) > 0 {
+			if a.alive && a.core.HeldUnits(w.clock(a), 0) > 0 {
 				holders = append(holders, fmt.Sprintf("%s/%d", a.core.name, a.core.start))
 			}
 		}
@@ -382,10 +382,10 @@
 		}
 		return ""
 	}
-	w.walk = func(w *world) []modelcheck.Move {
+	w.walk = func(w *world) []modelcheck.Transition {
 		moves := w.common(nil, steps...)
 		do := func(name string, f func(*world)) {
-			moves = append(moves, modelcheck.Move{Name: name, Next: func() modelcheck.State { return w.after(f) }})
+			moves = append(moves, modelcheck.Transition{Name: name, Next: func() modelcheck.State { return w.after(f) }})
 		}
 		for i, a := range w.actors {
 			if !a.alive {
@@ -393,7 +393,7 @@
 			}
 			who := fmt.Sprintf("%s/%d", a.core.name, a.core.start)
 			if a.core.keeper < 0 {
-				if a.core.last < 2 && (a.core.claims[0].seq == 0 || w.clock(a)-a.core.claims[0].asked >= plan.Term/2) {
+				if a.core.last < 2 && (a.core.claims[0].seq == 0 || w.clock(a)-a.core.claims[0].asked >= plan.ShareTerm/2) {
 					for _, set := range subsets(w) {
 						do(fmt.Sprintf("%s claims the seat, heard by%s", who, set.names), func(w *world) {
 							w.actors[i].core.claimSeat(0)
@@ -406,7 +406,7 @@
 						w.returns--
 						w.starts++
 						w.actors[i].core = New(w.clock(w.actors[i]), plan, a.core.name, w.starts, 0, post{w})
-						w.actors[i].core.Follow([]uint64{a.core.start})
+						w.actors[i].core.SucceedIncarnations([]uint64{a.core.start})
 					})
 				}
 				continue
@@ -518,7 +518,7 @@
 func (w *world) toldTo(some []int) {
 	var said []envelope
 	w.mail = slices.DeleteFunc(w.mail, func(e envelope) bool {
-		now := e.m.Kind != Confirm && e.m.Kind != Refuse
+		now := e.m.Kind != KindShareConfirm && e.m.Kind != KindReject
 		if now {
 			said = append(said, e)
 		}
@@ -527,25 +527,25 @@
 	for _, e := range said {
 		for _, i := range some {
 			if a := w.actors[i]; a.alive && a.core.name == e.to {
-				a.core.Heard(w.clock(a), e.m)
+				a.core.HandleMessage(w.clock(a), e.m)
 			}
 		}
 	}
-	w.mail = slices.DeleteFunc(w.mail, func(e envelope) bool { return e.m.Kind == Refuse })
+	w.mail = slices.DeleteFunc(w.mail, func(e envelope) bool { return e.m.Kind == KindReject })
 }
 
 // Explore walks both models, each up to a number of states, and tells what it came to by name.
 func Explore(most int, each func(what string, r modelcheck.Result)) {
 	for _, total := range []int64{2, 3} {
-		r := modelcheck.Walk(loans(none, total), most, 1000)
+		r := modelcheck.Explore(loans(none, total), most, 1000)
 		each(fmt.Sprintf("lending, 3 members, a total of %d, one killed, a message doubled", total), r)
 	}
-	each("lending, 3 members, a total of 3, a lender's own tasks lack it, a message doubled", modelcheck.Walk(recalls(none), most, 1000))
-	each("lending, 3 members, a total of 3, one killed and followed, a message doubled", modelcheck.Walk(returns(none), most, 1000))
-	each("seats, 3 keepers, a member and its double, one of them killed and followed", modelcheck.Walk(seats(none, 0, 1, 0, 1, 3), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper's double, known by one", modelcheck.Walk(doubled(none), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper's double, known by none any more", modelcheck.Walk(forgotten(none), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper's double, and another that enters", modelcheck.Walk(entering(none), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper killed", modelcheck.Walk(seats(none, 1, 0, 0, 1, 3), most, 1000))
-	each("seats, 3 keepers, a member and its double, a keeper doubled", modelcheck.Walk(seats(none, 0, 0, 1, 1, 7), most, 1000))
+	each("lending, 3 members, a total of 3, a lender's own tasks lack it, a message doubled", modelcheck.Explore(recalls(none), most, 1000))
+	each("lending, 3 members, a total of 3, one killed and followed, a message doubled", modelcheck.Explore(returns(none), most, 1000))
+	each("seats, 3 keepers, a member and its double, one of them killed and followed", modelcheck.Explore(seats(none, 0, 1, 0, 1, 3), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper's double, known by one", modelcheck.Explore(doubled(none), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper's double, known by none any more", modelcheck.Explore(forgotten(none), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper's double, and another that enters", modelcheck.Explore(entering(none), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper killed", modelcheck.Explore(seats(none, 1, 0, 0, 1, 3), most, 1000))
+	each("seats, 3 keepers, a member and its double, a keeper doubled", modelcheck.Explore(seats(none, 0, 0, 1, 1, 7), most, 1000))
 }
--- a/internal/cluster/quota/plant_off.go
+++ b/internal/cluster/quota/plant_off.go
@@ -2,5 +2,5 @@
 
 package quota
 
-// Plant is for the laboratory, which plants defects to see that its checkers find them; in an ordinary build it does nothing.
-func (p *Plan) Plant() {}
+// ApplyMutation is for the laboratory, which plants defects to see that its checkers find them; in an ordinary build it does nothing.
+func (p *Plan) ApplyMutation() {}
--- a/internal/cluster/quota/seats.go
+++ b/internal/cluster/quota/share.go
@@ -33,17 +33,17 @@
 	return v.keeper != w.keeper && v.starts[w.keeper] <= w.start && w.starts[v.keeper] <= v.start && (v.known[w.keeper] == w.start || w.known[v.keeper] == v.start || strangers)
 }
 
-// Follow tells that processes under this name have surely ended, by their starts: their seat passes to this one without their term having
+// SucceedIncarnations tells that processes under this name have surely ended, by their starts: their seat passes to this one without their term having
 // to end. What the last of them lent, and what its tasks use, is waited for: it is over when a loan is. It is called right after New.
-func (c *Core) Follow(after []uint64) {
+func (c *Core) SucceedIncarnations(after []uint64) {
 	c.after = after
-	if c.claims[0].from = c.now + c.plan.margin(c.plan.Loan); c.plan.planted == followsAtOnce {
+	if c.claims[0].from = c.now + c.plan.margin(c.plan.LeaseTerm); c.plan.planted == followsAtOnce {
 		c.claims[0].from = c.now
 	}
 }
 
-// Seated tells whether the own seat is held, and whether its part may be used.
-func (c *Core) Seated(now Time) (held, usable bool) {
+// ShareStatus tells whether the own seat is held, and whether its part may be used.
+func (c *Core) ShareStatus(now Time) (held, usable bool) {
 	held = now < c.claims[0].until
 	return held, held && now >= c.claims[0].from
 }
@@ -75,7 +75,7 @@
 	if others := len(c.known) - 1; by < others && (c.plan.planted != entersAlone || by == 0) || c.starts[c.keeper] > c.start {
 		return // a later process has its name, or not all know it
 	}
-	if c.openAt = c.now + c.plan.margin(c.plan.Term); c.plan.planted == noWait {
+	if c.openAt = c.now + c.plan.margin(c.plan.ShareTerm); c.plan.planted == noWait {
 		c.openAt = c.now
 	}
 }
@@ -103,14 +103,14 @@
 	c.last++
 	k := &c.claims[i]
 	k.seq, k.asked, k.votes = c.last, c.now, nil
-	if k.next = c.now + c.plan.Term/4; c.now >= k.until { // what isn't held is asked for more often: a keeper may not have been known yet
-		k.next = c.now + min(c.plan.Term/4, second/2)
+	if k.next = c.now + c.plan.ShareTerm/4; c.now >= k.until { // what isn't held is asked for more often: a keeper may not have been known yet
+		k.next = c.now + min(c.plan.ShareTerm/4, second/2)
 	}
-	m := Message{Kind: Claim, Seat: k.seat, Seq: k.seq}
+	m := Message{Kind: KindShareClaim, Share: k.seat, Sequence: k.seq}
 	if i == 0 {
-		m.After = c.after
+		m.Predecessors = c.after
 	}
-	for _, keeper := range c.plan.Keepers {
+	for _, keeper := range c.plan.Voters {
 		c.send(keeper, m)
 	}
 }
@@ -123,8 +123,8 @@
 	}
 	for n := range c.seats {
 		since := c.now - max(c.seats[n].until, c.openAt)
-		turn := (n + int(since/c.plan.Term)) % len(c.plan.Keepers)
-		if since >= c.plan.Term/4 && turn == c.keeper && !slices.ContainsFunc(c.claims, func(k claim) bool { return k.seat == n }) {
+		turn := (n + int(since/c.plan.ShareTerm)) % len(c.plan.Voters)
+		if since >= c.plan.ShareTerm/4 && turn == c.keeper && !slices.ContainsFunc(c.claims, func(k claim) bool { return k.seat == n }) {
 			c.claims = append(c.claims, claim{seat: n, until: c.now, next: c.now})
 		}
 	}
@@ -141,47 +141,47 @@
 
 // asksSeat confirms a seat to one holder at a time, until its term has surely ended by that one's clock.
 func (c *Core) asksSeat(m Message) {
-	if c.keeper < 0 || c.now < c.openAt || m.Seat < 0 || m.Seat >= len(c.seats) || m.Number < c.highest {
+	if c.keeper < 0 || c.now < c.openAt || m.Share < 0 || m.Share >= len(c.seats) || m.PlanNumber < c.highest {
 		return
 	}
-	s := &c.seats[m.Seat]
-	if s.holder == c.name && s.start == c.start && m.From != c.name {
-		c.leaveSeat(m.Seat)
+	s := &c.seats[m.Share]
+	if s.holder == c.name && s.start == c.start && m.Sender != c.name {
+		c.leaveSeat(m.Share)
 	}
-	follows := s.holder == m.From && (slices.Contains(m.After, s.start) || len(m.After) > 0 && c.plan.planted == followsAnyone)
-	if s.start > 0 && c.now < s.until && (s.holder != m.From || s.start != m.Start) && !follows {
-		c.send(m.From, Message{Kind: Refuse, For: m.Start, Seat: m.Seat})
+	follows := s.holder == m.Sender && (slices.Contains(m.Predecessors, s.start) || len(m.Predecessors) > 0 && c.plan.planted == followsAnyone)
+	if s.start > 0 && c.now < s.until && (s.holder != m.Sender || s.start != m.SenderIncarnation) && !follows {
+		c.send(m.Sender, Message{Kind: KindReject, RecipientIncarnation: m.SenderIncarnation, Share: m.Share})
 		return
 	}
-	*s = seat{m.From, m.Start, c.now + c.plan.margin(c.plan.Term)}
-	c.send(m.From, Message{Kind: Confirm, For: m.Start, Seat: m.Seat, Seq: m.Seq, Starts: slices.Clone(c.starts), Known: slices.Clone(c.known)})
+	*s = seat{m.Sender, m.SenderIncarnation, c.now + c.plan.margin(c.plan.ShareTerm)}
+	c.send(m.Sender, Message{Kind: KindShareConfirm, RecipientIncarnation: m.SenderIncarnation, Share: m.Share, Sequence: m.Sequence, VoterIncarnations: slices.Clone(c.starts), KnownIncarnations: slices.Clone(c.known)})
 }
 
 // confirmed counts the keepers that have confirmed the last claim: a majority of those that count together. The seat is held for a term
 // from when the claim went out, however late its answers come.
 func (c *Core) confirmed(m Message) {
-	k := slices.Index(c.plan.Keepers, m.From)
-	if n := len(c.plan.Keepers); k < 0 || m.For != c.start || len(m.Starts) != n || len(m.Known) != n {
+	k := slices.Index(c.plan.Voters, m.Sender)
+	if n := len(c.plan.Voters); k < 0 || m.RecipientIncarnation != c.start || len(m.VoterIncarnations) != n || len(m.KnownIncarnations) != n {
 		return
 	}
-	if c.keeper >= 0 && k != c.keeper && c.openAt != Never && m.Start > c.known[k] && m.Known[c.keeper] != c.start {
+	if c.keeper >= 0 && k != c.keeper && c.openAt != Never && m.SenderIncarnation > c.known[k] && m.KnownIncarnations[c.keeper] != c.start {
 		c.unknown() // it began to confirm without this one, by another process of this name: nobody counts the two together
 	}
-	of := slices.IndexFunc(c.claims, func(k claim) bool { return k.seat == m.Seat && k.seq == m.Seq })
+	of := slices.IndexFunc(c.claims, func(k claim) bool { return k.seat == m.Share && k.seq == m.Sequence })
 	if of < 0 {
 		return
 	}
 	held := &c.claims[of]
 	const most = 8 // processes of the keepers
-	if len(held.votes) < most && !slices.ContainsFunc(held.votes, func(v vote) bool { return v.keeper == k && v.start == m.Start }) {
-		held.votes = append(held.votes, vote{k, m.Start, m.Starts, m.Known})
+	if len(held.votes) < most && !slices.ContainsFunc(held.votes, func(v vote) bool { return v.keeper == k && v.start == m.SenderIncarnation }) {
+		held.votes = append(held.votes, vote{k, m.SenderIncarnation, m.VoterIncarnations, m.KnownIncarnations})
 	}
-	if 2*together(held.votes, nil, c.plan.planted == countsStrangers) > len(c.plan.Keepers) {
+	if 2*together(held.votes, nil, c.plan.planted == countsStrangers) > len(c.plan.Voters) {
 		from := held.asked
 		if c.plan.planted == fromArrival {
 			from = c.now
 		}
-		held.until = max(held.until, from+c.plan.Term)
+		held.until = max(held.until, from+c.plan.ShareTerm)
 	}
 }
 
--- a/internal/cluster/quota/holdings.go
+++ b/internal/cluster/quota/units.go
@@ -9,11 +9,11 @@
 	until  Time
 }
 
-// Has is what this process may use of a budget now, what it uses already among it (totals that were lowered may leave less than is
+// HeldUnits is what this process may use of a budget now, what it uses already among it (totals that were lowered may leave less than is
 // lent), and Used what it uses.
-func (c *Core) Has(now Time, budget int) int64 { return max(0, c.at(budget, now)) }
+func (c *Core) HeldUnits(now Time, budget int) int64 { return max(0, c.at(budget, now)) }
 
-func (c *Core) Used(now Time, budget int) int64 { return c.used(budget, now) }
+func (c *Core) UsedUnits(now Time, budget int) int64 { return c.used(budget, now) }
 
 // at is what it has of a budget at a time from now on, as far as is known now.
 func (c *Core) at(budget int, t Time) int64 {
@@ -62,9 +62,9 @@
 	return n + c.standing[budget]
 }
 
-// Rate has a budget that is used as a rate be used by so much, as far as there is that, until it is asked for again: what stands so is
+// ReserveRate has a budget that is used as a rate be used by so much, as far as there is that, until it is asked for again: what stands so is
 // neither lent nor given back. until is when the first part of what there is ends.
-func (c *Core) Rate(now Time, budget int, need int64) (n int64, until Time) {
+func (c *Core) ReserveRate(now Time, budget int, need int64) (n int64, until Time) {
 	c.pass(now)
 	n, until = min(max(0, c.at(budget, c.now)-c.going(budget)), need), Never
 	end := func(t Time) {
@@ -82,8 +82,8 @@
 	return n, until
 }
 
-// Shrink has a total be a part of itself, as the engines that it is meant for are; all that see the same engines come to the same.
-func (c *Core) Shrink(now Time, budget int, part float64) {
+// ScaleTotal has a total be a part of itself, as the engines that it is meant for are; all that see the same engines come to the same.
+func (c *Core) ScaleTotal(now Time, budget int, part float64) {
 	c.pass(now)
 	c.scale[budget] = part
 }
@@ -116,8 +116,8 @@
 	return n
 }
 
-// Take has a task use some of a budget, if there is as much until its end.
-func (c *Core) Take(now Time, budget int, amount int64, until Time) bool {
+// TryAcquire has a task use some of a budget, if there is as much until its end.
+func (c *Core) TryAcquire(now Time, budget int, amount int64, until Time) bool {
 	c.pass(now)
 	if c.free(budget, until) < amount {
 		return false
@@ -126,8 +126,8 @@
 	return true
 }
 
-// Done ends a use of some amount. Of several the one that would end first is taken for it: so no more is free than is.
-func (c *Core) Done(now Time, budget int, amount int64) {
+// Release ends a use of some amount. Of several the one that would end first is taken for it: so no more is free than is.
+func (c *Core) Release(now Time, budget int, amount int64) {
 	c.pass(now)
 	first := -1
 	for i := range c.uses {
@@ -140,9 +140,9 @@
 	}
 }
 
-// GiveBack has what was borrowed of a budget go back, loan by loan as far as so much can be spared, and in any case those on which no
+// ReturnLeases has what was borrowed of a budget go back, loan by loan as far as so much can be spared, and in any case those on which no
 // more time is given; what tasks use to its end stays.
-func (c *Core) GiveBack(now Time, budget int, spared int64) {
+func (c *Core) ReturnLeases(now Time, budget int, spared int64) {
 	c.pass(now)
 	if c.promised[budget] > 0 {
 		return
@@ -165,7 +165,7 @@
 		if c.plan.planted != takesAfterBack { // more time that was asked for is not taken when it comes: the lender has it back by then
 			c.asks = slices.DeleteFunc(c.asks, func(a asked) bool { return a.budget == budget && a.of == l.with && a.id == l.id })
 		}
-		c.send(l.with, Message{Kind: Back, For: l.start, Budget: c.plan.IDs[l.budget], ID: l.id})
+		c.send(l.with, Message{Kind: KindLeaseReturn, RecipientIncarnation: l.start, QuotaID: c.plan.QuotaIDs[l.budget], LeaseID: l.id})
 	}
 }
 
--- a/internal/cluster/rollout/charter_test.go
+++ b/internal/cluster/rollout/charter_test.go
@@ -12,7 +12,7 @@
 // The walk finds nothing, and each defect that is planted.
 func TestExplore(t *testing.T) {
 	most := 50_000 // .ci/run walks further by magpiebank-testbed
-	if modelcheck.Raced {
+	if modelcheck.RaceEnabled {
 		most = 5_000
 	}
 	for _, c := range []struct {
@@ -28,22 +28,22 @@
 		{"lease-from-answer", modelled(fromAnswer, 0, 0, 0, 0)},
 		{"both-forever", modelled(bothForever, 6*unit, 0, 0, 0)},
 	} {
-		if modelcheck.Raced {
+		if modelcheck.RaceEnabled {
 			break // made without the race detector
 		}
 		began := time.Now()
-		r := modelcheck.Walk(c.w, 600_000, 1000)
-		if r.Violated == "" {
+		r := modelcheck.Explore(c.w, 600_000, 1000)
+		if r.Violation == "" {
 			t.Errorf("%s: not found in %d states, %d deep", c.name, r.States, r.Depth)
 			continue
 		}
-		t.Logf("%s: found after %d moves, %d states, %.1f s: %s", c.name, r.Depth, r.States, time.Since(began).Seconds(), r.Violated)
+		t.Logf("%s: found after %d moves, %d states, %.1f s: %s", c.name, r.Depth, r.States, time.Since(began).Seconds(), r.Violation)
 		t.Log(strings.Join(r.Trace, "; "))
 	}
 	Explore(most, func(what string, r modelcheck.Result) {
 		t.Log(what, fmt.Sprintf("%d states, %d deep", r.States, r.Depth))
-		if r.Violated != "" {
-			t.Errorf("%s: %s", what, r.Violated)
+		if r.Violation != "" {
+			t.Errorf("%s: %s", what, r.Violation)
 			for i, m := range r.Trace {
 				t.Logf("%4d  %s", i+1, m)
 			}
--- a/internal/cluster/rollout/model.go
+++ b/internal/cluster/rollout/model.go
@@ -298,13 +298,13 @@
 	return b.Digest
 }
 
-// Violated is the first decision by an older policy.
-func (w *world) Violated() string { return w.wrong }
+// Violation is the first decision by an older policy.
+func (w *world) Violation() string { return w.wrong }
 
-// Moves are all that can happen next.
-func (w *world) Moves() (moves []modelcheck.Move) {
+// Transitions are all that can happen next.
+func (w *world) Transitions() (moves []modelcheck.Transition) {
 	add := func(name string, do func(*world)) {
-		moves = append(moves, modelcheck.Move{Name: name, Next: func() modelcheck.State { return w.after(do) }})
+		moves = append(moves, modelcheck.Transition{Name: name, Next: func() modelcheck.State { return w.after(do) }})
 	}
 	add("time passes", func(w *world) {
 		w.at++
@@ -568,7 +568,7 @@
 // Explore walks the model in some forms, each up to a number of states, and tells what it came to by name.
 func Explore(most int, each func(what string, r modelcheck.Result)) {
 	walk := func(what string, w *world) {
-		each("policy, 3 voters, 1 member, 2 proposals, "+what, modelcheck.Walk(w, most, 1000))
+		each("policy, 3 voters, 1 member, 2 proposals, "+what, modelcheck.Explore(w, most, 1000))
 	}
 	walk("the member killed, a message doubled", modelled(none, 0, 1, 0, 1))
 	walk("two elections", modelled(none, 0, 0, 2, 0))
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -67,8 +67,8 @@
 	w      *wire
 	id     int
 	lanes  int
-	router *admission.Router  // nil once retired or failed
-	book   *healthreport.Book // what peers tell of engines; nil: they may not
+	router *admission.Router   // nil once retired or failed
+	book   *healthreport.Table // what peers tell of engines; nil: they may not
 }
 
 func (w *wire) fail(field, want string) {
@@ -239,7 +239,7 @@
 	i := &instance{w: w, id: n, lanes: len(d.Classes)}
 	w.routers[n] = i
 	if d.Peers && d.Gateways > 1 {
-		i.book = healthreport.New(d.Gateways-1, healthreport.Share(d, len(info.Texts("zones"))),
+		i.book = healthreport.New(d.Gateways-1, healthreport.MaxEjectedShare(d, len(info.Texts("zones"))),
 			float64(d.Me)/float64(d.Gateways))
 	}
 	i.guard(func() { i.router = admission.New(w.now, seed, d, i) })
@@ -276,7 +276,7 @@
 			}
 			call = func(r *admission.Router) {
 				if i.book != nil {
-					i.book.Listed(admission.Form(form), list)
+					i.book.UpdateEngines(admission.Form(form), list)
 				}
 				r.Listed(now, admission.Form(form), list)
 			}
@@ -330,7 +330,7 @@
 		}
 		call = func(*admission.Router) {
 			if i.book != nil {
-				i.book.Heard(now, from, payload) // what can't be read is another version's, and counts as not heard
+				i.book.HandleMessage(now, from, payload) // what can't be read is another version's, and counts as not heard
 			}
 		}
 	case "interim":
@@ -352,8 +352,8 @@
 	if i.book == nil || i.router == nil {
 		return
 	}
-	i.book.Findings(now, func(f *admission.Finding) { i.router.Heard(now, f) })
-	if m := i.book.Message(now); m != nil {
+	i.book.VisitChangedFindings(now, func(f *admission.Finding) { i.router.Heard(now, f) })
+	if m := i.book.NextMessage(now); m != nil {
 		i.act("broadcast_to").text("all").text(hex.EncodeToString(m)).end()
 	}
 }
@@ -408,7 +408,7 @@
 func (i *instance) ColdRoom(admission.EngineID, float64) (room, shared bool) { return false, false }
 func (i *instance) Tell(e admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
 	if i.book != nil {
-		i.book.Saw(i.w.now, e, saw, report, room)
+		i.book.Observe(i.w.now, e, saw, report, room)
 	}
 }
 func (i *instance) Wake(at admission.Time) { i.act("sleep").text("tick").num(int64(at) * tenth).end() }
--- a/internal/testbed/faulttest/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -17,7 +17,7 @@
 const slack = int64(1500 * time.Millisecond)
 
 // use is the longest that evidence counts anywhere.
-const use = int64(healthreport.Borne * 1e5)
+const use = int64(healthreport.ConfirmedFailureLifetime * 1e5)
 
 // totals are what budgets had for totals, under which numbers, and from when on.
 type totals struct {
--- a/internal/testbed/modelcheck/explore.go
+++ b/internal/testbed/modelcheck/explore.go
@@ -13,25 +13,25 @@
 type State interface {
 	// Key names the state; states that differ only in what doesn't matter (absolute times, which of two equal members) share one.
 	Key() []byte
-	// Moves are all that can happen next, in a fixed order.
-	Moves() []Move
-	// Violated tells what doesn't hold; empty: all does.
-	Violated() string
+	// Transitions are all that can happen next, in a fixed order.
+	Transitions() []Transition
+	// Violation tells what doesn't hold; empty: all does.
+	Violation() string
 }
 
-// Move is one thing that can happen.
-type Move struct {
+// Transition is one thing that can happen.
+type Transition struct {
 	Name string
 	Next func() State
 }
 
 // Result is what a walk came to.
 type Result struct {
-	States, Moves int
-	Depth         int      // of the last state looked at
-	Complete      bool     // nothing was left out for the bound
-	Violated      string   // the first violation
-	Trace         []string // and the shortest run to it
+	States, Transitions int
+	Depth               int      // of the last state looked at
+	Complete            bool     // nothing was left out for the bound
+	Violation           string   // the first violation
+	Trace               []string // and the shortest run to it
 }
 
 // step leads back to where a state was first come upon. A state takes 16 bytes here; its key's hash of 64 bits stands for it, so
@@ -41,8 +41,8 @@
 	move uint16
 }
 
-// Walk looks at no more than most states, none deeper than depth moves.
-func Walk(first State, most, depth int) Result {
+// Explore looks at no more than most states, none deeper than depth moves.
+func Explore(first State, most, depth int) Result {
 	var r Result
 	seen := map[uint64]int32{xxhash.Sum64(first.Key()): 0}
 	steps := []step{{-1, 0}}
@@ -52,7 +52,7 @@
 	}
 	level, next := []place{{first, 0}}, []place(nil)
 	r.States, r.Complete = 1, true
-	if r.Violated = first.Violated(); r.Violated != "" {
+	if r.Violation = first.Violation(); r.Violation != "" {
 		return r
 	}
 	for ; len(level) > 0; level, next = next, level[:0] {
@@ -63,8 +63,8 @@
 		r.Depth++
 		next = next[:0]
 		for _, at := range level {
-			for m, move := range at.state.Moves() {
-				r.Moves++
+			for m, move := range at.state.Transitions() {
+				r.Transitions++
 				to := move.Next()
 				key := xxhash.Sum64(to.Key())
 				if _, ok := seen[key]; ok {
@@ -78,7 +78,7 @@
 				seen[key] = n
 				steps = append(steps, step{at.n, uint16(m)})
 				r.States++
-				if r.Violated = to.Violated(); r.Violated != "" {
+				if r.Violation = to.Violation(); r.Violation != "" {
 					r.Trace, r.Complete = trace(first, steps, n), false
 					return r
 				}
@@ -97,27 +97,27 @@
 	}
 	s := first
 	for i := len(moves) - 1; i >= 0; i-- {
-		m := s.Moves()[moves[i]]
+		m := s.Transitions()[moves[i]]
 		out = append(out, m.Name)
 		s = m.Next()
 	}
 	return out
 }
 
-// Text writes a result for people.
-func (r *Result) Text(out io.Writer, what string) {
+// WriteText writes a result for people.
+func (r *Result) WriteText(out io.Writer, what string) {
 	whole := "up to the bound"
-	if r.Violated != "" {
+	if r.Violation != "" {
 		whole = "to the first violation"
 	} else if r.Complete {
 		whole = "to the end"
 	}
-	fmt.Fprintf(out, "%s: %d states, %d moves, %d deep, %s\n", what, r.States, r.Moves, r.Depth, whole)
-	if r.Violated == "" {
+	fmt.Fprintf(out, "%s: %d states, %d moves, %d deep, %s\n", what, r.States, r.Transitions, r.Depth, whole)
+	if r.Violation == "" {
 		fmt.Fprintln(out, "good   nothing is violated")
 		return
 	}
-	fmt.Fprintln(out, "BAD    "+r.Violated)
+	fmt.Fprintln(out, "BAD    "+r.Violation)
 	for i, m := range r.Trace {
 		fmt.Fprintf(out, "%4d  %s\n", i+1, m)
 	}
--- a/internal/testbed/quorumquota/quorum.go
+++ b/internal/testbed/quorumquota/quorum.go
@@ -61,7 +61,7 @@
 
 // New begins with nothing.
 func New(now Time, plan *quota.Plan, name string, start uint64, host quota.Host) *Core {
-	c := &Core{plan: plan, host: host, name: name, start: start, chance: rand.New(rand.NewPCG(start, 5)), now: now, keeps: slices.Contains(plan.Keepers, name)}
+	c := &Core{plan: plan, host: host, name: name, start: start, chance: rand.New(rand.NewPCG(start, 5)), now: now, keeps: slices.Contains(plan.Voters, name)}
 	n := len(plan.Totals)
 	c.wanted, c.takes, c.hints, c.restAt = make([]int64, n), make([]int64, n), make([][]int, n), make([]Time, n)
 	for _, t := range plan.Totals {
@@ -72,41 +72,41 @@
 }
 
 // lease is how long a unit is held for: it must last to the end of a use that begins within another.
-func (c *Core) lease() Time { return 2 * c.plan.Longest }
+func (c *Core) lease() Time { return 2 * c.plan.LongestUse }
 
 // margin is a lease at a keeper, by whose clock it must have ended surely.
-func (c *Core) margin() Time { return c.lease() + 3*c.lease()/c.plan.Drift + 1 }
+func (c *Core) margin() Time { return c.lease() + 3*c.lease()/c.plan.DriftDivisor + 1 }
 
 func (c *Core) send(to string, m quota.Message) {
-	m.From, m.Start, m.Number = c.name, c.start, c.plan.Number
+	m.Sender, m.SenderIncarnation, m.PlanNumber = c.name, c.start, c.plan.Number
 	c.host.Send(to, m)
 }
 
 func (c *Core) all(kind quota.Kind, u *unit) {
-	for _, k := range c.plan.Keepers {
-		c.send(k, quota.Message{Kind: kind, Budget: c.plan.IDs[u.budget], Seat: u.n, Seq: u.seq})
+	for _, k := range c.plan.Voters {
+		c.send(k, quota.Message{Kind: kind, QuotaID: c.plan.QuotaIDs[u.budget], Share: u.n, Sequence: u.seq})
 	}
 }
 
-// Heard takes in a message; true: a unit has come.
-func (c *Core) Heard(now Time, m quota.Message) bool {
+// HandleMessage takes in a message; true: a unit has come.
+func (c *Core) HandleMessage(now Time, m quota.Message) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
-	b := slices.Index(c.plan.IDs, m.Budget)
-	if b < 0 || m.Seat < 0 || m.Seat >= len(c.grants[b]) {
+	b := slices.Index(c.plan.QuotaIDs, m.QuotaID)
+	if b < 0 || m.Share < 0 || m.Share >= len(c.grants[b]) {
 		return false
 	}
 	switch m.Kind {
-	case quota.Ask:
+	case quota.KindLeaseRequest:
 		if c.keeps && c.now >= c.openAt {
 			c.asked(b, m)
 		}
-	case quota.Back:
-		if g := &c.grants[b][m.Seat]; g.holder == m.From && g.start == m.Start {
+	case quota.KindLeaseReturn:
+		if g := &c.grants[b][m.Share]; g.holder == m.Sender && g.start == m.SenderIncarnation {
 			*g = grant{}
 		}
-	case quota.Lend, quota.Refuse:
+	case quota.KindLeaseGrant, quota.KindReject:
 		return c.answered(b, m)
 	}
 	return false
@@ -114,10 +114,10 @@
 
 // asked grants a unit that nobody holds; a refusal names one that is free, if there is any.
 func (c *Core) asked(b int, m quota.Message) {
-	g := &c.grants[b][m.Seat]
-	kind, free := quota.Lend, 0
-	if g.start > 0 && c.now < g.until && (g.holder != m.From || g.start != m.Start) {
-		kind = quota.Refuse
+	g := &c.grants[b][m.Share]
+	kind, free := quota.KindLeaseGrant, 0
+	if g.start > 0 && c.now < g.until && (g.holder != m.Sender || g.start != m.SenderIncarnation) {
+		kind = quota.KindReject
 		from := c.chance.IntN(len(c.grants[b]))
 		for k := range c.grants[b] {
 			if n := (from + k) % len(c.grants[b]); c.grants[b][n].start == 0 || c.now >= c.grants[b][n].until {
@@ -126,35 +126,35 @@
 			}
 		}
 	} else {
-		*g = grant{m.From, m.Start, c.now + c.margin()}
+		*g = grant{m.Sender, m.SenderIncarnation, c.now + c.margin()}
 	}
-	c.send(m.From, quota.Message{Kind: kind, For: m.Start, Budget: m.Budget, Seat: m.Seat, Seq: m.Seq, ID: uint32(free)})
+	c.send(m.Sender, quota.Message{Kind: kind, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Share: m.Share, Sequence: m.Sequence, LeaseID: uint32(free)})
 }
 
 func (c *Core) answered(b int, m quota.Message) bool {
-	i := slices.IndexFunc(c.tries, func(u unit) bool { return u.budget == b && u.n == m.Seat && u.seq == m.Seq })
-	if i < 0 || m.For != c.start {
+	i := slices.IndexFunc(c.tries, func(u unit) bool { return u.budget == b && u.n == m.Share && u.seq == m.Sequence })
+	if i < 0 || m.RecipientIncarnation != c.start {
 		return false
 	}
 	u := &c.tries[i]
 	list := &u.yes
-	if m.Kind == quota.Refuse {
+	if m.Kind == quota.KindReject {
 		list = &u.no
-		if m.ID > 0 {
-			c.hints[b] = append(c.hints[b], int(m.ID)-1)
+		if m.LeaseID > 0 {
+			c.hints[b] = append(c.hints[b], int(m.LeaseID)-1)
 		} else { // all is in use
 			c.hints[b], c.restAt[b] = c.hints[b][:0], c.now+20*admission.Millisecond
 		}
 	}
-	if !slices.Contains(*list, m.From) {
-		*list = append(*list, m.From)
+	if !slices.Contains(*list, m.Sender) {
+		*list = append(*list, m.Sender)
 	}
 	switch {
-	case 2*len(u.yes) > len(c.plan.Keepers):
+	case 2*len(u.yes) > len(c.plan.Voters):
 		c.hands = append(c.hands, *u)
 		c.tries = slices.Delete(c.tries, i, i+1)
 		return true
-	case 2*len(u.no) > len(c.plan.Keepers):
+	case 2*len(u.no) > len(c.plan.Voters):
 		c.giveBack(&c.tries, i)
 		c.ask(b)
 	}
@@ -164,11 +164,11 @@
 func (c *Core) giveBack(list *[]unit, i int) {
 	u := (*list)[i]
 	*list = slices.Delete(*list, i, i+1)
-	c.all(quota.Back, &u)
+	c.all(quota.KindLeaseReturn, &u)
 }
 
-// Due is the timer.
-func (c *Core) Due(now Time) {
+// Tick is the timer.
+func (c *Core) Tick(now Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
@@ -180,7 +180,7 @@
 	c.uses = slices.DeleteFunc(c.uses, func(u unit) bool { return c.now >= u.until })
 	for i := len(c.hands) - 1; i >= 0; i-- {
 		u := &c.hands[i]
-		if stale := c.now+c.plan.Longest >= u.at+c.lease(); stale || c.wanted[u.budget]+c.takes[u.budget] == 0 {
+		if stale := c.now+c.plan.LongestUse >= u.at+c.lease(); stale || c.wanted[u.budget]+c.takes[u.budget] == 0 {
 			c.giveBack(&c.hands, i)
 		}
 	}
@@ -205,7 +205,7 @@
 		c.last++
 		u.seq = c.last
 		c.tries = append(c.tries, u)
-		c.all(quota.Ask, &u)
+		c.all(quota.KindLeaseRequest, &u)
 	}
 }
 
@@ -221,15 +221,15 @@
 // fit are the units in hand that last to the end of a use that begins now.
 func (c *Core) fit(b int) (out []int) {
 	for i, u := range c.hands {
-		if u.budget == b && c.now+c.plan.Longest < u.at+c.lease() {
+		if u.budget == b && c.now+c.plan.LongestUse < u.at+c.lease() {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// Open tells whether a use, of at most the longest, may begin now; where it may not, units are waited for from now on.
-func (c *Core) Open(now Time, b int, amount int64, length Time) bool {
+// TryReserve tells whether a use, of at most the longest, may begin now; where it may not, units are waited for from now on.
+func (c *Core) TryReserve(now Time, b int, amount int64, length Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
@@ -241,8 +241,8 @@
 	return true
 }
 
-// Take begins a use of what was promised.
-func (c *Core) Take(now Time, b int, amount int64, length Time) bool {
+// CommitReservation begins a use of what was promised.
+func (c *Core) CommitReservation(now Time, b int, amount int64, length Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
@@ -261,8 +261,8 @@
 	return true
 }
 
-// Done ends a use; what it had is given back when Due is called next.
-func (c *Core) Done(now Time, b int, amount int64) {
+// Release ends a use; what it had is given back when Due is called next.
+func (c *Core) Release(now Time, b int, amount int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for ; amount > 0; amount-- {
@@ -275,15 +275,15 @@
 	}
 }
 
-// Want tells how much waiting tasks would use.
-func (c *Core) Want(now Time, b int, amount int64) {
+// SetDemand tells how much waiting tasks would use.
+func (c *Core) SetDemand(now Time, b int, amount int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.takes[b], c.wanted[b] = 0, amount
 }
 
-// Rate and Shrink are not measured.
-func (c *Core) Rate(Time, int, int64) (int64, Time) { return 0, quota.Never }
+// ReserveRate and Shrink are not measured.
+func (c *Core) ReserveRate(Time, int, int64) (int64, Time) { return 0, quota.Never }
 
-// Shrink does nothing.
-func (c *Core) Shrink(Time, int, float64) {}
+// ScaleTotal does nothing.
+func (c *Core) ScaleTotal(Time, int, float64) {}
--- a/internal/testbed/quorumquota/quorum_test.go
+++ b/internal/testbed/quorumquota/quorum_test.go
@@ -31,11 +31,11 @@
 	}
 }
 
-func (l *link) Others() []string { return nil }
+func (l *link) Peers() []string { return nil }
 
 // Never more uses than units, and all are used, though a third of the messages is lost and members are started anew.
 func TestNeverMore(t *testing.T) {
-	plan := &quota.Plan{Seats: 8, Keepers: []string{"g0", "g1", "g2"}, Longest: admission.Second / 2, Drift: 20, Number: 1, IDs: []uint32{7}, Totals: []int64{10}}
+	plan := &quota.Plan{Shares: 8, Voters: []string{"g0", "g1", "g2"}, LongestUse: admission.Second / 2, DriftDivisor: 20, Number: 1, QuotaIDs: []uint32{7}, Totals: []int64{10}}
 	l := &link{chance: rand.New(rand.NewPCG(1, 2))}
 	start := uint64(1)
 	begin := func(n int) *Core { start++; return New(l.now, plan, fmt.Sprint("g", n), start, l) }
@@ -51,7 +51,7 @@
 			if m.at > l.now {
 				later = append(later, m)
 			} else {
-				l.cores[m.to].Heard(l.now, m.m)
+				l.cores[m.to].HandleMessage(l.now, m.m)
 			}
 		}
 		l.mail = append(l.mail, later...)
@@ -62,12 +62,12 @@
 		used := 0
 		for _, c := range l.cores {
 			if l.chance.IntN(60) == 0 && len(c.uses) > 0 {
-				c.Done(l.now, 0, 1)
+				c.Release(l.now, 0, 1)
 			}
-			if c.Open(l.now, 0, 1, plan.Longest) && !c.Take(l.now, 0, 1, plan.Longest) {
+			if c.TryReserve(l.now, 0, 1, plan.LongestUse) && !c.CommitReservation(l.now, 0, 1, plan.LongestUse) {
 				t.Fatal("what was promised was not there")
 			}
-			c.Due(l.now)
+			c.Tick(l.now)
 			used += len(c.uses)
 		}
 		most = max(most, used)
--- a/internal/testbed/simcluster/counts.go
+++ b/internal/testbed/simcluster/counts.go
@@ -86,7 +86,7 @@
 	p.t.send(p.n, []int{n}, word{p.start, m}, len(m))
 }
 
-func (p *counted) Others() (out []string) {
+func (p *counted) Peers() (out []string) {
 	for _, q := range p.t.people {
 		if q.n != p.n {
 			out = append(out, q.name)
@@ -100,22 +100,22 @@
 	now := p.clock()
 	for p.nextAt <= p.t.now {
 		p.nextAt += Time(p.t.chance.ExpFloat64() * float64(admission.Second) / p.t.busy)
-		had := p.core.Own(counters.Key{})
+		had := p.core.OwnCounts(counters.Key{})
 		var waits, runs, handed int64
 		switch p.t.chance.IntN(3) {
 		case 0:
-			waits = btoi64(had[counters.Waits]+had[counters.Runs] < mostInHand)
+			waits = btoi64(had[counters.Waiting]+had[counters.Running] < mostInHand)
 		case 1:
-			waits = -btoi64(had[counters.Waits] > 0)
+			waits = -btoi64(had[counters.Waiting] > 0)
 			runs, handed = -waits, -waits
 		case 2:
-			runs = -btoi64(had[counters.Runs] > 0)
+			runs = -btoi64(had[counters.Running] > 0)
 		}
 		by := [3]int64{waits, runs, handed}
-		p.core.Count(now, counters.Change{By: by}, counters.Change{Key: counters.Key{Kind: counters.Lane, Name: "look"}, By: by})
-		p.truth = append(p.truth, instant{p.t.now, p.core.Own(counters.Key{}), p.start})
+		p.core.ApplyChanges(now, counters.Change{Delta: by}, counters.Change{Key: counters.Key{Kind: counters.KindClass, Name: "look"}, Delta: by})
+		p.truth = append(p.truth, instant{p.t.now, p.core.OwnCounts(counters.Key{}), p.start})
 	}
-	p.core.Due(now)
+	p.core.Tick(now)
 }
 
 func btoi64(b bool) int64 { return int64(btoi(b)) }
@@ -123,7 +123,7 @@
 func (t *census) pass(length Time, check func()) {
 	t.post.pass(length, func(l letter[word]) {
 		if p := t.people[l.to]; p.up && p.stopped <= t.now {
-			p.core.Heard(p.clock(), t.people[l.from].name, l.message.start, l.message.bytes)
+			p.core.HandleMessage(p.clock(), t.people[l.from].name, l.message.start, l.message.bytes)
 		}
 	}, func() {
 		for _, p := range t.people {
@@ -142,7 +142,7 @@
 		i, _ := slices.BinarySearchFunc(p.truth, at, func(v instant, at Time) int { return int(v.at - at) })
 		l, h := int64(-1), int64(0)
 		from := max(0, i-1)
-		if figure == counters.Handed && (p.truth[0].start != p.truth[from].start || p.truth[from].of[figure] == 0) {
+		if figure == counters.Attempted && (p.truth[0].start != p.truth[from].start || p.truth[from].of[figure] == 0) {
 			from = 0
 		}
 		for k := from; k < len(p.truth) && (k < i || p.truth[k].at <= at+1); k++ {
@@ -161,11 +161,11 @@
 
 // wrong reads at one process, and tells what a reading says that was not so; empty: nothing.
 func (t *census) wrong(p *counted) (r counters.Reading, text string) {
-	k := counters.Key{Kind: counters.Lane, Name: "look"}
-	r = p.core.Read(p.clock(), counters.Key{}, k)
+	k := counters.Key{Kind: counters.KindClass, Name: "look"}
+	r = p.core.TakeReading(p.clock(), counters.Key{}, k)
 	at := p.since(p.clock() - r.Age)
 	for _, c := range r.Counts {
-		for f, of := range c.Of {
+		for f, of := range c.Ranges {
 			low, high := t.true(f, at)
 			if of.Low > high || of.High >= 0 && of.High < low {
 				return r, fmt.Sprintf("%.3f s, %s: as of %.3f s ago figure %d of %v %s in [%d, %d], in truth %d", float64(t.now)/float64(admission.Second), p.name,
@@ -208,10 +208,10 @@
 		}
 		out.Reads++
 		out.Age += r.Age
-		out.Silent += float64(r.Silent)
-		low, _ := t.true(counters.Runs, p.since(p.clock()-r.Age))
+		out.Silent += float64(r.Unknown)
+		low, _ := t.true(counters.Running, p.since(p.clock()-r.Age))
 		truth += float64(low)
-		out.Width += float64(r.Counts[0].Of[counters.Runs].High - r.Counts[0].Of[counters.Runs].Low)
+		out.Width += float64(r.Counts[0].Ranges[counters.Running].High - r.Counts[0].Ranges[counters.Running].Low)
 	})
 	out.Age /= Time(out.Reads)
 	out.Silent /= float64(out.Reads)
--- a/internal/testbed/simcluster/crowd.go
+++ b/internal/testbed/simcluster/crowd.go
@@ -28,7 +28,7 @@
 	N        int
 	Name     string
 	Core     *membership.Core
-	Book     *healthreport.Book
+	Book     *healthreport.Table
 	Up       bool
 	Sent     int64 // bytes
 	Messages int64
@@ -46,7 +46,7 @@
 type Told struct {
 	At     Time
 	By     int
-	Code   membership.Code
+	Code   membership.EventCode
 	Member membership.Member
 }
 
@@ -125,9 +125,9 @@
 	}
 	p.life++
 	p.Up, p.stopped, p.waiting, p.due = true, 0, nil, false
-	self := membership.Member{Name: p.Name, Start: start, Address: fmt.Sprint("a", p.N)}
+	self := membership.Member{Name: p.Name, Incarnation: start, Address: fmt.Sprint("a", p.N)}
 	p.Core = membership.New(p.clock(), self, c.seeds, rand.New(rand.NewPCG(c.chance.Uint64(), 2)), host{p})
-	p.Book = healthreport.New(len(c.Processes)-1, 0.25, healthreport.Turn(p.Name))
+	p.Book = healthreport.New(len(c.Processes)-1, 0.25, healthreport.RetryPhase(p.Name))
 	p.timer()
 }
 
@@ -172,7 +172,7 @@
 	h.p.crowd.carry(h.p, h.p.crowd.Processes[n], m, ofMembers)
 }
 
-func (h host) Changed(code membership.Code, m membership.Member) {
+func (h host) MemberChanged(code membership.EventCode, m membership.Member) {
 	c := h.p.crowd
 	t := Told{c.Now, h.p.N, code, m}
 	if c.OnTold != nil {
@@ -210,7 +210,7 @@
 	if !p.Up || p.stopped > 0 {
 		return
 	}
-	m := p.Book.Message(p.clock())
+	m := p.Book.NextMessage(p.clock())
 	if m == nil {
 		return
 	}
@@ -234,17 +234,17 @@
 	switch e.kind {
 	case ofTimer:
 		p.due = false
-		p.Core.Due(now)
+		p.Core.Tick(now)
 	case ofMembers:
-		p.Core.Heard(now, e.bytes)
+		p.Core.HandleMessage(now, e.bytes)
 	case ofEngines:
-		p.Book.Heard(now, source(e.from.Core.Self()), e.bytes)
+		p.Book.HandleMessage(now, source(e.from.Core.Self()), e.bytes)
 	}
 	p.timer()
 }
 
 func source(m membership.Member) healthreport.Source {
-	return healthreport.Source{Name: m.Name, Start: m.Start}
+	return healthreport.Source{Name: m.Name, Incarnation: m.Incarnation}
 }
 
 // timer sets the next call of Due.
@@ -253,7 +253,7 @@
 		return
 	}
 	p.due = true
-	wait := max(1, Time(float64(p.Core.Next()-p.clock())/p.rate))
+	wait := max(1, Time(float64(p.Core.NextTick()-p.clock())/p.rate))
 	p.crowd.push(event{at: p.crowd.Now + wait, to: p, life: p.life, kind: ofTimer})
 }
 
@@ -282,15 +282,15 @@
 // Agree tells how many ordered pairs of processes that are up don't take each other to be there, or not under the right start.
 func (c *Crowd) Agree() (wrong int) {
 	for _, p := range c.Processes {
-		if !p.Up || p.Core.Quiet() {
+		if !p.Up || p.Core.IsInactive() {
 			continue
 		}
 		for _, q := range c.Processes {
-			if q == p || !q.Up || q.Core.Quiet() || q.Name == p.Name {
+			if q == p || !q.Up || q.Core.IsInactive() || q.Name == p.Name {
 				continue
 			}
 			m, ok := p.Core.Find(q.Name)
-			if !ok || m.State > membership.Suspect || m.Start != q.Core.Self().Start {
+			if !ok || m.State > membership.Suspect || m.Incarnation != q.Core.Self().Incarnation {
 				wrong++
 			}
 		}
--- a/internal/testbed/simcluster/judgement.go
+++ b/internal/testbed/simcluster/judgement.go
@@ -38,10 +38,10 @@
 	detected := make([]Time, n)
 	for i, p := range c.Processes {
 		out[i] = map[admission.EngineID]Time{}
-		p.Book.Listed(admission.Whole, list)
-		p.Book.Peers(n - 1)
+		p.Book.UpdateEngines(admission.Whole, list)
+		p.Book.SetPeerCount(n - 1)
 		converse := func() {
-			p.Book.Findings(p.clock(), func(f *admission.Finding) {
+			p.Book.VisitChangedFindings(p.clock(), func(f *admission.Finding) {
 				if delete(out[i], f.Engine); f.Shuts() {
 					out[i][f.Engine] = c.Now + f.Until - p.clock()
 					if f.Engine != bad {
@@ -63,7 +63,7 @@
 				if e == bad && c.Now >= from && c.Now < until {
 					s.Sent++
 				}
-				p.Book.Saw(p.clock(), e, saw, admission.NoReport, 1e9)
+				p.Book.Observe(p.clock(), e, saw, admission.NoReport, 1e9)
 			}
 			c.At(c.Now+1+Time(c.chance.ExpFloat64()/rate*float64(second)), task)
 		}
@@ -81,7 +81,7 @@
 			if p != q {
 				for range 3 {
 					self := q.Core.Self()
-					p.Book.Met(p.clock(), source(self), uint32(q.clock()))
+					p.Book.ObserveClock(p.clock(), source(self), uint32(q.clock()))
 				}
 			}
 		}
--- a/internal/testbed/simcluster/member_test.go
+++ b/internal/testbed/simcluster/member_test.go
@@ -55,7 +55,7 @@
 	var out strings.Builder
 	c.OnTold = func(told Told) {
 		if told.By == 0 {
-			fmt.Fprintf(&out, "%6.1f s  %-9s %s, start %d, refuted %d\n", float64(told.At)/float64(second), told.Code, told.Member.Name, told.Member.Start, told.Member.Refuted)
+			fmt.Fprintf(&out, "%6.1f s  %-9s %s, start %d, refuted %d\n", float64(told.At)/float64(second), told.Code, told.Member.Name, told.Member.Incarnation, told.Member.Refutations)
 		}
 	}
 	say := func(text string) { fmt.Fprintf(&out, "%6.1f s  -- %s\n", float64(c.Now)/float64(second), text) }
@@ -108,11 +108,11 @@
 			return Link{Cut: third(to) && !third(from) || both && third(from) && !third(to), Delay: 10, Spread: 20}
 		}
 		c.Run(c.Now + 60*second)
-		if split := c.Processes[20].Core.Lost(); split != 8 {
+		if split := c.Processes[20].Core.CountDead(); split != 8 {
 			t.Errorf("both %t: the others miss %d, expected 8", both, split)
 		}
 		for i := range 8 {
-			if living := c.Processes[i].Core.Living(); both && living != 7 && living != 0 {
+			if living := c.Processes[i].Core.CountReachable(); both && living != 7 && living != 0 {
 				t.Errorf("both: %d sees %d others, expected those with it", i, living)
 			}
 		}
@@ -164,12 +164,12 @@
 	c.Processes = append(c.Processes, twin)
 	twin.Begin(0)
 	c.Run(c.Now + 10*second)
-	if !c.Processes[3].Core.Quiet() || twin.Core.Quiet() {
+	if !c.Processes[3].Core.IsInactive() || twin.Core.IsInactive() {
 		t.Error("the earlier process still takes part, or the later doesn't")
 	}
 	for i, p := range c.Processes[:8] {
-		if m, _ := p.Core.Find("g003"); i != 3 && m.Start != twin.Core.Self().Start {
-			t.Errorf("%d goes by start %d of g003", i, m.Start)
+		if m, _ := p.Core.Find("g003"); i != 3 && m.Incarnation != twin.Core.Self().Incarnation {
+			t.Errorf("%d goes by start %d of g003", i, m.Incarnation)
 		}
 	}
 	// One that was stopped while another took its name finds out when it wakes.
@@ -180,7 +180,7 @@
 	c.Processes = append(c.Processes, twin)
 	twin.Begin(0)
 	c.Run(c.Now + 30*second)
-	if !c.Processes[5].Core.Quiet() || twin.Core.Quiet() {
+	if !c.Processes[5].Core.IsInactive() || twin.Core.IsInactive() {
 		t.Error("the one that woke still takes part, or the other doesn't")
 	}
 }
--- a/internal/testbed/simcluster/town.go
+++ b/internal/testbed/simcluster/town.go
@@ -46,7 +46,7 @@
 	p.t.send(p.place, p.t.byName[to], m, len(m.Encode()))
 }
 
-func (p *person) Others() (out []string) {
+func (p *person) Peers() (out []string) {
 	for _, q := range p.t.people {
 		if q.n != p.n {
 			out = append(out, q.name)
@@ -60,7 +60,7 @@
 func (p *person) begin() {
 	p.t.starts++
 	p.up, p.jobs, p.width = true, nil, max(1, p.width)
-	p.core = quota.New(p.clock(), p.t.plan, p.name, p.t.starts, p.n%p.t.plan.Seats, p)
+	p.core = quota.New(p.clock(), p.t.plan, p.name, p.t.starts, p.n%p.t.plan.Shares, p)
 	p.before = append(p.before, p.t.starts)
 }
 
@@ -68,15 +68,15 @@
 func (p *person) follow() {
 	before := p.before
 	p.begin()
-	p.core.Follow(before[max(0, len(before)-quota.MostAfter):])
+	p.core.SucceedIncarnations(before[max(0, len(before)-quota.MaxPredecessors):])
 }
 
 // newTown starts a fleet of so many seats, the first of which are keepers.
 func newTown(seed uint64, seats, keepers int, total int64) *town {
-	t := &town{byName: map[string][]int{}, plan: &quota.Plan{Seats: seats, Term: 2 * admission.Second, Loan: admission.Second, Longest: admission.Second / 4, Drift: 20, Number: 1, IDs: []uint32{7}, Totals: []int64{total}}}
-	t.chance, t.latest = rand.New(rand.NewPCG(seed, 3)), 3*t.plan.Term
+	t := &town{byName: map[string][]int{}, plan: &quota.Plan{Shares: seats, ShareTerm: 2 * admission.Second, LeaseTerm: admission.Second, LongestUse: admission.Second / 4, DriftDivisor: 20, Number: 1, QuotaIDs: []uint32{7}, Totals: []int64{total}}}
+	t.chance, t.latest = rand.New(rand.NewPCG(seed, 3)), 3*t.plan.ShareTerm
 	for k := range keepers {
-		t.plan.Keepers = append(t.plan.Keepers, fmt.Sprint("g", k))
+		t.plan.Voters = append(t.plan.Voters, fmt.Sprint("g", k))
 	}
 	for n := range seats {
 		t.add(&person{t: t, n: n, rate: 0.955 + 0.09*t.chance.Float64(), ahead: float64(t.chance.IntN(1e6))})
@@ -86,7 +86,7 @@
 
 // add starts a process.
 func (t *town) add(p *person) {
-	p.name, p.place = fmt.Sprint("g", p.n%t.plan.Seats), len(t.people)
+	p.name, p.place = fmt.Sprint("g", p.n%t.plan.Shares), len(t.people)
 	t.byName[p.name] = append(t.byName[p.name], len(t.people))
 	t.people = append(t.people, p)
 	p.begin()
@@ -100,7 +100,7 @@
 			if err != nil {
 				panic(err)
 			}
-			p.core.Heard(p.clock(), m)
+			p.core.HandleMessage(p.clock(), m)
 		}
 	}, func() {
 		for _, p := range t.people {
@@ -116,26 +116,26 @@
 	now := p.clock()
 	p.jobs = slices.DeleteFunc(p.jobs, func(end Time) bool {
 		if now >= end {
-			p.core.Done(now, 0, p.width)
+			p.core.Release(now, 0, p.width)
 		}
 		return now >= end
 	})
-	for int64(len(p.jobs)) < p.want && p.core.Take(now, 0, p.width, now+p.t.plan.Longest) {
+	for int64(len(p.jobs)) < p.want && p.core.TryAcquire(now, 0, p.width, now+p.t.plan.LongestUse) {
 		p.t.tasks++
 		p.served++
-		p.jobs = append(p.jobs, now+Time(p.t.chance.Int64N(int64(p.t.plan.Longest))))
+		p.jobs = append(p.jobs, now+Time(p.t.chance.Int64N(int64(p.t.plan.LongestUse))))
 	}
-	p.core.Wide(0, p.width)
-	p.core.Want(now, 0, p.width*max(0, p.want-int64(len(p.jobs))))
-	p.core.Due(now)
+	p.core.SetNextRequestUnits(0, p.width)
+	p.core.SetDemand(now, 0, p.width*max(0, p.want-int64(len(p.jobs))))
+	p.core.Tick(now)
 }
 
 // held is what all living processes may use at this instant, and used what they do.
 func (t *town) held() (held, used int64) {
 	for _, p := range t.people {
 		if p.up {
-			held += p.core.Has(p.clock(), 0)
-			used += p.core.Used(p.clock(), 0)
+			held += p.core.HeldUnits(p.clock(), 0)
+			used += p.core.UsedUnits(p.clock(), 0)
 		}
 	}
 	return held, used
@@ -198,7 +198,7 @@
 			if n == at {
 				return 9
 			}
-			return 1 / float64(t.plan.Seats)
+			return 1 / float64(t.plan.Shares)
 		})
 		o, e := share(5 * second)
 		ours, equal = ours+o/4, equal+e/4
--- a/internal/testbed/simcluster/town_test.go
+++ b/internal/testbed/simcluster/town_test.go
@@ -16,17 +16,17 @@
 	living := map[int]int{}
 	for _, q := range t.people {
 		if q.up && q != in {
-			living[q.n%t.plan.Seats]++
+			living[q.n%t.plan.Shares]++
 		}
 	}
-	living[n%t.plan.Seats]++
+	living[n%t.plan.Shares]++
 	doubled := 0
-	for k := range t.plan.Keepers {
+	for k := range t.plan.Voters {
 		if living[k] > 1 {
 			doubled++
 		}
 	}
-	return 2*doubled < len(t.plan.Keepers)
+	return 2*doubled < len(t.plan.Voters)
 }
 
 // Whatever is lost, late, doubled, cut, killed, stopped or started twice under one name, and however clocks run: never more.
@@ -51,7 +51,7 @@
 				p.up = false
 			case 7:
 				if p.up {
-					p.core.Farewell(p.clock())
+					p.core.ReleaseShares(p.clock())
 					p.up = false
 				}
 			case 1:
@@ -62,7 +62,7 @@
 					p.begin()
 				}
 			case 2:
-				p.stopped = w.now + Time(w.chance.Int64N(int64(3*w.plan.Term)))
+				p.stopped = w.now + Time(w.chance.Int64N(int64(3*w.plan.ShareTerm)))
 			case 3:
 				k := w.chance.IntN(3)
 				w.cut = func(from, to int) bool { return from%3 == k != (to%3 == k) }
@@ -104,7 +104,7 @@
 			p.begin()
 		}
 		began := w.now
-		for p.core.Has(p.clock(), 0) < 2 && w.now < began+20*second {
+		for p.core.HeldUnits(p.clock(), 0) < 2 && w.now < began+20*second {
 			w.pass(second/100, func() {})
 		}
 		took[k] = w.now - began
@@ -121,7 +121,7 @@
 	plan.Number, plan.Totals = number, []int64{total}
 	for _, p := range t.people {
 		if p.up && some(p.n) {
-			if err := p.core.Renew(p.clock(), &plan); err != nil {
+			if err := p.core.ReplacePlan(p.clock(), &plan); err != nil {
 				panic(err)
 			}
 		}
@@ -144,7 +144,7 @@
 		}
 	}
 	third := func(n int) bool { return n >= 8 }
-	bound := margin(w.plan.Term) + margin(w.plan.Loan) + w.plan.Term/4
+	bound := margin(w.plan.ShareTerm) + margin(w.plan.LeaseTerm) + w.plan.ShareTerm/4
 	w.pass(6*second, check)
 	for i, total := range []int64{36, 6, 0, 24} {
 		w.cut = func(from, to int) bool { return third(from) != third(to) }
@@ -158,12 +158,12 @@
 		w.pass(2*second, check)
 		held, _ := w.held()
 		for _, p := range w.people {
-			if third(p.n) && p.core.Has(p.clock(), 0) > 0 {
-				t.Errorf("total %d: %s has %d by the old number", total, p.name, p.core.Has(p.clock(), 0))
+			if third(p.n) && p.core.HeldUnits(p.clock(), 0) > 0 {
+				t.Errorf("total %d: %s has %d by the old number", total, p.name, p.core.HeldUnits(p.clock(), 0))
 			}
 		}
 		w.renew(uint64(2+i), total, third)
-		w.pass(margin(w.plan.Term)+w.plan.Term, check)
+		w.pass(margin(w.plan.ShareTerm)+w.plan.ShareTerm, check)
 		now, used := w.held()
 		t.Logf("total %d: %d held without the third, %d with it again, %d used", total, held, now, used)
 		if used < total*9/10 {
@@ -177,11 +177,11 @@
 	w := newTown(5, 12, 3, 24)
 	w.pass(6*second, func() {})
 	p := w.people[7]
-	p.core.Farewell(p.clock())
+	p.core.ReleaseShares(p.clock())
 	w.pass(second/10, func() {})
 	p.begin()
 	w.pass(second/2, func() {})
-	if got := p.core.Has(p.clock(), 0); got != 2 {
+	if got := p.core.HeldUnits(p.clock(), 0); got != 2 {
 		t.Errorf("half a second after it follows it has %d, expected 2", got)
 	}
 }
@@ -219,9 +219,9 @@
 	third := func(n int) bool { return n >= 21 }
 	w.cut = func(from, to int) bool { return third(from) != third(to) }
 	demand(func(int) int64 { return 4 })
-	w.pass(w.plan.Term/2, check)
-	during := share(w.plan.Term / 4)
-	w.pass(3*w.plan.Term, check)
+	w.pass(w.plan.ShareTerm/2, check)
+	during := share(w.plan.ShareTerm / 4)
+	w.pass(3*w.plan.ShareTerm, check)
 	long := share(5 * second)
 	w.cut = nil
 	w.pass(3*second, check)
