--- /dev/null
+++ b/internal/cluster/consensus/format_test.go
@@ -0,0 +1,88 @@
+package consensus
+
+import (
+	"encoding/binary"
+	"testing"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"magpiebank/internal/testbed/golden"
+)
+
+func TestLogOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
+	form := golden.Read(t, "log.form")
+	var found Found
+	for _, r := range decodeRecords(t, form) {
+		if !found.Take(r.Key, r.Value, false) {
+			t.Errorf("record %q is taken for another's", r.Key)
+		}
+	}
+	if found.err != nil {
+		t.Fatal(found.err)
+	}
+	values := []any{found.hard, found.snapshot, found.entries, found.age}
+	for i := range found.entries {
+		values = append(values, found.ages[found.entries[i].Index])
+	}
+	golden.CheckValues(t, "log", values)
+	again := []Record{hardRecord(found.hard), record(key(ofSnap, 0), found.age, &found.snapshot)}
+	for i := range found.entries {
+		e := &found.entries[i]
+		again = append(again, record(entryKey(e.Index), found.ages[e.Index], e))
+	}
+	checkRecords(t, again, form)
+}
+
+// A follower of three takes two entries from the earlier version's leader, and saves what the earlier version saved.
+func TestEntriesFromEarlierVersionAreTakenAndSavedAlike(t *testing.T) {
+	follower := newCluster(t, 1, 3).voters[1]
+	message := golden.Read(t, "append.form")
+	var decoded pb.Message
+	if err := decoded.Unmarshal(message); err != nil || decoded.Type != pb.MsgApp || len(decoded.Entries) != 2 {
+		t.Fatalf("expected two entries of a leader, found %v, error %v", decoded, err)
+	}
+	saveAll(follower)
+	if err := follower.node.Heard(message); err != nil {
+		t.Fatal(err)
+	}
+	saveAll(follower)
+	checkRecords(t, follower.disk, golden.Read(t, "append-records.form"))
+}
+
+// saveAll ends what the voter has under way to its disk.
+func saveAll(v *voter) {
+	for len(v.done) > 0 {
+		done := v.done
+		v.disk = append(v.disk, v.behind...)
+		v.behind, v.done, v.doneAt = nil, nil, nil
+		for _, d := range done {
+			d(nil)
+		}
+	}
+}
+
+// decodeRecords reads records one after another: the key, four bytes of the value's length, the value.
+func decodeRecords(t *testing.T, b []byte) (list []Record) {
+	t.Helper()
+	for len(b) > 0 {
+		r := Record{Key: [16]byte(b)}
+		end := 20 + int(binary.BigEndian.Uint32(b[16:]))
+		r.Value = b[20:end]
+		list = append(list, r)
+		b = b[end:]
+	}
+	return list
+}
+
+func checkRecords(t *testing.T, list []Record, expected []byte) {
+	t.Helper()
+	var found []byte
+	for _, r := range list {
+		found = append(found, r.Key[:]...)
+		found = binary.BigEndian.AppendUint32(found, uint32(len(r.Value)))
+		found = append(found, r.Value...)
+	}
+	if string(found) != string(expected) {
+		t.Errorf("records: expected %q\nfound %q", expected, found)
+	}
+}
