--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -18,7 +18,7 @@
 	"response\t3\t00000000000000bb\t0\t-\t49850\t0\t1\t10.0.0.1:1\tutil:0.5,new:3\nflush\n" +
 	"clock\t1060000\t4\nretire\t3\ndue\t3\ttick\nflush\n"
 
-func TestDay(t *testing.T) {
+func TestServeRecordedDay(t *testing.T) {
 	var out strings.Builder
 	if err := Serve(strings.NewReader(day), &out); err != nil {
 		t.Fatal(err)
@@ -28,11 +28,11 @@
 		t.Fatal(err)
 	}
 	if out.String() != string(want) {
-		t.Errorf("got:\n%s\nkept:\n%s", out.String(), want)
+		t.Errorf("got:\n%s\nwant:\n%s", out.String(), want)
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedMessage(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{"hello\t3", "line 3: hello: field name: expected a known message"},
 		{"due\t9\ttick", "line 3: due: field routerId: expected an instance that was booted"},
@@ -62,11 +62,11 @@
 }
 
 // A panic in one instance ends that instance alone.
-func TestPanicDies(t *testing.T) {
-	w := &wire{}
-	i := &instance{w: w, id: 5}
-	i.guard(func() { panic("two\nlines") })
-	if got := string(w.reply); got != "die\t5\ttwo lines\n" {
+func TestPanicEndsInstance(t *testing.T) {
+	a := &adapter{}
+	i := &instance{adapter: a, id: 5}
+	i.recoverPanic(func() { panic("two\nlines") })
+	if got := string(a.reply); got != "die\t5\ttwo lines\n" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -89,7 +89,7 @@
 }
 
 // What one router saw of an engine reaches the others, and what can't be read harms nobody.
-func TestPeers(t *testing.T) {
+func TestInstancesExchangeReports(t *testing.T) {
 	boot := func(n string) string {
 		return "boot\t" + n + "\t7\t" + `{"fleetSize":4,"me":` + n + `,"classes":[{"name":"x","sloUs":400000,"worth":1,"effect":"read_like"}],` +
 			`"familyInfo":{"dop":[1],"kindCores":[4]},"limits":{"maxAttempts":2,"peerMessages":true},"rules":{}}` + "\n"
@@ -102,13 +102,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var words []string
+	var messages []string
 	for _, line := range strings.Split(out.String(), "\n") {
-		if rest, ok := strings.CutPrefix(line, "broadcast_to\t0\tall\t"); ok {
-			words = append(words, rest)
+		if message, ok := strings.CutPrefix(line, "broadcast_to\t0\tall\t"); ok {
+			messages = append(messages, message)
 		}
 	}
-	if len(words) != 1 || len(words[0]) > 512 {
-		t.Errorf("router 0 told %q of an engine it can't reach; all it did:\n%s", words, &out)
+	if len(messages) != 1 || len(messages[0]) > 512 {
+		t.Errorf("router 0 told %q of an engine it can't reach; all it did:\n%s", messages, &out)
 	}
 }
--- /dev/null
+++ b/internal/simadapter/events.go
@@ -0,0 +1,195 @@
+package simadapter
+
+import (
+	"encoding/hex"
+	"strconv"
+	"strings"
+
+	"magpiebank/internal/admission"
+	"magpiebank/internal/cluster/healthreport"
+)
+
+// routerCall passes one decoded event to a router.
+type routerCall func(router *admission.Router)
+
+// eventDecoder reads the fields of an event for an instance, which is nil if the message names none that was booted.
+// It returns nil if the event asks for no decision.
+type eventDecoder func(a *adapter, i *instance) routerCall
+
+var eventDecoders = map[string]eventDecoder{
+	"retire":           decodeRetire,
+	"members":          decodeEndpointUpdate,
+	"arrival":          decodeArrival,
+	"accepted":         decodeAccepted,
+	"response":         decodeResponse,
+	"timed_out_client": decodeClientGone,
+	"due":              decodeTimer,
+	"health":           decodeHealthCheck,
+	"neighbour_says":   decodeGossip,
+	"interim":          decodeProgress,
+}
+
+// handleEvent decodes one of the messages that tell a router what happened. All fields are read before the router
+// is called, so that a malformed line has no effect.
+func (a *adapter) handleEvent() {
+	decode := eventDecoders[a.fields.message]
+	if decode == nil {
+		a.fields.fail("name", "a known message")
+		return
+	}
+	i := a.readInstance()
+	call := decode(a, i)
+	if a.fields.err != nil || call == nil || i.router == nil {
+		return
+	}
+	i.recoverPanic(func() {
+		call(i.router)
+		i.exchangeReports(a.now)
+	})
+}
+
+// readInstance reads which instance a message is for.
+func (a *adapter) readInstance() *instance {
+	i := a.instances[int(a.fields.integer("routerId"))]
+	if i == nil && a.fields.err == nil {
+		a.fields.fail("routerId", "an instance that was booted")
+	}
+	return i
+}
+
+func decodeRetire(_ *adapter, i *instance) routerCall {
+	return func(*admission.Router) { i.router = nil }
+}
+
+// updateForms are the letters of the forms of an endpoint update, in the order of admission.Form.
+const updateForms = "DFCX"
+
+func decodeEndpointUpdate(a *adapter, i *instance) routerCall {
+	f, now := &a.fields, a.now
+	letter := (f.text("form") + " ")[0]
+	form := strings.IndexByte(updateForms, letter)
+	f.integer("rev")
+	number := f.integer("sheet")
+	if form < 0 {
+		f.fail("form", "D, F, C or X")
+		return nil
+	}
+	if !validListNumber(number) {
+		f.fail("sheet", listNumberRange)
+		return nil
+	}
+	list := a.endpoints.lists[number]
+	if admission.Form(form) == admission.NoAnswer {
+		list = nil
+	}
+	return func(router *admission.Router) {
+		if i.reports != nil {
+			i.reports.UpdateEngines(admission.Form(form), list)
+		}
+		router.Listed(now, admission.Form(form), list)
+	}
+}
+
+// workKnown is the bit of an arrival's options that says that its estimate of work holds.
+const workKnown = 1
+
+func decodeArrival(a *adapter, i *instance) routerCall {
+	f, now := &a.fields, a.now
+	id, deadline, tables := admission.RequestID(f.id("handle")), f.timestamp("validUntilUs"), int(f.number("tables"))
+	work, class, tenant := f.timestamp("estimateUs"), int(f.integer("profile")), int(f.integer("realm"))
+	key := strings.Clone(f.optional("object"))
+	options := f.integer("options")
+	memory := f.number("footprintMb")
+	if i != nil && (class < 0 || class >= i.classes) {
+		f.fail("profile", "a class of the settings")
+	}
+	if options&workKnown == 0 {
+		work = 0
+	}
+	return func(router *admission.Router) {
+		router.Arrived(now, id, deadline, class, tenant, key, tables, admission.Foreseen{Work: work, Memory: memory})
+	}
+}
+
+// decodeAccepted reads past the start of an answer. A stream that breaks comes back as a finished response, so its
+// start asks for no decision.
+func decodeAccepted(a *adapter, _ *instance) routerCall {
+	f := &a.fields
+	f.text("handle")
+	f.integer("n")
+	f.text("engine")
+	f.integer("rttUs")
+	return nil
+}
+
+// The wire packs what a request has used into one number: milliseconds of work above, units of memory below.
+const (
+	memoryUnits      = 4096
+	megabytesPerUnit = 4
+)
+
+func decodeResponse(a *adapter, _ *instance) routerCall {
+	f, now := &a.fields, a.now
+	id, outcome, used := admission.RequestID(f.text("handle")), f.outcome("disposition"), f.integer("usedUp")
+	f.integer("rttUs")
+	f.integer("n")
+	finished := f.integer("finished") != 0
+	f.text("engine")
+	report := f.loadReport("serverStats")
+	work, memory := admission.Time(used/memoryUnits)*admission.Millisecond, float64(used%memoryUnits)*megabytesPerUnit
+	return func(router *admission.Router) { router.Ended(now, id, outcome, finished, work, memory, report) }
+}
+
+func decodeClientGone(a *adapter, _ *instance) routerCall {
+	now, id := a.now, admission.RequestID(a.fields.text("handle"))
+	return func(router *admission.Router) { router.ClientGone(now, id) }
+}
+
+func decodeTimer(a *adapter, _ *instance) routerCall {
+	now := a.now
+	a.fields.text("mark")
+	return func(router *admission.Router) { router.Due(now) }
+}
+
+func decodeHealthCheck(a *adapter, _ *instance) routerCall {
+	f, now := &a.fields, a.now
+	engine, outcome := admission.EngineID(f.text("engine")), f.outcome("disposition")
+	f.integer("rttUs")
+	report := f.loadReport("serverStats")
+	return func(router *admission.Router) { router.Probed(now, engine, outcome, report) }
+}
+
+// decodeGossip reads a health report of another instance. A payload that can't be read comes from another version and
+// is ignored.
+func decodeGossip(a *adapter, i *instance) routerCall {
+	f, now := &a.fields, a.now
+	source := healthreport.Source{Name: strconv.FormatInt(f.integer("src"), 10)}
+	payload, err := hex.DecodeString(f.text("payload"))
+	if err != nil {
+		f.fail("payload", "bytes in hex")
+	}
+	return func(*admission.Router) {
+		if i.reports != nil {
+			_ = i.reports.HandleMessage(now, source, payload)
+		}
+	}
+}
+
+// The codes of the kinds of progress on the wire, in the order of admission.News.
+const (
+	firstProgressCode = 1
+	lastProgressCode  = 3
+)
+
+func decodeProgress(a *adapter, _ *instance) routerCall {
+	f, now := &a.fields, a.now
+	id, attempt := admission.RequestID(f.text("handle")), int(f.integer("n"))
+	f.text("engine")
+	code, value := f.integer("what"), f.number("value")
+	if code < firstProgressCode || code > lastProgressCode {
+		f.fail("what", "1 to 3")
+	}
+	return func(router *admission.Router) {
+		router.Noted(now, id, attempt, admission.News(code-firstProgressCode), value)
+	}
+}
