--- a/internal/cluster/counters/format_test.go
+++ b/internal/cluster/counters/format_test.go
@@ -21,16 +21,16 @@
 	a, b := f.cores[0], f.cores[1]
 	for k := range int64(40) {
 		at += every / 2
-		a.Count(at, Change{Key{Lane, "dashboards"}, [figures]int64{k%5 + 1}}, Change{Key{Class, "reports"}, [figures]int64{0, 3}},
-			Change{Key{Engine, "engine-7"}, [figures]int64{Handed: k}}, Change{Key{}, [figures]int64{2, k % 3, 1}})
-		b.Count(at + 7)
-		a.Due(at)
-		b.Due(at + 7)
+		a.ApplyChanges(at, Change{Key{KindClass, "dashboards"}, [figures]int64{k%5 + 1}}, Change{Key{KindPolicyClass, "reports"}, [figures]int64{0, 3}},
+			Change{Key{KindEngine, "engine-7"}, [figures]int64{Attempted: k}}, Change{Key{}, [figures]int64{2, k % 3, 1}})
+		b.ApplyChanges(at + 7)
+		a.Tick(at)
+		b.Tick(at + 7)
 		if m, ok := f.posts[0].sent["g1"]; ok {
-			b.Heard(at+9, "g0", 5, m)
+			b.HandleMessage(at+9, "g0", 5, m)
 		}
 		if m, ok := f.posts[1].sent["g0"]; ok {
-			a.Heard(at+11, "g1", 6, m)
+			a.HandleMessage(at+11, "g1", 6, m)
 		}
 	}
 	expected, found := golden.Read(t, "counts.form"), f.posts[0].sent["g1"]
