--- a/cmd/magpiebank-operator/main.go
+++ b/cmd/magpiebank-operator/main.go
@@ -19,7 +19,7 @@
 )
 
 func main() {
-	p := cli.Program{Operator: read, Commands: []*cobra.Command{statementCommand(), fleetCommand(), policyCommand()}}
+	p := cli.Program{LoadOperatorRules: read, Commands: []*cobra.Command{statementCommand(), fleetCommand(), policyCommand()}}
 	os.Exit(p.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
 
@@ -33,7 +33,7 @@
 }
 
 // read reads an operator's file for a gateway.
-func read(file string, start *config.Start, log *slog.Logger) (cli.Rules, error) {
+func read(file string, start *config.Config, log *slog.Logger) (cli.OperatorRules, error) {
 	f, err := source.Read(file)
 	if err != nil {
 		return nil, err
@@ -50,9 +50,9 @@
 	budgets := f.Fleet != nil && f.Fleet.Quota != nil && (len(f.Fleet.Quota.Names) > 0 || f.Fleet.Policy != nil)
 	switch {
 	case f.Fleet == nil:
-	case !start.Site.Peers && budgets:
+	case !start.Deployment.Peers && budgets:
 		return nil, fmt.Errorf("%s: fleet.budgets: what is shared needs messages between gateways, which the site's settings[limits peerMessages] don't allow", file)
-	case !start.Site.Peers:
+	case !start.Deployment.Peers:
 		log.Warn("fleet", "code", "not_allowed", "error", "the site's settings[limits peerMessages] don't allow messages between gateways")
 	default:
 		if r.fleet, err = agent.New(*f.Fleet, start, log); err != nil {
@@ -69,7 +69,7 @@
 		case r.fleet == nil:
 			return nil, fmt.Errorf("%s: fleet.policy: what the fleet decides needs messages between gateways, which the site's settings[limits peerMessages] don't allow", file)
 		}
-		r.desk.FollowFleetPolicy(r.fleet, source.ParsePolicy, start.Site.Gateways)
+		r.desk.FollowFleetPolicy(r.fleet, source.ParsePolicy, start.Deployment.Gateways)
 		r.fleet.SetPolicyReader(r.desk)
 		if f.PolicyProposed {
 			log.Info("operator's file", "code", "by_policy", "error", "its pools and classes are gone by once they were proposed: magpiebank policy propose "+file)
@@ -78,7 +78,7 @@
 	return r, nil
 }
 
-func (r *rules) Desk() router.Desk {
+func (r *rules) ResourceGroups() router.ResourceGroups {
 	if r.desk == nil {
 		return nil
 	}
@@ -126,7 +126,7 @@
 }
 
 // Save keeps what was learned of statements.
-func (r *rules) Save() {
+func (r *rules) SaveLearned() {
 	if r.desk != nil {
 		r.desk.SaveSnapshot()
 	}
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -25,21 +25,21 @@
 const version = "0.1.0"
 
 // Rules are an operator's, as a gateway goes by them.
-type Rules interface {
-	Desk() router.Desk   // nil: the file has no classes
-	Peers() router.Peers // nil: it has no fleet
-	Reload() error       // reads the file again
-	Save()               // writes what was learned to where the file says
+type OperatorRules interface {
+	ResourceGroups() router.ResourceGroups // nil: the file has no classes
+	Peers() router.Peers                   // nil: it has no fleet
+	Reload() error                         // reads the file again
+	SaveLearned()                          // writes what was learned to where the file says
 }
 
 // Program is what a program has besides the gateway.
 type Program struct {
-	Operator func(file string, start *config.Start, log *slog.Logger) (Rules, error) // nil: another program has the rules
-	Commands []*cobra.Command
+	LoadOperatorRules func(file string, start *config.Config, log *slog.Logger) (OperatorRules, error) // nil: another program has the rules
+	Commands          []*cobra.Command
 }
 
 // Beside is the program that has an operator's rules. It takes the place of one that has not, in the same process.
-const Beside = "magpiebank-operator"
+const OperatorProgram = "magpiebank-operator"
 
 // become turns this process into the program beside it, with the same arguments.
 func become() error {
@@ -47,11 +47,11 @@
 	if err != nil {
 		return cannot{err}
 	}
-	program := filepath.Join(filepath.Dir(self), Beside)
+	program := filepath.Join(filepath.Dir(self), OperatorProgram)
 	if _, err := exec.LookPath(program); err != nil {
-		return cannot{fmt.Errorf("an operator's rules need the program %s beside this one: %w", Beside, err)}
+		return cannot{fmt.Errorf("an operator's rules need the program %s beside this one: %w", OperatorProgram, err)}
 	}
-	return cannot{syscall.Exec(program, append([]string{Beside}, os.Args[1:]...), os.Environ())}
+	return cannot{syscall.Exec(program, append([]string{OperatorProgram}, os.Args[1:]...), os.Environ())}
 }
 
 const usage = `Magpiebank is one router before analytic engines.
@@ -97,7 +97,7 @@
 		}
 		fmt.Fprintf(out, "%s\n\n%s", c.Short, c.UsageString())
 	})
-	if p.Operator == nil {
+	if p.LoadOperatorRules == nil {
 		for use, short := range map[string]string{"statement": "What is read of statements, and what was learned of them",
 			"fleet": "What a gateway knows of the others", "policy": "The fleet's policy: propose a change, follow it, go back"} {
 			root.AddCommand(&cobra.Command{Use: use, Short: short, DisableFlagParsing: true, RunE: func(*cobra.Command, []string) error { return become() }})
@@ -133,14 +133,14 @@
 	c.Flags().StringVar(&s.level, "log-level", "info", "least level logged: debug, info, warn or error")
 }
 
-func (s *source) read() (start *config.Start, least slog.Level, err error) {
+func (s *source) read() (start *config.Config, least slog.Level, err error) {
 	if err := least.UnmarshalText([]byte(s.level)); err != nil {
 		return nil, least, fmt.Errorf("flag log-level: %w", err)
 	}
 	if s.path == "" {
 		return nil, least, errNoConfiguration
 	}
-	if start, err = config.ReadStart(s.path); err != nil {
+	if start, err = config.ReadFile(s.path); err != nil {
 		return nil, least, err
 	}
 	if s.listen != "" {
@@ -153,7 +153,7 @@
 	var from source
 	c := &cobra.Command{Use: "check", Short: "Read the configuration, print what it says, and stop", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if from.operator != "" && p.Operator == nil {
+			if from.operator != "" && p.LoadOperatorRules == nil {
 				return become()
 			}
 			start, _, err := from.read()
@@ -161,14 +161,14 @@
 				return err
 			}
 			if from.operator != "" {
-				if _, err := p.Operator(from.operator, start, slog.New(slog.DiscardHandler)); err != nil {
+				if _, err := p.LoadOperatorRules(from.operator, start, slog.New(slog.DiscardHandler)); err != nil {
 					return err
 				}
 			}
 			fmt.Fprintf(out, "%s listens on %s, one of %d; lanes %q; engine list at %s\n", start.Name, start.Listen,
-				start.Site.Gateways, start.Network.Lanes, start.EngineList)
-			fmt.Fprintf(out, "reports by probe %v, in answers %v; notes every %v\n", start.Site.Probes,
-				start.Network.AnswersTell, time.Duration(start.Site.Pace)*100*time.Microsecond)
+				start.Deployment.Gateways, start.Network.Classes, start.DiscoveryAddress)
+			fmt.Fprintf(out, "reports by probe %v, in answers %v; notes every %v\n", start.Deployment.Probes,
+				start.Network.ReportsInAnswers, time.Duration(start.Deployment.Pace)*100*time.Microsecond)
 			return nil
 		}}
 	from.flags(c, env)
@@ -188,7 +188,7 @@
 	c := &cobra.Command{Use: "serve", Short: "Serve clients until told to stop by SIGTERM; SIGHUP has the configuration read again",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if from.operator != "" && p.Operator == nil {
+			if from.operator != "" && p.LoadOperatorRules == nil {
 				return become()
 			}
 			ends, hups := make(chan os.Signal, 1), make(chan os.Signal, 1)
@@ -206,23 +206,23 @@
 				}
 			}
 			defer tape.Stop()
-			var rules Rules
-			with := router.With{Tape: tape}
+			var rules OperatorRules
+			with := router.Options{Capture: tape}
 			if from.operator != "" {
-				if rules, err = p.Operator(from.operator, start, log); err != nil {
+				if rules, err = p.LoadOperatorRules(from.operator, start, log); err != nil {
 					return err
 				}
-				with.Desk, with.Peers = rules.Desk(), rules.Peers()
+				with.ResourceGroups, with.Peers = rules.ResourceGroups(), rules.Peers()
 				saves := make(chan os.Signal, 1)
 				signal.Notify(saves, syscall.SIGUSR1)
 				go func() {
 					for range saves {
-						rules.Save()
+						rules.SaveLearned()
 					}
 				}()
-				defer rules.Save()
+				defer rules.SaveLearned()
 			}
-			stop, renewed := make(chan struct{}), make(chan *config.Start)
+			stop, renewed := make(chan struct{}), make(chan *config.Config)
 			go func() {
 				<-ends
 				close(stop)
@@ -245,7 +245,7 @@
 			if err != nil {
 				return cannot{err}
 			}
-			with.Keep = keep
+			with.Journal = keep
 			if err := errors.Join(router.Serve(start, with, log, stop, renewed), shut()); err != nil {
 				return cannot{err}
 			}
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -42,7 +42,7 @@
 func (l *stateLog) Delete(k requestjournal.Key, done func(error)) { l.s.Delete(store.Key(k), done) }
 
 // openState opens a folder's record of tasks and recovers it; without a folder there is none. shut closes it.
-func openState(folder string, megabytes int64, start *config.Start, log *slog.Logger) (keep *router.Keeping, shut func() error, err error) {
+func openState(folder string, megabytes int64, start *config.Config, log *slog.Logger) (keep *router.Journal, shut func() error, err error) {
 	if folder == "" {
 		return nil, func() error { return nil }, nil
 	}
@@ -55,8 +55,8 @@
 		return nil, nil, fmt.Errorf("state: %w", err)
 	}
 	var lanes []requestjournal.Class
-	for i, l := range start.Site.Classes {
-		lanes = append(lanes, requestjournal.Class{Effect: l.Effect, DedupWindow: l.DedupWindow, LongestWait: admission.Time(start.Network.Longest[i] / tenth)})
+	for i, l := range start.Deployment.Classes {
+		lanes = append(lanes, requestjournal.Class{Effect: l.Effect, DedupWindow: l.DedupWindow, LongestWait: admission.Time(start.Network.LongestWaits[i] / tenth)})
 	}
 	var behind stateLog
 	book := requestjournal.New(&behind, lanes, int(megabytes)*tasksPerMB)
@@ -85,7 +85,7 @@
 	book.Recover(admission.Time(time.Now().UnixNano() / int64(tenth)))
 	log.Info("state", "code", "recovered", "folder", folder, "fresh", found.Fresh, "segments", found.Segments, "records", found.Records,
 		"tasks", book.Len(), "open", book.Counts.Recovered, "may_have_run", book.Counts.Uncertain, "cut_bytes", found.TornBytes, "warm", memory != nil, "took", time.Since(began))
-	return &router.Keeping{Ledger: book, Failed: s.Err, Memory: memory, Remember: func(b []byte) { remember(s, b) }}, func() error {
+	return &router.Journal{Requests: book, Failed: s.Err, Snapshot: memory, SaveSnapshot: func(b []byte) { remember(s, b) }}, func() error {
 		if err := s.Close(); err != nil {
 			return fmt.Errorf("state: %s: %w", folder, err)
 		}
--- a/internal/cluster/agent/cold.go
+++ b/internal/cluster/agent/cold.go
@@ -56,7 +56,7 @@
 }
 
 // ColdRoom tells whether a part of what an engine may be sent is this gateway's to send next; otherwise it is wanted.
-func (f *Agent) ColdRoom(now admission.Time, engine admission.EngineID, part float64) (room, shared bool) {
+func (f *Agent) TryReserveSlowStart(now admission.Time, engine admission.EngineID, part float64) (room, shared bool) {
 	c := f.cold
 	if c == nil {
 		return false, false
@@ -84,7 +84,7 @@
 }
 
 // Due tells what is wanted, and that what was promised and not used is free again.
-func (f *Agent) Due(now admission.Time) {
+func (f *Agent) Tick(now admission.Time) {
 	const lately = 3 * admission.Second / 10 // longer than the pause between two looks of tasks that wait
 	if f.cold == nil {
 		return
--- a/internal/cluster/agent/counts.go
+++ b/internal/cluster/agent/counts.go
@@ -21,7 +21,7 @@
 func (h counter) Peers() []string { return lender(h).Peers() }
 
 // Moved is the owner's.
-func (f *Agent) Moved(lane, class string, was, is router.Place) {
+func (f *Agent) RecordPlacement(lane, class string, was, is router.Placement) {
 	if f.counts == nil {
 		return
 	}
@@ -35,12 +35,12 @@
 		}
 	}
 	for _, p := range []struct {
-		router.Place
+		router.Placement
 		by int64
 	}{{was, -1}, {is, 1}} {
 		handed := max(0, p.by)
 		switch {
-		case !p.In:
+		case !p.Present:
 		case p.Engine == "":
 			all[counters.Waiting] += p.by
 		default:
--- a/internal/cluster/agent/fleet.go
+++ b/internal/cluster/agent/fleet.go
@@ -55,7 +55,7 @@
 	name    string
 	log     *slog.Logger
 	seal    *seal
-	box     *eventqueue.Box
+	box     *eventqueue.Queue[func()]
 	socket  *net.UDPConn
 	control net.Listener
 	stop    chan struct{}
@@ -107,7 +107,7 @@
 }
 
 // New makes a gateway's part; nothing is opened yet.
-func New(plan Config, start *config.Start, log *slog.Logger) (*Agent, error) {
+func New(plan Config, start *config.Config, log *slog.Logger) (*Agent, error) {
 	if plan.Advertise == "" {
 		plan.Advertise = plan.Listen
 	}
@@ -123,9 +123,9 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Agent{plan: plan, name: start.Name, log: log, seal: key, box: eventqueue.New(), stop: make(chan struct{}), ended: make(chan struct{}),
-		share: healthreport.MaxEjectedShare(start.Site, len(start.Network.Zones)), numbers: map[string]*seen{}, dropped: map[error]int{},
-		listed: map[admission.EngineID]admission.Time{}, out: map[admission.EngineID]bool{}, rated: map[int]rated{}, saidAt: time.Now(), seat: start.Site.Me, gateways: start.Site.Gateways}
+	f := &Agent{plan: plan, name: start.Name, log: log, seal: key, box: eventqueue.New[func()](), stop: make(chan struct{}), ended: make(chan struct{}),
+		share: healthreport.MaxEjectedShare(start.Deployment, len(start.Network.Zones)), numbers: map[string]*seen{}, dropped: map[error]int{},
+		listed: map[admission.EngineID]admission.Time{}, out: map[admission.EngineID]bool{}, rated: map[int]rated{}, saidAt: time.Now(), seat: start.Deployment.Me, gateways: start.Deployment.Gateways}
 	if p := plan.Policy; p != nil {
 		if plan.ControlSocket == "" {
 			return nil, errors.New("fleet.control: expected a socket's path, as policies are proposed there, found nothing")
@@ -134,20 +134,20 @@
 			return nil, fmt.Errorf("fleet.policy.folder: expected a folder, as %s votes, found nothing", start.Name)
 		}
 	}
-	if f.longest = slices.Max(start.Network.Longest); f.longest <= 0 {
+	if f.longest = slices.Max(start.Network.LongestWaits); f.longest <= 0 {
 		f.longest = time.Hour // it isn't told how long clients wait: more than any should
 	}
-	f.most, f.lanes = int64(start.Sockets), start.Network.Lanes
+	f.most, f.lanes = int64(start.MaxDescriptors), start.Network.Classes
 	if b := plan.Quota; b != nil {
-		f.longest = slices.Max(start.Network.Longest)
-		if slices.Min(start.Network.Longest) <= 0 {
+		f.longest = slices.Max(start.Network.LongestWaits)
+		if slices.Min(start.Network.LongestWaits) <= 0 {
 			return nil, errors.New("fleet.budgets: expected a longest wait (deadlineUs) of every class of the site, as by that a right's use ends, found none of one")
 		}
-		f.names, f.tip = slices.Clone(b.Names), start.Site.TipAfter
+		f.names, f.tip = slices.Clone(b.Names), start.Deployment.TipAfter
 		if b.SlowStart && f.tip <= 0 {
 			return nil, errors.New("fleet.budgets.cold: expected a site with a rule for engines that have just started (rules.tipAfterUs), found none")
 		}
-		f.rights = f.shared(b, start.Site.Gateways)
+		f.rights = f.shared(b, start.Deployment.Gateways)
 		if f.rights.ShareTerm < 2*f.rights.LeaseTerm {
 			return nil, fmt.Errorf("fleet.budgets.term: expected six times the longest wait of a class at least, %v, found %v", 6*f.longest, b.ShareTerm)
 		}
@@ -221,7 +221,7 @@
 }
 
 // Listed takes in an event of the engine list, from the owner as Saw and Sent.
-func (f *Agent) Listed(now admission.Time, form admission.Form, list []admission.Listing) {
+func (f *Agent) HandleEndpoints(now admission.Time, form admission.Form, list []admission.Listing) {
 	f.box.Put(func() {
 		f.book.UpdateEngines(form, list)
 		if f.history != nil {
@@ -231,7 +231,7 @@
 }
 
 // Saw takes in what the decisions saw themselves.
-func (f *Agent) Saw(now admission.Time, engine admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
+func (f *Agent) RecordObservation(now admission.Time, engine admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
 	f.box.Put(func() {
 		f.book.Observe(now, engine, saw, report, room)
 		if f.history != nil && saw != admission.Reported {
@@ -241,7 +241,7 @@
 }
 
 // Sent takes in a hand-off.
-func (f *Agent) Sent(now admission.Time, task admission.RequestID, engine admission.EngineID) {
+func (f *Agent) RecordAttempt(now admission.Time, task admission.RequestID, engine admission.EngineID) {
 	f.cold.sent(now, engine)
 	if asOf := f.HistoryNow(); f.history != nil {
 		f.box.Put(func() { // in the order in which the owner told it and the list
@@ -322,11 +322,11 @@
 		f.looked(f.clock.Now())
 		select {
 		case <-f.box.Wake:
-			f.box.Run()
+			f.box.Drain(func(call func()) { call() })
 		case <-ticker.C:
-			f.box.Run()
+			f.box.Drain(func(call func()) { call() })
 		case <-f.stop:
-			f.box.Run()
+			f.box.Drain(func(call func()) { call() })
 			f.core.Leave(f.clock.Now())
 			if f.purse != nil {
 				f.purse.WithCore(func(c *quota.Core) { f.bequeath(c.ReleaseShares(f.clock.Now())) })
--- a/internal/cluster/agent/fleet_test.go
+++ b/internal/cluster/agent/fleet_test.go
@@ -67,7 +67,7 @@
 	clock := wall{time.Now()}
 	for i, a := range addresses {
 		site := &admission.Deployment{Gateways: 4, Me: i, Peers: true, Classes: []admission.Class{{Threads: 1, LatencyTarget: 1000}}}
-		start := &config.Start{Name: fmt.Sprint("g", i), Site: site, Network: &config.Network{Zones: []string{"a"}, Longest: []time.Duration{50 * time.Millisecond}}}
+		start := &config.Config{Name: fmt.Sprint("g", i), Deployment: site, Network: &config.Network{Zones: []string{"a"}, LongestWaits: []time.Duration{50 * time.Millisecond}}}
 		f, err := New(Config{Listen: a, Seeds: addresses[:2], Key: filepath.Join(folder, "key"), BytesPerSecond: 1 << 20, ControlSocket: filepath.Join(folder, start.Name+".sock"),
 			HistoryFile: filepath.Join(folder, start.Name+".history"), ShareHealth: true,
 			Quota: &QuotaConfig{Voters: []string{"g0", "g1", "g2"}, ShareTerm: time.Second, Number: 1, Names: []string{"c"}, Totals: []int64{6}}}, start, slog.New(slog.DiscardHandler))
@@ -78,7 +78,7 @@
 		if err := f.Start(clock, o.tell(clock)); err != nil {
 			t.Fatal(err)
 		}
-		f.Listed(clock.Now(), admission.Whole, list)
+		f.HandleEndpoints(clock.Now(), admission.Whole, list)
 		o.tell(clock)(func(now admission.Time, r *admission.Router) { r.Listed(now, admission.Whole, list) })
 		all = append(all, f)
 	}
@@ -107,8 +107,8 @@
 	})
 	until("three failures reach the fourth", func() bool {
 		for _, f := range all[:3] {
-			f.Saw(clock.Now(), "e2", admission.Erred, admission.NoReport, 1e9)
-			f.Sent(clock.Now(), "t", "e2")
+			f.RecordObservation(clock.Now(), "e2", admission.Erred, admission.NoReport, 1e9)
+			f.RecordAttempt(clock.Now(), "t", "e2")
 		}
 		return ask(3).Engines[1].Evidence >= 3
 	})
--- a/internal/cluster/agent/planted_on.go
+++ b/internal/cluster/agent/planted_on.go
@@ -38,7 +38,7 @@
 // asking has what the owner's calls lead to be sent at once, by the fleet's goroutine.
 type asking struct {
 	*quorumquota.Core
-	box *eventqueue.Box
+	box *eventqueue.Queue[func()]
 }
 
 func (a asking) TryReserve(now admission.Time, b int, amount int64, length admission.Time) bool {
--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -11,19 +11,19 @@
 const settings = `{"classes":[{"name":"look","sloUs":1000000,"worth":1,"effect":"read_like"}],
  "limits":{"connectTimeoutUs":250000,"keepaliveUs":30000000,"maxOpen":%d}}`
 
-func start(t *testing.T, text string) (*Start, error) {
+func start(t *testing.T, text string) (*Config, error) {
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return ReadStart(path)
+	return ReadFile(path)
 }
 
 func TestSeats(t *testing.T) { // clients hold a third of the descriptors, so more tasks can't be in hand
 	for _, c := range []struct{ sockets, open, seats int }{{1024, 20000, 341}, {1024, 100, 100}, {0, 100, 100}, {1024, 0, 341}} {
 		s, err := start(t, fmt.Sprintf(`{"name":"n","listen":"l","coordinator":"c","seed":"ffffffffffffffff","known":{},
 		 "limits":{"sockets":%d},"settings":`+settings+`}`, c.sockets, c.open))
-		if err != nil || s.Site.Seats != c.seats || s.Seed != -1 {
+		if err != nil || s.Deployment.Seats != c.seats || s.Seed != -1 {
 			t.Errorf("%v: got %+v, %v", c, s, err)
 		}
 	}
@@ -55,7 +55,7 @@
 			t.Errorf("%s: got %v, want %s", text, err, want)
 		}
 	}
-	if _, err := ReadStart(""); err == nil {
+	if _, err := ReadFile(""); err == nil {
 		t.Error("a configuration that isn't there was read")
 	}
 }
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprintf("pace %d, answers tell %v", s.Site.Pace, s.Network.AnswersTell); got != want {
+		if got := fmt.Sprintf("pace %d, answers tell %v", s.Deployment.Pace, s.Network.ReportsInAnswers); got != want {
 			t.Errorf("%s: got %s, want %s", text, got, want)
 		}
 	}
--- a/internal/config/report.go
+++ b/internal/config/report.go
@@ -12,7 +12,7 @@
 
 // Report reads an engine's load report, pairs name:value with a mark between them, under the names that the
 // settings give its fields; ok tells whether all of it was such pairs. Others are passed over.
-func Report(text, between string) (r admission.Report, ok bool) {
+func ParseReport(text, between string) (r admission.Report, ok bool) {
 	r, ok = admission.NoReport, true
 	for rest := text; rest != ""; {
 		var pair string
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -10,19 +10,19 @@
 )
 
 // Start is what one router is told when its process begins.
-type Start struct {
-	Name, Listen string
-	EngineList   string // address of the engine list
-	Seed         int64
-	MemoryMB     int
-	Sockets      int              // descriptors that the process may hold; 0: not told
-	Known        *jsonvalue.Sheet // the engine list's events so far
-	Site         *admission.Deployment
-	Network      *Network
+type Config struct {
+	Name, Listen     string
+	DiscoveryAddress string // address of the engine list
+	Seed             int64
+	MemoryMB         int
+	MaxDescriptors   int              // descriptors that the process may hold; 0: not told
+	KnownEndpoints   *jsonvalue.Value // the engine list's events so far
+	Deployment       *admission.Deployment
+	Network          *Network
 }
 
 // ReadStart reads a router's configuration from a file.
-func ReadStart(path string) (*Start, error) {
+func ReadFile(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -31,27 +31,27 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Start{Name: c.Needed("name"), Listen: c.Needed("listen"), EngineList: c.Needed("coordinator"),
-		MemoryMB: int(c.Num("limits", "memory_mb")),
-		Sockets:  int(c.Num("limits", "sockets")), Known: c.Under("known")}
-	seed, err := strconv.ParseUint(c.Needed("seed"), 16, 64)
+	s := &Config{Name: c.RequireText("name"), Listen: c.RequireText("listen"), DiscoveryAddress: c.RequireText("coordinator"),
+		MemoryMB:       int(c.Float("limits", "memory_mb")),
+		MaxDescriptors: int(c.Float("limits", "sockets")), KnownEndpoints: c.Object("known")}
+	seed, err := strconv.ParseUint(c.RequireText("seed"), 16, 64)
 	if err != nil {
 		c.Fail("up to 16 hex digits", "seed")
 	}
 	s.Seed = int64(seed)
-	settings := c.Under("settings")
+	settings := c.Object("settings")
 	if c.Err() != nil {
 		return nil, c.Err()
 	}
-	if s.Site, err = Read(settings); err != nil {
+	if s.Deployment, err = ReadDeployment(settings); err != nil {
 		return nil, err
 	}
 	if s.Network, err = ReadNetwork(settings); err != nil {
 		return nil, err
 	}
 	// Clients hold at most a third of the descriptors, and a session carries one task.
-	if seats := s.Sockets / 3; seats > 0 && (s.Site.Seats == 0 || seats < s.Site.Seats) {
-		s.Site.Seats = seats
+	if seats := s.MaxDescriptors / 3; seats > 0 && (s.Deployment.Seats == 0 || seats < s.Deployment.Seats) {
+		s.Deployment.Seats = seats
 	}
 	return s, nil
 }
--- a/internal/jsonvalue/sheet.go
+++ b/internal/jsonvalue/sheet.go
@@ -7,15 +7,15 @@
 )
 
 // Sheet is a JSON value under a name that its errors carry.
-type Sheet struct {
+type Value struct {
 	name string
 	root any
 	err  error
 }
 
 // Parse decodes a JSON object.
-func Parse(name string, text []byte) (*Sheet, error) {
-	s := &Sheet{name: name}
+func Parse(name string, text []byte) (*Value, error) {
+	s := &Value{name: name}
 	if err := json.Unmarshal(text, &s.root); err != nil {
 		return nil, fmt.Errorf("field %s: expected a JSON object: %v", name, err)
 	}
@@ -26,17 +26,17 @@
 }
 
 // Under is the part of a sheet at a path, as a sheet of its own.
-func (s *Sheet) Under(path ...any) *Sheet {
-	v := s.At(path...)
+func (s *Value) Object(path ...any) *Value {
+	v := s.Lookup(path...)
 	name := fmt.Sprint(s.name, path)
 	if _, ok := v.(map[string]any); !ok {
 		s.Fail("an object", path...)
 	}
-	return &Sheet{name: name, root: v}
+	return &Value{name: name, root: v}
 }
 
 // At is the value at a path, nil where there is none.
-func (s *Sheet) At(path ...any) any {
+func (s *Value) Lookup(path ...any) any {
 	v := s.root
 	for _, p := range path {
 		switch p := p.(type) {
@@ -55,18 +55,18 @@
 }
 
 // Fail notes what was expected at a path, unless something was amiss before.
-func (s *Sheet) Fail(want string, path ...any) {
+func (s *Value) Fail(want string, path ...any) {
 	if s.err == nil {
 		s.err = fmt.Errorf("field %s%v: expected %s", s.name, path, want)
 	}
 }
 
 // Err is the first thing that was amiss.
-func (s *Sheet) Err() error { return s.err }
+func (s *Value) Err() error { return s.err }
 
 // get is the value at a path as a T, and the zero T where there is none.
-func get[T any](s *Sheet, want string, path []any) T {
-	v := s.At(path...)
+func get[T any](s *Value, want string, path []any) T {
+	v := s.Lookup(path...)
 	t, ok := v.(T)
 	if v != nil && !ok {
 		s.Fail(want, path...)
@@ -75,19 +75,19 @@
 }
 
 // Num is a number, 0 where there is none.
-func (s *Sheet) Num(path ...any) float64 { return get[float64](s, "a number", path) }
+func (s *Value) Float(path ...any) float64 { return get[float64](s, "a number", path) }
 
 // Flag is true or false, false where there is none.
-func (s *Sheet) Flag(path ...any) bool { return get[bool](s, "true or false", path) }
+func (s *Value) Bool(path ...any) bool { return get[bool](s, "true or false", path) }
 
 // Text is a text, empty where there is none.
-func (s *Sheet) Text(path ...any) string { return get[string](s, "a text", path) }
+func (s *Value) Text(path ...any) string { return get[string](s, "a text", path) }
 
 // List is a list, empty where there is none.
-func (s *Sheet) List(path ...any) []any { return get[[]any](s, "a list", path) }
+func (s *Value) List(path ...any) []any { return get[[]any](s, "a list", path) }
 
 // Needed is a text that must be there.
-func (s *Sheet) Needed(path ...any) string {
+func (s *Value) RequireText(path ...any) string {
 	t := s.Text(path...)
 	if t == "" {
 		s.Fail("a text", path...)
@@ -96,7 +96,7 @@
 }
 
 // each reads the entries of a list one by one.
-func each[T any](s *Sheet, read func(path ...any) T, path []any) (out []T) {
+func each[T any](s *Value, read func(path ...any) T, path []any) (out []T) {
 	for i := range s.List(path...) {
 		out = append(out, read(append(path[:len(path):len(path)], i)...))
 	}
@@ -104,7 +104,7 @@
 }
 
 // Nums is a list of numbers.
-func (s *Sheet) Nums(path ...any) []float64 { return each(s, s.Num, path) }
+func (s *Value) Floats(path ...any) []float64 { return each(s, s.Float, path) }
 
 // Texts is a list of texts.
-func (s *Sheet) Texts(path ...any) []string { return each(s, s.Text, path) }
+func (s *Value) Texts(path ...any) []string { return each(s, s.Text, path) }
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -106,10 +106,10 @@
 // beside them, and returns the number of the last. It stops before an event that can't be read, as a list that
 // broke off or was spoilt on its way is whole when it is asked for again; pass: that event is told with the
 // entries that can be read, and it stops behind it.
-func ReadWatchEvents(s *jsonvalue.Sheet, held int64, pass bool, zones, kinds []string,
+func ReadWatchEvents(s *jsonvalue.Value, held int64, pass bool, zones, kinds []string,
 	told func(whole bool, list []admission.Listing, addresses []string)) int64 {
 	for i := range s.List("updates") {
-		index := int64(s.Num("updates", i, "index"))
+		index := int64(s.Float("updates", i, "index"))
 		if index <= held {
 			continue
 		}
@@ -120,7 +120,7 @@
 				list, addresses = append(list, l), append(addresses, address)
 			}
 		}
-		whole := s.Flag("updates", i, "endpoints", "full")
+		whole := s.Bool("updates", i, "endpoints", "full")
 		if s.Err() != nil && !pass {
 			return held
 		}
@@ -129,7 +129,7 @@
 			return held
 		}
 	}
-	if last := int64(s.Num("index")); last > held {
+	if last := int64(s.Float("index")); last > held {
 		s.Fail("the events up to it", "index")
 		if pass {
 			held = last
@@ -139,14 +139,14 @@
 }
 
 // readEndpoint reads one entry of an event; ok tells whether all that it needs could be read.
-func readEndpoint(s *jsonvalue.Sheet, zones, kinds []string, at ...any) (l admission.Listing, address string, ok bool) {
+func readEndpoint(s *jsonvalue.Value, zones, kinds []string, at ...any) (l admission.Listing, address string, ok bool) {
 	entry := func(field string) []any { return append(at[:len(at):len(at)], field) }
 	l = admission.Listing{
-		Engine: admission.EngineID(s.Needed(entry("id")...)),
+		Engine: admission.EngineID(s.RequireText(entry("id")...)),
 		Zone:   slices.Index(zones, s.Text(entry("zone")...)),
 		Kind:   slices.Index(kinds, s.Text(entry("kind")...)),
-		Group:  int(s.Num(entry("cell")...)),
-		Since:  admission.Time(s.Num(entry("started_ms")...)) * admission.Millisecond,
+		Group:  int(s.Float(entry("cell")...)),
+		Since:  admission.Time(s.Float(entry("started_ms")...)) * admission.Millisecond,
 	}
 	address = s.Text(entry("addr")...)
 	switch s.Text(entry("state")...) {
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -163,6 +163,6 @@
 
 // ParseLoadReport reads an engine's load report, as in inflight:7;util:0.61.
 func ParseLoadReport(fields []byte) admission.Report {
-	r, _ := config.Report(string(FindField(fields, "gauges")), ";")
+	r, _ := config.ParseReport(string(FindField(fields, "gauges")), ";")
 	return r
 }
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -116,7 +116,7 @@
 func newSession(o *owner, tcp net.Conn) *session {
 	s := &session{o: o, tcp: tcp, r: newReader(tcp), mail: newMailbox(), connection: rand.Uint32(), began: time.Now()}
 	if o.desk != nil {
-		s.reader = o.desk.Reader()
+		s.reader = o.desk.NewStatementReader()
 	}
 	return s
 }
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -63,7 +63,7 @@
 		}
 		return l.passOver()
 	}
-	if word != "news" && word != "page" && e.o.network.AnswersTell { // the owner reads it once the end is told
+	if word != "news" && word != "page" && e.o.network.ReportsInAnswers { // the owner reads it once the end is told
 		h.report = resp.ParseLoadReport(fields)
 	}
 	switch word {
--- a/internal/router/cut_test.go
+++ b/internal/router/cut_test.go
@@ -84,7 +84,7 @@
 	e.s = s
 	l := s.listen()
 	next := *s.start
-	next.EngineList = l.Addr().String()
+	next.DiscoveryAddress = l.Addr().String()
 	s.renewed <- &next
 	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, event(2, false, []string{entry(e, "Ready")}))
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
--- a/internal/router/desk.go
+++ b/internal/router/desk.go
@@ -4,33 +4,33 @@
 
 // Desk is what an operator's rules add to a gateway: it puts requests into classes, limits what runs of each, and foresees
 // costs. Its calls are the owner's; what a Reader does is its session's. Package operator has the one there is.
-type Desk interface {
+type ResourceGroups interface {
 	admission.Gate
-	Listed(now admission.Time, form admission.Form, list []admission.Listing)
-	Due(now admission.Time)
+	HandleEndpoints(now admission.Time, form admission.Form, list []admission.Listing)
+	Tick(now admission.Time)
 	// Arrived rules on the request that a reader has read. A text in refuse is the client's final answer; crowded: it is
 	// nacked, as too many of its class wait, or nobody knows now what holds for it.
-	Arrived(now admission.Time, r Reader) (f admission.Foreseen, crowded bool, refuse string)
+	Classify(now admission.Time, r StatementReader) (f admission.Foreseen, crowded bool, refuse string)
 	// Sent takes in an attempt; Back its end, with the work it took (0: not told) and whether its request waits again. What
 	// Sent returns is handed to Back; by, where it is not 0, names the rules that had it go out.
-	Sent(f admission.Foreseen, threads float64) (charged float64, by uint64)
-	Back(f admission.Foreseen, threads, charged float64, work admission.Time, waits bool)
+	RecordAttempt(f admission.Foreseen, threads float64) (charged float64, by uint64)
+	RecordAttemptEnd(f admission.Foreseen, threads, charged float64, work admission.Time, waits bool)
 	// Left takes in that a waiting request got its final answer.
-	Left(f admission.Foreseen)
+	RecordDeparture(f admission.Foreseen)
 	// Pass tells, right before an attempt is written, whether the rules that had it go out are still gone by; Passed follows once it
 	// is written. Both are called by the goroutine that writes.
-	Pass(by uint64, request admission.RequestID) bool
-	Passed(by uint64, request admission.RequestID)
-	Name(class int) string
-	Reader() Reader
+	BeginWrite(by uint64, request admission.RequestID) bool
+	EndWrite(by uint64, request admission.RequestID)
+	ClassName(class int) string
+	NewStatementReader() StatementReader
 }
 
 // Reader reads the statements of one session, one after the other.
-type Reader interface {
+type StatementReader interface {
 	// Read reads a statement that is to be a request.
-	Read(sql []byte, class, tables int)
+	ReadStatement(sql []byte, class, tables int)
 	// Answered takes in what the statement read last has cost, and the MB it needed (0: not told).
-	Answered(work admission.Time, memory float64)
+	RecordCost(work admission.Time, memory float64)
 }
 
 // seen tells whether the desk keeps account of a request.
@@ -40,7 +40,7 @@
 func (o *owner) sent(h *attempt) {
 	if t := h.of; t.seen() {
 		h.foreseen, h.threads = t.foreseen, float64(o.site.Classes[t.class].Threads)
-		h.charged, h.by = o.desk.Sent(t.foreseen, h.threads)
+		h.charged, h.by = o.desk.RecordAttempt(t.foreseen, h.threads)
 		t.held = false
 	}
 }
@@ -49,16 +49,16 @@
 func (o *owner) back(now admission.Time, h *attempt, how admission.Outcome, over bool, work admission.Time, memory float64) {
 	if f := &h.foreseen; f.PolicyClass > 0 || f.Trial > 0 {
 		waits := !over && o.requests[h.of.id] == h.of
-		o.desk.Back(h.foreseen, h.threads, h.charged, work, waits)
+		o.desk.RecordAttemptEnd(h.foreseen, h.threads, h.charged, work, waits)
 		if waits {
 			h.of.held = true
 		}
 	}
-	if t := h.of; t.place.In {
-		o.moved(t, Place{In: true})
+	if t := h.of; t.place.Present {
+		o.moved(t, Placement{Present: true})
 	}
 	if o.keep != nil {
-		o.keep.Ledger.EndAttempt(now, h.of.id, how.NeverRan())
+		o.keep.Requests.EndAttempt(now, h.of.id, how.NeverRan())
 	}
 	o.module.Ended(now, h.of.id, how, over, work, memory, h.report)
 }
--- a/internal/router/engine.go
+++ b/internal/router/engine.go
@@ -72,7 +72,7 @@
 	var best *engineConn
 	longest := e.fresh()
 	for _, l := range e.conns {
-		if l.out >= e.o.network.Streams || l.open[h.request] != nil || l.silent() ||
+		if l.out >= e.o.network.AttemptsPerConnection || l.open[h.request] != nil || l.silent() ||
 			l.out == 0 && time.Since(l.used) >= longest {
 			continue
 		}
@@ -125,7 +125,7 @@
 // that says nothing of the engine now. Rests are kept to half of that one from then on.
 func (e *engine) stale(h *attempt) bool {
 	const least = 20 * time.Millisecond // of a rest: one as short is no cause
-	if h.rested < least || time.Since(h.sent) > e.o.network.ConnectWithin {
+	if h.rested < least || time.Since(h.sent) > e.o.network.ConnectTimeout {
 		return false
 	}
 	e.mu.Lock()
@@ -136,5 +136,5 @@
 
 // idleAfter is when a connection without use is closed: before the engine would, so that nothing crosses its close.
 func (o *owner) idleAfter() time.Duration {
-	return max(o.network.IdleClose-o.network.ConnectWithin, o.network.IdleClose/2)
+	return max(o.network.IdleTimeout-o.network.ConnectTimeout, o.network.IdleTimeout/2)
 }
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -33,7 +33,7 @@
 // silent tells of a connection on which nothing came after an undo, not even the word that it was heard: the
 // machine behind it may be gone without a sign, and a new connection tells that sooner than a time-out.
 func (l *engineConn) silent() bool {
-	return !l.asked.IsZero() && time.Since(l.asked) > l.e.o.network.ConnectWithin
+	return !l.asked.IsZero() && time.Since(l.asked) > l.e.o.network.ConnectTimeout
 }
 
 // mostPieces is how many times the wait for one part of an answer the whole of it may take, so that one that grows without an
@@ -61,9 +61,9 @@
 	sooner(now, 0, l.out == 0 && l.e.retired)
 	pace := time.Duration(l.e.o.site.Pace) * tenth
 	sooner(l.heard, 2*pace, l.out > 0 && pace > 0)
-	sooner(l.asked, n.ConnectWithin, !l.asked.IsZero())
-	sooner(l.grown, n.ConnectWithin, !l.begun.IsZero())
-	sooner(l.begun, mostPieces*n.ConnectWithin, !l.begun.IsZero())
+	sooner(l.asked, n.ConnectTimeout, !l.asked.IsZero())
+	sooner(l.grown, n.ConnectTimeout, !l.begun.IsZero())
+	sooner(l.begun, mostPieces*n.ConnectTimeout, !l.begun.IsZero())
 	l.tcp.SetReadDeadline(by)
 }
 
@@ -76,7 +76,7 @@
 		if late = h.sendBy > 0 && l.e.o.clock.Now() >= h.sendBy; late {
 			return nil
 		}
-		if h.by != 0 && !l.e.o.desk.Pass(h.by, h.request) {
+		if h.by != 0 && !l.e.o.desk.BeginWrite(h.by, h.request) {
 			l.revoke(h)
 			return nil
 		}
@@ -88,7 +88,7 @@
 			Token: h.token, Statement: h.statement})
 	}, func() { h.state.CompareAndSwap(written, fresh) })
 	if passed {
-		l.e.o.desk.Passed(h.by, h.request)
+		l.e.o.desk.EndWrite(h.by, h.request)
 	}
 	if late {
 		l.revoke(h)
@@ -119,7 +119,7 @@
 	if buffers == nil {
 		return
 	}
-	n, err := writeBy(l.tcp, time.Now().Add(l.e.o.network.ConnectWithin), buffers)
+	n, err := writeBy(l.tcp, time.Now().Add(l.e.o.network.ConnectTimeout), buffers)
 	if err == nil {
 		return
 	}
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -138,7 +138,7 @@
 func TestReportOfNobodyIsPassedOver(t *testing.T) { // where answers hold reports, one for no request is passed over like its rows
 	e := newEngineStand(t, "e1")
 	s := play(t, e)
-	s.o.tell(func(admission.Time) { s.o.network.AnswersTell = true })
+	s.o.tell(func(admission.Time) { s.o.network.ReportsInAnswers = true })
 	a := s.client()
 	a.look("aa")
 	k := e.hears()
@@ -201,7 +201,7 @@
 	e.hears()
 	s.pass(250 * admission.Millisecond)
 	a.gets()
-	time.Sleep(s.o.network.ConnectWithin + time.Millisecond)
+	time.Sleep(s.o.network.ConnectTimeout + time.Millisecond)
 	a.look("bb")
 	if e.hears() == k {
 		t.Error("the next attempt came on the silent connection")
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -19,8 +19,8 @@
 	})
 	a.o.sent(h)
 	if a.o.peers != nil {
-		a.o.peers.Sent(a.o.now, id, name)
-		a.o.moved(t, Place{In: true, Engine: name})
+		a.o.peers.RecordAttempt(a.o.now, id, name)
+		a.o.moved(t, Placement{Present: true, Engine: name})
 	}
 	if e == nil { // the list took it away within one event
 		a.o.tellEnded(h, admission.Unreachable)
@@ -71,7 +71,7 @@
 	if a.o.peers == nil {
 		return false, false
 	}
-	return a.o.peers.ColdRoom(a.o.now, name, part)
+	return a.o.peers.TryReserveSlowStart(a.o.now, name, part)
 }
 
 // Subscribe has nothing to do: the engine list is followed from the start.
@@ -80,7 +80,7 @@
 // Tell has nobody to tell where there are no peers.
 func (a host) Tell(name admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
 	if a.o.peers != nil {
-		a.o.peers.Saw(a.o.now, name, saw, report, room)
+		a.o.peers.RecordObservation(a.o.now, name, saw, report, room)
 	}
 }
 
@@ -88,13 +88,13 @@
 	a.o.clock.After(at-a.o.clock.Now(), func() {
 		a.o.tell(func(now admission.Time) { // the first is asked for before the module is there
 			if a.o.desk != nil {
-				a.o.desk.Due(now)
+				a.o.desk.Tick(now)
 			}
 			if a.o.keep != nil {
 				a.o.keep.due(now, a.o.module)
 			}
 			if a.o.peers != nil {
-				a.o.peers.Due(now)
+				a.o.peers.Tick(now)
 			}
 			a.o.module.Due(now)
 		})
--- a/internal/router/mailbox.go
+++ b/internal/router/mailbox.go
@@ -10,19 +10,19 @@
 
 // mailbox is how the owner reaches the goroutine of a session, also while that reads from its client.
 type mailbox struct {
-	*eventqueue.Box
+	*eventqueue.Queue[func()]
 	mu      sync.Mutex
 	reading net.Conn // whose read a call interrupts; nil: none
 }
 
-func newMailbox() *mailbox { return &mailbox{Box: eventqueue.New()} }
+func newMailbox() *mailbox { return &mailbox{Queue: eventqueue.New[func()]()} }
 
 // longAgo is a read deadline that ends a read at once.
 var longAgo = time.Unix(1, 0)
 
 // Put adds a call, and interrupts the read that the session is in.
 func (m *mailbox) Put(call func()) {
-	m.Box.Put(call)
+	m.Queue.Put(call)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.reading != nil {
@@ -59,5 +59,5 @@
 	case <-m.Wake:
 	default:
 	}
-	m.Run()
+	m.Drain(func(call func()) { call() })
 }
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -19,12 +19,12 @@
 // through the mailboxes of sessions and the wake-up channels of engines; it never waits for either.
 type owner struct {
 	clock          Clock
-	inbox          *eventqueue.Box
+	inbox          *eventqueue.Queue[func()]
 	log            *slog.Logger
 	network        *config.Network
 	site           *admission.Deployment
-	desk           Desk              // nil: there are no classes
-	keep           *Keeping          // nil: nothing of requests is recorded
+	desk           ResourceGroups    // nil: there are no classes
+	keep           *Journal          // nil: nothing of requests is recorded
 	peers          Peers             // nil: this gateway speaks to no other
 	tape           *capture.Recorder // nil: nothing is recorded
 	clients        connectionLimiter
@@ -49,27 +49,27 @@
 // the listener, the engine list's connection, files as they are read; and what ends while its successor begins.
 const ownDescriptors = 24
 
-func newOwner(start *config.Start, clock Clock, log *slog.Logger) *owner {
-	o := &owner{clock: clock, inbox: eventqueue.New(), log: log, network: start.Network, site: start.Site, now: clock.Now(),
+func newOwner(start *config.Config, clock Clock, log *slog.Logger) *owner {
+	o := &owner{clock: clock, inbox: eventqueue.New[func()](), log: log, network: start.Network, site: start.Deployment, now: clock.Now(),
 		sessions: map[uint32]*session{}, requests: map[admission.RequestID]*request{},
 		engines: map[admission.EngineID]engineClient{}}
 	o.dial = func(address string) (net.Conn, error) {
-		return net.DialTimeout("tcp", address, o.network.ConnectWithin)
+		return net.DialTimeout("tcp", address, o.network.ConnectTimeout)
 	}
 	o.connect = func(name admission.EngineID, address string) engineClient { return newEngine(o, name, address) }
 	// Clients have what engines, which get a third, and the process itself leave of the descriptors; by the
 	// protocol they hold a third, so what they have more is for those that should not be there.
-	if o.engineRoom = math.MaxInt64; start.Sockets > 0 {
-		o.engineRoom = int64(start.Sockets / 3)
-		o.clients.room = max(start.Sockets/3, start.Sockets-start.Sockets/3-ownDescriptors)
+	if o.engineRoom = math.MaxInt64; start.MaxDescriptors > 0 {
+		o.engineRoom = int64(start.MaxDescriptors / 3)
+		o.clients.room = max(start.MaxDescriptors/3, start.MaxDescriptors-start.MaxDescriptors/3-ownDescriptors)
 	}
 	o.mostStatements = int64(start.MemoryMB) << 20 / 16
-	o.module = admission.New(o.now, start.Seed, start.Site, host{o})
+	o.module = admission.New(o.now, start.Seed, start.Deployment, host{o})
 	return o
 }
 
 // guard has an operator's rules heeded; it is called before anything is told.
-func (o *owner) guard(d Desk) {
+func (o *owner) guard(d ResourceGroups) {
 	if d != nil {
 		o.desk = d
 		o.module.Guard(d)
@@ -81,7 +81,7 @@
 	for {
 		select {
 		case <-o.inbox.Wake:
-			o.inbox.Run()
+			o.inbox.Drain(func(call func()) { call() })
 		case <-stop:
 			return
 		}
@@ -119,14 +119,14 @@
 		}
 	}
 	if o.desk != nil {
-		o.desk.Listed(now, form, list)
+		o.desk.HandleEndpoints(now, form, list)
 	}
 	defer o.withdrawUnwritten(now, list)
 	if o.keep != nil {
 		o.placed(form, list)
 	}
 	if o.peers != nil {
-		o.peers.Listed(now, form, list)
+		o.peers.HandleEndpoints(now, form, list)
 	}
 	o.module.Listed(now, form, list)
 }
@@ -164,7 +164,7 @@
 		return
 	}
 	if o.desk != nil {
-		f, crowded, refuse := o.desk.Arrived(now, t.reader)
+		f, crowded, refuse := o.desk.Classify(now, t.reader)
 		switch {
 		case refuse != "":
 			t.by.denied(refuse)
@@ -181,13 +181,13 @@
 	}
 	if o.keep != nil && !o.take(now, t) {
 		if t.seen() {
-			o.desk.Left(t.foreseen)
+			o.desk.RecordDeparture(t.foreseen)
 		}
 		return
 	}
 	t.held = t.seen()
 	o.requests[t.id] = t
-	o.moved(t, Place{In: true})
+	o.moved(t, Placement{Present: true})
 	t.rank = 1
 	o.module.Arrived(now, t.id, t.deadline, t.class, t.tenant, t.key, t.tables, t.foreseen)
 }
@@ -252,7 +252,7 @@
 // overtook the undo on another connection would be a second copy. It is as long as a connection may take to
 // come up, and never past the deadline, after which nothing is sent.
 func (o *owner) undoWithin(now admission.Time, t *request) admission.Time {
-	return max(0, min(admission.Time(o.network.ConnectWithin/tenth), t.deadline-now))
+	return max(0, min(admission.Time(o.network.ConnectTimeout/tenth), t.deadline-now))
 }
 
 // givenUp tells the module of an attempt that was called off or timed out, once the engine has heard of it.
@@ -268,10 +268,10 @@
 func (o *owner) answered(t *request) {
 	t.over = true
 	delete(o.requests, t.id)
-	o.moved(t, Place{})
+	o.moved(t, Placement{})
 	if t.held {
 		t.held = false
-		o.desk.Left(t.foreseen)
+		o.desk.RecordDeparture(t.foreseen)
 	}
 }
 
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -7,38 +7,38 @@
 type Peers interface {
 	// Start is handed the clock, and how to have a call made by the owner, with the module.
 	Start(clock Clock, tell func(call func(now admission.Time, module *admission.Router))) error
-	Listed(now admission.Time, form admission.Form, list []admission.Listing)
+	HandleEndpoints(now admission.Time, form admission.Form, list []admission.Listing)
 	// Saw takes in what the decisions saw of an engine themselves, and the bytes that may be told more from now on.
-	Saw(now admission.Time, engine admission.EngineID, saw admission.Sight, report admission.Report, room float64)
+	RecordObservation(now admission.Time, engine admission.EngineID, saw admission.Sight, report admission.Report, room float64)
 	// ColdRoom tells whether a part of what an engine that has just started may be sent is this gateway's to send next, where that is
 	// shared.
-	ColdRoom(now admission.Time, engine admission.EngineID, part float64) (room, shared bool)
+	TryReserveSlowStart(now admission.Time, engine admission.EngineID, part float64) (room, shared bool)
 	// Due is the owner's timer.
-	Due(now admission.Time)
+	Tick(now admission.Time)
 	// Sent takes in an attempt.
-	Sent(now admission.Time, request admission.RequestID, engine admission.EngineID)
+	RecordAttempt(now admission.Time, request admission.RequestID, engine admission.EngineID)
 	// Moved takes in where a request of a class and a class of the operator's (empty: none) was and is.
-	Moved(class, policyClass string, was, is Place)
+	RecordPlacement(class, policyClass string, was, is Placement)
 	// Stop says farewell to them.
 	Stop()
 }
 
 // Place is where a request is.
-type Place struct {
-	In     bool               // the gateway has it
-	Engine admission.EngineID // where it runs; empty: it waits
+type Placement struct {
+	Present bool               // the gateway has it
+	Engine  admission.EngineID // where it runs; empty: it waits
 }
 
 // moved has the peers know where a request is.
-func (o *owner) moved(t *request, is Place) {
+func (o *owner) moved(t *request, is Placement) {
 	if o.peers == nil {
 		return
 	}
 	policyClass := ""
 	if t.policyClass > 0 {
-		policyClass = o.desk.Name(t.policyClass)
+		policyClass = o.desk.ClassName(t.policyClass)
 	}
-	o.peers.Moved(t.className, policyClass, t.place, is)
+	o.peers.RecordPlacement(t.className, policyClass, t.place, is)
 	t.place = is
 }
 
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -61,7 +61,7 @@
 
 // ask makes one probe. Its answer has as long as a connection to come up: the site states no other wait.
 func (p *prober) ask() (admission.Outcome, admission.Report) {
-	within := p.e.o.network.ConnectWithin
+	within := p.e.o.network.ConnectTimeout
 	if time.Since(p.used) > p.e.o.idleAfter() {
 		p.end("idle", nil)
 	}
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -32,7 +32,7 @@
 func serveAsProcess(path string) int {
 	ends := make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM)
-	start, err := config.ReadStart(path)
+	start, err := config.ReadFile(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
@@ -42,7 +42,7 @@
 		<-ends
 		close(stop)
 	}()
-	if err := Serve(start, With{}, slog.New(slog.NewTextHandler(os.Stderr, nil)), stop, nil); err != nil {
+	if err := Serve(start, Options{}, slog.New(slog.NewTextHandler(os.Stderr, nil)), stop, nil); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -15,7 +15,7 @@
 // query queues a statement as a request and sees it through.
 func (s *session) query(sql []byte) {
 	request, err := mysql.ReadRequest(sql)
-	class := slices.Index(s.o.network.Lanes, string(request.Class))
+	class := slices.Index(s.o.network.Classes, string(request.Class))
 	if err == nil {
 		err = checkRequest(&request, class, s.o.network, s.o.site)
 	}
@@ -43,7 +43,7 @@
 	s.answerBy = time.Now().Add(wait + afterCutoff)
 	s.waiting, s.unanswered = true, false
 	if s.reader != nil {
-		s.reader.Read(t.statement, class, t.tables)
+		s.reader.ReadStatement(t.statement, class, t.tables)
 	}
 	s.o.tape.RecordQuery(t.className, t.tables, request.WaitMS, sql, t.statement)
 	s.o.tell(func(now admission.Time) {
@@ -102,7 +102,7 @@
 	switch {
 	case class < 0:
 		return mysql.ErrClass
-	case n.Longest[class] > 0 && r.WaitMS > 2*n.Longest[class].Milliseconds():
+	case n.LongestWaits[class] > 0 && r.WaitMS > 2*n.LongestWaits[class].Milliseconds():
 		return mysql.ErrWait
 	case len(r.Tenant) > 0 && !slices.Contains(n.Tenants, string(r.Tenant)):
 		return mysql.ErrTenant
@@ -114,7 +114,7 @@
 
 // newRequest makes a request of a request; its statement and token lie in the session's buffer.
 func (s *session) newRequest(r *mysql.Request, class int) *request {
-	return &request{id: admission.RequestID(r.ID), by: s, class: class, className: s.o.network.Lanes[class], statement: r.Statement,
+	return &request{id: admission.RequestID(r.ID), by: s, class: class, className: s.o.network.Classes[class], statement: r.Statement,
 		tables: mysql.TableGroup(r.Statement), tenant: max(0, slices.Index(s.o.network.Tenants, string(r.Tenant))),
 		key: string(r.Key), token: r.IdempotencyToken, reader: s.reader, foreseen: s.o.estimate(r, class)}
 }
@@ -123,7 +123,7 @@
 // spoil what is learned of the class. Work has the longest wait on all its threads, memory the largest machine's.
 func (o *owner) estimate(r *mysql.Request, class int) admission.Foreseen {
 	work, memory := r.WorkMS, r.MemoryMB
-	if longest := o.network.Longest[class]; longest > 0 {
+	if longest := o.network.LongestWaits[class]; longest > 0 {
 		work = min(work, float64(longest.Milliseconds())*float64(o.site.Classes[class].Threads))
 	}
 	if sizes := o.site.Memory; len(sizes) > 0 {
@@ -180,7 +180,7 @@
 	s.over(func() {
 		s.deliver(h.pages)
 		if s.reader != nil && h.to != nil { // not an answer of before
-			s.reader.Answered(h.work, h.needs)
+			s.reader.RecordCost(h.work, h.needs)
 		}
 	})
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -6,12 +6,12 @@
 )
 
 // Keeping is a record of requests that survives this process.
-type Keeping struct {
-	Ledger *requestjournal.Journal
-	Failed func() error // why nothing can be recorded any more; nil: it can
+type Journal struct {
+	Requests *requestjournal.Journal
+	Failed   func() error // why nothing can be recorded any more; nil: it can
 
-	Memory   *admission.Snapshot // what the process before knew; nil: nothing
-	Remember func([]byte)        // keeps what this one knows
+	Snapshot     *admission.Snapshot // what the process before knew; nil: nothing
+	SaveSnapshot func([]byte)        // keeps what this one knows
 
 	rememberedAt admission.Time
 }
@@ -21,18 +21,18 @@
 const rememberEvery = admission.Second
 
 // due is the record's part of the timer.
-func (k *Keeping) due(now admission.Time, module *admission.Router) {
-	k.Ledger.Tick(now)
+func (k *Journal) due(now admission.Time, module *admission.Router) {
+	k.Requests.Tick(now)
 	if now-k.rememberedAt >= rememberEvery {
 		k.rememberedAt = now
-		k.Remember(module.Memory(now).Encode())
+		k.SaveSnapshot(module.Memory(now).Encode())
 	}
 }
 
 // known answers a request that was answered before; it tells whether it did. One that was in hand when the process before died
 // goes on with what is known of it.
 func (o *owner) known(t *request) bool {
-	standing, e := o.keep.Ledger.Lookup(t.id)
+	standing, e := o.keep.Requests.Lookup(t.id)
 	switch {
 	case standing == requestjournal.Resumable:
 		t.foreseen.Past = admission.Past{MayRan: e.MayHaveRun, DoubtAt: e.UncertainSince, Zone: e.Zone, Group: e.Group}
@@ -63,7 +63,7 @@
 		t.by.rejected(o.site.RetryAfter)
 		return false
 	}
-	o.keep.Ledger.Accept(now, t.id, t.class, t.deadline)
+	o.keep.Requests.Accept(now, t.id, t.class, t.deadline)
 	return true
 }
 
@@ -71,7 +71,7 @@
 func (o *owner) going(h *attempt, name admission.EngineID) {
 	if o.keep != nil {
 		place := o.places[name]
-		if o.keep.Ledger.BeginAttempt(o.now, h.of.id, place.Zone, place.Group, func(err error) {
+		if o.keep.Requests.BeginAttempt(o.now, h.of.id, place.Zone, place.Group, func(err error) {
 			o.tell(func(now admission.Time) { o.mayGo(now, h, err) })
 		}) {
 			return
@@ -98,7 +98,7 @@
 // that can't be recorded is given all the same: it is true now.
 func (o *owner) answer(now admission.Time, t *request, outcome requestjournal.Outcome, rows [][]byte, give func()) {
 	o.answered(t)
-	if o.keep != nil && o.keep.Ledger.RecordAnswer(now, t.id, outcome, rows, func(error) { o.tell(func(admission.Time) { give() }) }) {
+	if o.keep != nil && o.keep.Requests.RecordAnswer(now, t.id, outcome, rows, func(error) { o.tell(func(admission.Time) { give() }) }) {
 		return
 	}
 	give()
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -43,16 +43,16 @@
 	key       string // requests of a class in order run one at a time under it; empty: none
 	token     []byte // the client's idempotency token; empty: none
 	deadline  admission.Time
-	reader    Reader // nil: its statement wasn't read
+	reader    StatementReader // nil: its statement wasn't read
 
 	tries       int
 	out         *attempt
 	memory      float64
 	rank        int
 	foreseen    admission.Foreseen
-	policyClass int   // of the desk\'s; 0: none
-	held        bool  // in a class, with no attempt out
-	place       Place // as the peers know it
-	over        bool  // it has its final answer
-	left        bool  // nobody waits for it
+	policyClass int       // of the desk\'s; 0: none
+	held        bool      // in a class, with no attempt out
+	place       Placement // as the peers know it
+	over        bool      // it has its final answer
+	left        bool      // nobody waits for it
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -20,16 +20,16 @@
 )
 
 // With is what a router has besides; what is nil it hasn't.
-type With struct {
-	Tape  *capture.Recorder // records the requests that come
-	Desk  Desk              // an operator's rules
-	Keep  *Keeping          // the record of requests
-	Peers Peers             // the other gateways
+type Options struct {
+	Capture        *capture.Recorder // records the requests that come
+	ResourceGroups ResourceGroups    // an operator's rules
+	Journal        *Journal          // the record of requests
+	Peers          Peers             // the other gateways
 }
 
 // Serve runs a router until stop is closed and all it had taken is answered. What comes by renewed is a new
 // configuration.
-func Serve(start *config.Start, with With, log *slog.Logger, stop <-chan struct{}, renewed <-chan *config.Start) error {
+func Serve(start *config.Config, with Options, log *slog.Logger, stop <-chan struct{}, renewed <-chan *config.Config) error {
 	if start.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(start.MemoryMB) << 20 * 3 / 4) // the rest is for stacks and the sockets' buffers
 	}
@@ -38,15 +38,15 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	o := newOwner(start, newWallClock(), log)
-	o.tape = with.Tape
-	o.guard(with.Desk)
-	if o.keep = with.Keep; o.keep != nil {
+	o.tape = with.Capture
+	o.guard(with.ResourceGroups)
+	if o.keep = with.Journal; o.keep != nil {
 		o.places = map[admission.EngineID]admission.Listing{}
-		if o.keep.Memory != nil {
-			o.module.Restore(o.now, o.keep.Memory)
+		if o.keep.Snapshot != nil {
+			o.module.Restore(o.now, o.keep.Snapshot)
 		}
 	}
-	if with.Peers != nil && start.Site.Peers {
+	if with.Peers != nil && start.Deployment.Peers {
 		if err := o.join(with.Peers); err != nil {
 			return err
 		}
@@ -56,10 +56,10 @@
 	return nil
 }
 
-func (o *owner) serve(start *config.Start, listener net.Listener, stop <-chan struct{},
-	renewed <-chan *config.Start) {
-	f := newWatcher(o, start.EngineList)
-	f.tell(start.Known, admission.Remembered)
+func (o *owner) serve(start *config.Config, listener net.Listener, stop <-chan struct{},
+	renewed <-chan *config.Config) {
+	f := newWatcher(o, start.DiscoveryAddress)
+	f.tell(start.KnownEndpoints, admission.Remembered)
 	o.log.Info("serving", "name", start.Name, "address", listener.Addr().String())
 	ended, idle := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -69,7 +69,7 @@
 	go f.serve(ended)
 	a := &acceptor{o: o, listener: listener, ended: make(chan struct{})}
 	go a.serve()
-	renew := func(next *config.Start) { o.renew(f, start, next) }
+	renew := func(next *config.Config) { o.renew(f, start, next) }
 	for stopping := false; !stopping; {
 		select {
 		case next := <-renewed:
@@ -91,16 +91,16 @@
 }
 
 // renew goes by a new configuration, as far as one can while serving: the engine list's address and its events.
-func (o *owner) renew(f *watcher, start, next *config.Start) {
+func (o *owner) renew(f *watcher, start, next *config.Config) {
 	for name, same := range map[string]bool{
 		"name": next.Name == start.Name, "limits": next.MemoryMB == start.MemoryMB,
-		"settings": reflect.DeepEqual(next.Site, start.Site) && reflect.DeepEqual(next.Network, start.Network)} {
+		"settings": reflect.DeepEqual(next.Deployment, start.Deployment) && reflect.DeepEqual(next.Network, start.Network)} {
 		if !same {
 			o.log.Warn("configuration", "code", "needs_restart", "field", name)
 		}
 	}
-	f.move(next.EngineList, next.Known)
-	o.log.Info("configuration", "code", "renewed", "engine_list", next.EngineList)
+	f.move(next.DiscoveryAddress, next.KnownEndpoints)
+	o.log.Info("configuration", "code", "renewed", "engine_list", next.DiscoveryAddress)
 }
 
 // run serves a session from its first byte to its last log line. Who knows a connection's id may have its query
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -45,7 +45,7 @@
 	unanswered bool
 	made       []*attempt
 
-	reader Reader // nil: statements are not read
+	reader StatementReader // nil: statements are not read
 
 	taken *request // the owner's; nil: none
 }
--- a/internal/router/session_test.go
+++ b/internal/router/session_test.go
@@ -62,7 +62,7 @@
 func TestBadClientsAreToldAndEnded(t *testing.T) {
 	e := newEngineStand(t, "e1")
 	s := play(t, e)
-	s.o.tell(func(admission.Time) { s.o.network.Longest = []time.Duration{5 * time.Second, 20 * time.Second} })
+	s.o.tell(func(admission.Time) { s.o.network.LongestWaits = []time.Duration{5 * time.Second, 20 * time.Second} })
 	query := func(sql string) []byte {
 		return append([]byte{byte(len(sql) + 1), byte((len(sql) + 1) >> 8), 0, 0, mysql.Query}, sql...)
 	}
--- a/internal/router/shapes_test.go
+++ b/internal/router/shapes_test.go
@@ -151,12 +151,12 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	start, err := config.ReadStart(path)
+	start, err := config.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	done, ended := make(chan struct{}), make(chan error, 1)
-	go func() { ended <- Serve(start, With{}, slog.New(slog.NewTextHandler(io.Discard, nil)), done, nil) }()
+	go func() { ended <- Serve(start, Options{}, slog.New(slog.NewTextHandler(io.Discard, nil)), done, nil) }()
 	for by := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if c, err := net.Dial("tcp", address); err == nil {
 			c.Close()
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -16,7 +16,7 @@
 
 // shutDown stops taking requests and returns once all that were taken are answered. A new configuration still counts meanwhile:
 // it may name the address from which drains are told.
-func (o *owner) shutDown(a *acceptor, renewed <-chan *config.Start, renew func(*config.Start)) {
+func (o *owner) shutDown(a *acceptor, renewed <-chan *config.Config, renew func(*config.Config)) {
 	o.log.Info("stopping")
 	wait := func(until <-chan time.Time) {
 		for {
--- a/internal/router/stage_test.go
+++ b/internal/router/stage_test.go
@@ -85,8 +85,8 @@
 	held   int
 	things []io.Closer
 
-	start   *config.Start
-	renewed chan *config.Start
+	start   *config.Config
+	renewed chan *config.Config
 }
 
 type lockedBuffer struct {
@@ -119,7 +119,7 @@
 func playSettings(t *testing.T, settings string, engines ...*standEngine) *stage {
 	s := &stage{t: t, clock: &handClock{now: 17e12, timers: map[*handTimer]bool{}}, stop: make(chan struct{}),
 		ended: make(chan struct{}), list: make(chan string, 8), polls: make(chan string, 8), held: 1,
-		renewed: make(chan *config.Start)}
+		renewed: make(chan *config.Config)}
 	var servers []string
 	for _, e := range engines {
 		e.s = s
@@ -131,7 +131,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	start, err := config.ReadStart(path)
+	start, err := config.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -262,7 +262,7 @@
 		s.t.Fatal(err)
 	}
 	next := *s.start
-	next.EngineList, next.Known = l.Addr().String(), nil
+	next.DiscoveryAddress, next.KnownEndpoints = l.Addr().String(), nil
 	select {
 	case s.renewed <- &next:
 	case <-s.ended:
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -21,7 +21,7 @@
 
 	mu      sync.Mutex
 	address string
-	known   *jsonvalue.Sheet // events of a new configuration, to be told; nil: none
+	known   *jsonvalue.Value // events of a new configuration, to be told; nil: none
 	leave   func()           // ends the connection at hand
 	moved   chan struct{}    // rung by a new configuration
 }
@@ -31,7 +31,7 @@
 }
 
 // move goes on at another address, with the events that a new configuration knows.
-func (f *watcher) move(address string, known *jsonvalue.Sheet) {
+func (f *watcher) move(address string, known *jsonvalue.Value) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.known = known
@@ -49,7 +49,7 @@
 const mostAmiss = 8
 
 // tell takes in events; whole is the form of those that hold the whole list. It tells whether all could be read.
-func (f *watcher) tell(s *jsonvalue.Sheet, whole admission.Form) bool {
+func (f *watcher) tell(s *jsonvalue.Value, whole admission.Form) bool {
 	held := f.held
 	f.held = discovery.ReadWatchEvents(s, held, f.amiss >= mostAmiss, f.o.network.Zones, f.o.network.Kinds,
 		func(all bool, list []admission.Listing, addresses []string) {
@@ -96,7 +96,7 @@
 		leave()
 		wait := time.Duration(0)
 		if !useful && !moved {
-			wait = restBefore(time.Since(begun), f.o.network.ConnectWithin)
+			wait = restBefore(time.Since(begun), f.o.network.ConnectTimeout)
 		}
 		select {
 		case <-stop:
@@ -156,7 +156,7 @@
 }
 
 func (f *watcher) poll(life context.Context, address string, stop <-chan struct{}) (useful bool, code string) {
-	within := f.o.network.ConnectWithin
+	within := f.o.network.ConnectTimeout
 	dialer := net.Dialer{Timeout: within}
 	tcp, err := dialer.DialContext(life, "tcp", address)
 	if err != nil {
--- a/internal/router/watch_test.go
+++ b/internal/router/watch_test.go
@@ -48,12 +48,12 @@
 	address := down.Addr().String()
 	down.Close()
 	next := *s.start
-	next.EngineList, next.Known = address, nil
+	next.DiscoveryAddress, next.KnownEndpoints = address, nil
 	s.renewed <- &next
 	s.logged("code=refused")
 	l := s.listen()
 	after := next
-	after.EngineList = l.Addr().String()
+	after.DiscoveryAddress = l.Addr().String()
 	s.renewed <- &after
 	polled(t, l)
 }
@@ -66,7 +66,7 @@
 	f.s = s
 	l := s.listen()
 	next := *s.start
-	next.EngineList = l.Addr().String()
+	next.DiscoveryAddress = l.Addr().String()
 	s.renewed <- &next
 	k := polled(t, l)
 	whole := fmt.Sprintf(`{"index":9,"updates":[%s]}`, event(9, true, []string{entry(f, "Ready")}))
@@ -94,7 +94,7 @@
 	defer s.close()
 	l := s.listen()
 	next := *s.start
-	next.EngineList = l.Addr().String()
+	next.DiscoveryAddress = l.Addr().String()
 	s.renewed <- &next
 	k := polled(t, l)
 	close(s.stop)
@@ -113,7 +113,7 @@
 	e.s = s
 	l := s.listen()
 	next := *s.start
-	next.EngineList = l.Addr().String()
+	next.DiscoveryAddress = l.Addr().String()
 	s.renewed <- &next
 	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, event(2, false, []string{entry(e, "Ready")}))
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -155,7 +155,7 @@
 	info, err := jsonvalue.Parse("info", []byte(f.rest))
 	var deployment *admission.Deployment
 	if err == nil {
-		deployment, err = config.Read(info)
+		deployment, err = config.ReadDeployment(info)
 	}
 	if err != nil {
 		f.err = fmt.Errorf("line %d: boot: %w", f.line, err)
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -118,7 +118,7 @@
 }
 
 func (f *fieldReader) loadReport(field string) admission.Report {
-	report, ok := config.Report(f.optional(field), ",")
+	report, ok := config.ParseReport(f.optional(field), ",")
 	if !ok {
 		f.fail(field, "name:value pairs set apart by commas")
 	}
--- a/internal/workload/fleetpolicy.go
+++ b/internal/workload/fleetpolicy.go
@@ -261,4 +261,4 @@
 	d.publishedCount.Store(&n)
 }
 
-var _ router.Desk = (*Manager)(nil)
+var _ router.ResourceGroups = (*Manager)(nil)
--- a/internal/workload/fleetpolicy_test.go
+++ b/internal/workload/fleetpolicy_test.go
@@ -37,7 +37,7 @@
 }
 
 func judged(t testing.TB) (*Manager, *court, func(classes string) agent.Policy) {
-	start := &config.Start{Site: &admission.Deployment{Classes: make([]admission.Class, 2), Cores: []float64{8}}, Network: &config.Network{Lanes: []string{"look", "load"}, Zones: []string{"norte", "sur"}, Kinds: []string{"std"}}}
+	start := &config.Config{Deployment: &admission.Deployment{Classes: make([]admission.Class, 2), Cores: []float64{8}}, Network: &config.Network{Classes: []string{"look", "load"}, Zones: []string{"norte", "sur"}, Kinds: []string{"std"}}}
 	d, err := NewManager(&Statements{MemoryBytes: 1 << 20, LogInterval: time.Hour}, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	c := &court{held(0, nil)}
 	texts := map[string]*Policy{}
 	d.FollowFleetPolicy(c, func(text []byte) (*Policy, error) { return texts[string(text)], nil }, 4)
-	d.Listed(0, admission.Whole, []admission.Listing{{Engine: "n", Zone: 0}, {Engine: "s", Zone: 1}})
+	d.HandleEndpoints(0, admission.Whole, []admission.Listing{{Engine: "n", Zone: 0}, {Engine: "s", Zone: 1}})
 	return d, c, func(classes string) agent.Policy {
 		p := &Policy{}
 		for _, k := range strings.Fields(classes) { // name:lane:threads, or name:lane:refuse
@@ -70,13 +70,13 @@
 // What becomes of a look-up and a load, as policies change.
 func TestByWhat(t *testing.T) {
 	d, c, policy := judged(t)
-	reader := d.Reader().(*StatementReader)
+	reader := d.NewStatementReader().(*StatementReader)
 	var out strings.Builder
 	try := func(what string) {
 		fmt.Fprintf(&out, "%s:", what)
 		for lane, name := range []string{"look", "load"} {
-			reader.Read([]byte("SELECT nota FROM actas.mesas WHERE clave = 'a'"), lane, mysql.TableGroup([]byte("SELECT nota FROM actas.mesas")))
-			f, crowded, refuse := d.Arrived(10, reader)
+			reader.ReadStatement([]byte("SELECT nota FROM actas.mesas WHERE clave = 'a'"), lane, mysql.TableGroup([]byte("SELECT nota FROM actas.mesas")))
+			f, crowded, refuse := d.Classify(10, reader)
 			fmt.Fprintf(&out, "  %s ", name)
 			switch {
 			case refuse != "":
@@ -86,10 +86,10 @@
 			case f.PolicyClass == 0:
 				fmt.Fprint(&out, "free")
 			default:
-				if fmt.Fprint(&out, d.Name(f.PolicyClass)); !d.Open(10, f.PolicyClass, 2) {
+				if fmt.Fprint(&out, d.ClassName(f.PolicyClass)); !d.Open(10, f.PolicyClass, 2) {
 					fmt.Fprint(&out, ", waits")
 				} else {
-					charged, by := d.Sent(f, 2)
+					charged, by := d.RecordAttempt(f, 2)
 					fmt.Fprintf(&out, ", goes by %d", by&^(1<<63))
 					if c.TryBeginWrite(by, "") {
 						fmt.Fprint(&out, ", is written")
@@ -97,10 +97,10 @@
 					if agent.CoversBoth(by) {
 						fmt.Fprint(&out, " by both")
 					}
-					d.Back(f, 2, charged, 0, false)
+					d.RecordAttemptEnd(f, 2, charged, 0, false)
 					f.PolicyClass = 0
 				}
-				d.Left(f)
+				d.RecordDeparture(f)
 			}
 		}
 		out.WriteByte('\n')
@@ -145,9 +145,9 @@
 	one, two := policy("loads:load:4 old:look:1"), policy("loads:load:2")
 	c.hold(1, one)
 	arrive := func(lane int) admission.Foreseen {
-		reader := d.Reader().(*StatementReader)
-		reader.Read([]byte("SELECT 1"), lane, 0)
-		f, crowded, refuse := d.Arrived(20, reader)
+		reader := d.NewStatementReader().(*StatementReader)
+		reader.ReadStatement([]byte("SELECT 1"), lane, 0)
+		f, crowded, refuse := d.Classify(20, reader)
 		if crowded || refuse != "" {
 			t.Fatalf("crowded %t, refused %q", crowded, refuse)
 		}
@@ -157,15 +157,15 @@
 	if !d.Open(20, a.PolicyClass, 2) {
 		t.Fatal("two of four threads are not free")
 	}
-	charged, _ := d.Sent(a, 2)
+	charged, _ := d.RecordAttempt(a, 2)
 	c.hold(2, two)
 	if d.Open(30, b.PolicyClass, 2) {
 		t.Error("two threads more go out, where two of two run")
 	}
-	if name := d.Name(old.PolicyClass); name != "old" || !d.Open(30, old.PolicyClass, 1) {
+	if name := d.ClassName(old.PolicyClass); name != "old" || !d.Open(30, old.PolicyClass, 1) {
 		t.Errorf("a task of a class that is gone can't end: %s", name)
 	}
-	d.Back(a, 2, charged, 0, false)
+	d.RecordAttemptEnd(a, 2, charged, 0, false)
 	if !d.Open(40, b.PolicyClass, 2) {
 		t.Error("what ended is not free")
 	}
@@ -176,29 +176,29 @@
 	d, c, policy := judged(t)
 	c.hold(1, policy("loads:load:4"))
 	c.ruling.Rehearsed, c.ruling.Standing.Trial = policy("loads:load:2 looks:look:refuse"), 7
-	reader := d.Reader().(*StatementReader)
+	reader := d.NewStatementReader().(*StatementReader)
 	var out []admission.Foreseen
 	for n := range 4 {
-		reader.Read([]byte("SELECT 1"), n%2, 0)
-		f, crowded, refuse := d.Arrived(20, reader)
+		reader.ReadStatement([]byte("SELECT 1"), n%2, 0)
+		f, crowded, refuse := d.Classify(20, reader)
 		if crowded || refuse != "" {
 			t.Fatal("the rehearsal decides")
 		}
 		if f.PolicyClass > 0 && !d.Open(20, f.PolicyClass, 2) {
 			t.Fatal("the rehearsal holds")
 		}
-		d.Sent(f, 2)
+		d.RecordAttempt(f, 2)
 		out = append(out, f)
 	}
-	d.Due(30)
+	d.Tick(30)
 	if got := d.RequestCounts(); got != (rollout.Count{Of: 7, Tasks: 4, Classed: 4, Refused: 2, Held: 1}) {
 		t.Errorf("%+v", got)
 	}
 	c.ruling = held(1, c.ruling.Current)
 	for _, f := range out { // of a rehearsal that is over
-		d.Back(f, 2, 0, 0, false)
+		d.RecordAttemptEnd(f, 2, 0, 0, false)
 	}
-	d.Due(40)
+	d.Tick(40)
 	if got := d.RequestCounts(); got.Of != 1 || got.Tasks != 4 || got.Refused+got.Held > 0 {
 		t.Errorf("%+v", got)
 	}
@@ -218,16 +218,16 @@
 					b.Fatal(err)
 				}
 			}
-			reader := d.Reader().(*StatementReader)
-			reader.Read([]byte("SELECT 1"), 1, 0)
+			reader := d.NewStatementReader().(*StatementReader)
+			reader.ReadStatement([]byte("SELECT 1"), 1, 0)
 			b.ReportAllocs()
 			for b.Loop() {
-				f, _, _ := d.Arrived(20, reader)
+				f, _, _ := d.Classify(20, reader)
 				d.Open(20, f.PolicyClass, 2)
-				charged, number := d.Sent(f, 2)
-				d.Pass(number, "")
-				d.Passed(number, "")
-				d.Back(f, 2, charged, 0, false)
+				charged, number := d.RecordAttempt(f, 2)
+				d.BeginWrite(number, "")
+				d.EndWrite(number, "")
+				d.RecordAttemptEnd(f, 2, charged, 0, false)
 			}
 		})
 	}
--- a/internal/workload/manager.go
+++ b/internal/workload/manager.go
@@ -40,14 +40,14 @@
 type costModelCounts struct{ seen, parsed, answers, wrong int64 }
 
 // NewDesk makes a desk for a gateway's deployment. With a snapshot's file that can't be used it begins without, and says so.
-func NewManager(s *Statements, start *config.Start, log *slog.Logger) (*Manager, error) {
-	r, err := resourcegroup.New(0, &s.Plan, start.Site.Cores, start.Network.Zones, start.Network.Kinds)
+func NewManager(s *Statements, start *config.Config, log *slog.Logger) (*Manager, error) {
+	r, err := resourcegroup.New(0, &s.Plan, start.Deployment.Cores, start.Network.Zones, start.Network.Kinds)
 	if err != nil {
 		return nil, err
 	}
-	d := &Manager{zones: start.Network.Zones, kinds: start.Network.Kinds, file: s, costModel: s.NewCostModel(len(start.Network.Lanes)), limiter: r, requestClasses: start.Network.Lanes, log: log,
+	d := &Manager{zones: start.Network.Zones, kinds: start.Network.Kinds, file: s, costModel: s.NewCostModel(len(start.Network.Classes)), limiter: r, requestClasses: start.Network.Classes, log: log,
 		snapshotFile: s.SnapshotFile, loggedAt: time.Now(), agedAt: time.Now()}
-	for _, l := range start.Site.Classes {
+	for _, l := range start.Deployment.Classes {
 		d.writes = append(d.writes, l.Load)
 	}
 	d.plan.Store(&s.Plan)
@@ -109,13 +109,13 @@
 func (d *Manager) Pool(class int) int { return d.limiter.Pool(class) }
 
 // Name is a class's.
-func (d *Manager) Name(class int) string { return d.limiter.ClassName(class) }
+func (d *Manager) ClassName(class int) string { return d.limiter.ClassName(class) }
 
 // In tells whether an engine belongs to a pool.
 func (d *Manager) In(pool int, l *admission.Listing) bool { return d.limiter.In(pool, l) }
 
 // Listed takes in a delivery of the engine list.
-func (d *Manager) Listed(now admission.Time, form admission.Form, list []admission.Listing) {
+func (d *Manager) HandleEndpoints(now admission.Time, form admission.Form, list []admission.Listing) {
 	d.limiter.UpdateEndpoints(now, form, list)
 	if d.shadow != nil {
 		d.shadow.UpdateEndpoints(now, form, list)
@@ -123,7 +123,7 @@
 }
 
 // Due is the timer.
-func (d *Manager) Due(now admission.Time) {
+func (d *Manager) Tick(now admission.Time) {
 	if s := d.pendingFile.Swap(nil); s != nil {
 		d.applyFile(now, s)
 	}
@@ -170,7 +170,7 @@
 }
 
 // Arrived rules on the task that a reader has read.
-func (d *Manager) Arrived(now admission.Time, r router.Reader) (f admission.Foreseen, crowded bool, refuse string) {
+func (d *Manager) Classify(now admission.Time, r router.StatementReader) (f admission.Foreseen, crowded bool, refuse string) {
 	k := r.(*StatementReader)
 	if d.now = now; d.inForce != nil {
 		return d.admitByPolicy(now, k)
@@ -198,7 +198,7 @@
 }
 
 // Sent takes in a hand-off.
-func (d *Manager) Sent(f admission.Foreseen, threads float64) (charged float64, by uint64) {
+func (d *Manager) RecordAttempt(f admission.Foreseen, threads float64) (charged float64, by uint64) {
 	if n := d.rehearsedClass(&f); n > 0 {
 		if !d.shadow.Open(d.now, n, threads) {
 			d.rehearsalCount.Held++
@@ -212,7 +212,7 @@
 }
 
 // Back takes in a hand-off's end.
-func (d *Manager) Back(f admission.Foreseen, threads, charged float64, work admission.Time, waits bool) {
+func (d *Manager) RecordAttemptEnd(f admission.Foreseen, threads, charged float64, work admission.Time, waits bool) {
 	if n := d.rehearsedClass(&f); n > 0 {
 		d.shadow.EndAttempt(n, threads, charged, toMillis(work), waits)
 	}
@@ -222,7 +222,7 @@
 }
 
 // Left takes in that a waiting task got its final answer.
-func (d *Manager) Left(f admission.Foreseen) {
+func (d *Manager) RecordDeparture(f admission.Foreseen) {
 	if n := d.rehearsedClass(&f); n > 0 {
 		d.shadow.EndWaiting(n)
 	}
@@ -232,19 +232,19 @@
 }
 
 // Pass tells whether a hand-off may be written that was decided by some number of the fleet's policies.
-func (d *Manager) Pass(by uint64, task admission.RequestID) bool {
+func (d *Manager) BeginWrite(by uint64, task admission.RequestID) bool {
 	return d.inForce == nil || d.inForce.TryBeginWrite(by, task)
 }
 
 // Passed takes in that it is written.
-func (d *Manager) Passed(by uint64, task admission.RequestID) {
+func (d *Manager) EndWrite(by uint64, task admission.RequestID) {
 	if d.inForce != nil {
 		d.inForce.EndWrite(by, task)
 	}
 }
 
 // Reader is for one more session.
-func (d *Manager) Reader() router.Reader { return &StatementReader{manager: d} }
+func (d *Manager) NewStatementReader() router.StatementReader { return &StatementReader{manager: d} }
 
 // Reader reads the statements of one session.
 type StatementReader struct {
@@ -262,7 +262,7 @@
 }
 
 // Read finds a statement's shape, cost and class.
-func (r *StatementReader) Read(sql []byte, lane, tables int) {
+func (r *StatementReader) ReadStatement(sql []byte, lane, tables int) {
 	r.sight = r.manager.costModel.Inspect(sql, tables, lane)
 	r.subject = resourcegroup.Subject{RequestClass: r.manager.requestClasses[lane], Features: r.sight.Features(), Estimate: r.manager.costModel.Estimate(&r.sight)}
 	if r.manager.inForce != nil {
@@ -274,7 +274,7 @@
 }
 
 // Answered takes in what it has cost.
-func (r *StatementReader) Answered(work admission.Time, memory float64) {
+func (r *StatementReader) RecordCost(work admission.Time, memory float64) {
 	r.manager.costModel.Observe(&r.sight, toMillis(work), memory)
 	if r.manager.writes[r.sight.Class] {
 		r.manager.costModel.RecordLoad(r.sight.Group)
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -90,7 +90,7 @@
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	os.WriteFile(path, []byte(fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","coordinator":%q,"known":%s,"settings":%s}`, address,
 		g.list.Address, g.list.Known(), settings)), 0o600)
-	start, err := config.ReadStart(path)
+	start, err := config.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	stop, ended := make(chan struct{}), make(chan error)
-	go func() { ended <- router.Serve(start, router.With{Desk: g.desk}, logger, stop, nil) }()
+	go func() { ended <- router.Serve(start, router.Options{ResourceGroups: g.desk}, logger, stop, nil) }()
 	g.db, _ = sql.Open("mysql", "app@tcp("+address+")/reports?timeout=2s")
 	for by := time.Now().Add(5 * time.Second); g.db.Ping() != nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
