--- a/internal/storage/requestjournal/journal.go
+++ b/internal/storage/requestjournal/journal.go
@@ -1,425 +1,253 @@
-// Package requestjournal keeps what is known of tasks across a crash: taken, handed off, ended, answered. It decides nothing of engines; it
-// says what may have run and what was answered, and what must survive before a hand-off or an answer may go on its way. It
-// does no I/O: records go to a Log, and come back from one.
+// Package requestjournal records what must be known of requests after a crash of the gateway: that a request was accepted,
+// that an attempt was sent to an engine, how the attempt ended and which final answer the client got. It tells the caller
+// when a record has to be durable before an attempt or an answer may leave the gateway.
+//
+// The package makes no routing decisions and does no I/O: records are written to a Log and are replayed from one.
 package requestjournal
 
 import (
-	"cmp"
 	"encoding/binary"
-	"errors"
-	"slices"
 
 	"github.com/cespare/xxhash/v2"
 
 	"magpiebank/internal/admission"
 )
 
-// Key names a task in the log.
+// Key identifies a request in the log.
 type Key [16]byte
 
-// KeyOf is a task's key: an id of 16 letters is its own, a longer or shorter one is hashed.
-func KeyOf(id admission.RequestID) (k Key) {
-	if len(id) == len(k) {
-		copy(k[:], id)
-		return k
+// KeyOf returns the key of a request. An ID of exactly 16 bytes is used as it is; any other ID is hashed.
+func KeyOf(id admission.RequestID) (key Key) {
+	if len(id) == len(key) {
+		copy(key[:], id)
+		return key
 	}
-	h := xxhash.Sum64String(string(id))
-	binary.BigEndian.PutUint64(k[:], h)
-	binary.BigEndian.PutUint64(k[8:], xxhash.Sum64String(string(id)+"\x00again"))
-	return k
+	binary.BigEndian.PutUint64(key[:], xxhash.Sum64String(string(id)))
+	binary.BigEndian.PutUint64(key[8:], xxhash.Sum64String(string(id)+"\x00again"))
+	return key
 }
 
-// Log keeps records. done, where there is one, is called once a record survives, or with why it may not; it may be called
-// from any goroutine. Nobody waits where it is nil.
+// Log stores records by key. Put and Delete return before the record is durable. done, where it is not nil, is called once
+// the record survives a crash, or with the reason why it may not; it may be called from any goroutine.
 type Log interface {
 	Put(key Key, record []byte, done func(error))
 	Delete(key Key, done func(error))
 }
 
-// Outcome is a final answer.
-type Outcome uint8
-
-// The outcomes.
-const (
-	Pending   Outcome = iota // there is none yet
-	Served                   // with rows
-	Rejected                 // it never ran, or may run again
-	Failed                   // it may have run
-	Abandoned                // its client stopped waiting
-)
-
-var outcomeNames = [...]string{"open", "delivered", "nacked", "written off", "left"}
-
-func (o Outcome) String() string { return outcomeNames[o] }
-
-// Lane is what a ledger needs to know of a lane.
+// Class is what the journal needs to know of a request class.
 type Class struct {
 	Effect      admission.Effect
-	DedupWindow admission.Time // how long engines drop repeats of its deduplicated tasks
-	LongestWait admission.Time // that its clients wait
+	DedupWindow admission.Time // for which engines drop repeats of its deduplicated requests
+	LongestWait admission.Time // of its clients for an answer
 }
 
-// strict tells whether records of the lane are waited for: a second run would do harm.
-func (l *Class) isNonIdempotent() bool { return l.Effect != admission.Idempotent }
+// isNonIdempotent reports whether a second execution of the class's requests does harm, so that their records have to be
+// durable before anything leaves the gateway.
+func (c *Class) isNonIdempotent() bool { return c.Effect != admission.Idempotent }
 
-// Entry is what is known of one task.
-type Entry struct {
-	Class          int
-	AcceptedAt     admission.Time // Unix time
-	Deadline       admission.Time
-	Attempts       int
-	InFlight       bool // a hand-off is out, or was when the process died
-	MayHaveRun     bool // one went out whose end doesn't prove that nothing ran
-	UncertainSince admission.Time
-	Zone           int // of the engine of that hand-off
-	Group          int
-	Outcome        Outcome
-	AnsweredAt     admission.Time // when it was answered
-	Pages          [][]byte       // of the answer, where they are kept; as pages
-	complete       bool           // all rows are there
-	acceptedHere   bool           // it was taken by this process
-}
-
-// mostRows bounds the rows that are kept of an answer: those of loads are a few, and a look-up's can be asked for again.
-const maxPageBytes = 8 << 10
-
-// Whole tells whether the rows of a delivered answer are kept.
-func (e *Entry) Complete() bool { return e.complete }
-
-// Ledger is the state. One goroutine owns it.
+// Journal is the state of all requests that are on record. It must be used by one goroutine at a time.
 type Journal struct {
 	log        Log
 	classes    []Class
 	entries    map[Key]*Entry
-	latestTime admission.Time // the last time that any record tells
-	answered   []expiry       // answered tasks, in the order in which they may go
-	recovered  []expiry       // tasks found open at the start, by their cut-offs
-	retention  admission.Time
-	maxEntries int // entries that may be kept at all
+	latestTime admission.Time // the latest time seen in a call or in a replayed record
+	answered   []expiry       // answered requests, the first to be forgotten first
+	recovered  []expiry       // requests found pending at the start, by their deadlines
+	retention  admission.Time // for which answered requests are kept
+	maxEntries int
 	Counts     Counts
 }
 
-type expiry struct {
-	key Key
-	at  admission.Time
-}
-
-// Counts are since the start.
+// Counts are numbers of requests since the start.
 type Counts struct {
-	Recovered, Uncertain         int   // tasks found open, and of them those that may have run
-	Accepted, Answered, Repeated int64 // repeated: asked for again, with a record
-	Evicted                      int64 // for space
+	Recovered int   // found pending at the start
+	Uncertain int   // of those, the ones that may have run
+	Accepted  int64 // by this process, recovered ones included
+	Answered  int64
+	Repeated  int64 // lookups that found a record
+	Evicted   int64 // answers forgotten before their time, because maxEntries was reached
 }
 
-// leastKeep is how long answers are kept at the least: a client that comes back after a gateway's restart does so within
-// its own patience and some tries, seconds as a rule.
+// minRetention is the least time for which answers are kept: a client that reconnects after a restart of the gateway does so
+// within its own timeout and a few retries, which take seconds as a rule.
 const minRetention = 60 * admission.Second
 
-// New is a ledger for a site's lanes, with room for so many tasks.
-func New(log Log, lanes []Class, space int) *Journal {
-	l := &Journal{log: log, classes: lanes, entries: map[Key]*Entry{}, retention: minRetention, maxEntries: space}
-	for _, lane := range lanes {
-		// Never before the rules' windows are past: a repeat within them must be known for one.
-		l.retention = max(l.retention, lane.DedupWindow+lane.LongestWait, 2*lane.LongestWait)
-	}
-	return l
-}
-
-// Replay takes in a record from the log, in the order in which they were written.
-func (l *Journal) Replay(key Key, record []byte, gone bool) error {
-	if gone {
-		delete(l.entries, key)
-		return nil
-	}
-	e, err := decode(record, len(l.classes))
-	if err != nil {
-		return err
+// New returns an empty journal for the given request classes, which holds at most maxEntries requests.
+func New(log Log, classes []Class, maxEntries int) *Journal {
+	j := &Journal{log: log, classes: classes, entries: map[Key]*Entry{}, retention: minRetention, maxEntries: maxEntries}
+	for _, class := range classes {
+		// Entries outlive the deduplication window, so that a repeat within the window is recognized.
+		j.retention = max(j.retention, class.DedupWindow+class.LongestWait, 2*class.LongestWait)
 	}
-	l.entries[key] = e
-	l.latestTime = max(l.latestTime, e.AcceptedAt, e.AnsweredAt, e.UncertainSince)
-	return nil
+	return j
 }
 
-// Recover ends the replay: what was out when the process died may have run, for all that is known. A task of a lane that may
-// not run twice is written off, and that is recorded; others stay as they are, and go on if they are asked for again.
-func (l *Journal) Recover(now admission.Time) {
-	now = l.advanceClock(now)
-	for key, e := range l.entries {
-		if e.Outcome != Pending {
-			l.answered = append(l.answered, expiry{key, e.AnsweredAt})
-			continue
-		}
-		l.Counts.Recovered++
-		if e.InFlight {
-			e.InFlight, e.MayHaveRun = false, true
-		}
-		if e.MayHaveRun {
-			l.Counts.Uncertain++
-		}
-		lane := &l.classes[e.Class]
-		switch {
-		case e.MayHaveRun && lane.Effect == admission.Unrepeatable, e.MayHaveRun && lane.Effect == admission.Deduplicated && !l.withinDedupWindow(e, now):
-			l.recordAnswer(key, e, Failed, now, nil, nil)
-		case now >= e.Deadline:
-			l.recordAnswer(key, e, Rejected, now, nil, nil)
-		default:
-			l.log.Put(key, e.encode(), nil)
-			l.recovered = append(l.recovered, expiry{key, e.Deadline})
-		}
-	}
-	sortByExpiry(l.answered)
-	sortByExpiry(l.recovered)
+// advanceClock returns now, or the latest time on record if the wall clock was set back, also across a restart.
+func (j *Journal) advanceClock(now admission.Time) admission.Time {
+	j.latestTime = max(j.latestTime, now)
+	return j.latestTime
 }
 
-// time is the clock, which doesn't go back behind what any record tells, also over a restart.
-func (l *Journal) advanceClock(now admission.Time) admission.Time {
-	l.latestTime = max(l.latestTime, now)
-	return l.latestTime
+// withinDedupWindow reports whether engines still drop a repeat of the request.
+func (j *Journal) withinDedupWindow(entry *Entry, now admission.Time) bool {
+	return now < entry.UncertainSince+j.classes[entry.Class].DedupWindow
 }
 
-// within tells whether engines still drop a repeat.
-func (l *Journal) withinDedupWindow(e *Entry, now admission.Time) bool {
-	return now < e.UncertainSince+l.classes[e.Class].DedupWindow
-}
-
-// Standing is what is known of a task that a client asks for.
+// Status is what the journal knows of a request that a client sends.
 type Status uint8
 
-// The standings.
+// The statuses.
 const (
-	Unknown   Status = iota // nothing: it is a new one
-	Answered                // it was answered
-	Resumable               // it was in hand when the process died, and may go on under its rules
+	Unknown   Status = iota // no record: it is a new request
+	Answered                // it has a final answer
+	Resumable               // it was pending when the gateway died and may go on under the rules of its class
 )
 
-// Ask tells what is known of a task.
-func (l *Journal) Lookup(id admission.RequestID) (s Status, e *Entry) {
-	e = l.entries[KeyOf(id)]
-	switch {
-	case e == nil:
+// Lookup returns what is known of a request; the entry is nil if and only if the status is Unknown.
+func (j *Journal) Lookup(id admission.RequestID) (Status, *Entry) {
+	entry := j.entries[KeyOf(id)]
+	if entry == nil {
 		return Unknown, nil
-	case e.Outcome != Pending:
-		l.Counts.Repeated++
-		return Answered, e
 	}
-	l.Counts.Repeated++
-	return Resumable, e
+	j.Counts.Repeated++
+	if entry.Outcome != Pending {
+		return Answered, entry
+	}
+	return Resumable, entry
 }
 
-// Take takes a task in, or one that is known on again. The record goes out without being waited for: without it a client
-// that asks again finds a new task, and nothing has run.
-func (l *Journal) Accept(now admission.Time, id admission.RequestID, lane int, cutoff admission.Time) *Entry {
-	now = l.advanceClock(now)
+// Accept records that a request was accepted, or that a recovered one goes on. Nobody has to wait for the record: if it is
+// lost, a client that repeats the request finds it new, and nothing of it has run.
+func (j *Journal) Accept(now admission.Time, id admission.RequestID, class int, deadline admission.Time) *Entry {
+	now = j.advanceClock(now)
 	key := KeyOf(id)
-	e := l.entries[key]
-	if e == nil {
-		l.makeRoom()
-		e = &Entry{Class: lane, AcceptedAt: now}
-		l.entries[key] = e
+	entry := j.entries[key]
+	if entry == nil {
+		j.makeRoom()
+		entry = &Entry{Class: class, AcceptedAt: now}
+		j.entries[key] = entry
 	}
-	e.Deadline, e.acceptedHere = cutoff, true
-	l.Counts.Accepted++
-	l.log.Put(key, e.encode(), nil)
-	return e
+	entry.Deadline, entry.acceptedHere = deadline, true
+	j.Counts.Accepted++
+	j.log.Put(key, entry.encode(), nil)
+	return entry
 }
 
-// room drops the oldest answers where there are too many entries.
-func (l *Journal) makeRoom() {
-	for len(l.entries) >= l.maxEntries && len(l.answered) > 0 {
-		l.forget(l.answered[0].key)
-		l.answered = l.answered[1:]
-		l.Counts.Evicted++
+// makeRoom forgets the oldest answers while the journal is full.
+func (j *Journal) makeRoom() {
+	for len(j.entries) >= j.maxEntries && len(j.answered) > 0 {
+		j.forget(j.answered[0].key)
+		j.answered = j.answered[1:]
+		j.Counts.Evicted++
 	}
 }
 
-func (l *Journal) forget(key Key) {
-	delete(l.entries, key)
-	l.log.Delete(key, nil)
+func (j *Journal) forget(key Key) {
+	delete(j.entries, key)
+	j.log.Delete(key, nil)
 }
 
-// Going records that a hand-off is about to go out. For a lane whose tasks may not run twice, may is called once that
-// survives, or with why it may not, and before it not a byte may go to the engine; wait tells of that. Else the hand-off
-// may go out at once.
-func (l *Journal) BeginAttempt(now admission.Time, id admission.RequestID, zone, group int, may func(error)) (wait bool) {
-	now = l.advanceClock(now)
+// BeginAttempt records that an attempt is about to be sent to an engine of the given zone and group. If mustWait is true, no
+// byte may go to the engine before onDurable is called with nil; called with an error, the attempt must not be sent. If
+// mustWait is false, the attempt may be sent at once and onDurable is never called.
+func (j *Journal) BeginAttempt(now admission.Time, id admission.RequestID, zone, group int, onDurable func(error)) (mustWait bool) {
+	now = j.advanceClock(now)
 	key := KeyOf(id)
-	e := l.entries[key]
-	if e == nil {
+	entry := j.entries[key]
+	if entry == nil {
 		return false
 	}
-	e.Attempts++
-	e.InFlight = true
-	if !e.MayHaveRun { // the first one that is in doubt says where repeats are dropped, and from when on
-		e.UncertainSince, e.Zone, e.Group = now, zone, group
+	entry.Attempts++
+	entry.InFlight = true
+	if !entry.MayHaveRun {
+		// The first uncertain attempt determines where engines drop repeats, and from when on.
+		entry.UncertainSince, entry.Zone, entry.Group = now, zone, group
 	}
-	if l.classes[e.Class].isNonIdempotent() {
-		l.log.Put(key, e.encode(), may)
+	if j.classes[entry.Class].isNonIdempotent() {
+		j.log.Put(key, entry.encode(), onDurable)
 		return true
 	}
-	l.log.Put(key, e.encode(), nil)
+	j.log.Put(key, entry.encode(), nil)
 	return false
 }
 
-// Ended records how a hand-off ended.
-func (l *Journal) EndAttempt(now admission.Time, id admission.RequestID, neverRan bool) {
-	l.advanceClock(now)
+// EndAttempt records how an attempt ended: neverRan tells that the engine is known not to have executed any of it.
+func (j *Journal) EndAttempt(now admission.Time, id admission.RequestID, neverRan bool) {
+	j.advanceClock(now)
 	key := KeyOf(id)
-	e := l.entries[key]
-	if e == nil || !e.InFlight {
+	entry := j.entries[key]
+	if entry == nil || !entry.InFlight {
 		return
 	}
-	if e.InFlight = false; !neverRan {
-		e.MayHaveRun = true
+	entry.InFlight = false
+	if !neverRan {
+		entry.MayHaveRun = true
 	}
-	if e.Outcome == Pending {
-		l.log.Put(key, e.encode(), nil)
+	if entry.Outcome == Pending {
+		j.log.Put(key, entry.encode(), nil)
 	}
 }
 
-// End records a final answer. For a lane whose tasks may not run twice may is called once it survives, and before it the
-// client must not see the answer: else another could be given after a crash. wait tells of that; else it may see it at once.
-func (l *Journal) RecordAnswer(now admission.Time, id admission.RequestID, outcome Outcome, rows [][]byte, may func(error)) (wait bool) {
-	now = l.advanceClock(now)
+// RecordAnswer records a final answer; pages are the rows of a served one. If mustWait is true, the client must not see the
+// answer before onDurable is called, because after a crash it could get another one. If mustWait is false, the client may
+// see it at once and onDurable is never called.
+func (j *Journal) RecordAnswer(now admission.Time, id admission.RequestID, outcome Outcome, pages [][]byte, onDurable func(error)) (mustWait bool) {
+	now = j.advanceClock(now)
 	key := KeyOf(id)
-	e := l.entries[key]
-	if e == nil || e.Outcome != Pending {
+	entry := j.entries[key]
+	if entry == nil || entry.Outcome != Pending {
 		return false
 	}
-	l.Counts.Answered++
-	if l.classes[e.Class].isNonIdempotent() && e.Attempts > 0 {
-		l.recordAnswer(key, e, outcome, now, rows, may)
-		return true
+	j.Counts.Answered++
+	mustWait = j.classes[entry.Class].isNonIdempotent() && entry.Attempts > 0
+	if !mustWait {
+		onDurable = nil
 	}
-	l.recordAnswer(key, e, outcome, now, rows, nil)
-	return false
+	entry.setAnswer(now, outcome, pages)
+	j.storeAnswer(key, entry, onDurable)
+	return mustWait
 }
 
-func (l *Journal) recordAnswer(key Key, e *Entry, outcome Outcome, now admission.Time, rows [][]byte, done func(error)) {
-	e.Outcome, e.AnsweredAt, e.InFlight = outcome, now, false
-	size := 0
-	for _, r := range rows {
-		size += len(r)
-	}
-	if e.complete = size <= maxPageBytes && outcome == Served; e.complete {
-		e.Pages = rows
-	}
-	l.log.Put(key, e.encode(), done)
-	l.answered = append(l.answered, expiry{key, now})
+// storeAnswer writes an entry that has just got its answer, and has it forgotten when the retention is over.
+func (j *Journal) storeAnswer(key Key, entry *Entry, onDurable func(error)) {
+	j.log.Put(key, entry.encode(), onDurable)
+	j.answered = append(j.answered, expiry{key, entry.AnsweredAt})
 }
 
-// Due forgets what was answered long enough ago, and ends what was found open at the start and nobody asked for again.
-func (l *Journal) Tick(now admission.Time) {
-	now = l.advanceClock(now)
-	for len(l.recovered) > 0 && now >= l.recovered[0].at {
-		key := l.recovered[0].key
-		l.recovered = l.recovered[1:]
-		if e := l.entries[key]; e != nil && e.Outcome == Pending && !e.acceptedHere {
-			outcome := Rejected
-			if e.MayHaveRun && l.classes[e.Class].isNonIdempotent() {
-				outcome = Failed
-			}
-			l.recordAnswer(key, e, outcome, now, nil, nil)
-		}
-	}
-	for len(l.answered) > 0 && now-l.answered[0].at >= l.retention {
-		l.forget(l.answered[0].key)
-		l.answered = l.answered[1:]
+// Tick forgets answers whose retention is over, and answers recovered requests whose deadline has passed without a repeat.
+func (j *Journal) Tick(now admission.Time) {
+	now = j.advanceClock(now)
+	for len(j.recovered) > 0 && now >= j.recovered[0].at {
+		key := j.recovered[0].key
+		j.recovered = j.recovered[1:]
+		j.expireRecovered(now, key)
 	}
-}
-
-// Len is how many tasks it knows.
-func (l *Journal) Len() int { return len(l.entries) }
-
-// Each calls f for all tasks, in no order that means anything.
-func (l *Journal) ForEach(f func(key Key, e *Entry)) {
-	for k, e := range l.entries {
-		f(k, e)
+	for len(j.answered) > 0 && now-j.answered[0].at >= j.retention {
+		j.forget(j.answered[0].key)
+		j.answered = j.answered[1:]
 	}
 }
 
-// recordVersion begins each record.
-const recordVersion = 1
-
-// The flags of a record.
-const (
-	flagInFlight = 1 << iota
-	flagMayHaveRun
-	flagComplete
-)
-
-func (e *Entry) encode() []byte {
-	flags := byte(0)
-	if e.InFlight {
-		flags |= flagInFlight
-	}
-	if e.MayHaveRun {
-		flags |= flagMayHaveRun
-	}
-	if e.complete {
-		flags |= flagComplete
-	}
-	b := []byte{recordVersion, flags, byte(e.Outcome)}
-	for _, v := range []int64{int64(e.Class), int64(e.AcceptedAt), int64(e.Deadline), int64(e.Attempts), int64(e.UncertainSince), int64(e.Zone), int64(e.Group), int64(e.AnsweredAt)} {
-		b = binary.AppendVarint(b, v)
+// expireRecovered answers a recovered request that no client has repeated before its deadline.
+func (j *Journal) expireRecovered(now admission.Time, key Key) {
+	entry := j.entries[key]
+	if entry == nil || entry.Outcome != Pending || entry.acceptedHere {
+		return
 	}
-	if e.complete {
-		b = binary.AppendUvarint(b, uint64(len(e.Pages)))
-		for _, r := range e.Pages {
-			b = binary.AppendUvarint(b, uint64(len(r)))
-			b = append(b, r...)
-		}
+	outcome := Rejected
+	if entry.MayHaveRun && j.classes[entry.Class].isNonIdempotent() {
+		outcome = Failed
 	}
-	return b
+	entry.setAnswer(now, outcome, nil)
+	j.storeAnswer(key, entry, nil)
 }
 
-// ErrRecord tells of a record that is none of this version.
-var ErrInvalidRecord = errors.New("not a record of a task, or of another version")
+// Len returns the number of requests on record.
+func (j *Journal) Len() int { return len(j.entries) }
 
-// Decode reads a record without a site's lanes, for tools.
-func Decode(b []byte) (*Entry, error) { return decode(b, 1<<16) }
-
-func decode(b []byte, lanes int) (*Entry, error) {
-	if len(b) < 3 || b[0] != recordVersion || int(b[2]) >= len(outcomeNames) {
-		return nil, ErrInvalidRecord
-	}
-	e := &Entry{InFlight: b[1]&flagInFlight != 0, MayHaveRun: b[1]&flagMayHaveRun != 0, complete: b[1]&flagComplete != 0, Outcome: Outcome(b[2])}
-	b = b[3:]
-	var v [8]int64
-	for i := range v {
-		n := 0
-		if v[i], n = binary.Varint(b); n <= 0 {
-			return nil, ErrInvalidRecord
-		}
-		b = b[n:]
+// ForEach calls visit for each request on record, in no particular order.
+func (j *Journal) ForEach(visit func(key Key, entry *Entry)) {
+	for key, entry := range j.entries {
+		visit(key, entry)
 	}
-	e.Class, e.AcceptedAt, e.Deadline, e.Attempts = int(v[0]), admission.Time(v[1]), admission.Time(v[2]), int(v[3])
-	e.UncertainSince, e.Zone, e.Group, e.AnsweredAt = admission.Time(v[4]), int(v[5]), int(v[6]), admission.Time(v[7])
-	if e.Class < 0 || e.Class >= lanes {
-		return nil, ErrInvalidRecord
-	}
-	if e.complete {
-		rows, n := binary.Uvarint(b)
-		if n <= 0 || rows > uint64(len(b)) {
-			return nil, ErrInvalidRecord
-		}
-		for b = b[n:]; rows > 0; rows-- {
-			size, n := binary.Uvarint(b)
-			if n <= 0 || size > uint64(len(b)-n) {
-				return nil, ErrInvalidRecord
-			}
-			e.Pages = append(e.Pages, append([]byte(nil), b[n:n+int(size)]...))
-			b = b[n+int(size):]
-		}
-	}
-	if len(b) > 0 {
-		return nil, ErrInvalidRecord
-	}
-	return e, nil
-}
-
-// sortLine puts answered tasks into the order in which they may go; keys decide among those of one time.
-func sortByExpiry(line []expiry) {
-	slices.SortFunc(line, func(a, b expiry) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), slices.Compare(a.key[:], b.key[:]))
-	})
 }
--- a/internal/storage/requestjournal/journal_test.go
+++ b/internal/storage/requestjournal/journal_test.go
@@ -17,357 +17,370 @@
 
 const second = admission.Second
 
-// lanes: 0 may run again, 1 must not, 2 is dropped as a repeat for three seconds.
-var lanes = []requestjournal.Class{{Effect: admission.Idempotent, LongestWait: 5 * second}, {Effect: admission.Unrepeatable, LongestWait: 20 * second},
-	{Effect: admission.Deduplicated, DedupWindow: 3 * second, LongestWait: 20 * second}}
+// classes has one class of each effect; the tests put request n into class n%3.
+var classes = []requestjournal.Class{
+	{Effect: admission.Idempotent, LongestWait: 5 * second},
+	{Effect: admission.Unrepeatable, LongestWait: 20 * second},
+	{Effect: admission.Deduplicated, DedupWindow: 3 * second, LongestWait: 20 * second},
+}
 
-// log joins a ledger to a store.
-type log struct{ s *store.Store }
+// storeLog is a journal's log in a store.
+type storeLog struct{ store *store.Store }
 
-func (l log) Put(k requestjournal.Key, b []byte, done func(error)) { l.s.Put(store.Key(k), b, done) }
-func (l log) Delete(k requestjournal.Key, done func(error))        { l.s.Delete(store.Key(k), done) }
+func (l storeLog) Put(k requestjournal.Key, b []byte, done func(error)) {
+	l.store.Put(store.Key(k), b, done)
+}
+func (l storeLog) Delete(k requestjournal.Key, done func(error)) { l.store.Delete(store.Key(k), done) }
 
-// open opens a folder's ledger, recovered at a time.
-func open(f store.Folder, now admission.Time) (*requestjournal.Journal, *store.Store, error) {
-	var l *requestjournal.Journal
-	var behind log
-	l = requestjournal.New(&behind, lanes, 1000)
-	var bad error
-	s, _, err := store.Open(f, "g1", store.Limits{CompactionInterval: time.Hour}, func(k store.Key, b []byte, gone bool) {
-		bad = errors.Join(bad, l.Replay(requestjournal.Key(k), b, gone))
+// openJournal opens the journal in a folder and recovers it at the given time.
+func openJournal(folder store.Folder, now admission.Time) (*requestjournal.Journal, *store.Store, error) {
+	var journal *requestjournal.Journal
+	var log storeLog
+	journal = requestjournal.New(&log, classes, 1000)
+	var replayErr error
+	logStore, _, err := store.Open(folder, "g1", store.Limits{CompactionInterval: time.Hour}, func(key store.Key, record []byte, deleted bool) {
+		replayErr = errors.Join(replayErr, journal.Replay(requestjournal.Key(key), record, deleted))
 	})
 	if err == nil {
-		behind.s = s
-		if err = bad; err == nil {
-			l.Recover(now)
+		log.store = logStore
+		if err = replayErr; err == nil {
+			journal.Recover(now)
 		}
 	}
-	return l, s, err
+	return journal, logStore, err
 }
 
-// wait does what asks for leave and waits for it.
-func wait(do func(may func(error)) bool) error {
+// waitDurable calls record and, if that asks for it, waits until the record is durable.
+func waitDurable(record func(onDurable func(error)) bool) error {
 	done := make(chan error, 1)
-	if do(func(err error) { done <- err }) {
+	if record(func(err error) { done <- err }) {
 		return <-done
 	}
 	return nil
 }
 
-// told is what an engine or a client has seen.
-type told struct {
-	id     admission.RequestID
-	sent   bool // a hand-off's first byte,
-	proved bool // or proof that nothing of it ran; else an answer
-	out    requestjournal.Outcome
-	size   int // of the log by then
+// observation is something that an engine or a client has seen: an attempt's first byte, the proof that nothing of an
+// attempt ran, or an answer.
+type observation struct {
+	id           admission.RequestID
+	sent         bool // an attempt's first byte
+	provedNotRun bool // the attempt is known not to have run
+	outcome      requestjournal.Outcome
+	logBytes     int // size of the log by then
 }
 
-// segment is the log's one file: a day fills no more.
-const segment = "0000000000000001.log"
+// segmentName is the log's only file: a workload is too short to fill it.
+const segmentName = "0000000000000001.log"
 
-// day plays tasks of all lanes through every way that they can go; it stops when power is lost.
-func day(f *faultfs.Folder, planted bool) (seen []told) {
-	l, s, err := open(f, 1000*second)
+// runWorkload takes requests of all classes through every course that they can take, and returns what engines and clients
+// saw. It stops when power is lost. answerEarly is a mutation: clients see answers before these are on record.
+func runWorkload(folder *faultfs.Folder, answerEarly bool) (observed []observation) {
+	journal, logStore, err := openJournal(folder, 1000*second)
 	if err != nil {
 		return nil
 	}
-	defer s.Close()
+	defer logStore.Close()
 	now := 1000 * second
-	see := func(t told) { t.size = len(f.Contents(segment)); seen = append(seen, t) }
+	observe := func(o observation) { o.logBytes = len(folder.Contents(segmentName)); observed = append(observed, o) }
 	for n := range 12 {
 		id := admission.RequestID(fmt.Sprintf("%016x", n))
-		lane := n % 3
+		class := n % 3
 		now += second / 10
-		l.Accept(now, id, lane, now+10*second)
+		journal.Accept(now, id, class, now+10*second)
 		if n == 11 {
-			break // taken, and nothing more
+			break // accepted, and nothing more
 		}
-		answer := func(out requestjournal.Outcome, rows [][]byte) bool {
-			if planted { // the defect: the client sees the answer before it is recorded
-				see(told{id: id, out: out})
+		answer := func(outcome requestjournal.Outcome, pages [][]byte) bool {
+			if answerEarly {
+				observe(observation{id: id, outcome: outcome})
 			}
-			if wait(func(may func(error)) bool { return l.RecordAnswer(now, id, out, rows, may) }) != nil {
+			if waitDurable(func(onDurable func(error)) bool { return journal.RecordAnswer(now, id, outcome, pages, onDurable) }) != nil {
 				return false
 			}
-			see(told{id: id, out: out})
+			observe(observation{id: id, outcome: outcome})
 			return true
 		}
-		for try := range 1 + n%2 {
-			if wait(func(may func(error)) bool { return l.BeginAttempt(now, id, 1, n%4, may) }) != nil {
-				return seen
+		for attempt := range 1 + n%2 {
+			if waitDurable(func(onDurable func(error)) bool { return journal.BeginAttempt(now, id, 1, n%4, onDurable) }) != nil {
+				return observed
 			}
-			see(told{id: id, sent: true})
+			observe(observation{id: id, sent: true})
 			if n >= 9 {
-				break // it is out when the day ends
+				break // the attempt is in flight at the end
 			}
-			if try < n%2 {
-				l.EndAttempt(now, id, true)
-				see(told{id: id, proved: true})
+			if attempt < n%2 {
+				journal.EndAttempt(now, id, true)
+				observe(observation{id: id, provedNotRun: true})
 			}
 		}
 		if n >= 9 {
 			continue
 		}
-		out := []requestjournal.Outcome{requestjournal.Served, requestjournal.Failed, requestjournal.Served, requestjournal.Rejected}[n%4]
-		l.EndAttempt(now, id, out == requestjournal.Rejected)
-		if out == requestjournal.Rejected {
-			see(told{id: id, proved: true})
+		outcome := []requestjournal.Outcome{requestjournal.Served, requestjournal.Failed, requestjournal.Served, requestjournal.Rejected}[n%4]
+		journal.EndAttempt(now, id, outcome == requestjournal.Rejected)
+		if outcome == requestjournal.Rejected {
+			observe(observation{id: id, provedNotRun: true})
 		}
-		if !answer(out, [][]byte{[]byte("a\tb\tc\n")}) {
-			return seen
+		if !answer(outcome, [][]byte{[]byte("a\tb\tc\n")}) {
+			return observed
 		}
 	}
-	return seen
+	return observed
 }
 
-// right opens what was left and holds it against what was seen: a task of a lane that may not run twice, of which an engine
-// has seen a byte, is known as one that may have run, or has its answer; and an answer that a client has seen is the one
-// that it gets again.
-func right(left store.Folder, seen []told, now admission.Time) error {
-	l, s, err := open(left, now)
+// checkRecovered recovers the journal in a folder and compares it with what was observed. A request that must not run twice
+// and of which an engine has seen a byte is known as one that may have run, or has its answer. A repeat of an answered request
+// gets the answer that its client has seen.
+func checkRecovered(folder store.Folder, observed []observation, now admission.Time) error {
+	journal, logStore, err := openJournal(folder, now)
 	if err != nil {
 		return err
 	}
-	defer s.Close()
-	for i, t := range seen {
+	defer logStore.Close()
+	for i, seen := range observed {
 		var n int
-		fmt.Sscanf(string(t.id), "%x", &n)
-		lane := n % 3
-		if lane == 0 {
-			continue // look-ups' records are not waited for
+		fmt.Sscanf(string(seen.id), "%x", &n)
+		class := n % 3
+		if class == 0 {
+			continue // records of idempotent requests need not be durable
 		}
-		standing, e := l.Lookup(t.id)
-		if t.sent {
-			proved := false
-			for _, o := range seen[i+1:] {
-				proved = proved || o.id == t.id && o.proved
+		status, entry := journal.Lookup(seen.id)
+		if seen.sent {
+			provedNotRun := false
+			for _, later := range observed[i+1:] {
+				provedNotRun = provedNotRun || later.id == seen.id && later.provedNotRun
 			}
 			switch {
-			case proved:
-			case standing == requestjournal.Unknown:
-				return fmt.Errorf("%s went out, and nothing is known of it", t.id)
-			case standing == requestjournal.Resumable && !e.MayHaveRun:
-				return fmt.Errorf("%s went out, and would be sent as a new one", t.id)
-			case standing == requestjournal.Resumable && lane == 1:
-				return fmt.Errorf("%s went out and must not run twice, and has no answer", t.id)
-			case standing == requestjournal.Resumable && now >= e.UncertainSince+3*second:
-				return fmt.Errorf("%s went out, its window is past, and it has no answer", t.id)
+			case provedNotRun:
+			case status == requestjournal.Unknown:
+				return fmt.Errorf("%s was sent, and nothing is known of it", seen.id)
+			case status == requestjournal.Resumable && !entry.MayHaveRun:
+				return fmt.Errorf("%s was sent, and would be sent as a new one", seen.id)
+			case status == requestjournal.Resumable && class == 1:
+				return fmt.Errorf("%s was sent and must not run twice, and has no answer", seen.id)
+			case status == requestjournal.Resumable && now >= entry.UncertainSince+3*second:
+				return fmt.Errorf("%s was sent, its deduplication window is over, and it has no answer", seen.id)
 			}
 			continue
 		}
-		if t.proved {
+		if seen.provedNotRun {
 			continue
 		}
-		if standing != requestjournal.Answered || e.Outcome != t.out {
-			return fmt.Errorf("%s was answered: %v; asked for again it is %v", t.id, t.out, e)
+		if status != requestjournal.Answered || entry.Outcome != seen.outcome {
+			return fmt.Errorf("%s was answered %v; after the recovery it is %v", seen.id, seen.outcome, entry)
 		}
-		if t.out == requestjournal.Served && (!e.Complete() || string(e.Pages[0]) != "a\tb\tc\n") {
-			return fmt.Errorf("%s was delivered, and its rows are %q", t.id, e.Pages)
+		if seen.outcome == requestjournal.Served && (!entry.Complete() || string(entry.Pages[0]) != "a\tb\tc\n") {
+			return fmt.Errorf("%s was served, and its rows are %q", seen.id, entry.Pages)
 		}
 	}
 	return nil
 }
 
-// crashes loses power at each operation of a day, in every way up to a bound, and once more while it recovers.
-func crashes(most int, planted bool) (states int, bad error) {
-	for at := 0; bad == nil; at++ {
-		f := &faultfs.Folder{BeforeOperation: func(n int, _ string) error {
-			if n >= at {
+// exploreCrashes loses power at each operation of a workload, and once more at each of the first ten operations of the
+// recovery. It checks the crash states that faultfs.Folder.ForEachCrashState explores with the bound maxExhaustive, and
+// returns their number and the first error.
+func exploreCrashes(maxExhaustive int, answerEarly bool) (states int, firstErr error) {
+	for operation := 0; firstErr == nil; operation++ {
+		folder := &faultfs.Folder{BeforeOperation: func(n int, _ string) error {
+			if n >= operation {
 				return faultfs.ErrPowerLost
 			}
 			return nil
 		}}
-		seen := day(f, planted)
+		observed := runWorkload(folder, answerEarly)
 		now := 1000*second + 2*second
-		states += f.ForEachCrashState(most, int64(at), func(left *faultfs.Folder) {
-			if err := right(left, seen, now); err != nil && bad == nil {
-				bad = fmt.Errorf("power lost at operation %d: %w", at, err)
+		states += folder.ForEachCrashState(maxExhaustive, int64(operation), func(left *faultfs.Folder) {
+			if err := checkRecovered(left, observed, now); err != nil && firstErr == nil {
+				firstErr = fmt.Errorf("power lost at operation %d: %w", operation, err)
 			}
 		})
-		for again := range 10 {
-			left := f.AfterPowerLoss(func(part int) bool { return (part+again)%2 == 0 }, -1)
+		for recoveryOperation := range 10 {
+			left := folder.AfterPowerLoss(func(part int) bool { return (part+recoveryOperation)%2 == 0 }, -1)
 			left.BeforeOperation = func(n int, _ string) error {
-				if n >= again {
+				if n >= recoveryOperation {
 					return faultfs.ErrPowerLost
 				}
 				return nil
 			}
-			right(left, nil, now)
-			states += left.ForEachCrashState(most, int64(again), func(second_ *faultfs.Folder) {
-				if err := right(second_, seen, now+5*second); err != nil && bad == nil {
-					bad = fmt.Errorf("power lost at operation %d, and at operation %d of the recovery: %w", at, again, err)
+			checkRecovered(left, nil, now)
+			states += left.ForEachCrashState(maxExhaustive, int64(recoveryOperation), func(leftAgain *faultfs.Folder) {
+				if err := checkRecovered(leftAgain, observed, now+5*second); err != nil && firstErr == nil {
+					firstErr = fmt.Errorf("power lost at operation %d, and at operation %d of the recovery: %w", operation, recoveryOperation, err)
 				}
 			})
 		}
-		if f.Operations < at {
+		if folder.Operations < operation {
 			break
 		}
 	}
-	return states, bad
+	return states, firstErr
 }
 
-func TestCrashes(t *testing.T) {
-	states, bad := crashes(3, false)
+func TestRecoveryAfterPowerLoss(t *testing.T) {
+	states, err := exploreCrashes(3, false)
 	t.Logf("%d states", states)
-	if bad != nil {
-		t.Error(bad)
+	if err != nil {
+		t.Error(err)
 	}
-	if _, bad := crashes(3, true); bad == nil {
+	if _, err := exploreCrashes(3, true); err == nil {
 		t.Error("answers that are seen before they are recorded are not found")
 	} else {
-		t.Log("planted: ", bad)
+		t.Log("mutation found: ", err)
 	}
 }
 
-// The log cut at every byte, as power lost while it was written may leave it, holds all that an engine or client had seen
-// by then.
-func TestEveryByte(t *testing.T) {
-	f := &faultfs.Folder{}
-	seen := day(f, false)
-	whole := f.Contents(segment)
+// A log cut at any byte, as by a power loss during a write, has all that engines and clients had seen by then.
+func TestRecoveryOfLogCutAtEveryByte(t *testing.T) {
+	folder := &faultfs.Folder{}
+	observed := runWorkload(folder, false)
+	whole := folder.Contents(segmentName)
 	for cut := 48; cut <= len(whole); cut++ {
 		left := &faultfs.Folder{}
-		b := f.Contents("manifest")
-		copy(b[40:48], make([]byte, 8)) // not closed in order
-		left.SetFile("manifest", withSum(b))
-		left.SetFile(segment, whole[:cut])
-		var by []told
-		for _, s := range seen {
-			if s.size <= cut {
-				by = append(by, s)
+		manifest := folder.Contents("manifest")
+		copy(manifest[40:48], make([]byte, 8)) // as if it had not been closed
+		left.SetFile("manifest", withChecksum(manifest))
+		left.SetFile(segmentName, whole[:cut])
+		var observedByThen []observation
+		for _, seen := range observed {
+			if seen.logBytes <= cut {
+				observedByThen = append(observedByThen, seen)
 			}
 		}
-		if err := right(left, by, 1002*second); err != nil {
+		if err := checkRecovered(left, observedByThen, 1002*second); err != nil {
 			t.Fatalf("cut to %d of %d bytes: %v", cut, len(whole), err)
 		}
 	}
-	t.Logf("%d cuts, %d things seen", len(whole)-47, len(seen))
+	t.Logf("%d cuts, %d observations", len(whole)-47, len(observed))
 }
 
-func TestClockBack(t *testing.T) { // an hour back between two starts: nothing is younger for it, and no window is longer
-	f := &faultfs.Folder{}
-	l, s, err := open(f, 5000*second)
+// A clock set back by an hour between two starts makes no record younger and no deduplication window longer.
+func TestClockSetBackBetweenStarts(t *testing.T) {
+	folder := &faultfs.Folder{}
+	journal, logStore, err := openJournal(folder, 5000*second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Accept(5000*second, "0000000000000001", 2, 5010*second)
-	wait(func(may func(error)) bool { return l.BeginAttempt(5000*second, "0000000000000001", 0, 0, may) })
-	l.Accept(5004*second, "0000000000000002", 0, 5010*second)
-	s.Close()
-	l, s, err = open(f, 5004*second-3600*second)
+	journal.Accept(5000*second, "0000000000000001", 2, 5010*second)
+	waitDurable(func(onDurable func(error)) bool {
+		return journal.BeginAttempt(5000*second, "0000000000000001", 0, 0, onDurable)
+	})
+	journal.Accept(5004*second, "0000000000000002", 0, 5010*second)
+	logStore.Close()
+	journal, logStore, err = openJournal(folder, 5004*second-3600*second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if standing, e := l.Lookup("0000000000000001"); standing != requestjournal.Answered || e.Outcome != requestjournal.Failed {
-		t.Errorf("%v %+v", standing, e)
+	defer logStore.Close()
+	if status, entry := journal.Lookup("0000000000000001"); status != requestjournal.Answered || entry.Outcome != requestjournal.Failed {
+		t.Errorf("%v %+v", status, entry)
 	}
 }
 
-// A disk that takes long for a sync: look-ups don't ask for leave at all, a load gets it once the disk is through.
-func TestSlowDisk(t *testing.T) {
-	f := &faultfs.Folder{}
-	l, s, err := open(f, 1000*second)
+// While a sync takes long, idempotent requests do not wait for it; a non-idempotent one goes on once the sync is done.
+func TestSlowSyncDelaysNonIdempotentRequestsOnly(t *testing.T) {
+	folder := &faultfs.Folder{}
+	journal, logStore, err := openJournal(folder, 1000*second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	begun, through := make(chan bool, 100), make(chan bool)
-	f.BeforeOperation = func(_ int, what string) error {
+	defer logStore.Close()
+	syncBegun, finishSync := make(chan bool, 100), make(chan bool)
+	folder.BeforeOperation = func(_ int, what string) error {
 		if strings.HasPrefix(what, "sync ") {
-			begun <- true
-			<-through
+			syncBegun <- true
+			<-finishSync
 		}
 		return nil
 	}
-	l.Accept(1000*second, "0000000000000001", 1, 1020*second)
-	leave := make(chan error, 1)
-	if !l.BeginAttempt(1000*second, "0000000000000001", 0, 0, func(err error) { leave <- err }) {
-		t.Fatal("a load may go out before its record survives")
+	journal.Accept(1000*second, "0000000000000001", 1, 1020*second)
+	durable := make(chan error, 1)
+	if !journal.BeginAttempt(1000*second, "0000000000000001", 0, 0, func(err error) { durable <- err }) {
+		t.Fatal("a non-idempotent request does not wait for its record")
 	}
-	<-begun
+	<-syncBegun
 	for n := range 1000 {
 		id := admission.RequestID(fmt.Sprintf("%016x", 100+n))
-		l.Accept(1000*second, id, 0, 1010*second)
-		if l.BeginAttempt(1000*second, id, 0, 0, nil) {
-			t.Fatal("a look-up waits for the disk")
+		journal.Accept(1000*second, id, 0, 1010*second)
+		if journal.BeginAttempt(1000*second, id, 0, 0, nil) {
+			t.Fatal("an idempotent request waits for the disk")
 		}
-		l.EndAttempt(1000*second, id, false)
-		if l.RecordAnswer(1000*second, id, requestjournal.Served, nil, nil) {
-			t.Fatal("a look-up's answer waits for the disk")
+		journal.EndAttempt(1000*second, id, false)
+		if journal.RecordAnswer(1000*second, id, requestjournal.Served, nil, nil) {
+			t.Fatal("an idempotent request's answer waits for the disk")
 		}
 	}
 	select {
-	case <-leave:
-		t.Fatal("leave before the sync was through")
+	case <-durable:
+		t.Fatal("durable before the sync was done")
 	default:
 	}
-	close(through)
-	if err := <-leave; err != nil {
+	close(finishSync)
+	if err := <-durable; err != nil {
 		t.Error(err)
 	}
 }
 
-func TestLeft(t *testing.T) { // what was open at a start and is not asked for again ends at its cut-off, and is forgotten later
-	f := &faultfs.Folder{}
-	l, s, err := open(f, 1000*second)
+// A recovered request that no client repeats is answered at its deadline, and forgotten later.
+func TestRecoveredRequestsEndAtTheirDeadlines(t *testing.T) {
+	folder := &faultfs.Folder{}
+	journal, logStore, err := openJournal(folder, 1000*second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range 6 {
 		id := admission.RequestID(fmt.Sprintf("%016x", n))
-		l.Accept(1000*second, id, n%3, 1010*second)
+		journal.Accept(1000*second, id, n%3, 1010*second)
 		if n < 3 {
-			wait(func(may func(error)) bool { return l.BeginAttempt(1000*second, id, 0, 0, may) })
+			waitDurable(func(onDurable func(error)) bool { return journal.BeginAttempt(1000*second, id, 0, 0, onDurable) })
 		}
 	}
-	s.Close()
-	if l, s, err = open(f, 1001*second); err != nil {
+	logStore.Close()
+	if journal, logStore, err = openJournal(folder, 1001*second); err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	l.Accept(1002*second, "0000000000000005", 2, 1020*second)
-	l.Tick(1011 * second)
+	defer logStore.Close()
+	journal.Accept(1002*second, "0000000000000005", 2, 1020*second)
+	journal.Tick(1011 * second)
 	for n, want := range []requestjournal.Outcome{requestjournal.Rejected, requestjournal.Failed, requestjournal.Failed, requestjournal.Rejected, requestjournal.Rejected, requestjournal.Pending} {
-		if _, e := l.Lookup(admission.RequestID(fmt.Sprintf("%016x", n))); e == nil || e.Outcome != want {
-			t.Errorf("task %d: %+v, expected %v", n, e, want)
+		if _, entry := journal.Lookup(admission.RequestID(fmt.Sprintf("%016x", n))); entry == nil || entry.Outcome != want {
+			t.Errorf("request %d: %+v, expected %v", n, entry, want)
 		}
 	}
-	l.Tick(1200 * second)
-	if l.Len() != 1 {
-		t.Errorf("%d are known", l.Len())
+	journal.Tick(1200 * second)
+	if journal.Len() != 1 {
+		t.Errorf("%d are known", journal.Len())
 	}
 }
 
-func TestForgotten(t *testing.T) { // by time, never before the windows are past; by space the oldest first
-	f := &faultfs.Folder{}
-	l, s, err := open(f, 1000*second)
+// Answers are kept until deduplication windows are over; if there are too many, the oldest are forgotten first.
+func TestAnswersAreForgottenByAgeAndByNumber(t *testing.T) {
+	folder := &faultfs.Folder{}
+	journal, logStore, err := openJournal(folder, 1000*second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer logStore.Close()
 	for n := range 1500 {
 		id := admission.RequestID(fmt.Sprintf("%016x", n))
 		now := 1000*second + admission.Time(n)
-		l.Accept(now, id, 0, now+second)
-		l.RecordAnswer(now, id, requestjournal.Rejected, nil, func(error) {})
+		journal.Accept(now, id, 0, now+second)
+		journal.RecordAnswer(now, id, requestjournal.Rejected, nil, func(error) {})
 	}
-	if l.Len() != 1000 || l.Counts.Evicted != 500 {
-		t.Errorf("%d kept, %d dropped", l.Len(), l.Counts.Evicted)
+	if journal.Len() != 1000 || journal.Counts.Evicted != 500 {
+		t.Errorf("%d kept, %d evicted", journal.Len(), journal.Counts.Evicted)
 	}
-	l.Tick(1000*second + 59*second)
-	if l.Len() != 1000 {
-		t.Errorf("%d kept after 59 s", l.Len())
+	journal.Tick(1000*second + 59*second)
+	if journal.Len() != 1000 {
+		t.Errorf("%d kept after 59 s", journal.Len())
 	}
-	l.Tick(1000*second + 70*second)
-	if l.Len() != 0 {
-		t.Errorf("%d kept after 70 s", l.Len())
+	journal.Tick(1000*second + 70*second)
+	if journal.Len() != 0 {
+		t.Errorf("%d kept after 70 s", journal.Len())
 	}
 }
 
-// withSum gives a manifest the checksum of what it says now.
-func withSum(b []byte) []byte {
+// withChecksum sets the checksum of a changed manifest.
+func withChecksum(b []byte) []byte {
 	binary.LittleEndian.PutUint32(b[len(b)-4:], crc32.Checksum(b[:len(b)-4], crc32.MakeTable(crc32.Castagnoli)))
 	return b
 }
