--- /dev/null
+++ b/internal/storage/requestjournal/format_test.go
@@ -0,0 +1,49 @@
+package requestjournal
+
+import (
+	"bytes"
+	"os"
+	"slices"
+	"testing"
+
+	"magpiebank/internal/storage/store"
+	"magpiebank/internal/testbed/golden"
+)
+
+// keyedEntry is a request as the folder has it.
+type keyedEntry struct {
+	key   Key
+	entry *Entry
+}
+
+func TestFolderOfEarlierVersionIsReadAndRecordsAreWrittenAlike(t *testing.T) {
+	path := t.TempDir() // a store that is opened writes to its folder
+	if err := os.CopyFS(path, os.DirFS("testdata/format/folder")); err != nil {
+		t.Fatal(err)
+	}
+	folder, err := store.OpenFolder(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	journal := New(nil, make([]Class, 4), 100)
+	records := map[Key][]byte{}
+	opened, _, err := store.Open(folder, "gateway-a", store.Limits{}, func(k store.Key, record []byte, gone bool) {
+		if err := journal.Replay(Key(k), record, gone); err != nil {
+			t.Errorf("record %q: %v", k[:], err)
+		}
+		records[Key(k)] = bytes.Clone(record)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer opened.Close()
+	var found []keyedEntry
+	journal.ForEach(func(key Key, entry *Entry) {
+		found = append(found, keyedEntry{key, entry})
+		if again := entry.encode(); !bytes.Equal(again, records[key]) {
+			t.Errorf("record %q: expected %x, found %x", key[:], records[key], again)
+		}
+	})
+	slices.SortFunc(found, func(a, b keyedEntry) int { return bytes.Compare(a.key[:], b.key[:]) })
+	golden.CheckValues(t, "folder", found)
+}
