--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -1,168 +1,107 @@
-// Package discovery parses and writes the engine list's wire, polls over HTTP/1.1, on bytes alone.
+// Package discovery parses and writes the wire of the endpoint list: long polls over HTTP/1.1 for watch events. It works
+// on bytes alone and opens no connections.
 package discovery
 
 import (
-	"bytes"
-	"errors"
 	"net"
 	"slices"
 	"strconv"
-	"strings"
 
 	"magpiebank/internal/admission"
 	"magpiebank/internal/jsonvalue"
 )
 
-// AppendPollRequest appends the poll for events after one that is held.
-func AppendPollRequest(dst []byte, host string, follow, waitMS int64) []byte {
-	dst = strconv.AppendInt(append(dst, "GET /v2/stream?follow="...), follow, 10)
+// AppendPollRequest appends the request for the events after the one with the index after; the server waits up to
+// waitMS milliseconds for the first of them.
+func AppendPollRequest(dst []byte, host string, after, waitMS int64) []byte {
+	dst = strconv.AppendInt(append(dst, "GET /v2/stream?follow="...), after, 10)
 	dst = strconv.AppendInt(append(dst, "&wait_ms="...), waitMS, 10)
 	return append(append(append(dst, " HTTP/1.1\r\nHost: "...), host...), "\r\nAccept: application/json\r\n\r\n"...)
 }
 
-// ErrMalformedResponse is what is no answer in HTTP/1.1 with a body.
-var ErrMalformedResponse = errors.New("malformed answer")
+// WatchEvent is one change of the endpoint list, or the complete list.
+type WatchEvent struct {
+	Full      bool // Endpoints is the complete list
+	Endpoints []admission.Listing
+	Addresses []string // host:port of each of the endpoints
+}
 
-// MaxResponseBytes is the longest answer that Answer takes: some ten thousand entries. Its head is far shorter.
-const (
-	MaxResponseBytes = 1 << 21
-	maxHeadBytes     = 1 << 13
-)
+// EventReader reads the watch events of a response.
+type EventReader struct {
+	Zones []string // the names that a zone's number stands for
+	Kinds []string // the names that an engine kind's number stands for
 
-// ParseResponse reads the answer at the start of b and tells how long it is; 0 where b does not hold all of it. last:
-// the connection carries no further one.
-func ParseResponse(b []byte) (status int, body []byte, length int, last bool, err error) {
-	at := bytes.Index(b, []byte("\r\n\r\n"))
-	if at < 0 && len(b) <= maxHeadBytes {
-		return 0, nil, 0, false, nil
-	}
-	if at < 0 || at > maxHeadBytes {
-		return 0, nil, 0, false, ErrMalformedResponse
-	}
-	lines := strings.Split(string(b[:at]), "\r\n")
-	protocol, rest, _ := strings.Cut(lines[0], " ")
-	code, _, _ := strings.Cut(rest, " ")
-	if status, err = strconv.Atoi(code); err != nil || !strings.HasPrefix(protocol, "HTTP/1.") {
-		return 0, nil, 0, false, ErrMalformedResponse
-	}
-	at += 4
-	size, chunked := -1, false
-	for _, line := range lines[1:] {
-		name, value, _ := strings.Cut(line, ":")
-		value = strings.TrimSpace(value)
-		switch strings.ToLower(name) {
-		case "content-length":
-			if size, err = strconv.Atoi(value); err != nil || size < 0 || size > MaxResponseBytes {
-				return 0, nil, 0, false, ErrMalformedResponse
-			}
-		case "transfer-encoding":
-			chunked = strings.EqualFold(value, "chunked")
-		case "connection":
-			last = strings.EqualFold(value, "close")
-		}
-	}
-	switch {
-	case chunked:
-		body, length, err = readChunks(b, at)
-	case status == 204 || status == 304:
-		length = at
-	case size < 0:
-		err = ErrMalformedResponse
-	case at+size <= len(b):
-		body, length = b[at:at+size], at+size
-	}
-	return status, body, length, last, err
+	// AcceptPartial has the reader report an event with malformed endpoints, without them. Otherwise the reader
+	// stops before such an event, as a list that was damaged on its way is complete when it is asked for again.
+	AcceptPartial bool
 }
 
-// readChunks reads a body in chunks that starts at a place, and tells where the next answer begins.
-func readChunks(b []byte, at int) (body []byte, next int, err error) {
-	for {
-		i := bytes.Index(b[at:], []byte("\r\n"))
-		if i < 0 {
-			return nil, 0, nil
+// ReadEvents calls handle for each event whose index is above after, in order, and returns the index of the last event
+// that was handled. After a malformed event it stops, and the error is that of the JSON reader.
+func (r *EventReader) ReadEvents(response *jsonvalue.Value, after int64, handle func(WatchEvent)) int64 {
+	for i := range response.List("updates") {
+		index := int64(response.Float("updates", i, "index"))
+		if index <= after {
+			continue
 		}
-		digits, _, _ := bytes.Cut(b[at:at+i], []byte{';'})
-		size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
-		if err != nil || size > MaxResponseBytes {
-			return nil, 0, ErrMalformedResponse
+		event := r.readEvent(response, i)
+		malformed := response.Err() != nil
+		if malformed && !r.AcceptPartial {
+			return after
 		}
-		at += i + 2
-		if size == 0 {
-			i := bytes.Index(b[at-2:], []byte("\r\n\r\n")) // trailers, if any, end here
-			if i < 0 {
-				return nil, 0, nil
-			}
-			return body, at + i + 2, nil
+		handle(event)
+		after = index
+		if malformed {
+			return after
 		}
-		if at+int(size)+2 > len(b) {
-			return nil, 0, nil
+	}
+	last := int64(response.Float("index"))
+	if last > after {
+		response.Fail("the events up to it", "index")
+		if r.AcceptPartial {
+			return last
 		}
-		body = append(body, b[at:at+int(size)]...)
-		at += int(size) + 2
 	}
+	return after
 }
 
-// ReadWatchEvents calls told for each event after one that is held, in turn, with the addresses of the listed engines
-// beside them, and returns the number of the last. It stops before an event that can't be read, as a list that
-// broke off or was spoilt on its way is whole when it is asked for again; pass: that event is told with the
-// entries that can be read, and it stops behind it.
-func ReadWatchEvents(s *jsonvalue.Value, held int64, pass bool, zones, kinds []string,
-	told func(whole bool, list []admission.Listing, addresses []string)) int64 {
-	for i := range s.List("updates") {
-		index := int64(s.Float("updates", i, "index"))
-		if index <= held {
-			continue
-		}
-		var list []admission.Listing
-		var addresses []string
-		for k := range s.List("updates", i, "endpoints", "servers") {
-			if l, address, ok := readEndpoint(s, zones, kinds, "updates", i, "endpoints", "servers", k); ok {
-				list, addresses = append(list, l), append(addresses, address)
-			}
-		}
-		whole := s.Bool("updates", i, "endpoints", "full")
-		if s.Err() != nil && !pass {
-			return held
-		}
-		told(whole, list, addresses)
-		if held = index; s.Err() != nil {
-			return held
-		}
-	}
-	if last := int64(s.Float("index")); last > held {
-		s.Fail("the events up to it", "index")
-		if pass {
-			held = last
+func (r *EventReader) readEvent(response *jsonvalue.Value, i int) WatchEvent {
+	var event WatchEvent
+	for k := range response.List("updates", i, "endpoints", "servers") {
+		endpoint, address, ok := r.readEndpoint(response, "updates", i, "endpoints", "servers", k)
+		if ok {
+			event.Endpoints, event.Addresses = append(event.Endpoints, endpoint), append(event.Addresses, address)
 		}
 	}
-	return held
+	event.Full = response.Bool("updates", i, "endpoints", "full")
+	return event
 }
 
-// readEndpoint reads one entry of an event; ok tells whether all that it needs could be read.
-func readEndpoint(s *jsonvalue.Value, zones, kinds []string, at ...any) (l admission.Listing, address string, ok bool) {
-	entry := func(field string) []any { return append(at[:len(at):len(at)], field) }
-	l = admission.Listing{
-		Engine: admission.EngineID(s.RequireText(entry("id")...)),
-		Zone:   slices.Index(zones, s.Text(entry("zone")...)),
-		Kind:   slices.Index(kinds, s.Text(entry("kind")...)),
-		Group:  int(s.Float(entry("cell")...)),
-		Since:  admission.Time(s.Float(entry("started_ms")...)) * admission.Millisecond,
+// readEndpoint reads one endpoint of an event; ok tells whether all that it needs could be read.
+func (r *EventReader) readEndpoint(response *jsonvalue.Value, path ...any) (endpoint admission.Listing, address string, ok bool) {
+	at := func(field string) []any { return append(path[:len(path):len(path)], field) }
+	endpoint = admission.Listing{
+		Engine: admission.EngineID(response.RequireText(at("id")...)),
+		Zone:   slices.Index(r.Zones, response.Text(at("zone")...)),
+		Kind:   slices.Index(r.Kinds, response.Text(at("kind")...)),
+		Group:  int(response.Float(at("cell")...)),
+		Since:  admission.Time(response.Float(at("started_ms")...)) * admission.Millisecond,
 	}
-	address = s.Text(entry("addr")...)
-	switch s.Text(entry("state")...) {
+	address = response.Text(at("addr")...)
+	switch response.Text(at("state")...) {
 	case "Ready":
-		l.State = admission.Live
+		endpoint.State = admission.Live
 	case "Terminating":
-		l.State = admission.Draining
+		endpoint.State = admission.Draining
 	case "Gone":
-		l.State = admission.Gone
-		return l, address, l.Engine != ""
+		endpoint.State = admission.Gone
+		return endpoint, address, endpoint.Engine != ""
 	default:
-		s.Fail("Ready, Terminating or Gone", entry("state")...)
-		return l, address, false
+		response.Fail("Ready, Terminating or Gone", at("state")...)
+		return endpoint, address, false
 	}
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		s.Fail("host:port", entry("addr")...)
+		response.Fail("host:port", at("addr")...)
 	}
-	return l, address, l.Engine != "" && s.Err() == nil
+	return endpoint, address, endpoint.Engine != "" && response.Err() == nil
 }
--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"testing"
 
-	"magpiebank/internal/admission"
 	"magpiebank/internal/jsonvalue"
 )
 
@@ -26,8 +25,8 @@
 		"SIP/2.0 200 OK\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 	} {
-		status, body, length, last, err := ParseResponse([]byte(b))
-		fmt.Printf("%d %q of %d, %d more, last %v, %v\n", status, body, length, len(b)-length, last, err)
+		r, err := ParseResponse([]byte(b))
+		fmt.Printf("%d %q of %d, %d more, last %v, %v\n", r.Status, r.Body, r.Length, len(b)-r.Length, r.Last, err)
 	}
 	// Output:
 	// 200 "hello" of 43, 4 more, last false, <nil>
@@ -42,7 +41,7 @@
 	// 200 "" of 0, 51 more, last false, malformed answer
 }
 
-func ExampleReadWatchEvents() {
+func ExampleEventReader_ReadEvents() {
 	text := []byte(`{"index":9,"updates":[
 	 {"index":7,"endpoints":{"full":true,"servers":[{"id":"old","state":"Ready"}]}},
 	 {"index":8,"endpoints":{"full":true,"servers":[
@@ -50,15 +49,18 @@
 	  {"id":"s-2","addr":"127.0.0.3:5050","zone":"west","kind":"new","cell":3,"state":"Terminating","started_ms":5}]}},
 	 {"index":9,"endpoints":{"full":false,"servers":[{"id":"s-3","state":"Lost"},{"id":"s-1","state":"Gone"}]}}]}`)
 	s, _ := jsonvalue.Parse("events", text)
-	told := func(whole bool, list []admission.Listing, addresses []string) { fmt.Println(whole, list, addresses) }
-	held := ReadWatchEvents(s, 7, false, []string{"west", "east"}, []string{"std"}, told)
-	fmt.Println(held, s.Err()) // the last event is amiss: it is asked for again
+	show := func(event WatchEvent) { fmt.Println(event.Full, event.Endpoints, event.Addresses) }
+	reader := EventReader{Zones: []string{"west", "east"}, Kinds: []string{"std"}}
+	last := reader.ReadEvents(s, 7, show)
+	fmt.Println(last, s.Err()) // the last event is malformed: it is asked for again
 	s, _ = jsonvalue.Parse("events", text)
-	fmt.Println(ReadWatchEvents(s, held, true, []string{"west", "east"}, []string{"std"}, told))
+	reader.AcceptPartial = true
+	fmt.Println(reader.ReadEvents(s, last, show))
 	for _, text := range []string{`{"index":9,"updates":[]}`, `{"index":8,"updates":[{"index":8,"endpoints":{"servers":[
 	 {"id":"s-4","addr":"127.0.0.2","state":"Ready"}]}}]}`} {
 		s, _ := jsonvalue.Parse("events", []byte(text))
-		fmt.Println(ReadWatchEvents(s, 7, false, nil, nil, told), s.Err())
+		var strict EventReader
+		fmt.Println(strict.ReadEvents(s, 7, show), s.Err())
 	}
 	// Output:
 	// true [{s-1 1 0 2 0 0} {s-2 0 -1 3 1 50}] [127.0.0.2:5050 127.0.0.3:5050]
@@ -75,12 +77,13 @@
 	f.Add([]byte(`HTTP/1.1 200 OK` + "\r\nContent-Length: 60\r\n\r\n" +
 		`{"index":1,"updates":[{"index":1,"endpoints":{"servers":[{}]}}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		_, body, length, _, err := ParseResponse(b)
-		if length < 0 || length > len(b) || err != nil && length > 0 {
+		response, err := ParseResponse(b)
+		if length := response.Length; length < 0 || length > len(b) || err != nil && length > 0 {
 			t.Fatalf("%q: length %d, %v", b, length, err)
 		}
-		if s, err := jsonvalue.Parse("events", body); err == nil {
-			ReadWatchEvents(s, 0, true, nil, nil, func(bool, []admission.Listing, []string) {})
+		if s, err := jsonvalue.Parse("events", response.Body); err == nil {
+			reader := EventReader{AcceptPartial: true}
+			reader.ReadEvents(s, 0, func(WatchEvent) {})
 		}
 	})
 }
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -51,14 +51,14 @@
 // tell takes in events; whole is the form of those that hold the whole list. It tells whether all could be read.
 func (f *watcher) tell(s *jsonvalue.Value, whole admission.Form) bool {
 	held := f.held
-	f.held = discovery.ReadWatchEvents(s, held, f.amiss >= mostAmiss, f.o.network.Zones, f.o.network.Kinds,
-		func(all bool, list []admission.Listing, addresses []string) {
-			form := admission.Changes
-			if all {
-				form = whole
-			}
-			f.o.tell(func(now admission.Time) { f.o.listed(now, form, list, addresses) })
-		})
+	reader := discovery.EventReader{Zones: f.o.network.Zones, Kinds: f.o.network.Kinds, AcceptPartial: f.amiss >= mostAmiss}
+	f.held = reader.ReadEvents(s, held, func(event discovery.WatchEvent) {
+		form := admission.Changes
+		if event.Full {
+			form = whole
+		}
+		f.o.tell(func(now admission.Time) { f.o.listed(now, form, event.Endpoints, event.Addresses) })
+	})
 	if f.held > held {
 		f.amiss = 0
 	}
@@ -181,11 +181,11 @@
 			return useful, endCode(err)
 		}
 		for {
-			status, body, length, last, err := discovery.ParseResponse(buffer)
+			response, err := discovery.ParseResponse(buffer)
 			if err != nil || len(buffer) > 2*discovery.MaxResponseBytes {
 				return useful, "bad_answer"
 			}
-			if length == 0 {
+			if response.Length == 0 {
 				if _, err := r.Peek(1); err != nil {
 					return useful, endCode(err)
 				}
@@ -194,20 +194,20 @@
 				r.Discard(len(more))
 				continue
 			}
-			if length < len(buffer) || r.Buffered() > 0 {
-				last = true // more than was asked for: the next answer would be taken for another poll's
+			if response.Length < len(buffer) || r.Buffered() > 0 {
+				response.Last = true // more than was asked for: the next answer would be taken for another poll's
 			}
-			if status == 200 {
-				s, err := jsonvalue.Parse("events", body)
+			if response.Status == 200 {
+				s, err := jsonvalue.Parse("events", response.Body)
 				if err != nil || !f.tell(s, admission.Whole) {
 					return useful, "bad_answer"
 				}
 				useful = true
 			}
-			if last {
+			if response.Last {
 				return useful, "closed"
 			}
-			if status != 200 && status != 204 && status != 304 {
+			if status := response.Status; status != 200 && status != 204 && status != 304 {
 				return useful, "status"
 			}
 			buffer = buffer[:0]
