--- a/internal/cluster/agent/policy.go
+++ b/internal/cluster/agent/policy.go
@@ -33,7 +33,7 @@
 	// ReadPolicy reads a policy's text; an error is why this gateway can't follow it. Any goroutine may call it.
 	ReadPolicy(text []byte) (Policy, error)
 	// RequestCounts is what became of requests since a policy or a rehearsal began here.
-	RequestCounts() rollout.Count
+	RequestCounts() rollout.RequestCounts
 }
 
 // Policy is one that was read.
@@ -44,7 +44,7 @@
 
 // ActivePolicy is what this gateway may go by, as those see it that decide.
 type ActivePolicy struct {
-	rollout.Standing
+	rollout.InForce
 	Current   Policy   // in force, or last so; nil: none is known
 	Proposed  Policy   // that may be gone by beside it
 	Parsed    []Policy // that were heard of
@@ -82,19 +82,19 @@
 func (f *Agent) newPolicies(now admission.Time, start uint64) (*policies, error) {
 	p := &f.policies
 	p.f, p.plan, p.read = f, *f.plan.Policy, map[rollout.Digest]Policy{}
-	plan := &rollout.Plan{Voters: p.plan.Voters, Lease: tenths(p.plan.LeaseDuration), Within: tenths(p.plan.ProposalTimeout), Drift: 20, Folder: p.plan.Folder != ""}
-	plan.Plant(planted())
-	var kept *rollout.Kept
+	plan := &rollout.Config{Voters: p.plan.Voters, LeaseDuration: tenths(p.plan.LeaseDuration), PrepareTimeout: tenths(p.plan.ProposalTimeout), ClockDriftDivisor: 20, Persistent: p.plan.Folder != ""}
+	plan.Mutation = rollout.ParseMutation(planted())
+	var kept *rollout.StoredState
 	if p.plan.Folder != "" {
 		disk, err := store.CreateFolder(p.plan.Folder)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.policy.folder: %w", err)
 		}
-		kept = &rollout.Kept{}
+		kept = &rollout.StoredState{}
 		// The last sixteen policies of a megabyte each, as many again while they are rewritten, and the log.
 		limits := store.Limits{MaxBytes: 64 << 20}
 		p.store, _, err = store.Open(faultdisk.WrapFolder(disk), f.name, limits, func(k store.Key, b []byte, gone bool) {
-			kept.Take([16]byte(k), slices.Clone(b), gone)
+			kept.AddRecord([16]byte(k), slices.Clone(b), gone)
 		})
 		if err != nil {
 			return nil, fmt.Errorf("fleet.policy.folder: %s: %w", p.plan.Folder, err)
@@ -151,9 +151,9 @@
 // BasisAt is what may be gone by at a time: a number from 1 up, as a number and one, or, marked, two of them; 0: nothing.
 func (r *ActivePolicy) BasisAt(now admission.Time) uint64 {
 	switch {
-	case r.Holds(now):
+	case r.HoldsLease(now):
 		return r.Number + 1
-	case r.Proposed != nil && now < r.BothUntil:
+	case r.Proposed != nil && now < r.OverlapUntil:
 		return r.Number + 1 | byBoth
 	}
 	return 0
@@ -164,7 +164,7 @@
 
 // due steps the charter.
 func (p *policies) due(now admission.Time) {
-	p.core.Due(now)
+	p.core.Tick(now)
 	p.parts = slices.DeleteFunc(p.parts, func(k parcel) bool { return now-k.at >= 2*admission.Second })
 }
 
@@ -229,16 +229,16 @@
 }
 
 func (p *policies) heard(at admission.Time, from string, m []byte) error {
-	if p.core.Heard(at, from, m) != nil {
+	if p.core.HandleMessage(at, from, m) != nil {
 		return errBroken
 	}
 	return nil
 }
 
-func (p *policies) Others() []string { return lender{p.f}.Peers() }
+func (p *policies) Peers() []string { return lender{p.f}.Peers() }
 
 // Check reads a policy beside the fleet's goroutine: a long one takes its time.
-func (p *policies) Check(d rollout.Digest, text []byte, done func(rollout.Terms, error)) {
+func (p *policies) CheckPolicy(d rollout.Digest, text []byte, done func(rollout.Terms, error)) {
 	f := p.f
 	go func() {
 		policy, err := p.desk.ReadPolicy(text)
@@ -261,7 +261,7 @@
 	}()
 }
 
-func (p *policies) Keep(records []consensus.Record, done func(error)) {
+func (p *policies) SaveRecords(records []consensus.Record, done func(error)) {
 	f := p.f
 	for i, r := range records {
 		var told func(error)
@@ -276,34 +276,34 @@
 	}
 }
 
-func (p *policies) Load(d rollout.Digest) []byte {
+func (p *policies) LoadPolicy(d rollout.Digest) []byte {
 	if p.store == nil {
 		return nil
 	}
-	return rollout.Text(d, func(key [16]byte) []byte {
+	return rollout.ReadPolicyText(d, func(key [16]byte) []byte {
 		b, _, err := p.store.Get(store.Key(key))
 		if err != nil {
-			p.f.log.Warn("policy", "code", string(rollout.CantKeep), "error", err)
+			p.f.log.Warn("policy", "code", string(rollout.SaveFailed), "error", err)
 		}
 		return b
 	})
 }
 
 // Stand has this gateway go by another standing: the fleet's budgets at once, the desk at its next decision.
-func (p *policies) Stand(s *rollout.Standing) {
+func (p *policies) SetInForce(s *rollout.InForce) {
 	f := p.f
-	r := &ActivePolicy{Standing: *s, Current: p.read[s.Digest], Rehearsed: p.read[s.Rehearse]}
-	if (s.Other != rollout.Digest{}) {
-		r.Proposed = p.read[s.Other]
+	r := &ActivePolicy{InForce: *s, Current: p.read[s.Digest], Rehearsed: p.read[s.RehearsalDigest]}
+	if (s.OverlapDigest != rollout.Digest{}) {
+		r.Proposed = p.read[s.OverlapDigest]
 	}
-	keep := []rollout.Digest{s.Digest, s.Other, s.Rehearse}
-	for _, d := range s.Known {
+	keep := []rollout.Digest{s.Digest, s.OverlapDigest, s.RehearsalDigest}
+	for _, d := range s.KnownDigests {
 		keep = append(keep, d)
 		if k := p.read[d]; k != nil {
 			r.Parsed = append(r.Parsed, k)
 		}
 	}
-	if s.Until > 0 && f.rights != nil && (p.inUse != s.Digest || p.number != s.Number) {
+	if s.LeaseUntil > 0 && f.rights != nil && (p.inUse != s.Digest || p.number != s.Number) {
 		p.inUse, p.number = s.Digest, s.Number
 		p.share(r)
 	}
@@ -313,7 +313,7 @@
 		}
 	}
 	if f.history != nil {
-		f.history.Write(history.Event{Kind: history.PolicyChanged, Of: s.Era, Number: int(s.Number), Success: s.Until > 0, Code: s.Digest.String()})
+		f.history.Write(history.Event{Kind: history.PolicyChanged, Of: s.Era, Number: int(s.Number), Success: s.LeaseUntil > 0, Code: s.Digest.String()})
 	}
 	f.ruling.Store(r)
 }
@@ -335,14 +335,14 @@
 	}
 }
 
-func (p *policies) Drained() bool        { return p.f.passing.Load() == 0 }
-func (p *policies) Count() rollout.Count { return p.desk.RequestCounts() }
-func (p *policies) Wall() int64          { return time.Now().Unix() }
+func (p *policies) Drained() bool                        { return p.f.passing.Load() == 0 }
+func (p *policies) RequestCounts() rollout.RequestCounts { return p.desk.RequestCounts() }
+func (p *policies) UnixSeconds() int64                   { return time.Now().Unix() }
 
-func (p *policies) Say(code rollout.Code, more ...any) {
+func (p *policies) LogEvent(code rollout.EventCode, more ...any) {
 	level := slog.LevelInfo
 	switch code {
-	case rollout.Behind, rollout.Lost, rollout.Forced, rollout.Overruled, rollout.CantKeep, rollout.TakenBack, rollout.Follows:
+	case rollout.VotersBehind, rollout.LogLost, rollout.LogForced, rollout.LogSuperseded, rollout.SaveFailed, rollout.PolicyRolledBack, rollout.CannotFollow:
 		level = slog.LevelWarn
 	}
 	moment(string(code))
@@ -354,7 +354,7 @@
 	p.core.Leave(now)
 	if p.store != nil {
 		if err := p.store.Close(); err != nil {
-			p.f.log.Warn("policy", "code", string(rollout.CantKeep), "error", err)
+			p.f.log.Warn("policy", "code", string(rollout.SaveFailed), "error", err)
 		}
 	}
 }
@@ -448,8 +448,8 @@
 // ask serves one request of the control socket, in the fleet's goroutine; reply is called once.
 func (p *policies) ask(now admission.Time, q *PolicyRequest, reply func(*PolicyReply)) {
 	failed := func(err error) { reply(&PolicyReply{Error: err.Error()}) }
-	propose := func(kind rollout.Kind) {
-		err := p.core.Propose(now, rollout.Proposal{ID: q.ID, Kind: kind, Text: q.Text, Base: q.BaseNumber, Of: q.Number, For: tenths(time.Duration(q.DurationMillis) * time.Millisecond)},
+	propose := func(kind rollout.ProposalKind) {
+		err := p.core.Propose(now, rollout.Proposal{ID: q.ID, Kind: kind, Text: q.Text, BaseNumber: q.BaseNumber, RollbackTo: q.Number, RehearsalLength: tenths(time.Duration(q.DurationMillis) * time.Millisecond)},
 			func(r rollout.Result) { reply(&PolicyReply{Result: result(r)}) })
 		if err != nil {
 			failed(err)
@@ -459,13 +459,13 @@
 	case StatusOperation:
 		reply(&PolicyReply{Status: p.status(now)})
 	case ProposeOperation:
-		propose(rollout.Change)
+		propose(rollout.KindChange)
 	case RehearseOperation:
-		propose(rollout.Rehearsal)
+		propose(rollout.KindRehearsal)
 	case RollbackOperation:
-		propose(rollout.Rollback)
+		propose(rollout.KindRollback)
 	case AwaitOperation: // how far one is that was made here
-		r, ok := p.core.Progress(q.ID)
+		r, ok := p.core.ProposalProgress(q.ID)
 		if !ok {
 			failed(fmt.Errorf("no proposal %08x was made here", uint32(q.ID>>32)))
 			return
@@ -477,20 +477,20 @@
 			failed(err)
 			return
 		}
-		text := p.core.Text(d)
+		text := p.core.PolicyText(d)
 		if text == nil && (d != rollout.Digest{}) {
 			failed(fmt.Errorf("the text of number %d isn't here: ask a voter", q.Number))
 			return
 		}
 		reply(&PolicyReply{Text: text})
 	case VotersOperation:
-		if err := p.core.Want(now, q.Voters); err != nil {
+		if err := p.core.ReplaceVoters(now, q.Voters); err != nil {
 			failed(err)
 			return
 		}
 		reply(&PolicyReply{Status: p.status(now)})
 	case ForceOperation:
-		if err := p.core.Force(now, q.Voters); err != nil {
+		if err := p.core.ForceNewLog(now, q.Voters); err != nil {
 			failed(err)
 			return
 		}
@@ -502,9 +502,9 @@
 
 // digest is that of a number that this gateway knows.
 func (p *policies) digest(now admission.Time, number uint64) (rollout.Digest, error) {
-	s := p.core.State(now)
-	if number == s.Standing.Number {
-		return s.Standing.Digest, nil
+	s := p.core.Status(now)
+	if number == s.InForce.Number {
+		return s.InForce.Digest, nil
 	}
 	for _, a := range s.Past {
 		if a.Number == number {
@@ -518,27 +518,27 @@
 }
 
 func result(r rollout.Result) *ProposalResult {
-	return &ProposalResult{ID: r.ID, Outcome: r.End.String(), Number: r.Number, Reason: r.Why}
+	return &ProposalResult{ID: r.ID, Outcome: r.Outcome.String(), Number: r.Number, Reason: r.Reason}
 }
 
 func (p *policies) status(now admission.Time) *PolicyStatus {
-	s := p.core.State(now)
-	out := &PolicyStatus{Name: s.Name, Number: s.Standing.Number, Era: s.Standing.Era, Digest: s.Standing.Digest.String(), LeaseSeconds: seconds(s.Lease), DecidedNumber: s.Decided,
-		Leader: s.Leader, Voters: s.Voters, IsVoter: s.Votes, IsLearner: s.Learning, Ready: s.Ready, Reason: s.Why, VoterChange: s.Change}
-	if s.Open != 0 {
-		out.Proposal, out.ProposalDigest = fmt.Sprintf("%08x", uint32(s.Open>>32)), s.OpenIs.String()
+	s := p.core.Status(now)
+	out := &PolicyStatus{Name: s.Name, Number: s.InForce.Number, Era: s.InForce.Era, Digest: s.InForce.Digest.String(), LeaseSeconds: seconds(s.LeaseRemaining), DecidedNumber: s.DecidedNumber,
+		Leader: s.Leader, Voters: s.Voters, IsVoter: s.IsVoter, IsLearner: s.IsLearner, Ready: s.Ready, Reason: s.Reason, VoterChange: s.Progress}
+	if s.ProposalID != 0 {
+		out.Proposal, out.ProposalDigest = fmt.Sprintf("%08x", uint32(s.ProposalID>>32)), s.ProposalDigest.String()
 	}
-	if (s.Cannot != rollout.Digest{}) {
-		out.UnusableDigest = s.Cannot.String()
+	if (s.Unsupported != rollout.Digest{}) {
+		out.UnusableDigest = s.Unsupported.String()
 	}
 	for _, a := range s.Past {
-		out.Records = append(out.Records, PolicyRecord{a.Number, a.Digest.String(), a.Size, a.Kind.String(), a.By, a.At, a.Of})
+		out.Records = append(out.Records, PolicyRecord{a.Number, a.Digest.String(), a.Size, a.Kind.String(), a.By, a.UnixSeconds, a.RollbackTo})
 	}
 	for _, e := range s.Ends {
 		out.Results = append(out.Results, *result(rollout.Result(e)))
 	}
 	for _, m := range s.Members {
-		out.Members = append(out.Members, PolicyMember{m.Name, seconds(m.Heard), seconds(m.Lease), m.Ready, m.Out, m.Why})
+		out.Members = append(out.Members, PolicyMember{m.Name, seconds(m.SinceHeard), seconds(m.LeaseRemaining), m.Ready, m.Excluded, m.Reason})
 	}
 	return out
 }
--- a/internal/cluster/agent/status.go
+++ b/internal/cluster/agent/status.go
@@ -158,7 +158,7 @@
 	}
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	var q request
-	if err := json.NewDecoder(io.LimitReader(c, 2*rollout.MostText)).Decode(&q); err != nil {
+	if err := json.NewDecoder(io.LimitReader(c, 2*rollout.MaxPolicyBytes)).Decode(&q); err != nil {
 		return fmt.Errorf("expected a request, found %w", err)
 	}
 	got := make(chan any, 1)
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -56,7 +56,7 @@
 		for i := range n {
 			ids = append(ids, uint64(i+1))
 		}
-		if err := v.node.Begin(ids, nil); err != nil {
+		if err := v.node.Bootstrap(ids, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -64,14 +64,14 @@
 }
 
 func (v *voter) begin() {
-	var f Found
+	var f StoredLog
 	last := map[[16]byte]int{}
 	for i, r := range v.disk {
 		last[r.Key] = i
 	}
 	for i, r := range v.disk {
 		if last[r.Key] == i || r.Value == nil {
-			f.Take(r.Key, r.Value, r.Value == nil)
+			f.AddRecord(r.Key, r.Value, r.Value == nil)
 		}
 	}
 	v.up, v.applied, v.at = true, nil, 0
@@ -96,13 +96,13 @@
 	}
 }
 
-func (v *voter) Save(records []Record, done func(error)) {
+func (v *voter) SaveRecords(records []Record, done func(error)) {
 	v.behind = append(v.behind, records...)
 	v.done, v.doneAt = append(v.done, done), append(v.doneAt, len(records))
 }
 
 // Applied takes in a decision: nobody is ever told another one at the same place.
-func (v *voter) Applied(index uint64, entry []byte) {
+func (v *voter) EntryApplied(index uint64, entry []byte) {
 	c := v.c
 	for uint64(len(c.decided)) <= index {
 		c.decided = append(c.decided, nil)
@@ -115,13 +115,15 @@
 	v.applied, v.at = append(v.applied, entry...), index
 }
 
-func (v *voter) Changed(index uint64, context []byte, voters, learners []uint64) {}
-func (v *voter) Installed(index uint64, state []byte)                            { v.applied, v.at = slices.Clone(state), index }
-func (v *voter) State() []byte                                                   { return slices.Clone(v.applied) }
-func (v *voter) Led(term uint64)                                                 {}
-func (v *voter) Forgot()                                                         { v.forgot = true }
+func (v *voter) VotersChanged(index uint64, context []byte, voters, learners []uint64) {}
+func (v *voter) SnapshotInstalled(index uint64, state []byte) {
+	v.applied, v.at = slices.Clone(state), index
+}
+func (v *voter) Snapshot() []byte              { return slices.Clone(v.applied) }
+func (v *voter) LeadershipChanged(term uint64) {}
+func (v *voter) LogLost()                      { v.forgot = true }
 
-func (v *voter) Confirmed(read uint64) {
+func (v *voter) LeadershipConfirmed(read uint64) {
 	if v.at < v.c.asks[read] {
 		v.c.t.Fatalf("voter %d: read %d was asked when %d entries were decided, and is confirmed with %d", v.id, read, v.c.asks[read], v.at)
 	}
@@ -139,7 +141,7 @@
 			if l.at > c.now {
 				c.mail = append(c.mail, l)
 			} else if v.up {
-				if err := v.node.Heard(l.b); err != nil {
+				if err := v.node.HandleMessage(l.b); err != nil {
 					c.t.Fatal(err)
 				}
 			}
@@ -163,7 +165,7 @@
 			if c.chance.IntN(4) == 0 {
 				c.asked++
 				c.asks[c.asked] = uint64(max(0, len(c.decided)-1))
-				v.node.Confirm(c.asked)
+				v.node.ConfirmLeadership(c.asked)
 			}
 		}
 		each()
@@ -171,7 +173,7 @@
 }
 
 // Whatever is lost, late, doubled, cut and killed: one sequence of decisions, and a read that is confirmed has seen all of it.
-func TestOneLog(t *testing.T) {
+func TestAllVotersApplyOneLog(t *testing.T) {
 	for seed := range uint64(30) {
 		c := newCluster(t, seed, 3+2*int(seed%2))
 		n := len(c.voters)
@@ -218,10 +220,10 @@
 }
 
 // A voter whose folder is an older one finds that out, and takes no part; a newcomer takes its place, by one change.
-func TestForgotten(t *testing.T) {
+func TestLostLogIsReplaced(t *testing.T) {
 	c := newCluster(t, 7, 3)
 	c.pass(100, func() {})
-	follower := slices.IndexFunc(c.voters, func(v *voter) bool { return !v.node.Leads() })
+	follower := slices.IndexFunc(c.voters, func(v *voter) bool { return !v.node.IsLeader() })
 	gone := c.voters[follower]
 	old := slices.Clone(gone.disk)
 	c.pass(100, func() {})
@@ -239,11 +241,11 @@
 	c.pass(200, func() {
 		for _, v := range c.voters {
 			switch {
-			case !v.up || !v.node.Leads():
+			case !v.up || !v.node.IsLeader():
 			case !learned:
-				learned = v.node.Change(nil, []uint64{4}, nil, nil)
-			case v.node.Near(4) && c.now%10 == 0:
-				v.node.Change([]byte("four for one"), nil, []uint64{4}, []uint64{gone.id})
+				learned = v.node.ChangeVoters(nil, []uint64{4}, nil, nil)
+			case v.node.IsCaughtUp(4) && c.now%10 == 0:
+				v.node.ChangeVoters([]byte("four for one"), nil, []uint64{4}, []uint64{gone.id})
 			}
 		}
 	})
@@ -256,9 +258,9 @@
 	}
 }
 
-func TestBadMessage(t *testing.T) {
+func TestMalformedMessageIsRejected(t *testing.T) {
 	c := newCluster(t, 1, 1)
-	if c.voters[0].node.Heard([]byte{0xff, 1, 2}) == nil {
+	if c.voters[0].node.HandleMessage([]byte{0xff, 1, 2}) == nil {
 		t.Error("no message was taken for one")
 	}
 	c.pass(50, func() {})
--- a/internal/cluster/consensus/format_test.go
+++ b/internal/cluster/consensus/format_test.go
@@ -11,24 +11,24 @@
 
 func TestLogOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
 	form := golden.Read(t, "log.form")
-	var found Found
+	var found StoredLog
 	for _, r := range decodeRecords(t, form) {
-		if !found.Take(r.Key, r.Value, false) {
+		if !found.AddRecord(r.Key, r.Value, false) {
 			t.Errorf("record %q is taken for another's", r.Key)
 		}
 	}
 	if found.err != nil {
 		t.Fatal(found.err)
 	}
-	values := []any{found.hard, found.snapshot, found.entries, found.age}
+	values := []any{found.hard, found.snapshot, found.entries, found.generation}
 	for i := range found.entries {
-		values = append(values, found.ages[found.entries[i].Index])
+		values = append(values, found.generations[found.entries[i].Index])
 	}
 	golden.CheckValues(t, "log", values)
-	again := []Record{hardRecord(found.hard), record(key(ofSnap, 0), found.age, &found.snapshot)}
+	again := []Record{hardStateRecord(found.hard), encodeRecord(recordKey(kindSnapshot, 0), found.generation, &found.snapshot)}
 	for i := range found.entries {
 		e := &found.entries[i]
-		again = append(again, record(entryKey(e.Index), found.ages[e.Index], e))
+		again = append(again, encodeRecord(entryKey(e.Index), found.generations[e.Index], e))
 	}
 	checkRecords(t, again, form)
 }
@@ -42,7 +42,7 @@
 		t.Fatalf("expected two entries of a leader, found %v, error %v", decoded, err)
 	}
 	saveAll(follower)
-	if err := follower.node.Heard(message); err != nil {
+	if err := follower.node.HandleMessage(message); err != nil {
 		t.Fatal(err)
 	}
 	saveAll(follower)
--- a/internal/cluster/consensus/record.go
+++ b/internal/cluster/consensus/record.go
@@ -20,75 +20,79 @@
 // The keys: "log" and a kind, an entry's index at the end. A value begins with the version of its form and the log's age (4 bytes),
 // then raft's own.
 const (
-	form     = 1
-	ofHard   = 'h'
-	ofSnap   = 's'
-	ofEntry  = 'e'
-	keyBegin = "log\x00"
+	recordVersion = 1
+	kindHardState = 'h'
+	kindSnapshot  = 's'
+	kindEntry     = 'e'
+	keyPrefix     = "log\x00"
 )
 
-func key(kind byte, index uint64) (k [16]byte) {
-	copy(k[:], keyBegin)
-	k[len(keyBegin)] = kind
+func recordKey(kind byte, index uint64) (k [16]byte) {
+	copy(k[:], keyPrefix)
+	k[len(keyPrefix)] = kind
 	binary.BigEndian.PutUint64(k[8:], index)
 	return k
 }
 
-func entryKey(index uint64) [16]byte { return key(ofEntry, index) }
+func entryKey(index uint64) [16]byte { return recordKey(kindEntry, index) }
 
 type marshaler interface{ Marshal() ([]byte, error) }
 
-func record(k [16]byte, age uint32, m marshaler) Record {
+func encodeRecord(k [16]byte, age uint32, m marshaler) Record {
 	b, err := m.Marshal()
 	if err != nil {
 		panic(err) // of messages that are in memory there is none that can't be written
 	}
-	return Record{k, append(binary.BigEndian.AppendUint32([]byte{form}, age), b...)}
+	return Record{k, append(binary.BigEndian.AppendUint32([]byte{recordVersion}, age), b...)}
 }
 
-func (n *Node) snapshotRecord(s *pb.Snapshot) Record { return record(key(ofSnap, 0), n.age, s) }
-func (n *Node) entryRecord(e *pb.Entry) Record       { return record(entryKey(e.Index), n.age, e) }
-func hardRecord(h pb.HardState) Record               { return record(key(ofHard, 0), 0, &h) }
+func (n *Node) snapshotRecord(s *pb.Snapshot) Record {
+	return encodeRecord(recordKey(kindSnapshot, 0), n.generation, s)
+}
+func (n *Node) entryRecord(e *pb.Entry) Record {
+	return encodeRecord(entryKey(e.Index), n.generation, e)
+}
+func hardStateRecord(h pb.HardState) Record { return encodeRecord(recordKey(kindHardState, 0), 0, &h) }
 
 // Found is what a folder holds of a log.
-type Found struct {
-	hard     pb.HardState
-	snapshot pb.Snapshot
-	entries  []pb.Entry
-	ages     map[uint64]uint32 // of entries, by index
-	age      uint32
-	err      error
+type StoredLog struct {
+	hard        pb.HardState
+	snapshot    pb.Snapshot
+	entries     []pb.Entry
+	generations map[uint64]uint32 // of entries, by index
+	generation  uint32
+	err         error
 }
 
 // Take takes in a record of the folder, in the order in which they were written; false: it is another's.
-func (f *Found) Take(k [16]byte, value []byte, gone bool) bool {
-	if string(k[:len(keyBegin)]) != keyBegin {
+func (f *StoredLog) AddRecord(k [16]byte, value []byte, gone bool) bool {
+	if string(k[:len(keyPrefix)]) != keyPrefix {
 		return false
 	}
-	kind, index := k[len(keyBegin)], binary.BigEndian.Uint64(k[8:])
-	if kind == ofEntry {
+	kind, index := k[len(keyPrefix)], binary.BigEndian.Uint64(k[8:])
+	if kind == kindEntry {
 		f.entries = slices.DeleteFunc(f.entries, func(e pb.Entry) bool { return e.Index == index })
 	}
 	if gone {
 		return true
 	}
-	err := fmt.Errorf("expected form %d, found another", form)
-	if len(value) >= 5 && value[0] == form {
+	err := fmt.Errorf("expected form %d, found another", recordVersion)
+	if len(value) >= 5 && value[0] == recordVersion {
 		age, b := binary.BigEndian.Uint32(value[1:]), value[5:]
 		switch kind {
-		case ofHard:
+		case kindHardState:
 			f.hard.Reset()
 			err = f.hard.Unmarshal(b)
-		case ofSnap:
+		case kindSnapshot:
 			f.snapshot.Reset()
-			f.age, err = age, f.snapshot.Unmarshal(b)
-		case ofEntry:
+			f.generation, err = age, f.snapshot.Unmarshal(b)
+		case kindEntry:
 			var e pb.Entry
 			if err = e.Unmarshal(b); err == nil {
-				if f.ages == nil {
-					f.ages = map[uint64]uint32{}
+				if f.generations == nil {
+					f.generations = map[uint64]uint32{}
 				}
-				f.entries, f.ages[index] = append(f.entries, e), age
+				f.entries, f.generations[index] = append(f.entries, e), age
 			}
 		}
 	}
@@ -99,21 +103,21 @@
 }
 
 // Empty tells whether there is nothing.
-func (f *Found) Empty() bool {
+func (f *StoredLog) IsEmpty() bool {
 	return len(f.entries) == 0 && raft.IsEmptySnap(f.snapshot) && raft.IsEmptyHardState(f.hard)
 }
 
 // Drop are records that have a folder hold nothing of a log.
-func (f *Found) Drop() (out []Record) {
+func (f *StoredLog) DeletionRecords() (out []Record) {
 	for i := range f.entries {
 		out = append(out, Record{Key: entryKey(f.entries[i].Index)})
 	}
-	return append(out, Record{Key: key(ofSnap, 0)}, Record{Key: key(ofHard, 0)})
+	return append(out, Record{Key: recordKey(kindSnapshot, 0)}, Record{Key: recordKey(kindHardState, 0)})
 }
 
 // fill hands it to raft. What a crash may have left of the last write (entries that were overruled, or that a snapshot took the place
 // of, or without those before them) nobody was told of: it is cut, and stale has the folder lose it.
-func (f *Found) fill(to *raft.MemoryStorage) (stale []Record, err error) {
+func (f *StoredLog) restore(to *raft.MemoryStorage) (stale []Record, err error) {
 	if f.err != nil {
 		return nil, f.err
 	}
@@ -128,7 +132,7 @@
 	term := f.snapshot.Metadata.Term
 	var whole []pb.Entry
 	for _, e := range f.entries {
-		if e.Index == next && e.Term >= term && f.ages[e.Index] == f.age {
+		if e.Index == next && e.Term >= term && f.generations[e.Index] == f.generation {
 			whole = append(whole, e)
 			next, term = next+1, e.Term
 			continue
--- a/internal/cluster/rollout/charter_test.go
+++ b/internal/cluster/rollout/exploration_test.go
@@ -10,7 +10,7 @@
 )
 
 // The walk finds nothing, and each defect that is planted.
-func TestExplore(t *testing.T) {
+func TestExplorationFindsMutationsAlone(t *testing.T) {
 	most := 50_000 // .ci/run walks further by magpiebank-testbed
 	if modelcheck.RaceEnabled {
 		most = 5_000
@@ -19,14 +19,14 @@
 		name string
 		w    *world
 	}{
-		{"switches-on-word", modelled(switchesOnWord, 0, 0, 0, 0)},
-		{"lease-without-drift", modelled(noDrift, 0, 0, 0, 0)},
-		{"believes-folder", modelled(believesFolder, 0, 1, 0, 0)},
-		{"leader-without-wait", modelled(noWait, 0, 0, 1, 0)},
-		{"grants-unasked", modelled(grantsUnasked, 0, 0, 1, 0)},
-		{"keeps-on-yield", modelled(keepsOnYield, 0, 0, 0, 0)},
-		{"lease-from-answer", modelled(fromAnswer, 0, 0, 0, 0)},
-		{"both-forever", modelled(bothForever, 6*unit, 0, 0, 0)},
+		{"switches-on-word", modelled(SwitchOnReady, 0, 0, 0, 0)},
+		{"lease-without-drift", modelled(IgnoreClockDrift, 0, 0, 0, 0)},
+		{"believes-folder", modelled(TrustStoredState, 0, 1, 0, 0)},
+		{"leader-without-wait", modelled(SkipLeaseWait, 0, 0, 1, 0)},
+		{"grants-unasked", modelled(GrantWithoutQuorum, 0, 0, 1, 0)},
+		{"keeps-on-yield", modelled(KeepLeaseOnYield, 0, 0, 0, 0)},
+		{"lease-from-answer", modelled(LeaseFromAnswer, 0, 0, 0, 0)},
+		{"both-forever", modelled(IgnoreOverlap, 6*unit, 0, 0, 0)},
 	} {
 		if modelcheck.RaceEnabled {
 			break // made without the race detector
--- a/internal/cluster/rollout/format_test.go
+++ b/internal/cluster/rollout/format_test.go
@@ -9,15 +9,15 @@
 
 func TestMessagesOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
 	for _, name := range []string{"ask", "answer", "propose", "told", "fetch", "piece", "born", "log"} {
-		t.Run(name, func(t *testing.T) { golden.CheckRoundTrip(t, "message-"+name, decode, (*message).encode) })
+		t.Run(name, func(t *testing.T) { golden.CheckRoundTrip(t, "message-"+name, decode, (*Message).encode) })
 	}
 }
 
 func TestRecordsOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
-	t.Run("state", checkRecord[Book])
-	t.Run("entry", checkRecord[entry])
+	t.Run("state", checkRecord[Table])
+	t.Run("entry", checkRecord[logEntry])
 	t.Run("floor", checkRecord[floorRecord])
-	t.Run("birth", checkRecord[birthRecord])
+	t.Run("birth", checkRecord[replicaRecord])
 }
 
 // checkRecord checks the record that the subtest is named after.
--- a/internal/cluster/rollout/model.go
+++ b/internal/cluster/rollout/model.go
@@ -19,7 +19,7 @@
 // or slow, so that few steps tell.
 const (
 	modelDrift = 4
-	unit       = yieldFor // of a true clock at each step of time; a fast one goes five quarters of it, a slow one three
+	unit       = yieldTimeout // of a true clock at each step of time; a fast one goes five quarters of it, a slow one three
 )
 
 // draft is the log, as all voters share it.
@@ -53,36 +53,36 @@
 	return true
 }
 
-func (s *seat) Confirm(read uint64)                    { s.ask = read }
-func (s *seat) Change(_ []byte, _, _, _ []uint64) bool { return false }
-func (s *seat) Heard([]byte) error                     { return nil }
-func (s *seat) Tick()                                  {}
-func (s *seat) Leads() bool                            { return s.term > 0 }
-func (s *seat) Leader() uint64                         { return 0 }
-func (s *seat) Transfer(uint64)                        {}
-func (s *seat) Near(uint64) bool                       { return true }
-func (s *seat) Active(uint64) bool                     { return true }
-func (s *seat) Voters() (voters, learners []uint64)    { return nil, nil }
-func (s *seat) Failed() error                          { return nil }
-func (s *seat) tell(c *Core, d *draft)                 { c.voter.applied(c, d.decided[s.at]); s.at++ }
+func (s *seat) ConfirmLeadership(read uint64)                { s.ask = read }
+func (s *seat) ChangeVoters(_ []byte, _, _, _ []uint64) bool { return false }
+func (s *seat) HandleMessage([]byte) error                   { return nil }
+func (s *seat) Tick()                                        {}
+func (s *seat) IsLeader() bool                               { return s.term > 0 }
+func (s *seat) LeaderID() uint64                             { return 0 }
+func (s *seat) TransferLeadership(uint64)                    {}
+func (s *seat) IsCaughtUp(uint64) bool                       { return true }
+func (s *seat) IsActive(uint64) bool                         { return true }
+func (s *seat) Voters() (voters, learners []uint64)          { return nil, nil }
+func (s *seat) Err() error                                   { return nil }
+func (s *seat) tell(c *Core, d *draft)                       { c.voter.entryApplied(c, d.decided[s.at]); s.at++ }
 
 // actor is one process of the model.
 type actor struct {
 	core     *Core
 	seat     *seat // nil: it doesn't vote
 	rate     Time  // of its clock, in quarters
-	standing Standing
+	standing InForce
 	decides  bool // it is a gateway that goes by policies
 }
 
 // letterTo is a message under way.
 type letterTo struct {
 	to, from string
-	m        *message
+	m        *Message
 }
 
 type world struct {
-	plan    *Plan
+	plan    *Config
 	at      Time
 	draft   draft
 	actors  []*actor
@@ -91,9 +91,9 @@
 	kills   int // still to come
 	elects  int
 	doubles int
-	asks    int      // of the member, still to come
-	lateAsk bool     // asks stay under way
-	offers  []*Offer // still to be made
+	asks    int               // of the member, still to come
+	lateAsk bool              // asks stay under way
+	offers  []*LoggedProposal // still to be made
 	starts  uint64
 	latest  uint64 // the highest number that anyone has decided by
 	by      string
@@ -109,11 +109,11 @@
 func (p post) Send(string, []byte) {}
 
 // carry takes a message as it is, in place of its bytes.
-func (p post) carry(to string, m *message) {
+func (p post) carry(to string, m *Message) {
 	p.w.mail = append(p.w.mail, letterTo{to, p.w.actors[p.n].core.name, m})
 }
 
-func (p post) Others() (out []string) {
+func (p post) Peers() (out []string) {
 	for i, a := range p.w.actors {
 		if i != p.n && a.decides {
 			out = append(out, a.core.name)
@@ -122,14 +122,14 @@
 	return out
 }
 
-func (p post) Check(Digest, []byte, func(Terms, error)) {}
-func (p post) Keep(_ []consensus.Record, _ func(error)) {}
-func (p post) Load(Digest) []byte                       { return nil }
-func (p post) Stand(s *Standing)                        { p.w.actors[p.n].standing = *s }
-func (p post) Drained() bool                            { return true }
-func (p post) Count() Count                             { return Count{} }
-func (p post) Wall() int64                              { return 0 }
-func (p post) Say(Code, ...any)                         {}
+func (p post) CheckPolicy(Digest, []byte, func(Terms, error))  {}
+func (p post) SaveRecords(_ []consensus.Record, _ func(error)) {}
+func (p post) LoadPolicy(Digest) []byte                        { return nil }
+func (p post) SetInForce(s *InForce)                           { p.w.actors[p.n].standing = *s }
+func (p post) Drained() bool                                   { return true }
+func (p post) RequestCounts() RequestCounts                    { return RequestCounts{} }
+func (p post) UnixSeconds() int64                              { return 0 }
+func (p post) LogEvent(EventCode, ...any)                      {}
 
 func (w *world) clock(a *actor) Time { return w.at * unit * a.rate / 4 }
 
@@ -142,18 +142,18 @@
 	for i, a := range w.actors {
 		b := *a
 		c := *a.core
-		b.core, c.host, c.carry = &c, post{&n, i}, post{&n, i}.carry
-		c.chance = rand.New(rand.NewPCG(1, 1)) // who has a text is no matter here
-		c.own.voters = slices.Clone(c.own.voters)
+		b.core, c.host, c.transport = &c, post{&n, i}, post{&n, i}.carry
+		c.random = rand.New(rand.NewPCG(1, 1)) // who has a text is no matter here
+		c.follower.voters = slices.Clone(c.follower.voters)
 		if a.seat != nil {
 			s := *a.seat
 			s.w, b.seat = &n, &s
 			v := *c.voter
-			v.log, v.book = &s, *c.voter.book.clone()
-			if v.lead != nil {
-				l := *v.lead
-				l.guests = slices.Clone(l.guests)
-				v.lead = &l
+			v.log, v.table = &s, *c.voter.table.clone()
+			if v.leadership != nil {
+				l := *v.leadership
+				l.holders = slices.Clone(l.holders)
+				v.leadership = &l
 			}
 			c.voter = &v
 		}
@@ -168,10 +168,10 @@
 // of what is too much, and looks who decides by what.
 func (w *world) settle() {
 	w.inside()
-	if i := w.draft.leader; i >= 0 && w.actors[i].seat.term == w.draft.term && w.actors[i].core.voter.lead.phase < yielding {
+	if i := w.draft.leader; i >= 0 && w.actors[i].seat.term == w.draft.term && w.actors[i].core.voter.leadership.phase < switching {
 		c := w.actors[i].core
-		c.own.leader, c.own.lease = c.name, 100*w.plan.Lease
-		c.own.ask(c)
+		c.follower.leader, c.follower.leaseDuration = c.name, 100*w.plan.LeaseDuration
+		c.follower.requestLease(c)
 		w.inside()
 	}
 	if over := len(w.mail) - w.most; over > 0 {
@@ -186,8 +186,8 @@
 	for again := true; again; {
 		again = false
 		for i, e := range w.mail {
-			late := e.m.Ask != nil && w.lateAsk
-			if e.to != e.from && (e.m.Ask == nil || late) {
+			late := e.m.LeaseRequest != nil && w.lateAsk
+			if e.to != e.from && (e.m.LeaseRequest == nil || late) {
 				continue
 			}
 			if w.mail = slices.Delete(w.mail, i, i+1); e.to != e.from || w.speaker(e) != nil {
@@ -204,7 +204,7 @@
 			if s := a.seat; s != nil && s.ask != 0 && w.draft.leader == i && s.term == w.draft.term {
 				read := s.ask
 				s.ask = 0
-				a.core.voter.confirmed(a.core, read)
+				a.core.voter.leadershipConfirmed(a.core, read)
 				again = true
 			}
 		}
@@ -219,7 +219,7 @@
 
 func (w *world) speaker(e letterTo) *actor {
 	for _, a := range w.actors {
-		if a.core.name == e.from && a.core.start == e.m.Start {
+		if a.core.name == e.from && a.core.incarnation == e.m.Incarnation {
 			return a
 		}
 	}
@@ -227,26 +227,26 @@
 }
 
 func (w *world) isDecision(b []byte) bool {
-	var e entry
+	var e logEntry
 	return unmarshal(b, &e) == nil && e.Decide != nil
 }
 
 // letterKey tells messages apart, with an ask's number as how many it is behind the latest.
 func (w *world) letterKey(e *letterTo) string {
 	m := e.m
-	s := fmt.Sprint(e.to, e.from, m.Start, m.what())
-	if a := m.Answer; a != nil {
+	s := fmt.Sprint(e.to, e.from, m.Incarnation, m.what())
+	if a := m.LeaseReply; a != nil {
 		behind := int64(-1)
 		for _, k := range w.actors {
-			if k.core.name == e.to && k.core.start == a.For {
-				behind = int64(k.core.own.seq - a.Seq)
+			if k.core.name == e.to && k.core.incarnation == a.ForIncarnation {
+				behind = int64(k.core.follower.seq - a.Seq)
 			}
 		}
 		id := uint64(0)
-		if a.Open != nil {
-			id = a.Open.ID
+		if a.Proposal != nil {
+			id = a.Proposal.ID
 		}
-		return fmt.Sprint(e.to, e.from, m.Start, a.For, behind, a.At.Number, a.Lease, id, a.Both, a.Yield, a.Confirm, a.Leader)
+		return fmt.Sprint(e.to, e.from, m.Incarnation, a.ForIncarnation, behind, a.Decided.Number, a.Lease, id, a.Overlap, a.YieldFor, a.Confirmed, a.Leader)
 	}
 	return s
 }
@@ -254,10 +254,10 @@
 func (w *world) deliver(a *actor, e letterTo) {
 	c := a.core
 	c.now = max(c.now, w.clock(a))
-	if a.decides || e.m.Ask != nil {
+	if a.decides || e.m.LeaseRequest != nil {
 		m := *e.m
 		m.from = e.from
-		c.take(&m)
+		c.dispatch(&m)
 	}
 }
 
@@ -269,14 +269,14 @@
 			if !a.decides || later != (s.Number > w.latest) {
 				continue
 			}
-			who := fmt.Sprintf("%s/%d", a.core.name, a.core.start)
+			who := fmt.Sprintf("%s/%d", a.core.name, a.core.incarnation)
 			switch {
-			case s.Holds(now) && s.Number < w.latest && w.wrong == "":
+			case s.HoldsLease(now) && s.Number < w.latest && w.wrong == "":
 				w.wrong = fmt.Sprintf("%s decides by number %d, after %s has decided by %d", who, s.Number, w.by, w.latest)
-			case s.Holds(now) && s.Number > w.latest:
+			case s.HoldsLease(now) && s.Number > w.latest:
 				w.latest, w.by = s.Number, who
-			case s.Holds(now):
-			case s.Other != (Digest{}) && now < s.BothUntil && w.wrong == "" && (w.latest > s.Number+1 || w.latest == s.Number+1 && w.inForce(w.latest) != s.Other):
+			case s.HoldsLease(now):
+			case s.OverlapDigest != (Digest{}) && now < s.OverlapUntil && w.wrong == "" && (w.latest > s.Number+1 || w.latest == s.Number+1 && w.inForce(w.latest) != s.OverlapDigest):
 				w.wrong = fmt.Sprintf("%s decides by what number %d and a proposal allow, after %s has decided by %d", who, s.Number, w.by, w.latest)
 			}
 		}
@@ -285,9 +285,9 @@
 
 // inForce is the policy of a number, as the log has it.
 func (w *world) inForce(number uint64) Digest {
-	var b Book
+	var b Table
 	for _, e := range w.draft.decided {
-		var k entry
+		var k logEntry
 		if unmarshal(e, &k) == nil {
 			b.apply(&k)
 		}
@@ -311,32 +311,32 @@
 		for _, a := range w.actors {
 			c := a.core
 			if c.now = w.clock(a); a.decides {
-				c.own.lapse(c)
+				c.follower.expire(c)
 			}
-			if c.voter != nil && c.voter.lead != nil {
-				c.voter.judge(c)
+			if c.voter != nil && c.voter.leadership != nil {
+				c.voter.advanceProposal(c)
 			}
 		}
 	})
 	for i, a := range w.actors {
 		c, s := a.core, a.seat
-		who := fmt.Sprintf("%s/%d", c.name, c.start)
+		who := fmt.Sprintf("%s/%d", c.name, c.incarnation)
 		if a.decides {
 			for k, v := range w.actors {
 				if v.seat != nil && v.seat.term > 0 && k != i && s == nil && w.asks > 0 {
 					to := v.core.name
 					add(who+" asks "+to, func(w *world) {
 						w.asks--
-						o := &w.actors[i].core.own
-						o.leader, o.lease = to, 100*w.plan.Lease
-						o.ask(w.actors[i].core)
+						o := &w.actors[i].core.follower
+						o.leader, o.leaseDuration = to, 100*w.plan.LeaseDuration
+						o.requestLease(w.actors[i].core)
 					})
 				}
 			}
 			if s == nil && w.kills > 0 {
 				add(who+" is killed and starts by its folder", func(w *world) {
 					w.kills--
-					w.begin(i, &floorRecord{At: a.core.own.at, Digest: a.core.own.digest})
+					w.begin(i, &floorRecord{Version: a.core.follower.current, Digest: a.core.follower.currentDigest})
 				})
 			}
 		}
@@ -362,7 +362,7 @@
 			add(who+" learns that another leads", func(w *world) {
 				a := w.actors[i]
 				a.seat.term, a.seat.ask = 0, 0
-				a.core.voter.led(a.core, 0)
+				a.core.voter.leadershipChanged(a.core, 0)
 			})
 		}
 		if w.draft.leader != i || s.term != w.draft.term {
@@ -378,7 +378,7 @@
 		if len(w.offers) > 0 && w.draft.next == nil {
 			add(fmt.Sprintf("%s takes in proposal %d", who, w.offers[0].ID), func(w *world) {
 				a := w.actors[i]
-				a.core.voter.write(a.core, "open", &entry{Open: w.offers[0]})
+				a.core.voter.appendEntry(a.core, "open", &logEntry{Proposal: w.offers[0]})
 				w.offers = w.offers[1:]
 			})
 		}
@@ -388,7 +388,7 @@
 			if a.core.name != e.to {
 				continue
 			}
-			name := fmt.Sprintf("%s of %s/%d comes to %s/%d", e.m.what(), e.from, e.m.Start, a.core.name, a.core.start)
+			name := fmt.Sprintf("%s of %s/%d comes to %s/%d", e.m.what(), e.from, e.m.Incarnation, a.core.name, a.core.incarnation)
 			add(name, func(w *world) {
 				w.mail = slices.Delete(w.mail, i, i+1)
 				w.deliver(w.actors[k], e)
@@ -404,18 +404,18 @@
 	return moves
 }
 
-func (m *message) what() string {
+func (m *Message) what() string {
 	switch {
-	case m.Ask != nil && m.Ask.Released != 0:
-		return fmt.Sprintf("release %d", m.Ask.Seq)
-	case m.Ask != nil:
-		return fmt.Sprintf("ask %d", m.Ask.Seq)
-	case m.Answer != nil && m.Answer.Yield != 0:
+	case m.LeaseRequest != nil && m.LeaseRequest.ReleasedFor != 0:
+		return fmt.Sprintf("release %d", m.LeaseRequest.Seq)
+	case m.LeaseRequest != nil:
+		return fmt.Sprintf("ask %d", m.LeaseRequest.Seq)
+	case m.LeaseReply != nil && m.LeaseReply.YieldFor != 0:
 		return "word to yield"
-	case m.Answer != nil && m.Answer.Lease > 0:
-		return fmt.Sprintf("lease on %d for ask %d", m.Answer.At.Number, m.Answer.Seq)
-	case m.Answer != nil:
-		return fmt.Sprintf("word that %d is in force", m.Answer.At.Number)
+	case m.LeaseReply != nil && m.LeaseReply.Lease > 0:
+		return fmt.Sprintf("lease on %d for ask %d", m.LeaseReply.Decided.Number, m.LeaseReply.Seq)
+	case m.LeaseReply != nil:
+		return fmt.Sprintf("word that %d is in force", m.LeaseReply.Decided.Number)
 	}
 	return "message"
 }
@@ -430,53 +430,53 @@
 	}
 	d.next = nil
 	a := w.actors[i]
-	a.core.voter.led(a.core, 0)
+	a.core.voter.leadershipChanged(a.core, 0)
 	for a.seat.at < len(d.decided) {
 		a.seat.tell(a.core, d)
 	}
 	a.seat.term, a.seat.ask = d.term, 0
-	a.core.voter.led(a.core, d.term)
+	a.core.voter.leadershipChanged(a.core, d.term)
 }
 
 // begin has a process start anew.
 func (w *world) begin(i int, floor *floorRecord) {
 	a := w.actors[i]
 	w.starts++
-	c := &Core{plan: w.plan, host: post{w, i}, carry: post{w, i}.carry, chance: rand.New(rand.NewPCG(1, 1)), now: w.clock(a), name: a.core.name, start: w.starts}
-	c.shelf = a.core.shelf
-	var kept *Kept
+	c := &Core{config: w.plan, host: post{w, i}, transport: post{w, i}.carry, random: rand.New(rand.NewPCG(1, 1)), now: w.clock(a), name: a.core.name, incarnation: w.starts}
+	c.policies = a.core.policies
+	var kept *StoredState
 	if floor != nil {
-		kept = &Kept{floor: floor}
+		kept = &StoredState{floor: floor}
 	}
-	c.own.begin(c, kept)
-	c.own.heard = false
-	a.core, a.standing = c, Standing{}
-	c.stand()
+	c.follower.restore(c, kept)
+	c.follower.informed = false
+	a.core, a.standing = c, InForce{}
+	c.publishInForce()
 }
 
 // modelled is the model with a defect planted, and proposals that let gateways go on by two policies for so long.
-func modelled(p defect, both Time, kills, elects, doubles int) *world {
-	plan := &Plan{Voters: []string{"a", "b", "c"}, Lease: 2 * unit, Within: unit, Drift: modelDrift, planted: p}
+func modelled(p Mutation, both Time, kills, elects, doubles int) *world {
+	plan := &Config{Voters: []string{"a", "b", "c"}, LeaseDuration: 2 * unit, PrepareTimeout: unit, ClockDriftDivisor: modelDrift, Mutation: p}
 	w := &world{plan: plan, most: 2, kills: kills, elects: elects, doubles: doubles, asks: 4, draft: draft{leader: -1}}
 	names := []string{"a", "b", "m"}
-	digests := []Digest{Of([]byte("one")), Of([]byte("two"))}
+	digests := []Digest{DigestOf([]byte("one")), DigestOf([]byte("two"))}
 	for i, n := range names {
 		a := &actor{rate: []Time{4, 5, 3}[i], decides: i != 1 || elects > 0, core: &Core{name: n}}
 		w.actors = append(w.actors, a)
 		for _, d := range digests {
-			a.core.shelf.texts = append(a.core.shelf.texts, &text{digest: d, size: 3, state: good})
+			a.core.policies.texts = append(a.core.policies.texts, &policyText{digest: d, size: 3, state: textUsable})
 		}
 		w.begin(i, nil)
 		if i < 2 { // of the voters the leader's own word is enough here: what a majority is, the log says
 			a.seat = &seat{w: w, n: i}
-			a.core.voter = &voter{log: a.seat, birth: uint64(i + 1), kept: true, book: Book{Lease: plan.Lease, Voters: []Voter{{n, uint64(i + 1)}}}}
+			a.core.voter = &voter{log: a.seat, replicaID: uint64(i + 1), replicaIDSaved: true, table: Table{LeaseDuration: plan.LeaseDuration, Voters: []Voter{{n, uint64(i + 1)}}}}
 		}
 	}
 	for i, d := range digests {
-		w.offers = append(w.offers, &Offer{ID: uint64(i + 1), Digest: d, Size: 3, Kind: Change, By: "m", Both: both})
+		w.offers = append(w.offers, &LoggedProposal{ID: uint64(i + 1), Digest: d, Size: 3, Kind: KindChange, By: "m", Overlap: both})
 	}
 	w.elect(0, false) // it has led for long
-	w.actors[0].core.voter.lead.clear, w.actors[0].core.voter.lead.began = 0, -100*unit
+	w.actors[0].core.voter.leadership.leasesClearAt, w.actors[0].core.voter.leadership.startedAt = 0, -100*unit
 	w.mail = nil
 	return w
 }
@@ -504,23 +504,23 @@
 	for _, a := range w.actors {
 		c, now := a.core, w.clock(a)
 		rel := func(t Time) { num(int64(max(-1, t-now))) }
-		num(int64(c.start))
-		if o := &c.own; a.decides {
-			num(int64(o.at.Number), int64(o.target.Number), int64(o.ready), int64(o.released))
+		num(int64(c.incarnation))
+		if o := &c.follower; a.decides {
+			num(int64(o.current.Number), int64(o.decided.Number), int64(o.readyFor), int64(o.releasedFor))
 			if a.seat == nil {
-				num(int64(min(deafAfter+1, o.seq-o.got)), int64(o.seq-min(o.seq, o.least)))
+				num(int64(min(maxUnansweredRequests+1, o.seq-o.answeredSeq)), int64(o.seq-min(o.seq, o.minValidSeq)))
 			}
-			rel(o.until)
-			if o.open != nil {
-				num(int64(o.open.ID))
+			rel(o.leaseUntil)
+			if o.proposal != nil {
+				num(int64(o.proposal.ID))
 			}
-			if o.bothWith != nil {
-				num(int64(o.bothWith.ID))
-				rel(o.bothUntil)
+			if o.overlapWith != nil {
+				num(int64(o.overlapWith.ID))
+				rel(o.overlapUntil)
 			}
-			for _, k := range o.asks {
-				if a.seat == nil && k.seq >= o.least && k.seq > 0 && k.at+max(w.plan.Lease, 6*unit) > now {
-					num(int64(o.seq-k.seq), int64(k.at-now))
+			for _, k := range o.requests {
+				if a.seat == nil && k.seq >= o.minValidSeq && k.seq > 0 && k.sentAt+max(w.plan.LeaseDuration, 6*unit) > now {
+					num(int64(o.seq-k.seq), int64(k.sentAt-now))
 				}
 			}
 		}
@@ -528,28 +528,28 @@
 			continue
 		}
 		num(int64(a.seat.term), int64(a.seat.at), btoi(a.seat.ask != 0))
-		l := c.voter.lead
+		l := c.voter.leadership
 		if l == nil {
 			continue
 		}
-		rel(l.clear)
-		rel(l.began + w.plan.margin(c.voter.book.Both))
-		flag(l.proved, l.behind, l.wrote != "")
-		num(int64(l.phase), btoi(l.reading != 0))
-		if c.voter.book.Open != nil {
-			num(int64(max(-4*unit, l.opened-now)), int64(max(-2*unit, l.since-now)))
+		rel(l.leasesClearAt)
+		rel(l.startedAt + w.plan.leaseMargin(c.voter.table.Overlap))
+		flag(l.proved, l.behind, l.pendingEntry != "")
+		num(int64(l.phase), btoi(l.confirmingRead != 0))
+		if c.voter.table.Proposal != nil {
+			num(int64(max(-4*unit, l.proposalOpenedAt-now)), int64(max(-2*unit, l.phaseSince-now)))
 		}
-		for i := range l.guests {
-			g := &l.guests[i]
+		for i := range l.holders {
+			g := &l.holders[i]
 			b = append(b, g.name...)
-			num(int64(g.start), int64(g.bothID), int64(g.ask.Ready), btoi(g.read != 0))
+			num(int64(g.incarnation), int64(g.overlapWith), int64(g.request.ReadyFor), btoi(g.awaitedRead != 0))
 			if g.name == "m" {
-				num(int64(g.seq-min(g.seq, g.bothSeq)), int64(g.seq-min(g.seq, g.gaveSeq)), int64(g.seq-min(g.seq, g.outSeq)), int64(g.seq-w.actors[2].core.own.seq))
+				num(int64(g.seq-min(g.seq, g.overlapSeq)), int64(g.seq-min(g.seq, g.grantedSeq)), int64(g.seq-min(g.seq, g.excludedSeq)), int64(g.seq-w.actors[2].core.follower.seq))
 			}
-			rel(g.until)
-			rel(g.both)
-			num(int64(max(-w.plan.Lease, g.heardAt-now)))
-			flag(g.out, g.waits, g.ask.Holds)
+			rel(g.leaseClearAt)
+			rel(g.overlapClearAt)
+			num(int64(max(-w.plan.LeaseDuration, g.lastHeardAt-now)))
+			flag(g.excluded, g.awaitsReply, g.request.Holds)
 		}
 	}
 	for i := range w.mail {
@@ -570,10 +570,10 @@
 	walk := func(what string, w *world) {
 		each("policy, 3 voters, 1 member, 2 proposals, "+what, modelcheck.Explore(w, most, 1000))
 	}
-	walk("the member killed, a message doubled", modelled(none, 0, 1, 0, 1))
-	walk("two elections", modelled(none, 0, 0, 2, 0))
-	walk("an election, gateways go by what both allow", modelled(none, 4*unit, 0, 1, 0))
-	late := modelled(none, 0, 0, 1, 0)
+	walk("the member killed, a message doubled", modelled(NoMutation, 0, 1, 0, 1))
+	walk("two elections", modelled(NoMutation, 0, 0, 2, 0))
+	walk("an election, gateways go by what both allow", modelled(NoMutation, 4*unit, 0, 1, 0))
+	late := modelled(NoMutation, 0, 0, 1, 0)
 	late.lateAsk = true
 	walk("an election, asks are late", late)
 }
--- a/internal/testbed/faulttest/policy.go
+++ b/internal/testbed/faulttest/policy.go
@@ -123,7 +123,7 @@
 func (p *play) attempt(first *installation.Gateway, q *agent.PolicyRequest) bool {
 	began := time.Now()
 	a, err := p.asks(context.Background(), first, q, began.Add(p.s.endsWithin()))
-	k := Proposed{At: began.Sub(p.began), By: first.Label(), Took: time.Since(began), End: "unknown", id: q.ID, digest: rollout.Of(q.Text).String()}
+	k := Proposed{At: began.Sub(p.began), By: first.Label(), Took: time.Since(began), End: "unknown", id: q.ID, digest: rollout.DigestOf(q.Text).String()}
 	if q.Text == nil { // of one before
 		k.digest = ""
 	}
@@ -314,7 +314,7 @@
 		}
 		ends[k.id] = k
 	}
-	decided := map[string]bool{rollout.Of(p.firstText()).String(): true}
+	decided := map[string]bool{rollout.DigestOf(p.firstText()).String(): true}
 	for _, k := range r.Proposals {
 		decided[k.digest] = decided[k.digest] || k.End != "dropped" && k.End != "refused" && k.End != "rehearsed"
 	}
--- a/internal/testbed/simcluster/assembly.go
+++ b/internal/testbed/simcluster/assembly.go
@@ -17,7 +17,7 @@
 // killed, doubled and stopped, disks that are slow, full or lie, clocks that run off.
 type assembly struct {
 	post[[]byte]
-	plan     *rollout.Plan
+	plan     *rollout.Config
 	people   []*citizen
 	starts   uint64
 	byName   map[string][]int
@@ -27,7 +27,7 @@
 	without  int       // and how many times a living process could decide nothing
 	wrong    string    // the first decision that was made by an older one
 	voters   []string
-	onSay    func(p *citizen, code rollout.Code, more []any)
+	onSay    func(p *citizen, code rollout.EventCode, more []any)
 	policies map[rollout.Digest]bool // that went into force anywhere
 }
 
@@ -40,7 +40,7 @@
 	ahead    float64
 	up       bool
 	stopped  Time
-	standing rollout.Standing
+	standing rollout.InForce
 	disk     []consensus.Record // what survives
 	behind   []consensus.Record // what doesn't yet
 	done     []todo
@@ -66,7 +66,7 @@
 	for k := range voters {
 		a.voters = append(a.voters, fmt.Sprint("g", k))
 	}
-	a.plan = &rollout.Plan{Voters: a.voters, Lease: lease, Within: 3 * admission.Second, Drift: 20, Folder: true}
+	a.plan = &rollout.Config{Voters: a.voters, LeaseDuration: lease, PrepareTimeout: 3 * admission.Second, ClockDriftDivisor: 20, Persistent: true}
 	a.latest, a.by = [2]uint64{}, "nobody"
 	for k := range n {
 		p := &citizen{a: a, name: fmt.Sprint("g", k), rate: 0.955 + 0.09*a.chance.Float64(), ahead: float64(a.chance.IntN(1e6)), sync: 2 * admission.Millisecond}
@@ -87,15 +87,15 @@
 
 func (p *citizen) begin() {
 	p.a.starts++
-	p.up, p.standing, p.done, p.held, p.from, p.behind, p.busy = true, rollout.Standing{}, nil, nil, nil, nil, 0
-	kept := &rollout.Kept{}
+	p.up, p.standing, p.done, p.held, p.from, p.behind, p.busy = true, rollout.InForce{}, nil, nil, nil, nil, 0
+	kept := &rollout.StoredState{}
 	last := map[[16]byte]int{}
 	for i, r := range p.disk {
 		last[r.Key] = i
 	}
 	for i, r := range p.disk {
 		if last[r.Key] == i {
-			kept.Take(r.Key, r.Value, r.Value == nil)
+			kept.AddRecord(r.Key, r.Value, r.Value == nil)
 		}
 	}
 	if kept.Err() != nil {
@@ -121,7 +121,7 @@
 	return append(append([]byte{byte(len(p.name))}, p.name...), m...)
 }
 
-func (p *citizen) Others() (out []string) {
+func (p *citizen) Peers() (out []string) {
 	for _, q := range p.a.people {
 		if q.name != p.name && !slices.Contains(out, q.name) {
 			out = append(out, q.name)
@@ -131,7 +131,7 @@
 }
 
 // Check can't follow what says so of it.
-func (p *citizen) Check(d rollout.Digest, text []byte, done func(rollout.Terms, error)) {
+func (p *citizen) CheckPolicy(d rollout.Digest, text []byte, done func(rollout.Terms, error)) {
 	p.later(Time(p.a.chance.IntN(50)), 0, func() {
 		var t rollout.Terms
 		if bytes.Contains(text, []byte("not for "+p.name+";")) {
@@ -139,13 +139,13 @@
 			return
 		}
 		if bytes.Contains(text, []byte("both;")) {
-			t.Both = 3 * p.a.plan.Lease
+			t.Overlap = 3 * p.a.plan.LeaseDuration
 		}
 		if bytes.Contains(text, []byte("rehearse;")) {
-			t.Rehearse = admission.Second / 2
+			t.RehearsalLength = admission.Second / 2
 		}
 		if bytes.Contains(text, []byte("probation;")) {
-			t.Probation, t.Bounds = 2*admission.Second, rollout.Bounds{Refused: 0.1, Held: 0.1}
+			t.Probation, t.ProbationBounds = 2*admission.Second, rollout.Bounds{Rejected: 0.1, Shed: 0.1}
 		}
 		done(t, nil)
 	})
@@ -153,7 +153,7 @@
 
 var errFull = errors.New("no space left on device")
 
-func (p *citizen) Keep(records []consensus.Record, done func(error)) {
+func (p *citizen) SaveRecords(records []consensus.Record, done func(error)) {
 	if p.full {
 		p.later(1, 0, func() { done(errFull) })
 		return
@@ -171,8 +171,8 @@
 	p.done = append(p.done, todo{at, p.core, do, save})
 }
 
-func (p *citizen) Load(d rollout.Digest) []byte {
-	return rollout.Text(d, func(key [16]byte) (out []byte) {
+func (p *citizen) LoadPolicy(d rollout.Digest) []byte {
+	return rollout.ReadPolicyText(d, func(key [16]byte) (out []byte) {
 		for _, list := range [][]consensus.Record{p.disk, p.behind} {
 			for _, r := range list {
 				if r.Key == key {
@@ -184,8 +184,8 @@
 	})
 }
 
-func (p *citizen) Stand(s *rollout.Standing) {
-	if p.standing.Holds(p.clock()) && p.a.chance.IntN(4) == 0 {
+func (p *citizen) SetInForce(s *rollout.InForce) {
+	if p.standing.HoldsLease(p.clock()) && p.a.chance.IntN(4) == 0 {
 		p.busy = p.a.now + Time(p.a.chance.IntN(200))
 	}
 	p.standing = *s
@@ -193,17 +193,17 @@
 
 func (p *citizen) Drained() bool { return p.a.now >= p.busy }
 
-func (p *citizen) Count() rollout.Count {
-	k := rollout.Count{Of: p.standing.Number, Tasks: 100}
+func (p *citizen) RequestCounts() rollout.RequestCounts {
+	k := rollout.RequestCounts{Subject: p.standing.Number, Requests: 100}
 	if p.worse {
-		k.Held = 50
+		k.Shed = 50
 	}
 	return k
 }
 
-func (p *citizen) Wall() int64 { return int64(p.a.now / admission.Second) }
+func (p *citizen) UnixSeconds() int64 { return int64(p.a.now / admission.Second) }
 
-func (p *citizen) Say(code rollout.Code, more ...any) {
+func (p *citizen) LogEvent(code rollout.EventCode, more ...any) {
 	if p.a.onSay != nil {
 		p.a.onSay(p, code, more)
 	}
@@ -227,12 +227,12 @@
 	for i, m := range held {
 		p.heard(from[i], m)
 	}
-	p.core.Due(p.clock())
+	p.core.Tick(p.clock())
 	p.decide()
 }
 
 func (p *citizen) heard(from string, m []byte) {
-	if err := p.core.Heard(p.clock(), from, m); err != nil {
+	if err := p.core.HandleMessage(p.clock(), from, m); err != nil {
 		panic(err)
 	}
 }
@@ -243,7 +243,7 @@
 	at := [2]uint64{s.Era, s.Number}
 	later := func(x, y [2]uint64) bool { return x[0] > y[0] || x[0] == y[0] && x[1] > y[1] }
 	switch now := p.clock(); {
-	case s.Holds(now):
+	case s.HoldsLease(now):
 		a.decided++
 		if later(a.latest, at) && a.wrong == "" {
 			a.wrong = fmt.Sprintf("%.3f s: %s decides by number %d of era %d, after %s has decided by %d of %d", float64(a.now)/float64(admission.Second), p.name, s.Number, s.Era, a.by,
@@ -253,9 +253,9 @@
 			a.latest, a.by = at, p.name
 		}
 		a.policies[s.Digest] = true
-	case s.Other != (rollout.Digest{}) && now < s.BothUntil:
+	case s.OverlapDigest != (rollout.Digest{}) && now < s.OverlapUntil:
 		next := [2]uint64{s.Era, s.Number + 1}
-		if a.wrong == "" && (later(a.latest, next) || a.latest == next && !a.policies[s.Other]) {
+		if a.wrong == "" && (later(a.latest, next) || a.latest == next && !a.policies[s.OverlapDigest]) {
 			a.wrong = fmt.Sprintf("%.3f s: %s decides by what number %d and a proposal after it allow, after %s has decided by %d", float64(a.now)/float64(admission.Second), p.name, s.Number,
 				a.by, a.latest[1])
 		}
@@ -291,15 +291,15 @@
 // propose has a process propose a policy.
 func (a *assembly) propose(p *citizen, text string, done func(rollout.Result)) {
 	id := a.chance.Uint64() | 1
-	if err := p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.Change, Text: []byte(text)}, done); err != nil {
-		done(rollout.Result{ID: id, End: rollout.WasRefused, Why: err.Error()})
+	if err := p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.KindChange, Text: []byte(text)}, done); err != nil {
+		done(rollout.Result{ID: id, Outcome: rollout.OutcomeRejected, Reason: err.Error()})
 	}
 }
 
 // holding is how many processes may decide by a policy now.
 func (a *assembly) holding(d rollout.Digest) (n int) {
 	for _, p := range a.people {
-		if p.up && p.standing.Holds(p.clock()) && p.standing.Digest == d {
+		if p.up && p.standing.HoldsLease(p.clock()) && p.standing.Digest == d {
 			n++
 		}
 	}
@@ -336,7 +336,7 @@
 		text := fmt.Sprintf("policy %d %s", k, bytes.Repeat([]byte("x"), 3000))
 		at := a.now
 		a.propose(a.people[n-1], text, func(rollout.Result) {})
-		for a.holding(rollout.Of([]byte(text))) < of && a.now-at < 60*second {
+		for a.holding(rollout.DigestOf([]byte(text))) < of && a.now-at < 60*second {
 			a.pass(10 * admission.Millisecond)
 		}
 		return a.now - at
--- a/internal/testbed/simcluster/assembly_test.go
+++ b/internal/testbed/simcluster/assembly_test.go
@@ -19,9 +19,9 @@
 // the first decision that was made by an older policy, or what didn't come about.
 func troubled(seed uint64, planted string, log func(string)) string {
 	a := newAssembly(seed, 8, []int{3, 5}[seed%2], 2*second)
-	a.plan.Plant(planted)
+	a.plan.Mutation = rollout.ParseMutation(planted)
 	if log != nil {
-		a.onSay = func(p *citizen, code rollout.Code, more []any) {
+		a.onSay = func(p *citizen, code rollout.EventCode, more []any) {
 			log(fmt.Sprintf("%.2f %s/%d %s %v", float64(a.now)/10000, p.name, p.place, code, more))
 		}
 	}
@@ -45,7 +45,7 @@
 			text += "rehearse; "
 		}
 		a.propose(p, text, func(r rollout.Result) {
-			if r.End == rollout.WasDecided {
+			if r.Outcome == rollout.OutcomeDecided {
 				decided++
 			}
 		})
@@ -118,8 +118,8 @@
 	switch {
 	case a.wrong != "":
 		return a.wrong
-	case a.holding(rollout.Of([]byte(text))) != 8:
-		return fmt.Sprintf("eventual: 5 s after a proposal in a fleet that hears itself again %d of 8 go by it: %s %s", a.holding(rollout.Of([]byte(text))), last.End, last.Why)
+	case a.holding(rollout.DigestOf([]byte(text))) != 8:
+		return fmt.Sprintf("eventual: 5 s after a proposal in a fleet that hears itself again %d of 8 go by it: %s %s", a.holding(rollout.DigestOf([]byte(text))), last.Outcome, last.Reason)
 	case a.decided < 1000:
 		return fmt.Sprintf("eventual: only %d looks found somebody with a lease", a.decided)
 	}
--- a/internal/testbed/simcluster/enact_test.go
+++ b/internal/testbed/simcluster/enact_test.go
@@ -26,9 +26,9 @@
 
 // enact proposes a policy and waits for its end.
 func (a *assembly) enact(by int, text string, wait Time) rollout.Result {
-	r := rollout.Result{Why: "it has not ended"}
+	r := rollout.Result{Reason: "it has not ended"}
 	a.propose(a.people[by], text, func(end rollout.Result) { r = end })
-	for until := a.now + wait; a.now < until && r.End == rollout.Pending; {
+	for until := a.now + wait; a.now < until && r.Outcome == rollout.OutcomePending; {
 		a.pass(10 * admission.Millisecond)
 	}
 	return r
@@ -39,7 +39,7 @@
 	a := calm(t, 1, 8, 5)
 	var got []string
 	tell := func(what string, r rollout.Result) {
-		got = append(got, fmt.Sprintf("%s: %s %d %s", what, r.End, r.Number, r.Why))
+		got = append(got, fmt.Sprintf("%s: %s %d %s", what, r.Outcome, r.Number, r.Reason))
 	}
 	tell("plain", a.enact(6, "one", 5*second))
 	tell("a member can't follow", a.enact(5, "two; not for g7;", 5*second))
@@ -49,13 +49,13 @@
 	a.propose(a.people[6], "three; rehearse;", func(r rollout.Result) { one = r })
 	a.propose(a.people[7], "four", func(r rollout.Result) { two = r })
 	a.pass(3 * second)
-	if one.End == rollout.WasRefused {
+	if one.Outcome == rollout.OutcomeRejected {
 		one, two = two, one
 	}
-	two.Why = two.Why[strings.LastIndex(two.Why, " of "):]
-	tell("one of two at once", rollout.Result{End: one.End, Number: one.Number})
-	tell("the other", rollout.Result{End: two.End, Why: "proposal ... of one " + two.Why[len(two.Why)-7:]})
-	p := rollout.Proposal{ID: 99, Kind: rollout.Change, Text: []byte("five")}
+	two.Reason = two.Reason[strings.LastIndex(two.Reason, " of "):]
+	tell("one of two at once", rollout.Result{Outcome: one.Outcome, Number: one.Number})
+	tell("the other", rollout.Result{Outcome: two.Outcome, Reason: "proposal ... of one " + two.Reason[len(two.Reason)-7:]})
+	p := rollout.Proposal{ID: 99, Kind: rollout.KindChange, Text: []byte("five")}
 	for range 3 { // its answer was lost: it is proposed again, here and elsewhere
 		for _, by := range []int{7, 3} {
 			if err := a.people[by].core.Propose(a.people[by].clock(), p, func(rollout.Result) {}); err != nil {
@@ -64,22 +64,22 @@
 		}
 		a.pass(second)
 	}
-	r, _ := a.people[3].core.Progress(99)
+	r, _ := a.people[3].core.ProposalProgress(99)
 	tell("one proposed six times", r)
-	p = rollout.Proposal{ID: 100, Kind: rollout.Rollback, Of: 1}
+	p = rollout.Proposal{ID: 100, Kind: rollout.KindRollback, RollbackTo: 1}
 	a.people[2].core.Propose(a.people[2].clock(), p, func(rollout.Result) {})
 	a.pass(2 * second)
-	r, _ = a.people[2].core.Progress(100)
+	r, _ = a.people[2].core.ProposalProgress(100)
 	tell("back to 1", r)
-	p = rollout.Proposal{ID: 101, Kind: rollout.Rollback, Of: 77}
+	p = rollout.Proposal{ID: 101, Kind: rollout.KindRollback, RollbackTo: 77}
 	a.people[2].core.Propose(a.people[2].clock(), p, func(rollout.Result) {})
 	a.pass(2 * second)
-	r, _ = a.people[2].core.Progress(101)
+	r, _ = a.people[2].core.ProposalProgress(101)
 	tell("back to 77", r)
-	p = rollout.Proposal{ID: 102, Kind: rollout.Change, Text: []byte("six"), Base: 1}
+	p = rollout.Proposal{ID: 102, Kind: rollout.KindChange, Text: []byte("six"), BaseNumber: 1}
 	a.people[2].core.Propose(a.people[2].clock(), p, func(rollout.Result) {})
 	a.pass(2 * second)
-	r, _ = a.people[2].core.Progress(102)
+	r, _ = a.people[2].core.ProposalProgress(102)
 	tell("meant to follow 1", r)
 	want := `plain: decided 1 
 a member can't follow: dropped 0 g7: statements.pools[0].zones: expected some of [norte], found [este]
@@ -98,8 +98,8 @@
 	if text != want {
 		t.Errorf("found\n%s\nexpected\n%s", text, want)
 	}
-	if a.holding(rollout.Of([]byte("one"))) != 8 || a.wrong != "" {
-		t.Errorf("%d of 8 go by it; %s", a.holding(rollout.Of([]byte("one"))), a.wrong)
+	if a.holding(rollout.DigestOf([]byte("one"))) != 8 || a.wrong != "" {
+		t.Errorf("%d of 8 go by it; %s", a.holding(rollout.DigestOf([]byte("one"))), a.wrong)
 	}
 }
 
@@ -112,13 +112,13 @@
 	for k := range 1000 {
 		size := 100
 		if k == 500 {
-			size = rollout.MostText
+			size = rollout.MaxPolicyBytes
 		}
 		text := fmt.Sprintf("%d %s", k, strings.Repeat("x", size-5))
-		if r := a.enact(k%3, text, 20*second); r.End == rollout.WasDecided {
+		if r := a.enact(k%3, text, 20*second); r.Outcome == rollout.OutcomeDecided {
 			decided++
-		} else if r.End != rollout.WasRefused {
-			t.Fatalf("change %d: %s %s", k, r.End, r.Why)
+		} else if r.Outcome != rollout.OutcomeRejected {
+			t.Fatalf("change %d: %s %s", k, r.Outcome, r.Reason)
 		}
 		if p := a.people[4+k%5]; k%20 == 7 {
 			p.kill()
@@ -131,7 +131,7 @@
 	}
 	away.begin()
 	began := a.now
-	for !away.standing.Holds(away.clock()) && a.now-began < 10*second {
+	for !away.standing.HoldsLease(away.clock()) && a.now-began < 10*second {
 		a.pass(10 * admission.Millisecond)
 	}
 	if took := a.now - began; took > second || away.standing.Number != 1000 {
@@ -158,27 +158,27 @@
 // comes with an older folder finds that out, where the leader knows better.
 func TestVotersFolders(t *testing.T) {
 	a := calm(t, 5, 6, 3)
-	said := map[rollout.Code]int{}
-	a.onSay = func(p *citizen, code rollout.Code, _ []any) { said[code]++ }
-	if r := a.enact(5, "one", 5*second); r.End != rollout.WasDecided {
+	said := map[rollout.EventCode]int{}
+	a.onSay = func(p *citizen, code rollout.EventCode, _ []any) { said[code]++ }
+	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	leader := slices.IndexFunc(a.people, func(p *citizen) bool { return len(p.core.State(p.clock()).Members) > 0 })
+	leader := slices.IndexFunc(a.people, func(p *citizen) bool { return len(p.core.Status(p.clock()).Members) > 0 })
 	lost, old := a.people[(leader+1)%3], a.people[(leader+2)%3]
 	lost.kill()
 	lost.disk = nil
 	lost.begin()
 	a.pass(8 * second)
-	if lost.core.State(lost.clock()).Votes {
+	if lost.core.Status(lost.clock()).IsVoter {
 		t.Error("a voter without its folder votes before the one that it was is known to be gone")
 	}
 	a.pass(8 * second)
-	if s := lost.core.State(lost.clock()); !s.Votes || said[rollout.Voting] == 0 {
+	if s := lost.core.Status(lost.clock()); !s.IsVoter || said[rollout.VotersChanged] == 0 {
 		t.Errorf("a voter that lost its folder has not come back as another: %v", said)
 	}
 	older := slices.Clone(old.disk)
 	for k := range 3 {
-		if r := a.enact(5, fmt.Sprint("more ", k), 5*second); r.End != rollout.WasDecided {
+		if r := a.enact(5, fmt.Sprint("more ", k), 5*second); r.Outcome != rollout.OutcomeDecided {
 			t.Fatal(r)
 		}
 	}
@@ -186,12 +186,12 @@
 	old.disk = older
 	old.begin()
 	a.pass(16 * second)
-	if s := old.core.State(old.clock()); !s.Votes || said[rollout.Lost] == 0 {
+	if s := old.core.Status(old.clock()); !s.IsVoter || said[rollout.LogLost] == 0 {
 		t.Errorf("an older folder was not found out, or its voter has not come back as another: %v", said)
 	}
 	a.people[leader].kill()
-	if r := a.enact(5, "the last", 20*second); r.End != rollout.WasDecided || a.wrong != "" {
-		t.Errorf("%s %s; %s", r.End, r.Why, a.wrong)
+	if r := a.enact(5, "the last", 20*second); r.Outcome != rollout.OutcomeDecided || a.wrong != "" {
+		t.Errorf("%s %s; %s", r.Outcome, r.Reason, a.wrong)
 	}
 }
 
@@ -200,19 +200,19 @@
 func TestLyingDisk(t *testing.T) {
 	a := calm(t, 6, 6, 3)
 	behind := 0
-	a.onSay = func(p *citizen, code rollout.Code, _ []any) {
-		if code == rollout.Behind {
+	a.onSay = func(p *citizen, code rollout.EventCode, _ []any) {
+		if code == rollout.VotersBehind {
 			behind++
 		}
 	}
-	if r := a.enact(5, "one", 5*second); r.End != rollout.WasDecided {
+	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	leader := slices.IndexFunc(a.people, func(p *citizen) bool { return len(p.core.State(p.clock()).Members) > 0 })
+	leader := slices.IndexFunc(a.people, func(p *citizen) bool { return len(p.core.Status(p.clock()).Members) > 0 })
 	liar, late := a.people[(leader+1)%3], a.people[(leader+2)%3]
 	liar.lies = true
 	a.cut = func(from, to int) bool { return from == late.place != (to == late.place) }
-	if r := a.enact(5, "two", 10*second); r.End != rollout.WasDecided {
+	if r := a.enact(5, "two", 10*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
 	a.pass(second) // all but one go by it
@@ -222,21 +222,21 @@
 	a.pass(second) // what was said to it is gone
 	liar.begin()
 	a.pass(15 * second)
-	if n := a.holding(rollout.Of([]byte("one"))) + a.holding(rollout.Of([]byte("two"))); behind == 0 || n > 0 {
+	if n := a.holding(rollout.DigestOf([]byte("one"))) + a.holding(rollout.DigestOf([]byte("two"))); behind == 0 || n > 0 {
 		t.Errorf("said %d times that voters are behind; %d hold a lease", behind, n)
 	}
-	if err := a.people[4].core.Force(a.people[4].clock(), []string{"g3", "g4", "g5"}); err != nil {
+	if err := a.people[4].core.ForceNewLog(a.people[4].clock(), []string{"g3", "g4", "g5"}); err != nil {
 		t.Fatal(err)
 	}
 	a.pass(30 * second)
-	if n := a.holding(rollout.Of([]byte("two"))); n < 5 || a.wrong != "" {
+	if n := a.holding(rollout.DigestOf([]byte("two"))); n < 5 || a.wrong != "" {
 		t.Errorf("%d go by the policy that was lost after it was forced; %s", n, a.wrong)
 	}
-	if r := a.enact(5, "three", 10*second); r.End != rollout.WasDecided {
-		t.Errorf("%s %s", r.End, r.Why)
+	if r := a.enact(5, "three", 10*second); r.Outcome != rollout.OutcomeDecided {
+		t.Errorf("%s %s", r.Outcome, r.Reason)
 	}
 	for _, n := range []int{3, 4, 5} {
-		if p := a.people[n]; !p.core.State(p.clock()).Votes {
+		if p := a.people[n]; !p.core.Status(p.clock()).IsVoter {
 			t.Errorf("%s was named as a voter, and doesn't vote", p.name)
 		}
 	}
@@ -245,7 +245,7 @@
 // Without a lease what both policies allow goes on, where the policy says so, and ends in time.
 func TestBoth(t *testing.T) {
 	a := calm(t, 7, 6, 3)
-	if r := a.enact(5, "one", 5*second); r.End != rollout.WasDecided {
+	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
 	apart := 4
@@ -258,16 +258,16 @@
 	a.cut = func(from, to int) bool { return cut(from, to) || from == 3 != (to == 3) } // and now g3 is, which has heard of both
 	a.pass(3 * second)
 	s := a.people[3].standing
-	if one.End != rollout.WasDecided || s.Other != rollout.Of([]byte("two; both;")) || s.Holds(a.people[3].clock()) || a.people[3].clock() >= s.BothUntil {
-		t.Errorf("%v; g3 goes by %s and %s", one, s.Digest, s.Other)
+	if one.Outcome != rollout.OutcomeDecided || s.OverlapDigest != rollout.DigestOf([]byte("two; both;")) || s.HoldsLease(a.people[3].clock()) || a.people[3].clock() >= s.OverlapUntil {
+		t.Errorf("%v; g3 goes by %s and %s", one, s.Digest, s.OverlapDigest)
 	}
 	at := a.now
 	a.propose(a.people[5], "three", func(r rollout.Result) { two = r })
-	for two.End == rollout.Pending && a.now-at < 30*second {
+	for two.Outcome == rollout.OutcomePending && a.now-at < 30*second {
 		a.pass(10 * admission.Millisecond)
 	}
-	if two.End != rollout.WasDecided || a.now-at < second {
-		t.Errorf("the change after it: %s %s after %.1f s", two.End, two.Why, float64(a.now-at)/float64(second))
+	if two.Outcome != rollout.OutcomeDecided || a.now-at < second {
+		t.Errorf("the change after it: %s %s after %.1f s", two.Outcome, two.Reason, float64(a.now-at)/float64(second))
 	}
 	if a.wrong != "" {
 		t.Error(a.wrong)
@@ -277,24 +277,24 @@
 // A policy on probation that is worse than it says it may be is taken back once, as a change of its own.
 func TestProbation(t *testing.T) {
 	a := calm(t, 8, 6, 3)
-	if r := a.enact(5, "one", 5*second); r.End != rollout.WasDecided {
+	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
 	for _, p := range a.people {
 		p.worse = true
 	}
-	if r := a.enact(5, "two; probation;", 5*second); r.End != rollout.WasDecided {
+	if r := a.enact(5, "two; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
 	a.pass(3 * second)
 	p := a.people[0]
-	if n := a.holding(rollout.Of([]byte("one"))); n != 6 || p.standing.Number != 3 {
+	if n := a.holding(rollout.DigestOf([]byte("one"))); n != 6 || p.standing.Number != 3 {
 		t.Errorf("%d of 6 go by the one before, under number %d", n, p.standing.Number)
 	}
 	for _, p := range a.people {
 		p.worse = false
 	}
-	if r := a.enact(5, "three; probation;", 5*second); r.End != rollout.WasDecided {
+	if r := a.enact(5, "three; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
 	a.pass(5 * second)
@@ -337,10 +337,10 @@
 				id := a.chance.Uint64() | 1
 				open[id] = len(ops)
 				ops = append(ops, porcupine.Operation{ClientId: 10 + k, Input: input{true, id}, Call: int64(a.now), Output: uint64(math.MaxUint64), Return: math.MaxInt64})
-				p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.Change, Text: []byte(fmt.Sprint("policy ", seed, k))}, func(r rollout.Result) {
+				p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.KindChange, Text: []byte(fmt.Sprint("policy ", seed, k))}, func(r rollout.Result) {
 					op := &ops[open[id]]
 					op.Return, op.Output = int64(a.now)+1, uint64(0)
-					if r.End == rollout.WasDecided {
+					if r.Outcome == rollout.OutcomeDecided {
 						op.Output = r.Number
 					}
 				})
@@ -366,7 +366,7 @@
 			for range 10 {
 				a.pass(100 * admission.Millisecond)
 				for _, q := range a.people {
-					if q.up && q.stopped <= a.now && q.standing.Holds(q.clock()) && a.chance.IntN(3) == 0 {
+					if q.up && q.stopped <= a.now && q.standing.HoldsLease(q.clock()) && a.chance.IntN(3) == 0 {
 						ops = append(ops, porcupine.Operation{ClientId: q.place, Input: input{}, Call: int64(a.now), Output: q.standing.Number, Return: int64(a.now)})
 					}
 				}
--- a/internal/workload/fleetpolicy.go
+++ b/internal/workload/fleetpolicy.go
@@ -61,16 +61,16 @@
 	rehearsalNumber uint64
 	rehearsed       *Policy
 	rehearsalTurn   int // of shadows: tasks of one before are nothing to this one
-	count           rollout.Count
-	rehearsalCount  rollout.Count
-	publishedCount  atomic.Pointer[rollout.Count]
+	count           rollout.RequestCounts
+	rehearsalCount  rollout.RequestCounts
+	publishedCount  atomic.Pointer[rollout.RequestCounts]
 	Unsure          int64 // tasks that were turned away as nobody knew what held for them
 }
 
 // Obey has the desk go by what the fleet decides; parse reads a policy's text. It is called before anything is told.
 func (d *Manager) FollowFleetPolicy(law PolicyInForce, parse func(text []byte) (*Policy, error), gateways int) {
 	d.inForce, d.parsePolicy, d.gateways = law, parse, gateways
-	d.publishedCount.Store(&rollout.Count{})
+	d.publishedCount.Store(&rollout.RequestCounts{})
 }
 
 // ReadPolicy reads a policy for this gateway's site.
@@ -87,7 +87,7 @@
 }
 
 // RequestCounts is what became of tasks since the policy, or a rehearsal, began here.
-func (d *Manager) RequestCounts() rollout.Count { return *d.publishedCount.Load() }
+func (d *Manager) RequestCounts() rollout.RequestCounts { return *d.publishedCount.Load() }
 
 // nothing is the policy that there is before any.
 var emptyPolicy = func() *Policy {
@@ -141,7 +141,7 @@
 		return false
 	}
 	if d.appliedNumber != v.Number || !d.isApplied {
-		d.count = rollout.Count{Of: v.Number}
+		d.count = rollout.RequestCounts{Subject: v.Number}
 	}
 	d.isApplied, d.applied, d.appliedOther, d.appliedNumber = true, p, with, v.Number
 	d.log.Info("policy", "code", "gone_by", "number", v.Number, "digest", v.Digest.String(), "both", with != nil, "pools", len(p.Plan.Pools), "classes", len(p.Plan.Classes))
@@ -154,13 +154,13 @@
 		d.shadow, d.rehearsalNumber, d.rehearsed = nil, 0, nil
 		return
 	}
-	if p := policyOf(v.Rehearsed); d.rehearsalNumber != v.Standing.Trial || d.rehearsed != p {
+	if p := policyOf(v.Rehearsed); d.rehearsalNumber != v.InForce.RehearsalID || d.rehearsed != p {
 		s, err := d.limiter.NewShadow(now, &p.Plan, d.gateways)
 		if err != nil {
 			return // it was looked at before
 		}
 		d.rehearsalTurn++
-		d.shadow, d.rehearsalNumber, d.rehearsed, d.rehearsalCount = s, v.Standing.Trial, p, rollout.Count{Of: v.Standing.Trial}
+		d.shadow, d.rehearsalNumber, d.rehearsed, d.rehearsalCount = s, v.InForce.RehearsalID, p, rollout.RequestCounts{Subject: v.InForce.RehearsalID}
 	}
 }
 
@@ -175,7 +175,7 @@
 		k.classify(v)
 	}
 	plan := &policyOf(v.Current).Plan
-	unsure := by == 0 && (k.anyPolicyApplies || !v.Heard)
+	unsure := by == 0 && (k.anyPolicyApplies || !v.Informed)
 	if agent.CoversBoth(by) {
 		unsure = classOf(plan, k.planClass) != classOf(&policyOf(v.Proposed).Plan, k.otherClass)
 	}
@@ -195,27 +195,27 @@
 		entry = len(plan.Classes) + 1 // the rest: it is asked about once more when it is to go out
 	}
 	number, ruling, text := d.limiter.Admit(entry)
-	d.count.Tasks++
+	d.count.Requests++
 	if k.planClass > 0 {
-		d.count.Classed++
+		d.count.Classified++
 	}
 	switch ruling {
 	case resourcegroup.Rejected:
-		d.count.Refused++
+		d.count.Rejected++
 	case resourcegroup.OverCapacity:
-		d.count.Held++
+		d.count.Shed++
 	}
 	if d.shadow != nil {
 		n, would, _ := d.shadow.Admit(k.rehearsedClass)
-		d.rehearsalCount.Tasks++
+		d.rehearsalCount.Requests++
 		if k.rehearsedClass > 0 {
-			d.rehearsalCount.Classed++
+			d.rehearsalCount.Classified++
 		}
 		if would == resourcegroup.Rejected && ruling != resourcegroup.Rejected {
-			d.rehearsalCount.Refused++
+			d.rehearsalCount.Rejected++
 		}
 		if would == resourcegroup.OverCapacity && ruling != resourcegroup.OverCapacity {
-			d.rehearsalCount.Held++
+			d.rehearsalCount.Shed++
 		}
 		if f.Trial = d.rehearsalTurn<<classBits | n; ruling != resourcegroup.Admitted && would == resourcegroup.Admitted && n > 0 {
 			d.shadow.EndWaiting(n)
--- a/internal/workload/fleetpolicy_test.go
+++ b/internal/workload/fleetpolicy_test.go
@@ -29,7 +29,7 @@
 func (c *court) hold(number uint64, p agent.Policy)                        { c.ruling = held(number, p) }
 
 func held(number uint64, p agent.Policy) *agent.ActivePolicy {
-	r := &agent.ActivePolicy{Standing: rollout.Standing{Number: number, Until: 1 << 50, Heard: true}, Current: p}
+	r := &agent.ActivePolicy{InForce: rollout.InForce{Number: number, LeaseUntil: 1 << 50, Informed: true}, Current: p}
 	if p != nil {
 		r.Parsed = []agent.Policy{p}
 	}
@@ -106,7 +106,7 @@
 		out.WriteByte('\n')
 	}
 	one, two, three := policy("loads:load:4"), policy("loads:load:2 looks:look:3"), policy("loads:load:refuse")
-	c.ruling.Heard, c.ruling.Until = false, 0
+	c.ruling.Informed, c.ruling.LeaseUntil = false, 0
 	try("nothing was heard")
 	c.hold(0, nil)
 	try("no policy")
@@ -114,9 +114,9 @@
 	try("the first")
 	c.ruling.Parsed = append(c.ruling.Parsed, two)
 	try("the second is proposed")
-	c.ruling.Until = 0
+	c.ruling.LeaseUntil = 0
 	try("the lease is over")
-	c.ruling.Proposed, c.ruling.BothUntil = two, 1<<50
+	c.ruling.Proposed, c.ruling.OverlapUntil = two, 1<<50
 	try("what both allow")
 	c.ruling.Proposed = three
 	try("what the first and the third allow")
@@ -175,7 +175,7 @@
 func TestTrial(t *testing.T) {
 	d, c, policy := judged(t)
 	c.hold(1, policy("loads:load:4"))
-	c.ruling.Rehearsed, c.ruling.Standing.Trial = policy("loads:load:2 looks:look:refuse"), 7
+	c.ruling.Rehearsed, c.ruling.InForce.RehearsalID = policy("loads:load:2 looks:look:refuse"), 7
 	reader := d.NewStatementReader().(*StatementReader)
 	var out []admission.Foreseen
 	for n := range 4 {
@@ -191,7 +191,7 @@
 		out = append(out, f)
 	}
 	d.Tick(30)
-	if got := d.RequestCounts(); got != (rollout.Count{Of: 7, Tasks: 4, Classed: 4, Refused: 2, Held: 1}) {
+	if got := d.RequestCounts(); got != (rollout.RequestCounts{Subject: 7, Requests: 4, Classified: 4, Rejected: 2, Shed: 1}) {
 		t.Errorf("%+v", got)
 	}
 	c.ruling = held(1, c.ruling.Current)
@@ -199,7 +199,7 @@
 		d.RecordAttemptEnd(f, 2, 0, 0, false)
 	}
 	d.Tick(40)
-	if got := d.RequestCounts(); got.Of != 1 || got.Tasks != 4 || got.Refused+got.Held > 0 {
+	if got := d.RequestCounts(); got.Subject != 1 || got.Requests != 4 || got.Rejected+got.Shed > 0 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/workload/manager.go
+++ b/internal/workload/manager.go
@@ -160,7 +160,7 @@
 	d.log.Info("statements", "seen", now.seen-last.seen, "new_shapes", now.parsed-last.parsed, "answers", now.answers-last.answers,
 		"wrong", now.wrong-last.wrong, "unread", b.Unparsed.Load(), "moved", b.Shifts.Load(), "split", b.SplitShapes.Load())
 	if d.inForce != nil {
-		d.log.Info("policy", "code", "counts", "number", d.count.Of, "tasks", d.count.Tasks, "classed", d.count.Classed, "refused", d.count.Refused, "held", d.count.Held,
+		d.log.Info("policy", "code", "counts", "number", d.count.Subject, "tasks", d.count.Requests, "classed", d.count.Classified, "refused", d.count.Rejected, "held", d.count.Shed,
 			"unsure", d.Unsure)
 	}
 	for _, c := range d.limiter.ClassStates() {
@@ -201,7 +201,7 @@
 func (d *Manager) RecordAttempt(f admission.Foreseen, threads float64) (charged float64, by uint64) {
 	if n := d.rehearsedClass(&f); n > 0 {
 		if !d.shadow.Open(d.now, n, threads) {
-			d.rehearsalCount.Held++
+			d.rehearsalCount.Shed++
 		}
 		d.shadow.BeginAttempt(n, threads, toMillis(f.Work))
 	}
--- a/internal/workload/source/policy_text.go
+++ b/internal/workload/source/policy_text.go
@@ -82,18 +82,18 @@
 		return admission.Time(d / (100 * time.Microsecond))
 	}
 	if k.OneOf("silent", "nack", "nack", "both") == "both" {
-		t.Both = length(k, "both_for", defaultBothFor, 5*time.Minute)
+		t.Overlap = length(k, "both_for", defaultBothFor, 5*time.Minute)
 	} else if k.HasField("both_for") {
 		k.Reject("both_for", `none but with silent: "both"`)
 	}
 	bounds := func(o *configfile.Object) rollout.Bounds {
-		return rollout.Bounds{Refused: o.Fraction("refused_above", 1), Held: o.Fraction("held_above", 1)}
+		return rollout.Bounds{Rejected: o.Fraction("refused_above", 1), Shed: o.Fraction("held_above", 1)}
 	}
 	if o := k.Object("rehearse"); o != nil {
-		t.Rehearse, t.Guard = length(o, "length", 5*time.Second, 5*time.Minute), bounds(o)
+		t.RehearsalLength, t.RehearsalBounds = length(o, "length", 5*time.Second, 5*time.Minute), bounds(o)
 	}
 	if o := k.Object("probation"); o != nil {
-		t.Probation, t.Bounds = length(o, "length", 30*time.Second, time.Hour), bounds(o)
+		t.Probation, t.ProbationBounds = length(o, "length", 30*time.Second, time.Hour), bounds(o)
 	}
 	return t
 }
--- a/internal/workload/source/policy_text_test.go
+++ b/internal/workload/source/policy_text_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("%v\n%s\nexpected\n%s", err, text, want)
 	}
 	p, err := ParsePolicy(text)
-	if err != nil || len(p.Plan.Classes) != 1 || p.Requirements.Both != 100000 || p.Requirements.Bounds.Held != 0.1 || p.Requirements.Bounds.Refused != 1 {
+	if err != nil || len(p.Plan.Classes) != 1 || p.Requirements.Overlap != 100000 || p.Requirements.ProbationBounds.Shed != 0.1 || p.Requirements.ProbationBounds.Rejected != 1 {
 		t.Errorf("%v: %+v", err, p)
 	}
 	f, err := Read(file)
