--- a/cmd/magpiebank-operator/main.go
+++ b/cmd/magpiebank-operator/main.go
@@ -50,9 +50,9 @@
 	budgets := f.Fleet != nil && f.Fleet.Quota != nil && (len(f.Fleet.Quota.Names) > 0 || f.Fleet.Policy != nil)
 	switch {
 	case f.Fleet == nil:
-	case !start.Deployment.Peers && budgets:
+	case !start.Deployment.PeerMessages && budgets:
 		return nil, fmt.Errorf("%s: fleet.budgets: what is shared needs messages between gateways, which the site's settings[limits peerMessages] don't allow", file)
-	case !start.Deployment.Peers:
+	case !start.Deployment.PeerMessages:
 		log.Warn("fleet", "code", "not_allowed", "error", "the site's settings[limits peerMessages] don't allow messages between gateways")
 	default:
 		if r.fleet, err = agent.New(*f.Fleet, start, log); err != nil {
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -13,13 +13,13 @@
 	"slices"
 )
 
-// Router decides for one gateway from what it has seen, and from what peers tell of engines where they may.
-type Router struct {
+// Controller decides for one gateway from what it has seen, and from what peers tell of engines where they may.
+type Controller struct {
 	host       Host
 	d          *Deployment
 	rng        *rand.Rand
 	now        Time
-	requests   []request // the slab; places are reused
+	requests   []heldRequest // the slab; places are reused
 	free       []int32
 	byID       map[RequestID]int32
 	turns      map[string]turn
@@ -43,34 +43,34 @@
 	busy       float64 // of engines by their latest reports: what one without a fresh report counts as
 	bestPrice  float64 // of a usual request of the best class
 	pools      []pool
-	gate       Gate      // of requests that have a policy class
-	snapshot   *Snapshot // of a process before this one; nil: there is none
-	askAt      Time      // when to ask for the list again; 0: not
-	ticked     Time      // when the timer last went off
+	gate       PolicyGate // of requests that have a policy class
+	snapshot   *Snapshot  // of a process before this one; nil: there is none
+	askAt      Time       // when to ask for the list again; 0: not
+	ticked     Time       // when the timer last went off
 }
 
-// tick is the timer's pace: a held request is given up at most this late, well within the answer's slack.
-const tick = 20 * Millisecond
+// tickInterval is the timer's pace: a held request is given up at most this late, well within the answer's slack.
+const tickInterval = 20 * Millisecond
 
 // New makes a router that knows no engine yet.
-func New(now Time, seed int64, d *Deployment, host Host) *Router {
-	r := &Router{host: host, d: d, rng: rand.New(rand.NewSource(seed)), now: now, byID: map[RequestID]int32{},
+func New(now Time, seed int64, d *Deployment, host Host) *Controller {
+	r := &Controller{host: host, d: d, rng: rand.New(rand.NewSource(seed)), now: now, byID: map[RequestID]int32{},
 		turns: map[string]turn{}, named: map[EngineID]int32{}, classes: make([]learned, len(d.Classes)),
 		used: make([]float64, max(1, len(d.Tenants))), busy: 0.5, credit: mostCredit,
 		ticked: now, pools: []pool{{wanted: now - Second}}}
 	for i := range d.Classes {
 		l := &d.Classes[i]
-		r.ran, r.asked = r.ran+float64(l.LatencyTarget), r.asked+float64(l.LatencyTarget)
+		r.ran, r.asked = r.ran+float64(l.LatencyObjective), r.asked+float64(l.LatencyObjective)
 		r.runs += float64(l.Threads) / float64(len(d.Classes)) // the classes' mean threads, until the loop ends
 		r.byValue = append(r.byValue, i)
-		run := float64(l.LatencyTarget) / 3 // until answers tell: users quote with room to wait
+		run := float64(l.LatencyObjective) / 3 // until answers tell: users quote with room to wait
 		r.classes[i] = learned{run: run, work: run * float64(l.Threads), ease: 1, rank: 1}
 		r.usual += r.classes[i].work / float64(len(d.Classes))
 	}
 	r.expected = r.usual
 	r.runs = r.ran / r.runs // so that a query begins at the classes' mean threads
 	slices.SortStableFunc(r.byValue, func(a, b int) int {
-		return cmp.Compare(d.Classes[b].Value, d.Classes[a].Value)
+		return cmp.Compare(d.Classes[b].Weight, d.Classes[a].Weight)
 	})
 	for n := range r.used {
 		r.tenants = append(r.tenants, n)
@@ -79,72 +79,72 @@
 	if d.RetryWindow > 0 {
 		r.retries = make([]span, spans+1)
 	}
-	if !d.Probes {
+	if !d.SupportsProbes {
 		r.credit = math.Inf(-1)
 	}
-	if d.Asks {
-		host.Subscribe()
+	if d.PollsEndpoints {
+		host.SubscribeEndpoints()
 	}
-	host.Wake(now + tick)
+	host.ScheduleTick(now + tickInterval)
 	return r
 }
 
-// Restore has it go on from what a process before it knew, told before the first delivery of the list. Old
+// RestoreSnapshot has it go on from what a process before it knew, told before the first delivery of the list. Old
 // figures count for less. What that process did after it wrote this down is not known: so within twice the
 // window the retry budget counts as used up, and this turn at cold engines as spent: two processes must not
 // do together what one may not.
-func (r *Router) Restore(now Time, m *Snapshot) {
+func (r *Controller) RestoreSnapshot(now Time, m *Snapshot) {
 	const half = 60 * Second // after which what was learned of classes counts half: mixes change by the minute
 	r.now, r.snapshot = now, m
 	weight := math.Exp2(-float64(max(0, now-m.At)) / float64(half))
-	for i := range m.Lanes {
-		if l := &m.Lanes[i]; len(m.Lanes) == len(r.classes) && l.Work > 0 && l.Run > 0 && l.Ease > 0 {
-			r.classes[i] = learned{run: l.Run, work: l.Work, memory: l.Memory, answers: l.Answers * weight,
-				requests: l.Tasks * weight, ease: l.Ease, rank: 1}
+	for i := range m.Classes {
+		if l := &m.Classes[i]; len(m.Classes) == len(r.classes) && l.Work > 0 && l.RunTime > 0 && l.CorrectionFactor > 0 {
+			r.classes[i] = learned{run: l.RunTime, work: l.Work, memory: l.Memory, answers: l.Answers * weight,
+				requests: l.Requests * weight, ease: l.CorrectionFactor, rank: 1}
 		}
 	}
-	if m.Ran > 0 && m.Asked > 0 && m.Usual > 0 {
-		r.runs, r.ran, r.asked, r.usual, r.busy = r.runs*m.Ran/r.ran, m.Ran, m.Asked, m.Usual, m.Busy
+	if m.RunTime > 0 && m.RequestedWork > 0 && m.MeanWork > 0 {
+		r.runs, r.ran, r.asked, r.usual, r.busy = r.runs*m.RunTime/r.ran, m.RunTime, m.RequestedWork, m.MeanWork, m.MeanBusyShare
 	}
-	r.pools[0].bar = m.Bar * weight
-	for _, s := range m.Takes {
+	r.pools[0].bar = m.MinPrice * weight
+	for _, s := range m.RetrySpans {
 		if r.retries != nil {
-			r.retries[s.Index%(spans+1)] = span{index: s.Index, taken: s.Taken, extra: s.Extra}
+			r.retries[s.Index%(spans+1)] = span{index: s.Index, taken: s.Requests, extra: s.Retries}
 		}
 	}
 	if s := r.span(); s != nil && now-m.At < 2*r.d.RetryWindow {
 		taken, extra := r.window(s)
 		s.extra += max(0, r.d.RetryBurst+r.d.RetryRatio*taken-extra)
 	}
-	for _, k := range m.Rests {
-		r.turns[k.Key] = turn{rest: k.Rest}
+	for _, k := range m.RestingKeys {
+		r.turns[k.Key] = turn{rest: k.RestsUntil}
 	}
 }
 
 // restore has an engine begin as it was last known, if it has not been started again since: its bound from
 // where it stood, less the longer ago; its report and its failure score with their age.
-func (r *Router) restore(e *engine) {
+func (r *Controller) restore(e *engine) {
 	const old = 10 * Second // by then a bound has been stepped to somewhere else
 	for i := range r.snapshot.Engines {
 		if m := &r.snapshot.Engines[i]; m.Engine == e.Engine && m.Since == e.Since {
 			e.bound += (m.Bound - e.bound) * max(0, 1-float64(r.now-r.snapshot.At)/float64(old))
-			e.util, e.report, e.reportAt = m.Util, m.Report, m.ReportAt
-			e.failures, e.failuresAt = m.Distrust, m.DistrustAt
+			e.util, e.report, e.reportAt = m.Utilization, m.Report, m.ReportAt
+			e.failures, e.failuresAt = m.FailureScore, m.FailureScoreAt
 			if r.isCold(e) {
-				e.coldAt, e.cold = r.now/r.d.TipAfter, math.Inf(1)
+				e.coldAt, e.cold = r.now/r.d.ColdOverloadTime, math.Inf(1)
 			}
 		}
 	}
 }
 
-// Listed takes in a delivery of the engine list.
-func (r *Router) Listed(now Time, form Form, list []Listing) {
+// UpdateEndpoints takes in a delivery of the engine list.
+func (r *Controller) UpdateEndpoints(now Time, form UpdateKind, list []Endpoint) {
 	r.now = now
-	if form == NoAnswer {
+	if form == FailedPoll {
 		r.askAt = now + Second // a list service that fails is asked no faster, and well within any deemed telling
 		return
 	}
-	if form != Changes {
+	if form != PartialUpdate {
 		for i := range r.engines {
 			r.engines[i].listed = false
 		}
@@ -156,12 +156,12 @@
 		}
 		e := &r.engines[i]
 		started := !known || l.Since > e.Since
-		if e.Listing, e.listed = l, true; started {
-			if e.cores = 1; l.Kind >= 0 && l.Kind < len(r.d.Cores) {
-				e.cores = max(1, r.d.Cores[l.Kind])
+		if e.Endpoint, e.listed = l, true; started {
+			if e.cores = 1; l.Kind >= 0 && l.Kind < len(r.d.CoresByKind) {
+				e.cores = max(1, r.d.CoresByKind[l.Kind])
 			}
-			if e.size = math.Inf(1); l.Kind >= 0 && l.Kind < len(r.d.Memory) {
-				e.size = r.d.Memory[l.Kind]
+			if e.size = math.Inf(1); l.Kind >= 0 && l.Kind < len(r.d.MemoryByKind) {
+				e.size = r.d.MemoryByKind[l.Kind]
 			}
 			// Two threads a core over the gateways, the signal's own threshold: in a large fleet below a query.
 			e.bound = threshold * e.cores / float64(r.d.Gateways)
@@ -180,9 +180,10 @@
 	r.release()
 }
 
-// Arrived takes a request from a client. From here on it is owed one final answer.
-func (r *Router) Arrived(now Time, id RequestID, deadline Time, class, tenant int, key string, tables int,
-	f Foreseen) {
+// HandleRequest takes a request from a client. From here on it is owed one final answer.
+func (r *Controller) HandleRequest(now Time, request Request) {
+	id, deadline, class, tenant, key, tables := request.ID, request.Deadline, request.Class, request.Tenant, request.Key, request.Tables
+	f := request.Estimate
 	r.now = now
 	if tenant < 0 || tenant >= len(r.used) {
 		tenant = 0
@@ -190,17 +191,17 @@
 	l := &r.d.Classes[class]
 	r.seq++
 	r.credit = min(mostCredit, r.credit+probeBudget/max(probeBudget/mostCredit, r.d.ProbePrice))
-	r.room += peerBudget * 256 / max(peerBudget, r.d.PeerPrice)
-	i := r.seat(request{id: id, class: class, tenant: tenant, tables: tables, arrived: now, deadline: deadline,
-		Foreseen: f, seq: r.seq, engine: none, rank: 1})
+	r.room += peerBudget * 256 / max(peerBudget, r.d.PeerMessagePrice)
+	i := r.seat(heldRequest{id: id, class: class, tenant: tenant, tables: tables, arrived: now, deadline: deadline,
+		Estimate: f, seq: r.seq, engine: none, rank: 1})
 	t := &r.requests[i]
-	t.mayRan, t.doubtAt, t.doubtZone, t.doubtGroup = f.Past.MayRan, f.Past.DoubtAt, f.Past.Zone, f.Past.Group
+	t.mayRan, t.doubtAt, t.doubtZone, t.doubtGroup = f.Prior.MayHaveRun, f.Prior.SentAt, f.Prior.Zone, f.Prior.Group
 	length := r.classes[class].work
 	if f.Work > 0 {
 		length = float64(f.Work)
 		r.learnWork(&r.classes[class], length)
 	}
-	t.target = min(deadline, now+l.LatencyTarget+Time(l.Stretch*length/float64(l.Threads)))
+	t.target = min(deadline, now+l.LatencyObjective+Time(l.ObjectivePerWork*length/float64(l.Threads)))
 	if s := r.span(); s != nil {
 		s.taken++
 	}
@@ -208,7 +209,7 @@
 		r.giveUp(i) // a process before this one had sent it
 		return
 	}
-	if l.InOrder && key != "" {
+	if l.Ordered && key != "" {
 		t.key = key
 		if !r.joinTurn(i) {
 			return // held behind its key, in no queue yet
@@ -231,9 +232,9 @@
 // keepSeats gives up the held request that would leave last, by value and arrival, while nearly all that the
 // gateway can have in hand is taken. Guards against shedding by chance: who finds no seat, dear or cheap,
 // does not come here. Harm: cuts short a queue that would have been served soon, where seats are few.
-func (r *Router) keepSeats() {
+func (r *Controller) keepSeats() {
 	const spare = 8 // a part of the seats: for what comes while answers are on their way, or in a stall of 50 ms
-	for n := len(r.byValue) - 1; n >= 0 && r.d.Seats > 0 && len(r.byID) > r.d.Seats-r.d.Seats/spare; n-- {
+	for n := len(r.byValue) - 1; n >= 0 && r.d.MaxRequests > 0 && len(r.byID) > r.d.MaxRequests-r.d.MaxRequests/spare; n-- {
 		for _, tenant := range r.tenants {
 			if q := r.queues[tenant*len(r.d.Classes)+r.byValue[n]]; len(q) > 0 {
 				last := q[len(q)-1]
@@ -261,12 +262,12 @@
 
 // release sends held requests while engines have room: by tenant fairness (the fewest threads in use for its
 // share first), then value, then arrival.
-func (r *Router) release() {
+func (r *Controller) release() {
 	for r.held > 0 && r.releaseOne() {
 	}
 }
 
-func (r *Router) releaseOne() bool {
+func (r *Controller) releaseOne() bool {
 	if len(r.tenants) > 1 {
 		slices.SortStableFunc(r.tenants, func(a, b int) int { return cmp.Compare(r.use(a), r.use(b)) })
 	}
@@ -293,10 +294,10 @@
 	return false
 }
 
-func (r *Router) use(n int) float64 { return r.used[n] / max(0.001, r.d.Tenants[n].Share) }
+func (r *Controller) use(n int) float64 { return r.used[n] / max(0.001, r.d.Tenants[n].Share) }
 
 // draw picks an engine at random, weighted down by its busy share.
-func (r *Router) draw(t *request) int32 {
+func (r *Controller) draw(t *heldRequest) int32 {
 	if !r.mayTry(t) {
 		return none
 	}
@@ -326,15 +327,15 @@
 // suits weighs an engine by the tables that a request reads: engines keep what they read last warm, and a
 // load holds its tables against others. From the ids alone every gateway finds the same third of engines for
 // a group's reads and another third for its loads. Harm: where one group is most of the traffic.
-func (r *Router) suits(t *request, e *engine) float64 {
+func (r *Controller) suits(t *heldRequest, e *engine) float64 {
 	const strong = 4 // 2 warms less, 8 crowds the same few engines
 	l := &r.d.Classes[t.class]
 	h := (e.hash ^ uint32(t.tables)*2654435761) * 2246822519
 	side := (h ^ h>>15) * 3266489917 >> 16 % 3
 	switch {
-	case side == 0 && !l.Load, side == 1 && l.Load:
+	case side == 0 && !l.LoadsTables, side == 1 && l.LoadsTables:
 		return strong
-	case side == 1 && l.BlockedByLoads, side == 0 && l.Load:
+	case side == 1 && l.BlockedByLoads, side == 0 && l.LoadsTables:
 		return 1.0 / strong
 	}
 	return 1
@@ -342,7 +343,7 @@
 
 // load is an engine's busy share, plus what we sent since. One without a fresh report counts as those heard
 // of last: our own threads there tell nothing where our part of it is below a query.
-func (r *Router) load(e *engine) float64 {
+func (r *Controller) load(e *engine) float64 {
 	if e.report != NoReport && r.now-e.reportAt < stale {
 		return r.told(e, e.report, e.util) + e.since/e.cores
 	}
@@ -352,12 +353,12 @@
 // told is the busy share that an engine reports: of the queries that the threshold allows it, or of its
 // cores, memory or disks, whichever is scarcest. Cores idle under requests that wait for the others, which
 // then take long: where answers tell work, the share counts as many times as requests took of it lately.
-func (r *Router) told(e *engine, report Report, util float64) float64 {
-	if report.Held >= 0 {
-		return report.Held / e.cores * r.query() / threshold
+func (r *Controller) told(e *engine, report Report, util float64) float64 {
+	if report.InFlight >= 0 {
+		return report.InFlight / e.cores * r.query() / threshold
 	}
 	share := max(util, report.Memory, report.Disks)
-	if r.d.TellsCost {
+	if r.d.ReportsCost {
 		share *= max(1, r.ran/r.asked)
 	}
 	return share
@@ -368,12 +369,12 @@
 // that the engine needs for the work of a request like those sent lately, shorter the less of the engine is
 // busy: all gateways together let in what it can take, however many they are, and the order says which goes.
 // In its turn at a cold engine a gateway has all parts of its bound.
-func (r *Router) open(e *engine, t *request, trust float64) bool {
+func (r *Controller) open(e *engine, t *heldRequest, trust float64) bool {
 	if e.bound >= 1 {
 		return e.running < e.bound*trust
 	}
 	if r.isCold(e) {
-		return e.running < threshold*e.cores*r.d.ColdShare*trust
+		return e.running < threshold*e.cores*r.d.ColdCapacityShare*trust
 	} else if e.running > 0 {
 		return false
 	}
@@ -392,7 +393,7 @@
 // no pace while it tells room, as 8, 14 and 30 held back the more, the lower they were.
 func eager(e *engine, busy float64) float64 {
 	pace := 3.0
-	if e.report.Held >= 0 && busy < 1 {
+	if e.report.InFlight >= 0 && busy < 1 {
 		return math.Inf(1)
 	} else if e.report.Memory >= 0 && e.report.Disks >= 0 {
 		pace = 8
@@ -402,9 +403,9 @@
 
 // mayTry is the part of the rules that doesn't depend on the engine: one attempt at a time, none after the
 // end, the order of keys, the most attempts of a request, the retry budget of further ones.
-func (r *Router) mayTry(t *request) bool {
+func (r *Controller) mayTry(t *heldRequest) bool {
 	if t.out || t.gone || r.now >= t.deadline || r.spent(t) ||
-		t.PolicyClass > 0 && !r.gate.Open(r.now, t.PolicyClass, float64(r.d.Classes[t.class].Threads)) {
+		t.PolicyClass > 0 && !r.gate.AllowsAttempt(r.now, t.PolicyClass, float64(r.d.Classes[t.class].Threads)) {
 		return false
 	}
 	if t.key != "" {
@@ -415,10 +416,12 @@
 	return r.mayRepeat(t) && (t.tries == 0 || r.withinRetryBudget())
 }
 
-func (r *Router) spent(t *request) bool { return r.d.MaxAttempts > 0 && t.tries >= r.d.MaxAttempts }
+func (r *Controller) spent(t *heldRequest) bool {
+	return r.d.MaxAttempts > 0 && t.tries >= r.d.MaxAttempts
+}
 
 // mayRepeat tells whether the request's class allows an attempt at any engine; after two errors none does.
-func (r *Router) mayRepeat(t *request) bool {
+func (r *Controller) mayRepeat(t *heldRequest) bool {
 	l := &r.d.Classes[t.class]
 	return !t.mayRan ||
 		t.errors < 2 && (l.Effect == Idempotent || l.Effect == Deduplicated && r.now < t.doubtAt+l.DedupWindow)
@@ -426,45 +429,45 @@
 
 // mayUse is the part of the rules that depends on the engine: drains, placement, the group that drops repeats
 // and the care for cold engines.
-func (r *Router) mayUse(t *request, e *engine) bool {
+func (r *Controller) mayUse(t *heldRequest, e *engine) bool {
 	l := &r.d.Classes[t.class]
 	if e.State != Live || l.Zones != nil && !slices.Contains(l.Zones, e.Zone) ||
 		l.Kinds != nil && !slices.Contains(l.Kinds, e.Kind) || !r.in(r.poolOf(t), e) {
 		return false
 	}
-	if t.mayRan && l.Effect == Deduplicated && (l.DedupWithin == SameZone && e.Zone != t.doubtZone ||
-		l.DedupWithin == SameCell && (e.Group != t.doubtGroup || e.Zone != t.doubtZone)) {
+	if t.mayRan && l.Effect == Deduplicated && (l.DedupScope == SameZone && e.Zone != t.doubtZone ||
+		l.DedupScope == SameCell && (e.Group != t.doubtGroup || e.Zone != t.doubtZone)) {
 		return false
 	}
 	return !r.isCold(e) || r.coldRoom(e, t)
 }
 
-func (r *Router) isCold(e *engine) bool {
-	return r.d.TipAfter > 0 && e.Since > 0 && r.now < e.Since+r.d.WarmAfter
+func (r *Controller) isCold(e *engine) bool {
+	return r.d.ColdOverloadTime > 0 && e.Since > 0 && r.now < e.Since+r.d.WarmUpTime
 }
 
 // coldRoom tells whether a cold engine can be sent some work. All routers together may send a multiple of its
 // present capacity, of which only the least is known. Where they share no budget by messages they take turns
 // by their numbers, in spans as long as the engine takes to fall: so many at a time that each one's part
-// holds a usual request. Settings and clock alone say whose turn it is, and a window sees two spans at most.
+// holds a usual request. Deployment and clock alone say whose turn it is, and a window sees two spans at most.
 // What needs more than a part goes to warm engines. Where none is, every other span is one router's alone.
 // Harm: classes far heavier than usual ones wait for warm engines.
-func (r *Router) coldRoom(e *engine, t *request) bool {
+func (r *Controller) coldRoom(e *engine, t *heldRequest) bool {
 	const careful = 0.5        // of the budget: so two spans together stay within it
 	d := &r.d.Classes[t.class] // its work is taken for rather too much until it is learned
-	work := r.coldWork(t) + float64(d.LatencyTarget)*float64(d.Threads)/(r.classes[t.class].requests+1)
-	all := careful * r.d.TipFactor * r.d.ColdShare * e.cores * float64(r.d.TipAfter)
-	if room, shared := r.host.ColdRoom(e.Engine, work/all); shared {
+	work := r.coldWork(t) + float64(d.LatencyObjective)*float64(d.Threads)/(r.classes[t.class].requests+1)
+	all := careful * r.d.ColdOverloadFactor * r.d.ColdCapacityShare * e.cores * float64(r.d.ColdOverloadTime)
+	if room, shared := r.host.HasColdCapacity(e.Engine, work/all); shared {
 		return room
 	}
-	span := r.now / r.d.TipAfter
+	span := r.now / r.d.ColdOverloadTime
 	turn, parts := span, Time(max(1, min(r.d.Gateways, int(all/r.expected))))
 	if !r.pools[r.poolOf(t)].warm {
 		if turn = span / 2; span%2 == 0 {
 			parts = 1
 		}
 	}
-	if ((turn+Time(e.hash))*parts+Time(r.d.Me))%Time(r.d.Gateways) >= parts {
+	if ((turn+Time(e.hash))*parts+Time(r.d.GatewayIndex))%Time(r.d.Gateways) >= parts {
 		return false
 	}
 	if e.coldAt != span {
@@ -474,21 +477,23 @@
 }
 
 // coldWork is what a request counts against a cold engine's budget: what nine of ten stay under, where told.
-func (r *Router) coldWork(t *request) float64 { return max(r.classes[t.class].work, float64(t.Upper)) }
+func (r *Controller) coldWork(t *heldRequest) float64 {
+	return max(r.classes[t.class].work, float64(t.WorkP90))
+}
 
 // The retry budget's window is counted in this many spans; one more is kept, so that whole ones cover it.
 const spans = 50
 
 // withinRetryBudget tells whether one more retry is within the budget: all retries that may fall into the
 // window count, and only the requests that surely do.
-func (r *Router) withinRetryBudget() bool {
+func (r *Controller) withinRetryBudget() bool {
 	last := r.span()
 	taken, extra := r.window(last)
 	return last == nil || extra+1 <= r.d.RetryBurst+r.d.RetryRatio*taken
 }
 
 // send is the only place that sends a request to an engine. It holds the rules whatever was decided before.
-func (r *Router) send(i, to int32) bool {
+func (r *Controller) send(i, to int32) bool {
 	t, e := &r.requests[i], &r.engines[to]
 	if !r.mayTry(t) || !r.mayUse(t, e) {
 		return false
@@ -514,7 +519,7 @@
 	e.luck = math.Inf(1)
 	r.used[t.tenant] += threads
 	grant := 0.0
-	if r.d.Grants && r.d.Swaps && t.memory > 0 {
+	if r.d.SupportsMemoryGrants && r.d.EnginesSwap && t.memory > 0 {
 		// Where an engine swaps, memory granted and not needed costs nothing and too little spills; needs
 		// scatter, and three times the mean covers nearly all.
 		const ample = 3
@@ -522,26 +527,26 @@
 	}
 	if rank := learned.rank; grant > 0 || rank != t.rank {
 		t.rank = rank
-		r.host.Terms(t.id, grant, rank)
+		r.host.SetAttemptTerms(t.id, grant, rank)
 	}
 	t.until = t.deadline
-	if r.d.Cancels {
+	if r.d.SupportsCancel {
 		// Past the latency target a request is let run for the part of its time that matches what it still earns;
 		// an engine that stops work at a time-out is freed for others. Guards against jams that feed themselves.
-		t.until = min(t.deadline, max(t.target, r.now+1)+Time(l.LateShare*float64(t.deadline-t.target)))
+		t.until = min(t.deadline, max(t.target, r.now+1)+Time(l.LateWeightShare*float64(t.deadline-t.target)))
 	}
 	sendBy := Time(0)
 	if t.mayRan && l.Effect == Deduplicated {
 		sendBy = t.doubtAt + l.DedupWindow // a connection may take longer to come up than engines remember
 	}
-	r.host.Send(t.id, e.Engine, t.until-r.now, sendBy)
+	r.host.SendAttempt(t.id, e.Engine, t.until-r.now, sendBy)
 	return true
 }
 
-// Ended takes in how a request's attempt ended, and what the answer told of work, memory and the engine's
+// HandleAttemptEnd takes in how a request's attempt ended, and what the answer told of work, memory and the engine's
 // load; over: the client has its answer.
-func (r *Router) Ended(now Time, id RequestID, how Outcome, over bool, work Time, memory float64,
-	load Report) {
+func (r *Controller) HandleAttemptEnd(now Time, result AttemptResult) {
+	id, how, over, work, memory, load := result.Request, result.Outcome, result.Answered, result.Work, result.Memory, result.Report
 	r.now = now
 	i, ok := r.byID[id]
 	if !ok || !r.requests[i].out {
@@ -581,16 +586,16 @@
 		if !t.mayRan {
 			t.mayRan, t.doubtAt, t.doubtZone, t.doubtGroup = true, t.sentAt, e.Zone, e.Group
 		}
-		if t.key != "" && r.d.Settle > 0 {
+		if t.key != "" && r.d.KeySettleTime > 0 {
 			turn := r.turns[t.key]
-			turn.rest = now + r.d.Settle
+			turn.rest = now + r.d.KeySettleTime
 			r.turns[t.key] = turn
 		}
 	}
 	r.reported(t.engine, load)
 	if over || t.gone {
 		r.drop(i)
-	} else if how == Moot || now >= r.latest(t) || !r.mayRepeat(t) || r.spent(t) {
+	} else if how == Unsent || now >= r.latest(t) || !r.mayRepeat(t) || r.spent(t) {
 		r.giveUp(i)
 	} else {
 		r.hold(i)
@@ -600,33 +605,33 @@
 
 // latest is until when holding a request has a useful chance: started then, it is answered within its quoted
 // time if it runs as its class usually does. It is always answered before its deadline.
-func (r *Router) latest(t *request) Time {
+func (r *Controller) latest(t *heldRequest) Time {
 	usual := r.classes[t.class].run
 	if t.Work > 0 {
 		usual *= float64(t.Work) / r.classes[t.class].work
 	}
 	const slack, most = 1.5, 2.0 / 3 // usual runs kept free, and at most this part of the time to the target
 	free := min(slack*usual, most*float64(t.target-t.arrived))
-	return min(t.target-Time(free), t.deadline-2*tick)
+	return min(t.target-Time(free), t.deadline-2*tickInterval)
 }
 
 // giveUp is the only place that answers a request without an engine: by a rejection where a further try is
 // harmless.
-func (r *Router) giveUp(i int32) {
+func (r *Controller) giveUp(i int32) {
 	t, l := &r.requests[i], &r.d.Classes[r.requests[i].class]
 	if t.out || t.gone {
 		return
 	}
-	if !t.mayRan || l.Effect == Idempotent || l.Effect == Deduplicated && l.DedupWithin == AllEngines {
-		r.host.Reject(t.id, r.d.RetryAfter)
+	if !t.mayRan || l.Effect == Idempotent || l.Effect == Deduplicated && l.DedupScope == AllEngines {
+		r.host.RejectRequest(t.id, r.d.RetryAfter)
 	} else {
-		r.host.Fail(t.id)
+		r.host.FailRequest(t.id)
 	}
 	r.drop(i)
 }
 
-// ClientGone ends a request whose client left. A attempt that is out still gets its outcome.
-func (r *Router) ClientGone(now Time, id RequestID) {
+// HandleDisconnect ends a request whose client left. A attempt that is out still gets its outcome.
+func (r *Controller) HandleDisconnect(now Time, id RequestID) {
 	r.now = now
 	if i, ok := r.byID[id]; ok {
 		if t := &r.requests[i]; t.out {
@@ -641,7 +646,7 @@
 // learn's usual run follows the engines' state, some twenty answers back; work and memory are long means.
 const recent, many = 0.05, 300
 
-func (r *Router) learn(t *request, work Time, memory float64) {
+func (r *Controller) learn(t *heldRequest, work Time, memory float64) {
 	l, run := &r.classes[t.class], float64(r.now-t.sentAt)
 	l.answers = min(l.answers+1, many)
 	l.run += max(recent, 1/l.answers) * (run - l.run)
@@ -659,18 +664,18 @@
 }
 
 // cost is a request's work, as its answer tells, else as estimated; else it took what it ran.
-func (r *Router) cost(t *request, work Time) float64 {
+func (r *Controller) cost(t *heldRequest, work Time) float64 {
 	run := float64(r.now-t.sentAt) * float64(r.d.Classes[t.class].Threads)
 	if told := max(work, t.Work); told > 0 {
 		return float64(told)
-	} else if r.d.TellsCost {
+	} else if r.d.ReportsCost {
 		return min(run, r.classes[t.class].work) // no answer came
 	}
 	return run
 }
 
 // learnWork takes a request's work into its class's mean: estimates on arrival, else what answers tell.
-func (r *Router) learnWork(l *learned, work float64) {
+func (r *Controller) learnWork(l *learned, work float64) {
 	l.requests = min(l.requests+1, many)
 	l.work += 1 / (l.requests + 1) * (work - l.work) // what it started from counts as one
 }
@@ -678,26 +683,26 @@
 // price is what a request earns for its work, as far as the class's answers bear out what was told of it:
 // estimates can be far too high or too low for a class as a whole, but none is trusted to be five times too
 // high.
-func (r *Router) price(class int, work float64) float64 {
-	return r.d.Classes[class].Value / work / max(0.2, r.classes[class].ease)
+func (r *Controller) price(class int, work float64) float64 {
+	return r.d.Classes[class].Weight / work / max(0.2, r.classes[class].ease)
 }
 
 // rankLanes orders classes by value for the work they take. Shares go up by steps of two to four, so a class
 // with half of the best price gets the next lower rank.
-func (r *Router) rankLanes() {
+func (r *Controller) rankLanes() {
 	r.bestPrice = 0
 	for i := range r.classes {
 		r.bestPrice = max(r.bestPrice, r.price(i, r.classes[i].work))
 	}
 	for i := range r.classes {
-		if l := &r.classes[i]; r.d.Ranked {
+		if l := &r.classes[i]; r.d.SupportsRanks {
 			l.rank = 1 + min(2, int(r.price(i, l.work)/r.bestPrice/0.35))
 		}
 	}
 }
 
-// Noted takes in news of a running attempt.
-func (r *Router) Noted(now Time, id RequestID, n int, news News, value float64) {
+// HandleNotice takes in news of a running attempt.
+func (r *Controller) HandleNotice(now Time, id RequestID, n int, news NoticeKind, value float64) {
 	r.now = now
 	i, ok := r.byID[id]
 	if !ok {
@@ -707,7 +712,7 @@
 	if t.out && t.tries == n+1 {
 		t.heardAt = now
 	}
-	if news != Progress || !t.out || t.gone || t.tries != n+1 || !r.d.Cancels ||
+	if news != ProgressNotice || !t.out || t.gone || t.tries != n+1 || !r.d.SupportsCancel ||
 		r.d.Classes[t.class].Effect != Idempotent || r.spent(t) {
 		return
 	}
@@ -717,7 +722,7 @@
 	// again.
 	const hopeless = 0.8 // progress is rough; 1 did as well, 1.5 let more engines jam
 	if left := float64(now-t.sentAt) * (1 - value) / max(value, 0.001); left > hopeless*float64(t.until-now) {
-		r.host.Cancel(id, n)
+		r.host.CancelAttempt(id, n)
 	}
 }
 
@@ -725,10 +730,10 @@
 const threshold = 2
 
 // query is what a held query stands for: threads of our attempts by their time out; the classes' at first.
-func (r *Router) query() float64 { return r.ran / r.runs }
+func (r *Controller) query() float64 { return r.ran / r.runs }
 
 // wanted tells whether a request of an engine's pools was given up for want of room within the last second.
-func (r *Router) wanted(e *engine) bool {
+func (r *Controller) wanted(e *engine) bool {
 	for n := range r.pools {
 		if r.now-r.pools[n].wanted < Second && r.in(n, e) {
 			return true
@@ -739,7 +744,7 @@
 
 // signal is how loaded an engine is, in units of the threshold. Where it reports no held queries, its
 // utilisation stands in; where nobody hears a report, our own held count there does, for all gateways.
-func (r *Router) signal(e *engine) float64 {
+func (r *Controller) signal(e *engine) float64 {
 	const high, low, still, halfPart = 0.9, 0.45, 0.75 * threshold, 0.5
 	signal, report, util := still, e.report, e.util
 	if r.now-e.reportAt >= stale { // a peer's report stands in for ours while it is fresh
@@ -748,8 +753,8 @@
 	switch {
 	case r.now-max(e.reportAt, e.heardAt) >= stale:
 		return e.running * float64(r.d.Gateways) / e.cores
-	case report.Held >= 0:
-		signal = report.Held / e.cores * r.query()
+	case report.InFlight >= 0:
+		signal = report.InFlight / e.cores * r.query()
 	case util > high:
 		return threshold
 	case e.memory*float64(r.d.Gateways) > halfPart*e.size:
@@ -773,7 +778,7 @@
 // is in use, up at half of it or less with every slot in use, and still between. The floor is zero. A step up
 // is taken with chance one over the gateways that hear the engine in the second that a step takes to show,
 // each as often as we: together they add about one query. Harm: a lone busy gateway climbs more slowly.
-func (r *Router) stepBound(e *engine, signal float64, heard Time) {
+func (r *Controller) stepBound(e *engine, signal float64, heard Time) {
 	if signal >= threshold {
 		if e.running > 0 {
 			e.bound = max(0, e.bound-r.query())
@@ -796,7 +801,7 @@
 )
 
 // look probes the engine unseen for longest while there is credit to spare.
-func (r *Router) look() {
+func (r *Controller) look() {
 	for r.credit >= mostCredit/2 {
 		next, oldest := none, r.now-turnover+1
 		for i := range r.engines {
@@ -811,14 +816,14 @@
 	}
 }
 
-func (r *Router) probe(e *engine) {
+func (r *Controller) probe(e *engine) {
 	r.credit--
 	e.probing, e.probedAt = true, r.now
-	r.host.Probe(e.Engine)
+	r.host.ProbeEngine(e.Engine)
 }
 
-// Probed takes in the result of a probe.
-func (r *Router) Probed(now Time, name EngineID, how Outcome, report Report) {
+// HandleProbeResult takes in the result of a probe.
+func (r *Controller) HandleProbeResult(now Time, name EngineID, how Outcome, report Report) {
 	r.now = now
 	i, ok := r.named[name]
 	if !ok {
@@ -834,14 +839,14 @@
 
 const peerBudget = 0.0003 // what messages to peers may cost; at 0.001 and 0.005 what more was told lost
 
-// Heard takes in what peers saw of an engine. Their reports tell how busy engines are as a whole, and step a
+// HandlePeerReport takes in what peers saw of an engine. Their reports tell how busy engines are as a whole, and step a
 // bound where ours is stale; in the draw they had all routers run to the same engines. What is said against
 // one adds to its failure score until it is old: who hears nothing decides as one without peers.
-func (r *Router) Heard(now Time, f *Finding) {
+func (r *Controller) HandlePeerReport(now Time, f *PeerReport) {
 	r.now = now
 	if i, ok := r.named[f.Engine]; ok && r.engines[i].Since == f.Since {
 		e := &r.engines[i]
-		e.against, e.until = f.Against, f.Until
+		e.against, e.until = f.FailureScore, f.ScoreUntil
 		if f.ReportAt > e.heardAt {
 			e.heard, e.heardAt = f.Report, f.ReportAt
 			r.busy += 0.2 * (min(1, r.told(e, f.Report, f.Report.scarcest())) - r.busy)
@@ -852,7 +857,7 @@
 
 // reported takes in an engine's report, and steps the bound if it is a new one: a step on the one we had
 // would count one sight twice.
-func (r *Router) reported(i int32, report Report) {
+func (r *Controller) reported(i int32, report Report) {
 	e, now := &r.engines[i], r.now
 	if report == NoReport || report == e.report {
 		return
@@ -882,29 +887,29 @@
 	mostDoubted = 8.0
 )
 
-func (r *Router) addFailure(e *engine, points float64, saw Sight) {
+func (r *Controller) addFailure(e *engine, points float64, saw Observation) {
 	e.failures, e.failuresAt = min(mostDoubted, e.ownScore(r.now)+points), r.now
 	if points > 0 {
 		r.tell(e, saw)
 	}
 	if e.failures-r.leastScore(0) >= shut && (e.saidAt == 0 || r.now-e.saidAt >= 10*Second) {
 		e.saidAt = r.now // a person acts on the first line
-		r.host.Say(fmt.Sprintf("engine %s distrusted: no new requests until the score fades", e.Engine))
+		r.host.LogEvent(fmt.Sprintf("engine %s distrusted: no new requests until the score fades", e.Engine))
 	}
 }
 
-// Shuts tells whether what peers say shuts an engine by itself, where all others are sound.
-func (f *Finding) Shuts() bool { return f.Against >= shut }
+// Ejects tells whether what peers say shuts an engine by itself, where all others are sound.
+func (f *PeerReport) Ejects() bool { return f.FailureScore >= shut }
 
 // score is our own failure score and, while it counts, what peers say: one point a witness, so three shut.
-func (r *Router) score(e *engine) float64 {
+func (r *Controller) score(e *engine) float64 {
 	if r.now < e.until {
 		return e.ownScore(r.now) + e.against
 	}
 	return e.ownScore(r.now)
 }
 
-func (r *Router) leastScore(pool int) float64 {
+func (r *Controller) leastScore(pool int) float64 {
 	least := mostDoubted
 	for i := range r.engines {
 		if e := &r.engines[i]; e.State == Live && r.in(pool, e) {
@@ -914,12 +919,12 @@
 	return least
 }
 
-// Due is the timer: probes, steps where no report comes, the chance at a bound of zero, requests given up.
-func (r *Router) Due(now Time) {
+// Tick is the timer: probes, steps where no report comes, the chance at a bound of zero, requests given up.
+func (r *Controller) Tick(now Time) {
 	r.now = now
-	if r.d.Asks && r.askAt > 0 && now >= r.askAt {
+	if r.d.PollsEndpoints && r.askAt > 0 && now >= r.askAt {
 		r.askAt = 0
-		r.host.Subscribe()
+		r.host.SubscribeEndpoints()
 	}
 	r.look()
 	for n := range r.pools {
@@ -941,10 +946,10 @@
 		t := &r.requests[i]
 		// Notes come at their pace while work runs: one without any for a pace and a half has hung, or its answer
 		// is lost; it is cancelled, to go again as its class allows. Two paces lost (leerkaart quick 0.735, 0.725).
-		if t.out && r.d.Pace > 0 && r.d.Cancels && 2*(now-t.heardAt) > 3*r.d.Pace {
+		if t.out && r.d.NoticeInterval > 0 && r.d.SupportsCancel && 2*(now-t.heardAt) > 3*r.d.NoticeInterval {
 			t.heardAt = t.until
 			r.addFailure(&r.engines[t.engine], 1.5, Unanswered) // as a silent probe
-			r.host.Cancel(t.id, t.tries-1)
+			r.host.CancelAttempt(t.id, t.tries-1)
 		}
 		if t.id == "" || t.out {
 			continue
@@ -965,5 +970,5 @@
 	r.rankLanes()
 	r.restTurns()
 	r.release()
-	r.host.Wake(now + tick)
+	r.host.ScheduleTick(now + tickInterval)
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -29,30 +29,30 @@
 	},
 	"peers": func() *script { // three witnesses shut an engine and two don't; of its start alone, and not for ever
 		d := deployment()
-		d.Gateways, d.Peers = 4, true
+		d.Gateways, d.PeerMessages = 4, true
 		s := start(d, "e1", "e2")
-		hear := func(f Finding) {
-			f.Engine, f.Until, f.ReportAt = "e1", s.at+10*Second, s.at
-			s.Heard(s.at, &f)
+		hear := func(f PeerReport) {
+			f.Engine, f.ScoreUntil, f.ReportAt = "e1", s.at+10*Second, s.at
+			s.HandlePeerReport(s.at, &f)
 			e := &s.engines[0]
-			s.say("heard of e1: against %.1f, score %.1f, own %.1f, busy %.2f, signal %.2f", f.Against, s.score(e), e.ownScore(s.at), s.busy, s.signal(e))
+			s.say("heard of e1: against %.1f, score %.1f, own %.1f, busy %.2f, signal %.2f", f.FailureScore, s.score(e), e.ownScore(s.at), s.busy, s.signal(e))
 		}
-		hear(Finding{Since: 7, Against: 3, Report: NoReport})
-		hear(Finding{Against: 2, Report: Report{-1, 0.95, -1, -1}})
+		hear(PeerReport{Since: 7, FailureScore: 3, Report: NoReport})
+		hear(PeerReport{FailureScore: 2, Report: Report{-1, 0.95, -1, -1}})
 		s.arrives("a", 0, 0, "")
-		hear(Finding{Against: 3, Report: NoReport})
+		hear(PeerReport{FailureScore: 3, Report: NoReport})
 		s.arrives("b", 0, 0, "")
 		s.end("b", Errored)
 		s.end("a", Served)
 		s.at += 4 * Second
-		hear(Finding{Against: 3, Report: Report{-1, 0.95, -1, -1}})
+		hear(PeerReport{FailureScore: 3, Report: Report{-1, 0.95, -1, -1}})
 		s.pass(s.at + 10*Second)
 		s.say("ten seconds later: score %.1f, signal %.2f", s.score(&s.engines[0]), s.signal(&s.engines[0]))
 		return s
 	},
 	"seats": func() *script { // of eight, seven are used; the dear one goes before the cheap ones that it leaves behind
 		d := deployment()
-		d.Seats = 8
+		d.MaxRequests = 8
 		s := start(d, "e1")
 		s.engines[0].bound = 1
 		s.arrives("runs", 0, 0, "")
@@ -70,7 +70,7 @@
 		s := start(d, "e1")
 		s.engines[0].bound = 1
 		for i, id := range []RequestID{"first0", "x0", "y0", "x1"} {
-			s.Arrived(s.at, id, 10*Second, 0, i/3, "", 0, Foreseen{})
+			s.HandleRequest(s.at, Request{ID: id, Deadline: 10 * Second, Tenant: i / 3})
 		}
 		s.used[0] = 2
 		s.end("first0", Served)
@@ -133,9 +133,9 @@
 	},
 	"deduplicated": func() *script { // within its group and its window; without the group of all no rejection
 		d := deployment()
-		d.Classes[3].DedupWithin, d.Classes[3].DedupWindow = SameZone, 500*Millisecond
+		d.Classes[3].DedupScope, d.Classes[3].DedupWindow = SameZone, 500*Millisecond
 		s := start(d)
-		s.list(Whole, Listing{Engine: "z0"}, Listing{Engine: "z1", Zone: 1})
+		s.list(FullUpdate, Endpoint{Engine: "z0"}, Endpoint{Engine: "z1", Zone: 1})
 		s.arrives("a", 3, 0, "k")
 		first := s.engines[s.requests[s.byID["a"]].engine].Zone
 		s.end("a", Errored)
@@ -146,8 +146,8 @@
 	},
 	"order": func() *script { // one at a time by key, with the rest after doubt; a give-up may come out of turn
 		d := deployment()
-		d.Settle = 300 * Millisecond
-		d.Classes[3].LatencyTarget = 5 * Second
+		d.KeySettleTime = 300 * Millisecond
+		d.Classes[3].LatencyObjective = 5 * Second
 		s := start(d, "e1", "e2")
 		s.arrives("k1", 3, 0, "k")
 		s.arrives("k2", 3, 0, "k")
@@ -167,7 +167,7 @@
 		d := deployment()
 		d.Classes[0].Zones, d.Classes[1].Kinds = []int{1}, []int{5}
 		s := start(d)
-		s.list(Whole, Listing{Engine: "z0"}, Listing{Engine: "z1", Zone: 1})
+		s.list(FullUpdate, Endpoint{Engine: "z0"}, Endpoint{Engine: "z1", Zone: 1})
 		s.arrives("a", 0, 0, "")
 		s.end("a", Full)
 		s.arrives("nowhere", 1, 0, "")
@@ -197,42 +197,42 @@
 	},
 	"lists": func() *script { // drains at once; an old list; what a full list lacks is gone; a failure keeps it
 		s := start(deployment(), "e1", "e2", "e3")
-		s.list(Changes, Listing{Engine: "e1", State: Draining}, Listing{Engine: "e2", State: Gone})
+		s.list(PartialUpdate, Endpoint{Engine: "e1", State: Draining}, Endpoint{Engine: "e2", State: Gone})
 		s.engines[2].bound = 0
 		s.arrives("a", 0, 0, "")
 		s.say("the guard lets a go to e1: %t", s.send(s.byID["a"], 0))
-		s.list(Whole, Listing{Engine: "e1"})
-		s.list(NoAnswer)
+		s.list(FullUpdate, Endpoint{Engine: "e1"})
+		s.list(FailedPoll)
 		s.pass(20 * Second)
-		s.list(Changes, Listing{Engine: "e1", Since: 19 * Second})
+		s.list(PartialUpdate, Endpoint{Engine: "e1", Since: 19 * Second})
 		return s
 	},
 	"asked list": func() *script { // a call that failed is made again a second later, not at once
 		d := deployment()
-		d.Asks = true
+		d.PollsEndpoints = true
 		s := start(d, "e1")
-		s.list(NoAnswer)
+		s.list(FailedPoll)
 		s.pass(3 * Second)
 		return s
 	},
 	"too late": func() *script { // what comes just before its deadline and finds no room is answered at once
 		s := start(deployment())
-		s.Arrived(0, "a", 5*Millisecond, 0, 0, "", 0, Foreseen{})
+		s.HandleRequest(0, Request{ID: "a", Deadline: 5 * Millisecond})
 		return s
 	},
 	"cold": func() *script { // where no engine is warm, every other span at a cold one is one router's alone, within the budget
 		d := deployment()
-		d.Gateways, d.WarmAfter = 3, 30*Second
+		d.Gateways, d.WarmUpTime = 3, 30*Second
 		s := start(d)
 		s.pass(Second)
-		s.list(Remembered, Listing{Engine: "cold", Since: Second})
+		s.list(CachedUpdate, Endpoint{Engine: "cold", Since: Second})
 		e := &s.engines[0]
 		s.classes[0].work, s.classes[0].requests = float64(300*Millisecond), 20
 		for range 13 {
 			s.now = s.at
-			for d.Me = range 3 {
-				if s.coldRoom(e, &request{class: 0}) {
-					s.say("gateway %d has its turn; more work than its budget: %t", d.Me, s.coldRoom(e, &request{class: 1}))
+			for d.GatewayIndex = range 3 {
+				if s.coldRoom(e, &heldRequest{class: 0}) {
+					s.say("gateway %d has its turn; more work than its budget: %t", d.GatewayIndex, s.coldRoom(e, &heldRequest{class: 1}))
 				}
 			}
 			s.at += 500 * Millisecond
@@ -242,35 +242,35 @@
 	},
 	"cold beside warm": func() *script { // as many routers at a time as the budget has parts for a usual request, others' turns after them
 		d := deployment()
-		d.Gateways, d.WarmAfter, d.Cores = 5, 30*Second, []float64{16}
+		d.Gateways, d.WarmUpTime, d.CoresByKind = 5, 30*Second, []float64{16}
 		s := start(d, "warm")
 		s.pass(Second)
-		s.list(Changes, Listing{Engine: "cold", Since: Second})
-		s.pass(Second + tick)
+		s.list(PartialUpdate, Endpoint{Engine: "cold", Since: Second})
+		s.pass(Second + tickInterval)
 		e := &s.engines[1]
 		s.classes[0].work, s.classes[0].requests = float64(300*Millisecond), 20
 		for range 6 {
 			s.now = s.at
 			var turn []int
-			for d.Me = range 5 {
-				if s.coldRoom(e, &request{class: 0}) {
-					turn = append(turn, d.Me)
+			for d.GatewayIndex = range 5 {
+				if s.coldRoom(e, &heldRequest{class: 0}) {
+					turn = append(turn, d.GatewayIndex)
 				}
 			}
 			s.say("gateways %v have their turn", turn)
-			s.at += d.TipAfter
+			s.at += d.ColdOverloadTime
 		}
-		d.Me = 0
-		for !s.coldRoom(e, &request{class: 0}) {
-			s.now += d.TipAfter
+		d.GatewayIndex = 0
+		for !s.coldRoom(e, &heldRequest{class: 0}) {
+			s.now += d.ColdOverloadTime
 		}
 		sent := 0
-		for ; s.coldRoom(e, &request{class: 0}); sent++ {
+		for ; s.coldRoom(e, &heldRequest{class: 0}); sent++ {
 			e.cold += 300 * float64(Millisecond)
 		}
 		s.say("gateway 0 sends %d of 300 ms in its turn", sent)
 		e.cold = 0
-		s.say("a request of 1.5 s, above a part: %t beside a warm engine", s.coldRoom(e, &request{class: 0, Foreseen: Foreseen{Upper: 1500 * Millisecond}}))
+		s.say("a request of 1.5 s, above a part: %t beside a warm engine", s.coldRoom(e, &heldRequest{class: 0, Estimate: Estimate{WorkP90: 1500 * Millisecond}}))
 		return s
 	},
 	"no engine": func() *script { // held while there is a chance, then answered at once
@@ -284,7 +284,7 @@
 		s := start(deployment(), "e1")
 		s.arrives("a", 2, 0, "")
 		s.arrives("b", 0, 0, "")
-		s.ClientGone(s.at, "b")
+		s.HandleDisconnect(s.at, "b")
 		s.pass(10 * Second)
 		s.end("b", Errored)
 		s.end("a", TimedOut)
@@ -316,7 +316,7 @@
 			s.end(id, TimedOut)
 			s.say("bound %g: failure score %.1f", bound, s.score(e))
 			e.bound = 8
-			s.ClientGone(s.at, id)
+			s.HandleDisconnect(s.at, id)
 			s.end(id, TimedOut)
 		}
 		return s
@@ -368,21 +368,21 @@
 	"estimates too high": func() *script { // incident: a class told twice its work is not shed for it
 		s := start(deployment(), "e1")
 		s.answer(20, 200*Millisecond, 100*Millisecond)
-		s.say("price over that of the work told: %.2f", s.price(0, 1)/s.d.Classes[0].Value)
+		s.say("price over that of the work told: %.2f", s.price(0, 1)/s.d.Classes[0].Weight)
 		return s
 	},
 	"crowded": func() *script { // where answers tell work, idle cores under slow requests are no room
 		d := deployment()
-		d.TellsCost = true
+		d.ReportsCost = true
 		s := start(d, "e1")
 		e := &s.engines[0]
 		s.probed("e1", Served, Report{-1, 0.4, -1, -1})
 		s.say("busy share %.2f", s.told(e, e.report, e.util))
 		for i := range 20 {
 			id := RequestID(fmt.Sprint("t", i))
-			s.Arrived(s.at, id, s.at+10*Second, 0, 0, "", 0, Foreseen{})
+			s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second})
 			s.at += 300 * Millisecond
-			s.Ended(s.at, id, Served, true, 100*Millisecond, 0, NoReport)
+			s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: Served, Answered: true, Work: 100 * Millisecond, Report: NoReport})
 		}
 		s.out.Reset()
 		s.say("busy share %.2f when requests take three times their work", s.told(e, e.report, e.util))
@@ -390,16 +390,16 @@
 	},
 	"hopeless": func() *script { // called off when by its progress it would end in a time-out
 		d := deployment()
-		d.Cancels = true
+		d.SupportsCancel = true
 		s := start(d, "e1", "e2")
 		s.arrives("a", 1, 0, "")
 		s.pass(Second)
-		s.Noted(s.at, "a", 0, Progress, 0.2)
-		s.Noted(s.at, "a", 0, Progress, 0.1)
+		s.HandleNotice(s.at, "a", 0, ProgressNotice, 0.2)
+		s.HandleNotice(s.at, "a", 0, ProgressNotice, 0.1)
 		s.end("a", Cancelled)
 		s.arrives("unrepeatable", 2, 0, "")
 		s.pass(2 * Second)
-		s.Noted(s.at, "unrepeatable", 0, Progress, 0.01)
+		s.HandleNotice(s.at, "unrepeatable", 0, ProgressNotice, 0.01)
 		return s
 	},
 	"errors": func() *script { // bad clients' requests fail everywhere, and make no engine distrusted
@@ -416,7 +416,7 @@
 	},
 	"many gateways": func() *script { // a part far below a query: engines open by chance, seldom after long requests
 		d := deployment()
-		d.Gateways, d.Probes = 300, false
+		d.Gateways, d.SupportsProbes = 300, false
 		var names []EngineID
 		for i := range 200 {
 			names = append(names, EngineID(fmt.Sprint("e", i)))
@@ -426,17 +426,17 @@
 		show := func(why string) {
 			n := 0
 			for i := range s.engines {
-				if s.open(&s.engines[i], &request{class: 1}, 1) {
+				if s.open(&s.engines[i], &heldRequest{class: 1}, 1) {
 					n++
 				}
 			}
 			s.say("%s: of 200 engines %d are open", why, n)
 		}
 		s.usual = float64(600 * Millisecond)
-		s.pass(tick)
+		s.pass(tickInterval)
 		show("a tick, half busy")
-		s.at += 50 * tick
-		s.Due(s.at)
+		s.at += 50 * tickInterval
+		s.Tick(s.at)
 		show("a stall of 50 ticks")
 		s.busy = 0.9
 		show("the same, 0.9 busy")
@@ -446,7 +446,7 @@
 	},
 	"worth first": func() *script { // at zero too the dearest goes first, whatever its work
 		d := deployment()
-		d.Gateways, d.Probes = 300, false
+		d.Gateways, d.SupportsProbes = 300, false
 		s := start(d, "e1", "e2", "e3")
 		s.rankLanes()
 		for i := range s.engines {
@@ -460,21 +460,21 @@
 	},
 	"silence": func() *script { // notes every 500 ms; one that stops is called off, and the request goes elsewhere
 		d := deployment()
-		d.Pace, d.Cancels = 500*Millisecond, true
+		d.NoticeInterval, d.SupportsCancel = 500*Millisecond, true
 		s := start(d, "e1", "e2")
 		s.engines[0].bound, s.engines[1].bound = 3, 3
 		s.arrives("a", 1, 0, "")
 		for _, at := range []Time{500, 1000} {
 			s.pass(at * Millisecond)
 			s.say("note on a: it spills")
-			s.Noted(s.at, "a", 0, Spills, 10)
+			s.HandleNotice(s.at, "a", 0, SpillNotice, 10)
 		}
 		s.pass(1740 * Millisecond)
 		s.say("nothing since the last note")
 		s.pass(1760 * Millisecond)
 		s.end("a", Cancelled)
 		s.say("where nothing may be called off, a silent attempt runs to its timeout")
-		d.Cancels = false
+		d.SupportsCancel = false
 		s.pass(3700 * Millisecond)
 		return s
 	},
@@ -495,13 +495,13 @@
 		d := deployment()
 		d.Gateways = 300
 		s := start(d, "e1")
-		s.Ended(0, "none", Served, true, 0, 0, NoReport)
-		s.engines[0].report, s.engines[0].reportAt = Report{Held: 2, Util: -1, Memory: -1, Disks: -1}, 0
+		s.HandleAttemptEnd(0, AttemptResult{Request: "none", Outcome: Served, Answered: true, Report: NoReport})
+		s.engines[0].report, s.engines[0].reportAt = Report{InFlight: 2, Utilization: -1, Memory: -1, Disks: -1}, 0
 		s.engines[0].luck = 1 // a draw that the chance of a pace would turn down
 		s.say("e1 holds 2 queries on 4 cores, bound %.3g", s.engines[0].bound)
 		s.arrives("a", 0, 0, "")
 		s.end("a", Served)
-		s.engines[0].report, s.engines[0].reportAt = Report{Held: 9, Util: -1, Memory: -1, Disks: -1}, s.at
+		s.engines[0].report, s.engines[0].reportAt = Report{InFlight: 9, Utilization: -1, Memory: -1, Disks: -1}, s.at
 		s.engines[0].luck = 1
 		s.say("e1 holds 9 queries: full")
 		s.arrives("b", 0, 0, "")
@@ -511,14 +511,14 @@
 		s := start(deployment(), "e1")
 		e := &s.engines[0]
 		e.bound, e.running = 3, 3
-		s.probed("e1", Served, Report{Held: -1, Util: -1, Memory: 0.97, Disks: 0.4})
+		s.probed("e1", Served, Report{InFlight: -1, Utilization: -1, Memory: 0.97, Disks: 0.4})
 		s.pass(2 * Second)
-		s.probed("e1", Served, Report{Held: -1, Util: -1, Memory: 0.2, Disks: 0.3})
+		s.probed("e1", Served, Report{InFlight: -1, Utilization: -1, Memory: 0.2, Disks: 0.3})
 		return s
 	},
 	"ranks": func() *script { // by value for work
 		d := deployment()
-		d.Ranked = true
+		d.SupportsRanks = true
 		s := start(d, "e1")
 		s.rankLanes()
 		for class, id := range []RequestID{"l0", "l1", "l2"} {
@@ -573,11 +573,11 @@
 	s := start(deployment())
 	for n := range 5000 {
 		name, id := EngineID(fmt.Sprint("e", n)), RequestID(fmt.Sprint("t", n))
-		s.Listed(s.at, Changes, []Listing{{Engine: name}})
-		s.Arrived(s.at, id, s.at+10*Second, 0, 0, "", 0, Foreseen{})
-		s.Probed(s.at, name, Served, Report{-1, 0.1, -1, -1})
-		s.Listed(s.at, Changes, []Listing{{Engine: name, State: Gone}})
-		s.Ended(s.at, id, Outcome(n%9), n%9 == 0, 0, 0, NoReport)
+		s.UpdateEndpoints(s.at, PartialUpdate, []Endpoint{{Engine: name}})
+		s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second})
+		s.HandleProbeResult(s.at, name, Served, Report{-1, 0.1, -1, -1})
+		s.UpdateEndpoints(s.at, PartialUpdate, []Endpoint{{Engine: name, State: Gone}})
+		s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: Outcome(n % 9), Answered: n%9 == 0, Report: NoReport})
 		s.pass(s.at + 2*Second)
 	}
 	if len(s.engines) > 4 || len(s.named) > 4 || len(s.requests) > 4 || len(s.byID) > 0 || s.held > 0 {
@@ -588,33 +588,33 @@
 
 // A router made from what one before it knew: classes, bounds, reports and failure score with their age; the retry budget and this turn at
 // a cold engine as used up; an engine that was started since is new.
-func ExampleRouter_Restore() {
+func ExampleController_RestoreSnapshot() {
 	d := deployment()
 	d.RetryBurst, d.RetryRatio, d.RetryWindow = 2, 0.1, 10*Second
-	d.Settle = 2 * Second
+	d.KeySettleTime = 2 * Second
 	s := start(d, "e1", "e2")
 	s.answer(30, 0, 120*Millisecond)
-	s.Listed(s.at, Changes, []Listing{{Engine: "e3", Since: s.at}})
+	s.UpdateEndpoints(s.at, PartialUpdate, []Endpoint{{Engine: "e3", Since: s.at}})
 	s.probed("e1", Served, Report{-1, 0.2, -1, -1})
 	s.probed("e2", Reset, NoReport)
 	s.arrives("k", 3, 0, "key")
 	s.end("k", TimedOut)
-	b := s.Memory(s.at).Encode()
-	m, err := DecodeMemory(b)
+	b := s.TakeSnapshot(s.at).Encode()
+	m, err := DecodeSnapshot(b)
 	fmt.Print(s.out.String(), err, "\n")
 	for _, later := range []Time{500 * Millisecond, 30 * Second} {
 		n := &script{d: d, at: s.at + later}
-		n.Router = New(n.at, 8, d, n)
-		n.Restore(n.at, m)
-		n.Listed(n.at, Whole, []Listing{{Engine: "e1", Since: s.at + 1}, {Engine: "e2"}, {Engine: "e3", Since: m.Engines[2].Since}})
+		n.Controller = New(n.at, 8, d, n)
+		n.RestoreSnapshot(n.at, m)
+		n.UpdateEndpoints(n.at, FullUpdate, []Endpoint{{Engine: "e1", Since: s.at + 1}, {Engine: "e2"}, {Engine: "e3", Since: m.Engines[2].Since}})
 		fmt.Printf("%v later: run %.0f ms by %.0f answers, retries allowed %t, key rests %t\n", ms(later), n.classes[0].run/10,
 			n.classes[0].answers, n.withinRetryBudget(), n.turns["key"].rest > n.at)
 		for i := range n.engines {
 			e := &n.engines[i]
-			fmt.Printf("  %s bound %.1f, failure score %.1f, busy %.2f, room while cold %t\n", e.Engine, e.bound, n.score(e), n.load(e), !n.isCold(e) || n.coldRoom(e, &request{}))
+			fmt.Printf("  %s bound %.1f, failure score %.1f, busy %.2f, room while cold %t\n", e.Engine, e.bound, n.score(e), n.load(e), !n.isCold(e) || n.coldRoom(e, &heldRequest{}))
 		}
 	}
-	if _, err := DecodeMemory([]byte(`{"Version":9}`)); err != nil {
+	if _, err := DecodeSnapshot([]byte(`{"Version":9}`)); err != nil {
 		fmt.Println(err)
 	}
 	// Output:
@@ -638,18 +638,18 @@
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	d := deployment()
-	d.Ranked = true
+	d.SupportsRanks = true
 	r := New(0, 1, d, quiet{})
-	r.Listed(0, Whole, []Listing{{Engine: "e1"}, {Engine: "e2"}})
+	r.UpdateEndpoints(0, FullUpdate, []Endpoint{{Engine: "e1"}, {Engine: "e2"}})
 	now := Time(0)
 	round := func() {
 		now += 5 * Millisecond
-		r.Arrived(now, "a", now+Second, 0, 0, "", 3, Foreseen{Work: 50 * Millisecond})
-		r.Arrived(now, "b", now+Second, 3, 0, "key", 3, Foreseen{})
-		r.Due(now)
-		r.Probed(now, "e1", Served, Report{-1, float64(now%100) / 100, -1, -1})
-		r.Ended(now, "a", Served, true, 0, 0, NoReport)
-		r.Ended(now, "b", Served, true, 0, 0, NoReport)
+		r.HandleRequest(now, Request{ID: "a", Deadline: now + Second, Tables: 3, Estimate: Estimate{Work: 50 * Millisecond}})
+		r.HandleRequest(now, Request{ID: "b", Deadline: now + Second, Class: 3, Key: "key", Tables: 3})
+		r.Tick(now)
+		r.HandleProbeResult(now, "e1", Served, Report{-1, float64(now%100) / 100, -1, -1})
+		r.HandleAttemptEnd(now, AttemptResult{Request: "a", Outcome: Served, Answered: true, Report: NoReport})
+		r.HandleAttemptEnd(now, AttemptResult{Request: "b", Outcome: Served, Answered: true, Report: NoReport})
 	}
 	round()
 	if n := testing.AllocsPerRun(1000, round); n != 0 {
@@ -662,19 +662,19 @@
 
 type quiet struct{}
 
-func (quiet) Send(RequestID, EngineID, Time, Time)           {}
-func (quiet) Cancel(RequestID, int)                          {}
-func (quiet) Reject(RequestID, Time)                         {}
-func (quiet) Fail(RequestID)                                 {}
-func (quiet) Terms(RequestID, float64, int)                  {}
-func (quiet) Probe(EngineID)                                 {}
-func (quiet) Subscribe()                                     {}
-func (quiet) ColdRoom(EngineID, float64) (room, shared bool) { return false, false }
-func (quiet) Tell(EngineID, Sight, Report, float64)          {}
-func (quiet) Wake(Time)                                      {}
-func (quiet) Say(string)                                     {}
+func (quiet) SendAttempt(RequestID, EngineID, Time, Time)              {}
+func (quiet) CancelAttempt(RequestID, int)                             {}
+func (quiet) RejectRequest(RequestID, Time)                            {}
+func (quiet) FailRequest(RequestID)                                    {}
+func (quiet) SetAttemptTerms(RequestID, float64, int)                  {}
+func (quiet) ProbeEngine(EngineID)                                     {}
+func (quiet) SubscribeEndpoints()                                      {}
+func (quiet) HasColdCapacity(EngineID, float64) (room, shared bool)    { return false, false }
+func (quiet) ReportObservation(EngineID, Observation, Report, float64) {}
+func (quiet) ScheduleTick(Time)                                        {}
+func (quiet) LogEvent(string)                                          {}
 
-func ExampleRouter() {
+func ExampleController() {
 	s := start(deployment(), "e1")
 	s.arrives("t1", 0, 0, "")
 	s.pass(80 * Millisecond)
--- a/internal/admission/format_test.go
+++ b/internal/admission/format_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestSnapshotOfEarlierVersionIsRead(t *testing.T) {
-	golden.CheckRoundTrip(t, "snapshot", admission.DecodeMemory, (*admission.Snapshot).Encode)
+	golden.CheckRoundTrip(t, "snapshot", admission.DecodeSnapshot, (*admission.Snapshot).Encode)
 }
 
 func TestSnapshotOfEarlierVersionHasNoUnknownField(t *testing.T) {
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -39,7 +39,7 @@
 type rampRouter struct {
 	quiet
 	of     *ramp
-	router *Router
+	router *Controller
 	skew   Time
 	next   int
 }
@@ -82,8 +82,8 @@
 
 func (h *rampRouter) at() Time { return h.of.now + h.skew }
 
-// Send has the attempt arrive once its connection is up, and end once its work is done.
-func (h *rampRouter) Send(id RequestID, e EngineID, _, _ Time) {
+// SendAttempt has the attempt arrive once its connection is up, and end once its work is done.
+func (h *rampRouter) SendAttempt(id RequestID, e EngineID, _, _ Time) {
 	r := h.of
 	class := int(id[0] - '0')
 	threads := float64(r.d.Classes[class].Threads)
@@ -95,11 +95,15 @@
 	if e == coldEngine {
 		r.sends = append(r.sends, rampSend{r.now + way, r.means[class]})
 		if r.rng.Float64() < r.resets {
-			r.after(way+Millisecond, func() { h.router.Ended(h.at(), id, Reset, false, 0, 0, NoReport) })
+			r.after(way+Millisecond, func() {
+				h.router.HandleAttemptEnd(h.at(), AttemptResult{Request: id, Outcome: Reset, Report: NoReport})
+			})
 			return
 		}
 	}
-	r.after(way+Time(work/threads), func() { h.router.Ended(h.at(), id, Served, true, Time(work), 1, NoReport) })
+	r.after(way+Time(work/threads), func() {
+		h.router.HandleAttemptEnd(h.at(), AttemptResult{Request: id, Outcome: Served, Answered: true, Work: Time(work), Memory: 1, Report: NoReport})
+	})
 }
 
 // arrive brings the router requests without an end.
@@ -108,38 +112,38 @@
 	class := []int{0, 0, 0, 0, 1}[r.rng.Intn(5)]
 	h.next++
 	id := RequestID(fmt.Sprintf("%d-%d", class, h.next))
-	h.router.Arrived(h.at(), id, h.at()+20*Second, class, 0, "", r.rng.Intn(20), Foreseen{})
+	h.router.HandleRequest(h.at(), Request{ID: id, Deadline: h.at() + 20*Second, Class: class, Tables: r.rng.Intn(20)})
 	r.after(Second/8+r.upTo(Second/4), h.arrive)
 }
 
 func (h *rampRouter) tick() {
-	h.router.Due(h.at())
-	h.of.after(tick, h.tick)
+	h.router.Tick(h.at())
+	h.of.after(tickInterval, h.tick)
 }
 
 // play has all routers learn of the start and runs until the engine is warm.
 func (r *ramp) play(routers int) {
 	r.now = 1000 * Second
 	since := r.now + 3*Second // by when routers have learned something of their classes
-	warm := Listing{Engine: warmEngine, State: Live}
+	warm := Endpoint{Engine: warmEngine, State: Live}
 	for i := range routers {
 		d := *r.d
-		d.Gateways, d.Me = routers, i
+		d.Gateways, d.GatewayIndex = routers, i
 		h := &rampRouter{of: r, skew: r.upTo(2*r.apart+1) - r.apart}
 		h.router = New(h.at(), int64(i), &d, h)
-		h.router.Listed(h.at(), Whole, []Listing{warm})
+		h.router.UpdateEndpoints(h.at(), FullUpdate, []Endpoint{warm})
 		r.routers = append(r.routers, h)
 		r.after(r.upTo(Second/4), h.arrive)
-		r.after(r.upTo(tick), h.tick)
+		r.after(r.upTo(tickInterval), h.tick)
 		r.after(since-r.now+r.upTo(r.told), func() {
-			changes := []Listing{{Engine: coldEngine, State: Live, Since: since}}
+			changes := []Endpoint{{Engine: coldEngine, State: Live, Since: since}}
 			if r.alone {
-				changes = append(changes, Listing{Engine: warmEngine, State: Gone})
+				changes = append(changes, Endpoint{Engine: warmEngine, State: Gone})
 			}
-			h.router.Listed(h.at(), Changes, changes)
+			h.router.UpdateEndpoints(h.at(), PartialUpdate, changes)
 		})
 	}
-	for until := since + r.d.WarmAfter - r.connect; ; {
+	for until := since + r.d.WarmUpTime - r.connect; ; {
 		e := heap.Pop(&r.events).(rampEvent)
 		if e.at > until {
 			return
@@ -151,13 +155,13 @@
 
 // budget is the work that the settings allow the cold engine within the time after which it falls over.
 func (r *ramp) budget() float64 {
-	return r.d.TipFactor * r.d.ColdShare * r.d.Cores[0] * float64(r.d.TipAfter)
+	return r.d.ColdOverloadFactor * r.d.ColdCapacityShare * r.d.CoresByKind[0] * float64(r.d.ColdOverloadTime)
 }
 
 // use is the work sent, as a share of the budget over all the time that the engine is cold.
 func (r *ramp) use() (share float64) {
 	for _, s := range r.sends {
-		share += s.work / r.budget() * float64(r.d.TipAfter) / float64(r.d.WarmAfter)
+		share += s.work / r.budget() * float64(r.d.ColdOverloadTime) / float64(r.d.WarmUpTime)
 	}
 	return share
 }
@@ -169,7 +173,7 @@
 	sum, all, from := 0.0, 0.0, 0
 	for _, s := range r.sends {
 		all += s.work
-		for sum += s.work; r.sends[from].at <= s.at-r.d.TipAfter; from++ {
+		for sum += s.work; r.sends[from].at <= s.at-r.d.ColdOverloadTime; from++ {
 			sum -= r.sends[from].work
 		}
 		most = max(most, sum)
@@ -182,15 +186,15 @@
 // A cold engine doesn't fall under the sum of what all routers send it, however many they are, though they share nothing and their
 // clocks, their connections and the time in which they are told differ.
 func TestRampHoldsForTheFleet(t *testing.T) {
-	base := Deployment{Cores: []float64{8}, ColdShare: 0.34, WarmAfter: 14 * Second, TipFactor: 3, TipAfter: 1500 * Millisecond,
-		TellsCost: true, MaxAttempts: 4, Classes: []Class{
-			{Threads: 1, LatencyTarget: Second, Stretch: 1.5, Value: 1},
-			{Threads: 4, LatencyTarget: 3 * Second, Stretch: 2.5, Value: 10, LateShare: 0.4},
+	base := Deployment{CoresByKind: []float64{8}, ColdCapacityShare: 0.34, WarmUpTime: 14 * Second, ColdOverloadFactor: 3, ColdOverloadTime: 1500 * Millisecond,
+		ReportsCost: true, MaxAttempts: 4, Classes: []Class{
+			{Threads: 1, LatencyObjective: Second, ObjectivePerWork: 1.5, Weight: 1},
+			{Threads: 4, LatencyObjective: 3 * Second, ObjectivePerWork: 2.5, Weight: 10, LateWeightShare: 0.4},
 		}}
 	tight := base
-	tight.TipFactor, tight.TipAfter = 2, Second
+	tight.ColdOverloadFactor, tight.ColdOverloadTime = 2, Second
 	long := base
-	long.TipFactor, long.TipAfter = 2, 2500*Millisecond
+	long.ColdOverloadFactor, long.ColdOverloadTime = 2, 2500*Millisecond
 	means := []float64{float64(200 * Millisecond), float64(3500 * Millisecond)}
 	for _, c := range []struct {
 		what    string
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// request is a request in hand: held, or sent and without an outcome.
-type request struct {
+// heldRequest is a request in hand: held, or sent and without an outcome.
+type heldRequest struct {
 	id                        RequestID
 	key                       string
 	class, tenant, tables     int
 	arrived, deadline, target Time
-	Foreseen
+	Estimate
 	seq                    uint64
 	memory                 float64
 	tries, errors          int
@@ -51,7 +51,7 @@
 }
 
 type engine struct {
-	Listing
+	Endpoint
 	listed     bool
 	cores      float64
 	size       float64 // MB of memory
@@ -96,7 +96,7 @@
 const none = int32(-1) // no engine
 
 // poolOf is the number of a request's pool, with room for what is kept of it.
-func (r *Router) poolOf(t *request) int {
+func (r *Controller) poolOf(t *heldRequest) int {
 	if t.PolicyClass == 0 {
 		return 0
 	}
@@ -108,10 +108,12 @@
 }
 
 // in tells whether an engine belongs to a pool.
-func (r *Router) in(pool int, e *engine) bool { return pool == 0 || r.gate.In(pool, &e.Listing) }
+func (r *Controller) in(pool int, e *engine) bool {
+	return pool == 0 || r.gate.InPool(pool, &e.Endpoint)
+}
 
 // anyWarm tells whether an engine of a pool is live and not cold.
-func (r *Router) anyWarm(pool int) bool {
+func (r *Controller) anyWarm(pool int) bool {
 	for i := range r.engines {
 		if e := &r.engines[i]; e.State == Live && !r.isCold(e) && r.in(pool, e) {
 			return true
@@ -120,36 +122,36 @@
 	return false
 }
 
-// Guard hands over what an operator's classes allow, before the first request that has one.
-func (r *Router) Guard(g Gate) { r.gate = g }
+// SetPolicyGate hands over what an operator's classes allow, before the first request that has one.
+func (r *Controller) SetPolicyGate(g PolicyGate) { r.gate = g }
 
-// Opened takes in that a class may use more than before, as the gate knows.
-func (r *Router) Opened(now Time) {
+// HandleCapacityChange takes in that a class may use more than before, as the gate knows.
+func (r *Controller) HandleCapacityChange(now Time) {
 	r.now = now
 	r.release()
 }
 
 // seat gives a request a place in the slab.
-func (r *Router) seat(t request) int32 {
+func (r *Controller) seat(t heldRequest) int32 {
 	i := int32(len(r.requests))
 	if n := len(r.free); n > 0 {
 		i, r.free = r.free[n-1], r.free[:n-1]
 	} else {
-		r.requests = append(r.requests, request{})
+		r.requests = append(r.requests, heldRequest{})
 	}
 	r.requests[i] = t
 	r.byID[t.id] = i
 	return i
 }
 
-// Knows tells whether a request of that id is in hand.
-func (r *Router) Knows(id RequestID) bool {
+// HasRequest tells whether a request of that id is in hand.
+func (r *Controller) HasRequest(id RequestID) bool {
 	_, ok := r.byID[id]
 	return ok
 }
 
 // joinTurn puts a request at the end of its key's line and tells whether it is the first there.
-func (r *Router) joinTurn(i int32) bool {
+func (r *Controller) joinTurn(i int32) bool {
 	turn := r.turns[r.requests[i].key]
 	if n := len(r.spare); turn.line == nil && n > 0 {
 		turn.line, r.spare = r.spare[n-1], r.spare[:n-1]
@@ -160,8 +162,8 @@
 }
 
 // restTurns forgets keys without requests whose rest is over.
-func (r *Router) restTurns() {
-	if r.d.Settle == 0 {
+func (r *Controller) restTurns() {
+	if r.d.KeySettleTime == 0 {
 		return // drop forgets them at once
 	}
 	for key, turn := range r.turns {
@@ -170,7 +172,7 @@
 }
 
 // forgetRested forgets a key that has no request and no rest before it, and keeps its line for another.
-func (r *Router) forgetRested(key string, turn turn) {
+func (r *Controller) forgetRested(key string, turn turn) {
 	if len(turn.line) == 0 && turn.rest <= r.now {
 		r.spare = append(r.spare, turn.line)
 		delete(r.turns, key)
@@ -178,7 +180,7 @@
 }
 
 // drop forgets a request that is over and has no attempt out, and lets the next of its key have its turn.
-func (r *Router) drop(i int32) {
+func (r *Controller) drop(i int32) {
 	t := &r.requests[i]
 	r.unhold(i)
 	delete(r.byID, t.id)
@@ -192,15 +194,17 @@
 			r.hold(turn.line[0])
 		}
 	}
-	*t = request{}
+	*t = heldRequest{}
 	r.free = append(r.free, i)
 }
 
 // queue is where a request is held.
-func (r *Router) queue(t *request) *[]int32 { return &r.queues[t.tenant*len(r.d.Classes)+t.class] }
+func (r *Controller) queue(t *heldRequest) *[]int32 {
+	return &r.queues[t.tenant*len(r.d.Classes)+t.class]
+}
 
 // hold puts a request into its queue, in the order of arrival.
-func (r *Router) hold(i int32) {
+func (r *Controller) hold(i int32) {
 	q := r.queue(&r.requests[i])
 	k := len(*q)
 	for k > 0 && r.requests[(*q)[k-1]].seq > r.requests[i].seq {
@@ -212,7 +216,7 @@
 }
 
 // unhold takes a request out of its queue.
-func (r *Router) unhold(i int32) {
+func (r *Controller) unhold(i int32) {
 	if t := &r.requests[i]; t.queued {
 		q := r.queue(t)
 		k := slices.Index(*q, i)
@@ -223,7 +227,7 @@
 }
 
 // place finds room for a new engine; that of one which is gone and owes nothing is used again.
-func (r *Router) place(l Listing) int32 {
+func (r *Controller) place(l Endpoint) int32 {
 	i := slices.IndexFunc(r.engines, func(e engine) bool {
 		return e.State == Gone && e.running == 0 && !e.probing
 	})
@@ -242,7 +246,7 @@
 }
 
 // span is the count for the present part of the retry budget's window; nil where there is no retry budget.
-func (r *Router) span() *span {
+func (r *Controller) span() *span {
 	if r.retries == nil {
 		return nil
 	}
@@ -256,7 +260,7 @@
 
 // window counts, for the retry budget's window up to a span, the requests that surely fall into it and the further
 // attempts that may.
-func (r *Router) window(last *span) (taken, extra float64) {
+func (r *Controller) window(last *span) (taken, extra float64) {
 	for i := range r.retries {
 		s := &r.retries[i]
 		if s.index >= last.index-spans {
@@ -270,15 +274,15 @@
 }
 
 // tell hands on what this router saw of an engine itself, and the bytes that the requests taken since have paid for.
-func (r *Router) tell(e *engine, saw Sight) {
-	if r.d.Peers {
-		r.host.Tell(e.Engine, saw, e.report, r.room)
+func (r *Controller) tell(e *engine, saw Observation) {
+	if r.d.PeerMessages {
+		r.host.ReportObservation(e.Engine, saw, e.report, r.room)
 		r.room = 0
 	}
 }
 
 // sentTo counts the threads sent to an engine since a time that are still running.
-func (r *Router) sentTo(engine int32, since Time) (threads float64) {
+func (r *Controller) sentTo(engine int32, since Time) (threads float64) {
 	for i := range r.requests {
 		if t := &r.requests[i]; t.out && t.engine == engine && t.sentAt >= since {
 			threads += float64(r.d.Classes[t.class].Threads)
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -28,77 +28,103 @@
 	Unreachable         // no connection
 	Reset               // the connection broke
 	Cancelled           // called off; it may have run
-	Moot                // never sent
+	Unsent              // never sent
 	Lost                // the answer was spoilt, cut off or never came, for what the wire knows; it may have run
 )
 
 // NeverRan tells whether the outcome proves that the engine did not begin the request.
-func (o Outcome) NeverRan() bool { return o == Full || o == Unreachable || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Full || o == Unreachable || o == Unsent }
+
+// Request is a client's request as it arrives.
+type Request struct {
+	ID       RequestID
+	Deadline Time // when the client stops waiting
+	Class    int  // index into Deployment.Classes
+	Tenant   int  // index into Deployment.Tenants; one that is out of range counts as 0
+	Key      string
+	Tables   int // number of the group of tables that it reads or loads
+	Estimate Estimate
+}
+
+// AttemptResult tells how an attempt of a request ended.
+type AttemptResult struct {
+	Request  RequestID
+	Outcome  Outcome
+	Answered bool    // the client has its final answer
+	Work     Time    // as the answer tells; 0: not told
+	Memory   float64 // MB, as the answer tells; 0: not told
+	Report   Report  // of the engine, as the answer tells; NoReport: not told
+}
 
-// Foreseen is what is known of a request before it has run; a figure of zero is not told.
-type Foreseen struct {
+// Estimate is what is known of a request before it has run; a figure of zero is not told.
+type Estimate struct {
 	Work        Time    // on one thread, usually
-	Upper       Time    // that nine of ten stay under
+	WorkP90     Time    // that nine of ten stay under
 	Memory      float64 // MB
 	PolicyClass int     // into which an operator's rules put it,
-	Trial       int     // and those that are rehearsed; nothing is decided by it
-	Past        Past
+	ShadowClass int     // and those that are rehearsed; nothing is decided by it
+	Prior       PriorAttempt
 }
 
-// Past is what is known of a request's attempts by a process before this one; that of a new request is zero.
-type Past struct {
-	MayRan      bool // one was out whose end doesn't prove that nothing ran
-	DoubtAt     Time // when it went out
+// PriorAttempt is what is known of a request's attempts by a process before this one; that of a new request is zero.
+type PriorAttempt struct {
+	MayHaveRun  bool // one was out whose end doesn't prove that nothing ran
+	SentAt      Time // when it went out
 	Zone, Group int  // of its engine
 }
 
-// State is what the engine list says of an engine.
-type State uint8
+// EndpointState is what the engine list says of an engine.
+type EndpointState uint8
 
 // The states of a listed engine.
 const (
-	Live State = iota
+	Live EndpointState = iota
 	Draining
 	Gone
 )
 
-// Form tells what a delivery of the engine list holds.
-type Form uint8
+// UpdateKind tells what a delivery of the engine list holds.
+type UpdateKind uint8
 
 // The forms of a list.
 const (
-	Changes    Form = iota // the changed entries only
-	Whole                  // all entries
-	Remembered             // all entries as last known; may be old
-	NoAnswer               // nothing: a call failed, the old list stays
+	PartialUpdate UpdateKind = iota // the changed entries only
+	FullUpdate                      // all entries
+	CachedUpdate                    // all entries as last known; may be old
+	FailedPoll                      // nothing: a call failed, the old list stays
 )
 
-// Listing is one entry of the engine list.
-type Listing struct {
+// Endpoint is one entry of the engine list.
+type Endpoint struct {
 	Engine            EngineID
 	Zone, Kind, Group int
-	State             State
+	State             EndpointState
 	Since             Time // last start; 0: long ago
 }
 
 // Report is an engine's load report: queries held, and the shares of its cores, memory and disks that are in use.
 // A value below 0 is absent.
-type Report struct{ Held, Util, Memory, Disks float64 }
+type Report struct {
+	InFlight    float64 `json:"Held"` // stored snapshots have the names of before
+	Utilization float64 `json:"Util"`
+	Memory      float64
+	Disks       float64
+}
 
 // scarcest is the share of what is used most.
-func (r Report) scarcest() float64 { return max(r.Util, r.Memory, r.Disks) }
+func (r Report) scarcest() float64 { return max(r.Utilization, r.Memory, r.Disks) }
 
 // NoReport has no value at all.
 var NoReport = Report{-1, -1, -1, -1}
 
-// News is a kind of note about a running attempt.
-type News uint8
+// NoticeKind is a kind of note about a running attempt.
+type NoticeKind uint8
 
 // The kinds of notes.
 const (
-	Progress News = iota // value: the share done
-	Spills               // value: MB missing
-	Waits                // value: 1 for memory, 2 for a load
+	ProgressNotice NoticeKind = iota // value: the share done
+	SpillNotice                      // value: MB missing
+	WaitNotice                       // value: 1 for memory, 2 for a load
 )
 
 // Effect tells what a second run of a request would do.
@@ -108,45 +134,45 @@
 const (
 	Idempotent Effect = iota
 	Deduplicated
-	Unrepeatable
+	NonIdempotent
 )
 
-// Group tells which engines drop repeats of a deduplicated request.
-type Group uint8
+// DedupScope tells which engines drop repeats of a deduplicated request.
+type DedupScope uint8
 
 // The groups of engines.
 const (
-	AllEngines Group = iota
+	AllEngines DedupScope = iota
 	SameZone
 	SameCell
 )
 
-// Sight is what a router saw of an engine itself.
-type Sight uint8
+// Observation is what a router saw of an engine itself.
+type Observation uint8
 
 // The kinds of sights. Each comes with the engine's latest report.
 const (
-	Reported   Sight = iota
-	Answered         // a request came back well
-	Erred            // the rest count as failure score: an error, or an answer that was spoilt or lost
-	Unanswered       // silence, of a request or a probe
-	Unreached        // no connection, or a broken one
+	Reported   Observation = iota
+	Answered               // a request came back well
+	Erred                  // the rest count as failure score: an error, or an answer that was spoilt or lost
+	Unanswered             // silence, of a request or a probe
+	Unreached              // no connection, or a broken one
 )
 
-func (s Sight) String() string {
+func (s Observation) String() string {
 	return [...]string{"reported", "answered", "erred", "unanswered", "unreached"}[s]
 }
 
-// Fails tells whether a sight counts as failure score.
-func (s Sight) Fails() bool { return s >= Erred }
-
-// Finding is what others' evidence tells of one start of an engine.
-type Finding struct {
-	Engine    EngineID
-	Since     Time
-	Report    Report // the latest that was heard
-	ReportAt  Time   // and when its teller had it
-	Against   float64
-	Witnesses int  // gateways whose last try there failed, after anyone's last answer from there; Against: what they weigh
-	Until     Time // and until when that counts
+// IsFailure tells whether a sight counts as failure score.
+func (s Observation) IsFailure() bool { return s >= Erred }
+
+// PeerReport is what others' evidence tells of one start of an engine.
+type PeerReport struct {
+	Engine       EngineID
+	Since        Time
+	Report       Report // the latest that was heard
+	ReportAt     Time   // and when its teller had it
+	FailureScore float64
+	Witnesses    int  // gateways whose last try there failed, after anyone's last answer from there; Against: what they weigh
+	ScoreUntil   Time // and until when that counts
 }
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -167,8 +167,8 @@
 			}
 			fmt.Fprintf(out, "%s listens on %s, one of %d; lanes %q; engine list at %s\n", start.Name, start.Listen,
 				start.Deployment.Gateways, start.Network.Classes, start.DiscoveryAddress)
-			fmt.Fprintf(out, "reports by probe %v, in answers %v; notes every %v\n", start.Deployment.Probes,
-				start.Network.ReportsInAnswers, time.Duration(start.Deployment.Pace)*100*time.Microsecond)
+			fmt.Fprintf(out, "reports by probe %v, in answers %v; notes every %v\n", start.Deployment.SupportsProbes,
+				start.Network.ReportsInAnswers, time.Duration(start.Deployment.NoticeInterval)*100*time.Microsecond)
 			return nil
 		}}
 	from.flags(c, env)
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -138,7 +138,7 @@
 	if crc32.ChecksumIEEE(b) != binary.LittleEndian.Uint32(first[4:]) {
 		return nil, errors.New("what the decisions knew is of two times")
 	}
-	return admission.DecodeMemory(b)
+	return admission.DecodeSnapshot(b)
 }
 
 // look reads a folder without changing it.
--- a/internal/cluster/agent/fleet.go
+++ b/internal/cluster/agent/fleet.go
@@ -66,7 +66,7 @@
 
 	// Of the fleet's goroutine, once it runs.
 	clock    router.Clock
-	tell     func(func(admission.Time, *admission.Router))
+	tell     func(func(admission.Time, *admission.Controller))
 	core     *membership.Core
 	book     *healthreport.Table
 	numbers  map[string]*seen
@@ -125,7 +125,7 @@
 	}
 	f := &Agent{plan: plan, name: start.Name, log: log, seal: key, box: eventqueue.New[func()](), stop: make(chan struct{}), ended: make(chan struct{}),
 		share: healthreport.MaxEjectedShare(start.Deployment, len(start.Network.Zones)), numbers: map[string]*seen{}, dropped: map[error]int{},
-		listed: map[admission.EngineID]admission.Time{}, out: map[admission.EngineID]bool{}, rated: map[int]rated{}, saidAt: time.Now(), seat: start.Deployment.Me, gateways: start.Deployment.Gateways}
+		listed: map[admission.EngineID]admission.Time{}, out: map[admission.EngineID]bool{}, rated: map[int]rated{}, saidAt: time.Now(), seat: start.Deployment.GatewayIndex, gateways: start.Deployment.Gateways}
 	if p := plan.Policy; p != nil {
 		if plan.ControlSocket == "" {
 			return nil, errors.New("fleet.control: expected a socket's path, as policies are proposed there, found nothing")
@@ -143,7 +143,7 @@
 		if slices.Min(start.Network.LongestWaits) <= 0 {
 			return nil, errors.New("fleet.budgets: expected a longest wait (deadlineUs) of every class of the site, as by that a right's use ends, found none of one")
 		}
-		f.names, f.tip = slices.Clone(b.Names), start.Deployment.TipAfter
+		f.names, f.tip = slices.Clone(b.Names), start.Deployment.ColdOverloadTime
 		if b.SlowStart && f.tip <= 0 {
 			return nil, errors.New("fleet.budgets.cold: expected a site with a rule for engines that have just started (rules.tipAfterUs), found none")
 		}
@@ -158,7 +158,7 @@
 func tenths(d time.Duration) admission.Time { return admission.Time(d / (100 * time.Microsecond)) }
 
 // Start opens the socket and begins.
-func (f *Agent) Start(clock router.Clock, tell func(func(admission.Time, *admission.Router))) error {
+func (f *Agent) Start(clock router.Clock, tell func(func(admission.Time, *admission.Controller))) error {
 	address, err := net.ResolveUDPAddr("udp", f.plan.Listen)
 	if err != nil {
 		return fmt.Errorf("fleet.listen: %w", err)
@@ -221,7 +221,7 @@
 }
 
 // Listed takes in an event of the engine list, from the owner as Saw and Sent.
-func (f *Agent) HandleEndpoints(now admission.Time, form admission.Form, list []admission.Listing) {
+func (f *Agent) HandleEndpoints(now admission.Time, form admission.UpdateKind, list []admission.Endpoint) {
 	f.box.Put(func() {
 		f.book.UpdateEngines(form, list)
 		if f.history != nil {
@@ -231,11 +231,11 @@
 }
 
 // Saw takes in what the decisions saw themselves.
-func (f *Agent) RecordObservation(now admission.Time, engine admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
+func (f *Agent) RecordObservation(now admission.Time, engine admission.EngineID, saw admission.Observation, report admission.Report, room float64) {
 	f.box.Put(func() {
 		f.book.Observe(now, engine, saw, report, room)
 		if f.history != nil && saw != admission.Reported {
-			f.history.Write(history.Event{Kind: history.OutcomeObserved, Engine: string(engine), EngineStart: int64(f.listed[engine]), Success: !saw.Fails()})
+			f.history.Write(history.Event{Kind: history.OutcomeObserved, Engine: string(engine), EngineStart: int64(f.listed[engine]), Success: !saw.IsFailure()})
 		}
 	})
 }
@@ -367,15 +367,15 @@
 	if f.history != nil {
 		asOf = history.Now() - int64(f.clock.Now()-now)*1e5
 	}
-	f.book.VisitChangedFindings(now, func(found *admission.Finding) {
+	f.book.VisitChangedFindings(now, func(found *admission.PeerReport) {
 		finding := *found
-		f.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(finding.Engine), EngineStart: int64(finding.Since), Evidence: finding.Against, Number: finding.Witnesses, Out: finding.Shuts(),
-			ObservedAt: asOf, ValidNanos: int64(max(0, finding.Until-now)) * 1e5})
-		if out := finding.Shuts(); out != f.out[finding.Engine] {
+		f.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(finding.Engine), EngineStart: int64(finding.Since), Evidence: finding.FailureScore, Number: finding.Witnesses, Out: finding.Ejects(),
+			ObservedAt: asOf, ValidNanos: int64(max(0, finding.ScoreUntil-now)) * 1e5})
+		if out := finding.Ejects(); out != f.out[finding.Engine] {
 			f.out[finding.Engine] = out
-			f.log.Info("fleet", "code", "found", "engine", string(finding.Engine), "out", out, "against", math.Round(100*finding.Against)/100, "witnesses", finding.Witnesses)
+			f.log.Info("fleet", "code", "found", "engine", string(finding.Engine), "out", out, "against", math.Round(100*finding.FailureScore)/100, "witnesses", finding.Witnesses)
 		}
-		f.tell(func(now admission.Time, r *admission.Router) { r.Heard(now, &finding) })
+		f.tell(func(now admission.Time, r *admission.Controller) { r.HandlePeerReport(now, &finding) })
 	})
 	f.speak(now)
 	if time.Since(f.saidAt) >= time.Minute {
@@ -518,7 +518,7 @@
 }
 
 // note writes evidence that was taken in into the history.
-func (f *Agent) note(from healthreport.Source, e *admission.Listing, goodAge, badAge admission.Time) {
+func (f *Agent) note(from healthreport.Source, e *admission.Endpoint, goodAge, badAge admission.Time) {
 	for _, outcome := range []struct {
 		good bool
 		age  admission.Time
@@ -531,8 +531,8 @@
 }
 
 // noteList writes what the own list says of engines, where it has changed.
-func (f *Agent) noteList(form admission.Form, list []admission.Listing) {
-	if form == admission.NoAnswer {
+func (f *Agent) noteList(form admission.UpdateKind, list []admission.Endpoint) {
+	if form == admission.FailedPoll {
 		return
 	}
 	said := map[admission.EngineID]bool{}
@@ -545,7 +545,7 @@
 		}
 		f.history.Write(history.Event{Kind: history.EngineListed, Engine: string(l.Engine), EngineStart: int64(l.Since), State: [...]string{"live", "draining", "gone"}[l.State]})
 	}
-	if form != admission.Changes {
+	if form != admission.PartialUpdate {
 		for name := range f.listed {
 			if !said[name] {
 				delete(f.listed, name)
--- a/internal/cluster/agent/fleet_test.go
+++ b/internal/cluster/agent/fleet_test.go
@@ -25,24 +25,25 @@
 // owner stands for the decisions: its module hears what was found.
 type owner struct {
 	mu     sync.Mutex
-	module *admission.Router
+	module *admission.Controller
 }
 
 type nobody struct{}
 
-func (nobody) Send(admission.RequestID, admission.EngineID, admission.Time, admission.Time) {}
-func (nobody) Cancel(admission.RequestID, int)                                              {}
-func (nobody) Reject(admission.RequestID, admission.Time)                                   {}
-func (nobody) Fail(admission.RequestID)                                                     {}
-func (nobody) Terms(admission.RequestID, float64, int)                                      {}
-func (nobody) Probe(admission.EngineID)                                                     {}
-func (nobody) Subscribe()                                                                   {}
-func (nobody) ColdRoom(admission.EngineID, float64) (room, shared bool)                     { return false, false }
-func (nobody) Wake(admission.Time)                                                          {}
-func (nobody) Say(string)                                                                   {}
-func (nobody) Tell(admission.EngineID, admission.Sight, admission.Report, float64)          {}
-func (o *owner) tell(clock wall) func(func(admission.Time, *admission.Router)) {
-	return func(call func(admission.Time, *admission.Router)) {
+func (nobody) SendAttempt(admission.RequestID, admission.EngineID, admission.Time, admission.Time) {}
+func (nobody) CancelAttempt(admission.RequestID, int)                                              {}
+func (nobody) RejectRequest(admission.RequestID, admission.Time)                                   {}
+func (nobody) FailRequest(admission.RequestID)                                                     {}
+func (nobody) SetAttemptTerms(admission.RequestID, float64, int)                                   {}
+func (nobody) ProbeEngine(admission.EngineID)                                                      {}
+func (nobody) SubscribeEndpoints()                                                                 {}
+func (nobody) HasColdCapacity(admission.EngineID, float64) (room, shared bool)                     { return false, false }
+func (nobody) ScheduleTick(admission.Time)                                                         {}
+func (nobody) LogEvent(string)                                                                     {}
+func (nobody) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
+}
+func (o *owner) tell(clock wall) func(func(admission.Time, *admission.Controller)) {
+	return func(call func(admission.Time, *admission.Controller)) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		call(clock.Now(), o.module)
@@ -62,11 +63,11 @@
 		addresses = append(addresses, c.LocalAddr().String())
 		c.Close()
 	}
-	list := []admission.Listing{{Engine: "e1"}, {Engine: "e2"}, {Engine: "e3"}, {Engine: "e4"}}
+	list := []admission.Endpoint{{Engine: "e1"}, {Engine: "e2"}, {Engine: "e3"}, {Engine: "e4"}}
 	var all []*Agent
 	clock := wall{time.Now()}
 	for i, a := range addresses {
-		site := &admission.Deployment{Gateways: 4, Me: i, Peers: true, Classes: []admission.Class{{Threads: 1, LatencyTarget: 1000}}}
+		site := &admission.Deployment{Gateways: 4, GatewayIndex: i, PeerMessages: true, Classes: []admission.Class{{Threads: 1, LatencyObjective: 1000}}}
 		start := &config.Config{Name: fmt.Sprint("g", i), Deployment: site, Network: &config.Network{Zones: []string{"a"}, LongestWaits: []time.Duration{50 * time.Millisecond}}}
 		f, err := New(Config{Listen: a, Seeds: addresses[:2], Key: filepath.Join(folder, "key"), BytesPerSecond: 1 << 20, ControlSocket: filepath.Join(folder, start.Name+".sock"),
 			HistoryFile: filepath.Join(folder, start.Name+".history"), ShareHealth: true,
@@ -78,8 +79,8 @@
 		if err := f.Start(clock, o.tell(clock)); err != nil {
 			t.Fatal(err)
 		}
-		f.HandleEndpoints(clock.Now(), admission.Whole, list)
-		o.tell(clock)(func(now admission.Time, r *admission.Router) { r.Listed(now, admission.Whole, list) })
+		f.HandleEndpoints(clock.Now(), admission.FullUpdate, list)
+		o.tell(clock)(func(now admission.Time, r *admission.Controller) { r.UpdateEndpoints(now, admission.FullUpdate, list) })
 		all = append(all, f)
 	}
 	until := func(what string, ok func() bool) {
--- a/internal/cluster/agent/rights.go
+++ b/internal/cluster/agent/rights.go
@@ -166,7 +166,7 @@
 // paid takes in a message on budgets; where more of one may be used now, tasks that wait for it go out at once.
 func (f *Agent) paid(at admission.Time, m quota.Message) {
 	if f.shares.HandleMessage(at, m) {
-		f.tell(func(now admission.Time, r *admission.Router) { r.Opened(now) })
+		f.tell(func(now admission.Time, r *admission.Controller) { r.HandleCapacityChange(now) })
 	}
 }
 
--- a/internal/cluster/agent/status.go
+++ b/internal/cluster/agent/status.go
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, l := range f.book.Status(now) {
-		e := EngineStatus{Engine: string(l.Engine), AnsweredSeconds: seconds(l.AnswerAge), FailedSeconds: seconds(l.FailureAge), Evidence: l.Finding.Against, Witnesses: l.Finding.Witnesses,
+		e := EngineStatus{Engine: string(l.Engine), AnsweredSeconds: seconds(l.AnswerAge), FailedSeconds: seconds(l.FailureAge), Evidence: l.Finding.FailureScore, Witnesses: l.Finding.Witnesses,
 			ReportedFailures: heard(l.PeerFailures), ReportSeconds: seconds(l.ReportAge)}
 		if l.FailureAge >= 0 {
 			e.Failure = l.LastFailure.String()
@@ -117,7 +117,7 @@
 }
 
 // heard counts how an engine has failed for others.
-func heard(list []admission.Sight) string {
+func heard(list []admission.Observation) string {
 	var parts []string
 	for saw := admission.Erred; saw <= admission.Unreached; saw++ {
 		n := 0
--- a/internal/cluster/healthreport/message.go
+++ b/internal/cluster/healthreport/message.go
@@ -72,7 +72,7 @@
 	}
 	if age, ok := ageByte(now, r.reportAt, reportStep); ok {
 		b = append(b, age)
-		for i, v := range []float64{r.report.Held / 10, r.report.Util, r.report.Memory, r.report.Disks} {
+		for i, v := range []float64{r.report.InFlight / 10, r.report.Utilization, r.report.Memory, r.report.Disks} {
 			if v >= 0 {
 				flags |= hasHeld << i
 				b = binary.BigEndian.AppendUint16(b, uint16(min(math.MaxUint16, math.Round(v*1000))))
@@ -98,7 +98,7 @@
 type entry struct {
 	hash, start       uint32
 	good, bad, report Time // ages; below 0: not told
-	how               admission.Sight
+	how               admission.Observation
 	load              admission.Report
 }
 
@@ -149,7 +149,7 @@
 		b = b[n:]
 		return v
 	}
-	if e.how = admission.Erred + admission.Sight(flags/howBad); e.how > admission.Unreached {
+	if e.how = admission.Erred + admission.Observation(flags/howBad); e.how > admission.Unreached {
 		return e, false
 	}
 	if flags&hasGood != 0 {
@@ -160,7 +160,7 @@
 	}
 	if flags > 0 && flags&(hasHeld|hasUtil|hasMemory|hasDisks) != 0 {
 		e.report = Time(take(1)[0]) * reportStep
-		for i, v := range []*float64{&e.load.Held, &e.load.Util, &e.load.Memory, &e.load.Disks} {
+		for i, v := range []*float64{&e.load.InFlight, &e.load.Utilization, &e.load.Memory, &e.load.Disks} {
 			if flags > 0 && flags&(hasHeld<<i) != 0 {
 				*v = float64(binary.BigEndian.Uint16(take(2))) / 1000
 				if i == 0 {
--- a/internal/cluster/healthreport/table.go
+++ b/internal/cluster/healthreport/table.go
@@ -36,11 +36,11 @@
 }
 
 // Finding is what is known of one engine from others' evidence.
-type Finding = admission.Finding
+type Finding = admission.PeerReport
 
 // known is an engine of the own list.
 type known struct {
-	admission.Listing
+	admission.Endpoint
 	hash   uint32
 	listed bool
 	own    record
@@ -56,7 +56,7 @@
 // doubling and loss of messages do not matter: of two the later counts.
 type record struct {
 	goodAt, badAt, reportAt Time
-	bad                     admission.Sight // how it failed at badAt
+	bad                     admission.Observation // how it failed at badAt
 	report                  admission.Report
 }
 
@@ -78,7 +78,7 @@
 
 // after orders reports of the same instant, so that all come to the same one.
 func after(a, b admission.Report) bool {
-	return cmp.Or(cmp.Compare(a.Held, b.Held), cmp.Compare(a.Util, b.Util), cmp.Compare(a.Memory, b.Memory), cmp.Compare(a.Disks, b.Disks)) > 0
+	return cmp.Or(cmp.Compare(a.InFlight, b.InFlight), cmp.Compare(a.Utilization, b.Utilization), cmp.Compare(a.Memory, b.Memory), cmp.Compare(a.Disks, b.Disks)) > 0
 }
 
 type source struct {
@@ -102,7 +102,7 @@
 	touched []int
 
 	// OnObservation, if set, is told of each outcome taken in, with its age; Use or older where there is none.
-	OnObservation func(from Source, engine *admission.Listing, goodAge, badAge Time)
+	OnObservation func(from Source, engine *admission.Endpoint, goodAge, badAge Time)
 }
 
 // New makes a book. peers is how many a message goes to; share is the part of the fleet that hearsay may take out at a time; turn,
@@ -137,11 +137,11 @@
 
 // UpdateEngines takes in a delivery of the own engine list: of what it doesn't name nothing is used, and what was known of an engine
 // ends with its start.
-func (b *Table) UpdateEngines(form admission.Form, list []admission.Listing) {
-	if form == admission.NoAnswer {
+func (b *Table) UpdateEngines(form admission.UpdateKind, list []admission.Endpoint) {
+	if form == admission.FailedPoll {
 		return
 	}
-	if form != admission.Changes {
+	if form != admission.PartialUpdate {
 		for i := range b.engines {
 			b.engines[i].listed = false
 		}
@@ -153,7 +153,7 @@
 		}
 		e := &b.engines[i]
 		began := !ok || e.Since != l.Since
-		if e.Listing, e.listed = l, l.State != admission.Gone; began {
+		if e.Endpoint, e.listed = l, l.State != admission.Gone; began {
 			b.begin(i)
 		}
 	}
@@ -189,7 +189,7 @@
 func (b *Table) begin(i int) {
 	e := &b.engines[i]
 	nothing := Finding{Engine: e.Engine, Since: e.Since, Report: admission.NoReport, ReportAt: never}
-	*e = known{Listing: e.Listing, hash: e.hash, listed: e.listed, own: empty, told: empty, wait: never, found: nothing, gave: nothing}
+	*e = known{Endpoint: e.Endpoint, hash: e.hash, listed: e.listed, own: empty, told: empty, wait: never, found: nothing, gave: nothing}
 	b.forget(i)
 }
 
@@ -202,7 +202,7 @@
 }
 
 // Observe takes in what this gateway saw itself, and the bytes that it may tell more from now on.
-func (b *Table) Observe(now Time, name admission.EngineID, saw admission.Sight, report admission.Report, room float64) {
+func (b *Table) Observe(now Time, name admission.EngineID, saw admission.Observation, report admission.Report, room float64) {
 	b.room = min(b.room+room, float64(4*MaxMessageBytes*b.peers)) // some messages at once; a quiet hour doesn't pay for a flood
 	i, ok := b.named[name]
 	if !ok {
@@ -212,7 +212,7 @@
 	switch {
 	case saw == admission.Answered:
 		e.own.goodAt = now
-	case saw.Fails():
+	case saw.IsFailure():
 		e.own.badAt, e.own.bad = now, saw
 	}
 	if report != admission.NoReport && report != e.own.report {
@@ -345,7 +345,7 @@
 		told := entry.at(now, late)
 		s.records[i] = join(s.records[i], told)
 		if b.OnObservation != nil {
-			b.OnObservation(from, &e.Listing, now-told.goodAt, now-told.badAt)
+			b.OnObservation(from, &e.Endpoint, now-told.goodAt, now-told.badAt)
 		}
 		b.touch(i)
 		accuses = accuses || entry.bad >= 0
@@ -425,10 +425,10 @@
 		for i := range b.engines {
 			e := &b.engines[i]
 			found := e.found
-			if found.Against > 0 && (now >= found.Until || !b.mayOut(now, i)) {
-				found.Against, found.Until = 0, 0
+			if found.FailureScore > 0 && (now >= found.ScoreUntil || !b.mayOut(now, i)) {
+				found.FailureScore, found.ScoreUntil = 0, 0
 			}
-			if e.listed && found != e.gave && (found.Against < e.gave.Against) == less {
+			if e.listed && found != e.gave && (found.FailureScore < e.gave.FailureScore) == less {
 				e.gave = found
 				f(&e.gave)
 			}
@@ -452,13 +452,13 @@
 	for k := range b.sources {
 		r := &b.sources[k].records[i]
 		if r.badAt > good && now-r.badAt < ConfirmedFailureLifetime && now-bad < b.use {
-			out.Against += 1 / float64(b.accuses(now, func(i int) *record { return &b.sources[k].records[i] }))
+			out.FailureScore += 1 / float64(b.accuses(now, func(i int) *record { return &b.sources[k].records[i] }))
 			out.Witnesses++
-			out.Until = bad + b.use
+			out.ScoreUntil = bad + b.use
 		}
 	}
 	if own := &e.own; out.Witnesses > 0 && own.badAt > good && now-own.badAt < ConfirmedFailureLifetime { // beside others' word its own counts as much
-		out.Against += 1 / float64(b.accuses(now, func(i int) *record { return &b.engines[i].own }))
+		out.FailureScore += 1 / float64(b.accuses(now, func(i int) *record { return &b.engines[i].own }))
 		out.Witnesses++
 	}
 	return out
@@ -477,11 +477,11 @@
 
 // mayOut tells whether an engine is among the few against which most is said: hearsay takes out a part of the fleet at most.
 func (b *Table) mayOut(now Time, i int) bool {
-	listed, before, own := 0, 0, b.engines[i].found.Against
+	listed, before, own := 0, 0, b.engines[i].found.FailureScore
 	for k := range b.engines {
 		if e := &b.engines[k]; e.listed {
 			listed++
-			if a := e.found.Against; k != i && now < e.found.Until && (a > own || a == own && k < i) {
+			if a := e.found.FailureScore; k != i && now < e.found.ScoreUntil && (a > own || a == own && k < i) {
 				before++
 			}
 		}
@@ -493,10 +493,10 @@
 type EngineStatus struct {
 	Engine                admission.EngineID
 	AnswerAge, FailureAge Time // ages of what this gateway saw itself; below 0: not lately
-	LastFailure           admission.Sight
+	LastFailure           admission.Observation
 	Finding               Finding
 	ReportAge             Time
-	PeerFailures          []admission.Sight // how it last failed for those that say so
+	PeerFailures          []admission.Observation // how it last failed for those that say so
 }
 
 // Status is what is known of all engines of the own list, by name.
@@ -510,8 +510,8 @@
 	for i := range b.engines {
 		if e := &b.engines[i]; e.listed {
 			f := e.gave
-			if now >= f.Until {
-				f.Against, f.Witnesses = 0, 0
+			if now >= f.ScoreUntil {
+				f.FailureScore, f.Witnesses = 0, 0
 			}
 			l := EngineStatus{Engine: e.Engine, AnswerAge: age(e.own.goodAt), FailureAge: age(e.own.badAt), LastFailure: e.own.bad, Finding: f, ReportAge: age(f.ReportAt)}
 			for k := range b.sources {
--- a/internal/cluster/healthreport/table_test.go
+++ b/internal/cluster/healthreport/table_test.go
@@ -20,9 +20,9 @@
 	second = admission.Second
 )
 
-func engines(n int) (out []admission.Listing) {
+func engines(n int) (out []admission.Endpoint) {
 	for i := range n {
-		out = append(out, admission.Listing{Engine: name(i), Since: 5 * second})
+		out = append(out, admission.Endpoint{Engine: name(i), Since: 5 * second})
 	}
 	return out
 }
@@ -32,7 +32,7 @@
 // book is one that knows n engines.
 func book(n int) *Table {
 	b := New(1, 0.25, 0)
-	b.UpdateEngines(admission.Whole, engines(n))
+	b.UpdateEngines(admission.FullUpdate, engines(n))
 	return b
 }
 
@@ -65,7 +65,7 @@
 
 func (b *Table) against(now Time, i int) (against float64, witnesses int) {
 	f := b.find(now, b.named[name(i)])
-	return f.Against, f.Witnesses
+	return f.FailureScore, f.Witnesses
 }
 
 // Each failure and answer moves what is found as a person would expect; a trace that people read.
@@ -92,7 +92,7 @@
 			p.VisitChangedFindings(now, func(*Finding) {})
 		}
 		hearer.VisitChangedFindings(now, func(f *Finding) {
-			fmt.Fprintf(&out, "%7.1f s  %-52s %s: against %.2f of %d, report %v\n", float64(now)/float64(second), what, f.Engine, f.Against, f.Witnesses, f.Report.Util)
+			fmt.Fprintf(&out, "%7.1f s  %-52s %s: against %.2f of %d, report %v\n", float64(now)/float64(second), what, f.Engine, f.FailureScore, f.Witnesses, f.Report.Utilization)
 		})
 	}
 	fail := func(p int, e int, what string) {
@@ -109,7 +109,7 @@
 	peers[3].Observe(now, name(3), admission.Answered, admission.NoReport, plenty)
 	fail(3, 4, "g3 has an answer from e3, and fails at e4")
 	now += 200 * ms
-	peers[1].Observe(now, name(3), admission.Reported, admission.Report{Held: 3, Util: 0.5, Memory: -1, Disks: -1}, plenty)
+	peers[1].Observe(now, name(3), admission.Reported, admission.Report{InFlight: 3, Utilization: 0.5, Memory: -1, Disks: -1}, plenty)
 	now += 200 * ms
 	peers[1].say(now, others(1)...)
 	line("g1 tells a report of e3")
@@ -166,7 +166,7 @@
 		old := peers[0].NextMessage(now)
 		h.HandleMessage(now, peers[0].Source, old)
 		for _, since := range []Time{now + 100*ms, now + 600*ms} { // twice in a second
-			h.UpdateEngines(admission.Changes, []admission.Listing{{Engine: name(1), Since: since}})
+			h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: name(1), Since: since}})
 			check(t, h, now+second, 1, 0)
 			h.HandleMessage(now+second, peers[0].Source, old)
 			check(t, h, now+second, 1, 0)
@@ -179,19 +179,19 @@
 			p.say(now, h)
 		}
 		check(t, h, now, 1, 2)
-		peers[2].UpdateEngines(admission.Changes, []admission.Listing{{Engine: name(1), Since: now}})
+		peers[2].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: name(1), Since: now}})
 		peers[2].Observe(now+1, name(1), admission.Erred, admission.NoReport, 0)
 		peers[2].say(now+1, h)
 		check(t, h, now+1, 1, 0)
-		peers[0].UpdateEngines(admission.Changes, []admission.Listing{{Engine: name(1), Since: now}})
-		h.UpdateEngines(admission.Changes, []admission.Listing{{Engine: name(1), Since: now}})
+		peers[0].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: name(1), Since: now}})
+		h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: name(1), Since: now}})
 		peers[1].Observe(now+2, name(1), admission.Erred, admission.NoReport, 0) // whose list is behind
 		peers[1].say(now+2, h)
 		check(t, h, now+2, 1, 0)
 	})
 	t.Run("how it failed is told", func(t *testing.T) {
 		h, peers := three()
-		for i, saw := range []admission.Sight{admission.Erred, admission.Unanswered, admission.Unreached} {
+		for i, saw := range []admission.Observation{admission.Erred, admission.Unanswered, admission.Unreached} {
 			peers[i].Observe(now, name(1), saw, admission.NoReport, 0)
 			peers[i].say(now, h)
 		}
@@ -256,7 +256,7 @@
 			h.VisitChangedFindings(now+1, func(*Finding) {})
 		}
 		for e := range 12 {
-			if h.engines[e].gave.Against > 0 {
+			if h.engines[e].gave.FailureScore > 0 {
 				out++
 			}
 		}
@@ -292,7 +292,7 @@
 			p.Observe(now, name(1), admission.Erred, admission.NoReport, 0)
 			p.say(now, h)
 		}
-		h.Observe(now, name(2), admission.Answered, admission.Report{Held: -1, Util: 0.3, Memory: -1, Disks: -1}, plenty)
+		h.Observe(now, name(2), admission.Answered, admission.Report{InFlight: -1, Utilization: 0.3, Memory: -1, Disks: -1}, plenty)
 		m := h.NextMessage(now + second)
 		r, err := read(m)
 		if err != nil {
@@ -306,7 +306,7 @@
 	})
 	t.Run("no message beyond what is paid for", func(t *testing.T) {
 		b := New(39, 0.25, 0)
-		b.UpdateEngines(admission.Whole, engines(12))
+		b.UpdateEngines(admission.FullUpdate, engines(12))
 		b.Observe(now, name(1), admission.Erred, admission.NoReport, 39*10)
 		if b.NextMessage(now+second) != nil {
 			t.Error("it speaks")
@@ -334,8 +334,8 @@
 			for k := range rapid.IntRange(1, 6).Draw(t, "sights") {
 				at := now + Time(k)*200*ms
 				for range 2 {
-					saw := admission.Sight(rapid.IntRange(0, 2).Draw(t, "saw"))
-					p.Observe(at, name(rapid.IntRange(0, 3).Draw(t, "engine")), saw, admission.Report{Held: float64(rapid.IntRange(0, 3).Draw(t, "held")), Util: 0.5, Memory: -1, Disks: -1}, plenty)
+					saw := admission.Observation(rapid.IntRange(0, 2).Draw(t, "saw"))
+					p.Observe(at, name(rapid.IntRange(0, 3).Draw(t, "engine")), saw, admission.Report{InFlight: float64(rapid.IntRange(0, 3).Draw(t, "held")), Utilization: 0.5, Memory: -1, Disks: -1}, plenty)
 				}
 				if m := p.NextMessage(at + 150*ms); m != nil {
 					words = append(words, word{p.Source, m, at + 150*ms})
@@ -369,9 +369,9 @@
 		times := func(n string) Time {
 			return rapid.SampledFrom([]Time{never, 1, 2, 3}).Draw(t, n)
 		}
-		r := record{times("good"), times("bad"), times("report"), admission.Sight(rapid.IntRange(2, 4).Draw(t, "how")), admission.NoReport}
+		r := record{times("good"), times("bad"), times("report"), admission.Observation(rapid.IntRange(2, 4).Draw(t, "how")), admission.NoReport}
 		if r.reportAt != never {
-			r.report = admission.Report{Held: float64(rapid.IntRange(0, 2).Draw(t, "held")), Util: -1, Memory: -1, Disks: -1}
+			r.report = admission.Report{InFlight: float64(rapid.IntRange(0, 2).Draw(t, "held")), Utilization: -1, Memory: -1, Disks: -1}
 		}
 		return r
 	})
@@ -385,7 +385,7 @@
 
 func FuzzHeard(f *testing.F) {
 	p := peer(3, "g")
-	p.Observe(100, name(1), admission.Erred, admission.Report{Held: 3, Util: 0.5, Memory: 0.25, Disks: 0.1}, plenty)
+	p.Observe(100, name(1), admission.Erred, admission.Report{InFlight: 3, Utilization: 0.5, Memory: 0.25, Disks: 0.1}, plenty)
 	f.Add(p.NextMessage(200))
 	f.Add([]byte{version, 0, 0, 0, 1})
 	f.Fuzz(func(t *testing.T, m []byte) {
@@ -395,7 +395,7 @@
 			t.Fatal("part of a message that can't be read was used")
 		}
 		h.VisitChangedFindings(100*second, func(f *Finding) {
-			if f.Against > 1 || f.ReportAt > 100*second {
+			if f.FailureScore > 1 || f.ReportAt > 100*second {
 				t.Fatalf("%+v", f)
 			}
 		})
@@ -408,7 +408,7 @@
 	for n := 0; b.Loop(); n++ {
 		now := Time(n+10) * second
 		for e := range 12 {
-			p.Observe(now, name(e), admission.Reported, admission.Report{Held: -1, Util: float64(n%10) / 10, Memory: 0.5, Disks: 0.25}, plenty)
+			p.Observe(now, name(e), admission.Reported, admission.Report{InFlight: -1, Utilization: float64(n%10) / 10, Memory: 0.5, Disks: 0.25}, plenty)
 		}
 		if p.NextMessage(now+second/2) == nil {
 			b.Fatal("nothing to say")
@@ -423,7 +423,7 @@
 	}
 	p := book(40)
 	for e := range 12 {
-		p.Observe(second, name(e), admission.Reported, admission.Report{Held: -1, Util: 0.5, Memory: 0.5, Disks: 0.25}, plenty)
+		p.Observe(second, name(e), admission.Reported, admission.Report{InFlight: -1, Utilization: 0.5, Memory: 0.5, Disks: 0.25}, plenty)
 	}
 	m := p.NextMessage(second + second/2)
 	b.ReportAllocs()
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -35,48 +35,48 @@
 // Read decodes the part of the settings that decisions rest on.
 func ReadDeployment(s *jsonvalue.Value) (*admission.Deployment, error) {
 	d := &admission.Deployment{
-		Gateways:    max(1, int(s.Float("fleetSize"))),
-		Me:          int(s.Float("me")),
-		Cores:       s.Floats("familyInfo", "kindCores"),
-		Memory:      s.Floats("familyInfo", "sizeMb"),
-		Ranked:      s.Bool("familyInfo", "lanesCount"),
-		Grants:      s.Bool("familyInfo", "grants"),
-		Swaps:       s.Lookup("familyInfo", "whenShort") == "swap",
-		TellsCost:   s.Bool("familyInfo", "saysCost"),
-		Cancels:     s.Bool("limits", "cancel"),
-		Probes:      s.Bool("limits", "probes"),
-		ProbePrice:  s.Float("penalties", "probe"),
-		Peers:       s.Bool("limits", "peerMessages"),
-		PeerPrice:   s.Float("penalties", "peer"),
-		MaxAttempts: int(s.Float("limits", "maxAttempts")),
-		Seats:       int(s.Float("limits", "maxOpen")),
-		Asks:        s.Lookup("discovery") == "ask",
-		ColdShare:   s.Float("rules", "coldShare"),
-		WarmAfter:   up(s, "rules", "warmAfterUs"),
-		TipFactor:   s.Float("rules", "overloadFactor"),
-		TipAfter:    up(s, "rules", "tipAfterUs"),
-		RetryBurst:  s.Float("rules", "extraFree"),
-		RetryRatio:  s.Float("rules", "resendRatio"),
-		RetryWindow: up(s, "rules", "ratioSpanUs"),
-		Settle:      up(s, "rules", "settleAfterDoubtUs"),
-		Pace:        up(s, "familyInfo", "progressPaceUs"),
+		Gateways:             max(1, int(s.Float("fleetSize"))),
+		GatewayIndex:         int(s.Float("me")),
+		CoresByKind:          s.Floats("familyInfo", "kindCores"),
+		MemoryByKind:         s.Floats("familyInfo", "sizeMb"),
+		SupportsRanks:        s.Bool("familyInfo", "lanesCount"),
+		SupportsMemoryGrants: s.Bool("familyInfo", "grants"),
+		EnginesSwap:          s.Lookup("familyInfo", "whenShort") == "swap",
+		ReportsCost:          s.Bool("familyInfo", "saysCost"),
+		SupportsCancel:       s.Bool("limits", "cancel"),
+		SupportsProbes:       s.Bool("limits", "probes"),
+		ProbePrice:           s.Float("penalties", "probe"),
+		PeerMessages:         s.Bool("limits", "peerMessages"),
+		PeerMessagePrice:     s.Float("penalties", "peer"),
+		MaxAttempts:          int(s.Float("limits", "maxAttempts")),
+		MaxRequests:          int(s.Float("limits", "maxOpen")),
+		PollsEndpoints:       s.Lookup("discovery") == "ask",
+		ColdCapacityShare:    s.Float("rules", "coldShare"),
+		WarmUpTime:           up(s, "rules", "warmAfterUs"),
+		ColdOverloadFactor:   s.Float("rules", "overloadFactor"),
+		ColdOverloadTime:     up(s, "rules", "tipAfterUs"),
+		RetryBurst:           s.Float("rules", "extraFree"),
+		RetryRatio:           s.Float("rules", "resendRatio"),
+		RetryWindow:          up(s, "rules", "ratioSpanUs"),
+		KeySettleTime:        up(s, "rules", "settleAfterDoubtUs"),
+		NoticeInterval:       up(s, "familyInfo", "progressPaceUs"),
 	}
 	if s.Bool("limits", "retryAfter") {
 		d.RetryAfter = down(s, "limits", "maxRetryAfterUs")
 	}
 	for i := range s.List("classes") {
 		l := admission.Class{
-			Threads:        max(1, int(s.Float("familyInfo", "dop", i))),
-			LatencyTarget:  down(s, "classes", i, "sloUs"),
-			Stretch:        s.Float("classes", i, "aimStretch"),
-			Value:          s.Float("classes", i, "worth"),
-			LateShare:      s.Float("classes", i, "lateWorth"),
-			DedupWindow:    down(s, "classes", i, "windowUs"),
-			InOrder:        s.Bool("classes", i, "fifoByKey"),
-			Zones:          places(s, "classes", i, "confinedTo"),
-			Kinds:          places(s, "classes", i, "servedOn"),
-			Load:           s.Bool("familyInfo", "loads", i),
-			BlockedByLoads: s.Bool("familyInfo", "blockedByLoads", i),
+			Threads:          max(1, int(s.Float("familyInfo", "dop", i))),
+			LatencyObjective: down(s, "classes", i, "sloUs"),
+			ObjectivePerWork: s.Float("classes", i, "aimStretch"),
+			Weight:           s.Float("classes", i, "worth"),
+			LateWeightShare:  s.Float("classes", i, "lateWorth"),
+			DedupWindow:      down(s, "classes", i, "windowUs"),
+			Ordered:          s.Bool("classes", i, "fifoByKey"),
+			Zones:            places(s, "classes", i, "confinedTo"),
+			Kinds:            places(s, "classes", i, "servedOn"),
+			LoadsTables:      s.Bool("familyInfo", "loads", i),
+			BlockedByLoads:   s.Bool("familyInfo", "blockedByLoads", i),
 		}
 		switch s.Lookup("classes", i, "effect") {
 		case "read_like":
@@ -84,15 +84,15 @@
 		case "idempotency_key":
 			l.Effect = admission.Deduplicated
 		case "non_idempotent":
-			l.Effect = admission.Unrepeatable
+			l.Effect = admission.NonIdempotent
 		default:
 			s.Fail("read_like, idempotency_key or non_idempotent", "classes", i, "effect")
 		}
 		switch s.Lookup("classes", i, "group") {
 		case "zone":
-			l.DedupWithin = admission.SameZone
+			l.DedupScope = admission.SameZone
 		case "cell":
-			l.DedupWithin = admission.SameCell
+			l.DedupScope = admission.SameCell
 		}
 		d.Classes = append(d.Classes, l)
 	}
--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -23,7 +23,7 @@
 	for _, c := range []struct{ sockets, open, seats int }{{1024, 20000, 341}, {1024, 100, 100}, {0, 100, 100}, {1024, 0, 341}} {
 		s, err := start(t, fmt.Sprintf(`{"name":"n","listen":"l","coordinator":"c","seed":"ffffffffffffffff","known":{},
 		 "limits":{"sockets":%d},"settings":`+settings+`}`, c.sockets, c.open))
-		if err != nil || s.Deployment.Seats != c.seats || s.Seed != -1 {
+		if err != nil || s.Deployment.MaxRequests != c.seats || s.Seed != -1 {
 			t.Errorf("%v: got %+v, %v", c, s, err)
 		}
 	}
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprintf("pace %d, answers tell %v", s.Deployment.Pace, s.Network.ReportsInAnswers); got != want {
+		if got := fmt.Sprintf("pace %d, answers tell %v", s.Deployment.NoticeInterval, s.Network.ReportsInAnswers); got != want {
 			t.Errorf("%s: got %s, want %s", text, got, want)
 		}
 	}
--- a/internal/config/report.go
+++ b/internal/config/report.go
@@ -25,9 +25,9 @@
 		}
 		switch name {
 		case "inflight":
-			r.Held = v
+			r.InFlight = v
 		case "util":
-			r.Util = v
+			r.Utilization = v
 		case "x0":
 			r.Memory = v
 		case "x1":
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -50,8 +50,8 @@
 		return nil, err
 	}
 	// Clients hold at most a third of the descriptors, and a session carries one task.
-	if seats := s.MaxDescriptors / 3; seats > 0 && (s.Deployment.Seats == 0 || seats < s.Deployment.Seats) {
-		s.Deployment.Seats = seats
+	if seats := s.MaxDescriptors / 3; seats > 0 && (s.Deployment.MaxRequests == 0 || seats < s.Deployment.MaxRequests) {
+		s.Deployment.MaxRequests = seats
 	}
 	return s, nil
 }
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -22,7 +22,7 @@
 // WatchEvent is one change of the endpoint list, or the complete list.
 type WatchEvent struct {
 	Full      bool // Endpoints is the complete list
-	Endpoints []admission.Listing
+	Endpoints []admission.Endpoint
 	Addresses []string // host:port of each of the endpoints
 }
 
@@ -78,9 +78,9 @@
 }
 
 // readEndpoint reads one endpoint of an event; ok tells whether all that it needs could be read.
-func (r *EventReader) readEndpoint(response *jsonvalue.Value, path ...any) (endpoint admission.Listing, address string, ok bool) {
+func (r *EventReader) readEndpoint(response *jsonvalue.Value, path ...any) (endpoint admission.Endpoint, address string, ok bool) {
 	at := func(field string) []any { return append(path[:len(path):len(path)], field) }
-	endpoint = admission.Listing{
+	endpoint = admission.Endpoint{
 		Engine: admission.EngineID(response.RequireText(at("id")...)),
 		Zone:   slices.Index(r.Zones, response.Text(at("zone")...)),
 		Kind:   slices.Index(r.Kinds, response.Text(at("kind")...)),
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -146,14 +146,14 @@
 }
 
 // ParseProgress reads a note about a running task; ok tells whether it is one we know.
-func ParseProgress(fields []byte) (news admission.News, value float64, ok bool) {
+func ParseProgress(fields []byte) (news admission.NoticeKind, value float64, ok bool) {
 	switch string(FindField(fields, "res")) {
 	case "so_far":
-		news = admission.Progress
+		news = admission.ProgressNotice
 	case "lacking":
-		news = admission.Spills
+		news = admission.SpillNotice
 	case "waiting":
-		news = admission.Waits
+		news = admission.WaitNotice
 	default:
 		return 0, 0, false
 	}
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -48,10 +48,10 @@
 
 func TestFields(t *testing.T) {
 	fields := []byte("pages=3,cost=1.5,res=so_far,v=0.25,gauges=inflight:7;util:0.61;x0:0.5;x1:0.75;new:1;bad:x")
-	if got, want := ParseLoadReport(fields), (admission.Report{Held: 7, Util: 0.61, Memory: 0.5, Disks: 0.75}); got != want {
+	if got, want := ParseLoadReport(fields), (admission.Report{InFlight: 7, Utilization: 0.61, Memory: 0.5, Disks: 0.75}); got != want {
 		t.Errorf("report: got %v", got)
 	}
-	if news, v, ok := ParseProgress(fields); news != admission.Progress || v != 0.25 || !ok {
+	if news, v, ok := ParseProgress(fields); news != admission.ProgressNotice || v != 0.25 || !ok {
 		t.Errorf("news: got %v %v %v", news, v, ok)
 	}
 	if got, ok := ParseAmount(fields, "cost"); got != 1.5 || !ok {
--- a/internal/resourcegroup/limiter.go
+++ b/internal/resourcegroup/limiter.go
@@ -17,7 +17,7 @@
 	classes      []class // by number; 0 stands for tasks of none
 	pools        []pool  // by number; 0 is all engines
 	classNumbers []int   // of the plan's classes
-	endpoints    []admission.Listing
+	endpoints    []admission.Endpoint
 	quota        Quota // nil: no class is the fleet's
 	now          admission.Time
 }
@@ -26,7 +26,7 @@
 type Quota interface {
 	// Index is a budget's number by its name; below 0: there is none.
 	Index(name string) int
-	// Open tells whether so much of a budget may be used from now on; it stands until Take, or the next Want.
+	// AllowsAttempt tells whether so much of a budget may be used from now on; it stands until Take, or the next Want.
 	Open(now admission.Time, budget int, amount int64) bool
 	Take(now admission.Time, budget int, amount int64) bool
 	Done(now admission.Time, budget int, amount int64)
@@ -261,15 +261,15 @@
 }
 
 // Listed takes in a delivery of the engine list, as the decisions do.
-func (d *Limiter) UpdateEndpoints(now admission.Time, form admission.Form, list []admission.Listing) {
-	if form == admission.NoAnswer {
+func (d *Limiter) UpdateEndpoints(now admission.Time, form admission.UpdateKind, list []admission.Endpoint) {
+	if form == admission.FailedPoll {
 		return
 	}
-	if form != admission.Changes {
+	if form != admission.PartialUpdate {
 		d.endpoints = d.endpoints[:0]
 	}
 	for _, l := range list {
-		n := slices.IndexFunc(d.endpoints, func(o admission.Listing) bool { return o.Engine == l.Engine })
+		n := slices.IndexFunc(d.endpoints, func(o admission.Endpoint) bool { return o.Engine == l.Engine })
 		switch {
 		case n >= 0 && l.State == admission.Gone:
 			d.endpoints = slices.Delete(d.endpoints, n, n+1)
@@ -293,7 +293,7 @@
 		p := &d.pools[n]
 		p.liveCores = 0
 		for i := range d.endpoints {
-			if l := &d.endpoints[i]; l.State == admission.Live && d.In(n, l) {
+			if l := &d.endpoints[i]; l.State == admission.Live && d.InPool(n, l) {
 				cores := 1.0
 				if l.Kind >= 0 && l.Kind < len(d.coresByKind) {
 					cores = max(1, d.coresByKind[l.Kind])
@@ -400,9 +400,9 @@
 
 func wholeThreads(threads float64) int64 { return int64(math.Ceil(threads)) }
 
-// Open tells whether one more task of a class, of so many threads, may go out now. One that is wider than the whole
+// AllowsAttempt tells whether one more task of a class, of so many threads, may go out now. One that is wider than the whole
 // limit goes alone.
-func (d *Limiter) Open(now admission.Time, number int, threads float64) bool {
+func (d *Limiter) AllowsAttempt(now admission.Time, number int, threads float64) bool {
 	c := &d.classes[number]
 	d.now = now
 	if b := c.budgets[threadBudget]; b >= 0 {
@@ -433,8 +433,8 @@
 // Name is a class's.
 func (d *Limiter) ClassName(number int) string { return d.classes[number].Name }
 
-// In tells whether an engine belongs to a pool.
-func (d *Limiter) In(n int, l *admission.Listing) bool {
+// InPool tells whether an engine belongs to a pool.
+func (d *Limiter) InPool(n int, l *admission.Endpoint) bool {
 	p := &d.pools[n]
 	return (len(p.zoneNumbers) == 0 || slices.Contains(p.zoneNumbers, l.Zone)) && (len(p.kindNumbers) == 0 || slices.Contains(p.kindNumbers, l.Kind))
 }
@@ -515,7 +515,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.UpdateEndpoints(now, admission.Whole, d.endpoints)
+	s.UpdateEndpoints(now, admission.FullUpdate, d.endpoints)
 	for n := range s.classes {
 		if c := &s.classes[n]; c.inUse {
 			c.threadLimit = s.targetThreads(c)
--- a/internal/resourcegroup/limiter_test.go
+++ b/internal/resourcegroup/limiter_test.go
@@ -20,7 +20,7 @@
 
 // script plays a desk and the decisions together, and writes down what happens.
 type script struct {
-	*admission.Router
+	*admission.Controller
 	desk  *Limiter
 	at    admission.Time
 	out   strings.Builder
@@ -32,15 +32,15 @@
 	fmt.Fprintf(&s.out, "%6d ms  %s\n", s.at/ms, fmt.Sprintf(format, args...))
 }
 
-func (s *script) Send(t admission.RequestID, e admission.EngineID, _, _ admission.Time) {
+func (s *script) SendAttempt(t admission.RequestID, e admission.EngineID, _, _ admission.Time) {
 	s.say("  -> hand %s to %s", t, e)
 	if n := s.class[t]; n > 0 {
 		s.desk.BeginAttempt(n, 2, 100)
 	}
 	s.sent[t] = true
 }
-func (s *script) Reject(t admission.RequestID, _ admission.Time) { s.over(t, "nack") }
-func (s *script) Fail(t admission.RequestID)                     { s.over(t, "write off") }
+func (s *script) RejectRequest(t admission.RequestID, _ admission.Time) { s.over(t, "nack") }
+func (s *script) FailRequest(t admission.RequestID)                     { s.over(t, "write off") }
 func (s *script) over(t admission.RequestID, how string) {
 	s.say("  -> %s %s", how, t)
 	if n := s.class[t]; n > 0 && !s.sent[t] {
@@ -48,17 +48,20 @@
 	}
 	delete(s.class, t)
 }
-func (s *script) Cancel(admission.RequestID, int)                                     {}
-func (s *script) Terms(admission.RequestID, float64, int)                             {}
-func (s *script) Probe(admission.EngineID)                                            {}
-func (s *script) Tell(admission.EngineID, admission.Sight, admission.Report, float64) {}
-func (s *script) Subscribe()                                                          {}
-func (s *script) ColdRoom(admission.EngineID, float64) (room, shared bool)            { return false, false }
-func (s *script) Wake(admission.Time)                                                 {}
-func (s *script) Say(text string)                                                     { s.say("  -> log: %s", text) }
+func (s *script) CancelAttempt(admission.RequestID, int)            {}
+func (s *script) SetAttemptTerms(admission.RequestID, float64, int) {}
+func (s *script) ProbeEngine(admission.EngineID)                    {}
+func (s *script) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
+}
+func (s *script) SubscribeEndpoints() {}
+func (s *script) HasColdCapacity(admission.EngineID, float64) (room, shared bool) {
+	return false, false
+}
+func (s *script) ScheduleTick(admission.Time) {}
+func (s *script) LogEvent(text string)        { s.say("  -> log: %s", text) }
 
-func engine(name string, zone int) admission.Listing {
-	return admission.Listing{Engine: admission.EngineID(name), Zone: zone}
+func engine(name string, zone int) admission.Endpoint {
+	return admission.Endpoint{Engine: admission.EngineID(name), Zone: zone}
 }
 
 // begin starts with engines a1 and a2 in zone 0 and b1 in zone 1, and a plan.
@@ -68,30 +71,30 @@
 	if s.desk, err = New(0, p, []float64{4}, []string{"norte", "sur"}, []string{"std"}); err != nil {
 		panic(err)
 	}
-	s.Router = admission.New(0, 7, &admission.Deployment{Gateways: 1, Cores: []float64{4}, MaxAttempts: 4, Classes: []admission.Class{
-		{Threads: 2, LatencyTarget: 2 * second, Value: 1}, {Threads: 2, LatencyTarget: 2 * second, Value: 3}}}, s)
-	s.Guard(s.desk)
-	s.list(admission.Remembered, engine("a1", 0), engine("a2", 0), engine("b1", 1))
+	s.Controller = admission.New(0, 7, &admission.Deployment{Gateways: 1, CoresByKind: []float64{4}, MaxAttempts: 4, Classes: []admission.Class{
+		{Threads: 2, LatencyObjective: 2 * second, Weight: 1}, {Threads: 2, LatencyObjective: 2 * second, Weight: 3}}}, s)
+	s.SetPolicyGate(s.desk)
+	s.list(admission.CachedUpdate, engine("a1", 0), engine("a2", 0), engine("b1", 1))
 	return s
 }
 
-func (s *script) list(form admission.Form, l ...admission.Listing) {
+func (s *script) list(form admission.UpdateKind, l ...admission.Endpoint) {
 	s.desk.UpdateEndpoints(s.at, form, l)
-	s.Listed(s.at, form, l)
+	s.UpdateEndpoints(s.at, form, l)
 }
 
-func (s *script) tell(name string, zone int, state admission.State) {
+func (s *script) tell(name string, zone int, state admission.EndpointState) {
 	l := engine(name, zone)
 	l.State = state
 	s.say("%s is %s", name, [...]string{"live", "draining", "gone"}[state])
-	s.list(admission.Changes, l)
+	s.list(admission.PartialUpdate, l)
 }
 
 func (s *script) pass(t admission.Time) {
 	for s.at+20*ms <= t {
 		s.at += 20 * ms
 		s.desk.Tick(s.at)
-		s.Due(s.at)
+		s.Tick(s.at)
 	}
 	s.at = t
 }
@@ -109,7 +112,7 @@
 		return
 	}
 	s.class[id] = number
-	s.Arrived(s.at, id, s.at+10*second, 0, 0, "", 0, admission.Foreseen{PolicyClass: number})
+	s.HandleRequest(s.at, admission.Request{ID: id, Deadline: s.at + 10*second, Estimate: admission.Estimate{PolicyClass: number}})
 }
 
 func (s *script) end(id admission.RequestID, how admission.Outcome, cost float64) {
@@ -118,7 +121,7 @@
 		s.desk.EndAttempt(n, 2, 100, cost, how != admission.Served)
 	}
 	s.sent[id] = false
-	s.Ended(s.at, id, how, how == admission.Served, 0, 0, admission.NoReport)
+	s.HandleAttemptEnd(s.at, admission.AttemptResult{Request: id, Outcome: how, Answered: how == admission.Served, Report: admission.NoReport})
 	if how == admission.Served {
 		delete(s.class, id)
 	}
@@ -332,7 +335,7 @@
 			"send": func(t *rapid.T) {
 				k := pick(false)
 				c := &d.classes[k.number]
-				if !d.Open(now, k.number, k.threads) {
+				if !d.AllowsAttempt(now, k.number, k.threads) {
 					if c.MaxThreads == 0 && c.WorkMillisPerSecond == 0 {
 						t.Fatal("closed without a limit")
 					}
@@ -357,8 +360,8 @@
 			"renew": func(t *rapid.T) { d.ReplacePlan(now, rapid.SampledFrom(plans).Draw(t, "plan")) },
 			"list": func(t *rapid.T) {
 				l := engine(fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "engine")), rapid.IntRange(0, 1).Draw(t, "zone"))
-				l.State = admission.State(rapid.IntRange(0, 2).Draw(t, "state"))
-				d.UpdateEndpoints(now, admission.Changes, []admission.Listing{l})
+				l.State = admission.EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
+				d.UpdateEndpoints(now, admission.PartialUpdate, []admission.Endpoint{l})
 			},
 			"": func(t *rapid.T) {
 				out, waiting := make([]int, len(d.classes)), make([]int, len(d.classes))
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -68,12 +68,12 @@
 	}
 	switch word {
 	case "news":
-		if !h.mayNote(time.Now(), time.Duration(e.o.site.Pace)*tenth) {
+		if !h.mayNote(time.Now(), time.Duration(e.o.site.NoticeInterval)*tenth) {
 			return false
 		}
 		news, value, ok := resp.ParseProgress(fields)
 		if ok {
-			e.o.tell(func(now admission.Time) { e.o.module.Noted(now, request, h.n, news, value) })
+			e.o.tell(func(now admission.Time) { e.o.module.HandleNotice(now, request, h.n, news, value) })
 		}
 	case "data":
 		return l.first(h, fields, body)
@@ -86,7 +86,7 @@
 	case "full":
 		l.ended(h, admission.Full)
 	case "moot":
-		l.ended(h, admission.Moot)
+		l.ended(h, admission.Unsent)
 	case "failed":
 		l.ended(h, admission.Errored)
 	default:
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -32,7 +32,7 @@
 	carried   bool // the owner's: it was handed to its engineClient
 
 	// As the desk counts it.
-	foreseen         admission.Foreseen
+	foreseen         admission.Estimate
 	threads, charged float64
 	by               uint64 // the rules that had it go out; 0: none that may change
 
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -24,16 +24,16 @@
 }
 
 // lists has the owner take in an engine's state at once.
-func (s *stage) lists(e *standEngine, state admission.State) {
+func (s *stage) lists(e *standEngine, state admission.EndpointState) {
 	e.s = s
 	s.o.tell(func(now admission.Time) {
-		s.o.listed(now, admission.Changes, listing(e, state), []string{e.l.Addr().String()})
+		s.o.listed(now, admission.PartialUpdate, listing(e, state), []string{e.l.Addr().String()})
 	})
 	s.sync()
 }
 
-func listing(e *standEngine, state admission.State) []admission.Listing {
-	return []admission.Listing{{Engine: admission.EngineID(e.name), State: state}}
+func listing(e *standEngine, state admission.EndpointState) []admission.Endpoint {
+	return []admission.Endpoint{{Engine: admission.EngineID(e.name), State: state}}
 }
 
 // slowDial holds the first dial to an engine back until goOn is closed.
@@ -53,7 +53,7 @@
 // An engine is told to drain, or is gone, while an attempt waits for a connection to it: that goes elsewhere, and not a byte of it
 // goes to the engine once the connection is up.
 func TestDrainWhileAConnectionComesUp(t *testing.T) {
-	for state, name := range map[admission.State]string{admission.Draining: "drains", admission.Gone: "gone"} {
+	for state, name := range map[admission.EndpointState]string{admission.Draining: "drains", admission.Gone: "gone"} {
 		t.Run(name, func(t *testing.T) {
 			e, f := newEngineStand(t, "e1"), newEngineStand(t, "e2")
 			s := play(t)
--- a/internal/router/desk.go
+++ b/internal/router/desk.go
@@ -5,18 +5,18 @@
 // Desk is what an operator's rules add to a gateway: it puts requests into classes, limits what runs of each, and foresees
 // costs. Its calls are the owner's; what a Reader does is its session's. Package operator has the one there is.
 type ResourceGroups interface {
-	admission.Gate
-	HandleEndpoints(now admission.Time, form admission.Form, list []admission.Listing)
+	admission.PolicyGate
+	HandleEndpoints(now admission.Time, form admission.UpdateKind, list []admission.Endpoint)
 	Tick(now admission.Time)
 	// Arrived rules on the request that a reader has read. A text in refuse is the client's final answer; crowded: it is
 	// nacked, as too many of its class wait, or nobody knows now what holds for it.
-	Classify(now admission.Time, r StatementReader) (f admission.Foreseen, crowded bool, refuse string)
+	Classify(now admission.Time, r StatementReader) (f admission.Estimate, crowded bool, refuse string)
 	// Sent takes in an attempt; Back its end, with the work it took (0: not told) and whether its request waits again. What
 	// Sent returns is handed to Back; by, where it is not 0, names the rules that had it go out.
-	RecordAttempt(f admission.Foreseen, threads float64) (charged float64, by uint64)
-	RecordAttemptEnd(f admission.Foreseen, threads, charged float64, work admission.Time, waits bool)
+	RecordAttempt(f admission.Estimate, threads float64) (charged float64, by uint64)
+	RecordAttemptEnd(f admission.Estimate, threads, charged float64, work admission.Time, waits bool)
 	// Left takes in that a waiting request got its final answer.
-	RecordDeparture(f admission.Foreseen)
+	RecordDeparture(f admission.Estimate)
 	// Pass tells, right before an attempt is written, whether the rules that had it go out are still gone by; Passed follows once it
 	// is written. Both are called by the goroutine that writes.
 	BeginWrite(by uint64, request admission.RequestID) bool
@@ -34,7 +34,7 @@
 }
 
 // seen tells whether the desk keeps account of a request.
-func (t *request) seen() bool { return t.policyClass > 0 || t.foreseen.Trial > 0 }
+func (t *request) seen() bool { return t.policyClass > 0 || t.foreseen.ShadowClass > 0 }
 
 // sent notes an attempt.
 func (o *owner) sent(h *attempt) {
@@ -47,7 +47,7 @@
 
 // back tells the module that an attempt has ended, and before it what limits its class.
 func (o *owner) back(now admission.Time, h *attempt, how admission.Outcome, over bool, work admission.Time, memory float64) {
-	if f := &h.foreseen; f.PolicyClass > 0 || f.Trial > 0 {
+	if f := &h.foreseen; f.PolicyClass > 0 || f.ShadowClass > 0 {
 		waits := !over && o.requests[h.of.id] == h.of
 		o.desk.RecordAttemptEnd(h.foreseen, h.threads, h.charged, work, waits)
 		if waits {
@@ -60,5 +60,5 @@
 	if o.keep != nil {
 		o.keep.Requests.EndAttempt(now, h.of.id, how.NeverRan())
 	}
-	o.module.Ended(now, h.of.id, how, over, work, memory, h.report)
+	o.module.HandleAttemptEnd(now, admission.AttemptResult{Request: h.of.id, Outcome: how, Answered: over, Work: work, Memory: memory, Report: h.report})
 }
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -59,7 +59,7 @@
 		}
 	}
 	sooner(now, 0, l.out == 0 && l.e.retired)
-	pace := time.Duration(l.e.o.site.Pace) * tenth
+	pace := time.Duration(l.e.o.site.NoticeInterval) * tenth
 	sooner(l.heard, 2*pace, l.out > 0 && pace > 0)
 	sooner(l.asked, n.ConnectTimeout, !l.asked.IsZero())
 	sooner(l.grown, n.ConnectTimeout, !l.begun.IsZero())
@@ -105,7 +105,7 @@
 			delete(l.open, h.request)
 		}
 		l.e.mu.Unlock()
-		l.e.o.tellEnded(h, admission.Moot)
+		l.e.o.tellEnded(h, admission.Unsent)
 	}
 }
 
@@ -178,7 +178,7 @@
 			case up:
 				e.o.tell(func(now admission.Time) { e.o.again(now, h) })
 			case ours(err):
-				e.o.tellEnded(h, admission.Moot)
+				e.o.tellEnded(h, admission.Unsent)
 			default:
 				e.o.tellEnded(h, admission.Unreachable)
 			}
@@ -287,7 +287,7 @@
 func (l *engineConn) rest() (code string) {
 	l.e.mu.Lock()
 	defer l.e.mu.Unlock()
-	pace := time.Duration(l.e.o.site.Pace) * tenth
+	pace := time.Duration(l.e.o.site.NoticeInterval) * tenth
 	switch {
 	case !l.begun.IsZero():
 		code = "cut_short"
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -171,7 +171,7 @@
 	} {
 		e := newEngineStand(t, "e1")
 		s := play(t, e)
-		s.o.tell(func(admission.Time) { s.o.site.Pace = 50 * admission.Millisecond })
+		s.o.tell(func(admission.Time) { s.o.site.NoticeInterval = 50 * admission.Millisecond })
 		a := s.client()
 		a.look("aa")
 		k := e.hears()
--- a/internal/router/leave_test.go
+++ b/internal/router/leave_test.go
@@ -175,7 +175,7 @@
 	s.sync()
 	started := func() {
 		s.o.tell(func(now admission.Time) {
-			s.o.listed(now, admission.Changes, []admission.Listing{{Engine: "e1", State: admission.Live}}, []string{e.l.Addr().String()})
+			s.o.listed(now, admission.PartialUpdate, []admission.Endpoint{{Engine: "e1", State: admission.Live}}, []string{e.l.Addr().String()})
 		})
 		s.sync()
 	}
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -36,13 +36,13 @@
 	stopped        atomic.Bool
 
 	now      admission.Time
-	module   *admission.Router
+	module   *admission.Controller
 	requests map[admission.RequestID]*request // taken and without a final answer
 	engines  map[admission.EngineID]engineClient
 	dial     func(address string) (net.Conn, error)                     // connects to an engine, within the time that the site allows
 	connect  func(name admission.EngineID, address string) engineClient // makes one for an engine
 	sessions map[uint32]*session                                        // of the MySQL front, by connection id
-	places   map[admission.EngineID]admission.Listing                   // where a record is kept
+	places   map[admission.EngineID]admission.Endpoint                  // where a record is kept
 }
 
 // ownDescriptors is what the process holds besides connections of clients and engines: its streams, the poller's,
@@ -72,7 +72,7 @@
 func (o *owner) guard(d ResourceGroups) {
 	if d != nil {
 		o.desk = d
-		o.module.Guard(d)
+		o.module.SetPolicyGate(d)
 	}
 }
 
@@ -98,10 +98,10 @@
 }
 
 // listed takes in an event of the engine list.
-func (o *owner) listed(now admission.Time, form admission.Form, list []admission.Listing, addresses []string) {
-	if form != admission.Changes {
+func (o *owner) listed(now admission.Time, form admission.UpdateKind, list []admission.Endpoint, addresses []string) {
+	if form != admission.PartialUpdate {
 		for name, e := range o.engines {
-			if !slices.ContainsFunc(list, func(l admission.Listing) bool { return l.Engine == name }) {
+			if !slices.ContainsFunc(list, func(l admission.Endpoint) bool { return l.Engine == name }) {
 				e.retire()
 				delete(o.engines, name)
 			}
@@ -128,15 +128,15 @@
 	if o.peers != nil {
 		o.peers.HandleEndpoints(now, form, list)
 	}
-	o.module.Listed(now, form, list)
+	o.module.UpdateEndpoints(now, form, list)
 }
 
 // withdrawUnwritten calls off the attempts at engines that take nothing new any more, as far as not a byte of them has gone out:
 // they wait for a connection, which may come up only after the time that the site allows for the last ones.
-func (o *owner) withdrawUnwritten(now admission.Time, list []admission.Listing) {
+func (o *owner) withdrawUnwritten(now admission.Time, list []admission.Endpoint) {
 	closed := func(h *attempt) bool {
 		return o.engines[h.engine] != h.to ||
-			slices.ContainsFunc(list, func(l admission.Listing) bool { return l.Engine == h.engine && l.State != admission.Live })
+			slices.ContainsFunc(list, func(l admission.Endpoint) bool { return l.Engine == h.engine && l.State != admission.Live })
 	}
 	var late []*attempt
 	for _, t := range o.requests {
@@ -156,7 +156,7 @@
 
 // arrived takes a request in.
 func (o *owner) arrived(now admission.Time, t *request) {
-	if o.requests[t.id] != nil || o.module.Knows(t.id) { // a killed one is known until its attempt ends
+	if o.requests[t.id] != nil || o.module.HasRequest(t.id) { // a killed one is known until its attempt ends
 		t.by.refused("the id is in use")
 		return
 	}
@@ -173,7 +173,7 @@
 			t.by.rejected(o.site.RetryAfter)
 			return
 		}
-		f.Past = t.foreseen.Past
+		f.Prior = t.foreseen.Prior
 		if f.Work == 0 { // what the client says of it stands where nothing was learned
 			f.Work, f.Memory = t.foreseen.Work, max(f.Memory, t.foreseen.Memory)
 		}
@@ -189,7 +189,7 @@
 	o.requests[t.id] = t
 	o.moved(t, Placement{Present: true})
 	t.rank = 1
-	o.module.Arrived(now, t.id, t.deadline, t.class, t.tenant, t.key, t.tables, t.foreseen)
+	o.module.HandleRequest(now, admission.Request{ID: t.id, Deadline: t.deadline, Class: t.class, Tenant: t.tenant, Key: t.key, Tables: t.tables, Estimate: t.foreseen})
 }
 
 // tellEnded queues the end of an attempt.
@@ -218,7 +218,7 @@
 	case admission.TimedOut, admission.Cancelled:
 		unsent := admission.Unreachable
 		if t.left {
-			unsent = admission.Moot // which tells nothing of the engine
+			unsent = admission.Unsent // which tells nothing of the engine
 		}
 		if !h.carried { // its record is still on its way, so not a byte has gone out
 			how = unsent
@@ -281,7 +281,7 @@
 		return
 	}
 	t.left = true
-	o.module.ClientGone(now, t.id)
+	o.module.HandleDisconnect(now, t.id)
 	if t.out != nil { // so its time is over
 		o.ended(now, t.out, admission.Cancelled)
 	}
--- a/internal/router/owner_test.go
+++ b/internal/router/owner_test.go
@@ -23,9 +23,9 @@
 			name := admission.EngineID(fmt.Sprint("e", rng.Intn(5)))
 			switch rng.Intn(8) {
 			case 0, 1:
-				l := []admission.Listing{{Engine: name, State: admission.State(rng.Intn(3))},
-					{Engine: name, State: admission.State(rng.Intn(3))}}
-				o.listed(now, admission.Form(rng.Intn(3)), l, []string{"127.0.0.1:1", "127.0.0.1:2"})
+				l := []admission.Endpoint{{Engine: name, State: admission.EndpointState(rng.Intn(3))},
+					{Engine: name, State: admission.EndpointState(rng.Intn(3))}}
+				o.listed(now, admission.UpdateKind(rng.Intn(3)), l, []string{"127.0.0.1:1", "127.0.0.1:2"})
 			case 2, 3:
 				c := uint32(rng.Intn(20))
 				if o.sessions[c] == nil || o.sessions[c].taken == nil {
@@ -41,11 +41,11 @@
 					o.ended(now, out[rng.Intn(len(out))], admission.Outcome(rng.Intn(9)))
 				}
 			default:
-				o.module.Probed(now, name, admission.Outcome(rng.Intn(9)), admission.NoReport)
+				o.module.HandleProbeResult(now, name, admission.Outcome(rng.Intn(9)), admission.NoReport)
 				now += admission.Time(rng.Intn(50))
 			}
 			if n%1000 == 0 { // each goes on by itself
-				o.module.Due(now)
+				o.module.Tick(now)
 			}
 			for _, c := range o.sessions {
 				if c.taken == nil {
@@ -81,9 +81,9 @@
 	before := runtime.NumGoroutine()
 	for n := range 200 {
 		name := admission.EngineID(fmt.Sprint("e", n))
-		list := func(state admission.State) {
+		list := func(state admission.EndpointState) {
 			s.o.tell(func(now admission.Time) {
-				s.o.listed(now, admission.Changes, []admission.Listing{{Engine: name, State: state}},
+				s.o.listed(now, admission.PartialUpdate, []admission.Endpoint{{Engine: name, State: state}},
 					[]string{e.l.Addr().String()})
 			})
 		}
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -6,10 +6,10 @@
 // package fleet has the one there is.
 type Peers interface {
 	// Start is handed the clock, and how to have a call made by the owner, with the module.
-	Start(clock Clock, tell func(call func(now admission.Time, module *admission.Router))) error
-	HandleEndpoints(now admission.Time, form admission.Form, list []admission.Listing)
+	Start(clock Clock, tell func(call func(now admission.Time, module *admission.Controller))) error
+	HandleEndpoints(now admission.Time, form admission.UpdateKind, list []admission.Endpoint)
 	// Saw takes in what the decisions saw of an engine themselves, and the bytes that may be told more from now on.
-	RecordObservation(now admission.Time, engine admission.EngineID, saw admission.Sight, report admission.Report, room float64)
+	RecordObservation(now admission.Time, engine admission.EngineID, saw admission.Observation, report admission.Report, room float64)
 	// ColdRoom tells whether a part of what an engine that has just started may be sent is this gateway's to send next, where that is
 	// shared.
 	TryReserveSlowStart(now admission.Time, engine admission.EngineID, part float64) (room, shared bool)
@@ -45,7 +45,7 @@
 // join has a gateway take part among its peers.
 func (o *owner) join(p Peers) error {
 	o.peers = p
-	return p.Start(o.clock, func(call func(admission.Time, *admission.Router)) {
+	return p.Start(o.clock, func(call func(admission.Time, *admission.Controller)) {
 		o.tell(func(now admission.Time) { call(now, o.module) })
 	})
 }
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -29,7 +29,7 @@
 		if how != admission.Served && how != admission.Unreachable && !p.begun {
 			how, report = p.guarded() // a connection may break and an answer be spoilt once, from a sound engine
 		}
-		o.tell(func(now admission.Time) { o.module.Probed(now, p.e.name, how, report) })
+		o.tell(func(now admission.Time) { o.module.HandleProbeResult(now, p.e.name, how, report) })
 	}
 	p.end("retired", nil)
 }
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -121,15 +121,15 @@
 
 // estimate is what a client says that its request will take, within what could be served at all: a wrong one must not
 // spoil what is learned of the class. Work has the longest wait on all its threads, memory the largest machine's.
-func (o *owner) estimate(r *mysql.Request, class int) admission.Foreseen {
+func (o *owner) estimate(r *mysql.Request, class int) admission.Estimate {
 	work, memory := r.WorkMS, r.MemoryMB
 	if longest := o.network.LongestWaits[class]; longest > 0 {
 		work = min(work, float64(longest.Milliseconds())*float64(o.site.Classes[class].Threads))
 	}
-	if sizes := o.site.Memory; len(sizes) > 0 {
+	if sizes := o.site.MemoryByKind; len(sizes) > 0 {
 		memory = min(memory, slices.Max(sizes))
 	}
-	return admission.Foreseen{Work: admission.Time(work * float64(admission.Millisecond)), Memory: memory}
+	return admission.Estimate{Work: admission.Time(work * float64(admission.Millisecond)), Memory: memory}
 }
 
 // departed tells whether the client has left already, also behind commands that came early.
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -21,11 +21,11 @@
 const rememberEvery = admission.Second
 
 // due is the record's part of the timer.
-func (k *Journal) due(now admission.Time, module *admission.Router) {
+func (k *Journal) due(now admission.Time, module *admission.Controller) {
 	k.Requests.Tick(now)
 	if now-k.rememberedAt >= rememberEvery {
 		k.rememberedAt = now
-		k.SaveSnapshot(module.Memory(now).Encode())
+		k.SaveSnapshot(module.TakeSnapshot(now).Encode())
 	}
 }
 
@@ -35,7 +35,7 @@
 	standing, e := o.keep.Requests.Lookup(t.id)
 	switch {
 	case standing == requestjournal.Resumable:
-		t.foreseen.Past = admission.Past{MayRan: e.MayHaveRun, DoubtAt: e.UncertainSince, Zone: e.Zone, Group: e.Group}
+		t.foreseen.Prior = admission.PriorAttempt{MayHaveRun: e.MayHaveRun, SentAt: e.UncertainSince, Zone: e.Zone, Group: e.Group}
 		return false
 	case standing != requestjournal.Answered:
 		return false
@@ -87,7 +87,7 @@
 	case h.over:
 	case err != nil:
 		o.log.Warn("state", "code", "not_sent", "task", string(h.of.id), "error", err)
-		o.ended(now, h, admission.Moot)
+		o.ended(now, h, admission.Unsent)
 	default:
 		h.carried = true
 		h.of.by.carry(h, h.to)
@@ -105,8 +105,8 @@
 }
 
 // placed notes where engines stand, for the record.
-func (o *owner) placed(form admission.Form, list []admission.Listing) {
-	if form != admission.Changes && form != admission.NoAnswer {
+func (o *owner) placed(form admission.UpdateKind, list []admission.Endpoint) {
+	if form != admission.PartialUpdate && form != admission.FailedPoll {
 		clear(o.places)
 	}
 	for _, l := range list {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -49,7 +49,7 @@
 	out         *attempt
 	memory      float64
 	rank        int
-	foreseen    admission.Foreseen
+	foreseen    admission.Estimate
 	policyClass int       // of the desk\'s; 0: none
 	held        bool      // in a class, with no attempt out
 	place       Placement // as the peers know it
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -41,12 +41,12 @@
 	o.tape = with.Capture
 	o.guard(with.ResourceGroups)
 	if o.keep = with.Journal; o.keep != nil {
-		o.places = map[admission.EngineID]admission.Listing{}
+		o.places = map[admission.EngineID]admission.Endpoint{}
 		if o.keep.Snapshot != nil {
-			o.module.Restore(o.now, o.keep.Snapshot)
+			o.module.RestoreSnapshot(o.now, o.keep.Snapshot)
 		}
 	}
-	if with.Peers != nil && start.Deployment.Peers {
+	if with.Peers != nil && start.Deployment.PeerMessages {
 		if err := o.join(with.Peers); err != nil {
 			return err
 		}
@@ -59,7 +59,7 @@
 func (o *owner) serve(start *config.Config, listener net.Listener, stop <-chan struct{},
 	renewed <-chan *config.Config) {
 	f := newWatcher(o, start.DiscoveryAddress)
-	f.tell(start.KnownEndpoints, admission.Remembered)
+	f.tell(start.KnownEndpoints, admission.CachedUpdate)
 	o.log.Info("serving", "name", start.Name, "address", listener.Addr().String())
 	ended, idle := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -286,7 +286,7 @@
 	}
 	p := &prober{e: &engine{o: s.o, name: "e1", address: listener.Addr().String()}}
 	how, report := p.ask()
-	if how != admission.Served || report.Util != 0.2 {
+	if how != admission.Served || report.Utilization != 0.2 {
 		t.Errorf("the probe ended as %v with %+v", how, report)
 	}
 	(<-dialled).Close()
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -49,11 +49,11 @@
 const mostAmiss = 8
 
 // tell takes in events; whole is the form of those that hold the whole list. It tells whether all could be read.
-func (f *watcher) tell(s *jsonvalue.Value, whole admission.Form) bool {
+func (f *watcher) tell(s *jsonvalue.Value, whole admission.UpdateKind) bool {
 	held := f.held
 	reader := discovery.EventReader{Zones: f.o.network.Zones, Kinds: f.o.network.Kinds, AcceptPartial: f.amiss >= mostAmiss}
 	f.held = reader.ReadEvents(s, held, func(event discovery.WatchEvent) {
-		form := admission.Changes
+		form := admission.PartialUpdate
 		if event.Full {
 			form = whole
 		}
@@ -88,7 +88,7 @@
 		f.known, f.leave = nil, leave
 		f.mu.Unlock()
 		if known != nil {
-			f.tell(known, admission.Whole)
+			f.tell(known, admission.FullUpdate)
 		}
 		begun := time.Now()
 		useful := f.connect(life, address, stop)
@@ -199,7 +199,7 @@
 			}
 			if response.Status == 200 {
 				s, err := jsonvalue.Parse("events", response.Body)
-				if err != nil || !f.tell(s, admission.Whole) {
+				if err != nil || !f.tell(s, admission.FullUpdate) {
 					return useful, "bad_answer"
 				}
 				useful = true
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -69,7 +69,7 @@
 
 // endpointLists holds the numbered lists that "directory" and "entry" messages define.
 type endpointLists struct {
-	lists     [maxEndpointLists][]admission.Listing
+	lists     [maxEndpointLists][]admission.Endpoint
 	open      int // the list that entries are being added to
 	remaining int // entries that the open list still lacks
 }
@@ -125,7 +125,7 @@
 		return
 	}
 	lists.remaining--
-	endpoint := admission.Listing{Engine: admission.EngineID(f.id("engine")), Zone: int(f.integer("area")),
+	endpoint := admission.Endpoint{Engine: admission.EngineID(f.id("engine")), Zone: int(f.integer("area")),
 		Kind: int(f.integer("hw")), Group: int(f.integer("group"))}
 	switch f.text("health") {
 	case "live":
@@ -163,9 +163,9 @@
 	}
 	i := &instance{adapter: a, id: id, classes: len(deployment.Classes)}
 	a.instances[id] = i
-	if deployment.Peers && deployment.Gateways > 1 {
+	if deployment.PeerMessages && deployment.Gateways > 1 {
 		i.reports = healthreport.New(deployment.Gateways-1, healthreport.MaxEjectedShare(deployment, len(info.Texts("zones"))),
-			float64(deployment.Me)/float64(deployment.Gateways))
+			float64(deployment.GatewayIndex)/float64(deployment.Gateways))
 	}
 	i.recoverPanic(func() { i.router = admission.New(a.now, seed, deployment, i) })
 }
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -10,7 +10,7 @@
 )
 
 // routerCall passes one decoded event to a router.
-type routerCall func(router *admission.Router)
+type routerCall func(router *admission.Controller)
 
 // eventDecoder reads the fields of an event for an instance, which is nil if the message names none that was booted.
 // It returns nil if the event asks for no decision.
@@ -58,7 +58,7 @@
 }
 
 func decodeRetire(_ *adapter, i *instance) routerCall {
-	return func(*admission.Router) { i.router = nil }
+	return func(*admission.Controller) { i.router = nil }
 }
 
 // updateForms are the letters of the forms of an endpoint update, in the order of admission.Form.
@@ -79,14 +79,14 @@
 		return nil
 	}
 	list := a.endpoints.lists[number]
-	if admission.Form(form) == admission.NoAnswer {
+	if admission.UpdateKind(form) == admission.FailedPoll {
 		list = nil
 	}
-	return func(router *admission.Router) {
+	return func(router *admission.Controller) {
 		if i.reports != nil {
-			i.reports.UpdateEngines(admission.Form(form), list)
+			i.reports.UpdateEngines(admission.UpdateKind(form), list)
 		}
-		router.Listed(now, admission.Form(form), list)
+		router.UpdateEndpoints(now, admission.UpdateKind(form), list)
 	}
 }
 
@@ -106,8 +106,8 @@
 	if options&workKnown == 0 {
 		work = 0
 	}
-	return func(router *admission.Router) {
-		router.Arrived(now, id, deadline, class, tenant, key, tables, admission.Foreseen{Work: work, Memory: memory})
+	return func(router *admission.Controller) {
+		router.HandleRequest(now, admission.Request{ID: id, Deadline: deadline, Class: class, Tenant: tenant, Key: key, Tables: tables, Estimate: admission.Estimate{Work: work, Memory: memory}})
 	}
 }
 
@@ -137,18 +137,20 @@
 	f.text("engine")
 	report := f.loadReport("serverStats")
 	work, memory := admission.Time(used/memoryUnits)*admission.Millisecond, float64(used%memoryUnits)*megabytesPerUnit
-	return func(router *admission.Router) { router.Ended(now, id, outcome, finished, work, memory, report) }
+	return func(router *admission.Controller) {
+		router.HandleAttemptEnd(now, admission.AttemptResult{Request: id, Outcome: outcome, Answered: finished, Work: work, Memory: memory, Report: report})
+	}
 }
 
 func decodeClientGone(a *adapter, _ *instance) routerCall {
 	now, id := a.now, admission.RequestID(a.fields.text("handle"))
-	return func(router *admission.Router) { router.ClientGone(now, id) }
+	return func(router *admission.Controller) { router.HandleDisconnect(now, id) }
 }
 
 func decodeTimer(a *adapter, _ *instance) routerCall {
 	now := a.now
 	a.fields.text("mark")
-	return func(router *admission.Router) { router.Due(now) }
+	return func(router *admission.Controller) { router.Tick(now) }
 }
 
 func decodeHealthCheck(a *adapter, _ *instance) routerCall {
@@ -156,7 +158,7 @@
 	engine, outcome := admission.EngineID(f.text("engine")), f.outcome("disposition")
 	f.integer("rttUs")
 	report := f.loadReport("serverStats")
-	return func(router *admission.Router) { router.Probed(now, engine, outcome, report) }
+	return func(router *admission.Controller) { router.HandleProbeResult(now, engine, outcome, report) }
 }
 
 // decodeGossip reads a health report of another instance. A payload that can't be read comes from another version and
@@ -168,7 +170,7 @@
 	if err != nil {
 		f.fail("payload", "bytes in hex")
 	}
-	return func(*admission.Router) {
+	return func(*admission.Controller) {
 		if i.reports != nil {
 			_ = i.reports.HandleMessage(now, source, payload)
 		}
@@ -189,7 +191,7 @@
 	if code < firstProgressCode || code > lastProgressCode {
 		f.fail("what", "1 to 3")
 	}
-	return func(router *admission.Router) {
-		router.Noted(now, id, attempt, admission.News(code-firstProgressCode), value)
+	return func(router *admission.Controller) {
+		router.HandleNotice(now, id, attempt, admission.NoticeKind(code-firstProgressCode), value)
 	}
 }
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -102,7 +102,7 @@
 const firstFailureCode = 249
 
 // failureOutcomes are the outcomes with the codes from firstFailureCode on.
-var failureOutcomes = [...]admission.Outcome{admission.Moot, admission.Cancelled, admission.Reset, admission.Unreachable,
+var failureOutcomes = [...]admission.Outcome{admission.Unsent, admission.Cancelled, admission.Reset, admission.Unreachable,
 	admission.TimedOut, admission.Full, admission.Errored}
 
 func (f *fieldReader) outcome(field string) admission.Outcome {
--- a/internal/storage/requestjournal/journal_test.go
+++ b/internal/storage/requestjournal/journal_test.go
@@ -20,7 +20,7 @@
 // classes has one class of each effect; the tests put request n into class n%3.
 var classes = []requestjournal.Class{
 	{Effect: admission.Idempotent, LongestWait: 5 * second},
-	{Effect: admission.Unrepeatable, LongestWait: 20 * second},
+	{Effect: admission.NonIdempotent, LongestWait: 20 * second},
 	{Effect: admission.Deduplicated, DedupWindow: 3 * second, LongestWait: 20 * second},
 }
 
--- a/internal/storage/requestjournal/recovery.go
+++ b/internal/storage/requestjournal/recovery.go
@@ -68,7 +68,7 @@
 // mayRunAgain reports whether a request that may have run already can be sent to an engine once more without harm.
 func (j *Journal) mayRunAgain(entry *Entry, now admission.Time) bool {
 	switch j.classes[entry.Class].Effect {
-	case admission.Unrepeatable:
+	case admission.NonIdempotent:
 		return false
 	case admission.Deduplicated:
 		return j.withinDedupWindow(entry, now)
--- a/internal/testbed/simcluster/judgement.go
+++ b/internal/testbed/simcluster/judgement.go
@@ -28,9 +28,9 @@
 	c.Start(second)
 	c.Run(30 * second)
 	s := Sharing{Members: n, Engines: engines, Loss: loss, Rate: rate, Detect: -1, Alone: 30 * rate * float64(n) / float64(engines)}
-	var list []admission.Listing
+	var list []admission.Endpoint
 	for i := range engines {
-		list = append(list, admission.Listing{Engine: admission.EngineID(fmt.Sprint("e", i)), Since: second})
+		list = append(list, admission.Endpoint{Engine: admission.EngineID(fmt.Sprint("e", i)), Since: second})
 	}
 	bad, from := admission.EngineID("e0"), c.Now+20*second
 	until := from + 30*second
@@ -38,12 +38,12 @@
 	detected := make([]Time, n)
 	for i, p := range c.Processes {
 		out[i] = map[admission.EngineID]Time{}
-		p.Book.UpdateEngines(admission.Whole, list)
+		p.Book.UpdateEngines(admission.FullUpdate, list)
 		p.Book.SetPeerCount(n - 1)
 		converse := func() {
-			p.Book.VisitChangedFindings(p.clock(), func(f *admission.Finding) {
-				if delete(out[i], f.Engine); f.Shuts() {
-					out[i][f.Engine] = c.Now + f.Until - p.clock()
+			p.Book.VisitChangedFindings(p.clock(), func(f *admission.PeerReport) {
+				if delete(out[i], f.Engine); f.Ejects() {
+					out[i][f.Engine] = c.Now + f.ScoreUntil - p.clock()
 					if f.Engine != bad {
 						s.Wrong++
 					} else if detected[i] == 0 && c.Now >= from {
--- a/internal/workload/fleetpolicy.go
+++ b/internal/workload/fleetpolicy.go
@@ -167,7 +167,7 @@
 const classBits = 8 // of a class's number
 
 // arrivedBy rules on a task by what the fleet has decided.
-func (d *Manager) admitByPolicy(now admission.Time, k *StatementReader) (f admission.Foreseen, crowded bool, refuse string) {
+func (d *Manager) admitByPolicy(now admission.Time, k *StatementReader) (f admission.Estimate, crowded bool, refuse string) {
 	asOf := d.inForce.HistoryNow()
 	v := d.inForce.ActivePolicy()
 	by := v.BasisAt(now)
@@ -217,11 +217,11 @@
 		if would == resourcegroup.OverCapacity && ruling != resourcegroup.OverCapacity {
 			d.rehearsalCount.Shed++
 		}
-		if f.Trial = d.rehearsalTurn<<classBits | n; ruling != resourcegroup.Admitted && would == resourcegroup.Admitted && n > 0 {
+		if f.ShadowClass = d.rehearsalTurn<<classBits | n; ruling != resourcegroup.Admitted && would == resourcegroup.Admitted && n > 0 {
 			d.shadow.EndWaiting(n)
 		}
 		if n == 0 || would != resourcegroup.Admitted {
-			f.Trial = 0
+			f.ShadowClass = 0
 		}
 	}
 	switch ruling {
@@ -245,11 +245,11 @@
 }
 
 // tried is the number of a task's class in the rehearsal that runs; 0: none.
-func (d *Manager) rehearsedClass(f *admission.Foreseen) int {
-	if d.shadow == nil || f.Trial>>classBits != d.rehearsalTurn {
+func (d *Manager) rehearsedClass(f *admission.Estimate) int {
+	if d.shadow == nil || f.ShadowClass>>classBits != d.rehearsalTurn {
 		return 0
 	}
-	return f.Trial & (1<<classBits - 1)
+	return f.ShadowClass & (1<<classBits - 1)
 }
 
 // tell has the counts be read elsewhere.
--- a/internal/workload/fleetpolicy_test.go
+++ b/internal/workload/fleetpolicy_test.go
@@ -37,7 +37,7 @@
 }
 
 func judged(t testing.TB) (*Manager, *court, func(classes string) agent.Policy) {
-	start := &config.Config{Deployment: &admission.Deployment{Classes: make([]admission.Class, 2), Cores: []float64{8}}, Network: &config.Network{Classes: []string{"look", "load"}, Zones: []string{"norte", "sur"}, Kinds: []string{"std"}}}
+	start := &config.Config{Deployment: &admission.Deployment{Classes: make([]admission.Class, 2), CoresByKind: []float64{8}}, Network: &config.Network{Classes: []string{"look", "load"}, Zones: []string{"norte", "sur"}, Kinds: []string{"std"}}}
 	d, err := NewManager(&Statements{MemoryBytes: 1 << 20, LogInterval: time.Hour}, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	c := &court{held(0, nil)}
 	texts := map[string]*Policy{}
 	d.FollowFleetPolicy(c, func(text []byte) (*Policy, error) { return texts[string(text)], nil }, 4)
-	d.HandleEndpoints(0, admission.Whole, []admission.Listing{{Engine: "n", Zone: 0}, {Engine: "s", Zone: 1}})
+	d.HandleEndpoints(0, admission.FullUpdate, []admission.Endpoint{{Engine: "n", Zone: 0}, {Engine: "s", Zone: 1}})
 	return d, c, func(classes string) agent.Policy {
 		p := &Policy{}
 		for _, k := range strings.Fields(classes) { // name:lane:threads, or name:lane:refuse
@@ -86,7 +86,7 @@
 			case f.PolicyClass == 0:
 				fmt.Fprint(&out, "free")
 			default:
-				if fmt.Fprint(&out, d.ClassName(f.PolicyClass)); !d.Open(10, f.PolicyClass, 2) {
+				if fmt.Fprint(&out, d.ClassName(f.PolicyClass)); !d.AllowsAttempt(10, f.PolicyClass, 2) {
 					fmt.Fprint(&out, ", waits")
 				} else {
 					charged, by := d.RecordAttempt(f, 2)
@@ -144,7 +144,7 @@
 	d, c, policy := judged(t)
 	one, two := policy("loads:load:4 old:look:1"), policy("loads:load:2")
 	c.hold(1, one)
-	arrive := func(lane int) admission.Foreseen {
+	arrive := func(lane int) admission.Estimate {
 		reader := d.NewStatementReader().(*StatementReader)
 		reader.ReadStatement([]byte("SELECT 1"), lane, 0)
 		f, crowded, refuse := d.Classify(20, reader)
@@ -154,19 +154,19 @@
 		return f
 	}
 	a, b, old := arrive(1), arrive(1), arrive(0)
-	if !d.Open(20, a.PolicyClass, 2) {
+	if !d.AllowsAttempt(20, a.PolicyClass, 2) {
 		t.Fatal("two of four threads are not free")
 	}
 	charged, _ := d.RecordAttempt(a, 2)
 	c.hold(2, two)
-	if d.Open(30, b.PolicyClass, 2) {
+	if d.AllowsAttempt(30, b.PolicyClass, 2) {
 		t.Error("two threads more go out, where two of two run")
 	}
-	if name := d.ClassName(old.PolicyClass); name != "old" || !d.Open(30, old.PolicyClass, 1) {
+	if name := d.ClassName(old.PolicyClass); name != "old" || !d.AllowsAttempt(30, old.PolicyClass, 1) {
 		t.Errorf("a task of a class that is gone can't end: %s", name)
 	}
 	d.RecordAttemptEnd(a, 2, charged, 0, false)
-	if !d.Open(40, b.PolicyClass, 2) {
+	if !d.AllowsAttempt(40, b.PolicyClass, 2) {
 		t.Error("what ended is not free")
 	}
 }
@@ -177,14 +177,14 @@
 	c.hold(1, policy("loads:load:4"))
 	c.ruling.Rehearsed, c.ruling.InForce.RehearsalID = policy("loads:load:2 looks:look:refuse"), 7
 	reader := d.NewStatementReader().(*StatementReader)
-	var out []admission.Foreseen
+	var out []admission.Estimate
 	for n := range 4 {
 		reader.ReadStatement([]byte("SELECT 1"), n%2, 0)
 		f, crowded, refuse := d.Classify(20, reader)
 		if crowded || refuse != "" {
 			t.Fatal("the rehearsal decides")
 		}
-		if f.PolicyClass > 0 && !d.Open(20, f.PolicyClass, 2) {
+		if f.PolicyClass > 0 && !d.AllowsAttempt(20, f.PolicyClass, 2) {
 			t.Fatal("the rehearsal holds")
 		}
 		d.RecordAttempt(f, 2)
@@ -223,7 +223,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				f, _, _ := d.Classify(20, reader)
-				d.Open(20, f.PolicyClass, 2)
+				d.AllowsAttempt(20, f.PolicyClass, 2)
 				charged, number := d.RecordAttempt(f, 2)
 				d.BeginWrite(number, "")
 				d.EndWrite(number, "")
--- a/internal/workload/manager.go
+++ b/internal/workload/manager.go
@@ -41,14 +41,14 @@
 
 // NewDesk makes a desk for a gateway's deployment. With a snapshot's file that can't be used it begins without, and says so.
 func NewManager(s *Statements, start *config.Config, log *slog.Logger) (*Manager, error) {
-	r, err := resourcegroup.New(0, &s.Plan, start.Deployment.Cores, start.Network.Zones, start.Network.Kinds)
+	r, err := resourcegroup.New(0, &s.Plan, start.Deployment.CoresByKind, start.Network.Zones, start.Network.Kinds)
 	if err != nil {
 		return nil, err
 	}
 	d := &Manager{zones: start.Network.Zones, kinds: start.Network.Kinds, file: s, costModel: s.NewCostModel(len(start.Network.Classes)), limiter: r, requestClasses: start.Network.Classes, log: log,
 		snapshotFile: s.SnapshotFile, loggedAt: time.Now(), agedAt: time.Now()}
 	for _, l := range start.Deployment.Classes {
-		d.writes = append(d.writes, l.Load)
+		d.writes = append(d.writes, l.LoadsTables)
 	}
 	d.plan.Store(&s.Plan)
 	if d.snapshotFile != "" {
@@ -91,8 +91,8 @@
 	d.log.Info("operator's file", "code", "renewed", "pools", len(s.Plan.Pools), "classes", len(s.Plan.Classes))
 }
 
-// Open tells whether one more task of a class may go out. The decisions ask it, as they ask Pool and In.
-func (d *Manager) Open(now admission.Time, class int, threads float64) bool {
+// AllowsAttempt tells whether one more task of a class may go out. The decisions ask it, as they ask Pool and In.
+func (d *Manager) AllowsAttempt(now admission.Time, class int, threads float64) bool {
 	d.now = now
 	if d.inForce != nil {
 		v := d.inForce.ActivePolicy()
@@ -102,7 +102,7 @@
 		}
 		d.openedBy = by
 	}
-	return d.limiter.Open(now, class, threads)
+	return d.limiter.AllowsAttempt(now, class, threads)
 }
 
 // Pool is the number of a class's pool.
@@ -111,11 +111,11 @@
 // Name is a class's.
 func (d *Manager) ClassName(class int) string { return d.limiter.ClassName(class) }
 
-// In tells whether an engine belongs to a pool.
-func (d *Manager) In(pool int, l *admission.Listing) bool { return d.limiter.In(pool, l) }
+// InPool tells whether an engine belongs to a pool.
+func (d *Manager) InPool(pool int, l *admission.Endpoint) bool { return d.limiter.InPool(pool, l) }
 
 // Listed takes in a delivery of the engine list.
-func (d *Manager) HandleEndpoints(now admission.Time, form admission.Form, list []admission.Listing) {
+func (d *Manager) HandleEndpoints(now admission.Time, form admission.UpdateKind, list []admission.Endpoint) {
 	d.limiter.UpdateEndpoints(now, form, list)
 	if d.shadow != nil {
 		d.shadow.UpdateEndpoints(now, form, list)
@@ -170,7 +170,7 @@
 }
 
 // Arrived rules on the task that a reader has read.
-func (d *Manager) Classify(now admission.Time, r router.StatementReader) (f admission.Foreseen, crowded bool, refuse string) {
+func (d *Manager) Classify(now admission.Time, r router.StatementReader) (f admission.Estimate, crowded bool, refuse string) {
 	k := r.(*StatementReader)
 	if d.now = now; d.inForce != nil {
 		return d.admitByPolicy(now, k)
@@ -190,17 +190,17 @@
 	return f, false, ""
 }
 
-func (r *StatementReader) forecast() (f admission.Foreseen) {
+func (r *StatementReader) forecast() (f admission.Estimate) {
 	if e := &r.subject.Estimate; e.Known {
-		f = admission.Foreseen{Work: toTime(e.WorkMillis), Upper: toTime(e.UpperMillis), Memory: e.MemoryMB}
+		f = admission.Estimate{Work: toTime(e.WorkMillis), WorkP90: toTime(e.UpperMillis), Memory: e.MemoryMB}
 	}
 	return f
 }
 
 // Sent takes in a hand-off.
-func (d *Manager) RecordAttempt(f admission.Foreseen, threads float64) (charged float64, by uint64) {
+func (d *Manager) RecordAttempt(f admission.Estimate, threads float64) (charged float64, by uint64) {
 	if n := d.rehearsedClass(&f); n > 0 {
-		if !d.shadow.Open(d.now, n, threads) {
+		if !d.shadow.AllowsAttempt(d.now, n, threads) {
 			d.rehearsalCount.Shed++
 		}
 		d.shadow.BeginAttempt(n, threads, toMillis(f.Work))
@@ -212,7 +212,7 @@
 }
 
 // Back takes in a hand-off's end.
-func (d *Manager) RecordAttemptEnd(f admission.Foreseen, threads, charged float64, work admission.Time, waits bool) {
+func (d *Manager) RecordAttemptEnd(f admission.Estimate, threads, charged float64, work admission.Time, waits bool) {
 	if n := d.rehearsedClass(&f); n > 0 {
 		d.shadow.EndAttempt(n, threads, charged, toMillis(work), waits)
 	}
@@ -222,7 +222,7 @@
 }
 
 // Left takes in that a waiting task got its final answer.
-func (d *Manager) RecordDeparture(f admission.Foreseen) {
+func (d *Manager) RecordDeparture(f admission.Estimate) {
 	if n := d.rehearsedClass(&f); n > 0 {
 		d.shadow.EndWaiting(n)
 	}
