--- a/internal/storage/store/folder.go
+++ b/internal/storage/store/folder.go
@@ -1,5 +1,8 @@
-// Package store keeps records by key so that they survive a crash: an append-only log in segments, with an index in memory.
-// docs/store.md has the files' form byte by byte, what a crash may leave of them, and which test holds what.
+// Package store keeps values by key so that they survive a crash: an append-only log in segments, with an index in memory.
+// docs/store.md describes the files byte by byte, what a crash may leave of them, and the tests.
+//
+// A write is durable once it is synced. Those who wait for their writes are called after the sync of all records of their
+// batch; all other writes are synced within 50 ms.
 package store
 
 import (
@@ -15,36 +18,40 @@
 
 // Folder is the part of a file system that a store needs: the files of one folder, by name.
 type Folder interface {
-	// Create makes a new file; that it is there survives a crash only after SyncNames.
+	// Create makes a new file and fails if there is one of that name. The name survives a crash only after SyncNames.
 	Create(name string) (File, error)
 	// Open opens a file for reading, and for writing at its end.
 	Open(name string) (File, error)
-	Names() ([]string, error) // in order
+	// Names returns the names of all files in lexical order.
+	Names() ([]string, error)
+	// Rename gives a file another name, in place of a file that has that name. It survives a crash only after SyncNames.
 	Rename(from, to string) error
+	// Remove removes a file. It stays removed after a crash only after SyncNames.
 	Remove(name string) error
-	// SyncNames has survive which names there are.
+	// SyncNames returns once the names of the folder's files, as they are now, survive a crash. It does not sync the files.
 	SyncNames() error
-	// Lock keeps others out until the folder is unlocked, or this process ends.
+	// Lock keeps other processes out until unlock is called or this process ends. It returns ErrLocked if one has the lock.
 	Lock() (unlock func() error, err error)
 }
 
-// File is one file of a folder. What is written survives a crash only after Sync; before, any part of it may.
+// File is one file of a folder.
 type File interface {
-	io.Writer // at the end
+	// Write appends to the file. Any part of what was written may survive a crash before Sync.
+	io.Writer
 	io.ReaderAt
+	// Size returns the file's size in bytes.
 	Size() (int64, error)
+	// Truncate cuts the file to a size in bytes. It survives a crash only after Sync.
 	Truncate(size int64) error
+	// Sync returns once the content of the file, as it is now, survives a crash. After an error it is unknown what does.
 	Sync() error
 	Close() error
 }
 
-// ErrLocked tells that another process has the folder.
-var ErrLocked = errors.New("another process has the folder")
-
-// disk is a folder of the system's.
+// diskFolder is a folder of the operating system.
 type diskFolder struct{ path string }
 
-// Disk is a folder of the system's; it is made if it isn't there.
+// CreateFolder returns a folder of the operating system, which it makes if it is not there.
 func CreateFolder(path string) (Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -52,11 +59,13 @@
 	return diskFolder{path}, nil
 }
 
-// Existing is a folder of the system's that is there.
+// OpenFolder returns an existing folder of the operating system.
 func OpenFolder(path string) (Folder, error) {
-	if info, err := os.Stat(path); err != nil {
+	info, err := os.Stat(path)
+	if err != nil {
 		return nil, err
-	} else if !info.IsDir() {
+	}
+	if !info.IsDir() {
 		return nil, fmt.Errorf("%s: expected a folder, found a file", path)
 	}
 	return diskFolder{path}, nil
@@ -129,5 +138,35 @@
 	return f.Close, nil
 }
 
-// isFull tells of an error for want of room on the disk, or in the user's part of it.
-func isDiskFull(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
+// readFile returns the content of one of a folder's files.
+func readFile(folder Folder, name string) ([]byte, error) {
+	file, err := folder.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	return readOpenFile(file, name)
+}
+
+func readOpenFile(file File, name string) ([]byte, error) {
+	size, err := file.Size()
+	if err != nil {
+		return nil, err
+	}
+	b := make([]byte, size)
+	if n, err := file.ReadAt(b, 0); n < len(b) {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	return b, nil
+}
+
+func removeIfPresent(folder Folder, name string) error {
+	names, err := folder.Names()
+	if err != nil {
+		return err
+	}
+	if !slices.Contains(names, name) {
+		return nil
+	}
+	return folder.Remove(name)
+}
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -8,33 +8,35 @@
 	"strings"
 )
 
-// Key names a record: the 16 hex digits of a task's id as they are, or whatever its owner makes of longer ones.
+// Key identifies a value: the 16 hex digits of a request's ID as they are, or whatever its owner chooses.
 type Key [16]byte
 
-// The log's form. A segment begins with a head, and records follow without gaps; all numbers are little-endian.
+// The format of the log. A segment begins with a header, and records follow without gaps. All numbers are little-endian; the
+// fields and their sizes in bytes are listed in their order.
 const (
-	segmentMagic      = "MPLOG\x00\x00\x01" // the last byte is the version of the form
-	segmentHeaderSize = 48                  // magic 8, store's number 16, segment's number 8, first sequence 8, 4 zeros, checksum 4
-	recordHeaderSize  = 41                  // mark 1, length 4, sequence 8, synced 8, key 16, checksum 4
-	recordMark        = 0xA7                // begins a record that has a value,
-	deletionMark      = 0xA8                // and one that says its key has none any more
-	maxValueSize      = 1 << 16
+	segmentMagic      = "MPLOG\x00\x00\x01" // the last byte is the version of the format
+	segmentHeaderSize = 48                  // magic 8, store ID 16, segment number 8, first sequence 8, zeros 4, checksum 4
+	recordHeaderSize  = 41                  // mark 1, value's length 4, sequence 8, synced sequence 8, key 16, checksum 4
+	recordMark        = 0xA7                // the first byte of a record with a value
+	deletionMark      = 0xA8                // the first byte of a record of a deletion
+	maxValueSize      = 1 << 16             // bytes
+	checksumSize      = 4                   // of a CRC-32C
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one as it lies in a segment.
+// record is a value or a deletion in a segment.
 type record struct {
-	sequence uint64
-	synced   uint64 // the last sequence known to survive when this one was written
-	key      Key
-	deleted  bool
-	value    []byte
+	sequence       uint64
+	syncedSequence uint64 // the last one known to be synced when this record was written
+	key            Key
+	deleted        bool
+	value          []byte
 }
 
 func (r *record) size() int { return recordHeaderSize + len(r.value) }
 
-// appendRecord writes a record.
+// appendRecord appends the encoded record to dst.
 func appendRecord(dst []byte, r *record) []byte {
 	at := len(dst)
 	mark := byte(recordMark)
@@ -44,7 +46,7 @@
 	dst = append(dst, mark)
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(r.value)))
 	dst = binary.LittleEndian.AppendUint64(dst, r.sequence)
-	dst = binary.LittleEndian.AppendUint64(dst, r.synced)
+	dst = binary.LittleEndian.AppendUint64(dst, r.syncedSequence)
 	dst = append(dst, r.key[:]...)
 	sum := crc32.Checksum(dst[at:], castagnoli)
 	sum = crc32.Update(sum, castagnoli, r.value)
@@ -52,7 +54,7 @@
 	return append(dst, r.value...)
 }
 
-// readRecord reads the record that begins b; ok is false where none does, or not all of it is there.
+// decodeRecord decodes the record at the start of b; ok is false if there is none, or not all of it.
 func decodeRecord(b []byte) (r record, ok bool) {
 	if len(b) < recordHeaderSize || b[0] != recordMark && b[0] != deletionMark {
 		return r, false
@@ -61,23 +63,24 @@
 	if length > maxValueSize || len(b) < recordHeaderSize+length {
 		return r, false
 	}
-	const summed = recordHeaderSize - 4
+	const summed = recordHeaderSize - checksumSize
 	sum := crc32.Checksum(b[:summed], castagnoli)
 	r.value = b[recordHeaderSize : recordHeaderSize+length : recordHeaderSize+length]
 	if crc32.Update(sum, castagnoli, r.value) != binary.LittleEndian.Uint32(b[summed:]) {
 		return r, false
 	}
 	r.deleted = b[0] == deletionMark
-	r.sequence, r.synced = binary.LittleEndian.Uint64(b[5:]), binary.LittleEndian.Uint64(b[13:])
+	r.sequence = binary.LittleEndian.Uint64(b[5:])
+	r.syncedSequence = binary.LittleEndian.Uint64(b[13:])
 	copy(r.key[:], b[21:])
 	return r, true
 }
 
-// head is what begins a segment.
+// segmentHeader is the start of a segment.
 type segmentHeader struct {
 	storeID       [16]byte
 	number        uint64
-	firstSequence uint64 // sequence of the first record
+	firstSequence uint64 // of the first record
 }
 
 func (h *segmentHeader) encode() []byte {
@@ -91,11 +94,12 @@
 
 func decodeSegmentHeader(b []byte) (h segmentHeader, ok bool) {
 	if len(b) < segmentHeaderSize || string(b[:8]) != segmentMagic ||
-		crc32.Checksum(b[:segmentHeaderSize-4], castagnoli) != binary.LittleEndian.Uint32(b[segmentHeaderSize-4:]) {
+		crc32.Checksum(b[:segmentHeaderSize-checksumSize], castagnoli) != binary.LittleEndian.Uint32(b[segmentHeaderSize-checksumSize:]) {
 		return h, false
 	}
 	copy(h.storeID[:], b[8:])
-	h.number, h.firstSequence = binary.LittleEndian.Uint64(b[24:]), binary.LittleEndian.Uint64(b[32:])
+	h.number = binary.LittleEndian.Uint64(b[24:])
+	h.firstSequence = binary.LittleEndian.Uint64(b[32:])
 	return h, true
 }
 
@@ -118,13 +122,13 @@
 	return number, err == nil
 }
 
-// manifest says which store this is, whose, and where its log begins.
+// manifest identifies the store and its owner, and says where its log begins.
 type manifest struct {
 	storeID          [16]byte
 	owner            string
-	firstSegment     uint64 // the oldest segment that counts
-	closedAtSequence uint64 // the last sequence, where the store was closed in order; 0: it is open, or its process died
-	firstSequence    uint64 // the sequence that the oldest segment begins with
+	firstSegment     uint64 // number of the oldest segment
+	closedAtSequence uint64 // the last sequence when the store was closed; 0: it is open, or its process died
+	firstSequence    uint64 // of the oldest segment
 }
 
 const manifestMagic = "MPMAN\x00\x00\x01"
@@ -139,13 +143,15 @@
 }
 
 func decodeManifest(b []byte) (m manifest, ok bool) {
-	const fixed = 8 + 16 + 4*8
+	const fixed = 8 + 16 + 4*8 // magic, store ID, four numbers
 	if len(b) < fixed+4 || string(b[:8]) != manifestMagic ||
 		crc32.Checksum(b[:len(b)-4], castagnoli) != binary.LittleEndian.Uint32(b[len(b)-4:]) {
 		return m, false
 	}
 	copy(m.storeID[:], b[8:])
-	m.firstSegment, m.firstSequence, m.closedAtSequence = binary.LittleEndian.Uint64(b[24:]), binary.LittleEndian.Uint64(b[32:]), binary.LittleEndian.Uint64(b[40:])
+	m.firstSegment = binary.LittleEndian.Uint64(b[24:])
+	m.firstSequence = binary.LittleEndian.Uint64(b[32:])
+	m.closedAtSequence = binary.LittleEndian.Uint64(b[40:])
 	if n := binary.LittleEndian.Uint64(b[48:]); n != uint64(len(b)-fixed-4) {
 		return m, false
 	}
--- /dev/null
+++ b/internal/storage/store/recovery.go
@@ -0,0 +1,196 @@
+package store
+
+import (
+	"crypto/rand"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// RecoveryReport says what Open found.
+type RecoveryReport struct {
+	Fresh     bool // the folder had no store
+	Segments  int
+	Records   int   // read, including those that no longer hold
+	LiveKeys  int   // keys that have a value
+	TornBytes int64 // cut off at the end
+	Duration  time.Duration
+}
+
+// replayFunc is called for each record of the log, in the order in which the records were written.
+type replayFunc = func(key Key, value []byte, deleted bool)
+
+// recoverLog reads the folder and makes it ready for writes.
+func (s *Store) recoverLog(owner string, replay replayFunc, report *RecoveryReport) error {
+	names, err := s.folder.Names()
+	if err != nil {
+		return err
+	}
+	numbers := segmentNumbers(names)
+	if err := s.recoverManifest(owner, names, numbers, report); err != nil {
+		return err
+	}
+	if err := s.recoverSegments(numbers, replay, report); err != nil {
+		return err
+	}
+	s.syncedSequence = s.lastSequence
+	report.Segments, report.LiveKeys = len(s.segments), s.index.count
+	s.manifest.closedAtSequence = 0 // the store is open now
+	if err := s.writeManifest(); err != nil {
+		return err
+	}
+	if len(s.segments) == 0 {
+		return s.startSegment()
+	}
+	return nil
+}
+
+func segmentNumbers(names []string) (numbers []uint64) {
+	for _, name := range names {
+		if number, ok := segmentNumber(name); ok {
+			numbers = append(numbers, number)
+		}
+	}
+	return numbers
+}
+
+// recoverManifest reads the manifest, or makes one up for a folder that has no store.
+func (s *Store) recoverManifest(owner string, names []string, numbers []uint64, report *RecoveryReport) error {
+	if !slices.Contains(names, manifestName) {
+		if len(numbers) > 0 {
+			return &CorruptionError{manifestName, 0, fmt.Sprintf("it is missing, though %s is there", segmentName(numbers[0]))}
+		}
+		report.Fresh = true
+		s.manifest = manifest{owner: owner, firstSegment: 1, firstSequence: 1}
+		rand.Read(s.manifest.storeID[:])
+		return nil
+	}
+	m, err := readManifest(s.folder)
+	if err != nil {
+		return err
+	}
+	s.manifest = m
+	if m.owner != owner {
+		return &OwnerError{Found: m.owner, Expected: owner}
+	}
+	return nil
+}
+
+// readManifest reads a folder's manifest; the error is a *CorruptionError if it can't be decoded.
+func readManifest(folder Folder) (manifest, error) {
+	b, err := readFile(folder, manifestName)
+	if err != nil {
+		return manifest{}, err
+	}
+	m, ok := decodeManifest(b)
+	if !ok {
+		return m, &CorruptionError{manifestName, 0, "it can't be read"}
+	}
+	return m, nil
+}
+
+// recoverSegments reads all segments from the manifest's first one on.
+func (s *Store) recoverSegments(numbers []uint64, replay replayFunc, report *RecoveryReport) error {
+	next := s.manifest.firstSegment
+	s.lastSequence = s.manifest.firstSequence - 1
+	for i, number := range numbers {
+		if number < s.manifest.firstSegment {
+			// It was compacted, and the process died before it was removed.
+			if err := s.folder.Remove(segmentName(number)); err != nil {
+				return err
+			}
+			continue
+		}
+		if number != next {
+			return &CorruptionError{segmentName(next), 0, fmt.Sprintf("it is missing, though %s is there", segmentName(number))}
+		}
+		if err := s.recoverSegment(number, i == len(numbers)-1, replay, report); err != nil {
+			return err
+		}
+		next++
+	}
+	if s.manifest.closedAtSequence > s.lastSequence {
+		return &CorruptionError{segmentName(next - 1), s.activeEnd(),
+			fmt.Sprintf("records up to %d are missing, which were there when it was closed", s.manifest.closedAtSequence)}
+	}
+	return nil
+}
+
+// activeEnd is the size in bytes of the last segment, or 0 if there is none.
+func (s *Store) activeEnd() int64 {
+	if len(s.segments) == 0 {
+		return 0
+	}
+	return s.activeSegment().size
+}
+
+// recoverSegment reads one segment. Only the last one may have a torn header or tail.
+func (s *Store) recoverSegment(number uint64, last bool, replay replayFunc, report *RecoveryReport) error {
+	name := segmentName(number)
+	file, err := s.folder.Open(name)
+	if err != nil {
+		return err
+	}
+	b, err := readOpenFile(file, name)
+	if err != nil {
+		file.Close()
+		return err
+	}
+	size := int64(len(b))
+	header, ok := decodeSegmentHeader(b)
+	if !ok || header.storeID != s.manifest.storeID || header.number != number || header.firstSequence != s.lastSequence+1 {
+		file.Close()
+		if !last || hasLaterRecord(b, s.lastSequence+1, 0) {
+			return &CorruptionError{name, 0, "its head can't be read, or is another store's"}
+		}
+		// The process died while it made the file. Records are written only once the header is synced, so there is none.
+		report.TornBytes += size
+		return s.folder.Remove(name)
+	}
+	g := &segment{number: number, file: file, size: segmentHeaderSize}
+	s.segments = append(s.segments, g)
+	s.replayRecords(g, b, replay, report)
+	if g.size == size {
+		return nil
+	}
+	if !last || hasLaterRecord(b[g.size:], s.lastSequence+1, s.lastSequence+1) {
+		return &CorruptionError{name, g.size, fmt.Sprintf("record %d can't be read, and what follows tells that it was written", s.lastSequence+1)}
+	}
+	report.TornBytes += size - g.size
+	if err := file.Truncate(g.size); err != nil {
+		return err
+	}
+	return file.Sync()
+}
+
+// replayRecords reads the records of a segment up to the first that is not complete, and sets the segment's size to that.
+func (s *Store) replayRecords(g *segment, b []byte, replay replayFunc, report *RecoveryReport) {
+	for g.size < int64(len(b)) {
+		r, ok := decodeRecord(b[g.size:])
+		if !ok || r.sequence != s.lastSequence+1 {
+			return
+		}
+		s.lastSequence = r.sequence
+		report.Records++
+		s.indexRecord(g, &r, g.size)
+		g.size += int64(r.size())
+		replay(r.key, r.value, r.deleted)
+	}
+}
+
+// hasLaterRecord reports whether a complete record stands anywhere in b that has the given sequence or a later one and tells
+// that records up to synced were synced. If so, what stands before it is damaged rather than torn by a crash.
+func hasLaterRecord(b []byte, sequence, synced uint64) bool {
+	// A segment holds fewer records than this; bytes that claim a sequence beyond are no record.
+	const maxAhead = 1 << 24
+	for i := range b {
+		if b[i] != recordMark && b[i] != deletionMark {
+			continue
+		}
+		r, ok := decodeRecord(b[i:])
+		if ok && r.sequence >= sequence && r.sequence < sequence+maxAhead && r.syncedSequence >= synced {
+			return true
+		}
+	}
+	return false
+}
