--- a/cmd/magpiebank-testbed/experiment.go
+++ b/cmd/magpiebank-testbed/experiment.go
@@ -129,7 +129,7 @@
 	}
 	p.shown = true
 	fmt.Fprintf(p.w, "\r%5.1f s of %v  offered %d  open %d  connections %d   ", now.At.Seconds(), p.length, now.Offered,
-		now.Offered-now.Ended, now.Open)
+		now.Offered-now.Finished, now.Open)
 }
 
 func (p *progress) done() {
--- a/cmd/magpiebank-testbed/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -81,7 +81,7 @@
 				return err
 			}
 			out := c.OutOrStdout()
-			played, err := faulttest.Play(c.Context(), s, p.folder, p.gateway, both, few)
+			played, err := faulttest.RunScenario(c.Context(), s, p.folder, p.gateway, both, few)
 			if err != nil {
 				return err
 			}
--- a/cmd/magpiebank-testbed/main.go
+++ b/cmd/magpiebank-testbed/main.go
@@ -1,4 +1,4 @@
-// Magpielab is the laboratory: it puts gateways under load on loopback and tells what came of it.
+// Magpielab is the testbed: it puts gateways under load on loopback and tells what came of it.
 package main
 
 import (
--- a/cmd/magpiebank-testbed/restart.go
+++ b/cmd/magpiebank-testbed/restart.go
@@ -10,7 +10,7 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// restarts kills a gateway with a record of its tasks a hundred times under load.
+// restarts kills a gateway with a record of its requests a hundred times under load.
 func restarts(c *cobra.Command, o *output, seed int64, without bool) error {
 	if o.folder == "" {
 		o.folder = experiment.Folder("restart")
@@ -18,7 +18,7 @@
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return err
 	}
-	r, err := crashtest.Run(c.Context(), crashtest.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, Loads: 24, Looks: 8, Seed: seed, Without: without})
+	r, err := crashtest.Run(c.Context(), crashtest.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, Loads: 24, Looks: 8, Seed: seed, NoJournal: without})
 	if err != nil {
 		return err
 	}
--- a/cmd/magpiebank-testbed/runs.go
+++ b/cmd/magpiebank-testbed/runs.go
@@ -31,7 +31,7 @@
 	}
 	list := &cobra.Command{Use: "list", Short: "List them", Args: cobra.NoArgs,
 		RunE: with(func(c *cobra.Command, a *report.Archive, _ []string) error {
-			return a.Each(func(k *report.Kept) error {
+			return a.Each(func(k *report.ArchivedRun) error {
 				word := "good"
 				if !k.Result.Good() {
 					word = "missed"
--- a/cmd/magpiebank-testbed/search.go
+++ b/cmd/magpiebank-testbed/search.go
@@ -86,7 +86,7 @@
 			}
 		}
 		fmt.Fprintf(c.OutOrStdout(), "x%-8.3f %9.0f tasks/s  own delay p99 %v  allocations a task %.1f  peak %d MB%s\n", factor, rate,
-			r.Figures.OwnQuantile(0.99), float64(r.Process.Mallocs)/float64(max(1, r.Scheduled)), r.Process.PeakKB>>10, first)
+			r.Figures.GeneratorDelayQuantile(0.99), float64(r.Process.Mallocs)/float64(max(1, r.Scheduled)), r.Process.PeakKB>>10, first)
 		if r.Good() {
 			return true, nil
 		}
--- a/cmd/magpiebank-testbed/standin.go
+++ b/cmd/magpiebank-testbed/standin.go
@@ -29,22 +29,22 @@
 			}
 			switch {
 			case e.Front:
-				f, err := fake.StartFront("127.0.0.1:0", e.Works, nil)
+				f, err := fake.StartFrontend("127.0.0.1:0", e.Works, nil)
 				if err != nil {
 					return err
 				}
 				defer f.Close()
 				fmt.Fprintf(c.OutOrStdout(), "front %s\n", f.Address)
 			case e.Site != nil:
-				s, err := installation.Up(*e.Site, folder)
+				s, err := installation.Start(*e.Site, folder)
 				if err != nil {
 					return err
 				}
-				defer s.Down()
+				defer s.Stop()
 				for _, g := range s.Gateways {
 					fmt.Fprintf(c.OutOrStdout(), "gateway %s %s, configuration %s\n", g.Name, g.Address, filepath.Join(folder, g.Name+".json"))
 				}
-				fmt.Fprintf(c.OutOrStdout(), "engine list %s\n", s.List.Address)
+				fmt.Fprintf(c.OutOrStdout(), "engine list %s\n", s.Discovery.Address)
 			default:
 				return badFile{fmt.Errorf("the experiment has no site of its own")}
 			}
--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -132,7 +132,7 @@
 				run.Earned += float64(l.Quick)
 			case "look-ups in the burst":
 				run.Earned += float64(l.Quick)
-				run.LooksP50, run.LooksP99 = l.Quantile(client.Delivered, 0.5), l.Quantile(client.Delivered, 0.99)
+				run.LooksP50, run.LooksP99 = l.Quantile(client.Served, 0.5), l.Quantile(client.Served, 0.99)
 			case "reports":
 				run.Earned += reportEarnings * float64(l.Quick)
 			}
@@ -160,26 +160,26 @@
 
 func classedExperiment(seed int64, p *fake.Planner, more []string) *experiment.Experiment {
 	texts := func(kinds ...fake.Kind) (out []string) {
-		for i := range p.Forms {
-			if slices.Contains(kinds, p.Forms[i].Kind) {
-				out = append(out, p.Forms[i].Text)
+		for i := range p.Templates {
+			if slices.Contains(kinds, p.Templates[i].Kind) {
+				out = append(out, p.Templates[i].Text)
 			}
 		}
 		return out
 	}
-	lane := func(name, as string, quoted, patience time.Duration, statements []string) arrival.Lane {
-		return arrival.Lane{Name: name, As: as, Share: 1, Statements: statements, Groups: statementGroups, Literals: 40, Quoted: quoted,
+	lane := func(name, as string, quoted, patience time.Duration, statements []string) arrival.Class {
+		return arrival.Class{Name: name, As: as, Share: 1, Statements: statements, Groups: statementGroups, Literals: 40, Quoted: quoted,
 			Patience: patience, Repeat: true, MarkRetry: true}
 	}
-	looks := texts(fake.LookUp)
-	e := &experiment.Experiment{Seed: seed, Length: statementsLength, Manners: client.Manners{Reused: 1, Tries: 1},
-		Lanes: []arrival.Lane{
+	looks := texts(fake.PointLookup)
+	e := &experiment.Experiment{Seed: seed, Length: statementsLength, Manners: client.Behavior{Reused: 1, Tries: 1},
+		Lanes: []arrival.Class{
 			lane("look-ups", "look", time.Second, 5*time.Second, looks),
 			lane("look-ups in the burst", "look", time.Second, 5*time.Second, looks),
-			lane("reports", "report", 4*time.Second, 12*time.Second, texts(fake.Span, fake.Joined)),
-			lane("whole tables", "look", time.Second, 5*time.Second, texts(fake.Whole)),
+			lane("reports", "report", 4*time.Second, 12*time.Second, texts(fake.RangeScan, fake.IndexJoin)),
+			lane("whole tables", "look", time.Second, 5*time.Second, texts(fake.FullScan)),
 		},
-		Bounds: experiment.Bounds{Own: 10 * time.Millisecond, Offered: 0.01, Allow: []client.Outcome{client.GivenUp}},
+		Bounds: experiment.Bounds{Own: 10 * time.Millisecond, Offered: 0.01, Allow: []client.Outcome{client.TimedOut}},
 	}
 	e.Shape = arrival.Shape{Kind: arrival.Replay}
 	r := rand.New(rand.NewSource(seed))
@@ -211,12 +211,12 @@
 		e.Shape.Marks = append(e.Shape.Marks, arrival.Mark{Lane: t.lane, Group: 1 + r.Intn(statementGroups)})
 	}
 	e.Site = &installation.Plan{Gateways: 2, Engines: statementEngines, Zones: []string{"norte", "sur"}, Cores: engineCores, MemoryMB: 192, Sockets: 1024,
-		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: seed, More: more,
-		Lanes: []installation.Lane{
-			{Name: "look", Quoted: time.Second, Longest: 5 * time.Second, Earnings: 1, Effect: "idempotent", Threads: 1},
-			{Name: "report", Quoted: 4 * time.Second, Longest: 12 * time.Second, Earnings: reportEarnings, Late: 0.4, Effect: "idempotent", Threads: 1}},
-		Manner: fake.Manner{Threads: engineSlot, Cores: engineCores, Works: []fake.Work{{Rows: 3}}, Planner: p, MemoryMB: engineMemory,
-			Pace: 300 * time.Millisecond}}
+		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: seed, ExtraArguments: more,
+		Classes: []installation.Class{
+			{Name: "look", LatencyObjective: time.Second, MaxWait: 5 * time.Second, Weight: 1, Effect: "idempotent", Threads: 1},
+			{Name: "report", LatencyObjective: 4 * time.Second, MaxWait: 12 * time.Second, Weight: reportEarnings, LateShare: 0.4, Effect: "idempotent", Threads: 1}},
+		Behavior: fake.EngineBehavior{Threads: engineSlot, Cores: engineCores, Works: []fake.Work{{Rows: 3}}, Planner: p, MemoryMB: engineMemory,
+			NoteInterval: 300 * time.Millisecond}}
 	return e
 }
 
--- a/cmd/magpiebank-testbed/worker.go
+++ b/cmd/magpiebank-testbed/worker.go
@@ -21,7 +21,7 @@
 	var join string
 	var index int
 	c := &cobra.Command{Use: "worker", Short: "Send a share of a run; magpiebank-testbed run --workers starts these", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return workers.Work(join, index) }}
+		RunE: func(c *cobra.Command, _ []string) error { return workers.RunWorker(join, index) }}
 	c.Flags().StringVar(&join, "join", "", "address of the coordinator")
 	c.Flags().IntVar(&index, "index", 0, "number of this worker, from 0")
 	c.MarkFlagRequired("join")
@@ -30,7 +30,7 @@
 
 // crewSender sends a run by worker processes.
 func crewSender(e *experiment.Experiment, folder string) experiment.Sender {
-	return func(ctx context.Context, l driver.Load, start time.Time, say func(experiment.Progress)) (*stats.Figures, int64, int64, error) {
+	return func(ctx context.Context, l driver.Load, start time.Time, say func(experiment.Progress)) (*stats.Metrics, int64, int64, error) {
 		co, err := workers.NewCoordinator(folder, e.Workers, e.OnLoss == "drop", l, start)
 		if err != nil {
 			return nil, 0, 0, err
@@ -56,9 +56,9 @@
 			go cmd.Wait()
 			return nil
 		}
-		co.Say = func(text string) { fmt.Fprintln(os.Stderr, "magpiebank-testbed:", text) }
+		co.Log = func(text string) { fmt.Fprintln(os.Stderr, "magpiebank-testbed:", text) }
 		co.Progress = func(at time.Duration, offered, ended, open int64) {
-			say(experiment.Progress{At: at, Offered: offered, Ended: ended, Open: open})
+			say(experiment.Progress{At: at, Offered: offered, Finished: ended, Open: open})
 		}
 		defer context.AfterFunc(ctx, co.Kill)()
 		f, notSent, unknown, err := co.Serve()
@@ -83,8 +83,8 @@
 		return err
 	}
 	e.Workers, o.folder = co.Run().Workers, folder
-	co.Say = func(text string) { fmt.Fprintln(c.ErrOrStderr(), "magpiebank-testbed:", text) }
-	r, err := e.Finish(co.Run().Start, func() (*stats.Figures, int64, int64, error) { return co.Serve() })
+	co.Log = func(text string) { fmt.Fprintln(c.ErrOrStderr(), "magpiebank-testbed:", text) }
+	r, err := e.Finish(co.Run().Start, func() (*stats.Metrics, int64, int64, error) { return co.Serve() })
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/fake/list.go
+++ b/internal/testbed/fake/discovery.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Entry is one engine as the list names it.
-type Entry struct {
+// Endpoint is one engine as the list names it.
+type Endpoint struct {
 	ID      string `json:"id"`
 	Address string `json:"addr"`
 	Zone    string `json:"zone"`
@@ -28,9 +28,9 @@
 }
 
 type listEndpoints struct {
-	Version int     `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []Entry `json:"servers"`
+	Version int        `json:"version"`
+	Full    bool       `json:"full"`
+	Servers []Endpoint `json:"servers"`
 }
 
 type listAnswer struct {
@@ -38,8 +38,8 @@
 	Updates []listEvent `json:"updates"`
 }
 
-// List is a stand-in for the engine list.
-type List struct {
+// Discovery is a fake for the discovery service.
+type Discovery struct {
 	Address string
 
 	mu      sync.Mutex
@@ -50,9 +50,9 @@
 	silent  bool // polls are held and never answered
 }
 
-// StartList starts a list that begins with some entries.
-func StartList(address string, first []Entry) (*List, error) {
-	l := &List{changed: make(chan struct{})}
+// StartDiscovery starts a list that begins with some entries.
+func StartDiscovery(address string, first []Endpoint) (*Discovery, error) {
+	l := &Discovery{changed: make(chan struct{})}
 	l.events = append(l.events, listEvent{1, listEndpoints{1, true, first}})
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return l, nil
 }
 
-// Tell adds an event with the entries that have changed.
-func (l *List) Tell(changed ...Entry) {
+// Publish adds an event with the entries that have changed.
+func (l *Discovery) Publish(changed ...Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := len(l.events) + 1
@@ -76,8 +76,8 @@
 	l.changed = make(chan struct{})
 }
 
-// Known is the events so far, as a gateway's configuration holds them.
-func (l *List) Known() json.RawMessage {
+// Snapshot is the events so far, as a gateway's configuration holds them.
+func (l *Discovery) Snapshot() json.RawMessage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b, err := json.Marshal(listAnswer{len(l.events), l.events})
@@ -87,15 +87,15 @@
 	return b
 }
 
-// Break has answers break off in their middle, Hold has polls held for good; Mend ends both.
-func (l *List) Break() { l.mu.Lock(); l.broken = true; l.mu.Unlock() }
-func (l *List) Hold()  { l.mu.Lock(); l.silent = true; l.mu.Unlock() }
-func (l *List) Mend()  { l.mu.Lock(); l.broken, l.silent = false, false; l.mu.Unlock() }
+// TruncateAnswers has answers break off in their middle, Hold has polls held for good; Mend ends both.
+func (l *Discovery) TruncateAnswers() { l.mu.Lock(); l.broken = true; l.mu.Unlock() }
+func (l *Discovery) HoldPolls()       { l.mu.Lock(); l.silent = true; l.mu.Unlock() }
+func (l *Discovery) Recover()         { l.mu.Lock(); l.broken, l.silent = false, false; l.mu.Unlock() }
 
 // Close ends it with all its connections.
-func (l *List) Close() { l.server.Close() }
+func (l *Discovery) Close() { l.server.Close() }
 
-func (l *List) stream(w http.ResponseWriter, r *http.Request) {
+func (l *Discovery) stream(w http.ResponseWriter, r *http.Request) {
 	follow, err1 := strconv.Atoi(r.URL.Query().Get("follow"))
 	wait, err2 := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	if err1 != nil || err2 != nil || follow < 0 || wait < 0 {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (l *List) answer(w http.ResponseWriter, last int, updates []listEvent, broken bool) {
+func (l *Discovery) answer(w http.ResponseWriter, last int, updates []listEvent, broken bool) {
 	b, err := json.Marshal(listAnswer{last, updates})
 	if err != nil {
 		panic(err) // of plain texts and numbers
--- a/internal/testbed/fake/front.go
+++ b/internal/testbed/fake/frontend.go
@@ -12,11 +12,11 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-// Front is a stand-in for a gateway: it speaks MySQL and answers each query by itself after its service time, as many at
+// Frontend is a fake for a gateway: it speaks MySQL and answers each query by itself after its service time, as many at
 // a time as there are sessions. A load measured against it shows what the load generator itself does.
-type Front struct {
+type Frontend struct {
 	Address string
-	Log     *Log // nil: none is kept
+	Log     *ExecutionLog // nil: none is kept
 
 	works    []Work
 	listener net.Listener
@@ -34,13 +34,13 @@
 	answers             atomic.Int64
 }
 
-// StartFront starts one.
-func StartFront(address string, works []Work, log *Log) (*Front, error) {
+// StartFrontend starts one.
+func StartFrontend(address string, works []Work, log *ExecutionLog) (*Frontend, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	f := &Front{Address: l.Addr().String(), Log: log, works: works, listener: l, conns: map[net.Conn]bool{}}
+	f := &Frontend{Address: l.Addr().String(), Log: log, works: works, listener: l, conns: map[net.Conn]bool{}}
 	f.cond = sync.NewCond(&f.mu)
 	go func() {
 		for {
@@ -58,7 +58,7 @@
 }
 
 // Pause has it stand still: all that runs takes as much longer. Resume lets it go on.
-func (f *Front) Pause() {
+func (f *Frontend) Pause() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.paused {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (f *Front) Resume() {
+func (f *Frontend) Resume() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.paused {
@@ -77,7 +77,7 @@
 }
 
 // Close ends it with all sessions.
-func (f *Front) Close() {
+func (f *Frontend) Close() {
 	f.Resume()
 	f.listener.Close()
 	f.mu.Lock()
@@ -88,7 +88,7 @@
 }
 
 // work takes as long as the service does on the front's own clock, which stops in pauses.
-func (f *Front) work(service time.Duration) {
+func (f *Frontend) work(service time.Duration) {
 	f.mu.Lock()
 	for f.paused {
 		f.cond.Wait()
@@ -112,7 +112,7 @@
 	}
 }
 
-func (f *Front) serve(tcp net.Conn) {
+func (f *Frontend) serve(tcp net.Conn) {
 	defer func() {
 		tcp.Close()
 		f.mu.Lock()
@@ -162,7 +162,7 @@
 }
 
 // query answers one query; it tells whether the session goes on.
-func (f *Front) query(tcp net.Conn, out *[]byte, number byte, sql []byte, came time.Time) bool {
+func (f *Frontend) query(tcp net.Conn, out *[]byte, number byte, sql []byte, came time.Time) bool {
 	request, err := mysql.ReadRequest(sql)
 	if err != nil {
 		_, err := tcp.Write(mysql.AppendError((*out)[:0], number+1, mysql.ErrParse, err.Error()))
@@ -180,7 +180,7 @@
 	}
 	of := string(request.ID)
 	if every(&f.Spoil) {
-		of = "0000000000000000" // rows of another task
+		of = "0000000000000000" // rows of another request
 	}
 	b, next := mysql.AppendColumns((*out)[:0], number+1)
 	for _, page := range pages(of, w.Rows) {
--- a/internal/testbed/faultproxy/fault.go
+++ b/internal/testbed/faultproxy/network.go
@@ -17,15 +17,15 @@
 
 // Rule is what a link meets in one direction. For streams, loss, doubling and reordering say nothing, as they keep order and whole.
 type Rule struct {
-	Cut     bool          // nothing passes; a stream that is open, or opens, says nothing
-	Refuse  bool          // connections are reset
-	Loss    float64       // share of datagrams
-	Double  float64       // share of datagrams that come twice
-	Reorder float64       // share of datagrams that come 50 ms later, behind others
-	Flip    float64       // share of datagrams, or of a stream's pieces, in which one bit is turned
-	Delay   time.Duration // of all
-	Spread  time.Duration // how much more, at most
-	Rate    int64         // bytes a second; 0: no limit
+	Cut       bool          // nothing passes; a stream that is open, or opens, says nothing
+	Refuse    bool          // connections are reset
+	Loss      float64       // share of datagrams
+	Duplicate float64       // share of datagrams that come twice
+	Reorder   float64       // share of datagrams that come 50 ms later, behind others
+	Corrupt   float64       // share of datagrams, or of a stream's pieces, in which one bit is turned
+	Delay     time.Duration // of all
+	Jitter    time.Duration // how much more, at most
+	Rate      int64         // bytes a second; 0: no limit
 }
 
 // late is how much later a reordered datagram comes: behind what is sent within some ticks of a gateway.
@@ -37,8 +37,8 @@
 	rule     Rule
 }
 
-// Net is the network of an installation.
-type Net struct {
+// Network is the network of an installation.
+type Network struct {
 	mu      sync.Mutex
 	rules   []placed
 	senders map[netip.AddrPort]string
@@ -52,16 +52,16 @@
 }
 
 // Counts are what has passed so far.
-type Counts struct{ Datagrams, Dropped, Doubled, Flipped, Bytes int64 }
+type Counts struct{ Datagrams, Dropped, Duplicated, Corrupted, Bytes int64 }
 
 // New is a network without faults.
-func New(seed uint64) *Net {
-	return &Net{senders: map[netip.AddrPort]string{}, chance: rand.New(rand.NewPCG(seed, 5)), streams: map[*stream]bool{}, busy: map[[2]string]time.Time{},
+func New(seed uint64) *Network {
+	return &Network{senders: map[netip.AddrPort]string{}, chance: rand.New(rand.NewPCG(seed, 5)), streams: map[*stream]bool{}, busy: map[[2]string]time.Time{},
 		changed: make(chan struct{})}
 }
 
-// Set has a rule hold, under a name, for what goes from some to others. Names may have * for any letters.
-func (n *Net) Set(name string, from, to []string, r Rule) {
+// SetRule has a rule hold, under a name, for what goes from some to others. Names may have * for any letters.
+func (n *Network) SetRule(name string, from, to []string, r Rule) {
 	n.mu.Lock()
 	n.rules = append(n.rules, placed{name, from, to, r})
 	n.turn()
@@ -79,8 +79,8 @@
 	}
 }
 
-// Clear ends the rules of a name; "" ends all.
-func (n *Net) Clear(name string) {
+// RemoveRule ends the rules of a name; "" ends all.
+func (n *Network) RemoveRule(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rules = slices.DeleteFunc(n.rules, func(p placed) bool { return name == "" || p.name == name })
@@ -88,13 +88,13 @@
 }
 
 // turn wakes what waits for a rule to change.
-func (n *Net) turn() {
+func (n *Network) turn() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
 // Counts are what has passed so far.
-func (n *Net) Counts() Counts {
+func (n *Network) Counts() Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
@@ -110,14 +110,14 @@
 }
 
 // of joins the rules that a direction meets; the worse of each counts. It is called with the lock held.
-func (n *Net) of(from, to string) (r Rule) {
+func (n *Network) of(from, to string) (r Rule) {
 	for _, p := range n.rules {
 		if !fits(p.from, from) || !fits(p.to, to) {
 			continue
 		}
 		r.Cut, r.Refuse = r.Cut || p.rule.Cut, r.Refuse || p.rule.Refuse
-		r.Loss, r.Double, r.Reorder, r.Flip = max(r.Loss, p.rule.Loss), max(r.Double, p.rule.Double), max(r.Reorder, p.rule.Reorder), max(r.Flip, p.rule.Flip)
-		r.Delay, r.Spread = max(r.Delay, p.rule.Delay), max(r.Spread, p.rule.Spread)
+		r.Loss, r.Duplicate, r.Reorder, r.Corrupt = max(r.Loss, p.rule.Loss), max(r.Duplicate, p.rule.Duplicate), max(r.Reorder, p.rule.Reorder), max(r.Corrupt, p.rule.Corrupt)
+		r.Delay, r.Jitter = max(r.Delay, p.rule.Delay), max(r.Jitter, p.rule.Jitter)
 		if p.rule.Rate > 0 && (r.Rate == 0 || p.rule.Rate < r.Rate) {
 			r.Rate = p.rule.Rate
 		}
@@ -127,10 +127,10 @@
 
 // wait is how long so many bytes take on their way, by a direction's rule: those before them first, where it has a rate. It is
 // called with the lock held.
-func (n *Net) wait(r *Rule, from, to string, bytes int) time.Duration {
+func (n *Network) wait(r *Rule, from, to string, bytes int) time.Duration {
 	wait := r.Delay
-	if r.Spread > 0 {
-		wait += time.Duration(n.chance.Int64N(int64(r.Spread)))
+	if r.Jitter > 0 {
+		wait += time.Duration(n.chance.Int64N(int64(r.Jitter)))
 	}
 	if r.Rate > 0 {
 		now, k := time.Now(), [2]string{from, to}
@@ -143,8 +143,8 @@
 	return wait
 }
 
-// Sender tells who sends datagrams from an address.
-func (n *Net) Sender(address, name string) error {
+// RegisterSender tells who sends datagrams from an address.
+func (n *Network) RegisterSender(address, name string) error {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return err
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// Datagrams opens a relay to one receiver, and tells its address, which senders use in place of the receiver's.
-func (n *Net) Datagrams(to, target string) (string, error) {
+// RelayDatagrams opens a relay to one receiver, and tells its address, which senders use in place of the receiver's.
+func (n *Network) RelayDatagrams(to, target string) (string, error) {
 	out, err := netip.ParseAddrPort(target)
 	if err != nil {
 		return "", err
@@ -183,13 +183,13 @@
 	return socket.LocalAddr().String(), nil
 }
 
-func (n *Net) keep(c io.Closer) {
+func (n *Network) keep(c io.Closer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closers = append(n.closers, c)
 }
 
-func (n *Net) datagram(socket *net.UDPConn, source netip.AddrPort, to string, target netip.AddrPort, b []byte) {
+func (n *Network) datagram(socket *net.UDPConn, source netip.AddrPort, to string, target netip.AddrPort, b []byte) {
 	n.mu.Lock()
 	from := n.senders[source]
 	r := n.of(from, to)
@@ -199,9 +199,9 @@
 	if r.Cut || r.Loss > 0 && n.chance.Float64() < r.Loss {
 		copies = 0
 		n.counts.Dropped++
-	} else if r.Double > 0 && n.chance.Float64() < r.Double {
+	} else if r.Duplicate > 0 && n.chance.Float64() < r.Duplicate {
 		copies = 2
-		n.counts.Doubled++
+		n.counts.Duplicated++
 	}
 	var waits [2]time.Duration
 	for i := range copies {
@@ -210,9 +210,9 @@
 			waits[i] += late
 		}
 	}
-	if copies > 0 && r.Flip > 0 && n.chance.Float64() < r.Flip && len(b) > 0 {
+	if copies > 0 && r.Corrupt > 0 && n.chance.Float64() < r.Corrupt && len(b) > 0 {
 		b[n.chance.IntN(len(b))] ^= 1 << n.chance.IntN(8)
-		n.counts.Flipped++
+		n.counts.Corrupted++
 	}
 	n.mu.Unlock()
 	for _, wait := range waits[:copies] {
@@ -226,7 +226,7 @@
 
 // stream is one connection through a relay.
 type stream struct {
-	n        *Net
+	n        *Network
 	from, to string
 	near     net.Conn // who connected
 	far      net.Conn
@@ -234,8 +234,8 @@
 	gone     chan struct{}
 }
 
-// Stream opens a relay for connections from one to another, and tells its address.
-func (n *Net) Stream(from, to string, target func() string) (string, error) {
+// RelayStream opens a relay for connections from one to another, and tells its address.
+func (n *Network) RelayStream(from, to string, target func() string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("relay from %s to %s: %w", from, to, err)
@@ -253,7 +253,7 @@
 	return l.Addr().String(), nil
 }
 
-func (n *Net) connect(near net.Conn, from, to string, target func() string) {
+func (n *Network) connect(near net.Conn, from, to string, target func() string) {
 	s := &stream{n: n, from: from, to: to, near: near, gone: make(chan struct{})}
 	n.mu.Lock()
 	refuse := n.of(from, to).Refuse || n.ended
@@ -338,9 +338,9 @@
 				s.n.mu.Lock()
 				r := s.n.of(from, to)
 				wait := s.n.wait(&r, from, to, k)
-				if r.Flip > 0 && s.n.chance.Float64() < r.Flip {
+				if r.Corrupt > 0 && s.n.chance.Float64() < r.Corrupt {
 					b[s.n.chance.IntN(k)] ^= 1 << s.n.chance.IntN(8)
-					s.n.counts.Flipped++
+					s.n.counts.Corrupted++
 				}
 				s.n.mu.Unlock()
 				select {
@@ -379,7 +379,7 @@
 }
 
 // Close ends all relays.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	n.ended = true
 	closers, streams := n.closers, n.streams
--- a/internal/testbed/faulttest/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -22,7 +22,7 @@
 // totals are what budgets had for totals, under which numbers, and from when on.
 type totals struct {
 	of      map[string][]total
-	since   map[uint64]map[string]int64 // by number: by keeper, when it first went by it
+	since   map[uint64]map[string]int64 // by number: by replica, when it first went by it
 	keepers []string
 	lowered int64
 }
@@ -76,7 +76,7 @@
 
 // CheckEngines holds the loads that the engines themselves say run against the total of threads. What a gateway gave up, and the engine
 // couldn't hear of it, still runs there: a scenario in which engines are out of reach, or stand still, is not read.
-func CheckEngines(s *Scenario, runs []fake.Run, began time.Time, zero int64, t *totals) (out []string) {
+func CheckEngines(s *Scenario, runs []fake.RunningChange, began time.Time, zero int64, t *totals) (out []string) {
 	if s.Whole.Threads == 0 || slices.ContainsFunc(s.Steps, func(k Step) bool {
 		return k.Do == "engine" && k.Be != "gone" && k.Be != "drains" || slices.ContainsFunc(slices.Concat(k.To, k.From), func(n string) bool { return n == "*" || strings.HasPrefix(n, "e") })
 	}) {
@@ -84,10 +84,10 @@
 	}
 	n := 0
 	for _, r := range runs {
-		if r.Lane != "load" {
+		if r.Class != "load" {
 			continue
 		}
-		n += r.By
+		n += r.Delta
 		if most := t.allowed("loads threads", zero+int64(r.At.Sub(began))); n > most {
 			out = append(out, fmt.Sprintf("%.3f s: engines: %d loads run there, of %d that may", r.At.Sub(began).Seconds(), n, most))
 		}
@@ -95,10 +95,10 @@
 	return out
 }
 
-// CheckBudgets reads a merged history for what all processes use of each budget at every instant. What a process that died had
+// CheckQuotas reads a merged history for what all processes use of each budget at every instant. What a process that died had
 // counts until it would have ended: nobody else may use it before. A total that was lowered counts a stated time after a majority of
-// the keepers first went by its number; until then the larger counts.
-func CheckBudgets(events []history.Event, totals *totals) (out []string) {
+// the replicas first went by its number; until then the larger counts.
+func CheckQuotas(events []history.Event, totals *totals) (out []string) {
 	type owner struct {
 		name  string
 		start uint64
--- a/internal/testbed/faulttest/clients.go
+++ b/internal/testbed/faulttest/clients.go
@@ -13,7 +13,7 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// rate is how many tasks a second come to a gateway at a time.
+// rate is how many requests a second come to a gateway at a time.
 func (p *play) rate(g *installation.Gateway, at time.Duration) float64 {
 	rate := p.s.Rate
 	for _, t := range p.s.Steps {
@@ -29,7 +29,7 @@
 	return rate
 }
 
-// client sends a gateway its load: open, each task at its time, whatever became of the others.
+// client sends a gateway its load: open, each request at its time, whatever became of the others.
 func (p *play) client(ctx context.Context, g *installation.Gateway) {
 	if p.s.Rate == 0 {
 		return
@@ -62,10 +62,10 @@
 			case <-time.After(time.Until(at)):
 			}
 			all.Add(1)
-			due := at // time counts from when the task was to come
+			due := at // time counts from when the request was to come
 			go func() {
 				defer all.Done()
-				t := Task{Gateway: g.Label(), At: due.Sub(p.began), Load: load, id: fmt.Sprintf("%d%07x%08x", 2-btoi(load), n, k)}
+				t := Request{Gateway: g.Label(), At: due.Sub(p.began), Load: load, id: fmt.Sprintf("%d%07x%08x", 2-btoi(load), n, k)}
 				t.End = ask(db, &t, k, p.s.Longest)
 				t.Took = time.Since(due)
 				p.mu.Lock()
@@ -83,11 +83,11 @@
 	return 0
 }
 
-// ask sends one task and tells how it ended.
-func ask(db *sql.DB, t *Task, k int, wait time.Duration) string {
+// ask sends one request and tells how it ended.
+func ask(db *sql.DB, t *Request, k int, wait time.Duration) string {
 	lane, statement := "look", fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", k%4+1, k)
 	if t.Load {
 		lane, statement = "load", fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", k%4+1, k)
 	}
-	return sqlclient.Ask(db, lane, t.id, statement, wait)
+	return sqlclient.Query(db, lane, t.id, statement, wait)
 }
--- a/internal/testbed/faulttest/settle.go
+++ b/internal/testbed/faulttest/convergence.go
@@ -24,7 +24,7 @@
 // seated waits until all that are there hold their part.
 func (p *play) seated(ctx context.Context, within time.Duration) {
 	if p.s.Planted == "quorum" {
-		time.Sleep(p.s.Longest * 3) // its keepers grant nothing before what others granted has ended
+		time.Sleep(p.s.Longest * 3) // its replicas grant nothing before what others granted has ended
 		return
 	}
 	for by := time.Now().Add(p.s.Term + p.s.Term/4 + within); time.Now().Before(by) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
--- a/internal/testbed/faulttest/disturbance.go
+++ b/internal/testbed/faulttest/disturbance.go
@@ -18,7 +18,7 @@
 const wakePace = 5 * time.Millisecond
 
 // wakeMeter measures the longest delay with which this process wakes a goroutine whose time has come. It is long where the machine, or
-// the laboratory itself, asks for more than the cores give, and then clients and engines of a scenario are as late.
+// the testbed itself, asks for more than the cores give, and then clients and engines of a scenario are as late.
 type wakeMeter struct {
 	longest atomic.Int64
 	once    sync.Once
@@ -82,7 +82,7 @@
 	return false
 }
 
-// Disturbed tells whether the machine was too busy for the run's times to mean anything: the laboratory itself, or a gateway, was woken
+// Disturbed tells whether the machine was too busy for the run's times to mean anything: the testbed itself, or a gateway, was woken
 // later than the shortest time limit between the processes.
 func (r *Result) Disturbed() bool { return r.WakeDelay >= connectWithin }
 
--- a/internal/testbed/faulttest/judge.go
+++ b/internal/testbed/faulttest/expectations.go
@@ -16,14 +16,14 @@
 // judge holds what clients, engines and histories tell against what must hold.
 func (p *play) judge(r *Result, plan *installation.Plan) {
 	s := p.s
-	r.Tasks = p.tasks
+	r.Requests = p.tasks
 	r.miss(p.wrong...)
 	p.judgeTasks(r)
 	r.Runs = p.site.Log.Runs()
-	r.Colds = coldStarts(s, plan.Cold, plan.Manner.Cores, p.site.Log.Sent(), p.began)
-	for _, c := range r.Colds {
+	r.SlowStarts = coldStarts(s, plan.SlowStart, plan.Behavior.Cores, p.site.Log.Sent(), p.began)
+	for _, c := range r.SlowStarts {
 		if c.Most > 1 {
-			// A stand-in that was late reads what came over a while in one moment.
+			// A fake that was late reads what came over a while in one moment.
 			r.miss(fmt.Sprintf("rule 4: %s, which started at %v, was sent %.2f times what tips it over", c.Engine, c.At, c.Most))
 		}
 	}
@@ -31,12 +31,12 @@
 	if s.Charter.Voters > 0 { // all go by the new total at once: what runs by the old one ends with its request
 		lowered = s.Longest + s.Longest/4
 	}
-	limits := readTotals(r.Events, p.site.Keepers(), lowered)
+	limits := readTotals(r.Events, p.site.QuotaReplicas(), lowered)
 	r.miss(CheckCounts(r.Events)...)
 	broken, late := Check(r.Events)
 	r.violate(broken...)
 	r.miss(late...)
-	r.violate(CheckBudgets(r.Events, limits)...)
+	r.violate(CheckQuotas(r.Events, limits)...)
 	r.violate(CheckEngines(s, r.Runs, r.Began, r.Zero, limits)...)
 	for _, e := range r.Events {
 		if e.Kind == history.MemberChanged && e.Code == "displaced" {
@@ -52,33 +52,33 @@
 // judgeTasks holds the clients' side against the engines': one answer each, no load begun twice, no answer that is not true.
 func (p *play) judgeTasks(r *Result) {
 	asked, earned := 0.0, 0.0
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
+	for i := range r.Requests {
+		t := &r.Requests[i]
 		r.Ends[t.End]++
-		if t.End != sqlclient.NotTaken {
+		if t.End != sqlclient.NotConnected {
 			asked += t.worth()
 			earned += t.Worth()
 		}
-		truth, came := p.site.Log.Of(t.id)
-		if t.Load && truth.Began > 1 {
-			r.violate(fmt.Sprintf("rule 2: load %s of %s began %d times", t.id, t.Gateway, truth.Began))
+		truth, came := p.site.Log.Find(t.id)
+		if t.Load && truth.Starts > 1 {
+			r.violate(fmt.Sprintf("rule 2: load %s of %s began %d times", t.id, t.Gateway, truth.Starts))
 		}
 		switch t.End {
-		case sqlclient.Delivered:
-			if !came || truth.Runs == 0 {
+		case sqlclient.Served:
+			if !came || truth.Completions == 0 {
 				r.violate(fmt.Sprintf("rule 1: %s of %s was delivered, and never ran", t.id, t.Gateway))
 			}
-		case sqlclient.Nacked:
-			if t.Load && truth.Began > 0 {
+		case sqlclient.Rejected:
+			if t.Load && truth.Starts > 0 {
 				r.violate(fmt.Sprintf("rule 1: load %s of %s was nacked, and ran", t.id, t.Gateway))
 			}
-		case sqlclient.WrittenOff, sqlclient.NotTaken:
+		case sqlclient.Failed, sqlclient.NotConnected:
 		default:
 			if p.excused(t) {
 				continue
 			}
 			what := fmt.Sprintf("rule 1: %s of %s, sent at %v, ended as %q", t.id, t.Gateway, t.At.Round(time.Millisecond), t.End)
-			if t.End == sqlclient.Late || t.End == sqlclient.Broken { // as for a client that is slow, whose connection is closed
+			if t.End == sqlclient.TimedOut || t.End == sqlclient.ConnectionLost { // as for a client that is slow, whose connection is closed
 				r.miss(what)
 			} else {
 				r.violate(what)
@@ -90,8 +90,8 @@
 	}
 }
 
-// excused tells whether the gateway died, or stood still, while a task was in its hands.
-func (p *play) excused(t *Task) bool {
+// excused tells whether the gateway died, or stood still, while a request was in its hands.
+func (p *play) excused(t *Request) bool {
 	for _, at := range p.killed[t.Gateway] {
 		if at >= t.At-time.Second && at <= t.At+t.Took+time.Second {
 			return true
--- a/internal/testbed/faulttest/figures.go
+++ b/internal/testbed/faulttest/outages.go
@@ -17,7 +17,7 @@
 	At     time.Duration `json:"at"`
 	Length time.Duration `json:"length"`
 	T95    time.Duration `json:"t95"`    // after which 95% of the gateways sent it nothing new, to the end of the bad time
-	Sent   int           `json:"sent"`   // hand-offs to it in that time
+	Sent   int           `json:"sent"`   // attempts to it in that time
 	Others int           `json:"others"` // and to all other engines
 	Served float64       `json:"served"` // share of the worth asked for in that time, served within its time
 }
@@ -52,8 +52,8 @@
 				o.T95 = all[min(len(all)-1, len(all)*95/100)]
 			}
 			asked, earned := 0.0, 0.0
-			for i := range r.Tasks {
-				if k := &r.Tasks[i]; k.At >= t.At && k.At < t.Until && k.End != sqlclient.NotTaken {
+			for i := range r.Requests {
+				if k := &r.Requests[i]; k.At >= t.At && k.At < t.Until && k.End != sqlclient.NotConnected {
 					asked += k.worth()
 					earned += k.Worth()
 				}
@@ -76,7 +76,7 @@
 		fmt.Fprintf(out, "%-8s %-8s %6.0f   %6.1f  %15d  %12.3f  %6.1f  %15d  %12.3f\n", a[i].Engine, a[i].Be, a[i].Length.Seconds(), a[i].T95.Seconds(), a[i].Sent, a[i].Served,
 			b[i].T95.Seconds(), b[i].Sent, b[i].Served)
 	}
-	fmt.Fprintf(out, "whole run: worth served %.3f with, %.3f without; %d and %d tasks\n", with.Served, without.Served, len(with.Tasks), len(without.Tasks))
+	fmt.Fprintf(out, "whole run: worth served %.3f with, %.3f without; %d and %d tasks\n", with.Served, without.Served, len(with.Requests), len(without.Requests))
 	fmt.Fprintf(out, "messages: %d datagrams, %.0f bytes a second at each gateway; without sharing %.0f\n", with.Counts.Datagrams, rate(with), rate(without))
 	for _, r := range []*Result{with, without} {
 		for _, v := range r.Violations {
--- /dev/null
+++ b/internal/testbed/faulttest/outcome.go
@@ -0,0 +1,90 @@
+package faulttest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"path/filepath"
+	"strings"
+	"sync"
+)
+
+// Outcome is what came of a scenario: one run, or those that it is measured by, the one of interest first.
+type Outcome struct {
+	Results []*Result
+	Text    func(out io.Writer)
+	Figures any // what Text tells, for machines
+}
+
+// Good tells whether all held in each.
+func (p *Outcome) Good() bool {
+	for _, r := range p.Results {
+		if !r.Good() {
+			return false
+		}
+	}
+	return true
+}
+
+// RunScenario plays a scenario as it is meant to be: one that measures health reports with sharing and without, one that measures budgets with each way
+// of sharing them, or the first few, one with engines that are warming up with turns shared and by number, any other by itself.
+func RunScenario(ctx context.Context, s *Scenario, folder, program string, both bool, few int) (*Outcome, error) {
+	switch {
+	case both || strings.HasPrefix(s.Name, "judgement"):
+		with, without, err := RunWithAndWithoutSharing(ctx, s, folder, program)
+		if err != nil {
+			return nil, err
+		}
+		return &Outcome{[]*Result{with, without}, func(out io.Writer) { Compare(out, with, without) },
+			map[string]any{"with": with, "without": without, "outages_with": with.Outages(), "outages_without": without.Outages()}}, nil
+	case s.Warm > 0:
+		shared, byNumber, err := CompareSlowStart(ctx, s, folder, program)
+		if err != nil {
+			return nil, err
+		}
+		return &Outcome{[]*Result{shared, byNumber}, func(out io.Writer) { WriteSlowStartComparison(out, shared, byNumber) }, map[string]any{"shared": shared, "by_number": byNumber}}, nil
+	case len(s.Phases) > 0 && s.Charter.Voters > 0:
+		list, err := ComparePolicyModes(ctx, s, folder, program)
+		if err != nil {
+			return nil, err
+		}
+		return &Outcome{[]*Result{list[0].Result}, func(out io.Writer) { WritePolicyModes(out, list) }, list}, nil
+	case len(s.Phases) > 0:
+		list, err := Ways(ctx, s, folder, program, few)
+		if err != nil {
+			return nil, err
+		}
+		p := &Outcome{Text: func(out io.Writer) { WriteQuotaModes(out, list) }, Figures: list}
+		for _, w := range list {
+			p.Results = append(p.Results, w.Result)
+		}
+		return p, nil
+	}
+	r, err := Run(ctx, s, folder, program)
+	if err != nil {
+		return nil, err
+	}
+	return &Outcome{[]*Result{r}, func(out io.Writer) {
+		r.Text(out)
+		fmt.Fprintln(out, "logs and histories in", folder)
+	}, r}, nil
+}
+
+// RunWithAndWithoutSharing plays a scenario with sharing and without, at the same time on the same machine, so that both have the same of it.
+func RunWithAndWithoutSharing(ctx context.Context, s *Scenario, folder, program string) (with, without *Result, err error) {
+	var all sync.WaitGroup
+	var errs [2]error
+	var results [2]*Result
+	for i, sharing := range []bool{true, false} {
+		one := *s
+		one.Sharing = sharing
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			results[i], errs[i] = Run(ctx, &one, filepath.Join(folder, []string{"with", "without"}[i]), program)
+		}()
+	}
+	all.Wait()
+	return results[0], results[1], errors.Join(errs[:]...)
+}
--- a/internal/testbed/faulttest/policy.go
+++ b/internal/testbed/faulttest/policy.go
@@ -35,7 +35,7 @@
 }
 
 // endsWithin is how long a proposal may take at most, with a majority of the voters there: to take it, three times the longest lease that may
-// have to end, an election and some tries (charter's own limit, and what it takes to be told).
+// have to end, an election and some attempts (policy rollout's own limit, and what it takes to be told).
 func (s *Scenario) endsWithin() time.Duration {
 	longest := s.Charter.Lease
 	for _, t := range s.Steps {
@@ -55,7 +55,7 @@
 		p.mu.Lock()
 		down := p.down[g.Label()]
 		p.mu.Unlock()
-		if !down && g.Up() {
+		if !down && g.IsRunning() {
 			until, stop := context.WithDeadline(ctx, by)
 			a, err := agent.SendPolicyRequest(until, g.Control, q)
 			stop()
@@ -140,7 +140,7 @@
 
 // firstText is the first policy's: the scenario's limits.
 func (p *play) firstText() []byte {
-	return (&installation.Policy{Whole: p.s.Whole, Fleet: p.s.Whole.Any()}).Text()
+	return (&installation.Policy{ClusterLimits: p.s.Whole, Fleet: p.s.Whole.Any()}).Text()
 }
 
 // first has the scenario's limits be the first policy, and all go by it.
@@ -192,14 +192,14 @@
 	return ""
 }
 
-// PolicyFigures are what a run came to as to policies.
-type PolicyFigures struct {
+// PolicyMetrics are what a run came to as to policies.
+type PolicyMetrics struct {
 	Decisions int           `json:"decisions"` // that bear a number
 	Older     int           `json:"older"`     // by an older one after a newer
 	Unsure    int           `json:"unsure"`    // loads turned away as nobody knew what held for them
 	Loads     int           `json:"loads"`     // that came
 	Highest   int           `json:"highest"`   // number gone by
-	Gap50     time.Duration `json:"gap50"`     // between the look whether a hand-off may be written, and when it was
+	Gap50     time.Duration `json:"gap50"`     // between the look whether a attempt may be written, and when it was
 	Gap99     time.Duration `json:"gap99"`
 	GapMost   time.Duration `json:"gap_most"`
 	Took50    time.Duration `json:"took50"` // of proposals that took hold
@@ -208,7 +208,7 @@
 
 // CheckPolicies reads a merged history for what must hold of policies: nobody decides by a number after anybody has decided by a later one;
 // one number is one policy; who decides by a number has said that it holds a lease on it.
-func CheckPolicies(events []history.Event) (f PolicyFigures, out []string) {
+func CheckPolicies(events []history.Event) (f PolicyMetrics, out []string) {
 	type process struct {
 		name  string
 		start uint64
@@ -330,15 +330,15 @@
 	if n := len(took); n > 0 {
 		f.Took50, f.Took99 = took[n/2], took[n*99/100]
 	}
-	for i := range r.Tasks {
-		f.Loads += btoi(r.Tasks[i].Load)
+	for i := range r.Requests {
+		f.Loads += btoi(r.Requests[i].Load)
 	}
 	r.Policies = &f
 	r.violate(wrong...)
 }
 
 // Text writes them for people.
-func (f *PolicyFigures) Text(out io.Writer, list []Proposed) {
+func (f *PolicyMetrics) Text(out io.Writer, list []Proposed) {
 	ends := map[string]int{}
 	for _, k := range list {
 		ends[k.End]++
@@ -352,8 +352,8 @@
 		f.Decisions, f.Older, f.Unsure, f.Loads, f.Gap50.Seconds()*1000, f.Gap99.Seconds()*1000, f.GapMost.Seconds()*1000)
 }
 
-// PolicyWay is one way in which policies change, and what came of a run with it.
-type PolicyWay struct {
+// PolicyMode is one way in which policies change, and what came of a run with it.
+type PolicyMode struct {
 	Name   string        `json:"name"`
 	Result *Result       `json:"result"`
 	Phases []PolicyPhase `json:"phases"`
@@ -372,14 +372,14 @@
 	Unsure    int           `json:"unsure"` // loads turned away for want of a lease
 	Served    float64       `json:"served"` // share of the worth asked for
 	Older     int           `json:"older"`
-	P50       time.Duration `json:"p50"` // of look-ups that came in it and were delivered
+	P50       time.Duration `json:"p50"` // of look-ups that came in it and were served
 	P99       time.Duration `json:"p99"`
 }
 
-// PolicyWays plays a scenario with a charter, and the same changes from files that gateways read at SIGHUP one after the other.
-func PolicyWays(ctx context.Context, s *Scenario, folder, program string) (list []*PolicyWay, err error) {
+// ComparePolicyModes plays a scenario with a policy rollout, and the same changes from files that gateways read at SIGHUP one after the other.
+func ComparePolicyModes(ctx context.Context, s *Scenario, folder, program string) (list []*PolicyMode, err error) {
 	files := *s
-	files.Charter, files.Steps = installation.Charter{}, nil
+	files.Charter, files.Steps = installation.Rollout{}, nil
 	number := 1
 	const between = 100 * time.Millisecond // as a script would go through them
 	for _, t := range s.Steps {
@@ -389,10 +389,10 @@
 		}
 		number++
 		for k := range s.Gateways {
-			files.Steps = append(files.Steps, Step{At: t.At + time.Duration(k)*between, Do: "limit", Gateways: []string{fmt.Sprint("g", k)}, Whole: t.Policy.Whole, Number: number, Folder: "same"})
+			files.Steps = append(files.Steps, Step{At: t.At + time.Duration(k)*between, Do: "limit", Gateways: []string{fmt.Sprint("g", k)}, Whole: t.Policy.ClusterLimits, Number: number, Folder: "same"})
 		}
 	}
-	for i, w := range []*PolicyWay{{Name: "charter"}, {Name: "files at SIGHUP"}} {
+	for i, w := range []*PolicyMode{{Name: "charter"}, {Name: "files at SIGHUP"}} {
 		one := []*Scenario{s, &files}[i]
 		if w.Result, err = Run(ctx, one, filepath.Join(folder, fmt.Sprint("way", i)), program); err != nil {
 			return nil, fmt.Errorf("%s: %w", w.Name, err)
@@ -458,11 +458,11 @@
 	}
 	asked, earned := 0.0, 0.0
 	took = took[:0]
-	for i := range r.Tasks {
-		if t := &r.Tasks[i]; in(t.At) && t.End != sqlclient.NotTaken {
+	for i := range r.Requests {
+		if t := &r.Requests[i]; in(t.At) && t.End != sqlclient.NotConnected {
 			f.Loads += btoi(t.Load)
 			asked, earned = asked+t.worth(), earned+t.Worth()
-			if t.End == sqlclient.Delivered && !t.Load {
+			if t.End == sqlclient.Served && !t.Load {
 				took = append(took, t.Took)
 			}
 		}
@@ -485,8 +485,8 @@
 	return f
 }
 
-// PolicyText writes the ways side by side.
-func PolicyText(out io.Writer, list []*PolicyWay) {
+// WritePolicyModes writes the ways side by side.
+func WritePolicyModes(out io.Writer, list []*PolicyMode) {
 	s := list[0].Result.Scenario
 	fmt.Fprintf(out, "%s: %d gateways, %d voters, lease %v, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Charter.Voters, s.Charter.Lease,
 		s.Engines)
--- a/internal/testbed/faulttest/ways.go
+++ b/internal/testbed/faulttest/quota_modes.go
@@ -20,13 +20,13 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// Way is one way of sharing a budget, and what came of a run with it.
-type Way struct {
+// QuotaMode is one way of sharing a budget, and what came of a run with it.
+type QuotaMode struct {
 	Name    string     `json:"name"`
 	Planted string     `json:"-"`
 	Result  *Result    `json:"result"`
 	Phases  []PhaseUse `json:"phases"`
-	Sent    float64    `json:"datagrams"` // a task more than without a limit
+	Sent    float64    `json:"datagrams"` // a request more than without a limit
 }
 
 // PhaseUse is the use of the budgets in one phase.
@@ -35,22 +35,22 @@
 	Used  float64       `json:"used"`  // share of the total, over the phase
 	Least float64       `json:"least"` // in its least half second
 	Own   float64       `json:"own"`   // share of its seats' own part that Phase.Part used, if it names any
-	P50   time.Duration `json:"p50"`   // of tasks that came in it and were delivered, beyond their service
+	P50   time.Duration `json:"p50"`   // of requests that came in it and were served, beyond their service
 	P99   time.Duration `json:"p99"`
 	Tasks int           `json:"tasks"`
 }
 
 // Ways plays a scenario with each way of sharing its budget, or the first few, one after the other on the same machine; the last is without
 // a limit: what it uses, up to the total, is what one that knows all could have.
-func Ways(ctx context.Context, s *Scenario, folder, program string, few int) (list []*Way, err error) {
-	list = []*Way{{Name: "lent"}, {Name: "equal parts", Planted: "equal-parts"}, {Name: "a quorum a task", Planted: "quorum"}, {Name: "no limit"}}
+func Ways(ctx context.Context, s *Scenario, folder, program string, few int) (list []*QuotaMode, err error) {
+	list = []*QuotaMode{{Name: "lent"}, {Name: "equal parts", Planted: "equal-parts"}, {Name: "a quorum a task", Planted: "quorum"}, {Name: "no limit"}}
 	if few > 0 && few < len(list) {
 		list = append(list[:few], list[len(list)-1])
 	}
 	for i, w := range list {
 		one := *s
 		if one.Planted = w.Planted; i == len(list)-1 {
-			one.Whole = installation.Whole{}
+			one.Whole = installation.ClusterLimits{}
 		}
 		if w.Result, err = Run(ctx, &one, filepath.Join(folder, fmt.Sprint("way", i)), program); err != nil {
 			return nil, fmt.Errorf("%s: %w", w.Name, err)
@@ -60,7 +60,7 @@
 	rest := list[len(list)-1].Result
 	for _, w := range list {
 		perSecond := func(r *Result) float64 { return float64(r.Counts.Datagrams) / r.Played.Seconds() }
-		w.Sent = (perSecond(w.Result) - perSecond(rest)) * w.Result.Played.Seconds() / float64(max(1, w.Result.Ends[sqlclient.Delivered]))
+		w.Sent = (perSecond(w.Result) - perSecond(rest)) * w.Result.Played.Seconds() / float64(max(1, w.Result.Ends[sqlclient.Served]))
 	}
 	return list, nil
 }
@@ -113,13 +113,13 @@
 func (r *Result) running(total int) (out [][]float64) {
 	n, next := 0, sample
 	for _, v := range r.Runs {
-		if v.Lane != "load" {
+		if v.Class != "load" {
 			continue
 		}
 		for ; next <= min(v.At.Sub(r.Began), r.Scenario.Length); next += sample {
 			out = append(out, []float64{float64(min(n, total))})
 		}
-		n += v.By
+		n += v.Delta
 	}
 	return out
 }
@@ -166,9 +166,9 @@
 		}
 		u.Used, u.Own = u.Used/max(1, n), u.Own/max(1, n)
 		var took []time.Duration
-		for i := range r.Tasks {
-			if t := &r.Tasks[i]; t.At >= p.At && t.At < p.Until {
-				if u.Tasks++; t.End == sqlclient.Delivered {
+		for i := range r.Requests {
+			if t := &r.Requests[i]; t.At >= p.At && t.At < p.Until {
+				if u.Tasks++; t.End == sqlclient.Served {
 					took = append(took, t.Took-s.Service)
 				}
 			}
@@ -189,8 +189,8 @@
 	return m
 }
 
-// WaysText writes the ways side by side.
-func WaysText(out io.Writer, list []*Way) {
+// WriteQuotaModes writes the ways side by side.
+func WriteQuotaModes(out io.Writer, list []*QuotaMode) {
 	s := list[0].Result.Scenario
 	fmt.Fprintf(out, "%s: %d gateways, %d threads for all, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Whole.Threads, s.Engines)
 	fmt.Fprintln(out, "share of the total in use, in its least half second, and tasks' time beyond their service, ms")
@@ -229,7 +229,7 @@
 	}
 	fmt.Fprintf(out, "\n%-17s", "delivered")
 	for _, w := range list {
-		fmt.Fprintf(out, "  %-29s", fmt.Sprintf("%d of %d", w.Result.Ends[sqlclient.Delivered], len(w.Result.Tasks)))
+		fmt.Fprintf(out, "  %-29s", fmt.Sprintf("%d of %d", w.Result.Ends[sqlclient.Served], len(w.Result.Requests)))
 	}
 	fmt.Fprintln(out)
 	for _, w := range list {
--- a/internal/testbed/faulttest/result.go
+++ b/internal/testbed/faulttest/result.go
@@ -13,25 +13,25 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// Task is one task of the load as its client saw it.
-type Task struct {
+// Request is one request of the load as its client saw it.
+type Request struct {
 	Gateway string        `json:"gateway"`
 	At      time.Duration `json:"at"` // from the load's begin
 	Took    time.Duration `json:"took"`
 	Load    bool          `json:"load"`
-	End     string        `json:"end"` // delivered, nacked, written off, or what was wrong
+	End     string        `json:"end"` // served, rejected, failed, or what was wrong
 	id      string
 }
 
 // Worth is what it earns.
-func (t *Task) Worth() float64 {
-	if t.End != sqlclient.Delivered || t.Took > quoted {
+func (t *Request) Worth() float64 {
+	if t.End != sqlclient.Served || t.Took > quoted {
 		return 0
 	}
 	return t.worth()
 }
 
-func (t *Task) worth() float64 {
+func (t *Request) worth() float64 {
 	if t.Load {
 		return loadWorth
 	}
@@ -40,29 +40,29 @@
 
 // Result is what came of a run.
 type Result struct {
-	Scenario   *Scenario         `json:"-"`
-	Folder     string            `json:"folder"`
-	Joined     time.Duration     `json:"joined"`  // until all had found each other at first
-	Settled    time.Duration     `json:"settled"` // and again, after the last fault
-	Violations []string          `json:"violations"`
-	WakeDelay  time.Duration     `json:"wake_delay"` // the longest of the laboratory and of gateways: see Disturbed
-	Tasks      []Task            `json:"-"`
-	Ends       map[string]int    `json:"ends"`
-	Served     float64           `json:"served"` // share of the worth asked for
-	Counts     faultproxy.Counts `json:"counts"`
-	Events     []history.Event   `json:"-"`
-	Zero       int64             `json:"-"` // CLOCK_MONOTONIC of the load's begin
-	Processes  []string          `json:"-"`
-	Done       []Step            `json:"-"`
-	Displaced  int               `json:"displaced"` // processes that found their name taken by a later one
-	Played     time.Duration     `json:"played"`    // while datagrams were counted
-	Colds      []ColdStart       `json:"colds,omitempty"`
-	Runs       []fake.Run        `json:"-"` // loads and look-ups, as the engines have them
-	Began      time.Time         `json:"-"` // of the load
-	Proposals  []Proposed        `json:"proposals,omitempty"`
-	Policies   *PolicyFigures    `json:"policies,omitempty"`
-	Voters     []string          `json:"voters,omitempty"` // of policies, at the end
-	timely     int               // how many of the violations rest on time
+	Scenario   *Scenario            `json:"-"`
+	Folder     string               `json:"folder"`
+	Joined     time.Duration        `json:"joined"`  // until all had found each other at first
+	Settled    time.Duration        `json:"settled"` // and again, after the last fault
+	Violations []string             `json:"violations"`
+	WakeDelay  time.Duration        `json:"wake_delay"` // the longest of the testbed and of gateways: see Disturbed
+	Requests   []Request            `json:"-"`
+	Ends       map[string]int       `json:"ends"`
+	Served     float64              `json:"served"` // share of the worth asked for
+	Counts     faultproxy.Counts    `json:"counts"`
+	Events     []history.Event      `json:"-"`
+	Zero       int64                `json:"-"` // CLOCK_MONOTONIC of the load's begin
+	Processes  []string             `json:"-"`
+	Done       []Step               `json:"-"`
+	Displaced  int                  `json:"displaced"` // processes that found their name taken by a later one
+	Played     time.Duration        `json:"played"`    // while datagrams were counted
+	SlowStarts []SlowStartRecord    `json:"colds,omitempty"`
+	Runs       []fake.RunningChange `json:"-"` // loads and look-ups, as the engines have them
+	Began      time.Time            `json:"-"` // of the load
+	Proposals  []Proposed           `json:"proposals,omitempty"`
+	Policies   *PolicyMetrics       `json:"policies,omitempty"`
+	Voters     []string             `json:"voters,omitempty"` // of policies, at the end
+	timely     int                  // how many of the violations rest on time
 }
 
 // Good tells whether all held.
@@ -106,7 +106,7 @@
 	fmt.Fprintf(out, "%s: %d gateways, %d engines, real processes and sockets on loopback; %d steps in %v\n", r.Scenario.Name, r.Scenario.Gateways, r.Scenario.Engines,
 		len(r.Scenario.Steps), r.Scenario.Length)
 	fmt.Fprintf(out, "all knew each other after %.1f s, and %.1f s after the last fault; %d processes displaced\n", r.Joined.Seconds(), r.Settled.Seconds(), r.Displaced)
-	fmt.Fprintf(out, "%d tasks:", len(r.Tasks))
+	fmt.Fprintf(out, "%d tasks:", len(r.Requests))
 	for _, end := range sortedKeys(r.Ends) {
 		fmt.Fprintf(out, " %d %s", r.Ends[end], end)
 	}
@@ -114,11 +114,11 @@
 	if r.Policies != nil {
 		r.Policies.Text(out, r.Proposals)
 	}
-	for _, c := range r.Colds {
+	for _, c := range r.SlowStarts {
 		fmt.Fprintf(out, "%s, cold from %v on, was sent %.2f of what tips it over at most; tasks by second %v\n", c.Engine, c.At, c.Most, c.Tasks)
 	}
 	fmt.Fprintf(out, "%d datagrams of %d bytes in the mean, %d dropped, %d doubled, %d with a bit turned; %d events of history\n", r.Counts.Datagrams,
-		r.Counts.Bytes/max(1, r.Counts.Datagrams), r.Counts.Dropped, r.Counts.Doubled, r.Counts.Flipped, len(r.Events))
+		r.Counts.Bytes/max(1, r.Counts.Datagrams), r.Counts.Dropped, r.Counts.Duplicated, r.Counts.Corrupted, len(r.Events))
 	if r.Disturbed() {
 		fmt.Fprintf(out, "disturbed: processes were woken up to %v late, so times of this run mean little\n", r.WakeDelay.Round(time.Millisecond))
 	}
--- a/internal/testbed/faulttest/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -20,7 +20,7 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// The load's lanes. Look-ups may run again, loads may not; an engine has room for some times what the load asks.
+// The load's classes. Look-ups may run again, loads may not; an engine has room for some times what the load asks.
 const (
 	lookService = 20 * time.Millisecond
 	loadService = 60 * time.Millisecond
@@ -36,10 +36,10 @@
 // play is a scenario while it is played.
 type play struct {
 	s       *Scenario
-	site    *installation.Site
-	net     *faultproxy.Net
+	site    *installation.Installation
+	net     *faultproxy.Network
 	mu      sync.Mutex
-	tasks   []Task
+	tasks   []Request
 	killed  map[string][]time.Duration // by process: when it was killed or told to leave, from the begin
 	down    map[string]bool            // by process: not to be there
 	began   time.Time
@@ -52,7 +52,7 @@
 	wrong   []string          // what did not come about in time
 }
 
-// Run plays a scenario. Files go to a folder; program is the gateway's, which must be of the laboratory's build where clocks run
+// Run plays a scenario. Files go to a folder; program is the gateway's, which must be of the testbed's build where clocks run
 // off or a defect is planted.
 func Run(ctx context.Context, s *Scenario, folder, program string) (*Result, error) {
 	if err := checkProgram(s, program); err != nil {
@@ -67,13 +67,13 @@
 		p.down[g] = true
 	}
 	plan := p.plan(program)
-	up, err := installation.Up(plan, folder)
+	up, err := installation.Start(plan, folder)
 	if err != nil {
 		return nil, err
 	}
 	p.site = up
-	defer up.Down()
-	up.Log.Keep()
+	defer up.Stop()
+	up.Log.RetainEvents()
 	r := &Result{Scenario: s, Folder: folder, Ends: map[string]int{}}
 	meter := newWakeMeter()
 	defer meter.stop()
@@ -121,25 +121,25 @@
 // plan is the installation that a scenario is played on.
 func (p *play) plan(program string) installation.Plan {
 	s := p.s
-	loads := fake.Spread{Kind: "exponential", Mean: loadService}
+	loads := fake.ServiceTime{Kind: "exponential", Mean: loadService}
 	if s.Service > 0 {
-		loads = fake.Spread{Kind: "constant", Mean: s.Service}
+		loads = fake.ServiceTime{Kind: "constant", Mean: s.Service}
 	}
 	plan := installation.Plan{
-		Gateways: s.Gateways, Engines: s.Engines, Zones: s.Zones, Down: s.Down, State: s.State,
+		Gateways: s.Gateways, Engines: s.Engines, Zones: s.Zones, Down: s.Down, Durable: s.State,
 		Cores: 8, MemoryMB: 96, Sockets: 384, ConnectWithin: connectWithin, Idle: 30 * time.Second,
-		Seed: int64(s.Seed), Program: program, Env: p.env, Relayed: p.net,
-		Fleet: &installation.Fleet{Seeds: 2, Sharing: s.Sharing, Counts: s.Counts, Whole: s.Whole, Term: s.Term, Charter: s.Charter},
-		Lanes: []installation.Lane{
-			{Name: "look", Quoted: quoted, Longest: s.Longest, Earnings: lookWorth, Effect: "idempotent", Threads: 1},
-			{Name: "load", Quoted: quoted, Longest: s.Longest, Earnings: loadWorth, Effect: "unrepeatable", Threads: 1}},
-		Manner: fake.Manner{Threads: 16, Cores: 8, Pace: 250 * time.Millisecond, Works: []fake.Work{
-			{Lane: "load", Rows: 1, Service: loads},
-			{Lane: "look", Rows: 1, Service: fake.Spread{Kind: "exponential", Mean: lookService}}}},
+		Seed: int64(s.Seed), Program: program, Env: p.env, Proxies: p.net,
+		Cluster: &installation.Cluster{Seeds: 2, HealthReports: s.Sharing, Counts: s.Counts, Limits: s.Whole, ShareTerm: s.Term, Rollout: s.Charter},
+		Classes: []installation.Class{
+			{Name: "look", LatencyObjective: quoted, MaxWait: s.Longest, Weight: lookWorth, Effect: "idempotent", Threads: 1},
+			{Name: "load", LatencyObjective: quoted, MaxWait: s.Longest, Weight: loadWorth, Effect: "unrepeatable", Threads: 1}},
+		Behavior: fake.EngineBehavior{Threads: 16, Cores: 8, NoteInterval: 250 * time.Millisecond, Works: []fake.Work{
+			{Class: "load", Rows: 1, Service: loads},
+			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: lookService}}}},
 	}
 	if s.Warm > 0 { // a third of the speed at first; twice what they can do for a second has them tip over
-		plan.Cold = installation.Cold{Share: 0.32, Factor: 2, Warm: s.Warm, Tip: time.Second}
-		plan.Manner.Cold, plan.Manner.Warm, plan.Fleet.Cold = plan.Cold.Share, s.Warm, s.Cold
+		plan.SlowStart = installation.SlowStart{Share: 0.32, Factor: 2, Warm: s.Warm, Tip: time.Second}
+		plan.Behavior.ColdSpeed, plan.Behavior.WarmUp, plan.Cluster.SlowStart = plan.SlowStart.Share, s.Warm, s.Cold
 	}
 	return plan
 }
@@ -159,7 +159,7 @@
 		}
 	}
 	if s.Whole.Any() || s.Cold {
-		p.seated(ctx, s.Settle) // keepers confirm nothing for a term and some after they have started
+		p.seated(ctx, s.Settle) // replicas confirm nothing for a term and some after they have started
 	}
 }
 
@@ -175,7 +175,7 @@
 	cancel()
 	p.clients.Wait()
 	p.offers.Wait()
-	p.net.Clear("")
+	p.net.RemoveRule("")
 	if err != nil {
 		return err
 	}
@@ -207,11 +207,11 @@
 		histories = append(histories, g.History)
 		g.Signal(syscall.SIGTERM)
 	}
-	for by := time.Now().Add(endWithin); time.Now().Before(by) && slices.ContainsFunc(p.site.Gateways, (*installation.Gateway).Up); {
+	for by := time.Now().Add(endWithin); time.Now().Before(by) && slices.ContainsFunc(p.site.Gateways, (*installation.Gateway).IsRunning); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, g := range p.site.Gateways {
-		if g.Up() { // and its history is not whole
+		if g.IsRunning() { // and its history is not whole
 			r.miss(fmt.Sprintf("eventual: %s had not ended %v after SIGTERM, with nothing in its hands", g.Label(), endWithin))
 		}
 	}
--- a/internal/testbed/faulttest/cold.go
+++ b/internal/testbed/faulttest/slow_start.go
@@ -11,8 +11,8 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// ColdStart is what an engine was sent after it had started, by its own count.
-type ColdStart struct {
+// SlowStartRecord is what an engine was sent after it had started, by its own count.
+type SlowStartRecord struct {
 	Engine string        `json:"engine"`
 	At     time.Duration `json:"at"`
 	Most   float64       `json:"most"`  // in any time after which it tips over, as a multiple of what tips it over in its first moment
@@ -20,7 +20,7 @@
 }
 
 // coldStarts reads what engines that restarted were sent until they were warm.
-func coldStarts(s *Scenario, c installation.Cold, cores float64, sent []fake.Sent, began time.Time) (out []ColdStart) {
+func coldStarts(s *Scenario, c installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) (out []SlowStartRecord) {
 	if c.Warm == 0 {
 		return nil
 	}
@@ -30,7 +30,7 @@
 			continue
 		}
 		for _, engine := range t.Engines {
-			start := ColdStart{Engine: engine, At: t.At, Tasks: make([]int, int(c.Warm/time.Second))}
+			start := SlowStartRecord{Engine: engine, At: t.At, Tasks: make([]int, int(c.Warm/time.Second))}
 			var window []fake.Sent
 			work := 0.0
 			for _, v := range sent {
@@ -53,8 +53,8 @@
 	return out
 }
 
-// ColdWays plays a scenario with what cold engines may be sent shared by messages, and by number, one after the other.
-func ColdWays(ctx context.Context, s *Scenario, folder, program string) (shared, byNumber *Result, err error) {
+// CompareSlowStart plays a scenario with what engines that are warming up may be sent shared by messages, and by number, one after the other.
+func CompareSlowStart(ctx context.Context, s *Scenario, folder, program string) (shared, byNumber *Result, err error) {
 	one := *s
 	one.Cold = true
 	if shared, err = Run(ctx, &one, filepath.Join(folder, "shared"), program); err == nil {
@@ -65,18 +65,18 @@
 	return shared, byNumber, err
 }
 
-// ColdText writes both side by side.
-func ColdText(out io.Writer, shared, byNumber *Result) {
+// WriteSlowStartComparison writes both side by side.
+func WriteSlowStartComparison(out io.Writer, shared, byNumber *Result) {
 	s := shared.Scenario
 	fmt.Fprintf(out, "%s: %d gateways, %d engines, %.1f tasks a second each; real processes and sockets on loopback, one after the other\n", s.Name, s.Gateways, s.Engines, s.Rate)
 	fmt.Fprintln(out, "most sent in a second after which an engine tips over (1: what tips it over in its first moment), tasks by second from its start")
 	for i, r := range []*Result{shared, byNumber} {
-		for _, c := range r.Colds {
+		for _, c := range r.SlowStarts {
 			fmt.Fprintf(out, "%-9s %s at %3.0f s  %5.2f  %v\n", []string{"shared", "by number"}[i], c.Engine, c.At.Seconds(), c.Most, c.Tasks)
 		}
 	}
 	for i, r := range []*Result{shared, byNumber} {
-		fmt.Fprintf(out, "%-9s %.3f of the worth served, %d tasks, %d datagrams\n", []string{"shared", "by number"}[i], r.Served, len(r.Tasks), r.Counts.Datagrams)
+		fmt.Fprintf(out, "%-9s %.3f of the worth served, %d tasks, %d datagrams\n", []string{"shared", "by number"}[i], r.Served, len(r.Requests), r.Counts.Datagrams)
 		for _, v := range r.Violations {
 			fmt.Fprintln(out, "BAD    "+v)
 		}
--- a/internal/testbed/faulttest/steps.go
+++ b/internal/testbed/faulttest/steps.go
@@ -85,14 +85,14 @@
 func (p *play) begin(name string, t Step) error {
 	switch t.Do {
 	case "link":
-		p.net.Set(name, t.From, t.To, t.Rule)
+		p.net.SetRule(name, t.From, t.To, t.Rule)
 		if t.Both {
-			p.net.Set(name, t.To, t.From, t.Rule)
+			p.net.SetRule(name, t.To, t.From, t.Rule)
 		}
 	case "kill":
 		return p.each(t.Gateways, func(g *installation.Gateway) error {
-			if t.Folder == "older" && !g.Kept() {
-				g.Keep()
+			if t.Folder == "older" && !g.HasStateCopy() {
+				g.CopyState()
 			}
 			p.gone(g, true)
 			g.Kill()
@@ -108,21 +108,21 @@
 		var some []*installation.Gateway
 		p.each(t.Gateways, func(g *installation.Gateway) error { some = append(some, g); return nil })
 		w := t.Whole
-		w.Number = 2
+		w.Version = 2
 		for _, before := range p.s.Steps { // each change has a number of its own
 			if before.Do == "limit" && before.At < t.At {
-				w.Number++
+				w.Version++
 			}
 		}
 		if t.Number > 0 {
-			w.Number = t.Number
+			w.Version = t.Number
 		}
-		p.site.Change(w, some)
+		p.site.SetLimits(w, some)
 	case "twin":
 		return p.each(t.Gateways, func(g *installation.Gateway) error {
 			for i, of := range p.site.Gateways {
 				if of == g {
-					_, err := p.site.Twin(i)
+					_, err := p.site.StartTwin(i)
 					return err
 				}
 			}
@@ -131,22 +131,22 @@
 	case "revive": // whoever is not there, or stands still
 		return p.each(t.Gateways, func(g *installation.Gateway) error {
 			g.Signal(syscall.SIGCONT)
-			if g.Up() {
+			if g.IsRunning() {
 				return nil
 			}
 			p.gone(g, true)
 			return p.start(g)
 		})
 	case "keep":
-		return p.each(t.Gateways, (*installation.Gateway).Keep)
+		return p.each(t.Gateways, (*installation.Gateway).CopyState)
 	case "propose", "voters", "force":
 		p.offer(t)
 	case "list":
-		for _, l := range p.site.Lists {
+		for _, l := range p.site.Discoveries {
 			if t.Be == "held" {
-				l.Hold()
+				l.HoldPolls()
 			} else {
-				l.Break()
+				l.TruncateAnswers()
 			}
 		}
 	case "engine":
@@ -156,7 +156,7 @@
 }
 
 func (p *play) start(g *installation.Gateway) error {
-	if g.Up() { // it is still leaving, or another step has started it
+	if g.IsRunning() { // it is still leaving, or another step has started it
 		p.gone(g, true)
 		g.Kill()
 	}
@@ -169,25 +169,25 @@
 func (p *play) be(what string, i int, e *fake.Engine) error {
 	switch what {
 	case "silent":
-		e.Silent()
+		e.StopAnswering()
 	case "errs":
-		e.Fail(1)
+		e.FailQueries(1)
 	case "loses":
-		e.Lose(1)
+		e.DropAnswers(1)
 	case "slow":
-		e.Slow(0.02)
+		e.SetSpeed(0.02)
 	case "refuses":
-		e.Refuse()
+		e.RefuseConnections()
 	case "paused":
 		e.Pause()
 	case "restarts":
-		e.Refuse()
-		p.site.Tell(i, "Ready")
-		return e.Accept()
+		e.RefuseConnections()
+		p.site.PublishState(i, "Ready")
+		return e.AcceptConnections()
 	case "drains":
-		p.site.Tell(i, "Terminating")
+		p.site.PublishState(i, "Terminating")
 	case "gone":
-		p.site.Tell(i, "Gone")
+		p.site.PublishState(i, "Gone")
 	}
 	return nil
 }
@@ -195,15 +195,15 @@
 func (p *play) end(name string, t Step) error {
 	switch t.Do {
 	case "link":
-		p.net.Clear(name)
+		p.net.RemoveRule(name)
 	case "kill":
 		return p.each(t.Gateways, func(g *installation.Gateway) error {
 			var err error
 			switch t.Folder {
 			case "none":
-				err = g.Forget()
+				err = g.DeleteState()
 			case "older":
-				err = g.BringBack()
+				err = g.RestoreState()
 			}
 			if err != nil {
 				return err
@@ -215,26 +215,26 @@
 	case "stop":
 		return p.each(t.Gateways, func(g *installation.Gateway) error { g.Signal(syscall.SIGCONT); return nil })
 	case "list":
-		for _, l := range p.site.Lists {
-			l.Mend()
+		for _, l := range p.site.Discoveries {
+			l.Recover()
 		}
 	case "engine":
 		return p.engines(t.Engines, func(i int, e *fake.Engine) error {
 			switch t.Be {
 			case "silent":
-				e.Speak()
+				e.ResumeAnswering()
 			case "errs":
-				e.Fail(0)
+				e.FailQueries(0)
 			case "loses":
-				e.Lose(0)
+				e.DropAnswers(0)
 			case "slow":
-				e.Slow(1)
+				e.SetSpeed(1)
 			case "paused":
 				e.Resume()
 			case "refuses":
-				return e.Accept()
+				return e.AcceptConnections()
 			case "drains", "gone":
-				p.site.Tell(i, "Ready")
+				p.site.PublishState(i, "Ready")
 			}
 			return nil
 		})
--- a/internal/testbed/installation/fleet.go
+++ b/internal/testbed/installation/cluster.go
@@ -14,35 +14,35 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// Fleet is how the gateways of an installation know of each other.
-type Fleet struct {
-	Seeds   int  // how many of them the others know by their addresses from the start
-	Sharing bool // of judgements on engines
-	Counts  bool // are shared
-	Cold    bool // what cold engines may be sent is shared
-	Whole   Whole
-	Term    time.Duration // for which a part of it is held without a word
-	Charter Charter
-	key     string
-	seeds   []string
+// Cluster is how the gateways of an installation know of each other.
+type Cluster struct {
+	Seeds         int  // how many of them the others know by their addresses from the start
+	HealthReports bool // of health reports on engines
+	Counts        bool // are shared
+	SlowStart     bool // what engines that are warming up may be sent is shared
+	Limits        ClusterLimits
+	ShareTerm     time.Duration // for which a part of it is held without a word
+	Rollout       Rollout
+	key           string
+	seeds         []string
 }
 
-// Whole is what tasks of the lane named load may use over the whole fleet; 0: no limit.
-type Whole struct {
-	Threads, Waiting int
-	Work             time.Duration // a second
-	Number           int           // raised with every change
+// ClusterLimits is what requests of the class named load may use over the whole fleet; 0: no limit.
+type ClusterLimits struct {
+	Threads, MaxWaiting int
+	Work                time.Duration // a second
+	Version             int           // raised with every change
 }
 
-// Charter is how the gateways decide on policies; without voters each goes by its own file.
-type Charter struct {
+// Rollout is how the gateways decide on policies; without voters each goes by its own file.
+type Rollout struct {
 	Voters        int // the first so many
 	Lease, Within time.Duration
 }
 
 // Policy is one that is proposed: what loads may use, and what is asked of the change.
 type Policy struct {
-	Whole
+	ClusterLimits
 	Fleet     bool          // they are those of all gateways together
 	Refuse    bool          // loads are never sent
 	Looks     bool          // look-ups are of a class as well
@@ -50,7 +50,7 @@
 	Field     string        // one that no build knows
 	Both      time.Duration // for which who hears nothing goes by what both policies allow
 	Rehearse  time.Duration
-	Guard     float64 // share of tasks that may be refused otherwise in the rehearsal; 0: any
+	Guard     float64 // share of requests that may be refused otherwise in the rehearsal; 0: any
 	Probation time.Duration
 	Bound     float64 // and held under it; 0: any
 	Size      int64   // bytes that its text is filled up to
@@ -59,7 +59,7 @@
 // Text is a policy as it is proposed.
 func (p *Policy) Text() []byte {
 	class := map[string]any{"name": "loads", "when": map[string]any{"lanes": []string{"load"}}}
-	if p.Whole.limit(class); !p.Fleet {
+	if p.ClusterLimits.limit(class); !p.Fleet {
 		delete(class, "fleet") // each gateway's own
 	}
 	classes, pools := []any{class}, []any{}
@@ -104,13 +104,13 @@
 	return text
 }
 
-func (w Whole) limit(class map[string]any) {
+func (w ClusterLimits) limit(class map[string]any) {
 	class["fleet"] = w.Any()
 	if w.Threads > 0 {
 		class["threads"] = w.Threads
 	}
-	if w.Waiting > 0 {
-		class["waiting"] = w.Waiting
+	if w.MaxWaiting > 0 {
+		class["waiting"] = w.MaxWaiting
 	}
 	if w.Work > 0 {
 		class["work_per_second"] = w.Work.String()
@@ -118,26 +118,26 @@
 }
 
 // Voters are the names of the gateways that decide at first.
-func (s *Site) Voters() (out []string) {
-	for _, k := range s.Gateways[:min(s.plan.Fleet.Charter.Voters, s.plan.Gateways)] {
+func (s *Installation) Voters() (out []string) {
+	for _, k := range s.Gateways[:min(s.plan.Cluster.Rollout.Voters, s.plan.Gateways)] {
 		out = append(out, k.Name)
 	}
 	return out
 }
 
 // Any tells whether there is any limit.
-func (w Whole) Any() bool { return w.Threads > 0 || w.Waiting > 0 || w.Work > 0 }
+func (w ClusterLimits) Any() bool { return w.Threads > 0 || w.MaxWaiting > 0 || w.Work > 0 }
 
-// Keepers are the names of the gateways that keep the fleet's budgets.
-func (s *Site) Keepers() (out []string) {
+// QuotaReplicas are the names of the gateways that keep the fleet's budgets.
+func (s *Installation) QuotaReplicas() (out []string) {
 	for _, k := range s.Gateways[:min(3, s.plan.Gateways)] {
 		out = append(out, k.Name)
 	}
 	return out
 }
 
-// Change has other limits of the whole fleet in the files of some gateways, which read them again.
-func (s *Site) Change(whole Whole, some []*Gateway) {
+// SetLimits has other limits of the whole fleet in the files of some gateways, which read them again.
+func (s *Installation) SetLimits(whole ClusterLimits, some []*Gateway) {
 	for _, g := range some {
 		g.whole = whole
 		g.operatorFile()
@@ -146,7 +146,7 @@
 }
 
 // gateway makes one, not started yet, with its relays.
-func (s *Site) gateway(name string, n int) (*Gateway, error) {
+func (s *Installation) gateway(name string, n int) (*Gateway, error) {
 	g := &Gateway{Name: name, site: s, n: n}
 	var err error
 	if g.Address, err = freeAddress(); err != nil {
@@ -154,14 +154,14 @@
 	}
 	label := "g" + strconv.Itoa(n) // a second process under one name has files of its own
 	g.LogFile = filepath.Join(s.Folder, label+".log")
-	net := s.plan.Relayed
+	net := s.plan.Proxies
 	if net == nil {
-		g.list, g.known = s.List.Address, s.List.Known
+		g.list, g.known = s.Discovery.Address, s.Discovery.Snapshot
 		return g, nil
 	}
-	entries := make([]fake.Entry, len(s.entries))
+	entries := make([]fake.Endpoint, len(s.entries))
 	for i, e := range s.entries {
-		address, err := net.Stream(label, e.ID, func() string { return s.Engines[i].Address })
+		address, err := net.RelayStream(label, e.ID, func() string { return s.Engines[i].Address })
 		if err != nil {
 			return nil, err
 		}
@@ -169,19 +169,19 @@
 		entries[i] = e
 		entries[i].Address = address
 	}
-	l, err := fake.StartList("127.0.0.1:0", entries)
+	l, err := fake.StartDiscovery("127.0.0.1:0", entries)
 	if err != nil {
 		return nil, err
 	}
-	s.Lists = append(s.Lists, l)
-	g.known = l.Known
-	g.list, err = net.Stream(label, "list", func() string { return l.Address })
+	s.Discoveries = append(s.Discoveries, l)
+	g.known = l.Snapshot
+	g.list, err = net.RelayStream(label, "list", func() string { return l.Address })
 	return g, err
 }
 
 // introduce gives all gateways their places in the fleet.
-func (s *Site) introduce() error {
-	f := s.plan.Fleet
+func (s *Installation) introduce() error {
+	f := s.plan.Cluster
 	f.key = filepath.Join(s.Folder, "fleet.key")
 	if err := os.WriteFile(f.key, []byte(fmt.Sprintf("%064x\n", uint64(s.plan.Seed)+0x6d61677069650000)), 0o600); err != nil {
 		return err
@@ -197,45 +197,45 @@
 	return nil
 }
 
-func (s *Site) place(g *Gateway) (err error) {
-	g.whole = s.plan.Fleet.Whole
+func (s *Installation) place(g *Gateway) (err error) {
+	g.whole = s.plan.Cluster.Limits
 	label := "g" + strconv.Itoa(g.n)
 	if g.udp, err = freeAddress(); err != nil {
 		return err
 	}
 	g.reached = g.udp
 	g.History, g.Control = filepath.Join(s.Folder, label+".history"), filepath.Join(s.Folder, label+".sock")
-	if net := s.plan.Relayed; net != nil {
-		if err := net.Sender(g.udp, label); err != nil {
+	if net := s.plan.Proxies; net != nil {
+		if err := net.RegisterSender(g.udp, label); err != nil {
 			return err
 		}
-		g.reached, err = net.Datagrams(label, g.udp)
+		g.reached, err = net.RelayDatagrams(label, g.udp)
 	}
 	return err
 }
 
 // operatorFile writes the gateway's file and tells its name.
 func (g *Gateway) operatorFile() string {
-	f := g.site.plan.Fleet
+	f := g.site.plan.Cluster
 	path := filepath.Join(g.site.Folder, "g"+strconv.Itoa(g.n)+".operator.jsonnet")
-	file := map[string]any{"listen": g.udp, "advertise": g.reached, "seeds": f.seeds, "key": f.key, "control": g.Control, "history": g.History, "judgements": f.Sharing, "counts": f.Counts}
+	file := map[string]any{"listen": g.udp, "advertise": g.reached, "seeds": f.seeds, "key": f.key, "control": g.Control, "history": g.History, "judgements": f.HealthReports, "counts": f.Counts}
 	whole := map[string]any{"fleet": file}
-	if f.Cold && !f.Whole.Any() {
-		file["budgets"] = map[string]any{"keepers": g.site.Keepers(), "term": f.Term.String(), "cold": true}
+	if f.SlowStart && !f.Limits.Any() {
+		file["budgets"] = map[string]any{"keepers": g.site.QuotaReplicas(), "term": f.ShareTerm.String(), "cold": true}
 	}
-	if c := f.Charter; c.Voters > 0 {
+	if c := f.Rollout; c.Voters > 0 {
 		file["policy"] = map[string]any{"voters": g.site.Voters(), "folder": g.PolicyFolder(), "lease": c.Lease.String(), "within": c.Within.String()}
-		file["budgets"] = map[string]any{"keepers": g.site.Keepers(), "term": f.Term.String(), "cold": f.Cold}
+		file["budgets"] = map[string]any{"keepers": g.site.QuotaReplicas(), "term": f.ShareTerm.String(), "cold": f.SlowStart}
 		whole["statements"] = map[string]any{}
-	} else if f.Whole.Any() {
+	} else if f.Limits.Any() {
 		w := g.whole
 		class := map[string]any{"name": "loads", "when": map[string]any{"lanes": []string{"load"}}}
 		w.limit(class)
-		file["budgets"] = map[string]any{"keepers": g.site.Keepers(), "term": f.Term.String(), "number": max(1, w.Number), "cold": f.Cold}
+		file["budgets"] = map[string]any{"keepers": g.site.QuotaReplicas(), "term": f.ShareTerm.String(), "number": max(1, w.Version), "cold": f.SlowStart}
 		whole["statements"] = map[string]any{"classes": []any{class}}
 	}
-	if b, ok := file["budgets"].(map[string]any); ok && g.site.plan.State {
-		b["folder"] = g.SeatFolder()
+	if b, ok := file["budgets"].(map[string]any); ok && g.site.plan.Durable {
+		b["folder"] = g.QuotaFolder()
 	}
 	text, err := json.MarshalIndent(whole, "", " ")
 	if err == nil {
@@ -247,7 +247,7 @@
 	return path
 }
 
-// StateFolder is where it keeps its record of tasks.
+// StateFolder is where it keeps its record of requests.
 func (g *Gateway) StateFolder() string {
 	return filepath.Join(g.site.Folder, "g"+strconv.Itoa(g.n)+".state")
 }
@@ -257,27 +257,27 @@
 	return filepath.Join(g.site.Folder, "g"+strconv.Itoa(g.n)+".policy")
 }
 
-// SeatFolder is where it keeps by which its part of the fleet's budgets passes to the process that follows.
-func (g *Gateway) SeatFolder() string {
+// QuotaFolder is where it keeps by which its part of the fleet's budgets passes to the process that follows.
+func (g *Gateway) QuotaFolder() string {
 	return filepath.Join(g.site.Folder, "g"+strconv.Itoa(g.n)+".seat")
 }
 
 // folders are those that survive its process.
 func (g *Gateway) folders() (out []string) {
-	if g.site.plan.State {
+	if g.site.plan.Durable {
 		out = append(out, g.StateFolder())
-		if _, err := os.Stat(g.SeatFolder()); err == nil {
-			out = append(out, g.SeatFolder())
+		if _, err := os.Stat(g.QuotaFolder()); err == nil {
+			out = append(out, g.QuotaFolder())
 		}
 	}
-	if f := g.site.plan.Fleet; f != nil && f.Charter.Voters > 0 {
+	if f := g.site.plan.Cluster; f != nil && f.Rollout.Voters > 0 {
 		out = append(out, g.PolicyFolder())
 	}
 	return out
 }
 
-// Kept tells whether there are older copies.
-func (g *Gateway) Kept() bool {
+// HasStateCopy tells whether there are older copies.
+func (g *Gateway) HasStateCopy() bool {
 	for _, f := range g.folders() {
 		if _, err := os.Stat(f + ".older"); err == nil {
 			return true
@@ -286,8 +286,8 @@
 	return false
 }
 
-// Keep copies the folders as they stand; with BringBack those older copies take their place.
-func (g *Gateway) Keep() error {
+// CopyState copies the folders as they stand; with BringBack those older copies take their place.
+func (g *Gateway) CopyState() error {
 	for _, f := range g.folders() {
 		os.RemoveAll(f + ".older")
 		if err := os.CopyFS(f+".older", os.DirFS(f)); err != nil {
@@ -297,8 +297,8 @@
 	return nil
 }
 
-// BringBack puts the older copies in the place of the folders; with none there, nothing is left of them.
-func (g *Gateway) BringBack() error {
+// RestoreState puts the older copies in the place of the folders; with none there, nothing is left of them.
+func (g *Gateway) RestoreState() error {
 	for _, f := range g.folders() {
 		if err := os.RemoveAll(f); err != nil {
 			return err
@@ -313,21 +313,21 @@
 	return nil
 }
 
-// Forget takes the folders away.
-func (g *Gateway) Forget() (err error) {
+// DeleteState takes the folders away.
+func (g *Gateway) DeleteState() (err error) {
 	for _, f := range g.folders() {
 		err = errors.Join(err, os.RemoveAll(f))
 	}
 	return err
 }
 
-// Twin starts a second process under a gateway's name, with addresses and files of its own; the first one lives on.
-func (s *Site) Twin(of int) (*Gateway, error) {
+// StartTwin starts a second process under a gateway's name, with addresses and files of its own; the first one lives on.
+func (s *Installation) StartTwin(of int) (*Gateway, error) {
 	g, err := s.gateway(s.Gateways[of].Name, len(s.Gateways))
 	if err != nil {
 		return nil, err
 	}
-	if s.plan.Fleet != nil {
+	if s.plan.Cluster != nil {
 		if err := s.place(g); err != nil {
 			return nil, err
 		}
@@ -339,8 +339,8 @@
 // Label is what relays and files call it: its own also for a twin.
 func (g *Gateway) Label() string { return "g" + strconv.Itoa(g.n) }
 
-// Up tells whether its process lives, stopped or not.
-func (g *Gateway) Up() bool {
+// IsRunning tells whether its process lives, stopped or not.
+func (g *Gateway) IsRunning() bool {
 	g.mu.Lock()
 	died := g.died
 	g.mu.Unlock()
--- a/internal/testbed/installation/site.go
+++ b/internal/testbed/installation/installation.go
@@ -1,4 +1,4 @@
-// Package installation is one installation on loopback: stand-ins of engines and of their list, and gateways as processes of
+// Package installation is one installation on loopback: fakes of engines and of their list, and gateways as processes of
 // their own between them and a load.
 package installation
 
@@ -22,46 +22,46 @@
 	"magpiebank/internal/testbed/faultproxy"
 )
 
-// Lane is a lane as gateways are told of it.
-type Lane struct {
-	Name        string
-	Quoted      time.Duration
-	Longest     time.Duration // that its clients wait
-	Earnings    float64
-	Late        float64 // share of the earnings after the quoted time
-	Effect      string  // idempotent, deduplicated or unrepeatable
-	Threads     int     // of one of its tasks on an engine
-	Load        bool    // it loads tables, so that others wait for it
-	HeldByLoads bool    // its tasks wait for loads
+// Class is a class as gateways are told of it.
+type Class struct {
+	Name             string
+	LatencyObjective time.Duration
+	MaxWait          time.Duration // that its clients wait
+	Weight           float64
+	LateShare        float64 // share of the earnings after the latency objective
+	Effect           string  // idempotent, deduplicated or unrepeatable
+	Threads          int     // of one of its requests on an engine
+	Load             bool    // it loads tables, so that others wait for it
+	HeldByLoads      bool    // its requests wait for loads
 }
 
 // Plan is what an installation consists of.
 type Plan struct {
-	Gateways      int
-	Engines       int
-	Zones         []string // engines stand in them in turn
-	Cores         float64  // of an engine
-	Lanes         []Lane
-	Manner        fake.Manner
-	MemoryMB      int // of a gateway
-	Sockets       int
-	ConnectWithin time.Duration
-	Idle          time.Duration // after which engines close connections
-	Seed          int64
-	Program       string   // the gateway's; empty: magpiebank beside this program
-	More          []string // arguments after serve --config FILE
+	Gateways       int
+	Engines        int
+	Zones          []string // engines stand in them in turn
+	Cores          float64  // of an engine
+	Classes        []Class
+	Behavior       fake.EngineBehavior
+	MemoryMB       int // of a gateway
+	Sockets        int
+	ConnectWithin  time.Duration
+	Idle           time.Duration // after which engines close connections
+	Seed           int64
+	Program        string   // the gateway's; empty: magpiebank beside this program
+	ExtraArguments []string // arguments after serve --config FILE
 
-	Fleet   *Fleet                      // the gateways speak to each other; nil: they don't
-	Relayed *faultproxy.Net             // all that passes between processes passes it; nil: they reach each other directly
-	State   bool                        // each keeps a record of its tasks in a folder of its own
-	Down    []string                    // gateways that are not started
-	Cold    Cold                        // engines that have just started are slow, and tip over
-	Env     func(label string) []string // what a process gets besides; a twin has a label of its own
+	Cluster   *Cluster                    // the gateways speak to each other; nil: they don't
+	Proxies   *faultproxy.Network         // all that passes between processes passes it; nil: they reach each other directly
+	Durable   bool                        // each keeps a record of its requests in a folder of its own
+	Down      []string                    // gateways that are not started
+	SlowStart SlowStart                   // engines that have just started are slow, and tip over
+	Env       func(label string) []string // what a process gets besides; a twin has a label of its own
 }
 
-// Cold is how engines start: at a share of their speed, warm after a time; sent more than a multiple of what they can do for so long, they
+// SlowStart is how engines start: at a share of their speed, warm after a time; sent more than a multiple of what they can do for so long, they
 // tip over.
-type Cold struct {
+type SlowStart struct {
 	Share, Factor float64
 	Warm, Tip     time.Duration
 }
@@ -71,10 +71,10 @@
 
 // Check tells the first thing amiss.
 func (p *Plan) Check() error {
-	if p.Gateways < 1 || p.Gateways > 64 || p.Engines < 1 || p.Engines > 1000 || len(p.Zones) == 0 || len(p.Lanes) == 0 {
+	if p.Gateways < 1 || p.Gateways > 64 || p.Engines < 1 || p.Engines > 1000 || len(p.Zones) == 0 || len(p.Classes) == 0 {
 		return errors.New("site: expected 1 to 64 gateways, 1 to 1000 engines, and at least one zone and one lane")
 	}
-	for i, l := range p.Lanes {
+	for i, l := range p.Classes {
 		if effects[l.Effect] == "" {
 			return fmt.Errorf("site.lanes[%d].effect: expected idempotent, deduplicated or unrepeatable, found %q", i, l.Effect)
 		}
@@ -82,16 +82,16 @@
 	return nil
 }
 
-// Site is an installation that is up.
-type Site struct {
-	Engines  []*fake.Engine
-	List     *fake.List
-	Lists    []*fake.List // where relays stand between, one for each gateway, as each reaches engines by its own; else the one
-	Log      *fake.Log
-	Gateways []*Gateway
-	Folder   string
-	plan     Plan
-	entries  []fake.Entry
+// Installation is an installation that is up.
+type Installation struct {
+	Engines     []*fake.Engine
+	Discovery   *fake.Discovery
+	Discoveries []*fake.Discovery // where relays stand between, one for each gateway, as each reaches engines by its own; else the one
+	Log         *fake.ExecutionLog
+	Gateways    []*Gateway
+	Folder      string
+	plan        Plan
+	entries     []fake.Endpoint
 }
 
 // Gateway is one gateway's process.
@@ -104,13 +104,13 @@
 
 	udp     string // where it listens for datagrams
 	reached string // by which the others reach it
-	list    string // its engine list's address
+	list    string // its discovery service's address
 	known   func() json.RawMessage
 
-	whole   Whole    // limits of the fleet that its file has
-	engines []string // addresses by which it reaches them, where relays stand between
+	whole   ClusterLimits // limits of the fleet that its file has
+	engines []string      // addresses by which it reaches them, where relays stand between
 
-	site *Site
+	site *Installation
 	n    int
 	mu   sync.Mutex
 	cmd  *exec.Cmd
@@ -118,8 +118,8 @@
 	peak int64 // kB resident, of processes that have ended
 }
 
-// Up starts an installation; files go to a folder.
-func Up(p Plan, folder string) (s *Site, err error) {
+// Start starts an installation; files go to a folder.
+func Start(p Plan, folder string) (s *Installation, err error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
@@ -133,10 +133,10 @@
 	if _, err := os.Stat(p.Program); err != nil {
 		return nil, fmt.Errorf("the gateway's program: %w (build both with: go build -o bin/ ./cmd/...)", err)
 	}
-	s = &Site{plan: p, Folder: folder, Log: fake.NewLog()}
+	s = &Installation{plan: p, Folder: folder, Log: fake.NewExecutionLog()}
 	defer func() {
 		if err != nil {
-			s.Down()
+			s.Stop()
 		}
 	}()
 	for i := range p.Engines {
@@ -147,7 +147,7 @@
 			if none != nil {
 				return s, none
 			}
-			if e, err = fake.StartEngine(name, address, p.Manner, s.Log, uint64(p.Seed)+uint64(i)); err == nil {
+			if e, err = fake.StartEngine(name, address, p.Behavior, s.Log, uint64(p.Seed)+uint64(i)); err == nil {
 				break
 			}
 		}
@@ -155,14 +155,14 @@
 			return s, err
 		}
 		s.Engines = append(s.Engines, e)
-		s.entries = append(s.entries, fake.Entry{ID: name, Address: e.Address, Zone: p.Zones[i%len(p.Zones)], Kind: "std",
+		s.entries = append(s.entries, fake.Endpoint{ID: name, Address: e.Address, Zone: p.Zones[i%len(p.Zones)], Kind: "std",
 			Cell: i / 4, State: "Ready", Weight: int(p.Cores)})
 	}
-	if p.Relayed == nil {
-		if s.List, err = fake.StartList("127.0.0.1:0", s.entries); err != nil {
+	if p.Proxies == nil {
+		if s.Discovery, err = fake.StartDiscovery("127.0.0.1:0", s.entries); err != nil {
 			return s, err
 		}
-		s.Lists = []*fake.List{s.List}
+		s.Discoveries = []*fake.Discovery{s.Discovery}
 	}
 	for i := range p.Gateways {
 		g, err := s.gateway("g"+strconv.Itoa(i), i)
@@ -171,10 +171,10 @@
 		}
 		s.Gateways = append(s.Gateways, g)
 	}
-	if s.List == nil {
-		s.List = s.Lists[0]
+	if s.Discovery == nil {
+		s.Discovery = s.Discoveries[0]
 	}
-	if p.Fleet != nil {
+	if p.Cluster != nil {
 		if err := s.introduce(); err != nil {
 			return s, err
 		}
@@ -199,7 +199,7 @@
 }
 
 // ports are tried in turn, from a place that follows from the process: below those that the system gives to whoever connects, so
-// that no connection of the laboratory's takes one before its gateway does.
+// that no connection of the testbed's takes one before its gateway does.
 var ports atomic.Int32
 
 func init() { ports.Store(int32(os.Getpid()) * 331 % 20000) }
@@ -222,42 +222,42 @@
 }
 
 // Targets are the gateways' addresses.
-func (s *Site) Targets() (out []string) {
+func (s *Installation) Targets() (out []string) {
 	for _, g := range s.Gateways {
 		out = append(out, g.Address)
 	}
 	return out
 }
 
-// Tell has the engine list tell a state of an engine: Ready, Terminating or Gone.
-func (s *Site) Tell(engine int, state string) {
+// PublishState has the discovery service tell a state of an engine: Ready, Terminating or Gone.
+func (s *Installation) PublishState(engine int, state string) {
 	e := s.entries[engine]
 	e.State = state
 	if state == "Ready" {
 		e.Started = time.Now().UnixMilli()
 	}
-	for i, l := range s.Lists {
+	for i, l := range s.Discoveries {
 		told := e
-		if s.plan.Relayed != nil {
+		if s.plan.Proxies != nil {
 			told.Address = s.Gateways[i].engines[engine]
 		}
-		l.Tell(told)
+		l.Publish(told)
 	}
 }
 
-// Down ends all of it.
-func (s *Site) Down() {
+// Stop ends all of it.
+func (s *Installation) Stop() {
 	for _, g := range s.Gateways {
 		g.Kill()
 	}
 	for _, e := range s.Engines {
 		e.Close()
 	}
-	for _, l := range s.Lists {
+	for _, l := range s.Discoveries {
 		l.Close()
 	}
-	if s.plan.Relayed != nil {
-		s.plan.Relayed.Close()
+	if s.plan.Proxies != nil {
+		s.plan.Proxies.Close()
 	}
 }
 
@@ -269,15 +269,15 @@
 	var threads []int
 	var loads, blocked []bool
 	var longest time.Duration
-	for _, l := range p.Lanes {
-		classes = append(classes, map[string]any{"name": l.Name, "sloUs": us(l.Quoted), "deadlineUs": us(l.Longest),
-			"worth": l.Earnings, "lateWorth": l.Late, "effect": effects[l.Effect], "aimStretch": 1.5})
+	for _, l := range p.Classes {
+		classes = append(classes, map[string]any{"name": l.Name, "sloUs": us(l.LatencyObjective), "deadlineUs": us(l.MaxWait),
+			"worth": l.Weight, "lateWorth": l.LateShare, "effect": effects[l.Effect], "aimStretch": 1.5})
 		threads = append(threads, max(1, l.Threads))
 		loads, blocked = append(loads, l.Load), append(blocked, l.HeldByLoads)
-		longest = max(longest, l.Longest)
+		longest = max(longest, l.MaxWait)
 	}
 	rules := map[string]any{"extraFree": 20, "resendRatio": 0.2, "ratioSpanUs": us(10 * time.Second), "settleAfterDoubtUs": us(time.Second)}
-	if c := p.Cold; c.Warm > 0 {
+	if c := p.SlowStart; c.Warm > 0 {
 		rules["coldShare"], rules["warmAfterUs"], rules["overloadFactor"], rules["tipAfterUs"] = c.Share, us(c.Warm), c.Factor, us(c.Tip)
 	}
 	return json.MarshalIndent(map[string]any{
@@ -287,8 +287,8 @@
 		"settings": map[string]any{
 			"fleetSize": p.Gateways, "me": g.n, "zones": p.Zones, "skus": []string{"std"}, "classes": classes,
 			"familyInfo": map[string]any{"dop": threads, "kindCores": []float64{p.Cores}, "saysCost": true,
-				"loads": loads, "blockedByLoads": blocked, "progressPaceUs": us(p.Manner.Pace)},
-			"limits": map[string]any{"cancel": true, "probes": true, "peerMessages": p.Fleet != nil, "maxAttempts": 4, "multiplex": 32,
+				"loads": loads, "blockedByLoads": blocked, "progressPaceUs": us(p.Behavior.NoteInterval)},
+			"limits": map[string]any{"cancel": true, "probes": true, "peerMessages": p.Cluster != nil, "maxAttempts": 4, "multiplex": 32,
 				"connectTimeoutUs": us(p.ConnectWithin), "keepaliveUs": us(p.Idle), "retryAfter": true,
 				"maxRetryAfterUs": us(2 * time.Second)},
 			"rules":     rules,
@@ -312,11 +312,11 @@
 		return err
 	}
 	defer out.Close()
-	args := append([]string{"serve", "--config", path}, g.site.plan.More...)
-	if g.site.plan.Fleet != nil {
+	args := append([]string{"serve", "--config", path}, g.site.plan.ExtraArguments...)
+	if g.site.plan.Cluster != nil {
 		args = append(args, "--operator", g.operatorFile())
 	}
-	if g.site.plan.State {
+	if g.site.plan.Durable {
 		args = append(args, "--state", g.StateFolder())
 	}
 	cmd := exec.Command(g.site.plan.Program, args...)
@@ -324,7 +324,7 @@
 		cmd.Env = append(cmd.Env, g.site.plan.Env(g.Label())...)
 	}
 	cmd.Stdout, cmd.Stderr = out, out
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the laboratory
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the testbed
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("gateway %s: %w", g.Name, err)
 	}
@@ -382,8 +382,8 @@
 	}
 }
 
-// Peak is the most memory that its process has held so far, in kB resident.
-func (g *Gateway) Peak() int64 {
+// PeakMemoryKB is the most memory that its process has held so far, in kB resident.
+func (g *Gateway) PeakMemoryKB() int64 {
 	g.mu.Lock()
 	peak, cmd := g.peak, g.cmd
 	g.mu.Unlock()
@@ -404,4 +404,4 @@
 }
 
 // Zone is where an engine stands.
-func (s *Site) Zone(engine int) string { return s.entries[engine].Zone }
+func (s *Installation) Zone(engine int) string { return s.entries[engine].Zone }
--- a/internal/testbed/load/arrival/schedule.go
+++ b/internal/testbed/load/arrival/schedule.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Lane is one kind of task in the load.
-type Lane struct {
+// Class is one kind of request in the load.
+type Class struct {
 	Name       string
-	As         string        // the lane that gateways are told; empty: its name
-	Share      float64       // of all tasks, against the other lanes' shares
+	As         string        // the class that gateways are told; empty: its name
+	Share      float64       // of all requests, against the other classes' shares
 	Statements []string      // templates, drawn evenly: {group} and {literal} are filled in
 	Groups     int           // of tables, from 1 on; their draws follow Zipf's law
 	Zipf       float64       // its exponent; 0: all groups alike
 	Literals   int           // how many different literals there are; 0: each its own
-	Quoted     time.Duration // the quoted time: within it the answer earns all
+	Quoted     time.Duration // the latency objective: within it the answer earns all
 	Patience   time.Duration // and how long the client waits for it at the most
-	MarkRetry  bool          // the client's own further tries carry retry=1
+	MarkRetry  bool          // the client's own further attempts carry retry=1
 	Repeat     bool          // a second run does no harm, so that clients may try again after any end
 }
 
-// Told is the name of the lane that gateways are told.
-func (l *Lane) Told() string {
+// WireName is the name of the class that gateways are told.
+func (l *Class) WireName() string {
 	if l.As != "" {
 		return l.As
 	}
 	return l.Name
 }
 
-// Task is one arrival. N counts all arrivals of a schedule from 0, whoever sends them.
-type Task struct {
+// Request is one arrival. N counts all arrivals of a schedule from 0, whoever sends them.
+type Request struct {
 	N        uint64
 	At       time.Duration // intended, from the start of the run
 	Lane     int
@@ -42,11 +42,11 @@
 	Draw     uint64 // chance of its own, for what the client decides
 }
 
-// Schedule gives the tasks of a load in order. What a task is depends on the seed and its number alone, so that
+// Schedule gives the requests of a load in order. What a request is depends on the seed and its number alone, so that
 // it is the same whoever draws it.
 type Schedule struct {
-	lanes  []Lane
-	sums   []float64 // of the shares, up to each lane
+	lanes  []Class
+	sums   []float64 // of the shares, up to each class
 	zipfs  [][]float64
 	stream Stream
 	seed   uint64
@@ -56,7 +56,7 @@
 }
 
 // NewSchedule draws a load from a shape for a length of time (0: until the shape ends).
-func NewSchedule(shape *Shape, lanes []Lane, seed int64, length time.Duration) (*Schedule, error) {
+func NewSchedule(shape *Shape, lanes []Class, seed int64, length time.Duration) (*Schedule, error) {
 	s := &Schedule{lanes: lanes, stream: shape.Stream(seed), seed: uint64(seed), length: length}
 	if shape.Kind == Replay && len(shape.Marks) == len(shape.Times) {
 		s.marks = shape.Marks
@@ -83,7 +83,7 @@
 }
 
 // Next is the next arrival, whoever sends it.
-func (s *Schedule) Next() (t Task, ok bool) {
+func (s *Schedule) Next() (t Request, ok bool) {
 	at, ok := s.stream.Next()
 	if !ok || s.length > 0 && at >= s.length {
 		return t, false
@@ -92,7 +92,7 @@
 	s.n++
 	chance := rand.NewPCG(s.seed, n)
 	share := func() float64 { return float64(chance.Uint64()>>11) / (1 << 53) }
-	t = Task{N: n, At: at, Lane: search(s.sums, share())}
+	t = Request{N: n, At: at, Lane: search(s.sums, share())}
 	l := &s.lanes[t.Lane]
 	t.Template = int(chance.Uint64() % uint64(len(l.Statements)))
 	t.Group = 1 + search(s.zipfs[t.Lane], share())
@@ -126,8 +126,8 @@
 // Shard tells which of n processes sends an arrival.
 func Shard(n uint64, of int) int { return int(n % uint64(of)) }
 
-// Statement appends a task's text, without the comment that carries its fields.
-func (l *Lane) Statement(dst []byte, t *Task) []byte {
+// Statement appends a request's text, without the comment that carries its fields.
+func (l *Class) Statement(dst []byte, t *Request) []byte {
 	text := l.Statements[t.Template]
 	for i := 0; i < len(text); {
 		switch {
--- a/internal/testbed/load/arrival/shape.go
+++ b/internal/testbed/load/arrival/shape.go
@@ -12,7 +12,7 @@
 // Kind names how the times of a shape are drawn.
 type Kind string
 
-// The kinds of shapes. Rates are tasks a second.
+// The kinds of shapes. Rates are requests a second.
 const (
 	Poisson  Kind = "poisson"  // Rate
 	Steady   Kind = "steady"   // Rate, at even distances
--- a/internal/testbed/load/classification/classes.go
+++ b/internal/testbed/load/classification/classification.go
@@ -1,6 +1,6 @@
-// Package classification measures how well statements are classed by what they will cost, against stand-ins whose true cost is
+// Package classification measures how well statements are classed by what they will cost, against fakes whose true cost is
 // known: at first sight, and after so many answers; and how soon a cost that moved is found. Its figures are simulated: no
-// clock and no socket, the stand-ins' costs are drawn.
+// clock and no socket, the fakes' costs are drawn.
 package classification
 
 import (
@@ -59,7 +59,7 @@
 // Result is what came of a measurement.
 type Result struct {
 	Seed       int64    `json:"seed"`
-	Forms      int      `json:"forms"`
+	Templates  int      `json:"forms"`
 	Statements int      `json:"statements"`
 	Matrices   []Matrix `json:"matrices"`
 	Named      int      `json:"scans_named_at_first_sight"` // forms that read a whole table
@@ -85,7 +85,7 @@
 	book := costmodel.NewModel(64<<20, 1, func(t *costmodel.Table) (rows float64, keys []string, ok bool) {
 		return 1e6, fake.Keys, strings.HasPrefix(t.Schema, "actas_")
 	})
-	r := &Result{Seed: seed, Forms: forms, Statements: statements}
+	r := &Result{Seed: seed, Templates: forms, Statements: statements}
 	for _, n := range after {
 		r.Matrices = append(r.Matrices, Matrix{After: n})
 	}
@@ -96,8 +96,8 @@
 	seen := map[int]bool{}
 	for n := range statements {
 		form := int(zipf.Uint64())
-		f := &p.Forms[form]
-		if f.Kind == fake.Fill && n%200 != 0 { // loads are rare
+		f := &p.Templates[form]
+		if f.Kind == fake.BulkLoad && n%200 != 0 { // loads are rare
 			continue
 		}
 		group := 1 + chance.Intn(groups)
@@ -113,7 +113,7 @@
 		for i, want := range after {
 			// At first sight that of the shape counts, on whatever group it comes first.
 			if answers[k] == want && (want > 0 || firstOf(answers, form, groups, func(f, g int) key { return key{f, g} })) {
-				usual, _, _ := p.Usual(text)
+				usual, _, _ := p.TypicalCost(text)
 				given := len(names)
 				if e.Known {
 					given = classOf(e.WorkMillis)
@@ -124,7 +124,7 @@
 		answers[k]++
 		took, memory, _ := p.Run(text, strconv.Itoa(n)+"-"+strconv.FormatInt(seed, 10))
 		book.Observe(&s, float64(took)/1e6, memory)
-		if p.Ran(text); f.Kind == fake.Fill {
+		if p.RecordRun(text); f.Kind == fake.BulkLoad {
 			book.RecordLoad(group)
 		}
 	}
@@ -146,7 +146,7 @@
 			}
 		}
 		all.Mean = (all.Mean*float64(n) + one.Mean) / float64(n+1)
-		for _, v := range []struct{ to, from *int }{{&all.Forms, &one.Forms}, {&all.Statements, &one.Statements}, {&all.Named, &one.Named},
+		for _, v := range []struct{ to, from *int }{{&all.Templates, &one.Templates}, {&all.Statements, &one.Statements}, {&all.Named, &one.Named},
 			{&all.Scans, &one.Scans}, {&all.Mistaken, &one.Mistaken}, {&all.Skewed, &one.Skewed}, {&all.Shifts, &one.Shifts},
 			{&all.Found, &one.Found}, {&all.Answers, &one.Answers}} {
 			*v.to += *v.from
@@ -167,13 +167,13 @@
 	return true
 }
 
-func (r *Result) first(f *fake.Form, e *costmodel.Estimate) {
-	switch scan := f.Kind == fake.Whole || f.Kind == fake.Loose; {
+func (r *Result) first(f *fake.Template, e *costmodel.Estimate) {
+	switch scan := f.Kind == fake.FullScan || f.Kind == fake.CrossJoin; {
 	case scan:
 		if r.Scans++; e.FullScan != "" {
 			r.Named++
 		}
-	case f.Kind != fake.Fill && e.FullScan != "":
+	case f.Kind != fake.BulkLoad && e.FullScan != "":
 		r.Mistaken++
 	}
 }
@@ -252,7 +252,7 @@
 
 // Text writes a result as tables.
 func (r *Result) Text(out io.Writer) {
-	fmt.Fprintf(out, "seeds from %d on, %d forms, %d statements (simulated); %d forms skewed, on %d groups of tables split by their literal\n", r.Seed, r.Forms, r.Statements, r.Skewed, r.Split)
+	fmt.Fprintf(out, "seeds from %d on, %d forms, %d statements (simulated); %d forms skewed, on %d groups of tables split by their literal\n", r.Seed, r.Templates, r.Statements, r.Skewed, r.Split)
 	for i := range r.Matrices {
 		m := &r.Matrices[i]
 		fmt.Fprintf(out, "\nafter %d answers, true class by class given\n", m.After)
--- a/internal/testbed/load/client/client.go
+++ b/internal/testbed/load/client/clients.go
@@ -9,30 +9,30 @@
 	"magpiebank/internal/testbed/load/arrival"
 )
 
-// Outcome is how a task ended for the client that wanted it.
+// Outcome is how a request ended for the client that wanted it.
 type Outcome uint8
 
-// The outcomes. Every task of a schedule gets exactly one.
+// The outcomes. Every request of a schedule gets exactly one.
 const (
-	Delivered    Outcome = iota
-	Nacked               // the last try was turned away
-	WrittenOff           // the last try got an error that promises nothing
-	GivenUp              // patience was over while a try was out, or rested
-	Unsent               // patience was over before a connection was free
-	NoConnection         // the last try found nobody there
-	Lost                 // the connection ended without a whole answer
-	Spoilt               // the answer couldn't be read, or its rows aren't whole
-	Left                 // the client went away on purpose
-	Outcomes     = iota
+	Served          Outcome = iota
+	Rejected                // the last attempt was turned away
+	Failed                  // the last try got an error that promises nothing
+	TimedOut                // attempt timeout was over while a attempt was out, or rested
+	NotSent                 // attempt timeout was over before a connection was free
+	NoConnection            // the last try found nobody there
+	ConnectionLost          // the connection ended without a whole answer
+	MalformedAnswer         // the answer couldn't be read, or its rows aren't whole
+	ClientLeft              // the client went away on purpose
+	OutcomeCount    = iota
 )
 
-var outcomeNames = [Outcomes]string{"delivered", "nacked", "written off", "given up", "unsent", "no connection", "lost",
+var outcomeNames = [OutcomeCount]string{"delivered", "nacked", "written off", "given up", "unsent", "no connection", "lost",
 	"spoilt", "left"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Manners are how the clients of a load behave.
-type Manners struct {
+// Behavior are how the clients of a load behave.
+type Behavior struct {
 	Connections int // that may be open at once; 0: no limit. Who finds none free waits, first come first served.
 	// Shares of sessions: Reused ones go back to a pool, last in first out; Kept ones stay open and are not used
 	// again; the others end with their query.
@@ -42,9 +42,9 @@
 	Tries        int           // in all, the first included
 	BackOff      time.Duration // before the second try; doubled each time
 	MostBackOff  time.Duration
-	Jitter       float64 // share of a back-off that is drawn
-	Honour       float64 // chance that a come-back time is kept to
-	Budget       float64 // further tries in a window: this share of the first ones in it,
+	Jitter       float64 // share of a backoff that is drawn
+	Honour       float64 // chance that a retry-after time is kept to
+	Budget       float64 // further attempts in a window: this share of the first ones in it,
 	BudgetFree   int     // and so many besides
 	BudgetWindow time.Duration
 
@@ -57,41 +57,41 @@
 	crossing = 50 * time.Millisecond  // a close that crosses a request by so little has it sent again once
 	afterEnd = 500 * time.Millisecond // from KILL QUERY to the close
 	mostIdle = 4 * time.Second        // clients close sessions that were idle for so long
-	maxTries = 63                     // ids are drawn by task and try
+	maxTries = 63                     // ids are drawn by request and try
 )
 
 // Session names a connection of a load; places are used again.
 type Session int32
 
-// Asked is what a try sends.
-type Asked struct {
-	Task   *arrival.Task
-	ID     uint64
-	WaitMS int64
-	Retry  bool
-	Slow   bool
+// Attempt is what a try sends.
+type Attempt struct {
+	Request *arrival.Request
+	ID      uint64
+	WaitMS  int64
+	Retry   bool
+	Slow    bool
 }
 
-// Report is how one task ended.
+// Report is how one request ended.
 type Report struct {
-	Task    *arrival.Task
-	Outcome Outcome
-	End     time.Duration // when, from the start of the run
-	Own     time.Duration // part of the latency that is the generator's: it woke late, or wrote late
-	Queued  time.Duration // part of it that was spent waiting for a connection under the limit
-	Sent    time.Duration // when the last try was written
-	Tries   int
-	Odd     bool // of a slow, leaving or mute client, whose figures are kept apart
-}
-
-// Host is what clients act on. Every call is answered by events, later.
-type Host interface {
-	Dial(s Session)                              // then Up or Ended
-	Send(s Session, a *Asked)                    // then Answered or Ended
-	Close(s Session)                             // then nothing more of this session
-	Kill(connection uint32)                      // KILL QUERY on a session of its own; nothing comes of it
-	Wake(at time.Duration, q int32, turn uint32) // then Due
-	Over(r *Report)
+	Request        *arrival.Request
+	Outcome        Outcome
+	End            time.Duration // when, from the start of the run
+	GeneratorDelay time.Duration // part of the latency that is the generator's: it woke late, or wrote late
+	QueueDelay     time.Duration // part of it that was spent waiting for a connection under the limit
+	Sent           time.Duration // when the last attempt was written
+	Attempts       int
+	Misbehaving    bool // of a slow, leaving or mute client, whose figures are kept apart
+}
+
+// Transport is what clients act on. Every call is answered by events, later.
+type Transport interface {
+	Dial(s Session)                                  // then Up or Ended
+	Send(s Session, a *Attempt)                      // then Answered or Ended
+	Close(s Session)                                 // then nothing more of this session
+	KillQuery(connection uint32)                     // KILL QUERY on a session of its own; nothing comes of it
+	SetTimer(at time.Duration, q int32, turn uint32) // then Due
+	Finished(r *Report)
 }
 
 type state uint8
@@ -107,7 +107,7 @@
 )
 
 type query struct {
-	task        arrival.Task
+	task        arrival.Request
 	state       state
 	session     Session
 	turn        uint32 // tells a timer whether it is still meant
@@ -140,11 +140,11 @@
 	open       bool
 }
 
-// Crowd is all clients of one driver.
-type Crowd struct {
-	host  Host
-	m     Manners
-	lanes []arrival.Lane
+// Clients is all clients of one driver.
+type Clients struct {
+	host  Transport
+	m     Behavior
+	lanes []arrival.Class
 	r     *rand.Rand
 	seed  int64
 
@@ -158,29 +158,29 @@
 	kept     fifo // of sessions that are idle for good, oldest first
 	budget   window
 	live     int
-	asked    Asked
+	asked    Attempt
 	report   Report
 }
 
-// NewCrowd is a load's clients, or a part of them: ids come from the load's seed and the task's number, back-offs
+// NewClients is a load's clients, or a part of them: ids come from the load's seed and the request's number, backoffs
 // from the part's own source.
-func NewCrowd(host Host, m Manners, lanes []arrival.Lane, seed, part int64) *Crowd {
+func NewClients(host Transport, m Behavior, lanes []arrival.Class, seed, part int64) *Clients {
 	m.Tries = min(max(1, m.Tries), maxTries)
 	if m.Idle <= 0 || m.Idle > mostIdle {
 		m.Idle = mostIdle
 	}
-	return &Crowd{host: host, m: m, lanes: lanes, r: rand.New(rand.NewSource(seed + part)), seed: seed, freeQ: -1,
+	return &Clients{host: host, m: m, lanes: lanes, r: rand.New(rand.NewSource(seed + part)), seed: seed, freeQ: -1,
 		budget: window{span: m.BudgetWindow}}
 }
 
-// Live is how many tasks have no outcome yet.
-func (c *Crowd) Live() int { return c.live }
+// Unfinished is how many requests have no outcome yet.
+func (c *Clients) Unfinished() int { return c.live }
 
-// Open is how many sessions are open.
-func (c *Crowd) Open() int { return c.open }
+// OpenSessions is how many sessions are open.
+func (c *Clients) OpenSessions() int { return c.open }
 
-// Arrive takes a task in at its intended time, or later when the driver is late.
-func (c *Crowd) Arrive(now time.Duration, t arrival.Task) {
+// HandleArrival takes a request in at its intended time, or later when the driver is late.
+func (c *Clients) HandleArrival(now time.Duration, t arrival.Request) {
 	i := c.freeQ
 	if i < 0 {
 		c.queries = append(c.queries, query{})
@@ -204,7 +204,7 @@
 	c.want(now, i)
 }
 
-// ID names a try of a task on the wire. It is a bijection of task and try (from 1), so that no two are the same.
+// ID names a try of a request on the wire. It is a bijection of request and try (from 1), so that no two are the same.
 func ID(seed int64, task uint64, try int) uint64 {
 	x := task*(maxTries+1) + uint64(try) + uint64(seed)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -213,7 +213,7 @@
 }
 
 // want begins a try.
-func (c *Crowd) want(now time.Duration, i int32) {
+func (c *Clients) want(now time.Duration, i int32) {
 	q := &c.queries[i]
 	q.tries++
 	q.id = ID(c.seed, q.task.N, q.tries)
@@ -221,7 +221,7 @@
 }
 
 // seek finds a session for a try: a pooled one, a new one while the limit allows, else a place in the line.
-func (c *Crowd) seek(now time.Duration, i int32) {
+func (c *Clients) seek(now time.Duration, i int32) {
 	q := &c.queries[i]
 	q.since = now
 	if q.odd != says0 && !q.crossed { // what was crossed goes on a new connection
@@ -243,10 +243,10 @@
 	c.dial(now, i)
 }
 
-func (c *Crowd) full() bool { return c.m.Connections > 0 && c.open >= c.m.Connections }
+func (c *Clients) full() bool { return c.m.Connections > 0 && c.open >= c.m.Connections }
 
 // makeRoom closes the session that has been idle for good the longest; a pooled one where there is none.
-func (c *Crowd) makeRoom() bool {
+func (c *Clients) makeRoom() bool {
 	for {
 		k, turn, ok := c.kept.take()
 		if !ok {
@@ -268,12 +268,12 @@
 }
 
 // idle tells whether a session has been idle since it was put aside.
-func (c *Crowd) idle(p placeTurn) bool {
+func (c *Clients) idle(p placeTurn) bool {
 	t := &c.sessions[p.place]
 	return t.open && t.q < 0 && t.turn == p.turn
 }
 
-func (c *Crowd) dial(now time.Duration, i int32) {
+func (c *Clients) dial(now time.Duration, i int32) {
 	var s Session
 	if n := len(c.freeS); n > 0 {
 		s, c.freeS = c.freeS[n-1], c.freeS[:n-1]
@@ -290,12 +290,12 @@
 }
 
 // close ends a session from this side.
-func (c *Crowd) close(s Session) {
+func (c *Clients) close(s Session) {
 	c.gone(s)
 	c.host.Close(s)
 }
 
-func (c *Crowd) gone(s Session) {
+func (c *Clients) gone(s Session) {
 	c.sessions[s].open = false
 	c.sessions[s].q = -1
 	c.freeS = append(c.freeS, s)
@@ -303,7 +303,7 @@
 }
 
 // room tells whether a try would find a session, or a place for one.
-func (c *Crowd) room() bool {
+func (c *Clients) room() bool {
 	for n := len(c.pool); n > 0 && !c.idle(c.pool[n-1]); n-- {
 		c.pool = c.pool[:n-1]
 	}
@@ -314,7 +314,7 @@
 }
 
 // serveLine lets those who wait in the line have what has become free.
-func (c *Crowd) serveLine(now time.Duration) {
+func (c *Clients) serveLine(now time.Duration) {
 	for c.line.len() > 0 && c.room() {
 		i, turn, ok := c.line.take()
 		if !ok {
@@ -329,14 +329,14 @@
 	}
 }
 
-func (c *Crowd) wake(i int32, at time.Duration) {
+func (c *Clients) wake(i int32, at time.Duration) {
 	q := &c.queries[i]
 	q.turn++
-	c.host.Wake(at, i, q.turn)
+	c.host.SetTimer(at, i, q.turn)
 }
 
-// Up takes in that a session is logged in; connection is its id.
-func (c *Crowd) Up(now time.Duration, s Session, connection uint32) {
+// HandleConnected takes in that a session is logged in; connection is its id.
+func (c *Clients) HandleConnected(now time.Duration, s Session, connection uint32) {
 	t := &c.sessions[s]
 	if !t.open || t.q < 0 {
 		return
@@ -346,13 +346,13 @@
 }
 
 // take uses a session for a try.
-func (c *Crowd) take(now time.Duration, i int32, s Session) {
+func (c *Clients) take(now time.Duration, i int32, s Session) {
 	q, t := &c.queries[i], &c.sessions[s]
 	t.q = i
 	t.turn++
 	q.session = s
 	if now >= q.patience {
-		c.over(now, i, Unsent)
+		c.over(now, i, NotSent)
 		return
 	}
 	if q.odd == says0 {
@@ -362,17 +362,17 @@
 	}
 	q.state, q.sent = out, now
 	by := q.patience
-	if q.odd == leaves { // somewhere in the quoted time
+	if q.odd == leaves { // somewhere in the latency objective
 		by = min(by, now+time.Duration(c.r.Int63n(int64(max(c.lanes[q.task.Lane].Quoted, 1)))))
 	}
 	c.wake(i, by)
-	c.asked = Asked{Task: &q.task, ID: q.id, WaitMS: max(1, (q.patience - now).Milliseconds()),
+	c.asked = Attempt{Request: &q.task, ID: q.id, WaitMS: max(1, (q.patience - now).Milliseconds()),
 		Retry: q.tries > 1 && c.lanes[q.task.Lane].MarkRetry, Slow: q.odd == slow}
 	c.host.Send(s, &c.asked)
 }
 
-// Sent takes in when a try's last byte was written, as that may be later than it was decided.
-func (c *Crowd) Sent(at time.Duration, s Session, id uint64) {
+// HandleSent takes in when a try's last byte was written, as that may be later than it was decided.
+func (c *Clients) HandleSent(at time.Duration, s Session, id uint64) {
 	if t := &c.sessions[s]; t.open && t.q >= 0 {
 		if q := &c.queries[t.q]; q.id == id && q.state == out {
 			q.own += max(0, at-q.sent)
@@ -381,8 +381,8 @@
 	}
 }
 
-// Answered takes in a whole answer to what is out on a session, or one that can't be read.
-func (c *Crowd) Answered(now time.Duration, s Session, id uint64, how Outcome, comeBack time.Duration) {
+// HandleAnswer takes in a whole answer to what is out on a session, or one that can't be read.
+func (c *Clients) HandleAnswer(now time.Duration, s Session, id uint64, how Outcome, comeBack time.Duration) {
 	t := &c.sessions[s]
 	if !t.open || t.q < 0 {
 		return
@@ -404,10 +404,10 @@
 }
 
 // release decides what becomes of a session whose query is answered.
-func (c *Crowd) release(now time.Duration, s Session, how Outcome) {
+func (c *Clients) release(now time.Duration, s Session, how Outcome) {
 	t := &c.sessions[s]
 	t.q, t.used, t.since = -1, true, now
-	if how == Spoilt {
+	if how == MalformedAnswer {
 		c.close(s)
 		return
 	}
@@ -421,8 +421,8 @@
 	}
 }
 
-// Ended takes in that a session ended from the other side, or never came up (refused).
-func (c *Crowd) Ended(now time.Duration, s Session, refused bool) {
+// HandleClosed takes in that a session ended from the other side, or never came up (refused).
+func (c *Clients) HandleClosed(now time.Duration, s Session, refused bool) {
 	t := &c.sessions[s]
 	if !t.open {
 		return
@@ -434,7 +434,7 @@
 		q.session = -1
 		switch q.state {
 		case mute:
-			c.over(now, i, Left)
+			c.over(now, i, ClientLeft)
 		case leaving:
 			c.done(i)
 		case dialling:
@@ -445,7 +445,7 @@
 				c.seek(now, i)
 				break
 			}
-			how := Lost
+			how := ConnectionLost
 			if refused {
 				how = NoConnection
 			}
@@ -456,11 +456,11 @@
 }
 
 // ended decides, at the end of a try, whether there is another.
-func (c *Crowd) ended(now time.Duration, i int32, how Outcome, comeBack time.Duration) {
+func (c *Clients) ended(now time.Duration, i int32, how Outcome, comeBack time.Duration) {
 	q := &c.queries[i]
 	q.session = -1
-	again := how == Nacked || how == NoConnection ||
-		(how == WrittenOff || how == Lost || how == Spoilt) && c.lanes[q.task.Lane].Repeat
+	again := how == Rejected || how == NoConnection ||
+		(how == Failed || how == ConnectionLost || how == MalformedAnswer) && c.lanes[q.task.Lane].Repeat
 	if !again || q.tries >= c.m.Tries || q.odd != usual || !c.budget.allows(now, c.m.Budget, c.m.BudgetFree) {
 		c.over(now, i, how)
 		return
@@ -482,8 +482,8 @@
 	c.wake(i, now+rest)
 }
 
-// Due takes in that a timer has come.
-func (c *Crowd) Due(now time.Duration, i int32, turn uint32) {
+// HandleTimer takes in that a timer has come.
+func (c *Clients) HandleTimer(now time.Duration, i int32, turn uint32) {
 	q := &c.queries[i]
 	if q.turn != turn || q.state == free {
 		return
@@ -491,29 +491,29 @@
 	switch q.state {
 	case queued:
 		q.waited += now - q.since
-		c.over(now, i, Unsent)
+		c.over(now, i, NotSent)
 	case resting:
 		c.want(now, i)
 	case dialling:
 		c.close(q.session)
 		q.session = -1
-		c.over(now, i, GivenUp)
+		c.over(now, i, TimedOut)
 		c.serveLine(now)
 	case mute:
 		c.close(q.session)
 		q.session = -1
-		c.over(now, i, Left)
+		c.over(now, i, ClientLeft)
 		c.serveLine(now)
 	case out:
 		if q.odd == leaves {
 			c.close(q.session)
 			q.session = -1
-			c.over(now, i, Left)
+			c.over(now, i, ClientLeft)
 			c.serveLine(now)
 			return
 		}
-		c.host.Kill(c.sessions[q.session].connection)
-		c.tell(now, q, GivenUp)
+		c.host.KillQuery(c.sessions[q.session].connection)
+		c.tell(now, q, TimedOut)
 		q.state = leaving
 		c.wake(i, now+afterEnd)
 	case leaving:
@@ -524,18 +524,18 @@
 	}
 }
 
-// tell reports a task's one outcome.
-func (c *Crowd) tell(now time.Duration, q *query, how Outcome) {
+// tell reports a request's one outcome.
+func (c *Clients) tell(now time.Duration, q *query, how Outcome) {
 	c.live--
-	c.report = Report{Task: &q.task, Outcome: how, End: now, Own: q.own, Queued: q.waited, Sent: q.sent, Tries: q.tries,
-		Odd: q.odd != usual}
-	c.host.Over(&c.report)
+	c.report = Report{Request: &q.task, Outcome: how, End: now, GeneratorDelay: q.own, QueueDelay: q.waited, Sent: q.sent, Attempts: q.tries,
+		Misbehaving: q.odd != usual}
+	c.host.Finished(&c.report)
 }
 
-func (c *Crowd) over(now time.Duration, i int32, how Outcome) {
+func (c *Clients) over(now time.Duration, i int32, how Outcome) {
 	q := &c.queries[i]
 	c.tell(now, q, how)
-	if s := q.session; s >= 0 && how == Unsent { // it came up too late
+	if s := q.session; s >= 0 && how == NotSent { // it came up too late
 		q.session = -1
 		c.close(s)
 	}
@@ -543,15 +543,15 @@
 }
 
 // done frees a query's place.
-func (c *Crowd) done(i int32) {
+func (c *Clients) done(i int32) {
 	q := &c.queries[i]
 	q.state, q.session = free, -1
 	q.turn++
 	q.next, c.freeQ = c.freeQ, i
 }
 
-// Tidy closes pooled sessions that were idle for too long; a driver calls it some times a second.
-func (c *Crowd) Tidy(now time.Duration) {
+// CloseIdle closes pooled sessions that were idle for too long; a driver calls it some times a second.
+func (c *Clients) CloseIdle(now time.Duration) {
 	keep := c.pool[:0]
 	for _, p := range c.pool {
 		switch {
@@ -565,23 +565,23 @@
 	c.pool = keep
 }
 
-// Stop gives every task that has no outcome the one that it would have if patience were over now.
-func (c *Crowd) Stop(now time.Duration) {
+// Stop gives every request that has no outcome the one that it would have if attempt timeout were over now.
+func (c *Clients) Stop(now time.Duration) {
 	for i := range c.queries {
 		q := &c.queries[i]
 		switch q.state {
 		case queued:
-			c.over(now, int32(i), Unsent)
+			c.over(now, int32(i), NotSent)
 		case dialling, out, resting:
 			s := q.session
-			c.tell(now, q, GivenUp)
+			c.tell(now, q, TimedOut)
 			c.done(int32(i))
 			if s >= 0 {
 				c.close(s)
 			}
 		case mute:
 			s := q.session
-			c.tell(now, q, Left)
+			c.tell(now, q, ClientLeft)
 			c.done(int32(i))
 			c.close(s)
 		}
--- a/internal/testbed/load/client/line.go
+++ b/internal/testbed/load/client/line.go
@@ -34,7 +34,7 @@
 	return p.place, p.turn, true
 }
 
-// window counts first and further tries over a sliding span, by tenths of it.
+// window counts first and further attempts over a sliding span, by tenths of it.
 type window struct {
 	span           time.Duration
 	at             int64 // number of the current tenth
@@ -64,7 +64,7 @@
 	w.others[w.at%windowParts]++
 }
 
-// allows tells whether one more further try fits into the budget.
+// allows tells whether one more retry fits into the budget.
 func (w *window) allows(now time.Duration, share float64, free int) bool {
 	if w.span <= 0 {
 		return true // no budget
--- a/internal/testbed/load/driver/conn.go
+++ b/internal/testbed/load/driver/conn.go
@@ -17,7 +17,7 @@
 const (
 	user     = "app"
 	database = "reports"
-	// A gateway that takes a connection and says nothing for so long is none. A query's own patience ends sooner as a
+	// A gateway that takes a connection and says nothing for so long is none. A query's own attempt timeout ends sooner as a
 	// rule; this bounds what is left behind.
 	handshake = 10 * time.Second
 	// How long a slow client rests before each packet that it reads.
@@ -25,9 +25,9 @@
 )
 
 // query writes a try's packet.
-func query(dst []byte, lane *arrival.Lane, a *client.Asked) []byte {
-	return mysql.AppendQuery(dst, lane.Told(), a.ID, a.WaitMS, a.Retry, func(dst []byte) []byte {
-		return lane.Statement(dst, a.Task)
+func query(dst []byte, lane *arrival.Class, a *client.Attempt) []byte {
+	return mysql.AppendQuery(dst, lane.WireName(), a.ID, a.WaitMS, a.Retry, func(dst []byte) []byte {
+		return lane.Statement(dst, a.Request)
 	})
 }
 
@@ -147,15 +147,15 @@
 			}
 		}
 		at := c.w.now()
-		how := client.Delivered
+		how := client.Served
 		switch {
 		case err != nil || a.Code == 0 && !check.whole():
-			how = client.Spoilt
+			how = client.MalformedAnswer
 		case a.Code == 0:
 		case mysql.IsRejected(a.Code):
-			how = client.Nacked
+			how = client.Rejected
 		default:
-			how = client.WrittenOff
+			how = client.Failed
 		}
 		c.expect.Store(0)
 		extra := c.r.Buffered() > 0 // nothing more was asked for
@@ -170,7 +170,7 @@
 	}
 }
 
-// rows checks that a result is that of a task, whole and in order: the stand-ins' rows hold the id and k/n.
+// rows checks that a result is that of a request, whole and in order: the fakes' rows hold the id and k/n.
 type rows struct {
 	id    uint64
 	check bool
--- a/internal/testbed/load/driver/drive.go
+++ b/internal/testbed/load/driver/driver.go
@@ -22,22 +22,22 @@
 type Load struct {
 	Targets   []string // gateways; sessions go to them in turn
 	Shape     *arrival.Shape
-	Lanes     []arrival.Lane
-	Manners   client.Manners
+	Lanes     []arrival.Class
+	Manners   client.Behavior
 	Seed      int64
 	Length    time.Duration // 0: until the shape ends
 	Shard, Of int           // this process sends the arrivals whose number leaves Shard when divided by Of
 	Loops     int           // 0: as many as half the cores
-	CheckRows bool          // rows must be those of our own stand-ins: the task's id, then k/n
+	CheckRows bool          // rows must be those of our own fakes: the request's id, then k/n
 	// Mine tells, where it is given, whether this process sends an arrival, in place of Shard and Of; the answer may
 	// change until the arrival's time has come.
-	Mine func(t *arrival.Task) bool `json:"-"`
+	Owns func(t *arrival.Request) bool `json:"-"`
 	// Over, where it is given, is told each outcome from the loops' goroutines.
-	Over func(r *client.Report) `json:"-"`
+	OnFinished func(r *client.Report) `json:"-"`
 }
 
-// Drive is a run under way.
-type Drive struct {
+// Driver is a run under way.
+type Driver struct {
 	load    Load
 	start   time.Time
 	loops   []*loop
@@ -50,14 +50,14 @@
 }
 
 // Start begins to send at a time, which may lie a little ahead.
-func Start(l Load, at time.Time) (*Drive, error) {
+func Start(l Load, at time.Time) (*Driver, error) {
 	if l.Loops <= 0 {
 		l.Loops = max(1, runtime.GOMAXPROCS(0)/2)
 	}
 	if l.Of <= 0 {
 		l.Of = 1
 	}
-	d := &Drive{load: l, start: at, stop: make(chan struct{})}
+	d := &Driver{load: l, start: at, stop: make(chan struct{})}
 	names, quoted := make([]string, len(l.Lanes)), make([]time.Duration, len(l.Lanes))
 	for i, lane := range l.Lanes {
 		names[i], quoted[i] = lane.Name, lane.Quoted
@@ -73,8 +73,8 @@
 		}
 		w := &loop{d: d, k: k, schedule: schedule, wheel: timerwheel.New(0), figures: stats.New(names, quoted),
 			wake: make(chan struct{}, 1), targets: make([]time.Duration, len(l.Targets))}
-		// Ids are drawn by the run's seed and the task's number, back-offs by a source of each loop's own.
-		w.crowd = client.NewCrowd(w, m, l.Lanes, l.Seed, int64(l.Shard*l.Loops+k))
+		// Ids are drawn by the run's seed and the request's number, backoffs by a source of each loop's own.
+		w.crowd = client.NewClients(w, m, l.Lanes, l.Seed, int64(l.Shard*l.Loops+k))
 		d.loops = append(d.loops, w)
 	}
 	for _, w := range d.loops {
@@ -88,21 +88,21 @@
 }
 
 // Stop ends the run: nothing more is sent, and what is out is given up.
-func (d *Drive) Stop() { d.stopped.Do(func() { close(d.stop) }) }
+func (d *Driver) Stop() { d.stopped.Do(func() { close(d.stop) }) }
 
-// Wait returns the figures when all tasks have their outcomes.
-func (d *Drive) Wait() *stats.Figures {
+// Wait returns the figures when all requests have their outcomes.
+func (d *Driver) Wait() *stats.Metrics {
 	d.wg.Wait()
 	return d.merged()
 }
 
-func (d *Drive) merged() *stats.Figures {
+func (d *Driver) merged() *stats.Metrics {
 	all := stats.New(nil, nil)
 	for i, w := range d.loops {
 		if i == 0 {
 			all = w.figures
 		} else if err := all.Merge(w.figures); err != nil {
-			panic(err) // they were made from the same lanes
+			panic(err) // they were made from the same classes
 		}
 	}
 	return all
@@ -132,12 +132,12 @@
 const tickSize = 100 * time.Microsecond
 
 type loop struct {
-	d        *Drive
+	d        *Driver
 	k        int
 	schedule *arrival.Schedule
-	crowd    *client.Crowd
+	crowd    *client.Clients
 	wheel    *timerwheel.Wheel
-	figures  *stats.Figures
+	figures  *stats.Metrics
 	conns    []*conn // by session
 	buffer   []byte
 	turn     int             // of the targets
@@ -190,7 +190,7 @@
 func (w *loop) take(e *event) {
 	c := e.c
 	if e.kind == unasked {
-		w.figures.Break(stats.Unasked, e.id)
+		w.figures.RecordViolation(stats.ViolationUnexpectedAnswer, e.id)
 		return
 	}
 	if w.conns[c.s] != c { // closed by this side meanwhile
@@ -199,16 +199,16 @@
 	switch e.kind {
 	case up:
 		c.up = true
-		w.crowd.Up(e.at, c.s, c.connection)
+		w.crowd.HandleConnected(e.at, c.s, c.connection)
 	case answered:
-		w.crowd.Answered(e.at, c.s, e.id, e.how, e.comeBack)
+		w.crowd.HandleAnswer(e.at, c.s, e.id, e.how, e.comeBack)
 	case ended:
 		if e.refused {
 			w.targets[c.target] = e.at + leftOut
 		}
 		w.conns[c.s] = nil
 		w.d.Open.Add(-1)
-		w.crowd.Ended(e.at, c.s, e.refused)
+		w.crowd.HandleClosed(e.at, c.s, e.refused)
 	}
 }
 
@@ -217,13 +217,13 @@
 const leftOut = time.Second
 
 // mine tells whether an arrival is this loop's.
-func (w *loop) mine(t *arrival.Task) bool {
+func (w *loop) mine(t *arrival.Request) bool {
 	l := &w.d.load
 	if int(t.N/uint64(l.Of))%l.Loops != w.k {
 		return false
 	}
-	if l.Mine != nil {
-		return l.Mine(t)
+	if l.Owns != nil {
+		return l.Owns(t)
 	}
 	return arrival.Shard(t.N, l.Of) == l.Shard
 }
@@ -249,9 +249,9 @@
 		w.wheel.Advance(timerwheel.Tick(now/tickSize), func(what uint64) { w.fire(now, int32(what)) })
 		for more && next.At <= now {
 			if w.mine(&next) {
-				w.figures.Offer(next.At)
+				w.figures.RecordOffered(next.At)
 				w.d.Offered.Add(1)
-				w.crowd.Arrive(max(now, next.At), next)
+				w.crowd.HandleArrival(max(now, next.At), next)
 				now = w.now()
 			}
 			next, more = w.schedule.Next()
@@ -261,9 +261,9 @@
 		}
 		if now-w.tidied > 250*time.Millisecond {
 			w.tidied = now
-			w.crowd.Tidy(now)
+			w.crowd.CloseIdle(now)
 		}
-		if !more && w.crowd.Live() == 0 {
+		if !more && w.crowd.Unfinished() == 0 {
 			break
 		}
 		until := now + 250*time.Millisecond
@@ -318,12 +318,12 @@
 func (w *loop) fire(now time.Duration, i int32) {
 	t := w.timers[i]
 	w.freeT = append(w.freeT, i)
-	w.crowd.Due(max(now, t.at), t.q, t.turn)
+	w.crowd.HandleTimer(max(now, t.at), t.q, t.turn)
 }
 
 // The calls of client.Host.
 
-func (w *loop) Wake(at time.Duration, q int32, turn uint32) {
+func (w *loop) SetTimer(at time.Duration, q int32, turn uint32) {
 	var i int32
 	if n := len(w.freeT); n > 0 {
 		i, w.freeT = w.freeT[n-1], w.freeT[:n-1]
@@ -358,9 +358,9 @@
 	return w.turn
 }
 
-func (w *loop) Send(s client.Session, a *client.Asked) {
+func (w *loop) Send(s client.Session, a *client.Attempt) {
 	c := w.conns[s]
-	lane := &w.d.load.Lanes[a.Task.Lane]
+	lane := &w.d.load.Lanes[a.Request.Lane]
 	w.buffer = query(w.buffer[:0], lane, a)
 	c.slow.Store(a.Slow)
 	c.expect.Store(a.ID)
@@ -370,7 +370,7 @@
 		return
 	}
 	c.tcp.Write(w.buffer) // an error shows as the connection's end
-	w.crowd.Sent(w.now(), s, a.ID)
+	w.crowd.HandleSent(w.now(), s, a.ID)
 }
 
 // someBytes fit into a socket's buffer when nothing else is in it.
@@ -383,7 +383,7 @@
 	c.leave()
 }
 
-func (w *loop) Kill(connection uint32) {
+func (w *loop) KillQuery(connection uint32) {
 	target := w.turn
 	for _, c := range w.conns {
 		if c != nil && c.up && c.connection == connection {
@@ -394,11 +394,11 @@
 	go kill(w.d.load.Targets[target], connection)
 }
 
-func (w *loop) Over(r *client.Report) {
+func (w *loop) Finished(r *client.Report) {
 	w.d.Ended.Add(1)
-	w.figures.Over(r)
-	if w.d.load.Over != nil {
-		w.d.load.Over(r)
+	w.figures.RecordFinished(r)
+	if w.d.load.OnFinished != nil {
+		w.d.load.OnFinished(r)
 	}
 }
 
