--- a/internal/testbed/load/sqlclient/single.go
+++ b/internal/testbed/load/sqlclient/sqlclient.go
@@ -1,4 +1,4 @@
-// Package sqlclient sends tasks one by one, by another project's client of the protocol, and tells how each ended: for runs whose checks
+// Package sqlclient sends requests one by one, by another project's client of the protocol, and tells how each ended: for runs whose checks
 // are about single answers, where package client is about many.
 package sqlclient
 
@@ -13,14 +13,14 @@
 	driver "github.com/go-sql-driver/mysql"
 )
 
-// How a task ended. Any other text is an error that no gateway should give.
+// How a request ended. Any other text is an error that no gateway should give.
 const (
-	Delivered  = "delivered"
-	Nacked     = "nacked"
-	WrittenOff = "written off"
-	Broken     = "broken"            // the connection ended without an answer
-	NotTaken   = "not taken"         // there was no connection, so no task
-	Late       = "no answer in time" // nor a second after
+	Served         = "delivered"
+	Rejected       = "nacked"
+	Failed         = "written off"
+	ConnectionLost = "broken"            // the connection ended without an answer
+	NotConnected   = "not taken"         // there was no connection, so no request
+	TimedOut       = "no answer in time" // nor a second after
 )
 
 // hush throws away what the driver says of connections that break, as they are meant to.
@@ -36,8 +36,8 @@
 	return sql.Open("mysql", "app@tcp("+address+")/reports?timeout=1s")
 }
 
-// Ask sends one task, which waits for so long, and tells how it ended. Rows that don't bear its id are no answer.
-func Ask(db *sql.DB, lane, id, statement string, wait time.Duration) string {
+// Query sends one request, which waits for so long, and tells how it ended. Rows that don't bear its id are no answer.
+func Query(db *sql.DB, lane, id, statement string, wait time.Duration) string {
 	ctx, cancel := context.WithTimeout(context.Background(), wait+time.Second)
 	defer cancel()
 	conn, err := db.Conn(ctx)
@@ -45,7 +45,7 @@
 	if errors.As(err, &e) {
 		return e.Error()
 	} else if err != nil {
-		return NotTaken
+		return NotConnected
 	}
 	defer conn.Close()
 	rows, err := conn.QueryContext(ctx, fmt.Sprintf("/* class=%s,id=%s,wait=%d */ %s", lane, id, wait.Milliseconds(), statement))
@@ -61,15 +61,15 @@
 	}
 	switch {
 	case err == nil && n > 0:
-		return Delivered
+		return Served
 	case errors.As(err, &e) && e.Number == 1203:
-		return Nacked
+		return Rejected
 	case errors.As(err, &e) && e.Number == 1317:
-		return WrittenOff
+		return Failed
 	case err == nil || errors.As(err, &e):
 		return fmt.Sprintf("%d rows, %v", n, err)
 	case ctx.Err() != nil:
-		return Late
+		return TimedOut
 	}
-	return Broken
+	return ConnectionLost
 }
--- a/internal/testbed/load/timerwheel/wheel_test.go
+++ b/internal/testbed/load/timerwheel/timerwheel_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// What a load does with a timer: set a patience, call it off when the answer comes, with 100,000 open.
+// What a load does with a timer: set a attempt timeout, call it off when the answer comes, with 100,000 open.
 const open = 100_000
 
 func BenchmarkWheel(b *testing.B) {
--- a/internal/testbed/load/workers/coordinator.go
+++ b/internal/testbed/load/workers/coordinator.go
@@ -36,13 +36,13 @@
 	listener net.Listener
 	resumed  bool
 	Spawn    func(worker int, address string) error // starts a worker's process
-	Say      func(string)
+	Log      func(string)
 	Progress func(at time.Duration, offered, ended, open int64)
 
 	mu      sync.Mutex // of all below: links bring events
-	muster  *Muster
+	muster  *Registry
 	links   []*link
-	figures *stats.Figures
+	figures *stats.Metrics
 	got     []int64 // reports taken in, by worker
 	open    []int64
 	skipped map[uint64]bool
@@ -97,9 +97,9 @@
 
 type coordinatorHost struct{ *Coordinator }
 
-func (h coordinatorHost) Say(text string) {
-	if h.Coordinator.Say != nil {
-		h.Coordinator.Say(text)
+func (h coordinatorHost) LogEvent(text string) {
+	if h.Coordinator.Log != nil {
+		h.Coordinator.Log(text)
 	}
 }
 
@@ -118,7 +118,7 @@
 }
 
 // Serve plays the run to its end.
-func (c *Coordinator) Serve() (*stats.Figures, int64, int64, error) {
+func (c *Coordinator) Serve() (*stats.Metrics, int64, int64, error) {
 	names, quoted := make([]string, len(c.run.Load.Lanes)), make([]time.Duration, len(c.run.Load.Lanes))
 	for i, l := range c.run.Load.Lanes {
 		names[i], quoted[i] = l.Name, l.Quoted
@@ -126,7 +126,7 @@
 	c.figures = stats.New(names, quoted)
 	c.links, c.got, c.open = make([]*link, c.run.Workers), make([]int64, c.run.Workers), make([]int64, c.run.Workers)
 	c.skipped = map[uint64]bool{}
-	c.muster = NewMuster(c.now(), c.run.Workers, c.run.Drop, c.resumed, coordinatorHost{c})
+	c.muster = NewRegistry(c.now(), c.run.Workers, c.run.Drop, c.resumed, coordinatorHost{c})
 	go c.accept()
 	defer c.listener.Close()
 	if !c.resumed && c.Spawn != nil {
@@ -143,8 +143,8 @@
 			c.mu.Unlock()
 			return nil, 0, 0, errKilled
 		}
-		c.muster.Due(c.now())
-		over := c.muster.Over()
+		c.muster.Tick(c.now())
+		over := c.muster.Finished()
 		if c.Progress != nil && tick%10 == 0 {
 			var open int64
 			for _, n := range c.open {
@@ -194,8 +194,8 @@
 	}
 	for t, ok := s.Next(); ok; t, ok = s.Next() {
 		switch {
-		case c.figures.Has(t.N):
-		case c.skipped[t.N] || !c.muster.Offered(t.N, t.At):
+		case c.figures.HasOutcome(t.N):
+		case c.skipped[t.N] || !c.muster.MayHaveBeenSent(t.N, t.At):
 			notSent++
 		default:
 			unknown++
@@ -239,7 +239,7 @@
 		Run
 		Got int64 `json:"got"`
 	}{c.run, c.got[w]})
-	c.muster.Joined(c.now(), w, h.Losses, h.Until)
+	c.muster.HandleJoin(c.now(), w, h.Losses, h.Until)
 	c.mu.Unlock()
 	for {
 		kind, payload, err := l.read()
@@ -248,7 +248,7 @@
 			if c.links[w] == l {
 				c.links[w] = nil
 				if !c.killed {
-					c.muster.Gone(c.now(), w)
+					c.muster.HandleDisconnect(c.now(), w)
 				}
 			}
 			c.mu.Unlock()
@@ -265,18 +265,18 @@
 		var b beat
 		if json.Unmarshal(payload, &b) == nil {
 			c.open[w] = b.Open
-			c.muster.Heard(c.now(), w, b.Horizon, b.Done)
+			c.muster.HandleHeartbeat(c.now(), w, b.Horizon, b.Done)
 		}
 	case frameTook:
 		took := map[int]time.Duration{}
 		if json.Unmarshal(payload, &took) == nil {
 			for loss, from := range took {
-				c.muster.Took(w, loss, from)
+				c.muster.HandleTakeover(w, loss, from)
 			}
 		}
 	case frameReports:
 		var r client.Report
-		var t arrival.Task
+		var t arrival.Request
 		for ; len(payload) >= reportSize; payload = payload[reportSize:] {
 			unpackReport(payload, &r, &t)
 			c.got[w]++
@@ -287,8 +287,8 @@
 				c.skipped[t.N] = true
 				continue
 			}
-			c.figures.Offer(t.At)
-			c.figures.Over(&r)
+			c.figures.RecordOffered(t.At)
+			c.figures.RecordFinished(&r)
 		}
 	}
 }
--- a/internal/testbed/load/workers/muster.go
+++ b/internal/testbed/load/workers/registry.go
@@ -1,5 +1,5 @@
-// Package workers shares a schedule among worker processes. Who sends a task depends on its number, its time and the
-// workers lost so far, so all agree without talking about tasks; leases see to it that a lost worker has stopped before
+// Package workers shares a schedule among worker processes. Who sends a request depends on its number, its time and the
+// workers lost so far, so all agree without talking about requests; leases see to it that a lost worker has stopped before
 // others take its share.
 package workers
 
@@ -12,21 +12,21 @@
 // often as it must be, for those that were heard of in half of it; so a silent worker is lost within one and a half
 // leases, which is under a second.
 const (
-	Lease   = 600 * time.Millisecond
-	renewal = Lease / 10
-	silence = Lease / 2
+	LeasePeriod = 600 * time.Millisecond
+	renewal     = LeasePeriod / 10
+	silence     = LeasePeriod / 2
 	// A worker that is so far behind its schedule is as good as lost: it would offer another load than the one asked for.
-	behind = Lease / 2
+	behind = LeasePeriod / 2
 	// Processes take a while to start.
 	starting = time.Second
 	// Orphan is how long workers go on after their coordinator was last proven dead. Another one waits as long for workers
 	// that it hasn't seen.
-	Orphan = 5 * time.Second
-	// A late heir begins so long after it heard, as its loops may be in the middle of a task.
+	OrphanPeriod = 5 * time.Second
+	// A late heir begins so long after it heard, as its loops may be in the middle of a request.
 	handover = 50 * time.Millisecond
 )
 
-// Loss is a worker whose tasks from a time on are its heirs'.
+// Loss is a worker whose requests from a time on are its heirs'.
 type Loss struct {
 	Worker int           `json:"worker"`
 	From   time.Duration `json:"from_ns"`
@@ -34,10 +34,10 @@
 	Why    string        `json:"why"`
 }
 
-// Nobody sends a task that is not offered.
-const Nobody = -1
+// NoWorker sends a request that is not offered.
+const NoWorker = -1
 
-// Owner tells who sends a task, and by which loss it came to that one (-1: it was that worker's from the start).
+// Owner tells who sends a request, and by which loss it came to that one (-1: it was that worker's from the start).
 func Owner(n uint64, at time.Duration, workers int, losses []Loss) (owner, by int) {
 	owner, by = int(n%uint64(workers)), -1
 	for i := range losses {
@@ -46,18 +46,18 @@
 			continue
 		}
 		if by = i; len(l.Heirs) == 0 {
-			return Nobody, i
+			return NoWorker, i
 		}
 		owner = l.Heirs[(n/uint64(workers)+uint64(i))%uint64(len(l.Heirs))]
 	}
 	return owner, by
 }
 
-// MusterHost is what the coordinator's decisions act on.
-type MusterHost interface {
+// RegistryHost is what the coordinator's decisions act on.
+type RegistryHost interface {
 	Grant(worker int, until time.Duration)
 	Losses(worker int, losses []Loss) // the whole list so far
-	Say(text string)
+	LogEvent(text string)
 }
 
 type member struct {
@@ -72,11 +72,11 @@
 	took    map[int]time.Duration
 }
 
-// Muster decides for the coordinator who is a member and who is lost. All times count from the start of the run. Who is
+// Registry decides for the coordinator who is a member and who is lost. All times count from the start of the run. Who is
 // lost is decided only when no lease of that worker can run any more, or its process has ended: then it can't take the
 // coordinator's death, should that come next, for leave to go on.
-type Muster struct {
-	host    MusterHost
+type Registry struct {
+	host    RegistryHost
 	members []member
 	losses  []Loss
 	drop    bool
@@ -85,20 +85,20 @@
 	resumed bool
 }
 
-// NewMuster begins a run of so many workers. drop: a lost one's tasks are not offered. resumed: workers are out there
+// NewRegistry begins a run of so many workers. drop: a lost one's requests are not offered. resumed: workers are out there
 // that another coordinator had started.
-func NewMuster(now time.Duration, workers int, drop, resumed bool, host MusterHost) *Muster {
-	m := &Muster{host: host, members: make([]member, workers), drop: drop, begun: now, renewed: now, resumed: resumed}
+func NewRegistry(now time.Duration, workers int, drop, resumed bool, host RegistryHost) *Registry {
+	m := &Registry{host: host, members: make([]member, workers), drop: drop, begun: now, renewed: now, resumed: resumed}
 	for i := range m.members {
 		m.members[i].heard = now
 	}
 	return m
 }
 
-// Joined takes in that a worker's connection is open. known is the list of losses that it goes by, until is when its own
+// HandleJoin takes in that a worker's connection is open. known is the list of losses that it goes by, until is when its own
 // lease ends. The coordinator before may have given up one whose lease has ended, and who knows of that may be still to
 // come: it gets no lease before all have.
-func (m *Muster) Joined(now time.Duration, worker int, known []Loss, until time.Duration) {
+func (m *Registry) HandleJoin(now time.Duration, worker int, known []Loss, until time.Duration) {
 	if len(known) > len(m.losses) { // of the coordinator before
 		for _, l := range known[len(m.losses):] {
 			m.losses = append(m.losses, l)
@@ -114,7 +114,7 @@
 	m.grant(now, worker)
 }
 
-func (m *Muster) tell() {
+func (m *Registry) tell() {
 	for i := range m.members {
 		if m.members[i].here {
 			m.host.Losses(i, m.losses)
@@ -122,28 +122,28 @@
 	}
 }
 
-func (m *Muster) grant(now time.Duration, worker int) {
+func (m *Registry) grant(now time.Duration, worker int) {
 	if w := &m.members[worker]; !w.lost && !w.waits {
-		w.granted = max(w.granted, now+Lease)
-		m.host.Grant(worker, now+Lease)
+		w.granted = max(w.granted, now+LeasePeriod)
+		m.host.Grant(worker, now+LeasePeriod)
 	}
 }
 
-// Heard takes in a worker's word: how far it is in the schedule, and whether all that it sends has ended.
-func (m *Muster) Heard(now time.Duration, worker int, horizon time.Duration, done bool) {
+// HandleHeartbeat takes in a worker's word: how far it is in the schedule, and whether all that it sends has ended.
+func (m *Registry) HandleHeartbeat(now time.Duration, worker int, horizon time.Duration, done bool) {
 	w := &m.members[worker]
 	w.heard, w.done = now, done
 	w.slow = w.slow || !done && horizon < min(now, now-behind) && now > behind
 }
 
-// Gone takes in that a worker's connection ended.
-func (m *Muster) Gone(now time.Duration, worker int) {
+// HandleDisconnect takes in that a worker's connection ended.
+func (m *Registry) HandleDisconnect(now time.Duration, worker int) {
 	m.members[worker].here = false
-	m.Due(now)
+	m.Tick(now)
 }
 
-// Took takes in from when on a worker sends what a loss brought it.
-func (m *Muster) Took(worker, loss int, from time.Duration) {
+// HandleTakeover takes in from when on a worker sends what a loss brought it.
+func (m *Registry) HandleTakeover(worker, loss int, from time.Duration) {
 	w := &m.members[worker]
 	if w.took == nil {
 		w.took = map[int]time.Duration{}
@@ -152,8 +152,8 @@
 }
 
 // settled tells whether nobody can be out there who knows of losses that this coordinator doesn't.
-func (m *Muster) settled(now time.Duration) bool {
-	if !m.resumed || now >= m.begun+Orphan {
+func (m *Registry) settled(now time.Duration) bool {
+	if !m.resumed || now >= m.begun+OrphanPeriod {
 		return true
 	}
 	for i := range m.members {
@@ -164,8 +164,8 @@
 	return true
 }
 
-// Due looks for the lost and renews leases; it is called some twenty times a second.
-func (m *Muster) Due(now time.Duration) {
+// Tick looks for the lost and renews leases; it is called some twenty times a second.
+func (m *Registry) Tick(now time.Duration) {
 	for i := range m.members {
 		w := &m.members[i]
 		if w.waits && m.settled(now) {
@@ -200,7 +200,7 @@
 }
 
 // lose gives a worker's share away from the end of its lease on.
-func (m *Muster) lose(worker int, why string) {
+func (m *Registry) lose(worker int, why string) {
 	w := &m.members[worker]
 	w.lost = true
 	l := Loss{Worker: worker, From: max(w.granted, 0), Why: why}
@@ -212,14 +212,14 @@
 		}
 	}
 	m.losses = append(m.losses, l)
-	m.host.Say(fmt.Sprintf("worker %d is lost: %s", worker, why))
+	m.host.LogEvent(fmt.Sprintf("worker %d is lost: %s", worker, why))
 	m.tell()
 }
 
-// Over tells whether nobody is left who has something to send or to tell.
-func (m *Muster) Over() bool {
+// Finished tells whether nobody is left who has something to send or to tell.
+func (m *Registry) Finished() bool {
 	for i := range m.members {
-		if w := &m.members[i]; !w.done && !(w.lost && (!w.here || w.silentFor(m.renewed) > Orphan)) {
+		if w := &m.members[i]; !w.done && !(w.lost && (!w.here || w.silentFor(m.renewed) > OrphanPeriod)) {
 			return false
 		}
 	}
@@ -228,14 +228,14 @@
 
 func (w *member) silentFor(now time.Duration) time.Duration { return now - w.heard }
 
-// Lost is the list of losses.
-func (m *Muster) Lost() []Loss { return m.losses }
+// Losses is the list of losses.
+func (m *Registry) Losses() []Loss { return m.losses }
 
-// Offered tells what is known of a task that nobody has reported: unknown, when a worker that was lost may have sent it,
+// MayHaveBeenSent tells what is known of a request that nobody has reported: unknown, when a worker that was lost may have sent it,
 // or not offered.
-func (m *Muster) Offered(n uint64, at time.Duration) (unknown bool) {
+func (m *Registry) MayHaveBeenSent(n uint64, at time.Duration) (unknown bool) {
 	owner, by := Owner(n, at, len(m.members), m.losses)
-	if owner == Nobody {
+	if owner == NoWorker {
 		return false
 	}
 	w := &m.members[owner]
@@ -247,17 +247,17 @@
 	return true
 }
 
-// Share decides, for one worker, which tasks are its own. Its loops ask from their goroutines; the view that they see
+// Assignment decides, for one worker, which requests are its own. Its loops ask from their goroutines; the view that they see
 // is changed as a whole.
-type Share struct {
+type Assignment struct {
 	Me, Workers int
 	Until       time.Duration // of the lease
 	Losses      []Loss
 	Took        []time.Duration // by loss: from when on this worker sends what came by it
 }
 
-// Mine tells whether a task is this worker's, and whether it would be but for the lease.
-func (s *Share) Mine(n uint64, at time.Duration) (mine, skipped bool) {
+// Owns tells whether a request is this worker's, and whether it would be but for the lease.
+func (s *Assignment) Owns(n uint64, at time.Duration) (mine, skipped bool) {
 	owner, by := Owner(n, at, s.Workers, s.Losses)
 	if owner != s.Me || by >= 0 && at < s.Took[by] {
 		return false, false
@@ -268,25 +268,25 @@
 	return true, false
 }
 
-// Granted is the share with a lease that a coordinator told.
-func (s *Share) Granted(until time.Duration) *Share {
+// WithLease is the share with a lease that a coordinator told.
+func (s *Assignment) WithLease(until time.Duration) *Assignment {
 	next := *s
 	next.Until = max(s.Until, until)
 	return &next
 }
 
-// Orphaned is the share now that no coordinator is there, which is proven. With a lease that still runs this worker can't
+// WithoutCoordinator is the share now that no coordinator is there, which is proven. With a lease that still runs this worker can't
 // have been given up, and another coordinator, which can't have begun yet, waits for Orphan before it does so.
-func (s *Share) Orphaned(now time.Duration) *Share {
+func (s *Assignment) WithoutCoordinator(now time.Duration) *Assignment {
 	if now >= s.Until {
 		return s
 	}
-	return s.Granted(now + Orphan)
+	return s.WithLease(now + OrphanPeriod)
 }
 
-// Lose is the share with a list of losses that is heard of now; took tells from when on this worker sends what the
+// WithLosses is the share with a list of losses that is heard of now; took tells from when on this worker sends what the
 // new ones bring.
-func (s *Share) Lose(now time.Duration, losses []Loss) (next *Share, took map[int]time.Duration) {
+func (s *Assignment) WithLosses(now time.Duration, losses []Loss) (next *Assignment, took map[int]time.Duration) {
 	if len(losses) < len(s.Losses) { // an older list
 		return s, nil
 	}
--- a/internal/testbed/load/workers/wire.go
+++ b/internal/testbed/load/workers/wire.go
@@ -72,7 +72,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	head := binary.LittleEndian.AppendUint32([]byte{kind}, uint32(len(payload)))
-	l.tcp.SetWriteDeadline(time.Now().Add(Lease))
+	l.tcp.SetWriteDeadline(time.Now().Add(LeasePeriod))
 	b := net.Buffers{head, payload}
 	_, err := b.WriteTo(l.tcp)
 	return err
@@ -103,28 +103,28 @@
 // reportSize is a packed report's: seven numbers of eight bytes and four single bytes.
 const reportSize = 7*8 + 4
 
-// skipped stands for an outcome where a worker did not send a task as its lease had ended.
+// skipped stands for an outcome where a worker did not send a request as its lease had ended.
 const skipped = 0xff
 
 func packReport(dst []byte, r *client.Report) []byte {
-	for _, v := range [...]int64{int64(r.Task.N), int64(r.Task.At), int64(r.End), int64(r.Sent), int64(r.Own), int64(r.Queued),
-		int64(r.Tries)} {
+	for _, v := range [...]int64{int64(r.Request.N), int64(r.Request.At), int64(r.End), int64(r.Sent), int64(r.GeneratorDelay), int64(r.QueueDelay),
+		int64(r.Attempts)} {
 		dst = binary.LittleEndian.AppendUint64(dst, uint64(v))
 	}
 	odd := byte(0)
-	if r.Odd {
+	if r.Misbehaving {
 		odd = 1
 	}
-	return append(dst, byte(r.Outcome), byte(r.Task.Lane), odd, 0)
+	return append(dst, byte(r.Outcome), byte(r.Request.Lane), odd, 0)
 }
 
-func packSkipped(dst []byte, t *arrival.Task) []byte {
-	return packReport(dst, &client.Report{Task: t, Outcome: skipped})
+func packSkipped(dst []byte, t *arrival.Request) []byte {
+	return packReport(dst, &client.Report{Request: t, Outcome: skipped})
 }
 
-func unpackReport(b []byte, r *client.Report, t *arrival.Task) {
+func unpackReport(b []byte, r *client.Report, t *arrival.Request) {
 	v := func(i int) int64 { return int64(binary.LittleEndian.Uint64(b[8*i:])) }
-	*t = arrival.Task{N: uint64(v(0)), At: time.Duration(v(1)), Lane: int(b[57])}
-	*r = client.Report{Task: t, End: time.Duration(v(2)), Sent: time.Duration(v(3)), Own: time.Duration(v(4)),
-		Queued: time.Duration(v(5)), Tries: int(v(6)), Outcome: client.Outcome(b[56]), Odd: b[58] == 1}
+	*t = arrival.Request{N: uint64(v(0)), At: time.Duration(v(1)), Lane: int(b[57])}
+	*r = client.Report{Request: t, End: time.Duration(v(2)), Sent: time.Duration(v(3)), GeneratorDelay: time.Duration(v(4)),
+		QueueDelay: time.Duration(v(5)), Attempts: int(v(6)), Outcome: client.Outcome(b[56]), Misbehaving: b[58] == 1}
 }
--- a/internal/testbed/load/workers/worker.go
+++ b/internal/testbed/load/workers/worker.go
@@ -18,11 +18,11 @@
 type Worker struct {
 	address string
 	me      int
-	share   atomic.Pointer[Share]
+	share   atomic.Pointer[Assignment]
 	start   time.Time
 	run     Run
 	begun   bool
-	drive   *driver.Drive
+	drive   *driver.Driver
 	done    atomic.Bool
 
 	mu   sync.Mutex
@@ -32,8 +32,8 @@
 // leftAlone is how long a worker that has nothing to send any more looks for a coordinator to tell.
 const leftAlone = 30 * time.Second
 
-// Work joins a coordinator and sends until the run is over.
-func Work(address string, me int) error {
+// RunWorker joins a coordinator and sends until the run is over.
+func RunWorker(address string, me int) error {
 	w := &Worker{address: address, me: me}
 	var alone time.Time // since when there is no coordinator
 	for {
@@ -49,7 +49,7 @@
 			alone = now
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) && !w.start.IsZero() { // proof that no coordinator is there
-			w.share.Store(w.share.Load().Orphaned(time.Since(w.start)))
+			w.share.Store(w.share.Load().WithoutCoordinator(time.Since(w.start)))
 			if w.done.Load() && now.Sub(alone) > leftAlone {
 				return errors.New("no coordinator came back for the figures")
 			}
@@ -60,7 +60,7 @@
 
 // connect serves one connection to the coordinator; it tells whether the run is over.
 func (w *Worker) connect() (over bool, err error) {
-	tcp, err := net.DialTimeout("tcp", w.address, Lease)
+	tcp, err := net.DialTimeout("tcp", w.address, LeasePeriod)
 	if err != nil {
 		return false, err
 	}
@@ -99,12 +99,12 @@
 		case frameGrant:
 			var until time.Duration
 			if json.Unmarshal(payload, &until) == nil {
-				w.share.Store(w.share.Load().Granted(until))
+				w.share.Store(w.share.Load().WithLease(until))
 			}
 		case frameLosses:
 			var losses []Loss
 			if json.Unmarshal(payload, &losses) == nil {
-				next, took := w.share.Load().Lose(time.Since(w.start), losses)
+				next, took := w.share.Load().WithLosses(time.Since(w.start), losses)
 				w.share.Store(next)
 				if len(took) > 0 {
 					l.writeJSON(frameTook, took)
@@ -122,11 +122,11 @@
 		return nil
 	}
 	w.run, w.start, w.begun = run, run.Start, true
-	w.share.Store(&Share{Me: w.me, Workers: run.Workers})
+	w.share.Store(&Assignment{Me: w.me, Workers: run.Workers})
 	l := run.Load
 	l.Shard, l.Of = w.me, run.Workers
-	l.Mine = func(t *arrival.Task) bool {
-		mine, missed := w.share.Load().Mine(t.N, t.At)
+	l.Owns = func(t *arrival.Request) bool {
+		mine, missed := w.share.Load().Owns(t.N, t.At)
 		if missed {
 			w.mu.Lock()
 			w.kept = packSkipped(w.kept, t)
@@ -134,7 +134,7 @@
 		}
 		return mine
 	}
-	l.Over = func(r *client.Report) {
+	l.OnFinished = func(r *client.Report) {
 		w.mu.Lock()
 		w.kept = packReport(w.kept, r)
 		w.mu.Unlock()
--- a/internal/testbed/quorumquota/quorum.go
+++ b/internal/testbed/quorumquota/quorumquota.go
@@ -1,5 +1,5 @@
-// Package quorumquota is what the budgets are measured against: each unit of a total is asked of a majority of the keepers for each use,
-// when a task waits for it, and is given back at the use's end. Nothing is held ahead and nothing is lent. Only the laboratory's
+// Package quorumquota is what the budgets are measured against: each unit of a total is asked of a majority of the replicas for each use,
+// when a request waits for it, and is given back at the use's end. Nothing is held ahead and nothing is lent. Only the testbed's
 // builds have it. It does no I/O.
 package quorumquota
 
@@ -35,11 +35,11 @@
 	hands  []unit // held, and in no use
 	uses   []unit
 	wanted []int64
-	takes  []int64 // promised to a task about to go out
-	hints  [][]int // units that a keeper said are free
+	takes  []int64 // promised to a request about to go out
+	hints  [][]int // units that a replica said are free
 	restAt []Time  // until when nothing is asked for, as all was in use
 
-	keeps  bool // it is a keeper
+	keeps  bool // it is a replica
 	openAt Time // from when it grants: what one before it granted has ended
 	grants [][]grant
 }
@@ -74,7 +74,7 @@
 // lease is how long a unit is held for: it must last to the end of a use that begins within another.
 func (c *Core) lease() Time { return 2 * c.plan.LongestUse }
 
-// margin is a lease at a keeper, by whose clock it must have ended surely.
+// margin is a lease at a replica, by whose clock it must have ended surely.
 func (c *Core) margin() Time { return c.lease() + 3*c.lease()/c.plan.DriftDivisor + 1 }
 
 func (c *Core) send(to string, m quota.Message) {
@@ -275,7 +275,7 @@
 	}
 }
 
-// SetDemand tells how much waiting tasks would use.
+// SetDemand tells how much waiting requests would use.
 func (c *Core) SetDemand(now Time, b int, amount int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/report/archive.go
+++ b/internal/testbed/report/archive.go
@@ -15,8 +15,8 @@
 // Archive keeps runs in one file.
 type Archive struct{ db *bbolt.DB }
 
-// Kept is a run with what the archive knows of it.
-type Kept struct {
+// ArchivedRun is a run with what the archive knows of it.
+type ArchivedRun struct {
 	ID     uint64             `json:"id"`
 	Note   string             `json:"note"`
 	Result *experiment.Result `json:"result"`
@@ -51,7 +51,7 @@
 		if id, err = b.NextSequence(); err != nil {
 			return err
 		}
-		text, err := json.Marshal(Kept{id, note, r})
+		text, err := json.Marshal(ArchivedRun{id, note, r})
 		if err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 var ErrNoRun = errors.New("no such run in the archive")
 
 // Get is one run.
-func (a *Archive) Get(id uint64) (k *Kept, err error) {
+func (a *Archive) Get(id uint64) (k *ArchivedRun, err error) {
 	err = a.db.View(func(tx *bbolt.Tx) error {
 		text := tx.Bucket(runsBucket).Get(key(id))
 		if text == nil {
@@ -78,10 +78,10 @@
 }
 
 // Each calls f for every run, oldest first.
-func (a *Archive) Each(f func(*Kept) error) error {
+func (a *Archive) Each(f func(*ArchivedRun) error) error {
 	return a.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(runsBucket).ForEach(func(_, text []byte) error {
-			var k *Kept
+			var k *ArchivedRun
 			if err := json.Unmarshal(text, &k); err != nil {
 				return err
 			}
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -26,7 +26,7 @@
 		}
 		for _, q := range []float64{0.5, 0.99, 0.999} {
 			out = append(out, measure{fmt.Sprintf("%s p%g ms", l.Name, 100*q), -1, lane(func(r *experiment.Result, i int) float64 {
-				return r.Figures.Lanes[i].Quantile(client.Delivered, q).Seconds() * 1000
+				return r.Figures.Lanes[i].Quantile(client.Served, q).Seconds() * 1000
 			})})
 		}
 		out = append(out, measure{l.Name + " in quoted time %", 1, lane(func(r *experiment.Result, i int) float64 {
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -134,7 +134,7 @@
 	if err := addLine(p, "offered", bySecond(r, func(i int) float64 { return float64(s[i].Offered) }), 0); err != nil {
 		return nil, err
 	}
-	return p, addLine(p, "delivered", bySecond(r, func(i int) float64 { return float64(s[i].Outcomes[client.Delivered]) }), 2)
+	return p, addLine(p, "delivered", bySecond(r, func(i int) float64 { return float64(s[i].Outcomes[client.Served]) }), 2)
 }
 
 // logMS is a latency on a logarithmic axis, which has no 0.
@@ -152,7 +152,7 @@
 		var xy plotter.XYs
 		for i := range r.Figures.Seconds {
 			s := &r.Figures.Seconds[i]
-			if s.Outcomes[client.Delivered] == 0 {
+			if s.Outcomes[client.Served] == 0 {
 				continue
 			}
 			d := s.Quantile(q)
@@ -198,7 +198,7 @@
 func byQuantile(count int64, of func(q float64) time.Duration) (xy plotter.XYs) {
 	for x := 0.0; x <= 5; x += 0.05 {
 		q := 1 - math.Pow(10, -x)
-		if float64(count)*(1-q) < 0.5 { // no task lies beyond
+		if float64(count)*(1-q) < 0.5 { // no request lies beyond
 			break
 		}
 		xy = append(xy, plotter.XY{X: x, Y: logMS(of(q))})
@@ -212,7 +212,7 @@
 	p.X.Tick.Marker = nineTicks{}
 	for i := range r.Figures.Lanes {
 		l := &r.Figures.Lanes[i]
-		xy := byQuantile(l.Outcomes[client.Delivered].TotalCount(), func(q float64) time.Duration { return l.Quantile(client.Delivered, q) })
+		xy := byQuantile(l.Outcomes[client.Served].TotalCount(), func(q float64) time.Duration { return l.Quantile(client.Served, q) })
 		if err := addLine(p, l.Name, xy, i); err != nil {
 			return nil, err
 		}
@@ -223,7 +223,7 @@
 func outcomePlot(r *experiment.Result) (*plot.Plot, error) {
 	p := newPlot("second", "tasks")
 	n := 0
-	for o := client.Delivered + 1; o < client.Outcome(client.Outcomes); o++ {
+	for o := client.Served + 1; o < client.Outcome(client.OutcomeCount); o++ {
 		if r.Figures.Count(o) == 0 {
 			continue
 		}
@@ -242,8 +242,8 @@
 	p := newPlot("quantile", "milliseconds")
 	logAxis(p)
 	p.X.Tick.Marker = nineTicks{}
-	if err := addLine(p, "own delay", byQuantile(r.Figures.Total(), r.Figures.OwnQuantile), 0); err != nil {
+	if err := addLine(p, "own delay", byQuantile(r.Figures.Total(), r.Figures.GeneratorDelayQuantile), 0); err != nil {
 		return nil, err
 	}
-	return p, addLine(p, "waits for a connection", byQuantile(r.Figures.Total(), r.Figures.QueuedQuantile), 1)
+	return p, addLine(p, "waits for a connection", byQuantile(r.Figures.Total(), r.Figures.QueueDelayQuantile), 1)
 }
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -52,19 +52,19 @@
 	}
 }
 
-// laneRows are the figures by lane.
-func laneRows(f *stats.Figures) [][]string {
+// laneRows are the figures by class.
+func laneRows(f *stats.Metrics) [][]string {
 	rows := [][]string{{"lane", "offered", "delivered", "in quoted time", "p50 ms", "p90", "p99", "p99.9", "max", "tries"}}
-	lanes := append([]stats.Lane(nil), f.Lanes...)
+	lanes := append([]stats.ClassMetrics(nil), f.Lanes...)
 	if f.Odd.Offered > 0 {
 		lanes = append(lanes, f.Odd)
 	}
 	for i := range lanes {
 		l := &lanes[i]
-		n := l.Outcomes[client.Delivered].TotalCount()
+		n := l.Outcomes[client.Served].TotalCount()
 		row := []string{l.Name, fmt.Sprint(l.Offered), fmt.Sprint(n), percent(l.Quick, l.Offered)}
 		for _, q := range quantiles {
-			row = append(row, ms(l.Quantile(client.Delivered, q)))
+			row = append(row, ms(l.Quantile(client.Served, q)))
 		}
 		rows = append(rows, append(row, fmt.Sprint(l.Tries)))
 	}
@@ -79,10 +79,10 @@
 }
 
 // outcomeRows are the ends that came.
-func outcomeRows(f *stats.Figures) [][]string {
+func outcomeRows(f *stats.Metrics) [][]string {
 	head := []string{"outcomes"}
 	var shown []client.Outcome
-	for o := range client.Outcome(client.Outcomes) {
+	for o := range client.Outcome(client.OutcomeCount) {
 		if f.Count(o) > 0 {
 			shown = append(shown, o)
 			head = append(head, o.String())
--- a/internal/testbed/simcluster/assembly.go
+++ b/internal/testbed/simcluster/assembly.go
@@ -13,7 +13,7 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// assembly is a fleet that goes by one charter, in one process and virtual time: links that lose, delay, double and cut, processes that are
+// assembly is a fleet that goes by one policy rollout, in one process and virtual time: links that lose, delay, double and cut, processes that are
 // killed, doubled and stopped, disks that are slow, full or lie, clocks that run off.
 type assembly struct {
 	post[[]byte]
@@ -50,7 +50,7 @@
 	held     [][]byte
 	from     []string
 	busy     Time // until when something decided is still on its way out
-	worse    bool // half of its tasks find no room
+	worse    bool // half of its requests find no room
 }
 
 type todo struct {
--- a/internal/testbed/simcluster/counts.go
+++ b/internal/testbed/simcluster/counts.go
@@ -95,7 +95,7 @@
 	return out
 }
 
-// step has tasks come, go out and end.
+// step has requests come, go out and end.
 func (p *counted) step() {
 	now := p.clock()
 	for p.nextAt <= p.t.now {
@@ -180,7 +180,7 @@
 type Counted struct {
 	Members int
 	Age     Time    // of a reading, in the mean
-	Width   float64 // of the interval of tasks that run, against their number
+	Width   float64 // of the interval of requests that run, against their number
 	Silent  float64 // processes that a reading knows nothing of, in the mean
 	Bytes   float64 // a second a member
 	Wrong   int     // readings in whose interval the truth was not
--- a/internal/testbed/simcluster/crowd.go
+++ b/internal/testbed/simcluster/crowd.go
@@ -71,7 +71,7 @@
 	life  int
 	from  *Process
 	bytes []byte
-	kind  uint8 // of the message: member's or judgement's
+	kind  uint8 // of the message: member's or health report's
 	call  func()
 }
 
--- a/internal/testbed/simcluster/judgement.go
+++ b/internal/testbed/simcluster/judgement.go
@@ -8,16 +8,16 @@
 	"magpiebank/internal/admission"
 )
 
-// Sharing is what judgements came to in a fleet where each member sends tasks to engines drawn at random.
+// Sharing is what health reports came to in a fleet where each member sends requests to engines drawn at random.
 type Sharing struct {
 	Members, Engines int
 	Loss             float64
-	Rate             float64 // tasks a second at each member
+	Rate             float64 // requests a second at each member
 	Detect           Time    // until nine of ten members hold enough against the bad engine to send it nothing; below 0: they did not
-	Sent             int     // tasks that went there in the half minute that it was bad
+	Sent             int     // requests that went there in the half minute that it was bad
 	Alone            float64 // and how many would have, by the rate alone
 	Wrong            int     // times that enough was held against a sound engine, by its share of single errors
-	Bytes            float64 // a second a member, of judgements alone
+	Bytes            float64 // a second a member, of health reports alone
 }
 
 // Share plays a fleet whose engines have some single errors, and of which one fails all that comes for half a minute.
--- a/internal/testbed/simcluster/post.go
+++ b/internal/testbed/simcluster/post.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// pass plays some time: what is due is delivered, each process is stepped, and then all are looked at.
+// pass plays some time: what is due is served, each process is stepped, and then all are looked at.
 func (p *post[M]) pass(length Time, deliver func(letter[M]), step, look func()) {
 	for until := p.now + length; p.now < until; {
 		p.now += 10 * admission.Millisecond
--- a/internal/testbed/simcluster/town_test.go
+++ b/internal/testbed/simcluster/town_test.go
@@ -11,7 +11,7 @@
 // margin is a term or a loan at one who waits for its end.
 func margin(t Time) Time { return t + 3*t/20 + 1 }
 
-// mayBegin keeps to the stated bound: of the keepers a minority at most is doubled at a time.
+// mayBegin keeps to the stated bound: of the replicas a minority at most is doubled at a time.
 func (t *town) mayBegin(n int, in *person) bool {
 	living := map[int]int{}
 	for _, q := range t.people {
@@ -227,7 +227,7 @@
 	w.pass(3*second, check)
 	healed := share(5 * second)
 	t.Logf("share of the total used: even demand %.3f, all at one of 32 %.3f, a third cut off for half a term %.3f, for three terms %.3f, 3 s after %.3f", even, one, during, long, healed)
-	// The keepers are on one side; on the other seats are held for three quarters of a term at least, and are then taken over.
+	// The replicas are on one side; on the other seats are held for three quarters of a term at least, and are then taken over.
 	if even < 0.95 || one < 0.95 || during < 0.8 || long < 0.95 || healed < 0.95 {
 		t.Error("0.95, 0.95, 0.8, 0.95 and 0.95 were expected")
 	}
@@ -260,7 +260,7 @@
 	}
 }
 
-// Tasks that need more than a member's part, and more than a few could lend: not all hold a little and wait for each other.
+// Requests that need more than a member's part, and more than a few could lend: not all hold a little and wait for each other.
 func TestWide(t *testing.T) {
 	w := newTown(3, 40, 3, 48)
 	w.pass(6*second, func() {})
