--- /dev/null
+++ b/internal/cluster/rollout/format_folder_test.go
@@ -0,0 +1,71 @@
+package rollout
+
+import (
+	"bytes"
+	"math/rand/v2"
+	"testing"
+
+	"magpiebank/internal/cluster/consensus"
+	"magpiebank/internal/storage/store"
+	"magpiebank/internal/testbed/golden"
+)
+
+// replayHost takes what a log that is taken up again tells first.
+type replayHost struct {
+	consensus.Host
+	state   []byte
+	entries [][]byte
+}
+
+func (h *replayHost) SnapshotInstalled(_ uint64, state []byte)                    { h.state = state }
+func (h *replayHost) VotersChanged(_ uint64, _ []byte, voters, learners []uint64) {}
+func (h *replayHost) EntryApplied(_ uint64, entry []byte)                         { h.entries = append(h.entries, entry) }
+func (h *replayHost) LeadershipChanged(uint64)                                    {}
+
+func TestFolderOfEarlierVersionIsRead(t *testing.T) {
+	folder, err := store.OpenFolder(golden.CopyFolder(t, "folder")) // a store that is opened writes to its folder
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := &StoredState{}
+	records := map[[16]byte][]byte{}
+	opened, _, err := store.Open(folder, "gateway-a", store.Limits{}, func(key store.Key, value []byte, gone bool) {
+		records[key] = bytes.Clone(value)
+		stored.AddRecord(key, records[key], gone)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer opened.Close()
+	if err := stored.Err(); err != nil {
+		t.Fatal(err)
+	}
+	digest := stored.floor.Digest
+	text := ReadPolicyText(digest, func(key [16]byte) []byte { return records[key] })
+	golden.CheckValues(t, "folder", []any{*stored.floor, *stored.replica, stored.sortedPolicyKeys(), DigestOf(text), len(text)})
+	for _, r := range policyRecords(digest, text) {
+		if !bytes.Equal(r.Value, records[r.Key]) {
+			t.Errorf("record %q of the policy's text is written otherwise", r.Key)
+		}
+	}
+
+	host := &replayHost{}
+	node, err := consensus.New(2, &stored.log, rand.New(rand.NewPCG(1, 2)), host)
+	if err != nil {
+		t.Fatal(err)
+	}
+	node.Tick()
+	table := &Table{}
+	if err := unmarshal(host.state, table); err != nil {
+		t.Fatal(err)
+	}
+	golden.CheckValues(t, "folder-state", table)
+	if len(host.entries) != 1 {
+		t.Fatalf("expected one decided entry, found %d", len(host.entries))
+	}
+	decided := &logEntry{}
+	if err := unmarshal(host.entries[0], decided); err != nil {
+		t.Fatal(err)
+	}
+	golden.CheckValues(t, "folder-entry", decided)
+}
--- a/internal/storage/requestjournal/format_test.go
+++ b/internal/storage/requestjournal/format_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"os"
 	"slices"
 	"testing"
 
@@ -17,11 +16,7 @@
 }
 
 func TestFolderOfEarlierVersionIsReadAndRecordsAreWrittenAlike(t *testing.T) {
-	path := t.TempDir() // a store that is opened writes to its folder
-	if err := os.CopyFS(path, os.DirFS("testdata/format/folder")); err != nil {
-		t.Fatal(err)
-	}
-	folder, err := store.OpenFolder(path)
+	folder, err := store.OpenFolder(golden.CopyFolder(t, "folder")) // a store that is opened writes to its folder
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -136,3 +136,13 @@
 	}
 	return list
 }
+
+// CopyFolder copies a folder of testdata/format to one that the test may write to, and returns its path.
+func CopyFolder(t testing.TB, name string) string {
+	t.Helper()
+	path := t.TempDir()
+	if err := os.CopyFS(path, os.DirFS(filepath.Join(folder, name))); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
