--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -57,14 +57,14 @@
 	// "\x05\x00\x00\x06\xfe\x00\x00\x02\x00"
 }
 
-// loginPacket is a client's first packet without its head.
+// loginPacket is the payload of a client's first packet.
 func loginPacket(flags uint32, rest string) []byte {
 	b := make([]byte, loginFixedSize)
 	b[0], b[1], b[2], b[3] = byte(flags), byte(flags>>8), byte(flags>>16), byte(flags>>24)
 	return append(b, rest...)
 }
 
-func TestLogin(t *testing.T) {
+func TestParseLogin(t *testing.T) {
 	const secure = protocol41 | secureLogin | withDatabase
 	for _, c := range []struct {
 		packet               []byte
@@ -81,13 +81,13 @@
 		{[]byte("short"), "", "", "", ErrMalformedLogin},
 	} {
 		user, password, base, err := ParseLogin(c.packet)
-		if string(user) != c.user || string(password) != c.password || string(base) != c.base || err != c.err {
+		if string(user) != c.user || string(password) != c.password || string(base) != c.base || !errors.Is(err, c.err) {
 			t.Errorf("%q: got %q %q %q %v", c.packet, user, password, base, err)
 		}
 	}
 }
 
-func TestRequestAmiss(t *testing.T) {
+func TestReadRequestRejectsMalformedFields(t *testing.T) {
 	for _, c := range []struct {
 		sql  string
 		want error
@@ -124,13 +124,13 @@
 		{"/* class=a,id=0123456789abcdef,wait=5 */ SELECT 1; DROP TABLE staging.x", ErrText},
 		{"/* class=a,id=0123456789abcdef,wait=5 */ SELECT ';' -- ;\n; /* ; */", nil},
 	} {
-		if _, err := ReadRequest([]byte(c.sql)); err != c.want {
+		if _, err := ReadRequest([]byte(c.sql)); !errors.Is(err, c.want) {
 			t.Errorf("%s: got %v, want %v", c.sql, err, c.want)
 		}
 	}
 }
 
-func TestTables(t *testing.T) {
+func TestTableGroup(t *testing.T) {
 	for sql, want := range map[string]int{
 		"SELECT day FROM sales_17.orders WHERE tag = '3f9c'":                                                  17,
 		"SELECT day FROM `sales_17`.`orders`":                                                                 17,
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestKill(t *testing.T) {
+func TestParseKillQuery(t *testing.T) {
 	for sql, want := range map[string]uint32{"KILL QUERY 77": 77, "kill query 4294967295;": 1<<32 - 1} {
 		if got, ok := ParseKillQuery([]byte(sql)); !ok || got != want {
 			t.Errorf("%q: got %d, %v", sql, got, ok)
@@ -193,7 +193,7 @@
 	f.Add([]byte("a\tb\tc\n"))
 	f.Add(loginPacket(protocol41|secureLogin, "app\x00\x00"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		ParseLogin(b)
+		_, _, _, _ = ParseLogin(b)
 		rows, _, err := AppendRows(nil, 0, b)
 		if err != nil && !errors.Is(err, ErrMalformedRows) {
 			t.Error(err)
@@ -228,14 +228,14 @@
 	var rows int
 	row := func([3][]byte) { rows++ }
 	allocations := testing.AllocsPerRun(100, func() {
-		out = AppendQuery(out[:0], "look", 0xab, 1500, true, statement)
-		var a Response
+		out = AppendQuery(out[:0], QueryFields{Class: "look", ID: 0xab, WaitMS: 1500, Retry: true}, statement)
+		var response Response
 		for rest := got; len(rest) > 0; {
 			length, _ := ParseHeader(rest)
-			whole, err := a.ReadPacket(rest[HeaderSize:HeaderSize+length], row)
+			done, err := response.ReadPacket(rest[HeaderSize:HeaderSize+length], row)
 			rest = rest[HeaderSize+length:]
-			if err != nil || whole != (len(rest) == 0) {
-				t.Fatal(whole, err)
+			if err != nil || done != (len(rest) == 0) {
+				t.Fatal(done, err)
 			}
 		}
 	})
@@ -249,13 +249,13 @@
 func ExampleResponse() { // errors, what is none, and rows that stop short
 	for _, packets := range [][]byte{AppendOK(nil, 1), AppendRejection(nil, 1, 250), AppendError(nil, 1, ErrInterrupted, "x"), {1, 0, 0, 1, 9}, {2, 0, 0, 1, 3, 3},
 		append(func() []byte { b, _ := AppendColumns(nil, 1); return b }(), 2, 0, 0, 6, 5, 'a')} {
-		var a Response
-		var whole bool
+		var response Response
+		var done bool
 		var err error
 		for ; len(packets) > 0 && err == nil; packets = packets[HeaderSize+int(packets[0]):] {
-			whole, err = a.ReadPacket(packets[HeaderSize:HeaderSize+int(packets[0])], func([3][]byte) {})
+			done, err = response.ReadPacket(packets[HeaderSize:HeaderSize+int(packets[0])], func([3][]byte) {})
 		}
-		fmt.Println(whole, a.Code, IsRejected(a.Code), a.RetryAfterMS, err)
+		fmt.Println(done, response.Code, IsRejected(response.Code), response.RetryAfterMS, err)
 	}
 	// Output:
 	// true 0 false 0 <nil>
--- a/internal/protocol/mysql/packet.go
+++ b/internal/protocol/mysql/packet.go
@@ -8,10 +8,10 @@
 	"strconv"
 )
 
-// HeaderSize is the length of the head before each packet's payload.
+// HeaderSize is the length of the header before each packet's payload.
 const HeaderSize = 4
 
-// ParseHeader reads a packet's head: the payload's length and the packet's number.
+// ParseHeader reads a packet's header, which must have HeaderSize bytes: the payload's length and the packet's number.
 func ParseHeader(b []byte) (length int, number byte) {
 	return int(b[0]) | int(b[1])<<8 | int(b[2])<<16, b[3]
 }
@@ -42,21 +42,22 @@
 	loginFixedSize = 32
 )
 
-// beginPacket appends the head of a packet and leaves its length open; seal fills it in.
+// beginPacket appends the header of a packet, whose length endPacket fills in, and returns where the packet starts.
 func beginPacket(dst []byte, number byte) ([]byte, int) {
 	return append(dst, 0, 0, 0, number), len(dst)
 }
 
-func endPacket(dst []byte, at int) []byte {
-	n := len(dst) - at - HeaderSize
-	dst[at], dst[at+1], dst[at+2] = byte(n), byte(n>>8), byte(n>>16)
+// endPacket completes the packet that starts at an offset and reaches to the end of dst.
+func endPacket(dst []byte, start int) []byte {
+	length := len(dst) - start - HeaderSize
+	dst[start], dst[start+1], dst[start+2] = byte(length), byte(length>>8), byte(length>>16)
 	return dst
 }
 
 // AppendGreeting appends the server's first packet.
 func AppendGreeting(dst []byte, connection uint32, salt *[20]byte) []byte {
-	dst, at := beginPacket(dst, 0)
-	dst = append(append(append(dst, 10), serverVersion...), 0)
+	dst, start := beginPacket(dst, 0)
+	dst = append(append(append(dst, protocolVersion), serverVersion...), 0)
 	dst = binary.LittleEndian.AppendUint32(dst, connection)
 	dst = append(append(dst, salt[:8]...), 0)
 	dst = binary.LittleEndian.AppendUint16(dst, capabilities&0xffff)
@@ -67,13 +68,13 @@
 	dst = append(dst, make([]byte, 10)...)
 	dst = append(append(dst, salt[8:]...), 0)
 	dst = append(append(dst, plugin...), 0)
-	return endPacket(dst, at)
+	return endPacket(dst, start)
 }
 
-// ErrMalformedLogin is a login that is no packet of the protocol 4.1.
+// ErrMalformedLogin is returned for a login that is no packet of the protocol 4.1.
 var ErrMalformedLogin = errors.New("malformed login")
 
-// ParseLogin reads the client's first packet. The parts lie in the payload.
+// ParseLogin reads the payload of the client's first packet. The results lie in the payload.
 func ParseLogin(payload []byte) (user, password, database []byte, err error) {
 	if len(payload) < loginFixedSize {
 		return nil, nil, nil, ErrMalformedLogin
@@ -87,14 +88,14 @@
 	if !ok {
 		return nil, nil, nil, ErrMalformedLogin
 	}
-	switch {
-	case flags&(secureLogin|lengthInLogin) != 0: // a password of 20 bytes or none; longer ones are no use here
+	if flags&(secureLogin|lengthInLogin) != 0 { // the password's length comes first, one byte
 		if len(rest) == 0 || len(rest)-1 < int(rest[0]) {
 			return nil, nil, nil, ErrMalformedLogin
 		}
 		password, rest = rest[1:1+rest[0]], rest[1+rest[0]:]
-	default:
-		if password, rest, ok = bytes.Cut(rest, []byte{0}); !ok {
+	} else {
+		password, rest, ok = bytes.Cut(rest, []byte{0})
+		if !ok {
 			return nil, nil, nil, ErrMalformedLogin
 		}
 	}
@@ -104,14 +105,14 @@
 	return user, password, database, nil
 }
 
-// AppendOK appends the packet that says so.
+// AppendOK appends an OK packet.
 func AppendOK(dst []byte, number byte) []byte {
-	dst, at := beginPacket(dst, number)
-	dst = append(dst, 0, 0, 0, autocommit, 0, 0, 0)
-	return endPacket(dst, at)
+	dst, start := beginPacket(dst, number)
+	dst = append(dst, okMarker, 0, 0, autocommit, 0, 0, 0)
+	return endPacket(dst, start)
 }
 
-// The errors that sessions answer with. The first two are nacks: trying again is harmless.
+// The codes of the errors that sessions answer with. After the first two a retry is safe, as the query did not run.
 const (
 	ErrTooManyConnections = 1040 // ER_CON_COUNT_ERROR
 	ErrRejected           = 1203 // ER_TOO_MANY_USER_CONNECTIONS
@@ -137,82 +138,90 @@
 	case ErrInterrupted:
 		state = "70100"
 	}
-	dst, at := beginPacket(dst, number)
-	dst = append(binary.LittleEndian.AppendUint16(append(dst, 0xff), code), '#')
-	return endPacket(append(append(dst, state...), text...), at)
+	dst, start := beginPacket(dst, number)
+	dst = append(binary.LittleEndian.AppendUint16(append(dst, errorMarker), code), '#')
+	return endPacket(append(append(dst, state...), text...), start)
 }
 
-// AppendRejection appends the error packet of a nack, with the milliseconds to stay away where there are any.
-func AppendRejection(dst []byte, number byte, comeBackMS int64) []byte {
+// retryAfterPrefix stands before the milliseconds in the text of a rejection.
+const retryAfterPrefix = "after="
+
+// AppendRejection appends the error packet of a rejected query. If retryAfterMS is above 0 its text states the
+// milliseconds after which the client may retry.
+func AppendRejection(dst []byte, number byte, retryAfterMS int64) []byte {
 	text := "no room now"
-	if comeBackMS > 0 {
-		text += ", after=" + strconv.FormatInt(comeBackMS, 10)
+	if retryAfterMS > 0 {
+		text += ", " + retryAfterPrefix + strconv.FormatInt(retryAfterMS, 10)
 	}
 	return AppendError(dst, number, ErrRejected, text)
 }
 
-// AppendEOF appends the packet after the columns and after the rows.
+// AppendEOF appends the packet that ends the columns and the rows of a result.
 func AppendEOF(dst []byte, number byte) []byte {
-	dst, at := beginPacket(dst, number)
-	return endPacket(append(dst, 0xfe, 0, 0, autocommit, 0), at)
+	dst, start := beginPacket(dst, number)
+	return endPacket(append(dst, eofMarker, 0, 0, autocommit, 0), start)
 }
 
-// columns is how many a result has.
+// columns is how many columns each result has.
 const columns = 3
 
-// AppendColumns appends what stands before a result's rows and returns the number of the next packet.
+// AppendColumns appends the packets before a result's rows, from the given number on, and returns the number of the next
+// packet.
 func AppendColumns(dst []byte, number byte) ([]byte, byte) {
-	dst, at := beginPacket(dst, number)
-	dst = endPacket(append(dst, columns), at)
+	dst, start := beginPacket(dst, number)
+	dst = endPacket(append(dst, columns), start)
 	for _, name := range [columns]string{"c1", "c2", "c3"} {
 		number++
-		dst, at = beginPacket(dst, number)
-		for _, s := range [...]string{"def", "", "", "", name, name} {
-			dst = appendLengthEncoded(dst, s)
+		dst, start = beginPacket(dst, number)
+		for _, field := range [...]string{"def", "", "", "", name, name} { // catalogue, schema, tables and names
+			dst = appendLengthEncoded(dst, field)
 		}
 		dst = append(dst, 0x0c, charset, 0)
 		dst = binary.LittleEndian.AppendUint32(dst, 1<<16-1)
 		dst = append(dst, typeVarString, 0, 0, 0, 0, 0)
-		dst = endPacket(dst, at)
+		dst = endPacket(dst, start)
 	}
 	return AppendEOF(dst, number+1), number + 2
 }
 
-// ErrMalformedRows is text that isn't whole rows of three columns.
+// ErrMalformedRows is returned for text that is not complete rows of three columns.
 var ErrMalformedRows = errors.New("malformed rows")
 
-// ValidRows tells whether a page is text in whole rows of three columns, a tab between columns and a line feed
+// ValidRows tells whether a page is text in complete rows of three columns, with a tab between columns and a line feed
 // behind each row.
 func ValidRows(page []byte) bool {
-	for ok := true; len(page) > 0; {
-		if _, page, ok = cutRow(page); !ok {
+	for len(page) > 0 {
+		_, rest, ok := cutRow(page)
+		if !ok {
 			return false
 		}
+		page = rest
 	}
 	return true
 }
 
-// cutRow cuts the first row off a page; ok tells whether it is one.
+// cutRow cuts the first row off a page; ok tells whether it is complete.
 func cutRow(page []byte) (line, rest []byte, ok bool) {
 	line, rest, ok = bytes.Cut(page, []byte{'\n'})
 	return line, rest, ok && bytes.Count(line, []byte{'\t'}) == columns-1
 }
 
-// AppendRows appends the packets of the rows of a page.
+// AppendRows appends the packets of the rows of a page and returns the number of the next packet. The error is
+// ErrMalformedRows; the rows before the malformed one have been appended.
 func AppendRows(dst []byte, number byte, page []byte) ([]byte, byte, error) {
 	for len(page) > 0 {
 		line, rest, ok := cutRow(page)
 		if !ok {
 			return dst, number, ErrMalformedRows
 		}
-		var at int
-		dst, at = beginPacket(dst, number)
+		var start int
+		dst, start = beginPacket(dst, number)
 		for range columns {
 			var column []byte
 			column, line, _ = bytes.Cut(line, []byte{'\t'})
 			dst = appendLengthEncoded(dst, column)
 		}
-		dst = endPacket(dst, at)
+		dst = endPacket(dst, start)
 		number++
 		page = rest
 	}
@@ -220,14 +229,14 @@
 }
 
 // appendLengthEncoded appends a length-encoded string.
-func appendLengthEncoded[T string | []byte](dst []byte, s T) []byte {
-	switch n := len(s); {
-	case n < 251:
-		dst = append(dst, byte(n))
-	case n < 1<<16:
-		dst = append(dst, 0xfc, byte(n), byte(n>>8))
+func appendLengthEncoded[T string | []byte](dst []byte, text T) []byte {
+	switch length := len(text); {
+	case length < 251:
+		dst = append(dst, byte(length))
+	case length < 1<<16:
+		dst = append(dst, 0xfc, byte(length), byte(length>>8))
 	default:
-		dst = append(dst, 0xfd, byte(n), byte(n>>8), byte(n>>16))
+		dst = append(dst, 0xfd, byte(length), byte(length>>8), byte(length>>16))
 	}
-	return append(dst, s...)
+	return append(dst, text...)
 }
--- a/internal/protocol/mysql/query.go
+++ b/internal/protocol/mysql/query.go
@@ -25,35 +25,38 @@
 	ErrText             = errors.New("expected the text of one statement")
 )
 
-// The lengths of the fields that are hexadecimal digits, and the longest estimate that is taken: days, or a petabyte.
+// The lengths of the fields that are hexadecimal digits, and the highest estimate that is taken: days, or a petabyte.
 const (
 	idDigits    = 16
 	keyDigits   = 16
-	onceDigits  = 32
+	tokenDigits = 32
 	maxEstimate = 1e9
 )
 
-// Request is a client's query: the fields in the comment before its statement, and the statement without it. The slices lie in
-// the text that it was read from.
+// Request is a client's query: the fields in the comment before its statement, and the statement without the comment.
+// The slices lie in the text that it was read from.
 type Request struct {
 	Class, ID []byte
-	WaitMS    int64 // how long the client waits for the whole answer
-	Retry     bool  // it is a client's own further try
+	WaitMS    int64 // how long the client waits for the complete response
+	Retry     bool  // the client sent the query before
 
-	// What clients of some deployments send besides; empty or 0 where they don't.
+	// Optional fields; empty or 0 if the client did not send them.
 	Tenant           []byte
 	Key              []byte  // requests with the same key may have to run in order
-	IdempotencyToken []byte  // the idempotency token, by which engines tell a repeat; the same for all tries of a client
+	IdempotencyToken []byte  // the same for all attempts of a client, so that engines recognise a repeated query
 	WorkMS           float64 // the client's estimate of the work, in milliseconds on one thread
-	MemoryMB         float64 // and of the memory
+	MemoryMB         float64 // the client's estimate of the memory
 
 	Statement []byte
 }
 
-// ReadRequest reads the fields in the comment before a statement, and the statement. What no client of the protocol sends is an
-// error: engines fail on it, or close.
+// whitespace may stand before and after the comment with the fields.
+const whitespace = " \t\r\n"
+
+// ReadRequest reads the fields in the comment before a statement, and the statement. The error is the one that the
+// variables above list for the field; the request holds the fields before it.
 func ReadRequest(sql []byte) (r Request, err error) {
-	rest := bytes.TrimLeft(sql, " \t\r\n")
+	rest := bytes.TrimLeft(sql, whitespace)
 	rest, ok := bytes.CutPrefix(rest, []byte("/*"))
 	if !ok {
 		return r, ErrFields
@@ -70,11 +73,11 @@
 			return r, err
 		}
 	}
-	r.Statement = bytes.TrimLeft(body, " \t\r\n")
+	r.Statement = bytes.TrimLeft(body, whitespace)
 	return r, r.validate()
 }
 
-// setField takes in one field.
+// setField sets one field from its text.
 func (r *Request) setField(name string, value []byte) (err error) {
 	switch name {
 	case "class":
@@ -85,7 +88,8 @@
 		if r.WaitMS != 0 {
 			return ErrField
 		}
-		if r.WaitMS, err = strconv.ParseInt(string(value), 10, 32); err != nil {
+		r.WaitMS, err = strconv.ParseInt(string(value), 10, 32)
+		if err != nil {
 			return ErrWait
 		}
 	case "retry":
@@ -104,7 +108,7 @@
 		}
 		return setOnce(&r.Key, value)
 	case "once":
-		if !isHexDigits(value, onceDigits) {
+		if !isHexDigits(value, tokenDigits) {
 			return ErrIdempotencyToken
 		}
 		return setOnce(&r.IdempotencyToken, value)
@@ -118,7 +122,7 @@
 	return nil
 }
 
-// setOnce keeps the value of a field that may stand only once.
+// setOnce sets a field that may stand only once.
 func setOnce(field *[]byte, value []byte) error {
 	if *field != nil {
 		return ErrField
@@ -127,7 +131,7 @@
 	return nil
 }
 
-// setEstimate keeps the value of a field that is an amount.
+// setEstimate sets a field that is an amount and may stand only once.
 func setEstimate(field *float64, value []byte, malformed error) error {
 	if *field != 0 {
 		return ErrField
@@ -140,11 +144,11 @@
 	return nil
 }
 
-// validate tells what a request lacks.
+// validate checks the statement and the fields that every request must have.
 func (r *Request) validate() error {
-	body := r.Statement
+	statement := r.Statement
 	switch {
-	case len(body) == 0 || !utf8.Valid(body) || bytes.IndexByte(body, 0) >= 0 || !isSingleStatement(body):
+	case len(statement) == 0 || !utf8.Valid(statement) || bytes.IndexByte(statement, 0) >= 0 || !isSingleStatement(statement):
 		return ErrText
 	case len(r.Class) == 0:
 		return ErrClass
@@ -162,7 +166,7 @@
 		return false
 	}
 	for _, c := range text {
-		if !('0' <= c && c <= '9' || 'a' <= c && c <= 'f') {
+		if (c < '0' || c > '9') && (c < 'a' || c > 'f') {
 			return false
 		}
 	}
@@ -171,84 +175,40 @@
 
 // isSingleStatement tells whether a text is one statement; a semicolon may end it.
 func isSingleStatement(sql []byte) bool {
-	if bytes.IndexByte(sql, ';') < 0 { // as good as all
+	if bytes.IndexByte(sql, ';') < 0 { // most statements have no semicolon at all
 		return true
 	}
-	l := sqltext.Lexer{Text: sql}
-	for t := l.Next(); t.Kind != sqltext.End; t = l.Next() {
-		if t.Sign == ';' {
-			return l.Next().Kind == sqltext.End
+	lexer := sqltext.Lexer{Text: sql}
+	for token := lexer.Next(); token.Kind != sqltext.End; token = lexer.Next() {
+		if token.Sign == ';' {
+			return lexer.Next().Kind == sqltext.End
 		}
 	}
 	return true
 }
 
-// ParseKillQuery reads the connection id of a KILL QUERY statement.
+// ParseKillQuery reads the connection id of a KILL QUERY statement; ok tells whether the statement is one.
 func ParseKillQuery(sql []byte) (connection uint32, ok bool) {
-	if sql = bytes.TrimLeft(sql, " \t\r\n"); len(sql) == 0 || sql[0]|0x20 != 'k' { // as good as all
+	const maxBytes = 64 // a longer statement is cut; none that is valid is so long
+	sql = bytes.TrimLeft(sql, whitespace)
+	if len(sql) == 0 || sql[0]|0x20 != 'k' { // most statements begin otherwise
 		return 0, false
 	}
-	words := strings.Fields(strings.TrimRight(string(sql[:min(len(sql), 64)]), "; \t\r\n"))
+	words := strings.Fields(strings.TrimRight(string(sql[:min(len(sql), maxBytes)]), ";"+whitespace))
 	if len(words) != 3 || !strings.EqualFold(words[0], "KILL") || !strings.EqualFold(words[1], "QUERY") {
 		return 0, false
 	}
-	n, err := strconv.ParseUint(words[2], 10, 32)
-	return uint32(n), err == nil
-}
-
-// TableGroup finds the group of tables that a statement reads or writes: the number behind the underscore in the
-// name of the schema before a table's name. Strings, comments and the schema staging do not count, nor do
-// columns qualified by a table's other name.
-func TableGroup(sql []byte) int {
-	l := sqltext.Lexer{Text: sql}
-	place := false // a table's name may stand here
-	from := false  // in a list of tables, where a comma brings the next
-	for t := l.Next(); t.Kind != sqltext.End; t = l.Next() {
-		switch {
-		case t.Sign == ',' && from:
-			place = true
-		case t.Kind == sqltext.Word || t.Kind == sqltext.Quoted:
-			name := l.Bytes(t)
-			if l.NextIsDot() {
-				l.Next()
-				l.Next()
-				if group, ok := schemaGroup(name); ok && place {
-					return group
-				}
-				place = false
-				continue
-			}
-			if t.Kind == sqltext.Quoted {
-				continue
-			}
-			switch strings.ToUpper(string(name)) {
-			case "FROM", "JOIN", "USING":
-				place, from = true, true
-			case "INTO", "UPDATE", "TABLE", "INSERT", "REPLACE", "DELETE":
-				place = true
-			case "SELECT", "SET", "VALUES", "VALUE", "WHERE", "GROUP", "ORDER", "HAVING", "LIMIT", "ON":
-				place, from = false, false
-			}
-		}
-	}
-	return 0
-}
-
-func schemaGroup(schema []byte) (int, bool) {
-	i := bytes.LastIndexByte(schema, '_')
-	if i < 0 || bytes.EqualFold(schema, []byte("staging")) {
-		return 0, false
-	}
-	n, err := strconv.ParseUint(string(schema[i+1:]), 10, 31)
-	return int(n), err == nil
+	id, err := strconv.ParseUint(words[2], 10, 32)
+	return uint32(id), err == nil
 }
 
-// IsRetry tells whether the fields of a query mark it as a client's own further try.
+// IsRetry tells whether the fields of a query mark it as one that the client sent before.
 func IsRetry(sql []byte) bool {
-	fields, _, ok := bytes.Cut(sql, []byte("*/"))
-	if _, fields, _ = bytes.Cut(fields, []byte("/*")); !ok {
+	comment, _, ok := bytes.Cut(sql, []byte("*/"))
+	if !ok {
 		return false
 	}
+	_, fields, _ := bytes.Cut(comment, []byte("/*"))
 	for field := range bytes.SplitSeq(fields, []byte{','}) {
 		if string(bytes.TrimSpace(field)) == "retry=1" {
 			return true
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -1,9 +1,11 @@
-// Package resp parses and writes the engines' wire, arrays of bulk strings in RESP, on bytes alone.
+// Package resp parses and writes the engines' wire, arrays of bulk strings in RESP. It works on bytes alone and opens no
+// connections.
 package resp
 
 import (
 	"bytes"
 	"errors"
+	"math"
 	"net"
 	"strconv"
 
@@ -11,90 +13,107 @@
 	"magpiebank/internal/config"
 )
 
-// MaxBulkBytes is the longest array that Parse takes: a page of 6,000 bytes with its head has ample room.
+// MaxBulkBytes is the longest bulk string that Parse takes: a page of 6,000 bytes with its fields has ample room.
 const MaxBulkBytes = 1 << 14
 
-// ErrMalformedArray is what is no array of bulk strings.
+// maxElements is the largest number of bulk strings that Parse takes in one array.
+const maxElements = 16
+
+// maxLengthDigits bounds a line that states a length.
+const maxLengthDigits = 16
+
+// lineEnd ends each line and each bulk string.
+const lineEnd = "\r\n"
+
+// ErrMalformedArray is returned for what is no array of bulk strings.
 var ErrMalformedArray = errors.New("malformed array")
 
-// Parse reads the array at the start of b into parts, which lie in b, and tells how long it is; 0 where b does
-// not hold all of it.
-func Parse(b []byte, parts [][]byte) ([][]byte, int, error) {
-	count, at, err := readLength(b, 0, '*')
-	if err != nil || at == 0 {
-		return parts, 0, err
+// Parse parses the array at the start of b, appends its elements, which lie in b, to dst, and returns the length of the
+// array, 0 if b does not hold all of it yet. The error is ErrMalformedArray.
+func Parse(b []byte, dst [][]byte) (elements [][]byte, length int, err error) {
+	elements = dst
+	count, next, err := readLength(b, 0, '*')
+	if err != nil || next == 0 {
+		return elements, 0, err
 	}
-	if count < 1 || count > 16 {
-		return parts, 0, ErrMalformedArray
+	if count < 1 || count > maxElements {
+		return elements, 0, ErrMalformedArray
 	}
 	for range count {
-		length, from, err := readLength(b, at, '$')
-		if err != nil || from == 0 {
-			return parts, 0, err
+		size, start, err := readLength(b, next, '$')
+		if err != nil || start == 0 {
+			return elements, 0, err
 		}
-		if length < 0 || length > MaxBulkBytes {
-			return parts, 0, ErrMalformedArray
+		if size < 0 || size > MaxBulkBytes {
+			return elements, 0, ErrMalformedArray
 		}
-		if at = from + length + 2; at > len(b) {
-			return parts, 0, nil
+		next = start + size + len(lineEnd)
+		if next > len(b) {
+			return elements, 0, nil
 		}
-		if b[at-2] != '\r' || b[at-1] != '\n' {
-			return parts, 0, ErrMalformedArray
+		if b[next-2] != '\r' || b[next-1] != '\n' {
+			return elements, 0, ErrMalformedArray
 		}
-		parts = append(parts, b[from:at-2])
+		elements = append(elements, b[start:start+size])
 	}
-	return parts, at, nil
+	return elements, next, nil
 }
 
-// readLength reads a line of a mark and a number, and tells where the next one begins; 0 where it isn't all there.
-func readLength(b []byte, at int, mark byte) (n, next int, err error) {
-	if at >= len(b) {
+// readLength reads the line at an offset, which has a marker and a number, and returns the offset of the next line, 0
+// if the line has not arrived completely.
+func readLength(b []byte, offset int, marker byte) (length, next int, err error) {
+	if offset >= len(b) {
 		return 0, 0, nil
 	}
-	if b[at] != mark {
+	if b[offset] != marker {
 		return 0, 0, ErrMalformedArray
 	}
-	i := bytes.IndexByte(b[at:], '\n')
-	if i < 0 {
-		if len(b)-at > 16 {
+	newline := bytes.IndexByte(b[offset:], '\n')
+	if newline < 0 {
+		if len(b)-offset > maxLengthDigits {
 			return 0, 0, ErrMalformedArray
 		}
 		return 0, 0, nil
 	}
-	if i < 3 || b[at+i-1] != '\r' {
+	const shortestLine = len("*1\r")
+	if newline < shortestLine || b[offset+newline-1] != '\r' {
 		return 0, 0, ErrMalformedArray
 	}
-	n, err = strconv.Atoi(string(b[at+1 : at+i-1]))
+	length, err = strconv.Atoi(string(b[offset+1 : offset+newline-1]))
 	if err != nil {
 		return 0, 0, ErrMalformedArray
 	}
-	return n, at + i + 1, nil
+	return length, offset + newline + 1, nil
 }
 
 // AppendArray appends an array of bulk strings.
-func AppendArray(dst []byte, parts ...string) []byte {
-	dst = appendLength(dst, '*', len(parts))
-	for _, p := range parts {
-		dst = appendBulk(dst, p)
+func AppendArray(dst []byte, elements ...string) []byte {
+	dst = appendLength(dst, '*', len(elements))
+	for _, element := range elements {
+		dst = appendBulk(dst, element)
 	}
 	return dst
 }
 
-// Attempt is what an engine is told of one attempt at a request.
+// Attempt is one attempt of a request, as it is sent to an engine.
 type Attempt struct {
 	ID, Class string
 	TimeoutMS int64
-	MemoryMB  float64 // the grant; below 1: the engine's own choice
+	MemoryMB  float64 // the grant; below 1 the engine decides
 	Priority  int
-	Token     []byte // by which engines tell a repeat; empty: none
+	Token     []byte // the idempotency token; empty: the request has none
 	Statement []byte
 }
 
-// AppendAttempt gathers an attempt: a head made in dst, and the statement as it lies.
+// attemptFieldsBytes is ample for the fields of an attempt.
+const attemptFieldsBytes = 144
+
+// AppendAttempt returns the buffers of an attempt: all that stands before the statement, appended to dst, and the
+// statement itself, which is not copied.
 func AppendAttempt(dst []byte, a Attempt) net.Buffers {
 	dst = append(appendLength(dst, '*', 4), "$2\r\ndo\r\n"...)
 	dst = appendBulk(dst, a.ID)
-	fields := make([]byte, 0, 144)
+	fields := make([]byte, 0, attemptFieldsBytes)
 	fields = append(append(fields, "kind="...), a.Class...)
 	fields = strconv.AppendInt(append(fields, ",ms="...), a.TimeoutMS, 10)
 	if mb := int64(a.MemoryMB); mb > 0 {
@@ -106,63 +125,66 @@
 	}
 	dst = appendBulk(dst, fields)
 	dst = appendLength(dst, '$', len(a.Statement))
-	return net.Buffers{dst, a.Statement, []byte("\r\n")}
+	return net.Buffers{dst, a.Statement, []byte(lineEnd)}
 }
 
-func appendLength(dst []byte, mark byte, n int) []byte {
-	return append(strconv.AppendInt(append(dst, mark), int64(n), 10), '\r', '\n')
+func appendLength(dst []byte, marker byte, length int) []byte {
+	return append(strconv.AppendInt(append(dst, marker), int64(length), 10), lineEnd...)
 }
 
-func appendBulk[T string | []byte](dst []byte, s T) []byte {
-	return append(append(appendLength(dst, '$', len(s)), s...), '\r', '\n')
+func appendBulk[T string | []byte](dst []byte, text T) []byte {
+	return append(append(appendLength(dst, '$', len(text)), text...), lineEnd...)
 }
 
-// FindField finds a field's value in a list name=value,name=value; - is the empty list.
+// FindField returns a field's value from a list name=value,name=value, nil if the list has no such field. The empty list
+// is written as -.
 func FindField(fields []byte, name string) []byte {
 	for len(fields) > 0 {
 		var field []byte
 		field, fields, _ = bytes.Cut(fields, []byte{','})
-		if n, value, ok := bytes.Cut(field, []byte{'='}); ok && string(n) == name {
+		if found, value, ok := bytes.Cut(field, []byte{'='}); ok && string(found) == name {
 			return value
 		}
 	}
 	return nil
 }
 
-// maxAmount is more than any amount on the wire, milliseconds or MB, can be: years, or petabytes.
+// maxAmount is the highest amount that is taken, in milliseconds or MB: years, or petabytes.
 const maxAmount = 1e12
 
-// ParseAmount is a field's value as a number from 0, 0 where there is none; ok tells whether it can be one.
-func ParseAmount(fields []byte, name string) (v float64, ok bool) {
+// ParseAmount returns a field's value as a number from 0, 0 if the list has no such field; ok tells whether the value is a
+// valid amount.
+func ParseAmount(fields []byte, name string) (amount float64, ok bool) {
 	text := FindField(fields, name)
 	if len(text) == 0 {
 		return 0, true
 	}
-	v, err := strconv.ParseFloat(string(text), 64)
-	if err != nil || !(v >= 0 && v <= maxAmount) {
+	amount, err := strconv.ParseFloat(string(text), 64)
+	if err != nil || math.IsNaN(amount) || amount < 0 || amount > maxAmount {
 		return 0, false
 	}
-	return v, true
+	return amount, true
 }
 
-// ParseProgress reads a note about a running task; ok tells whether it is one we know.
-func ParseProgress(fields []byte) (news admission.NoticeKind, value float64, ok bool) {
+// ParseProgress reads a note about a running attempt; ok tells whether its kind is known and its value valid.
+func ParseProgress(fields []byte) (kind admission.NoticeKind, value float64, ok bool) {
 	switch string(FindField(fields, "res")) {
 	case "so_far":
-		news = admission.ProgressNotice
+		kind = admission.ProgressNotice
 	case "lacking":
-		news = admission.SpillNotice
+		kind = admission.SpillNotice
 	case "waiting":
-		news = admission.WaitNotice
+		kind = admission.WaitNotice
 	default:
 		return 0, 0, false
 	}
 	value, ok = ParseAmount(fields, "v")
-	return news, value, ok
+	return kind, value, ok
 }
 
-// ParseLoadReport reads an engine's load report, as in inflight:7;util:0.61.
+// ParseLoadReport reads an engine's load report, as in inflight:7;util:0.61. Gauges that are unknown or malformed are
+// left out.
 func ParseLoadReport(fields []byte) admission.Report {
-	r, _ := config.ParseReport(string(FindField(fields, "gauges")), ";")
-	return r
+	report, _ := config.ParseReport(string(FindField(fields, "gauges")), ";")
+	return report
 }
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"testing"
 
@@ -25,34 +26,34 @@
 func ExampleParse() {
 	b := append(AppendArray(nil, "id1", "data", "pages=2,cost=31,need=12", "a\tb\tc\n"), AppendArray(nil, "id2", "full")...)
 	for len(b) > 0 {
-		parts, n, err := Parse(b, nil)
-		fmt.Printf("%q %d %v\n", parts, n, err)
+		elements, n, err := Parse(b, nil)
+		fmt.Printf("%q %d %v\n", elements, n, err)
 		b = b[n:]
 	}
-	parts, n, err := Parse(AppendArray(nil, "id1", "data")[:20], nil)
-	fmt.Println(len(parts) < 2, n, err)
+	elements, n, err := Parse(AppendArray(nil, "id1", "data")[:20], nil)
+	fmt.Println(len(elements) < 2, n, err)
 	// Output:
 	// ["id1" "data" "pages=2,cost=31,need=12" "a\tb\tc\n"] 65 <nil>
 	// ["id2" "full"] 23 <nil>
 	// true 0 <nil>
 }
 
-func TestMalformed(t *testing.T) {
+func TestParseRejectsMalformedArrays(t *testing.T) {
 	for _, b := range []string{"+OK\r\n", "*0\r\n", "*-1\r\n", "*99\r\n", "*1\r\n:5\r\n", "*1\r\n$-1\r\n", "*1\r\n$1\r\nab\r\n",
 		"*1\r\n$99999999\r\n", "*x\r\n", "*1\n", "*111111111111111111111"} {
-		if _, n, err := Parse([]byte(b), nil); err != ErrMalformedArray || n != 0 {
+		if _, n, err := Parse([]byte(b), nil); !errors.Is(err, ErrMalformedArray) || n != 0 {
 			t.Errorf("%q: got %d, %v", b, n, err)
 		}
 	}
 }
 
-func TestFields(t *testing.T) {
+func TestParseFields(t *testing.T) {
 	fields := []byte("pages=3,cost=1.5,res=so_far,v=0.25,gauges=inflight:7;util:0.61;x0:0.5;x1:0.75;new:1;bad:x")
 	if got, want := ParseLoadReport(fields), (admission.Report{InFlight: 7, Utilization: 0.61, Memory: 0.5, Disks: 0.75}); got != want {
 		t.Errorf("report: got %v", got)
 	}
-	if news, v, ok := ParseProgress(fields); news != admission.ProgressNotice || v != 0.25 || !ok {
-		t.Errorf("news: got %v %v %v", news, v, ok)
+	if kind, value, ok := ParseProgress(fields); kind != admission.ProgressNotice || value != 0.25 || !ok {
+		t.Errorf("progress: got %v %v %v", kind, value, ok)
 	}
 	if got, ok := ParseAmount(fields, "cost"); got != 1.5 || !ok {
 		t.Errorf("cost: got %v %v", got, ok)
@@ -73,16 +74,16 @@
 	f.Add(AppendArray(nil, "id1", "data", "pages=2,gauges=util:0.5", "a\tb\tc\n"))
 	f.Add([]byte("*1\r\n$-1\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		parts, n, err := Parse(b, nil)
+		elements, n, err := Parse(b, nil)
 		if err != nil || n == 0 {
 			return
 		}
-		for _, p := range parts {
+		for _, p := range elements {
 			ParseProgress(p)
 			ParseLoadReport(p)
 		}
-		if again, _, err := Parse(b[:n], nil); err != nil || len(again) != len(parts) {
-			t.Errorf("%q: %d parts, then %d, %v", b[:n], len(parts), len(again), err)
+		if again, _, err := Parse(b[:n], nil); err != nil || len(again) != len(elements) {
+			t.Errorf("%q: %d elements, then %d, %v", b[:n], len(elements), len(again), err)
 		}
 		if _, short, _ := Parse(b[:n-1], nil); short != 0 {
 			t.Errorf("%q: whole without its last byte", b[:n])
--- a/internal/testbed/load/driver/conn.go
+++ b/internal/testbed/load/driver/conn.go
@@ -26,7 +26,7 @@
 
 // query writes a try's packet.
 func query(dst []byte, lane *arrival.Class, a *client.Attempt) []byte {
-	return mysql.AppendQuery(dst, lane.WireName(), a.ID, a.WaitMS, a.Retry, func(dst []byte) []byte {
+	return mysql.AppendQuery(dst, mysql.QueryFields{Class: lane.WireName(), ID: a.ID, WaitMS: a.WaitMS, Retry: a.Retry}, func(dst []byte) []byte {
 		return lane.Statement(dst, a.Request)
 	})
 }
