--- a/cmd/magpiebank-testbed/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -18,9 +18,9 @@
 
 	"magpiebank/internal/admission"
 	"magpiebank/internal/cluster/quota"
-	"magpiebank/internal/cluster/rollout"
 	"magpiebank/internal/testbed/faulttest"
 	"magpiebank/internal/testbed/modelcheck"
+	"magpiebank/internal/testbed/rolloutmodel"
 	"magpiebank/internal/testbed/simcluster"
 )
 
@@ -214,7 +214,7 @@
 				good = good && r.Violation == ""
 			}
 			quota.Explore(states, each)
-			rollout.Explore(states, each)
+			rolloutmodel.Explore(states, each)
 			if !good {
 				return errMissed
 			}
--- a/internal/cluster/rollout/core.go
+++ b/internal/cluster/rollout/core.go
@@ -165,7 +165,6 @@
 	proposals   []*localProposal // proposals made here
 	voter       *voter           // nil: this one doesn't vote
 	ended       bool
-	transport   func(to string, m *Message) // of the model, in place of bytes
 }
 
 // New begins a process's part; kept is what its folder has.
@@ -254,8 +253,8 @@
 
 func (c *Core) send(to string, m Message) {
 	m.Incarnation = c.incarnation
-	if c.transport != nil {
-		c.transport(to, &m)
+	if sender, ok := c.host.(MessageSender); ok {
+		sender.SendMessage(to, &m)
 		return
 	}
 	c.host.Send(to, m.encode())
--- a/internal/cluster/rollout/leadership.go
+++ b/internal/cluster/rollout/leadership.go
@@ -8,11 +8,11 @@
 
 const (
 	// So long all have to give up what they hold, before it is given to them again: some round trips, and what is on its way to engines.
-	yieldTimeout = second / 4
+	YieldTimeout = second / 4
 	// An entry that was not decided after this long is appended anew; one that was meanwhile changes nothing a second time.
 	appendRetryAfter = second
 	// Who has had no answer to so many asks is taken for silent, though it is heard.
-	maxUnansweredRequests = 8
+	MaxUnansweredRequests = 8
 	// A probation looks at no share of fewer tasks.
 	minJudgedRequests     = 50
 	maxLeaseHolders       = 2048
@@ -261,7 +261,7 @@
 	a.Seq, a.ForIncarnation, a.Confirmed = g.seq, g.incarnation, true
 	g.awaitsReply = false
 	has := g.request.Has == v.table.Digest || g.request.ReadyFor != 0 && g.request.ReadyFor == v.table.LastProposal
-	deaf := g.seq-g.request.AnsweredSeq > maxUnansweredRequests
+	deaf := g.seq-g.request.AnsweredSeq > MaxUnansweredRequests
 	if !l.behind && has && !g.excluded && !deaf && (l.proved || c.now >= l.leasesClearAt) {
 		a.Lease = v.table.LeaseDuration
 		g.leaseClearAt, g.grantedSeq = max(g.leaseClearAt, c.now+c.config.leaseMargin(a.Lease)), g.seq
--- a/internal/cluster/rollout/proposal.go
+++ b/internal/cluster/rollout/proposal.go
@@ -78,7 +78,7 @@
 		case held == 0:
 			v.enterPhase(c, deciding)
 			v.appendDecision(c, t)
-		case c.now-l.phaseSince >= yieldTimeout:
+		case c.now-l.phaseSince >= YieldTimeout:
 			for i := range l.holders {
 				if g := &l.holders[i]; g.leaseClearAt > c.now {
 					g.excluded, g.excludedSeq = true, g.seq
--- /dev/null
+++ b/internal/testbed/rolloutmodel/model_test.go
@@ -0,0 +1,56 @@
+package rolloutmodel
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"magpiebank/internal/cluster/rollout"
+	"magpiebank/internal/testbed/modelcheck"
+)
+
+// The exploration finds nothing in the protocol as it is, and each mutation of it.
+func TestExplorationFindsMutationsAlone(t *testing.T) {
+	maxStates := 50_000 // .ci/run explores further by magpiebank-testbed
+	if modelcheck.RaceEnabled {
+		maxStates = 5_000
+	}
+	for _, c := range []struct {
+		name    string
+		options Options
+	}{
+		{"switches-on-word", Options{Mutation: rollout.SwitchOnReady}},
+		{"lease-without-drift", Options{Mutation: rollout.IgnoreClockDrift}},
+		{"believes-folder", Options{Mutation: rollout.TrustStoredState, Restarts: 1}},
+		{"leader-without-wait", Options{Mutation: rollout.SkipLeaseWait, Elections: 1}},
+		{"grants-unasked", Options{Mutation: rollout.GrantWithoutQuorum, Elections: 1}},
+		{"keeps-on-yield", Options{Mutation: rollout.KeepLeaseOnYield}},
+		{"lease-from-answer", Options{Mutation: rollout.LeaseFromAnswer}},
+		{"both-forever", Options{Mutation: rollout.IgnoreOverlap, Overlap: 6 * timeStep}},
+	} {
+		if modelcheck.RaceEnabled {
+			break // made without the race detector
+		}
+		if rollout.ParseMutation(c.name) != c.options.Mutation {
+			t.Errorf("%s: names another mutation", c.name)
+		}
+		began := time.Now()
+		r := modelcheck.Explore(New(c.options), 600_000, maxDepth)
+		if r.Violation == "" {
+			t.Errorf("%s: not found in %d states, %d deep", c.name, r.States, r.Depth)
+			continue
+		}
+		t.Logf("%s: found after %d moves, %d states, %.1f s: %s", c.name, r.Depth, r.States, time.Since(began).Seconds(), r.Violation)
+		t.Log(strings.Join(r.Trace, "; "))
+	}
+	Explore(maxStates, func(what string, r modelcheck.Result) {
+		t.Log(what, fmt.Sprintf("%d states, %d deep", r.States, r.Depth))
+		if r.Violation != "" {
+			t.Errorf("%s: %s", what, r.Violation)
+			for i, m := range r.Trace {
+				t.Logf("%4d  %s", i+1, m)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/testbed/rolloutmodel/transitions.go
@@ -0,0 +1,152 @@
+package rolloutmodel
+
+import (
+	"fmt"
+	"slices"
+
+	"magpiebank/internal/cluster/rollout"
+	"magpiebank/internal/testbed/modelcheck"
+)
+
+// transitionList collects the transitions from one state.
+type transitionList struct {
+	system *system
+	list   []modelcheck.Transition
+}
+
+func (t *transitionList) add(name string, change func(*system)) {
+	t.list = append(t.list, modelcheck.Transition{Name: name, Next: func() modelcheck.State { return t.system.after(change) }})
+}
+
+// Transitions are all that can happen next, in a fixed order.
+func (s *system) Transitions() []modelcheck.Transition {
+	t := &transitionList{system: s}
+	t.add("time passes", (*system).passTime)
+	for i, p := range s.processes {
+		if p.isGateway && p.replica == nil {
+			t.addMember(i)
+		}
+		if p.replica != nil {
+			t.addVoter(i)
+		}
+	}
+	t.addDeliveries()
+	return t.list
+}
+
+func (s *system) passTime() {
+	s.now++
+	for _, p := range s.processes {
+		p.core.Advance(s.clock(p))
+	}
+}
+
+// addMember adds what a gateway that doesn't vote may do.
+func (t *transitionList) addMember(index int) {
+	member := t.system.processes[index]
+	for _, voter := range t.system.processes {
+		if voter.replica == nil || voter.replica.term == 0 || t.system.leaseRequests == 0 {
+			continue
+		}
+		leader := voter.name
+		t.add(member.label()+" asks "+leader, func(s *system) {
+			s.leaseRequests--
+			s.requestLease(s.processes[index], leader)
+		})
+	}
+	if t.system.restarts > 0 {
+		t.add(member.label()+" is killed and starts by its folder", func(s *system) {
+			s.restarts--
+			floor := member.core.FloorRecord()
+			stored := &rollout.StoredState{}
+			stored.AddRecord(floor.Key, floor.Value, false)
+			s.start(index, stored)
+		})
+	}
+}
+
+// addVoter adds what may happen to a voter and, while it is the leader that counts, to what it appends.
+func (t *transitionList) addVoter(index int) {
+	s := t.system
+	voter := s.processes[index]
+	t.addElections(index)
+	if voter.replica.term > 0 && voter.replica.term < s.log.term {
+		t.add(voter.label()+" learns that another leads", func(s *system) {
+			p := s.processes[index]
+			p.replica.term, p.replica.pendingRead = 0, 0
+			p.core.LogHost().LeadershipChanged(0)
+		})
+	}
+	if !voter.replica.counts() {
+		return
+	}
+	if s.log.next != nil {
+		t.add("what "+voter.label()+" appended is decided", (*system).decideNext)
+		return
+	}
+	if len(s.proposals) > 0 {
+		t.add(fmt.Sprintf("%s takes in proposal %d", voter.label(), s.proposals[0].ID), func(s *system) {
+			s.processes[index].core.AppendProposal(s.proposals[0])
+			s.proposals = s.proposals[1:]
+		})
+	}
+}
+
+// addElections adds the elections that a voter may win: with what the last leader appended, if there is something, and without it.
+func (t *transitionList) addElections(index int) {
+	s := t.system
+	voter := s.processes[index]
+	if s.elections == 0 || voter.replica.term > 0 && voter.replica.counts() {
+		return
+	}
+	elect := func(name string, keepAppended bool) {
+		t.add(name, func(s *system) {
+			s.elections--
+			s.elect(index, keepAppended)
+		})
+	}
+	elect(voter.label()+" is elected", false)
+	if s.log.next != nil {
+		elect(voter.label()+" is elected, and has what was appended before", true)
+	}
+}
+
+// addDeliveries adds the arrival of each message under way, and its arrival with a duplicate left.
+func (t *transitionList) addDeliveries() {
+	for i, e := range t.system.inFlight {
+		for k, p := range t.system.processes {
+			if p.name != e.to {
+				continue
+			}
+			name := fmt.Sprintf("%s of %s/%d comes to %s", describe(e.message), e.from, e.message.Incarnation, p.label())
+			t.add(name, func(s *system) {
+				s.inFlight = slices.Delete(s.inFlight, i, i+1)
+				s.deliver(s.processes[k], e)
+			})
+			if t.system.duplicates > 0 {
+				t.add(name+", and is still under way", func(s *system) {
+					s.duplicates--
+					s.deliver(s.processes[k], e)
+				})
+			}
+		}
+	}
+}
+
+// describe names a message in a trace.
+func describe(m *rollout.Message) string {
+	request, reply := m.LeaseRequest, m.LeaseReply
+	switch {
+	case request != nil && request.ReleasedFor != 0:
+		return fmt.Sprintf("release %d", request.Seq)
+	case request != nil:
+		return fmt.Sprintf("ask %d", request.Seq)
+	case reply != nil && reply.YieldFor != 0:
+		return "word to yield"
+	case reply != nil && reply.Lease > 0:
+		return fmt.Sprintf("lease on %d for ask %d", reply.Decided.Number, reply.Seq)
+	case reply != nil:
+		return fmt.Sprintf("word that %d is in force", reply.Decided.Number)
+	}
+	return "message"
+}
