--- /dev/null
+++ b/internal/cluster/agent/format_json_test.go
@@ -0,0 +1,78 @@
+package agent
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"magpiebank/internal/testbed/golden"
+)
+
+// What `fleet status --json` prints, and what the control socket is asked and answers.
+func TestControlMessagesOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
+	t.Run("status", func(t *testing.T) {
+		golden.CheckRoundTrip(t, "status", golden.DecodeJSON[Status], golden.EncodeJSON)
+	})
+	t.Run("request", func(t *testing.T) {
+		golden.CheckRoundTrip(t, "request", golden.DecodeJSON[request], golden.EncodeJSON)
+	})
+	t.Run("answer", func(t *testing.T) {
+		golden.CheckRoundTrip(t, "answer", golden.DecodeJSON[PolicyReply], golden.EncodeJSON)
+	})
+}
+
+func TestSuccessionOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
+	golden.CheckRoundTrip(t, "succession", golden.DecodeJSON[deed], func(d *deed) []byte {
+		folder := t.TempDir()
+		s, err := follow(folder, d.Name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer s.close()
+		s.ours = *d
+		if err := s.write(); err != nil {
+			t.Fatal(err)
+		}
+		written, err := os.ReadFile(filepath.Join(folder, "succession"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		return written
+	})
+}
+
+// The earlier version's file names its boot, device and inode; with this folder's in their place it is followed.
+func TestSuccessionOfEarlierVersionIsFollowed(t *testing.T) {
+	folder := t.TempDir()
+	path := filepath.Join(folder, "succession")
+	if err := os.WriteFile(path, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var file unix.Stat_t
+	if err := unix.Stat(path, &file); err != nil {
+		t.Fatal(err)
+	}
+	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := strings.NewReplacer("01234567-89ab-cdef-0123-456789abcdef", strings.TrimSpace(string(boot)),
+		"1111", strconv.FormatUint(file.Dev, 10), "2222", strconv.FormatUint(file.Ino, 10)).Replace(string(golden.Read(t, "succession.form")))
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, err := follow(folder, "gateway-a")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.close()
+	after, err := s.begin(7)
+	if expected := []uint64{1<<60 + 3, 1<<60 + 4}; err != nil || !slices.Equal(after, expected) {
+		t.Errorf("expected to follow %d, found %d, error %v", expected, after, err)
+	}
+}
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -4,10 +4,13 @@
 package golden
 
 import (
+	"bytes"
 	"encoding/hex"
+	"encoding/json"
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -81,6 +84,8 @@
 		return list
 	case reflect.Slice, reflect.Array:
 		return appendElements(list, v)
+	case reflect.Map:
+		return appendEntries(list, v)
 	case reflect.String:
 		return append(list, strconv.Quote(v.String()))
 	case reflect.Float32, reflect.Float64:
@@ -100,11 +105,11 @@
 		if v.IsZero() {
 			return list
 		}
-		bytes := make([]byte, v.Len())
-		for i := range bytes {
-			bytes[i] = byte(v.Index(i).Uint())
+		content := make([]byte, v.Len())
+		for i := range content {
+			content[i] = byte(v.Index(i).Uint())
 		}
-		return append(list, hex.EncodeToString(bytes))
+		return append(list, hex.EncodeToString(content))
 	}
 	for i := range v.Len() {
 		list = appendValues(list, v.Index(i))
@@ -112,6 +117,16 @@
 	return list
 }
 
+// appendEntries lists a map's keys, in order, each followed by what is below its value.
+func appendEntries(list []string, v reflect.Value) []string {
+	var entries [][]string
+	for _, key := range v.MapKeys() {
+		entries = append(entries, appendValues(appendValues(nil, key), v.MapIndex(key)))
+	}
+	slices.SortFunc(entries, slices.Compare)
+	return append(list, slices.Concat(entries...)...)
+}
+
 // ZeroFields lists the fields below a value that hold nothing, by their paths.
 func ZeroFields(value any) []string { return appendZeroFields(nil, "", reflect.ValueOf(value)) }
 
@@ -146,3 +161,20 @@
 	}
 	return path
 }
+
+// DecodeJSON decodes a value and refuses fields that it doesn't know.
+func DecodeJSON[T any](content []byte) (*T, error) {
+	value := new(T)
+	decoder := json.NewDecoder(bytes.NewReader(content))
+	decoder.DisallowUnknownFields()
+	return value, decoder.Decode(value)
+}
+
+// EncodeJSON encodes a value; one that can't be gives nothing.
+func EncodeJSON[T any](value *T) []byte {
+	content, err := json.Marshal(value)
+	if err != nil {
+		return nil
+	}
+	return content
+}
