--- a/internal/storage/faultdisk/faultdisk.go
+++ b/internal/storage/faultdisk/faultdisk.go
@@ -1,9 +1,10 @@
 //go:build !testbed
 
-// Package faultdisk has disks fail on purpose, in the laboratory's build alone.
+// Package faultdisk is the one hook by which the testbed's build (tag testbed) has the disks of a gateway's process fail on
+// purpose. In any other build it does nothing.
 package faultdisk
 
 import "magpiebank/internal/storage/store"
 
-// Folder is a folder as it is: disks fail by themselves.
-func WrapFolder(f store.Folder) store.Folder { return f }
+// WrapFolder returns the folder itself.
+func WrapFolder(folder store.Folder) store.Folder { return folder }
--- a/internal/storage/faultdisk/faultdisk_testbed.go
+++ b/internal/storage/faultdisk/faultdisk_testbed.go
@@ -1,6 +1,7 @@
 //go:build testbed
 
-// Package faultdisk has disks fail on purpose, in the laboratory's build alone.
+// Package faultdisk is the one hook by which the testbed's build (tag testbed) has the disks of a gateway's process fail on
+// purpose. In any other build it does nothing.
 package faultdisk
 
 import (
@@ -14,16 +15,32 @@
 	"magpiebank/internal/storage/store"
 )
 
-// Folder is one on the disk of a laboratory's process, which fails from a time after its start on: MAGPIEBANK_DISK="full 5s" has no room,
-// "slow 5s" takes a third of a second for each sync, "unsynced 5s" fails every sync, "lies 5s" says that what it was given is on the disk, and
-// has it there only once something comes three seconds later: a kill takes the rest along.
-func WrapFolder(f store.Folder) store.Folder {
-	var how, after string
-	if _, err := fmt.Sscan(os.Getenv("MAGPIEBANK_DISK"), &how, &after); err != nil {
-		return f
+// environmentVariable has the kind of fault and the time after the process's start from which on it is there, as in "full 5s".
+const environmentVariable = "MAGPIEBANK_DISK"
+
+// The kinds of faults.
+const (
+	diskFull    = "full"     // writes and creations fail with ENOSPC
+	slowSyncs   = "slow"     // each sync takes slowSyncTime longer
+	failedSyncs = "unsynced" // each sync fails
+	lyingSyncs  = "lies"     // syncs report success, while writes reach the disk only lieTime later: a kill loses them
+)
+
+const (
+	slowSyncTime = 300 * time.Millisecond
+	lieTime      = 3 * time.Second
+)
+
+var errInjectedSync = errors.New("sync failed on purpose, in the testbed's build")
+
+// WrapFolder returns a folder with the fault that MAGPIEBANK_DISK names, or the folder itself if that is not set.
+func WrapFolder(folder store.Folder) store.Folder {
+	var kind, after string
+	if _, err := fmt.Sscan(os.Getenv(environmentVariable), &kind, &after); err != nil {
+		return folder
 	}
 	wait, _ := time.ParseDuration(after)
-	return faultyFolder{f, fault{how, time.Now().Add(wait)}}
+	return faultyFolder{folder, fault{kind: kind, from: time.Now().Add(wait)}}
 }
 
 type fault struct {
@@ -31,15 +48,14 @@
 	from time.Time
 }
 
-func (s fault) isActive(how string) bool { return s.kind == how && time.Now().After(s.from) }
-
-var errInjectedSync = errors.New("sync failed, as the laboratory has it")
+func (f fault) isActive(kind string) bool { return f.kind == kind && time.Now().After(f.from) }
 
-func (s fault) beforeSync() error {
-	if s.isActive("slow") {
-		time.Sleep(300 * time.Millisecond)
+// beforeSync delays a sync or returns the error with which it fails.
+func (f fault) beforeSync() error {
+	if f.isActive(slowSyncs) {
+		time.Sleep(slowSyncTime)
 	}
-	if s.isActive("unsynced") {
+	if f.isActive(failedSyncs) {
 		return errInjectedSync
 	}
 	return nil
@@ -51,16 +67,16 @@
 }
 
 func (f faultyFolder) Create(name string) (store.File, error) {
-	if f.isActive("full") {
+	if f.isActive(diskFull) {
 		return nil, syscall.ENOSPC
 	}
-	k, err := f.Folder.Create(name)
-	return &faultyFile{File: k, fault: f.fault}, err
+	file, err := f.Folder.Create(name)
+	return &faultyFile{File: file, fault: f.fault}, err
 }
 
 func (f faultyFolder) Open(name string) (store.File, error) {
-	k, err := f.Folder.Open(name)
-	return &faultyFile{File: k, fault: f.fault}, err
+	file, err := f.Folder.Open(name)
+	return &faultyFile{File: file, fault: f.fault}, err
 }
 
 func (f faultyFolder) SyncNames() error { return errors.Join(f.beforeSync(), f.Folder.SyncNames()) }
@@ -68,50 +84,52 @@
 type faultyFile struct {
 	store.File
 	fault
-	mu            sync.Mutex
-	buffered      []byte // written, and not on the disk
+
+	mu            sync.Mutex // guards what follows
+	buffered      []byte     // written by the process, and not to the file
 	bufferedSince time.Time
 }
 
 func (f *faultyFile) Write(b []byte) (int, error) {
-	if f.isActive("full") {
+	if f.isActive(diskFull) {
 		return 0, syscall.ENOSPC
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.buffered) > 0 && time.Since(f.bufferedSince) > 3*time.Second {
+	if len(f.buffered) > 0 && time.Since(f.bufferedSince) > lieTime {
 		if err := f.flush(); err != nil {
 			return 0, err
 		}
 	}
-	if f.isActive("lies") {
-		if len(f.buffered) == 0 {
-			f.bufferedSince = time.Now()
-		}
-		f.buffered = append(f.buffered, b...)
-		return len(b), nil
+	if !f.isActive(lyingSyncs) {
+		return f.File.Write(b)
+	}
+	if len(f.buffered) == 0 {
+		f.bufferedSince = time.Now()
 	}
-	return f.File.Write(b)
+	f.buffered = append(f.buffered, b...)
+	return len(b), nil
 }
 
+// flush writes what is buffered to the file. The caller holds mu.
 func (f *faultyFile) flush() error {
 	_, err := f.File.Write(f.buffered)
 	f.buffered = nil
 	return err
 }
 
-func (f *faultyFile) ReadAt(b []byte, at int64) (int, error) {
+func (f *faultyFile) ReadAt(b []byte, offset int64) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	size, err := f.File.Size()
 	if err != nil || len(f.buffered) == 0 {
-		return f.File.ReadAt(b, at)
+		return f.File.ReadAt(b, offset)
 	}
 	n := 0
-	if at < size {
-		n, _ = f.File.ReadAt(b[:min(int64(len(b)), size-at)], at)
+	if offset < size {
+		n, _ = f.File.ReadAt(b[:min(int64(len(b)), size-offset)], offset)
 	}
-	n += copy(b[n:], f.buffered[max(0, at+int64(n)-size):])
+	n += copy(b[n:], f.buffered[max(0, offset+int64(n)-size):])
 	return n, nil
 }
 
--- /dev/null
+++ b/internal/storage/faultfs/crashstate.go
@@ -0,0 +1,168 @@
+package faultfs
+
+import (
+	"maps"
+	"math/rand"
+	"slices"
+)
+
+// sectorSize is the unit, in bytes, in which unsynced data may reach the disk. Sectors of real disks are as large or larger.
+const sectorSize = 512
+
+// dontTear has AfterPowerLoss keep whole sectors.
+const dontTear = -1
+
+// parts counts what of a change may or may not have reached the disk: a truncation, or each of the sectors of a write.
+func (c *dataChange) parts() int {
+	if c.data == nil {
+		return 1
+	}
+	return int((c.offset+int64(len(c.data))-1)/sectorSize-c.offset/sectorSize) + 1
+}
+
+// CountUnsynced counts the parts that may or may not have reached the disk: changes of names, truncations, and sectors of
+// writes.
+func (f *Folder) CountUnsynced() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	parts := len(f.unsyncedNames)
+	for _, i := range f.reachable() {
+		for _, change := range i.unsynced {
+			parts += change.parts()
+		}
+	}
+	return parts
+}
+
+// reachable returns the files that the process sees or that survive a power loss, in the order of their names. A name stands
+// for two files if it was removed or replaced and that is not synced. A file with two such names is there twice.
+func (f *Folder) reachable() (files []*inode) {
+	// Names of the durable files get a suffix that sorts them behind the current file of the same name.
+	const durableSuffix = "\x00disk"
+	byName := maps.Clone(f.current)
+	for name, i := range f.durable {
+		if f.current[name] != i {
+			byName[name+durableSuffix] = i
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(byName)) {
+		files = append(files, byName[name])
+	}
+	return files
+}
+
+// AfterPowerLoss returns what is found after a power loss. keep says of each unsynced part, which are numbered in the order in
+// which they were made, names first, whether it reached the disk. If tear is not negative, at most so many bytes of each kept
+// sector did.
+func (f *Folder) AfterPowerLoss(keep func(part int) bool, tear int) *Folder {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	part := 0
+	keepNext := func() bool {
+		part++
+		return keep(part - 1)
+	}
+	names := map[string]*inode{}
+	maps.Copy(names, f.durable)
+	for _, change := range f.unsyncedNames {
+		if keepNext() {
+			change.apply(names)
+		}
+	}
+	contents := map[*inode][]byte{}
+	for _, i := range f.reachable() {
+		if contents[i] == nil {
+			contents[i] = i.afterPowerLoss(keepNext, tear)
+		}
+	}
+	left := &Folder{}
+	left.init()
+	for name, i := range names {
+		content := contents[i]
+		if content == nil {
+			content = slices.Clone(i.durable)
+		}
+		left.SetFile(name, content)
+	}
+	return left
+}
+
+// afterPowerLoss returns a content that is not nil.
+func (i *inode) afterPowerLoss(keepNext func() bool, tear int) []byte {
+	content := append(make([]byte, 0, len(i.current)+1), i.durable...)
+	for _, change := range i.unsynced {
+		if change.data == nil {
+			if keepNext() && change.offset < int64(len(content)) {
+				content = content[:change.offset]
+			}
+			continue
+		}
+		end := change.offset + int64(len(change.data))
+		for from := change.offset; from < end; {
+			to := min((from/sectorSize+1)*sectorSize, end)
+			if keepNext() {
+				content = overwrite(content, from, torn(change.data[from-change.offset:to-change.offset], tear))
+			}
+			from = to
+		}
+	}
+	return content
+}
+
+func torn(data []byte, tear int) []byte {
+	if tear >= 0 && tear < len(data) {
+		return data[:tear]
+	}
+	return data
+}
+
+// overwrite puts data at an offset of content, which is extended with zeros if it is too short.
+func overwrite(content []byte, offset int64, data []byte) []byte {
+	for int64(len(content)) < offset+int64(len(data)) {
+		content = append(content, 0)
+	}
+	copy(content[offset:], data)
+	return content
+}
+
+// ForEachCrashState calls visit with folders that may be found after a power loss, and returns their number. If there are at
+// most maxExhaustive unsynced parts, these are all combinations of parts, each once with whole sectors and once with torn ones.
+// Otherwise they are none of the parts, all of them, and 1<<maxExhaustive combinations drawn at random from the seed.
+func (f *Folder) ForEachCrashState(maxExhaustive int, seed int64, visit func(left *Folder)) (states int) {
+	parts := f.CountUnsynced()
+	random := rand.New(rand.NewSource(seed))
+	visitState := func(keep func(int) bool, tear int) {
+		states++
+		visit(f.AfterPowerLoss(keep, tear))
+	}
+	if parts <= maxExhaustive {
+		for bits := range 1 << parts {
+			keep := func(part int) bool { return bits>>part&1 == 1 }
+			visitState(keep, dontTear)
+			if bits > 0 {
+				visitState(keep, random.Intn(sectorSize))
+			}
+		}
+		return states
+	}
+	visitState(func(int) bool { return false }, dontTear)
+	visitState(func(int) bool { return true }, dontTear)
+	for range 1 << maxExhaustive {
+		keep, tear := drawState(rand.New(rand.NewSource(random.Int63())), parts)
+		visitState(keep, tear)
+	}
+	return states
+}
+
+// drawState draws which parts reach the disk, and in half of the cases where their sectors are torn.
+func drawState(random *rand.Rand, parts int) (keep func(part int) bool, tear int) {
+	kept := make([]bool, parts)
+	for part := range kept {
+		kept[part] = random.Intn(2) == 0
+	}
+	tear = dontTear
+	if random.Intn(2) == 0 {
+		tear = random.Intn(sectorSize)
+	}
+	return func(part int) bool { return kept[part] }, tear
+}
--- /dev/null
+++ b/internal/storage/faultfs/file.go
@@ -0,0 +1,94 @@
+package faultfs
+
+import (
+	"io"
+	"slices"
+)
+
+// inode is the content of a file.
+type inode struct {
+	current  []byte       // as the process sees it
+	durable  []byte       // as it survives a power loss
+	unsynced []dataChange // since it was synced, in order
+}
+
+// dataChange is a write, or a truncation if data is nil.
+type dataChange struct {
+	offset int64
+	data   []byte
+}
+
+func (i *inode) write(b []byte) {
+	if len(b) > 0 {
+		i.unsynced = append(i.unsynced, dataChange{int64(len(i.current)), slices.Clone(b)})
+		i.current = append(i.current, b...)
+	}
+}
+
+// file is an open file. The folder's mu guards its content.
+type file struct {
+	folder *Folder
+	inode  *inode
+	name   string
+}
+
+func (f *file) Write(b []byte) (int, error) {
+	f.folder.mu.Lock()
+	defer f.folder.mu.Unlock()
+	if err := f.folder.beginOperation("write " + f.name); err != nil {
+		n := 0
+		if f.folder.ShortWrite != nil {
+			n = min(len(b), f.folder.ShortWrite(f.folder.Operations-1))
+		}
+		f.inode.write(b[:n])
+		return n, err
+	}
+	f.inode.write(b)
+	return len(b), nil
+}
+
+func (f *file) ReadAt(b []byte, offset int64) (int, error) {
+	f.folder.mu.Lock()
+	defer f.folder.mu.Unlock()
+	if f.folder.powerLost {
+		return 0, ErrPowerLost
+	}
+	n := copy(b, f.inode.current[min(offset, int64(len(f.inode.current))):])
+	if n < len(b) {
+		return n, io.EOF
+	}
+	return n, nil
+}
+
+func (f *file) Size() (int64, error) {
+	f.folder.mu.Lock()
+	defer f.folder.mu.Unlock()
+	return int64(len(f.inode.current)), nil
+}
+
+func (f *file) Truncate(size int64) error {
+	f.folder.mu.Lock()
+	defer f.folder.mu.Unlock()
+	if err := f.folder.beginOperation("truncate " + f.name); err != nil {
+		return err
+	}
+	f.inode.current = f.inode.current[:size:size]
+	f.inode.unsynced = append(f.inode.unsynced, dataChange{offset: size})
+	return nil
+}
+
+func (f *file) Sync() error {
+	f.folder.mu.Lock()
+	defer f.folder.mu.Unlock()
+	what := "sync " + f.name
+	if err := f.folder.beginOperation(what); err != nil {
+		return err
+	}
+	if f.folder.syncLies(what) {
+		return nil
+	}
+	f.inode.durable, f.inode.unsynced = slices.Clone(f.inode.current), nil
+	return nil
+}
+
+func (f *file) Close() error { return nil }
--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // commits has so many writers commit a value of 100 bytes each in turn, and reports commits a second and p99.
-func commits(b *testing.B, writers int, commit func(n int) error) {
+func measureCommits(b *testing.B, writers int, commit func(n int) error) {
 	each := max(1, b.N/writers)
 	took := make([]time.Duration, 0, each*writers)
 	var mu sync.Mutex
@@ -59,7 +59,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			commits(b, writers, func(n int) error {
+			measureCommits(b, writers, func(n int) error {
 				done := make(chan error, 1)
 				s.Put(key(n), make([]byte, 100), func(err error) { done <- err })
 				return <-done
@@ -82,7 +82,7 @@
 					return tx.Bucket(name).Put(k[:], make([]byte, 100))
 				}
 			}
-			commits(b, writers, func(n int) error {
+			measureCommits(b, writers, func(n int) error {
 				if writers == 1 {
 					return db.Update(put(n))
 				}
--- a/internal/storage/store/index_test.go
+++ b/internal/storage/store/index_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestIndex(t *testing.T) { // against a map
+func TestIndexAgainstMap(t *testing.T) { // against a map
 	flag.Set("rapid.seed", "5")
 	rapid.Check(t, func(t *rapid.T) {
 		var x index
