--- a/internal/router/accept.go
+++ b/internal/router/acceptor.go
@@ -13,25 +13,25 @@
 
 // acceptor starts a session for each client that connects.
 type acceptor struct {
-	o        *owner
+	owner    *owner
 	listener net.Listener
-	ended    chan struct{} // closed once it accepts no more
+	done     chan struct{} // closed once it accepts no more
 }
 
 // serve accepts until stop.
-func (a *acceptor) serve() {
-	defer close(a.ended)
+func (a *acceptor) run() {
+	defer close(a.done)
 	for {
 		tcp, err := a.listener.Accept()
 		switch {
 		case err == nil:
-			a.welcome(tcp)
+			a.startSession(tcp)
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
-			a.emptyBacklog()
+			a.drainBacklog()
 			return
 		default: // out of descriptors, as a rule: some are free again soon
-			a.o.log.Warn("accept", "error", err)
-			time.Sleep(lastLook)
+			a.owner.log.Warn("accept", "error", err)
+			time.Sleep(finalReadWait)
 		}
 	}
 }
@@ -39,17 +39,17 @@
 // stop has it take what the system accepted before, and accept no more. A close alone would reset those connections.
 func (a *acceptor) stop() {
 	if tcp, ok := a.listener.(*net.TCPListener); ok {
-		tcp.SetDeadline(longAgo)
+		tcp.SetDeadline(expiredDeadline)
 	} else {
 		a.listener.Close()
 	}
-	<-a.ended
+	<-a.done
 	a.listener.Close()
 }
 
 // emptyBacklog takes the connections that the system accepted and nobody took. Accept doesn't try any more once its deadline has
 // passed, so the system is asked.
-func (a *acceptor) emptyBacklog() {
+func (a *acceptor) drainBacklog() {
 	socket, ok := a.listener.(syscall.Conn)
 	if !ok {
 		return
@@ -76,18 +76,18 @@
 		tcp, err := net.FileConn(file)
 		file.Close()
 		if err == nil {
-			a.welcome(tcp)
+			a.startSession(tcp)
 		}
 	}
 }
 
 // welcome starts a session for a client, or turns it away.
-func (a *acceptor) welcome(tcp net.Conn) {
-	o := a.o
-	o.connections.Add(1)
+func (a *acceptor) startSession(tcp net.Conn) {
+	o := a.owner
+	o.openConnections.Add(1)
 	s := newSession(o, tcp)
-	if o.clients.enter(s) == refusedFull {
-		a.turnAway(s)
+	if o.clients.admit(s) == sessionRefused {
+		a.rejectClient(s)
 		return
 	}
 	go s.run()
@@ -95,28 +95,28 @@
 
 // turnAway answers a client for which there is no session. It may have written its login and a query already, over which a close
 // would take the answer with it: so the answer is lingered for, as far as there are descriptors for that.
-func (a *acceptor) turnAway(s *session) {
+func (a *acceptor) rejectClient(s *clientSession) {
 	end := func() {
-		s.tcp.Close()
-		a.o.connectionEnded("client", s.tcp.RemoteAddr().String(), "no_room", 0, nil)
+		s.socket.Close()
+		a.owner.connectionEnded("client", s.socket.RemoteAddr().String(), "no_room", 0, nil)
 	}
-	s.write(mysql.AppendError(nil, 0, mysql.ErrTooManyConnections, "too many connections"))
-	if !a.o.clients.linger() {
+	s.writePackets(mysql.AppendError(nil, 0, mysql.ErrTooManyConnections, "too many connections"))
+	if !a.owner.clients.beginLinger() {
 		end()
 		return
 	}
 	go func() {
-		defer a.o.clients.lingered()
+		defer a.owner.clients.endLinger()
 		defer end()
-		s.linger(lingering)
+		s.linger(lingerTimeout)
 	}()
 }
 
 // newSession makes a session for a client. Who knows a connection's id may have its query killed, so ids are not to be guessed.
-func newSession(o *owner, tcp net.Conn) *session {
-	s := &session{o: o, tcp: tcp, r: newReader(tcp), mail: newMailbox(), connection: rand.Uint32(), began: time.Now()}
-	if o.desk != nil {
-		s.reader = o.desk.NewStatementReader()
+func newSession(o *owner, tcp net.Conn) *clientSession {
+	s := &clientSession{owner: o, socket: tcp, input: newClientReader(tcp), events: newSessionQueue(), connectionID: rand.Uint32(), startedAt: time.Now()}
+	if o.resourceGroups != nil {
+		s.statementReader = o.resourceGroups.NewStatementReader()
 	}
 	return s
 }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -13,105 +13,105 @@
 // attempt is one attempt of a request to an engine. The owner has n, over, again, doubt and stop; mu of the engine
 // guards what stands below state, which is its engineClient's.
 type attempt struct {
-	of        *request
-	to        engineClient
-	engine    admission.EngineID  // to's
-	request   admission.RequestID // of's id
-	n         int
-	over      bool
-	again     bool              // it was never written on its first connection
-	doubt     admission.Outcome // what the module is told once it is given up; Delivered: nothing
-	stop      func()
-	class     string
-	statement []byte
-	token     []byte // by which engines tell a repeat; empty: none
-	timeout   admission.Time
-	sendBy    admission.Time // from then on it must not be written; 0: no limit
-	memory    float64
-	state     atomic.Int32
-	carried   bool // the owner's: it was handed to its engineClient
+	request          *request
+	client           engineClient
+	engineID         admission.EngineID  // to's
+	requestID        admission.RequestID // of's id
+	number           int
+	ended            bool
+	resent           bool              // it was never written on its first connection
+	cancelOutcome    admission.Outcome // what the module is told once it is given up; Delivered: nothing
+	stopTimer        func()
+	class            string
+	statement        []byte
+	idempotencyToken []byte // by which engines tell a repeat; empty: none
+	timeout          admission.Time
+	sendBy           admission.Time // from then on it must not be written; 0: no limit
+	memoryMB         float64
+	state            atomic.Int32
+	handedOver       bool // the owner's: it was handed to its engineClient
 
 	// As the desk counts it.
-	foreseen         admission.Estimate
+	estimate         admission.Estimate
 	threads, charged float64
-	by               uint64 // the rules that had it go out; 0: none that may change
+	policyRevision   uint64 // the rules that had it go out; 0: none that may change
 
-	rank    int
-	conn    *engineConn
-	rested  time.Duration // how long its connection was idle before
-	sent    time.Time
-	undone  bool
-	done    bool     // nothing that comes for it counts any more
-	pages   [][]byte // of the result, once its first page is there
-	missing int
-	notes   int // that came; its connection's reader counts them
-	size    int
-	work    admission.Time // as its first page tells, and the memory in MB
-	needs   float64
-	report  admission.Report // the engine's load as its answer tells, where the settings say that answers do
+	priority      int
+	conn          *engineConn
+	idleBefore    time.Duration // how long its connection was idle before
+	sentAt        time.Time
+	cancelled     bool
+	finished      bool     // nothing that comes for it counts any more
+	pages         [][]byte // of the result, once its first page is there
+	missingPages  int
+	progressNotes int // that came; its connection's reader counts them
+	resultBytes   int
+	work          admission.Time // as its first page tells, and the memory in MB
+	memoryUsedMB  float64
+	report        admission.Report // the engine's load as its answer tells, where the settings say that answers do
 }
 
 // The states of an attempt on its way to the socket.
 const (
-	fresh int32 = iota
-	written
-	withdrawn
+	attemptUnwritten int32 = iota
+	attemptWritten
+	attemptWithdrawn
 )
 
 // withdraw keeps an attempt that isn't written yet from being so.
-func (h *attempt) withdraw() bool { return h.state.CompareAndSwap(fresh, withdrawn) }
+func (a *attempt) withdraw() bool { return a.state.CompareAndSwap(attemptUnwritten, attemptWithdrawn) }
 
 // undo gives an attempt up, or the pages of its result that are still to come.
-func (h *attempt) undo() {
-	l := h.conn
-	if l == nil { // it was withdrawn before it had a connection
+func (a *attempt) cancel() {
+	conn := a.conn
+	if conn == nil { // it was withdrawn before it had a connection
 		return
 	}
-	l.e.mu.Lock()
-	open := l.open[h.request] == h && !h.undone && !h.done && h.state.Load() == written
-	if h.undone = true; open && l.asked.IsZero() {
-		l.asked = time.Now()
-		l.arm()
-	} else if h.state.Load() == withdrawn {
-		l.over(h)
+	conn.pool.mu.Lock()
+	open := conn.attempts[a.requestID] == a && !a.cancelled && !a.finished && a.state.Load() == attemptWritten
+	if a.cancelled = true; open && conn.cancelSentAt.IsZero() {
+		conn.cancelSentAt = time.Now()
+		conn.setReadDeadline()
+	} else if a.state.Load() == attemptWithdrawn {
+		conn.finishAttempt(a)
 	}
 	word := "undo"
-	if h.pages != nil {
+	if a.pages != nil {
 		word = "forget"
 	}
-	l.e.mu.Unlock()
+	conn.pool.mu.Unlock()
 	if open { // nothing answers this, but a page that the engine doesn't know is failed: then it has heard it
-		l.write(func() net.Buffers {
-			return net.Buffers{resp.AppendArray(nil, word, string(h.request)), resp.AppendArray(nil, "page", string(h.request), "1")}
-		}, nothing)
+		conn.write(func() net.Buffers {
+			return net.Buffers{resp.AppendArray(nil, word, string(a.requestID)), resp.AppendArray(nil, "page", string(a.requestID), "1")}
+		}, ignoreFailure)
 	}
 }
 
 // bump gives an attempt another rank.
-func (h *attempt) bump(rank int) {
-	l := h.conn
-	if l == nil {
+func (a *attempt) setPriority(rank int) {
+	conn := a.conn
+	if conn == nil {
 		return
 	}
-	l.e.mu.Lock()
-	h.rank = rank
-	open := l.open[h.request] == h && !h.done && h.state.Load() == written
-	l.e.mu.Unlock()
+	conn.pool.mu.Lock()
+	a.priority = rank
+	open := conn.attempts[a.requestID] == a && !a.finished && a.state.Load() == attemptWritten
+	conn.pool.mu.Unlock()
 	if open {
-		l.say("bump", string(h.request), strconv.Itoa(rank))
+		conn.writeCommand("bump", string(a.requestID), strconv.Itoa(rank))
 	}
 }
 
 // forget drops what was kept to tell late answers; the request is over, and its id doesn't come again.
-func (h *attempt) forget() {
-	l := h.conn
-	if l == nil {
+func (a *attempt) release() {
+	conn := a.conn
+	if conn == nil {
 		return
 	}
-	l.e.mu.Lock()
-	if l.open[h.request] == h {
-		l.over(h)
-		delete(l.open, h.request)
+	conn.pool.mu.Lock()
+	if conn.attempts[a.requestID] == a {
+		conn.finishAttempt(a)
+		delete(conn.attempts, a.requestID)
 	}
-	l.e.mu.Unlock()
+	conn.pool.mu.Unlock()
 }
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -15,8 +15,8 @@
 )
 
 // onDial has the next connections to engines made by a hook; it must come before any engine is listed.
-func (s *stage) onDial(hook func(address string, dial func(string) (net.Conn, error)) (net.Conn, error)) {
-	s.o.tell(func(admission.Time) {
+func (s *fixture) onDial(hook func(address string, dial func(string) (net.Conn, error)) (net.Conn, error)) {
+	s.o.post(func(admission.Time) {
 		dial := s.o.dial
 		s.o.dial = func(address string) (net.Conn, error) { return hook(address, dial) }
 	})
@@ -24,24 +24,24 @@
 }
 
 // lists has the owner take in an engine's state at once.
-func (s *stage) lists(e *standEngine, state admission.EndpointState) {
-	e.s = s
-	s.o.tell(func(now admission.Time) {
-		s.o.listed(now, admission.PartialUpdate, listing(e, state), []string{e.l.Addr().String()})
+func (s *fixture) listEngine(e *fakeEngine, state admission.EndpointState) {
+	e.fixture = s
+	s.o.post(func(now admission.Time) {
+		s.o.handleEndpoints(now, admission.PartialUpdate, listing(e, state), []string{e.listener.Addr().String()})
 	})
 	s.sync()
 }
 
-func listing(e *standEngine, state admission.EndpointState) []admission.Endpoint {
+func listing(e *fakeEngine, state admission.EndpointState) []admission.Endpoint {
 	return []admission.Endpoint{{Engine: admission.EngineID(e.name), State: state}}
 }
 
 // slowDial holds the first dial to an engine back until goOn is closed.
-func (s *stage) slowDial(e *standEngine) (dialled chan bool, goOn chan bool) {
+func (s *fixture) slowDial(e *fakeEngine) (dialled chan bool, goOn chan bool) {
 	dialled, goOn = make(chan bool, 1), make(chan bool)
 	var held atomic.Bool
 	s.onDial(func(address string, dial func(string) (net.Conn, error)) (net.Conn, error) {
-		if address == e.l.Addr().String() && held.CompareAndSwap(false, true) {
+		if address == e.listener.Addr().String() && held.CompareAndSwap(false, true) {
 			dialled <- true
 			<-goOn
 		}
@@ -55,24 +55,24 @@
 func TestDrainWhileAConnectionComesUp(t *testing.T) {
 	for state, name := range map[admission.EndpointState]string{admission.Draining: "drains", admission.Gone: "gone"} {
 		t.Run(name, func(t *testing.T) {
-			e, f := newEngineStand(t, "e1"), newEngineStand(t, "e2")
-			s := play(t)
+			e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
+			s := startFixture(t)
 			defer s.close()
 			dialled, goOn := s.slowDial(e)
-			s.lists(e, admission.Live)
-			a := s.client()
-			a.load("aa") // which may not run twice: so it was known that it had not
+			s.listEngine(e, admission.Live)
+			a := s.newClient()
+			a.sendLoad("aa") // which may not run twice: so it was known that it had not
 			<-dialled
-			s.lists(f, admission.Live)
-			s.lists(e, state)
-			f.says(f.hears(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-			a.gets()
+			s.listEngine(f, admission.Live)
+			s.listEngine(e, state)
+			f.reply(f.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+			a.expectAnswer()
 			close(goOn)
-			s.onlyHears(f, "bb")
+			s.requireOnlyReceives(f, "bb")
 			if state == admission.Draining { // the connection is up by now, and can be used again
-				s.lists(e, admission.Live)
-				s.lists(f, admission.Draining)
-				s.onlyHears(e, "cc")
+				s.listEngine(e, admission.Live)
+				s.listEngine(f, admission.Draining)
+				s.requireOnlyReceives(e, "cc")
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 }
 
 // breakFirst has the first write of an attempt be refused, right after before is called.
-func (s *stage) breakFirst(before func()) {
+func (s *fixture) breakFirst(before func()) {
 	var broken atomic.Bool
 	breaks := func() bool {
 		if broken.Swap(true) {
@@ -112,15 +112,15 @@
 
 // A connection that was broken before the first byte proves that nothing ran: also what must not run twice goes out again.
 func TestBrokenBeforeTheFirstByte(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t)
 	defer s.close()
 	s.breakFirst(func() {})
-	s.lists(e, admission.Live)
-	a := s.client()
-	a.load("aa")
-	e.says(e.hears(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
+	s.listEngine(e, admission.Live)
+	a := s.newClient()
+	a.sendLoad("aa")
+	e.reply(e.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
 	if !strings.Contains(s.out.String(), "client gets: rows") {
 		t.Error(s.out.String())
 	}
@@ -128,50 +128,50 @@
 
 // The drain comes between the write that was refused and the second try on another connection: there is none.
 func TestDrainBeforeTheSecondWrite(t *testing.T) {
-	e, f := newEngineStand(t, "e1"), newEngineStand(t, "e2")
-	s := play(t)
+	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
+	s := startFixture(t)
 	defer s.close()
 	s.breakFirst(func() {
-		s.lists(f, admission.Live)
-		s.lists(e, admission.Draining)
+		s.listEngine(f, admission.Live)
+		s.listEngine(e, admission.Draining)
 	})
-	s.lists(e, admission.Live)
-	a := s.client()
-	a.load("aa")
+	s.listEngine(e, admission.Live)
+	a := s.newClient()
+	a.sendLoad("aa")
 	select {
-	case h := <-e.heard:
+	case h := <-e.received:
 		t.Fatalf("the draining engine heard %q", h.parts)
-	case h := <-f.heard:
-		f.says(h.c, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	case h := <-f.received:
+		f.reply(h.c, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	}
-	a.gets()
-	if len(e.heard) > 0 || !strings.Contains(s.out.String(), "client gets: rows") {
-		t.Errorf("%s\nthe draining engine heard %d", s.out.String(), len(e.heard))
+	a.expectAnswer()
+	if len(e.received) > 0 || !strings.Contains(s.out.String(), "client gets: rows") {
+		t.Errorf("%s\nthe draining engine heard %d", s.out.String(), len(e.received))
 	}
 }
 
 // A deduplicated request must not reach an engine after the time for which engines remember it, however long the connection takes.
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
-	e, f := newEngineStand(t, "e1"), newEngineStand(t, "e2")
-	s := playSettings(t, customer)
+	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
+	s := startFixtureWith(t, customer)
 	defer s.close()
 	dialled, goOn := s.slowDial(f)
-	s.lists(e, admission.Live)
-	a := s.client()
-	a.asks("/* class=load,id=00000000000000aa,wait=20000,once=" + token + " */ INSERT INTO t_7.x SELECT * FROM staging.y")
-	k := e.hears()
-	s.lists(f, admission.Live)
-	s.lists(e, admission.Draining)
+	s.listEngine(e, admission.Live)
+	a := s.newClient()
+	a.ask("/* class=load,id=00000000000000aa,wait=20000,once=" + token + " */ INSERT INTO t_7.x SELECT * FROM staging.y")
+	k := e.receive()
+	s.listEngine(f, admission.Live)
+	s.listEngine(e, admission.Draining)
 	k.Close()
 	<-dialled
-	s.pass(2 * admission.Second) // the window
+	s.advanceClock(2 * admission.Second) // the window
 	close(goOn)
-	a.gets()
+	a.expectAnswer()
 	if !strings.Contains(s.out.String(), "client gets: error 1203") { // all engines dropped repeats, so a new request is harmless
 		t.Error(s.out.String())
 	}
-	if len(f.heard) > 0 {
-		t.Errorf("the engine heard %q", (<-f.heard).parts)
+	if len(f.received) > 0 {
+		t.Errorf("the engine heard %q", (<-f.received).parts)
 	}
 }
 
@@ -213,22 +213,22 @@
 		}},
 	} {
 		t.Run(c.what, func(t *testing.T) {
-			e := newEngineStand(t, "e1")
-			s := play(t, e)
+			e := newFakeEngine(t, "e1")
+			s := startFixture(t, e)
 			defer s.close()
-			a := s.client()
-			a.look("aa")
-			k := e.hears()
+			a := s.newClient()
+			a.sendLook("aa")
+			k := e.receive()
 			go c.flood(k)
-			s.logged("code=" + c.code)
+			s.awaitLog("code=" + c.code)
 			for { // pages of the first try may have been asked for
-				h := <-e.heard
+				h := <-e.received
 				if h.parts[0] == "do" {
-					e.says(h.c, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
+					e.reply(h.c, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
 					break
 				}
 			}
-			a.gets()
+			a.expectAnswer()
 			if !strings.Contains(s.out.String(), "client gets: rows") {
 				t.Error(s.out.String())
 			}
--- a/internal/router/leave_test.go
+++ b/internal/router/client_departure_test.go
@@ -14,50 +14,50 @@
 )
 
 // patience is how long a test waits for what has to come about: generous, as machines are busy.
-const patience = 10 * time.Second
+const eventuallyTimeout = 10 * time.Second
 
 // eventually waits until something holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for by := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for by := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("not so after %v: %s", patience, what)
+			t.Fatalf("not so after %v: %s", eventuallyTimeout, what)
 		}
 	}
 }
 
 // inHand counts the requests that the router has taken and not answered.
-func (s *stage) inHand() int {
+func (s *fixture) inFlight() int {
 	answer := make(chan int, 1)
-	s.o.tell(func(admission.Time) { answer <- len(s.o.requests) })
+	s.o.post(func(admission.Time) { answer <- len(s.o.requests) })
 	return <-answer
 }
 
 // The ways in which a client leaves while its request is in hand.
-var departures = map[string]func(c *client){
-	"closes": func(c *client) { c.c.Close() },
-	"resets": func(c *client) {
-		c.c.(*net.TCPConn).SetLinger(0)
-		c.c.Close()
+var departures = map[string]func(c *testClient){
+	"closes": func(c *testClient) { c.socket.Close() },
+	"resets": func(c *testClient) {
+		c.socket.(*net.TCPConn).SetLinger(0)
+		c.socket.Close()
 	},
-	"closes behind a command": func(c *client) {
-		c.c.Write([]byte{1, 0, 0, 0, 0x0e})
-		c.c.Close()
+	"closes behind a command": func(c *testClient) {
+		c.socket.Write([]byte{1, 0, 0, 0, 0x0e})
+		c.socket.Close()
 	},
-	"closes behind half a command": func(c *client) {
-		c.c.Write([]byte{9, 0})
-		c.c.Close()
+	"closes behind half a command": func(c *testClient) {
+		c.socket.Write([]byte{9, 0})
+		c.socket.Close()
 	},
-	"quits": func(c *client) {
-		c.c.Write([]byte{1, 0, 0, 0, 0x01})
-		c.c.Close()
+	"quits": func(c *testClient) {
+		c.socket.Write([]byte{1, 0, 0, 0, 0x01})
+		c.socket.Close()
 	},
 }
 
 // connectionOf is the router's side of a client's connection.
-func (s *stage) connectionOf(c *client) net.Conn {
+func (s *fixture) connectionOf(c *testClient) net.Conn {
 	tcp := make(chan net.Conn, 1)
-	s.o.tell(func(admission.Time) { tcp <- s.o.sessions[c.id].tcp })
+	s.o.post(func(admission.Time) { tcp <- s.o.sessions[c.id].socket })
 	return <-tcp
 }
 
@@ -76,16 +76,16 @@
 }
 
 // onlyHears asks with another client and shows that an engine hears that request first: nothing went out for the one before.
-func (s *stage) onlyHears(e *standEngine, id string) {
+func (s *fixture) requireOnlyReceives(e *fakeEngine, id string) {
 	s.t.Helper()
-	b := s.client()
-	b.look(id)
+	b := s.newClient()
+	b.sendLook(id)
 	select {
-	case h := <-e.heard:
+	case h := <-e.received:
 		if h.parts[0] != "do" || h.parts[1] != "00000000000000"+id {
 			s.t.Errorf("%s heard %q", e.name, h.parts)
 		}
-	case <-time.After(patience):
+	case <-time.After(eventuallyTimeout):
 		s.t.Errorf("%s heard nothing of %s", e.name, id)
 	}
 }
@@ -93,16 +93,16 @@
 func TestClientLeavesWhileItsRequestIsHeld(t *testing.T) {
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
-			e := newEngineStand(t, "e1")
-			s := play(t)
+			e := newFakeEngine(t, "e1")
+			s := startFixture(t)
 			defer s.close()
-			a := s.client()
-			a.look("aa")
-			s.wait(1)
+			a := s.newClient()
+			a.sendLook("aa")
+			s.awaitRequests(1)
 			leave(a)
-			eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inHand() == 0 })
-			s.told(e, "Ready")
-			s.onlyHears(e, "bb")
+			eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
+			s.announceEngine(e, "Ready")
+			s.requireOnlyReceives(e, "bb")
 		})
 	}
 }
@@ -111,18 +111,18 @@
 // here. A connection to the engine is up, so an attempt would be written at once; without the look at the client which of the
 // attempt and the end was first was chance, so it is tried often.
 func TestClientLeftBeforeItsQueryIsRead(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
 	defer s.close()
-	a := s.client()
-	a.look("bb")
-	e.says(e.hears(), "00000000000000bb", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
+	a := s.newClient()
+	a.sendLook("bb")
+	e.reply(e.receive(), "00000000000000bb", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
 	for range 40 {
 		for _, leave := range departures {
-			c := s.client()
+			c := s.newClient()
 			s.o.clients.mu.Lock()
-			c.look("aa")
+			c.sendLook("aa")
 			leave(c)
 			tcp := s.connectionOf(c)
 			eventually(t, "the client's end is there", func() bool { return endArrived(tcp) })
@@ -130,38 +130,38 @@
 		}
 	}
 	eventually(t, "all sessions but one end", func() bool { return s.kept() == 2 }) // its place among the clients, and its number
-	s.onlyHears(e, "cc")
+	s.requireOnlyReceives(e, "cc")
 }
 
 func TestClientLeavesBeforeARetry(t *testing.T) {
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
-			e, f := newEngineStand(t, "e1"), newEngineStand(t, "e2")
-			s := play(t, e)
+			e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
+			s := startFixture(t, e)
 			defer s.close()
-			a := s.client()
-			a.look("aa")
-			k := e.hears()
-			s.told(f, "Ready")
-			s.told(e, "Terminating")
+			a := s.newClient()
+			a.sendLook("aa")
+			k := e.receive()
+			s.announceEngine(f, "Ready")
+			s.announceEngine(e, "Terminating")
 			leave(a)
-			eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inHand() == 0 })
-			if h := <-e.heard; h.parts[0] != "undo" {
+			eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
+			if h := <-e.received; h.parts[0] != "undo" {
 				t.Errorf("the engine heard %q", h.parts)
 			}
 			k.Close()
-			s.onlyHears(f, "bb")
+			s.requireOnlyReceives(f, "bb")
 		})
 	}
 }
 
 // An attempt that waits for its connection is withdrawn before that is up.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t)
 	defer s.close()
 	dialled, goOn := make(chan bool, 1), make(chan bool)
-	s.o.tell(func(admission.Time) {
+	s.o.post(func(admission.Time) {
 		dial := s.o.dial
 		s.o.dial = func(address string) (net.Conn, error) {
 			select {
@@ -174,72 +174,72 @@
 	})
 	s.sync()
 	started := func() {
-		s.o.tell(func(now admission.Time) {
-			s.o.listed(now, admission.PartialUpdate, []admission.Endpoint{{Engine: "e1", State: admission.Live}}, []string{e.l.Addr().String()})
+		s.o.post(func(now admission.Time) {
+			s.o.handleEndpoints(now, admission.PartialUpdate, []admission.Endpoint{{Engine: "e1", State: admission.Live}}, []string{e.listener.Addr().String()})
 		})
 		s.sync()
 	}
 	started()
-	e.s = s
-	a := s.client()
-	a.look("aa")
+	e.fixture = s
+	a := s.newClient()
+	a.sendLook("aa")
 	<-dialled
-	if n := s.inHand(); n != 1 {
+	if n := s.inFlight(); n != 1 {
 		t.Fatalf("%d requests in hand while the connection comes up", n)
 	}
-	a.c.Close()
-	eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inHand() == 0 })
+	a.socket.Close()
+	eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
 	close(goOn)
-	s.onlyHears(e, "bb")
+	s.requireOnlyReceives(e, "bb")
 }
 
 // The connection comes up before the session has seen its client leave, as it stands still: nothing is written all the same.
 func TestClientLeftWhenTheConnectionIsUp(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t)
 	defer s.close()
 	dialled, goOn := s.slowDial(e)
-	s.lists(e, admission.Live)
-	a := s.client()
-	a.look("aa")
+	s.listEngine(e, admission.Live)
+	a := s.newClient()
+	a.sendLook("aa")
 	<-dialled
 	busy, done := make(chan bool), make(chan bool)
-	s.o.tell(func(admission.Time) {
-		s.o.requests["00000000000000aa"].by.do(func() {
+	s.o.post(func(admission.Time) {
+		s.o.requests["00000000000000aa"].responder.do(func() {
 			close(busy)
 			<-done
 		})
 	})
 	<-busy
-	a.c.Close()
+	a.socket.Close()
 	eventually(t, "the end is there", func() bool {
 		gone := make(chan bool, 1)
-		s.o.tell(func(admission.Time) { gone <- s.o.requests["00000000000000aa"].by.gone() })
+		s.o.post(func(admission.Time) { gone <- s.o.requests["00000000000000aa"].responder.clientGone() })
 		return <-gone
 	})
 	close(goOn)
-	eventually(t, "the request is withdrawn", func() bool { return s.inHand() == 0 })
+	eventually(t, "the request is withdrawn", func() bool { return s.inFlight() == 0 })
 	close(done)
-	s.onlyHears(e, "bb")
+	s.requireOnlyReceives(e, "bb")
 }
 
 // Who sends on and on before the answer is ended with an error, and the attempt is called off.
 func TestFloodBeforeTheAnswer(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
 	defer s.close()
-	a := s.client()
-	a.look("aa")
-	e.hears()
-	a.c.Write(bytes.Repeat([]byte{1, 0, 0, 0, 0x0e}, mostAhead))
+	a := s.newClient()
+	a.sendLook("aa")
+	e.receive()
+	a.socket.Write(bytes.Repeat([]byte{1, 0, 0, 0, 0x0e}, maxReadAhead))
 	if p := a.packet(); p[0] != 0xff || !strings.Contains(string(p), "too much was sent") {
 		t.Errorf("the client got %q", p)
 	}
-	if h := <-e.heard; h.parts[0] != "undo" {
+	if h := <-e.received; h.parts[0] != "undo" {
 		t.Errorf("the engine heard %q", h.parts)
 	}
-	s.logged("code=flooded")
-	if n := s.inHand(); n != 0 {
+	s.awaitLog("code=flooded")
+	if n := s.inFlight(); n != 0 {
 		t.Errorf("%d requests in hand", n)
 	}
 }
@@ -249,22 +249,22 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	interrupted := func(m *mailbox) error {
+	interrupted := func(m *sessionQueue) error {
 		_, err := near.Read(make([]byte, 1))
-		m.resume()
+		m.endInterruptibleRead()
 		return err
 	}
 	called := 0
 	call := func() { called++ }
 
-	m := newMailbox()
+	m := newSessionQueue()
 	m.Put(call)
-	if m.interrupt(near) {
+	if m.beginInterruptibleRead(near) {
 		t.Error("a session may read though a call waits already")
 	}
 	m.run()
 
-	if !m.interrupt(near) {
+	if !m.beginInterruptibleRead(near) {
 		t.Fatal("a session may not read though no call waits")
 	}
 	m.Put(call) // before the read
@@ -273,7 +273,7 @@
 	}
 	m.run()
 
-	m.interrupt(near)
+	m.beginInterruptibleRead(near)
 	read := make(chan error)
 	go func() { read <- interrupted(m) }()
 	m.Put(call) // while it reads, or just before
@@ -282,8 +282,8 @@
 	}
 	m.run()
 
-	m.interrupt(near)
-	m.resume()
+	m.beginInterruptibleRead(near)
+	m.endInterruptibleRead()
 	m.Put(call) // after the read: the next one is not disturbed
 	go far.Write([]byte{1})
 	if _, err := near.Read(make([]byte, 1)); err != nil {
--- a/internal/router/session_test.go
+++ b/internal/router/client_session_test.go
@@ -11,40 +11,40 @@
 )
 
 func TestRequestWithoutAnEngineIsRejected(t *testing.T) { // no engine, so it is held while that is of use
-	s := play(t)
-	a := s.client()
-	a.look("aa")
-	s.wait(1)
-	s.pass(2 * admission.Second)
-	a.gets()
-	s.end("nacked")
+	s := startFixture(t)
+	a := s.newClient()
+	a.sendLook("aa")
+	s.awaitRequests(1)
+	s.advanceClock(2 * admission.Second)
+	a.expectAnswer()
+	s.compareTrace("nacked")
 }
 
 func TestKillQueryWithdrawsTheRequest(t *testing.T) { // nothing is owed then, the engine is told, and the session can go on
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	a, b := s.client(), s.client()
-	a.look("aa")
-	k := e.hears()
-	b.asks("KILL QUERY 0")
-	b.gets()
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	a, b := s.newClient(), s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
+	b.ask("KILL QUERY 0")
+	b.expectAnswer()
 	b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
-	s.say("client kills the query of another session")
-	b.gets()
-	e.hears()
-	e.hears()
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
-	a.look("bb")
-	k = e.hears()
-	e.says(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
-	a.gets()
-	s.end("killed")
+	s.tracef("client kills the query of another session")
+	b.expectAnswer()
+	e.receive()
+	e.receive()
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
+	a.sendLook("bb")
+	k = e.receive()
+	e.reply(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
+	a.expectAnswer()
+	s.compareTrace("killed")
 }
 
 // The owner looked at what a session writes as it reads its next query, which the race detector tells.
 func TestKillQueryBetweenTwoRequests(t *testing.T) {
-	s := play(t)
-	a, b := s.client(), s.client()
+	s := startFixture(t)
+	a, b := s.newClient(), s.newClient()
 	nacked := 0
 	for i := range 50 {
 		a.send(0, fmt.Appendf([]byte{mysql.Query}, "/* class=look,id=%016x,wait=1 */ SELECT a FROM t_7.x", i))
@@ -54,15 +54,15 @@
 			nacked++
 		}
 	}
-	s.say("%d of 50 nacked", nacked)
-	s.end("killed between")
+	s.tracef("%d of 50 nacked", nacked)
+	s.compareTrace("killed between")
 }
 
 // Who speaks no protocol gets an error or a close, with a code, and no engine hears of it.
 func TestBadClientsAreToldAndEnded(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	s.o.tell(func(admission.Time) { s.o.network.LongestWaits = []time.Duration{5 * time.Second, 20 * time.Second} })
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	s.o.post(func(admission.Time) { s.o.network.LongestWaits = []time.Duration{5 * time.Second, 20 * time.Second} })
 	query := func(sql string) []byte {
 		return append([]byte{byte(len(sql) + 1), byte((len(sql) + 1) >> 8), 0, 0, mysql.Query}, sql...)
 	}
@@ -91,61 +91,61 @@
 			b.login("app\x00\x00")
 			b.packet()
 		}
-		s.say("client sends %s", c.what)
-		b.c.Write(c.sends)
-		if b.gets(); c.code == "closed" {
-			b.c.Close()
+		s.tracef("client sends %s", c.what)
+		b.socket.Write(c.sends)
+		if b.expectAnswer(); c.code == "closed" {
+			b.socket.Close()
 		}
-		s.logged("peer=" + b.c.LocalAddr().String() + " code=" + c.code)
+		s.awaitLog("peer=" + b.socket.LocalAddr().String() + " code=" + c.code)
 	}
-	if len(e.heard) > 0 {
+	if len(e.received) > 0 {
 		t.Error("the engine heard of it")
 	}
-	s.end("bad clients")
+	s.compareTrace("bad clients")
 }
 
 func TestOddCommandsReachNoEngine(t *testing.T) { // errors and codes; nothing of it reaches an engine
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	a := s.client()
-	a.asks("SELECT 1")
-	a.gets()
-	a.request("xx", "look", 5000)
-	a.gets()
-	a.request("aa", "other", 5000)
-	a.gets()
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	a := s.newClient()
+	a.ask("SELECT 1")
+	a.expectAnswer()
+	a.sendRequest("xx", "look", 5000)
+	a.expectAnswer()
+	a.sendRequest("aa", "other", 5000)
+	a.expectAnswer()
 	a.send(0, []byte{mysql.Ping})
-	a.gets()
+	a.expectAnswer()
 	a.send(0, append([]byte{mysql.InitDB}, "reports"...))
-	a.gets()
+	a.expectAnswer()
 	a.send(0, append([]byte{mysql.InitDB}, "mysql"...))
-	a.gets()
+	a.expectAnswer()
 	a.send(0, []byte{0x16})
-	a.gets()
+	a.expectAnswer()
 	a.send(0, []byte{mysql.Quit})
-	a.gets()
+	a.expectAnswer()
 	for _, login := range []string{"root\x00\x00", "app\x00\x01x", "app"} {
 		b := s.dial()
 		b.packet()
 		b.login(login)
-		b.gets()
-		b.gets()
+		b.expectAnswer()
+		b.expectAnswer()
 	}
-	b := s.client()
-	b.c.Write([]byte{0xff, 0xff, 0xff, 0})
-	b.gets()
-	b.gets()
-	b = s.client()
+	b := s.newClient()
+	b.socket.Write([]byte{0xff, 0xff, 0xff, 0})
+	b.expectAnswer()
+	b.expectAnswer()
+	b = s.newClient()
 	b.send(0, nil)
-	b.gets()
-	b = s.client()
-	b.c.Write([]byte{9, 0})
-	b.c.Close()
+	b.expectAnswer()
+	b = s.newClient()
+	b.socket.Write([]byte{9, 0})
+	b.socket.Close()
 	for _, code := range []string{"quit", "denied", "bad_login", "too_large", "bad_packet", "closed"} {
-		s.logged("code=" + code)
+		s.awaitLog("code=" + code)
 	}
-	if len(e.heard) > 0 {
+	if len(e.received) > 0 {
 		t.Error("the engine heard of it")
 	}
-	s.end("odd clients")
+	s.compareTrace("odd clients")
 }
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -14,7 +14,7 @@
 }
 
 // tenth is the project's unit of time.
-const tenth = 100 * time.Microsecond
+const timeUnit = 100 * time.Microsecond
 
 // wallClock is Unix time as it was at start, moved on by the monotonic clock: it never goes back.
 type wallClock struct{ start time.Time }
@@ -22,10 +22,10 @@
 func newWallClock() wallClock { return wallClock{time.Now()} }
 
 func (c wallClock) Now() admission.Time {
-	return admission.Time((c.start.UnixNano() + int64(askew(time.Since(c.start)))) / int64(tenth))
+	return admission.Time((c.start.UnixNano() + int64(skewElapsed(time.Since(c.start)))) / int64(timeUnit))
 }
 
 func (c wallClock) After(d admission.Time, f func()) func() {
-	t := time.AfterFunc(time.Duration(max(0, d))*tenth, f)
+	t := time.AfterFunc(time.Duration(max(0, d))*timeUnit, f)
 	return func() { t.Stop() }
 }
--- a/internal/router/clock_true.go
+++ b/internal/router/clock_skew_off.go
@@ -5,4 +5,4 @@
 import "time"
 
 // askew is for the laboratory, whose clocks may run off; in an ordinary build they are true.
-func askew(since time.Duration) time.Duration { return since }
+func skewElapsed(since time.Duration) time.Duration { return since }
--- a/internal/router/clock_testbed.go
+++ b/internal/router/clock_skew_testbed.go
@@ -20,7 +20,7 @@
 	return rate, jump, at
 }()
 
-func askew(since time.Duration) time.Duration {
+func skewElapsed(since time.Duration) time.Duration {
 	off := time.Duration(float64(since) * rate)
 	if jump != 0 && since >= jumpAt {
 		off += jump
--- a/internal/router/driver_test.go
+++ b/internal/router/driver_test.go
@@ -96,7 +96,7 @@
 	from := time.Unix(0, 0)
 	for n := range 4 * 300 {
 		now := from.Add(time.Duration(n) * 250 * time.Millisecond)
-		if l.due(now, n == 1000) {
+		if l.allow(now, n == 1000) {
 			fmt.Print(now.Sub(from).Seconds(), " ")
 		}
 	}
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -15,137 +15,137 @@
 )
 
 func TestPagesAreGatheredInOrder(t *testing.T) { // gathered in order, whatever order they come in; one connection carries two requests
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	s.o.tell(func(admission.Time) { s.o.engineRoom = 0 }) // so that attempts share connections
-	a, b, c := s.client(), s.client(), s.client()
-	a.look("aa")
-	k := e.hears()
-	b.look("bb")
-	if e.hears() != k {
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	s.o.post(func(admission.Time) { s.o.engineConnectionLimit = 0 }) // so that attempts share connections
+	a, b, c := s.newClient(), s.newClient(), s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
+	b.sendLook("bb")
+	if e.receive() != k {
 		t.Error("the second attempt came on another connection")
 	}
-	c.look("cc")
-	if e.hears() == k {
+	c.sendLook("cc")
+	if e.receive() == k {
 		t.Error("the third attempt came on the same connection")
 	}
-	e.says(k, "00000000000000aa", "data", "pages=3,cost=120,need=64", "a\tb\tc\n")
-	e.hears()
-	e.hears()
-	e.says(k, "00000000000000aa", "page", "page=2", "g\th\ti\n")
-	e.says(k, "00000000000000bb", "data", "pages=1,cost=100,need=64", "")
-	b.gets()
-	e.says(k, "00000000000000aa", "page", "page=1", "d\te\tf\n")
-	a.gets()
-	a.look("dd") // the session goes on
-	e.hears()
-	e.says(k, "00000000000000dd", "full", "-", "")
-	e.hears()
-	s.end("pages")
+	e.reply(k, "00000000000000aa", "data", "pages=3,cost=120,need=64", "a\tb\tc\n")
+	e.receive()
+	e.receive()
+	e.reply(k, "00000000000000aa", "page", "page=2", "g\th\ti\n")
+	e.reply(k, "00000000000000bb", "data", "pages=1,cost=100,need=64", "")
+	b.expectAnswer()
+	e.reply(k, "00000000000000aa", "page", "page=1", "d\te\tf\n")
+	a.expectAnswer()
+	a.sendLook("dd") // the session goes on
+	e.receive()
+	e.reply(k, "00000000000000dd", "full", "-", "")
+	e.receive()
+	s.compareTrace("pages")
 }
 
 func TestLostPageIsRetried(t *testing.T) { // nothing was passed on yet, so the module decides: here it hands off again
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	a := s.client()
-	a.look("aa")
-	k := e.hears()
-	e.says(k, "00000000000000aa", "data", "pages=2,cost=120,need=64", "a\tb\tc\n")
-	e.hears()
-	e.says(k, "00000000000000aa", "failed", "-", "")
-	k = e.hears()
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
-	s.end("lost pages")
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	a := s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
+	e.reply(k, "00000000000000aa", "data", "pages=2,cost=120,need=64", "a\tb\tc\n")
+	e.receive()
+	e.reply(k, "00000000000000aa", "failed", "-", "")
+	k = e.receive()
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
+	s.compareTrace("lost pages")
 }
 
 func TestResetIsRetriedWhereTheClassAllows(t *testing.T) { // the one may run again, of the other nothing is known
-	e, f := newEngineStand(t, "e1"), newEngineStand(t, "e2")
-	s := play(t, e, f)
-	s.told(f, "Terminating")
-	a, b := s.client(), s.client()
-	a.look("aa")
-	k := e.hears()
-	s.told(e, "Terminating")
-	s.told(f, "Ready")
+	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
+	s := startFixture(t, e, f)
+	s.announceEngine(f, "Terminating")
+	a, b := s.newClient(), s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
+	s.announceEngine(e, "Terminating")
+	s.announceEngine(f, "Ready")
 	k.Close()
-	k = f.hears()
-	f.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
-	b.load("bb")
-	f.hears().Close()
-	b.gets()
-	s.end("reset")
+	k = f.receive()
+	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
+	b.sendLoad("bb")
+	f.receive().Close()
+	b.expectAnswer()
+	s.compareTrace("reset")
 }
 
 func TestRefusedConnectionProvesThatNothingRan(t *testing.T) { // proof that nothing ran: even a request that must not run twice goes elsewhere
-	e, f := newEngineStand(t, "e2"), newEngineStand(t, "e1")
-	e.l.Close()
-	s := play(t)
-	f.s = s
-	a := s.client()
-	a.load("aa")
-	s.wait(1)
+	e, f := newFakeEngine(t, "e2"), newFakeEngine(t, "e1")
+	e.listener.Close()
+	s := startFixture(t)
+	f.fixture = s
+	a := s.newClient()
+	a.sendLoad("aa")
+	s.awaitRequests(1)
 	s.list <- fmt.Sprintf(`{"index":2,"updates":[%s]}`, event(2, false, []string{entry(f, "Ready"), entry(e, "Ready")}))
-	k := f.hears()
-	f.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "")
-	a.gets()
-	s.say("connections refused: %d", strings.Count(s.log.String(), "code=refused"))
-	s.end("refused")
+	k := f.receive()
+	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "")
+	a.expectAnswer()
+	s.tracef("connections refused: %d", strings.Count(s.log.String(), "code=refused"))
+	s.compareTrace("refused")
 }
 
 func TestSilentEngineTimesOut(t *testing.T) { // a time-out, an answer after it, and another request on the same session
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	a := s.client()
-	a.load("aa")
-	k := e.hears()
-	s.pass(12100 * admission.Millisecond)
-	e.hears()
-	e.hears()
-	s.pass(150 * admission.Millisecond)
-	a.gets()
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
-	a.look("bb")
-	k = e.hears()
-	e.says(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
-	a.gets()
-	s.end("silent")
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	a := s.newClient()
+	a.sendLoad("aa")
+	k := e.receive()
+	s.advanceClock(12100 * admission.Millisecond)
+	e.receive()
+	e.receive()
+	s.advanceClock(150 * admission.Millisecond)
+	a.expectAnswer()
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
+	a.sendLook("bb")
+	k = e.receive()
+	e.reply(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
+	a.expectAnswer()
+	s.compareTrace("silent")
 }
 
 func TestUnaskedPagesArePassedOver(t *testing.T) { // what nobody asked for is passed over, and the client gets no part of it
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	a := s.client()
-	a.load("bb")
-	k := e.hears()
-	e.says(k, "00000000000000ff", "data", "pages=1", "of\tnobody\t.\n")
-	e.says(k, "00000000000000bb", "page", "page=0", "too\tearly\t.\n")
-	e.says(k, "00000000000000bb", "data", "pages=2,cost=5,need=-0", "a\tb\tc\n")
-	e.hears()
-	e.says(k, "00000000000000bb", "page", "page=2", "too\tmany\t.\n")
-	e.says(k, "00000000000000bb", "data", "pages=1", "once\tmore\t.\n")
-	e.says(k, "00000000000000bb", "page", "page=1", "d\te\tf\n")
-	e.says(k, "00000000000000bb", "page", "page=1", "once\tmore\t.\n")
-	a.gets()
-	e.says(k, "00000000000000bb", "full", "-", "")
-	a.look("cc")
-	e.says(e.hears(), "00000000000000cc", "data", "pages=1", "a\tb\tc\n")
-	a.gets()
-	s.end("odd pages")
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	a := s.newClient()
+	a.sendLoad("bb")
+	k := e.receive()
+	e.reply(k, "00000000000000ff", "data", "pages=1", "of\tnobody\t.\n")
+	e.reply(k, "00000000000000bb", "page", "page=0", "too\tearly\t.\n")
+	e.reply(k, "00000000000000bb", "data", "pages=2,cost=5,need=-0", "a\tb\tc\n")
+	e.receive()
+	e.reply(k, "00000000000000bb", "page", "page=2", "too\tmany\t.\n")
+	e.reply(k, "00000000000000bb", "data", "pages=1", "once\tmore\t.\n")
+	e.reply(k, "00000000000000bb", "page", "page=1", "d\te\tf\n")
+	e.reply(k, "00000000000000bb", "page", "page=1", "once\tmore\t.\n")
+	a.expectAnswer()
+	e.reply(k, "00000000000000bb", "full", "-", "")
+	a.sendLook("cc")
+	e.reply(e.receive(), "00000000000000cc", "data", "pages=1", "a\tb\tc\n")
+	a.expectAnswer()
+	s.compareTrace("odd pages")
 }
 
 func TestReportOfNobodyIsPassedOver(t *testing.T) { // where answers hold reports, one for no request is passed over like its rows
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	s.o.tell(func(admission.Time) { s.o.network.ReportsInAnswers = true })
-	a := s.client()
-	a.look("aa")
-	k := e.hears()
-	e.says(k, "00000000000000ff", "failed", "gauges=inflight:3", "")
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=5,need=1,gauges=inflight:2", "a\tb\tc\n")
-	a.gets()
-	s.end("gauges of nobody")
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	s.o.post(func(admission.Time) { s.o.network.ReportsInAnswers = true })
+	a := s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
+	e.reply(k, "00000000000000ff", "failed", "gauges=inflight:3", "")
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=5,need=1,gauges=inflight:2", "a\tb\tc\n")
+	a.expectAnswer()
+	s.compareTrace("gauges of nobody")
 }
 
 // A spoilt or missing answer ends its connection, with a code; it says little of the engine, and a request that may run
@@ -169,83 +169,83 @@
 		{"half an answer and the end", whole[:40], "closed"},
 		{"nothing at all", "", "mute"},
 	} {
-		e := newEngineStand(t, "e1")
-		s := play(t, e)
-		s.o.tell(func(admission.Time) { s.o.site.NoticeInterval = 50 * admission.Millisecond })
-		a := s.client()
-		a.look("aa")
-		k := e.hears()
+		e := newFakeEngine(t, "e1")
+		s := startFixture(t, e)
+		s.o.post(func(admission.Time) { s.o.deployment.NoticeInterval = 50 * admission.Millisecond })
+		a := s.newClient()
+		a.sendLook("aa")
+		k := e.receive()
 		io.WriteString(k, c.answer)
 		if c.code == "closed" {
 			k.Close()
 		}
-		s.logged("code=" + c.code)
-		e.says(e.hears(), id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
-		a.gets()
+		s.awaitLog("code=" + c.code)
+		e.reply(e.receive(), id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
+		a.expectAnswer()
 		out.WriteString("after " + c.what + ", code " + c.code + "\n" + s.out.String())
 		s.close()
 	}
-	s := &stage{t: t}
+	s := &fixture{t: t}
 	s.out.WriteString(out.String())
-	s.end("spoilt")
+	s.compareTrace("spoilt")
 }
 
 func TestSilentConnectionIsNotUsedAgain(t *testing.T) { // after an undo that was never heard of, a new connection is tried
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	a := s.client()
-	a.look("aa")
-	k := e.hears()
-	s.pass(1100 * admission.Millisecond)
-	e.hears()
-	e.hears()
-	s.pass(250 * admission.Millisecond)
-	a.gets()
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	a := s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
+	s.advanceClock(1100 * admission.Millisecond)
+	e.receive()
+	e.receive()
+	s.advanceClock(250 * admission.Millisecond)
+	a.expectAnswer()
 	time.Sleep(s.o.network.ConnectTimeout + time.Millisecond)
-	a.look("bb")
-	if e.hears() == k {
+	a.sendLook("bb")
+	if e.receive() == k {
 		t.Error("the next attempt came on the silent connection")
 	}
-	s.end("gone without a sign")
+	s.compareTrace("gone without a sign")
 }
 
 // Where the next do overtook the undo on another connection, the engines held two copies of a request.
 func TestRetryWaitsForTheUndo(t *testing.T) {
-	e, f := newEngineStand(t, "e1"), newEngineStand(t, "e2")
-	s := play(t, e)
-	a := s.client()
-	a.look("aa")
-	k := e.hears()
-	s.told(f, "Ready")
-	s.pass(100 * admission.Millisecond)
-	e.says(k, "00000000000000aa", "news", "res=so_far,v=0.01", "")
-	e.hears()
-	e.hears()
-	s.pass(10 * admission.Millisecond)
-	if len(f.heard) > 0 {
+	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
+	s := startFixture(t, e)
+	a := s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
+	s.announceEngine(f, "Ready")
+	s.advanceClock(100 * admission.Millisecond)
+	e.reply(k, "00000000000000aa", "news", "res=so_far,v=0.01", "")
+	e.receive()
+	e.receive()
+	s.advanceClock(10 * admission.Millisecond)
+	if len(f.received) > 0 {
 		t.Error("a second copy went out before the first was known to be given up")
 	}
-	s.told(e, "Terminating")
-	e.says(k, "00000000000000aa", "failed", "-", "")
-	k = f.hears()
-	f.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
-	s.end("called off")
+	s.announceEngine(e, "Terminating")
+	e.reply(k, "00000000000000aa", "failed", "-", "")
+	k = f.receive()
+	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
+	s.compareTrace("called off")
 }
 
 // A connection that breaks at the request after a rest was dropped by then: later ones rest for half as long at most,
 // and the engine is not held at fault.
 func TestIdleConnectionsRestShorterAfterABreak(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	a := s.client()
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	a := s.newClient()
 	ask := func(id string) net.Conn {
-		a.look(id)
-		return e.hears()
+		a.sendLook(id)
+		return e.receive()
 	}
 	answer := func(k net.Conn, id string) {
-		e.says(k, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-		a.gets()
+		e.reply(k, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+		a.expectAnswer()
 	}
 	k := ask("aa")
 	answer(k, "aa")
@@ -255,17 +255,17 @@
 	}
 	k.(*net.TCPConn).SetLinger(0)
 	k.Close()
-	k = e.hears()
+	k = e.receive()
 	answer(k, "bb")
 	fresh := make(chan time.Duration)
-	s.o.tell(func(admission.Time) {
-		engine := s.o.engines["e1"].(*engine)
+	s.o.post(func(admission.Time) {
+		engine := s.o.engines["e1"].(*enginePool)
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
-		fresh <- engine.fresh()
+		fresh <- engine.maxIdle()
 	})
 	d := <-fresh
-	if d >= s.o.idleAfter() {
+	if d >= s.o.engineIdleTimeout() {
 		t.Errorf("rests of %v", d)
 	}
 	time.Sleep(d)
@@ -274,14 +274,14 @@
 		t.Error("a connection was used again after the rest that broke one")
 	}
 	answer(m, "cc")
-	s.end("stale")
+	s.compareTrace("stale")
 }
 
 // What this process lacks is not the engine's failure.
 func TestLackOfDescriptorsIsNotTheEnginesFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.EADDRNOTAVAIL, syscall.ECONNREFUSED, syscall.ECONNRESET} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
-		if got, want := ours(err), errno == syscall.EMFILE || errno == syscall.EADDRNOTAVAIL; got != want {
+		if got, want := isLocalShortage(err), errno == syscall.EMFILE || errno == syscall.EADDRNOTAVAIL; got != want {
 			t.Errorf("%v: got %v", err, got)
 		}
 	}
--- a/internal/router/stand_test.go
+++ b/internal/router/fakes_test.go
@@ -14,25 +14,25 @@
 )
 
 // standEngine is an engine that shows the script what it is sent; it answers probes by itself.
-type standEngine struct {
-	s     *stage
-	name  string
-	l     net.Listener
-	heard chan heard
+type fakeEngine struct {
+	fixture  *fixture
+	name     string
+	listener net.Listener
+	received chan receivedCommand
 }
 
-type heard struct {
+type receivedCommand struct {
 	c     net.Conn
 	parts []string
 }
 
-func newEngineStand(t *testing.T, name string) *standEngine {
+func newFakeEngine(t *testing.T, name string) *fakeEngine {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	e := &standEngine{name: name, l: l, heard: make(chan heard, 16)}
+	e := &fakeEngine{name: name, listener: l, received: make(chan receivedCommand, 16)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -45,7 +45,7 @@
 	return e
 }
 
-func (e *standEngine) read(c net.Conn) {
+func (e *fakeEngine) read(c net.Conn) {
 	var buffer []byte
 	b := make([]byte, 4096)
 	for {
@@ -70,31 +70,31 @@
 			c.Write(resp.AppendArray(nil, words[1], "well", "gauges=util:0.2", ""))
 			continue
 		}
-		e.heard <- heard{c, words}
+		e.received <- receivedCommand{c, words}
 	}
 }
 
 // hears waits for what the router sends next and returns the connection that brought it.
-func (e *standEngine) hears() net.Conn {
-	h := <-e.heard
-	e.s.say("%s hears: %s", e.name, strings.Join(h.parts, " | "))
+func (e *fakeEngine) receive() net.Conn {
+	h := <-e.received
+	e.fixture.tracef("%s hears: %s", e.name, strings.Join(h.parts, " | "))
 	return h.c
 }
 
-func (e *standEngine) says(c net.Conn, parts ...string) {
-	e.s.say("%s says: %s", e.name, strings.Join(parts, " | "))
+func (e *fakeEngine) reply(c net.Conn, parts ...string) {
+	e.fixture.tracef("%s says: %s", e.name, strings.Join(parts, " | "))
 	c.Write(resp.AppendArray(nil, parts...))
 }
 
 // client speaks the client's side, and logs in before it reads the greeting.
-type client struct {
-	s  *stage
-	c  net.Conn
-	r  *bufio.Reader
-	id uint32
+type testClient struct {
+	fixture *fixture
+	socket  net.Conn
+	reader  *bufio.Reader
+	id      uint32
 }
 
-func (s *stage) client() *client {
+func (s *fixture) newClient() *testClient {
 	c := s.dial()
 	c.login("app\x00\x00")
 	greeting := c.packet()
@@ -107,55 +107,55 @@
 }
 
 // login sends a login of the protocol 4.1 with what stands behind its fixed part.
-func (c *client) login(rest string) {
+func (c *testClient) login(rest string) {
 	c.send(1, append(append([]byte{0, 0x82, 0, 0}, make([]byte, 28)...), rest...))
 }
 
-func (s *stage) dial() *client {
-	c, err := net.Dial("tcp", s.addr)
+func (s *fixture) dial() *testClient {
+	c, err := net.Dial("tcp", s.address)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.things = append(s.things, c)
-	return &client{s: s, c: c, r: bufio.NewReader(c)}
+	s.closers = append(s.closers, c)
+	return &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)}
 }
 
-func (c *client) send(number byte, payload []byte) {
-	c.c.Write(append([]byte{byte(len(payload)), byte(len(payload) >> 8), 0, number}, payload...))
+func (c *testClient) send(number byte, payload []byte) {
+	c.socket.Write(append([]byte{byte(len(payload)), byte(len(payload) >> 8), 0, number}, payload...))
 }
 
-func (c *client) packet() []byte {
+func (c *testClient) packet() []byte {
 	head := make([]byte, mysql.HeaderSize)
-	if _, err := io.ReadFull(c.r, head); err != nil {
+	if _, err := io.ReadFull(c.reader, head); err != nil {
 		return []byte("end of connection")
 	}
 	length, _ := mysql.ParseHeader(head)
 	payload := make([]byte, length)
-	io.ReadFull(c.r, payload)
+	io.ReadFull(c.reader, payload)
 	return payload
 }
 
-func (c *client) asks(sql string) {
-	c.s.say("client asks: %s", sql)
+func (c *testClient) ask(sql string) {
+	c.fixture.tracef("client asks: %s", sql)
 	c.send(0, append([]byte{mysql.Query}, sql...))
 }
 
 // look and load ask for a request that may run again and for one that may not.
-func (c *client) look(id string) { c.request(id, "look", 5000) }
+func (c *testClient) sendLook(id string) { c.sendRequest(id, "look", 5000) }
 
-func (c *client) load(id string) { c.request(id, "load", 20000) }
+func (c *testClient) sendLoad(id string) { c.sendRequest(id, "load", 20000) }
 
-func (c *client) request(id, class string, wait int) {
-	c.asks(fmt.Sprintf("/* class=%s,id=00000000000000%s,wait=%d */ SELECT a FROM t_7.x", class, id, wait))
+func (c *testClient) sendRequest(id, class string, wait int) {
+	c.ask(fmt.Sprintf("/* class=%s,id=00000000000000%s,wait=%d */ SELECT a FROM t_7.x", class, id, wait))
 }
 
 // gets waits for one answer.
-func (c *client) gets() {
+func (c *testClient) expectAnswer() {
 	switch p := c.packet(); {
 	case p[0] == 0xff:
-		c.s.say("client gets: error %d %s", int(p[1])|int(p[2])<<8, p[3:])
+		c.fixture.tracef("client gets: error %d %s", int(p[1])|int(p[2])<<8, p[3:])
 	case p[0] == 0:
-		c.s.say("client gets: OK")
+		c.fixture.tracef("client gets: OK")
 	case p[0] == 3 && len(p) == 1:
 		for range 4 {
 			c.packet()
@@ -164,8 +164,8 @@
 		for p = c.packet(); p[0] != 0xfe; p = c.packet() {
 			rows = append(rows, fmt.Sprintf("%q", p))
 		}
-		c.s.say("client gets: rows %s", strings.Join(rows, " "))
+		c.fixture.tracef("client gets: rows %s", strings.Join(rows, " "))
 	default:
-		c.s.say("client gets: %s", p)
+		c.fixture.tracef("client gets: %s", p)
 	}
 }
--- a/internal/router/stage_test.go
+++ b/internal/router/fixture_test.go
@@ -22,27 +22,27 @@
 var keep = flag.Bool("keep", false, "keep the traces as they come out now")
 
 // handClock stands still until a script moves it.
-type handClock struct {
+type manualClock struct {
 	mu     sync.Mutex
 	now    admission.Time
-	timers map[*handTimer]bool
+	timers map[*manualTimer]bool
 }
 
-type handTimer struct {
+type manualTimer struct {
 	at admission.Time
 	f  func()
 }
 
-func (c *handClock) Now() admission.Time {
+func (c *manualClock) Now() admission.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *handClock) After(d admission.Time, f func()) func() {
+func (c *manualClock) After(d admission.Time, f func()) func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := &handTimer{c.now + max(0, d), f}
+	t := &manualTimer{c.now + max(0, d), f}
 	c.timers[t] = true
 	return func() {
 		c.mu.Lock()
@@ -52,10 +52,10 @@
 }
 
 // next takes out the earliest timer up to a time and moves the clock to it.
-func (c *handClock) next(until admission.Time) func() {
+func (c *manualClock) next(until admission.Time) func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var first *handTimer
+	var first *manualTimer
 	for t := range c.timers {
 		if t.at <= until && (first == nil || t.at < first.at) {
 			first = t
@@ -71,19 +71,19 @@
 }
 
 // stage is a router on loopback between clients, engines and an engine list that a script plays.
-type stage struct {
-	t      *testing.T
-	clock  *handClock
-	o      *owner
-	stop   chan struct{}
-	ended  chan struct{}
-	out    strings.Builder
-	log    lockedBuffer
-	addr   string
-	list   chan string // events to come
-	polls  chan string // polls that came
-	held   int
-	things []io.Closer
+type fixture struct {
+	t         *testing.T
+	clock     *manualClock
+	o         *owner
+	stop      chan struct{}
+	ended     chan struct{}
+	out       strings.Builder
+	log       lockedBuffer
+	address   string
+	list      chan string // events to come
+	polls     chan string // polls that came
+	listIndex int
+	closers   []io.Closer
 
 	start   *config.Config
 	renewed chan *config.Config
@@ -114,15 +114,17 @@
   "retryAfter":true,"maxRetryAfterUs":2000000},"rules":{}}`
 
 // play starts a router that knows the given engines.
-func play(t *testing.T, engines ...*standEngine) *stage { return playSettings(t, settings, engines...) }
+func startFixture(t *testing.T, engines ...*fakeEngine) *fixture {
+	return startFixtureWith(t, settings, engines...)
+}
 
-func playSettings(t *testing.T, settings string, engines ...*standEngine) *stage {
-	s := &stage{t: t, clock: &handClock{now: 17e12, timers: map[*handTimer]bool{}}, stop: make(chan struct{}),
-		ended: make(chan struct{}), list: make(chan string, 8), polls: make(chan string, 8), held: 1,
+func startFixtureWith(t *testing.T, settings string, engines ...*fakeEngine) *fixture {
+	s := &fixture{t: t, clock: &manualClock{now: 17e12, timers: map[*manualTimer]bool{}}, stop: make(chan struct{}),
+		ended: make(chan struct{}), list: make(chan string, 8), polls: make(chan string, 8), listIndex: 1,
 		renewed: make(chan *config.Config)}
 	var servers []string
 	for _, e := range engines {
-		e.s = s
+		e.fixture = s
 		servers = append(servers, entry(e, "Ready"))
 	}
 	path := filepath.Join(t.TempDir(), "configuration.json")
@@ -137,7 +139,7 @@
 	}
 	s.start = start
 	listener := s.listen()
-	s.addr = listener.Addr().String()
+	s.address = listener.Addr().String()
 	s.o = newOwner(start, s.clock, slog.New(slog.NewTextHandler(&s.log, nil)))
 	go func() {
 		s.o.serve(start, listener, s.stop, s.renewed)
@@ -146,18 +148,18 @@
 	return s
 }
 
-func (s *stage) listen() net.Listener {
+func (s *fixture) listen() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.things = append(s.things, l)
+	s.closers = append(s.closers, l)
 	return l
 }
 
-func entry(e *standEngine, state string) string {
+func entry(e *fakeEngine, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"hall","kind":"std","cell":0,"state":%q,"started_ms":0}`,
-		e.name, e.l.Addr(), state)
+		e.name, e.listener.Addr(), state)
 }
 
 func event(index int, full bool, servers []string) string {
@@ -165,7 +167,7 @@
 }
 
 // engineList answers polls with the events that the script tells, or with none before they are given up.
-func (s *stage) engineList() string {
+func (s *fixture) engineList() string {
 	l := s.listen()
 	go func() {
 		for {
@@ -203,33 +205,33 @@
 }
 
 // told lets the engine list tell an event, and waits until the router has it.
-func (s *stage) told(e *standEngine, state string) {
-	e.s = s
-	s.held++
-	s.say("the list tells: %s is %s", e.name, state)
-	s.list <- fmt.Sprintf(`{"index":%d,"updates":[%s]}`, s.held, event(s.held, false, []string{entry(e, state)}))
+func (s *fixture) announceEngine(e *fakeEngine, state string) {
+	e.fixture = s
+	s.listIndex++
+	s.tracef("the list tells: %s is %s", e.name, state)
+	s.list <- fmt.Sprintf(`{"index":%d,"updates":[%s]}`, s.listIndex, event(s.listIndex, false, []string{entry(e, state)}))
 	for line := range s.polls {
-		if strings.Contains(line, fmt.Sprintf("follow=%d&", s.held)) {
+		if strings.Contains(line, fmt.Sprintf("follow=%d&", s.listIndex)) {
 			break
 		}
 	}
 	s.sync()
 }
 
-func (s *stage) say(format string, args ...any) {
+func (s *fixture) tracef(format string, args ...any) {
 	what := strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", "\\n")
 	fmt.Fprintf(&s.out, "%8.1f ms  %s\n", float64(s.clock.Now()-17e12)/10, what)
 }
 
 // sync waits until the owner has done what is queued.
-func (s *stage) sync() {
+func (s *fixture) sync() {
 	done := make(chan struct{})
-	s.o.tell(func(admission.Time) { close(done) })
+	s.o.post(func(admission.Time) { close(done) })
 	<-done
 }
 
 // pass moves the clock on.
-func (s *stage) pass(d admission.Time) {
+func (s *fixture) advanceClock(d admission.Time) {
 	until := s.clock.Now() + d
 	for {
 		s.sync()
@@ -242,11 +244,11 @@
 	s.sync()
 }
 
-func (s *stage) close() {
+func (s *fixture) close() {
 	if s.o != nil {
-		s.leave()
+		s.stopGateway()
 	}
-	for _, c := range s.things {
+	for _, c := range s.closers {
 		c.Close()
 	}
 }
@@ -256,7 +258,7 @@
 
 // leave has the router leave its engine list and stop with nothing in hand: else it would dial addresses that the next test's
 // peers get.
-func (s *stage) leave() {
+func (s *fixture) stopGateway() {
 	l, err := nobody()
 	if err != nil {
 		s.t.Fatal(err)
@@ -268,9 +270,9 @@
 	case <-s.ended:
 		return
 	}
-	s.o.tell(func(now admission.Time) {
-		for _, t := range s.o.requests {
-			s.o.left(now, t)
+	s.o.post(func(now admission.Time) {
+		for _, request := range s.o.requests {
+			s.o.handleClientGone(now, request)
 		}
 	})
 	select {
@@ -281,7 +283,7 @@
 }
 
 // end compares the trace with the kept one.
-func (s *stage) end(name string) {
+func (s *fixture) compareTrace(name string) {
 	s.t.Helper()
 	s.close()
 	path := "testdata/" + name + ".txt"
@@ -295,16 +297,16 @@
 }
 
 // wait waits until the router has taken n requests.
-func (s *stage) wait(n int) {
+func (s *fixture) awaitRequests(n int) {
 	for got := -1; got != n; {
 		answer := make(chan int)
-		s.o.tell(func(admission.Time) { answer <- len(s.o.requests) })
+		s.o.post(func(admission.Time) { answer <- len(s.o.requests) })
 		got = <-answer
 	}
 }
 
 // logged waits until the log holds a text.
-func (s *stage) logged(text string) {
+func (s *fixture) awaitLog(text string) {
 	for !strings.Contains(s.log.String(), text) {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -6,99 +6,99 @@
 )
 
 // host is what the module's decisions act on.
-type host struct{ o *owner }
+type host struct{ owner *owner }
 
-func (a host) SendAttempt(id admission.RequestID, name admission.EngineID, timeout, sendBy admission.Time) {
-	t, e := a.o.requests[id], a.o.engines[name]
-	h := &attempt{of: t, to: e, engine: name, request: id, n: t.tries, class: t.className, statement: t.statement, token: t.token, timeout: timeout, sendBy: sendBy,
-		memory: t.memory, rank: t.rank, report: admission.NoReport}
-	t.tries++
-	t.out = h
-	h.stop = a.o.clock.After(timeout, func() {
-		a.o.tellEnded(h, admission.TimedOut)
+func (h host) SendAttempt(id admission.RequestID, name admission.EngineID, timeout, sendBy admission.Time) {
+	request, e := h.owner.requests[id], h.owner.engines[name]
+	attempt := &attempt{request: request, client: e, engineID: name, requestID: id, number: request.attempts, class: request.className, statement: request.statement, idempotencyToken: request.idempotencyToken, timeout: timeout, sendBy: sendBy,
+		memoryMB: request.memoryMB, priority: request.priority, report: admission.NoReport}
+	request.attempts++
+	request.current = attempt
+	attempt.stopTimer = h.owner.clock.After(timeout, func() {
+		h.owner.postAttemptEnd(attempt, admission.TimedOut)
 	})
-	a.o.sent(h)
-	if a.o.peers != nil {
-		a.o.peers.RecordAttempt(a.o.now, id, name)
-		a.o.moved(t, Placement{Present: true, Engine: name})
+	h.owner.recordAttempt(attempt)
+	if h.owner.peers != nil {
+		h.owner.peers.RecordAttempt(h.owner.now, id, name)
+		h.owner.recordPlacement(request, Placement{Present: true, Engine: name})
 	}
 	if e == nil { // the list took it away within one event
-		a.o.tellEnded(h, admission.Unreachable)
+		h.owner.postAttemptEnd(attempt, admission.Unreachable)
 		return
 	}
-	a.o.going(h, name)
+	h.owner.startAttempt(attempt, name)
 }
 
-func (a host) CancelAttempt(id admission.RequestID, n int) {
-	if t := a.o.requests[id]; t != nil && t.out != nil && t.out.n == n {
-		a.o.tellEnded(t.out, admission.Cancelled)
+func (h host) CancelAttempt(id admission.RequestID, n int) {
+	if request := h.owner.requests[id]; request != nil && request.current != nil && request.current.number == n {
+		h.owner.postAttemptEnd(request.current, admission.Cancelled)
 	}
 }
 
-func (a host) RejectRequest(id admission.RequestID, comeBack admission.Time) {
-	t := a.o.requests[id]
-	a.o.answer(a.o.now, t, requestjournal.Rejected, nil, func() { t.by.rejected(comeBack) })
+func (h host) RejectRequest(id admission.RequestID, comeBack admission.Time) {
+	request := h.owner.requests[id]
+	h.owner.answerRequest(h.owner.now, request, requestjournal.Rejected, nil, func() { request.responder.rejected(comeBack) })
 }
 
-func (a host) FailRequest(id admission.RequestID) {
-	t := a.o.requests[id]
-	a.o.answer(a.o.now, t, requestjournal.Failed, nil, t.by.failed)
+func (h host) FailRequest(id admission.RequestID) {
+	request := h.owner.requests[id]
+	h.owner.answerRequest(h.owner.now, request, requestjournal.Failed, nil, request.responder.failed)
 }
 
-func (a host) SetAttemptTerms(id admission.RequestID, memory float64, rank int) {
-	t := a.o.requests[id]
-	t.memory, t.rank = memory, rank
-	if h := t.out; h != nil && !h.carried {
-		h.rank = rank
-	} else if h != nil {
-		t.by.do(func() { h.bump(rank) })
+func (h host) SetAttemptTerms(id admission.RequestID, memory float64, rank int) {
+	request := h.owner.requests[id]
+	request.memoryMB, request.priority = memory, rank
+	if attempt := request.current; attempt != nil && !attempt.handedOver {
+		attempt.priority = rank
+	} else if attempt != nil {
+		request.responder.do(func() { attempt.setPriority(rank) })
 	}
 }
 
-func (a host) ProbeEngine(name admission.EngineID) {
-	e := a.o.engines[name]
+func (h host) ProbeEngine(name admission.EngineID) {
+	e := h.owner.engines[name]
 	if e == nil {
-		a.o.tell(func(now admission.Time) {
-			a.o.module.HandleProbeResult(now, name, admission.Unreachable, admission.NoReport)
+		h.owner.post(func(now admission.Time) {
+			h.owner.admission.HandleProbeResult(now, name, admission.Unreachable, admission.NoReport)
 		})
 		return
 	}
-	e.probe()
+	e.requestHealthCheck()
 }
 
 // HasColdCapacity asks the peers.
-func (a host) HasColdCapacity(name admission.EngineID, part float64) (room, shared bool) {
-	if a.o.peers == nil {
+func (h host) HasColdCapacity(name admission.EngineID, part float64) (room, shared bool) {
+	if h.owner.peers == nil {
 		return false, false
 	}
-	return a.o.peers.TryReserveSlowStart(a.o.now, name, part)
+	return h.owner.peers.TryReserveSlowStart(h.owner.now, name, part)
 }
 
 // SubscribeEndpoints has nothing to do: the engine list is followed from the start.
-func (a host) SubscribeEndpoints() {}
+func (h host) SubscribeEndpoints() {}
 
 // ReportObservation has nobody to tell where there are no peers.
-func (a host) ReportObservation(name admission.EngineID, saw admission.Observation, report admission.Report, room float64) {
-	if a.o.peers != nil {
-		a.o.peers.RecordObservation(a.o.now, name, saw, report, room)
+func (h host) ReportObservation(name admission.EngineID, saw admission.Observation, report admission.Report, room float64) {
+	if h.owner.peers != nil {
+		h.owner.peers.RecordObservation(h.owner.now, name, saw, report, room)
 	}
 }
 
-func (a host) ScheduleTick(at admission.Time) {
-	a.o.clock.After(at-a.o.clock.Now(), func() {
-		a.o.tell(func(now admission.Time) { // the first is asked for before the module is there
-			if a.o.desk != nil {
-				a.o.desk.Tick(now)
+func (h host) ScheduleTick(at admission.Time) {
+	h.owner.clock.After(at-h.owner.clock.Now(), func() {
+		h.owner.post(func(now admission.Time) { // the first is asked for before the module is there
+			if h.owner.resourceGroups != nil {
+				h.owner.resourceGroups.Tick(now)
 			}
-			if a.o.keep != nil {
-				a.o.keep.due(now, a.o.module)
+			if h.owner.journal != nil {
+				h.owner.journal.tick(now, h.owner.admission)
 			}
-			if a.o.peers != nil {
-				a.o.peers.Tick(now)
+			if h.owner.peers != nil {
+				h.owner.peers.Tick(now)
 			}
-			a.o.module.Tick(now)
+			h.owner.admission.Tick(now)
 		})
 	})
 }
 
-func (a host) LogEvent(text string) { a.o.log.Info(text) }
+func (h host) LogEvent(text string) { h.owner.log.Info(text) }
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -16,7 +16,7 @@
 	// Due is the owner's timer.
 	Tick(now admission.Time)
 	// Sent takes in an attempt.
-	RecordAttempt(now admission.Time, request admission.RequestID, engine admission.EngineID)
+	RecordAttempt(now admission.Time, requestID admission.RequestID, engine admission.EngineID)
 	// Moved takes in where a request of a class and a class of the operator's (empty: none) was and is.
 	RecordPlacement(class, policyClass string, was, is Placement)
 	// Stop says farewell to them.
@@ -30,22 +30,22 @@
 }
 
 // moved has the peers know where a request is.
-func (o *owner) moved(t *request, is Placement) {
+func (o *owner) recordPlacement(request *request, is Placement) {
 	if o.peers == nil {
 		return
 	}
 	policyClass := ""
-	if t.policyClass > 0 {
-		policyClass = o.desk.ClassName(t.policyClass)
+	if request.policyClass > 0 {
+		policyClass = o.resourceGroups.ClassName(request.policyClass)
 	}
-	o.peers.RecordPlacement(t.className, policyClass, t.place, is)
-	t.place = is
+	o.peers.RecordPlacement(request.className, policyClass, request.placement, is)
+	request.placement = is
 }
 
 // join has a gateway take part among its peers.
-func (o *owner) join(p Peers) error {
+func (o *owner) joinPeers(p Peers) error {
 	o.peers = p
 	return p.Start(o.clock, func(call func(admission.Time, *admission.Controller)) {
-		o.tell(func(now admission.Time) { call(now, o.module) })
+		o.post(func(now admission.Time) { call(now, o.admission) })
 	})
 }
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -82,14 +82,14 @@
 }
 
 // logIn connects a client; nil: it was turned away or shut out.
-func logIn(address string) *client {
+func logIn(address string) *testClient {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(eventuallyTimeout))
 	c.Write(loginPacket())
-	k := &client{c: c, r: bufio.NewReader(c)}
+	k := &testClient{socket: c, reader: bufio.NewReader(c)}
 	if k.packet()[0] != 10 || k.packet()[0] != 0 {
 		c.Close()
 		return nil
@@ -140,8 +140,8 @@
 		if k == nil {
 			return false
 		}
-		defer k.c.Close()
-		k.c.Write(queryPacket(fmt.Sprintf("%02x", len(crowd)%256)))
+		defer k.socket.Close()
+		k.socket.Write(queryPacket(fmt.Sprintf("%02x", len(crowd)%256)))
 		served = k.packet()[0] == 3 // the columns of a result
 		fill()
 		return served
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -13,85 +13,85 @@
 )
 
 // query queues a statement as a request and sees it through.
-func (s *session) query(sql []byte) {
-	request, err := mysql.ReadRequest(sql)
-	class := slices.Index(s.o.network.Classes, string(request.Class))
+func (s *clientSession) handleQuery(sql []byte) {
+	parsed, err := mysql.ReadRequest(sql)
+	class := slices.Index(s.owner.network.Classes, string(parsed.Class))
 	if err == nil {
-		err = checkRequest(&request, class, s.o.network, s.o.site)
+		err = checkRequest(&parsed, class, s.owner.network, s.owner.deployment)
 	}
 	if err != nil {
-		s.amiss(mysql.ErrParse, err.Error())
+		s.rejectCommand(mysql.ErrParse, err.Error())
 		return
 	}
-	if s.o.clients.shutting() {
-		s.code, s.dismissed = "stopped", true
-		s.reject(0)
+	if s.owner.clients.isShuttingDown() {
+		s.endReason, s.dismissed = "stopped", true
+		s.writeRejection(0)
 		return
 	}
-	if s.ahead() {
+	if s.hasPipelinedInput() {
 		s.dismiss("pipelined", mysql.ErrParse, "a command before the answer to the last")
 		return
 	}
-	if string(request.ID) == string(s.lastID[:]) {
+	if string(parsed.ID) == string(s.lastRequestID[:]) {
 		s.dismiss("repeated", mysql.ErrParse, "the id was used before")
 		return
 	}
-	copy(s.lastID[:], request.ID)
-	s.odd = 0
-	t := s.newRequest(&request, class)
-	wait := time.Duration(request.WaitMS) * time.Millisecond
-	s.answerBy = time.Now().Add(wait + afterCutoff)
-	s.waiting, s.unanswered = true, false
-	if s.reader != nil {
-		s.reader.ReadStatement(t.statement, class, t.tables)
-	}
-	s.o.tape.RecordQuery(t.className, t.tables, request.WaitMS, sql, t.statement)
-	s.o.tell(func(now admission.Time) {
-		t.deadline = now + admission.Time(wait/tenth)
-		s.taken = t
-		s.o.arrived(now, t)
+	copy(s.lastRequestID[:], parsed.ID)
+	s.protocolErrors = 0
+	request := s.newRequest(&parsed, class)
+	wait := time.Duration(parsed.WaitMS) * time.Millisecond
+	s.answerDeadline = time.Now().Add(wait + clientCloseDelay)
+	s.awaitingAnswer, s.unanswered = true, false
+	if s.statementReader != nil {
+		s.statementReader.ReadStatement(request.statement, class, request.tables)
+	}
+	s.owner.capture.RecordQuery(request.className, request.tables, parsed.WaitMS, sql, request.statement)
+	s.owner.post(func(now admission.Time) {
+		request.deadline = now + admission.Time(wait/timeUnit)
+		s.request = request
+		s.owner.handleRequest(now, request)
 	})
-	s.await(t)
-	for _, h := range s.made {
-		h.forget()
+	s.awaitAnswer(request)
+	for _, attempt := range s.attempts {
+		attempt.release()
 	}
-	clear(s.made) // an idle session keeps no results
-	s.made = s.made[:0]
+	clear(s.attempts) // an idle session keeps no results
+	s.attempts = s.attempts[:0]
 }
 
 // await makes the calls of the mailbox until the request in hand has its answer. Meanwhile it reads ahead, so that it sees a
 // client leave, also behind commands that came early; the request of one who left is withdrawn, wherever it waits.
-func (s *session) await(t *request) {
-	for watching := true; s.waiting; s.mail.run() {
+func (s *clientSession) awaitAnswer(request *request) {
+	for watching := true; s.awaitingAnswer; s.events.run() {
 		if !watching {
-			s.mail.wait()
+			s.events.wait()
 			continue
 		}
-		if !s.mail.interrupt(s.tcp) {
+		if !s.events.beginInterruptibleRead(s.socket) {
 			continue
 		}
-		_, err := s.r.Peek(s.r.Buffered() + 1)
-		s.mail.resume()
+		_, err := s.input.Peek(s.input.Buffered() + 1)
+		s.events.endInterruptibleRead()
 		switch {
 		case err == nil, errors.Is(err, os.ErrDeadlineExceeded):
 			continue
 		case errors.Is(err, bufio.ErrBufferFull):
-			s.code = "flooded"
+			s.endReason = "flooded"
 		default:
-			s.code = endCode(err)
+			s.endReason = endCode(err)
 		}
 		watching = false
-		s.o.tell(func(now admission.Time) { s.o.left(now, t) })
+		s.owner.post(func(now admission.Time) { s.owner.handleClientGone(now, request) })
 	}
-	if s.code == "flooded" {
+	if s.endReason == "flooded" {
 		s.endFlooded()
 	}
 }
 
 // endFlooded ends a session whose client sends without waiting for answers, with an error if its request had no answer yet.
-func (s *session) endFlooded() {
+func (s *clientSession) endFlooded() {
 	if s.unanswered {
-		s.write(mysql.AppendError(nil, s.number+1, mysql.ErrInterrupted, "too much was sent before the answer"))
+		s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrInterrupted, "too much was sent before the answer"))
 	}
 	s.dismissed = true
 }
@@ -113,90 +113,90 @@
 }
 
 // newRequest makes a request of a request; its statement and token lie in the session's buffer.
-func (s *session) newRequest(r *mysql.Request, class int) *request {
-	return &request{id: admission.RequestID(r.ID), by: s, class: class, className: s.o.network.Classes[class], statement: r.Statement,
-		tables: mysql.TableGroup(r.Statement), tenant: max(0, slices.Index(s.o.network.Tenants, string(r.Tenant))),
-		key: string(r.Key), token: r.IdempotencyToken, reader: s.reader, foreseen: s.o.estimate(r, class)}
+func (s *clientSession) newRequest(r *mysql.Request, class int) *request {
+	return &request{id: admission.RequestID(r.ID), responder: s, class: class, className: s.owner.network.Classes[class], statement: r.Statement,
+		tables: mysql.TableGroup(r.Statement), tenant: max(0, slices.Index(s.owner.network.Tenants, string(r.Tenant))),
+		key: string(r.Key), idempotencyToken: r.IdempotencyToken, statementReader: s.statementReader, estimate: s.owner.clientEstimate(r, class)}
 }
 
 // estimate is what a client says that its request will take, within what could be served at all: a wrong one must not
 // spoil what is learned of the class. Work has the longest wait on all its threads, memory the largest machine's.
-func (o *owner) estimate(r *mysql.Request, class int) admission.Estimate {
+func (o *owner) clientEstimate(r *mysql.Request, class int) admission.Estimate {
 	work, memory := r.WorkMS, r.MemoryMB
 	if longest := o.network.LongestWaits[class]; longest > 0 {
-		work = min(work, float64(longest.Milliseconds())*float64(o.site.Classes[class].Threads))
+		work = min(work, float64(longest.Milliseconds())*float64(o.deployment.Classes[class].Threads))
 	}
-	if sizes := o.site.MemoryByKind; len(sizes) > 0 {
+	if sizes := o.deployment.MemoryByKind; len(sizes) > 0 {
 		memory = min(memory, slices.Max(sizes))
 	}
 	return admission.Estimate{Work: admission.Time(work * float64(admission.Millisecond)), Memory: memory}
 }
 
 // departed tells whether the client has left already, also behind commands that came early.
-func (s *session) departed() bool {
-	if err := readArrived(s.tcp, s.r, mostAhead); err != nil {
+func (s *clientSession) clientHasLeft() bool {
+	if err := readArrived(s.socket, s.input, maxReadAhead); err != nil {
 		return false // the next read tells why
 	}
-	_, ended := look(s.tcp)
+	_, ended := peekSocket(s.socket)
 	return ended
 }
 
 // ahead tells of commands that came before the answer to the one in hand; that the client leaves then is fine.
-func (s *session) ahead() bool {
-	next, _ := s.r.Peek(s.r.Buffered())
+func (s *clientSession) hasPipelinedInput() bool {
+	next, _ := s.input.Peek(s.input.Buffered())
 	return len(next) > 0 && !(len(next) == mysql.HeaderSize+1 && next[mysql.HeaderSize] == mysql.Quit)
 }
 
 // What the owner tells it; the calls that write are made by the session's goroutine.
 
-func (s *session) do(call func()) { s.mail.Put(call) }
+func (s *clientSession) do(call func()) { s.events.Put(call) }
 
-func (s *session) carry(h *attempt, to engineClient) {
-	first := !h.again
-	s.mail.Put(func() {
-		if s.departed() { // while this process stood still, say, so that the read has not told yet
-			s.o.tell(func(now admission.Time) { s.o.left(now, h.of) })
+func (s *clientSession) carry(attempt *attempt, to engineClient) {
+	first := !attempt.resent
+	s.events.Put(func() {
+		if s.clientHasLeft() { // while this process stood still, say, so that the read has not told yet
+			s.owner.post(func(now admission.Time) { s.owner.handleClientGone(now, attempt.request) })
 			return
 		}
 		if first {
-			s.made = append(s.made, h)
+			s.attempts = append(s.attempts, attempt)
 		}
-		to.send(h)
+		to.send(attempt)
 	})
 }
 
-func (s *session) gone() bool {
-	_, ended := look(s.tcp)
+func (s *clientSession) clientGone() bool {
+	_, ended := peekSocket(s.socket)
 	return ended
 }
 
 // over has a call be the last of a request.
-func (s *session) over(call func()) {
-	s.taken = nil
-	s.mail.Put(call)
+func (s *clientSession) over(call func()) {
+	s.request = nil
+	s.events.Put(call)
 }
 
-func (s *session) served(h *attempt) {
+func (s *clientSession) served(attempt *attempt) {
 	s.over(func() {
-		s.deliver(h.pages)
-		if s.reader != nil && h.to != nil { // not an answer of before
-			s.reader.RecordCost(h.work, h.needs)
+		s.writeResult(attempt.pages)
+		if s.statementReader != nil && attempt.client != nil { // not an answer of before
+			s.statementReader.RecordCost(attempt.work, attempt.memoryUsedMB)
 		}
 	})
 }
 
-func (s *session) rejected(retryAfter admission.Time) {
-	s.over(func() { s.reject(int64(retryAfter / admission.Millisecond)) })
+func (s *clientSession) rejected(retryAfter admission.Time) {
+	s.over(func() { s.writeRejection(int64(retryAfter / admission.Millisecond)) })
 }
-func (s *session) failed()            { s.over(s.fail) }
-func (s *session) denied(why string)  { s.over(func() { s.deny(why) }) }
-func (s *session) refused(why string) { s.over(func() { s.refuse(why) }) }
-func (s *session) left()              { s.over(s.leave) }
+func (s *clientSession) failed()            { s.over(s.writeFailure) }
+func (s *clientSession) denied(why string)  { s.over(func() { s.writeDenial(why) }) }
+func (s *clientSession) refused(why string) { s.over(func() { s.writeRefusal(why) }) }
+func (s *clientSession) left()              { s.over(s.abandonRequest) }
 
 // deliver writes a result.
-func (s *session) deliver(pages [][]byte) {
-	s.waiting, s.turns = false, 0
-	head, number := mysql.AppendColumns(make([]byte, 0, 512), s.number+1)
+func (s *clientSession) writeResult(pages [][]byte) {
+	s.awaitingAnswer, s.rejections = false, 0
+	head, number := mysql.AppendColumns(make([]byte, 0, 512), s.packetNumber+1)
 	size := 0
 	for _, page := range pages {
 		size += len(page) + len(page)/2
@@ -204,36 +204,36 @@
 	rows, err := make([]byte, 0, size), error(nil)
 	for _, page := range pages {
 		if rows, number, err = mysql.AppendRows(rows, number, page); err != nil {
-			s.write(mysql.AppendError(nil, s.number+1, mysql.ErrInterrupted, "the engine's answer can't be read"))
+			s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrInterrupted, "the engine's answer can't be read"))
 			return
 		}
 	}
-	s.write(head, rows, mysql.AppendEOF(nil, number))
+	s.writePackets(head, rows, mysql.AppendEOF(nil, number))
 }
 
 // deny gives a request the final answer that an operator's rule has for it.
-func (s *session) deny(why string) {
-	s.waiting = false
-	s.turnAway()
-	s.write(mysql.AppendError(nil, s.number+1, mysql.ErrForbidden, why))
+func (s *clientSession) writeDenial(why string) {
+	s.awaitingAnswer = false
+	s.noteRejection()
+	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrForbidden, why))
 }
 
-func (s *session) reject(retryAfterMS int64) {
-	s.waiting = false
-	s.turnAway()
-	s.write(mysql.AppendRejection(nil, s.number+1, retryAfterMS))
+func (s *clientSession) writeRejection(retryAfterMS int64) {
+	s.awaitingAnswer = false
+	s.noteRejection()
+	s.writePackets(mysql.AppendRejection(nil, s.packetNumber+1, retryAfterMS))
 }
 
-func (s *session) fail() {
-	s.waiting = false
-	s.write(mysql.AppendError(nil, s.number+1, mysql.ErrInterrupted, "written off"))
+func (s *clientSession) writeFailure() {
+	s.awaitingAnswer = false
+	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrInterrupted, "written off"))
 }
 
 // refuse answers a query that never became a request.
-func (s *session) refuse(why string) {
-	s.waiting = false
-	s.amiss(mysql.ErrParse, why)
+func (s *clientSession) writeRefusal(why string) {
+	s.awaitingAnswer = false
+	s.rejectCommand(mysql.ErrParse, why)
 }
 
 // leave ends a request whose client stopped waiting; no answer is owed.
-func (s *session) leave() { s.waiting, s.unanswered = false, true }
+func (s *clientSession) abandonRequest() { s.awaitingAnswer, s.unanswered = false, true }
--- a/internal/router/query_test.go
+++ b/internal/router/query_test.go
@@ -20,43 +20,43 @@
 // Every field that clients of a deployment send is taken; the token goes out with each attempt, the estimates are heeded, and
 // what the settings don't know is refused.
 func TestFieldsOfOtherDeployments(t *testing.T) {
-	e, f := newEngineStand(t, "e1"), newEngineStand(t, "e2")
-	s := playSettings(t, customer, e, f)
-	s.told(f, "Terminating")
-	a := s.client()
-	a.asks("/* class=load,id=00000000000000aa,wait=20000,tenant=south,cost=120.5,once=" + token +
+	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
+	s := startFixtureWith(t, customer, e, f)
+	s.announceEngine(f, "Terminating")
+	a := s.newClient()
+	a.ask("/* class=load,id=00000000000000aa,wait=20000,tenant=south,cost=120.5,once=" + token +
 		",key=000f32068cc24621,mb=200 */ INSERT INTO t_7.x SELECT * FROM staging.y")
-	k := e.hears()
+	k := e.receive()
 	requests := make(chan request, 1)
-	s.o.tell(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
-	if got := <-requests; got.tenant != 1 || got.key != "000f32068cc24621" || got.foreseen.Work != 1205 || got.foreseen.Memory != 200 {
-		t.Errorf("tenant %d, key %q, foreseen %+v", got.tenant, got.key, got.foreseen)
+	s.o.post(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
+	if got := <-requests; got.tenant != 1 || got.key != "000f32068cc24621" || got.estimate.Work != 1205 || got.estimate.Memory != 200 {
+		t.Errorf("tenant %d, key %q, foreseen %+v", got.tenant, got.key, got.estimate)
 	}
-	s.told(e, "Terminating")
-	s.told(f, "Ready")
+	s.announceEngine(e, "Terminating")
+	s.announceEngine(f, "Ready")
 	k.Close()
-	k = f.hears()
-	f.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
+	k = f.receive()
+	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
 	if got := strings.Count(s.out.String(), "token="+token); got != 2 {
 		t.Errorf("%d attempts with the token", got)
 	}
 	for _, fields := range []string{"class=look,id=00000000000000ab,wait=500,tenant=west", "class=look,id=00000000000000ac,wait=500,once=" + token} {
-		a.asks("/* " + fields + " */ SELECT a FROM t_7.x")
-		a.gets()
+		a.ask("/* " + fields + " */ SELECT a FROM t_7.x")
+		a.expectAnswer()
 	}
-	s.end("fields of other deployments")
+	s.compareTrace("fields of other deployments")
 }
 
 // An estimate that can't be served at all must not spoil what is learned of a class.
 func TestEstimatesAreBounded(t *testing.T) {
-	s := playSettings(t, strings.Replace(customer, `"sloUs":1000000,`, `"sloUs":1000000,"deadlineUs":5000000,`, 1))
-	a := s.client()
-	a.asks("/* class=look,id=00000000000000aa,wait=5000,tenant=north,cost=900000000,mb=900000000 */ SELECT a FROM t_7.x")
-	s.wait(1)
+	s := startFixtureWith(t, strings.Replace(customer, `"sloUs":1000000,`, `"sloUs":1000000,"deadlineUs":5000000,`, 1))
+	a := s.newClient()
+	a.ask("/* class=look,id=00000000000000aa,wait=5000,tenant=north,cost=900000000,mb=900000000 */ SELECT a FROM t_7.x")
+	s.awaitRequests(1)
 	requests := make(chan request, 1)
-	s.o.tell(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
-	if got := (<-requests).foreseen; got.Work != 5*admission.Second || got.Memory != 16384 {
+	s.o.post(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
+	if got := (<-requests).estimate; got.Work != 5*admission.Second || got.Memory != 16384 {
 		t.Errorf("foreseen %+v", got)
 	}
 	s.close()
--- a/internal/router/desk.go
+++ b/internal/router/resource_groups.go
@@ -19,8 +19,8 @@
 	RecordDeparture(f admission.Estimate)
 	// Pass tells, right before an attempt is written, whether the rules that had it go out are still gone by; Passed follows once it
 	// is written. Both are called by the goroutine that writes.
-	BeginWrite(by uint64, request admission.RequestID) bool
-	EndWrite(by uint64, request admission.RequestID)
+	BeginWrite(by uint64, requestID admission.RequestID) bool
+	EndWrite(by uint64, requestID admission.RequestID)
 	ClassName(class int) string
 	NewStatementReader() StatementReader
 }
@@ -34,31 +34,31 @@
 }
 
 // seen tells whether the desk keeps account of a request.
-func (t *request) seen() bool { return t.policyClass > 0 || t.foreseen.ShadowClass > 0 }
+func (r *request) isLimited() bool { return r.policyClass > 0 || r.estimate.ShadowClass > 0 }
 
 // sent notes an attempt.
-func (o *owner) sent(h *attempt) {
-	if t := h.of; t.seen() {
-		h.foreseen, h.threads = t.foreseen, float64(o.site.Classes[t.class].Threads)
-		h.charged, h.by = o.desk.RecordAttempt(t.foreseen, h.threads)
-		t.held = false
+func (o *owner) recordAttempt(attempt *attempt) {
+	if request := attempt.request; request.isLimited() {
+		attempt.estimate, attempt.threads = request.estimate, float64(o.deployment.Classes[request.class].Threads)
+		attempt.charged, attempt.policyRevision = o.resourceGroups.RecordAttempt(request.estimate, attempt.threads)
+		request.waiting = false
 	}
 }
 
 // back tells the module that an attempt has ended, and before it what limits its class.
-func (o *owner) back(now admission.Time, h *attempt, how admission.Outcome, over bool, work admission.Time, memory float64) {
-	if f := &h.foreseen; f.PolicyClass > 0 || f.ShadowClass > 0 {
-		waits := !over && o.requests[h.of.id] == h.of
-		o.desk.RecordAttemptEnd(h.foreseen, h.threads, h.charged, work, waits)
+func (o *owner) reportAttemptEnd(now admission.Time, attempt *attempt, how admission.Outcome, over bool, work admission.Time, memory float64) {
+	if f := &attempt.estimate; f.PolicyClass > 0 || f.ShadowClass > 0 {
+		waits := !over && o.requests[attempt.request.id] == attempt.request
+		o.resourceGroups.RecordAttemptEnd(attempt.estimate, attempt.threads, attempt.charged, work, waits)
 		if waits {
-			h.of.held = true
+			attempt.request.waiting = true
 		}
 	}
-	if t := h.of; t.place.Present {
-		o.moved(t, Placement{Present: true})
+	if request := attempt.request; request.placement.Present {
+		o.recordPlacement(request, Placement{Present: true})
 	}
-	if o.keep != nil {
-		o.keep.Requests.EndAttempt(now, h.of.id, how.NeverRan())
+	if o.journal != nil {
+		o.journal.Requests.EndAttempt(now, attempt.request.id, how.NeverRan())
 	}
-	o.module.HandleAttemptEnd(now, admission.AttemptResult{Request: h.of.id, Outcome: how, Answered: over, Work: work, Memory: memory, Report: h.report})
+	o.admission.HandleAttemptEnd(now, admission.AttemptResult{Request: attempt.request.id, Outcome: how, Answered: over, Work: work, Memory: memory, Report: attempt.report})
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -38,16 +38,16 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	o := newOwner(start, newWallClock(), log)
-	o.tape = with.Capture
-	o.guard(with.ResourceGroups)
-	if o.keep = with.Journal; o.keep != nil {
-		o.places = map[admission.EngineID]admission.Endpoint{}
-		if o.keep.Snapshot != nil {
-			o.module.RestoreSnapshot(o.now, o.keep.Snapshot)
+	o.capture = with.Capture
+	o.setResourceGroups(with.ResourceGroups)
+	if o.journal = with.Journal; o.journal != nil {
+		o.listings = map[admission.EngineID]admission.Endpoint{}
+		if o.journal.Snapshot != nil {
+			o.admission.RestoreSnapshot(o.now, o.journal.Snapshot)
 		}
 	}
 	if with.Peers != nil && start.Deployment.PeerMessages {
-		if err := o.join(with.Peers); err != nil {
+		if err := o.joinPeers(with.Peers); err != nil {
 			return err
 		}
 		defer with.Peers.Stop()
@@ -58,18 +58,18 @@
 
 func (o *owner) serve(start *config.Config, listener net.Listener, stop <-chan struct{},
 	renewed <-chan *config.Config) {
-	f := newWatcher(o, start.DiscoveryAddress)
-	f.tell(start.KnownEndpoints, admission.CachedUpdate)
+	watcher := newWatcher(o, start.DiscoveryAddress)
+	watcher.postEvents(start.KnownEndpoints, admission.CachedUpdate)
 	o.log.Info("serving", "name", start.Name, "address", listener.Addr().String())
 	ended, idle := make(chan struct{}), make(chan struct{})
 	go func() {
-		o.loop(ended)
+		o.run(ended)
 		close(idle)
 	}()
-	go f.serve(ended)
-	a := &acceptor{o: o, listener: listener, ended: make(chan struct{})}
-	go a.serve()
-	renew := func(next *config.Config) { o.renew(f, start, next) }
+	go watcher.run(ended)
+	acceptor := &acceptor{owner: o, listener: listener, done: make(chan struct{})}
+	go acceptor.run()
+	renew := func(next *config.Config) { o.applyConfiguration(watcher, start, next) }
 	for stopping := false; !stopping; {
 		select {
 		case next := <-renewed:
@@ -78,20 +78,20 @@
 			stopping = true
 		}
 	}
-	o.shutDown(a, renewed, renew)
+	o.shutDown(acceptor, renewed, renew)
 	o.stopped.Store(true)
 	close(ended)
 	<-idle // nothing is decided any more, and what the owner had is this goroutine's
 	for _, e := range o.engines {
-		e.stop()
+		e.close()
 	}
-	for by := time.Now().Add(afterCutoff); o.connections.Load() > 0 && time.Now().Before(by); {
+	for by := time.Now().Add(clientCloseDelay); o.openConnections.Load() > 0 && time.Now().Before(by); {
 		time.Sleep(time.Millisecond) // until each has its line
 	}
 }
 
 // renew goes by a new configuration, as far as one can while serving: the engine list's address and its events.
-func (o *owner) renew(f *watcher, start, next *config.Config) {
+func (o *owner) applyConfiguration(watcher *watcher, start, next *config.Config) {
 	for name, same := range map[string]bool{
 		"name": next.Name == start.Name, "limits": next.MemoryMB == start.MemoryMB,
 		"settings": reflect.DeepEqual(next.Deployment, start.Deployment) && reflect.DeepEqual(next.Network, start.Network)} {
@@ -99,34 +99,34 @@
 			o.log.Warn("configuration", "code", "needs_restart", "field", name)
 		}
 	}
-	f.move(next.DiscoveryAddress, next.KnownEndpoints)
+	watcher.reconfigure(next.DiscoveryAddress, next.KnownEndpoints)
 	o.log.Info("configuration", "code", "renewed", "engine_list", next.DiscoveryAddress)
 }
 
 // run serves a session from its first byte to its last log line. Who knows a connection's id may have its query
 // killed, so ids are not to be guessed.
-func (s *session) run() {
-	o := s.o
-	o.tell(func(admission.Time) { o.sessions[s.connection] = s })
+func (s *clientSession) run() {
+	o := s.owner
+	o.post(func(admission.Time) { o.sessions[s.connectionID] = s })
 	defer func() {
 		fault := recover()
-		o.tell(func(now admission.Time) {
-			if o.sessions[s.connection] == s {
-				o.killed(now, s.connection) // a request it could not see through
-				delete(o.sessions, s.connection)
+		o.post(func(now admission.Time) {
+			if o.sessions[s.connectionID] == s {
+				o.killQuery(now, s.connectionID) // a request it could not see through
+				delete(o.sessions, s.connectionID)
 			}
 		})
-		s.shrink()
-		s.tcp.Close()
-		o.connectionEnded("client", s.tcp.RemoteAddr().String(), s.code, 0, fault)
-		o.clients.leave(s)
+		s.releaseStatementBuffer()
+		s.socket.Close()
+		o.connectionEnded("client", s.socket.RemoteAddr().String(), s.endReason, 0, fault)
+		o.clients.remove(s)
 	}()
 	s.serve()
 }
 
 // connectionEnded writes the one line of a connection that was counted and has ended.
 func (o *owner) connectionEnded(side, peer, code string, open int, fault any) {
-	defer o.connections.Add(-1)
+	defer o.openConnections.Add(-1)
 	if o.stopped.Load() {
 		code = "stopped"
 	}
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -9,14 +9,14 @@
 // The steps of a stop. The protocol lets connections and requests come for lastRequests after the order; they are served as ever.
 // What is read later is refused and never sent on, sessions without a request end, and the others once they have their answers.
 const (
-	lastRequests = 700 * time.Millisecond
+	drainTime = 700 * time.Millisecond
 	// How often a stop looks whether the last session has ended.
-	stopPace = 10 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond
 )
 
 // shutDown stops taking requests and returns once all that were taken are answered. A new configuration still counts meanwhile:
 // it may name the address from which drains are told.
-func (o *owner) shutDown(a *acceptor, renewed <-chan *config.Config, renew func(*config.Config)) {
+func (o *owner) shutDown(acceptor *acceptor, renewed <-chan *config.Config, renew func(*config.Config)) {
 	o.log.Info("stopping")
 	wait := func(until <-chan time.Time) {
 		for {
@@ -28,10 +28,10 @@
 			}
 		}
 	}
-	wait(time.After(lastRequests))
-	a.stop() // the address is free for a successor while requests still run here
-	o.clients.shut()
-	for !o.clients.empty() {
-		wait(time.After(stopPace))
+	wait(time.After(drainTime))
+	acceptor.stop() // the address is free for a successor while requests still run here
+	o.clients.beginShutdown()
+	for !o.clients.isEmpty() {
+		wait(time.After(drainPollInterval))
 	}
 }
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -25,10 +25,10 @@
 }
 
 // ends reads until the connection ends and tells how; it was reset if that is no io.EOF.
-func (c *client) ends() error {
-	c.c.SetReadDeadline(time.Now().Add(patience))
+func (c *testClient) ends() error {
+	c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	for {
-		if _, err := c.r.ReadByte(); err != nil {
+		if _, err := c.reader.ReadByte(); err != nil {
 			return err
 		}
 	}
@@ -36,12 +36,12 @@
 
 // Whom the system had accepted when the router stops accepting is served to the end, and not reset.
 func TestStopServesWhomTheSystemAccepted(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
 	defer s.close()
 	listener := s.listen()
 	const waiting = 3
-	var clients []*client
+	var clients []*testClient
 	for n := range waiting { // nobody accepts yet
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
@@ -49,26 +49,26 @@
 		}
 		defer c.Close()
 		c.Write(append(loginPacket(), queryPacket(fmt.Sprintf("a%d", n))...))
-		clients = append(clients, &client{s: s, c: c, r: bufio.NewReader(c)})
+		clients = append(clients, &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)})
 	}
-	a := &acceptor{o: s.o, listener: listener, ended: make(chan struct{})}
-	listener.(*net.TCPListener).SetDeadline(longAgo) // the stop comes before the first accept
-	go a.serve()
-	a.stop()
+	acceptor := &acceptor{owner: s.o, listener: listener, done: make(chan struct{})}
+	listener.(*net.TCPListener).SetDeadline(expiredDeadline) // the stop comes before the first accept
+	go acceptor.run()
+	acceptor.stop()
 	for range clients {
-		h := <-e.heard
+		h := <-e.received
 		h.c.Write(resp.AppendArray(nil, h.parts[1], "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
 	}
 	for _, c := range clients {
-		c.c.SetReadDeadline(time.Now().Add(patience))
+		c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 		c.packet() // the greeting
 		c.packet() // the login is fine
-		c.gets()
+		c.expectAnswer()
 	}
 	if got := strings.Count(s.out.String(), "client gets: rows"); got != waiting {
 		t.Errorf("%d of %d served:\n%s", got, waiting, s.out.String())
 	}
-	s.o.clients.shut()
+	s.o.clients.beginShutdown()
 	for i, c := range clients {
 		if err := c.ends(); err != io.EOF {
 			t.Errorf("client %d: %v", i, err)
@@ -78,65 +78,65 @@
 
 // A request that is read once the router stops is refused and never sent on; one in hand is answered.
 func TestStopRefusesWhatIsReadLater(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
 	defer s.close()
-	a := s.client()
-	a.look("aa")
-	k := e.hears()
-	s.o.clients.shut()
-	a.look("bb") // on its way while the other is in hand
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
-	a.gets()
+	a := s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
+	s.o.clients.beginShutdown()
+	a.sendLook("bb") // on its way while the other is in hand
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
+	a.expectAnswer()
 	if err := a.ends(); err != io.EOF {
 		t.Errorf("the session ended with %v", err)
 	}
-	if len(e.heard) > 0 {
-		t.Errorf("the engine heard %q", (<-e.heard).parts)
+	if len(e.received) > 0 {
+		t.Errorf("the engine heard %q", (<-e.received).parts)
 	}
-	s.logged("code=stopped")
-	s.end("stop refuses")
+	s.awaitLog("code=stopped")
+	s.compareTrace("stop refuses")
 }
 
 // A request that crosses the end of its session is read, so that the connection is not reset under what went before.
 func TestEndOfSessionIsNoReset(t *testing.T) {
-	for what, end := range map[string]func(s *stage){
-		"stop": func(s *stage) { s.o.clients.shut() },
-		"displaced": func(s *stage) {
+	for what, end := range map[string]func(s *fixture){
+		"stop": func(s *fixture) { s.o.clients.beginShutdown() },
+		"displaced": func(s *fixture) {
 			s.o.clients.mu.Lock()
 			defer s.o.clients.mu.Unlock()
-			s.o.clients.displace(s.o.clients.known.Front().Value.(*session))
+			s.o.clients.evict(s.o.clients.idleKnown.Front().Value.(*clientSession))
 		},
 	} {
 		t.Run(what, func(t *testing.T) {
-			e := newEngineStand(t, "e1")
-			s := play(t, e)
+			e := newFakeEngine(t, "e1")
+			s := startFixture(t, e)
 			defer s.close()
-			a := s.client()
+			a := s.newClient()
 			a.send(0, []byte{0x0e})
 			a.packet()
 			eventually(t, "the session rests", func() bool {
 				s.o.clients.mu.Lock()
 				defer s.o.clients.mu.Unlock()
-				return s.o.clients.known.Len() == 1
+				return s.o.clients.idleKnown.Len() == 1
 			})
 			end(s)
 			if err := a.ends(); err != io.EOF {
 				t.Fatalf("the session ended with %v", err)
 			}
 			for _, id := range []string{"aa", "ab"} { // a reset answers the first and fails the second
-				if _, err := a.c.Write(queryPacket(id)); err != nil {
+				if _, err := a.socket.Write(queryPacket(id)); err != nil {
 					t.Errorf("the connection was reset: %v", err)
 				}
 			}
-			a.c.(*net.TCPConn).CloseWrite()
-			s.logged("side=client")
+			a.socket.(*net.TCPConn).CloseWrite()
+			s.awaitLog("side=client")
 			if err := a.ends(); err != io.EOF {
 				t.Errorf("the connection ended with %v", err)
 			}
-			if len(e.heard) > 0 {
-				t.Errorf("the engine heard %q", (<-e.heard).parts)
+			if len(e.received) > 0 {
+				t.Errorf("the engine heard %q", (<-e.received).parts)
 			}
 		})
 	}
@@ -144,11 +144,11 @@
 
 // Who is turned away hears why, though its login and a query lie unread.
 func TestTurnedAwayIsNoReset(t *testing.T) {
-	s := play(t)
+	s := startFixture(t)
 	defer s.close()
 	s.o.clients.mu.Lock()
-	s.o.clients.room = 1
-	s.o.clients.in = 1 // one in the middle of a query
+	s.o.clients.limit = 1
+	s.o.clients.sessions = 1 // one in the middle of a query
 	s.o.clients.mu.Unlock()
 	listener := s.listen()
 	c, err := net.Dial("tcp", listener.Addr().String())
@@ -161,9 +161,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the login is there", func() bool { return speaks(tcp) })
-	(&acceptor{o: s.o}).welcome(tcp)
-	k := &client{s: s, c: c, r: bufio.NewReader(c)}
+	eventually(t, "the login is there", func() bool { return hasInput(tcp) })
+	(&acceptor{owner: s.o}).startSession(tcp)
+	k := &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)}
 	if p := k.packet(); p[0] != 0xff || int(p[1])|int(p[2])<<8 != 1040 {
 		t.Errorf("the client got %q", p)
 	}
@@ -171,27 +171,27 @@
 		t.Errorf("the connection ended with %v", err)
 	}
 	s.o.clients.mu.Lock()
-	s.o.clients.in = 0
+	s.o.clients.sessions = 0
 	s.o.clients.mu.Unlock()
 }
 
 // A new configuration counts during a stop: drains are told at the address that it names.
 func TestReloadDuringAStop(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
 	defer s.close()
-	a := s.client()
-	a.look("aa")
-	k := e.hears()
+	a := s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
 	close(s.stop)
-	s.logged("stopping")
+	s.awaitLog("stopping")
 	select {
 	case s.renewed <- s.start:
-	case <-time.After(patience):
+	case <-time.After(eventuallyTimeout):
 		t.Fatal("a new configuration is not taken during a stop")
 	}
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
 	<-s.ended
 	if !strings.Contains(s.log.String(), "code=renewed") {
 		t.Errorf("log:\n%s", s.log.String())
@@ -200,25 +200,25 @@
 
 // While a stop waits for a request in hand its address is free, for a successor that listens there.
 func TestAddressIsFreeDuringAStop(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
 	defer s.close()
-	a := s.client()
-	a.look("aa")
-	k := e.hears()
+	a := s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
 	close(s.stop)
-	eventually(t, "the router refuses requests", s.o.clients.shutting)
-	successor, err := net.Listen("tcp", s.addr)
+	eventually(t, "the router refuses requests", s.o.clients.isShuttingDown)
+	successor, err := net.Listen("tcp", s.address)
 	if err != nil {
 		t.Fatalf("a successor can't listen: %v", err)
 	}
 	successor.Close()
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
 	<-s.ended
 	var n int
 	s.o.clients.mu.Lock()
-	n = s.o.clients.in + s.o.clients.leaving
+	n = s.o.clients.sessions + s.o.clients.lingering
 	s.o.clients.mu.Unlock()
 	if n != 0 {
 		t.Errorf("%d connections left", n)
@@ -226,28 +226,28 @@
 }
 
 func TestStopAnswersWhatIsInHand(t *testing.T) { // new requests are still taken for a while, and all are answered before the end
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	a, b := s.client(), s.client()
-	a.look("aa")
-	k := e.hears()
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	a, b := s.newClient(), s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
 	close(s.stop)
-	b.look("bb")
-	e.says(e.hears(), "00000000000000bb", "data", "pages=1,cost=120,need=64", "d\te\tf\n")
-	b.gets()
+	b.sendLook("bb")
+	e.reply(e.receive(), "00000000000000bb", "data", "pages=1,cost=120,need=64", "d\te\tf\n")
+	b.expectAnswer()
 	select {
 	case <-s.ended:
 		t.Error("it ended with a request open")
-	case <-time.After(lastRequests + 100*time.Millisecond):
+	case <-time.After(drainTime + 100*time.Millisecond):
 	}
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
 	<-s.ended
 	for _, side := range []string{"client", "engine", `"engine list"`} {
-		s.say("the router ended, %d lines of side %s", strings.Count(s.log.String(), "side="+side+" "), side)
+		s.tracef("the router ended, %d lines of side %s", strings.Count(s.log.String(), "side="+side+" "), side)
 	}
 	if strings.Count(s.log.String(), "code=stopped") < 4 {
 		t.Errorf("log:\n%s", s.log.String())
 	}
-	s.end("stop")
+	s.compareTrace("stop")
 }
--- a/internal/router/stall.go
+++ b/internal/router/stall.go
@@ -15,8 +15,8 @@
 // passed after it.
 func readArrived(tcp net.Conn, r *bufio.Reader, n int) error {
 	tcp.SetReadDeadline(time.Time{}) // no read waits: something is there
-	defer tcp.SetReadDeadline(longAgo)
-	for r.Buffered() < n && speaks(tcp) {
+	defer tcp.SetReadDeadline(expiredDeadline)
+	for r.Buffered() < n && hasInput(tcp) {
 		if _, err := r.Peek(r.Buffered() + 1); err != nil {
 			return err
 		}
@@ -31,7 +31,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return written, err
 	}
-	tcp.SetWriteDeadline(time.Now().Add(lastLook))
+	tcp.SetWriteDeadline(time.Now().Add(finalReadWait))
 	more, err := buffers.WriteTo(tcp)
 	return written + more, err
 }
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -36,7 +36,7 @@
 	c.deadline = t
 	c.set++
 	if c.reads && !t.IsZero() {
-		t = longAgo
+		t = expiredDeadline
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
@@ -50,7 +50,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writes {
-		t = longAgo
+		t = expiredDeadline
 	}
 	c.writes = false
 	return c.TCPConn.SetWriteDeadline(t)
@@ -87,7 +87,7 @@
 }
 
 // lateClient logs in on a connection whose router may stand still.
-func (s *stage) lateClient() (*client, *lateConn) {
+func (s *fixture) lateClient() (*testClient, *lateConn) {
 	listener := s.listen()
 	accepted := make(chan *lateConn)
 	go func() {
@@ -96,50 +96,50 @@
 			s.t.Error(err)
 		}
 		conn := late(tcp)
-		(&acceptor{o: s.o}).welcome(conn)
+		(&acceptor{owner: s.o}).startSession(conn)
 		accepted <- conn
 	}()
-	address := s.addr
-	s.addr = listener.Addr().String()
-	c := s.client()
-	s.addr = address
+	address := s.address
+	s.address = listener.Addr().String()
+	c := s.newClient()
+	s.address = address
 	return c, <-accepted
 }
 
 // arrived waits until something unread lies at a connection.
 func arrived(t *testing.T, tcp net.Conn) {
 	t.Helper()
-	eventually(t, "the bytes are there", func() bool { return speaks(tcp) })
+	eventually(t, "the bytes are there", func() bool { return hasInput(tcp) })
 }
 
 // served asks for one look-up and has the engine answer it.
-func (s *stage) served(c *client, e *standEngine, id string) {
+func (s *fixture) served(c *testClient, e *fakeEngine, id string) {
 	s.t.Helper()
 	select {
-	case h := <-e.heard:
-		e.says(h.c, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	case <-time.After(patience):
+	case h := <-e.received:
+		e.reply(h.c, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	case <-time.After(eventuallyTimeout):
 		s.t.Fatalf("the engine heard nothing, log:\n%s", s.log.String())
 	}
 	c.isServed()
 }
 
 // isServed waits for the first packet of a result.
-func (c *client) isServed() {
-	c.s.t.Helper()
-	c.c.SetReadDeadline(time.Now().Add(patience))
+func (c *testClient) isServed() {
+	c.fixture.t.Helper()
+	c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	if p := c.packet(); p[0] != 3 {
-		c.s.t.Fatalf("the client got %q, log:\n%s", p, c.s.log.String())
+		c.fixture.t.Fatalf("the client got %q, log:\n%s", p, c.fixture.log.String())
 	}
 }
 
 // A request that lies unread as its session's time runs out is served, however long the process stands still before each of the reads.
 func TestRequestThatCameDuringAStallIsServed(t *testing.T) {
-	long := bytes.Repeat([]byte("x"), 3*mostAhead)
+	long := bytes.Repeat([]byte("x"), 3*maxReadAhead)
 	for what, statement := range map[string]string{"short": "SELECT a FROM t_7.x", "longer than what is read ahead": "SELECT '" + string(long) + "' FROM t_7.x"} {
 		t.Run(what, func(t *testing.T) {
-			e := newEngineStand(t, "e1")
-			s := play(t, e)
+			e := newFakeEngine(t, "e1")
+			s := startFixture(t, e)
 			defer s.close()
 			c, conn := s.lateClient()
 			eventually(t, "the session rests", conn.rests)
@@ -159,38 +159,38 @@
 
 // Whoever logs in to a router that is slow to read it still has a while for the first query.
 func TestSlowRouterLeavesTimeForTheFirstQuery(t *testing.T) {
-	s := play(t)
+	s := startFixture(t)
 	defer s.close()
 	_, conn := s.lateClient()
 	eventually(t, "the session waits for its first query", conn.rests)
-	rested := &session{o: s.o, tcp: conn, r: newReader(conn), began: time.Now().Add(-2 * firstQuery)} // its login took so long
+	rested := &clientSession{owner: s.o, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took so long
 	before := time.Now()
-	s.o.clients.rest(rested)
-	s.o.clients.work(rested)
+	s.o.clients.markIdle(rested)
+	s.o.clients.markBusy(rested)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if got := conn.deadline.Sub(before); got < lastLook {
+	if got := conn.deadline.Sub(before); got < finalReadWait {
 		t.Errorf("it has %v", got)
 	}
 }
 
 // An answer goes out although the process stands still right before the write for longer than that may take.
 func TestAnswerIsWrittenAfterAStall(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
 	defer s.close()
 	c, conn := s.lateClient()
-	c.look("aa")
-	k := e.hears()
+	c.sendLook("aa")
+	k := e.receive()
 	conn.arm(false, true)
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	c.isServed()
 }
 
 // lateEngine has the router reach an engine by connections that it may stand still with; it tells of each.
-func (s *stage) lateEngine() <-chan *lateConn {
+func (s *fixture) lateEngine() <-chan *lateConn {
 	conns := make(chan *lateConn, 8)
-	s.o.tell(func(admission.Time) {
+	s.o.post(func(admission.Time) {
 		dial := s.o.dial
 		s.o.dial = func(address string) (net.Conn, error) {
 			tcp, err := dial(address)
@@ -208,16 +208,16 @@
 
 // An attempt goes out on a connection although the process stands still right before the write.
 func TestAttemptIsWrittenAfterAStall(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
 	defer s.close()
 	conns := s.lateEngine()
-	c := s.client()
-	c.look("aa")
+	c := s.newClient()
+	c.sendLook("aa")
 	s.served(c, e, "aa")
 	c.drain()
 	(<-conns).arm(false, true)
-	c.look("bb")
+	c.sendLook("bb")
 	s.served(c, e, "bb")
 	if len(conns) > 0 {
 		t.Error("it was written on another connection")
@@ -225,7 +225,7 @@
 }
 
 // drain reads the rest of an answer whose first packet was read.
-func (c *client) drain() {
+func (c *testClient) drain() {
 	for ends := 0; ends < 2; {
 		if p := c.packet(); p[0] == 0xfe {
 			ends++
@@ -235,13 +235,13 @@
 
 // The rest of an answer that lies unread as its time runs out counts, however long the process stands still before each of the reads.
 func TestAnswerThatCameDuringAStallCounts(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
 	defer s.close()
 	conns := s.lateEngine()
-	c := s.client()
-	c.look("aa")
-	k := e.hears()
+	c := s.newClient()
+	c.sendLook("aa")
+	k := e.receive()
 	conn := <-conns
 	answer := resp.AppendArray(nil, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	stands, goOn := conn.standStill()
@@ -267,7 +267,7 @@
 			far <- tcp
 		}
 	}()
-	s := play(t)
+	s := startFixture(t)
 	defer s.close()
 	dialled := make(chan *lateConn, 1)
 	s.o.dial = func(address string) (net.Conn, error) {
@@ -284,8 +284,8 @@
 		dialled <- conn
 		return conn, nil
 	}
-	p := &prober{e: &engine{o: s.o, name: "e1", address: listener.Addr().String()}}
-	how, report := p.ask()
+	p := &healthChecker{pool: &enginePool{owner: s.o, name: "e1", address: listener.Addr().String()}}
+	how, report := p.check()
 	if how != admission.Served || report.Utilization != 0.2 {
 		t.Errorf("the probe ended as %v with %+v", how, report)
 	}
--- a/internal/router/watch.go
+++ b/internal/router/watcher.go
@@ -14,68 +14,68 @@
 
 // watcher polls the engine list. Its goroutine owns held and amiss.
 type watcher struct {
-	o     *owner
-	held  int64 // number of the last event that was taken in
-	amiss int   // how many times in a row the event after it could not be read
-	quiet logLimiter
-
-	mu      sync.Mutex
-	address string
-	known   *jsonvalue.Value // events of a new configuration, to be told; nil: none
-	leave   func()           // ends the connection at hand
-	moved   chan struct{}    // rung by a new configuration
+	owner      *owner
+	lastIndex  int64 // number of the last event that was taken in
+	badEvents  int   // how many times in a row the event after it could not be read
+	failureLog logLimiter
+
+	mu            sync.Mutex
+	address       string
+	pendingEvents *jsonvalue.Value // events of a new configuration, to be told; nil: none
+	disconnect    func()           // ends the connection at hand
+	configChanged chan struct{}    // rung by a new configuration
 }
 
 func newWatcher(o *owner, address string) *watcher {
-	return &watcher{o: o, address: address, moved: make(chan struct{}, 1)}
+	return &watcher{owner: o, address: address, configChanged: make(chan struct{}, 1)}
 }
 
 // move goes on at another address, with the events that a new configuration knows.
-func (f *watcher) move(address string, known *jsonvalue.Value) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.known = known
-	if f.address = address; f.leave != nil {
-		f.leave()
+func (w *watcher) reconfigure(address string, known *jsonvalue.Value) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.pendingEvents = known
+	if w.address = address; w.disconnect != nil {
+		w.disconnect()
 	}
 	select {
-	case f.moved <- struct{}{}:
+	case w.configChanged <- struct{}{}:
 	default: // it is rung already
 	}
 }
 
 // mostAmiss is how often an event that can't be read is asked for again before the entries that can are taken:
 // it was spoilt on its way, as a rule, and several times in a row the list itself has it so.
-const mostAmiss = 8
+const maxBadEvents = 8
 
 // tell takes in events; whole is the form of those that hold the whole list. It tells whether all could be read.
-func (f *watcher) tell(s *jsonvalue.Value, whole admission.UpdateKind) bool {
-	held := f.held
-	reader := discovery.EventReader{Zones: f.o.network.Zones, Kinds: f.o.network.Kinds, AcceptPartial: f.amiss >= mostAmiss}
-	f.held = reader.ReadEvents(s, held, func(event discovery.WatchEvent) {
+func (w *watcher) postEvents(s *jsonvalue.Value, whole admission.UpdateKind) bool {
+	held := w.lastIndex
+	reader := discovery.EventReader{Zones: w.owner.network.Zones, Kinds: w.owner.network.Kinds, AcceptPartial: w.badEvents >= maxBadEvents}
+	w.lastIndex = reader.ReadEvents(s, held, func(event discovery.WatchEvent) {
 		form := admission.PartialUpdate
 		if event.Full {
 			form = whole
 		}
-		f.o.tell(func(now admission.Time) { f.o.listed(now, form, event.Endpoints, event.Addresses) })
+		w.owner.post(func(now admission.Time) { w.owner.handleEndpoints(now, form, event.Endpoints, event.Addresses) })
 	})
-	if f.held > held {
-		f.amiss = 0
+	if w.lastIndex > held {
+		w.badEvents = 0
 	}
 	if s.Err() != nil {
-		f.amiss++
-		f.o.log.Warn("engine list", "code", "bad_event", "error", s.Err())
+		w.badEvents++
+		w.owner.log.Warn("engine list", "code", "bad_event", "error", s.Err())
 	}
 	return s.Err() == nil
 }
 
 // pollWait is how long the list may hold a poll back: of the 7 s after which its events count as told, a
 // silent connection then takes no more than a sixth, and a restart of the poll another.
-const pollWait = time.Second
+const pollTimeout = time.Second
 
 // serve polls until stop is closed. A connection that brought something and ended is followed by the next at
 // once, as what the list could not finish counts as told soon; others begin no more often than one may take to come up.
-func (f *watcher) serve(stop <-chan struct{}) {
+func (w *watcher) run(stop <-chan struct{}) {
 	for {
 		select { // a wait of nothing and the stop may come together
 		case <-stop:
@@ -83,25 +83,25 @@
 		default:
 		}
 		life, leave := context.WithCancel(context.Background())
-		f.mu.Lock()
-		address, known := f.address, f.known
-		f.known, f.leave = nil, leave
-		f.mu.Unlock()
+		w.mu.Lock()
+		address, known := w.address, w.pendingEvents
+		w.pendingEvents, w.disconnect = nil, leave
+		w.mu.Unlock()
 		if known != nil {
-			f.tell(known, admission.FullUpdate)
+			w.postEvents(known, admission.FullUpdate)
 		}
 		begun := time.Now()
-		useful := f.connect(life, address, stop)
+		useful := w.connect(life, address, stop)
 		moved := life.Err() != nil
 		leave()
 		wait := time.Duration(0)
 		if !useful && !moved {
-			wait = restBefore(time.Since(begun), f.o.network.ConnectTimeout)
+			wait = reconnectDelay(time.Since(begun), w.owner.network.ConnectTimeout)
 		}
 		select {
 		case <-stop:
 			return
-		case <-f.moved: // whose new address and events don't wait for the old one
+		case <-w.configChanged: // whose new address and events don't wait for the old one
 		case <-time.After(wait):
 		}
 	}
@@ -109,54 +109,54 @@
 
 // restBefore is how long to wait before the next connection, where the last one that brought nothing took so long: connections
 // begin no more often than one may take to come up. A longer rest would be added to what drains are told late.
-func restBefore(took, within time.Duration) time.Duration { return max(0, within-took) }
+func reconnectDelay(took, within time.Duration) time.Duration { return max(0, within-took) }
 
 // logLimiter tells which of many failures in a row are worth a line: the first, and then ever fewer.
 type logLimiter struct {
-	rest time.Duration // until the next line, doubled each time
-	next time.Time
+	interval time.Duration // until the next line, doubled each time
+	next     time.Time
 }
 
 // A list that is away for long has a line each minute: by then everybody knows.
 const (
-	firstRest = time.Second
-	mostRest  = time.Minute
+	firstLogInterval = time.Second
+	maxLogInterval   = time.Minute
 )
 
-func (l *logLimiter) due(now time.Time, useful bool) bool {
+func (l *logLimiter) allow(now time.Time, useful bool) bool {
 	switch {
 	case useful:
 		*l = logLimiter{}
 	case now.Before(l.next):
 		return false
 	default:
-		l.rest = min(max(firstRest, 2*l.rest), mostRest)
-		l.next = now.Add(l.rest)
+		l.interval = min(max(firstLogInterval, 2*l.interval), maxLogInterval)
+		l.next = now.Add(l.interval)
 	}
 	return true
 }
 
 // connect polls on one connection until it ends, and tells whether a poll was answered on it.
-func (f *watcher) connect(life context.Context, address string, stop <-chan struct{}) (useful bool) {
+func (w *watcher) connect(life context.Context, address string, stop <-chan struct{}) (useful bool) {
 	code := "panic"
-	f.o.connections.Add(1)
+	w.owner.openConnections.Add(1)
 	defer func() {
 		fault := recover()
-		if fault == nil && !f.quiet.due(time.Now(), useful || life.Err() != nil) {
-			f.o.connections.Add(-1) // its line would say what the last one said
+		if fault == nil && !w.failureLog.allow(time.Now(), useful || life.Err() != nil) {
+			w.owner.openConnections.Add(-1) // its line would say what the last one said
 			return
 		}
-		f.o.connectionEnded("engine list", address, code, 0, fault)
+		w.owner.connectionEnded("engine list", address, code, 0, fault)
 	}()
-	useful, code = f.poll(life, address, stop)
+	useful, code = w.poll(life, address, stop)
 	if life.Err() != nil {
 		code = "moved"
 	}
 	return useful
 }
 
-func (f *watcher) poll(life context.Context, address string, stop <-chan struct{}) (useful bool, code string) {
-	within := f.o.network.ConnectTimeout
+func (w *watcher) poll(life context.Context, address string, stop <-chan struct{}) (useful bool, code string) {
+	within := w.owner.network.ConnectTimeout
 	dialer := net.Dialer{Timeout: within}
 	tcp, err := dialer.DialContext(life, "tcp", address)
 	if err != nil {
@@ -175,8 +175,8 @@
 	r := bufio.NewReaderSize(tcp, 4096)
 	var request, buffer []byte
 	for {
-		request = discovery.AppendPollRequest(request[:0], address, f.held, pollWait.Milliseconds())
-		tcp.SetDeadline(time.Now().Add(pollWait + within))
+		request = discovery.AppendPollRequest(request[:0], address, w.lastIndex, pollTimeout.Milliseconds())
+		tcp.SetDeadline(time.Now().Add(pollTimeout + within))
 		if _, err := tcp.Write(request); err != nil {
 			return useful, endCode(err)
 		}
@@ -199,7 +199,7 @@
 			}
 			if response.Status == 200 {
 				s, err := jsonvalue.Parse("events", response.Body)
-				if err != nil || !f.tell(s, admission.FullUpdate) {
+				if err != nil || !w.postEvents(s, admission.FullUpdate) {
 					return useful, "bad_answer"
 				}
 				useful = true
--- a/internal/router/watch_test.go
+++ b/internal/router/watcher_test.go
@@ -15,7 +15,7 @@
 func Example_restBefore() {
 	const within = 400 * time.Millisecond
 	for _, took := range []time.Duration{0, 100 * time.Millisecond, within, time.Second} { // refused at once, ..., not up in time
-		fmt.Print(restBefore(took, within), " ")
+		fmt.Print(reconnectDelay(took, within), " ")
 	}
 	// Output: 400ms 300ms 0s 0s
 }
@@ -23,7 +23,7 @@
 // polled waits for a poll of an engine list and returns its connection.
 func polled(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(eventuallyTimeout))
 	for {
 		k, err := l.Accept()
 		if err != nil {
@@ -40,17 +40,17 @@
 // count as told.
 func TestReloadWhileTheListIsDown(t *testing.T) {
 	long := strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":60000000`, 1) // which the rest is, too
-	e := newEngineStand(t, "e1")
-	s := playSettings(t, long)
+	e := newFakeEngine(t, "e1")
+	s := startFixtureWith(t, long)
 	defer s.close()
-	e.s = s
+	e.fixture = s
 	down := s.listen()
 	address := down.Addr().String()
 	down.Close()
 	next := *s.start
 	next.DiscoveryAddress, next.KnownEndpoints = address, nil
 	s.renewed <- &next
-	s.logged("code=refused")
+	s.awaitLog("code=refused")
 	l := s.listen()
 	after := next
 	after.DiscoveryAddress = l.Addr().String()
@@ -60,10 +60,10 @@
 
 // A whole list after a silence that names an engine no more takes it away, as if its end had been told.
 func TestWholeListWithoutAnEngine(t *testing.T) {
-	e, f := newEngineStand(t, "e1"), newEngineStand(t, "e2")
-	s := play(t, e)
+	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
+	s := startFixture(t, e)
 	defer s.close()
-	f.s = s
+	f.fixture = s
 	l := s.listen()
 	next := *s.start
 	next.DiscoveryAddress = l.Addr().String()
@@ -73,7 +73,7 @@
 	fmt.Fprintf(k, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
 	eventually(t, "the whole list is taken in", func() bool {
 		names := make(chan string, 1)
-		s.o.tell(func(admission.Time) {
+		s.o.post(func(admission.Time) {
 			var all []string
 			for name := range s.o.engines {
 				all = append(all, string(name))
@@ -82,15 +82,15 @@
 		})
 		return <-names == "e2"
 	})
-	s.onlyHears(f, "aa")
-	if len(e.heard) > 0 {
-		t.Errorf("the engine that is listed no more heard %q", (<-e.heard).parts)
+	s.requireOnlyReceives(f, "aa")
+	if len(e.received) > 0 {
+		t.Errorf("the engine that is listed no more heard %q", (<-e.received).parts)
 	}
 }
 
 // A stop ends the watcher also while it rests or a poll is out.
 func TestStopEndsTheFollower(t *testing.T) {
-	s := play(t)
+	s := startFixture(t)
 	defer s.close()
 	l := s.listen()
 	next := *s.start
@@ -99,7 +99,7 @@
 	k := polled(t, l)
 	close(s.stop)
 	<-s.ended
-	k.SetReadDeadline(time.Now().Add(patience))
+	k.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	if _, err := io.Copy(io.Discard, k); err != nil {
 		t.Errorf("the poll was left open: %v", err)
 	}
@@ -108,9 +108,9 @@
 // The list breaks off, is spoilt, brings more than was asked for, or goes away for good: what it told before counts,
 // and the rest is asked for again under the last number, on a new connection.
 func TestSpoiltListIsAskedAgain(t *testing.T) {
-	e := newEngineStand(t, "e1")
-	s := play(t)
-	e.s = s
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t)
+	e.fixture = s
 	l := s.listen()
 	next := *s.start
 	next.DiscoveryAddress = l.Addr().String()
@@ -132,7 +132,7 @@
 			t.Fatal(err)
 		}
 		line, _ := bufio.NewReader(k).ReadString('\n')
-		s.say("polled: %.26s, the answer %s", line, c.what)
+		s.tracef("polled: %.26s, the answer %s", line, c.what)
 		io.WriteString(k, c.answer)
 		if c.what == "breaks off" {
 			k.Close()
@@ -140,26 +140,26 @@
 	}
 	k, _ := l.Accept()
 	line, _ := bufio.NewReader(k).ReadString('\n')
-	s.say("polled: %.26s", line)
-	a := s.client()
-	a.look("aa")
-	e.says(e.hears(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
-	s.end("list amiss")
+	s.tracef("polled: %.26s", line)
+	a := s.newClient()
+	a.sendLook("aa")
+	e.reply(e.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
+	s.compareTrace("list amiss")
 }
 
 func TestDrainingEngineGetsNothingNew(t *testing.T) { // nothing new goes there, and what is out is still delivered
-	e := newEngineStand(t, "e1")
-	s := play(t, e)
-	a, b := s.client(), s.client()
-	a.look("aa")
-	k := e.hears()
-	s.told(e, "Terminating")
-	b.look("bb")
-	s.wait(2)
-	s.pass(900 * admission.Millisecond)
-	b.gets()
-	e.says(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	a.gets()
-	s.end("drain")
+	e := newFakeEngine(t, "e1")
+	s := startFixture(t, e)
+	a, b := s.newClient(), s.newClient()
+	a.sendLook("aa")
+	k := e.receive()
+	s.announceEngine(e, "Terminating")
+	b.sendLook("bb")
+	s.awaitRequests(2)
+	s.advanceClock(900 * admission.Millisecond)
+	b.expectAnswer()
+	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	a.expectAnswer()
+	s.compareTrace("drain")
 }
