--- a/internal/query/costmodel/grammar_test.go
+++ b/internal/query/costmodel/grammar_test.go
@@ -24,25 +24,25 @@
 	typeSign
 )
 
-// definition has participle read our lexer's tokens.
-type definition struct{}
+// lexerDefinition has participle read our lexer's tokens.
+type lexerDefinition struct{}
 
-func (definition) Symbols() map[string]lexer.TokenType {
+func (lexerDefinition) Symbols() map[string]lexer.TokenType {
 	return map[string]lexer.TokenType{"EOF": lexer.EOF, "Name": typeName, "Key": typeKey, "Text": typeText, "Number": typeNumber,
 		"Hint": typeHint, "Sign": typeSign}
 }
 
-func (definition) Lex(string, io.Reader) (lexer.Lexer, error) {
+func (lexerDefinition) Lex(string, io.Reader) (lexer.Lexer, error) {
 	return nil, errors.New("statements are read from bytes")
 }
 
-type tokens struct {
+type tokenStream struct {
 	l    sqltext.Lexer
 	last bool // the token before was a dot, so a word is a name
 }
 
 // Next hands out the next token; MySQL takes any word behind a dot for a name, and function names are names.
-func (t *tokens) Next() (lexer.Token, error) {
+func (t *tokenStream) Next() (lexer.Token, error) {
 	tok := t.l.Next()
 	out := lexer.Token{Pos: lexer.Position{Offset: tok.From}}
 	dot := t.last
@@ -54,14 +54,14 @@
 		return out, nil
 	case sqltext.Word:
 		out.Type, out.Value = typeName, string(text)
-		if upper := strings.ToUpper(out.Value); !dot && keywords[upper] != "" && !(callable[upper] && t.l.Peek().Sign == '(') {
+		if upper := strings.ToUpper(out.Value); !dot && keywords[upper] != "" && !(functionKeywords[upper] && t.l.Peek().Sign == '(') {
 			out.Type, out.Value = typeKey, upper
 		}
 	case sqltext.Quoted:
 		out.Type, out.Value = typeName, string(text)
 	case sqltext.Text:
 		if tok.Unterminated {
-			return out, errOpen
+			return out, errUnterminated
 		}
 		out.Type, out.Value = typeText, "'"+string(text)
 	case sqltext.Number:
@@ -74,17 +74,17 @@
 	return out, nil
 }
 
-// library is the parser that participle builds of the tree's tags.
-var library = sync.OnceValues(func() (*participle.Parser[tree], error) {
-	return participle.Build[tree](participle.Lexer(definition{}), participle.UseLookahead(3))
+// grammarParser is the parser that participle builds of the tree's tags.
+var grammarParser = sync.OnceValues(func() (*participle.Parser[statement], error) {
+	return participle.Build[statement](participle.Lexer(lexerDefinition{}), participle.UseLookahead(3))
 })
 
-func byLibrary(sql []byte) (*Features, error) {
-	p, err := library()
+func readByGrammar(sql []byte) (*Features, error) {
+	p, err := grammarParser()
 	if err != nil {
 		return nil, err
 	}
-	peeker, err := lexer.Upgrade(&tokens{l: sqltext.Lexer{Text: sql}})
+	peeker, err := lexer.Upgrade(&tokenStream{l: sqltext.Lexer{Text: sql}})
 	if err != nil {
 		return nil, err
 	}
@@ -93,14 +93,14 @@
 		return nil, err
 	}
 	f := &Features{Limit: -1, Parsed: true}
-	f.tree(t)
-	f.narrow(nil)
+	f.readStatement(t)
+	f.markScans(nil)
 	return f, nil
 }
 
-// same holds what is read by hand against what the library reads by the tags.
-func same(t *testing.T, sql string) (both bool) {
-	want, err := byLibrary([]byte(sql))
+// checkAgainstGrammar holds what is read by hand against what the library reads by the tags.
+func checkAgainstGrammar(t *testing.T, sql string) (both bool) {
+	want, err := readByGrammar([]byte(sql))
 	got := ReadFeatures([]byte(sql))
 	if err != nil {
 		return false // the reader by hand may take more, as it looks further ahead
@@ -140,7 +140,7 @@
 	}
 	parsed, changed := 0, 0
 	for n, sql := range list {
-		if !same(t, sql) {
+		if !checkAgainstGrammar(t, sql) {
 			t.Errorf("the library doesn't take it: %s", sql)
 			continue
 		}
@@ -164,7 +164,7 @@
 		}
 		for i := range parts {
 			for _, other := range []string{"", parts[i] + " " + parts[i], parts[(i*7+3)%len(parts)]} {
-				if same(t, strings.Join(parts[:i], " ")+" "+other+" "+strings.Join(parts[i+1:], " ")) {
+				if checkAgainstGrammar(t, strings.Join(parts[:i], " ")+" "+other+" "+strings.Join(parts[i+1:], " ")) {
 					changed++
 				}
 			}
@@ -178,11 +178,11 @@
 	f.Add("INSERT INTO t SELECT * FROM ((a JOIN b ON a.x = b.x)) WHERE CASE WHEN a THEN b END")
 	f.Fuzz(func(t *testing.T, sql string) {
 		x := ReadFeatures([]byte(sql))
-		if len(x.Tables) > mostTables || len(x.Predicates) > mostPredicates {
+		if len(x.Tables) > maxTables || len(x.Predicates) > maxPredicates {
 			t.Fatalf("%d tables, %d predicates", len(x.Tables), len(x.Predicates))
 		}
 		if len(sql) < 300 {
-			same(t, sql)
+			checkAgainstGrammar(t, sql)
 		}
 	})
 }
--- a/internal/query/costmodel/parse_change.go
+++ b/internal/query/costmodel/parse_change.go
@@ -2,73 +2,73 @@
 
 import "magpiebank/internal/query/sqltext"
 
-func (r *reader) insert() *insert {
-	i := &insert{Verb: r.now().key}
-	r.at++
-	for r.any("IGNORE", "LOW_PRIORITY", "DELAYED") {
+func (p *parser) parseInsert() *insertStatement {
+	i := &insertStatement{Verb: p.current().key}
+	p.at++
+	for p.takeAny("IGNORE", "LOW_PRIORITY", "DELAYED") {
 	}
-	r.take("INTO")
-	i.Table = r.path(false)
-	if r.is("(") && !r.isUnion() {
-		i.Columns = inside(r, r.names)
+	p.take("INTO")
+	i.Table = p.parsePath(false)
+	if p.is("(") && !p.isUnion() {
+		i.Columns = parseInBrackets(p, p.parseNames)
 	}
 	switch {
-	case r.any("VALUES", "VALUE"):
-		i.Rows = series(r, r.row)
-	case r.take("SET"):
-		i.Set = r.exprs()
+	case p.takeAny("VALUES", "VALUE"):
+		i.Rows = parseList(p, p.parseRow)
+	case p.take("SET"):
+		i.Set = p.parseExpressions()
 	default:
-		i.Query = r.union()
+		i.Query = p.parseQuery()
 	}
-	if r.take("ON") {
-		r.need("DUPLICATE", "KEY", "UPDATE")
-		i.Update = r.exprs()
+	if p.take("ON") {
+		p.need("DUPLICATE", "KEY", "UPDATE")
+		i.Update = p.parseExpressions()
 	}
 	return i
 }
 
-func (r *reader) row() *row {
-	return &row{Values: inside(r, func() []*expr {
-		if r.is(")") {
+func (p *parser) parseRow() *valueRow {
+	return &valueRow{Values: parseInBrackets(p, func() []*expression {
+		if p.is(")") {
 			return nil
 		}
-		return r.exprs()
+		return p.parseExpressions()
 	})}
 }
 
-func (r *reader) load() *load {
-	r.need("LOAD", "DATA")
-	r.take("LOCAL")
-	r.need("INFILE")
-	l := &load{File: r.amount()}
-	r.any("REPLACE", "IGNORE")
-	r.need("INTO", "TABLE")
-	l.Table = r.path(false)
-	for !r.bad && !r.isKind(sqltext.End) && !r.is(";") { // how the file is laid out tells nothing of its cost
-		r.at++
+func (p *parser) parseLoad() *loadStatement {
+	p.need("LOAD", "DATA")
+	p.take("LOCAL")
+	p.need("INFILE")
+	l := &loadStatement{File: p.parseAmount()}
+	p.takeAny("REPLACE", "IGNORE")
+	p.need("INTO", "TABLE")
+	l.Table = p.parsePath(false)
+	for !p.failed && !p.isKind(sqltext.End) && !p.is(";") { // how the file is laid out tells nothing of its cost
+		p.at++
 	}
 	return l
 }
 
-func (r *reader) update() *update {
-	r.need("UPDATE")
-	for r.any("IGNORE", "LOW_PRIORITY") {
+func (p *parser) parseUpdate() *updateStatement {
+	p.need("UPDATE")
+	for p.takeAny("IGNORE", "LOW_PRIORITY") {
 	}
-	u := &update{From: series(r, r.from)}
-	r.need("SET")
-	u.Set, u.Where, u.Order, u.Limit = r.exprs(), r.after("WHERE"), r.order(), r.limit()
+	u := &updateStatement{From: parseList(p, p.parseTableReference)}
+	p.need("SET")
+	u.Set, u.Where, u.Order, u.Limit = p.parseExpressions(), p.parseAfter("WHERE"), p.parseOrder(), p.parseLimit()
 	return u
 }
 
-func (r *reader) remove() *remove {
-	r.need("DELETE")
-	for r.any("IGNORE", "QUICK", "LOW_PRIORITY") {
+func (p *parser) parseDelete() *deleteStatement {
+	p.need("DELETE")
+	for p.takeAny("IGNORE", "QUICK", "LOW_PRIORITY") {
 	}
-	d := &remove{}
-	if !r.is("FROM") {
-		d.Names = r.path(true)
+	d := &deleteStatement{}
+	if !p.is("FROM") {
+		d.Names = p.parsePath(true)
 	}
-	r.need("FROM")
-	d.From, d.Where, d.Order, d.Limit = series(r, r.from), r.after("WHERE"), r.order(), r.limit()
+	p.need("FROM")
+	d.From, d.Where, d.Order, d.Limit = parseList(p, p.parseTableReference), p.parseAfter("WHERE"), p.parseOrder(), p.parseLimit()
 	return d
 }
--- a/internal/query/costmodel/parse_expression.go
+++ b/internal/query/costmodel/parse_expression.go
@@ -2,8 +2,8 @@
 
 import "magpiebank/internal/query/sqltext"
 
-// operator tells whether a word or sign is one that stands between two terms.
-func (t *token) operator() bool {
+// isOperator tells whether a word or sign is one that stands between two terms.
+func (t *token) isOperator() bool {
 	switch t.key {
 	case "AND", "OR", "XOR", "NOT", "IN", "LIKE", "REGEXP", "RLIKE", "BETWEEN", "IS", "DIV", "MOD", "COLLATE", "ESCAPE":
 		return !t.call
@@ -23,127 +23,127 @@
 	return t.text
 }
 
-func (r *reader) expr() *expr {
-	e := &expr{First: r.value()}
-	for !r.bad && r.now().operator() {
-		p := &pair{}
-		for r.now().operator() {
-			p.Op = append(p.Op, r.now().word())
-			r.at++
+func (p *parser) parseExpression() *expression {
+	e := &expression{First: p.parseOperand()}
+	for !p.failed && p.current().isOperator() {
+		op := &operation{}
+		for p.current().isOperator() {
+			op.Op = append(op.Op, p.current().word())
+			p.at++
 		}
-		p.Value = r.value()
-		e.Rest = append(e.Rest, p)
+		op.Value = p.parseOperand()
+		e.Rest = append(e.Rest, op)
 	}
 	return e
 }
 
-func (r *reader) value() *value {
-	v := &value{}
-	for !r.bad {
-		t := r.now()
+func (p *parser) parseOperand() *operand {
+	v := &operand{}
+	for !p.failed {
+		t := p.current()
 		switch t.key {
 		case "NOT", "BINARY", "EXISTS", "DISTINCT", "ALL", "ANY":
 		default:
 			if t.sign != '-' && t.sign != '+' && t.sign != '~' && t.sign != '!' {
-				return r.operand(v)
+				return p.parseOperandBody(v)
 			}
 		}
 		v.Prefix = append(v.Prefix, t.word())
-		r.at++
+		p.at++
 	}
 	return v
 }
 
-func (r *reader) operand(v *value) *value {
-	switch t := r.now(); {
+func (p *parser) parseOperandBody(v *operand) *operand {
+	switch t := p.current(); {
 	case t.kind == sqltext.Number, t.kind == sqltext.Text, t.key == "NULL", t.key == "TRUE", t.key == "FALSE":
-		v.Literal = r.text()
-	case r.take("CASE"):
-		v.Case = r.kase()
-	case r.take("INTERVAL"):
-		v.Gap = &gap{Value: r.expr(), Unit: r.name()}
-	case r.isUnion():
-		v.Query = inside(r, r.union)
-	case r.is("("):
-		v.List = inside(r, r.exprs)
+		v.Literal = p.takeText()
+	case p.take("CASE"):
+		v.Case = p.parseCase()
+	case p.take("INTERVAL"):
+		v.Interval = &interval{Value: p.parseExpression(), Unit: p.takeName()}
+	case p.isUnion():
+		v.Query = parseInBrackets(p, p.parseQuery)
+	case p.is("("):
+		v.List = parseInBrackets(p, p.parseExpressions)
 	default:
-		v.Name = r.path(true)
-		if r.is("(") {
-			v.Call = r.call()
+		v.Name = p.parsePath(true)
+		if p.is("(") {
+			v.Call = p.parseCall()
 		}
 	}
 	return v
 }
 
-func (r *reader) exprs() []*expr { return series(r, r.expr) }
+func (p *parser) parseExpressions() []*expression { return parseList(p, p.parseExpression) }
 
-func (r *reader) kase() *kase {
-	k := &kase{}
-	if !r.is("WHEN") {
-		k.Of = r.expr()
-	}
-	for r.take("WHEN") {
-		w := &when{If: r.expr()}
-		r.need("THEN")
-		w.Then = r.expr()
+func (p *parser) parseCase() *caseExpression {
+	k := &caseExpression{}
+	if !p.is("WHEN") {
+		k.Of = p.parseExpression()
+	}
+	for p.take("WHEN") {
+		w := &caseBranch{If: p.parseExpression()}
+		p.need("THEN")
+		w.Then = p.parseExpression()
 		k.When = append(k.When, w)
 	}
 	if len(k.When) == 0 {
-		r.fail()
+		p.fail()
 	}
-	k.Else = r.after("ELSE")
-	r.need("END")
+	k.Else = p.parseAfter("ELSE")
+	p.need("END")
 	return k
 }
 
-func (r *reader) call() *call {
-	c := &call{Open: true}
-	r.need("(")
-	if c.Star = r.take("*"); !c.Star && !r.is(")") && !r.is("ORDER") && !r.is("SEPARATOR") {
-		c.Args = series(r, r.arg)
-	}
-	c.Order = r.order()
-	if r.take("SEPARATOR") {
-		if !r.isKind(sqltext.Text) {
-			r.fail()
+func (p *parser) parseCall() *callSuffix {
+	c := &callSuffix{Open: true}
+	p.need("(")
+	if c.Star = p.take("*"); !c.Star && !p.is(")") && !p.is("ORDER") && !p.is("SEPARATOR") {
+		c.Args = parseList(p, p.parseArgument)
+	}
+	c.Order = p.parseOrder()
+	if p.take("SEPARATOR") {
+		if !p.isKind(sqltext.Text) {
+			p.fail()
 			return c
 		}
-		r.at++
+		p.at++
 	}
-	r.need(")")
-	if r.take("OVER") {
-		if r.is("(") {
-			c.Over = inside(r, r.over)
+	p.need(")")
+	if p.take("OVER") {
+		if p.is("(") {
+			c.Over = parseInBrackets(p, p.parseWindowSpec)
 		} else {
-			c.Named = r.name()
+			c.Named = p.takeName()
 		}
 	}
 	return c
 }
 
-func (r *reader) arg() *arg {
-	a := &arg{Value: r.expr()}
-	if r.any("AS", "USING", "FROM") {
-		if a.As = r.name(); r.is("(") {
-			inside(r, func() []string { return series(r, r.amount) })
+func (p *parser) parseArgument() *callArgument {
+	a := &callArgument{Value: p.parseExpression()}
+	if p.takeAny("AS", "USING", "FROM") {
+		if a.As = p.takeName(); p.is("(") {
+			parseInBrackets(p, func() []string { return parseList(p, p.parseAmount) })
 		}
 	}
 	return a
 }
 
-func (r *reader) over() *over {
-	o := &over{}
-	if r.isName() {
-		o.Base = r.text()
-	}
-	if r.take("PARTITION") {
-		r.need("BY")
-		o.By = r.exprs()
-	}
-	o.Order = r.order()
-	if r.is("ROWS") || r.is("RANGE") {
-		for o.Frame = append(o.Frame, r.text()); r.isName() || r.isKind(sqltext.Number) || r.is("BETWEEN") || r.is("AND"); {
-			o.Frame = append(o.Frame, r.text())
+func (p *parser) parseWindowSpec() *windowSpec {
+	o := &windowSpec{}
+	if p.isName() {
+		o.Base = p.takeText()
+	}
+	if p.take("PARTITION") {
+		p.need("BY")
+		o.By = p.parseExpressions()
+	}
+	o.Order = p.parseOrder()
+	if p.is("ROWS") || p.is("RANGE") {
+		for o.Frame = append(o.Frame, p.takeText()); p.isName() || p.isKind(sqltext.Number) || p.is("BETWEEN") || p.is("AND"); {
+			o.Frame = append(o.Frame, p.takeText())
 		}
 	}
 	return o
--- a/internal/query/costmodel/parse_select.go
+++ b/internal/query/costmodel/parse_select.go
@@ -4,15 +4,15 @@
 
 // isUnion tells whether the bracket here holds a query. One in which another stands holds one if that does and what
 // follows it goes on with a query.
-func (r *reader) isUnion() bool {
-	for at := r.at; r.is("(") && r.tokens[at].sign == '('; at++ {
-		switch next := &r.tokens[at+1]; {
+func (p *parser) isUnion() bool {
+	for at := p.at; p.is("(") && p.tokens[at].sign == '('; at++ {
+		switch next := &p.tokens[at+1]; {
 		case next.key == "SELECT":
 			return true
 		case next.sign != '(' || next.match == 0:
 			return false
 		default:
-			switch behind := &r.tokens[next.match+1]; {
+			switch behind := &p.tokens[next.match+1]; {
 			case behind.key == "UNION", behind.key == "EXCEPT", behind.key == "INTERSECT", behind.key == "ORDER", behind.key == "LIMIT":
 				return true
 			case behind.sign != ')':
@@ -23,206 +23,206 @@
 	return false
 }
 
-func (r *reader) tree() *tree {
-	t := &tree{}
-	if r.take("WITH") {
-		r.take("RECURSIVE")
-		t.With = series(r, r.cte)
+func (p *parser) parseStatement() *statement {
+	t := &statement{}
+	if p.take("WITH") {
+		p.take("RECURSIVE")
+		t.With = parseList(p, p.parseCTE)
 	}
 	switch {
-	case r.is("INSERT"), r.is("REPLACE"):
-		t.Insert = r.insert()
-	case r.is("LOAD"):
-		t.Load = r.load()
-	case r.is("UPDATE"):
-		t.Update = r.update()
-	case r.is("DELETE"):
-		t.Delete = r.remove()
+	case p.is("INSERT"), p.is("REPLACE"):
+		t.Insert = p.parseInsert()
+	case p.is("LOAD"):
+		t.Load = p.parseLoad()
+	case p.is("UPDATE"):
+		t.Update = p.parseUpdate()
+	case p.is("DELETE"):
+		t.Delete = p.parseDelete()
 	default:
-		t.Query = r.union()
+		t.Query = p.parseQuery()
 	}
-	r.take(";")
-	if !r.isKind(sqltext.End) {
-		r.fail()
+	p.take(";")
+	if !p.isKind(sqltext.End) {
+		p.fail()
 	}
 	return t
 }
 
-func (r *reader) cte() *cte {
-	c := &cte{Name: r.name()}
-	if r.is("(") {
-		c.Columns = inside(r, r.names)
+func (p *parser) parseCTE() *cte {
+	c := &cte{Name: p.takeName()}
+	if p.is("(") {
+		c.Columns = parseInBrackets(p, p.parseNames)
 	}
-	r.need("AS")
-	c.Query = inside(r, r.union)
+	p.need("AS")
+	c.Query = parseInBrackets(p, p.parseQuery)
 	return c
 }
 
-func (r *reader) union() *union {
-	u := &union{First: r.selected()}
-	for r.any("UNION", "EXCEPT", "INTERSECT") {
-		r.any("ALL", "DISTINCT")
-		u.Rest = append(u.Rest, r.selected())
+func (p *parser) parseQuery() *queryExpression {
+	u := &queryExpression{First: p.parseSelect()}
+	for p.takeAny("UNION", "EXCEPT", "INTERSECT") {
+		p.takeAny("ALL", "DISTINCT")
+		u.Rest = append(u.Rest, p.parseSelect())
 	}
-	u.Order, u.Limit = r.order(), r.limit()
+	u.Order, u.Limit = p.parseOrder(), p.parseLimit()
 	return u
 }
 
-func (r *reader) order() []*term {
-	if !r.take("ORDER") {
+func (p *parser) parseOrder() []*orderTerm {
+	if !p.take("ORDER") {
 		return nil
 	}
-	r.need("BY")
-	return series(r, r.term)
+	p.need("BY")
+	return parseList(p, p.parseOrderTerm)
 }
 
-func (r *reader) term() *term {
-	t := &term{Value: r.expr()}
-	r.any("ASC", "DESC")
+func (p *parser) parseOrderTerm() *orderTerm {
+	t := &orderTerm{Value: p.parseExpression()}
+	p.takeAny("ASC", "DESC")
 	return t
 }
 
-// limit takes a limit; the last of what is kept is the number of rows.
-func (r *reader) limit() (out []string) {
-	if !r.take("LIMIT") {
+// parseLimit takes a limit; the last of what is kept is the number of rows.
+func (p *parser) parseLimit() (out []string) {
+	if !p.take("LIMIT") {
 		return nil
 	}
-	out = append(out, r.amount())
-	if r.take(",") {
-		out = append(out, r.amount())
-	} else if r.take("OFFSET") {
-		r.amount()
+	out = append(out, p.parseAmount())
+	if p.take(",") {
+		out = append(out, p.parseAmount())
+	} else if p.take("OFFSET") {
+		p.parseAmount()
 	}
 	return out
 }
 
-func (r *reader) amount() string {
-	if !r.isKind(sqltext.Number) && !r.isKind(sqltext.Text) {
-		r.fail()
+func (p *parser) parseAmount() string {
+	if !p.isKind(sqltext.Number) && !p.isKind(sqltext.Text) {
+		p.fail()
 		return ""
 	}
-	return r.text()
+	return p.takeText()
 }
 
-func (r *reader) selected() *selected {
-	s := &selected{}
-	if r.is("(") {
-		s.Nested = inside(r, r.union)
+func (p *parser) parseSelect() *selectQuery {
+	s := &selectQuery{}
+	if p.is("(") {
+		s.Nested = parseInBrackets(p, p.parseQuery)
 		return s
 	}
-	r.need("SELECT")
-	for r.isKind(sqltext.Hint) {
-		s.Hints = append(s.Hints, r.text())
+	p.need("SELECT")
+	for p.isKind(sqltext.Hint) {
+		s.Hints = append(s.Hints, p.takeText())
 	}
-	for r.any("DISTINCT", "ALL", "STRAIGHT_JOIN") {
+	for p.takeAny("DISTINCT", "ALL", "STRAIGHT_JOIN") {
 		s.Distinct = true
 	}
-	s.Columns = series(r, r.item)
-	if r.take("FROM") {
-		s.From = series(r, r.from)
+	s.Columns = parseList(p, p.parseItem)
+	if p.take("FROM") {
+		s.From = parseList(p, p.parseTableReference)
 	}
-	s.Where = r.after("WHERE")
-	if r.take("GROUP") {
-		r.need("BY")
-		s.Group = series(r, r.expr)
-		if r.take("WITH") {
-			r.need("ROLLUP")
+	s.Where = p.parseAfter("WHERE")
+	if p.take("GROUP") {
+		p.need("BY")
+		s.Group = parseList(p, p.parseExpression)
+		if p.take("WITH") {
+			p.need("ROLLUP")
 		}
 	}
-	s.Having = r.after("HAVING")
-	if r.take("WINDOW") {
-		s.Window = series(r, r.win)
+	s.Having = p.parseAfter("HAVING")
+	if p.take("WINDOW") {
+		s.Window = parseList(p, p.parseNamedWindow)
 	}
-	s.Order, s.Limit = r.order(), r.limit()
-	if r.take("FOR") {
-		for n := 0; r.is("UPDATE") || r.isName(); n++ {
-			s.Lock = append(s.Lock, r.text())
+	s.Order, s.Limit = p.parseOrder(), p.parseLimit()
+	if p.take("FOR") {
+		for n := 0; p.is("UPDATE") || p.isName(); n++ {
+			s.Lock = append(s.Lock, p.takeText())
 		}
 		if len(s.Lock) == 0 {
-			r.fail()
+			p.fail()
 		}
 	}
 	return s
 }
 
-// after is the expression behind a keyword, nil where that doesn't stand here.
-func (r *reader) after(word string) *expr {
-	if !r.take(word) {
+// parseAfter is the expression behind a keyword, nil where that doesn't stand here.
+func (p *parser) parseAfter(word string) *expression {
+	if !p.take(word) {
 		return nil
 	}
-	return r.expr()
+	return p.parseExpression()
 }
 
-func (r *reader) item() *item {
-	i := &item{}
-	if i.Star = r.take("*"); !i.Star {
-		i.Value = r.expr()
+func (p *parser) parseItem() *selectItem {
+	i := &selectItem{}
+	if i.Star = p.take("*"); !i.Star {
+		i.Value = p.parseExpression()
 	}
-	if r.take("AS") {
-		if !r.isName() && !r.isKind(sqltext.Text) {
-			r.fail()
+	if p.take("AS") {
+		if !p.isName() && !p.isKind(sqltext.Text) {
+			p.fail()
 			return i
 		}
-		i.Name = r.text()
-	} else if r.isName() || r.isKind(sqltext.Text) {
-		i.Name = r.text()
+		i.Name = p.takeText()
+	} else if p.isName() || p.isKind(sqltext.Text) {
+		i.Name = p.takeText()
 	}
 	return i
 }
 
-func (r *reader) win() *win {
-	w := &win{Name: r.name()}
-	r.need("AS")
-	w.Spec = inside(r, r.over)
+func (p *parser) parseNamedWindow() *namedWindow {
+	w := &namedWindow{Name: p.takeName()}
+	p.need("AS")
+	w.Spec = parseInBrackets(p, p.parseWindowSpec)
 	return w
 }
 
-func (r *reader) from() *from {
-	f := &from{Table: r.table()}
-	for !r.bad {
+func (p *parser) parseTableReference() *tableReference {
+	f := &tableReference{Table: p.parseTableFactor()}
+	for !p.failed {
 		var kind []string
-		for r.joining() {
-			kind = append(kind, r.now().key)
-			r.at++
+		for p.isJoin() {
+			kind = append(kind, p.current().key)
+			p.at++
 		}
 		if kind == nil {
 			break
 		}
-		j := &join{Kind: kind, Table: r.table()}
-		if j.On = r.after("ON"); j.On == nil && r.take("USING") {
-			j.Using = inside(r, r.names)
+		j := &joinedTable{Kind: kind, Table: p.parseTableFactor()}
+		if j.On = p.parseAfter("ON"); j.On == nil && p.take("USING") {
+			j.Using = parseInBrackets(p, p.parseNames)
 		}
 		f.Joins = append(f.Joins, j)
 	}
 	return f
 }
 
-func (r *reader) joining() bool {
-	switch r.now().key {
+func (p *parser) isJoin() bool {
+	switch p.current().key {
 	case "JOIN", "INNER", "LEFT", "RIGHT", "OUTER", "CROSS", "NATURAL", "STRAIGHT_JOIN":
-		return !r.bad
+		return !p.failed
 	}
 	return false
 }
 
-func (r *reader) table() *table {
-	t := &table{}
-	switch lateral := r.take("LATERAL"); {
-	case lateral, r.isUnion():
-		t.Query = inside(r, r.union)
-	case r.is("("):
-		t.Group = inside(r, func() []*from { return series(r, r.from) })
+func (p *parser) parseTableFactor() *tableFactor {
+	t := &tableFactor{}
+	switch lateral := p.take("LATERAL"); {
+	case lateral, p.isUnion():
+		t.Query = parseInBrackets(p, p.parseQuery)
+	case p.is("("):
+		t.Group = parseInBrackets(p, func() []*tableReference { return parseList(p, p.parseTableReference) })
 	default:
-		t.Name = r.path(false)
+		t.Name = p.parsePath(false)
 	}
-	if r.take("AS") || r.isName() {
-		t.Alias = r.name()
+	if p.take("AS") || p.isName() {
+		t.Alias = p.takeName()
 	}
-	if r.any("USE", "FORCE", "IGNORE") {
-		if !r.any("INDEX", "KEY") {
-			r.fail()
+	if p.takeAny("USE", "FORCE", "IGNORE") {
+		if !p.takeAny("INDEX", "KEY") {
+			p.fail()
 		}
-		t.Index = inside(r, r.names)
+		t.Index = parseInBrackets(p, p.parseNames)
 	}
 	return t
 }
--- a/internal/query/costmodel/sketch.go
+++ b/internal/query/costmodel/sketch.go
@@ -5,33 +5,33 @@
 // Sketch keeps the distribution of costs in milliseconds, in steps of a quarter from a tenth of a millisecond to an hour.
 // Two are merged by adding up, and old answers fade as new ones come. The zero Sketch is empty.
 type Sketch struct {
-	counts [steps]uint16
+	counts [sketchSteps]uint16
 	total  uint32
 }
 
 const (
-	steps = 80
-	least = 0.1  // ms
-	ratio = 1.25 // a step: quantiles are off by an eighth at the most, far less than costs scatter
+	sketchSteps = 80
+	minMillis   = 0.1  // ms
+	stepRatio   = 1.25 // a step: quantiles are off by an eighth at the most, far less than costs scatter
 	// At so many answers all counts are halved: what is older than some thousand answers counts for little.
 	fadeAt = 4096
 )
 
-var logRatio = math.Log(ratio)
+var logStepRatio = math.Log(stepRatio)
 
-func step(ms float64) int {
-	if !(ms > least) {
+func sketchStep(ms float64) int {
+	if !(ms > minMillis) {
 		return 0
 	}
-	return min(steps-1, int(math.Log(ms/least)/logRatio))
+	return min(sketchSteps-1, int(math.Log(ms/minMillis)/logStepRatio))
 }
 
-// middle is the cost that stands for a step.
-func middle(i int) float64 { return least * math.Pow(ratio, float64(i)+0.5) }
+// stepMillis is the cost that stands for a step.
+func stepMillis(i int) float64 { return minMillis * math.Pow(stepRatio, float64(i)+0.5) }
 
 // Add takes a cost in.
 func (s *Sketch) Add(ms float64) {
-	s.counts[step(ms)]++
+	s.counts[sketchStep(ms)]++
 	if s.total++; s.total >= fadeAt {
 		s.Fade()
 	}
@@ -71,11 +71,11 @@
 	rank := uint32(q * float64(s.total))
 	for i, c := range s.counts {
 		if rank < uint32(c) {
-			return middle(i)
+			return stepMillis(i)
 		}
 		rank -= uint32(c)
 	}
-	return middle(steps - 1)
+	return stepMillis(sketchSteps - 1)
 }
 
 // SplitModes tells the usual mode from the bad one: bad are answers of so many times the median and more, which come of plans
@@ -83,13 +83,13 @@
 // usual ones; factor is how many times the usual a bad one takes.
 func (s *Sketch) SplitModes() (usual, spread, share, factor float64) {
 	const times = 5 // a usual answer of a lognormal cost with a deviation of 0.8 comes there one time in forty
-	edge := step(s.Quantile(0.5) * times)
+	edge := sketchStep(s.Quantile(0.5) * times)
 	var n, sum, squares, bad, badSum float64
 	for i, c := range s.counts {
 		if c == 0 {
 			continue
 		}
-		v, w := math.Log(middle(i)), float64(c)
+		v, w := math.Log(stepMillis(i)), float64(c)
 		if i > edge {
 			bad += w
 			badSum += v * w
--- a/internal/query/digest/digest.go
+++ b/internal/query/digest/digest.go
@@ -58,31 +58,31 @@
 // CostLookup says what a shape on a group of tables usually takes, for recordings without times.
 type CostLookup func(shape uint64, group int) (ms float64, ok bool)
 
-type sum struct {
-	shape    uint64
-	count    int
-	total    float64
-	worst    float64
-	examined int64
-	sketch   costmodel.Sketch
-	groups   map[int]bool
-	text     string
+type shapeTotals struct {
+	shape        uint64
+	count        int
+	totalMS      float64
+	worstMS      float64
+	rowsExamined int64
+	sketch       costmodel.Sketch
+	groups       map[int]bool
+	text         string
 }
 
-// mostGroups bounds the groups counted of a shape; more are shown as that many.
-const mostGroups = 1000
+// maxGroups bounds the groups counted of a shape; more are shown as that many.
+const maxGroups = 1000
 
 // Summarize sums up entries and keeps the dearest shapes. tables is what an operator says of tables, costs what a snapshot says;
 // both may be nil.
-func Summarize(entries []Entry, most int, tables costmodel.TableLookup, costs CostLookup) *Digest {
+func Summarize(entries []Entry, maxShapes int, tables costmodel.TableLookup, costs CostLookup) *Digest {
 	d := &Digest{Statements: len(entries)}
-	sums := map[uint64]*sum{}
-	var order []*sum
+	sums := map[uint64]*shapeTotals{}
+	var order []*shapeTotals
 	for i := range entries {
 		e := &entries[i]
 		s := sums[e.Shape]
 		if s == nil {
-			s = &sum{shape: e.Shape, groups: map[int]bool{}}
+			s = &shapeTotals{shape: e.Shape, groups: map[int]bool{}}
 			sums[e.Shape] = s
 			order = append(order, s)
 		}
@@ -95,12 +95,12 @@
 			}
 		}
 		if ms > 0 {
-			s.total += ms
-			s.worst = max(s.worst, ms)
+			s.totalMS += ms
+			s.worstMS = max(s.worstMS, ms)
 			s.sketch.Add(ms)
 		}
-		s.examined += e.RowsExamined
-		if len(s.groups) < mostGroups {
+		s.rowsExamined += e.RowsExamined
+		if len(s.groups) < maxGroups {
 			s.groups[e.Group] = true
 		}
 		if s.text == "" {
@@ -109,24 +109,24 @@
 		d.TotalMS += ms
 	}
 	d.Shapes = len(order)
-	share := func(s *sum) float64 {
+	share := func(s *shapeTotals) float64 {
 		if d.TotalMS > 0 {
-			return s.total / d.TotalMS
+			return s.totalMS / d.TotalMS
 		}
 		return float64(s.count) / float64(max(1, d.Statements))
 	}
-	slices.SortStableFunc(order, func(a, b *sum) int { return cmp.Compare(share(b), share(a)) })
+	slices.SortStableFunc(order, func(a, b *shapeTotals) int { return cmp.Compare(share(b), share(a)) })
 	for n, s := range order {
-		if n >= most {
+		if n >= maxShapes {
 			d.ShapesLeftOut++
 			d.ShareLeftOut += share(s)
 			continue
 		}
-		r := Row{Shape: fmt.Sprintf("%016x", s.shape), Count: s.count, Share: share(s), TotalMS: s.total, WorstMS: s.worst,
-			MeanRowsExamined: float64(s.examined) / float64(s.count), TableGroups: len(s.groups)}
+		r := Row{Shape: fmt.Sprintf("%016x", s.shape), Count: s.count, Share: share(s), TotalMS: s.totalMS, WorstMS: s.worstMS,
+			MeanRowsExamined: float64(s.rowsExamined) / float64(s.count), TableGroups: len(s.groups)}
 		if timed := s.sketch.Count(); timed > 0 {
-			r.MeanMS = s.total / float64(s.count)
-			r.P50MS, r.P99MS = min(s.worst, s.sketch.Quantile(0.5)), min(s.worst, s.sketch.Quantile(0.99))
+			r.MeanMS = s.totalMS / float64(s.count)
+			r.P50MS, r.P99MS = min(s.worstMS, s.sketch.Quantile(0.5)), min(s.worstMS, s.sketch.Quantile(0.99))
 			_, _, r.BadPlanShare, _ = s.sketch.SplitModes()
 		}
 		if s.text != "" {
@@ -170,7 +170,7 @@
 			fmt.Fprintln(out, "   its text was not recorded")
 			continue
 		}
-		fmt.Fprintf(out, "   %s\n", cut(r.Normalized, 400))
+		fmt.Fprintf(out, "   %s\n", truncate(r.Normalized, 400))
 		if r.FullScanOf != "" {
 			fmt.Fprintf(out, "   reads the whole of %s\n", r.FullScanOf)
 		}
@@ -178,19 +178,19 @@
 	return nil
 }
 
-// cut shortens a text for a person.
-func cut(text string, most int) string {
+// truncate shortens a text for a person.
+func truncate(text string, most int) string {
 	if letters := []rune(text); len(letters) > most {
 		return string(letters[:most]) + " ..."
 	}
 	return text
 }
 
-var page = template.Must(template.New("digest").Funcs(template.FuncMap{
+var htmlPage = template.Must(template.New("digest").Funcs(template.FuncMap{
 	"percent": func(v float64) string { return fmt.Sprintf("%.1f%%", 100*v) },
 	"one":     func(v float64) string { return fmt.Sprintf("%.1f", v) },
 	"seconds": func(ms float64) string { return fmt.Sprintf("%.1f", ms/1000) },
-	"cut":     func(s string) string { return cut(s, 2000) },
+	"cut":     func(s string) string { return truncate(s, 2000) },
 }).Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Statements by cost</title>
 <style>body{font:15px/1.5 sans-serif;margin:2em;max-width:80em}table{border-collapse:collapse}th,td{padding:.3em .7em;text-align:right;
@@ -206,4 +206,4 @@
 `))
 
 // WriteHTML writes a digest as one page.
-func (d *Digest) WriteHTML(out io.Writer) error { return page.Execute(out, d) }
+func (d *Digest) WriteHTML(out io.Writer) error { return htmlPage.Execute(out, d) }
--- a/internal/query/sqltext/lexer.go
+++ b/internal/query/sqltext/lexer.go
@@ -33,13 +33,13 @@
 // Lexer splits a statement into tokens, without comments and white space. It looks at each byte a bounded number of
 // times, whatever they are.
 type Lexer struct {
-	Text []byte
-	At   int
-	last Kind // of the token before
+	Text     []byte
+	At       int
+	previous Kind // of the token before
 }
 
-// class tells what a byte can begin or go on with.
-var class = func() (t [256]byte) {
+// byteClass tells what a byte can begin or go on with.
+var byteClass = func() (t [256]byte) {
 	for c := range t {
 		switch {
 		case c >= '0' && c <= '9':
@@ -64,66 +64,66 @@
 	for l.At < len(l.Text) {
 		from := l.At
 		c := l.Text[from]
-		switch kind := class[c]; {
+		switch kind := byteClass[c]; {
 		case kind == space:
 			l.At++
 			continue
 		case kind == letter: // as good as every third token
 			at := from + 1
-			for at < len(l.Text) && class[l.Text[at]]&letter != 0 {
+			for at < len(l.Text) && byteClass[l.Text[at]]&letter != 0 {
 				at++
 			}
 			l.At = at
-			l.last = Word
+			l.previous = Word
 			return Token{Kind: Word, From: from, To: at}
-		case c == '#', c == '-' && l.ahead(1) == '-' && (from+2 >= len(l.Text) || l.Text[from+2] <= ' '):
-			l.past(from, "\n")
+		case c == '#', c == '-' && l.byteAhead(1) == '-' && (from+2 >= len(l.Text) || l.Text[from+2] <= ' '):
+			l.skipPast(from, "\n")
 			continue
-		case c == '/' && l.ahead(1) == '*':
-			if l.ahead(2) == '+' {
+		case c == '/' && l.byteAhead(1) == '*':
+			if l.byteAhead(2) == '+' {
 				t = Token{Kind: Hint, From: from + 3}
-				t.Unterminated = !l.past(from+3, "*/")
+				t.Unterminated = !l.skipPast(from+3, "*/")
 				t.To = max(t.From, l.At-2)
 				if t.Unterminated {
 					t.To = l.At
 				}
-				return l.is(t)
+				return l.finish(t)
 			}
-			if l.ahead(2) == '!' { // what stands in such a comment is read by the server
-				for l.At = from + 3; l.At < len(l.Text) && class[l.Text[l.At]]&digit != 0; {
+			if l.byteAhead(2) == '!' { // what stands in such a comment is read by the server
+				for l.At = from + 3; l.At < len(l.Text) && byteClass[l.Text[l.At]]&digit != 0; {
 					l.At++
 				}
 				continue
 			}
-			l.past(from+2, "*/")
+			l.skipPast(from+2, "*/")
 			continue
-		case c == '*' && l.ahead(1) == '/': // the end of one that is read
+		case c == '*' && l.byteAhead(1) == '/': // the end of one that is read
 			l.At += 2
 			continue
 		case c == '\'' || c == '"':
-			return l.is(l.text(from, c))
+			return l.finish(l.readString(from, c))
 		case c == '`':
 			t = Token{Kind: Quoted, From: from + 1}
-			if t.Unterminated = !l.past(from+1, "`"); t.Unterminated {
+			if t.Unterminated = !l.skipPast(from+1, "`"); t.Unterminated {
 				t.To = l.At
 			} else {
 				t.To = l.At - 1
 			}
-			return l.is(t)
+			return l.finish(t)
 		case c == '?':
 			l.At++
-			return l.is(Token{Kind: Text, From: from, To: l.At})
-		case class[c]&digit != 0, c == '.' && l.ahead(1) >= '0' && l.ahead(1) <= '9' && l.last != Word && l.last != Quoted:
-			return l.is(l.number(from))
+			return l.finish(Token{Kind: Text, From: from, To: l.At})
+		case byteClass[c]&digit != 0, c == '.' && l.byteAhead(1) >= '0' && l.byteAhead(1) <= '9' && l.previous != Word && l.previous != Quoted:
+			return l.finish(l.readNumber(from))
 		}
 		l.At++
-		return l.is(Token{Kind: Sign, Sign: c, From: from, To: l.At})
+		return l.finish(Token{Kind: Sign, Sign: c, From: from, To: l.At})
 	}
 	return Token{From: l.At, To: l.At}
 }
 
-func (l *Lexer) is(t Token) Token {
-	l.last = t.Kind
+func (l *Lexer) finish(t Token) Token {
+	l.previous = t.Kind
 	return t
 }
 
@@ -136,7 +136,7 @@
 // NextIsDot tells whether the next token is a dot: the name before it qualifies another.
 func (l *Lexer) NextIsDot() bool {
 	at := l.At
-	for at < len(l.Text) && class[l.Text[at]] == space {
+	for at < len(l.Text) && byteClass[l.Text[at]] == space {
 		at++
 	}
 	if at >= len(l.Text) {
@@ -153,16 +153,16 @@
 // Bytes is a token's text.
 func (l *Lexer) Bytes(t Token) []byte { return l.Text[t.From:t.To] }
 
-// ahead is a byte some places on, 0 where there is none.
-func (l *Lexer) ahead(n int) byte {
+// byteAhead is a byte some places on, 0 where there is none.
+func (l *Lexer) byteAhead(n int) byte {
 	if l.At+n < len(l.Text) {
 		return l.Text[l.At+n]
 	}
 	return 0
 }
 
-// past moves behind the next place where a mark stands, or to the end; it tells whether it was there.
-func (l *Lexer) past(from int, mark string) bool {
+// skipPast moves behind the next place where a mark stands, or to the end; it tells whether it was there.
+func (l *Lexer) skipPast(from int, mark string) bool {
 	if from > len(l.Text) {
 		l.At = len(l.Text)
 		return false
@@ -176,14 +176,14 @@
 	return true
 }
 
-// text reads a string; a doubled quote and what stands behind a backslash belong to it.
-func (l *Lexer) text(from int, quote byte) Token {
+// readString reads a string; a doubled quote and what stands behind a backslash belong to it.
+func (l *Lexer) readString(from int, quote byte) Token {
 	for l.At = from + 1; l.At < len(l.Text); l.At++ {
 		switch l.Text[l.At] {
 		case '\\':
 			l.At++
 		case quote:
-			if l.ahead(1) != quote {
+			if l.byteAhead(1) != quote {
 				l.At++
 				return Token{Kind: Text, From: from + 1, To: l.At - 1}
 			}
@@ -194,15 +194,15 @@
 	return Token{Kind: Text, Unterminated: true, From: min(from+1, l.At), To: l.At}
 }
 
-// number reads a number; letters that belong to none make a word of it, as names may begin with a digit.
-func (l *Lexer) number(from int) Token {
+// readNumber reads a number; letters that belong to none make a word of it, as names may begin with a digit.
+func (l *Lexer) readNumber(from int) Token {
 	at := from
 	run := func(ok func(c byte) bool) {
 		for at < len(l.Text) && ok(l.Text[at]) {
 			at++
 		}
 	}
-	isDigit := func(c byte) bool { return class[c]&digit != 0 }
+	isDigit := func(c byte) bool { return byteClass[c]&digit != 0 }
 	if l.Text[at] == '0' && at+1 < len(l.Text) && l.Text[at+1]|0x20 == 'x' {
 		at += 2
 		run(func(c byte) bool { return isDigit(c) || c|0x20 >= 'a' && c|0x20 <= 'f' })
@@ -224,9 +224,9 @@
 		}
 	}
 	kind := Number
-	if at < len(l.Text) && class[l.Text[at]]&letter != 0 && bytes.IndexByte(l.Text[from:at], '.') < 0 {
+	if at < len(l.Text) && byteClass[l.Text[at]]&letter != 0 && bytes.IndexByte(l.Text[from:at], '.') < 0 {
 		kind = Word
-		for at < len(l.Text) && class[l.Text[at]]&letter != 0 {
+		for at < len(l.Text) && byteClass[l.Text[at]]&letter != 0 {
 			at++
 		}
 	}
--- a/internal/query/sqltext/shape.go
+++ b/internal/query/sqltext/shape.go
@@ -37,10 +37,10 @@
 	if len(sql) > MaxStatementBytes {
 		return ShapeTooLong, Literals{}
 	}
-	var n normal
+	var n normalizer
 	n.hash.Reset()
-	n.run(sql)
-	n.hash.Write(n.buffer[:n.held])
+	n.normalize(sql)
+	n.hash.Write(n.buffer[:n.buffered])
 	return n.hash.Sum64(), n.literals
 }
 
@@ -49,56 +49,56 @@
 	if len(sql) > MaxStatementBytes {
 		return append(dst, "a statement that is too long"...)
 	}
-	n := normal{text: dst, keep: true}
+	n := normalizer{text: dst, keepText: true}
 	n.hash.Reset()
-	n.run(sql)
-	return append(n.text, n.buffer[:n.held]...)
+	n.normalize(sql)
+	return append(n.text, n.buffer[:n.buffered]...)
 }
 
-// normal writes a normal form piece by piece, into a hash or a text.
-type normal struct {
-	hash   xxhash.Digest
-	text   []byte
-	keep   bool
-	held   int
-	buffer [256]byte
+// normalizer writes a normal form piece by piece, into a hash or a text.
+type normalizer struct {
+	hash     xxhash.Digest
+	text     []byte
+	keepText bool
+	buffered int
+	buffer   [256]byte
 
 	literals Literals
 }
 
-func (n *normal) flush() {
-	if n.keep {
-		n.text = append(n.text, n.buffer[:n.held]...)
+func (n *normalizer) flush() {
+	if n.keepText {
+		n.text = append(n.text, n.buffer[:n.buffered]...)
 	} else {
-		n.hash.Write(n.buffer[:n.held])
+		n.hash.Write(n.buffer[:n.buffered])
 	}
-	n.held = 0
+	n.buffered = 0
 }
 
-func (n *normal) byte(c byte) {
-	if n.held == len(n.buffer) {
+func (n *normalizer) writeByte(c byte) {
+	if n.buffered == len(n.buffer) {
 		n.flush()
 	}
-	n.buffer[n.held] = c
-	n.held++
+	n.buffer[n.buffered] = c
+	n.buffered++
 }
 
-// sign writes a token of one character.
-func (n *normal) sign(c byte) {
-	if n.held+2 > len(n.buffer) {
+// writeSign writes a token of one character.
+func (n *normalizer) writeSign(c byte) {
+	if n.buffered+2 > len(n.buffer) {
 		n.flush()
 	}
-	n.buffer[n.held], n.buffer[n.held+1] = c, ' '
-	n.held += 2
+	n.buffer[n.buffered], n.buffer[n.buffered+1] = c, ' '
+	n.buffered += 2
 }
 
-func (n *normal) word(text []byte, lower bool) {
-	n.name(text, lower)
-	n.byte(' ')
+func (n *normalizer) writeWord(text []byte, lower bool) {
+	n.writeName(text, lower)
+	n.writeByte(' ')
 }
 
-// folded has each byte, capitals as small letters.
-var folded = func() (t [256]byte) {
+// lowerCase has each byte, capitals as small letters.
+var lowerCase = func() (t [256]byte) {
 	for c := range t {
 		if t[c] = byte(c); 'A' <= c && c <= 'Z' {
 			t[c] += 'a' - 'A'
@@ -107,25 +107,25 @@
 	return t
 }()
 
-func (n *normal) name(text []byte, lower bool) {
+func (n *normalizer) writeName(text []byte, lower bool) {
 	for len(text) > 0 {
-		if n.held == len(n.buffer) {
+		if n.buffered == len(n.buffer) {
 			n.flush()
 		}
-		room := n.buffer[n.held:]
+		room := n.buffer[n.buffered:]
 		m := copy(room, text)
 		if lower {
 			for i, c := range room[:m] {
-				room[i] = folded[c]
+				room[i] = lowerCase[c]
 			}
 		}
-		n.held += m
+		n.buffered += m
 		text = text[m:]
 	}
 }
 
-// run writes the normal form: tokens with one space behind each, literals as ?, further ones of a list as one +.
-func (n *normal) run(sql []byte) {
+// normalize writes the normal form: tokens with one space behind each, literals as ?, further ones of a list as one +.
+func (n *normalizer) normalize(sql []byte) {
 	l := Lexer{Text: sql}
 	sign := false    // the token before is a sign other than a closing bracket
 	literal := false // the last thing written was a literal, or a list of them
@@ -136,7 +136,7 @@
 	for {
 		t := l.Next()
 		if comma && t.Kind != Text && t.Kind != Number && !(t.Kind == Sign && t.Sign == '-') {
-			n.sign(',')
+			n.writeSign(',')
 			comma = false
 		}
 		switch t.Kind {
@@ -148,15 +148,15 @@
 				if list {
 					continue
 				}
-				n.sign('+')
+				n.writeSign('+')
 				list = true
 				break
 			}
 			n.literals.add(l.Bytes(t))
 			if t.Unterminated {
-				n.word([]byte("'..."), false)
+				n.writeWord([]byte("'..."), false)
 			} else {
-				n.sign('?')
+				n.writeSign('?')
 			}
 			literal, list = true, false
 			sign = false
@@ -175,17 +175,17 @@
 					continue
 				}
 				if comma {
-					n.sign(',')
+					n.writeSign(',')
 					comma = false
 				}
 			case '(':
 				depth++
 			case ')':
 				if depth--; values && depth == row {
-					n.sign(')')
+					n.writeSign(')')
 					literal = false
-					if n.rows(&l) {
-						n.sign('+')
+					if n.skipRows(&l) {
+						n.writeSign('+')
 					}
 					sign = false
 					continue
@@ -195,36 +195,36 @@
 					continue
 				}
 			}
-			n.sign(t.Sign)
+			n.writeSign(t.Sign)
 		case Word:
 			text := l.Bytes(t)
 			if l.NextIsDot() {
-				n.schema(text, true)
+				n.writeSchema(text, true)
 			} else {
-				n.word(text, true)
+				n.writeWord(text, true)
 				switch len(text) {
 				case 5, 6:
-					if is(text, "VALUES") || is(text, "VALUE") {
+					if isKeyword(text, "VALUES") || isKeyword(text, "VALUE") {
 						values, row = true, depth
-					} else if values && is(text, "SELECT") {
+					} else if values && isKeyword(text, "SELECT") {
 						values = false
 					}
 				case 2:
-					if values && is(text, "ON") {
+					if values && isKeyword(text, "ON") {
 						values = false
 					}
 				}
 			}
 		case Quoted:
-			n.byte('`')
+			n.writeByte('`')
 			if l.NextIsDot() {
-				n.schema(l.Bytes(t), false)
+				n.writeSchema(l.Bytes(t), false)
 			} else {
-				n.word(l.Bytes(t), false)
+				n.writeWord(l.Bytes(t), false)
 			}
 		case Hint:
-			n.word([]byte("/*+"), false)
-			n.word(l.Bytes(t), false)
+			n.writeWord([]byte("/*+"), false)
+			n.writeWord(l.Bytes(t), false)
 		}
 		if t.Kind != Text && t.Kind != Number {
 			literal, list = false, false
@@ -233,22 +233,22 @@
 	}
 }
 
-// schema writes a name before a dot, its group's number folded.
-func (n *normal) schema(name []byte, lower bool) {
+// writeSchema writes a name before a dot, its group's number folded.
+func (n *normalizer) writeSchema(name []byte, lower bool) {
 	end := len(name)
-	for end > 0 && class[name[end-1]]&digit != 0 {
+	for end > 0 && byteClass[name[end-1]]&digit != 0 {
 		end--
 	}
 	if end > 0 && end < len(name) && name[end-1] == '_' {
-		n.name(name[:end], lower)
-		n.sign('?')
+		n.writeName(name[:end], lower)
+		n.writeSign('?')
 		return
 	}
-	n.word(name, lower)
+	n.writeWord(name, lower)
 }
 
-// rows passes over the rows of VALUES behind the first, and tells whether there were any.
-func (n *normal) rows(l *Lexer) (any bool) {
+// skipRows passes over the rows of VALUES behind the first, and tells whether there were any.
+func (n *normalizer) skipRows(l *Lexer) (any bool) {
 	for {
 		ahead := *l
 		if ahead.Next().Sign != ',' || ahead.Next().Sign != '(' {
@@ -269,8 +269,8 @@
 	}
 }
 
-// is tells whether a word is a keyword, which is given in capitals.
-func is(word []byte, keyword string) bool {
+// isKeyword tells whether a word is a keyword, which is given in capitals.
+func isKeyword(word []byte, keyword string) bool {
 	if len(word) != len(keyword) {
 		return false
 	}
--- a/internal/traffic/capture/capture.go
+++ b/internal/traffic/capture/capture.go
@@ -19,16 +19,16 @@
 const (
 	// How many tasks may wait to be written: a tenth of a second at ten times the load of a first installation would be
 	// 60, and a disk can stand still for several; statements are the larger part of the memory that this holds.
-	mostWaiting = 512
+	queueLength = 512
 	// How often what is held is written out, so that little is lost with the process.
-	pace = time.Second
+	flushInterval = time.Second
 )
 
 // Recorder is a recording under way. A nil one records nothing.
 type Recorder struct {
 	start   time.Time
 	text    bool
-	tasks   chan trace.Record
+	records chan trace.Record
 	done    chan struct{}
 	once    sync.Once
 	dropped atomic.Int64
@@ -36,12 +36,12 @@
 
 // Start begins a recording to a new file of at most so many bytes; text: statements are recorded, too, and not only
 // their shapes.
-func Start(path string, most int64, text bool, log *slog.Logger) (*Recorder, error) {
+func Start(path string, maxBytes int64, text bool, log *slog.Logger) (*Recorder, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	c := &Recorder{start: time.Now(), text: text, tasks: make(chan trace.Record, mostWaiting), done: make(chan struct{})}
+	c := &Recorder{start: time.Now(), text: text, records: make(chan trace.Record, queueLength), done: make(chan struct{})}
 	b := bufio.NewWriterSize(f, 1<<15)
 	w, err := trace.NewWriter(b, c.start)
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	go func() {
 		defer close(c.done)
-		count, err := c.write(w, b, most)
+		count, err := c.write(w, b, maxBytes)
 		if cut := f.Close(); err == nil {
 			err = cut
 		}
@@ -60,21 +60,21 @@
 
 // write takes tasks until the file is full or the recording is stopped. Sessions put them in order of their own, so
 // one may come a little before the last.
-func (c *Recorder) write(w *trace.Writer, b *bufio.Writer, most int64) (count int, err error) {
-	tick := time.NewTicker(pace)
+func (c *Recorder) write(w *trace.Writer, b *bufio.Writer, maxBytes int64) (count int, err error) {
+	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
 	var last time.Duration
 	full := false
 	for {
 		select {
-		case r, more := <-c.tasks:
+		case r, more := <-c.records:
 			if !more {
 				if err = w.Close(); err == nil {
 					err = b.Flush()
 				}
 				return count, err
 			}
-			if full = full || w.Size()+int64(len(r.Text))+64 > most; full {
+			if full = full || w.Size()+int64(len(r.Text))+64 > maxBytes; full {
 				c.dropped.Add(1)
 				continue
 			}
@@ -114,7 +114,7 @@
 		}
 	}()
 	select {
-	case c.tasks <- r:
+	case c.records <- r:
 	default:
 		c.dropped.Add(1)
 	}
@@ -125,6 +125,6 @@
 	if c == nil {
 		return
 	}
-	c.once.Do(func() { close(c.tasks) })
+	c.once.Do(func() { close(c.records) })
 	<-c.done
 }
--- a/internal/traffic/importer/repair.go
+++ b/internal/traffic/importer/repair.go
@@ -3,7 +3,6 @@
 
 import (
 	"fmt"
-	"math/rand"
 	"slices"
 	"time"
 
@@ -30,8 +29,8 @@
 // A minute without one task is longer than any pause seen in a service worth recording, and clocks that are set jump
 // by more; writers of logs hold entries back for less than a second.
 const (
-	usualMostGap = time.Minute
-	usualUntidy  = time.Second
+	defaultMaxGap           = time.Minute
+	defaultReorderTolerance = time.Second
 )
 
 // Repair is one thing that was mended.
@@ -57,25 +56,25 @@
 	RepeatedTimestamp     = "a stamp is repeated"                // the entries are spread evenly up to the next stamp
 )
 
-// mostSpread is the span over which entries of one stamp may be spread, if the usual gap between so many doesn't ask
+// maxSpread is the span over which entries of one stamp may be spread, if the usual gap between so many doesn't ask
 // for more: stamps of whole seconds, as a rule, stand for any time in theirs, and a clock that stood still for all of
 // them.
-const mostSpread = time.Second
+const maxSpread = time.Second
 
-// listed is how many entries of one stamp are worth a line of their own: fewer come of chance where stamps are coarse.
-const listed = 10
+// minListed is how many entries of one stamp are worth a line of their own: fewer come of chance where stamps are coarse.
+const minListed = 10
 
 // RepairClock gives entries times from the trace's start on that never go back, and lists what was mended.
 func RepairClock(raws []Entry, c ClockRepair) (*trace.Trace, []Repair) {
 	if c.MaxGap <= 0 {
-		c.MaxGap = usualMostGap
+		c.MaxGap = defaultMaxGap
 	}
 	if c.ReorderTolerance <= 0 {
-		c.ReorderTolerance = usualUntidy
+		c.ReorderTolerance = defaultReorderTolerance
 	}
 	t := &trace.Trace{Records: make([]trace.Record, len(raws))}
 	var repairs []Repair
-	usual := usualGap(raws, c)
+	usual := meanGap(raws, c)
 	var last time.Time // stamp before
 	var at time.Duration
 	for i := range raws {
@@ -83,7 +82,7 @@
 		t.Records[i] = r.Record
 		switch {
 		case r.Timestamp.IsZero():
-			repairs = note(repairs, Repair{r.Line, NoTimestamp, 1, 0, 0}, i > 0 && raws[i-1].Timestamp.IsZero())
+			repairs = addRepair(repairs, Repair{r.Line, NoTimestamp, 1, 0, 0}, i > 0 && raws[i-1].Timestamp.IsZero())
 		case last.IsZero():
 			t.Start, last = r.Timestamp, r.Timestamp
 		default:
@@ -93,7 +92,7 @@
 				repairs = append(repairs, Repair{r.Line, JumpBack, 1, gap, usual})
 				gap, last = usual, r.Timestamp
 			case gap < 0:
-				repairs = note(repairs, Repair{r.Line, OutOfOrder, 1, gap, 0}, false)
+				repairs = addRepair(repairs, Repair{r.Line, OutOfOrder, 1, gap, 0}, false)
 				gap = 0 // the stamp before goes on counting, so that no time is added
 			case gap > c.MaxGap && !c.KeepGaps:
 				repairs = append(repairs, Repair{r.Line, JumpForward, 1, gap, usual})
@@ -105,11 +104,11 @@
 		}
 		t.Records[i].Offset = at
 	}
-	return t, spread(t, raws, usual, repairs)
+	return t, spreadTimestamps(t, raws, usual, repairs)
 }
 
-// note adds a repair, or counts it with the one before where they are one.
-func note(repairs []Repair, r Repair, same bool) []Repair {
+// addRepair adds a repair, or counts it with the one before where they are one.
+func addRepair(repairs []Repair, r Repair, same bool) []Repair {
 	if n := len(repairs); n > 0 && same && repairs[n-1].Kind == r.Kind {
 		repairs[n-1].Count++
 		return repairs
@@ -117,8 +116,8 @@
 	return append(repairs, r)
 }
 
-// usualGap is the mean of the gaps that are no jumps: what has no time of its own gets it.
-func usualGap(raws []Entry, c ClockRepair) time.Duration {
+// meanGap is the mean of the gaps that are no jumps: what has no time of its own gets it.
+func meanGap(raws []Entry, c ClockRepair) time.Duration {
 	var sum time.Duration
 	n := 0
 	var last time.Time
@@ -138,8 +137,8 @@
 	return sum / time.Duration(n)
 }
 
-// spread moves entries that share a time apart: evenly up to the next entry, but over no more than mostSpread.
-func spread(t *trace.Trace, raws []Entry, usual time.Duration, repairs []Repair) []Repair {
+// spreadTimestamps moves entries that share a time apart: evenly up to the next entry, but over no more than mostSpread.
+func spreadTimestamps(t *trace.Trace, raws []Entry, usual time.Duration, repairs []Repair) []Repair {
 	var few Repair
 	for i := 0; i < len(t.Records); {
 		k := i + 1
@@ -151,11 +150,11 @@
 			if k < len(t.Records) {
 				room = t.Records[k].Offset - t.Records[i].Offset
 			}
-			room = min(room, max(mostSpread, time.Duration(n)*usual))
+			room = min(room, max(maxSpread, time.Duration(n)*usual))
 			for j := i; j < k; j++ {
 				t.Records[j].Offset += room * time.Duration(j-i) / time.Duration(n)
 			}
-			if n >= listed {
+			if n >= minListed {
 				repairs = append(repairs, Repair{raws[i].Line, RepeatedTimestamp, n, 0, room})
 			} else {
 				if few.Count == 0 {
@@ -173,53 +172,3 @@
 	slices.SortStableFunc(repairs, func(a, b Repair) int { return a.Line - b.Line })
 	return repairs
 }
-
-// Trim keeps what lies between two times, and lets it begin at 0.
-func Trim(t *trace.Trace, from, to time.Duration) *trace.Trace {
-	out := &trace.Trace{Start: t.Start.Add(from)}
-	for _, r := range t.Records {
-		if r.Offset >= from && (to <= 0 || r.Offset < to) {
-			r.Offset -= from
-			out.Records = append(out.Records, r)
-		}
-	}
-	return out
-}
-
-// Accelerate plays a trace so many times as fast.
-func Accelerate(t *trace.Trace, times float64) *trace.Trace {
-	out := &trace.Trace{Start: t.Start, Records: slices.Clone(t.Records)}
-	for i := range out.Records {
-		out.Records[i].Offset = time.Duration(float64(out.Records[i].Offset) / times)
-	}
-	return out
-}
-
-// Sample keeps a share of the records, drawn by a seed.
-func Sample(t *trace.Trace, share float64, seed int64) *trace.Trace {
-	r := rand.New(rand.NewSource(seed))
-	out := &trace.Trace{Start: t.Start}
-	for _, one := range t.Records {
-		if r.Float64() < share {
-			out.Records = append(out.Records, one)
-		}
-	}
-	return out
-}
-
-// Repeat plays a trace so many times, one behind the other, the mean gap between them.
-func Repeat(t *trace.Trace, times int) *trace.Trace {
-	out := &trace.Trace{Start: t.Start}
-	if len(t.Records) == 0 {
-		return out
-	}
-	last := t.Records[len(t.Records)-1].Offset
-	length := last + last/time.Duration(max(1, len(t.Records)-1))
-	for k := range times {
-		for _, r := range t.Records {
-			r.Offset += time.Duration(k) * length
-			out.Records = append(out.Records, r)
-		}
-	}
-	return out
-}
--- a/internal/traffic/trace/trace_test.go
+++ b/internal/traffic/trace/trace_test.go
@@ -56,7 +56,7 @@
 	check := func(what string, b []byte) {
 		got, err := Read(bytes.NewReader(b))
 		var d *CorruptError
-		if !errors.As(err, &d) || d.Offset < 0 || d.Offset > int64(len(file))+blockHead {
+		if !errors.As(err, &d) || d.Offset < 0 || d.Offset > int64(len(file))+blockHeaderBytes {
 			t.Fatalf("%s: %v", what, err)
 		}
 		if len(got.Records) > len(want.Records) {
@@ -76,8 +76,8 @@
 	}
 	check("something behind", append(bytes.Clone(file), 0))
 	// Whole blocks away in the middle: the end's count tells.
-	first := headSize + blockHead + int(file[headSize]) + int(file[headSize+1])<<8
-	check("a block away", append(bytes.Clone(file[:headSize]), file[first:]...))
+	first := headerBytes + blockHeaderBytes + int(file[headerBytes]) + int(file[headerBytes+1])<<8
+	check("a block away", append(bytes.Clone(file[:headerBytes]), file[first:]...))
 }
 
 func TestFile(t *testing.T) { // a write that fails leaves the old file
