--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -193,14 +193,14 @@
 }
 
 // HandleEndpoints takes in an update of the endpoint list. The router's owner calls it, as the other methods below.
-func (a *Agent) HandleEndpoints(_ admission.Time, form admission.UpdateKind, listings []admission.Endpoint) {
-	a.queue.Put(endpointsReceived{form, listings})
+func (a *Agent) HandleEndpoints(_ admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint) {
+	a.queue.Put(endpointsReceived{kind, endpoints})
 }
 
 // RecordObservation takes in what the decisions saw of an engine themselves, and the bytes of reports that may be sent
 // from now on.
-func (a *Agent) RecordObservation(now admission.Time, engine admission.EngineID, sight admission.Observation, report admission.Report, capacity float64) {
-	a.queue.Put(outcomeObserved{now, engine, sight, report, capacity})
+func (a *Agent) RecordObservation(now admission.Time, engine admission.EngineID, observation admission.Observation, report admission.Report, capacity float64) {
+	a.queue.Put(outcomeObserved{now, engine, observation, report, capacity})
 }
 
 // RecordAttempt takes in that an attempt was sent.
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -111,14 +111,14 @@
 			f.RecordObservation(clock.Now(), "e2", admission.Erred, admission.NoReport, 1e9)
 			f.RecordAttempt(clock.Now(), "t", "e2")
 		}
-		return ask(3).Engines[1].Evidence >= 3
+		return ask(3).Engines[1].FailureScore >= 3
 	})
 	var mu sync.Mutex
 	used, most := 0, 0
 	until("one of them uses all threads of the fleet", func() bool {
 		now := clock.Now()
-		all[3].Want(now, 0, 6)
-		if all[3].Open(now, 0, 1) && all[3].Take(now, 0, 1) {
+		all[3].SetDemand(now, 0, 6)
+		if all[3].TryReserve(now, 0, 1) && all[3].CommitReservation(now, 0, 1) {
 			mu.Lock()
 			used++
 			most = max(most, used)
@@ -127,7 +127,7 @@
 				mu.Lock()
 				used--
 				mu.Unlock()
-				all[3].Done(clock.Now(), 0, 1)
+				all[3].Release(clock.Now(), 0, 1)
 			})
 		}
 		mu.Lock()
--- a/internal/cluster/agent/counters.go
+++ b/internal/cluster/agent/counters.go
@@ -80,7 +80,7 @@
 		return
 	}
 	own := a.counters.core.OwnCounts(counters.Key{})
-	a.history.Write(history.Event{Kind: history.RequestsCounted, Number: int(own[counters.Waiting]), Most: int(own[counters.Running])})
+	a.history.Write(history.Event{Kind: history.RequestsCounted, Number: int(own[counters.Waiting]), High: int(own[counters.Running])})
 }
 
 // readingInterval is the time between two readings in the history.
@@ -95,7 +95,7 @@
 	reading := s.core.TakeReading(now, counters.Key{})
 	for figure, name := range []string{"waits", "runs"} {
 		interval := reading.Counts[0].Ranges[figure]
-		s.agent.history.Write(history.Event{Kind: history.CountersRead, Code: name, AgeNanos: duration(reading.Age).Nanoseconds(), Number: int(interval.Low), Most: int(interval.High), Of: uint64(reading.Unknown)})
+		s.agent.history.Write(history.Event{Kind: history.CountersRead, Code: name, AgeNanos: duration(reading.Age).Nanoseconds(), Number: int(interval.Low), High: int(interval.High), Of: uint64(reading.Unknown)})
 	}
 }
 
--- a/internal/cluster/agent/events.go
+++ b/internal/cluster/agent/events.go
@@ -14,17 +14,17 @@
 type (
 	// endpointsReceived is an update of the gateway's own endpoint list.
 	endpointsReceived struct {
-		form     admission.UpdateKind
-		listings []admission.Endpoint
+		form      admission.UpdateKind
+		endpoints []admission.Endpoint
 	}
 
 	// outcomeObserved is an outcome that this gateway saw of an engine itself.
 	outcomeObserved struct {
-		at       admission.Time
-		engine   admission.EngineID
-		sight    admission.Observation
-		report   admission.Report
-		capacity float64 // bytes of reports that may be sent from now on
+		at          admission.Time
+		engine      admission.EngineID
+		observation admission.Observation
+		report      admission.Report
+		capacity    float64 // bytes of reports that may be sent from now on
 	}
 
 	// attemptSent is an attempt that the gateway sent. Only histories need it, in the order of the other events.
@@ -85,7 +85,7 @@
 func (a *Agent) handle(received event) {
 	switch e := received.(type) {
 	case endpointsReceived:
-		a.health.handleEndpoints(e.form, e.listings)
+		a.health.handleEndpoints(e.kind, e.endpoints)
 	case outcomeObserved:
 		a.health.recordOutcome(&e)
 	case attemptSent:
--- a/internal/cluster/agent/healthsharing.go
+++ b/internal/cluster/agent/healthsharing.go
@@ -36,7 +36,7 @@
 func (s *healthSharing) begin() {
 	s.reports = healthreport.New(1, s.ejectionShare, healthreport.RetryPhase(s.agent.name))
 	if s.agent.history != nil {
-		s.reports.OnObservation = s.recordEvidence
+		s.reports.OnObservation = s.recordPeerOutcomes
 	}
 }
 
@@ -45,17 +45,17 @@
 	return s.agent.config.ShareHealth && at >= s.agent.wake.deafUntil
 }
 
-func (s *healthSharing) handleEndpoints(form admission.UpdateKind, listings []admission.Endpoint) {
-	s.reports.UpdateEngines(form, listings)
+func (s *healthSharing) handleEndpoints(kind admission.UpdateKind, endpoints []admission.Endpoint) {
+	s.reports.UpdateEngines(kind, endpoints)
 	if s.agent.history != nil {
-		s.recordEndpoints(form, listings)
+		s.recordEndpoints(kind, endpoints)
 	}
 }
 
 func (s *healthSharing) recordOutcome(e *outcomeObserved) {
-	s.reports.Observe(e.at, e.engine, e.sight, e.report, e.capacity)
-	if s.agent.history != nil && e.sight != admission.Reported {
-		s.agent.history.Write(history.Event{Kind: history.OutcomeObserved, Engine: string(e.engine), EngineStart: int64(s.listed[e.engine]), Success: !e.sight.IsFailure()})
+	s.reports.Observe(e.at, e.engine, e.observation, e.report, e.capacity)
+	if s.agent.history != nil && e.observation != admission.Reported {
+		s.agent.history.Write(history.Event{Kind: history.OutcomeObserved, Engine: string(e.engine), EngineStart: int64(s.listed[e.engine]), Success: !e.observation.IsFailure()})
 	}
 }
 
@@ -84,7 +84,7 @@
 
 func (s *healthSharing) recordFinding(now admission.Time, observedAt int64, f *admission.PeerReport) {
 	ejects := f.Ejects()
-	s.agent.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(f.Engine), EngineStart: int64(f.Since), Evidence: f.FailureScore, Number: f.Witnesses, Out: ejects,
+	s.agent.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(f.Engine), EngineStart: int64(f.Since), FailureScore: f.FailureScore, Number: f.Witnesses, Out: ejects,
 		ObservedAt: observedAt, ValidNanos: duration(max(0, f.ScoreUntil-now)).Nanoseconds()})
 	if ejects == s.ejected[f.Engine] {
 		return
@@ -117,44 +117,44 @@
 	}
 }
 
-// recordEvidence writes evidence that was received into the history.
-func (s *healthSharing) recordEvidence(from healthreport.Source, listing *admission.Endpoint, successAge, failureAge admission.Time) {
+// recordPeerOutcomes writes outcomes of a peer that were received into the history.
+func (s *healthSharing) recordPeerOutcomes(from healthreport.Source, endpoint *admission.Endpoint, successAge, failureAge admission.Time) {
 	for _, outcome := range []struct {
 		success bool
 		age     admission.Time
 	}{{true, successAge}, {false, failureAge}} {
 		if outcome.age < healthreport.OutcomeLifetime {
-			s.agent.history.Write(history.Event{Kind: history.EvidenceReceived, Member: from.Name, Of: from.Incarnation, Engine: string(listing.Engine), EngineStart: int64(listing.Since), Success: outcome.success,
+			s.agent.history.Write(history.Event{Kind: history.PeerOutcomeReceived, Member: from.Name, Of: from.Incarnation, Engine: string(endpoint.Engine), EngineStart: int64(endpoint.Since), Success: outcome.success,
 				AgeNanos: duration(outcome.age).Nanoseconds()})
 		}
 	}
 }
 
 // recordEndpoints writes what the gateway's own endpoint list says of engines into the history, where it has changed.
-func (s *healthSharing) recordEndpoints(form admission.UpdateKind, listings []admission.Endpoint) {
-	if form == admission.FailedPoll {
+func (s *healthSharing) recordEndpoints(kind admission.UpdateKind, endpoints []admission.Endpoint) {
+	if kind == admission.FailedPoll {
 		return
 	}
 	present := map[admission.EngineID]bool{}
-	for i := range listings {
-		present[listings[i].Engine] = true
-		s.recordListing(&listings[i])
+	for i := range endpoints {
+		present[endpoints[i].Engine] = true
+		s.recordEndpoint(&endpoints[i])
 	}
-	if form == admission.PartialUpdate {
+	if kind == admission.PartialUpdate {
 		return
 	}
 	for engine := range s.listed {
 		if !present[engine] {
 			delete(s.listed, engine)
-			s.agent.history.Write(history.Event{Kind: history.EngineListed, Engine: string(engine), State: listingStates[admission.Gone]})
+			s.agent.history.Write(history.Event{Kind: history.EngineListed, Engine: string(engine), State: endpointStates[admission.Gone]})
 		}
 	}
 }
 
-// listingStates are the names of listing states in histories.
-var listingStates = [...]string{"live", "draining", "gone"}
+// endpointStates are the names of endpoint states in histories.
+var endpointStates = [...]string{"live", "draining", "gone"}
 
-func (s *healthSharing) recordListing(l *admission.Endpoint) {
+func (s *healthSharing) recordEndpoint(l *admission.Endpoint) {
 	since, known := s.listed[l.Engine]
 	if l.State == admission.Gone {
 		delete(s.listed, l.Engine)
@@ -164,5 +164,5 @@
 			return
 		}
 	}
-	s.agent.history.Write(history.Event{Kind: history.EngineListed, Engine: string(l.Engine), EngineStart: int64(l.Since), State: listingStates[l.State]})
+	s.agent.history.Write(history.Event{Kind: history.EngineListed, Engine: string(l.Engine), EngineStart: int64(l.Since), State: endpointStates[l.State]})
 }
--- a/internal/cluster/agent/quotause.go
+++ b/internal/cluster/agent/quotause.go
@@ -9,8 +9,8 @@
 
 // The methods of Agent in this file are the router owner's access to its share of the budgets.
 
-// Index is a budget's index by its name, and -1 where there is none.
-func (a *Agent) Index(name string) int {
+// BudgetIndex is a budget's index by its name, and -1 where there is none.
+func (a *Agent) BudgetIndex(name string) int {
 	if a.quota == nil {
 		return -1
 	}
@@ -27,14 +27,14 @@
 	return a.quota.shares
 }
 
-// Open reserves an amount of a budget, if this gateway's share allows it.
-func (a *Agent) Open(now admission.Time, budget int, amount int64) bool {
+// TryReserve reserves an amount of a budget, if this gateway's share allows it.
+func (a *Agent) TryReserve(now admission.Time, budget int, amount int64) bool {
 	shares := a.quotaShares()
 	return shares != nil && shares.TryReserve(now, budget, amount, a.quota.plan.LongestUse)
 }
 
-// Take uses what was reserved, as an attempt is sent.
-func (a *Agent) Take(now admission.Time, budget int, amount int64) bool {
+// CommitReservation uses what was reserved, as an attempt is sent.
+func (a *Agent) CommitReservation(now admission.Time, budget int, amount int64) bool {
 	return a.quota.use(now, budget, amount, a.quota.plan.LongestUse)
 }
 
@@ -48,16 +48,16 @@
 	return ok
 }
 
-// Done ends a use.
-func (a *Agent) Done(now admission.Time, budget int, amount int64) {
+// Release ends a use.
+func (a *Agent) Release(now admission.Time, budget int, amount int64) {
 	if a.quota.shares.Release(now, budget, amount) {
 		a.queue.Put(quotaDemandChanged{}) // other gateways asked for it in vain and are told at once
 	}
 	a.history.Write(history.Event{Kind: history.BudgetReleased, Code: a.quota.name(budget), Number: int(amount)})
 }
 
-// Want reports what waiting requests would use.
-func (a *Agent) Want(now admission.Time, budget int, amount int64) {
+// SetDemand reports what waiting requests would use.
+func (a *Agent) SetDemand(now admission.Time, budget int, amount int64) {
 	shares := a.quotaShares()
 	if shares == nil {
 		return
@@ -71,8 +71,8 @@
 // rateRecordInterval is the time after which a rate is written into the history again though it is the same.
 const rateRecordInterval = admission.Second / 2
 
-// Rate uses a budget that is a rate, up to an amount, and returns the units a second that this gateway may use.
-func (a *Agent) Rate(now admission.Time, budget int, need int64) int64 {
+// ReserveRate uses a budget that is a rate, up to an amount, and returns the units a second that this gateway may use.
+func (a *Agent) ReserveRate(now admission.Time, budget int, need int64) int64 {
 	shares := a.quotaShares()
 	if shares == nil {
 		return 0
@@ -90,8 +90,8 @@
 	return rate
 }
 
-// Shrink reduces a total to a fraction of itself.
-func (a *Agent) Shrink(now admission.Time, budget int, fraction float64) {
+// ScaleTotal reduces a total to a fraction of itself.
+func (a *Agent) ScaleTotal(now admission.Time, budget int, fraction float64) {
 	if shares := a.quotaShares(); shares != nil {
 		shares.ScaleTotal(now, budget, fraction)
 	}
--- a/internal/cluster/agent/slowstart.go
+++ b/internal/cluster/agent/slowstart.go
@@ -56,7 +56,7 @@
 	s := &slowStart{agent: a, useTime: a.quota.overloadTime + a.quota.overloadTime/2}
 	names, _ := SlowStartBudgets()
 	for i := range s.budgets {
-		s.budgets[i].index = a.Index(names[i])
+		s.budgets[i].index = a.BudgetIndex(names[i])
 	}
 	return s
 }
--- a/internal/cluster/agent/status.go
+++ b/internal/cluster/agent/status.go
@@ -64,7 +64,7 @@
 	AnsweredSeconds  float64 `json:"answered"` // since this gateway's own last answer
 	FailedSeconds    float64 `json:"failed"`   // since this gateway's own last failure
 	Failure          string  `json:"how"`      // the kind of that failure
-	Evidence         float64 `json:"against"`
+	FailureScore     float64 `json:"against"`
 	Witnesses        int     `json:"witnesses"`
 	ReportedFailures string  `json:"heard"`  // how it last failed for others, as "2 erred, 1 unreached"
 	ReportSeconds    float64 `json:"report"` // since the latest report that was received
@@ -133,7 +133,7 @@
 			Engine:           string(line.Engine),
 			AnsweredSeconds:  seconds(line.AnswerAge),
 			FailedSeconds:    seconds(line.FailureAge),
-			Evidence:         line.Finding.FailureScore,
+			FailureScore:     line.Finding.FailureScore,
 			Witnesses:        line.Finding.Witnesses,
 			ReportedFailures: summarizeFailures(line.PeerFailures),
 			ReportSeconds:    seconds(line.ReportAge),
--- a/internal/cluster/agent/statustext.go
+++ b/internal/cluster/agent/statustext.go
@@ -30,7 +30,7 @@
 	fmt.Fprintf(out, "\n%-20s %12s %24s %8s %10s %14s  %s\n", "engine", "answered s", "failed s", "against", "witnesses", "report heard s", "failed for others")
 	for _, e := range s.Engines {
 		failed := strings.TrimSpace(e.Failure + " " + formatAge(e.FailedSeconds))
-		fmt.Fprintf(out, "%-20s %12s %24s %8.2f %10d %14s  %s\n", e.Engine, formatAge(e.AnsweredSeconds), failed, e.Evidence, e.Witnesses, formatAge(e.ReportSeconds), e.ReportedFailures)
+		fmt.Fprintf(out, "%-20s %12s %24s %8.2f %10d %14s  %s\n", e.Engine, formatAge(e.AnsweredSeconds), failed, e.FailureScore, e.Witnesses, formatAge(e.ReportSeconds), e.ReportedFailures)
 	}
 }
 
--- a/internal/cluster/history/history.go
+++ b/internal/cluster/history/history.go
@@ -17,26 +17,26 @@
 
 // Event is one line.
 type Event struct {
-	At          int64   `json:"at"` // nanoseconds, CLOCK_MONOTONIC
-	Process     string  `json:"process"`
-	Start       uint64  `json:"start"` // of the process
-	Kind        Kind    `json:"what"`
-	Label       string  `json:"-"` // of the file that it stood in
-	Code        string  `json:"code,omitempty"`
-	Member      string  `json:"member,omitempty"` // whom it is about, or from
-	Of          uint64  `json:"of,omitempty"`     // the start of that member
-	State       string  `json:"state,omitempty"`
-	Engine      string  `json:"engine,omitempty"`
-	EngineStart int64   `json:"since,omitempty"` // the engine's start
-	Request     string  `json:"task,omitempty"`
-	AgeNanos    int64   `json:"age,omitempty"` // nanoseconds, of what was heard
-	Success     bool    `json:"good,omitempty"`
-	Evidence    float64 `json:"against,omitempty"`
-	Out         bool    `json:"out,omitempty"`    // what was found shuts the engine by itself
-	Number      int     `json:"number,omitempty"` // of witnesses, or of engines that may be out
-	Most        int     `json:"most,omitempty"`
-	ObservedAt  int64   `json:"as_of,omitempty"` // when the process looked at its clock for it, where that may be long before it wrote
-	ValidNanos  int64   `json:"until,omitempty"` // nanoseconds from ObservedAt on
+	At           int64   `json:"at"` // nanoseconds, CLOCK_MONOTONIC
+	Process      string  `json:"process"`
+	Start        uint64  `json:"start"` // of the process
+	Kind         Kind    `json:"what"`
+	Label        string  `json:"-"` // of the file that it stood in
+	Code         string  `json:"code,omitempty"`
+	Member       string  `json:"member,omitempty"` // whom it is about, or from
+	Of           uint64  `json:"of,omitempty"`     // the start of that member
+	State        string  `json:"state,omitempty"`
+	Engine       string  `json:"engine,omitempty"`
+	EngineStart  int64   `json:"since,omitempty"` // the engine's start
+	Request      string  `json:"task,omitempty"`
+	AgeNanos     int64   `json:"age,omitempty"` // nanoseconds, of what was heard
+	Success      bool    `json:"good,omitempty"`
+	FailureScore float64 `json:"against,omitempty"`
+	Out          bool    `json:"out,omitempty"`    // what was found shuts the engine by itself
+	Number       int     `json:"number,omitempty"` // of witnesses, or of engines that may be out
+	High         int     `json:"most,omitempty"`
+	ObservedAt   int64   `json:"as_of,omitempty"` // when the process looked at its clock for it, where that may be long before it wrote
+	ValidNanos   int64   `json:"until,omitempty"` // nanoseconds from ObservedAt on
 }
 
 // Kind says what an event records; it is the "what" of the file's line.
@@ -44,25 +44,25 @@
 
 // Kinds of events, with the fields of Event that each of them fills.
 const (
-	ProcessStarted   Kind = "began"   // a process takes part; Number: engines that hearsay may take out, as a share in thousandths
-	StartChanged     Kind = "renamed" // the process goes by another start from now on, Of
-	MemberChanged    Kind = "member"  // Code, Member, Of, State
-	EngineListed     Kind = "listed"  // Engine, EngineStart, State of the own list
-	OutcomeObserved  Kind = "saw"     // Engine, EngineStart, Success or not: an outcome of its own
-	EvidenceReceived Kind = "heard"   // Member, Of, Engine, EngineStart, AgeNanos, Success: evidence taken in
-	EngineAssessed   Kind = "found"   // Engine, Evidence, Number, ValidNanos
-	AttemptSent      Kind = "sent"    // Engine, Request
-	RateGranted      Kind = "rate"    // Code, Number: how much a second of a budget there is here now
-	TotalChanged     Kind = "total"   // Code: a budget; Number: its total, Of: under which number
-	BudgetUsed       Kind = "took"    // Code, Number: how much, ValidNanos: to when at the latest
-	BudgetReleased   Kind = "done"    // Code, Number
-	RequestsCounted  Kind = "counted" // Number: requests that wait, Most: that run, at Engine or, with none, at all of them
-	CountersRead     Kind = "reading" // AgeNanos, Engine or none; Code: waits or runs; Number to Most: what all together had of it; below 0: no bound
-	PolicyChanged    Kind = "stands"  // Number: of the policy that it goes by, Of: its era, Success: it holds a lease on it
-	RequestDecided   Kind = "decided" // Code: taken, refused, crowded, sent or unsure; Request, Number: of the policy that it was decided by (-1: by none), Out: by what that one and a proposal after it allow
-	AttemptWritten   Kind = "wrote"   // Request: an attempt that was decided is written
-	LateWake         Kind = "woke"    // AgeNanos: it looked at what there is to do so long after the look before, far more than its pace
-	ProcessStopped   Kind = "ended"   // the process stopped by itself
+	ProcessStarted      Kind = "began"   // a process takes part; Number: engines that hearsay may take out, as a share in thousandths
+	StartChanged        Kind = "renamed" // the process goes by another start from now on, Of
+	MemberChanged       Kind = "member"  // Code, Member, Of, State
+	EngineListed        Kind = "listed"  // Engine, EngineStart, State of the own list
+	OutcomeObserved     Kind = "saw"     // Engine, EngineStart, Success or not: an outcome of its own
+	PeerOutcomeReceived Kind = "heard"   // Member, Of, Engine, EngineStart, AgeNanos, Success: evidence taken in
+	EngineAssessed      Kind = "found"   // Engine, Evidence, Number, ValidNanos
+	AttemptSent         Kind = "sent"    // Engine, Request
+	RateGranted         Kind = "rate"    // Code, Number: how much a second of a budget there is here now
+	TotalChanged        Kind = "total"   // Code: a budget; Number: its total, Of: under which number
+	BudgetUsed          Kind = "took"    // Code, Number: how much, ValidNanos: to when at the latest
+	BudgetReleased      Kind = "done"    // Code, Number
+	RequestsCounted     Kind = "counted" // Number: requests that wait, Most: that run, at Engine or, with none, at all of them
+	CountersRead        Kind = "reading" // AgeNanos, Engine or none; Code: waits or runs; Number to Most: what all together had of it; below 0: no bound
+	PolicyChanged       Kind = "stands"  // Number: of the policy that it goes by, Of: its era, Success: it holds a lease on it
+	RequestDecided      Kind = "decided" // Code: taken, refused, crowded, sent or unsure; Request, Number: of the policy that it was decided by (-1: by none), Out: by what that one and a proposal after it allow
+	AttemptWritten      Kind = "wrote"   // Request: an attempt that was decided is written
+	LateWake            Kind = "woke"    // AgeNanos: it looked at what there is to do so long after the look before, far more than its pace
+	ProcessStopped      Kind = "ended"   // the process stopped by itself
 )
 
 // Now is the clock of all histories.
--- a/internal/resourcegroup/limiter.go
+++ b/internal/resourcegroup/limiter.go
@@ -22,20 +22,23 @@
 	now          admission.Time
 }
 
-// Rights are this gateway's to what classes of the whole fleet may use: of each budget, some units until a task ends, or a rate.
+// Quota is this gateway's share of what classes may use over all gateways: of each budget, some units until a request ends, or
+// a rate.
 type Quota interface {
-	// Index is a budget's number by its name; below 0: there is none.
-	Index(name string) int
-	// AllowsAttempt tells whether so much of a budget may be used from now on; it stands until Take, or the next Want.
-	Open(now admission.Time, budget int, amount int64) bool
-	Take(now admission.Time, budget int, amount int64) bool
-	Done(now admission.Time, budget int, amount int64)
-	// Want tells how much tasks that wait would use at once.
-	Want(now admission.Time, budget int, amount int64)
-	// Rate has a budget that is used as a rate be used by so much, as far as there is that; it stands until the next call.
-	Rate(now admission.Time, budget int, need int64) (has int64)
-	// Shrink has a total be a part of itself from now on.
-	Shrink(now admission.Time, budget int, part float64)
+	// BudgetIndex returns a budget's index by its name; below 0: there is none.
+	BudgetIndex(name string) int
+	// TryReserve reserves an amount of a budget, if this gateway may use it. The reservation lasts until CommitReservation, or
+	// the next SetDemand.
+	TryReserve(now admission.Time, budget int, amount int64) bool
+	CommitReservation(now admission.Time, budget int, amount int64) bool
+	Release(now admission.Time, budget int, amount int64)
+	// SetDemand reports how much waiting requests would use at once.
+	SetDemand(now admission.Time, budget int, amount int64)
+	// ReserveRate uses a budget that is a rate, up to an amount, and returns the units a second that this gateway may use until
+	// the next call.
+	ReserveRate(now admission.Time, budget int, need int64) (rate int64)
+	// ScaleTotal reduces a total to a fraction of itself from now on.
+	ScaleTotal(now admission.Time, budget int, fraction float64)
 }
 
 // The kinds of budgets that a class may have.
@@ -114,7 +117,7 @@
 	names, totals := c.BudgetNames()
 	for k := range out {
 		if out[k] = -1; c.FleetWide && d.quota != nil && totals[k] > 0 {
-			out[k] = d.quota.Index(names[k])
+			out[k] = d.quota.BudgetIndex(names[k])
 		}
 	}
 	return out
@@ -131,7 +134,7 @@
 	for i := range plan.Classes {
 		names, totals := plan.Classes[i].BudgetNames()
 		for k, name := range names {
-			if d.quota != nil && plan.Classes[i].FleetWide && totals[k] > 0 && d.quota.Index(name) < 0 {
+			if d.quota != nil && plan.Classes[i].FleetWide && totals[k] > 0 && d.quota.BudgetIndex(name) < 0 {
 				return fmt.Errorf("statements.classes[%d].fleet: expected fleet.budgets of a higher number, as %q is new", i, name)
 			}
 		}
@@ -346,15 +349,15 @@
 		if p := &d.pools[c.pool]; k != waitingBudget && p.maxLiveCores > 0 {
 			part = p.liveCores / p.maxLiveCores // as the pool's engines are, for the whole fleet at once
 		}
-		d.quota.Shrink(now, b, part)
+		d.quota.ScaleTotal(now, b, part)
 		switch k {
 		case threadBudget:
 			if !c.shortOfThreads {
-				d.quota.Want(now, b, 0)
+				d.quota.SetDemand(now, b, 0)
 			}
 			c.shortOfThreads = false
 		case waitingBudget:
-			d.quota.Want(now, b, c.rejectedForQuota)
+			d.quota.SetDemand(now, b, c.rejectedForQuota)
 			c.rejectedForQuota = 0
 		case workBudget:
 			const fade = 0.02 // of a tick of 20 ms: what is spent in a second
@@ -364,9 +367,9 @@
 				use = max(1, use+c.WorkMillisPerSecond/8)
 			}
 			need := int64(math.Ceil(min(use, c.WorkMillisPerSecond)))
-			has := d.quota.Rate(now, b, need)
+			has := d.quota.ReserveRate(now, b, need)
 			c.workMillisPerSecond = float64(has)
-			d.quota.Want(now, b, need-has)
+			d.quota.SetDemand(now, b, need-has)
 		}
 	}
 }
@@ -384,7 +387,7 @@
 		c.counts.Rejected++
 		return 0, Rejected, c.RejectText
 	case c.budgets[waitingBudget] >= 0: // a place is kept until the task's answer, as it may have to wait again
-		if !d.quota.Open(d.now, c.budgets[waitingBudget], 1) || !d.quota.Take(d.now, c.budgets[waitingBudget], 1) {
+		if !d.quota.TryReserve(d.now, c.budgets[waitingBudget], 1) || !d.quota.CommitReservation(d.now, c.budgets[waitingBudget], 1) {
 			c.rejectedForQuota++
 			c.counts.OverCapacity++
 			return 0, OverCapacity, ""
@@ -407,12 +410,12 @@
 	d.now = now
 	if b := c.budgets[threadBudget]; b >= 0 {
 		c.lastThreads = wholeThreads(threads)
-		if !d.quota.Open(now, b, c.lastThreads) {
+		if !d.quota.TryReserve(now, b, c.lastThreads) {
 			if !c.shortOfThreads {
 				c.shortOfThreads = true
 				// What waits for other things than threads isn't asked for; so no more than there is in use at a time, from some on.
 				const some = 4
-				d.quota.Want(now, b, min(int64(c.waiting)*c.lastThreads, max(some*c.lastThreads, wholeThreads(c.runningThreads))))
+				d.quota.SetDemand(now, b, min(int64(c.waiting)*c.lastThreads, max(some*c.lastThreads, wholeThreads(c.runningThreads))))
 			}
 			return false
 		}
@@ -447,7 +450,7 @@
 	c.inFlight++
 	c.runningThreads += threads
 	if b := c.budgets[threadBudget]; b >= 0 {
-		d.quota.Take(d.now, b, wholeThreads(threads))
+		d.quota.CommitReservation(d.now, b, wholeThreads(threads))
 	}
 	if charged = work; charged == 0 {
 		charged = c.meanCostMillis
@@ -463,7 +466,7 @@
 func (d *Limiter) EndAttempt(number int, threads, charged, cost float64, waits bool) {
 	c := &d.classes[number]
 	if b := c.budgets[threadBudget]; b >= 0 {
-		d.quota.Done(d.now, b, wholeThreads(threads))
+		d.quota.Release(d.now, b, wholeThreads(threads))
 	}
 	if !waits {
 		d.releaseWaiting(c)
@@ -496,7 +499,7 @@
 // answered has a task's place be free.
 func (d *Limiter) releaseWaiting(c *class) {
 	if b := c.budgets[waitingBudget]; b >= 0 {
-		d.quota.Done(d.now, b, 1)
+		d.quota.Release(d.now, b, 1)
 	}
 }
 
--- a/internal/testbed/faulttest/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -218,7 +218,7 @@
 				broken = append(broken, text(e, "start: %s under start %d is %s, after start %d was known", e.Member, e.Of, e.Code, v.starts[e.Member]))
 			}
 			v.starts[e.Member] = max(v.starts[e.Member], e.Of)
-		case history.EvidenceReceived:
+		case history.PeerOutcomeReceived:
 			if e.Of < v.starts[e.Member] {
 				broken = append(broken, text(e, "start: evidence of %s under start %d was taken in, after start %d was known", e.Member, e.Of, v.starts[e.Member]))
 			}
@@ -255,10 +255,10 @@
 					break
 				}
 			}
-			if e.Evidence > 0 && e.Number > witnesses || e.Evidence > float64(e.Number)+1e-9 {
-				late = append(late, text(e, "witnesses: %.2f is held against %s by %d witnesses, and %d were heard", e.Evidence, e.Engine, e.Number, witnesses))
+			if e.FailureScore > 0 && e.Number > witnesses || e.FailureScore > float64(e.Number)+1e-9 {
+				late = append(late, text(e, "witnesses: %.2f is held against %s by %d witnesses, and %d were heard", e.FailureScore, e.Engine, e.Number, witnesses))
 			}
-			if delete(v.out, e.Engine); e.Evidence > 0 {
+			if delete(v.out, e.Engine); e.FailureScore > 0 {
 				v.out[e.Engine] = e.ObservedAt + e.ValidNanos // the decisions let it end by their own clock, however late they hear of it
 			}
 			n := 0
@@ -299,7 +299,7 @@
 			if truth[k] == nil {
 				owners = append(owners, k)
 			}
-			truth[k] = append(truth[k], point{e.At, [2]int{e.Number, e.Most}})
+			truth[k] = append(truth[k], point{e.At, [2]int{e.Number, e.High}})
 		}
 	}
 	// A count is written down some time after it changed; a reading's age is by a clock that runs up to a twentieth off.
@@ -332,9 +332,9 @@
 			}
 			least, most = least+low, most+high
 		}
-		if e.Number > most || e.Most >= 0 && e.Most < least {
+		if e.Number > most || e.High >= 0 && e.High < least {
 			out = append(out, fmt.Sprintf("%.3f s, %s: count: as of %.3f s ago %d to %d tasks were read that %s, in truth %d to %d", float64(e.At-events[0].At)/1e9, e.Process,
-				float64(e.AgeNanos)/1e9, e.Number, e.Most, e.Code[:len(e.Code)-1], least, most))
+				float64(e.AgeNanos)/1e9, e.Number, e.High, e.Code[:len(e.Code)-1], least, most))
 		}
 	}
 	return out
--- a/internal/testbed/faulttest/page.go
+++ b/internal/testbed/faulttest/page.go
@@ -125,7 +125,7 @@
 			if !e.Out {
 				continue
 			}
-			m.Class, m.Say = "found", fmt.Sprintf("%s: against %.1f by %d", e.Engine, e.Evidence, e.Number)
+			m.Class, m.Say = "found", fmt.Sprintf("%s: against %.1f by %d", e.Engine, e.FailureScore, e.Number)
 		case history.MemberChanged:
 			m.Class, m.Say = e.Code, e.Code+" "+e.Member
 		default:
--- a/internal/testbed/faulttest/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -192,24 +192,24 @@
 		event(1, "g1", history.Event{Kind: history.OutcomeObserved})}
 	rate := history.Event{Kind: history.RateGranted, Code: "loads", Number: 2, ValidNanos: int64(time.Second)}
 	took := history.Event{Kind: history.BudgetUsed, Code: "loads", Number: 1, ValidNanos: int64(4 * time.Second)}
-	heard := history.Event{Kind: history.EvidenceReceived, Member: "g1", Of: 1, AgeNanos: int64(time.Second / 2)}
-	counted := history.Event{Kind: history.RequestsCounted, Number: 0, Most: 2}
+	heard := history.Event{Kind: history.PeerOutcomeReceived, Member: "g1", Of: 1, AgeNanos: int64(time.Second / 2)}
+	counted := history.Event{Kind: history.RequestsCounted, Number: 0, High: 2}
 	reading := func(low, high int) history.Event {
-		return history.Event{Kind: history.CountersRead, Code: "runs", AgeNanos: 1e9, Number: low, Most: high}
+		return history.Event{Kind: history.CountersRead, Code: "runs", AgeNanos: 1e9, Number: low, High: high}
 	}
 	for _, c := range []struct {
 		what string
 		more []history.Event
 		want string
 	}{
-		{"all well", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, Evidence: 1, Number: 1, ValidNanos: 1e10})}, ""},
+		{"all well", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 1, Number: 1, ValidNanos: 1e10})}, ""},
 		{"evidence of nothing", []history.Event{event(9, "g0", heard)}, "evidence:"},
-		{"another's evidence", []history.Event{event(1.5, "g0", history.Event{Kind: history.EvidenceReceived, Member: "g2", Of: 1})}, "evidence:"},
-		{"one witness for two", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, Evidence: 2, Number: 2, ValidNanos: 1e10})}, "witnesses:"},
-		{"too many out", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, Evidence: 1, Number: 1, ValidNanos: 1e10}),
+		{"another's evidence", []history.Event{event(1.5, "g0", history.Event{Kind: history.PeerOutcomeReceived, Member: "g2", Of: 1})}, "evidence:"},
+		{"one witness for two", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 2, Number: 2, ValidNanos: 1e10})}, "witnesses:"},
+		{"too many out", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 1, Number: 1, ValidNanos: 1e10}),
 			event(1.7, "g0", history.Event{Kind: history.EngineListed, Engine: "e2", State: "live"}), event(1.8, "g1", history.Event{Kind: history.OutcomeObserved, Engine: "e2"}),
-			event(1.9, "g0", history.Event{Kind: history.EvidenceReceived, Member: "g1", Of: 1, Engine: "e2"}),
-			event(2, "g0", history.Event{Kind: history.EngineAssessed, Engine: "e2", Evidence: 1, Number: 1, ValidNanos: 1e10})}, "part:"},
+			event(1.9, "g0", history.Event{Kind: history.PeerOutcomeReceived, Member: "g1", Of: 1, Engine: "e2"}),
+			event(2, "g0", history.Event{Kind: history.EngineAssessed, Engine: "e2", FailureScore: 1, Number: 1, ValidNanos: 1e10})}, "part:"},
 		{"an earlier start", []history.Event{event(2, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Of: 5}),
 			event(3, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Of: 4})}, "start:"},
 		{"an engine that the list doesn't name", []history.Event{event(2, "g0", history.Event{Kind: history.AttemptSent, Engine: "e9"})}, "list:"},
