--- a/cmd/magpiebank-testbed/experiment.go
+++ b/cmd/magpiebank-testbed/experiment.go
@@ -40,8 +40,8 @@
 	if o.folder == "" {
 		o.folder = experiment.Folder(e.Name)
 	}
-	if e.Site != nil && o.gateway != "" {
-		e.Site.Program = o.gateway
+	if e.Installation != nil && o.gateway != "" {
+		e.Installation.Program = o.gateway
 	}
 	if e.Workers > 0 && send == nil {
 		send = crewSender(e, o.folder)
@@ -226,7 +226,7 @@
 					first = badFile{fmt.Errorf("some files are amiss")}
 					continue
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %v, %d lanes\n", filepath.Base(path), e.Name, e.Length, len(e.Lanes))
+				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %v, %d lanes\n", filepath.Base(path), e.Name, e.Length, len(e.Classes))
 			}
 			return first
 		}}
@@ -251,7 +251,7 @@
 				o.page = filepath.Join(o.folder, "report.html")
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d engines and their list, %d gateways, %v of load; engine 0 stands still from 20 s to 25 s\n\n",
-				e.Site.Engines, e.Site.Gateways, e.Length)
+				e.Installation.Engines, e.Installation.Gateways, e.Length)
 			r, err := play(c.Context(), c, e, &o, nil)
 			if err != nil {
 				return err
--- a/cmd/magpiebank-testbed/standin.go
+++ b/cmd/magpiebank-testbed/standin.go
@@ -28,15 +28,15 @@
 				return err
 			}
 			switch {
-			case e.Front:
+			case e.FakeFrontend:
 				f, err := fake.StartFrontend("127.0.0.1:0", e.Works, nil)
 				if err != nil {
 					return err
 				}
 				defer f.Close()
 				fmt.Fprintf(c.OutOrStdout(), "front %s\n", f.Address)
-			case e.Site != nil:
-				s, err := installation.Start(*e.Site, folder)
+			case e.Installation != nil:
+				s, err := installation.Start(*e.Installation, folder)
 				if err != nil {
 					return err
 				}
--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -124,17 +124,17 @@
 			return nil, err
 		}
 		run := &classedRun{Name: with.name, Quick: map[string]int64{}, Offered: map[string]int64{}, Swapped: r.Swapped}
-		for i := range r.Figures.Lanes {
-			l := &r.Figures.Lanes[i]
-			run.Quick[l.Name], run.Offered[l.Name] = l.Quick, l.Offered
+		for i := range r.Figures.Classes {
+			l := &r.Figures.Classes[i]
+			run.Quick[l.Name], run.Offered[l.Name] = l.WithinObjective, l.Offered
 			switch l.Name {
 			case "look-ups":
-				run.Earned += float64(l.Quick)
+				run.Earned += float64(l.WithinObjective)
 			case "look-ups in the burst":
-				run.Earned += float64(l.Quick)
+				run.Earned += float64(l.WithinObjective)
 				run.LooksP50, run.LooksP99 = l.Quantile(client.Served, 0.5), l.Quantile(client.Served, 0.99)
 			case "reports":
-				run.Earned += reportEarnings * float64(l.Quick)
+				run.Earned += reportEarnings * float64(l.WithinObjective)
 			}
 		}
 		for _, v := range r.Verdicts {
@@ -168,18 +168,18 @@
 		return out
 	}
 	lane := func(name, as string, quoted, patience time.Duration, statements []string) arrival.Class {
-		return arrival.Class{Name: name, As: as, Share: 1, Statements: statements, Groups: statementGroups, Literals: 40, Quoted: quoted,
-			Patience: patience, Repeat: true, MarkRetry: true}
+		return arrival.Class{Name: name, GatewayClass: as, Share: 1, Statements: statements, Groups: statementGroups, Literals: 40, LatencyObjective: quoted,
+			MaxWait: patience, Idempotent: true, MarkRetry: true}
 	}
 	looks := texts(fake.PointLookup)
-	e := &experiment.Experiment{Seed: seed, Length: statementsLength, Manners: client.Behavior{Reused: 1, Tries: 1},
-		Lanes: []arrival.Class{
+	e := &experiment.Experiment{Seed: seed, Length: statementsLength, Behavior: client.Behavior{PooledShare: 1, MaxAttempts: 1},
+		Classes: []arrival.Class{
 			lane("look-ups", "look", time.Second, 5*time.Second, looks),
 			lane("look-ups in the burst", "look", time.Second, 5*time.Second, looks),
 			lane("reports", "report", 4*time.Second, 12*time.Second, texts(fake.RangeScan, fake.IndexJoin)),
 			lane("whole tables", "look", time.Second, 5*time.Second, texts(fake.FullScan)),
 		},
-		Bounds: experiment.Bounds{Own: 10 * time.Millisecond, Offered: 0.01, Allow: []client.Outcome{client.TimedOut}},
+		Bounds: experiment.Bounds{GeneratorDelay: 10 * time.Millisecond, Offered: 0.01, Allow: []client.Outcome{client.TimedOut}},
 	}
 	e.Shape = arrival.Shape{Kind: arrival.Replay}
 	r := rand.New(rand.NewSource(seed))
@@ -208,9 +208,9 @@
 	slices.SortStableFunc(all, func(a, b one) int { return int(a.at - b.at) })
 	for _, t := range all {
 		e.Shape.Times = append(e.Shape.Times, t.at)
-		e.Shape.Marks = append(e.Shape.Marks, arrival.Mark{Lane: t.lane, Group: 1 + r.Intn(statementGroups)})
+		e.Shape.Marks = append(e.Shape.Marks, arrival.Mark{Class: t.lane, Group: 1 + r.Intn(statementGroups)})
 	}
-	e.Site = &installation.Plan{Gateways: 2, Engines: statementEngines, Zones: []string{"norte", "sur"}, Cores: engineCores, MemoryMB: 192, Sockets: 1024,
+	e.Installation = &installation.Plan{Gateways: 2, Engines: statementEngines, Zones: []string{"norte", "sur"}, Cores: engineCores, MemoryMB: 192, Sockets: 1024,
 		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: seed, ExtraArguments: more,
 		Classes: []installation.Class{
 			{Name: "look", LatencyObjective: time.Second, MaxWait: 5 * time.Second, Weight: 1, Effect: "idempotent", Threads: 1},
--- a/internal/testbed/load/arrival/arrival_test.go
+++ b/internal/testbed/load/arrival/arrival_test.go
@@ -77,7 +77,7 @@
 	}
 	// Output:
 	// load.kind: expected one of poisson, steady, bursts, on-off, ramp, step, diurnal, flash, replay, sum, scale, thin and sequence, found "poison"
-	// load.rate: expected requests a second from 0 to 1e+07, found -1
+	// load.rate: expected tasks a second from 0 to 1e+07, found -1
 	// load.levels: expected at least one rate
 	// load.over: expected a time above 0, found 0s
 	// load.tail: expected a number above 1, or the mean has no end, found 1
@@ -94,7 +94,7 @@
 func ExampleSchedule() {
 	s, err := NewSchedule(&Shape{Kind: Steady, Rate: 10}, lanes, 3, time.Second)
 	for t, ok := s.Next(); ok; t, ok = s.Next() {
-		fmt.Printf("%d %v %s %s\n", t.N, t.At, lanes[t.Lane].Name, lanes[t.Lane].Statement(nil, &t))
+		fmt.Printf("%d %v %s %s\n", t.Number, t.At, lanes[t.Class].Name, lanes[t.Class].Statement(nil, &t))
 	}
 	fmt.Println(err)
 	// Output:
@@ -129,20 +129,20 @@
 	parts := map[uint64]Request{}
 	for shard := range shards {
 		for _, one := range draw() {
-			if Shard(one.N, shards) == shard {
-				if _, twice := parts[one.N]; twice {
-					t.Fatalf("task %d is in two shards", one.N)
+			if Shard(one.Number, shards) == shard {
+				if _, twice := parts[one.Number]; twice {
+					t.Fatalf("task %d is in two shards", one.Number)
 				}
-				parts[one.N] = one
+				parts[one.Number] = one
 			}
 		}
 	}
 	looks, first := 0, 0
 	for _, one := range whole {
-		if parts[one.N] != one {
-			t.Fatalf("task %d: %+v in the whole, %+v in its shard", one.N, one, parts[one.N])
+		if parts[one.Number] != one {
+			t.Fatalf("task %d: %+v in the whole, %+v in its shard", one.Number, one, parts[one.Number])
 		}
-		if one.Lane == 0 {
+		if one.Class == 0 {
 			looks++
 			if one.Group == 1 {
 				first++
@@ -166,6 +166,6 @@
 	var text []byte
 	for b.Loop() {
 		t, _ := s.Next()
-		text = lanes[t.Lane].Statement(text[:0], &t)
+		text = lanes[t.Class].Statement(text[:0], &t)
 	}
 }
--- a/internal/testbed/load/arrival/schedule.go
+++ b/internal/testbed/load/arrival/schedule.go
@@ -10,32 +10,32 @@
 
 // Class is one kind of request in the load.
 type Class struct {
-	Name       string
-	As         string        // the class that gateways are told; empty: its name
-	Share      float64       // of all requests, against the other classes' shares
-	Statements []string      // templates, drawn evenly: {group} and {literal} are filled in
-	Groups     int           // of tables, from 1 on; their draws follow Zipf's law
-	Zipf       float64       // its exponent; 0: all groups alike
-	Literals   int           // how many different literals there are; 0: each its own
-	Quoted     time.Duration // the latency objective: within it the answer earns all
-	Patience   time.Duration // and how long the client waits for it at the most
-	MarkRetry  bool          // the client's own further attempts carry retry=1
-	Repeat     bool          // a second run does no harm, so that clients may try again after any end
+	Name             string
+	GatewayClass     string        `json:"As"` // the class that gateways are told; empty: Name
+	Share            float64       // of all requests, against the other classes' shares
+	Statements       []string      // templates, drawn evenly: {group} and {literal} are filled in
+	Groups           int           // of tables, from 1 on; their draws follow Zipf's law
+	Zipf             float64       // its exponent; 0: all groups alike
+	Literals         int           // how many different literals there are; 0: each its own
+	LatencyObjective time.Duration `json:"Quoted"`   // an answer within it has its full worth
+	MaxWait          time.Duration `json:"Patience"` // how long the client waits for the answer
+	MarkRetry        bool          // the client's own retries carry retry=1
+	Idempotent       bool          `json:"Repeat"` // a second run does no harm, so that clients may retry after any end
 }
 
 // WireName is the name of the class that gateways are told.
 func (l *Class) WireName() string {
-	if l.As != "" {
-		return l.As
+	if l.GatewayClass != "" {
+		return l.GatewayClass
 	}
 	return l.Name
 }
 
 // Request is one arrival. N counts all arrivals of a schedule from 0, whoever sends them.
 type Request struct {
-	N        uint64
+	Number   uint64
 	At       time.Duration // intended, from the start of the run
-	Lane     int
+	Class    int
 	Template int
 	Group    int
 	Literal  uint64
@@ -92,14 +92,14 @@
 	s.n++
 	chance := rand.NewPCG(s.seed, n)
 	share := func() float64 { return float64(chance.Uint64()>>11) / (1 << 53) }
-	t = Request{N: n, At: at, Lane: search(s.sums, share())}
-	l := &s.lanes[t.Lane]
+	t = Request{Number: n, At: at, Class: search(s.sums, share())}
+	l := &s.lanes[t.Class]
 	t.Template = int(chance.Uint64() % uint64(len(l.Statements)))
-	t.Group = 1 + search(s.zipfs[t.Lane], share())
+	t.Group = 1 + search(s.zipfs[t.Class], share())
 	if s.marks != nil { // the draws above are made all the same, so that what follows is
-		t.Lane, t.Group = s.marks[n].Lane, max(1, s.marks[n].Group)
-		t.Template %= len(s.lanes[t.Lane].Statements)
-		l = &s.lanes[t.Lane]
+		t.Class, t.Group = s.marks[n].Class, max(1, s.marks[n].Group)
+		t.Template %= len(s.lanes[t.Class].Statements)
+		l = &s.lanes[t.Class]
 	}
 	t.Literal = chance.Uint64()
 	if l.Literals > 0 {
--- a/internal/testbed/load/arrival/shape.go
+++ b/internal/testbed/load/arrival/shape.go
@@ -44,7 +44,10 @@
 }
 
 // Mark is what a recorded arrival was.
-type Mark struct{ Lane, Group int }
+type Mark struct {
+	Class int `json:"Lane"`
+	Group int
+}
 
 // mostRate is above what one machine can offer; a larger rate is a slip of the unit.
 const mostRate = 1e7
--- a/internal/testbed/load/client/clients.go
+++ b/internal/testbed/load/client/clients.go
@@ -33,23 +33,28 @@
 
 // Behavior are how the clients of a load behave.
 type Behavior struct {
-	Connections int // that may be open at once; 0: no limit. Who finds none free waits, first come first served.
-	// Shares of sessions: Reused ones go back to a pool, last in first out; Kept ones stay open and are not used
+	Connections int // that may be open at once; 0: no limit. Requests that find none free wait, first come first served.
+	// PooledShare of the sessions goes back to a pool, last in first out; HeldOpenShare stays open and is not used
 	// again; the others end with their query.
-	Reused, Kept float64
-	Idle         time.Duration // after which a pooled session is closed
+	PooledShare   float64       `json:"Reused"`
+	HeldOpenShare float64       `json:"Kept"`
+	IdleTimeout   time.Duration `json:"Idle"` // after which a pooled session is closed
 
-	Tries        int           // in all, the first included
-	BackOff      time.Duration // before the second try; doubled each time
-	MostBackOff  time.Duration
-	Jitter       float64 // share of a backoff that is drawn
-	Honour       float64 // chance that a retry-after time is kept to
-	Budget       float64 // further attempts in a window: this share of the first ones in it,
-	BudgetFree   int     // and so many besides
-	BudgetWindow time.Duration
+	MaxAttempts     int           `json:"Tries"`       // in all, the first included
+	Backoff         time.Duration `json:"BackOff"`     // before the second attempt; doubled each time
+	MaxBackoff      time.Duration `json:"MostBackOff"` // bound of the doubled backoff
+	Jitter          float64       // share of a backoff that is drawn
+	HonorRetryAfter float64       `json:"Honour"` // chance that a retry-after time is kept to
 
-	// Shares of clients that read slowly, that leave without a word, that connect and never speak.
-	Slow, Leave, Mute float64
+	// The retry budget allows in each RetryWindow RetryBurst retries and RetryRatio of the first attempts in it.
+	RetryRatio  float64       `json:"Budget"`
+	RetryBurst  int           `json:"BudgetFree"`
+	RetryWindow time.Duration `json:"BudgetWindow"`
+
+	// Shares of clients that misbehave.
+	SlowShare    float64 `json:"Slow"`  // read slowly
+	LeavingShare float64 `json:"Leave"` // leave without a word
+	SilentShare  float64 `json:"Mute"`  // connect and never speak
 }
 
 // The protocol's figures.
@@ -76,10 +81,10 @@
 type Report struct {
 	Request        *arrival.Request
 	Outcome        Outcome
-	End            time.Duration // when, from the start of the run
+	FinishedAt     time.Duration // when, from the start of the run
 	GeneratorDelay time.Duration // part of the latency that is the generator's: it woke late, or wrote late
 	QueueDelay     time.Duration // part of it that was spent waiting for a connection under the limit
-	Sent           time.Duration // when the last attempt was written
+	SentAt         time.Duration // when the last attempt was written
 	Attempts       int
 	Misbehaving    bool // of a slow, leaving or mute client, whose figures are kept apart
 }
@@ -165,12 +170,12 @@
 // NewClients is a load's clients, or a part of them: ids come from the load's seed and the request's number, backoffs
 // from the part's own source.
 func NewClients(host Transport, m Behavior, lanes []arrival.Class, seed, part int64) *Clients {
-	m.Tries = min(max(1, m.Tries), maxTries)
-	if m.Idle <= 0 || m.Idle > mostIdle {
-		m.Idle = mostIdle
+	m.MaxAttempts = min(max(1, m.MaxAttempts), maxTries)
+	if m.IdleTimeout <= 0 || m.IdleTimeout > mostIdle {
+		m.IdleTimeout = mostIdle
 	}
 	return &Clients{host: host, m: m, lanes: lanes, r: rand.New(rand.NewSource(seed + part)), seed: seed, freeQ: -1,
-		budget: window{span: m.BudgetWindow}}
+		budget: window{span: m.RetryWindow}}
 }
 
 // Unfinished is how many requests have no outcome yet.
@@ -190,13 +195,13 @@
 	}
 	q := &c.queries[i]
 	turn := q.turn + 1
-	*q = query{task: t, turn: turn, session: -1, own: max(0, now-t.At), patience: t.At + c.lanes[t.Lane].Patience}
+	*q = query{task: t, turn: turn, session: -1, own: max(0, now-t.At), patience: t.At + c.lanes[t.Class].MaxWait}
 	switch share := float64(t.Draw>>11) / (1 << 53); {
-	case share < c.m.Slow:
+	case share < c.m.SlowShare:
 		q.odd = slow
-	case share < c.m.Slow+c.m.Leave:
+	case share < c.m.SlowShare+c.m.LeavingShare:
 		q.odd = leaves
-	case share < c.m.Slow+c.m.Leave+c.m.Mute:
+	case share < c.m.SlowShare+c.m.LeavingShare+c.m.SilentShare:
 		q.odd = says0
 	}
 	c.live++
@@ -216,7 +221,7 @@
 func (c *Clients) want(now time.Duration, i int32) {
 	q := &c.queries[i]
 	q.tries++
-	q.id = ID(c.seed, q.task.N, q.tries)
+	q.id = ID(c.seed, q.task.Number, q.tries)
 	c.seek(now, i)
 }
 
@@ -363,11 +368,11 @@
 	q.state, q.sent = out, now
 	by := q.patience
 	if q.odd == leaves { // somewhere in the latency objective
-		by = min(by, now+time.Duration(c.r.Int63n(int64(max(c.lanes[q.task.Lane].Quoted, 1)))))
+		by = min(by, now+time.Duration(c.r.Int63n(int64(max(c.lanes[q.task.Class].LatencyObjective, 1)))))
 	}
 	c.wake(i, by)
 	c.asked = Attempt{Request: &q.task, ID: q.id, WaitMS: max(1, (q.patience - now).Milliseconds()),
-		Retry: q.tries > 1 && c.lanes[q.task.Lane].MarkRetry, Slow: q.odd == slow}
+		Retry: q.tries > 1 && c.lanes[q.task.Class].MarkRetry, Slow: q.odd == slow}
 	c.host.Send(s, &c.asked)
 }
 
@@ -412,9 +417,9 @@
 		return
 	}
 	switch share := c.r.Float64(); {
-	case share < c.m.Reused:
+	case share < c.m.PooledShare:
 		c.pool = append(c.pool, placeTurn{int32(s), t.turn})
-	case share < c.m.Reused+c.m.Kept:
+	case share < c.m.PooledShare+c.m.HeldOpenShare:
 		c.kept.put(int32(s), t.turn)
 	default:
 		c.close(s)
@@ -460,17 +465,17 @@
 	q := &c.queries[i]
 	q.session = -1
 	again := how == Rejected || how == NoConnection ||
-		(how == Failed || how == ConnectionLost || how == MalformedAnswer) && c.lanes[q.task.Lane].Repeat
-	if !again || q.tries >= c.m.Tries || q.odd != usual || !c.budget.allows(now, c.m.Budget, c.m.BudgetFree) {
+		(how == Failed || how == ConnectionLost || how == MalformedAnswer) && c.lanes[q.task.Class].Idempotent
+	if !again || q.tries >= c.m.MaxAttempts || q.odd != usual || !c.budget.allows(now, c.m.RetryRatio, c.m.RetryBurst) {
 		c.over(now, i, how)
 		return
 	}
-	rest := c.m.BackOff << min(q.tries-1, 20)
-	if c.m.MostBackOff > 0 {
-		rest = min(rest, c.m.MostBackOff)
+	rest := c.m.Backoff << min(q.tries-1, 20)
+	if c.m.MaxBackoff > 0 {
+		rest = min(rest, c.m.MaxBackoff)
 	}
 	rest -= time.Duration(c.m.Jitter * c.r.Float64() * float64(rest))
-	if comeBack > 0 && c.r.Float64() < c.m.Honour {
+	if comeBack > 0 && c.r.Float64() < c.m.HonorRetryAfter {
 		rest = max(rest, comeBack)
 	}
 	if now+rest >= q.patience { // nobody would be there for the answer
@@ -527,7 +532,7 @@
 // tell reports a request's one outcome.
 func (c *Clients) tell(now time.Duration, q *query, how Outcome) {
 	c.live--
-	c.report = Report{Request: &q.task, Outcome: how, End: now, GeneratorDelay: q.own, QueueDelay: q.waited, Sent: q.sent, Attempts: q.tries,
+	c.report = Report{Request: &q.task, Outcome: how, FinishedAt: now, GeneratorDelay: q.own, QueueDelay: q.waited, SentAt: q.sent, Attempts: q.tries,
 		Misbehaving: q.odd != usual}
 	c.host.Finished(&c.report)
 }
@@ -556,7 +561,7 @@
 	for _, p := range c.pool {
 		switch {
 		case !c.idle(p):
-		case now-c.sessions[p.place].since >= c.m.Idle:
+		case now-c.sessions[p.place].since >= c.m.IdleTimeout:
 			c.close(Session(p.place))
 		default:
 			keep = append(keep, p)
--- a/internal/testbed/load/client/clients_test.go
+++ b/internal/testbed/load/client/clients_test.go
@@ -32,9 +32,9 @@
 
 func play(t *testing.T, m Behavior) *stage {
 	s := &stage{t: t, ids: map[Session]uint64{}}
-	lane := arrival.Class{Name: "look", Quoted: time.Second, Patience: 3 * time.Second, MarkRetry: true}
+	lane := arrival.Class{Name: "look", LatencyObjective: time.Second, MaxWait: 3 * time.Second, MarkRetry: true}
 	again := lane
-	again.Repeat = true
+	again.Idempotent = true
 	s.c = NewClients(s, m, []arrival.Class{lane, again}, 1, 0)
 	return s
 }
@@ -46,7 +46,7 @@
 func (s *stage) Dial(c Session) { s.say("dial %d", c) }
 func (s *stage) Send(c Session, a *Attempt) {
 	s.ids[c] = a.ID
-	s.say("send task %d on %d, wait %d ms, retry %v, slow %v", a.Request.N, c, a.WaitMS, a.Retry, a.Slow)
+	s.say("send task %d on %d, wait %d ms, retry %v, slow %v", a.Request.Number, c, a.WaitMS, a.Retry, a.Slow)
 }
 func (s *stage) Close(c Session)             { s.say("close %d", c) }
 func (s *stage) KillQuery(connection uint32) { s.say("kill %d", connection) }
@@ -54,8 +54,8 @@
 	s.timers = append(s.timers, stageTimer{at, q, turn})
 }
 func (s *stage) Finished(r *Report) {
-	s.say("task %d %s after %.1f ms, own %.1f, queued %.1f, tries %d, odd %v", r.Request.N, r.Outcome,
-		float64(r.End-r.Request.At)/1e6, float64(r.GeneratorDelay)/1e6, float64(r.QueueDelay)/1e6, r.Attempts, r.Misbehaving)
+	s.say("task %d %s after %.1f ms, own %.1f, queued %.1f, tries %d, odd %v", r.Request.Number, r.Outcome,
+		float64(r.FinishedAt-r.Request.At)/1e6, float64(r.GeneratorDelay)/1e6, float64(r.QueueDelay)/1e6, r.Attempts, r.Misbehaving)
 }
 
 // pass lets time pass with the timers that come.
@@ -80,7 +80,7 @@
 }
 
 func (s *stage) arrive(lane int) {
-	s.c.HandleArrival(s.now, arrival.Request{N: s.n, At: s.now, Lane: lane, Draw: 1 << 62})
+	s.c.HandleArrival(s.now, arrival.Request{Number: s.n, At: s.now, Class: lane, Draw: 1 << 62})
 	s.n++
 }
 
@@ -109,7 +109,7 @@
 
 // Nacks with and without a retry-after time that is kept to, until the attempts are used up.
 func TestRetries(t *testing.T) {
-	s := play(t, Behavior{Reused: 1, Tries: 3, BackOff: 100 * ms, Honour: 1})
+	s := play(t, Behavior{PooledShare: 1, MaxAttempts: 3, Backoff: 100 * ms, HonorRetryAfter: 1})
 	s.arrive(0)
 	s.up(0)
 	s.pass(10 * ms)
@@ -131,7 +131,7 @@
 
 // The budget of further attempts: one free, and a fifth of the first ones.
 func TestBudget(t *testing.T) {
-	s := play(t, Behavior{Reused: 1, Tries: 5, BackOff: 10 * ms, Budget: 0.2, BudgetFree: 1, BudgetWindow: time.Second})
+	s := play(t, Behavior{PooledShare: 1, MaxAttempts: 5, Backoff: 10 * ms, RetryRatio: 0.2, RetryBurst: 1, RetryWindow: time.Second})
 	for range 4 {
 		s.arrive(0)
 		s.up(0)
@@ -145,7 +145,7 @@
 
 // Patience is over: KILL QUERY, the close half a second later, and an answer in between is nobody's.
 func TestPatience(t *testing.T) {
-	s := play(t, Behavior{Reused: 1, Tries: 1})
+	s := play(t, Behavior{PooledShare: 1, MaxAttempts: 1})
 	s.arrive(0)
 	s.pass(40 * ms)
 	s.up(0)
@@ -164,7 +164,7 @@
 
 // Ends of connections: refused, crossed by a close and sent again once, lost.
 func TestEnds(t *testing.T) {
-	s := play(t, Behavior{Reused: 1, Tries: 2, BackOff: 100 * ms})
+	s := play(t, Behavior{PooledShare: 1, MaxAttempts: 2, Backoff: 100 * ms})
 	s.arrive(0)
 	s.ended(0, true)
 	s.pass(200 * ms)
@@ -194,7 +194,7 @@
 // Two connections at the most: who finds none waits in order, an idle session for good makes room, attempt timeout ends the
 // wait.
 func TestLimit(t *testing.T) {
-	s := play(t, Behavior{Connections: 2, Kept: 1, Tries: 1})
+	s := play(t, Behavior{Connections: 2, HeldOpenShare: 1, MaxAttempts: 1})
 	for range 5 {
 		s.arrive(0)
 		s.pass(ms)
@@ -210,7 +210,7 @@
 
 // Pooled sessions are used last in first out, and closed when idle for too long.
 func TestPool(t *testing.T) {
-	s := play(t, Behavior{Reused: 1, Tries: 1, Idle: 2 * time.Second})
+	s := play(t, Behavior{PooledShare: 1, MaxAttempts: 1, IdleTimeout: 2 * time.Second})
 	s.arrive(0)
 	s.arrive(0)
 	s.up(0)
@@ -230,17 +230,17 @@
 
 // Clients that leave, that are slow, that never speak.
 func TestOdd(t *testing.T) {
-	for _, m := range []Behavior{{Slow: 1}, {Leave: 1}, {Mute: 1}} {
-		m.Tries = 3
+	for _, m := range []Behavior{{SlowShare: 1}, {LeavingShare: 1}, {SilentShare: 1}} {
+		m.MaxAttempts = 3
 		s := play(t, m)
 		s.arrive(0)
 		s.up(0)
 		s.pass(2500 * ms)
-		if m.Slow > 0 {
+		if m.SlowShare > 0 {
 			s.answer(0, Served, 0)
 		}
 		s.pass(2000 * ms)
-		s.end(fmt.Sprintf("odd-%g-%g-%g", m.Slow, m.Leave, m.Mute))
+		s.end(fmt.Sprintf("odd-%g-%g-%g", m.SlowShare, m.LeavingShare, m.SilentShare))
 	}
 }
 
@@ -267,12 +267,12 @@
 func (mute0) Finished(*Report)                      {}
 
 func BenchmarkClient(b *testing.B) { // a request on a session that is there, from arrival to answer
-	c := NewClients(mute0{}, Behavior{Reused: 1, Tries: 1}, []arrival.Class{{Name: "look", Patience: time.Second}}, 1, 0)
+	c := NewClients(mute0{}, Behavior{PooledShare: 1, MaxAttempts: 1}, []arrival.Class{{Name: "look", MaxWait: time.Second}}, 1, 0)
 	b.ReportAllocs()
 	now := time.Duration(0)
 	for n := uint64(0); b.Loop(); n++ {
 		now += 20 * time.Microsecond
-		c.HandleArrival(now, arrival.Request{N: n, At: now, Draw: 1 << 62})
+		c.HandleArrival(now, arrival.Request{Number: n, At: now, Draw: 1 << 62})
 		if n == 0 {
 			c.HandleConnected(now, 0, 1)
 		}
--- a/internal/testbed/load/driver/driver.go
+++ b/internal/testbed/load/driver/driver.go
@@ -20,19 +20,20 @@
 
 // Load is what one process sends.
 type Load struct {
-	Targets   []string // gateways; sessions go to them in turn
-	Shape     *arrival.Shape
-	Lanes     []arrival.Class
-	Manners   client.Behavior
-	Seed      int64
-	Length    time.Duration // 0: until the shape ends
-	Shard, Of int           // this process sends the arrivals whose number leaves Shard when divided by Of
-	Loops     int           // 0: as many as half the cores
-	CheckRows bool          // rows must be those of our own fakes: the request's id, then k/n
-	// Mine tells, where it is given, whether this process sends an arrival, in place of Shard and Of; the answer may
-	// change until the arrival's time has come.
+	Targets    []string // gateways; sessions go to them in turn
+	Shape      *arrival.Shape
+	Classes    []arrival.Class `json:"Lanes"`
+	Behavior   client.Behavior `json:"Manners"`
+	Seed       int64
+	Length     time.Duration // 0: until the shape ends
+	Shard      int           // this process sends the arrivals whose number modulo ShardCount is Shard
+	ShardCount int           `json:"Of"`
+	Loops      int           // 0: as many as half the cores
+	CheckRows  bool          // rows must be those of our own fakes: the request's id, then k/n
+	// Owns tells, where it is given, whether this process sends an arrival, in place of Shard and ShardCount; the
+	// answer may change until the arrival's time has come.
 	Owns func(t *arrival.Request) bool `json:"-"`
-	// Over, where it is given, is told each outcome from the loops' goroutines.
+	// OnFinished, where it is given, is called with each report by the loops' goroutines.
 	OnFinished func(r *client.Report) `json:"-"`
 }
 
@@ -54,27 +55,27 @@
 	if l.Loops <= 0 {
 		l.Loops = max(1, runtime.GOMAXPROCS(0)/2)
 	}
-	if l.Of <= 0 {
-		l.Of = 1
+	if l.ShardCount <= 0 {
+		l.ShardCount = 1
 	}
 	d := &Driver{load: l, start: at, stop: make(chan struct{})}
-	names, quoted := make([]string, len(l.Lanes)), make([]time.Duration, len(l.Lanes))
-	for i, lane := range l.Lanes {
-		names[i], quoted[i] = lane.Name, lane.Quoted
+	names, quoted := make([]string, len(l.Classes)), make([]time.Duration, len(l.Classes))
+	for i, lane := range l.Classes {
+		names[i], quoted[i] = lane.Name, lane.LatencyObjective
 	}
 	for k := range l.Loops {
-		schedule, err := arrival.NewSchedule(l.Shape, l.Lanes, l.Seed, l.Length)
+		schedule, err := arrival.NewSchedule(l.Shape, l.Classes, l.Seed, l.Length)
 		if err != nil {
 			return nil, err
 		}
-		m := l.Manners
+		m := l.Behavior
 		if m.Connections > 0 { // the limit is the process's: each loop has its part of it
 			m.Connections = max(1, (m.Connections+l.Loops-1-k)/l.Loops)
 		}
 		w := &loop{d: d, k: k, schedule: schedule, wheel: timerwheel.New(0), figures: stats.New(names, quoted),
 			wake: make(chan struct{}, 1), targets: make([]time.Duration, len(l.Targets))}
 		// Ids are drawn by the run's seed and the request's number, backoffs by a source of each loop's own.
-		w.crowd = client.NewClients(w, m, l.Lanes, l.Seed, int64(l.Shard*l.Loops+k))
+		w.crowd = client.NewClients(w, m, l.Classes, l.Seed, int64(l.Shard*l.Loops+k))
 		d.loops = append(d.loops, w)
 	}
 	for _, w := range d.loops {
@@ -219,13 +220,13 @@
 // mine tells whether an arrival is this loop's.
 func (w *loop) mine(t *arrival.Request) bool {
 	l := &w.d.load
-	if int(t.N/uint64(l.Of))%l.Loops != w.k {
+	if int(t.Number/uint64(l.ShardCount))%l.Loops != w.k {
 		return false
 	}
 	if l.Owns != nil {
 		return l.Owns(t)
 	}
-	return arrival.Shard(t.N, l.Of) == l.Shard
+	return arrival.Shard(t.Number, l.ShardCount) == l.Shard
 }
 
 // nap is the longest that a loop sleeps without looking at its inbox when it waits for a time that is close; longer
@@ -360,7 +361,7 @@
 
 func (w *loop) Send(s client.Session, a *client.Attempt) {
 	c := w.conns[s]
-	lane := &w.d.load.Lanes[a.Request.Lane]
+	lane := &w.d.load.Classes[a.Request.Class]
 	w.buffer = query(w.buffer[:0], lane, a)
 	c.slow.Store(a.Slow)
 	c.expect.Store(a.ID)
--- a/internal/testbed/load/driver/driver_test.go
+++ b/internal/testbed/load/driver/driver_test.go
@@ -22,9 +22,9 @@
 
 func load(f *fake.Frontend) Load {
 	return Load{Targets: []string{f.Address}, Shape: &arrival.Shape{Kind: arrival.Steady, Rate: 400},
-		Lanes: []arrival.Class{{Name: "look", Share: 1, Statements: []string{"SELECT {literal} FROM actas_{group}.mesas"}, Groups: 3,
-			Quoted: time.Second, Patience: 3 * time.Second}},
-		Manners: client.Behavior{Reused: 1, Tries: 1}, Seed: 1, Length: time.Second, Loops: 2, CheckRows: true}
+		Classes: []arrival.Class{{Name: "look", Share: 1, Statements: []string{"SELECT {literal} FROM actas_{group}.mesas"}, Groups: 3,
+			LatencyObjective: time.Second, MaxWait: 3 * time.Second}},
+		Behavior: client.Behavior{PooledShare: 1, MaxAttempts: 1}, Seed: 1, Length: time.Second, Loops: 2, CheckRows: true}
 }
 
 func play(t *testing.T, l Load) *stats.Metrics {
@@ -42,14 +42,14 @@
 
 // Every kind of session, and odd clients among them; each request has one outcome and no rule is broken.
 func TestSessions(t *testing.T) {
-	for _, m := range []client.Behavior{{Reused: 1}, {Kept: 1, Connections: 300}, {}, {Reused: 0.5, Kept: 0.3, Connections: 8},
-		{Reused: 1, Slow: 0.02, Leave: 0.1, Mute: 0.02}} {
-		m.Tries = 1
+	for _, m := range []client.Behavior{{PooledShare: 1}, {HeldOpenShare: 1, Connections: 300}, {}, {PooledShare: 0.5, HeldOpenShare: 0.3, Connections: 8},
+		{PooledShare: 1, SlowShare: 0.02, LeavingShare: 0.1, SilentShare: 0.02}} {
+		m.MaxAttempts = 1
 		l := load(front(t, fake.Work{Rows: 30, Service: fake.ServiceTime{Mean: 2 * time.Millisecond}}))
-		l.Manners = m
+		l.Behavior = m
 		f := play(t, l)
-		if len(f.Breach) > 0 || f.Count(client.Served)+f.Odd.Offered != 400 {
-			t.Errorf("%+v: %d delivered, %d odd, %v", m, f.Count(client.Served), f.Odd.Offered, f.Breach)
+		if len(f.Violations) > 0 || f.Count(client.Served)+f.Misbehaving.Offered != 400 {
+			t.Errorf("%+v: %d delivered, %d odd, %v", m, f.Count(client.Served), f.Misbehaving.Offered, f.Violations)
 		}
 	}
 }
@@ -68,8 +68,8 @@
 	} {
 		f := front(t, fake.Work{Rows: 2, Service: fake.ServiceTime{Mean: 60 * time.Millisecond}})
 		c.spoil(f)
-		if got := play(t, load(f)); got.Breach[c.want] != 10 || len(got.Breach) != 1 {
-			t.Errorf("%s: %v", c.name, got.Breach)
+		if got := play(t, load(f)); got.Violations[c.want] != 10 || len(got.Violations) != 1 {
+			t.Errorf("%s: %v", c.name, got.Violations)
 		}
 	}
 }
@@ -84,8 +84,8 @@
 		f.Resume()
 	}()
 	got := play(t, load(f))
-	if got.Seconds[0].Offered != 400 || got.Lanes[0].Quantile(client.Served, 0.8) < 200*time.Millisecond {
-		t.Errorf("%d offered, p80 %v", got.Seconds[0].Offered, got.Lanes[0].Quantile(client.Served, 0.8))
+	if got.Seconds[0].Offered != 400 || got.Classes[0].Quantile(client.Served, 0.8) < 200*time.Millisecond {
+		t.Errorf("%d offered, p80 %v", got.Seconds[0].Offered, got.Classes[0].Quantile(client.Served, 0.8))
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	defer dumb.Close()
 	l.Targets = []string{dumb.Addr().String()}
-	l.Lanes[0].Patience = 200 * time.Millisecond
+	l.Classes[0].MaxWait = 200 * time.Millisecond
 	if got := play(t, l); got.Count(client.TimedOut) != 400 {
 		t.Errorf("nothing is said: %d gave up", got.Count(client.TimedOut))
 	}
--- a/internal/testbed/load/experiment/experiment_test.go
+++ b/internal/testbed/load/experiment/experiment_test.go
@@ -44,17 +44,17 @@
 		fmt.Println(err)
 	}
 	// Output:
-	// x.jsonnet:1: classes: expected at least one class, found nothing
+	// x.jsonnet:1: lanes: expected at least one lane, found nothing
 	// x.jsonnet:1: load: expected a shape, found nothing
 	// x.jsonnet:1: site: expected one of site, front: true, and targets, found nothing
 	// x.jsonnet:1: length: expected a time above 0, found nothing
 	// x.jsonnet:1: length: expected a time with its unit, as in "250ms" or "1m30s", found 5
-	// x.jsonnet:1: classes[0].attempt timeout: expected a time with its unit, as in "250ms" or "1m30s", found "5"
+	// x.jsonnet:1: lanes[0].patience: expected a time with its unit, as in "250ms" or "1m30s", found "5"
 	// x.jsonnet:1: load.dwell: expected a time above 0, found 0s
 	// x.jsonnet:2: script[0].do: expected "pause" (the nearest of accept, break-list, drain, fail, gone, hold-list, kill, mend-list, pause, ready, refuse, reload, reset, resume, silent, slow, speak, start, stop), found "puase"
 	// x.jsonnet:1: load.dwell: expected a time above 0, found 0s
 	// x.jsonnet:1: targets: expected addresses on loopback, found ["10.0.0.1:3306"]
-	// x.jsonnet:2: bounds.goals[0].class: expected the name of a class, found "b"
+	// x.jsonnet:2: bounds.goals[0].lane: expected the name of a lane, found "b"
 	// x.jsonnet:3: bounds.allow: expected names of outcomes, as in "given up", found ["gone"]
 	// x.jsonnet:1: load.trace: expected a trace that can be read (open none.trace: no such file or directory), found "none.trace"
 }
@@ -78,7 +78,7 @@
 		}
 	}
 	fmt.Println(len(tasks), "tasks, 50 of them slow; a closed loop sees", len(seen), "and", slow)
-	// Output: 100 requests, 50 of them slow; a closed loop sees 51 and 1
+	// Output: 100 tasks, 50 of them slow; a closed loop sees 51 and 1
 }
 
 const short = `{
--- a/internal/testbed/load/experiment/judge.go
+++ b/internal/testbed/load/experiment/judge.go
@@ -22,14 +22,14 @@
 	f.RecordMissing(r.Scheduled - r.NotSent - r.Unknown)
 	own := f.GeneratorDelayQuantile(0.99)
 	word := "in time"
-	if own > b.Own {
+	if own > b.GeneratorDelay {
 		word = "late"
 	}
-	r.judge("generator", own <= b.Own, "%s: its own delay is %v at p99 and %v at most; the bound is %v at p99; "+
-		"waits for a connection under its limit %v at p99", word, own, f.GeneratorDelayQuantile(1), b.Own, f.QueueDelayQuantile(0.99))
-	if b.Queued > 0 {
-		r.judge("connections", f.QueueDelayQuantile(0.99) <= b.Queued, "waits for a connection under the limit are %v at p99, the bound is %v",
-			f.QueueDelayQuantile(0.99), b.Queued)
+	r.judge("generator", own <= b.GeneratorDelay, "%s: its own delay is %v at p99 and %v at most; the bound is %v at p99; "+
+		"waits for a connection under its limit %v at p99", word, own, f.GeneratorDelayQuantile(1), b.GeneratorDelay, f.QueueDelayQuantile(0.99))
+	if b.QueueDelay > 0 {
+		r.judge("connections", f.QueueDelayQuantile(0.99) <= b.QueueDelay, "waits for a connection under the limit are %v at p99, the bound is %v",
+			f.QueueDelayQuantile(0.99), b.QueueDelay)
 	}
 	worst, second := 0.0, 0
 	for i, want := range r.bySecond {
@@ -60,28 +60,28 @@
 		}
 	}
 	broken := ""
-	kinds := make([]string, 0, len(f.Breach))
-	for kind := range f.Breach {
+	kinds := make([]string, 0, len(f.Violations))
+	for kind := range f.Violations {
 		kinds = append(kinds, kind)
 	}
 	sort.Strings(kinds)
 	for _, kind := range kinds {
 		if !allowed[kind] {
-			broken += fmt.Sprintf("; %s: %d (task %d first)", kind, f.Breach[kind], f.Example[kind])
+			broken += fmt.Sprintf("; %s: %d (task %d first)", kind, f.Violations[kind], f.Examples[kind])
 		}
 	}
 	r.judge("rules", broken == "", "one whole answer a task%s", broken)
-	if log != nil && e.Site != nil {
+	if log != nil && e.Installation != nil {
 		twice, lanes := 0, map[string]bool{}
-		for i, l := range e.Site.Classes {
-			lanes[e.Lanes[i].Name] = l.Effect == "unrepeatable"
+		for i, l := range e.Installation.Classes {
+			lanes[e.Classes[i].Name] = l.Effect == "unrepeatable"
 		}
 		r.eachTask(e, func(t *arrival.Request) {
-			if !lanes[e.Lanes[t.Lane].Name] {
+			if !lanes[e.Classes[t.Class].Name] {
 				return
 			}
-			for try := 1; try <= e.Manners.Tries; try++ {
-				if got, ok := log.Find(wireID(e.Seed, t.N, try)); ok && got.Starts > 1 {
+			for try := 1; try <= e.Behavior.MaxAttempts; try++ {
+				if got, ok := log.Find(wireID(e.Seed, t.Number, try)); ok && got.Starts > 1 {
 					twice++
 				}
 			}
@@ -89,14 +89,14 @@
 		r.judge("effects", twice == 0, "%d tries of unrepeatable tasks began to run more than once", twice)
 	}
 	for _, g := range b.Goals {
-		l := &f.Lanes[e.laneIndex(g.Lane)]
+		l := &f.Classes[e.laneIndex(g.Class)]
 		if g.Quantile > 0 {
 			got := l.Quantile(client.Served, g.Quantile)
-			r.judge("goal "+g.Lane, got <= g.Within, "p%g is %v, the goal %v", 100*g.Quantile, got, g.Within)
+			r.judge("goal "+g.Class, got <= g.Within, "p%g is %v, the goal %v", 100*g.Quantile, got, g.Within)
 		}
 		if g.Share > 0 {
 			share := float64(l.Outcomes[client.Served].TotalCount()) / math.Max(1, float64(l.Offered))
-			r.judge("goal "+g.Lane, share >= g.Share, "%.2f%% delivered, the goal %.2f%%", 100*share, 100*g.Share)
+			r.judge("goal "+g.Class, share >= g.Share, "%.2f%% delivered, the goal %.2f%%", 100*share, 100*g.Share)
 		}
 	}
 	if b.CheckTruth && log != nil {
@@ -110,7 +110,7 @@
 }
 
 func (r *Result) eachTask(e *Experiment, f func(*arrival.Request)) {
-	s, err := arrival.NewSchedule(&e.Shape, e.Lanes, e.Seed, e.Length)
+	s, err := arrival.NewSchedule(&e.Shape, e.Classes, e.Seed, e.Length)
 	if err != nil {
 		return // it was made before
 	}
@@ -121,12 +121,12 @@
 
 // Comparison holds one class's reported latencies against the true ones.
 type Comparison struct {
-	Lane   string `json:"lane"`
-	Tasks  int    `json:"tasks"`
-	Hidden int    `json:"hidden"` // requests that a closed loop would not have sent
-	Users  int    `json:"closed_loop_users"`
-	Rows   []Row  `json:"rows"`
-	Good   bool   `json:"good"`
+	Class    string `json:"lane"`
+	Requests int    `json:"tasks"`
+	Hidden   int    `json:"hidden"` // requests that a closed loop would not have sent
+	Users    int    `json:"closed_loop_users"`
+	Rows     []Row  `json:"rows"`
+	Good     bool   `json:"good"`
 }
 
 // Row is one quantile of a comparison.
@@ -146,19 +146,19 @@
 	r.truths = map[int][]truthTask{}
 	unanswered := 0
 	r.eachTask(e, func(t *arrival.Request) {
-		for try := max(1, e.Manners.Tries); try >= 1; try-- {
-			got, ok := log.Find(wireID(e.Seed, t.N, try))
+		for try := max(1, e.Behavior.MaxAttempts); try >= 1; try-- {
+			got, ok := log.Find(wireID(e.Seed, t.Number, try))
 			if !ok || got.AnsweredAt.IsZero() || got.Answer != "data" {
 				continue
 			}
-			r.truths[t.Lane] = append(r.truths[t.Lane], truthTask{t.At, got.AnsweredAt.Sub(r.Began) - t.At})
+			r.truths[t.Class] = append(r.truths[t.Class], truthTask{t.At, got.AnsweredAt.Sub(r.Began) - t.At})
 			return
 		}
 		unanswered++
 	})
 	good := true
-	for lane := range e.Lanes {
-		c := compareLane(&r.Figures.Lanes[lane], r.truths[lane], &e.Bounds)
+	for lane := range e.Classes {
+		c := compareLane(&r.Figures.Classes[lane], r.truths[lane], &e.Bounds)
 		good = good && c.Good
 		r.Truth = append(r.Truth, c)
 	}
@@ -169,7 +169,7 @@
 var compared = []float64{0.5, 0.9, 0.99, 0.999, 1}
 
 func compareLane(l *stats.ClassMetrics, tasks []truthTask, b *Bounds) Comparison {
-	c := Comparison{Lane: l.Name, Tasks: len(tasks), Good: int64(len(tasks)) == l.Outcomes[client.Served].TotalCount()}
+	c := Comparison{Class: l.Name, Requests: len(tasks), Good: int64(len(tasks)) == l.Outcomes[client.Served].TotalCount()}
 	all := make([]time.Duration, len(tasks))
 	for i, t := range tasks {
 		all[i] = t.latency
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -19,21 +19,21 @@
 
 // Experiment is what a file says.
 type Experiment struct {
-	Name    string
-	Seed    int64
-	Length  time.Duration
-	Shape   arrival.Shape
-	Lanes   []arrival.Class
-	Manners client.Behavior
-	Works   []fake.Work
-	Site    *installation.Plan // gateways between fakes; nil: none are started
-	Front   bool               // a fake for the gateway takes the load
-	Targets []string           // or addresses that are there
-	Script  []Step
-	Bounds  Bounds
-	Loops   int
-	Workers int // processes that send; 0: this one
-	OnLoss  string
+	Name         string
+	Seed         int64
+	Length       time.Duration
+	Shape        arrival.Shape
+	Classes      []arrival.Class
+	Behavior     client.Behavior
+	Works        []fake.Work
+	Installation *installation.Plan // gateways between fakes; nil: none are started
+	FakeFrontend bool               // a fake for the gateway takes the load
+	Targets      []string           // or addresses that are there
+	Script       []Step
+	Bounds       Bounds
+	Loops        int
+	Workers      int // processes that send; 0: this one
+	OnLoss       string
 }
 
 // Step is something that happens to the installation at a time.
@@ -62,20 +62,20 @@
 
 // Bounds are what a run must keep to be called good.
 type Bounds struct {
-	Own         time.Duration    // of the generator's own delay at p99
-	Queued      time.Duration    // of waits for a connection under the limit at p99; 0: they are clients' own affair
-	Offered     float64          // share by which what was offered may miss the schedule
-	Truth       float64          // share by which reported quantiles may miss the true ones,
-	TruthLeast  time.Duration    // or this, whichever is larger
-	Allow       []client.Outcome // that would break a rule otherwise
-	Goals       []Goal
-	CheckTruth  bool
-	ClosedUsers int // that read the run the closed-loop way; 0: as many as it holds at its median
+	GeneratorDelay time.Duration    // of the generator's own delay at p99
+	QueueDelay     time.Duration    // of waits for a connection under the limit at p99; 0: they are clients' own affair
+	Offered        float64          // share by which what was offered may miss the schedule
+	Truth          float64          // share by which reported quantiles may miss the true ones,
+	TruthLeast     time.Duration    // or this, whichever is larger
+	Allow          []client.Outcome // that would break a rule otherwise
+	Goals          []Goal
+	CheckTruth     bool
+	ClosedUsers    int // that read the run the closed-loop way; 0: as many as it holds at its median
 }
 
 // Goal is a quantile that a class must reach.
 type Goal struct {
-	Lane     string
+	Class    string
 	Quantile float64
 	Within   time.Duration
 	Share    float64 // of the class's requests that are served; 0: not asked
@@ -115,7 +115,7 @@
 	for _, l := range o.Objects("lanes") {
 		e.lane(l, &siteLanes)
 	}
-	if len(e.Lanes) == 0 {
+	if len(e.Classes) == 0 {
 		o.Reject("lanes", "at least one lane")
 	}
 	if shape := o.Object("load"); shape != nil {
@@ -127,21 +127,21 @@
 		o.Reject("load", "a shape")
 	}
 	if c := o.Object("clients"); c != nil {
-		e.Manners = manners(c)
+		e.Behavior = manners(c)
 	} else {
-		e.Manners = client.Behavior{Reused: 1, Tries: 1}
+		e.Behavior = client.Behavior{PooledShare: 1, MaxAttempts: 1}
 	}
 	if s := o.Object("site"); s != nil {
-		e.Site = decodeSite(s, siteLanes, e.Works, e.Seed)
+		e.Installation = decodeSite(s, siteLanes, e.Works, e.Seed)
 	}
-	e.Front = o.Bool("front", false)
+	e.FakeFrontend = o.Bool("front", false)
 	for _, s := range o.Objects("script") {
 		step := Step{At: s.Duration("at", 0), Do: s.RequiredText("do"), Which: s.Text("which", "all"), Share: s.Number("share", 0, 0, 100)}
 		kind, ok := verbs[step.Do]
 		if !ok {
 			s.OneOf("do", "", slices.Sorted(maps.Keys(verbs))...)
 		}
-		if step.verbFor = kind; e.Front && kind == ofEngines {
+		if step.verbFor = kind; e.FakeFrontend && kind == ofEngines {
 			if step.verbFor = ofFront; ok && step.Do != "pause" && step.Do != "resume" {
 				s.Reject("do", "pause or resume, as there is no site")
 			}
@@ -150,7 +150,7 @@
 	}
 	e.bounds(o.Object("bounds"))
 	there := 0
-	for _, is := range []bool{e.Site != nil, e.Front, len(e.Targets) > 0} {
+	for _, is := range []bool{e.Installation != nil, e.FakeFrontend, len(e.Targets) > 0} {
 		if is {
 			there++
 		}
@@ -173,14 +173,14 @@
 }
 
 func (e *Experiment) lane(l *configfile.Object, lanes *[]installation.Class) {
-	a := arrival.Class{Name: l.RequiredText("name"), As: l.Text("as", ""), Share: l.Number("share", 1, 0, 1e6), Statements: l.Texts("statements"),
+	a := arrival.Class{Name: l.RequiredText("name"), GatewayClass: l.Text("as", ""), Share: l.Number("share", 1, 0, 1e6), Statements: l.Texts("statements"),
 		Groups: l.Int("groups", 1, 1, 1<<20), Zipf: l.Number("zipf", 0, 0, 10), Literals: l.Int("literals", 0, 0, 1<<30),
-		Quoted: l.Duration("quoted", time.Second), Patience: l.Duration("patience", 5*time.Second),
+		LatencyObjective: l.Duration("quoted", time.Second), MaxWait: l.Duration("patience", 5*time.Second),
 		MarkRetry: l.Bool("mark_retry", true)}
-	s := installation.Class{Name: a.Name, LatencyObjective: a.Quoted, MaxWait: a.Patience, Weight: l.Number("earnings", 1, 0, 1e6),
+	s := installation.Class{Name: a.Name, LatencyObjective: a.LatencyObjective, MaxWait: a.MaxWait, Weight: l.Number("earnings", 1, 0, 1e6),
 		LateShare: l.Fraction("late", 0), Effect: l.OneOf("effect", "idempotent", "idempotent", "deduplicated", "unrepeatable"),
 		Threads: l.Int("threads", 1, 1, 64), Load: l.Bool("loads", false), HeldByLoads: l.Bool("held_by_loads", false)}
-	a.Repeat = l.Bool("repeat", s.Effect == "idempotent")
+	a.Idempotent = l.Bool("repeat", s.Effect == "idempotent")
 	if len(a.Statements) == 0 {
 		a.Statements = []string{"SELECT dia, count(*), max(nota) FROM actas_{group}.mesas WHERE clave = '{literal}' GROUP BY dia"}
 	}
@@ -200,10 +200,10 @@
 		e.Works = append(e.Works, h)
 	}
 	e.Works = append(e.Works, w)
-	e.Lanes = append(e.Lanes, a)
-	if a.As == "" {
+	e.Classes = append(e.Classes, a)
+	if a.GatewayClass == "" {
 		*lanes = append(*lanes, s)
-	} else if !slices.ContainsFunc(*lanes, func(o installation.Class) bool { return o.Name == a.As }) {
+	} else if !slices.ContainsFunc(*lanes, func(o installation.Class) bool { return o.Name == a.GatewayClass }) {
 		l.Reject("as", "the name of a lane before it")
 	}
 }
@@ -246,7 +246,7 @@
 				o.Reject("trace", fmt.Sprintf("tasks of lanes that the experiment names; the trace has lane %q", r.Class))
 				return s
 			}
-			s.Marks = append(s.Marks, arrival.Mark{Lane: lane, Group: r.Group})
+			s.Marks = append(s.Marks, arrival.Mark{Class: lane, Group: r.Group})
 		}
 		if speed := o.Number("speed", 1, 1e-3, 1e3); speed != 1 {
 			for i := range s.Times {
@@ -258,12 +258,12 @@
 }
 
 func manners(c *configfile.Object) client.Behavior {
-	return client.Behavior{Connections: c.Int("connections", 0, 0, 1<<20), Reused: c.Fraction("reused", 1), Kept: c.Fraction("kept", 0),
-		Idle: c.Duration("idle", 4*time.Second), Tries: c.Int("tries", 1, 1, 60), BackOff: c.Duration("back_off", 100*time.Millisecond),
-		MostBackOff: c.Duration("most_back_off", 2*time.Second), Jitter: c.Fraction("jitter", 0.5), Honour: c.Fraction("honour", 1),
-		Budget: c.Number("budget", 0.2, 0, 10), BudgetFree: c.Int("budget_free", 10, 0, 1<<20),
-		BudgetWindow: c.Duration("budget_window", 10*time.Second),
-		Slow:         c.Fraction("slow", 0), Leave: c.Fraction("leave", 0), Mute: c.Fraction("mute", 0)}
+	return client.Behavior{Connections: c.Int("connections", 0, 0, 1<<20), PooledShare: c.Fraction("reused", 1), HeldOpenShare: c.Fraction("kept", 0),
+		IdleTimeout: c.Duration("idle", 4*time.Second), MaxAttempts: c.Int("tries", 1, 1, 60), Backoff: c.Duration("back_off", 100*time.Millisecond),
+		MaxBackoff: c.Duration("most_back_off", 2*time.Second), Jitter: c.Fraction("jitter", 0.5), HonorRetryAfter: c.Fraction("honour", 1),
+		RetryRatio: c.Number("budget", 0.2, 0, 10), RetryBurst: c.Int("budget_free", 10, 0, 1<<20),
+		RetryWindow: c.Duration("budget_window", 10*time.Second),
+		SlowShare:   c.Fraction("slow", 0), LeavingShare: c.Fraction("leave", 0), SilentShare: c.Fraction("mute", 0)}
 }
 
 func decodeSite(s *configfile.Object, lanes []installation.Class, works []fake.Work, seed int64) *installation.Plan {
@@ -280,13 +280,13 @@
 }
 
 func (e *Experiment) bounds(b *configfile.Object) {
-	e.Bounds = Bounds{Own: usualOwn, Offered: usualOffered, Truth: usualTruth, TruthLeast: time.Millisecond}
+	e.Bounds = Bounds{GeneratorDelay: usualOwn, Offered: usualOffered, Truth: usualTruth, TruthLeast: time.Millisecond}
 	if b == nil {
 		return
 	}
 	v := &e.Bounds
-	v.Own = b.Duration("own", v.Own)
-	v.Queued = b.Duration("queued", 0)
+	v.GeneratorDelay = b.Duration("own", v.GeneratorDelay)
+	v.QueueDelay = b.Duration("queued", 0)
 	v.Offered = b.Fraction("offered", v.Offered)
 	v.CheckTruth = b.Bool("check_truth", false)
 	v.Truth = b.Fraction("truth", v.Truth)
@@ -304,9 +304,9 @@
 		}
 	}
 	for _, g := range b.Objects("goals") {
-		goal := Goal{Lane: g.RequiredText("lane"), Quantile: g.Fraction("quantile", 0), Within: g.Duration("within", 0),
+		goal := Goal{Class: g.RequiredText("lane"), Quantile: g.Fraction("quantile", 0), Within: g.Duration("within", 0),
 			Share: g.Fraction("delivered", 0)}
-		if e.laneIndex(goal.Lane) < 0 {
+		if e.laneIndex(goal.Class) < 0 {
 			g.Reject("lane", "the name of a lane")
 		}
 		v.Goals = append(v.Goals, goal)
@@ -314,7 +314,7 @@
 }
 
 func (e *Experiment) laneIndex(name string) int {
-	for i, l := range e.Lanes {
+	for i, l := range e.Classes {
 		if l.Name == name {
 			return i
 		}
--- a/internal/testbed/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -98,20 +98,20 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	l := driver.Load{Targets: e.Targets, Shape: &e.Shape, Lanes: e.Lanes, Manners: e.Manners, Seed: e.Seed, Length: e.Length,
-		Loops: e.Loops, CheckRows: e.Site != nil || e.Front}
+	l := driver.Load{Targets: e.Targets, Shape: &e.Shape, Classes: e.Classes, Behavior: e.Behavior, Seed: e.Seed, Length: e.Length,
+		Loops: e.Loops, CheckRows: e.Installation != nil || e.FakeFrontend}
 	var s *installation.Installation
 	var front *fake.Frontend
 	var log *fake.ExecutionLog
 	var err error
 	switch {
-	case e.Site != nil:
-		if s, err = installation.Start(*e.Site, folder); err != nil {
+	case e.Installation != nil:
+		if s, err = installation.Start(*e.Installation, folder); err != nil {
 			return nil, err
 		}
 		defer s.Stop()
 		l.Targets, log = s.Targets(), s.Log
-	case e.Front:
+	case e.FakeFrontend:
 		if e.Bounds.CheckTruth {
 			log = fake.NewExecutionLog()
 		}
@@ -212,7 +212,7 @@
 
 // schedule counts what the schedule holds, second by second.
 func (r *Result) schedule(e *Experiment) error {
-	s, err := arrival.NewSchedule(&e.Shape, e.Lanes, e.Seed, e.Length)
+	s, err := arrival.NewSchedule(&e.Shape, e.Classes, e.Seed, e.Length)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/load/stats/metrics.go
+++ b/internal/testbed/load/stats/metrics.go
@@ -32,11 +32,11 @@
 
 // Second is what was intended within one second, and what became of it.
 type Second struct {
-	Offered  int64
-	Outcomes [client.OutcomeCount]int64
-	Worst    time.Duration // latency of an answer
-	WorstN   uint64        // and the request's number
-	latency  *hdrhistogram.Histogram
+	Offered      int64
+	Outcomes     [client.OutcomeCount]int64
+	Worst        time.Duration // latency of an answer
+	WorstRequest uint64        // and the request's number
+	latency      *hdrhistogram.Histogram
 }
 
 // Quantile is the latency of the second's served requests.
@@ -44,13 +44,13 @@
 
 // ClassMetrics is one class's figures.
 type ClassMetrics struct {
-	Name     string
-	Quoted   time.Duration
-	Offered  int64
-	Quick    int64 // served within the latency objective
-	Tries    int64
-	Outcomes [client.OutcomeCount]*hdrhistogram.Histogram
-	Closed   *hdrhistogram.Histogram // served ones as a closed loop would count them: from when they were sent
+	Name             string
+	LatencyObjective time.Duration
+	Offered          int64
+	WithinObjective  int64 // served within the latency objective
+	Attempts         int64
+	Outcomes         [client.OutcomeCount]*hdrhistogram.Histogram
+	ClosedLoop       *hdrhistogram.Histogram // served ones as a closed loop would count them: from when they were sent
 }
 
 // Quantile is the latency of a class's requests of one outcome.
@@ -67,30 +67,30 @@
 
 // Metrics are those of one run, or of a part of it; parts are merged.
 type Metrics struct {
-	Lanes   []ClassMetrics
-	Odd     ClassMetrics // of clients that are slow, leave or are mute
-	Seconds []Second
-	Own     *hdrhistogram.Histogram // the generator's own part of each latency
-	Queued  *hdrhistogram.Histogram // and what was spent waiting for a connection under the limit
-	Breach  map[string]int64        // broken rules by kind
-	Example map[string]uint64       // and a request for each
+	Classes        []ClassMetrics
+	Misbehaving    ClassMetrics // of clients that are slow, leave or are mute
+	Seconds        []Second
+	GeneratorDelay *hdrhistogram.Histogram // the generator's own part of each latency
+	QueueDelay     *hdrhistogram.Histogram // and what was spent waiting for a connection under the limit
+	Violations     map[string]int64        // broken rules by kind
+	Examples       map[string]uint64       // and a request for each
 
 	seen map[uint64]uint64 // a bit for each request that has its outcome
 }
 
 // New is empty figures for classes with these names and quoted times.
 func New(names []string, quoted []time.Duration) *Metrics {
-	f := &Metrics{Own: histogram(digits), Queued: histogram(digits), Breach: map[string]int64{}, Example: map[string]uint64{},
+	f := &Metrics{GeneratorDelay: histogram(digits), QueueDelay: histogram(digits), Violations: map[string]int64{}, Examples: map[string]uint64{},
 		seen: map[uint64]uint64{}}
 	for i, name := range names {
-		f.Lanes = append(f.Lanes, newLane(name, quoted[i]))
+		f.Classes = append(f.Classes, newLane(name, quoted[i]))
 	}
-	f.Odd = newLane("odd clients", 0)
+	f.Misbehaving = newLane("odd clients", 0)
 	return f
 }
 
 func newLane(name string, quoted time.Duration) ClassMetrics {
-	l := ClassMetrics{Name: name, Quoted: quoted, Closed: histogram(digits)}
+	l := ClassMetrics{Name: name, LatencyObjective: quoted, ClosedLoop: histogram(digits)}
 	for o := range l.Outcomes {
 		l.Outcomes[o] = histogram(digits)
 	}
@@ -110,9 +110,9 @@
 
 func (f *Metrics) lane(lane int, odd bool) *ClassMetrics {
 	if odd {
-		return &f.Odd
+		return &f.Misbehaving
 	}
-	return &f.Lanes[lane]
+	return &f.Classes[lane]
 }
 
 // RecordOffered counts a request that was handed to a client.
@@ -130,26 +130,26 @@
 
 // RecordViolation counts a broken rule.
 func (f *Metrics) RecordViolation(kind string, n uint64) {
-	if f.Breach[kind]++; f.Breach[kind] == 1 {
-		f.Example[kind] = n
+	if f.Violations[kind]++; f.Violations[kind] == 1 {
+		f.Examples[kind] = n
 	}
 }
 
 // RecordFinished counts a request's outcome. sent is when its last attempt was written, for the closed-loop reading.
 func (f *Metrics) RecordFinished(r *client.Report) {
-	n := r.Request.N
+	n := r.Request.Number
 	if f.HasOutcome(n) {
 		f.RecordViolation(ViolationTwoOutcomes, n)
 		return
 	}
 	f.seen[n/64] |= 1 << (n % 64)
-	latency := r.End - r.Request.At
-	l := f.lane(r.Request.Lane, r.Misbehaving)
+	latency := r.FinishedAt - r.Request.At
+	l := f.lane(r.Request.Class, r.Misbehaving)
 	l.Offered++
-	l.Tries += int64(r.Attempts)
+	l.Attempts += int64(r.Attempts)
 	record(l.Outcomes[r.Outcome], latency)
-	record(f.Own, r.GeneratorDelay)
-	record(f.Queued, r.QueueDelay)
+	record(f.GeneratorDelay, r.GeneratorDelay)
+	record(f.QueueDelay, r.QueueDelay)
 	if r.Misbehaving {
 		return
 	}
@@ -164,13 +164,13 @@
 	s := f.second(r.Request.At)
 	s.Outcomes[r.Outcome]++
 	if r.Outcome == client.Served {
-		if latency <= l.Quoted {
-			l.Quick++
+		if latency <= l.LatencyObjective {
+			l.WithinObjective++
 		}
-		record(l.Closed, r.End-r.Sent)
+		record(l.ClosedLoop, r.FinishedAt-r.SentAt)
 		record(s.latency, latency)
 		if latency > s.Worst {
-			s.Worst, s.WorstN = latency, n
+			s.Worst, s.WorstRequest = latency, n
 		}
 	}
 }
@@ -185,38 +185,38 @@
 		have += int64(bits.OnesCount64(word))
 	}
 	if missing := offered - have; missing > 0 {
-		f.Breach[ViolationNoOutcome] += missing
+		f.Violations[ViolationNoOutcome] += missing
 	}
 }
 
 // Total is how many requests have an outcome.
 func (f *Metrics) Total() (n int64) {
-	for i := range f.Lanes {
-		n += f.Lanes[i].Offered
+	for i := range f.Classes {
+		n += f.Classes[i].Offered
 	}
-	return n + f.Odd.Offered
+	return n + f.Misbehaving.Offered
 }
 
 // Count is how many requests of the usual clients had an outcome.
 func (f *Metrics) Count(o client.Outcome) (n int64) {
-	for i := range f.Lanes {
-		n += f.Lanes[i].Outcomes[o].TotalCount()
+	for i := range f.Classes {
+		n += f.Classes[i].Outcomes[o].TotalCount()
 	}
 	return n
 }
 
 // Merge adds the figures of another part. A request that both have counts as one with two outcomes.
 func (f *Metrics) Merge(g *Metrics) error {
-	if len(f.Lanes) != len(g.Lanes) {
-		return fmt.Errorf("figures of %d lanes and of %d can't be merged", len(f.Lanes), len(g.Lanes))
+	if len(f.Classes) != len(g.Classes) {
+		return fmt.Errorf("figures of %d lanes and of %d can't be merged", len(f.Classes), len(g.Classes))
 	}
-	for i := range f.Lanes {
-		if f.Lanes[i].Name != g.Lanes[i].Name {
-			return fmt.Errorf("figures of lanes %q and %q can't be merged", f.Lanes[i].Name, g.Lanes[i].Name)
+	for i := range f.Classes {
+		if f.Classes[i].Name != g.Classes[i].Name {
+			return fmt.Errorf("figures of lanes %q and %q can't be merged", f.Classes[i].Name, g.Classes[i].Name)
 		}
-		f.Lanes[i].merge(&g.Lanes[i])
+		f.Classes[i].merge(&g.Classes[i])
 	}
-	f.Odd.merge(&g.Odd)
+	f.Misbehaving.merge(&g.Misbehaving)
 	for i := range g.Seconds {
 		s, t := f.second(time.Duration(i)*time.Second), &g.Seconds[i]
 		s.Offered += t.Offered
@@ -224,17 +224,17 @@
 			s.Outcomes[o] += t.Outcomes[o]
 		}
 		if t.Worst > s.Worst {
-			s.Worst, s.WorstN = t.Worst, t.WorstN
+			s.Worst, s.WorstRequest = t.Worst, t.WorstRequest
 		}
 		s.latency.Merge(t.latency)
 	}
-	f.Own.Merge(g.Own)
-	f.Queued.Merge(g.Queued)
-	for kind, n := range g.Breach {
-		if f.Breach[kind] == 0 {
-			f.Example[kind] = g.Example[kind]
+	f.GeneratorDelay.Merge(g.GeneratorDelay)
+	f.QueueDelay.Merge(g.QueueDelay)
+	for kind, n := range g.Violations {
+		if f.Violations[kind] == 0 {
+			f.Examples[kind] = g.Examples[kind]
 		}
-		f.Breach[kind] += n
+		f.Violations[kind] += n
 	}
 	for word, set := range g.seen {
 		both := f.seen[word] & set
@@ -250,19 +250,21 @@
 
 func (l *ClassMetrics) merge(m *ClassMetrics) {
 	l.Offered += m.Offered
-	l.Quick += m.Quick
-	l.Tries += m.Tries
+	l.WithinObjective += m.WithinObjective
+	l.Attempts += m.Attempts
 	for o := range l.Outcomes {
 		l.Outcomes[o].Merge(m.Outcomes[o])
 	}
-	l.Closed.Merge(m.Closed)
+	l.ClosedLoop.Merge(m.ClosedLoop)
 }
 
 // GeneratorDelayQuantile is a quantile of the generator's own delay.
-func (f *Metrics) GeneratorDelayQuantile(q float64) time.Duration { return quantile(f.Own, q) }
+func (f *Metrics) GeneratorDelayQuantile(q float64) time.Duration {
+	return quantile(f.GeneratorDelay, q)
+}
 
 // QueueDelayQuantile is one of waits for a connection.
-func (f *Metrics) QueueDelayQuantile(q float64) time.Duration { return quantile(f.Queued, q) }
+func (f *Metrics) QueueDelayQuantile(q float64) time.Duration { return quantile(f.QueueDelay, q) }
 
 // The form in which figures are sent and kept: JSON, with histograms in the library's own compressed form.
 type (
@@ -322,7 +324,7 @@
 }
 
 func (l *ClassMetrics) form() formLane {
-	out := formLane{Name: l.Name, Quoted: l.Quoted, Offered: l.Offered, Quick: l.Quick, Tries: l.Tries, Closed: packed(l.Closed)}
+	out := formLane{Name: l.Name, Quoted: l.LatencyObjective, Offered: l.Offered, Quick: l.WithinObjective, Tries: l.Attempts, Closed: packed(l.ClosedLoop)}
 	for _, h := range l.Outcomes {
 		out.Outcomes = append(out.Outcomes, packed(h))
 	}
@@ -331,7 +333,7 @@
 
 func (l *ClassMetrics) read(f formLane) (err error) {
 	*l = newLane(f.Name, f.Quoted)
-	l.Offered, l.Quick, l.Tries = f.Offered, f.Quick, f.Tries
+	l.Offered, l.WithinObjective, l.Attempts = f.Offered, f.Quick, f.Tries
 	if len(f.Outcomes) != len(l.Outcomes) {
 		return fmt.Errorf("lane %q: expected %d outcomes, found %d", f.Name, len(l.Outcomes), len(f.Outcomes))
 	}
@@ -340,20 +342,20 @@
 			return err
 		}
 	}
-	l.Closed, err = unpacked(f.Closed, digits)
+	l.ClosedLoop, err = unpacked(f.Closed, digits)
 	return err
 }
 
 // MarshalJSON writes figures in the form in which they are sent and kept.
 func (f *Metrics) MarshalJSON() ([]byte, error) {
-	out := formFigures{V: formVersion, Odd: f.Odd.form(), Own: packed(f.Own), Queued: packed(f.Queued), Breach: f.Breach,
-		Example: f.Example, Seen: f.seen}
-	for i := range f.Lanes {
-		out.Lanes = append(out.Lanes, f.Lanes[i].form())
+	out := formFigures{V: formVersion, Odd: f.Misbehaving.form(), Own: packed(f.GeneratorDelay), Queued: packed(f.QueueDelay), Breach: f.Violations,
+		Example: f.Examples, Seen: f.seen}
+	for i := range f.Classes {
+		out.Lanes = append(out.Lanes, f.Classes[i].form())
 	}
 	for i := range f.Seconds {
 		s := &f.Seconds[i]
-		out.Seconds = append(out.Seconds, formSecond{s.Offered, s.Outcomes[:], s.Worst, s.WorstN, packed(s.latency)})
+		out.Seconds = append(out.Seconds, formSecond{s.Offered, s.Outcomes[:], s.Worst, s.WorstRequest, packed(s.latency)})
 	}
 	return json.Marshal(out)
 }
@@ -368,13 +370,13 @@
 		return fmt.Errorf("figures of form %d: expected form %d", in.V, formVersion)
 	}
 	*f = *New(nil, nil)
-	f.Lanes = make([]ClassMetrics, len(in.Lanes))
+	f.Classes = make([]ClassMetrics, len(in.Lanes))
 	for i := range in.Lanes {
-		if err := f.Lanes[i].read(in.Lanes[i]); err != nil {
+		if err := f.Classes[i].read(in.Lanes[i]); err != nil {
 			return err
 		}
 	}
-	if err := f.Odd.read(in.Odd); err != nil {
+	if err := f.Misbehaving.read(in.Odd); err != nil {
 		return err
 	}
 	for i := range in.Seconds {
@@ -382,21 +384,21 @@
 		if len(g.Outcomes) != client.OutcomeCount {
 			return fmt.Errorf("second %d: expected %d outcomes, found %d", i, client.OutcomeCount, len(g.Outcomes))
 		}
-		s := Second{Offered: g.Offered, Worst: g.Worst, WorstN: g.WorstN}
+		s := Second{Offered: g.Offered, Worst: g.Worst, WorstRequest: g.WorstN}
 		copy(s.Outcomes[:], g.Outcomes)
 		if s.latency, err = unpacked(g.Latency, digitsBySec); err != nil {
 			return err
 		}
 		f.Seconds = append(f.Seconds, s)
 	}
-	if f.Own, err = unpacked(in.Own, digits); err != nil {
+	if f.GeneratorDelay, err = unpacked(in.Own, digits); err != nil {
 		return err
 	}
-	if f.Queued, err = unpacked(in.Queued, digits); err != nil {
+	if f.QueueDelay, err = unpacked(in.Queued, digits); err != nil {
 		return err
 	}
 	if in.Breach != nil {
-		f.Breach, f.Example = in.Breach, in.Example
+		f.Violations, f.Examples = in.Breach, in.Example
 	}
 	if in.Seen != nil {
 		f.seen = in.Seen
--- a/internal/testbed/load/stats/metrics_test.go
+++ b/internal/testbed/load/stats/metrics_test.go
@@ -11,13 +11,13 @@
 
 func over(f *Metrics, n uint64, how client.Outcome, at, latency time.Duration) {
 	f.RecordOffered(at)
-	f.RecordFinished(&client.Report{Request: &arrival.Request{N: n, At: at}, Outcome: how, End: at + latency, Sent: at, Attempts: 1})
+	f.RecordFinished(&client.Report{Request: &arrival.Request{Number: n, At: at}, Outcome: how, FinishedAt: at + latency, SentAt: at, Attempts: 1})
 }
 
 func show(f *Metrics) {
-	l := &f.Lanes[0]
-	fmt.Printf("%d offered, %d quick, p50 %v, max %v; %d seconds, worst %v by task %d; %v\n", f.Total(), l.Quick,
-		l.Quantile(client.Served, 0.5), l.Quantile(client.Served, 1), len(f.Seconds), f.Seconds[0].Worst, f.Seconds[0].WorstN, f.Breach)
+	l := &f.Classes[0]
+	fmt.Printf("%d offered, %d quick, p50 %v, max %v; %d seconds, worst %v by task %d; %v\n", f.Total(), l.WithinObjective,
+		l.Quantile(client.Served, 0.5), l.Quantile(client.Served, 1), len(f.Seconds), f.Seconds[0].Worst, f.Seconds[0].WorstRequest, f.Violations)
 }
 
 // Parts are merged; a request that two parts have, and one that nobody has, are found.
@@ -43,9 +43,9 @@
 	// Output:
 	// <nil>
 	// <nil>
-	// 100 offered, 100 quick, p50 50.015ms, max 100.031ms; 1 seconds, worst 100ms by request 198; map[]
-	// 102 offered, 51 quick, p50 1.000447s, max 2.000895s; 1 seconds, worst 2s by request 199; map[a request had two outcomes:1 an answer whose rows are not whole:1]
+	// 100 offered, 100 quick, p50 50.015ms, max 100.031ms; 1 seconds, worst 100ms by task 198; map[]
+	// 102 offered, 51 quick, p50 1.000447s, max 2.000895s; 1 seconds, worst 2s by task 199; map[a task had two outcomes:1 an answer whose rows are not whole:1]
 	// <nil>
-	// 202 offered, 151 quick, p50 97.023ms, max 2.000895s; 1 seconds, worst 2s by request 199; map[a request had no outcome:4 a request had two outcomes:2 an answer whose rows are not whole:1]
-	// figures of form 2: expected form 1 figures of 1 classes and of 0 can't be merged
+	// 202 offered, 151 quick, p50 97.023ms, max 2.000895s; 1 seconds, worst 2s by task 199; map[a task had no outcome:4 a task had two outcomes:2 an answer whose rows are not whole:1]
+	// figures of form 2: expected form 1 figures of 1 lanes and of 0 can't be merged
 }
--- a/internal/testbed/load/workers/coordinator.go
+++ b/internal/testbed/load/workers/coordinator.go
@@ -119,9 +119,9 @@
 
 // Serve plays the run to its end.
 func (c *Coordinator) Serve() (*stats.Metrics, int64, int64, error) {
-	names, quoted := make([]string, len(c.run.Load.Lanes)), make([]time.Duration, len(c.run.Load.Lanes))
-	for i, l := range c.run.Load.Lanes {
-		names[i], quoted[i] = l.Name, l.Quoted
+	names, quoted := make([]string, len(c.run.Load.Classes)), make([]time.Duration, len(c.run.Load.Classes))
+	for i, l := range c.run.Load.Classes {
+		names[i], quoted[i] = l.Name, l.LatencyObjective
 	}
 	c.figures = stats.New(names, quoted)
 	c.links, c.got, c.open = make([]*link, c.run.Workers), make([]int64, c.run.Workers), make([]int64, c.run.Workers)
@@ -188,14 +188,14 @@
 // settle counts what nobody reported.
 func (c *Coordinator) settle() (notSent, unknown int64, err error) {
 	l := &c.run.Load
-	s, err := arrival.NewSchedule(l.Shape, l.Lanes, l.Seed, l.Length)
+	s, err := arrival.NewSchedule(l.Shape, l.Classes, l.Seed, l.Length)
 	if err != nil {
 		return 0, 0, err
 	}
 	for t, ok := s.Next(); ok; t, ok = s.Next() {
 		switch {
-		case c.figures.HasOutcome(t.N):
-		case c.skipped[t.N] || !c.muster.MayHaveBeenSent(t.N, t.At):
+		case c.figures.HasOutcome(t.Number):
+		case c.skipped[t.Number] || !c.muster.MayHaveBeenSent(t.Number, t.At):
 			notSent++
 		default:
 			unknown++
@@ -280,11 +280,11 @@
 		for ; len(payload) >= reportSize; payload = payload[reportSize:] {
 			unpackReport(payload, &r, &t)
 			c.got[w]++
-			if t.Lane >= len(c.figures.Lanes) {
+			if t.Class >= len(c.figures.Classes) {
 				continue
 			}
 			if r.Outcome == skipped {
-				c.skipped[t.N] = true
+				c.skipped[t.Number] = true
 				continue
 			}
 			c.figures.RecordOffered(t.At)
--- a/internal/testbed/load/workers/registry.go
+++ b/internal/testbed/load/workers/registry.go
@@ -250,19 +250,19 @@
 // Assignment decides, for one worker, which requests are its own. Its loops ask from their goroutines; the view that they see
 // is changed as a whole.
 type Assignment struct {
-	Me, Workers int
-	Until       time.Duration // of the lease
-	Losses      []Loss
-	Took        []time.Duration // by loss: from when on this worker sends what came by it
+	Worker, Workers int
+	LeaseUntil      time.Duration // of the lease
+	Losses          []Loss
+	TakeoverFrom    []time.Duration // by loss: from when on this worker sends what came by it
 }
 
 // Owns tells whether a request is this worker's, and whether it would be but for the lease.
 func (s *Assignment) Owns(n uint64, at time.Duration) (mine, skipped bool) {
 	owner, by := Owner(n, at, s.Workers, s.Losses)
-	if owner != s.Me || by >= 0 && at < s.Took[by] {
+	if owner != s.Worker || by >= 0 && at < s.TakeoverFrom[by] {
 		return false, false
 	}
-	if at >= s.Until {
+	if at >= s.LeaseUntil {
 		return false, true
 	}
 	return true, false
@@ -271,14 +271,14 @@
 // WithLease is the share with a lease that a coordinator told.
 func (s *Assignment) WithLease(until time.Duration) *Assignment {
 	next := *s
-	next.Until = max(s.Until, until)
+	next.LeaseUntil = max(s.LeaseUntil, until)
 	return &next
 }
 
 // WithoutCoordinator is the share now that no coordinator is there, which is proven. With a lease that still runs this worker can't
 // have been given up, and another coordinator, which can't have begun yet, waits for Orphan before it does so.
 func (s *Assignment) WithoutCoordinator(now time.Duration) *Assignment {
-	if now >= s.Until {
+	if now >= s.LeaseUntil {
 		return s
 	}
 	return s.WithLease(now + OrphanPeriod)
@@ -292,11 +292,11 @@
 	}
 	n := *s
 	n.Losses = losses
-	n.Took = append([]time.Duration(nil), s.Took...)
+	n.TakeoverFrom = append([]time.Duration(nil), s.TakeoverFrom...)
 	took = map[int]time.Duration{}
-	for i := len(s.Took); i < len(losses); i++ {
+	for i := len(s.TakeoverFrom); i < len(losses); i++ {
 		from := max(losses[i].From, now+handover) // it may have passed some of them by already
-		n.Took = append(n.Took, from)
+		n.TakeoverFrom = append(n.TakeoverFrom, from)
 		took[i] = from
 	}
 	return &n, took
--- a/internal/testbed/load/workers/wire.go
+++ b/internal/testbed/load/workers/wire.go
@@ -107,7 +107,7 @@
 const skipped = 0xff
 
 func packReport(dst []byte, r *client.Report) []byte {
-	for _, v := range [...]int64{int64(r.Request.N), int64(r.Request.At), int64(r.End), int64(r.Sent), int64(r.GeneratorDelay), int64(r.QueueDelay),
+	for _, v := range [...]int64{int64(r.Request.Number), int64(r.Request.At), int64(r.FinishedAt), int64(r.SentAt), int64(r.GeneratorDelay), int64(r.QueueDelay),
 		int64(r.Attempts)} {
 		dst = binary.LittleEndian.AppendUint64(dst, uint64(v))
 	}
@@ -115,7 +115,7 @@
 	if r.Misbehaving {
 		odd = 1
 	}
-	return append(dst, byte(r.Outcome), byte(r.Request.Lane), odd, 0)
+	return append(dst, byte(r.Outcome), byte(r.Request.Class), odd, 0)
 }
 
 func packSkipped(dst []byte, t *arrival.Request) []byte {
@@ -124,7 +124,7 @@
 
 func unpackReport(b []byte, r *client.Report, t *arrival.Request) {
 	v := func(i int) int64 { return int64(binary.LittleEndian.Uint64(b[8*i:])) }
-	*t = arrival.Request{N: uint64(v(0)), At: time.Duration(v(1)), Lane: int(b[57])}
-	*r = client.Report{Request: t, End: time.Duration(v(2)), Sent: time.Duration(v(3)), GeneratorDelay: time.Duration(v(4)),
+	*t = arrival.Request{Number: uint64(v(0)), At: time.Duration(v(1)), Class: int(b[57])}
+	*r = client.Report{Request: t, FinishedAt: time.Duration(v(2)), SentAt: time.Duration(v(3)), GeneratorDelay: time.Duration(v(4)),
 		QueueDelay: time.Duration(v(5)), Attempts: int(v(6)), Outcome: client.Outcome(b[56]), Misbehaving: b[58] == 1}
 }
--- a/internal/testbed/load/workers/worker.go
+++ b/internal/testbed/load/workers/worker.go
@@ -68,7 +68,7 @@
 	defer tcp.Close()
 	h := hello{Run: w.run.ID, Worker: w.me}
 	if s := w.share.Load(); s != nil {
-		h.Losses, h.Until = s.Losses, s.Until
+		h.Losses, h.Until = s.Losses, s.LeaseUntil
 	}
 	if err := l.writeJSON(frameHello, h); err != nil {
 		return false, err
@@ -122,11 +122,11 @@
 		return nil
 	}
 	w.run, w.start, w.begun = run, run.Start, true
-	w.share.Store(&Assignment{Me: w.me, Workers: run.Workers})
+	w.share.Store(&Assignment{Worker: w.me, Workers: run.Workers})
 	l := run.Load
-	l.Shard, l.Of = w.me, run.Workers
+	l.Shard, l.ShardCount = w.me, run.Workers
 	l.Owns = func(t *arrival.Request) bool {
-		mine, missed := w.share.Load().Owns(t.N, t.At)
+		mine, missed := w.share.Load().Owns(t.Number, t.At)
 		if missed {
 			w.mu.Lock()
 			w.kept = packSkipped(w.kept, t)
--- a/internal/testbed/load/workers/workers_test.go
+++ b/internal/testbed/load/workers/workers_test.go
@@ -136,7 +136,7 @@
 				continue
 			}
 			s.m = w.m
-			known, until, m := s.share.Losses, s.share.Until, w.m
+			known, until, m := s.share.Losses, s.share.LeaseUntil, w.m
 			w.later(func() { m.HandleJoin(w.now, i, known, until) })
 		}
 		m := w.m
@@ -165,7 +165,7 @@
 	w.alive, w.sent, w.skipped = true, map[uint64]int{}, map[uint64]bool{}
 	w.m = NewRegistry(0, simWorkers, drop, false, w)
 	for i := range simWorkers {
-		w.workers = append(w.workers, &simWorker{share: &Assignment{Me: i, Workers: simWorkers}, lag: lags[i]})
+		w.workers = append(w.workers, &simWorker{share: &Assignment{Worker: i, Workers: simWorkers}, lag: lags[i]})
 	}
 	back := time.Duration(-1)
 	done := append([]trouble(nil), troubles...)
@@ -292,8 +292,8 @@
 	}
 	s := &crewStage{t: t, folder: t.TempDir(), front: front, log: log}
 	s.load = driver.Load{Targets: []string{front.Address}, Shape: &arrival.Shape{Kind: arrival.Poisson, Rate: 500},
-		Lanes:   []arrival.Class{{Name: "look", Share: 1, Statements: []string{"SELECT 1"}, Quoted: time.Second, Patience: 2 * time.Second}},
-		Manners: client.Behavior{Reused: 1, Tries: 1}, Seed: 3, Length: 4 * time.Second, Loops: 1, CheckRows: true}
+		Classes:  []arrival.Class{{Name: "look", Share: 1, Statements: []string{"SELECT 1"}, LatencyObjective: time.Second, MaxWait: 2 * time.Second}},
+		Behavior: client.Behavior{PooledShare: 1, MaxAttempts: 1}, Seed: 3, Length: 4 * time.Second, Loops: 1, CheckRows: true}
 	t.Cleanup(func() {
 		for _, cmd := range s.workers {
 			cmd.Process.Kill()
@@ -323,7 +323,7 @@
 // settled checks that every request is counted once, as sent, not offered or unknown, and that the front saw none twice.
 func (s *crewStage) settled(f *stats.Metrics, notSent, unknown int64) {
 	s.t.Helper()
-	schedule, err := arrival.NewSchedule(s.load.Shape, s.load.Lanes, s.load.Seed, s.load.Length)
+	schedule, err := arrival.NewSchedule(s.load.Shape, s.load.Classes, s.load.Seed, s.load.Length)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -333,9 +333,9 @@
 	}
 	ids := 0
 	s.log.Each(func(fake.ExecutionRecord) { ids++ })
-	if f.Total()+notSent+unknown != all || s.log.Requests() != ids || f.Breach[stats.ViolationTwoOutcomes] > 0 {
+	if f.Total()+notSent+unknown != all || s.log.Requests() != ids || f.Violations[stats.ViolationTwoOutcomes] > 0 {
 		s.t.Errorf("%d tasks: %d with outcomes, %d not offered, %d unknown; %d requests of %d ids came; %v", all, f.Total(), notSent, unknown,
-			s.log.Requests(), ids, f.Breach)
+			s.log.Requests(), ids, f.Violations)
 	}
 	s.t.Logf("%d tasks: %d with outcomes, %d not offered, %d unknown", all, f.Total(), notSent, unknown)
 }
@@ -400,8 +400,8 @@
 func TestReports(t *testing.T) { // packed and back
 	r := rand.New(rand.NewSource(1))
 	for range 100 {
-		want := client.Report{Request: &arrival.Request{N: r.Uint64(), At: time.Duration(r.Int63()), Lane: r.Intn(200)}, Outcome: client.Outcome(r.Intn(9)),
-			End: time.Duration(r.Int63()), GeneratorDelay: time.Duration(r.Int63()), QueueDelay: time.Duration(r.Int63()), Sent: time.Duration(r.Int63()),
+		want := client.Report{Request: &arrival.Request{Number: r.Uint64(), At: time.Duration(r.Int63()), Class: r.Intn(200)}, Outcome: client.Outcome(r.Intn(9)),
+			FinishedAt: time.Duration(r.Int63()), GeneratorDelay: time.Duration(r.Int63()), QueueDelay: time.Duration(r.Int63()), SentAt: time.Duration(r.Int63()),
 			Attempts: r.Intn(60), Misbehaving: r.Intn(2) == 0}
 		var got client.Report
 		var task arrival.Request
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -20,17 +20,17 @@
 }
 
 func measures(r *experiment.Result) (out []measure) {
-	for i, l := range r.Figures.Lanes {
+	for i, l := range r.Figures.Classes {
 		lane := func(f func(*experiment.Result, int) float64) func(*experiment.Result) float64 {
 			return func(r *experiment.Result) float64 { return f(r, i) }
 		}
 		for _, q := range []float64{0.5, 0.99, 0.999} {
 			out = append(out, measure{fmt.Sprintf("%s p%g ms", l.Name, 100*q), -1, lane(func(r *experiment.Result, i int) float64 {
-				return r.Figures.Lanes[i].Quantile(client.Served, q).Seconds() * 1000
+				return r.Figures.Classes[i].Quantile(client.Served, q).Seconds() * 1000
 			})})
 		}
 		out = append(out, measure{l.Name + " in quoted time %", 1, lane(func(r *experiment.Result, i int) float64 {
-			return 100 * float64(r.Figures.Lanes[i].Quick) / math.Max(1, float64(r.Figures.Lanes[i].Offered))
+			return 100 * float64(r.Figures.Classes[i].WithinObjective) / math.Max(1, float64(r.Figures.Classes[i].Offered))
 		})})
 	}
 	return out
@@ -77,7 +77,7 @@
 		return fmt.Errorf("expected runs on both sides")
 	}
 	for _, r := range append(append([]*experiment.Result{}, a...), b...) {
-		if r.Name != a[0].Name || len(r.Figures.Lanes) != len(a[0].Figures.Lanes) {
+		if r.Name != a[0].Name || len(r.Figures.Classes) != len(a[0].Figures.Classes) {
 			return fmt.Errorf("runs of %s and of %s can't be compared", a[0].Name, r.Name)
 		}
 	}
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -210,8 +210,8 @@
 	p := newPlot("quantile", "milliseconds")
 	logAxis(p)
 	p.X.Tick.Marker = nineTicks{}
-	for i := range r.Figures.Lanes {
-		l := &r.Figures.Lanes[i]
+	for i := range r.Figures.Classes {
+		l := &r.Figures.Classes[i]
 		xy := byQuantile(l.Outcomes[client.Served].TotalCount(), func(q float64) time.Duration { return l.Quantile(client.Served, q) })
 		if err := addLine(p, l.Name, xy, i); err != nil {
 			return nil, err
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -25,26 +25,26 @@
 			how = client.Rejected
 		}
 		f.RecordOffered(at)
-		f.RecordFinished(&client.Report{Request: &arrival.Request{N: n, At: at, Lane: int(n % 2)}, Outcome: how, End: at + about + time.Duration(n%50)*time.Millisecond,
-			Sent: at, Attempts: 1})
+		f.RecordFinished(&client.Report{Request: &arrival.Request{Number: n, At: at, Class: int(n % 2)}, Outcome: how, FinishedAt: at + about + time.Duration(n%50)*time.Millisecond,
+			SentAt: at, Attempts: 1})
 	}
 	r := &experiment.Result{Name: name, Seed: 4, Scheduled: 2000, Took: 10 * time.Second, Length: 10 * time.Second, Figures: f}
 	r.Verdicts = []experiment.Verdict{{Name: "generator", Good: true, Text: "in time"}, {Name: "rules", Text: "broken <b>"}}
 	r.Script = []experiment.ScriptEvent{{At: time.Second, What: "pause 0"}}
-	r.Truth = []experiment.Comparison{{Lane: "look", Tasks: 10, Rows: []experiment.Row{{Quantile: 0.5, Reported: time.Second, True: time.Second, Good: true}}}}
+	r.Truth = []experiment.Comparison{{Class: "look", Requests: 10, Rows: []experiment.Row{{Quantile: 0.5, Reported: time.Second, True: time.Second, Good: true}}}}
 	return r
 }
 
 func ExampleText() {
 	Text(os.Stdout, result("some", 10*time.Millisecond))
 	// Output:
-	// some: seed 4, 2000 requests in 10s, real sockets on loopback
+	// some: seed 4, 2000 tasks in 10s, real sockets on loopback
 	//
-	// class  offered  served  in latency objective  p50 ms   p90   p99  p99.9   max  attempts
+	// lane  offered  delivered  in quoted time  p50 ms   p90   p99  p99.9   max  tries
 	// look     1000       1000          84.00%    34.0  54.0  58.0   58.0  58.0   1000
 	// load     1000        980          98.00%    35.0  55.0  59.0   59.0  59.0   1000
 	//
-	// outcomes  served  rejected
+	// outcomes  delivered  nacked
 	// look           1000       0
 	// load            980      20
 	//
@@ -76,31 +76,31 @@
 	// look p50 ms                 46.02  44.03..48.03      47.01  45.02..49.02       +0.99  within the noise
 	// look p99 ms                 70.02  68.03..72.06      71.04  69.06..73.02       +1.02  within the noise
 	// look p99.9 ms               70.02  68.03..72.06      71.04  69.06..73.02       +1.02  within the noise
-	// look in latency objective %       60.00  56.00..64.00      56.00  52.00..60.00       -4.00  within the noise
+	// look in quoted time %       60.00  56.00..64.00      56.00  52.00..60.00       -4.00  within the noise
 	// load p50 ms                 47.01  45.02..49.02      48.03  46.02..50.01       +1.02  within the noise
 	// load p99 ms                 71.04  69.06..73.02      72.06  70.02..74.05       +1.02  within the noise
 	// load p99.9 ms               71.04  69.06..73.02      72.06  70.02..74.05       +1.02  within the noise
-	// load in latency objective %       98.00  98.00..98.00      98.00  98.00..98.00       +0.00  within the noise
+	// load in quoted time %       98.00  98.00..98.00      98.00  98.00..98.00       +0.00  within the noise
 	// <nil>
 	// some                   before (5)      interval  after (6)      interval  difference           verdict
 	// look p50 ms                 66.05  64.03..68.03      36.53  34.01..39.01      -29.52            better
 	// look p99 ms                 90.05  88.06..92.03      60.53  58.02..63.01      -29.52            better
 	// look p99.9 ms               90.05  88.06..92.03      60.53  58.02..63.01      -29.52            better
-	// look in latency objective %       20.00  16.00..24.00      78.00  72.00..84.00      +58.00            better
+	// look in quoted time %       20.00  16.00..24.00      78.00  72.00..84.00      +58.00            better
 	// load p50 ms                 67.01  65.02..69.06      37.52  35.01..40.03      -29.49            better
 	// load p99 ms                 91.01  89.02..93.05      61.52  59.01..64.03      -29.49            better
 	// load p99.9 ms               91.01  89.02..93.05      61.52  59.01..64.03      -29.49            better
-	// load in latency objective %       98.00  98.00..98.00      98.00  98.00..98.00       +0.00  within the noise
+	// load in quoted time %       98.00  98.00..98.00      98.00  98.00..98.00       +0.00  within the noise
 	// <nil>
 	// some                   before (2)      interval  after (6)      interval  difference               verdict
 	// look p50 ms                 64.53  64.03..65.02      36.53  34.01..39.01      -28.00  too few runs to tell
 	// look p99 ms                 88.54  88.06..89.02      60.53  58.02..63.01      -28.02  too few runs to tell
 	// look p99.9 ms               88.54  88.06..89.02      60.53  58.02..63.01      -28.02  too few runs to tell
-	// look in latency objective %       22.00  20.00..24.00      78.00  72.00..84.00      +56.00  too few runs to tell
+	// look in quoted time %       22.00  20.00..24.00      78.00  72.00..84.00      +56.00  too few runs to tell
 	// load p50 ms                 65.53  65.02..66.05      37.52  35.01..40.03      -28.02  too few runs to tell
 	// load p99 ms                 89.53  89.02..90.05      61.52  59.01..64.03      -28.02  too few runs to tell
 	// load p99.9 ms               89.53  89.02..90.05      61.52  59.01..64.03      -28.02  too few runs to tell
-	// load in latency objective %       98.00  98.00..98.00      98.00  98.00..98.00       +0.00  too few runs to tell
+	// load in quoted time %       98.00  98.00..98.00      98.00  98.00..98.00       +0.00  too few runs to tell
 	// <nil>
 	// runs of some and of other can't be compared
 }
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -55,18 +55,18 @@
 // laneRows are the figures by class.
 func laneRows(f *stats.Metrics) [][]string {
 	rows := [][]string{{"lane", "offered", "delivered", "in quoted time", "p50 ms", "p90", "p99", "p99.9", "max", "tries"}}
-	lanes := append([]stats.ClassMetrics(nil), f.Lanes...)
-	if f.Odd.Offered > 0 {
-		lanes = append(lanes, f.Odd)
+	lanes := append([]stats.ClassMetrics(nil), f.Classes...)
+	if f.Misbehaving.Offered > 0 {
+		lanes = append(lanes, f.Misbehaving)
 	}
 	for i := range lanes {
 		l := &lanes[i]
 		n := l.Outcomes[client.Served].TotalCount()
-		row := []string{l.Name, fmt.Sprint(l.Offered), fmt.Sprint(n), percent(l.Quick, l.Offered)}
+		row := []string{l.Name, fmt.Sprint(l.Offered), fmt.Sprint(n), percent(l.WithinObjective, l.Offered)}
 		for _, q := range quantiles {
 			row = append(row, ms(l.Quantile(client.Served, q)))
 		}
-		rows = append(rows, append(row, fmt.Sprint(l.Tries)))
+		rows = append(rows, append(row, fmt.Sprint(l.Attempts)))
 	}
 	return rows
 }
@@ -89,10 +89,10 @@
 		}
 	}
 	rows := [][]string{head}
-	for i := range f.Lanes {
-		row := []string{f.Lanes[i].Name}
+	for i := range f.Classes {
+		row := []string{f.Classes[i].Name}
 		for _, o := range shown {
-			row = append(row, fmt.Sprint(f.Lanes[i].Outcomes[o].TotalCount()))
+			row = append(row, fmt.Sprint(f.Classes[i].Outcomes[o].TotalCount()))
 		}
 		rows = append(rows, row)
 	}
@@ -113,8 +113,8 @@
 		}
 	}
 	for _, c := range r.Truth {
-		fmt.Fprintf(w, "\n%s against the truth: %d answers; a closed loop of %d users would not have sent %d of them\n", c.Lane,
-			c.Tasks, c.Users, c.Hidden)
+		fmt.Fprintf(w, "\n%s against the truth: %d answers; a closed loop of %d users would not have sent %d of them\n", c.Class,
+			c.Requests, c.Users, c.Hidden)
 		rows := [][]string{{"quantile", "reported ms", "true", "off by", "closed loop", ""}}
 		for _, row := range c.Rows {
 			mark := "ok"
