--- a/internal/cluster/agent/events.go
+++ b/internal/cluster/agent/events.go
@@ -14,7 +14,7 @@
 type (
 	// endpointsReceived is an update of the gateway's own endpoint list.
 	endpointsReceived struct {
-		form      admission.UpdateKind
+		kind      admission.UpdateKind
 		endpoints []admission.Endpoint
 	}
 
--- a/internal/cluster/agent/format_json_test.go
+++ b/internal/cluster/agent/format_json_test.go
@@ -19,7 +19,7 @@
 		golden.CheckRoundTrip(t, "status", golden.DecodeJSON[Status], golden.EncodeJSON)
 	})
 	t.Run("request", func(t *testing.T) {
-		golden.CheckRoundTrip(t, "request", golden.DecodeJSON[request], golden.EncodeJSON)
+		golden.CheckRoundTrip(t, "request", golden.DecodeJSON[controlRequest], golden.EncodeJSON)
 	})
 	t.Run("answer", func(t *testing.T) {
 		golden.CheckRoundTrip(t, "answer", golden.DecodeJSON[PolicyReply], golden.EncodeJSON)
@@ -27,15 +27,15 @@
 }
 
 func TestSuccessionOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
-	golden.CheckRoundTrip(t, "succession", golden.DecodeJSON[deed], func(d *deed) []byte {
+	golden.CheckRoundTrip(t, "succession", golden.DecodeJSON[handoverRecord], func(record *handoverRecord) []byte {
 		folder := t.TempDir()
-		s, err := follow(folder, d.Name)
+		handover, err := openHandover(folder, record.Name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer s.close()
-		s.ours = *d
-		if err := s.write(); err != nil {
+		defer handover.close()
+		handover.record = *record
+		if err := handover.write(); err != nil {
 			t.Fatal(err)
 		}
 		written, err := os.ReadFile(filepath.Join(folder, "succession"))
@@ -66,12 +66,12 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := follow(folder, "gateway-a")
+	handover, err := openHandover(folder, "gateway-a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.close()
-	after, err := s.begin(7)
+	defer handover.close()
+	after, err := handover.beginClaim(7)
 	if expected := []uint64{1<<60 + 3, 1<<60 + 4}; err != nil || !slices.Equal(after, expected) {
 		t.Errorf("expected to follow %d, found %d, error %v", expected, after, err)
 	}
