--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -15,7 +15,7 @@
 var scripts = map[string]func() *script{
 	"ordinary": func() *script { // one attempt each while there is room, then by value, then arrival
 		s := start(deployment(), "e1")
-		s.engines[0].bound = 2
+		s.engines.items[0].limit.bound = 2
 		s.arrives("a", 0, 0, "")
 		s.arrives("b", 0, 0, "")
 		s.arrives("cheap1", 0, 0, "")
@@ -34,8 +34,8 @@
 		hear := func(f PeerReport) {
 			f.Engine, f.ScoreUntil, f.ReportAt = "e1", s.at+10*Second, s.at
 			s.HandlePeerReport(s.at, &f)
-			e := &s.engines[0]
-			s.say("heard of e1: against %.1f, score %.1f, own %.1f, busy %.2f, signal %.2f", f.FailureScore, s.score(e), e.ownScore(s.at), s.busy, s.signal(e))
+			e := &s.engines.items[0]
+			s.say("heard of e1: against %.1f, score %.1f, own %.1f, busy %.2f, signal %.2f", f.FailureScore, s.failureScore(e), e.failures.decayed(s.at), s.estimates.meanBusyShare, s.loadSignal(e))
 		}
 		hear(PeerReport{Since: 7, FailureScore: 3, Report: NoReport})
 		hear(PeerReport{FailureScore: 2, Report: Report{-1, 0.95, -1, -1}})
@@ -47,14 +47,14 @@
 		s.at += 4 * Second
 		hear(PeerReport{FailureScore: 3, Report: Report{-1, 0.95, -1, -1}})
 		s.pass(s.at + 10*Second)
-		s.say("ten seconds later: score %.1f, signal %.2f", s.score(&s.engines[0]), s.signal(&s.engines[0]))
+		s.say("ten seconds later: score %.1f, signal %.2f", s.failureScore(&s.engines.items[0]), s.loadSignal(&s.engines.items[0]))
 		return s
 	},
 	"seats": func() *script { // of eight, seven are used; the dear one goes before the cheap ones that it leaves behind
 		d := deployment()
 		d.MaxRequests = 8
 		s := start(d, "e1")
-		s.engines[0].bound = 1
+		s.engines.items[0].limit.bound = 1
 		s.arrives("runs", 0, 0, "")
 		for i := range 6 {
 			s.arrives(RequestID(fmt.Sprint("cheap", i+1)), 0, 0, "")
@@ -68,46 +68,46 @@
 		d := deployment()
 		d.Tenants = []Tenant{{Share: 0.75}, {Share: 0.25}}
 		s := start(d, "e1")
-		s.engines[0].bound = 1
+		s.engines.items[0].limit.bound = 1
 		for i, id := range []RequestID{"first0", "x0", "y0", "x1"} {
 			s.HandleRequest(s.at, Request{ID: id, Deadline: 10 * Second, Tenant: i / 3})
 		}
-		s.used[0] = 2
+		s.tenants.threads[0] = 2
 		s.end("first0", Served)
 		return s
 	},
 	"steps": func() *script { // the paper's rule: down, not when idle, up when full, still between, floor zero
 		s := start(deployment(), "e1")
-		e := &s.engines[0]
+		e := &s.engines.items[0]
 		for _, c := range []struct{ bound, running, signal float64 }{
 			{6, 4, 2}, {6, 0, 2}, {6, 6, 1}, {6, 5, 1}, {6, 6, 1.5}, {1, 1, 3}, {0, 1, 3}, {0, 0, 0}} {
-			e.bound, e.running = c.bound, c.running
-			s.stepBound(e, c.signal, Second)
-			s.say("signal %.2g, %g of %g in use: bound %.3g", c.signal, c.running, c.bound, e.bound)
+			e.limit.bound, e.limit.running = c.bound, c.running
+			s.adjustSlots(e, c.signal, Second)
+			s.say("signal %.2g, %g of %g in use: bound %.3g", c.signal, c.running, c.bound, e.limit.bound)
 		}
 		return s
 	},
 	"signals": func() *script { // held queries first, then utilisation, then our own count
 		s := start(deployment(), "e1")
-		e := &s.engines[0]
-		show := func(why string) { s.say("%s: signal %.3g", why, s.signal(e)) }
+		e := &s.engines.items[0]
+		show := func(why string) { s.say("%s: signal %.3g", why, s.loadSignal(e)) }
 		s.at, s.now = Second, Second
-		e.reportAt, e.report = s.at, Report{8, -1, -1, -1}
+		e.load.reportAt, e.load.report = s.at, Report{8, -1, -1, -1}
 		show("8 held on 4 cores, 1.75 threads each")
 		for _, u := range []float64{0.95, 0.6, 0.3} {
-			e.report, e.util = Report{-1, u, -1, -1}, u
+			e.load.report, e.load.utilization = Report{-1, u, -1, -1}, u
 			show(fmt.Sprintf("utilisation %.2f", u))
 		}
-		e.util, e.running, s.pools[0].wanted = 0.6, 4, s.at
+		e.load.utilization, e.limit.running, s.pools.list[0].shortageAt = 0.6, 4, s.at
 		show("utilisation 0.60 while requests are given up for want of room")
-		e.running = 8
+		e.limit.running = 8
 		show("the same with two threads of ours a core")
-		e.report, e.running = Report{3.5, -1, -1, -1}, 4
+		e.load.report, e.limit.running = Report{3.5, -1, -1, -1}, 4
 		show("3.5 held on 4 cores, 4 threads of ours, while requests are given up")
-		s.pools[0].wanted = 0
+		s.pools.list[0].shortageAt = 0
 		show("the same while none is given up")
-		e.running = 8
-		s.now += stale
+		e.limit.running = 8
+		s.now += staleReportAge
 		show("no report, 8 threads of ours")
 		return s
 	},
@@ -115,7 +115,7 @@
 		d := deployment()
 		d.Gateways = 4
 		s := start(d, "e1")
-		s.engines[0].bound = 0
+		s.engines.items[0].limit.bound = 0
 		s.arrives("a", 1, 0, "")
 		s.arrives("b", 1, 0, "")
 		s.pass(400 * Millisecond)
@@ -137,9 +137,9 @@
 		s := start(d)
 		s.list(FullUpdate, Endpoint{Engine: "z0"}, Endpoint{Engine: "z1", Zone: 1})
 		s.arrives("a", 3, 0, "k")
-		first := s.engines[s.requests[s.byID["a"]].engine].Zone
+		first := s.engineOf("a").Zone
 		s.end("a", Errored)
-		s.say("same zone: %t", s.engines[s.requests[s.byID["a"]].engine].Zone == first)
+		s.say("same zone: %t", s.engineOf("a").Zone == first)
 		s.pass(600 * Millisecond)
 		s.end("a", Errored)
 		return s
@@ -158,9 +158,9 @@
 		s.end("k2", TimedOut)
 		s.end("k2", Served)
 		s.end("other", Served)
-		s.say("%d keys known", len(s.turns))
+		s.say("%d keys known", len(s.keys.queues))
 		s.pass(800 * Millisecond)
-		s.say("%d keys known", len(s.turns))
+		s.say("%d keys known", len(s.keys.queues))
 		return s
 	},
 	"placement": func() *script { // bound classes stay where they may go, however full that is
@@ -198,9 +198,9 @@
 	"lists": func() *script { // drains at once; an old list; what a full list lacks is gone; a failure keeps it
 		s := start(deployment(), "e1", "e2", "e3")
 		s.list(PartialUpdate, Endpoint{Engine: "e1", State: Draining}, Endpoint{Engine: "e2", State: Gone})
-		s.engines[2].bound = 0
+		s.engines.items[2].limit.bound = 0
 		s.arrives("a", 0, 0, "")
-		s.say("the guard lets a go to e1: %t", s.send(s.byID["a"], 0))
+		s.say("the guard lets a go to e1: %t", s.sendAttempt(s.requests.byID["a"], 0))
 		s.list(FullUpdate, Endpoint{Engine: "e1"})
 		s.list(FailedPoll)
 		s.pass(20 * Second)
@@ -226,18 +226,18 @@
 		s := start(d)
 		s.pass(Second)
 		s.list(CachedUpdate, Endpoint{Engine: "cold", Since: Second})
-		e := &s.engines[0]
-		s.classes[0].work, s.classes[0].requests = float64(300*Millisecond), 20
+		e := &s.engines.items[0]
+		s.estimates.classes[0].work, s.estimates.classes[0].requests = float64(300*Millisecond), 20
 		for range 13 {
 			s.now = s.at
 			for d.GatewayIndex = range 3 {
-				if s.coldRoom(e, &heldRequest{class: 0}) {
-					s.say("gateway %d has its turn; more work than its budget: %t", d.GatewayIndex, s.coldRoom(e, &heldRequest{class: 1}))
+				if s.hasColdCapacity(e, &activeRequest{class: 0}) {
+					s.say("gateway %d has its turn; more work than its budget: %t", d.GatewayIndex, s.hasColdCapacity(e, &activeRequest{class: 1}))
 				}
 			}
 			s.at += 500 * Millisecond
 		}
-		s.say("warm: %t", !s.isCold(e))
+		s.say("warm: %t", !s.slowStart.isCold(e, s.now))
 		return s
 	},
 	"cold beside warm": func() *script { // as many routers at a time as the budget has parts for a usual request, others' turns after them
@@ -247,13 +247,13 @@
 		s.pass(Second)
 		s.list(PartialUpdate, Endpoint{Engine: "cold", Since: Second})
 		s.pass(Second + tickInterval)
-		e := &s.engines[1]
-		s.classes[0].work, s.classes[0].requests = float64(300*Millisecond), 20
+		e := &s.engines.items[1]
+		s.estimates.classes[0].work, s.estimates.classes[0].requests = float64(300*Millisecond), 20
 		for range 6 {
 			s.now = s.at
 			var turn []int
 			for d.GatewayIndex = range 5 {
-				if s.coldRoom(e, &heldRequest{class: 0}) {
+				if s.hasColdCapacity(e, &activeRequest{class: 0}) {
 					turn = append(turn, d.GatewayIndex)
 				}
 			}
@@ -261,16 +261,16 @@
 			s.at += d.ColdOverloadTime
 		}
 		d.GatewayIndex = 0
-		for !s.coldRoom(e, &heldRequest{class: 0}) {
+		for !s.hasColdCapacity(e, &activeRequest{class: 0}) {
 			s.now += d.ColdOverloadTime
 		}
 		sent := 0
-		for ; s.coldRoom(e, &heldRequest{class: 0}); sent++ {
-			e.cold += 300 * float64(Millisecond)
+		for ; s.hasColdCapacity(e, &activeRequest{class: 0}); sent++ {
+			e.coldQuota.work += 300 * float64(Millisecond)
 		}
 		s.say("gateway 0 sends %d of 300 ms in its turn", sent)
-		e.cold = 0
-		s.say("a request of 1.5 s, above a part: %t beside a warm engine", s.coldRoom(e, &heldRequest{class: 0, Estimate: Estimate{WorkP90: 1500 * Millisecond}}))
+		e.coldQuota.work = 0
+		s.say("a request of 1.5 s, above a part: %t beside a warm engine", s.hasColdCapacity(e, &activeRequest{class: 0, estimate: Estimate{WorkP90: 1500 * Millisecond}}))
 		return s
 	},
 	"no engine": func() *script { // held while there is a chance, then answered at once
@@ -308,14 +308,14 @@
 	},
 	"time-outs": func() *script { // incident: at zero they turn a router from a jammed engine, above it the bound does
 		s := start(deployment(), "e1")
-		e := &s.engines[0]
+		e := &s.engines.items[0]
 		for i, bound := range []float64{8, 0} {
 			id := RequestID(fmt.Sprint("t", i))
 			s.arrives(id, 0, 0, "")
-			e.bound = bound
+			e.limit.bound = bound
 			s.end(id, TimedOut)
-			s.say("bound %g: failure score %.1f", bound, s.score(e))
-			e.bound = 8
+			s.say("bound %g: failure score %.1f", bound, s.failureScore(e))
+			e.limit.bound = 8
 			s.HandleDisconnect(s.at, id)
 			s.end(id, TimedOut)
 		}
@@ -332,12 +332,12 @@
 	},
 	"probes": func() *script { // paid for by requests, one out at a time, no faster than reports are made
 		s := start(deployment(), "e1")
-		s.credit = mostCredit / 2
+		s.Controller.probes.credit = maxProbeCredit / 2
 		s.probes = true
 		s.pass(40 * Millisecond)
 		s.probed("e1", Served, Report{-1, 0.5, -1, -1})
 		s.pass(3 * Second)
-		s.say("credit %.1f", s.credit)
+		s.say("credit %.1f", s.Controller.probes.credit)
 		s.arrives("a", 0, 0, "")
 		s.arrives("b", 0, 0, "")
 		s.probed("e1", Served, Report{-1, 0.6, -1, -1})
@@ -346,12 +346,12 @@
 	},
 	"bar": func() *script { // under overload what earns least for its work is given up when it comes
 		s := start(deployment(), "e1")
-		s.engines[0].bound = 1
-		s.rankLanes()
+		s.engines.items[0].limit.bound = 1
+		s.estimates.updatePrices()
 		s.arrives("a", 1, 800*Millisecond, "")
 		s.arrives("held", 1, 800*Millisecond, "")
 		s.pass(1560 * Millisecond)
-		s.say("bar %.2f of the best class's price", s.pools[0].bar)
+		s.say("bar %.2f of the best class's price", s.pools.list[0].minPrice)
 		s.arrives("short", 1, 800*Millisecond, "")
 		s.arrives("long", 1, 60*Second, "")
 		return s
@@ -360,24 +360,24 @@
 		s := start(deployment(), "e1")
 		s.answer(20, 100*Millisecond, 100*Millisecond)
 		s.pass(s.at + Second)
-		s.rankLanes()
-		s.say("bar %.2f, price of the long one %.3f of the best", s.pools[0].bar, s.price(0, 10000*float64(Millisecond))/s.bestPrice)
+		s.estimates.updatePrices()
+		s.say("bar %.2f, price of the long one %.3f of the best", s.pools.list[0].minPrice, s.estimates.price(0, 10000*float64(Millisecond))/s.estimates.bestPrice)
 		s.arrives("long", 0, 10*Second, "")
 		return s
 	},
 	"estimates too high": func() *script { // incident: a class told twice its work is not shed for it
 		s := start(deployment(), "e1")
 		s.answer(20, 200*Millisecond, 100*Millisecond)
-		s.say("price over that of the work told: %.2f", s.price(0, 1)/s.d.Classes[0].Weight)
+		s.say("price over that of the work told: %.2f", s.estimates.price(0, 1)/s.d.Classes[0].Weight)
 		return s
 	},
 	"crowded": func() *script { // where answers tell work, idle cores under slow requests are no room
 		d := deployment()
 		d.ReportsCost = true
 		s := start(d, "e1")
-		e := &s.engines[0]
+		e := &s.engines.items[0]
 		s.probed("e1", Served, Report{-1, 0.4, -1, -1})
-		s.say("busy share %.2f", s.told(e, e.report, e.util))
+		s.say("busy share %.2f", s.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization))
 		for i := range 20 {
 			id := RequestID(fmt.Sprint("t", i))
 			s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second})
@@ -385,7 +385,7 @@
 			s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: Served, Answered: true, Work: 100 * Millisecond, Report: NoReport})
 		}
 		s.out.Reset()
-		s.say("busy share %.2f when requests take three times their work", s.told(e, e.report, e.util))
+		s.say("busy share %.2f when requests take three times their work", s.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization))
 		return s
 	},
 	"hopeless": func() *script { // called off when by its progress it would end in a time-out
@@ -404,13 +404,13 @@
 	},
 	"errors": func() *script { // bad clients' requests fail everywhere, and make no engine distrusted
 		s := start(deployment(), "e1")
-		e := &s.engines[0]
+		e := &s.engines.items[0]
 		for _, how := range []Outcome{Errored, Lost} {
 			s.arrives("a", 0, 0, "")
 			s.end("a", how)
-			s.say("failure score %.1f", s.score(e))
+			s.say("failure score %.1f", s.failureScore(e))
 			s.end("a", Errored)
-			s.say("failure score %.1f", s.score(e))
+			s.say("failure score %.1f", s.failureScore(e))
 		}
 		return s
 	},
@@ -422,25 +422,25 @@
 			names = append(names, EngineID(fmt.Sprint("e", i)))
 		}
 		s := start(d, names...)
-		s.say("bound %.3g", s.engines[0].bound)
+		s.say("bound %.3g", s.engines.items[0].limit.bound)
 		show := func(why string) {
 			n := 0
-			for i := range s.engines {
-				if s.open(&s.engines[i], &heldRequest{class: 1}, 1) {
+			for i := range s.engines.items {
+				if s.hasRoom(&s.engines.items[i], &activeRequest{class: 1}, 1) {
 					n++
 				}
 			}
 			s.say("%s: of 200 engines %d are open", why, n)
 		}
-		s.usual = float64(600 * Millisecond)
+		s.estimates.meanWork = float64(600 * Millisecond)
 		s.pass(tickInterval)
 		show("a tick, half busy")
 		s.at += 50 * tickInterval
 		s.Tick(s.at)
 		show("a stall of 50 ticks")
-		s.busy = 0.9
+		s.estimates.meanBusyShare = 0.9
 		show("the same, 0.9 busy")
-		s.busy, s.usual = 0.5, float64(6*Second)
+		s.estimates.meanBusyShare, s.estimates.meanWork = 0.5, float64(6*Second)
 		show("half busy, after requests of ten times the work")
 		return s
 	},
@@ -448,13 +448,13 @@
 		d := deployment()
 		d.Gateways, d.SupportsProbes = 300, false
 		s := start(d, "e1", "e2", "e3")
-		s.rankLanes()
-		for i := range s.engines {
-			s.engines[i].luck = math.Inf(1)
+		s.estimates.updatePrices()
+		for i := range s.engines.items {
+			s.engines.items[i].limit.chance = math.Inf(1)
 		}
 		s.arrives("short", 0, 0, "")
 		s.arrives("dear", 1, 0, "")
-		s.usual = 1
+		s.estimates.meanWork = 1
 		s.pass(20 * Millisecond)
 		return s
 	},
@@ -462,7 +462,7 @@
 		d := deployment()
 		d.NoticeInterval, d.SupportsCancel = 500*Millisecond, true
 		s := start(d, "e1", "e2")
-		s.engines[0].bound, s.engines[1].bound = 3, 3
+		s.engines.items[0].limit.bound, s.engines.items[1].limit.bound = 3, 3
 		s.arrives("a", 1, 0, "")
 		for _, at := range []Time{500, 1000} {
 			s.pass(at * Millisecond)
@@ -480,15 +480,15 @@
 	},
 	"step by time held": func() *script { // a query is the threads of attempts by their time at the engine
 		s := start(deployment(), "e1")
-		s.engines[0].bound = 8
-		s.say("step %.2f: the mean of the classes", s.query())
+		s.engines.items[0].limit.bound = 8
+		s.say("step %.2f: the mean of the classes", s.estimates.querySlots())
 		s.arrives("long", 1, 0, "")
 		s.arrives("short", 0, 0, "")
 		s.pass(100 * Millisecond)
 		s.end("short", Served)
 		s.pass(2 * Second)
 		s.end("long", Served)
-		s.say("step %.2f: nearer to the three threads held most of the time", s.query())
+		s.say("step %.2f: nearer to the three threads held most of the time", s.estimates.querySlots())
 		return s
 	},
 	"held at zero": func() *script { // an engine that tells held queries lets one in at zero while it has room
@@ -496,21 +496,21 @@
 		d.Gateways = 300
 		s := start(d, "e1")
 		s.HandleAttemptEnd(0, AttemptResult{Request: "none", Outcome: Served, Answered: true, Report: NoReport})
-		s.engines[0].report, s.engines[0].reportAt = Report{InFlight: 2, Utilization: -1, Memory: -1, Disks: -1}, 0
-		s.engines[0].luck = 1 // a draw that the chance of a pace would turn down
-		s.say("e1 holds 2 queries on 4 cores, bound %.3g", s.engines[0].bound)
+		s.engines.items[0].load.report, s.engines.items[0].load.reportAt = Report{InFlight: 2, Utilization: -1, Memory: -1, Disks: -1}, 0
+		s.engines.items[0].limit.chance = 1 // a draw that the chance of a pace would turn down
+		s.say("e1 holds 2 queries on 4 cores, bound %.3g", s.engines.items[0].limit.bound)
 		s.arrives("a", 0, 0, "")
 		s.end("a", Served)
-		s.engines[0].report, s.engines[0].reportAt = Report{InFlight: 9, Utilization: -1, Memory: -1, Disks: -1}, s.at
-		s.engines[0].luck = 1
+		s.engines.items[0].load.report, s.engines.items[0].load.reportAt = Report{InFlight: 9, Utilization: -1, Memory: -1, Disks: -1}, s.at
+		s.engines.items[0].limit.chance = 1
 		s.say("e1 holds 9 queries: full")
 		s.arrives("b", 0, 0, "")
 		return s
 	},
 	"memory for utilisation": func() *script { // without utilisation, the scarcer of memory and disks steps the bound
 		s := start(deployment(), "e1")
-		e := &s.engines[0]
-		e.bound, e.running = 3, 3
+		e := &s.engines.items[0]
+		e.limit.bound, e.limit.running = 3, 3
 		s.probed("e1", Served, Report{InFlight: -1, Utilization: -1, Memory: 0.97, Disks: 0.4})
 		s.pass(2 * Second)
 		s.probed("e1", Served, Report{InFlight: -1, Utilization: -1, Memory: 0.2, Disks: 0.3})
@@ -520,7 +520,7 @@
 		d := deployment()
 		d.SupportsRanks = true
 		s := start(d, "e1")
-		s.rankLanes()
+		s.estimates.updatePrices()
 		for class, id := range []RequestID{"l0", "l1", "l2"} {
 			s.arrives(id, class, 0, "")
 		}
@@ -580,9 +580,9 @@
 		s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: Outcome(n % 9), Answered: n%9 == 0, Report: NoReport})
 		s.pass(s.at + 2*Second)
 	}
-	if len(s.engines) > 4 || len(s.named) > 4 || len(s.requests) > 4 || len(s.byID) > 0 || s.held > 0 {
-		t.Errorf("%d engines, %d names, %d places, %d requests, %d held", len(s.engines), len(s.named), len(s.requests),
-			len(s.byID), s.held)
+	if len(s.engines.items) > 4 || len(s.engines.byName) > 4 || len(s.requests.items) > 4 || len(s.requests.byID) > 0 || s.queues.waiting > 0 {
+		t.Errorf("%d engines, %d names, %d places, %d requests, %d held", len(s.engines.items), len(s.engines.byName), len(s.requests.items),
+			len(s.requests.byID), s.queues.waiting)
 	}
 }
 
@@ -607,11 +607,11 @@
 		n.Controller = New(n.at, 8, d, n)
 		n.RestoreSnapshot(n.at, m)
 		n.UpdateEndpoints(n.at, FullUpdate, []Endpoint{{Engine: "e1", Since: s.at + 1}, {Engine: "e2"}, {Engine: "e3", Since: m.Engines[2].Since}})
-		fmt.Printf("%v later: run %.0f ms by %.0f answers, retries allowed %t, key rests %t\n", ms(later), n.classes[0].run/10,
-			n.classes[0].answers, n.withinRetryBudget(), n.turns["key"].rest > n.at)
-		for i := range n.engines {
-			e := &n.engines[i]
-			fmt.Printf("  %s bound %.1f, failure score %.1f, busy %.2f, room while cold %t\n", e.Engine, e.bound, n.score(e), n.load(e), !n.isCold(e) || n.coldRoom(e, &heldRequest{}))
+		fmt.Printf("%v later: run %.0f ms by %.0f answers, retries allowed %t, key rests %t\n", ms(later), n.estimates.classes[0].runTime/10,
+			n.estimates.classes[0].answers, n.retries.allows(n.now), n.keys.queues["key"].restsUntil > n.at)
+		for i := range n.engines.items {
+			e := &n.engines.items[i]
+			fmt.Printf("  %s bound %.1f, failure score %.1f, busy %.2f, room while cold %t\n", e.Engine, e.limit.bound, n.failureScore(e), n.busyShare(e), !n.slowStart.isCold(e, n.now) || n.hasColdCapacity(e, &activeRequest{}))
 		}
 	}
 	if _, err := DecodeSnapshot([]byte(`{"Version":9}`)); err != nil {
@@ -655,8 +655,8 @@
 	if n := testing.AllocsPerRun(1000, round); n != 0 {
 		t.Errorf("%v allocations a round", n)
 	}
-	if len(r.byID) != 0 || len(r.turns) != 0 {
-		t.Errorf("%d requests and %d keys left", len(r.byID), len(r.turns))
+	if len(r.requests.byID) != 0 || len(r.keys.queues) != 0 {
+		t.Errorf("%d requests and %d keys left", len(r.requests.byID), len(r.keys.queues))
 	}
 }
 
--- /dev/null
+++ b/internal/admission/controller.go
@@ -0,0 +1,131 @@
+package admission
+
+import (
+	"math"
+	"math/rand"
+)
+
+// tickInterval is the timer's pace: a queued request is given up at most this late, well within the answer's slack.
+const tickInterval = 20 * Millisecond
+
+// Controller decides for one gateway from what it has seen, and from what peers tell of engines where they may.
+type Controller struct {
+	host       Host
+	deployment *Deployment
+	random     *rand.Rand
+	now        Time // of the event that is handled
+	tickedAt   Time // when the timer last went off
+	sequence   uint64
+	classOrder []int // classes, highest priority weight first
+
+	requests     requestTable
+	queues       requestQueues
+	keys         keyOrder
+	tenants      tenantShares
+	engines      engineTable
+	pools        poolSet
+	estimates    estimator
+	slots        slotAdjuster
+	slowStart    slowStart
+	retries      retryBudget
+	probes       probeCredit
+	peerMessages peerMessages
+
+	pollAt   Time      // when to ask for the engine list again; 0: not
+	snapshot *Snapshot // of a process before this one; nil: there is none
+}
+
+// New makes a controller that knows no engine yet.
+func New(now Time, seed int64, d *Deployment, host Host) *Controller {
+	random := rand.New(rand.NewSource(seed))
+	c := &Controller{
+		host:         host,
+		deployment:   d,
+		random:       random,
+		now:          now,
+		tickedAt:     now,
+		classOrder:   classesByWeight(d.Classes),
+		requests:     newRequestTable(),
+		keys:         newKeyOrder(d),
+		tenants:      newTenantShares(d),
+		engines:      newEngineTable(),
+		pools:        newPoolSet(now),
+		estimates:    newEstimator(d),
+		slots:        slotAdjuster{deployment: d, random: random},
+		slowStart:    slowStart{deployment: d},
+		retries:      newRetryBudget(d),
+		probes:       probeCredit{credit: maxProbeCredit, cost: d.ProbePrice},
+		peerMessages: peerMessages{price: d.PeerMessagePrice},
+	}
+	c.queues = newRequestQueues(len(c.tenants.threads), len(d.Classes))
+	if !d.SupportsProbes {
+		c.probes.credit = math.Inf(-1)
+	}
+	if d.PollsEndpoints {
+		host.SubscribeEndpoints()
+	}
+	host.ScheduleTick(now + tickInterval)
+	return c
+}
+
+// SetPolicyGate hands over what an operator's classes allow, before the first request that has one.
+func (c *Controller) SetPolicyGate(gate PolicyGate) { c.pools.gate = gate }
+
+// HandleCapacityChange takes in that a policy class may use more than before, as the gate knows.
+func (c *Controller) HandleCapacityChange(now Time) {
+	c.now = now
+	c.releaseQueued()
+}
+
+// HasRequest tells whether a request of that id is in hand.
+func (c *Controller) HasRequest(id RequestID) bool {
+	_, r := c.requests.find(id)
+	return r != nil
+}
+
+// Tick is the timer, which the host calls when ScheduleTick asked for it: probes, steps where no report comes, the chance
+// at a bound of zero, requests given up.
+func (c *Controller) Tick(now Time) {
+	c.now = now
+	c.pollEndpoints()
+	c.probeLongestUnseen()
+	for number := range c.pools.list {
+		c.pools.list[number].hasWarm = c.hasWarmEngine(number)
+	}
+	for i := range c.engines.items {
+		if e := &c.engines.items[i]; e.State == Live {
+			c.tickEngine(e)
+		}
+	}
+	for i := range c.requests.items {
+		c.tickRequest(requestIndex(i))
+	}
+	c.tickedAt = now
+	for number := range c.pools.list {
+		c.pools.list[number].adjustMinPrice()
+	}
+	c.estimates.updatePrices()
+	c.keys.forgetRested(now)
+	c.releaseQueued()
+	c.host.ScheduleTick(now + tickInterval)
+}
+
+func (c *Controller) tickEngine(e *engine) {
+	if !e.probe.inFlight { // what a probe was sent for waits for it
+		c.drawChance(e)
+	}
+	if c.now-e.load.reportAt >= staleReportAge && c.now-e.limit.steppedAt >= staleReportAge/3 {
+		c.adjustSlots(e, c.loadSignal(e), Second)
+	}
+}
+
+func (c *Controller) tickRequest(i requestIndex) {
+	r := c.requests.at(i)
+	switch {
+	case r.id == "": // a free place
+	case r.attempt.inFlight:
+		c.cancelIfSilent(r)
+	default:
+		c.checkRequest(i)
+	}
+}
--- /dev/null
+++ b/internal/admission/peers.go
@@ -0,0 +1,82 @@
+package admission
+
+// peerBudget is the share of the service that messages to peers may cost; at 0.001 and 0.005 what more was told lost.
+const peerBudget = 0.0003
+
+// Observation is what a gateway saw of an engine itself.
+type Observation uint8
+
+// The kinds of observations. Each comes with the engine's latest report.
+const (
+	Reported   Observation = iota
+	Answered               // a request was served
+	Erred                  // the rest count against the engine: an error, or an answer that was corrupt or lost
+	Unanswered             // silence, of a request or a probe
+	Unreached              // no connection, or a broken one
+)
+
+func (o Observation) String() string {
+	return [...]string{"reported", "answered", "erred", "unanswered", "unreached"}[o]
+}
+
+// IsFailure tells whether an observation counts against the engine.
+func (o Observation) IsFailure() bool { return o >= Erred }
+
+// PeerReport is what the observations of peers tell of one start of an engine.
+type PeerReport struct {
+	Engine       EngineID
+	Since        Time   // the start
+	Report       Report // the latest that was heard
+	ReportAt     Time   // when the peer that told it had it
+	FailureScore float64
+	Witnesses    int  // gateways whose last attempt there failed, after anyone's last answer from there; FailureScore: what they weigh
+	ScoreUntil   Time // until when the score counts
+}
+
+// Ejects tells whether what peers say ejects an engine by itself, where all others are sound.
+func (f *PeerReport) Ejects() bool { return f.FailureScore >= ejectionScore }
+
+// peerView is what peers say of an engine.
+type peerView struct {
+	report     Report
+	reportAt   Time
+	score      float64
+	scoreUntil Time
+}
+
+// peerMessages counts the bytes to peers that the requests taken have paid for.
+type peerMessages struct {
+	bytes float64 // not handed on yet
+	price float64 // see Deployment.PeerMessagePrice
+}
+
+// earn adds what one request pays for.
+func (m *peerMessages) earn() { m.bytes += peerBudget * 256 / max(peerBudget, m.price) }
+
+// reportObservation hands on what this gateway saw of an engine itself, and the bytes that the requests taken since have
+// paid for.
+func (c *Controller) reportObservation(e *engine, saw Observation) {
+	if !c.deployment.PeerMessages {
+		return
+	}
+	c.host.ReportObservation(e.Engine, saw, e.load.report, c.peerMessages.bytes)
+	c.peerMessages.bytes = 0
+}
+
+// HandlePeerReport takes in what peers saw of an engine. Their reports tell how busy engines are as a whole, and step a
+// bound where ours is stale; in the draw they had all gateways run to the same engines. What is said against
+// one adds to its failure score until it is old: who hears nothing decides as one without peers.
+func (c *Controller) HandlePeerReport(now Time, report *PeerReport) {
+	c.now = now
+	i, ok := c.engines.byName[report.Engine]
+	if !ok || c.engines.at(i).Since != report.Since {
+		return
+	}
+	e := c.engines.at(i)
+	e.peers.score, e.peers.scoreUntil = report.FailureScore, report.ScoreUntil
+	if report.ReportAt > e.peers.reportAt {
+		e.peers.report, e.peers.reportAt = report.Report, report.ReportAt
+		c.estimates.learnBusyShare(e.cores, report.Report, report.Report.scarcest())
+	}
+	c.releaseQueued()
+}
--- /dev/null
+++ b/internal/admission/queue.go
@@ -0,0 +1,128 @@
+package admission
+
+import (
+	"cmp"
+	"slices"
+)
+
+// requestQueues holds the requests that wait for room, in a queue for each tenant and class, in order of arrival.
+type requestQueues struct {
+	queues  [][]requestIndex // by tenant and class
+	classes int
+	waiting int // requests in all queues
+}
+
+func newRequestQueues(tenants, classes int) requestQueues {
+	return requestQueues{queues: make([][]requestIndex, tenants*classes), classes: classes}
+}
+
+func (q *requestQueues) of(tenant, class int) *[]requestIndex {
+	return &q.queues[tenant*q.classes+class]
+}
+
+// insert puts a request into its queue, in the order of arrival.
+func (q *requestQueues) insert(t *requestTable, i requestIndex) {
+	r := t.at(i)
+	queue := q.of(r.tenant, r.class)
+	place := len(*queue)
+	for place > 0 && t.at((*queue)[place-1]).sequence > r.sequence {
+		place--
+	}
+	*queue = slices.Insert(*queue, place, i)
+	r.queued = true
+	q.waiting++
+}
+
+// remove takes a request out of its queue, if it is in one.
+func (q *requestQueues) remove(t *requestTable, i requestIndex) {
+	r := t.at(i)
+	if !r.queued {
+		return
+	}
+	queue := q.of(r.tenant, r.class)
+	place := slices.Index(*queue, i)
+	*queue = slices.Delete(*queue, place, place+1)
+	r.queued = false
+	q.waiting--
+}
+
+// tenantShares counts what each tenant has in use, and puts the one that has the least for its share first.
+type tenantShares struct {
+	tenants []Tenant
+	threads []float64 // running, by tenant
+	order   []int     // tenants, in the order of release
+}
+
+func newTenantShares(d *Deployment) tenantShares {
+	s := tenantShares{tenants: d.Tenants, threads: make([]float64, max(1, len(d.Tenants)))}
+	for tenant := range s.threads {
+		s.order = append(s.order, tenant)
+	}
+	return s
+}
+
+// sort brings the order up to date. Tenants that use the same part of their shares stay as they were.
+func (s *tenantShares) sort() {
+	if len(s.order) > 1 {
+		slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(s.use(a), s.use(b)) })
+	}
+}
+
+func (s *tenantShares) use(tenant int) float64 {
+	return s.threads[tenant] / max(0.001, s.tenants[tenant].Share)
+}
+
+// classesByWeight returns the classes, the one with the highest priority weight first.
+func classesByWeight(classes []Class) (order []int) {
+	for class := range classes {
+		order = append(order, class)
+	}
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(classes[b].Weight, classes[a].Weight) })
+	return order
+}
+
+// releaseQueued sends queued requests while engines have room: by tenant fairness (the fewest threads in use for
+// its share first), then by priority weight, then by arrival.
+func (c *Controller) releaseQueued() {
+	for c.queues.waiting > 0 {
+		if !c.releaseOne() {
+			return
+		}
+	}
+}
+
+func (c *Controller) releaseOne() bool {
+	c.tenants.sort()
+	for _, tenant := range c.tenants.order {
+		for _, class := range c.classOrder {
+			if c.releaseFrom(*c.queues.of(tenant, class)) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// releaseFrom sends the first request of a queue for which an engine has room. Where a first attempt finds none, those
+// behind it that have the same choice of engines are passed over.
+func (c *Controller) releaseFrom(queue []requestIndex) bool {
+	blocked := uint64(0) // policy classes of which one found no engine
+	for _, i := range queue {
+		r := c.requests.at(i)
+		anyEngineDoes := r.attempts == 0 && r.orderKey == ""
+		if anyEngineDoes && blocked>>r.estimate.PolicyClass&1 == 1 {
+			continue
+		}
+		if e := c.pickEngine(r); e != noEngine && c.sendAttempt(i, e) {
+			return true
+		}
+		if !anyEngineDoes {
+			continue
+		}
+		if c.pools.gate == nil {
+			return false // what follows it in this class has no more choice than this one
+		}
+		blocked |= 1 << r.estimate.PolicyClass // nor has what is of its policy class
+	}
+	return false
+}
--- /dev/null
+++ b/internal/admission/retries.go
@@ -0,0 +1,132 @@
+package admission
+
+// retrySpans is into how many spans the retry budget's window is divided; one more is kept, so that whole ones cover it.
+const retrySpans = 50
+
+// retryBudget allows a number of retries and a share of the requests taken, in any window of a given length.
+type retryBudget struct {
+	burst  float64
+	ratio  float64
+	window Time
+	spans  []retrySpan // nil: there is no budget
+}
+
+// retrySpan counts what happened in one part of the window.
+type retrySpan struct {
+	index    Time // number of the span since the clock's zero
+	requests float64
+	retries  float64
+}
+
+func newRetryBudget(d *Deployment) retryBudget {
+	b := retryBudget{burst: d.RetryBurst, ratio: d.RetryRatio, window: d.RetryWindow}
+	if d.RetryWindow > 0 {
+		b.spans = make([]retrySpan, retrySpans+1)
+	}
+	return b
+}
+
+// current is the count of the present span; nil where there is no budget.
+func (b *retryBudget) current(now Time) *retrySpan {
+	if b.spans == nil {
+		return nil
+	}
+	index := now / (b.window/retrySpans + 1)
+	span := &b.spans[index%(retrySpans+1)]
+	if span.index != index {
+		*span = retrySpan{index: index}
+	}
+	return span
+}
+
+// inWindow counts, for the window that ends with a span, the requests that surely fall into it and the retries that may.
+func (b *retryBudget) inWindow(last *retrySpan) (requests, retries float64) {
+	for i := range b.spans {
+		span := &b.spans[i]
+		if span.index >= last.index-retrySpans {
+			retries += span.retries
+			if span.index > last.index-retrySpans+1 {
+				requests += span.requests
+			}
+		}
+	}
+	return requests, retries
+}
+
+// countRequest counts a request taken.
+func (b *retryBudget) countRequest(now Time) {
+	if span := b.current(now); span != nil {
+		span.requests++
+	}
+}
+
+// countRetry counts a retry.
+func (b *retryBudget) countRetry(now Time) {
+	if span := b.current(now); span != nil {
+		span.retries++
+	}
+}
+
+// allows tells whether one more retry is within the budget: all retries that may fall into the window count, and only
+// the requests that surely do.
+func (b *retryBudget) allows(now Time) bool {
+	last := b.current(now)
+	if last == nil {
+		return true
+	}
+	requests, retries := b.inWindow(last)
+	return retries+1 <= b.burst+b.ratio*requests
+}
+
+// restore sets a span to what a process before this one counted.
+func (b *retryBudget) restore(span retrySpan) {
+	if b.spans != nil {
+		b.spans[span.index%(retrySpans+1)] = span
+	}
+}
+
+// exhaust counts all that the budget allows now as used.
+func (b *retryBudget) exhaust(now Time) {
+	if span := b.current(now); span != nil {
+		requests, retries := b.inWindow(span)
+		span.retries += max(0, b.burst+b.ratio*requests-retries)
+	}
+}
+
+// allowsAttempt is the part of the rules that doesn't depend on the engine: one attempt at a time, none after the
+// end, the policy class's limits, the order of keys, the most attempts of a request, the retry budget.
+func (c *Controller) allowsAttempt(r *activeRequest) bool {
+	if r.attempt.inFlight || r.abandoned || c.now >= r.deadline || c.usedUpAttempts(r) {
+		return false
+	}
+	threads := float64(c.deployment.Classes[r.class].Threads)
+	if r.estimate.PolicyClass > 0 && !c.pools.gate.AllowsAttempt(c.now, r.estimate.PolicyClass, threads) {
+		return false
+	}
+	if r.orderKey != "" {
+		isFirst := c.requests.at(c.keys.first(r.orderKey)).id == r.id
+		if !isFirst || c.keys.rests(r.orderKey, c.now) && r.attempts == 0 {
+			return false
+		}
+	}
+	return c.allowsRepeat(r) && (r.attempts == 0 || c.retries.allows(c.now))
+}
+
+// usedUpAttempts tells whether a request has had the most attempts that the deployment allows.
+func (c *Controller) usedUpAttempts(r *activeRequest) bool {
+	return c.deployment.MaxAttempts > 0 && r.attempts >= c.deployment.MaxAttempts
+}
+
+// allowsRepeat tells whether the request's class allows an attempt at any engine; after two errors none does, as the
+// request itself is at fault then.
+func (c *Controller) allowsRepeat(r *activeRequest) bool {
+	if !r.prior.MayHaveRun {
+		return true
+	}
+	if r.errors >= 2 {
+		return false
+	}
+	class := &c.deployment.Classes[r.class]
+	return class.Effect == Idempotent ||
+		class.Effect == Deduplicated && c.now < r.prior.SentAt+class.DedupWindow
+}
--- a/internal/admission/script_test.go
+++ b/internal/admission/script_test.go
@@ -109,15 +109,21 @@
 	s.out.Reset()
 }
 
+// engineOf is the engine of a request's latest attempt.
+func (s *script) engineOf(id RequestID) *engine {
+	_, r := s.requests.find(id)
+	return s.engines.at(r.attempt.engine)
+}
+
 func (s *script) probed(e EngineID, how Outcome, report Report) {
 	s.HandleProbeResult(s.at, e, how, report)
-	i := &s.engines[s.named[e]]
-	s.say("probe of %s: bound %.3g, failure score %.1f", e, i.bound, s.score(i))
+	i := &s.engines.items[s.engines.byName[e]]
+	s.say("probe of %s: bound %.3g, failure score %.1f", e, i.limit.bound, s.failureScore(i))
 }
 
 func (s *script) list(form UpdateKind, list ...Endpoint) {
 	s.UpdateEndpoints(s.at, form, list)
-	for _, e := range s.engines {
-		s.say("%s is %s, bound %.3g", e.Engine, [...]string{"live", "draining", "gone"}[e.State], e.bound)
+	for _, e := range s.engines.items {
+		s.say("%s is %s, bound %.3g", e.Engine, [...]string{"live", "draining", "gone"}[e.State], e.limit.bound)
 	}
 }
--- /dev/null
+++ b/internal/admission/shedding.go
@@ -0,0 +1,188 @@
+package admission
+
+// pool is a part of the fleet that an operator keeps for some classes; the first is all of it. Each has its own state: one
+// that is crowded or gone turns no request away elsewhere.
+type pool struct {
+	minPrice   float64 // least price of a request taken on, as a part of the best class's
+	starving   bool    // a queued request has used up much of its time, since minPrice last moved
+	hasWarm    bool    // an engine of it is live and not cold, as of the last tick
+	shortageAt Time    // when a queued request was last given up for want of room
+}
+
+// adjustMinPrice sets the least price, in weight for work, at which requests are taken on: up while a queued one has
+// used up half of its useful time, else down. By weight alone cheap classes would starve behind dear ones.
+// Harm: where estimates are off beyond what answers correct, a class is shed before others.
+func (p *pool) adjustMinPrice() {
+	const rise, fall = 1.06, 0.97     // a tick: doubled in a quarter of a second, halved in twice that
+	const lowest, highest = 0.02, 1.5 // of the best class's price, whose usual requests pass all the same
+	if p.starving {
+		p.starving = false
+		p.minPrice = min(highest, max(lowest, p.minPrice*rise))
+		return
+	}
+	p.minPrice *= fall
+	if p.minPrice < lowest {
+		p.minPrice = 0 // nobody waits long: what earns next to nothing for its work passes, too
+	}
+}
+
+// poolSet holds the pools, and asks the operator's policy which requests and engines are of which.
+type poolSet struct {
+	list []pool
+	gate PolicyGate // nil: there are no policy classes
+}
+
+func newPoolSet(now Time) poolSet { return poolSet{list: []pool{{shortageAt: now - Second}}} }
+
+// numberOf is the number of a request's pool.
+func (s *poolSet) numberOf(r *activeRequest, now Time) int {
+	if r.estimate.PolicyClass == 0 {
+		return 0
+	}
+	number := s.gate.Pool(r.estimate.PolicyClass)
+	for len(s.list) <= number {
+		s.list = append(s.list, pool{shortageAt: now - Second})
+	}
+	return number
+}
+
+// of is a request's pool.
+func (s *poolSet) of(r *activeRequest, now Time) *pool {
+	number := s.numberOf(r, now)
+	return &s.list[number]
+}
+
+// contains tells whether an engine belongs to a pool.
+func (s *poolSet) contains(number int, e *engine) bool {
+	return number == 0 || s.gate.InPool(number, &e.Endpoint)
+}
+
+// shortOfRoom tells whether a request of an engine's pools was given up for want of room within the last second.
+func (s *poolSet) shortOfRoom(e *engine, now Time) bool {
+	for number := range s.list {
+		if now-s.list[number].shortageAt < Second && s.contains(number, e) {
+			return true
+		}
+	}
+	return false
+}
+
+// HandleRequest takes a request from a client. From here on it is owed one final answer.
+func (c *Controller) HandleRequest(now Time, request Request) {
+	c.now = now
+	c.probes.earn()
+	c.peerMessages.earn()
+	c.retries.countRequest(now)
+	i, work := c.addRequest(request)
+	r := c.requests.at(i)
+	if !c.allowsRepeat(r) {
+		c.answerUnserved(i) // a process before this one had sent it
+		return
+	}
+	if c.deployment.Classes[r.class].Ordered && request.Key != "" {
+		r.orderKey = request.Key
+		if !c.keys.join(r.orderKey, i) {
+			return // it waits behind its key, in no queue yet
+		}
+	}
+	c.queues.insert(&c.requests, i)
+	c.probeLongestUnseen()
+	if p := c.pools.of(r, now); c.isUnderpriced(r, work, p) {
+		p.shortageAt = now
+		c.answerUnserved(i)
+		return
+	}
+	c.releaseQueued()
+	c.shedForHeadroom()
+	if r.queued && now >= c.latestStart(r) {
+		c.answerUnserved(i) // it came too late to wait for the next tick
+	}
+}
+
+// addRequest puts a request among those in hand, and returns its expected work beside its place.
+func (c *Controller) addRequest(request Request) (i requestIndex, work float64) {
+	tenant := request.Tenant
+	if tenant < 0 || tenant >= len(c.tenants.threads) {
+		tenant = 0
+	}
+	class := &c.deployment.Classes[request.Class]
+	work = c.estimates.expectWork(request.Class, request.Estimate.Work)
+	objective := c.now + class.LatencyObjective + Time(class.ObjectivePerWork*work/float64(class.Threads))
+	c.sequence++
+	i = c.requests.add(activeRequest{id: request.ID, class: request.Class, tenant: tenant, tables: request.Tables,
+		arrivedAt: c.now, deadline: request.Deadline, objective: min(request.Deadline, objective), estimate: request.Estimate,
+		sequence: c.sequence, rank: initialRank, attempt: attempt{engine: noEngine}, prior: request.Estimate.Prior})
+	return i, work
+}
+
+// isUnderpriced tells whether a request earns too little for its work, while others like it wait long. What earns the best
+// class's usual price always passes.
+func (c *Controller) isUnderpriced(r *activeRequest, work float64, p *pool) bool {
+	price := c.estimates.price(r.class, work)
+	return price < 0.99*c.estimates.bestPrice && price < p.minPrice*c.estimates.bestPrice
+}
+
+// shedForHeadroom gives up the queued request that would leave last, by weight and arrival, while nearly all that the
+// gateway can have in hand is taken. This guards against shedding by chance: who finds no place, dear or cheap,
+// does not come here. Harm: cuts short a queue that would have been served soon, where places are few.
+func (c *Controller) shedForHeadroom() {
+	const headroomPart = 8 // of the places: for what comes while answers are on their way, or in a stall of 50 ms
+	most := c.deployment.MaxRequests - c.deployment.MaxRequests/headroomPart
+	if c.deployment.MaxRequests <= 0 {
+		return
+	}
+	for n := len(c.classOrder) - 1; n >= 0 && len(c.requests.byID) > most; n-- {
+		for _, tenant := range c.tenants.order {
+			queue := *c.queues.of(tenant, c.classOrder[n])
+			if len(queue) == 0 {
+				continue
+			}
+			last := queue[len(queue)-1]
+			c.pools.of(c.requests.at(last), c.now).shortageAt = c.now
+			c.answerUnserved(last)
+			return
+		}
+	}
+}
+
+// latestStart is until when holding a request has a useful chance: started then, it is answered by its latency objective
+// if it runs as its class usually does. It is always answered before its deadline.
+func (c *Controller) latestStart(r *activeRequest) Time {
+	const slack, maxShare = 1.5, 2.0 / 3 // usual runs kept free, and at most this part of the time to the objective
+	free := min(slack*c.estimates.usualRunTime(r), maxShare*float64(r.objective-r.arrivedAt))
+	return min(r.objective-Time(free), r.deadline-2*tickInterval)
+}
+
+// answerUnserved is the only place that answers a request without an engine: by a rejection where another try by the client is
+// harmless.
+func (c *Controller) answerUnserved(i requestIndex) {
+	r := c.requests.at(i)
+	if r.attempt.inFlight || r.abandoned {
+		return
+	}
+	class := &c.deployment.Classes[r.class]
+	if !r.prior.MayHaveRun || class.Effect == Idempotent || class.Effect == Deduplicated && class.DedupScope == AllEngines {
+		c.host.RejectRequest(r.id, c.deployment.RetryAfter)
+	} else {
+		c.host.FailRequest(r.id)
+	}
+	c.removeRequest(i)
+}
+
+// checkRequest gives up a request that has waited too long, and notes whether its pool is short of room.
+func (c *Controller) checkRequest(i requestIndex) {
+	r := c.requests.at(i)
+	latest := c.latestStart(r)
+	p := c.pools.of(r, c.now)
+	heldByPolicyOnly := r.estimate.PolicyClass != 0 && !c.allowsAttempt(r)
+	if !p.starving {
+		p.starving = r.queued && c.now-r.arrivedAt > (latest-r.arrivedAt)/2 && c.allowsAttempt(r)
+	}
+	if c.now < latest {
+		return
+	}
+	if !heldByPolicyOnly {
+		p.shortageAt = c.now
+	}
+	c.answerUnserved(i)
+}
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -1,17 +1,20 @@
 package admission
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
+	"math"
 	"slices"
 )
 
-// Snapshot is what a router knows that is worth keeping when its process dies. Times are those of its clock.
+// Snapshot is what a controller knows that is worth keeping when its process dies. Times are those of its clock.
+// Stored files have the names of the tags.
 type Snapshot struct {
 	Version       int
 	At            Time
 	Classes       []ClassSnapshot     `json:"Lanes"`
-	RunTime       float64             `json:"Ran"` // as in Router
+	RunTime       float64             `json:"Ran"` // as in estimator: thread time and work of the attempts that ended lately
 	RequestedWork float64             `json:"Asked"`
 	MeanWork      float64             `json:"Usual"`
 	MeanBusyShare float64             `json:"Busy"`
@@ -59,59 +62,116 @@
 // snapshotVersion is raised with every change of the form.
 const snapshotVersion = 1
 
-// TakeSnapshot is what the router knows now.
-func (r *Controller) TakeSnapshot(now Time) *Snapshot {
-	m := &Snapshot{Version: snapshotVersion, At: now, RunTime: r.ran, RequestedWork: r.asked, MeanWork: r.usual, MeanBusyShare: r.busy, MinPrice: r.pools[0].bar}
-	for _, l := range r.classes {
-		m.Classes = append(m.Classes, ClassSnapshot{l.run, l.work, l.memory, l.answers, l.requests, l.ease})
+// TakeSnapshot is what the controller knows now.
+func (c *Controller) TakeSnapshot(now Time) *Snapshot {
+	s := &Snapshot{Version: snapshotVersion, At: now, RunTime: c.estimates.threadTime, RequestedWork: c.estimates.requestedWork,
+		MeanWork: c.estimates.meanWork, MeanBusyShare: c.estimates.meanBusyShare, MinPrice: c.pools.list[0].minPrice}
+	for _, class := range c.estimates.classes {
+		s.Classes = append(s.Classes, ClassSnapshot{RunTime: class.runTime, Work: class.work, Memory: class.memory,
+			Answers: class.answers, Requests: class.requests, CorrectionFactor: class.correctionFactor})
 	}
-	for i := range r.engines {
-		if e := &r.engines[i]; e.State != Gone {
-			m.Engines = append(m.Engines, EngineSnapshot{e.Engine, e.Since, e.bound, e.util, e.report, e.reportAt, e.failures, e.failuresAt})
+	for i := range c.engines.items {
+		if e := &c.engines.items[i]; e.State != Gone {
+			s.Engines = append(s.Engines, e.snapshot())
 		}
 	}
-	slices.SortFunc(m.Engines, func(a, b EngineSnapshot) int { return compare(a.Engine, b.Engine) })
-	for _, s := range r.retries {
-		if s.taken > 0 || s.extra > 0 {
-			m.RetrySpans = append(m.RetrySpans, RetrySpanSnapshot{s.index, s.taken, s.extra})
+	slices.SortFunc(s.Engines, func(a, b EngineSnapshot) int { return cmp.Compare(a.Engine, b.Engine) })
+	for _, span := range c.retries.spans {
+		if span.requests > 0 || span.retries > 0 {
+			s.RetrySpans = append(s.RetrySpans, RetrySpanSnapshot{Index: span.index, Requests: span.requests, Retries: span.retries})
 		}
 	}
-	for key, turn := range r.turns {
-		if turn.rest > now {
-			m.RestingKeys = append(m.RestingKeys, KeySnapshot{key, turn.rest})
+	for key, queue := range c.keys.queues {
+		if queue.restsUntil > now {
+			s.RestingKeys = append(s.RestingKeys, KeySnapshot{Key: key, RestsUntil: queue.restsUntil})
 		}
 	}
-	slices.SortFunc(m.RestingKeys, func(a, b KeySnapshot) int { return compare(a.Key, b.Key) })
-	return m
+	slices.SortFunc(s.RestingKeys, func(a, b KeySnapshot) int { return cmp.Compare(a.Key, b.Key) })
+	return s
 }
 
-func compare[T ~string](a, b T) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
+func (e *engine) snapshot() EngineSnapshot {
+	return EngineSnapshot{Engine: e.Engine, Since: e.Since, Bound: e.limit.bound, Utilization: e.load.utilization,
+		Report: e.load.report, ReportAt: e.load.reportAt, FailureScore: e.failures.points, FailureScoreAt: e.failures.addedAt}
+}
+
+// RestoreSnapshot has the controller go on from what a process before it knew; it is called before the first update of the
+// engine list. Old figures count for less. What that process did after it wrote this down is not known: so within twice the
+// window the retry budget counts as used up, and this turn at cold engines as spent: two processes must not
+// do together what one may not.
+func (c *Controller) RestoreSnapshot(now Time, s *Snapshot) {
+	const halfLife = 60 * Second // after which what was learned of classes counts half: mixes change by the minute
+	c.now = now
+	c.snapshot = s
+	weight := math.Exp2(-float64(max(0, now-s.At)) / float64(halfLife))
+	c.estimates.restore(s, weight)
+	c.pools.list[0].minPrice = s.MinPrice * weight
+	for _, span := range s.RetrySpans {
+		c.retries.restore(retrySpan{index: span.Index, requests: span.Requests, retries: span.Retries})
+	}
+	if now-s.At < 2*c.retries.window {
+		c.retries.exhaust(now)
+	}
+	for _, key := range s.RestingKeys {
+		c.keys.queues[key.Key] = keyQueue{restsUntil: key.RestsUntil}
+	}
+}
+
+// restore takes over what was learned, as far as the classes are the same; weight: what it counts for, 0 to 1.
+func (s *estimator) restore(from *Snapshot, weight float64) {
+	if len(from.Classes) == len(s.classes) {
+		for i := range from.Classes {
+			class := &from.Classes[i]
+			if class.Work <= 0 || class.RunTime <= 0 || class.CorrectionFactor <= 0 {
+				continue
+			}
+			s.classes[i] = classEstimate{runTime: class.RunTime, work: class.Work, memory: class.Memory,
+				answers: class.Answers * weight, requests: class.Requests * weight,
+				correctionFactor: class.CorrectionFactor, rank: initialRank}
+		}
+	}
+	if from.RunTime > 0 && from.RequestedWork > 0 && from.MeanWork > 0 {
+		s.runTime = s.runTime * from.RunTime / s.threadTime
+		s.threadTime, s.requestedWork = from.RunTime, from.RequestedWork
+		s.meanWork, s.meanBusyShare = from.MeanWork, from.MeanBusyShare
+	}
+}
+
+// restoreEngine has an engine begin as it was last known, if it has not been started again since: its bound from
+// where it stood, less the longer ago; its report and its failure score with their age.
+func (c *Controller) restoreEngine(e *engine) {
+	const boundLifetime = 10 * Second // by then a bound has been stepped to somewhere else
+	for i := range c.snapshot.Engines {
+		known := &c.snapshot.Engines[i]
+		if known.Engine != e.Engine || known.Since != e.Since {
+			continue
+		}
+		e.limit.bound += (known.Bound - e.limit.bound) * max(0, 1-float64(c.now-c.snapshot.At)/float64(boundLifetime))
+		e.load.utilization, e.load.report, e.load.reportAt = known.Utilization, known.Report, known.ReportAt
+		e.failures.points, e.failures.addedAt = known.FailureScore, known.FailureScoreAt
+		if c.slowStart.isCold(e, c.now) {
+			e.coldQuota = coldQuota{span: c.slowStart.spanOf(c.now), work: math.Inf(1)}
+		}
 	}
-	return 0
 }
 
-// Encode writes a memory.
-func (m *Snapshot) Encode() []byte {
-	b, err := json.Marshal(m)
-	if err != nil { // figures that are no numbers
+// Encode writes a snapshot; nil: a figure of it is no number.
+func (s *Snapshot) Encode() []byte {
+	b, err := json.Marshal(s)
+	if err != nil {
 		return nil
 	}
 	return b
 }
 
-// DecodeSnapshot reads one; another version's is refused.
+// DecodeSnapshot reads a snapshot; another version's is an error.
 func DecodeSnapshot(b []byte) (*Snapshot, error) {
-	m := &Snapshot{}
-	if err := json.Unmarshal(b, m); err != nil {
+	s := &Snapshot{}
+	if err := json.Unmarshal(b, s); err != nil {
 		return nil, err
 	}
-	if m.Version != snapshotVersion {
-		return nil, fmt.Errorf("version %d of the form, this program knows %d", m.Version, snapshotVersion)
+	if s.Version != snapshotVersion {
+		return nil, fmt.Errorf("version %d of the form, this program knows %d", s.Version, snapshotVersion)
 	}
-	return m, nil
+	return s, nil
 }
