--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -84,7 +84,7 @@
 // welcome starts a session for a client, or turns it away.
 func (a *acceptor) startSession(tcp net.Conn) {
 	o := a.owner
-	o.openConnections.Add(1)
+	o.usage.openConnections.Add(1)
 	s := newSession(o, tcp)
 	if o.clients.admit(s) == sessionRefused {
 		a.rejectClient(s)
@@ -112,9 +112,10 @@
 	}()
 }
 
-// newSession makes a session for a client. Who knows a connection's id may have its query killed, so ids are not to be guessed.
-func newSession(o *owner, tcp net.Conn) *clientSession {
-	s := &clientSession{owner: o, socket: tcp, input: newClientReader(tcp), events: newSessionQueue(), connectionID: rand.Uint32(), startedAt: time.Now()}
+// newSession returns a session for a client. Whoever knows a connection's id may have its query killed, so ids are random.
+func newSession(o *owner, socket net.Conn) *clientSession {
+	s := &clientSession{owner: o, socket: socket, input: newClientReader(socket), connectionID: rand.Uint32(), startedAt: time.Now()}
+	s.events = newSessionQueue(s.handleEvent)
 	if o.resourceGroups != nil {
 		s.statementReader = o.resourceGroups.NewStatementReader()
 	}
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -16,7 +16,7 @@
 
 // onDial has the next connections to engines made by a hook; it must come before any engine is listed.
 func (s *fixture) onDial(hook func(address string, dial func(string) (net.Conn, error)) (net.Conn, error)) {
-	s.o.post(func(admission.Time) {
+	s.onOwner(func(admission.Time) {
 		dial := s.o.dial
 		s.o.dial = func(address string) (net.Conn, error) { return hook(address, dial) }
 	})
@@ -26,7 +26,7 @@
 // lists has the owner take in an engine's state at once.
 func (s *fixture) listEngine(e *fakeEngine, state admission.EndpointState) {
 	e.fixture = s
-	s.o.post(func(now admission.Time) {
+	s.onOwner(func(now admission.Time) {
 		s.o.handleEndpoints(now, admission.PartialUpdate, listing(e, state), []string{e.listener.Addr().String()})
 	})
 	s.sync()
--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -29,7 +29,7 @@
 // inHand counts the requests that the router has taken and not answered.
 func (s *fixture) inFlight() int {
 	answer := make(chan int, 1)
-	s.o.post(func(admission.Time) { answer <- len(s.o.requests) })
+	s.onOwner(func(admission.Time) { answer <- len(s.o.requests) })
 	return <-answer
 }
 
@@ -57,7 +57,7 @@
 // connectionOf is the router's side of a client's connection.
 func (s *fixture) connectionOf(c *testClient) net.Conn {
 	tcp := make(chan net.Conn, 1)
-	s.o.post(func(admission.Time) { tcp <- s.o.sessions[c.id].socket })
+	s.onOwner(func(admission.Time) { tcp <- s.o.sessions[c.id].socket })
 	return <-tcp
 }
 
@@ -161,7 +161,7 @@
 	s := startFixture(t)
 	defer s.close()
 	dialled, goOn := make(chan bool, 1), make(chan bool)
-	s.o.post(func(admission.Time) {
+	s.onOwner(func(admission.Time) {
 		dial := s.o.dial
 		s.o.dial = func(address string) (net.Conn, error) {
 			select {
@@ -174,7 +174,7 @@
 	})
 	s.sync()
 	started := func() {
-		s.o.post(func(now admission.Time) {
+		s.onOwner(func(now admission.Time) {
 			s.o.handleEndpoints(now, admission.PartialUpdate, []admission.Endpoint{{Engine: "e1", State: admission.Live}}, []string{e.listener.Addr().String()})
 		})
 		s.sync()
@@ -193,6 +193,17 @@
 	s.requireOnlyReceives(e, "bb")
 }
 
+// blockingClient holds the goroutine of a session that sends an attempt until done is closed.
+type blockingClient struct {
+	engineClient
+	busy, done chan bool
+}
+
+func (b blockingClient) send(*attempt) {
+	close(b.busy)
+	<-b.done
+}
+
 // The connection comes up before the session has seen its client leave, as it stands still: nothing is written all the same.
 func TestClientLeftWhenTheConnectionIsUp(t *testing.T) {
 	e := newFakeEngine(t, "e1")
@@ -204,17 +215,15 @@
 	a.sendLook("aa")
 	<-dialled
 	busy, done := make(chan bool), make(chan bool)
-	s.o.post(func(admission.Time) {
-		s.o.requests["00000000000000aa"].responder.do(func() {
-			close(busy)
-			<-done
-		})
+	s.onOwner(func(admission.Time) {
+		request := s.o.requests["00000000000000aa"]
+		request.responder.sendAttempt(&attempt{request: request, resent: true}, blockingClient{busy: busy, done: done})
 	})
 	<-busy
 	a.socket.Close()
 	eventually(t, "the end is there", func() bool {
 		gone := make(chan bool, 1)
-		s.o.post(func(admission.Time) { gone <- s.o.requests["00000000000000aa"].responder.clientGone() })
+		s.onOwner(func(admission.Time) { gone <- s.o.requests["00000000000000aa"].responder.clientGone() })
 		return <-gone
 	})
 	close(goOn)
@@ -255,9 +264,9 @@
 		return err
 	}
 	called := 0
-	call := func() { called++ }
+	call := requestAbandoned{}
 
-	m := newSessionQueue()
+	m := newSessionQueue(func(sessionEvent) { called++ })
 	m.Put(call)
 	if m.beginInterruptibleRead(near) {
 		t.Error("a session may read though a call waits already")
--- a/internal/router/client_session.go
+++ b/internal/router/client_session.go
@@ -10,7 +10,6 @@
 	"slices"
 	"time"
 
-	"magpiebank/internal/admission"
 	"magpiebank/internal/protocol/mysql"
 )
 
@@ -195,7 +194,7 @@
 // shrink lets a large statement go, with its part of the memory for such.
 func (s *clientSession) releaseStatementBuffer() {
 	if cap(s.payload) > usualStatementSize {
-		s.owner.statementBytes.Add(-int64(cap(s.payload)))
+		s.owner.usage.statementBytes.Add(-int64(cap(s.payload)))
 		s.payload = nil
 	}
 }
@@ -211,8 +210,8 @@
 	if old <= usualStatementSize {
 		old = 0 // that is not counted
 	}
-	all := s.owner.statementBytes.Add(int64(size - old))
-	return s.owner.maxStatementBytes == 0 || all <= s.owner.maxStatementBytes
+	all := s.owner.usage.statementBytes.Add(int64(size - old))
+	return s.owner.usage.maxStatementBytes == 0 || all <= s.owner.usage.maxStatementBytes
 }
 
 // write sends packets, gathered; it must be through when a client that stopped waiting would be gone.
@@ -280,7 +279,7 @@
 		}
 	case mysql.Query:
 		if connection, ok := mysql.ParseKillQuery(arg); ok {
-			s.owner.post(func(now admission.Time) { s.owner.killQuery(now, connection) })
+			s.owner.post(killRequested{connectionID: connection})
 			s.writePackets(mysql.AppendOK(nil, s.packetNumber+1))
 			return
 		}
@@ -289,10 +288,3 @@
 		s.rejectCommand(mysql.ErrUnknownCommand, "unknown command")
 	}
 }
-
-// killed ends the request of the session whose client stopped waiting.
-func (o *owner) killQuery(now admission.Time, connection uint32) {
-	if s := o.sessions[connection]; s != nil && s.request != nil {
-		o.handleClientGone(now, s.request)
-	}
-}
--- a/internal/router/client_session_test.go
+++ b/internal/router/client_session_test.go
@@ -62,7 +62,7 @@
 func TestBadClientsAreToldAndEnded(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.o.post(func(admission.Time) { s.o.network.LongestWaits = []time.Duration{5 * time.Second, 20 * time.Second} })
+	s.onOwner(func(admission.Time) { s.o.network.LongestWaits = []time.Duration{5 * time.Second, 20 * time.Second} })
 	query := func(sql string) []byte {
 		return append([]byte{byte(len(sql) + 1), byte((len(sql) + 1) >> 8), 0, 0, mysql.Query}, sql...)
 	}
--- a/internal/router/cut_test.go
+++ b/internal/router/cut_test.go
@@ -14,8 +14,8 @@
 // kept counts what the router holds for clients and requests: nothing once they are over.
 func (s *fixture) kept() (n int) {
 	done := make(chan struct{})
-	s.o.post(func(admission.Time) {
-		n = len(s.o.sessions) + len(s.o.requests) + int(s.o.statementBytes.Load())
+	s.onOwner(func(admission.Time) {
+		n = len(s.o.sessions) + len(s.o.requests) + int(s.o.usage.statementBytes.Load())
 		close(done)
 	})
 	<-done
@@ -86,7 +86,7 @@
 	next := *s.start
 	next.DiscoveryAddress = l.Addr().String()
 	s.renewed <- &next
-	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, event(2, false, []string{entry(e, "Ready")}))
+	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{entry(e, "Ready")}))
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
 	for cut := range whole {
 		k := polled(t, l)
@@ -95,7 +95,7 @@
 		k.Close()
 	}
 	known := make(chan int, 1)
-	s.o.post(func(admission.Time) { known <- len(s.o.engines) })
+	s.onOwner(func(admission.Time) { known <- len(s.o.engines) })
 	if n := <-known; n != 0 {
 		t.Errorf("%d engines known from answers that broke off", n)
 	}
--- a/internal/router/engine_answer.go
+++ b/internal/router/engine_answer.go
@@ -73,7 +73,7 @@
 		}
 		news, value, ok := resp.ParseProgress(fields)
 		if ok {
-			e.owner.post(func(now admission.Time) { e.owner.admission.HandleNotice(now, requestID, attempt.number, news, value) })
+			e.owner.post(progressReceived{request: requestID, attempt: attempt.number, notice: news, value: value})
 		}
 	case "data":
 		return c.handleFirstPage(attempt, fields, body)
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -172,11 +172,11 @@
 		e.conns = slices.DeleteFunc(e.conns, func(k *engineConn) bool { return k == c })
 		e.mu.Unlock()
 		c.writeMu.Unlock()
-		e.owner.engineConnections.Add(-1)
+		e.owner.usage.engineConnections.Add(-1)
 		for _, attempt := range unwritten { // proof that nothing ran
 			switch {
 			case up:
-				e.owner.post(func(now admission.Time) { e.owner.resendAttempt(now, attempt) })
+				e.owner.post(attemptNotWritten{attempt})
 			case isLocalShortage(err):
 				e.owner.postAttemptEnd(attempt, admission.Unsent)
 			default:
@@ -212,7 +212,7 @@
 	e.mu.Unlock()
 	for _, attempt := range waiting {
 		if attempt.request.responder.clientGone() {
-			e.owner.post(func(now admission.Time) { e.owner.handleClientGone(now, attempt.request) })
+			e.owner.post(clientClosed{attempt.request})
 			continue
 		}
 		c.writeAttempt(attempt)
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -17,7 +17,7 @@
 func TestPagesAreGatheredInOrder(t *testing.T) { // gathered in order, whatever order they come in; one connection carries two requests
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.o.post(func(admission.Time) { s.o.engineConnectionLimit = 0 }) // so that attempts share connections
+	s.onOwner(func(admission.Time) { s.o.usage.engineConnectionLimit = 0 }) // so that attempts share connections
 	a, b, c := s.newClient(), s.newClient(), s.newClient()
 	a.sendLook("aa")
 	k := e.receive()
@@ -86,7 +86,7 @@
 	a := s.newClient()
 	a.sendLoad("aa")
 	s.awaitRequests(1)
-	s.list <- fmt.Sprintf(`{"index":2,"updates":[%s]}`, event(2, false, []string{entry(f, "Ready"), entry(e, "Ready")}))
+	s.list <- fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{entry(f, "Ready"), entry(e, "Ready")}))
 	k := f.receive()
 	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "")
 	a.expectAnswer()
@@ -138,7 +138,7 @@
 func TestReportOfNobodyIsPassedOver(t *testing.T) { // where answers hold reports, one for no request is passed over like its rows
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.o.post(func(admission.Time) { s.o.network.ReportsInAnswers = true })
+	s.onOwner(func(admission.Time) { s.o.network.ReportsInAnswers = true })
 	a := s.newClient()
 	a.sendLook("aa")
 	k := e.receive()
@@ -171,7 +171,7 @@
 	} {
 		e := newFakeEngine(t, "e1")
 		s := startFixture(t, e)
-		s.o.post(func(admission.Time) { s.o.deployment.NoticeInterval = 50 * admission.Millisecond })
+		s.onOwner(func(admission.Time) { s.o.deployment.NoticeInterval = 50 * admission.Millisecond })
 		a := s.newClient()
 		a.sendLook("aa")
 		k := e.receive()
@@ -258,7 +258,7 @@
 	k = e.receive()
 	answer(k, "bb")
 	fresh := make(chan time.Duration)
-	s.o.post(func(admission.Time) {
+	s.onOwner(func(admission.Time) {
 		engine := s.o.engines["e1"].(*enginePool)
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
--- a/internal/router/engine_pool.go
+++ b/internal/router/engine_pool.go
@@ -69,7 +69,7 @@
 	}
 	p.mu.Lock()
 	conn := p.reusableConn(a.requestID)
-	if conn == nil || conn.inFlight > 0 && p.owner.engineConnections.Load() < p.owner.engineConnectionLimit {
+	if conn == nil || conn.inFlight > 0 && p.owner.usage.engineConnections.Load() < p.owner.usage.engineConnectionLimit {
 		conn = p.addConn()
 	}
 	connected := conn.assign(a)
@@ -102,8 +102,8 @@
 func (p *enginePool) addConn() *engineConn {
 	conn := &engineConn{pool: p, attempts: map[admission.RequestID]*attempt{}}
 	p.conns = append(p.conns, conn)
-	p.owner.openConnections.Add(1)
-	p.owner.engineConnections.Add(1)
+	p.owner.usage.openConnections.Add(1)
+	p.owner.usage.engineConnections.Add(1)
 	go conn.serve()
 	return conn
 }
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -129,7 +129,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"memory_mb":192},
-	 "coordinator":%q,"known":{"index":1,"updates":[%s]},"settings":%s}`, s.engineList(), event(1, true, servers), settings)
+	 "coordinator":%q,"known":{"index":1,"updates":[%s]},"settings":%s}`, s.engineList(), watchEvent(1, true, servers), settings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -141,6 +141,13 @@
 	listener := s.listen()
 	s.address = listener.Addr().String()
 	s.o = newOwner(start, s.clock, slog.New(slog.NewTextHandler(&s.log, nil)))
+	s.o.handle = func(now admission.Time, e event) {
+		if call, ok := e.(ownerCall); ok {
+			call(now)
+			return
+		}
+		s.o.handleEvent(now, e)
+	}
 	go func() {
 		s.o.serve(start, listener, s.stop, s.renewed)
 		close(s.ended)
@@ -148,6 +155,14 @@
 	return s
 }
 
+// ownerCall is an event of the tests alone: a call on the owner's goroutine.
+type ownerCall func(now admission.Time)
+
+func (ownerCall) isEvent() {}
+
+// onOwner queues a call on the owner's goroutine.
+func (s *fixture) onOwner(call func(now admission.Time)) { s.o.post(ownerCall(call)) }
+
 func (s *fixture) listen() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -162,7 +177,7 @@
 		e.name, e.listener.Addr(), state)
 }
 
-func event(index int, full bool, servers []string) string {
+func watchEvent(index int, full bool, servers []string) string {
 	return fmt.Sprintf(`{"index":%d,"endpoints":{"full":%v,"servers":[%s]}}`, index, full, strings.Join(servers, ","))
 }
 
@@ -209,7 +224,7 @@
 	e.fixture = s
 	s.listIndex++
 	s.tracef("the list tells: %s is %s", e.name, state)
-	s.list <- fmt.Sprintf(`{"index":%d,"updates":[%s]}`, s.listIndex, event(s.listIndex, false, []string{entry(e, state)}))
+	s.list <- fmt.Sprintf(`{"index":%d,"updates":[%s]}`, s.listIndex, watchEvent(s.listIndex, false, []string{entry(e, state)}))
 	for line := range s.polls {
 		if strings.Contains(line, fmt.Sprintf("follow=%d&", s.listIndex)) {
 			break
@@ -226,7 +241,7 @@
 // sync waits until the owner has done what is queued.
 func (s *fixture) sync() {
 	done := make(chan struct{})
-	s.o.post(func(admission.Time) { close(done) })
+	s.onOwner(func(admission.Time) { close(done) })
 	<-done
 }
 
@@ -270,7 +285,7 @@
 	case <-s.ended:
 		return
 	}
-	s.o.post(func(now admission.Time) {
+	s.onOwner(func(now admission.Time) {
 		for _, request := range s.o.requests {
 			s.o.handleClientGone(now, request)
 		}
@@ -300,7 +315,7 @@
 func (s *fixture) awaitRequests(n int) {
 	for got := -1; got != n; {
 		answer := make(chan int)
-		s.o.post(func(admission.Time) { answer <- len(s.o.requests) })
+		s.onOwner(func(admission.Time) { answer <- len(s.o.requests) })
 		got = <-answer
 	}
 }
--- a/internal/router/health_check.go
+++ b/internal/router/health_check.go
@@ -29,7 +29,7 @@
 		if how != admission.Served && how != admission.Unreachable && !h.connecting {
 			how, report = h.checkRecovering() // a connection may break and an answer be spoilt once, from a sound engine
 		}
-		o.post(func(now admission.Time) { o.admission.HandleProbeResult(now, h.pool.name, how, report) })
+		o.post(healthCheckFinished{engine: h.pool.name, outcome: how, report: report})
 	}
 	h.closeConnection("retired", nil)
 }
@@ -40,7 +40,7 @@
 		return
 	}
 	h.connecting = false
-	h.pool.owner.engineConnections.Add(-1)
+	h.pool.owner.usage.engineConnections.Add(-1)
 	if h.socket != nil {
 		h.socket.Close()
 		h.socket = nil
@@ -67,8 +67,8 @@
 	}
 	if !h.connecting {
 		h.connecting = true
-		h.pool.owner.openConnections.Add(1)
-		h.pool.owner.engineConnections.Add(1)
+		h.pool.owner.usage.openConnections.Add(1)
+		h.pool.owner.usage.engineConnections.Add(1)
 		tcp, err := h.pool.owner.dial(h.pool.address)
 		if err != nil {
 			h.closeConnection(endCode(err), nil)
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -35,14 +35,14 @@
 	}
 }
 
-func (h host) RejectRequest(id admission.RequestID, comeBack admission.Time) {
+func (h host) RejectRequest(id admission.RequestID, retryAfter admission.Time) {
 	request := h.owner.requests[id]
-	h.owner.answerRequest(h.owner.now, request, requestjournal.Rejected, nil, func() { request.responder.rejected(comeBack) })
+	h.owner.answerRequest(h.owner.now, request, requestjournal.Rejected, nil, requestRejected{retryAfter})
 }
 
 func (h host) FailRequest(id admission.RequestID) {
 	request := h.owner.requests[id]
-	h.owner.answerRequest(h.owner.now, request, requestjournal.Failed, nil, request.responder.failed)
+	h.owner.answerRequest(h.owner.now, request, requestjournal.Failed, nil, requestFailed{})
 }
 
 func (h host) SetAttemptTerms(id admission.RequestID, memory float64, rank int) {
@@ -51,16 +51,14 @@
 	if attempt := request.current; attempt != nil && !attempt.handedOver {
 		attempt.priority = rank
 	} else if attempt != nil {
-		request.responder.do(func() { attempt.setPriority(rank) })
+		request.responder.setPriority(attempt, rank)
 	}
 }
 
 func (h host) ProbeEngine(name admission.EngineID) {
 	e := h.owner.engines[name]
 	if e == nil {
-		h.owner.post(func(now admission.Time) {
-			h.owner.admission.HandleProbeResult(now, name, admission.Unreachable, admission.NoReport)
-		})
+		h.owner.post(healthCheckFinished{engine: name, outcome: admission.Unreachable, report: admission.NoReport})
 		return
 	}
 	e.requestHealthCheck()
@@ -86,18 +84,7 @@
 
 func (h host) ScheduleTick(at admission.Time) {
 	h.owner.clock.After(at-h.owner.clock.Now(), func() {
-		h.owner.post(func(now admission.Time) { // the first is asked for before the module is there
-			if h.owner.resourceGroups != nil {
-				h.owner.resourceGroups.Tick(now)
-			}
-			if h.owner.journal != nil {
-				h.owner.journal.tick(now, h.owner.admission)
-			}
-			if h.owner.peers != nil {
-				h.owner.peers.Tick(now)
-			}
-			h.owner.admission.Tick(now)
-		})
+		h.owner.post(tickDue{})
 	})
 }
 
--- a/internal/router/owner_test.go
+++ b/internal/router/owner_test.go
@@ -15,7 +15,7 @@
 func TestOwnerTakesEventsInAnyOrder(t *testing.T) {
 	s := startFixture(t)
 	done := make(chan struct{})
-	s.o.post(func(now admission.Time) {
+	s.onOwner(func(now admission.Time) {
 		defer close(done)
 		o, rng := s.o, rand.New(rand.NewSource(1))
 		var out []*attempt
@@ -29,7 +29,7 @@
 			case 2, 3:
 				c := uint32(rng.Intn(20))
 				if o.sessions[c] == nil || o.sessions[c].request == nil {
-					k := &clientSession{owner: o, connectionID: c, events: newSessionQueue()}
+					k := &clientSession{owner: o, connectionID: c, events: newSessionQueue(func(sessionEvent) {})}
 					o.sessions[c] = k
 					k.request = &request{id: admission.RequestID(fmt.Sprint(rng.Intn(30))), responder: k, class: rng.Intn(2), deadline: now + admission.Second}
 					o.handleRequest(now, k.request)
@@ -67,7 +67,7 @@
 	})
 	<-done
 	s.advanceClock(20 * admission.Second)
-	s.o.post(func(admission.Time) { s.tracef("%d requests in hand", len(s.o.requests)) })
+	s.onOwner(func(admission.Time) { s.tracef("%d requests in hand", len(s.o.requests)) })
 	s.sync()
 	s.compareTrace("any order")
 }
@@ -82,7 +82,7 @@
 	for n := range 200 {
 		name := admission.EngineID(fmt.Sprint("e", n))
 		list := func(state admission.EndpointState) {
-			s.o.post(func(now admission.Time) {
+			s.onOwner(func(now admission.Time) {
 				s.o.handleEndpoints(now, admission.PartialUpdate, []admission.Endpoint{{Engine: name, State: state}},
 					[]string{e.listener.Addr().String()})
 			})
@@ -98,8 +98,8 @@
 		list(admission.Gone)
 	}
 	for kept := -1; kept != 0; time.Sleep(time.Millisecond) {
-		s.o.post(func(admission.Time) {
-			kept = len(s.o.sessions) + len(s.o.requests) + len(s.o.engines) + int(s.o.engineConnections.Load())
+		s.onOwner(func(admission.Time) {
+			kept = len(s.o.sessions) + len(s.o.requests) + len(s.o.engines) + int(s.o.usage.engineConnections.Load())
 			s.o.clients.mu.Lock()
 			kept += s.o.clients.sessions
 			s.o.clients.mu.Unlock()
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -46,6 +46,6 @@
 func (o *owner) joinPeers(p Peers) error {
 	o.peers = p
 	return p.Start(o.clock, func(call func(admission.Time, *admission.Controller)) {
-		o.post(func(now admission.Time) { call(now, o.admission) })
+		o.post(peerCallRequested{call})
 	})
 }
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -46,11 +46,7 @@
 		s.statementReader.ReadStatement(request.statement, class, request.tables)
 	}
 	s.owner.capture.RecordQuery(request.className, request.tables, parsed.WaitMS, sql, request.statement)
-	s.owner.post(func(now admission.Time) {
-		request.deadline = now + admission.Time(wait/timeUnit)
-		s.request = request
-		s.owner.handleRequest(now, request)
-	})
+	s.owner.post(requestReceived{session: s, request: request, wait: admission.Time(wait / timeUnit)})
 	s.awaitAnswer(request)
 	for _, attempt := range s.attempts {
 		attempt.release()
@@ -81,7 +77,7 @@
 			s.endReason = endCode(err)
 		}
 		watching = false
-		s.owner.post(func(now admission.Time) { s.owner.handleClientGone(now, request) })
+		s.owner.post(clientClosed{request})
 	}
 	if s.endReason == "flooded" {
 		s.endFlooded()
@@ -147,52 +143,6 @@
 	return len(next) > 0 && !(len(next) == mysql.HeaderSize+1 && next[mysql.HeaderSize] == mysql.Quit)
 }
 
-// What the owner tells it; the calls that write are made by the session's goroutine.
-
-func (s *clientSession) do(call func()) { s.events.Put(call) }
-
-func (s *clientSession) carry(attempt *attempt, to engineClient) {
-	first := !attempt.resent
-	s.events.Put(func() {
-		if s.clientHasLeft() { // while this process stood still, say, so that the read has not told yet
-			s.owner.post(func(now admission.Time) { s.owner.handleClientGone(now, attempt.request) })
-			return
-		}
-		if first {
-			s.attempts = append(s.attempts, attempt)
-		}
-		to.send(attempt)
-	})
-}
-
-func (s *clientSession) clientGone() bool {
-	_, ended := peekSocket(s.socket)
-	return ended
-}
-
-// over has a call be the last of a request.
-func (s *clientSession) over(call func()) {
-	s.request = nil
-	s.events.Put(call)
-}
-
-func (s *clientSession) served(attempt *attempt) {
-	s.over(func() {
-		s.writeResult(attempt.pages)
-		if s.statementReader != nil && attempt.client != nil { // not an answer of before
-			s.statementReader.RecordCost(attempt.work, attempt.memoryUsedMB)
-		}
-	})
-}
-
-func (s *clientSession) rejected(retryAfter admission.Time) {
-	s.over(func() { s.writeRejection(int64(retryAfter / admission.Millisecond)) })
-}
-func (s *clientSession) failed()            { s.over(s.writeFailure) }
-func (s *clientSession) denied(why string)  { s.over(func() { s.writeDenial(why) }) }
-func (s *clientSession) refused(why string) { s.over(func() { s.writeRefusal(why) }) }
-func (s *clientSession) left()              { s.over(s.abandonRequest) }
-
 // deliver writes a result.
 func (s *clientSession) writeResult(pages [][]byte) {
 	s.awaitingAnswer, s.rejections = false, 0
--- a/internal/router/query_test.go
+++ b/internal/router/query_test.go
@@ -28,7 +28,7 @@
 		",key=000f32068cc24621,mb=200 */ INSERT INTO t_7.x SELECT * FROM staging.y")
 	k := e.receive()
 	requests := make(chan request, 1)
-	s.o.post(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
+	s.onOwner(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
 	if got := <-requests; got.tenant != 1 || got.key != "000f32068cc24621" || got.estimate.Work != 1205 || got.estimate.Memory != 200 {
 		t.Errorf("tenant %d, key %q, foreseen %+v", got.tenant, got.key, got.estimate)
 	}
@@ -55,7 +55,7 @@
 	a.ask("/* class=look,id=00000000000000aa,wait=5000,tenant=north,cost=900000000,mb=900000000 */ SELECT a FROM t_7.x")
 	s.awaitRequests(1)
 	requests := make(chan request, 1)
-	s.o.post(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
+	s.onOwner(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
 	if got := (<-requests).estimate; got.Work != 5*admission.Second || got.Memory != 16384 {
 		t.Errorf("foreseen %+v", got)
 	}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -2,33 +2,36 @@
 
 import "magpiebank/internal/admission"
 
-// The owner sits between frontends, which hand requests in and are told their final answers, and engine clients, which bring attempts to
-// engines and tell how they ended. It knows the protocol of neither.
+// The owner is between frontends, which hand in requests and get their final answers, and engine clients, which send
+// attempts to engines and tell how they ended. It knows the protocol of neither.
 
-// responder is who asked for a request and is owed its answer: a session of a frontend. The owner calls it and never waits; each
-// request gets exactly one of served, rejected, failed, denied, refused and left.
+// responder is a client session of a frontend, which handed in a request and is owed its answer. The owner calls it and
+// never waits.
 type responder interface {
-	// do has the responder's goroutine make a call. What is written to engines on a request's behalf is written there.
-	do(call func())
-	// carry has the responder's goroutine bring an attempt to an engine, unless who asked has gone.
-	carry(attempt *attempt, to engineClient)
-	// gone tells whether who asked can be seen to have gone; from any goroutine.
+	// sendAttempt has the responder's goroutine send an attempt to an engine, unless the client has left.
+	sendAttempt(attempt *attempt, client engineClient)
+	// cancelAttempt has the responder's goroutine tell the engine that an attempt is given up.
+	cancelAttempt(attempt *attempt)
+	// setPriority has the responder's goroutine tell the engine of an attempt's new priority.
+	setPriority(attempt *attempt, priority int)
+	// answer gives the final answer. It is called once for each request.
+	answer(answer finalAnswer)
+	// clientGone tells whether the client can be seen to have left. It may be called from any goroutine.
 	clientGone() bool
-	served(attempt *attempt)
-	rejected(retryAfter admission.Time)
-	failed()
-	denied(why string)  // an operator's rule has this for its answer
-	refused(why string) // it never became a request
-	left()              // nobody waits any more
 }
 
-// engineClient brings attempts to one engine, and tells the owner by tellEnded, again and the module's Noted what becomes of them.
+// engineClient sends attempts to one engine, and tells the owner by attemptFinished, attemptNotWritten and
+// progressReceived what becomes of them.
 type engineClient interface {
-	send(attempt *attempt) // by the responder's goroutine; so are undo, bump and forget of the attempt
-	requestHealthCheck()   // asks for a report, if that isn't under way
-	dialAddress() string   // the address
-	retire()               // nothing new comes; what is out ends by itself
-	close()                // all ends now
+	// send is called by the responder's goroutine, as are cancel, setPriority and release of the attempt.
+	send(attempt *attempt)
+	// requestHealthCheck starts a health check, unless one is running.
+	requestHealthCheck()
+	dialAddress() string
+	// retire stops health checks and closes connections once no attempt is in flight on them.
+	retire()
+	// close closes all connections at once.
+	close()
 }
 
 // request is one that was taken and has no final answer yet. It is the owner's, but for what doesn't change.
--- a/internal/router/resource_groups.go
+++ b/internal/router/resource_groups.go
@@ -32,33 +32,3 @@
 	// Answered takes in what the statement read last has cost, and the MB it needed (0: not told).
 	RecordCost(work admission.Time, memory float64)
 }
-
-// seen tells whether the desk keeps account of a request.
-func (r *request) isLimited() bool { return r.policyClass > 0 || r.estimate.ShadowClass > 0 }
-
-// sent notes an attempt.
-func (o *owner) recordAttempt(attempt *attempt) {
-	if request := attempt.request; request.isLimited() {
-		attempt.estimate, attempt.threads = request.estimate, float64(o.deployment.Classes[request.class].Threads)
-		attempt.charged, attempt.policyRevision = o.resourceGroups.RecordAttempt(request.estimate, attempt.threads)
-		request.waiting = false
-	}
-}
-
-// back tells the module that an attempt has ended, and before it what limits its class.
-func (o *owner) reportAttemptEnd(now admission.Time, attempt *attempt, how admission.Outcome, over bool, work admission.Time, memory float64) {
-	if f := &attempt.estimate; f.PolicyClass > 0 || f.ShadowClass > 0 {
-		waits := !over && o.requests[attempt.request.id] == attempt.request
-		o.resourceGroups.RecordAttemptEnd(attempt.estimate, attempt.threads, attempt.charged, work, waits)
-		if waits {
-			attempt.request.waiting = true
-		}
-	}
-	if request := attempt.request; request.placement.Present {
-		o.recordPlacement(request, Placement{Present: true})
-	}
-	if o.journal != nil {
-		o.journal.Requests.EndAttempt(now, attempt.request.id, how.NeverRan())
-	}
-	o.admission.HandleAttemptEnd(now, admission.AttemptResult{Request: attempt.request.id, Outcome: how, Answered: over, Work: work, Memory: memory, Report: attempt.report})
-}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -85,7 +85,7 @@
 	for _, e := range o.engines {
 		e.close()
 	}
-	for by := time.Now().Add(clientCloseDelay); o.openConnections.Load() > 0 && time.Now().Before(by); {
+	for by := time.Now().Add(clientCloseDelay); o.usage.openConnections.Load() > 0 && time.Now().Before(by); {
 		time.Sleep(time.Millisecond) // until each has its line
 	}
 }
@@ -107,15 +107,10 @@
 // killed, so ids are not to be guessed.
 func (s *clientSession) run() {
 	o := s.owner
-	o.post(func(admission.Time) { o.sessions[s.connectionID] = s })
+	o.post(sessionOpened{s})
 	defer func() {
 		fault := recover()
-		o.post(func(now admission.Time) {
-			if o.sessions[s.connectionID] == s {
-				o.killQuery(now, s.connectionID) // a request it could not see through
-				delete(o.sessions, s.connectionID)
-			}
-		})
+		o.post(sessionClosed{s})
 		s.releaseStatementBuffer()
 		s.socket.Close()
 		o.connectionEnded("client", s.socket.RemoteAddr().String(), s.endReason, 0, fault)
@@ -126,7 +121,7 @@
 
 // connectionEnded writes the one line of a connection that was counted and has ended.
 func (o *owner) connectionEnded(side, peer, code string, open int, fault any) {
-	defer o.openConnections.Add(-1)
+	defer o.usage.openConnections.Add(-1)
 	if o.stopped.Load() {
 		code = "stopped"
 	}
--- a/internal/router/session_queue.go
+++ b/internal/router/session_queue.go
@@ -8,21 +8,26 @@
 	"magpiebank/internal/eventqueue"
 )
 
-// mailbox is how the owner reaches the goroutine of a session, also while that reads from its client.
+// sessionQueue brings events to the goroutine of a client session, also while that reads from its client: an event
+// interrupts the read.
 type sessionQueue struct {
-	*eventqueue.Queue[func()]
+	queue  *eventqueue.Queue[sessionEvent]
+	handle func(e sessionEvent)
+
 	mu     sync.Mutex
-	reader net.Conn // whose read a call interrupts; nil: none
+	reader net.Conn // the connection whose read an event interrupts; nil if the session doesn't read
 }
 
-func newSessionQueue() *sessionQueue { return &sessionQueue{Queue: eventqueue.New[func()]()} }
+func newSessionQueue(handle func(e sessionEvent)) *sessionQueue {
+	return &sessionQueue{queue: eventqueue.New[sessionEvent](), handle: handle}
+}
 
-// longAgo is a read deadline that ends a read at once.
+// expiredDeadline is a read deadline that ends a read at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// Put adds a call, and interrupts the read that the session is in.
-func (q *sessionQueue) Put(call func()) {
-	q.Queue.Put(call)
+// Put adds an event and interrupts the read that the session is in. It may be called from any goroutine.
+func (q *sessionQueue) Put(e sessionEvent) {
+	q.queue.Put(e)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.reader != nil {
@@ -30,34 +35,34 @@
 	}
 }
 
-// interrupt has calls interrupt reads of a connection from now on. It tells whether the session may read: not where a call
-// waits already, as its ring was before.
-func (q *sessionQueue) beginInterruptibleRead(tcp net.Conn) bool {
+// beginInterruptibleRead has events interrupt reads of a connection from now on, and reports whether the session may
+// read: it may not if an event is queued already, because that one will not interrupt the read.
+func (q *sessionQueue) beginInterruptibleRead(socket net.Conn) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.Wake) > 0 {
+	if len(q.queue.Wake) > 0 {
 		return false
 	}
-	q.reader = tcp
-	tcp.SetReadDeadline(time.Time{})
+	q.reader = socket
+	socket.SetReadDeadline(time.Time{})
 	return true
 }
 
-// resume ends what interrupt began.
+// endInterruptibleRead ends what beginInterruptibleRead began.
 func (q *sessionQueue) endInterruptibleRead() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.reader = nil
 }
 
-// wait waits for the next call.
-func (q *sessionQueue) wait() { <-q.Wake }
+// wait returns once an event is queued.
+func (q *sessionQueue) wait() { <-q.queue.Wake }
 
-// run makes the calls that wait.
+// run handles the queued events.
 func (q *sessionQueue) run() {
 	select {
-	case <-q.Wake:
+	case <-q.queue.Wake:
 	default:
 	}
-	q.Drain(func(call func()) { call() })
+	q.queue.Drain(q.handle)
 }
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -190,7 +190,7 @@
 // lateEngine has the router reach an engine by connections that it may stand still with; it tells of each.
 func (s *fixture) lateEngine() <-chan *lateConn {
 	conns := make(chan *lateConn, 8)
-	s.o.post(func(admission.Time) {
+	s.onOwner(func(admission.Time) {
 		dial := s.o.dial
 		s.o.dial = func(address string) (net.Conn, error) {
 			tcp, err := dial(address)
--- a/internal/router/watcher.go
+++ b/internal/router/watcher.go
@@ -57,7 +57,7 @@
 		if event.Full {
 			form = whole
 		}
-		w.owner.post(func(now admission.Time) { w.owner.handleEndpoints(now, form, event.Endpoints, event.Addresses) })
+		w.owner.post(endpointsUpdated{kind: form, endpoints: event.Endpoints, addresses: event.Addresses})
 	})
 	if w.lastIndex > held {
 		w.badEvents = 0
@@ -139,11 +139,11 @@
 // connect polls on one connection until it ends, and tells whether a poll was answered on it.
 func (w *watcher) connect(life context.Context, address string, stop <-chan struct{}) (useful bool) {
 	code := "panic"
-	w.owner.openConnections.Add(1)
+	w.owner.usage.openConnections.Add(1)
 	defer func() {
 		fault := recover()
 		if fault == nil && !w.failureLog.allow(time.Now(), useful || life.Err() != nil) {
-			w.owner.openConnections.Add(-1) // its line would say what the last one said
+			w.owner.usage.openConnections.Add(-1) // its line would say what the last one said
 			return
 		}
 		w.owner.connectionEnded("engine list", address, code, 0, fault)
--- a/internal/router/watcher_test.go
+++ b/internal/router/watcher_test.go
@@ -69,11 +69,11 @@
 	next.DiscoveryAddress = l.Addr().String()
 	s.renewed <- &next
 	k := polled(t, l)
-	whole := fmt.Sprintf(`{"index":9,"updates":[%s]}`, event(9, true, []string{entry(f, "Ready")}))
+	whole := fmt.Sprintf(`{"index":9,"updates":[%s]}`, watchEvent(9, true, []string{entry(f, "Ready")}))
 	fmt.Fprintf(k, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
 	eventually(t, "the whole list is taken in", func() bool {
 		names := make(chan string, 1)
-		s.o.post(func(admission.Time) {
+		s.onOwner(func(admission.Time) {
 			var all []string
 			for name := range s.o.engines {
 				all = append(all, string(name))
@@ -115,7 +115,7 @@
 	next := *s.start
 	next.DiscoveryAddress = l.Addr().String()
 	s.renewed <- &next
-	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, event(2, false, []string{entry(e, "Ready")}))
+	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{entry(e, "Ready")}))
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
 	for _, c := range []struct{ what, answer string }{
 		{"breaks off", whole[:len(whole)-30]},
