--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -231,13 +231,13 @@
 		for range 13 {
 			s.now = s.at
 			for d.GatewayIndex = range 3 {
-				if s.hasColdCapacity(e, &activeRequest{class: 0}) {
-					s.say("gateway %d has its turn; more work than its budget: %t", d.GatewayIndex, s.hasColdCapacity(e, &activeRequest{class: 1}))
+				if s.hasSlowStartCapacity(e, &activeRequest{class: 0}) {
+					s.say("gateway %d has its turn; more work than its budget: %t", d.GatewayIndex, s.hasSlowStartCapacity(e, &activeRequest{class: 1}))
 				}
 			}
 			s.at += 500 * Millisecond
 		}
-		s.say("warm: %t", !s.slowStart.isCold(e, s.now))
+		s.say("warm: %t", !s.slowStart.isWarmingUp(e, s.now))
 		return s
 	},
 	"cold beside warm": func() *script { // as many routers at a time as the budget has parts for a usual request, others' turns after them
@@ -253,24 +253,24 @@
 			s.now = s.at
 			var turn []int
 			for d.GatewayIndex = range 5 {
-				if s.hasColdCapacity(e, &activeRequest{class: 0}) {
+				if s.hasSlowStartCapacity(e, &activeRequest{class: 0}) {
 					turn = append(turn, d.GatewayIndex)
 				}
 			}
 			s.say("gateways %v have their turn", turn)
-			s.at += d.ColdOverloadTime
+			s.at += d.WarmUpOverloadTime
 		}
 		d.GatewayIndex = 0
-		for !s.hasColdCapacity(e, &activeRequest{class: 0}) {
-			s.now += d.ColdOverloadTime
+		for !s.hasSlowStartCapacity(e, &activeRequest{class: 0}) {
+			s.now += d.WarmUpOverloadTime
 		}
 		sent := 0
-		for ; s.hasColdCapacity(e, &activeRequest{class: 0}); sent++ {
-			e.coldQuota.work += 300 * float64(Millisecond)
+		for ; s.hasSlowStartCapacity(e, &activeRequest{class: 0}); sent++ {
+			e.slowStartUse.work += 300 * float64(Millisecond)
 		}
 		s.say("gateway 0 sends %d of 300 ms in its turn", sent)
-		e.coldQuota.work = 0
-		s.say("a request of 1.5 s, above a part: %t beside a warm engine", s.hasColdCapacity(e, &activeRequest{class: 0, estimate: Estimate{WorkP90: 1500 * Millisecond}}))
+		e.slowStartUse.work = 0
+		s.say("a request of 1.5 s, above a part: %t beside a warm engine", s.hasSlowStartCapacity(e, &activeRequest{class: 0, estimate: Estimate{WorkP90: 1500 * Millisecond}}))
 		return s
 	},
 	"no engine": func() *script { // held while there is a chance, then answered at once
@@ -611,7 +611,7 @@
 			n.estimates.classes[0].answers, n.retries.allows(n.now), n.keys.queues["key"].restsUntil > n.at)
 		for i := range n.engines.items {
 			e := &n.engines.items[i]
-			fmt.Printf("  %s bound %.1f, failure score %.1f, busy %.2f, room while cold %t\n", e.Engine, e.limit.bound, n.failureScore(e), n.busyShare(e), !n.slowStart.isCold(e, n.now) || n.hasColdCapacity(e, &activeRequest{}))
+			fmt.Printf("  %s bound %.1f, failure score %.1f, busy %.2f, room while cold %t\n", e.Engine, e.limit.bound, n.failureScore(e), n.busyShare(e), !n.slowStart.isWarmingUp(e, n.now) || n.hasSlowStartCapacity(e, &activeRequest{}))
 		}
 	}
 	if _, err := DecodeSnapshot([]byte(`{"Version":9}`)); err != nil {
@@ -662,17 +662,17 @@
 
 type quiet struct{}
 
-func (quiet) SendAttempt(RequestID, EngineID, Time, Time)              {}
-func (quiet) CancelAttempt(RequestID, int)                             {}
-func (quiet) RejectRequest(RequestID, Time)                            {}
-func (quiet) FailRequest(RequestID)                                    {}
-func (quiet) SetAttemptTerms(RequestID, float64, int)                  {}
-func (quiet) ProbeEngine(EngineID)                                     {}
-func (quiet) SubscribeEndpoints()                                      {}
-func (quiet) HasColdCapacity(EngineID, float64) (room, shared bool)    { return false, false }
-func (quiet) ReportObservation(EngineID, Observation, Report, float64) {}
-func (quiet) ScheduleTick(Time)                                        {}
-func (quiet) LogEvent(string)                                          {}
+func (quiet) SendAttempt(RequestID, EngineID, Time, Time)                {}
+func (quiet) CancelAttempt(RequestID, int)                               {}
+func (quiet) RejectRequest(RequestID, Time)                              {}
+func (quiet) FailRequest(RequestID)                                      {}
+func (quiet) SetAttemptTerms(RequestID, float64, int)                    {}
+func (quiet) ProbeEngine(EngineID)                                       {}
+func (quiet) SubscribeEndpoints()                                        {}
+func (quiet) HasSlowStartCapacity(EngineID, float64) (room, shared bool) { return false, false }
+func (quiet) ReportObservation(EngineID, Observation, Report, float64)   {}
+func (quiet) ScheduleTick(Time)                                          {}
+func (quiet) LogEvent(string)                                            {}
 
 func ExampleController() {
 	s := start(deployment(), "e1")
--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -16,8 +16,8 @@
 	r.attempt = attempt{inFlight: true, engine: to, sentAt: c.now, noticedAt: c.now,
 		memoryMB: c.estimates.memory(r), timeoutAt: c.attemptTimeoutAt(r)}
 	c.estimates.countSent(r.class)
-	if c.slowStart.isCold(e, c.now) {
-		e.coldQuota.work += c.estimates.coldWork(r)
+	if c.slowStart.isWarmingUp(e, c.now) {
+		e.slowStartUse.work += c.estimates.slowStartWork(r)
 	}
 	threads := float64(c.deployment.Classes[r.class].Threads)
 	e.limit.take(threads, r.attempt.memoryMB)
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -102,8 +102,8 @@
 	if e.limit.bound >= 1 {
 		return e.limit.running < e.limit.bound*trust
 	}
-	if c.slowStart.isCold(e, c.now) {
-		return e.limit.running < loadThreshold*e.cores*c.deployment.ColdCapacityShare*trust
+	if c.slowStart.isWarmingUp(e, c.now) {
+		return e.limit.running < loadThreshold*e.cores*c.deployment.WarmUpCapacityShare*trust
 	}
 	if e.limit.running > 0 {
 		return false
--- a/internal/admission/deployment.go
+++ b/internal/admission/deployment.go
@@ -23,15 +23,15 @@
 	RetryAfter           Time    // the longest retry-after time that clients follow; 0: they are told none
 	PollsEndpoints       bool    // the list comes only when asked for
 
-	ColdCapacityShare  float64 // part of its capacity that a cold engine has at the least
-	WarmUpTime         Time
-	ColdOverloadFactor float64 // multiple of its present capacity that makes a cold engine fall over
-	ColdOverloadTime   Time
-	RetryBurst         float64 // retries: this many and
-	RetryRatio         float64 // this share of the requests taken
-	RetryWindow        Time    // in any window of this length
-	KeySettleTime      Time    // rest of a key after a doubtful attempt
-	NoticeInterval     Time    // of notes on a running attempt; 0: none come
+	WarmUpCapacityShare  float64 // part of its capacity that a cold engine has at the least
+	WarmUpTime           Time
+	WarmUpOverloadFactor float64 // multiple of its present capacity that makes a cold engine fall over
+	WarmUpOverloadTime   Time
+	RetryBurst           float64 // retries: this many and
+	RetryRatio           float64 // this share of the requests taken
+	RetryWindow          Time    // in any window of this length
+	KeySettleTime        Time    // rest of a key after a doubtful attempt
+	NoticeInterval       Time    // of notes on a running attempt; 0: none come
 }
 
 // Class is a class of requests.
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -47,16 +47,16 @@
 // engine is an entry of the engine list with what this gateway knows of it.
 type engine struct {
 	Endpoint
-	listed    bool // the latest full update had it, or one since
-	hash      uint32
-	cores     float64
-	memoryMB  float64 // +Inf: not known
-	limit     concurrencyLimit
-	load      loadReport
-	probe     probeState
-	failures  failureScore
-	peers     peerView
-	coldQuota coldQuota
+	listed       bool // the latest full update had it, or one since
+	hash         uint32
+	cores        float64
+	memoryMB     float64 // +Inf: not known
+	limit        concurrencyLimit
+	load         loadReport
+	probe        probeState
+	failures     failureScore
+	peers        peerView
+	slowStartUse slowStartUse
 }
 
 // engineTable holds the engines. Places of engines that are gone are used again.
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -79,8 +79,8 @@
 	return s.classes[r.class].memory
 }
 
-// coldWork is what a request counts against a cold engine's budget: what nine of ten stay under, where told.
-func (s *estimator) coldWork(r *activeRequest) float64 {
+// slowStartWork is what a request counts against a cold engine's budget: what nine of ten stay under, where told.
+func (s *estimator) slowStartWork(r *activeRequest) float64 {
 	return max(s.classes[r.class].work, float64(r.estimate.WorkP90))
 }
 
--- a/internal/admission/host.go
+++ b/internal/admission/host.go
@@ -20,17 +20,17 @@
 	SubscribeEndpoints()
 	// ReportObservation hands on to peers what this router saw of an engine itself, and the bytes that may be told more from now on.
 	ReportObservation(engine EngineID, saw Observation, report Report, room float64)
-	// HasColdCapacity tells whether a part of what an engine that has just started may be sent in the time after which it tips over is this
+	// HasSlowStartCapacity tells whether a part of what an engine that has just started may be sent in the time after which it tips over is this
 	// router's to send next, where all share that by messages.
-	HasColdCapacity(engine EngineID, part float64) (room, shared bool)
+	HasSlowStartCapacity(engine EngineID, part float64) (room, shared bool)
 	// ScheduleTick asks for a call of Due at a time.
 	ScheduleTick(at Time)
 	// LogEvent adds a line to the router's log.
 	LogEvent(text string)
 }
 
-// PolicyGate is what an operator's classes allow; it is asked only about requests that have a class.
-type PolicyGate interface {
+// AdmissionPolicy is what an operator's classes allow; it is asked only about requests that have a class.
+type AdmissionPolicy interface {
 	// AllowsAttempt tells whether one more request of a class, of so many threads, may go out now.
 	AllowsAttempt(now Time, class int, threads float64) bool
 	// Pool is the number of the class's pool; 0: all engines.
--- a/internal/admission/keyorder.go
+++ b/internal/admission/keyorder.go
@@ -5,9 +5,9 @@
 // keyOrder has requests that share a key run one after another, in order of arrival. After an attempt that may still run,
 // the key rests for a time before the next request starts.
 type keyOrder struct {
-	settleTime Time // length of the rest
-	queues     map[string]keyQueue
-	spare      [][]requestIndex // emptied queues, to be used again without an allocation
+	restTime Time // length of the rest
+	queues   map[string]keyQueue
+	spare    [][]requestIndex // emptied queues, to be used again without an allocation
 }
 
 // keyQueue is the queue of one key.
@@ -17,7 +17,7 @@
 }
 
 func newKeyOrder(d *Deployment) keyOrder {
-	return keyOrder{settleTime: d.KeySettleTime, queues: map[string]keyQueue{}}
+	return keyOrder{restTime: d.KeySettleTime, queues: map[string]keyQueue{}}
 }
 
 // join puts a request at the end of its key's queue and tells whether it is the first there.
@@ -53,17 +53,17 @@
 
 // rest has a key rest from now on, where the deployment has such a time.
 func (o *keyOrder) rest(key string, now Time) {
-	if o.settleTime == 0 {
+	if o.restTime == 0 {
 		return
 	}
 	queue := o.queues[key]
-	queue.restsUntil = now + o.settleTime
+	queue.restsUntil = now + o.restTime
 	o.queues[key] = queue
 }
 
 // forgetRested forgets the keys without requests whose rest is over.
 func (o *keyOrder) forgetRested(now Time) {
-	if o.settleTime == 0 {
+	if o.restTime == 0 {
 		return // leave forgets them at once
 	}
 	for key, queue := range o.queues {
--- a/internal/admission/placement.go
+++ b/internal/admission/placement.go
@@ -51,7 +51,7 @@
 	if r.prior.MayHaveRun && class.Effect == Deduplicated && !class.DedupScope.includes(&r.prior, &e.Endpoint) {
 		return false
 	}
-	return !c.slowStart.isCold(e, c.now) || c.hasColdCapacity(e, r)
+	return !c.slowStart.isWarmingUp(e, c.now) || c.hasSlowStartCapacity(e, r)
 }
 
 // includes tells whether an engine drops a repeat of what an attempt before it may have run elsewhere.
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -119,7 +119,7 @@
 		if !anyEngineDoes {
 			continue
 		}
-		if c.pools.gate == nil {
+		if c.pools.policy == nil {
 			return false // what follows it in this class has no more choice than this one
 		}
 		blocked |= 1 << r.estimate.PolicyClass // nor has what is of its policy class
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -155,13 +155,13 @@
 
 // budget is the work that the settings allow the cold engine within the time after which it falls over.
 func (r *ramp) budget() float64 {
-	return r.d.ColdOverloadFactor * r.d.ColdCapacityShare * r.d.CoresByKind[0] * float64(r.d.ColdOverloadTime)
+	return r.d.WarmUpOverloadFactor * r.d.WarmUpCapacityShare * r.d.CoresByKind[0] * float64(r.d.WarmUpOverloadTime)
 }
 
 // use is the work sent, as a share of the budget over all the time that the engine is cold.
 func (r *ramp) use() (share float64) {
 	for _, s := range r.sends {
-		share += s.work / r.budget() * float64(r.d.ColdOverloadTime) / float64(r.d.WarmUpTime)
+		share += s.work / r.budget() * float64(r.d.WarmUpOverloadTime) / float64(r.d.WarmUpTime)
 	}
 	return share
 }
@@ -173,7 +173,7 @@
 	sum, all, from := 0.0, 0.0, 0
 	for _, s := range r.sends {
 		all += s.work
-		for sum += s.work; r.sends[from].at <= s.at-r.d.ColdOverloadTime; from++ {
+		for sum += s.work; r.sends[from].at <= s.at-r.d.WarmUpOverloadTime; from++ {
 			sum -= r.sends[from].work
 		}
 		most = max(most, sum)
@@ -186,15 +186,15 @@
 // A cold engine doesn't fall under the sum of what all routers send it, however many they are, though they share nothing and their
 // clocks, their connections and the time in which they are told differ.
 func TestRampHoldsForTheFleet(t *testing.T) {
-	base := Deployment{CoresByKind: []float64{8}, ColdCapacityShare: 0.34, WarmUpTime: 14 * Second, ColdOverloadFactor: 3, ColdOverloadTime: 1500 * Millisecond,
+	base := Deployment{CoresByKind: []float64{8}, WarmUpCapacityShare: 0.34, WarmUpTime: 14 * Second, WarmUpOverloadFactor: 3, WarmUpOverloadTime: 1500 * Millisecond,
 		ReportsCost: true, MaxAttempts: 4, Classes: []Class{
 			{Threads: 1, LatencyObjective: Second, ObjectivePerWork: 1.5, Weight: 1},
 			{Threads: 4, LatencyObjective: 3 * Second, ObjectivePerWork: 2.5, Weight: 10, LateWeightShare: 0.4},
 		}}
 	tight := base
-	tight.ColdOverloadFactor, tight.ColdOverloadTime = 2, Second
+	tight.WarmUpOverloadFactor, tight.WarmUpOverloadTime = 2, Second
 	long := base
-	long.ColdOverloadFactor, long.ColdOverloadTime = 2, 2500*Millisecond
+	long.WarmUpOverloadFactor, long.WarmUpOverloadTime = 2, 2500*Millisecond
 	means := []float64{float64(200 * Millisecond), float64(3500 * Millisecond)}
 	for _, c := range []struct {
 		what    string
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -100,7 +100,7 @@
 		return false
 	}
 	threads := float64(c.deployment.Classes[r.class].Threads)
-	if r.estimate.PolicyClass > 0 && !c.pools.gate.AllowsAttempt(c.now, r.estimate.PolicyClass, threads) {
+	if r.estimate.PolicyClass > 0 && !c.pools.policy.AllowsAttempt(c.now, r.estimate.PolicyClass, threads) {
 		return false
 	}
 	if r.orderKey != "" {
--- a/internal/admission/script_test.go
+++ b/internal/admission/script_test.go
@@ -37,10 +37,10 @@
 func (s *script) SetAttemptTerms(t RequestID, m float64, k int) {
 	s.say("  -> terms of %s: %.0f MB, rank %d", t, m, k)
 }
-func (s *script) SubscribeEndpoints()                                   { s.say("  -> subscribe to the list") }
-func (s *script) HasColdCapacity(EngineID, float64) (room, shared bool) { return false, false }
-func (s *script) LogEvent(text string)                                  { s.say("  -> log: %s", text) }
-func (s *script) ScheduleTick(Time)                                     {}
+func (s *script) SubscribeEndpoints()                                        { s.say("  -> subscribe to the list") }
+func (s *script) HasSlowStartCapacity(EngineID, float64) (room, shared bool) { return false, false }
+func (s *script) LogEvent(text string)                                       { s.say("  -> log: %s", text) }
+func (s *script) ScheduleTick(Time)                                          {}
 func (s *script) ReportObservation(e EngineID, saw Observation, report Report, room float64) {
 	s.say("  -> tell peers of %s: %s, report %v, %.0f bytes more", e, saw, report, room)
 }
@@ -56,7 +56,7 @@
 // classes of the scripts: 0 is short and cheap, 1 long and dear, 2 must not run twice, 3 is deduplicated in order.
 func deployment() *Deployment {
 	return &Deployment{Gateways: 1, CoresByKind: []float64{4}, MaxAttempts: 4, RetryAfter: 500 * Millisecond,
-		ColdCapacityShare: 0.25, WarmUpTime: 10 * Second, ColdOverloadFactor: 2, ColdOverloadTime: Second, SupportsProbes: true, ProbePrice: 0.01,
+		WarmUpCapacityShare: 0.25, WarmUpTime: 10 * Second, WarmUpOverloadFactor: 2, WarmUpOverloadTime: Second, SupportsProbes: true, ProbePrice: 0.01,
 		Classes: []Class{
 			{Threads: 1, LatencyObjective: 400 * Millisecond, ObjectivePerWork: 1, Weight: 1},
 			{Threads: 3, LatencyObjective: 2 * Second, ObjectivePerWork: 2, Weight: 20, LateWeightShare: 0.5},
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -28,8 +28,8 @@
 
 // poolSet holds the pools, and asks the operator's policy which requests and engines are of which.
 type poolSet struct {
-	list []pool
-	gate PolicyGate // nil: there are no policy classes
+	list   []pool
+	policy AdmissionPolicy // nil: there are no policy classes
 }
 
 func newPoolSet(now Time) poolSet { return poolSet{list: []pool{{shortageAt: now - Second}}} }
@@ -39,7 +39,7 @@
 	if r.estimate.PolicyClass == 0 {
 		return 0
 	}
-	number := s.gate.Pool(r.estimate.PolicyClass)
+	number := s.policy.Pool(r.estimate.PolicyClass)
 	for len(s.list) <= number {
 		s.list = append(s.list, pool{shortageAt: now - Second})
 	}
@@ -54,7 +54,7 @@
 
 // contains tells whether an engine belongs to a pool.
 func (s *poolSet) contains(number int, e *engine) bool {
-	return number == 0 || s.gate.InPool(number, &e.Endpoint)
+	return number == 0 || s.policy.InPool(number, &e.Endpoint)
 }
 
 // shortOfRoom tells whether a request of an engine's pools was given up for want of room within the last second.
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -6,27 +6,27 @@
 	deployment *Deployment
 }
 
-// coldQuota is the work that this gateway has sent to a cold engine in one span of the clock.
-type coldQuota struct {
+// slowStartUse is the work that this gateway has sent to a cold engine in one span of the clock.
+type slowStartUse struct {
 	span Time
 	work float64
 }
 
-// isCold tells whether an engine is still warming up.
-func (s *slowStart) isCold(e *engine, now Time) bool {
+// isWarmingUp tells whether an engine is still warming up.
+func (s *slowStart) isWarmingUp(e *engine, now Time) bool {
 	d := s.deployment
-	return d.ColdOverloadTime > 0 && e.Since > 0 && now < e.Since+d.WarmUpTime
+	return d.WarmUpOverloadTime > 0 && e.Since > 0 && now < e.Since+d.WarmUpTime
 }
 
 // spanOf is the number of the span of the clock, each as long as a cold engine takes to fail under overload.
-func (s *slowStart) spanOf(now Time) Time { return now / s.deployment.ColdOverloadTime }
+func (s *slowStart) spanOf(now Time) Time { return now / s.deployment.WarmUpOverloadTime }
 
 // spanBudget is the work that all gateways together may send to a cold engine in one span: half of what it can take, so that two
 // spans together stay within that.
 func (s *slowStart) spanBudget(e *engine) float64 {
 	const careful = 0.5
 	d := s.deployment
-	return careful * d.ColdOverloadFactor * d.ColdCapacityShare * e.cores * float64(d.ColdOverloadTime)
+	return careful * d.WarmUpOverloadFactor * d.WarmUpCapacityShare * e.cores * float64(d.WarmUpOverloadTime)
 }
 
 // parts is into how many parts the budget of a span is divided, and whether this gateway has one of them. Gateways take
@@ -47,22 +47,22 @@
 }
 
 // startSpan forgets what was sent in an earlier span.
-func (q *coldQuota) startSpan(span Time) {
+func (q *slowStartUse) startSpan(span Time) {
 	if q.span != span {
-		*q = coldQuota{span: span}
+		*q = slowStartUse{span: span}
 	}
 }
 
-// hasColdCapacity tells whether a cold engine can be sent a request. Where gateways share its budget by messages, the host
+// hasSlowStartCapacity tells whether a cold engine can be sent a request. Where gateways share its budget by messages, the host
 // knows; else they take turns (slowStart.parts). What needs more than a part goes to warm engines.
 // Harm: classes far heavier than usual ones wait for warm engines.
-func (c *Controller) hasColdCapacity(e *engine, r *activeRequest) bool {
+func (c *Controller) hasSlowStartCapacity(e *engine, r *activeRequest) bool {
 	class := &c.deployment.Classes[r.class]
 	// The work of a class is taken for rather too much until it is learned.
-	work := c.estimates.coldWork(r) +
+	work := c.estimates.slowStartWork(r) +
 		float64(class.LatencyObjective)*float64(class.Threads)/(c.estimates.classes[r.class].requests+1)
 	budget := c.slowStart.spanBudget(e)
-	if has, shared := c.host.HasColdCapacity(e.Engine, work/budget); shared {
+	if has, shared := c.host.HasSlowStartCapacity(e.Engine, work/budget); shared {
 		return has
 	}
 	span := c.slowStart.spanOf(c.now)
@@ -71,15 +71,15 @@
 	if !ours {
 		return false
 	}
-	e.coldQuota.startSpan(span)
-	return e.coldQuota.work+work <= budget/float64(parts)
+	e.slowStartUse.startSpan(span)
+	return e.slowStartUse.work+work <= budget/float64(parts)
 }
 
 // hasWarmEngine tells whether an engine of a pool is live and not cold.
 func (c *Controller) hasWarmEngine(pool int) bool {
 	for i := range c.engines.items {
 		e := &c.engines.items[i]
-		if e.State == Live && !c.slowStart.isCold(e, c.now) && c.pools.contains(pool, e) {
+		if e.State == Live && !c.slowStart.isWarmingUp(e, c.now) && c.pools.contains(pool, e) {
 			return true
 		}
 	}
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -149,8 +149,8 @@
 		e.limit.bound += (known.Bound - e.limit.bound) * max(0, 1-float64(c.now-c.snapshot.At)/float64(boundLifetime))
 		e.load.utilization, e.load.report, e.load.reportAt = known.Utilization, known.Report, known.ReportAt
 		e.failures.points, e.failures.addedAt = known.FailureScore, known.FailureScoreAt
-		if c.slowStart.isCold(e, c.now) {
-			e.coldQuota = coldQuota{span: c.slowStart.spanOf(c.now), work: math.Inf(1)}
+		if c.slowStart.isWarmingUp(e, c.now) {
+			e.slowStartUse = slowStartUse{span: c.slowStart.spanOf(c.now), work: math.Inf(1)}
 		}
 	}
 }
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -37,9 +37,11 @@
 func (nobody) SetAttemptTerms(admission.RequestID, float64, int)                                   {}
 func (nobody) ProbeEngine(admission.EngineID)                                                      {}
 func (nobody) SubscribeEndpoints()                                                                 {}
-func (nobody) HasColdCapacity(admission.EngineID, float64) (room, shared bool)                     { return false, false }
-func (nobody) ScheduleTick(admission.Time)                                                         {}
-func (nobody) LogEvent(string)                                                                     {}
+func (nobody) HasSlowStartCapacity(admission.EngineID, float64) (room, shared bool) {
+	return false, false
+}
+func (nobody) ScheduleTick(admission.Time) {}
+func (nobody) LogEvent(string)             {}
 func (nobody) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
 }
 func (o *owner) tell(clock wall) func(func(admission.Time, *admission.Controller)) {
--- a/internal/cluster/agent/config.go
+++ b/internal/cluster/agent/config.go
@@ -78,7 +78,7 @@
 	if slices.Min(start.Network.LongestWaits) <= 0 {
 		return errors.New("fleet.budgets: expected a longest wait (deadlineUs) of every class of the site, as by that a right's use ends, found none of one")
 	}
-	if q.SlowStart && start.Deployment.ColdOverloadTime <= 0 {
+	if q.SlowStart && start.Deployment.WarmUpOverloadTime <= 0 {
 		return errors.New("fleet.budgets.cold: expected a site with a rule for engines that have just started (rules.tipAfterUs), found none")
 	}
 	return nil
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -57,7 +57,7 @@
 	s := &quotaSharing{
 		agent:         a,
 		longestWait:   longestWait,
-		overloadTime:  start.Deployment.ColdOverloadTime,
+		overloadTime:  start.Deployment.WarmUpOverloadTime,
 		gatewayIndex:  start.Deployment.GatewayIndex,
 		names:         slices.Clone(a.config.Quota.Names),
 		recordedRates: map[int]recordedRate{},
--- a/internal/resourcegroup/limiter_test.go
+++ b/internal/resourcegroup/limiter_test.go
@@ -54,7 +54,7 @@
 func (s *script) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
 }
 func (s *script) SubscribeEndpoints() {}
-func (s *script) HasColdCapacity(admission.EngineID, float64) (room, shared bool) {
+func (s *script) HasSlowStartCapacity(admission.EngineID, float64) (room, shared bool) {
 	return false, false
 }
 func (s *script) ScheduleTick(admission.Time) {}
@@ -73,7 +73,7 @@
 	}
 	s.Controller = admission.New(0, 7, &admission.Deployment{Gateways: 1, CoresByKind: []float64{4}, MaxAttempts: 4, Classes: []admission.Class{
 		{Threads: 2, LatencyObjective: 2 * second, Weight: 1}, {Threads: 2, LatencyObjective: 2 * second, Weight: 3}}}, s)
-	s.SetPolicyGate(s.desk)
+	s.SetPolicy(s.desk)
 	s.list(admission.CachedUpdate, engine("a1", 0), engine("a2", 0), engine("b1", 1))
 	return s
 }
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -64,8 +64,8 @@
 	e.requestHealthCheck()
 }
 
-// HasColdCapacity asks the peers.
-func (h host) HasColdCapacity(name admission.EngineID, part float64) (room, shared bool) {
+// HasSlowStartCapacity asks the peers.
+func (h host) HasSlowStartCapacity(name admission.EngineID, part float64) (room, shared bool) {
 	if h.owner.peers == nil {
 		return false, false
 	}
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -103,7 +103,7 @@
 		return
 	}
 	o.resourceGroups = groups
-	o.admission.SetPolicyGate(groups)
+	o.admission.SetPolicy(groups)
 }
 
 // run handles events until stop is closed.
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -103,8 +103,8 @@
 // SubscribeEndpoints asks for the endpoint list and its updates.
 func (i *instance) SubscribeEndpoints() { i.begin("keep_informed").number(1).end() }
 
-// HasColdCapacity reports that no quota on warming engines is shared between instances.
-func (i *instance) HasColdCapacity(admission.EngineID, float64) (room, shared bool) {
+// HasSlowStartCapacity reports that no quota on warming engines is shared between instances.
+func (i *instance) HasSlowStartCapacity(admission.EngineID, float64) (room, shared bool) {
 	return false, false
 }
 
