--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/node_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -46,6 +47,7 @@
 }
 
 func newCluster(t *testing.T, seed uint64, n int) *cluster {
+	t.Helper()
 	c := &cluster{t: t, chance: rand.New(rand.NewPCG(seed, 1)), asks: map[uint64]uint64{}}
 	for i := range n {
 		c.voters = append(c.voters, &voter{c: c, id: uint64(i + 1), slow: 1})
@@ -115,13 +117,13 @@
 	v.applied, v.at = append(v.applied, entry...), index
 }
 
-func (v *voter) VotersChanged(index uint64, context []byte, voters, learners []uint64) {}
+func (v *voter) VotersChanged(uint64, []byte, []uint64, []uint64) {}
 func (v *voter) SnapshotInstalled(index uint64, state []byte) {
 	v.applied, v.at = slices.Clone(state), index
 }
-func (v *voter) Snapshot() []byte              { return slices.Clone(v.applied) }
-func (v *voter) LeadershipChanged(term uint64) {}
-func (v *voter) LogLost()                      { v.forgot = true }
+func (v *voter) Snapshot() []byte         { return slices.Clone(v.applied) }
+func (v *voter) LeadershipChanged(uint64) {}
+func (v *voter) LogLost()                 { v.forgot = true }
 
 func (v *voter) LeadershipConfirmed(read uint64) {
 	if v.at < v.c.asks[read] {
@@ -132,43 +134,87 @@
 
 // pass plays some ticks.
 func (c *cluster) pass(ticks int, each func()) {
+	c.t.Helper()
 	for range ticks {
 		c.now++
-		mail := c.mail
-		c.mail = nil
-		for _, l := range mail {
-			v := c.voters[l.to-1]
-			if l.at > c.now {
-				c.mail = append(c.mail, l)
-			} else if v.up {
-				if err := v.node.HandleMessage(l.b); err != nil {
-					c.t.Fatal(err)
-				}
-			}
-		}
+		c.deliver()
 		for _, v := range c.voters {
-			if !v.up {
-				continue
-			}
-			if c.now%v.slow == 0 {
-				done := v.done
-				v.disk, v.behind, v.done, v.doneAt = append(v.disk, v.behind...), nil, nil, nil
-				for _, d := range done {
-					d(nil)
-				}
+			if v.up {
+				v.tick()
 			}
-			v.node.Tick()
-			if c.chance.IntN(4) == 0 {
-				c.next++
-				v.node.Append(binary.BigEndian.AppendUint64(nil, c.next))
+		}
+		each()
+	}
+}
+
+// deliver hands over the messages that are due; those to voters that are down are lost.
+func (c *cluster) deliver() {
+	c.t.Helper()
+	mail := c.mail
+	c.mail = nil
+	for _, l := range mail {
+		v := c.voters[l.to-1]
+		if l.at > c.now {
+			c.mail = append(c.mail, l)
+		} else if v.up {
+			if err := v.node.HandleMessage(l.b); err != nil {
+				c.t.Fatal(err)
 			}
-			if c.chance.IntN(4) == 0 {
-				c.asked++
-				c.asks[c.asked] = uint64(max(0, len(c.decided)-1))
-				v.node.ConfirmLeadership(c.asked)
+		}
+	}
+}
+
+// tick ends a sync, ticks the node, and now and then appends and asks.
+func (v *voter) tick() {
+	c := v.c
+	if c.now%v.slow == 0 {
+		done := v.done
+		v.disk, v.behind, v.done, v.doneAt = append(v.disk, v.behind...), nil, nil, nil
+		for _, d := range done {
+			d(nil)
+		}
+	}
+	v.node.Tick()
+	if c.chance.IntN(4) == 0 {
+		c.next++
+		_ = v.node.Append(binary.BigEndian.AppendUint64(nil, c.next)) // fails for all but the leader
+	}
+	if c.chance.IntN(4) == 0 {
+		c.asked++
+		c.asks[c.asked] = uint64(max(0, len(c.decided)-1))
+		v.node.ConfirmLeadership(c.asked)
+	}
+}
+
+// disturb plays a time in which messages are lost, one voter is cut off, disks are slow, and voters are killed and start again.
+func (c *cluster) disturb() {
+	c.t.Helper()
+	c.loss = 0.3 * c.chance.Float64()
+	lonely := uint64(c.chance.IntN(len(c.voters) + 1))
+	oneWay := c.chance.IntN(2) == 0
+	c.cut = func(from, to uint64) bool { return from == lonely || !oneWay && to == lonely }
+	for _, v := range c.voters {
+		v.slow = 1 + c.chance.IntN(2)*c.chance.IntN(8)
+	}
+	c.pass(60, func() {
+		for _, v := range c.voters {
+			if v.up && c.chance.IntN(300) == 0 {
+				v.kill()
+			} else if !v.up && c.chance.IntN(40) == 0 {
+				v.begin()
 			}
 		}
-		each()
+	})
+}
+
+// heal ends all disturbances and starts all voters.
+func (c *cluster) heal() {
+	c.cut, c.loss = nil, 0
+	for _, v := range c.voters {
+		v.slow = 1
+		if !v.up {
+			v.begin()
+		}
 	}
 }
 
@@ -176,35 +222,14 @@
 func TestAllVotersApplyOneLog(t *testing.T) {
 	for seed := range uint64(30) {
 		c := newCluster(t, seed, 3+2*int(seed%2))
-		n := len(c.voters)
 		c.pass(100, func() {})
 		for range 12 {
-			c.loss = 0.3 * c.chance.Float64()
-			lonely := uint64(c.chance.IntN(n + 1))
-			oneWay := c.chance.IntN(2) == 0
-			c.cut = func(from, to uint64) bool { return from == lonely || !oneWay && to == lonely }
-			for _, v := range c.voters {
-				v.slow = 1 + c.chance.IntN(2)*c.chance.IntN(8)
-			}
-			c.pass(60, func() {
-				for _, v := range c.voters {
-					if v.up && c.chance.IntN(300) == 0 {
-						v.kill()
-					} else if !v.up && c.chance.IntN(40) == 0 {
-						v.begin()
-					}
-				}
-			})
+			c.disturb()
 		}
 		if len(c.decided) < 60 || c.reads < 40 {
 			t.Errorf("seed %d: only %d decisions and %d reads", seed, len(c.decided), c.reads)
 		}
-		c.cut, c.loss = nil, 0
-		for _, v := range c.voters {
-			if v.slow = 1; !v.up {
-				v.begin()
-			}
-		}
+		c.heal()
 		c.pass(200, func() {})
 		before := len(c.decided)
 		c.pass(60, func() {})
@@ -243,9 +268,9 @@
 			switch {
 			case !v.up || !v.node.IsLeader():
 			case !learned:
-				learned = v.node.ChangeVoters(nil, []uint64{4}, nil, nil)
+				learned = v.node.ChangeVoters(nil, []uint64{4}, nil, nil) == nil
 			case v.node.IsCaughtUp(4) && c.now%10 == 0:
-				v.node.ChangeVoters([]byte("four for one"), nil, []uint64{4}, []uint64{gone.id})
+				_ = v.node.ChangeVoters([]byte("four for one"), nil, []uint64{4}, []uint64{gone.id}) // it is proposed again until it is decided
 			}
 		}
 	})
@@ -260,11 +285,34 @@
 
 func TestMalformedMessageIsRejected(t *testing.T) {
 	c := newCluster(t, 1, 1)
-	if c.voters[0].node.HandleMessage([]byte{0xff, 1, 2}) == nil {
-		t.Error("no message was taken for one")
+	if err := c.voters[0].node.HandleMessage([]byte{0xff, 1, 2}); !errors.Is(err, ErrMalformedMessage) {
+		t.Errorf("expected ErrMalformedMessage, found %v", err)
 	}
 	c.pass(50, func() {})
 	if len(c.decided) == 0 {
 		t.Error("a voter alone decides nothing")
 	}
 }
+
+func TestRefusalsAreTypedErrors(t *testing.T) {
+	c := newCluster(t, 1, 3)
+	c.pass(100, func() {})
+	leader := c.voters[slices.IndexFunc(c.voters, func(v *voter) bool { return v.node.IsLeader() })].node
+	follower := c.voters[slices.IndexFunc(c.voters, func(v *voter) bool { return !v.node.IsLeader() })].node
+	for _, refusal := range []struct {
+		name     string
+		err      error
+		expected error
+	}{
+		{"entry at a follower", follower.Append([]byte("entry")), ErrNotLeader},
+		{"voters at a follower", follower.ChangeVoters(nil, []uint64{4}, nil, nil), ErrNotLeader},
+		{"entry that is too long", leader.Append(make([]byte, MaxEntryBytes+1)), ErrEntryTooLong},
+		{"log that exists", leader.Bootstrap([]uint64{1, 2, 3}, nil), ErrLogNotEmpty},
+	} {
+		t.Run(refusal.name, func(t *testing.T) {
+			if !errors.Is(refusal.err, refusal.expected) {
+				t.Errorf("expected %v, found %v", refusal.expected, refusal.err)
+			}
+		})
+	}
+}
--- a/internal/cluster/consensus/record.go
+++ b/internal/cluster/consensus/records.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"encoding/binary"
-	"errors"
 	"fmt"
 	"slices"
 
@@ -11,14 +10,14 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Record is one that must survive a crash; without a value its key has none any more.
+// Record is a key and its value in a folder, to be kept over a crash. A record without a value deletes the key.
 type Record struct {
 	Key   [16]byte
 	Value []byte
 }
 
-// The keys: "log" and a kind, an entry's index at the end. A value begins with the version of its form and the log's age (4 bytes),
-// then raft's own.
+// A key is "log", a zero byte and a kind, with an entry's index in its last eight bytes. A value begins with recordVersion and, in four
+// bytes, the log's generation; raft's own encoding follows.
 const (
 	recordVersion = 1
 	kindHardState = 'h'
@@ -41,7 +40,7 @@
 func encodeRecord(k [16]byte, age uint32, m marshaler) Record {
 	b, err := m.Marshal()
 	if err != nil {
-		panic(err) // of messages that are in memory there is none that can't be written
+		panic(err) // raft can encode each of its own messages
 	}
 	return Record{k, append(binary.BigEndian.AppendUint32([]byte{recordVersion}, age), b...)}
 }
@@ -54,7 +53,7 @@
 }
 func hardStateRecord(h pb.HardState) Record { return encodeRecord(recordKey(kindHardState, 0), 0, &h) }
 
-// Found is what a folder holds of a log.
+// StoredLog is what a folder holds of a log.
 type StoredLog struct {
 	hard        pb.HardState
 	snapshot    pb.Snapshot
@@ -64,7 +63,8 @@
 	err         error
 }
 
-// Take takes in a record of the folder, in the order in which they were written; false: it is another's.
+// AddRecord takes in a record of the folder, or that its key was deleted. Records come in the order in which they were written. It returns
+// false for a key that is not of a log. A value that can't be decoded has New fail.
 func (f *StoredLog) AddRecord(k [16]byte, value []byte, gone bool) bool {
 	if string(k[:len(keyPrefix)]) != keyPrefix {
 		return false
@@ -102,12 +102,12 @@
 	return true
 }
 
-// Empty tells whether there is nothing.
+// IsEmpty tells whether the folder holds nothing of a log.
 func (f *StoredLog) IsEmpty() bool {
 	return len(f.entries) == 0 && raft.IsEmptySnap(f.snapshot) && raft.IsEmptyHardState(f.hard)
 }
 
-// Drop are records that have a folder hold nothing of a log.
+// DeletionRecords are records by which the folder holds nothing of this log any more.
 func (f *StoredLog) DeletionRecords() (out []Record) {
 	for i := range f.entries {
 		out = append(out, Record{Key: entryKey(f.entries[i].Index)})
@@ -115,8 +115,8 @@
 	return append(out, Record{Key: recordKey(kindSnapshot, 0)}, Record{Key: recordKey(kindHardState, 0)})
 }
 
-// fill hands it to raft. What a crash may have left of the last write (entries that were overruled, or that a snapshot took the place
-// of, or without those before them) nobody was told of: it is cut, and stale has the folder lose it.
+// restore hands the log to raft. A crash may leave part of the last write: entries that were replaced, that a snapshot covers, or that
+// lack those before them. No other voter was told of these, so they are left out, and stale deletes them from the folder.
 func (f *StoredLog) restore(to *raft.MemoryStorage) (stale []Record, err error) {
 	if f.err != nil {
 		return nil, f.err
@@ -130,20 +130,20 @@
 	}
 	slices.SortFunc(f.entries, func(a, b pb.Entry) int { return cmp.Compare(a.Index, b.Index) })
 	term := f.snapshot.Metadata.Term
-	var whole []pb.Entry
+	var complete []pb.Entry
 	for _, e := range f.entries {
 		if e.Index == next && e.Term >= term && f.generations[e.Index] == f.generation {
-			whole = append(whole, e)
+			complete = append(complete, e)
 			next, term = next+1, e.Term
 			continue
 		}
 		stale = append(stale, Record{Key: entryKey(e.Index)})
 	}
-	if err := to.Append(whole); err != nil {
+	if err := to.Append(complete); err != nil {
 		return nil, err
 	}
 	if f.hard.Commit >= next {
-		return nil, errors.New("consensus: the folder lacks entries that were decided")
+		return nil, ErrEntriesMissing
 	}
 	f.hard.Commit = max(f.hard.Commit, f.snapshot.Metadata.Index)
 	if f.hard.Term < term {
--- a/internal/cluster/rollout/leadership.go
+++ b/internal/cluster/rollout/leadership.go
@@ -301,7 +301,7 @@
 	if l.pendingEntry != "" && c.now-l.pendingSince < appendRetryAfter {
 		return false
 	}
-	if !v.log.Append(encode(e)) {
+	if err := v.log.Append(encode(e)); err != nil {
 		return false
 	}
 	if v.leadership == l { // deciding may have come about within the call
--- a/internal/cluster/rollout/voter.go
+++ b/internal/cluster/rollout/voter.go
@@ -20,9 +20,9 @@
 
 // Log is the voters' log as one voter has it; consensus.Node is one.
 type Log interface {
-	Append(entry []byte) bool
+	Append(entry []byte) error
 	ConfirmLeadership(read uint64)
-	ChangeVoters(context []byte, learn, promote, remove []uint64) bool
+	ChangeVoters(context []byte, learn, promote, remove []uint64) error
 	HandleMessage(b []byte) error
 	Tick()
 	IsLeader() bool
--- a/internal/testbed/rolloutmodel/replica.go
+++ b/internal/testbed/rolloutmodel/replica.go
@@ -1,5 +1,7 @@
 package rolloutmodel
 
+import "magpiebank/internal/cluster/consensus"
+
 // sharedLog is the voters' log as all of them share it. One leader counts, while others may believe that they lead. What a leader
 // appended and no majority had may be lost with that leader, or be decided by the next one. Only the leader that counts gets a
 // majority's confirmation.
@@ -20,19 +22,19 @@
 }
 
 // Append implements rollout.Log. What a leader appends that doesn't count is lost.
-func (r *replica) Append(entry []byte) bool {
+func (r *replica) Append(entry []byte) error {
 	if r.term == 0 {
-		return false
+		return consensus.ErrNotLeader
 	}
 	if !r.counts() {
-		return true
+		return nil
 	}
 	log := &r.system.log
 	if log.next != nil {
-		return false
+		return consensus.ErrProposalDropped
 	}
 	log.next = entry
-	return true
+	return nil
 }
 
 // counts tells whether this replica is the leader that counts.
@@ -55,7 +57,9 @@
 func (r *replica) IsLeader() bool { return r.term > 0 }
 
 // ChangeVoters implements rollout.Log: the voters stay as they are.
-func (r *replica) ChangeVoters([]byte, []uint64, []uint64, []uint64) bool { return false }
+func (r *replica) ChangeVoters([]byte, []uint64, []uint64, []uint64) error {
+	return consensus.ErrProposalDropped
+}
 
 // HandleMessage implements rollout.Log: replicas need no messages here.
 func (r *replica) HandleMessage([]byte) error { return nil }
