--- a/internal/query/costmodel/model.go
+++ b/internal/query/costmodel/model.go
@@ -7,55 +7,74 @@
 	"magpiebank/internal/query/sqltext"
 )
 
-// TableLookup knows what an operator says of tables.
+// TableLookup returns what an operator has declared of a table: about how many rows it has, and the columns by which an
+// engine finds rows without reading the whole table. ok is false if nothing is declared.
 type TableLookup func(t *Table) (rows float64, keys []string, ok bool)
 
-// Model holds what answers have taught of statements. Its calls may come from many goroutines.
+// Model learns the costs of statements from finished queries. Its methods may be called from several goroutines.
 type Model struct {
-	shapes  *Cache[*shapeInfo]
-	records *Cache[*record]
-	tables  TableLookup
+	shapes  *Cache[*shapeInfo] // by shape
+	records *Cache[*record]    // by shape and group of tables
+	hours   atomic.Int64       // the model's age, which AdvanceHours moves
 
-	mu         sync.Mutex // of what all shapes share
+	mu         sync.Mutex // guards the fields below
+	tables     TableLookup
 	classes    []classCost
 	regression regression
 	groups     map[int]*tableGroup
-	hours      atomic.Int64 // of age, as told by Age
 
-	skewSearches    atomic.Int64 // shapes that are searched for a literal that matters,
-	maxSkewSearches int64        // and how many may be
-
-	// Counts since the start.
-	Statements, Parsed, Unparsed, Shifts atomic.Int64
-	SplitShapes                          atomic.Int64 // shapes whose cost follows a literal
-	Observations, Mispredicted           atomic.Int64 // answers, and those that took three times what was estimated, or a third of it
+	skewSearches    atomic.Int64 // searches for a literal that determines a shape's cost, under way now
+	maxSkewSearches int64
+
+	// Counters since the start.
+	Statements   atomic.Int64 // inspected
+	Parsed       atomic.Int64 // shapes that were parsed
+	Unparsed     atomic.Int64 // of those, the ones that the grammar does not take
+	Shifts       atomic.Int64 // changes of a cost that were detected
+	SplitShapes  atomic.Int64 // shapes whose cost depends on a literal
+	Observations atomic.Int64
+	Mispredicted atomic.Int64 // observations that took three times the estimate or more, or a third of it or less
 }
 
-// shapeInfo is what is known of a shape at first sight.
+// shapeInfo is what the text of a shape's first statement says.
 type shapeInfo struct {
 	features *Features
 	input    [regressionTerms]float64
 	fullScan string
 }
 
-type classCost struct{ mean, count float64 } // of the logarithms of its costs
+// classCost is the mean of the logarithms of a class's costs, and how many observations it rests on.
+type classCost struct{ mean, count float64 }
 
-// maxClassObservations is how many answers a lane's mean rests on at the most, so that it follows a mix that changes.
+// maxClassObservations bounds the weight of a class's mean, so that it follows a mix that changes.
 const maxClassObservations = 500
 
+// tableGroup counts the loads of data that have ended on a group of tables.
 type tableGroup struct{ loads int }
 
-// NewModel holds up to so many bytes. tables may be nil.
-func NewModel(bytes int64, lanes int, tables TableLookup) *Model {
-	m := &Model{tables: tables, classes: make([]classCost, lanes), groups: map[int]*tableGroup{}}
-	m.shapes = NewCache[*shapeInfo](bytes/4, shapeInfoBytes)
-	m.records = NewCache[*record](bytes-bytes/4, recordBytes)
+// maxTableGroups bounds the groups that are told apart; installations have some hundred.
+const maxTableGroups = 1 << 14
+
+// The shares of a model's memory: a quarter for the shapes, the rest for the records. Searches for skew take up to a
+// sixteenth beside it.
+const (
+	shapesMemoryDivisor = 4
+	skewMemoryDivisor   = 16
+)
+
+// NewModel returns a model for so many classes that takes up to about so many bytes. tables may be nil.
+func NewModel(bytes int64, classes int, tables TableLookup) *Model {
+	m := &Model{tables: tables, classes: make([]classCost, classes), groups: map[int]*tableGroup{}}
+	shapeBytes := bytes / shapesMemoryDivisor
+	m.shapes = NewCache[*shapeInfo](shapeBytes, shapeInfoBytes)
+	m.records = NewCache[*record](bytes-shapeBytes, recordBytes)
 	m.regression.reset()
-	m.maxSkewSearches = bytes / 16 / int64(skewBytes) // they are beside the bytes of the records
+	m.maxSkewSearches = bytes / skewMemoryDivisor / int64(skewBytes)
 	return m
 }
 
-// SetTables goes by what an operator says of tables from now on. Shapes are read again, as what narrows them may differ.
+// SetTables replaces what the operator has declared of tables. Shapes are parsed again when they come next, as their
+// predicates may use other keys.
 func (m *Model) SetTables(tables TableLookup) {
 	m.mu.Lock()
 	m.tables = tables
@@ -63,74 +82,78 @@
 	m.shapes.Clear()
 }
 
-// AdvanceHours tells how many hours have passed since the last call: old answers fade.
+// AdvanceHours adds to the model's age, by which old observations fade.
 func (m *Model) AdvanceHours(hours int64) { m.hours.Add(hours) }
 
-// halfLifeHours is the hours in which an answer comes to count half, if no other comes: loads of data come by the day.
+// halfLifeHours is the time in which the weight of a record's observations halves. It is a day because loads of data
+// come by the day.
 const halfLifeHours = 24
 
-// What an entry takes with what it points to, as measured by TestBytes.
+// The memory of a cache's entry with all that it points to, as measured by TestBytes.
 const (
 	shapeInfoBytes = 1100
 	recordBytes    = 420
 )
 
-// Query is a statement that was looked at.
+// Query is a statement that Inspect has recognised.
 type Query struct {
 	Shape uint64
-	Group int
+	Group int // of tables; 0: none
 	Class int
 	info  *shapeInfo
 
 	literals sqltext.Literals
 }
 
-// Features are what is known of the shape.
-func (s *Query) Features() *Features { return s.info.features }
+// Features returns the features of the query's shape, which are shared and must not be changed.
+func (q *Query) Features() *Features { return q.info.features }
 
-func costKey(shape uint64, group int) uint64 {
+// recordKey is the key of the record of a shape on a group of tables.
+func recordKey(shape uint64, group int) uint64 {
 	return shape ^ (uint64(group)+1)*0x9e3779b97f4a7c15
 }
 
-// Inspect finds a statement's shape, and parses it where the shape is new. It is meant for the goroutine that read the
-// statement.
-func (m *Model) Inspect(sql []byte, group, lane int) Query {
-	s := Query{Group: group, Class: lane}
-	s.Shape, s.literals = sqltext.ShapeAndLiterals(sql)
+// Inspect finds a statement's shape, and parses the statement if the shape is new. It allocates nothing for a shape that
+// is known.
+func (m *Model) Inspect(sql []byte, group, class int) Query {
+	q := Query{Group: group, Class: class}
+	q.Shape, q.literals = sqltext.ShapeAndLiterals(sql)
 	m.Statements.Add(1)
-	if known, ok := m.shapes.Get(s.Shape); ok {
-		s.info = known
-		return s
+	known, ok := m.shapes.Get(q.Shape)
+	if ok {
+		q.info = known
+		return q
 	}
 	m.mu.Lock()
 	tables := m.tables
 	m.mu.Unlock()
-	f := ReadFeaturesWith(sql, tables)
-	if m.Parsed.Add(1); !f.Parsed {
+	features := ReadFeaturesWith(sql, tables)
+	m.Parsed.Add(1)
+	if !features.Parsed {
 		m.Unparsed.Add(1)
 	}
-	s.info = inspectShape(f, tables)
-	m.shapes.Put(s.Shape, s.info)
-	return s
+	q.info = newShapeInfo(features, tables)
+	m.shapes.Put(q.Shape, q.info)
+	return q
 }
 
-func inspectShape(f *Features, tables TableLookup) *shapeInfo {
-	s := &shapeInfo{features: f}
-	if t := f.FullScan(); t != nil {
-		s.fullScan = t.String()
+func newShapeInfo(features *Features, tables TableLookup) *shapeInfo {
+	info := &shapeInfo{features: features}
+	if table := features.FullScan(); table != nil {
+		info.fullScan = table.String()
 	}
-	s.input = regressionInput(f, s.fullScan != "", tables)
-	return s
+	info.input = regressionInput(features, info.fullScan != "", tables)
+	return info
 }
 
-// RecordLoad takes in that a load has ended on a group of tables: what reads it is in doubt.
+// RecordLoad notes that a load of data has ended on a group of tables. Estimates of queries that read the group are
+// uncertain until some of them have been observed again.
 func (m *Model) RecordLoad(group int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	g := m.groups[group]
 	if g == nil {
-		const most = 1 << 14 // groups that are told apart; installations have some hundred
-		if len(m.groups) >= most {
+		if len(m.groups) >= maxTableGroups {
 			return
 		}
 		g = &tableGroup{}
@@ -138,3 +161,11 @@
 	}
 	g.loads++
 }
+
+// loadsOf returns how many loads have ended on a group of tables. The caller holds m.mu.
+func (m *Model) loadsOf(group int) int {
+	if g := m.groups[group]; g != nil {
+		return g.loads
+	}
+	return 0
+}
--- a/internal/query/costmodel/observe.go
+++ b/internal/query/costmodel/observe.go
@@ -2,62 +2,74 @@
 
 import "math"
 
-// Observe takes in what a statement cost in milliseconds, and the MB it needed (0: not told).
-func (m *Model) Observe(s *Query, ms, memory float64) {
-	if !(ms > 0) || math.IsInf(ms, 0) {
+const (
+	// mispredictedFactor is the factor between estimate and observation from which an estimate counts as wrong. It is
+	// what the costs of one class span as a rule.
+	mispredictedFactor = 3
+	// sharedObservations is how many observations of a shape teach the class and the regression; further ones say
+	// nothing of other shapes.
+	sharedObservations = 6
+)
+
+// observation is what one finished query cost.
+type observation struct {
+	millis    float64
+	logMillis float64
+	memoryMB  float64 // 0: not known
+	loads     int     // that had ended on the group of tables
+}
+
+// Observe learns from a finished query that took so many milliseconds of work and so much memory, 0 if that is not known.
+func (m *Model) Observe(q *Query, millis, memoryMB float64) {
+	if !(millis > 0) || math.IsInf(millis, 0) {
 		return
 	}
-	y := math.Log(max(ms, minMillis))
-	const wrong = 3 // what a class of costs spans, as a rule
-	if e := m.Estimate(s); e.Known && (ms > wrong*e.WorkMillis || ms < e.WorkMillis/wrong) {
+	e := m.Estimate(q)
+	if e.Known && (millis > mispredictedFactor*e.WorkMillis || millis < e.WorkMillis/mispredictedFactor) {
 		m.Mispredicted.Add(1)
 	}
 	m.Observations.Add(1)
 	m.mu.Lock()
-	loads := 0
-	if g := m.groups[s.Group]; g != nil {
-		loads = g.loads
-	}
+	loads := m.loadsOf(q.Group)
 	m.mu.Unlock()
-	key := costKey(s.Shape, s.Group)
-	fresh, place, usual := true, 0, y
+	seen := observation{millis: millis, logMillis: math.Log(max(millis, minMillis)), memoryMB: memoryMB, loads: loads}
+	key := recordKey(q.Shape, q.Group)
+	shared, place, typical := true, 0, seen.logMillis
 	m.updateRecord(key, loads, func(r *record) {
-		fresh = r.observations < 6
-		r.observe(y, ms, memory, loads, &m.Shifts)
-		usual = r.typicalLog(y)
-		m.searchSkew(r, &s.literals, y)
+		shared = r.observations < sharedObservations
+		r.observe(seen, &m.Shifts)
+		typical = r.typicalLog(seen.logMillis)
+		m.searchSkew(r, &q.literals, seen.logMillis)
 		place = r.skewPlace
 	})
-	if place > 0 && place <= s.literals.Count*skewGroupings {
-		m.updateRecord(splitKey(key, &s.literals, place), loads, func(r *record) { r.observe(y, ms, memory, loads, &m.Shifts) })
+	if place > 0 && place <= q.literals.Count*skewGroupings {
+		m.updateRecord(splitKey(key, &q.literals, place), loads, func(r *record) { r.observe(seen, &m.Shifts) })
 	}
-	m.mu.Lock()
-	if fresh { // further answers of a shape teach nothing of others
-		lane := &m.classes[s.Class]
-		lane.count = min(lane.count+1, maxClassObservations)
-		lane.mean += (y - lane.mean) / lane.count
-		m.regression.update(&s.info.input, usual-lane.mean)
+	if !shared {
+		return
 	}
-	m.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	class := &m.classes[q.Class]
+	class.count = min(class.count+1, maxClassObservations)
+	class.mean += (seen.logMillis - class.mean) / class.count
+	m.regression.update(&q.info.input, typical-class.mean)
 }
 
-// updateRecord calls f with the record of a key, a new one where there is none.
-func (m *Model) updateRecord(key uint64, loads int, f func(r *record)) {
+// updateRecord calls update with the record of a key, after fading its old observations, or with a new record.
+func (m *Model) updateRecord(key uint64, loads int, update func(r *record)) {
 	hours := m.hours.Load()
-	if m.records.Visit(key, func(r *record) {
-		for ; hours-r.hours >= halfLifeHours; r.hours += halfLifeHours {
-			r.sketch.Fade()
-			if r.sketch.Count() == 0 {
-				r.hours = hours
-			}
-		}
-		f(r)
-	}) {
+	known := m.records.Visit(key, func(r *record) {
+		r.fade(hours)
+		update(r)
+	})
+	if known {
 		return
 	}
 	r := &record{loads: loads, hours: hours}
-	f(r)
-	if gone, _ := m.records.Put(key, r); gone != nil && gone.skew != nil {
+	update(r)
+	evicted, _ := m.records.Put(key, r)
+	if evicted != nil && evicted.skew != nil {
 		m.skewSearches.Add(-1)
 	}
 }
--- a/internal/query/costmodel/snapshot.go
+++ b/internal/query/costmodel/snapshot.go
@@ -114,7 +114,7 @@
 
 // UsualMillis is what a shape on a group of tables usually takes in milliseconds, as far as the snapshot knows it.
 func (s *Snapshot) UsualMillis(shape uint64, group int) (ms float64, ok bool) {
-	key := costKey(shape, group)
+	key := recordKey(shape, group)
 	i, ok := slices.BinarySearchFunc(s.records, key, func(r savedRecord, key uint64) int { return cmp.Compare(r.key, key) })
 	if !ok || s.records[i].sketch.Count() == 0 {
 		return 0, false
--- a/internal/query/costmodel/trend.go
+++ b/internal/query/costmodel/trend.go
@@ -1,23 +1,34 @@
 package costmodel
 
-// trend is the growth of a cost with the loads that end on its tables: least squares over the loads so far, older ones
-// fading.
+// trend follows how a cost grows with the loads that end on its tables: a least-squares line through the logarithms of
+// the costs (y) over the number of loads (x), in which older observations fade.
 type trend struct{ count, sumX, sumY, sumXX, sumXY float64 }
 
+const (
+	trendFading   = 0.99 // the weight that an observation keeps with each further one
+	minLoadSpread = 1    // the variance of the loads from which the slope can be told
+	maxTrendSlope = 0.2  // a load, of logarithms
+)
+
 func (t *trend) add(x, y float64) {
-	const keep = 0.99
-	t.count, t.sumX, t.sumY, t.sumXX, t.sumXY = keep*t.count+1, keep*t.sumX+x, keep*t.sumY+y, keep*t.sumXX+x*x, keep*t.sumXY+x*y
+	t.count = trendFading*t.count + 1
+	t.sumX = trendFading*t.sumX + x
+	t.sumY = trendFading*t.sumY + y
+	t.sumXX = trendFading*t.sumXX + x*x
+	t.sumXY = trendFading*t.sumXY + x*y
 }
 
-// slope is the growth a load, of logarithms; 0 while the loads seen are too few to tell.
-func (t *trend) slope() (slope, middle float64) {
+// slope returns the growth of the cost's logarithm with a load, 0 if there are too few observations to tell, and the mean
+// number of loads, at which the line has the mean cost.
+func (t *trend) slope() (slope, meanLoads float64) {
 	if t.count < warmupObservations {
 		return 0, 0
 	}
-	middle = t.sumX / t.count
-	spread := t.sumXX/t.count - middle*middle
-	if spread < 1 {
-		return 0, middle
+	meanLoads = t.sumX / t.count
+	variance := t.sumXX/t.count - meanLoads*meanLoads
+	if variance < minLoadSpread {
+		return 0, meanLoads
 	}
-	return min(0.2, max(0, (t.sumXY/t.count-middle*t.sumY/t.count)/spread)), middle
+	covariance := t.sumXY/t.count - meanLoads*t.sumY/t.count
+	return min(maxTrendSlope, max(0, covariance/variance)), meanLoads
 }
