--- a/internal/query/costmodel/expression_features.go
+++ b/internal/query/costmodel/expression_features.go
@@ -2,150 +2,182 @@
 
 import "strings"
 
-// readWhere splits a condition at AND; what stands under OR or NOT holds for no row by itself, so it is only looked into.
-func (f *Features) readWhere(e *expression, first int) {
+// readWhere reads the predicates of a condition: its parts between ANDs. What stands under OR holds for no row by itself,
+// so there only the subqueries and functions are read. firstTable is the index of the first table of the query that the
+// condition belongs to.
+func (f *Features) readWhere(e *expression, firstTable int) {
 	if e == nil {
 		return
 	}
-	for _, p := range e.Rest {
-		if containsFold(p.Op, "OR") || containsFold(p.Op, "XOR") || containsFold(p.Op, "|") {
+	for _, op := range e.Rest {
+		if containsFold(op.Op, "OR") || containsFold(op.Op, "XOR") || containsFold(op.Op, "|") {
 			f.readExpression(e)
 			return
 		}
 	}
-	part := []*operation{{Value: e.First}}
-	between := false
-	for _, p := range e.Rest {
-		if len(p.Op) > 0 && p.Op[0] == "AND" && !between {
-			f.readCondition(part, first)
-			part = []*operation{{Op: p.Op[1:], Value: p.Value}}
+	condition := []*operation{{Value: e.First}}
+	inBetween := false // the next AND belongs to a BETWEEN
+	for _, op := range e.Rest {
+		if len(op.Op) > 0 && op.Op[0] == "AND" && !inBetween {
+			f.readCondition(condition, firstTable)
+			condition = []*operation{{Op: op.Op[1:], Value: op.Value}}
 			continue
 		}
-		between = containsFold(p.Op, "BETWEEN") // whose AND is its own
-		part = append(part, p)
+		inBetween = containsFold(op.Op, "BETWEEN")
+		condition = append(condition, op)
 	}
-	f.readCondition(part, first)
+	f.readCondition(condition, firstTable)
 }
 
-// readCondition reads terms and operators between two ANDs.
-func (f *Features) readCondition(part []*operation, first int) {
-	for _, p := range part {
-		f.readOperand(p.Value)
+// comparison is a condition with an operator.
+type comparison struct {
+	left, right *operand
+	operator    string // without NOT
+	negated     bool
+	operands    int
+}
+
+// readCondition reads one condition, operands and the operators between them.
+func (f *Features) readCondition(condition []*operation, firstTable int) {
+	for _, op := range condition {
+		f.readOperand(op.Value)
 	}
-	left := part[0].Value
-	if len(part[0].Op) > 0 || containsFold(left.Prefix, "NOT") {
+	left := condition[0].Value
+	if len(condition[0].Op) > 0 || containsFold(left.Prefix, "NOT") {
 		return
 	}
-	if len(part) == 1 {
+	if len(condition) == 1 {
 		if len(left.List) == 1 { // (a = 1 AND b = 2)
-			f.readWhere(left.List[0], first)
+			f.readWhere(left.List[0], firstTable)
 		}
 		return
 	}
-	op := strings.Join(part[1].Op, "")
-	right := part[1].Value
-	column := func(v *operand) bool { return len(v.Name) > 0 && v.Call == nil && len(v.Prefix) == 0 }
-	fixed := func(v *operand) bool { return v.Literal != "" || v.Interval != nil || len(v.Name) > 0 && v.Call != nil }
-	not := strings.HasPrefix(op, "NOT")
-	if not {
-		op = op[3:]
-	}
-	if !column(left) {
-		switch {
-		case column(right) && len(part) == 2 && fixed(left) && left.Call == nil: // 5 = a
-			left, right = right, left
-		case left.Call != nil && len(left.Call.Args) > 0: // f(a) = 5
-			if arg := left.Call.Args[0].Value; arg != nil && column(arg.First) {
-				f.addPredicate(arg.First.Name, Function, first)
-			}
-			return
-		case column(right): // a joined to something computed
-			f.addPredicate(right.Name, Function, first)
-			return
-		default:
-			return
+	operator, negated := strings.CutPrefix(strings.Join(condition[1].Op, ""), "NOT")
+	c := comparison{left: left, right: condition[1].Value, operator: operator, negated: negated, operands: len(condition)}
+	if !c.left.isColumn() && !f.turnToColumn(&c, firstTable) {
+		return
+	}
+	match := c.match()
+	if match == Joined && c.right.isColumn() {
+		f.addPredicate(c.right.Name, Joined, firstTable)
+	}
+	f.addPredicate(c.left.Name, match, firstTable)
+}
+
+// turnToColumn makes a comparison whose left side is no column begin with one, as in 5 = a. It returns false if it can't;
+// then it has read a column that a function is applied to or that is compared to a computed value.
+func (f *Features) turnToColumn(c *comparison, firstTable int) bool {
+	call := c.left.Call
+	switch {
+	case c.right.isColumn() && c.operands == 2 && c.left.isConstant() && call == nil: // 5 = a
+		c.left, c.right = c.right, c.left
+		return true
+	case call != nil && len(call.Args) > 0: // f(a) = 5
+		if argument := call.Args[0].Value; argument != nil && argument.First.isColumn() {
+			f.addPredicate(argument.First.Name, Function, firstTable)
 		}
+	case c.right.isColumn(): // 5 + b = a
+		f.addPredicate(c.right.Name, Function, firstTable)
 	}
-	m := Unequal
+	return false
+}
+
+// match returns how the comparison narrows the column on its left.
+func (c *comparison) match() Match {
+	toOtherTable := c.right.Query != nil
 	switch {
-	case not, op == "<>", op == "!=":
-	case len(part) > 2 && op != "BETWEEN" && isArithmetic(op): // a + 1 = 5
-		m = Function
-	case op == "=" || op == "<=>":
-		if m = Equal; column(right) {
-			f.addPredicate(right.Name, Joined, first)
-			m = Joined
-		} else if right.Query != nil {
-			m = Joined
+	case c.negated, c.operator == "<>", c.operator == "!=":
+		return Unequal
+	case c.operands > 2 && c.operator != "BETWEEN" && isArithmetic(c.operator): // a + 1 = 5
+		return Function
+	}
+	switch c.operator {
+	case "=", "<=>":
+		if toOtherTable || c.right.isColumn() {
+			return Joined
 		}
-	case op == "IN":
-		if m = Equal; right.Query != nil {
-			m = Joined
+		return Equal
+	case "IN":
+		if toOtherTable {
+			return Joined
 		}
-	case op == "IS":
-		m = Equal
-	case op == "BETWEEN", op == "<", op == ">", op == "<=", op == ">=":
-		m = Range
-	case op == "LIKE":
-		if m = Prefix; len(right.Literal) < 2 || right.Literal[1] == '%' || right.Literal[1] == '_' {
-			m = Wildcard
+		return Equal
+	case "IS":
+		return Equal
+	case "BETWEEN", "<", ">", "<=", ">=":
+		return Range
+	case "LIKE":
+		if literal := c.right.Literal; len(literal) < 2 || literal[1] == '%' || literal[1] == '_' { // behind the quote
+			return Wildcard
 		}
-	case op == "REGEXP", op == "RLIKE":
-		m = Wildcard
-	case isArithmetic(op):
-		m = Function
+		return Prefix
+	case "REGEXP", "RLIKE":
+		return Wildcard
+	}
+	if isArithmetic(c.operator) {
+		return Function
 	}
-	f.addPredicate(left.Name, m, first)
+	return Unequal
+}
+
+func isArithmetic(operator string) bool {
+	return strings.ContainsAny(operator, "+-*/%&^") || operator == "DIV" || operator == "MOD"
 }
 
-func isArithmetic(op string) bool {
-	return strings.ContainsAny(op, "+-*/%&^") || op == "DIV" || op == "MOD"
+// isColumn tells whether an operand is the name of a column and nothing else.
+func (o *operand) isColumn() bool { return len(o.Name) > 0 && o.Call == nil && len(o.Prefix) == 0 }
+
+// isConstant tells whether an operand depends on no column, as far as is seen; function calls count as constant.
+func (o *operand) isConstant() bool {
+	return o.Literal != "" || o.Interval != nil || len(o.Name) > 0 && o.Call != nil
 }
 
+// readExpression counts the subqueries and functions of an expression.
 func (f *Features) readExpression(e *expression) {
 	if e == nil {
 		return
 	}
 	f.readOperand(e.First)
-	for _, p := range e.Rest {
-		f.readOperand(p.Value)
+	for _, op := range e.Rest {
+		f.readOperand(op.Value)
 	}
 }
 
-func (f *Features) readOperand(v *operand) {
+func (f *Features) readOperand(o *operand) {
+	if o == nil {
+		return
+	}
 	switch {
-	case v == nil:
-	case v.Query != nil:
+	case o.Query != nil:
 		f.Subqueries++
-		f.readQuery(v.Query)
-	case v.Case != nil:
-		f.readExpression(v.Case.Of)
-		for _, w := range v.Case.When {
-			f.readExpression(w.If)
-			f.readExpression(w.Then)
+		f.readQuery(o.Query)
+	case o.Case != nil:
+		f.readExpression(o.Case.Of)
+		for _, branch := range o.Case.When {
+			f.readExpression(branch.If)
+			f.readExpression(branch.Then)
 		}
-		f.readExpression(v.Case.Else)
-	case v.Interval != nil:
-		f.readExpression(v.Interval.Value)
+		f.readExpression(o.Case.Else)
+	case o.Interval != nil:
+		f.readExpression(o.Interval.Value)
+	}
+	for _, e := range o.List {
+		f.readExpression(e)
 	}
-	if v == nil {
+	if o.Call == nil {
 		return
 	}
-	for _, e := range v.List {
-		f.readExpression(e)
+	if o.Call.Over != nil || o.Call.Named != "" {
+		f.Windows++
+	} else if isAggregate(o.Name[len(o.Name)-1]) {
+		f.Aggregates++
 	}
-	if v.Call != nil {
-		if v.Call.Over != nil || v.Call.Named != "" {
-			f.Windows++
-		} else if isAggregate(v.Name[len(v.Name)-1]) {
-			f.Aggregates++
-		}
-		for _, a := range v.Call.Args {
-			f.readExpression(a.Value)
-		}
+	for _, argument := range o.Call.Args {
+		f.readExpression(argument.Value)
 	}
 }
 
+// aggregates are the functions that sum up rows.
 var aggregates = map[string]bool{"COUNT": true, "SUM": true, "AVG": true, "MIN": true, "MAX": true, "GROUP_CONCAT": true, "STD": true,
 	"STDDEV": true, "VARIANCE": true, "BIT_OR": true, "BIT_AND": true, "JSON_ARRAYAGG": true, "ANY_VALUE": true}
 
--- a/internal/query/costmodel/features.go
+++ b/internal/query/costmodel/features.go
@@ -1,5 +1,5 @@
-// Package costmodel tells what statements will cost: it reads features once a shape, and learns from answers. What it
-// can't make sense of still gets features from its tokens.
+// Package costmodel estimates what statements will cost. It reads the features of a statement once for each shape, and
+// learns from the costs of finished queries. A statement that its parser does not take gets features from its tokens.
 package costmodel
 
 import (
@@ -8,10 +8,10 @@
 	"magpiebank/internal/query/sqltext"
 )
 
-// Verb is what a statement does.
+// Verb is the kind of a statement.
 type Verb uint8
 
-// The verbs.
+// The kinds of statements.
 const (
 	Other Verb = iota
 	Select
@@ -27,7 +27,7 @@
 
 func (v Verb) String() string { return verbNames[v] }
 
-// VerbNames are the names of all verbs.
+// VerbNames returns the names of all verbs.
 func VerbNames() []string { return verbNames[:] }
 
 // Match is how a predicate narrows what is read.
@@ -49,84 +49,94 @@
 
 func (m Match) String() string { return matchNames[m] }
 
-// Predicate is one condition that holds for all rows of a result.
+// Predicate is a condition on a column that holds for all rows of a result.
 type Predicate struct {
-	Table  int // that its column belongs to; -1: not told
-	Column string
-	Match  Match
-
-	Narrows bool // a key finds the rows, as far as is known
+	Table   int // index of the column's table in Features.Tables; unknownTable: the statement does not say
+	Column  string
+	Match   Match
+	Narrows bool // an engine finds the rows without reading the whole table, as far as is known
 }
 
-// Table is one that a statement reads or writes.
+// unknownTable stands for the table of a column that may belong to any of the statement's tables.
+const unknownTable = -1
+
+// Table is a table that a statement reads or writes.
 type Table struct {
 	Schema, Name, Alias string
 	Written             bool
-	Scanned             bool // nothing narrows what is read of it
+	Scanned             bool // no predicate narrows what is read of it
 }
 
 // Features are what a statement's cost is estimated from.
 type Features struct {
-	Verb         Verb
-	Parsed       bool // by the grammar; else they are from its tokens alone
-	ParseError   string
-	Tables       []Table
-	Predicates   []Predicate
+	Verb       Verb
+	Parsed     bool   // by the grammar; otherwise the features are from the tokens alone
+	ParseError string // why it was not parsed
+
+	Tables     []Table
+	Predicates []Predicate
+
+	// Counts of parts of the statement.
 	Joins        int
-	UnboundJoins int // joins of tables that no condition binds
+	UnboundJoins int // without a condition
 	Subqueries   int
 	Unions       int
 	Aggregates   int
 	Groups       int
 	Sorts        int
 	Windows      int
-	Distinct     bool
-	Limit        int64 // rows; -1: none
-	ValueRows    int   // of VALUES
+	ValueRows    int // in VALUES
 	Tokens       int
+
+	Distinct bool
+	Limit    int64 // rows; noLimit: there is none
 }
 
-// maxTables and mostPredicates bound what is kept of a statement; there is no more to be learned from further ones.
+const noLimit = -1
+
+// maxTables and maxPredicates bound what is kept of a statement; further ones say little of its cost.
 const (
 	maxTables     = 16
 	maxPredicates = 32
 )
 
-// ReadFeatures is a statement's features; it never fails.
+// ReadFeatures returns the features of a statement, whatever it is.
 func ReadFeatures(sql []byte) *Features {
-	f := &Features{Limit: -1}
-	t, err := parse(sql)
+	f := &Features{Limit: noLimit}
+	parsed, err := parse(sql)
 	if err != nil {
 		f.ParseError = err.Error()
 		f.readTokens(sql)
 	} else {
 		f.Parsed = true
-		f.readStatement(t)
+		f.readStatement(parsed)
 	}
-	l := sqltext.Lexer{Text: sql}
-	for l.Next().Kind != sqltext.End {
+	lexer := sqltext.Lexer{Text: sql}
+	for lexer.Next().Kind != sqltext.End {
 		f.Tokens++
 	}
 	f.markScans(nil)
 	return f
 }
 
-// ReadFeaturesWith is a statement's features by what an operator says of tables; nil: nothing.
+// ReadFeaturesWith returns the features of a statement over tables of which an operator has declared keys; tables may be
+// nil.
 func ReadFeaturesWith(sql []byte, tables TableLookup) *Features {
 	f := ReadFeatures(sql)
-	if tables != nil {
-		f.markScans(func(t *Table) []string {
-			_, keys, ok := tables(t)
-			if !ok {
-				return nil
-			}
-			return keys
-		})
+	if tables == nil {
+		return f
 	}
+	f.markScans(func(t *Table) []string {
+		_, keys, ok := tables(t)
+		if !ok {
+			return nil
+		}
+		return keys
+	})
 	return f
 }
 
-// String is a table's name with its schema, where it has one.
+// String returns the table's name, behind its schema if it has one.
 func (t *Table) String() string {
 	if t.Schema == "" {
 		return t.Name
@@ -134,14 +144,15 @@
 	return t.Schema + "." + t.Name
 }
 
-// FullScan tells whether a statement reads a whole table and hands on more than a few rows of it or all it says of it.
+// maxCheapLimit is the limit up to which a plain SELECT without conditions is cheap: the engine stops reading early.
+const maxCheapLimit = 1000
+
+// FullScan returns a table that the statement reads completely, nil if there is none.
 func (f *Features) FullScan() (table *Table) {
 	if f.Verb != Select && f.Verb != InsertSelect && f.Verb != Update && f.Verb != Delete {
 		return nil
 	}
-	const few = 1000 // rows that an engine finds without reading on, when nothing must be sorted or summed up
-	if f.Limit >= 0 && f.Limit <= few && f.Sorts == 0 && f.Aggregates == 0 && f.Groups == 0 && f.Windows == 0 && !f.Distinct &&
-		len(f.Predicates) == 0 && f.Joins == 0 {
+	if f.Limit >= 0 && f.Limit <= maxCheapLimit && f.isPlain() {
 		return nil
 	}
 	for i := range f.Tables {
@@ -152,11 +163,18 @@
 	return nil
 }
 
+// isPlain tells whether the statement needs no rows beyond those that it returns: it has no conditions, and nothing is
+// joined, sorted or summed up.
+func (f *Features) isPlain() bool {
+	return f.Sorts == 0 && f.Aggregates == 0 && f.Groups == 0 && f.Windows == 0 && !f.Distinct && len(f.Predicates) == 0 && f.Joins == 0
+}
+
+// addTable adds a table by its name, the last of names, and its schema, the one before, if there is one. The names are
+// copied, as they lie in the text of the whole statement.
 func (f *Features) addTable(names []string, alias string, written bool) {
 	if len(names) == 0 || len(f.Tables) >= maxTables {
 		return
 	}
-	// What is kept is copied, as it lies in the whole statement's text.
 	t := Table{Name: strings.Clone(names[len(names)-1]), Alias: strings.Clone(alias), Written: written}
 	if len(names) > 1 {
 		t.Schema = strings.Clone(names[len(names)-2])
@@ -164,23 +182,29 @@
 	f.Tables = append(f.Tables, t)
 }
 
-func (f *Features) addPredicate(names []string, m Match, from int) {
+// addPredicate adds a predicate on a column, the last of names, with the table that qualifies it, if there is one.
+// firstTable is the index of the first table of the query that the predicate belongs to.
+func (f *Features) addPredicate(names []string, match Match, firstTable int) {
 	if len(f.Predicates) >= maxPredicates || len(names) == 0 {
 		return
 	}
-	p := Predicate{Table: -1, Column: strings.Clone(names[len(names)-1]), Match: m}
-	if len(names) > 1 {
-		q := names[len(names)-2]
-		for i := len(f.Tables) - 1; i >= 0; i-- {
-			if t := &f.Tables[i]; strings.EqualFold(t.Alias, q) || t.Alias == "" && strings.EqualFold(t.Name, q) {
-				p.Table = i
-				break
-			}
-		}
-	} else if len(f.Tables)-from == 1 {
-		p.Table = from // the only one of its query
+	p := Predicate{Table: unknownTable, Column: strings.Clone(names[len(names)-1]), Match: match}
+	switch {
+	case len(names) > 1:
+		p.Table = f.findTable(names[len(names)-2])
+	case len(f.Tables)-firstTable == 1: // the only table of its query
+		p.Table = firstTable
 	}
 	f.Predicates = append(f.Predicates, p)
 }
 
-// The reading of a tree.
+// findTable returns the index of the last table with an alias, or with a name and no alias.
+func (f *Features) findTable(qualifier string) int {
+	for i := len(f.Tables) - 1; i >= 0; i-- {
+		t := &f.Tables[i]
+		if strings.EqualFold(t.Alias, qualifier) || t.Alias == "" && strings.EqualFold(t.Name, qualifier) {
+			return i
+		}
+	}
+	return unknownTable
+}
--- a/internal/query/costmodel/grammar_test.go
+++ b/internal/query/costmodel/grammar_test.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Features{Limit: -1, Parsed: true}
+	f := &Features{Limit: noLimit, Parsed: true}
 	f.readStatement(t)
 	f.markScans(nil)
 	return f, nil
--- a/internal/query/costmodel/parse_tokens.go
+++ b/internal/query/costmodel/parse_tokens.go
@@ -3,24 +3,28 @@
 import (
 	"errors"
 	"fmt"
+
 	"magpiebank/internal/query/sqltext"
 )
 
-// The budget of a parse. Statements of people and tools have some hundred tokens and nest some ten deep; what is beyond is
-// classed from its tokens, so that one parse stays well within a millisecond.
+// The budget of a parse. Statements of people and tools have some hundred tokens and nest some ten deep. Features of a
+// statement beyond the budget are read from its tokens, so that one parse takes well under a millisecond.
 const (
 	maxTokens  = 1200
 	maxNesting = 24
 )
 
-// token is a lexer's token as the reader needs it; names and literals lie in the statement's text.
+// usualTokens is the capacity that a list of tokens begins with.
+const usualTokens = 64
+
+// token is a token of the lexer as the parser needs it.
 type token struct {
 	kind  sqltext.Kind
 	sign  byte
-	call  bool   // a keyword that is a function's name here, as a bracket follows
-	key   string // a keyword, in capitals; empty: none
-	text  string
-	match int // of an opening bracket: where its closing one stands; 0: nowhere
+	call  bool   // the keyword is a function's name here, as a bracket follows
+	key   string // the keyword in capitals; empty: it is none
+	text  string // it lies in the statement's text
+	match int    // of an opening bracket: the index of the closing one; 0: there is none
 }
 
 var (
@@ -39,13 +43,15 @@
 // functionKeywords are keywords that are functions when a bracket follows.
 var functionKeywords = map[string]bool{"LEFT": true, "RIGHT": true, "REPLACE": true, "MOD": true, "INSERT": true, "VALUES": true}
 
-// keywordOf finds a keyword; longest is their longest.
+// maxKeywordBytes is the length of the longest keyword.
+const maxKeywordBytes = 13
+
+// keywordOf returns a word in capitals if it is a keyword, and "" otherwise.
 func keywordOf(word []byte) string {
-	const longest = 13
-	if len(word) > longest {
+	if len(word) > maxKeywordBytes {
 		return ""
 	}
-	var upper [longest]byte
+	var upper [maxKeywordBytes]byte
 	for i, c := range word {
 		if 'a' <= c && c <= 'z' {
 			c -= 'a' - 'A'
@@ -55,60 +61,90 @@
 	return keywords[string(upper[:len(word)])]
 }
 
-// parse reads a statement by the grammar.
+// parse parses a statement by the grammar.
 func parse(sql []byte) (*statement, error) {
-	l := sqltext.Lexer{Text: sql}
-	all := string(sql)
-	p := parser{tokens: make([]token, 0, 64)}
-	var open [maxNesting + 1]int
-	depth, dot := 0, false
+	tokens, err := tokenize(sql)
+	if err != nil {
+		return nil, err
+	}
+	p := parser{tokens: tokens}
+	parsed := p.parseStatement()
+	if p.failed {
+		return nil, fmt.Errorf("nothing that is read begins at token %d", p.at+1)
+	}
+	return parsed, nil
+}
+
+// tokenizer makes the list of tokens for the parser.
+type tokenizer struct {
+	text     string
+	lexer    sqltext.Lexer
+	tokens   []token
+	open     [maxNesting + 1]int // the indices of the brackets that are open, by depth
+	depth    int
+	afterDot bool
+}
+
+// tokenize returns the tokens of a statement; the last is of the kind End.
+func tokenize(sql []byte) ([]token, error) {
+	t := tokenizer{text: string(sql), lexer: sqltext.Lexer{Text: sql}, tokens: make([]token, 0, usualTokens)}
 	for {
-		t := l.Next()
-		k := token{kind: t.Kind, sign: t.Sign}
-		if t.Kind == sqltext.End {
-			p.tokens = append(p.tokens, k)
-			break
+		next := t.lexer.Next()
+		if next.Kind == sqltext.End {
+			return append(t.tokens, token{kind: next.Kind}), nil
 		}
-		if len(p.tokens) >= maxTokens {
+		if len(t.tokens) >= maxTokens {
 			return nil, errTooComplex
 		}
-		k.text = all[t.From:t.To]
-		switch t.Kind {
-		case sqltext.Word:
-			if !dot { // any word behind a dot is a name
-				k.key = keywordOf(l.Bytes(t))
-			}
-		case sqltext.Text:
-			if t.Unterminated {
-				return nil, errUnterminated
-			}
-			if t.From > 0 && (all[t.From-1] == '\'' || all[t.From-1] == '"') {
-				k.text = all[t.From-1 : t.To]
-			}
-		case sqltext.Sign:
-			k.text = signTexts[t.Sign]
-			switch t.Sign {
-			case '(':
-				if depth++; depth > maxNesting {
-					return nil, errTooComplex
-				}
-				open[depth] = len(p.tokens)
-				if n := len(p.tokens); n > 0 && functionKeywords[p.tokens[n-1].key] {
-					p.tokens[n-1].call = true
-				}
-			case ')':
-				if depth > 0 {
-					p.tokens[open[depth]].match = len(p.tokens)
-					depth--
-				}
-			}
+		if err := t.add(next); err != nil {
+			return nil, err
 		}
-		dot = t.Sign == '.'
-		p.tokens = append(p.tokens, k)
 	}
-	tree := p.parseStatement()
-	if p.failed {
-		return nil, fmt.Errorf("nothing that is read begins at token %d", p.at+1)
+}
+
+func (t *tokenizer) add(next sqltext.Token) error {
+	added := token{kind: next.Kind, sign: next.Sign, text: t.text[next.From:next.To]}
+	switch next.Kind {
+	case sqltext.Word:
+		if !t.afterDot { // any word behind a dot is a name
+			added.key = keywordOf(t.lexer.Bytes(next))
+		}
+	case sqltext.Text:
+		if next.Unterminated {
+			return errUnterminated
+		}
+		if next.From > 0 && (t.text[next.From-1] == '\'' || t.text[next.From-1] == '"') {
+			added.text = t.text[next.From-1 : next.To]
+		}
+	case sqltext.Sign:
+		added.text = signTexts[next.Sign]
+		if err := t.matchBracket(next.Sign); err != nil {
+			return err
+		}
+	}
+	t.afterDot = next.Sign == '.'
+	t.tokens = append(t.tokens, added)
+	return nil
+}
+
+// matchBracket notes that the next token is an opening or closing bracket, if it is one.
+func (t *tokenizer) matchBracket(sign byte) error {
+	index := len(t.tokens)
+	switch sign {
+	case '(':
+		t.depth++
+		if t.depth > maxNesting {
+			return errTooComplex
+		}
+		t.open[t.depth] = index
+		if index > 0 && functionKeywords[t.tokens[index-1].key] {
+			t.tokens[index-1].call = true
+		}
+	case ')':
+		if t.depth > 0 {
+			t.tokens[t.open[t.depth]].match = index
+			t.depth--
+		}
 	}
-	return tree, nil
+	return nil
 }
--- a/internal/query/costmodel/statement_features.go
+++ b/internal/query/costmodel/statement_features.go
@@ -1,10 +1,12 @@
 package costmodel
 
 import (
+	"slices"
 	"strconv"
 	"strings"
 )
 
+// readStatement reads the features of a parsed statement.
 func (f *Features) readStatement(t *statement) {
 	for _, c := range t.With {
 		f.Subqueries++
@@ -33,32 +35,36 @@
 	}
 }
 
+// readChange reads the parts that UPDATE and DELETE share.
 func (f *Features) readChange(from []*tableReference, where *expression, limit []string) {
-	first := len(f.Tables)
+	firstTable := len(f.Tables)
 	f.readFrom(from)
-	f.readWhere(where, first)
+	f.readWhere(where, firstTable)
 	f.setLimit(limit)
 }
 
+// setLimit sets the limit from the numbers of a LIMIT clause, of which the last is the number of rows.
 func (f *Features) setLimit(limit []string) {
-	if len(limit) > 0 {
-		if n, err := strconv.ParseInt(limit[len(limit)-1], 10, 64); err == nil {
-			f.Limit = n
-		}
+	if len(limit) == 0 {
+		return
+	}
+	rows, err := strconv.ParseInt(limit[len(limit)-1], 10, 64)
+	if err == nil {
+		f.Limit = rows
 	}
 }
 
-func (f *Features) readQuery(u *queryExpression) {
-	if u == nil {
+func (f *Features) readQuery(q *queryExpression) {
+	if q == nil {
 		return
 	}
-	f.readSelect(u.First)
-	for _, s := range u.Rest {
+	f.readSelect(q.First)
+	for _, s := range q.Rest {
 		f.Unions++
 		f.readSelect(s)
 	}
-	f.Sorts += len(u.Order)
-	f.setLimit(u.Limit)
+	f.Sorts += len(q.Order)
+	f.setLimit(q.Limit)
 }
 
 func (f *Features) readSelect(s *selectQuery) {
@@ -66,62 +72,59 @@
 		f.readQuery(s.Nested)
 		return
 	}
-	first, joins := len(f.Tables), f.Joins
+	firstTable, joins := len(f.Tables), f.Joins
 	f.readFrom(s.From)
-	loose := len(f.Tables) - first - 1 // tables that a condition must bind
-	before := len(f.Predicates)
-	f.readWhere(s.Where, first)
-	for _, c := range s.Columns {
-		f.readExpression(c.Value)
+	tablesToJoin := len(f.Tables) - firstTable - 1
+	firstPredicate := len(f.Predicates)
+	f.readWhere(s.Where, firstTable)
+	for _, column := range s.Columns {
+		f.readExpression(column.Value)
 	}
-	for _, g := range s.Group {
+	for _, group := range s.Group {
 		f.Groups++
-		f.readExpression(g)
+		f.readExpression(group)
 	}
 	f.readExpression(s.Having)
 	f.Sorts += len(s.Order)
 	f.Distinct = f.Distinct || s.Distinct
-	if limit := f.Limit; len(s.Limit) > 0 {
+	if isNested := firstTable > 0; !isNested { // the limit of a nested query says little of the whole
 		f.setLimit(s.Limit)
-		if first > 0 { // of a query inside another
-			f.Limit = limit
-		}
 	}
-	if loose > 0 {
-		for _, p := range f.Predicates[before:] {
-			if p.Match == Joined {
-				loose--
-			}
+	if tablesToJoin > 0 {
+		f.UnboundJoins += max(0, tablesToJoin-(f.Joins-joins)-f.countJoined(firstPredicate))
+	}
+}
+
+// countJoined counts the predicates from an index on that join tables.
+func (f *Features) countJoined(firstPredicate int) int {
+	count := 0
+	for _, p := range f.Predicates[firstPredicate:] {
+		if p.Match == Joined {
+			count++
 		}
-		loose -= f.Joins - joins // those with ON or USING were counted there
-		f.UnboundJoins += max(0, loose)
 	}
+	return count
 }
 
 func (f *Features) readFrom(list []*tableReference) {
-	first := len(f.Tables)
-	for _, fr := range list {
-		f.readTable(fr.Table)
-		for _, j := range fr.Joins {
-			f.readTable(j.Table)
-			if j.On != nil || len(j.Using) > 0 || containsFold(j.Kind, "NATURAL") {
+	firstTable := len(f.Tables)
+	for _, reference := range list {
+		f.readTable(reference.Table)
+		for _, join := range reference.Joins {
+			f.readTable(join.Table)
+			if join.On != nil || len(join.Using) > 0 || containsFold(join.Kind, "NATURAL") {
 				f.Joins++
 			}
-			f.readWhere(j.On, first)
-			for _, c := range j.Using {
-				f.addPredicate([]string{c}, Joined, first)
+			f.readWhere(join.On, firstTable)
+			for _, column := range join.Using {
+				f.addPredicate([]string{column}, Joined, firstTable)
 			}
 		}
 	}
 }
 
 func containsFold(words []string, word string) bool {
-	for _, w := range words {
-		if strings.EqualFold(w, word) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(words, func(w string) bool { return strings.EqualFold(w, word) })
 }
 
 func (f *Features) readTable(t *tableFactor) {
--- a/internal/query/costmodel/token_features.go
+++ b/internal/query/costmodel/token_features.go
@@ -1,110 +1,164 @@
 package costmodel
 
 import (
-	"magpiebank/internal/query/sqltext"
 	"strings"
+
+	"magpiebank/internal/query/sqltext"
 )
 
+// tokenReader reads features from the tokens of a statement that the parser does not take.
+type tokenReader struct {
+	features *Features
+	lexer    sqltext.Lexer
+	previous sqltext.Token
+
+	started     bool // the first word has been read
+	expectTable bool // the next name may be a table's
+	inTableList bool // after a comma the next name may be a table's again
+	inCondition bool
+	column      []string // the last name with its qualifiers, which an operator may follow; nil: none
+}
+
 // readTokens reads what can be read from tokens alone.
 func (f *Features) readTokens(sql []byte) {
-	l := sqltext.Lexer{Text: sql}
-	place, from, where := false, false, false
-	first := true
-	var column []string // the last name, with what it is qualified by
-	var before sqltext.Token
-	for t := l.Next(); t.Kind != sqltext.End; t = l.Next() {
-		text := l.Bytes(t)
+	r := tokenReader{features: f, lexer: sqltext.Lexer{Text: sql}}
+	for token := r.lexer.Next(); token.Kind != sqltext.End; token = r.lexer.Next() {
 		switch {
-		case t.Kind == sqltext.Sign && t.Sign == ',' && from:
-			place = true
-		case t.Kind == sqltext.Sign && (t.Sign == '=' || t.Sign == '<' || t.Sign == '>') && where && before.Kind != sqltext.Sign && column != nil:
-			m := Range
-			if next := l.Peek(); t.Sign == '=' {
-				if m = Equal; next.Kind == sqltext.Word || next.Kind == sqltext.Quoted {
-					m = Joined
-				}
-			} else if next.Sign == '>' {
-				m = Unequal
-			}
-			f.addPredicate(column, m, 0)
-			column = nil
-		case t.Kind == sqltext.Word || t.Kind == sqltext.Quoted:
-			names := []string{string(text)}
-			for l.Peek().Sign == '.' {
-				l.Next()
-				if next := l.Peek(); next.Kind != sqltext.Word && next.Kind != sqltext.Quoted {
-					break
-				}
-				names = append(names, string(l.Bytes(l.Next())))
-			}
-			upper := ""
-			if t.Kind == sqltext.Word && len(names) == 1 {
-				upper = strings.ToUpper(names[0])
-			}
-			if first {
-				first = false
-				switch upper {
-				case "SELECT", "WITH":
-					f.Verb = Select
-				case "INSERT", "REPLACE":
-					f.Verb = Insert
-				case "LOAD":
-					f.Verb = Load
-				case "UPDATE":
-					f.Verb = Update
-				case "DELETE":
-					f.Verb = Delete
-				}
-			}
-			switch upper {
-			case "FROM", "JOIN":
-				place, from, where = true, true, false
-				if upper == "JOIN" {
-					f.Joins++
-				}
-			case "INTO", "UPDATE", "TABLE":
-				place = true
-			case "WHERE", "ON", "HAVING":
-				place, from, where = false, false, true
-			case "SELECT":
-				if f.Verb == Insert {
-					f.Verb = InsertSelect
-				} else if len(f.Tables) > 0 {
-					f.Subqueries++
-				}
-				place, from, where = false, false, false
-			case "GROUP":
-				f.Groups++
-				where = false
-			case "ORDER":
-				f.Sorts++
-				where = false
-			case "UNION":
-				f.Unions++
-			case "OVER":
-				f.Windows++
-			case "DISTINCT":
-				f.Distinct = true
-			case "IN", "LIKE", "BETWEEN":
-				if where && column != nil {
-					f.addPredicate(column, map[string]Match{"IN": Equal, "LIKE": Prefix, "BETWEEN": Range}[upper], 0)
-					column = nil
-				}
-			case "LIMIT":
-				if next := l.Peek(); next.Kind == sqltext.Number {
-					f.setLimit([]string{string(l.Bytes(next))})
-				}
-			default:
-				if place && keywords[upper] == "" {
-					f.addTable(names, "", f.Verb == Insert || f.Verb == Load)
-					place = false
-				} else if isAggregate(names[len(names)-1]) && l.Peek().Sign == '(' {
-					f.Aggregates++
-				} else if keywords[upper] == "" {
-					column = names
-				}
-			}
+		case token.Kind == sqltext.Sign && token.Sign == ',' && r.inTableList:
+			r.expectTable = true
+		case r.isComparison(token):
+			r.readComparison(token)
+		case token.Kind == sqltext.Word || token.Kind == sqltext.Quoted:
+			r.readWord(token)
+		}
+		r.previous = token
+	}
+}
+
+// isComparison tells whether a token is the first sign of an operator that compares a column.
+func (r *tokenReader) isComparison(token sqltext.Token) bool {
+	if token.Kind != sqltext.Sign || token.Sign != '=' && token.Sign != '<' && token.Sign != '>' {
+		return false
+	}
+	return r.inCondition && r.previous.Kind != sqltext.Sign && r.column != nil
+}
+
+func (r *tokenReader) readComparison(token sqltext.Token) {
+	next := r.lexer.Peek()
+	match := Range
+	switch {
+	case token.Sign == '=' && (next.Kind == sqltext.Word || next.Kind == sqltext.Quoted):
+		match = Joined
+	case token.Sign == '=':
+		match = Equal
+	case next.Sign == '>':
+		match = Unequal
+	}
+	r.addPredicate(match)
+}
+
+func (r *tokenReader) addPredicate(match Match) {
+	r.features.addPredicate(r.column, match, 0)
+	r.column = nil
+}
+
+// readWord reads a keyword, or a name with its qualifiers.
+func (r *tokenReader) readWord(token sqltext.Token) {
+	names := []string{string(r.lexer.Bytes(token))}
+	for r.lexer.Peek().Sign == '.' {
+		r.lexer.Next()
+		if next := r.lexer.Peek(); next.Kind != sqltext.Word && next.Kind != sqltext.Quoted {
+			break
 		}
-		before = t
+		names = append(names, string(r.lexer.Bytes(r.lexer.Next())))
+	}
+	keyword := ""
+	if token.Kind == sqltext.Word && len(names) == 1 {
+		keyword = strings.ToUpper(names[0])
+	}
+	if !r.started {
+		r.started = true
+		r.features.Verb = firstVerbs[keyword]
+	}
+	if !r.readClause(keyword) && !r.readCount(keyword) {
+		r.readName(names, keyword)
+	}
+}
+
+// firstVerbs are the verbs of statements by their first word; others are Other.
+var firstVerbs = map[string]Verb{"SELECT": Select, "WITH": Select, "INSERT": Insert, "REPLACE": Insert, "LOAD": Load,
+	"UPDATE": Update, "DELETE": Delete}
+
+// readClause reads a keyword that begins a clause, and tells whether it is one.
+func (r *tokenReader) readClause(keyword string) bool {
+	f := r.features
+	switch keyword {
+	case "JOIN":
+		f.Joins++
+		r.expectTable, r.inTableList, r.inCondition = true, true, false
+	case "FROM":
+		r.expectTable, r.inTableList, r.inCondition = true, true, false
+	case "INTO", "UPDATE", "TABLE":
+		r.expectTable = true
+	case "WHERE", "ON", "HAVING":
+		r.expectTable, r.inTableList, r.inCondition = false, false, true
+	case "SELECT":
+		if f.Verb == Insert {
+			f.Verb = InsertSelect
+		} else if len(f.Tables) > 0 {
+			f.Subqueries++
+		}
+		r.expectTable, r.inTableList, r.inCondition = false, false, false
+	case "GROUP":
+		f.Groups++
+		r.inCondition = false
+	case "ORDER":
+		f.Sorts++
+		r.inCondition = false
+	default:
+		return false
+	}
+	return true
+}
+
+// wordMatches are the kinds of predicates of operators that are words.
+var wordMatches = map[string]Match{"IN": Equal, "LIKE": Prefix, "BETWEEN": Range}
+
+// readCount reads a keyword that counts wherever it stands, and tells whether it is one.
+func (r *tokenReader) readCount(keyword string) bool {
+	f := r.features
+	switch keyword {
+	case "UNION":
+		f.Unions++
+	case "OVER":
+		f.Windows++
+	case "DISTINCT":
+		f.Distinct = true
+	case "IN", "LIKE", "BETWEEN":
+		if r.inCondition && r.column != nil {
+			r.addPredicate(wordMatches[keyword])
+		}
+	case "LIMIT":
+		if next := r.lexer.Peek(); next.Kind == sqltext.Number {
+			f.setLimit([]string{string(r.lexer.Bytes(next))})
+		}
+	default:
+		return false
+	}
+	return true
+}
+
+// readName reads a word that is none of the keywords above: a table, a function or a column.
+func (r *tokenReader) readName(names []string, keyword string) {
+	f := r.features
+	isKeyword := keywords[keyword] != ""
+	switch {
+	case r.expectTable && !isKeyword:
+		f.addTable(names, "", f.Verb == Insert || f.Verb == Load)
+		r.expectTable = false
+	case isAggregate(names[len(names)-1]) && r.lexer.Peek().Sign == '(':
+		f.Aggregates++
+	case !isKeyword:
+		r.column = names
 	}
 }
