--- a/internal/query/costmodel/format_test.go
+++ b/internal/query/costmodel/format_test.go
@@ -20,16 +20,16 @@
 
 // snapshotValues lists all that a snapshot holds, in the order in which the earlier version had it.
 func snapshotValues(s *Snapshot) (values []any) {
-	for _, l := range s.lanes {
-		values = append(values, l.name, l.mean, l.n)
+	for _, l := range s.classes {
+		values = append(values, l.name, l.mean, l.count)
 	}
-	values = append(values, s.weights, s.scatter)
+	values = append(values, s.weights, s.covariance)
 	for _, g := range s.groups {
 		values = append(values, g.group, g.loads)
 	}
 	for _, r := range s.records {
-		values = append(values, r.key, r.age, r.n, r.doubt, r.loads, r.place, r.memory, r.most, r.up, r.down, r.base, r.dev, r.recent,
-			r.trend.n, r.trend.x, r.trend.y, r.trend.xx, r.trend.xy, r.sketch.counts, r.sketch.total)
+		values = append(values, r.key, r.age, r.observations, r.uncertainFor, r.loads, r.skewPlace, r.memory, r.memoryPeak, r.shiftUp, r.shiftDown, r.baseline, r.deviation, r.recent,
+			r.trend.count, r.trend.sumX, r.trend.sumY, r.trend.sumXX, r.trend.sumXY, r.sketch.counts, r.sketch.total)
 	}
 	return values
 }
