--- a/cmd/magpiebank-testbed/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -229,54 +229,54 @@
 	var picture string
 	c := &cobra.Command{Use: "scale", Short: "Fleets of 8 to 500 members in one process, in virtual time: detection, sharing, budgets, counts, changes of policy", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var bySize, byLoss []simcluster.Figures
+			var bySize, byLoss []simcluster.MembershipResult
 			sizes := []int{8, 32, 100, 200, 500}
 			for _, n := range sizes {
 				if n <= most {
-					bySize = append(bySize, simcluster.Measure(n, 0, 0, 1))
+					bySize = append(bySize, simcluster.MeasureMembership(n, 0, 0, 1))
 				}
 			}
 			n := most
 			for _, of := range []struct{ loss, stopped float64 }{{0.05, 0}, {0.2, 0}, {0.4, 0}, {0, 0.1}, {0.05, 0.1}} {
-				byLoss = append(byLoss, simcluster.Measure(n, of.loss, of.stopped, 1))
+				byLoss = append(byLoss, simcluster.MeasureMembership(n, of.loss, of.stopped, 1))
 			}
 			fmt.Fprintln(c.OutOrStdout(), "simulated: one process, virtual time, seed 1")
-			simcluster.Text(c.OutOrStdout(), append(bySize, byLoss...))
-			var shared []simcluster.Sharing
+			simcluster.WriteMembership(c.OutOrStdout(), append(bySize, byLoss...))
+			var shared []simcluster.HealthReportResult
 			for _, n := range sizes {
 				if n <= most {
-					shared = append(shared, simcluster.Share(n, max(6, n/5), 1.3, 0.01, 0, 1))
+					shared = append(shared, simcluster.MeasureHealthReports(n, max(6, n/5), 1.3, 0.01, 0, 1))
 				}
 			}
-			shared = append(shared, simcluster.Share(min(n, 100), max(6, min(n, 100)/5), 1.3, 0.01, 0.2, 1),
-				simcluster.Share(min(n, 100), max(6, min(n, 100)/5), 1.3, 0.05, 0, 1))
+			shared = append(shared, simcluster.MeasureHealthReports(min(n, 100), max(6, min(n, 100)/5), 1.3, 0.01, 0.2, 1),
+				simcluster.MeasureHealthReports(min(n, 100), max(6, min(n, 100)/5), 1.3, 0.05, 0, 1))
 			fmt.Fprintln(c.OutOrStdout())
-			simcluster.ShareText(c.OutOrStdout(), shared)
-			var divided []simcluster.Division
+			simcluster.WriteHealthReports(c.OutOrStdout(), shared)
+			var divided []simcluster.QuotaResult
 			for _, n := range sizes {
 				if n <= most {
-					divided = append(divided, simcluster.Divide(n, 1))
+					divided = append(divided, simcluster.MeasureQuota(n, 1))
 				}
 			}
 			fmt.Fprintln(c.OutOrStdout())
-			simcluster.DivideText(c.OutOrStdout(), divided)
-			var counted []simcluster.Counted
+			simcluster.WriteQuota(c.OutOrStdout(), divided)
+			var counted []simcluster.CounterResult
 			for _, n := range sizes {
 				if n <= most {
-					counted = append(counted, simcluster.Census(n, 0, 1))
+					counted = append(counted, simcluster.MeasureCounters(n, 0, 1))
 				}
 			}
-			counted = append(counted, simcluster.Census(min(most, 32), 0.2, 1))
+			counted = append(counted, simcluster.MeasureCounters(min(most, 32), 0.2, 1))
 			fmt.Fprintln(c.OutOrStdout())
-			simcluster.CensusText(c.OutOrStdout(), counted)
-			var enacted []simcluster.Enacted
+			simcluster.WriteCounters(c.OutOrStdout(), counted)
+			var enacted []simcluster.RolloutResult
 			for _, n := range sizes {
 				if n <= most {
-					enacted = append(enacted, simcluster.Enact(n, 1))
+					enacted = append(enacted, simcluster.MeasureRollout(n, 1))
 				}
 			}
 			fmt.Fprintln(c.OutOrStdout())
-			simcluster.EnactText(c.OutOrStdout(), enacted)
+			simcluster.WriteRollout(c.OutOrStdout(), enacted)
 			if picture == "" {
 				return nil
 			}
@@ -288,7 +288,7 @@
 }
 
 // plotScale draws times and bytes by the size of the fleet.
-func plotScale(path string, members []simcluster.Figures, divided []simcluster.Division) error {
+func plotScale(path string, members []simcluster.MembershipResult, divided []simcluster.QuotaResult) error {
 	p := plot.New()
 	p.Title.Text = "A fleet's cost by its size (simulated)"
 	p.X.Label.Text = "members"
--- a/internal/testbed/simcluster/crowd.go
+++ b/internal/testbed/simcluster/cluster.go
@@ -18,46 +18,46 @@
 
 // Link is what a message from one process to another meets.
 type Link struct {
-	Cut           bool
-	Loss, Double  float64 // shares
-	Delay, Spread Time    // Spread: how much more, at most
+	Cut             bool
+	Loss, Duplicate float64 // shares
+	Delay, Jitter   Time    // Spread: how much more, at most
 }
 
 // Process is one member of the fleet.
 type Process struct {
-	N        int
-	Name     string
-	Core     *membership.Core
-	Book     *healthreport.Table
-	Up       bool
-	Sent     int64 // bytes
-	Messages int64
-	said     int64 // of Sent, about engines
-	crowd    *Crowd
-	life     int // events of an earlier process are nothing to this one
-	stopped  Time
-	rate     float64 // of its clock
-	ahead    Time
-	waiting  []event
-	due      bool
+	Index             int
+	Name              string
+	Core              *membership.Core
+	HealthReports     *healthreport.Table
+	Up                bool
+	Sent              int64 // bytes
+	Messages          int64
+	healthReportBytes int64 // of Sent, about engines
+	cluster           *Cluster
+	incarnation       int // events of an earlier process are nothing to this one
+	stopped           Time
+	rate              float64 // of its clock
+	ahead             Time
+	waiting           []event
+	timerSet          bool
 }
 
-// Told is one change that a member noticed.
-type Told struct {
+// MembershipChange is one change that a member noticed.
+type MembershipChange struct {
 	At     Time
 	By     int
 	Code   membership.EventCode
 	Member membership.Member
 }
 
-// Crowd is a fleet.
-type Crowd struct {
+// Cluster is a fleet.
+type Cluster struct {
 	Now       Time
 	Processes []*Process
-	Told      []Told
+	Changes   []MembershipChange
 	Link      func(from, to int) Link
-	OnTold    func(Told)
-	chance    *rand.Rand
+	OnChange  func(MembershipChange)
+	random    *rand.Rand
 	events    events
 	order     uint64
 	seeds     []string
@@ -65,14 +65,14 @@
 }
 
 type event struct {
-	at    Time
-	order uint64
-	to    *Process
-	life  int
-	from  *Process
-	bytes []byte
-	kind  uint8 // of the message: member's or health report's
-	call  func()
+	at          Time
+	order       uint64
+	to          *Process
+	incarnation int
+	from        *Process
+	bytes       []byte
+	kind        uint8 // of the message: member's or health report's
+	call        func()
 }
 
 const (
@@ -98,49 +98,49 @@
 }
 
 // New makes a fleet of so many processes, none of which is up. The first two are everybody's seeds.
-func New(n int, seed uint64) *Crowd {
-	c := &Crowd{chance: rand.New(rand.NewPCG(seed, 1)), starts: 1000, seeds: []string{"a0", "a1"}}
-	c.Link = func(int, int) Link { return Link{Delay: 10, Spread: 20} }
+func New(n int, seed uint64) *Cluster {
+	c := &Cluster{random: rand.New(rand.NewPCG(seed, 1)), starts: 1000, seeds: []string{"a0", "a1"}}
+	c.Link = func(int, int) Link { return Link{Delay: 10, Jitter: 20} }
 	for i := range n {
-		c.Processes = append(c.Processes, &Process{N: i, Name: fmt.Sprintf("g%03d", i), crowd: c, rate: 1})
+		c.Processes = append(c.Processes, &Process{Index: i, Name: fmt.Sprintf("g%03d", i), cluster: c, rate: 1})
 	}
 	return c
 }
 
-// At has something done at a time.
-func (c *Crowd) At(at Time, call func()) { c.push(event{at: at, call: call}) }
+// Schedule has something done at a time.
+func (c *Cluster) Schedule(at Time, call func()) { c.push(event{at: at, call: call}) }
 
-func (c *Crowd) push(e event) {
+func (c *Cluster) push(e event) {
 	c.order++
 	e.order = c.order
 	heap.Push(&c.events, e)
 }
 
-// Begin starts a process; its start is later than any before, unless its clock is told to be behind.
-func (p *Process) Begin(start uint64) {
-	c := p.crowd
+// Start starts a process; its start is later than any before, unless its clock is told to be behind.
+func (p *Process) Start(start uint64) {
+	c := p.cluster
 	c.starts++
 	if start == 0 {
 		start = c.starts
 	}
-	p.life++
-	p.Up, p.stopped, p.waiting, p.due = true, 0, nil, false
-	self := membership.Member{Name: p.Name, Incarnation: start, Address: fmt.Sprint("a", p.N)}
-	p.Core = membership.New(p.clock(), self, c.seeds, rand.New(rand.NewPCG(c.chance.Uint64(), 2)), host{p})
-	p.Book = healthreport.New(len(c.Processes)-1, 0.25, healthreport.RetryPhase(p.Name))
+	p.incarnation++
+	p.Up, p.stopped, p.waiting, p.timerSet = true, 0, nil, false
+	self := membership.Member{Name: p.Name, Incarnation: start, Address: fmt.Sprint("a", p.Index)}
+	p.Core = membership.New(p.clock(), self, c.seeds, rand.New(rand.NewPCG(c.random.Uint64(), 2)), host{p})
+	p.HealthReports = healthreport.New(len(c.Processes)-1, 0.25, healthreport.RetryPhase(p.Name))
 	p.timer()
 }
 
 // Kill ends a process at once.
-func (p *Process) Kill() { p.Up = false; p.life++ }
+func (p *Process) Kill() { p.Up = false; p.incarnation++ }
 
-// Stop has it stand still for a time; what comes meanwhile waits for it.
-func (p *Process) Stop(length Time) {
+// Pause has it stand still for a time; what comes meanwhile waits for it.
+func (p *Process) Pause(length Time) {
 	if p.Up && p.stopped == 0 {
-		p.stopped = p.crowd.Now + length
-		life := p.life
-		p.crowd.At(p.stopped, func() {
-			if p.life != life {
+		p.stopped = p.cluster.Now + length
+		life := p.incarnation
+		p.cluster.Schedule(p.stopped, func() {
+			if p.incarnation != life {
 				return
 			}
 			p.stopped = 0
@@ -153,48 +153,48 @@
 	}
 }
 
-// Clock has its clock run at a rate from now on.
-func (p *Process) Clock(rate float64) {
+// SetClockRate has its clock run at a rate from now on.
+func (p *Process) SetClockRate(rate float64) {
 	now := p.clock()
 	p.rate = rate
-	p.ahead = now - Time(float64(p.crowd.Now)*rate)
+	p.ahead = now - Time(float64(p.cluster.Now)*rate)
 }
 
-func (p *Process) clock() Time { return Time(float64(p.crowd.Now)*p.rate) + p.ahead }
+func (p *Process) clock() Time { return Time(float64(p.cluster.Now)*p.rate) + p.ahead }
 
 type host struct{ p *Process }
 
 func (h host) Send(to string, m []byte) {
 	var n int
-	if _, err := fmt.Sscanf(to, "a%d", &n); err != nil || n >= len(h.p.crowd.Processes) {
+	if _, err := fmt.Sscanf(to, "a%d", &n); err != nil || n >= len(h.p.cluster.Processes) {
 		return
 	}
-	h.p.crowd.carry(h.p, h.p.crowd.Processes[n], m, ofMembers)
+	h.p.cluster.carry(h.p, h.p.cluster.Processes[n], m, ofMembers)
 }
 
 func (h host) MemberChanged(code membership.EventCode, m membership.Member) {
-	c := h.p.crowd
-	t := Told{c.Now, h.p.N, code, m}
-	if c.OnTold != nil {
-		c.OnTold(t)
+	c := h.p.cluster
+	t := MembershipChange{c.Now, h.p.Index, code, m}
+	if c.OnChange != nil {
+		c.OnChange(t)
 		return
 	}
-	c.Told = append(c.Told, t)
+	c.Changes = append(c.Changes, t)
 }
 
-func (c *Crowd) carry(from, to *Process, m []byte, kind uint8) {
+func (c *Cluster) carry(from, to *Process, m []byte, kind uint8) {
 	from.Sent += int64(len(m) + 28 + 60) // the datagram's own heads, and what sealing adds
 	from.Messages++
-	l := c.Link(from.N, to.N)
-	if l.Cut || l.Loss > 0 && c.chance.Float64() < l.Loss {
+	l := c.Link(from.Index, to.Index)
+	if l.Cut || l.Loss > 0 && c.random.Float64() < l.Loss {
 		return
 	}
-	for range 1 + btoi(l.Double > 0 && c.chance.Float64() < l.Double) {
+	for range 1 + btoi(l.Duplicate > 0 && c.random.Float64() < l.Duplicate) {
 		at := c.Now + l.Delay
-		if l.Spread > 0 {
-			at += Time(c.chance.Int64N(int64(l.Spread)))
+		if l.Jitter > 0 {
+			at += Time(c.random.Int64N(int64(l.Jitter)))
 		}
-		c.push(event{at: at, to: to, life: to.life, from: from, bytes: m, kind: kind})
+		c.push(event{at: at, to: to, incarnation: to.incarnation, from: from, bytes: m, kind: kind})
 	}
 }
 
@@ -210,7 +210,7 @@
 	if !p.Up || p.stopped > 0 {
 		return
 	}
-	m := p.Book.NextMessage(p.clock())
+	m := p.HealthReports.NextMessage(p.clock())
 	if m == nil {
 		return
 	}
@@ -218,10 +218,10 @@
 	for _, other := range p.Core.Members() {
 		var n int
 		if _, err := fmt.Sscanf(other.Address, "a%d", &n); err == nil && other.State <= membership.Suspect {
-			p.crowd.carry(p, p.crowd.Processes[n], m, ofEngines)
+			p.cluster.carry(p, p.cluster.Processes[n], m, ofEngines)
 		}
 	}
-	p.said += p.Sent - before
+	p.healthReportBytes += p.Sent - before
 }
 
 // take is one event of a process that is up.
@@ -233,12 +233,12 @@
 	now := p.clock()
 	switch e.kind {
 	case ofTimer:
-		p.due = false
+		p.timerSet = false
 		p.Core.Tick(now)
 	case ofMembers:
 		p.Core.HandleMessage(now, e.bytes)
 	case ofEngines:
-		p.Book.HandleMessage(now, source(e.from.Core.Self()), e.bytes)
+		p.HealthReports.HandleMessage(now, source(e.from.Core.Self()), e.bytes)
 	}
 	p.timer()
 }
@@ -249,23 +249,23 @@
 
 // timer sets the next call of Due.
 func (p *Process) timer() {
-	if p.due || !p.Up {
+	if p.timerSet || !p.Up {
 		return
 	}
-	p.due = true
+	p.timerSet = true
 	wait := max(1, Time(float64(p.Core.NextTick()-p.clock())/p.rate))
-	p.crowd.push(event{at: p.crowd.Now + wait, to: p, life: p.life, kind: ofTimer})
+	p.cluster.push(event{at: p.cluster.Now + wait, to: p, incarnation: p.incarnation, kind: ofTimer})
 }
 
 // Run plays until a time.
-func (c *Crowd) Run(until Time) {
+func (c *Cluster) Run(until Time) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
 		c.Now = max(c.Now, e.at)
 		switch {
 		case e.call != nil:
 			e.call()
-		case e.to.Up && (e.kind != ofTimer || e.life == e.to.life): // a message finds whoever has the address by then
+		case e.to.Up && (e.kind != ofTimer || e.incarnation == e.to.incarnation): // a message finds whoever has the address by then
 			e.to.take(e)
 		}
 	}
@@ -273,14 +273,14 @@
 }
 
 // Start starts all, spread over a time, and lets them find each other.
-func (c *Crowd) Start(over Time) {
+func (c *Cluster) Start(over Time) {
 	for i, p := range c.Processes {
-		c.At(c.Now+over*Time(i)/Time(len(c.Processes)), func() { p.Begin(0) })
+		c.Schedule(c.Now+over*Time(i)/Time(len(c.Processes)), func() { p.Start(0) })
 	}
 }
 
-// Agree tells how many ordered pairs of processes that are up don't take each other to be there, or not under the right start.
-func (c *Crowd) Agree() (wrong int) {
+// WrongViews tells how many ordered pairs of processes that are up don't take each other to be there, or not under the right start.
+func (c *Cluster) WrongViews() (wrong int) {
 	for _, p := range c.Processes {
 		if !p.Up || p.Core.IsInactive() {
 			continue
--- a/internal/testbed/simcluster/counts_test.go
+++ b/internal/testbed/simcluster/counter_cluster_test.go
@@ -10,11 +10,11 @@
 func TestTruthInInterval(t *testing.T) {
 	reads, silent, widest := 0, 0, int64(0)
 	for seed := range uint64(6) {
-		w := newCensus(seed, 10)
+		w := newCounterCluster(seed, 10)
 		k := 0
 		check := func() {
 			k++
-			if p := w.people[k%len(w.people)]; p.up && p.stopped <= w.now {
+			if p := w.members[k%len(w.members)]; p.up && p.stopped <= w.now {
 				r, wrong := w.wrong(p)
 				if wrong != "" {
 					t.Fatalf("seed %d: %s", seed, wrong)
@@ -26,10 +26,10 @@
 			}
 		}
 		w.pass(3*second, check)
-		w.loss, w.double, w.late = 0.15, 0.1, 0.01
+		w.loss, w.duplicate, w.delayedShare = 0.15, 0.1, 0.01
 		for range 30 {
-			p := w.people[w.chance.IntN(len(w.people))]
-			switch w.chance.IntN(6) {
+			p := w.members[w.random.IntN(len(w.members))]
+			switch w.random.IntN(6) {
 			case 0:
 				if p.up {
 					p.end()
@@ -39,16 +39,16 @@
 					p.begin()
 				}
 			case 2:
-				p.stopped = w.now + Time(w.chance.Int64N(int64(6*second)))
+				p.stopped = w.now + Time(w.random.Int64N(int64(6*second)))
 			case 3:
-				n := w.chance.IntN(3)
+				n := w.random.IntN(3)
 				w.cut = func(from, to int) bool { return from%3 == n != (to%3 == n) }
 			case 4:
 				w.cut = func(from, to int) bool { return from < 4 && to >= 4 } // one way
 			case 5:
 				w.cut = nil
 			}
-			w.pass(Time(100+w.chance.IntN(1900))*admission.Millisecond, check)
+			w.pass(Time(100+w.random.IntN(1900))*admission.Millisecond, check)
 		}
 	}
 	t.Logf("%d readings, %d of them with silent processes; at most %d wide with none", reads, silent, widest)
@@ -59,7 +59,7 @@
 
 // A reading is fresh and narrow while all are heard.
 func TestCensus(t *testing.T) {
-	c := Census(32, 0, 1)
+	c := MeasureCounters(32, 0, 1)
 	t.Logf("%+v", c)
 	if c.Wrong > 0 || c.Silent > 0 || c.Age > 2*second || c.Width > 1.5 {
 		t.Error("expected nothing wrong or silent, 2 s of age and one and a half times what runs at most")
--- a/internal/testbed/simcluster/judgement.go
+++ b/internal/testbed/simcluster/health_reports.go
@@ -8,8 +8,8 @@
 	"magpiebank/internal/admission"
 )
 
-// Sharing is what health reports came to in a fleet where each member sends requests to engines drawn at random.
-type Sharing struct {
+// HealthReportResult is what health reports came to in a fleet where each member sends requests to engines drawn at random.
+type HealthReportResult struct {
 	Members, Engines int
 	Loss             float64
 	Rate             float64 // requests a second at each member
@@ -20,14 +20,14 @@
 	Bytes            float64 // a second a member, of health reports alone
 }
 
-// Share plays a fleet whose engines have some single errors, and of which one fails all that comes for half a minute.
-func Share(n, engines int, rate, errors, loss float64, seed uint64) Sharing {
+// MeasureHealthReports plays a fleet whose engines have some single errors, and of which one fails all that comes for half a minute.
+func MeasureHealthReports(n, engines int, rate, errors, loss float64, seed uint64) HealthReportResult {
 	const second = admission.Second
 	c := New(n, seed)
-	c.Link = func(int, int) Link { return Link{Loss: loss, Delay: 5, Spread: 20} }
+	c.Link = func(int, int) Link { return Link{Loss: loss, Delay: 5, Jitter: 20} }
 	c.Start(second)
 	c.Run(30 * second)
-	s := Sharing{Members: n, Engines: engines, Loss: loss, Rate: rate, Detect: -1, Alone: 30 * rate * float64(n) / float64(engines)}
+	s := HealthReportResult{Members: n, Engines: engines, Loss: loss, Rate: rate, Detect: -1, Alone: 30 * rate * float64(n) / float64(engines)}
 	var list []admission.Endpoint
 	for i := range engines {
 		list = append(list, admission.Endpoint{Engine: admission.EngineID(fmt.Sprint("e", i)), Since: second})
@@ -38,10 +38,10 @@
 	detected := make([]Time, n)
 	for i, p := range c.Processes {
 		out[i] = map[admission.EngineID]Time{}
-		p.Book.UpdateEngines(admission.FullUpdate, list)
-		p.Book.SetPeerCount(n - 1)
+		p.HealthReports.UpdateEngines(admission.FullUpdate, list)
+		p.HealthReports.SetPeerCount(n - 1)
 		converse := func() {
-			p.Book.VisitChangedFindings(p.clock(), func(f *admission.PeerReport) {
+			p.HealthReports.VisitChangedFindings(p.clock(), func(f *admission.PeerReport) {
 				if delete(out[i], f.Engine); f.Ejects() {
 					out[i][f.Engine] = c.Now + f.ScoreUntil - p.clock()
 					if f.Engine != bad {
@@ -54,47 +54,47 @@
 		}
 		var task func()
 		task = func() {
-			e := list[c.chance.IntN(engines)].Engine
+			e := list[c.random.IntN(engines)].Engine
 			if c.Now >= out[i][e] {
 				saw := admission.Answered
-				if e == bad && c.Now >= from && c.Now < until || c.chance.Float64() < errors {
+				if e == bad && c.Now >= from && c.Now < until || c.random.Float64() < errors {
 					saw = admission.Erred
 				}
 				if e == bad && c.Now >= from && c.Now < until {
 					s.Sent++
 				}
-				p.Book.Observe(p.clock(), e, saw, admission.NoReport, 1e9)
+				p.HealthReports.Observe(p.clock(), e, saw, admission.NoReport, 1e9)
 			}
-			c.At(c.Now+1+Time(c.chance.ExpFloat64()/rate*float64(second)), task)
+			c.Schedule(c.Now+1+Time(c.random.ExpFloat64()/rate*float64(second)), task)
 		}
 		var tick func()
 		tick = func() {
 			converse()
 			p.Say()
-			c.At(c.Now+200, tick)
+			c.Schedule(c.Now+200, tick)
 		}
-		c.At(c.Now+Time(c.chance.Int64N(int64(second))), task)
-		c.At(c.Now+Time(c.chance.Int64N(200)), tick)
+		c.Schedule(c.Now+Time(c.random.Int64N(int64(second))), task)
+		c.Schedule(c.Now+Time(c.random.Int64N(200)), tick)
 	}
 	for _, p := range c.Processes { // as datagrams of members do between gateways
 		for _, q := range c.Processes {
 			if p != q {
 				for range 3 {
 					self := q.Core.Self()
-					p.Book.ObserveClock(p.clock(), source(self), uint32(q.clock()))
+					p.HealthReports.ObserveClock(p.clock(), source(self), uint32(q.clock()))
 				}
 			}
 		}
 	}
-	c.OnTold = func(Told) {}
+	c.OnChange = func(MembershipChange) {}
 	for _, p := range c.Processes {
-		p.said = 0
+		p.healthReportBytes = 0
 	}
 	began := c.Now
 	c.Run(until)
 	var bytes int64
 	for _, p := range c.Processes {
-		bytes += p.said
+		bytes += p.healthReportBytes
 	}
 	s.Bytes = float64(bytes) / float64(n) / (float64(c.Now-began) / float64(second))
 	slices.Sort(detected) // who never found it out stands first, with 0
@@ -104,8 +104,8 @@
 	return s
 }
 
-// ShareText writes figures as a table.
-func ShareText(out io.Writer, list []Sharing) {
+// WriteHealthReports writes figures as a table.
+func WriteHealthReports(out io.Writer, list []HealthReportResult) {
 	fmt.Fprintln(out, "members  engines  tasks/s each  loss  9 of 10 send it nothing after s  tasks to it in 30 s  without sharing  sound ones out  bytes/s a member")
 	for _, s := range list {
 		fmt.Fprintf(out, "%7d  %7d  %12.1f  %3.0f%%  %30.2f  %19d  %15.0f  %14d  %16.0f\n", s.Members, s.Engines, s.Rate, 100*s.Loss, float64(s.Detect)/float64(admission.Second), s.Sent,
--- a/internal/testbed/simcluster/figures.go
+++ b/internal/testbed/simcluster/membership.go
@@ -9,8 +9,8 @@
 	"magpiebank/internal/cluster/membership"
 )
 
-// Figures are what one run of membership came to.
-type Figures struct {
+// MembershipResult are what one run of membership came to.
+type MembershipResult struct {
 	Members   int
 	Loss      float64
 	Stopped   float64 // share of members that stand still now and then
@@ -23,15 +23,15 @@
 	Seconds   float64 // of the quiet part over which the last three were counted
 }
 
-// Measure plays one fleet: it starts, runs for a minute with loss and with members that stop, and loses some members at once.
-func Measure(n int, loss, stopped float64, seed uint64) Figures {
+// MeasureMembership plays one fleet: it starts, runs for a minute with loss and with members that stop, and loses some members at once.
+func MeasureMembership(n int, loss, stopped float64, seed uint64) MembershipResult {
 	const second = admission.Second
 	c := New(n, seed)
-	f := Figures{Members: n, Loss: loss, Stopped: stopped, Joined: -1, Seconds: 60}
-	c.Link = func(int, int) Link { return Link{Loss: loss, Delay: 5, Spread: 20} }
+	f := MembershipResult{Members: n, Loss: loss, Stopped: stopped, Joined: -1, Seconds: 60}
+	c.Link = func(int, int) Link { return Link{Loss: loss, Delay: 5, Jitter: 20} }
 	c.Start(2 * second)
 	for at := second; at <= 60*second && f.Joined < 0; at += second / 2 {
-		if c.Run(at); at >= 2*second && c.Agree() == 0 {
+		if c.Run(at); at >= 2*second && c.WrongViews() == 0 {
 			f.Joined = at
 		}
 	}
@@ -44,12 +44,12 @@
 	for i, p := range c.Processes {
 		if float64(i%100) < 100*stopped {
 			halted[i] = true
-			for at := c.Now + Time(c.chance.Int64N(int64(10*second))); at < c.Now+60*second; at += 8*second + Time(c.chance.Int64N(int64(6*second))) {
-				c.At(at, func() { p.Stop(second + Time(c.chance.Int64N(int64(3*second)))) })
+			for at := c.Now + Time(c.random.Int64N(int64(10*second))); at < c.Now+60*second; at += 8*second + Time(c.random.Int64N(int64(6*second))) {
+				c.Schedule(at, func() { p.Pause(second + Time(c.random.Int64N(int64(3*second)))) })
 			}
 		}
 	}
-	c.OnTold = func(t Told) {
+	c.OnChange = func(t MembershipChange) {
 		switch {
 		case t.Code == membership.Died:
 			f.False++
@@ -64,7 +64,7 @@
 	f.Bytes = float64(bytes) / float64(n) / f.Seconds
 	killed := map[string][]Time{}
 	began := c.Now
-	c.OnTold = func(t Told) {
+	c.OnChange = func(t MembershipChange) {
 		if _, ok := killed[t.Member.Name]; ok && t.Code == membership.Died {
 			killed[t.Member.Name] = append(killed[t.Member.Name], t.At-began)
 		}
@@ -99,8 +99,8 @@
 	return f
 }
 
-// Text writes figures as a table.
-func Text(out io.Writer, list []Figures) {
+// WriteMembership writes figures as a table.
+func WriteMembership(out io.Writer, list []MembershipResult) {
 	fmt.Fprintln(out, "members  loss  stopped  joined s  dead known to 9 of 10 s  to all s  false deaths  suspicions  bytes/s a member")
 	for _, f := range list {
 		s := func(t Time) float64 { return float64(t) / float64(admission.Second) }
--- a/internal/testbed/simcluster/member_test.go
+++ b/internal/testbed/simcluster/membership_test.go
@@ -16,7 +16,7 @@
 const second = admission.Second
 
 // up is a fleet whose members have found each other.
-func up(t *testing.T, n int, seed uint64) *Crowd {
+func up(t *testing.T, n int, seed uint64) *Cluster {
 	t.Helper()
 	c := New(n, seed)
 	c.Start(second)
@@ -25,21 +25,21 @@
 }
 
 // settle runs until all that are up know each other, within a time.
-func (c *Crowd) settle(t *testing.T, within Time, when string) {
+func (c *Cluster) settle(t *testing.T, within Time, when string) {
 	t.Helper()
 	began := c.Now
 	for c.Now < began+within {
-		if c.Run(c.Now + second/2); c.Agree() == 0 && c.Now >= began+2*second {
+		if c.Run(c.Now + second/2); c.WrongViews() == 0 && c.Now >= began+2*second {
 			t.Logf("%s: all know each other after %.1f s", when, float64(c.Now-began)/float64(second))
 			return
 		}
 	}
-	t.Errorf("%s: %d pairs don't know each other after %.0f s", when, c.Agree(), float64(within)/float64(second))
+	t.Errorf("%s: %d pairs don't know each other after %.0f s", when, c.WrongViews(), float64(within)/float64(second))
 }
 
 // died is how often a member was taken for dead that the test didn't kill.
-func (c *Crowd) died(except func(name string) bool) (n int) {
-	for _, told := range c.Told {
+func (c *Cluster) died(except func(name string) bool) (n int) {
+	for _, told := range c.Changes {
 		if told.Code == membership.Died && !except(told.Member.Name) {
 			n++
 		}
@@ -53,7 +53,7 @@
 func TestTrace(t *testing.T) {
 	c := New(4, 7)
 	var out strings.Builder
-	c.OnTold = func(told Told) {
+	c.OnChange = func(told MembershipChange) {
 		if told.By == 0 {
 			fmt.Fprintf(&out, "%6.1f s  %-9s %s, start %d, refuted %d\n", float64(told.At)/float64(second), told.Code, told.Member.Name, told.Member.Incarnation, told.Member.Refutations)
 		}
@@ -65,10 +65,10 @@
 	c.Processes[3].Kill()
 	c.Run(15 * second)
 	say("g003 starts again")
-	c.Processes[3].Begin(0)
+	c.Processes[3].Start(0)
 	c.Run(20 * second)
 	say("g002 stands still for 2 s")
-	c.Processes[2].Stop(2 * second)
+	c.Processes[2].Pause(2 * second)
 	c.Run(30 * second)
 	say("g001 leaves")
 	c.Processes[1].Core.Leave(c.Processes[1].clock())
@@ -92,7 +92,7 @@
 // What can't reach each other directly, but by others, takes nobody for dead.
 func TestOneWayBetweenSome(t *testing.T) {
 	c := up(t, 12, 1)
-	c.Link = func(from, to int) Link { return Link{Cut: from < 3 && to > 8, Delay: 10, Spread: 20} }
+	c.Link = func(from, to int) Link { return Link{Cut: from < 3 && to > 8, Delay: 10, Jitter: 20} }
 	c.Run(c.Now + 60*second)
 	if n := c.died(nobody); n > 0 {
 		t.Errorf("%d taken for dead, though others reach them", n)
@@ -105,7 +105,7 @@
 		c := up(t, 24, 2)
 		third := func(n int) bool { return n < 8 }
 		c.Link = func(from, to int) Link {
-			return Link{Cut: third(to) && !third(from) || both && third(from) && !third(to), Delay: 10, Spread: 20}
+			return Link{Cut: third(to) && !third(from) || both && third(from) && !third(to), Delay: 10, Jitter: 20}
 		}
 		c.Run(c.Now + 60*second)
 		if split := c.Processes[20].Core.CountDead(); split != 8 {
@@ -116,7 +116,7 @@
 				t.Errorf("both: %d sees %d others, expected those with it", i, living)
 			}
 		}
-		c.Link = func(int, int) Link { return Link{Delay: 10, Spread: 20} }
+		c.Link = func(int, int) Link { return Link{Delay: 10, Jitter: 20} }
 		c.settle(t, 30*second, fmt.Sprintf("joined again, both %t", both))
 	}
 }
@@ -124,9 +124,9 @@
 // An hour apart.
 func TestHourApart(t *testing.T) {
 	c := up(t, 10, 3)
-	c.Link = func(from, to int) Link { return Link{Cut: from%2 != to%2, Delay: 10, Spread: 20} }
+	c.Link = func(from, to int) Link { return Link{Cut: from%2 != to%2, Delay: 10, Jitter: 20} }
 	c.Run(c.Now + 3600*second)
-	c.Link = func(int, int) Link { return Link{Delay: 10, Spread: 20} }
+	c.Link = func(int, int) Link { return Link{Delay: 10, Jitter: 20} }
 	c.settle(t, 30*second, "after an hour apart")
 }
 
@@ -138,7 +138,7 @@
 	}
 	c.Run(c.Now + 3*second)
 	for i := range 21 {
-		c.Processes[i].Begin(uint64(10 + i))
+		c.Processes[i].Start(uint64(10 + i))
 	}
 	c.settle(t, 30*second, "back with clocks behind")
 	if n := c.died(func(name string) bool { return name < "g021" }); n > 0 {
@@ -150,19 +150,19 @@
 func TestSeedsDown(t *testing.T) {
 	c := New(12, 5)
 	for _, p := range c.Processes[2:] {
-		p.Begin(0)
+		p.Start(0)
 	}
 	c.Run(30 * second)
-	c.Processes[1].Begin(0)
+	c.Processes[1].Start(0)
 	c.settle(t, 20*second, "one seed is up")
 }
 
 // Of two processes under one name the later counts, and the one before it says that it is displaced.
 func TestOneNameTwice(t *testing.T) {
 	c := up(t, 8, 6)
-	twin := &Process{N: 8, Name: "g003", crowd: c, rate: 1}
+	twin := &Process{Index: 8, Name: "g003", cluster: c, rate: 1}
 	c.Processes = append(c.Processes, twin)
-	twin.Begin(0)
+	twin.Start(0)
 	c.Run(c.Now + 10*second)
 	if !c.Processes[3].Core.IsInactive() || twin.Core.IsInactive() {
 		t.Error("the earlier process still takes part, or the later doesn't")
@@ -174,11 +174,11 @@
 	}
 	// One that was stopped while another took its name finds out when it wakes.
 	c = up(t, 8, 6)
-	c.Processes[5].Stop(20 * second)
+	c.Processes[5].Pause(20 * second)
 	c.Run(c.Now + second)
-	twin = &Process{N: 8, Name: "g005", crowd: c, rate: 1}
+	twin = &Process{Index: 8, Name: "g005", cluster: c, rate: 1}
 	c.Processes = append(c.Processes, twin)
-	twin.Begin(0)
+	twin.Start(0)
 	c.Run(c.Now + 30*second)
 	if !c.Processes[5].Core.IsInactive() || twin.Core.IsInactive() {
 		t.Error("the one that woke still takes part, or the other doesn't")
@@ -188,15 +188,15 @@
 // One that stood still accuses nobody for what it missed, and is there again.
 func TestStoodStill(t *testing.T) {
 	c := up(t, 16, 7)
-	c.Told = nil
-	c.Processes[4].Stop(20 * second)
+	c.Changes = nil
+	c.Processes[4].Pause(20 * second)
 	c.Run(c.Now + 60*second)
-	for _, told := range c.Told {
+	for _, told := range c.Changes {
 		if told.By == 4 && (told.Code == membership.Died || told.Code == membership.Suspected && told.Member.Accuser == "g004") {
 			t.Errorf("at %.1f s it took %s for %s", float64(told.At)/float64(second), told.Member.Name, told.Code)
 		}
 	}
-	if c.Agree() > 0 {
+	if c.WrongViews() > 0 {
 		t.Error("it is not back")
 	}
 }
@@ -204,10 +204,10 @@
 // Clocks a twentieth fast and slow, and half of all packets of one lost: nobody is taken for dead.
 func TestClocksAndLoss(t *testing.T) {
 	c := up(t, 16, 8)
-	c.Processes[2].Clock(1.05)
-	c.Processes[3].Clock(0.95)
+	c.Processes[2].SetClockRate(1.05)
+	c.Processes[3].SetClockRate(0.95)
 	c.Link = func(from, to int) Link {
-		l := Link{Delay: 10, Spread: 100, Double: 0.1}
+		l := Link{Delay: 10, Jitter: 100, Duplicate: 0.1}
 		if from == 5 || to == 5 {
 			l.Loss = 0.5
 		}
@@ -222,7 +222,7 @@
 
 // The same seed plays the same run.
 func TestSeeded(t *testing.T) {
-	play := func() string { return fmt.Sprintf("%+v", Measure(16, 0.3, 0.1, 9)) }
+	play := func() string { return fmt.Sprintf("%+v", MeasureMembership(16, 0.3, 0.1, 9)) }
 	if a, b := play(), play(); a != b {
 		t.Errorf("%s\n%s", a, b)
 	}
@@ -230,7 +230,7 @@
 
 // Two hundred, with loss and with members that stand still; the table up to five hundred is magpiebank-testbed fleet scale.
 func TestTwoHundred(t *testing.T) {
-	f := Measure(200, 0.05, 0.02, 10)
+	f := MeasureMembership(200, 0.05, 0.02, 10)
 	t.Logf("%+v", f)
 	if f.Joined < 0 || f.Joined > 20*second || f.False > 0 || f.Detect < 0 || f.Detect > 30*second || f.Bytes > 6000 {
 		t.Errorf("joined within 20 s, dead known within 30 s, no false death, 6,000 bytes a second were expected")
--- a/internal/testbed/simcluster/assembly_test.go
+++ b/internal/testbed/simcluster/rollout_cluster_test.go
@@ -18,30 +18,30 @@
 // troubled plays a fleet with faults of all kinds, one after the other, while policies are proposed everywhere, and then heals it. It tells
 // the first decision that was made by an older policy, or what didn't come about.
 func troubled(seed uint64, planted string, log func(string)) string {
-	a := newAssembly(seed, 8, []int{3, 5}[seed%2], 2*second)
+	a := newRolloutCluster(seed, 8, []int{3, 5}[seed%2], 2*second)
 	a.plan.Mutation = rollout.ParseMutation(planted)
 	if log != nil {
-		a.onSay = func(p *citizen, code rollout.EventCode, more []any) {
-			log(fmt.Sprintf("%.2f %s/%d %s %v", float64(a.now)/10000, p.name, p.place, code, more))
+		a.onEvent = func(p *rolloutMember, code rollout.EventCode, more []any) {
+			log(fmt.Sprintf("%.2f %s/%d %s %v", float64(a.now)/10000, p.name, p.index, code, more))
 		}
 	}
-	a.pass(6 * second)
+	a.advance(6 * second)
 	n, asked, decided := 0, 0, 0
 	propose := func() {
-		p := a.people[a.chance.IntN(len(a.people))]
+		p := a.members[a.random.IntN(len(a.members))]
 		if !p.up || p.stopped > a.now {
 			return
 		}
 		n++
 		asked++
 		text := fmt.Sprintf("policy %d; ", n)
-		if a.chance.IntN(3) == 0 {
+		if a.random.IntN(3) == 0 {
 			text += "both; "
 		}
-		if a.chance.IntN(8) == 0 {
-			text += fmt.Sprintf("not for g%d;", a.chance.IntN(8))
+		if a.random.IntN(8) == 0 {
+			text += fmt.Sprintf("not for g%d;", a.random.IntN(8))
 		}
-		if a.chance.IntN(6) == 0 {
+		if a.random.IntN(6) == 0 {
 			text += "rehearse; "
 		}
 		a.propose(p, text, func(r rollout.Result) {
@@ -50,81 +50,81 @@
 			}
 		})
 	}
-	a.loss, a.double, a.late = 0.05, 0.05, 0.01
+	a.loss, a.duplicate, a.delayedShare = 0.05, 0.05, 0.01
 	for range 50 {
-		if a.chance.IntN(3) > 0 {
+		if a.random.IntN(3) > 0 {
 			propose()
 		}
-		p := a.people[a.chance.IntN(len(a.people))]
-		switch a.chance.IntN(11) {
+		p := a.members[a.random.IntN(len(a.members))]
+		switch a.random.IntN(11) {
 		case 0:
 			if p.up {
 				p.kill()
 			}
 		case 1, 2:
-			for _, q := range a.people {
-				if !q.up && a.chance.IntN(2) == 0 {
-					q.begin()
+			for _, q := range a.members {
+				if !q.up && a.random.IntN(2) == 0 {
+					q.start()
 				}
 			}
 		case 3:
-			p.stopped = a.now + Time(a.chance.Int64N(int64(5*second)))
+			p.stopped = a.now + Time(a.random.Int64N(int64(5*second)))
 		case 4:
-			k := 1 + a.chance.IntN(3)
+			k := 1 + a.random.IntN(3)
 			a.cut = func(from, to int) bool { return from%8 < k != (to%8 < k) }
 		case 5:
-			k := a.chance.IntN(8)
+			k := a.random.IntN(8)
 			a.cut = func(from, to int) bool { return from%8 == k } // one way
 		case 6:
-			k := a.chance.IntN(8)
+			k := a.random.IntN(8)
 			a.cut = func(from, to int) bool { return to%8 == k }
 		case 7:
 			a.cut = nil
 		case 8:
 			if !slices.Contains(a.voters, p.name) && p.up { // a member that loses its folder, or comes with an older one
-				old := slices.Clone(p.disk[:a.chance.IntN(len(p.disk)+1)])
+				old := slices.Clone(p.disk[:a.random.IntN(len(p.disk)+1)])
 				p.kill()
 				p.disk = old
 			}
 		case 9:
-			if len(a.people) < 11 { // a second process under a name that lives, with a folder of its own
-				a.add(&citizen{a: a, name: p.name, rate: p.rate, ahead: p.ahead, sync: p.sync})
+			if len(a.members) < 11 { // a second process under a name that lives, with a folder of its own
+				a.add(&rolloutMember{cluster: a, name: p.name, clockRate: p.clockRate, clockOffset: p.clockOffset, syncTime: p.syncTime})
 			}
 		case 10:
-			p.sync = Time(1+a.chance.IntN(2)*300) * admission.Millisecond
+			p.syncTime = Time(1+a.random.IntN(2)*300) * admission.Millisecond
 		}
-		a.pass(Time(100+a.chance.IntN(1400)) * admission.Millisecond)
-		if a.wrong != "" {
-			return a.wrong
+		a.advance(Time(100+a.random.IntN(1400)) * admission.Millisecond)
+		if a.violation != "" {
+			return a.violation
 		}
 	}
-	a.cut, a.loss, a.double, a.late = nil, 0, 0, 0
-	for _, p := range a.people[:8] {
-		if p.stopped, p.sync = 0, 2*admission.Millisecond; !p.up {
-			p.begin()
+	a.cut, a.loss, a.duplicate, a.delayedShare = nil, 0, 0, 0
+	for _, p := range a.members[:8] {
+		if p.stopped, p.syncTime = 0, 2*admission.Millisecond; !p.up {
+			p.start()
 		}
 	}
-	for _, p := range a.people[8:] {
+	for _, p := range a.members[8:] {
 		p.up = false
 	}
-	a.pass(40 * second) // a proposal that is open ends, leases of whatever was cut off as well
-	if a.wrong != "" {
-		return a.wrong
+	a.advance(40 * second) // a proposal that is open ends, leases of whatever was cut off as well
+	if a.violation != "" {
+		return a.violation
 	}
 	var last rollout.Result
 	text := fmt.Sprint("the last policy of seed ", seed)
-	a.propose(a.people[7], text, func(r rollout.Result) { last = r })
-	a.pass(5 * second)
+	a.propose(a.members[7], text, func(r rollout.Result) { last = r })
+	a.advance(5 * second)
 	switch {
-	case a.wrong != "":
-		return a.wrong
-	case a.holding(rollout.DigestOf([]byte(text))) != 8:
-		return fmt.Sprintf("eventual: 5 s after a proposal in a fleet that hears itself again %d of 8 go by it: %s %s", a.holding(rollout.DigestOf([]byte(text))), last.Outcome, last.Reason)
-	case a.decided < 1000:
-		return fmt.Sprintf("eventual: only %d looks found somebody with a lease", a.decided)
+	case a.violation != "":
+		return a.violation
+	case a.countInForce(rollout.DigestOf([]byte(text))) != 8:
+		return fmt.Sprintf("eventual: 5 s after a proposal in a fleet that hears itself again %d of 8 go by it: %s %s", a.countInForce(rollout.DigestOf([]byte(text))), last.Outcome, last.Reason)
+	case a.decisions < 1000:
+		return fmt.Sprintf("eventual: only %d looks found somebody with a lease", a.decisions)
 	}
 	if log != nil {
-		log(fmt.Sprintf("%d proposed, %d decided, %d looks, %d without a lease", asked, decided, a.decided, a.without))
+		log(fmt.Sprintf("%d proposed, %d decided, %d looks, %d without a lease", asked, decided, a.decisions, a.undecided))
 	}
 	return ""
 }
--- a/internal/testbed/simcluster/enact_test.go
+++ b/internal/testbed/simcluster/rollout_test.go
@@ -14,22 +14,22 @@
 )
 
 // calm is a fleet that has a leader and leases.
-func calm(t *testing.T, seed uint64, n, voters int) *assembly {
+func calm(t *testing.T, seed uint64, n, voters int) *rolloutCluster {
 	t.Helper()
-	a := newAssembly(seed, n, voters, 2*second)
-	a.pass(6 * second)
-	if got := a.holding(rollout.Digest{}); got != n {
+	a := newRolloutCluster(seed, n, voters, 2*second)
+	a.advance(6 * second)
+	if got := a.countInForce(rollout.Digest{}); got != n {
 		t.Fatalf("%d of %d hold a lease", got, n)
 	}
 	return a
 }
 
 // enact proposes a policy and waits for its end.
-func (a *assembly) enact(by int, text string, wait Time) rollout.Result {
+func (a *rolloutCluster) enact(by int, text string, wait Time) rollout.Result {
 	r := rollout.Result{Reason: "it has not ended"}
-	a.propose(a.people[by], text, func(end rollout.Result) { r = end })
+	a.propose(a.members[by], text, func(end rollout.Result) { r = end })
 	for until := a.now + wait; a.now < until && r.Outcome == rollout.OutcomePending; {
-		a.pass(10 * admission.Millisecond)
+		a.advance(10 * admission.Millisecond)
 	}
 	return r
 }
@@ -46,9 +46,9 @@
 	tell("the leader can't follow", a.enact(5, "two; not for g0; not for g1; not for g2; not for g3; not for g4;", 5*second))
 	tell("the same again", a.enact(4, "one", 5*second))
 	one, two := rollout.Result{}, rollout.Result{}
-	a.propose(a.people[6], "three; rehearse;", func(r rollout.Result) { one = r })
-	a.propose(a.people[7], "four", func(r rollout.Result) { two = r })
-	a.pass(3 * second)
+	a.propose(a.members[6], "three; rehearse;", func(r rollout.Result) { one = r })
+	a.propose(a.members[7], "four", func(r rollout.Result) { two = r })
+	a.advance(3 * second)
 	if one.Outcome == rollout.OutcomeRejected {
 		one, two = two, one
 	}
@@ -58,28 +58,28 @@
 	p := rollout.Proposal{ID: 99, Kind: rollout.KindChange, Text: []byte("five")}
 	for range 3 { // its answer was lost: it is proposed again, here and elsewhere
 		for _, by := range []int{7, 3} {
-			if err := a.people[by].core.Propose(a.people[by].clock(), p, func(rollout.Result) {}); err != nil {
+			if err := a.members[by].core.Propose(a.members[by].clock(), p, func(rollout.Result) {}); err != nil {
 				t.Error(err)
 			}
 		}
-		a.pass(second)
+		a.advance(second)
 	}
-	r, _ := a.people[3].core.ProposalProgress(99)
+	r, _ := a.members[3].core.ProposalProgress(99)
 	tell("one proposed six times", r)
 	p = rollout.Proposal{ID: 100, Kind: rollout.KindRollback, RollbackTo: 1}
-	a.people[2].core.Propose(a.people[2].clock(), p, func(rollout.Result) {})
-	a.pass(2 * second)
-	r, _ = a.people[2].core.ProposalProgress(100)
+	a.members[2].core.Propose(a.members[2].clock(), p, func(rollout.Result) {})
+	a.advance(2 * second)
+	r, _ = a.members[2].core.ProposalProgress(100)
 	tell("back to 1", r)
 	p = rollout.Proposal{ID: 101, Kind: rollout.KindRollback, RollbackTo: 77}
-	a.people[2].core.Propose(a.people[2].clock(), p, func(rollout.Result) {})
-	a.pass(2 * second)
-	r, _ = a.people[2].core.ProposalProgress(101)
+	a.members[2].core.Propose(a.members[2].clock(), p, func(rollout.Result) {})
+	a.advance(2 * second)
+	r, _ = a.members[2].core.ProposalProgress(101)
 	tell("back to 77", r)
 	p = rollout.Proposal{ID: 102, Kind: rollout.KindChange, Text: []byte("six"), BaseNumber: 1}
-	a.people[2].core.Propose(a.people[2].clock(), p, func(rollout.Result) {})
-	a.pass(2 * second)
-	r, _ = a.people[2].core.ProposalProgress(102)
+	a.members[2].core.Propose(a.members[2].clock(), p, func(rollout.Result) {})
+	a.advance(2 * second)
+	r, _ = a.members[2].core.ProposalProgress(102)
 	tell("meant to follow 1", r)
 	want := `plain: decided 1 
 a member can't follow: dropped 0 g7: statements.pools[0].zones: expected some of [norte], found [este]
@@ -98,15 +98,15 @@
 	if text != want {
 		t.Errorf("found\n%s\nexpected\n%s", text, want)
 	}
-	if a.holding(rollout.DigestOf([]byte("one"))) != 8 || a.wrong != "" {
-		t.Errorf("%d of 8 go by it; %s", a.holding(rollout.DigestOf([]byte("one"))), a.wrong)
+	if a.countInForce(rollout.DigestOf([]byte("one"))) != 8 || a.violation != "" {
+		t.Errorf("%d of 8 go by it; %s", a.countInForce(rollout.DigestOf([]byte("one"))), a.violation)
 	}
 }
 
 // A thousand changes in a row while members come and go, one of them a megabyte; one that was away through all of it is there in a second.
 func TestThousand(t *testing.T) {
 	a := calm(t, 3, 10, 3)
-	away := a.people[9]
+	away := a.members[9]
 	away.kill()
 	decided := 0
 	for k := range 1000 {
@@ -120,24 +120,24 @@
 		} else if r.Outcome != rollout.OutcomeRejected {
 			t.Fatalf("change %d: %s %s", k, r.Outcome, r.Reason)
 		}
-		if p := a.people[4+k%5]; k%20 == 7 {
+		if p := a.members[4+k%5]; k%20 == 7 {
 			p.kill()
 		} else if !p.up {
-			p.begin()
+			p.start()
 		}
 	}
-	if decided != 1000 || a.wrong != "" {
-		t.Errorf("%d of 1000 were decided; %s", decided, a.wrong)
+	if decided != 1000 || a.violation != "" {
+		t.Errorf("%d of 1000 were decided; %s", decided, a.violation)
 	}
-	away.begin()
+	away.start()
 	began := a.now
-	for !away.standing.HoldsLease(away.clock()) && a.now-began < 10*second {
-		a.pass(10 * admission.Millisecond)
+	for !away.inForce.HoldsLease(away.clock()) && a.now-began < 10*second {
+		a.advance(10 * admission.Millisecond)
 	}
-	if took := a.now - began; took > second || away.standing.Number != 1000 {
-		t.Errorf("who was away through it goes by number %d after %.2f s", away.standing.Number, float64(took)/float64(second))
+	if took := a.now - began; took > second || away.inForce.Number != 1000 {
+		t.Errorf("who was away through it goes by number %d after %.2f s", away.inForce.Number, float64(took)/float64(second))
 	}
-	for _, p := range a.people[:3] { // sixteen policies, one of them a megabyte, and the log
+	for _, p := range a.members[:3] { // sixteen policies, one of them a megabyte, and the log
 		bytes := 0
 		last := map[[16]byte]int{}
 		for i, r := range p.disk {
@@ -159,20 +159,20 @@
 func TestVotersFolders(t *testing.T) {
 	a := calm(t, 5, 6, 3)
 	said := map[rollout.EventCode]int{}
-	a.onSay = func(p *citizen, code rollout.EventCode, _ []any) { said[code]++ }
+	a.onEvent = func(p *rolloutMember, code rollout.EventCode, _ []any) { said[code]++ }
 	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	leader := slices.IndexFunc(a.people, func(p *citizen) bool { return len(p.core.Status(p.clock()).Members) > 0 })
-	lost, old := a.people[(leader+1)%3], a.people[(leader+2)%3]
+	leader := slices.IndexFunc(a.members, func(p *rolloutMember) bool { return len(p.core.Status(p.clock()).Members) > 0 })
+	lost, old := a.members[(leader+1)%3], a.members[(leader+2)%3]
 	lost.kill()
 	lost.disk = nil
-	lost.begin()
-	a.pass(8 * second)
+	lost.start()
+	a.advance(8 * second)
 	if lost.core.Status(lost.clock()).IsVoter {
 		t.Error("a voter without its folder votes before the one that it was is known to be gone")
 	}
-	a.pass(8 * second)
+	a.advance(8 * second)
 	if s := lost.core.Status(lost.clock()); !s.IsVoter || said[rollout.VotersChanged] == 0 {
 		t.Errorf("a voter that lost its folder has not come back as another: %v", said)
 	}
@@ -184,14 +184,14 @@
 	}
 	old.kill()
 	old.disk = older
-	old.begin()
-	a.pass(16 * second)
+	old.start()
+	a.advance(16 * second)
 	if s := old.core.Status(old.clock()); !s.IsVoter || said[rollout.LogLost] == 0 {
 		t.Errorf("an older folder was not found out, or its voter has not come back as another: %v", said)
 	}
-	a.people[leader].kill()
-	if r := a.enact(5, "the last", 20*second); r.Outcome != rollout.OutcomeDecided || a.wrong != "" {
-		t.Errorf("%s %s; %s", r.Outcome, r.Reason, a.wrong)
+	a.members[leader].kill()
+	if r := a.enact(5, "the last", 20*second); r.Outcome != rollout.OutcomeDecided || a.violation != "" {
+		t.Errorf("%s %s; %s", r.Outcome, r.Reason, a.violation)
 	}
 }
 
@@ -200,7 +200,7 @@
 func TestLyingDisk(t *testing.T) {
 	a := calm(t, 6, 6, 3)
 	behind := 0
-	a.onSay = func(p *citizen, code rollout.EventCode, _ []any) {
+	a.onEvent = func(p *rolloutMember, code rollout.EventCode, _ []any) {
 		if code == rollout.VotersBehind {
 			behind++
 		}
@@ -208,35 +208,35 @@
 	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	leader := slices.IndexFunc(a.people, func(p *citizen) bool { return len(p.core.Status(p.clock()).Members) > 0 })
-	liar, late := a.people[(leader+1)%3], a.people[(leader+2)%3]
-	liar.lies = true
-	a.cut = func(from, to int) bool { return from == late.place != (to == late.place) }
+	leader := slices.IndexFunc(a.members, func(p *rolloutMember) bool { return len(p.core.Status(p.clock()).Members) > 0 })
+	liar, late := a.members[(leader+1)%3], a.members[(leader+2)%3]
+	liar.diskLies = true
+	a.cut = func(from, to int) bool { return from == late.index != (to == late.index) }
 	if r := a.enact(5, "two", 10*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	a.pass(second) // all but one go by it
+	a.advance(second) // all but one go by it
 	liar.kill()
-	a.people[leader].kill()
-	liar.lies, a.cut = false, nil
-	a.pass(second) // what was said to it is gone
-	liar.begin()
-	a.pass(15 * second)
-	if n := a.holding(rollout.DigestOf([]byte("one"))) + a.holding(rollout.DigestOf([]byte("two"))); behind == 0 || n > 0 {
+	a.members[leader].kill()
+	liar.diskLies, a.cut = false, nil
+	a.advance(second) // what was said to it is gone
+	liar.start()
+	a.advance(15 * second)
+	if n := a.countInForce(rollout.DigestOf([]byte("one"))) + a.countInForce(rollout.DigestOf([]byte("two"))); behind == 0 || n > 0 {
 		t.Errorf("said %d times that voters are behind; %d hold a lease", behind, n)
 	}
-	if err := a.people[4].core.ForceNewLog(a.people[4].clock(), []string{"g3", "g4", "g5"}); err != nil {
+	if err := a.members[4].core.ForceNewLog(a.members[4].clock(), []string{"g3", "g4", "g5"}); err != nil {
 		t.Fatal(err)
 	}
-	a.pass(30 * second)
-	if n := a.holding(rollout.DigestOf([]byte("two"))); n < 5 || a.wrong != "" {
-		t.Errorf("%d go by the policy that was lost after it was forced; %s", n, a.wrong)
+	a.advance(30 * second)
+	if n := a.countInForce(rollout.DigestOf([]byte("two"))); n < 5 || a.violation != "" {
+		t.Errorf("%d go by the policy that was lost after it was forced; %s", n, a.violation)
 	}
 	if r := a.enact(5, "three", 10*second); r.Outcome != rollout.OutcomeDecided {
 		t.Errorf("%s %s", r.Outcome, r.Reason)
 	}
 	for _, n := range []int{3, 4, 5} {
-		if p := a.people[n]; !p.core.Status(p.clock()).IsVoter {
+		if p := a.members[n]; !p.core.Status(p.clock()).IsVoter {
 			t.Errorf("%s was named as a voter, and doesn't vote", p.name)
 		}
 	}
@@ -251,26 +251,26 @@
 	apart := 4
 	a.cut = func(from, to int) bool { return from == apart != (to == apart) }
 	var one, two rollout.Result
-	a.pass(second)
-	a.propose(a.people[5], "two; both;", func(r rollout.Result) { one = r }) // g4 is silent: the others wait for its lease
-	a.pass(second / 2)
+	a.advance(second)
+	a.propose(a.members[5], "two; both;", func(r rollout.Result) { one = r }) // g4 is silent: the others wait for its lease
+	a.advance(second / 2)
 	cut := a.cut
 	a.cut = func(from, to int) bool { return cut(from, to) || from == 3 != (to == 3) } // and now g3 is, which has heard of both
-	a.pass(3 * second)
-	s := a.people[3].standing
-	if one.Outcome != rollout.OutcomeDecided || s.OverlapDigest != rollout.DigestOf([]byte("two; both;")) || s.HoldsLease(a.people[3].clock()) || a.people[3].clock() >= s.OverlapUntil {
+	a.advance(3 * second)
+	s := a.members[3].inForce
+	if one.Outcome != rollout.OutcomeDecided || s.OverlapDigest != rollout.DigestOf([]byte("two; both;")) || s.HoldsLease(a.members[3].clock()) || a.members[3].clock() >= s.OverlapUntil {
 		t.Errorf("%v; g3 goes by %s and %s", one, s.Digest, s.OverlapDigest)
 	}
 	at := a.now
-	a.propose(a.people[5], "three", func(r rollout.Result) { two = r })
+	a.propose(a.members[5], "three", func(r rollout.Result) { two = r })
 	for two.Outcome == rollout.OutcomePending && a.now-at < 30*second {
-		a.pass(10 * admission.Millisecond)
+		a.advance(10 * admission.Millisecond)
 	}
 	if two.Outcome != rollout.OutcomeDecided || a.now-at < second {
 		t.Errorf("the change after it: %s %s after %.1f s", two.Outcome, two.Reason, float64(a.now-at)/float64(second))
 	}
-	if a.wrong != "" {
-		t.Error(a.wrong)
+	if a.violation != "" {
+		t.Error(a.violation)
 	}
 }
 
@@ -280,26 +280,26 @@
 	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	for _, p := range a.people {
-		p.worse = true
+	for _, p := range a.members {
+		p.rejectsHalf = true
 	}
 	if r := a.enact(5, "two; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	a.pass(3 * second)
-	p := a.people[0]
-	if n := a.holding(rollout.DigestOf([]byte("one"))); n != 6 || p.standing.Number != 3 {
-		t.Errorf("%d of 6 go by the one before, under number %d", n, p.standing.Number)
+	a.advance(3 * second)
+	p := a.members[0]
+	if n := a.countInForce(rollout.DigestOf([]byte("one"))); n != 6 || p.inForce.Number != 3 {
+		t.Errorf("%d of 6 go by the one before, under number %d", n, p.inForce.Number)
 	}
-	for _, p := range a.people {
-		p.worse = false
+	for _, p := range a.members {
+		p.rejectsHalf = false
 	}
 	if r := a.enact(5, "three; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	a.pass(5 * second)
-	if p.standing.Number != 4 {
-		t.Errorf("a good one was taken back: number %d", p.standing.Number)
+	a.advance(5 * second)
+	if p.inForce.Number != 4 {
+		t.Errorf("a good one was taken back: number %d", p.inForce.Number)
 	}
 }
 
@@ -326,15 +326,15 @@
 	}
 	model := register.ToModel()
 	for seed := range uint64(6) {
-		a := newAssembly(seed+100, 7, 3, 2*second)
-		a.pass(6 * second)
+		a := newRolloutCluster(seed+100, 7, 3, 2*second)
+		a.advance(6 * second)
 		var ops []porcupine.Operation
 		open := map[uint64]int{}
-		a.loss, a.double, a.late = 0.05, 0.05, 0.01
+		a.loss, a.duplicate, a.delayedShare = 0.05, 0.05, 0.01
 		for k := range 24 {
-			p := a.people[a.chance.IntN(7)]
+			p := a.members[a.random.IntN(7)]
 			if p.up && p.stopped <= a.now {
-				id := a.chance.Uint64() | 1
+				id := a.random.Uint64() | 1
 				open[id] = len(ops)
 				ops = append(ops, porcupine.Operation{ClientId: 10 + k, Input: input{true, id}, Call: int64(a.now), Output: uint64(math.MaxUint64), Return: math.MaxInt64})
 				p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.KindChange, Text: []byte(fmt.Sprint("policy ", seed, k))}, func(r rollout.Result) {
@@ -345,29 +345,29 @@
 					}
 				})
 			}
-			switch q := a.people[a.chance.IntN(7)]; a.chance.IntN(5) {
+			switch q := a.members[a.random.IntN(7)]; a.random.IntN(5) {
 			case 0:
 				if q.up {
 					q.kill()
 				}
 			case 1:
-				q.stopped = a.now + Time(a.chance.Int64N(int64(4*second)))
+				q.stopped = a.now + Time(a.random.Int64N(int64(4*second)))
 			case 2:
-				n := a.chance.IntN(7)
+				n := a.random.IntN(7)
 				a.cut = func(from, to int) bool { return from == n }
 			default:
 				a.cut = nil
-				for _, q := range a.people {
+				for _, q := range a.members {
 					if !q.up {
-						q.begin()
+						q.start()
 					}
 				}
 			}
 			for range 10 {
-				a.pass(100 * admission.Millisecond)
-				for _, q := range a.people {
-					if q.up && q.stopped <= a.now && q.standing.HoldsLease(q.clock()) && a.chance.IntN(3) == 0 {
-						ops = append(ops, porcupine.Operation{ClientId: q.place, Input: input{}, Call: int64(a.now), Output: q.standing.Number, Return: int64(a.now)})
+				a.advance(100 * admission.Millisecond)
+				for _, q := range a.members {
+					if q.up && q.stopped <= a.now && q.inForce.HoldsLease(q.clock()) && a.random.IntN(3) == 0 {
+						ops = append(ops, porcupine.Operation{ClientId: q.index, Input: input{}, Call: int64(a.now), Output: q.inForce.Number, Return: int64(a.now)})
 					}
 				}
 			}
