--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -173,7 +173,7 @@
 // close closes the sockets, which ends the goroutines that read from them.
 func (a *Agent) close() {
 	if a.transport.socket != nil {
-		a.transport.socket.Close()
+		_ = a.transport.socket.Close() // no data is lost by it
 	}
 	if a.control != nil {
 		a.control.listener.Close()
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -1,7 +1,9 @@
 package agent
 
 import (
+	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"net"
 	"path/filepath"
@@ -13,7 +15,7 @@
 	"magpiebank/internal/config"
 )
 
-// wall is a clock for a gateway's owner.
+// wall is the clock of a gateway's owner.
 type wall struct{ began time.Time }
 
 func (w wall) Now() admission.Time { return ticks(time.Since(w.began) + time.Hour) }
@@ -22,12 +24,13 @@
 	return func() { t.Stop() }
 }
 
-// owner stands for the decisions: its module hears what was found.
+// owner stands for the router's owner: its controller is notified of what was found.
 type owner struct {
-	mu     sync.Mutex
-	module *admission.Controller
+	lock       sync.Mutex
+	controller *admission.Controller
 }
 
+// nobody is a host of a controller that does nothing.
 type nobody struct{}
 
 func (nobody) SendAttempt(admission.RequestID, admission.EngineID, admission.Time, admission.Time) {}
@@ -44,112 +47,208 @@
 func (nobody) LogEvent(string)             {}
 func (nobody) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
 }
-func (o *owner) tell(clock wall) func(func(admission.Time, *admission.Controller)) {
+
+// notify has a call made with the controller, as the router's owner does.
+func (o *owner) notify(clock wall) func(func(admission.Time, *admission.Controller)) {
 	return func(call func(admission.Time, *admission.Controller)) {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		call(clock.Now(), o.module)
+		o.lock.Lock()
+		defer o.lock.Unlock()
+		call(clock.Now(), o.controller)
 	}
 }
 
-// Four gateways in one process, for the race detector: they find each other, tell of an engine, share threads, and one leaves.
-func TestTogether(t *testing.T) {
+const testGateways = 4
+
+// cluster is some gateways in one process.
+type cluster struct {
+	clock  wall
+	agents []*Agent
+}
+
+func startCluster(t *testing.T) *cluster {
+	t.Helper()
 	folder := t.TempDir()
 	writeKey(t, filepath.Join(folder, "key"), ours)
-	var addresses []string
-	for range 4 {
-		c, err := net.ListenPacket("udp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		addresses = append(addresses, c.LocalAddr().String())
-		c.Close()
-	}
-	list := []admission.Endpoint{{Engine: "e1"}, {Engine: "e2"}, {Engine: "e3"}, {Engine: "e4"}}
-	var all []*Agent
-	clock := wall{time.Now()}
-	for i, a := range addresses {
-		site := &admission.Deployment{Gateways: 4, GatewayIndex: i, PeerMessages: true, Classes: []admission.Class{{Threads: 1, LatencyObjective: 1000}}}
-		start := &config.Config{Name: fmt.Sprint("g", i), Deployment: site, Network: &config.Network{Zones: []string{"a"}, LongestWaits: []time.Duration{50 * time.Millisecond}}}
-		f, err := New(Config{Listen: a, Seeds: addresses[:2], Key: filepath.Join(folder, "key"), BytesPerSecond: 1 << 20, ControlSocket: filepath.Join(folder, start.Name+".sock"),
-			HistoryFile: filepath.Join(folder, start.Name+".history"), ShareHealth: true,
-			Quota: &QuotaConfig{Voters: []string{"g0", "g1", "g2"}, ShareTerm: time.Second, Number: 1, Names: []string{"c"}, Totals: []int64{6}}}, start, slog.New(slog.DiscardHandler))
+	c := &cluster{clock: wall{time.Now()}}
+	addresses := unusedAddresses(t)
+	for i := range addresses {
+		c.agents = append(c.agents, c.startAgent(t, folder, addresses, i))
+	}
+	return c
+}
+
+func unusedAddresses(t *testing.T) (addresses []string) {
+	t.Helper()
+	for range testGateways {
+		socket, err := new(net.ListenConfig).ListenPacket(t.Context(), "udp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		o := &owner{module: admission.New(clock.Now(), 1, site, nobody{})}
-		if err := f.Start(clock, o.tell(clock)); err != nil {
+		addresses = append(addresses, socket.LocalAddr().String())
+		if err := socket.Close(); err != nil {
 			t.Fatal(err)
 		}
-		f.HandleEndpoints(clock.Now(), admission.FullUpdate, list)
-		o.tell(clock)(func(now admission.Time, r *admission.Controller) { r.UpdateEndpoints(now, admission.FullUpdate, list) })
-		all = append(all, f)
-	}
-	until := func(what string, ok func() bool) {
-		t.Helper()
-		for by := time.Now().Add(20 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(by) {
-				t.Fatalf("not within 20 s: %s", what)
-			}
+	}
+	return addresses
+}
+
+func (c *cluster) startAgent(t *testing.T, folder string, addresses []string, index int) *Agent {
+	t.Helper()
+	deployment := &admission.Deployment{Gateways: testGateways, GatewayIndex: index, PeerMessages: true, Classes: []admission.Class{{Threads: 1, LatencyObjective: 1000}}}
+	start := &config.Config{Name: fmt.Sprint("g", index), Deployment: deployment, Network: &config.Network{Zones: []string{"a"}, LongestWaits: []time.Duration{50 * time.Millisecond}}}
+	options := Config{
+		Listen:         addresses[index],
+		Seeds:          addresses[:2],
+		Key:            filepath.Join(folder, "key"),
+		BytesPerSecond: 1 << 20,
+		ControlSocket:  filepath.Join(folder, start.Name+".sock"),
+		HistoryFile:    filepath.Join(folder, start.Name+".history"),
+		ShareHealth:    true,
+		Quota:          &QuotaConfig{Voters: []string{"g0", "g1", "g2"}, ShareTerm: time.Second, Number: 1, Names: []string{"c"}, Totals: []int64{6}},
+	}
+	a, err := New(options, start, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	o := &owner{controller: admission.New(c.clock.Now(), 1, deployment, nobody{})}
+	if err := a.Start(c.clock, o.notify(c.clock)); err != nil {
+		t.Fatal(err)
+	}
+	endpoints := []admission.Endpoint{{Engine: "e1"}, {Engine: "e2"}, {Engine: "e3"}, {Engine: "e4"}}
+	a.HandleEndpoints(c.clock.Now(), admission.FullUpdate, endpoints)
+	o.notify(c.clock)(func(now admission.Time, r *admission.Controller) {
+		r.UpdateEndpoints(now, admission.FullUpdate, endpoints)
+	})
+	return a
+}
+
+// status asks a gateway for its state by its control socket.
+func (c *cluster) status(t *testing.T, index int) *Status {
+	t.Helper()
+	status, err := FetchStatus(c.agents[index].config.ControlSocket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return status
+}
+
+// eventually waits until a condition holds.
+func eventually(t *testing.T, condition func() bool) {
+	t.Helper()
+	const limit = 20 * time.Second
+	for deadline := time.Now().Add(limit); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v", limit)
 		}
 	}
-	ask := func(i int) *Status {
-		s, err := FetchStatus(all[i].config.ControlSocket)
-		if err != nil {
-			t.Fatal(err)
+}
+
+// Four gateways in one process, for the race detector as well. Each subtest goes on where the one before ended.
+func TestGatewaysJoin(t *testing.T) {
+	c := startCluster(t)
+	for _, phase := range []struct {
+		name      string
+		condition func(t *testing.T) func() bool
+	}{
+		{"all know each other", c.allAreKnown},
+		{"three gateways' failures reach the fourth", c.failuresAreReported},
+		{"one gateway borrows threads of the others and never uses more than the total", c.threadsAreBorrowed},
+		{"the others know that one left", c.lastHasLeft},
+	} {
+		if !t.Run(phase.name, func(t *testing.T) { eventually(t, phase.condition(t)) }) {
+			break
 		}
-		return s
 	}
-	until("all know each other", func() bool {
-		for i := range all {
-			if len(ask(i).Members) != 3 {
+	for _, a := range c.agents[:testGateways-1] {
+		a.Stop()
+	}
+}
+
+func (c *cluster) allAreKnown(t *testing.T) func() bool {
+	t.Helper()
+	return func() bool {
+		for i := range c.agents {
+			if len(c.status(t, i).Members) != testGateways-1 {
 				return false
 			}
 		}
 		return true
-	})
-	until("three failures reach the fourth", func() bool {
-		for _, f := range all[:3] {
-			f.RecordObservation(clock.Now(), "e2", admission.Erred, admission.NoReport, 1e9)
-			f.RecordAttempt(clock.Now(), "t", "e2")
+	}
+}
+
+func (c *cluster) failuresAreReported(t *testing.T) func() bool {
+	t.Helper()
+	return func() bool {
+		for _, a := range c.agents[:testGateways-1] {
+			a.RecordObservation(c.clock.Now(), "e2", admission.Erred, admission.NoReport, 1e9)
+			a.RecordAttempt(c.clock.Now(), "t", "e2")
 		}
-		return ask(3).Engines[1].FailureScore >= 3
-	})
-	var mu sync.Mutex
-	used, most := 0, 0
-	until("one of them uses all threads of the fleet", func() bool {
-		now := clock.Now()
-		all[3].SetDemand(now, 0, 6)
-		if all[3].TryReserve(now, 0, 1) && all[3].CommitReservation(now, 0, 1) {
-			mu.Lock()
-			used++
-			most = max(most, used)
-			mu.Unlock()
+		return c.status(t, testGateways-1).Engines[1].FailureScore >= 3
+	}
+}
+
+// threadsAreBorrowed has the last gateway use one more thread each time.
+func (c *cluster) threadsAreBorrowed(t *testing.T) func() bool {
+	t.Helper()
+	const total = 6
+	a := c.agents[testGateways-1]
+	var lock sync.Mutex
+	used, highest := 0, 0
+	add := func(threads int) {
+		lock.Lock()
+		defer lock.Unlock()
+		used += threads
+		highest = max(highest, used)
+	}
+	return func() bool {
+		now := c.clock.Now()
+		a.SetDemand(now, 0, total)
+		if a.TryReserve(now, 0, 1) && a.CommitReservation(now, 0, 1) {
+			add(1)
 			time.AfterFunc(40*time.Millisecond, func() {
-				mu.Lock()
-				used--
-				mu.Unlock()
-				all[3].Release(clock.Now(), 0, 1)
+				add(-1)
+				a.Release(c.clock.Now(), 0, 1)
 			})
 		}
-		mu.Lock()
-		defer mu.Unlock()
-		if most > 6 {
-			t.Fatalf("%d of 6 are used", most)
+		lock.Lock()
+		defer lock.Unlock()
+		if highest > total {
+			t.Fatalf("%d of %d are used", highest, total)
 		}
-		b := ask(3).Budgets[0]
-		return b.Borrowed >= 3
-	})
-	all[3].Stop()
-	until("the others know that it left", func() bool {
-		for _, m := range ask(0).Members {
+		return c.status(t, testGateways-1).Budgets[0].Borrowed >= 3
+	}
+}
+
+func (c *cluster) lastHasLeft(t *testing.T) func() bool {
+	t.Helper()
+	c.agents[testGateways-1].Stop()
+	return func() bool {
+		for _, m := range c.status(t, 0).Members {
 			if m.Name == "g3" {
 				return m.State == "left"
 			}
 		}
 		return false
-	})
-	for _, f := range all[:3] {
-		f.Stop()
+	}
+}
+
+// Stop waits for all goroutines, but not for a client of the control socket that sends nothing.
+func TestStopCutsOffSilentClients(t *testing.T) {
+	c := startCluster(t)
+	client, err := new(net.Dialer).DialContext(t.Context(), "unix", c.agents[0].config.ControlSocket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer client.Close()
+	c.status(t, 0) // a connection after the silent one was accepted, and so was that one
+	began := time.Now()
+	for _, a := range c.agents {
+		a.Stop()
+	}
+	if took := time.Since(began); took >= controlTimeout {
+		t.Errorf("expected it to stop before a client's time is over, %v; it took %v", controlTimeout, took)
+	}
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("expected the connection to be closed, found %v", err)
 	}
 }
--- a/internal/cluster/agent/control.go
+++ b/internal/cluster/agent/control.go
@@ -22,6 +22,8 @@
 	controlTimeout = 5 * time.Second
 	// controlStopTimeout is the same while the agent stops.
 	controlStopTimeout = 100 * time.Millisecond
+	// controlProbeTimeout bounds how long another process may take to answer at the socket.
+	controlProbeTimeout = time.Second
 	// maxProposalWait is how long a client may wait for a proposal to end.
 	maxProposalWait = 10 * time.Minute
 )
@@ -65,7 +67,8 @@
 // listenControl opens the control socket. It removes one that a process before this one left behind, but not one that
 // is answered.
 func listenControl(path string) (net.Listener, error) {
-	c, err := net.DialTimeout("unix", path, time.Second)
+	dialer := net.Dialer{Timeout: controlProbeTimeout}
+	c, err := dialer.DialContext(context.Background(), "unix", path)
 	if err == nil {
 		c.Close()
 		return nil, fmt.Errorf("%s: another process answers there", path)
@@ -73,7 +76,7 @@
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		_ = os.Remove(path) // where it can't be removed, listening fails
 	}
-	listener, err := net.Listen("unix", path)
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "unix", path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cluster/agent/controlclient.go
+++ b/internal/cluster/agent/controlclient.go
@@ -13,7 +13,8 @@
 
 // FetchStatus asks a gateway for its state by its control socket.
 func FetchStatus(path string) (*Status, error) {
-	c, err := net.DialTimeout("unix", path, controlDialTimeout)
+	dialer := net.Dialer{Timeout: controlDialTimeout}
+	c, err := dialer.DialContext(context.Background(), "unix", path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cluster/agent/datagram_test.go
+++ b/internal/cluster/agent/datagram_test.go
@@ -10,91 +10,109 @@
 	"pgregory.net/rapid"
 )
 
-func writeKey(t testing.TB, path, digits string) {
+func writeKey(tb testing.TB, path, digits string) {
+	tb.Helper()
 	if err := os.WriteFile(path, []byte(digits+"\n"), 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
-func key(t testing.TB, digits string) *sealer {
-	path := filepath.Join(t.TempDir(), "key")
-	writeKey(t, path, digits)
+func key(tb testing.TB, digits string) *sealer {
+	tb.Helper()
+	path := filepath.Join(tb.TempDir(), "key")
+	writeKey(tb, path, digits)
 	s, err := readKey(path)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return s
 }
 
 var ours, theirs = strings.Repeat("0f", 32), strings.Repeat("a1", 32)
 
-func TestDatagrams(t *testing.T) {
+func TestDatagramIsOpenedAsSealed(t *testing.T) {
 	s := key(t, ours)
-	b, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
+	datagram, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := s.open(b)
-	if err != nil || l.sender != "g1" || l.start != 7 || l.sequence != 9 || len(l.sections) != 2 || string(l.sections[0].payload) != "abc" {
-		t.Errorf("%v %+v", err, l)
+	opened, err := s.open(datagram)
+	if err != nil || opened.sender != "g1" || opened.start != 7 || opened.sequence != 9 || len(opened.sections) != 2 || string(opened.sections[0].payload) != "abc" {
+		t.Errorf("%v %+v", err, opened)
+	}
+}
+
+func TestDatagramIsRejected(t *testing.T) {
+	s := key(t, ours)
+	datagram, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
+	if err != nil {
+		t.Fatal(err)
 	}
-	turned := func(i int) []byte {
-		c := append([]byte(nil), b...)
-		c[i] ^= 4
-		return c
+	flipped := func(index int) []byte {
+		changed := append([]byte(nil), datagram...)
+		changed[index] ^= 4
+		return changed
 	}
 	for _, c := range []struct {
-		what string
-		by   *sealer
-		b    []byte
-		want error
+		name     string
+		opener   *sealer
+		datagram []byte
+		expected error
 	}{
-		{"another key", key(t, theirs), b, errWrongKey},
-		{"another version", s, turned(0), errOtherVersion},
-		{"a bit of the nonce", s, turned(5), errWrongKey},
-		{"a bit of what is sealed", s, turned(len(b) - 20), errWrongKey},
-		{"cut short", s, b[:30], errMalformed},
-		{"nothing", s, nil, errMalformed},
+		{"another key", key(t, theirs), datagram, errWrongKey},
+		{"another version", s, flipped(0), errOtherVersion},
+		{"a flipped bit of the nonce", s, flipped(5), errWrongKey},
+		{"a flipped bit of what is sealed", s, flipped(len(datagram) - 20), errWrongKey},
+		{"cut short", s, datagram[:30], errMalformed},
+		{"empty", s, nil, errMalformed},
 		{"too long", s, make([]byte, maxDatagramBytes+1), errMalformed},
 	} {
-		if _, err := c.by.open(c.b); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, expected %v", c.what, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := c.opener.open(c.datagram); !errors.Is(err, c.expected) {
+				t.Errorf("expected %v, found %v", c.expected, err)
+			}
+		})
 	}
+}
+
+func TestMissingKeyFileIsAnError(t *testing.T) {
 	if _, err := readKey(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a key that isn't there was read")
+		t.Error("expected an error, found none")
 	}
 }
 
-// Each number of a process counts once, in whatever order they come; those of an earlier process don't.
-func TestReplay(t *testing.T) {
+// Each sequence number of a process is accepted once, in whatever order they come, and none of an earlier process.
+func TestReplayWindowAcceptsEachNumberOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s replayWindow
-		came := map[uint64]bool{}
-		top := uint64(0)
-		for _, n := range rapid.SliceOfN(rapid.Uint64Range(1, 200), 1, 60).Draw(t, "numbers") {
-			fresh := s.accept(5, n)
-			if fresh && came[n] {
-				t.Fatalf("%d counted twice", n)
+		var window replayWindow
+		accepted := map[uint64]bool{}
+		highest := uint64(0)
+		for _, number := range rapid.SliceOfN(rapid.Uint64Range(1, 200), 1, 60).Draw(t, "numbers") {
+			ok := window.accept(5, number)
+			if ok && accepted[number] {
+				t.Fatalf("%d was accepted twice", number)
 			}
-			if !fresh && !came[n] && n+64 > top {
-				t.Fatalf("%d is new, and not %d old, and was dropped", n, 64)
+			if !ok && !accepted[number] && number+replayWindowBits > highest {
+				t.Fatalf("%d is new, and not %d old, and was dropped", number, replayWindowBits)
 			}
-			came[n] = came[n] || fresh
-			top = max(top, n)
+			accepted[number] = accepted[number] || ok
+			highest = max(highest, number)
 		}
-		if s.accept(4, 1000) || !s.accept(6, 1) || s.accept(5, 1000) {
-			t.Fatal("an earlier process counted, or a later one didn't")
+		if window.accept(4, 1000) || !window.accept(6, 1) || window.accept(5, 1000) {
+			t.Fatal("an earlier process was accepted, or a later one was not")
 		}
 	})
 }
 
 func FuzzOpen(f *testing.F) {
 	s := key(f, ours)
-	b, _ := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}}})
-	f.Add(b)
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if l, err := s.open(b); (l == nil) == (err == nil) {
+	datagram, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}}})
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(datagram)
+	f.Fuzz(func(t *testing.T, datagram []byte) {
+		if opened, err := s.open(datagram); (opened == nil) == (err == nil) {
 			t.Fatal("neither an envelope nor an error")
 		}
 	})
--- a/internal/cluster/agent/format_json_test.go
+++ b/internal/cluster/agent/format_json_test.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer handover.close()
+		defer closeHandover(t, handover)
 		handover.record = *record
 		if err := handover.write(); err != nil {
 			t.Fatal(err)
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer handover.close()
+	defer closeHandover(t, handover)
 	after, err := handover.beginClaim(7)
 	if expected := []uint64{1<<60 + 3, 1<<60 + 4}; err != nil || !slices.Equal(after, expected) {
 		t.Errorf("expected to follow %d, found %d, error %v", expected, after, err)
--- a/internal/cluster/agent/handover_test.go
+++ b/internal/cluster/agent/handover_test.go
@@ -2,88 +2,126 @@
 
 import (
 	"errors"
-	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
-// The share passes to the next process under the name only from one that has surely ended.
-func TestShareHandover(t *testing.T) {
-	folder := t.TempDir()
-	var out strings.Builder
-	start := uint64(0)
-	begin := func(what, folder, name string) *shareHandover {
-		s, err := openHandover(folder, name)
-		if errors.Is(err, errHandoverLocked) {
-			fmt.Fprintf(&out, "%s: still gone by\n", what)
-			return nil
-		} else if err != nil {
-			t.Fatal(err)
-		}
-		start++
-		after, err := s.beginClaim(start)
-		fmt.Fprintf(&out, "%s: %d follows %v\n", what, start, after)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return s
+// claimShare opens a handover file as one process does, and checks which starts it learns to have ended.
+func claimShare(t *testing.T, folder, name string, start uint64, expected ...uint64) *shareHandover {
+	t.Helper()
+	handover, err := openHandover(folder, name)
+	if err != nil {
+		t.Fatal(err)
 	}
-	file := filepath.Join(folder, handoverFileName)
-	change := func(from, to string) {
-		text, err := os.ReadFile(file)
-		if err == nil {
-			err = os.WriteFile(file, []byte(strings.Replace(string(text), from, to, 1)), 0o600) // the same file
-		}
-		if err != nil {
-			t.Fatal(err)
-		}
+	ended, err := handover.beginClaim(start)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !slices.Equal(ended, expected) {
+		t.Errorf("start %d: expected to follow %d, found %d", start, expected, ended)
+	}
+	return handover
+}
+
+func closeHandover(t *testing.T, handover *shareHandover) {
+	t.Helper()
+	if err := handover.close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestShareHandoverIsOfOneProcessAtATime(t *testing.T) {
+	folder := t.TempDir()
+	first := claimShare(t, folder, "g1", 1)
+	if _, err := openHandover(folder, "g1"); !errors.Is(err, errHandoverLocked) {
+		t.Errorf("a second process beside the first: expected %v, found %v", errHandoverLocked, err)
 	}
-	s := begin("the first", folder, "g1")
-	begin("a second process beside it", folder, "g1")
 	copied := t.TempDir()
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	begin("by a copy of the folder", copied, "g1").close()
-	s.close()
-	for range 6 {
-		begin("it ended before it held the part", folder, "g1").close()
+	closeHandover(t, claimShare(t, copied, "g1", 2)) // a copy proves nothing
+	closeHandover(t, first)
+	closeHandover(t, claimShare(t, folder, "g1", 3, 1))
+}
+
+// The share passes to the next process under the name only from one that has surely ended.
+func TestShareHandover(t *testing.T) {
+	folder := t.TempDir()
+	for _, process := range []struct {
+		name  string
+		start uint64
+		ended []uint64
+		then  func(*shareHandover) error // before it ends
+	}{
+		{"first", 1, nil, nil},
+		{"after one that ended before it held the share", 3, []uint64{1}, nil},
+		{"after two", 4, []uint64{1, 3}, nil},
+		{"after three", 5, []uint64{1, 3, 4}, nil},
+		{"after four", 6, []uint64{1, 3, 4, 5}, nil},
+		{"after five, of which the first and the last count", 7, []uint64{1, 4, 5, 6}, nil},
+		{"after six", 8, []uint64{1, 5, 6, 7}, nil},
+		{"after seven, and holds the share", 9, []uint64{1, 6, 7, 8}, (*shareHandover).confirmClaim},
+		{"after one that held the share, and releases it", 10, []uint64{9}, (*shareHandover).release},
+		{"after one that released the share", 11, nil, nil},
+	} {
+		t.Run(process.name, func(t *testing.T) {
+			handover := claimShare(t, folder, "g1", process.start, process.ended...)
+			if process.then != nil {
+				if err := process.then(handover); err != nil {
+					t.Fatal(err)
+				}
+			}
+			closeHandover(t, handover)
+		})
 	}
-	s = begin("and again", folder, "g1")
-	s.confirmClaim()
-	s.close()
-	s = begin("it held the part", folder, "g1")
-	s.release()
-	s.close()
-	s = begin("it left with nothing in use", folder, "g1")
-	s.close()
-	begin("under another name", folder, "g2").close()
-	change(s.record.Boot, "before")
-	begin("the machine was switched off", folder, "g2").close()
-	change("}", "")
-	begin("the file is cut short", folder, "g2").close()
-	want := `the first: 1 follows []
-a second process beside it: still gone by
-by a copy of the folder: 2 follows []
-it ended before it held the part: 3 follows [1]
-it ended before it held the part: 4 follows [1 3]
-it ended before it held the part: 5 follows [1 3 4]
-it ended before it held the part: 6 follows [1 3 4 5]
-it ended before it held the part: 7 follows [1 4 5 6]
-it ended before it held the part: 8 follows [1 5 6 7]
-and again: 9 follows [1 6 7 8]
-it held the part: 10 follows [9]
-it left with nothing in use: 11 follows []
-under another name: 12 follows []
-the machine was switched off: 13 follows []
-the file is cut short: 14 follows []
-`
-	if out.String() != want {
-		t.Errorf("found\n%s\nexpected\n%s", out.String(), want)
+}
+
+func TestShareHandoverProvesNothing(t *testing.T) {
+	replace := func(from, to string) func(*testing.T, string, *shareHandover) {
+		return func(t *testing.T, path string, _ *shareHandover) {
+			t.Helper()
+			text, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := os.WriteFile(path, []byte(strings.Replace(string(text), from, to, 1)), 0o600); err != nil { // the same file
+				t.Fatal(err)
+			}
+		}
 	}
-	if _, err := openHandover(filepath.Join(file, "below"), "g1"); err == nil {
-		t.Error("a folder that can't be made is taken")
+	for _, c := range []struct {
+		name   string
+		reader string // name of the gateway that opens the file
+		change func(t *testing.T, path string, written *shareHandover)
+	}{
+		{"under another name", "g2", nil},
+		{"once the machine was switched off", "g1", func(t *testing.T, path string, written *shareHandover) {
+			t.Helper()
+			replace(written.record.Boot, "before")(t, path, written)
+		}},
+		{"when the file is cut short", "g1", replace("}", "")},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			folder := t.TempDir()
+			written := claimShare(t, folder, "g1", 1)
+			closeHandover(t, written)
+			if c.change != nil {
+				c.change(t, filepath.Join(folder, handoverFileName), written)
+			}
+			closeHandover(t, claimShare(t, folder, c.reader, 2))
+		})
 	}
+	t.Run("when the folder can't be made", func(t *testing.T) {
+		file := filepath.Join(t.TempDir(), "file")
+		if err := os.WriteFile(file, nil, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := openHandover(filepath.Join(file, "below"), "g1"); err == nil {
+			t.Error("expected an error, found none")
+		}
+	})
 }
--- a/internal/cluster/history/history_test.go
+++ b/internal/cluster/history/history_test.go
@@ -3,49 +3,70 @@
 import (
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
-// A history goes on after a kill in the middle of a line; what is spoilt elsewhere is told with its place.
-func TestMerge(t *testing.T) {
+// writeEvents writes events of a process, and one after its end, which goes nowhere.
+func writeEvents(t *testing.T, path string, start uint64, kinds ...Kind) {
+	t.Helper()
+	writer, err := Open(path, "g0", start)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, kind := range kinds {
+		writer.Write(Event{Kind: kind})
+	}
+	if err := writer.Close(); err != nil {
+		t.Fatal(err)
+	}
+	writer.Write(Event{Kind: AttemptSent})
+}
+
+// appendText appends what a killed or broken process left.
+func appendText(t *testing.T, path, text string) {
+	t.Helper()
+	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := file.WriteString(text); err != nil {
+		t.Fatal(err)
+	}
+	if err := file.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestMergeFilesPassesOverLinesCutByAKill(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "g0.history")
-	write := func(start uint64, kinds ...Kind) {
-		w, err := Open(path, "g0", start)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, k := range kinds {
-			w.Write(Event{Kind: k})
-		}
-		w.Close()
-		w.Write(Event{Kind: AttemptSent}) // after its end: nowhere
-	}
-	spoil := func(text string) {
-		f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		f.WriteString(text)
-		f.Close()
-	}
-	write(1, ProcessStarted, AttemptSent)
-	spoil(`{"at":12,"pro`)
-	write(2, ProcessStarted, OutcomeObserved)
-	spoil(`{"at":`)
-	got := ""
+	writeEvents(t, path, 1, ProcessStarted, AttemptSent)
+	appendText(t, path, `{"at":12,"pro`)
+	writeEvents(t, path, 2, ProcessStarted, OutcomeObserved)
+	appendText(t, path, `{"at":`)
 	events, err := MergeFiles(path, path+".none")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var kinds []Kind
 	for _, e := range events {
-		got += string(e.Kind) + " "
+		kinds = append(kinds, e.Kind)
+	}
+	if expected := []Kind{"began", "sent", "began", "saw"}; !slices.Equal(kinds, expected) {
+		t.Fatalf("expected %q, found %q", expected, kinds)
 	}
-	if got != "began sent began saw " || err != nil || events[2].Start != 2 || events[3].Label != "g0" {
-		t.Errorf("%q, %v", got, err)
+	if events[2].Start != 2 || events[3].Label != "g0" {
+		t.Errorf("expected start 2 and label g0, found %d and %q", events[2].Start, events[3].Label)
 	}
-	spoil("\n")
-	w, _ := Open(path, "g0", 2)
-	w.Write(Event{Kind: OutcomeObserved}) // no process begins with that
-	w.Close()
+}
+
+func TestMergeFilesNamesALineThatIsBrokenInTheMiddle(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "g0.history")
+	writeEvents(t, path, 1, ProcessStarted)
+	appendText(t, path, `{"at":`)
+	writeEvents(t, path, 2, OutcomeObserved) // no process begins with that
 	if _, err := MergeFiles(path); err == nil || !strings.Contains(err.Error(), "g0.history:") {
-		t.Errorf("a line spoilt in the middle: %v", err)
+		t.Errorf("expected an error with the file's name, found %v", err)
 	}
 }
