--- /dev/null
+++ b/internal/resourcegroup/intersect.go
@@ -0,0 +1,84 @@
+package resourcegroup
+
+import "slices"
+
+// Intersect returns a plan that allows what both plans allow: classes that both have by the same name, with the lower limits and
+// the engines of both pools, rejected where either plan rejects them. It has the conditions of a's classes, so the caller has to
+// make sure that both plans put a request into the same class.
+func Intersect(a, b *Plan) *Plan {
+	out := &Plan{}
+	for _, class := range a.Classes {
+		i := slices.IndexFunc(b.Classes, func(other Class) bool { return other.Name == class.Name })
+		if i < 0 {
+			class.RejectText = "its class is changing"
+			class.Pool, class.FleetWide = "", false
+			out.Classes = append(out.Classes, class)
+			continue
+		}
+		other := &b.Classes[i]
+		class.limitBy(other)
+		pool, restricted, empty := intersectPools(a.pool(class.Pool), b.pool(other.Pool))
+		class.Pool = ""
+		switch {
+		case empty:
+			class.RejectText = "its engines are changing"
+		case restricted:
+			class.Pool = "both of " + class.Name
+			pool.Name = class.Pool
+			out.Pools = append(out.Pools, pool)
+		}
+		out.Classes = append(out.Classes, class)
+	}
+	return out
+}
+
+// limitBy lowers the limits of a class to those of another one.
+func (c *Class) limitBy(other *Class) {
+	c.MaxThreads = lowerLimit(c.MaxThreads, other.MaxThreads)
+	c.WorkMillisPerSecond = lowerLimit(c.WorkMillisPerSecond, other.WorkMillisPerSecond)
+	c.MaxWaiting = lowerLimit(c.MaxWaiting, other.MaxWaiting)
+	c.FleetWide = c.FleetWide || other.FleetWide
+	if c.RejectText == "" {
+		c.RejectText = other.RejectText
+	}
+}
+
+// lowerLimit returns the lower of two limits, of which 0 is none.
+func lowerLimit[T int | float64](x, y T) T {
+	if x == 0 || y == 0 {
+		return x + y
+	}
+	return min(x, y)
+}
+
+// pool returns the pool of a name, or one of all engines if the plan has none of that name.
+func (p *Plan) pool(name string) Pool {
+	for _, pool := range p.Pools {
+		if pool.Name == name {
+			return pool
+		}
+	}
+	return Pool{}
+}
+
+// intersectPools returns a pool, without a name, of the engines of both pools. restricted tells that these are not all engines,
+// empty that there can be none.
+func intersectPools(x, y Pool) (pool Pool, restricted, empty bool) {
+	var noZone, noKind bool
+	pool.Zones, noZone = intersectNames(x.Zones, y.Zones)
+	pool.Kinds, noKind = intersectNames(x.Kinds, y.Kinds)
+	return pool, len(pool.Zones)+len(pool.Kinds) > 0, noZone || noKind
+}
+
+// intersectNames returns the names that are in both lists, an empty one of which allows all. empty tells that there is none.
+func intersectNames(x, y []string) (names []string, empty bool) {
+	if len(x) == 0 || len(y) == 0 {
+		return append(slices.Clone(x), y...), false
+	}
+	for _, name := range x {
+		if slices.Contains(y, name) {
+			names = append(names, name)
+		}
+	}
+	return names, len(names) == 0
+}
--- a/internal/resourcegroup/plan.go
+++ b/internal/resourcegroup/plan.go
@@ -1,7 +1,8 @@
-// Package resourcegroup decides what an operator's rules make of statements: of which class one is, which engines a class may use,
-// how much of it may run and wait at the same time, and what is never sent. Which engine, whether again and whom to turn
-// away stays with the decisions (package admission), which ask the Desk here as their Gate. There is no I/O; the clock
-// comes with each call.
+// Package resourcegroup applies an operator's rules to statements: to which class a statement belongs, which engines a class may
+// use, how much of it may run and wait at the same time, and which statements are rejected. Package admission selects engines
+// and decides on retries and load shedding; it asks the Limiter here before it sends an attempt of a class.
+//
+// The package does no I/O. The caller passes the time to each call.
 package resourcegroup
 
 import (
@@ -17,101 +18,130 @@
 	Classes []Class
 }
 
-// MostClasses is how many classes a plan may have: the decisions pass over a class of which one task found no room by
-// a bit each in 64, and classes of an older plan still stand while their tasks run.
+// MaxClasses is how many classes a plan may have. Package admission keeps a set of classes without capacity in 64 bits, and
+// classes of an earlier plan remain while their requests run.
 const MaxClasses = 30
 
-// Rest is the class of tasks that no other class takes, where they are to be asked about as well; it has no limits, and doesn't count among
-// those.
+// RestClass is the class of requests that no class of a plan takes, where these are to be limited as well. It has no limits, and
+// does not count towards MaxClasses.
 const RestClass = "(rest)"
 
-// WithRest is a plan that has it, and the number of it, counted from 1.
+// WithRestClass returns a copy of the plan with the class RestClass at its end, and that class's number, counted from 1.
 func (p *Plan) WithRestClass() (*Plan, int) {
-	out := &Plan{Pools: p.Pools, Classes: append(slices.Clone(p.Classes), Class{Name: RestClass, Conditions: Conditions{RequestClasses: []string{RestClass}}})}
+	rest := Class{Name: RestClass, Conditions: Conditions{RequestClasses: []string{RestClass}}}
+	out := &Plan{Pools: p.Pools, Classes: append(slices.Clone(p.Classes), rest)}
 	return out, len(out.Classes)
 }
 
-// Pool is a part of the fleet; what is empty is not asked for.
+// Pool is a part of an installation's engines: those of any of the zones that are of any of the machine kinds. An empty list
+// allows all.
 type Pool struct {
 	Name         string
 	Zones, Kinds []string
 }
 
-// Class is what holds for statements that fit; figures are each gateway's own, and 0 is no limit.
+// Class limits the statements that meet its conditions. Limits are each gateway's own unless the class is FleetWide; 0 is none.
 type Class struct {
 	Name                string
 	Conditions          Conditions
 	Pool                string  // empty: all engines
-	MaxThreads          float64 // that run at the same time
-	FleetWide           bool    // threads are those of all gateways together
-	MaxWaiting          int     // tasks that are held at the same time
-	WorkMillisPerSecond float64 // ms of work handed off a second
-	RejectText          string  // the error in place of a hand-off; empty: it is sent
+	MaxThreads          float64 // of engines, that run at the same time
+	FleetWide           bool    // the limits are those of all gateways together
+	MaxWaiting          int     // requests that wait at the same time; of a FleetWide class, those that wait or run
+	WorkMillisPerSecond float64 // ms of engines' work sent out a second
+	RejectText          string  // the error that clients get; empty: statements of the class are not rejected
 }
 
-// Fits is what a class asks of a statement; all that is asked must hold.
+// Conditions select statements. All conditions that are set must hold.
 type Conditions struct {
 	RequestClasses []string
 	Verbs          []string
-	Tables         []TablePattern // one of them is read or written
+	Tables         []TablePattern // at least one of them is read or written
 	FullScan       *bool          // a table is read as a whole
-	HasLimit       *bool          // it has a LIMIT
-	Uncertain      *bool          // its cost has moved, or a load ended on its tables, since it was sure
-	MinWorkMillis  float64        // ms, usual
-	MinUpperMillis float64        // ms that nine of ten stay under
-	MinMemoryMB    float64        // MB
-	MinBadShare    float64        // share of answers that took several times the usual
+	HasLimit       *bool          // the statement has a LIMIT
+	Uncertain      *bool          // its cost has changed, or a load ended on its tables, since it was known well
+	MinWorkMillis  float64        // its usual work
+	MinUpperMillis float64        // the work that nine of ten executions stay below
+	MinMemoryMB    float64
+	MinBadShare    float64 // share of executions that took several times the usual work, 0 to 1
 	MinJoins       int
-	MinLooseTables int // tables that no condition binds to the others
+	MinLooseTables int // tables that no condition of the statement joins to the others
 }
 
-// Table is a pattern of tables' names, with * for any letters.
+// TablePattern matches names of tables; * stands for any letters.
 type TablePattern struct{ Schema, Name string }
 
-// Is tells whether a table is meant.
-func (p TablePattern) Matches(t *costmodel.Table) bool {
-	schema, _ := path.Match(p.Schema, t.Schema)
-	name, _ := path.Match(p.Name, t.Name)
+// Matches reports whether the pattern matches a table.
+func (p TablePattern) Matches(table *costmodel.Table) bool {
+	schema, _ := path.Match(p.Schema, table.Schema)
+	name, _ := path.Match(p.Name, table.Name)
 	return schema && name
 }
 
-// Subject is a statement as classes see it.
+// Subject is what the conditions of classes are applied to.
 type Subject struct {
 	RequestClass string
 	Features     *costmodel.Features
 	Estimate     costmodel.Estimate
 }
 
-// Find is the number of the first class that fits, counted from 1; 0: none. It is meant for the goroutine that read the
-// statement.
-func (p *Plan) Classify(s *Subject) int {
+// Classify returns the number of the first class whose conditions hold, counted from 1, or 0. It only reads the plan, and so may
+// be called by any goroutine.
+func (p *Plan) Classify(subject *Subject) int {
 	for i := range p.Classes {
-		if p.Classes[i].Conditions.match(s) {
+		if p.Classes[i].Conditions.match(subject) {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-func (w *Conditions) match(s *Subject) bool {
-	f, e := s.Features, &s.Estimate
-	asked := func(want *bool, is bool) bool { return want == nil || *want == is }
+func (c *Conditions) match(subject *Subject) bool {
+	return c.matchFeatures(subject) && c.matchEstimate(&subject.Estimate) && c.matchTables(subject.Features)
+}
+
+func (c *Conditions) matchFeatures(subject *Subject) bool {
+	features := subject.Features
+	switch {
+	case len(c.RequestClasses) > 0 && !slices.Contains(c.RequestClasses, subject.RequestClass),
+		len(c.Verbs) > 0 && !slices.Contains(c.Verbs, features.Verb.String()),
+		!matchFlag(c.FullScan, subject.Estimate.FullScan != ""),
+		!matchFlag(c.HasLimit, features.Limit >= 0),
+		features.Joins < c.MinJoins,
+		features.UnboundJoins < c.MinLooseTables:
+		return false
+	}
+	return true
+}
+
+// matchFlag reports whether a condition holds; nil always does.
+func matchFlag(want *bool, is bool) bool { return want == nil || *want == is }
+
+func (c *Conditions) matchEstimate(estimate *costmodel.Estimate) bool {
 	switch {
-	case len(w.RequestClasses) > 0 && !slices.Contains(w.RequestClasses, s.RequestClass),
-		len(w.Verbs) > 0 && !slices.Contains(w.Verbs, f.Verb.String()),
-		!asked(w.FullScan, e.FullScan != ""), !asked(w.HasLimit, f.Limit >= 0), !asked(w.Uncertain, e.Uncertain),
-		e.BadPlanShare < w.MinBadShare, e.MemoryMB < w.MinMemoryMB, f.Joins < w.MinJoins, f.UnboundJoins < w.MinLooseTables:
+	case !matchFlag(c.Uncertain, estimate.Uncertain),
+		estimate.BadPlanShare < c.MinBadShare,
+		estimate.MemoryMB < c.MinMemoryMB,
+		// Before the first answers of a request class nothing is known of its work.
+		(c.MinWorkMillis > 0 || c.MinUpperMillis > 0) && !estimate.Known,
+		estimate.WorkMillis < c.MinWorkMillis,
+		estimate.UpperMillis < c.MinUpperMillis:
 		return false
-	case (w.MinWorkMillis > 0 || w.MinUpperMillis > 0) && !e.Known, e.WorkMillis < w.MinWorkMillis, e.UpperMillis < w.MinUpperMillis:
-		return false // before the first answers of a lane nothing is known of its work
 	}
-	if len(w.Tables) == 0 {
+	return true
+}
+
+// matchTables reports whether a pattern matches one of the statement's tables. If a full scan is a condition, that table must be
+// the one that is scanned.
+func (c *Conditions) matchTables(features *costmodel.Features) bool {
+	if len(c.Tables) == 0 {
 		return true
 	}
-	for _, t := range w.Tables {
-		for i := range f.Tables {
-			// Where a whole table is asked for, that table is meant.
-			if t.Matches(&f.Tables[i]) && (w.FullScan == nil || !*w.FullScan || f.Tables[i].Scanned) {
+	mustBeScanned := c.FullScan != nil && *c.FullScan
+	for _, pattern := range c.Tables {
+		for i := range features.Tables {
+			table := &features.Tables[i]
+			if pattern.Matches(table) && (!mustBeScanned || table.Scanned) {
 				return true
 			}
 		}
--- /dev/null
+++ b/internal/resourcegroup/replace.go
@@ -0,0 +1,107 @@
+package resourcegroup
+
+import (
+	"slices"
+
+	"magpiebank/internal/admission"
+)
+
+// ReplacePlan puts another plan in force. With an error, a *PlanError, the plan before stays. A class or pool of the same name stays
+// the same one: what runs counts under it, and a limit below that lets nothing more start until enough has ended. A class that
+// the plan lacks remains until the last of its requests has ended.
+func (l *Limiter) ReplacePlan(now admission.Time, plan *Plan) error {
+	pools, err := plan.resolvePools(l.zones, l.kinds)
+	if err != nil {
+		return err
+	}
+	if err := l.checkBudgets(plan); err != nil {
+		return err
+	}
+	l.plan = plan
+	numbers := l.replacePools(pools)
+	l.countLiveCores()
+	for number := range l.classes {
+		l.classes[number].retired = true
+	}
+	l.classNumbers = nil
+	for i := range plan.Classes {
+		c := &plan.Classes[i]
+		l.classNumbers = append(l.classNumbers, l.replaceClass(now, c, numbers[c.Pool]))
+	}
+	l.freeUnusedNumbers()
+	return nil
+}
+
+// replacePools returns the numbers of the plan's pools by name; the empty name is that of all engines.
+func (l *Limiter) replacePools(pools []pool) (numbers map[string]int) {
+	numbers = map[string]int{"": 0}
+	for _, replacement := range pools {
+		number := slices.IndexFunc(l.pools, func(p pool) bool { return p.inUse && p.Name == replacement.Name })
+		if number < 0 {
+			number = takeFreeNumber(&l.pools, func(p *pool) bool { return !p.inUse })
+		}
+		old := &l.pools[number]
+		if old.inUse && slices.Equal(old.zoneNumbers, replacement.zoneNumbers) && slices.Equal(old.kindNumbers, replacement.kindNumbers) {
+			replacement.maxLiveCores = old.maxLiveCores
+		}
+		*old = replacement
+		numbers[replacement.Name] = number
+	}
+	return numbers
+}
+
+// replaceClass puts a class of the plan in force and returns its number.
+func (l *Limiter) replaceClass(now admission.Time, rules *Class, pool int) (number int) {
+	number = slices.IndexFunc(l.classes, func(c class) bool { return c.inUse && c.Name == rules.Name })
+	if number < 0 {
+		number = takeFreeNumber(&l.classes, func(c *class) bool { return !c.inUse })
+		added := class{Class: *rules, pool: pool, inUse: true}
+		added.creditMillis, added.creditUpdatedAt = rules.WorkMillisPerSecond, now
+		added.threadLimit, added.limitChangedAt = l.targetThreads(&added), now
+		l.classes[number] = added
+	}
+	c := &l.classes[number]
+	wasUnlimited := c.MaxThreads == 0
+	c.Class, c.pool, c.retired, c.budgets = *rules, pool, false, l.budgetsOf(rules)
+	target := l.targetThreads(c)
+	if c.threadLimit > target || wasUnlimited {
+		c.threadLimit = target
+	}
+	c.workRate = rules.WorkMillisPerSecond
+	if c.budgets[workBudget] >= 0 {
+		c.workRate = 0 // until the next tick
+	}
+	c.creditMillis = min(c.creditMillis, rules.WorkMillisPerSecond)
+	return number
+}
+
+// takeFreeNumber returns the number of an element that is not in use, or adds one. Number 0 is never free.
+func takeFreeNumber[T any](list *[]T, isFree func(*T) bool) int {
+	for number := 1; number < len(*list); number++ {
+		if isFree(&(*list)[number]) {
+			return number
+		}
+	}
+	var added T
+	*list = append(*list, added)
+	return len(*list) - 1
+}
+
+// freeUnusedNumbers frees the numbers of classes and pools that no plan names and no request uses.
+func (l *Limiter) freeUnusedNumbers() {
+	used := make([]bool, len(l.pools))
+	for number := 1; number < len(l.classes); number++ {
+		c := &l.classes[number]
+		if c.isUnused() {
+			*c = class{}
+		}
+		used[c.pool] = true
+	}
+	for number := 1; number < len(l.pools); number++ {
+		p := &l.pools[number]
+		named := slices.ContainsFunc(l.plan.Pools, func(o Pool) bool { return o.Name == p.Name })
+		if !named && !used[number] {
+			*p = pool{}
+		}
+	}
+}
--- a/internal/workload/fleetpolicy.go
+++ b/internal/workload/fleetpolicy.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.Plan.Check(d.zones, d.kinds); err != nil {
+	if err := p.Plan.Validate(d.zones, d.kinds); err != nil {
 		return nil, err
 	}
 	p.planWithRest, p.restClass = p.Plan.WithRestClass()
