--- /dev/null
+++ b/internal/admission/attempts_test.go
@@ -0,0 +1,65 @@
+package admission
+
+import (
+	"testing"
+)
+
+var attemptScripts = map[string]func() *script{
+	"hopeless": func() *script { // called off when by its progress it would end in a time-out
+		d := deployment()
+		d.SupportsCancel = true
+		s := start(d, "e1", "e2")
+		s.arrives("a", 1, 0, "")
+		s.pass(Second)
+		s.HandleNotice(s.at, "a", 0, ProgressNotice, 0.2)
+		s.HandleNotice(s.at, "a", 0, ProgressNotice, 0.1)
+		s.end("a", Cancelled)
+		s.arrives("unrepeatable", 2, 0, "")
+		s.pass(2 * Second)
+		s.HandleNotice(s.at, "unrepeatable", 0, ProgressNotice, 0.01)
+		return s
+	},
+	"silence": func() *script { // notes every 500 ms; one that stops is called off, and the request goes elsewhere
+		d := deployment()
+		d.NoticeInterval, d.SupportsCancel = 500*Millisecond, true
+		s := start(d, "e1", "e2")
+		s.engines.items[0].limit.bound, s.engines.items[1].limit.bound = 3, 3
+		s.arrives("a", 1, 0, "")
+		for _, at := range []Time{500, 1000} {
+			s.pass(at * Millisecond)
+			s.say("note on a: it spills")
+			s.HandleNotice(s.at, "a", 0, SpillNotice, 10)
+		}
+		s.pass(1740 * Millisecond)
+		s.say("nothing since the last note")
+		s.pass(1760 * Millisecond)
+		s.end("a", Cancelled)
+		s.say("where nothing may be called off, a silent attempt runs to its timeout")
+		d.SupportsCancel = false
+		s.pass(3700 * Millisecond)
+		return s
+	},
+}
+
+func TestIsHopeless(t *testing.T) {
+	a := &attempt{sentAt: 0, timeoutAt: 10 * Second}
+	tests := []struct {
+		name     string
+		progress float64
+		now      Time
+		want     bool
+	}{
+		{"half done in half of the time left for it", 0.5, 2 * Second, false},
+		{"a tenth done in a second", 0.1, Second, true},
+		{"a fifth done in a second", 0.2, Second, false},
+		{"nothing done in a tenth of the time", 0, Second, true},
+		{"all done at the end", 1, 10 * Second, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if got := isHopeless(a, test.progress, test.now); got != test.want {
+				t.Errorf("hopeless: %t, want %t", got, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/admission/endpoints_test.go
@@ -0,0 +1,55 @@
+package admission
+
+import (
+	"testing"
+)
+
+var endpointScripts = map[string]func() *script{
+	"lists": func() *script { // drains at once; an old list; what a full list lacks is gone; a failure keeps it
+		s := start(deployment(), "e1", "e2", "e3")
+		s.list(PartialUpdate, Endpoint{Engine: "e1", State: Draining}, Endpoint{Engine: "e2", State: Gone})
+		s.engines.items[2].limit.bound = 0
+		s.arrives("a", 0, 0, "")
+		s.say("the guard lets a go to e1: %t", s.sendAttempt(s.requests.byID["a"], 0))
+		s.list(FullUpdate, Endpoint{Engine: "e1"})
+		s.list(FailedPoll)
+		s.pass(20 * Second)
+		s.list(PartialUpdate, Endpoint{Engine: "e1", Since: 19 * Second})
+		return s
+	},
+	"asked list": func() *script { // a call that failed is made again a second later, not at once
+		d := deployment()
+		d.PollsEndpoints = true
+		s := start(d, "e1")
+		s.list(FailedPoll)
+		s.pass(3 * Second)
+		return s
+	},
+}
+
+func TestEngineTableUsesPlacesAgain(t *testing.T) {
+	tests := []struct {
+		name string
+		old  func(e *engine)
+		want bool // its place is used again
+	}{
+		{"of an engine that is gone", func(e *engine) { e.State = Gone }, true},
+		{"not of a live one", func(*engine) {}, false},
+		{"not while an attempt runs there", func(e *engine) { e.State, e.limit.running = Gone, 1 }, false},
+		{"not while it is probed", func(e *engine) { e.State, e.probe.inFlight = Gone, true }, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			table := newEngineTable()
+			first := table.add("old")
+			table.at(first).Endpoint = Endpoint{Engine: "old"}
+			test.old(table.at(first))
+			if got := table.add("new") == first; got != test.want {
+				t.Errorf("used again: %t, want %t", got, test.want)
+			}
+			if _, known := table.byName["old"]; known == test.want {
+				t.Errorf("the old engine is known: %t", known)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/admission/healthchecks_test.go
@@ -0,0 +1,47 @@
+package admission
+
+import (
+	"testing"
+)
+
+var healthCheckScripts = map[string]func() *script{
+	"probes": func() *script { // paid for by requests, one out at a time, no faster than reports are made
+		s := start(deployment(), "e1")
+		s.Controller.probes.credit = maxProbeCredit / 2
+		s.probes = true
+		s.pass(40 * Millisecond)
+		s.probed("e1", Served, Report{-1, 0.5, -1, -1})
+		s.pass(3 * Second)
+		s.say("credit %.1f", s.Controller.probes.credit)
+		s.arrives("a", 0, 0, "")
+		s.arrives("b", 0, 0, "")
+		s.probed("e1", Served, Report{-1, 0.6, -1, -1})
+		s.arrives("c", 0, 0, "")
+		return s
+	},
+}
+
+func TestProbeCreditPaysForItsShareOfTheService(t *testing.T) {
+	tests := []struct {
+		name     string
+		cost     float64
+		requests int
+		want     float64 // credit
+	}{
+		{"a probe of the budget's price for each request", probeBudget, 3, 3},
+		{"a probe of twice that for every other request", 2 * probeBudget, 4, 2},
+		{"no more than the most", probeBudget, 100, maxProbeCredit},
+		{"a cheap probe fills the credit at once", 0, 1, maxProbeCredit},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := probeCredit{cost: test.cost}
+			for range test.requests {
+				p.earn()
+			}
+			if p.credit != test.want {
+				t.Errorf("credit %g, want %g", p.credit, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/admission/keyorder_test.go
@@ -0,0 +1,80 @@
+package admission
+
+import (
+	"slices"
+	"testing"
+)
+
+var keyOrderScripts = map[string]func() *script{
+	"order": func() *script { // one at a time by key, with the rest after doubt; a give-up may come out of turn
+		d := deployment()
+		d.KeySettleTime = 300 * Millisecond
+		d.Classes[3].LatencyObjective = 5 * Second
+		s := start(d, "e1", "e2")
+		s.arrives("k1", 3, 0, "k")
+		s.arrives("k2", 3, 0, "k")
+		s.arrives("other", 3, 0, "x")
+		s.end("k1", TimedOut)
+		s.end("k1", Served)
+		s.pass(400 * Millisecond)
+		s.end("k2", TimedOut)
+		s.end("k2", Served)
+		s.end("other", Served)
+		s.say("%d keys known", len(s.keys.queues))
+		s.pass(800 * Millisecond)
+		s.say("%d keys known", len(s.keys.queues))
+		return s
+	},
+}
+
+func TestKeyOrderLetsTheFirstOfEachKeyRun(t *testing.T) {
+	o := newKeyOrder(&Deployment{})
+	if !o.join("a", 1) || o.join("a", 2) || o.join("a", 3) || !o.join("b", 4) {
+		t.Fatal("not just the first of each key may run")
+	}
+	if _, ok := o.leave("a", 2, 0); ok {
+		t.Error("one that left from the middle lets another run")
+	}
+	if next, ok := o.leave("a", 1, 0); !ok || next != 3 {
+		t.Errorf("after the first left, %d may run (%t), want 3", next, ok)
+	}
+	if _, ok := o.leave("a", 3, 0); ok {
+		t.Error("the last one lets another run")
+	}
+	if _, known := o.queues["a"]; known {
+		t.Error("a key without requests is kept")
+	}
+}
+
+func TestKeyOrderKeepsRestingKeys(t *testing.T) {
+	const restTime = 300 * Millisecond
+	o := newKeyOrder(&Deployment{KeySettleTime: restTime})
+	o.join("a", 1)
+	o.rest("a", Second)
+	o.leave("a", 1, Second)
+	if !o.rests("a", Second+restTime-1) {
+		t.Error("the key doesn't rest to the end")
+	}
+	if o.forgetRested(Second + restTime - 1); len(o.queues) != 1 {
+		t.Error("the key is forgotten while it rests")
+	}
+	if o.rests("a", Second+restTime) {
+		t.Error("the key rests for longer")
+	}
+	if o.forgetRested(Second + restTime); len(o.queues) != 0 {
+		t.Error("the key is kept after its rest")
+	}
+}
+
+func TestKeyOrderUsesQueuesAgain(t *testing.T) {
+	o := newKeyOrder(&Deployment{})
+	o.join("a", 1)
+	o.leave("a", 1, 0)
+	if len(o.spare) != 1 {
+		t.Fatalf("%d spare queues, want 1", len(o.spare))
+	}
+	o.join("b", 2)
+	if len(o.spare) != 0 || !slices.Equal(o.queues["b"].waiting, []requestIndex{2}) {
+		t.Errorf("%d spare queues, %v waits", len(o.spare), o.queues["b"].waiting)
+	}
+}
--- /dev/null
+++ b/internal/admission/loadreports_test.go
@@ -0,0 +1,47 @@
+package admission
+
+import (
+	"math"
+	"testing"
+)
+
+var loadReportScripts = map[string]func() *script{
+	"reports": func() *script { // the same report twice is one sight; two steps need two reports
+		s := start(deployment(), "e1")
+		s.arrives("a", 0, 0, "")
+		for _, u := range []float64{0.99, 0.99, 0.98} {
+			s.pass(s.at + 200*Millisecond)
+			s.probed("e1", Served, Report{-1, u, -1, -1})
+		}
+		return s
+	},
+}
+
+func TestLoadReportUpdate(t *testing.T) {
+	tests := []struct {
+		name            string
+		before          loadReport
+		report          Report
+		wantUtilization float64
+		wantInterval    Time
+	}{
+		{"the first stands alone", loadReport{report: NoReport}, Report{-1, 0.8, -1, -1}, 0.8, Second},
+		{"one soon after counts for a third", loadReport{report: Report{-1, 0.5, -1, -1}, utilization: 0.5, reportAt: 9 * Second},
+			Report{-1, 0.8, -1, -1}, 0.5 + 0.3*(1.0/3), Second},
+		{"one after a long time stands alone", loadReport{report: Report{-1, 0.5, -1, -1}, utilization: 0.5, reportAt: 2 * Second},
+			Report{-1, 0.8, -1, -1}, 0.8, 8 * Second},
+		{"memory stands in for cores", loadReport{report: NoReport}, Report{-1, -1, 0.7, 0.6}, 0.7, Second},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			l := test.before
+			interval := l.update(test.report, 10*Second)
+			if math.Abs(l.utilization-test.wantUtilization) > 1e-9 || interval != test.wantInterval {
+				t.Errorf("utilization %g after %d, want %g after %d", l.utilization, interval, test.wantUtilization, test.wantInterval)
+			}
+			if l.report != test.report || l.reportAt != 10*Second {
+				t.Errorf("%v at %d is kept", l.report, l.reportAt)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/admission/outlier_test.go
@@ -0,0 +1,103 @@
+package admission
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+var outlierScripts = map[string]func() *script{
+	"failure score": func() *script { // a silent engine gets nothing, then trust fades back; all silent condemns none
+		s := start(deployment(), "e1", "e2")
+		s.pass(100 * Millisecond)
+		for range 3 {
+			s.probed("e1", TimedOut, NoReport)
+		}
+		for _, id := range []RequestID{"a", "b", "c"} {
+			s.arrives(id, 0, 0, "")
+		}
+		for range 3 {
+			s.probed("e2", TimedOut, NoReport)
+		}
+		s.pass(4 * Second)
+		s.probed("e1", Served, Report{-1, 0.5, -1, -1})
+		return s
+	},
+	"time-outs": func() *script { // incident: at zero they turn a router from a jammed engine, above it the bound does
+		s := start(deployment(), "e1")
+		e := &s.engines.items[0]
+		for i, bound := range []float64{8, 0} {
+			id := RequestID(fmt.Sprint("t", i))
+			s.arrives(id, 0, 0, "")
+			e.limit.bound = bound
+			s.end(id, TimedOut)
+			s.say("bound %g: failure score %.1f", bound, s.failureScore(e))
+			e.limit.bound = 8
+			s.HandleDisconnect(s.at, id)
+			s.end(id, TimedOut)
+		}
+		return s
+	},
+	"errors": func() *script { // bad clients' requests fail everywhere, and make no engine distrusted
+		s := start(deployment(), "e1")
+		e := &s.engines.items[0]
+		for _, how := range []Outcome{Errored, Lost} {
+			s.arrives("a", 0, 0, "")
+			s.end("a", how)
+			s.say("failure score %.1f", s.failureScore(e))
+			s.end("a", Errored)
+			s.say("failure score %.1f", s.failureScore(e))
+		}
+		return s
+	},
+}
+
+func TestFailureScoreDecays(t *testing.T) {
+	tests := []struct {
+		name   string
+		points []float64 // one each half-life
+		after  Time      // the last
+		want   float64
+	}{
+		{"no failure", nil, 0, 0},
+		{"a failure at once", []float64{2}, 0, 2},
+		{"a failure after a half-life", []float64{2}, failureHalfLife, 1},
+		{"a second failure on what is left", []float64{2, 2}, 0, 3},
+		{"no more than the most", []float64{8, 8, 8}, 0, maxFailureScore},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			var s failureScore
+			now := Second
+			for i, points := range test.points {
+				if i > 0 {
+					now += failureHalfLife
+				}
+				s.add(points, now)
+			}
+			if got := s.decayed(now + test.after); math.Abs(got-test.want) > 1e-9 {
+				t.Errorf("%g, want %g", got, test.want)
+			}
+		})
+	}
+}
+
+func TestFailureScoreLogsAnEjectionOnceInAWhile(t *testing.T) {
+	var s failureScore
+	for _, step := range []struct {
+		at   Time
+		want bool
+	}{{Second, true}, {2 * Second, false}, {Second + ejectionLogInterval, true}, {2*Second + ejectionLogInterval, false}} {
+		if got := s.shouldLog(step.at); got != step.want {
+			t.Errorf("at %d: log %t, want %t", step.at, got, step.want)
+		}
+	}
+}
+
+func TestPeerReportEjectsFromTheEjectionScoreOn(t *testing.T) {
+	for score, want := range map[float64]bool{0: false, ejectionScore - 0.1: false, ejectionScore: true} {
+		if got := (&PeerReport{FailureScore: score}).Ejects(); got != want {
+			t.Errorf("a score of %g ejects: %t, want %t", score, got, want)
+		}
+	}
+}
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -57,7 +57,13 @@
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e rampEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *rampEvents) Push(x any)   { *e = append(*e, x.(rampEvent)) }
+func (e *rampEvents) Push(x any) {
+	event, ok := x.(rampEvent)
+	if !ok {
+		panic("no event")
+	}
+	*e = append(*e, event)
+}
 func (e *rampEvents) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
@@ -144,8 +150,8 @@
 		})
 	}
 	for until := since + r.d.WarmUpTime - r.connect; ; {
-		e := heap.Pop(&r.events).(rampEvent)
-		if e.at > until {
+		e, ok := heap.Pop(&r.events).(rampEvent)
+		if !ok || e.at > until {
 			return
 		}
 		r.now = e.at
--- /dev/null
+++ b/internal/admission/shedding_test.go
@@ -0,0 +1,90 @@
+package admission
+
+import (
+	"fmt"
+	"testing"
+)
+
+var sheddingScripts = map[string]func() *script{
+	"seats": func() *script { // of eight, seven are used; the dear one goes before the cheap ones that it leaves behind
+		d := deployment()
+		d.MaxRequests = 8
+		s := start(d, "e1")
+		s.engines.items[0].limit.bound = 1
+		s.arrives("runs", 0, 0, "")
+		for i := range 6 {
+			s.arrives(RequestID(fmt.Sprint("cheap", i+1)), 0, 0, "")
+		}
+		s.arrives("dear", 1, 0, "")
+		s.arrives("cheap7", 0, 0, "")
+		s.end("runs", Served)
+		return s
+	},
+	"too late": func() *script { // what comes just before its deadline and finds no room is answered at once
+		s := start(deployment())
+		s.HandleRequest(0, Request{ID: "a", Deadline: 5 * Millisecond})
+		return s
+	},
+	"bar": func() *script { // under overload what earns least for its work is given up when it comes
+		s := start(deployment(), "e1")
+		s.engines.items[0].limit.bound = 1
+		s.estimates.updatePrices()
+		s.arrives("a", 1, 800*Millisecond, "")
+		s.arrives("held", 1, 800*Millisecond, "")
+		s.pass(1560 * Millisecond)
+		s.say("bar %.2f of the best class's price", s.pools.list[0].minPrice)
+		s.arrives("short", 1, 800*Millisecond, "")
+		s.arrives("long", 1, 60*Second, "")
+		return s
+	},
+	"idle": func() *script { // what earns a hundredth for its work passes where nobody waits
+		s := start(deployment(), "e1")
+		s.answer(20, 100*Millisecond, 100*Millisecond)
+		s.pass(s.at + Second)
+		s.estimates.updatePrices()
+		s.say("bar %.2f, price of the long one %.3f of the best", s.pools.list[0].minPrice, s.estimates.price(0, 10000*float64(Millisecond))/s.estimates.bestPrice)
+		s.arrives("long", 0, 10*Second, "")
+		return s
+	},
+	"no engine": func() *script { // held while there is a chance, then answered at once
+		s := start(deployment())
+		s.arrives("a", 0, 0, "")
+		s.arrives("b", 2, 0, "")
+		s.pass(3 * Second)
+		return s
+	},
+	"deadline": func() *script { // a time-out at the deadline is answered at once; nothing after the client left
+		s := start(deployment(), "e1")
+		s.arrives("a", 2, 0, "")
+		s.arrives("b", 0, 0, "")
+		s.HandleDisconnect(s.at, "b")
+		s.pass(10 * Second)
+		s.end("b", Errored)
+		s.end("a", TimedOut)
+		return s
+	},
+}
+
+func TestPoolMinPriceMoves(t *testing.T) {
+	tests := []struct {
+		name     string
+		minPrice float64
+		starving bool
+		want     float64
+	}{
+		{"from nothing to the least", 0, true, 0.02},
+		{"up while a request starves", 0.5, true, 0.5 * 1.06},
+		{"no higher than the most", 1.49, true, 1.5},
+		{"down while none does", 0.5, false, 0.5 * 0.97},
+		{"to nothing below the least", 0.0201, false, 0},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := pool{minPrice: test.minPrice, starving: test.starving}
+			p.adjustMinPrice()
+			if p.minPrice != test.want || p.starving {
+				t.Errorf("%g, starving %t, want %g", p.minPrice, p.starving, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/admission/slowstart_test.go
@@ -0,0 +1,139 @@
+package admission
+
+import (
+	"testing"
+)
+
+var slowStartScripts = map[string]func() *script{
+	"cold": func() *script { // where no engine is warm, every other span at a cold one is one router's alone, within the budget
+		d := deployment()
+		d.Gateways, d.WarmUpTime = 3, 30*Second
+		s := start(d)
+		s.pass(Second)
+		s.list(CachedUpdate, Endpoint{Engine: "cold", Since: Second})
+		e := &s.engines.items[0]
+		s.estimates.classes[0].work, s.estimates.classes[0].requests = float64(300*Millisecond), 20
+		for range 13 {
+			s.now = s.at
+			for d.GatewayIndex = range 3 {
+				if s.hasSlowStartCapacity(e, &activeRequest{class: 0}) {
+					s.say("gateway %d has its turn; more work than its budget: %t", d.GatewayIndex, s.hasSlowStartCapacity(e, &activeRequest{class: 1}))
+				}
+			}
+			s.at += 500 * Millisecond
+		}
+		s.say("warm: %t", !s.slowStart.isWarmingUp(e, s.now))
+		return s
+	},
+	"cold beside warm": func() *script { // as many routers at a time as the budget has parts for a usual request, others' turns after them
+		d := deployment()
+		d.Gateways, d.WarmUpTime, d.CoresByKind = 5, 30*Second, []float64{16}
+		s := start(d, "warm")
+		s.pass(Second)
+		s.list(PartialUpdate, Endpoint{Engine: "cold", Since: Second})
+		s.pass(Second + tickInterval)
+		e := &s.engines.items[1]
+		s.estimates.classes[0].work, s.estimates.classes[0].requests = float64(300*Millisecond), 20
+		for range 6 {
+			s.now = s.at
+			var turn []int
+			for d.GatewayIndex = range 5 {
+				if s.hasSlowStartCapacity(e, &activeRequest{class: 0}) {
+					turn = append(turn, d.GatewayIndex)
+				}
+			}
+			s.say("gateways %v have their turn", turn)
+			s.at += d.WarmUpOverloadTime
+		}
+		d.GatewayIndex = 0
+		for !s.hasSlowStartCapacity(e, &activeRequest{class: 0}) {
+			s.now += d.WarmUpOverloadTime
+		}
+		sent := 0
+		for ; s.hasSlowStartCapacity(e, &activeRequest{class: 0}); sent++ {
+			e.slowStartUse.work += 300 * float64(Millisecond)
+		}
+		s.say("gateway 0 sends %d of 300 ms in its turn", sent)
+		e.slowStartUse.work = 0
+		s.say("a request of 1.5 s, above a part: %t beside a warm engine", s.hasSlowStartCapacity(e, &activeRequest{class: 0, estimate: Estimate{WorkP90: 1500 * Millisecond}}))
+		return s
+	},
+}
+
+// gatewaysWithATurn returns the parts of a span's budget, which all gateways see alike, and the gateways that have one.
+func gatewaysWithATurn(t *testing.T, gateways int, span Time, usualRequests int, anyWarm bool) (parts Time, having []int) {
+	t.Helper()
+	for gateway := range gateways {
+		s := slowStart{deployment: &Deployment{Gateways: gateways, GatewayIndex: gateway}}
+		seen, ours := s.parts(&engine{hash: 77}, span, usualRequests, anyWarm)
+		if gateway > 0 && seen != parts {
+			t.Fatalf("gateway %d sees %d parts of span %d, those before it %d", gateway, seen, span, parts)
+		}
+		parts = seen
+		if ours {
+			having = append(having, gateway)
+		}
+	}
+	return parts, having
+}
+
+func TestSlowStartGivesEachSpanToAsManyGatewaysAsItHasParts(t *testing.T) {
+	tests := []struct {
+		name                    string
+		gateways, usualRequests int
+		anyWarm                 bool
+		parts                   Time // of an even span
+	}{
+		{"one gateway has it all", 1, 5, true, 1},
+		{"as many as usual requests fit", 7, 3, true, 3},
+		{"no more parts than gateways", 4, 10, true, 4},
+		{"one gateway where not even one fits", 4, 0, true, 1},
+		{"one gateway at a time where no engine is warm", 7, 3, false, 1},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			turns := make([]int, test.gateways)
+			spans := 2 * Time(test.gateways)
+			for span := range spans {
+				parts, having := gatewaysWithATurn(t, test.gateways, span, test.usualRequests, test.anyWarm)
+				if span%2 == 0 && parts != test.parts {
+					t.Fatalf("span %d has %d parts, want %d", span, parts, test.parts)
+				}
+				if Time(len(having)) != parts {
+					t.Fatalf("span %d: gateways %v have one of %d parts", span, having, parts)
+				}
+				for _, gateway := range having {
+					turns[gateway]++
+				}
+			}
+			for gateway, n := range turns {
+				if n == 0 {
+					t.Errorf("gateway %d never has a turn in %d spans", gateway, spans)
+				}
+			}
+		})
+	}
+}
+
+func TestSlowStartEndsWithTheWarmUpTime(t *testing.T) {
+	s := slowStart{deployment: &Deployment{WarmUpOverloadTime: Second, WarmUpTime: 10 * Second}}
+	tests := []struct {
+		name  string
+		since Time
+		now   Time
+		want  bool
+	}{
+		{"just started", 5 * Second, 5 * Second, true},
+		{"before the end", 5 * Second, 15*Second - 1, true},
+		{"at the end", 5 * Second, 15 * Second, false},
+		{"started long ago", 0, Second, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			e := &engine{Endpoint: Endpoint{Since: test.since}}
+			if got := s.isWarmingUp(e, test.now); got != test.want {
+				t.Errorf("warms up: %t, want %t", got, test.want)
+			}
+		})
+	}
+}
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -1,10 +1,10 @@
 package admission
 
-// RequestID names a request and EngineID an engine, as the protocol gives them.
-type (
-	RequestID string
-	EngineID  string
-)
+// RequestID names a request, as the protocol gives it.
+type RequestID string
+
+// EngineID names an engine, as the engine list gives it.
+type EngineID string
 
 // Time is a point on the gateway's clock or a length of time, in tenths of a millisecond.
 type Time int64
