--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -69,7 +69,7 @@
 }
 
 // SetPolicy hands over what an operator's classes allow, before the first request that has one.
-func (c *Controller) SetPolicy(gate AdmissionPolicy) { c.pools.policy = gate }
+func (c *Controller) SetPolicy(gate Policy) { c.pools.policy = gate }
 
 // HandleCapacityChange takes in that a policy class may use more than before, as the gate knows.
 func (c *Controller) HandleCapacityChange(now Time) {
--- a/internal/admission/host.go
+++ b/internal/admission/host.go
@@ -29,8 +29,8 @@
 	LogEvent(text string)
 }
 
-// AdmissionPolicy is what an operator's classes allow; it is asked only about requests that have a class.
-type AdmissionPolicy interface {
+// Policy is what an operator's classes allow; it is asked only about requests that have a class.
+type Policy interface {
 	// AllowsAttempt tells whether one more request of a class, of so many threads, may go out now.
 	AllowsAttempt(now Time, class int, threads float64) bool
 	// Pool is the number of the class's pool; 0: all engines.
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -29,7 +29,7 @@
 // poolSet holds the pools, and asks the operator's policy which requests and engines are of which.
 type poolSet struct {
 	list   []pool
-	policy AdmissionPolicy // nil: there are no policy classes
+	policy Policy // nil: there are no policy classes
 }
 
 func newPoolSet(now Time) poolSet { return poolSet{list: []pool{{shortageAt: now - Second}}} }
--- a/internal/router/resource_groups.go
+++ b/internal/router/resource_groups.go
@@ -5,7 +5,7 @@
 // Desk is what an operator's rules add to a gateway: it puts requests into classes, limits what runs of each, and foresees
 // costs. Its calls are the owner's; what a Reader does is its session's. Package operator has the one there is.
 type ResourceGroups interface {
-	admission.AdmissionPolicy
+	admission.Policy
 	HandleEndpoints(now admission.Time, form admission.UpdateKind, list []admission.Endpoint)
 	Tick(now admission.Time)
 	// Arrived rules on the request that a reader has read. A text in refuse is the client's final answer; crowded: it is
