--- a/internal/query/costmodel/cache.go
+++ b/internal/query/costmodel/cache.go
@@ -2,45 +2,49 @@
 
 import (
 	"hash/maphash"
+	"math"
 	"sync"
 )
 
-// Cache keeps values by key within a number of bytes. A key that comes for the first time is let in only if it has been
-// asked for more often lately than the one that would have to go for it, so that a client who never repeats himself
-// doesn't push out what others use; who goes is found by a hand that passes over what was used since it last came by.
-// Keys are spread over parts with a lock each.
+// Cache holds values by key within a bound of memory. It is a CLOCK cache with admission by frequency (TinyLFU): when it is
+// full, a new key replaces an old one only if it has been asked for more often lately, so that a client that never repeats
+// a statement does not push out those that others use. Keys are spread over shards with a lock each. The methods may be
+// called from several goroutines.
 type Cache[V any] struct{ shards [cacheShards]cacheShard[V] }
 
-// Sixteen parts: sessions of a gateway run on a core or a few, and hold a part for some tens of nanoseconds.
+// cacheShards is ample: a gateway's sessions run on a few cores, and hold a shard for some tens of nanoseconds.
 const cacheShards = 16
 
+// minShardEntries is the capacity of a shard at least.
+const minShardEntries = 4
+
 type cacheShard[V any] struct {
 	mu        sync.Mutex
-	slots     map[uint64]int32
+	slots     map[uint64]int32 // the index in entries, by key
 	entries   []cacheEntry[V]
 	capacity  int
-	hand      int
+	hand      int // the entry that is looked at next for eviction
 	frequency frequency
-	_         [40]byte // parts don't share a line of the processor's cache
+	_         [40]byte // keeps shards off each other's line of the processor's cache
 }
 
 type cacheEntry[V any] struct {
 	key   uint64
 	value V
-	used  bool
+	used  bool // since the hand passed
 }
 
-// slotBytes is what the map and the slab take for an entry besides its value.
+// slotBytes is the memory of an entry besides its value.
 const slotBytes = 56
 
-// NewCache keeps so many bytes of values that take about so many each.
-func NewCache[V any](bytes int64, each int) *Cache[V] {
+// NewCache returns a cache that takes up to about so many bytes for values that take about valueBytes each.
+func NewCache[V any](bytes int64, valueBytes int) *Cache[V] {
 	c := &Cache[V]{}
-	most := max(4, int(bytes/int64(each+slotBytes)/cacheShards))
+	capacity := max(minShardEntries, int(bytes/int64(valueBytes+slotBytes)/cacheShards))
 	for i := range c.shards {
-		p := &c.shards[i]
-		p.capacity, p.slots = most, map[uint64]int32{}
-		p.frequency.reset(most)
+		shard := &c.shards[i]
+		shard.capacity, shard.slots = capacity, map[uint64]int32{}
+		shard.frequency.reset(capacity)
 	}
 	return c
 }
@@ -49,8 +53,8 @@
 	return &c.shards[spreadKey(key)>>60%cacheShards]
 }
 
-// Keys may be chosen by clients, so they are spread by a number that is drawn at start; that decides only where they
-// stand.
+// keySeed spreads keys by a number that is drawn at start, as clients may choose keys. It decides only in which shard and
+// counters a key is.
 var keySeed = func() uint64 { return maphash.Bytes(maphash.MakeSeed(), []byte("cache")) | 1 }()
 
 func spreadKey(key uint64) uint64 {
@@ -58,140 +62,152 @@
 	return (key ^ key>>29) * keySeed
 }
 
-// Get finds a value.
-func (c *Cache[V]) Get(key uint64) (v V, ok bool) {
-	ok = c.Visit(key, func(found V) { v = found })
-	return v, ok
+// Get returns the value of a key.
+func (c *Cache[V]) Get(key uint64) (value V, ok bool) {
+	ok = c.Visit(key, func(found V) { value = found })
+	return value, ok
 }
 
-// Visit calls f with a value while nobody else has it.
-func (c *Cache[V]) Visit(key uint64, f func(V)) bool {
-	p := c.shard(key)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.frequency.add(spreadKey(key))
-	i, ok := p.slots[key]
+// Visit calls visit with the value of a key while nobody else has access to it, and tells whether there is one.
+func (c *Cache[V]) Visit(key uint64, visit func(V)) bool {
+	shard := c.shard(key)
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	shard.frequency.add(spreadKey(key))
+	slot, ok := shard.slots[key]
 	if ok {
-		p.entries[i].used = true
-		f(p.entries[i].value)
+		shard.entries[slot].used = true
+		visit(shard.entries[slot].value)
 	}
 	return ok
 }
 
-// Put offers a value; it tells whether it was let in, and returns the value that went for it, if one did.
-func (c *Cache[V]) Put(key uint64, v V) (gone V, ok bool) {
-	p := c.shard(key)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if i, ok := p.slots[key]; ok {
-		p.entries[i].value = v
-		return gone, true
+// Put offers a value. It tells whether the value was admitted, and returns the value that was evicted for it, if one was.
+func (c *Cache[V]) Put(key uint64, value V) (evicted V, admitted bool) {
+	shard := c.shard(key)
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	if slot, ok := shard.slots[key]; ok {
+		shard.entries[slot].value = value
+		return evicted, true
 	}
-	if len(p.entries) < p.capacity {
-		p.slots[key] = int32(len(p.entries))
-		p.entries = append(p.entries, cacheEntry[V]{key: key, value: v})
-		return gone, true
+	if len(shard.entries) < shard.capacity {
+		shard.slots[key] = int32(len(shard.entries))
+		shard.entries = append(shard.entries, cacheEntry[V]{key: key, value: value})
+		return evicted, true
 	}
-	for p.entries[p.hand].used {
-		p.entries[p.hand].used = false
-		p.hand = (p.hand + 1) % len(p.entries)
+	for shard.entries[shard.hand].used {
+		shard.entries[shard.hand].used = false
+		shard.moveHand()
 	}
-	old := &p.entries[p.hand]
-	if p.frequency.estimate(spreadKey(key)) <= p.frequency.estimate(spreadKey(old.key)) {
-		p.hand = (p.hand + 1) % len(p.entries) // the next newcomer is held against another
-		return gone, false
+	victim := &shard.entries[shard.hand]
+	if shard.frequency.estimate(spreadKey(key)) <= shard.frequency.estimate(spreadKey(victim.key)) {
+		shard.moveHand() // the next new key is compared with another entry
+		return evicted, false
 	}
-	gone = old.value
-	delete(p.slots, old.key)
-	p.slots[key] = int32(p.hand)
-	*old = cacheEntry[V]{key: key, value: v}
-	p.hand = (p.hand + 1) % len(p.entries)
-	return gone, true
+	evicted = victim.value
+	delete(shard.slots, victim.key)
+	shard.slots[key] = int32(shard.hand)
+	*victim = cacheEntry[V]{key: key, value: value}
+	shard.moveHand()
+	return evicted, true
 }
 
-// Clear forgets all values; how often keys were asked for stays.
+func (s *cacheShard[V]) moveHand() { s.hand = (s.hand + 1) % len(s.entries) }
+
+// Clear drops all values; the frequencies of keys stay.
 func (c *Cache[V]) Clear() {
 	for i := range c.shards {
-		p := &c.shards[i]
-		p.mu.Lock()
-		clear(p.slots)
-		clear(p.entries)
-		p.entries, p.hand = p.entries[:0], 0
-		p.mu.Unlock()
+		shard := &c.shards[i]
+		shard.mu.Lock()
+		clear(shard.slots)
+		clear(shard.entries)
+		shard.entries, shard.hand = shard.entries[:0], 0
+		shard.mu.Unlock()
 	}
 }
 
-// Len is how many values it holds.
-func (c *Cache[V]) Len() (n int) {
+// Len returns the number of values.
+func (c *Cache[V]) Len() (count int) {
 	for i := range c.shards {
-		p := &c.shards[i]
-		p.mu.Lock()
-		n += len(p.entries)
-		p.mu.Unlock()
+		shard := &c.shards[i]
+		shard.mu.Lock()
+		count += len(shard.entries)
+		shard.mu.Unlock()
 	}
-	return n
+	return count
 }
 
-// VisitAll calls f for all values, in no order.
-func (c *Cache[V]) VisitAll(f func(key uint64, v V)) {
+// VisitAll calls visit for all values, in no particular order, with their shard locked.
+func (c *Cache[V]) VisitAll(visit func(key uint64, value V)) {
 	for i := range c.shards {
-		p := &c.shards[i]
-		p.mu.Lock()
-		for _, e := range p.entries {
-			f(e.key, e.value)
+		shard := &c.shards[i]
+		shard.mu.Lock()
+		for _, entry := range shard.entries {
+			visit(entry.key, entry.value)
 		}
-		p.mu.Unlock()
+		shard.mu.Unlock()
 	}
 }
 
-// frequency counts about how often keys were asked for lately, in four rows of half bytes; a count is the least of the
-// four. All are halved when it has counted ten times its size.
+// frequency is a count-min sketch of how often keys were asked for lately. Each key has a counter in each of four rows,
+// and its estimate is the least of them. All counters are halved after ten times as many additions as there are counters.
 type frequency struct {
 	counts []byte
 	mask   uint64
-	added  int
+	added  int // since the counters were halved
 }
 
+const (
+	frequencyRows       = 4
+	countersPerEntry    = 4
+	minCounters         = 64
+	maxFrequency        = 15
+	additionsPerCounter = 10
+)
+
 func (f *frequency) reset(entries int) {
-	size := uint64(64)
-	for size < uint64(entries)*4 {
+	size := uint64(minCounters)
+	for size < uint64(entries)*countersPerEntry {
 		size *= 2
 	}
 	f.counts, f.mask = make([]byte, size), size-1
 }
 
-func (f *frequency) slots(key uint64) (at [4]uint64) {
-	for i := range at {
+// slots returns the indices of a key's counters.
+func (f *frequency) slots(key uint64) (slots [frequencyRows]uint64) {
+	for row := range slots {
 		key = (key ^ key>>31) * 0x9e3779b97f4a7c15
-		at[i] = key >> 20 & f.mask
+		slots[row] = key >> 20 & f.mask
 	}
-	return at
+	return slots
 }
 
-const maxFrequency = 15
-
+// add counts a request for a key. Only the least of its counters are raised, so that collisions count less.
 func (f *frequency) add(key uint64) {
 	least := f.estimate(key)
 	if least >= maxFrequency {
 		return
 	}
-	for _, at := range f.slots(key) {
-		if f.counts[at] == least {
-			f.counts[at]++
+	for _, slot := range f.slots(key) {
+		if f.counts[slot] == least {
+			f.counts[slot]++
 		}
 	}
-	if f.added++; f.added >= 10*len(f.counts) {
-		f.added = 0
-		for i := range f.counts {
-			f.counts[i] /= 2
-		}
+	f.added++
+	if f.added < additionsPerCounter*len(f.counts) {
+		return
+	}
+	f.added = 0
+	for slot := range f.counts {
+		f.counts[slot] /= 2
 	}
 }
 
 func (f *frequency) estimate(key uint64) byte {
-	least := byte(255)
-	for _, at := range f.slots(key) {
-		least = min(least, f.counts[at])
+	least := byte(math.MaxUint8)
+	for _, slot := range f.slots(key) {
+		least = min(least, f.counts[slot])
 	}
 	return least
 }
--- a/internal/query/costmodel/cache_test.go
+++ b/internal/query/costmodel/cache_test.go
@@ -31,7 +31,7 @@
 
 // Hit ratios of ours and of the plain one: Zipf traffic, the same with a scan of keys that come once, with a flood of
 // unique keys at twice the rate.
-func TestHitRatio(t *testing.T) {
+func TestHitRatioBeatsLRU(t *testing.T) {
 	const most, keys = 1600, 20000
 	for _, c := range []struct {
 		name  string
@@ -100,7 +100,7 @@
 }
 
 // What a book takes stays within its bytes, also when no shape ever repeats.
-func TestBytes(t *testing.T) {
+func TestModelStaysWithinBytes(t *testing.T) {
 	const most = 2 << 20
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/query/costmodel/model.go
+++ b/internal/query/costmodel/model.go
@@ -89,7 +89,7 @@
 // come by the day.
 const halfLifeHours = 24
 
-// The memory of a cache's entry with all that it points to, as measured by TestBytes.
+// The memory of a cache's entry with all that it points to, as measured by TestModelStaysWithinBytes.
 const (
 	shapeInfoBytes = 1100
 	recordBytes    = 420
--- a/internal/query/costmodel/model_test.go
+++ b/internal/query/costmodel/model_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func BenchmarkWarm(b *testing.B) { // a shape that is known, up to its estimate
+func BenchmarkKnownShape(b *testing.B) { // a shape that is known, up to its estimate
 	model := NewModel(1<<20, 1, nil)
 	sql := []byte(shortStatement)
 	s := model.Inspect(sql, 17, 0)
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestWarmAllocatesNothing(t *testing.T) {
+func TestKnownShapeAllocatesNothing(t *testing.T) {
 	model := NewModel(1<<20, 1, nil)
 	sql := []byte(shortStatement)
 	s := model.Inspect(sql, 17, 0)
@@ -43,7 +43,7 @@
 
 // A cost that is usual one time and bad one time in ten is known by both; a shift of factor three is found within
 // twenty answers, and false alarms are rarer than one in ten thousand answers.
-func TestAlarms(t *testing.T) {
+func TestShiftIsDetected(t *testing.T) {
 	found, late, alarms, answers := 0, 0, int64(0), 0
 	for seed := range int64(200) {
 		r := rand.New(rand.NewSource(seed))
@@ -75,7 +75,7 @@
 }
 
 // First sight: scans and look-ups of one lane are told apart once a few of either have been seen elsewhere.
-func TestFirstSight(t *testing.T) {
+func TestFirstEstimateTellsScansFromLookups(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	model := NewModel(1<<20, 1, nil)
 	for i := range 30 {
@@ -99,7 +99,7 @@
 }
 
 // Loads raise doubt, and a cost that grows with them is followed between them.
-func TestLoads(t *testing.T) {
+func TestLoadMakesEstimateUncertain(t *testing.T) {
 	r := rand.New(rand.NewSource(5))
 	model := NewModel(1<<20, 1, nil)
 	s := model.Inspect([]byte("SELECT a FROM t_1.m WHERE b > 1"), 1, 0)
@@ -124,7 +124,7 @@
 
 // Where one literal of sixteen is dear the shape is split by it, and its group is known by its own answers; bad plans
 // alone, or literals that never come again, split nothing.
-func TestSkew(t *testing.T) {
+func TestCostlyLiteralSplitsShape(t *testing.T) {
 	split, falsely := 0, 0
 	for seed := range int64(40) {
 		r := rand.New(rand.NewSource(seed))
--- a/internal/query/costmodel/record.go
+++ b/internal/query/costmodel/record.go
@@ -34,7 +34,7 @@
 // The shift detector is a two-sided CUSUM on clipped deviations. With a slack of 0.75 a shift by a factor of three over a
 // deviation of 0.8 (1.37 deviations) adds some 0.6 an observation, so it is found within some fifteen; clipping at two
 // deviations keeps single bad plans from being taken for a shift. The threshold holds false alarms under one in ten
-// thousand observations with one bad plan in ten (TestAlarms).
+// thousand observations with one bad plan in ten (TestShiftIsDetected).
 const (
 	cusumSlack         = 0.75
 	cusumClip          = 2.0
--- a/internal/query/costmodel/regression.go
+++ b/internal/query/costmodel/regression.go
@@ -6,18 +6,47 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// The regression that all shapes share: logarithms of costs over their lane's mean, by what a statement does, learned
-// one answer at a time (recursive least squares).
+// regressionTerms is the number of inputs of the regression.
 const regressionTerms = 14
 
-// initialWeights are what is believed before any answer: reading a whole table costs several times a look-up in the same
-// lane, everything else a little.
+// The inputs of the regression, in their order. Counts enter as log(1+count).
+const (
+	termConstant = iota
+	termJoins
+	termUnboundJoins
+	termFullScan
+	termTableRows // decimal logarithm, from usualLogRows
+	termKeyAccess
+	termAggregates
+	termGroups
+	termSorts
+	termWindows
+	termSubqueries
+	termUnions
+	termLoad
+	termRangeAccess
+)
+
+// usualLogRows is the decimal logarithm of the rows of a table that is taken for usual.
+const usualLogRows = 5
+
+// initialWeights are the weights before the first observation: a full scan costs several times a look-up by key in the
+// same class, everything else costs a little.
 var initialWeights = [regressionTerms]float64{0, 0.1, 0.8, 2, 0.3, -1.2, 0.1, 0.1, 0.2, 0.1, 0.2, 0.2, 0.2, 0.2}
 
+const (
+	initialVariance       = 1.0   // the initial weights hold against about one observation
+	forgettingFactor      = 0.999 // the weight that an observation keeps with each further one
+	maxRegressionError    = 3.0   // of logarithms: one observation says no more than a factor of twenty
+	maxRegressionVariance = 10
+)
+
+// regression predicts the logarithm of a cost over the mean of its class from what a statement does. All shapes share it;
+// it learns one observation at a time, by recursive least squares.
 type regression struct {
 	weights    *mat.VecDense
 	covariance *mat.SymDense
-	input      *mat.VecDense
+	input      *mat.VecDense // reused by update
 }
 
 func (r *regression) reset() {
@@ -25,71 +54,80 @@
 	r.covariance = mat.NewSymDense(regressionTerms, nil)
 	r.input = mat.NewVecDense(regressionTerms, nil)
 	for i := range regressionTerms {
-		r.covariance.SetSym(i, i, 1.0) // beliefs hold against about one answer
+		r.covariance.SetSym(i, i, initialVariance)
 	}
 }
 
-func (r *regression) predict(x *[regressionTerms]float64) float64 {
+func (r *regression) predict(input *[regressionTerms]float64) float64 {
 	sum := 0.0
-	for i, v := range x {
-		sum += v * r.weights.AtVec(i)
+	for i, value := range input {
+		sum += value * r.weights.AtVec(i)
 	}
 	return sum
 }
 
-func (r *regression) update(x *[regressionTerms]float64, y float64) {
-	const forget, most = 0.999, 3.0 // one answer doesn't say more than a factor of twenty
-	for i, v := range x {
-		r.input.SetVec(i, v)
+func (r *regression) update(input *[regressionTerms]float64, observed float64) {
+	for i, value := range input {
+		r.input.SetVec(i, value)
 	}
-	err := min(most, max(-most, y-r.predict(x)))
-	var px mat.VecDense
-	px.MulVec(r.covariance, r.input)
-	scale := 1 / (forget + mat.Dot(r.input, &px))
-	r.weights.AddScaledVec(r.weights, err*scale, &px)
-	r.covariance.SymRankOne(r.covariance, -scale, &px)
-	r.covariance.ScaleSym(1/forget, r.covariance)
-	for i := range regressionTerms { // what is never seen must not grow without end
-		if v := r.covariance.At(i, i); v > 10 {
-			r.covariance.ScaleSym(10/v, r.covariance)
+	deviation := min(maxRegressionError, max(-maxRegressionError, observed-r.predict(input)))
+	var product mat.VecDense
+	product.MulVec(r.covariance, r.input)
+	scale := 1 / (forgettingFactor + mat.Dot(r.input, &product))
+	r.weights.AddScaledVec(r.weights, deviation*scale, &product)
+	r.covariance.SymRankOne(r.covariance, -scale, &product)
+	r.covariance.ScaleSym(1/forgettingFactor, r.covariance)
+	for i := range regressionTerms { // the variance of a term that never occurs would grow without end
+		if variance := r.covariance.At(i, i); variance > maxRegressionVariance {
+			r.covariance.ScaleSym(maxRegressionVariance/variance, r.covariance)
 		}
 	}
 }
 
-// regressionInput is what the regression sees of a statement.
-func regressionInput(f *Features, full bool, tables TableLookup) (x [regressionTerms]float64) {
-	log := func(n int) float64 { return math.Log1p(float64(n)) }
-	x[0] = 1
-	x[1] = log(f.Joins)
-	x[2] = log(f.UnboundJoins)
-	rows, known := 0.0, false
-	if full {
-		x[3] = 1
-		for i := range f.Tables {
-			if t := &f.Tables[i]; t.Scanned && tables != nil {
-				if n, _, ok := tables(t); ok {
-					rows, known = max(rows, n), true
-				}
-			}
+// regressionInput returns the inputs of the regression for a statement.
+func regressionInput(f *Features, fullScan bool, tables TableLookup) (input [regressionTerms]float64) {
+	logCount := func(count int) float64 { return math.Log1p(float64(count)) }
+	input[termConstant] = 1
+	input[termJoins] = logCount(f.Joins)
+	input[termUnboundJoins] = logCount(f.UnboundJoins)
+	if fullScan {
+		input[termFullScan] = 1
+		if rows, known := f.maxScannedRows(tables); known {
+			input[termTableRows] = math.Log10(max(1, rows)) - usualLogRows
 		}
 	}
-	if known {
-		x[4] = math.Log10(max(1, rows)) - 5 // a table of a hundred thousand rows is taken for usual
-	}
 	switch f.reach() {
 	case reachKey:
-		x[5] = 1
+		input[termKeyAccess] = 1
 	case reachRange:
-		x[13] = 1
+		input[termRangeAccess] = 1
 	}
-	x[6] = log(f.Aggregates)
-	x[7] = log(f.Groups)
-	x[8] = log(f.Sorts)
-	x[9] = log(f.Windows)
-	x[10] = log(f.Subqueries)
-	x[11] = log(f.Unions)
+	input[termAggregates] = logCount(f.Aggregates)
+	input[termGroups] = logCount(f.Groups)
+	input[termSorts] = logCount(f.Sorts)
+	input[termWindows] = logCount(f.Windows)
+	input[termSubqueries] = logCount(f.Subqueries)
+	input[termUnions] = logCount(f.Unions)
 	if f.Verb == InsertSelect || f.Verb == Load {
-		x[12] = 1
+		input[termLoad] = 1
+	}
+	return input
+}
+
+// maxScannedRows returns the rows of the largest table that is read completely; known is false if an operator has
+// declared none of them.
+func (f *Features) maxScannedRows(tables TableLookup) (rows float64, known bool) {
+	if tables == nil {
+		return 0, false
+	}
+	for i := range f.Tables {
+		table := &f.Tables[i]
+		if !table.Scanned {
+			continue
+		}
+		if declared, _, ok := tables(table); ok {
+			rows, known = max(rows, declared), true
+		}
 	}
-	return x
+	return rows, known
 }
--- a/internal/query/costmodel/sketch_test.go
+++ b/internal/query/costmodel/sketch_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestSketch(t *testing.T) { // quantiles to a step; merged as if it were one
+func TestSketchQuantilesAndMerge(t *testing.T) { // quantiles to a step; merged as if it were one
 	r := rand.New(rand.NewSource(1))
 	var whole, one, two Sketch
 	for i := range 2000 {
--- a/internal/query/costmodel/snapshot.go
+++ b/internal/query/costmodel/snapshot.go
@@ -6,79 +6,93 @@
 	"slices"
 )
 
-// Snapshot is what a book has learned, without the shapes themselves, which are read again when they come. docs/statements.md
-// has its form byte by byte.
+// Snapshot is what a model has learned. It does not hold the shapes themselves, which are parsed again when they come.
+// docs/statements.md has its encoding byte by byte.
 type Snapshot struct {
 	classes    []savedClass
 	weights    [regressionTerms]float64
-	covariance [regressionTerms * (regressionTerms + 1) / 2]float64 // of the weights, the rows' parts from the diagonal on
-	groups     []savedGroup
-	records    []savedRecord
+	covariance [regressionTerms * (regressionTerms + 1) / 2]float64 // of the weights: the upper triangle, row by row
+	groups     []savedGroup                                         // sorted by group
+	records    []savedRecord                                        // sorted by key
 }
 
-type (
-	savedClass struct {
-		name        string
-		mean, count float64
-	}
-	savedGroup  struct{ group, loads int }
-	savedRecord struct {
-		key uint64
-		age int64 // hours since its old answers faded
-		record
-	}
-)
+type savedClass struct {
+	name        string
+	mean, count float64
+}
+
+type savedGroup struct{ group, loads int }
+
+type savedRecord struct {
+	key uint64
+	age int64 // hours since its old observations faded
+	record
+}
 
-// Snapshot is a snapshot of a book whose lanes have these names.
-func (m *Model) Snapshot(lanes []string) *Snapshot {
+// Snapshot returns a snapshot of the model; classes are the names of its classes.
+func (m *Model) Snapshot(classes []string) *Snapshot {
 	s := &Snapshot{}
 	m.mu.Lock()
-	for i, l := range m.classes {
-		s.classes = append(s.classes, savedClass{lanes[i], l.mean, l.count})
-	}
-	k := 0
-	for i := range regressionTerms {
-		s.weights[i] = m.regression.weights.AtVec(i)
-		for j := i; j < regressionTerms; j++ {
-			s.covariance[k] = m.regression.covariance.At(i, j)
-			k++
-		}
+	for i, class := range m.classes {
+		s.classes = append(s.classes, savedClass{classes[i], class.mean, class.count})
 	}
-	for g, t := range m.groups {
-		s.groups = append(s.groups, savedGroup{g, t.loads})
+	s.saveRegression(&m.regression)
+	for group, state := range m.groups {
+		s.groups = append(s.groups, savedGroup{group, state.loads})
 	}
 	m.mu.Unlock()
 	hours := m.hours.Load()
 	m.records.VisitAll(func(key uint64, r *record) {
-		known := savedRecord{key: key, age: max(0, hours-r.hours), record: *r}
-		known.skew, known.hours = nil, 0
-		s.records = append(s.records, known)
+		saved := savedRecord{key: key, age: max(0, hours-r.hours), record: *r}
+		saved.skew, saved.hours = nil, 0
+		s.records = append(s.records, saved)
 	})
-	slices.SortFunc(s.groups, func(a, m savedGroup) int { return cmp.Compare(a.group, m.group) })
-	slices.SortFunc(s.records, func(a, m savedRecord) int { return cmp.Compare(a.key, m.key) })
+	s.sort()
 	return s
 }
 
-// Restore has an empty book know what a snapshot says. Lanes are found by their names; those with most answers come first
-// where not all records have room.
-func (m *Model) Restore(s *Snapshot, lanes []string) {
+func (s *Snapshot) sort() {
+	slices.SortFunc(s.groups, func(a, b savedGroup) int { return cmp.Compare(a.group, b.group) })
+	slices.SortFunc(s.records, func(a, b savedRecord) int { return cmp.Compare(a.key, b.key) })
+}
+
+// Restore sets an empty model to what a snapshot holds; classes are the names of the model's classes. If there is not
+// room for all records, those with most observations are kept.
+func (m *Model) Restore(s *Snapshot, classes []string) {
+	m.restoreShared(s, classes)
+	byObservations := slices.Clone(s.records)
+	slices.SortStableFunc(byObservations, func(a, b savedRecord) int { return cmp.Compare(b.observations, a.observations) })
+	for i := range byObservations {
+		saved := &byObservations[i]
+		restored := saved.record
+		restored.hours = -saved.age
+		m.records.Put(saved.key, &restored)
+	}
+}
+
+// restoreShared restores what all shapes share.
+func (m *Model) restoreShared(s *Snapshot, classes []string) {
 	m.mu.Lock()
-	for _, l := range s.classes {
-		if i := slices.Index(lanes, l.name); i >= 0 {
-			m.classes[i] = classCost{l.mean, l.count}
+	defer m.mu.Unlock()
+	for _, saved := range s.classes {
+		if i := slices.Index(classes, saved.name); i >= 0 {
+			m.classes[i] = classCost{saved.mean, saved.count}
 		}
 	}
 	s.restoreRegression(&m.regression)
-	for _, g := range s.groups {
-		m.groups[g.group] = &tableGroup{loads: g.loads}
+	for _, saved := range s.groups {
+		m.groups[saved.group] = &tableGroup{loads: saved.loads}
 	}
-	m.mu.Unlock()
-	byAnswers := slices.Clone(s.records)
-	slices.SortStableFunc(byAnswers, func(a, m savedRecord) int { return cmp.Compare(m.observations, a.observations) })
-	for i := range byAnswers {
-		r := byAnswers[i].record
-		r.hours = -byAnswers[i].age
-		m.records.Put(byAnswers[i].key, &r)
+}
+
+func (s *Snapshot) saveRegression(from *regression) {
+	next := 0
+	for i := range regressionTerms {
+		s.weights[i] = from.weights.AtVec(i)
+		for j := i; j < regressionTerms; j++ {
+			s.covariance[next] = from.covariance.At(i, j)
+			next++
+		}
 	}
 }
 
@@ -86,36 +100,37 @@
 	if to.weights == nil {
 		to.reset()
 	}
-	k := 0
+	next := 0
 	for i := range regressionTerms {
 		to.weights.SetVec(i, s.weights[i])
 		for j := i; j < regressionTerms; j++ {
-			to.covariance.SetSym(i, j, s.covariance[k])
-			k++
+			to.covariance.SetSym(i, j, s.covariance[next])
+			next++
 		}
 	}
 }
 
-// CountRecords tells how many shapes on groups of tables it knows, and how many answers they rest on.
-func (s *Snapshot) CountRecords() (records, answers int) {
+// CountRecords returns how many records there are, of shapes on groups of tables, and how many observations they rest on.
+func (s *Snapshot) CountRecords() (records, observations int) {
 	for i := range s.records {
-		answers += s.records[i].observations
+		observations += s.records[i].observations
 	}
-	return len(s.records), answers
+	return len(s.records), observations
 }
 
-// ClassNames are the names of its lanes.
-func (s *Snapshot) ClassNames() (out []string) {
-	for _, l := range s.classes {
-		out = append(out, l.name)
+// ClassNames returns the names of the snapshot's classes.
+func (s *Snapshot) ClassNames() (names []string) {
+	for _, class := range s.classes {
+		names = append(names, class.name)
 	}
-	return out
+	return names
 }
 
-// UsualMillis is what a shape on a group of tables usually takes in milliseconds, as far as the snapshot knows it.
-func (s *Snapshot) UsualMillis(shape uint64, group int) (ms float64, ok bool) {
-	key := recordKey(shape, group)
-	i, ok := slices.BinarySearchFunc(s.records, key, func(r savedRecord, key uint64) int { return cmp.Compare(r.key, key) })
+// UsualMillis returns the usual work of a shape on a group of tables; ok is false if the snapshot does not know it.
+func (s *Snapshot) UsualMillis(shape uint64, group int) (millis float64, ok bool) {
+	i, ok := slices.BinarySearchFunc(s.records, recordKey(shape, group), func(r savedRecord, key uint64) int {
+		return cmp.Compare(r.key, key)
+	})
 	if !ok || s.records[i].sketch.Count() == 0 {
 		return 0, false
 	}
--- a/internal/query/costmodel/snapshot_codec.go
+++ b/internal/query/costmodel/snapshot_codec.go
@@ -8,71 +8,111 @@
 	"math"
 )
 
-// snapshotVersion is raised with every change of the form, the regression's terms or the sketch's steps.
+// snapshotVersion is raised with every change of the encoding, the regression's terms or the sketch's steps.
 const snapshotVersion = 1
 
+// snapshotMagic is what an encoded snapshot begins with.
 const snapshotMagic = "MPST"
 
-// maxSnapshotBytes bounds what is read: a book of 1 GB writes less.
+// An encoded snapshot has a header (magic, version, two bytes of 0, length of the payload), a payload, and its CRC-32C.
+const (
+	versionOffset   = 4
+	lengthOffset    = 8
+	snapshotHeader  = 12
+	snapshotTrailer = 4
+)
+
+// maxSnapshotBytes bounds what is read: a model of 1 GB writes less.
 const maxSnapshotBytes = 1 << 30
 
+// maxSavedNumber is the highest value of any number in a snapshot.
+const maxSavedNumber = math.MaxInt32
+
+// maxSavedFloat is the highest absolute value of any float in a snapshot.
+const maxSavedFloat = 1e18
+
+// The fewest bytes that the parts of a snapshot take; they bound how many of them a payload may announce.
+const (
+	minClassBytes  = 17
+	minGroupBytes  = 2
+	minRecordBytes = 100
+	minStepBytes   = 2
+)
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode writes a snapshot.
+// Encode encodes a snapshot.
 func (s *Snapshot) Encode() []byte {
-	var p []byte
-	number := func(v int) { p = binary.AppendUvarint(p, uint64(max(0, v))) }
-	float := func(list ...float64) {
-		for _, v := range list {
-			p = binary.LittleEndian.AppendUint64(p, math.Float64bits(v))
-		}
+	var e encoder
+	e.number(len(s.classes))
+	for _, class := range s.classes {
+		e.text(class.name)
+		e.floats(class.mean, class.count)
+	}
+	e.number(regressionTerms)
+	e.floats(s.weights[:]...)
+	e.floats(s.covariance[:]...)
+	e.number(len(s.groups))
+	for _, group := range s.groups {
+		e.numbers(group.group, group.loads)
 	}
-	number(len(s.classes))
-	for _, l := range s.classes {
-		number(len(l.name))
-		p = append(p, l.name...)
-		float(l.mean, l.count)
-	}
-	number(regressionTerms)
-	float(s.weights[:]...)
-	float(s.covariance[:]...)
-	number(len(s.groups))
-	for _, g := range s.groups {
-		number(g.group)
-		number(g.loads)
-	}
-	number(len(s.records))
+	e.number(len(s.records))
 	for i := range s.records {
-		r := &s.records[i]
-		p = binary.LittleEndian.AppendUint64(p, r.key)
-		for _, v := range []int{int(r.age), r.observations, r.uncertainFor, r.loads, r.skewPlace} {
-			number(v)
-		}
-		float(r.memory, r.memoryPeak, r.shiftUp, r.shiftDown, r.baseline, r.deviation)
-		float(r.recent[:]...)
-		float(r.trend.count, r.trend.sumX, r.trend.sumY, r.trend.sumXX, r.trend.sumXY)
-		used := 0
-		for _, c := range r.sketch.counts {
-			if c > 0 {
-				used++
-			}
+		e.record(&s.records[i])
+	}
+	out := append(make([]byte, 0, snapshotHeader+len(e.payload)+snapshotTrailer), snapshotMagic...)
+	out = out[:snapshotHeader]
+	binary.LittleEndian.PutUint16(out[versionOffset:], snapshotVersion)
+	binary.LittleEndian.PutUint32(out[lengthOffset:], uint32(len(e.payload)))
+	out = append(out, e.payload...)
+	return binary.LittleEndian.AppendUint32(out, crc32.Checksum(out, castagnoli))
+}
+
+// encoder appends values to a payload.
+type encoder struct{ payload []byte }
+
+func (e *encoder) number(value int) {
+	e.payload = binary.AppendUvarint(e.payload, uint64(max(0, value)))
+}
+
+func (e *encoder) numbers(values ...int) {
+	for _, value := range values {
+		e.number(value)
+	}
+}
+
+func (e *encoder) floats(values ...float64) {
+	for _, value := range values {
+		e.payload = binary.LittleEndian.AppendUint64(e.payload, math.Float64bits(value))
+	}
+}
+
+func (e *encoder) text(value string) {
+	e.number(len(value))
+	e.payload = append(e.payload, value...)
+}
+
+func (e *encoder) record(r *savedRecord) {
+	e.payload = binary.LittleEndian.AppendUint64(e.payload, r.key)
+	e.numbers(int(r.age), r.observations, r.uncertainFor, r.loads, r.skewPlace)
+	e.floats(r.memory, r.memoryPeak, r.shiftUp, r.shiftDown, r.baseline, r.deviation)
+	e.floats(r.recent[:]...)
+	e.floats(r.trend.count, r.trend.sumX, r.trend.sumY, r.trend.sumXX, r.trend.sumXY)
+	used := 0
+	for _, count := range r.sketch.counts {
+		if count > 0 {
+			used++
 		}
-		number(used)
-		for step, c := range r.sketch.counts {
-			if c > 0 {
-				number(step)
-				number(int(c))
-			}
+	}
+	e.number(used)
+	for step, count := range r.sketch.counts {
+		if count > 0 {
+			e.numbers(step, int(count))
 		}
 	}
-	out := append([]byte(snapshotMagic), 0, 0, 0, 0, 0, 0, 0, 0)
-	binary.LittleEndian.PutUint16(out[4:], snapshotVersion)
-	binary.LittleEndian.PutUint32(out[8:], uint32(len(p)))
-	out = append(out, p...)
-	return binary.LittleEndian.AppendUint32(out, crc32.Checksum(out, castagnoli))
 }
 
-// What is amiss with a snapshot.
+// The errors of DecodeSnapshot, beside that of another version.
 var (
 	errNotSnapshot   = errors.New("not a snapshot of statements")
 	errTruncated     = errors.New("it is cut short, or goes on behind its end")
@@ -80,23 +120,16 @@
 	errInvalidValues = errors.New("it holds figures that can't be")
 )
 
-// DecodeSnapshot reads a snapshot; one of another version, cut short or changed is refused as a whole.
+// DecodeSnapshot decodes a snapshot. One of another version, or one that was truncated or changed, is refused as a whole.
 func DecodeSnapshot(b []byte) (*Snapshot, error) {
-	const head, tail = 12, 4
-	switch {
-	case len(b) < head+tail || string(b[:4]) != snapshotMagic:
-		return nil, errNotSnapshot
-	case binary.LittleEndian.Uint16(b[4:]) != snapshotVersion:
-		return nil, fmt.Errorf("version %d of the form, this program knows %d", binary.LittleEndian.Uint16(b[4:]), snapshotVersion)
-	case int64(binary.LittleEndian.Uint32(b[8:])) != int64(len(b)-head-tail) || len(b) > maxSnapshotBytes:
-		return nil, errTruncated
-	case crc32.Checksum(b[:len(b)-tail], castagnoli) != binary.LittleEndian.Uint32(b[len(b)-tail:]):
-		return nil, errChecksum
+	payload, err := snapshotPayload(b)
+	if err != nil {
+		return nil, err
 	}
-	d := decoder{rest: b[head : len(b)-tail]}
+	d := decoder{rest: payload}
 	s := &Snapshot{}
-	for range d.count(17) {
-		name := string(d.take(d.count(1)))
+	for range d.count(minClassBytes) {
+		name := string(d.bytes(d.count(1)))
 		s.classes = append(s.classes, savedClass{name, d.float(), d.float()})
 	}
 	if d.count(1) != regressionTerms {
@@ -104,23 +137,11 @@
 	}
 	d.floats(s.weights[:])
 	d.floats(s.covariance[:])
-	for range d.count(2) {
-		s.groups = append(s.groups, savedGroup{d.number(math.MaxInt32), d.number(math.MaxInt32)})
-	}
-	for range d.count(100) {
-		var r savedRecord
-		r.key = binary.LittleEndian.Uint64(d.take(8))
-		r.age = int64(d.number(math.MaxInt32))
-		r.observations, r.uncertainFor, r.loads, r.skewPlace = d.number(math.MaxInt32), d.number(uncertainAfterLoad), d.number(math.MaxInt32), d.number(skewPlaces)
-		r.memory, r.memoryPeak, r.shiftUp, r.shiftDown, r.baseline, r.deviation = d.float(), d.float(), d.float(), d.float(), d.float(), d.float()
-		d.floats(r.recent[:])
-		r.trend = trend{d.float(), d.float(), d.float(), d.float(), d.float()}
-		for range d.count(2) {
-			step, c := d.number(sketchSteps-1), d.number(math.MaxUint16)
-			r.sketch.total += uint32(c) - uint32(r.sketch.counts[step])
-			r.sketch.counts[step] = uint16(c)
-		}
-		s.records = append(s.records, r)
+	for range d.count(minGroupBytes) {
+		s.groups = append(s.groups, savedGroup{d.number(maxSavedNumber), d.number(maxSavedNumber)})
+	}
+	for range d.count(minRecordBytes) {
+		s.records = append(s.records, d.record())
 	}
 	if d.failed || len(d.rest) > 0 {
 		return nil, errInvalidValues
@@ -128,7 +149,26 @@
 	return s, nil
 }
 
-// decoder reads a payload; after the first thing amiss it reads zeros.
+// snapshotPayload checks header and checksum and returns what lies between them.
+func snapshotPayload(b []byte) ([]byte, error) {
+	if len(b) < snapshotHeader+snapshotTrailer || string(b[:versionOffset]) != snapshotMagic {
+		return nil, errNotSnapshot
+	}
+	if version := binary.LittleEndian.Uint16(b[versionOffset:]); version != snapshotVersion {
+		return nil, fmt.Errorf("version %d of the form, this program knows %d", version, snapshotVersion)
+	}
+	end := len(b) - snapshotTrailer
+	length := int64(binary.LittleEndian.Uint32(b[lengthOffset:]))
+	if length != int64(end-snapshotHeader) || len(b) > maxSnapshotBytes {
+		return nil, errTruncated
+	}
+	if crc32.Checksum(b[:end], castagnoli) != binary.LittleEndian.Uint32(b[end:]) {
+		return nil, errChecksum
+	}
+	return b[snapshotHeader:end], nil
+}
+
+// decoder reads values off a payload. After the first invalid one it is failed and reads zeros.
 type decoder struct {
 	rest   []byte
 	failed bool
@@ -136,40 +176,58 @@
 
 var zeros [8]byte
 
-func (d *decoder) take(n int) []byte {
-	if n > len(d.rest) {
+func (d *decoder) bytes(count int) []byte {
+	if count > len(d.rest) {
 		d.failed, d.rest = true, nil
-		return zeros[:min(n, len(zeros))]
+		return zeros[:min(count, len(zeros))]
 	}
-	out := d.rest[:n]
-	d.rest = d.rest[n:]
-	return out
+	taken := d.rest[:count]
+	d.rest = d.rest[count:]
+	return taken
 }
 
-func (d *decoder) number(most int) int {
-	v, n := binary.Uvarint(d.rest)
-	if n <= 0 || v > uint64(most) {
+func (d *decoder) number(highest int) int {
+	value, length := binary.Uvarint(d.rest)
+	if length <= 0 || value > uint64(highest) {
 		d.failed, d.rest = true, nil
 		return 0
 	}
-	d.rest = d.rest[n:]
-	return int(v)
+	d.rest = d.rest[length:]
+	return int(value)
 }
 
 // count reads how many things follow that take at least so many bytes each.
-func (d *decoder) count(each int) int { return d.number(len(d.rest) / each) }
+func (d *decoder) count(minBytes int) int { return d.number(len(d.rest) / minBytes) }
 
 func (d *decoder) float() float64 {
-	v := math.Float64frombits(binary.LittleEndian.Uint64(d.take(8)))
-	if math.IsNaN(v) || math.Abs(v) > 1e18 {
+	value := math.Float64frombits(binary.LittleEndian.Uint64(d.bytes(8)))
+	if math.IsNaN(value) || math.Abs(value) > maxSavedFloat {
 		d.failed = true
 		return 0
 	}
-	return v
+	return value
+}
+
+func (d *decoder) floats(into []float64) {
+	for i := range into {
+		into[i] = d.float()
+	}
 }
 
-func (d *decoder) floats(to []float64) {
-	for i := range to {
-		to[i] = d.float()
+func (d *decoder) record() (r savedRecord) {
+	r.key = binary.LittleEndian.Uint64(d.bytes(8))
+	r.age = int64(d.number(maxSavedNumber))
+	r.observations, r.uncertainFor = d.number(maxSavedNumber), d.number(uncertainAfterLoad)
+	r.loads, r.skewPlace = d.number(maxSavedNumber), d.number(skewPlaces)
+	r.memory, r.memoryPeak = d.float(), d.float()
+	r.shiftUp, r.shiftDown = d.float(), d.float()
+	r.baseline, r.deviation = d.float(), d.float()
+	d.floats(r.recent[:])
+	r.trend = trend{d.float(), d.float(), d.float(), d.float(), d.float()}
+	for range d.count(minStepBytes) {
+		step, count := d.number(sketchSteps-1), d.number(math.MaxUint16)
+		r.sketch.total += uint32(count) - uint32(r.sketch.counts[step])
+		r.sketch.counts[step] = uint16(count)
 	}
+	return r
 }
--- a/internal/query/costmodel/snapshot_test.go
+++ b/internal/query/costmodel/snapshot_test.go
@@ -23,7 +23,7 @@
 	return model
 }
 
-func TestSnapshot(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	lanes := []string{"look", "report"}
 	model := learnedModel(1)
 	b := model.Snapshot(lanes).Encode()
@@ -66,7 +66,7 @@
 
 // Merged, two gateways' knowledge is as if one had seen all answers: quantiles of each shape, lanes, loads; and the
 // regression lies between the two.
-func TestMerge(t *testing.T) {
+func TestMergeSnapshots(t *testing.T) {
 	lanes := []string{"look", "report"}
 	one, two := learnedModel(1).Snapshot(lanes), learnedModel(2).Snapshot(lanes)
 	m := MergeSnapshots(one, two)
