--- /dev/null
+++ b/internal/testbed/load/stats/format_test.go
@@ -0,0 +1,53 @@
+package stats
+
+import (
+	"regexp"
+	"testing"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"magpiebank/internal/testbed/golden"
+)
+
+// packedHistogram is a histogram in JSON. Its bytes are a compressor's, which may change with the language's version.
+var packedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
+
+func TestMetricsOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
+	form := golden.Read(t, "metrics.form")
+	metrics := decodeMetrics(t, form)
+	golden.CheckValues(t, "metrics", metricsValues(metrics))
+	again := golden.EncodeJSON(metrics)
+	golden.CheckValues(t, "metrics", metricsValues(decodeMetrics(t, again)))
+	expected, found := packedHistogram.ReplaceAllString(string(form), `"histogram"`), packedHistogram.ReplaceAllString(string(again), `"histogram"`)
+	if found != expected {
+		t.Errorf("expected %s\nfound    %s", expected, found)
+	}
+}
+
+func decodeMetrics(t *testing.T, content []byte) *Metrics {
+	t.Helper()
+	metrics, err := golden.DecodeJSON[Metrics](content)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return metrics
+}
+
+// metricsValues lists all that metrics hold, in the order in which the earlier version had it; of a histogram its count and maximum.
+func metricsValues(m *Metrics) (values []any) {
+	addHistogram := func(h *hdrhistogram.Histogram) { values = append(values, h.TotalCount(), h.Max()) }
+	for _, c := range append(m.Classes, m.Misbehaving) {
+		values = append(values, c.Name, c.LatencyObjective, c.Offered, c.WithinObjective, c.Attempts)
+		for _, h := range c.Outcomes {
+			addHistogram(h)
+		}
+		addHistogram(c.ClosedLoop)
+	}
+	for _, s := range m.Seconds {
+		values = append(values, s.Offered, s.Outcomes, s.Worst, s.WorstRequest)
+		addHistogram(s.latency)
+	}
+	addHistogram(m.GeneratorDelay)
+	addHistogram(m.QueueDelay)
+	return append(values, m.Violations, m.Examples, m.seen)
+}
--- /dev/null
+++ b/internal/testbed/report/format_test.go
@@ -0,0 +1,64 @@
+package report
+
+import (
+	"encoding/json"
+	"path/filepath"
+	"regexp"
+	"testing"
+	"time"
+
+	"magpiebank/internal/testbed/golden"
+	"magpiebank/internal/testbed/load/experiment"
+)
+
+// packedHistogram is a histogram in JSON. Its bytes are a compressor's, which may change with the language's version.
+var packedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
+
+// What `run --json` prints; package stats checks the figures in it.
+func TestResultOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
+	result, err := golden.DecodeJSON[experiment.Result](golden.Read(t, "result.form"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkResult(t, result)
+}
+
+func TestArchiveOfEarlierVersionIsRead(t *testing.T) {
+	archive, err := OpenArchive(filepath.Join(golden.CopyFolder(t, "."), "runs.form")) // a file that is opened may be written to
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer archive.Close()
+	run, err := archive.Get(2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if run.ID != 2 || run.Note != "second note" {
+		t.Errorf("expected run 2 with the second note, found %d, %q", run.ID, run.Note)
+	}
+	checkResult(t, run.Result)
+	count := 0
+	if err := archive.Each(func(*ArchivedRun) error { count++; return nil }); err != nil || count != 1 {
+		t.Errorf("expected one run, found %d, error %v", count, err)
+	}
+	var keys map[string]json.RawMessage
+	if err := json.Unmarshal(golden.EncodeJSON(run), &keys); err != nil || len(keys) != 3 || keys["id"] == nil || keys["note"] == nil || keys["result"] == nil {
+		t.Errorf("expected id, note and result, found %d keys, error %v", len(keys), err)
+	}
+}
+
+// checkResult holds a result against what the earlier version wrote.
+func checkResult(t *testing.T, result *experiment.Result) {
+	t.Helper()
+	expected := packedHistogram.ReplaceAllString(string(golden.Read(t, "result.form")), `"histogram"`)
+	found := packedHistogram.ReplaceAllString(string(golden.EncodeJSON(result)), `"histogram"`)
+	if found != expected {
+		t.Errorf("expected %s\nfound    %s", expected, found)
+	}
+	if began := time.Date(2025, 12, 1, 2, 3, 4, 5, time.UTC); !result.Began.Equal(began) {
+		t.Errorf("expected a run that began at %v, found %v", began, result.Began)
+	}
+	without := *result
+	without.Began, without.Figures = time.Time{}, nil
+	golden.CheckValues(t, "result", without)
+}
