--- a/internal/testbed/faulttest/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -77,8 +77,8 @@
 // CheckEngines holds the loads that the engines themselves say run against the total of threads. What a gateway gave up, and the engine
 // couldn't hear of it, still runs there: a scenario in which engines are out of reach, or stand still, is not read.
 func CheckEngines(s *Scenario, runs []fake.RunningChange, began time.Time, zero int64, t *totals) (out []string) {
-	if s.Whole.Threads == 0 || slices.ContainsFunc(s.Steps, func(k Step) bool {
-		return k.Do == "engine" && k.Be != "gone" && k.Be != "drains" || slices.ContainsFunc(slices.Concat(k.To, k.From), func(n string) bool { return n == "*" || strings.HasPrefix(n, "e") })
+	if s.Limits.Threads == 0 || slices.ContainsFunc(s.Steps, func(k Step) bool {
+		return k.Action == "engine" && k.EngineState != "gone" && k.EngineState != "drains" || slices.ContainsFunc(slices.Concat(k.To, k.From), func(n string) bool { return n == "*" || strings.HasPrefix(n, "e") })
 	}) {
 		return nil
 	}
--- a/internal/testbed/faulttest/convergence.go
+++ b/internal/testbed/faulttest/convergence.go
@@ -10,10 +10,10 @@
 )
 
 // settle waits until all that are there know each other; it tells how long that took.
-func (p *play) settle(ctx context.Context, within time.Duration) (time.Duration, bool) {
+func (p *run) waitForMembership(ctx context.Context, within time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	for time.Since(began) < within && ctx.Err() == nil {
-		if p.apart() == "" {
+		if p.membershipDifference() == "" {
 			return time.Since(began), true
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -22,15 +22,15 @@
 }
 
 // seated waits until all that are there hold their part.
-func (p *play) seated(ctx context.Context, within time.Duration) {
-	if p.s.Planted == "quorum" {
-		time.Sleep(p.s.Longest * 3) // its replicas grant nothing before what others granted has ended
+func (p *run) waitForShares(ctx context.Context, within time.Duration) {
+	if p.scenario.Mutation == "quorum" {
+		time.Sleep(p.scenario.MaxWait * 3) // its replicas grant nothing before what others granted has ended
 		return
 	}
-	for by := time.Now().Add(p.s.Term + p.s.Term/4 + within); time.Now().Before(by) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
+	for by := time.Now().Add(p.scenario.ShareTerm + p.scenario.ShareTerm/4 + within); time.Now().Before(by) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
 		all := true
-		for _, g := range p.site.Gateways {
-			if s, err := agent.FetchStatus(g.Control); !p.down[g.Label()] && (err != nil || len(s.Budgets) == 0 || s.Budgets[0].ShareSeconds < 0) {
+		for _, g := range p.installation.Gateways {
+			if s, err := agent.FetchStatus(g.Control); !p.notRunning[g.Label()] && (err != nil || len(s.Budgets) == 0 || s.Budgets[0].ShareSeconds < 0) {
 				all = false
 			}
 		}
@@ -38,19 +38,19 @@
 			return
 		}
 	}
-	p.wrong = append(p.wrong, "eventual: not all members hold their part of the budget a term after the start")
+	p.failures = append(p.failures, "eventual: not all members hold their part of the budget a term after the start")
 }
 
 // apart is the first pair that don't know each other; empty: there is none.
-func (p *play) apart() string {
+func (p *run) membershipDifference() string {
 	type one struct {
 		label  string
 		status *agent.Status
 	}
 	var all []one
-	for _, g := range p.site.Gateways {
+	for _, g := range p.installation.Gateways {
 		p.mu.Lock()
-		down := p.down[g.Label()]
+		down := p.notRunning[g.Label()]
 		p.mu.Unlock()
 		if down {
 			continue
@@ -80,8 +80,8 @@
 			}
 		}
 	}
-	if p.s.Charter.Voters > 0 {
-		return p.apartOnPolicy()
+	if p.scenario.Rollout.Voters > 0 {
+		return p.policyDifference()
 	}
 	return ""
 }
--- a/internal/testbed/faulttest/disturbance.go
+++ b/internal/testbed/faulttest/disturbance.go
@@ -71,11 +71,11 @@
 
 // stands tells whether a scenario has a process stand still, or may have.
 func (s *Scenario) stands(label string) bool {
-	if s.Dies != "" && strings.Contains(s.Dies, "stop") {
+	if s.CrashPoint != "" && strings.Contains(s.CrashPoint, "stop") {
 		return true
 	}
 	for _, step := range s.Steps {
-		if step.Do == "stop" && slices.ContainsFunc(step.Gateways, func(name string) bool { fits, _ := path.Match(name, label); return fits }) {
+		if step.Action == "stop" && slices.ContainsFunc(step.Gateways, func(name string) bool { fits, _ := path.Match(name, label); return fits }) {
 			return true
 		}
 	}
@@ -91,10 +91,10 @@
 func (r *Result) Repeat() bool { return r.Disturbed() && !r.Good() && r.timely == len(r.Violations) }
 
 // violate takes down what must hold at every instant, and did not.
-func (r *Result) violate(what ...string) { r.Violations = append(r.Violations, what...) }
+func (r *Result) addViolations(what ...string) { r.Violations = append(r.Violations, what...) }
 
 // miss takes down what was to come about within a time, and did not.
-func (r *Result) miss(what ...string) {
-	r.violate(what...)
+func (r *Result) addTimedViolations(what ...string) {
+	r.addViolations(what...)
 	r.timely += len(what)
 }
--- a/internal/testbed/faulttest/disturbance_test.go
+++ b/internal/testbed/faulttest/disturbance_test.go
@@ -22,8 +22,8 @@
 		{what: "a rule broken, and late, in a disturbed run", delay: time.Second, strict: []string{"rule 2: twice"}, missed: []string{"eventual: late", "broken"}, disturbed: true},
 	} {
 		r := &Result{WakeDelay: c.delay}
-		r.miss(c.missed...)
-		r.violate(c.strict...)
+		r.addTimedViolations(c.missed...)
+		r.addViolations(c.strict...)
 		if r.Disturbed() != c.disturbed || r.Repeat() != c.runs || len(r.Violations) != len(c.strict)+len(c.missed) {
 			t.Errorf("%s: disturbed %v, to be repeated %v, violations %q", c.what, r.Disturbed(), r.Repeat(), r.Violations)
 		}
@@ -72,11 +72,11 @@
 		return history.Event{Kind: history.LateWake, Label: label, AgeNanos: int64(after)}
 	}
 	events := []history.Event{woke("g0", 3*time.Second), woke("g1", time.Second), woke("g2", 2*time.Second), {Kind: history.OutcomeObserved, Label: "g1", AgeNanos: int64(time.Hour)}}
-	s := &Scenario{Steps: []Step{{Do: "stop", Gateways: []string{"g0"}}, {Do: "kill", Gateways: []string{"g2"}}}}
+	s := &Scenario{Steps: []Step{{Action: "stop", Gateways: []string{"g0"}}, {Action: "kill", Gateways: []string{"g2"}}}}
 	if got := s.wakeDelay(events); got != 2*time.Second {
 		t.Errorf("%v", got)
 	}
-	if got := (&Scenario{Dies: "leading yielding 0 stop"}).wakeDelay(events); got != 0 {
+	if got := (&Scenario{CrashPoint: "leading yielding 0 stop"}).wakeDelay(events); got != 0 {
 		t.Errorf("%v where any may be stopped", got)
 	}
 }
--- a/internal/testbed/faulttest/outages.go
+++ b/internal/testbed/faulttest/outages.go
@@ -25,14 +25,14 @@
 // Outages are the bad times of engines in a run.
 func (r *Result) Outages() (out []Outage) {
 	for _, t := range r.Scenario.Steps {
-		if t.Do != "engine" || t.Until == 0 {
+		if t.Action != "engine" || t.Until == 0 {
 			continue
 		}
 		for _, engine := range t.Engines {
-			o := Outage{Engine: engine, Be: t.Be, At: t.At, Length: t.Until - t.At}
+			o := Outage{Engine: engine, Be: t.EngineState, At: t.At, Length: t.Until - t.At}
 			last := map[string]time.Duration{}
 			for _, e := range r.Events {
-				at := time.Duration(e.At - r.Zero)
+				at := time.Duration(e.At - r.StartMonotonic)
 				if e.Kind != history.AttemptSent || at < t.At || at >= t.Until {
 					continue
 				}
@@ -69,7 +69,7 @@
 func Compare(out io.Writer, with, without *Result) {
 	a, b := with.Outages(), without.Outages()
 	fmt.Fprintf(out, "%s: %d gateways, %d engines, %.1f tasks a second each; real processes and sockets on loopback, both at the same time\n", with.Scenario.Name,
-		with.Scenario.Gateways, with.Scenario.Engines, with.Scenario.Rate)
+		with.Scenario.Gateways, with.Scenario.Engines, with.Scenario.RequestRate)
 	fmt.Fprintln(out, "                            with sharing                           without")
 	fmt.Fprintln(out, "engine   is        for s    t95 s  hand-offs there  worth served   t95 s  hand-offs there  worth served")
 	for i := range a {
--- a/internal/testbed/faulttest/outcome.go
+++ b/internal/testbed/faulttest/outcome.go
@@ -38,20 +38,20 @@
 		}
 		return &Outcome{[]*Result{with, without}, func(out io.Writer) { Compare(out, with, without) },
 			map[string]any{"with": with, "without": without, "outages_with": with.Outages(), "outages_without": without.Outages()}}, nil
-	case s.Warm > 0:
+	case s.WarmUp > 0:
 		shared, byNumber, err := CompareSlowStart(ctx, s, folder, program)
 		if err != nil {
 			return nil, err
 		}
 		return &Outcome{[]*Result{shared, byNumber}, func(out io.Writer) { WriteSlowStartComparison(out, shared, byNumber) }, map[string]any{"shared": shared, "by_number": byNumber}}, nil
-	case len(s.Phases) > 0 && s.Charter.Voters > 0:
+	case len(s.Phases) > 0 && s.Rollout.Voters > 0:
 		list, err := ComparePolicyModes(ctx, s, folder, program)
 		if err != nil {
 			return nil, err
 		}
 		return &Outcome{[]*Result{list[0].Result}, func(out io.Writer) { WritePolicyModes(out, list) }, list}, nil
 	case len(s.Phases) > 0:
-		list, err := Ways(ctx, s, folder, program, few)
+		list, err := CompareQuotaModes(ctx, s, folder, program, few)
 		if err != nil {
 			return nil, err
 		}
@@ -78,7 +78,7 @@
 	var results [2]*Result
 	for i, sharing := range []bool{true, false} {
 		one := *s
-		one.Sharing = sharing
+		one.HealthReports = sharing
 		all.Add(1)
 		go func() {
 			defer all.Done()
--- a/internal/testbed/faulttest/page.go
+++ b/internal/testbed/faulttest/page.go
@@ -60,7 +60,7 @@
 // Page writes a run as a page: a row a process and an engine, faults as bands, decisions as marks.
 func (r *Result) Page(out io.Writer) error {
 	s := r.Scenario
-	length := s.Length + r.Settled + time.Second
+	length := s.Length + r.ConvergedAgain + time.Second
 	x := func(at time.Duration) float64 {
 		return leftEdge + wide*float64(max(0, min(at, length)))/float64(length)
 	}
@@ -84,13 +84,13 @@
 		until := t.Until
 		if until == 0 {
 			until = min(s.Length, t.At+300*time.Millisecond)
-			if t.Do == "link" || t.Do == "engine" {
+			if t.Action == "link" || t.Action == "engine" {
 				until = s.Length
 			}
 		}
-		say := fmt.Sprintf("%s %s %v to %v: %+v", t.Do, t.Be, t.At, until, t.Rule)
+		say := fmt.Sprintf("%s %s %v to %v: %+v", t.Action, t.EngineState, t.At, until, t.Rule)
 		names := slices.Concat(t.From, t.Gateways, t.Engines)
-		if t.Do == "link" {
+		if t.Action == "link" {
 			names = append(names, t.To...)
 			if slices.Contains(t.To, "g*") || slices.Contains(t.To, "*") {
 				names = t.From
@@ -99,7 +99,7 @@
 		for name, y := range rows {
 			for _, n := range names {
 				if ok, _ := path.Match(n, name); ok {
-					p.Bands = append(p.Bands, band{x(t.At), y, x(until) - x(t.At), rowHeight - 2, t.Do, say})
+					p.Bands = append(p.Bands, band{x(t.At), y, x(until) - x(t.At), rowHeight - 2, t.Action, say})
 					break
 				}
 			}
@@ -113,7 +113,7 @@
 		if !ok {
 			continue
 		}
-		at := x(time.Duration(e.At - r.Zero))
+		at := x(time.Duration(e.At - r.StartMonotonic))
 		m := mark{X: at, Y: y + rowHeight/2}
 		switch e.Kind {
 		case history.AttemptSent:
--- a/internal/testbed/faulttest/policy.go
+++ b/internal/testbed/faulttest/policy.go
@@ -37,23 +37,23 @@
 // endsWithin is how long a proposal may take at most, with a majority of the voters there: to take it, three times the longest lease that may
 // have to end, an election and some attempts (policy rollout's own limit, and what it takes to be told).
 func (s *Scenario) endsWithin() time.Duration {
-	longest := s.Charter.Lease
+	longest := s.Rollout.Lease
 	for _, t := range s.Steps {
 		longest = max(longest, t.Policy.Both)
 	}
-	return s.Charter.Within + 4*longest + 20*time.Second
+	return s.Rollout.Within + 4*longest + 20*time.Second
 }
 
 // asks has a gateway asked something, and while it is away another.
-func (p *play) asks(ctx context.Context, first *installation.Gateway, q *agent.PolicyRequest, by time.Time) (*agent.PolicyReply, error) {
-	turn := slices.Index(p.site.Gateways, first)
+func (p *run) requestPolicy(ctx context.Context, first *installation.Gateway, q *agent.PolicyRequest, by time.Time) (*agent.PolicyReply, error) {
+	turn := slices.Index(p.installation.Gateways, first)
 	var last error
 	for time.Now().Before(by) {
-		all := p.site.Gateways
+		all := p.installation.Gateways
 		g := all[turn%len(all)]
 		turn++
 		p.mu.Lock()
-		down := p.down[g.Label()]
+		down := p.notRunning[g.Label()]
 		p.mu.Unlock()
 		if !down && g.IsRunning() {
 			until, stop := context.WithDeadline(ctx, by)
@@ -76,54 +76,54 @@
 }
 
 // offer makes a proposal, and waits for its end beside what else happens.
-func (p *play) offer(t Step) {
+func (p *run) propose(t Step) {
 	var first *installation.Gateway
-	p.each(t.Gateways, func(g *installation.Gateway) error {
+	p.eachGateway(t.Gateways, func(g *installation.Gateway) error {
 		if first == nil {
 			first = g
 		}
 		return nil
 	})
 	if first == nil {
-		p.wrong = append(p.wrong, fmt.Sprintf("step at %v: no gateway is called %v", t.At, t.Gateways))
+		p.failures = append(p.failures, fmt.Sprintf("step at %v: no gateway is called %v", t.At, t.Gateways))
 		return
 	}
-	if t.Do == "voters" || t.Do == "force" {
-		q := &agent.PolicyRequest{Operation: agent.PolicyOperation(t.Do), Voters: t.Gateways}
-		if _, err := p.asks(context.Background(), first, q, time.Now().Add(10*time.Second)); err != nil {
-			p.wrong = append(p.wrong, fmt.Sprintf("step at %v: %s: %v", t.At, t.Do, err))
+	if t.Action == "voters" || t.Action == "force" {
+		q := &agent.PolicyRequest{Operation: agent.PolicyOperation(t.Action), Voters: t.Gateways}
+		if _, err := p.requestPolicy(context.Background(), first, q, time.Now().Add(10*time.Second)); err != nil {
+			p.failures = append(p.failures, fmt.Sprintf("step at %v: %s: %v", t.At, t.Action, err))
 		}
 		return
 	}
-	if p.drawn == nil {
-		p.drawn = map[string]uint64{}
+	if p.proposalIDs == nil {
+		p.proposalIDs = map[string]uint64{}
 	}
-	id := p.drawn[t.As]
+	id := p.proposalIDs[t.ProposalName]
 	if id == 0 {
-		if id = rand.Uint64() | 1; t.As != "" {
-			p.drawn[t.As] = id
+		if id = rand.Uint64() | 1; t.ProposalName != "" {
+			p.proposalIDs[t.ProposalName] = id
 		}
 	}
-	t.Policy.Fleet = p.s.Whole.Any()
-	q := &agent.PolicyRequest{Operation: map[string]agent.PolicyOperation{"change": agent.ProposeOperation, "rollback": agent.RollbackOperation, "rehearse": agent.RehearseOperation}[t.Kind], ID: id, Text: t.Policy.Text(), Number: uint64(t.Number),
+	t.Policy.Fleet = p.scenario.Limits.Any()
+	q := &agent.PolicyRequest{Operation: map[string]agent.PolicyOperation{"change": agent.ProposeOperation, "rollback": agent.RollbackOperation, "rehearse": agent.RehearseOperation}[t.ProposalKind], ID: id, Text: t.Policy.Text(), Number: uint64(t.PolicyNumber),
 		DurationMillis: t.Policy.Rehearse.Milliseconds()}
-	if t.Kind == "rollback" {
+	if t.ProposalKind == "rollback" {
 		q.Text = nil
 	}
-	p.offers.Add(1)
+	p.proposals.Add(1)
 	go func() {
-		defer p.offers.Done()
-		for by := time.Now().Add(p.s.endsWithin()); p.attempt(first, q) && t.As == "" && time.Now().Before(by); time.Sleep(100 * time.Millisecond) {
+		defer p.proposals.Done()
+		for by := time.Now().Add(p.scenario.endsWithin()); p.tryProposal(first, q) && t.ProposalName == "" && time.Now().Before(by); time.Sleep(100 * time.Millisecond) {
 			q.ID = rand.Uint64() | 1 // another one was open: it is proposed again, as its operator would
 		}
 	}()
 }
 
 // attempt makes a proposal and waits for its end; true: another one was open.
-func (p *play) attempt(first *installation.Gateway, q *agent.PolicyRequest) bool {
+func (p *run) tryProposal(first *installation.Gateway, q *agent.PolicyRequest) bool {
 	began := time.Now()
-	a, err := p.asks(context.Background(), first, q, began.Add(p.s.endsWithin()))
-	k := Proposed{At: began.Sub(p.began), By: first.Label(), Took: time.Since(began), End: "unknown", id: q.ID, digest: rollout.DigestOf(q.Text).String()}
+	a, err := p.requestPolicy(context.Background(), first, q, began.Add(p.scenario.endsWithin()))
+	k := Proposed{At: began.Sub(p.startedAt), By: first.Label(), Took: time.Since(began), End: "unknown", id: q.ID, digest: rollout.DigestOf(q.Text).String()}
 	if q.Text == nil { // of one before
 		k.digest = ""
 	}
@@ -134,20 +134,20 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.made = append(p.made, k)
+	p.proposed = append(p.proposed, k)
 	return k.End == "refused" && strings.Contains(k.Why, "is open")
 }
 
 // firstText is the first policy's: the scenario's limits.
-func (p *play) firstText() []byte {
-	return (&installation.Policy{ClusterLimits: p.s.Whole, Fleet: p.s.Whole.Any()}).Text()
+func (p *run) firstPolicyText() []byte {
+	return (&installation.Policy{ClusterLimits: p.scenario.Limits, Fleet: p.scenario.Limits.Any()}).Text()
 }
 
 // first has the scenario's limits be the first policy, and all go by it.
-func (p *play) first(ctx context.Context) error {
-	q := &agent.PolicyRequest{Operation: agent.ProposeOperation, ID: 1, Text: p.firstText()}
-	by := time.Now().Add(p.s.Settle + 5*p.s.Charter.Lease)
-	a, err := p.asks(ctx, p.site.Gateways[len(p.site.Gateways)-1], q, by)
+func (p *run) proposeFirst(ctx context.Context) error {
+	q := &agent.PolicyRequest{Operation: agent.ProposeOperation, ID: 1, Text: p.firstPolicyText()}
+	by := time.Now().Add(p.scenario.ConvergeWithin + 5*p.scenario.Rollout.Lease)
+	a, err := p.requestPolicy(ctx, p.installation.Gateways[len(p.installation.Gateways)-1], q, by)
 	if err != nil {
 		return fmt.Errorf("eventual: the first policy was not decided: %w", err)
 	}
@@ -155,20 +155,20 @@
 		return fmt.Errorf("eventual: the first policy was not decided: %+v", a.Result)
 	}
 	for time.Now().Before(by) {
-		if p.apartOnPolicy() == "" {
+		if p.policyDifference() == "" {
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return fmt.Errorf("eventual: not all go by the first policy: %s", p.apartOnPolicy())
+	return fmt.Errorf("eventual: not all go by the first policy: %s", p.policyDifference())
 }
 
 // apartOnPolicy is the first gateway that is there and does not go by what the others do; empty: there is none.
-func (p *play) apartOnPolicy() string {
+func (p *run) policyDifference() string {
 	number, of := uint64(0), ""
-	for _, g := range p.site.Gateways {
+	for _, g := range p.installation.Gateways {
 		p.mu.Lock()
-		down := p.down[g.Label()]
+		down := p.notRunning[g.Label()]
 		p.mu.Unlock()
 		if down {
 			continue
@@ -296,9 +296,9 @@
 }
 
 // judgePolicies holds a run's histories and proposals against what must hold.
-func (p *play) judgePolicies(r *Result) {
+func (p *run) checkPolicies(r *Result) {
 	f, wrong := CheckPolicies(r.Events)
-	r.Proposals = p.made
+	r.Proposals = p.proposed
 	slices.SortFunc(r.Proposals, func(a, b Proposed) int { return int(a.At - b.At) })
 	var took []time.Duration
 	ends := map[uint64]Proposed{}
@@ -307,14 +307,14 @@
 			took = append(took, k.Took)
 		}
 		if k.End == "unknown" || k.End == "pending" {
-			r.miss(fmt.Sprintf("eventual: what %s proposed at %v had not ended %v later: %s", k.By, k.At.Round(time.Millisecond), k.Took.Round(time.Millisecond), k.Why))
+			r.addTimedViolations(fmt.Sprintf("eventual: what %s proposed at %v had not ended %v later: %s", k.By, k.At.Round(time.Millisecond), k.Took.Round(time.Millisecond), k.Why))
 		}
 		if b, ok := ends[k.id]; ok && b.End != k.End {
 			wrong = append(wrong, fmt.Sprintf("policy: one proposal is %s and %s", b, k))
 		}
 		ends[k.id] = k
 	}
-	decided := map[string]bool{rollout.DigestOf(p.firstText()).String(): true}
+	decided := map[string]bool{rollout.DigestOf(p.firstPolicyText()).String(): true}
 	for _, k := range r.Proposals {
 		decided[k.digest] = decided[k.digest] || k.End != "dropped" && k.End != "refused" && k.End != "rehearsed"
 	}
@@ -334,7 +334,7 @@
 		f.Loads += btoi(r.Requests[i].Load)
 	}
 	r.Policies = &f
-	r.violate(wrong...)
+	r.addViolations(wrong...)
 }
 
 // Text writes them for people.
@@ -379,17 +379,17 @@
 // ComparePolicyModes plays a scenario with a policy rollout, and the same changes from files that gateways read at SIGHUP one after the other.
 func ComparePolicyModes(ctx context.Context, s *Scenario, folder, program string) (list []*PolicyMode, err error) {
 	files := *s
-	files.Charter, files.Steps = installation.Rollout{}, nil
+	files.Rollout, files.Steps = installation.Rollout{}, nil
 	number := 1
 	const between = 100 * time.Millisecond // as a script would go through them
 	for _, t := range s.Steps {
-		if t.Do != "propose" {
+		if t.Action != "propose" {
 			files.Steps = append(files.Steps, t)
 			continue
 		}
 		number++
 		for k := range s.Gateways {
-			files.Steps = append(files.Steps, Step{At: t.At + time.Duration(k)*between, Do: "limit", Gateways: []string{fmt.Sprint("g", k)}, Whole: t.Policy.ClusterLimits, Number: number, Folder: "same"})
+			files.Steps = append(files.Steps, Step{At: t.At + time.Duration(k)*between, Action: "limit", Gateways: []string{fmt.Sprint("g", k)}, Limits: t.Policy.ClusterLimits, PolicyNumber: number, Folder: "same"})
 		}
 	}
 	for i, w := range []*PolicyMode{{Name: "charter"}, {Name: "files at SIGHUP"}} {
@@ -428,7 +428,7 @@
 		case history.BudgetUsed:
 			out.uses++
 			if highest = max(highest, goes[k]); goes[k] < highest {
-				out.at = append(out.at, time.Duration(e.At-r.Zero))
+				out.at = append(out.at, time.Duration(e.At-r.StartMonotonic))
 			}
 		}
 	}
@@ -475,7 +475,7 @@
 		f.Served = earned / asked
 	}
 	for i := range r.Events {
-		if e := &r.Events[i]; e.Kind == history.RequestDecided && e.Code == "unsure" && in(time.Duration(e.At-r.Zero)) {
+		if e := &r.Events[i]; e.Kind == history.RequestDecided && e.Code == "unsure" && in(time.Duration(e.At-r.StartMonotonic)) {
 			f.Unsure++
 		}
 	}
@@ -488,7 +488,7 @@
 // WritePolicyModes writes the ways side by side.
 func WritePolicyModes(out io.Writer, list []*PolicyMode) {
 	s := list[0].Result.Scenario
-	fmt.Fprintf(out, "%s: %d gateways, %d voters, lease %v, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Charter.Voters, s.Charter.Lease,
+	fmt.Fprintf(out, "%s: %d gateways, %d voters, lease %v, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Rollout.Voters, s.Rollout.Lease,
 		s.Engines)
 	for _, w := range list {
 		fmt.Fprintf(out, "\n%s\n%-16s %9s %9s %9s %9s %9s %9s %9s %7s  %s\n", w.Name, "phase", "in force", "p99", "no lease", "served", "older", "look p50", "p99", "changes", "")
--- a/internal/testbed/faulttest/quota_modes.go
+++ b/internal/testbed/faulttest/quota_modes.go
@@ -40,27 +40,27 @@
 	Tasks int           `json:"tasks"`
 }
 
-// Ways plays a scenario with each way of sharing its budget, or the first few, one after the other on the same machine; the last is without
+// CompareQuotaModes plays a scenario with each way of sharing its budget, or the first few, one after the other on the same machine; the last is without
 // a limit: what it uses, up to the total, is what one that knows all could have.
-func Ways(ctx context.Context, s *Scenario, folder, program string, few int) (list []*QuotaMode, err error) {
+func CompareQuotaModes(ctx context.Context, s *Scenario, folder, program string, few int) (list []*QuotaMode, err error) {
 	list = []*QuotaMode{{Name: "lent"}, {Name: "equal parts", Planted: "equal-parts"}, {Name: "a quorum a task", Planted: "quorum"}, {Name: "no limit"}}
 	if few > 0 && few < len(list) {
 		list = append(list[:few], list[len(list)-1])
 	}
 	for i, w := range list {
 		one := *s
-		if one.Planted = w.Planted; i == len(list)-1 {
-			one.Whole = installation.ClusterLimits{}
+		if one.Mutation = w.Planted; i == len(list)-1 {
+			one.Limits = installation.ClusterLimits{}
 		}
 		if w.Result, err = Run(ctx, &one, filepath.Join(folder, fmt.Sprint("way", i)), program); err != nil {
 			return nil, fmt.Errorf("%s: %w", w.Name, err)
 		}
-		w.Phases = w.Result.Uses(s.Whole.Threads)
+		w.Phases = w.Result.Uses(s.Limits.Threads)
 	}
 	rest := list[len(list)-1].Result
 	for _, w := range list {
-		perSecond := func(r *Result) float64 { return float64(r.Counts.Datagrams) / r.Played.Seconds() }
-		w.Sent = (perSecond(w.Result) - perSecond(rest)) * w.Result.Played.Seconds() / float64(max(1, w.Result.Ends[sqlclient.Served]))
+		perSecond := func(r *Result) float64 { return float64(r.Counts.Datagrams) / r.PlayTime.Seconds() }
+		w.Sent = (perSecond(w.Result) - perSecond(rest)) * w.Result.PlayTime.Seconds() / float64(max(1, w.Result.Ends[sqlclient.Served]))
 	}
 	return list, nil
 }
@@ -78,8 +78,8 @@
 	}
 	var open []taken
 	row := make([]float64, len(labels))
-	next := r.Zero + int64(sample)
-	end := r.Zero + int64(r.Scenario.Length)
+	next := r.StartMonotonic + int64(sample)
+	end := r.StartMonotonic + int64(r.Scenario.Length)
 	flush := func(at int64) {
 		for ; next <= min(at, end); next += int64(sample) {
 			clear(row)
@@ -129,7 +129,7 @@
 	s := r.Scenario
 	labels, used := r.use()
 	total := float64(most)
-	if s.Whole.Threads == 0 {
+	if s.Limits.Threads == 0 {
 		labels, used = []string{""}, r.running(most)
 	}
 	for _, p := range s.Phases {
@@ -137,7 +137,7 @@
 		part := make([]bool, len(labels))
 		seats := 0.0
 		for i, l := range labels {
-			for _, name := range p.Part {
+			for _, name := range p.Gateways {
 				if ok, _ := path.Match(name, l); ok {
 					part[i] = true
 					seats++
@@ -169,7 +169,7 @@
 		for i := range r.Requests {
 			if t := &r.Requests[i]; t.At >= p.At && t.At < p.Until {
 				if u.Tasks++; t.End == sqlclient.Served {
-					took = append(took, t.Took-s.Service)
+					took = append(took, t.Took-s.LoadService)
 				}
 			}
 		}
@@ -192,7 +192,7 @@
 // WriteQuotaModes writes the ways side by side.
 func WriteQuotaModes(out io.Writer, list []*QuotaMode) {
 	s := list[0].Result.Scenario
-	fmt.Fprintf(out, "%s: %d gateways, %d threads for all, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Whole.Threads, s.Engines)
+	fmt.Fprintf(out, "%s: %d gateways, %d threads for all, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Limits.Threads, s.Engines)
 	fmt.Fprintln(out, "share of the total in use, in its least half second, and tasks' time beyond their service, ms")
 	fmt.Fprintf(out, "%-17s", "")
 	for _, w := range list {
@@ -213,7 +213,7 @@
 			}
 		}
 		fmt.Fprintln(out)
-		if len(p.Part) > 0 {
+		if len(p.Gateways) > 0 {
 			fmt.Fprintf(out, "%-17s", "  its own part")
 			for _, w := range list {
 				if i < len(w.Phases) {
@@ -263,7 +263,7 @@
 		area.Color, area.LineStyle.Width = colors[i], 0
 		p.Add(area)
 	}
-	total, err := plotter.NewLine(plotter.XYs{{X: 0, Y: float64(r.Scenario.Whole.Threads)}, {X: r.Scenario.Length.Seconds(), Y: float64(r.Scenario.Whole.Threads)}})
+	total, err := plotter.NewLine(plotter.XYs{{X: 0, Y: float64(r.Scenario.Limits.Threads)}, {X: r.Scenario.Length.Seconds(), Y: float64(r.Scenario.Limits.Threads)}})
 	if err != nil {
 		return err
 	}
@@ -271,12 +271,12 @@
 	p.Add(total)
 	p.Legend.Add("total", total)
 	for _, u := range r.Scenario.Phases {
-		text, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: u.At.Seconds(), Y: 1.04 * float64(r.Scenario.Whole.Threads)}}, Labels: []string{u.Name}})
+		text, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: u.At.Seconds(), Y: 1.04 * float64(r.Scenario.Limits.Threads)}}, Labels: []string{u.Name}})
 		if err != nil {
 			return err
 		}
 		p.Add(text)
 	}
-	p.Y.Min, p.Y.Max = 0, 1.15*float64(r.Scenario.Whole.Threads)
+	p.Y.Min, p.Y.Max = 0, 1.15*float64(r.Scenario.Limits.Threads)
 	return p.Save(24*vg.Centimeter, 12*vg.Centimeter, path)
 }
--- a/internal/testbed/faulttest/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -39,7 +39,7 @@
 	return filepath.Join(dir, "magpiebank"), err
 })
 
-func run(t *testing.T, s *Scenario) *Result {
+func runScenario(t *testing.T, s *Scenario) *Result {
 	t.Helper()
 	program, err := laboratory()
 	if err != nil {
@@ -60,7 +60,7 @@
 	t.Helper()
 	for {
 		beside := playing.enter()
-		r := run(t, s)
+		r := runScenario(t, s)
 		playing.leave(r.Disturbed(), beside)
 		if !r.Repeat() || beside == 1 {
 			return r
@@ -106,8 +106,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Planted, s.Settle = c.defect, 8*time.Second
-			r := run(t, s)
+			s.Mutation, s.ConvergeWithin = c.defect, 8*time.Second
+			r := runScenario(t, s)
 			found := false
 			for _, v := range r.Violations {
 				found = found || strings.Contains(v, c.rule)
@@ -126,8 +126,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Sharing = false
-	if r := run(t, s); !slices.ContainsFunc(r.Violations, func(v string) bool { return strings.Contains(v, "left alone") }) {
+	s.HealthReports = false
+	if r := runScenario(t, s); !slices.ContainsFunc(r.Violations, func(v string) bool { return strings.Contains(v, "left alone") }) {
 		t.Errorf("without sharing nothing was missed: %q", r.Violations)
 	}
 }
@@ -166,7 +166,7 @@
 	least := Shrink(s, 100, func(s *Scenario) bool { // fails with a link and a kill
 		link, kill := false, false
 		for _, t := range s.Steps {
-			link, kill = link || t.Do == "link", kill || t.Do == "kill"
+			link, kill = link || t.Action == "link", kill || t.Action == "kill"
 		}
 		return link && kill
 	})
@@ -283,7 +283,7 @@
 		return fake.RunningChange{At: began.Add(time.Duration(seconds * float64(time.Second))), Class: lane, Delta: by}
 	}
 	limits := readTotals([]history.Event{{Kind: history.TotalChanged, Code: "loads threads", Number: 2, Of: 1, Process: "g0"}}, []string{"g0"}, time.Second)
-	s := &Scenario{Whole: installation.ClusterLimits{Threads: 2}}
+	s := &Scenario{Limits: installation.ClusterLimits{Threads: 2}}
 	runs := []fake.RunningChange{run(1, "load", 1), run(1.1, "look", 1), run(1.2, "load", 1), run(1.3, "load", -1), run(1.4, "load", 1)}
 	if out := CheckEngines(s, runs, began, 0, limits); out != nil {
 		t.Errorf("found %q", out)
@@ -292,7 +292,7 @@
 	if out := CheckEngines(s, runs, began, 0, limits); len(out) != 1 || !strings.Contains(out[0], "engines: 3 loads") {
 		t.Errorf("found %q", out)
 	}
-	s.Steps = []Step{{Do: "link", From: []string{"g0"}, To: []string{"*"}}}
+	s.Steps = []Step{{Action: "link", From: []string{"g0"}, To: []string{"*"}}}
 	if out := CheckEngines(s, runs, began, 0, limits); out != nil {
 		t.Errorf("found %q", out)
 	}
--- a/internal/testbed/faulttest/slow_start.go
+++ b/internal/testbed/faulttest/slow_start.go
@@ -20,13 +20,13 @@
 }
 
 // coldStarts reads what engines that restarted were sent until they were warm.
-func coldStarts(s *Scenario, c installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) (out []SlowStartRecord) {
+func slowStartRecords(s *Scenario, c installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) (out []SlowStartRecord) {
 	if c.Warm == 0 {
 		return nil
 	}
 	tips := c.Factor * c.Share * cores * c.Tip.Seconds()
 	for _, t := range s.Steps {
-		if t.Do != "engine" || t.Be != "restarts" {
+		if t.Action != "engine" || t.EngineState != "restarts" {
 			continue
 		}
 		for _, engine := range t.Engines {
@@ -56,10 +56,10 @@
 // CompareSlowStart plays a scenario with what engines that are warming up may be sent shared by messages, and by number, one after the other.
 func CompareSlowStart(ctx context.Context, s *Scenario, folder, program string) (shared, byNumber *Result, err error) {
 	one := *s
-	one.Cold = true
+	one.SharedSlowStart = true
 	if shared, err = Run(ctx, &one, filepath.Join(folder, "shared"), program); err == nil {
 		two := *s
-		two.Cold = false
+		two.SharedSlowStart = false
 		byNumber, err = Run(ctx, &two, filepath.Join(folder, "number"), program)
 	}
 	return shared, byNumber, err
@@ -68,7 +68,7 @@
 // WriteSlowStartComparison writes both side by side.
 func WriteSlowStartComparison(out io.Writer, shared, byNumber *Result) {
 	s := shared.Scenario
-	fmt.Fprintf(out, "%s: %d gateways, %d engines, %.1f tasks a second each; real processes and sockets on loopback, one after the other\n", s.Name, s.Gateways, s.Engines, s.Rate)
+	fmt.Fprintf(out, "%s: %d gateways, %d engines, %.1f tasks a second each; real processes and sockets on loopback, one after the other\n", s.Name, s.Gateways, s.Engines, s.RequestRate)
 	fmt.Fprintln(out, "most sent in a second after which an engine tips over (1: what tips it over in its first moment), tasks by second from its start")
 	for i, r := range []*Result{shared, byNumber} {
 		for _, c := range r.SlowStarts {
