--- a/internal/admission/outlier.go
+++ b/internal/admission/outlier.go
@@ -60,7 +60,7 @@
 		c.reportObservation(e, saw)
 	}
 	if e.failures.points-c.leastFailureScore(0) >= ejectionScore && e.failures.shouldLog(c.now) {
-		c.host.LogEvent(fmt.Sprintf("engine %s distrusted: no new requests until the score fades", e.Engine))
+		c.host.LogEvent(fmt.Sprintf("engine %s ejected: no new requests until its failure score decays", e.Engine))
 	}
 }
 
--- a/internal/admission/outlier_test.go
+++ b/internal/admission/outlier_test.go
@@ -38,7 +38,7 @@
 		}
 		return s
 	},
-	"errors": func() *script { // bad clients' requests fail everywhere, and make no engine distrusted
+	"errors": func() *script { // bad clients' requests fail everywhere, and eject no engine
 		s := start(deployment(), "e1")
 		e := &s.engines.items[0]
 		for _, how := range []Outcome{Errored, Lost} {
