--- a/cmd/magpiebank-operator/digest.go
+++ b/cmd/magpiebank-operator/digest.go
@@ -9,143 +9,146 @@
 
 	"github.com/spf13/cobra"
 
-	"magpiebank/internal/query/costmodel"
 	"magpiebank/internal/query/digest"
 	"magpiebank/internal/traffic/importer"
 	"magpiebank/internal/traffic/trace"
 	"magpiebank/internal/workload"
 )
 
+// traceFormat is the recording format that isn't the importer's.
+const traceFormat = "trace"
+
+// digestOptions are the digest command's flags.
+type digestOptions struct {
+	format        string // of the recording; empty: by its first bytes
+	operatorFile  string
+	snapshot      string
+	htmlFile      string
+	maxShapes     int
+	asJSON        bool
+	recordingFile string
+}
+
 func digestCommand() *cobra.Command {
-	var form, file, snapshot, page string
-	var most int
-	var asJSON bool
+	var options digestOptions
 	c := &cobra.Command{Use: "digest FILE", Short: "Print the shapes that cost most in a trace, or in MySQL's slow log", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := statements(file)
+			options.recordingFile = args[0]
+			summary, err := options.summarize(c.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			var costs digest.CostLookup
-			if snapshot != "" {
-				known, err := workload.ReadSnapshot(snapshot)
-				if err != nil {
-					return err
-				}
-				costs = known.UsualMillis
-			}
-			entries, amiss, err := recorded(args[0], form)
-			if err != nil {
-				return fmt.Errorf("%s: %w", args[0], err)
-			}
-			for _, line := range amiss {
-				fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", args[0], line)
-			}
-			if len(entries) == 0 {
-				return fmt.Errorf("%s: expected statements, found none", args[0])
-			}
-			d := digest.Summarize(entries, most, s.TableLookup(), costs)
-			if page != "" {
-				f, err := os.Create(page)
-				if err != nil {
-					return err
-				}
-				if err := errors.Join(d.WriteHTML(f), f.Close()); err != nil {
-					return err
-				}
-			}
-			if asJSON {
-				out := json.NewEncoder(c.OutOrStdout())
-				out.SetIndent("", " ")
-				return out.Encode(d)
-			}
-			return d.WriteText(c.OutOrStdout())
+			return options.write(c.OutOrStdout(), summary)
 		}}
-	c.Flags().StringVar(&form, "form", "", "trace, mysql-slow, mysql-general, jsonl or csv; default told from the file's beginning: a trace, or a slow log")
-	c.Flags().StringVar(&file, "operator", "", "the operator's file, for what it says of tables")
-	c.Flags().StringVar(&snapshot, "snapshot", "", "a gateway's snapshot, for what statements without a time usually take")
-	c.Flags().StringVar(&page, "html", "", "write the digest's page to this file")
-	c.Flags().IntVar(&most, "most", 20, "how many shapes")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the digest as JSON")
+	c.Flags().StringVar(&options.format, "form", "", "trace, mysql-slow, mysql-general, jsonl or csv; default told from the file's beginning: a trace, or a slow log")
+	c.Flags().StringVar(&options.operatorFile, "operator", "", "the operator's file, for what it says of tables")
+	c.Flags().StringVar(&options.snapshot, "snapshot", "", "a gateway's snapshot, for what statements without a time usually take")
+	c.Flags().StringVar(&options.htmlFile, "html", "", "write the digest's page to this file")
+	c.Flags().IntVar(&options.maxShapes, "most", 20, "how many shapes")
+	c.Flags().BoolVar(&options.asJSON, "json", false, "print the digest as JSON")
 	return c
 }
 
-// recorded reads a recording in any form that is known.
-func recorded(path, form string) (entries []digest.Entry, amiss []string, err error) {
-	f, err := os.Open(path)
+// summarize reads the recording. It writes what it can't read of it to the warnings.
+func (o *digestOptions) summarize(warnings io.Writer) (*digest.Digest, error) {
+	statements, err := readStatements(o.operatorFile)
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	defer f.Close()
-	if form == "" {
-		head := make([]byte, len(trace.Magic))
-		io.ReadFull(f, head)
-		if _, err := f.Seek(0, io.SeekStart); err != nil {
-			return nil, nil, err
+	var costs digest.CostLookup
+	if o.snapshot != "" {
+		snapshot, err := workload.ReadSnapshot(o.snapshot)
+		if err != nil {
+			return nil, err
 		}
-		if form = string(importer.SlowLog); string(head) == trace.Magic {
-			form = "trace"
+		costs = snapshot.UsualMillis
+	}
+	entries, faults, err := readRecording(o.recordingFile, o.format)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", o.recordingFile, err)
+	}
+	for _, fault := range faults {
+		fmt.Fprintf(warnings, "%s: %s\n", o.recordingFile, fault)
+	}
+	if len(entries) == 0 {
+		return nil, fmt.Errorf("%s: expected statements, found none", o.recordingFile)
+	}
+	return digest.Summarize(entries, o.maxShapes, statements.TableLookup(), costs), nil
+}
+
+// write writes the digest as text or JSON, and its page where one is asked for.
+func (o *digestOptions) write(out io.Writer, summary *digest.Digest) error {
+	if o.htmlFile != "" {
+		page, err := os.Create(o.htmlFile)
+		if err != nil {
+			return err
+		}
+		if err := errors.Join(summary.WriteHTML(page), page.Close()); err != nil {
+			return err
 		}
 	}
-	var raws []importer.Entry
-	if form == "trace" {
-		t, err := trace.Read(f)
+	if !o.asJSON {
+		return summary.WriteText(out)
+	}
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", " ")
+	return encoder.Encode(summary)
+}
+
+// readRecording reads the statements of a recording, and what can't be read of it.
+func readRecording(path, format string) (entries []digest.Entry, faults []string, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, nil, err
+	}
+	defer func() { _ = file.Close() }() // it was only read
+	if format == "" {
+		format, err = detectFormat(file)
 		if err != nil {
 			return nil, nil, err
 		}
-		for _, r := range t.Records {
-			raws = append(raws, importer.Entry{Record: r})
-		}
-	} else if raws, amiss, err = importer.Read(f, importer.Format(form), importer.Options{KeepText: true}); err != nil {
+	}
+	imported, faults, err := importRecording(file, format)
+	if err != nil {
 		return nil, nil, err
 	}
-	for i := range raws {
-		r := &raws[i]
-		if r.Record.Shape == 0 {
+	for i := range imported {
+		one := &imported[i]
+		if one.Record.Shape == 0 {
 			continue // nothing of its statement was recorded
 		}
-		entries = append(entries, digest.Entry{Shape: r.Record.Shape, Group: r.Record.Group, Text: r.Record.Text, Elapsed: r.Elapsed, RowsExamined: r.RowsExamined})
+		entries = append(entries, digest.Entry{Shape: one.Record.Shape, Group: one.Record.Group, Text: one.Record.Text, Elapsed: one.Elapsed, RowsExamined: one.RowsExamined})
 	}
-	return entries, amiss, nil
+	return entries, faults, nil
 }
 
-func snapshotCommand() *cobra.Command {
-	c := &cobra.Command{Use: "snapshot", Short: "What gateways have learned, as they wrote it"}
-	show := &cobra.Command{Use: "show FILE...", Short: "Say what snapshots hold, or what is amiss with them", Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			for _, file := range args {
-				s, err := workload.ReadSnapshot(file)
-				if err != nil {
-					return err
-				}
-				shapes, answers := s.CountRecords()
-				fmt.Fprintf(c.OutOrStdout(), "%s: lanes %q, %d shapes on groups of tables, %d answers\n", file, s.ClassNames(), shapes, answers)
-			}
-			return nil
-		}}
-	var out string
-	merge := &cobra.Command{Use: "merge FILE...", Short: "Make one snapshot of those of several gateways", Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			if out == "" {
-				return errors.New("flag out: expected the file to write")
-			}
-			var list []*costmodel.Snapshot
-			for _, file := range args {
-				s, err := workload.ReadSnapshot(file)
-				if err != nil {
-					return err
-				}
-				list = append(list, s)
-			}
-			one := costmodel.MergeSnapshots(list...)
-			if err := workload.WriteSnapshot(out, one); err != nil {
-				return err
-			}
-			shapes, answers := one.CountRecords()
-			fmt.Fprintf(c.OutOrStdout(), "%s: %d shapes on groups of tables, %d answers\n", out, shapes, answers)
-			return nil
-		}}
-	merge.Flags().StringVar(&out, "out", "", "the file to write")
-	c.AddCommand(show, merge)
-	return c
+// detectFormat tells a trace by its first bytes. Anything else is taken for a slow log.
+func detectFormat(file io.ReadSeeker) (string, error) {
+	head := make([]byte, len(trace.Magic))
+	_, err := io.ReadFull(file, head)
+	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) { // a short file is no trace
+		return "", err
+	}
+	if _, err := file.Seek(0, io.SeekStart); err != nil {
+		return "", err
+	}
+	if string(head) == trace.Magic {
+		return traceFormat, nil
+	}
+	return string(importer.SlowLog), nil
+}
+
+// importRecording reads the entries of a recording, and what can't be read of it.
+func importRecording(file io.Reader, format string) (entries []importer.Entry, faults []string, err error) {
+	if format != traceFormat {
+		return importer.Read(file, importer.Format(format), importer.Options{KeepText: true})
+	}
+	recorded, err := trace.Read(file)
+	if err != nil {
+		return nil, nil, err
+	}
+	for _, record := range recorded.Records {
+		entries = append(entries, importer.Entry{Record: record})
+	}
+	return entries, nil, nil
 }
--- a/cmd/magpiebank-operator/fleet.go
+++ b/cmd/magpiebank-operator/fleet.go
@@ -11,42 +11,39 @@
 	"magpiebank/internal/workload/source"
 )
 
-// fleetCommand tells what a gateway knows of the others.
+// fleetCommand shows what a gateway knows of the others.
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "What a gateway knows of the others"}
-	c.AddCommand(told("status", "Members with their age and state; budgets and counts; engines with own and heard evidence", (*agent.Status).WriteText),
-		told("budgets", "Budgets of the whole fleet: what is held, used and lent, member by member, and counts by class", (*agent.Status).WriteBudgets))
+	c.AddCommand(
+		gatewayStatusCommand("status", "Members with their age and state; budgets and counts; engines with own and heard evidence", (*agent.Status).WriteText),
+		gatewayStatusCommand("budgets", "Budgets of the whole fleet: what is held, used and lent, member by member, and counts by class", (*agent.Status).WriteBudgets),
+	)
 	return c
 }
 
-// told is a command that asks a gateway for its state and writes it.
-func told(use, short string, text func(*agent.Status, io.Writer)) *cobra.Command {
+// gatewayStatusCommand asks a gateway for its state and writes it.
+func gatewayStatusCommand(use, short string, writeText func(*agent.Status, io.Writer)) *cobra.Command {
 	var file, control string
 	var asJSON bool
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if control == "" && file != "" {
-				f, err := source.Read(file)
-				if err != nil {
-					return err
-				}
-				if f.Fleet != nil {
-					control = f.Fleet.ControlSocket
-				}
+			socket, err := findControlSocket(control, file)
+			if err != nil {
+				return err
 			}
-			if control == "" {
+			if socket == "" {
 				return fmt.Errorf("fleet %s: name the gateway's socket by --control, or its file with fleet.control by --operator", use)
 			}
-			s, err := agent.FetchStatus(control)
+			status, err := agent.FetchStatus(socket)
 			if err != nil {
 				return err
 			}
 			if asJSON {
 				out := json.NewEncoder(c.OutOrStdout())
 				out.SetIndent("", " ")
-				return out.Encode(s)
+				return out.Encode(status)
 			}
-			text(s, c.OutOrStdout())
+			writeText(status, c.OutOrStdout())
 			return nil
 		}}
 	c.Flags().StringVar(&file, "operator", "", "the operator's file, which names the socket")
@@ -54,3 +51,15 @@
 	c.Flags().BoolVar(&asJSON, "json", false, "print the state as JSON")
 	return c
 }
+
+// findControlSocket returns the named socket, or the one that an operator's file names; empty: there is none.
+func findControlSocket(control, file string) (string, error) {
+	if control != "" || file == "" {
+		return control, nil
+	}
+	settings, err := source.Read(file)
+	if err != nil || settings.Fleet == nil {
+		return "", err
+	}
+	return settings.Fleet.ControlSocket, nil
+}
--- /dev/null
+++ b/cmd/magpiebank-operator/policydiff.go
@@ -0,0 +1,191 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/workload/source"
+)
+
+func policyShowCommand() *cobra.Command {
+	var gateway gatewayAddress
+	c := &cobra.Command{Use: "show N", Short: "Print the policy of a number", Args: cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			policy, err := gateway.readPolicy(c, args[0])
+			if err != nil {
+				return err
+			}
+			out := json.NewEncoder(c.OutOrStdout())
+			out.SetIndent("", "  ")
+			return out.Encode(policy)
+		}}
+	gateway.addFlags(c)
+	return c
+}
+
+func policyDiffCommand() *cobra.Command {
+	var gateway gatewayAddress
+	c := &cobra.Command{Use: "diff A [B]", Short: "What differs between two policies, each a number or a file; B is the one in force unless it is named", Args: cobra.RangeArgs(1, 2),
+		RunE: func(c *cobra.Command, args []string) error {
+			lines, err := gateway.diff(c, args)
+			if err != nil {
+				return err
+			}
+			for _, line := range lines {
+				fmt.Fprintln(c.OutOrStdout(), line)
+			}
+			if len(lines) == 0 {
+				fmt.Fprintln(c.OutOrStdout(), "no difference")
+			}
+			return nil
+		}}
+	gateway.addFlags(c)
+	return c
+}
+
+// diff lists what differs between two policies, each a number or a file; without a second one, the one in force.
+func (g *gatewayAddress) diff(c *cobra.Command, policies []string) ([]string, error) {
+	first, err := g.readPolicy(c, policies[0])
+	if err != nil {
+		return nil, err
+	}
+	if len(policies) == 1 {
+		reply, err := g.send(c, &agent.PolicyRequest{Operation: agent.StatusOperation}, policies[0])
+		if err != nil {
+			return nil, err
+		}
+		policies = append(policies, strconv.FormatUint(reply.Status.Number, 10))
+	}
+	second, err := g.readPolicy(c, policies[1])
+	if err != nil {
+		return nil, err
+	}
+	return listDifferences("", first, second), nil
+}
+
+// readPolicy returns a policy as decoded JSON, by its number or of a file.
+func (g *gatewayAddress) readPolicy(c *cobra.Command, numberOrFile string) (policy any, err error) {
+	var text []byte
+	number, err := strconv.ParseUint(numberOrFile, 10, 64)
+	if err == nil {
+		reply, err := g.send(c, &agent.PolicyRequest{Operation: agent.TextOperation, Number: number})
+		if err != nil {
+			return nil, err
+		}
+		text = reply.Text
+	} else {
+		text, err = source.ExtractPolicy(numberOrFile)
+		if err != nil {
+			return nil, err
+		}
+	}
+	if len(text) == 0 {
+		return map[string]any{}, nil
+	}
+	return policy, json.Unmarshal(text, &policy)
+}
+
+// listDifferences lists the fields in which two decoded JSON values differ, as "path: one -> other". Objects of lists
+// are compared by their names, where they have some.
+func listDifferences(path string, a, b any) (lines []string) {
+	objectA, isObjectA := a.(map[string]any)
+	objectB, isObjectB := b.(map[string]any)
+	if isObjectA && isObjectB {
+		fields := union(slices.Collect(maps.Keys(objectA)), slices.Collect(maps.Keys(objectB)))
+		slices.Sort(fields)
+		for _, field := range fields {
+			lines = append(lines, listDifferences(strings.TrimPrefix(path+"."+field, "."), objectA[field], objectB[field])...)
+		}
+		return lines
+	}
+	listA, isNamedA := namedObjects(a)
+	listB, isNamedB := namedObjects(b)
+	if isNamedA && isNamedB {
+		return listNamedDifferences(path, listA, listB)
+	}
+	if textA, textB := formatValue(a), formatValue(b); textA != textB {
+		lines = append(lines, fmt.Sprintf("%s: %s -> %s", path, textA, textB))
+	}
+	return lines
+}
+
+// listNamedDifferences compares two lists of objects with names.
+func listNamedDifferences(path string, a, b []namedObject) (lines []string) {
+	namesA, namesB := names(a), names(b)
+	sameNames := slices.Equal(slices.Sorted(slices.Values(union(namesA, nil))), slices.Sorted(slices.Values(namesB)))
+	if sameNames && !slices.Equal(namesA, namesB) {
+		lines = append(lines, fmt.Sprintf("%s: order %s -> %s", path, strings.Join(namesA, " "), strings.Join(namesB, " ")))
+	}
+	for _, name := range union(namesA, namesB) {
+		lines = append(lines, listDifferences(path+"["+name+"]", findObject(a, name), findObject(b, name))...)
+	}
+	return lines
+}
+
+// namedObject is an object of a list, with its field "name".
+type namedObject struct {
+	name   string
+	fields map[string]any
+}
+
+// namedObjects returns the objects of a list whose elements all are objects with names. No list is an empty one.
+func namedObjects(value any) (objects []namedObject, ok bool) {
+	if value == nil {
+		return nil, true
+	}
+	list, ok := value.([]any)
+	for _, element := range list {
+		fields, isObject := element.(map[string]any)
+		name, hasName := fields["name"].(string)
+		if !isObject || !hasName {
+			return nil, false
+		}
+		objects = append(objects, namedObject{name, fields})
+	}
+	return objects, ok
+}
+
+// findObject returns the fields of the object with a name; nil: there is none.
+func findObject(objects []namedObject, name string) any {
+	for _, object := range objects {
+		if object.name == name {
+			return object.fields
+		}
+	}
+	return nil
+}
+
+func names(objects []namedObject) (out []string) {
+	for _, object := range objects {
+		out = append(out, object.name)
+	}
+	return out
+}
+
+func union(a, b []string) []string {
+	out := slices.Clone(a)
+	for _, name := range b {
+		if !slices.Contains(out, name) {
+			out = append(out, name)
+		}
+	}
+	return out
+}
+
+func formatValue(value any) string {
+	if value == nil {
+		return "nothing"
+	}
+	text, err := json.Marshal(value)
+	if err != nil {
+		return fmt.Sprint(value)
+	}
+	return string(text)
+}
--- /dev/null
+++ b/cmd/magpiebank-operator/rules.go
@@ -0,0 +1,149 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"reflect"
+
+	"magpiebank/internal/cli"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/config"
+	"magpiebank/internal/router"
+	"magpiebank/internal/workload"
+	"magpiebank/internal/workload/source"
+)
+
+// rules are an operator's, with the file that they come from.
+type rules struct {
+	file    string
+	cluster *agent.Config // as it is in force; nil: the file has no fleet
+	log     *slog.Logger
+	manager *workload.Manager // nil: the file has no statements
+	agent   *agent.Agent      // nil: the file has no fleet, or the deployment allows no messages between gateways
+}
+
+// loadRules reads an operator's file for a gateway.
+func loadRules(file string, start *config.Config, log *slog.Logger) (cli.OperatorRules, error) {
+	settings, err := source.Read(file)
+	if err != nil {
+		return nil, err
+	}
+	if settings.Statements == nil && settings.Fleet == nil {
+		return nil, fmt.Errorf("%s: statements: expected what is to be known of statements, or a fleet, found nothing", file)
+	}
+	r := &rules{file: file, log: log, cluster: settings.Fleet}
+	if settings.Statements != nil {
+		r.manager, err = workload.NewManager(settings.Statements, start, log)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", file, err)
+		}
+	}
+	if settings.Fleet == nil {
+		return r, nil
+	}
+	if err := r.joinCluster(start); err != nil {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	if err := r.followClusterPolicy(start.Deployment.Gateways, settings.PolicyProposed); err != nil {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	return r, nil
+}
+
+// joinCluster makes the agent, where the deployment allows messages between gateways, and shares budgets.
+func (r *rules) joinCluster(start *config.Config) error {
+	quota := r.cluster.Quota
+	hasBudgets := quota != nil && (len(quota.Names) > 0 || r.cluster.Policy != nil)
+	if !start.Deployment.PeerMessages {
+		if hasBudgets {
+			return errors.New("fleet.budgets: what is shared needs messages between gateways, which the site's settings[limits peerMessages] don't allow")
+		}
+		r.log.Warn("fleet", "code", "not_allowed", "error", "the site's settings[limits peerMessages] don't allow messages between gateways")
+		return nil
+	}
+	joined, err := agent.New(*r.cluster, start, r.log)
+	if err != nil {
+		return err
+	}
+	r.agent = joined
+	if hasBudgets && r.manager != nil {
+		r.manager.UseQuota(joined)
+	}
+	return nil
+}
+
+// followClusterPolicy has the policy of all gateways be followed, where the file says so.
+func (r *rules) followClusterPolicy(gateways int, hasPolicy bool) error {
+	switch {
+	case r.cluster.Policy == nil:
+		return nil
+	case r.manager == nil:
+		return errors.New("statements: expected them to be read, as fleet.policy decides on their classes, found nothing")
+	case r.agent == nil:
+		return errors.New("fleet.policy: what the fleet decides needs messages between gateways, which the site's settings[limits peerMessages] don't allow")
+	}
+	r.manager.FollowFleetPolicy(r.agent, source.ParsePolicy, gateways)
+	r.agent.SetPolicyReader(r.manager)
+	if hasPolicy {
+		r.log.Info("operator's file", "code", "by_policy", "error", "its pools and classes are gone by once they were proposed: magpiebank policy propose "+r.file)
+	}
+	return nil
+}
+
+// ResourceGroups are the statements' classes; nil: there are none.
+func (r *rules) ResourceGroups() router.ResourceGroups {
+	if r.manager == nil {
+		return nil
+	}
+	return r.manager
+}
+
+// Peers are the other gateways; nil: there are none.
+func (r *rules) Peers() router.Peers {
+	if r.agent == nil {
+		return nil
+	}
+	return r.agent
+}
+
+// Reload reads the file again.
+func (r *rules) Reload() error {
+	settings, err := source.Read(r.file)
+	if err != nil {
+		return err
+	}
+	if err := r.replaceQuota(settings.Fleet); err != nil {
+		return fmt.Errorf("%s: %w", r.file, err)
+	}
+	if r.manager == nil {
+		if settings.Statements != nil {
+			r.log.Warn("operator's file", "code", "needs_restart", "field", "statements")
+		}
+		return nil
+	}
+	r.manager.ReplaceFile(settings.Statements)
+	return nil
+}
+
+// replaceQuota puts other totals of the shared budgets in force. What else there is of a cluster stays until a restart.
+func (r *rules) replaceQuota(next *agent.Config) error {
+	hasQuota := r.agent != nil && next != nil && r.cluster.Quota != nil && next.Quota != nil
+	if hasQuota && !reflect.DeepEqual(next.Quota, r.cluster.Quota) {
+		if err := r.agent.ReplaceQuota(next.Quota); err != nil {
+			return err
+		}
+		r.cluster.Quota = next.Quota
+	}
+	if !reflect.DeepEqual(next, r.cluster) {
+		r.log.Warn("operator's file", "code", "needs_restart", "field", "fleet")
+	}
+	return nil
+}
+
+// SaveLearned keeps what was learned of statements.
+func (r *rules) SaveLearned() {
+	if r.manager != nil {
+		r.manager.SaveSnapshot()
+	}
+}
--- a/internal/cluster/agent/policyrequests.go
+++ b/internal/cluster/agent/policyrequests.go
@@ -42,10 +42,17 @@
 	Text   []byte          `json:"text,omitempty"`
 }
 
+// The outcomes of proposals that aren't failures.
+const (
+	PendingOutcome   = "pending"
+	DecidedOutcome   = "decided"
+	RehearsedOutcome = "rehearsed"
+)
+
 // ProposalResult is what became of a proposal.
 type ProposalResult struct {
 	ID      uint64 `json:"id"`
-	Outcome string `json:"end"` // pending, decided, rehearsed, or why it ended otherwise
+	Outcome string `json:"end"` // one of the outcomes above, or how it failed
 	Number  uint64 `json:"number,omitempty"`
 	Reason  string `json:"why,omitempty"`
 }
