--- a/internal/resourcegroup/quota.go
+++ b/internal/resourcegroup/quota.go
@@ -42,6 +42,24 @@
 	return names, totals
 }
 
+// FleetBudgets returns the names and totals of the budgets of all fleet-wide classes.
+func (p *Plan) FleetBudgets() (names []string, totals []int64) {
+	for i := range p.Classes {
+		class := &p.Classes[i]
+		if !class.FleetWide {
+			continue
+		}
+		classNames, classTotals := class.BudgetNames()
+		for kind, total := range classTotals {
+			if total > 0 {
+				names = append(names, classNames[kind])
+				totals = append(totals, total)
+			}
+		}
+	}
+	return names, totals
+}
+
 // UseQuota has fleet-wide classes use a quota that the gateways share.
 func (l *Limiter) UseQuota(quota Quota) {
 	l.quota = quota
--- a/internal/workload/fleetpolicy_test.go
+++ b/internal/workload/fleetpolicy_test.go
@@ -16,19 +16,19 @@
 	"magpiebank/internal/resourcegroup"
 )
 
-// court stands for the fleet: what it has decided is set by hand.
-type court struct{ ruling *agent.ActivePolicy }
+// fakeFleet stands in for the fleet; what it has decided is set by the test.
+type fakeFleet struct{ active *agent.ActivePolicy }
 
-func (c *court) ActivePolicy() *agent.ActivePolicy { return c.ruling }
-func (c *court) TryBeginWrite(by uint64, _ admission.RequestID) bool {
-	return by == c.ruling.BasisAt(0)
+func (c *fakeFleet) ActivePolicy() *agent.ActivePolicy { return c.active }
+func (c *fakeFleet) TryBeginWrite(by uint64, _ admission.RequestID) bool {
+	return by == c.active.BasisAt(0)
 }
-func (c *court) EndWrite(uint64, admission.RequestID)                      {}
-func (c *court) RecordDecision(string, uint64, admission.RequestID, int64) {}
-func (c *court) HistoryNow() int64                                         { return 0 }
-func (c *court) hold(number uint64, p agent.Policy)                        { c.ruling = held(number, p) }
+func (c *fakeFleet) EndWrite(uint64, admission.RequestID)                      {}
+func (c *fakeFleet) RecordDecision(string, uint64, admission.RequestID, int64) {}
+func (c *fakeFleet) HistoryNow() int64                                         { return 0 }
+func (c *fakeFleet) putInForce(number uint64, p agent.Policy)                  { c.active = activePolicy(number, p) }
 
-func held(number uint64, p agent.Policy) *agent.ActivePolicy {
+func activePolicy(number uint64, p agent.Policy) *agent.ActivePolicy {
 	r := &agent.ActivePolicy{InForce: rollout.InForce{Number: number, LeaseUntil: 1 << 50, Informed: true}, Current: p}
 	if p != nil {
 		r.Parsed = []agent.Policy{p}
@@ -36,30 +36,30 @@
 	return r
 }
 
-func judged(t testing.TB) (*Manager, *court, func(classes string) agent.Policy) {
+func newPolicyManager(t testing.TB) (*Manager, *fakeFleet, func(classes string) agent.Policy) {
 	start := &config.Config{Deployment: &admission.Deployment{Classes: make([]admission.Class, 2), CoresByKind: []float64{8}}, Network: &config.Network{Classes: []string{"look", "load"}, Zones: []string{"norte", "sur"}, Kinds: []string{"std"}}}
-	d, err := NewManager(&Statements{MemoryBytes: 1 << 20, LogInterval: time.Hour}, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	manager, err := NewManager(&Statements{MemoryBytes: 1 << 20, LogInterval: time.Hour}, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &court{held(0, nil)}
+	fleet := &fakeFleet{activePolicy(0, nil)}
 	texts := map[string]*Policy{}
-	d.FollowFleetPolicy(c, func(text []byte) (*Policy, error) { return texts[string(text)], nil }, 4)
-	d.HandleEndpoints(0, admission.FullUpdate, []admission.Endpoint{{Engine: "n", Zone: 0}, {Engine: "s", Zone: 1}})
-	return d, c, func(classes string) agent.Policy {
-		p := &Policy{}
-		for _, k := range strings.Fields(classes) { // name:lane:threads, or name:lane:refuse
-			f := strings.Split(k, ":")
-			class := resourcegroup.Class{Name: f[0], Conditions: resourcegroup.Conditions{RequestClasses: []string{f[1]}}}
-			if f[2] == "refuse" {
-				class.RejectText = "no " + f[0]
+	manager.FollowFleetPolicy(fleet, func(text []byte) (*Policy, error) { return texts[string(text)], nil }, 4)
+	manager.HandleEndpoints(0, admission.FullUpdate, []admission.Endpoint{{Engine: "n", Zone: 0}, {Engine: "s", Zone: 1}})
+	return manager, fleet, func(classes string) agent.Policy {
+		policy := &Policy{}
+		for _, text := range strings.Fields(classes) { // name:class:threads, or name:class:refuse
+			fields := strings.Split(text, ":")
+			class := resourcegroup.Class{Name: fields[0], Conditions: resourcegroup.Conditions{RequestClasses: []string{fields[1]}}}
+			if fields[2] == "refuse" {
+				class.RejectText = "no " + fields[0]
 			} else {
-				fmt.Sscan(f[2], &class.MaxThreads)
+				fmt.Sscan(fields[2], &class.MaxThreads)
 			}
-			p.Plan.Classes = append(p.Plan.Classes, class)
+			policy.Plan.Classes = append(policy.Plan.Classes, class)
 		}
-		texts[classes] = p
-		read, err := d.ReadPolicy([]byte(classes))
+		texts[classes] = policy
+		read, err := manager.ReadPolicy([]byte(classes))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,62 +67,63 @@
 	}
 }
 
-// What becomes of a look-up and a load, as policies change.
-func TestByWhat(t *testing.T) {
-	d, c, policy := judged(t)
-	reader := d.NewStatementReader().(*StatementReader)
+// A lookup and a load are decided on by the policies in force as these change.
+func TestPolicyInForceDecidesOnRequests(t *testing.T) {
+	manager, fleet, policy := newPolicyManager(t)
+	reader := manager.NewStatementReader().(*StatementReader)
 	var out strings.Builder
 	try := func(what string) {
 		fmt.Fprintf(&out, "%s:", what)
-		for lane, name := range []string{"look", "load"} {
-			reader.ReadStatement([]byte("SELECT nota FROM actas.mesas WHERE clave = 'a'"), lane, mysql.TableGroup([]byte("SELECT nota FROM actas.mesas")))
-			f, crowded, refuse := d.Classify(10, reader)
+		for class, name := range []string{"look", "load"} {
+			reader.ReadStatement([]byte("SELECT nota FROM actas.mesas WHERE clave = 'a'"), class, mysql.TableGroup([]byte("SELECT nota FROM actas.mesas")))
+			estimate, overCapacity, rejectText := manager.Classify(10, reader)
 			fmt.Fprintf(&out, "  %s ", name)
 			switch {
-			case refuse != "":
-				fmt.Fprint(&out, refuse)
-			case crowded:
+			case rejectText != "":
+				fmt.Fprint(&out, rejectText)
+			case overCapacity:
 				fmt.Fprint(&out, "nacked")
-			case f.PolicyClass == 0:
+			case estimate.PolicyClass == 0:
 				fmt.Fprint(&out, "free")
 			default:
-				if fmt.Fprint(&out, d.ClassName(f.PolicyClass)); !d.AllowsAttempt(10, f.PolicyClass, 2) {
+				fmt.Fprint(&out, manager.ClassName(estimate.PolicyClass))
+				if !manager.AllowsAttempt(10, estimate.PolicyClass, 2) {
 					fmt.Fprint(&out, ", waits")
 				} else {
-					charged, by := d.RecordAttempt(f, 2)
-					fmt.Fprintf(&out, ", goes by %d", by&^(1<<63))
-					if c.TryBeginWrite(by, "") {
+					charged, basis := manager.RecordAttempt(estimate, 2)
+					fmt.Fprintf(&out, ", goes by %d", basis&^(1<<63))
+					if fleet.TryBeginWrite(basis, "") {
 						fmt.Fprint(&out, ", is written")
 					}
-					if agent.CoversBoth(by) {
+					if agent.CoversBoth(basis) {
 						fmt.Fprint(&out, " by both")
 					}
-					d.RecordAttemptEnd(f, 2, charged, 0, false)
-					f.PolicyClass = 0
+					manager.RecordAttemptEnd(estimate, 2, charged, 0, false)
+					estimate.PolicyClass = 0
 				}
-				d.RecordDeparture(f)
+				manager.RecordDeparture(estimate)
 			}
 		}
 		out.WriteByte('\n')
 	}
-	one, two, three := policy("loads:load:4"), policy("loads:load:2 looks:look:3"), policy("loads:load:refuse")
-	c.ruling.Informed, c.ruling.LeaseUntil = false, 0
+	first, second, third := policy("loads:load:4"), policy("loads:load:2 looks:look:3"), policy("loads:load:refuse")
+	fleet.active.Informed, fleet.active.LeaseUntil = false, 0
 	try("nothing was heard")
-	c.hold(0, nil)
+	fleet.putInForce(0, nil)
 	try("no policy")
-	c.hold(1, one)
+	fleet.putInForce(1, first)
 	try("the first")
-	c.ruling.Parsed = append(c.ruling.Parsed, two)
+	fleet.active.Parsed = append(fleet.active.Parsed, second)
 	try("the second is proposed")
-	c.ruling.LeaseUntil = 0
+	fleet.active.LeaseUntil = 0
 	try("the lease is over")
-	c.ruling.Proposed, c.ruling.OverlapUntil = two, 1<<50
+	fleet.active.Proposed, fleet.active.OverlapUntil = second, 1<<50
 	try("what both allow")
-	c.ruling.Proposed = three
+	fleet.active.Proposed = third
 	try("what the first and the third allow")
-	c.hold(2, two)
+	fleet.putInForce(2, second)
 	try("the second")
-	c.hold(3, three)
+	fleet.putInForce(3, third)
 	try("the third")
 	want := `nothing was heard:  look nacked  load nacked
 no policy:  look free  load free
@@ -139,95 +140,95 @@
 	}
 }
 
-// A task that was taken under one policy ends by it; what runs counts under the next one's limits.
-func TestAcross(t *testing.T) {
-	d, c, policy := judged(t)
+// A request that was admitted under one policy ends under it; what runs counts under the next one's limits.
+func TestRequestsEndUnderThePolicyThatAdmittedThem(t *testing.T) {
+	manager, fleet, policy := newPolicyManager(t)
 	one, two := policy("loads:load:4 old:look:1"), policy("loads:load:2")
-	c.hold(1, one)
-	arrive := func(lane int) admission.Estimate {
-		reader := d.NewStatementReader().(*StatementReader)
-		reader.ReadStatement([]byte("SELECT 1"), lane, 0)
-		f, crowded, refuse := d.Classify(20, reader)
-		if crowded || refuse != "" {
-			t.Fatalf("crowded %t, refused %q", crowded, refuse)
+	fleet.putInForce(1, one)
+	arrive := func(class int) admission.Estimate {
+		reader := manager.NewStatementReader().(*StatementReader)
+		reader.ReadStatement([]byte("SELECT 1"), class, 0)
+		estimate, overCapacity, rejectText := manager.Classify(20, reader)
+		if overCapacity || rejectText != "" {
+			t.Fatalf("crowded %t, refused %q", overCapacity, rejectText)
 		}
-		return f
+		return estimate
 	}
 	a, b, old := arrive(1), arrive(1), arrive(0)
-	if !d.AllowsAttempt(20, a.PolicyClass, 2) {
+	if !manager.AllowsAttempt(20, a.PolicyClass, 2) {
 		t.Fatal("two of four threads are not free")
 	}
-	charged, _ := d.RecordAttempt(a, 2)
-	c.hold(2, two)
-	if d.AllowsAttempt(30, b.PolicyClass, 2) {
+	charged, _ := manager.RecordAttempt(a, 2)
+	fleet.putInForce(2, two)
+	if manager.AllowsAttempt(30, b.PolicyClass, 2) {
 		t.Error("two threads more go out, where two of two run")
 	}
-	if name := d.ClassName(old.PolicyClass); name != "old" || !d.AllowsAttempt(30, old.PolicyClass, 1) {
+	if name := manager.ClassName(old.PolicyClass); name != "old" || !manager.AllowsAttempt(30, old.PolicyClass, 1) {
 		t.Errorf("a task of a class that is gone can't end: %s", name)
 	}
-	d.RecordAttemptEnd(a, 2, charged, 0, false)
-	if !d.AllowsAttempt(40, b.PolicyClass, 2) {
+	manager.RecordAttemptEnd(a, 2, charged, 0, false)
+	if !manager.AllowsAttempt(40, b.PolicyClass, 2) {
 		t.Error("what ended is not free")
 	}
 }
 
-// A rehearsal counts what would be otherwise, and decides nothing.
-func TestTrial(t *testing.T) {
-	d, c, policy := judged(t)
-	c.hold(1, policy("loads:load:4"))
-	c.ruling.Rehearsed, c.ruling.InForce.RehearsalID = policy("loads:load:2 looks:look:refuse"), 7
-	reader := d.NewStatementReader().(*StatementReader)
-	var out []admission.Estimate
+// A rehearsal counts which requests the rehearsed policy would treat differently, and decides nothing.
+func TestRehearsalCountsAndDecidesNothing(t *testing.T) {
+	manager, fleet, policy := newPolicyManager(t)
+	fleet.putInForce(1, policy("loads:load:4"))
+	fleet.active.Rehearsed, fleet.active.InForce.RehearsalID = policy("loads:load:2 looks:look:refuse"), 7
+	reader := manager.NewStatementReader().(*StatementReader)
+	var admitted []admission.Estimate
 	for n := range 4 {
 		reader.ReadStatement([]byte("SELECT 1"), n%2, 0)
-		f, crowded, refuse := d.Classify(20, reader)
-		if crowded || refuse != "" {
+		estimate, overCapacity, rejectText := manager.Classify(20, reader)
+		if overCapacity || rejectText != "" {
 			t.Fatal("the rehearsal decides")
 		}
-		if f.PolicyClass > 0 && !d.AllowsAttempt(20, f.PolicyClass, 2) {
+		if estimate.PolicyClass > 0 && !manager.AllowsAttempt(20, estimate.PolicyClass, 2) {
 			t.Fatal("the rehearsal holds")
 		}
-		d.RecordAttempt(f, 2)
-		out = append(out, f)
+		manager.RecordAttempt(estimate, 2)
+		admitted = append(admitted, estimate)
 	}
-	d.Tick(30)
-	if got := d.RequestCounts(); got != (rollout.RequestCounts{Subject: 7, Requests: 4, Classified: 4, Rejected: 2, Shed: 1}) {
+	manager.Tick(30)
+	if got := manager.RequestCounts(); got != (rollout.RequestCounts{Subject: 7, Requests: 4, Classified: 4, Rejected: 2, Shed: 1}) {
 		t.Errorf("%+v", got)
 	}
-	c.ruling = held(1, c.ruling.Current)
-	for _, f := range out { // of a rehearsal that is over
-		d.RecordAttemptEnd(f, 2, 0, 0, false)
+	fleet.active = activePolicy(1, fleet.active.Current)
+	for _, estimate := range admitted { // their rehearsal is over
+		manager.RecordAttemptEnd(estimate, 2, 0, 0, false)
 	}
-	d.Tick(40)
-	if got := d.RequestCounts(); got.Subject != 1 || got.Requests != 4 || got.Rejected+got.Shed > 0 {
+	manager.Tick(40)
+	if got := manager.RequestCounts(); got.Subject != 1 || got.Requests != 4 || got.Rejected+got.Shed > 0 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// BenchmarkArrived is what a task costs here, by the file and by what the fleet decides.
-func BenchmarkArrived(b *testing.B) {
-	for _, by := range []string{"file", "fleet"} {
-		b.Run(by, func(b *testing.B) {
-			d, c, policy := judged(b)
-			c.hold(1, policy("loads:load:4"))
-			if by == "file" {
-				d.inForce = nil
-				plan := &c.ruling.Current.(*Policy).Plan
-				d.plan.Store(plan)
-				if err := d.limiter.ReplacePlan(0, plan); err != nil {
+// BenchmarkRequest measures a request from its arrival to the end of its attempt, with the file and with a policy of the fleet.
+func BenchmarkRequest(b *testing.B) {
+	for _, inForce := range []string{"file", "fleet"} {
+		b.Run(inForce, func(b *testing.B) {
+			manager, fleet, policy := newPolicyManager(b)
+			fleet.putInForce(1, policy("loads:load:4"))
+			if inForce == "file" {
+				manager.inForce = nil
+				plan := &fleet.active.Current.(*Policy).Plan
+				manager.plan.Store(plan)
+				if err := manager.limiter.ReplacePlan(0, plan); err != nil {
 					b.Fatal(err)
 				}
 			}
-			reader := d.NewStatementReader().(*StatementReader)
+			reader := manager.NewStatementReader().(*StatementReader)
 			reader.ReadStatement([]byte("SELECT 1"), 1, 0)
 			b.ReportAllocs()
 			for b.Loop() {
-				f, _, _ := d.Classify(20, reader)
-				d.AllowsAttempt(20, f.PolicyClass, 2)
-				charged, number := d.RecordAttempt(f, 2)
-				d.BeginWrite(number, "")
-				d.EndWrite(number, "")
-				d.RecordAttemptEnd(f, 2, charged, 0, false)
+				estimate, _, _ := manager.Classify(20, reader)
+				manager.AllowsAttempt(20, estimate.PolicyClass, 2)
+				charged, basis := manager.RecordAttempt(estimate, 2)
+				manager.BeginWrite(basis, "")
+				manager.EndWrite(basis, "")
+				manager.RecordAttemptEnd(estimate, 2, charged, 0, false)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/workload/reader.go
@@ -0,0 +1,109 @@
+package workload
+
+import (
+	"slices"
+
+	"magpiebank/internal/admission"
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/query/costmodel"
+	"magpiebank/internal/resourcegroup"
+	"magpiebank/internal/router"
+)
+
+// StatementReader reads the statements of one client session, one after the other. The session's goroutine reads a statement
+// and later records its cost; in between, the owner of the Manager has the request classified.
+type StatementReader struct {
+	manager   *Manager
+	query     costmodel.Query
+	subject   resourcegroup.Subject
+	plan      *resourcegroup.Plan // that planClass is of, where the operator's file is in force
+	planClass int                 // number in the plan in force, from 1; 0: none
+
+	fleetClasses // where a policy of the fleet is in force
+}
+
+// fleetClasses are the classes of a statement in the policies that a gateway knows.
+type fleetClasses struct {
+	active           *agent.ActivePolicy // what the classes were found with
+	proposedClass    int                 // number in the plan that may be followed besides; 0: none
+	rehearsedClass   int                 // number in the plan that is rehearsed; 0: none
+	anyPolicyApplies bool                // at least one policy that is known has a class for the statement
+}
+
+// NewStatementReader returns a reader for one more session.
+func (m *Manager) NewStatementReader() router.StatementReader { return &StatementReader{manager: m} }
+
+// ReadStatement reads a statement of a request class and finds its shape, estimated cost and class. tables is the number of the
+// group of tables that it uses.
+func (r *StatementReader) ReadStatement(sql []byte, requestClass, tables int) {
+	model := r.manager.costModel
+	r.query = model.Inspect(sql, tables, requestClass)
+	r.subject = resourcegroup.Subject{
+		RequestClass: r.manager.requestClasses[requestClass],
+		Features:     r.query.Features(),
+		Estimate:     model.Estimate(&r.query),
+	}
+	if r.manager.inForce != nil {
+		r.classifyByPolicies(r.manager.inForce.ActivePolicy())
+		return
+	}
+	r.classifyByPlan(r.manager.plan.Load())
+}
+
+func (r *StatementReader) classifyByPlan(plan *resourcegroup.Plan) {
+	r.plan = plan
+	r.planClass = plan.Classify(&r.subject)
+}
+
+// classifyByPolicies finds the statement's class in all policies that matter now.
+func (r *StatementReader) classifyByPolicies(active *agent.ActivePolicy) {
+	r.planClass = r.classIn(active.Current)
+	r.fleetClasses = fleetClasses{active: active}
+	if active.Proposed != nil {
+		r.proposedClass = r.classIn(active.Proposed)
+	}
+	if active.Rehearsed != nil {
+		r.rehearsedClass = r.classIn(active.Rehearsed)
+	}
+	for _, policy := range active.Parsed {
+		r.anyPolicyApplies = r.anyPolicyApplies || r.classIn(policy) > 0
+	}
+}
+
+func (r *StatementReader) classIn(policy agent.Policy) int {
+	return policyOf(policy).Plan.Classify(&r.subject)
+}
+
+// samePolicies reports whether two states have the same policies.
+func samePolicies(a, b *agent.ActivePolicy) bool {
+	if a == b {
+		return true
+	}
+	return a != nil && b != nil && a.Current == b.Current && a.Proposed == b.Proposed && a.Rehearsed == b.Rehearsed &&
+		slices.Equal(a.Parsed, b.Parsed)
+}
+
+// RecordCost records the work that the statement read last has caused, and the MB of memory that it needed.
+func (r *StatementReader) RecordCost(work admission.Time, memoryMB float64) {
+	model := r.manager.costModel
+	model.Observe(&r.query, toMillis(work), memoryMB)
+	if r.manager.loadsTables[r.query.Class] {
+		model.RecordLoad(r.query.Group)
+	}
+}
+
+// estimate returns the estimate for package admission; it is empty while nothing is known.
+func (r *StatementReader) estimate() admission.Estimate {
+	e := &r.subject.Estimate
+	if !e.Known {
+		return admission.Estimate{}
+	}
+	return admission.Estimate{Work: toTime(e.WorkMillis), WorkP90: toTime(e.UpperMillis), Memory: e.MemoryMB}
+}
+
+func toMillis(t admission.Time) float64 { return float64(t) / float64(admission.Millisecond) }
+
+// toTime rounds to the nearest unit.
+func toTime(millis float64) admission.Time {
+	return admission.Time(millis*float64(admission.Millisecond) + 0.5)
+}
--- /dev/null
+++ b/internal/workload/requests.go
@@ -0,0 +1,100 @@
+package workload
+
+import (
+	"magpiebank/internal/admission"
+	"magpiebank/internal/resourcegroup"
+	"magpiebank/internal/router"
+)
+
+// Classify decides on the request whose statement a reader has read. rejectText, where it is not empty, is the client's final
+// answer. overCapacity tells that the request is rejected and may be retried: too many of its class wait, or nobody knows now
+// what holds for it. Else the request is admitted with the estimate.
+func (m *Manager) Classify(now admission.Time, statement router.StatementReader) (estimate admission.Estimate, overCapacity bool, rejectText string) {
+	reader := statement.(*StatementReader)
+	m.now = now
+	if m.inForce != nil {
+		return m.classifyByPolicy(now, reader)
+	}
+	if plan := m.plan.Load(); plan != reader.plan { // another file was put in force since the statement was read
+		reader.classifyByPlan(plan)
+	}
+	number, verdict, text := m.limiter.Admit(reader.planClass)
+	switch verdict {
+	case resourcegroup.Rejected:
+		return admission.Estimate{}, false, rejection(reader.plan, reader.planClass, text)
+	case resourcegroup.OverCapacity:
+		return admission.Estimate{}, true, ""
+	}
+	estimate = reader.estimate()
+	estimate.PolicyClass = number
+	return estimate, false, ""
+}
+
+// rejection returns the error that clients of a rejected request get.
+func rejection(plan *resourcegroup.Plan, planClass int, text string) string {
+	return "class " + className(plan, planClass) + ": " + text
+}
+
+// AllowsAttempt reports whether an attempt of a class, of so many threads, may be sent now.
+func (m *Manager) AllowsAttempt(now admission.Time, class int, threads float64) bool {
+	m.now = now
+	if m.inForce != nil && !m.allowsByPolicy(now) {
+		return false
+	}
+	return m.limiter.AllowsAttempt(now, class, threads)
+}
+
+// Pool returns the number of a class's pool.
+func (m *Manager) Pool(class int) int { return m.limiter.Pool(class) }
+
+// ClassName returns the name of a class.
+func (m *Manager) ClassName(class int) string { return m.limiter.ClassName(class) }
+
+// InPool reports whether an engine belongs to a pool.
+func (m *Manager) InPool(pool int, engine *admission.Endpoint) bool {
+	return m.limiter.InPool(pool, engine)
+}
+
+// RecordAttempt records that an attempt was sent. It returns the work in ms that its class was charged, and the basis of the
+// decision, both of which belong to the attempt.
+func (m *Manager) RecordAttempt(estimate admission.Estimate, threads float64) (charged float64, basis uint64) {
+	m.rehearsal.beginAttempt(m.now, &estimate, threads)
+	if estimate.PolicyClass == 0 {
+		return 0, noBasis
+	}
+	return m.limiter.BeginAttempt(estimate.PolicyClass, threads, toMillis(estimate.Work)), m.attemptBasis
+}
+
+// RecordAttemptEnd records that an attempt has ended, after the given work (0: not known). waits tells that its request waits
+// again.
+func (m *Manager) RecordAttemptEnd(estimate admission.Estimate, threads, charged float64, work admission.Time, waits bool) {
+	if number := m.rehearsal.classOf(&estimate); number > 0 {
+		m.rehearsal.limiter.EndAttempt(number, threads, charged, toMillis(work), waits)
+	}
+	if estimate.PolicyClass > 0 {
+		m.limiter.EndAttempt(estimate.PolicyClass, threads, charged, toMillis(work), waits)
+	}
+}
+
+// RecordDeparture records that a waiting request got its final answer, or that its client left.
+func (m *Manager) RecordDeparture(estimate admission.Estimate) {
+	if number := m.rehearsal.classOf(&estimate); number > 0 {
+		m.rehearsal.limiter.EndWaiting(number)
+	}
+	if estimate.PolicyClass > 0 {
+		m.limiter.EndWaiting(estimate.PolicyClass)
+	}
+}
+
+// BeginWrite reports whether an attempt that was decided on a basis may still be written to its engine. The goroutine that
+// writes it calls this.
+func (m *Manager) BeginWrite(basis uint64, request admission.RequestID) bool {
+	return m.inForce == nil || m.inForce.TryBeginWrite(basis, request)
+}
+
+// EndWrite records that the attempt is written. The goroutine that wrote it calls this.
+func (m *Manager) EndWrite(basis uint64, request admission.RequestID) {
+	if m.inForce != nil {
+		m.inForce.EndWrite(basis, request)
+	}
+}
--- a/internal/workload/snapshot.go
+++ b/internal/workload/snapshot.go
@@ -10,77 +10,87 @@
 	"magpiebank/internal/query/costmodel"
 )
 
-// recover has the book know what a snapshot says; one that can't be used leaves it empty, with one line.
-func (d *Manager) loadSnapshot(file string) {
-	s, err := ReadSnapshot(file)
+// loadSnapshot restores the cost model. A snapshot that can't be used is logged and leaves the model empty.
+func (m *Manager) loadSnapshot(file string) {
+	snapshot, err := ReadSnapshot(file)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		d.log.Info("statements", "code", "cold", "snapshot", file)
+		m.log.Info("statements", "code", "cold", "snapshot", file)
 	case err != nil:
-		d.log.Warn("statements", "code", "cold", "error", err)
+		m.log.Warn("statements", "code", "cold", "error", err)
 	default:
-		d.costModel.Restore(s, d.requestClasses)
-		records, answers := s.CountRecords()
-		d.log.Info("statements", "code", "recovered", "snapshot", file, "shapes", records, "answers", answers)
+		m.costModel.Restore(snapshot, m.requestClasses)
+		shapes, answers := snapshot.CountRecords()
+		m.log.Info("statements", "code", "recovered", "snapshot", file, "shapes", shapes, "answers", answers)
 	}
 }
 
-// Save writes what was learned, if the operator names a file for it; it may be called from any goroutine.
-func (d *Manager) SaveSnapshot() {
-	file := d.snapshotFile
+// SaveSnapshot saves the cost model if the operator names a file for it. An error is logged. Any goroutine may call it.
+func (m *Manager) SaveSnapshot() {
+	file := m.snapshotFile
 	if file == "" {
 		return
 	}
-	s := d.costModel.Snapshot(d.requestClasses)
-	if err := WriteSnapshot(file, s); err != nil {
-		d.log.Warn("statements", "code", "not_saved", "error", err)
+	snapshot := m.costModel.Snapshot(m.requestClasses)
+	if err := WriteSnapshot(file, snapshot); err != nil {
+		m.log.Warn("statements", "code", "not_saved", "error", err)
 		return
 	}
-	records, answers := s.CountRecords()
-	d.log.Info("statements", "code", "saved", "snapshot", file, "shapes", records, "answers", answers)
+	shapes, answers := snapshot.CountRecords()
+	m.log.Info("statements", "code", "saved", "snapshot", file, "shapes", shapes, "answers", answers)
 }
 
-// ReadSnapshot reads a snapshot's file.
+// ReadSnapshot reads a snapshot's file. The error is fs.ErrNotExist if there is none.
 func ReadSnapshot(file string) (*costmodel.Snapshot, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	s, err := costmodel.DecodeSnapshot(b)
+	snapshot, err := costmodel.DecodeSnapshot(b)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return s, nil
+	return snapshot, nil
 }
 
-// WriteSnapshot puts a snapshot in the place of a file, whole or not at all: it is on the disk before the name is its own.
-func WriteSnapshot(file string, s *costmodel.Snapshot) (err error) {
+// WriteSnapshot replaces a snapshot's file. The new content is synced before it gets the file's name and the folder is synced
+// after that, so that a crash leaves either the old file or the new one, and the new one once WriteSnapshot has returned nil.
+func WriteSnapshot(file string, snapshot *costmodel.Snapshot) error {
 	folder := filepath.Dir(file)
-	f, err := os.CreateTemp(folder, filepath.Base(file)+".*")
+	temporary, err := writeTemporary(folder, filepath.Base(file)+".*", snapshot.Encode())
 	if err != nil {
 		return err
 	}
-	defer func() {
-		if err != nil {
-			os.Remove(f.Name())
-		}
-	}()
-	if _, err = f.Write(s.Encode()); err == nil {
-		err = f.Sync()
+	if err := os.Rename(temporary, file); err != nil {
+		return errors.Join(err, os.Remove(temporary))
+	}
+	return syncFolder(folder)
+}
+
+// writeTemporary writes and syncs a new file, whose name it returns. With an error it leaves no file.
+func writeTemporary(folder, pattern string, content []byte) (name string, err error) {
+	f, err := os.CreateTemp(folder, pattern)
+	if err != nil {
+		return "", err
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	_, err = f.Write(content)
+	if err == nil {
+		err = f.Sync()
 	}
+	closeErr := f.Close()
 	if err == nil {
-		err = os.Rename(f.Name(), file)
+		err = closeErr
 	}
 	if err != nil {
-		return err
+		return "", errors.Join(err, os.Remove(f.Name()))
 	}
-	d, err := os.Open(folder)
+	return f.Name(), nil
+}
+
+func syncFolder(path string) error {
+	folder, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	return errors.Join(folder.Sync(), folder.Close())
 }
--- a/internal/workload/source/policy_text_test.go
+++ b/internal/workload/source/policy_text_test.go
@@ -9,7 +9,7 @@
 )
 
 // What is proposed is the file's policy and nothing else of it; what is amiss has the file's line.
-func TestPolicy(t *testing.T) {
+func TestExtractedPolicyIsThePartOfTheFileThatTheFleetDecidesOn(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.jsonnet")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,7 +1,7 @@
-// Package workload is what a gateway does besides what the platform asks for, as the operator's own file says: statements are
-// read and costed, put into classes, and held to pools and limits. All of it is off unless it is asked for, and stands in a
-// program of its own (cmd/magpiebank-operator), so that a gateway without it carries nothing of it. Package source reads the
-// file, which is Jsonnet with units.
+// Package workload adds to a gateway what its operator asks for in a file: statements are parsed, their cost is estimated and
+// learned, and they are put into classes with pools of engines and limits. It is part of a program of its own
+// (cmd/magpiebank-operator), so that a gateway without it carries none of it. Package source reads the file, which is Jsonnet
+// with units.
 package workload
 
 import (
@@ -13,35 +13,35 @@
 	"magpiebank/internal/resourcegroup"
 )
 
-// File is what the operator asks for.
+// File is an operator's file.
 type File struct {
-	Statements     *Statements   // nil: statements are not looked at
-	Fleet          *agent.Config // nil: this gateway speaks to no other
-	PolicyProposed bool          // it has classes or pools that are gone by only once the fleet has decided so
+	Statements     *Statements   // nil: statements are not parsed
+	Fleet          *agent.Config // nil: this gateway does not communicate with others
+	PolicyProposed bool          // the file has pools or classes that are in force only once the fleet has decided on them
 }
 
-// Statements has statements estimated before they are handed to the decisions.
+// Statements is what an operator asks for with regard to statements.
 type Statements struct {
-	MemoryBytes  int64 // bytes that what is learned may take
+	MemoryBytes  int64 // that the cost model may take
 	Tables       []Table
-	LogInterval  time.Duration
-	SnapshotFile string // file that what is learned is kept in; empty: it is lost at the end
+	LogInterval  time.Duration // between lines of counts
+	SnapshotFile string        // that the cost model is saved to; empty: it is lost when the gateway ends
 	Plan         resourcegroup.Plan
 }
 
-// Table is what is known of tables before any answer.
+// Table is what the operator knows of tables.
 type Table struct {
-	Schema, Name string   // with * for any
-	Rows         float64  // of one of them
-	Keys         []string // columns by which rows are found; none: not told
+	Schema, Name string   // patterns; * stands for any letters
+	Rows         float64  // of one table
+	Keys         []string // columns by which rows are found; none: not known
 }
 
-// Book is an empty book of statements for so many lanes.
-func (s *Statements) NewCostModel(lanes int) *costmodel.Model {
-	return costmodel.NewModel(s.MemoryBytes, lanes, s.TableLookup())
+// NewCostModel returns an empty cost model for so many request classes.
+func (s *Statements) NewCostModel(requestClasses int) *costmodel.Model {
+	return costmodel.NewModel(s.MemoryBytes, requestClasses, s.TableLookup())
 }
 
-// Known is what the file says of tables; nil: nothing.
+// TableLookup returns the lookup of what the file says of tables, or nil if it says nothing.
 func (s *Statements) TableLookup() costmodel.TableLookup {
 	if len(s.Tables) == 0 {
 		return nil
@@ -49,13 +49,14 @@
 	return s.lookUpTable
 }
 
-// lookUp finds the first entry that a table fits.
-func (s *Statements) lookUpTable(t *costmodel.Table) (rows float64, keys []string, ok bool) {
+// lookUpTable returns what the first entry says that matches the table.
+func (s *Statements) lookUpTable(table *costmodel.Table) (rows float64, keys []string, ok bool) {
 	for i := range s.Tables {
-		e := &s.Tables[i]
-		schema, _ := path.Match(e.Schema, t.Schema)
-		if name, _ := path.Match(e.Name, t.Name); schema && name {
-			return e.Rows, e.Keys, true
+		entry := &s.Tables[i]
+		schema, _ := path.Match(entry.Schema, table.Schema)
+		name, _ := path.Match(entry.Name, table.Name)
+		if schema && name {
+			return entry.Rows, entry.Keys, true
 		}
 	}
 	return 0, nil, false
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -31,65 +31,65 @@
  "limits":{"cancel":true,"maxAttempts":4,"multiplex":2,"keepaliveUs":30000000,"connectTimeoutUs":250000,
   "retryAfter":true,"maxRetryAfterUs":2000000},"rules":{}}`
 
-const rules = `{ statements: { log_every: '1s', snapshot: '%s',
+const operatorFile = `{ statements: { log_every: '1s', snapshot: '%s',
  pools: [{ name: 'n', zones: ['norte'] }],
  classes: [{ name: 'never', when: { full: true, limited: false, tables: [{ name: 'mesas' }] }, refuse: 'ask for one distrito' },
   { name: 'slow', when: { full: true }, pool: 'n', threads: 1, waiting: 1 }] } }`
 
-type log struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+type logBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (l *log) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buffer.Write(p)
 }
 
-func (l *log) text() string {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buffer.String()
 }
 
-// gateway is one with an operator's rules, between the driver of others and stand-ins of engines, one in each zone.
+// gateway is one with an operator's file, between a driver of others and two fake engines, one in each zone.
 type gateway struct {
-	t       *testing.T
-	log     log
-	desk    *workload.Manager
-	db      *sql.DB
-	engines [2]*fake.Engine
-	entries [2]fake.Endpoint
-	list    *fake.Discovery
-	end     func()
+	t         *testing.T
+	log       logBuffer
+	manager   *workload.Manager
+	db        *sql.DB
+	engines   [2]*fake.Engine
+	endpoints [2]fake.Endpoint
+	discovery *fake.Discovery
+	shutDown  func()
 }
 
-func begin(t *testing.T, text string) *gateway {
+func startGateway(t *testing.T, text string) *gateway {
 	driver.SetLogger(&driver.NopLogger{})
 	g := &gateway{t: t}
 	for i, zone := range []string{"norte", "sur"} {
 		name := "e-" + zone
-		e, err := fake.StartEngine(name, "127.0.0.1:0", fake.EngineBehavior{Threads: 8, Cores: 8, Works: []fake.Work{
+		engine, err := fake.StartEngine(name, "127.0.0.1:0", fake.EngineBehavior{Threads: 8, Cores: 8, Works: []fake.Work{
 			{Contains: "otra", Service: fake.ServiceTime{Mean: 300 * time.Millisecond}, Rows: 1}, {Service: fake.ServiceTime{Mean: 2 * time.Millisecond}, Rows: 1, MemoryMB: 32}}}, fake.NewExecutionLog(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.engines[i], g.entries[i] = e, fake.Endpoint{ID: name, Address: e.Address, Zone: zone, Kind: "std", State: "Ready"}
+		g.engines[i], g.endpoints[i] = engine, fake.Endpoint{ID: name, Address: engine.Address, Zone: zone, Kind: "std", State: "Ready"}
 	}
 	var err error
-	if g.list, err = fake.StartDiscovery("127.0.0.1:0", g.entries[:]); err != nil {
+	if g.discovery, err = fake.StartDiscovery("127.0.0.1:0", g.endpoints[:]); err != nil {
 		t.Fatal(err)
 	}
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := free.Addr().String()
-	free.Close()
+	address := listener.Addr().String()
+	listener.Close()
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	os.WriteFile(path, []byte(fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","coordinator":%q,"known":%s,"settings":%s}`, address,
-		g.list.Address, g.list.Snapshot(), settings)), 0o600)
+		g.discovery.Address, g.discovery.Snapshot(), settings)), 0o600)
 	start, err := config.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -99,34 +99,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.desk, err = workload.NewManager(f.Statements, start, logger); err != nil {
+	if g.manager, err = workload.NewManager(f.Statements, start, logger); err != nil {
 		t.Fatal(err)
 	}
 	stop, ended := make(chan struct{}), make(chan error)
-	go func() { ended <- router.Serve(start, router.Options{ResourceGroups: g.desk}, logger, stop, nil) }()
+	go func() { ended <- router.Serve(start, router.Options{ResourceGroups: g.manager}, logger, stop, nil) }()
 	g.db, _ = sql.Open("mysql", "app@tcp("+address+")/reports?timeout=2s")
 	for by := time.Now().Add(5 * time.Second); g.db.Ping() != nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
 			t.Fatal(g.db.Ping())
 		}
 	}
-	g.end = func() {
+	g.shutDown = func() {
 		g.db.Close()
 		close(stop)
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		g.desk.SaveSnapshot()
-		g.list.Close()
-		for _, e := range g.engines {
-			e.Close()
+		g.manager.SaveSnapshot()
+		g.discovery.Close()
+		for _, engine := range g.engines {
+			engine.Close()
 		}
 	}
 	return g
 }
 
-// ask sends a statement and tells how it ended: 0, or the number and text of the error.
-func (g *gateway) ask(id int, lane, statement string) (number uint16, text string) {
+// query sends a statement and returns 0, or the number and text of the error.
+func (g *gateway) query(id int, lane, statement string) (number uint16, text string) {
 	rows, err := g.db.QueryContext(context.Background(), fmt.Sprintf("/* class=%s,id=%016x,wait=3900 */ %s", lane, id, statement))
 	if err == nil {
 		for rows.Next() {
@@ -143,7 +143,7 @@
 	return 0, ""
 }
 
-func (g *gateway) logs(text string) {
+func (g *gateway) waitForLog(text string) {
 	for by := time.Now().Add(10 * time.Second); !strings.Contains(g.log.text(), text); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
 			g.t.Fatalf("%q is not in the log\n%s", text, g.log.text())
@@ -151,8 +151,8 @@
 	}
 }
 
-// many asks at the same time and counts the ends.
-func (g *gateway) many(from, n int, statement string) map[uint16]int {
+// queryConcurrently sends a statement n times at once and counts the error numbers.
+func (g *gateway) queryConcurrently(from, n int, statement string) map[uint16]int {
 	ends := map[uint16]int{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -160,7 +160,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			number, _ := g.ask(from+i, "look", statement)
+			number, _ := g.query(from+i, "look", statement)
 			mu.Lock()
 			ends[number]++
 			mu.Unlock()
@@ -170,67 +170,67 @@
 	return ends
 }
 
-func TestRules(t *testing.T) {
-	kept := filepath.Join(t.TempDir(), "snapshot")
-	g := begin(t, fmt.Sprintf(rules, kept))
-	if number, text := g.ask(1, "look", "SELECT nota FROM actas_3.mesas"); number != 1104 || text != "class never: ask for one distrito" {
+func TestOperatorFileOnAGateway(t *testing.T) {
+	snapshotFile := filepath.Join(t.TempDir(), "snapshot")
+	g := startGateway(t, fmt.Sprintf(operatorFile, snapshotFile))
+	if number, text := g.query(1, "look", "SELECT nota FROM actas_3.mesas"); number != 1104 || text != "class never: ask for one distrito" {
 		t.Errorf("never sent: %d %q", number, text)
 	}
 	for i := range 20 {
-		if number, text := g.ask(10+i, "look", "SELECT nota FROM actas_3.mesas WHERE clave = 'x'"); number != 0 {
+		if number, text := g.query(10+i, "look", "SELECT nota FROM actas_3.mesas WHERE clave = 'x'"); number != 0 {
 			t.Errorf("a look-up: %d %s", number, text)
 		}
 	}
-	// One at a time, one that waits, the others nacked at once; all of it in norte.
-	if ends := g.many(100, 6, "SELECT a FROM actas_3.otra"); ends[0] != 2 || ends[1203] != 4 {
+	// One runs and one waits, and the others are rejected at once; all of it in norte.
+	if ends := g.queryConcurrently(100, 6, "SELECT a FROM actas_3.otra"); ends[0] != 2 || ends[1203] != 4 {
 		t.Errorf("a crowd: %v", ends)
 	}
 	if _, most := g.engines[0].InFlight(); most != 1 {
 		t.Errorf("%d at a time in norte", most)
 	}
-	// Its pool's last engine leaves: it is nacked in time and never sent to sur, which serves the others.
-	g.entries[0].State = "Gone"
-	g.list.Publish(g.entries[0])
+	// When the pool's last engine leaves, a request of its class is rejected in time and never sent to sur, which serves others.
+	g.endpoints[0].State = "Gone"
+	g.discovery.Publish(g.endpoints[0])
 	time.Sleep(300 * time.Millisecond)
 	began := time.Now()
-	if number, _ := g.ask(200, "look", "SELECT a FROM actas_3.otra"); number != 1203 || time.Since(began) > 2*time.Second {
+	if number, _ := g.query(200, "look", "SELECT a FROM actas_3.otra"); number != 1203 || time.Since(began) > 2*time.Second {
 		t.Errorf("no engine in its pool: %d after %v", number, time.Since(began))
 	}
-	if number, _ := g.ask(201, "look", "SELECT nota FROM actas_3.mesas WHERE clave = 'x'"); number != 0 {
+	if number, _ := g.query(201, "look", "SELECT nota FROM actas_3.mesas WHERE clave = 'x'"); number != 0 {
 		t.Errorf("a look-up: %d", number)
 	}
-	// Another file, whole or not at all.
+	// Another file is put in force completely or not at all.
 	f, err := source.Parse("operator.jsonnet", "{ statements: { log_every: '1s', pools: [{ name: 'x', zones: ['este'] }] } }")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.desk.ReplaceFile(f.Statements)
-	g.logs(`code=kept error="statements.pools[0].zones: expected some of`)
-	g.desk.ReplaceFile(nil)
-	g.logs("code=renewed pools=0 classes=0")
-	if number, _ := g.ask(300, "look", "SELECT nota FROM actas_3.mesas"); number != 0 {
+	g.manager.ReplaceFile(f.Statements)
+	g.waitForLog(`code=kept error="statements.pools[0].zones: expected some of`)
+	g.manager.ReplaceFile(nil)
+	g.waitForLog("code=renewed pools=0 classes=0")
+	if number, _ := g.query(300, "look", "SELECT nota FROM actas_3.mesas"); number != 0 {
 		t.Errorf("no rules: %d", number)
 	}
-	if number, _ := g.ask(301, "load", "INSERT INTO actas_3.mesas SELECT * FROM staging.l"); number != 0 {
+	if number, _ := g.query(301, "load", "INSERT INTO actas_3.mesas SELECT * FROM staging.l"); number != 0 {
 		t.Errorf("a load: %d", number)
 	}
-	g.logs("msg=statements seen=")
-	g.end()
-	g.logs("code=saved")
-	s, err := workload.ReadSnapshot(kept)
+	g.waitForLog("msg=statements seen=")
+	g.shutDown()
+	g.waitForLog("code=saved")
+	snapshot, err := workload.ReadSnapshot(snapshotFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if shapes, answers := s.CountRecords(); shapes != 4 || answers != 25 {
+	if shapes, answers := snapshot.CountRecords(); shapes != 4 || answers != 25 {
 		t.Errorf("%d shapes, %d answers", shapes, answers)
 	}
-	// Begun again it knows them; from half a file it begins cold, and says so.
-	g = begin(t, fmt.Sprintf(rules, kept))
-	g.logs("code=recovered")
-	g.end()
-	b, _ := os.ReadFile(kept)
-	os.WriteFile(kept, b[:len(b)/2], 0o600)
-	g = begin(t, fmt.Sprintf(rules, kept))
-	g.logs("code=cold error=")
-	g.end()
+	// A restart recovers the snapshot; with half of the file the cost model begins empty, and the log says so.
+	g = startGateway(t, fmt.Sprintf(operatorFile, snapshotFile))
+	g.waitForLog("code=recovered")
+	g.shutDown()
+	b, _ := os.ReadFile(snapshotFile)
+	os.WriteFile(snapshotFile, b[:len(b)/2], 0o600)
+	g = startGateway(t, fmt.Sprintf(operatorFile, snapshotFile))
+	g.waitForLog("code=cold error=")
+	g.shutDown()
 }
