--- a/internal/cluster/rollout/exploration.go
+++ b/internal/cluster/rollout/exploration.go
@@ -74,12 +74,12 @@
 
 // AppendProposal has a leader append a proposal whose text all members have.
 func (c *Core) AppendProposal(p *LoggedProposal) {
-	c.voter.appendEntry(c, "open", &logEntry{Proposal: p})
+	c.voter.appendEntry(c, &logEntry{Proposal: p})
 }
 
 // GrantsLeases tells whether this core leads and is not switching to another policy.
 func (c *Core) GrantsLeases() bool {
-	return c.voter != nil && c.voter.leadership != nil && c.voter.leadership.phase < switching
+	return c.voter != nil && c.voter.leadership != nil && c.voter.leadership.change.phase < switching
 }
 
 // FloorRecord is the record by which a folder remembers the policy that this gateway went by last.
@@ -184,8 +184,8 @@
 	table, l := &c.voter.table, c.voter.leadership
 	s := LeaderState{
 		LeasesClearAt: l.leasesClearAt, OverlapsClearAt: l.startedAt + c.config.leaseMargin(table.Overlap), Proved: l.proved, Behind: l.behind,
-		EntryPending: l.pendingEntry != "", Confirming: l.confirmingRead != 0, Phase: int(l.phase), PhaseSince: l.phaseSince,
-		ProposalOpen: table.Proposal != nil, ProposalSince: l.proposalOpenedAt,
+		EntryPending: l.pending.appended, Confirming: l.confirming.read != 0, Phase: int(l.change.phase), PhaseSince: l.change.phaseSince,
+		ProposalOpen: table.Proposal != nil, ProposalSince: l.change.openedAt,
 	}
 	for i := range l.holders {
 		h := &l.holders[i]
--- a/internal/cluster/rollout/message.go
+++ b/internal/cluster/rollout/message.go
@@ -1,12 +1,17 @@
 package rollout
 
 import (
+	"errors"
 	"fmt"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-// message is what members say to each other: one of its parts, in CBOR. A field that a build doesn't know is passed over.
+// ErrMalformedMessage is wrapped by errors about messages that can't be decoded.
+var ErrMalformedMessage = errors.New("policy rollout: malformed message")
+
+// Message is what members send each other in CBOR: one of its parts is set. Fields that a build doesn't know are passed over, and the
+// keys of fields never change their meaning.
 type Message struct {
 	from            string
 	Incarnation     uint64           `cbor:"1,keyasint"` // of the sender
@@ -20,17 +25,18 @@
 	Log             []byte           `cbor:"9,keyasint,omitempty"` // of the voters' log
 }
 
-// mark is a place in the history of policies; a later era counts before any number.
+// Version is a place in the history of policies: their number, and the era, which only a forced log raises.
 type Version struct {
 	Era    uint64 `cbor:"1,keyasint,omitempty"`
 	Number uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-func (m Version) Before(o Version) bool {
-	return m.Era < o.Era || m.Era == o.Era && m.Number < o.Number
+// Before tells whether v comes earlier: an earlier era, or a lower number of the same one.
+func (v Version) Before(other Version) bool {
+	return v.Era < other.Era || v.Era == other.Era && v.Number < other.Number
 }
 
-// ask is a member's, for a lease.
+// LeaseRequest is a member's request for a lease, to a voter.
 type LeaseRequest struct {
 	Seq         uint32        `cbor:"1,keyasint"`
 	Floor       Version       `cbor:"2,keyasint"`           // the highest that it has gone by
@@ -47,7 +53,7 @@
 	OverlapWith uint64        `cbor:"11,keyasint,omitempty"` // may go by what this one allows as well, if it hears nothing
 }
 
-// answer is a voter's.
+// LeaseReply is a voter's reply, or what a leader says unasked.
 type LeaseReply struct {
 	Seq            uint32          `cbor:"1,keyasint,omitempty"` // of the ask; 0: unasked
 	Leader         string          `cbor:"2,keyasint,omitempty"` // whom to ask; what follows is the leader's own
@@ -65,7 +71,7 @@
 	ForIncarnation uint64          `cbor:"13,keyasint,omitempty"` // the start of the process that asked: another under its name takes nothing of it
 }
 
-// open is a proposal that is neither decided nor dropped.
+// ProposalNotice is an open proposal, as the leader announces it.
 type ProposalNotice struct {
 	ID       uint64   `cbor:"1,keyasint"`
 	Digest   Digest   `cbor:"2,keyasint"`
@@ -74,7 +80,7 @@
 	Sources  []string `cbor:"5,keyasint,omitempty"` // who has its text
 }
 
-// Kind is what a proposal is.
+// ProposalKind is what a proposal asks for.
 type ProposalKind uint8
 
 // The kinds of proposals.
@@ -91,7 +97,7 @@
 	return [...]string{"change", "rollback", "rehearsal"}[k-KindChange]
 }
 
-// propose is a member's, to the leader; it is repeated until told.
+// ProposalRequest is a member's proposal to the leader. It is repeated until its outcome comes.
 type ProposalRequest struct {
 	ID              uint64       `cbor:"1,keyasint"`
 	Digest          Digest       `cbor:"2,keyasint"`
@@ -102,7 +108,7 @@
 	RehearsalLength Time         `cbor:"7,keyasint,omitempty"` // of a rehearsal: how long
 }
 
-// told is what became of a proposal.
+// ProposalReply is how far a proposal is, or its outcome.
 type ProposalReply struct {
 	ID      uint64  `cbor:"1,keyasint"`
 	Outcome Outcome `cbor:"2,keyasint,omitempty"` // Pending: it is open, or on its way
@@ -127,13 +133,14 @@
 	return [...]string{"pending", "decided", "dropped", "refused", "rehearsed"}[min(o, OutcomeRehearsed)]
 }
 
-// fetch asks for pieces of a text: of those from First on the ones whose bit is set.
+// ChunkRequest asks for chunks of a text: of those from First on the ones whose bit is set.
 type ChunkRequest struct {
 	Digest Digest `cbor:"1,keyasint"`
 	First  int    `cbor:"2,keyasint,omitempty"`
 	Bitmap uint32 `cbor:"3,keyasint"`
 }
 
+// Chunk is a part of a policy's text, of chunkBytes but for the last one.
 type Chunk struct {
 	Digest     Digest `cbor:"1,keyasint"`
 	Index      int    `cbor:"2,keyasint,omitempty"`
@@ -141,7 +148,7 @@
 	Text       []byte `cbor:"4,keyasint"`
 }
 
-// born is a voter's, to the others: as whom it votes.
+// VoterHello is what a process that is to vote tells the other voters: its replica ID, which it drew when its folder was new.
 type VoterHello struct {
 	ReplicaID  uint64 `cbor:"1,keyasint"`
 	Lease      Time   `cbor:"2,keyasint"`
@@ -155,7 +162,7 @@
 func encode(v any) []byte {
 	b, err := coding.Marshal(v)
 	if err != nil {
-		panic(err) // of what is in memory there is nothing that can't be written
+		panic(err) // no type here has a value that can't be encoded
 	}
 	return b
 }
@@ -165,7 +172,7 @@
 func decode(b []byte) (*Message, error) {
 	m := &Message{}
 	if err := cbor.Unmarshal(b, m); err != nil {
-		return nil, fmt.Errorf("charter: no message of this version: %w", err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
 	parts := 0
 	for _, there := range []bool{m.LeaseRequest != nil, m.LeaseReply != nil, m.ProposalRequest != nil, m.ProposalReply != nil, m.ChunkRequest != nil, m.Chunk != nil, m.VoterHello != nil, m.Log != nil} {
@@ -174,7 +181,7 @@
 		}
 	}
 	if parts != 1 {
-		return nil, fmt.Errorf("charter: expected one part, found %d", parts)
+		return nil, fmt.Errorf("%w: expected one part, found %d", ErrMalformedMessage, parts)
 	}
 	return m, nil
 }
--- a/internal/cluster/rollout/probation.go
+++ b/internal/cluster/rollout/probation.go
@@ -44,7 +44,7 @@
 }
 
 // rehearsed tells what a rehearsal came to, and whether it is worse than the proposal allows.
-func (v *voter) rehearsalReport(c *Core, p *LoggedProposal, t *policyText) (report string, worse bool) {
+func (v *voter) rehearsalReport(p *LoggedProposal, t *policyText) (report string, worse bool) {
 	list := v.countsFor(p.ID)
 	all := sumCounts(list)
 	report = fmt.Sprintf("rehearsed by %d members: of %d tasks %d classed, %d refused and %d held that are not now", len(list), all.Requests, all.Classified, all.Rejected, all.Shed)
@@ -63,8 +63,8 @@
 	if trial == nil {
 		return
 	}
-	if l.probationNumber != trial.Number {
-		l.probationNumber, l.probationSince = trial.Number, c.now
+	if l.probation.number != trial.Number {
+		l.probation.number, l.probation.since = trial.Number, c.now
 	}
 	t := c.policies.find(v.table.Digest)
 	if t == nil || t.state != textUsable || v.table.Proposal != nil {
@@ -78,10 +78,10 @@
 		if back != nil {
 			p.Digest, p.Size = back.Digest, back.Size
 		}
-		if v.appendEntry(c, "open", &logEntry{Proposal: p}) {
+		if v.appendEntry(c, &logEntry{Proposal: p}) {
 			c.host.LogEvent(PolicyRolledBack, "number", trial.Number, "to", trial.RollbackTo, "why", over)
 		}
-	case c.now-l.probationSince >= t.terms.Probation:
-		v.appendEntry(c, "kept", &logEntry{ProbationPassed: trial.Number})
+	case c.now-l.probation.since >= t.terms.Probation:
+		v.appendEntry(c, &logEntry{ProbationPassed: trial.Number})
 	}
 }
--- a/internal/cluster/rollout/table.go
+++ b/internal/cluster/rollout/table.go
@@ -148,6 +148,14 @@
 	b.Ends = b.Ends[max(0, len(b.Ends)-maxProposalEnds):]
 }
 
+// lastEnd is the end of the proposal that ended last; zero: of none.
+func (t *Table) lastEnd() ProposalEnd {
+	if len(t.Ends) == 0 {
+		return ProposalEnd{}
+	}
+	return t.Ends[len(t.Ends)-1]
+}
+
 // told is what is known of a proposal; nil: nothing.
 func (b *Table) proposalReply(id uint64) *ProposalReply {
 	if b.Proposal != nil && b.Proposal.ID == id {
--- a/internal/cluster/rollout/voter.go
+++ b/internal/cluster/rollout/voter.go
@@ -16,8 +16,6 @@
 	voterGoneAfter = 10 * second
 )
 
-const millisecond = second / 1000
-
 // Log is the voters' log as one voter has it; consensus.Node is one.
 type Log interface {
 	Append(entry []byte) error
--- a/internal/cluster/rollout/voter_membership.go
+++ b/internal/cluster/rollout/voter_membership.go
@@ -135,14 +135,14 @@
 // gone tells whether a voter was not heard for long enough that another may take its place.
 func (v *voter) isGone(c *Core, birth uint64) bool {
 	l := v.leadership
-	if v.log.IsActive(birth) || l.missingReplica != birth {
-		l.missingReplica, l.missingSince = 0, c.now
+	if v.log.IsActive(birth) || l.missing.replicaID != birth {
+		l.missing.replicaID, l.missing.since = 0, c.now
 		if !v.log.IsActive(birth) {
-			l.missingReplica = birth
+			l.missing.replicaID = birth
 		}
 		return false
 	}
-	return c.now-l.missingSince >= voterGoneAfter
+	return c.now-l.missing.since >= voterGoneAfter
 }
 
 // unwanted is a voter that is to be none; the leader itself comes last.
@@ -160,7 +160,7 @@
 	list = slices.Clone(list)
 	slices.Sort(list)
 	if len(list) > 0 && !slices.Equal(list, v.table.WantedVoters) {
-		v.appendEntry(c, "want", &logEntry{WantedVoters: list})
+		v.appendEntry(c, &logEntry{WantedVoters: list})
 	}
 }
 
