--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -18,37 +18,37 @@
 	done     chan struct{} // closed once it accepts no more
 }
 
-// serve accepts until stop.
+// run accepts connections until stop. It is the acceptor's goroutine.
 func (a *acceptor) run() {
 	defer close(a.done)
 	for {
-		tcp, err := a.listener.Accept()
+		socket, err := a.listener.Accept()
 		switch {
 		case err == nil:
-			a.startSession(tcp)
+			a.startSession(socket)
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
 			a.drainBacklog()
 			return
-		default: // out of descriptors, as a rule: some are free again soon
+		default: // usually there are no descriptors left; some are free again soon
 			a.owner.log.Warn("accept", "error", err)
 			time.Sleep(finalReadWait)
 		}
 	}
 }
 
-// stop has it take what the system accepted before, and accept no more. A close alone would reset those connections.
+// stop starts sessions for the connections that the system has accepted already, and accepts no more. A close alone would
+// reset those connections.
 func (a *acceptor) stop() {
-	if tcp, ok := a.listener.(*net.TCPListener); ok {
-		tcp.SetDeadline(expiredDeadline)
-	} else {
+	tcp, ok := a.listener.(*net.TCPListener)
+	if !ok || tcp.SetDeadline(expiredDeadline) != nil {
 		a.listener.Close()
 	}
 	<-a.done
 	a.listener.Close()
 }
 
-// emptyBacklog takes the connections that the system accepted and nobody took. Accept doesn't try any more once its deadline has
-// passed, so the system is asked.
+// drainBacklog starts sessions for the connections that wait in the listener's backlog. Accept doesn't look for them any more
+// once its deadline has passed, so the system is asked.
 func (a *acceptor) drainBacklog() {
 	socket, ok := a.listener.(syscall.Conn)
 	if !ok {
@@ -59,42 +59,48 @@
 		return
 	}
 	var waiting []int
-	raw.Control(func(listener uintptr) {
-		for {
-			descriptor, _, err := syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
-			if err == syscall.EINTR || err == syscall.ECONNABORTED {
-				continue
-			}
-			if err != nil {
-				return
-			}
-			waiting = append(waiting, descriptor)
-		}
-	})
+	if err := raw.Control(func(listener uintptr) { waiting = acceptWaiting(listener) }); err != nil {
+		return // the listener is closed
+	}
 	for _, descriptor := range waiting {
 		file := os.NewFile(uintptr(descriptor), "client")
-		tcp, err := net.FileConn(file)
-		file.Close()
+		socket, err := net.FileConn(file)
+		_ = file.Close() // the connection has a descriptor of its own
 		if err == nil {
-			a.startSession(tcp)
+			a.startSession(socket)
+		}
+	}
+}
+
+// acceptWaiting accepts the connections in a listener's backlog without waiting, and returns their descriptors.
+func acceptWaiting(listener uintptr) (descriptors []int) {
+	for {
+		descriptor, _, err := syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		if errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED) {
+			continue
+		}
+		if err != nil {
+			return descriptors
 		}
+		descriptors = append(descriptors, descriptor)
 	}
 }
 
-// welcome starts a session for a client, or turns it away.
-func (a *acceptor) startSession(tcp net.Conn) {
+// startSession starts a session for a client, or rejects it if there is no place for one.
+func (a *acceptor) startSession(socket net.Conn) {
 	o := a.owner
 	o.usage.openConnections.Add(1)
-	s := newSession(o, tcp)
-	if o.clients.admit(s) == sessionRefused {
+	s := newSession(o, socket)
+	if !o.clients.admit(s) {
 		a.rejectClient(s)
 		return
 	}
 	go s.run()
 }
 
-// turnAway answers a client for which there is no session. It may have written its login and a query already, over which a close
-// would take the answer with it: so the answer is lingered for, as far as there are descriptors for that.
+// rejectClient answers a client for which there is no place. The client may have written its login and a query already, and a
+// close over unread bytes would take the answer with it. So the connection is kept open for a while, if there are
+// descriptors for that.
 func (a *acceptor) rejectClient(s *clientSession) {
 	end := func() {
 		s.socket.Close()
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -10,45 +10,62 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// attempt is one attempt of a request to an engine. The owner has n, over, again, doubt and stop; mu of the engine
-// guards what stands below state, which is its engineClient's.
+// attempt is one attempt to have a request served by an engine.
 type attempt struct {
+	// These don't change.
 	request          *request
-	client           engineClient
-	engineID         admission.EngineID  // to's
-	requestID        admission.RequestID // of's id
-	number           int
-	ended            bool
-	resent           bool              // it was never written on its first connection
-	cancelOutcome    admission.Outcome // what the module is told once it is given up; Delivered: nothing
-	stopTimer        func()
+	client           engineClient // nil for an answer from the journal
+	engineID         admission.EngineID
+	requestID        admission.RequestID
+	number           int // of the request's attempts, from 0
 	class            string
-	statement        []byte
-	idempotencyToken []byte // by which engines tell a repeat; empty: none
 	timeout          admission.Time
 	sendBy           admission.Time // from then on it must not be written; 0: no limit
-	memoryMB         float64
-	state            atomic.Int32
-	handedOver       bool // the owner's: it was handed to its engineClient
+	memoryMB         float64        // that the engine is granted
+	statement        []byte
+	idempotencyToken []byte // by which engines detect a repeated request; nil if there is none
+
+	// state is attemptUnwritten, attemptWritten or attemptWithdrawn; every goroutine may read and change it.
+	state atomic.Int32
+
+	// The owner's.
+	ended         bool
+	resent        bool              // it must not be sent again if its connection breaks before it is written
+	handedOver    bool              // the responder was told to send it
+	cancelOutcome admission.Outcome // reported once the cancellation is over; Served: nothing is left to report
+	stopTimer     func()
+	charge        attemptCharge
+
+	// Guarded by the engine pool's mutex.
+	conn       *engineConn // nil until it is assigned to one
+	priority   int
+	sentAt     time.Time
+	idleBefore time.Duration // how long the connection was idle before
+	cancelled  bool
+	finished   bool // it has its last answer or needs none; what still comes for it is ignored
 
-	// As the desk counts it.
-	estimate         admission.Estimate
-	threads, charged float64
-	policyRevision   uint64 // the rules that had it go out; 0: none that may change
+	// The connection reader's until the attempt has ended, then the owner's and the session's.
+	result        attemptResult
+	progressNotes int              // that the engine sent
+	loadReport    admission.Report // of the engine, if the deployment has engines tell it in answers; else NoReport
+}
+
+// attemptCharge is what an attempt is charged to its resource group.
+type attemptCharge struct {
+	estimate admission.Estimate
+	threads  float64
+	charged  float64
+	// policyRevision names the rules that allowed the attempt; 0 if they can't change.
+	policyRevision uint64
+}
 
-	priority      int
-	conn          *engineConn
-	idleBefore    time.Duration // how long its connection was idle before
-	sentAt        time.Time
-	cancelled     bool
-	finished      bool     // nothing that comes for it counts any more
-	pages         [][]byte // of the result, once its first page is there
-	missingPages  int
-	progressNotes int // that came; its connection's reader counts them
-	resultBytes   int
-	work          admission.Time // as its first page tells, and the memory in MB
-	memoryUsedMB  float64
-	report        admission.Report // the engine's load as its answer tells, where the settings say that answers do
+// attemptResult is the result of an attempt as far as it has come.
+type attemptResult struct {
+	pages        [][]byte // nil until the first page is there
+	missingPages int
+	bytes        int
+	work         admission.Time // that the engine spent, as the first page tells
+	memoryMB     float64        // that the engine used, as the first page tells
 }
 
 // The states of an attempt on its way to the socket.
@@ -58,10 +75,10 @@
 	attemptWithdrawn
 )
 
-// withdraw keeps an attempt that isn't written yet from being so.
+// withdraw keeps an attempt from being written, and reports whether it was not written yet.
 func (a *attempt) withdraw() bool { return a.state.CompareAndSwap(attemptUnwritten, attemptWithdrawn) }
 
-// undo gives an attempt up, or the pages of its result that are still to come.
+// cancel tells the engine that the attempt, or what is missing of its result, is given up.
 func (a *attempt) cancel() {
 	conn := a.conn
 	if conn == nil { // it was withdrawn before it had a connection
@@ -69,49 +86,54 @@
 	}
 	conn.pool.mu.Lock()
 	open := conn.attempts[a.requestID] == a && !a.cancelled && !a.finished && a.state.Load() == attemptWritten
-	if a.cancelled = true; open && conn.cancelSentAt.IsZero() {
+	a.cancelled = true
+	if open && conn.cancelSentAt.IsZero() {
 		conn.cancelSentAt = time.Now()
 		conn.setReadDeadline()
 	} else if a.state.Load() == attemptWithdrawn {
 		conn.finishAttempt(a)
 	}
-	word := "undo"
-	if a.pages != nil {
-		word = "forget"
+	command := "undo"
+	if a.result.pages != nil {
+		command = "forget"
 	}
 	conn.pool.mu.Unlock()
-	if open { // nothing answers this, but a page that the engine doesn't know is failed: then it has heard it
-		conn.write(func() net.Buffers {
-			return net.Buffers{resp.AppendArray(nil, word, string(a.requestID)), resp.AppendArray(nil, "page", string(a.requestID), "1")}
-		}, ignoreFailure)
+	if !open {
+		return
 	}
+	// An engine doesn't answer the command. It answers with a failure when it is asked for a page of a request that it
+	// doesn't know, which tells that it knows of the cancellation.
+	conn.write(func() net.Buffers {
+		return net.Buffers{resp.AppendArray(nil, command, string(a.requestID)), resp.AppendArray(nil, "page", string(a.requestID), "1")}
+	}, ignoreFailure)
 }
 
-// bump gives an attempt another rank.
-func (a *attempt) setPriority(rank int) {
+// setPriority changes the attempt's priority, and tells the engine if the attempt was written.
+func (a *attempt) setPriority(priority int) {
 	conn := a.conn
 	if conn == nil {
 		return
 	}
 	conn.pool.mu.Lock()
-	a.priority = rank
+	a.priority = priority
 	open := conn.attempts[a.requestID] == a && !a.finished && a.state.Load() == attemptWritten
 	conn.pool.mu.Unlock()
 	if open {
-		conn.writeCommand("bump", string(a.requestID), strconv.Itoa(rank))
+		conn.writeCommand("bump", string(a.requestID), strconv.Itoa(priority))
 	}
 }
 
-// forget drops what was kept to tell late answers; the request is over, and its id doesn't come again.
+// release removes the attempt from its connection, where it was kept to recognise late answers. The request is over, and
+// its id doesn't come again.
 func (a *attempt) release() {
 	conn := a.conn
 	if conn == nil {
 		return
 	}
 	conn.pool.mu.Lock()
+	defer conn.pool.mu.Unlock()
 	if conn.attempts[a.requestID] == a {
 		conn.finishAttempt(a)
 		delete(conn.attempts, a.requestID)
 	}
-	conn.pool.mu.Unlock()
 }
--- a/internal/router/client_session.go
+++ b/internal/router/client_session.go
@@ -13,69 +13,90 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-// session is one client's connection. Its goroutine reads a query, queues it as a request, and then does what its
-// mailbox says until the final answer is written.
+// clientSession is one client's connection. Its goroutine reads a query, hands it in as a request, and then handles events
+// until the final answer is written.
 type clientSession struct {
-	owner          *owner
-	socket         net.Conn
-	input          *bufio.Reader
-	connectionID   uint32
-	payload        []byte
-	packetNumber   byte // of the last packet read
-	events         *sessionQueue
-	endReason      string // why it ends; empty: it doesn't
-	dismissed      bool   // and it is the client's fault, who was told so
-	startedAt      time.Time
-	protocolErrors int       // answers in a row to what is no query of the protocol
-	lastRequestID  [16]byte  // of the query before
-	rejections     int       // queries refused or given up in a row
-	rejectedAt     time.Time // and when the last was
+	owner           *owner
+	socket          net.Conn
+	input           *bufio.Reader
+	connectionID    uint32
+	payload         []byte // of the packet read last
+	packetNumber    byte   // of the packet read last
+	events          *sessionQueue
+	statementReader StatementReader // nil if statements are not read
+	startedAt       time.Time
 
-	// Guarded by the connection limiter.
-	idleList     *list.List
-	idleElement  *list.Element
-	answeredOnce bool // it has had an answer to a command
-	evicted      bool
+	// endReason is the code with which the end of the session is logged; empty while it goes on. dismissed tells that the
+	// client was told why.
+	endReason string
+	dismissed bool
+
+	protocolErrors int       // in a row
+	lastRequestID  [16]byte  // of the query before
+	rejections     int       // queries rejected or given up in a row
+	rejectedAt     time.Time // when the last one was
 
 	// The request in hand.
-	answerDeadline time.Time // when a client that stopped waiting closes
+	answerDeadline time.Time // when a client that stopped waiting has closed
 	awaitingAnswer bool
-	// It ended without an answer, as its client left or was taken to have left.
-	unanswered bool
-	attempts   []*attempt
+	unanswered     bool // it ended without an answer, because its client left or seemed to
+	attempts       []*attempt
 
-	statementReader StatementReader // nil: statements are not read
+	// Guarded by the connection limiter.
+	idleList     *list.List
+	idleElement  *list.Element // nil while the session is busy
+	answeredOnce bool          // a command was answered
+	evicted      bool
 
-	request *request // the owner's; nil: none
+	request *request // in hand, as the owner knows it; nil: none
 }
 
 const (
 	user     = "app"
 	database = "reports"
-	// A client that stops waiting closes its session half a second later.
+)
+
+const (
+	// clientCloseDelay is how long after its deadline a client that stopped waiting closes its connection.
 	clientCloseDelay = 500 * time.Millisecond
-	// The longest statement that a session takes: the protocol names none, and its fields and names fill no more
-	// than some hundred bytes of it.
+	// maxStatementSize is the size of the longest statement in bytes. The protocol names none, and its fields and names fill no
+	// more than some hundred bytes.
 	maxStatementSize = 1 << 18
-	// What a session sets aside for a statement before more of it has come, and what it keeps for the next one.
+	// usualStatementSize is what a session allocates for a statement before more of it has come, and keeps for the next one.
 	usualStatementSize = 1 << 13
-	// A begun packet is owed an end, or its client a close, within 3 s.
+	// packetTimeout is how long a begun packet may take to become complete. The protocol owes a client a close within 3 s.
 	packetTimeout = 2 * time.Second
-	// Who asks for what can't be so often without one query of the protocol does not speak it.
+	// maxProtocolErrors is how many commands in a row may be none of the protocol's before the session ends.
 	maxProtocolErrors = 8
-	// The rest between two answers of a session that was turned away so often in a row: usual clients wait several
-	// times as long, and one that does not costs no more than fifty answers a second.
+	// maxQuickRejections is how many rejections in a row a client may have without a pause of rejectionPause before the next
+	// one. Usual clients wait several times as long, and one that does not costs no more than fifty answers a second.
 	maxQuickRejections = 4
 	rejectionPause     = 20 * time.Millisecond
-	// What is read ahead of a client that sends before it has its answer. The protocol has it send nothing then.
+	// maxReadAhead is how many bytes are read from a client that sends before it has its answer. The protocol has it send
+	// nothing then.
 	maxReadAhead = 1 << 12
-	// How long, and how much, is read from a client that was answered for the last time, as a close over unread
+	// lingerTimeout and maxLingerBytes limit what is read from a client after its last answer, because a close over unread
 	// bytes would take the answer with it.
 	lingerTimeout  = 300 * time.Millisecond
 	maxLingerBytes = 1 << 18
 )
 
-// serve speaks with a client until one of the two ends it.
+// run serves a session and logs its end. It is the session's goroutine.
+func (s *clientSession) run() {
+	o := s.owner
+	o.post(sessionOpened{s})
+	defer func() {
+		fault := recover()
+		o.post(sessionClosed{s})
+		s.releaseStatementBuffer()
+		s.socket.Close()
+		o.connectionEnded("client", s.socket.RemoteAddr().String(), s.endReason, 0, fault)
+		o.clients.remove(s)
+	}()
+	s.serve()
+}
+
+// serve speaks with a client until one of the two ends the session.
 func (s *clientSession) serve() {
 	s.logIn()
 	for s.endReason == "" && s.readPacket() {
@@ -95,25 +116,18 @@
 	s.endReason, s.dismissed = code, true
 }
 
-// linger tells the client that nothing more comes and reads until it has closed, for a while: a close over unread bytes would
-// reset the connection and take the last answer with it. What is read now goes nowhere.
-func (s *clientSession) linger(most time.Duration) {
+// linger ends what the client reads, and reads and discards what it sends until it has closed, for a time at most. A close
+// over unread bytes would reset the connection and take the last answer with it.
+func (s *clientSession) linger(timeout time.Duration) {
 	closeWrite(s.socket)
-	s.socket.SetReadDeadline(time.Now().Add(most))
-	io.CopyN(io.Discard, s.input, maxLingerBytes)
+	s.socket.SetReadDeadline(time.Now().Add(timeout))
+	_, _ = io.CopyN(io.Discard, s.input, maxLingerBytes) // however it ends, the connection is closed next
 }
 
-// closeWrite ends what a connection's peer reads.
-func closeWrite(tcp net.Conn) {
-	if half, ok := tcp.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite()
-	}
-}
+// newClientReader returns a buffered reader of what a client sends.
+func newClientReader(socket net.Conn) *bufio.Reader { return bufio.NewReaderSize(socket, maxReadAhead) }
 
-// newReader buffers what a client sends.
-func newClientReader(tcp net.Conn) *bufio.Reader { return bufio.NewReaderSize(tcp, maxReadAhead) }
-
-// read takes the next packet's payload in.
+// readPacket reads the next packet's payload. It reports false if the session ends instead.
 func (s *clientSession) readPacket() bool {
 	if rest := rejectionPause - time.Since(s.rejectedAt); rest > 0 && s.rejections >= maxQuickRejections {
 		time.Sleep(rest)
@@ -135,7 +149,7 @@
 		s.dismiss("too_large", mysql.ErrTooLarge, "packet too large")
 		return false
 	}
-	s.input.Discard(mysql.HeaderSize)
+	discard(s.input, mysql.HeaderSize)
 	s.socket.SetReadDeadline(time.Now().Add(packetTimeout))
 	for s.payload = s.payload[:0]; len(s.payload) < length; {
 		if !s.growPayload(min(length-len(s.payload), usualStatementSize)) {
@@ -155,7 +169,8 @@
 	return true
 }
 
-// peekHead waits for the head of the next packet. One that has begun to come as the time runs out has lastLook to become whole.
+// peekHeader waits for the header of the next packet. One that has begun to come when the time runs out has finalReadWait to
+// become complete.
 func (s *clientSession) peekHeader() ([]byte, error) {
 	head, err := s.input.Peek(mysql.HeaderSize)
 	if !errors.Is(err, os.ErrDeadlineExceeded) || !hasInput(s.socket) {
@@ -168,7 +183,7 @@
 	return s.input.Peek(mysql.HeaderSize)
 }
 
-// endUnread ends a session that waited for a packet, of which nothing or less than its head came.
+// endUnread ends a session that waited for a packet, of which nothing or less than its header came.
 func (s *clientSession) endUnread(err error) {
 	switch {
 	case !errors.Is(err, os.ErrDeadlineExceeded):
@@ -182,7 +197,7 @@
 	}
 }
 
-// endCutShort ends a session of which a begun packet did not become whole.
+// endCutShort ends a session of which a begun packet did not become complete.
 func (s *clientSession) endCutShort(err error) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) { // the client is gone
 		s.endReason = "cut_short"
@@ -191,7 +206,7 @@
 	s.dismiss("cut_short", mysql.ErrParse, "a packet was cut short")
 }
 
-// shrink lets a large statement go, with its part of the memory for such.
+// releaseStatementBuffer frees the buffer of a long statement.
 func (s *clientSession) releaseStatementBuffer() {
 	if cap(s.payload) > usualStatementSize {
 		s.owner.usage.statementBytes.Add(-int64(cap(s.payload)))
@@ -199,7 +214,7 @@
 	}
 }
 
-// grow makes room for more of a statement, as long as all that wait for their ends fit into a part of the memory.
+// growPayload makes room for n more bytes of a statement. It reports false if long statements hold too much memory.
 func (s *clientSession) growPayload(n int) bool {
 	old := cap(s.payload)
 	s.payload = slices.Grow(s.payload, n)
@@ -214,7 +229,7 @@
 	return s.owner.usage.maxStatementBytes == 0 || all <= s.owner.usage.maxStatementBytes
 }
 
-// write sends packets, gathered; it must be through when a client that stopped waiting would be gone.
+// writePackets writes packets. They must be written by the time at which a client that stopped waiting has closed.
 func (s *clientSession) writePackets(packets ...[]byte) {
 	by := time.Now().Add(clientCloseDelay)
 	if s.answerDeadline.After(by) {
@@ -225,6 +240,7 @@
 	}
 }
 
+// logIn greets a client and checks its login.
 func (s *clientSession) logIn() {
 	var salt [20]byte
 	for i := range salt { // passwords are empty, so there is nothing for it to guard
@@ -247,18 +263,24 @@
 	}
 }
 
-func (s *clientSession) noteRejection() { s.rejections, s.rejectedAt = s.rejections+1, time.Now() }
+// noteRejection counts a rejection, by which the next command may be delayed.
+func (s *clientSession) noteRejection() {
+	s.rejections++
+	s.rejectedAt = time.Now()
+}
 
-// amiss answers what is no query of the protocol.
+// rejectCommand answers a command that is none of the protocol's, and ends the session after too many of them.
 func (s *clientSession) rejectCommand(code uint16, text string) {
 	s.noteRejection()
-	if s.protocolErrors++; s.protocolErrors >= maxProtocolErrors {
+	s.protocolErrors++
+	if s.protocolErrors >= maxProtocolErrors {
 		s.dismiss("no_protocol", code, text)
 		return
 	}
 	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, code, text))
 }
 
+// handleCommand carries out the command in the packet read last.
 func (s *clientSession) handleCommand() {
 	if len(s.payload) == 0 {
 		s.dismiss("bad_packet", mysql.ErrParse, "empty packet")
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -6,17 +6,17 @@
 	"magpiebank/internal/admission"
 )
 
-// Clock tells the time to the owner loop and sets its timers.
+// Clock tells the owner the time and sets its timers.
 type Clock interface {
 	Now() admission.Time
-	// After calls f once, later, from any goroutine; stop calls it off.
+	// After calls f once, from any goroutine, when d has passed. stop cancels the call.
 	After(d admission.Time, f func()) (stop func())
 }
 
-// tenth is the project's unit of time.
+// timeUnit is the unit of admission.Time.
 const timeUnit = 100 * time.Microsecond
 
-// wallClock is Unix time as it was at start, moved on by the monotonic clock: it never goes back.
+// wallClock is the Unix time at the start, advanced by the monotonic clock, so that it never goes back.
 type wallClock struct{ start time.Time }
 
 func newWallClock() wallClock { return wallClock{time.Now()} }
--- a/internal/router/clock_skew_off.go
+++ b/internal/router/clock_skew_off.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// askew is for the laboratory, whose clocks may run off; in an ordinary build they are true.
+// skewElapsed returns a time unchanged. Builds for the testbed replace it by one that skews clocks.
 func skewElapsed(since time.Duration) time.Duration { return since }
--- a/internal/router/clock_skew_testbed.go
+++ b/internal/router/clock_skew_testbed.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// The clock of a laboratory's process runs at a rate, and jumps once: MAGPIEBANK_CLOCK="1.05 -60s 5s" is a twentieth fast, and
-// a minute back five seconds after its start. A jump back holds the clock where it was, as the owner's never goes back.
+// In a build for the testbed the clock runs at a rate and jumps once: MAGPIEBANK_CLOCK="1.05 -60s 5s" is a twentieth fast, and
+// jumps a minute back five seconds after the start. A jump back holds the clock where it was, because the owner's time never
+// goes back.
 var rate, jump, jumpAt = func() (rate float64, jump, at time.Duration) {
 	var by, when string
 	rate = 1
--- a/internal/router/connection_limiter.go
+++ b/internal/router/connection_limiter.go
@@ -2,69 +2,60 @@
 
 import (
 	"container/list"
-	"errors"
-	"net"
+	"iter"
 	"sync"
-	"syscall"
 	"time"
 )
 
-// connectionLimiter keeps the clients' connections within their part of the descriptors. What is not in the middle of a query
-// stands in a line; a newcomer who finds no room takes the place of the first there of which nothing waits to be read:
-// of those that have asked for nothing yet the oldest, else the one longest without a query. A connection with a query
-// is never closed for it.
+// connectionLimiter limits the number of client sessions to the clients' part of the descriptors. A newcomer that finds the
+// limit reached takes the place of an idle session of which no input waits to be read: of those that have asked for nothing
+// yet the oldest, else the one that has been idle for longest. A session with a query is never evicted.
 type connectionLimiter struct {
 	mu            sync.Mutex
 	limit         int // 0: no limit
-	sessions      int // sessions that run
-	lingering     int // connections that end and are lingered for, beyond room
+	sessions      int // that run and are not evicted
+	lingering     int // connections that are about to be closed, beyond the limit
 	closing       bool
-	idleNewcomers list.List // sessions in line that have asked for nothing yet
-	idleKnown     list.List // the others in line
+	idleNewcomers list.List // idle sessions without an answer to any command yet, the oldest first
+	idleKnown     list.List // the other idle sessions, the one that has been idle for longest first
 }
 
 const (
-	// A client that has said nothing of use is owed a close within 3 s of connecting; the rest is for the close.
+	// firstQueryTimeout is how long a client may be connected without a command. The protocol owes it a close within 3 s; the
+	// rest is for the close.
 	firstQueryTimeout = 2500 * time.Millisecond
-	// Clients close connections that were idle for 4 s; one that is there for longer is stuck or forgotten.
+	// idleClientTimeout is how long a client may be idle. Clients close connections that were idle for 4 s, so one that is
+	// there for longer is stuck or forgotten.
 	idleClientTimeout = 5 * time.Second
-	// What was sent before a stop is looked for this long: requests cease 0.1 s before lastRequests is over.
+	// finalReadWait is how long input is still awaited that was sent before a deadline or a stop. It must cover the last
+	// requests, which clients send until 0.1 s before drainTime is over.
 	finalReadWait = 100 * time.Millisecond
+	// maxLingering is how many connections may be kept open for their last answers, a part of reservedDescriptors. Beyond it
+	// they are closed at once, because their descriptors are wanted.
+	maxLingering = reservedDescriptors / 3
 )
 
-// verdict is what becomes of a client that connects.
-type admitResult int
-
-const (
-	sessionAdmitted admitResult = iota
-	sessionRefused              // all are in the middle of a query
-)
-
-// mostLeaving is how many connections that end may be lingered for at a time: a part of ownDescriptors. Beyond it they are
-// closed at once, as a descriptor is wanted for the next.
-const maxLingering = reservedDescriptors / 3
-
-// enter lets a session in, where need be in the place of another.
-func (l *connectionLimiter) admit(s *clientSession) admitResult {
+// admit counts a session in, and evicts another one if it must. It reports false if all are busy with queries.
+func (l *connectionLimiter) admit(s *clientSession) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limit > 0 && l.sessions >= l.limit {
-		displaced := firstWithoutInput(&l.idleNewcomers)
-		if displaced == nil {
-			displaced = firstWithoutInput(&l.idleKnown)
+		evicted := firstWithoutInput(&l.idleNewcomers)
+		if evicted == nil {
+			evicted = firstWithoutInput(&l.idleKnown)
 		}
-		if displaced == nil {
-			return sessionRefused
+		if evicted == nil {
+			return false
 		}
-		l.evict(displaced)
+		l.evict(evicted)
 	}
 	l.sessions++
 	l.addIdle(s)
-	return sessionAdmitted
+	return true
 }
 
-// displace ends a session that waits for a packet. Its client is told by the end of what it reads; what it sends at that very moment
-// is read by the session, as a close over it would be a reset.
+// evict ends an idle session. Its client sees the end of what it reads. What the client sends at that very moment is still
+// read by the session, because a close over unread bytes would reset the connection. The caller holds mu.
 func (l *connectionLimiter) evict(s *clientSession) {
 	l.removeIdle(s)
 	s.evicted = true
@@ -78,7 +69,7 @@
 	s.socket.SetReadDeadline(expiredDeadline)
 }
 
-// linger tells whether there are descriptors to linger for one more connection; lingered follows when that has ended.
+// beginLinger reports whether one more connection may be kept open for its last answer. If so, endLinger follows.
 func (l *connectionLimiter) beginLinger() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,63 +86,51 @@
 	l.lingering--
 }
 
-// firstSilent is the first session in a line that has sent nothing which waits to be read: a burst of newcomers, or
-// a stall of this process, must not cost one its place that has said what it wants.
-func firstWithoutInput(line *list.List) *clientSession {
-	for e := line.Front(); e != nil; e = e.Next() {
-		if s := e.Value.(*clientSession); !hasInput(s.socket) {
+// firstWithoutInput returns the first session of a list of which no input waits to be read; nil if there is none. A burst of
+// newcomers, or a stall of this process, must not cost a client its place that has sent a command.
+func firstWithoutInput(sessions *list.List) *clientSession {
+	for s := range sessionsOf(sessions) {
+		if !hasInput(s.socket) {
 			return s
 		}
 	}
 	return nil
 }
 
-// speaks tells whether bytes of a connection wait to be read.
-func hasInput(tcp net.Conn) bool {
-	waiting, _ := peekSocket(tcp)
-	return waiting
-}
-
-// look asks the system what the next read of a connection would bring, without waiting for it: bytes, or its end.
-func peekSocket(tcp net.Conn) (waiting, ended bool) {
-	socket, ok := tcp.(syscall.Conn)
-	if !ok {
-		return false, false
-	}
-	raw, err := socket.SyscallConn()
-	if err != nil {
-		return false, false
+// sessionsOf iterates over a list of sessions.
+func sessionsOf(sessions *list.List) iter.Seq[*clientSession] {
+	return func(yield func(*clientSession) bool) {
+		for e := sessions.Front(); e != nil; e = e.Next() {
+			if s, ok := e.Value.(*clientSession); ok && !yield(s) {
+				return
+			}
+		}
 	}
-	raw.Control(func(fd uintptr) {
-		var b [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waiting = n > 0
-		ended = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
-	})
-	return waiting, ended
 }
 
-// rest puts a session into the line while it waits for a packet, and sets the time until which it does.
+// markIdle lists a session as idle while it waits for a packet, and sets the read deadline of that wait.
 func (l *connectionLimiter) markIdle(s *clientSession) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s.idleElement == nil && !s.evicted && s.input.Buffered() == 0 {
 		l.addIdle(s)
 	}
-	by := time.Now().Add(idleClientTimeout)
+	now := time.Now()
+	deadline := now.Add(idleClientTimeout)
+	soonest := now.Add(finalReadWait)
 	if !s.answeredOnce {
-		by = s.startedAt.Add(firstQueryTimeout)
-		if soonest := time.Now().Add(finalReadWait); by.Before(soonest) { // this process was slow to read the login, not its client
-			by = soonest
+		deadline = s.startedAt.Add(firstQueryTimeout)
+		if deadline.Before(soonest) { // this process was slow to read the login, not its client to send it
+			deadline = soonest
 		}
 	}
-	if last := time.Now().Add(finalReadWait); l.closing && last.Before(by) {
-		by = last
+	if l.closing && soonest.Before(deadline) {
+		deadline = soonest
 	}
-	s.socket.SetReadDeadline(by)
+	s.socket.SetReadDeadline(deadline)
 }
 
-// work takes a session that reads a packet out of the line, and tells whether it still has its place.
+// markBusy takes a session that reads a packet off the idle lists, and reports whether it was not evicted before.
 func (l *connectionLimiter) markBusy(s *clientSession) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,6 +138,7 @@
 	return !s.evicted
 }
 
+// remove counts a session out that has ended.
 func (l *connectionLimiter) remove(s *clientSession) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,13 +150,16 @@
 	}
 }
 
+// addIdle adds a session to its idle list. The caller holds mu.
 func (l *connectionLimiter) addIdle(s *clientSession) {
-	if s.idleList = &l.idleNewcomers; s.answeredOnce {
+	s.idleList = &l.idleNewcomers
+	if s.answeredOnce {
 		s.idleList = &l.idleKnown
 	}
 	s.idleElement = s.idleList.PushBack(s)
 }
 
+// removeIdle takes a session off its idle list, if it is on one. The caller holds mu.
 func (l *connectionLimiter) removeIdle(s *clientSession) {
 	if s.idleElement != nil {
 		s.idleList.Remove(s.idleElement)
@@ -184,14 +167,14 @@
 	}
 }
 
-// shut ends the sessions: those in line once they had a last look, the others with their answers.
+// beginShutdown ends the sessions: idle ones once finalReadWait is over, the others with their answers.
 func (l *connectionLimiter) beginShutdown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closing = true
-	for _, line := range []*list.List{&l.idleNewcomers, &l.idleKnown} {
-		for e := line.Front(); e != nil; e = e.Next() {
-			e.Value.(*clientSession).socket.SetReadDeadline(time.Now().Add(finalReadWait))
+	for _, idle := range []*list.List{&l.idleNewcomers, &l.idleKnown} {
+		for s := range sessionsOf(idle) {
+			s.socket.SetReadDeadline(time.Now().Add(finalReadWait))
 		}
 	}
 }
@@ -202,7 +185,7 @@
 	return l.closing
 }
 
-// empty tells whether no session runs any more, and none is lingered for.
+// isEmpty tells whether no session runs any more, and no connection is kept open for its last answer.
 func (l *connectionLimiter) isEmpty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/router/connection_limiter_test.go
+++ b/internal/router/connection_limiter_test.go
@@ -72,7 +72,7 @@
 		result := d.admit(in[n])
 		after := slices.DeleteFunc(displacedOf(in), func(s *clientSession) bool { return slices.Contains(before, s) })
 		if len(after) == 0 {
-			fmt.Fprintf(&s.out, "client %d is let in: %v\n", n, result == sessionAdmitted)
+			fmt.Fprintf(&s.out, "client %d is let in: %v\n", n, result)
 		}
 		for _, displaced := range after {
 			fmt.Fprintf(&s.out, "client %d takes the place of client %d\n", n, displaced.connectionID)
--- a/internal/router/engine_answer.go
+++ b/internal/router/engine_answer.go
@@ -12,20 +12,51 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// nextAnswer reads until an engine's next answer is whole: its parts, which lie in the reader's buffer until its n
-// bytes are discarded. before is called each time that it may have to wait.
-func readAnswer(r *bufio.Reader, parts [][]byte, before func()) (answer [][]byte, n int, err error) {
+// Commands of engines, the second part of an answer.
+const (
+	answerNotice    = "news"   // on an attempt that runs
+	answerFirstPage = "data"   // the first page of a result, with what it cost
+	answerPage      = "page"   // a further page
+	answerFull      = "full"   // the engine has no capacity
+	answerNotRun    = "moot"   // the engine did not begin
+	answerFailed    = "failed" // the attempt failed, or the engine does not know it
+)
+
+// By the protocol, the most that a result and a page of it may hold.
+const (
+	maxResultBytes = 48000
+	maxPageBytes   = 6000
+	maxPages       = 64 // more than the longest result has, as pages end at rows
+)
+
+const (
+	// maxUnexpectedAnswers is how many answers in a row may come that nobody waits for: all pages of the results that a
+	// connection's requests may have asked for and given up meanwhile.
+	maxUnexpectedAnswers = 16 * maxPages
+	// progressNoteBurst is how many notices an attempt may bring at once, and progressNotesPerInterval how many in the
+	// interval in which one is usual.
+	progressNoteBurst        = 64
+	progressNotesPerInterval = 8
+)
+
+// minAnswerParts is the least that an answer has: a request's id and a command.
+const minAnswerParts = 2
+
+// readAnswer reads until an engine's next answer is complete. It returns the answer's parts, which lie in the reader's
+// buffer until size bytes are discarded. beforeWait is called each time that it may have to wait.
+func readAnswer(reader *bufio.Reader, parts [][]byte, beforeWait func()) (answer [][]byte, size int, err error) {
 	for {
-		b, _ := r.Peek(r.Buffered())
-		parts, n, err = resp.Parse(b, parts[:0])
-		if err == nil && n > 0 && len(parts) < 2 {
+		buffered, _ := reader.Peek(reader.Buffered())
+		parts, size, err = resp.Parse(buffered, parts[:0])
+		if err == nil && size > 0 && len(parts) < minAnswerParts {
 			err = resp.ErrMalformedArray
 		}
-		if err != nil || n > 0 {
-			return parts, n, err
+		if err != nil || size > 0 {
+			return parts, size, err
 		}
-		before()
-		if _, err = r.Peek(len(b) + 1); errors.Is(err, bufio.ErrBufferFull) {
+		beforeWait()
+		_, err = reader.Peek(len(buffered) + 1)
+		if errors.Is(err, bufio.ErrBufferFull) {
 			err = resp.ErrMalformedArray
 		}
 		if err != nil {
@@ -34,11 +65,11 @@
 	}
 }
 
-// answer takes in one answer: its id, its word, and fields and body where it has them. It tells whether it could
-// be read; where one can't, what follows on the connection is of no more use.
+// handleAnswer handles one answer: a request's id, a command, and fields and a body where it has them. It reports whether
+// the answer could be read; otherwise nothing that follows on the connection can be trusted.
 func (c *engineConn) handleAnswer(parts [][]byte) bool {
-	e := c.pool
 	requestID := admission.RequestID(parts[0])
+	command := string(parts[1])
 	var fields, body []byte
 	if len(parts) > 2 {
 		fields = parts[2]
@@ -46,48 +77,32 @@
 	if len(parts) > 3 {
 		body = parts[3]
 	}
-	e.mu.Lock()
-	c.cancelSentAt, c.lastHeard, c.answerBegunAt = time.Time{}, time.Now(), time.Time{}
-	attempt := c.attempts[requestID]
-	done := attempt == nil || attempt.finished
-	undone := !done && attempt.cancelled
-	e.mu.Unlock()
-	word := string(parts[1])
-	switch {
-	case done: // it came too late, once more, or for nobody
+	attempt, cancelled := c.recordAnswer(requestID)
+	if attempt == nil { // it came late, twice or for nobody
 		return c.tolerateUnexpected()
-	case undone: // only the word that it is known no more counts
-		if word == "failed" {
+	}
+	if cancelled { // only that the engine doesn't know it any more counts
+		if command == answerFailed {
 			c.endAttempt(attempt, admission.Errored)
 			return true
 		}
 		return c.tolerateUnexpected()
 	}
-	if word != "news" && word != "page" && e.owner.network.ReportsInAnswers { // the owner reads it once the end is told
-		attempt.report = resp.ParseLoadReport(fields)
+	if command != answerNotice && command != answerPage && c.pool.owner.network.ReportsInAnswers {
+		attempt.loadReport = resp.ParseLoadReport(fields)
 	}
-	switch word {
-	case "news":
-		if !attempt.acceptProgress(time.Now(), time.Duration(e.owner.deployment.NoticeInterval)*timeUnit) {
-			return false
-		}
-		news, value, ok := resp.ParseProgress(fields)
-		if ok {
-			e.owner.post(progressReceived{request: requestID, attempt: attempt.number, notice: news, value: value})
-		}
-	case "data":
+	switch command {
+	case answerNotice:
+		return c.handleNotice(attempt, fields)
+	case answerFirstPage:
 		return c.handleFirstPage(attempt, fields, body)
-	case "page":
-		n, err := strconv.Atoi(string(resp.FindField(fields, "page")))
-		if attempt.pages == nil || err == nil && (n < 1 || n >= len(attempt.pages)) {
-			return c.tolerateUnexpected() // not one that it was asked for
-		}
-		return err == nil && c.storePage(attempt, n, body)
-	case "full":
+	case answerPage:
+		return c.handlePage(attempt, fields, body)
+	case answerFull:
 		c.endAttempt(attempt, admission.Full)
-	case "moot":
+	case answerNotRun:
 		c.endAttempt(attempt, admission.Unsent)
-	case "failed":
+	case answerFailed:
 		c.endAttempt(attempt, admission.Errored)
 	default:
 		return false
@@ -95,90 +110,115 @@
 	return true
 }
 
-// By the protocol a result holds at most so many bytes, and a page of it so many.
-const (
-	maxResultBytes = 48000
-	maxPageBytes   = 6000
-	maxPages       = 64 // more than the longest result has, which pages break at rows
-)
-
-// Whole answers without an end are no answers either.
-const (
-	// How many answers in a row that nobody waits for are passed over: the pages of all results that a connection's requests may
-	// have asked for and given up meanwhile.
-	maxUnexpectedAnswers = 16 * maxPages
-	// How many notes an attempt may bring at once, and how many in the time in which one is usual.
-	progressNoteBurst    = 64
-	progressNotesPerPace = 8
-)
+// recordAnswer records that an answer came. It returns the attempt that waits for it, nil if none does, and whether the
+// attempt was cancelled.
+func (c *engineConn) recordAnswer(id admission.RequestID) (waiting *attempt, cancelled bool) {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	c.cancelSentAt, c.lastHeard, c.answerBegunAt = time.Time{}, time.Now(), time.Time{}
+	waiting = c.attempts[id]
+	if waiting == nil || waiting.finished {
+		return nil, false
+	}
+	return waiting, waiting.cancelled
+}
 
-// passOver takes in an answer that nobody waits for. It tells whether the connection can still be believed.
+// tolerateUnexpected counts an answer that nobody waits for, and reports whether the connection can still be trusted.
 func (c *engineConn) tolerateUnexpected() bool {
 	c.unexpectedAnswers++
 	return c.unexpectedAnswers <= maxUnexpectedAnswers
 }
 
-// mayNote counts a note and tells whether an engine may bring so many, where one each pace is usual.
-func (a *attempt) acceptProgress(now time.Time, pace time.Duration) bool {
+// handleNotice passes on a notice on an attempt. A notice that can't be read is ignored.
+func (c *engineConn) handleNotice(attempt *attempt, fields []byte) bool {
+	if !attempt.acceptNotice(time.Now(), c.pool.owner.noticeInterval()) {
+		return false
+	}
+	if notice, value, ok := resp.ParseProgress(fields); ok {
+		c.pool.owner.post(progressReceived{request: attempt.requestID, attempt: attempt.number, notice: notice, value: value})
+	}
+	return true
+}
+
+// acceptNotice counts a notice and reports whether an engine may have sent so many, where one in each interval is usual.
+func (a *attempt) acceptNotice(now time.Time, interval time.Duration) bool {
 	a.progressNotes++
-	most := progressNoteBurst
-	if pace > 0 {
-		most += progressNotesPerPace * int(now.Sub(a.sentAt)/pace)
+	limit := progressNoteBurst
+	if interval > 0 {
+		limit += progressNotesPerInterval * int(now.Sub(a.sentAt)/interval)
 	}
-	return a.progressNotes <= most
+	return a.progressNotes <= limit
 }
 
-// first keeps the first page of a result and asks for the others at once.
+// handleFirstPage stores the first page of a result and asks for all others at once.
 func (c *engineConn) handleFirstPage(attempt *attempt, fields, body []byte) bool {
-	if attempt.pages != nil {
-		return c.tolerateUnexpected() // once is enough
+	if attempt.result.pages != nil {
+		return c.tolerateUnexpected()
 	}
-	all, err := strconv.Atoi(string(resp.FindField(fields, "pages")))
-	work, ok := resp.ParseAmount(fields, "cost")
-	memory, too := resp.ParseAmount(fields, "need")
-	if err != nil || all < 1 || all > maxPages || !ok || !too {
+	pages, err := strconv.Atoi(string(resp.FindField(fields, "pages")))
+	workMillis, workFound := resp.ParseAmount(fields, "cost")
+	memoryMB, memoryFound := resp.ParseAmount(fields, "need")
+	if err != nil || pages < 1 || pages > maxPages || !workFound || !memoryFound {
 		return false
 	}
-	attempt.work, attempt.memoryUsedMB = admission.Time(work*float64(admission.Millisecond)), memory
+	attempt.result.work, attempt.result.memoryMB = admission.Time(workMillis*float64(admission.Millisecond)), memoryMB
 	c.pool.mu.Lock()
-	attempt.pages, attempt.missingPages = make([][]byte, all), all
+	attempt.result.pages, attempt.result.missingPages = make([][]byte, pages), pages
 	c.pool.mu.Unlock()
 	if !c.storePage(attempt, 0, body) {
 		return false
 	}
-	if all > 1 {
-		c.write(func() net.Buffers {
-			var asks []byte
-			for n := 1; n < all; n++ {
-				asks = append(asks, resp.AppendArray(nil, "page", string(attempt.requestID), strconv.Itoa(n))...)
-			}
-			return net.Buffers{asks}
-		}, ignoreFailure)
+	if pages > 1 {
+		c.requestPages(attempt, pages)
 	}
 	return true
 }
 
-// keep puts a page into its place, if it is one. With the last one missing the result is whole.
-func (c *engineConn) storePage(attempt *attempt, n int, body []byte) bool {
-	if attempt.pages[n] != nil {
+// requestPages asks for all pages of a result but the first.
+func (c *engineConn) requestPages(attempt *attempt, pages int) {
+	c.write(func() net.Buffers {
+		var commands []byte
+		for page := 1; page < pages; page++ {
+			commands = append(commands, resp.AppendArray(nil, "page", string(attempt.requestID), strconv.Itoa(page))...)
+		}
+		return net.Buffers{commands}
+	}, ignoreFailure)
+}
+
+// handlePage stores a further page of a result. One that was not asked for is ignored.
+func (c *engineConn) handlePage(attempt *attempt, fields, body []byte) bool {
+	page, err := strconv.Atoi(string(resp.FindField(fields, "page")))
+	pages := attempt.result.pages
+	if pages == nil || err == nil && (page < 1 || page >= len(pages)) {
+		return c.tolerateUnexpected()
+	}
+	return err == nil && c.storePage(attempt, page, body)
+}
+
+// storePage stores a copy of a page, and reports whether it can be one. The attempt is served once no page is missing.
+func (c *engineConn) storePage(attempt *attempt, page int, body []byte) bool {
+	result := &attempt.result
+	if result.pages[page] != nil {
 		return c.tolerateUnexpected()
 	}
 	c.unexpectedAnswers = 0
-	if attempt.resultBytes += len(body); len(body) > maxPageBytes || attempt.resultBytes > maxResultBytes || !mysql.ValidRows(body) {
+	result.bytes += len(body)
+	if len(body) > maxPageBytes || result.bytes > maxResultBytes || !mysql.ValidRows(body) {
 		return false
 	}
-	attempt.pages[n] = append([]byte{}, body...)
-	if attempt.missingPages--; attempt.missingPages == 0 {
+	result.pages[page] = append([]byte{}, body...)
+	result.missingPages--
+	if result.missingPages == 0 {
 		c.endAttempt(attempt, admission.Served)
 	}
 	return true
 }
 
-// ended takes an attempt that has its last answer off the connection.
-func (c *engineConn) endAttempt(attempt *attempt, how admission.Outcome) {
+// endAttempt ends an attempt that has its last answer.
+func (c *engineConn) endAttempt(attempt *attempt, outcome admission.Outcome) {
 	c.unexpectedAnswers = 0
 	c.pool.mu.Lock()
 	c.finishAttempt(attempt)
 	c.pool.mu.Unlock()
-	c.pool.owner.postAttemptEnd(attempt, how)
+	c.pool.owner.postAttemptEnd(attempt, outcome)
 }
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -14,213 +14,284 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// engineConn is a connection for attempts.
+// engineConn is a connection for attempts. The pool's mutex guards its fields, but for writeMu and unexpectedAnswers.
 type engineConn struct {
-	pool              *enginePool
-	attempts          map[admission.RequestID]*attempt // until their requests are over, as late answers and second copies may come
-	inFlight          int                              // of those, without a last answer
-	unsent            []*attempt                       // until it is up
-	socket            net.Conn
-	lastUsed          time.Time
-	lastHeard         time.Time // when an answer came, or the first attempt went out on it
-	cancelSentAt      time.Time // when an undo went out; zero once anything is heard
-	answerBegunAt     time.Time // when the first part of an answer came that isn't whole yet; zero: there is none
-	answerGrewAt      time.Time // and when the last part came
-	unexpectedAnswers int       // answers in a row that nobody waits for
-	writeMu           sync.Mutex
+	pool *enginePool
+	// attempts holds attempts until their requests are over, because late and repeated answers may come for them.
+	attempts map[admission.RequestID]*attempt
+	inFlight int        // attempts without a last answer
+	unsent   []*attempt // that wait for the connection to come up
+	socket   net.Conn   // nil until it is up
+	lastUsed time.Time
+	// lastHeard is when an answer came, or when the first of the attempts in flight was sent.
+	lastHeard time.Time
+	// cancelSentAt is when a cancellation was sent; zero once any answer has come.
+	cancelSentAt time.Time
+	// answerBegunAt is when the first bytes of an incomplete answer came, answerGrewAt when its last ones did. The first is
+	// zero if there is none.
+	answerBegunAt, answerGrewAt time.Time
+	// unexpectedAnswers counts answers in a row that nobody waits for; it is the reader's.
+	unexpectedAnswers int
+
+	writeMu sync.Mutex // held while bytes are written
 }
 
-// silent tells of a connection on which nothing came after an undo, not even the word that it was heard: the
-// machine behind it may be gone without a sign, and a new connection tells that sooner than a time-out.
+// isUnresponsive tells whether nothing came after a cancellation, not even the answer that shows that it arrived. The
+// machine behind the connection may be gone, which a new connection tells sooner than a timeout.
 func (c *engineConn) isUnresponsive() bool {
 	return !c.cancelSentAt.IsZero() && time.Since(c.cancelSentAt) > c.pool.owner.network.ConnectTimeout
 }
 
-// mostPieces is how many times the wait for one part of an answer the whole of it may take, so that one that grows without an
-// end is ended.
-const maxAnswerWaits = 4
+const (
+	// maxAnswerWaits bounds the time that a whole answer may take to come, in multiples of the time that its next bytes may
+	// take, so that an answer that grows without an end is ended.
+	maxAnswerWaits = 4
+	// silentNoticeIntervals is how many notice intervals may pass without an answer while an attempt is in flight. Engines
+	// send notices at the interval give or take half of it.
+	silentNoticeIntervals = 2
+)
 
-// arm sets the time until which the connection may bring nothing. An answer that is there in part, or the word that
-// an undo was heard, has as long as a connection to come up. An attempt that isn't over brings notes at the engine's
-// pace, which scatters by half of it: after twice the pace its answer is lost, and with it the connection. Else it
-// rests until the engine would close it; one to a retired engine does not.
+// setReadDeadline sets the time until which nothing need come on the connection. The next bytes of an incomplete answer,
+// and the first after a cancellation, have as long as a connection may take to come up. While an attempt is in flight,
+// silence over several notice intervals means that its answer is lost. Otherwise an idle connection stays open until the
+// engine would close it, and to a retired engine not at all. The caller holds the pool's mutex.
 func (c *engineConn) setReadDeadline() {
 	if c.socket == nil {
 		return
 	}
-	n, now := c.pool.owner.network, time.Now()
-	by := now.Add(c.pool.owner.engineIdleTimeout())
+	connectTimeout, now := c.pool.owner.network.ConnectTimeout, time.Now()
+	deadline := now.Add(c.pool.owner.engineIdleTimeout())
 	if c.inFlight == 0 {
-		by = c.lastUsed.Add(c.pool.maxIdle())
+		deadline = c.lastUsed.Add(c.pool.maxIdle())
 	}
-	sooner := func(t time.Time, d time.Duration, ok bool) {
-		if ok && t.Add(d).Before(by) {
-			by = t.Add(d)
+	limit := func(since time.Time, wait time.Duration) {
+		if by := since.Add(wait); by.Before(deadline) {
+			deadline = by
 		}
 	}
-	sooner(now, 0, c.inFlight == 0 && c.pool.retired)
-	pace := time.Duration(c.pool.owner.deployment.NoticeInterval) * timeUnit
-	sooner(c.lastHeard, 2*pace, c.inFlight > 0 && pace > 0)
-	sooner(c.cancelSentAt, n.ConnectTimeout, !c.cancelSentAt.IsZero())
-	sooner(c.answerGrewAt, n.ConnectTimeout, !c.answerBegunAt.IsZero())
-	sooner(c.answerBegunAt, maxAnswerWaits*n.ConnectTimeout, !c.answerBegunAt.IsZero())
-	c.socket.SetReadDeadline(by)
+	if c.inFlight == 0 && c.pool.retired {
+		limit(now, 0)
+	}
+	if interval := c.pool.owner.noticeInterval(); c.inFlight > 0 && interval > 0 {
+		limit(c.lastHeard, silentNoticeIntervals*interval)
+	}
+	if !c.cancelSentAt.IsZero() {
+		limit(c.cancelSentAt, connectTimeout)
+	}
+	if !c.answerBegunAt.IsZero() {
+		limit(c.answerGrewAt, connectTimeout)
+		limit(c.answerBegunAt, maxAnswerWaits*connectTimeout)
+	}
+	c.socket.SetReadDeadline(deadline)
+}
+
+// noticeInterval is how often engines send a notice on an attempt that runs; 0 if they don't.
+func (o *owner) noticeInterval() time.Duration {
+	return time.Duration(o.deployment.NoticeInterval) * timeUnit
 }
 
+// usualAttemptBytes is room for an attempt's command but for long statements, which are copied.
+const usualAttemptBytes = 320
+
+// writeAttempt writes an attempt, unless it was withdrawn, its time to be sent is over, or the rules that allowed it are
+// no longer in force. In the last two cases it ends the attempt.
 func (c *engineConn) writeAttempt(attempt *attempt) {
+	owner := c.pool.owner
 	c.pool.mu.Lock()
-	rank := attempt.priority
+	priority := attempt.priority
 	c.pool.mu.Unlock()
-	passed, late := false, false
+	revision := attempt.charge.policyRevision
+	allowed, late := false, false
 	c.write(func() net.Buffers {
-		if late = attempt.sendBy > 0 && c.pool.owner.clock.Now() >= attempt.sendBy; late {
+		late = attempt.sendBy > 0 && owner.clock.Now() >= attempt.sendBy
+		if late {
 			return nil
 		}
-		if attempt.policyRevision != 0 && !c.pool.owner.resourceGroups.BeginWrite(attempt.policyRevision, attempt.requestID) {
-			c.revokeAttempt(attempt)
-			return nil
+		if revision != 0 {
+			allowed = owner.resourceGroups.BeginWrite(revision, attempt.requestID)
+			if !allowed {
+				c.revokeAttempt(attempt)
+				return nil
+			}
 		}
-		if passed = attempt.policyRevision != 0; !attempt.state.CompareAndSwap(attemptUnwritten, attemptWritten) {
+		if !attempt.state.CompareAndSwap(attemptUnwritten, attemptWritten) {
 			return nil
 		}
-		return resp.AppendAttempt(make([]byte, 0, 320), resp.Attempt{ID: string(attempt.requestID), Class: attempt.class,
-			TimeoutMS: max(1, int64(attempt.timeout/admission.Millisecond)), MemoryMB: attempt.memoryMB, Priority: rank,
-			Token: attempt.idempotencyToken, Statement: attempt.statement})
+		return resp.AppendAttempt(make([]byte, 0, usualAttemptBytes), resp.Attempt{
+			ID: string(attempt.requestID), Class: attempt.class,
+			TimeoutMS: max(1, int64(attempt.timeout/admission.Millisecond)), MemoryMB: attempt.memoryMB, Priority: priority,
+			Token: attempt.idempotencyToken, Statement: attempt.statement,
+		})
 	}, func() { attempt.state.CompareAndSwap(attemptWritten, attemptUnwritten) })
-	if passed {
-		c.pool.owner.resourceGroups.EndWrite(attempt.policyRevision, attempt.requestID)
+	if allowed {
+		owner.resourceGroups.EndWrite(revision, attempt.requestID)
 	}
 	if late {
 		c.revokeAttempt(attempt)
 	}
 }
 
-// revoke ends an attempt that must not be written any more, as its time is over or the rules that had it go out are gone by no
-// more: nothing ran, and the engine has no part in it.
+// revokeAttempt ends an attempt that must not be written any more. Nothing ran, and it tells nothing of the engine.
 func (c *engineConn) revokeAttempt(attempt *attempt) {
-	if attempt.withdraw() {
-		c.pool.mu.Lock()
-		if c.attempts[attempt.requestID] == attempt {
-			c.finishAttempt(attempt)
-			delete(c.attempts, attempt.requestID)
-		}
-		c.pool.mu.Unlock()
-		c.pool.owner.postAttemptEnd(attempt, admission.Unsent)
+	if !attempt.withdraw() {
+		return
+	}
+	c.pool.mu.Lock()
+	if c.attempts[attempt.requestID] == attempt {
+		c.finishAttempt(attempt)
+		delete(c.attempts, attempt.requestID)
 	}
+	c.pool.mu.Unlock()
+	c.pool.owner.postAttemptEnd(attempt, admission.Unsent)
 }
 
-// write gathers buffers into the connection. One that takes no more within the time in which connections come
-// up is given up, and its reader ends it. unbegun is called if the first byte was refused already, as the connection was broken before:
-// proof that nothing ran.
-func (c *engineConn) write(make func() net.Buffers, unbegun func()) {
+// write writes the buffers that build returns, if any. A connection that doesn't take them within the time in which
+// connections come up is closed, and its reader ends it. notBegun is called if not even the first byte was taken, because
+// the connection was broken before: that proves that nothing ran.
+func (c *engineConn) write(build func() net.Buffers, notBegun func()) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	buffers := make()
+	buffers := build()
 	if buffers == nil {
 		return
 	}
-	n, err := writeBy(c.socket, time.Now().Add(c.pool.owner.network.ConnectTimeout), buffers)
+	written, err := writeBy(c.socket, time.Now().Add(c.pool.owner.network.ConnectTimeout), buffers)
 	if err == nil {
 		return
 	}
 	c.socket.Close()
-	if n == 0 {
-		unbegun()
+	if written == 0 {
+		notBegun()
 	}
 }
 
-// nothing is for writes of which it doesn't matter whether they were begun.
+// ignoreFailure is for writes of which it doesn't matter whether they were begun.
 func ignoreFailure() {}
 
 func (c *engineConn) writeCommand(words ...string) {
 	c.write(func() net.Buffers { return net.Buffers{resp.AppendArray(nil, words...)} }, ignoreFailure)
 }
 
-// over counts an attempt out that has its last answer or needs none.
+// finishAttempt counts an attempt out that has its last answer or needs none. The caller holds the pool's mutex.
 func (c *engineConn) finishAttempt(attempt *attempt) {
-	if !attempt.finished {
-		attempt.finished = true
-		c.inFlight--
-		c.lastUsed = time.Now()
+	if attempt.finished {
+		return
 	}
+	attempt.finished = true
+	c.inFlight--
+	c.lastUsed = time.Now()
 }
 
-// crossing is how long the protocol lets a request cross a close.
-const closeCrossingTime = 50 * time.Millisecond
-
-// serve dials the connection, writes what waited for it and reads answers until it ends.
+// serve dials the connection, writes the attempts that waited for it and reads answers until the connection ends. It is
+// the connection's goroutine.
 func (c *engineConn) serve() {
-	e := c.pool
-	code, err := "panic", error(nil)
+	code := "panic"
+	var dialError error
 	defer func() {
 		fault := recover()
-		c.writeMu.Lock() // who writes knows by then whether it had begun
-		e.mu.Lock()
-		left := c.inFlight
-		var open, unwritten []*attempt
-		for _, attempt := range c.attempts {
-			switch {
-			case attempt.finished:
-			case attempt.withdraw():
-				unwritten = append(unwritten, attempt)
-			default:
-				open = append(open, attempt)
-			}
-		}
-		up := c.socket != nil
-		c.attempts, c.inFlight = nil, 0
-		e.conns = slices.DeleteFunc(e.conns, func(k *engineConn) bool { return k == c })
-		e.mu.Unlock()
-		c.writeMu.Unlock()
-		e.owner.usage.engineConnections.Add(-1)
-		for _, attempt := range unwritten { // proof that nothing ran
-			switch {
-			case up:
-				e.owner.post(attemptNotWritten{attempt})
-			case isLocalShortage(err):
-				e.owner.postAttemptEnd(attempt, admission.Unsent)
-			default:
-				e.owner.postAttemptEnd(attempt, admission.Unreachable)
-			}
-		}
-		how := admission.Reset
-		if code == "bad_answer" || code == "cut_short" || code == "mute" {
-			how = admission.Lost
-			if len(open) > 0 {
-				time.Sleep(closeCrossingTime) // the engine hears of the close before another one hears of the request
-			}
-		}
-		for _, attempt := range open {
-			if how == admission.Reset && e.noteStaleConnection(attempt) {
-				how = admission.Lost
-			}
-			e.owner.postAttemptEnd(attempt, how)
-			how = admission.Lost // one event is one doubt
-		}
-		e.owner.connectionEnded("engine", string(e.name), code, left, fault)
+		inFlight := c.end(code, dialError)
+		c.pool.owner.connectionEnded("engine", string(c.pool.name), code, inFlight, fault)
 	}()
-	tcp, err := e.owner.dial(e.address)
+	socket, err := c.pool.owner.dial(c.pool.address)
 	if err != nil {
+		dialError = err
 		code = endCode(err)
 		return
 	}
-	defer tcp.Close()
-	e.mu.Lock()
-	c.socket, c.lastHeard = tcp, time.Now()
-	waiting := c.unsent
+	defer socket.Close()
+	c.writeUnsent(socket)
+	code = c.readAnswers()
+}
+
+// writeUnsent puts the connection into use and writes the attempts that waited for it.
+func (c *engineConn) writeUnsent(socket net.Conn) {
+	c.pool.mu.Lock()
+	c.socket, c.lastHeard = socket, time.Now()
+	unsent := c.unsent
 	c.unsent = nil
-	e.mu.Unlock()
-	for _, attempt := range waiting {
+	c.pool.mu.Unlock()
+	for _, attempt := range unsent {
 		if attempt.request.responder.clientGone() {
-			e.owner.post(clientClosed{attempt.request})
+			c.pool.owner.post(clientClosed{attempt.request})
 			continue
 		}
 		c.writeAttempt(attempt)
 	}
-	code = c.readAnswers()
 }
 
-// ours tells of a dial that failed for want of something here.
+// end takes the connection out of the pool and ends the attempts that were in flight on it. It returns their number.
+func (c *engineConn) end(code string, dialError error) (inFlight int) {
+	written, unwritten, inFlight := c.takeAttempts()
+	c.pool.owner.usage.engineConnections.Add(-1)
+	c.endUnwritten(unwritten, dialError)
+	c.endWritten(written, code)
+	return inFlight
+}
+
+// takeAttempts takes the connection out of the pool and withdraws what was not written. It waits for a write in progress,
+// because the writer then knows whether it had begun.
+func (c *engineConn) takeAttempts() (written, unwritten []*attempt, inFlight int) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	inFlight = c.inFlight
+	for _, attempt := range c.attempts {
+		switch {
+		case attempt.finished:
+		case attempt.withdraw():
+			unwritten = append(unwritten, attempt)
+		default:
+			written = append(written, attempt)
+		}
+	}
+	c.attempts, c.inFlight = nil, 0
+	c.leavePool()
+	return written, unwritten, inFlight
+}
+
+// leavePool keeps the pool from assigning attempts to the connection. The caller holds the pool's mutex.
+func (c *engineConn) leavePool() {
+	c.pool.conns = slices.DeleteFunc(c.pool.conns, func(other *engineConn) bool { return other == c })
+}
+
+// endUnwritten ends attempts of which nothing ran.
+func (c *engineConn) endUnwritten(attempts []*attempt, dialError error) {
+	for _, attempt := range attempts {
+		switch {
+		case c.socket != nil:
+			c.pool.owner.post(attemptNotWritten{attempt})
+		case isLocalShortage(dialError):
+			c.pool.owner.postAttemptEnd(attempt, admission.Unsent)
+		default:
+			c.pool.owner.postAttemptEnd(attempt, admission.Unreachable)
+		}
+	}
+}
+
+// closeCrossingTime is how long the protocol lets a request cross a close.
+const closeCrossingTime = 50 * time.Millisecond
+
+// endWritten ends attempts that may have run. Only the first of them counts as a reset, because all were lost by one fault,
+// and none does if the engine's answers were at fault or the connection had been idle for too long.
+func (c *engineConn) endWritten(attempts []*attempt, code string) {
+	outcome := admission.Reset
+	if code == "bad_answer" || code == "cut_short" || code == "mute" {
+		outcome = admission.Lost
+		if len(attempts) > 0 {
+			time.Sleep(closeCrossingTime) // the engine notices the close before another engine gets a retry
+		}
+	}
+	for _, attempt := range attempts {
+		if outcome == admission.Reset && c.pool.noteStaleConnection(attempt) {
+			outcome = admission.Lost
+		}
+		c.pool.owner.postAttemptEnd(attempt, outcome)
+		outcome = admission.Lost
+	}
+}
+
+// isLocalShortage tells whether a dial failed because this machine lacks descriptors, memory or ports.
 func isLocalShortage(err error) bool {
 	for _, want := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, want) {
@@ -230,47 +301,55 @@
 	return false
 }
 
-// read takes in answers until the connection ends, has been idle, or brings nothing where it should.
+// readAnswers reads answers until the connection ends, was idle for too long, or brings nothing where it should. It
+// returns the reason, as the log has it.
 func (c *engineConn) readAnswers() (code string) {
-	r := bufio.NewReaderSize(c.socket, resp.MaxBulkBytes)
+	reader := bufio.NewReaderSize(c.socket, resp.MaxBulkBytes)
 	var parts [][]byte
-	var last time.Time // until when it looks once more: its time is over, but what came while this process stood still counts
+	// finalDeadline is when a connection whose deadline has passed is ended, as bytes that came while this process stood
+	// still still count. It is zero before the deadline.
+	var finalDeadline time.Time
+	beforeWait := func() {
+		c.pool.mu.Lock()
+		defer c.pool.mu.Unlock()
+		c.noteAnswerBytes(reader.Buffered())
+		c.setReadDeadline()
+		if !finalDeadline.IsZero() {
+			c.socket.SetReadDeadline(finalDeadline)
+		}
+	}
 	for {
-		var n int
+		var size int
 		var err error
-		parts, n, err = readAnswer(r, parts, func() {
-			c.pool.mu.Lock()
-			defer c.pool.mu.Unlock()
-			c.noteAnswerBytes(r.Buffered())
-			if c.setReadDeadline(); !last.IsZero() {
-				c.socket.SetReadDeadline(last)
-			}
-		})
+		parts, size, err = readAnswer(reader, parts, beforeWait)
 		switch {
 		case err == nil:
-			last = time.Time{}
+			finalDeadline = time.Time{}
 			if !c.handleAnswer(parts) {
 				return "bad_answer"
 			}
-			r.Discard(n)
+			discard(reader, size)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return endCode(err)
-		case hasInput(c.socket): // it came while this process stood still
-			if err := readArrived(c.socket, r, r.Buffered()+1); err != nil {
+		case hasInput(c.socket):
+			if err := readArrived(c.socket, reader, reader.Buffered()+1); err != nil {
 				return endCode(err)
 			}
-		case !last.IsZero():
+		case !finalDeadline.IsZero():
 			if code := c.expire(); code != "" {
 				return code
 			}
-			last = time.Time{}
+			finalDeadline = time.Time{}
 		default:
-			last = time.Now().Add(finalReadWait)
+			finalDeadline = time.Now().Add(finalReadWait)
 		}
 	}
 }
 
-// note takes down how many bytes of the next answer are there.
+// discard drops bytes that the reader has buffered, which can't fail.
+func discard(reader *bufio.Reader, buffered int) { _, _ = reader.Discard(buffered) }
+
+// noteAnswerBytes records how many bytes of the next answer are there. The caller holds the pool's mutex.
 func (c *engineConn) noteAnswerBytes(bytes int) {
 	switch {
 	case bytes == 0:
@@ -283,21 +362,23 @@
 	}
 }
 
-// rest takes a connection whose time is over out of use, and tells why; empty: it was used meanwhile.
+// expire takes a connection out of the pool whose deadline has passed, and returns the reason; empty if the connection
+// was used meanwhile.
 func (c *engineConn) expire() (code string) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	pace := time.Duration(c.pool.owner.deployment.NoticeInterval) * timeUnit
+	interval := c.pool.owner.noticeInterval()
+	silent := c.inFlight > 0 && interval > 0 && time.Since(c.lastHeard) >= silentNoticeIntervals*interval
 	switch {
 	case !c.answerBegunAt.IsZero():
 		code = "cut_short"
-	case c.isUnresponsive() || c.inFlight > 0 && pace > 0 && time.Since(c.lastHeard) >= 2*pace:
+	case c.isUnresponsive() || silent:
 		code = "mute"
 	case c.inFlight == 0 && (c.pool.retired || time.Since(c.lastUsed) >= c.pool.maxIdle()):
 		code = "idle"
 	default:
 		return ""
 	}
-	c.pool.conns = slices.DeleteFunc(c.pool.conns, func(k *engineConn) bool { return k == c })
+	c.leavePool()
 	return code
 }
--- a/internal/router/engine_pool.go
+++ b/internal/router/engine_pool.go
@@ -8,25 +8,28 @@
 	"magpiebank/internal/admission"
 )
 
-// engine is one engine's connections. An attempt has one of its own while descriptors allow, else it shares one with as
-// many as the site allows; probes have one of their own.
+// enginePool holds the connections to one engine and assigns attempts to them. An attempt has a connection of its own
+// while descriptors allow; otherwise it shares one with as many as the deployment allows. Health checks have a connection
+// of their own.
 type enginePool struct {
 	owner          *owner
 	name           admission.EngineID
 	address        string
-	checkRequested chan struct{} // rung for a probe
-	mu             sync.Mutex
-	conns          []*engineConn
-	retired        bool
-
-	staleIdle time.Duration // the rest that connections are kept to since one broke at a request; 0: none did
-	staleAt   time.Time     // and when one last did
+	checkRequested chan struct{} // holds a value while a health check is wanted; closed once the engine is retired
+
+	mu      sync.Mutex
+	conns   []*engineConn
+	retired bool
+	// staleIdle is how long connections may be idle since one broke at a request; 0: none did. staleAt is when one last did.
+	staleIdle time.Duration
+	staleAt   time.Time
 }
 
+// newEnginePool returns an engine's pool without connections, and starts its health checker, which retire ends.
 func newEnginePool(o *owner, name admission.EngineID, address string) *enginePool {
-	e := &enginePool{owner: o, name: name, address: address, checkRequested: make(chan struct{}, 1)}
-	go (&healthChecker{pool: e}).serve()
-	return e
+	pool := &enginePool{owner: o, name: name, address: address, checkRequested: make(chan struct{}, 1)}
+	go (&healthChecker{pool: pool}).run()
+	return pool
 }
 
 func (p *enginePool) dialAddress() string { return p.address }
@@ -34,11 +37,11 @@
 func (p *enginePool) requestHealthCheck() {
 	select {
 	case p.checkRequested <- struct{}{}:
-	default: // one is under way
+	default: // one is wanted already
 	}
 }
 
-// retire ends the probes, and the connections once nothing is out on them.
+// retire ends the health checks, and the connections once no attempt is in flight on them.
 func (p *enginePool) retire() {
 	close(p.checkRequested)
 	p.mu.Lock()
@@ -49,7 +52,7 @@
 	}
 }
 
-// stop ends all connections.
+// close retires the pool and closes all connections.
 func (p *enginePool) close() {
 	p.retire()
 	p.mu.Lock()
@@ -132,31 +135,40 @@
 	return false
 }
 
-// fresh is how long a connection may have been idle to be used again: until the engine would close it, or less where
-// connections were seen to break at a request after a shorter rest. What was seen counts for half every restTrust.
+const (
+	// staleHalfLife is how long a limit on idle times holds until it doubles: some hundred attempts of a busy gateway, of
+	// which few are lost to find out whether it still must hold.
+	staleHalfLife = 10 * time.Second
+	// maxStaleDoublings keeps the shift from overflowing.
+	maxStaleDoublings = 20
+	// minStaleIdle is the shortest idle time that explains a broken connection.
+	minStaleIdle = 20 * time.Millisecond
+)
+
+// maxIdle returns how long a connection may have been idle to be used again: until the engine would close it, or less
+// while connections are known to have broken after a shorter time. The caller holds mu.
 func (p *enginePool) maxIdle() time.Duration {
-	const restTrust = 10 * time.Second // some hundred attempts, of which few are then lost to look again
-	most := p.owner.engineIdleTimeout()
+	limit := p.owner.engineIdleTimeout()
 	if p.staleIdle > 0 {
-		return min(most, p.staleIdle<<min(20, time.Since(p.staleAt)/restTrust))
+		return min(limit, p.staleIdle<<min(maxStaleDoublings, time.Since(p.staleAt)/staleHalfLife))
 	}
-	return most
+	return limit
 }
 
-// stale tells of an attempt at which an idle connection broke: the engine, or what stands between, had dropped it, and
-// that says nothing of the engine now. Rests are kept to half of that one from then on.
+// noteStaleConnection reports whether a connection broke at an attempt because it had been idle: the engine, or what lies
+// between, had dropped it, which tells nothing of the engine now. Idle times are limited to half of that one from then on.
 func (p *enginePool) noteStaleConnection(attempt *attempt) bool {
-	const least = 20 * time.Millisecond // of a rest: one as short is no cause
-	if attempt.idleBefore < least || time.Since(attempt.sentAt) > p.owner.network.ConnectTimeout {
+	if attempt.idleBefore < minStaleIdle || time.Since(attempt.sentAt) > p.owner.network.ConnectTimeout {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.staleIdle, p.staleAt = max(least, min(attempt.idleBefore, p.maxIdle())/2), time.Now()
+	p.staleIdle, p.staleAt = max(minStaleIdle, min(attempt.idleBefore, p.maxIdle())/2), time.Now()
 	return true
 }
 
-// idleAfter is when a connection without use is closed: before the engine would, so that nothing crosses its close.
+// engineIdleTimeout is when an idle connection is closed: before the engine would close it, so that no request crosses
+// its close.
 func (o *owner) engineIdleTimeout() time.Duration {
 	return max(o.network.IdleTimeout-o.network.ConnectTimeout, o.network.IdleTimeout/2)
 }
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -5,66 +5,77 @@
 	"magpiebank/internal/storage/requestjournal"
 )
 
-// host is what the module's decisions act on.
+// host carries out the admission controller's decisions. Its methods run on the owner's goroutine.
 type host struct{ owner *owner }
 
-func (h host) SendAttempt(id admission.RequestID, name admission.EngineID, timeout, sendBy admission.Time) {
-	request, e := h.owner.requests[id], h.owner.engines[name]
-	attempt := &attempt{request: request, client: e, engineID: name, requestID: id, number: request.attempts, class: request.className, statement: request.statement, idempotencyToken: request.idempotencyToken, timeout: timeout, sendBy: sendBy,
-		memoryMB: request.memoryMB, priority: request.priority, report: admission.NoReport}
+// SendAttempt starts an attempt of a request at an engine.
+func (h host) SendAttempt(id admission.RequestID, engine admission.EngineID, timeout, sendBy admission.Time) {
+	o := h.owner
+	request, client := o.requests[id], o.engines[engine]
+	attempt := &attempt{
+		request: request, client: client, engineID: engine, requestID: id, number: request.attempts,
+		class: request.className, statement: request.statement, idempotencyToken: request.idempotencyToken,
+		timeout: timeout, sendBy: sendBy, memoryMB: request.memoryMB, priority: request.priority,
+		loadReport: admission.NoReport,
+	}
 	request.attempts++
 	request.current = attempt
-	attempt.stopTimer = h.owner.clock.After(timeout, func() {
-		h.owner.postAttemptEnd(attempt, admission.TimedOut)
+	attempt.stopTimer = o.clock.After(timeout, func() {
+		o.postAttemptEnd(attempt, admission.TimedOut)
 	})
-	h.owner.recordAttempt(attempt)
-	if h.owner.peers != nil {
-		h.owner.peers.RecordAttempt(h.owner.now, id, name)
-		h.owner.recordPlacement(request, Placement{Present: true, Engine: name})
+	o.recordAttempt(attempt)
+	if o.peers != nil {
+		o.peers.RecordAttempt(o.now, id, engine)
+		o.recordPlacement(request, Placement{Present: true, Engine: engine})
 	}
-	if e == nil { // the list took it away within one event
-		h.owner.postAttemptEnd(attempt, admission.Unreachable)
+	if client == nil { // the engine left the list within the same event
+		o.postAttemptEnd(attempt, admission.Unreachable)
 		return
 	}
-	h.owner.startAttempt(attempt, name)
+	o.startAttempt(attempt, engine)
 }
 
-func (h host) CancelAttempt(id admission.RequestID, n int) {
-	if request := h.owner.requests[id]; request != nil && request.current != nil && request.current.number == n {
+// CancelAttempt ends an attempt if it is still the request's current one.
+func (h host) CancelAttempt(id admission.RequestID, number int) {
+	if request := h.owner.requests[id]; request != nil && request.current != nil && request.current.number == number {
 		h.owner.postAttemptEnd(request.current, admission.Cancelled)
 	}
 }
 
+// RejectRequest sheds a request; its client may retry after the given time.
 func (h host) RejectRequest(id admission.RequestID, retryAfter admission.Time) {
 	request := h.owner.requests[id]
 	h.owner.answerRequest(h.owner.now, request, requestjournal.Rejected, nil, requestRejected{retryAfter})
 }
 
+// FailRequest ends a request that may have run and must not run again.
 func (h host) FailRequest(id admission.RequestID) {
 	request := h.owner.requests[id]
 	h.owner.answerRequest(h.owner.now, request, requestjournal.Failed, nil, requestFailed{})
 }
 
-func (h host) SetAttemptTerms(id admission.RequestID, memory float64, rank int) {
+// SetAttemptTerms sets the memory that a request's next attempts are granted, and the priority of all.
+func (h host) SetAttemptTerms(id admission.RequestID, memoryMB float64, priority int) {
 	request := h.owner.requests[id]
-	request.memoryMB, request.priority = memory, rank
+	request.memoryMB, request.priority = memoryMB, priority
 	if attempt := request.current; attempt != nil && !attempt.handedOver {
-		attempt.priority = rank
+		attempt.priority = priority
 	} else if attempt != nil {
-		request.responder.setPriority(attempt, rank)
+		request.responder.setPriority(attempt, priority)
 	}
 }
 
+// ProbeEngine starts a health check.
 func (h host) ProbeEngine(name admission.EngineID) {
-	e := h.owner.engines[name]
-	if e == nil {
+	client := h.owner.engines[name]
+	if client == nil {
 		h.owner.post(healthCheckFinished{engine: name, outcome: admission.Unreachable, report: admission.NoReport})
 		return
 	}
-	e.requestHealthCheck()
+	client.requestHealthCheck()
 }
 
-// HasSlowStartCapacity asks the peers.
+// HasSlowStartCapacity asks the peers whether a part of what a newly started engine may be sent is this gateway's to send.
 func (h host) HasSlowStartCapacity(name admission.EngineID, part float64) (room, shared bool) {
 	if h.owner.peers == nil {
 		return false, false
@@ -72,20 +83,22 @@
 	return h.owner.peers.TryReserveSlowStart(h.owner.now, name, part)
 }
 
-// SubscribeEndpoints has nothing to do: the engine list is followed from the start.
+// SubscribeEndpoints has nothing to do, because the watcher follows the engine list from the start.
 func (h host) SubscribeEndpoints() {}
 
-// ReportObservation has nobody to tell where there are no peers.
-func (h host) ReportObservation(name admission.EngineID, saw admission.Observation, report admission.Report, room float64) {
+// ReportObservation tells the peers, if there are any, what the controller observed of an engine.
+func (h host) ReportObservation(name admission.EngineID, observation admission.Observation, report admission.Report, room float64) {
 	if h.owner.peers != nil {
-		h.owner.peers.RecordObservation(h.owner.now, name, saw, report, room)
+		h.owner.peers.RecordObservation(h.owner.now, name, observation, report, room)
 	}
 }
 
+// ScheduleTick has the controller's Tick called at a time.
 func (h host) ScheduleTick(at admission.Time) {
 	h.owner.clock.After(at-h.owner.clock.Now(), func() {
 		h.owner.post(tickDue{})
 	})
 }
 
+// LogEvent logs a decision.
 func (h host) LogEvent(text string) { h.owner.log.Info(text) }
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"context"
 	"log/slog"
 	"math"
 	"net"
@@ -81,7 +82,8 @@
 	}
 	o.handle = o.handleEvent
 	o.dial = func(address string) (net.Conn, error) {
-		return net.DialTimeout("tcp", address, o.network.ConnectTimeout)
+		dialer := net.Dialer{Timeout: o.network.ConnectTimeout}
+		return dialer.DialContext(context.Background(), "tcp", address)
 	}
 	o.newEngineClient = func(name admission.EngineID, address string) engineClient { return newEnginePool(o, name, address) }
 	o.usage.engineConnectionLimit = math.MaxInt64
@@ -106,6 +108,19 @@
 	o.admission.SetPolicy(groups)
 }
 
+// setJournal has requests recorded, and restores what the previous process knew. It must be called before the first event
+// is handled.
+func (o *owner) setJournal(journal *Journal) {
+	if journal == nil {
+		return
+	}
+	o.journal = journal
+	o.listings = map[admission.EngineID]admission.Endpoint{}
+	if journal.Snapshot != nil {
+		o.admission.RestoreSnapshot(o.now, journal.Snapshot)
+	}
+}
+
 // run handles events until stop is closed.
 func (o *owner) run(stop <-chan struct{}) {
 	dispatch := o.dispatch
--- a/internal/router/owner_attempts.go
+++ b/internal/router/owner_attempts.go
@@ -11,8 +11,9 @@
 	if !request.isLimited() {
 		return
 	}
-	attempt.estimate, attempt.threads = request.estimate, float64(o.deployment.Classes[request.class].Threads)
-	attempt.charged, attempt.policyRevision = o.resourceGroups.RecordAttempt(request.estimate, attempt.threads)
+	charge := &attempt.charge
+	charge.estimate, charge.threads = request.estimate, float64(o.deployment.Classes[request.class].Threads)
+	charge.charged, charge.policyRevision = o.resourceGroups.RecordAttempt(charge.estimate, charge.threads)
 	request.waiting = false
 }
 
@@ -77,10 +78,10 @@
 	switch outcome {
 	case admission.Served:
 		if o.requests[request.id] == request {
-			o.answerRequest(now, request, requestjournal.Served, attempt.pages, requestServed{attempt})
+			o.answerRequest(now, request, requestjournal.Served, attempt.result.pages, requestServed{attempt})
 		}
 		o.reportAttemptEnd(now, attempt, admission.AttemptResult{
-			Outcome: outcome, Answered: true, Work: attempt.work, Memory: attempt.memoryUsedMB})
+			Outcome: outcome, Answered: true, Work: attempt.result.work, Memory: attempt.result.memoryMB})
 	case admission.TimedOut, admission.Cancelled:
 		o.cancelAttempt(now, attempt, outcome)
 	default:
@@ -133,9 +134,10 @@
 // peers and the journal. It fills in the result's request and load report.
 func (o *owner) reportAttemptEnd(now admission.Time, attempt *attempt, result admission.AttemptResult) {
 	request := attempt.request
-	if isLimited(&attempt.estimate) {
+	if isLimited(&attempt.charge.estimate) {
 		waits := !result.Answered && o.requests[request.id] == request
-		o.resourceGroups.RecordAttemptEnd(attempt.estimate, attempt.threads, attempt.charged, result.Work, waits)
+		charge := &attempt.charge
+		o.resourceGroups.RecordAttemptEnd(charge.estimate, charge.threads, charge.charged, result.Work, waits)
 		if waits {
 			request.waiting = true
 		}
@@ -146,7 +148,7 @@
 	if o.journal != nil {
 		o.journal.Requests.EndAttempt(now, request.id, result.Outcome.NeverRan())
 	}
-	result.Request, result.Report = request.id, attempt.report
+	result.Request, result.Report = request.id, attempt.loadReport
 	o.admission.HandleAttemptEnd(now, result)
 }
 
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -2,34 +2,36 @@
 
 import "magpiebank/internal/admission"
 
-// Peers are the other gateways, where this one may speak to them. All calls are the owner's but Start and Stop, and none waits;
-// package fleet has the one there is.
+// Peers is this gateway's connection to the other gateways. The owner calls all methods but Start and Stop; none of them
+// waits. Package agent implements it.
 type Peers interface {
-	// Start is handed the clock, and how to have a call made by the owner, with the module.
-	Start(clock Clock, tell func(call func(now admission.Time, module *admission.Controller))) error
-	HandleEndpoints(now admission.Time, form admission.UpdateKind, list []admission.Endpoint)
-	// Saw takes in what the decisions saw of an engine themselves, and the bytes that may be told more from now on.
-	RecordObservation(now admission.Time, engine admission.EngineID, saw admission.Observation, report admission.Report, room float64)
-	// ColdRoom tells whether a part of what an engine that has just started may be sent is this gateway's to send next, where that is
-	// shared.
-	TryReserveSlowStart(now admission.Time, engine admission.EngineID, part float64) (room, shared bool)
-	// Due is the owner's timer.
+	// Start begins to exchange messages. post has the owner make a call with the admission controller.
+	Start(clock Clock, post func(call func(now admission.Time, controller *admission.Controller))) error
+	// HandleEndpoints takes in an update of the engine list.
+	HandleEndpoints(now admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint)
+	// RecordObservation takes in what this gateway observed of an engine, and the bytes that may be sent from now on.
+	RecordObservation(now admission.Time, engine admission.EngineID, observation admission.Observation, report admission.Report, room float64)
+	// TryReserveSlowStart reserves a part of what an engine that has just started may be sent. It reports whether this
+	// gateway has it; shared is false if the gateways don't share such quotas.
+	TryReserveSlowStart(now admission.Time, engine admission.EngineID, part float64) (reserved, shared bool)
+	// Tick is called by the owner's timer.
 	Tick(now admission.Time)
-	// Sent takes in an attempt.
-	RecordAttempt(now admission.Time, requestID admission.RequestID, engine admission.EngineID)
-	// Moved takes in where a request of a class and a class of the operator's (empty: none) was and is.
+	// RecordAttempt takes in that an attempt starts.
+	RecordAttempt(now admission.Time, request admission.RequestID, engine admission.EngineID)
+	// RecordPlacement takes in where a request was and where it is now. policyClass is empty if it is in no class of the
+	// operator's.
 	RecordPlacement(class, policyClass string, was, is Placement)
-	// Stop says farewell to them.
+	// Stop tells the others that this gateway leaves, and ends all goroutines that Start began.
 	Stop()
 }
 
-// Place is where a request is.
+// Placement is where a request is.
 type Placement struct {
-	Present bool               // the gateway has it
-	Engine  admission.EngineID // where it runs; empty: it waits
+	Present bool               // in this gateway
+	Engine  admission.EngineID // where it runs; empty while it waits
 }
 
-// moved has the peers know where a request is.
+// recordPlacement tells the peers where a request is.
 func (o *owner) recordPlacement(request *request, is Placement) {
 	if o.peers == nil {
 		return
@@ -42,10 +44,10 @@
 	request.placement = is
 }
 
-// join has a gateway take part among its peers.
-func (o *owner) joinPeers(p Peers) error {
-	o.peers = p
-	return p.Start(o.clock, func(call func(admission.Time, *admission.Controller)) {
+// joinPeers starts the exchange with the other gateways.
+func (o *owner) joinPeers(peers Peers) error {
+	o.peers = peers
+	return peers.Start(o.clock, func(call func(admission.Time, *admission.Controller)) {
 		o.post(peerCallRequested{call})
 	})
 }
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -12,7 +12,7 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-// query queues a statement as a request and sees it through.
+// handleQuery hands a statement in as a request and returns once it has its final answer.
 func (s *clientSession) handleQuery(sql []byte) {
 	parsed, err := mysql.ReadRequest(sql)
 	class := slices.Index(s.owner.network.Classes, string(parsed.Class))
@@ -23,17 +23,7 @@
 		s.rejectCommand(mysql.ErrParse, err.Error())
 		return
 	}
-	if s.owner.clients.isShuttingDown() {
-		s.endReason, s.dismissed = "stopped", true
-		s.writeRejection(0)
-		return
-	}
-	if s.hasPipelinedInput() {
-		s.dismiss("pipelined", mysql.ErrParse, "a command before the answer to the last")
-		return
-	}
-	if string(parsed.ID) == string(s.lastRequestID[:]) {
-		s.dismiss("repeated", mysql.ErrParse, "the id was used before")
+	if !s.mayRequest(&parsed) {
 		return
 	}
 	copy(s.lastRequestID[:], parsed.ID)
@@ -55,8 +45,24 @@
 	s.attempts = s.attempts[:0]
 }
 
-// await makes the calls of the mailbox until the request in hand has its answer. Meanwhile it reads ahead, so that it sees a
-// client leave, also behind commands that came early; the request of one who left is withdrawn, wherever it waits.
+// mayRequest tells whether a query may become a request now. Otherwise it ends the session with an answer.
+func (s *clientSession) mayRequest(parsed *mysql.Request) bool {
+	switch {
+	case s.owner.clients.isShuttingDown():
+		s.endReason, s.dismissed = "stopped", true
+		s.writeRejection(0)
+	case s.hasPipelinedInput():
+		s.dismiss("pipelined", mysql.ErrParse, "a command before the answer to the last")
+	case string(parsed.ID) == string(s.lastRequestID[:]):
+		s.dismiss("repeated", mysql.ErrParse, "the id was used before")
+	default:
+		return true
+	}
+	return false
+}
+
+// awaitAnswer handles events until the request in hand has its final answer. Meanwhile it reads ahead, so that it notices
+// when the client leaves, also behind commands that came early. The request of a client that left is withdrawn.
 func (s *clientSession) awaitAnswer(request *request) {
 	for watching := true; s.awaitingAnswer; s.events.run() {
 		if !watching {
@@ -92,31 +98,42 @@
 	s.dismissed = true
 }
 
-// checkRequest tells what of a request doesn't fit the deployment's settings: its class has the given number, below 0 where it
-// is none of theirs.
-func checkRequest(r *mysql.Request, class int, n *config.Network, site *admission.Deployment) error {
+// checkRequest returns an error if a request doesn't fit the deployment. class is the index of its class, negative if the
+// deployment has no such class.
+func checkRequest(r *mysql.Request, class int, network *config.Network, deployment *admission.Deployment) error {
 	switch {
 	case class < 0:
 		return mysql.ErrClass
-	case n.LongestWaits[class] > 0 && r.WaitMS > 2*n.LongestWaits[class].Milliseconds():
+	case network.LongestWaits[class] > 0 && r.WaitMS > 2*network.LongestWaits[class].Milliseconds():
 		return mysql.ErrWait
-	case len(r.Tenant) > 0 && !slices.Contains(n.Tenants, string(r.Tenant)):
+	case len(r.Tenant) > 0 && !slices.Contains(network.Tenants, string(r.Tenant)):
 		return mysql.ErrTenant
-	case len(r.IdempotencyToken) > 0 && site.Classes[class].Effect != admission.Deduplicated:
+	case len(r.IdempotencyToken) > 0 && deployment.Classes[class].Effect != admission.Deduplicated:
 		return mysql.ErrField
 	}
 	return nil
 }
 
-// newRequest makes a request of a request; its statement and token lie in the session's buffer.
+// newRequest returns the request of a query. Its statement and token lie in the session's buffer.
 func (s *clientSession) newRequest(r *mysql.Request, class int) *request {
-	return &request{id: admission.RequestID(r.ID), responder: s, class: class, className: s.owner.network.Classes[class], statement: r.Statement,
-		tables: mysql.TableGroup(r.Statement), tenant: max(0, slices.Index(s.owner.network.Tenants, string(r.Tenant))),
-		key: string(r.Key), idempotencyToken: r.IdempotencyToken, statementReader: s.statementReader, estimate: s.owner.clientEstimate(r, class)}
+	return &request{
+		id:               admission.RequestID(r.ID),
+		responder:        s,
+		class:            class,
+		className:        s.owner.network.Classes[class],
+		statement:        r.Statement,
+		tables:           mysql.TableGroup(r.Statement),
+		tenant:           max(0, slices.Index(s.owner.network.Tenants, string(r.Tenant))),
+		key:              string(r.Key),
+		idempotencyToken: r.IdempotencyToken,
+		statementReader:  s.statementReader,
+		estimate:         s.owner.clientEstimate(r, class),
+	}
 }
 
-// estimate is what a client says that its request will take, within what could be served at all: a wrong one must not
-// spoil what is learned of the class. Work has the longest wait on all its threads, memory the largest machine's.
+// clientEstimate returns what a client says that its request will take, limited to what could be served at all, so that a
+// wrong estimate doesn't spoil what is learned of the class: the longest wait on all threads of the class, and the memory
+// of the largest engine.
 func (o *owner) clientEstimate(r *mysql.Request, class int) admission.Estimate {
 	work, memory := r.WorkMS, r.MemoryMB
 	if longest := o.network.LongestWaits[class]; longest > 0 {
@@ -128,7 +145,7 @@
 	return admission.Estimate{Work: admission.Time(work * float64(admission.Millisecond)), Memory: memory}
 }
 
-// departed tells whether the client has left already, also behind commands that came early.
+// clientHasLeft tells whether the client has left already, also behind commands that came early.
 func (s *clientSession) clientHasLeft() bool {
 	if err := readArrived(s.socket, s.input, maxReadAhead); err != nil {
 		return false // the next read tells why
@@ -137,23 +154,29 @@
 	return ended
 }
 
-// ahead tells of commands that came before the answer to the one in hand; that the client leaves then is fine.
+// hasPipelinedInput tells whether a command came before the answer to the one in hand. A client may quit, though.
 func (s *clientSession) hasPipelinedInput() bool {
 	next, _ := s.input.Peek(s.input.Buffered())
-	return len(next) > 0 && !(len(next) == mysql.HeaderSize+1 && next[mysql.HeaderSize] == mysql.Quit)
+	quits := len(next) == mysql.HeaderSize+1 && next[mysql.HeaderSize] == mysql.Quit
+	return len(next) > 0 && !quits
 }
 
-// deliver writes a result.
+// usualHeadBytes is room for the packets before a result's rows.
+const usualHeadBytes = 512
+
+// writeResult writes a result.
 func (s *clientSession) writeResult(pages [][]byte) {
 	s.awaitingAnswer, s.rejections = false, 0
-	head, number := mysql.AppendColumns(make([]byte, 0, 512), s.packetNumber+1)
+	head, number := mysql.AppendColumns(make([]byte, 0, usualHeadBytes), s.packetNumber+1)
 	size := 0
 	for _, page := range pages {
-		size += len(page) + len(page)/2
+		size += len(page) + len(page)/2 // rows grow by half as packets, as a rule
 	}
-	rows, err := make([]byte, 0, size), error(nil)
+	rows := make([]byte, 0, size)
 	for _, page := range pages {
-		if rows, number, err = mysql.AppendRows(rows, number, page); err != nil {
+		var err error
+		rows, number, err = mysql.AppendRows(rows, number, page)
+		if err != nil {
 			s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrInterrupted, "the engine's answer can't be read"))
 			return
 		}
@@ -161,29 +184,31 @@
 	s.writePackets(head, rows, mysql.AppendEOF(nil, number))
 }
 
-// deny gives a request the final answer that an operator's rule has for it.
+// writeDenial writes the final answer that an operator's rule has for a request.
 func (s *clientSession) writeDenial(why string) {
 	s.awaitingAnswer = false
 	s.noteRejection()
 	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrForbidden, why))
 }
 
+// writeRejection writes that a request was shed.
 func (s *clientSession) writeRejection(retryAfterMS int64) {
 	s.awaitingAnswer = false
 	s.noteRejection()
 	s.writePackets(mysql.AppendRejection(nil, s.packetNumber+1, retryAfterMS))
 }
 
+// writeFailure writes that a request failed and may have run.
 func (s *clientSession) writeFailure() {
 	s.awaitingAnswer = false
 	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrInterrupted, "written off"))
 }
 
-// refuse answers a query that never became a request.
+// writeRefusal answers a query that never became a request.
 func (s *clientSession) writeRefusal(why string) {
 	s.awaitingAnswer = false
 	s.rejectCommand(mysql.ErrParse, why)
 }
 
-// leave ends a request whose client stopped waiting; no answer is owed.
+// abandonRequest ends a request whose client stopped waiting. No answer is owed.
 func (s *clientSession) abandonRequest() { s.awaitingAnswer, s.unanswered = false, true }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -34,28 +34,29 @@
 	close()
 }
 
-// request is one that was taken and has no final answer yet. It is the owner's, but for what doesn't change.
+// request is an accepted request without a final answer. All but the fields that don't change are the owner's.
 type request struct {
+	// These don't change once the request is handed in.
 	id               admission.RequestID
 	responder        responder
-	class            int // its number in the settings
+	class            int // index into the deployment's classes
 	className        string
 	statement        []byte
-	tables           int
-	tenant           int    // its number in the settings
-	key              string // requests of a class in order run one at a time under it; empty: none
-	idempotencyToken []byte // the client's idempotency token; empty: none
+	tables           int    // the group of tables that the statement reads
+	tenant           int    // index into the deployment's tenants
+	key              string // requests of an ordered class run one at a time under it; empty: no order
+	idempotencyToken []byte // nil if the client gave none
 	deadline         admission.Time
-	statementReader  StatementReader // nil: its statement wasn't read
+	statementReader  StatementReader // nil if statements are not read
 
-	attempts    int
-	current     *attempt
-	memoryMB    float64
+	attempts    int      // that were started
+	current     *attempt // in flight; nil: none
+	memoryMB    float64  // granted to its attempts
 	priority    int
 	estimate    admission.Estimate
-	policyClass int       // of the desk\'s; 0: none
-	waiting     bool      // in a class, with no attempt out
+	policyClass int       // the operator's class; 0: none
+	waiting     bool      // it is in an operator's class and no attempt is in flight
 	placement   Placement // as the peers know it
 	answered    bool      // it has its final answer
-	clientGone  bool      // nobody waits for it
+	clientGone  bool
 }
--- a/internal/router/resource_groups.go
+++ b/internal/router/resource_groups.go
@@ -2,33 +2,41 @@
 
 import "magpiebank/internal/admission"
 
-// Desk is what an operator's rules add to a gateway: it puts requests into classes, limits what runs of each, and foresees
-// costs. Its calls are the owner's; what a Reader does is its session's. Package operator has the one there is.
+// ResourceGroups applies an operator's rules: it puts requests into classes, limits what runs of each class at a time,
+// and estimates costs. The owner calls all methods but BeginWrite and EndWrite, which the goroutine that writes an attempt
+// calls. Package workload implements it.
 type ResourceGroups interface {
 	admission.Policy
-	HandleEndpoints(now admission.Time, form admission.UpdateKind, list []admission.Endpoint)
+	// HandleEndpoints takes in an update of the engine list.
+	HandleEndpoints(now admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint)
+	// Tick is called by the owner's timer.
 	Tick(now admission.Time)
-	// Arrived rules on the request that a reader has read. A text in refuse is the client's final answer; crowded: it is
-	// nacked, as too many of its class wait, or nobody knows now what holds for it.
-	Classify(now admission.Time, r StatementReader) (f admission.Estimate, crowded bool, refuse string)
-	// Sent takes in an attempt; Back its end, with the work it took (0: not told) and whether its request waits again. What
-	// Sent returns is handed to Back; by, where it is not 0, names the rules that had it go out.
-	RecordAttempt(f admission.Estimate, threads float64) (charged float64, by uint64)
-	RecordAttemptEnd(f admission.Estimate, threads, charged float64, work admission.Time, waits bool)
-	// Left takes in that a waiting request got its final answer.
-	RecordDeparture(f admission.Estimate)
-	// Pass tells, right before an attempt is written, whether the rules that had it go out are still gone by; Passed follows once it
-	// is written. Both are called by the goroutine that writes.
-	BeginWrite(by uint64, requestID admission.RequestID) bool
-	EndWrite(by uint64, requestID admission.RequestID)
+	// Classify estimates the request whose statement reader has read, and puts it into a class. A refusal that isn't empty is
+	// the client's final answer. If crowded, the request is rejected, because too many of its class wait, or because it is
+	// not known now which rules are in force.
+	Classify(now admission.Time, reader StatementReader) (estimate admission.Estimate, crowded bool, refusal string)
+	// RecordAttempt charges an attempt that runs on a number of threads. The charge is handed back to RecordAttemptEnd. A
+	// policy revision other than 0 names the rules that allowed the attempt.
+	RecordAttempt(estimate admission.Estimate, threads float64) (charged float64, policyRevision uint64)
+	// RecordAttemptEnd takes in the end of an attempt, the work it took, 0 if that isn't known, and whether its request
+	// waits again.
+	RecordAttemptEnd(estimate admission.Estimate, threads, charged float64, work admission.Time, waits bool)
+	// RecordDeparture takes in that a waiting request got its final answer.
+	RecordDeparture(estimate admission.Estimate)
+	// BeginWrite tells, right before an attempt is written, whether the rules that allowed it are still in force. If they are,
+	// EndWrite follows once it is written.
+	BeginWrite(policyRevision uint64, request admission.RequestID) bool
+	EndWrite(policyRevision uint64, request admission.RequestID)
+	// ClassName returns the name of a class of the operator's.
 	ClassName(class int) string
+	// NewStatementReader returns a reader for one session.
 	NewStatementReader() StatementReader
 }
 
-// Reader reads the statements of one session, one after the other.
+// StatementReader reads the statements of one client session, one after the other. It is the session's.
 type StatementReader interface {
-	// Read reads a statement that is to be a request.
+	// ReadStatement reads the statement of a request that is about to be handed in.
 	ReadStatement(sql []byte, class, tables int)
-	// Answered takes in what the statement read last has cost, and the MB it needed (0: not told).
-	RecordCost(work admission.Time, memory float64)
+	// RecordCost takes in the work that the statement read last took, and the memory in MB; 0: not known.
+	RecordCost(work admission.Time, memoryMB float64)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,8 +1,9 @@
-// Package router serves clients on sockets: it joins their sessions, the engines' connections and the engine
-// list to the module that decides.
+// Package router is the gateway on sockets. It connects client sessions, connections to engines and the engine list to the
+// admission controller, which decides. One goroutine, the owner, calls the controller; events.go lists what it may be told.
 package router
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -19,107 +20,97 @@
 	"magpiebank/internal/traffic/capture"
 )
 
-// With is what a router has besides; what is nil it hasn't.
+// Options are the optional parts of a gateway. It does without those that are nil.
 type Options struct {
-	Capture        *capture.Recorder // records the requests that come
+	Capture        *capture.Recorder // records requests for later replay
 	ResourceGroups ResourceGroups    // an operator's rules
-	Journal        *Journal          // the record of requests
+	Journal        *Journal          // the durable record of requests
 	Peers          Peers             // the other gateways
 }
 
-// Serve runs a router until stop is closed and all it had taken is answered. What comes by renewed is a new
-// configuration.
-func Serve(start *config.Config, with Options, log *slog.Logger, stop <-chan struct{}, renewed <-chan *config.Config) error {
+// Serve runs a gateway until stop is closed and all requests that it accepted are answered. A configuration that comes by
+// reloads is applied as far as that is possible while serving. Serve returns an error if the gateway can't begin.
+func Serve(start *config.Config, options Options, log *slog.Logger, stop <-chan struct{}, reloads <-chan *config.Config) error {
 	if start.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(start.MemoryMB) << 20 * 3 / 4) // the rest is for stacks and the sockets' buffers
 	}
-	listener, err := net.Listen("tcp", start.Listen)
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(context.Background(), "tcp", start.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	o := newOwner(start, newWallClock(), log)
-	o.capture = with.Capture
-	o.setResourceGroups(with.ResourceGroups)
-	if o.journal = with.Journal; o.journal != nil {
-		o.listings = map[admission.EngineID]admission.Endpoint{}
-		if o.journal.Snapshot != nil {
-			o.admission.RestoreSnapshot(o.now, o.journal.Snapshot)
-		}
-	}
-	if with.Peers != nil && start.Deployment.PeerMessages {
-		if err := o.joinPeers(with.Peers); err != nil {
+	o.capture = options.Capture
+	o.setResourceGroups(options.ResourceGroups)
+	o.setJournal(options.Journal)
+	if options.Peers != nil && start.Deployment.PeerMessages {
+		if err := o.joinPeers(options.Peers); err != nil {
 			return err
 		}
-		defer with.Peers.Stop()
+		defer options.Peers.Stop()
 	}
-	o.serve(start, listener, stop, renewed)
+	o.serve(start, listener, stop, reloads)
 	return nil
 }
 
-func (o *owner) serve(start *config.Config, listener net.Listener, stop <-chan struct{},
-	renewed <-chan *config.Config) {
+// serve runs the gateway's goroutines until stop is closed and the shutdown is over.
+func (o *owner) serve(start *config.Config, listener net.Listener, stop <-chan struct{}, reloads <-chan *config.Config) {
 	watcher := newWatcher(o, start.DiscoveryAddress)
 	watcher.postEvents(start.KnownEndpoints, admission.CachedUpdate)
 	o.log.Info("serving", "name", start.Name, "address", listener.Addr().String())
-	ended, idle := make(chan struct{}), make(chan struct{})
+	ended, ownerEnded := make(chan struct{}), make(chan struct{})
 	go func() {
+		defer close(ownerEnded)
 		o.run(ended)
-		close(idle)
 	}()
 	go watcher.run(ended)
 	acceptor := &acceptor{owner: o, listener: listener, done: make(chan struct{})}
 	go acceptor.run()
-	renew := func(next *config.Config) { o.applyConfiguration(watcher, start, next) }
+	reload := func(next *config.Config) { o.applyConfiguration(watcher, start, next) }
 	for stopping := false; !stopping; {
 		select {
-		case next := <-renewed:
-			renew(next)
+		case next := <-reloads:
+			reload(next)
 		case <-stop:
 			stopping = true
 		}
 	}
-	o.shutDown(acceptor, renewed, renew)
+	o.shutDown(acceptor, reloads, reload)
 	o.stopped.Store(true)
 	close(ended)
-	<-idle // nothing is decided any more, and what the owner had is this goroutine's
-	for _, e := range o.engines {
-		e.close()
+	<-ownerEnded // from now on the owner's state is this goroutine's
+	for _, client := range o.engines {
+		client.close()
 	}
-	for by := time.Now().Add(clientCloseDelay); o.usage.openConnections.Load() > 0 && time.Now().Before(by); {
-		time.Sleep(time.Millisecond) // until each has its line
+	o.awaitConnectionEnds()
+}
+
+// awaitConnectionEnds waits until the end of each connection is logged, but not for long.
+func (o *owner) awaitConnectionEnds() {
+	const pollInterval = time.Millisecond
+	deadline := time.Now().Add(clientCloseDelay)
+	for o.usage.openConnections.Load() > 0 && time.Now().Before(deadline) {
+		time.Sleep(pollInterval)
 	}
 }
 
-// renew goes by a new configuration, as far as one can while serving: the engine list's address and its events.
+// applyConfiguration applies what can change while serving: the address of the engine list and the endpoints known from it.
+// It logs which other parts need a restart.
 func (o *owner) applyConfiguration(watcher *watcher, start, next *config.Config) {
-	for name, same := range map[string]bool{
-		"name": next.Name == start.Name, "limits": next.MemoryMB == start.MemoryMB,
-		"settings": reflect.DeepEqual(next.Deployment, start.Deployment) && reflect.DeepEqual(next.Network, start.Network)} {
-		if !same {
-			o.log.Warn("configuration", "code", "needs_restart", "field", name)
+	needsRestart := func(field string, changed bool) {
+		if changed {
+			o.log.Warn("configuration", "code", "needs_restart", "field", field)
 		}
 	}
+	needsRestart("name", next.Name != start.Name)
+	needsRestart("limits", next.MemoryMB != start.MemoryMB)
+	needsRestart("settings", !reflect.DeepEqual(next.Deployment, start.Deployment) || !reflect.DeepEqual(next.Network, start.Network))
 	watcher.reconfigure(next.DiscoveryAddress, next.KnownEndpoints)
 	o.log.Info("configuration", "code", "renewed", "engine_list", next.DiscoveryAddress)
 }
 
-// run serves a session from its first byte to its last log line. Who knows a connection's id may have its query
-// killed, so ids are not to be guessed.
-func (s *clientSession) run() {
-	o := s.owner
-	o.post(sessionOpened{s})
-	defer func() {
-		fault := recover()
-		o.post(sessionClosed{s})
-		s.releaseStatementBuffer()
-		s.socket.Close()
-		o.connectionEnded("client", s.socket.RemoteAddr().String(), s.endReason, 0, fault)
-		o.clients.remove(s)
-	}()
-	s.serve()
-}
-
-// connectionEnded writes the one line of a connection that was counted and has ended.
+// connectionEnded logs the end of a connection, each of which has one line. open is the number of attempts in flight on it,
+// fault the value of a panic that ended it.
 func (o *owner) connectionEnded(side, peer, code string, open int, fault any) {
 	defer o.usage.openConnections.Add(-1)
 	if o.stopped.Load() {
@@ -133,7 +124,7 @@
 	o.log.Info("connection", "side", side, "peer", peer, "code", code, "open", open)
 }
 
-// endCode names the reason for which a connection ended.
+// endCode returns the code with which the log names the reason for the end of a connection.
 func endCode(err error) string {
 	var wait net.Error
 	switch {
--- a/internal/router/session_events.go
+++ b/internal/router/session_events.go
@@ -71,9 +71,9 @@
 	case priorityChanged:
 		e.attempt.setPriority(e.priority)
 	case requestServed:
-		s.writeResult(e.attempt.pages)
+		s.writeResult(e.attempt.result.pages)
 		if s.statementReader != nil && e.attempt.client != nil { // an answer from the journal has no client and cost nothing
-			s.statementReader.RecordCost(e.attempt.work, e.attempt.memoryUsedMB)
+			s.statementReader.RecordCost(e.attempt.result.work, e.attempt.result.memoryMB)
 		}
 	case requestRejected:
 		s.writeRejection(int64(e.retryAfter / admission.Millisecond))
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -6,23 +6,23 @@
 	"magpiebank/internal/config"
 )
 
-// The steps of a stop. The protocol lets connections and requests come for lastRequests after the order; they are served as ever.
-// What is read later is refused and never sent on, sessions without a request end, and the others once they have their answers.
 const (
+	// drainTime is how long new connections and requests are served as ever after the order to stop, as the protocol demands.
+	// Requests that are read later are rejected; sessions without a request end, and the others once they have answers.
 	drainTime = 700 * time.Millisecond
-	// How often a stop looks whether the last session has ended.
+	// drainPollInterval is how often a shutdown looks whether the last session has ended.
 	drainPollInterval = 10 * time.Millisecond
 )
 
-// shutDown stops taking requests and returns once all that were taken are answered. A new configuration still counts meanwhile:
-// it may name the address from which drains are told.
-func (o *owner) shutDown(acceptor *acceptor, renewed <-chan *config.Config, renew func(*config.Config)) {
+// shutDown stops accepting requests, and returns once all that were accepted are answered. A new configuration is still
+// applied meanwhile, because it may name another address of the engine list.
+func (o *owner) shutDown(acceptor *acceptor, reloads <-chan *config.Config, reload func(*config.Config)) {
 	o.log.Info("stopping")
 	wait := func(until <-chan time.Time) {
 		for {
 			select {
-			case next := <-renewed:
-				renew(next)
+			case next := <-reloads:
+				reload(next)
 			case <-until:
 				return
 			}
