--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -19,7 +19,7 @@
 const folder = "testdata/format"
 
 // Read returns the bytes of a file in testdata/format.
-func Read(t testing.TB, file string) []byte {
+func Read(t *testing.T, file string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(folder, file))
 	if err != nil {
@@ -30,7 +30,7 @@
 
 // CheckRoundTrip decodes the file NAME.form, compares the decoded values with those listed in NAME.values, and expects that encoding
 // gives the bytes of the file again.
-func CheckRoundTrip[T any](t testing.TB, name string, decode func([]byte) (T, error), encode func(T) []byte) {
+func CheckRoundTrip[T any](t *testing.T, name string, decode func([]byte) (T, error), encode func(T) []byte) {
 	t.Helper()
 	form := Read(t, name+".form")
 	value, err := decode(form)
@@ -45,7 +45,7 @@
 }
 
 // CheckValues compares the values below a value, in the order of its fields, with those listed in NAME.values.
-func CheckValues(t testing.TB, name string, value any) {
+func CheckValues(t *testing.T, name string, value any) {
 	t.Helper()
 	expected := strings.Split(strings.TrimSuffix(string(Read(t, name+".values")), "\n"), "\n")
 	found := Values(value)
@@ -153,7 +153,7 @@
 }
 
 // CopyFolder copies a folder of testdata/format to one that the test may write to, and returns its path.
-func CopyFolder(t testing.TB, name string) string {
+func CopyFolder(t *testing.T, name string) string {
 	t.Helper()
 	path := t.TempDir()
 	if err := os.CopyFS(path, os.DirFS(filepath.Join(folder, name))); err != nil {
