--- a/cmd/magpiebank-testbed/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -17,9 +17,9 @@
 	"gonum.org/v1/plot/vg"
 
 	"magpiebank/internal/admission"
-	"magpiebank/internal/cluster/quota"
 	"magpiebank/internal/testbed/faulttest"
 	"magpiebank/internal/testbed/modelcheck"
+	"magpiebank/internal/testbed/quotamodel"
 	"magpiebank/internal/testbed/rolloutmodel"
 	"magpiebank/internal/testbed/simcluster"
 )
@@ -213,7 +213,7 @@
 				r.WriteText(out, what)
 				good = good && r.Violation == ""
 			}
-			quota.Explore(states, each)
+			quotamodel.Explore(states, each)
 			rolloutmodel.Explore(states, each)
 			if !good {
 				return errMissed
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -132,7 +132,7 @@
 func (s *quotaSharing) claim(now admission.Time) *quota.Core {
 	a := s.agent
 	start := a.members.Self().Incarnation
-	core := quota.New(now, s.plan, a.name, start, s.gatewayIndex, quotaHost{a})
+	core := quota.New(now, quota.Options{Plan: s.plan, Name: a.name, Incarnation: start, Share: s.gatewayIndex, Host: quotaHost{a}})
 	s.confirmed, s.claimedAt = false, now
 	if s.handover == nil {
 		return core
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -2,143 +2,180 @@
 
 import "slices"
 
-// loan is one that is out: at the lender with the borrower, at the borrower with the lender.
-type loan struct {
-	budget int
-	with   string
-	start  uint64
-	id     uint32
-	amount int64
-	until  Time
-	last   bool // no more time is given on it; the borrower uses it for nothing new, and gives it back as soon as it can
-}
-
-// asked is a loan that was asked for.
-type asked struct {
-	budget int
-	of     string
-	id     uint32
-	seq    uint32
-	amount int64
-	at     Time
-	fresh  bool // for a loan, not for more time
-	blind  bool // of one that has told nothing lately
-}
-
-// denied is an ask for which there was nothing.
-type denied struct {
-	budget int
-	by     string
-	at     Time
-}
-
-// spare is how much of each budget a member could lend when it last said so.
-type spare struct {
-	of     string
-	amount []int64
-	at     Time // when it was heard
-}
-
-func (c *Core) ofBudget(b int, m Message) {
+// lease is units of a quota that are leased out, at the lender and at the borrower.
+type lease struct {
+	quota       int
+	peer        string // the borrower at the lender, the lender at the borrower
+	incarnation uint64 // of the peer
+	id          uint32
+	units       int64
+	until       Time
+	final       bool // it is not renewed; the borrower uses it for nothing new, and returns it as soon as it can
+}
+
+// matches reports whether a message of the peer is about the lease.
+func (l *lease) matches(quota int, m *Message) bool {
+	return l.peer == m.Sender && l.incarnation == m.SenderIncarnation && l.quota == quota && l.id == m.LeaseID
+}
+
+// grantedLeases is what a lender has leased out.
+type grantedLeases struct {
+	leases   []lease
+	rejected []rejectedRequest // by whom it was lately asked for more than it had
+}
+
+// rejectedRequest is a member that asked for units of which there were none, or too few.
+type rejectedRequest struct {
+	quota int
+	peer  string
+	at    Time
+}
+
+// takenLeases is what a borrower has, and what it has requested.
+type takenLeases struct {
+	leases   []lease
+	requests []leaseRequest
+	lastID   uint32
+	pauses   uint32 // in collecting units for a wide request
+}
+
+// leaseRequest is a request for a lease, or for more time on one.
+type leaseRequest struct {
+	quota    int
+	lender   string
+	leaseID  uint32
+	sequence uint32
+	units    int64
+	sentAt   Time
+	isNew    bool // for a new lease, not for more time on one
+	blind    bool // to a member that has lately not told what it could lease out
+}
+
+func (r *leaseRequest) matches(quota int, m *Message) bool {
+	return r.lender == m.Sender && r.sequence == m.Sequence && r.leaseID == m.LeaseID && r.quota == quota
+}
+
+func (c *Core) handleLeaseMessage(quota int, m Message) {
 	switch m.Kind {
 	case KindLeaseRequest:
-		c.told[b] = -1 // who asks counts with less from then on
-		c.asksLoan(b, m)
+		c.quotas[quota].announce.units = -1 // the borrower counts with less from then on
+		c.handleLeaseRequest(quota, m)
 	case KindLeaseGrant:
-		c.lentTo(b, m)
+		c.handleLeaseGrant(quota, m)
 	case KindReject:
-		c.refused(b, m)
+		c.handleLeaseRejection(quota, m)
 	case KindSpareUnits:
-		c.hears(b, m)
+		c.handleSpareUnits(quota, m)
 	case KindLeaseReturn:
-		c.told[b] = -1
-		c.lent = slices.DeleteFunc(c.lent, func(l loan) bool {
-			return m.RecipientIncarnation == c.start && l.with == m.Sender && l.start == m.SenderIncarnation && l.budget == b && l.id == m.LeaseID
-		})
+		c.handleLeaseReturn(quota, m)
 	}
 }
 
-// asksLoan lends what is free of the own part, or gives more time to what is lent, unless own tasks lack it; each ask is answered once.
-func (c *Core) asksLoan(b int, m Message) {
+// handleLeaseRequest leases out units of the own shares that are free, or gives more time on a lease, unless own requests lack it. Each request is
+// answered once.
+func (c *Core) handleLeaseRequest(quota int, m Message) {
 	if m.Units <= 0 || m.PlanNumber != c.plan.Number {
 		return
 	}
-	end := c.now + c.plan.margin(c.plan.LeaseTerm)
-	i := slices.IndexFunc(c.lent, func(l loan) bool {
-		return l.with == m.Sender && l.start == m.SenderIncarnation && l.budget == b && l.id == m.LeaseID
+	index := slices.IndexFunc(c.granted.leases, func(l lease) bool { return l.matches(quota, &m) })
+	if index >= 0 {
+		c.renewLease(&c.granted.leases[index], m)
+		return
+	}
+	outdated := slices.ContainsFunc(c.granted.leases, func(l lease) bool {
+		return l.peer == m.Sender && l.incarnation == m.SenderIncarnation && l.quota == quota && l.id > m.LeaseID
 	})
-	refuse := func() {
-		c.send(m.Sender, Message{Kind: KindReject, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Sequence: m.Sequence, LeaseID: m.LeaseID})
-	}
-	switch {
-	case i >= 0 && c.now < c.lent[i].until:
-		if c.lent[i].last = c.lent[i].last || c.needs(b)-max(0, c.free(b, c.now)) > c.recalled(b); c.lent[i].last {
-			refuse()
-			return
-		}
-		was := c.lent[i].until
-		c.lent[i].until = max(was, end)
-		if c.ownLeast(b, end) < 0 && c.plan.planted != lendsBeyond {
-			c.lent[i].until = was // what is lent must end before the seat does of which it is
-			return
-		}
-	case i >= 0 || slices.ContainsFunc(c.lent, func(l loan) bool {
-		return l.with == m.Sender && l.start == m.SenderIncarnation && l.budget == b && l.id > m.LeaseID
-	}):
-		return // it ended, or the ask is older than what is out
-	default:
-		n := min(m.Units, c.lendable(b, end))
-		if n <= 0 {
-			c.deny(b, m.Sender)
-			refuse()
-			return
-		}
-		m.Units = n
-		c.deny(b, m.Sender) // who asks may lack more: it is told once there is
-		c.lent = append(c.lent, loan{budget: b, with: m.Sender, start: m.SenderIncarnation, id: m.LeaseID, amount: n, until: end})
+	if outdated {
+		return
+	}
+	end := c.now + c.plan.withDrift(c.plan.LeaseTerm)
+	units := min(m.Units, c.spareUnits(quota, end))
+	c.noteRejected(quota, m.Sender) // even one that is granted a lease may lack more
+	if units <= 0 {
+		c.rejectLease(m)
+		return
+	}
+	c.granted.leases = append(c.granted.leases, lease{quota: quota, peer: m.Sender, incarnation: m.SenderIncarnation, id: m.LeaseID, units: units, until: end})
+	c.grantLease(m, units)
+}
+
+// renewLease gives more time on a lease, unless own requests wait for more units than are recalled already.
+func (c *Core) renewLease(l *lease, m Message) {
+	if c.now >= l.until {
+		return
+	}
+	if !l.final {
+		l.final = c.heldBack(l.quota)-max(0, c.free(l.quota, c.now)) > c.recalled(l.quota)
 	}
-	if i >= 0 {
-		m.Units = c.lent[i].amount
+	if l.final {
+		c.rejectLease(m)
+		return
+	}
+	end := c.now + c.plan.withDrift(c.plan.LeaseTerm)
+	before := l.until
+	l.until = max(before, end)
+	if c.leastOwn(l.quota, end) < 0 && c.plan.Mutation != LeaseBeyondShareTerm {
+		l.until = before // a lease must end before the share does of which it is
+		return
 	}
-	c.send(m.Sender, Message{Kind: KindLeaseGrant, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Units: m.Units, Sequence: m.Sequence, LeaseID: m.LeaseID})
+	c.grantLease(m, l.units)
 }
 
-// recalled is what comes back as soon as it can.
-func (c *Core) recalled(budget int) (n int64) {
-	for i := range c.lent {
-		if l := &c.lent[i]; l.budget == budget && l.last {
-			n += l.amount
+func (c *Core) grantLease(m Message, units int64) {
+	c.send(m.Sender, Message{Kind: KindLeaseGrant, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Units: units, Sequence: m.Sequence, LeaseID: m.LeaseID})
+}
+
+func (c *Core) rejectLease(m Message) {
+	c.send(m.Sender, Message{Kind: KindReject, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Sequence: m.Sequence, LeaseID: m.LeaseID})
+}
+
+func (c *Core) handleLeaseReturn(quota int, m Message) {
+	c.quotas[quota].announce.units = -1
+	if m.RecipientIncarnation != c.incarnation {
+		return
+	}
+	c.granted.leases = slices.DeleteFunc(c.granted.leases, func(l lease) bool { return l.matches(quota, &m) })
+}
+
+// recalled returns the units that borrowers return as soon as they can.
+func (c *Core) recalled(quota int) int64 { return finalUnits(c.granted.leases, quota) }
+
+// toBeReturned returns the units that this process returns as soon as it can.
+func (c *Core) toBeReturned(quota int) int64 { return finalUnits(c.taken.leases, quota) }
+
+func finalUnits(leases []lease, quota int) (units int64) {
+	for i := range leases {
+		if l := &leases[i]; l.quota == quota && l.final {
+			units += l.units
 		}
 	}
-	return n
+	return units
 }
 
-// lendable is what is free of the own part until a time, less what own tasks wait for or were promised.
-func (c *Core) lendable(budget int, until Time) int64 {
-	own := c.ownLeast(budget, until)
-	switch c.plan.planted {
-	case lendsBeyond:
-		own = c.own(budget, c.now)
-	case lendsNothing:
+// spareUnits returns the units of the own shares that are free until a time, less what own requests wait for or have reserved.
+func (c *Core) spareUnits(quota int, until Time) int64 {
+	own := c.leastOwn(quota, until)
+	switch c.plan.Mutation {
+	case LeaseBeyondShareTerm:
+		own = c.ownAt(quota, c.now)
+	case GrantNoLease:
 		return 0
 	}
-	return min(own, c.free(budget, until)-c.needs(budget)-c.promised[budget])
+	return min(own, c.free(quota, until)-c.heldBack(quota)-c.quotas[quota].reservedUnits)
 }
 
-// lentTo takes a loan, or more time on one; it ends a loan's length after it was asked for.
-func (c *Core) lentTo(b int, m Message) {
-	k := slices.IndexFunc(c.asks, func(a asked) bool {
-		return a.of == m.Sender && a.seq == m.Sequence && a.id == m.LeaseID && a.budget == b
-	})
-	if k < 0 || m.RecipientIncarnation != c.start || m.Units <= 0 || m.Units > c.asks[k].amount {
+// handleLeaseGrant takes a lease, or more time on one. It ends a lease term after it was requested.
+func (c *Core) handleLeaseGrant(quota int, m Message) {
+	index := slices.IndexFunc(c.taken.requests, func(r leaseRequest) bool { return r.matches(quota, &m) })
+	if index < 0 || m.RecipientIncarnation != c.incarnation || m.Units <= 0 || m.Units > c.taken.requests[index].units {
 		return
 	}
-	until := c.asks[k].at + c.plan.LeaseTerm
-	if c.asks[k].blind {
-		c.credit = min(c.credit+2, atOnce)
+	until := c.taken.requests[index].sentAt + c.plan.LeaseTerm
+	if c.taken.requests[index].blind {
+		c.spares.rewardBlindRequest()
 	}
-	if c.plan.planted != takesTwice {
-		c.asks = slices.Delete(c.asks, k, k+1)
+	if c.plan.Mutation != CountGrantTwice {
+		c.taken.requests = slices.Delete(c.taken.requests, index, index+1)
 	}
 	if m.PlanNumber != c.plan.Number { // it is of another total
 		c.send(m.Sender, Message{Kind: KindLeaseReturn, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, LeaseID: m.LeaseID})
@@ -147,33 +184,86 @@
 	if c.now >= until {
 		return
 	}
-	i := slices.IndexFunc(c.loans, func(l loan) bool {
-		return l.with == m.Sender && l.start == m.SenderIncarnation && l.budget == b && l.id == m.LeaseID
-	})
-	if i >= 0 && c.plan.planted != takesTwice {
-		c.loans[i].until = max(c.loans[i].until, until)
+	held := slices.IndexFunc(c.taken.leases, func(l lease) bool { return l.matches(quota, &m) })
+	if held >= 0 && c.plan.Mutation != CountGrantTwice {
+		c.taken.leases[held].until = max(c.taken.leases[held].until, until)
 		return
 	}
-	c.loans = append(c.loans, loan{budget: b, with: m.Sender, start: m.SenderIncarnation, id: m.LeaseID, amount: m.Units, until: until})
+	c.taken.leases = append(c.taken.leases, lease{quota: quota, peer: m.Sender, incarnation: m.SenderIncarnation, id: m.LeaseID, units: m.Units, until: until})
 }
 
-// refused takes in that a member has nothing to lend, or gives no more time: others are asked at once.
-func (c *Core) refused(b int, m Message) {
-	k := slices.IndexFunc(c.asks, func(a asked) bool {
-		return a.of == m.Sender && a.seq == m.Sequence && a.id == m.LeaseID && a.budget == b
-	})
-	if k < 0 || m.RecipientIncarnation != c.start {
+// handleLeaseRejection takes in that a member has nothing to lease out, or gives no more time. Others are asked at once.
+func (c *Core) handleLeaseRejection(quota int, m Message) {
+	index := slices.IndexFunc(c.taken.requests, func(r leaseRequest) bool { return r.matches(quota, &m) })
+	if index < 0 || m.RecipientIncarnation != c.incarnation {
 		return
 	}
-	c.asks = slices.Delete(c.asks, k, k+1)
-	for i := range c.loans {
-		if l := &c.loans[i]; l.budget == b && l.with == m.Sender && l.start == m.SenderIncarnation && l.id == m.LeaseID {
-			l.last = true
+	c.taken.requests = slices.Delete(c.taken.requests, index, index+1)
+	for i := range c.taken.leases {
+		if l := &c.taken.leases[i]; l.matches(quota, &m) {
+			l.final = true
 		}
 	}
-	for i := range c.spares {
-		if c.spares[i].of == m.Sender {
-			c.spares[i].amount[b], c.spares[i].at = 0, c.now
+	for i := range c.spares.peers {
+		if peer := &c.spares.peers[i]; peer.name == m.Sender {
+			peer.units[quota], peer.receivedAt = 0, c.now
 		}
 	}
 }
+
+// ReturnLeases returns leases of a quota one by one as far as so many units can be spared, and in any case those that are not renewed.
+// What requests use stays until their end.
+func (c *Core) ReturnLeases(now Time, quota int, spared int64) {
+	c.advance(now)
+	if c.quotas[quota].reservedUnits > 0 {
+		return
+	}
+	for i := 0; i < len(c.taken.leases); {
+		l := c.taken.leases[i]
+		if l.quota != quota || l.units > spared && !l.final {
+			i++
+			continue
+		}
+		c.taken.leases = slices.Delete(c.taken.leases, i, i+1) // from here on nothing of it is used
+		if !c.coversUses(quota) {
+			c.taken.leases = slices.Insert(c.taken.leases, i, l)
+			i++
+			continue
+		}
+		if !l.final {
+			spared -= l.units
+		}
+		c.returnLease(&l)
+	}
+}
+
+// returnLease tells the lender. A renewal that was requested is ignored when it comes, because the lender has the units back by then.
+func (c *Core) returnLease(l *lease) {
+	if c.plan.Mutation != RenewReturnedLease {
+		c.taken.requests = slices.DeleteFunc(c.taken.requests, func(r leaseRequest) bool {
+			return r.quota == l.quota && r.lender == l.peer && r.leaseID == l.id
+		})
+	}
+	c.send(l.peer, Message{Kind: KindLeaseReturn, RecipientIncarnation: l.incarnation, QuotaID: c.plan.QuotaIDs[l.quota], LeaseID: l.id})
+}
+
+// requestLease asks for a lease, or for more time on one.
+func (c *Core) requestLease(quota int, lender string, units int64, id uint32) {
+	c.sequence++
+	isNew := !slices.ContainsFunc(c.taken.leases, func(l lease) bool { return l.quota == quota && l.peer == lender && l.id == id })
+	c.taken.requests = append(c.taken.requests, leaseRequest{quota: quota, lender: lender, leaseID: id, sequence: c.sequence, units: units, sentAt: c.now, isNew: isNew})
+	c.send(lender, Message{Kind: KindLeaseRequest, QuotaID: c.plan.QuotaIDs[quota], Units: units, Sequence: c.sequence, LeaseID: id})
+}
+
+// requestNewLease asks for a lease under a new ID.
+func (c *Core) requestNewLease(quota int, lender string, units int64) {
+	c.taken.lastID++
+	c.requestLease(quota, lender, units, c.taken.lastID)
+}
+
+// renewalRequested reports whether more time on a lease was requested lately.
+func (c *Core) renewalRequested(l *lease) bool {
+	return slices.ContainsFunc(c.taken.requests, func(r leaseRequest) bool {
+		return r.quota == l.quota && r.lender == l.peer && r.leaseID == l.id && c.now-r.sentAt < requestTimeout
+	})
+}
--- a/internal/cluster/quota/message.go
+++ b/internal/cluster/quota/message.go
@@ -3,77 +3,154 @@
 import (
 	"encoding/binary"
 	"errors"
+	"math"
 	"slices"
 )
 
-// MaxMessageBytes is the longest message in bytes.
+// Kind is the kind of a message.
+type Kind uint8
+
+// The kinds of messages.
+const (
+	KindVoterJoin    Kind = iota + 1 // a voter that has started asks the other voters to learn its incarnation
+	KindVoterJoined                  // the answer: the incarnation is known
+	KindShareClaim                   // a member asks a voter to confirm its share
+	KindShareConfirm                 // the voter confirms it
+	KindReject                       // the share belongs to another; or no lease is granted, or no more time on one
+	KindLeaseRequest                 // a member asks for a lease, or for more time on one
+	KindLeaseGrant                   // the lease, or more time on it, is granted
+	KindLeaseReturn                  // a lease ends early
+	KindSpareUnits                   // how many units a member could lease out
+	KindShareRelease                 // a holder stops: its share is free at once
+)
+
+var kindNames = [...]string{
+	KindVoterJoin:    "voter join",
+	KindVoterJoined:  "voter joined",
+	KindShareClaim:   "share claim",
+	KindShareConfirm: "share confirmation",
+	KindReject:       "rejection",
+	KindLeaseRequest: "lease request",
+	KindLeaseGrant:   "lease grant",
+	KindLeaseReturn:  "lease return",
+	KindSpareUnits:   "spare units",
+	KindShareRelease: "share release",
+}
+
+func (k Kind) String() string { return kindNames[k] }
+
+// Message is one message between members. Incarnations tell processes under one name apart: a message for another incarnation is ignored.
+type Message struct {
+	Kind                 Kind
+	Sender               string
+	SenderIncarnation    uint64
+	RecipientIncarnation uint64 // of the process that is answered
+	PlanNumber           uint64
+	Share                int
+	Sequence             uint32   // numbers claims and lease requests; answers repeat it
+	VoterIncarnations    []uint64 // by voter, as the sender knows them
+	KnownIncarnations    []uint64 // of a confirmation: the voters that knew its sender when it began to confirm
+	Predecessors         []uint64 // of a claim: incarnations under its sender's name that have surely ended
+	QuotaID              uint32
+	Units                int64
+	LeaseID              uint32 // assigned by the borrower
+}
+
+// MaxMessageBytes is the length of the longest message.
 const MaxMessageBytes = 200
 
-// MaxPredecessors is how many processes a claim follows at most: those since the last that held its seat, where each ended soon after its start.
+// MaxPredecessors is how many predecessors a claim names at most: the incarnations since the last one that held the share, where each
+// ended soon after its start.
 const MaxPredecessors = 4
 
-const version = 1
+const (
+	version         = 1
+	headBytes       = 3 // version, kind and the length of the sender's name
+	maxIncarnations = 7 // in a list
+	maxShare        = 1 << 20
+	maxUnits        = 1 << 40
+)
 
-// ErrMessage is what can't be read.
+// ErrMessage reports bytes that are no message of this version.
 var ErrMessage = errors.New("budget: no message of this version")
 
-// Encode writes a message: version, kind, the length of the sender's name and the name, then all figures as varints, the starts of
-// keepers with their count before them. A confirmation has those that knew its sender after that, a claim those that it follows, if any.
+// Encode writes the version, the kind, the length of the sender's name and the name, then all numbers as varints, and the voters'
+// incarnations with their count before them. A confirmation's known incarnations or a claim's predecessors follow, if there are any.
 func (m *Message) Encode() []byte {
 	b := append([]byte{version, byte(m.Kind), byte(len(m.Sender))}, m.Sender...)
-	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber, uint64(m.Share + 1), uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID), uint64(len(m.VoterIncarnations))} {
-		b = binary.AppendUvarint(b, v)
-	}
-	for _, v := range m.VoterIncarnations {
+	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber, uint64(m.Share + 1), uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID)} {
 		b = binary.AppendUvarint(b, v)
 	}
+	b = appendList(b, m.VoterIncarnations)
 	if more := slices.Concat(m.KnownIncarnations, m.Predecessors); len(more) > 0 {
-		b = binary.AppendUvarint(b, uint64(len(more)))
-		for _, v := range more {
-			b = binary.AppendUvarint(b, v)
-		}
+		b = appendList(b, more)
 	}
 	return b
 }
 
-// Decode reads one, whole or not at all.
-func Decode(b []byte) (m Message, err error) {
-	if len(b) < 3 || len(b) > MaxMessageBytes || b[0] != version || Kind(b[1]) < KindVoterJoin || Kind(b[1]) > KindShareRelease || len(b) < 3+int(b[2]) {
-		return m, ErrMessage
+func appendList(b []byte, list []uint64) []byte {
+	b = binary.AppendUvarint(b, uint64(len(list)))
+	for _, v := range list {
+		b = binary.AppendUvarint(b, v)
 	}
-	m.Kind, m.Sender = Kind(b[1]), string(b[3:3+int(b[2])])
-	b = b[3+int(b[2]):]
-	bad := false
-	next := func(most uint64) uint64 {
-		v, n := binary.Uvarint(b)
-		if bad = bad || n <= 0 || v > most; bad {
-			return 0
-		}
-		b = b[n:]
-		return v
+	return b
+}
+
+// Decode reads a message, whole or not at all. The error is ErrMessage.
+func Decode(b []byte) (Message, error) {
+	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version || Kind(b[1]) < KindVoterJoin || Kind(b[1]) > KindShareRelease {
+		return Message{}, ErrMessage
 	}
-	const any = 1<<64 - 1
-	m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber = next(any), next(any), next(any)
-	m.Share, m.Sequence, m.QuotaID = int(next(1<<20))-1, uint32(next(1<<32-1)), uint32(next(1<<32-1))
-	m.Units, m.LeaseID = int64(next(1<<40)), uint32(next(1<<32-1))
-	for range next(7) {
-		m.VoterIncarnations = append(m.VoterIncarnations, next(any))
+	nameEnd := headBytes + int(b[2])
+	if len(b) < nameEnd {
+		return Message{}, ErrMessage
 	}
-	if more := []uint64(nil); len(b) > 0 {
-		for range next(7) {
-			more = append(more, next(any))
-		}
+	m := Message{Kind: Kind(b[1]), Sender: string(b[headBytes:nameEnd])}
+	r := reader{b: b[nameEnd:]}
+	m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber = r.uvarint(math.MaxUint64), r.uvarint(math.MaxUint64), r.uvarint(math.MaxUint64)
+	m.Share = int(r.uvarint(maxShare)) - 1
+	m.Sequence, m.QuotaID = uint32(r.uvarint(math.MaxUint32)), uint32(r.uvarint(math.MaxUint32))
+	m.Units, m.LeaseID = int64(r.uvarint(maxUnits)), uint32(r.uvarint(math.MaxUint32))
+	m.VoterIncarnations = r.list()
+	if len(r.b) > 0 {
+		more := r.list()
 		switch m.Kind {
 		case KindShareConfirm:
 			m.KnownIncarnations = more
 		case KindShareClaim:
 			m.Predecessors = more
 		default:
-			bad = true
+			r.failed = true
 		}
 	}
-	if bad || len(b) > 0 {
+	if r.failed || len(r.b) > 0 {
 		return Message{}, ErrMessage
 	}
 	return m, nil
 }
+
+// reader reads numbers from what is left of a message, and zeros once a read has failed.
+type reader struct {
+	b      []byte
+	failed bool
+}
+
+func (r *reader) uvarint(most uint64) uint64 {
+	if r.failed {
+		return 0
+	}
+	v, n := binary.Uvarint(r.b)
+	if n <= 0 || v > most {
+		r.failed = true
+		return 0
+	}
+	r.b = r.b[n:]
+	return v
+}
+
+func (r *reader) list() (out []uint64) {
+	for range r.uvarint(maxIncarnations) {
+		out = append(out, r.uvarint(math.MaxUint64))
+	}
+	return out
+}
--- a/internal/cluster/quota/plan.go
+++ b/internal/cluster/quota/plan.go
@@ -10,46 +10,51 @@
 // Time is a point on the caller's monotonic clock.
 type Time = admission.Time
 
-// Plan is what all members go by.
+// Never is later than any time that comes.
+const Never = Time(1) << 60
+
+// Plan holds the settings that are equal at all members.
 type Plan struct {
-	Shares       int      // of the installation
-	Voters       []string // names; 1, 3 or 5
-	ShareTerm    Time     // for which a confirmed seat is held
-	LeaseTerm    Time     // for which a loan is
-	LongestUse   Time     // that a use lasts; loans are several times as long
+	Shares       int      // number of equal shares, one for each gateway of the installation
+	Voters       []string // names of the 1, 3 or 5 gateways that confirm who holds a share
+	ShareTerm    Time     // how long a confirmed share is held
+	LeaseTerm    Time     // how long a lease lasts; several times LongestUse
+	LongestUse   Time     // how long a use lasts at most
 	DriftDivisor Time     // clocks run at most one part in this many fast or slow
-	Number       uint64   // of the totals; a keeper confirms none with a lower one than it has heard of
-	QuotaIDs     []uint32 // of the budgets, the same at all members: ID makes one of a name
-	Totals       []int64  // by budget
+	Number       uint64   // raised with every change of the totals
+	QuotaIDs     []uint32 // by quota index; HashName makes an ID of a name
+	Totals       []int64  // units by quota index
 
-	planted defect // of the laboratory alone
+	// Mutation is a deliberate fault of the protocol, by which tests prove that their checks find it. It is NoMutation in service.
+	Mutation Mutation
 }
 
-// HashName is a budget's by its name: by that members speak of it, in whatever order their files have it.
+// HashName returns the ID of a quota by its name. Messages carry IDs, because the members' files may list quotas in any order.
 func HashName(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
 }
 
-// margin is a length of time at one who must wait until another, whose clock may run slower, has surely counted it: three parts
-// of the drift are more than the two clocks can be apart, up to a third.
-func (p *Plan) margin(t Time) Time {
-	if p.planted == noDrift {
-		return t
+// withDrift returns how long a member must wait by its own clock until another clock, which may run slower, has surely counted the
+// duration. Three times the drift exceeds the difference of any two clocks that drift by a third at most.
+func (p *Plan) withDrift(duration Time) Time {
+	if p.Mutation == IgnoreClockDrift {
+		return duration
 	}
-	return t + (3*t+p.DriftDivisor-1)/p.DriftDivisor
+	return duration + (3*duration+p.DriftDivisor-1)/p.DriftDivisor
 }
 
-// share is a seat's part of a total, or of what it is shrunk to: equal ones, the first seats a unit more where it doesn't divide.
-func (p *Plan) share(budget, seat int, scale float64) int64 {
-	if seat < 0 || seat >= p.Shares {
+// shareUnits returns the units of one share of a scaled total. All shares are equal, except that the first ones have a unit more where
+// the total does not divide.
+func (p *Plan) shareUnits(quota, share int, scale float64) int64 {
+	if share < 0 || share >= p.Shares {
 		return 0
 	}
-	t, n := int64(math.Ceil(float64(p.Totals[budget])*scale)), int64(p.Shares)
-	s := t / n
-	if int64(seat) < t%n {
-		s++
+	total, shares := int64(math.Ceil(float64(p.Totals[quota])*scale)), int64(p.Shares)
+	units := total / shares
+	if int64(share) < total%shares {
+		units++
 	}
-	return s
+	return units
 }
--- a/internal/cluster/quota/share.go
+++ b/internal/cluster/quota/share.go
@@ -1,196 +1,131 @@
 package quota
 
-import "slices"
+import (
+	"slices"
 
-// seat is what a keeper remembers of one.
-type seat struct {
-	holder string
-	start  uint64
-	until  Time
-}
-
-// claim is a seat that this process holds, or wants to.
-type claim struct {
-	seat  int
-	from  Time // before that nothing of it is used: a process before this one may have lent it
-	until Time // for which it is surely held
-	asked Time // when the claim went out whose answers are counted
-	next  Time // when the next goes out; Never: it is not claimed again
-	seq   uint32
-	votes []vote
-}
-
-type vote struct {
-	keeper int
-	start  uint64
-	starts []uint64
-	known  []uint64
-}
-
-// with tells whether two confirmations count together: neither keeper knows of a later process of the other, and one of them was known by
-// the other when it began to confirm. Else each could count with another process of the other's name.
-func (v *vote) with(w *vote, strangers bool) bool {
-	return v.keeper != w.keeper && v.starts[w.keeper] <= w.start && w.starts[v.keeper] <= v.start && (v.known[w.keeper] == w.start || w.known[v.keeper] == v.start || strangers)
-}
+	"magpiebank/internal/admission"
+)
 
-// SucceedIncarnations tells that processes under this name have surely ended, by their starts: their seat passes to this one without their term having
-// to end. What the last of them lent, and what its tasks use, is waited for: it is over when a loan is. It is called right after New.
-func (c *Core) SucceedIncarnations(after []uint64) {
-	c.after = after
-	if c.claims[0].from = c.now + c.plan.margin(c.plan.LeaseTerm); c.plan.planted == followsAtOnce {
-		c.claims[0].from = c.now
-	}
+// shareClaim is a share that this process holds, or wants to hold.
+type shareClaim struct {
+	share         int
+	usableFrom    Time // nothing of the share is used before, as a predecessor may have leased it out
+	heldUntil     Time // until when it is surely held
+	claimedAt     Time // when the claim was sent whose answers are counted
+	nextClaimAt   Time // Never: it is not claimed again
+	sequence      uint32
+	confirmations []confirmation
 }
 
-// ShareStatus tells whether the own seat is held, and whether its part may be used.
-func (c *Core) ShareStatus(now Time) (held, usable bool) {
-	held = now < c.claims[0].until
-	return held, held && now >= c.claims[0].from
+// confirmation is a voter's answer to a claim.
+type confirmation struct {
+	voter             int
+	incarnation       uint64
+	voterIncarnations []uint64
+	knownIncarnations []uint64
 }
 
-// widen makes room for all budgets of the plan.
-func (c *Core) widen() {
-	for len(c.wanted) < len(c.plan.Totals) {
-		c.wanted, c.standing, c.promised = append(c.wanted, 0), append(c.standing, 0), append(c.promised, 0)
-		c.promisedTo, c.one = append(c.promisedTo, 0), append(c.one, 1)
-		c.collects, c.pauseTo, c.failed = append(c.collects, c.now), append(c.pauseTo, c.now), append(c.failed, 0)
-		c.needAt, c.scale = append(c.needAt, c.now), append(c.scale, 1)
-		c.told, c.toldAt = append(c.told, -1), append(c.toldAt, 0)
-	}
-	c.spares = c.spares[:0]
-	for b := range c.told {
-		c.told[b] = -1 // who goes by another number didn't heed it
-	}
-}
+// A claim keeps at most this many confirmations, from several processes under one voter's name.
+const maxConfirmations = 8
 
-// entered opens a keeper once all the others know its start, and the same of each other: whatever one before it under its name has confirmed
-// can no more be counted together with any of theirs, and what was counted before has ended after a term.
-func (c *Core) entered() {
-	by := 0
-	for k := range c.known {
-		if k != c.keeper && c.known[k] != 0 {
-			by++
-		}
-	}
-	if others := len(c.known) - 1; by < others && (c.plan.planted != entersAlone || by == 0) || c.starts[c.keeper] > c.start {
-		return // a later process has its name, or not all know it
-	}
-	if c.openAt = c.now + c.plan.margin(c.plan.ShareTerm); c.plan.planted == noWait {
-		c.openAt = c.now
+// countsWith reports whether two confirmations count together: neither voter knows of a later process of the other, and one of them was known
+// by the other when it began to confirm. Otherwise each could count with another process under the other's name.
+func (v *confirmation) countsWith(w *confirmation, unacquainted bool) bool {
+	if v.voter == w.voter || v.voterIncarnations[w.voter] > w.incarnation || w.voterIncarnations[v.voter] > v.incarnation {
+		return false
 	}
+	return v.knownIncarnations[w.voter] == w.incarnation || w.knownIncarnations[v.voter] == v.incarnation || unacquainted
 }
 
-// learn takes in starts of keepers; by what is new of them a keeper that is not open has to be known again.
-func (c *Core) learn(starts []uint64) {
-	for k, s := range starts {
-		if s > c.starts[k] {
-			if c.starts[k] = s; c.openAt == Never {
-				c.unknown()
-			}
-		}
+// SucceedIncarnations tells that processes under this name have surely ended, by their incarnations. Their share passes to this process without their term
+// having to end. What the last of them leased out, and what its requests use, is waited for: it has ended when a lease has.
+// It is called right after New.
+func (c *Core) SucceedIncarnations(ended []uint64) {
+	c.predecessors = ended
+	c.claims[0].usableFrom = c.now + c.plan.withDrift(c.plan.LeaseTerm)
+	if c.plan.Mutation == SucceedWithoutWaiting {
+		c.claims[0].usableFrom = c.now
 	}
 }
 
-// unknown has a keeper enter, or enter again.
-func (c *Core) unknown() {
-	c.openAt = Never
-	clear(c.known)
-	c.known[c.keeper] = c.start
+// ShareStatus reports whether the own share is held, and whether its units may be used.
+func (c *Core) ShareStatus(now Time) (held, usable bool) {
+	held = now < c.claims[0].heldUntil
+	return held, held && now >= c.claims[0].usableFrom
 }
 
-// claimSeat asks all keepers to confirm a seat; only the answers to the last claim are counted.
-func (c *Core) claimSeat(i int) {
-	c.last++
-	k := &c.claims[i]
-	k.seq, k.asked, k.votes = c.last, c.now, nil
-	if k.next = c.now + c.plan.ShareTerm/4; c.now >= k.until { // what isn't held is asked for more often: a keeper may not have been known yet
-		k.next = c.now + min(c.plan.ShareTerm/4, second/2)
-	}
-	m := Message{Kind: KindShareClaim, Share: k.seat, Sequence: k.seq}
-	if i == 0 {
-		m.Predecessors = c.after
+// claimShare asks all voters to confirm a share. Only answers to the last claim are counted.
+func (c *Core) claimShare(index int) {
+	const retryInterval = admission.Second / 2 // of a share that is not held: a voter may not have been open yet
+	c.sequence++
+	claim := &c.claims[index]
+	claim.sequence, claim.claimedAt, claim.confirmations = c.sequence, c.now, nil
+	claim.nextClaimAt = c.now + c.plan.ShareTerm/4
+	if c.now >= claim.heldUntil {
+		claim.nextClaimAt = c.now + min(c.plan.ShareTerm/4, retryInterval)
 	}
-	for _, keeper := range c.plan.Voters {
-		c.send(keeper, m)
-	}
-}
-
-// takeOver has a keeper claim seats that nobody has held for a quarter of a term, or ever: what the dead had is used again. Keepers
-// take turns at each, a term at a time, so that one that is gone itself leaves none idle.
-func (c *Core) takeOver() {
-	if c.keeper < 0 || c.now < c.openAt || c.openAt == Never {
-		return
+	m := Message{Kind: KindShareClaim, Share: claim.share, Sequence: claim.sequence}
+	if index == 0 {
+		m.Predecessors = c.predecessors
 	}
-	for n := range c.seats {
-		since := c.now - max(c.seats[n].until, c.openAt)
-		turn := (n + int(since/c.plan.ShareTerm)) % len(c.plan.Voters)
-		if since >= c.plan.ShareTerm/4 && turn == c.keeper && !slices.ContainsFunc(c.claims, func(k claim) bool { return k.seat == n }) {
-			c.claims = append(c.claims, claim{seat: n, until: c.now, next: c.now})
-		}
+	for _, voter := range c.plan.Voters {
+		c.send(voter, m)
 	}
 }
 
-// leaveSeat has a seat that was taken over end with its term: its own holder is back.
-func (c *Core) leaveSeat(n int) {
+// stopClaiming has a share that was taken over end with its term, because its own holder is back.
+func (c *Core) stopClaiming(share int) {
 	for i := range c.claims {
-		if k := &c.claims[i]; i > 0 && k.seat == n {
-			k.next = Never
+		if claim := &c.claims[i]; i > 0 && claim.share == share {
+			claim.nextClaimAt = Never
 		}
 	}
 }
 
-// asksSeat confirms a seat to one holder at a time, until its term has surely ended by that one's clock.
-func (c *Core) asksSeat(m Message) {
-	if c.keeper < 0 || c.now < c.openAt || m.Share < 0 || m.Share >= len(c.seats) || m.PlanNumber < c.highest {
+// handleShareConfirm counts the voters that have confirmed the last claim: a majority of those that count together holds the share for a term
+// from when the claim was sent, however late the answers come.
+func (c *Core) handleShareConfirm(m Message) {
+	voter, voters := slices.Index(c.plan.Voters, m.Sender), len(c.plan.Voters)
+	if voter < 0 || m.RecipientIncarnation != c.incarnation || len(m.VoterIncarnations) != voters || len(m.KnownIncarnations) != voters {
 		return
 	}
-	s := &c.seats[m.Share]
-	if s.holder == c.name && s.start == c.start && m.Sender != c.name {
-		c.leaveSeat(m.Share)
-	}
-	follows := s.holder == m.Sender && (slices.Contains(m.Predecessors, s.start) || len(m.Predecessors) > 0 && c.plan.planted == followsAnyone)
-	if s.start > 0 && c.now < s.until && (s.holder != m.Sender || s.start != m.SenderIncarnation) && !follows {
-		c.send(m.Sender, Message{Kind: KindReject, RecipientIncarnation: m.SenderIncarnation, Share: m.Share})
+	c.rejoinIfUnknownTo(voter, m)
+	index := slices.IndexFunc(c.claims, func(k shareClaim) bool { return k.share == m.Share && k.sequence == m.Sequence })
+	if index < 0 {
 		return
 	}
-	*s = seat{m.Sender, m.SenderIncarnation, c.now + c.plan.margin(c.plan.ShareTerm)}
-	c.send(m.Sender, Message{Kind: KindShareConfirm, RecipientIncarnation: m.SenderIncarnation, Share: m.Share, Sequence: m.Sequence, VoterIncarnations: slices.Clone(c.starts), KnownIncarnations: slices.Clone(c.known)})
-}
-
-// confirmed counts the keepers that have confirmed the last claim: a majority of those that count together. The seat is held for a term
-// from when the claim went out, however late its answers come.
-func (c *Core) confirmed(m Message) {
-	k := slices.Index(c.plan.Voters, m.Sender)
-	if n := len(c.plan.Voters); k < 0 || m.RecipientIncarnation != c.start || len(m.VoterIncarnations) != n || len(m.KnownIncarnations) != n {
-		return
+	claim := &c.claims[index]
+	counted := slices.ContainsFunc(claim.confirmations, func(v confirmation) bool { return v.voter == voter && v.incarnation == m.SenderIncarnation })
+	if len(claim.confirmations) < maxConfirmations && !counted {
+		claim.confirmations = append(claim.confirmations, confirmation{voter, m.SenderIncarnation, m.VoterIncarnations, m.KnownIncarnations})
 	}
-	if c.keeper >= 0 && k != c.keeper && c.openAt != Never && m.SenderIncarnation > c.known[k] && m.KnownIncarnations[c.keeper] != c.start {
-		c.unknown() // it began to confirm without this one, by another process of this name: nobody counts the two together
+	if 2*largestSet(claim.confirmations, nil, c.plan.Mutation == CountUnacquaintedVoters) > voters {
+		begin := claim.claimedAt
+		if c.plan.Mutation == CountTermFromArrival {
+			begin = c.now
+		}
+		claim.heldUntil = max(claim.heldUntil, begin+c.plan.ShareTerm)
 	}
-	of := slices.IndexFunc(c.claims, func(k claim) bool { return k.seat == m.Share && k.seq == m.Sequence })
-	if of < 0 {
+}
+
+// rejoinIfUnknownTo has an open voter join again where another one began to confirm without knowing it, by another process under
+// its name: nobody counts the two together.
+func (c *Core) rejoinIfUnknownTo(voter int, m Message) {
+	if c.voter.index < 0 || voter == c.voter.index || c.voter.openAt == Never {
 		return
 	}
-	held := &c.claims[of]
-	const most = 8 // processes of the keepers
-	if len(held.votes) < most && !slices.ContainsFunc(held.votes, func(v vote) bool { return v.keeper == k && v.start == m.SenderIncarnation }) {
-		held.votes = append(held.votes, vote{k, m.SenderIncarnation, m.VoterIncarnations, m.KnownIncarnations})
-	}
-	if 2*together(held.votes, nil, c.plan.planted == countsStrangers) > len(c.plan.Voters) {
-		from := held.asked
-		if c.plan.planted == fromArrival {
-			from = c.now
-		}
-		held.until = max(held.until, from+c.plan.ShareTerm)
+	if m.SenderIncarnation > c.voter.knownBy[voter] && m.KnownIncarnations[c.voter.index] != c.incarnation {
+		c.restartJoin()
 	}
 }
 
-// together is how many of some votes count with those chosen, and with each other, at most.
-func together(votes, chosen []vote, strangers bool) int {
+// largestSet returns how many of the confirmations count with those chosen, and with each other, at most.
+func largestSet(confirmations, chosen []confirmation, unacquainted bool) int {
 	most := len(chosen)
-	for i := range votes {
-		if !slices.ContainsFunc(chosen, func(w vote) bool { return !votes[i].with(&w, strangers) }) {
-			most = max(most, together(votes[i+1:], append(slices.Clip(chosen), votes[i]), strangers))
+	for i := range confirmations {
+		conflicts := slices.ContainsFunc(chosen, func(w confirmation) bool { return !confirmations[i].countsWith(&w, unacquainted) })
+		if !conflicts {
+			most = max(most, largestSet(confirmations[i+1:], append(slices.Clip(chosen), confirmations[i]), unacquainted))
 		}
 	}
 	return most
--- a/internal/cluster/quota/units.go
+++ b/internal/cluster/quota/units.go
@@ -2,182 +2,142 @@
 
 import "slices"
 
-// use is some of a budget that a task has, until its end at the latest.
-type use struct {
-	budget int
-	amount int64
-	until  Time
+// allocation is some units of a quota that a request uses, until its end at the latest.
+type allocation struct {
+	quota int
+	units int64
+	until Time
 }
 
-// HeldUnits is what this process may use of a budget now, what it uses already among it (totals that were lowered may leave less than is
-// lent), and Used what it uses.
-func (c *Core) HeldUnits(now Time, budget int) int64 { return max(0, c.at(budget, now)) }
+// HeldUnits returns how many units of a quota this process may use now, those among them that are in use. It is 0 where a lowered total leaves less
+// than is leased out.
+func (c *Core) HeldUnits(now Time, quota int) int64 { return max(0, c.heldAt(quota, now)) }
 
-func (c *Core) UsedUnits(now Time, budget int) int64 { return c.used(budget, now) }
+// UsedUnits returns how many units of a quota are in use.
+func (c *Core) UsedUnits(now Time, quota int) int64 { return c.usedAt(quota, now) }
 
-// at is what it has of a budget at a time from now on, as far as is known now.
-func (c *Core) at(budget int, t Time) int64 {
-	n := c.own(budget, t)
-	for i := range c.loans {
-		if l := &c.loans[i]; l.budget == budget && t < l.until {
-			n += l.amount
+// heldAt returns the units held at a time from now on, as far as is known now: those of the own shares and those that are borrowed.
+func (c *Core) heldAt(quota int, t Time) int64 {
+	units := c.ownAt(quota, t)
+	for i := range c.taken.leases {
+		if l := &c.taken.leases[i]; l.quota == quota && t < l.until {
+			units += l.units
 		}
 	}
-	return n
+	return units
 }
 
-// own is that without what it has borrowed.
-func (c *Core) own(budget int, t Time) (n int64) {
+// ownAt returns the units of the held shares less those that are leased out.
+func (c *Core) ownAt(quota int, t Time) (units int64) {
 	for i := range c.claims {
-		if k := &c.claims[i]; k.from <= t && t < k.until {
-			n += c.plan.share(budget, k.seat, c.scale[budget])
+		if claim := &c.claims[i]; claim.usableFrom <= t && t < claim.heldUntil {
+			units += c.plan.shareUnits(quota, claim.share, c.quotas[quota].scale)
 		}
 	}
-	for i := range c.lent {
-		if l := &c.lent[i]; l.budget == budget && t < l.until && c.plan.planted != countsNothingOut && !(l.last && c.plan.planted == recalledIsBack) {
-			n -= l.amount
+	for i := range c.granted.leases {
+		if l := &c.granted.leases[i]; l.quota == quota && t < l.until && !c.usesGranted(l) {
+			units -= l.units
 		}
 	}
-	return n
+	return units
 }
 
-// ownLeast is the least of that until a time: loans only come back, so it falls where a seat ends.
-func (c *Core) ownLeast(budget int, until Time) int64 {
-	least := c.own(budget, c.now)
+// usesGranted reports whether a mutation has the lender use a lease that it has granted.
+func (c *Core) usesGranted(l *lease) bool {
+	return c.plan.Mutation == UseLeasedUnits || l.final && c.plan.Mutation == UseRecalledUnits
+}
+
+// leastOwn returns the least of the own units from now until a time. Leases only come back, so the units fall only where a share ends.
+func (c *Core) leastOwn(quota int, until Time) int64 {
+	least := c.ownAt(quota, c.now)
 	for i := range c.claims {
-		if t := c.claims[i].until; t > c.now && t <= until {
-			least = min(least, c.own(budget, t))
+		if t := c.claims[i].heldUntil; t > c.now && t <= until {
+			least = min(least, c.ownAt(quota, t))
 		}
 	}
 	return least
 }
 
-// used is what tasks have of a budget at a time.
-func (c *Core) used(budget int, t Time) (n int64) {
-	for i := range c.uses {
-		if u := &c.uses[i]; u.budget == budget && t < u.until {
-			n += u.amount
+// usedAt returns the units that are in use at a time from now on.
+func (c *Core) usedAt(quota int, t Time) (units int64) {
+	for i := range c.allocations {
+		if a := &c.allocations[i]; a.quota == quota && t < a.until {
+			units += a.units
 		}
 	}
-	return n + c.standing[budget]
+	return units + c.quotas[quota].rateUnits
 }
 
-// ReserveRate has a budget that is used as a rate be used by so much, as far as there is that, until it is asked for again: what stands so is
-// neither lent nor given back. until is when the first part of what there is ends.
-func (c *Core) ReserveRate(now Time, budget int, need int64) (n int64, until Time) {
-	c.pass(now)
-	n, until = min(max(0, c.at(budget, c.now)-c.going(budget)), need), Never
-	end := func(t Time) {
-		if t > c.now {
-			until = min(until, t)
-		}
-	}
+// visitEnds calls visit for each later time at which some of what is held ends.
+func (c *Core) visitEnds(visit func(t Time)) {
 	for i := range c.claims {
-		end(c.claims[i].until)
+		if t := c.claims[i].heldUntil; t > c.now {
+			visit(t)
+		}
 	}
-	for i := range c.loans {
-		end(c.loans[i].until)
+	for i := range c.taken.leases {
+		if t := c.taken.leases[i].until; t > c.now {
+			visit(t)
+		}
 	}
-	c.standing[budget] = n
-	return n, until
 }
 
-// ScaleTotal has a total be a part of itself, as the engines that it is meant for are; all that see the same engines come to the same.
-func (c *Core) ScaleTotal(now Time, budget int, part float64) {
-	c.pass(now)
-	c.scale[budget] = part
+// free returns how many more units may be used from now until a time: the least of what is held less what is used, over all times at
+// which some of it ends, less what must be returned.
+func (c *Core) free(quota int, until Time) int64 {
+	least := c.heldAt(quota, c.now) - c.usedAt(quota, c.now)
+	c.visitEnds(func(t Time) {
+		if t <= until {
+			least = min(least, c.heldAt(quota, t)-c.usedAt(quota, t))
+		}
+	})
+	return least - c.toBeReturned(quota)
 }
 
-// free is how much more may be used from now until a time: the least of what is held less what is used, at each instant at
-// which some of it ends.
-func (c *Core) free(budget int, until Time) int64 {
-	least := c.at(budget, c.now) - c.used(budget, c.now)
-	look := func(t Time) {
-		if t > c.now && t <= until {
-			least = min(least, c.at(budget, t)-c.used(budget, t))
-		}
-	}
-	for i := range c.claims {
-		look(c.claims[i].until)
-	}
-	for i := range c.loans {
-		look(c.loans[i].until)
-	}
-	return least - c.going(budget)
+// coversUses reports whether what is held is enough for all uses, to the end of each.
+func (c *Core) coversUses(quota int) bool {
+	covers := c.heldAt(quota, c.now) >= c.usedAt(quota, c.now)
+	c.visitEnds(func(t Time) { covers = covers && c.heldAt(quota, t) >= c.usedAt(quota, t) })
+	return covers
 }
 
-// going is what goes back to its lenders as soon as it can.
-func (c *Core) going(budget int) (n int64) {
-	for i := range c.loans {
-		if l := &c.loans[i]; l.budget == budget && l.last {
-			n += l.amount
-		}
-	}
-	return n
+// ReserveRate has up to need units of a quota that is used as a rate be in use, as far as they are free, until the next call: they are neither
+// leased out nor returned. It returns how many there are, and when the first of what is held ends.
+func (c *Core) ReserveRate(now Time, quota int, need int64) (units int64, until Time) {
+	c.advance(now)
+	units, until = min(max(0, c.heldAt(quota, c.now)-c.toBeReturned(quota)), need), Never
+	c.visitEnds(func(t Time) { until = min(until, t) })
+	c.quotas[quota].rateUnits = units
+	return units, until
 }
 
-// TryAcquire has a task use some of a budget, if there is as much until its end.
-func (c *Core) TryAcquire(now Time, budget int, amount int64, until Time) bool {
-	c.pass(now)
-	if c.free(budget, until) < amount {
+// ScaleTotal has only a part of a total count, from 0 to 1, as part of the engines are up. Members that see the same engines come to the same.
+func (c *Core) ScaleTotal(now Time, quota int, part float64) {
+	c.advance(now)
+	c.quotas[quota].scale = part
+}
+
+// TryAcquire has a request use some units of a quota, if they are free until its end.
+func (c *Core) TryAcquire(now Time, quota int, units int64, until Time) bool {
+	c.advance(now)
+	if c.free(quota, until) < units {
 		return false
 	}
-	c.uses = append(c.uses, use{budget, amount, until})
+	c.allocations = append(c.allocations, allocation{quota, units, until})
 	return true
 }
 
-// Release ends a use of some amount. Of several the one that would end first is taken for it: so no more is free than is.
-func (c *Core) Release(now Time, budget int, amount int64) {
-	c.pass(now)
+// Release ends a use of so many units. Of several such uses it ends the one that would end first, so that no more is taken for free than is.
+func (c *Core) Release(now Time, quota int, units int64) {
+	c.advance(now)
 	first := -1
-	for i := range c.uses {
-		if u := &c.uses[i]; u.budget == budget && u.amount == amount && (first < 0 || u.until < c.uses[first].until) {
+	for i := range c.allocations {
+		a := &c.allocations[i]
+		if a.quota == quota && a.units == units && (first < 0 || a.until < c.allocations[first].until) {
 			first = i
 		}
 	}
 	if first >= 0 {
-		c.uses = slices.Delete(c.uses, first, first+1)
-	}
-}
-
-// ReturnLeases has what was borrowed of a budget go back, loan by loan as far as so much can be spared, and in any case those on which no
-// more time is given; what tasks use to its end stays.
-func (c *Core) ReturnLeases(now Time, budget int, spared int64) {
-	c.pass(now)
-	if c.promised[budget] > 0 {
-		return
-	}
-	for i := 0; i < len(c.loans); {
-		l := c.loans[i]
-		if l.budget != budget || l.amount > spared && !l.last {
-			i++
-			continue
-		}
-		c.loans = slices.Delete(c.loans, i, i+1) // from here on it uses nothing of it
-		if !c.covered(budget) {
-			c.loans = slices.Insert(c.loans, i, l)
-			i++
-			continue
-		}
-		if !l.last {
-			spared -= l.amount
-		}
-		if c.plan.planted != takesAfterBack { // more time that was asked for is not taken when it comes: the lender has it back by then
-			c.asks = slices.DeleteFunc(c.asks, func(a asked) bool { return a.budget == budget && a.of == l.with && a.id == l.id })
-		}
-		c.send(l.with, Message{Kind: KindLeaseReturn, RecipientIncarnation: l.start, QuotaID: c.plan.QuotaIDs[l.budget], LeaseID: l.id})
-	}
-}
-
-// covered tells whether what is held is enough for what tasks use, to the end of each.
-func (c *Core) covered(budget int) bool {
-	ok := c.at(budget, c.now) >= c.used(budget, c.now)
-	look := func(t Time) { ok = ok && (t <= c.now || c.at(budget, t) >= c.used(budget, t)) }
-	for i := range c.claims {
-		look(c.claims[i].until)
-	}
-	for i := range c.loans {
-		look(c.loans[i].until)
+		c.allocations = slices.Delete(c.allocations, first, first+1)
 	}
-	return ok
 }
--- a/internal/testbed/modelcheck/explore.go
+++ b/internal/testbed/modelcheck/explore.go
@@ -1,5 +1,5 @@
-// Package modelcheck walks every interleaving of a small system, breadth first, up to a bound: what it finds violated comes with
-// the shortest run that leads there. The system says what can happen next and which states are the same.
+// Package modelcheck explores every interleaving of a small system, breadth first, up to a bound. A violation that it finds comes with
+// the shortest run that leads to it. The system says what can happen next and which states are the same.
 package modelcheck
 
 import (
@@ -11,11 +11,11 @@
 
 // State is one state of a system. It is not changed once made.
 type State interface {
-	// Key names the state; states that differ only in what doesn't matter (absolute times, which of two equal members) share one.
+	// Key returns the state's key. States that differ only in what does not matter (absolute times, which of two equal members) share one.
 	Key() []byte
-	// Transitions are all that can happen next, in a fixed order.
+	// Transitions returns all that can happen next, in a fixed order.
 	Transitions() []Transition
-	// Violation tells what doesn't hold; empty: all does.
+	// Violation returns what does not hold; empty: all does.
 	Violation() string
 }
 
@@ -25,100 +25,127 @@
 	Next func() State
 }
 
-// Result is what a walk came to.
+// Result is the outcome of an exploration.
 type Result struct {
 	States, Transitions int
-	Depth               int      // of the last state looked at
-	Complete            bool     // nothing was left out for the bound
-	Violation           string   // the first violation
-	Trace               []string // and the shortest run to it
+	Depth               int      // of the last state explored, in transitions
+	Complete            bool     // nothing was left out because of a bound
+	Violation           string   // the first that was found
+	Trace               []string // the names of the transitions of the shortest run to it
 }
 
-// step leads back to where a state was first come upon. A state takes 16 bytes here; its key's hash of 64 bits stands for it, so
-// that of ten million states two are taken for one with a chance of some 3 in a million.
+// step leads back to where a state was first found. The hash of 64 bits stands for a state's key: of ten million states two are
+// taken for one with a chance of some 3 in a million. With its step a state takes 16 bytes.
 type step struct {
-	from int32
-	move uint16
+	from       int32 // index of the step before; -1: none
+	transition uint16
 }
 
-// Explore looks at no more than most states, none deeper than depth moves.
-func Explore(first State, most, depth int) Result {
-	var r Result
-	seen := map[uint64]int32{xxhash.Sum64(first.Key()): 0}
-	steps := []step{{-1, 0}}
-	type place struct {
-		state State
-		n     int32
+// frontierState is a state whose transitions are still to be explored.
+type frontierState struct {
+	state State
+	step  int32
+}
+
+// exploration is one under way.
+type exploration struct {
+	first     State
+	maxStates int
+	result    Result
+	seen      map[uint64]struct{} // hashes of keys
+	steps     []step
+}
+
+// Explore explores at most maxStates states, none deeper than maxDepth transitions.
+func Explore(first State, maxStates, maxDepth int) Result {
+	e := &exploration{
+		first: first, maxStates: maxStates,
+		result: Result{States: 1, Complete: true},
+		seen:   map[uint64]struct{}{xxhash.Sum64(first.Key()): {}},
+		steps:  []step{{from: -1}},
 	}
-	level, next := []place{{first, 0}}, []place(nil)
-	r.States, r.Complete = 1, true
-	if r.Violation = first.Violation(); r.Violation != "" {
-		return r
+	e.result.Violation = first.Violation()
+	if e.result.Violation != "" {
+		return e.result
 	}
-	for ; len(level) > 0; level, next = next, level[:0] {
-		if r.Depth == depth {
-			r.Complete = false
-			return r
+	level, next := []frontierState{{state: first}}, []frontierState(nil)
+	for len(level) > 0 {
+		if e.result.Depth == maxDepth {
+			e.result.Complete = false
+			return e.result
 		}
-		r.Depth++
+		e.result.Depth++
 		next = next[:0]
-		for _, at := range level {
-			for m, move := range at.state.Transitions() {
-				r.Transitions++
-				to := move.Next()
-				key := xxhash.Sum64(to.Key())
-				if _, ok := seen[key]; ok {
-					continue
-				}
-				if r.States >= most {
-					r.Complete = false
-					return r
-				}
-				n := int32(len(steps))
-				seen[key] = n
-				steps = append(steps, step{at.n, uint16(m)})
-				r.States++
-				if r.Violation = to.Violation(); r.Violation != "" {
-					r.Trace, r.Complete = trace(first, steps, n), false
-					return r
-				}
-				next = append(next, place{to, n})
+		for _, from := range level {
+			var ended bool
+			next, ended = e.expand(from, next)
+			if ended {
+				return e.result
 			}
 		}
+		level, next = next, level
+	}
+	return e.result
+}
+
+// expand appends the new states that a state leads to; ended: a violation or the bound ends the exploration.
+func (e *exploration) expand(from frontierState, next []frontierState) (_ []frontierState, ended bool) {
+	for i, transition := range from.state.Transitions() {
+		e.result.Transitions++
+		state := transition.Next()
+		key := xxhash.Sum64(state.Key())
+		if _, known := e.seen[key]; known {
+			continue
+		}
+		if e.result.States >= e.maxStates {
+			e.result.Complete = false
+			return next, true
+		}
+		index := int32(len(e.steps))
+		e.seen[key] = struct{}{}
+		e.steps = append(e.steps, step{from.step, uint16(i)})
+		e.result.States++
+		e.result.Violation = state.Violation()
+		if e.result.Violation != "" {
+			e.result.Trace, e.result.Complete = e.trace(index), false
+			return next, true
+		}
+		next = append(next, frontierState{state, index})
 	}
-	return r
+	return next, false
 }
 
-// trace plays the moves to a state once more for their names.
-func trace(first State, steps []step, n int32) (out []string) {
-	var moves []uint16
-	for ; n > 0; n = steps[n].from {
-		moves = append(moves, steps[n].move)
+// trace plays the transitions to a state once more for their names.
+func (e *exploration) trace(index int32) (names []string) {
+	var transitions []uint16
+	for ; index > 0; index = e.steps[index].from {
+		transitions = append(transitions, e.steps[index].transition)
 	}
-	s := first
-	for i := len(moves) - 1; i >= 0; i-- {
-		m := s.Transitions()[moves[i]]
-		out = append(out, m.Name)
-		s = m.Next()
+	state := e.first
+	for i := len(transitions) - 1; i >= 0; i-- {
+		transition := state.Transitions()[transitions[i]]
+		names = append(names, transition.Name)
+		state = transition.Next()
 	}
-	return out
+	return names
 }
 
 // WriteText writes a result for people.
-func (r *Result) WriteText(out io.Writer, what string) {
-	whole := "up to the bound"
-	if r.Violation != "" {
-		whole = "to the first violation"
-	} else if r.Complete {
-		whole = "to the end"
+func (r *Result) WriteText(out io.Writer, description string) {
+	extent := "up to the bound"
+	switch {
+	case r.Violation != "":
+		extent = "to the first violation"
+	case r.Complete:
+		extent = "to the end"
 	}
-	fmt.Fprintf(out, "%s: %d states, %d moves, %d deep, %s\n", what, r.States, r.Transitions, r.Depth, whole)
+	fmt.Fprintf(out, "%s: %d states, %d moves, %d deep, %s\n", description, r.States, r.Transitions, r.Depth, extent)
 	if r.Violation == "" {
 		fmt.Fprintln(out, "good   nothing is violated")
 		return
 	}
 	fmt.Fprintln(out, "BAD    "+r.Violation)
-	for i, m := range r.Trace {
-		fmt.Fprintf(out, "%4d  %s\n", i+1, m)
+	for i, name := range r.Trace {
+		fmt.Fprintf(out, "%4d  %s\n", i+1, name)
 	}
 }
--- a/internal/testbed/modelcheck/race_on.go
+++ b/internal/testbed/modelcheck/race_on.go
@@ -2,5 +2,5 @@
 
 package modelcheck
 
-// Raced tells of a build under the race detector, in which walks take ten times as long, and have one goroutine. .ci/run makes them without it.
+// RaceEnabled reports a build with the race detector, in which explorations take ten times as long and have a single goroutine. .ci/run runs them without it.
 const Raced = true
--- /dev/null
+++ b/internal/testbed/quotamodel/system.go
@@ -0,0 +1,197 @@
+// Package quotamodel explores the states of small systems that run the protocol of package quota. Its safety falls into two parts, which meet only in that
+// a lease must end before its lender's share does: a share has one holder at a time, whatever becomes of holders and voters; and of
+// what a holder has, what is leased out and what is left together are never more than it. There is a system for each. Clocks run a
+// quarter fast or slow in them, so that few steps tell.
+package quotamodel
+
+import (
+	"encoding/binary"
+	"fmt"
+	"slices"
+	"strings"
+
+	"magpiebank/internal/cluster/quota"
+	"magpiebank/internal/testbed/modelcheck"
+)
+
+const (
+	driftDivisor = 4
+	tick         = quota.Time(4) // of a true clock, at each step of time; a fast one goes on by 5, a slow one by 3
+	fastRate     = quota.Time(5)
+	trueRate     = quota.Time(4)
+	slowRate     = quota.Time(3)
+	maxInFlight  = 3 // messages; the oldest of more are lost
+)
+
+// envelope is a message in flight.
+type envelope struct {
+	to  string
+	m   quota.Message
+	key string // the message's fields in bytes; equal messages have equal keys
+}
+
+func seal(to string, m quota.Message) envelope {
+	b := append([]byte(to), byte(m.Kind), byte(m.Share))
+	b = append(b, m.Sender...)
+	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber, uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID)} {
+		b = binary.AppendUvarint(b, v)
+	}
+	for _, v := range slices.Concat(m.VoterIncarnations, m.KnownIncarnations, m.Predecessors) {
+		b = binary.AppendUvarint(b, v)
+	}
+	return envelope{to, m, string(b)}
+}
+
+// process is one process of a system.
+type process struct {
+	core *quota.Core
+	rate quota.Time // of its clock, in a tick
+}
+
+func (p *process) String() string {
+	return fmt.Sprintf("%s/%d", p.core.Name(), p.core.Incarnation())
+}
+
+// faults are how often each fault may still happen.
+type faults struct {
+	crashes    int // a process is killed and starts with nothing
+	successors int // a process is killed, and its successor knows that it has ended
+	twins      int // another process starts under the name of one that lives
+	duplicates int // a message is delivered and is still in flight
+	recalls    int // a lender's own requests begin to lack what it has leased out
+}
+
+// system is a state of a small fleet. It is not changed once made: after returns another one.
+type system struct {
+	plan            *quota.Plan
+	ticks           quota.Time // that have passed
+	processes       []*process
+	inFlight        []envelope
+	faults          faults
+	lastIncarnation uint64
+	pairsOnly       bool // of the voters two receive a question, no more
+
+	listTransitions func(*system) []modelcheck.Transition
+	check           func(*system) string
+}
+
+// network collects the messages of a system's cores.
+type network struct{ s *system }
+
+func (n network) Send(to string, m quota.Message) {
+	n.s.inFlight = append(n.s.inFlight, seal(to, m))
+}
+func (n network) Peers() []string { return nil }
+
+// Transitions returns the system's.
+func (s *system) Transitions() []modelcheck.Transition { return s.listTransitions(s) }
+
+// Violation returns what the system's check finds.
+func (s *system) Violation() string { return s.check(s) }
+
+// Key returns the state without absolute times, because all that counts is how far off things are.
+func (s *system) Key() []byte {
+	b := []byte{byte(s.faults.crashes), byte(s.faults.successors), byte(s.faults.twins), byte(s.faults.duplicates), byte(s.faults.recalls)}
+	for _, p := range s.processes {
+		b = append(b, p.core.Name()...)
+		b = binary.AppendVarint(b, int64(p.core.Incarnation()))
+		b = p.core.AppendDigest(b, s.clock(p))
+	}
+	for _, e := range s.inFlight {
+		b = append(append(b, e.key...), 0xff)
+	}
+	return b
+}
+
+// after returns the system after something is done in a copy of it.
+func (s *system) after(do func(*system)) modelcheck.State {
+	next := *s
+	next.processes = make([]*process, len(s.processes))
+	for i, p := range s.processes {
+		next.processes[i] = &process{core: p.core.Clone(network{&next}), rate: p.rate}
+	}
+	next.inFlight = slices.Clone(s.inFlight)
+	do(&next)
+	next.settle()
+	return &next
+}
+
+// transition is one that does something in a copy of the system.
+func (s *system) transition(name string, do func(*system)) modelcheck.Transition {
+	return modelcheck.Transition{Name: name, Next: func() modelcheck.State { return s.after(do) }}
+}
+
+// settle delivers the messages of processes to themselves, which no network loses, loses the oldest of those that are too many, and
+// brings the others into a fixed order.
+func (s *system) settle() {
+	for s.deliverToSelf() {
+	}
+	if excess := len(s.inFlight) - maxInFlight; excess > 0 {
+		s.inFlight = slices.Clone(s.inFlight[excess:])
+	}
+	slices.SortFunc(s.inFlight, func(a, b envelope) int { return strings.Compare(a.key, b.key) })
+	s.inFlight = slices.CompactFunc(s.inFlight, func(a, b envelope) bool { return a.key == b.key })
+}
+
+func (s *system) deliverToSelf() bool {
+	for i, e := range s.inFlight {
+		if p := s.sender(e.m); p != nil && p.core.Name() == e.to {
+			s.inFlight = slices.Delete(s.inFlight, i, i+1)
+			p.core.HandleMessage(s.clock(p), e.m)
+			return true
+		}
+	}
+	return false
+}
+
+func (s *system) sender(m quota.Message) *process {
+	for _, p := range s.processes {
+		if p.core.Name() == m.Sender && p.core.Incarnation() == m.SenderIncarnation {
+			return p
+		}
+	}
+	return nil
+}
+
+func (s *system) clock(p *process) quota.Time { return s.ticks * p.rate }
+
+// start makes a core of another incarnation under a process's name.
+func (s *system) start(p *process, share int) *quota.Core {
+	s.lastIncarnation++
+	return s.newCore(s.clock(p), p.core.Name(), s.lastIncarnation, share)
+}
+
+func (s *system) newCore(now quota.Time, name string, incarnation uint64, share int) *quota.Core {
+	return quota.New(now, quota.Options{Plan: s.plan, Name: name, Incarnation: incarnation, Share: share, Host: network{s}})
+}
+
+// commonTransitions are those of all systems: time passes, and a message is delivered to a process that has the recipient's name, once or once more.
+func (s *system) commonTransitions(steps ...quota.Time) (out []modelcheck.Transition) {
+	for _, ticks := range steps {
+		out = append(out, s.transition(fmt.Sprintf("%d ticks pass", ticks), func(s *system) {
+			s.ticks += ticks
+			for _, p := range s.processes {
+				p.core.Expire(s.clock(p))
+			}
+		}))
+	}
+	for i, e := range s.inFlight {
+		for k, p := range s.processes {
+			if p.core.Name() != e.to || e.m.Sender == p.core.Name() && e.m.SenderIncarnation == p.core.Incarnation() {
+				continue
+			}
+			name := fmt.Sprintf("%s of %s/%d is delivered to %s", e.m.Kind, e.m.Sender, e.m.SenderIncarnation, p)
+			out = append(out, s.transition(name, func(s *system) {
+				s.inFlight = slices.Delete(s.inFlight, i, i+1)
+				s.processes[k].core.HandleMessage(s.clock(s.processes[k]), e.m)
+			}))
+			if s.faults.duplicates > 0 {
+				out = append(out, s.transition(name+", and is still in flight", func(s *system) {
+					s.faults.duplicates--
+					s.processes[k].core.HandleMessage(s.clock(s.processes[k]), e.m)
+				}))
+			}
+		}
+	}
+	return out
+}
--- a/internal/testbed/simcluster/quota_cluster.go
+++ b/internal/testbed/simcluster/quota_cluster.go
@@ -60,7 +60,7 @@
 func (p *quotaMember) start() {
 	p.cluster.starts++
 	p.up, p.running, p.requestUnits = true, nil, max(1, p.requestUnits)
-	p.core = quota.New(p.clock(), p.cluster.plan, p.name, p.cluster.starts, p.share%p.cluster.plan.Shares, p)
+	p.core = quota.New(p.clock(), quota.Options{Plan: p.cluster.plan, Name: p.name, Incarnation: p.cluster.starts, Share: p.share % p.cluster.plan.Shares, Host: p})
 	p.predecessors = append(p.predecessors, p.cluster.starts)
 }
 
