--- /dev/null
+++ b/internal/workload/source/fleet.go
@@ -0,0 +1,117 @@
+package source
+
+import (
+	"net/netip"
+	"slices"
+	"time"
+
+	"magpiebank/internal/cluster/agent"
+	"magpiebank/internal/configfile"
+)
+
+const (
+	// defaultBytesPerSecond bounds what a gateway sends to the others: a hundred bytes on each of five hundred engines, four times
+	// a second.
+	defaultBytesPerSecond = 200 << 10
+	minBytesPerSecond     = 1 << 10
+	maxBytesPerSecond     = 1 << 30
+
+	// defaultLease is how long a gateway acts on its policy without hearing of the leader. A leader that dies is replaced within
+	// two seconds.
+	defaultLease = 3 * time.Second
+	// defaultProposalTimeout is how long a change waits for a gateway that does not take it. Others take it within some tenths of
+	// a second.
+	defaultProposalTimeout = 5 * time.Second
+	// defaultQuotaTerm is how long a gateway that hears nothing uses its share: longer than a restart of the network's devices.
+	defaultQuotaTerm = time.Minute
+)
+
+// readFleet reads how the gateways of a fleet communicate.
+func readFleet(object *configfile.Object) *agent.Config {
+	fleet := &agent.Config{
+		Listen:         object.RequiredText("listen"),
+		Advertise:      object.Text("advertise", ""),
+		Seeds:          object.Texts("seeds"),
+		Key:            object.RequiredText("key"),
+		BytesPerSecond: object.Size("bytes_per_second", defaultBytesPerSecond),
+		ControlSocket:  object.Text("control", ""),
+		HistoryFile:    object.Text("history", ""),
+		ShareHealth:    object.Bool("judgements", true),
+		ShareCounters:  object.Bool("counts", false),
+	}
+	checkAddresses(object, fleet)
+	if policy := object.Object("policy"); policy != nil {
+		fleet.Policy = readFleetPolicy(policy)
+	}
+	if fleet.BytesPerSecond < minBytesPerSecond || fleet.BytesPerSecond > maxBytesPerSecond {
+		object.Reject("bytes_per_second", `a size from "1kB" to "1GB"`)
+	}
+	if budgets := object.Object("budgets"); budgets != nil {
+		fleet.Quota = readQuota(budgets, fleet.Policy != nil)
+	}
+	return fleet
+}
+
+func checkAddresses(object *configfile.Object, fleet *agent.Config) {
+	listen, err := netip.ParseAddrPort(fleet.Listen)
+	if fleet.Listen != "" && err != nil {
+		object.Reject("listen", `an address and port, as in "10.0.0.3:7100"`)
+	}
+	if object.HasField("advertise") {
+		if _, err := netip.ParseAddrPort(fleet.Advertise); err != nil {
+			object.Reject("advertise", `an address and port that the others reach, as in "10.0.0.3:7100"`)
+		}
+	} else if err == nil && listen.Addr().IsUnspecified() {
+		object.Reject("listen", "an address of this machine, or advertise with the one that the others reach")
+	}
+	for _, seed := range fleet.Seeds {
+		if _, err := netip.ParseAddrPort(seed); err != nil {
+			object.Reject("seeds", "addresses and ports, of which "+seed+" is none")
+		}
+	}
+}
+
+func readFleetPolicy(object *configfile.Object) *agent.PolicyConfig {
+	policy := &agent.PolicyConfig{
+		Voters:          object.Texts("voters"),
+		Folder:          object.Text("folder", ""),
+		LeaseDuration:   object.Duration("lease", defaultLease),
+		ProposalTimeout: object.Duration("within", defaultProposalTimeout),
+	}
+	if !slices.Contains([]int{1, 3, 5, 7}, len(policy.Voters)) {
+		object.Reject("voters", "the names of 3, 5 or 7 gateways, or of one")
+	}
+	if policy.LeaseDuration < time.Second || policy.LeaseDuration > time.Minute {
+		object.Reject("lease", `a time from "1s" to "1m"`)
+	}
+	if policy.ProposalTimeout < time.Second || policy.ProposalTimeout > time.Minute {
+		object.Reject("within", `a time from "1s" to "1m"`)
+	}
+	return policy
+}
+
+// readQuota reads how gateways share budgets. Where the fleet decides on policies, the totals have the number of the policy.
+func readQuota(object *configfile.Object, hasFleetPolicy bool) *agent.QuotaConfig {
+	quota := &agent.QuotaConfig{
+		Voters:    object.Texts("keepers"),
+		ShareTerm: object.Duration("term", defaultQuotaTerm),
+		Number:    uint64(object.Int("number", 1, 1, 1<<30)),
+		Folder:    object.Text("folder", ""),
+	}
+	if !slices.Contains([]int{1, 3, 5}, len(quota.Voters)) {
+		object.Reject("keepers", "the names of 1, 3 or 5 gateways")
+	}
+	if quota.ShareTerm < time.Second || quota.ShareTerm > time.Hour {
+		object.Reject("term", `a time from "1s" to "1h"`)
+	}
+	if object.HasField("number") && hasFleetPolicy {
+		object.Reject("number", "none where there is fleet.policy: totals follow the policy's number")
+	} else if hasFleetPolicy {
+		quota.Number = 0
+	}
+	quota.SlowStart = object.Bool("cold", false)
+	if quota.SlowStart {
+		quota.Names, quota.Totals = agent.SlowStartBudgets()
+	}
+	return quota
+}
--- /dev/null
+++ b/internal/workload/source/policy.go
@@ -0,0 +1,116 @@
+package source
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"magpiebank/internal/admission"
+	"magpiebank/internal/cluster/rollout"
+	"magpiebank/internal/configfile"
+	"magpiebank/internal/workload"
+)
+
+// ExtractPolicy returns the part of an operator's file that is the fleet's policy: pools, classes and the requirements on the
+// rollout. The text is JSON, as the fleet's gateways parse it, with nothing left to evaluate.
+func ExtractPolicy(path string) (text []byte, err error) {
+	file, object, err := configfile.Read(path)
+	if err != nil {
+		return nil, err
+	}
+	policy := map[string]any{}
+	if statements, ok := object.RawValue("statements").(map[string]any); ok {
+		plan := map[string]any{}
+		for _, name := range []string{"pools", "classes"} {
+			if value := statements[name]; value != nil {
+				plan[name] = value
+			}
+		}
+		policy["statements"] = plan
+	}
+	if requirements := object.RawValue("policy"); requirements != nil {
+		policy["policy"] = requirements
+	}
+	text, err = json.Marshal(policy)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := ParsePolicy(text); err != nil {
+		return nil, errors.New(file.LocateError(err.Error()))
+	}
+	return text, nil
+}
+
+// LocateError puts the file's name and the line before the text of an error that begins with a field, as gateways report it. If the
+// file can't be read, the text is returned as it is.
+func LocateError(path, text string) string {
+	if _, err := os.Stat(path); err != nil {
+		return text
+	}
+	file, _, err := configfile.Read(path)
+	if err != nil {
+		return text
+	}
+	return file.LocateError(text)
+}
+
+// ParsePolicy parses a policy's text. Each line of its error begins with the field.
+func ParsePolicy(text []byte) (*workload.Policy, error) {
+	object, err := configfile.ParseJSON(text)
+	if err != nil {
+		return nil, err
+	}
+	policy := &workload.Policy{}
+	if statements := object.Object("statements"); statements != nil {
+		policy.Plan = readPlan(statements)
+	}
+	if requirements := object.Object("policy"); requirements != nil {
+		policy.Requirements = readRequirements(requirements)
+	}
+	return policy, object.Validate()
+}
+
+const (
+	// defaultOverlap is how long a gateway that hears nothing acts on what the current and the proposed policy both allow.
+	defaultOverlap   = 30 * time.Second
+	maxOverlap       = 5 * time.Minute
+	defaultRehearsal = 5 * time.Second
+	maxRehearsal     = 5 * time.Minute
+	defaultProbation = 30 * time.Second
+	maxProbation     = time.Hour
+	minStageLength   = 100 * time.Millisecond
+
+	timeUnit = 100 * time.Microsecond // of admission.Time
+)
+
+// readRequirements reads what a policy requires of its rollout.
+func readRequirements(object *configfile.Object) (terms rollout.Terms) {
+	if object.OneOf("silent", "nack", "nack", "both") == "both" {
+		terms.Overlap = readLength(object, "both_for", defaultOverlap, maxOverlap)
+	} else if object.HasField("both_for") {
+		object.Reject("both_for", `none but with silent: "both"`)
+	}
+	if rehearsal := object.Object("rehearse"); rehearsal != nil {
+		terms.RehearsalLength = readLength(rehearsal, "length", defaultRehearsal, maxRehearsal)
+		terms.RehearsalBounds = readBounds(rehearsal)
+	}
+	if probation := object.Object("probation"); probation != nil {
+		terms.Probation = readLength(probation, "length", defaultProbation, maxProbation)
+		terms.ProbationBounds = readBounds(probation)
+	}
+	return terms
+}
+
+func readLength(object *configfile.Object, field string, usual, most time.Duration) admission.Time {
+	length := object.Duration(field, usual)
+	if length < minStageLength || length > most {
+		object.Reject(field, fmt.Sprintf(`a time from "100ms" to "%v"`, most))
+	}
+	return admission.Time(length / timeUnit)
+}
+
+func readBounds(object *configfile.Object) rollout.Bounds {
+	return rollout.Bounds{Rejected: object.Fraction("refused_above", 1), Shed: object.Fraction("held_above", 1)}
+}
--- a/internal/workload/source/policy_text_test.go
+++ b/internal/workload/source/policy_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// What is proposed is the file's policy and nothing else of it; what is amiss has the file's line.
+// The extracted policy is the file's pools, classes and requirements and nothing else; errors have the file's line.
 func TestExtractedPolicyIsThePartOfTheFileThatTheFleetDecidesOn(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.jsonnet")
 	write := func(text string) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// A fleet that decides on policies, and what is amiss with one.
+// Errors of a fleet's policy.
 func ExampleParse_policy() {
 	for _, text := range []string{
 		"{ fleet: { listen: '10.0.0.3:7100', key: 'k', policy: { voters: ['g0', 'g1'], lease: '1ms' } } }",
--- a/internal/workload/source/source_test.go
+++ b/internal/workload/source/source_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Files that are amiss, and one that isn't.
+// Errors of files, and what two sound files say.
 func ExampleParse() {
 	for _, text := range []string{
 		"{ statments: {} }",
@@ -57,7 +57,7 @@
 	// SELECT a FROM actas_3.otra WHERE nota = 1     full ""
 }
 
-// A fleet's place in the file.
+// The file's part on the fleet.
 func ExampleParse_fleet() {
 	for _, text := range []string{
 		"{ fleet: { listen: '7100', seeds: ['g1'],\n bytes_per_second: '2' } }",
