--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -79,8 +79,8 @@
 
 // HasRequest tells whether a request of that id is in hand.
 func (c *Controller) HasRequest(id RequestID) bool {
-	_, r := c.requests.find(id)
-	return r != nil
+	_, request := c.requests.find(id)
+	return request != nil
 }
 
 // Tick is the timer, which the host calls when ScheduleTick asked for it: probes, steps where no report comes, the chance
@@ -93,8 +93,8 @@
 		c.pools.list[number].hasWarm = c.hasWarmEngine(number)
 	}
 	for i := range c.engines.items {
-		if e := &c.engines.items[i]; e.State == Live {
-			c.tickEngine(e)
+		if engine := &c.engines.items[i]; engine.State == Live {
+			c.tickEngine(engine)
 		}
 	}
 	for i := range c.requests.items {
@@ -110,22 +110,22 @@
 	c.host.ScheduleTick(now + tickInterval)
 }
 
-func (c *Controller) tickEngine(e *engine) {
-	if !e.probe.inFlight { // what a probe was sent for waits for it
-		c.drawChance(e)
+func (c *Controller) tickEngine(engine *engineState) {
+	if !engine.probe.inFlight { // what a probe was sent for waits for it
+		c.drawChance(engine)
 	}
-	if c.now-e.load.reportAt >= staleReportAge && c.now-e.limit.steppedAt >= staleReportAge/3 {
-		c.adjustSlots(e, c.loadSignal(e), Second)
+	if c.now-engine.load.reportAt >= staleReportAge && c.now-engine.limit.steppedAt >= staleReportAge/3 {
+		c.adjustSlots(engine, c.loadSignal(engine), Second)
 	}
 }
 
-func (c *Controller) tickRequest(i requestIndex) {
-	r := c.requests.at(i)
+func (c *Controller) tickRequest(index requestIndex) {
+	request := c.requests.at(index)
 	switch {
-	case r.id == "": // a free place
-	case r.attempt.inFlight:
-		c.cancelIfSilent(r)
+	case request.id == "": // a free place
+	case request.attempt.inFlight:
+		c.cancelIfSilent(request)
 	default:
-		c.checkRequest(i)
+		c.checkRequest(index)
 	}
 }
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -36,7 +36,7 @@
 }
 
 // pollRetryDelay is how long after a failed poll the list is asked for again: a list service that fails is asked no faster,
-// and well within the time in which all count as told.
+// and well within the time after which a gateway is expected to know of a change.
 const pollRetryDelay = Second
 
 // engineIndex is an engine's place in the table.
@@ -44,8 +44,8 @@
 
 const noEngine = engineIndex(-1)
 
-// engine is an entry of the engine list with what this gateway knows of it.
-type engine struct {
+// engineState is an entry of the engine list with what this gateway knows of it.
+type engineState struct {
 	Endpoint
 	listed       bool // the latest full update had it, or one since
 	hash         uint32
@@ -61,26 +61,26 @@
 
 // engineTable holds the engines. Places of engines that are gone are used again.
 type engineTable struct {
-	items  []engine
+	items  []engineState
 	byName map[EngineID]engineIndex
 }
 
 func newEngineTable() engineTable { return engineTable{byName: map[EngineID]engineIndex{}} }
 
 // at returns the engine at a place. The pointer holds until the next add.
-func (t *engineTable) at(i engineIndex) *engine { return &t.items[i] }
+func (t *engineTable) at(index engineIndex) *engineState { return &t.items[index] }
 
 // add finds a place for a new engine; that of one which is gone and has nothing in flight is used again.
 func (t *engineTable) add(name EngineID) engineIndex {
-	i := slices.IndexFunc(t.items, func(e engine) bool {
+	i := slices.IndexFunc(t.items, func(e engineState) bool {
 		return e.State == Gone && e.limit.running == 0 && !e.probe.inFlight
 	})
 	if i < 0 {
 		i = len(t.items)
-		t.items = append(t.items, engine{})
+		t.items = append(t.items, engineState{})
 	} else {
 		delete(t.byName, t.items[i].Engine)
-		t.items[i] = engine{}
+		t.items[i] = engineState{}
 	}
 	t.byName[name] = engineIndex(i)
 	hash := fnv.New32a()
@@ -123,32 +123,32 @@
 }
 
 func (c *Controller) updateEndpoint(endpoint Endpoint) {
-	i, known := c.engines.byName[endpoint.Engine]
+	index, known := c.engines.byName[endpoint.Engine]
 	if !known {
-		i = c.engines.add(endpoint.Engine)
+		index = c.engines.add(endpoint.Engine)
 	}
-	e := c.engines.at(i)
-	started := !known || endpoint.Since > e.Since
-	e.Endpoint = endpoint
-	e.listed = true
+	engine := c.engines.at(index)
+	started := !known || endpoint.Since > engine.Since
+	engine.Endpoint = endpoint
+	engine.listed = true
 	if started {
-		c.startEngine(e, !known)
+		c.startEngine(engine, !known)
 	}
 }
 
 // startEngine has an engine begin anew, or where a process before this one left it if it is new to this one.
-func (c *Controller) startEngine(e *engine, isNew bool) {
-	e.cores = max(1, ofKind(c.deployment.CoresByKind, e.Kind, 1))
-	e.memoryMB = ofKind(c.deployment.MemoryByKind, e.Kind, math.Inf(1))
+func (c *Controller) startEngine(engine *engineState, isNew bool) {
+	engine.cores = max(1, ofKind(c.deployment.CoresByKind, engine.Kind, 1))
+	engine.memoryMB = ofKind(c.deployment.MemoryByKind, engine.Kind, math.Inf(1))
 	// Two threads a core over the gateways, the signal's own threshold: in a large fleet below a query.
-	e.limit.bound = loadThreshold * e.cores / float64(c.deployment.Gateways)
-	e.failures.points = 0
-	e.load.report, e.load.reportAt = NoReport, c.now
-	e.peers.reportAt, e.peers.scoreUntil = 0, 0
+	engine.limit.bound = loadThreshold * engine.cores / float64(c.deployment.Gateways)
+	engine.failures.points = 0
+	engine.load.report, engine.load.reportAt = NoReport, c.now
+	engine.peers.reportAt, engine.peers.scoreUntil = 0, 0
 	if c.snapshot != nil && isNew {
-		c.restoreEngine(e)
+		c.restoreEngine(engine)
 	}
-	e.probe.sentAt = c.now - minProbeGap - Time(c.random.Int63n(int64(Second))) // each gateway in its own order
+	engine.probe.sentAt = c.now - minProbeGap - Time(c.random.Int63n(int64(Second))) // each gateway in its own order
 }
 
 // ofKind is a machine kind's figure, unknown where the deployment doesn't have it.
--- a/internal/admission/endpoints_test.go
+++ b/internal/admission/endpoints_test.go
@@ -30,13 +30,13 @@
 func TestEngineTableUsesPlacesAgain(t *testing.T) {
 	tests := []struct {
 		name string
-		old  func(e *engine)
+		old  func(e *engineState)
 		want bool // its place is used again
 	}{
-		{"of an engine that is gone", func(e *engine) { e.State = Gone }, true},
-		{"not of a live one", func(*engine) {}, false},
-		{"not while an attempt runs there", func(e *engine) { e.State, e.limit.running = Gone, 1 }, false},
-		{"not while it is probed", func(e *engine) { e.State, e.probe.inFlight = Gone, true }, false},
+		{"of an engine that is gone", func(e *engineState) { e.State = Gone }, true},
+		{"not of a live one", func(*engineState) {}, false},
+		{"not while an attempt runs there", func(e *engineState) { e.State, e.limit.running = Gone, 1 }, false},
+		{"not while it is probed", func(e *engineState) { e.State, e.probe.inFlight = Gone, true }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -72,23 +72,23 @@
 }
 
 // memory is the memory that a request is taken to need, in MB.
-func (s *estimator) memory(r *activeRequest) float64 {
-	if r.estimate.Memory > 0 {
-		return r.estimate.Memory
+func (s *estimator) memory(request *activeRequest) float64 {
+	if request.estimate.Memory > 0 {
+		return request.estimate.Memory
 	}
-	return s.classes[r.class].memory
+	return s.classes[request.class].memory
 }
 
 // slowStartWork is what a request counts against a cold engine's budget: what nine of ten stay under, where told.
-func (s *estimator) slowStartWork(r *activeRequest) float64 {
-	return max(s.classes[r.class].work, float64(r.estimate.WorkP90))
+func (s *estimator) slowStartWork(request *activeRequest) float64 {
+	return max(s.classes[request.class].work, float64(request.estimate.WorkP90))
 }
 
 // usualRunTime is how long a request runs if it runs as its class usually does.
-func (s *estimator) usualRunTime(r *activeRequest) float64 {
-	class := &s.classes[r.class]
-	if r.estimate.Work > 0 {
-		return class.runTime * (float64(r.estimate.Work) / class.work)
+func (s *estimator) usualRunTime(request *activeRequest) float64 {
+	class := &s.classes[request.class]
+	if request.estimate.Work > 0 {
+		return class.runTime * (float64(request.estimate.Work) / class.work)
 	}
 	return class.runTime
 }
@@ -101,31 +101,31 @@
 
 // countRun counts the time that an attempt took, in sums over some twenty. What ends in the tick that it was sent in tells of
 // no time held.
-func (s *estimator) countRun(r *activeRequest, runTime, work Time) {
+func (s *estimator) countRun(request *activeRequest, runTime, work Time) {
 	const keep = 0.95
 	run := float64(runTime)
 	if run <= 0 {
 		return
 	}
-	cost := s.cost(r, runTime, work)
-	s.threadTime = keep*s.threadTime + run*float64(s.deployment.Classes[r.class].Threads)
+	cost := s.cost(request, runTime, work)
+	s.threadTime = keep*s.threadTime + run*float64(s.deployment.Classes[request.class].Threads)
 	s.requestedWork = keep*s.requestedWork + cost
 	s.runTime = keep*s.runTime + run
 }
 
 // learnAnswer takes in what a served attempt tells of its class.
-func (s *estimator) learnAnswer(r *activeRequest, runTime, work Time, memory float64) {
-	class := &s.classes[r.class]
+func (s *estimator) learnAnswer(request *activeRequest, runTime, work Time, memory float64) {
+	class := &s.classes[request.class]
 	run := float64(runTime)
 	class.answers = min(class.answers+1, meanSamples)
 	class.runTime += max(recentShare, 1/class.answers) * (run - class.runTime)
 	class.memory += 1 / class.answers * (memory - class.memory)
-	cost := s.cost(r, runTime, work)
-	if r.estimate.Work == 0 {
-		s.learnWork(r.class, cost)
+	cost := s.cost(request, runTime, work)
+	if request.estimate.Work == 0 {
+		s.learnWork(request.class, cost)
 	}
 	// How many times its work a request takes where nothing is crowded: falls with answers and hardly rises.
-	ratio := run * float64(s.deployment.Classes[r.class].Threads) / max(1, cost)
+	ratio := run * float64(s.deployment.Classes[request.class].Threads) / max(1, cost)
 	if class.answers == 1 || ratio < class.correctionFactor {
 		class.correctionFactor += max(recentShare, 1/class.answers) * (ratio - class.correctionFactor)
 	} else {
@@ -134,13 +134,13 @@
 }
 
 // cost is a request's work, as its answer tells, else as estimated; else it took what it ran.
-func (s *estimator) cost(r *activeRequest, runTime, work Time) float64 {
-	run := float64(runTime) * float64(s.deployment.Classes[r.class].Threads)
-	if told := max(work, r.estimate.Work); told > 0 {
+func (s *estimator) cost(request *activeRequest, runTime, work Time) float64 {
+	run := float64(runTime) * float64(s.deployment.Classes[request.class].Threads)
+	if told := max(work, request.estimate.Work); told > 0 {
 		return float64(told)
 	}
 	if s.deployment.ReportsCost {
-		return min(run, s.classes[r.class].work) // no answer came
+		return min(run, s.classes[request.class].work) // no answer came
 	}
 	return run
 }
--- a/internal/admission/healthchecks.go
+++ b/internal/admission/healthchecks.go
@@ -41,10 +41,10 @@
 		next := noEngine
 		oldest := c.now - loadTurnover + 1
 		for i := range c.engines.items {
-			e := &c.engines.items[i]
-			if e.State == Live && !e.probe.inFlight && e.probe.sentAt < oldest {
+			engine := &c.engines.items[i]
+			if engine.State == Live && !engine.probe.inFlight && engine.probe.sentAt < oldest {
 				next = engineIndex(i)
-				oldest = e.probe.sentAt
+				oldest = engine.probe.sentAt
 			}
 		}
 		if next == noEngine {
@@ -54,26 +54,26 @@
 	}
 }
 
-func (c *Controller) probeEngine(e *engine) {
+func (c *Controller) probeEngine(engine *engineState) {
 	c.probes.spend()
-	e.probe.inFlight = true
-	e.probe.sentAt = c.now
-	c.host.ProbeEngine(e.Engine)
+	engine.probe.inFlight = true
+	engine.probe.sentAt = c.now
+	c.host.ProbeEngine(engine.Engine)
 }
 
 // HandleProbeResult takes in the result of a probe.
 func (c *Controller) HandleProbeResult(now Time, name EngineID, outcome Outcome, report Report) {
 	c.now = now
-	i, ok := c.engines.byName[name]
+	index, ok := c.engines.byName[name]
 	if !ok {
 		return
 	}
-	e := c.engines.at(i)
-	e.probe.inFlight = false
+	engine := c.engines.at(index)
+	engine.probe.inFlight = false
 	if outcome != Served {
-		c.addFailure(e, silencePoints, Unanswered)
+		c.addFailure(engine, silencePoints, Unanswered)
 		return
 	}
-	c.applyReport(i, report)
+	c.applyReport(index, report)
 	c.releaseQueued()
 }
--- a/internal/admission/keyorder.go
+++ b/internal/admission/keyorder.go
@@ -33,7 +33,7 @@
 }
 
 // leave takes a request out of its key's queue. If it was the first and others wait, it returns the one that is first now.
-func (o *keyOrder) leave(key string, request requestIndex, now Time) (next requestIndex, ok bool) {
+func (o *keyOrder) leave(key string, request requestIndex, now Time) (nextIndex requestIndex, ok bool) {
 	queue := o.queues[key]
 	place := slices.Index(queue.waiting, request)
 	queue.waiting = slices.Delete(queue.waiting, place, place+1)
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -45,16 +45,16 @@
 
 // applyReport takes in an engine's report, and steps the bound if it is a new one: a step on the one we had
 // would count one sight twice.
-func (c *Controller) applyReport(i engineIndex, report Report) {
-	e := c.engines.at(i)
-	if report == NoReport || report == e.load.report {
+func (c *Controller) applyReport(index engineIndex, report Report) {
+	engine := c.engines.at(index)
+	if report == NoReport || report == engine.load.report {
 		return
 	}
-	interval := e.load.update(report, c.now)
-	c.estimates.learnBusyShare(e.cores, report, e.load.utilization)
+	interval := engine.load.update(report, c.now)
+	c.estimates.learnBusyShare(engine.cores, report, engine.load.utilization)
 	const reportAge = 400 * Millisecond // of what a report tells, by and large: made now and then, and under way
-	e.load.sentSinceAt = c.now - reportAge
-	e.load.sentSince = c.requests.threadsSentTo(i, e.load.sentSinceAt, c.deployment.Classes)
-	c.adjustSlots(e, c.loadSignal(e), interval)
-	c.reportObservation(e, Reported)
+	engine.load.sentSinceAt = c.now - reportAge
+	engine.load.sentSince = c.requests.threadsSentTo(index, engine.load.sentSinceAt, c.deployment.Classes)
+	c.adjustSlots(engine, c.loadSignal(engine), interval)
+	c.reportObservation(engine, Reported)
 }
--- a/internal/admission/outlier.go
+++ b/internal/admission/outlier.go
@@ -54,21 +54,21 @@
 }
 
 // addFailure counts points against an engine, tells peers what was seen, and logs an ejection.
-func (c *Controller) addFailure(e *engine, points float64, saw Observation) {
-	e.failures.add(points, c.now)
+func (c *Controller) addFailure(engine *engineState, points float64, saw Observation) {
+	engine.failures.add(points, c.now)
 	if points > 0 {
-		c.reportObservation(e, saw)
+		c.reportObservation(engine, saw)
 	}
-	if e.failures.points-c.leastFailureScore(0) >= ejectionScore && e.failures.shouldLog(c.now) {
-		c.host.LogEvent(fmt.Sprintf("engine %s ejected: no new requests until its failure score decays", e.Engine))
+	if engine.failures.points-c.leastFailureScore(0) >= ejectionScore && engine.failures.shouldLog(c.now) {
+		c.host.LogEvent(fmt.Sprintf("engine %s ejected: no new requests until its failure score decays", engine.Engine))
 	}
 }
 
 // failureScore is an engine's own score and, while it counts, what peers say: one point a witness, so three eject.
-func (c *Controller) failureScore(e *engine) float64 {
-	own := e.failures.decayed(c.now)
-	if c.now < e.peers.scoreUntil {
-		return own + e.peers.score
+func (c *Controller) failureScore(engine *engineState) float64 {
+	own := engine.failures.decayed(c.now)
+	if c.now < engine.peers.scoreUntil {
+		return own + engine.peers.score
 	}
 	return own
 }
@@ -77,8 +77,8 @@
 func (c *Controller) leastFailureScore(pool int) float64 {
 	least := maxFailureScore
 	for i := range c.engines.items {
-		if e := &c.engines.items[i]; e.State == Live && c.pools.contains(pool, e) {
-			least = min(least, c.failureScore(e))
+		if engine := &c.engines.items[i]; engine.State == Live && c.pools.contains(pool, engine) {
+			least = min(least, c.failureScore(engine))
 		}
 	}
 	return least
--- a/internal/admission/peers.go
+++ b/internal/admission/peers.go
@@ -55,11 +55,11 @@
 
 // reportObservation hands on what this gateway saw of an engine itself, and the bytes that the requests taken since have
 // paid for.
-func (c *Controller) reportObservation(e *engine, saw Observation) {
+func (c *Controller) reportObservation(engine *engineState, saw Observation) {
 	if !c.deployment.PeerMessages {
 		return
 	}
-	c.host.ReportObservation(e.Engine, saw, e.load.report, c.peerMessages.bytes)
+	c.host.ReportObservation(engine.Engine, saw, engine.load.report, c.peerMessages.bytes)
 	c.peerMessages.bytes = 0
 }
 
@@ -68,15 +68,15 @@
 // one adds to its failure score until it is old: who hears nothing decides as one without peers.
 func (c *Controller) HandlePeerReport(now Time, report *PeerReport) {
 	c.now = now
-	i, ok := c.engines.byName[report.Engine]
-	if !ok || c.engines.at(i).Since != report.Since {
+	index, ok := c.engines.byName[report.Engine]
+	if !ok || c.engines.at(index).Since != report.Since {
 		return
 	}
-	e := c.engines.at(i)
-	e.peers.score, e.peers.scoreUntil = report.FailureScore, report.ScoreUntil
-	if report.ReportAt > e.peers.reportAt {
-		e.peers.report, e.peers.reportAt = report.Report, report.ReportAt
-		c.estimates.learnBusyShare(e.cores, report.Report, report.Report.scarcest())
+	engine := c.engines.at(index)
+	engine.peers.score, engine.peers.scoreUntil = report.FailureScore, report.ScoreUntil
+	if report.ReportAt > engine.peers.reportAt {
+		engine.peers.report, engine.peers.reportAt = report.Report, report.ReportAt
+		c.estimates.learnBusyShare(engine.cores, report.Report, report.Report.scarcest())
 	}
 	c.releaseQueued()
 }
--- a/internal/admission/placement.go
+++ b/internal/admission/placement.go
@@ -6,20 +6,20 @@
 )
 
 // pickEngine picks an engine for an attempt at random, weighted down by its busy share; noEngine: none has room.
-func (c *Controller) pickEngine(r *activeRequest) engineIndex {
-	if !c.allowsAttempt(r) {
+func (c *Controller) pickEngine(request *activeRequest) engineIndex {
+	if !c.allowsAttempt(request) {
 		return noEngine
 	}
 	total, pick := 0.0, noEngine
-	least := c.leastFailureScore(c.pools.numberOf(r, c.now))
+	least := c.leastFailureScore(c.pools.numberOf(request, c.now))
 	for i := range c.engines.items {
-		e := &c.engines.items[i]
-		excess := c.failureScore(e) - least
+		engine := &c.engines.items[i]
+		excess := c.failureScore(engine) - least
 		trust := math.Exp2(-excess)
-		if excess >= ejectionScore || !c.allowsEngine(r, e) || !c.hasRoom(e, r, trust) {
+		if excess >= ejectionScore || !c.allowsEngine(request, engine) || !c.hasRoom(engine, request, trust) {
 			continue
 		}
-		weight := c.engineWeight(r, engineIndex(i), trust)
+		weight := c.engineWeight(request, engineIndex(i), trust)
 		total += weight
 		if c.random.Float64()*total < weight {
 			pick = engineIndex(i)
@@ -30,11 +30,11 @@
 
 // engineWeight is an engine's weight in the draw. A square sets engines apart, noise in reports hardly; one that reports
 // itself full keeps a chance.
-func (c *Controller) engineWeight(r *activeRequest, i engineIndex, trust float64) float64 {
+func (c *Controller) engineWeight(request *activeRequest, index engineIndex, trust float64) float64 {
 	const exponent, floor = 2, 0.05
-	e := c.engines.at(i)
-	weight := e.cores * math.Pow(max(floor, 1.1-c.busyShare(e)), exponent) * trust * c.tableAffinity(r, e)
-	if i == r.attempt.engine {
+	engine := c.engines.at(index)
+	weight := engine.cores * math.Pow(max(floor, 1.1-c.busyShare(engine)), exponent) * trust * c.tableAffinity(request, engine)
+	if index == request.attempt.engine {
 		weight *= floor // a retry rather goes elsewhere
 	}
 	return weight
@@ -42,16 +42,16 @@
 
 // allowsEngine is the part of the rules that depends on the engine: draining, placement, the scope that drops repeats
 // and slow start.
-func (c *Controller) allowsEngine(r *activeRequest, e *engine) bool {
-	class := &c.deployment.Classes[r.class]
-	if e.State != Live || class.Zones != nil && !slices.Contains(class.Zones, e.Zone) ||
-		class.Kinds != nil && !slices.Contains(class.Kinds, e.Kind) || !c.pools.contains(c.pools.numberOf(r, c.now), e) {
+func (c *Controller) allowsEngine(request *activeRequest, engine *engineState) bool {
+	class := &c.deployment.Classes[request.class]
+	if engine.State != Live || class.Zones != nil && !slices.Contains(class.Zones, engine.Zone) ||
+		class.Kinds != nil && !slices.Contains(class.Kinds, engine.Kind) || !c.pools.contains(c.pools.numberOf(request, c.now), engine) {
 		return false
 	}
-	if r.prior.MayHaveRun && class.Effect == Deduplicated && !class.DedupScope.includes(&r.prior, &e.Endpoint) {
+	if request.prior.MayHaveRun && class.Effect == Deduplicated && !class.DedupScope.includes(&request.prior, &engine.Endpoint) {
 		return false
 	}
-	return !c.slowStart.isWarmingUp(e, c.now) || c.hasSlowStartCapacity(e, r)
+	return !c.slowStart.isWarmingUp(engine, c.now) || c.hasSlowStartCapacity(engine, request)
 }
 
 // includes tells whether an engine drops a repeat of what an attempt before it may have run elsewhere.
@@ -69,10 +69,10 @@
 // tableAffinity weighs an engine by the tables that a request reads: engines keep what they read last cached, and a
 // load holds its tables against others. From the ids alone every gateway finds the same third of engines for
 // a group's reads and another third for its loads. Harm: where one group is most of the traffic.
-func (c *Controller) tableAffinity(r *activeRequest, e *engine) float64 {
+func (c *Controller) tableAffinity(request *activeRequest, engine *engineState) float64 {
 	const strong = 4 // 2 keeps less cached, 8 crowds the same few engines
-	class := &c.deployment.Classes[r.class]
-	hash := (e.hash ^ uint32(r.tables)*2654435761) * 2246822519
+	class := &c.deployment.Classes[request.class]
+	hash := (engine.hash ^ uint32(request.tables)*2654435761) * 2246822519
 	third := (hash ^ hash>>15) * 3266489917 >> 16 % 3
 	switch {
 	case third == 0 && !class.LoadsTables, third == 1 && class.LoadsTables:
@@ -85,9 +85,9 @@
 
 // busyShare is an engine's busy share, plus what we sent since. One without a fresh report counts as those heard
 // of last: our own threads there tell nothing where our part of it is below a query.
-func (c *Controller) busyShare(e *engine) float64 {
-	if e.load.report != NoReport && c.now-e.load.reportAt < staleReportAge {
-		return c.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization) + e.load.sentSince/e.cores
+func (c *Controller) busyShare(engine *engineState) float64 {
+	if engine.load.report != NoReport && c.now-engine.load.reportAt < staleReportAge {
+		return c.estimates.reportedBusyShare(engine.cores, engine.load.report, engine.load.utilization) + engine.load.sentSince/engine.cores
 	}
-	return c.estimates.meanBusyShare + e.limit.running/e.cores
+	return c.estimates.meanBusyShare + engine.limit.running/engine.cores
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -21,28 +21,28 @@
 }
 
 // insert puts a request into its queue, in the order of arrival.
-func (q *requestQueues) insert(t *requestTable, i requestIndex) {
-	r := t.at(i)
-	queue := q.of(r.tenant, r.class)
+func (q *requestQueues) insert(t *requestTable, index requestIndex) {
+	request := t.at(index)
+	queue := q.of(request.tenant, request.class)
 	place := len(*queue)
-	for place > 0 && t.at((*queue)[place-1]).sequence > r.sequence {
+	for place > 0 && t.at((*queue)[place-1]).sequence > request.sequence {
 		place--
 	}
-	*queue = slices.Insert(*queue, place, i)
-	r.queued = true
+	*queue = slices.Insert(*queue, place, index)
+	request.queued = true
 	q.waiting++
 }
 
 // remove takes a request out of its queue, if it is in one.
-func (q *requestQueues) remove(t *requestTable, i requestIndex) {
-	r := t.at(i)
-	if !r.queued {
+func (q *requestQueues) remove(t *requestTable, index requestIndex) {
+	request := t.at(index)
+	if !request.queued {
 		return
 	}
-	queue := q.of(r.tenant, r.class)
-	place := slices.Index(*queue, i)
+	queue := q.of(request.tenant, request.class)
+	place := slices.Index(*queue, index)
 	*queue = slices.Delete(*queue, place, place+1)
-	r.queued = false
+	request.queued = false
 	q.waiting--
 }
 
@@ -107,13 +107,13 @@
 // behind it that have the same choice of engines are passed over.
 func (c *Controller) releaseFrom(queue []requestIndex) bool {
 	blocked := uint64(0) // policy classes of which one found no engine
-	for _, i := range queue {
-		r := c.requests.at(i)
-		anyEngineDoes := r.attempts == 0 && r.orderKey == ""
-		if anyEngineDoes && blocked>>r.estimate.PolicyClass&1 == 1 {
+	for _, index := range queue {
+		request := c.requests.at(index)
+		anyEngineDoes := request.attempts == 0 && request.orderKey == ""
+		if anyEngineDoes && blocked>>request.estimate.PolicyClass&1 == 1 {
 			continue
 		}
-		if e := c.pickEngine(r); e != noEngine && c.sendAttempt(i, e) {
+		if e := c.pickEngine(request); e != noEngine && c.sendAttempt(index, e) {
 			return true
 		}
 		if !anyEngineDoes {
@@ -122,7 +122,7 @@
 		if c.pools.policy == nil {
 			return false // what follows it in this class has no more choice than this one
 		}
-		blocked |= 1 << r.estimate.PolicyClass // nor has what is of its policy class
+		blocked |= 1 << request.estimate.PolicyClass // nor has what is of its policy class
 	}
 	return false
 }
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -45,46 +45,46 @@
 func newRequestTable() requestTable { return requestTable{byID: map[RequestID]requestIndex{}} }
 
 // at returns the request at a place. The pointer holds until the next add.
-func (t *requestTable) at(i requestIndex) *activeRequest { return &t.items[i] }
+func (t *requestTable) at(index requestIndex) *activeRequest { return &t.items[index] }
 
 // find returns the request of an id, nil if there is none.
 func (t *requestTable) find(id RequestID) (requestIndex, *activeRequest) {
-	i, ok := t.byID[id]
+	index, ok := t.byID[id]
 	if !ok {
 		return 0, nil
 	}
-	return i, &t.items[i]
+	return index, &t.items[index]
 }
 
 // add gives a request a place.
 func (t *requestTable) add(r activeRequest) requestIndex {
-	i := requestIndex(len(t.items))
+	index := requestIndex(len(t.items))
 	if n := len(t.free); n > 0 {
-		i = t.free[n-1]
+		index = t.free[n-1]
 		t.free = t.free[:n-1]
 	} else {
 		t.items = append(t.items, activeRequest{})
 	}
-	t.items[i] = r
-	t.byID[r.id] = i
-	return i
+	t.items[index] = r
+	t.byID[r.id] = index
+	return index
 }
 
 // release gives the place of a request free, which removeID has taken out of the index.
-func (t *requestTable) release(i requestIndex) {
-	t.items[i] = activeRequest{}
-	t.free = append(t.free, i)
+func (t *requestTable) release(index requestIndex) {
+	t.items[index] = activeRequest{}
+	t.free = append(t.free, index)
 }
 
 // removeID takes a request out of the index by id.
-func (t *requestTable) removeID(i requestIndex) { delete(t.byID, t.items[i].id) }
+func (t *requestTable) removeID(index requestIndex) { delete(t.byID, t.items[index].id) }
 
 // threadsSentTo counts the threads of the attempts that were sent to an engine since a time and are still in flight.
 func (t *requestTable) threadsSentTo(engine engineIndex, since Time, classes []Class) (threads float64) {
 	for i := range t.items {
-		r := &t.items[i]
-		if r.attempt.inFlight && r.attempt.engine == engine && r.attempt.sentAt >= since {
-			threads += float64(classes[r.class].Threads)
+		request := &t.items[i]
+		if request.attempt.inFlight && request.attempt.engine == engine && request.attempt.sentAt >= since {
+			threads += float64(classes[request.class].Threads)
 		}
 	}
 	return threads
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -95,38 +95,38 @@
 
 // allowsAttempt is the part of the rules that doesn't depend on the engine: one attempt at a time, none after the
 // end, the policy class's limits, the order of keys, the most attempts of a request, the retry budget.
-func (c *Controller) allowsAttempt(r *activeRequest) bool {
-	if r.attempt.inFlight || r.abandoned || c.now >= r.deadline || c.usedUpAttempts(r) {
+func (c *Controller) allowsAttempt(request *activeRequest) bool {
+	if request.attempt.inFlight || request.abandoned || c.now >= request.deadline || c.usedUpAttempts(request) {
 		return false
 	}
-	threads := float64(c.deployment.Classes[r.class].Threads)
-	if r.estimate.PolicyClass > 0 && !c.pools.policy.AllowsAttempt(c.now, r.estimate.PolicyClass, threads) {
+	threads := float64(c.deployment.Classes[request.class].Threads)
+	if request.estimate.PolicyClass > 0 && !c.pools.policy.AllowsAttempt(c.now, request.estimate.PolicyClass, threads) {
 		return false
 	}
-	if r.orderKey != "" {
-		isFirst := c.requests.at(c.keys.first(r.orderKey)).id == r.id
-		if !isFirst || c.keys.rests(r.orderKey, c.now) && r.attempts == 0 {
+	if request.orderKey != "" {
+		isFirst := c.requests.at(c.keys.first(request.orderKey)).id == request.id
+		if !isFirst || c.keys.rests(request.orderKey, c.now) && request.attempts == 0 {
 			return false
 		}
 	}
-	return c.allowsRepeat(r) && (r.attempts == 0 || c.retries.allows(c.now))
+	return c.allowsRepeat(request) && (request.attempts == 0 || c.retries.allows(c.now))
 }
 
 // usedUpAttempts tells whether a request has had the most attempts that the deployment allows.
-func (c *Controller) usedUpAttempts(r *activeRequest) bool {
-	return c.deployment.MaxAttempts > 0 && r.attempts >= c.deployment.MaxAttempts
+func (c *Controller) usedUpAttempts(request *activeRequest) bool {
+	return c.deployment.MaxAttempts > 0 && request.attempts >= c.deployment.MaxAttempts
 }
 
 // allowsRepeat tells whether the request's class allows an attempt at any engine; after two errors none does, as the
 // request itself is at fault then.
-func (c *Controller) allowsRepeat(r *activeRequest) bool {
-	if !r.prior.MayHaveRun {
+func (c *Controller) allowsRepeat(request *activeRequest) bool {
+	if !request.prior.MayHaveRun {
 		return true
 	}
-	if r.errors >= 2 {
+	if request.errors >= 2 {
 		return false
 	}
-	class := &c.deployment.Classes[r.class]
+	class := &c.deployment.Classes[request.class]
 	return class.Effect == Idempotent ||
-		class.Effect == Deduplicated && c.now < r.prior.SentAt+class.DedupWindow
+		class.Effect == Deduplicated && c.now < request.prior.SentAt+class.DedupWindow
 }
--- a/internal/admission/script_test.go
+++ b/internal/admission/script_test.go
@@ -110,7 +110,7 @@
 }
 
 // engineOf is the engine of a request's latest attempt.
-func (s *script) engineOf(id RequestID) *engine {
+func (s *script) engineOf(id RequestID) *engineState {
 	_, r := s.requests.find(id)
 	return s.engines.at(r.attempt.engine)
 }
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -5,12 +5,12 @@
 type pool struct {
 	minPrice   float64 // least price of a request taken on, as a part of the best class's
 	starving   bool    // a queued request has used up much of its time, since minPrice last moved
-	hasWarm    bool    // an engine of it is live and not cold, as of the last tick
+	hasWarm    bool    // an engine of it is live and not warming up, as of the last tick
 	shortageAt Time    // when a queued request was last given up for want of room
 }
 
 // adjustMinPrice sets the least price, in weight for work, at which requests are taken on: up while a queued one has
-// used up half of its useful time, else down. By weight alone cheap classes would starve behind dear ones.
+// used up half of its useful time, else down. By weight alone classes of little weight would starve behind heavy ones.
 // Harm: where estimates are off beyond what answers correct, a class is shed before others.
 func (p *pool) adjustMinPrice() {
 	const rise, fall = 1.06, 0.97     // a tick: doubled in a quarter of a second, halved in twice that
@@ -35,11 +35,11 @@
 func newPoolSet(now Time) poolSet { return poolSet{list: []pool{{shortageAt: now - Second}}} }
 
 // numberOf is the number of a request's pool.
-func (s *poolSet) numberOf(r *activeRequest, now Time) int {
-	if r.estimate.PolicyClass == 0 {
+func (s *poolSet) numberOf(request *activeRequest, now Time) int {
+	if request.estimate.PolicyClass == 0 {
 		return 0
 	}
-	number := s.policy.Pool(r.estimate.PolicyClass)
+	number := s.policy.Pool(request.estimate.PolicyClass)
 	for len(s.list) <= number {
 		s.list = append(s.list, pool{shortageAt: now - Second})
 	}
@@ -47,20 +47,20 @@
 }
 
 // of is a request's pool.
-func (s *poolSet) of(r *activeRequest, now Time) *pool {
-	number := s.numberOf(r, now)
+func (s *poolSet) of(request *activeRequest, now Time) *pool {
+	number := s.numberOf(request, now)
 	return &s.list[number]
 }
 
 // contains tells whether an engine belongs to a pool.
-func (s *poolSet) contains(number int, e *engine) bool {
-	return number == 0 || s.policy.InPool(number, &e.Endpoint)
+func (s *poolSet) contains(number int, engine *engineState) bool {
+	return number == 0 || s.policy.InPool(number, &engine.Endpoint)
 }
 
 // shortOfRoom tells whether a request of an engine's pools was given up for want of room within the last second.
-func (s *poolSet) shortOfRoom(e *engine, now Time) bool {
+func (s *poolSet) shortOfRoom(engine *engineState, now Time) bool {
 	for number := range s.list {
-		if now-s.list[number].shortageAt < Second && s.contains(number, e) {
+		if now-s.list[number].shortageAt < Second && s.contains(number, engine) {
 			return true
 		}
 	}
@@ -68,63 +68,64 @@
 }
 
 // HandleRequest takes a request from a client. From here on it is owed one final answer.
-func (c *Controller) HandleRequest(now Time, request Request) {
+func (c *Controller) HandleRequest(now Time, arrival Request) {
 	c.now = now
 	c.probes.earn()
 	c.peerMessages.earn()
 	c.retries.countRequest(now)
-	i, work := c.addRequest(request)
-	r := c.requests.at(i)
-	if !c.allowsRepeat(r) {
-		c.answerUnserved(i) // a process before this one had sent it
+	index, work := c.addRequest(arrival)
+	request := c.requests.at(index)
+	if !c.allowsRepeat(request) {
+		c.answerUnserved(index) // a process before this one had sent it
 		return
 	}
-	if c.deployment.Classes[r.class].Ordered && request.Key != "" {
-		r.orderKey = request.Key
-		if !c.keys.join(r.orderKey, i) {
+	if c.deployment.Classes[request.class].Ordered && arrival.Key != "" {
+		request.orderKey = arrival.Key
+		if !c.keys.join(request.orderKey, index) {
 			return // it waits behind its key, in no queue yet
 		}
 	}
-	c.queues.insert(&c.requests, i)
+	c.queues.insert(&c.requests, index)
 	c.probeLongestUnseen()
-	if p := c.pools.of(r, now); c.isUnderpriced(r, work, p) {
+	if p := c.pools.of(request, now); c.isUnderpriced(request, work, p) {
 		p.shortageAt = now
-		c.answerUnserved(i)
+		c.answerUnserved(index)
 		return
 	}
 	c.releaseQueued()
 	c.shedForHeadroom()
-	if r.queued && now >= c.latestStart(r) {
-		c.answerUnserved(i) // it came too late to wait for the next tick
+	if request.queued && now >= c.latestStart(request) {
+		c.answerUnserved(index) // it came too late to wait for the next tick
 	}
 }
 
 // addRequest puts a request among those in hand, and returns its expected work beside its place.
-func (c *Controller) addRequest(request Request) (i requestIndex, work float64) {
-	tenant := request.Tenant
+func (c *Controller) addRequest(arrival Request) (index requestIndex, work float64) {
+	tenant := arrival.Tenant
 	if tenant < 0 || tenant >= len(c.tenants.threads) {
 		tenant = 0
 	}
-	class := &c.deployment.Classes[request.Class]
-	work = c.estimates.expectWork(request.Class, request.Estimate.Work)
+	class := &c.deployment.Classes[arrival.Class]
+	work = c.estimates.expectWork(arrival.Class, arrival.Estimate.Work)
 	objective := c.now + class.LatencyObjective + Time(class.ObjectivePerWork*work/float64(class.Threads))
 	c.sequence++
-	i = c.requests.add(activeRequest{id: request.ID, class: request.Class, tenant: tenant, tables: request.Tables,
-		arrivedAt: c.now, deadline: request.Deadline, objective: min(request.Deadline, objective), estimate: request.Estimate,
-		sequence: c.sequence, rank: initialRank, attempt: attempt{engine: noEngine}, prior: request.Estimate.Prior})
-	return i, work
+	index = c.requests.add(activeRequest{id: arrival.ID, class: arrival.Class, tenant: tenant, tables: arrival.Tables,
+		arrivedAt: c.now, deadline: arrival.Deadline, objective: min(arrival.Deadline, objective), estimate: arrival.Estimate,
+		sequence: c.sequence, rank: initialRank, attempt: attempt{engine: noEngine}, prior: arrival.Estimate.Prior})
+	return index, work
 }
 
 // isUnderpriced tells whether a request earns too little for its work, while others like it wait long. What earns the best
 // class's usual price always passes.
-func (c *Controller) isUnderpriced(r *activeRequest, work float64, p *pool) bool {
-	price := c.estimates.price(r.class, work)
-	return price < 0.99*c.estimates.bestPrice && price < p.minPrice*c.estimates.bestPrice
+func (c *Controller) isUnderpriced(request *activeRequest, work float64, p *pool) bool {
+	const usualShare = 0.99 // a tolerance: requests of the best class's usual price are never underpriced
+	price := c.estimates.price(request.class, work)
+	return price < usualShare*c.estimates.bestPrice && price < p.minPrice*c.estimates.bestPrice
 }
 
 // shedForHeadroom gives up the queued request that would leave last, by weight and arrival, while nearly all that the
-// gateway can have in hand is taken. This guards against shedding by chance: who finds no place, dear or cheap,
-// does not come here. Harm: cuts short a queue that would have been served soon, where places are few.
+// gateway can have in hand is taken. This guards against shedding by chance: a request that finds no place,
+// whatever its weight, does not come here. Harm: cuts short a queue that would have been served soon, where places are few.
 func (c *Controller) shedForHeadroom() {
 	const headroomPart = 8 // of the places: for what comes while answers are on their way, or in a stall of 50 ms
 	most := c.deployment.MaxRequests - c.deployment.MaxRequests/headroomPart
@@ -147,36 +148,36 @@
 
 // latestStart is until when holding a request has a useful chance: started then, it is answered by its latency objective
 // if it runs as its class usually does. It is always answered before its deadline.
-func (c *Controller) latestStart(r *activeRequest) Time {
+func (c *Controller) latestStart(request *activeRequest) Time {
 	const slack, maxShare = 1.5, 2.0 / 3 // usual runs kept free, and at most this part of the time to the objective
-	free := min(slack*c.estimates.usualRunTime(r), maxShare*float64(r.objective-r.arrivedAt))
-	return min(r.objective-Time(free), r.deadline-2*tickInterval)
+	free := min(slack*c.estimates.usualRunTime(request), maxShare*float64(request.objective-request.arrivedAt))
+	return min(request.objective-Time(free), request.deadline-2*tickInterval)
 }
 
 // answerUnserved is the only place that answers a request without an engine: by a rejection where another try by the client is
 // harmless.
-func (c *Controller) answerUnserved(i requestIndex) {
-	r := c.requests.at(i)
-	if r.attempt.inFlight || r.abandoned {
+func (c *Controller) answerUnserved(index requestIndex) {
+	request := c.requests.at(index)
+	if request.attempt.inFlight || request.abandoned {
 		return
 	}
-	class := &c.deployment.Classes[r.class]
-	if !r.prior.MayHaveRun || class.Effect == Idempotent || class.Effect == Deduplicated && class.DedupScope == AllEngines {
-		c.host.RejectRequest(r.id, c.deployment.RetryAfter)
+	class := &c.deployment.Classes[request.class]
+	if !request.prior.MayHaveRun || class.Effect == Idempotent || class.Effect == Deduplicated && class.DedupScope == AllEngines {
+		c.host.RejectRequest(request.id, c.deployment.RetryAfter)
 	} else {
-		c.host.FailRequest(r.id)
+		c.host.FailRequest(request.id)
 	}
-	c.removeRequest(i)
+	c.removeRequest(index)
 }
 
 // checkRequest gives up a request that has waited too long, and notes whether its pool is short of room.
-func (c *Controller) checkRequest(i requestIndex) {
-	r := c.requests.at(i)
-	latest := c.latestStart(r)
-	p := c.pools.of(r, c.now)
-	heldByPolicyOnly := r.estimate.PolicyClass != 0 && !c.allowsAttempt(r)
+func (c *Controller) checkRequest(index requestIndex) {
+	request := c.requests.at(index)
+	latest := c.latestStart(request)
+	p := c.pools.of(request, c.now)
+	heldByPolicyOnly := request.estimate.PolicyClass != 0 && !c.allowsAttempt(request)
 	if !p.starving {
-		p.starving = r.queued && c.now-r.arrivedAt > (latest-r.arrivedAt)/2 && c.allowsAttempt(r)
+		p.starving = request.queued && c.now-request.arrivedAt > (latest-request.arrivedAt)/2 && c.allowsAttempt(request)
 	}
 	if c.now < latest {
 		return
@@ -184,5 +185,5 @@
 	if !heldByPolicyOnly {
 		p.shortageAt = c.now
 	}
-	c.answerUnserved(i)
+	c.answerUnserved(index)
 }
--- a/internal/admission/slowstart_test.go
+++ b/internal/admission/slowstart_test.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"slices"
 	"testing"
 )
 
@@ -65,7 +66,7 @@
 	t.Helper()
 	for gateway := range gateways {
 		s := slowStart{deployment: &Deployment{Gateways: gateways, GatewayIndex: gateway}}
-		seen, ours := s.parts(&engine{hash: 77}, span, usualRequests, anyWarm)
+		seen, ours := s.parts(&engineState{hash: 77}, span, usualRequests, anyWarm)
 		if gateway > 0 && seen != parts {
 			t.Fatalf("gateway %d sees %d parts of span %d, those before it %d", gateway, seen, span, parts)
 		}
@@ -93,23 +94,17 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			turns := make([]int, test.gateways)
-			spans := 2 * Time(test.gateways)
-			for span := range spans {
+			for span := range 2 * Time(test.gateways) {
 				parts, having := gatewaysWithATurn(t, test.gateways, span, test.usualRequests, test.anyWarm)
-				if span%2 == 0 && parts != test.parts {
-					t.Fatalf("span %d has %d parts, want %d", span, parts, test.parts)
-				}
-				if Time(len(having)) != parts {
-					t.Fatalf("span %d: gateways %v have one of %d parts", span, having, parts)
+				if span%2 == 0 && parts != test.parts || Time(len(having)) != parts {
+					t.Fatalf("span %d: gateways %v have one of %d parts, want %d parts", span, having, parts, test.parts)
 				}
 				for _, gateway := range having {
 					turns[gateway]++
 				}
 			}
-			for gateway, n := range turns {
-				if n == 0 {
-					t.Errorf("gateway %d never has a turn in %d spans", gateway, spans)
-				}
+			if gateway := slices.Index(turns, 0); gateway >= 0 {
+				t.Errorf("gateway %d never has a turn", gateway)
 			}
 		})
 	}
@@ -130,7 +125,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			e := &engine{Endpoint: Endpoint{Since: test.since}}
+			e := &engineState{Endpoint: Endpoint{Since: test.since}}
 			if got := s.isWarmingUp(e, test.now); got != test.want {
 				t.Errorf("warms up: %t, want %t", got, test.want)
 			}
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -71,8 +71,8 @@
 			Answers: class.answers, Requests: class.requests, CorrectionFactor: class.correctionFactor})
 	}
 	for i := range c.engines.items {
-		if e := &c.engines.items[i]; e.State != Gone {
-			s.Engines = append(s.Engines, e.snapshot())
+		if engine := &c.engines.items[i]; engine.State != Gone {
+			s.Engines = append(s.Engines, engine.snapshot())
 		}
 	}
 	slices.SortFunc(s.Engines, func(a, b EngineSnapshot) int { return cmp.Compare(a.Engine, b.Engine) })
@@ -90,7 +90,7 @@
 	return s
 }
 
-func (e *engine) snapshot() EngineSnapshot {
+func (e *engineState) snapshot() EngineSnapshot {
 	return EngineSnapshot{Engine: e.Engine, Since: e.Since, Bound: e.limit.bound, Utilization: e.load.utilization,
 		Report: e.load.report, ReportAt: e.load.reportAt, FailureScore: e.failures.points, FailureScoreAt: e.failures.addedAt}
 }
@@ -139,18 +139,18 @@
 
 // restoreEngine has an engine begin as it was last known, if it has not been started again since: its bound from
 // where it stood, less the longer ago; its report and its failure score with their age.
-func (c *Controller) restoreEngine(e *engine) {
+func (c *Controller) restoreEngine(engine *engineState) {
 	const boundLifetime = 10 * Second // by then a bound has been stepped to somewhere else
 	for i := range c.snapshot.Engines {
 		known := &c.snapshot.Engines[i]
-		if known.Engine != e.Engine || known.Since != e.Since {
+		if known.Engine != engine.Engine || known.Since != engine.Since {
 			continue
 		}
-		e.limit.bound += (known.Bound - e.limit.bound) * max(0, 1-float64(c.now-c.snapshot.At)/float64(boundLifetime))
-		e.load.utilization, e.load.report, e.load.reportAt = known.Utilization, known.Report, known.ReportAt
-		e.failures.points, e.failures.addedAt = known.FailureScore, known.FailureScoreAt
-		if c.slowStart.isWarmingUp(e, c.now) {
-			e.slowStartUse = slowStartUse{span: c.slowStart.spanOf(c.now), work: math.Inf(1)}
+		engine.limit.bound += (known.Bound - engine.limit.bound) * max(0, 1-float64(c.now-c.snapshot.At)/float64(boundLifetime))
+		engine.load.utilization, engine.load.report, engine.load.reportAt = known.Utilization, known.Report, known.ReportAt
+		engine.failures.points, engine.failures.addedAt = known.FailureScore, known.FailureScoreAt
+		if c.slowStart.isWarmingUp(engine, c.now) {
+			engine.slowStartUse = slowStartUse{span: c.slowStart.spanOf(c.now), work: math.Inf(1)}
 		}
 	}
 }
