--- a/internal/traffic/trace/file.go
+++ b/internal/traffic/trace/file.go
@@ -2,81 +2,75 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
+	"path/filepath"
 	"time"
 )
 
-// Trace is a whole one in memory.
+// Trace is a complete trace in memory.
 type Trace struct {
 	Start   time.Time
 	Records []Record
 }
 
-// ReadFile reads a trace. salvage: what stood before the first damage is returned beside the error.
+// ReadFile reads a trace from a file. If salvage is set, the records before the first corrupt one are returned beside the
+// error.
 func ReadFile(path string, salvage bool) (*Trace, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // nothing was written
 	t, err := Read(f)
-	if err != nil {
-		err = fmt.Errorf("%s: %w", path, err)
-		if !salvage {
-			t = nil
-		}
+	if err == nil {
+		return t, nil
+	}
+	if !salvage {
+		t = nil
 	}
-	return t, err
+	return t, fmt.Errorf("%s: %w", path, err)
 }
 
-// Read reads a trace; with an error it returns what stood before the damage.
-func Read(r io.Reader) (*Trace, error) {
-	in, err := NewReader(r)
+// Read reads a trace. With an error it returns the records before the corrupt one.
+func Read(in io.Reader) (*Trace, error) {
+	r, err := NewReader(in)
 	if err != nil {
 		return &Trace{}, err
 	}
-	t := &Trace{Start: in.Start}
+	t := &Trace{Start: r.Start}
 	for {
-		var one Record
-		switch err := in.Next(&one); err {
-		case nil:
-			t.Records = append(t.Records, one)
-		case io.EOF:
+		var record Record
+		err := r.Next(&record)
+		if errors.Is(err, io.EOF) {
 			return t, nil
-		default:
+		}
+		if err != nil {
 			return t, err
 		}
+		t.Records = append(t.Records, record)
 	}
 }
 
-// WriteFile writes a trace: whole, or the file that was there stays.
+// WriteFile writes a trace to a file, which is replaced only when all has been written.
 func (t *Trace) WriteFile(path string) (err error) {
-	f, err := os.CreateTemp(directoryOf(path), ".trace-*")
+	f, err := os.CreateTemp(filepath.Dir(path), ".trace-*")
 	if err != nil {
 		return err
 	}
 	defer func() {
-		if err != nil {
-			f.Close()
-			os.Remove(f.Name())
+		if err != nil { // the first error is the one to report
+			_ = f.Close()
+			_ = os.Remove(f.Name())
 		}
 	}()
-	b := bufio.NewWriterSize(f, 1<<16)
-	w, err := NewWriter(b, t.Start)
-	if err != nil {
-		return err
-	}
-	for i := range t.Records {
-		if err := w.Write(&t.Records[i]); err != nil {
-			return fmt.Errorf("record %d: %w", i, err)
-		}
-	}
-	if err := w.Close(); err != nil {
+	buffered := bufio.NewWriterSize(f, ioBufferBytes)
+	if err := t.write(buffered); err != nil {
 		return err
 	}
-	if err := b.Flush(); err != nil {
+	if err := buffered.Flush(); err != nil {
 		return err
 	}
 	if err := f.Close(); err != nil {
@@ -85,11 +79,15 @@
 	return os.Rename(f.Name(), path)
 }
 
-func directoryOf(path string) string {
-	for i := len(path) - 1; i >= 0; i-- {
-		if os.IsPathSeparator(path[i]) {
-			return path[:i+1]
+func (t *Trace) write(out io.Writer) error {
+	w, err := NewWriter(out, t.Start)
+	if err != nil {
+		return err
+	}
+	for i := range t.Records {
+		if err := w.Write(&t.Records[i]); err != nil {
+			return fmt.Errorf("record %d: %w", i, err)
 		}
 	}
-	return "."
+	return w.Close()
 }
--- a/internal/traffic/trace/reader.go
+++ b/internal/traffic/trace/reader.go
@@ -9,161 +9,205 @@
 	"time"
 )
 
-// CorruptError is where a trace can't be read any further.
+// CorruptError tells where a trace can't be read any further, and why.
 type CorruptError struct {
-	Offset int64 // of the part that is amiss
+	Offset int64 // of the part that is corrupt, in bytes
 	Reason string
 }
 
-func (d *CorruptError) Error() string { return fmt.Sprintf("offset %d: %s", d.Offset, d.Reason) }
+func (e *CorruptError) Error() string { return fmt.Sprintf("offset %d: %s", e.Offset, e.Reason) }
 
 // Reader reads a trace block by block.
 type Reader struct {
-	Start       time.Time
-	r           *bufio.Reader
-	offset      int64
-	previous    time.Duration
-	records     uint32
-	classNames  []string
+	Start time.Time
+
+	in       *bufio.Reader
+	offset   int64         // of the next block
+	previous time.Duration // the offset of the last record
+	records  uint32        // that have been read, modulo 2^32
+	ended    bool
+
+	// The block that is being read.
 	block       []byte
 	blockRest   []byte
 	recordsLeft uint32
-	ended       bool
+	classNames  []string
 }
 
-// NewReader reads a trace's head.
-func NewReader(r io.Reader) (*Reader, error) {
-	t := &Reader{r: bufio.NewReaderSize(r, 1<<16)}
-	var head [headerBytes]byte
-	if _, err := io.ReadFull(t.r, head[:]); err != nil {
+// NewReader reads a trace's header. The error is a *CorruptError.
+func NewReader(in io.Reader) (*Reader, error) {
+	r := &Reader{in: bufio.NewReaderSize(in, ioBufferBytes)}
+	var header [headerBytes]byte
+	if _, err := io.ReadFull(r.in, header[:]); err != nil {
 		return nil, &CorruptError{0, "the head of a trace is not whole"}
 	}
-	switch sum := crc32.Checksum(head[:headerBytes-4], castagnoli); {
-	case string(head[:8]) != Magic:
+	if string(header[:len(Magic)]) != Magic {
 		return nil, &CorruptError{0, "this is no trace"}
-	case sum != binary.LittleEndian.Uint32(head[headerBytes-4:]):
-		return nil, &CorruptError{8, "the checksum of the head is wrong"}
 	}
-	if v := binary.LittleEndian.Uint16(head[8:]); v != version {
-		return nil, &CorruptError{8, fmt.Sprintf("version %d, expected %d", v, version)}
+	const checksumOffset = headerBytes - checksumBytes
+	if crc32.Checksum(header[:checksumOffset], castagnoli) != binary.LittleEndian.Uint32(header[checksumOffset:]) {
+		return nil, &CorruptError{versionOffset, "the checksum of the head is wrong"}
+	}
+	if found := binary.LittleEndian.Uint16(header[versionOffset:]); found != version {
+		return nil, &CorruptError{versionOffset, fmt.Sprintf("version %d, expected %d", found, version)}
 	}
-	t.Start = time.UnixMicro(int64(binary.LittleEndian.Uint64(head[12:])))
-	t.offset = headerBytes
-	return t, nil
+	r.Start = time.UnixMicro(int64(binary.LittleEndian.Uint64(header[startOffset:])))
+	r.offset = headerBytes
+	return r, nil
 }
 
-// Next reads the next record; io.EOF tells that the trace has ended as it should, a *Damage where it can't be read on.
-func (t *Reader) Next(r *Record) error {
-	for t.recordsLeft == 0 {
-		if t.ended {
+// Next reads the next record. The error is io.EOF at the end of a complete trace, and a *CorruptError otherwise.
+func (r *Reader) Next(into *Record) error {
+	for r.recordsLeft == 0 {
+		if r.ended {
 			return io.EOF
 		}
-		if err := t.readBlock(); err != nil {
+		if err := r.readBlock(); err != nil {
 			return err
 		}
 	}
-	if why := t.readRecord(r); why != "" {
-		return &CorruptError{t.offset - int64(len(t.blockRest)), why}
+	if reason := r.readRecord(into); reason != "" {
+		return r.corruptRecord(reason)
 	}
-	t.recordsLeft--
-	t.records++
-	if t.recordsLeft == 0 && len(t.blockRest) > 0 {
-		return &CorruptError{t.offset - int64(len(t.blockRest)), "a block holds more than its records"}
+	r.recordsLeft--
+	r.records++
+	if r.recordsLeft == 0 && len(r.blockRest) > 0 {
+		return r.corruptRecord("a block holds more than its records")
 	}
 	return nil
 }
 
-func (t *Reader) readBlock() error {
-	var head [blockHeaderBytes]byte
-	if n, err := io.ReadFull(t.r, head[:]); err != nil {
-		return &CorruptError{t.offset + int64(n), "the trace breaks off"}
-	}
-	length, count := binary.LittleEndian.Uint32(head[:]), binary.LittleEndian.Uint32(head[4:])
-	first, sum := binary.LittleEndian.Uint32(head[8:]), binary.LittleEndian.Uint32(head[12:])
-	if length == 0 {
-		switch {
-		case sum != blockChecksum(head[:], nil):
-			return &CorruptError{t.offset, "the checksum of the end is wrong"}
-		case first != t.records:
-			return &CorruptError{t.offset, fmt.Sprintf("%d records were written, %d are here", first, t.records)}
-		}
-		if _, err := t.r.ReadByte(); err == nil {
-			return &CorruptError{t.offset + blockHeaderBytes, "something stands behind the end"}
-		}
-		t.ended = true
-		return nil
+// corruptRecord is an error at what has not been read yet of the block.
+func (r *Reader) corruptRecord(reason string) error {
+	return &CorruptError{r.offset - int64(len(r.blockRest)), reason}
+}
+
+// blockHeader is the header of a block; the end has one with a length of 0.
+type blockHeader struct {
+	raw                              [blockHeaderBytes]byte
+	length, records, first, checksum uint32
+}
+
+// readBlock reads the next block, or the end.
+func (r *Reader) readBlock() error {
+	var header blockHeader
+	if n, err := io.ReadFull(r.in, header.raw[:]); err != nil {
+		return &CorruptError{r.offset + int64(n), "the trace breaks off"}
+	}
+	for i, field := range []*uint32{&header.length, &header.records, &header.first, &header.checksum} {
+		*field = binary.LittleEndian.Uint32(header.raw[4*i:])
 	}
-	if length > maxBlockBytes || count == 0 || count > length {
-		return &CorruptError{t.offset, fmt.Sprintf("a block of %d bytes with %d records can't be", length, count)}
+	if header.length == 0 {
+		return r.readEnd(&header)
 	}
-	if cap(t.block) < int(length) {
-		t.block = make([]byte, length)
+	length := int(header.length)
+	if header.length > maxBlockBytes || header.records == 0 || header.records > header.length {
+		return &CorruptError{r.offset, fmt.Sprintf("a block of %d bytes with %d records can't be", header.length, header.records)}
 	}
-	t.block = t.block[:length]
-	if n, err := io.ReadFull(t.r, t.block); err != nil {
-		return &CorruptError{t.offset + blockHeaderBytes + int64(n), "the trace breaks off"}
+	if cap(r.block) < length {
+		r.block = make([]byte, length)
 	}
-	if sum != blockChecksum(head[:], t.block) {
-		return &CorruptError{t.offset, "the checksum of a block is wrong"}
+	r.block = r.block[:length]
+	if n, err := io.ReadFull(r.in, r.block); err != nil {
+		return &CorruptError{r.offset + blockHeaderBytes + int64(n), "the trace breaks off"}
 	}
-	if first != t.records {
-		return &CorruptError{t.offset, fmt.Sprintf("a block from record %d on, expected %d", first, t.records)}
+	if header.checksum != blockChecksum(header.raw[:], r.block) {
+		return &CorruptError{r.offset, "the checksum of a block is wrong"}
 	}
-	t.offset += blockHeaderBytes + int64(length)
-	t.blockRest, t.recordsLeft, t.classNames = t.block, count, t.classNames[:0]
+	if header.first != r.records {
+		return &CorruptError{r.offset, fmt.Sprintf("a block from record %d on, expected %d", header.first, r.records)}
+	}
+	r.offset += blockHeaderBytes + int64(length)
+	r.blockRest, r.recordsLeft, r.classNames = r.block, header.records, r.classNames[:0]
 	return nil
 }
 
-// readRecord takes one record off the block; it returns why it can't.
-func (t *Reader) readRecord(r *Record) string {
-	short := false
-	number := func() uint64 {
-		v, n := binary.Uvarint(t.blockRest)
-		if n <= 0 {
-			short = true
-			return 0
-		}
-		t.blockRest = t.blockRest[n:]
-		return v
-	}
-	bytes := func(most int) []byte {
-		n := number()
-		if n > uint64(most) || n > uint64(len(t.blockRest)) {
-			short = true
-			return nil
-		}
-		b := t.blockRest[:n]
-		t.blockRest = t.blockRest[n:]
-		return b
+// readEnd checks the end, whose first record is the number of all records.
+func (r *Reader) readEnd(header *blockHeader) error {
+	if header.checksum != blockChecksum(header.raw[:], nil) {
+		return &CorruptError{r.offset, "the checksum of the end is wrong"}
+	}
+	if header.first != r.records {
+		return &CorruptError{r.offset, fmt.Sprintf("%d records were written, %d are here", header.first, r.records)}
 	}
-	gap := number()
-	if gap > 1<<50 {
+	if _, err := r.in.ReadByte(); err == nil {
+		return &CorruptError{r.offset + blockHeaderBytes, "something stands behind the end"}
+	}
+	r.ended = true
+	return nil
+}
+
+const incompleteRecord = "a record is not whole"
+
+// maxGapMicros is the longest time between two records, some 35 years.
+const maxGapMicros = 1 << 50
+
+// The highest values of numbers in a record; what is above is cut.
+const (
+	maxGroup  = 1<<31 - 1
+	maxWaitMS = 1<<40 - 1
+)
+
+// readRecord takes one record off the block. It returns why it can't, or "".
+func (r *Reader) readRecord(into *Record) string {
+	fields := fieldReader{rest: r.blockRest}
+	defer func() { r.blockRest = fields.rest }()
+	gapMicros := fields.number()
+	if gapMicros > maxGapMicros {
 		return "a time that can't be"
 	}
-	t.previous += time.Duration(gap) * time.Microsecond
-	*r = Record{Offset: t.previous}
-	switch n := number(); {
-	case n == 0:
-		t.classNames = append(t.classNames, string(bytes(maxClassBytes)))
-		r.Class = t.classNames[len(t.classNames)-1]
-	case n <= uint64(len(t.classNames)):
-		r.Class = t.classNames[n-1]
+	r.previous += time.Duration(gapMicros) * time.Microsecond
+	*into = Record{Offset: r.previous}
+	switch number := fields.number(); {
+	case number == 0:
+		into.Class = string(fields.bytes(maxClassBytes))
+		r.classNames = append(r.classNames, into.Class)
+	case number <= uint64(len(r.classNames)):
+		into.Class = r.classNames[number-1]
 	default:
-		return "a lane that was not named"
+		return "a class that was not named"
 	}
-	r.Group = int(number() & (1<<31 - 1))
-	r.WaitMS = int64(number() & (1<<40 - 1))
-	if len(t.blockRest) < 9 {
-		return "a record is not whole"
+	into.Group = int(fields.number() & maxGroup)
+	into.WaitMS = int64(fields.number() & maxWaitMS)
+	const flagsAndShapeBytes = 1 + 8
+	if len(fields.rest) < flagsAndShapeBytes {
+		return incompleteRecord
 	}
-	flags := t.blockRest[0]
-	r.Retry, r.Shape = flags&1 != 0, binary.LittleEndian.Uint64(t.blockRest[1:])
-	t.blockRest = t.blockRest[9:]
-	if flags&2 != 0 {
-		r.Text = string(bytes(maxTextBytes))
+	flags := fields.rest[0]
+	into.Retry, into.Shape = flags&flagRetry != 0, binary.LittleEndian.Uint64(fields.rest[1:])
+	fields.rest = fields.rest[flagsAndShapeBytes:]
+	if flags&flagText != 0 {
+		into.Text = string(fields.bytes(maxTextBytes))
 	}
-	if short || flags > 3 {
-		return "a record is not whole"
+	if fields.incomplete || flags >= flagsEnd {
+		return incompleteRecord
 	}
 	return ""
 }
+
+// fieldReader takes fields off a block.
+type fieldReader struct {
+	rest       []byte
+	incomplete bool
+}
+
+func (f *fieldReader) number() uint64 {
+	number, length := binary.Uvarint(f.rest)
+	if length <= 0 {
+		f.incomplete = true
+		return 0
+	}
+	f.rest = f.rest[length:]
+	return number
+}
+
+func (f *fieldReader) bytes(maxBytes int) []byte {
+	length := f.number()
+	if length > uint64(maxBytes) || length > uint64(len(f.rest)) {
+		f.incomplete = true
+		return nil
+	}
+	taken := f.rest[:length]
+	f.rest = f.rest[length:]
+	return taken
+}
--- a/internal/traffic/trace/trace_test.go
+++ b/internal/traffic/trace/trace_test.go
@@ -25,6 +25,7 @@
 }
 
 func written(t *testing.T, tr *Trace, flushEach int) []byte {
+	t.Helper()
 	var b bytes.Buffer
 	w, err := NewWriter(&b, tr.Start)
 	if err != nil {
@@ -35,7 +36,9 @@
 			t.Fatal(err)
 		}
 		if i%flushEach == flushEach-1 {
-			w.Flush()
+			if err := w.Flush(); err != nil {
+				t.Fatal(err)
+			}
 		}
 	}
 	if err := w.Close(); err != nil {
@@ -46,7 +49,7 @@
 
 // Cut at every byte, and with every byte changed: an error with an offset each time, and what can be read before it is
 // what was written.
-func TestDamage(t *testing.T) {
+func TestCorruptTraceIsReported(t *testing.T) {
 	want := some(60)
 	file := written(t, want, 11)
 	got, err := Read(bytes.NewReader(file))
@@ -80,7 +83,7 @@
 	check("a block away", append(bytes.Clone(file[:headerBytes]), file[first:]...))
 }
 
-func TestFile(t *testing.T) { // a write that fails leaves the old file
+func TestFailedWriteKeepsFile(t *testing.T) { // a write that fails leaves the old file
 	path := filepath.Join(t.TempDir(), "x.trace")
 	if err := some(5000).WriteFile(path); err != nil {
 		t.Fatal(err)
@@ -95,7 +98,9 @@
 		t.Errorf("%v, %d records", err, len(got.Records))
 	}
 	b, _ := os.ReadFile(path)
-	os.WriteFile(path, b[:len(b)-20], 0o600)
+	if err := os.WriteFile(path, b[:len(b)-20], 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if got, err := ReadFile(path, true); err == nil || got == nil || len(got.Records) < 4000 {
 		t.Errorf("salvage: %v", err)
 	}
@@ -107,8 +112,9 @@
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
 	w, _ := NewWriter(&b, time.UnixMicro(5))
-	w.Write(&Record{Offset: time.Second, Class: "look", Text: "SELECT 1"})
-	w.Close()
+	if err := errors.Join(w.Write(&Record{Offset: time.Second, Class: "look", Text: "SELECT 1"}), w.Close()); err != nil {
+		f.Fatal(err)
+	}
 	f.Add(b.Bytes())
 	f.Fuzz(func(t *testing.T, file []byte) {
 		got, err := Read(bytes.NewReader(file))
@@ -122,7 +128,9 @@
 				t.Fatal(err)
 			}
 		}
-		w.Close()
+		if err := w.Close(); err != nil {
+			t.Fatal(err)
+		}
 		if back, err := Read(&again); err != nil || !reflect.DeepEqual(back, got) {
 			t.Fatalf("%v", err)
 		}
@@ -134,15 +142,21 @@
 	w, _ := NewWriter(&file, time.Now())
 	const n = 10000
 	for i := range n {
-		w.Write(&Record{Offset: time.Duration(i) * time.Millisecond, Class: "look", Group: 3, WaitMS: 5000, Shape: 7})
+		if err := w.Write(&Record{Offset: time.Duration(i) * time.Millisecond, Class: "look", Group: 3, WaitMS: 5000, Shape: 7}); err != nil {
+			b.Fatal(err)
+		}
+	}
+	if err := w.Close(); err != nil {
+		b.Fatal(err)
 	}
-	w.Close()
 	b.ReportAllocs()
 	b.SetBytes(int64(file.Len()))
 	for b.Loop() {
 		r, _ := NewReader(bytes.NewReader(file.Bytes()))
-		var one Record
-		for r.Next(&one) == nil {
+		var record Record
+		var err error
+		for err == nil {
+			err = r.Next(&record)
 		}
 	}
 }
--- a/internal/traffic/trace/writer.go
+++ b/internal/traffic/trace/writer.go
@@ -10,97 +10,110 @@
 
 // Writer writes a trace.
 type Writer struct {
-	w            io.Writer
+	out      io.Writer
+	previous time.Duration // the offset of the last record
+	records  uint32        // modulo 2^32
+	written  int64         // bytes
+
+	// The block that is being filled.
 	block        []byte
-	classNumbers map[string]uint64
-	previous     time.Duration
 	blockRecords uint32
-	records      uint32
-	written      int64
+	classNumbers map[string]uint64
 }
 
 // NewWriter begins a trace.
-func NewWriter(w io.Writer, start time.Time) (*Writer, error) {
-	head := append(make([]byte, 0, headerBytes), Magic...)
-	head = binary.LittleEndian.AppendUint16(head, version)
-	head = binary.LittleEndian.AppendUint16(head, 0)
-	head = binary.LittleEndian.AppendUint64(head, uint64(start.UnixMicro()))
-	head = binary.LittleEndian.AppendUint32(head, crc32.Checksum(head, castagnoli))
-	t := &Writer{w: w, classNumbers: map[string]uint64{}, written: headerBytes}
-	_, err := w.Write(head)
-	return t, err
+func NewWriter(out io.Writer, start time.Time) (*Writer, error) {
+	header := append(make([]byte, 0, headerBytes), Magic...)
+	header = binary.LittleEndian.AppendUint16(header, version)
+	header = binary.LittleEndian.AppendUint16(header, 0) // flags
+	header = binary.LittleEndian.AppendUint64(header, uint64(start.UnixMicro()))
+	header = binary.LittleEndian.AppendUint32(header, crc32.Checksum(header, castagnoli))
+	w := &Writer{out: out, classNumbers: map[string]uint64{}, written: headerBytes}
+	_, err := out.Write(header)
+	return w, err
 }
 
-// ErrOutOfOrder is a record that comes before the one ahead of it.
+// ErrOutOfOrder is returned for a record that is earlier than the one before it.
 var ErrOutOfOrder = errors.New("a record before the last one")
 
-// Write adds a record. Times are kept to whole microseconds.
-func (t *Writer) Write(r *Record) error {
-	if r.Offset < t.previous {
+// Write adds a record. Its offset is cut to whole microseconds; a text or class that is too long is cut, too. The error is
+// ErrOutOfOrder or that of the underlying writer.
+func (w *Writer) Write(r *Record) error {
+	if r.Offset < w.previous {
 		return ErrOutOfOrder
 	}
-	b := binary.AppendUvarint(t.block, uint64(r.Offset/time.Microsecond-t.previous/time.Microsecond))
-	t.previous = r.Offset
-	n := t.classNumbers[r.Class]
-	b = binary.AppendUvarint(b, n)
-	if n == 0 {
-		t.classNumbers[r.Class] = uint64(len(t.classNumbers) + 1)
-		lane := r.Class[:min(len(r.Class), maxClassBytes)]
-		b = append(binary.AppendUvarint(b, uint64(len(lane))), lane...)
-	}
-	b = binary.AppendUvarint(b, uint64(max(0, r.Group)))
-	b = binary.AppendUvarint(b, uint64(max(0, r.WaitMS)))
+	w.appendNumber(uint64(r.Offset/time.Microsecond - w.previous/time.Microsecond))
+	w.previous = r.Offset
+	w.appendClass(r.Class)
+	w.appendNumber(uint64(max(0, r.Group)))
+	w.appendNumber(uint64(max(0, r.WaitMS)))
 	var flags byte
 	if r.Retry {
-		flags |= 1
+		flags |= flagRetry
 	}
 	if r.Text != "" {
-		flags |= 2
+		flags |= flagText
 	}
-	b = binary.LittleEndian.AppendUint64(append(b, flags), r.Shape)
+	w.block = binary.LittleEndian.AppendUint64(append(w.block, flags), r.Shape)
 	if r.Text != "" {
-		text := r.Text[:min(len(r.Text), maxTextBytes)]
-		b = append(binary.AppendUvarint(b, uint64(len(text))), text...)
+		w.appendText(r.Text, maxTextBytes)
 	}
-	t.block = b
-	t.blockRecords++
-	t.records++
-	if len(t.block) >= flushBytes {
-		return t.Flush()
+	w.blockRecords++
+	w.records++
+	if len(w.block) >= flushBytes {
+		return w.Flush()
 	}
 	return nil
 }
 
-// Size is how many bytes the trace has, with what is not written yet and the end.
-func (t *Writer) Size() int64 { return t.written + int64(len(t.block)) + 2*blockHeaderBytes }
+func (w *Writer) appendNumber(number uint64) { w.block = binary.AppendUvarint(w.block, number) }
+
+func (w *Writer) appendText(text string, maxBytes int) {
+	text = text[:min(len(text), maxBytes)]
+	w.appendNumber(uint64(len(text)))
+	w.block = append(w.block, text...)
+}
+
+// appendClass appends the number of a class in the block; a class that is new there has the number 0 and its name.
+func (w *Writer) appendClass(class string) {
+	number := w.classNumbers[class]
+	w.appendNumber(number)
+	if number == 0 {
+		w.classNumbers[class] = uint64(len(w.classNumbers) + 1)
+		w.appendText(class, maxClassBytes)
+	}
+}
+
+// Size returns the bytes of the trace, with what has not been written yet and the end.
+func (w *Writer) Size() int64 { return w.written + int64(len(w.block)) + 2*blockHeaderBytes }
 
-// Flush writes what is held as a block.
-func (t *Writer) Flush() error {
-	if t.blockRecords == 0 {
+// Flush writes the records that have not been written yet as a block.
+func (w *Writer) Flush() error {
+	if w.blockRecords == 0 {
 		return nil
 	}
-	head := binary.LittleEndian.AppendUint32(make([]byte, 0, blockHeaderBytes), uint32(len(t.block)))
-	head = binary.LittleEndian.AppendUint32(head, t.blockRecords)
-	head = binary.LittleEndian.AppendUint32(head, t.records-t.blockRecords)
-	head = binary.LittleEndian.AppendUint32(head, blockChecksum(head, t.block))
-	t.written += int64(len(head) + len(t.block))
-	if _, err := t.w.Write(append(head, t.block...)); err != nil {
+	header := binary.LittleEndian.AppendUint32(make([]byte, 0, blockHeaderBytes), uint32(len(w.block)))
+	header = binary.LittleEndian.AppendUint32(header, w.blockRecords)
+	header = binary.LittleEndian.AppendUint32(header, w.records-w.blockRecords)
+	header = binary.LittleEndian.AppendUint32(header, blockChecksum(header, w.block))
+	w.written += int64(len(header) + len(w.block))
+	if _, err := w.out.Write(append(header, w.block...)); err != nil {
 		return err
 	}
-	t.block, t.blockRecords = t.block[:0], 0
-	clear(t.classNumbers)
+	w.block, w.blockRecords = w.block[:0], 0
+	clear(w.classNumbers)
 	return nil
 }
 
-// Close writes what is held and the end.
-func (t *Writer) Close() error {
-	if err := t.Flush(); err != nil {
+// Close writes the last block and the end. It does not close the underlying writer.
+func (w *Writer) Close() error {
+	if err := w.Flush(); err != nil {
 		return err
 	}
 	end := binary.LittleEndian.AppendUint32(make([]byte, 0, blockHeaderBytes), 0)
 	end = binary.LittleEndian.AppendUint32(end, 0)
-	end = binary.LittleEndian.AppendUint32(end, t.records)
+	end = binary.LittleEndian.AppendUint32(end, w.records)
 	end = binary.LittleEndian.AppendUint32(end, crc32.Checksum(end, castagnoli))
-	_, err := t.w.Write(end)
+	_, err := w.out.Write(end)
 	return err
 }
