--- a/cmd/magpiebank-sim/main.go
+++ b/cmd/magpiebank-sim/main.go
@@ -1,4 +1,4 @@
-// Magpiebank-sim hosts routers' decisions on the bench's wire, on standard input and output.
+// Magpiebank-sim runs gateways' admission controllers for a simulator, on standard input and output.
 package main
 
 import (
--- a/cmd/magpiebank/main.go
+++ b/cmd/magpiebank/main.go
@@ -1,4 +1,4 @@
-// Magpiebank is one router before analytic engines, on sockets.
+// Magpiebank is a gateway before analytic engines, on sockets.
 package main
 
 import (
--- a/internal/cli/build_testbed.go
+++ b/internal/cli/build_testbed.go
@@ -2,5 +2,5 @@
 
 package cli
 
-// build tells that clocks may run off and defects may be planted here: never for a gateway that serves.
+// build marks a build for the testbed, in which clocks can be skewed and mutations switched on. It must never serve.
 const build = " (laboratory)"
--- a/internal/cli/command_test.go
+++ b/internal/cli/program_test.go
@@ -17,9 +17,11 @@
 
 func Example_check() {
 	dir, _ := os.MkdirTemp("", "magpiebank")
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	path := filepath.Join(dir, "configuration.json")
-	os.WriteFile(path, []byte(configuration), 0o600)
+	if err := os.WriteFile(path, []byte(configuration), 0o600); err != nil {
+		fmt.Println(err)
+	}
 	env := func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] }
 	for _, args := range []string{"check", "check --listen 127.0.0.1:5050", "check --config " + dir + "/none", "version",
 		"serve --log-level loud", "serve --quick", "ride", "version"} {
@@ -41,7 +43,8 @@
 	// 0 magpiebank 0.1.0
 }
 
-func TestServe(t *testing.T) { // SIGHUP has the configuration read again; until SIGTERM, then with status 0
+// SIGHUP has the configuration read again. SIGTERM ends the command with status 0.
+func TestServe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	if err := os.WriteFile(path, []byte(configuration), 0o600); err != nil {
 		t.Fatal(err)
@@ -59,7 +62,9 @@
 		{`"seed":"8`, `"seed":"x`, "code=kept error=\"field configuration[seed]: expected up to 16 hex digits"},
 	} {
 		if step.old != "" {
-			os.WriteFile(path, []byte(strings.Replace(configuration, step.old, step.new, 1)), 0o600)
+			if err := os.WriteFile(path, []byte(strings.Replace(configuration, step.old, step.new, 1)), 0o600); err != nil {
+				t.Fatal(err)
+			}
 			if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
@@ -69,7 +74,7 @@
 			log.Write(b[:n])
 		}
 	}
-	go io.Copy(io.Discard, r)
+	go func() { _, _ = io.Copy(io.Discard, r) }()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/deployment_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,9 @@
 const settings = `{"classes":[{"name":"look","sloUs":1000000,"worth":1,"effect":"read_like"}],
  "limits":{"connectTimeoutUs":250000,"keepaliveUs":30000000,"maxOpen":%d}}`
 
-func start(t *testing.T, text string) (*Config, error) {
+// readText reads a configuration from a file with a text.
+func readText(t *testing.T, text string) (*Config, error) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -19,17 +21,18 @@
 	return ReadFile(path)
 }
 
-func TestSeats(t *testing.T) { // clients hold a third of the descriptors, so more tasks can't be in hand
-	for _, c := range []struct{ sockets, open, seats int }{{1024, 20000, 341}, {1024, 100, 100}, {0, 100, 100}, {1024, 0, 341}} {
-		s, err := start(t, fmt.Sprintf(`{"name":"n","listen":"l","coordinator":"c","seed":"ffffffffffffffff","known":{},
-		 "limits":{"sockets":%d},"settings":`+settings+`}`, c.sockets, c.open))
-		if err != nil || s.Deployment.MaxRequests != c.seats || s.Seed != -1 {
+// Clients hold a third of the descriptors, so no more requests can be in flight.
+func TestRequestsAreLimitedByDescriptors(t *testing.T) {
+	for _, c := range []struct{ descriptors, configured, requests int }{{1024, 20000, 341}, {1024, 100, 100}, {0, 100, 100}, {1024, 0, 341}} {
+		s, err := readText(t, fmt.Sprintf(`{"name":"n","listen":"l","coordinator":"c","seed":"ffffffffffffffff","known":{},
+		 "limits":{"sockets":%d},"settings":`+settings+`}`, c.descriptors, c.configured))
+		if err != nil || s.Deployment.MaxRequests != c.requests || s.Seed != -1 {
 			t.Errorf("%v: got %+v, %v", c, s, err)
 		}
 	}
 }
 
-func TestAmiss(t *testing.T) {
+func TestErrorsNameTheField(t *testing.T) {
 	for text, want := range map[string]string{
 		``:                        "field configuration: expected a JSON object: unexpected end of JSON input",
 		`[]`:                      "field configuration: expected a JSON object",
@@ -51,7 +54,7 @@
 		 "effect":"read_like"}],"stats":{"how":"answer"},"limits":{"connectTimeoutUs":1,"keepaliveUs":1}}}`: "field " +
 			"configuration[settings][stats how]: expected answers, probe or none",
 	} {
-		if _, err := start(t, text); err == nil || err.Error() != want {
+		if _, err := readText(t, text); err == nil || err.Error() != want {
 			t.Errorf("%s: got %v, want %s", text, err, want)
 		}
 	}
@@ -60,7 +63,8 @@
 	}
 }
 
-func TestShape(t *testing.T) { // what the new shape of deployment sets, and what its absence leaves as it was
+// Notices and reports in answers are off unless the settings have them.
+func TestNoticesAndReportsInAnswers(t *testing.T) {
 	for text, want := range map[string]string{
 		`{}`: "pace 0, answers tell false",
 		`{"familyInfo":{"progressPaceUs":500000},"stats":{"how":"answers","fields":["inflight","x0"]}}`: "pace 5000, " +
@@ -70,7 +74,7 @@
 		text = `{"name":"n","listen":"l","coordinator":"c","known":{},"seed":"1","settings":{"classes":[{"name":"a",
 		 "effect":"read_like"}],"limits":{"connectTimeoutUs":1,"keepaliveUs":1},` + text[1:] + `}`
 		text = strings.Replace(text, ",}", "}", 1)
-		s, err := start(t, text)
+		s, err := readText(t, text)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -1,154 +1,111 @@
-// Package config decodes what a router is told at start, for the simulator's wire and for sockets.
 package config
 
 import (
-	"time"
-
 	"magpiebank/internal/admission"
 	"magpiebank/internal/jsonvalue"
 )
 
-// tenth is the project's unit of time in the settings' microseconds.
-const tenth = 100
+// microsPerUnit is the number of microseconds, the unit of times in the settings, in the unit of admission.Time.
+const microsPerUnit = 100
 
-// down and up read microseconds as a Time, rounded so that a rule's figure stays safe.
-func down(s *jsonvalue.Value, path ...any) admission.Time {
-	return admission.Time(int64(s.Float(path...)) / tenth)
+// readTimeDown reads microseconds and rounds down, for limits that must not be exceeded.
+func readTimeDown(settings *jsonvalue.Value, path ...any) admission.Time {
+	return admission.Time(int64(settings.Float(path...)) / microsPerUnit)
 }
 
-func up(s *jsonvalue.Value, path ...any) admission.Time {
-	return admission.Time((int64(s.Float(path...)) + tenth - 1) / tenth)
+// readTimeUp reads microseconds and rounds up, for waits that must not be too short.
+func readTimeUp(settings *jsonvalue.Value, path ...any) admission.Time {
+	return admission.Time((int64(settings.Float(path...)) + microsPerUnit - 1) / microsPerUnit)
 }
 
-// places is nil where the key is absent, and empty but not nil where nothing is allowed.
-func places(s *jsonvalue.Value, path ...any) []int {
-	if s.Lookup(path...) == nil {
+// readIndexes reads a list of indexes. It returns nil if the key is absent, which allows all, and an empty list that isn't nil
+// if nothing is allowed.
+func readIndexes(settings *jsonvalue.Value, path ...any) []int {
+	if settings.Lookup(path...) == nil {
 		return nil
 	}
-	out := []int{}
-	for _, f := range s.Floats(path...) {
-		out = append(out, int(f))
+	indexes := []int{}
+	for _, index := range settings.Floats(path...) {
+		indexes = append(indexes, int(index))
 	}
-	return out
+	return indexes
 }
 
-// Read decodes the part of the settings that decisions rest on.
-func ReadDeployment(s *jsonvalue.Value) (*admission.Deployment, error) {
-	d := &admission.Deployment{
-		Gateways:             max(1, int(s.Float("fleetSize"))),
-		GatewayIndex:         int(s.Float("me")),
-		CoresByKind:          s.Floats("familyInfo", "kindCores"),
-		MemoryByKind:         s.Floats("familyInfo", "sizeMb"),
-		SupportsRanks:        s.Bool("familyInfo", "lanesCount"),
-		SupportsMemoryGrants: s.Bool("familyInfo", "grants"),
-		EnginesSwap:          s.Lookup("familyInfo", "whenShort") == "swap",
-		ReportsCost:          s.Bool("familyInfo", "saysCost"),
-		SupportsCancel:       s.Bool("limits", "cancel"),
-		SupportsProbes:       s.Bool("limits", "probes"),
-		ProbePrice:           s.Float("penalties", "probe"),
-		PeerMessages:         s.Bool("limits", "peerMessages"),
-		PeerMessagePrice:     s.Float("penalties", "peer"),
-		MaxAttempts:          int(s.Float("limits", "maxAttempts")),
-		MaxRequests:          int(s.Float("limits", "maxOpen")),
-		PollsEndpoints:       s.Lookup("discovery") == "ask",
-		WarmUpCapacityShare:  s.Float("rules", "coldShare"),
-		WarmUpTime:           up(s, "rules", "warmAfterUs"),
-		WarmUpOverloadFactor: s.Float("rules", "overloadFactor"),
-		WarmUpOverloadTime:   up(s, "rules", "tipAfterUs"),
-		RetryBurst:           s.Float("rules", "extraFree"),
-		RetryRatio:           s.Float("rules", "resendRatio"),
-		RetryWindow:          up(s, "rules", "ratioSpanUs"),
-		KeySettleTime:        up(s, "rules", "settleAfterDoubtUs"),
-		NoticeInterval:       up(s, "familyInfo", "progressPaceUs"),
+// ReadDeployment decodes the part of the settings that the admission controller's decisions rest on. Errors name the field at
+// fault.
+func ReadDeployment(settings *jsonvalue.Value) (*admission.Deployment, error) {
+	deployment := &admission.Deployment{
+		Gateways:             max(1, int(settings.Float("fleetSize"))),
+		GatewayIndex:         int(settings.Float("me")),
+		CoresByKind:          settings.Floats("familyInfo", "kindCores"),
+		MemoryByKind:         settings.Floats("familyInfo", "sizeMb"),
+		SupportsRanks:        settings.Bool("familyInfo", "lanesCount"),
+		SupportsMemoryGrants: settings.Bool("familyInfo", "grants"),
+		EnginesSwap:          settings.Lookup("familyInfo", "whenShort") == "swap",
+		ReportsCost:          settings.Bool("familyInfo", "saysCost"),
+		SupportsCancel:       settings.Bool("limits", "cancel"),
+		SupportsProbes:       settings.Bool("limits", "probes"),
+		ProbePrice:           settings.Float("penalties", "probe"),
+		PeerMessages:         settings.Bool("limits", "peerMessages"),
+		PeerMessagePrice:     settings.Float("penalties", "peer"),
+		MaxAttempts:          int(settings.Float("limits", "maxAttempts")),
+		MaxRequests:          int(settings.Float("limits", "maxOpen")),
+		PollsEndpoints:       settings.Lookup("discovery") == "ask",
+		WarmUpCapacityShare:  settings.Float("rules", "coldShare"),
+		WarmUpTime:           readTimeUp(settings, "rules", "warmAfterUs"),
+		WarmUpOverloadFactor: settings.Float("rules", "overloadFactor"),
+		WarmUpOverloadTime:   readTimeUp(settings, "rules", "tipAfterUs"),
+		RetryBurst:           settings.Float("rules", "extraFree"),
+		RetryRatio:           settings.Float("rules", "resendRatio"),
+		RetryWindow:          readTimeUp(settings, "rules", "ratioSpanUs"),
+		KeySettleTime:        readTimeUp(settings, "rules", "settleAfterDoubtUs"),
+		NoticeInterval:       readTimeUp(settings, "familyInfo", "progressPaceUs"),
 	}
-	if s.Bool("limits", "retryAfter") {
-		d.RetryAfter = down(s, "limits", "maxRetryAfterUs")
+	if settings.Bool("limits", "retryAfter") {
+		deployment.RetryAfter = readTimeDown(settings, "limits", "maxRetryAfterUs")
 	}
-	for i := range s.List("classes") {
-		l := admission.Class{
-			Threads:          max(1, int(s.Float("familyInfo", "dop", i))),
-			LatencyObjective: down(s, "classes", i, "sloUs"),
-			ObjectivePerWork: s.Float("classes", i, "aimStretch"),
-			Weight:           s.Float("classes", i, "worth"),
-			LateWeightShare:  s.Float("classes", i, "lateWorth"),
-			DedupWindow:      down(s, "classes", i, "windowUs"),
-			Ordered:          s.Bool("classes", i, "fifoByKey"),
-			Zones:            places(s, "classes", i, "confinedTo"),
-			Kinds:            places(s, "classes", i, "servedOn"),
-			LoadsTables:      s.Bool("familyInfo", "loads", i),
-			BlockedByLoads:   s.Bool("familyInfo", "blockedByLoads", i),
-		}
-		switch s.Lookup("classes", i, "effect") {
-		case "read_like":
-			l.Effect = admission.Idempotent
-		case "idempotency_key":
-			l.Effect = admission.Deduplicated
-		case "non_idempotent":
-			l.Effect = admission.NonIdempotent
-		default:
-			s.Fail("read_like, idempotency_key or non_idempotent", "classes", i, "effect")
-		}
-		switch s.Lookup("classes", i, "group") {
-		case "zone":
-			l.DedupScope = admission.SameZone
-		case "cell":
-			l.DedupScope = admission.SameCell
-		}
-		d.Classes = append(d.Classes, l)
+	for i := range settings.List("classes") {
+		deployment.Classes = append(deployment.Classes, readClass(settings, i))
 	}
-	for i := range s.List("projects") {
-		d.Tenants = append(d.Tenants, admission.Tenant{
-			Share: s.Float("projects", i, "fraction"),
-		})
+	for i := range settings.List("projects") {
+		deployment.Tenants = append(deployment.Tenants, admission.Tenant{Share: settings.Float("projects", i, "fraction")})
 	}
-	if len(d.Classes) == 0 && s.Err() == nil {
-		s.Fail("at least one class", "classes")
+	if len(deployment.Classes) == 0 && settings.Err() == nil {
+		settings.Fail("at least one class", "classes")
 	}
-	return d, s.Err()
-}
-
-// Network is what the router on sockets goes by: names that stand on its wires for the module's numbers, and
-// the waits that the site states.
-type Network struct {
-	Classes, Zones, Kinds []string
-	Tenants               []string        // empty: requests name none
-	LongestWaits          []time.Duration // that a lane's client waits; 0: not told
-	AttemptsPerConnection int             // hand-offs that one engine connection carries at the same time
-	ConnectTimeout        time.Duration
-	IdleTimeout           time.Duration // engines close connections that were idle for so long
-	ReportsInAnswers      bool          // answers hold the engine's load report, as probes do
+	return deployment, settings.Err()
 }
 
-// ReadNetwork decodes the part of the settings that the router's sockets rest on.
-func ReadNetwork(s *jsonvalue.Value) (*Network, error) {
-	n := &Network{
-		Zones:                 s.Texts("zones"),
-		Kinds:                 s.Texts("skus"),
-		AttemptsPerConnection: max(1, int(s.Float("limits", "multiplex"))),
-		ConnectTimeout:        time.Duration(s.Float("limits", "connectTimeoutUs")) * time.Microsecond,
-		IdleTimeout:           time.Duration(s.Float("limits", "keepaliveUs")) * time.Microsecond,
-		ReportsInAnswers:      s.Lookup("stats", "how") == "answers",
+// readClass decodes the class with an index.
+func readClass(settings *jsonvalue.Value, i int) admission.Class {
+	class := admission.Class{
+		Threads:          max(1, int(settings.Float("familyInfo", "dop", i))),
+		LatencyObjective: readTimeDown(settings, "classes", i, "sloUs"),
+		ObjectivePerWork: settings.Float("classes", i, "aimStretch"),
+		Weight:           settings.Float("classes", i, "worth"),
+		LateWeightShare:  settings.Float("classes", i, "lateWorth"),
+		DedupWindow:      readTimeDown(settings, "classes", i, "windowUs"),
+		Ordered:          settings.Bool("classes", i, "fifoByKey"),
+		Zones:            readIndexes(settings, "classes", i, "confinedTo"),
+		Kinds:            readIndexes(settings, "classes", i, "servedOn"),
+		LoadsTables:      settings.Bool("familyInfo", "loads", i),
+		BlockedByLoads:   settings.Bool("familyInfo", "blockedByLoads", i),
 	}
-	switch s.Lookup("stats", "how") {
-	case nil, "answers", "probe", "none":
+	switch settings.Lookup("classes", i, "effect") {
+	case "read_like":
+		class.Effect = admission.Idempotent
+	case "idempotency_key":
+		class.Effect = admission.Deduplicated
+	case "non_idempotent":
+		class.Effect = admission.NonIdempotent
 	default:
-		s.Fail("answers, probe or none", "stats", "how")
-	}
-	if s.Float("familyInfo", "progressPaceUs") < 0 {
-		s.Fail("a time of 0 or more", "familyInfo", "progressPaceUs")
-	}
-	for i := range s.List("projects") {
-		n.Tenants = append(n.Tenants, s.Text("projects", i, "name"))
-	}
-	for i := range s.List("classes") {
-		n.Classes = append(n.Classes, s.RequireText("classes", i, "name"))
-		n.LongestWaits = append(n.LongestWaits, time.Duration(s.Float("classes", i, "deadlineUs"))*time.Microsecond)
-	}
-	if n.ConnectTimeout <= 0 {
-		s.Fail("a time above 0", "limits", "connectTimeoutUs")
+		settings.Fail("read_like, idempotency_key or non_idempotent", "classes", i, "effect")
 	}
-	if n.IdleTimeout <= 0 {
-		s.Fail("a time above 0", "limits", "keepaliveUs")
+	switch settings.Lookup("classes", i, "group") {
+	case "zone":
+		class.DedupScope = admission.SameZone
+	case "cell":
+		class.DedupScope = admission.SameCell
 	}
-	return n, s.Err()
+	return class
 }
