--- a/cmd/magpiebank-testbed/trace.go
+++ b/cmd/magpiebank-testbed/trace.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"os"
 	"strings"
 	"time"
@@ -39,7 +38,7 @@
 				}
 				options.Columns[name] = column
 			}
-			var in io.Reader = c.InOrStdin()
+			var in = c.InOrStdin()
 			if args[0] != "-" {
 				f, err := os.Open(args[0])
 				if err != nil {
--- a/internal/testbed/fake/fake_test.go
+++ b/internal/testbed/fake/fake_test.go
@@ -1,6 +1,7 @@
 package fake
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -54,7 +55,8 @@
 		}
 		c.tcp.SetReadDeadline(time.Now().Add(within))
 		k, err := c.tcp.Read(b)
-		if e, ok := err.(net.Error); ok && e.Timeout() {
+		var e net.Error
+		if errors.As(err, &e) && e.Timeout() {
 			return "nothing"
 		} else if err != nil {
 			return "end"
--- a/internal/testbed/faultproxy/network_test.go
+++ b/internal/testbed/faultproxy/network_test.go
@@ -135,7 +135,8 @@
 		fmt.Fprintln(c, text)
 		c.SetReadDeadline(time.Now().Add(within))
 		line, err := r.ReadString('\n')
-		if e, ok := err.(net.Error); ok && e.Timeout() {
+		var e net.Error
+		if errors.As(err, &e) && e.Timeout() {
 			return "silent"
 		} else if err != nil {
 			return "broken"
--- a/internal/testbed/faulttest/quota_modes.go
+++ b/internal/testbed/faulttest/quota_modes.go
@@ -260,7 +260,7 @@
 		if err != nil {
 			return err
 		}
-		area.Color, area.LineStyle.Width = colors[i], 0
+		area.Color, area.Width = colors[i], 0
 		p.Add(area)
 	}
 	total, err := plotter.NewLine(plotter.XYs{{X: 0, Y: float64(r.Scenario.Limits.Threads)}, {X: r.Scenario.Length.Seconds(), Y: float64(r.Scenario.Limits.Threads)}})
--- a/internal/testbed/installation/cluster.go
+++ b/internal/testbed/installation/cluster.go
@@ -59,7 +59,7 @@
 // Text is a policy as it is proposed.
 func (p *Policy) Text() []byte {
 	class := map[string]any{"name": "loads", "when": map[string]any{"lanes": []string{"load"}}}
-	if p.ClusterLimits.limit(class); !p.Fleet {
+	if p.limit(class); !p.Fleet {
 		delete(class, "fleet") // each gateway's own
 	}
 	classes, pools := []any{class}, []any{}
--- a/internal/testbed/load/workers/coordinator.go
+++ b/internal/testbed/load/workers/coordinator.go
@@ -98,8 +98,8 @@
 type coordinatorHost struct{ *Coordinator }
 
 func (h coordinatorHost) LogEvent(text string) {
-	if h.Coordinator.Log != nil {
-		h.Coordinator.Log(text)
+	if h.Log != nil {
+		h.Log(text)
 	}
 }
 
--- a/internal/testbed/load/workers/workers_test.go
+++ b/internal/testbed/load/workers/workers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"math/rand"
@@ -376,7 +377,7 @@
 		time.Sleep(time.Until(c.run.Start) + 1500*time.Millisecond)
 		c.Kill()
 	}()
-	if _, _, _, err := c.Serve(); err != errKilled {
+	if _, _, _, err := c.Serve(); !errors.Is(err, errKilled) {
 		t.Fatal(err)
 	}
 	time.Sleep(600 * time.Millisecond)
--- a/internal/testbed/simcluster/counter_cluster.go
+++ b/internal/testbed/simcluster/counter_cluster.go
@@ -123,7 +123,7 @@
 func btoi64(b bool) int64 { return int64(btoi(b)) }
 
 func (t *counterCluster) pass(length Time, check func()) {
-	t.network.advance(length, func(l datagram[counterMessage]) {
+	t.advance(length, func(l datagram[counterMessage]) {
 		if p := t.members[l.to]; p.up && p.stopped <= t.now {
 			p.core.HandleMessage(p.clock(), t.members[l.from].name, l.message.start, l.message.bytes)
 		}
--- a/internal/testbed/simcluster/rollout_cluster.go
+++ b/internal/testbed/simcluster/rollout_cluster.go
@@ -72,7 +72,7 @@
 		p := &rolloutMember{cluster: a, name: fmt.Sprint("g", k), clockRate: 0.955 + 0.09*a.random.Float64(), clockOffset: float64(a.random.IntN(1e6)), syncTime: 2 * admission.Millisecond}
 		a.add(p)
 	}
-	a.network.maxDelay = 2 * lease
+	a.maxDelay = 2 * lease
 	return a
 }
 
