--- a/internal/resourcegroup/property_test.go
+++ b/internal/resourcegroup/property_test.go
@@ -3,6 +3,7 @@
 import (
 	"flag"
 	"fmt"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -10,99 +11,147 @@
 	"magpiebank/internal/admission"
 )
 
-// Whatever happens in whatever order, limits hold for each attempt, counts add up, and numbers are used again.
-func TestLimitsHoldInAnyOrderOfEvents(t *testing.T) {
-	flag.Set("rapid.seed", "7") // the same verdict every time
-	rapid.Check(t, func(t *rapid.T) {
-		plans := []*Plan{
-			{Pools: northPool, Classes: []Class{{Name: "a", MaxThreads: 4, Pool: "n", MaxWaiting: 3}, {Name: "b", WorkMillisPerSecond: 200}}},
-			{Pools: northPool, Classes: []Class{{Name: "a", MaxThreads: 2}, {Name: "c", MaxThreads: 8, Pool: "n"}}},
-			{Classes: []Class{{Name: "c", MaxWaiting: 1}}}, {},
+// modelPlans are the plans between which the model of a limiter changes.
+var modelPlans = []*Plan{
+	{Pools: northPool, Classes: []Class{{Name: "a", MaxThreads: 4, Pool: "n", MaxWaiting: 3}, {Name: "b", WorkMillisPerSecond: 200}}},
+	{Pools: northPool, Classes: []Class{{Name: "a", MaxThreads: 2}, {Name: "c", MaxThreads: 8, Pool: "n"}}},
+	{Classes: []Class{{Name: "c", MaxWaiting: 1}}},
+	{},
+}
+
+// limiterModel keeps the requests that a limiter has admitted.
+type limiterModel struct {
+	limiter  *Limiter
+	requests []*modelRequest
+	now      admission.Time
+}
+
+type modelRequest struct {
+	number   int
+	threads  float64
+	inFlight bool
+}
+
+// pick draws a request that waits or one that is in flight, or skips the step if there is none.
+func (m *limiterModel) pick(t *rapid.T, inFlight bool) *modelRequest {
+	t.Helper()
+	var candidates []*modelRequest
+	for _, request := range m.requests {
+		if request.inFlight == inFlight {
+			candidates = append(candidates, request)
 		}
-		limiter, _ := New(0, plans[0], nil, []string{"norte", "sur"}, nil)
-		type task struct {
-			number  int
-			threads float64
-			out     bool
+	}
+	if len(candidates) == 0 {
+		t.Skip()
+	}
+	return rapid.SampledFrom(candidates).Draw(t, "task")
+}
+
+func (m *limiterModel) drop(request *modelRequest) {
+	i := slices.Index(m.requests, request)
+	m.requests = slices.Delete(m.requests, i, i+1)
+}
+
+func (m *limiterModel) arrive(t *rapid.T) {
+	number, verdict, _ := m.limiter.Admit(rapid.IntRange(0, 3).Draw(t, "class"))
+	if verdict == Admitted && number > 0 {
+		threads := float64(rapid.IntRange(1, 3).Draw(t, "threads"))
+		m.requests = append(m.requests, &modelRequest{number: number, threads: threads})
+	}
+}
+
+func (m *limiterModel) send(t *rapid.T) {
+	request := m.pick(t, false)
+	c := &m.limiter.classes[request.number]
+	if !m.limiter.AllowsAttempt(m.now, request.number, request.threads) {
+		if c.MaxThreads == 0 && c.WorkMillisPerSecond == 0 {
+			t.Fatal("closed without a limit")
 		}
-		var requests []*task
-		pick := func(inFlight bool) *task {
-			var fit []*task
-			for _, r := range requests {
-				if r.out == inFlight {
-					fit = append(fit, r)
-				}
-			}
-			if len(fit) == 0 {
-				t.Skip()
-			}
-			return rapid.SampledFrom(fit).Draw(t, "task")
+		return
+	}
+	if c.MaxThreads > 0 && c.inFlight > 0 && c.runningThreads+request.threads > min(c.threadLimit, c.MaxThreads) {
+		t.Fatalf("%.0f threads and %.0f more under a limit of %.1f", c.runningThreads, request.threads, c.threadLimit)
+	}
+	m.limiter.BeginAttempt(request.number, request.threads, float64(rapid.IntRange(0, 500).Draw(t, "work")))
+	request.inFlight = true
+}
+
+func (m *limiterModel) endAttempt(t *rapid.T) {
+	request := m.pick(t, true)
+	waits := rapid.Bool().Draw(t, "waits")
+	m.limiter.EndAttempt(request.number, request.threads, 100, float64(rapid.IntRange(0, 500).Draw(t, "cost")), waits)
+	request.inFlight = false
+	if !waits {
+		m.drop(request)
+	}
+}
+
+func (m *limiterModel) leave(t *rapid.T) {
+	request := m.pick(t, false)
+	m.limiter.EndWaiting(request.number)
+	m.drop(request)
+}
+
+func (m *limiterModel) pass(t *rapid.T) {
+	m.now += admission.Time(rapid.IntRange(0, 30000).Draw(t, "by"))
+	m.limiter.Tick(m.now)
+}
+
+func (m *limiterModel) replacePlan(t *rapid.T) {
+	if err := m.limiter.ReplacePlan(m.now, rapid.SampledFrom(modelPlans).Draw(t, "plan")); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func (m *limiterModel) updateEndpoint(t *rapid.T) {
+	endpoint := newEndpoint(fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "engine")), rapid.IntRange(0, 1).Draw(t, "zone"))
+	endpoint.State = admission.EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
+	m.limiter.UpdateEndpoints(m.now, admission.PartialUpdate, []admission.Endpoint{endpoint})
+}
+
+// check compares the limiter's counts with the model's requests.
+func (m *limiterModel) check(t *rapid.T) {
+	classes := m.limiter.classes
+	inFlight, waiting := make([]int, len(classes)), make([]int, len(classes))
+	for _, request := range m.requests {
+		if request.inFlight {
+			inFlight[request.number]++
+		} else {
+			waiting[request.number]++
 		}
-		drop := func(r *task) {
-			for i := range requests {
-				if requests[i] == r {
-					requests = append(requests[:i], requests[i+1:]...)
-					return
-				}
-			}
+	}
+	for number := range classes {
+		c := &classes[number]
+		if c.inFlight != inFlight[number] || c.waiting != waiting[number] || c.runningThreads < 0 ||
+			c.inFlight == 0 && c.runningThreads != 0 || c.threadLimit > c.MaxThreads {
+			t.Fatalf("number %d: %+v, %d in flight, %d waiting", number, c, inFlight[number], waiting[number])
+		}
+	}
+	if len(classes) > 1+6 || len(m.limiter.pools) > 3 {
+		t.Fatalf("%d numbers, %d pools", len(classes), len(m.limiter.pools))
+	}
+}
+
+// Whatever happens in whatever order, limits hold for each attempt, counts add up, and numbers are used again.
+func TestLimitsHoldInAnyOrderOfEvents(t *testing.T) {
+	if err := flag.Set("rapid.seed", "7"); err != nil { // the same verdict every time
+		t.Fatal(err)
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		limiter, err := New(0, modelPlans[0], nil, []string{"norte", "sur"}, nil)
+		if err != nil {
+			t.Fatal(err)
 		}
-		now := admission.Time(0)
+		m := &limiterModel{limiter: limiter}
 		t.Repeat(map[string]func(*rapid.T){
-			"arrive": func(t *rapid.T) {
-				if n, r, _ := limiter.Admit(rapid.IntRange(0, 3).Draw(t, "class")); r == Admitted && n > 0 {
-					requests = append(requests, &task{number: n, threads: float64(rapid.IntRange(1, 3).Draw(t, "threads"))})
-				}
-			},
-			"send": func(t *rapid.T) {
-				r := pick(false)
-				c := &limiter.classes[r.number]
-				if !limiter.AllowsAttempt(now, r.number, r.threads) {
-					if c.MaxThreads == 0 && c.WorkMillisPerSecond == 0 {
-						t.Fatal("closed without a limit")
-					}
-					return
-				}
-				if c.MaxThreads > 0 && c.inFlight > 0 && c.runningThreads+r.threads > min(c.threadLimit, c.MaxThreads) {
-					t.Fatalf("%.0f threads and %.0f more under a limit of %.1f", c.runningThreads, r.threads, c.threadLimit)
-				}
-				limiter.BeginAttempt(r.number, r.threads, float64(rapid.IntRange(0, 500).Draw(t, "work")))
-				r.out = true
-			},
-			"back": func(t *rapid.T) {
-				r := pick(true)
-				waits := rapid.Bool().Draw(t, "waits")
-				limiter.EndAttempt(r.number, r.threads, 100, float64(rapid.IntRange(0, 500).Draw(t, "cost")), waits)
-				if r.out = false; !waits {
-					drop(r)
-				}
-			},
-			"leave": func(t *rapid.T) { r := pick(false); limiter.EndWaiting(r.number); drop(r) },
-			"pass":  func(t *rapid.T) { now += admission.Time(rapid.IntRange(0, 30000).Draw(t, "by")); limiter.Tick(now) },
-			"renew": func(t *rapid.T) { limiter.ReplacePlan(now, rapid.SampledFrom(plans).Draw(t, "plan")) },
-			"list": func(t *rapid.T) {
-				endpoint := newEndpoint(fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "engine")), rapid.IntRange(0, 1).Draw(t, "zone"))
-				endpoint.State = admission.EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
-				limiter.UpdateEndpoints(now, admission.PartialUpdate, []admission.Endpoint{endpoint})
-			},
-			"": func(t *rapid.T) {
-				inFlight, waiting := make([]int, len(limiter.classes)), make([]int, len(limiter.classes))
-				for _, r := range requests {
-					if r.out {
-						inFlight[r.number]++
-					} else {
-						waiting[r.number]++
-					}
-				}
-				for n := range limiter.classes {
-					c := &limiter.classes[n]
-					if c.inFlight != inFlight[n] || c.waiting != waiting[n] || c.runningThreads < 0 || c.inFlight == 0 && c.runningThreads != 0 || c.threadLimit > c.MaxThreads {
-						t.Fatalf("number %d: %+v, %d out, %d waiting", n, c, inFlight[n], waiting[n])
-					}
-				}
-				if len(limiter.classes) > 1+6 || len(limiter.pools) > 3 {
-					t.Fatalf("%d numbers, %d pools", len(limiter.classes), len(limiter.pools))
-				}
-			},
+			"arrive": m.arrive,
+			"send":   m.send,
+			"back":   m.endAttempt,
+			"leave":  m.leave,
+			"pass":   m.pass,
+			"renew":  m.replacePlan,
+			"list":   m.updateEndpoint,
+			"":       m.check,
 		})
 	})
 }
--- a/internal/workload/fleetpolicy_test.go
+++ b/internal/workload/fleetpolicy_test.go
@@ -36,11 +36,12 @@
 	return r
 }
 
-func newPolicyManager(t testing.TB) (*Manager, *fakeFleet, func(classes string) agent.Policy) {
+func newPolicyManager(tb testing.TB) (*Manager, *fakeFleet, func(classes string) agent.Policy) {
+	tb.Helper()
 	start := &config.Config{Deployment: &admission.Deployment{Classes: make([]admission.Class, 2), CoresByKind: []float64{8}}, Network: &config.Network{Classes: []string{"look", "load"}, Zones: []string{"norte", "sur"}, Kinds: []string{"std"}}}
 	manager, err := NewManager(&Statements{MemoryBytes: 1 << 20, LogInterval: time.Hour}, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	fleet := &fakeFleet{activePolicy(0, nil)}
 	texts := map[string]*Policy{}
@@ -53,56 +54,60 @@
 			class := resourcegroup.Class{Name: fields[0], Conditions: resourcegroup.Conditions{RequestClasses: []string{fields[1]}}}
 			if fields[2] == "refuse" {
 				class.RejectText = "no " + fields[0]
-			} else {
-				fmt.Sscan(fields[2], &class.MaxThreads)
+			} else if _, err := fmt.Sscan(fields[2], &class.MaxThreads); err != nil {
+				tb.Fatal(err)
 			}
 			policy.Plan.Classes = append(policy.Plan.Classes, class)
 		}
 		texts[classes] = policy
 		read, err := manager.ReadPolicy([]byte(classes))
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		return read
 	}
 }
 
+// describeDecision has a request classified and, if it may be sent, sent and ended. It returns what became of it.
+func describeDecision(manager *Manager, fleet *fakeFleet, reader *StatementReader) string {
+	estimate, overCapacity, rejectText := manager.Classify(10, reader)
+	switch {
+	case rejectText != "":
+		return rejectText
+	case overCapacity:
+		return "nacked"
+	case estimate.PolicyClass == 0:
+		return "free"
+	}
+	name := manager.ClassName(estimate.PolicyClass)
+	if !manager.AllowsAttempt(10, estimate.PolicyClass, 2) {
+		manager.RecordDeparture(estimate)
+		return name + ", waits"
+	}
+	charged, basis := manager.RecordAttempt(estimate, 2)
+	out := fmt.Sprintf("%s, goes by %d", name, basis&^(1<<63))
+	if fleet.TryBeginWrite(basis, "") {
+		out += ", is written"
+	}
+	if agent.CoversBoth(basis) {
+		out += " by both"
+	}
+	manager.RecordAttemptEnd(estimate, 2, charged, 0, false)
+	estimate.PolicyClass = 0
+	manager.RecordDeparture(estimate)
+	return out
+}
+
 // A lookup and a load are decided on by the policies in force as these change.
 func TestPolicyInForceDecidesOnRequests(t *testing.T) {
 	manager, fleet, policy := newPolicyManager(t)
-	reader := manager.NewStatementReader().(*StatementReader)
+	reader := manager.newReader()
 	var out strings.Builder
 	try := func(what string) {
 		fmt.Fprintf(&out, "%s:", what)
 		for class, name := range []string{"look", "load"} {
 			reader.ReadStatement([]byte("SELECT nota FROM actas.mesas WHERE clave = 'a'"), class, mysql.TableGroup([]byte("SELECT nota FROM actas.mesas")))
-			estimate, overCapacity, rejectText := manager.Classify(10, reader)
-			fmt.Fprintf(&out, "  %s ", name)
-			switch {
-			case rejectText != "":
-				fmt.Fprint(&out, rejectText)
-			case overCapacity:
-				fmt.Fprint(&out, "nacked")
-			case estimate.PolicyClass == 0:
-				fmt.Fprint(&out, "free")
-			default:
-				fmt.Fprint(&out, manager.ClassName(estimate.PolicyClass))
-				if !manager.AllowsAttempt(10, estimate.PolicyClass, 2) {
-					fmt.Fprint(&out, ", waits")
-				} else {
-					charged, basis := manager.RecordAttempt(estimate, 2)
-					fmt.Fprintf(&out, ", goes by %d", basis&^(1<<63))
-					if fleet.TryBeginWrite(basis, "") {
-						fmt.Fprint(&out, ", is written")
-					}
-					if agent.CoversBoth(basis) {
-						fmt.Fprint(&out, " by both")
-					}
-					manager.RecordAttemptEnd(estimate, 2, charged, 0, false)
-					estimate.PolicyClass = 0
-				}
-				manager.RecordDeparture(estimate)
-			}
+			fmt.Fprintf(&out, "  %s %s", name, describeDecision(manager, fleet, reader))
 		}
 		out.WriteByte('\n')
 	}
@@ -146,7 +151,7 @@
 	one, two := policy("loads:load:4 old:look:1"), policy("loads:load:2")
 	fleet.putInForce(1, one)
 	arrive := func(class int) admission.Estimate {
-		reader := manager.NewStatementReader().(*StatementReader)
+		reader := manager.newReader()
 		reader.ReadStatement([]byte("SELECT 1"), class, 0)
 		estimate, overCapacity, rejectText := manager.Classify(20, reader)
 		if overCapacity || rejectText != "" {
@@ -176,8 +181,8 @@
 func TestRehearsalCountsAndDecidesNothing(t *testing.T) {
 	manager, fleet, policy := newPolicyManager(t)
 	fleet.putInForce(1, policy("loads:load:4"))
-	fleet.active.Rehearsed, fleet.active.InForce.RehearsalID = policy("loads:load:2 looks:look:refuse"), 7
-	reader := manager.NewStatementReader().(*StatementReader)
+	fleet.active.Rehearsed, fleet.active.RehearsalID = policy("loads:load:2 looks:look:refuse"), 7
+	reader := manager.newReader()
 	var admitted []admission.Estimate
 	for n := range 4 {
 		reader.ReadStatement([]byte("SELECT 1"), n%2, 0)
@@ -213,13 +218,13 @@
 			fleet.putInForce(1, policy("loads:load:4"))
 			if inForce == "file" {
 				manager.inForce = nil
-				plan := &fleet.active.Current.(*Policy).Plan
+				plan := &policyOf(fleet.active.Current).Plan
 				manager.plan.Store(plan)
 				if err := manager.limiter.ReplacePlan(0, plan); err != nil {
 					b.Fatal(err)
 				}
 			}
-			reader := manager.NewStatementReader().(*StatementReader)
+			reader := manager.newReader()
 			reader.ReadStatement([]byte("SELECT 1"), 1, 0)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/workload/reader.go
+++ b/internal/workload/reader.go
@@ -31,7 +31,9 @@
 }
 
 // NewStatementReader returns a reader for one more session.
-func (m *Manager) NewStatementReader() router.StatementReader { return &StatementReader{manager: m} }
+func (m *Manager) NewStatementReader() router.StatementReader { return m.newReader() }
+
+func (m *Manager) newReader() *StatementReader { return &StatementReader{manager: m} }
 
 // ReadStatement reads a statement of a request class and finds its shape, estimated cost and class. tables is the number of the
 // group of tables that it uses.
--- a/internal/workload/rehearsal.go
+++ b/internal/workload/rehearsal.go
@@ -27,7 +27,7 @@
 		r.limiter, r.id, r.policy = nil, 0, nil
 		return
 	}
-	id, policy := active.InForce.RehearsalID, policyOf(active.Rehearsed)
+	id, policy := active.RehearsalID, policyOf(active.Rehearsed)
 	if r.id == id && r.policy == policy {
 		return
 	}
--- a/internal/workload/requests.go
+++ b/internal/workload/requests.go
@@ -10,7 +10,10 @@
 // answer. overCapacity tells that the request is rejected and may be retried: too many of its class wait, or nobody knows now
 // what holds for it. Else the request is admitted with the estimate.
 func (m *Manager) Classify(now admission.Time, statement router.StatementReader) (estimate admission.Estimate, overCapacity bool, rejectText string) {
-	reader := statement.(*StatementReader)
+	reader, ok := statement.(*StatementReader)
+	if !ok {
+		panic("workload: the statement was read by a reader of another kind")
+	}
 	m.now = now
 	if m.inForce != nil {
 		return m.classifyByPolicy(now, reader)
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -58,6 +58,7 @@
 	t         *testing.T
 	log       logBuffer
 	manager   *workload.Manager
+	address   string
 	db        *sql.DB
 	engines   [2]*fake.Engine
 	endpoints [2]fake.Endpoint
@@ -66,52 +67,37 @@
 }
 
 func startGateway(t *testing.T, text string) *gateway {
-	driver.SetLogger(&driver.NopLogger{})
-	g := &gateway{t: t}
-	for i, zone := range []string{"norte", "sur"} {
-		name := "e-" + zone
-		engine, err := fake.StartEngine(name, "127.0.0.1:0", fake.EngineBehavior{Threads: 8, Cores: 8, Works: []fake.Work{
-			{Contains: "otra", Service: fake.ServiceTime{Mean: 300 * time.Millisecond}, Rows: 1}, {Service: fake.ServiceTime{Mean: 2 * time.Millisecond}, Rows: 1, MemoryMB: 32}}}, fake.NewExecutionLog(), 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		g.engines[i], g.endpoints[i] = engine, fake.Endpoint{ID: name, Address: engine.Address, Zone: zone, Kind: "std", State: "Ready"}
-	}
-	var err error
-	if g.discovery, err = fake.StartDiscovery("127.0.0.1:0", g.endpoints[:]); err != nil {
-		t.Fatal(err)
-	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := listener.Addr().String()
-	listener.Close()
-	path := filepath.Join(t.TempDir(), "configuration.json")
-	os.WriteFile(path, []byte(fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","coordinator":%q,"known":%s,"settings":%s}`, address,
-		g.discovery.Address, g.discovery.Snapshot(), settings)), 0o600)
-	start, err := config.ReadFile(path)
-	if err != nil {
+	t.Helper()
+	if err := driver.SetLogger(&driver.NopLogger{}); err != nil {
 		t.Fatal(err)
 	}
+	g := &gateway{t: t}
+	g.startEngines()
+	start := g.configure()
 	logger := slog.New(slog.NewTextHandler(&g.log, nil))
 	f, err := source.Parse("operator.jsonnet", text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.manager, err = workload.NewManager(f.Statements, start, logger); err != nil {
+	g.manager, err = workload.NewManager(f.Statements, start, logger)
+	if err != nil {
 		t.Fatal(err)
 	}
 	stop, ended := make(chan struct{}), make(chan error)
 	go func() { ended <- router.Serve(start, router.Options{ResourceGroups: g.manager}, logger, stop, nil) }()
-	g.db, _ = sql.Open("mysql", "app@tcp("+address+")/reports?timeout=2s")
-	for by := time.Now().Add(5 * time.Second); g.db.Ping() != nil; time.Sleep(10 * time.Millisecond) {
+	g.db, err = sql.Open("mysql", "app@tcp("+g.address+")/reports?timeout=2s")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for by := time.Now().Add(5 * time.Second); g.db.PingContext(t.Context()) != nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatal(g.db.Ping())
+			t.Fatal(g.db.PingContext(t.Context()))
 		}
 	}
 	g.shutDown = func() {
-		g.db.Close()
+		if err := g.db.Close(); err != nil {
+			t.Error(err)
+		}
 		close(stop)
 		if err := <-ended; err != nil {
 			t.Error(err)
@@ -125,6 +111,47 @@
 	return g
 }
 
+// startEngines starts the engines and the discovery service that lists them.
+func (g *gateway) startEngines() {
+	g.t.Helper()
+	for i, zone := range []string{"norte", "sur"} {
+		name := "e-" + zone
+		engine, err := fake.StartEngine(name, "127.0.0.1:0", fake.EngineBehavior{Threads: 8, Cores: 8, Works: []fake.Work{
+			{Contains: "otra", Service: fake.ServiceTime{Mean: 300 * time.Millisecond}, Rows: 1}, {Service: fake.ServiceTime{Mean: 2 * time.Millisecond}, Rows: 1, MemoryMB: 32}}}, fake.NewExecutionLog(), 1)
+		if err != nil {
+			g.t.Fatal(err)
+		}
+		g.engines[i], g.endpoints[i] = engine, fake.Endpoint{ID: name, Address: engine.Address, Zone: zone, Kind: "std", State: "Ready"}
+	}
+	var err error
+	g.discovery, err = fake.StartDiscovery("127.0.0.1:0", g.endpoints[:])
+	if err != nil {
+		g.t.Fatal(err)
+	}
+}
+
+// configure chooses the gateway's address and returns its configuration.
+func (g *gateway) configure() *config.Config {
+	g.t.Helper()
+	listener, err := new(net.ListenConfig).Listen(g.t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	g.address = listener.Addr().String()
+	listener.Close()
+	path := filepath.Join(g.t.TempDir(), "configuration.json")
+	configuration := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","coordinator":%q,"known":%s,"settings":%s}`, g.address,
+		g.discovery.Address, g.discovery.Snapshot(), settings)
+	if err := os.WriteFile(path, []byte(configuration), 0o600); err != nil {
+		g.t.Fatal(err)
+	}
+	start, err := config.ReadFile(path)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	return start
+}
+
 // query sends a statement and returns 0, or the number and text of the error.
 func (g *gateway) query(id int, lane, statement string) (number uint16, text string) {
 	rows, err := g.db.QueryContext(context.Background(), fmt.Sprintf("/* class=%s,id=%016x,wait=3900 */ %s", lane, id, statement))
@@ -224,12 +251,22 @@
 	if shapes, answers := snapshot.CountRecords(); shapes != 4 || answers != 25 {
 		t.Errorf("%d shapes, %d answers", shapes, answers)
 	}
-	// A restart recovers the snapshot; with half of the file the cost model begins empty, and the log says so.
-	g = startGateway(t, fmt.Sprintf(operatorFile, snapshotFile))
+	checkRestarts(t, snapshotFile)
+}
+
+// A restart recovers the snapshot; with half of the file the cost model begins empty, and the log says so.
+func checkRestarts(t *testing.T, snapshotFile string) {
+	t.Helper()
+	g := startGateway(t, fmt.Sprintf(operatorFile, snapshotFile))
 	g.waitForLog("code=recovered")
 	g.shutDown()
-	b, _ := os.ReadFile(snapshotFile)
-	os.WriteFile(snapshotFile, b[:len(b)/2], 0o600)
+	b, err := os.ReadFile(snapshotFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(snapshotFile, b[:len(b)/2], 0o600); err != nil {
+		t.Fatal(err)
+	}
 	g = startGateway(t, fmt.Sprintf(operatorFile, snapshotFile))
 	g.waitForLog("code=cold error=")
 	g.shutDown()
