--- a/internal/cluster/agent/policyrollout.go
+++ b/internal/cluster/agent/policyrollout.go
@@ -23,7 +23,7 @@
 	// maxPolicyFolderBytes has room for the last sixteen policies of a megabyte each, for as many again while they are
 	// rewritten, and for the log.
 	maxPolicyFolderBytes = 64 << 20
-	// maxParsedPolicies is how many policies are kept that were read, beside those in use.
+	// maxParsedPolicies is how many policies are cached that were read, beside those in use.
 	maxParsedPolicies = 16
 )
 
@@ -54,11 +54,11 @@
 		Persistent:        p.config.Folder != "",
 	}
 	plan.Mutation = rollout.ParseMutation(mutations.names())
-	kept, err := p.openFolder()
+	stored, err := p.openFolder()
 	if err != nil {
 		return nil, err
 	}
-	p.core = rollout.New(now, plan, a.name, a.start, rand.New(rand.NewPCG(a.start, 3)), kept, p)
+	p.core = rollout.New(now, plan, a.name, a.start, rand.New(rand.NewPCG(a.start, 3)), stored, p)
 	return p, nil
 }
 
@@ -71,18 +71,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.policy.folder: %w", err)
 	}
-	kept := &rollout.StoredState{}
+	stored := &rollout.StoredState{}
 	limits := store.Limits{MaxBytes: maxPolicyFolderBytes}
 	p.store, _, err = store.Open(faultdisk.WrapFolder(disk), p.agent.name, limits, func(key store.Key, value []byte, deleted bool) {
-		kept.AddRecord([16]byte(key), slices.Clone(value), deleted)
+		stored.AddRecord([16]byte(key), slices.Clone(value), deleted)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("fleet.policy.folder: %s: %w", p.config.Folder, err)
 	}
-	if err := kept.Err(); err != nil {
+	if err := stored.Err(); err != nil {
 		return nil, errors.Join(fmt.Errorf("fleet.policy.folder: %s: %w", p.config.Folder, err), p.store.Close())
 	}
-	return kept, nil
+	return stored, nil
 }
 
 func (p *policyRollout) tick(now admission.Time) {
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -22,8 +22,8 @@
 	overloadTime admission.Time // after which an engine that has just started is overloaded, by the deployment's rule
 	gatewayIndex int            // of this gateway among the shares
 
-	shares quotaShares         // nil until Start
-	purse  *quota.Synchronized // the same; nil in the testbed's comparison with another way to share
+	shares       quotaShares         // nil until Start
+	synchronized *quota.Synchronized // the same; nil in the testbed's comparison with another way to share
 
 	handover  *shareHandover // nil: the next process begins with nothing
 	confirmed bool           // the share is held under this start and may be used
@@ -102,8 +102,8 @@
 	}
 	s.shares = mutations.replaceQuotaShares(s.agent, now)
 	if s.shares == nil {
-		s.purse = quota.NewSynchronized(s.claim(now))
-		s.shares = s.purse
+		s.synchronized = quota.NewSynchronized(s.claim(now))
+		s.shares = s.synchronized
 	}
 	return nil
 }
@@ -148,8 +148,8 @@
 
 // tick steps the core. A process that had to take a later start than it began with claims the share anew.
 func (s *quotaSharing) tick(now admission.Time) {
-	if s.purse != nil && s.purse.Incarnation() != s.agent.start {
-		s.purse.ReplaceCore(s.claim(now))
+	if s.synchronized != nil && s.synchronized.Incarnation() != s.agent.start {
+		s.synchronized.ReplaceCore(s.claim(now))
 	}
 	s.shares.Tick(now)
 	s.confirmShare(now)
@@ -157,11 +157,11 @@
 
 // confirmShare records that the share is held, and logs that it may be used.
 func (s *quotaSharing) confirmShare(now admission.Time) {
-	if s.confirmed || s.purse == nil {
+	if s.confirmed || s.synchronized == nil {
 		return
 	}
 	var held bool
-	s.purse.WithCore(func(core *quota.Core) { held, s.confirmed = core.ShareStatus(now) })
+	s.synchronized.WithCore(func(core *quota.Core) { held, s.confirmed = core.ShareStatus(now) })
 	if held && s.handover != nil {
 		s.logFolderError(s.handover.confirmClaim())
 	}
@@ -172,11 +172,11 @@
 
 // leave gives the share up, or leaves it to the next process.
 func (s *quotaSharing) leave() {
-	if s.purse == nil {
+	if s.synchronized == nil {
 		return
 	}
 	var free bool
-	s.purse.WithCore(func(core *quota.Core) {
+	s.synchronized.WithCore(func(core *quota.Core) {
 		free = core.ReleaseShares(s.agent.clock.Now())
 		if s.handover == nil {
 			return
@@ -224,7 +224,7 @@
 func (a *Agent) ReplaceQuota(c *QuotaConfig) error {
 	s := a.quota
 	var err error
-	s.purse.WithCore(func(core *quota.Core) {
+	s.synchronized.WithCore(func(core *quota.Core) {
 		if err = core.ReplacePlan(a.clock.Now(), s.newPlan(c)); err != nil {
 			err = fmt.Errorf("fleet.budgets.%w", err)
 			return
@@ -271,10 +271,10 @@
 
 // status reads the budgets as this gateway has them.
 func (s *quotaSharing) status(now admission.Time) (out []BudgetStatus) {
-	if s.purse == nil {
+	if s.synchronized == nil {
 		return nil
 	}
-	for _, b := range s.purse.Statuses(now) {
+	for _, b := range s.synchronized.Statuses(now) {
 		one := BudgetStatus{
 			Budget:       s.name(b.Index),
 			Total:        b.Total,
