--- a/internal/cluster/membership/core_test.go
+++ b/internal/cluster/membership/core_test.go
@@ -9,17 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-// mute is a host that says nothing.
-type mute struct{ changed []EventCode }
+// eventRecorder is a host that records events and sends nothing.
+type eventRecorder struct{ events []EventCode }
 
-func (m *mute) Send(string, []byte)                    {}
-func (m *mute) MemberChanged(code EventCode, _ Member) { m.changed = append(m.changed, code) }
+func (m *eventRecorder) Send(string, []byte)                    {}
+func (m *eventRecorder) MemberChanged(code EventCode, _ Member) { m.events = append(m.events, code) }
 
-func core(name string, start uint64) *Core {
-	return New(0, Member{Name: name, Incarnation: start, Address: name}, nil, rand.New(rand.NewPCG(1, 1)), &mute{})
+func newTestCore(name string, start uint64) *Core {
+	return New(0, Member{Name: name, Incarnation: start, Address: name}, nil, rand.New(rand.NewPCG(1, 1)), &eventRecorder{})
 }
 
-func members(t *rapid.T) Member {
+func drawMember(t *rapid.T) Member {
 	m := Member{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "start"),
 		Refutations: rapid.Uint32Range(0, 2).Draw(t, "refuted"), State: State(rapid.IntRange(0, 3).Draw(t, "state")), Address: "x"}
 	if m.State == Suspect {
@@ -29,14 +29,14 @@
 }
 
 // What is known of members after some statements doesn't depend on their order, nor on how often each comes.
-func TestOrderAndDoubling(t *testing.T) {
+func TestRecordsCountAlikeInAnyOrderAndNumber(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		said := rapid.SliceOfN(rapid.Custom(members), 1, 12).Draw(t, "said")
+		said := rapid.SliceOfN(rapid.Custom(drawMember), 1, 12).Draw(t, "said")
 		other := slices.Clone(said)
 		other = append(other, rapid.SliceOf(rapid.SampledFrom(said)).Draw(t, "again")...)
 		order := rapid.Permutation(other).Draw(t, "order")
 		table := func(list []Member) string {
-			c := core("self", 1)
+			c := newTestCore("self", 1)
 			for _, m := range list {
 				c.learn(m)
 			}
@@ -48,15 +48,15 @@
 	})
 }
 
-func TestMessages(t *testing.T) {
+func TestMessagesAreReadAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := message{kind: kind(rapid.IntRange(1, 3).Draw(t, "kind")), seq: rapid.Uint32().Draw(t, "seq"), from: members(t),
-			about: rapid.StringN(0, 8, mostName).Draw(t, "about"), target: rapid.StringN(0, 8, mostAddress).Draw(t, "target"),
+		m := message{kind: kind(rapid.IntRange(1, 3).Draw(t, "kind")), sequence: rapid.Uint32().Draw(t, "seq"), from: drawMember(t),
+			about: rapid.StringN(0, 8, maxName).Draw(t, "about"), target: rapid.StringN(0, 8, maxAddress).Draw(t, "target"),
 			full: rapid.Bool().Draw(t, "full")}
 		w := newWriter(m)
-		for _, s := range rapid.SliceOfNDistinct(rapid.Custom(members), 0, 3, func(m Member) string { return m.Name }).Draw(t, "said") {
+		for _, s := range rapid.SliceOfNDistinct(rapid.Custom(drawMember), 0, 3, func(m Member) string { return m.Name }).Draw(t, "said") {
 			if w.add(&s) {
-				m.said = append(m.said, s)
+				m.records = append(m.records, s)
 			}
 		}
 		got, err := decode(w.bytes())
@@ -66,14 +66,14 @@
 	})
 }
 
-// Whatever comes, a message is read whole or not at all, and nothing longer than it was takes room.
-func FuzzHeard(f *testing.F) {
-	w := newWriter(message{kind: ping, seq: 7, from: Member{Name: "b", Incarnation: 3, Address: "x:1"}, about: "a"})
+// Whatever comes, a message is read whole or not at all, and takes no more room than its own length.
+func FuzzHandleMessage(f *testing.F) {
+	w := newWriter(message{kind: kindPing, sequence: 7, from: Member{Name: "b", Incarnation: 3, Address: "x:1"}, about: "a"})
 	w.add(&Member{Name: "c", Incarnation: 9, State: Suspect, Accuser: "b", Address: "y:1"})
 	f.Add(w.bytes())
 	f.Add([]byte{version, 1, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c := core("a", 1)
+		c := newTestCore("a", 1)
 		err := c.HandleMessage(1, b)
 		if n := len(c.Members()); err != nil && n > 0 || n > 256 {
 			t.Fatalf("%v, %d members", err, n)
@@ -83,20 +83,20 @@
 }
 
 // A state table that many names are pushed into stays bounded.
-func TestBounded(t *testing.T) {
-	c := core("self", 1)
+func TestTableStaysBounded(t *testing.T) {
+	c := newTestCore("self", 1)
 	for i := range 5000 {
 		c.learn(Member{Name: fmt.Sprint("m", i), Incarnation: 1, State: Dead, Address: "x"})
 	}
 	c.Tick(1)
-	if n := len(c.Members()); n > mostMembers {
+	if n := len(c.Members()); n > maxMembers {
 		t.Errorf("%d members are kept", n)
 	}
 }
 
-func BenchmarkHeard(b *testing.B) {
-	c := core("self", 1)
-	w := newWriter(message{kind: ping, from: Member{Name: "m0", Incarnation: 1, Address: "127.0.0.1:1000"}})
+func BenchmarkHandleMessage(b *testing.B) {
+	c := newTestCore("self", 1)
+	w := newWriter(message{kind: kindPing, from: Member{Name: "m0", Incarnation: 1, Address: "127.0.0.1:1000"}})
 	for i := range 20 {
 		w.add(&Member{Name: fmt.Sprint("m", i), Incarnation: 1, Address: "127.0.0.1:1000"})
 	}
--- a/internal/cluster/membership/format_test.go
+++ b/internal/cluster/membership/format_test.go
@@ -14,8 +14,8 @@
 
 func writeMessage(m message) []byte {
 	w := newWriter(m)
-	for i := range m.said {
-		w.add(&m.said[i])
+	for i := range m.records {
+		w.add(&m.records[i])
 	}
 	return w.bytes()
 }
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -8,72 +8,80 @@
 type kind uint8
 
 const (
-	ping kind = iota + 1
-	ack
-	ask // to probe another member
+	kindPing kind = iota + 1
+	kindAck
+	kindPingRequest // asks a helper to probe another member
 )
 
-// message is what members say to each other. docs/fleet.md has it byte by byte.
+// message is one message between members. docs/fleet.md has it byte by byte.
 type message struct {
-	kind   kind
-	full   bool // a ping that asks for as many members as an answer holds
-	seq    uint32
-	from   Member
-	about  string // whom an ask is to look at, or an answer is from
-	target string // and its address, in an ask
-	said   []Member
+	kind     kind
+	full     bool // a ping that asks for as many members as an answer holds
+	sequence uint32
+	from     Member
+	about    string // the member that a ping request is to probe, or that an answer is from
+	target   string // its address, in a ping request
+	records  []Member
 }
 
-// MaxMessageBytes is the longest message, in bytes: with what others put into the same datagram it stays under what any network carries
-// whole.
+// MaxMessageBytes is the length of the longest message. With what others put into the same datagram it stays below what any network
+// carries in one piece.
 const MaxMessageBytes = 720
 
-// version is the first byte of every message; another's are not read.
-const version = 1
+const (
+	version    = 1    // the first byte of every message; those of other versions are not read
+	fullFlag   = 0x80 // of the kind's byte
+	headBytes  = 6    // version, kind and sequence
+	maxRecords = 255  // in a message
+	// A record with more refutations than this is not read.
+	maxRefutations = 1 << 31
+)
 
-// ErrMessage is what can't be read.
+// ErrMessage reports bytes that are no message of this version.
 var ErrMessage = errors.New("member: no message of this version")
 
+// writer writes a message up to its greatest length.
 type writer struct {
-	b     []byte
-	count int
-	at    int // of the count
-	said  map[string]bool
+	b       []byte
+	count   int // records
+	countAt int // place of the count in b
+	added   map[string]bool
 }
 
 func newWriter(m message) *writer {
 	b := make([]byte, 0, MaxMessageBytes)
 	k := byte(m.kind)
 	if m.full {
-		k |= 0x80
+		k |= fullFlag
 	}
 	b = append(b, version, k)
-	b = binary.BigEndian.AppendUint32(b, m.seq)
+	b = binary.BigEndian.AppendUint32(b, m.sequence)
 	b = appendMember(b, &m.from)
 	b = appendText(b, m.about)
 	b = appendText(b, m.target)
-	w := &writer{b: append(b, 0), said: map[string]bool{}}
-	w.at = len(w.b) - 1
+	w := &writer{b: append(b, 0), added: map[string]bool{}}
+	w.countAt = len(w.b) - 1
 	return w
 }
 
-// add tells whether there was room.
+// add adds a member's record, unless the message has it, and reports whether there was room.
 func (w *writer) add(m *Member) bool {
-	if w.said[m.Name] {
+	if w.added[m.Name] {
 		return true
 	}
-	n := len(w.b)
-	if w.b = appendMember(w.b, m); len(w.b) > MaxMessageBytes || w.count == 255 {
-		w.b = w.b[:n]
+	before := len(w.b)
+	w.b = appendMember(w.b, m)
+	if len(w.b) > MaxMessageBytes || w.count == maxRecords {
+		w.b = w.b[:before]
 		return false
 	}
-	w.said[m.Name] = true
+	w.added[m.Name] = true
 	w.count++
 	return true
 }
 
 func (w *writer) bytes() []byte {
-	w.b[w.at] = byte(w.count)
+	w.b[w.countAt] = byte(w.count)
 	return w.b
 }
 
@@ -91,14 +99,15 @@
 	return b
 }
 
+// reader reads values from what is left of a message, and zero values once a read has failed.
 type reader struct {
-	b   []byte
-	bad bool
+	b      []byte
+	failed bool
 }
 
 func (r *reader) byte() byte {
 	if len(r.b) == 0 {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	v := r.b[0]
@@ -109,7 +118,7 @@
 func (r *reader) text(most int) string {
 	n := int(r.byte())
 	if n > most || n > len(r.b) {
-		r.bad = true
+		r.failed = true
 		return ""
 	}
 	s := string(r.b[:n])
@@ -120,7 +129,7 @@
 func (r *reader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	r.b = r.b[n:]
@@ -128,41 +137,40 @@
 }
 
 func (r *reader) member() (m Member) {
-	m.Name, m.Incarnation = r.text(mostName), r.uvarint()
-	refuted := r.uvarint()
-	m.Refutations, m.State = uint32(refuted), State(r.byte())
-	m.Address = r.text(mostAddress)
+	m.Name, m.Incarnation = r.text(maxName), r.uvarint()
+	refutations := r.uvarint()
+	m.Refutations, m.State = uint32(refutations), State(r.byte())
+	m.Address = r.text(maxAddress)
 	if m.State == Suspect {
-		m.Accuser = r.text(mostName)
+		m.Accuser = r.text(maxName)
 	}
-	if m.Name == "" || m.State > Left || refuted > 1<<31 {
-		r.bad = true
+	if m.Name == "" || m.State > Left || refutations > maxRefutations {
+		r.failed = true
 	}
 	return m
 }
 
-func decode(b []byte) (m message, err error) {
-	if len(b) < 6 || len(b) > MaxMessageBytes || b[0] != version {
-		return m, ErrMessage
+func decode(b []byte) (message, error) {
+	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version {
+		return message{}, ErrMessage
 	}
-	m.kind, m.full = kind(b[1]&^0x80), b[1]&0x80 != 0
-	m.seq = binary.BigEndian.Uint32(b[2:])
-	r := &reader{b: b[6:]}
+	m := message{kind: kind(b[1] &^ fullFlag), full: b[1]&fullFlag != 0, sequence: binary.BigEndian.Uint32(b[2:])}
+	r := &reader{b: b[headBytes:]}
 	m.from = r.member()
-	m.about, m.target = r.text(mostName), r.text(mostAddress)
+	m.about, m.target = r.text(maxName), r.text(maxAddress)
 	for range r.byte() {
-		if r.bad {
+		if r.failed {
 			break
 		}
-		m.said = append(m.said, r.member())
+		m.records = append(m.records, r.member())
 	}
-	if r.bad || len(r.b) > 0 || m.kind < ping || m.kind > ask {
+	if r.failed || len(r.b) > 0 || m.kind < kindPing || m.kind > kindPingRequest {
 		return m, ErrMessage
 	}
 	return m, nil
 }
 
-// ValidNameAndAddress tells whether a name and an address fit into messages.
+// ValidNameAndAddress reports whether a name and an address fit into messages.
 func ValidNameAndAddress(name, address string) bool {
-	return name != "" && len(name) <= mostName && address != "" && len(address) <= mostAddress
+	return name != "" && len(name) <= maxName && address != "" && len(address) <= maxAddress
 }
--- /dev/null
+++ b/internal/cluster/membership/table.go
@@ -0,0 +1,136 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+)
+
+// overrides reports whether a record that was received replaces the one that is known.
+func overrides(received, known *Member) bool {
+	order := cmp.Or(cmp.Compare(received.Refutations, known.Refutations), cmp.Compare(received.State, known.State))
+	if ignoreIncarnations {
+		return order > 0
+	}
+	return cmp.Or(cmp.Compare(received.Incarnation, known.Incarnation), order) > 0
+}
+
+// learn takes in a record of a member, and passes it on if it is new.
+func (c *Core) learn(received Member) {
+	if received.Name == c.self.Name {
+		c.learnOfSelf(received)
+		return
+	}
+	received.StateSince = c.now
+	i, known := c.indexOf(received.Name)
+	if !known {
+		c.addMember(i, received)
+		return
+	}
+	before := c.members[i]
+	if received.State == Suspect && before.State == Suspect && received.sameLife(&before) {
+		c.addAccuser(&c.members[i], received.Accuser)
+		return
+	}
+	if !overrides(&received, &before) {
+		return
+	}
+	c.members[i] = received
+	c.spread(received.Name)
+	c.reportChange(before, received)
+	if received.State == Suspect {
+		c.addAccuser(&c.members[i], received.Accuser)
+	}
+	c.checkPartition()
+}
+
+func (c *Core) addMember(index int, m Member) {
+	if len(c.members) >= 2*maxMembers {
+		return
+	}
+	c.members = slices.Insert(c.members, index, m)
+	c.grewAt = c.now
+	c.spread(m.Name)
+	if m.State <= Suspect {
+		c.host.MemberChanged(Joined, m)
+	}
+	if m.State == Suspect {
+		c.addAccuser(&c.members[index], m.Accuser)
+	}
+	c.checkPartition()
+}
+
+// reportChange tells the host how a member's record has changed.
+func (c *Core) reportChange(before, now Member) {
+	switch {
+	case now.Incarnation > before.Incarnation && now.State <= Suspect:
+		c.host.MemberChanged(Restarted, now)
+	case now.State <= Suspect && before.State >= Dead:
+		c.host.MemberChanged(Joined, now)
+	case now.State == Alive && before.State == Suspect:
+		c.host.MemberChanged(Refuted, now)
+	case now.State == Dead && before.State != Dead:
+		c.host.MemberChanged(Died, now)
+	case now.State == Left && before.State != Left:
+		c.host.MemberChanged(Departed, now)
+	}
+	if now.State == Suspect && before.State != Suspect {
+		c.host.MemberChanged(Suspected, now)
+	}
+}
+
+// learnOfSelf answers a record of this process. A suspicion is refuted. A later incarnation under the same name supersedes this one, unless
+// this one has only just begun and so must be the later.
+func (c *Core) learnOfSelf(received Member) {
+	switch {
+	case received.Incarnation > c.self.Incarnation && c.now-c.began < settledAfter && !c.outbid:
+		c.outbid = true // its clock is behind that of the process before it
+		c.self.Incarnation, c.self.Refutations = received.Incarnation+1, 0
+		c.spread(c.self.Name)
+	case received.Incarnation > c.self.Incarnation:
+		c.inactive = true
+		c.host.MemberChanged(Superseded, received)
+	case received.Incarnation == c.self.Incarnation && received.State != Alive && received.Refutations >= c.self.Refutations:
+		c.self.Refutations = received.Refutations + 1
+		c.changeHealth(1)
+		c.spread(c.self.Name)
+	}
+}
+
+// checkPartition notices when much of the fleet is dead at a time, and when it is back.
+func (c *Core) checkPartition() {
+	const minDead, divisor = 2, 4
+	present := 1 + c.count(func(m *Member) bool { return m.State != Left })
+	partitioned := c.CountDead() >= max(minDead, present/divisor)
+	if partitioned == c.partitioned {
+		return
+	}
+	c.partitioned = partitioned
+	code := Healed
+	if partitioned {
+		code = Partitioned
+	}
+	c.host.MemberChanged(code, c.self)
+}
+
+// forgetMembers drops dead members after their time, and those that have been dead longest where there are too many.
+func (c *Core) forgetMembers() {
+	c.members = slices.DeleteFunc(c.members, func(m Member) bool { return m.State >= Dead && c.now-m.StateSince >= ForgetAfter })
+	for len(c.members) > maxMembers {
+		first := 0
+		for i := range c.members {
+			if forgetBefore(&c.members[i], &c.members[first]) {
+				first = i
+			}
+		}
+		c.members = slices.Delete(c.members, first, first+1)
+	}
+}
+
+// forgetBefore reports whether a member is dropped before another one: the dead before the living, and the older state first.
+func forgetBefore(a, b *Member) bool {
+	aDead, bDead := a.State >= Dead, b.State >= Dead
+	if aDead != bDead {
+		return aDead
+	}
+	return a.StateSince < b.StateSince
+}
