--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -10,6 +10,7 @@
 	"magpiebank/internal/admission"
 	"magpiebank/internal/config"
 	"magpiebank/internal/protocol/mysql"
+	"magpiebank/internal/traffic/capture"
 )
 
 // handleQuery hands a statement in as a request and returns once it has its final answer.
@@ -35,7 +36,7 @@
 	if s.statementReader != nil {
 		s.statementReader.ReadStatement(request.statement, class, request.tables)
 	}
-	s.owner.capture.RecordQuery(request.className, request.tables, parsed.WaitMS, sql, request.statement)
+	s.owner.capture.RecordQuery(capture.Query{Class: request.className, Group: request.tables, WaitMS: parsed.WaitMS, SQL: sql, Statement: request.statement})
 	s.owner.post(requestReceived{session: s, request: request, wait: admission.Time(wait / timeUnit)})
 	s.awaitAnswer(request)
 	for _, attempt := range s.attempts {
--- a/internal/traffic/capture/capture_test.go
+++ b/internal/traffic/capture/capture_test.go
@@ -16,8 +16,10 @@
 	statement = "SELECT 5 FROM actas_3.m"
 )
 
+var query = Query{Class: "look", Group: 3, WaitMS: 700, SQL: []byte(sql), Statement: []byte(statement)}
+
 // What was recorded can be read: fields and shapes, and the text where it was asked for.
-func TestCapture(t *testing.T) {
+func TestRecordedQueriesCanBeRead(t *testing.T) {
 	for _, text := range []bool{false, true} {
 		path := filepath.Join(t.TempDir(), "x.trace")
 		c, err := Start(path, 1<<20, text, quiet)
@@ -25,11 +27,11 @@
 			t.Fatal(err)
 		}
 		for range 100 {
-			c.RecordQuery("look", 3, 700, []byte(sql), []byte(statement))
+			c.RecordQuery(query)
 		}
 		c.Stop()
 		c.Stop()
-		c.RecordQuery("look", 3, 700, []byte(sql), []byte(statement)) // after its end it is left out
+		c.RecordQuery(query) // after its end it is left out
 		got, err := trace.ReadFile(path, false)
 		if err != nil || len(got.Records) != 100 {
 			t.Fatalf("%v, %v", got, err)
@@ -43,12 +45,12 @@
 		}
 	}
 	var none *Recorder
-	none.RecordQuery("look", 3, 700, nil, nil)
+	none.RecordQuery(Query{Class: "look", Group: 3, WaitMS: 700})
 	none.Stop()
 }
 
-// The file keeps to its size, whole, and tasks go on.
-func TestBounded(t *testing.T) {
+// The file keeps to its size, whole, and queries go on.
+func TestFileKeepsToItsSize(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.trace")
 	const most = 4000
 	c, err := Start(path, most, true, quiet)
@@ -56,7 +58,7 @@
 		t.Fatal(err)
 	}
 	for range 5000 {
-		c.RecordQuery("look", 3, 700, []byte(sql), []byte(statement))
+		c.RecordQuery(query)
 	}
 	c.Stop()
 	got, err := trace.ReadFile(path, false)
--- a/internal/traffic/importer/mysql_log.go
+++ b/internal/traffic/importer/mysql_log.go
@@ -8,118 +8,155 @@
 	"time"
 )
 
-// A line of the general log begins with a time, the thread and the command; others go on with the statement above.
+// generalLine matches a line of the general log that begins an entry: a time, which may be absent, the thread, the command
+// and its argument. Other lines go on with the argument of the line above.
 var generalLine = regexp.MustCompile(`^(\d{4}-\d\d-\d\dT[0-9:.]+(?:Z|[+-]\d\d:\d\d)|\d{6}\s+\d{1,2}:\d\d:\d\d|\t)?\t?\s*(\d+) ` +
 	`(Query|Execute|Connect|Quit|Prepare|Close stmt|Init DB|Statistics|Ping|Field List|Reset stmt|Shutdown|Kill)\t?(.*)$`)
 
-func (in *reader) generalLog(r io.Reader) error {
-	s := newLineScanner(r)
-	var last time.Time // of lines that carry none, which old versions leave out where it is the same
-	var open *struct {
-		line      int
-		at        time.Time
-		statement strings.Builder
-	}
+// logStatement is a statement of a log that further lines may belong to.
+type logStatement struct {
+	line      int
+	timestamp time.Time
+	text      strings.Builder
+}
+
+// readGeneralLog reads the server's general log. Old versions leave out a time that is the same as that of the line above.
+func (r *reader) readGeneralLog(in io.Reader) error {
+	scanner := newLineScanner(in)
+	var lastTimestamp time.Time
+	var open *logStatement
 	finish := func() {
 		if open != nil {
-			in.add(open.line, open.at, "", strings.TrimSpace(open.statement.String()), 0, 0, false)
+			r.add(Entry{Timestamp: open.timestamp, Line: open.line}, strings.TrimSpace(open.text.String()))
 			open = nil
 		}
 	}
-	for n := 1; s.Scan(); n++ {
-		m := generalLine.FindStringSubmatch(s.Text())
-		if m == nil {
+	for line := 1; scanner.Scan(); line++ {
+		match := generalLine.FindStringSubmatch(scanner.Text())
+		if match == nil {
 			if open != nil {
-				open.statement.WriteString("\n" + s.Text())
+				open.text.WriteString("\n" + scanner.Text())
 			}
 			continue
 		}
 		finish()
-		if at, err := parseTimestamp(m[1]); err != nil {
-			in.skip(n, "%v", err)
-		} else if !at.IsZero() {
-			last = at
+		timestamp, command, argument := match[1], match[3], match[4]
+		parsed, err := parseTimestamp(timestamp)
+		if err != nil {
+			r.skip(line, "%v", err)
+		} else if !parsed.IsZero() {
+			lastTimestamp = parsed
 		}
-		if m[3] == "Query" || m[3] == "Execute" {
-			open = &struct {
-				line      int
-				at        time.Time
-				statement strings.Builder
-			}{line: n, at: last}
-			open.statement.WriteString(m[4])
+		if command == "Query" || command == "Execute" {
+			open = &logStatement{line: line, timestamp: lastTimestamp}
+			open.text.WriteString(argument)
 		}
 	}
 	finish()
-	return s.Err()
+	return scanner.Err()
 }
 
-// slowLog reads entries of some lines with # and the statement behind them. An entry's time is when it ended, so its
-// query time is taken off.
-func (in *reader) slowLog(r io.Reader) error {
-	s := newLineScanner(r)
-	var at time.Time
-	var took time.Duration
-	var examined int64
-	var statement strings.Builder
-	from, inHead := 0, false
-	finish := func() {
-		text := strings.TrimSpace(statement.String())
-		statement.Reset()
-		if text == "" {
-			return
+// slowLogReader reads the entries of a slow log: header lines that begin with #, and the statement behind them.
+type slowLogReader struct {
+	*reader
+	inHeader     bool
+	ended        time.Time // as the header states
+	elapsed      time.Duration
+	rowsExamined int64
+	firstLine    int // of the statement; 0: no entry has begun
+	statement    strings.Builder
+}
+
+func (r *reader) readSlowLog(in io.Reader) error {
+	scanner := newLineScanner(in)
+	s := slowLogReader{reader: r}
+	for line := 1; scanner.Scan(); line++ {
+		s.readLine(line, scanner.Text())
+	}
+	s.finish()
+	return scanner.Err()
+}
+
+func (s *slowLogReader) readLine(line int, text string) {
+	switch {
+	case strings.HasPrefix(text, "# "):
+		if !s.inHeader {
+			s.finish()
+			s.inHeader = true
 		}
-		begun := at
-		if !begun.IsZero() {
-			begun = begun.Add(-took)
+		s.readHeader(line, text)
+	case s.inHeader && strings.HasPrefix(text, "SET timestamp="):
+		s.readSetTimestamp(text)
+	case s.inHeader && strings.HasPrefix(strings.ToLower(text), "use ") && s.statement.Len() == 0: // the database
+	default:
+		if s.inHeader {
+			s.firstLine, s.inHeader = line, false
+		}
+		if s.firstLine > 0 { // what stands before the first entry is the server's banner
+			s.statement.WriteString(text + "\n")
 		}
-		in.add(from, begun, "", text, 0, 0, false)
-		last := &in.entries[len(in.entries)-1]
-		last.Elapsed, last.RowsExamined = took, examined
-		took, examined = 0, 0
 	}
-	for n := 1; s.Scan(); n++ {
-		line := s.Text()
-		switch {
-		case strings.HasPrefix(line, "# "):
-			if !inHead {
-				finish()
-				inHead = true
-			}
-			if text, ok := strings.CutPrefix(line, "# Time: "); ok {
-				t, err := parseTimestamp(text)
-				if err != nil {
-					in.skip(n, "%v", err)
-				}
-				at = t
-			}
-			if _, rest, ok := strings.Cut(line, "Query_time: "); ok {
-				v, err := strconv.ParseFloat(strings.Fields(rest + " x")[0], 64)
-				if err != nil || !(v >= 0 && v < 1e9) {
-					in.skip(n, "no Query_time that can be read")
-				} else {
-					took = time.Duration(v * float64(time.Second))
-				}
-			}
-			if _, rest, ok := strings.Cut(line, "Rows_examined: "); ok {
-				if v, err := strconv.ParseInt(strings.Fields(rest + " x")[0], 10, 64); err == nil && v >= 0 {
-					examined = v
-				}
-			}
-		case inHead && strings.HasPrefix(line, "SET timestamp="):
-			v, err := strconv.ParseInt(strings.TrimRight(strings.TrimPrefix(line, "SET timestamp="), ";"), 10, 64)
-			if err == nil && at.IsZero() {
-				at = time.Unix(v, 0)
-			}
-		case inHead && strings.HasPrefix(strings.ToLower(line), "use ") && statement.Len() == 0:
-		default:
-			if inHead {
-				from, inHead = n, false
-			}
-			if from > 0 { // what stands before the first entry is the server's banner
-				statement.WriteString(line + "\n")
-			}
+}
+
+// maxQuerySeconds bounds the time of a query.
+const maxQuerySeconds = 1e9
+
+func (s *slowLogReader) readHeader(line int, text string) {
+	if timestamp, ok := strings.CutPrefix(text, "# Time: "); ok {
+		ended, err := parseTimestamp(timestamp)
+		if err != nil {
+			s.skip(line, "%v", err)
 		}
+		s.ended = ended
 	}
-	finish()
-	return s.Err()
+	if field, ok := headerField(text, "Query_time: "); ok {
+		seconds, err := strconv.ParseFloat(field, 64)
+		if err != nil || !(seconds >= 0 && seconds < maxQuerySeconds) {
+			s.skip(line, "no Query_time that can be read")
+		} else {
+			s.elapsed = time.Duration(seconds * float64(time.Second))
+		}
+	}
+	if field, ok := headerField(text, "Rows_examined: "); ok {
+		rows, err := strconv.ParseInt(field, 10, 64)
+		if err == nil && rows >= 0 {
+			s.rowsExamined = rows
+		}
+	}
+}
+
+// headerField returns the word behind a field's name; ok tells whether the name stands there.
+func headerField(text, name string) (field string, ok bool) {
+	_, rest, ok := strings.Cut(text, name)
+	if !ok {
+		return "", false
+	}
+	words := strings.Fields(rest)
+	if len(words) == 0 {
+		return "", true
+	}
+	return words[0], true
+}
+
+// readSetTimestamp reads the time of an entry whose header states none.
+func (s *slowLogReader) readSetTimestamp(text string) {
+	seconds, err := strconv.ParseInt(strings.TrimRight(strings.TrimPrefix(text, "SET timestamp="), ";"), 10, 64)
+	if err == nil && s.ended.IsZero() {
+		s.ended = time.Unix(seconds, 0)
+	}
+}
+
+// finish adds the entry whose statement is complete. Its time is when it ended, so the elapsed time is taken off.
+func (s *slowLogReader) finish() {
+	text := strings.TrimSpace(s.statement.String())
+	s.statement.Reset()
+	if text == "" {
+		return
+	}
+	began := s.ended
+	if !began.IsZero() {
+		began = began.Add(-s.elapsed)
+	}
+	s.add(Entry{Timestamp: began, Line: s.firstLine, Elapsed: s.elapsed, RowsExamined: s.rowsExamined}, text)
+	s.elapsed, s.rowsExamined = 0, 0
 }
--- a/internal/traffic/importer/read.go
+++ b/internal/traffic/importer/read.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math"
 	"strconv"
 	"strings"
 	"time"
@@ -17,10 +18,10 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-// Format names what a recording is written in.
+// Format is the format of a recording.
 type Format string
 
-// The forms that can be read.
+// The formats that can be read.
 const (
 	JSONLines  Format = "jsonl"
 	CSV        Format = "csv"
@@ -28,176 +29,194 @@
 	SlowLog    Format = "mysql-slow"
 )
 
-// Options are what a reader can't see in the file.
+// Options complete what a recording does not say.
 type Options struct {
 	Class    string            // of entries that name none
 	Wait     time.Duration     // of entries that state none
-	Columns  map[string]string // of CSV and JSON lines: time, lane, group, wait_ms, retry, statement to the names there
-	KeepText bool              // statements are kept, not their shapes only
+	Columns  map[string]string // of CSV and JSON lines: their names for time, lane, group, wait_ms, retry and statement
+	KeepText bool              // keep statements and not only their shapes
 }
 
-// Read reads a recording. Entries that can't be read are listed by line and passed over.
-func Read(r io.Reader, form Format, o Options) (raws []Entry, amiss []string, err error) {
-	in := &reader{options: o}
-	switch form {
+// Read reads a recording. Malformed entries are skipped, and listed with their lines. The error is that of a recording
+// that can't be read at all.
+func Read(in io.Reader, format Format, options Options) (entries []Entry, malformed []string, err error) {
+	r := &reader{options: options}
+	switch format {
 	case JSONLines:
-		err = in.jsonLines(r)
+		err = r.readJSONLines(in)
 	case CSV:
-		err = in.csv(r)
+		err = r.readCSV(in)
 	case GeneralLog:
-		err = in.generalLog(r)
+		err = r.readGeneralLog(in)
 	case SlowLog:
-		err = in.slowLog(r)
+		err = r.readSlowLog(in)
 	default:
-		return nil, nil, fmt.Errorf("form %q: expected jsonl, csv, mysql-general or mysql-slow", form)
+		return nil, nil, fmt.Errorf("form %q: expected jsonl, csv, mysql-general or mysql-slow", format)
 	}
-	return in.entries, in.malformed, err
+	return r.entries, r.malformed, err
 }
 
+// reader collects the entries of a recording.
 type reader struct {
-	options        Options
-	entries        []Entry
-	malformed      []string
-	malformedCount int
+	options   Options
+	entries   []Entry
+	malformed []string
 }
 
-// maxMalformed bounds the list of entries that can't be read; those behind are counted.
+// maxMalformed bounds the list of malformed entries.
 const maxMalformed = 100
 
-func (in *reader) skip(line int, format string, args ...any) {
-	if in.malformedCount++; len(in.malformed) < maxMalformed {
-		in.malformed = append(in.malformed, fmt.Sprintf("line %d: ", line)+fmt.Sprintf(format, args...))
+// skip notes that an entry, or a field of it, is malformed.
+func (r *reader) skip(line int, format string, args ...any) {
+	if len(r.malformed) < maxMalformed {
+		r.malformed = append(r.malformed, fmt.Sprintf("line %d: ", line)+fmt.Sprintf(format, args...))
 	}
 }
 
-// longest line or statement that is read.
+// maxLineBytes is the length of the longest line that is read.
 const maxLineBytes = 1 << 20
 
-func newLineScanner(r io.Reader) *bufio.Scanner {
-	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 1<<16), maxLineBytes)
+const lineBufferBytes = 1 << 16
+
+func newLineScanner(in io.Reader) *bufio.Scanner {
+	s := bufio.NewScanner(in)
+	s.Buffer(make([]byte, lineBufferBytes), maxLineBytes)
 	return s
 }
 
-func (in *reader) columnName(name string) string {
-	if c := in.options.Columns[name]; c != "" {
-		return c
+// columnName returns the recording's name of a column.
+func (r *reader) columnName(name string) string {
+	if renamed := r.options.Columns[name]; renamed != "" {
+		return renamed
 	}
 	return name
 }
 
-// add takes an entry in.
-func (in *reader) add(line int, stamp time.Time, lane, statement string, group int, waitMS int64, retry bool) {
-	r := trace.Record{Class: lane, Group: group, WaitMS: waitMS, Retry: retry}
+// add adds an entry whose record has what the recording says of it, and completes the record from its statement, which
+// may have the fields of the gateway's clients, and from the options.
+func (r *reader) add(entry Entry, statement string) {
+	record := &entry.Record
 	if statement != "" {
-		text := []byte(statement)
-		if request, err := mysql.ReadRequest(text); err == nil { // fields of our own protocol
-			if r.Class == "" {
-				r.Class = string(request.Class)
-			}
-			if r.WaitMS == 0 {
-				r.WaitMS = request.WaitMS
-			}
-			text = request.Statement
-		}
-		r.Shape = sqltext.Shape(text)
-		if r.Group == 0 {
-			r.Group = mysql.TableGroup(text)
+		r.completeFromStatement(record, []byte(statement))
+	}
+	if record.Class == "" {
+		record.Class = r.options.Class
+	}
+	if record.WaitMS == 0 {
+		record.WaitMS = r.options.Wait.Milliseconds()
+	}
+	r.entries = append(r.entries, entry)
+}
+
+func (r *reader) completeFromStatement(record *trace.Record, text []byte) {
+	request, err := mysql.ReadRequest(text)
+	if err == nil {
+		if record.Class == "" {
+			record.Class = string(request.Class)
 		}
-		if in.options.KeepText {
-			r.Text = string(text)
+		if record.WaitMS == 0 {
+			record.WaitMS = request.WaitMS
 		}
+		text = request.Statement
 	}
-	if r.Class == "" {
-		r.Class = in.options.Class
+	record.Shape = sqltext.Shape(text)
+	if record.Group == 0 {
+		record.Group = mysql.TableGroup(text)
 	}
-	if r.WaitMS == 0 {
-		r.WaitMS = in.options.Wait.Milliseconds()
+	if r.options.KeepText {
+		record.Text = string(text)
 	}
-	in.entries = append(in.entries, Entry{Timestamp: stamp, Line: line, Record: r})
 }
 
-func (in *reader) jsonLines(r io.Reader) error {
-	s := newLineScanner(r)
-	for n := 1; s.Scan(); n++ {
-		text := bytes.TrimSpace(s.Bytes())
+func (r *reader) readJSONLines(in io.Reader) error {
+	scanner := newLineScanner(in)
+	for line := 1; scanner.Scan(); line++ {
+		text := bytes.TrimSpace(scanner.Bytes())
 		if len(text) == 0 {
 			continue
 		}
-		var entry map[string]any
-		d := json.NewDecoder(bytes.NewReader(text))
-		d.UseNumber()
-		if err := d.Decode(&entry); err != nil {
-			in.skip(n, "no JSON object: %v", err)
+		var fields map[string]any
+		decoder := json.NewDecoder(bytes.NewReader(text))
+		decoder.UseNumber()
+		if err := decoder.Decode(&fields); err != nil {
+			r.skip(line, "no JSON object: %v", err)
 			continue
 		}
-		in.addFields(n, func(name string) string {
-			switch v := entry[in.columnName(name)].(type) {
+		r.addFields(line, func(name string) string {
+			switch value := fields[r.columnName(name)].(type) {
 			case nil:
 				return ""
 			case string:
-				return v
+				return value
 			default:
-				return fmt.Sprint(v)
+				return fmt.Sprint(value)
 			}
 		})
 	}
-	return s.Err()
+	return scanner.Err()
 }
 
-// addFields takes in an entry whose parts have names.
-func (in *reader) addFields(line int, get func(string) string) {
-	at, err := parseTimestamp(get("time"))
+// addFields adds an entry whose fields have names; field returns the text of one, "" if the entry does not have it.
+func (r *reader) addFields(line int, field func(name string) string) {
+	timestamp, err := parseTimestamp(field("time"))
 	if err != nil {
-		in.skip(line, "%v; it counts as one without a stamp", err)
+		r.skip(line, "%v; it counts as one without a stamp", err)
 	}
-	number := func(name string) int64 {
-		text := get(name)
-		if text == "" {
-			return 0
-		}
-		v, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(v >= 0 && v < 1e12) {
-			in.skip(line, "%s %q: expected a number from 0; left out", name, text)
-			return 0
-		}
-		return int64(v)
+	retry := field("retry")
+	r.add(Entry{Timestamp: timestamp, Line: line, Record: trace.Record{
+		Class:  field("lane"),
+		Group:  int(r.parseNumber(line, "group", field("group"))),
+		WaitMS: r.parseNumber(line, "wait_ms", field("wait_ms")),
+		Retry:  retry == "1" || strings.EqualFold(retry, "true"),
+	}}, field("statement"))
+}
+
+// maxNumber bounds numbers in fields.
+const maxNumber = 1e12
+
+// parseNumber parses the text of a field that is a number; an absent or malformed one is 0.
+func (r *reader) parseNumber(line int, name, text string) int64 {
+	if text == "" {
+		return 0
+	}
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(number) || number < 0 || number >= maxNumber {
+		r.skip(line, "%s %q: expected a number from 0; left out", name, text)
+		return 0
 	}
-	retry := get("retry")
-	in.add(line, at, get("lane"), get("statement"), int(number("group")), number("wait_ms"),
-		retry == "1" || strings.EqualFold(retry, "true"))
+	return int64(number)
 }
 
-func (in *reader) csv(r io.Reader) error {
-	c := csv.NewReader(r)
-	c.FieldsPerRecord = -1
-	c.LazyQuotes = true
-	head, err := c.Read()
+func (r *reader) readCSV(in io.Reader) error {
+	rows := csv.NewReader(in)
+	rows.FieldsPerRecord = -1 // rows may differ in length
+	rows.LazyQuotes = true
+	header, err := rows.Read()
 	if err != nil {
 		return fmt.Errorf("line 1: expected the names of columns: %w", err)
 	}
-	at := map[string]int{}
-	for i, name := range head {
-		at[strings.TrimSpace(name)] = i
+	columns := map[string]int{}
+	for i, name := range header {
+		columns[strings.TrimSpace(name)] = i
 	}
-	if _, ok := at[in.columnName("time")]; !ok {
-		return fmt.Errorf("line 1: no column %q for the time; columns are %q", in.columnName("time"), head)
+	if _, ok := columns[r.columnName("time")]; !ok {
+		return fmt.Errorf("line 1: no column %q for the time; columns are %q", r.columnName("time"), header)
 	}
 	for {
-		row, err := c.Read()
-		line, _ := c.FieldPos(0)
-		var bad *csv.ParseError
+		row, err := rows.Read()
+		line, _ := rows.FieldPos(0)
+		var malformed *csv.ParseError
 		switch {
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return nil
-		case errors.As(err, &bad):
-			in.skip(bad.Line, "%v", bad.Err)
+		case errors.As(err, &malformed):
+			r.skip(malformed.Line, "%v", malformed.Err)
 			continue
 		case err != nil:
 			return err
 		}
-		in.addFields(line, func(name string) string {
-			if i, ok := at[in.columnName(name)]; ok && i < len(row) {
+		r.addFields(line, func(name string) string {
+			if i, ok := columns[r.columnName(name)]; ok && i < len(row) {
 				return row[i]
 			}
 			return ""
--- a/internal/traffic/importer/repair.go
+++ b/internal/traffic/importer/repair.go
@@ -1,4 +1,4 @@
-// Package importer makes traces out of what other programs recorded, and mends what clocks did to them.
+// Package importer makes traces of what other programs have recorded, and repairs timestamps that a clock has spoilt.
 package importer
 
 import (
@@ -9,37 +9,38 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-// Entry is one entry as it was recorded, in the order of the file.
+// Entry is one entry of a recording, in the recording's order.
 type Entry struct {
-	Timestamp time.Time // zero: it had none that could be read
-	Line      int       // where it stood
+	Timestamp time.Time // zero: it has none that can be read
+	Line      int       // of the recording, from 1
 	Record    trace.Record
 
-	Elapsed      time.Duration // as a slow log tells; 0: not told
-	RowsExamined int64         // rows, likewise
+	// From a slow log; 0: not known.
+	Elapsed      time.Duration
+	RowsExamined int64
 }
 
-// ClockRepair is how stamps are mended.
+// ClockRepair has the rules by which timestamps are repaired.
 type ClockRepair struct {
-	KeepGaps         bool          // long gaps are quiet times, not jumps of the clock
+	KeepGaps         bool          // long gaps are quiet times and not jumps of the clock
 	MaxGap           time.Duration // a longer gap is a jump of the clock; 0: one minute
-	ReorderTolerance time.Duration // entries that are so little out of order are not a jump back; 0: one second
+	ReorderTolerance time.Duration // entries that are out of order by up to this are no jump back; 0: one second
 }
 
-// A minute without one task is longer than any pause seen in a service worth recording, and clocks that are set jump
-// by more; writers of logs hold entries back for less than a second.
+// A minute without a query is longer than any pause of a service worth recording, and a clock that is set jumps by more.
+// Writers of logs hold entries back for less than a second.
 const (
 	defaultMaxGap           = time.Minute
 	defaultReorderTolerance = time.Second
 )
 
-// Repair is one thing that was mended.
+// Repair is one repair.
 type Repair struct {
 	Line    int           `json:"line"`
 	Kind    string        `json:"kind"`
 	Count   int           `json:"count"`   // of entries that it concerns
-	Jump    time.Duration `json:"by_ns"`   // of a jump: how far
-	Applied time.Duration `json:"used_ns"` // the gap, or the span, that stands there now
+	Jump    time.Duration `json:"by_ns"`   // of the clock
+	Applied time.Duration `json:"used_ns"` // the gap or span that stands there now
 }
 
 func (r Repair) String() string {
@@ -48,66 +49,94 @@
 
 // The kinds of repairs, with their rules.
 const (
-	JumpBack              = "the clock jumped back"              // order is kept; the usual gap stands between the two entries
-	JumpForward           = "the clock jumped forward"           // the usual gap, unless long gaps are kept
-	OutOfOrder            = "entries are a little out of order"  // order is kept; the later one's time counts for both
-	NoTimestamp           = "entries have no stamp"              // they get the time of the one before
-	RepeatedFewTimestamps = "stamps are shared by a few entries" // as those; from this line on, listed once
-	RepeatedTimestamp     = "a stamp is repeated"                // the entries are spread evenly up to the next stamp
+	// The entries keep their order, with the mean gap between them.
+	JumpBack = "the clock jumped back"
+	// The mean gap stands in place of the jump, unless ClockRepair.KeepGaps is set.
+	JumpForward = "the clock jumped forward"
+	// The entries keep their order, and the later time counts for both.
+	OutOfOrder = "entries are a little out of order"
+	// The entries get the time of the one before.
+	NoTimestamp = "entries have no stamp"
+	// The entries are spread evenly up to the next timestamp; listed once for all such entries from the line on.
+	RepeatedFewTimestamps = "stamps are shared by a few entries"
+	// The entries are spread evenly up to the next timestamp.
+	RepeatedTimestamp = "a stamp is repeated"
 )
 
-// maxSpread is the span over which entries of one stamp may be spread, if the usual gap between so many doesn't ask
-// for more: stamps of whole seconds, as a rule, stand for any time in theirs, and a clock that stood still for all of
-// them.
+// maxSpread is the span over which entries of one timestamp are spread at most, unless the mean gap between so many asks
+// for more. A timestamp of whole seconds stands for any time in its second, and a clock that stood still has one for all
+// entries.
 const maxSpread = time.Second
 
-// minListed is how many entries of one stamp are worth a line of their own: fewer come of chance where stamps are coarse.
+// minListed is how many entries of one timestamp are listed as a repair of their own; fewer come by chance if timestamps
+// are coarse.
 const minListed = 10
 
-// RepairClock gives entries times from the trace's start on that never go back, and lists what was mended.
-func RepairClock(raws []Entry, c ClockRepair) (*trace.Trace, []Repair) {
+// RepairClock makes a trace of entries, whose times count from the trace's start and never go back, and lists what was
+// repaired.
+func RepairClock(entries []Entry, c ClockRepair) (*trace.Trace, []Repair) {
 	if c.MaxGap <= 0 {
 		c.MaxGap = defaultMaxGap
 	}
 	if c.ReorderTolerance <= 0 {
 		c.ReorderTolerance = defaultReorderTolerance
 	}
-	t := &trace.Trace{Records: make([]trace.Record, len(raws))}
-	var repairs []Repair
-	usual := meanGap(raws, c)
-	var last time.Time // stamp before
-	var at time.Duration
-	for i := range raws {
-		r := &raws[i]
-		t.Records[i] = r.Record
-		switch {
-		case r.Timestamp.IsZero():
-			repairs = addRepair(repairs, Repair{r.Line, NoTimestamp, 1, 0, 0}, i > 0 && raws[i-1].Timestamp.IsZero())
-		case last.IsZero():
-			t.Start, last = r.Timestamp, r.Timestamp
-		default:
-			gap := r.Timestamp.Sub(last)
-			switch {
-			case gap < -c.ReorderTolerance:
-				repairs = append(repairs, Repair{r.Line, JumpBack, 1, gap, usual})
-				gap, last = usual, r.Timestamp
-			case gap < 0:
-				repairs = addRepair(repairs, Repair{r.Line, OutOfOrder, 1, gap, 0}, false)
-				gap = 0 // the stamp before goes on counting, so that no time is added
-			case gap > c.MaxGap && !c.KeepGaps:
-				repairs = append(repairs, Repair{r.Line, JumpForward, 1, gap, usual})
-				gap, last = usual, r.Timestamp
-			default:
-				last = r.Timestamp
-			}
-			at += gap
-		}
-		t.Records[i].Offset = at
+	r := clockRepairer{
+		rules:    c,
+		entries:  entries,
+		trace:    &trace.Trace{Records: make([]trace.Record, len(entries))},
+		usualGap: meanGap(entries, c),
+	}
+	var offset time.Duration
+	for i := range entries {
+		offset += r.gapBefore(i)
+		r.trace.Records[i] = entries[i].Record
+		r.trace.Records[i].Offset = offset
 	}
-	return t, spreadTimestamps(t, raws, usual, repairs)
+	r.spreadTimestamps()
+	return r.trace, r.repairs
+}
+
+// clockRepairer is the state of a repair.
+type clockRepairer struct {
+	rules    ClockRepair
+	entries  []Entry
+	trace    *trace.Trace
+	usualGap time.Duration // stands in for gaps that are not to be believed
+	repairs  []Repair
+	previous time.Time // the last timestamp that counted
 }
 
-// addRepair adds a repair, or counts it with the one before where they are one.
+// gapBefore returns the time between an entry and the one before, and notes a repair.
+func (r *clockRepairer) gapBefore(i int) time.Duration {
+	entry := &r.entries[i]
+	if entry.Timestamp.IsZero() {
+		follows := i > 0 && r.entries[i-1].Timestamp.IsZero()
+		r.repairs = addRepair(r.repairs, Repair{entry.Line, NoTimestamp, 1, 0, 0}, follows)
+		return 0
+	}
+	if r.previous.IsZero() {
+		r.trace.Start, r.previous = entry.Timestamp, entry.Timestamp
+		return 0
+	}
+	gap := entry.Timestamp.Sub(r.previous)
+	if gap < 0 && gap >= -r.rules.ReorderTolerance {
+		r.repairs = addRepair(r.repairs, Repair{entry.Line, OutOfOrder, 1, gap, 0}, false)
+		return 0 // the timestamp before goes on counting, so that no time is added
+	}
+	r.previous = entry.Timestamp
+	switch {
+	case gap < 0:
+		r.repairs = append(r.repairs, Repair{entry.Line, JumpBack, 1, gap, r.usualGap})
+		return r.usualGap
+	case gap > r.rules.MaxGap && !r.rules.KeepGaps:
+		r.repairs = append(r.repairs, Repair{entry.Line, JumpForward, 1, gap, r.usualGap})
+		return r.usualGap
+	}
+	return gap
+}
+
+// addRepair adds a repair, or counts it with the one before if same is set and both are of one kind.
 func addRepair(repairs []Repair, r Repair, same bool) []Repair {
 	if n := len(repairs); n > 0 && same && repairs[n-1].Kind == r.Kind {
 		repairs[n-1].Count++
@@ -116,59 +145,65 @@
 	return append(repairs, r)
 }
 
-// meanGap is the mean of the gaps that are no jumps: what has no time of its own gets it.
-func meanGap(raws []Entry, c ClockRepair) time.Duration {
+// meanGap returns the mean of the gaps that are no jumps of the clock.
+func meanGap(entries []Entry, c ClockRepair) time.Duration {
 	var sum time.Duration
-	n := 0
-	var last time.Time
-	for i := range raws {
-		if raws[i].Timestamp.IsZero() {
+	count := 0
+	var previous time.Time
+	for i := range entries {
+		timestamp := entries[i].Timestamp
+		if timestamp.IsZero() {
 			continue
 		}
-		if gap := raws[i].Timestamp.Sub(last); !last.IsZero() && gap >= 0 && gap <= c.MaxGap {
+		if gap := timestamp.Sub(previous); !previous.IsZero() && gap >= 0 && gap <= c.MaxGap {
 			sum += gap
-			n++
+			count++
 		}
-		last = raws[i].Timestamp
+		previous = timestamp
 	}
-	if n == 0 {
+	if count == 0 {
 		return 0
 	}
-	return sum / time.Duration(n)
+	return sum / time.Duration(count)
 }
 
-// spreadTimestamps moves entries that share a time apart: evenly up to the next entry, but over no more than mostSpread.
-func spreadTimestamps(t *trace.Trace, raws []Entry, usual time.Duration, repairs []Repair) []Repair {
+// spreadTimestamps moves entries that share a time apart, evenly up to the next entry, but over no more than maxSpread.
+func (r *clockRepairer) spreadTimestamps() {
+	records := r.trace.Records
 	var few Repair
-	for i := 0; i < len(t.Records); {
-		k := i + 1
-		for k < len(t.Records) && t.Records[k].Offset == t.Records[i].Offset {
-			k++
+	for first := 0; first < len(records); {
+		end := first + 1
+		for end < len(records) && records[end].Offset == records[first].Offset {
+			end++
 		}
-		if n := k - i; n > 1 {
-			room := time.Duration(n) * max(usual, time.Microsecond)
-			if k < len(t.Records) {
-				room = t.Records[k].Offset - t.Records[i].Offset
-			}
-			room = min(room, max(maxSpread, time.Duration(n)*usual))
-			for j := i; j < k; j++ {
-				t.Records[j].Offset += room * time.Duration(j-i) / time.Duration(n)
-			}
-			if n >= minListed {
-				repairs = append(repairs, Repair{raws[i].Line, RepeatedTimestamp, n, 0, room})
-			} else {
-				if few.Count == 0 {
-					few = Repair{raws[i].Line, RepeatedFewTimestamps, 0, 0, 0}
-				}
-				few.Count += n
-				few.Applied = max(few.Applied, room)
+		if count := end - first; count >= minListed {
+			span := r.spread(first, end)
+			r.repairs = append(r.repairs, Repair{r.entries[first].Line, RepeatedTimestamp, count, 0, span})
+		} else if count > 1 {
+			if few.Count == 0 {
+				few = Repair{r.entries[first].Line, RepeatedFewTimestamps, 0, 0, 0}
 			}
+			few.Count += count
+			few.Applied = max(few.Applied, r.spread(first, end))
 		}
-		i = k
+		first = end
 	}
 	if few.Count > 0 {
-		repairs = append(repairs, few)
+		r.repairs = append(r.repairs, few)
+	}
+	slices.SortStableFunc(r.repairs, func(a, b Repair) int { return a.Line - b.Line })
+}
+
+// spread spreads the records from first to before end evenly, and returns over which time.
+func (r *clockRepairer) spread(first, end int) time.Duration {
+	records, count := r.trace.Records, time.Duration(end-first)
+	span := count * max(r.usualGap, time.Microsecond)
+	if end < len(records) {
+		span = records[end].Offset - records[first].Offset
+	}
+	span = min(span, max(maxSpread, count*r.usualGap))
+	for i := range records[first:end] {
+		records[first+i].Offset += span * time.Duration(i) / count
 	}
-	slices.SortStableFunc(repairs, func(a, b Repair) int { return a.Line - b.Line })
-	return repairs
+	return span
 }
--- a/internal/traffic/importer/timestamp.go
+++ b/internal/traffic/importer/timestamp.go
@@ -8,37 +8,52 @@
 	"time"
 )
 
-// parseTimestamp reads a time: RFC 3339, MySQL's own form, or a number of seconds, milliseconds, micro- or nanoseconds since
-// 1970, told apart by its size.
+// The numbers from which a time since 1970 is in smaller units than seconds.
+const (
+	fromMillis = 1e11
+	fromMicros = 1e14
+	fromNanos  = 1e17
+	maxEpoch   = 1e20
+)
+
+// timestampLayouts are the layouts of timestamps that are no numbers: RFC 3339, and MySQL's own.
+var timestampLayouts = []string{time.RFC3339Nano, "2006-01-02T15:04:05.999999", "2006-01-02 15:04:05.999999", "060102 15:04:05"}
+
+// parseTimestamp parses a time in one of the layouts, or as a number of seconds, milliseconds, micro- or nanoseconds since
+// 1970, told apart by its size. An empty text is the zero time.
 func parseTimestamp(text string) (time.Time, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
 		return time.Time{}, nil
 	}
-	if v, err := strconv.ParseFloat(text, 64); err == nil {
-		if v < 0 || math.IsNaN(v) || v > 1e20 {
-			return time.Time{}, fmt.Errorf("time %q can't be", text)
+	if number, err := strconv.ParseFloat(text, 64); err == nil {
+		return parseEpoch(text, number)
+	}
+	for _, layout := range timestampLayouts {
+		if t, err := time.Parse(layout, text); err == nil {
+			return t, nil
 		}
-		whole, err := strconv.ParseInt(text, 10, 64)
+	}
+	return time.Time{}, fmt.Errorf("time %q: expected RFC 3339 or a number since 1970", text)
+}
+
+func parseEpoch(text string, number float64) (time.Time, error) {
+	if number < 0 || math.IsNaN(number) || number > maxEpoch {
+		return time.Time{}, fmt.Errorf("time %q can't be", text)
+	}
+	if whole, err := strconv.ParseInt(text, 10, 64); err == nil {
 		switch {
-		case err == nil && v >= 1e17:
+		case number >= fromNanos:
 			return time.Unix(0, whole), nil
-		case err == nil && v >= 1e14:
+		case number >= fromMicros:
 			return time.UnixMicro(whole), nil
-		case err == nil && v >= 1e11:
+		case number >= fromMillis:
 			return time.UnixMilli(whole), nil
 		}
-		for v >= 1e11 {
-			v /= 1000
-		}
-		seconds, rest := math.Modf(v)
-		return time.Unix(int64(seconds), int64(rest*1e9)), nil
 	}
-	for _, form := range []string{time.RFC3339Nano, "2006-01-02T15:04:05.999999", "2006-01-02 15:04:05.999999",
-		"060102 15:04:05"} {
-		if t, err := time.Parse(form, text); err == nil {
-			return t, nil
-		}
+	for number >= fromMillis {
+		number /= 1000
 	}
-	return time.Time{}, fmt.Errorf("time %q: expected RFC 3339 or a number since 1970", text)
+	seconds, fraction := math.Modf(number)
+	return time.Unix(int64(seconds), int64(fraction*1e9)), nil
 }
--- a/internal/traffic/importer/transform.go
+++ b/internal/traffic/importer/transform.go
@@ -1,13 +1,14 @@
 package importer
 
 import (
-	"magpiebank/internal/traffic/trace"
 	"math/rand"
 	"slices"
 	"time"
+
+	"magpiebank/internal/traffic/trace"
 )
 
-// Trim keeps what lies between two times, and lets it begin at 0.
+// Trim returns the part of a trace between two offsets, which begins at 0; without a bound if to is 0.
 func Trim(t *trace.Trace, from, to time.Duration) *trace.Trace {
 	out := &trace.Trace{Start: t.Start.Add(from)}
 	for _, r := range t.Records {
@@ -19,7 +20,7 @@
 	return out
 }
 
-// Accelerate plays a trace so many times as fast.
+// Accelerate returns a trace that is so many times as fast.
 func Accelerate(t *trace.Trace, times float64) *trace.Trace {
 	out := &trace.Trace{Start: t.Start, Records: slices.Clone(t.Records)}
 	for i := range out.Records {
@@ -28,7 +29,7 @@
 	return out
 }
 
-// Sample keeps a share of the records, drawn by a seed.
+// Sample returns a trace with a share of the records, which are drawn by a seed.
 func Sample(t *trace.Trace, share float64, seed int64) *trace.Trace {
 	r := rand.New(rand.NewSource(seed))
 	out := &trace.Trace{Start: t.Start}
@@ -40,7 +41,7 @@
 	return out
 }
 
-// Repeat plays a trace so many times, one behind the other, the mean gap between them.
+// Repeat returns a trace that runs so many times, with the mean gap between the runs.
 func Repeat(t *trace.Trace, times int) *trace.Trace {
 	out := &trace.Trace{Start: t.Start}
 	if len(t.Records) == 0 {
