--- a/internal/cluster/rollout/exploration.go
+++ b/internal/cluster/rollout/exploration.go
@@ -95,10 +95,10 @@
 }
 
 // ApplyEncoded applies an entry of the voters' log. It passes over one that it can't decode, as voters do.
-func (b *Table) ApplyEncoded(encoded []byte) {
+func (t *Table) ApplyEncoded(encoded []byte) {
 	var e logEntry
 	if unmarshal(encoded, &e) == nil {
-		b.apply(&e)
+		t.apply(&e)
 	}
 }
 
--- a/internal/cluster/rollout/format_folder_test.go
+++ b/internal/cluster/rollout/format_folder_test.go
@@ -17,10 +17,10 @@
 	entries [][]byte
 }
 
-func (h *replayHost) SnapshotInstalled(_ uint64, state []byte)                    { h.state = state }
-func (h *replayHost) VotersChanged(_ uint64, _ []byte, voters, learners []uint64) {}
-func (h *replayHost) EntryApplied(_ uint64, entry []byte)                         { h.entries = append(h.entries, entry) }
-func (h *replayHost) LeadershipChanged(uint64)                                    {}
+func (h *replayHost) SnapshotInstalled(_ uint64, state []byte)         { h.state = state }
+func (h *replayHost) VotersChanged(uint64, []byte, []uint64, []uint64) {}
+func (h *replayHost) EntryApplied(_ uint64, entry []byte)              { h.entries = append(h.entries, entry) }
+func (h *replayHost) LeadershipChanged(uint64)                         {}
 
 func TestFolderOfEarlierVersionIsRead(t *testing.T) {
 	folder, err := store.OpenFolder(golden.CopyFolder(t, "folder")) // a store that is opened writes to its folder
@@ -36,7 +36,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer opened.Close()
+	t.Cleanup(func() {
+		if err := opened.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	if err := stored.Err(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/rollout/format_test.go
+++ b/internal/cluster/rollout/format_test.go
@@ -22,6 +22,7 @@
 
 // checkRecord checks the record that the subtest is named after.
 func checkRecord[T any](t *testing.T) {
+	t.Helper()
 	name := path.Base(t.Name())
 	decode := func(b []byte) (*T, error) {
 		record := new(T)
--- a/internal/cluster/rollout/message.go
+++ b/internal/cluster/rollout/message.go
@@ -39,36 +39,36 @@
 // LeaseRequest is a member's request for a lease, to a voter.
 type LeaseRequest struct {
 	Seq         uint32        `cbor:"1,keyasint"`
-	Floor       Version       `cbor:"2,keyasint"`           // the highest that it has gone by
-	Holds       bool          `cbor:"3,keyasint,omitempty"` // a lease on that runs, by its own clock
-	Has         Digest        `cbor:"4,keyasint"`           // whose text it has, and can follow
-	ReadyFor    uint64        `cbor:"5,keyasint,omitempty"` // for this proposal
-	Unsupported uint64        `cbor:"6,keyasint,omitempty"` // this one,
-	Reason      string        `cbor:"7,keyasint,omitempty"` // for a reason
-	ReleasedFor uint64        `cbor:"8,keyasint,omitempty"` // holds nothing any more, for this one's sake
+	Floor       Version       `cbor:"2,keyasint"`           // the latest version that it has gone by
+	Holds       bool          `cbor:"3,keyasint,omitempty"` // its lease on that version runs by its own clock
+	Has         Digest        `cbor:"4,keyasint"`           // the policy that it can hold a lease on
+	ReadyFor    uint64        `cbor:"5,keyasint,omitempty"` // the proposal that it can follow
+	Unsupported uint64        `cbor:"6,keyasint,omitempty"` // the proposal that it can't follow,
+	Reason      string        `cbor:"7,keyasint,omitempty"` // and why
+	ReleasedFor uint64        `cbor:"8,keyasint,omitempty"` // the proposal for which it has given up its lease
 	Counts      RequestCounts `cbor:"9,keyasint,omitempty"`
 	Leaving     bool          `cbor:"10,keyasint,omitempty"`
-	MinValidSeq uint32        `cbor:"13,keyasint,omitempty"` // answers to asks before this one don't count
-	AnsweredSeq uint32        `cbor:"12,keyasint,omitempty"` // its latest ask that was answered
-	OverlapWith uint64        `cbor:"11,keyasint,omitempty"` // may go by what this one allows as well, if it hears nothing
+	MinValidSeq uint32        `cbor:"13,keyasint,omitempty"` // replies to earlier requests don't count
+	AnsweredSeq uint32        `cbor:"12,keyasint,omitempty"` // its latest request that was answered
+	OverlapWith uint64        `cbor:"11,keyasint,omitempty"` // the proposal of its overlap
 }
 
 // LeaseReply is a voter's reply, or what a leader says unasked.
 type LeaseReply struct {
-	Seq            uint32          `cbor:"1,keyasint,omitempty"` // of the ask; 0: unasked
-	Leader         string          `cbor:"2,keyasint,omitempty"` // whom to ask; what follows is the leader's own
-	Decided        Version         `cbor:"3,keyasint,omitempty"` // what was decided
+	Seq            uint32          `cbor:"1,keyasint,omitempty"` // of the request; 0: unasked
+	Leader         string          `cbor:"2,keyasint,omitempty"` // if it isn't the sender, no field below is set
+	Decided        Version         `cbor:"3,keyasint,omitempty"` // the version in force
 	Digest         Digest          `cbor:"4,keyasint"`
 	Size           int             `cbor:"5,keyasint,omitempty"`
-	Lease          Time            `cbor:"6,keyasint,omitempty"` // from when the ask went out; 0: none
-	Proposal       *ProposalNotice `cbor:"7,keyasint,omitempty"` // the proposal there is
-	Overlap        Time            `cbor:"8,keyasint,omitempty"` // for which what it and the one in force both allow may be gone by without a lease
-	YieldFor       uint64          `cbor:"9,keyasint,omitempty"` // give up what is held, for this proposal
+	Lease          Time            `cbor:"6,keyasint,omitempty"` // its length, from when the request was sent; 0: none
+	Proposal       *ProposalNotice `cbor:"7,keyasint,omitempty"` // the open one
+	Overlap        Time            `cbor:"8,keyasint,omitempty"` // for how long, from then, a member without a lease may go by what both policies allow
+	YieldFor       uint64          `cbor:"9,keyasint,omitempty"` // the proposal for which to give up the lease
 	Voters         []string        `cbor:"10,keyasint,omitempty"`
-	Progress       string          `cbor:"11,keyasint,omitempty"` // of the change, for people
-	WantedVoters   []string        `cbor:"14,keyasint,omitempty"` // who is to vote, where that is others
-	Confirmed      bool            `cbor:"12,keyasint,omitempty"` // a majority bore it out after the ask
-	ForIncarnation uint64          `cbor:"13,keyasint,omitempty"` // the start of the process that asked: another under its name takes nothing of it
+	Progress       string          `cbor:"11,keyasint,omitempty"` // of the change, for operators
+	WantedVoters   []string        `cbor:"14,keyasint,omitempty"` // who is to vote, where these are others
+	Confirmed      bool            `cbor:"12,keyasint,omitempty"` // a majority confirmed the sender as leader after the request
+	ForIncarnation uint64          `cbor:"13,keyasint,omitempty"` // of the process that asked: another one of its name ignores the reply
 }
 
 // ProposalNotice is an open proposal, as the leader announces it.
@@ -76,7 +76,7 @@
 	ID       uint64   `cbor:"1,keyasint"`
 	Digest   Digest   `cbor:"2,keyasint"`
 	Size     int      `cbor:"3,keyasint"`
-	Rehearse bool     `cbor:"4,keyasint,omitempty"` // it is tried on live tasks now
+	Rehearse bool     `cbor:"4,keyasint,omitempty"` // it is tried on live requests now
 	Sources  []string `cbor:"5,keyasint,omitempty"` // who has its text
 }
 
@@ -111,10 +111,10 @@
 // ProposalReply is how far a proposal is, or its outcome.
 type ProposalReply struct {
 	ID      uint64  `cbor:"1,keyasint"`
-	Outcome Outcome `cbor:"2,keyasint,omitempty"` // Pending: it is open, or on its way
+	Outcome Outcome `cbor:"2,keyasint,omitempty"` // OutcomePending: it is open, or on its way
 	Number  uint64  `cbor:"3,keyasint,omitempty"`
 	Reason  string  `cbor:"4,keyasint,omitempty"`
-	Leader  string  `cbor:"5,keyasint,omitempty"` // whom to ask
+	Leader  string  `cbor:"5,keyasint,omitempty"` // set by a voter that doesn't lead
 }
 
 // Outcome is how a proposal ended.
@@ -157,10 +157,11 @@
 	Reply      bool   `cbor:"5,keyasint,omitempty"`
 }
 
-var coding, _ = cbor.CoreDetEncOptions().EncMode()
+// deterministic has equal values encoded to equal bytes.
+var deterministic, _ = cbor.CoreDetEncOptions().EncMode()
 
 func encode(v any) []byte {
-	b, err := coding.Marshal(v)
+	b, err := deterministic.Marshal(v)
 	if err != nil {
 		panic(err) // no type here has a value that can't be encoded
 	}
@@ -175,8 +176,11 @@
 		return nil, fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
 	parts := 0
-	for _, there := range []bool{m.LeaseRequest != nil, m.LeaseReply != nil, m.ProposalRequest != nil, m.ProposalReply != nil, m.ChunkRequest != nil, m.Chunk != nil, m.VoterHello != nil, m.Log != nil} {
-		if there {
+	for _, isSet := range []bool{
+		m.LeaseRequest != nil, m.LeaseReply != nil, m.ProposalRequest != nil, m.ProposalReply != nil,
+		m.ChunkRequest != nil, m.Chunk != nil, m.VoterHello != nil, m.Log != nil,
+	} {
+		if isSet {
 			parts++
 		}
 	}
--- a/internal/cluster/rollout/probation.go
+++ b/internal/cluster/rollout/probation.go
@@ -2,86 +2,98 @@
 
 import "fmt"
 
-// counts are what the members told of a rehearsal, or of a number, in the order of the guests.
-func (v *voter) countsFor(of uint64) (out []RequestCounts) {
+// countsFor are what the members have counted of a rehearsal, or of a policy's number.
+func (v *voter) countsFor(subject uint64) (list []RequestCounts) {
 	for i := range v.leadership.holders {
-		if k := v.leadership.holders[i].request.Counts; k.Subject == of {
-			out = append(out, k)
+		if counts := v.leadership.holders[i].request.Counts; counts.Subject == subject {
+			list = append(list, counts)
 		}
 	}
-	return out
+	return list
 }
 
-func sumCounts(list []RequestCounts) (all RequestCounts) {
-	for _, k := range list {
-		all.Requests += k.Requests
-		all.Classified += k.Classified
-		all.Rejected += k.Rejected
-		all.Shed += k.Shed
+func sumCounts(list []RequestCounts) (total RequestCounts) {
+	for _, counts := range list {
+		total.Requests += counts.Requests
+		total.Classified += counts.Classified
+		total.Rejected += counts.Rejected
+		total.Shed += counts.Shed
 	}
-	return all
+	return total
 }
 
-func ratio(part, of uint64) float64 {
-	if of == 0 {
+func ratio(part, whole uint64) float64 {
+	if whole == 0 {
 		return 0
 	}
-	return float64(part) / float64(of)
+	return float64(part) / float64(whole)
 }
 
-// over tells which bound is passed, in words.
-func (b Bounds) exceededBy(k RequestCounts) string {
-	for _, s := range []struct {
-		what string
-		is   float64
-		most float64
-	}{{"refused", ratio(k.Rejected, k.Requests), b.Rejected}, {"held", ratio(k.Shed, k.Requests), b.Shed}} {
-		if s.is > s.most {
-			return fmt.Sprintf("%.3f of the tasks %s, at most %.3f may be", s.is, s.what, s.most)
-		}
+// exceededBy says which bound counts exceed, by the names that policies have for them; empty: none.
+func (b Bounds) exceededBy(counts RequestCounts) string {
+	report := func(what string, share, bound float64) string {
+		return fmt.Sprintf("%.3f of the tasks %s, at most %.3f may be", share, what, bound)
+	}
+	rejected, shed := ratio(counts.Rejected, counts.Requests), ratio(counts.Shed, counts.Requests)
+	switch {
+	case rejected > b.Rejected:
+		return report("refused", rejected, b.Rejected)
+	case shed > b.Shed:
+		return report("held", shed, b.Shed)
 	}
 	return ""
 }
 
-// rehearsed tells what a rehearsal came to, and whether it is worse than the proposal allows.
-func (v *voter) rehearsalReport(p *LoggedProposal, t *policyText) (report string, worse bool) {
+// rehearsalReport says what a rehearsal came to, and whether it exceeded the proposal's bounds.
+func (v *voter) rehearsalReport(p *LoggedProposal, text *policyText) (report string, exceeded bool) {
 	list := v.countsFor(p.ID)
-	all := sumCounts(list)
-	report = fmt.Sprintf("rehearsed by %d members: of %d tasks %d classed, %d refused and %d held that are not now", len(list), all.Requests, all.Classified, all.Rejected, all.Shed)
-	if t == nil || t.terms.RehearsalBounds == (Bounds{}) {
+	total := sumCounts(list)
+	report = fmt.Sprintf("rehearsed by %d members: of %d tasks %d classed, %d refused and %d held that are not now", len(list), total.Requests, total.Classified, total.Rejected, total.Shed)
+	if text == nil || text.terms.RehearsalBounds == (Bounds{}) || total.Requests < minJudgedRequests {
 		return report, false
 	}
-	if over := t.terms.RehearsalBounds.exceededBy(all); over != "" && all.Requests >= minJudgedRequests {
-		return report + "; guard: " + over, true
+	bound := text.terms.RehearsalBounds.exceededBy(total)
+	if bound == "" {
+		return report, false
 	}
-	return report, false
+	return report + "; guard: " + bound, true
 }
 
-// watch has a policy on probation be taken back once it is worse than it says it may be: once, as a change of its own.
+// watchProbation has a policy on probation rolled back once it exceeds its bounds. The rollback is a proposal like any other, and has no
+// probation of its own.
 func (v *voter) watchProbation(c *Core) {
-	l, trial := v.leadership, v.table.Probation
-	if trial == nil {
+	l, probation := v.leadership, v.table.Probation
+	if probation == nil {
 		return
 	}
-	if l.probation.number != trial.Number {
-		l.probation.number, l.probation.since = trial.Number, c.now
+	if l.probation.number != probation.Number {
+		l.probation = probationWatch{probation.Number, c.now}
 	}
-	t := c.policies.find(v.table.Digest)
-	if t == nil || t.state != textUsable || v.table.Proposal != nil {
+	text := c.policies.find(v.table.Digest)
+	if text == nil || text.state != textUsable || v.table.Proposal != nil {
 		return
 	}
-	all := sumCounts(v.countsFor(trial.Number))
-	over := t.terms.ProbationBounds.exceededBy(all)
-	switch back := v.table.pastPolicy(trial.RollbackTo); {
-	case over != "" && all.Requests >= minJudgedRequests && (back != nil || trial.RollbackTo == 0):
-		p := &LoggedProposal{ID: c.random.Uint64() | 1, Kind: KindRollback, By: c.name, BaseNumber: v.table.Number, RollbackTo: trial.RollbackTo, Automatic: true}
-		if back != nil {
-			p.Digest, p.Size = back.Digest, back.Size
-		}
-		if v.appendEntry(c, &logEntry{Proposal: p}) {
-			c.host.LogEvent(PolicyRolledBack, "number", trial.Number, "to", trial.RollbackTo, "why", over)
-		}
-	case c.now-l.probation.since >= t.terms.Probation:
-		v.appendEntry(c, &logEntry{ProbationPassed: trial.Number})
+	total := sumCounts(v.countsFor(probation.Number))
+	exceeded := text.terms.ProbationBounds.exceededBy(total)
+	previous := v.table.pastPolicy(probation.RollbackTo)
+	canRollBack := previous != nil || probation.RollbackTo == 0
+	if exceeded != "" && total.Requests >= minJudgedRequests && canRollBack {
+		v.rollBack(c, probation, previous, exceeded)
+		return
+	}
+	if c.now-l.probation.since >= text.terms.Probation {
+		v.appendEntry(c, &logEntry{ProbationPassed: probation.Number})
+	}
+}
+
+func (v *voter) rollBack(c *Core, probation *Probation, previous *PastPolicy, reason string) {
+	p := &LoggedProposal{
+		ID: c.random.Uint64() | 1, Kind: KindRollback, By: c.name, BaseNumber: v.table.Number, RollbackTo: probation.RollbackTo, Automatic: true,
+	}
+	if previous != nil {
+		p.Digest, p.Size = previous.Digest, previous.Size
+	}
+	if v.appendEntry(c, &logEntry{Proposal: p}) {
+		c.host.LogEvent(PolicyRolledBack, "number", probation.Number, "to", probation.RollbackTo, "why", reason)
 	}
 }
--- a/internal/cluster/rollout/table.go
+++ b/internal/cluster/rollout/table.go
@@ -6,43 +6,42 @@
 )
 
 const (
-	// So many policies can be gone back to, and so many proposals' ends are known to who asks again.
+	// So many policies can be rolled back to, and so many proposals' ends are known to members that ask again.
 	maxPastPolicies = 16
 	maxProposalEnds = 32
-	// A reason, and a name, in bytes.
-	maxReasonBytes = 400
-	maxNameBytes   = 40
+	maxReasonBytes  = 400
+	maxNameBytes    = 40
 )
 
-// Book is what the voters' log has decided: each entry moves it on, at all voters alike.
+// Table is what the voters' log has decided. Each entry changes it, at all voters alike. Snapshots of the log are tables in CBOR.
 type Table struct {
-	Era           uint64          `cbor:"1,keyasint,omitempty"` // raised by force alone
+	Era           uint64          `cbor:"1,keyasint,omitempty"` // raised by a forced log alone
 	Number        uint64          `cbor:"2,keyasint,omitempty"` // of the policy in force
 	Digest        Digest          `cbor:"3,keyasint"`
 	Size          int             `cbor:"4,keyasint,omitempty"`
-	LastProposal  uint64          `cbor:"5,keyasint,omitempty"` // the proposal that it came by
+	LastProposal  uint64          `cbor:"5,keyasint,omitempty"` // the ID of the proposal by which it was decided
 	LeaseDuration Time            `cbor:"6,keyasint,omitempty"`
-	Overlap       Time            `cbor:"7,keyasint,omitempty"`  // the longest that anyone may go on by what two policies allow
-	Proposal      *LoggedProposal `cbor:"8,keyasint,omitempty"`  // the proposal that is neither decided nor dropped
-	Past          []PastPolicy    `cbor:"9,keyasint,omitempty"`  // policies, the one in force last
-	Ends          []ProposalEnd   `cbor:"10,keyasint,omitempty"` // of proposals, the latest last
-	Probation     *Probation      `cbor:"11,keyasint,omitempty"` // the probation that runs
+	Overlap       Time            `cbor:"7,keyasint,omitempty"`  // the longest that any gateway without a lease may go by what two policies allow
+	Proposal      *LoggedProposal `cbor:"8,keyasint,omitempty"`  // the open proposal: neither decided nor dropped
+	Past          []PastPolicy    `cbor:"9,keyasint,omitempty"`  // of the policies that were in force, the current one last
+	Ends          []ProposalEnd   `cbor:"10,keyasint,omitempty"` // of the proposals that ended, the latest last
+	Probation     *Probation      `cbor:"11,keyasint,omitempty"` // that runs
 	Voters        []Voter         `cbor:"12,keyasint,omitempty"`
 	WantedVoters  []string        `cbor:"13,keyasint,omitempty"` // who is to vote
 }
 
-// Act is one policy that was in force.
+// PastPolicy is one policy that was in force.
 type PastPolicy struct {
 	Number      uint64       `cbor:"1,keyasint"`
 	Digest      Digest       `cbor:"2,keyasint"`
 	Size        int          `cbor:"3,keyasint"`
 	Kind        ProposalKind `cbor:"4,keyasint"`
 	By          string       `cbor:"5,keyasint"`
-	UnixSeconds int64        `cbor:"6,keyasint"` // seconds, the leader's wall clock
+	UnixSeconds int64        `cbor:"6,keyasint"` // by the leader's wall clock
 	RollbackTo  uint64       `cbor:"7,keyasint,omitempty"`
 }
 
-// Offer is a proposal as the log has it.
+// LoggedProposal is a proposal as the log has it.
 type LoggedProposal struct {
 	ID              uint64       `cbor:"1,keyasint"`
 	Digest          Digest       `cbor:"2,keyasint"`
@@ -53,10 +52,10 @@
 	RollbackTo      uint64       `cbor:"7,keyasint,omitempty"`
 	RehearsalLength Time         `cbor:"8,keyasint,omitempty"`
 	Overlap         Time         `cbor:"9,keyasint,omitempty"`
-	Automatic       bool         `cbor:"10,keyasint,omitempty"` // of itself, after a probation
+	Automatic       bool         `cbor:"10,keyasint,omitempty"` // made by the leader, as a policy on probation passed its bounds
 }
 
-// End is what became of a proposal.
+// ProposalEnd is the outcome of a proposal.
 type ProposalEnd struct {
 	ID      uint64  `cbor:"1,keyasint"`
 	Outcome Outcome `cbor:"2,keyasint"`
@@ -64,91 +63,99 @@
 	Reason  string  `cbor:"4,keyasint,omitempty"`
 }
 
-// Trial is a probation.
+// Probation is the time in which a policy may be rolled back automatically.
 type Probation struct {
 	Number     uint64 `cbor:"1,keyasint"`
-	RollbackTo uint64 `cbor:"2,keyasint"` // the number whose policy is gone back to
+	RollbackTo uint64 `cbor:"2,keyasint"` // the number of the policy to return to
 }
 
-// Voter is one of those that decide.
+// Voter is one replica of the log.
 type Voter struct {
 	Name      string `cbor:"1,keyasint"`
 	ReplicaID uint64 `cbor:"2,keyasint"`
 }
 
-// entry is one of the log: one of its parts.
+// logEntry is an entry of the log: one of its parts is set.
 type logEntry struct {
 	Proposal        *LoggedProposal `cbor:"1,keyasint,omitempty"`
 	Drop            *ProposalEnd    `cbor:"2,keyasint,omitempty"`
 	Decide          *decision       `cbor:"3,keyasint,omitempty"`
-	ProbationPassed uint64          `cbor:"4,keyasint,omitempty"` // the probation of this number has ended well
+	ProbationPassed uint64          `cbor:"4,keyasint,omitempty"` // the number whose probation is over
 	WantedVoters    []string        `cbor:"5,keyasint,omitempty"`
 }
 
+// decision puts the open proposal in force.
 type decision struct {
 	ID          uint64 `cbor:"1,keyasint"`
 	UnixSeconds int64  `cbor:"2,keyasint"`
 	Probation   bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// apply moves the book on.
-func (b *Table) apply(e *logEntry) {
+// apply changes the table by an entry.
+func (t *Table) apply(e *logEntry) {
 	switch {
 	case e.Proposal != nil:
-		p := *e.Proposal
-		switch {
-		case b.knows(p.ID):
-		case b.Proposal != nil:
-			b.recordEnd(ProposalEnd{p.ID, OutcomeRejected, 0, fmt.Sprintf("proposal %s of %s is open", proposalName(b.Proposal.ID), b.Proposal.By)})
-		case p.BaseNumber != 0 && p.BaseNumber != b.Number:
-			b.recordEnd(ProposalEnd{p.ID, OutcomeRejected, 0, fmt.Sprintf("it is meant to follow number %d, and %d is in force", p.BaseNumber, b.Number)})
-		case p.Kind != KindRehearsal && p.Digest == b.Digest:
-			b.recordEnd(ProposalEnd{p.ID, OutcomeRejected, b.Number, fmt.Sprintf("number %d in force is the same", b.Number)})
-		default:
-			b.Proposal, b.Overlap = &p, max(b.Overlap, p.Overlap)
-		}
+		t.openProposal(*e.Proposal)
 	case e.Drop != nil:
-		if b.Proposal != nil && b.Proposal.ID == e.Drop.ID {
-			b.Proposal = nil
-			b.recordEnd(*e.Drop)
+		if t.Proposal != nil && t.Proposal.ID == e.Drop.ID {
+			t.Proposal = nil
+			t.recordEnd(*e.Drop)
 		}
 	case e.Decide != nil:
-		p := b.Proposal
-		if p == nil || p.ID != e.Decide.ID {
-			return
-		}
-		was := b.Number
-		b.Number++
-		b.Digest, b.Size, b.LastProposal, b.Proposal = p.Digest, p.Size, p.ID, nil
-		b.Overlap = p.Overlap // whoever still goes on by two goes by this one and the one before it
-		b.Past = append(b.Past, PastPolicy{b.Number, p.Digest, p.Size, p.Kind, p.By, e.Decide.UnixSeconds, p.RollbackTo})
-		b.Past = b.Past[max(0, len(b.Past)-maxPastPolicies):]
-		b.Probation = nil
-		if e.Decide.Probation && !p.Automatic {
-			b.Probation = &Probation{b.Number, was}
+		if t.Proposal != nil && t.Proposal.ID == e.Decide.ID {
+			t.decide(t.Proposal, e.Decide)
 		}
-		b.recordEnd(ProposalEnd{p.ID, OutcomeDecided, b.Number, ""})
 	case e.ProbationPassed != 0:
-		if b.Probation != nil && b.Probation.Number == e.ProbationPassed {
-			b.Probation = nil
+		if t.Probation != nil && t.Probation.Number == e.ProbationPassed {
+			t.Probation = nil
 		}
 	case len(e.WantedVoters) > 0:
-		b.WantedVoters = e.WantedVoters
+		t.WantedVoters = e.WantedVoters
 	}
 }
 
-// knows tells whether a proposal is open or has ended.
-func (b *Table) knows(id uint64) bool {
-	return b.Proposal != nil && b.Proposal.ID == id || slices.ContainsFunc(b.Ends, func(e ProposalEnd) bool { return e.ID == id })
+// openProposal opens a proposal, or rejects it.
+func (t *Table) openProposal(p LoggedProposal) {
+	reject := func(number uint64, format string, values ...any) {
+		t.recordEnd(ProposalEnd{p.ID, OutcomeRejected, number, fmt.Sprintf(format, values...)})
+	}
+	switch {
+	case t.knows(p.ID):
+	case t.Proposal != nil:
+		reject(0, "proposal %s of %s is open", proposalName(t.Proposal.ID), t.Proposal.By)
+	case p.BaseNumber != 0 && p.BaseNumber != t.Number:
+		reject(0, "it is meant to follow number %d, and %d is in force", p.BaseNumber, t.Number)
+	case p.Kind != KindRehearsal && p.Digest == t.Digest:
+		reject(t.Number, "number %d in force is the same", t.Number)
+	default:
+		t.Proposal, t.Overlap = &p, max(t.Overlap, p.Overlap)
+	}
 }
 
-func (b *Table) recordEnd(e ProposalEnd) {
-	e.Reason = truncate(e.Reason, maxReasonBytes)
-	b.Ends = append(b.Ends, e)
-	b.Ends = b.Ends[max(0, len(b.Ends)-maxProposalEnds):]
+// decide puts a proposal in force. Only its own overlap remains: gateways that still go by two policies go by this one and the one before.
+func (t *Table) decide(p *LoggedProposal, d *decision) {
+	previous := t.Number
+	t.Number++
+	t.Digest, t.Size, t.LastProposal, t.Proposal, t.Overlap = p.Digest, p.Size, p.ID, nil, p.Overlap
+	t.Past = append(t.Past, PastPolicy{t.Number, p.Digest, p.Size, p.Kind, p.By, d.UnixSeconds, p.RollbackTo})
+	t.Past = t.Past[max(0, len(t.Past)-maxPastPolicies):]
+	t.Probation = nil
+	if d.Probation && !p.Automatic {
+		t.Probation = &Probation{t.Number, previous}
+	}
+	t.recordEnd(ProposalEnd{p.ID, OutcomeDecided, t.Number, ""})
 }
 
-// lastEnd is the end of the proposal that ended last; zero: of none.
+// knows tells whether a proposal is open or has ended.
+func (t *Table) knows(id uint64) bool { return t.proposalReply(id) != nil }
+
+func (t *Table) recordEnd(end ProposalEnd) {
+	end.Reason = truncate(end.Reason, maxReasonBytes)
+	t.Ends = append(t.Ends, end)
+	t.Ends = t.Ends[max(0, len(t.Ends)-maxProposalEnds):]
+}
+
+// lastEnd is the end of the proposal that ended last; zero: none has.
 func (t *Table) lastEnd() ProposalEnd {
 	if len(t.Ends) == 0 {
 		return ProposalEnd{}
@@ -156,44 +163,43 @@
 	return t.Ends[len(t.Ends)-1]
 }
 
-// told is what is known of a proposal; nil: nothing.
-func (b *Table) proposalReply(id uint64) *ProposalReply {
-	if b.Proposal != nil && b.Proposal.ID == id {
+// proposalReply is what is known of a proposal; nil: nothing.
+func (t *Table) proposalReply(id uint64) *ProposalReply {
+	if t.Proposal != nil && t.Proposal.ID == id {
 		return &ProposalReply{ID: id}
 	}
-	for _, e := range b.Ends {
-		if e.ID == id {
-			return &ProposalReply{ID: id, Outcome: e.Outcome, Number: e.Number, Reason: e.Reason}
+	for _, end := range t.Ends {
+		if end.ID == id {
+			return &ProposalReply{ID: id, Outcome: end.Outcome, Number: end.Number, Reason: end.Reason}
 		}
 	}
 	return nil
 }
 
-// act is a policy that was in force, by its number.
-func (b *Table) pastPolicy(number uint64) *PastPolicy {
-	for i := range b.Past {
-		if b.Past[i].Number == number {
-			return &b.Past[i]
-		}
+// pastPolicy is a policy that was in force, by its number; nil: it isn't known any more.
+func (t *Table) pastPolicy(number uint64) *PastPolicy {
+	i := slices.IndexFunc(t.Past, func(p PastPolicy) bool { return p.Number == number })
+	if i < 0 {
+		return nil
 	}
-	return nil
+	return &t.Past[i]
 }
 
-func (b *Table) version() Version { return Version{b.Era, b.Number} }
+func (t *Table) version() Version { return Version{t.Era, t.Number} }
 
-// voter is one by its name.
-func (b *Table) voterNamed(name string) *Voter {
-	for i := range b.Voters {
-		if b.Voters[i].Name == name {
-			return &b.Voters[i]
-		}
+// voterNamed is the voter of a name; nil: there is none.
+func (t *Table) voterNamed(name string) *Voter {
+	i := slices.IndexFunc(t.Voters, func(v Voter) bool { return v.Name == name })
+	if i < 0 {
+		return nil
 	}
-	return nil
+	return &t.Voters[i]
 }
 
-// clone is a book of its own.
-func (b *Table) clone() *Table {
-	n := *b
-	n.Past, n.Ends, n.Voters, n.WantedVoters = slices.Clone(b.Past), slices.Clone(b.Ends), slices.Clone(b.Voters), slices.Clone(b.WantedVoters)
-	return &n
+// clone is a table that shares no list with this one.
+func (t *Table) clone() *Table {
+	copied := *t
+	copied.Past, copied.Ends = slices.Clone(t.Past), slices.Clone(t.Ends)
+	copied.Voters, copied.WantedVoters = slices.Clone(t.Voters), slices.Clone(t.WantedVoters)
+	return &copied
 }
--- a/internal/cluster/rollout/voter.go
+++ b/internal/cluster/rollout/voter.go
@@ -8,15 +8,18 @@
 )
 
 const (
-	// The voters' log is stepped so often (consensus counts in it), and voters that are not in it tell their births so often.
-	logTick       = 50 * millisecond
+	// logTick is the length of the ticks in which package consensus counts.
+	logTick = 50 * millisecond
+	// A log that has missed ticks for longer than this doesn't make up for them.
+	maxTickDelay = second
+	// Processes that are to vote and don't yet say hello to the voters so often. One whose hello is older than this is not heard.
 	helloInterval = second / 5
-	// A voter that lost its folder is another one. It takes the place of the one before it once that was not heard for so long: a second
-	// process under a living voter's name must not.
-	voterGoneAfter = 10 * second
+	helloLifetime = 10 * helloInterval
+	maxPeers      = 2 * maxWaitingProposals
+	maxLearners   = 2 * maxWaitingProposals
 )
 
-// Log is the voters' log as one voter has it; consensus.Node is one.
+// Log is the voters' log as one voter has it; *consensus.Node is one.
 type Log interface {
 	Append(entry []byte) error
 	ConfirmLeadership(read uint64)
@@ -32,37 +35,39 @@
 	Err() error
 }
 
-// birthRecord is what a folder says of a voter: drawn when the folder was new.
+// replicaRecord is what a folder says of its voter: the ID that it drew when it was new.
 type replicaRecord struct {
 	ReplicaID uint64 `cbor:"1,keyasint"`
 }
 
-// voter is this process's part as one of those that decide.
+// voter is this process as one that votes, or is to vote.
 type voter struct {
 	table          Table
-	log            Log // nil: it is not begun
+	log            Log                  // nil: this voter has none yet
+	stored         *consensus.StoredLog // what the folder has of a log that isn't open
 	replicaID      uint64
-	replicaIDSaved bool // the birth survives
-	stored         *consensus.StoredLog
-	leadership     *leadership
-	peers          []seenVoter // of others that tell it
-	nextTickAt     Time
-	nextHelloAt    Time
-	lastNotice     string  // the last thing said about not voting
-	learners       []Voter // of learners, which the book doesn't have
-	logLost        bool    // its folder lacks what others were told it has
+	replicaIDSaved bool
+	leadership     *leadership // nil: this voter doesn't lead
+
+	peers       []seenVoter // processes that are to vote, by their hellos
+	learners    []Voter     // replicas that the log named and the table doesn't have
+	nextTickAt  Time
+	nextHelloAt Time
+	lastNotice  string // what was logged last about not voting
+	logLost     bool   // the folder lacks entries that others were told it has
 }
 
+// seenVoter is the latest hello of a process.
 type seenVoter struct {
 	name string
 	VoterHello
 	heardAt Time
 }
 
-func newVoter(c *Core, kept *StoredState) *voter {
-	v := &voter{stored: &kept.log, nextTickAt: c.now}
-	if kept.replica != nil {
-		v.replicaID, v.replicaIDSaved = kept.replica.ReplicaID, true
+func newVoter(c *Core, stored *StoredState) *voter {
+	v := &voter{stored: &stored.log, nextTickAt: c.now}
+	if stored.replica != nil {
+		v.replicaID, v.replicaIDSaved = stored.replica.ReplicaID, true
 	} else {
 		v.drawReplicaID(c)
 	}
@@ -72,39 +77,39 @@
 	return v
 }
 
-// draw draws a birth for a folder that has none.
+// drawReplicaID draws an ID for a folder that has none. This process says hello once the ID is saved.
 func (v *voter) drawReplicaID(c *Core) {
-	v.replicaID, v.replicaIDSaved = c.random.Uint64()|1, false
-	birth := v.replicaID
-	c.saveRecords([]consensus.Record{{Key: replicaKey, Value: encode(replicaRecord{birth})}}, func(err error) {
-		v.replicaIDSaved = v.replicaID == birth && err == nil
+	id := c.random.Uint64() | 1 // as consensus has no replica 0
+	v.replicaID, v.replicaIDSaved = id, false
+	c.saveRecords([]consensus.Record{{Key: replicaKey, Value: encode(replicaRecord{id})}}, func(err error) {
+		v.replicaIDSaved = v.replicaID == id && err == nil
 	})
 }
 
-// begin takes up the log in the folder, or waits for the others' word with an empty one.
+// openLog takes up the log in the folder; with an empty one it waits for a leader's messages.
 func (v *voter) openLog(c *Core) {
-	n, err := consensus.New(v.replicaID, v.stored, rand.New(rand.NewPCG(c.random.Uint64(), 1)), voterHost{c, v})
+	node, err := consensus.New(v.replicaID, v.stored, rand.New(rand.NewPCG(c.random.Uint64(), 1)), voterHost{c, v})
 	if err != nil {
 		c.host.LogEvent(SaveFailed, "error", err.Error())
 		v.resetLog(c)
 		return
 	}
-	v.log = n
+	v.log = node
 	v.stored = &consensus.StoredLog{}
 }
 
-// anew has this voter be another one: what it had can't be counted on.
+// resetLog has this voter begin anew as another replica, with an empty log: what it had can't be relied on.
 func (v *voter) resetLog(c *Core) {
-	drop := v.stored.DeletionRecords()
-	if n, ok := v.log.(*consensus.Node); ok {
-		drop = n.DeletionRecords()
+	deletions := v.stored.DeletionRecords()
+	if node, ok := v.log.(*consensus.Node); ok {
+		deletions = node.DeletionRecords()
 	}
 	v.log, v.stored, v.leadership, v.table = nil, &consensus.StoredLog{}, nil, Table{}
-	c.saveRecords(drop, func(error) {})
+	c.saveRecords(deletions, func(error) {})
 	v.drawReplicaID(c)
 }
 
-// votes tells whether it is among the voters by the book that it knows.
+// isVoter tells whether this replica is among the voters, by the table that it knows.
 func (v *voter) isVoter(c *Core) bool {
 	k := v.table.voterNamed(c.name)
 	return k != nil && k.ReplicaID == v.replicaID
@@ -116,17 +121,14 @@
 		v.resetLog(c)
 	}
 	if v.log != nil && v.log.Err() != nil {
-		if v.leadership = nil; v.lastNotice != "failed" {
+		v.leadership = nil
+		if v.lastNotice != "failed" {
 			v.lastNotice = "failed"
 			c.host.LogEvent(SaveFailed, "error", v.log.Err().Error())
 		}
 		return
 	}
-	for ; v.log != nil && c.now >= v.nextTickAt; v.nextTickAt += logTick {
-		if v.log.Tick(); c.now-v.nextTickAt > second {
-			v.nextTickAt = c.now // it stood still
-		}
-	}
+	v.tickLog(c)
 	if c.now >= v.nextHelloAt && v.replicaIDSaved {
 		v.nextHelloAt = c.now + helloInterval
 		v.announce(c)
@@ -141,13 +143,23 @@
 	}
 }
 
-// tell has the other voters know as whom this one votes, while it doesn't yet.
+// tickLog makes the log's ticks that are due.
+func (v *voter) tickLog(c *Core) {
+	for ; v.log != nil && c.now >= v.nextTickAt; v.nextTickAt += logTick {
+		v.log.Tick()
+		if c.now-v.nextTickAt > maxTickDelay {
+			v.nextTickAt = c.now
+		}
+	}
+}
+
+// announce says hello to the voters while this replica is to vote and doesn't yet.
 func (v *voter) announce(c *Core) {
 	if v.log != nil && v.isVoter(c) {
 		v.lastNotice = ""
 		return
 	}
-	if !slices.Contains(c.follower.voters, c.name) && !slices.Contains(c.follower.wantedVoters, c.name) && !slices.Contains(c.config.Voters, c.name) {
+	if !slices.Contains(slices.Concat(c.follower.voters, c.follower.wantedVoters, c.config.Voters), c.name) {
 		return
 	}
 	for _, to := range v.otherVoters(c) {
@@ -166,41 +178,49 @@
 	return &VoterHello{ReplicaID: v.replicaID, Lease: lease, Era: v.table.Era, WithoutLog: v.log == nil, Reply: reply}
 }
 
-func (v *voter) otherVoters(c *Core) (out []string) {
-	for _, list := range [][]string{c.follower.voters, c.follower.wantedVoters, c.config.Voters} {
-		for _, n := range list {
-			if n != c.name && !slices.Contains(out, n) {
-				out = append(out, n)
-			}
+// otherVoters are the names of all other processes that vote or are to vote, as far as this one knows.
+func (v *voter) otherVoters(c *Core) (names []string) {
+	for _, name := range slices.Concat(c.follower.voters, c.follower.wantedVoters, c.config.Voters) {
+		if name != c.name && !slices.Contains(names, name) {
+			names = append(names, name)
 		}
 	}
-	return out
+	return names
 }
 
-// born takes in what another voter tells of itself.
+// handleHello takes in what another process says that is to vote.
 func (v *voter) handleHello(c *Core, m *Message) {
-	b := *m.VoterHello
+	hello := *m.VoterHello
 	i := slices.IndexFunc(v.peers, func(s seenVoter) bool { return s.name == m.from })
 	if i < 0 {
-		if len(v.peers) >= 2*maxWaitingProposals || len(m.from) > maxNameBytes {
+		if len(v.peers) >= maxPeers || len(m.from) > maxNameBytes {
 			return
 		}
 		i = len(v.peers)
 		v.peers = append(v.peers, seenVoter{name: m.from})
 	}
-	v.peers[i].VoterHello, v.peers[i].heardAt = b, c.now
-	if !b.Reply && v.replicaIDSaved {
+	v.peers[i].VoterHello, v.peers[i].heardAt = hello, c.now
+	if !hello.Reply && v.replicaIDSaved {
 		c.send(m.from, Message{VoterHello: v.hello(c, true)})
 	}
-	if !b.WithoutLog {
-		v.checkSuperseded(c, b.Era, m.from)
+	if !hello.WithoutLog {
+		v.checkSuperseded(c, hello.Era, m.from)
 	}
 	if v.log == nil {
 		v.bootstrapWhenComplete(c)
 	}
 }
 
-// overruled has a voter whose group another was forced in the place of be none of it any more.
+// heardPeer is the process of a name that said hello lately; nil: there is none.
+func (v *voter) heardPeer(c *Core, name string) *seenVoter {
+	i := slices.IndexFunc(v.peers, func(s seenVoter) bool { return s.name == name && c.now-s.heardAt < helloLifetime })
+	if i < 0 {
+		return nil
+	}
+	return &v.peers[i]
+}
+
+// checkSuperseded resets the log if a log of a later era was forced elsewhere, and tells whether it did.
 func (v *voter) checkSuperseded(c *Core, era uint64, by string) bool {
 	if v.log == nil || len(v.table.Voters) == 0 || era <= v.table.Era {
 		return false
@@ -210,14 +230,14 @@
 	return true
 }
 
-// tidy has the folder lose texts that nothing leads back to.
+// deleteUnusedPolicies has the folder lose the texts that neither this gateway needs nor a rollback can need.
 func (v *voter) deleteUnusedPolicies(c *Core) {
 	if !c.config.Persistent {
 		return
 	}
 	keep := c.follower.neededPolicies()
-	for _, a := range v.table.Past {
-		keep = append(keep, a.Digest)
+	for _, past := range v.table.Past {
+		keep = append(keep, past.Digest)
 	}
 	if v.table.Proposal != nil {
 		keep = append(keep, v.table.Proposal.Digest)
@@ -225,7 +245,7 @@
 	c.policies.deleteExcept(c, keep)
 }
 
-// heardLog takes in a message of the voters' log.
+// handleLogMessage takes in a message of the voters' log.
 func (v *voter) handleLogMessage(c *Core, b []byte) {
 	if v.log == nil {
 		return
@@ -235,7 +255,7 @@
 	}
 }
 
-// leader is whom this voter follows, by name; empty: nobody.
+// leaderName is the voter that this one follows; empty: none.
 func (v *voter) leaderName() string {
 	if v.log == nil || v.log.Err() != nil {
 		return ""
@@ -243,17 +263,16 @@
 	return v.nameOf(v.log.LeaderID())
 }
 
-func (v *voter) nameOf(id uint64) string {
-	for _, list := range [][]Voter{v.table.Voters, v.learners} {
-		for _, k := range list {
-			if k.ReplicaID == id {
-				return k.Name
-			}
+// nameOf is the name of a replica; empty: it isn't known.
+func (v *voter) nameOf(replicaID uint64) string {
+	for _, k := range slices.Concat(v.table.Voters, v.learners) {
+		if k.ReplicaID == replicaID {
+			return k.Name
 		}
 	}
-	for _, s := range v.peers {
-		if s.ReplicaID == id {
-			return s.name
+	for i := range v.peers {
+		if v.peers[i].ReplicaID == replicaID {
+			return v.peers[i].name
 		}
 	}
 	return ""
--- a/internal/cluster/rollout/voter_log.go
+++ b/internal/cluster/rollout/voter_log.go
@@ -9,40 +9,47 @@
 	"magpiebank/internal/cluster/consensus"
 )
 
-// voterHost is what the voters' log acts on.
+// voterHost is what the voters' log acts on; it implements consensus.Host.
 type voterHost struct {
 	c *Core
 	v *voter
 }
 
 func (h voterHost) Send(to uint64, m []byte) {
-	if n := h.v.nameOf(to); n != "" && n != h.c.name {
-		h.c.send(n, Message{Log: m})
+	if name := h.v.nameOf(to); name != "" && name != h.c.name {
+		h.c.send(name, Message{Log: m})
 	}
 }
 
 func (h voterHost) SaveRecords(records []consensus.Record, done func(error)) {
 	log := h.v.log
 	h.c.host.SaveRecords(records, func(err error) {
-		if h.v.log == log || log == nil { // it is another voter by now
+		if h.v.log == log || log == nil { // this voter has begun another log since
 			done(err)
 		}
 	})
 }
 
-func (h voterHost) EntryApplied(_ uint64, e []byte) { h.v.entryApplied(h.c, e) }
+func (h voterHost) EntryApplied(_ uint64, entry []byte) { h.v.entryApplied(h.c, entry) }
 
 func (h voterHost) VotersChanged(_ uint64, context []byte, voters, learners []uint64) {
 	v, c := h.v, h.c
-	var more []Voter
-	if len(context) > 0 && unmarshal(context, &more) != nil {
-		more = nil
+	var added []Voter
+	if len(context) > 0 && unmarshal(context, &added) != nil {
+		added = nil
 	}
-	v.learners = append(v.learners, more...)
-	v.learners = v.learners[max(0, len(v.learners)-2*maxWaitingProposals):]
-	var list []Voter
-	for _, id := range voters { // by what the log itself says, so that all come to the same
-		known := append(slices.Clone(v.table.Voters), more...)
+	v.learners = append(v.learners, added...)
+	v.learners = v.learners[max(0, len(v.learners)-maxLearners):]
+	list := nameVoters(voters, slices.Concat(v.table.Voters, added))
+	if !slices.Equal(list, v.table.Voters) {
+		v.table.Voters = list
+		c.host.LogEvent(VotersChanged, "voters", strings.Join(voterNames(list), " "), "learners", len(learners))
+	}
+}
+
+// nameVoters finds the names of replicas, by what the log itself has, so that all voters come to the same list.
+func nameVoters(replicaIDs []uint64, known []Voter) (list []Voter) {
+	for _, id := range replicaIDs {
 		if i := slices.IndexFunc(known, func(k Voter) bool { return k.ReplicaID == id }); i >= 0 {
 			list = append(list, known[i])
 		}
@@ -50,16 +57,13 @@
 	slices.SortFunc(list, func(a, b Voter) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.ReplicaID, b.ReplicaID))
 	})
-	if !slices.Equal(list, v.table.Voters) {
-		v.table.Voters = list
-		c.host.LogEvent(VotersChanged, "voters", strings.Join(voterNames(list), " "), "learners", len(learners))
-	}
+	return list
 }
 
 func (h voterHost) SnapshotInstalled(_ uint64, state []byte) {
-	var b Table
-	if unmarshal(state, &b) == nil {
-		h.v.table = b
+	var table Table
+	if unmarshal(state, &table) == nil {
+		h.v.table = table
 	}
 }
 
