--- a/internal/router/watcher.go
+++ b/internal/router/watcher.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"net"
-	"net/http"
 	"sync"
 	"time"
 
@@ -13,6 +12,14 @@
 	"magpiebank/internal/protocol/discovery"
 )
 
+// The HTTP statuses that discovery may answer a poll with. They are not taken from net/http, which would link its TLS and
+// HTTP/2 into a program that needs neither.
+const (
+	statusOK          = 200
+	statusNoContent   = 204
+	statusNotModified = 304
+)
+
 // watcher polls the engine list and posts its events to the owner.
 type watcher struct {
 	owner *owner
@@ -204,7 +211,7 @@
 		if code != "" {
 			return useful, code
 		}
-		if response.Status == http.StatusOK {
+		if response.Status == statusOK {
 			events, err := jsonvalue.Parse("events", response.Body)
 			if err != nil || !w.postEvents(events, admission.FullUpdate) {
 				return useful, "bad_answer"
@@ -222,7 +229,7 @@
 
 // pollStatusOK tells whether a status lets polls go on: events, or none before the poll was over.
 func pollStatusOK(status int) bool {
-	return status == http.StatusOK || status == http.StatusNoContent || status == http.StatusNotModified
+	return status == statusOK || status == statusNoContent || status == statusNotModified
 }
 
 // pollConnection is a connection on which polls are answered.
