--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// recordPriorAttempt keeps that an attempt may have run, and lets its key rest.
+// recordPriorAttempt keeps that an attempt may have run, and begins its key's cooldown.
 func (c *Controller) recordPriorAttempt(request *activeRequest, outcome Outcome) {
 	if outcome == Served || outcome.NeverRan() {
 		return
@@ -135,7 +135,7 @@
 		request.prior = PriorAttempt{MayHaveRun: true, SentAt: request.attempt.sentAt, Zone: engine.Zone, Group: engine.Group}
 	}
 	if request.orderKey != "" {
-		c.keys.rest(request.orderKey, c.now)
+		c.keys.startCooldown(request.orderKey, c.now)
 	}
 }
 
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -10,18 +10,18 @@
 
 // concurrencyLimit holds how many threads of this gateway may run on an engine at a time, and how many do.
 type concurrencyLimit struct {
-	bound     float64 // slots, in threads
-	running   float64 // threads of our attempts in flight
-	memoryMB  float64 // memory that our attempts in flight usually need
-	steppedAt Time
-	chance    float64 // random factor, drawn each tick, for the one query that a bound of zero allows; a small one lets it in
+	bound        float64 // slots, in threads
+	running      float64 // threads of our attempts in flight
+	memoryMB     float64 // memory that our attempts in flight usually need
+	steppedAt    Time
+	randomFactor float64 // random factor, drawn each tick, for the one query that a bound of zero allows; a small one lets it in
 }
 
 // take counts an attempt as running.
 func (l *concurrencyLimit) take(threads, memoryMB float64) {
 	l.memoryMB += memoryMB
 	l.running += threads
-	l.chance = math.Inf(1)
+	l.randomFactor = math.Inf(1)
 }
 
 // giveBack counts an attempt as ended.
@@ -110,7 +110,7 @@
 	if engine.limit.running > 0 {
 		return false
 	}
-	need := engine.limit.chance * c.estimates.meanWork / (engine.cores * trust * c.tableAffinity(request, engine))
+	need := engine.limit.randomFactor * c.estimates.meanWork / (engine.cores * trust * c.tableAffinity(request, engine))
 	if c.probes.affordsOne() && c.deployment.Classes[request.class].Threads > 1 && c.now-engine.probe.sentAt >= minProbeGap &&
 		need < 2*admissionPace(engine.load.report, c.estimates.meanBusyShare) {
 		c.probeEngine(engine) // a query of several threads that is placed wrongly costs more than a probe first
@@ -134,8 +134,8 @@
 	return max(0.06, pace*(1-busyShare)/(0.1+busyShare))
 }
 
-// drawChance draws the random factor for the query that a bound of zero allows. It is the smaller the longer the tick that
+// drawRandomFactor draws the random factor for the query that a bound of zero allows. It is the smaller the longer the tick that
 // ended was, so a gateway that stood still has the chance of all ticks that it missed.
-func (c *Controller) drawChance(engine *engineState) {
-	engine.limit.chance = c.random.Float64() * float64(c.deployment.Gateways) / float64(c.now-c.tickedAt)
+func (c *Controller) drawRandomFactor(engine *engineState) {
+	engine.limit.randomFactor = c.random.Float64() * float64(c.deployment.Gateways) / float64(c.now-c.tickedAt)
 }
--- a/internal/admission/concurrency_test.go
+++ b/internal/admission/concurrency_test.go
@@ -102,12 +102,12 @@
 		s := start(d, "e1")
 		s.HandleAttemptEnd(0, AttemptResult{Request: "none", Outcome: Served, Answered: true, Report: NoReport})
 		s.engines.items[0].load.report, s.engines.items[0].load.reportAt = Report{InFlight: 2, Utilization: -1, Memory: -1, Disks: -1}, 0
-		s.engines.items[0].limit.chance = 1 // a draw that the chance of a pace would turn down
+		s.engines.items[0].limit.randomFactor = 1 // a draw that the chance of a pace would turn down
 		s.say("e1 holds 2 queries on 4 cores, bound %.3g", s.engines.items[0].limit.bound)
 		s.arrives("a", 0, 0, "")
 		s.end("a", Served)
 		s.engines.items[0].load.report, s.engines.items[0].load.reportAt = Report{InFlight: 9, Utilization: -1, Memory: -1, Disks: -1}, s.at
-		s.engines.items[0].limit.chance = 1
+		s.engines.items[0].limit.randomFactor = 1
 		s.say("e1 holds 9 queries: full")
 		s.arrives("b", 0, 0, "")
 		return s
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -105,14 +105,14 @@
 		c.pools.list[number].adjustMinPrice()
 	}
 	c.estimates.updatePrices()
-	c.keys.forgetRested(now)
+	c.keys.removeIdle(now)
 	c.releaseQueued()
 	c.host.ScheduleTick(now + tickInterval)
 }
 
 func (c *Controller) tickEngine(engine *engineState) {
 	if !engine.probe.inFlight { // what a probe was sent for waits for it
-		c.drawChance(engine)
+		c.drawRandomFactor(engine)
 	}
 	if c.now-engine.load.reportAt >= staleReportAge && c.now-engine.limit.steppedAt >= staleReportAge/3 {
 		c.adjustSlots(engine, c.loadSignal(engine), Second)
--- a/internal/admission/deployment.go
+++ b/internal/admission/deployment.go
@@ -42,7 +42,7 @@
 	RetryRatio  float64
 	RetryWindow Time
 
-	KeySettleTime Time // that a key rests after an attempt that may still run
+	KeyCooldown Time // that requests of a key wait after an attempt that may still run
 }
 
 // Class is a class of requests.
--- a/internal/admission/keyorder.go
+++ b/internal/admission/keyorder.go
@@ -3,21 +3,21 @@
 import "slices"
 
 // keyOrder has requests that share a key run one after another, in order of arrival. After an attempt that may still run,
-// the key rests for a time before the next request starts.
+// the key has a cooldown before the next request starts.
 type keyOrder struct {
-	restTime Time // length of the rest
+	cooldown Time // length; 0: none
 	queues   map[string]keyQueue
 	spare    [][]requestIndex // emptied queues, to be used again without an allocation
 }
 
 // keyQueue is the queue of one key.
 type keyQueue struct {
-	waiting    []requestIndex // the first may run
-	restsUntil Time
+	waiting       []requestIndex // the first may run
+	cooldownUntil Time
 }
 
 func newKeyOrder(d *Deployment) keyOrder {
-	return keyOrder{restTime: d.KeySettleTime, queues: map[string]keyQueue{}}
+	return keyOrder{cooldown: d.KeyCooldown, queues: map[string]keyQueue{}}
 }
 
 // join puts a request at the end of its key's queue and tells whether it is the first there.
@@ -38,7 +38,7 @@
 	place := slices.Index(queue.waiting, request)
 	queue.waiting = slices.Delete(queue.waiting, place, place+1)
 	o.queues[key] = queue
-	o.forgetIfRested(key, queue, now)
+	o.removeIfIdle(key, queue, now)
 	if place == 0 && len(queue.waiting) > 0 {
 		return queue.waiting[0], true
 	}
@@ -48,32 +48,32 @@
 // first is the request of a key that may run.
 func (o *keyOrder) first(key string) requestIndex { return o.queues[key].waiting[0] }
 
-// rests tells whether a key still rests.
-func (o *keyOrder) rests(key string, now Time) bool { return now < o.queues[key].restsUntil }
+// isCoolingDown tells whether a key still has its cooldown.
+func (o *keyOrder) isCoolingDown(key string, now Time) bool { return now < o.queues[key].cooldownUntil }
 
-// rest has a key rest from now on, where the deployment has such a time.
-func (o *keyOrder) rest(key string, now Time) {
-	if o.restTime == 0 {
+// startCooldown begins a key's cooldown, where the deployment has one.
+func (o *keyOrder) startCooldown(key string, now Time) {
+	if o.cooldown == 0 {
 		return
 	}
 	queue := o.queues[key]
-	queue.restsUntil = now + o.restTime
+	queue.cooldownUntil = now + o.cooldown
 	o.queues[key] = queue
 }
 
-// forgetRested forgets the keys without requests whose rest is over.
-func (o *keyOrder) forgetRested(now Time) {
-	if o.restTime == 0 {
-		return // leave forgets them at once
+// removeIdle removes the keys that have no request and whose cooldown is over.
+func (o *keyOrder) removeIdle(now Time) {
+	if o.cooldown == 0 {
+		return // leave removes them at once
 	}
 	for key, queue := range o.queues {
-		o.forgetIfRested(key, queue, now)
+		o.removeIfIdle(key, queue, now)
 	}
 }
 
-// forgetIfRested forgets a key that has no request and doesn't rest, and keeps its emptied queue for another key.
-func (o *keyOrder) forgetIfRested(key string, queue keyQueue, now Time) {
-	if len(queue.waiting) == 0 && queue.restsUntil <= now {
+// removeIfIdle removes a key that has no request and no cooldown, and keeps its emptied queue for another key.
+func (o *keyOrder) removeIfIdle(key string, queue keyQueue, now Time) {
+	if len(queue.waiting) == 0 && queue.cooldownUntil <= now {
 		o.spare = append(o.spare, queue.waiting)
 		delete(o.queues, key)
 	}
--- a/internal/admission/keyorder_test.go
+++ b/internal/admission/keyorder_test.go
@@ -8,7 +8,7 @@
 var keyOrderScripts = map[string]func() *script{
 	"order": func() *script { // one at a time by key, with the rest after doubt; a give-up may come out of turn
 		d := deployment()
-		d.KeySettleTime = 300 * Millisecond
+		d.KeyCooldown = 300 * Millisecond
 		d.Classes[3].LatencyObjective = 5 * Second
 		s := start(d, "e1", "e2")
 		s.arrives("k1", 3, 0, "k")
@@ -46,23 +46,23 @@
 	}
 }
 
-func TestKeyOrderKeepsRestingKeys(t *testing.T) {
-	const restTime = 300 * Millisecond
-	o := newKeyOrder(&Deployment{KeySettleTime: restTime})
+func TestKeyOrderHasACooldownAfterAnAttemptThatMayRun(t *testing.T) {
+	const cooldown = 300 * Millisecond
+	o := newKeyOrder(&Deployment{KeyCooldown: cooldown})
 	o.join("a", 1)
-	o.rest("a", Second)
+	o.startCooldown("a", Second)
 	o.leave("a", 1, Second)
-	if !o.rests("a", Second+restTime-1) {
-		t.Error("the key doesn't rest to the end")
+	if !o.isCoolingDown("a", Second+cooldown-1) {
+		t.Error("the cooldown ends early")
 	}
-	if o.forgetRested(Second + restTime - 1); len(o.queues) != 1 {
-		t.Error("the key is forgotten while it rests")
+	if o.removeIdle(Second + cooldown - 1); len(o.queues) != 1 {
+		t.Error("the key is removed in its cooldown")
 	}
-	if o.rests("a", Second+restTime) {
-		t.Error("the key rests for longer")
+	if o.isCoolingDown("a", Second+cooldown) {
+		t.Error("the cooldown lasts longer")
 	}
-	if o.forgetRested(Second + restTime); len(o.queues) != 0 {
-		t.Error("the key is kept after its rest")
+	if o.removeIdle(Second + cooldown); len(o.queues) != 0 {
+		t.Error("the key is kept after its cooldown")
 	}
 }
 
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -39,7 +39,7 @@
 		s := start(d, "e1", "e2", "e3")
 		s.estimates.updatePrices()
 		for i := range s.engines.items {
-			s.engines.items[i].limit.chance = math.Inf(1)
+			s.engines.items[i].limit.randomFactor = math.Inf(1)
 		}
 		s.arrives("short", 0, 0, "")
 		s.arrives("dear", 1, 0, "")
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -105,7 +105,7 @@
 	}
 	if request.orderKey != "" {
 		isFirst := c.requests.at(c.keys.first(request.orderKey)).id == request.id
-		if !isFirst || c.keys.rests(request.orderKey, c.now) && request.attempts == 0 {
+		if !isFirst || c.keys.isCoolingDown(request.orderKey, c.now) && request.attempts == 0 {
 			return false
 		}
 	}
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -13,15 +13,15 @@
 type Snapshot struct {
 	Version       int
 	At            Time
-	Classes       []ClassSnapshot     `json:"Lanes"`
-	RunTime       float64             `json:"Ran"` // as in estimator: thread time and work of the attempts that ended lately
-	RequestedWork float64             `json:"Asked"`
-	MeanWork      float64             `json:"Usual"`
-	MeanBusyShare float64             `json:"Busy"`
-	MinPrice      float64             `json:"Bar"`
-	Engines       []EngineSnapshot    // by id
-	RetrySpans    []RetrySpanSnapshot `json:"Takes"`
-	RestingKeys   []KeySnapshot       `json:"Rests"` // by key
+	Classes       []ClassSnapshot       `json:"Lanes"`
+	RunTime       float64               `json:"Ran"` // as in estimator: thread time and work of the attempts that ended lately
+	RequestedWork float64               `json:"Asked"`
+	MeanWork      float64               `json:"Usual"`
+	MeanBusyShare float64               `json:"Busy"`
+	MinPrice      float64               `json:"Bar"`
+	Engines       []EngineSnapshot      // by id
+	RetrySpans    []RetrySpanSnapshot   `json:"Takes"`
+	KeyCooldowns  []KeyCooldownSnapshot `json:"Rests"` // by key
 }
 
 // ClassSnapshot is what was learned of a class.
@@ -53,10 +53,10 @@
 	Retries  float64 `json:"Extra"`
 }
 
-// KeySnapshot is a key that rests.
-type KeySnapshot struct {
-	Key        string
-	RestsUntil Time `json:"Rest"`
+// KeyCooldownSnapshot is the cooldown of a key.
+type KeyCooldownSnapshot struct {
+	Key   string
+	Until Time `json:"Rest"`
 }
 
 // snapshotVersion is raised with every change of the form.
@@ -82,11 +82,11 @@
 		}
 	}
 	for key, queue := range c.keys.queues {
-		if queue.restsUntil > now {
-			s.RestingKeys = append(s.RestingKeys, KeySnapshot{Key: key, RestsUntil: queue.restsUntil})
+		if queue.cooldownUntil > now {
+			s.KeyCooldowns = append(s.KeyCooldowns, KeyCooldownSnapshot{Key: key, Until: queue.cooldownUntil})
 		}
 	}
-	slices.SortFunc(s.RestingKeys, func(a, b KeySnapshot) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(s.KeyCooldowns, func(a, b KeyCooldownSnapshot) int { return cmp.Compare(a.Key, b.Key) })
 	return s
 }
 
@@ -112,8 +112,8 @@
 	if now-s.At < 2*c.retries.window {
 		c.retries.exhaust(now)
 	}
-	for _, key := range s.RestingKeys {
-		c.keys.queues[key.Key] = keyQueue{restsUntil: key.RestsUntil}
+	for _, key := range s.KeyCooldowns {
+		c.keys.queues[key.Key] = keyQueue{cooldownUntil: key.Until}
 	}
 }
 
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -11,7 +11,7 @@
 func ExampleController_RestoreSnapshot() {
 	d := deployment()
 	d.RetryBurst, d.RetryRatio, d.RetryWindow = 2, 0.1, 10*Second
-	d.KeySettleTime = 2 * Second
+	d.KeyCooldown = 2 * Second
 	s := start(d, "e1", "e2")
 	s.answer(30, 0, 120*Millisecond)
 	s.UpdateEndpoints(s.at, PartialUpdate, []Endpoint{{Engine: "e3", Since: s.at}})
@@ -28,7 +28,7 @@
 		n.RestoreSnapshot(n.at, m)
 		n.UpdateEndpoints(n.at, FullUpdate, []Endpoint{{Engine: "e1", Since: s.at + 1}, {Engine: "e2"}, {Engine: "e3", Since: m.Engines[2].Since}})
 		fmt.Printf("%v later: run %.0f ms by %.0f answers, retries allowed %t, key rests %t\n", ms(later), n.estimates.classes[0].runTime/10,
-			n.estimates.classes[0].answers, n.retries.allows(n.now), n.keys.queues["key"].restsUntil > n.at)
+			n.estimates.classes[0].answers, n.retries.allows(n.now), n.keys.queues["key"].cooldownUntil > n.at)
 		for i := range n.engines.items {
 			e := &n.engines.items[i]
 			fmt.Printf("  %s bound %.1f, failure score %.1f, busy %.2f, room while cold %t\n", e.Engine, e.limit.bound, n.failureScore(e), n.busyShare(e), !n.slowStart.isWarmingUp(e, n.now) || n.hasSlowStartCapacity(e, &activeRequest{}))
