--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -58,7 +58,7 @@
 		RetryBurst:           settings.Float("rules", "extraFree"),
 		RetryRatio:           settings.Float("rules", "resendRatio"),
 		RetryWindow:          readTimeUp(settings, "rules", "ratioSpanUs"),
-		KeyCooldown:        readTimeUp(settings, "rules", "settleAfterDoubtUs"),
+		KeyCooldown:          readTimeUp(settings, "rules", "settleAfterDoubtUs"),
 		NoticeInterval:       readTimeUp(settings, "familyInfo", "progressPaceUs"),
 	}
 	if settings.Bool("limits", "retryAfter") {
