--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -30,7 +30,7 @@
 	gateways int    // of the installation
 	log      *slog.Logger
 	clock    router.Clock
-	notify   func(func(admission.Time, *admission.Controller)) // has a call made by the router's owner
+	listener router.PeerListener
 
 	queue      *eventqueue.Queue[event]
 	stop       chan struct{}  // closed to end the agent's goroutine
@@ -99,9 +99,9 @@
 	return a, nil
 }
 
-// Start opens the sockets and files and begins. The notify function has a call made by the router's owner.
-func (a *Agent) Start(clock router.Clock, notify func(func(admission.Time, *admission.Controller))) error {
-	a.clock, a.notify = clock, notify
+// Start opens the sockets and files and begins. The listener is told what the other gateways found.
+func (a *Agent) Start(clock router.Clock, listener router.PeerListener) error {
+	a.clock, a.listener = clock, listener
 	if err := a.open(); err != nil {
 		a.close()
 		return err
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -24,8 +24,9 @@
 	return func() { t.Stop() }
 }
 
-// owner stands for the router's owner: its controller is notified of what was found.
+// owner stands for the router's owner: its controller is told what was found.
 type owner struct {
+	clock      wall
 	lock       sync.Mutex
 	controller *admission.Controller
 }
@@ -48,13 +49,22 @@
 func (nobody) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
 }
 
-// notify has a call made with the controller, as the router's owner does.
-func (o *owner) notify(clock wall) func(func(admission.Time, *admission.Controller)) {
-	return func(call func(admission.Time, *admission.Controller)) {
-		o.lock.Lock()
-		defer o.lock.Unlock()
-		call(clock.Now(), o.controller)
-	}
+func (o *owner) HandlePeerReport(report *admission.PeerReport) {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	o.controller.HandlePeerReport(o.clock.Now(), report)
+}
+
+func (o *owner) HandleCapacityChange() {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	o.controller.HandleCapacityChange(o.clock.Now())
+}
+
+func (o *owner) updateEndpoints(endpoints []admission.Endpoint) {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	o.controller.UpdateEndpoints(o.clock.Now(), admission.FullUpdate, endpoints)
 }
 
 const testGateways = 4
@@ -110,15 +120,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &owner{controller: admission.New(c.clock.Now(), 1, deployment, nobody{})}
-	if err := a.Start(c.clock, o.notify(c.clock)); err != nil {
+	o := &owner{clock: c.clock, controller: admission.New(c.clock.Now(), 1, deployment, nobody{})}
+	if err := a.Start(c.clock, o); err != nil {
 		t.Fatal(err)
 	}
 	endpoints := []admission.Endpoint{{Engine: "e1"}, {Engine: "e2"}, {Engine: "e3"}, {Engine: "e4"}}
 	a.HandleEndpoints(c.clock.Now(), admission.FullUpdate, endpoints)
-	o.notify(c.clock)(func(now admission.Time, r *admission.Controller) {
-		r.UpdateEndpoints(now, admission.FullUpdate, endpoints)
-	})
+	o.updateEndpoints(endpoints)
 	return a
 }
 
--- a/internal/cluster/agent/healthsharing.go
+++ b/internal/cluster/agent/healthsharing.go
@@ -77,7 +77,7 @@
 	s.reports.VisitChangedFindings(now, func(found *admission.PeerReport) {
 		finding := *found
 		s.recordFinding(now, observedAt, &finding)
-		s.agent.notify(func(now admission.Time, r *admission.Controller) { r.HandlePeerReport(now, &finding) })
+		s.agent.listener.HandlePeerReport(&finding)
 	})
 	s.broadcast(now)
 }
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -198,7 +198,7 @@
 // sent at once.
 func (s *quotaSharing) handleMessage(at admission.Time, m quota.Message) {
 	if s.shares != nil && s.shares.HandleMessage(at, m) {
-		s.agent.notify(func(now admission.Time, r *admission.Controller) { r.HandleCapacityChange(now) })
+		s.agent.listener.HandleCapacityChange()
 	}
 }
 
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -83,27 +83,28 @@
 	}
 	// tickDue is the timer that the admission controller asked for.
 	tickDue struct{}
-	// peerCallRequested has the peers' goroutine call the admission controller.
-	peerCallRequested struct {
-		call func(now admission.Time, controller *admission.Controller)
-	}
+	// peerReportReceived brings what other gateways observed of an engine.
+	peerReportReceived struct{ report *admission.PeerReport }
+	// sharedCapacityChanged tells that requests which wait for a shared quota may have it now.
+	sharedCapacityChanged struct{}
 )
 
-func (sessionOpened) isEvent()       {}
-func (sessionClosed) isEvent()       {}
-func (requestReceived) isEvent()     {}
-func (clientClosed) isEvent()        {}
-func (killRequested) isEvent()       {}
-func (attemptFinished) isEvent()     {}
-func (attemptNotWritten) isEvent()   {}
-func (cancelTimedOut) isEvent()      {}
-func (progressReceived) isEvent()    {}
-func (endpointsUpdated) isEvent()    {}
-func (healthCheckFinished) isEvent() {}
-func (attemptRecorded) isEvent()     {}
-func (answerRecorded) isEvent()      {}
-func (tickDue) isEvent()             {}
-func (peerCallRequested) isEvent()   {}
+func (sessionOpened) isEvent()         {}
+func (sessionClosed) isEvent()         {}
+func (requestReceived) isEvent()       {}
+func (clientClosed) isEvent()          {}
+func (killRequested) isEvent()         {}
+func (attemptFinished) isEvent()       {}
+func (attemptNotWritten) isEvent()     {}
+func (cancelTimedOut) isEvent()        {}
+func (progressReceived) isEvent()      {}
+func (endpointsUpdated) isEvent()      {}
+func (healthCheckFinished) isEvent()   {}
+func (attemptRecorded) isEvent()       {}
+func (answerRecorded) isEvent()        {}
+func (tickDue) isEvent()               {}
+func (peerReportReceived) isEvent()    {}
+func (sharedCapacityChanged) isEvent() {}
 
 // post queues an event that happened now. It may be called from any goroutine and never waits.
 func (o *owner) post(e event) { o.events.Put(queuedEvent{at: o.clock.Now(), event: e}) }
@@ -148,8 +149,10 @@
 		e.request.responder.answer(e.answer)
 	case tickDue:
 		o.tick(now)
-	case peerCallRequested:
-		e.call(now, o.admission)
+	case peerReportReceived:
+		o.admission.HandlePeerReport(now, e.report)
+	case sharedCapacityChanged:
+		o.admission.HandleCapacityChange(now)
 	default:
 		panic(fmt.Sprintf("router: no case for event %T", e))
 	}
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -5,8 +5,8 @@
 // Peers is this gateway's connection to the other gateways. The owner calls all methods but Start and Stop; none of them
 // waits. Package agent implements it.
 type Peers interface {
-	// Start begins to exchange messages. post has the owner make a call with the admission controller.
-	Start(clock Clock, post func(call func(now admission.Time, controller *admission.Controller))) error
+	// Start begins to exchange messages. The listener is told what they bring.
+	Start(clock Clock, listener PeerListener) error
 	// HandleEndpoints takes in an update of the engine list.
 	HandleEndpoints(now admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint)
 	// RecordObservation takes in what this gateway observed of an engine, and the bytes that may be sent from now on.
@@ -25,6 +25,23 @@
 	Stop()
 }
 
+// PeerListener is told what the other gateways' messages bring. Its methods may be called from any goroutine and never wait.
+type PeerListener interface {
+	// HandlePeerReport takes in what other gateways observed of an engine. The report must not change any more.
+	HandlePeerReport(report *admission.PeerReport)
+	// HandleCapacityChange tells that requests which wait for a shared quota may have it now.
+	HandleCapacityChange()
+}
+
+// peerListener posts what the peers tell as events.
+type peerListener struct{ owner *owner }
+
+func (l peerListener) HandlePeerReport(report *admission.PeerReport) {
+	l.owner.post(peerReportReceived{report})
+}
+
+func (l peerListener) HandleCapacityChange() { l.owner.post(sharedCapacityChanged{}) }
+
 // Placement is where a request is.
 type Placement struct {
 	Present bool               // in this gateway
@@ -47,7 +64,5 @@
 // joinPeers starts the exchange with the other gateways.
 func (o *owner) joinPeers(peers Peers) error {
 	o.peers = peers
-	return peers.Start(o.clock, func(call func(admission.Time, *admission.Controller)) {
-		o.post(peerCallRequested{call})
-	})
+	return peers.Start(o.clock, peerListener{o})
 }
