--- a/internal/cli/format_test.go
+++ b/internal/cli/format_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer shut()
+	t.Cleanup(func() { _ = shut() })
 	if journal.Snapshot == nil {
 		t.Fatal("expected the decisions' snapshot, found none")
 	}
