--- a/internal/cluster/agent/counters.go
+++ b/internal/cluster/agent/counters.go
@@ -58,16 +58,16 @@
 			used++
 		}
 	}
-	count := func(place router.Placement, by int64) {
+	count := func(placement router.Placement, by int64) {
 		switch {
-		case !place.Present:
-		case place.Engine == "":
+		case !placement.Present:
+		case placement.Engine == "":
 			all[counters.Waiting] += by
 		default:
 			attempts := max(0, by)
 			all[counters.Running] += by
 			all[counters.Attempted] += attempts
-			add(counters.KindEngine, string(place.Engine), [3]int64{0, by, attempts})
+			add(counters.KindEngine, string(placement.Engine), [3]int64{0, by, attempts})
 		}
 	}
 	count(was, -1)
--- a/internal/cluster/agent/format_fragments_test.go
+++ b/internal/cluster/agent/format_fragments_test.go
@@ -47,7 +47,7 @@
 		if err := receiver.handleFragment(0, e, expected); err != nil {
 			t.Fatal(err)
 		}
-		partial := receiver.partial[0]
+		partial := receiver.fragments.partial[0]
 		if content := message[1000*i : 1000*(i+1)]; partial.number != 1<<24+7 || partial.missing != 2-i || !bytes.Equal(partial.fragments[i], content) {
 			t.Errorf("fragment %d: expected message %d with %x, found %+v", i, 1<<24+7, content, partial)
 		}
--- a/internal/cluster/agent/format_json_test.go
+++ b/internal/cluster/agent/format_json_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestSuccessionOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
+func TestHandoverOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
 	golden.CheckRoundTrip(t, "succession", golden.DecodeJSON[handoverRecord], func(record *handoverRecord) []byte {
 		folder := t.TempDir()
 		handover, err := openHandover(folder, record.Name)
@@ -47,7 +47,7 @@
 }
 
 // The earlier version's file names its boot, device and inode; with this folder's in their place it is followed.
-func TestSuccessionOfEarlierVersionIsFollowed(t *testing.T) {
+func TestHandoverOfEarlierVersionIsFollowed(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "succession")
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
--- a/internal/cluster/agent/policyfragments.go
+++ b/internal/cluster/agent/policyfragments.go
@@ -19,6 +19,24 @@
 	partialMessageTime = 2 * admission.Second
 )
 
+// splitMessage returns the fragments of a message with a number. One that is too long has none; the core makes none.
+func splitMessage(number uint32, message []byte) (fragments [][]byte) {
+	count := (len(message) + maxFragmentBytes - 1) / maxFragmentBytes
+	if count > maxFragments {
+		return nil
+	}
+	for i := range count {
+		fragment := []byte{byte(count), byte(i)}
+		fragment = binary.BigEndian.AppendUint32(fragment, number)
+		fragment = append(fragment, message[i*maxFragmentBytes:min(len(message), (i+1)*maxFragmentBytes)]...)
+		fragments = append(fragments, fragment)
+	}
+	return fragments
+}
+
+// reassembler puts messages together from their fragments, in whatever order these arrive.
+type reassembler struct{ partial []partialMessage }
+
 // partialMessage is a message whose fragments haven't all arrived.
 type partialMessage struct {
 	sender    string
@@ -29,67 +47,52 @@
 	startedAt admission.Time
 }
 
-// sendFragments sends a message to an address. One that is too long isn't sent; the core makes none.
-func (p *policyRollout) sendFragments(address string, message []byte) {
-	count := (len(message) + maxFragmentBytes - 1) / maxFragmentBytes
-	if count > maxFragments {
-		return
-	}
-	p.sent++
-	for i := range count {
-		payload := []byte{byte(count), byte(i)}
-		payload = binary.BigEndian.AppendUint32(payload, p.sent)
-		payload = append(payload, message[i*maxFragmentBytes:min(len(message), (i+1)*maxFragmentBytes)]...)
-		p.agent.transport.send(address, policySection, payload)
-	}
-}
-
-// handleFragment takes in a fragment, and the message once it is complete. Its error is errMalformed.
-func (p *policyRollout) handleFragment(at admission.Time, e *envelope, payload []byte) error {
+// add takes in a fragment, and returns the message once it is complete. The error is errMalformed.
+func (r *reassembler) add(at admission.Time, e *envelope, payload []byte) (message []byte, complete bool, err error) {
 	if len(payload) < fragmentHeaderBytes || payload[0] == 0 || payload[1] >= payload[0] {
-		return errMalformed
+		return nil, false, errMalformed
 	}
 	count, index := int(payload[0]), int(payload[1])
 	number := binary.BigEndian.Uint32(payload[2:])
 	fragment := payload[fragmentHeaderBytes:]
 	if count == 1 {
-		return p.handleMessage(at, e.sender, fragment)
+		return fragment, true, nil
 	}
-	position := p.findPartialMessage(e, number)
+	position := r.find(e, number)
 	if position < 0 {
-		position = p.addPartialMessage(partialMessage{e.sender, e.start, number, make([][]byte, count), count, at})
+		position = r.begin(partialMessage{e.sender, e.start, number, make([][]byte, count), count, at})
 	}
-	message := &p.partial[position]
-	if len(message.fragments) != count {
-		return errMalformed
+	partial := &r.partial[position]
+	if len(partial.fragments) != count {
+		return nil, false, errMalformed
 	}
-	if message.fragments[index] == nil {
-		message.fragments[index] = fragment
-		message.missing--
+	if partial.fragments[index] == nil {
+		partial.fragments[index] = fragment
+		partial.missing--
 	}
-	if message.missing > 0 {
-		return nil
+	if partial.missing > 0 {
+		return nil, false, nil
 	}
-	complete := slices.Concat(message.fragments...)
-	p.partial = slices.Delete(p.partial, position, position+1)
-	return p.handleMessage(at, e.sender, complete)
+	message = slices.Concat(partial.fragments...)
+	r.partial = slices.Delete(r.partial, position, position+1)
+	return message, true, nil
 }
 
-func (p *policyRollout) findPartialMessage(e *envelope, number uint32) int {
-	return slices.IndexFunc(p.partial, func(m partialMessage) bool {
+func (r *reassembler) find(e *envelope, number uint32) int {
+	return slices.IndexFunc(r.partial, func(m partialMessage) bool {
 		return m.sender == e.sender && m.start == e.start && m.number == number
 	})
 }
 
-func (p *policyRollout) addPartialMessage(m partialMessage) (position int) {
-	if len(p.partial) >= maxPartialMessages {
-		p.partial = slices.Delete(p.partial, 0, 1)
+func (r *reassembler) begin(m partialMessage) (position int) {
+	if len(r.partial) >= maxPartialMessages {
+		r.partial = slices.Delete(r.partial, 0, 1)
 	}
-	p.partial = append(p.partial, m)
-	return len(p.partial) - 1
+	r.partial = append(r.partial, m)
+	return len(r.partial) - 1
 }
 
-// dropPartialMessages drops messages whose fragments have been waited for long enough.
-func (p *policyRollout) dropPartialMessages(now admission.Time) {
-	p.partial = slices.DeleteFunc(p.partial, func(m partialMessage) bool { return now-m.startedAt >= partialMessageTime })
+// dropExpired drops messages whose fragments have been waited for long enough.
+func (r *reassembler) dropExpired(now admission.Time) {
+	r.partial = slices.DeleteFunc(r.partial, func(m partialMessage) bool { return now-m.startedAt >= partialMessageTime })
 }
--- a/internal/cluster/agent/policyrollout.go
+++ b/internal/cluster/agent/policyrollout.go
@@ -29,14 +29,14 @@
 
 // policyRollout is the gateway's part in changes of the policy, and what the rollout's core acts on.
 type policyRollout struct {
-	agent   *Agent
-	config  PolicyConfig
-	reader  PolicyReader
-	core    *rollout.Core
-	store   *store.Store // nil: the gateway doesn't vote
-	parsed  map[rollout.Digest]Policy
-	partial []partialMessage // whose fragments haven't all arrived
-	sent    uint32           // messages, which numbers their fragments
+	agent     *Agent
+	config    PolicyConfig
+	reader    PolicyReader
+	core      *rollout.Core
+	store     *store.Store // nil: the gateway doesn't vote
+	parsed    map[rollout.Digest]Policy
+	fragments reassembler // of messages that are received
+	sent      uint32      // messages, which numbers their fragments
 
 	// The policy whose budgets are in force.
 	quotaDigest rollout.Digest
@@ -87,7 +87,7 @@
 
 func (p *policyRollout) tick(now admission.Time) {
 	p.core.Tick(now)
-	p.dropPartialMessages(now)
+	p.fragments.dropExpired(now)
 }
 
 // stop gives up what is held, and closes the folder.
@@ -105,6 +105,15 @@
 	p.agent.log.Warn("policy", "code", string(rollout.SaveFailed), "error", err)
 }
 
+// handleFragment takes in a fragment of a message, and the message once it is complete. Its error is errMalformed.
+func (p *policyRollout) handleFragment(at admission.Time, e *envelope, payload []byte) error {
+	message, complete, err := p.fragments.add(at, e, payload)
+	if err != nil || !complete {
+		return err
+	}
+	return p.handleMessage(at, e.sender, message)
+}
+
 // handleMessage takes in a message of a member. Its error is errMalformed.
 func (p *policyRollout) handleMessage(at admission.Time, from string, message []byte) error {
 	if p.core.HandleMessage(at, from, message) != nil {
@@ -132,6 +141,14 @@
 	p.sendFragments(other.Address, message)
 }
 
+// sendFragments sends a message to an address, in as many datagrams as it needs.
+func (p *policyRollout) sendFragments(address string, message []byte) {
+	p.sent++
+	for _, fragment := range splitMessage(p.sent, message) {
+		p.agent.transport.send(address, policySection, fragment)
+	}
+}
+
 // Peers are the names of the members that are alive.
 func (p *policyRollout) Peers() []string { return p.agent.livingMembers() }
 
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -225,14 +225,13 @@
 	s := a.quota
 	var err error
 	s.synchronized.WithCore(func(core *quota.Core) {
-		if err = core.ReplacePlan(a.clock.Now(), s.newPlan(c)); err != nil {
-			err = fmt.Errorf("fleet.budgets.%w", err)
-			return
+		err = core.ReplacePlan(a.clock.Now(), s.newPlan(c))
+		if err == nil {
+			s.addNames(c.Names)
 		}
-		s.addNames(c.Names)
 	})
 	if err != nil {
-		return err
+		return fmt.Errorf("fleet.budgets.%w", err)
 	}
 	s.recordTotals(c)
 	a.log.Info("fleet", "code", "renewed", "number", c.Number)
