--- a/internal/admission/attempts_test.go
+++ b/internal/admission/attempts_test.go
@@ -6,37 +6,37 @@
 
 var attemptScripts = map[string]func() *script{
 	"hopeless": func() *script { // called off when by its progress it would end in a time-out
-		d := deployment()
+		d := testDeployment()
 		d.SupportsCancel = true
-		s := start(d, "e1", "e2")
-		s.arrives("a", 1, 0, "")
-		s.pass(Second)
+		s := startScript(d, "e1", "e2")
+		s.sendRequest("a", 1, 0, "")
+		s.advanceTo(Second)
 		s.HandleNotice(s.at, "a", 0, ProgressNotice, 0.2)
 		s.HandleNotice(s.at, "a", 0, ProgressNotice, 0.1)
-		s.end("a", Cancelled)
-		s.arrives("unrepeatable", 2, 0, "")
-		s.pass(2 * Second)
+		s.endAttempt("a", Cancelled)
+		s.sendRequest("unrepeatable", 2, 0, "")
+		s.advanceTo(2 * Second)
 		s.HandleNotice(s.at, "unrepeatable", 0, ProgressNotice, 0.01)
 		return s
 	},
 	"silence": func() *script { // notes every 500 ms; one that stops is called off, and the request goes elsewhere
-		d := deployment()
+		d := testDeployment()
 		d.NoticeInterval, d.SupportsCancel = 500*Millisecond, true
-		s := start(d, "e1", "e2")
+		s := startScript(d, "e1", "e2")
 		s.engines.items[0].limit.bound, s.engines.items[1].limit.bound = 3, 3
-		s.arrives("a", 1, 0, "")
+		s.sendRequest("a", 1, 0, "")
 		for _, at := range []Time{500, 1000} {
-			s.pass(at * Millisecond)
-			s.say("note on a: it spills")
+			s.advanceTo(at * Millisecond)
+			s.record("note on a: it spills")
 			s.HandleNotice(s.at, "a", 0, SpillNotice, 10)
 		}
-		s.pass(1740 * Millisecond)
-		s.say("nothing since the last note")
-		s.pass(1760 * Millisecond)
-		s.end("a", Cancelled)
-		s.say("where nothing may be called off, a silent attempt runs to its timeout")
+		s.advanceTo(1740 * Millisecond)
+		s.record("nothing since the last note")
+		s.advanceTo(1760 * Millisecond)
+		s.endAttempt("a", Cancelled)
+		s.record("where nothing may be called off, a silent attempt runs to its timeout")
 		d.SupportsCancel = false
-		s.pass(3700 * Millisecond)
+		s.advanceTo(3700 * Millisecond)
 		return s
 	},
 }
--- a/internal/admission/concurrency_test.go
+++ b/internal/admission/concurrency_test.go
@@ -9,20 +9,20 @@
 
 var concurrencyScripts = map[string]func() *script{
 	"steps": func() *script { // the paper's rule: down, not when idle, up when full, still between, floor zero
-		s := start(deployment(), "e1")
+		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		for _, c := range []struct{ bound, running, signal float64 }{
 			{6, 4, 2}, {6, 0, 2}, {6, 6, 1}, {6, 5, 1}, {6, 6, 1.5}, {1, 1, 3}, {0, 1, 3}, {0, 0, 0}} {
 			e.limit.bound, e.limit.running = c.bound, c.running
 			s.adjustSlots(e, c.signal, Second)
-			s.say("signal %.2g, %g of %g in use: bound %.3g", c.signal, c.running, c.bound, e.limit.bound)
+			s.record("signal %.2g, %g of %g in use: bound %.3g", c.signal, c.running, c.bound, e.limit.bound)
 		}
 		return s
 	},
 	"signals": func() *script { // held queries first, then utilisation, then our own count
-		s := start(deployment(), "e1")
+		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
-		show := func(why string) { s.say("%s: signal %.3g", why, s.loadSignal(e)) }
+		show := func(why string) { s.record("%s: signal %.3g", why, s.loadSignal(e)) }
 		s.at, s.now = Second, Second
 		e.load.reportAt, e.load.report = s.at, Report{8, -1, -1, -1}
 		show("8 held on 4 cores, 1.75 threads each")
@@ -44,24 +44,24 @@
 		return s
 	},
 	"chance at zero": func() *script { // at a bound of zero: one query, with chance 1/gateways a tick
-		d := deployment()
+		d := testDeployment()
 		d.Gateways = 4
-		s := start(d, "e1")
+		s := startScript(d, "e1")
 		s.engines.items[0].limit.bound = 0
-		s.arrives("a", 1, 0, "")
-		s.arrives("b", 1, 0, "")
-		s.pass(400 * Millisecond)
+		s.sendRequest("a", 1, 0, "")
+		s.sendRequest("b", 1, 0, "")
+		s.advanceTo(400 * Millisecond)
 		return s
 	},
 	"many gateways": func() *script { // a part far below a query: engines open by chance, seldom after long requests
-		d := deployment()
+		d := testDeployment()
 		d.Gateways, d.SupportsProbes = 300, false
 		var names []EngineID
 		for i := range 200 {
 			names = append(names, EngineID(fmt.Sprint("e", i)))
 		}
-		s := start(d, names...)
-		s.say("bound %.3g", s.engines.items[0].limit.bound)
+		s := startScript(d, names...)
+		s.record("bound %.3g", s.engines.items[0].limit.bound)
 		show := func(why string) {
 			n := 0
 			for i := range s.engines.items {
@@ -69,10 +69,10 @@
 					n++
 				}
 			}
-			s.say("%s: of 200 engines %d are open", why, n)
+			s.record("%s: of 200 engines %d are open", why, n)
 		}
 		s.estimates.meanWork = float64(600 * Millisecond)
-		s.pass(tickInterval)
+		s.advanceTo(tickInterval)
 		show("a tick, half busy")
 		s.at += 50 * tickInterval
 		s.Tick(s.at)
@@ -84,41 +84,41 @@
 		return s
 	},
 	"step by time held": func() *script { // a query is the threads of attempts by their time at the engine
-		s := start(deployment(), "e1")
+		s := startScript(testDeployment(), "e1")
 		s.engines.items[0].limit.bound = 8
-		s.say("step %.2f: the mean of the classes", s.estimates.querySlots())
-		s.arrives("long", 1, 0, "")
-		s.arrives("short", 0, 0, "")
-		s.pass(100 * Millisecond)
-		s.end("short", Served)
-		s.pass(2 * Second)
-		s.end("long", Served)
-		s.say("step %.2f: nearer to the three threads held most of the time", s.estimates.querySlots())
+		s.record("step %.2f: the mean of the classes", s.estimates.querySlots())
+		s.sendRequest("long", 1, 0, "")
+		s.sendRequest("short", 0, 0, "")
+		s.advanceTo(100 * Millisecond)
+		s.endAttempt("short", Served)
+		s.advanceTo(2 * Second)
+		s.endAttempt("long", Served)
+		s.record("step %.2f: nearer to the three threads held most of the time", s.estimates.querySlots())
 		return s
 	},
 	"held at zero": func() *script { // an engine that tells held queries lets one in at zero while it has room
-		d := deployment()
+		d := testDeployment()
 		d.Gateways = 300
-		s := start(d, "e1")
+		s := startScript(d, "e1")
 		s.HandleAttemptEnd(0, AttemptResult{Request: "none", Outcome: Served, Answered: true, Report: NoReport})
 		s.engines.items[0].load.report, s.engines.items[0].load.reportAt = Report{InFlight: 2, Utilization: -1, Memory: -1, Disks: -1}, 0
 		s.engines.items[0].limit.randomFactor = 1 // a draw that the chance of a pace would turn down
-		s.say("e1 holds 2 queries on 4 cores, bound %.3g", s.engines.items[0].limit.bound)
-		s.arrives("a", 0, 0, "")
-		s.end("a", Served)
+		s.record("e1 holds 2 queries on 4 cores, bound %.3g", s.engines.items[0].limit.bound)
+		s.sendRequest("a", 0, 0, "")
+		s.endAttempt("a", Served)
 		s.engines.items[0].load.report, s.engines.items[0].load.reportAt = Report{InFlight: 9, Utilization: -1, Memory: -1, Disks: -1}, s.at
 		s.engines.items[0].limit.randomFactor = 1
-		s.say("e1 holds 9 queries: full")
-		s.arrives("b", 0, 0, "")
+		s.record("e1 holds 9 queries: full")
+		s.sendRequest("b", 0, 0, "")
 		return s
 	},
 	"memory for utilisation": func() *script { // without utilisation, the scarcer of memory and disks steps the bound
-		s := start(deployment(), "e1")
+		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		e.limit.bound, e.limit.running = 3, 3
-		s.probed("e1", Served, Report{InFlight: -1, Utilization: -1, Memory: 0.97, Disks: 0.4})
-		s.pass(2 * Second)
-		s.probed("e1", Served, Report{InFlight: -1, Utilization: -1, Memory: 0.2, Disks: 0.3})
+		s.endProbe("e1", Served, Report{InFlight: -1, Utilization: -1, Memory: 0.97, Disks: 0.4})
+		s.advanceTo(2 * Second)
+		s.endProbe("e1", Served, Report{InFlight: -1, Utilization: -1, Memory: 0.2, Disks: 0.3})
 		return s
 	},
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -5,16 +5,16 @@
 	"math/rand"
 )
 
-// tickInterval is the timer's pace: a queued request is given up at most this late, well within the answer's slack.
+// tickInterval is the time between two calls of Tick. A queued request is given up at most this late.
 const tickInterval = 20 * Millisecond
 
-// Controller decides for one gateway from what it has seen, and from what peers tell of engines where they may.
+// Controller decides for one gateway, from what it has seen and, where gateways exchange messages, from what peers observed.
 type Controller struct {
 	host       Host
 	deployment *Deployment
 	random     *rand.Rand
 	now        Time // of the event that is handled
-	tickedAt   Time // when the timer last went off
+	tickedAt   Time // when Tick was last called
 	sequence   uint64
 	classOrder []int // classes, highest priority weight first
 
@@ -35,7 +35,7 @@
 	snapshot *Snapshot // of a process before this one; nil: there is none
 }
 
-// New makes a controller that knows no engine yet.
+// New returns a controller that knows no engine yet. The same seed and calls lead to the same actions.
 func New(now Time, seed int64, d *Deployment, host Host) *Controller {
 	random := rand.New(rand.NewSource(seed))
 	c := &Controller{
@@ -71,20 +71,20 @@
 // SetPolicy hands over what an operator's classes allow, before the first request that has one.
 func (c *Controller) SetPolicy(gate Policy) { c.pools.policy = gate }
 
-// HandleCapacityChange takes in that a policy class may use more than before, as the gate knows.
+// HandleCapacityChange releases queued requests after the policy has come to allow a class more than before.
 func (c *Controller) HandleCapacityChange(now Time) {
 	c.now = now
 	c.releaseQueued()
 }
 
-// HasRequest tells whether a request of that id is in hand.
+// HasRequest tells whether a request of that id is queued or in flight.
 func (c *Controller) HasRequest(id RequestID) bool {
 	_, request := c.requests.find(id)
 	return request != nil
 }
 
-// Tick is the timer, which the host calls when ScheduleTick asked for it: probes, steps where no report comes, the chance
-// at a bound of zero, requests given up.
+// Tick does what is due by time alone: probes, steps of bounds where no report comes, the draw for bounds of zero, silent
+// attempts, requests that have waited too long. The host calls it when ScheduleTick asked for it.
 func (c *Controller) Tick(now Time) {
 	c.now = now
 	c.pollEndpoints()
@@ -111,7 +111,7 @@
 }
 
 func (c *Controller) tickEngine(engine *engineState) {
-	if !engine.probe.inFlight { // what a probe was sent for waits for it
+	if !engine.probe.inFlight { // the request that a probe was sent for waits for its result
 		c.drawRandomFactor(engine)
 	}
 	if c.now-engine.load.reportAt >= staleReportAge && c.now-engine.limit.steppedAt >= staleReportAge/3 {
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -60,9 +60,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		everyPeers = true
+		peersEverywhere = true
 		got := run().out.String()
-		everyPeers = false
+		peersEverywhere = false
 		if told.ReplaceAllString(got, "") != told.ReplaceAllString(string(want), "") {
 			t.Errorf("%s: with peers that say nothing\n%s\nkept:\n%s", name, got, want)
 		}
@@ -71,7 +71,7 @@
 
 // Engines with new ids come all day, and some go while a request is in flight there.
 func TestStateStaysSmallOverALongDay(t *testing.T) {
-	s := start(deployment())
+	s := startScript(testDeployment())
 	for n := range 5000 {
 		name, id := EngineID(fmt.Sprint("e", n)), RequestID(fmt.Sprint("t", n))
 		s.UpdateEndpoints(s.at, PartialUpdate, []Endpoint{{Engine: name}})
@@ -79,7 +79,7 @@
 		s.HandleProbeResult(s.at, name, Served, Report{-1, 0.1, -1, -1})
 		s.UpdateEndpoints(s.at, PartialUpdate, []Endpoint{{Engine: name, State: Gone}})
 		s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: Outcome(n % 9), Answered: n%9 == 0, Report: NoReport})
-		s.pass(s.at + 2*Second)
+		s.advanceTo(s.at + 2*Second)
 	}
 	if len(s.engines.items) > 4 || len(s.engines.byName) > 4 || len(s.requests.items) > 4 || len(s.requests.byID) > 0 || s.queues.waiting > 0 {
 		t.Errorf("%d engines, %d names, %d places, %d requests, %d held", len(s.engines.items), len(s.engines.byName), len(s.requests.items),
@@ -88,7 +88,7 @@
 }
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	d := deployment()
+	d := testDeployment()
 	d.SupportsRanks = true
 	r := New(0, 1, d, quiet{})
 	r.UpdateEndpoints(0, FullUpdate, []Endpoint{{Engine: "e1"}, {Engine: "e2"}})
@@ -126,10 +126,10 @@
 func (quiet) LogEvent(string)                                            {}
 
 func ExampleController() {
-	s := start(deployment(), "e1")
-	s.arrives("t1", 0, 0, "")
-	s.pass(80 * Millisecond)
-	s.end("t1", Served)
+	s := startScript(testDeployment(), "e1")
+	s.sendRequest("t1", 0, 0, "")
+	s.advanceTo(80 * Millisecond)
+	s.endAttempt("t1", Served)
 	fmt.Print(s.out.String())
 	// Output:
 	//      0 ms  t1 arrives in class 0
--- a/internal/admission/endpoints_test.go
+++ b/internal/admission/endpoints_test.go
@@ -6,23 +6,23 @@
 
 var endpointScripts = map[string]func() *script{
 	"lists": func() *script { // drains at once; an old list; what a full list lacks is gone; a failure keeps it
-		s := start(deployment(), "e1", "e2", "e3")
-		s.list(PartialUpdate, Endpoint{Engine: "e1", State: Draining}, Endpoint{Engine: "e2", State: Gone})
+		s := startScript(testDeployment(), "e1", "e2", "e3")
+		s.updateList(PartialUpdate, Endpoint{Engine: "e1", State: Draining}, Endpoint{Engine: "e2", State: Gone})
 		s.engines.items[2].limit.bound = 0
-		s.arrives("a", 0, 0, "")
-		s.say("the guard lets a go to e1: %t", s.sendAttempt(s.requests.byID["a"], 0))
-		s.list(FullUpdate, Endpoint{Engine: "e1"})
-		s.list(FailedPoll)
-		s.pass(20 * Second)
-		s.list(PartialUpdate, Endpoint{Engine: "e1", Since: 19 * Second})
+		s.sendRequest("a", 0, 0, "")
+		s.record("the guard lets a go to e1: %t", s.sendAttempt(s.requests.byID["a"], 0))
+		s.updateList(FullUpdate, Endpoint{Engine: "e1"})
+		s.updateList(FailedPoll)
+		s.advanceTo(20 * Second)
+		s.updateList(PartialUpdate, Endpoint{Engine: "e1", Since: 19 * Second})
 		return s
 	},
 	"asked list": func() *script { // a call that failed is made again a second later, not at once
-		d := deployment()
+		d := testDeployment()
 		d.PollsEndpoints = true
-		s := start(d, "e1")
-		s.list(FailedPoll)
-		s.pass(3 * Second)
+		s := startScript(d, "e1")
+		s.updateList(FailedPoll)
+		s.advanceTo(3 * Second)
 		return s
 	},
 }
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -1,7 +1,7 @@
 package admission
 
-// What is learned of classes: the usual run time follows the engines' state, some twenty answers back; work and memory
-// are long means.
+// A class's usual run time follows the engines' present state, so it rests on some twenty answers (recentShare is the weight of
+// one). Its work and memory are means over up to meanSamples answers, because they change with the mix of requests alone.
 const (
 	recentShare = 0.05
 	meanSamples = 300
@@ -9,37 +9,38 @@
 
 const initialRank = 1
 
-// initialBusyShare is what engines count as until one reports.
+// initialBusyShare is the busy share that engines are taken to have until one reports.
 const initialBusyShare = 0.5
 
-// classEstimate is what answers have told of a class.
+// classEstimate is what answers have told of a class. Times are in units of Time.
 type classEstimate struct {
-	runTime          float64 // from attempt to answer
-	work             float64 // time on one thread
+	runTime          float64 // from sending an attempt to its answer
+	work             float64 // time that a request takes on one thread
 	memory           float64 // MB
-	answers          float64 // that the figures rest on, capped
-	requests         float64 // that the work rests on, capped
-	correctionFactor float64 // times its work that a request takes where nothing is crowded
+	answers          float64 // that runTime, memory and correctionFactor rest on, capped
+	requests         float64 // that work rests on, capped
+	correctionFactor float64 // what a request takes over what it was told to take, on engines that aren't busy
 	rank             int
 }
 
-// estimator learns from answers what requests take, and how busy engines are.
+// estimator learns from answers what requests take, and from reports how busy engines are. Times are in units of Time.
 type estimator struct {
 	deployment *Deployment
 	classes    []classEstimate
 
-	// Sums over the attempts that ended lately, in which older ones count for less and less.
+	// Sums over the attempts that ended lately; an attempt counts for less with each one that ends after it.
 	threadTime    float64
 	requestedWork float64
-	runTime       float64 // threadTime over it is the threads of one query, as held (querySlots)
+	runTime       float64 // threadTime over runTime is the threads of a query in flight (querySlots)
 
-	meanWork      float64 // of the requests sent lately
-	expectedWork  float64 // of a usual request as the deployment lets expect: the same at all gateways
-	meanBusyShare float64 // of engines by their latest reports: what one without a fresh report counts as
+	meanWork      float64 // mean of the requests sent lately
+	expectedWork  float64 // of a usual request, from the deployment alone: the same at all gateways
+	meanBusyShare float64 // of the engines that reported lately; an engine without a fresh report is taken to have it
 	bestPrice     float64 // of a usual request of the best class
 }
 
-// newEstimator begins with what the deployment lets expect: users set latency objectives with room to wait.
+// newEstimator begins with what the deployment lets expect: a third of the latency objective, because users set it with time
+// to wait.
 func newEstimator(d *Deployment) estimator {
 	s := estimator{deployment: d, classes: make([]classEstimate, len(d.Classes)), meanBusyShare: initialBusyShare}
 	meanThreads := 0.0
@@ -58,11 +59,12 @@
 	return s
 }
 
-// querySlots is what a query in flight stands for: threads of our attempts by their run time; the classes' mean at first.
+// querySlots is how many threads a query in flight takes: the mean of our attempts weighted by their run time, and of the
+// classes at first.
 func (s *estimator) querySlots() float64 { return s.threadTime / s.runTime }
 
-// expectWork is the work that a request of a class is taken for: what it told, from which the class's mean learns, else
-// that mean.
+// expectWork returns the work that a request is expected to take: its estimate, which goes into its class's mean, else that
+// mean.
 func (s *estimator) expectWork(class int, told Time) float64 {
 	if told <= 0 {
 		return s.classes[class].work
@@ -71,7 +73,7 @@
 	return float64(told)
 }
 
-// memory is the memory that a request is taken to need, in MB.
+// memory returns the memory that a request is expected to need, in MB.
 func (s *estimator) memory(request *activeRequest) float64 {
 	if request.estimate.Memory > 0 {
 		return request.estimate.Memory
@@ -79,12 +81,13 @@
 	return s.classes[request.class].memory
 }
 
-// slowStartWork is what a request counts against a cold engine's budget: what nine of ten stay under, where told.
+// slowStartWork returns the work that a request counts against the budget of an engine that warms up: the estimate's ninetieth
+// percentile where it is above the class's mean, because one heavy request can make the engine fail.
 func (s *estimator) slowStartWork(request *activeRequest) float64 {
 	return max(s.classes[request.class].work, float64(request.estimate.WorkP90))
 }
 
-// usualRunTime is how long a request runs if it runs as its class usually does.
+// usualRunTime returns how long a request runs if it runs as its class usually does.
 func (s *estimator) usualRunTime(request *activeRequest) float64 {
 	class := &s.classes[request.class]
 	if request.estimate.Work > 0 {
@@ -93,14 +96,14 @@
 	return class.runTime
 }
 
-// countSent counts a request that is sent, in a mean over some five attempts.
+// countSent takes a request that is sent into meanWork, which rests on some five attempts.
 func (s *estimator) countSent(class int) {
 	const weight = 0.2
 	s.meanWork += weight * (s.classes[class].work - s.meanWork)
 }
 
-// countRun counts the time that an attempt took, in sums over some twenty. What ends in the tick that it was sent in tells of
-// no time held.
+// countRun takes an attempt that ended into the sums, which rest on some twenty. One that ended at the time it was sent at
+// has held no thread, and doesn't count.
 func (s *estimator) countRun(request *activeRequest, runTime, work Time) {
 	const keep = 0.95
 	run := float64(runTime)
@@ -113,7 +116,7 @@
 	s.runTime = keep*s.runTime + run
 }
 
-// learnAnswer takes in what a served attempt tells of its class.
+// learnAnswer takes what a served attempt tells into the estimate of its class.
 func (s *estimator) learnAnswer(request *activeRequest, runTime, work Time, memory float64) {
 	class := &s.classes[request.class]
 	run := float64(runTime)
@@ -124,7 +127,7 @@
 	if request.estimate.Work == 0 {
 		s.learnWork(request.class, cost)
 	}
-	// How many times its work a request takes where nothing is crowded: falls with answers and hardly rises.
+	// The correction factor falls quickly and rises slowly, because busy engines make requests take longer.
 	ratio := run * float64(s.deployment.Classes[request.class].Threads) / max(1, cost)
 	if class.answers == 1 || ratio < class.correctionFactor {
 		class.correctionFactor += max(recentShare, 1/class.answers) * (ratio - class.correctionFactor)
@@ -133,34 +136,33 @@
 	}
 }
 
-// cost is a request's work, as its answer tells, else as estimated; else it took what it ran.
+// cost returns a request's work: as its answer tells, else as estimated, else the thread time that it ran.
 func (s *estimator) cost(request *activeRequest, runTime, work Time) float64 {
 	run := float64(runTime) * float64(s.deployment.Classes[request.class].Threads)
 	if told := max(work, request.estimate.Work); told > 0 {
 		return float64(told)
 	}
 	if s.deployment.ReportsCost {
-		return min(run, s.classes[request.class].work) // no answer came
+		return min(run, s.classes[request.class].work) // answers tell, but none came
 	}
 	return run
 }
 
-// learnWork takes a request's work into its class's mean: estimates on arrival, else what answers tell.
+// learnWork takes a request's work into its class's mean: its estimate on arrival, else what its answer tells.
 func (s *estimator) learnWork(class int, work float64) {
 	l := &s.classes[class]
 	l.requests = min(l.requests+1, meanSamples)
-	l.work += 1 / (l.requests + 1) * (work - l.work) // what it started from counts as one
+	l.work += 1 / (l.requests + 1) * (work - l.work) // the initial value counts as one request
 }
 
-// price is what a request earns for its work, as far as the class's answers bear out what was told of it:
-// estimates can be far too high or too low for a class as a whole, but none is trusted to be five times too
-// high.
+// price returns a request's weight over its work. The work is corrected by the class's factor, because estimates can be far
+// too high or too low for a class as a whole; no more than five times too high is believed.
 func (s *estimator) price(class int, work float64) float64 {
 	return s.deployment.Classes[class].Weight / work / max(0.2, s.classes[class].correctionFactor)
 }
 
-// updatePrices finds the best price, and orders classes by price in ranks where engines heed them. Shares go up by steps
-// of two to four, so a class with half of the best price gets the next lower rank.
+// updatePrices finds the best price, and ranks classes by price where engines support ranks. An engine gives a rank two to four
+// times the share of the rank below, so a class with half of the best price gets the next lower rank.
 func (s *estimator) updatePrices() {
 	s.bestPrice = 0
 	for i := range s.classes {
@@ -175,9 +177,10 @@
 	}
 }
 
-// reportedBusyShare is the busy share that an engine reports: of the queries that the threshold allows it, or of its
-// cores, memory or disks, whichever is scarcest. Cores idle under requests that wait for the others, which
-// then take long: where answers tell work, the share counts as many times as requests took of it lately.
+// reportedBusyShare returns the busy share that an engine reports: of the queries that loadThreshold allows it, or of its
+// cores, memory or disks, whichever is scarcest. Cores idle under requests that wait for memory or disks, and such requests
+// take longer than their work; so where answers tell work, the share is multiplied by how many times their work requests
+// took lately.
 func (s *estimator) reportedBusyShare(cores float64, report Report, utilization float64) float64 {
 	if report.InFlight >= 0 {
 		return report.InFlight / cores * s.querySlots() / loadThreshold
@@ -189,7 +192,7 @@
 	return share
 }
 
-// learnBusyShare takes a report into the mean over the engines.
+// learnBusyShare takes a report into the mean busy share of the engines.
 func (s *estimator) learnBusyShare(cores float64, report Report, utilization float64) {
 	const weight = 0.2
 	s.meanBusyShare += weight * (min(1, s.reportedBusyShare(cores, report, utilization)) - s.meanBusyShare)
--- a/internal/admission/estimates_test.go
+++ b/internal/admission/estimates_test.go
@@ -8,18 +8,18 @@
 
 var estimateScripts = map[string]func() *script{
 	"estimates too high": func() *script { // incident: a class told twice its work is not shed for it
-		s := start(deployment(), "e1")
-		s.answer(20, 200*Millisecond, 100*Millisecond)
-		s.say("price over that of the work told: %.2f", s.estimates.price(0, 1)/s.d.Classes[0].Weight)
+		s := startScript(testDeployment(), "e1")
+		s.serveRequests(20, 200*Millisecond, 100*Millisecond)
+		s.record("price over that of the work told: %.2f", s.estimates.price(0, 1)/s.d.Classes[0].Weight)
 		return s
 	},
 	"crowded": func() *script { // where answers tell work, idle cores under slow requests are no room
-		d := deployment()
+		d := testDeployment()
 		d.ReportsCost = true
-		s := start(d, "e1")
+		s := startScript(d, "e1")
 		e := &s.engines.items[0]
-		s.probed("e1", Served, Report{-1, 0.4, -1, -1})
-		s.say("busy share %.2f", s.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization))
+		s.endProbe("e1", Served, Report{-1, 0.4, -1, -1})
+		s.record("busy share %.2f", s.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization))
 		for i := range 20 {
 			id := RequestID(fmt.Sprint("t", i))
 			s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second})
@@ -27,16 +27,16 @@
 			s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: Served, Answered: true, Work: 100 * Millisecond, Report: NoReport})
 		}
 		s.out.Reset()
-		s.say("busy share %.2f when requests take three times their work", s.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization))
+		s.record("busy share %.2f when requests take three times their work", s.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization))
 		return s
 	},
 	"ranks": func() *script { // by value for work
-		d := deployment()
+		d := testDeployment()
 		d.SupportsRanks = true
-		s := start(d, "e1")
+		s := startScript(d, "e1")
 		s.estimates.updatePrices()
 		for class, id := range []RequestID{"l0", "l1", "l2"} {
-			s.arrives(id, class, 0, "")
+			s.sendRequest(id, class, 0, "")
 		}
 		return s
 	},
--- a/internal/admission/healthchecks.go
+++ b/internal/admission/healthchecks.go
@@ -1,18 +1,18 @@
 package admission
 
-// Probes are paid for by the requests taken: their price stays at probeBudget of the service, too small to be
-// seen in it, however many gateways there are, and reports come when there is something to send.
+// Probes are paid for by the requests taken, so that all probes together cost at most probeBudget of the service, however
+// many gateways there are, and reports come when there are requests to place.
 const (
 	probeBudget    = 0.005
-	maxProbeCredit = 8.0               // a stalled gateway doesn't probe for all that came meanwhile
-	minProbeGap    = 200 * Millisecond // reports are made anew no faster
-	loadTurnover   = 800 * Millisecond // of an engine's load, by and large; a look each 200 or 400 ms told no more
+	maxProbeCredit = 8.0               // so that a gateway that stood still doesn't send a burst of probes
+	minProbeGap    = 200 * Millisecond // engines make new reports no faster
+	loadTurnover   = 800 * Millisecond // time in which an engine's load turns over; probes every 200 or 400 ms gained nothing
 )
 
 // probeCredit counts how many probes the requests taken have paid for.
 type probeCredit struct {
 	credit float64 // -Inf: the deployment has no probes
-	cost   float64 // of one probe, in requests' service; see Deployment.ProbePrice
+	cost   float64 // see Deployment.ProbePrice
 }
 
 // earn adds what one request pays for.
@@ -23,7 +23,7 @@
 // affordsOne tells whether a probe that an attempt waits for may be sent.
 func (p *probeCredit) affordsOne() bool { return p.credit >= 1 }
 
-// hasSpare tells whether more is there than is kept for probes that an attempt waits for.
+// hasSpare tells whether there is credit beyond the half that is reserved for probes that an attempt waits for.
 func (p *probeCredit) hasSpare() bool { return p.credit >= maxProbeCredit/2 }
 
 // spend takes the price of one probe.
--- a/internal/admission/healthchecks_test.go
+++ b/internal/admission/healthchecks_test.go
@@ -6,17 +6,17 @@
 
 var healthCheckScripts = map[string]func() *script{
 	"probes": func() *script { // paid for by requests, one out at a time, no faster than reports are made
-		s := start(deployment(), "e1")
-		s.Controller.probes.credit = maxProbeCredit / 2
-		s.probes = true
-		s.pass(40 * Millisecond)
-		s.probed("e1", Served, Report{-1, 0.5, -1, -1})
-		s.pass(3 * Second)
-		s.say("credit %.1f", s.Controller.probes.credit)
-		s.arrives("a", 0, 0, "")
-		s.arrives("b", 0, 0, "")
-		s.probed("e1", Served, Report{-1, 0.6, -1, -1})
-		s.arrives("c", 0, 0, "")
+		s := startScript(testDeployment(), "e1")
+		s.probes.credit = maxProbeCredit / 2
+		s.recordProbes = true
+		s.advanceTo(40 * Millisecond)
+		s.endProbe("e1", Served, Report{-1, 0.5, -1, -1})
+		s.advanceTo(3 * Second)
+		s.record("credit %.1f", s.probes.credit)
+		s.sendRequest("a", 0, 0, "")
+		s.sendRequest("b", 0, 0, "")
+		s.endProbe("e1", Served, Report{-1, 0.6, -1, -1})
+		s.sendRequest("c", 0, 0, "")
 		return s
 	},
 }
--- a/internal/admission/keyorder_test.go
+++ b/internal/admission/keyorder_test.go
@@ -6,23 +6,23 @@
 )
 
 var keyOrderScripts = map[string]func() *script{
-	"order": func() *script { // one at a time by key, with the rest after doubt; a give-up may come out of turn
-		d := deployment()
+	"order": func() *script { // one at a time by key, with the cooldown after an attempt that may run; a rejection may come out of order
+		d := testDeployment()
 		d.KeyCooldown = 300 * Millisecond
 		d.Classes[3].LatencyObjective = 5 * Second
-		s := start(d, "e1", "e2")
-		s.arrives("k1", 3, 0, "k")
-		s.arrives("k2", 3, 0, "k")
-		s.arrives("other", 3, 0, "x")
-		s.end("k1", TimedOut)
-		s.end("k1", Served)
-		s.pass(400 * Millisecond)
-		s.end("k2", TimedOut)
-		s.end("k2", Served)
-		s.end("other", Served)
-		s.say("%d keys known", len(s.keys.queues))
-		s.pass(800 * Millisecond)
-		s.say("%d keys known", len(s.keys.queues))
+		s := startScript(d, "e1", "e2")
+		s.sendRequest("k1", 3, 0, "k")
+		s.sendRequest("k2", 3, 0, "k")
+		s.sendRequest("other", 3, 0, "x")
+		s.endAttempt("k1", TimedOut)
+		s.endAttempt("k1", Served)
+		s.advanceTo(400 * Millisecond)
+		s.endAttempt("k2", TimedOut)
+		s.endAttempt("k2", Served)
+		s.endAttempt("other", Served)
+		s.record("%d keys known", len(s.keys.queues))
+		s.advanceTo(800 * Millisecond)
+		s.record("%d keys known", len(s.keys.queues))
 		return s
 	},
 }
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -1,6 +1,6 @@
 package admission
 
-// staleReportAge is from when on a report that has not changed says nothing of now.
+// staleReportAge is the age from which on an unchanged report tells nothing of the present load.
 const staleReportAge = 3 * Second
 
 // Report is an engine's load report: queries in flight, and the shares of its cores, memory and disks that are in use, 0 to
@@ -12,13 +12,13 @@
 	Disks       float64
 }
 
-// NoReport has no value at all.
+// NoReport is a report in which every value is absent.
 var NoReport = Report{-1, -1, -1, -1}
 
-// scarcest is the share of what is used most.
+// scarcest returns the share of the resource that is used most.
 func (r Report) scarcest() float64 { return max(r.Utilization, r.Memory, r.Disks) }
 
-// loadReport is an engine's latest report, and what was sent since that it can't tell yet.
+// loadReport is an engine's latest report, and the threads sent since then, which it doesn't have yet.
 type loadReport struct {
 	report      Report
 	utilization float64 // the scarcest share, smoothed
@@ -27,8 +27,8 @@
 	sentSinceAt Time
 }
 
-// update takes in a new report, and returns how long after the one before it came. Some three reports make the
-// utilization, as one is noisy; one that comes after a long time stands alone.
+// update takes in a new report, and returns the time since the one before it. The utilization is smoothed over some three
+// reports, because one is noisy; a report that comes after a long time replaces it.
 func (l *loadReport) update(report Report, now Time) (interval Time) {
 	const weight = 0.3
 	interval = now - l.reportAt
@@ -43,8 +43,8 @@
 	return interval
 }
 
-// applyReport takes in an engine's report, and steps the bound if it is a new one: a step on the one we had
-// would count one sight twice.
+// applyReport takes in an engine's report, and steps the bound if the report has changed. A step on an unchanged one would
+// count one measurement twice.
 func (c *Controller) applyReport(index engineIndex, report Report) {
 	engine := c.engines.at(index)
 	if report == NoReport || report == engine.load.report {
@@ -52,7 +52,7 @@
 	}
 	interval := engine.load.update(report, c.now)
 	c.estimates.learnBusyShare(engine.cores, report, engine.load.utilization)
-	const reportAge = 400 * Millisecond // of what a report tells, by and large: made now and then, and under way
+	const reportAge = 400 * Millisecond // typical age of what a report tells: engines make it now and then, and it takes time to arrive
 	engine.load.sentSinceAt = c.now - reportAge
 	engine.load.sentSince = c.requests.threadsSentTo(index, engine.load.sentSinceAt, c.deployment.Classes)
 	c.adjustSlots(engine, c.loadSignal(engine), interval)
--- a/internal/admission/loadreports_test.go
+++ b/internal/admission/loadreports_test.go
@@ -7,11 +7,11 @@
 
 var loadReportScripts = map[string]func() *script{
 	"reports": func() *script { // the same report twice is one sight; two steps need two reports
-		s := start(deployment(), "e1")
-		s.arrives("a", 0, 0, "")
+		s := startScript(testDeployment(), "e1")
+		s.sendRequest("a", 0, 0, "")
 		for _, u := range []float64{0.99, 0.99, 0.98} {
-			s.pass(s.at + 200*Millisecond)
-			s.probed("e1", Served, Report{-1, u, -1, -1})
+			s.advanceTo(s.at + 200*Millisecond)
+			s.endProbe("e1", Served, Report{-1, u, -1, -1})
 		}
 		return s
 	},
--- a/internal/admission/outlier.go
+++ b/internal/admission/outlier.go
@@ -5,27 +5,27 @@
 	"math"
 )
 
-// Failures add to an engine's score, which halves every failureHalfLife; its bound and its weight in the draw halve with
-// each point, and at ejectionScore it is ejected: it gets nothing until the score has decayed. It counts above the least
-// of the fleet's: what strikes all engines alike ejects none. A time-out or a hopeless attempt adds a point where the bound
-// is at zero: it can't step down from an engine that others have jammed.
+// Failures add points to an engine's failure score, which halves every failureHalfLife. An engine's bound and its weight in the
+// draw halve with each point, and at ejectionScore it is ejected: it gets no attempts until the score has decayed. Scores
+// count above the lowest one of the pool, so a fault that strikes all engines alike ejects none. Time-outs and cancelled
+// attempts add points only at a bound of zero; above that the bound steps down instead.
 const (
-	failureHalfLife = 1500 * Millisecond // a struck engine is back under ejectionScore within some three seconds
+	failureHalfLife = 1500 * Millisecond // so that an engine that failed is tried again within some three seconds
 	ejectionScore   = 3.0
 	maxFailureScore = 8.0
 
-	connectionFailurePoints = 2   // so that two in a row eject an engine
-	silencePoints           = 1.5 // of a probe or of a running attempt, as one may be chance
-	errorPoints             = 0.5 // as single errors are common
+	connectionFailurePoints = 2   // two in a row eject an engine
+	silencePoints           = 1.5 // of a probe or a running attempt; one alone may be chance
+	errorPoints             = 0.5 // single errors are common
 	timeoutPoints           = 1
 )
 
-// ejectionLogInterval is how often an ejection is logged again: a person acts on the first line.
+// ejectionLogInterval is the shortest time between two log lines on an engine's ejection, because a person acts on the first.
 const ejectionLogInterval = 10 * Second
 
 // failureScore is what this gateway's own failed attempts and probes count against an engine.
 type failureScore struct {
-	points   float64 // as of updatedAt
+	points   float64 // as of addedAt
 	addedAt  Time
 	loggedAt Time // when its ejection was last logged; 0: never
 }
@@ -64,7 +64,8 @@
 	}
 }
 
-// failureScore is an engine's own score and, while it counts, what peers say: one point a witness, so three eject.
+// failureScore returns an engine's score by our own failures, plus what peers' failures count for while they are fresh: one
+// point a witness, so that three eject an engine.
 func (c *Controller) failureScore(engine *engineState) float64 {
 	own := engine.failures.decayed(c.now)
 	if c.now < engine.peers.scoreUntil {
@@ -73,7 +74,7 @@
 	return own
 }
 
-// leastFailureScore is the least score of a pool's live engines.
+// leastFailureScore returns the lowest score of a pool's live engines.
 func (c *Controller) leastFailureScore(pool int) float64 {
 	least := maxFailureScore
 	for i := range c.engines.items {
--- a/internal/admission/outlier_test.go
+++ b/internal/admission/outlier_test.go
@@ -8,45 +8,45 @@
 
 var outlierScripts = map[string]func() *script{
 	"failure score": func() *script { // a silent engine gets nothing, then trust fades back; all silent condemns none
-		s := start(deployment(), "e1", "e2")
-		s.pass(100 * Millisecond)
+		s := startScript(testDeployment(), "e1", "e2")
+		s.advanceTo(100 * Millisecond)
 		for range 3 {
-			s.probed("e1", TimedOut, NoReport)
+			s.endProbe("e1", TimedOut, NoReport)
 		}
 		for _, id := range []RequestID{"a", "b", "c"} {
-			s.arrives(id, 0, 0, "")
+			s.sendRequest(id, 0, 0, "")
 		}
 		for range 3 {
-			s.probed("e2", TimedOut, NoReport)
+			s.endProbe("e2", TimedOut, NoReport)
 		}
-		s.pass(4 * Second)
-		s.probed("e1", Served, Report{-1, 0.5, -1, -1})
+		s.advanceTo(4 * Second)
+		s.endProbe("e1", Served, Report{-1, 0.5, -1, -1})
 		return s
 	},
-	"time-outs": func() *script { // incident: at zero they turn a router from a jammed engine, above it the bound does
-		s := start(deployment(), "e1")
+	"time-outs": func() *script { // incident: at a bound of zero they turn a gateway from a jammed engine, above it the bound does
+		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		for i, bound := range []float64{8, 0} {
 			id := RequestID(fmt.Sprint("t", i))
-			s.arrives(id, 0, 0, "")
+			s.sendRequest(id, 0, 0, "")
 			e.limit.bound = bound
-			s.end(id, TimedOut)
-			s.say("bound %g: failure score %.1f", bound, s.failureScore(e))
+			s.endAttempt(id, TimedOut)
+			s.record("bound %g: failure score %.1f", bound, s.failureScore(e))
 			e.limit.bound = 8
 			s.HandleDisconnect(s.at, id)
-			s.end(id, TimedOut)
+			s.endAttempt(id, TimedOut)
 		}
 		return s
 	},
 	"errors": func() *script { // bad clients' requests fail everywhere, and eject no engine
-		s := start(deployment(), "e1")
+		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		for _, how := range []Outcome{Errored, Lost} {
-			s.arrives("a", 0, 0, "")
-			s.end("a", how)
-			s.say("failure score %.1f", s.failureScore(e))
-			s.end("a", Errored)
-			s.say("failure score %.1f", s.failureScore(e))
+			s.sendRequest("a", 0, 0, "")
+			s.endAttempt("a", how)
+			s.record("failure score %.1f", s.failureScore(e))
+			s.endAttempt("a", Errored)
+			s.record("failure score %.1f", s.failureScore(e))
 		}
 		return s
 	},
--- a/internal/admission/peers.go
+++ b/internal/admission/peers.go
@@ -1,6 +1,6 @@
 package admission
 
-// peerBudget is the share of the service that messages to peers may cost; at 0.001 and 0.005 what more was told lost.
+// peerBudget is the share of the service that messages to peers may cost. Budgets of 0.001 and 0.005 scored lower.
 const peerBudget = 0.0003
 
 // Observation is what a gateway saw of an engine itself.
@@ -10,8 +10,8 @@
 const (
 	Reported   Observation = iota
 	Answered               // a request was served
-	Erred                  // the rest count against the engine: an error, or an answer that was corrupt or lost
-	Unanswered             // silence, of a request or a probe
+	Erred                  // an error, or an answer that was corrupt or lost; from here on they count against the engine
+	Unanswered             // no answer in time, of an attempt or a probe
 	Unreached              // no connection, or a broken one
 )
 
@@ -22,21 +22,21 @@
 // IsFailure tells whether an observation counts against the engine.
 func (o Observation) IsFailure() bool { return o >= Erred }
 
-// PeerReport is what the observations of peers tell of one start of an engine.
+// PeerReport sums up what peers observed of one start of an engine.
 type PeerReport struct {
 	Engine       EngineID
-	Since        Time   // the start
-	Report       Report // the latest that was heard
-	ReportAt     Time   // when the peer that told it had it
-	FailureScore float64
-	Witnesses    int  // gateways whose last attempt there failed, after anyone's last answer from there; FailureScore: what they weigh
-	ScoreUntil   Time // until when the score counts
+	Since        Time    // the engine's start that they observed
+	Report       Report  // the latest load report that a peer had
+	ReportAt     Time    // when the peer had it
+	FailureScore float64 // what the witnesses' failures count for: a point each, or less
+	Witnesses    int     // peers whose last attempt there failed after the last answer that anyone had from there
+	ScoreUntil   Time    // until when the score counts
 }
 
 // Ejects tells whether what peers say ejects an engine by itself, where all others are sound.
 func (f *PeerReport) Ejects() bool { return f.FailureScore >= ejectionScore }
 
-// peerView is what peers say of an engine.
+// peerView is what peers observed of an engine.
 type peerView struct {
 	report     Report
 	reportAt   Time
@@ -53,8 +53,8 @@
 // earn adds what one request pays for.
 func (m *peerMessages) earn() { m.bytes += peerBudget * 256 / max(peerBudget, m.price) }
 
-// reportObservation hands on what this gateway saw of an engine itself, and the bytes that the requests taken since have
-// paid for.
+// reportObservation hands on to peers what this gateway saw of an engine itself, and how many bytes the requests taken since
+// the last one have paid for.
 func (c *Controller) reportObservation(engine *engineState, saw Observation) {
 	if !c.deployment.PeerMessages {
 		return
@@ -63,9 +63,9 @@
 	c.peerMessages.bytes = 0
 }
 
-// HandlePeerReport takes in what peers saw of an engine. Their reports tell how busy engines are as a whole, and step a
-// bound where ours is stale; in the draw they had all gateways run to the same engines. What is said against
-// one adds to its failure score until it is old: who hears nothing decides as one without peers.
+// HandlePeerReport takes in what peers saw of an engine. Their load reports go into the mean busy share, and step a
+// bound where our own report is stale; they don't enter the draw, where all gateways would choose the same engines. Their
+// failures add to the engine's failure score until they are old. A gateway that receives nothing decides as one without peers.
 func (c *Controller) HandlePeerReport(now Time, report *PeerReport) {
 	c.now = now
 	index, ok := c.engines.byName[report.Engine]
--- a/internal/admission/peers_test.go
+++ b/internal/admission/peers_test.go
@@ -6,26 +6,27 @@
 
 var peerScripts = map[string]func() *script{
 	"peers": func() *script { // three witnesses shut an engine and two don't; of its start alone, and not for ever
-		d := deployment()
+		d := testDeployment()
 		d.Gateways, d.PeerMessages = 4, true
-		s := start(d, "e1", "e2")
+		s := startScript(d, "e1", "e2")
 		hear := func(f PeerReport) {
 			f.Engine, f.ScoreUntil, f.ReportAt = "e1", s.at+10*Second, s.at
 			s.HandlePeerReport(s.at, &f)
 			e := &s.engines.items[0]
-			s.say("heard of e1: against %.1f, score %.1f, own %.1f, busy %.2f, signal %.2f", f.FailureScore, s.failureScore(e), e.failures.decayed(s.at), s.estimates.meanBusyShare, s.loadSignal(e))
+			s.record("heard of e1: against %.1f, score %.1f, own %.1f, busy %.2f, signal %.2f", f.FailureScore,
+				s.failureScore(e), e.failures.decayed(s.at), s.estimates.meanBusyShare, s.loadSignal(e))
 		}
 		hear(PeerReport{Since: 7, FailureScore: 3, Report: NoReport})
 		hear(PeerReport{FailureScore: 2, Report: Report{-1, 0.95, -1, -1}})
-		s.arrives("a", 0, 0, "")
+		s.sendRequest("a", 0, 0, "")
 		hear(PeerReport{FailureScore: 3, Report: NoReport})
-		s.arrives("b", 0, 0, "")
-		s.end("b", Errored)
-		s.end("a", Served)
+		s.sendRequest("b", 0, 0, "")
+		s.endAttempt("b", Errored)
+		s.endAttempt("a", Served)
 		s.at += 4 * Second
 		hear(PeerReport{FailureScore: 3, Report: Report{-1, 0.95, -1, -1}})
-		s.pass(s.at + 10*Second)
-		s.say("ten seconds later: score %.1f, signal %.2f", s.failureScore(&s.engines.items[0]), s.loadSignal(&s.engines.items[0]))
+		s.advanceTo(s.at + 10*Second)
+		s.record("ten seconds later: score %.1f, signal %.2f", s.failureScore(&s.engines.items[0]), s.loadSignal(&s.engines.items[0]))
 		return s
 	},
 }
--- a/internal/admission/placement.go
+++ b/internal/admission/placement.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// pickEngine picks an engine for an attempt at random, weighted down by its busy share; noEngine: none has room.
+// pickEngine picks an engine for an attempt at random, weighted down by its busy share; it returns noEngine if none
+// has room.
 func (c *Controller) pickEngine(request *activeRequest) engineIndex {
 	if !c.allowsAttempt(request) {
 		return noEngine
@@ -28,20 +29,20 @@
 	return pick
 }
 
-// engineWeight is an engine's weight in the draw. A square sets engines apart, noise in reports hardly; one that reports
-// itself full keeps a chance.
+// engineWeight returns an engine's weight in the draw: its cores times the square of its free share. The square prefers free
+// engines clearly, but isn't moved much by noise in reports. An engine that reports itself full keeps a small weight.
 func (c *Controller) engineWeight(request *activeRequest, index engineIndex, trust float64) float64 {
 	const exponent, floor = 2, 0.05
 	engine := c.engines.at(index)
 	weight := engine.cores * math.Pow(max(floor, 1.1-c.busyShare(engine)), exponent) * trust * c.tableAffinity(request, engine)
 	if index == request.attempt.engine {
-		weight *= floor // a retry rather goes elsewhere
+		weight *= floor // a retry should go to another engine
 	}
 	return weight
 }
 
-// allowsEngine is the part of the rules that depends on the engine: draining, placement, the scope that drops repeats
-// and slow start.
+// allowsEngine checks the rules that depend on the engine: its state, the class's zones and machine kinds, the pool, the scope
+// of deduplication, and slow start.
 func (c *Controller) allowsEngine(request *activeRequest, engine *engineState) bool {
 	class := &c.deployment.Classes[request.class]
 	if engine.State != Live || class.Zones != nil && !slices.Contains(class.Zones, engine.Zone) ||
@@ -66,8 +67,8 @@
 	}
 }
 
-// tableAffinity weighs an engine by the tables that a request reads: engines keep what they read last cached, and a
-// load holds its tables against others. From the ids alone every gateway finds the same third of engines for
+// tableAffinity weighs an engine by the group of tables that a request reads or loads, because engines cache what they read
+// last, and a load blocks other requests for its tables. Every gateway finds, by hashing the ids, the same third of engines for
 // a group's reads and another third for its loads. Harm: where one group is most of the traffic.
 func (c *Controller) tableAffinity(request *activeRequest, engine *engineState) float64 {
 	const strong = 4 // 2 keeps less cached, 8 crowds the same few engines
@@ -83,8 +84,9 @@
 	return 1
 }
 
-// busyShare is an engine's busy share, plus what we sent since. One without a fresh report counts as those heard
-// of last: our own threads there tell nothing where our part of it is below a query.
+// busyShare returns an engine's busy share: as it reported, plus what we sent since. An engine without a fresh report is taken
+// to be as busy as those that reported last, plus our own threads; these alone would tell nothing where this gateway's part of
+// an engine is below one query.
 func (c *Controller) busyShare(engine *engineState) float64 {
 	if engine.load.report != NoReport && c.now-engine.load.reportAt < staleReportAge {
 		return c.estimates.reportedBusyShare(engine.cores, engine.load.report, engine.load.utilization) + engine.load.sentSince/engine.cores
--- a/internal/admission/placement_test.go
+++ b/internal/admission/placement_test.go
@@ -6,14 +6,14 @@
 
 var placementScripts = map[string]func() *script{
 	"placement": func() *script { // bound classes stay where they may go, however full that is
-		d := deployment()
+		d := testDeployment()
 		d.Classes[0].Zones, d.Classes[1].Kinds = []int{1}, []int{5}
-		s := start(d)
-		s.list(FullUpdate, Endpoint{Engine: "z0"}, Endpoint{Engine: "z1", Zone: 1})
-		s.arrives("a", 0, 0, "")
-		s.end("a", Full)
-		s.arrives("nowhere", 1, 0, "")
-		s.pass(5 * Second)
+		s := startScript(d)
+		s.updateList(FullUpdate, Endpoint{Engine: "z0"}, Endpoint{Engine: "z1", Zone: 1})
+		s.sendRequest("a", 0, 0, "")
+		s.endAttempt("a", Full)
+		s.sendRequest("nowhere", 1, 0, "")
+		s.advanceTo(5 * Second)
 		return s
 	},
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -46,7 +46,7 @@
 	q.waiting--
 }
 
-// tenantShares counts what each tenant has in use, and puts the one that has the least for its share first.
+// tenantShares counts the threads that each tenant has in use, and orders tenants by that over their shares.
 type tenantShares struct {
 	tenants []Tenant
 	threads []float64 // running, by tenant
@@ -61,7 +61,7 @@
 	return s
 }
 
-// sort brings the order up to date. Tenants that use the same part of their shares stay as they were.
+// sort brings the order up to date, the tenant first that has the least in use for its share. Equal ones stay as they were.
 func (s *tenantShares) sort() {
 	if len(s.order) > 1 {
 		slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(s.use(a), s.use(b)) })
@@ -103,8 +103,8 @@
 	return false
 }
 
-// releaseFrom sends the first request of a queue for which an engine has room. Where a first attempt finds none, those
-// behind it that have the same choice of engines are passed over.
+// releaseFrom sends the first request of a queue for which an engine has room. Where a request that
+// may use any engine of its pool finds none, the requests behind it that have the same choice are skipped.
 func (c *Controller) releaseFrom(queue []requestIndex) bool {
 	blocked := uint64(0) // policy classes of which one found no engine
 	for _, index := range queue {
@@ -120,9 +120,9 @@
 			continue
 		}
 		if c.pools.policy == nil {
-			return false // what follows it in this class has no more choice than this one
+			return false // the requests behind it have the same choice
 		}
-		blocked |= 1 << request.estimate.PolicyClass // nor has what is of its policy class
+		blocked |= 1 << request.estimate.PolicyClass // those of the same policy class have the same choice
 	}
 	return false
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -8,43 +8,43 @@
 
 var queueScripts = map[string]func() *script{
 	"ordinary": func() *script { // one attempt each while there is room, then by value, then arrival
-		s := start(deployment(), "e1")
+		s := startScript(testDeployment(), "e1")
 		s.engines.items[0].limit.bound = 2
-		s.arrives("a", 0, 0, "")
-		s.arrives("b", 0, 0, "")
-		s.arrives("cheap1", 0, 0, "")
-		s.arrives("cheap2", 0, 0, "")
-		s.arrives("dear", 1, 0, "")
+		s.sendRequest("a", 0, 0, "")
+		s.sendRequest("b", 0, 0, "")
+		s.sendRequest("cheap1", 0, 0, "")
+		s.sendRequest("cheap2", 0, 0, "")
+		s.sendRequest("dear", 1, 0, "")
 		for i, id := range []RequestID{"a", "b", "dear", "cheap1", "cheap2"} {
-			s.pass(Time(i+1) * 20 * Millisecond)
-			s.end(id, Served)
+			s.advanceTo(Time(i+1) * 20 * Millisecond)
+			s.endAttempt(id, Served)
 		}
 		return s
 	},
 	"tenants": func() *script { // the tenant with the fewest threads for its share goes first
-		d := deployment()
+		d := testDeployment()
 		d.Tenants = []Tenant{{Share: 0.75}, {Share: 0.25}}
-		s := start(d, "e1")
+		s := startScript(d, "e1")
 		s.engines.items[0].limit.bound = 1
 		for i, id := range []RequestID{"first0", "x0", "y0", "x1"} {
 			s.HandleRequest(s.at, Request{ID: id, Deadline: 10 * Second, Tenant: i / 3})
 		}
 		s.tenants.threads[0] = 2
-		s.end("first0", Served)
+		s.endAttempt("first0", Served)
 		return s
 	},
 	"worth first": func() *script { // at zero too the dearest goes first, whatever its work
-		d := deployment()
+		d := testDeployment()
 		d.Gateways, d.SupportsProbes = 300, false
-		s := start(d, "e1", "e2", "e3")
+		s := startScript(d, "e1", "e2", "e3")
 		s.estimates.updatePrices()
 		for i := range s.engines.items {
 			s.engines.items[i].limit.randomFactor = math.Inf(1)
 		}
-		s.arrives("short", 0, 0, "")
-		s.arrives("dear", 1, 0, "")
+		s.sendRequest("short", 0, 0, "")
+		s.sendRequest("dear", 1, 0, "")
 		s.estimates.meanWork = 1
-		s.pass(20 * Millisecond)
+		s.advanceTo(20 * Millisecond)
 		return s
 	},
 }
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -1,6 +1,7 @@
 package admission
 
-// retrySpans is into how many spans the retry budget's window is divided; one more is kept, so that whole ones cover it.
+// retrySpans is the number of spans that the retry budget's window is divided into. One more is kept, so that complete spans
+// cover the window.
 const retrySpans = 50
 
 // retryBudget allows a number of retries and a share of the requests taken, in any window of a given length.
@@ -26,7 +27,7 @@
 	return b
 }
 
-// current is the count of the present span; nil where there is no budget.
+// current returns the present span, or nil where there is no budget.
 func (b *retryBudget) current(now Time) *retrySpan {
 	if b.spans == nil {
 		return nil
@@ -39,7 +40,7 @@
 	return span
 }
 
-// inWindow counts, for the window that ends with a span, the requests that surely fall into it and the retries that may.
+// inWindow counts over the window that ends in a span: the requests that are surely within it, and the retries that may be.
 func (b *retryBudget) inWindow(last *retrySpan) (requests, retries float64) {
 	for i := range b.spans {
 		span := &b.spans[i]
@@ -67,8 +68,8 @@
 	}
 }
 
-// allows tells whether one more retry is within the budget: all retries that may fall into the window count, and only
-// the requests that surely do.
+// allows tells whether one more retry is within the budget. It never allows too many: all retries that may be within the window
+// count, and only the requests that surely are.
 func (b *retryBudget) allows(now Time) bool {
 	last := b.current(now)
 	if last == nil {
@@ -93,8 +94,8 @@
 	}
 }
 
-// allowsAttempt is the part of the rules that doesn't depend on the engine: one attempt at a time, none after the
-// end, the policy class's limits, the order of keys, the most attempts of a request, the retry budget.
+// allowsAttempt checks the rules that don't depend on the engine: one attempt at a time, none after the deadline or for a client
+// that left, the most attempts of a request, the policy class's limits, the order of keys, repeats, the retry budget.
 func (c *Controller) allowsAttempt(request *activeRequest) bool {
 	if request.attempt.inFlight || request.abandoned || c.now >= request.deadline || c.usedUpAttempts(request) {
 		return false
@@ -112,13 +113,13 @@
 	return c.allowsRepeat(request) && (request.attempts == 0 || c.retries.allows(c.now))
 }
 
-// usedUpAttempts tells whether a request has had the most attempts that the deployment allows.
+// usedUpAttempts tells whether a request has had as many attempts as the deployment allows.
 func (c *Controller) usedUpAttempts(request *activeRequest) bool {
 	return c.deployment.MaxAttempts > 0 && request.attempts >= c.deployment.MaxAttempts
 }
 
-// allowsRepeat tells whether the request's class allows an attempt at any engine; after two errors none does, as the
-// request itself is at fault then.
+// allowsRepeat tells whether the request's class allows an attempt at any engine; after two errors none is allowed,
+// because then the request itself is at fault.
 func (c *Controller) allowsRepeat(request *activeRequest) bool {
 	if !request.prior.MayHaveRun {
 		return true
--- a/internal/admission/retries_test.go
+++ b/internal/admission/retries_test.go
@@ -6,46 +6,46 @@
 
 var retryScripts = map[string]func() *script{
 	"effects": func() *script { // a request that may have run goes on only as its class allows
-		s := start(deployment(), "e1", "e2")
-		s.arrives("idempotent", 0, 0, "")
-		s.end("idempotent", Reset)
-		s.arrives("unrepeatable", 2, 0, "")
-		s.end("unrepeatable", Full)
-		s.end("unrepeatable", Reset)
-		s.end("idempotent", Errored)
+		s := startScript(testDeployment(), "e1", "e2")
+		s.sendRequest("idempotent", 0, 0, "")
+		s.endAttempt("idempotent", Reset)
+		s.sendRequest("unrepeatable", 2, 0, "")
+		s.endAttempt("unrepeatable", Full)
+		s.endAttempt("unrepeatable", Reset)
+		s.endAttempt("idempotent", Errored)
 		return s
 	},
 	"deduplicated": func() *script { // within its group and its window; without the group of all no rejection
-		d := deployment()
+		d := testDeployment()
 		d.Classes[3].DedupScope, d.Classes[3].DedupWindow = SameZone, 500*Millisecond
-		s := start(d)
-		s.list(FullUpdate, Endpoint{Engine: "z0"}, Endpoint{Engine: "z1", Zone: 1})
-		s.arrives("a", 3, 0, "k")
+		s := startScript(d)
+		s.updateList(FullUpdate, Endpoint{Engine: "z0"}, Endpoint{Engine: "z1", Zone: 1})
+		s.sendRequest("a", 3, 0, "k")
 		first := s.engineOf("a").Zone
-		s.end("a", Errored)
-		s.say("same zone: %t", s.engineOf("a").Zone == first)
-		s.pass(600 * Millisecond)
-		s.end("a", Errored)
+		s.endAttempt("a", Errored)
+		s.record("same zone: %t", s.engineOf("a").Zone == first)
+		s.advanceTo(600 * Millisecond)
+		s.endAttempt("a", Errored)
 		return s
 	},
 	"retry budget": func() *script { // one free retry and a tenth of the requests taken
-		d := deployment()
+		d := testDeployment()
 		d.RetryBurst, d.RetryRatio, d.RetryWindow = 1, 0.1, 5*Second
-		s := start(d, "e1", "e2")
+		s := startScript(d, "e1", "e2")
 		for _, id := range []RequestID{"a", "b"} {
-			s.arrives(id, 0, 0, "")
-			s.end(id, Full)
+			s.sendRequest(id, 0, 0, "")
+			s.endAttempt(id, Full)
 		}
-		s.pass(6 * Second)
-		s.arrives("c", 0, 0, "")
-		s.end("c", Full)
+		s.advanceTo(6 * Second)
+		s.sendRequest("c", 0, 0, "")
+		s.endAttempt("c", Full)
 		return s
 	},
 	"most attempts": func() *script {
-		s := start(deployment(), "e1", "e2")
-		s.arrives("a", 0, 0, "")
+		s := startScript(testDeployment(), "e1", "e2")
+		s.sendRequest("a", 0, 0, "")
 		for range 4 {
-			s.end("a", Full)
+			s.endAttempt("a", Full)
 		}
 		return s
 	},
--- a/internal/admission/script_test.go
+++ b/internal/admission/script_test.go
@@ -5,58 +5,62 @@
 	"strings"
 )
 
-// script drives one router and writes down, a line each, what happens to it and what it does.
+// script drives one controller and records, a line each, what happens to it and what it does.
 type script struct {
 	*Controller
-	d      *Deployment
-	at     Time
-	probes bool // write down probes
-	out    strings.Builder
+	d            *Deployment
+	at           Time
+	recordProbes bool
+	out          strings.Builder
 }
 
-func (s *script) say(format string, args ...any) {
-	fmt.Fprintf(&s.out, "%9s  %s\n", ms(s.at), fmt.Sprintf(format, args...))
+func (s *script) record(format string, args ...any) {
+	fmt.Fprintf(&s.out, "%9s  %s\n", formatTime(s.at), fmt.Sprintf(format, args...))
 }
 
-func ms(t Time) string {
+func formatTime(t Time) string {
 	return strings.TrimSuffix(fmt.Sprintf("%.1f", float64(t)/float64(Millisecond)), ".0") + " ms"
 }
 
-func (s *script) SendAttempt(t RequestID, e EngineID, timeout, sendBy Time) {
-	by := ""
+func (s *script) SendAttempt(request RequestID, engine EngineID, timeout, sendBy Time) {
+	limit := ""
 	if sendBy > 0 {
-		by = ", before " + ms(sendBy)
+		limit = ", before " + formatTime(sendBy)
 	}
-	s.say("  -> send %s to %s, timeout %s%s", t, e, ms(timeout), by)
-}
-func (s *script) CancelAttempt(t RequestID, n int) { s.say("  -> cancel %s, attempt %d", t, n) }
-func (s *script) RejectRequest(t RequestID, retryAfter Time) {
-	s.say("  -> reject %s, retry after %s", t, ms(retryAfter))
-}
-func (s *script) FailRequest(t RequestID) { s.say("  -> fail %s", t) }
-func (s *script) SetAttemptTerms(t RequestID, m float64, k int) {
-	s.say("  -> terms of %s: %.0f MB, rank %d", t, m, k)
-}
-func (s *script) SubscribeEndpoints()                                        { s.say("  -> subscribe to the list") }
-func (s *script) HasSlowStartCapacity(EngineID, float64) (room, shared bool) { return false, false }
-func (s *script) LogEvent(text string)                                       { s.say("  -> log: %s", text) }
-func (s *script) ScheduleTick(Time)                                          {}
-func (s *script) ReportObservation(e EngineID, saw Observation, report Report, room float64) {
-	s.say("  -> tell peers of %s: %s, report %v, %.0f bytes more", e, saw, report, room)
-}
-func (s *script) ProbeEngine(e EngineID) {
-	if s.probes {
-		s.say("  -> probe %s", e)
+	s.record("  -> send %s to %s, timeout %s%s", request, engine, formatTime(timeout), limit)
+}
+func (s *script) CancelAttempt(request RequestID, number int) {
+	s.record("  -> cancel %s, attempt %d", request, number)
+}
+func (s *script) RejectRequest(request RequestID, retryAfter Time) {
+	s.record("  -> reject %s, retry after %s", request, formatTime(retryAfter))
+}
+func (s *script) FailRequest(request RequestID) { s.record("  -> fail %s", request) }
+func (s *script) SetAttemptTerms(request RequestID, memory float64, rank int) {
+	s.record("  -> terms of %s: %.0f MB, rank %d", request, memory, rank)
+}
+func (s *script) SubscribeEndpoints()                                       { s.record("  -> subscribe to the list") }
+func (s *script) HasSlowStartCapacity(EngineID, float64) (has, shared bool) { return false, false }
+func (s *script) LogEvent(text string)                                      { s.record("  -> log: %s", text) }
+func (s *script) ScheduleTick(Time)                                         {}
+func (s *script) ReportObservation(engine EngineID, saw Observation, report Report, bytes float64) {
+	s.record("  -> tell peers of %s: %s, report %v, %.0f bytes more", engine, saw, report, bytes)
+}
+func (s *script) ProbeEngine(engine EngineID) {
+	if s.recordProbes {
+		s.record("  -> probe %s", engine)
 	}
 }
 
-// everyPeers has all scripts run where routers may speak to each other.
-var everyPeers bool
+// peersEverywhere has all scripts run where gateways may send each other messages.
+var peersEverywhere bool
 
-// classes of the scripts: 0 is short and cheap, 1 long and dear, 2 must not run twice, 3 is deduplicated in order.
-func deployment() *Deployment {
+// testDeployment has four classes: 0 is short and of little weight, 1 long and of great weight, 2 non-idempotent, 3
+// deduplicated and ordered.
+func testDeployment() *Deployment {
 	return &Deployment{Gateways: 1, CoresByKind: []float64{4}, MaxAttempts: 4, RetryAfter: 500 * Millisecond,
-		WarmUpCapacityShare: 0.25, WarmUpTime: 10 * Second, WarmUpOverloadFactor: 2, WarmUpOverloadTime: Second, SupportsProbes: true, ProbePrice: 0.01,
+		WarmUpCapacityShare: 0.25, WarmUpTime: 10 * Second, WarmUpOverloadFactor: 2, WarmUpOverloadTime: Second,
+		SupportsProbes: true, ProbePrice: 0.01,
 		Classes: []Class{
 			{Threads: 1, LatencyObjective: 400 * Millisecond, ObjectivePerWork: 1, Weight: 1},
 			{Threads: 3, LatencyObjective: 2 * Second, ObjectivePerWork: 2, Weight: 20, LateWeightShare: 0.5},
@@ -65,20 +69,21 @@
 		}}
 }
 
-func start(d *Deployment, engines ...EngineID) *script {
+// startScript starts a controller at 0 s that knows some engines.
+func startScript(d *Deployment, engines ...EngineID) *script {
 	s := &script{d: d}
-	d.PeerMessages = d.PeerMessages || everyPeers
+	d.PeerMessages = d.PeerMessages || peersEverywhere
 	s.Controller = New(0, 7, d, s)
 	var list []Endpoint
-	for _, e := range engines {
-		list = append(list, Endpoint{Engine: e})
+	for _, engine := range engines {
+		list = append(list, Endpoint{Engine: engine})
 	}
 	s.UpdateEndpoints(0, CachedUpdate, list)
 	return s
 }
 
-// pass lets the timer tick until t.
-func (s *script) pass(t Time) {
+// advanceTo lets the timer tick until t.
+func (s *script) advanceTo(t Time) {
 	for s.at+tickInterval <= t {
 		s.at += tickInterval
 		s.Tick(s.at)
@@ -86,23 +91,24 @@
 	s.at = t
 }
 
-// request brings a request of the given class with 10 s to its deadline.
-func (s *script) arrives(id RequestID, class int, work Time, key string) {
-	s.say("%s arrives in class %d", id, class)
+// sendRequest brings a request of a class with 10 s to its deadline.
+func (s *script) sendRequest(id RequestID, class int, work Time, key string) {
+	s.record("%s arrives in class %d", id, class)
 	s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second, Class: class, Key: key, Estimate: Estimate{Work: work}})
 }
 
-func (s *script) end(id RequestID, how Outcome) {
-	s.say("%s ends: %s", id, [...]string{"served", "error", "full", "timed out", "unreachable", "reset",
-		"cancelled", "moot", "lost"}[how])
-	s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: how, Answered: how == Served, Report: NoReport})
+// endAttempt ends a request's attempt.
+func (s *script) endAttempt(id RequestID, outcome Outcome) {
+	s.record("%s ends: %s", id, [...]string{"served", "error", "full", "timed out", "unreachable", "reset",
+		"cancelled", "moot", "lost"}[outcome])
+	s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: outcome, Answered: outcome == Served, Report: NoReport})
 }
 
-// answer lets n requests of class 0, told at one length, be delivered after another; the trace starts behind them.
-func (s *script) answer(n int, told, took Time) {
+// serveRequests has n requests of class 0, with the same estimate, served one after another; the trace starts behind them.
+func (s *script) serveRequests(n int, estimate, took Time) {
 	for i := range n {
 		id := RequestID(fmt.Sprint("t", i))
-		s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second, Estimate: Estimate{Work: told}})
+		s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second, Estimate: Estimate{Work: estimate}})
 		s.at += took
 		s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: Served, Answered: true, Report: NoReport})
 	}
@@ -111,19 +117,22 @@
 
 // engineOf is the engine of a request's latest attempt.
 func (s *script) engineOf(id RequestID) *engineState {
-	_, r := s.requests.find(id)
-	return s.engines.at(r.attempt.engine)
+	_, request := s.requests.find(id)
+	return s.engines.at(request.attempt.engine)
 }
 
-func (s *script) probed(e EngineID, how Outcome, report Report) {
-	s.HandleProbeResult(s.at, e, how, report)
-	i := &s.engines.items[s.engines.byName[e]]
-	s.say("probe of %s: bound %.3g, failure score %.1f", e, i.limit.bound, s.failureScore(i))
+// endProbe ends an engine's probe.
+func (s *script) endProbe(name EngineID, outcome Outcome, report Report) {
+	s.HandleProbeResult(s.at, name, outcome, report)
+	engine := s.engines.at(s.engines.byName[name])
+	s.record("probe of %s: bound %.3g, failure score %.1f", name, engine.limit.bound, s.failureScore(engine))
 }
 
-func (s *script) list(form UpdateKind, list ...Endpoint) {
-	s.UpdateEndpoints(s.at, form, list)
-	for _, e := range s.engines.items {
-		s.say("%s is %s, bound %.3g", e.Engine, [...]string{"live", "draining", "gone"}[e.State], e.limit.bound)
+// updateList updates the engine list, and records all engines.
+func (s *script) updateList(kind UpdateKind, list ...Endpoint) {
+	s.UpdateEndpoints(s.at, kind, list)
+	for i := range s.engines.items {
+		engine := &s.engines.items[i]
+		s.record("%s is %s, bound %.3g", engine.Engine, [...]string{"live", "draining", "gone"}[engine.State], engine.limit.bound)
 	}
 }
--- a/internal/admission/shedding_test.go
+++ b/internal/admission/shedding_test.go
@@ -6,61 +6,61 @@
 )
 
 var sheddingScripts = map[string]func() *script{
-	"seats": func() *script { // of eight, seven are used; the dear one goes before the cheap ones that it leaves behind
-		d := deployment()
+	"seats": func() *script { // of eight places, seven are used; the request of high weight goes before those of low weight
+		d := testDeployment()
 		d.MaxRequests = 8
-		s := start(d, "e1")
+		s := startScript(d, "e1")
 		s.engines.items[0].limit.bound = 1
-		s.arrives("runs", 0, 0, "")
+		s.sendRequest("runs", 0, 0, "")
 		for i := range 6 {
-			s.arrives(RequestID(fmt.Sprint("cheap", i+1)), 0, 0, "")
+			s.sendRequest(RequestID(fmt.Sprint("cheap", i+1)), 0, 0, "")
 		}
-		s.arrives("dear", 1, 0, "")
-		s.arrives("cheap7", 0, 0, "")
-		s.end("runs", Served)
+		s.sendRequest("dear", 1, 0, "")
+		s.sendRequest("cheap7", 0, 0, "")
+		s.endAttempt("runs", Served)
 		return s
 	},
 	"too late": func() *script { // what comes just before its deadline and finds no room is answered at once
-		s := start(deployment())
+		s := startScript(testDeployment())
 		s.HandleRequest(0, Request{ID: "a", Deadline: 5 * Millisecond})
 		return s
 	},
 	"bar": func() *script { // under overload what earns least for its work is given up when it comes
-		s := start(deployment(), "e1")
+		s := startScript(testDeployment(), "e1")
 		s.engines.items[0].limit.bound = 1
 		s.estimates.updatePrices()
-		s.arrives("a", 1, 800*Millisecond, "")
-		s.arrives("held", 1, 800*Millisecond, "")
-		s.pass(1560 * Millisecond)
-		s.say("bar %.2f of the best class's price", s.pools.list[0].minPrice)
-		s.arrives("short", 1, 800*Millisecond, "")
-		s.arrives("long", 1, 60*Second, "")
+		s.sendRequest("a", 1, 800*Millisecond, "")
+		s.sendRequest("held", 1, 800*Millisecond, "")
+		s.advanceTo(1560 * Millisecond)
+		s.record("bar %.2f of the best class's price", s.pools.list[0].minPrice)
+		s.sendRequest("short", 1, 800*Millisecond, "")
+		s.sendRequest("long", 1, 60*Second, "")
 		return s
 	},
 	"idle": func() *script { // what earns a hundredth for its work passes where nobody waits
-		s := start(deployment(), "e1")
-		s.answer(20, 100*Millisecond, 100*Millisecond)
-		s.pass(s.at + Second)
+		s := startScript(testDeployment(), "e1")
+		s.serveRequests(20, 100*Millisecond, 100*Millisecond)
+		s.advanceTo(s.at + Second)
 		s.estimates.updatePrices()
-		s.say("bar %.2f, price of the long one %.3f of the best", s.pools.list[0].minPrice, s.estimates.price(0, 10000*float64(Millisecond))/s.estimates.bestPrice)
-		s.arrives("long", 0, 10*Second, "")
+		s.record("bar %.2f, price of the long one %.3f of the best", s.pools.list[0].minPrice, s.estimates.price(0, 10000*float64(Millisecond))/s.estimates.bestPrice)
+		s.sendRequest("long", 0, 10*Second, "")
 		return s
 	},
 	"no engine": func() *script { // held while there is a chance, then answered at once
-		s := start(deployment())
-		s.arrives("a", 0, 0, "")
-		s.arrives("b", 2, 0, "")
-		s.pass(3 * Second)
+		s := startScript(testDeployment())
+		s.sendRequest("a", 0, 0, "")
+		s.sendRequest("b", 2, 0, "")
+		s.advanceTo(3 * Second)
 		return s
 	},
 	"deadline": func() *script { // a time-out at the deadline is answered at once; nothing after the client left
-		s := start(deployment(), "e1")
-		s.arrives("a", 2, 0, "")
-		s.arrives("b", 0, 0, "")
+		s := startScript(testDeployment(), "e1")
+		s.sendRequest("a", 2, 0, "")
+		s.sendRequest("b", 0, 0, "")
 		s.HandleDisconnect(s.at, "b")
-		s.pass(10 * Second)
-		s.end("b", Errored)
-		s.end("a", TimedOut)
+		s.advanceTo(10 * Second)
+		s.endAttempt("b", Errored)
+		s.endAttempt("a", TimedOut)
 		return s
 	},
 }
--- a/internal/admission/slowstart_test.go
+++ b/internal/admission/slowstart_test.go
@@ -6,33 +6,33 @@
 )
 
 var slowStartScripts = map[string]func() *script{
-	"cold": func() *script { // where no engine is warm, every other span at a cold one is one router's alone, within the budget
-		d := deployment()
+	"cold": func() *script { // where no engine is warm, every other span at a cold one is one gateway's alone, within the budget
+		d := testDeployment()
 		d.Gateways, d.WarmUpTime = 3, 30*Second
-		s := start(d)
-		s.pass(Second)
-		s.list(CachedUpdate, Endpoint{Engine: "cold", Since: Second})
+		s := startScript(d)
+		s.advanceTo(Second)
+		s.updateList(CachedUpdate, Endpoint{Engine: "cold", Since: Second})
 		e := &s.engines.items[0]
 		s.estimates.classes[0].work, s.estimates.classes[0].requests = float64(300*Millisecond), 20
 		for range 13 {
 			s.now = s.at
 			for d.GatewayIndex = range 3 {
 				if s.hasSlowStartCapacity(e, &activeRequest{class: 0}) {
-					s.say("gateway %d has its turn; more work than its budget: %t", d.GatewayIndex, s.hasSlowStartCapacity(e, &activeRequest{class: 1}))
+					s.record("gateway %d has its turn; more work than its budget: %t", d.GatewayIndex, s.hasSlowStartCapacity(e, &activeRequest{class: 1}))
 				}
 			}
 			s.at += 500 * Millisecond
 		}
-		s.say("warm: %t", !s.slowStart.isWarmingUp(e, s.now))
+		s.record("warm: %t", !s.slowStart.isWarmingUp(e, s.now))
 		return s
 	},
-	"cold beside warm": func() *script { // as many routers at a time as the budget has parts for a usual request, others' turns after them
-		d := deployment()
+	"cold beside warm": func() *script { // as many gateways at a time as the budget has parts for a usual request, others' turns after them
+		d := testDeployment()
 		d.Gateways, d.WarmUpTime, d.CoresByKind = 5, 30*Second, []float64{16}
-		s := start(d, "warm")
-		s.pass(Second)
-		s.list(PartialUpdate, Endpoint{Engine: "cold", Since: Second})
-		s.pass(Second + tickInterval)
+		s := startScript(d, "warm")
+		s.advanceTo(Second)
+		s.updateList(PartialUpdate, Endpoint{Engine: "cold", Since: Second})
+		s.advanceTo(Second + tickInterval)
 		e := &s.engines.items[1]
 		s.estimates.classes[0].work, s.estimates.classes[0].requests = float64(300*Millisecond), 20
 		for range 6 {
@@ -43,7 +43,7 @@
 					turn = append(turn, d.GatewayIndex)
 				}
 			}
-			s.say("gateways %v have their turn", turn)
+			s.record("gateways %v have their turn", turn)
 			s.at += d.WarmUpOverloadTime
 		}
 		d.GatewayIndex = 0
@@ -54,9 +54,9 @@
 		for ; s.hasSlowStartCapacity(e, &activeRequest{class: 0}); sent++ {
 			e.slowStartUse.work += 300 * float64(Millisecond)
 		}
-		s.say("gateway 0 sends %d of 300 ms in its turn", sent)
+		s.record("gateway 0 sends %d of 300 ms in its turn", sent)
 		e.slowStartUse.work = 0
-		s.say("a request of 1.5 s, above a part: %t beside a warm engine", s.hasSlowStartCapacity(e, &activeRequest{class: 0, estimate: Estimate{WorkP90: 1500 * Millisecond}}))
+		s.record("a request of 1.5 s, above a part: %t beside a warm engine", s.hasSlowStartCapacity(e, &activeRequest{class: 0, estimate: Estimate{WorkP90: 1500 * Millisecond}}))
 		return s
 	},
 }
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -34,7 +34,7 @@
 	CorrectionFactor float64 `json:"Ease"`
 }
 
-// EngineSnapshot is what was seen of an engine; by its last start one that began anew is told.
+// EngineSnapshot is what was known of an engine. Since tells whether it has been started again.
 type EngineSnapshot struct {
 	Engine         EngineID
 	Since          Time
@@ -59,10 +59,10 @@
 	Until Time `json:"Rest"`
 }
 
-// snapshotVersion is raised with every change of the form.
+// snapshotVersion is raised with every change of the stored form.
 const snapshotVersion = 1
 
-// TakeSnapshot is what the controller knows now.
+// TakeSnapshot returns what the controller knows now.
 func (c *Controller) TakeSnapshot(now Time) *Snapshot {
 	s := &Snapshot{Version: snapshotVersion, At: now, RunTime: c.estimates.threadTime, RequestedWork: c.estimates.requestedWork,
 		MeanWork: c.estimates.meanWork, MeanBusyShare: c.estimates.meanBusyShare, MinPrice: c.pools.list[0].minPrice}
@@ -96,8 +96,8 @@
 }
 
 // RestoreSnapshot has the controller go on from what a process before it knew; it is called before the first update of the
-// engine list. Old figures count for less. What that process did after it wrote this down is not known: so within twice the
-// window the retry budget counts as used up, and this turn at cold engines as spent: two processes must not
+// engine list. Old figures count for less. What that process did after it took the snapshot is not known, so within twice the
+// window the retry budget counts as used up, and so does this turn at engines that warm up: two processes must not
 // do together what one may not.
 func (c *Controller) RestoreSnapshot(now Time, s *Snapshot) {
 	const halfLife = 60 * Second // after which what was learned of classes counts half: mixes change by the minute
@@ -117,7 +117,7 @@
 	}
 }
 
-// restore takes over what was learned, as far as the classes are the same; weight: what it counts for, 0 to 1.
+// restore takes over what was learned, if the classes are as many; weight is what it counts for, 0 to 1.
 func (s *estimator) restore(from *Snapshot, weight float64) {
 	if len(from.Classes) == len(s.classes) {
 		for i := range from.Classes {
@@ -137,8 +137,8 @@
 	}
 }
 
-// restoreEngine has an engine begin as it was last known, if it has not been started again since: its bound from
-// where it stood, less the longer ago; its report and its failure score with their age.
+// restoreEngine has an engine begin as it was last known, if it has not been started again since: its bound near the last one,
+// the less the longer ago that was; its report and its failure score with their age.
 func (c *Controller) restoreEngine(engine *engineState) {
 	const boundLifetime = 10 * Second // by then a bound has been stepped to somewhere else
 	for i := range c.snapshot.Engines {
@@ -155,7 +155,7 @@
 	}
 }
 
-// Encode writes a snapshot; nil: a figure of it is no number.
+// Encode returns a snapshot's stored form, or nil if a figure of it can't be written because it is no number.
 func (s *Snapshot) Encode() []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return b
 }
 
-// DecodeSnapshot reads a snapshot; another version's is an error.
+// DecodeSnapshot reads a snapshot's stored form. Another version is an error.
 func DecodeSnapshot(b []byte) (*Snapshot, error) {
 	s := &Snapshot{}
 	if err := json.Unmarshal(b, s); err != nil {
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -9,16 +9,16 @@
 // A controller goes on from what one before it knew: classes, bounds, reports and failure scores with their age; the retry
 // budget and this turn at a cold engine as used up; an engine that was started since is new.
 func ExampleController_RestoreSnapshot() {
-	d := deployment()
+	d := testDeployment()
 	d.RetryBurst, d.RetryRatio, d.RetryWindow = 2, 0.1, 10*Second
 	d.KeyCooldown = 2 * Second
-	s := start(d, "e1", "e2")
-	s.answer(30, 0, 120*Millisecond)
+	s := startScript(d, "e1", "e2")
+	s.serveRequests(30, 0, 120*Millisecond)
 	s.UpdateEndpoints(s.at, PartialUpdate, []Endpoint{{Engine: "e3", Since: s.at}})
-	s.probed("e1", Served, Report{-1, 0.2, -1, -1})
-	s.probed("e2", Reset, NoReport)
-	s.arrives("k", 3, 0, "key")
-	s.end("k", TimedOut)
+	s.endProbe("e1", Served, Report{-1, 0.2, -1, -1})
+	s.endProbe("e2", Reset, NoReport)
+	s.sendRequest("k", 3, 0, "key")
+	s.endAttempt("k", TimedOut)
 	b := s.TakeSnapshot(s.at).Encode()
 	m, err := DecodeSnapshot(b)
 	fmt.Print(s.out.String(), err, "\n")
@@ -27,7 +27,7 @@
 		n.Controller = New(n.at, 8, d, n)
 		n.RestoreSnapshot(n.at, m)
 		n.UpdateEndpoints(n.at, FullUpdate, []Endpoint{{Engine: "e1", Since: s.at + 1}, {Engine: "e2"}, {Engine: "e3", Since: m.Engines[2].Since}})
-		fmt.Printf("%v later: run %.0f ms by %.0f answers, retries allowed %t, key rests %t\n", ms(later), n.estimates.classes[0].runTime/10,
+		fmt.Printf("%v later: run %.0f ms by %.0f answers, retries allowed %t, key rests %t\n", formatTime(later), n.estimates.classes[0].runTime/10,
 			n.estimates.classes[0].answers, n.retries.allows(n.now), n.keys.queues["key"].cooldownUntil > n.at)
 		for i := range n.engines.items {
 			e := &n.engines.items[i]
