--- a/internal/resourcegroup/class.go
+++ b/internal/resourcegroup/class.go
@@ -104,4 +104,4 @@
 }
 
 // wholeThreads rounds up, as the quota has whole units.
-func wholeThreads(threads float64) int64 { return int64(math.Ceil(threads)) }
+func roundUpThreads(threads float64) int64 { return int64(math.Ceil(threads)) }
--- a/internal/resourcegroup/limiter.go
+++ b/internal/resourcegroup/limiter.go
@@ -48,13 +48,13 @@
 // NewShadow returns a limiter with the same engines and another plan, to rehearse that plan. A fleet-wide limit is divided by the
 // number of gateways. The error is a *PlanError.
 func (l *Limiter) NewShadow(now admission.Time, plan *Plan, gateways int) (*Limiter, error) {
-	own := Plan{Pools: plan.Pools, Classes: slices.Clone(plan.Classes)}
-	for i := range own.Classes {
-		if own.Classes[i].FleetWide {
-			own.Classes[i].divideAmong(max(1, gateways))
+	localPlan := Plan{Pools: plan.Pools, Classes: slices.Clone(plan.Classes)}
+	for i := range localPlan.Classes {
+		if localPlan.Classes[i].FleetWide {
+			localPlan.Classes[i].divideAmong(max(1, gateways))
 		}
 	}
-	shadow, err := New(now, &own, l.coresByKind, l.zones, l.kinds)
+	shadow, err := New(now, &localPlan, l.coresByKind, l.zones, l.kinds)
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 	c.inFlight++
 	c.runningThreads += threads
 	if budget := c.budgets[threadBudget]; budget >= 0 {
-		l.quota.CommitReservation(l.now, budget, wholeThreads(threads))
+		l.quota.CommitReservation(l.now, budget, roundUpThreads(threads))
 	}
 	charged = work
 	if charged == 0 {
@@ -147,7 +147,7 @@
 func (l *Limiter) EndAttempt(number int, threads, charged, cost float64, waits bool) {
 	c := &l.classes[number]
 	if budget := c.budgets[threadBudget]; budget >= 0 {
-		l.quota.Release(l.now, budget, wholeThreads(threads))
+		l.quota.Release(l.now, budget, roundUpThreads(threads))
 	}
 	if waits {
 		c.waiting++
@@ -180,11 +180,11 @@
 	}
 }
 
-// A thread limit that was lowered with the pool's engines rises again in limitSteps steps, limitStepInterval apart: engines that
+// A thread limit that was lowered with the pool's engines rises again by limitRaises equal amounts, limitRaiseInterval apart: engines that
 // return are cold, and what was held back must not be sent to them all at once.
 const (
-	limitStepInterval = admission.Second
-	limitSteps        = 8
+	limitRaiseInterval = admission.Second
+	limitRaises        = 8
 )
 
 // Tick raises limits, updates demands on the quota and frees the numbers of classes that are not needed any more. It is called
@@ -199,9 +199,9 @@
 		}
 		hasUnused = hasUnused || c.inUse && c.isUnused()
 		target := l.targetThreads(c)
-		if c.threadLimit < target && now-c.limitChangedAt >= limitStepInterval {
+		if c.threadLimit < target && now-c.limitChangedAt >= limitRaiseInterval {
 			// A step of at least one thread has small limits rise as fast.
-			c.threadLimit = min(target, c.threadLimit+max(1, c.MaxThreads/limitSteps))
+			c.threadLimit = min(target, c.threadLimit+max(1, c.MaxThreads/limitRaises))
 			c.limitChangedAt = now
 		}
 	}
--- a/internal/resourcegroup/quota.go
+++ b/internal/resourcegroup/quota.go
@@ -104,13 +104,13 @@
 
 // reserveThreads reserves threads for an attempt of a fleet-wide class. At the first refusal after a tick it reports the demand.
 func (l *Limiter) reserveThreads(now admission.Time, c *class, threads float64) bool {
-	budget, width := c.budgets[threadBudget], wholeThreads(threads)
+	budget, width := c.budgets[threadBudget], roundUpThreads(threads)
 	if l.quota.TryReserve(now, budget, width) {
 		return true
 	}
 	if !c.shortOfThreads {
 		c.shortOfThreads = true
-		demand := min(int64(c.waiting)*width, max(minDemandAttempts*width, wholeThreads(c.runningThreads)))
+		demand := min(int64(c.waiting)*width, max(minDemandAttempts*width, roundUpThreads(c.runningThreads)))
 		l.quota.SetDemand(now, budget, demand)
 	}
 	return false
@@ -150,8 +150,8 @@
 	workFade = 0.02
 	// workHeadroom lets a gateway's use grow.
 	workHeadroom = 1.5
-	// workStepShare is the part of the total that a gateway demands in addition while its requests wait for work.
-	workStepShare = 8
+	// workGrowthDivisor is the inverse of the part of the total that a gateway demands in addition while its requests wait for work.
+	workGrowthDivisor = 8
 )
 
 // workDemand fades the recent work at a tick and returns the work rate, in whole ms a second, that the class could use here.
@@ -159,7 +159,7 @@
 	c.recentWorkMillis -= c.recentWorkMillis * workFade
 	demand := workHeadroom * c.recentWorkMillis
 	if c.waiting > 0 && c.creditMillis <= 0 {
-		demand = max(1, demand+c.WorkMillisPerSecond/workStepShare)
+		demand = max(1, demand+c.WorkMillisPerSecond/workGrowthDivisor)
 	}
 	return int64(math.Ceil(min(demand, c.WorkMillisPerSecond)))
 }
--- a/internal/storage/faultfs/crashstate.go
+++ b/internal/storage/faultfs/crashstate.go
@@ -51,28 +51,28 @@
 	return files
 }
 
-// AfterPowerLoss returns what is found after a power loss. keep says of each unsynced part, which are numbered in the order in
+// AfterPowerLoss returns what is found after a power loss. survives tells of each unsynced part, which are numbered in the order in
 // which they were made, names first, whether it reached the disk. If tear is not negative, at most so many bytes of each kept
 // sector did.
-func (f *Folder) AfterPowerLoss(keep func(part int) bool, tear int) *Folder {
+func (f *Folder) AfterPowerLoss(survives func(part int) bool, tear int) *Folder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	part := 0
-	keepNext := func() bool {
+	survivesNext := func() bool {
 		part++
-		return keep(part - 1)
+		return survives(part - 1)
 	}
 	names := map[string]*inode{}
 	maps.Copy(names, f.durable)
 	for _, change := range f.unsyncedNames {
-		if keepNext() {
+		if survivesNext() {
 			change.apply(names)
 		}
 	}
 	contents := map[*inode][]byte{}
 	for _, i := range f.reachable() {
 		if contents[i] == nil {
-			contents[i] = i.afterPowerLoss(keepNext, tear)
+			contents[i] = i.afterPowerLoss(survivesNext, tear)
 		}
 	}
 	left := &Folder{}
@@ -88,11 +88,11 @@
 }
 
 // afterPowerLoss returns a content that is not nil.
-func (i *inode) afterPowerLoss(keepNext func() bool, tear int) []byte {
+func (i *inode) afterPowerLoss(survivesNext func() bool, tear int) []byte {
 	content := append(make([]byte, 0, len(i.current)+1), i.durable...)
 	for _, change := range i.unsynced {
 		if change.data == nil {
-			if keepNext() && change.offset < int64(len(content)) {
+			if survivesNext() && change.offset < int64(len(content)) {
 				content = content[:change.offset]
 			}
 			continue
@@ -100,7 +100,7 @@
 		end := change.offset + int64(len(change.data))
 		for from := change.offset; from < end; {
 			to := min((from/sectorSize+1)*sectorSize, end)
-			if keepNext() {
+			if survivesNext() {
 				content = overwrite(content, from, torn(change.data[from-change.offset:to-change.offset], tear))
 			}
 			from = to
@@ -131,16 +131,16 @@
 func (f *Folder) ForEachCrashState(maxExhaustive int, seed int64, visit func(left *Folder)) (states int) {
 	parts := f.CountUnsynced()
 	random := rand.New(rand.NewSource(seed))
-	visitState := func(keep func(int) bool, tear int) {
+	visitState := func(survives func(int) bool, tear int) {
 		states++
-		visit(f.AfterPowerLoss(keep, tear))
+		visit(f.AfterPowerLoss(survives, tear))
 	}
 	if parts <= maxExhaustive {
 		for bits := range 1 << parts {
-			keep := func(part int) bool { return bits>>part&1 == 1 }
-			visitState(keep, dontTear)
+			survives := func(part int) bool { return bits>>part&1 == 1 }
+			visitState(survives, dontTear)
 			if bits > 0 {
-				visitState(keep, random.Intn(sectorSize))
+				visitState(survives, random.Intn(sectorSize))
 			}
 		}
 		return states
@@ -148,21 +148,21 @@
 	visitState(func(int) bool { return false }, dontTear)
 	visitState(func(int) bool { return true }, dontTear)
 	for range 1 << maxExhaustive {
-		keep, tear := drawState(rand.New(rand.NewSource(random.Int63())), parts)
-		visitState(keep, tear)
+		survives, tear := drawState(rand.New(rand.NewSource(random.Int63())), parts)
+		visitState(survives, tear)
 	}
 	return states
 }
 
 // drawState draws which parts reach the disk, and in half of the cases where their sectors are torn.
-func drawState(random *rand.Rand, parts int) (keep func(part int) bool, tear int) {
-	kept := make([]bool, parts)
-	for part := range kept {
-		kept[part] = random.Intn(2) == 0
+func drawState(random *rand.Rand, parts int) (survives func(part int) bool, tear int) {
+	surviving := make([]bool, parts)
+	for part := range surviving {
+		surviving[part] = random.Intn(2) == 0
 	}
 	tear = dontTear
 	if random.Intn(2) == 0 {
 		tear = random.Intn(sectorSize)
 	}
-	return func(part int) bool { return kept[part] }, tear
+	return func(part int) bool { return surviving[part] }, tear
 }
--- /dev/null
+++ b/internal/storage/requestjournal/crash_test.go
@@ -0,0 +1,239 @@
+package requestjournal_test
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+	"slices"
+	"strconv"
+	"testing"
+
+	"magpiebank/internal/admission"
+	"magpiebank/internal/storage/faultfs"
+	"magpiebank/internal/storage/requestjournal"
+	"magpiebank/internal/storage/store"
+)
+
+// observation is something that an engine or a client has seen: an attempt's first byte, the proof that nothing of an
+// attempt ran, or an answer.
+type observation struct {
+	id           admission.RequestID
+	sent         bool // an attempt's first byte
+	provedNotRun bool // the attempt is known not to have run
+	outcome      requestjournal.Outcome
+	logBytes     int // size of the log by then
+}
+
+// segmentName is the log's only file: a workload is too short to fill it.
+const segmentName = "0000000000000001.log"
+
+// workload takes requests of all classes through every course that they can take, and notes what engines and clients see.
+type workload struct {
+	folder      *faultfs.Folder
+	journal     *requestjournal.Journal
+	now         admission.Time
+	answerEarly bool // a mutation: clients see answers before these are on record
+	observed    []observation
+}
+
+// runWorkload returns what engines and clients saw until the end, or until power was lost.
+func runWorkload(folder *faultfs.Folder, answerEarly bool) []observation {
+	journal, logStore, err := openJournal(folder, 1000*second)
+	if err != nil {
+		return nil
+	}
+	defer closeAfterFault(logStore)
+	w := &workload{folder: folder, journal: journal, now: 1000 * second, answerEarly: answerEarly}
+	for n := range 12 {
+		w.now += second / 10
+		if !w.runRequest(n) {
+			break
+		}
+	}
+	return w.observed
+}
+
+func (w *workload) observe(o observation) {
+	o.logBytes = len(w.folder.Contents(segmentName))
+	w.observed = append(w.observed, o)
+}
+
+// runRequest takes a request through its course, and returns false if that is the end of the workload.
+func (w *workload) runRequest(n int) bool {
+	id := admission.RequestID(fmt.Sprintf("%016x", n))
+	w.journal.Accept(w.now, id, n%3, w.now+10*second)
+	if n == 11 {
+		return false // accepted, and nothing more
+	}
+	staysInFlight := n >= 9
+	for attempt := range 1 + n%2 {
+		if waitDurable(func(onDurable func(error)) bool { return w.journal.BeginAttempt(w.now, id, 1, n%4, onDurable) }) != nil {
+			return false
+		}
+		w.observe(observation{id: id, sent: true})
+		if staysInFlight {
+			return true
+		}
+		if attempt < n%2 {
+			w.journal.EndAttempt(w.now, id, true)
+			w.observe(observation{id: id, provedNotRun: true})
+		}
+	}
+	outcome := []requestjournal.Outcome{requestjournal.Served, requestjournal.Failed, requestjournal.Served, requestjournal.Rejected}[n%4]
+	w.journal.EndAttempt(w.now, id, outcome == requestjournal.Rejected)
+	if outcome == requestjournal.Rejected {
+		w.observe(observation{id: id, provedNotRun: true})
+	}
+	return w.answer(id, outcome, [][]byte{[]byte("a\tb\tc\n")})
+}
+
+func (w *workload) answer(id admission.RequestID, outcome requestjournal.Outcome, pages [][]byte) bool {
+	seen := observation{id: id, outcome: outcome}
+	if w.answerEarly {
+		w.observe(seen)
+	}
+	if waitDurable(func(onDurable func(error)) bool { return w.journal.RecordAnswer(w.now, id, outcome, pages, onDurable) }) != nil {
+		return false
+	}
+	w.observe(seen)
+	return true
+}
+
+// classOf is the class that the workload has a request in.
+func classOf(id admission.RequestID) int {
+	n, err := strconv.ParseUint(string(id), 16, 64)
+	if err != nil {
+		panic(err)
+	}
+	return int(n % 3)
+}
+
+// checkRecovered recovers the journal in a folder and compares it with what was observed. A request that must not run twice
+// and of which an engine has seen a byte is known as one that may have run, or has its answer. A repeat of an answered request
+// gets the answer that its client has seen.
+func checkRecovered(folder store.Folder, observed []observation, now admission.Time) error {
+	journal, logStore, err := openJournal(folder, now)
+	if err != nil {
+		return err
+	}
+	defer closeAfterFault(logStore)
+	for i, seen := range observed {
+		if classes[classOf(seen.id)].Effect == admission.Idempotent {
+			continue // records of idempotent requests need not be durable
+		}
+		switch {
+		case seen.sent && !isProvedNotRun(seen.id, observed[i+1:]):
+			err = checkSent(journal, seen, now)
+		case !seen.sent && !seen.provedNotRun:
+			err = checkAnswer(journal, seen)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// isProvedNotRun reports whether it was observed that an attempt of the request has not run.
+func isProvedNotRun(id admission.RequestID, observed []observation) bool {
+	return slices.ContainsFunc(observed, func(o observation) bool { return o.id == id && o.provedNotRun })
+}
+
+func checkSent(journal *requestjournal.Journal, seen observation, now admission.Time) error {
+	status, entry := journal.Lookup(seen.id)
+	switch {
+	case status == requestjournal.Unknown:
+		return fmt.Errorf("%s was sent, and nothing is known of it", seen.id)
+	case status == requestjournal.Resumable && !entry.MayHaveRun:
+		return fmt.Errorf("%s was sent, and would be sent as a new one", seen.id)
+	case status == requestjournal.Resumable && classOf(seen.id) == 1:
+		return fmt.Errorf("%s was sent and must not run twice, and has no answer", seen.id)
+	case status == requestjournal.Resumable && now >= entry.UncertainSince+3*second:
+		return fmt.Errorf("%s was sent, its deduplication window is over, and it has no answer", seen.id)
+	}
+	return nil
+}
+
+func checkAnswer(journal *requestjournal.Journal, seen observation) error {
+	status, entry := journal.Lookup(seen.id)
+	if status != requestjournal.Answered || entry.Outcome != seen.outcome {
+		return fmt.Errorf("%s was answered %v; after the recovery it is %v", seen.id, seen.outcome, entry)
+	}
+	if seen.outcome == requestjournal.Served && (!entry.Complete() || string(entry.Pages[0]) != "a\tb\tc\n") {
+		return fmt.Errorf("%s was served, and its rows are %q", seen.id, entry.Pages)
+	}
+	return nil
+}
+
+// exploreCrashes loses power at each operation of a workload, and once more at each of the first ten operations of the
+// recovery. It checks the crash states that faultfs.Folder.ForEachCrashState explores with the bound maxExhaustive, and
+// returns their number and the first error.
+func exploreCrashes(maxExhaustive int, answerEarly bool) (states int, firstErr error) {
+	check := func(folder *faultfs.Folder, observed []observation, now admission.Time, seed int, when string) {
+		states += folder.ForEachCrashState(maxExhaustive, int64(seed), func(left *faultfs.Folder) {
+			if err := checkRecovered(left, observed, now); err != nil && firstErr == nil {
+				firstErr = fmt.Errorf("%s: %w", when, err)
+			}
+		})
+	}
+	for operation := 0; firstErr == nil; operation++ {
+		folder := &faultfs.Folder{BeforeOperation: faultfs.LosePowerAt(operation)}
+		observed := runWorkload(folder, answerEarly)
+		now := 1000*second + 2*second
+		check(folder, observed, now, operation, fmt.Sprintf("power lost at operation %d", operation))
+		for recoveryOperation := range 10 {
+			left := folder.AfterPowerLoss(func(part int) bool { return (part+recoveryOperation)%2 == 0 }, -1)
+			left.BeforeOperation = faultfs.LosePowerAt(recoveryOperation)
+			_ = checkRecovered(left, nil, now) // power is lost meanwhile
+			check(left, observed, now+5*second, recoveryOperation,
+				fmt.Sprintf("power lost at operation %d, and at operation %d of the recovery", operation, recoveryOperation))
+		}
+		if folder.Operations < operation {
+			break
+		}
+	}
+	return states, firstErr
+}
+
+func TestRecoveryAfterPowerLoss(t *testing.T) {
+	states, err := exploreCrashes(3, false)
+	t.Logf("%d states", states)
+	if err != nil {
+		t.Error(err)
+	}
+	if _, err := exploreCrashes(3, true); err == nil {
+		t.Error("answers that are seen before they are recorded are not found")
+	} else {
+		t.Log("mutation found: ", err)
+	}
+}
+
+// A log cut at any byte, as by a power loss during a write, has all that engines and clients had seen by then.
+func TestRecoveryOfLogCutAtEveryByte(t *testing.T) {
+	folder := &faultfs.Folder{}
+	observed := runWorkload(folder, false)
+	log := folder.Contents(segmentName)
+	for cut := 48; cut <= len(log); cut++ {
+		left := &faultfs.Folder{}
+		manifest := folder.Contents("manifest")
+		copy(manifest[40:48], make([]byte, 8)) // as if it had not been closed
+		left.SetFile("manifest", withChecksum(manifest))
+		left.SetFile(segmentName, log[:cut])
+		var observedByThen []observation
+		for _, seen := range observed {
+			if seen.logBytes <= cut {
+				observedByThen = append(observedByThen, seen)
+			}
+		}
+		if err := checkRecovered(left, observedByThen, 1002*second); err != nil {
+			t.Fatalf("cut to %d of %d bytes: %v", cut, len(log), err)
+		}
+	}
+	t.Logf("%d cuts, %d observations", len(log)-47, len(observed))
+}
+
+// withChecksum sets the checksum of a changed manifest.
+func withChecksum(b []byte) []byte {
+	binary.LittleEndian.PutUint32(b[len(b)-4:], crc32.Checksum(b[:len(b)-4], crc32.MakeTable(crc32.Castagnoli)))
+	return b
+}
--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -18,7 +18,7 @@
 func measureCommits(b *testing.B, writers int, commit func(n int) error) {
 	b.Helper()
 	each := max(1, b.N/writers)
-	took := make([]time.Duration, 0, each*writers)
+	allLatencies := make([]time.Duration, 0, each*writers)
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	began := time.Now()
@@ -26,26 +26,26 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			own := make([]time.Duration, each)
+			latencies := make([]time.Duration, each)
 			for n := range each {
 				at := time.Now()
 				if err := commit(w*each + n); err != nil {
 					b.Error(err)
 					return
 				}
-				own[n] = time.Since(at)
+				latencies[n] = time.Since(at)
 			}
 			mu.Lock()
-			took = append(took, own...)
+			allLatencies = append(allLatencies, latencies...)
 			mu.Unlock()
 		}()
 	}
 	all.Wait()
-	whole := time.Since(began)
-	slices.Sort(took)
-	if len(took) > 0 {
-		b.ReportMetric(float64(len(took))/whole.Seconds(), "commits/s")
-		b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "us-p99")
+	duration := time.Since(began)
+	slices.Sort(allLatencies)
+	if len(allLatencies) > 0 {
+		b.ReportMetric(float64(len(allLatencies))/duration.Seconds(), "commits/s")
+		b.ReportMetric(float64(allLatencies[len(allLatencies)*99/100].Microseconds()), "us-p99")
 	}
 }
 
--- a/internal/storage/store/compaction.go
+++ b/internal/storage/store/compaction.go
@@ -9,9 +9,9 @@
 	// compactionBytes bounds what one step of the compaction reads of the oldest segment, so that writes get the disk between.
 	compactionBytes = 256 << 10
 
-	// shortOfRoom is the part of MaxBytes from which on segments are compacted even if most of them is live. With the reserve
+	// shortOfCapacity is the part of MaxBytes from which on segments are compacted even if most of them is live. With the reserve
 	// there is room to write on meanwhile.
-	shortOfRoom = 0.75
+	shortOfCapacity = 0.75
 )
 
 // needsCompaction reports whether the oldest segment should be compacted: less than half of what is in closed segments is
@@ -28,7 +28,7 @@
 		live += g.liveBytes
 	}
 	mostlyDead := live < bytes/2
-	short := float64(bytes) > shortOfRoom*float64(s.limits.MaxBytes)
+	short := float64(bytes) > shortOfCapacity*float64(s.limits.MaxBytes)
 	return mostlyDead || short && live < bytes-s.limits.SegmentBytes
 }
 
@@ -64,14 +64,14 @@
 // collectLive puts live records of the oldest segment, from the compaction's offset on, into the buffer as new records. It
 // returns these and the number of bytes that were scanned.
 func (s *Store) collectLive(oldest *segment) (live []record, scanned int64, err error) {
-	part := make([]byte, min(compactionBytes+recordHeaderSize+maxValueSize, oldest.size-s.compactionOffset))
-	if n, err := oldest.file.ReadAt(part, s.compactionOffset); n < len(part) {
+	chunk := make([]byte, min(compactionBytes+recordHeaderSize+maxValueSize, oldest.size-s.compactionOffset))
+	if n, err := oldest.file.ReadAt(chunk, s.compactionOffset); n < len(chunk) {
 		return nil, 0, fmt.Errorf("%s: %w", oldest.name(), err)
 	}
 	s.buffer = s.buffer[:0]
-	for scanned < int64(len(part)) && scanned < compactionBytes {
+	for scanned < int64(len(chunk)) && scanned < compactionBytes {
 		offset := s.compactionOffset + scanned
-		r, ok := decodeRecord(part[scanned:])
+		r, ok := decodeRecord(chunk[scanned:])
 		if !ok {
 			return nil, 0, unreadableRecord(oldest, offset)
 		}
--- a/internal/storage/store/corruption_test.go
+++ b/internal/storage/store/corruption_test.go
@@ -90,7 +90,7 @@
 }
 
 // Repair lists what must be lost, changes nothing unless it is told to, loses just that and keeps a copy.
-func TestRepairLosesWhatFollowsTheCorruptPlace(t *testing.T) {
+func TestRepairLosesWhatFollowsTheCorruption(t *testing.T) {
 	folder := workloadFolder(t)
 	names, _ := folder.Names()
 	first := names[0]
@@ -100,7 +100,8 @@
 	if err != nil || len(lost) != len(names)-1 || len(folder.Contents(first)) != len(before) {
 		t.Errorf("%q, %v", lost, err)
 	}
-	if lost, err = store.Repair(folder, true); err != nil || len(folder.Contents(first)) != 48 || len(folder.Contents(first+".lost")) != len(before) {
+	lost, err = store.Repair(folder, true)
+	if err != nil || len(folder.Contents(first)) != 48 || len(folder.Contents(first+".lost")) != len(before) {
 		t.Errorf("%q, %v; %d bytes", lost, err, len(folder.Contents(first)))
 	}
 	got := 0
@@ -109,7 +110,8 @@
 		t.Fatal(got, err)
 	}
 	closeStore(t, s)
-	if lost, err = store.Repair(folder, true); err != nil || len(lost) != 0 {
+	lost, err = store.Repair(folder, true)
+	if err != nil || len(lost) != 0 {
 		t.Errorf("sound again: %q, %v", lost, err)
 	}
 }
--- a/internal/storage/store/crash_test.go
+++ b/internal/storage/store/crash_test.go
@@ -62,14 +62,14 @@
 }
 
 // runWorkload writes and deletes until an operation fails or all steps are done.
-func runWorkload(folder *faultfs.Folder, expected *expectation, steps int) error {
+func runWorkload(folder *faultfs.Folder, expected *expectation, operations int) error {
 	s, _, err := store.Open(folder, "g1", smallLimits, func(store.Key, []byte, bool) {})
 	if err != nil {
 		return err
 	}
 	defer closeAfterFault(s)
 	random := rand.New(rand.NewSource(3))
-	for n := range steps {
+	for n := range operations {
 		id := key(random.Intn(6))
 		done := make(chan error, 1)
 		switch {
@@ -109,11 +109,11 @@
 
 // explore loses power at each operation of a workload, and again at each of the first eight operations of the recovery, until the
 // workload ends before the operation.
-func (e *crashExplorer) explore(steps int) {
+func (e *crashExplorer) explore(operations int) {
 	for operation := 0; e.firstErr == nil; operation++ {
 		expected := &expectation{allowed: map[store.Key][]string{}}
 		folder := &faultfs.Folder{SyncLies: e.syncLies, BeforeOperation: faultfs.LosePowerAt(operation)}
-		err := runWorkload(folder, expected, steps)
+		err := runWorkload(folder, expected, operations)
 		e.checkStates(folder, expected, operation, fmt.Sprintf("power lost at operation %d", operation))
 		for recoveryOperation := 0; e.firstErr == nil && recoveryOperation < 8; recoveryOperation++ {
 			left := folder.AfterPowerLoss(func(part int) bool { return part%2 == recoveryOperation%2 }, -1)
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -66,7 +66,7 @@
 	lastSequence     uint64 // of the last record that was written
 	syncedSequence   uint64 // of the last record that is known to survive a crash
 	buffer           []byte
-	usualSyncTime    time.Duration // moving average
+	meanSyncTime     time.Duration // moving average
 	lastBatchWaiters int           // writes of the last batch that somebody waited for
 	unsyncedSince    time.Time     // zero: everything written is synced
 	compactionOffset int64         // up to which the oldest segment is rewritten
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -211,7 +211,8 @@
 	}
 	closeStore(t, s)
 	n := 0
-	if s, _, err = store.Open(folder, "g1", store.Limits{}, func(store.Key, []byte, bool) { n++ }); err != nil || n != writers*each {
+	s, _, err = store.Open(folder, "g1", store.Limits{}, func(store.Key, []byte, bool) { n++ })
+	if err != nil || n != writers*each {
 		t.Fatal(n, err)
 	}
 	closeStore(t, s)
--- a/internal/storage/store/writer.go
+++ b/internal/storage/store/writer.go
@@ -9,12 +9,12 @@
 	// maxUnsyncedTime is the longest time after which records that nobody waits for are synced.
 	maxUnsyncedTime = 50 * time.Millisecond
 
-	// A batch waits for as many writers as the last batch had, for this part of a usual sync and at most maxBatchWait: the
+	// A batch waits for as many writers as the last batch had, for a mean sync time over batchWaitDivisor and at most maxBatchWait: the
 	// cost of a sync hardly depends on the number of records, so that writers who share one gain more than they lose.
-	batchWaitShare = 8
-	maxBatchWait   = 2 * time.Millisecond
-	minBatchWait   = 200 * time.Microsecond // a shorter sleep takes longer than it says
-	batchPolls     = 4                      // in minBatchWait
+	batchWaitDivisor = 8
+	maxBatchWait     = 2 * time.Millisecond
+	minBatchWait     = 200 * time.Microsecond // a shorter sleep takes longer than it says
+	batchPolls       = 4                      // in minBatchWait
 
 	syncTimeWeight = 8 // the moving average of sync times takes in this part of each new one
 
@@ -75,7 +75,7 @@
 	if s.lastBatchWaiters < 2 {
 		return
 	}
-	maxWait := min(maxBatchWait, s.usualSyncTime/batchWaitShare)
+	maxWait := min(maxBatchWait, s.meanSyncTime/batchWaitDivisor)
 	if maxWait < minBatchWait {
 		return
 	}
@@ -167,10 +167,10 @@
 		return fmt.Errorf("sync: %w", err)
 	}
 	took := time.Since(began)
-	if s.usualSyncTime == 0 {
-		s.usualSyncTime = took
+	if s.meanSyncTime == 0 {
+		s.meanSyncTime = took
 	}
-	s.usualSyncTime += (took - s.usualSyncTime) / syncTimeWeight
+	s.meanSyncTime += (took - s.meanSyncTime) / syncTimeWeight
 	s.syncedSequence, s.unsyncedSince = s.lastSequence, time.Time{}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/workload/fleetpolicy_test.go
+++ b/internal/workload/fleetpolicy_test.go
@@ -75,7 +75,7 @@
 	case rejectText != "":
 		return rejectText
 	case overCapacity:
-		return "nacked"
+		return "rejected"
 	case estimate.PolicyClass == 0:
 		return "free"
 	}
@@ -85,7 +85,7 @@
 		return name + ", waits"
 	}
 	charged, basis := manager.RecordAttempt(estimate, 2)
-	out := fmt.Sprintf("%s, goes by %d", name, basis&^(1<<63))
+	out := fmt.Sprintf("%s, decided by %d", name, basis&^(1<<63))
 	if fleet.TryBeginWrite(basis, "") {
 		out += ", is written"
 	}
@@ -130,14 +130,14 @@
 	try("the second")
 	fleet.putInForce(3, third)
 	try("the third")
-	want := `nothing was heard:  look nacked  load nacked
+	want := `nothing was heard:  look rejected  load rejected
 no policy:  look free  load free
-the first:  look free  load loads, goes by 2, is written
-the second is proposed:  look (rest), goes by 2, is written  load loads, goes by 2, is written
-the lease is over:  look nacked  load nacked
-what both allow:  look nacked  load loads, goes by 2, is written by both
-what the first and the third allow:  look (rest), goes by 2, is written by both  load class loads: no loads
-the second:  look looks, goes by 3, is written  load loads, goes by 3, is written
+the first:  look free  load loads, decided by 2, is written
+the second is proposed:  look (rest), decided by 2, is written  load loads, decided by 2, is written
+the lease is over:  look rejected  load rejected
+what both allow:  look rejected  load loads, decided by 2, is written by both
+what the first and the third allow:  look (rest), decided by 2, is written by both  load class loads: no loads
+the second:  look looks, decided by 3, is written  load loads, decided by 3, is written
 the third:  look free  load class loads: no loads
 `
 	if out.String() != want {
@@ -169,7 +169,7 @@
 		t.Error("two threads more go out, where two of two run")
 	}
 	if name := manager.ClassName(old.PolicyClass); name != "old" || !manager.AllowsAttempt(30, old.PolicyClass, 1) {
-		t.Errorf("a task of a class that is gone can't end: %s", name)
+		t.Errorf("a request of a class that is gone can't end: %s", name)
 	}
 	manager.RecordAttemptEnd(a, 2, charged, 0, false)
 	if !manager.AllowsAttempt(40, b.PolicyClass, 2) {
--- a/internal/workload/source/policy.go
+++ b/internal/workload/source/policy.go
@@ -103,10 +103,10 @@
 	return terms
 }
 
-func readLength(object *configfile.Object, field string, usual, most time.Duration) admission.Time {
-	length := object.Duration(field, usual)
-	if length < minStageLength || length > most {
-		object.Reject(field, fmt.Sprintf(`a time from "100ms" to "%v"`, most))
+func readLength(object *configfile.Object, field string, defaultLength, maxLength time.Duration) admission.Time {
+	length := object.Duration(field, defaultLength)
+	if length < minStageLength || length > maxLength {
+		object.Reject(field, fmt.Sprintf(`a time from "100ms" to "%v"`, maxLength))
 	}
 	return admission.Time(length / timeUnit)
 }
--- a/internal/workload/source/policy_test.go
+++ b/internal/workload/source/policy_test.go
@@ -9,7 +9,7 @@
 )
 
 // The extracted policy is the file's pools, classes and requirements and nothing else; errors have the file's line.
-func TestExtractedPolicyIsThePartOfTheFileThatTheFleetDecidesOn(t *testing.T) {
+func TestExtractedPolicyHasPoolsClassesAndRequirementsOnly(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.jsonnet")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -153,8 +153,8 @@
 }
 
 // query sends a statement and returns 0, or the number and text of the error.
-func (g *gateway) query(id int, lane, statement string) (number uint16, text string) {
-	rows, err := g.db.QueryContext(context.Background(), fmt.Sprintf("/* class=%s,id=%016x,wait=3900 */ %s", lane, id, statement))
+func (g *gateway) query(id int, class, statement string) (number uint16, text string) {
+	rows, err := g.db.QueryContext(context.Background(), fmt.Sprintf("/* class=%s,id=%016x,wait=3900 */ %s", class, id, statement))
 	if err == nil {
 		for rows.Next() {
 		}
@@ -212,8 +212,8 @@
 	if ends := g.queryConcurrently(100, 6, "SELECT a FROM actas_3.otra"); ends[0] != 2 || ends[1203] != 4 {
 		t.Errorf("a crowd: %v", ends)
 	}
-	if _, most := g.engines[0].InFlight(); most != 1 {
-		t.Errorf("%d at a time in norte", most)
+	if _, maxInFlight := g.engines[0].InFlight(); maxInFlight != 1 {
+		t.Errorf("%d at a time in norte", maxInFlight)
 	}
 	// When the pool's last engine leaves, a request of its class is rejected in time and never sent to sur, which serves others.
 	g.endpoints[0].State = "Gone"
