--- a/cmd/magpiebank-operator/digest.go
+++ b/cmd/magpiebank-operator/digest.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -90,9 +89,7 @@
 	if !o.asJSON {
 		return summary.WriteText(out)
 	}
-	encoder := json.NewEncoder(out)
-	encoder.SetIndent("", " ")
-	return encoder.Encode(summary)
+	return writeJSON(out, summary, " ")
 }
 
 // readRecording reads the statements of a recording, and what can't be read of it.
--- a/cmd/magpiebank-operator/fleet.go
+++ b/cmd/magpiebank-operator/fleet.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 
@@ -39,9 +38,7 @@
 				return err
 			}
 			if asJSON {
-				out := json.NewEncoder(c.OutOrStdout())
-				out.SetIndent("", " ")
-				return out.Encode(status)
+				return writeJSON(c.OutOrStdout(), status, " ")
 			}
 			writeText(status, c.OutOrStdout())
 			return nil
--- a/cmd/magpiebank-operator/main.go
+++ b/cmd/magpiebank-operator/main.go
@@ -4,6 +4,8 @@
 package main
 
 import (
+	"encoding/json"
+	"io"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -15,3 +17,10 @@
 	p := cli.Program{LoadOperatorRules: loadRules, Commands: []*cobra.Command{statementCommand(), fleetCommand(), policyCommand()}}
 	os.Exit(p.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
+
+// writeJSON writes a value as JSON, one field a line.
+func writeJSON(out io.Writer, value any, indent string) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", indent)
+	return encoder.Encode(value)
+}
--- a/cmd/magpiebank-operator/policydiff.go
+++ b/cmd/magpiebank-operator/policydiff.go
@@ -22,9 +22,7 @@
 			if err != nil {
 				return err
 			}
-			out := json.NewEncoder(c.OutOrStdout())
-			out.SetIndent("", "  ")
-			return out.Encode(policy)
+			return writeJSON(c.OutOrStdout(), policy, "  ")
 		}}
 	gateway.addFlags(c)
 	return c
--- a/cmd/magpiebank-operator/policystatus.go
+++ b/cmd/magpiebank-operator/policystatus.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"strings"
@@ -21,9 +20,7 @@
 				return err
 			}
 			if asJSON {
-				out := json.NewEncoder(c.OutOrStdout())
-				out.SetIndent("", " ")
-				return out.Encode(reply.Status)
+				return writeJSON(c.OutOrStdout(), reply.Status, " ")
 			}
 			reply.Status.WriteText(c.OutOrStdout())
 			return nil
--- a/internal/cluster/agent/healthsharing.go
+++ b/internal/cluster/agent/healthsharing.go
@@ -75,9 +75,9 @@
 		observedAt = history.Now() - duration(s.agent.clock.Now()-now).Nanoseconds()
 	}
 	s.reports.VisitChangedFindings(now, func(found *admission.PeerReport) {
-		finding := *found
-		s.recordFinding(now, observedAt, &finding)
-		s.agent.listener.HandlePeerReport(&finding)
+		report := *found
+		s.recordFinding(now, observedAt, &report)
+		s.agent.listener.HandlePeerReport(&report)
 	})
 	s.broadcast(now)
 }
--- a/internal/cluster/agent/policyrollout.go
+++ b/internal/cluster/agent/policyrollout.go
@@ -50,7 +50,7 @@
 		Voters:            p.config.Voters,
 		LeaseDuration:     ticks(p.config.LeaseDuration),
 		PrepareTimeout:    ticks(p.config.ProposalTimeout),
-		ClockDriftDivisor: maxClockDrift,
+		ClockDriftDivisor: clockDriftDivisor,
 		Persistent:        p.config.Folder != "",
 	}
 	plan.Mutation = rollout.ParseMutation(mutations.names())
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -69,9 +69,9 @@
 	return s, nil
 }
 
-// maxClockDrift is how far two clocks may drift apart, as one part in so many. Clocks of machines drift by some parts in
+// clockDriftDivisor says how far two clocks may drift apart: by one part in so many. Clocks of machines drift by some parts in
 // a million; one in twenty leaves room for those that are being set.
-const maxClockDrift = 20
+const clockDriftDivisor = 20
 
 // newPlan is the plan of the quota's core. A lease lasts twice the longest use: it is renewed after its first quarter
 // and is then good for a whole use more. It lasts no longer, because what is lent across a network cut is of no use to
@@ -84,7 +84,7 @@
 		ShareTerm:    ticks(c.ShareTerm),
 		LongestUse:   longest,
 		LeaseTerm:    2 * longest,
-		DriftDivisor: maxClockDrift,
+		DriftDivisor: clockDriftDivisor,
 		Number:       c.Number,
 		Totals:       c.Totals,
 	}
