--- a/internal/cluster/counters/core.go
+++ b/internal/cluster/counters/core.go
@@ -23,17 +23,17 @@
 	// Each round is told to so many others in turn: at 500 members each hears of as many a second.
 	fanOut = 16
 	// Rounds, half a second apart: a count is half a second and the way old, at some hundreds of bytes a second.
-	every = admission.Second / 2
+	roundInterval = admission.Second / 2
 	// What is told covers three turns through all others, so that two words may be lost before a member is silent.
-	turns = 3
+	coveredTurns = 3
 	// The seconds that are told of are kept in so many slots and the one that is being filled.
-	slots = 8
+	slotCount = 8
 	// Clocks run at most one part in twenty fast or slow; two are apart by less than one in eight.
-	apart = 8
+	driftDivisor = 8
 	// MaxMessageBytes is the longest message: rows that don't fit are not told, and whoever reads knows.
 	MaxMessageBytes = 1000
 	// mostKept bounds the processes that are known.
-	mostKept = 1024
+	maxPeers = 1024
 )
 
 const version = 1
@@ -72,7 +72,7 @@
 	Waiting = iota
 	Running
 	Attempted
-	figures
+	figureCount
 )
 
 // Range is an interval; below 0 High is not bounded.
@@ -90,7 +90,7 @@
 // KeyCounts is what is known of a key.
 type KeyCounts struct {
 	Key
-	Ranges [figures]Range
+	Ranges [figureCount]Range
 }
 
 // Reading is what is known of the fleet as of one instant.
@@ -107,43 +107,43 @@
 	Peers() []string // the members that are there, by name
 }
 
-type bounds struct{ low, high [figures]int64 }
+type bounds struct{ low, high [figureCount]int64 }
 
 // row is a key's own counts: now, and their bounds in each slot.
-type row struct {
+type counter struct {
 	key   Key
 	hash  uint32
-	now   [figures]int64
-	slots [slots + 1]bounds
+	current   [figureCount]int64
+	slots [slotCount + 1]bounds
 }
 
 // source is what was last heard of another process.
-type source struct {
+type peer struct {
 	name     string
-	start    uint64
-	at       Time // by its clock, to when what it told goes
-	length   Time // and for how long
-	most     int64
-	whole    bool // all its keys fitted
-	rows     []told
-	heardAt  Time
-	high     Time // our clock less its one, at most, and at least, as of when
-	highAt   Time
-	low      Time
-	lowAt    Time
-	lowKnown bool
-	gone     bool // it has stopped in good order, and has nothing
-}
-
-type told struct {
+	incarnation    uint64
+	reportedUntil       Time // by its clock, to when what it told goes
+	reportedLength   Time // and for how long
+	maxInHand     int64
+	complete    bool // all its keys fitted
+	counts     []peerCount
+	receivedAt  Time
+	maxOffset     Time // our clock less its one, at most, and at least, as of when
+	maxOffsetAt   Time
+	minOffset      Time
+	minOffsetAt    Time
+	minOffsetKnown bool
+	stopped     bool // it has stopped in good order, and has nothing
+}
+
+type peerCount struct {
 	hash uint32
-	of   [figures]Range
+	ranges   [figureCount]Range
 }
 
 // ending is a process that another took the place of: it may have had anything until its last task is surely over.
-type ending struct {
+type endedProcess struct {
 	name  string
-	most  int64
+	maxInHand  int64
 	until Time
 }
 
@@ -152,79 +152,79 @@
 	mu      sync.Mutex
 	host    Host
 	name    string
-	fleet   int   // processes that there may be
-	most    int64 // tasks that one process has in hand; 0: not bounded
-	longest Time  // for which it has one
+	processes   int   // processes that there may be
+	maxInHand    int64 // tasks that one process has in hand; 0: not bounded
+	longestRequest Time  // for which it has one
 	now     Time
-	rows    []row
+	counters    []counter
 	byKey   map[Key]int
-	from    [slots + 1]Time // of each slot
-	slot    int             // that is being filled
-	filled  int             // slots that hold anything
-	step    Time            // length of a slot
-	nextAt  Time
-	turn    int
-	sources []source
-	endings []ending
+	slotStart    [slotCount + 1]Time // of each slot
+	currentSlot    int             // that is being filled
+	filledSlots  int             // slots that hold anything
+	slotLength    Time            // length of a slot
+	nextRoundAt  Time
+	nextRecipient    int
+	peers []peer
+	ended []endedProcess
 }
 
 // New begins a process's part, with nothing in hand, in a fleet of so many. It has at most so many tasks in hand (0: not bounded),
 // none for longer than longest.
 func New(now Time, name string, fleet int, most int64, longest Time, host Host) *Core {
-	c := &Core{host: host, name: name, fleet: fleet, most: most, longest: longest, now: now, byKey: map[Key]int{}, filled: 1, step: window(0) / slots, nextAt: now}
-	c.from[0] = now
-	c.row(Key{})
+	c := &Core{host: host, name: name, processes: fleet, maxInHand: most, longestRequest: longest, now: now, byKey: map[Key]int{}, filledSlots: 1, slotLength: reportedWindow(0) / slotCount, nextRoundAt: now}
+	c.slotStart[0] = now
+	c.counterOf(Key{})
 	return c
 }
 
 // window is what is told of, by how many others there are.
-func window(others int) Time { return turns * every * Time(1+others/fanOut) }
+func reportedWindow(others int) Time { return coveredTurns * roundInterval * Time(1+others/fanOut) }
 
-func (c *Core) row(k Key) *row {
+func (c *Core) counterOf(k Key) *counter {
 	i, ok := c.byKey[k]
 	if !ok {
-		i = len(c.rows)
+		i = len(c.counters)
 		c.byKey[k] = i
-		c.rows = append(c.rows, row{key: k, hash: k.hash()})
+		c.counters = append(c.counters, counter{key: k, hash: k.hash()})
 	}
-	return &c.rows[i]
+	return &c.counters[i]
 }
 
 // Change is that so many tasks more of a key wait or run, or were handed off.
 type Change struct {
 	Key
-	Delta [figures]int64
+	Delta [figureCount]int64
 }
 
 // ApplyChanges takes in what changes at once.
 func (c *Core) ApplyChanges(now Time, changes ...Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pass(now)
+	c.advance(now)
 	for i := range changes {
-		r := c.row(changes[i].Key)
-		b := &r.slots[c.slot]
+		r := c.counterOf(changes[i].Key)
+		b := &r.slots[c.currentSlot]
 		for f, n := range changes[i].Delta {
-			r.now[f] += n
-			b.low[f], b.high[f] = min(b.low[f], r.now[f]), max(b.high[f], r.now[f])
+			r.current[f] += n
+			b.low[f], b.high[f] = min(b.low[f], r.current[f]), max(b.high[f], r.current[f])
 		}
 	}
 }
 
 // OwnCounts is what this process has of a key.
-func (c *Core) OwnCounts(k Key) [figures]int64 {
+func (c *Core) OwnCounts(k Key) [figureCount]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.row(k).now
+	return c.counterOf(k).current
 }
 
 // ListKeys are those of a kind that this process counts by, by name.
 func (c *Core) ListKeys(kind Kind) (out []Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := range c.rows {
-		if c.rows[i].key.Kind == kind {
-			out = append(out, c.rows[i].key)
+	for i := range c.counters {
+		if c.counters[i].key.Kind == kind {
+			out = append(out, c.counters[i].key)
 		}
 	}
 	slices.SortFunc(out, func(a, b Key) int { return strings.Compare(a.Name, b.Name) })
@@ -232,29 +232,29 @@
 }
 
 // pass has time go on, and slots be filled one after the other.
-func (c *Core) pass(now Time) {
+func (c *Core) advance(now Time) {
 	c.now = max(c.now, now)
-	if c.now-c.from[c.slot] < c.step {
+	if c.now-c.slotStart[c.currentSlot] < c.slotLength {
 		return
 	}
-	c.slot = (c.slot + 1) % len(c.from)
-	c.filled = min(c.filled+1, len(c.from))
-	c.from[c.slot] = c.now
-	for i := range c.rows {
-		r := &c.rows[i]
-		r.slots[c.slot] = bounds{r.now, r.now}
+	c.currentSlot = (c.currentSlot + 1) % len(c.slotStart)
+	c.filledSlots = min(c.filledSlots+1, len(c.slotStart))
+	c.slotStart[c.currentSlot] = c.now
+	for i := range c.counters {
+		r := &c.counters[i]
+		r.slots[c.currentSlot] = bounds{r.current, r.current}
 	}
 }
 
 // oldest is from when on the own counts are known.
-func (c *Core) oldest() Time { return c.from[(c.slot-c.filled+1+len(c.from))%len(c.from)] }
+func (c *Core) oldestKnown() Time { return c.slotStart[(c.currentSlot-c.filledSlots+1+len(c.slotStart))%len(c.slotStart)] }
 
 // own are a key's bounds from one time to another, as wide as the slots are long.
-func (c *Core) own(r *row, from, to Time) (out [figures]Range) {
+func (c *Core) ownRanges(r *counter, from, to Time) (out [figureCount]Range) {
 	first := true
-	for k := range c.filled {
-		i := (c.slot - k + len(c.from)) % len(c.from)
-		if c.from[i] <= to {
+	for k := range c.filledSlots {
+		i := (c.currentSlot - k + len(c.slotStart)) % len(c.slotStart)
+		if c.slotStart[i] <= to {
 			for f := range out {
 				b := &r.slots[i]
 				if first {
@@ -264,7 +264,7 @@
 			}
 			first = false
 		}
-		if c.from[i] < from {
+		if c.slotStart[i] < from {
 			break
 		}
 	}
@@ -275,37 +275,37 @@
 func (c *Core) Tick(now Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pass(now)
-	c.endings = slices.DeleteFunc(c.endings, func(e ending) bool { return c.now >= e.until })
-	if c.now < c.nextAt {
+	c.advance(now)
+	c.ended = slices.DeleteFunc(c.ended, func(e endedProcess) bool { return c.now >= e.until })
+	if c.now < c.nextRoundAt {
 		return
 	}
-	c.nextAt = c.now + every
+	c.nextRoundAt = c.now + roundInterval
 	others := c.host.Peers()
-	c.step = window(len(others)) / slots
+	c.slotLength = reportedWindow(len(others)) / slotCount
 	some := min(fanOut, len(others))
 	for k := range some {
-		to := others[(c.turn+k)%len(others)]
-		c.host.Send(to, c.message(to))
+		to := others[(c.nextRecipient+k)%len(others)]
+		c.host.Send(to, c.encodeMessage(to))
 	}
-	c.turn += some
+	c.nextRecipient += some
 }
 
 // message tells one of the others the own bounds, and when it was last heard, by which it knows how its clock and ours differ.
-func (c *Core) message(to string) []byte {
+func (c *Core) encodeMessage(to string) []byte {
 	b := []byte{version, 1}
-	length := c.now - c.oldest()
+	length := c.now - c.oldestKnown()
 	var theirs, ours Time
-	if s := c.find(to); s != nil {
-		theirs, ours = s.at, s.heardAt
+	if s := c.peerOf(to); s != nil {
+		theirs, ours = s.reportedUntil, s.receivedAt
 	}
-	for _, v := range []Time{c.now, length, Time(c.most), theirs, ours} {
+	for _, v := range []Time{c.now, length, Time(c.maxInHand), theirs, ours} {
 		b = binary.AppendUvarint(b, uint64(v))
 	}
-	for i := range c.rows {
-		r := &c.rows[i]
-		of := c.own(r, c.oldest(), c.now)
-		if of == [figures]Range{} {
+	for i := range c.counters {
+		r := &c.counters[i]
+		of := c.ownRanges(r, c.oldestKnown(), c.now)
+		if of == [figureCount]Range{} {
 			continue
 		}
 		before := len(b)
@@ -323,16 +323,16 @@
 }
 
 // place is where a process stands among those heard of, or would stand.
-func (c *Core) place(name string) (int, bool) {
-	return slices.BinarySearchFunc(c.sources, name, func(s source, name string) int { return strings.Compare(s.name, name) })
+func (c *Core) indexOf(name string) (int, bool) {
+	return slices.BinarySearchFunc(c.peers, name, func(s peer, name string) int { return strings.Compare(s.name, name) })
 }
 
-func (c *Core) find(name string) *source {
-	i, ok := c.place(name)
+func (c *Core) peerOf(name string) *peer {
+	i, ok := c.indexOf(name)
 	if !ok {
 		return nil
 	}
-	return &c.sources[i]
+	return &c.peers[i]
 }
 
 // HandleMessage takes in a message of a process, whole or not at all. An older one than is known changes nothing.
@@ -343,49 +343,49 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pass(now)
-	i, ok := c.place(from)
-	if from == c.name || !ok && len(c.sources) >= mostKept {
+	c.advance(now)
+	i, ok := c.indexOf(from)
+	if from == c.name || !ok && len(c.peers) >= maxPeers {
 		return nil
 	}
 	if !ok {
-		c.sources = slices.Insert(c.sources, i, source{name: from, start: start, at: -1})
+		c.peers = slices.Insert(c.peers, i, peer{name: from, incarnation: start, reportedUntil: -1})
 	}
-	s := &c.sources[i]
-	if start < s.start || start == s.start && (s.gone || next.at <= s.at) {
+	s := &c.peers[i]
+	if start < s.incarnation || start == s.incarnation && (s.stopped || next.reportedUntil <= s.reportedUntil) {
 		return nil
 	}
-	if start > s.start {
-		if !s.gone {
-			c.endings = append(c.endings, ending{s.name, s.most, c.now + c.longest + c.longest/apart})
+	if start > s.incarnation {
+		if !s.stopped {
+			c.ended = append(c.ended, endedProcess{s.name, s.maxInHand, c.now + c.longestRequest + c.longestRequest/driftDivisor})
 		}
-		*s = source{name: from, start: start, at: -1}
+		*s = peer{name: from, incarnation: start, reportedUntil: -1}
 	}
-	high, fresh := now-next.at, s.at < 0
-	if grown := s.high + (now-s.highAt)/apart; fresh || high <= grown {
-		s.high, s.highAt = high, now
+	high, fresh := now-next.reportedUntil, s.reportedUntil < 0
+	if grown := s.maxOffset + (now-s.maxOffsetAt)/driftDivisor; fresh || high <= grown {
+		s.maxOffset, s.maxOffsetAt = high, now
 	}
-	if next.theirs > 0 { // as of when it heard us, which may be long ago
-		low := next.theirs - next.ours
-		if !s.lowKnown || low-(now-next.theirs)/apart >= s.low-(now-s.lowAt)/apart {
-			s.low, s.lowAt, s.lowKnown = low, next.theirs, true
+	if next.echoedClock > 0 { // as of when it heard us, which may be long ago
+		low := next.echoedClock - next.echoReceivedAt
+		if !s.minOffsetKnown || low-(now-next.echoedClock)/driftDivisor >= s.minOffset-(now-s.minOffsetAt)/driftDivisor {
+			s.minOffset, s.minOffsetAt, s.minOffsetKnown = low, next.echoedClock, true
 		}
 	}
-	s.at, s.length, s.most, s.whole, s.rows, s.heardAt = next.at, next.length, next.most, next.whole, next.rows, now
+	s.reportedUntil, s.reportedLength, s.maxInHand, s.complete, s.counts, s.receivedAt = next.reportedUntil, next.reportedLength, next.maxInHand, next.complete, next.counts, now
 	return nil
 }
 
 // letter is a message that was read.
-type letter struct {
-	source
-	theirs, ours Time
+type message struct {
+	peer
+	echoedClock, echoReceivedAt Time
 }
 
-func decode(b []byte) (m letter, err error) {
+func decode(b []byte) (m message, err error) {
 	if len(b) < 2 || len(b) > MaxMessageBytes || b[0] != version || b[1] > 1 {
 		return m, ErrMessage
 	}
-	m.whole = b[1] == 1
+	m.complete = b[1] == 1
 	b = b[2:]
 	bad := false
 	next := func() int64 {
@@ -396,21 +396,21 @@
 		b = b[n:]
 		return int64(v)
 	}
-	m.at, m.length, m.most, m.theirs, m.ours = Time(next()), Time(next()), next(), Time(next()), Time(next())
+	m.reportedUntil, m.reportedLength, m.maxInHand, m.echoedClock, m.echoReceivedAt = Time(next()), Time(next()), next(), Time(next()), Time(next())
 	for len(b) > 0 && !bad {
 		if len(b) < 4 {
-			return letter{}, ErrMessage
+			return message{}, ErrMessage
 		}
-		t := told{hash: binary.BigEndian.Uint32(b)}
+		t := peerCount{hash: binary.BigEndian.Uint32(b)}
 		b = b[4:]
-		for f := range t.of {
+		for f := range t.ranges {
 			low := next()
-			t.of[f] = Range{low, low + next()}
+			t.ranges[f] = Range{low, low + next()}
 		}
-		m.rows = append(m.rows, t)
+		m.counts = append(m.counts, t)
 	}
 	if bad {
-		return letter{}, ErrMessage
+		return message{}, ErrMessage
 	}
 	return m, nil
 }
@@ -419,8 +419,8 @@
 func (c *Core) MarkStopped(name string, start uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s := c.find(name); s != nil && s.start <= start {
-		s.gone, s.rows, s.whole = true, nil, true
+	if s := c.peerOf(name); s != nil && s.incarnation <= start {
+		s.stopped, s.counts, s.complete = true, nil, true
 	}
 }
 
@@ -428,26 +428,26 @@
 func (c *Core) ForgetProcess(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sources = slices.DeleteFunc(c.sources, func(s source) bool { return s.name == name })
+	c.peers = slices.DeleteFunc(c.peers, func(s peer) bool { return s.name == name })
 }
 
 // latest is the last instant that what was told surely covers; c.now if nobody knows how the clocks differ.
-func (c *Core) latest(s *source) Time {
-	t := s.at + s.low
-	return t - (max(0, c.now-s.lowAt)+max(0, c.now-t))/apart - 2
+func (c *Core) latestCovered(s *peer) Time {
+	t := s.reportedUntil + s.minOffset
+	return t - (max(0, c.now-s.minOffsetAt)+max(0, c.now-t))/driftDivisor - 2
 }
 
 // covers tells whether what was told surely covers an instant.
-func (c *Core) covers(s *source, t Time) bool {
-	if !s.lowKnown {
-		return trustsOld
+func (c *Core) covers(s *peer, t Time) bool {
+	if !s.minOffsetKnown {
+		return trustOldCounts
 	}
-	return trustsOld || c.begins(s, t) && t-(s.low-abs(t-s.lowAt)/apart-1) <= s.at
+	return trustOldCounts || c.beginsBy(s, t) && t-(s.minOffset-abs(t-s.minOffsetAt)/driftDivisor-1) <= s.reportedUntil
 }
 
 // begins tells whether what was told surely begins by an instant.
-func (c *Core) begins(s *source, t Time) bool {
-	return t-(s.high+abs(t-s.highAt)/apart+1) >= s.at-s.length
+func (c *Core) beginsBy(s *peer, t Time) bool {
+	return t-(s.maxOffset+abs(t-s.maxOffsetAt)/driftDivisor+1) >= s.reportedUntil-s.reportedLength
 }
 
 func abs(t Time) Time { return max(t, -t) }
@@ -456,48 +456,48 @@
 func (c *Core) TakeReading(now Time, keys ...Key) Reading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pass(now)
-	lately := window(len(c.sources))
+	c.advance(now)
+	lately := reportedWindow(len(c.peers))
 	t := c.now
-	for i := range c.sources {
-		if s := &c.sources[i]; s.lowKnown && !s.gone && c.now-s.heardAt < lately {
-			t = min(t, c.latest(s))
+	for i := range c.peers {
+		if s := &c.peers[i]; s.minOffsetKnown && !s.stopped && c.now-s.receivedAt < lately {
+			t = min(t, c.latestCovered(s))
 		}
 	}
-	t = max(t, c.oldest())
-	strange := max(0, c.fleet-1-len(c.sources)) // of which nothing was ever heard
-	out := Reading{Age: c.now - t, Known: 1, Unknown: len(c.endings) + strange}
-	covered := make([]bool, len(c.sources))
-	for i := range c.sources {
-		if covered[i] = c.sources[i].gone || c.covers(&c.sources[i], t); covered[i] {
+	t = max(t, c.oldestKnown())
+	strange := max(0, c.processes-1-len(c.peers)) // of which nothing was ever heard
+	out := Reading{Age: c.now - t, Known: 1, Unknown: len(c.ended) + strange}
+	covered := make([]bool, len(c.peers))
+	for i := range c.peers {
+		if covered[i] = c.peers[i].stopped || c.covers(&c.peers[i], t); covered[i] {
 			out.Known++
 		} else {
 			out.Unknown++
 		}
 	}
 	for _, k := range keys {
-		n := KeyCounts{Key: k, Ranges: c.own(c.row(k), t, t)}
+		n := KeyCounts{Key: k, Ranges: c.ownRanges(c.counterOf(k), t, t)}
 		hash := k.hash()
-		for i := range c.sources {
-			s := &c.sources[i]
-			add := s.of(hash)
+		for i := range c.peers {
+			s := &c.peers[i]
+			add := s.rangesOf(hash)
 			if !covered[i] {
 				least := add[Attempted].Low
-				if !c.begins(s, t) {
+				if !c.beginsBy(s, t) {
 					least = 0
 				}
-				add = anything(s.most, least)
+				add = unknownRanges(s.maxInHand, least)
 			}
 			for f := range n.Ranges {
 				n.Ranges[f].add(add[f])
 			}
 		}
-		for e := range len(c.endings) + strange {
-			most := c.most // as all have the same program and settings
-			if e < len(c.endings) {
-				most = c.endings[e].most
+		for e := range len(c.ended) + strange {
+			most := c.maxInHand // as all have the same program and settings
+			if e < len(c.ended) {
+				most = c.ended[e].maxInHand
 			}
-			for f, r := range anything(most, 0) {
+			for f, r := range unknownRanges(most, 0) {
 				n.Ranges[f].add(r)
 			}
 		}
@@ -507,22 +507,22 @@
 }
 
 // anything is what a process may have that is not known of.
-func anything(most, handed int64) [figures]Range {
+func unknownRanges(most, handed int64) [figureCount]Range {
 	if most == 0 {
 		most = -1
 	}
-	return [figures]Range{{0, most}, {0, most}, {handed, -1}}
+	return [figureCount]Range{{0, most}, {0, most}, {handed, -1}}
 }
 
 // of are a key's bounds as they were told: none that was told is nothing, where all were.
-func (s *source) of(hash uint32) [figures]Range {
-	for i := range s.rows {
-		if s.rows[i].hash == hash {
-			return s.rows[i].of
+func (s *peer) rangesOf(hash uint32) [figureCount]Range {
+	for i := range s.counts {
+		if s.counts[i].hash == hash {
+			return s.counts[i].ranges
 		}
 	}
-	if !s.whole {
-		return anything(s.most, 0)
+	if !s.complete {
+		return unknownRanges(s.maxInHand, 0)
 	}
-	return [figures]Range{}
+	return [figureCount]Range{}
 }
--- a/internal/cluster/counters/core_test.go
+++ b/internal/cluster/counters/core_test.go
@@ -13,37 +13,37 @@
 const second = admission.Second
 
 // post is what three gateways send each other; it is delivered by hand.
-type post struct{ sent map[string][]byte }
+type recordingHost struct{ sent map[string][]byte }
 
-func (p *post) Send(to string, m []byte) { p.sent[to] = m }
-func (p *post) Peers() []string          { return []string{"g0", "g1", "g2"} }
+func (p *recordingHost) Send(to string, m []byte) { p.sent[to] = m }
+func (p *recordingHost) Peers() []string          { return []string{"g0", "g1", "g2"} }
 
-type fleet struct {
-	posts []*post
+type testFleet struct {
+	hosts []*recordingHost
 	cores []*Core
 	out   strings.Builder
 }
 
-func newFleet(n int) *fleet {
-	f := &fleet{}
+func newTestFleet(n int) *testFleet {
+	f := &testFleet{}
 	for i := range n {
-		f.posts = append(f.posts, &post{map[string][]byte{}})
-		f.cores = append(f.cores, New(0, fmt.Sprint("g", i), n, 100, 4*second, f.posts[i]))
+		f.hosts = append(f.hosts, &recordingHost{map[string][]byte{}})
+		f.cores = append(f.cores, New(0, fmt.Sprint("g", i), n, 100, 4*second, f.hosts[i]))
 	}
 	return f
 }
 
-func (f *fleet) pass(now Time) {
+func (f *testFleet) advance(now Time) {
 	for _, c := range f.cores {
 		c.ApplyChanges(now)
 	}
 }
 
 // round has all tell all, but for some that are cut off from all.
-func (f *fleet) round(now Time, cut ...int) {
+func (f *testFleet) playRound(now Time, cut ...int) {
 	for i, c := range f.cores {
 		c.Tick(now)
-		for to, m := range f.posts[i].sent {
+		for to, m := range f.hosts[i].sent {
 			k := int(to[1] - '0')
 			if k == i || strings.Contains(fmt.Sprint(cut), fmt.Sprint(i)) || strings.Contains(fmt.Sprint(cut), fmt.Sprint(k)) {
 				continue
@@ -55,7 +55,7 @@
 	}
 }
 
-func (f *fleet) read(now Time, what string, keys ...Key) {
+func (f *testFleet) writeReading(now Time, what string, keys ...Key) {
 	r := f.cores[0].TakeReading(now, append([]Key{{}}, keys...)...)
 	fmt.Fprintf(&f.out, "%s: %.1f s old, %d heard, %d silent\n", what, float64(r.Age)/float64(second), r.Known, r.Unknown)
 	for _, c := range r.Counts {
@@ -65,52 +65,52 @@
 
 // A member that is cut off widens the interval, one that leaves has nothing, one that was started anew counts twice until the tasks of
 // the earlier process are surely over.
-func TestReadings(t *testing.T) {
-	f := newFleet(3)
+func TestReadingsHoldTheTruth(t *testing.T) {
+	f := newTestFleet(3)
 	engine := Key{KindEngine, "e-1"}
 	at := Time(0)
 	rounds := func(n int, cut ...int) {
 		for range n {
 			for range 10 {
-				at += every / 10
-				f.pass(at)
+				at += roundInterval / 10
+				f.advance(at)
 			}
-			f.round(at, cut...)
+			f.playRound(at, cut...)
 		}
 	}
-	f.read(at, "nobody heard of")
+	f.writeReading(at, "nobody heard of")
 	rounds(3)
-	f.read(at, "all idle")
+	f.writeReading(at, "all idle")
 	f.cores[1].ApplyChanges(at, Change{Delta: [3]int64{5}}, Change{Key: Key{KindClass, "look"}, Delta: [3]int64{5}})
 	f.cores[2].ApplyChanges(at, Change{Delta: [3]int64{0, 2, 2}}, Change{Key: engine, Delta: [3]int64{0, 2, 2}})
 	rounds(1)
-	f.read(at, "seven came, heard of once")
+	f.writeReading(at, "seven came, heard of once")
 	rounds(4)
-	f.read(at, "two seconds later", Key{KindClass, "look"}, engine)
+	f.writeReading(at, "two seconds later", Key{KindClass, "look"}, engine)
 	rounds(4, 2)
-	f.read(at, "g2 cut off for two seconds", engine)
+	f.writeReading(at, "g2 cut off for two seconds", engine)
 	rounds(3)
-	f.read(at, "and back", engine)
+	f.writeReading(at, "and back", engine)
 	f.cores[1].ApplyChanges(at, Change{Delta: [3]int64{-5}})
 	rounds(4)
 	f.cores[0].MarkStopped("g1", 1)
-	f.read(at, "g1 has left")
-	f.posts[2] = &post{map[string][]byte{}}
-	f.cores[2] = New(at, "g2", 3, 100, 4*second, f.posts[2])
+	f.writeReading(at, "g1 has left")
+	f.hosts[2] = &recordingHost{map[string][]byte{}}
+	f.cores[2] = New(at, "g2", 3, 100, 4*second, f.hosts[2])
 	f.cores[2].Tick(at)
-	f.cores[0].HandleMessage(at, "g2", 2, f.posts[2].sent["g0"])
-	f.read(at, "g2 was started anew")
+	f.cores[0].HandleMessage(at, "g2", 2, f.hosts[2].sent["g0"])
+	f.writeReading(at, "g2 was started anew")
 	for range 11 {
 		for range 10 {
-			at += every / 10
-			f.pass(at)
+			at += roundInterval / 10
+			f.advance(at)
 		}
 		f.cores[0].Tick(at)
-		f.cores[2].HandleMessage(at, "g0", 1, f.posts[0].sent["g2"])
+		f.cores[2].HandleMessage(at, "g0", 1, f.hosts[0].sent["g2"])
 		f.cores[2].Tick(at)
-		f.cores[0].HandleMessage(at, "g2", 2, f.posts[2].sent["g0"])
+		f.cores[0].HandleMessage(at, "g2", 2, f.hosts[2].sent["g0"])
 	}
-	f.read(at, "five seconds later")
+	f.writeReading(at, "five seconds later")
 	const kept = `nobody heard of: 0.0 s old, 1 heard, 2 silent
   all waits {0 200} runs {0 200} handed {0 -1}
 all idle: 0.0 s old, 3 heard, 0 silent
@@ -140,15 +140,15 @@
 }
 
 // Words that come again, late or in another order change nothing.
-func TestOrder(t *testing.T) {
-	f := newFleet(3)
+func TestMessagesCountAlikeInAnyOrder(t *testing.T) {
+	f := newTestFleet(3)
 	var words [][]byte
-	for at := every; at < 20*every; at += every {
+	for at := roundInterval; at < 20*roundInterval; at += roundInterval {
 		f.cores[1].ApplyChanges(at, Change{Delta: [3]int64{1, 0, 0}})
-		f.round(at, 2)
-		words = append(words, f.posts[1].sent["g0"])
+		f.playRound(at, 2)
+		words = append(words, f.hosts[1].sent["g0"])
 	}
-	at := 20 * every
+	at := 20 * roundInterval
 	want := f.cores[0].TakeReading(at, Key{})
 	chance := rand.New(rand.NewPCG(1, 1))
 	for range 100 {
@@ -163,8 +163,8 @@
 
 // What a word says of two clocks is as old as the hearing that it rests on: the teller's clock runs a twentieth fast, the hearer's a
 // twentieth slow, and for ten seconds words go one way only. The waiting tasks that it had are not read as of a time when they were gone.
-func TestOldHearing(t *testing.T) {
-	post := func() *post { return &post{map[string][]byte{}} }
+func TestOldClockEchoesDoNotDateCountsTooLate(t *testing.T) {
+	post := func() *recordingHost { return &recordingHost{map[string][]byte{}} }
 	mine, theirs := post(), post()
 	hearer, teller := New(0, "g0", 2, 100, 4*second, mine), New(0, "g1", 2, 100, 4*second, theirs)
 	fast := func(t Time) Time { return t + t/20 }
@@ -191,35 +191,35 @@
 }
 
 // Rows that don't fit are not taken for nothing.
-func TestManyKeys(t *testing.T) {
-	f := newFleet(3)
+func TestCountersThatDoNotFitAreUnknown(t *testing.T) {
+	f := newTestFleet(3)
 	for i := range 300 {
 		f.cores[1].ApplyChanges(0, Change{Key: Key{KindEngine, fmt.Sprint("e-", i)}, Delta: [3]int64{0, 1, 1}})
 	}
-	f.round(every)
-	f.round(2 * every)
-	if n := len(f.posts[1].sent["g0"]); n > MaxMessageBytes {
+	f.playRound(roundInterval)
+	f.playRound(2 * roundInterval)
+	if n := len(f.hosts[1].sent["g0"]); n > MaxMessageBytes {
 		t.Errorf("%d bytes", n)
 	}
-	r := f.cores[0].TakeReading(2*every, Key{KindEngine, "e-0"}, Key{KindEngine, "e-299"})
+	r := f.cores[0].TakeReading(2*roundInterval, Key{KindEngine, "e-0"}, Key{KindEngine, "e-299"})
 	if got := fmt.Sprint(r.Counts[0].Ranges[Running], r.Counts[1].Ranges[Running]); got != "{0 1} {0 100}" {
 		t.Errorf("runs %s", got)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	c := New(0, "g0", 3, 100, second, &post{map[string][]byte{}})
+	c := New(0, "g0", 3, 100, second, &recordingHost{map[string][]byte{}})
 	c.ApplyChanges(5, Change{Delta: [3]int64{3, 1, 1}})
-	f.Add(c.message("g1"))
+	f.Add(c.encodeMessage("g1"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if m, err := decode(b); err != nil && (m.at != 0 || m.rows != nil) {
+		if m, err := decode(b); err != nil && (m.reportedUntil != 0 || m.counts != nil) {
 			t.Fatal("part of it was used")
 		}
 	})
 }
 
-func BenchmarkCount(b *testing.B) {
-	c := New(0, "g0", 32, 100, second, &post{map[string][]byte{}})
+func BenchmarkApplyChanges(b *testing.B) {
+	c := New(0, "g0", 32, 100, second, &recordingHost{map[string][]byte{}})
 	changes := []Change{{Delta: [3]int64{1}}, {Key: Key{KindClass, "look"}, Delta: [3]int64{1}}, {Key: Key{KindEngine, "e-1"}, Delta: [3]int64{0, 1, 1}}}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/cluster/counters/planted_off.go
+++ b/internal/cluster/counters/planted_off.go
@@ -3,4 +3,4 @@
 package counters
 
 // A defect that the laboratory plants to see that its checkers find it; none in an ordinary build.
-const trustsOld = false
+const trustOldCounts = false
--- a/internal/cluster/counters/planted_on.go
+++ b/internal/cluster/counters/planted_on.go
@@ -8,4 +8,4 @@
 )
 
 // A defect that the laboratory plants to see that its checkers find it: what was told last is taken for what is.
-var trustsOld = strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "trusts-old")
+var trustOldCounts = strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "trusts-old")
--- a/internal/cluster/healthreport/format_test.go
+++ b/internal/cluster/healthreport/format_test.go
@@ -17,7 +17,7 @@
 }
 
 func decodeReport(b []byte) (decodedReport, error) {
-	r, err := read(b)
+	r, err := newReader(b)
 	if err != nil {
 		return decodedReport{}, err
 	}
@@ -34,9 +34,9 @@
 
 func encodeReport(report decodedReport) []byte {
 	now := Time(report.sent)
-	w := begin(now)
+	w := newWriter(now)
 	for _, e := range report.entries {
-		w.add(now, e.hash, Time(e.start), e.at(now, 0))
+		w.add(now, e.hash, Time(e.start), e.observationsAt(now, 0))
 	}
 	return w.bytes()
 }
--- a/internal/cluster/healthreport/message.go
+++ b/internal/cluster/healthreport/message.go
@@ -8,78 +8,95 @@
 	"magpiebank/internal/admission"
 )
 
-// MaxMessageBytes is the longest message in bytes: the simulator's wire carries no longer one, and a datagram has room for more beside it.
+// MaxMessageBytes is the length of the longest message: the simulator's wire carries no longer one, and a datagram has room for more beside it.
 const MaxMessageBytes = 256
 
 const (
-	version    = 1
-	headBytes  = 5  // version, and the sender's clock
-	entryBytes = 20 // of an entry with four figures; most have fewer
+	version        = 1
+	headBytes      = 5  // version and the sender's clock
+	entryHeadBytes = 8  // the engine's hash and start, and flags
+	entryFlagsAt   = 7  // place of the flags in an entry
+	entryBytes     = 20 // of an entry with four load figures; most have fewer
 )
 
-// ErrMessage is what can't be read.
+// ErrMessage reports bytes that are no message of this version.
 var ErrMessage = errors.New("judgement: no message of this version")
 
-// The parts of an entry that may be there.
+// The flags of an entry: the parts that it has, and above them how the last failure was.
 const (
-	hasGood = 1 << iota
-	hasBad
-	hasHeld
-	hasUtil
+	hasAnswer = 1 << iota
+	hasFailure
+	hasInFlight
+	hasUtilization
 	hasMemory
 	hasDisks
-	howBad // from this bit on: how the last failure was
-)
+	failureUnit
 
-// start is an engine's last start as it goes over the wire: its last 24 bits tell any two within half an hour apart.
-func start(since Time) uint32 { return uint32(since) & startMask }
+	hasReport = hasInFlight | hasUtilization | hasMemory | hasDisks
+)
 
+// startMask cuts an engine's last start to 24 bits, which tell any two within half an hour apart.
 const startMask = 1<<24 - 1
 
-// Ages are told in steps that fit a byte, rounded up so that nothing seems younger than it is.
+// wireStart returns an engine's last start as messages carry it.
+func wireStart(since Time) uint32 { return uint32(since) & startMask }
+
+// Ages are sent in steps that fit a byte, rounded up so that nothing seems younger than it is.
 const (
-	outcomeStep = 40 * admission.Millisecond // 254 of them are Use
-	reportStep  = 12 * admission.Millisecond // and Fresh
+	outcomeStep = 40 * admission.Millisecond // 254 of them are OutcomeLifetime
+	reportStep  = 12 * admission.Millisecond // 254 of them are ReportLifetime
+	maxSteps    = 254
 )
 
-func ageByte(now, at, step Time) (byte, bool) {
-	n := (now - at + step - 1) / step
-	return byte(n), n >= 0 && n < 255
+// encodeAge returns an age in steps; false: it is too old to count.
+func encodeAge(now, at, step Time) (byte, bool) {
+	steps := (now - at + step - 1) / step
+	return byte(steps), steps >= 0 && steps <= maxSteps
 }
 
+// Load figures are sent in thousandths; requests in flight are divided by ten, so that more of them fit.
+const (
+	figureScale   = 1000
+	inFlightScale = 10
+)
+
+// writer writes a message up to its greatest length.
 type writer struct {
 	b     []byte
-	count int
+	count int // entries
 }
 
-func begin(now Time) *writer {
+func newWriter(now Time) *writer {
 	b := make([]byte, 0, MaxMessageBytes)
 	return &writer{b: binary.BigEndian.AppendUint32(append(b, version), uint32(now))}
 }
 
-// add tells whether there was room. What is too old to count is left out.
-func (w *writer) add(now Time, hash uint32, since Time, r record) bool {
-	n := len(w.b)
+// add adds an engine's entry, without what is too old to count, and reports whether there was room.
+func (w *writer) add(now Time, hash uint32, since Time, o observations) bool {
+	entryAt := len(w.b)
 	b := binary.BigEndian.AppendUint32(w.b, hash)
-	s := start(since)
-	b = append(b, byte(s>>16), byte(s>>8), byte(s), 0)
+	start := wireStart(since)
+	b = append(b, byte(start>>16), byte(start>>8), byte(start), 0)
 	flags := 0
-	if age, ok := ageByte(now, r.goodAt, outcomeStep); ok {
-		flags, b = flags|hasGood, append(b, age)
+	if age, ok := encodeAge(now, o.answeredAt, outcomeStep); ok {
+		flags |= hasAnswer
+		b = append(b, age)
 	}
-	if age, ok := ageByte(now, r.badAt, outcomeStep); ok {
-		flags, b = flags|hasBad|int(r.bad-admission.Erred)*howBad, append(b, age)
+	if age, ok := encodeAge(now, o.failedAt, outcomeStep); ok {
+		flags |= hasFailure | int(o.failure-admission.Erred)*failureUnit
+		b = append(b, age)
 	}
-	if age, ok := ageByte(now, r.reportAt, reportStep); ok {
+	if age, ok := encodeAge(now, o.reportedAt, reportStep); ok {
 		b = append(b, age)
-		for i, v := range []float64{r.report.InFlight / 10, r.report.Utilization, r.report.Memory, r.report.Disks} {
-			if v >= 0 {
-				flags |= hasHeld << i
-				b = binary.BigEndian.AppendUint16(b, uint16(min(math.MaxUint16, math.Round(v*1000))))
+		for i, figure := range []float64{o.report.InFlight / inFlightScale, o.report.Utilization, o.report.Memory, o.report.Disks} {
+			if figure >= 0 {
+				flags |= hasInFlight << i
+				b = binary.BigEndian.AppendUint16(b, uint16(min(math.MaxUint16, math.Round(figure*figureScale))))
 			}
 		}
 	}
-	if b[n+7] = byte(flags); len(b) > MaxMessageBytes {
+	b[entryAt+entryFlagsAt] = byte(flags)
+	if len(b) > MaxMessageBytes {
 		return false
 	}
 	w.b = b
@@ -89,41 +106,43 @@
 
 func (w *writer) bytes() []byte { return w.b }
 
+// reader reads the entries of a message.
 type reader struct {
 	b    []byte
-	sent uint32
+	sent uint32 // the sender's clock
 }
 
-// entry is what one gateway tells of one engine, with ages.
+// entry is what one gateway observed of one engine. Ages below 0 are not there.
 type entry struct {
-	hash, start       uint32
-	good, bad, report Time // ages; below 0: not told
-	how               admission.Observation
-	load              admission.Report
+	hash, start                      uint32
+	answerAge, failureAge, reportAge Time
+	failure                          admission.Observation
+	report                           admission.Report
 }
 
-// at is the entry by the hearer's clock.
-func (e *entry) at(now, late Time) record {
-	r := empty
-	if e.good >= 0 {
-		r.goodAt = now - late - e.good
+// observationsAt returns the entry by the receiver's clock.
+func (e *entry) observationsAt(now, delay Time) observations {
+	o := noObservations
+	if e.answerAge >= 0 {
+		o.answeredAt = now - delay - e.answerAge
 	}
-	if e.bad >= 0 {
-		r.badAt, r.bad = now-late-e.bad, e.how
+	if e.failureAge >= 0 {
+		o.failedAt, o.failure = now-delay-e.failureAge, e.failure
 	}
-	if e.report >= 0 {
-		r.reportAt, r.report = now-late-e.report, e.load
+	if e.reportAge >= 0 {
+		o.reportedAt, o.report = now-delay-e.reportAge, e.report
 	}
-	return r
+	return o
 }
 
-// read checks a whole message before any of it is used.
-func read(b []byte) (*reader, error) {
+// newReader checks a whole message before any of it is used.
+func newReader(b []byte) (*reader, error) {
 	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version {
 		return nil, ErrMessage
 	}
 	r := &reader{b: b[headBytes:], sent: binary.BigEndian.Uint32(b[1:])}
-	for check := *r; len(check.b) > 0; {
+	check := *r
+	for len(check.b) > 0 {
 		if _, ok := check.next(); !ok {
 			return nil, ErrMessage
 		}
@@ -131,47 +150,66 @@
 	return r, nil
 }
 
-// next is the next entry.
+// next returns the next entry; false: there is none, or it cannot be read.
 func (r *reader) next() (e entry, ok bool) {
-	b := r.b
-	if len(b) < 8 {
+	if len(r.b) < entryHeadBytes {
 		return e, false
 	}
-	e = entry{hash: binary.BigEndian.Uint32(b), start: uint32(b[4])<<16 | uint32(b[5])<<8 | uint32(b[6]), good: -1, bad: -1, report: -1, how: admission.Erred, load: admission.NoReport}
-	flags := int(b[7])
-	b = b[8:]
-	take := func(n int) []byte {
-		if len(b) < n {
-			flags = -1
-			return make([]byte, n)
-		}
-		v := b[:n]
-		b = b[n:]
-		return v
-	}
-	if e.how = admission.Erred + admission.Observation(flags/howBad); e.how > admission.Unreached {
+	b := r.b
+	e = entry{hash: binary.BigEndian.Uint32(b), start: uint32(b[4])<<16 | uint32(b[5])<<8 | uint32(b[6]), answerAge: -1, failureAge: -1, reportAge: -1, report: admission.NoReport}
+	flags := int(b[entryFlagsAt])
+	e.failure = admission.Erred + admission.Observation(flags/failureUnit)
+	if e.failure > admission.Unreached {
 		return e, false
 	}
-	if flags&hasGood != 0 {
-		e.good = Time(take(1)[0]) * outcomeStep
+	f := fieldReader{b: b[entryHeadBytes:]}
+	if flags&hasAnswer != 0 {
+		e.answerAge = f.age(outcomeStep)
 	}
-	if flags > 0 && flags&hasBad != 0 {
-		e.bad = Time(take(1)[0]) * outcomeStep
+	if flags&hasFailure != 0 {
+		e.failureAge = f.age(outcomeStep)
 	}
-	if flags > 0 && flags&(hasHeld|hasUtil|hasMemory|hasDisks) != 0 {
-		e.report = Time(take(1)[0]) * reportStep
-		for i, v := range []*float64{&e.load.InFlight, &e.load.Utilization, &e.load.Memory, &e.load.Disks} {
-			if flags > 0 && flags&(hasHeld<<i) != 0 {
-				*v = float64(binary.BigEndian.Uint16(take(2))) / 1000
-				if i == 0 {
-					*v = math.Round(*v*100) / 10
-				}
+	if flags&hasReport != 0 {
+		e.reportAge = f.age(reportStep)
+		for i, figure := range []*float64{&e.report.InFlight, &e.report.Utilization, &e.report.Memory, &e.report.Disks} {
+			if flags&(hasInFlight<<i) != 0 {
+				*figure = f.figure()
 			}
 		}
+		if flags&hasInFlight != 0 {
+			e.report.InFlight = math.Round(e.report.InFlight*(figureScale/inFlightScale)) / inFlightScale
+		}
 	}
-	if flags < 0 {
+	if f.failed {
 		return e, false
 	}
-	r.b = b
+	r.b = f.b
 	return e, true
 }
+
+// fieldReader reads the fields of an entry, and zeros once a read has failed.
+type fieldReader struct {
+	b      []byte
+	failed bool
+}
+
+func (f *fieldReader) age(step Time) Time {
+	if f.failed || len(f.b) < 1 {
+		f.failed = true
+		return 0
+	}
+	steps := f.b[0]
+	f.b = f.b[1:]
+	return Time(steps) * step
+}
+
+func (f *fieldReader) figure() float64 {
+	const size = 2
+	if f.failed || len(f.b) < size {
+		f.failed = true
+		return 0
+	}
+	v := binary.BigEndian.Uint16(f.b)
+	f.b = f.b[size:]
+	return float64(v) / figureScale
+}
--- a/internal/cluster/healthreport/table_test.go
+++ b/internal/cluster/healthreport/table_test.go
@@ -16,66 +16,75 @@
 var keep = flag.Bool("keep", false, "keep the traces as they come out now")
 
 const (
-	ms     = admission.Millisecond
-	second = admission.Second
+	millisecond = admission.Millisecond
+	second      = admission.Second
 )
 
-func engines(n int) (out []admission.Endpoint) {
+func newEndpoints(n int) (out []admission.Endpoint) {
 	for i := range n {
-		out = append(out, admission.Endpoint{Engine: name(i), Since: 5 * second})
+		out = append(out, admission.Endpoint{Engine: engineName(i), Since: 5 * second})
 	}
 	return out
 }
 
-func name(i int) admission.EngineID { return admission.EngineID(fmt.Sprint("e", i)) }
+func engineName(i int) admission.EngineID { return admission.EngineID(fmt.Sprint("e", i)) }
 
-// book is one that knows n engines.
-func book(n int) *Table {
+// newTestTable returns a table that lists n engines.
+func newTestTable(n int) *Table {
 	b := New(1, 0.25, 0)
-	b.UpdateEngines(admission.FullUpdate, engines(n))
+	b.UpdateEngines(admission.FullUpdate, newEndpoints(n))
 	return b
 }
 
-// gateway is a peer with a book of its own, whose words reach a hearer.
-type gateway struct {
+// testGateway is a peer with a table of its own.
+type testGateway struct {
 	*Table
 	Source
 }
 
-func peer(n int, who string) *gateway { return &gateway{book(n), Source{who, 1}} }
+func newTestGateway(n int, who string) *testGateway {
+	return &testGateway{newTestTable(n), Source{who, 1}}
+}
+
+const ampleBytes = 1e6
 
-const plenty = 1e6
+// mustHandleMessage takes in a message that must be readable.
+func (b *Table) mustHandleMessage(now Time, from Source, message []byte) {
+	if err := b.HandleMessage(now, from, message); err != nil {
+		panic(err)
+	}
+}
 
-// greet sends messages with nothing new, so that the hearer trusts the clock.
-func (g *gateway) greet(now Time, to *Table) {
+// sendEmptyMessages sends messages with nothing new, so that the hearer trusts the clock.
+func (g *testGateway) sendEmptyMessages(now Time, to *Table) {
 	for k := range 3 {
-		to.HandleMessage(now+Time(k), g.Source, begin(now+Time(k)).bytes())
+		to.mustHandleMessage(now+Time(k), g.Source, newWriter(now+Time(k)).bytes())
 	}
 }
 
-// say carries what a gateway has to say.
-func (g *gateway) say(now Time, to ...*Table) {
-	g.Observe(now, "", admission.Reported, admission.NoReport, plenty)
+// sendMessages delivers all that a gateway has to send.
+func (g *testGateway) sendMessages(now Time, to ...*Table) {
+	g.Observe(now, "", admission.Reported, admission.NoReport, ampleBytes)
 	for m := g.NextMessage(now); m != nil; m = g.NextMessage(now) {
 		for _, b := range to {
-			b.HandleMessage(now, g.Source, m)
+			b.mustHandleMessage(now, g.Source, m)
 		}
 	}
 }
 
-func (b *Table) against(now Time, i int) (against float64, witnesses int) {
-	f := b.find(now, b.named[name(i)])
+func (b *Table) failureScore(now Time, i int) (against float64, witnesses int) {
+	f := b.findingOf(now, b.byName[engineName(i)])
 	return f.FailureScore, f.Witnesses
 }
 
 // Each failure and answer moves what is found as a person would expect; a trace that people read.
-func TestEvidence(t *testing.T) {
+func TestFindingsFollowObservations(t *testing.T) {
 	var out strings.Builder
 	now := 100 * second
-	hearer := book(12)
-	var peers []*gateway
+	hearer := newTestTable(12)
+	var peers []*testGateway
 	for i := range 4 {
-		peers = append(peers, peer(12, fmt.Sprint("g", i)))
+		peers = append(peers, newTestGateway(12, fmt.Sprint("g", i)))
 	}
 	all := []*Table{hearer}
 	for _, p := range peers {
@@ -83,7 +92,7 @@
 	}
 	for _, p := range peers {
 		for _, b := range all {
-			p.greet(now, b)
+			p.sendEmptyMessages(now, b)
 		}
 	}
 	others := func(p int) []*Table { return append(slices.Clone(all[:p+1]), all[p+2:]...) }
@@ -96,9 +105,9 @@
 		})
 	}
 	fail := func(p int, e int, what string) {
-		now += 10 * ms
-		peers[p].Observe(now, name(e), admission.Erred, admission.NoReport, plenty)
-		peers[p].say(now, others(p)...)
+		now += 10 * millisecond
+		peers[p].Observe(now, engineName(e), admission.Erred, admission.NoReport, ampleBytes)
+		peers[p].sendMessages(now, others(p)...)
 		line(what)
 	}
 	fail(0, 3, "g0 fails at e3")
@@ -106,292 +115,358 @@
 	fail(1, 3, "g1 too")
 	fail(2, 3, "g2 too")
 	now += second
-	peers[3].Observe(now, name(3), admission.Answered, admission.NoReport, plenty)
+	peers[3].Observe(now, engineName(3), admission.Answered, admission.NoReport, ampleBytes)
 	fail(3, 4, "g3 has an answer from e3, and fails at e4")
-	now += 200 * ms
-	peers[1].Observe(now, name(3), admission.Reported, admission.Report{InFlight: 3, Utilization: 0.5, Memory: -1, Disks: -1}, plenty)
-	now += 200 * ms
-	peers[1].say(now, others(1)...)
+	now += 200 * millisecond
+	peers[1].Observe(now, engineName(3), admission.Reported, admission.Report{InFlight: 3, Utilization: 0.5, Memory: -1, Disks: -1}, ampleBytes)
+	now += 200 * millisecond
+	peers[1].sendMessages(now, others(1)...)
 	line("g1 tells a report of e3")
 	for e := range 12 {
-		now += 10 * ms
-		peers[0].Observe(now, name(e), admission.Erred, admission.NoReport, plenty)
+		now += 10 * millisecond
+		peers[0].Observe(now, engineName(e), admission.Erred, admission.NoReport, ampleBytes)
 	}
-	peers[0].say(now, others(0)...)
+	peers[0].sendMessages(now, others(0)...)
 	line("g0 accuses all twelve: one voice over them")
 	now += OutcomeLifetime
-	hearer.touched = []int{3, 4}
+	hearer.changed = []int{3, 4}
 	line("ten seconds later")
+	checkTrace(t, out.String())
+}
+
+// checkTrace compares a trace with the one that is kept.
+func checkTrace(t *testing.T, found string) {
+	t.Helper()
+	const file = "testdata/evidence.txt"
 	if *keep {
-		os.WriteFile("testdata/evidence.txt", []byte(out.String()), 0o644)
+		if err := os.WriteFile(file, []byte(found), 0o600); err != nil {
+			t.Fatal(err)
+		}
 	}
-	want, _ := os.ReadFile("testdata/evidence.txt")
-	if out.String() != string(want) {
-		t.Errorf("got:\n%s\nkept:\n%s", &out, want)
+	kept, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if found != string(kept) {
+		t.Errorf("found:\n%s\nkept:\n%s", found, kept)
 	}
 }
 
-// The hard cases, each told by what is found.
-func TestHardCases(t *testing.T) {
-	const now = 100 * second
-	three := func() (*Table, []*gateway) {
-		h := book(12)
-		var peers []*gateway
-		for i := range 3 {
-			p := peer(12, fmt.Sprint("g", i))
-			p.greet(now, h)
-			peers = append(peers, p)
-		}
-		return h, peers
+// newTestPeers returns a table and three gateways that it trusts.
+func newTestPeers(t *testing.T) (*Table, []*testGateway) {
+	t.Helper()
+	h := newTestTable(12)
+	var peers []*testGateway
+	for i := range 3 {
+		p := newTestGateway(12, fmt.Sprint("g", i))
+		p.sendEmptyMessages(testTime, h)
+		peers = append(peers, p)
 	}
-	check := func(t *testing.T, h *Table, at Time, e int, want float64) {
-		t.Helper()
-		if got, _ := h.against(at, e); got != want {
-			t.Errorf("against e%d: %.2f, expected %.2f", e, got, want)
-		}
+	return h, peers
+}
+
+// checkScore checks the failure score of engine e1.
+func checkScore(t *testing.T, h *Table, at Time, expected float64) {
+	t.Helper()
+	if score, _ := h.failureScore(at, 1); score != expected {
+		t.Errorf("failure score: %.2f, expected %.2f", score, expected)
 	}
-	t.Run("own answer counts against what others saw before it", func(t *testing.T) {
-		h, peers := three()
-		for _, p := range peers {
-			p.Observe(now, name(1), admission.Erred, admission.NoReport, 0)
-			p.say(now, h)
-		}
-		check(t, h, now, 1, 3)
-		h.Observe(now+1, name(1), admission.Answered, admission.NoReport, 0)
-		check(t, h, now+1, 1, 0)
-	})
-	t.Run("a restart ends evidence, and what is under way about the start before it", func(t *testing.T) {
-		h, peers := three()
-		peers[0].Observe(now, name(1), admission.Erred, admission.NoReport, plenty)
-		old := peers[0].NextMessage(now)
-		h.HandleMessage(now, peers[0].Source, old)
-		for _, since := range []Time{now + 100*ms, now + 600*ms} { // twice in a second
-			h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: name(1), Since: since}})
-			check(t, h, now+second, 1, 0)
-			h.HandleMessage(now+second, peers[0].Source, old)
-			check(t, h, now+second, 1, 0)
-		}
-	})
-	t.Run("a peer whose list has a later start ends what was heard of the one before", func(t *testing.T) {
-		h, peers := three()
-		for _, p := range peers[:2] {
-			p.Observe(now, name(1), admission.Unreached, admission.NoReport, 0)
-			p.say(now, h)
-		}
-		check(t, h, now, 1, 2)
-		peers[2].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: name(1), Since: now}})
-		peers[2].Observe(now+1, name(1), admission.Erred, admission.NoReport, 0)
-		peers[2].say(now+1, h)
-		check(t, h, now+1, 1, 0)
-		peers[0].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: name(1), Since: now}})
-		h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: name(1), Since: now}})
-		peers[1].Observe(now+2, name(1), admission.Erred, admission.NoReport, 0) // whose list is behind
-		peers[1].say(now+2, h)
-		check(t, h, now+2, 1, 0)
-	})
-	t.Run("how it failed is told", func(t *testing.T) {
-		h, peers := three()
-		for i, saw := range []admission.Observation{admission.Erred, admission.Unanswered, admission.Unreached} {
-			peers[i].Observe(now, name(1), saw, admission.NoReport, 0)
-			peers[i].say(now, h)
-		}
-		if got := fmt.Sprint(h.Status(now)[1].PeerFailures); got != "[erred unanswered unreached]" {
-			t.Error(got)
-		}
-	})
-	t.Run("a message a minute late counts by its age", func(t *testing.T) {
-		h, peers := three()
-		peers[0].Observe(now, name(1), admission.Erred, admission.NoReport, plenty)
-		old := peers[0].NextMessage(now)
-		for at := now; at < now+60*second; at += second {
-			h.HandleMessage(at, peers[0].Source, begin(at).bytes())
-		}
-		h.HandleMessage(now+60*second, peers[0].Source, old)
-		check(t, h, now+60*second, 1, 0)
-	})
-	t.Run("a first message of a process is not believed, as it may be old", func(t *testing.T) {
-		h, _ := three()
-		p := peer(12, "new")
-		p.Observe(now, name(1), admission.Erred, admission.NoReport, 0)
-		p.say(now, h)
-		check(t, h, now, 1, 0)
-	})
-	t.Run("a later process under the name takes the place of the one before", func(t *testing.T) {
-		h, peers := three()
-		peers[0].Observe(now, name(1), admission.Erred, admission.NoReport, 0)
-		peers[0].say(now, h)
-		next := &gateway{book(12), Source{"g0", 2}}
-		next.greet(now, h)
-		check(t, h, now, 1, 0)
-		peers[0].Observe(now+1, name(1), admission.Erred, admission.NoReport, 0)
-		peers[0].say(now+1, h) // the earlier one still speaks
-		check(t, h, now+1, 1, 0)
-	})
-	t.Run("a fresh failure bears out those before it, but not for ever", func(t *testing.T) {
-		h, peers := three()
-		for _, p := range peers {
-			p.Observe(now, name(1), admission.Erred, admission.NoReport, 0)
-			p.say(now, h)
-		}
-		check(t, h, now+OutcomeLifetime, 1, 0) // nobody has tried
-		for at := now + OutcomeLifetime; at < now+5*OutcomeLifetime; at += OutcomeLifetime {
-			h.sources[0].records[1].badAt = at // g0 alone goes on failing there
-			want := 3.0
-			if at >= now+ConfirmedFailureLifetime {
-				want = 1
-			}
-			check(t, h, at, 1, want)
-		}
-	})
-	t.Run("at most a part of the fleet is out by hearsay", func(t *testing.T) {
-		h, _ := three()
-		out := 0
-		for i := range 40 {
-			p := peer(12, fmt.Sprint("h", i))
-			p.greet(now, h)
-			for _, e := range []int{i % 5, (i + 1) % 5} {
-				p.Observe(now+1, name(e), admission.Erred, admission.NoReport, plenty)
-			}
-			p.say(now+1, h)
-			h.VisitChangedFindings(now+1, func(*Finding) {})
-		}
-		for e := range 12 {
-			if h.engines[e].gave.FailureScore > 0 {
-				out++
-			}
+}
+
+// testTime is when the hard cases begin.
+const testTime = 100 * second
+
+func TestFindingsInHardCases(t *testing.T) {
+	t.Run("own answer counts against what others saw before it", testOwnAnswerOutweighsEarlierFailures)
+	t.Run("a restart ends evidence, and what is under way about the start before it", testRestartEndsObservations)
+	t.Run("a peer whose list has a later start ends what was heard of the one before", testPeerWithLaterStartEndsObservations)
+	t.Run("how it failed is told", testKindOfFailureIsSent)
+	t.Run("a message a minute late counts by its age", testLateMessageCountsByItsAge)
+	t.Run("a first message of a process is not believed, as it may be old", testFirstMessageIsNotTaken)
+	t.Run("a later process under the name takes the place of the one before", testLaterIncarnationReplacesEarlier)
+	t.Run("a fresh failure bears out those before it, but not for ever", testFreshFailureConfirmsEarlier)
+	t.Run("at most a part of the fleet is out by hearsay", testPartOfFleetIsEjected)
+	t.Run("after this process stood still what comes first is what is oldest", testFirstMessageAfterStallIsOldest)
+	t.Run("clocks a twentieth fast and slow", testClocksMayDrift)
+	t.Run("what is heard is never told on", testReceivedIsNotSentOn)
+	t.Run("no message beyond what is paid for", testBudgetBoundsMessages)
+}
+
+func testOwnAnswerOutweighsEarlierFailures(t *testing.T) {
+	const now = testTime
+	h, peers := newTestPeers(t)
+	for _, p := range peers {
+		p.Observe(now, engineName(1), admission.Erred, admission.NoReport, 0)
+		p.sendMessages(now, h)
+	}
+	checkScore(t, h, now, 3)
+	h.Observe(now+1, engineName(1), admission.Answered, admission.NoReport, 0)
+	checkScore(t, h, now+1, 0)
+}
+
+func testRestartEndsObservations(t *testing.T) {
+	const now = testTime
+	h, peers := newTestPeers(t)
+	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, ampleBytes)
+	old := peers[0].NextMessage(now)
+	h.mustHandleMessage(now, peers[0].Source, old)
+	for _, since := range []Time{now + 100*millisecond, now + 600*millisecond} { // twice in a second
+		h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: since}})
+		checkScore(t, h, now+second, 0)
+		h.mustHandleMessage(now+second, peers[0].Source, old)
+		checkScore(t, h, now+second, 0)
+	}
+}
+
+func testPeerWithLaterStartEndsObservations(t *testing.T) {
+	const now = testTime
+	h, peers := newTestPeers(t)
+	for _, p := range peers[:2] {
+		p.Observe(now, engineName(1), admission.Unreached, admission.NoReport, 0)
+		p.sendMessages(now, h)
+	}
+	checkScore(t, h, now, 2)
+	peers[2].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: now}})
+	peers[2].Observe(now+1, engineName(1), admission.Erred, admission.NoReport, 0)
+	peers[2].sendMessages(now+1, h)
+	checkScore(t, h, now+1, 0)
+	peers[0].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: now}})
+	h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: now}})
+	peers[1].Observe(now+2, engineName(1), admission.Erred, admission.NoReport, 0) // whose list is behind
+	peers[1].sendMessages(now+2, h)
+	checkScore(t, h, now+2, 0)
+}
+
+func testKindOfFailureIsSent(t *testing.T) {
+	const now = testTime
+	h, peers := newTestPeers(t)
+	for i, saw := range []admission.Observation{admission.Erred, admission.Unanswered, admission.Unreached} {
+		peers[i].Observe(now, engineName(1), saw, admission.NoReport, 0)
+		peers[i].sendMessages(now, h)
+	}
+	if got := fmt.Sprintf("%v", h.Status(now)[1].PeerFailures); got != "[erred unanswered unreached]" {
+		t.Error(got)
+	}
+}
+
+func testLateMessageCountsByItsAge(t *testing.T) {
+	const now = testTime
+	h, peers := newTestPeers(t)
+	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, ampleBytes)
+	old := peers[0].NextMessage(now)
+	for at := now; at < now+60*second; at += second {
+		h.mustHandleMessage(at, peers[0].Source, newWriter(at).bytes())
+	}
+	h.mustHandleMessage(now+60*second, peers[0].Source, old)
+	checkScore(t, h, now+60*second, 0)
+}
+
+func testFirstMessageIsNotTaken(t *testing.T) {
+	const now = testTime
+	h, _ := newTestPeers(t)
+	p := newTestGateway(12, "new")
+	p.Observe(now, engineName(1), admission.Erred, admission.NoReport, 0)
+	p.sendMessages(now, h)
+	checkScore(t, h, now, 0)
+}
+
+func testLaterIncarnationReplacesEarlier(t *testing.T) {
+	const now = testTime
+	h, peers := newTestPeers(t)
+	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, 0)
+	peers[0].sendMessages(now, h)
+	next := &testGateway{newTestTable(12), Source{"g0", 2}}
+	next.sendEmptyMessages(now, h)
+	checkScore(t, h, now, 0)
+	peers[0].Observe(now+1, engineName(1), admission.Erred, admission.NoReport, 0)
+	peers[0].sendMessages(now+1, h) // the earlier one still speaks
+	checkScore(t, h, now+1, 0)
+}
+
+func testFreshFailureConfirmsEarlier(t *testing.T) {
+	const now = testTime
+	h, peers := newTestPeers(t)
+	for _, p := range peers {
+		p.Observe(now, engineName(1), admission.Erred, admission.NoReport, 0)
+		p.sendMessages(now, h)
+	}
+	checkScore(t, h, now+OutcomeLifetime, 0) // nobody has tried
+	for at := now + OutcomeLifetime; at < now+5*OutcomeLifetime; at += OutcomeLifetime {
+		h.peers[0].observations[1].failedAt = at // g0 alone goes on failing there
+		want := 3.0
+		if at >= now+ConfirmedFailureLifetime {
+			want = 1
+		}
+		checkScore(t, h, at, want)
+	}
+}
+
+func testPartOfFleetIsEjected(t *testing.T) {
+	const now = testTime
+	h, _ := newTestPeers(t)
+	out := 0
+	for i := range 40 {
+		p := newTestGateway(12, fmt.Sprint("h", i))
+		p.sendEmptyMessages(now, h)
+		for _, e := range []int{i % 5, (i + 1) % 5} {
+			p.Observe(now+1, engineName(e), admission.Erred, admission.NoReport, ampleBytes)
+		}
+		p.sendMessages(now+1, h)
+		h.VisitChangedFindings(now+1, func(*Finding) {})
+	}
+	for e := range 12 {
+		if h.engines[e].published.FailureScore > 0 {
+			out++
 		}
-		if out != 3 {
-			t.Errorf("%d engines of 12 have hearsay against them, expected a quarter", out)
+	}
+	if out != 3 {
+		t.Errorf("%d engines of 12 have hearsay against them, expected a quarter", out)
+	}
+}
+
+func testFirstMessageAfterStallIsOldest(t *testing.T) {
+	const now = testTime
+	h, peers := newTestPeers(t)
+	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, ampleBytes)
+	old := peers[0].NextMessage(now + second)
+	h.mustHandleMessage(now+21*second, peers[0].Source, old)
+	checkScore(t, h, now+21*second, 0)
+}
+
+func testClocksMayDrift(t *testing.T) {
+	const now = testTime
+	for _, rate := range []float64{0.95, 1.05} {
+		h := newTestTable(12)
+		p := newTestGateway(12, "g")
+		at := func(now Time) Time { return Time(float64(now) * rate) }
+		for when := now; when < now+100*second; when += second / 2 {
+			h.mustHandleMessage(when, p.Source, newWriter(at(when)).bytes())
+		}
+		when := now + 100*second
+		p.Observe(at(when), engineName(1), admission.Erred, admission.NoReport, ampleBytes)
+		h.mustHandleMessage(when, p.Source, p.NextMessage(at(when)))
+		checkScore(t, h, when+OutcomeLifetime/2, 1)
+		checkScore(t, h, when+OutcomeLifetime, 0)
+	}
+}
+
+func testReceivedIsNotSentOn(t *testing.T) {
+	const now = testTime
+	h, peers := newTestPeers(t)
+	for _, p := range peers {
+		p.Observe(now, engineName(1), admission.Erred, admission.NoReport, 0)
+		p.sendMessages(now, h)
+	}
+	h.Observe(now, engineName(2), admission.Answered, admission.Report{InFlight: -1, Utilization: 0.3, Memory: -1, Disks: -1}, ampleBytes)
+	m := h.NextMessage(now + second)
+	r, err := newReader(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for e, ok := r.next(); ok; e, ok = r.next() {
+		if e.hash == hashName(engineName(1)) {
+			t.Error("it tells what it heard")
 		}
-	})
-	t.Run("after this process stood still what comes first is what is oldest", func(t *testing.T) {
-		h, peers := three()
-		peers[0].Observe(now, name(1), admission.Erred, admission.NoReport, plenty)
-		old := peers[0].NextMessage(now + second)
-		h.HandleMessage(now+21*second, peers[0].Source, old)
-		check(t, h, now+21*second, 1, 0)
-	})
-	t.Run("clocks a twentieth fast and slow", func(t *testing.T) {
-		for _, rate := range []float64{0.95, 1.05} {
-			h := book(12)
-			p := peer(12, "g")
-			at := func(now Time) Time { return Time(float64(now) * rate) }
-			for when := now; when < now+100*second; when += second / 2 {
-				h.HandleMessage(when, p.Source, begin(at(when)).bytes())
+	}
+}
+
+func testBudgetBoundsMessages(t *testing.T) {
+	const now = testTime
+	b := New(39, 0.25, 0)
+	b.UpdateEngines(admission.FullUpdate, newEndpoints(12))
+	b.Observe(now, engineName(1), admission.Erred, admission.NoReport, 39*10)
+	if b.NextMessage(now+second) != nil {
+		t.Error("it speaks")
+	}
+	b.Observe(now, engineName(1), admission.Erred, admission.NoReport, 39*30)
+	if b.NextMessage(now+second) == nil {
+		t.Error("it is silent")
+	}
+}
+
+// sentMessage is a message that a gateway sent.
+type sentMessage struct {
+	from  Source
+	bytes []byte
+	at    Time
+}
+
+// drawMessages draws what three gateways send of four engines.
+func drawMessages(t *rapid.T) (messages []sentMessage) {
+	for g := range 3 {
+		p := newTestGateway(4, fmt.Sprint("g", g))
+		for k := range rapid.IntRange(1, 6).Draw(t, "rounds") {
+			at := testTime + Time(k)*200*millisecond
+			for range 2 {
+				saw := admission.Observation(rapid.IntRange(0, 2).Draw(t, "saw"))
+				p.Observe(at, engineName(rapid.IntRange(0, 3).Draw(t, "engine")), saw, admission.Report{InFlight: float64(rapid.IntRange(0, 3).Draw(t, "in flight")), Utilization: 0.5, Memory: -1, Disks: -1}, ampleBytes)
 			}
-			when := now + 100*second
-			p.Observe(at(when), name(1), admission.Erred, admission.NoReport, plenty)
-			h.HandleMessage(when, p.Source, p.NextMessage(at(when)))
-			check(t, h, when+OutcomeLifetime/2, 1, 1)
-			check(t, h, when+OutcomeLifetime, 1, 0)
-		}
-	})
-	t.Run("what is heard is never told on", func(t *testing.T) {
-		h, peers := three()
-		for _, p := range peers {
-			p.Observe(now, name(1), admission.Erred, admission.NoReport, 0)
-			p.say(now, h)
-		}
-		h.Observe(now, name(2), admission.Answered, admission.Report{InFlight: -1, Utilization: 0.3, Memory: -1, Disks: -1}, plenty)
-		m := h.NextMessage(now + second)
-		r, err := read(m)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for e, ok := r.next(); ok; e, ok = r.next() {
-			if e.hash == hash(name(1)) {
-				t.Error("it tells what it heard")
+			if m := p.NextMessage(at + 150*millisecond); m != nil {
+				messages = append(messages, sentMessage{p.Source, m, at + 150*millisecond})
 			}
 		}
-	})
-	t.Run("no message beyond what is paid for", func(t *testing.T) {
-		b := New(39, 0.25, 0)
-		b.UpdateEngines(admission.FullUpdate, engines(12))
-		b.Observe(now, name(1), admission.Erred, admission.NoReport, 39*10)
-		if b.NextMessage(now+second) != nil {
-			t.Error("it speaks")
-		}
-		b.Observe(now, name(1), admission.Erred, admission.NoReport, 39*30)
-		if b.NextMessage(now+second) == nil {
-			t.Error("it is silent")
-		}
-	})
+	}
+	return messages
+}
+
+// findingsAfter writes what a table finds after some messages.
+func findingsAfter(messages []sentMessage) string {
+	h := newTestTable(4)
+	for g := range 3 {
+		newTestGateway(4, fmt.Sprint("g", g)).sendEmptyMessages(testTime, h)
+	}
+	for _, m := range messages {
+		h.mustHandleMessage(m.at, m.from, m.bytes) // each arrives when it was sent, so its ages are exact
+	}
+	var out []string
+	for i := range h.engines {
+		out = append(out, fmt.Sprintf("%+v", h.findingOf(testTime+2*second, i)))
+	}
+	return strings.Join(out, "\n")
 }
 
-// What is found doesn't depend on the order in which messages come, on how often each comes, nor on those lost before a later
+// Findings don't depend on the order in which messages arrive, on how often each does, nor on those lost before a later
 // one of the same gateway on the same engine.
-func TestLaws(t *testing.T) {
+func TestFindingsDoNotDependOnOrderOrDuplicates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const now = 100 * second
-		type word struct {
-			from  Source
-			bytes []byte
-			at    Time
-		}
-		var words []word
-		for g := range 3 {
-			p := peer(4, fmt.Sprint("g", g))
-			for k := range rapid.IntRange(1, 6).Draw(t, "sights") {
-				at := now + Time(k)*200*ms
-				for range 2 {
-					saw := admission.Observation(rapid.IntRange(0, 2).Draw(t, "saw"))
-					p.Observe(at, name(rapid.IntRange(0, 3).Draw(t, "engine")), saw, admission.Report{InFlight: float64(rapid.IntRange(0, 3).Draw(t, "held")), Utilization: 0.5, Memory: -1, Disks: -1}, plenty)
-				}
-				if m := p.NextMessage(at + 150*ms); m != nil {
-					words = append(words, word{p.Source, m, at + 150*ms})
-				}
-			}
-		}
-		play := func(list []word) string {
-			h := book(4)
-			for g := range 3 {
-				peer(4, fmt.Sprint("g", g)).greet(now, h)
-			}
-			for _, w := range list {
-				h.HandleMessage(w.at, w.from, w.bytes) // each comes when it was sent, so its ages are exact
-			}
-			var out []string
-			for i := range h.engines {
-				out = append(out, fmt.Sprintf("%+v", h.find(now+2*second, i)))
-			}
-			return strings.Join(out, "\n")
-		}
-		more := slices.Concat(words, rapid.SliceOf(rapid.SampledFrom(append(words, word{Source{"g0", 1}, begin(now).bytes(), now}))).Draw(t, "again"))
+		messages := drawMessages(t)
+		candidates := append(messages, sentMessage{Source{"g0", 1}, newWriter(testTime).bytes(), testTime})
+		more := slices.Concat(messages, rapid.SliceOf(rapid.SampledFrom(candidates)).Draw(t, "again"))
 		order := rapid.Permutation(more).Draw(t, "order")
-		if a, b := play(words), play(order); a != b {
+		if a, b := findingsAfter(messages), findingsAfter(order); a != b {
 			t.Fatalf("in order:\n%s\nanother order:\n%s", a, b)
 		}
 	})
 }
 
-func TestJoin(t *testing.T) {
-	draw := rapid.Custom(func(t *rapid.T) record {
+func TestMergeIsIdempotentAndOrderFree(t *testing.T) {
+	draw := rapid.Custom(func(t *rapid.T) observations {
 		times := func(n string) Time {
 			return rapid.SampledFrom([]Time{never, 1, 2, 3}).Draw(t, n)
 		}
-		r := record{times("good"), times("bad"), times("report"), admission.Observation(rapid.IntRange(2, 4).Draw(t, "how")), admission.NoReport}
-		if r.reportAt != never {
+		r := observations{times("good"), times("bad"), times("report"), admission.Observation(rapid.IntRange(2, 4).Draw(t, "how")), admission.NoReport}
+		if r.reportedAt != never {
 			r.report = admission.Report{InFlight: float64(rapid.IntRange(0, 2).Draw(t, "held")), Utilization: -1, Memory: -1, Disks: -1}
 		}
 		return r
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := draw.Draw(t, "a"), draw.Draw(t, "b"), draw.Draw(t, "c")
-		if join(a, b) != join(b, a) || join(a, join(b, c)) != join(join(a, b), c) || join(a, a) != a {
+		if merge(a, b) != merge(b, a) || merge(a, merge(b, c)) != merge(merge(a, b), c) || merge(a, a) != a {
 			t.Fatal("order or doubling matters")
 		}
 	})
 }
 
-func FuzzHeard(f *testing.F) {
-	p := peer(3, "g")
-	p.Observe(100, name(1), admission.Erred, admission.Report{InFlight: 3, Utilization: 0.5, Memory: 0.25, Disks: 0.1}, plenty)
+func FuzzHandleMessage(f *testing.F) {
+	p := newTestGateway(3, "g")
+	p.Observe(100, engineName(1), admission.Erred, admission.Report{InFlight: 3, Utilization: 0.5, Memory: 0.25, Disks: 0.1}, ampleBytes)
 	f.Add(p.NextMessage(200))
 	f.Add([]byte{version, 0, 0, 0, 1})
 	f.Fuzz(func(t *testing.T, m []byte) {
-		h := book(3)
-		peer(3, "g").greet(100*second, h)
-		if err := h.HandleMessage(100*second, Source{"g", 1}, m); err != nil && len(h.touched) > 0 {
+		h := newTestTable(3)
+		newTestGateway(3, "g").sendEmptyMessages(100*second, h)
+		if err := h.HandleMessage(100*second, Source{"g", 1}, m); err != nil && len(h.changed) > 0 {
 			t.Fatal("part of a message that can't be read was used")
 		}
 		h.VisitChangedFindings(100*second, func(f *Finding) {
@@ -402,13 +477,13 @@
 	})
 }
 
-func BenchmarkMessage(b *testing.B) {
-	p := book(40)
+func BenchmarkNextMessage(b *testing.B) {
+	p := newTestTable(40)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		now := Time(n+10) * second
 		for e := range 12 {
-			p.Observe(now, name(e), admission.Reported, admission.Report{InFlight: -1, Utilization: float64(n%10) / 10, Memory: 0.5, Disks: 0.25}, plenty)
+			p.Observe(now, engineName(e), admission.Reported, admission.Report{InFlight: -1, Utilization: float64(n%10) / 10, Memory: 0.5, Disks: 0.25}, ampleBytes)
 		}
 		if p.NextMessage(now+second/2) == nil {
 			b.Fatal("nothing to say")
@@ -416,19 +491,19 @@
 	}
 }
 
-func BenchmarkHeard(b *testing.B) {
-	h := book(40)
+func BenchmarkHandleMessage(b *testing.B) {
+	h := newTestTable(40)
 	for g := range 40 {
-		peer(40, fmt.Sprint("g", g)).greet(0, h)
+		newTestGateway(40, fmt.Sprint("g", g)).sendEmptyMessages(0, h)
 	}
-	p := book(40)
+	p := newTestTable(40)
 	for e := range 12 {
-		p.Observe(second, name(e), admission.Reported, admission.Report{InFlight: -1, Utilization: 0.5, Memory: 0.5, Disks: 0.25}, plenty)
+		p.Observe(second, engineName(e), admission.Reported, admission.Report{InFlight: -1, Utilization: 0.5, Memory: 0.5, Disks: 0.25}, ampleBytes)
 	}
 	m := p.NextMessage(second + second/2)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		h.HandleMessage(Time(n%1000)*second/100, Source{fmt.Sprint("g", n%40), 1}, m)
+		h.mustHandleMessage(Time(n%1000)*second/100, Source{fmt.Sprint("g", n%40), 1}, m)
 		h.VisitChangedFindings(Time(n%1000)*second/100, func(*Finding) {})
 	}
 }
