--- a/internal/cluster/counters/core.go
+++ b/internal/cluster/counters/core.go
@@ -111,61 +111,61 @@
 
 // row is a key's own counts: now, and their bounds in each slot.
 type counter struct {
-	key   Key
-	hash  uint32
-	current   [figureCount]int64
-	slots [slotCount + 1]bounds
+	key     Key
+	hash    uint32
+	current [figureCount]int64
+	slots   [slotCount + 1]bounds
 }
 
 // source is what was last heard of another process.
 type peer struct {
-	name     string
+	name           string
 	incarnation    uint64
-	reportedUntil       Time // by its clock, to when what it told goes
-	reportedLength   Time // and for how long
-	maxInHand     int64
-	complete    bool // all its keys fitted
-	counts     []peerCount
-	receivedAt  Time
-	maxOffset     Time // our clock less its one, at most, and at least, as of when
-	maxOffsetAt   Time
+	reportedUntil  Time // by its clock, to when what it told goes
+	reportedLength Time // and for how long
+	maxInHand      int64
+	complete       bool // all its keys fitted
+	counts         []peerCount
+	receivedAt     Time
+	maxOffset      Time // our clock less its one, at most, and at least, as of when
+	maxOffsetAt    Time
 	minOffset      Time
 	minOffsetAt    Time
 	minOffsetKnown bool
-	stopped     bool // it has stopped in good order, and has nothing
+	stopped        bool // it has stopped in good order, and has nothing
 }
 
 type peerCount struct {
-	hash uint32
-	ranges   [figureCount]Range
+	hash   uint32
+	ranges [figureCount]Range
 }
 
 // ending is a process that another took the place of: it may have had anything until its last task is surely over.
 type endedProcess struct {
-	name  string
-	maxInHand  int64
-	until Time
+	name      string
+	maxInHand int64
+	until     Time
 }
 
 // Core is one process's part. Its calls may come from two goroutines.
 type Core struct {
-	mu      sync.Mutex
-	host    Host
-	name    string
-	processes   int   // processes that there may be
-	maxInHand    int64 // tasks that one process has in hand; 0: not bounded
+	mu             sync.Mutex
+	host           Host
+	name           string
+	processes      int   // processes that there may be
+	maxInHand      int64 // tasks that one process has in hand; 0: not bounded
 	longestRequest Time  // for which it has one
-	now     Time
-	counters    []counter
-	byKey   map[Key]int
-	slotStart    [slotCount + 1]Time // of each slot
-	currentSlot    int             // that is being filled
-	filledSlots  int             // slots that hold anything
-	slotLength    Time            // length of a slot
-	nextRoundAt  Time
-	nextRecipient    int
-	peers []peer
-	ended []endedProcess
+	now            Time
+	counters       []counter
+	byKey          map[Key]int
+	slotStart      [slotCount + 1]Time // of each slot
+	currentSlot    int                 // that is being filled
+	filledSlots    int                 // slots that hold anything
+	slotLength     Time                // length of a slot
+	nextRoundAt    Time
+	nextRecipient  int
+	peers          []peer
+	ended          []endedProcess
 }
 
 // New begins a process's part, with nothing in hand, in a fleet of so many. It has at most so many tasks in hand (0: not bounded),
@@ -247,7 +247,9 @@
 }
 
 // oldest is from when on the own counts are known.
-func (c *Core) oldestKnown() Time { return c.slotStart[(c.currentSlot-c.filledSlots+1+len(c.slotStart))%len(c.slotStart)] }
+func (c *Core) oldestKnown() Time {
+	return c.slotStart[(c.currentSlot-c.filledSlots+1+len(c.slotStart))%len(c.slotStart)]
+}
 
 // own are a key's bounds from one time to another, as wide as the slots are long.
 func (c *Core) ownRanges(r *counter, from, to Time) (out [figureCount]Range) {
