--- a/internal/cluster/agent/policyrollout.go
+++ b/internal/cluster/agent/policyrollout.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.core = rollout.New(now, plan, a.name, a.start, rand.New(rand.NewPCG(a.start, 3)), stored, p)
+	p.core = rollout.New(now, plan, rollout.Process{Name: a.name, Incarnation: a.start, Random: rand.New(rand.NewPCG(a.start, 3)), Stored: stored}, p)
 	return p, nil
 }
 
--- a/internal/cluster/consensus/format_test.go
+++ b/internal/cluster/consensus/format_test.go
@@ -53,8 +53,8 @@
 func saveAll(v *voter) {
 	for len(v.done) > 0 {
 		done := v.done
-		v.disk = append(v.disk, v.behind...)
-		v.behind, v.done, v.doneAt = nil, nil, nil
+		v.disk = append(v.disk, v.unsynced...)
+		v.unsynced, v.done = nil, nil
 		for _, d := range done {
 			d(nil)
 		}
--- a/internal/cluster/consensus/node_test.go
+++ b/internal/cluster/consensus/node_test.go
@@ -11,49 +11,48 @@
 // cluster is some voters in one process and virtual time: ticks, messages that are lost, late and doubled, voters that are killed at
 // any time, with disks that have what was saved and any first part of what was not.
 type cluster struct {
-	t       *testing.T
-	chance  *rand.Rand
-	now     int
-	mail    []letter
-	voters  []*voter
-	loss    float64
-	cut     func(from, to uint64) bool
-	decided [][]byte // by index, as the first to be told has it
-	next    uint64   // value to be appended
-	asks    map[uint64]uint64
-	asked   uint64
-	reads   int
+	t              *testing.T
+	random         *rand.Rand
+	now            int
+	inFlight       []envelope
+	voters         []*voter
+	loss           float64
+	isCut          func(from, to uint64) bool
+	decided        [][]byte // by index, as the first to be told has it
+	lastValue      uint64   // value to be appended
+	decidedAtRead  map[uint64]uint64
+	lastRead       uint64
+	confirmedReads int
 }
 
-type letter struct {
-	at       int
-	from, to uint64
-	b        []byte
+type envelope struct {
+	deliverAt int
+	from, to  uint64
+	message   []byte
 }
 
 type voter struct {
-	c       *cluster
-	id      uint64
-	node    *Node
-	up      bool
-	disk    []Record // what survives
-	behind  []Record // what is under way
-	done    []func(error)
-	doneAt  []int // how much of behind each waits for
-	slow    int   // one sync in so many ticks
-	applied []byte
-	at      uint64
-	forgot  bool
+	cluster      *cluster
+	id           uint64
+	node         *Node
+	running      bool
+	disk         []Record // what survives
+	unsynced     []Record // what is under way
+	done         []func(error)
+	syncInterval int // one sync in so many ticks
+	applied      []byte
+	appliedIndex uint64
+	logLost      bool
 }
 
 func newCluster(t *testing.T, seed uint64, n int) *cluster {
 	t.Helper()
-	c := &cluster{t: t, chance: rand.New(rand.NewPCG(seed, 1)), asks: map[uint64]uint64{}}
+	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), decidedAtRead: map[uint64]uint64{}}
 	for i := range n {
-		c.voters = append(c.voters, &voter{c: c, id: uint64(i + 1), slow: 1})
+		c.voters = append(c.voters, &voter{cluster: c, id: uint64(i + 1), syncInterval: 1})
 	}
 	for _, v := range c.voters {
-		v.begin()
+		v.start()
 		var ids []uint64
 		for i := range n {
 			ids = append(ids, uint64(i+1))
@@ -65,7 +64,7 @@
 	return c
 }
 
-func (v *voter) begin() {
+func (v *voter) start() {
 	var f StoredLog
 	last := map[[16]byte]int{}
 	for i, r := range v.disk {
@@ -76,36 +75,37 @@
 			f.AddRecord(r.Key, r.Value, r.Value == nil)
 		}
 	}
-	v.up, v.applied, v.at = true, nil, 0
-	var err error
-	if v.node, err = New(v.id, &f, rand.New(rand.NewPCG(v.c.chance.Uint64(), 2)), v); err != nil {
-		v.c.t.Fatalf("voter %d: %v", v.id, err)
+	v.running, v.applied, v.appliedIndex = true, nil, 0
+	node, err := New(v.id, &f, rand.New(rand.NewPCG(v.cluster.random.Uint64(), 2)), v)
+	if err != nil {
+		v.cluster.t.Fatalf("voter %d: %v", v.id, err)
 	}
+	v.node = node
 }
 
 func (v *voter) kill() {
-	v.up = false
-	v.disk = append(v.disk, v.behind[:v.c.chance.IntN(len(v.behind)+1)]...)
-	v.behind, v.done, v.doneAt = nil, nil, nil
+	v.running = false
+	v.disk = append(v.disk, v.unsynced[:v.cluster.random.IntN(len(v.unsynced)+1)]...)
+	v.unsynced, v.done = nil, nil
 }
 
 func (v *voter) Send(to uint64, m []byte) {
-	c := v.c
-	for range 1 + c.chance.IntN(20)/19 {
-		if c.chance.Float64() >= c.loss && (c.cut == nil || !c.cut(v.id, to)) {
-			c.mail = append(c.mail, letter{c.now + c.chance.IntN(3), v.id, to, m})
+	c := v.cluster
+	for range 1 + c.random.IntN(20)/19 {
+		if c.random.Float64() >= c.loss && (c.isCut == nil || !c.isCut(v.id, to)) {
+			c.inFlight = append(c.inFlight, envelope{c.now + c.random.IntN(3), v.id, to, m})
 		}
 	}
 }
 
 func (v *voter) SaveRecords(records []Record, done func(error)) {
-	v.behind = append(v.behind, records...)
-	v.done, v.doneAt = append(v.done, done), append(v.doneAt, len(records))
+	v.unsynced = append(v.unsynced, records...)
+	v.done = append(v.done, done)
 }
 
 // Applied takes in a decision: nobody is ever told another one at the same place.
 func (v *voter) EntryApplied(index uint64, entry []byte) {
-	c := v.c
+	c := v.cluster
 	for uint64(len(c.decided)) <= index {
 		c.decided = append(c.decided, nil)
 	}
@@ -114,22 +114,22 @@
 	} else if string(c.decided[index]) != string(entry) {
 		c.t.Fatalf("at %d: %x was decided, voter %d is told %x", index, c.decided[index], v.id, entry)
 	}
-	v.applied, v.at = append(v.applied, entry...), index
+	v.applied, v.appliedIndex = append(v.applied, entry...), index
 }
 
 func (v *voter) VotersChanged(uint64, []byte, []uint64, []uint64) {}
 func (v *voter) SnapshotInstalled(index uint64, state []byte) {
-	v.applied, v.at = slices.Clone(state), index
+	v.applied, v.appliedIndex = slices.Clone(state), index
 }
 func (v *voter) Snapshot() []byte         { return slices.Clone(v.applied) }
 func (v *voter) LeadershipChanged(uint64) {}
-func (v *voter) LogLost()                 { v.forgot = true }
+func (v *voter) LogLost()                 { v.logLost = true }
 
 func (v *voter) LeadershipConfirmed(read uint64) {
-	if v.at < v.c.asks[read] {
-		v.c.t.Fatalf("voter %d: read %d was asked when %d entries were decided, and is confirmed with %d", v.id, read, v.c.asks[read], v.at)
+	if v.appliedIndex < v.cluster.decidedAtRead[read] {
+		v.cluster.t.Fatalf("voter %d: read %d was asked when %d entries were decided, and is confirmed with %d", v.id, read, v.cluster.decidedAtRead[read], v.appliedIndex)
 	}
-	v.c.reads++
+	v.cluster.confirmedReads++
 }
 
 // pass plays some ticks.
@@ -139,7 +139,7 @@
 		c.now++
 		c.deliver()
 		for _, v := range c.voters {
-			if v.up {
+			if v.running {
 				v.tick()
 			}
 		}
@@ -150,14 +150,14 @@
 // deliver hands over the messages that are due; those to voters that are down are lost.
 func (c *cluster) deliver() {
 	c.t.Helper()
-	mail := c.mail
-	c.mail = nil
+	mail := c.inFlight
+	c.inFlight = nil
 	for _, l := range mail {
 		v := c.voters[l.to-1]
-		if l.at > c.now {
-			c.mail = append(c.mail, l)
-		} else if v.up {
-			if err := v.node.HandleMessage(l.b); err != nil {
+		if l.deliverAt > c.now {
+			c.inFlight = append(c.inFlight, l)
+		} else if v.running {
+			if err := v.node.HandleMessage(l.message); err != nil {
 				c.t.Fatal(err)
 			}
 		}
@@ -166,42 +166,42 @@
 
 // tick ends a sync, ticks the node, and now and then appends and asks.
 func (v *voter) tick() {
-	c := v.c
-	if c.now%v.slow == 0 {
+	c := v.cluster
+	if c.now%v.syncInterval == 0 {
 		done := v.done
-		v.disk, v.behind, v.done, v.doneAt = append(v.disk, v.behind...), nil, nil, nil
+		v.disk, v.unsynced, v.done = append(v.disk, v.unsynced...), nil, nil
 		for _, d := range done {
 			d(nil)
 		}
 	}
 	v.node.Tick()
-	if c.chance.IntN(4) == 0 {
-		c.next++
-		_ = v.node.Append(binary.BigEndian.AppendUint64(nil, c.next)) // fails for all but the leader
+	if c.random.IntN(4) == 0 {
+		c.lastValue++
+		_ = v.node.Append(binary.BigEndian.AppendUint64(nil, c.lastValue)) // fails for all but the leader
 	}
-	if c.chance.IntN(4) == 0 {
-		c.asked++
-		c.asks[c.asked] = uint64(max(0, len(c.decided)-1))
-		v.node.ConfirmLeadership(c.asked)
+	if c.random.IntN(4) == 0 {
+		c.lastRead++
+		c.decidedAtRead[c.lastRead] = uint64(max(0, len(c.decided)-1))
+		v.node.ConfirmLeadership(c.lastRead)
 	}
 }
 
 // disturb plays a time in which messages are lost, one voter is cut off, disks are slow, and voters are killed and start again.
 func (c *cluster) disturb() {
 	c.t.Helper()
-	c.loss = 0.3 * c.chance.Float64()
-	lonely := uint64(c.chance.IntN(len(c.voters) + 1))
-	oneWay := c.chance.IntN(2) == 0
-	c.cut = func(from, to uint64) bool { return from == lonely || !oneWay && to == lonely }
+	c.loss = 0.3 * c.random.Float64()
+	lonely := uint64(c.random.IntN(len(c.voters) + 1))
+	oneWay := c.random.IntN(2) == 0
+	c.isCut = func(from, to uint64) bool { return from == lonely || !oneWay && to == lonely }
 	for _, v := range c.voters {
-		v.slow = 1 + c.chance.IntN(2)*c.chance.IntN(8)
+		v.syncInterval = 1 + c.random.IntN(2)*c.random.IntN(8)
 	}
 	c.pass(60, func() {
 		for _, v := range c.voters {
-			if v.up && c.chance.IntN(300) == 0 {
+			if v.running && c.random.IntN(300) == 0 {
 				v.kill()
-			} else if !v.up && c.chance.IntN(40) == 0 {
-				v.begin()
+			} else if !v.running && c.random.IntN(40) == 0 {
+				v.start()
 			}
 		}
 	})
@@ -209,11 +209,11 @@
 
 // heal ends all disturbances and starts all voters.
 func (c *cluster) heal() {
-	c.cut, c.loss = nil, 0
+	c.isCut, c.loss = nil, 0
 	for _, v := range c.voters {
-		v.slow = 1
-		if !v.up {
-			v.begin()
+		v.syncInterval = 1
+		if !v.running {
+			v.start()
 		}
 	}
 }
@@ -226,8 +226,8 @@
 		for range 12 {
 			c.disturb()
 		}
-		if len(c.decided) < 60 || c.reads < 40 {
-			t.Errorf("seed %d: only %d decisions and %d reads", seed, len(c.decided), c.reads)
+		if len(c.decided) < 60 || c.confirmedReads < 40 {
+			t.Errorf("seed %d: only %d decisions and %d reads", seed, len(c.decided), c.confirmedReads)
 		}
 		c.heal()
 		c.pass(200, func() {})
@@ -237,8 +237,8 @@
 			t.Errorf("seed %d: all hear each other, and nothing is decided", seed)
 		}
 		for _, v := range c.voters {
-			if v.forgot || v.at+64 < c.voters[0].at {
-				t.Errorf("seed %d: voter %d forgot %t, at %d of %d", seed, v.id, v.forgot, v.at, len(c.decided))
+			if v.logLost || v.appliedIndex+64 < c.voters[0].appliedIndex {
+				t.Errorf("seed %d: voter %d forgot %t, at %d of %d", seed, v.id, v.logLost, v.appliedIndex, len(c.decided))
 			}
 		}
 	}
@@ -249,28 +249,28 @@
 	c := newCluster(t, 7, 3)
 	c.pass(100, func() {})
 	follower := slices.IndexFunc(c.voters, func(v *voter) bool { return !v.node.IsLeader() })
-	gone := c.voters[follower]
-	old := slices.Clone(gone.disk)
+	lost := c.voters[follower]
+	olderDisk := slices.Clone(lost.disk)
 	c.pass(100, func() {})
-	gone.kill()
-	gone.disk = old
-	gone.begin()
+	lost.kill()
+	lost.disk = olderDisk
+	lost.start()
 	c.pass(60, func() {})
-	if !gone.forgot {
+	if !lost.logLost {
 		t.Error("an older folder was not found out")
 	}
-	gone.up = false
-	c.voters = append(c.voters, &voter{c: c, id: 4, slow: 1})
-	c.voters[3].begin()
+	lost.running = false
+	c.voters = append(c.voters, &voter{cluster: c, id: 4, syncInterval: 1})
+	c.voters[3].start()
 	learned := false
 	c.pass(200, func() {
 		for _, v := range c.voters {
 			switch {
-			case !v.up || !v.node.IsLeader():
+			case !v.running || !v.node.IsLeader():
 			case !learned:
 				learned = v.node.ChangeVoters(nil, []uint64{4}, nil, nil) == nil
 			case v.node.IsCaughtUp(4) && c.now%10 == 0:
-				_ = v.node.ChangeVoters([]byte("four for one"), nil, []uint64{4}, []uint64{gone.id}) // it is proposed again until it is decided
+				_ = v.node.ChangeVoters([]byte("four for one"), nil, []uint64{4}, []uint64{lost.id}) // it is proposed again until it is decided
 			}
 		}
 	})
@@ -278,7 +278,7 @@
 	c.voters[(follower+1)%3].kill() // two of the three that are there now decide
 	before := len(c.decided)
 	c.pass(200, func() {})
-	if len(voters) != 3 || slices.Contains(voters, gone.id) || !slices.Contains(voters, 4) || len(learners) > 0 || len(c.decided) == before {
+	if len(voters) != 3 || slices.Contains(voters, lost.id) || !slices.Contains(voters, 4) || len(learners) > 0 || len(c.decided) == before {
 		t.Errorf("voters %v, learners %v; decisions %d, then %d", voters, learners, before, len(c.decided))
 	}
 }
--- a/internal/cluster/consensus/records.go
+++ b/internal/cluster/consensus/records.go
@@ -24,25 +24,27 @@
 	kindSnapshot  = 's'
 	kindEntry     = 'e'
 	keyPrefix     = "log\x00"
+	indexOffset   = 8
+	headerBytes   = 5
 )
 
-func recordKey(kind byte, index uint64) (k [16]byte) {
-	copy(k[:], keyPrefix)
-	k[len(keyPrefix)] = kind
-	binary.BigEndian.PutUint64(k[8:], index)
-	return k
+func recordKey(kind byte, index uint64) (key [16]byte) {
+	copy(key[:], keyPrefix)
+	key[len(keyPrefix)] = kind
+	binary.BigEndian.PutUint64(key[indexOffset:], index)
+	return key
 }
 
 func entryKey(index uint64) [16]byte { return recordKey(kindEntry, index) }
 
 type marshaler interface{ Marshal() ([]byte, error) }
 
-func encodeRecord(k [16]byte, age uint32, m marshaler) Record {
-	b, err := m.Marshal()
+func encodeRecord(key [16]byte, generation uint32, message marshaler) Record {
+	encoded, err := message.Marshal()
 	if err != nil {
 		panic(err) // raft can encode each of its own messages
 	}
-	return Record{k, append(binary.BigEndian.AppendUint32([]byte{recordVersion}, age), b...)}
+	return Record{key, append(binary.BigEndian.AppendUint32([]byte{recordVersion}, generation), encoded...)}
 }
 
 func (n *Node) snapshotRecord(s *pb.Snapshot) Record {
@@ -63,76 +65,85 @@
 	err         error
 }
 
-// AddRecord takes in a record of the folder, or that its key was deleted. Records come in the order in which they were written. It returns
-// false for a key that is not of a log. A value that can't be decoded has New fail.
-func (f *StoredLog) AddRecord(k [16]byte, value []byte, gone bool) bool {
-	if string(k[:len(keyPrefix)]) != keyPrefix {
+// AddRecord takes in a record of the folder, or with deleted set that its key has none any more. Records come in the order in which they
+// were written. It returns false for a key that is not of a log. A value that can't be decoded has New fail.
+func (l *StoredLog) AddRecord(key [16]byte, value []byte, deleted bool) bool {
+	if string(key[:len(keyPrefix)]) != keyPrefix {
 		return false
 	}
-	kind, index := k[len(keyPrefix)], binary.BigEndian.Uint64(k[8:])
+	kind, index := key[len(keyPrefix)], binary.BigEndian.Uint64(key[indexOffset:])
 	if kind == kindEntry {
-		f.entries = slices.DeleteFunc(f.entries, func(e pb.Entry) bool { return e.Index == index })
+		l.entries = slices.DeleteFunc(l.entries, func(e pb.Entry) bool { return e.Index == index })
 	}
-	if gone {
+	if deleted {
 		return true
 	}
-	err := fmt.Errorf("expected form %d, found another", recordVersion)
-	if len(value) >= 5 && value[0] == recordVersion {
-		age, b := binary.BigEndian.Uint32(value[1:]), value[5:]
-		switch kind {
-		case kindHardState:
-			f.hard.Reset()
-			err = f.hard.Unmarshal(b)
-		case kindSnapshot:
-			f.snapshot.Reset()
-			f.generation, err = age, f.snapshot.Unmarshal(b)
-		case kindEntry:
-			var e pb.Entry
-			if err = e.Unmarshal(b); err == nil {
-				if f.generations == nil {
-					f.generations = map[uint64]uint32{}
-				}
-				f.entries, f.generations[index] = append(f.entries, e), age
-			}
-		}
-	}
-	if err != nil && f.err == nil {
-		f.err = fmt.Errorf("consensus: record %q: %w", k[:], err)
+	if err := l.decode(kind, index, value); err != nil && l.err == nil {
+		l.err = fmt.Errorf("consensus: record %q: %w", key[:], err)
 	}
 	return true
 }
 
+// decode takes in the value of a record.
+func (l *StoredLog) decode(kind byte, index uint64, value []byte) error {
+	if len(value) < headerBytes || value[0] != recordVersion {
+		return fmt.Errorf("expected form %d, found another", recordVersion)
+	}
+	generation, encoded := binary.BigEndian.Uint32(value[1:]), value[headerBytes:]
+	switch kind {
+	case kindHardState:
+		l.hard.Reset()
+		return l.hard.Unmarshal(encoded)
+	case kindSnapshot:
+		l.snapshot.Reset()
+		l.generation = generation
+		return l.snapshot.Unmarshal(encoded)
+	case kindEntry:
+		var entry pb.Entry
+		if err := entry.Unmarshal(encoded); err != nil {
+			return err
+		}
+		if l.generations == nil {
+			l.generations = map[uint64]uint32{}
+		}
+		l.entries, l.generations[index] = append(l.entries, entry), generation
+		return nil
+	default:
+		return fmt.Errorf("expected form %d, found another", recordVersion)
+	}
+}
+
 // IsEmpty tells whether the folder holds nothing of a log.
-func (f *StoredLog) IsEmpty() bool {
-	return len(f.entries) == 0 && raft.IsEmptySnap(f.snapshot) && raft.IsEmptyHardState(f.hard)
+func (l *StoredLog) IsEmpty() bool {
+	return len(l.entries) == 0 && raft.IsEmptySnap(l.snapshot) && raft.IsEmptyHardState(l.hard)
 }
 
 // DeletionRecords are records by which the folder holds nothing of this log any more.
-func (f *StoredLog) DeletionRecords() (out []Record) {
-	for i := range f.entries {
-		out = append(out, Record{Key: entryKey(f.entries[i].Index)})
+func (l *StoredLog) DeletionRecords() (deletions []Record) {
+	for i := range l.entries {
+		deletions = append(deletions, Record{Key: entryKey(l.entries[i].Index)})
 	}
-	return append(out, Record{Key: recordKey(kindSnapshot, 0)}, Record{Key: recordKey(kindHardState, 0)})
+	return append(deletions, Record{Key: recordKey(kindSnapshot, 0)}, Record{Key: recordKey(kindHardState, 0)})
 }
 
 // restore hands the log to raft. A crash may leave part of the last write: entries that were replaced, that a snapshot covers, or that
 // lack those before them. No other voter was told of these, so they are left out, and stale deletes them from the folder.
-func (f *StoredLog) restore(to *raft.MemoryStorage) (stale []Record, err error) {
-	if f.err != nil {
-		return nil, f.err
+func (l *StoredLog) restore(to *raft.MemoryStorage) (stale []Record, err error) {
+	if l.err != nil {
+		return nil, l.err
 	}
 	next := uint64(1)
-	if !raft.IsEmptySnap(f.snapshot) {
-		if err := to.ApplySnapshot(f.snapshot); err != nil {
+	if !raft.IsEmptySnap(l.snapshot) {
+		if err := to.ApplySnapshot(l.snapshot); err != nil {
 			return nil, err
 		}
-		next = f.snapshot.Metadata.Index + 1
+		next = l.snapshot.Metadata.Index + 1
 	}
-	slices.SortFunc(f.entries, func(a, b pb.Entry) int { return cmp.Compare(a.Index, b.Index) })
-	term := f.snapshot.Metadata.Term
+	slices.SortFunc(l.entries, func(a, b pb.Entry) int { return cmp.Compare(a.Index, b.Index) })
+	term := l.snapshot.Metadata.Term
 	var complete []pb.Entry
-	for _, e := range f.entries {
-		if e.Index == next && e.Term >= term && f.generations[e.Index] == f.generation {
+	for _, e := range l.entries {
+		if e.Index == next && e.Term >= term && l.generations[e.Index] == l.generation {
 			complete = append(complete, e)
 			next, term = next+1, e.Term
 			continue
@@ -142,12 +153,12 @@
 	if err := to.Append(complete); err != nil {
 		return nil, err
 	}
-	if f.hard.Commit >= next {
+	if l.hard.Commit >= next {
 		return nil, ErrEntriesMissing
 	}
-	f.hard.Commit = max(f.hard.Commit, f.snapshot.Metadata.Index)
-	if f.hard.Term < term {
-		f.hard.Term, f.hard.Vote = term, 0
+	l.hard.Commit = max(l.hard.Commit, l.snapshot.Metadata.Index)
+	if l.hard.Term < term {
+		l.hard.Term, l.hard.Vote = term, 0
 	}
-	return stale, to.SetHardState(f.hard)
+	return stale, to.SetHardState(l.hard)
 }
--- a/internal/cluster/rollout/change.go
+++ b/internal/cluster/rollout/change.go
@@ -17,27 +17,27 @@
 
 // advanceProposal takes the open proposal as far as it can go.
 func (v *voter) advanceProposal(c *Core) {
-	l, p := v.leadership, v.table.Proposal
-	if l == nil || p == nil || l.behind {
+	leader, p := v.leadership, v.table.Proposal
+	if leader == nil || p == nil || leader.behind {
 		return
 	}
 	text := c.policies.find(p.Digest)
 	if text == nil || text.state == textMissing {
 		v.fetchProposal(c, p)
 	}
-	if l.change.phase < deciding {
+	if leader.change.phase < deciding {
 		if reason := v.failure(c, text); reason != "" {
 			v.appendDrop(c, OutcomeDropped, reason)
 			return
 		}
 	}
-	switch l.change.phase {
+	switch leader.change.phase {
 	case preparing:
 		if v.allPrepared(c) && text != nil && text.state == textUsable {
 			v.endPreparing(c, p, text)
 		}
 	case rehearsing:
-		if c.now-l.change.phaseSince >= max(p.RehearsalLength, text.terms.RehearsalLength) {
+		if c.now-leader.change.phaseSince >= max(p.RehearsalLength, text.terms.RehearsalLength) {
 			v.endRehearsal(c, p, text)
 		}
 	case switching:
@@ -59,13 +59,13 @@
 
 // failure is why the open proposal can't take hold: a member that is heard can't follow it, or its time is over. Empty: it may.
 func (v *voter) failure(c *Core, text *policyText) string {
-	l, p := v.leadership, v.table.Proposal
-	for i := range l.holders {
-		if h := &l.holders[i]; h.request.Unsupported == p.ID && v.isHeard(c, h) {
+	leader, p := v.leadership, v.table.Proposal
+	for i := range leader.holders {
+		if h := &leader.holders[i]; h.request.Unsupported == p.ID && v.isHeard(c, h) {
 			return fmt.Sprintf("%s: %s", h.name, h.request.Reason)
 		}
 	}
-	if c.now-l.change.openedAt >= v.proposalTimeout(c, text) {
+	if c.now-leader.change.openedAt >= v.proposalTimeout(c, text) {
 		return "it could not take hold in time: " + v.describeProgress(c)
 	}
 	return ""
@@ -89,16 +89,16 @@
 
 // endPreparing begins the rehearsal, if there is to be one, or the switch.
 func (v *voter) endPreparing(c *Core, p *LoggedProposal, text *policyText) {
-	l := v.leadership
-	if !l.change.rehearsed && max(p.RehearsalLength, text.terms.RehearsalLength) > 0 {
+	leader := v.leadership
+	if !leader.change.rehearsed && max(p.RehearsalLength, text.terms.RehearsalLength) > 0 {
 		v.enterPhase(c, rehearsing)
 		v.broadcast(c)
 		return
 	}
 	c.host.LogEvent(SwitchStarted, "proposal", proposalName(p.ID), "number", v.table.Number+1)
 	v.enterPhase(c, switching)
-	for i := range l.holders {
-		if h := &l.holders[i]; h.leaseClearAt > c.now {
+	for i := range leader.holders {
+		if h := &leader.holders[i]; h.leaseClearAt > c.now {
 			v.sendYield(c, h)
 		}
 	}
@@ -124,10 +124,10 @@
 // advanceSwitch has the proposal decided once no lease runs. Members that don't give theirs up in time are excluded, and leases on the
 // policy in force are granted again.
 func (v *voter) advanceSwitch(c *Core, p *LoggedProposal, text *policyText) {
-	l := v.leadership
+	leader := v.leadership
 	var holding []*leaseHolder
-	for i := range l.holders {
-		if h := &l.holders[i]; h.leaseClearAt > c.now {
+	for i := range leader.holders {
+		if h := &leader.holders[i]; h.leaseClearAt > c.now {
 			holding = append(holding, h)
 		}
 	}
@@ -136,7 +136,7 @@
 		v.appendDecision(c, text)
 		return
 	}
-	if c.now-l.change.phaseSince < YieldTimeout {
+	if c.now-leader.change.phaseSince < YieldTimeout {
 		return
 	}
 	for _, h := range holding {
@@ -169,14 +169,14 @@
 // allPrepared tells whether all members that are heard are ready for the proposal, a majority of the voters among them, and no other
 // member can hold a lease, or an overlap with an earlier proposal, any more. It excludes members that are not ready in time.
 func (v *voter) allPrepared(c *Core) bool {
-	l, p := v.leadership, v.table.Proposal
-	if c.now < l.leasesClearAt || c.now < v.overlapsClearAt(c) {
+	leader, p := v.leadership, v.table.Proposal
+	if c.now < leader.leasesClearAt || c.now < v.overlapsClearAt(c) {
 		return false
 	}
 	all := true
 	voters := 0
-	for i := range l.holders {
-		h := &l.holders[i]
+	for i := range leader.holders {
+		h := &leader.holders[i]
 		if !v.isPrepared(c, h, p) {
 			all = false
 		}
@@ -224,9 +224,9 @@
 
 // describeProgress says for operators how far a change is.
 func (v *voter) describeProgress(c *Core) string {
-	l, p := v.leadership, v.table.Proposal
+	leader, p := v.leadership, v.table.Proposal
 	switch {
-	case l.behind:
+	case leader.behind:
 		return "behind: somebody has gone by more than the voters know; policy force is the way out"
 	case p == nil && v.table.Probation != nil:
 		return fmt.Sprintf("number %d is on probation", v.table.Number)
@@ -235,9 +235,9 @@
 	}
 	ready := 0
 	var notReady []string
-	longest := max(l.leasesClearAt, v.overlapsClearAt(c)) - c.now
-	for i := range l.holders {
-		h := &l.holders[i]
+	longest := max(leader.leasesClearAt, v.overlapsClearAt(c)) - c.now
+	for i := range leader.holders {
+		h := &leader.holders[i]
 		if h.isReady(p) {
 			ready++
 			continue
@@ -247,11 +247,11 @@
 		}
 		longest = max(longest, h.leaseClearAt-c.now)
 	}
-	text := fmt.Sprintf("%s: %d of %d ready", l.change.phase, ready, len(l.holders))
+	text := fmt.Sprintf("%s: %d of %d ready", leader.change.phase, ready, len(leader.holders))
 	if len(notReady) > 0 {
 		text += fmt.Sprintf("; not %s", strings.Join(notReady, ", "))
 	}
-	if longest > 0 && l.change.phase == preparing {
+	if longest > 0 && leader.change.phase == preparing {
 		text += fmt.Sprintf("; leases end in %.1f s", float64(longest)/float64(second))
 	}
 	return truncate(text, maxProgressBytes)
--- a/internal/cluster/rollout/core.go
+++ b/internal/cluster/rollout/core.go
@@ -31,10 +31,18 @@
 	ended       bool             // by Leave
 }
 
-// New starts a process with what its folder holds; stored is nil without a folder. The incarnation tells it from other processes of its
-// name.
-func New(now Time, config *Config, name string, incarnation uint64, random *rand.Rand, stored *StoredState, host Host) *Core {
-	c := &Core{config: config, host: host, random: random, now: now, name: name, incarnation: incarnation}
+// Process is what tells a process from others, and what it starts with.
+type Process struct {
+	Name        string
+	Incarnation uint64 // differs between processes of the same name
+	Random      *rand.Rand
+	Stored      *StoredState // what its folder holds; nil: it has none
+}
+
+// New starts a process.
+func New(now Time, config *Config, process Process, host Host) *Core {
+	stored := process.Stored
+	c := &Core{config: config, host: host, random: process.Random, now: now, name: process.Name, incarnation: process.Incarnation}
 	if stored != nil {
 		c.policies.storedKeys = stored.sortedPolicyKeys()
 	}
--- a/internal/cluster/rollout/leadership.go
+++ b/internal/cluster/rollout/leadership.go
@@ -1,8 +1,6 @@
 package rollout
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
 	// YieldTimeout is for how long members may take to give up their leases before these are granted again: some round trips, and what
@@ -127,25 +125,25 @@
 		v.leadership = nil
 		return
 	}
-	l := &leadership{term: term, startedAt: c.now, change: change{openedAt: c.now, phaseSince: c.now}}
-	l.leasesClearAt = c.now + c.config.leaseMargin(v.table.LeaseDuration)
+	leader := &leadership{term: term, startedAt: c.now, change: change{openedAt: c.now, phaseSince: c.now}}
+	leader.leasesClearAt = c.now + c.config.leaseMargin(v.table.LeaseDuration)
 	if c.config.Mutation == SkipLeaseWait {
-		l.leasesClearAt = c.now
+		leader.leasesClearAt = c.now
 	}
-	v.leadership = l
+	v.leadership = leader
 	c.host.LogEvent(LeaderElected, "term", term, "number", v.table.Number)
 	v.broadcastIfDue(c)
 }
 
 // broadcastIfDue has all members know the leader, so that one that has gone by a later policy says so before the first lease is granted.
 func (v *voter) broadcastIfDue(c *Core) {
-	l := v.leadership
-	if c.now < l.broadcastAt {
+	leader := v.leadership
+	if c.now < leader.broadcastAt {
 		return
 	}
-	l.broadcastAt = c.now + broadcastSlowInterval
-	if !l.proved && c.now < l.leasesClearAt {
-		l.broadcastAt = c.now + broadcastFastInterval
+	leader.broadcastAt = c.now + broadcastSlowInterval
+	if !leader.proved && c.now < leader.leasesClearAt {
+		leader.broadcastAt = c.now + broadcastFastInterval
 	}
 	v.broadcast(c)
 }
@@ -200,15 +198,15 @@
 
 // appendEntry appends an entry to the log, unless another is on its way, and tells whether it did.
 func (v *voter) appendEntry(c *Core, e *logEntry) bool {
-	l := v.leadership
-	if l.pending.appended && c.now-l.pending.since < appendRetryAfter {
+	leader := v.leadership
+	if leader.pending.appended && c.now-leader.pending.since < appendRetryAfter {
 		return false
 	}
 	if err := v.log.Append(encode(e)); err != nil {
 		return false
 	}
-	if v.leadership == l { // which a voter alone may lose by the entry, decided within the call
-		l.pending = pendingEntry{true, c.now}
+	if v.leadership == leader { // a sole voter applies the entry within the call, and may lead no more after it
+		leader.pending = pendingEntry{true, c.now}
 	}
 	return true
 }
--- a/internal/cluster/rollout/lease_grant.go
+++ b/internal/cluster/rollout/lease_grant.go
@@ -12,26 +12,26 @@
 	if v.checkSuperseded(c, m.LeaseRequest.Floor.Era, m.from) {
 		return
 	}
-	l := v.leadership
-	if l == nil {
-		if leader := v.leaderName(); leader != "" && leader != c.name {
-			c.send(m.from, Message{LeaseReply: &LeaseReply{Seq: m.LeaseRequest.Seq, Leader: leader}})
+	leader := v.leadership
+	if leader == nil {
+		if name := v.leaderName(); name != "" && name != c.name {
+			c.send(m.from, Message{LeaseReply: &LeaseReply{Seq: m.LeaseRequest.Seq, Leader: name}})
 		}
 		return
 	}
-	i, ok := l.addHolder(m.from, m.Incarnation)
-	if !ok || m.LeaseRequest.Seq <= l.holders[i].seq {
+	i, ok := leader.addHolder(m.from, m.Incarnation)
+	if !ok || m.LeaseRequest.Seq <= leader.holders[i].seq {
 		return
 	}
-	h := &l.holders[i]
+	h := &leader.holders[i]
 	h.seq, h.request, h.lastHeardAt, h.awaitsReply, h.awaitedRead = m.LeaseRequest.Seq, *m.LeaseRequest, c.now, true, 0
 	if h.request.Leaving {
-		l.holders = slices.Delete(l.holders, i, i+1)
+		leader.holders = slices.Delete(leader.holders, i, i+1)
 		v.advanceProposal(c)
 		return
 	}
 	v.observeRequest(h)
-	if l.change.phase == switching && h.leaseClearAt > c.now && v.table.Proposal != nil {
+	if leader.change.phase == switching && h.leaseClearAt > c.now && v.table.Proposal != nil {
 		v.sendYield(c, h)
 	}
 	v.advanceProposal(c)
@@ -79,23 +79,23 @@
 // confirmLeadership asks a majority whether this voter leads, for all requests that came by now. While it switches to another policy,
 // requests wait for the decision.
 func (v *voter) confirmLeadership(c *Core) {
-	l := v.leadership
-	if l == nil || l.change.phase >= switching {
+	leader := v.leadership
+	if leader == nil || leader.change.phase >= switching {
 		return
 	}
-	if l.confirming.read != 0 && c.now-l.confirming.sentAt < requestRetryMax {
+	if leader.confirming.read != 0 && c.now-leader.confirming.sentAt < requestRetryMax {
 		return
 	}
-	if !slices.ContainsFunc(l.holders, func(h leaseHolder) bool { return h.awaitsReply }) {
-		l.confirming.read = 0
+	if !slices.ContainsFunc(leader.holders, func(h leaseHolder) bool { return h.awaitsReply }) {
+		leader.confirming.read = 0
 		return
 	}
-	l.confirming.count++
-	read := l.term<<readCountBits | l.confirming.count&(1<<readCountBits-1)
-	l.confirming.read, l.confirming.sentAt = read, c.now
-	for i := range l.holders {
-		if l.holders[i].awaitsReply {
-			l.holders[i].awaitedRead = read
+	leader.confirming.count++
+	read := leader.term<<readCountBits | leader.confirming.count&(1<<readCountBits-1)
+	leader.confirming.read, leader.confirming.sentAt = read, c.now
+	for i := range leader.holders {
+		if leader.holders[i].awaitsReply {
+			leader.holders[i].awaitedRead = read
 		}
 	}
 	if c.config.Mutation == GrantWithoutQuorum {
@@ -108,17 +108,17 @@
 // leadershipConfirmed replies to the requests that came before a read. All of them are looked at before the first reply, as one may show
 // that the voters are behind.
 func (v *voter) leadershipConfirmed(c *Core, read uint64) {
-	l := v.leadership
-	if l == nil || read != l.confirming.read {
+	leader := v.leadership
+	if leader == nil || read != leader.confirming.read {
 		return
 	}
-	l.confirming.read = 0
-	if l.change.phase >= switching {
+	leader.confirming.read = 0
+	if leader.change.phase >= switching {
 		return
 	}
 	for _, handle := range []func(*Core, *leaseHolder){v.observeVersion, v.replyTo} {
-		for i := range l.holders {
-			if h := &l.holders[i]; h.awaitsReply && h.awaitedRead == read {
+		for i := range leader.holders {
+			if h := &leader.holders[i]; h.awaitsReply && h.awaitedRead == read {
 				handle(c, h)
 			}
 		}
@@ -130,16 +130,16 @@
 // observeVersion compares what a member has gone by with what is decided here. A later version means that the voters have lost it; a lease
 // on the same one, that nothing later was decided.
 func (v *voter) observeVersion(c *Core, h *leaseHolder) {
-	l, decided, floor := v.leadership, v.table.version(), h.request.Floor
+	leader, decided, floor := v.leadership, v.table.version(), h.request.Floor
 	if decided.Before(floor) {
-		if !l.behind {
-			l.behind = true
+		if !leader.behind {
+			leader.behind = true
 			c.host.LogEvent(VotersBehind, "member", h.name, "goes_by", floor.Number, "era", floor.Era, "number", v.table.Number)
 		}
 		return
 	}
 	if h.request.Holds && floor == decided {
-		l.proved = true
+		leader.proved = true
 	}
 }
 
@@ -156,10 +156,10 @@
 
 // mayHoldLease tells whether a member that has the policy in force and hears may get a lease on it.
 func (v *voter) mayHoldLease(c *Core, h *leaseHolder) bool {
-	l := v.leadership
+	leader := v.leadership
 	has := h.request.Has == v.table.Digest || h.request.ReadyFor != 0 && h.request.ReadyFor == v.table.LastProposal
 	hears := h.seq-h.request.AnsweredSeq <= MaxUnansweredRequests
-	return has && hears && !h.excluded && !l.behind && (l.proved || c.now >= l.leasesClearAt)
+	return has && hears && !h.excluded && !leader.behind && (leader.proved || c.now >= leader.leasesClearAt)
 }
 
 // grantLease adds a lease to a reply and, for a member that is ready for a proposal with an overlap, that overlap.
--- a/internal/cluster/rollout/probation.go
+++ b/internal/cluster/rollout/probation.go
@@ -22,11 +22,11 @@
 	return total
 }
 
-func ratio(part, whole uint64) float64 {
-	if whole == 0 {
+func ratio(count, total uint64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(part) / float64(whole)
+	return float64(count) / float64(total)
 }
 
 // exceededBy says which bound counts exceed, by the names that policies have for them; empty: none.
@@ -62,12 +62,12 @@
 // watchProbation has a policy on probation rolled back once it exceeds its bounds. The rollback is a proposal like any other, and has no
 // probation of its own.
 func (v *voter) watchProbation(c *Core) {
-	l, probation := v.leadership, v.table.Probation
+	leader, probation := v.leadership, v.table.Probation
 	if probation == nil {
 		return
 	}
-	if l.probation.number != probation.Number {
-		l.probation = probationWatch{probation.Number, c.now}
+	if leader.probation.number != probation.Number {
+		leader.probation = probationWatch{probation.Number, c.now}
 	}
 	text := c.policies.find(v.table.Digest)
 	if text == nil || text.state != textUsable || v.table.Proposal != nil {
@@ -81,7 +81,7 @@
 		v.rollBack(c, probation, previous, exceeded)
 		return
 	}
-	if c.now-l.probation.since >= text.terms.Probation {
+	if c.now-leader.probation.since >= text.terms.Probation {
 		v.appendEntry(c, &logEntry{ProbationPassed: probation.Number})
 	}
 }
--- a/internal/cluster/rollout/proposal.go
+++ b/internal/cluster/rollout/proposal.go
@@ -35,15 +35,15 @@
 
 // proposalChanged has the leader begin anew after a proposal was opened, decided or dropped.
 func (v *voter) proposalChanged(c *Core, decided bool) {
-	l := v.leadership
-	if decided && l.change.phase == deciding { // by this leader, so that nobody can know of a later policy
-		l.proved = true
+	leader := v.leadership
+	if decided && leader.change.phase == deciding { // by this leader, so that nobody can know of a later policy
+		leader.proved = true
 	}
-	l.change.openedAt, l.change.rehearsed = c.now, false
+	leader.change.openedAt, leader.change.rehearsed = c.now, false
 	v.enterPhase(c, preparing)
 	if decided {
-		for i := range l.holders {
-			h := &l.holders[i]
+		for i := range leader.holders {
+			h := &leader.holders[i]
 			h.excluded = h.excluded && h.leaseClearAt > c.now
 		}
 	} else {
@@ -66,11 +66,11 @@
 
 // handleProposal takes in a member's proposal. A leader has it wait until its text is here; another voter names the leader.
 func (v *voter) handleProposal(c *Core, m *Message) {
-	request, l := *m.ProposalRequest, v.leadership
+	request, leader := *m.ProposalRequest, v.leadership
 	reply := func(r *ProposalReply) { c.send(m.from, Message{ProposalReply: r}) }
-	if l == nil {
-		if leader := v.leaderName(); leader != "" && leader != c.name {
-			reply(&ProposalReply{ID: request.ID, Leader: leader})
+	if leader == nil {
+		if name := v.leaderName(); name != "" && name != c.name {
+			reply(&ProposalReply{ID: request.ID, Leader: name})
 		}
 		return
 	}
@@ -86,7 +86,7 @@
 		return
 	}
 	reply(&ProposalReply{ID: request.ID})
-	l.addWaiting(m.from, request, c.now)
+	leader.addWaiting(m.from, request, c.now)
 	c.policies.fetch(c, request.Digest, request.Size, []string{m.from})
 	if text := c.policies.find(request.Digest); text != nil && text.state == textMissing {
 		if body := c.host.LoadPolicy(request.Digest); len(body) > 0 && DigestOf(body) == request.Digest {
@@ -128,8 +128,8 @@
 
 // openWaitingProposals has the log open the first proposal whose text is here.
 func (v *voter) openWaitingProposals(c *Core) {
-	l := v.leadership
-	l.waiting = slices.DeleteFunc(l.waiting, func(w waitingProposal) bool {
+	leader := v.leadership
+	leader.waiting = slices.DeleteFunc(leader.waiting, func(w waitingProposal) bool {
 		if v.table.knows(w.ID) || c.now-w.lastHeardAt >= waitingProposalLifetime {
 			return true
 		}
@@ -140,7 +140,7 @@
 			reason := c.name + ": " + text.reason
 			c.send(w.from, Message{ProposalReply: &ProposalReply{ID: w.ID, Outcome: OutcomeRejected, Reason: reason}})
 			return c.now-w.lastHeardAt >= second
-		case text.state == textUsable && !l.pending.appended:
+		case text.state == textUsable && !leader.pending.appended:
 			v.appendEntry(c, &logEntry{Proposal: &LoggedProposal{
 				ID: w.ID, Digest: w.Digest, Size: w.Size, Kind: w.Kind, By: w.from, BaseNumber: w.BaseNumber, RollbackTo: w.RollbackTo,
 				RehearsalLength: w.RehearsalLength, Overlap: text.terms.Overlap,
--- a/internal/cluster/rollout/voter_membership.go
+++ b/internal/cluster/rollout/voter_membership.go
@@ -13,11 +13,11 @@
 // maintainVoters changes the voters to those that are wanted, one at a time: a new one learns the log first, then it takes the place of
 // one that leaves.
 func (v *voter) maintainVoters(c *Core) {
-	l := v.leadership
-	if c.now < l.maintainVotersAt {
+	leader := v.leadership
+	if c.now < leader.maintainVotersAt {
 		return
 	}
-	l.maintainVotersAt = c.now + maintainVotersInterval
+	leader.maintainVotersAt = c.now + maintainVotersInterval
 	for _, name := range v.table.WantedVoters {
 		if v.addVoter(c, name) {
 			return
@@ -82,16 +82,16 @@
 
 // isGone tells whether a voter was not heard for long enough that another may take its place.
 func (v *voter) isGone(c *Core, replicaID uint64) bool {
-	l := v.leadership
+	leader := v.leadership
 	if v.log.IsActive(replicaID) {
-		l.missing = missingVoter{0, c.now}
+		leader.missing = missingVoter{0, c.now}
 		return false
 	}
-	if l.missing.replicaID != replicaID {
-		l.missing = missingVoter{replicaID, c.now}
+	if leader.missing.replicaID != replicaID {
+		leader.missing = missingVoter{replicaID, c.now}
 		return false
 	}
-	return c.now-l.missing.since >= voterGoneAfter
+	return c.now-leader.missing.since >= voterGoneAfter
 }
 
 // surplusVoter is a voter that is not wanted; nil: there is none. The leader itself comes last.
--- a/internal/testbed/rolloutmodel/system.go
+++ b/internal/testbed/rolloutmodel/system.go
@@ -59,7 +59,7 @@
 	p := s.processes[index]
 	s.starts++
 	p.incarnation, p.inForce = s.starts, rollout.InForce{}
-	p.core = rollout.New(s.clock(p), s.config, p.name, p.incarnation, newRandom(), stored, host{s, index})
+	p.core = rollout.New(s.clock(p), s.config, rollout.Process{Name: p.name, Incarnation: p.incarnation, Random: newRandom(), Stored: stored}, host{s, index})
 	for _, text := range policyTexts {
 		p.core.AddPolicy(text)
 	}
--- a/internal/testbed/simcluster/rollout_cluster.go
+++ b/internal/testbed/simcluster/rollout_cluster.go
@@ -102,7 +102,9 @@
 		panic(kept.Err())
 	}
 	p.core = nil
-	p.core = rollout.New(p.clock(), p.cluster.plan, p.name, p.cluster.starts, rand.New(rand.NewPCG(p.cluster.random.Uint64(), 4)), kept, p)
+	p.core = rollout.New(p.clock(), p.cluster.plan, rollout.Process{
+		Name: p.name, Incarnation: p.cluster.starts, Random: rand.New(rand.NewPCG(p.cluster.random.Uint64(), 4)), Stored: kept,
+	}, p)
 }
 
 // kill ends a process; of what its disk had not yet, any first part survives.
