--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -46,7 +46,8 @@
 	unlock func() error
 	limits Limits
 
-	mu       sync.Mutex // guards the fields up to counts
+	// mu guards the fields up to counts. Only the writer changes index and segments, so that it reads segments without mu.
+	mu       sync.Mutex
 	index    index
 	segments []*segment // oldest first; their numbers are consecutive
 	queue    []write
