--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -175,35 +175,38 @@
 	}
 }
 
-// Answers without an end, whole or in part, end their connection, and the request goes out again.
-func TestEndlessAnswers(t *testing.T) {
-	const id = "00000000000000aa"
-	forever := func(next func(n int) []byte) func(k net.Conn) {
-		return func(k net.Conn) {
-			for n := 0; ; n++ {
-				if _, err := k.Write(next(n)); err != nil {
-					return
-				}
+// endlessAnswer is a way in which an engine answers a request without an end.
+type endlessAnswer struct {
+	what, code string
+	flood      func(k net.Conn)
+}
+
+// writeForever writes answers until the connection ends.
+func writeForever(next func(n int) []byte) func(k net.Conn) {
+	return func(k net.Conn) {
+		for n := 0; ; n++ {
+			if _, err := k.Write(next(n)); err != nil {
+				return
 			}
 		}
 	}
-	for _, c := range []struct {
-		what, code string
-		flood      func(k net.Conn)
-	}{
-		{"notes", "bad_answer", forever(func(n int) []byte {
+}
+
+func endlessAnswers(id string) []endlessAnswer {
+	return []endlessAnswer{
+		{"notes", "bad_answer", writeForever(func(n int) []byte {
 			return resp.AppendArray(nil, id, "news", fmt.Sprintf("res=so_far,v=0.%d", n%9+1), "")
 		})},
-		{"answers of nobody", "bad_answer", forever(func(n int) []byte {
+		{"answers of nobody", "bad_answer", writeForever(func(n int) []byte {
 			return resp.AppendArray(nil, fmt.Sprintf("f%015x", n), "data", "pages=1,cost=1,need=1", "a\tb\tc\n")
 		})},
-		{"pages of no result", "bad_answer", forever(func(n int) []byte { return resp.AppendArray(nil, id, "page", "page=1", "a\tb\tc\n") })},
+		{"pages of no result", "bad_answer", writeForever(func(int) []byte { return resp.AppendArray(nil, id, "page", "page=1", "a\tb\tc\n") })},
 		{"the same page", "bad_answer", func(k net.Conn) {
-			k.Write(resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n"))
-			forever(func(n int) []byte { return resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n") })(k)
+			_, _ = k.Write(resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n"))
+			writeForever(func(int) []byte { return resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n") })(k)
 		}},
 		{"one array that grows", "cut_short", func(k net.Conn) {
-			io.WriteString(k, "*4\r\n$16\r\n"+id+"\r\n$4\r\ndata\r\n$7\r\npages=1\r\n$5000\r\n")
+			_, _ = io.WriteString(k, "*4\r\n$16\r\n"+id+"\r\n$4\r\ndata\r\n$7\r\npages=1\r\n$5000\r\n")
 			for {
 				if _, err := k.Write([]byte("a")); err != nil {
 					return
@@ -211,7 +214,13 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 		}},
-	} {
+	}
+}
+
+// Answers without an end, whole or in part, end their connection, and the request goes out again.
+func TestEndlessAnswers(t *testing.T) {
+	const id = "00000000000000aa"
+	for _, c := range endlessAnswers(id) {
 		t.Run(c.what, func(t *testing.T) {
 			e := newFakeEngine(t, "e1")
 			s := startFixture(t, e)
--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -37,19 +37,19 @@
 var departures = map[string]func(c *testClient){
 	"closes": func(c *testClient) { c.socket.Close() },
 	"resets": func(c *testClient) {
-		c.socket.(*net.TCPConn).SetLinger(0)
+		_ = asTCP(c.socket).SetLinger(0)
 		c.socket.Close()
 	},
 	"closes behind a command": func(c *testClient) {
-		c.socket.Write([]byte{1, 0, 0, 0, 0x0e})
+		_, _ = c.socket.Write([]byte{1, 0, 0, 0, 0x0e})
 		c.socket.Close()
 	},
 	"closes behind half a command": func(c *testClient) {
-		c.socket.Write([]byte{9, 0})
+		_, _ = c.socket.Write([]byte{9, 0})
 		c.socket.Close()
 	},
 	"quits": func(c *testClient) {
-		c.socket.Write([]byte{1, 0, 0, 0, 0x01})
+		_, _ = c.socket.Write([]byte{1, 0, 0, 0, 0x01})
 		c.socket.Close()
 	},
 }
@@ -63,11 +63,15 @@
 
 // endArrived tells whether the system has got the other side's end of a connection, also behind unread bytes.
 func endArrived(tcp net.Conn) (arrived bool) {
-	raw, err := tcp.(*net.TCPConn).SyscallConn()
+	connection, ok := tcp.(*net.TCPConn)
+	if !ok {
+		return false
+	}
+	raw, err := connection.SyscallConn()
 	if err != nil {
 		return false
 	}
-	raw.Control(func(fd uintptr) {
+	_ = raw.Control(func(fd uintptr) {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		_, err = unix.Poll(polled, 0)
 		arrived = err == nil && polled[0].Revents != 0
@@ -240,7 +244,7 @@
 	a := s.newClient()
 	a.sendLook("aa")
 	e.receive()
-	a.socket.Write(bytes.Repeat([]byte{1, 0, 0, 0, 0x0e}, maxReadAhead))
+	_, _ = a.socket.Write(bytes.Repeat([]byte{1, 0, 0, 0, 0x0e}, maxReadAhead))
 	if p := a.packet(); p[0] != 0xff || !strings.Contains(string(p), "too much was sent") {
 		t.Errorf("the client got %q", p)
 	}
@@ -294,7 +298,7 @@
 	m.beginInterruptibleRead(near)
 	m.endInterruptibleRead()
 	m.Put(call) // after the read: the next one is not disturbed
-	go far.Write([]byte{1})
+	go func() { _, _ = far.Write([]byte{1}) }()
 	if _, err := near.Read(make([]byte, 1)); err != nil {
 		t.Errorf("a call after the read disturbed the next: %v", err)
 	}
--- a/internal/router/client_session_test.go
+++ b/internal/router/client_session_test.go
@@ -92,7 +92,7 @@
 			b.packet()
 		}
 		s.tracef("client sends %s", c.what)
-		b.socket.Write(c.sends)
+		_, _ = b.socket.Write(c.sends)
 		if b.expectAnswer(); c.code == "closed" {
 			b.socket.Close()
 		}
@@ -132,14 +132,14 @@
 		b.expectAnswer()
 	}
 	b := s.newClient()
-	b.socket.Write([]byte{0xff, 0xff, 0xff, 0})
+	_, _ = b.socket.Write([]byte{0xff, 0xff, 0xff, 0})
 	b.expectAnswer()
 	b.expectAnswer()
 	b = s.newClient()
 	b.send(0, nil)
 	b.expectAnswer()
 	b = s.newClient()
-	b.socket.Write([]byte{9, 0})
+	_, _ = b.socket.Write([]byte{9, 0})
 	b.socket.Close()
 	for _, code := range []string{"quit", "denied", "bad_login", "too_large", "bad_packet", "closed"} {
 		s.awaitLog("code=" + code)
--- a/internal/router/connection_limiter_test.go
+++ b/internal/router/connection_limiter_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"slices"
 	"testing"
 	"time"
@@ -56,13 +55,14 @@
 	d := connectionLimiter{limit: 3}
 	var in []*clientSession
 	for n, says := range []string{"hello", "", "", "hello", "hello", "hello"} {
-		c, err := net.Dial("tcp", l.Addr().String())
+		c, err := dialTCP(l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.closers = append(s.closers, c)
 		tcp, _ := l.Accept()
-		if io.WriteString(c, says); says != "" {
+		_, _ = io.WriteString(c, says)
+		if says != "" {
 			for !hasInput(tcp) {
 				time.Sleep(time.Millisecond)
 			}
--- a/internal/router/cut_test.go
+++ b/internal/router/cut_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"strings"
 	"testing"
 	"time"
@@ -31,12 +30,12 @@
 	defer s.close()
 	whole := append(loginPacket(), queryPacket("aa")...)
 	for cut := range whole {
-		c, err := net.Dial("tcp", s.address)
+		c, err := dialTCP(s.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Write(whole[:cut])
-		c.(*net.TCPConn).SetLinger(0)
+		_, _ = c.Write(whole[:cut])
+		_ = asTCP(c).SetLinger(0)
 		c.Close()
 	}
 	eventually(t, "nothing is kept of clients that are gone", func() bool { return s.kept() == 0 })
@@ -59,14 +58,14 @@
 		s.out.Reset()
 		a.sendLook(id[14:])
 		h := <-e.received
-		h.c.Write(whole[:cut])
-		h.c.(*net.TCPConn).SetLinger(0)
+		_, _ = h.c.Write(whole[:cut])
+		_ = asTCP(h.c).SetLinger(0)
 		h.c.Close()
 		h = <-e.received
 		if h.parts[0] != "do" || h.parts[1] != id {
 			t.Fatalf("after %d bytes the engine heard %q", cut, h.parts)
 		}
-		h.c.Write(whole)
+		_, _ = h.c.Write(whole)
 		a.expectAnswer()
 		if !strings.Contains(s.out.String(), `client gets: rows "\x01a\x01b\x01c"`) {
 			t.Errorf("after %d bytes: %s", cut, s.out.String())
@@ -90,8 +89,8 @@
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
 	for cut := range whole {
 		k := polled(t, l)
-		k.Write([]byte(whole[:cut]))
-		k.(*net.TCPConn).SetLinger(0)
+		_, _ = k.Write([]byte(whole[:cut]))
+		_ = asTCP(k).SetLinger(0)
 		k.Close()
 	}
 	known := make(chan int, 1)
@@ -99,7 +98,7 @@
 	if n := <-known; n != 0 {
 		t.Errorf("%d engines known from answers that broke off", n)
 	}
-	polled(t, l).Write([]byte(whole))
+	_, _ = polled(t, l).Write([]byte(whole))
 	s.requireOnlyReceives(e, "aa")
 }
 
--- a/internal/router/driver_test.go
+++ b/internal/router/driver_test.go
@@ -13,10 +13,38 @@
 	"magpiebank/internal/testbed/fake"
 )
 
+// ask sends a query and counts the rows of its result, each of which must be as the engine makes it.
+func ask(ctx context.Context, t *testing.T, db *sql.DB, class, id, statement string) (rows int, err error) {
+	t.Helper()
+	got, err := db.QueryContext(ctx, "/* class="+class+",id="+id+",wait=1900 */ "+statement)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = got.Close() }()
+	for got.Next() {
+		var a, b, c string
+		if err := got.Scan(&a, &b, &c); err != nil || a != id || b != fmt.Sprintf("%d/500", rows+1) || c != "acta" {
+			t.Fatalf("%v: %q %q %q", err, a, b, c)
+		}
+		rows++
+	}
+	return rows, got.Err()
+}
+
+// errorNumber returns the number of an error packet, 0 for other errors.
+func errorNumber(err error) uint16 {
+	var e *driver.MySQLError
+	errors.As(err, &e)
+	if e == nil {
+		return 0
+	}
+	return e.Number
+}
+
 // The server's side against a client that others wrote: ping, rows, an answer that failed, a cancelled context, a
 // refusal.
 func TestDriver(t *testing.T) {
-	driver.SetLogger(&driver.NopLogger{})
+	_ = driver.SetLogger(&driver.NopLogger{})
 	e, err := fake.StartEngine("e-1", "127.0.0.1:0", fake.EngineBehavior{Threads: 4, Cores: 8, Works: []fake.Work{
 		{Contains: "slow", Service: fake.ServiceTime{Mean: 30 * time.Second}}, {Rows: 500}}}, fake.NewExecutionLog(), 1)
 	if err != nil {
@@ -34,60 +62,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for by := time.Now().Add(5 * time.Second); db.Ping() != nil; time.Sleep(10 * time.Millisecond) {
+	for by := time.Now().Add(5 * time.Second); db.PingContext(context.Background()) != nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatal(db.Ping())
-		}
-	}
-	ask := func(ctx context.Context, class, id, statement string) (rows int, err error) {
-		got, err := db.QueryContext(ctx, "/* class="+class+",id="+id+",wait=1900 */ "+statement)
-		if err != nil {
-			return 0, err
-		}
-		defer got.Close()
-		for got.Next() {
-			var a, b, c string
-			if err := got.Scan(&a, &b, &c); err != nil || a != id || b != fmt.Sprintf("%d/500", rows+1) || c != "acta" {
-				t.Fatalf("%v: %q %q %q", err, a, b, c)
-			}
-			rows++
-		}
-		return rows, got.Err()
-	}
-	number := func(err error) uint16 {
-		var e *driver.MySQLError
-		errors.As(err, &e)
-		if e == nil {
-			return 0
+			t.Fatal(db.PingContext(context.Background()))
 		}
-		return e.Number
 	}
 	ctx := context.Background()
-	if rows, err := ask(ctx, "look", "00000000000000a1", "SELECT a FROM actas_3.m"); rows != 500 || err != nil {
+	if rows, err := ask(ctx, t, db, "look", "00000000000000a1", "SELECT a FROM actas_3.m"); rows != 500 || err != nil {
 		t.Errorf("rows: %d, %v", rows, err)
 	}
 	e.FailQueries(1)
-	if _, err := ask(ctx, "load", "00000000000000a2", "SELECT a FROM actas_3.m"); number(err) != 1317 {
+	if _, err := ask(ctx, t, db, "load", "00000000000000a2", "SELECT a FROM actas_3.m"); errorNumber(err) != 1317 {
 		t.Errorf("an answer that failed: %v", err)
 	}
 	e.FailQueries(0)
 	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	if _, err := ask(short, "look", "00000000000000a3", "SELECT slow FROM actas_3.m"); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := ask(short, t, db, "look", "00000000000000a3", "SELECT slow FROM actas_3.m"); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("a cancelled context: %v", err)
 	}
 	entry.State = "Gone"
 	list.Publish(entry)
 	for by := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until the gateway has heard of it
-		_, err := ask(ctx, "look", fmt.Sprintf("%016x", time.Now().UnixNano()), "SELECT a FROM actas_3.m")
-		if number(err) == 1203 {
+		_, err := ask(ctx, t, db, "look", fmt.Sprintf("%016x", time.Now().UnixNano()), "SELECT a FROM actas_3.m")
+		if errorNumber(err) == 1203 {
 			break
 		}
 		if time.Now().After(by) {
 			t.Fatalf("no engine: %v", err)
 		}
 	}
-	db.Close()
+	_ = db.Close()
 	stop()
 }
 
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -175,7 +175,7 @@
 		a := s.newClient()
 		a.sendLook("aa")
 		k := e.receive()
-		io.WriteString(k, c.answer)
+		_, _ = io.WriteString(k, c.answer)
 		if c.code == "closed" {
 			k.Close()
 		}
@@ -253,13 +253,18 @@
 	if ask("bb") != k {
 		t.Error("an idle connection was not used again")
 	}
-	k.(*net.TCPConn).SetLinger(0)
+	_ = asTCP(k).SetLinger(0)
 	k.Close()
 	k = e.receive()
 	answer(k, "bb")
 	fresh := make(chan time.Duration)
 	s.onOwner(func(admission.Time) {
-		engine := s.o.engines["e1"].(*enginePool)
+		engine, ok := s.o.engines["e1"].(*enginePool)
+		if !ok {
+			t.Errorf("the client of the engine is %T", s.o.engines["e1"])
+			fresh <- 0
+			return
+		}
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
 		fresh <- engine.maxIdle()
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -26,8 +27,37 @@
 	parts []string
 }
 
+// dialTCP and listenTCP leave the end of what they open to the caller.
+func dialTCP(address string) (net.Conn, error) {
+	var dialer net.Dialer
+	return dialer.DialContext(context.Background(), "tcp", address)
+}
+
+func listenTCP(address string) (net.Listener, error) {
+	var config net.ListenConfig
+	return config.Listen(context.Background(), "tcp", address)
+}
+
+// asTCP and asTCPListener panic if a test's connection or listener is not of TCP.
+func asTCP(c net.Conn) *net.TCPConn {
+	tcp, ok := c.(*net.TCPConn)
+	if !ok {
+		panic(fmt.Sprintf("a connection of type %T", c))
+	}
+	return tcp
+}
+
+func asTCPListener(l net.Listener) *net.TCPListener {
+	tcp, ok := l.(*net.TCPListener)
+	if !ok {
+		panic(fmt.Sprintf("a listener of type %T", l))
+	}
+	return tcp
+}
+
 func newFakeEngine(t *testing.T, name string) *fakeEngine {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	l, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +97,7 @@
 		}
 		buffer = buffer[n:]
 		if words[0] == "top" {
-			c.Write(resp.AppendArray(nil, words[1], "well", "gauges=util:0.2", ""))
+			_, _ = c.Write(resp.AppendArray(nil, words[1], "well", "gauges=util:0.2", ""))
 			continue
 		}
 		e.received <- receivedCommand{c, words}
@@ -83,7 +113,7 @@
 
 func (e *fakeEngine) reply(c net.Conn, parts ...string) {
 	e.fixture.tracef("%s says: %s", e.name, strings.Join(parts, " | "))
-	c.Write(resp.AppendArray(nil, parts...))
+	_, _ = c.Write(resp.AppendArray(nil, parts...))
 }
 
 // client speaks the client's side, and logs in before it reads the greeting.
@@ -112,7 +142,7 @@
 }
 
 func (s *fixture) dial() *testClient {
-	c, err := net.Dial("tcp", s.address)
+	c, err := dialTCP(s.address)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -121,7 +151,7 @@
 }
 
 func (c *testClient) send(number byte, payload []byte) {
-	c.socket.Write(append([]byte{byte(len(payload)), byte(len(payload) >> 8), 0, number}, payload...))
+	_, _ = c.socket.Write(append([]byte{byte(len(payload)), byte(len(payload) >> 8), 0, number}, payload...))
 }
 
 func (c *testClient) packet() []byte {
@@ -131,7 +161,7 @@
 	}
 	length, _ := mysql.ParseHeader(head)
 	payload := make([]byte, length)
-	io.ReadFull(c.reader, payload)
+	_, _ = io.ReadFull(c.reader, payload)
 	return payload
 }
 
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -115,10 +115,12 @@
 
 // play starts a router that knows the given engines.
 func startFixture(t *testing.T, engines ...*fakeEngine) *fixture {
+	t.Helper()
 	return startFixtureWith(t, settings, engines...)
 }
 
 func startFixtureWith(t *testing.T, settings string, engines ...*fakeEngine) *fixture {
+	t.Helper()
 	s := &fixture{t: t, clock: &manualClock{now: 17e12, timers: map[*manualTimer]bool{}}, stop: make(chan struct{}),
 		ended: make(chan struct{}), list: make(chan string, 8), polls: make(chan string, 8), listIndex: 1,
 		renewed: make(chan *config.Config)}
@@ -164,7 +166,7 @@
 func (s *fixture) onOwner(call func(now admission.Time)) { s.o.post(ownerCall(call)) }
 
 func (s *fixture) listen() net.Listener {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -190,26 +192,7 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				r := bufio.NewReader(c)
-				for {
-					line, err := r.ReadString('\n')
-					if err != nil {
-						return
-					}
-					if !strings.HasPrefix(line, "GET ") {
-						continue
-					}
-					s.polls <- line
-					body := `{"index":1,"updates":[]}`
-					select {
-					case body = <-s.list:
-					case <-time.After(200 * time.Millisecond):
-					}
-					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-				}
-			}()
+			go s.answerPolls(c)
 		}
 	}()
 	go func() { // polls that nobody waits for
@@ -219,6 +202,28 @@
 	return l.Addr().String()
 }
 
+// answerPolls answers the polls on one connection.
+func (s *fixture) answerPolls(c net.Conn) {
+	defer c.Close()
+	r := bufio.NewReader(c)
+	for {
+		line, err := r.ReadString('\n')
+		if err != nil {
+			return
+		}
+		if !strings.HasPrefix(line, "GET ") {
+			continue
+		}
+		s.polls <- line
+		body := `{"index":1,"updates":[]}`
+		select {
+		case body = <-s.list:
+		case <-time.After(200 * time.Millisecond):
+		}
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	}
+}
+
 // told lets the engine list tell an event, and waits until the router has it.
 func (s *fixture) announceEngine(e *fakeEngine, state string) {
 	e.fixture = s
@@ -264,12 +269,12 @@
 		s.stopGateway()
 	}
 	for _, c := range s.closers {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
 // nobody listens as long as the tests run and never answers.
-var nobody = sync.OnceValues(func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") })
+var nobody = sync.OnceValues(func() (net.Listener, error) { return listenTCP("127.0.0.1:0") })
 
 // leave has the router leave its engine list and stop with nothing in hand: else it would dial addresses that the next test's
 // peers get.
@@ -303,8 +308,8 @@
 	s.close()
 	path := "testdata/" + name + ".txt"
 	if *keep {
-		os.MkdirAll("testdata", 0o755)
-		os.WriteFile(path, []byte(s.out.String()), 0o644)
+		_ = os.MkdirAll("testdata", 0o755)
+		_ = os.WriteFile(path, []byte(s.out.String()), 0o644)
 	}
 	if want, err := os.ReadFile(path); err != nil || s.out.String() != string(want) {
 		s.t.Errorf("got:\n%s\nkept:\n%s\n%v\nlog:\n%s", s.out.String(), want, err, s.log.String())
--- a/internal/router/owner_test.go
+++ b/internal/router/owner_test.go
@@ -11,58 +11,88 @@
 	"magpiebank/internal/admission"
 )
 
+// eventStorm handles random events, whatever order they come in.
+type eventStorm struct {
+	t        *testing.T
+	o        *owner
+	rng      *rand.Rand
+	now      admission.Time
+	attempts []*attempt // that have not ended
+}
+
+// handleEvent handles one random event.
+func (e *eventStorm) handleEvent() {
+	name := admission.EngineID(fmt.Sprint("e", e.rng.Intn(5)))
+	switch e.rng.Intn(8) {
+	case 0, 1:
+		l := []admission.Endpoint{{Engine: name, State: admission.EndpointState(e.rng.Intn(3))},
+			{Engine: name, State: admission.EndpointState(e.rng.Intn(3))}}
+		e.o.handleEndpoints(e.now, admission.UpdateKind(e.rng.Intn(3)), l, []string{"127.0.0.1:1", "127.0.0.1:2"})
+	case 2, 3:
+		e.handleRequest(uint32(e.rng.Intn(20)))
+	case 4:
+		e.o.killQuery(e.now, uint32(e.rng.Intn(25)))
+	case 5, 6:
+		if len(e.attempts) > 0 {
+			e.o.handleAttemptEnd(e.now, e.attempts[e.rng.Intn(len(e.attempts))], admission.Outcome(e.rng.Intn(9)))
+		}
+	default:
+		e.o.admission.HandleProbeResult(e.now, name, admission.Outcome(e.rng.Intn(9)), admission.NoReport)
+		e.now += admission.Time(e.rng.Intn(50))
+	}
+}
+
+// handleRequest hands in a request on a connection, unless one is in hand there.
+func (e *eventStorm) handleRequest(connectionID uint32) {
+	o := e.o
+	if o.sessions[connectionID] != nil && o.sessions[connectionID].request != nil {
+		return
+	}
+	session := &clientSession{owner: o, connectionID: connectionID, events: newSessionQueue(func(sessionEvent) {})}
+	o.sessions[connectionID] = session
+	session.request = &request{id: admission.RequestID(fmt.Sprint(e.rng.Intn(30))), responder: session, class: e.rng.Intn(2), deadline: e.now + admission.Second}
+	o.handleRequest(e.now, session.request)
+}
+
+// trackAttempts takes in the attempts that have started, with a state, and leaves out those that have ended.
+func (e *eventStorm) trackAttempts(state int32) {
+	for _, session := range e.o.sessions {
+		if session.request == nil {
+			continue
+		}
+		if attempt := session.request.current; attempt != nil && !slices.Contains(e.attempts, attempt) {
+			attempt.state.Store(state)
+			e.attempts = append(e.attempts, attempt)
+		}
+	}
+	e.attempts = slices.DeleteFunc(e.attempts, func(attempt *attempt) bool { return attempt.ended && attempt.cancelOutcome == admission.Served })
+}
+
+// checkCopies fails the test if a request has two attempts.
+func (e *eventStorm) checkCopies(n int) {
+	copies := map[admission.RequestID]int{}
+	for _, attempt := range e.attempts {
+		copies[attempt.requestID]++
+		if copies[attempt.requestID] == 2 {
+			e.t.Errorf("event %d: two attempts of request %s are out", n, attempt.requestID)
+		}
+	}
+}
+
 // No order of events brings the owner down, and nothing is kept of what is over.
 func TestOwnerTakesEventsInAnyOrder(t *testing.T) {
 	s := startFixture(t)
 	done := make(chan struct{})
 	s.onOwner(func(now admission.Time) {
 		defer close(done)
-		o, rng := s.o, rand.New(rand.NewSource(1))
-		var out []*attempt
+		storm := &eventStorm{t: t, o: s.o, rng: rand.New(rand.NewSource(1)), now: now}
 		for n := range 20000 {
-			name := admission.EngineID(fmt.Sprint("e", rng.Intn(5)))
-			switch rng.Intn(8) {
-			case 0, 1:
-				l := []admission.Endpoint{{Engine: name, State: admission.EndpointState(rng.Intn(3))},
-					{Engine: name, State: admission.EndpointState(rng.Intn(3))}}
-				o.handleEndpoints(now, admission.UpdateKind(rng.Intn(3)), l, []string{"127.0.0.1:1", "127.0.0.1:2"})
-			case 2, 3:
-				c := uint32(rng.Intn(20))
-				if o.sessions[c] == nil || o.sessions[c].request == nil {
-					k := &clientSession{owner: o, connectionID: c, events: newSessionQueue(func(sessionEvent) {})}
-					o.sessions[c] = k
-					k.request = &request{id: admission.RequestID(fmt.Sprint(rng.Intn(30))), responder: k, class: rng.Intn(2), deadline: now + admission.Second}
-					o.handleRequest(now, k.request)
-				}
-			case 4:
-				o.killQuery(now, uint32(rng.Intn(25)))
-			case 5, 6:
-				if len(out) > 0 {
-					o.handleAttemptEnd(now, out[rng.Intn(len(out))], admission.Outcome(rng.Intn(9)))
-				}
-			default:
-				o.admission.HandleProbeResult(now, name, admission.Outcome(rng.Intn(9)), admission.NoReport)
-				now += admission.Time(rng.Intn(50))
-			}
+			storm.handleEvent()
 			if n%1000 == 0 { // each goes on by itself
-				o.admission.Tick(now)
-			}
-			for _, c := range o.sessions {
-				if c.request == nil {
-					continue
-				}
-				if attempt := c.request.current; attempt != nil && !slices.Contains(out, attempt) {
-					attempt.state.Store([]int32{attemptUnwritten, attemptWritten}[n%2])
-					out = append(out, attempt)
-				}
-			}
-			out = slices.DeleteFunc(out, func(attempt *attempt) bool { return attempt.ended && attempt.cancelOutcome == admission.Served })
-			copies := map[admission.RequestID]int{}
-			for _, attempt := range out {
-				if copies[attempt.requestID]++; copies[attempt.requestID] == 2 {
-					t.Errorf("event %d: two attempts of request %s are out", n, attempt.requestID)
-				}
+				storm.o.admission.Tick(storm.now)
 			}
+			storm.trackAttempts([]int32{attemptUnwritten, attemptWritten}[n%2])
+			storm.checkCopies(n)
 		}
 	})
 	<-done
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"log/slog"
 	"net"
@@ -56,7 +57,7 @@
 	if err := os.WriteFile(path, []byte(configuration), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	process = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %q", descriptors, os.Args[0]))
+	process = exec.CommandContext(context.Background(), "/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %q", descriptors, os.Args[0]))
 	process.Env = append(os.Environ(), asRouter+"="+path)
 	log = &lockedBuffer{}
 	process.Stderr = log
@@ -64,8 +65,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		process.Process.Kill()
-		process.Wait()
+		_ = process.Process.Kill()
+		_ = process.Wait()
 	})
 	return process, log
 }
@@ -73,7 +74,7 @@
 // freeAddress is an address on which nobody listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,12 +84,12 @@
 
 // logIn connects a client; nil: it was turned away or shut out.
 func logIn(address string) *testClient {
-	c, err := net.Dial("tcp", address)
+	c, err := dialTCP(address)
 	if err != nil {
 		return nil
 	}
 	c.SetDeadline(time.Now().Add(eventuallyTimeout))
-	c.Write(loginPacket())
+	_, _ = c.Write(loginPacket())
 	k := &testClient{socket: c, reader: bufio.NewReader(c)}
 	if k.packet()[0] != 10 || k.packet()[0] != 0 {
 		c.Close()
@@ -119,7 +120,7 @@
 	}()
 	fill := func() {
 		for range 3 * descriptors {
-			c, err := net.Dial("tcp", address)
+			c, err := dialTCP(address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -141,7 +142,7 @@
 			return false
 		}
 		defer k.socket.Close()
-		k.socket.Write(queryPacket(fmt.Sprintf("%02x", len(crowd)%256)))
+		_, _ = k.socket.Write(queryPacket(fmt.Sprintf("%02x", len(crowd)%256)))
 		served = k.packet()[0] == 3 // the columns of a result
 		fill()
 		return served
--- a/internal/router/shapes_test.go
+++ b/internal/router/shapes_test.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 	"database/sql"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -32,91 +32,113 @@
  {"name":"report","sloUs":2000000,"worth":4,"effect":"read_like","servedOn":[0]}],` + shapeLanes + `}`
 )
 
+// query sends a query and reads its result.
+func query(db *sql.DB, class, id string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	rows, err := db.QueryContext(ctx, "/* class="+class+",id="+id+",wait=1900 */ SELECT a FROM t.m")
+	if err != nil {
+		return err
+	}
+	defer func() { _ = rows.Close() }()
+	for rows.Next() {
+	}
+	return rows.Err()
+}
+
+// served counts the requests of clients that were served, by the prefix of their ids and their class.
+type served struct {
+	mu    sync.Mutex
+	count map[string]int
+}
+
+// ask sends a client's requests one after the other. Each must get one answer: a result, or an error of the gateway's.
+func (s *served) ask(t *testing.T, db *sql.DB, prefix string, client int) {
+	t.Helper()
+	for n := range 40 {
+		class := []string{"look", "look", "look", "report"}[n%4]
+		id := fmt.Sprintf("%s%02x%011x%d", prefix, client, n, n%4/3) // ends in 1: a report
+		err := query(db, class, id)
+		if rejection := (*driver.MySQLError)(nil); err != nil && !errors.As(err, &rejection) {
+			t.Errorf("%s: no answer from the gateway: %v", id, err)
+		}
+		if err == nil {
+			s.mu.Lock()
+			s.count[prefix+" "+class]++
+			s.mu.Unlock()
+		}
+	}
+}
+
+// check fails the test if less than nine tenths of the requests of a prefix and class were served.
+func (s *served) check(t *testing.T) {
+	t.Helper()
+	for _, k := range []string{"0a look", "0a report", "0b look", "0b report"} {
+		most := 40
+		if strings.HasSuffix(k, "look") {
+			most = 120
+		}
+		if s.count[k] < most*9/10 {
+			t.Errorf("%s: %d of %d delivered", k, s.count[k], most)
+		}
+	}
+}
+
+// startEngines starts two engines of kind a and one of kind b, each with the log of its kind.
+func startEngines(t *testing.T, behavior fake.EngineBehavior, logs map[string]*fake.ExecutionLog) (entries []fake.Endpoint) {
+	t.Helper()
+	for i, kind := range []string{"a", "a", "b"} {
+		e, err := fake.StartEngine(fmt.Sprint("e-", i), "127.0.0.1:0", behavior, logs[kind], uint64(i+1))
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { e.Close() })
+		entries = append(entries, fake.Endpoint{ID: e.Name, Address: e.Address, Zone: "hall", Kind: kind, State: "Ready"})
+	}
+	return entries
+}
+
 // Gateways of both shapes before the same engines: each request gets one answer, reports of the new shape run on
 // kind a only, neither shape starves the other, and once the list says that the engine of kind b drains, neither
 // sends it more.
 func TestShapesSide(t *testing.T) {
-	driver.SetLogger(&driver.NopLogger{})
+	_ = driver.SetLogger(&driver.NopLogger{})
 	kindA, kindB := fake.NewExecutionLog(), fake.NewExecutionLog()
 	manner := fake.EngineBehavior{Threads: 4, Cores: 4, MaxHeld: 40, NoteInterval: 100 * time.Millisecond, Works: []fake.Work{
 		{Class: "look", Service: fake.ServiceTime{Mean: 20 * time.Millisecond}},
 		{Class: "report", Service: fake.ServiceTime{Mean: 150 * time.Millisecond}}}}
-	var entries []fake.Endpoint
-	for i, kind := range []string{"a", "a", "b"} {
-		log := kindA
-		if kind == "b" {
-			log = kindB
-		}
-		e, err := fake.StartEngine(fmt.Sprint("e-", i), "127.0.0.1:0", manner, log, uint64(i+1))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer e.Close()
-		entries = append(entries, fake.Endpoint{ID: e.Name, Address: e.Address, Zone: "hall", Kind: kind, State: "Ready"})
-	}
+	entries := startEngines(t, manner, map[string]*fake.ExecutionLog{"a": kindA, "b": kindB})
 	list, err := fake.StartDiscovery("127.0.0.1:0", entries)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer list.Close()
-	old := fmt.Sprintf(oldShape, "", true, "probe", `"util"`)
-	new := fmt.Sprintf(newShape, `,"progressPaceUs":100000`, false, "answers", `"inflight"`)
+	oldSettings := fmt.Sprintf(oldShape, "", true, "probe", `"util"`)
+	newSettings := fmt.Sprintf(newShape, `,"progressPaceUs":100000`, false, "answers", `"inflight"`)
 	var wait sync.WaitGroup
-	delivered := map[string]int{}
-	var mu sync.Mutex
+	delivered := served{count: map[string]int{}}
 	var drained time.Time
-	wait.Add(1)
-	go func() {
-		defer wait.Done()
+	wait.Go(func() {
 		time.Sleep(time.Second)
-		mu.Lock()
 		drained = time.Now()
-		mu.Unlock()
-		entries[2].State = "Terminating"
-		list.Publish(entries[2])
-	}()
-	for _, g := range []struct{ prefix, settings string }{{"0a", old}, {"0b", new}} {
+		draining := entries[2] // the list holds the entries themselves
+		draining.State = "Terminating"
+		list.Publish(draining)
+	})
+	for _, g := range []struct{ prefix, settings string }{{"0a", oldSettings}, {"0b", newSettings}} {
 		address, stop := startGateway(t, list, g.settings)
 		defer stop()
 		db, err := sql.Open("mysql", "app@tcp("+address+")/reports?timeout=2s")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer db.Close()
-		for c := range 4 {
-			wait.Add(1)
-			go func() {
-				defer wait.Done()
-				for n := range 40 {
-					class := []string{"look", "look", "look", "report"}[n%4]
-					id := fmt.Sprintf("%s%02x%011x%d", g.prefix, c, n, n%4/3) // ends in 1: a report
-					ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-					rows, err := db.QueryContext(ctx, "/* class="+class+",id="+id+",wait=1900 */ SELECT a FROM t.m")
-					if err == nil {
-						for rows.Next() {
-						}
-						err = rows.Err()
-						rows.Close()
-					}
-					cancel()
-					if _, nacked := err.(*driver.MySQLError); err != nil && !nacked {
-						t.Errorf("%s: no answer from the gateway: %v", id, err)
-					}
-					mu.Lock()
-					if err == nil {
-						delivered[g.prefix+" "+class]++
-					}
-					mu.Unlock()
-				}
-			}()
+		defer func() { _ = db.Close() }()
+		for client := range 4 {
+			wait.Go(func() { delivered.ask(t, db, g.prefix, client) })
 		}
 	}
 	wait.Wait()
-	for _, k := range []string{"0a look", "0a report", "0b look", "0b report"} {
-		if most := map[bool]int{true: 120, false: 40}[strings.HasSuffix(k, "look")]; delivered[k] < most*9/10 {
-			t.Errorf("%s: %d of %d delivered", k, delivered[k], most)
-		}
-	}
+	delivered.check(t)
 	const heard = 500 * time.Millisecond // the list answers a waiting poll at once; the module stops on hearing it
 	late, before := 0, 0
 	kindB.Each(func(truth fake.ExecutionRecord) {
@@ -139,7 +161,8 @@
 
 // startGateway serves settings before the engines of a list, until stop.
 func startGateway(t *testing.T, list *fake.Discovery, settings string) (address string, stop func()) {
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	free, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +181,7 @@
 	done, ended := make(chan struct{}), make(chan error, 1)
 	go func() { ended <- Serve(start, Options{}, slog.New(slog.NewTextHandler(io.Discard, nil)), done, nil) }()
 	for by := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		if c, err := net.Dial("tcp", address); err == nil {
+		if c, err := dialTCP(address); err == nil {
 			c.Close()
 			break
 		} else if time.Now().After(by) {
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
-	"net"
 	"strings"
 	"testing"
 	"time"
@@ -43,21 +43,21 @@
 	const waiting = 3
 	var clients []*testClient
 	for n := range waiting { // nobody accepts yet
-		c, err := net.Dial("tcp", listener.Addr().String())
+		c, err := dialTCP(listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.Write(append(loginPacket(), queryPacket(fmt.Sprintf("a%d", n))...))
+		_, _ = c.Write(append(loginPacket(), queryPacket(fmt.Sprintf("a%d", n))...))
 		clients = append(clients, &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)})
 	}
 	acceptor := &acceptor{owner: s.o, listener: listener, done: make(chan struct{})}
-	listener.(*net.TCPListener).SetDeadline(expiredDeadline) // the stop comes before the first accept
+	_ = asTCPListener(listener).SetDeadline(expiredDeadline) // the stop comes before the first accept
 	go acceptor.run()
 	acceptor.stop()
 	for range clients {
 		h := <-e.received
-		h.c.Write(resp.AppendArray(nil, h.parts[1], "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
+		_, _ = h.c.Write(resp.AppendArray(nil, h.parts[1], "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
 	}
 	for _, c := range clients {
 		c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
@@ -70,7 +70,7 @@
 	}
 	s.o.clients.beginShutdown()
 	for i, c := range clients {
-		if err := c.ends(); err != io.EOF {
+		if err := c.ends(); !errors.Is(err, io.EOF) {
 			t.Errorf("client %d: %v", i, err)
 		}
 	}
@@ -89,7 +89,7 @@
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	a.expectAnswer()
-	if err := a.ends(); err != io.EOF {
+	if err := a.ends(); !errors.Is(err, io.EOF) {
 		t.Errorf("the session ended with %v", err)
 	}
 	if len(e.received) > 0 {
@@ -106,7 +106,11 @@
 		"displaced": func(s *fixture) {
 			s.o.clients.mu.Lock()
 			defer s.o.clients.mu.Unlock()
-			s.o.clients.evict(s.o.clients.idleKnown.Front().Value.(*clientSession))
+			for idle := range sessionsOf(&s.o.clients.idleKnown) {
+				s.o.clients.evict(idle)
+				return
+			}
+			s.t.Error("no session is idle")
 		},
 	} {
 		t.Run(what, func(t *testing.T) {
@@ -122,7 +126,7 @@
 				return s.o.clients.idleKnown.Len() == 1
 			})
 			end(s)
-			if err := a.ends(); err != io.EOF {
+			if err := a.ends(); !errors.Is(err, io.EOF) {
 				t.Fatalf("the session ended with %v", err)
 			}
 			for _, id := range []string{"aa", "ab"} { // a reset answers the first and fails the second
@@ -130,9 +134,9 @@
 					t.Errorf("the connection was reset: %v", err)
 				}
 			}
-			a.socket.(*net.TCPConn).CloseWrite()
+			_ = asTCP(a.socket).CloseWrite()
 			s.awaitLog("side=client")
-			if err := a.ends(); err != io.EOF {
+			if err := a.ends(); !errors.Is(err, io.EOF) {
 				t.Errorf("the connection ended with %v", err)
 			}
 			if len(e.received) > 0 {
@@ -151,12 +155,12 @@
 	s.o.clients.sessions = 1 // one in the middle of a query
 	s.o.clients.mu.Unlock()
 	listener := s.listen()
-	c, err := net.Dial("tcp", listener.Addr().String())
+	c, err := dialTCP(listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Write(append(loginPacket(), queryPacket("aa")...))
+	_, _ = c.Write(append(loginPacket(), queryPacket("aa")...))
 	tcp, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +171,7 @@
 	if p := k.packet(); p[0] != 0xff || int(p[1])|int(p[2])<<8 != 1040 {
 		t.Errorf("the client got %q", p)
 	}
-	if err := k.ends(); err != io.EOF {
+	if err := k.ends(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection ended with %v", err)
 	}
 	s.o.clients.mu.Lock()
@@ -208,7 +212,7 @@
 	k := e.receive()
 	close(s.stop)
 	eventually(t, "the router refuses requests", s.o.clients.isShuttingDown)
-	successor, err := net.Listen("tcp", s.address)
+	successor, err := listenTCP(s.address)
 	if err != nil {
 		t.Fatalf("a successor can't listen: %v", err)
 	}
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -42,7 +42,7 @@
 }
 
 func (c *lateConn) SetDeadline(t time.Time) error {
-	c.SetReadDeadline(t)
+	_ = c.SetReadDeadline(t)
 	return c.SetWriteDeadline(t)
 }
 
@@ -83,7 +83,7 @@
 
 // late makes a connection one of a process that stands still.
 func late(tcp net.Conn) *lateConn {
-	return &lateConn{TCPConn: tcp.(*net.TCPConn), standing: make(chan chan bool, 1)}
+	return &lateConn{TCPConn: asTCP(tcp), standing: make(chan chan bool, 1)}
 }
 
 // lateClient logs in on a connection whose router may stand still.
@@ -245,9 +245,9 @@
 	conn := <-conns
 	answer := resp.AppendArray(nil, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	stands, goOn := conn.standStill()
-	k.Write(answer[:9])
+	_, _ = k.Write(answer[:9])
 	stands()
-	k.Write(answer[9:])
+	_, _ = k.Write(answer[9:])
 	arrived(t, conn)
 	goOn()
 	c.isServed()
@@ -255,7 +255,7 @@
 
 // A probe's answer that lies unread as its time runs out counts.
 func TestProbeAnsweredDuringAStallCounts(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -271,14 +271,14 @@
 	defer s.close()
 	dialled := make(chan *lateConn, 1)
 	s.o.dial = func(address string) (net.Conn, error) {
-		tcp, err := net.Dial("tcp", address)
+		tcp, err := dialTCP(address)
 		if err != nil {
 			return nil, err
 		}
 		conn := late(tcp)
 		engine := <-far
 		defer func() { far <- engine }()
-		engine.Write(resp.AppendArray(nil, "top1", "well", "gauges=util:0.2", "")) // it is there before the wait begins
+		_, _ = engine.Write(resp.AppendArray(nil, "top1", "well", "gauges=util:0.2", "")) // it is there before the wait begins
 		arrived(t, conn)
 		conn.arm(true, false)
 		dialled <- conn
@@ -289,6 +289,6 @@
 	if how != admission.Served || report.Utilization != 0.2 {
 		t.Errorf("the probe ended as %v with %+v", how, report)
 	}
-	(<-dialled).Close()
+	_ = (<-dialled).Close()
 	(<-far).Close()
 }
--- a/internal/router/watcher_test.go
+++ b/internal/router/watcher_test.go
@@ -23,7 +23,7 @@
 // polled waits for a poll of an engine list and returns its connection.
 func polled(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(eventuallyTimeout))
+	_ = asTCPListener(l).SetDeadline(time.Now().Add(eventuallyTimeout))
 	for {
 		k, err := l.Accept()
 		if err != nil {
@@ -133,7 +133,7 @@
 		}
 		line, _ := bufio.NewReader(k).ReadString('\n')
 		s.tracef("polled: %.26s, the answer %s", line, c.what)
-		io.WriteString(k, c.answer)
+		_, _ = io.WriteString(k, c.answer)
 		if c.what == "breaks off" {
 			k.Close()
 		}
