--- a/internal/admission/estimates_test.go
+++ b/internal/admission/estimates_test.go
@@ -27,7 +27,8 @@
 			s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: Served, Answered: true, Work: 100 * Millisecond, Report: NoReport})
 		}
 		s.out.Reset()
-		s.record("busy share %.2f when requests take three times their work", s.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization))
+		s.record("busy share %.2f when requests take three times their work",
+			s.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization))
 		return s
 	},
 	"ranks": func() *script { // by value for work
--- a/internal/admission/shedding_test.go
+++ b/internal/admission/shedding_test.go
@@ -42,7 +42,8 @@
 		s.serveRequests(20, 100*Millisecond, 100*Millisecond)
 		s.advanceTo(s.at + Second)
 		s.estimates.updatePrices()
-		s.record("bar %.2f, price of the long one %.3f of the best", s.pools.list[0].minPrice, s.estimates.price(0, 10000*float64(Millisecond))/s.estimates.bestPrice)
+		s.record("bar %.2f, price of the long one %.3f of the best", s.pools.list[0].minPrice,
+			s.estimates.price(0, 10000*float64(Millisecond))/s.estimates.bestPrice)
 		s.sendRequest("long", 0, 10*Second, "")
 		return s
 	},
--- a/internal/admission/slowstart_test.go
+++ b/internal/admission/slowstart_test.go
@@ -56,7 +56,8 @@
 		}
 		s.record("gateway 0 sends %d of 300 ms in its turn", sent)
 		e.slowStartUse.work = 0
-		s.record("a request of 1.5 s, above a part: %t beside a warm engine", s.hasSlowStartCapacity(e, &activeRequest{class: 0, estimate: Estimate{WorkP90: 1500 * Millisecond}}))
+		s.record("a request of 1.5 s, above a part: %t beside a warm engine",
+			s.hasSlowStartCapacity(e, &activeRequest{class: 0, estimate: Estimate{WorkP90: 1500 * Millisecond}}))
 		return s
 	},
 }
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -26,12 +26,15 @@
 		n := &script{d: d, at: s.at + later}
 		n.Controller = New(n.at, 8, d, n)
 		n.RestoreSnapshot(n.at, m)
-		n.UpdateEndpoints(n.at, FullUpdate, []Endpoint{{Engine: "e1", Since: s.at + 1}, {Engine: "e2"}, {Engine: "e3", Since: m.Engines[2].Since}})
-		fmt.Printf("%v later: run %.0f ms by %.0f answers, retries allowed %t, key rests %t\n", formatTime(later), n.estimates.classes[0].runTime/10,
+		n.UpdateEndpoints(n.at, FullUpdate, []Endpoint{{Engine: "e1", Since: s.at + 1}, {Engine: "e2"},
+			{Engine: "e3", Since: m.Engines[2].Since}})
+		fmt.Printf("%v later: run %.0f ms by %.0f answers, retries allowed %t, key rests %t\n", formatTime(later),
+			n.estimates.classes[0].runTime/10,
 			n.estimates.classes[0].answers, n.retries.allows(n.now), n.keys.queues["key"].cooldownUntil > n.at)
 		for i := range n.engines.items {
 			e := &n.engines.items[i]
-			fmt.Printf("  %s bound %.1f, failure score %.1f, busy %.2f, room while cold %t\n", e.Engine, e.limit.bound, n.failureScore(e), n.busyShare(e), !n.slowStart.isWarmingUp(e, n.now) || n.hasSlowStartCapacity(e, &activeRequest{}))
+			fmt.Printf("  %s bound %.1f, failure score %.1f, busy %.2f, room while cold %t\n", e.Engine, e.limit.bound,
+				n.failureScore(e), n.busyShare(e), !n.slowStart.isWarmingUp(e, n.now) || n.hasSlowStartCapacity(e, &activeRequest{}))
 		}
 	}
 	if _, err := DecodeSnapshot([]byte(`{"Version":9}`)); err != nil {
