--- a/internal/cluster/counters/core_test.go
+++ b/internal/cluster/counters/core_test.go
@@ -12,12 +12,13 @@
 
 const second = admission.Second
 
-// post is what three gateways send each other; it is delivered by hand.
+// recordingHost keeps the last message to each member.
 type recordingHost struct{ sent map[string][]byte }
 
 func (p *recordingHost) Send(to string, m []byte) { p.sent[to] = m }
 func (p *recordingHost) Peers() []string          { return []string{"g0", "g1", "g2"} }
 
+// testFleet is some processes, and the readings of the first.
 type testFleet struct {
 	hosts []*recordingHost
 	cores []*Core
@@ -28,7 +29,7 @@
 	f := &testFleet{}
 	for i := range n {
 		f.hosts = append(f.hosts, &recordingHost{map[string][]byte{}})
-		f.cores = append(f.cores, New(0, fmt.Sprint("g", i), n, 100, 4*second, f.hosts[i]))
+		f.cores = append(f.cores, newTestCore(0, i, n, f.hosts[i]))
 	}
 	return f
 }
@@ -39,7 +40,7 @@
 	}
 }
 
-// round has all tell all, but for some that are cut off from all.
+// playRound delivers the messages of all to all, but for some processes that are cut off from all.
 func (f *testFleet) playRound(now Time, cut ...int) {
 	for i, c := range f.cores {
 		c.Tick(now)
@@ -63,7 +64,31 @@
 	}
 }
 
-// A member that is cut off widens the interval, one that leaves has nothing, one that was started anew counts twice until the tasks of
+const expectedReadings = `nobody heard of: 0.0 s old, 1 heard, 2 silent
+  all waits {0 200} runs {0 200} handed {0 -1}
+all idle: 0.0 s old, 3 heard, 0 silent
+  all waits {0 0} runs {0 0} handed {0 0}
+seven came, heard of once: 0.0 s old, 3 heard, 0 silent
+  all waits {0 5} runs {0 2} handed {0 2}
+two seconds later: 0.0 s old, 3 heard, 0 silent
+  all waits {5 5} runs {2 2} handed {2 2}
+  lane look waits {5 5} runs {0 0} handed {0 0}
+  engine e-1 waits {0 0} runs {2 2} handed {2 2}
+g2 cut off for two seconds: 0.0 s old, 2 heard, 1 silent
+  all waits {5 105} runs {0 100} handed {2 -1}
+  engine e-1 waits {0 100} runs {0 100} handed {2 -1}
+and back: 0.0 s old, 3 heard, 0 silent
+  all waits {5 5} runs {2 2} handed {2 2}
+  engine e-1 waits {0 0} runs {2 2} handed {2 2}
+g1 has left: 0.0 s old, 3 heard, 0 silent
+  all waits {0 0} runs {2 2} handed {2 2}
+g2 was started anew: 0.0 s old, 2 heard, 2 silent
+  all waits {0 200} runs {0 200} handed {0 -1}
+five seconds later: 0.0 s old, 3 heard, 0 silent
+  all waits {0 0} runs {0 0} handed {0 0}
+`
+
+// A member that is cut off widens the interval, one that leaves has nothing, one that was started anew counts twice until the requests of
 // the earlier process are surely over.
 func TestReadingsHoldTheTruth(t *testing.T) {
 	f := newTestFleet(3)
@@ -96,9 +121,9 @@
 	f.cores[0].MarkStopped("g1", 1)
 	f.writeReading(at, "g1 has left")
 	f.hosts[2] = &recordingHost{map[string][]byte{}}
-	f.cores[2] = New(at, "g2", 3, 100, 4*second, f.hosts[2])
+	f.cores[2] = newTestCore(at, 2, 3, f.hosts[2])
 	f.cores[2].Tick(at)
-	f.cores[0].HandleMessage(at, "g2", 2, f.hosts[2].sent["g0"])
+	receive(t, f.cores[0], at, "g2", 2, f.hosts[2].sent["g0"])
 	f.writeReading(at, "g2 was started anew")
 	for range 11 {
 		for range 10 {
@@ -106,53 +131,30 @@
 			f.advance(at)
 		}
 		f.cores[0].Tick(at)
-		f.cores[2].HandleMessage(at, "g0", 1, f.hosts[0].sent["g2"])
+		receive(t, f.cores[2], at, "g0", 1, f.hosts[0].sent["g2"])
 		f.cores[2].Tick(at)
-		f.cores[0].HandleMessage(at, "g2", 2, f.hosts[2].sent["g0"])
+		receive(t, f.cores[0], at, "g2", 2, f.hosts[2].sent["g0"])
 	}
 	f.writeReading(at, "five seconds later")
-	const kept = `nobody heard of: 0.0 s old, 1 heard, 2 silent
-  all waits {0 200} runs {0 200} handed {0 -1}
-all idle: 0.0 s old, 3 heard, 0 silent
-  all waits {0 0} runs {0 0} handed {0 0}
-seven came, heard of once: 0.0 s old, 3 heard, 0 silent
-  all waits {0 5} runs {0 2} handed {0 2}
-two seconds later: 0.0 s old, 3 heard, 0 silent
-  all waits {5 5} runs {2 2} handed {2 2}
-  lane look waits {5 5} runs {0 0} handed {0 0}
-  engine e-1 waits {0 0} runs {2 2} handed {2 2}
-g2 cut off for two seconds: 0.0 s old, 2 heard, 1 silent
-  all waits {5 105} runs {0 100} handed {2 -1}
-  engine e-1 waits {0 100} runs {0 100} handed {2 -1}
-and back: 0.0 s old, 3 heard, 0 silent
-  all waits {5 5} runs {2 2} handed {2 2}
-  engine e-1 waits {0 0} runs {2 2} handed {2 2}
-g1 has left: 0.0 s old, 3 heard, 0 silent
-  all waits {0 0} runs {2 2} handed {2 2}
-g2 was started anew: 0.0 s old, 2 heard, 2 silent
-  all waits {0 200} runs {0 200} handed {0 -1}
-five seconds later: 0.0 s old, 3 heard, 0 silent
-  all waits {0 0} runs {0 0} handed {0 0}
-`
-	if got := f.out.String(); got != kept {
+	if got := f.out.String(); got != expectedReadings {
 		t.Errorf("got\n%s", got)
 	}
 }
 
-// Words that come again, late or in another order change nothing.
+// Messages that come again, late or in another order change nothing.
 func TestMessagesCountAlikeInAnyOrder(t *testing.T) {
 	f := newTestFleet(3)
-	var words [][]byte
+	var messages [][]byte
 	for at := roundInterval; at < 20*roundInterval; at += roundInterval {
 		f.cores[1].ApplyChanges(at, Change{Delta: [3]int64{1, 0, 0}})
 		f.playRound(at, 2)
-		words = append(words, f.hosts[1].sent["g0"])
+		messages = append(messages, f.hosts[1].sent["g0"])
 	}
 	at := 20 * roundInterval
 	want := f.cores[0].TakeReading(at, Key{})
-	chance := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	for range 100 {
-		if err := f.cores[0].HandleMessage(at, "g1", 1, words[chance.IntN(len(words))]); err != nil {
+		if err := f.cores[0].HandleMessage(at, "g1", 1, messages[random.IntN(len(messages))]); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -161,36 +163,36 @@
 	}
 }
 
-// What a word says of two clocks is as old as the hearing that it rests on: the teller's clock runs a twentieth fast, the hearer's a
-// twentieth slow, and for ten seconds words go one way only. The waiting tasks that it had are not read as of a time when they were gone.
+// What a message says of two clocks is as old as the message that it echoes: the sender's clock runs a twentieth fast, the receiver's a
+// twentieth slow, and for ten seconds messages go one way only. The waiting requests that it had are not read as of a time when they were gone.
 func TestOldClockEchoesDoNotDateCountsTooLate(t *testing.T) {
 	post := func() *recordingHost { return &recordingHost{map[string][]byte{}} }
 	mine, theirs := post(), post()
-	hearer, teller := New(0, "g0", 2, 100, 4*second, mine), New(0, "g1", 2, 100, 4*second, theirs)
+	receiver, sender := newTestCore(0, 0, 2, mine), newTestCore(0, 1, 2, theirs)
 	fast := func(t Time) Time { return t + t/20 }
 	slow := func(t Time) Time { return t - t/20 }
-	teller.ApplyChanges(0, Change{Delta: [3]int64{9}})
+	sender.ApplyChanges(0, Change{Delta: [3]int64{9}})
 	gone := 20 * second
 	for t0 := Time(0); t0 < 21*second; t0 += second / 20 {
-		teller.Tick(fast(t0))
-		hearer.Tick(slow(t0))
+		sender.Tick(fast(t0))
+		receiver.Tick(slow(t0))
 		if m := theirs.sent["g0"]; m != nil {
-			hearer.HandleMessage(slow(t0), "g1", 1, m)
+			receive(t, receiver, slow(t0), "g1", 1, m)
 		}
 		if m := mine.sent["g1"]; m != nil && t0 < 10*second {
-			teller.HandleMessage(fast(t0), "g0", 1, m)
+			receive(t, sender, fast(t0), "g0", 1, m)
 		}
 		if t0 == gone {
-			teller.ApplyChanges(fast(t0), Change{Delta: [3]int64{-9}})
+			sender.ApplyChanges(fast(t0), Change{Delta: [3]int64{-9}})
 		}
-		r := hearer.TakeReading(slow(t0), Key{})
+		r := receiver.TakeReading(slow(t0), Key{})
 		if at := t0 - r.Age*20/19; at > gone+second/50 && r.Counts[0].Ranges[Waiting].Low > 0 {
-			t.Fatalf("as of %.2f s %v tasks are read that wait, which ended at %.2f s", float64(at)/float64(second), r.Counts[0].Ranges[Waiting], float64(gone)/float64(second))
+			t.Fatalf("as of %.2f s %v requests are read that wait, which ended at %.2f s", float64(at)/float64(second), r.Counts[0].Ranges[Waiting], float64(gone)/float64(second))
 		}
 	}
 }
 
-// Rows that don't fit are not taken for nothing.
+// Counts that don't fit are not taken for 0.
 func TestCountersThatDoNotFitAreUnknown(t *testing.T) {
 	f := newTestFleet(3)
 	for i := range 300 {
@@ -208,21 +210,34 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	c := New(0, "g0", 3, 100, second, &recordingHost{map[string][]byte{}})
+	c := newTestCore(0, 0, 3, &recordingHost{map[string][]byte{}})
 	c.ApplyChanges(5, Change{Delta: [3]int64{3, 1, 1}})
 	f.Add(c.encodeMessage("g1"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if m, err := decode(b); err != nil && (m.reportedUntil != 0 || m.counts != nil) {
+		if m, err := decode(b); err != nil && (m.until != 0 || m.counts != nil) {
 			t.Fatal("part of it was used")
 		}
 	})
 }
 
 func BenchmarkApplyChanges(b *testing.B) {
-	c := New(0, "g0", 32, 100, second, &recordingHost{map[string][]byte{}})
+	c := newTestCore(0, 0, 32, &recordingHost{map[string][]byte{}})
 	changes := []Change{{Delta: [3]int64{1}}, {Key: Key{KindClass, "look"}, Delta: [3]int64{1}}, {Key: Key{KindEngine, "e-1"}, Delta: [3]int64{0, 1, 1}}}
 	b.ReportAllocs()
 	for b.Loop() {
 		c.ApplyChanges(5, changes...)
 	}
 }
+
+// receive takes in a message that must be readable.
+func receive(t *testing.T, c *Core, now Time, from string, incarnation uint64, message []byte) {
+	t.Helper()
+	if err := c.HandleMessage(now, from, incarnation, message); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// newTestCore begins process n of a fleet of so many, whose processes have up to 100 requests in flight for up to four seconds.
+func newTestCore(now Time, n, processes int, host Host) *Core {
+	return New(now, Options{Name: fmt.Sprint("g", n), Processes: processes, MaxInFlight: 100, LongestRequest: 4 * second, Host: host})
+}
--- a/internal/cluster/counters/format_test.go
+++ b/internal/cluster/counters/format_test.go
@@ -11,7 +11,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.CheckValues(t, "counts", []any{m.reportedUntil, m.reportedLength, m.maxInHand, m.complete, m.counts, m.echoedClock, m.echoReceivedAt})
+	golden.CheckValues(t, "counts", []any{m.until, m.length, m.maxInFlight, m.complete, m.counts, m.echoedClock, m.echoReceivedAt})
 }
 
 // The earlier version wrote the message with these very steps.
@@ -27,10 +27,10 @@
 		a.Tick(at)
 		b.Tick(at + 7)
 		if m, ok := f.hosts[0].sent["g1"]; ok {
-			b.HandleMessage(at+9, "g0", 5, m)
+			receive(t, b, at+9, "g0", 5, m)
 		}
 		if m, ok := f.hosts[1].sent["g0"]; ok {
-			a.HandleMessage(at+11, "g1", 6, m)
+			receive(t, a, at+11, "g1", 6, m)
 		}
 	}
 	expected, found := golden.Read(t, "counts.form"), f.hosts[0].sent["g1"]
--- a/internal/cluster/counters/planted_on.go
+++ b/internal/cluster/counters/mutation_testbed.go
@@ -7,5 +7,5 @@
 	"strings"
 )
 
-// A defect that the laboratory plants to see that its checkers find it: what was told last is taken for what is.
+// trustOldCounts is a mutation by which tests prove that their checks find it: what was reported last is taken for what is.
 var trustOldCounts = strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "trusts-old")
--- a/internal/testbed/simcluster/counter_cluster.go
+++ b/internal/testbed/simcluster/counter_cluster.go
@@ -74,7 +74,7 @@
 	p.cluster.starts++
 	p.start, p.up, p.nextAt = p.cluster.starts, true, p.cluster.now
 	p.trueCounts = append(p.trueCounts, instant{p.cluster.now, [3]int64{}, p.start})
-	p.core = counters.New(p.clock(), p.name, len(p.cluster.members), maxInFlight, maxRunTime, p)
+	p.core = counters.New(p.clock(), counters.Options{Name: p.name, Processes: len(p.cluster.members), MaxInFlight: maxInFlight, LongestRequest: maxRunTime, Host: p})
 }
 
 // end is its death: it has nothing any more.
