--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -69,7 +69,7 @@
 }
 
 // SetPolicy hands over what an operator's classes allow, before the first request that has one.
-func (c *Controller) SetPolicy(gate Policy) { c.pools.policy = gate }
+func (c *Controller) SetPolicy(policy Policy) { c.pools.policy = policy }
 
 // HandleCapacityChange releases queued requests after the policy has come to allow a class more than before.
 func (c *Controller) HandleCapacityChange(now Time) {
--- a/internal/admission/placement_test.go
+++ b/internal/admission/placement_test.go
@@ -1,6 +1,8 @@
 package admission
 
 import (
+	"fmt"
+	"math"
 	"testing"
 )
 
@@ -41,3 +43,40 @@
 		})
 	}
 }
+
+func TestTableAffinityPrefersAThirdOfTheEngines(t *testing.T) {
+	const engines = 3000
+	c := New(0, 1, &Deployment{Gateways: 1, Classes: []Class{
+		{Threads: 1, LatencyObjective: Second},
+		{Threads: 1, LatencyObjective: Second, BlockedByLoads: true},
+		{Threads: 1, LatencyObjective: Second, LoadsTables: true},
+	}}, quiet{})
+	tests := []struct {
+		name  string
+		class int
+		want  map[float64]float64 // share of the engines, by affinity
+	}{
+		{"reads", 0, map[float64]float64{4: 1.0 / 3, 1: 2.0 / 3}},
+		{"reads that loads block", 1, map[float64]float64{4: 1.0 / 3, 1: 1.0 / 3, 0.25: 1.0 / 3}},
+		{"loads", 2, map[float64]float64{4: 1.0 / 3, 1: 1.0 / 3, 0.25: 1.0 / 3}},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			table := newEngineTable()
+			count := map[float64]float64{}
+			for i := range engines {
+				engine := table.at(table.add(EngineID(fmt.Sprint("e", i))))
+				count[c.tableAffinity(&activeRequest{class: test.class, tables: 5}, engine)]++
+				engine.Endpoint = Endpoint{Engine: EngineID(fmt.Sprint("e", i))}
+			}
+			if len(count) != len(test.want) {
+				t.Fatalf("engines by affinity: %v, want %v", count, test.want)
+			}
+			for affinity, share := range test.want {
+				if got := count[affinity] / engines; math.Abs(got-share) > 0.05 {
+					t.Errorf("affinity %g: %.3f of the engines, want %.3f", affinity, got, share)
+				}
+			}
+		})
+	}
+}
--- a/internal/admission/shedding_test.go
+++ b/internal/admission/shedding_test.go
@@ -89,3 +89,38 @@
 		})
 	}
 }
+
+// poolPolicy puts each class into the pool of its number, and engines of a zone into the pool of that number.
+type poolPolicy struct{}
+
+func (poolPolicy) AllowsAttempt(Time, int, float64) bool       { return true }
+func (poolPolicy) Pool(class int) int                          { return class }
+func (poolPolicy) InPool(pool int, engine *Endpoint) (in bool) { return engine.Zone == pool }
+
+func TestPoolSetShortageConcernsThePoolsOfAnEngine(t *testing.T) {
+	now := 10 * Second
+	s := newPoolSet(now)
+	s.policy = poolPolicy{}
+	s.of(&activeRequest{estimate: Estimate{PolicyClass: 2}}, now).shortageAt = now
+	tests := []struct {
+		name string
+		zone int
+		at   Time
+		want bool
+	}{
+		{"an engine of the pool", 2, now, true},
+		{"not one of another pool", 1, now, false},
+		{"not after a second", 2, now + Second, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			engine := &engineState{Endpoint: Endpoint{Zone: test.zone}}
+			if got := s.shortOfRoom(engine, test.at); got != test.want {
+				t.Errorf("short of room: %t, want %t", got, test.want)
+			}
+		})
+	}
+	if len(s.list) != 3 {
+		t.Errorf("%d pools are kept, want 3", len(s.list))
+	}
+}
