--- a/internal/cluster/counters/core.go
+++ b/internal/cluster/counters/core.go
@@ -1,8 +1,8 @@
-// Package counters counts what runs, waits and was attempted over the whole fleet. Every process tells the others, now and then, between
-// which bounds its own counts lay over the last seconds. A reading is taken as of an instant that these times cover, and is an
-// interval in which the true sum lay at that instant. A process whose report does not cover it may have had anything up to the most that one
-// process has in flight: a member that receives nothing reads wide intervals, never wrong ones. The package does no I/O. docs/counts.md has the rules, and
-// why they hold.
+// Package counters counts what runs, waits and was attempted over the whole fleet. Every process tells the others, now and
+// then, between which bounds its own counts lay over the last seconds. A reading is taken as of an instant that these times
+// cover, and is an interval in which the true sum lay at that instant. A process whose report does not cover it may have
+// had anything up to the most that one process has in flight: a member that receives nothing reads wide intervals, never
+// wrong ones. The package does no I/O. docs/counts.md has the rules, and why they hold.
 package counters
 
 import (
@@ -92,7 +92,7 @@
 	slots    slots
 
 	nextRoundAt   Time
-	nextRecipient int // where the peers that are told next begin
+	nextRecipient int // where the peers that are sent to next begin
 	peers         []peer
 	ended         []endedProcess
 }
--- a/internal/cluster/counters/core_test.go
+++ b/internal/cluster/counters/core_test.go
@@ -163,8 +163,9 @@
 	}
 }
 
-// What a message says of two clocks is as old as the message that it echoes: the sender's clock runs a twentieth fast, the receiver's a
-// twentieth slow, and for ten seconds messages go one way only. The waiting requests that it had are not read as of a time when they were gone.
+// What a message says of two clocks is as old as the message that it echoes: the sender's clock runs a twentieth fast, the
+// receiver's a twentieth slow, and for ten seconds messages go one way only. The waiting requests that it had are not read
+// as of a time when they were gone.
 func TestOldClockEchoesDoNotDateCountsTooLate(t *testing.T) {
 	post := func() *recordingHost { return &recordingHost{map[string][]byte{}} }
 	mine, theirs := post(), post()
--- a/internal/cluster/counters/message.go
+++ b/internal/cluster/counters/message.go
@@ -18,7 +18,7 @@
 )
 
 // ErrMessage reports bytes that are no message of this version.
-var ErrMessage = errors.New("tally: no message of this version")
+var ErrMessage = errors.New("counters: no message of this version")
 
 // report is what a process reports of its own counts.
 type report struct {
--- a/internal/cluster/counters/peer.go
+++ b/internal/cluster/counters/peer.go
@@ -37,8 +37,8 @@
 
 func abs(t Time) Time { return max(t, -t) }
 
-// update takes in the clocks of a message: the peer's as it sent it, and the echo of an earlier message of this process. What the echo tells is as of when that message was sent,
-// which may be long ago.
+// update takes in the clocks of a message: the peer's as it sent it, and the echo of an earlier message of this process.
+// The echo is as of when that message was sent, which may be long ago.
 func (o *clockOffset) update(now Time, m *message, isFirst bool) {
 	most := now - m.until
 	if isFirst || most <= o.most+(now-o.mostAt)/driftDivisor {
--- a/internal/cluster/healthreport/finding.go
+++ b/internal/cluster/healthreport/finding.go
@@ -58,8 +58,8 @@
 	return out
 }
 
-// countFailing returns how many engines a gateway finds failing. Its one vote is split over them, because a gateway that finds many failing is
-// likelier itself at fault, or its network.
+// countFailing returns how many engines a gateway finds failing. Its one vote is split over them, because a gateway that
+// finds many failing is likelier itself at fault, or its network.
 func (b *Table) countFailing(now Time, observed func(index int) *observations) (n int) {
 	for i := range b.engines {
 		if b.engines[i].listed && observed(i).isFailing(now) {
--- a/internal/cluster/healthreport/message.go
+++ b/internal/cluster/healthreport/message.go
@@ -8,7 +8,8 @@
 	"magpiebank/internal/admission"
 )
 
-// MaxMessageBytes is the length of the longest message: the simulator's wire carries no longer one, and a datagram has room for more beside it.
+// MaxMessageBytes is the length of the longest message: the simulator's wire carries no longer one, and a datagram has room
+// for more beside it.
 const MaxMessageBytes = 256
 
 const (
@@ -20,7 +21,7 @@
 )
 
 // ErrMessage reports bytes that are no message of this version.
-var ErrMessage = errors.New("judgement: no message of this version")
+var ErrMessage = errors.New("healthreport: no message of this version")
 
 // The flags of an entry: the parts that it has, and above them how the last failure was.
 const (
--- a/internal/cluster/healthreport/receive.go
+++ b/internal/cluster/healthreport/receive.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// HandleMessage takes in a gateway's message. VisitChangedFindings then has what it changes. The error is ErrMessage if the message cannot be read; then nothing of it is used.
+// HandleMessage takes in a gateway's message. VisitChangedFindings then has what it changes. The error is ErrMessage if the
+// message cannot be read; then nothing of it is used.
 func (b *Table) HandleMessage(now Time, from Source, message []byte) error {
 	r, err := newReader(message)
 	if err != nil {
--- a/internal/cluster/healthreport/table.go
+++ b/internal/cluster/healthreport/table.go
@@ -16,13 +16,14 @@
 
 // The ages up to which observations count.
 const (
-	// OutcomeLifetime is that of answers and failures. In a fleet of some hundred, where each gateway sends a request to an engine every 25 s, it holds the
-	// fleet's last dozens of attempts there; an engine that is ejected gets its next one when the last failures are this old. Each
-	// gateway has its own figure between this and twice this, so that one tries the engine before all do.
+	// OutcomeLifetime is that of answers and failures. In a fleet of some hundred, where each gateway sends a request to an
+	// engine every 25 s, it holds the fleet's last dozens of attempts there; an engine that is ejected gets its next one
+	// when the last failures are this old. Each gateway has its own figure between this and twice this, so that one tries
+	// the engine before all do.
 	OutcomeLifetime = 10 * admission.Second
-	// ConfirmedFailureLifetime is that of failures that a fresh one confirms: while the last failure that anybody observed there counts, those before it count up to
-	// this age. So one gateway's attempt is enough to tell that an engine still fails, and a gateway whose own network fails cannot
-	// keep it ejected for longer than this by the reports of others.
+	// ConfirmedFailureLifetime is that of failures that a fresh one confirms: while the last failure that anybody observed
+	// there counts, those before it count up to this age. So one gateway's attempt is enough to tell that an engine still
+	// fails, and a gateway whose own network fails cannot keep it ejected for longer than this by the reports of others.
 	ConfirmedFailureLifetime = 3 * OutcomeLifetime
 	// ReportLifetime is that of load reports, as the decisions take them.
 	ReportLifetime = 3 * admission.Second
@@ -67,8 +68,9 @@
 // SetPeerCount has a message be paid for by so many receivers from now on.
 func (b *Table) SetPeerCount(n int) { b.peerCount = max(1, n) }
 
-// MaxEjectedShare returns the part of the engines that peers' reports may eject at a time: what the retry budget allows, because by that the site
-// says how many requests may fail at first; else a zone's, which the site must do without when it loses one; else a quarter.
+// MaxEjectedShare returns the part of the engines that peers' reports may eject at a time: what the retry budget allows,
+// because by that the site says how many requests may fail at first; else a zone's, which the site must do without when it
+// loses one; else a quarter.
 func MaxEjectedShare(d *admission.Deployment, zones int) float64 {
 	const most, usual = 0.5, 0.25
 	switch {
--- a/internal/cluster/membership/core.go
+++ b/internal/cluster/membership/core.go
@@ -66,8 +66,8 @@
 }
 
 const (
-	// ProbeInterval is the time between probes. An answer takes some milliseconds, so half of the interval is far more than it needs. In the rest of
-	// it helpers probe as well.
+	// ProbeInterval is the time between probes. An answer takes some milliseconds, so half of the interval is far more than
+	// it needs. In the rest of it helpers probe as well.
 	ProbeInterval = 500 * admission.Millisecond
 	// ForgetAfter is how long dead members are remembered: longer than any partition that must heal by itself.
 	ForgetAfter = 24 * 3600 * admission.Second
@@ -100,7 +100,7 @@
 	health   int  // Lifeguard's local health, from 0: how many times slower than usual it judges
 
 	members     []Member // by name, without itself
-	grewAt      Time     // when it last heard of a member for the first time
+	grewAt      Time     // when it last learned of a new member
 	partitioned bool
 	suspicions  []suspicion
 
@@ -234,7 +234,7 @@
 // slowed returns a time as a member that doubts itself takes it.
 func (c *Core) slowed(t Time) Time { return t * Time(1+c.health) }
 
-// Leave tells some members that this one leaves. They pass it on.
+// Leave notifies some members that this one leaves. They pass it on.
 func (c *Core) Leave(now Time) {
 	c.now = now
 	if c.inactive {
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -40,7 +40,7 @@
 		return nil
 	}
 	if c.members[i].Incarnation > m.from.Incarnation && !ignoreIncarnations {
-		// A process that has been superseded still speaks. It is told so, and nothing that it says counts as a sign of its successor.
+		// A process that has been superseded still sends. It is notified, and nothing that it sends counts as a sign of its successor.
 		c.send(m.from.Address, message{kind: kindAck, about: m.from.Name}, usualRefresh)
 		return nil
 	}
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -38,7 +38,7 @@
 )
 
 // ErrMessage reports bytes that are no message of this version.
-var ErrMessage = errors.New("member: no message of this version")
+var ErrMessage = errors.New("membership: no message of this version")
 
 // writer writes a message up to its greatest length.
 type writer struct {
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -48,7 +48,7 @@
 	c.probe.until = c.now + tickInterval
 }
 
-// sendPing sends a probe; full: it asks for as many members as an answer holds, and tells as many.
+// sendPing sends a probe; full: it asks for as many members as an answer holds, and sends as many.
 func (c *Core) sendPing(address string, sequence uint32, about string, full bool) {
 	refresh := usualRefresh
 	if full {
@@ -89,7 +89,8 @@
 	}
 }
 
-// contactLost sends probes to members that may have come back: to the seeds while nobody else is known, and else to one of the dead and of the seeds.
+// contactLost sends probes to members that may have come back: to the seeds while nobody else is known, and else to one of
+// the dead and of the seeds.
 func (c *Core) contactLost() {
 	const maxContacts = 2 // seeds that are down cost next to nothing
 	c.nextContactAt = c.now + contactPeriod
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -21,9 +21,9 @@
 	return s.name == m.Name && s.incarnation == m.Incarnation && s.refutations == m.Refutations
 }
 
-// suspicionTimeout returns how long a suspicion runs. It grows with the logarithm of the fleet, because gossip takes so many rounds, and is three times as long
-// while nobody shares the suspicion. A member that doubts itself waits longer, but a part of the fleet that is cut off and whose
-// probes mostly fail still finds out within two minutes.
+// suspicionTimeout returns how long a suspicion runs. It grows with the logarithm of the fleet, because gossip takes so
+// many rounds, and is three times as long while nobody shares the suspicion. A member that doubts itself waits longer, but
+// a part of the fleet that is cut off and whose probes mostly fail still finds out within two minutes.
 func (c *Core) suspicionTimeout(s *suspicion) Time {
 	least := float64(ProbeInterval) * (1 + float64(c.health)/4) * 2 * max(1, math.Log2(float64(len(c.members)+2)))
 	const maxFactor, shared = 3, 3.0
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -59,7 +59,7 @@
 	c.checkPartition()
 }
 
-// reportChange tells the host how a member's record has changed.
+// reportChange notifies the host of how a member's record has changed.
 func (c *Core) reportChange(before, now Member) {
 	switch {
 	case now.Incarnation > before.Incarnation && now.State <= Suspect:
--- a/internal/cluster/quota/core.go
+++ b/internal/cluster/quota/core.go
@@ -32,7 +32,7 @@
 	incarnation   uint64
 	share         int    // number of the own share
 	sequence      uint32 // of the last claim or lease request sent
-	highestNumber uint64 // highest plan number heard of
+	highestNumber uint64 // highest plan number received
 
 	voter        voterState
 	claims       []shareClaim // the own share's first, then those taken over
@@ -68,9 +68,9 @@
 	failures         uint8 // collections in a row that found too little
 }
 
-// announceState is what peers were told of the spare units of a quota.
+// announceState is what was announced of the spare units of a quota.
 type announceState struct {
-	units int64 // told last; below 0: to be told anew
+	units int64 // announced last; below 0: to be announced anew
 	round int   // in which that changed
 }
 
@@ -115,9 +115,9 @@
 
 var errPlanChange = errors.New("expected the seats, keepers and term that there are; others need a restart of all")
 
-// ReplacePlan replaces the totals by others, under a higher number. A quota that the next plan lacks has a total of 0 from now on. Uses beyond the
-// new share end by themselves; what was borrowed of a total that is lowered is returned as soon as it can be, and no more of it is
-// leased or used before.
+// ReplacePlan replaces the totals by others, under a higher number. A quota that the next plan lacks has a total of 0 from
+// now on. Uses beyond the new share end by themselves; what was borrowed of a total that is lowered is returned as soon as
+// it can be, and no more of it is leased or used before.
 func (c *Core) ReplacePlan(now Time, next *Plan) error {
 	c.advance(now)
 	old := c.plan
--- a/internal/cluster/quota/demand.go
+++ b/internal/cluster/quota/demand.go
@@ -6,17 +6,18 @@
 	"magpiebank/internal/admission"
 )
 
-// How units go where they are needed. Every member tells its peers now and then what it could lease out. A member whose requests wait for
-// more than it has asks those that could lease out most, for what it lacks and at most half of what each has. It renews what it has
-// borrowed while it is needed, and returns it a while after. What own requests wait for is not leased out, so that at equal demand all come to their
-// equal shares.
+// How units go where they are needed. Every member announces to its peers now and then what it could lease out. A member
+// whose requests wait for more than it has asks those that could lease out most, for what it lacks and at most half of what
+// each has. It renews what it has borrowed while it is needed, and returns it a while after. What own requests wait for is
+// not leased out, so that at equal demand all come to their equal shares.
 const (
 	// A lease request that has had no answer for 0.1 s is lost: answers take milliseconds.
 	requestTimeout = admission.Second / 10
 	// So many requests are out at once: a burst at one of 500 members that have two units each is served within a second or two.
 	maxOpenRequests = 32
-	// What is borrowed is kept so long beyond the last need. To ask again costs two messages and a round trip, to keep it idle costs a part of the
-	// total (real sockets, 32 gateways, demand by Zipf's law: a quarter of a second 0.930 to 0.940 of it used, a tenth 0.953; a second 0.86).
+	// What is borrowed is kept so long beyond the last need. To ask again costs two messages and a round trip, to keep it
+	// idle costs a part of the total (real sockets, 32 gateways, demand by Zipf's law: a quarter of a second 0.930 to 0.940
+	// of it used, a tenth 0.953; a second 0.86).
 	keepIdle = admission.Second / 10
 	// A member whose next request needs more than its own share collects units for so long.
 	collectInterval = admission.Second / 4
@@ -28,13 +29,13 @@
 	pausePrime  = 7919 // spreads the pauses of a member
 )
 
-// SetDemand tells how many units waiting requests would use at once.
+// SetDemand sets how many units waiting requests would use at once.
 func (c *Core) SetDemand(now Time, quota int, units int64) {
 	c.advance(now)
 	c.quotas[quota].demand.units = units
 }
 
-// SetNextRequestUnits tells how many units the next request needs. Fewer are of no use to it.
+// SetNextRequestUnits sets how many units the next request needs. Fewer are of no use to it.
 func (c *Core) SetNextRequestUnits(quota int, units int64) {
 	c.quotas[quota].demand.nextRequestUnits = units
 }
@@ -97,7 +98,7 @@
 			peer := &c.spares.peers[index]
 			c.spares.nextLender = index + 1
 			units := min(lack, (peer.units[quota]+1)/2)
-			peer.units[quota] -= units // until it tells again
+			peer.units[quota] -= units // until it announces more
 			lack -= units
 			c.requestNewLease(quota, peer.name, units)
 			continue
--- a/internal/cluster/quota/exploration.go
+++ b/internal/cluster/quota/exploration.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// AppendDigest appends the parts of the state that decide how claims and leases go on, with times relative to now. Cores with equal digests go on
-// alike, whatever the time.
+// AppendDigest appends the parts of the state that decide how claims and leases go on, with times relative to now. Cores
+// with equal digests go on alike, whatever the time.
 func (c *Core) AppendDigest(b []byte, now Time) []byte {
 	d := &digest{b: b, now: now}
 	d.deadline(min(c.voter.openAt, now+digestHorizon))
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -48,7 +48,7 @@
 	units    int64
 	sentAt   Time
 	isNew    bool // for a new lease, not for more time on one
-	blind    bool // to a member that has lately not told what it could lease out
+	blind    bool // to a member that has lately not announced its spare units
 }
 
 func (r *leaseRequest) matches(quota int, m *Message) bool {
@@ -71,8 +71,8 @@
 	}
 }
 
-// handleLeaseRequest leases out units of the own shares that are free, or gives more time on a lease, unless own requests lack it. Each request is
-// answered once.
+// handleLeaseRequest leases out units of the own shares that are free, or gives more time on a lease, unless own requests
+// lack it. Each request is answered once.
 func (c *Core) handleLeaseRequest(quota int, m Message) {
 	if m.Units <= 0 || m.PlanNumber != c.plan.Number {
 		return
@@ -237,7 +237,7 @@
 	}
 }
 
-// returnLease tells the lender. A renewal that was requested is ignored when it comes, because the lender has the units back by then.
+// returnLease notifies the lender. A renewal that was requested is ignored when it comes, because the lender has the units back by then.
 func (c *Core) returnLease(l *lease) {
 	if c.plan.Mutation != RenewReturnedLease {
 		c.taken.requests = slices.DeleteFunc(c.taken.requests, func(r leaseRequest) bool {
--- a/internal/cluster/quota/message.go
+++ b/internal/cluster/quota/message.go
@@ -72,7 +72,7 @@
 )
 
 // ErrMessage reports bytes that are no message of this version.
-var ErrMessage = errors.New("budget: no message of this version")
+var ErrMessage = errors.New("quota: no message of this version")
 
 // Encode writes the version, the kind, the length of the sender's name and the name, then all numbers as varints, and the voters'
 // incarnations with their count before them. A confirmation's known incarnations or a claim's predecessors follow, if there are any.
--- a/internal/cluster/quota/message_test.go
+++ b/internal/cluster/quota/message_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-func TestMessage(t *testing.T) {
+func TestMessagesAreReadAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := Message{Kind: Kind(rapid.IntRange(1, int(KindShareRelease)).Draw(t, "kind")), Sender: rapid.StringN(0, 10, 40).Draw(t, "from"), SenderIncarnation: rapid.Uint64().Draw(t, "start"),
-			RecipientIncarnation: rapid.Uint64().Draw(t, "for"), PlanNumber: rapid.Uint64().Draw(t, "number"), Share: rapid.IntRange(-1, 1000).Draw(t, "seat"), Sequence: rapid.Uint32().Draw(t, "seq"),
-			QuotaID: rapid.Uint32().Draw(t, "budget"), Units: rapid.Int64Range(0, 1<<30).Draw(t, "amount"), LeaseID: rapid.Uint32().Draw(t, "id"),
-			VoterIncarnations: rapid.SliceOfN(rapid.Uint64(), 0, 5).Draw(t, "starts")}
+		m := Message{Kind: Kind(rapid.IntRange(1, int(KindShareRelease)).Draw(t, "kind")), Sender: rapid.StringN(0, 10, 40).Draw(t, "sender"), SenderIncarnation: rapid.Uint64().Draw(t, "incarnation"),
+			RecipientIncarnation: rapid.Uint64().Draw(t, "recipient"), PlanNumber: rapid.Uint64().Draw(t, "number"), Share: rapid.IntRange(-1, 1000).Draw(t, "share"), Sequence: rapid.Uint32().Draw(t, "sequence"),
+			QuotaID: rapid.Uint32().Draw(t, "quota"), Units: rapid.Int64Range(0, 1<<30).Draw(t, "units"), LeaseID: rapid.Uint32().Draw(t, "lease"),
+			VoterIncarnations: rapid.SliceOfN(rapid.Uint64(), 0, 5).Draw(t, "incarnations")}
 		got, err := Decode(m.Encode())
 		if fmt.Sprint(got) != fmt.Sprint(m) || err != nil {
 			t.Fatalf("%v %v %v", err, m, got)
--- a/internal/cluster/quota/share.go
+++ b/internal/cluster/quota/share.go
@@ -28,8 +28,9 @@
 // A claim keeps at most this many confirmations, from several processes under one voter's name.
 const maxConfirmations = 8
 
-// countsWith reports whether two confirmations count together: neither voter knows of a later process of the other, and one of them was known
-// by the other when it began to confirm. Otherwise each could count with another process under the other's name.
+// countsWith reports whether two confirmations count together: neither voter knows of a later process of the other, and one
+// of them was known by the other when it began to confirm. Otherwise each could count with another process under the
+// other's name.
 func (v *confirmation) countsWith(w *confirmation, unacquainted bool) bool {
 	if v.voter == w.voter || v.voterIncarnations[w.voter] > w.incarnation || w.voterIncarnations[v.voter] > v.incarnation {
 		return false
@@ -37,9 +38,9 @@
 	return v.knownIncarnations[w.voter] == w.incarnation || w.knownIncarnations[v.voter] == v.incarnation || unacquainted
 }
 
-// SucceedIncarnations tells that processes under this name have surely ended, by their incarnations. Their share passes to this process without their term
-// having to end. What the last of them leased out, and what its requests use, is waited for: it has ended when a lease has.
-// It is called right after New.
+// SucceedIncarnations takes in that processes under this name have surely ended, by their incarnations. Their share passes
+// to this process without their term having to end. What the last of them leased out, and what its requests use, is waited
+// for: it has ended when a lease has. It is called right after New.
 func (c *Core) SucceedIncarnations(ended []uint64) {
 	c.predecessors = ended
 	c.claims[0].usableFrom = c.now + c.plan.withDrift(c.plan.LeaseTerm)
@@ -82,8 +83,8 @@
 	}
 }
 
-// handleShareConfirm counts the voters that have confirmed the last claim: a majority of those that count together holds the share for a term
-// from when the claim was sent, however late the answers come.
+// handleShareConfirm counts the voters that have confirmed the last claim: a majority of those that count together holds
+// the share for a term from when the claim was sent, however late the answers come.
 func (c *Core) handleShareConfirm(m Message) {
 	voter, voters := slices.Index(c.plan.Voters, m.Sender), len(c.plan.Voters)
 	if voter < 0 || m.RecipientIncarnation != c.incarnation || len(m.VoterIncarnations) != voters || len(m.KnownIncarnations) != voters {
--- a/internal/cluster/quota/spares.go
+++ b/internal/cluster/quota/spares.go
@@ -12,29 +12,30 @@
 	announceInterval = 3 * admission.Second / 10
 	// Each announcement goes to so many peers in turn: of 500 each hears of as many a time, and of all in ten seconds.
 	announceFanOut = 16
-	// What has not changed since all peers were told is told again in one of so many turns, for members that are new or lost it.
+	// What has not changed since all peers were notified is announced again in one of so many turns, for members that are
+	// new or have lost it.
 	repeatTurns = 10
-	// A peer that has told nothing for so long may be asked all the same: among 500 each hears of the others every ten seconds, and a burst
-	// moves faster.
+	// A peer that has announced nothing for so long may be asked all the same: among 500 each is notified by the others
+	// every ten seconds, and a burst moves faster.
 	peerSilence = admission.Second
 	// A blind request is paid for by credit, of which one is added every quarter of a second; a request that finds something adds more.
 	blindInterval = admission.Second / 4
 	blindReward   = 2
-	// A rejected member is told of spare units for so long; after that it has heard of others.
+	// A rejected member is notified of spare units for so long; after that it has been notified by others.
 	rejectedLifetime = admission.Second
 	// So many peers are remembered; then all are forgotten, because names come and go.
 	maxPeers = 1024
 )
 
-// spareExchange is what members tell each other of the units that they could lease out.
+// spareExchange is what members announce to each other of the units that they could lease out.
 type spareExchange struct {
 	peers              []peerSpare // by name
 	nextAnnouncementAt Time
-	nextRecipient      int // where the peers that are told next begin
+	nextRecipient      int // where the peers that are notified next begin
 	round              int // of announcements
 
-	nextLender      int // whom to ask next, where several could lease out as much
-	nextUnknownPeer int // whom to ask next of those that told nothing lately
+	nextLender      int // the peer to ask next, where several could lease out as much
+	nextUnknownPeer int // the peer to ask next of those that announced nothing lately
 	blindCredit     int // so many blind requests may be sent
 	creditAt        Time
 }
@@ -69,13 +70,13 @@
 	return richest
 }
 
-// announceSpareUnits tells some peers what this member could lease out.
+// announceSpareUnits notifies some peers of what this member could lease out.
 func (c *Core) announceSpareUnits() {
 	s := &c.spares
 	s.nextAnnouncementAt = c.now + announceInterval
 	peers := c.host.Peers()
 	recipients := min(announceFanOut, len(peers))
-	turn := max(1, (len(peers)+announceFanOut-1)/announceFanOut) // rounds until all have been told
+	turn := max(1, (len(peers)+announceFanOut-1)/announceFanOut) // rounds until all have been notified
 	s.round++
 	for q := range c.plan.Totals {
 		units := max(0, c.spareUnits(q, c.now+c.plan.withDrift(c.plan.LeaseTerm)))
@@ -93,7 +94,7 @@
 	s.nextRecipient += recipients
 }
 
-// noteRejected remembers a member that asked for units, so that notifyRejected tells it first once there are more.
+// noteRejected remembers a member that asked for units, so that notifyRejected notifies it first once there are more.
 func (c *Core) noteRejected(quota int, peer string) {
 	known := slices.ContainsFunc(c.granted.rejected, func(r rejectedRequest) bool { return r.quota == quota && r.peer == peer })
 	if !known && len(c.granted.rejected) < maxOpenRequests {
@@ -101,13 +102,13 @@
 	}
 }
 
-// notifyRejected tells the members that asked in vain of spare units, as many of them as there are units.
+// notifyRejected notifies the members that asked in vain of spare units, as many of them as there are units.
 func (c *Core) notifyRejected() {
 	if len(c.granted.rejected) == 0 {
 		return
 	}
 	const usualQuotas = 8
-	spare := make([]int64, 0, usualQuotas) // by quota index, for the members that were not told yet
+	spare := make([]int64, 0, usualQuotas) // by quota index, for the members that were not notified yet
 	c.granted.rejected = slices.DeleteFunc(c.granted.rejected, func(r rejectedRequest) bool {
 		if c.now-r.at >= rejectedLifetime {
 			return true
@@ -141,7 +142,7 @@
 	return &c.spares.peers[i]
 }
 
-// nextUnknownPeer returns the next peer that has told nothing lately; empty: there is none, or no credit for asking it.
+// nextUnknownPeer returns the next peer that has announced nothing lately; empty: there is none, or no credit for asking it.
 func (c *Core) nextUnknownPeer() string {
 	s := &c.spares
 	for ; c.now >= s.creditAt && s.blindCredit < maxOpenRequests; s.creditAt = max(s.creditAt+blindInterval, c.now-peerSilence) {
--- a/internal/cluster/quota/synchronized.go
+++ b/internal/cluster/quota/synchronized.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Synchronized is a core for two goroutines: the cluster agent's, which steps it and carries its messages, and the owner of the decisions, which
-// asks whether a request may be sent and reserves what it uses. No call waits for anything but the other's few steps. Between
-// TryReserve and CommitReservation nothing of what was reserved is leased out.
+// Synchronized is a core for two goroutines: the cluster agent's, which steps it and carries its messages, and the owner of
+// the decisions, which asks whether a request may be sent and reserves what it uses. No call waits for anything but the
+// other's few steps. Between TryReserve and CommitReservation nothing of what was reserved is leased out.
 type Synchronized struct {
 	mu   sync.Mutex
 	core *Core
@@ -49,7 +49,8 @@
 	return m.Kind == KindLeaseGrant
 }
 
-// TryReserve reserves units of a quota for a use from now on, for so long, if they are free. The reservation stands until CommitReservation or SetDemand.
+// TryReserve reserves units of a quota for a use from now on, for so long, if they are free. The reservation stands until
+// CommitReservation or SetDemand.
 func (s *Synchronized) TryReserve(now Time, quota int, units int64, length Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,8 +67,8 @@
 	return true
 }
 
-// CommitReservation has a request that is sent use what was reserved, to the time that it was reserved for. It reports whether the units were there; they
-// count as used in any case, as the request is sent.
+// CommitReservation has a request that is sent use what was reserved, to the time that it was reserved for. It reports
+// whether the units were there; they count as used in any case, as the request is sent.
 func (s *Synchronized) CommitReservation(now Time, quota int, units int64, length Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +93,7 @@
 	return len(s.core.granted.rejected) > 0
 }
 
-// SetDemand tells how many units waiting requests would use, and that the owner has gone on without what it reserved.
+// SetDemand sets how many units waiting requests would use, and drops what the owner has reserved without using it.
 func (s *Synchronized) SetDemand(now Time, quota int, units int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/quota/units.go
+++ b/internal/cluster/quota/units.go
@@ -9,8 +9,8 @@
 	until Time
 }
 
-// HeldUnits returns how many units of a quota this process may use now, those among them that are in use. It is 0 where a lowered total leaves less
-// than is leased out.
+// HeldUnits returns how many units of a quota this process may use now, those among them that are in use. It is 0 where a
+// lowered total leaves less than is leased out.
 func (c *Core) HeldUnits(now Time, quota int) int64 { return max(0, c.heldAt(quota, now)) }
 
 // UsedUnits returns how many units of a quota are in use.
@@ -101,8 +101,8 @@
 	return covers
 }
 
-// ReserveRate has up to need units of a quota that is used as a rate be in use, as far as they are free, until the next call: they are neither
-// leased out nor returned. It returns how many there are, and when the first of what is held ends.
+// ReserveRate has up to need units of a quota that is used as a rate be in use, as far as they are free, until the next
+// call: they are neither leased out nor returned. It returns how many there are, and when the first of what is held ends.
 func (c *Core) ReserveRate(now Time, quota int, need int64) (units int64, until Time) {
 	c.advance(now)
 	units, until = min(max(0, c.heldAt(quota, c.now)-c.toBeReturned(quota)), need), Never
@@ -111,7 +111,8 @@
 	return units, until
 }
 
-// ScaleTotal has only a part of a total count, from 0 to 1, as part of the engines are up. Members that see the same engines come to the same.
+// ScaleTotal has only a part of a total count, from 0 to 1, as part of the engines are up. Members that see the same
+// engines come to the same.
 func (c *Core) ScaleTotal(now Time, quota int, part float64) {
 	c.advance(now)
 	c.quotas[quota].scale = part
@@ -127,7 +128,8 @@
 	return true
 }
 
-// Release ends a use of so many units. Of several such uses it ends the one that would end first, so that no more is taken for free than is.
+// Release ends a use of so many units. Of several such uses it ends the one that would end first, so that no more is taken
+// for free than is.
 func (c *Core) Release(now Time, quota int, units int64) {
 	c.advance(now)
 	first := -1
--- a/internal/cluster/quota/voter.go
+++ b/internal/cluster/quota/voter.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// otherVoter returns the index of the voter that sent a message between voters; false: this process or the sender is none, or the message does
-// not fit the plan.
+// otherVoter returns the index of the voter that sent a message between voters; false: this process or the sender is none,
+// or the message does not fit the plan.
 func (c *Core) otherVoter(m Message) (int, bool) {
 	sender := slices.Index(c.plan.Voters, m.Sender)
 	return sender, sender >= 0 && c.voter.index >= 0 && len(m.VoterIncarnations) == len(c.voter.incarnations)
--- a/internal/testbed/quotamodel/explore.go
+++ b/internal/testbed/quotamodel/explore.go
@@ -8,7 +8,8 @@
 // maxDepth is more transitions than any exploration within reach is deep.
 const maxDepth = 1000
 
-// Explore explores all systems without a mutation, each up to a number of states, and calls report with the description and the result of each.
+// Explore explores all systems without a mutation, each up to a number of states, and calls report with the description and
+// the result of each.
 func Explore(maxStates int, report func(description string, r modelcheck.Result)) {
 	explore := func(description string, s *system) {
 		report(description, modelcheck.Explore(s, maxStates, maxDepth))
--- a/internal/testbed/quotamodel/shares.go
+++ b/internal/testbed/quotamodel/shares.go
@@ -20,8 +20,9 @@
 	firstVoterTwin = 5 // place of another process under the first voter's name
 )
 
-// shareSystem is the system of shares: three voters with a true, a fast and a slow clock, and two processes under the name of one member, for which there is one share.
-// They are killed and doubled as the faults allow, each becoming a process that knows nothing. Time passes by some numbers of ticks.
+// shareSystem is the system of shares: three voters with a true, a fast and a slow clock, and two processes under the name
+// of one member, for which there is one share. They are killed and doubled as the faults allow, each becoming a process
+// that knows nothing. Time passes by some numbers of ticks.
 func shareSystem(mutation quota.Mutation, f faults, steps ...quota.Time) *system {
 	plan := &quota.Plan{Shares: 1, Voters: []string{"a", "b", "c"}, ShareTerm: 4 * tick, LeaseTerm: tick, DriftDivisor: driftDivisor, Number: 1,
 		QuotaIDs: []uint32{0}, Totals: []int64{1}, Mutation: mutation}
@@ -66,7 +67,8 @@
 	return s
 }
 
-// joiningSystem is that with one of the two still to join, by either process of the third. The later one and the other voter have answered it.
+// joiningSystem is that with one of the two still to join, by either process of the third. The later one and the other
+// voter have answered it.
 func joiningSystem(mutation quota.Mutation) *system {
 	s := forgottenTwinSystem(mutation)
 	s.processes[thirdVoter].core.RestartJoin()
--- a/internal/testbed/quotamodel/system.go
+++ b/internal/testbed/quotamodel/system.go
@@ -1,7 +1,7 @@
-// Package quotamodel explores the states of small systems that run the protocol of package quota. Its safety falls into two parts, which meet only in that
-// a lease must end before its lender's share does: a share has one holder at a time, whatever becomes of holders and voters; and of
-// what a holder has, what is leased out and what is left together are never more than it. There is a system for each. Clocks run a
-// quarter fast or slow in them, so that few steps tell.
+// Package quotamodel explores the states of small systems that run the protocol of package quota. Its safety falls into two
+// parts, which meet only in that a lease must end before its lender's share does: a share has one holder at a time,
+// whatever becomes of holders and voters; and of what a holder has, what is leased out and what is left together are never
+// more than it. There is a system for each. Clocks run a quarter fast or slow in them, so that few steps tell.
 package quotamodel
 
 import (
@@ -165,7 +165,8 @@
 	return quota.New(now, quota.Options{Plan: s.plan, Name: name, Incarnation: incarnation, Share: share, Host: network{s}})
 }
 
-// commonTransitions are those of all systems: time passes, and a message is delivered to a process that has the recipient's name, once or once more.
+// commonTransitions are those of all systems: time passes, and a message is delivered to a process that has the recipient's
+// name, once or once more.
 func (s *system) commonTransitions(steps ...quota.Time) (out []modelcheck.Transition) {
 	for _, ticks := range steps {
 		out = append(out, s.transition(fmt.Sprintf("%d ticks pass", ticks), func(s *system) {
