--- a/internal/testbed/faulttest/clients.go
+++ b/internal/testbed/faulttest/clients.go
@@ -5,7 +5,6 @@
 	"database/sql"
 	"fmt"
 	"math/rand/v2"
-	"path"
 	"sync"
 	"time"
 
@@ -13,23 +12,34 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// rate is how many requests a second come to a gateway at a time.
+// requestRate is how many requests a second come to a gateway at a time from the load's begin.
 func (p *run) requestRate(g *installation.Gateway, at time.Duration) float64 {
 	rate := p.scenario.RequestRate
-	for _, t := range p.scenario.Steps {
-		if t.Action == "surge" && at >= t.At && (t.Until == 0 || at < t.Until) {
-			for _, n := range t.Gateways {
-				if ok, _ := path.Match(n, g.Label()); ok {
-					rate += t.ExtraRate
-					break
-				}
-			}
+	for _, step := range p.scenario.Steps {
+		isOn := at >= step.At && (step.Until == 0 || at < step.Until)
+		if step.Action == "surge" && isOn && matchesAny(step.Gateways, g.Label()) {
+			rate += step.ExtraRate
 		}
 	}
 	return rate
 }
 
-// client sends a gateway its load: open, each request at its time, whatever became of the others.
+const (
+	idleConnections = 8
+	// maxGap is the longest gap that is drawn at once: after it the next one is drawn anew, as the rate may have changed.
+	maxGap = 250 * time.Millisecond
+)
+
+// client sends a gateway its load, each request at its time, whatever became of the others.
+type client struct {
+	run     *run
+	gateway *installation.Gateway
+	db      *sql.DB
+	random  *rand.Rand
+	number  int // of the client, in the ids of its requests
+}
+
+// runClient starts the client of a gateway, which ends with its context.
 func (p *run) runClient(ctx context.Context, g *installation.Gateway) {
 	if p.scenario.RequestRate == 0 {
 		return
@@ -38,44 +48,58 @@
 	if err != nil {
 		return
 	}
-	db.SetMaxIdleConns(8)
-	chance := rand.New(rand.NewPCG(p.scenario.Seed, uint64(len(p.dbs))+17))
+	db.SetMaxIdleConns(idleConnections)
+	c := &client{run: p, gateway: g, db: db, random: rand.New(rand.NewPCG(p.scenario.Seed, uint64(len(p.dbs))+17))}
 	p.dbs[g.Label()] = db
-	n := len(p.dbs)
+	c.number = len(p.dbs)
 	p.clients.Add(1)
 	go func() {
 		defer p.clients.Done()
-		defer db.Close()
-		var all sync.WaitGroup
-		defer all.Wait()
-		at := p.startedAt
-		for k := 0; ; k++ {
-			const look = 250 * time.Millisecond // a gap this long is drawn anew from there: the rate may have changed
-			gap := time.Duration(chance.ExpFloat64() / p.requestRate(g, at.Sub(p.startedAt)) * float64(time.Second))
-			if at = at.Add(min(gap, look)); gap > look {
-				continue
-			}
-			load := chance.Float64() < p.scenario.LoadShare
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(time.Until(at)):
-			}
-			all.Add(1)
-			due := at // time counts from when the request was to come
-			go func() {
-				defer all.Done()
-				t := Request{Gateway: g.Label(), At: due.Sub(p.startedAt), Load: load, id: fmt.Sprintf("%d%07x%08x", 2-btoi(load), n, k)}
-				t.End = query(db, &t, k, p.scenario.MaxWait)
-				t.Took = time.Since(due)
-				p.mu.Lock()
-				p.requests = append(p.requests, t)
-				p.mu.Unlock()
-			}()
-		}
+		c.sendRequests(ctx)
+		_ = db.Close() // all answers are in, and a connection that can't be closed ends with its gateway
 	}()
 }
 
+// sendRequests sends requests until its context ends, and returns when all have been answered.
+func (c *client) sendRequests(ctx context.Context) {
+	var requests sync.WaitGroup
+	defer requests.Wait()
+	due := c.run.startedAt
+	for k := 0; ; k++ {
+		gap := time.Duration(c.random.ExpFloat64() / c.run.requestRate(c.gateway, due.Sub(c.run.startedAt)) * float64(time.Second))
+		due = due.Add(min(gap, maxGap))
+		if gap > maxGap {
+			continue
+		}
+		isLoad := c.random.Float64() < c.run.scenario.LoadShare
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(time.Until(due)):
+		}
+		requests.Add(1)
+		go func(due time.Time) {
+			defer requests.Done()
+			c.sendRequest(due, isLoad, k)
+		}(due)
+	}
+}
+
+// sendRequest sends one request and records how it ended. Its time counts from when it was due.
+func (c *client) sendRequest(due time.Time, isLoad bool, k int) {
+	request := Request{
+		Gateway: c.gateway.Label(),
+		At:      due.Sub(c.run.startedAt),
+		Load:    isLoad,
+		id:      fmt.Sprintf("%d%07x%08x", 2-btoi(isLoad), c.number, k),
+	}
+	request.End = query(c.db, &request, k, c.run.scenario.MaxWait)
+	request.Took = time.Since(due)
+	c.run.mu.Lock()
+	defer c.run.mu.Unlock()
+	c.run.requests = append(c.run.requests, request)
+}
+
 func btoi(b bool) int {
 	if b {
 		return 1
@@ -83,11 +107,11 @@
 	return 0
 }
 
-// ask sends one request and tells how it ended.
-func query(db *sql.DB, t *Request, k int, wait time.Duration) string {
-	lane, statement := "look", fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", k%4+1, k)
-	if t.Load {
-		lane, statement = "load", fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", k%4+1, k)
+// query sends one request's statement and returns how it ended.
+func query(db *sql.DB, request *Request, k int, wait time.Duration) string {
+	class, statement := "look", fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", k%4+1, k)
+	if request.Load {
+		class, statement = "load", fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", k%4+1, k)
 	}
-	return sqlclient.Query(db, lane, t.id, statement, wait)
+	return sqlclient.Query(db, class, request.id, statement, wait)
 }
--- a/internal/testbed/faulttest/convergence.go
+++ b/internal/testbed/faulttest/convergence.go
@@ -9,74 +9,72 @@
 	"magpiebank/internal/cluster/agent"
 )
 
-// settle waits until all that are there know each other; it tells how long that took.
+const (
+	membershipPollInterval = 100 * time.Millisecond
+	sharePollInterval      = 100 * time.Millisecond
+)
+
+// waitForMembership waits until all that are there know each other, and returns how long that took.
 func (p *run) waitForMembership(ctx context.Context, within time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	for time.Since(began) < within && ctx.Err() == nil {
 		if p.membershipDifference() == "" {
 			return time.Since(began), true
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(membershipPollInterval)
 	}
 	return time.Since(began), false
 }
 
-// seated waits until all that are there hold their part.
+// waitForShares waits until all that are there hold their share of the quotas.
 func (p *run) waitForShares(ctx context.Context, within time.Duration) {
 	if p.scenario.Mutation == "quorum" {
 		time.Sleep(p.scenario.MaxWait * 3) // its replicas grant nothing before what others granted has ended
 		return
 	}
-	for by := time.Now().Add(p.scenario.ShareTerm + p.scenario.ShareTerm/4 + within); time.Now().Before(by) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
-		all := true
-		for _, g := range p.installation.Gateways {
-			if s, err := agent.FetchStatus(g.Control); !p.notRunning[g.Label()] && (err != nil || len(s.Budgets) == 0 || s.Budgets[0].ShareSeconds < 0) {
-				all = false
-			}
-		}
-		if all {
+	deadline := time.Now().Add(p.scenario.ShareTerm + p.scenario.ShareTerm/4 + within)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
+		if p.allHoldShares() {
 			return
 		}
+		time.Sleep(sharePollInterval)
 	}
 	p.failures = append(p.failures, "eventual: not all members hold their part of the budget a term after the start")
 }
 
-// apart is the first pair that don't know each other; empty: there is none.
-func (p *run) membershipDifference() string {
-	type one struct {
-		label  string
-		status *agent.Status
-	}
-	var all []one
-	for _, g := range p.installation.Gateways {
-		p.mu.Lock()
-		down := p.notRunning[g.Label()]
-		p.mu.Unlock()
-		if down {
+// allHoldShares tells whether all gateways that are to be there hold their share of the quotas.
+func (p *run) allHoldShares() bool {
+	for _, gateway := range p.installation.Gateways {
+		if p.isDown(gateway) {
 			continue
 		}
-		s, err := agent.FetchStatus(g.Control)
-		if err != nil {
-			return g.Label() + " doesn't answer: " + err.Error()
-		}
-		if !s.Displaced {
-			all = append(all, one{g.Label(), s})
+		status, err := agent.FetchStatus(gateway.Control)
+		if err != nil || len(status.Budgets) == 0 || status.Budgets[0].ShareSeconds < 0 {
+			return false
 		}
 	}
-	for _, a := range all {
-		for _, b := range all {
+	return true
+}
+
+// memberView is what one gateway knows of the members.
+type memberView struct {
+	label  string
+	status *agent.Status
+}
+
+// membershipDifference names the first pair that don't know each other; it is empty if there is none.
+func (p *run) membershipDifference() string {
+	views, problem := p.memberViews()
+	if problem != "" {
+		return problem
+	}
+	for _, a := range views {
+		for _, b := range views {
 			if a.label == b.label {
 				continue
 			}
-			if a.status.Name == b.status.Name {
-				return fmt.Sprintf("%s and %s both take part as %s", a.label, b.label, a.status.Name)
-			}
-			i := slices.IndexFunc(a.status.Members, func(m agent.MemberStatus) bool { return m.Name == b.status.Name })
-			if i < 0 {
-				return fmt.Sprintf("%s has not heard of %s", a.label, b.label)
-			}
-			if m := a.status.Members[i]; m.State != "alive" || m.Start != b.status.Start {
-				return fmt.Sprintf("%s takes %s, start %d, for %s under start %d", a.label, b.label, b.status.Start, m.State, m.Start)
+			if difference := a.differenceOn(b); difference != "" {
+				return difference
 			}
 		}
 	}
@@ -85,3 +83,35 @@
 	}
 	return ""
 }
+
+// memberViews are the views of all gateways that are to be there, or the first one that doesn't answer.
+func (p *run) memberViews() (views []memberView, problem string) {
+	for _, gateway := range p.installation.Gateways {
+		if p.isDown(gateway) {
+			continue
+		}
+		status, err := agent.FetchStatus(gateway.Control)
+		if err != nil {
+			return nil, gateway.Label() + " doesn't answer: " + err.Error()
+		}
+		if !status.Displaced {
+			views = append(views, memberView{gateway.Label(), status})
+		}
+	}
+	return views, ""
+}
+
+// differenceOn tells what one gateway doesn't know of another; it is empty if it knows it.
+func (v memberView) differenceOn(other memberView) string {
+	if v.status.Name == other.status.Name {
+		return fmt.Sprintf("%s and %s both take part as %s", v.label, other.label, v.status.Name)
+	}
+	i := slices.IndexFunc(v.status.Members, func(m agent.MemberStatus) bool { return m.Name == other.status.Name })
+	if i < 0 {
+		return fmt.Sprintf("%s has not heard of %s", v.label, other.label)
+	}
+	if member := v.status.Members[i]; member.State != "alive" || member.Start != other.status.Start {
+		return fmt.Sprintf("%s takes %s, start %d, for %s under start %d", v.label, other.label, other.status.Start, member.State, member.Start)
+	}
+	return ""
+}
--- a/internal/testbed/faulttest/disturbance.go
+++ b/internal/testbed/faulttest/disturbance.go
@@ -1,8 +1,6 @@
 package faulttest
 
 import (
-	"path"
-	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -58,24 +56,24 @@
 	return time.Duration(m.longest.Load())
 }
 
-// wakeDelay is the longest delay that gateways wrote down of themselves, but for those that the scenario itself has stand still.
+// wakeDelay is the longest delay that gateways wrote down of themselves, except those that the scenario itself stops.
 func (s *Scenario) wakeDelay(events []history.Event) time.Duration {
 	longest := int64(0)
 	for i := range events {
-		if e := &events[i]; e.Kind == history.LateWake && e.AgeNanos > longest && !s.stands(e.Label) {
+		if e := &events[i]; e.Kind == history.LateWake && e.AgeNanos > longest && !s.mayStop(e.Label) {
 			longest = e.AgeNanos
 		}
 	}
 	return time.Duration(longest)
 }
 
-// stands tells whether a scenario has a process stand still, or may have.
-func (s *Scenario) stands(label string) bool {
+// mayStop tells whether a scenario stops a process, or may stop it.
+func (s *Scenario) mayStop(label string) bool {
 	if s.CrashPoint != "" && strings.Contains(s.CrashPoint, "stop") {
 		return true
 	}
 	for _, step := range s.Steps {
-		if step.Action == "stop" && slices.ContainsFunc(step.Gateways, func(name string) bool { fits, _ := path.Match(name, label); return fits }) {
+		if step.Action == "stop" && matchesAny(step.Gateways, label) {
 			return true
 		}
 	}
@@ -90,10 +88,10 @@
 // whatever the times are counts in any run.
 func (r *Result) Repeat() bool { return r.Disturbed() && !r.Good() && r.timely == len(r.Violations) }
 
-// violate takes down what must hold at every instant, and did not.
+// addViolations takes down what must hold at every instant, and did not.
 func (r *Result) addViolations(what ...string) { r.Violations = append(r.Violations, what...) }
 
-// miss takes down what was to come about within a time, and did not.
+// addTimedViolations takes down what was to come about within a time, and did not.
 func (r *Result) addTimedViolations(what ...string) {
 	r.addViolations(what...)
 	r.timely += len(what)
--- a/internal/testbed/faulttest/draw.go
+++ b/internal/testbed/faulttest/draw.go
@@ -10,77 +10,151 @@
 	"magpiebank/internal/testbed/installation"
 )
 
+// drawer draws the parts of one scenario. The order of its draws is part of what a seed stands for.
+type drawer struct {
+	random   *rand.Rand
+	scenario *Scenario
+}
+
 // Draw makes a scenario from a seed: some faults at once and one after the other, all over some seconds before the end.
 func Draw(seed uint64, gateways, engines int) *Scenario {
-	r := rand.New(rand.NewPCG(seed, 11))
-	s := &Scenario{Name: fmt.Sprint("drawn-", seed), Gateways: gateways, Engines: engines, Zones: []string{"norte", "sur"}, Seed: seed, Length: 12 * time.Second,
-		ConvergeWithin: 25 * time.Second, RequestRate: 4, LoadShare: 0.2, ShareTerm: 24 * time.Second, MaxWait: defaultMaxWait, HealthReports: true, Counters: true, Durable: r.IntN(2) == 0}
-	some := func(most int) (out []string) {
-		for _, n := range r.Perm(gateways)[:1+r.IntN(most)] {
-			out = append(out, fmt.Sprint("g", n))
-		}
-		return out
+	random := rand.New(rand.NewPCG(seed, 11))
+	d := &drawer{random: random, scenario: &Scenario{
+		Name:           fmt.Sprint("drawn-", seed),
+		Gateways:       gateways,
+		Engines:        engines,
+		Zones:          []string{"norte", "sur"},
+		Seed:           seed,
+		Length:         12 * time.Second,
+		ConvergeWithin: 25 * time.Second,
+		RequestRate:    4,
+		LoadShare:      0.2,
+		ShareTerm:      24 * time.Second,
+		MaxWait:        defaultMaxWait,
+		HealthReports:  true,
+		Counters:       true,
+		Durable:        random.IntN(2) == 0,
+	}}
+	if random.IntN(2) == 0 {
+		d.drawQuota()
 	}
-	if r.IntN(2) == 0 { // with a budget, and clients that wait for less, as a part of it is held six times as long at least
-		s.Limits, s.LoadShare, s.MaxWait, s.ShareTerm = installation.ClusterLimits{Threads: 1 + r.IntN(2*gateways), Version: 1}, 0.6, 2*time.Second, 12*time.Second
-		s.Clocks = map[string]string{}
-		for n := range gateways {
-			s.Clocks[fmt.Sprint("g", n)] = fmt.Sprintf("%g 0s 0s", 0.96+0.01*float64(r.IntN(9)))
-		}
-		for range r.IntN(3) {
-			at := time.Duration(500+r.IntN(8000)) * time.Millisecond
-			s.Steps = append(s.Steps, Step{At: at, Until: at + time.Duration(1+r.IntN(4))*time.Second, Action: "surge", Gateways: some(2), ExtraRate: float64(20 + r.IntN(60)), Folder: "same"})
-		}
-		if r.IntN(3) == 0 {
-			s.Steps = append(s.Steps, Step{At: time.Duration(500+r.IntN(8000)) * time.Millisecond, Action: "limit", Gateways: []string{"g*"}, Limits: installation.ClusterLimits{Threads: 1 + r.IntN(2*gateways), Version: 1}, Folder: "same"})
-		}
+	for range 3 + random.IntN(4) {
+		d.addStep(d.drawFault())
 	}
-	for range 3 + r.IntN(4) {
-		t := Step{At: time.Duration(500+r.IntN(6500)) * time.Millisecond, Folder: "same"}
-		t.Until = t.At + time.Duration(300+r.IntN(4000))*time.Millisecond
-		switch r.IntN(8) {
-		case 0, 1:
-			t.Action, t.From, t.To, t.BothWays, t.Rule.Cut = "link", some(gateways/2), []string{"g*"}, r.IntN(2) == 0, true
-			if r.IntN(3) == 0 {
-				t.To = []string{"*"}
-			}
-		case 2:
-			t.Action, t.From, t.To, t.BothWays = "link", []string{"g*"}, []string{"g*"}, true
-			t.Rule = faultproxy.Rule{Loss: 0.6 * r.Float64(), Duplicate: 0.3 * r.Float64(), Reorder: 0.3 * r.Float64(), Corrupt: 0.1 * r.Float64(), Delay: time.Duration(r.IntN(80)) * time.Millisecond,
-				Jitter: time.Duration(1+r.IntN(100)) * time.Millisecond}
-		case 3:
-			t.Action, t.Gateways, t.Folder = "kill", some(gateways/2), []string{"same", "none"}[r.IntN(2)]
-		case 4:
-			t.Action, t.Gateways = "stop", some(2)
-		case 5:
-			t.Action, t.Gateways = "leave", some(2)
-		case 6:
-			t.Action, t.Engines, t.EngineState = "engine", []string{fmt.Sprintf("e-%03d", 1+r.IntN(engines))}, []string{"silent", "errs", "loses", "slow", "refuses", "restarts", "paused"}[r.IntN(7)]
-		case 7:
-			t.Action, t.EngineState = "list", []string{"held", "broken"}[r.IntN(2)]
+	if random.IntN(3) == 0 {
+		d.drawRollout()
+	}
+	slices.SortStableFunc(d.scenario.Steps, func(a, b Step) int { return int(a.At - b.At) })
+	return d.scenario
+}
+
+func (d *drawer) addStep(step Step) { d.scenario.Steps = append(d.scenario.Steps, step) }
+
+// someGateways draws the names of one gateway or more.
+func (d *drawer) someGateways(most int) (names []string) {
+	for _, n := range d.random.Perm(d.scenario.Gateways)[:1+d.random.IntN(most)] {
+		names = append(names, fmt.Sprint("g", n))
+	}
+	return names
+}
+
+// instant draws a time from half a second on, within a span in milliseconds.
+func (d *drawer) instant(spanMillis int) time.Duration {
+	return time.Duration(500+d.random.IntN(spanMillis)) * time.Millisecond
+}
+
+// threads draws a total of threads.
+func (d *drawer) threads() int { return 1 + d.random.IntN(2*d.scenario.Gateways) }
+
+// drawQuota adds a quota, clocks that drift, surges and changes of the limit. Clients wait for less, as a share of the quota is held for
+// at least six times as long.
+func (d *drawer) drawQuota() {
+	s := d.scenario
+	s.Limits = installation.ClusterLimits{Threads: d.threads(), Version: 1}
+	s.LoadShare, s.MaxWait, s.ShareTerm = 0.6, 2*time.Second, 12*time.Second
+	s.Clocks = map[string]string{}
+	for n := range s.Gateways {
+		s.Clocks[fmt.Sprint("g", n)] = fmt.Sprintf("%g 0s 0s", 0.96+0.01*float64(d.random.IntN(9)))
+	}
+	for range d.random.IntN(3) {
+		at := d.instant(8000)
+		until := at + time.Duration(1+d.random.IntN(4))*time.Second
+		d.addStep(Step{At: at, Until: until, Action: "surge", Gateways: d.someGateways(2), ExtraRate: float64(20 + d.random.IntN(60)), Folder: "same"})
+	}
+	if d.random.IntN(3) == 0 {
+		at := d.instant(8000)
+		limits := installation.ClusterLimits{Threads: d.threads(), Version: 1}
+		d.addStep(Step{At: at, Action: "limit", Gateways: []string{"g*"}, Limits: limits, Folder: "same"})
+	}
+}
+
+// drawnEngineStates are the states that Draw has engines in.
+var drawnEngineStates = []string{"silent", "errs", "loses", "slow", "refuses", "restarts", "paused"}
+
+func (d *drawer) drawFault() Step {
+	random, gateways := d.random, d.scenario.Gateways
+	step := Step{At: d.instant(6500), Folder: "same"}
+	step.Until = step.At + time.Duration(300+random.IntN(4000))*time.Millisecond
+	switch random.IntN(8) {
+	case 0, 1:
+		step.Action, step.To, step.Rule.Cut = "link", []string{"g*"}, true
+		step.From = d.someGateways(gateways / 2)
+		step.BothWays = random.IntN(2) == 0
+		if random.IntN(3) == 0 {
+			step.To = []string{"*"}
 		}
-		s.Steps = append(s.Steps, t)
+	case 2:
+		step.Action, step.From, step.To, step.BothWays = "link", []string{"g*"}, []string{"g*"}, true
+		step.Rule = d.drawRule()
+	case 3:
+		step.Action, step.Gateways = "kill", d.someGateways(gateways/2)
+		step.Folder = []string{"same", "none"}[random.IntN(2)]
+	case 4:
+		step.Action, step.Gateways = "stop", d.someGateways(2)
+	case 5:
+		step.Action, step.Gateways = "leave", d.someGateways(2)
+	case 6:
+		step.Action, step.Engines = "engine", []string{fmt.Sprintf("e-%03d", 1+random.IntN(d.scenario.Engines))}
+		step.EngineState = drawnEngineStates[random.IntN(len(drawnEngineStates))]
+	case 7:
+		step.Action, step.EngineState = "list", []string{"held", "broken"}[random.IntN(2)]
 	}
-	if r.IntN(3) == 0 { // with a policy rollout, and changes while all of that happens
-		s.Rollout = installation.Rollout{Voters: 5, Lease: 2 * time.Second, Within: 2 * time.Second}
-		for i := range s.Steps {
-			if t := &s.Steps[i]; t.Action == "limit" {
-				t.Action, t.ProposalKind, t.Policy = "propose", "change", installation.Policy{ClusterLimits: t.Limits}
-				t.Limits = installation.ClusterLimits{}
-			}
-			s.Steps[i].Folder = "same" // a majority of voters that lose theirs is not what this is about
+	return step
+}
+
+// drawRule draws what a bad link does to datagrams.
+func (d *drawer) drawRule() faultproxy.Rule {
+	return faultproxy.Rule{
+		Loss:      0.6 * d.random.Float64(),
+		Duplicate: 0.3 * d.random.Float64(),
+		Reorder:   0.3 * d.random.Float64(),
+		Corrupt:   0.1 * d.random.Float64(),
+		Delay:     time.Duration(d.random.IntN(80)) * time.Millisecond,
+		Jitter:    time.Duration(1+d.random.IntN(100)) * time.Millisecond,
+	}
+}
+
+// drawRollout has policies be decided on by voters, and adds proposals while all the rest happens.
+func (d *drawer) drawRollout() {
+	s := d.scenario
+	s.Rollout = installation.Rollout{Voters: 5, Lease: 2 * time.Second, Within: 2 * time.Second}
+	for i := range s.Steps {
+		step := &s.Steps[i]
+		if step.Action == "limit" {
+			step.Action, step.ProposalKind = "propose", "change"
+			step.Policy = installation.Policy{ClusterLimits: step.Limits}
+			step.Limits = installation.ClusterLimits{}
 		}
-		for range 2 + r.IntN(3) {
-			t := Step{At: time.Duration(500+r.IntN(9000)) * time.Millisecond, Action: "propose", ProposalKind: "change", Gateways: some(1), Folder: "same"}
-			t.Policy.Threads = 1 + r.IntN(2*gateways)
-			if r.IntN(3) == 0 {
-				t.Policy.Both = 3 * time.Second
-			}
-			s.Steps = append(s.Steps, t)
+		step.Folder = "same" // a majority of voters that lose their state is outside what rollouts promise
+	}
+	for range 2 + d.random.IntN(3) {
+		step := Step{At: d.instant(9000), Action: "propose", ProposalKind: "change", Gateways: d.someGateways(1), Folder: "same"}
+		step.Policy.Threads = d.threads()
+		if d.random.IntN(3) == 0 {
+			step.Policy.Both = 3 * time.Second
 		}
+		d.addStep(step)
 	}
-	slices.SortStableFunc(s.Steps, func(a, b Step) int { return int(a.At - b.At) })
-	return s
 }
 
 // Shrink looks for the fewest steps that still fail; fails plays a scenario. At most attempts of them are played.
--- a/internal/testbed/faulttest/outages.go
+++ b/internal/testbed/faulttest/outages.go
@@ -10,74 +10,79 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// Outage is what became of one engine's bad time.
+// Outage is a time in which an engine was faulty, and how the gateways dealt with it.
 type Outage struct {
 	Engine string        `json:"engine"`
 	Be     string        `json:"be"`
 	At     time.Duration `json:"at"`
 	Length time.Duration `json:"length"`
-	T95    time.Duration `json:"t95"`    // after which 95% of the gateways sent it nothing new, to the end of the bad time
+	T95    time.Duration `json:"t95"`    // after which 95% of the gateways sent it nothing new, to the end of the outage
 	Sent   int           `json:"sent"`   // attempts to it in that time
 	Others int           `json:"others"` // and to all other engines
-	Served float64       `json:"served"` // share of the worth asked for in that time, served within its time
+	Served float64       `json:"served"` // share of the priority weight asked for in that time that was served within the latency objective
 }
 
-// Outages are the bad times of engines in a run.
-func (r *Result) Outages() (out []Outage) {
-	for _, t := range r.Scenario.Steps {
-		if t.Action != "engine" || t.Until == 0 {
+// Outages are the outages of engines in a run.
+func (r *Result) Outages() (outages []Outage) {
+	for _, step := range r.Scenario.Steps {
+		if step.Action != "engine" || step.Until == 0 {
 			continue
 		}
-		for _, engine := range t.Engines {
-			o := Outage{Engine: engine, Be: t.EngineState, At: t.At, Length: t.Until - t.At}
-			last := map[string]time.Duration{}
-			for _, e := range r.Events {
-				at := time.Duration(e.At - r.StartMonotonic)
-				if e.Kind != history.AttemptSent || at < t.At || at >= t.Until {
-					continue
-				}
-				if e.Engine != engine {
-					o.Others++
-					continue
-				}
-				o.Sent++
-				last[e.Process] = at - t.At
-			}
-			var all []time.Duration
-			for _, p := range r.Processes {
-				all = append(all, last[p])
-			}
-			slices.Sort(all)
-			if len(all) > 0 {
-				o.T95 = all[min(len(all)-1, len(all)*95/100)]
-			}
-			asked, earned := 0.0, 0.0
-			for i := range r.Requests {
-				if k := &r.Requests[i]; k.At >= t.At && k.At < t.Until && k.End != sqlclient.NotConnected {
-					asked += k.worth()
-					earned += k.Worth()
-				}
-			}
-			o.Served = earned / max(1, asked)
-			out = append(out, o)
+		for _, engine := range step.Engines {
+			outages = append(outages, r.outage(engine, step))
 		}
 	}
-	return out
+	return outages
 }
 
-// Compare writes the bad times of a run with sharing beside those of one without.
+func (r *Result) outage(engine string, step Step) Outage {
+	outage := Outage{Engine: engine, Be: step.EngineState, At: step.At, Length: step.Until - step.At}
+	lastSent := map[string]time.Duration{} // by gateway: its last attempt, from the outage's begin
+	for _, e := range r.Events {
+		at := time.Duration(e.At - r.StartMonotonic)
+		if e.Kind != history.AttemptSent || at < step.At || at >= step.Until {
+			continue
+		}
+		if e.Engine != engine {
+			outage.Others++
+			continue
+		}
+		outage.Sent++
+		lastSent[e.Process] = at - step.At
+	}
+	var times []time.Duration
+	for _, gateway := range r.Processes {
+		times = append(times, lastSent[gateway])
+	}
+	slices.Sort(times)
+	if len(times) > 0 {
+		outage.T95 = times[min(len(times)-1, len(times)*95/100)]
+	}
+	asked, earned := 0.0, 0.0
+	for i := range r.Requests {
+		request := &r.Requests[i]
+		if request.At >= step.At && request.At < step.Until && request.End != sqlclient.NotConnected {
+			asked += request.worth()
+			earned += request.Worth()
+		}
+	}
+	outage.Served = earned / max(1, asked)
+	return outage
+}
+
+// Compare writes the outages of a run with shared health reports beside those of one without.
 func Compare(out io.Writer, with, without *Result) {
-	a, b := with.Outages(), without.Outages()
+	shared, unshared := with.Outages(), without.Outages()
 	fmt.Fprintf(out, "%s: %d gateways, %d engines, %.1f tasks a second each; real processes and sockets on loopback, both at the same time\n", with.Scenario.Name,
 		with.Scenario.Gateways, with.Scenario.Engines, with.Scenario.RequestRate)
 	fmt.Fprintln(out, "                            with sharing                           without")
 	fmt.Fprintln(out, "engine   is        for s    t95 s  hand-offs there  worth served   t95 s  hand-offs there  worth served")
-	for i := range a {
-		fmt.Fprintf(out, "%-8s %-8s %6.0f   %6.1f  %15d  %12.3f  %6.1f  %15d  %12.3f\n", a[i].Engine, a[i].Be, a[i].Length.Seconds(), a[i].T95.Seconds(), a[i].Sent, a[i].Served,
-			b[i].T95.Seconds(), b[i].Sent, b[i].Served)
+	for i := range shared {
+		fmt.Fprintf(out, "%-8s %-8s %6.0f   %6.1f  %15d  %12.3f  %6.1f  %15d  %12.3f\n", shared[i].Engine, shared[i].Be, shared[i].Length.Seconds(), shared[i].T95.Seconds(), shared[i].Sent, shared[i].Served,
+			unshared[i].T95.Seconds(), unshared[i].Sent, unshared[i].Served)
 	}
 	fmt.Fprintf(out, "whole run: worth served %.3f with, %.3f without; %d and %d tasks\n", with.Served, without.Served, len(with.Requests), len(without.Requests))
-	fmt.Fprintf(out, "messages: %d datagrams, %.0f bytes a second at each gateway; without sharing %.0f\n", with.Counts.Datagrams, rate(with), rate(without))
+	fmt.Fprintf(out, "messages: %d datagrams, %.0f bytes a second at each gateway; without sharing %.0f\n", with.Counts.Datagrams, bytesPerSecond(with), bytesPerSecond(without))
 	for _, r := range []*Result{with, without} {
 		for _, v := range r.Violations {
 			fmt.Fprintln(out, "BAD    "+v)
@@ -85,6 +90,7 @@
 	}
 }
 
-func rate(r *Result) float64 {
+// bytesPerSecond is what a gateway sent in datagrams, in the mean.
+func bytesPerSecond(r *Result) float64 {
 	return float64(r.Counts.Bytes) / r.Scenario.Length.Seconds() / float64(r.Scenario.Gateways)
 }
--- a/internal/testbed/faulttest/outcome.go
+++ b/internal/testbed/faulttest/outcome.go
@@ -10,11 +10,11 @@
 	"sync"
 )
 
-// Outcome is what came of a scenario: one run, or those that it is measured by, the one of interest first.
+// Outcome is what came of a scenario: one run, or those that are compared, the one of interest first.
 type Outcome struct {
 	Results []*Result
 	Text    func(out io.Writer)
-	Figures any // what Text tells, for machines
+	Figures any // what Text prints, for encoding/json
 }
 
 // Good tells whether all held in each.
@@ -27,8 +27,8 @@
 	return true
 }
 
-// RunScenario plays a scenario as it is meant to be: one that measures health reports with sharing and without, one that measures budgets with each way
-// of sharing them, or the first few, one with engines that are warming up with turns shared and by number, any other by itself.
+// RunScenario plays a scenario as it is meant to be: one that measures health reports with sharing and without, one that measures quotas with each way
+// of sharing them, or the first few, one with engines that are warming up with slow-start quotas shared and by number, any other by itself.
 func RunScenario(ctx context.Context, s *Scenario, folder, program string, both bool, few int) (*Outcome, error) {
 	switch {
 	case both || strings.HasPrefix(s.Name, "judgement"):
--- a/internal/testbed/faulttest/page.go
+++ b/internal/testbed/faulttest/page.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"html/template"
 	"io"
-	"path"
 	"slices"
 	"strings"
 	"time"
@@ -18,33 +17,38 @@
 
 var page = template.Must(template.New("page").Parse(pageText))
 
-// The picture's measures, in points.
+// The picture's sizes, in points.
 const (
 	rowHeight = 22
 	leftEdge  = 70
 	wide      = 1000
 )
 
+// band is a fault, from X on over the width W in the row whose top is Y.
 type band struct {
 	X, Y, W, H float64
 	Class, Say string
 }
 
+// mark is a decision.
 type mark struct {
 	X, Y       float64
 	Class, Say string
 }
 
+// row is the name of a process or an engine, beside its row.
 type row struct {
 	Y    float64
 	Name string
 }
 
+// axis is one time on the axis.
 type axis struct {
 	X    float64
 	Text string
 }
 
+// picture is what the page's template is filled with.
 type picture struct {
 	Title, Verdict string
 	Good           bool
@@ -57,101 +61,125 @@
 	Width, Height  float64
 }
 
-// Page writes a run as a page: a row a process and an engine, faults as bands, decisions as marks.
+// pageWriter lays out a run on its page.
+type pageWriter struct {
+	picture picture
+	length  time.Duration      // that the page's width stands for
+	rows    map[string]float64 // by name of a process or an engine: the top of its row
+	labels  map[incarnation]string
+}
+
+// x is where a time from the load's begin lies.
+func (w *pageWriter) x(at time.Duration) float64 {
+	return leftEdge + wide*float64(max(0, min(at, w.length)))/float64(w.length)
+}
+
+func (w *pageWriter) addRow(name string) {
+	top := float64(len(w.picture.Rows)*rowHeight) + 30
+	w.rows[name] = top
+	w.picture.Rows = append(w.picture.Rows, row{top + rowHeight/2 + 4, name})
+}
+
+func (w *pageWriter) addMark(at float64, top float64, class, say string) {
+	w.picture.Marks = append(w.picture.Marks, mark{at, top + rowHeight/2, class, say})
+}
+
+// Page writes a run as a page: a row for each process and engine, faults as bands, decisions as marks.
 func (r *Result) Page(out io.Writer) error {
 	s := r.Scenario
-	length := s.Length + r.ConvergedAgain + time.Second
-	x := func(at time.Duration) float64 {
-		return leftEdge + wide*float64(max(0, min(at, length)))/float64(length)
+	w := &pageWriter{
+		picture: picture{Title: s.Name, Good: r.Good(), File: s.Text(), Width: leftEdge + wide + 20},
+		length:  s.Length + r.ConvergedAgain + time.Second,
+		rows:    map[string]float64{},
+		labels:  r.labels(),
 	}
-	p := picture{Title: s.Name, Good: r.Good(), File: s.Text(), Width: leftEdge + wide + 20}
-	rows := map[string]float64{}
-	add := func(name string) {
-		rows[name] = float64(len(p.Rows)*rowHeight) + 30
-		p.Rows = append(p.Rows, row{rows[name] + rowHeight/2 + 4, name})
-	}
-	for _, g := range r.Processes {
-		add(g)
+	for _, gateway := range r.Processes {
+		w.addRow(gateway)
 	}
 	for i := range s.Engines {
-		add(fmt.Sprintf("e-%03d", i+1))
+		w.addRow(fmt.Sprintf("e-%03d", i+1))
 	}
-	p.Height = float64(len(p.Rows)*rowHeight) + 60
-	for at := time.Duration(0); at <= length; at += max(time.Second, (length / 12).Round(time.Second)) {
-		p.Axis = append(p.Axis, axis{x(at), at.String()})
+	w.picture.Height = float64(len(w.picture.Rows)*rowHeight) + 60
+	tick := max(time.Second, (w.length / 12).Round(time.Second))
+	for at := time.Duration(0); at <= w.length; at += tick {
+		w.picture.Axis = append(w.picture.Axis, axis{w.x(at), at.String()})
 	}
-	for _, t := range s.Steps {
-		until := t.Until
-		if until == 0 {
-			until = min(s.Length, t.At+300*time.Millisecond)
-			if t.Action == "link" || t.Action == "engine" {
-				until = s.Length
-			}
-		}
-		say := fmt.Sprintf("%s %s %v to %v: %+v", t.Action, t.EngineState, t.At, until, t.Rule)
-		names := slices.Concat(t.From, t.Gateways, t.Engines)
-		if t.Action == "link" {
-			names = append(names, t.To...)
-			if slices.Contains(t.To, "g*") || slices.Contains(t.To, "*") {
-				names = t.From
-			}
-		}
-		for name, y := range rows {
-			for _, n := range names {
-				if ok, _ := path.Match(n, name); ok {
-					p.Bands = append(p.Bands, band{x(t.At), y, x(until) - x(t.At), rowHeight - 2, t.Action, say})
-					break
-				}
-			}
-		}
+	for i := range s.Steps {
+		w.addStep(&s.Steps[i], s.Length)
 	}
-	slices.SortFunc(p.Bands, func(a, b band) int { return int(100000*(a.Y-b.Y) + a.X - b.X) })
-	labels := r.labels()
+	slices.SortFunc(w.picture.Bands, func(a, b band) int { return int(100000*(a.Y-b.Y) + a.X - b.X) })
 	for i := range r.Events {
-		e := &r.Events[i]
-		y, ok := rows[labels[process{e.Process, e.Start}]]
-		if !ok {
-			continue
-		}
-		at := x(time.Duration(e.At - r.StartMonotonic))
-		m := mark{X: at, Y: y + rowHeight/2}
-		switch e.Kind {
-		case history.AttemptSent:
-			m.Class, m.Say = "sent", e.Request+" to "+e.Engine
-			if ey, ok := rows[e.Engine]; ok {
-				p.Marks = append(p.Marks, mark{at, ey + rowHeight/2, "sent", "from " + e.Process})
-			}
-		case history.EngineAssessed:
-			if !e.Out {
-				continue
-			}
-			m.Class, m.Say = "found", fmt.Sprintf("%s: against %.1f by %d", e.Engine, e.FailureScore, e.Number)
-		case history.MemberChanged:
-			m.Class, m.Say = e.Code, e.Code+" "+e.Member
-		default:
-			continue
-		}
-		p.Marks = append(p.Marks, m)
+		w.addEvent(&r.Events[i], r.StartMonotonic)
 	}
 	var text strings.Builder
 	r.Text(&text)
-	p.Text = text.String()
-	return page.Execute(out, p)
+	w.picture.Text = text.String()
+	return page.Execute(out, w.picture)
 }
 
-type process struct {
-	name  string
-	start uint64
+// instantWidth is how long a step without a length is drawn.
+const instantWidth = 300 * time.Millisecond
+
+// addStep draws a step as a band in the row of everyone that it names.
+func (w *pageWriter) addStep(step *Step, length time.Duration) {
+	until := step.Until
+	switch {
+	case until != 0:
+	case step.Action == "link" || step.Action == "engine":
+		until = length
+	default:
+		until = min(length, step.At+instantWidth)
+	}
+	say := fmt.Sprintf("%s %s %v to %v: %+v", step.Action, step.EngineState, step.At, until, step.Rule)
+	names := step.rowPatterns()
+	for name, top := range w.rows {
+		if matchesAny(names, name) {
+			w.picture.Bands = append(w.picture.Bands, band{w.x(step.At), top, w.x(until) - w.x(step.At), rowHeight - 2, step.Action, say})
+		}
+	}
+}
+
+// rowPatterns are the patterns of those in whose rows a step is drawn.
+func (t *Step) rowPatterns() []string {
+	if t.Action != "link" {
+		return slices.Concat(t.From, t.Gateways, t.Engines)
+	}
+	if slices.Contains(t.To, "g*") || slices.Contains(t.To, "*") {
+		return t.From
+	}
+	return slices.Concat(t.From, t.Gateways, t.Engines, t.To)
+}
+
+// addEvent draws an event as a mark in the row of its process, and an attempt in the row of its engine too.
+func (w *pageWriter) addEvent(e *history.Event, startMonotonic int64) {
+	top, ok := w.rows[w.labels[incarnationOf(e)]]
+	if !ok {
+		return
+	}
+	at := w.x(time.Duration(e.At - startMonotonic))
+	switch e.Kind {
+	case history.AttemptSent:
+		if engineTop, ok := w.rows[e.Engine]; ok {
+			w.addMark(at, engineTop, "sent", "from "+e.Process)
+		}
+		w.addMark(at, top, "sent", e.Request+" to "+e.Engine)
+	case history.EngineAssessed:
+		if e.Out {
+			w.addMark(at, top, "found", fmt.Sprintf("%s: against %.1f by %d", e.Engine, e.FailureScore, e.Number))
+		}
+	case history.MemberChanged:
+		w.addMark(at, top, e.Code, e.Code+" "+e.Member)
+	}
 }
 
 // labels tells the row of each process: a twin's is its own, though it bears another's name.
-func (r *Result) labels() map[process]string {
-	out := map[process]string{}
-	for _, e := range r.Events {
-		k := process{e.Process, e.Start}
-		if out[k] == "" {
-			out[k] = e.Label
+func (r *Result) labels() map[incarnation]string {
+	labels := map[incarnation]string{}
+	for i := range r.Events {
+		e := &r.Events[i]
+		if labels[incarnationOf(e)] == "" {
+			labels[incarnationOf(e)] = e.Label
 		}
 	}
-	return out
+	return labels
 }
--- /dev/null
+++ b/internal/testbed/faulttest/policy_modes.go
@@ -0,0 +1,171 @@
+package faulttest
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"magpiebank/internal/cluster/history"
+	"magpiebank/internal/testbed/installation"
+	"magpiebank/internal/testbed/load/sqlclient"
+)
+
+// PolicyMode is one way in which policies change, and what came of a run with it.
+type PolicyMode struct {
+	Name   string        `json:"name"`
+	Result *Result       `json:"result"`
+	Phases []PolicyPhase `json:"phases"`
+	Older  int           `json:"older"` // uses of shared quotas, by an older number after a newer one
+	Uses   int           `json:"uses"`
+}
+
+// PolicyPhase is what changes came to in one phase.
+type PolicyPhase struct {
+	Phase
+	Proposals int           `json:"proposals"`
+	Ends      []string      `json:"ends"`
+	Took50    time.Duration `json:"took50"` // of those that were decided
+	Took99    time.Duration `json:"took99"`
+	Loads     int           `json:"loads"`
+	Unsure    int           `json:"unsure"` // loads rejected for want of a lease
+	Served    float64       `json:"served"` // share of the priority weight asked for
+	Older     int           `json:"older"`
+	P50       time.Duration `json:"p50"` // of look-ups that came in it and were served
+	P99       time.Duration `json:"p99"`
+}
+
+// pauseBetweenFiles is the time from one gateway's new file to the next one's, as a script would go through them.
+const pauseBetweenFiles = 100 * time.Millisecond
+
+// ComparePolicyModes plays a scenario with a policy rollout, and the same changes from files that gateways read at SIGHUP one after the other.
+func ComparePolicyModes(ctx context.Context, s *Scenario, folder, program string) (list []*PolicyMode, err error) {
+	scenarios := []*Scenario{s, s.withPolicyFiles()}
+	for i, mode := range []*PolicyMode{{Name: "charter"}, {Name: "files at SIGHUP"}} {
+		mode.Result, err = Run(ctx, scenarios[i], filepath.Join(folder, fmt.Sprint("way", i)), program)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", mode.Name, err)
+		}
+		uses, olderUses := mode.Result.countUses()
+		mode.Uses = uses
+		mode.Older = len(olderUses)
+		for _, phase := range s.Phases {
+			mode.Phases = append(mode.Phases, mode.Result.policyPhase(phase, olderUses))
+		}
+		list = append(list, mode)
+	}
+	return list, nil
+}
+
+// withPolicyFiles is the scenario without a rollout: each proposal is a new file for one gateway after the other.
+func (s *Scenario) withPolicyFiles() *Scenario {
+	files := *s
+	files.Rollout, files.Steps = installation.Rollout{}, nil
+	number := 1
+	for _, step := range s.Steps {
+		if step.Action != "propose" {
+			files.Steps = append(files.Steps, step)
+			continue
+		}
+		number++
+		for i := range s.Gateways {
+			files.Steps = append(files.Steps, Step{
+				At:           step.At + time.Duration(i)*pauseBetweenFiles,
+				Action:       "limit",
+				Gateways:     []string{fmt.Sprint("g", i)},
+				Limits:       step.Policy.ClusterLimits,
+				PolicyNumber: number,
+				Folder:       "same",
+			})
+		}
+	}
+	return &files
+}
+
+// countUses counts uses of quotas, and returns when a process used one by an older number than anyone had used one by before.
+func (r *Result) countUses() (uses int, olderUses []time.Duration) {
+	numbers := map[incarnation]uint64{}
+	highest := uint64(0)
+	for i := range r.Events {
+		e := &r.Events[i]
+		user := incarnationOf(e)
+		switch e.Kind {
+		case history.TotalChanged:
+			numbers[user] = max(numbers[user], e.Of)
+		case history.BudgetUsed:
+			uses++
+			highest = max(highest, numbers[user])
+			if numbers[user] < highest {
+				olderUses = append(olderUses, time.Duration(e.At-r.StartMonotonic))
+			}
+		}
+	}
+	return uses, olderUses
+}
+
+// contains tells whether an instant, counted from the load's begin, lies in the phase.
+func (p *Phase) contains(at time.Duration) bool { return at >= p.At && at < p.Until }
+
+func (r *Result) policyPhase(phase Phase, olderUses []time.Duration) PolicyPhase {
+	metrics := PolicyPhase{Phase: phase}
+	var proposals []Proposed
+	for _, proposal := range r.Proposals {
+		if phase.contains(proposal.At) {
+			proposals = append(proposals, proposal)
+		}
+	}
+	metrics.Proposals = len(proposals)
+	metrics.Ends = countEnds(proposals)
+	metrics.Took50, metrics.Took99 = percentiles(decidedTimes(proposals))
+	metrics.measureRequests(r.Requests)
+	for i := range r.Events {
+		e := &r.Events[i]
+		if e.Kind == history.RequestDecided && e.Code == "unsure" && phase.contains(time.Duration(e.At-r.StartMonotonic)) {
+			metrics.Unsure++
+		}
+	}
+	for _, at := range olderUses {
+		metrics.Older += btoi(phase.contains(at))
+	}
+	return metrics
+}
+
+// measureRequests takes in the requests that came in the phase.
+func (p *PolicyPhase) measureRequests(requests []Request) {
+	asked, earned := 0.0, 0.0
+	var took []time.Duration
+	for i := range requests {
+		request := &requests[i]
+		if !p.contains(request.At) || request.End == sqlclient.NotConnected {
+			continue
+		}
+		p.Loads += btoi(request.Load)
+		asked += request.worth()
+		earned += request.Worth()
+		if request.End == sqlclient.Served && !request.Load {
+			took = append(took, request.Took)
+		}
+	}
+	p.P50, p.P99 = percentiles(took)
+	if asked > 0 {
+		p.Served = earned / asked
+	}
+}
+
+// WritePolicyModes writes the modes one below the other.
+func WritePolicyModes(out io.Writer, list []*PolicyMode) {
+	s := list[0].Result.Scenario
+	fmt.Fprintf(out, "%s: %d gateways, %d voters, lease %v, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Rollout.Voters, s.Rollout.Lease,
+		s.Engines)
+	for _, mode := range list {
+		fmt.Fprintf(out, "\n%s\n%-16s %9s %9s %9s %9s %9s %9s %9s %7s  %s\n", mode.Name, "phase", "in force", "p99", "no lease", "served", "older", "look p50", "p99", "changes", "")
+		for _, p := range mode.Phases {
+			fmt.Fprintf(out, "%-16s %6.0f ms %6.0f ms %9.4f %9.3f %9d %6.1f ms %6.1f ms %7d  %s\n", p.Name, p.Took50.Seconds()*1000, p.Took99.Seconds()*1000, float64(p.Unsure)/float64(max(1, p.Loads)), p.Served,
+				p.Older, p.P50.Seconds()*1000, p.P99.Seconds()*1000, p.Proposals, strings.Join(p.Ends, ", "))
+		}
+		fmt.Fprintf(out, "%d of %d uses of what is the fleet's were by an older number after a newer\n", mode.Older, mode.Uses)
+		mode.Result.Text(out)
+	}
+}
--- a/internal/testbed/faulttest/print.go
+++ b/internal/testbed/faulttest/print.go
@@ -97,10 +97,7 @@
 	w.fieldIf(len(s.NotStarted) > 0, "down", s.NotStarted)
 	var clocks []map[string]any
 	for _, gateway := range sortedKeys(s.Clocks) {
-		var rate float64
-		var jump, after string
-		fmt.Sscan(s.Clocks[gateway], &rate, &jump, &after)
-		clock := map[string]any{"gateway": gateway, "rate": rate, "jump": jump, "after": after}
+		clock := s.clockFields(gateway)
 		if offset := s.ClockOffsets[gateway]; offset != "" {
 			clock["born"] = offset
 		}
@@ -115,6 +112,14 @@
 	w.fieldIf(disks != nil, "disks", disks)
 }
 
+// clockFields are the fields of a clock, from the form of MAGPIEBANK_CLOCK. Those that can't be read are zero, which reads as an error.
+func (s *Scenario) clockFields(gateway string) map[string]any {
+	var rate float64
+	var jump, after string
+	_, _ = fmt.Sscan(s.Clocks[gateway], &rate, &jump, &after) // decode and Draw write all three
+	return map[string]any{"gateway": gateway, "rate": rate, "jump": jump, "after": after}
+}
+
 func (t *Step) write(w *scenarioWriter) {
 	w.WriteString("  {")
 	w.duration("at", t.At)
--- a/internal/testbed/faulttest/quota_modes.go
+++ b/internal/testbed/faulttest/quota_modes.go
@@ -20,166 +20,218 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// QuotaMode is one way of sharing a budget, and what came of a run with it.
+// QuotaMode is one way of sharing a quota, and what came of a run with it.
 type QuotaMode struct {
 	Name    string     `json:"name"`
-	Planted string     `json:"-"`
+	Planted string     `json:"-"` // the mutation that shares this way
 	Result  *Result    `json:"result"`
 	Phases  []PhaseUse `json:"phases"`
 	Sent    float64    `json:"datagrams"` // a request more than without a limit
 }
 
-// PhaseUse is the use of the budgets in one phase.
+// PhaseUse is the use of the quotas in one phase.
 type PhaseUse struct {
 	Phase
 	Used  float64       `json:"used"`  // share of the total, over the phase
 	Least float64       `json:"least"` // in its least half second
-	Own   float64       `json:"own"`   // share of its seats' own part that Phase.Part used, if it names any
+	Own   float64       `json:"own"`   // share of the phase's gateways' own part that they used, if it names any
 	P50   time.Duration `json:"p50"`   // of requests that came in it and were served, beyond their service
 	P99   time.Duration `json:"p99"`
 	Tasks int           `json:"tasks"`
 }
 
-// CompareQuotaModes plays a scenario with each way of sharing its budget, or the first few, one after the other on the same machine; the last is without
-// a limit: what it uses, up to the total, is what one that knows all could have.
+// CompareQuotaModes plays a scenario with each way of sharing its quota, or the first few, one after the other on the same machine; the last is without
+// a limit: what it uses, up to the total, is what an all-knowing one could have.
 func CompareQuotaModes(ctx context.Context, s *Scenario, folder, program string, few int) (list []*QuotaMode, err error) {
 	list = []*QuotaMode{{Name: "lent"}, {Name: "equal parts", Planted: "equal-parts"}, {Name: "a quorum a task", Planted: "quorum"}, {Name: "no limit"}}
 	if few > 0 && few < len(list) {
 		list = append(list[:few], list[len(list)-1])
 	}
-	for i, w := range list {
-		one := *s
-		if one.Mutation = w.Planted; i == len(list)-1 {
-			one.Limits = installation.ClusterLimits{}
+	unlimited := list[len(list)-1]
+	for i, mode := range list {
+		scenario := *s
+		scenario.Mutation = mode.Planted
+		if mode == unlimited {
+			scenario.Limits = installation.ClusterLimits{}
 		}
-		if w.Result, err = Run(ctx, &one, filepath.Join(folder, fmt.Sprint("way", i)), program); err != nil {
-			return nil, fmt.Errorf("%s: %w", w.Name, err)
+		mode.Result, err = Run(ctx, &scenario, filepath.Join(folder, fmt.Sprint("way", i)), program)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", mode.Name, err)
 		}
-		w.Phases = w.Result.Uses(s.Limits.Threads)
+		mode.Phases = mode.Result.Uses(s.Limits.Threads)
 	}
-	rest := list[len(list)-1].Result
-	for _, w := range list {
-		perSecond := func(r *Result) float64 { return float64(r.Counts.Datagrams) / r.PlayTime.Seconds() }
-		w.Sent = (perSecond(w.Result) - perSecond(rest)) * w.Result.PlayTime.Seconds() / float64(max(1, w.Result.Ends[sqlclient.Served]))
+	for _, mode := range list {
+		extra := mode.Result.datagramsPerSecond() - unlimited.Result.datagramsPerSecond()
+		mode.Sent = extra * mode.Result.PlayTime.Seconds() / float64(max(1, mode.Result.Ends[sqlclient.Served]))
 	}
 	return list, nil
 }
 
-// sample is a tenth of a second, in which the use is taken for what it is at its end.
-const sample = 100 * time.Millisecond
+func (r *Result) datagramsPerSecond() float64 {
+	return float64(r.Counts.Datagrams) / r.PlayTime.Seconds()
+}
+
+// sampleInterval is the time between samples of the use; each holds what is in use at its end.
+const sampleInterval = 100 * time.Millisecond
 
-// use follows what each process uses of the budget of threads, by samples from the load's begin.
-func (r *Result) use() (labels []string, used [][]float64) {
-	labels = r.Processes
-	of := r.labels()
-	type taken struct {
-		label string
-		until int64
-	}
-	var open []taken
-	row := make([]float64, len(labels))
-	next := r.StartMonotonic + int64(sample)
-	end := r.StartMonotonic + int64(r.Scenario.Length)
-	flush := func(at int64) {
-		for ; next <= min(at, end); next += int64(sample) {
-			clear(row)
-			open = slices.DeleteFunc(open, func(t taken) bool { return t.until <= next })
-			for _, t := range open {
-				if i := slices.Index(labels, t.label); i >= 0 {
-					row[i]++
-				}
+// useSampler samples how many threads each process has in use, from the load's begin to the end of the scenario.
+type useSampler struct {
+	labels  []string
+	open    []threadUse
+	next    int64 // instant of the next sample
+	end     int64
+	samples [][]float64 // by time and process
+}
+
+// threadUse is one thread that a process has in use, until it is released or its lease ends.
+type threadUse struct {
+	label string
+	until int64
+}
+
+// sampleUntil takes the samples up to an instant.
+func (u *useSampler) sampleUntil(at int64) {
+	for ; u.next <= min(at, u.end); u.next += int64(sampleInterval) {
+		u.open = slices.DeleteFunc(u.open, func(use threadUse) bool { return use.until <= u.next })
+		sample := make([]float64, len(u.labels))
+		for _, use := range u.open {
+			if i := slices.Index(u.labels, use.label); i >= 0 {
+				sample[i]++
 			}
-			used = append(used, slices.Clone(row))
 		}
+		u.samples = append(u.samples, sample)
+	}
+}
+
+// release takes out the process's earliest use.
+func (u *useSampler) release(label string) {
+	i := slices.IndexFunc(u.open, func(use threadUse) bool { return use.label == label })
+	if i >= 0 {
+		u.open = slices.Delete(u.open, i, i+1)
+	}
+}
+
+// sampleUse follows what each process uses of the quota of threads, by samples from the load's begin.
+func (r *Result) sampleUse() (labels []string, samples [][]float64) {
+	labelOf := r.labels()
+	sampler := &useSampler{
+		labels: r.Processes,
+		next:   r.StartMonotonic + int64(sampleInterval),
+		end:    r.StartMonotonic + int64(r.Scenario.Length),
 	}
 	for i := range r.Events {
 		e := &r.Events[i]
-		if !strings.HasSuffix(e.Code, " threads") || e.Kind != history.BudgetUsed && e.Kind != history.BudgetReleased {
+		if !strings.HasSuffix(e.Code, " threads") {
 			continue
 		}
-		flush(e.At)
-		label := of[process{e.Process, e.Start}]
-		if e.Kind == history.BudgetUsed {
-			open = append(open, taken{label, e.At + e.ValidNanos})
-		} else if k := slices.IndexFunc(open, func(t taken) bool { return t.label == label }); k >= 0 {
-			open = slices.Delete(open, k, k+1)
+		label := labelOf[incarnationOf(e)]
+		switch e.Kind {
+		case history.BudgetUsed:
+			sampler.sampleUntil(e.At)
+			sampler.open = append(sampler.open, threadUse{label, e.At + e.ValidNanos})
+		case history.BudgetReleased:
+			sampler.sampleUntil(e.At)
+			sampler.release(label)
 		}
 	}
-	flush(end)
-	return labels, used
+	sampler.sampleUntil(sampler.end)
+	return sampler.labels, sampler.samples
 }
 
-// running is how many loads engines say run there, up to the total, by samples.
-func (r *Result) running(total int) (out [][]float64) {
-	n, next := 0, sample
-	for _, v := range r.Runs {
-		if v.Class != "load" {
+// sampleRunning is how many loads run by the engines' count, up to the total, by samples.
+func (r *Result) sampleRunning(total int) (samples [][]float64) {
+	running, next := 0, sampleInterval
+	for _, change := range r.Runs {
+		if change.Class != "load" {
 			continue
 		}
-		for ; next <= min(v.At.Sub(r.Began), r.Scenario.Length); next += sample {
-			out = append(out, []float64{float64(min(n, total))})
+		for ; next <= min(change.At.Sub(r.Began), r.Scenario.Length); next += sampleInterval {
+			samples = append(samples, []float64{float64(min(running, total))})
 		}
-		n += v.Delta
+		running += change.Delta
 	}
-	return out
+	return samples
 }
 
-// Uses measures the phases.
-func (r *Result) Uses(most int) (out []PhaseUse) {
-	s := r.Scenario
-	labels, used := r.use()
-	total := float64(most)
-	if s.Limits.Threads == 0 {
-		labels, used = []string{""}, r.running(most)
+// Uses measures the phases. Without a limit the use is by the engines' count, up to the total.
+func (r *Result) Uses(total int) (uses []PhaseUse) {
+	labels, samples := r.sampleUse()
+	if r.Scenario.Limits.Threads == 0 {
+		labels, samples = []string{""}, r.sampleRunning(total)
+	}
+	for _, phase := range r.Scenario.Phases {
+		use := PhaseUse{Phase: phase, Least: 1}
+		use.measureSamples(labels, samples, float64(total))
+		use.measureRequests(r.Requests, r.Scenario.LoadService)
+		uses = append(uses, use)
 	}
-	for _, p := range s.Phases {
-		u := PhaseUse{Phase: p, Least: 1}
-		part := make([]bool, len(labels))
-		seats := 0.0
-		for i, l := range labels {
-			for _, name := range p.Gateways {
-				if ok, _ := path.Match(name, l); ok {
-					part[i] = true
-					seats++
-				}
+	return uses
+}
+
+// leastWindow is how many samples the least half second has.
+const leastWindow = 5
+
+// measureSamples measures what was used in the phase, of a total.
+func (u *PhaseUse) measureSamples(labels []string, samples [][]float64, total float64) {
+	if total <= 0 {
+		return
+	}
+	isOwn := make([]bool, len(labels))
+	owners := 0.0
+	for i, label := range labels {
+		for _, pattern := range u.Gateways {
+			if fits, _ := path.Match(pattern, label); fits {
+				isOwn[i] = true
+				owners++
 			}
 		}
-		n, window := 0.0, []float64{}
-		for k := int(p.At / sample); k < min(len(used), int(p.Until/sample)) && total > 0; k++ {
-			sum, own := 0.0, 0.0
-			for i, v := range used[k] {
-				if sum += v; part[i] {
-					own += v
-				}
-			}
-			n++
-			u.Used += sum / total
-			if window = append(window, sum/total); len(window) > 5 {
-				window = window[1:]
-			}
-			if len(window) == 5 {
-				u.Least = min(u.Least, mean(window))
-			}
-			if seats > 0 {
-				u.Own += own / (total * seats / float64(len(labels)))
-			}
+	}
+	count := 0.0
+	var window []float64
+	for k := int(u.At / sampleInterval); k < min(len(samples), int(u.Until/sampleInterval)); k++ {
+		sum, own := sumUse(samples[k], isOwn)
+		count++
+		u.Used += sum / total
+		window = append(window, sum/total)
+		if len(window) > leastWindow {
+			window = window[1:]
 		}
-		u.Used, u.Own = u.Used/max(1, n), u.Own/max(1, n)
-		var took []time.Duration
-		for i := range r.Requests {
-			if t := &r.Requests[i]; t.At >= p.At && t.At < p.Until {
-				if u.Tasks++; t.End == sqlclient.Served {
-					took = append(took, t.Took-s.LoadService)
-				}
-			}
+		if len(window) == leastWindow {
+			u.Least = min(u.Least, mean(window))
 		}
-		slices.Sort(took)
-		if len(took) > 0 {
-			u.P50, u.P99 = took[len(took)/2], took[len(took)*99/100]
+		if owners > 0 {
+			u.Own += own / (total * owners / float64(len(labels)))
 		}
-		out = append(out, u)
 	}
-	return out
+	u.Used /= max(1, count)
+	u.Own /= max(1, count)
+}
+
+// sumUse sums a sample, and what some of its processes have of it.
+func sumUse(sample []float64, isOwn []bool) (sum, own float64) {
+	for i, used := range sample {
+		sum += used
+		if isOwn[i] {
+			own += used
+		}
+	}
+	return sum, own
+}
+
+// measureRequests measures the requests that came in the phase.
+func (u *PhaseUse) measureRequests(requests []Request, service time.Duration) {
+	var took []time.Duration
+	for i := range requests {
+		request := &requests[i]
+		if !u.contains(request.At) {
+			continue
+		}
+		u.Tasks++
+		if request.End == sqlclient.Served {
+			took = append(took, request.Took-service)
+		}
+	}
+	u.P50, u.P99 = percentiles(took)
 }
 
 func mean(list []float64) (m float64) {
@@ -189,70 +241,71 @@
 	return m
 }
 
-// WriteQuotaModes writes the ways side by side.
+// WriteQuotaModes writes the modes side by side.
 func WriteQuotaModes(out io.Writer, list []*QuotaMode) {
 	s := list[0].Result.Scenario
 	fmt.Fprintf(out, "%s: %d gateways, %d threads for all, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Limits.Threads, s.Engines)
 	fmt.Fprintln(out, "share of the total in use, in its least half second, and tasks' time beyond their service, ms")
-	fmt.Fprintf(out, "%-17s", "")
-	for _, w := range list {
-		fmt.Fprintf(out, "  %-29s", w.Name)
-	}
-	fmt.Fprintf(out, "\n%-17s", "phase")
-	for range list {
-		fmt.Fprintf(out, "  %5s %5s %8s %8s", "used", "least", "p50", "p99")
-	}
-	fmt.Fprintln(out)
-	ms := func(d time.Duration) float64 { return d.Seconds() * 1000 }
-	for i, p := range s.Phases {
-		fmt.Fprintf(out, "%-17s", p.Name)
-		for _, w := range list {
-			if i < len(w.Phases) {
-				u := w.Phases[i]
-				fmt.Fprintf(out, "  %5.3f %5.3f %8.1f %8.1f", u.Used, u.Least, ms(u.P50), ms(u.P99))
-			}
-		}
-		fmt.Fprintln(out)
-		if len(p.Gateways) > 0 {
-			fmt.Fprintf(out, "%-17s", "  its own part")
-			for _, w := range list {
-				if i < len(w.Phases) {
-					fmt.Fprintf(out, "  %5.3f %5s %8s %8s", w.Phases[i].Own, "", "", "")
-				}
-			}
-			fmt.Fprintln(out)
+	writeModeRow(out, "", list, func(mode *QuotaMode) string { return fmt.Sprintf("  %-29s", mode.Name) })
+	writeModeRow(out, "phase", list, func(*QuotaMode) string { return fmt.Sprintf("  %5s %5s %8s %8s", "used", "least", "p50", "p99") })
+	for i, phase := range s.Phases {
+		writeModeRow(out, phase.Name, list, func(mode *QuotaMode) string { return mode.phaseCell(i) })
+		if len(phase.Gateways) > 0 {
+			writeModeRow(out, "  its own part", list, func(mode *QuotaMode) string { return mode.ownPartCell(i) })
 		}
 	}
-	fmt.Fprintf(out, "%-17s", "datagrams a task")
-	for _, w := range list {
-		fmt.Fprintf(out, "  %-29.1f", w.Sent)
+	writeModeRow(out, "datagrams a task", list, func(mode *QuotaMode) string { return fmt.Sprintf("  %-29.1f", mode.Sent) })
+	writeModeRow(out, "delivered", list, func(mode *QuotaMode) string {
+		return fmt.Sprintf("  %-29s", fmt.Sprintf("%d of %d", mode.Result.Ends[sqlclient.Served], len(mode.Result.Requests)))
+	})
+	for _, mode := range list {
+		for _, violation := range mode.Result.Violations {
+			fmt.Fprintf(out, "BAD    %s: %s\n", mode.Name, violation)
+		}
 	}
-	fmt.Fprintf(out, "\n%-17s", "delivered")
-	for _, w := range list {
-		fmt.Fprintf(out, "  %-29s", fmt.Sprintf("%d of %d", w.Result.Ends[sqlclient.Served], len(w.Result.Requests)))
+}
+
+// writeModeRow writes one line of the table: its name, and a cell for each mode.
+func writeModeRow(out io.Writer, name string, list []*QuotaMode, cell func(*QuotaMode) string) {
+	fmt.Fprintf(out, "%-17s", name)
+	for _, mode := range list {
+		fmt.Fprint(out, cell(mode))
 	}
 	fmt.Fprintln(out)
-	for _, w := range list {
-		for _, v := range w.Result.Violations {
-			fmt.Fprintf(out, "BAD    %s: %s\n", w.Name, v)
-		}
+}
+
+// phaseCell is a mode's cell for a phase; it is empty if the mode doesn't have the phase.
+func (m *QuotaMode) phaseCell(phase int) string {
+	if phase >= len(m.Phases) {
+		return ""
+	}
+	use := m.Phases[phase]
+	return fmt.Sprintf("  %5.3f %5.3f %8.1f %8.1f", use.Used, use.Least, milliseconds(use.P50), milliseconds(use.P99))
+}
+
+func (m *QuotaMode) ownPartCell(phase int) string {
+	if phase >= len(m.Phases) {
+		return ""
 	}
+	return fmt.Sprintf("  %5.3f %5s %8s %8s", m.Phases[phase].Own, "", "", "")
 }
 
+func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
+
 // PlotUse draws the total and what each member uses over time, one above the other, so that the outline is the sum.
 func (r *Result) PlotUse(path, title string) error {
-	labels, used := r.use()
+	labels, samples := r.sampleUse()
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text, p.Y.Label.Text = "seconds", fmt.Sprintf("threads in use, of %d gateways one above the other", len(labels))
 	colors := palette.Rainbow(max(2, len(labels)), palette.Blue, palette.Red, 0.7, 0.9, 1).Colors()
-	below := make([]float64, len(used))
+	below := make([]float64, len(samples))
 	for i := range labels {
 		var up, down plotter.XYs
-		for k := range used {
-			x := float64(k+1) * sample.Seconds()
+		for k := range samples {
+			x := float64(k+1) * sampleInterval.Seconds()
 			down = append(down, plotter.XY{X: x, Y: below[k]})
-			below[k] += used[k][i]
+			below[k] += samples[k][i]
 			up = append(up, plotter.XY{X: x, Y: below[k]})
 		}
 		slices.Reverse(down)
--- a/internal/testbed/faulttest/result.go
+++ b/internal/testbed/faulttest/result.go
@@ -23,16 +23,17 @@
 	id      string
 }
 
-// Worth is what it earns.
-func (t *Request) Worth() float64 {
-	if t.End != sqlclient.Served || t.Took > latencyObjective {
+// Worth is the priority weight that it earned: all of it if it was served within the latency objective, else nothing.
+func (r *Request) Worth() float64 {
+	if r.End != sqlclient.Served || r.Took > latencyObjective {
 		return 0
 	}
-	return t.worth()
+	return r.worth()
 }
 
-func (t *Request) worth() float64 {
-	if t.Load {
+// worth is the priority weight that it asked for.
+func (r *Request) worth() float64 {
+	if r.Load {
 		return loadWeight
 	}
 	return lookWeight
@@ -48,7 +49,7 @@
 	WakeDelay      time.Duration        `json:"wake_delay"` // the longest of the testbed and of gateways: see Disturbed
 	Requests       []Request            `json:"-"`
 	Ends           map[string]int       `json:"ends"`
-	Served         float64              `json:"served"` // share of the worth asked for
+	Served         float64              `json:"served"` // share of the priority weight asked for
 	Counts         faultproxy.Counts    `json:"counts"`
 	Events         []history.Event      `json:"-"`
 	StartMonotonic int64                `json:"-"` // CLOCK_MONOTONIC of the load's begin
@@ -68,39 +69,55 @@
 // Good tells whether all held.
 func (r *Result) Good() bool { return len(r.Violations) == 0 }
 
-// missed tells which expectations did not come about.
-func (r *Result) missedExpectations() (out []string) {
-	for _, x := range r.Scenario.Expectations {
-		if r.Served < x.MinServed {
-			out = append(out, fmt.Sprintf("expected: %.3f of the worth served, found %.3f", x.MinServed, r.Served))
+// missedExpectations tells which expectations did not come about.
+func (r *Result) missedExpectations() (missed []string) {
+	for _, expectation := range r.Scenario.Expectations {
+		if r.Served < expectation.MinServed {
+			missed = append(missed, fmt.Sprintf("expected: %.3f of the worth served, found %.3f", expectation.MinServed, r.Served))
 		}
-		if x.Displaced > 0 && r.Displaced != x.Displaced {
-			out = append(out, fmt.Sprintf("expected: %d processes displaced, found %d", x.Displaced, r.Displaced))
+		if expectation.Displaced > 0 && r.Displaced != expectation.Displaced {
+			missed = append(missed, fmt.Sprintf("expected: %d processes displaced, found %d", expectation.Displaced, r.Displaced))
 		}
-		decided, found := 0, x.ProposalEnd+x.ProposalReason == ""
-		for _, k := range r.Proposals {
-			decided += btoi(k.End == "decided")
-			found = found || (x.ProposalEnd == "" || k.End == x.ProposalEnd) && strings.Contains(k.Why, x.ProposalReason)
+		if len(expectation.Voters) > 0 && !slices.Equal(expectation.Voters, r.Voters) {
+			missed = append(missed, fmt.Sprintf("expected: voters %v at the end, found %v", expectation.Voters, r.Voters))
 		}
-		if len(x.Voters) > 0 && !slices.Equal(x.Voters, r.Voters) {
-			out = append(out, fmt.Sprintf("expected: voters %v at the end, found %v", x.Voters, r.Voters))
-		}
-		if decided < x.MinDecided {
-			out = append(out, fmt.Sprintf("expected: %d proposals that take hold, found %d: %v", x.MinDecided, decided, r.Proposals))
-		}
-		if !found {
-			out = append(out, fmt.Sprintf("expected: a proposal that is %s, with %q; found %v", x.ProposalEnd, x.ProposalReason, r.Proposals))
+		missed = append(missed, r.missedProposals(&expectation)...)
+		missed = append(missed, r.missedEjections(&expectation)...)
+	}
+	return missed
+}
+
+func (r *Result) missedProposals(expectation *Expectation) (missed []string) {
+	decided := 0
+	found := expectation.ProposalEnd+expectation.ProposalReason == ""
+	for _, proposal := range r.Proposals {
+		decided += btoi(proposal.End == "decided")
+		if (expectation.ProposalEnd == "" || proposal.End == expectation.ProposalEnd) && strings.Contains(proposal.Why, expectation.ProposalReason) {
+			found = true
 		}
-		for _, o := range r.Outages() {
-			if x.EjectedEngine == o.Engine && o.T95 > x.Within {
-				out = append(out, fmt.Sprintf("expected: %s, which %s from %v on, is left alone by 95%% of the gateways within %v, found %v", o.Engine, o.Be, o.At, x.Within,
-					o.T95.Round(time.Millisecond)))
-			}
+	}
+	if decided < expectation.MinDecided {
+		missed = append(missed, fmt.Sprintf("expected: %d proposals that take hold, found %d: %v", expectation.MinDecided, decided, r.Proposals))
+	}
+	if !found {
+		missed = append(missed, fmt.Sprintf("expected: a proposal that is %s, with %q; found %v", expectation.ProposalEnd, expectation.ProposalReason, r.Proposals))
+	}
+	return missed
+}
+
+func (r *Result) missedEjections(expectation *Expectation) (missed []string) {
+	for _, outage := range r.Outages() {
+		if expectation.EjectedEngine == outage.Engine && outage.T95 > expectation.Within {
+			missed = append(missed, fmt.Sprintf("expected: %s, which %s from %v on, is left alone by 95%% of the gateways within %v, found %v", outage.Engine, outage.Be, outage.At, expectation.Within,
+				outage.T95.Round(time.Millisecond)))
 		}
 	}
-	return out
+	return missed
 }
 
+// maxPrintedViolations is how many violations a result prints.
+const maxPrintedViolations = 12
+
 // Text writes a result for people.
 func (r *Result) Text(out io.Writer) {
 	fmt.Fprintf(out, "%s: %d gateways, %d engines, real processes and sockets on loopback; %d steps in %v\n", r.Scenario.Name, r.Scenario.Gateways, r.Scenario.Engines,
@@ -114,8 +131,8 @@
 	if r.Policies != nil {
 		r.Policies.Text(out, r.Proposals)
 	}
-	for _, c := range r.SlowStarts {
-		fmt.Fprintf(out, "%s, cold from %v on, was sent %.2f of what tips it over at most; tasks by second %v\n", c.Engine, c.At, c.Most, c.Tasks)
+	for _, record := range r.SlowStarts {
+		fmt.Fprintf(out, "%s, cold from %v on, was sent %.2f of what tips it over at most; tasks by second %v\n", record.Engine, record.At, record.Most, record.Tasks)
 	}
 	fmt.Fprintf(out, "%d datagrams of %d bytes in the mean, %d dropped, %d doubled, %d with a bit turned; %d events of history\n", r.Counts.Datagrams,
 		r.Counts.Bytes/max(1, r.Counts.Datagrams), r.Counts.Dropped, r.Counts.Duplicated, r.Counts.Corrupted, len(r.Events))
@@ -125,11 +142,11 @@
 	if r.Good() {
 		fmt.Fprintln(out, "good   nothing was violated")
 	}
-	for i, v := range r.Violations {
-		if i == 12 {
+	for i, violation := range r.Violations {
+		if i == maxPrintedViolations {
 			fmt.Fprintf(out, "BAD    and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintln(out, "BAD    "+v)
+		fmt.Fprintln(out, "BAD    "+violation)
 	}
 }
--- a/internal/testbed/faulttest/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -20,7 +20,7 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// The load's classes. Look-ups may run again, loads may not; an engine has room for some times what the load asks.
+// The load's classes. Look-ups are idempotent, loads are not; engines have the capacity for several times the load.
 const (
 	lookService      = 20 * time.Millisecond
 	loadService      = 60 * time.Millisecond
@@ -30,10 +30,10 @@
 	loadWeight       = 5.0
 )
 
-// endWithin is how long a gateway without a request may take to end.
+// endWithin is how long a gateway without requests may take to end after SIGTERM.
 const endWithin = 20 * time.Second
 
-// play is a scenario while it is played.
+// run is a scenario while it is played.
 type run struct {
 	scenario     *Scenario
 	installation *installation.Installation
@@ -52,10 +52,10 @@
 	failures     []string          // what did not come about in time
 }
 
-// Run plays a scenario. Files go to a folder; program is the gateway's, which must be of the testbed's build where clocks run
-// off or a defect is planted.
+// Run plays a scenario. Files go to a folder; program is the gateway's, which must be built with -tags testbed where clocks drift,
+// disks fail or a mutation is on.
 func Run(ctx context.Context, s *Scenario, folder, program string) (*Result, error) {
-	if err := checkProgram(s, program); err != nil {
+	if err := checkProgram(ctx, s, program); err != nil {
 		return nil, err
 	}
 	begun := time.Now()
@@ -94,31 +94,37 @@
 }
 
 // checkProgram tells whether a gateway's program can do what a scenario asks of it.
-func checkProgram(s *Scenario, program string) error {
+func checkProgram(ctx context.Context, s *Scenario, program string) error {
 	if s.Mutation+s.CrashPoint == "" && len(s.Clocks)+len(s.Disks)+len(s.MutationAt) == 0 {
 		return nil
 	}
-	if out, err := exec.Command(program, "version").Output(); err != nil || !strings.Contains(string(out), "laboratory") {
+	version, err := exec.CommandContext(ctx, program, "version").Output()
+	if err != nil || !strings.Contains(string(version), "laboratory") {
 		return fmt.Errorf("scenario %s: clocks that run off, disks that fail and planted defects need a gateway built with -tags testbed, %s is none", s.Name, program)
 	}
 	return nil
 }
 
-// clearFolder makes a folder, or takes out what a run before left there: its requests bear the same ids.
+// clearFolder makes a folder, or removes what an earlier run left there, whose requests bear the same ids.
 func clearFolder(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
 	for _, kind := range []string{"*.history", "*.state", "*.policy", "*.seat", "*.older", "died"} {
-		old, _ := filepath.Glob(filepath.Join(folder, kind))
-		for _, f := range old {
-			os.RemoveAll(f)
+		old, err := filepath.Glob(filepath.Join(folder, kind))
+		if err != nil {
+			return err
+		}
+		for _, file := range old {
+			if err := os.RemoveAll(file); err != nil {
+				return err
+			}
 		}
 	}
 	return nil
 }
 
-// plan is the installation that a scenario is played on.
+// plan is the installation on which a scenario is played.
 func (p *run) plan(program string) installation.Plan {
 	s := p.scenario
 	loads := fake.ServiceTime{Kind: "exponential", Mean: loadService}
@@ -137,7 +143,7 @@
 			{Class: "load", Rows: 1, Service: loads},
 			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: lookService}}}},
 	}
-	if s.WarmUp > 0 { // a third of the speed at first; twice what they can do for a second has them tip over
+	if s.WarmUp > 0 { // a third of the speed at first; twice what they can do for a second overloads them
 		plan.SlowStart = installation.SlowStart{Share: 0.32, Factor: 2, Warm: s.WarmUp, Tip: time.Second}
 		plan.Behavior.ColdSpeed, plan.Behavior.WarmUp, plan.Cluster.SlowStart = plan.SlowStart.Share, s.WarmUp, s.SharedSlowStart
 	}
@@ -163,7 +169,7 @@
 	}
 }
 
-// load plays the load with its faults, and waits until the members know each other after the last one.
+// runLoad plays the load with its faults, and waits until the members know each other after the last one.
 func (p *run) runLoad(ctx context.Context, r *Result) error {
 	p.startedAt, r.StartMonotonic = time.Now(), history.Now()
 	r.Began = p.startedAt
@@ -200,14 +206,15 @@
 	return names
 }
 
-// endGateways ends all processes, and tells where their histories are.
+// endGateways ends all processes, and returns the files of their histories.
 func (p *run) endGateways(r *Result) (histories []string) {
 	for _, g := range p.installation.Gateways {
 		r.Processes = append(r.Processes, g.Label())
 		histories = append(histories, g.History)
 		g.Signal(syscall.SIGTERM)
 	}
-	for by := time.Now().Add(endWithin); time.Now().Before(by) && slices.ContainsFunc(p.installation.Gateways, (*installation.Gateway).IsRunning); {
+	deadline := time.Now().Add(endWithin)
+	for time.Now().Before(deadline) && slices.ContainsFunc(p.installation.Gateways, (*installation.Gateway).IsRunning) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, g := range p.installation.Gateways {
@@ -218,7 +225,7 @@
 	return histories
 }
 
-// env is what a process gets besides.
+// env are the environment variables that a process gets besides the testbed's own.
 func (p *run) env(name string) (out []string) {
 	if p.scenario.Mutation != "" {
 		out = append(out, "MAGPIEBANK_PLANTED="+p.scenario.Mutation)
--- a/internal/testbed/faulttest/scenario.go
+++ b/internal/testbed/faulttest/scenario.go
@@ -1,4 +1,4 @@
-// Package faulttest plays faults between the processes of a fleet: real gateways before fake engines, a load, and steps at
+// Package faulttest injects faults between the processes of a cluster: real gateways before fake engines, a load, and steps at
 // stated times that cut, lose, delay, kill, stop and restart. What must hold at every instant is read from the merged history
 // afterwards; what must come about in the end, within a stated time. A scenario that was drawn from a seed prints as a file.
 package faulttest
@@ -30,23 +30,23 @@
 	LoadService     time.Duration              // of a load, always the same; 0: as it comes
 	WarmUp          time.Duration              // until an engine that has started is warm; 0: it is at once
 	SharedSlowStart bool                       // what engines that are warming up may be sent is shared
-	Limits          installation.ClusterLimits // that loads may use over the whole fleet
-	ShareTerm       time.Duration              // for which a part of it is held without a word
+	Limits          installation.ClusterLimits // that loads may use over the whole cluster
+	ShareTerm       time.Duration              // for which a share of it is held without a renewal
 	MaxWait         time.Duration              // that a client waits
 	HealthReports   bool
 	Counters        bool // are shared
 	Durable         bool
 	Rollout         installation.Rollout // how policies are decided on; without voters each gateway goes by its file
-	Mutation        string               // a defect, to see that it is found
+	Mutation        string               // a mutation of the gateways, to see that it is found
 	Clocks          map[string]string    // by process: rate, jump and when, as MAGPIEBANK_CLOCK
 	ClockOffsets    map[string]string    // by process: how far its wall clock is off at its start, as MAGPIEBANK_BORN
-	MutationAt      map[string]string    // by process: what is planted there alone
-	CrashPoint      string               // where the first voter that comes to it ends itself, or stands still, as MAGPIEBANK_DIE without its file
-	Disks           map[string]string    // by gateway: how the disk under its record fails and when, as MAGPIEBANK_DISK
+	MutationAt      map[string]string    // by process: a mutation of it alone
+	CrashPoint      string               // where the first voter that reaches it ends or stops itself, as MAGPIEBANK_DIE without its file
+	Disks           map[string]string    // by gateway: how the disk under its journal fails and when, as MAGPIEBANK_DISK
 	NotStarted      []string             // gateways that are not started before a step does it
 	Steps           []Step
 	Expectations    []Expectation
-	Phases          []Phase // in which the use of budgets is measured
+	Phases          []Phase // in which the use of quotas is measured
 }
 
 // Phase is a part of a run.
@@ -59,11 +59,11 @@
 
 // Expectation is what must come about besides what must hold always.
 type Expectation struct {
-	MinServed      float64       // least share of the worth asked for that is served within its time
+	MinServed      float64       // least share of the priority weight asked for that is served within the latency objective
 	Displaced      int           // processes that find their name taken by a later one
 	EjectedEngine  string        // that is sent nothing new
-	Within         time.Duration // this long after it turned bad, by 95% of the gateways, to the end of its bad time
-	MinDecided     int           // least number of proposals that take hold
+	Within         time.Duration // this long after it turned faulty, by 95% of the gateways, to the end of the outage
+	MinDecided     int           // least number of proposals that are decided
 	ProposalEnd    string        // how one of them ends, as in "dropped", and why: words that stand in it
 	ProposalReason string
 	Voters         []string // at the end
@@ -88,7 +88,7 @@
 	EngineState  string                     // of engines: silent, errs, loses, slow, refuses, paused, restarts, drains, gone; of the list: held or broken
 }
 
-// The words of a step.
+// The values of a step's fields.
 var (
 	actions = []string{"link", "kill", "stop", "leave", "start", "twin", "engine", "list", "limit", "surge", "propose", "voters", "force", "keep", "revive"}
 	states  = []string{"silent", "errs", "loses", "slow", "refuses", "paused", "restarts", "drains", "gone", "held", "broken"}
--- a/internal/testbed/faulttest/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -21,12 +21,14 @@
 
 func TestMain(m *testing.M) {
 	status := m.Run()
-	os.RemoveAll(built)
+	if err := os.RemoveAll(built); err != nil {
+		fmt.Fprintln(os.Stderr, "the testbed's build is left:", err)
+	}
 	os.Exit(status)
 }
 
-// testbed builds the gateway with clocks that may run off and defects that may be planted.
-var laboratory = sync.OnceValues(func() (string, error) {
+// buildTestbed builds the gateway with clocks that may drift and mutations that may be on.
+var buildTestbed = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "magpiebank-lab")
 	if err != nil {
 		return "", err
@@ -41,7 +43,7 @@
 
 func runScenario(t *testing.T, s *Scenario) *Result {
 	t.Helper()
-	program, err := laboratory()
+	program, err := buildTestbed()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +90,7 @@
 	}
 }
 
-// Planted defects are caught by the same checkers.
+// Mutations are caught by the same checkers.
 func TestPlanted(t *testing.T) {
 	for _, c := range []struct{ defect, on, rule string }{
 		{"relays-hearsay", "noise", "evidence:"},
@@ -228,7 +230,7 @@
 	} {
 		all := append(append([]history.Event{}, base...), c.more...)
 		broken, late := Check(all)
-		got := strings.Join(slices.Concat(broken, late, CheckCounts(all), CheckQuotas(all, readTotals(all, []string{"g0"}, 3*time.Second))), "; ")
+		got := strings.Join(slices.Concat(broken, late, CheckCounts(all), CheckQuotas(all, readQuotaTotals(all, []string{"g0"}, 3*time.Second))), "; ")
 		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
 			t.Errorf("%s: found %q, expected %q", c.what, got, c.want)
 		}
@@ -279,10 +281,10 @@
 // What engines say runs there is held against the total, where they could hear of all that was given up.
 func TestCheckEngines(t *testing.T) {
 	began := time.Now()
-	run := func(seconds float64, lane string, by int) fake.RunningChange {
-		return fake.RunningChange{At: began.Add(time.Duration(seconds * float64(time.Second))), Class: lane, Delta: by}
+	run := func(seconds float64, class string, by int) fake.RunningChange {
+		return fake.RunningChange{At: began.Add(time.Duration(seconds * float64(time.Second))), Class: class, Delta: by}
 	}
-	limits := readTotals([]history.Event{{Kind: history.TotalChanged, Code: "loads threads", Number: 2, Of: 1, Process: "g0"}}, []string{"g0"}, time.Second)
+	limits := readQuotaTotals([]history.Event{{Kind: history.TotalChanged, Code: "loads threads", Number: 2, Of: 1, Process: "g0"}}, []string{"g0"}, time.Second)
 	s := &Scenario{Limits: installation.ClusterLimits{Threads: 2}}
 	runs := []fake.RunningChange{run(1, "load", 1), run(1.1, "look", 1), run(1.2, "load", 1), run(1.3, "load", -1), run(1.4, "load", 1)}
 	if out := CheckEngines(s, runs, began, 0, limits); out != nil {
--- a/internal/testbed/faulttest/steps.go
+++ b/internal/testbed/faulttest/steps.go
@@ -12,162 +12,224 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// act carries out the steps, each begin and end in its turn.
-func (p *run) runSteps(ctx context.Context) error {
-	type deed struct {
-		at time.Duration
-		do func() error
-	}
-	var deeds []deed
-	for i, t := range p.scenario.Steps {
+// stepEvent is the begin or the end of a step, at a time from the load's begin.
+type stepEvent struct {
+	at      time.Duration
+	step    Step
+	ruleSet string // name under which the network has the step's rule
+	isEnd   bool
+}
+
+// stepEvents are the begins and ends of a scenario's steps in their order.
+func stepEvents(steps []Step) []stepEvent {
+	var events []stepEvent
+	for i, step := range steps {
 		name := fmt.Sprint("step", i)
-		deeds = append(deeds, deed{t.At, func() error { return p.beginStep(name, t) }})
-		if t.Until > 0 {
-			deeds = append(deeds, deed{t.Until, func() error { return p.endStep(name, t) }})
+		events = append(events, stepEvent{at: step.At, step: step, ruleSet: name})
+		if step.Until > 0 {
+			events = append(events, stepEvent{at: step.Until, step: step, ruleSet: name, isEnd: true})
 		}
 	}
-	slices.SortStableFunc(deeds, func(a, b deed) int { return int(a.at - b.at) })
-	deeds = append(deeds, deed{p.scenario.Length, func() error { return nil }})
-	for _, d := range deeds {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(time.Until(p.startedAt.Add(d.at))):
+	slices.SortStableFunc(events, func(a, b stepEvent) int { return int(a.at - b.at) })
+	return events
+}
+
+// runSteps carries out the steps, each begin and end at its time, and returns when the scenario's length is over.
+func (p *run) runSteps(ctx context.Context) error {
+	for _, event := range stepEvents(p.scenario.Steps) {
+		if err := p.sleepUntil(ctx, event.at); err != nil {
+			return err
 		}
-		if err := d.do(); err != nil {
+		apply := p.beginStep
+		if event.isEnd {
+			apply = p.endStep
+		}
+		if err := apply(event.ruleSet, event.step); err != nil {
 			return err
 		}
 	}
-	for _, t := range p.scenario.Steps { // whoever is still stopped goes on
-		if t.Action == "stop" && t.Until == 0 {
-			p.eachGateway(t.Gateways, func(g *installation.Gateway) error { g.Signal(syscall.SIGCONT); return nil })
+	if err := p.sleepUntil(ctx, p.scenario.Length); err != nil {
+		return err
+	}
+	for _, step := range p.scenario.Steps {
+		if step.Action == "stop" && step.Until == 0 {
+			p.signalGateways(step.Gateways, syscall.SIGCONT)
 		}
 	}
 	return nil
 }
 
-// each calls f for the gateways that some names fit.
-func (p *run) eachGateway(names []string, f func(*installation.Gateway) error) error {
-	for _, g := range slices.Clone(p.installation.Gateways) {
-		for _, n := range names {
-			if ok, _ := path.Match(n, g.Label()); ok {
-				if err := f(g); err != nil {
-					return err
-				}
-				break
-			}
+// sleepUntil waits for a time from the load's begin.
+func (p *run) sleepUntil(ctx context.Context, at time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(time.Until(p.startedAt.Add(at))):
+		return nil
+	}
+}
+
+// matchesAny tells whether one of the patterns, in the form of path.Match, fits a name.
+func matchesAny(patterns []string, name string) bool {
+	return slices.ContainsFunc(patterns, func(pattern string) bool {
+		fits, err := path.Match(pattern, name)
+		return err == nil && fits
+	})
+}
+
+// matchingGateways are the gateways whose labels fit one of the patterns.
+func (p *run) matchingGateways(patterns []string) (gateways []*installation.Gateway) {
+	for _, gateway := range p.installation.Gateways {
+		if matchesAny(patterns, gateway.Label()) {
+			gateways = append(gateways, gateway)
+		}
+	}
+	return gateways
+}
+
+// eachGateway calls f for the gateways whose labels fit one of the patterns, up to the first error.
+func (p *run) eachGateway(patterns []string, f func(*installation.Gateway) error) error {
+	for _, gateway := range p.matchingGateways(patterns) {
+		if err := f(gateway); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-func (p *run) eachEngine(names []string, f func(i int, e *fake.Engine) error) error {
-	for i, e := range p.installation.Engines {
-		for _, n := range names {
-			if ok, _ := path.Match(n, e.Name); ok {
-				if err := f(i, e); err != nil {
-					return err
-				}
-				break
-			}
+func (p *run) signalGateways(patterns []string, signal syscall.Signal) {
+	for _, gateway := range p.matchingGateways(patterns) {
+		gateway.Signal(signal)
+	}
+}
+
+// eachEngine calls f for the engines whose names fit one of the patterns, up to the first error.
+func (p *run) eachEngine(patterns []string, f func(i int, e *fake.Engine) error) error {
+	for i, engine := range p.installation.Engines {
+		if !matchesAny(patterns, engine.Name) {
+			continue
+		}
+		if err := f(i, engine); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-func (p *run) markDown(g *installation.Gateway, down bool) {
+// markDown takes down that a gateway ends now, and is not to be running until it is started again.
+func (p *run) markDown(gateway *installation.Gateway) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.killed[g.Label()] = append(p.killed[g.Label()], time.Since(p.startedAt))
-	p.notRunning[g.Label()] = down
+	label := gateway.Label()
+	p.killed[label] = append(p.killed[label], time.Since(p.startedAt))
+	p.notRunning[label] = true
 }
 
-func (p *run) beginStep(name string, t Step) error {
-	switch t.Action {
+func (p *run) beginStep(ruleSet string, step Step) error {
+	switch step.Action {
 	case "link":
-		p.network.SetRule(name, t.From, t.To, t.Rule)
-		if t.BothWays {
-			p.network.SetRule(name, t.To, t.From, t.Rule)
+		p.network.SetRule(ruleSet, step.From, step.To, step.Rule)
+		if step.BothWays {
+			p.network.SetRule(ruleSet, step.To, step.From, step.Rule)
 		}
 	case "kill":
-		return p.eachGateway(t.Gateways, func(g *installation.Gateway) error {
-			if t.Folder == "older" && !g.HasStateCopy() {
-				g.CopyState()
-			}
-			p.markDown(g, true)
-			g.Kill()
-			return nil
-		})
+		p.killGateways(step)
 	case "leave":
-		return p.eachGateway(t.Gateways, func(g *installation.Gateway) error { p.markDown(g, true); g.Signal(syscall.SIGTERM); return nil })
+		for _, gateway := range p.matchingGateways(step.Gateways) {
+			p.markDown(gateway)
+			gateway.Signal(syscall.SIGTERM)
+		}
 	case "start":
-		return p.eachGateway(t.Gateways, p.startGateway)
+		return p.eachGateway(step.Gateways, p.startGateway)
 	case "stop":
-		return p.eachGateway(t.Gateways, func(g *installation.Gateway) error { g.Signal(syscall.SIGSTOP); return nil })
+		p.signalGateways(step.Gateways, syscall.SIGSTOP)
 	case "limit":
-		var some []*installation.Gateway
-		p.eachGateway(t.Gateways, func(g *installation.Gateway) error { some = append(some, g); return nil })
-		w := t.Limits
-		w.Version = 2
-		for _, before := range p.scenario.Steps { // each change has a number of its own
-			if before.Action == "limit" && before.At < t.At {
-				w.Version++
-			}
-		}
-		if t.PolicyNumber > 0 {
-			w.Version = t.PolicyNumber
-		}
-		p.installation.SetLimits(w, some)
+		p.setLimits(step)
 	case "twin":
-		return p.eachGateway(t.Gateways, func(g *installation.Gateway) error {
-			for i, of := range p.installation.Gateways {
-				if of == g {
-					_, err := p.installation.StartTwin(i)
-					return err
-				}
-			}
-			return nil
-		})
-	case "revive": // whoever is not there, or stands still
-		return p.eachGateway(t.Gateways, func(g *installation.Gateway) error {
-			g.Signal(syscall.SIGCONT)
-			if g.IsRunning() {
-				return nil
-			}
-			p.markDown(g, true)
-			return p.startGateway(g)
-		})
+		return p.eachGateway(step.Gateways, p.startTwin)
+	case "revive":
+		return p.eachGateway(step.Gateways, p.reviveGateway)
 	case "keep":
-		return p.eachGateway(t.Gateways, (*installation.Gateway).CopyState)
+		return p.eachGateway(step.Gateways, (*installation.Gateway).CopyState)
 	case "propose", "voters", "force":
-		p.propose(t)
+		p.propose(step)
 	case "list":
-		for _, l := range p.installation.Discoveries {
-			if t.EngineState == "held" {
-				l.HoldPolls()
-			} else {
-				l.TruncateAnswers()
-			}
-		}
+		p.disturbDiscovery(step.EngineState)
 	case "engine":
-		return p.eachEngine(t.Engines, func(i int, e *fake.Engine) error { return p.setEngineState(t.EngineState, i, e) })
+		return p.eachEngine(step.Engines, func(i int, e *fake.Engine) error { return p.setEngineState(step.EngineState, i, e) })
 	}
 	return nil
 }
 
-func (p *run) startGateway(g *installation.Gateway) error {
-	if g.IsRunning() { // it is still leaving, or another step has started it
-		p.markDown(g, true)
-		g.Kill()
+func (p *run) killGateways(step Step) {
+	for _, gateway := range p.matchingGateways(step.Gateways) {
+		if step.Folder == "older" && !gateway.HasStateCopy() {
+			_ = gateway.CopyState() // files may vanish while a running gateway's folders are copied; it restarts from what was copied
+		}
+		p.markDown(gateway)
+		gateway.Kill()
+	}
+}
+
+// setLimits writes other limits into the files of some gateways. Each change has a version of its own.
+func (p *run) setLimits(step Step) {
+	limits := step.Limits
+	limits.Version = 2
+	for _, before := range p.scenario.Steps {
+		if before.Action == "limit" && before.At < step.At {
+			limits.Version++
+		}
+	}
+	if step.PolicyNumber > 0 {
+		limits.Version = step.PolicyNumber
+	}
+	p.installation.SetLimits(limits, p.matchingGateways(step.Gateways))
+}
+
+// startTwin starts a second process under a gateway's name.
+func (p *run) startTwin(gateway *installation.Gateway) error {
+	i := slices.Index(p.installation.Gateways, gateway)
+	_, err := p.installation.StartTwin(i)
+	return err
+}
+
+// reviveGateway starts a gateway that has ended, and resumes one that is stopped.
+func (p *run) reviveGateway(gateway *installation.Gateway) error {
+	gateway.Signal(syscall.SIGCONT)
+	if gateway.IsRunning() {
+		return nil
+	}
+	p.markDown(gateway)
+	return p.startGateway(gateway)
+}
+
+func (p *run) startGateway(gateway *installation.Gateway) error {
+	if gateway.IsRunning() { // it is still leaving, or another step has started it
+		p.markDown(gateway)
+		gateway.Kill()
 	}
 	p.mu.Lock()
-	p.notRunning[g.Label()] = false
+	p.notRunning[gateway.Label()] = false
 	p.mu.Unlock()
-	return g.Start()
+	return gateway.Start()
+}
+
+// disturbDiscovery has the discovery services hold polls, or truncate their answers.
+func (p *run) disturbDiscovery(state string) {
+	for _, discovery := range p.installation.Discoveries {
+		if state == "held" {
+			discovery.HoldPolls()
+		} else {
+			discovery.TruncateAnswers()
+		}
+	}
 }
 
-func (p *run) setEngineState(what string, i int, e *fake.Engine) error {
-	switch what {
+// slowSpeed is the share of its speed at which a slow engine runs.
+const slowSpeed = 0.02
+
+func (p *run) setEngineState(state string, i int, e *fake.Engine) error {
+	switch state {
 	case "silent":
 		e.StopAnswering()
 	case "errs":
@@ -175,7 +237,7 @@
 	case "loses":
 		e.DropAnswers(1)
 	case "slow":
-		e.SetSpeed(0.02)
+		e.SetSpeed(slowSpeed)
 	case "refuses":
 		e.RefuseConnections()
 	case "paused":
@@ -192,52 +254,58 @@
 	return nil
 }
 
-func (p *run) endStep(name string, t Step) error {
-	switch t.Action {
+// resetEngineState ends what setEngineState began.
+func (p *run) resetEngineState(state string, i int, e *fake.Engine) error {
+	switch state {
+	case "silent":
+		e.ResumeAnswering()
+	case "errs":
+		e.FailQueries(0)
+	case "loses":
+		e.DropAnswers(0)
+	case "slow":
+		e.SetSpeed(1)
+	case "paused":
+		e.Resume()
+	case "refuses":
+		return e.AcceptConnections()
+	case "drains", "gone":
+		p.installation.PublishState(i, "Ready")
+	}
+	return nil
+}
+
+func (p *run) endStep(ruleSet string, step Step) error {
+	switch step.Action {
 	case "link":
-		p.network.RemoveRule(name)
+		p.network.RemoveRule(ruleSet)
 	case "kill":
-		return p.eachGateway(t.Gateways, func(g *installation.Gateway) error {
-			var err error
-			switch t.Folder {
-			case "none":
-				err = g.DeleteState()
-			case "older":
-				err = g.RestoreState()
-			}
-			if err != nil {
-				return err
-			}
-			return p.startGateway(g)
-		})
+		return p.eachGateway(step.Gateways, func(gateway *installation.Gateway) error { return p.restartAfterKill(gateway, step.Folder) })
 	case "leave":
-		return p.eachGateway(t.Gateways, p.startGateway)
+		return p.eachGateway(step.Gateways, p.startGateway)
 	case "stop":
-		return p.eachGateway(t.Gateways, func(g *installation.Gateway) error { g.Signal(syscall.SIGCONT); return nil })
+		p.signalGateways(step.Gateways, syscall.SIGCONT)
 	case "list":
-		for _, l := range p.installation.Discoveries {
-			l.Recover()
+		for _, discovery := range p.installation.Discoveries {
+			discovery.Recover()
 		}
 	case "engine":
-		return p.eachEngine(t.Engines, func(i int, e *fake.Engine) error {
-			switch t.EngineState {
-			case "silent":
-				e.ResumeAnswering()
-			case "errs":
-				e.FailQueries(0)
-			case "loses":
-				e.DropAnswers(0)
-			case "slow":
-				e.SetSpeed(1)
-			case "paused":
-				e.Resume()
-			case "refuses":
-				return e.AcceptConnections()
-			case "drains", "gone":
-				p.installation.PublishState(i, "Ready")
-			}
-			return nil
-		})
+		return p.eachEngine(step.Engines, func(i int, e *fake.Engine) error { return p.resetEngineState(step.EngineState, i, e) })
 	}
 	return nil
 }
+
+// restartAfterKill starts a killed gateway with its state as it was, without it, or with an older copy of it.
+func (p *run) restartAfterKill(gateway *installation.Gateway, folder string) error {
+	var err error
+	switch folder {
+	case "none":
+		err = gateway.DeleteState()
+	case "older":
+		err = gateway.RestoreState()
+	}
+	if err != nil {
+		return err
+	}
+	return p.startGateway(gateway)
+}
