--- a/cmd/magpiebank-operator/digest.go
+++ b/cmd/magpiebank-operator/digest.go
@@ -114,7 +114,7 @@
 		if one.Record.Shape == 0 {
 			continue // nothing of its statement was recorded
 		}
-		entries = append(entries, digest.Entry{Shape: one.Record.Shape, Group: one.Record.Group, Text: one.Record.Text, Elapsed: one.Elapsed, RowsExamined: one.RowsExamined})
+		entries = append(entries, digest.Entry{Shape: one.Record.Shape, TableGroup: one.Record.Group, Text: one.Record.Text, Elapsed: one.Elapsed, RowsExamined: one.RowsExamined})
 	}
 	return entries, faults, nil
 }
--- a/internal/configfile/suggest.go
+++ b/internal/configfile/suggest.go
@@ -6,19 +6,19 @@
 )
 
 // nearestName returns the known name that a misspelt one is nearest to, "" if none is near.
-func nearestName(name string, known map[string]bool) (best string) {
-	least := max(2, len(name)/3) + 1
+func nearestName(name string, known map[string]bool) (nearest string) {
+	nearestDistance := max(2, len(name)/3) + 1
 	var names []string
-	for k := range known {
-		names = append(names, k)
+	for candidate := range known {
+		names = append(names, candidate)
 	}
 	sort.Strings(names)
-	for _, k := range names {
-		if d := editDistance(strings.ToLower(name), strings.ToLower(k)); d < least {
-			least, best = d, k
+	for _, candidate := range names {
+		if d := editDistance(strings.ToLower(name), strings.ToLower(candidate)); d < nearestDistance {
+			nearestDistance, nearest = d, candidate
 		}
 	}
-	return best
+	return nearest
 }
 
 // editDistance returns the Levenshtein distance of two texts, in bytes.
@@ -28,15 +28,15 @@
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			change := last
+			substitution := diagonal
 			if a[i] != b[j] {
-				change++
+				substitution++
 			}
-			last = row[j+1]
-			row[j+1] = min(change, row[j]+1, last+1)
+			diagonal = row[j+1]
+			row[j+1] = min(substitution, row[j]+1, diagonal+1)
 		}
 	}
 	return row[len(b)]
--- a/internal/configfile/values.go
+++ b/internal/configfile/values.go
@@ -10,84 +10,84 @@
 )
 
 // getField returns a field's value; ok is false if it is absent or of another type, which is an error.
-func getField[T any](o *Object, name, want string) (v T, ok bool) {
+func getField[T any](o *Object, name, want string) (value T, ok bool) {
 	o.known[name] = true
 	raw := o.value[name]
 	if raw == nil {
-		return v, false
+		return value, false
 	}
-	v, ok = raw.(T)
+	value, ok = raw.(T)
 	if !ok {
 		o.file.addError(o.fieldPath(name), want, formatValue(raw))
 	}
-	return v, ok
+	return value, ok
 }
 
 // Text returns a field that is a text, or fallback if it is absent.
 func (o *Object) Text(name, fallback string) string {
-	if v, ok := getField[string](o, name, "a text"); ok {
-		return v
+	if value, ok := getField[string](o, name, "a text"); ok {
+		return value
 	}
 	return fallback
 }
 
 // RequiredText returns a field that is a text; it is an error if the field is absent.
 func (o *Object) RequiredText(name string) string {
-	v := o.Text(name, "")
-	if v == "" && o.value[name] == nil {
+	value := o.Text(name, "")
+	if value == "" && o.value[name] == nil {
 		o.file.addError(o.fieldPath(name), "a text", "nothing")
 	}
-	return v
+	return value
 }
 
 // OneOf returns a field that is one of some words, or fallback if it is absent.
 func (o *Object) OneOf(name, fallback string, words ...string) string {
-	v := o.Text(name, fallback)
-	if !slices.Contains(words, v) {
+	value := o.Text(name, fallback)
+	if !slices.Contains(words, value) {
 		known := map[string]bool{}
-		for _, w := range words {
-			known[w] = true
+		for _, word := range words {
+			known[word] = true
 		}
 		want := "one of " + strings.Join(words, ", ")
-		if near := nearestName(v, known); near != "" {
+		if near := nearestName(value, known); near != "" {
 			want = fmt.Sprintf("%q (the nearest of %s)", near, strings.Join(words, ", "))
 		}
-		o.file.addError(o.fieldPath(name), want, strconv.Quote(v))
+		o.file.addError(o.fieldPath(name), want, strconv.Quote(value))
 	}
-	return v
+	return value
 }
 
 // Bool returns a field that is true or false, or fallback if it is absent.
 func (o *Object) Bool(name string, fallback bool) bool {
-	if v, ok := getField[bool](o, name, "true or false"); ok {
-		return v
+	if value, ok := getField[bool](o, name, "true or false"); ok {
+		return value
 	}
 	return fallback
 }
 
 // Number returns a field that is a number from minimum to maximum, or fallback if it is absent.
 func (o *Object) Number(name string, fallback, minimum, maximum float64) float64 {
-	v, ok := getField[float64](o, name, "a number")
+	value, ok := getField[float64](o, name, "a number")
 	if !ok {
 		return fallback
 	}
-	o.checkRange(name, v, minimum, maximum)
-	return v
+	o.checkRange(name, value, minimum, maximum)
+	return value
 }
 
-func (o *Object) checkRange(name string, v, minimum, maximum float64) {
-	if !(v >= minimum && v <= maximum) {
-		o.file.addError(o.fieldPath(name), fmt.Sprintf("a number from %g to %g", minimum, maximum), formatValue(v))
+func (o *Object) checkRange(name string, value, minimum, maximum float64) {
+	if !(value >= minimum && value <= maximum) {
+		o.file.addError(o.fieldPath(name), fmt.Sprintf("a number from %g to %g", minimum, maximum), formatValue(value))
 	}
 }
 
 // Int returns a field that is a whole number from minimum to maximum, or fallback if it is absent.
 func (o *Object) Int(name string, fallback, minimum, maximum int) int {
-	v := o.Number(name, float64(fallback), float64(minimum), float64(maximum))
-	if v != math.Trunc(v) {
-		o.file.addError(o.fieldPath(name), "a whole number", formatValue(v))
+	value := o.Number(name, float64(fallback), float64(minimum), float64(maximum))
+	if value != math.Trunc(value) {
+		o.file.addError(o.fieldPath(name), "a whole number", formatValue(value))
 	}
-	return int(v)
+	return int(value)
 }
 
 // Fraction returns a field that is a number from 0 to 1, or fallback if it is absent.
@@ -99,11 +99,11 @@
 // error.
 func (o *Object) Duration(name string, fallback time.Duration) time.Duration {
 	o.known[name] = true
-	switch v := o.value[name].(type) {
+	switch value := o.value[name].(type) {
 	case nil:
 		return fallback
 	case string:
-		if duration, err := time.ParseDuration(v); err == nil && duration >= 0 {
+		if duration, err := time.ParseDuration(value); err == nil && duration >= 0 {
 			return duration
 		}
 	}
@@ -155,17 +155,17 @@
 }
 
 // getList returns a field that is a list of plain values.
-func getList[T any](o *Object, name, want string) (out []T) {
+func getList[T any](o *Object, name, want string) (list []T) {
 	values, _ := getField[[]any](o, name, "a list")
 	for i, raw := range values {
-		v, ok := raw.(T)
+		value, ok := raw.(T)
 		if !ok {
 			o.file.addError(append(o.fieldPath(name), pathStep{index: i, isIndex: true}), want, formatValue(raw))
 			continue
 		}
-		out = append(out, v)
+		list = append(list, value)
 	}
-	return out
+	return list
 }
 
 // Texts returns a field that is a list of texts, empty if it is absent.
@@ -173,11 +173,11 @@
 
 // Numbers returns a field that is a list of numbers from minimum to maximum, empty if it is absent.
 func (o *Object) Numbers(name string, minimum, maximum float64) []float64 {
-	out := getList[float64](o, name, "a number")
-	for i, v := range out {
-		if !(v >= minimum && v <= maximum) {
-			o.file.addError(append(o.fieldPath(name), pathStep{index: i, isIndex: true}), fmt.Sprintf("a number from %g to %g", minimum, maximum), formatValue(v))
+	numbers := getList[float64](o, name, "a number")
+	for i, number := range numbers {
+		if !(number >= minimum && number <= maximum) {
+			o.file.addError(append(o.fieldPath(name), pathStep{index: i, isIndex: true}), fmt.Sprintf("a number from %g to %g", minimum, maximum), formatValue(number))
 		}
 	}
-	return out
+	return numbers
 }
--- a/internal/query/digest/digest.go
+++ b/internal/query/digest/digest.go
@@ -18,17 +18,17 @@
 // Entry is one recorded statement.
 type Entry struct {
 	Shape        uint64
-	Group        int
+	TableGroup   int
 	Text         string // empty: it was not recorded
 	Elapsed      time.Duration
-	RowsExamined int64 // rows
+	RowsExamined int64
 }
 
 // Row is the summary of one shape.
 type Row struct {
 	Shape            string   `json:"shape"`
 	Count            int      `json:"count"`
-	Share            float64  `json:"share"`    // of the time of all, or of their number where no time is known
+	Share            float64  `json:"share"`    // of the time of all statements, or of their number if no times are known
 	TotalMS          float64  `json:"total_ms"` // 0: not known
 	MeanMS           float64  `json:"mean_ms"`
 	P50MS            float64  `json:"p50_ms"`
@@ -120,7 +120,7 @@
 	}
 	t.rowsExamined += e.RowsExamined
 	if len(t.groups) < maxGroups {
-		t.groups[e.Group] = true
+		t.groups[e.TableGroup] = true
 	}
 	if t.text == "" {
 		t.text = e.Text
@@ -133,7 +133,7 @@
 	if e.Elapsed != 0 || s.costs == nil {
 		return float64(e.Elapsed) / float64(time.Millisecond)
 	}
-	usual, ok := s.costs(e.Shape, e.Group)
+	usual, ok := s.costs(e.Shape, e.TableGroup)
 	if !ok {
 		return 0
 	}
@@ -181,36 +181,36 @@
 		fmt.Fprintf(out, "%d of them by what the snapshot says they usually take\n", d.StatementsBySnapshot)
 	}
 	fmt.Fprintln(out)
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "share\tcount\tmean ms\tp50\tp99\tworst\tbad\trows read\tgroups\tverb\t")
-	for _, r := range d.Rows {
-		fmt.Fprintf(w, "%.1f%%\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f%%\t%.0f\t%d\t%s\t\n", 100*r.Share, r.Count, r.MeanMS, r.P50MS, r.P99MS,
-			r.WorstMS, 100*r.BadPlanShare, r.MeanRowsExamined, r.TableGroups, r.Verb)
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "share\tcount\tmean ms\tp50\tp99\tworst\tbad\trows read\tgroups\tverb\t")
+	for _, row := range d.Rows {
+		fmt.Fprintf(table, "%.1f%%\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f%%\t%.0f\t%d\t%s\t\n", 100*row.Share, row.Count, row.MeanMS, row.P50MS, row.P99MS,
+			row.WorstMS, 100*row.BadPlanShare, row.MeanRowsExamined, row.TableGroups, row.Verb)
 	}
-	if err := w.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	if d.ShapesLeftOut > 0 {
 		fmt.Fprintf(out, "%d more shapes, %.1f%%\n", d.ShapesLeftOut, 100*d.ShareLeftOut)
 	}
-	for n, r := range d.Rows {
-		fmt.Fprintf(out, "\n%d. shape %s\n", n+1, r.Shape)
-		if r.Normalized == "" {
+	for i, row := range d.Rows {
+		fmt.Fprintf(out, "\n%d. shape %s\n", i+1, row.Shape)
+		if row.Normalized == "" {
 			fmt.Fprintln(out, "   its text was not recorded")
 			continue
 		}
-		fmt.Fprintf(out, "   %s\n", truncate(r.Normalized, 400))
-		if r.FullScanOf != "" {
-			fmt.Fprintf(out, "   reads the whole of %s\n", r.FullScanOf)
+		fmt.Fprintf(out, "   %s\n", truncate(row.Normalized, 400))
+		if row.FullScanOf != "" {
+			fmt.Fprintf(out, "   reads the whole of %s\n", row.FullScanOf)
 		}
 	}
 	return nil
 }
 
 // truncate cuts a text to so many characters.
-func truncate(text string, most int) string {
-	if letters := []rune(text); len(letters) > most {
-		return string(letters[:most]) + " ..."
+func truncate(text string, maxCharacters int) string {
+	if characters := []rune(text); len(characters) > maxCharacters {
+		return string(characters[:maxCharacters]) + " ..."
 	}
 	return text
 }
--- a/internal/query/digest/digest_test.go
+++ b/internal/query/digest/digest_test.go
@@ -14,7 +14,7 @@
 	var list []Entry
 	add := func(sql string, group int, ms ...int) {
 		for _, v := range ms {
-			list = append(list, Entry{Shape: sqltext.Shape([]byte(sql)), Group: group, Text: sql, Elapsed: time.Duration(v) * time.Millisecond, RowsExamined: int64(10 * v)})
+			list = append(list, Entry{Shape: sqltext.Shape([]byte(sql)), TableGroup: group, Text: sql, Elapsed: time.Duration(v) * time.Millisecond, RowsExamined: int64(10 * v)})
 		}
 	}
 	add("SELECT a FROM actas_1.mesas WHERE clave = 'x'", 1, 10, 12, 11, 10, 9, 200)
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,5 +1,5 @@
 // Package simadapter connects the admission decisions to the wire of the simulator. It reads batches of events from
-// one stream, passes each decoded event to the router instance that it names, and writes the actions that the
+// one stream, passes each decoded event to the instance of the controller that it names, and writes the actions that the
 // instances take to another stream. Everything runs on the goroutine that calls Serve.
 package simadapter
 
@@ -167,5 +167,5 @@
 		i.reports = healthreport.New(deployment.Gateways-1, healthreport.MaxEjectedShare(deployment, len(info.Texts("zones"))),
 			float64(deployment.GatewayIndex)/float64(deployment.Gateways))
 	}
-	i.recoverPanic(func() { i.router = admission.New(a.now, seed, deployment, i) })
+	i.recoverPanic(func() { i.controller = admission.New(a.now, seed, deployment, i) })
 }
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -9,12 +9,12 @@
 	"magpiebank/internal/cluster/healthreport"
 )
 
-// routerCall passes one decoded event to a router.
-type routerCall func(router *admission.Controller)
+// controllerCall passes one decoded event to a controller.
+type controllerCall func(router *admission.Controller)
 
 // eventDecoder reads the fields of an event for an instance, which is nil if the message names none that was booted.
 // It returns nil if the event asks for no decision.
-type eventDecoder func(a *adapter, i *instance) routerCall
+type eventDecoder func(a *adapter, i *instance) controllerCall
 
 var eventDecoders = map[string]eventDecoder{
 	"retire":           decodeRetire,
@@ -29,7 +29,7 @@
 	"interim":          decodeProgress,
 }
 
-// handleEvent decodes one of the messages that tell a router what happened. All fields are read before the router
+// handleEvent decodes one of the messages that tell a controller what happened. All fields are read before the controller
 // is called, so that a malformed line has no effect.
 func (a *adapter) handleEvent() {
 	decode := eventDecoders[a.fields.message]
@@ -39,11 +39,11 @@
 	}
 	i := a.readInstance()
 	call := decode(a, i)
-	if a.fields.err != nil || call == nil || i.router == nil {
+	if a.fields.err != nil || call == nil || i.controller == nil {
 		return
 	}
 	i.recoverPanic(func() {
-		call(i.router)
+		call(i.controller)
 		i.exchangeReports(a.now)
 	})
 }
@@ -57,20 +57,20 @@
 	return i
 }
 
-func decodeRetire(_ *adapter, i *instance) routerCall {
-	return func(*admission.Controller) { i.router = nil }
+func decodeRetire(_ *adapter, i *instance) controllerCall {
+	return func(*admission.Controller) { i.controller = nil }
 }
 
-// updateForms are the letters of the forms of an endpoint update, in the order of admission.Form.
-const updateForms = "DFCX"
+// updateKinds are the letters of the kinds of an endpoint update, in the order of admission.UpdateKind.
+const updateKinds = "DFCX"
 
-func decodeEndpointUpdate(a *adapter, i *instance) routerCall {
+func decodeEndpointUpdate(a *adapter, i *instance) controllerCall {
 	f, now := &a.fields, a.now
 	letter := (f.text("form") + " ")[0]
-	form := strings.IndexByte(updateForms, letter)
+	kind := strings.IndexByte(updateKinds, letter)
 	f.integer("rev")
 	number := f.integer("sheet")
-	if form < 0 {
+	if kind < 0 {
 		f.fail("form", "D, F, C or X")
 		return nil
 	}
@@ -79,21 +79,21 @@
 		return nil
 	}
 	list := a.endpoints.lists[number]
-	if admission.UpdateKind(form) == admission.FailedPoll {
+	if admission.UpdateKind(kind) == admission.FailedPoll {
 		list = nil
 	}
-	return func(router *admission.Controller) {
+	return func(controller *admission.Controller) {
 		if i.reports != nil {
-			i.reports.UpdateEngines(admission.UpdateKind(form), list)
+			i.reports.UpdateEngines(admission.UpdateKind(kind), list)
 		}
-		router.UpdateEndpoints(now, admission.UpdateKind(form), list)
+		controller.UpdateEndpoints(now, admission.UpdateKind(kind), list)
 	}
 }
 
 // workKnown is the bit of an arrival's options that says that its estimate of work holds.
 const workKnown = 1
 
-func decodeArrival(a *adapter, i *instance) routerCall {
+func decodeArrival(a *adapter, i *instance) controllerCall {
 	f, now := &a.fields, a.now
 	id, deadline, tables := admission.RequestID(f.id("handle")), f.timestamp("validUntilUs"), int(f.number("tables"))
 	work, class, tenant := f.timestamp("estimateUs"), int(f.integer("profile")), int(f.integer("realm"))
@@ -106,14 +106,15 @@
 	if options&workKnown == 0 {
 		work = 0
 	}
-	return func(router *admission.Controller) {
-		router.HandleRequest(now, admission.Request{ID: id, Deadline: deadline, Class: class, Tenant: tenant, Key: key, Tables: tables, Estimate: admission.Estimate{Work: work, Memory: memory}})
+	return func(controller *admission.Controller) {
+		controller.HandleRequest(now, admission.Request{ID: id, Deadline: deadline, Class: class, Tenant: tenant, Key: key,
+			Tables: tables, Estimate: admission.Estimate{Work: work, Memory: memory}})
 	}
 }
 
 // decodeAccepted reads past the start of an answer. A stream that breaks comes back as a finished response, so its
 // start asks for no decision.
-func decodeAccepted(a *adapter, _ *instance) routerCall {
+func decodeAccepted(a *adapter, _ *instance) controllerCall {
 	f := &a.fields
 	f.text("handle")
 	f.integer("n")
@@ -128,7 +129,7 @@
 	megabytesPerUnit = 4
 )
 
-func decodeResponse(a *adapter, _ *instance) routerCall {
+func decodeResponse(a *adapter, _ *instance) controllerCall {
 	f, now := &a.fields, a.now
 	id, outcome, used := admission.RequestID(f.text("handle")), f.outcome("disposition"), f.integer("usedUp")
 	f.integer("rttUs")
@@ -137,33 +138,34 @@
 	f.text("engine")
 	report := f.loadReport("serverStats")
 	work, memory := admission.Time(used/memoryUnits)*admission.Millisecond, float64(used%memoryUnits)*megabytesPerUnit
-	return func(router *admission.Controller) {
-		router.HandleAttemptEnd(now, admission.AttemptResult{Request: id, Outcome: outcome, Answered: finished, Work: work, Memory: memory, Report: report})
+	return func(controller *admission.Controller) {
+		controller.HandleAttemptEnd(now, admission.AttemptResult{Request: id, Outcome: outcome, Answered: finished, Work: work,
+			Memory: memory, Report: report})
 	}
 }
 
-func decodeClientGone(a *adapter, _ *instance) routerCall {
+func decodeClientGone(a *adapter, _ *instance) controllerCall {
 	now, id := a.now, admission.RequestID(a.fields.text("handle"))
-	return func(router *admission.Controller) { router.HandleDisconnect(now, id) }
+	return func(controller *admission.Controller) { controller.HandleDisconnect(now, id) }
 }
 
-func decodeTimer(a *adapter, _ *instance) routerCall {
+func decodeTimer(a *adapter, _ *instance) controllerCall {
 	now := a.now
 	a.fields.text("mark")
-	return func(router *admission.Controller) { router.Tick(now) }
+	return func(controller *admission.Controller) { controller.Tick(now) }
 }
 
-func decodeHealthCheck(a *adapter, _ *instance) routerCall {
+func decodeHealthCheck(a *adapter, _ *instance) controllerCall {
 	f, now := &a.fields, a.now
 	engine, outcome := admission.EngineID(f.text("engine")), f.outcome("disposition")
 	f.integer("rttUs")
 	report := f.loadReport("serverStats")
-	return func(router *admission.Controller) { router.HandleProbeResult(now, engine, outcome, report) }
+	return func(controller *admission.Controller) { controller.HandleProbeResult(now, engine, outcome, report) }
 }
 
 // decodeGossip reads a health report of another instance. A payload that can't be read comes from another version and
 // is ignored.
-func decodeGossip(a *adapter, i *instance) routerCall {
+func decodeGossip(a *adapter, i *instance) controllerCall {
 	f, now := &a.fields, a.now
 	source := healthreport.Source{Name: strconv.FormatInt(f.integer("src"), 10)}
 	payload, err := hex.DecodeString(f.text("payload"))
@@ -177,13 +179,13 @@
 	}
 }
 
-// The codes of the kinds of progress on the wire, in the order of admission.News.
+// The codes of the kinds of progress on the wire, in the order of admission.NoticeKind.
 const (
 	firstProgressCode = 1
 	lastProgressCode  = 3
 )
 
-func decodeProgress(a *adapter, _ *instance) routerCall {
+func decodeProgress(a *adapter, _ *instance) controllerCall {
 	f, now := &a.fields, a.now
 	id, attempt := admission.RequestID(f.text("handle")), int(f.integer("n"))
 	f.text("engine")
@@ -191,7 +193,7 @@
 	if code < firstProgressCode || code > lastProgressCode {
 		f.fail("what", "1 to 3")
 	}
-	return func(router *admission.Controller) {
-		router.HandleNotice(now, id, attempt, admission.NoticeKind(code-firstProgressCode), value)
+	return func(controller *admission.Controller) {
+		controller.HandleNotice(now, id, attempt, admission.NoticeKind(code-firstProgressCode), value)
 	}
 }
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -10,22 +10,22 @@
 	"magpiebank/internal/cluster/healthreport"
 )
 
-// instance is the host of one router: it writes the router's actions into the reply.
+// instance is the host of one controller: it writes the controller's actions into the reply.
 type instance struct {
-	adapter *adapter
-	id      int
-	classes int
-	router  *admission.Controller // nil once retired or failed
-	reports *healthreport.Table   // health reports exchanged with other instances; nil if the deployment has none
+	adapter    *adapter
+	id         int
+	classes    int
+	controller *admission.Controller // nil once retired or failed
+	reports    *healthreport.Table   // health reports exchanged with other instances; nil if the deployment has none
 }
 
-// exchangeReports passes what other instances reported to the router, and broadcasts the instance's own report if
+// exchangeReports passes what other instances reported to the controller, and broadcasts the instance's own report if
 // there is one to send.
 func (i *instance) exchangeReports(now admission.Time) {
-	if i.reports == nil || i.router == nil {
+	if i.reports == nil || i.controller == nil {
 		return
 	}
-	i.reports.VisitChangedFindings(now, func(finding *admission.PeerReport) { i.router.HandlePeerReport(now, finding) })
+	i.reports.VisitChangedFindings(now, func(finding *admission.PeerReport) { i.controller.HandlePeerReport(now, finding) })
 	if message := i.reports.NextMessage(now); message != nil {
 		i.begin("broadcast_to").text("all").text(hex.EncodeToString(message)).end()
 	}
@@ -35,7 +35,7 @@
 func (i *instance) recoverPanic(decide func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			i.router = nil
+			i.controller = nil
 			i.begin("die").text(strings.Join(strings.Fields(fmt.Sprint(cause)), " ")).end()
 		}
 	}()
@@ -104,11 +104,11 @@
 func (i *instance) SubscribeEndpoints() { i.begin("keep_informed").number(1).end() }
 
 // HasSlowStartCapacity reports that no quota on warming engines is shared between instances.
-func (i *instance) HasSlowStartCapacity(admission.EngineID, float64) (room, shared bool) {
+func (i *instance) HasSlowStartCapacity(admission.EngineID, float64) (capacity, shared bool) {
 	return false, false
 }
 
-// ReportObservation records what the router observed of an engine, for the reports to other instances.
+// ReportObservation records what the controller observed of an engine, for the reports to other instances.
 func (i *instance) ReportObservation(engine admission.EngineID, sight admission.Observation, report admission.Report, capacity float64) {
 	if i.reports != nil {
 		i.reports.Observe(i.adapter.now, engine, sight, report, capacity)
