--- a/internal/query/costmodel/snapshot_test.go
+++ b/internal/query/costmodel/snapshot_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// learnedModel is a book that has seen some shapes in two lanes.
+// learnedModel returns a model that has observed some shapes in two classes.
 func learnedModel(seed int64) *Model {
 	r := rand.New(rand.NewSource(seed))
 	model := NewModel(1<<20, 2, nil)
@@ -24,15 +24,15 @@
 }
 
 func TestSnapshotRoundTrip(t *testing.T) {
-	lanes := []string{"look", "report"}
+	classes := []string{"look", "report"}
 	model := learnedModel(1)
-	b := model.Snapshot(lanes).Encode()
+	b := model.Snapshot(classes).Encode()
 	s, err := DecodeSnapshot(b)
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := NewModel(1<<20, 2, nil)
-	again.Restore(s, lanes)
+	again.Restore(s, classes)
 	for i := range 7 {
 		sql := []byte(fmt.Sprintf("SELECT k%d FROM t_1.m WHERE b = 1 ORDER BY k%d", i, i))
 		one, two := model.Inspect(sql, 1, 1), again.Inspect(sql, 1, 1)
@@ -40,7 +40,7 @@
 			t.Errorf("%+v is not %+v", f, e)
 		}
 	}
-	if string(again.Snapshot(lanes).Encode()) != string(b) {
+	if string(again.Snapshot(classes).Encode()) != string(b) {
 		t.Error("written again it is another")
 	}
 	// Cut anywhere, with any bit flipped, or of another version, it is refused as a whole.
@@ -64,11 +64,11 @@
 	}
 }
 
-// Merged, two gateways' knowledge is as if one had seen all answers: quantiles of each shape, lanes, loads; and the
+// Merged, two gateways' knowledge is as if one had seen all answers: quantiles of each shape, classes, loads; and the
 // regression lies between the two.
 func TestMergeSnapshots(t *testing.T) {
-	lanes := []string{"look", "report"}
-	one, two := learnedModel(1).Snapshot(lanes), learnedModel(2).Snapshot(lanes)
+	classes := []string{"look", "report"}
+	one, two := learnedModel(1).Snapshot(classes), learnedModel(2).Snapshot(classes)
 	m := MergeSnapshots(one, two)
 	if r, n := m.CountRecords(); r != 21 || n != 600 {
 		t.Errorf("%d shapes, %d answers", r, n)
--- a/internal/traffic/importer/importer_test.go
+++ b/internal/traffic/importer/importer_test.go
@@ -10,21 +10,21 @@
 )
 
 func show(form Format, text string, o Options) {
-	raws, amiss, err := Read(strings.NewReader(text), form, o)
-	t, repairs := RepairClock(raws, ClockRepair{})
-	fmt.Printf("%s: %d, %v\n", form, len(raws), err)
+	entries, malformed, err := Read(strings.NewReader(text), form, o)
+	t, repairs := RepairClock(entries, ClockRepair{})
+	fmt.Printf("%s: %d, %v\n", form, len(entries), err)
 	for _, r := range t.Records {
 		fmt.Printf("  %v %s group %d wait %d retry %v text %q\n", r.Offset, r.Class, r.Group, r.WaitMS, r.Retry, r.Text)
 	}
 	for _, r := range repairs {
-		fmt.Println("  mended", r)
+		fmt.Println("  repaired", r)
 	}
-	for _, a := range amiss {
-		fmt.Println("  amiss", a)
+	for _, a := range malformed {
+		fmt.Println("  malformed", a)
 	}
 }
 
-// Each form that can be read, with slips in it.
+// Each format that can be read, with malformed entries in it.
 func ExampleRead() {
 	o := Options{Class: "look", Wait: 5 * time.Second, KeepText: true}
 	show(JSONLines, `{"time":"2026-11-01T18:00:00Z","lane":"report","group":4,"wait_ms":900,"retry":true}
@@ -67,11 +67,11 @@
 	//   250ms look group 9 wait 5000 retry false text "SELECT 1 FROM actas_9.m"
 	//   500ms look group 0 wait 5000 retry false text ""
 	//   750ms look group 0 wait 5000 retry false text ""
-	//   mended line 4: stamps are shared by a few entries, 2 entries, by 0s; now 500ms
-	//   mended line 5: entries have no stamp, 1 entries, by 0s; now 0s
-	//   amiss line 4: group "x": expected a number from 0; left out
-	//   amiss line 5: time "yesterday": expected RFC 3339 or a number since 1970; it counts as one without a stamp
-	//   amiss line 6: no JSON object: invalid character 'o' in literal null (expecting 'u')
+	//   repaired line 4: stamps are shared by a few entries, 2 entries, by 0s; now 500ms
+	//   repaired line 5: entries have no stamp, 1 entries, by 0s; now 0s
+	//   malformed line 4: group "x": expected a number from 0; left out
+	//   malformed line 5: time "yesterday": expected RFC 3339 or a number since 1970; it counts as one without a stamp
+	//   malformed line 6: no JSON object: invalid character 'o' in literal null (expecting 'u')
 	// csv: 2, <nil>
 	//   0s load group 2 wait 5000 retry false text "INSERT INTO actas_2.m\nVALUES (1)"
 	//   100ms look group 0 wait 5000 retry false text ""
@@ -82,7 +82,7 @@
 	// mysql-slow: 2, <nil>
 	//   0s look group 7 wait 5000 retry false text "SELECT count(*)\nFROM actas_7.m;"
 	//   3.5s look group 0 wait 5000 retry false text "SELECT 2;"
-	//   amiss line 11: no Query_time that can be read
+	//   malformed line 11: no Query_time that can be read
 	// xml: 0, form "xml": expected jsonl, csv, mysql-general or mysql-slow
 }
 
@@ -99,12 +99,12 @@
 	return out
 }
 
-// One line a rule: the times that come of some stamps, and what was mended.
+// One line a rule: the times that come of some timestamps, and what was repaired.
 func ExampleRepairClock() {
 	const hour, day = int64(3600_000), int64(86400_000)
 	for _, c := range []struct {
 		name  string
-		raws  []Entry
+		entries  []Entry
 		clock ClockRepair
 	}{
 		{"as it was", raw(0, 100, 200, 300), ClockRepair{}},
@@ -118,7 +118,7 @@
 		{"whole seconds", raw(0, 0, 0, 0, 1000, 1000, 2000), ClockRepair{}},
 		{"nothing", nil, ClockRepair{}},
 	} {
-		t, repairs := RepairClock(c.raws, c.clock)
+		t, repairs := RepairClock(c.entries, c.clock)
 		fmt.Printf("%-24s", c.name)
 		for _, r := range t.Records {
 			fmt.Printf(" %v", r.Offset)
