--- a/internal/traffic/importer/importer_test.go
+++ b/internal/traffic/importer/importer_test.go
@@ -103,9 +103,9 @@
 func ExampleRepairClock() {
 	const hour, day = int64(3600_000), int64(86400_000)
 	for _, c := range []struct {
-		name  string
-		entries  []Entry
-		clock ClockRepair
+		name    string
+		entries []Entry
+		clock   ClockRepair
 	}{
 		{"as it was", raw(0, 100, 200, 300), ClockRepair{}},
 		{"jumps back an hour", raw(2*hour, 2*hour+100, hour+200, hour+300), ClockRepair{}},
