--- a/internal/testbed/load/driver/conn.go
+++ b/internal/testbed/load/driver/conn.go
@@ -2,35 +2,56 @@
 
 import (
 	"bufio"
-	"bytes"
+	"context"
 	"errors"
 	"io"
 	"net"
-	"strconv"
+	"sync"
+	"sync/atomic"
 	"time"
 
 	"magpiebank/internal/protocol/mysql"
-	"magpiebank/internal/testbed/load/arrival"
 	"magpiebank/internal/testbed/load/client"
 )
 
 const (
 	user     = "app"
 	database = "reports"
-	// A gateway that takes a connection and says nothing for so long is none. A query's own attempt timeout ends sooner as a
-	// rule; this bounds what is left behind.
-	handshake = 10 * time.Second
-	// How long a slow client rests before each packet that it reads.
-	slowRest = 20 * time.Millisecond
+	// handshakeTimeout is for how long a gateway may take a connection and send nothing. A query's own attempt timeout
+	// ends sooner as a rule; this bounds what is left behind.
+	handshakeTimeout = 10 * time.Second
+	// slowReadDelay is how long a slow client waits before each packet that it reads.
+	slowReadDelay = 20 * time.Millisecond
+	// readBufferSize is the size in bytes of a connection's read buffer.
+	readBufferSize = 4096
 )
 
-// query writes a try's packet.
-func query(dst []byte, lane *arrival.Class, a *client.Attempt) []byte {
-	return mysql.AppendQuery(dst, mysql.QueryFields{Class: lane.WireName(), ID: a.ID, WaitMS: a.WaitMS, Retry: a.Retry}, func(dst []byte) []byte {
-		return lane.Statement(dst, a.Request)
-	})
+var (
+	quitPacket = mysql.AppendCommand(nil, mysql.Quit)
+	errDenied  = errors.New("the login was not taken")
+)
+
+// conn is one connection. Its goroutine dials, logs in and reads; it ends when the connection does, which the loop
+// brings about by leave.
+type conn struct {
+	loop       *loop
+	session    client.Session
+	target     int
+	connection uint32        // the server's id
+	connected  bool          // of the loop's goroutine
+	expected   atomic.Uint64 // id of the query whose answer is awaited; 0: none
+	slow       atomic.Bool
+	payload    []byte // of the packet that is read, reused; of the connection's goroutine
+
+	mu     sync.Mutex
+	tcp    net.Conn // set once, before eventConnected
+	left   bool
+	reader *bufio.Reader
 }
 
+// write sends bytes. Its errors are not looked at, because the reader finds the connection's end.
+func (c *conn) write(packet []byte) { _, _ = c.tcp.Write(packet) }
+
 // leave closes the connection from this side, as soon as there is one.
 func (c *conn) leave() {
 	c.mu.Lock()
@@ -40,162 +61,166 @@
 	if tcp == nil {
 		return
 	}
-	if c.expect.Load() == 0 {
-		tcp.Write(quit)
+	if c.expected.Load() == 0 {
+		c.write(quitPacket)
 	}
 	tcp.Close()
 }
 
-var quit = mysql.AppendCommand(nil, mysql.Quit)
-
 func (c *conn) run() {
 	refused, err := c.open()
 	if err == nil {
-		c.w.tell(event{kind: up, at: c.w.now(), c: c})
-		c.read() // its end is told below, whatever it was
+		c.loop.notify(event{kind: eventConnected, at: c.loop.now(), conn: c})
+		c.readAnswers()
 	}
 	if c.tcp != nil {
 		c.tcp.Close()
 	}
-	c.w.tell(event{kind: ended, at: c.w.now(), c: c, refused: refused})
+	c.loop.notify(event{kind: eventClosed, at: c.loop.now(), conn: c, refused: refused})
 }
 
 // open dials and logs in; refused tells that no query can have come through.
 func (c *conn) open() (refused bool, err error) {
-	tcp, connection, r, err := dial(c.w.d.load.Targets[c.target])
+	tcp, connection, reader, err := dial(c.loop.driver.load.Targets[c.target])
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tcp, c.r, c.connection = tcp, r, connection
+	c.tcp, c.reader, c.connection = tcp, reader, connection
 	if err == nil && c.left {
 		err = net.ErrClosed
 	}
 	return err != nil, err
 }
 
-// dial opens a session: the greeting, a login, and the word that it is taken.
+// dial opens a session: the greeting, a login, and the answer that it is accepted. The connection is returned also with
+// an error, where there is one; the caller closes it.
 func dial(target string) (net.Conn, uint32, *bufio.Reader, error) {
-	tcp, err := net.DialTimeout("tcp", target, handshake)
+	dialer := net.Dialer{Timeout: handshakeTimeout}
+	tcp, err := dialer.DialContext(context.Background(), "tcp", target)
 	if err != nil {
 		return nil, 0, nil, err
 	}
-	r := bufio.NewReaderSize(tcp, 4096)
-	tcp.SetDeadline(time.Now().Add(handshake))
-	var payload []byte
-	if payload, err = packet(r, payload); err != nil {
-		return tcp, 0, r, err
+	reader := bufio.NewReaderSize(tcp, readBufferSize)
+	connection, err := logIn(tcp, reader)
+	return tcp, connection, reader, err
+}
+
+// logIn returns the server's id of the connection.
+func logIn(tcp net.Conn, reader *bufio.Reader) (connection uint32, err error) {
+	tcp.SetDeadline(time.Now().Add(handshakeTimeout))
+	payload, err := readPacket(reader, nil)
+	if err != nil {
+		return 0, err
 	}
-	connection, err := mysql.ReadGreeting(payload)
+	connection, err = mysql.ReadGreeting(payload)
 	if err != nil {
-		return tcp, 0, r, err
+		return 0, err
 	}
-	if _, err = tcp.Write(mysql.AppendLogin(nil, user, database)); err != nil {
-		return tcp, 0, r, err
+	_, err = tcp.Write(mysql.AppendLogin(nil, user, database))
+	if err != nil {
+		return 0, err
 	}
-	if payload, err = packet(r, payload); err != nil {
-		return tcp, 0, r, err
+	payload, err = readPacket(reader, payload)
+	if err != nil {
+		return 0, err
 	}
 	if len(payload) == 0 || payload[0] != 0 {
-		return tcp, 0, r, errDenied
+		return 0, errDenied
 	}
 	tcp.SetDeadline(time.Time{})
-	return tcp, connection, r, nil
+	return connection, nil
 }
 
-var errDenied = errors.New("the login was not taken")
-
-// packet reads the next packet's payload into a buffer.
-func packet(r *bufio.Reader, into []byte) ([]byte, error) {
-	head, err := r.Peek(mysql.HeaderSize)
+// readPacket reads the next packet's payload into a buffer, or into a new one where that is too small.
+func readPacket(reader *bufio.Reader, buffer []byte) ([]byte, error) {
+	header, err := reader.Peek(mysql.HeaderSize)
+	if err != nil {
+		return buffer[:0], err
+	}
+	length, _ := mysql.ParseHeader(header)
+	_, err = reader.Discard(mysql.HeaderSize) // what was peeked at is there
 	if err != nil {
-		return into[:0], err
+		return buffer[:0], err
 	}
-	length, _ := mysql.ParseHeader(head)
-	r.Discard(mysql.HeaderSize)
-	if cap(into) < length {
-		into = make([]byte, length)
+	if cap(buffer) < length {
+		buffer = make([]byte, length)
 	}
-	into = into[:length]
-	_, err = io.ReadFull(r, into)
-	return into, err
+	buffer = buffer[:length]
+	_, err = io.ReadFull(reader, buffer)
+	return buffer, err
 }
 
-// read takes answers until the connection ends.
-func (c *conn) read() error {
-	var payload []byte
-	var err error
-	var check rows
-	for {
-		var a mysql.Response
-		if _, err := c.r.Peek(1); err != nil {
-			return err
+// answer is what came for one query.
+type answer struct {
+	response mysql.Response
+	rows     rowChecker
+	readErr  error // of an answer that can't be read
+}
+
+func (a *answer) outcome() client.Outcome {
+	switch {
+	case a.readErr != nil || a.response.Code == 0 && !a.rows.isComplete():
+		return client.MalformedAnswer
+	case a.response.Code == 0:
+		return client.Served
+	case mysql.IsRejected(a.response.Code):
+		return client.Rejected
+	}
+	return client.Failed
+}
+
+// readAnswer reads the answer to a query; err is the connection's.
+func (c *conn) readAnswer(id uint64) (received answer, err error) {
+	received.rows = rowChecker{id: id, enabled: c.loop.driver.load.CheckRows}
+	for done := false; !done; {
+		if c.slow.Load() {
+			time.Sleep(slowReadDelay)
 		}
-		id := c.expect.Load()
-		if id == 0 {
-			c.w.tell(event{kind: unasked, c: c})
-			return mysql.ErrMalformedResponse
+		c.payload, err = readPacket(c.reader, c.payload)
+		if err != nil {
+			return received, err
 		}
-		check = rows{id: id, check: c.w.d.load.CheckRows}
-		for whole := false; !whole; {
-			if c.slow.Load() {
-				time.Sleep(slowRest)
-			}
-			if payload, err = packet(c.r, payload); err != nil {
-				return err
-			}
-			if whole, err = a.ReadPacket(payload, check.row); err != nil {
-				break
-			}
+		done, received.readErr = received.response.ReadPacket(c.payload, received.rows.checkRow)
+		if received.readErr != nil {
+			return received, nil
 		}
-		at := c.w.now()
-		how := client.Served
-		switch {
-		case err != nil || a.Code == 0 && !check.whole():
-			how = client.MalformedAnswer
-		case a.Code == 0:
-		case mysql.IsRejected(a.Code):
-			how = client.Rejected
-		default:
-			how = client.Failed
+	}
+	return received, nil
+}
+
+// readAnswers reads answers until the connection ends, or something comes that can't be read or was not asked for.
+func (c *conn) readAnswers() {
+	for {
+		if _, err := c.reader.Peek(1); err != nil {
+			return
 		}
-		c.expect.Store(0)
-		extra := c.r.Buffered() > 0 // nothing more was asked for
-		c.w.tell(event{kind: answered, at: at, c: c, id: id, how: how, comeBack: time.Duration(a.RetryAfterMS) * time.Millisecond})
-		if extra {
-			c.w.tell(event{kind: unasked, c: c, id: id})
-			return mysql.ErrMalformedResponse
+		id := c.expected.Load()
+		if id == 0 {
+			c.loop.notify(event{kind: eventUnexpectedAnswer, conn: c})
+			return
 		}
+		received, err := c.readAnswer(id)
 		if err != nil {
-			return err
+			return
+		}
+		at := c.loop.now()
+		outcome := received.outcome()
+		c.expected.Store(0)
+		hasMore := c.reader.Buffered() > 0 // nothing more was asked for
+		c.loop.notify(event{kind: eventAnswered, at: at, conn: c, id: id, outcome: outcome,
+			retryAfter: time.Duration(received.response.RetryAfterMS) * time.Millisecond})
+		if hasMore {
+			c.loop.notify(event{kind: eventUnexpectedAnswer, conn: c, id: id})
+			return
+		}
+		if received.readErr != nil {
+			return
 		}
 	}
 }
 
-// rows checks that a result is that of a request, whole and in order: the fakes' rows hold the id and k/n.
-type rows struct {
-	id    uint64
-	check bool
-	k, n  int
-	wrong bool
-}
-
-func (r *rows) row(columns [3][]byte) {
-	if !r.check || r.wrong {
-		return
-	}
-	var id [16]byte
-	first, of, ok := bytes.Cut(columns[1], []byte{'/'})
-	k, err1 := strconv.Atoi(string(first))
-	n, err2 := strconv.Atoi(string(of))
-	r.wrong = !bytes.Equal(mysql.AppendID(id[:0], r.id), columns[0]) || !ok || err1 != nil || err2 != nil ||
-		k != r.k+1 || r.k > 0 && n != r.n
-	r.k, r.n = k, n
-}
-
-func (r *rows) whole() bool { return !r.check || !r.wrong && r.k > 0 && r.k == r.n }
-
-// kill sends KILL QUERY on a session of its own.
-func kill(target string, connection uint32) {
-	tcp, _, r, err := dial(target)
+// killQuery sends KILL QUERY on a session of its own.
+func killQuery(target string, connection uint32) {
+	tcp, _, reader, err := dial(target)
 	if tcp == nil {
 		return
 	}
@@ -203,8 +228,9 @@
 	if err != nil {
 		return
 	}
-	tcp.SetDeadline(time.Now().Add(handshake))
-	tcp.Write(mysql.AppendKill(nil, connection))
-	packet(r, nil)
-	tcp.Write(quit)
+	tcp.SetDeadline(time.Now().Add(handshakeTimeout))
+	// KILL QUERY is sent on a best effort: a client that leaves doesn't wait for its result.
+	_, _ = tcp.Write(mysql.AppendKill(nil, connection))
+	_, _ = readPacket(reader, nil)
+	_, _ = tcp.Write(quitPacket)
 }
