--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -14,7 +14,7 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// onDial has the next connections to engines made by a hook; it must come before any engine is listed.
+// onDial has connections to engines dialled by a hook. It must be called before any engine is listed.
 func (s *fixture) onDial(hook func(address string, dial func(string) (net.Conn, error)) (net.Conn, error)) {
 	s.onOwner(func(admission.Time) {
 		dial := s.o.dial
@@ -23,7 +23,7 @@
 	s.sync()
 }
 
-// lists has the owner take in an engine's state at once.
+// listEngine has the owner take in an engine's state at once.
 func (s *fixture) listEngine(e *fakeEngine, state admission.EndpointState) {
 	e.fixture = s
 	s.onOwner(func(now admission.Time) {
--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -13,7 +13,7 @@
 	"magpiebank/internal/admission"
 )
 
-// patience is how long a test waits for what has to come about: generous, as machines are busy.
+// eventuallyTimeout is how long a test waits for what must come about. It is generous, because machines are busy.
 const eventuallyTimeout = 10 * time.Second
 
 // eventually waits until something holds.
@@ -26,7 +26,7 @@
 	}
 }
 
-// inHand counts the requests that the router has taken and not answered.
+// inFlight counts the requests that the gateway has accepted and not answered.
 func (s *fixture) inFlight() int {
 	answer := make(chan int, 1)
 	s.onOwner(func(admission.Time) { answer <- len(s.o.requests) })
@@ -54,7 +54,7 @@
 	},
 }
 
-// connectionOf is the router's side of a client's connection.
+// connectionOf returns the gateway's side of a client's connection.
 func (s *fixture) connectionOf(c *testClient) net.Conn {
 	tcp := make(chan net.Conn, 1)
 	s.onOwner(func(admission.Time) { tcp <- s.o.sessions[c.id].socket })
@@ -79,7 +79,8 @@
 	return arrived
 }
 
-// onlyHears asks with another client and shows that an engine hears that request first: nothing went out for the one before.
+// requireOnlyReceives sends a query with another client, and requires that an engine receives it first, so that nothing was
+// sent for the one before.
 func (s *fixture) requireOnlyReceives(e *fakeEngine, id string) {
 	s.t.Helper()
 	b := s.newClient()
@@ -227,7 +228,7 @@
 	a.socket.Close()
 	eventually(t, "the end is there", func() bool {
 		gone := make(chan bool, 1)
-		s.onOwner(func(admission.Time) { gone <- s.o.requests["00000000000000aa"].responder.clientGone() })
+		s.onOwner(func(admission.Time) { gone <- s.o.requests["00000000000000aa"].responder.hasClientLeft() })
 		return <-gone
 	})
 	close(goOn)
--- a/internal/router/connection_limiter_test.go
+++ b/internal/router/connection_limiter_test.go
@@ -81,7 +81,7 @@
 	s.compareTrace("burst")
 }
 
-// displacedOf finds the sessions that lost their places.
+// displacedOf returns the sessions that were evicted.
 func displacedOf(all []*clientSession) (displaced []*clientSession) {
 	for _, s := range all {
 		if s.evicted {
--- a/internal/router/engine_answer.go
+++ b/internal/router/engine_answer.go
@@ -115,7 +115,7 @@
 func (c *engineConn) recordAnswer(id admission.RequestID) (waiting *attempt, cancelled bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	c.cancelSentAt, c.lastHeard, c.answerBegunAt = time.Time{}, time.Now(), time.Time{}
+	c.cancelSentAt, c.lastAnswerAt, c.answerBegunAt = time.Time{}, time.Now(), time.Time{}
 	waiting = c.attempts[id]
 	if waiting == nil || waiting.finished {
 		return nil, false
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -23,8 +23,8 @@
 	unsent   []*attempt // that wait for the connection to come up
 	socket   net.Conn   // nil until it is up
 	lastUsed time.Time
-	// lastHeard is when an answer came, or when the first of the attempts in flight was sent.
-	lastHeard time.Time
+	// lastAnswerAt is when an answer came, or when the first of the attempts in flight was sent.
+	lastAnswerAt time.Time
 	// cancelSentAt is when a cancellation was sent; zero once any answer has come.
 	cancelSentAt time.Time
 	// answerBegunAt is when the first bytes of an incomplete answer came, answerGrewAt when its last ones did. The first is
@@ -73,7 +73,7 @@
 		limit(now, 0)
 	}
 	if interval := c.pool.owner.noticeInterval(); c.inFlight > 0 && interval > 0 {
-		limit(c.lastHeard, silentNoticeIntervals*interval)
+		limit(c.lastAnswerAt, silentNoticeIntervals*interval)
 	}
 	if !c.cancelSentAt.IsZero() {
 		limit(c.cancelSentAt, connectTimeout)
@@ -206,13 +206,13 @@
 // writeUnsent puts the connection into use and writes the attempts that waited for it.
 func (c *engineConn) writeUnsent(socket net.Conn) {
 	c.pool.mu.Lock()
-	c.socket, c.lastHeard = socket, time.Now()
+	c.socket, c.lastAnswerAt = socket, time.Now()
 	unsent := c.unsent
 	c.unsent = nil
 	c.pool.mu.Unlock()
 	for _, attempt := range unsent {
-		if attempt.request.responder.clientGone() {
-			c.pool.owner.post(clientClosed{attempt.request})
+		if attempt.request.responder.hasClientLeft() {
+			c.pool.owner.post(clientLeft{attempt.request})
 			continue
 		}
 		c.writeAttempt(attempt)
@@ -368,7 +368,7 @@
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	interval := c.pool.owner.noticeInterval()
-	silent := c.inFlight > 0 && interval > 0 && time.Since(c.lastHeard) >= silentNoticeIntervals*interval
+	silent := c.inFlight > 0 && interval > 0 && time.Since(c.lastAnswerAt) >= silentNoticeIntervals*interval
 	switch {
 	case !c.answerBegunAt.IsZero():
 		code = "cut_short"
--- a/internal/router/engine_pool.go
+++ b/internal/router/engine_pool.go
@@ -118,7 +118,7 @@
 	a.conn, a.sentAt, a.idleBefore = c, time.Now(), 0
 	connected = c.socket != nil
 	if c.inFlight == 0 {
-		c.lastHeard = a.sentAt
+		c.lastAnswerAt = a.sentAt
 		if connected {
 			a.idleBefore = a.sentAt.Sub(c.lastUsed)
 		}
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -27,8 +27,8 @@
 		request *request
 		wait    admission.Time
 	}
-	// clientClosed tells that nobody waits for a request any more.
-	clientClosed struct{ request *request }
+	// clientLeft tells that nobody waits for a request any more.
+	clientLeft struct{ request *request }
 	// killRequested tells of a client's KILL of the query on a connection.
 	killRequested struct{ connectionID uint32 }
 )
@@ -92,7 +92,7 @@
 func (sessionOpened) isEvent()         {}
 func (sessionClosed) isEvent()         {}
 func (requestReceived) isEvent()       {}
-func (clientClosed) isEvent()          {}
+func (clientLeft) isEvent()            {}
 func (killRequested) isEvent()         {}
 func (attemptFinished) isEvent()       {}
 func (attemptNotWritten) isEvent()     {}
@@ -127,8 +127,8 @@
 		e.request.deadline = now + e.wait
 		e.session.request = e.request
 		o.handleRequest(now, e.request)
-	case clientClosed:
-		o.handleClientGone(now, e.request)
+	case clientLeft:
+		o.handleClientLeft(now, e.request)
 	case killRequested:
 		o.killQuery(now, e.connectionID)
 	case attemptFinished:
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -14,7 +14,7 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// standEngine is an engine that shows the script what it is sent; it answers probes by itself.
+// fakeEngine is an engine that hands a test what it receives. It answers health checks by itself.
 type fakeEngine struct {
 	fixture  *fixture
 	name     string
@@ -104,7 +104,7 @@
 	}
 }
 
-// hears waits for what the router sends next and returns the connection that brought it.
+// receive waits for the gateway's next command, and returns the connection that brought it.
 func (e *fakeEngine) receive() net.Conn {
 	h := <-e.received
 	e.fixture.tracef("%s hears: %s", e.name, strings.Join(h.parts, " | "))
@@ -116,7 +116,7 @@
 	_, _ = c.Write(resp.AppendArray(nil, parts...))
 }
 
-// client speaks the client's side, and logs in before it reads the greeting.
+// newClient connects a client, which logs in before it reads the greeting.
 type testClient struct {
 	fixture *fixture
 	socket  net.Conn
@@ -136,7 +136,7 @@
 	return c
 }
 
-// login sends a login of the protocol 4.1 with what stands behind its fixed part.
+// login sends a login of the protocol 4.1 with what follows its fixed part.
 func (c *testClient) login(rest string) {
 	c.send(1, append(append([]byte{0, 0x82, 0, 0}, make([]byte, 28)...), rest...))
 }
@@ -170,7 +170,7 @@
 	c.send(0, append([]byte{mysql.Query}, sql...))
 }
 
-// look and load ask for a request that may run again and for one that may not.
+// sendLook sends a query that may run again, sendLoad one that may not.
 func (c *testClient) sendLook(id string) { c.sendRequest(id, "look", 5000) }
 
 func (c *testClient) sendLoad(id string) { c.sendRequest(id, "load", 20000) }
@@ -179,7 +179,7 @@
 	c.ask(fmt.Sprintf("/* class=%s,id=00000000000000%s,wait=%d */ SELECT a FROM t_7.x", class, id, wait))
 }
 
-// gets waits for one answer.
+// expectAnswer waits for one answer and traces it.
 func (c *testClient) expectAnswer() {
 	switch p := c.packet(); {
 	case p[0] == 0xff:
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -21,7 +21,7 @@
 
 var keep = flag.Bool("keep", false, "keep the traces as they come out now")
 
-// handClock stands still until a script moves it.
+// manualClock stands still until a test advances it.
 type manualClock struct {
 	mu     sync.Mutex
 	now    admission.Time
@@ -51,7 +51,7 @@
 	}
 }
 
-// next takes out the earliest timer up to a time and moves the clock to it.
+// next removes the earliest timer up to a time and moves the clock to it.
 func (c *manualClock) next(until admission.Time) func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,8 @@
 	return first.f
 }
 
-// stage is a router on loopback between clients, engines and an engine list that a script plays.
+// fixture is a gateway on loopback between clients, engines and an engine list that a test plays. It traces what they send
+// and receive.
 type fixture struct {
 	t         *testing.T
 	clock     *manualClock
@@ -113,7 +114,7 @@
  "limits":{"cancel":true,"maxAttempts":4,"multiplex":2,"keepaliveUs":30000000,"connectTimeoutUs":250000,
   "retryAfter":true,"maxRetryAfterUs":2000000},"rules":{}}`
 
-// play starts a router that knows the given engines.
+// startFixture starts a gateway that knows the given engines.
 func startFixture(t *testing.T, engines ...*fakeEngine) *fixture {
 	t.Helper()
 	return startFixtureWith(t, settings, engines...)
@@ -183,7 +184,7 @@
 	return fmt.Sprintf(`{"index":%d,"endpoints":{"full":%v,"servers":[%s]}}`, index, full, strings.Join(servers, ","))
 }
 
-// engineList answers polls with the events that the script tells, or with none before they are given up.
+// engineList serves an engine list with the events that a test announces, and returns its address.
 func (s *fixture) engineList() string {
 	l := s.listen()
 	go func() {
@@ -202,7 +203,7 @@
 	return l.Addr().String()
 }
 
-// answerPolls answers the polls on one connection.
+// answerPolls answers the polls on one connection, with no event if none is announced in time.
 func (s *fixture) answerPolls(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -224,7 +225,7 @@
 	}
 }
 
-// told lets the engine list tell an event, and waits until the router has it.
+// announceEngine announces an engine's state by the engine list, and waits until the gateway has taken it in.
 func (s *fixture) announceEngine(e *fakeEngine, state string) {
 	e.fixture = s
 	s.listIndex++
@@ -243,14 +244,14 @@
 	fmt.Fprintf(&s.out, "%8.1f ms  %s\n", float64(s.clock.Now()-17e12)/10, what)
 }
 
-// sync waits until the owner has done what is queued.
+// sync waits until the owner has handled the events that are queued.
 func (s *fixture) sync() {
 	done := make(chan struct{})
 	s.onOwner(func(admission.Time) { close(done) })
 	<-done
 }
 
-// pass moves the clock on.
+// advanceClock advances the clock, and has each timer that is due called.
 func (s *fixture) advanceClock(d admission.Time) {
 	until := s.clock.Now() + d
 	for {
@@ -273,11 +274,11 @@
 	}
 }
 
-// nobody listens as long as the tests run and never answers.
+// nobody listens as long as the tests run, and never answers.
 var nobody = sync.OnceValues(func() (net.Listener, error) { return listenTCP("127.0.0.1:0") })
 
-// leave has the router leave its engine list and stop with nothing in hand: else it would dial addresses that the next test's
-// peers get.
+// stopGateway has the gateway leave its engine list and stop with no request in flight. Otherwise it would dial addresses that
+// the next test's servers get.
 func (s *fixture) stopGateway() {
 	l, err := nobody()
 	if err != nil {
@@ -292,7 +293,7 @@
 	}
 	s.onOwner(func(now admission.Time) {
 		for _, request := range s.o.requests {
-			s.o.handleClientGone(now, request)
+			s.o.handleClientLeft(now, request)
 		}
 	})
 	select {
@@ -302,7 +303,7 @@
 	}
 }
 
-// end compares the trace with the kept one.
+// compareTrace compares the trace with the golden file of a name.
 func (s *fixture) compareTrace(name string) {
 	s.t.Helper()
 	s.close()
@@ -316,7 +317,7 @@
 	}
 }
 
-// wait waits until the router has taken n requests.
+// awaitRequests waits until the gateway has n requests in flight.
 func (s *fixture) awaitRequests(n int) {
 	for got := -1; got != n; {
 		answer := make(chan int)
@@ -325,7 +326,7 @@
 	}
 }
 
-// logged waits until the log holds a text.
+// awaitLog waits until the log holds a text.
 func (s *fixture) awaitLog(text string) {
 	for !strings.Contains(s.log.String(), text) {
 		time.Sleep(time.Millisecond)
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -76,7 +76,7 @@
 }
 
 // HasSlowStartCapacity asks the peers whether a part of what a newly started engine may be sent is this gateway's to send.
-func (h host) HasSlowStartCapacity(name admission.EngineID, part float64) (room, shared bool) {
+func (h host) HasSlowStartCapacity(name admission.EngineID, part float64) (available, shared bool) {
 	if h.owner.peers == nil {
 		return false, false
 	}
@@ -87,9 +87,9 @@
 func (h host) SubscribeEndpoints() {}
 
 // ReportObservation tells the peers, if there are any, what the controller observed of an engine.
-func (h host) ReportObservation(name admission.EngineID, observation admission.Observation, report admission.Report, room float64) {
+func (h host) ReportObservation(name admission.EngineID, observation admission.Observation, report admission.Report, allowedBytes float64) {
 	if h.owner.peers != nil {
-		h.owner.peers.RecordObservation(h.owner.now, name, observation, report, room)
+		h.owner.peers.RecordObservation(h.owner.now, name, observation, report, allowedBytes)
 	}
 }
 
--- a/internal/router/owner_attempts.go
+++ b/internal/router/owner_attempts.go
@@ -94,7 +94,7 @@
 func (o *owner) cancelAttempt(now admission.Time, attempt *attempt, outcome admission.Outcome) {
 	request := attempt.request
 	unwritten := admission.Unreachable
-	if request.clientGone {
+	if request.clientLeft {
 		unwritten = admission.Unsent // it tells nothing of the engine
 	}
 	if !attempt.handedOver { // the journal has not recorded it yet, so nothing was written
--- a/internal/router/owner_requests.go
+++ b/internal/router/owner_requests.go
@@ -58,12 +58,12 @@
 	return true
 }
 
-// handleClientGone ends a request for which nobody waits any more.
-func (o *owner) handleClientGone(now admission.Time, request *request) {
+// handleClientLeft ends a request for which nobody waits any more.
+func (o *owner) handleClientLeft(now admission.Time, request *request) {
 	if request.answered { // its answer is on its way
 		return
 	}
-	request.clientGone = true
+	request.clientLeft = true
 	o.admission.HandleDisconnect(now, request.id)
 	if request.current != nil { // the controller can't cancel it any more, as it has let the request go
 		o.handleAttemptEnd(now, request.current, admission.Cancelled)
@@ -74,7 +74,7 @@
 // killQuery ends the request of the session with a connection id, because its client stopped waiting.
 func (o *owner) killQuery(now admission.Time, connectionID uint32) {
 	if session := o.sessions[connectionID]; session != nil && session.request != nil {
-		o.handleClientGone(now, session.request)
+		o.handleClientLeft(now, session.request)
 	}
 }
 
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -9,8 +9,8 @@
 	Start(clock Clock, listener PeerListener) error
 	// HandleEndpoints takes in an update of the engine list.
 	HandleEndpoints(now admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint)
-	// RecordObservation takes in what this gateway observed of an engine, and the bytes that may be sent from now on.
-	RecordObservation(now admission.Time, engine admission.EngineID, observation admission.Observation, report admission.Report, room float64)
+	// RecordObservation takes in what this gateway observed of an engine, and the bytes that it may send to the others from now on.
+	RecordObservation(now admission.Time, engine admission.EngineID, observation admission.Observation, report admission.Report, allowedBytes float64)
 	// TryReserveSlowStart reserves a part of what an engine that has just started may be sent. It reports whether this
 	// gateway has it; shared is false if the gateways don't share such quotas.
 	TryReserveSlowStart(now admission.Time, engine admission.EngineID, part float64) (reserved, shared bool)
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -19,7 +19,7 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// asRouter names the configuration by which this program is a router in place of its tests.
+// asRouter is the environment variable with the configuration by which this program runs a gateway in place of its tests.
 const asRouter = "ROUTER_TEST_CONFIG"
 
 func TestMain(m *testing.M) {
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-// serveAsProcess is a router's whole process, as the command line has it.
+// serveAsProcess runs a gateway's process, as the command line does.
 func serveAsProcess(path string) int {
 	ends := make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM)
@@ -50,7 +50,7 @@
 	return 0
 }
 
-// startProcess starts a router as a process that may hold so many descriptors, and waits until it answers a ping.
+// startProcess starts a gateway as a process with a limit on its descriptors.
 func startProcess(t *testing.T, configuration string, descriptors int) (process *exec.Cmd, log *lockedBuffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.json")
@@ -71,7 +71,7 @@
 	return process, log
 }
 
-// freeAddress is an address on which nobody listens.
+// freeAddress returns an address on which nobody listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := listenTCP("127.0.0.1:0")
@@ -82,7 +82,7 @@
 	return l.Addr().String()
 }
 
-// logIn connects a client; nil: it was turned away or shut out.
+// logIn connects a client and logs it in. It returns nil if the client was rejected.
 func logIn(address string) *testClient {
 	c, err := dialTCP(address)
 	if err != nil {
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -84,7 +84,7 @@
 			s.endReason = endCode(err)
 		}
 		watching = false
-		s.owner.post(clientClosed{request})
+		s.owner.post(clientLeft{request})
 	}
 	if s.endReason == "flooded" {
 		s.endFlooded()
@@ -146,8 +146,8 @@
 	return admission.Estimate{Work: admission.Time(work * float64(admission.Millisecond)), Memory: memory}
 }
 
-// clientHasLeft tells whether the client has left already, also behind commands that came early.
-func (s *clientSession) clientHasLeft() bool {
+// detectDeparture reads what the client has sent, and tells whether it has left, also behind commands that came early.
+func (s *clientSession) detectDeparture() bool {
 	if err := readArrived(s.socket, s.input, maxReadAhead); err != nil {
 		return false // the next read tells why
 	}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -16,8 +16,8 @@
 	setPriority(attempt *attempt, priority int)
 	// answer gives the final answer. It is called once for each request.
 	answer(answer finalAnswer)
-	// clientGone tells whether the client can be seen to have left. It may be called from any goroutine.
-	clientGone() bool
+	// hasClientLeft tells whether the client can be seen to have left. It may be called from any goroutine.
+	hasClientLeft() bool
 }
 
 // engineClient sends attempts to one engine, and tells the owner by attemptFinished, attemptNotWritten and
@@ -58,5 +58,5 @@
 	waiting     bool      // it is in an operator's class and no attempt is in flight
 	placement   Placement // as the peers know it
 	answered    bool      // it has its final answer
-	clientGone  bool
+	clientLeft  bool
 }
--- a/internal/router/session_events.go
+++ b/internal/router/session_events.go
@@ -91,8 +91,8 @@
 // startAttempt sends an attempt to its engine. The client may have left while this process stood still and the read
 // that would tell has not returned yet, so its socket is looked at first.
 func (s *clientSession) startAttempt(e attemptReady) {
-	if s.clientHasLeft() {
-		s.owner.post(clientClosed{e.attempt.request})
+	if s.detectDeparture() {
+		s.owner.post(clientLeft{e.attempt.request})
 		return
 	}
 	if e.first {
@@ -118,7 +118,7 @@
 	s.events.Put(answer)
 }
 
-func (s *clientSession) clientGone() bool {
+func (s *clientSession) hasClientLeft() bool {
 	_, ended := peekSocket(s.socket)
 	return ended
 }
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// late makes a connection one of a process that stands still.
+// late returns a connection as one of a process that can stand still.
 func late(tcp net.Conn) *lateConn {
 	return &lateConn{TCPConn: asTCP(tcp), standing: make(chan chan bool, 1)}
 }
@@ -106,13 +106,13 @@
 	return c, <-accepted
 }
 
-// arrived waits until something unread lies at a connection.
+// arrived waits until a connection has unread input.
 func arrived(t *testing.T, tcp net.Conn) {
 	t.Helper()
 	eventually(t, "the bytes are there", func() bool { return hasInput(tcp) })
 }
 
-// served asks for one look-up and has the engine answer it.
+// served sends one query and has the engine answer it.
 func (s *fixture) served(c *testClient, e *fakeEngine, id string) {
 	s.t.Helper()
 	select {
