--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -87,27 +87,41 @@
 	}
 }
 
-func TestOrdinaryPathAllocatesNothing(t *testing.T) {
+// ordinaryRound returns a controller, and a round of its ordinary path: two requests that are sent and served, a tick and
+// the result of a probe.
+func ordinaryRound() (c *Controller, round func()) {
 	d := testDeployment()
 	d.SupportsRanks = true
-	r := New(0, 1, d, quiet{})
-	r.UpdateEndpoints(0, FullUpdate, []Endpoint{{Engine: "e1"}, {Engine: "e2"}})
+	c = New(0, 1, d, quiet{})
+	c.UpdateEndpoints(0, FullUpdate, []Endpoint{{Engine: "e1"}, {Engine: "e2"}})
 	now := Time(0)
-	round := func() {
+	return c, func() {
 		now += 5 * Millisecond
-		r.HandleRequest(now, Request{ID: "a", Deadline: now + Second, Tables: 3, Estimate: Estimate{Work: 50 * Millisecond}})
-		r.HandleRequest(now, Request{ID: "b", Deadline: now + Second, Class: 3, Key: "key", Tables: 3})
-		r.Tick(now)
-		r.HandleProbeResult(now, "e1", Served, Report{-1, float64(now%100) / 100, -1, -1})
-		r.HandleAttemptEnd(now, AttemptResult{Request: "a", Outcome: Served, Answered: true, Report: NoReport})
-		r.HandleAttemptEnd(now, AttemptResult{Request: "b", Outcome: Served, Answered: true, Report: NoReport})
+		c.HandleRequest(now, Request{ID: "a", Deadline: now + Second, Tables: 3, Estimate: Estimate{Work: 50 * Millisecond}})
+		c.HandleRequest(now, Request{ID: "b", Deadline: now + Second, Class: 3, Key: "key", Tables: 3})
+		c.Tick(now)
+		c.HandleProbeResult(now, "e1", Served, Report{-1, float64(now%100) / 100, -1, -1})
+		c.HandleAttemptEnd(now, AttemptResult{Request: "a", Outcome: Served, Answered: true, Report: NoReport})
+		c.HandleAttemptEnd(now, AttemptResult{Request: "b", Outcome: Served, Answered: true, Report: NoReport})
 	}
+}
+
+func TestOrdinaryPathAllocatesNothing(t *testing.T) {
+	c, round := ordinaryRound()
 	round()
 	if n := testing.AllocsPerRun(1000, round); n != 0 {
 		t.Errorf("%v allocations a round", n)
 	}
-	if len(r.requests.byID) != 0 || len(r.keys.queues) != 0 {
-		t.Errorf("%d requests and %d keys left", len(r.requests.byID), len(r.keys.queues))
+	if len(c.requests.byID) != 0 || len(c.keys.queues) != 0 {
+		t.Errorf("%d requests and %d keys left", len(c.requests.byID), len(c.keys.queues))
+	}
+}
+
+func BenchmarkOrdinaryPath(b *testing.B) {
+	_, round := ordinaryRound()
+	b.ReportAllocs()
+	for b.Loop() {
+		round()
 	}
 }
 
