--- a/internal/testbed/installation/cluster.go
+++ b/internal/testbed/installation/cluster.go
@@ -2,32 +2,30 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
-	"strconv"
-	"strings"
+	"slices"
 	"syscall"
 	"time"
 
 	"magpiebank/internal/testbed/fake"
 )
 
-// Cluster is how the gateways of an installation know of each other.
+// Cluster is how the gateways of an installation form a cluster.
 type Cluster struct {
 	Seeds         int  // how many of them the others know by their addresses from the start
-	HealthReports bool // of health reports on engines
+	HealthReports bool // on engines are shared
 	Counts        bool // are shared
 	SlowStart     bool // what engines that are warming up may be sent is shared
 	Limits        ClusterLimits
-	ShareTerm     time.Duration // for which a part of it is held without a word
+	ShareTerm     time.Duration // for which a share of a quota is held without a renewal
 	Rollout       Rollout
 	key           string
 	seeds         []string
 }
 
-// ClusterLimits is what requests of the class named load may use over the whole fleet; 0: no limit.
+// ClusterLimits is what requests of the class named load may use over the whole cluster; 0: no limit.
 type ClusterLimits struct {
 	Threads, MaxWaiting int
 	Work                time.Duration // a second
@@ -36,321 +34,189 @@
 
 // Rollout is how the gateways decide on policies; without voters each goes by its own file.
 type Rollout struct {
-	Voters        int // the first so many
+	Voters        int // how many of the gateways, the first ones
 	Lease, Within time.Duration
 }
 
-// Policy is one that is proposed: what loads may use, and what is asked of the change.
-type Policy struct {
-	ClusterLimits
-	Fleet     bool          // they are those of all gateways together
-	Refuse    bool          // loads are never sent
-	Looks     bool          // look-ups are of a class as well
-	Zones     []string      // of the pool that loads go to
-	Field     string        // one that no build knows
-	Both      time.Duration // for which who hears nothing goes by what both policies allow
-	Rehearse  time.Duration
-	Guard     float64 // share of requests that may be refused otherwise in the rehearsal; 0: any
-	Probation time.Duration
-	Bound     float64 // and held under it; 0: any
-	Size      int64   // bytes that its text is filled up to
-}
-
-// Text is a policy as it is proposed.
-func (p *Policy) Text() []byte {
-	class := map[string]any{"name": "loads", "when": map[string]any{"lanes": []string{"load"}}}
-	if p.limit(class); !p.Fleet {
-		delete(class, "fleet") // each gateway's own
-	}
-	classes, pools := []any{class}, []any{}
-	if p.Refuse {
-		class["refuse"] = "loads rest"
-	}
-	if p.Looks {
-		classes = append(classes, map[string]any{"name": "looks", "when": map[string]any{"lanes": []string{"look"}}})
-	}
-	if len(p.Zones) > 0 {
-		class["pool"] = "some"
-		pools = append(pools, map[string]any{"name": "some", "zones": p.Zones})
-	}
-	if p.Field != "" {
-		class[p.Field] = true
-	}
-	asked := map[string]any{}
-	if p.Both > 0 {
-		asked["silent"], asked["both_for"] = "both", p.Both.String()
-	}
-	if p.Rehearse > 0 {
-		r := map[string]any{"length": p.Rehearse.String()}
-		if p.Guard > 0 {
-			r["refused_above"] = p.Guard
-		}
-		asked["rehearse"] = r
+// addTo writes the limits into the JSON of a class.
+func (l ClusterLimits) addTo(class map[string]any) {
+	class["fleet"] = l.Any()
+	if l.Threads > 0 {
+		class["threads"] = l.Threads
 	}
-	if p.Probation > 0 {
-		r := map[string]any{"length": p.Probation.String()}
-		if p.Bound > 0 {
-			r["held_above"] = p.Bound
-		}
-		asked["probation"] = r
-	}
-	if p.Size > 0 {
-		classes = append(classes, map[string]any{"name": "filled", "when": map[string]any{"lanes": []string{"none"}}, "refuse": strings.Repeat("no ", int(p.Size)/3)})
+	if l.MaxWaiting > 0 {
+		class["waiting"] = l.MaxWaiting
 	}
-	text, err := json.Marshal(map[string]any{"statements": map[string]any{"pools": pools, "classes": classes}, "policy": asked})
-	if err != nil {
-		panic(err) // of texts and figures there is none that can't be written
+	if l.Work > 0 {
+		class["work_per_second"] = l.Work.String()
 	}
-	return text
 }
 
-func (w ClusterLimits) limit(class map[string]any) {
-	class["fleet"] = w.Any()
-	if w.Threads > 0 {
-		class["threads"] = w.Threads
-	}
-	if w.MaxWaiting > 0 {
-		class["waiting"] = w.MaxWaiting
-	}
-	if w.Work > 0 {
-		class["work_per_second"] = w.Work.String()
-	}
-}
+// Any tells whether there is any limit.
+func (l ClusterLimits) Any() bool { return l.Threads > 0 || l.MaxWaiting > 0 || l.Work > 0 }
 
-// Voters are the names of the gateways that decide at first.
-func (s *Installation) Voters() (out []string) {
-	for _, k := range s.Gateways[:min(s.plan.Cluster.Rollout.Voters, s.plan.Gateways)] {
-		out = append(out, k.Name)
-	}
-	return out
+// Voters are the names of the gateways that vote on policies at first.
+func (s *Installation) Voters() []string {
+	return s.firstNames(s.plan.Cluster.Rollout.Voters)
 }
 
-// Any tells whether there is any limit.
-func (w ClusterLimits) Any() bool { return w.Threads > 0 || w.MaxWaiting > 0 || w.Work > 0 }
+// quotaReplicas is how many gateways replicate the shared quotas.
+const quotaReplicas = 3
+
+// QuotaReplicas are the names of the gateways that replicate the shared quotas.
+func (s *Installation) QuotaReplicas() []string {
+	return s.firstNames(quotaReplicas)
+}
 
-// QuotaReplicas are the names of the gateways that keep the fleet's budgets.
-func (s *Installation) QuotaReplicas() (out []string) {
-	for _, k := range s.Gateways[:min(3, s.plan.Gateways)] {
-		out = append(out, k.Name)
+// firstNames are the names of the first gateways, at most that many.
+func (s *Installation) firstNames(most int) (names []string) {
+	for _, gateway := range s.Gateways[:min(most, s.plan.Gateways)] {
+		names = append(names, gateway.Name)
 	}
-	return out
+	return names
 }
 
-// SetLimits has other limits of the whole fleet in the files of some gateways, which read them again.
-func (s *Installation) SetLimits(whole ClusterLimits, some []*Gateway) {
-	for _, g := range some {
-		g.whole = whole
-		g.operatorFile()
-		g.Signal(syscall.SIGHUP)
+// SetLimits writes other limits of the whole cluster into the files of some gateways, which read them again.
+func (s *Installation) SetLimits(limits ClusterLimits, gateways []*Gateway) {
+	for _, gateway := range gateways {
+		gateway.limits = limits
+		gateway.writeOperatorFile()
+		gateway.Signal(syscall.SIGHUP)
 	}
 }
 
-// gateway makes one, not started yet, with its relays.
-func (s *Installation) gateway(name string, n int) (*Gateway, error) {
-	g := &Gateway{Name: name, site: s, n: n}
-	var err error
-	if g.Address, err = freeAddress(); err != nil {
+// newGateway makes a gateway with its proxies. It is not started yet.
+func (s *Installation) newGateway(name string, index int) (*Gateway, error) {
+	address, err := freeAddress()
+	if err != nil {
 		return nil, err
 	}
-	label := "g" + strconv.Itoa(n) // a second process under one name has files of its own
-	g.LogFile = filepath.Join(s.Folder, label+".log")
-	net := s.plan.Proxies
-	if net == nil {
-		g.list, g.known = s.Discovery.Address, s.Discovery.Snapshot
+	g := &Gateway{Name: name, Address: address, installation: s, index: index}
+	g.LogFile = filepath.Join(s.Folder, g.Label()+".log")
+	if s.plan.Proxies == nil {
+		g.discovery, g.snapshot = s.Discovery.Address, s.Discovery.Snapshot
 		return g, nil
 	}
-	entries := make([]fake.Endpoint, len(s.entries))
-	for i, e := range s.entries {
-		address, err := net.RelayStream(label, e.ID, func() string { return s.Engines[i].Address })
+	return g, s.addProxies(g)
+}
+
+// addProxies opens the proxies between a gateway and the engines, and starts a discovery service of its own that lists them.
+func (s *Installation) addProxies(g *Gateway) error {
+	proxies := s.plan.Proxies
+	endpoints := slices.Clone(s.entries)
+	for i := range endpoints {
+		address, err := proxies.RelayStream(g.Label(), endpoints[i].ID, func() string { return s.Engines[i].Address })
 		if err != nil {
-			return nil, err
+			return err
 		}
 		g.engines = append(g.engines, address)
-		entries[i] = e
-		entries[i].Address = address
+		endpoints[i].Address = address
 	}
-	l, err := fake.StartDiscovery("127.0.0.1:0", entries)
+	discovery, err := fake.StartDiscovery("127.0.0.1:0", endpoints)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	s.Discoveries = append(s.Discoveries, l)
-	g.known = l.Snapshot
-	g.list, err = net.RelayStream(label, "list", func() string { return l.Address })
-	return g, err
+	s.Discoveries = append(s.Discoveries, discovery)
+	g.snapshot = discovery.Snapshot
+	g.discovery, err = proxies.RelayStream(g.Label(), "list", func() string { return discovery.Address })
+	return err
 }
 
-// introduce gives all gateways their places in the fleet.
-func (s *Installation) introduce() error {
-	f := s.plan.Cluster
-	f.key = filepath.Join(s.Folder, "fleet.key")
-	if err := os.WriteFile(f.key, []byte(fmt.Sprintf("%064x\n", uint64(s.plan.Seed)+0x6d61677069650000)), 0o600); err != nil {
+// formCluster writes the cluster's key, and gives all gateways their addresses in it.
+func (s *Installation) formCluster() error {
+	cluster := s.plan.Cluster
+	cluster.key = filepath.Join(s.Folder, "fleet.key")
+	key := fmt.Sprintf("%064x\n", uint64(s.plan.Seed)+0x6d61677069650000)
+	if err := os.WriteFile(cluster.key, []byte(key), 0o600); err != nil {
 		return err
 	}
-	for _, g := range s.Gateways {
-		if err := s.place(g); err != nil {
+	for _, gateway := range s.Gateways {
+		if err := s.addToCluster(gateway); err != nil {
 			return err
 		}
 	}
-	for _, g := range s.Gateways[:min(max(1, f.Seeds), len(s.Gateways))] {
-		f.seeds = append(f.seeds, g.reached)
+	for _, gateway := range s.Gateways[:min(max(1, cluster.Seeds), len(s.Gateways))] {
+		cluster.seeds = append(cluster.seeds, gateway.advertise)
 	}
 	return nil
 }
 
-func (s *Installation) place(g *Gateway) (err error) {
-	g.whole = s.plan.Cluster.Limits
-	label := "g" + strconv.Itoa(g.n)
-	if g.udp, err = freeAddress(); err != nil {
+func (s *Installation) addToCluster(g *Gateway) error {
+	g.limits = s.plan.Cluster.Limits
+	address, err := freeAddress()
+	if err != nil {
 		return err
 	}
-	g.reached = g.udp
-	g.History, g.Control = filepath.Join(s.Folder, label+".history"), filepath.Join(s.Folder, label+".sock")
-	if net := s.plan.Proxies; net != nil {
-		if err := net.RegisterSender(g.udp, label); err != nil {
-			return err
-		}
-		g.reached, err = net.RelayDatagrams(label, g.udp)
+	g.listenUDP, g.advertise = address, address
+	g.History = filepath.Join(s.Folder, g.Label()+".history")
+	g.Control = filepath.Join(s.Folder, g.Label()+".sock")
+	proxies := s.plan.Proxies
+	if proxies == nil {
+		return nil
 	}
+	if err := proxies.RegisterSender(address, g.Label()); err != nil {
+		return err
+	}
+	g.advertise, err = proxies.RelayDatagrams(g.Label(), address)
 	return err
 }
 
-// operatorFile writes the gateway's file and tells its name.
-func (g *Gateway) operatorFile() string {
-	f := g.site.plan.Cluster
-	path := filepath.Join(g.site.Folder, "g"+strconv.Itoa(g.n)+".operator.jsonnet")
-	file := map[string]any{"listen": g.udp, "advertise": g.reached, "seeds": f.seeds, "key": f.key, "control": g.Control, "history": g.History, "judgements": f.HealthReports, "counts": f.Counts}
-	whole := map[string]any{"fleet": file}
-	if f.SlowStart && !f.Limits.Any() {
-		file["budgets"] = map[string]any{"keepers": g.site.QuotaReplicas(), "term": f.ShareTerm.String(), "cold": true}
-	}
-	if c := f.Rollout; c.Voters > 0 {
-		file["policy"] = map[string]any{"voters": g.site.Voters(), "folder": g.PolicyFolder(), "lease": c.Lease.String(), "within": c.Within.String()}
-		file["budgets"] = map[string]any{"keepers": g.site.QuotaReplicas(), "term": f.ShareTerm.String(), "cold": f.SlowStart}
-		whole["statements"] = map[string]any{}
-	} else if f.Limits.Any() {
-		w := g.whole
-		class := map[string]any{"name": "loads", "when": map[string]any{"lanes": []string{"load"}}}
-		w.limit(class)
-		file["budgets"] = map[string]any{"keepers": g.site.QuotaReplicas(), "term": f.ShareTerm.String(), "number": max(1, w.Version), "cold": f.SlowStart}
-		whole["statements"] = map[string]any{"classes": []any{class}}
-	}
-	if b, ok := file["budgets"].(map[string]any); ok && g.site.plan.Durable {
-		b["folder"] = g.QuotaFolder()
-	}
-	text, err := json.MarshalIndent(whole, "", " ")
+// writeOperatorFile writes the gateway's operator file and returns its path. If it can't be written, the path tells why, and the
+// gateway reports it at its start.
+func (g *Gateway) writeOperatorFile() string {
+	path := filepath.Join(g.installation.Folder, g.Label()+".operator.jsonnet")
+	text, err := json.MarshalIndent(g.operatorSettings(), "", " ")
 	if err == nil {
 		err = os.WriteFile(path, text, 0o600)
 	}
 	if err != nil {
-		return path + " could not be written: " + err.Error() // the gateway says so at its start
+		return path + " could not be written: " + err.Error()
 	}
 	return path
 }
 
-// StateFolder is where it keeps its record of requests.
-func (g *Gateway) StateFolder() string {
-	return filepath.Join(g.site.Folder, "g"+strconv.Itoa(g.n)+".state")
-}
-
-// PolicyFolder is where it keeps policies, and votes by.
-func (g *Gateway) PolicyFolder() string {
-	return filepath.Join(g.site.Folder, "g"+strconv.Itoa(g.n)+".policy")
-}
-
-// QuotaFolder is where it keeps by which its part of the fleet's budgets passes to the process that follows.
-func (g *Gateway) QuotaFolder() string {
-	return filepath.Join(g.site.Folder, "g"+strconv.Itoa(g.n)+".seat")
-}
-
-// folders are those that survive its process.
-func (g *Gateway) folders() (out []string) {
-	if g.site.plan.Durable {
-		out = append(out, g.StateFolder())
-		if _, err := os.Stat(g.QuotaFolder()); err == nil {
-			out = append(out, g.QuotaFolder())
-		}
-	}
-	if f := g.site.plan.Cluster; f != nil && f.Rollout.Voters > 0 {
-		out = append(out, g.PolicyFolder())
-	}
-	return out
-}
-
-// HasStateCopy tells whether there are older copies.
-func (g *Gateway) HasStateCopy() bool {
-	for _, f := range g.folders() {
-		if _, err := os.Stat(f + ".older"); err == nil {
-			return true
-		}
-	}
-	return false
-}
-
-// CopyState copies the folders as they stand; with BringBack those older copies take their place.
-func (g *Gateway) CopyState() error {
-	for _, f := range g.folders() {
-		os.RemoveAll(f + ".older")
-		if err := os.CopyFS(f+".older", os.DirFS(f)); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// RestoreState puts the older copies in the place of the folders; with none there, nothing is left of them.
-func (g *Gateway) RestoreState() error {
-	for _, f := range g.folders() {
-		if err := os.RemoveAll(f); err != nil {
-			return err
-		}
-		if _, err := os.Stat(f + ".older"); err != nil {
-			continue
-		}
-		if err := os.CopyFS(f, os.DirFS(f+".older")); err != nil {
-			return err
-		}
+func (g *Gateway) operatorSettings() map[string]any {
+	cluster := g.installation.plan.Cluster
+	settings := map[string]any{"listen": g.listenUDP, "advertise": g.advertise, "seeds": cluster.seeds, "key": cluster.key, "control": g.Control, "history": g.History,
+		"judgements": cluster.HealthReports, "counts": cluster.Counts}
+	file := map[string]any{"fleet": settings}
+	switch rollout := cluster.Rollout; {
+	case rollout.Voters > 0:
+		settings["policy"] = map[string]any{"voters": g.installation.Voters(), "folder": g.PolicyFolder(), "lease": rollout.Lease.String(), "within": rollout.Within.String()}
+		settings["budgets"] = g.quotaSettings(map[string]any{"cold": cluster.SlowStart})
+		file["statements"] = map[string]any{}
+	case cluster.Limits.Any():
+		class := map[string]any{"name": "loads", "when": map[string]any{"lanes": []string{"load"}}}
+		g.limits.addTo(class)
+		settings["budgets"] = g.quotaSettings(map[string]any{"number": max(1, g.limits.Version), "cold": cluster.SlowStart})
+		file["statements"] = map[string]any{"classes": []any{class}}
+	case cluster.SlowStart:
+		settings["budgets"] = g.quotaSettings(map[string]any{"cold": true})
 	}
-	return nil
+	return file
 }
 
-// DeleteState takes the folders away.
-func (g *Gateway) DeleteState() (err error) {
-	for _, f := range g.folders() {
-		err = errors.Join(err, os.RemoveAll(f))
+// quotaSettings completes the settings of the shared quotas.
+func (g *Gateway) quotaSettings(settings map[string]any) map[string]any {
+	settings["keepers"] = g.installation.QuotaReplicas()
+	settings["term"] = g.installation.plan.Cluster.ShareTerm.String()
+	if g.installation.plan.Durable {
+		settings["folder"] = g.QuotaFolder()
 	}
-	return err
+	return settings
 }
 
-// StartTwin starts a second process under a gateway's name, with addresses and files of its own; the first one lives on.
+// StartTwin starts a second process under a gateway's name, with addresses and files of its own; the first one keeps running.
 func (s *Installation) StartTwin(of int) (*Gateway, error) {
-	g, err := s.gateway(s.Gateways[of].Name, len(s.Gateways))
+	g, err := s.newGateway(s.Gateways[of].Name, len(s.Gateways))
 	if err != nil {
 		return nil, err
 	}
 	if s.plan.Cluster != nil {
-		if err := s.place(g); err != nil {
+		if err := s.addToCluster(g); err != nil {
 			return nil, err
 		}
 	}
 	s.Gateways = append(s.Gateways, g)
 	return g, g.Start()
 }
-
-// Label is what relays and files call it: its own also for a twin.
-func (g *Gateway) Label() string { return "g" + strconv.Itoa(g.n) }
-
-// IsRunning tells whether its process lives, stopped or not.
-func (g *Gateway) IsRunning() bool {
-	g.mu.Lock()
-	died := g.died
-	g.mu.Unlock()
-	if died == nil {
-		return false
-	}
-	select {
-	case <-died:
-		return false
-	default:
-		return true
-	}
-}
--- a/internal/testbed/installation/installation.go
+++ b/internal/testbed/installation/installation.go
@@ -1,21 +1,17 @@
-// Package installation is one installation on loopback: fakes of engines and of their list, and gateways as processes of
-// their own between them and a load.
+// Package installation starts one installation on loopback: fakes of engines and of the discovery service, and gateways as
+// processes between them and a load.
 package installation
 
 import (
-	"encoding/json"
+	"context"
 	"errors"
 	"fmt"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strconv"
-	"strings"
-	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"magpiebank/internal/testbed/fake"
@@ -28,7 +24,7 @@
 	LatencyObjective time.Duration
 	MaxWait          time.Duration // that its clients wait
 	Weight           float64
-	LateShare        float64 // share of the earnings after the latency objective
+	LateShare        float64 // share of the weight that is earned after the latency objective
 	Effect           string  // idempotent, deduplicated or unrepeatable
 	Threads          int     // of one of its requests on an engine
 	Load             bool    // it loads tables, so that others wait for it
@@ -52,31 +48,31 @@
 	ExtraArguments []string // arguments after serve --config FILE
 
 	Cluster   *Cluster                    // the gateways speak to each other; nil: they don't
-	Proxies   *faultproxy.Network         // all that passes between processes passes it; nil: they reach each other directly
-	Durable   bool                        // each keeps a record of its requests in a folder of its own
+	Proxies   *faultproxy.Network         // through which all messages between processes go; nil: they reach each other directly
+	Durable   bool                        // each keeps a request journal in a folder of its own
 	Down      []string                    // gateways that are not started
 	SlowStart SlowStart                   // engines that have just started are slow, and tip over
-	Env       func(label string) []string // what a process gets besides; a twin has a label of its own
+	Env       func(label string) []string // further environment variables of a process; a twin has a label of its own
 }
 
-// SlowStart is how engines start: at a share of their speed, warm after a time; sent more than a multiple of what they can do for so long, they
-// tip over.
+// SlowStart is how engines start: at a share of their speed, warm after a time. Sent more than Factor times what they can do for the
+// time Tip, they are overloaded.
 type SlowStart struct {
 	Share, Factor float64
 	Warm, Tip     time.Duration
 }
 
-// The platform's words for effects.
+// effects are the platform's words for effects.
 var effects = map[string]string{"idempotent": "read_like", "deduplicated": "idempotency_key", "unrepeatable": "non_idempotent"}
 
-// Check tells the first thing amiss.
+// Check returns an error for the first field that is wrong.
 func (p *Plan) Check() error {
 	if p.Gateways < 1 || p.Gateways > 64 || p.Engines < 1 || p.Engines > 1000 || len(p.Zones) == 0 || len(p.Classes) == 0 {
 		return errors.New("site: expected 1 to 64 gateways, 1 to 1000 engines, and at least one zone and one lane")
 	}
-	for i, l := range p.Classes {
-		if effects[l.Effect] == "" {
-			return fmt.Errorf("site.lanes[%d].effect: expected idempotent, deduplicated or unrepeatable, found %q", i, l.Effect)
+	for i, class := range p.Classes {
+		if effects[class.Effect] == "" {
+			return fmt.Errorf("site.lanes[%d].effect: expected idempotent, deduplicated or unrepeatable, found %q", i, class.Effect)
 		}
 	}
 	return nil
@@ -86,7 +82,7 @@
 type Installation struct {
 	Engines     []*fake.Engine
 	Discovery   *fake.Discovery
-	Discoveries []*fake.Discovery // where relays stand between, one for each gateway, as each reaches engines by its own; else the one
+	Discoveries []*fake.Discovery // with proxies, one for each gateway, as each reaches engines through its own; else the one
 	Log         *fake.ExecutionLog
 	Gateways    []*Gateway
 	Folder      string
@@ -94,154 +90,143 @@
 	entries     []fake.Endpoint
 }
 
-// Gateway is one gateway's process.
-type Gateway struct {
-	Name    string
-	Address string
-	LogFile string
-	History string // file, where the gateways are a fleet
-	Control string // Unix socket, the same
+// readyWithin is how long a gateway may take until it accepts connections.
+const readyWithin = 5 * time.Second
 
-	udp     string // where it listens for datagrams
-	reached string // by which the others reach it
-	list    string // its discovery service's address
-	known   func() json.RawMessage
-
-	whole   ClusterLimits // limits of the fleet that its file has
-	engines []string      // addresses by which it reaches them, where relays stand between
-
-	site *Installation
-	n    int
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	died chan struct{}
-	peak int64 // kB resident, of processes that have ended
-}
-
-// Start starts an installation; files go to a folder.
-func Start(p Plan, folder string) (s *Installation, err error) {
+// Start starts an installation; files go to a folder. On an error all that was started is stopped.
+func Start(p Plan, folder string) (*Installation, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
+	if err := p.findProgram(); err != nil {
+		return nil, err
+	}
+	s := &Installation{plan: p, Folder: folder, Log: fake.NewExecutionLog()}
+	if err := s.start(); err != nil {
+		s.Stop()
+		return s, err
+	}
+	return s, nil
+}
+
+// findProgram completes the path of the gateway's program, and checks that it is there.
+func (p *Plan) findProgram() error {
 	if p.Program == "" {
 		self, err := os.Executable()
 		if err != nil {
-			return nil, err
+			return err
 		}
 		p.Program = filepath.Join(filepath.Dir(self), "magpiebank")
 	}
 	if _, err := os.Stat(p.Program); err != nil {
-		return nil, fmt.Errorf("the gateway's program: %w (build both with: go build -o bin/ ./cmd/...)", err)
+		return fmt.Errorf("the gateway's program: %w (build both with: go build -o bin/ ./cmd/...)", err)
 	}
-	s = &Installation{plan: p, Folder: folder, Log: fake.NewExecutionLog()}
-	defer func() {
-		if err != nil {
-			s.Stop()
-		}
-	}()
-	for i := range p.Engines {
-		name := fmt.Sprintf("e-%03d", i+1)
-		var e *fake.Engine
-		for range 3 { // another process may take the address first
-			address, none := freeAddress() // one that refuses for a while comes back to it
-			if none != nil {
-				return s, none
-			}
-			if e, err = fake.StartEngine(name, address, p.Behavior, s.Log, uint64(p.Seed)+uint64(i)); err == nil {
-				break
-			}
-		}
-		if err != nil {
-			return s, err
+	return nil
+}
+
+func (s *Installation) start() error {
+	for i := range s.plan.Engines {
+		if err := s.startEngine(i); err != nil {
+			return err
 		}
-		s.Engines = append(s.Engines, e)
-		s.entries = append(s.entries, fake.Endpoint{ID: name, Address: e.Address, Zone: p.Zones[i%len(p.Zones)], Kind: "std",
-			Cell: i / 4, State: "Ready", Weight: int(p.Cores)})
 	}
-	if p.Proxies == nil {
-		if s.Discovery, err = fake.StartDiscovery("127.0.0.1:0", s.entries); err != nil {
-			return s, err
+	if s.plan.Proxies == nil {
+		discovery, err := fake.StartDiscovery("127.0.0.1:0", s.entries)
+		if err != nil {
+			return err
 		}
-		s.Discoveries = []*fake.Discovery{s.Discovery}
+		s.Discovery = discovery
+		s.Discoveries = []*fake.Discovery{discovery}
 	}
-	for i := range p.Gateways {
-		g, err := s.gateway("g"+strconv.Itoa(i), i)
+	for i := range s.plan.Gateways {
+		gateway, err := s.newGateway("g"+strconv.Itoa(i), i)
 		if err != nil {
-			return s, err
+			return err
 		}
-		s.Gateways = append(s.Gateways, g)
+		s.Gateways = append(s.Gateways, gateway)
 	}
 	if s.Discovery == nil {
 		s.Discovery = s.Discoveries[0]
 	}
-	if p.Cluster != nil {
-		if err := s.introduce(); err != nil {
-			return s, err
+	if s.plan.Cluster != nil {
+		if err := s.formCluster(); err != nil {
+			return err
 		}
 	}
-	for _, g := range s.Gateways {
-		if slices.Contains(p.Down, g.Name) {
-			continue
+	return s.startGateways()
+}
+
+// addressAttempts is how many addresses are tried for an engine, as another process may take a free one first.
+const addressAttempts = 3
+
+// startEngine starts an engine on an address to which it returns after it has refused connections for a while.
+func (s *Installation) startEngine(i int) error {
+	name := fmt.Sprintf("e-%03d", i+1)
+	var engine *fake.Engine
+	var err error
+	for range addressAttempts {
+		address, noAddress := freeAddress()
+		if noAddress != nil {
+			return noAddress
 		}
-		if err := g.Start(); err != nil {
-			return s, err
+		engine, err = fake.StartEngine(name, address, s.plan.Behavior, s.Log, uint64(s.plan.Seed)+uint64(i))
+		if err == nil {
+			break
 		}
 	}
-	for _, g := range s.Gateways {
-		if slices.Contains(p.Down, g.Name) {
-			continue
-		}
-		if err := g.ready(5 * time.Second); err != nil {
-			return s, err
-		}
+	if err != nil {
+		return err
 	}
-	return s, nil
+	s.Engines = append(s.Engines, engine)
+	s.entries = append(s.entries, fake.Endpoint{
+		ID:      name,
+		Address: engine.Address,
+		Zone:    s.plan.Zones[i%len(s.plan.Zones)],
+		Kind:    "std",
+		Cell:    i / 4,
+		State:   "Ready",
+		Weight:  int(s.plan.Cores),
+	})
+	return nil
 }
 
-// ports are tried in turn, from a place that follows from the process: below those that the system gives to whoever connects, so
-// that no connection of the testbed's takes one before its gateway does.
-var ports atomic.Int32
-
-func init() { ports.Store(int32(os.Getpid()) * 331 % 20000) }
-
-// freeAddress is one on loopback that nobody listens on, for streams and datagrams; gateways come back to it after a restart.
-func freeAddress() (string, error) {
-	for range 20000 {
-		address := fmt.Sprintf("127.0.0.1:%d", 10000+ports.Add(1)%20000)
-		l, err := net.Listen("tcp", address)
-		if err != nil {
-			continue
+// startGateways starts the gateways that the plan has up, and waits until they accept connections.
+func (s *Installation) startGateways() error {
+	up := slices.DeleteFunc(slices.Clone(s.Gateways), func(g *Gateway) bool { return slices.Contains(s.plan.Down, g.Name) })
+	for _, gateway := range up {
+		if err := gateway.Start(); err != nil {
+			return err
 		}
-		l.Close()
-		if c, err := net.ListenPacket("udp", address); err == nil {
-			c.Close()
-			return address, nil
+	}
+	for _, gateway := range up {
+		if err := gateway.waitUntilReady(readyWithin); err != nil {
+			return err
 		}
 	}
-	return "", errors.New("site: no port between 10000 and 30000 is free")
+	return nil
 }
 
 // Targets are the gateways' addresses.
-func (s *Installation) Targets() (out []string) {
-	for _, g := range s.Gateways {
-		out = append(out, g.Address)
+func (s *Installation) Targets() (addresses []string) {
+	for _, gateway := range s.Gateways {
+		addresses = append(addresses, gateway.Address)
 	}
-	return out
+	return addresses
 }
 
-// PublishState has the discovery service tell a state of an engine: Ready, Terminating or Gone.
+// PublishState has the discovery service publish a state of an engine: Ready, Terminating or Gone.
 func (s *Installation) PublishState(engine int, state string) {
-	e := s.entries[engine]
-	e.State = state
+	endpoint := s.entries[engine]
+	endpoint.State = state
 	if state == "Ready" {
-		e.Started = time.Now().UnixMilli()
+		endpoint.Started = time.Now().UnixMilli()
 	}
-	for i, l := range s.Discoveries {
-		told := e
+	for i, discovery := range s.Discoveries {
+		published := endpoint
 		if s.plan.Proxies != nil {
-			told.Address = s.Gateways[i].engines[engine]
+			published.Address = s.Gateways[i].engines[engine]
 		}
-		l.Publish(told)
+		discovery.Publish(published)
 	}
 }
 
@@ -261,147 +246,37 @@
 	}
 }
 
-// configuration is the JSON object that the platform would give the gateway.
-func (g *Gateway) configuration() ([]byte, error) {
-	p := &g.site.plan
-	us := func(d time.Duration) int64 { return d.Microseconds() }
-	var classes []map[string]any
-	var threads []int
-	var loads, blocked []bool
-	var longest time.Duration
-	for _, l := range p.Classes {
-		classes = append(classes, map[string]any{"name": l.Name, "sloUs": us(l.LatencyObjective), "deadlineUs": us(l.MaxWait),
-			"worth": l.Weight, "lateWorth": l.LateShare, "effect": effects[l.Effect], "aimStretch": 1.5})
-		threads = append(threads, max(1, l.Threads))
-		loads, blocked = append(loads, l.Load), append(blocked, l.HeldByLoads)
-		longest = max(longest, l.MaxWait)
-	}
-	rules := map[string]any{"extraFree": 20, "resendRatio": 0.2, "ratioSpanUs": us(10 * time.Second), "settleAfterDoubtUs": us(time.Second)}
-	if c := p.SlowStart; c.Warm > 0 {
-		rules["coldShare"], rules["warmAfterUs"], rules["overloadFactor"], rules["tipAfterUs"] = c.Share, us(c.Warm), c.Factor, us(c.Tip)
-	}
-	return json.MarshalIndent(map[string]any{
-		"name": g.Name, "listen": g.Address, "seed": fmt.Sprintf("%016x", uint64(p.Seed)*0x9e3779b97f4a7c15+uint64(g.n)+1),
-		"limits":      map[string]any{"memory_mb": p.MemoryMB, "sockets": p.Sockets, "cores": 1.0},
-		"coordinator": g.list, "known": g.known(),
-		"settings": map[string]any{
-			"fleetSize": p.Gateways, "me": g.n, "zones": p.Zones, "skus": []string{"std"}, "classes": classes,
-			"familyInfo": map[string]any{"dop": threads, "kindCores": []float64{p.Cores}, "saysCost": true,
-				"loads": loads, "blockedByLoads": blocked, "progressPaceUs": us(p.Behavior.NoteInterval)},
-			"limits": map[string]any{"cancel": true, "probes": true, "peerMessages": p.Cluster != nil, "maxAttempts": 4, "multiplex": 32,
-				"connectTimeoutUs": us(p.ConnectWithin), "keepaliveUs": us(p.Idle), "retryAfter": true,
-				"maxRetryAfterUs": us(2 * time.Second)},
-			"rules":     rules,
-			"penalties": map[string]any{"probe": 0.011},
-		},
-	}, "", " ")
-}
-
-// Start starts the gateway's process, with the events of the list as they are by now.
-func (g *Gateway) Start() error {
-	text, err := g.configuration()
-	if err != nil {
-		return err
-	}
-	path := filepath.Join(g.site.Folder, g.Name+".json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		return err
-	}
-	out, err := os.OpenFile(g.LogFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
-	if err != nil {
-		return err
-	}
-	defer out.Close()
-	args := append([]string{"serve", "--config", path}, g.site.plan.ExtraArguments...)
-	if g.site.plan.Cluster != nil {
-		args = append(args, "--operator", g.operatorFile())
-	}
-	if g.site.plan.Durable {
-		args = append(args, "--state", g.StateFolder())
-	}
-	cmd := exec.Command(g.site.plan.Program, args...)
-	if cmd.Env = os.Environ(); g.site.plan.Env != nil {
-		cmd.Env = append(cmd.Env, g.site.plan.Env(g.Label())...)
-	}
-	cmd.Stdout, cmd.Stderr = out, out
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the testbed
-	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("gateway %s: %w", g.Name, err)
-	}
-	died := make(chan struct{})
-	g.mu.Lock()
-	g.cmd, g.died = cmd, died
-	g.mu.Unlock()
-	go func() {
-		cmd.Wait()
-		if usage, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			g.mu.Lock()
-			g.peak = max(g.peak, usage.Maxrss)
-			g.mu.Unlock()
-		}
-		close(died)
-	}()
-	return nil
-}
+// Zone is the zone of an engine.
+func (s *Installation) Zone(engine int) string { return s.entries[engine].Zone }
 
-// ready waits until it takes connections.
-func (g *Gateway) ready(within time.Duration) error {
-	for by := time.Now().Add(within); ; time.Sleep(5 * time.Millisecond) {
-		if c, err := net.DialTimeout("tcp", g.Address, time.Second); err == nil {
-			c.Close()
-			return nil
-		}
-		select {
-		case <-g.died:
-			return fmt.Errorf("gateway %s ended at start; its log: %s", g.Name, g.LogFile)
-		default:
-		}
-		if time.Now().After(by) {
-			return fmt.Errorf("gateway %s takes no connection after %v; its log: %s", g.Name, within, g.LogFile)
-		}
-	}
-}
+// ports is the number of the next port to try. It begins at one that follows from the process id. All lie below the ephemeral ports,
+// so that no connection of the testbed's takes one before its gateway does.
+var ports atomic.Int32
 
-// Signal sends a signal to the process.
-func (g *Gateway) Signal(s os.Signal) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.cmd != nil && g.cmd.Process != nil {
-		g.cmd.Process.Signal(s)
-	}
-}
+func init() { ports.Store(int32(os.Getpid()) * 331 % 20000) }
 
-// Kill kills the process and waits for its end.
-func (g *Gateway) Kill() {
-	g.Signal(syscall.SIGKILL)
-	g.mu.Lock()
-	died := g.died
-	g.mu.Unlock()
-	if died != nil {
-		<-died
+// freeAddress is one on loopback that nobody listens on, for streams and datagrams; gateways come back to it after a restart.
+func freeAddress() (string, error) {
+	for range 20000 {
+		address := fmt.Sprintf("127.0.0.1:%d", 10000+ports.Add(1)%20000)
+		if isFree(address) {
+			return address, nil
+		}
 	}
+	return "", errors.New("site: no port between 10000 and 30000 is free")
 }
 
-// PeakMemoryKB is the most memory that its process has held so far, in kB resident.
-func (g *Gateway) PeakMemoryKB() int64 {
-	g.mu.Lock()
-	peak, cmd := g.peak, g.cmd
-	g.mu.Unlock()
-	if cmd == nil || cmd.Process == nil {
-		return peak
-	}
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
+// isFree tells whether nobody listens on an address, neither for streams nor for datagrams.
+func isFree(address string) bool {
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return peak
+		return false
 	}
-	for _, line := range strings.Split(string(b), "\n") {
-		if rest, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			kb, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
-			peak = max(peak, kb)
-		}
+	listener.Close()
+	socket, err := config.ListenPacket(context.Background(), "udp", address)
+	if err != nil {
+		return false
 	}
-	return peak
+	return socket.Close() == nil
 }
-
-// Zone is where an engine stands.
-func (s *Installation) Zone(engine int) string { return s.entries[engine].Zone }
