--- a/internal/testbed/load/workers/coordinator.go
+++ b/internal/testbed/load/workers/coordinator.go
@@ -1,6 +1,7 @@
 package workers
 
 import (
+	"context"
 	"crypto/rand"
 	"encoding/hex"
 	"encoding/json"
@@ -13,12 +14,11 @@
 	"time"
 
 	"magpiebank/internal/testbed/load/arrival"
-	"magpiebank/internal/testbed/load/client"
 	"magpiebank/internal/testbed/load/driver"
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// Run is what a coordinator writes down at its start, so that another can go on in its place.
+// Run is what a coordinator writes to a file at its start, so that another can go on in its place.
 type Run struct {
 	ID      string      `json:"id"`
 	Address string      `json:"address"`
@@ -30,7 +30,7 @@
 
 const runFile = "run.json"
 
-// Coordinator plays a run with workers.
+// Coordinator runs a load with workers.
 type Coordinator struct {
 	run      Run
 	listener net.Listener
@@ -39,138 +39,133 @@
 	Log      func(string)
 	Progress func(at time.Duration, offered, ended, open int64)
 
-	mu      sync.Mutex // of all below: links bring events
-	muster  *Registry
-	links   []*link
-	figures *stats.Metrics
-	got     []int64 // reports taken in, by worker
-	open    []int64
-	skipped map[uint64]bool
-	killed  bool
+	mu           sync.Mutex // of all below, which connections' goroutines use
+	registry     *Registry
+	connections  []*connection // by worker; nil: none
+	metrics      *stats.Metrics
+	received     []int64 // reports, by worker
+	openSessions []int64 // by worker
+	skipped      map[uint64]bool
+	killed       bool
 }
 
-// NewCoordinator begins a run and writes it down in a folder.
-func NewCoordinator(folder string, workers int, drop bool, l driver.Load, start time.Time) (*Coordinator, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+// progressInterval is how many ticks of the registry lie between calls of Progress.
+const progressInterval = 10
+
+var errKilled = errors.New("the coordinator was killed")
+
+// NewCoordinator begins a run and writes it to a file in a folder.
+func NewCoordinator(folder string, workers int, drop bool, load driver.Load, start time.Time) (*Coordinator, error) {
+	listener, err := listen("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	var id [8]byte
 	rand.Read(id[:])
-	c := &Coordinator{listener: listener, run: Run{ID: hex.EncodeToString(id[:]), Address: listener.Addr().String(), Start: start,
-		Workers: workers, Drop: drop, Load: l}}
-	b, err := json.Marshal(c.run)
+	coordinator := &Coordinator{listener: listener, run: Run{ID: hex.EncodeToString(id[:]), Address: listener.Addr().String(),
+		Start: start, Workers: workers, Drop: drop, Load: load}}
+	encoded, err := json.Marshal(coordinator.run)
 	if err != nil {
 		return nil, err
 	}
-	return c, os.WriteFile(filepath.Join(folder, runFile), b, 0o600)
+	return coordinator, os.WriteFile(filepath.Join(folder, runFile), encoded, 0o600)
 }
 
 // ResumeCoordinator goes on with a run whose coordinator has died.
 func ResumeCoordinator(folder string) (*Coordinator, error) {
-	b, err := os.ReadFile(filepath.Join(folder, runFile))
+	encoded, err := os.ReadFile(filepath.Join(folder, runFile))
 	if err != nil {
 		return nil, err
 	}
-	c := &Coordinator{resumed: true}
-	if err := json.Unmarshal(b, &c.run); err != nil {
+	coordinator := &Coordinator{resumed: true}
+	err = json.Unmarshal(encoded, &coordinator.run)
+	if err != nil {
 		return nil, fmt.Errorf("%s: %w", runFile, err)
 	}
-	if c.listener, err = net.Listen("tcp", c.run.Address); err != nil {
+	coordinator.listener, err = listen(coordinator.run.Address)
+	if err != nil {
 		return nil, fmt.Errorf("the run's coordinator may be alive: %w", err)
 	}
-	return c, nil
+	return coordinator, nil
 }
 
-// Run is what is being played.
-func (c *Coordinator) Run() Run { return c.run }
-
-func (c *Coordinator) now() time.Duration { return time.Since(c.run.Start) }
-
-// Grant lets a worker offer its share until a time. It is a call of MusterHost, made under the lock as Losses and Say are. Links are written by goroutines of their own, so
-// that one that takes nothing doesn't hold up the others.
-func (c *Coordinator) Grant(worker int, until time.Duration) { c.send(worker, frameGrant, until) }
-
-func (c *Coordinator) Losses(worker int, losses []Loss) {
-	c.send(worker, frameLosses, append([]Loss{}, losses...))
+func listen(address string) (net.Listener, error) {
+	return new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 }
 
-type coordinatorHost struct{ *Coordinator }
-
-func (h coordinatorHost) LogEvent(text string) {
-	if h.Log != nil {
-		h.Log(text)
-	}
-}
+// Run returns the run that the coordinator serves.
+func (c *Coordinator) Run() Run { return c.run }
 
-func (c *Coordinator) send(worker int, kind byte, v any) {
-	if l := c.links[worker]; l != nil {
-		b, err := json.Marshal(v)
-		if err != nil {
-			return
-		}
-		select {
-		case l.out <- frame{kind, b}:
-		default: // it has taken nothing for 256 frames, which is longer than a lease
-			l.tcp.Close()
-		}
-	}
-}
+func (c *Coordinator) now() time.Duration { return time.Since(c.run.Start) }
 
-// Serve plays the run to its end.
-func (c *Coordinator) Serve() (*stats.Metrics, int64, int64, error) {
-	names, quoted := make([]string, len(c.run.Load.Classes)), make([]time.Duration, len(c.run.Load.Classes))
-	for i, l := range c.run.Load.Classes {
-		names[i], quoted[i] = l.Name, l.LatencyObjective
-	}
-	c.figures = stats.New(names, quoted)
-	c.links, c.got, c.open = make([]*link, c.run.Workers), make([]int64, c.run.Workers), make([]int64, c.run.Workers)
-	c.skipped = map[uint64]bool{}
-	c.muster = NewRegistry(c.now(), c.run.Workers, c.run.Drop, c.resumed, coordinatorHost{c})
-	go c.accept()
+// Serve runs the load to its end. It returns the metrics, how many requests were not offered, and how many a lost worker
+// may have sent.
+func (c *Coordinator) Serve() (metrics *stats.Metrics, notSent, unknown int64, err error) {
+	c.prepare()
+	go c.acceptConnections() // ends when the listener is closed
 	defer c.listener.Close()
 	if !c.resumed && c.Spawn != nil {
-		for i := range c.run.Workers {
-			if err := c.Spawn(i, c.run.Address); err != nil {
-				return nil, 0, 0, fmt.Errorf("worker %d: %w", i, err)
+		for worker := range c.run.Workers {
+			err := c.Spawn(worker, c.run.Address)
+			if err != nil {
+				return nil, 0, 0, fmt.Errorf("worker %d: %w", worker, err)
 			}
 		}
 	}
 	for tick := 0; ; tick++ {
-		time.Sleep(renewal / 2)
-		c.mu.Lock()
-		if c.killed {
-			c.mu.Unlock()
-			return nil, 0, 0, errKilled
-		}
-		c.muster.Tick(c.now())
-		over := c.muster.Finished()
-		if c.Progress != nil && tick%10 == 0 {
-			var open int64
-			for _, n := range c.open {
-				open += n
-			}
-			c.Progress(c.now(), c.figures.Total(), c.figures.Total(), open)
+		time.Sleep(renewalInterval / 2)
+		finished, err := c.tick(tick%progressInterval == 0)
+		if err != nil {
+			return nil, 0, 0, err
 		}
-		c.mu.Unlock()
-		if over {
+		if finished {
 			break
 		}
 	}
 	c.mu.Lock()
-	for i := range c.links {
-		c.send(i, frameEnd, nil)
+	for worker := range c.connections {
+		c.send(worker, frameEnd, nil)
 	}
 	c.mu.Unlock()
-	time.Sleep(renewal) // workers that don't hear of the end look for another coordinator for a while
+	time.Sleep(renewalInterval) // workers that don't receive frameEnd look for another coordinator for a while
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.killed = true // what comes now is no part of it
-	notSent, unknown, err := c.settle()
-	return c.figures, notSent, unknown, err
+	c.killed = true // what comes now is not counted
+	notSent, unknown, err = c.countUnreported()
+	return c.metrics, notSent, unknown, err
 }
 
-var errKilled = errors.New("the coordinator was killed")
+func (c *Coordinator) prepare() {
+	load := &c.run.Load
+	names, objectives := make([]string, len(load.Classes)), make([]time.Duration, len(load.Classes))
+	for index, class := range load.Classes {
+		names[index], objectives[index] = class.Name, class.LatencyObjective
+	}
+	c.metrics = stats.New(names, objectives)
+	c.connections = make([]*connection, c.run.Workers)
+	c.received, c.openSessions = make([]int64, c.run.Workers), make([]int64, c.run.Workers)
+	c.skipped = map[uint64]bool{}
+	c.registry = NewRegistry(c.now(), c.run.Workers, c.run.Drop, c.resumed, registryHost{c})
+}
+
+// tick lets the registry act, and tells whether the run is finished.
+func (c *Coordinator) tick(reportProgress bool) (finished bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.killed {
+		return false, errKilled
+	}
+	c.registry.Tick(c.now())
+	finished = c.registry.Finished()
+	if c.Progress != nil && reportProgress {
+		var open int64
+		for _, sessions := range c.openSessions {
+			open += sessions
+		}
+		c.Progress(c.now(), c.metrics.Total(), c.metrics.Total(), open)
+	}
+	return finished, nil
+}
 
 // Kill ends a coordinator as its process's death would.
 func (c *Coordinator) Kill() {
@@ -178,24 +173,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.killed = true
-	for _, l := range c.links {
-		if l != nil {
-			l.tcp.Close()
+	for _, open := range c.connections {
+		if open != nil {
+			open.tcp.Close()
 		}
 	}
 }
 
-// settle counts what nobody reported.
-func (c *Coordinator) settle() (notSent, unknown int64, err error) {
-	l := &c.run.Load
-	s, err := arrival.NewSchedule(l.Shape, l.Classes, l.Seed, l.Length)
+// countUnreported counts the requests that no worker reported.
+func (c *Coordinator) countUnreported() (notSent, unknown int64, err error) {
+	load := &c.run.Load
+	schedule, err := arrival.NewSchedule(load.Shape, load.Classes, load.Seed, load.Length)
 	if err != nil {
 		return 0, 0, err
 	}
-	for t, ok := s.Next(); ok; t, ok = s.Next() {
+	for request, ok := schedule.Next(); ok; request, ok = schedule.Next() {
 		switch {
-		case c.figures.HasOutcome(t.Number):
-		case c.skipped[t.Number] || !c.muster.MayHaveBeenSent(t.Number, t.At):
+		case c.metrics.HasOutcome(request.Number):
+		case c.skipped[request.Number] || !c.registry.MayHaveBeenSent(request.Number, request.At):
 			notSent++
 		default:
 			unknown++
@@ -203,92 +198,3 @@
 	}
 	return notSent, unknown, nil
 }
-
-func (c *Coordinator) accept() {
-	for {
-		tcp, err := c.listener.Accept()
-		if err != nil {
-			return
-		}
-		go c.serve(newLink(tcp))
-	}
-}
-
-// serve takes a worker's frames.
-func (c *Coordinator) serve(l *link) {
-	defer l.tcp.Close()
-	kind, payload, err := l.read()
-	var h hello
-	if err != nil || kind != frameHello || json.Unmarshal(payload, &h) != nil || h.Run != c.run.ID && h.Run != "" ||
-		h.Worker < 0 || h.Worker >= c.run.Workers {
-		return
-	}
-	w := h.Worker
-	go l.writer()
-	defer close(l.out)
-	c.mu.Lock()
-	if c.killed {
-		c.mu.Unlock()
-		return
-	}
-	if old := c.links[w]; old != nil {
-		old.tcp.Close()
-	}
-	c.links[w] = l
-	c.send(w, frameLoad, struct {
-		Run
-		Got int64 `json:"got"`
-	}{c.run, c.got[w]})
-	c.muster.HandleJoin(c.now(), w, h.Losses, h.Until)
-	c.mu.Unlock()
-	for {
-		kind, payload, err := l.read()
-		c.mu.Lock()
-		if err != nil || c.killed || c.links[w] != l {
-			if c.links[w] == l {
-				c.links[w] = nil
-				if !c.killed {
-					c.muster.HandleDisconnect(c.now(), w)
-				}
-			}
-			c.mu.Unlock()
-			return
-		}
-		c.take(w, kind, payload)
-		c.mu.Unlock()
-	}
-}
-
-func (c *Coordinator) take(w int, kind byte, payload []byte) {
-	switch kind {
-	case frameBeat:
-		var b beat
-		if json.Unmarshal(payload, &b) == nil {
-			c.open[w] = b.Open
-			c.muster.HandleHeartbeat(c.now(), w, b.Horizon, b.Done)
-		}
-	case frameTook:
-		took := map[int]time.Duration{}
-		if json.Unmarshal(payload, &took) == nil {
-			for loss, from := range took {
-				c.muster.HandleTakeover(w, loss, from)
-			}
-		}
-	case frameReports:
-		var r client.Report
-		var t arrival.Request
-		for ; len(payload) >= reportSize; payload = payload[reportSize:] {
-			unpackReport(payload, &r, &t)
-			c.got[w]++
-			if t.Class >= len(c.figures.Classes) {
-				continue
-			}
-			if r.Outcome == skipped {
-				c.skipped[t.Number] = true
-				continue
-			}
-			c.figures.RecordOffered(t.At)
-			c.figures.RecordFinished(&r)
-		}
-	}
-}
--- /dev/null
+++ b/internal/testbed/load/workers/coordinator_connections.go
@@ -0,0 +1,159 @@
+package workers
+
+import (
+	"encoding/json"
+	"time"
+
+	"magpiebank/internal/testbed/load/arrival"
+	"magpiebank/internal/testbed/load/client"
+)
+
+// registryHost carries out the registry's decisions for the coordinator, whose lock is held meanwhile. Frames are written
+// by a goroutine of each connection, so that a worker that doesn't read can't hold up the others.
+type registryHost struct{ coordinator *Coordinator }
+
+// GrantLease implements RegistryHost.
+func (h registryHost) GrantLease(worker int, until time.Duration) {
+	h.coordinator.send(worker, frameGrant, until)
+}
+
+// SendLosses implements RegistryHost.
+func (h registryHost) SendLosses(worker int, losses []Loss) {
+	h.coordinator.send(worker, frameLosses, append([]Loss{}, losses...))
+}
+
+// LogEvent implements RegistryHost.
+func (h registryHost) LogEvent(text string) {
+	if h.coordinator.Log != nil {
+		h.coordinator.Log(text)
+	}
+}
+
+// send queues a frame for a worker that is connected. It closes the connection of one that has left too many unread.
+func (c *Coordinator) send(worker int, kind byte, message any) {
+	target := c.connections[worker]
+	if target == nil {
+		return
+	}
+	payload, err := json.Marshal(message)
+	if err != nil {
+		return
+	}
+	select {
+	case target.outgoing <- frame{kind, payload}:
+	default:
+		target.tcp.Close()
+	}
+}
+
+func (c *Coordinator) acceptConnections() {
+	for {
+		tcp, err := c.listener.Accept()
+		if err != nil {
+			return
+		}
+		go c.serveConnection(newConnection(tcp)) // ends with its connection
+	}
+}
+
+// serveConnection handles a worker's frames until its connection ends or another takes its place.
+func (c *Coordinator) serveConnection(served *connection) {
+	defer served.tcp.Close()
+	kind, payload, err := served.read()
+	if err != nil || kind != frameHello {
+		return
+	}
+	var greeting hello
+	if json.Unmarshal(payload, &greeting) != nil || !c.accepts(&greeting) {
+		return
+	}
+	go served.writeQueued()
+	defer close(served.outgoing)
+	if !c.register(served, &greeting) {
+		return
+	}
+	for {
+		kind, payload, err := served.read()
+		if !c.handleRead(served, greeting.Worker, frame{kind, payload}, err) {
+			return
+		}
+	}
+}
+
+func (c *Coordinator) accepts(greeting *hello) bool {
+	return (greeting.Run == c.run.ID || greeting.Run == "") && greeting.Worker >= 0 && greeting.Worker < c.run.Workers
+}
+
+// register makes a connection its worker's, in place of an older one. It returns false where the coordinator has ended.
+func (c *Coordinator) register(joining *connection, greeting *hello) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.killed {
+		return false
+	}
+	worker := greeting.Worker
+	if old := c.connections[worker]; old != nil {
+		old.tcp.Close()
+	}
+	c.connections[worker] = joining
+	c.send(worker, frameLoad, loadMessage{c.run, c.received[worker]})
+	c.registry.HandleJoin(c.now(), worker, greeting.Losses, greeting.Until)
+	return true
+}
+
+// handleRead handles the result of one read; it tells whether the connection is still the worker's.
+func (c *Coordinator) handleRead(served *connection, worker int, read frame, err error) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.connections[worker] != served {
+		return false
+	}
+	if err != nil || c.killed {
+		c.connections[worker] = nil
+		if !c.killed {
+			c.registry.HandleDisconnect(c.now(), worker)
+		}
+		return false
+	}
+	c.handleFrame(worker, read.kind, read.payload)
+	return true
+}
+
+// handleFrame handles a worker's frame; one that can't be read is ignored.
+func (c *Coordinator) handleFrame(worker int, kind byte, payload []byte) {
+	switch kind {
+	case frameHeartbeat:
+		var received heartbeat
+		if json.Unmarshal(payload, &received) == nil {
+			c.openSessions[worker] = received.Open
+			c.registry.HandleHeartbeat(c.now(), worker, received.Horizon, received.Done)
+		}
+	case frameTakeovers:
+		takeovers := map[int]time.Duration{}
+		if json.Unmarshal(payload, &takeovers) == nil {
+			for loss, from := range takeovers {
+				c.registry.HandleTakeover(worker, loss, from)
+			}
+		}
+	case frameReports:
+		for ; len(payload) >= reportSize; payload = payload[reportSize:] {
+			c.recordReport(worker, payload)
+		}
+	}
+}
+
+func (c *Coordinator) recordReport(worker int, packed []byte) {
+	var report client.Report
+	var request arrival.Request
+	unpackReport(packed, &report, &request)
+	c.received[worker]++
+	if request.Class >= len(c.metrics.Classes) {
+		return
+	}
+	if report.Outcome == skipped {
+		c.skipped[request.Number] = true
+		return
+	}
+	c.metrics.RecordOffered(request.At)
+	c.metrics.RecordFinished(&report)
+}
--- a/internal/testbed/load/workers/format_test.go
+++ b/internal/testbed/load/workers/format_test.go
@@ -9,25 +9,19 @@
 	"magpiebank/internal/testbed/load/client"
 )
 
-// runMessage is what a worker is told to send.
-type runMessage struct {
-	Run
-	Got int64 `json:"got"`
-}
-
 func TestMessagesOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
 	t.Run("hello", func(t *testing.T) {
 		golden.CheckRoundTrip(t, "hello", golden.DecodeJSON[hello], golden.EncodeJSON)
 	})
 	t.Run("beat", func(t *testing.T) {
-		golden.CheckRoundTrip(t, "beat", golden.DecodeJSON[beat], golden.EncodeJSON)
+		golden.CheckRoundTrip(t, "beat", golden.DecodeJSON[heartbeat], golden.EncodeJSON)
 	})
 	t.Run("losses", func(t *testing.T) {
 		golden.CheckRoundTrip(t, "losses", golden.DecodeJSON[[]Loss], golden.EncodeJSON)
 	})
 	t.Run("run", func(t *testing.T) {
 		form := golden.Read(t, "run.form")
-		message, err := golden.DecodeJSON[runMessage](form)
+		message, err := golden.DecodeJSON[loadMessage](form)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,5 +53,5 @@
 }
 
 func TestFrameKindsAreThoseOfEarlierVersion(t *testing.T) {
-	golden.CheckValues(t, "kinds", []int{frameHello, frameLoad, frameGrant, frameLosses, frameTook, frameBeat, frameReports, frameEnd})
+	golden.CheckValues(t, "kinds", []int{frameHello, frameLoad, frameGrant, frameLosses, frameTakeovers, frameHeartbeat, frameReports, frameEnd})
 }
--- a/internal/testbed/load/workers/registry.go
+++ b/internal/testbed/load/workers/registry.go
@@ -8,296 +8,224 @@
 	"time"
 )
 
-// Times of the membership. A worker may send what is intended before its lease ends. The lease is renewed ten times as
-// often as it must be, for those that were heard of in half of it; so a silent worker is lost within one and a half
-// leases, which is under a second.
 const (
+	// LeasePeriod is for how long a lease runs. A worker may send what is intended before its lease ends.
 	LeasePeriod = 600 * time.Millisecond
-	renewal     = LeasePeriod / 10
-	silence     = LeasePeriod / 2
-	// A worker that is so far behind its schedule is as good as lost: it would offer another load than the one asked for.
-	behind = LeasePeriod / 2
-	// Processes take a while to start.
-	starting = time.Second
-	// Orphan is how long workers go on after their coordinator was last proven dead. Another one waits as long for workers
-	// that it hasn't seen.
+	// renewalInterval is the time between renewals, which come ten times as often as they must; so a silent worker is
+	// lost within one and a half leases, which is under a second.
+	renewalInterval = LeasePeriod / 10
+	// maxSilence is for how long a worker may send no heartbeat and have its lease renewed.
+	maxSilence = LeasePeriod / 2
+	// maxLag is how far a worker may be behind its schedule. One that is further behind offers another load than the one
+	// that was asked for, so it is treated as lost.
+	maxLag = LeasePeriod / 2
+	// startupPeriod is how long processes may take to start.
+	startupPeriod = time.Second
+	// OrphanPeriod is how long workers go on after their coordinator was last proven dead. Another one waits as long for
+	// workers that it hasn't seen.
 	OrphanPeriod = 5 * time.Second
-	// A late heir begins so long after it heard, as its loops may be in the middle of a request.
-	handover = 50 * time.Millisecond
+	// handoverDelay is the time between an heir's learning of a loss and its first request by it, because its loops may
+	// be in the middle of a request.
+	handoverDelay = 50 * time.Millisecond
 )
 
-// Loss is a worker whose requests from a time on are its heirs'.
-type Loss struct {
-	Worker int           `json:"worker"`
-	From   time.Duration `json:"from_ns"`
-	Heirs  []int         `json:"heirs"` // none: they are not offered
-	Why    string        `json:"why"`
-}
-
-// NoWorker sends a request that is not offered.
-const NoWorker = -1
-
-// Owner tells who sends a request, and by which loss it came to that one (-1: it was that worker's from the start).
-func Owner(n uint64, at time.Duration, workers int, losses []Loss) (owner, by int) {
-	owner, by = int(n%uint64(workers)), -1
-	for i := range losses {
-		l := &losses[i]
-		if l.Worker != owner || at < l.From {
-			continue
-		}
-		if by = i; len(l.Heirs) == 0 {
-			return NoWorker, i
-		}
-		owner = l.Heirs[(n/uint64(workers)+uint64(i))%uint64(len(l.Heirs))]
-	}
-	return owner, by
-}
-
-// RegistryHost is what the coordinator's decisions act on.
+// RegistryHost carries out the registry's decisions.
 type RegistryHost interface {
-	Grant(worker int, until time.Duration)
-	Losses(worker int, losses []Loss) // the whole list so far
+	GrantLease(worker int, until time.Duration)
+	SendLosses(worker int, losses []Loss) // the whole list so far
 	LogEvent(text string)
 }
 
 type member struct {
-	joined  bool
-	here    bool // its connection is open
-	lost    bool
-	done    bool
-	slow    bool // it fell behind, so its lease is not renewed
-	waits   bool // it has no lease yet
-	heard   time.Duration
-	granted time.Duration // until when its lease runs
-	took    map[int]time.Duration
-}
-
-// Registry decides for the coordinator who is a member and who is lost. All times count from the start of the run. Who is
-// lost is decided only when no lease of that worker can run any more, or its process has ended: then it can't take the
-// coordinator's death, should that come next, for leave to go on.
+	joined       bool
+	connected    bool
+	lost         bool
+	done         bool
+	slow         bool // it fell behind, so its lease is not renewed
+	awaitsLease  bool // it gets no lease before all workers have joined
+	lastHeard    time.Duration
+	leaseUntil   time.Duration
+	takeoverFrom map[int]time.Duration // by the index of the loss
+}
+
+// Registry decides for the coordinator who is a member and who is lost. All times count from the start of the run. A
+// worker is declared lost only when no lease of it can run any more, or its process has ended: otherwise it could go on
+// sending as an orphan, should the coordinator die next.
 type Registry struct {
-	host    RegistryHost
-	members []member
-	losses  []Loss
-	drop    bool
-	begun   time.Duration
-	renewed time.Duration
-	resumed bool
+	host      RegistryHost
+	members   []member
+	losses    []Loss
+	drop      bool
+	startedAt time.Duration
+	renewedAt time.Duration
+	resumed   bool
 }
 
-// NewRegistry begins a run of so many workers. drop: a lost one's requests are not offered. resumed: workers are out there
-// that another coordinator had started.
+// NewRegistry begins a run of so many workers. drop: a lost worker's requests are not offered. resumed: the workers were
+// started by another coordinator.
 func NewRegistry(now time.Duration, workers int, drop, resumed bool, host RegistryHost) *Registry {
-	m := &Registry{host: host, members: make([]member, workers), drop: drop, begun: now, renewed: now, resumed: resumed}
-	for i := range m.members {
-		m.members[i].heard = now
+	registry := &Registry{host: host, members: make([]member, workers), drop: drop, startedAt: now, renewedAt: now, resumed: resumed}
+	for worker := range registry.members {
+		registry.members[worker].lastHeard = now
 	}
-	return m
+	return registry
 }
 
-// HandleJoin takes in that a worker's connection is open. known is the list of losses that it goes by, until is when its own
-// lease ends. The coordinator before may have given up one whose lease has ended, and who knows of that may be still to
-// come: it gets no lease before all have.
-func (m *Registry) HandleJoin(now time.Duration, worker int, known []Loss, until time.Duration) {
-	if len(known) > len(m.losses) { // of the coordinator before
-		for _, l := range known[len(m.losses):] {
-			m.losses = append(m.losses, l)
-			m.members[l.Worker].lost = true
+// HandleJoin registers a worker whose connection is open. known is the list of losses that it goes by, until is when its
+// own lease ends. The coordinator before may have given up a worker whose lease has ended, and those that know of it may
+// not have joined yet, so such a worker gets no lease before all have joined.
+func (r *Registry) HandleJoin(now time.Duration, worker int, known []Loss, until time.Duration) {
+	if len(known) > len(r.losses) { // of the coordinator before
+		for _, loss := range known[len(r.losses):] {
+			r.losses = append(r.losses, loss)
+			r.members[loss.Worker].lost = true
 		}
-		m.tell()
+		r.broadcastLosses()
 	}
-	w := &m.members[worker]
-	w.joined, w.here, w.heard = true, true, now
-	w.waits = m.resumed && until <= now
-	w.granted = max(w.granted, until) // as an orphan it may have a longer one than this coordinator gave
-	m.host.Losses(worker, m.losses)
-	m.grant(now, worker)
+	joined := &r.members[worker]
+	joined.joined, joined.connected, joined.lastHeard = true, true, now
+	joined.awaitsLease = r.resumed && until <= now
+	joined.leaseUntil = max(joined.leaseUntil, until) // as an orphan it may have a longer one than this coordinator granted
+	r.host.SendLosses(worker, r.losses)
+	r.grantLease(now, worker)
 }
 
-func (m *Registry) tell() {
-	for i := range m.members {
-		if m.members[i].here {
-			m.host.Losses(i, m.losses)
+func (r *Registry) broadcastLosses() {
+	for worker := range r.members {
+		if r.members[worker].connected {
+			r.host.SendLosses(worker, r.losses)
 		}
 	}
 }
 
-func (m *Registry) grant(now time.Duration, worker int) {
-	if w := &m.members[worker]; !w.lost && !w.waits {
-		w.granted = max(w.granted, now+LeasePeriod)
-		m.host.Grant(worker, now+LeasePeriod)
+func (r *Registry) grantLease(now time.Duration, worker int) {
+	if granted := &r.members[worker]; !granted.lost && !granted.awaitsLease {
+		granted.leaseUntil = max(granted.leaseUntil, now+LeasePeriod)
+		r.host.GrantLease(worker, now+LeasePeriod)
 	}
 }
 
-// HandleHeartbeat takes in a worker's word: how far it is in the schedule, and whether all that it sends has ended.
-func (m *Registry) HandleHeartbeat(now time.Duration, worker int, horizon time.Duration, done bool) {
-	w := &m.members[worker]
-	w.heard, w.done = now, done
-	w.slow = w.slow || !done && horizon < min(now, now-behind) && now > behind
+// HandleHeartbeat records how far a worker is in the schedule, and whether all that it sends has ended.
+func (r *Registry) HandleHeartbeat(now time.Duration, worker int, horizon time.Duration, done bool) {
+	sender := &r.members[worker]
+	sender.lastHeard, sender.done = now, done
+	sender.slow = sender.slow || !done && horizon < min(now, now-maxLag) && now > maxLag
 }
 
-// HandleDisconnect takes in that a worker's connection ended.
-func (m *Registry) HandleDisconnect(now time.Duration, worker int) {
-	m.members[worker].here = false
-	m.Tick(now)
+// HandleDisconnect records that a worker's connection ended.
+func (r *Registry) HandleDisconnect(now time.Duration, worker int) {
+	r.members[worker].connected = false
+	r.Tick(now)
 }
 
-// HandleTakeover takes in from when on a worker sends what a loss brought it.
-func (m *Registry) HandleTakeover(worker, loss int, from time.Duration) {
-	w := &m.members[worker]
-	if w.took == nil {
-		w.took = map[int]time.Duration{}
+// HandleTakeover records from when on a worker sends what a loss brought it.
+func (r *Registry) HandleTakeover(worker, loss int, from time.Duration) {
+	heir := &r.members[worker]
+	if heir.takeoverFrom == nil {
+		heir.takeoverFrom = map[int]time.Duration{}
 	}
-	w.took[loss] = from
+	heir.takeoverFrom[loss] = from
 }
 
-// settled tells whether nobody can be out there who knows of losses that this coordinator doesn't.
-func (m *Registry) settled(now time.Duration) bool {
-	if !m.resumed || now >= m.begun+OrphanPeriod {
+// knowsAllLosses tells whether no worker can know of losses that this coordinator doesn't know of.
+func (r *Registry) knowsAllLosses(now time.Duration) bool {
+	if !r.resumed || now >= r.startedAt+OrphanPeriod {
 		return true
 	}
-	for i := range m.members {
-		if !m.members[i].joined {
+	for worker := range r.members {
+		if !r.members[worker].joined {
 			return false
 		}
 	}
 	return true
 }
 
-// Tick looks for the lost and renews leases; it is called some twenty times a second.
-func (m *Registry) Tick(now time.Duration) {
-	for i := range m.members {
-		w := &m.members[i]
-		if w.waits && m.settled(now) {
-			w.waits = false
-			m.grant(now, i)
-		}
-		if w.lost || w.done || !m.settled(now) {
-			continue
-		}
-		switch {
-		case !w.joined:
-			if now >= w.granted && now > max(0, m.begun+starting) {
-				m.lose(i, "it never came")
-			}
-		case !w.here:
-			m.lose(i, "its connection ended")
-		case now >= w.granted && w.slow:
-			m.lose(i, "it fell behind the schedule")
-		case now >= w.granted:
-			m.lose(i, "nothing was heard of it")
-		}
+// Tick declares workers lost and renews leases; it is called some twenty times a second.
+func (r *Registry) Tick(now time.Duration) {
+	for worker := range r.members {
+		r.checkMember(now, worker)
 	}
-	if now-m.renewed < renewal {
+	if now-r.renewedAt < renewalInterval {
 		return
 	}
-	m.renewed = now
-	for i := range m.members {
-		if w := &m.members[i]; w.here && !w.done && !w.slow && now-w.heard < silence {
-			m.grant(now, i)
+	r.renewedAt = now
+	for worker := range r.members {
+		renewed := &r.members[worker]
+		if renewed.connected && !renewed.done && !renewed.slow && now-renewed.lastHeard < maxSilence {
+			r.grantLease(now, worker)
 		}
 	}
 }
 
-// lose gives a worker's share away from the end of its lease on.
-func (m *Registry) lose(worker int, why string) {
-	w := &m.members[worker]
-	w.lost = true
-	l := Loss{Worker: worker, From: max(w.granted, 0), Why: why}
-	if !m.drop {
-		for i := range m.members {
-			if o := &m.members[i]; !o.lost && o.here && !o.done {
-				l.Heirs = append(l.Heirs, i)
+// checkMember grants a worker the lease that it waits for, or declares it lost.
+func (r *Registry) checkMember(now time.Duration, worker int) {
+	checked := &r.members[worker]
+	if checked.awaitsLease && r.knowsAllLosses(now) {
+		checked.awaitsLease = false
+		r.grantLease(now, worker)
+	}
+	if checked.lost || checked.done || !r.knowsAllLosses(now) {
+		return
+	}
+	leaseOver := now >= checked.leaseUntil
+	switch {
+	case !checked.joined:
+		if leaseOver && now > max(0, r.startedAt+startupPeriod) {
+			r.declareLost(worker, "it never came")
+		}
+	case !checked.connected:
+		r.declareLost(worker, "its connection ended")
+	case leaseOver && checked.slow:
+		r.declareLost(worker, "it fell behind the schedule")
+	case leaseOver:
+		r.declareLost(worker, "nothing was heard of it")
+	}
+}
+
+// declareLost gives a worker's requests to its heirs from the end of its lease on.
+func (r *Registry) declareLost(worker int, why string) {
+	lost := &r.members[worker]
+	lost.lost = true
+	loss := Loss{Worker: worker, From: max(lost.leaseUntil, 0), Why: why}
+	if !r.drop {
+		for heir := range r.members {
+			if other := &r.members[heir]; !other.lost && other.connected && !other.done {
+				loss.Heirs = append(loss.Heirs, heir)
 			}
 		}
 	}
-	m.losses = append(m.losses, l)
-	m.host.LogEvent(fmt.Sprintf("worker %d is lost: %s", worker, why))
-	m.tell()
+	r.losses = append(r.losses, loss)
+	r.host.LogEvent(fmt.Sprintf("worker %d is lost: %s", worker, why))
+	r.broadcastLosses()
 }
 
-// Finished tells whether nobody is left who has something to send or to tell.
-func (m *Registry) Finished() bool {
-	for i := range m.members {
-		if w := &m.members[i]; !w.done && !(w.lost && (!w.here || w.silentFor(m.renewed) > OrphanPeriod)) {
+// Finished tells whether no worker is left that has something to send or to report.
+func (r *Registry) Finished() bool {
+	for worker := range r.members {
+		checked := &r.members[worker]
+		gone := checked.lost && (!checked.connected || r.renewedAt-checked.lastHeard > OrphanPeriod)
+		if !checked.done && !gone {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *member) silentFor(now time.Duration) time.Duration { return now - w.heard }
-
-// Losses is the list of losses.
-func (m *Registry) Losses() []Loss { return m.losses }
+// Losses returns the list of losses.
+func (r *Registry) Losses() []Loss { return r.losses }
 
-// MayHaveBeenSent tells what is known of a request that nobody has reported: unknown, when a worker that was lost may have sent it,
-// or not offered.
-func (m *Registry) MayHaveBeenSent(n uint64, at time.Duration) (unknown bool) {
-	owner, by := Owner(n, at, len(m.members), m.losses)
+// MayHaveBeenSent tells of a request that nobody has reported whether a lost worker may have sent it (unknown), or it was
+// not offered.
+func (r *Registry) MayHaveBeenSent(number uint64, at time.Duration) (unknown bool) {
+	owner, byLoss := Owner(number, at, len(r.members), r.losses)
 	if owner == NoWorker {
 		return false
 	}
-	w := &m.members[owner]
-	if by >= 0 {
-		if took, ok := w.took[by]; !ok || at < took {
+	if byLoss >= 0 {
+		from, ok := r.members[owner].takeoverFrom[byLoss]
+		if !ok || at < from {
 			return false // it was not the heir's yet
 		}
 	}
 	return true
 }
-
-// Assignment decides, for one worker, which requests are its own. Its loops ask from their goroutines; the view that they see
-// is changed as a whole.
-type Assignment struct {
-	Worker, Workers int
-	LeaseUntil      time.Duration // of the lease
-	Losses          []Loss
-	TakeoverFrom    []time.Duration // by loss: from when on this worker sends what came by it
-}
-
-// Owns tells whether a request is this worker's, and whether it would be but for the lease.
-func (s *Assignment) Owns(n uint64, at time.Duration) (mine, skipped bool) {
-	owner, by := Owner(n, at, s.Workers, s.Losses)
-	if owner != s.Worker || by >= 0 && at < s.TakeoverFrom[by] {
-		return false, false
-	}
-	if at >= s.LeaseUntil {
-		return false, true
-	}
-	return true, false
-}
-
-// WithLease is the share with a lease that a coordinator told.
-func (s *Assignment) WithLease(until time.Duration) *Assignment {
-	next := *s
-	next.LeaseUntil = max(s.LeaseUntil, until)
-	return &next
-}
-
-// WithoutCoordinator is the share now that no coordinator is there, which is proven. With a lease that still runs this worker can't
-// have been given up, and another coordinator, which can't have begun yet, waits for Orphan before it does so.
-func (s *Assignment) WithoutCoordinator(now time.Duration) *Assignment {
-	if now >= s.LeaseUntil {
-		return s
-	}
-	return s.WithLease(now + OrphanPeriod)
-}
-
-// WithLosses is the share with a list of losses that is heard of now; took tells from when on this worker sends what the
-// new ones bring.
-func (s *Assignment) WithLosses(now time.Duration, losses []Loss) (next *Assignment, took map[int]time.Duration) {
-	if len(losses) < len(s.Losses) { // an older list
-		return s, nil
-	}
-	n := *s
-	n.Losses = losses
-	n.TakeoverFrom = append([]time.Duration(nil), s.TakeoverFrom...)
-	took = map[int]time.Duration{}
-	for i := len(s.TakeoverFrom); i < len(losses); i++ {
-		from := max(losses[i].From, now+handover) // it may have passed some of them by already
-		n.TakeoverFrom = append(n.TakeoverFrom, from)
-		took[i] = from
-	}
-	return &n, took
-}
