--- /dev/null
+++ b/internal/testbed/faultproxy/datagrams.go
@@ -0,0 +1,110 @@
+package faultproxy
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"time"
+)
+
+const (
+	maxDatagramBytes  = 2048
+	socketBufferBytes = 1 << 20
+)
+
+// RegisterSender names the process that sends datagrams from an address.
+func (n *Network) RegisterSender(address, name string) error {
+	sender, err := netip.ParseAddrPort(address)
+	if err != nil {
+		return err
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.senders[sender] = name
+	return nil
+}
+
+// datagramRelay relays datagrams to one receiver.
+type datagramRelay struct {
+	network *Network
+	socket  *net.UDPConn
+	to      string
+	target  netip.AddrPort
+}
+
+// RelayDatagrams opens a relay to one receiver, and returns its address, which senders use in place of the receiver's.
+func (n *Network) RelayDatagrams(to, target string) (string, error) {
+	receiver, err := netip.ParseAddrPort(target)
+	if err != nil {
+		return "", err
+	}
+	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
+	if err != nil {
+		return "", fmt.Errorf("relay to %s: %w", to, err)
+	}
+	_ = socket.SetReadBuffer(socketBufferBytes) // a smaller buffer only drops more at peaks
+	n.closeWithNetwork(socket)
+	relay := &datagramRelay{network: n, socket: socket, to: to, target: receiver}
+	go relay.run()
+	return socket.LocalAddr().String(), nil
+}
+
+// run relays datagrams until the socket is closed.
+func (r *datagramRelay) run() {
+	for {
+		buffer := make([]byte, maxDatagramBytes) // delayed datagrams keep theirs
+		size, source, err := r.socket.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue
+		}
+		r.relay(netip.AddrPortFrom(source.Addr().Unmap(), source.Port()), buffer[:size])
+	}
+}
+
+// relay sends a datagram on by the rules, in no copy, one or two.
+func (r *datagramRelay) relay(source netip.AddrPort, datagram []byte) {
+	for _, delay := range r.network.planDatagram(source, r.to, datagram) {
+		if delay == 0 {
+			r.send(datagram)
+		} else {
+			time.AfterFunc(delay, func() { r.send(datagram) })
+		}
+	}
+}
+
+func (r *datagramRelay) send(datagram []byte) {
+	_, _ = r.socket.WriteToUDPAddrPort(datagram, r.target) // a datagram that can't be sent is lost, as on any network
+}
+
+// planDatagram counts a datagram and returns the delay of each of its copies. It may flip a bit of it.
+func (n *Network) planDatagram(source netip.AddrPort, to string, datagram []byte) (delays []time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	d := direction{n.senders[source], to}
+	rule := n.effectiveRule(d)
+	n.counts.Datagrams++
+	n.counts.Bytes += int64(len(datagram))
+	copies := 1
+	if rule.Cut || rule.Loss > 0 && n.random.Float64() < rule.Loss {
+		copies = 0
+		n.counts.Dropped++
+	} else if rule.Duplicate > 0 && n.random.Float64() < rule.Duplicate {
+		copies = 2
+		n.counts.Duplicated++
+	}
+	for range copies {
+		delay := n.delay(&rule, d, len(datagram))
+		if rule.Reorder > 0 && n.random.Float64() < rule.Reorder {
+			delay += reorderDelay
+		}
+		delays = append(delays, delay)
+	}
+	if copies > 0 {
+		n.maybeCorrupt(&rule, datagram)
+	}
+	return delays
+}
--- a/internal/testbed/faultproxy/network.go
+++ b/internal/testbed/faultproxy/network.go
@@ -1,13 +1,10 @@
-// Package faultproxy stands between the processes of an installation: every message of theirs passes a relay here, which cuts,
-// loses, delays, doubles, reorders, flips or slows it, in each direction by itself. All of it is on loopback.
+// Package faultproxy relays all messages between the processes of an installation, and cuts, drops, delays, duplicates, reorders,
+// corrupts or throttles them, by rules for each direction. All of it is on loopback.
 package faultproxy
 
 import (
-	"errors"
-	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/netip"
 	"path"
 	"slices"
@@ -15,40 +12,45 @@
 	"time"
 )
 
-// Rule is what a link meets in one direction. For streams, loss, doubling and reordering say nothing, as they keep order and whole.
+// Rule is what happens to messages in one direction of a link. Loss, Duplicate and Reorder don't apply to streams, which keep their
+// bytes complete and in order.
 type Rule struct {
-	Cut       bool          // nothing passes; a stream that is open, or opens, says nothing
+	Cut       bool          // nothing passes; streams stay open, and new ones open, without data
 	Refuse    bool          // connections are reset
 	Loss      float64       // share of datagrams
 	Duplicate float64       // share of datagrams that come twice
-	Reorder   float64       // share of datagrams that come 50 ms later, behind others
-	Corrupt   float64       // share of datagrams, or of a stream's pieces, in which one bit is turned
+	Reorder   float64       // share of datagrams that arrive reorderDelay later, behind others
+	Corrupt   float64       // share of datagrams, or of a stream's chunks, in which one bit is flipped
 	Delay     time.Duration // of all
 	Jitter    time.Duration // how much more, at most
 	Rate      int64         // bytes a second; 0: no limit
 }
 
-// late is how much later a reordered datagram comes: behind what is sent within some ticks of a gateway.
-const late = 50 * time.Millisecond
+// reorderDelay is how much later a reordered datagram arrives: behind what a gateway sends within several of its ticks.
+const reorderDelay = 50 * time.Millisecond
 
-type placed struct {
+// namedRule is a rule with its name and the patterns of the processes between which it holds.
+type namedRule struct {
 	name     string
 	from, to []string
 	rule     Rule
 }
 
+// direction is one direction of a link.
+type direction struct{ from, to string }
+
 // Network is the network of an installation.
 type Network struct {
-	mu      sync.Mutex
-	rules   []placed
-	senders map[netip.AddrPort]string
-	chance  *rand.Rand
-	closers []io.Closer
-	streams map[*stream]bool
-	busy    map[[2]string]time.Time // until when a direction with a rate is taken by what was sent before
-	changed chan struct{}
-	ended   bool
-	counts  Counts
+	mu        sync.Mutex
+	rules     []namedRule
+	senders   map[netip.AddrPort]string
+	random    *rand.Rand
+	closers   []io.Closer
+	streams   map[*stream]bool
+	busyUntil map[direction]time.Time // until when a direction with a rate sends what came before
+	changed   chan struct{}           // closed when the rules change
+	closed    bool
+	counts    Counts
 }
 
 // Counts are what has passed so far.
@@ -56,19 +58,25 @@
 
 // New is a network without faults.
 func New(seed uint64) *Network {
-	return &Network{senders: map[netip.AddrPort]string{}, chance: rand.New(rand.NewPCG(seed, 5)), streams: map[*stream]bool{}, busy: map[[2]string]time.Time{},
-		changed: make(chan struct{})}
+	return &Network{
+		senders:   map[netip.AddrPort]string{},
+		random:    rand.New(rand.NewPCG(seed, 5)),
+		streams:   map[*stream]bool{},
+		busyUntil: map[direction]time.Time{},
+		changed:   make(chan struct{}),
+	}
 }
 
-// SetRule has a rule hold, under a name, for what goes from some to others. Names may have * for any letters.
-func (n *Network) SetRule(name string, from, to []string, r Rule) {
+// SetRule adds a rule, under a name, for messages from some processes to others. from and to are patterns in the form of path.Match.
+// A rule that refuses also resets the open streams.
+func (n *Network) SetRule(name string, from, to []string, rule Rule) {
 	n.mu.Lock()
-	n.rules = append(n.rules, placed{name, from, to, r})
-	n.turn()
+	n.rules = append(n.rules, namedRule{name, from, to, rule})
+	n.notifyChange()
 	var broken []*stream
-	if r.Refuse {
+	if rule.Refuse {
 		for s := range n.streams {
-			if fits(from, s.from) && fits(to, s.to) {
+			if matchesAny(from, s.from) && matchesAny(to, s.to) {
 				broken = append(broken, s)
 			}
 		}
@@ -79,16 +87,16 @@
 	}
 }
 
-// RemoveRule ends the rules of a name; "" ends all.
+// RemoveRule removes the rules of a name, or all rules if the name is empty.
 func (n *Network) RemoveRule(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rules = slices.DeleteFunc(n.rules, func(p placed) bool { return name == "" || p.name == name })
-	n.turn()
+	n.rules = slices.DeleteFunc(n.rules, func(rule namedRule) bool { return name == "" || rule.name == name })
+	n.notifyChange()
 }
 
-// turn wakes what waits for a rule to change.
-func (n *Network) turn() {
+// notifyChange wakes streams that wait for a change of the rules. It is called with the lock held.
+func (n *Network) notifyChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
@@ -100,293 +108,80 @@
 	return n.counts
 }
 
-func fits(patterns []string, name string) bool {
-	for _, p := range patterns {
-		if ok, _ := path.Match(p, name); ok {
+// matchesAny tells whether one of the patterns fits a name.
+func matchesAny(patterns []string, name string) bool {
+	for _, pattern := range patterns {
+		if ok, err := path.Match(pattern, name); err == nil && ok {
 			return true
 		}
 	}
 	return false
 }
 
-// of joins the rules that a direction meets; the worse of each counts. It is called with the lock held.
-func (n *Network) of(from, to string) (r Rule) {
-	for _, p := range n.rules {
-		if !fits(p.from, from) || !fits(p.to, to) {
+// effectiveRule joins the rules that hold for a direction: the worse of each field counts. It is called with the lock held.
+func (n *Network) effectiveRule(d direction) (joined Rule) {
+	for _, named := range n.rules {
+		if !matchesAny(named.from, d.from) || !matchesAny(named.to, d.to) {
 			continue
 		}
-		r.Cut, r.Refuse = r.Cut || p.rule.Cut, r.Refuse || p.rule.Refuse
-		r.Loss, r.Duplicate, r.Reorder, r.Corrupt = max(r.Loss, p.rule.Loss), max(r.Duplicate, p.rule.Duplicate), max(r.Reorder, p.rule.Reorder), max(r.Corrupt, p.rule.Corrupt)
-		r.Delay, r.Jitter = max(r.Delay, p.rule.Delay), max(r.Jitter, p.rule.Jitter)
-		if p.rule.Rate > 0 && (r.Rate == 0 || p.rule.Rate < r.Rate) {
-			r.Rate = p.rule.Rate
+		rule := &named.rule
+		joined.Cut = joined.Cut || rule.Cut
+		joined.Refuse = joined.Refuse || rule.Refuse
+		joined.Loss = max(joined.Loss, rule.Loss)
+		joined.Duplicate = max(joined.Duplicate, rule.Duplicate)
+		joined.Reorder = max(joined.Reorder, rule.Reorder)
+		joined.Corrupt = max(joined.Corrupt, rule.Corrupt)
+		joined.Delay = max(joined.Delay, rule.Delay)
+		joined.Jitter = max(joined.Jitter, rule.Jitter)
+		if rule.Rate > 0 && (joined.Rate == 0 || rule.Rate < joined.Rate) {
+			joined.Rate = rule.Rate
 		}
 	}
-	return r
+	return joined
 }
 
-// wait is how long so many bytes take on their way, by a direction's rule: those before them first, where it has a rate. It is
-// called with the lock held.
-func (n *Network) wait(r *Rule, from, to string, bytes int) time.Duration {
-	wait := r.Delay
-	if r.Jitter > 0 {
-		wait += time.Duration(n.chance.Int64N(int64(r.Jitter)))
+// delay is how long a message of that many bytes takes by a direction's rule; with a rate it waits for those before it. It is called
+// with the lock held.
+func (n *Network) delay(rule *Rule, d direction, bytes int) time.Duration {
+	delay := rule.Delay
+	if rule.Jitter > 0 {
+		delay += time.Duration(n.random.Int64N(int64(rule.Jitter)))
 	}
-	if r.Rate > 0 {
-		now, k := time.Now(), [2]string{from, to}
-		if n.busy[k].Before(now) {
-			n.busy[k] = now
+	if rule.Rate > 0 {
+		now := time.Now()
+		if n.busyUntil[d].Before(now) {
+			n.busyUntil[d] = now
 		}
-		n.busy[k] = n.busy[k].Add(time.Duration(int64(bytes) * int64(time.Second) / r.Rate))
-		wait += n.busy[k].Sub(now)
+		n.busyUntil[d] = n.busyUntil[d].Add(time.Duration(int64(bytes) * int64(time.Second) / rule.Rate))
+		delay += n.busyUntil[d].Sub(now)
 	}
-	return wait
+	return delay
 }
 
-// RegisterSender tells who sends datagrams from an address.
-func (n *Network) RegisterSender(address, name string) error {
-	a, err := netip.ParseAddrPort(address)
-	if err != nil {
-		return err
+// maybeCorrupt flips one bit of a message by a direction's rule. It is called with the lock held.
+func (n *Network) maybeCorrupt(rule *Rule, message []byte) {
+	if rule.Corrupt > 0 && n.random.Float64() < rule.Corrupt && len(message) > 0 {
+		message[n.random.IntN(len(message))] ^= 1 << n.random.IntN(8)
+		n.counts.Corrupted++
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.senders[a] = name
-	return nil
 }
 
-// RelayDatagrams opens a relay to one receiver, and tells its address, which senders use in place of the receiver's.
-func (n *Network) RelayDatagrams(to, target string) (string, error) {
-	out, err := netip.ParseAddrPort(target)
-	if err != nil {
-		return "", err
-	}
-	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
-	if err != nil {
-		return "", fmt.Errorf("relay to %s: %w", to, err)
-	}
-	socket.SetReadBuffer(1 << 20)
-	n.keep(socket)
-	go func() {
-		for {
-			b := make([]byte, 2048)
-			size, source, err := socket.ReadFromUDPAddrPort(b)
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			if err != nil {
-				continue
-			}
-			n.datagram(socket, netip.AddrPortFrom(source.Addr().Unmap(), source.Port()), to, out, b[:size])
-		}
-	}()
-	return socket.LocalAddr().String(), nil
-}
-
-func (n *Network) keep(c io.Closer) {
+// closeWithNetwork has Close close a relay's socket.
+func (n *Network) closeWithNetwork(c io.Closer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closers = append(n.closers, c)
 }
 
-func (n *Network) datagram(socket *net.UDPConn, source netip.AddrPort, to string, target netip.AddrPort, b []byte) {
-	n.mu.Lock()
-	from := n.senders[source]
-	r := n.of(from, to)
-	n.counts.Datagrams++
-	n.counts.Bytes += int64(len(b))
-	copies := 1
-	if r.Cut || r.Loss > 0 && n.chance.Float64() < r.Loss {
-		copies = 0
-		n.counts.Dropped++
-	} else if r.Duplicate > 0 && n.chance.Float64() < r.Duplicate {
-		copies = 2
-		n.counts.Duplicated++
-	}
-	var waits [2]time.Duration
-	for i := range copies {
-		waits[i] = n.wait(&r, from, to, len(b))
-		if r.Reorder > 0 && n.chance.Float64() < r.Reorder {
-			waits[i] += late
-		}
-	}
-	if copies > 0 && r.Corrupt > 0 && n.chance.Float64() < r.Corrupt && len(b) > 0 {
-		b[n.chance.IntN(len(b))] ^= 1 << n.chance.IntN(8)
-		n.counts.Corrupted++
-	}
-	n.mu.Unlock()
-	for _, wait := range waits[:copies] {
-		if wait == 0 {
-			socket.WriteToUDPAddrPort(b, target)
-		} else {
-			time.AfterFunc(wait, func() { socket.WriteToUDPAddrPort(b, target) })
-		}
-	}
-}
-
-// stream is one connection through a relay.
-type stream struct {
-	n        *Network
-	from, to string
-	near     net.Conn // who connected
-	far      net.Conn
-	once     sync.Once
-	gone     chan struct{}
-}
-
-// RelayStream opens a relay for connections from one to another, and tells its address.
-func (n *Network) RelayStream(from, to string, target func() string) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", fmt.Errorf("relay from %s to %s: %w", from, to, err)
-	}
-	n.keep(l)
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go n.connect(c, from, to, target)
-		}
-	}()
-	return l.Addr().String(), nil
-}
-
-func (n *Network) connect(near net.Conn, from, to string, target func() string) {
-	s := &stream{n: n, from: from, to: to, near: near, gone: make(chan struct{})}
-	n.mu.Lock()
-	refuse := n.of(from, to).Refuse || n.ended
-	n.streams[s] = true
-	n.mu.Unlock()
-	defer func() {
-		n.mu.Lock()
-		delete(n.streams, s)
-		n.mu.Unlock()
-	}()
-	if refuse {
-		s.reset()
-		return
-	}
-	if !s.pass(from, to) { // a cut link accepts and says nothing
-		return
-	}
-	far, err := net.DialTimeout("tcp", target(), time.Second)
-	if err != nil {
-		s.reset()
-		return
-	}
-	s.far = far
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); s.pump(near, far, from, to) }()
-	go func() { defer both.Done(); s.pump(far, near, to, from) }()
-	both.Wait()
-	s.end()
-}
-
-// end closes both sides; reset does so without the farewell of a stream.
-func (s *stream) end() {
-	s.once.Do(func() {
-		close(s.gone)
-		s.near.Close()
-		if s.far != nil {
-			s.far.Close()
-		}
-	})
-}
-
-func (s *stream) reset() {
-	for _, c := range []net.Conn{s.near, s.far} {
-		if t, ok := c.(*net.TCPConn); ok && t != nil {
-			t.SetLinger(0)
-		}
-	}
-	s.end()
-}
-
-// pass waits while the direction is cut; false: the stream has ended.
-func (s *stream) pass(from, to string) bool {
-	for {
-		s.n.mu.Lock()
-		cut, changed := s.n.of(from, to).Cut, s.n.changed
-		s.n.mu.Unlock()
-		if !cut {
-			return true
-		}
-		select {
-		case <-changed:
-		case <-s.gone:
-			return false
-		}
-	}
-}
-
-// pump carries one direction, piece by piece and in order. What is closed on one side is closed on the other, once it passes.
-func (s *stream) pump(in, out net.Conn, from, to string) {
-	type piece struct {
-		bytes []byte
-		at    time.Time
-	}
-	pieces := make(chan piece, 256)
-	go func() {
-		defer close(pieces)
-		for {
-			b := make([]byte, 16<<10)
-			k, err := in.Read(b)
-			if k > 0 {
-				s.n.mu.Lock()
-				r := s.n.of(from, to)
-				wait := s.n.wait(&r, from, to, k)
-				if r.Corrupt > 0 && s.n.chance.Float64() < r.Corrupt {
-					b[s.n.chance.IntN(k)] ^= 1 << s.n.chance.IntN(8)
-					s.n.counts.Corrupted++
-				}
-				s.n.mu.Unlock()
-				select {
-				case pieces <- piece{b[:k], time.Now().Add(wait)}:
-				case <-s.gone:
-					return
-				}
-			}
-			if err != nil {
-				return
-			}
-		}
-	}()
-	for p := range pieces {
-		if wait := time.Until(p.at); wait > 0 {
-			select {
-			case <-time.After(wait):
-			case <-s.gone:
-				return
-			}
-		}
-		if !s.pass(from, to) {
-			return
-		}
-		if _, err := out.Write(p.bytes); err != nil {
-			s.end()
-			return
-		}
-	}
-	if !s.pass(from, to) {
-		return
-	}
-	if t, ok := out.(*net.TCPConn); ok {
-		t.CloseWrite()
-	}
-}
-
 // Close ends all relays.
 func (n *Network) Close() {
 	n.mu.Lock()
-	n.ended = true
+	n.closed = true
 	closers, streams := n.closers, n.streams
 	n.closers, n.streams = nil, map[*stream]bool{}
 	n.mu.Unlock()
 	for _, c := range closers {
-		c.Close()
+		_ = c.Close() // a socket that can't be closed is closed already
 	}
 	for s := range streams {
 		s.reset()
--- a/internal/testbed/faultproxy/network_test.go
+++ b/internal/testbed/faultproxy/network_test.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// mouth is one process's socket for datagrams, and the relay by which others reach it.
-type mouth struct {
+// endpoint is one process's socket for datagrams, and the address of the relay through which others reach it.
+type endpoint struct {
 	*net.UDPConn
-	reached *net.UDPAddr
+	relay *net.UDPAddr
 }
 
-func listen(t *testing.T, n *Network, name string) *mouth {
+func listen(t *testing.T, n *Network, name string) *endpoint {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	if err := n.RegisterSender(c.LocalAddr().String(), name); err != nil {
 		t.Fatal(err)
 	}
@@ -36,22 +36,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &mouth{c, a}
+	return &endpoint{c, a}
 }
 
-// hears counts what comes within a time after some were sent to it.
-func (m *mouth) hears(from *mouth, sent int, within time.Duration) (got []string) {
-	for i := range sent {
-		from.WriteToUDP([]byte(fmt.Sprintf("%03d", i)), m.reached)
+// receive returns what arrives within a time after some datagrams were sent to the endpoint.
+func (e *endpoint) receive(t *testing.T, from *endpoint, count int, within time.Duration) (got []string) {
+	t.Helper()
+	for i := range count {
+		if _, err := from.WriteToUDP(fmt.Appendf(nil, "%03d", i), e.relay); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := e.SetReadDeadline(time.Now().Add(within)); err != nil {
+		t.Fatal(err)
 	}
-	b := make([]byte, 100)
-	m.SetReadDeadline(time.Now().Add(within))
+	buffer := make([]byte, 100)
 	for {
-		n, err := m.Read(b)
+		n, err := e.Read(buffer)
 		if err != nil {
 			return got
 		}
-		got = append(got, string(b[:n]))
+		got = append(got, string(buffer[:n]))
 	}
 }
 
@@ -61,7 +66,7 @@
 	defer n.Close()
 	a, b := listen(t, n, "a"), listen(t, n, "b")
 	const some, wait = 100, 200 * time.Millisecond
-	both := func() (int, int) { return len(b.hears(a, some, wait)), len(a.hears(b, some, wait)) }
+	both := func() (int, int) { return len(b.receive(t, a, some, wait)), len(a.receive(t, b, some, wait)) }
 	if there, back := both(); there != some || back != some {
 		t.Errorf("no rule: %d there, %d back", there, back)
 	}
@@ -83,10 +88,10 @@
 		}
 		n.RemoveRule("rule")
 		time.Sleep(1100 * time.Millisecond) // what is late has come
-		b.hears(a, 0, 10*time.Millisecond)
+		b.receive(t, a, 0, 10*time.Millisecond)
 	}
 	n.SetRule("rule", []string{"a"}, []string{"b"}, Rule{Corrupt: 1, Reorder: 0.3})
-	got := b.hears(a, some, wait)
+	got := b.receive(t, a, some, wait)
 	turned, order := 0, 0
 	for i, g := range got {
 		if g != fmt.Sprintf("%03d", i) {
@@ -101,83 +106,108 @@
 	}
 }
 
-// A cut stream stays open and says nothing, and goes on when the cut ends; a refused one breaks.
-func TestStreams(t *testing.T) {
-	n := New(1)
-	defer n.Close()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// echoThroughRelay starts an echo behind a relay from g to e, and returns the relay's address.
+func echoThroughRelay(t *testing.T, n *Network) string {
+	t.Helper()
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	go func() { // an echo
+	t.Cleanup(func() { listener.Close() })
+	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go io.Copy(c, c)
+			go func() { _, _ = io.Copy(c, c) }() // ends with its connection
 		}
 	}()
-	at, err := n.RelayStream("g", "e", func() string { return l.Addr().String() })
+	address, err := n.RelayStream("g", "e", func() string { return listener.Addr().String() })
 	if err != nil {
 		t.Fatal(err)
 	}
-	dial := func() (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", at)
+	return address
+}
+
+// streamClient sends lines through a relay and reads their echoes.
+type streamClient struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+func dialRelay(t *testing.T, address string) (*streamClient, error) {
+	t.Helper()
+	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	t.Cleanup(func() { conn.Close() })
+	return &streamClient{conn, bufio.NewReader(conn)}, nil
+}
+
+// echo sends a line and returns its echo: "silent" if there is none in time, "broken" if the connection ends.
+func (c *streamClient) echo(text string, within time.Duration) string {
+	fmt.Fprintln(c, text)
+	c.SetReadDeadline(time.Now().Add(within))
+	line, err := c.reader.ReadString('\n')
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		return "silent"
+	}
+	if err != nil {
+		return "broken"
+	}
+	return strings.TrimSpace(line)
+}
+
+func expect(t *testing.T, what, got, want string) {
+	t.Helper()
+	if got != want {
+		t.Errorf("%s: %q, expected %q", what, got, want)
+	}
+}
+
+// A cut stream stays open without data, and continues when the cut ends; a refused one breaks.
+func TestStreams(t *testing.T) {
+	n := New(1)
+	defer n.Close()
+	address := echoThroughRelay(t, n)
+	dial := func() *streamClient {
+		c, err := dialRelay(t, address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		return c, bufio.NewReader(c)
-	}
-	say := func(c net.Conn, r *bufio.Reader, text string, within time.Duration) string {
-		fmt.Fprintln(c, text)
-		c.SetReadDeadline(time.Now().Add(within))
-		line, err := r.ReadString('\n')
-		var e net.Error
-		if errors.As(err, &e) && e.Timeout() {
-			return "silent"
-		} else if err != nil {
-			return "broken"
-		}
-		return strings.TrimSpace(line)
-	}
-	want := func(what, got, want string) {
-		t.Helper()
-		if got != want {
-			t.Errorf("%s: %q, expected %q", what, got, want)
-		}
+		return c
 	}
-	c, r := dial()
-	want("no rule", say(c, r, "one", time.Second), "one")
+	c := dial()
+	expect(t, "no rule", c.echo("one", time.Second), "one")
 	for _, way := range [][2]string{{"g", "e"}, {"e", "g"}} {
 		n.SetRule("cut", way[:1], way[1:], Rule{Cut: true})
-		want("cut "+way[0], say(c, r, "two", 100*time.Millisecond), "silent")
-		half, hr := dial() // accepts, and says nothing
-		want("new while cut "+way[0], say(half, hr, "three", 100*time.Millisecond), "silent")
+		expect(t, "cut "+way[0], c.echo("two", 100*time.Millisecond), "silent")
+		half := dial() // the relay accepts it, without data
+		expect(t, "new while cut "+way[0], half.echo("three", 100*time.Millisecond), "silent")
 		n.RemoveRule("cut")
 		c.SetReadDeadline(time.Now().Add(time.Second))
-		line, _ := r.ReadString('\n')
-		want("what was held", strings.TrimSpace(line), "two")
+		line, _ := c.reader.ReadString('\n')
+		expect(t, "what was held", strings.TrimSpace(line), "two")
 	}
 	n.SetRule("slow", []string{"g"}, []string{"e"}, Rule{Rate: 1000})
 	began := time.Now()
-	want("at a rate", say(c, r, strings.Repeat("x", 300), 2*time.Second), strings.Repeat("x", 300))
+	expect(t, "at a rate", c.echo(strings.Repeat("x", 300), 2*time.Second), strings.Repeat("x", 300))
 	if took := time.Since(began); took < 250*time.Millisecond {
 		t.Errorf("300 bytes at 1,000 a second took %v", took)
 	}
 	n.RemoveRule("slow")
 	n.SetRule("refuse", []string{"g"}, []string{"e"}, Rule{Refuse: true})
-	want("refused", say(c, r, "four", time.Second), "broken")
+	expect(t, "refused", c.echo("four", time.Second), "broken")
 	// The reset may reach this side while it still dials, which then fails by it; else the first exchange does.
-	refused, err := net.Dial("tcp", at)
+	refused, err := dialRelay(t, address)
 	if errors.Is(err, syscall.ECONNRESET) {
 		return
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { refused.Close() })
-	want("new while refused", say(refused, bufio.NewReader(refused), "five", time.Second), "broken")
+	expect(t, "new while refused", refused.echo("five", time.Second), "broken")
 }
--- /dev/null
+++ b/internal/testbed/faultproxy/streams.go
@@ -0,0 +1,196 @@
+package faultproxy
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	dialTimeout = time.Second
+	chunkBytes  = 16 << 10
+	// maxChunks is how many chunks of a direction may be on their way.
+	maxChunks = 256
+)
+
+// stream is one connection through a relay.
+type stream struct {
+	network  *Network
+	from, to string
+	near     net.Conn // to the process that connected
+	far      net.Conn
+	once     sync.Once
+	closed   chan struct{}
+}
+
+// chunk is a part of a stream, and when it arrives at the earliest.
+type chunk struct {
+	bytes []byte
+	dueAt time.Time
+}
+
+// RelayStream opens a relay for connections from one process to another, and returns its address.
+func (n *Network) RelayStream(from, to string, target func() string) (string, error) {
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", fmt.Errorf("relay from %s to %s: %w", from, to, err)
+	}
+	n.closeWithNetwork(listener)
+	go func() {
+		for {
+			near, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			s := &stream{network: n, from: from, to: to, near: near, closed: make(chan struct{})}
+			go s.run(target)
+		}
+	}()
+	return listener.Addr().String(), nil
+}
+
+// run connects the stream to its target and relays both directions until they end.
+func (s *stream) run(target func() string) {
+	there, back := direction{s.from, s.to}, direction{s.to, s.from}
+	refuse := s.network.addStream(s)
+	defer s.network.removeStream(s)
+	if refuse {
+		s.reset()
+		return
+	}
+	if !s.waitWhileCut(there) { // a cut link accepts connections without data
+		return
+	}
+	dialer := net.Dialer{Timeout: dialTimeout}
+	far, err := dialer.DialContext(context.Background(), "tcp", target())
+	if err != nil {
+		s.reset()
+		return
+	}
+	s.far = far
+	var both sync.WaitGroup
+	both.Add(2)
+	go func() { defer both.Done(); s.relay(s.near, far, there) }()
+	go func() { defer both.Done(); s.relay(far, s.near, back) }()
+	both.Wait()
+	s.close()
+}
+
+// addStream registers a stream, and tells whether it is to be refused.
+func (n *Network) addStream(s *stream) (refuse bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.streams[s] = true
+	return n.effectiveRule(direction{s.from, s.to}).Refuse || n.closed
+}
+
+func (n *Network) removeStream(s *stream) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.streams, s)
+}
+
+// close closes both sides.
+func (s *stream) close() {
+	s.once.Do(func() {
+		close(s.closed)
+		s.near.Close()
+		if s.far != nil {
+			s.far.Close()
+		}
+	})
+}
+
+// reset closes both sides with a reset in place of an end of stream.
+func (s *stream) reset() {
+	for _, c := range []net.Conn{s.near, s.far} {
+		if tcp, ok := c.(*net.TCPConn); ok && tcp != nil {
+			_ = tcp.SetLinger(0) // fails on a closed connection, which needs no reset
+		}
+	}
+	s.close()
+}
+
+// waitWhileCut waits while a direction is cut, and returns false if the stream was closed.
+func (s *stream) waitWhileCut(d direction) bool {
+	for {
+		s.network.mu.Lock()
+		cut, changed := s.network.effectiveRule(d).Cut, s.network.changed
+		s.network.mu.Unlock()
+		if !cut {
+			return true
+		}
+		select {
+		case <-changed:
+		case <-s.closed:
+			return false
+		}
+	}
+}
+
+// relay relays one direction in order. An end of stream on one side is passed on to the other, unless the direction is cut.
+func (s *stream) relay(in, out net.Conn, d direction) {
+	chunks := make(chan chunk, maxChunks)
+	go s.readChunks(in, d, chunks)
+	for c := range chunks {
+		if !s.waitUntilDue(c) || !s.waitWhileCut(d) {
+			return
+		}
+		if _, err := out.Write(c.bytes); err != nil {
+			s.close()
+			return
+		}
+	}
+	if !s.waitWhileCut(d) {
+		return
+	}
+	if tcp, ok := out.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite() // fails on a closed connection, whose other side has seen the end
+	}
+}
+
+// readChunks reads chunks until the end of the stream, and closes the channel.
+func (s *stream) readChunks(in net.Conn, d direction, chunks chan<- chunk) {
+	defer close(chunks)
+	for {
+		buffer := make([]byte, chunkBytes)
+		size, err := in.Read(buffer)
+		if size > 0 {
+			delay := s.network.planChunk(d, buffer[:size])
+			select {
+			case chunks <- chunk{buffer[:size], time.Now().Add(delay)}:
+			case <-s.closed:
+				return
+			}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// planChunk returns the delay of a chunk. It may flip a bit of it.
+func (n *Network) planChunk(d direction, bytes []byte) time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	rule := n.effectiveRule(d)
+	delay := n.delay(&rule, d, len(bytes))
+	n.maybeCorrupt(&rule, bytes)
+	return delay
+}
+
+// waitUntilDue waits until a chunk arrives, and returns false if the stream was closed.
+func (s *stream) waitUntilDue(c chunk) bool {
+	wait := time.Until(c.dueAt)
+	if wait <= 0 {
+		return true
+	}
+	select {
+	case <-time.After(wait):
+		return true
+	case <-s.closed:
+		return false
+	}
+}
