--- a/internal/testbed/load/experiment/builtin.go
+++ b/internal/testbed/load/experiment/builtin.go
@@ -13,12 +13,15 @@
 var builtin embed.FS
 
 // Names are the built-in experiments.
-func Names() (out []string) {
-	files, _ := fs.Glob(builtin, "builtin/*.jsonnet")
-	for _, f := range files {
-		out = append(out, strings.TrimSuffix(filepath.Base(f), ".jsonnet"))
+func Names() (names []string) {
+	files, err := fs.Glob(builtin, "builtin/*.jsonnet")
+	if err != nil {
+		panic(err) // the pattern is constant
+	}
+	for _, file := range files {
+		names = append(names, strings.TrimSuffix(filepath.Base(file), ".jsonnet"))
 	}
-	return out
+	return names
 }
 
 // Find reads an experiment by its file, or by the name of a built-in one.
@@ -30,21 +33,21 @@
 		}
 		return Read(name)
 	}
-	lanes, err := builtin.ReadFile("builtin/lanes.libsonnet")
+	classes, err := builtin.ReadFile("builtin/lanes.libsonnet")
 	if err != nil {
 		return nil, err
 	}
-	// The one import that built-in files have is put in its place, as the evaluator reads no embedded files.
-	whole := strings.ReplaceAll(string(text), "import 'lanes.libsonnet'", strings.TrimSpace(stripComments(string(lanes))))
-	return Parse(name+".jsonnet", whole)
+	// The one import that built-in files have is expanded here, because the evaluator reads no embedded files.
+	expanded := strings.ReplaceAll(string(text), "import 'lanes.libsonnet'", strings.TrimSpace(stripComments(string(classes))))
+	return Parse(name+".jsonnet", expanded)
 }
 
 func stripComments(text string) string {
-	var out []string
+	var lines []string
 	for _, line := range strings.Split(text, "\n") {
 		if !strings.HasPrefix(strings.TrimSpace(line), "//") {
-			out = append(out, strings.TrimSpace(line))
+			lines = append(lines, strings.TrimSpace(line))
 		}
 	}
-	return strings.Join(out, " ")
+	return strings.Join(lines, " ")
 }
--- a/internal/testbed/load/experiment/experiment_test.go
+++ b/internal/testbed/load/experiment/experiment_test.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// Every file that is shipped can be read.
-func TestFiles(t *testing.T) {
+func TestShippedFilesCanBeRead(t *testing.T) {
 	for _, name := range Names() {
 		if _, err := Find(name); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -28,7 +27,7 @@
 	}
 }
 
-// Files that are amiss, each with the line that says so.
+// Files with mistakes, and the errors that name their lines.
 func ExampleParse() {
 	for _, text := range []string{
 		"{ name: 'x' }",
@@ -61,27 +60,27 @@
 
 // A closed loop of one user doesn't see what was due while it waited.
 func Example_closedLoop() {
-	var tasks []truthTask
+	var truths []trueLatency
 	for i := range 100 {
 		at := time.Duration(i) * 10 * time.Millisecond
 		latency := time.Millisecond
-		if at >= 300*time.Millisecond && at < 800*time.Millisecond { // stands still
+		if at >= 300*time.Millisecond && at < 800*time.Millisecond { // the server is stalled
 			latency = 800*time.Millisecond - at
 		}
-		tasks = append(tasks, truthTask{at, latency})
+		truths = append(truths, trueLatency{at, latency})
 	}
 	slow := 0
-	seen := closedLoop(tasks, 1)
+	seen := closedLoopLatencies(truths, 1)
 	for _, l := range seen {
 		if l > time.Millisecond {
 			slow++
 		}
 	}
-	fmt.Println(len(tasks), "tasks, 50 of them slow; a closed loop sees", len(seen), "and", slow)
+	fmt.Println(len(truths), "tasks, 50 of them slow; a closed loop sees", len(seen), "and", slow)
 	// Output: 100 tasks, 50 of them slow; a closed loop sees 51 and 1
 }
 
-const short = `{
+const shortExperiment = `{
   name: 'short', seed: 2, length: '2s',
   lanes: [{ name: 'look', patience: '5s', service: { kind: 'exponential', mean: '5ms' } }],
   load: { kind: 'poisson', rate: 300 },
@@ -90,11 +89,11 @@
   bounds: { own: '1s', check_truth: true, truth_least: '%s' },
 }`
 
-// A whole run against a front that stands still: offered as planned, and reported as it truly was; a bound that can't be
-// kept is missed.
+// A complete run against a frontend that is paused: offered as planned, and reported as it truly was; a bound that can't
+// be kept is missed.
 func TestRun(t *testing.T) {
 	for bound, good := range map[string]bool{"100ms": true, "0s": false} {
-		e, err := Parse("short.jsonnet", fmt.Sprintf(short, bound))
+		e, err := Parse("short.jsonnet", fmt.Sprintf(shortExperiment, bound))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,9 +110,9 @@
 	}
 }
 
-// A run that is called off ends at once, with an error.
-func TestCalledOff(t *testing.T) {
-	e, err := Parse("short.jsonnet", strings.Replace(fmt.Sprintf(short, "1s"), "'2s'", "'10m'", 1))
+// A run whose context is done ends at once, with an error.
+func TestCanceledRun(t *testing.T) {
+	e, err := Parse("short.jsonnet", strings.Replace(fmt.Sprintf(shortExperiment, "1s"), "'2s'", "'10m'", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,12 +123,11 @@
 	}
 }
 
-// What happens to an installation of fakes without a gateway: each verb of a script does something.
-func TestVerbs(t *testing.T) {
-	for verb, kind := range verbs {
-		s := Step{Do: verb, Which: "all", verbFor: kind}
-		if err := s.do(nil, nil); kind != ofFront && err == nil {
-			t.Errorf("%s was done without a site", verb)
+func TestStepsFailWithoutSite(t *testing.T) {
+	for verb, target := range targetsOfVerbs {
+		step := Step{Do: verb, Which: "all", target: target}
+		if err := step.run(nil, nil); target != targetFrontend && err == nil {
+			t.Errorf("%s was carried out without a site", verb)
 		}
 	}
 }
--- a/internal/testbed/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -5,82 +5,25 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strconv"
 	"sync"
-	"syscall"
 	"time"
 
 	"magpiebank/internal/testbed/fake"
 	"magpiebank/internal/testbed/installation"
-	"magpiebank/internal/testbed/load/arrival"
 	"magpiebank/internal/testbed/load/driver"
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// ScriptEvent is a step of the script as it was done.
-type ScriptEvent struct {
-	At   time.Duration `json:"at_ns"`
-	What string        `json:"what"`
-}
-
-// Result is what came of a run.
-type Result struct {
-	Name      string              `json:"name"`
-	Seed      int64               `json:"seed"`
-	Began     time.Time           `json:"began"`
-	Length    time.Duration       `json:"length_ns"`
-	Took      time.Duration       `json:"took_ns"`
-	Scheduled int64               `json:"scheduled"`
-	NotSent   int64               `json:"not_offered"` // counted as such when a worker was lost
-	Unknown   int64               `json:"unknown"`     // of a lost worker: whether they were sent can't be told
-	Figures   *stats.Metrics      `json:"figures"`
-	Script    []ScriptEvent       `json:"script"`
-	Verdicts  []Verdict           `json:"verdicts"`
-	Truth     []Comparison        `json:"truth,omitempty"`
-	Gateways  []GatewayMetrics    `json:"gateways,omitempty"`
-	Swapped   int                 `json:"swapped,omitempty"` // requests that began while their engine was short of memory
-	Process   Process             `json:"process"`
-	bySecond  []int64             // the schedule's
-	truths    map[int][]truthTask // by class
-}
-
-// GatewayMetrics are of one gateway's process.
-type GatewayMetrics struct {
-	Name   string `json:"name"`
-	PeakKB int64  `json:"peak_kb"`
-}
-
-// Process is what the generator itself used.
-type Process struct {
-	CPU        time.Duration `json:"cpu_ns"`
-	PeakKB     int64         `json:"peak_kb"`
-	Mallocs    uint64        `json:"allocations"`
-	AllocBytes uint64        `json:"allocated_bytes"`
-}
-
-// Verdict is whether a run kept one bound.
-type Verdict struct {
-	Name string `json:"name"`
-	Good bool   `json:"good"`
-	Text string `json:"text"`
-}
-
-// Good tells whether all bounds were kept.
-func (r *Result) Good() bool {
-	for _, v := range r.Verdicts {
-		if !v.Good {
-			return false
-		}
-	}
-	return true
-}
-
-func (r *Result) judge(name string, good bool, format string, args ...any) {
-	r.Verdicts = append(r.Verdicts, Verdict{name, good, fmt.Sprintf(format, args...)})
-}
+// headStart and workersStart are the times that loops and workers have to be ready before the first arrival.
+const (
+	headStart    = 200 * time.Millisecond
+	workersStart = time.Second
+	// progressInterval is the time between reports of the progress.
+	progressInterval = 500 * time.Millisecond
+)
 
 // Sender sends a load in place of this process: workers do.
-type Sender func(ctx context.Context, l driver.Load, start time.Time, say func(Progress)) (f *stats.Metrics, notSent, unknown int64, err error)
+type Sender func(ctx context.Context, load driver.Load, start time.Time, onProgress func(Progress)) (metrics *stats.Metrics, notSent, unknown int64, err error)
 
 // Progress is how far a run is.
 type Progress struct {
@@ -88,56 +31,92 @@
 	Offered, Finished, Open int64
 }
 
-// Run plays an experiment until it is over or called off. Files of gateways go to a folder; say is told the progress some
-// times a second.
-func (e *Experiment) Run(ctx context.Context, folder string, send Sender, say func(Progress)) (*Result, error) {
-	if send == nil {
-		send = alone
-	}
-	r := &Result{Name: e.Name, Seed: e.Seed, Length: e.Length}
-	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return nil, err
-	}
-	l := driver.Load{Targets: e.Targets, Shape: &e.Shape, Classes: e.Classes, Behavior: e.Behavior, Seed: e.Seed, Length: e.Length,
-		Loops: e.Loops, CheckRows: e.Installation != nil || e.FakeFrontend}
-	var s *installation.Installation
-	var front *fake.Frontend
-	var log *fake.ExecutionLog
+// environment is what an experiment sends its load to, and the log of the fakes in it.
+type environment struct {
+	targets  []string
+	site     *installation.Installation // nil: none
+	frontend *fake.Frontend             // nil: none
+	log      *fake.ExecutionLog         // nil: none
+}
+
+// startEnvironment starts the gateways and fakes that the experiment names; the caller stops them.
+func (e *Experiment) startEnvironment(folder string) (*environment, error) {
+	started := &environment{targets: e.Targets}
 	var err error
 	switch {
 	case e.Installation != nil:
-		if s, err = installation.Start(*e.Installation, folder); err != nil {
+		started.site, err = installation.Start(*e.Installation, folder)
+		if err != nil {
 			return nil, err
 		}
-		defer s.Stop()
-		l.Targets, log = s.Targets(), s.Log
+		started.targets, started.log = started.site.Targets(), started.site.Log
 	case e.FakeFrontend:
 		if e.Bounds.CheckTruth {
-			log = fake.NewExecutionLog()
+			started.log = fake.NewExecutionLog()
 		}
-		if front, err = fake.StartFrontend("127.0.0.1:0", e.Works, log); err != nil {
+		started.frontend, err = fake.StartFrontend("127.0.0.1:0", e.Works, started.log)
+		if err != nil {
 			return nil, err
 		}
-		defer front.Close()
-		l.Targets = []string{front.Address}
+		started.targets = []string{started.frontend.Address}
 	}
-	if err := r.schedule(e); err != nil {
+	return started, nil
+}
+
+func (v *environment) stop() {
+	if v.site != nil {
+		v.site.Stop()
+	}
+	if v.frontend != nil {
+		v.frontend.Close()
+	}
+}
+
+// recordUsage adds what gateways and engines tell of a run to its result.
+func (v *environment) recordUsage(result *Result) {
+	if v.site == nil {
+		return
+	}
+	for _, gateway := range v.site.Gateways {
+		result.Gateways = append(result.Gateways, GatewayMetrics{gateway.Name, gateway.PeakMemoryKB()})
+	}
+	for _, engine := range v.site.Engines {
+		result.Swapped += engine.SwappedQueries()
+	}
+}
+
+// Run runs an experiment until it is over or ctx is done. The gateways' files go to a folder; onProgress, where it is
+// given, is called some times a second.
+func (e *Experiment) Run(ctx context.Context, folder string, send Sender, onProgress func(Progress)) (*Result, error) {
+	if send == nil {
+		send = sendFromThisProcess
+	}
+	result := &Result{Name: e.Name, Seed: e.Seed, Length: e.Length}
+	err := os.MkdirAll(folder, 0o755)
+	if err != nil {
 		return nil, err
 	}
-	before := usage()
-	r.Began = time.Now().Add(headStart)
+	running, err := e.startEnvironment(folder)
+	if err != nil {
+		return nil, err
+	}
+	defer running.stop()
+	err = result.countSchedule(e)
+	if err != nil {
+		return nil, err
+	}
+	load := driver.Load{Targets: running.targets, Shape: &e.Shape, Classes: e.Classes, Behavior: e.Behavior, Seed: e.Seed,
+		Length: e.Length, Loops: e.Loops, CheckRows: e.Installation != nil || e.FakeFrontend}
+	before := currentUsage()
+	result.Began = time.Now().Add(headStart)
 	if e.Workers > 0 {
-		r.Began = r.Began.Add(workersStart)
+		result.Began = result.Began.Add(workersStart)
 	}
 	stop := make(chan struct{})
 	var script sync.WaitGroup
-	script.Add(1)
-	go func() {
-		defer script.Done()
-		e.play(r, s, front, stop)
-	}()
-	r.Figures, r.NotSent, r.Unknown, err = send(ctx, l, r.Began, say)
-	r.Took = time.Since(r.Began)
+	script.Go(func() { e.runScript(result, running, stop) })
+	result.Figures, result.NotSent, result.Unknown, err = send(ctx, load, result.Began, onProgress)
+	result.Took = time.Since(result.Began)
 	close(stop)
 	script.Wait()
 	if err == nil {
@@ -146,190 +125,56 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Process = usage().since(before)
-	if s != nil {
-		for _, g := range s.Gateways {
-			r.Gateways = append(r.Gateways, GatewayMetrics{g.Name, g.PeakMemoryKB()})
-		}
-		for _, en := range s.Engines {
-			r.Swapped += en.SwappedQueries()
-		}
-	}
-	r.verdicts(e, log)
-	return r, nil
+	result.Process = currentUsage().since(before)
+	running.recordUsage(result)
+	result.judge(e, running.log)
+	return result, nil
 }
 
-// Finish judges a run that another process had begun: its figures come from serve.
+// Finish judges a run that another process had begun: its metrics come from serve.
 func (e *Experiment) Finish(began time.Time, serve func() (*stats.Metrics, int64, int64, error)) (*Result, error) {
-	r := &Result{Name: e.Name, Seed: e.Seed, Length: e.Length, Began: began}
-	err := r.schedule(e)
+	result := &Result{Name: e.Name, Seed: e.Seed, Length: e.Length, Began: began}
+	err := result.countSchedule(e)
 	if err != nil {
 		return nil, err
 	}
-	before := usage()
-	if r.Figures, r.NotSent, r.Unknown, err = serve(); err != nil {
+	before := currentUsage()
+	result.Figures, result.NotSent, result.Unknown, err = serve()
+	if err != nil {
 		return nil, err
 	}
-	r.Took, r.Process = time.Since(began), usage().since(before)
-	r.verdicts(e, nil)
-	return r, nil
+	result.Took, result.Process = time.Since(began), currentUsage().since(before)
+	result.judge(e, nil)
+	return result, nil
 }
 
-// headStart is what loops and workers have to be ready before the first arrival.
-const (
-	headStart    = 200 * time.Millisecond
-	workersStart = time.Second
-)
-
-// alone sends a load from this process.
-func alone(ctx context.Context, l driver.Load, start time.Time, say func(Progress)) (*stats.Metrics, int64, int64, error) {
-	d, err := driver.Start(l, start)
+// sendFromThisProcess is the Sender where no workers are asked for.
+func sendFromThisProcess(ctx context.Context, load driver.Load, start time.Time, onProgress func(Progress)) (*stats.Metrics, int64, int64, error) {
+	started, err := driver.Start(load, start)
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	defer context.AfterFunc(ctx, d.Stop)()
+	defer context.AfterFunc(ctx, started.Stop)()
 	done := make(chan struct{})
-	var watch sync.WaitGroup
-	if say != nil {
-		watch.Add(1)
-		go func() {
-			defer watch.Done()
-			for {
-				select {
-				case <-done:
-					return
-				case <-time.After(500 * time.Millisecond):
-					say(Progress{time.Since(start), d.Offered.Load(), d.Ended.Load(), d.Open.Load()})
-				}
-			}
-		}()
+	var watcher sync.WaitGroup
+	if onProgress != nil {
+		watcher.Go(func() { reportProgress(started, start, onProgress, done) })
 	}
-	f := d.Wait()
+	metrics := started.Wait()
 	close(done)
-	watch.Wait()
-	return f, 0, 0, nil
-}
-
-// schedule counts what the schedule holds, second by second.
-func (r *Result) schedule(e *Experiment) error {
-	s, err := arrival.NewSchedule(&e.Shape, e.Classes, e.Seed, e.Length)
-	if err != nil {
-		return err
-	}
-	for t, ok := s.Next(); ok; t, ok = s.Next() {
-		r.Scheduled++
-		for len(r.bySecond) <= int(t.At/time.Second) {
-			r.bySecond = append(r.bySecond, 0)
-		}
-		r.bySecond[t.At/time.Second]++
-	}
-	return nil
+	watcher.Wait()
+	return metrics, 0, 0, nil
 }
 
-// play does the script's steps at their times.
-func (e *Experiment) play(r *Result, s *installation.Installation, front *fake.Frontend, stop <-chan struct{}) {
-	for _, step := range e.Script {
+func reportProgress(running *driver.Driver, start time.Time, onProgress func(Progress), done <-chan struct{}) {
+	for {
 		select {
-		case <-stop:
+		case <-done:
 			return
-		case <-time.After(time.Until(r.Began.Add(step.At))):
-		}
-		at := time.Since(r.Began)
-		what := step.Do + " " + step.Which
-		if err := step.do(s, front); err != nil {
-			what += ": " + err.Error()
-		}
-		r.Script = append(r.Script, ScriptEvent{at, what})
-	}
-}
-
-func (s *Step) do(site *installation.Installation, front *fake.Frontend) error {
-	switch s.verbFor {
-	case ofFront:
-		if s.Do == "pause" {
-			front.Pause()
-		} else {
-			front.Resume()
-		}
-		return nil
-	case ofList:
-		if site == nil {
-			return errNoSite
+		case <-time.After(progressInterval):
+			onProgress(Progress{time.Since(start), running.Offered.Load(), running.Ended.Load(), running.Open.Load()})
 		}
-		switch s.Do {
-		case "break-list":
-			site.Discovery.TruncateAnswers()
-		case "hold-list":
-			site.Discovery.HoldPolls()
-		default:
-			site.Discovery.Recover()
-		}
-		return nil
-	}
-	if site == nil {
-		return errNoSite
-	}
-	if s.verbFor == ofGateways {
-		for i, g := range site.Gateways {
-			if s.Which != "all" && s.Which != strconv.Itoa(i) {
-				continue
-			}
-			switch s.Do {
-			case "kill":
-				g.Kill()
-			case "start":
-				if err := g.Start(); err != nil {
-					return err
-				}
-			case "stop":
-				g.Signal(syscall.SIGTERM)
-			case "reload":
-				g.Signal(syscall.SIGHUP)
-			}
-		}
-		return nil
-	}
-	for i, en := range site.Engines {
-		if s.Which != "all" && s.Which != strconv.Itoa(i) && s.Which != site.Zone(i) {
-			continue
-		}
-		if err := s.engine(site, i, en); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-var errNoSite = fmt.Errorf("there is no site")
-
-func (s *Step) engine(site *installation.Installation, i int, e *fake.Engine) error {
-	switch s.Do {
-	case "pause":
-		e.Pause()
-	case "resume":
-		e.Resume()
-	case "refuse":
-		e.RefuseConnections()
-	case "accept":
-		return e.AcceptConnections()
-	case "reset":
-		e.ResetConnections()
-	case "silent":
-		e.StopAnswering()
-	case "speak":
-		e.ResumeAnswering()
-	case "slow":
-		e.SetSpeed(s.Share)
-	case "fail":
-		e.FailQueries(s.Share)
-	case "drain":
-		site.PublishState(i, "Terminating")
-	case "gone":
-		site.PublishState(i, "Gone")
-	case "ready":
-		site.PublishState(i, "Ready")
 	}
-	return nil
 }
 
 // Folder is where a run's files go when no other place is named.
--- /dev/null
+++ b/internal/testbed/load/experiment/usage.go
@@ -0,0 +1,33 @@
+package experiment
+
+import (
+	"runtime"
+	"syscall"
+	"time"
+)
+
+// Process is what the generator itself used.
+type Process struct {
+	CPU        time.Duration `json:"cpu_ns"`
+	PeakKB     int64         `json:"peak_kb"`
+	Mallocs    uint64        `json:"allocations"`
+	AllocBytes uint64        `json:"allocated_bytes"`
+}
+
+// currentUsage returns what this process has used since its start.
+func currentUsage() (usage Process) {
+	var resources syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &resources) == nil {
+		usage.CPU = time.Duration(resources.Utime.Nano() + resources.Stime.Nano())
+		usage.PeakKB = resources.Maxrss
+	}
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	usage.Mallocs, usage.AllocBytes = memory.Mallocs, memory.TotalAlloc
+	return usage
+}
+
+// since returns what was used after an earlier moment; the peak is that of the whole process.
+func (p Process) since(earlier Process) Process {
+	return Process{p.CPU - earlier.CPU, p.PeakKB, p.Mallocs - earlier.Mallocs, p.AllocBytes - earlier.AllocBytes}
+}
