--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -3,14 +3,13 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
 	"time"
 )
 
-// Endpoint is one engine as the list names it.
+// Endpoint is one engine as the discovery service lists it.
 type Endpoint struct {
 	ID      string `json:"id"`
 	Address string `json:"addr"`
@@ -38,91 +37,113 @@
 	Updates []listEvent `json:"updates"`
 }
 
-// Discovery is a fake for the discovery service.
+// Discovery is a fake of the discovery service.
 type Discovery struct {
 	Address string
 
-	mu      sync.Mutex
-	events  []listEvent
-	changed chan struct{}
-	server  *http.Server
-	broken  bool // answers break off in the middle
-	silent  bool // polls are held and never answered
+	mu       sync.Mutex
+	events   []listEvent
+	changed  chan struct{}
+	server   *http.Server
+	truncate bool // answers break off in the middle
+	hold     bool // polls are held and never answered
 }
 
-// StartDiscovery starts a list that begins with some entries.
-func StartDiscovery(address string, first []Endpoint) (*Discovery, error) {
-	l := &Discovery{changed: make(chan struct{})}
-	l.events = append(l.events, listEvent{1, listEndpoints{1, true, first}})
-	listener, err := net.Listen("tcp", address)
+// StartDiscovery starts a discovery service that lists some endpoints at first.
+func StartDiscovery(address string, endpoints []Endpoint) (*Discovery, error) {
+	d := &Discovery{changed: make(chan struct{})}
+	d.events = append(d.events, listEvent{1, listEndpoints{1, true, endpoints}})
+	listener, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("engine list: %w", err)
 	}
-	l.Address = listener.Addr().String()
+	d.Address = listener.Addr().String()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v2/stream", l.stream)
-	l.server = &http.Server{Handler: mux}
-	go l.server.Serve(listener)
-	return l, nil
+	mux.HandleFunc("GET /v2/stream", d.stream)
+	d.server = &http.Server{Handler: mux}
+	go func() { _ = d.server.Serve(listener) }() // ends with an error when it is closed
+	return d, nil
 }
 
-// Publish adds an event with the entries that have changed.
-func (l *Discovery) Publish(changed ...Endpoint) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	n := len(l.events) + 1
-	l.events = append(l.events, listEvent{n, listEndpoints{n, false, changed}})
-	close(l.changed)
-	l.changed = make(chan struct{})
+// Publish adds an event with the endpoints that have changed.
+func (d *Discovery) Publish(changed ...Endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	index := len(d.events) + 1
+	d.events = append(d.events, listEvent{index, listEndpoints{index, false, changed}})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // Snapshot is the events so far, as a gateway's configuration holds them.
-func (l *Discovery) Snapshot() json.RawMessage {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	b, err := json.Marshal(listAnswer{len(l.events), l.events})
+func (d *Discovery) Snapshot() json.RawMessage {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	b, err := json.Marshal(listAnswer{len(d.events), d.events})
 	if err != nil {
 		panic(err) // of plain texts and numbers
 	}
 	return b
 }
 
-// TruncateAnswers has answers break off in their middle, Hold has polls held for good; Mend ends both.
-func (l *Discovery) TruncateAnswers() { l.mu.Lock(); l.broken = true; l.mu.Unlock() }
-func (l *Discovery) HoldPolls()       { l.mu.Lock(); l.silent = true; l.mu.Unlock() }
-func (l *Discovery) Recover()         { l.mu.Lock(); l.broken, l.silent = false, false; l.mu.Unlock() }
+// TruncateAnswers has answers break off in their middle from now on; Recover ends that.
+func (d *Discovery) TruncateAnswers() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.truncate = true
+}
+
+// HoldPolls has polls be held and never answered from now on; Recover ends that.
+func (d *Discovery) HoldPolls() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.hold = true
+}
+
+// Recover ends TruncateAnswers and HoldPolls.
+func (d *Discovery) Recover() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.truncate, d.hold = false, false
+}
 
 // Close ends it with all its connections.
-func (l *Discovery) Close() { l.server.Close() }
+func (d *Discovery) Close() {
+	_ = d.server.Close() // its listener is closed, whatever it returns
+}
 
-func (l *Discovery) stream(w http.ResponseWriter, r *http.Request) {
-	follow, err1 := strconv.Atoi(r.URL.Query().Get("follow"))
-	wait, err2 := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	if err1 != nil || err2 != nil || follow < 0 || wait < 0 {
+// maxWaitMillis is the longest that a poll is held without news.
+const maxWaitMillis = 5000
+
+// stream answers a poll with the events after one, at once or when there are some.
+func (d *Discovery) stream(w http.ResponseWriter, r *http.Request) {
+	follow, followErr := strconv.Atoi(r.URL.Query().Get("follow"))
+	wait, waitErr := strconv.Atoi(r.URL.Query().Get("wait_ms"))
+	if followErr != nil || waitErr != nil || follow < 0 || wait < 0 {
 		http.Error(w, "follow and wait_ms: expected numbers from 0", http.StatusBadRequest)
 		return
 	}
-	over := time.After(time.Duration(min(wait, 5000)) * time.Millisecond)
+	timeout := time.After(time.Duration(min(wait, maxWaitMillis)) * time.Millisecond)
 	for {
-		l.mu.Lock()
-		changed, n, silent, broken := l.changed, len(l.events), l.silent, l.broken
+		d.mu.Lock()
+		changed, last, hold, truncate := d.changed, len(d.events), d.hold, d.truncate
 		var updates []listEvent
-		if follow < n {
-			updates = l.events[follow:]
+		if follow < last {
+			updates = d.events[follow:]
 		}
-		l.mu.Unlock()
+		d.mu.Unlock()
 		switch {
-		case silent:
+		case hold:
 			<-r.Context().Done()
 			return
 		case len(updates) > 0:
-			l.answer(w, n, updates, broken)
+			d.answer(w, last, updates, truncate)
 			return
 		}
 		select {
 		case <-changed:
-		case <-over:
-			l.answer(w, n, []listEvent{}, false)
+		case <-timeout:
+			d.answer(w, last, []listEvent{}, false)
 			return
 		case <-r.Context().Done():
 			return
@@ -130,16 +151,18 @@
 	}
 }
 
-func (l *Discovery) answer(w http.ResponseWriter, last int, updates []listEvent, broken bool) {
-	b, err := json.Marshal(listAnswer{last, updates})
+// answer writes an answer, or half of it.
+func (d *Discovery) answer(w http.ResponseWriter, last int, updates []listEvent, truncate bool) {
+	text, err := json.Marshal(listAnswer{last, updates})
 	if err != nil {
 		panic(err) // of plain texts and numbers
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	if broken {
-		w.Write(b[:len(b)/2])
-		http.NewResponseController(w).Flush() // the half is to arrive
-		panic(http.ErrAbortHandler)
+	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	if !truncate {
+		_, _ = w.Write(text) // a watcher that has gone polls again
+		return
 	}
-	w.Write(b)
+	_, _ = w.Write(text[:len(text)/2])
+	_ = http.NewResponseController(w).Flush() // the half is to arrive
+	panic(http.ErrAbortHandler)
 }
--- /dev/null
+++ b/internal/testbed/fake/engine_conn.go
@@ -0,0 +1,98 @@
+package fake
+
+import (
+	"bufio"
+	"net"
+	"time"
+
+	"magpiebank/internal/protocol/resp"
+)
+
+const (
+	readBufferBytes = 4096
+	// writeTimeout is how long a caller that reads nothing may hold up the others.
+	writeTimeout = time.Second
+)
+
+func (e *Engine) accept(listener net.Listener) {
+	for {
+		tcp, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		c := &engineConn{tcp: tcp}
+		e.send(func() { e.conns[c] = true })
+		go e.readMessages(c)
+	}
+}
+
+// readMessages reads messages until the connection ends. The time at which a request arrived is taken here, also while the engine is
+// paused.
+func (e *Engine) readMessages(c *engineConn) {
+	defer e.send(func() { e.removeConn(c) })
+	defer c.tcp.Close()
+	reader := bufio.NewReaderSize(c.tcp, readBufferBytes)
+	var buffer []byte
+	var parts [][]byte
+	for {
+		var length int
+		var err error
+		parts, length, err = resp.Parse(buffer, parts[:0])
+		if err != nil {
+			return
+		}
+		if length == 0 {
+			buffer, err = appendAvailable(buffer, reader)
+			if err != nil {
+				return
+			}
+			continue
+		}
+		arrivedAt := time.Now()
+		words := make([]string, len(parts))
+		for i := range parts {
+			words[i] = string(parts[i])
+		}
+		buffer = buffer[:copy(buffer, buffer[length:])]
+		if words[0] == "do" && len(words) == 4 {
+			e.Log.recordArrival(words[1], arrivedAt)
+		}
+		e.send(func() { e.handleMessage(message{c, words}) })
+	}
+}
+
+// appendAvailable waits for at least one byte and appends what there is.
+func appendAvailable(buffer []byte, reader *bufio.Reader) ([]byte, error) {
+	if _, err := reader.Peek(1); err != nil {
+		return nil, err
+	}
+	available, err := reader.Peek(reader.Buffered())
+	if err != nil {
+		return nil, err
+	}
+	buffer = append(buffer, available...)
+	_, err = reader.Discard(len(available))
+	return buffer, err
+}
+
+// answer writes to a connection unless the engine is silent.
+func (e *Engine) answer(c *engineConn, parts ...string) {
+	if e.faults.silent || !e.conns[c] {
+		return
+	}
+	c.tcp.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := c.tcp.Write(resp.AppendArray(nil, parts...)); err != nil {
+		c.tcp.Close()
+	}
+}
+
+// removeConn forgets a connection and abandons its requests.
+func (e *Engine) removeConn(c *engineConn) {
+	delete(e.conns, c)
+	for key, request := range e.requests {
+		if key.conn == c {
+			e.abandon(request)
+		}
+	}
+	e.startQueued()
+}
--- a/internal/testbed/fake/execution_log.go
+++ b/internal/testbed/fake/execution_log.go
@@ -1,6 +1,5 @@
-// Package fake plays the outside systems of a gateway on loopback: engines, an discovery service, and a gateway's own
-// front for a load to be measured against. Each does what a script or a call says, and keeps a log of when things
-// truly happened.
+// Package fake has fakes of the systems around a gateway on loopback: engines, a discovery service, and a gateway's own
+// frontend for a load to be measured against. Each does what it is told, and keeps a log of when things truly happened.
 package fake
 
 import (
@@ -9,145 +8,145 @@
 	"time"
 )
 
-// ExecutionRecord is one answer as it truly was: when the last byte of the request came, and when the answer's last byte left.
+// ExecutionRecord is what happened to one request: when its last byte arrived, and when the last byte of its answer left.
 type ExecutionRecord struct {
 	ID          string
 	ReceivedAt  time.Time
 	AnsweredAt  time.Time // zero: no answer left
-	Answer      string    // of the answer, in the wire's own form
+	Answer      string    // the answer's verb on the wire
 	Starts      int       // how many times it began to run
 	Completions int       // and ran to its end
 }
 
-// ExecutionLog keeps truths by id.
+// ExecutionLog keeps records by request id.
 type ExecutionLog struct {
-	mu   sync.Mutex
-	byID map[string]*ExecutionRecord
-	n    int
-	keep bool
-	runs []RunningChange
-	sent []Sent
+	mu       sync.Mutex
+	byID     map[string]*ExecutionRecord
+	arrivals int
+	retain   bool // runs and sent
+	runs     []RunningChange
+	sent     []Sent
 }
 
-// RunningChange is that a request of a class began to run, or runs no more.
+// RunningChange is that a request of a class began to run (Delta 1), or stopped (Delta -1).
 type RunningChange struct {
 	At    time.Time
 	Class string
 	Delta int
 }
 
-// Sent is that an engine took a request in, with what work.
+// Sent is that an engine took a request, which is that much work.
 type Sent struct {
 	At     time.Time
 	Engine string
 	Work   time.Duration
 }
 
-// RetainEvents has all that is sent to engines and runs there be kept, one by one.
+// RetainEvents has the log keep each Sent and RunningChange from now on.
 func (l *ExecutionLog) RetainEvents() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.keep = true
+	l.retain = true
 }
 
-func (l *ExecutionLog) took(engine string, work time.Duration) {
+func (l *ExecutionLog) recordSent(engine string, work time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.keep {
+	if l.retain {
 		l.sent = append(l.sent, Sent{time.Now(), engine, work})
 	}
 }
 
-// Sent is all that engines took in, in order.
+// Sent is all that engines took, in order.
 func (l *ExecutionLog) Sent() []Sent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.sent)
 }
 
-func (l *ExecutionLog) run(lane string, by int) {
-	if l.keep {
-		l.runs = append(l.runs, RunningChange{time.Now(), lane, by})
+func (l *ExecutionLog) recordChange(class string, delta int) {
+	if l.retain {
+		l.runs = append(l.runs, RunningChange{time.Now(), class, delta})
 	}
 }
 
 // NewExecutionLog is an empty log; several fakes may share one.
 func NewExecutionLog() *ExecutionLog { return &ExecutionLog{byID: map[string]*ExecutionRecord{}} }
 
-func (l *ExecutionLog) came(id string, at time.Time) {
+func (l *ExecutionLog) recordArrival(id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.byID[id]
-	if t == nil {
-		t = &ExecutionRecord{ID: id}
-		l.byID[id] = t
+	record := l.byID[id]
+	if record == nil {
+		record = &ExecutionRecord{ID: id}
+		l.byID[id] = record
 	}
-	l.n++
-	t.ReceivedAt = at
+	l.arrivals++
+	record.ReceivedAt = at
 }
 
-func (l *ExecutionLog) left(id, word string, at time.Time) {
+func (l *ExecutionLog) recordAnswer(id, answer string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.byID[id]; t != nil {
-		t.AnsweredAt, t.Answer = at, word
+	if record := l.byID[id]; record != nil {
+		record.AnsweredAt, record.Answer = at, answer
 	}
 }
 
-func (l *ExecutionLog) began(id, lane string) {
+func (l *ExecutionLog) recordStart(id, class string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.run(lane, 1)
-	if t := l.byID[id]; t != nil {
-		t.Starts++
+	l.recordChange(class, 1)
+	if record := l.byID[id]; record != nil {
+		record.Starts++
 	}
 }
 
-// ended is that one runs no more, to its end or not.
-func (l *ExecutionLog) ended(lane string) {
+// recordStop takes down that a request runs no more, to its end or not.
+func (l *ExecutionLog) recordStop(class string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.run(lane, -1)
+	l.recordChange(class, -1)
 }
 
-// Runs are all that began and ended, in order, as far as they were kept.
+// Runs are all changes of what runs, in order, as far as they were retained.
 func (l *ExecutionLog) Runs() []RunningChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.runs)
 }
 
-func (l *ExecutionLog) ran(id string) {
+func (l *ExecutionLog) recordCompletion(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.byID[id]; t != nil {
-		t.Completions++
+	if record := l.byID[id]; record != nil {
+		record.Completions++
 	}
 }
 
-// Find is the truth about an id.
+// Find returns the record of an id, and whether there is one.
 func (l *ExecutionLog) Find(id string) (ExecutionRecord, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.byID[id]
-	if t == nil {
+	record := l.byID[id]
+	if record == nil {
 		return ExecutionRecord{}, false
 	}
-	return *t, true
+	return *record, true
 }
 
-// Each calls f for every id that came, in no order.
+// Each calls f for the record of every id, in no order.
 func (l *ExecutionLog) Each(f func(ExecutionRecord)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range l.byID {
-		f(*t)
+	for _, record := range l.byID {
+		f(*record)
 	}
 }
 
-// Requests is how many requests came.
+// Requests is how many requests arrived.
 func (l *ExecutionLog) Requests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.n
+	return l.arrivals
 }
--- a/internal/testbed/fake/fake_test.go
+++ b/internal/testbed/fake/fake_test.go
@@ -21,7 +21,8 @@
 }
 
 func call(t *testing.T, e *Engine) *caller {
-	tcp, err := net.Dial("tcp", e.Address)
+	t.Helper()
+	tcp, err := dial(t, e.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +30,38 @@
 	return &caller{t: t, tcp: tcp}
 }
 
-func (c *caller) say(words ...string) { c.tcp.Write(resp.AppendArray(nil, words...)) }
+func dial(t *testing.T, address string) (net.Conn, error) {
+	t.Helper()
+	return new(net.Dialer).DialContext(t.Context(), "tcp", address)
+}
+
+func (c *caller) say(words ...string) {
+	c.t.Helper()
+	if _, err := c.tcp.Write(resp.AppendArray(nil, words...)); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// skipTo reads answers up to an expected one.
+func (c *caller) skipTo(answer string) {
+	c.t.Helper()
+	c.skipUntil(answer, func(got string) bool { return got == answer })
+}
+
+// skipToPrefix reads answers up to one that begins with a prefix.
+func (c *caller) skipToPrefix(prefix string) {
+	c.t.Helper()
+	c.skipUntil(prefix, func(got string) bool { return strings.HasPrefix(got, prefix) })
+}
+
+func (c *caller) skipUntil(what string, fits func(string) bool) {
+	c.t.Helper()
+	for got := c.hear(long); !fits(got); got = c.hear(long) {
+		if got == "end" || got == "nothing" {
+			c.t.Fatalf("%s before %q", got, what)
+		}
+	}
+}
 
 // hear is the next answer, or why there is none within a time.
 func (c *caller) hear(within time.Duration) string {
@@ -74,17 +106,32 @@
 
 const long = 5 * time.Second
 
-// What an engine does with requests, and what it is told to do.
-func TestEngine(t *testing.T) {
-	log := NewExecutionLog()
+func startTestEngine(t *testing.T, log *ExecutionLog) *Engine {
+	t.Helper()
 	e, err := StartEngine("e", "127.0.0.1:0", EngineBehavior{Threads: 1, MaxHeld: 2, Cores: 4, NoteInterval: 50 * time.Millisecond, Works: []Work{
 		{Contains: "slow", Service: ServiceTime{Mean: 10 * time.Minute}}, {Contains: "some", Service: ServiceTime{Mean: 120 * time.Millisecond}, Rows: 1},
 		{Rows: 400}}}, log, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
+	t.Cleanup(e.Close)
+	return e
+}
+
+// What an engine does with requests, and what it is told to do: the stages go by the same engine, one after the other.
+func TestEngine(t *testing.T) {
+	log := NewExecutionLog()
+	e := startTestEngine(t, log)
 	c := call(t, e)
+	checkPages(t, c)
+	checkQueue(t, c)
+	checkPause(t, e, c, log)
+	checkTwice(t, e, c, log)
+	checkFaults(t, e, c)
+}
+
+func checkPages(t *testing.T, c *caller) {
+	t.Helper()
 	c.say("top", "t1")
 	want(t, "top", c.hear(long), "t1 well gauges=inflight:0;util:0.000 ")
 	c.say("do", "a1", "kind=look,ms=900,prio=1", "SELECT 1")
@@ -97,19 +144,24 @@
 	}
 	c.say("page", "a1", "1")
 	want(t, "after all pages have left", c.hear(long), "a1 failed - ")
+}
+
+func checkQueue(t *testing.T, c *caller) {
+	t.Helper()
 	c.say("do", "a2", "kind=look", "some")
 	want(t, "a note", c.hear(long)[:17], "a2 news res=so_fa")
-	for c.hear(long) != "a2 data pages=1 a2\t1/1\tacta\\n" {
-	}
+	c.skipTo("a2 data pages=1 a2\t1/1\tacta\\n")
 	c.say("do", "a3", "kind=look", "slow")
 	c.say("do", "a4", "kind=look", "quick")
 	c.say("do", "a5", "kind=look", "quick")
-	for got := ""; got != "a5 full - "; got = c.hear(long) { // one runs, one waits
-	}
+	c.skipTo("a5 full - ") // one runs, one waits
 	c.say("undo", "a3")
-	for got := ""; !strings.HasPrefix(got, "a4 data"); got = c.hear(long) { // its thread is free
-	}
+	c.skipToPrefix("a4 data") // its thread is free
 	c.say("forget", "a4")
+}
+
+func checkPause(t *testing.T, e *Engine, c *caller, log *ExecutionLog) {
+	t.Helper()
 	e.Pause()
 	c.say("do", "a6", "kind=look", "some")
 	want(t, "paused", c.hear(150*time.Millisecond), "nothing")
@@ -117,19 +169,26 @@
 		t.Errorf("%d held while it stands still", held)
 	}
 	e.Resume()
-	for got := ""; !strings.HasPrefix(got, "a6 data"); got = c.hear(long) {
-	}
+	c.skipToPrefix("a6 data")
 	if came, ok := log.Find("a6"); !ok || came.AnsweredAt.Sub(came.ReceivedAt) < 250*time.Millisecond || came.Completions != 1 {
 		t.Errorf("the truth of what waited out a pause: %+v", came)
 	}
-	for _, twice := range []*caller{c, call(t, e)} { // what a gateway must not do, the log tells
+}
+
+// checkTwice sends one id on two connections, which a gateway must not do; the log tells.
+func checkTwice(t *testing.T, e *Engine, c *caller, log *ExecutionLog) {
+	t.Helper()
+	for _, twice := range []*caller{c, call(t, e)} {
 		twice.say("do", "a9", "kind=load", "quick")
-		for got := ""; !strings.HasPrefix(got, "a9 data"); got = twice.hear(long) {
-		}
+		twice.skipToPrefix("a9 data")
 	}
 	if got, _ := log.Find("a9"); got.Starts != 2 {
-		t.Errorf("began %d times, handed off twice", got.Starts)
+		t.Errorf("began %d times, sent twice", got.Starts)
 	}
+}
+
+func checkFaults(t *testing.T, e *Engine, c *caller) {
+	t.Helper()
 	e.FailQueries(1)
 	c.say("do", "a7", "kind=look", "quick")
 	want(t, "fails", c.hear(long), "a7 failed - ")
@@ -145,7 +204,7 @@
 	want(t, "ping", c.hear(long), "p well gauges=inflight:0;util:0.000 ")
 	e.RefuseConnections()
 	want(t, "refuses", c.hear(long), "end")
-	if _, err := net.Dial("tcp", e.Address); err == nil {
+	if _, err := dial(t, e.Address); err == nil {
 		t.Error("a connection came up to an engine that refuses them")
 	}
 	if err := e.AcceptConnections(); err != nil {
@@ -162,11 +221,16 @@
 	}
 	defer l.Close()
 	poll := func(follow, wait int) string {
-		r, err := http.Get(fmt.Sprintf("http://%s/v2/stream?follow=%d&wait_ms=%d", l.Address, follow, wait))
+		url := fmt.Sprintf("http://%s/v2/stream?follow=%d&wait_ms=%d", l.Address, follow, wait)
+		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return "no answer"
 		}
-		defer r.Body.Close()
+		defer func() { _ = r.Body.Close() }()
 		b, err := io.ReadAll(r.Body)
 		if err != nil {
 			return "breaks off"
--- a/internal/testbed/fake/frontend.go
+++ b/internal/testbed/fake/frontend.go
@@ -12,67 +12,71 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-// Frontend is a fake for a gateway: it speaks MySQL and answers each query by itself after its service time, as many at
-// a time as there are sessions. A load measured against it shows what the load generator itself does.
+// Frontend is a fake of a gateway: it speaks MySQL and answers each query itself after its service time, as many at
+// a time as there are sessions. A load measured against it shows what the load generator itself adds.
 type Frontend struct {
 	Address string
 	Log     *ExecutionLog // nil: none is kept
 
 	works    []Work
 	listener net.Listener
-	next     atomic.Uint32
+	lastConn atomic.Uint32 // id
 
-	mu     sync.Mutex
-	cond   *sync.Cond
-	paused bool
-	since  time.Time
-	stood  time.Duration // in all pauses that are over
-	conns  map[net.Conn]bool
+	mu         sync.Mutex
+	resumed    *sync.Cond
+	paused     bool
+	pausedAt   time.Time
+	pausedTime time.Duration // in all pauses that are over
+	conns      map[net.Conn]bool
 
-	// Faults, for the checker of the load to find.
-	Spoil, Double, Drop atomic.Int64 // every so many answers are spoilt, given twice, or dropped with the connection; 0: none
+	// Spoil, Double and Drop are faults for the checker of the load to find: one of so many answers has the rows of another request, is
+	// sent twice, or is dropped with the connection. 0: none.
+	Spoil, Double, Drop atomic.Int64
 	answers             atomic.Int64
 }
 
-// StartFrontend starts one.
+// StartFrontend starts a frontend on a loopback address. log may be nil.
 func StartFrontend(address string, works []Work, log *ExecutionLog) (*Frontend, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	f := &Frontend{Address: l.Addr().String(), Log: log, works: works, listener: l, conns: map[net.Conn]bool{}}
-	f.cond = sync.NewCond(&f.mu)
-	go func() {
-		for {
-			tcp, err := l.Accept()
-			if err != nil {
-				return
-			}
-			f.mu.Lock()
-			f.conns[tcp] = true
-			f.mu.Unlock()
-			go f.serve(tcp)
-		}
-	}()
+	f := &Frontend{Address: listener.Addr().String(), Log: log, works: works, listener: listener, conns: map[net.Conn]bool{}}
+	f.resumed = sync.NewCond(&f.mu)
+	go f.accept()
 	return f, nil
 }
 
-// Pause has it stand still: all that runs takes as much longer. Resume lets it go on.
+func (f *Frontend) accept() {
+	for {
+		tcp, err := f.listener.Accept()
+		if err != nil {
+			return
+		}
+		f.mu.Lock()
+		f.conns[tcp] = true
+		f.mu.Unlock()
+		go f.serve(tcp)
+	}
+}
+
+// Pause stops it: all that runs takes as much longer. Resume ends a pause.
 func (f *Frontend) Pause() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.paused {
-		f.paused, f.since = true, time.Now()
+		f.paused, f.pausedAt = true, time.Now()
 	}
 }
 
+// Resume ends a pause.
 func (f *Frontend) Resume() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.paused {
 		f.paused = false
-		f.stood += time.Since(f.since)
-		f.cond.Broadcast()
+		f.pausedTime += time.Since(f.pausedAt)
+		f.resumed.Broadcast()
 	}
 }
 
@@ -87,13 +91,13 @@
 	}
 }
 
-// work takes as long as the service does on the front's own clock, which stops in pauses.
+// work takes as long as the service does on the frontend's own clock, which stops in pauses.
 func (f *Frontend) work(service time.Duration) {
 	f.mu.Lock()
 	for f.paused {
-		f.cond.Wait()
+		f.resumed.Wait()
 	}
-	left, stood, from := service, f.stood, time.Now()
+	left, pausedBefore, began := service, f.pausedTime, time.Now()
 	f.mu.Unlock()
 	if left <= 0 {
 		return
@@ -102,9 +106,9 @@
 		time.Sleep(left)
 		f.mu.Lock()
 		for f.paused {
-			f.cond.Wait()
+			f.resumed.Wait()
 		}
-		left = service + f.stood - stood - time.Since(from)
+		left = service + f.pausedTime - pausedBefore - time.Since(began)
 		f.mu.Unlock()
 		if left <= 0 {
 			return
@@ -112,6 +116,10 @@
 	}
 }
 
+// readBytes is the size of a session's read buffer.
+const readBytes = 4096
+
+// serve serves one session until it ends.
 func (f *Frontend) serve(tcp net.Conn) {
 	defer func() {
 		tcp.Close()
@@ -119,84 +127,121 @@
 		delete(f.conns, tcp)
 		f.mu.Unlock()
 	}()
-	r := bufio.NewReaderSize(tcp, 4096)
+	session := &frontendSession{frontend: f, tcp: tcp, reader: bufio.NewReaderSize(tcp, readBytes)}
 	var salt [20]byte
-	tcp.Write(mysql.AppendGreeting(nil, f.next.Add(1), &salt))
-	var payload, out []byte
-	for n := 0; ; n++ {
-		head, err := r.Peek(mysql.HeaderSize)
-		if err != nil {
-			return
-		}
-		length, number := mysql.ParseHeader(head)
-		r.Discard(mysql.HeaderSize)
-		if cap(payload) < length {
-			payload = make([]byte, length)
-		}
-		payload = payload[:length]
-		if _, err := io.ReadFull(r, payload); err != nil || length == 0 {
-			return
-		}
-		came := time.Now()
-		switch {
-		case n == 0 || payload[0] == mysql.Ping || payload[0] == mysql.InitDB:
-			out = mysql.AppendOK(out[:0], number+1)
-		case payload[0] == mysql.Quit:
+	if _, err := tcp.Write(mysql.AppendGreeting(nil, f.lastConn.Add(1), &salt)); err != nil {
+		return
+	}
+	if number, ok := session.readPacket(); !ok || !session.write(mysql.AppendOK(nil, number+1)) { // the client's login
+		return
+	}
+	for {
+		number, ok := session.readPacket()
+		if !ok || !session.handle(number) {
 			return
-		case payload[0] != mysql.Query:
-			out = mysql.AppendError(out[:0], number+1, mysql.ErrUnknownCommand, "unknown command")
-		default:
-			if _, ok := mysql.ParseKillQuery(payload[1:]); ok {
-				out = mysql.AppendOK(out[:0], number+1)
-				break
-			}
-			if !f.query(tcp, &out, number, payload[1:], came) {
-				return
-			}
-			continue
 		}
-		if _, err := tcp.Write(out); err != nil {
-			return
+	}
+}
+
+// frontendSession is one client's session.
+type frontendSession struct {
+	frontend *Frontend
+	tcp      net.Conn
+	reader   *bufio.Reader
+	payload  []byte // of the last packet
+	out      []byte
+}
+
+// readPacket reads a packet and returns its number; ok is false at the end of the session.
+func (s *frontendSession) readPacket() (number byte, ok bool) {
+	header, err := s.reader.Peek(mysql.HeaderSize)
+	if err != nil {
+		return 0, false
+	}
+	length, number := mysql.ParseHeader(header)
+	if _, err := s.reader.Discard(mysql.HeaderSize); err != nil {
+		return 0, false
+	}
+	if cap(s.payload) < length {
+		s.payload = make([]byte, length)
+	}
+	s.payload = s.payload[:length]
+	_, err = io.ReadFull(s.reader, s.payload)
+	return number, err == nil && length > 0
+}
+
+func (s *frontendSession) write(bytes []byte) bool {
+	_, err := s.tcp.Write(bytes)
+	return err == nil
+}
+
+// handle answers the last packet, and returns false if the session ends.
+func (s *frontendSession) handle(number byte) bool {
+	receivedAt := time.Now()
+	switch s.payload[0] {
+	case mysql.Quit:
+		return false
+	case mysql.Ping, mysql.InitDB:
+		s.out = mysql.AppendOK(s.out[:0], number+1)
+	case mysql.Query:
+		if _, ok := mysql.ParseKillQuery(s.payload[1:]); !ok {
+			return s.handleQuery(number, s.payload[1:], receivedAt)
 		}
+		s.out = mysql.AppendOK(s.out[:0], number+1)
+	default:
+		s.out = mysql.AppendError(s.out[:0], number+1, mysql.ErrUnknownCommand, "unknown command")
 	}
+	return s.write(s.out)
 }
 
-// query answers one query; it tells whether the session goes on.
-func (f *Frontend) query(tcp net.Conn, out *[]byte, number byte, sql []byte, came time.Time) bool {
+// otherRequestID is the id in spoilt answers.
+const otherRequestID = "0000000000000000"
+
+// handleQuery answers a query after its service time, and returns false if the session ends.
+func (s *frontendSession) handleQuery(number byte, sql []byte, receivedAt time.Time) bool {
+	f := s.frontend
 	request, err := mysql.ReadRequest(sql)
 	if err != nil {
-		_, err := tcp.Write(mysql.AppendError((*out)[:0], number+1, mysql.ErrParse, err.Error()))
-		return err == nil
+		return s.write(mysql.AppendError(s.out[:0], number+1, mysql.ErrParse, err.Error()))
 	}
+	id := string(request.ID)
 	if f.Log != nil {
-		f.Log.came(string(request.ID), came)
+		f.Log.recordArrival(id, receivedAt)
 	}
-	w := find(f.works, string(request.Class), string(request.Statement))
-	f.work(w.Service.draw(string(request.ID)))
-	n := f.answers.Add(1)
-	every := func(of *atomic.Int64) bool { k := of.Load(); return k > 0 && n%k == 0 }
-	if every(&f.Drop) {
+	work := findWork(f.works, string(request.Class), string(request.Statement))
+	f.work(work.Service.draw(id))
+	answer := f.answers.Add(1)
+	if isEvery(answer, f.Drop.Load()) {
 		return false
 	}
-	of := string(request.ID)
-	if every(&f.Spoil) {
-		of = "0000000000000000" // rows of another request
+	rowsOf := id
+	if isEvery(answer, f.Spoil.Load()) {
+		rowsOf = otherRequestID
 	}
-	b, next := mysql.AppendColumns((*out)[:0], number+1)
-	for _, page := range pages(of, w.Rows) {
-		if b, next, err = mysql.AppendRows(b, next, page); err != nil {
-			panic(err) // its own pages
-		}
-	}
-	b = mysql.AppendEOF(b, next)
-	if every(&f.Double) {
-		b = append(b, b...)
+	s.out = appendResult(s.out[:0], number+1, resultPages(rowsOf, work.Rows))
+	if isEvery(answer, f.Double.Load()) {
+		s.out = append(s.out, s.out...)
 	}
-	*out = b
-	_, err = tcp.Write(b)
+	ok := s.write(s.out)
 	if f.Log != nil {
-		f.Log.ran(string(request.ID))
-		f.Log.left(string(request.ID), "data", time.Now())
+		f.Log.recordCompletion(id)
+		f.Log.recordAnswer(id, "data", time.Now())
 	}
-	return err == nil
+	return ok
+}
+
+// isEvery tells whether the answer of a number is one of every so many; 0: none is.
+func isEvery(answer, interval int64) bool { return interval > 0 && answer%interval == 0 }
+
+// appendResult appends a result set of some pages.
+func appendResult(out []byte, number byte, pages [][]byte) []byte {
+	out, next := mysql.AppendColumns(out, number)
+	for _, page := range pages {
+		var err error
+		out, next, err = mysql.AppendRows(out, next, page)
+		if err != nil {
+			panic(err) // of pages that it made itself
+		}
+	}
+	return mysql.AppendEOF(out, next)
 }
--- a/internal/testbed/fake/planner.go
+++ b/internal/testbed/fake/planner.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Kind is how a form's rows are found.
+// Kind is how the rows of a template are found.
 type Kind int
 
-// The kinds of forms.
+// The kinds of templates.
 const (
 	PointLookup Kind = iota // by a key, to one value
 	RangeScan               // by a key, over a range
@@ -29,19 +29,19 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Template is one of a planner's statements: its text, with {group} and {literal}, and what is true of it.
+// Template is one of a planner's statements: its text, with {group} and {literal} to be replaced, and what it costs.
 type Template struct {
 	Kind Kind
 	Text string
 
-	factor float64 // its own, times what its kind takes
-	bad    float64 // share of runs with a bad plan
-	skewed bool    // for some literals it takes many times the usual
+	factor   float64 // of its own, by which what its kind takes is multiplied
+	badShare float64 // share of runs with a bad plan
+	skewed   bool    // for some literals it takes many times the usual
 }
 
-// Planner is what a fake for an engine's optimiser and disks makes of statements. What a run costs follows the
-// statement, its literal, and how far loads have grown its tables; it is told by a mark that each form carries in the
-// name of a column, not by reading the statement, so that it shares nothing with what it is held against.
+// Planner is a fake of an engine's optimizer and disks. What a run costs depends on the statement, its literal, and how far loads
+// have grown its tables. The planner knows a template by a mark in the name of a column and does not parse the statement, so that it
+// shares no code with the classifier that is measured against it.
 type Planner struct {
 	Templates []Template
 
@@ -50,145 +50,173 @@
 	loads map[int]int
 }
 
-// The figures of a planner, chosen once so that kinds lie apart by as much as in a service of look-ups and reports, with
-// some forms in between; the forms of measurements are of other seeds than those that constants were chosen with.
+// The constants of a planner, chosen once so that the kinds differ by as much as in a service of look-ups and reports, with some
+// templates in between. Measurements use other seeds than those with which the constants were chosen.
 const (
-	plannerRows  = 1e6  // of a table, usually
-	rowsSpread   = 0.3  // of their logarithms
-	formSpread   = 0.3  // of forms' own factors
-	runSpread    = 0.35 // of runs
-	badShare     = 0.1
-	badFrom      = 10.0 // times the usual, up to twice that
-	skewTimes    = 25.0
-	skewLiterals = 16 // of so many literals one is dear
-	growth       = 1.03
+	plannerRows    = 1e6  // of a table, usually
+	rowsSpread     = 0.3  // of their logarithms
+	templateSpread = 0.3  // of the logarithms of templates' own factors
+	runSpread      = 0.35 // of the logarithms of runs
+	badPlanShare   = 0.1
+	badPlanFactor  = 10.0 // times the usual, up to twice that
+	skewFactor     = 25.0
+	skewLiterals   = 16   // one of so many literals is expensive
+	loadGrowth     = 1.03 // by which each load multiplies the rows of its tables
 )
 
-// The names of columns; the first are keys, as an operator would say.
+// The names of columns. Keys are those that an operator would declare as keys.
 var (
-	Keys     = []string{"clave", "distrito", "dia"}
-	otherCol = []string{"nota", "votos", "mesa", "ronda", "acta", "folio", "turno", "cargo"}
+	Keys         = []string{"clave", "distrito", "dia"}
+	otherColumns = []string{"nota", "votos", "mesa", "ronda", "acta", "folio", "turno", "cargo"}
 )
 
-// NewPlanner draws so many forms.
-func NewPlanner(seed int64, forms int) *Planner {
+// kindShares are the shares of the kinds among templates, added up; what is left over are bulk loads.
+var kindShares = []struct {
+	below float64
+	kind  Kind
+}{{0.40, PointLookup}, {0.62, RangeScan}, {0.74, IndexJoin}, {0.92, FullScan}, {0.96, CrossJoin}}
+
+// NewPlanner draws so many templates.
+func NewPlanner(seed int64, templates int) *Planner {
 	p := &Planner{seed: uint64(seed), loads: map[int]int{}}
-	r := rand.New(rand.NewPCG(p.seed, 11))
-	pick := func(list []string) string { return list[r.IntN(len(list))] }
-	for n := range forms {
-		f := Template{factor: math.Exp(formSpread * r.NormFloat64())}
-		switch u := r.Float64(); {
-		case u < 0.40:
-			f.Kind = PointLookup
-		case u < 0.62:
-			f.Kind = RangeScan
-		case u < 0.74:
-			f.Kind = IndexJoin
-		case u < 0.92:
-			f.Kind = FullScan
-		case u < 0.96:
-			f.Kind = CrossJoin
-		default:
-			f.Kind = BulkLoad
-		}
-		mark := fmt.Sprintf("f%d", n)
-		table, other := "actas_{group}.mesas", "actas_{group}.centros"
-		cols := mark
-		for range r.IntN(3) {
-			cols += ", " + pick(otherCol)
-		}
-		tail := ""
-		switch r.IntN(4) {
-		case 0:
-			tail = " ORDER BY " + pick(otherCol)
-		case 1:
-			cols += ", count(*)"
-			tail = " GROUP BY " + mark
+	d := templateDrawer{rand.New(rand.NewPCG(p.seed, 11))}
+	for n := range templates {
+		p.Templates = append(p.Templates, d.draw(fmt.Sprintf("f%d", n)))
+	}
+	return p
+}
+
+// templateDrawer draws templates. The order of its draws is part of what a seed stands for.
+type templateDrawer struct{ random *rand.Rand }
+
+func (d templateDrawer) pick(list []string) string { return list[d.random.IntN(len(list))] }
+
+func (d templateDrawer) drawKind() Kind {
+	at := d.random.Float64()
+	for _, share := range kindShares {
+		if at < share.below {
+			return share.kind
 		}
-		key := pick(Keys)
-		switch f.Kind {
-		case PointLookup:
-			f.Text = fmt.Sprintf("SELECT %s FROM %s WHERE %s = '{literal}'", cols, table, key)
-			for range r.IntN(2) {
-				f.Text += " AND " + pick(otherCol) + " > 3"
-			}
-		case RangeScan:
-			f.bad, f.skewed = badShare, r.IntN(4) == 0
-			op := []string{" BETWEEN '{literal}' AND 'z'", " > '{literal}'", " LIKE '{literal}%'"}[r.IntN(3)]
-			f.Text = fmt.Sprintf("SELECT %s FROM %s WHERE %s%s%s", cols, table, key, op, tail)
-		case IndexJoin:
-			f.bad = badShare
-			f.Text = fmt.Sprintf("SELECT m.%s FROM %s m JOIN %s c ON c.clave = m.clave WHERE m.%s > '{literal}'%s",
-				strings.ReplaceAll(cols, ", ", ", m."), table, other, key, strings.ReplaceAll(tail, "BY ", "BY m."))
-			f.Text = strings.ReplaceAll(f.Text, "m.count(", "count(")
-		case FullScan:
-			f.bad = badShare
-			where := []string{"", " WHERE " + pick(otherCol) + " = '{literal}'", " WHERE upper(" + key + ") = '{literal}'",
-				" WHERE " + key + " LIKE '%{literal}'"}[r.IntN(4)]
-			f.Text = "SELECT " + cols + " FROM " + table + where + tail
-		case CrossJoin:
-			f.Text = fmt.Sprintf("SELECT m.%s, count(*) FROM %s m, %s c WHERE m.%s <> '{literal}' GROUP BY m.%s", mark, table, other,
-				pick(otherCol), mark)
-		case BulkLoad:
-			f.Text = fmt.Sprintf("INSERT INTO %s (%s, clave) SELECT a, b FROM staging.lote WHERE c = '{literal}'", table, mark)
+	}
+	return BulkLoad
+}
+
+// draw draws a template with a mark as the name of a column.
+func (d templateDrawer) draw(mark string) Template {
+	t := Template{factor: math.Exp(templateSpread * d.random.NormFloat64())}
+	t.Kind = d.drawKind()
+	columns := mark
+	for range d.random.IntN(3) {
+		columns += ", " + d.pick(otherColumns)
+	}
+	tail := ""
+	switch d.random.IntN(4) {
+	case 0:
+		tail = " ORDER BY " + d.pick(otherColumns)
+	case 1:
+		columns += ", count(*)"
+		tail = " GROUP BY " + mark
+	}
+	d.drawText(&t, mark, columns, d.pick(Keys), tail)
+	return t
+}
+
+// The tables of a template.
+const (
+	mainTable   = "actas_{group}.mesas"
+	joinedTable = "actas_{group}.centros"
+)
+
+// drawText draws the text of a template, and how often its plans are bad.
+func (d templateDrawer) drawText(t *Template, mark, columns, key, tail string) {
+	switch t.Kind {
+	case PointLookup:
+		t.Text = fmt.Sprintf("SELECT %s FROM %s WHERE %s = '{literal}'", columns, mainTable, key)
+		for range d.random.IntN(2) {
+			t.Text += " AND " + d.pick(otherColumns) + " > 3"
 		}
-		p.Templates = append(p.Templates, f)
+	case RangeScan:
+		t.badShare, t.skewed = badPlanShare, d.random.IntN(4) == 0
+		condition := []string{" BETWEEN '{literal}' AND 'z'", " > '{literal}'", " LIKE '{literal}%'"}[d.random.IntN(3)]
+		t.Text = fmt.Sprintf("SELECT %s FROM %s WHERE %s%s%s", columns, mainTable, key, condition, tail)
+	case IndexJoin:
+		t.badShare = badPlanShare
+		t.Text = fmt.Sprintf("SELECT m.%s FROM %s m JOIN %s c ON c.clave = m.clave WHERE m.%s > '{literal}'%s",
+			strings.ReplaceAll(columns, ", ", ", m."), mainTable, joinedTable, key, strings.ReplaceAll(tail, "BY ", "BY m."))
+		t.Text = strings.ReplaceAll(t.Text, "m.count(", "count(")
+	case FullScan:
+		t.badShare = badPlanShare
+		condition := []string{"", " WHERE " + d.pick(otherColumns) + " = '{literal}'", " WHERE upper(" + key + ") = '{literal}'",
+			" WHERE " + key + " LIKE '%{literal}'"}[d.random.IntN(4)]
+		t.Text = "SELECT " + columns + " FROM " + mainTable + condition + tail
+	case CrossJoin:
+		t.Text = fmt.Sprintf("SELECT m.%s, count(*) FROM %s m, %s c WHERE m.%s <> '{literal}' GROUP BY m.%s", mark, mainTable, joinedTable,
+			d.pick(otherColumns), mark)
+	case BulkLoad:
+		t.Text = fmt.Sprintf("INSERT INTO %s (%s, clave) SELECT a, b FROM staging.lote WHERE c = '{literal}'", mainTable, mark)
 	}
-	return p
 }
 
-// form finds the form of a statement by its mark, with the number of its group and its literal.
-func (p *Planner) form(statement string) (f *Template, group int, literal string) {
+// match finds the template of a statement by its mark, with the number of its group and its literal; nil: there is none.
+func (p *Planner) match(statement string) (template *Template, group int, literal string) {
+	template = p.findMark(statement)
+	if template == nil {
+		return nil, 0, ""
+	}
+	if _, rest, ok := strings.Cut(statement, "actas_"); ok {
+		group, _ = strconv.Atoi(leadingDigits(rest)) // 0 if it has none
+	}
+	if _, rest, ok := strings.Cut(statement, "'"); ok {
+		literal, _, _ = strings.Cut(strings.TrimPrefix(rest, "%"), "'")
+		literal = strings.TrimSuffix(literal, "%")
+	}
+	return template, group, literal
+}
+
+// findMark finds the template whose mark, f and its number, stands in a statement as the start of a word.
+func (p *Planner) findMark(statement string) *Template {
 	for at := 0; ; {
 		i := strings.IndexByte(statement[at:], 'f')
 		if i < 0 {
-			return nil, 0, ""
+			return nil
 		}
 		at += i + 1
 		if at >= 2 && strings.IndexByte(" .(", statement[at-2]) < 0 {
 			continue
 		}
-		end := at
-		for end < len(statement) && statement[end] >= '0' && statement[end] <= '9' {
-			end++
-		}
-		if n, err := strconv.Atoi(statement[at:end]); err == nil && n < len(p.Templates) {
-			f = &p.Templates[n]
-			break
-		}
-	}
-	if _, rest, ok := strings.Cut(statement, "actas_"); ok {
-		end := 0
-		for end < len(rest) && rest[end] >= '0' && rest[end] <= '9' {
-			end++
+		if n, err := strconv.Atoi(leadingDigits(statement[at:])); err == nil && n < len(p.Templates) {
+			return &p.Templates[n]
 		}
-		group, _ = strconv.Atoi(rest[:end])
 	}
-	if _, rest, ok := strings.Cut(statement, "'"); ok {
-		literal, _, _ = strings.Cut(strings.TrimPrefix(rest, "%"), "'")
-		literal = strings.TrimSuffix(literal, "%")
+}
+
+func leadingDigits(text string) string {
+	end := 0
+	for end < len(text) && text[end] >= '0' && text[end] <= '9' {
+		end++
 	}
-	return f, group, literal
+	return text[:end]
 }
 
-// TypicalCost is what a statement truly takes when nothing goes wrong, in ms, and the memory it needs in MB; ok is false for
-// one that is no form of the planner's.
+// TypicalCost is what a statement takes with a good plan, in ms, and the memory it needs in MB; ok is false for
+// a statement of none of the planner's templates.
 func (p *Planner) TypicalCost(statement string) (ms, memory float64, ok bool) {
-	f, group, literal := p.form(statement)
-	if f == nil {
+	template, group, literal := p.match(statement)
+	if template == nil {
 		return 0, 0, false
 	}
-	ms, memory = p.usual(f, group, literal)
+	ms, memory = p.typicalCost(template, group, literal)
 	return ms, memory, true
 }
 
-func (p *Planner) usual(f *Template, group int, literal string) (ms, memory float64) {
+// typicalCost is what a template takes with a good plan for one group and literal, in ms, and the memory it needs in MB.
+func (p *Planner) typicalCost(template *Template, group int, literal string) (ms, memory float64) {
 	p.mu.Lock()
 	loads := p.loads[group]
 	p.mu.Unlock()
-	r := rand.New(rand.NewPCG(p.seed, uint64(group)+1000))
-	rows := plannerRows * math.Exp(rowsSpread*r.NormFloat64()) * math.Pow(growth, float64(loads))
-	switch f.Kind {
+	random := rand.New(rand.NewPCG(p.seed, uint64(group)+1000))
+	rows := plannerRows * math.Exp(rowsSpread*random.NormFloat64()) * math.Pow(loadGrowth, float64(loads))
+	switch template.Kind {
 	case PointLookup:
 		ms, memory = 2+2*math.Log10(rows), 8
 	case RangeScan:
@@ -202,46 +230,46 @@
 	case BulkLoad:
 		ms, memory = 200, 64
 	}
-	if f.skewed && IsExpensive(literal) {
-		ms *= skewTimes
+	if template.skewed && IsExpensive(literal) {
+		ms *= skewFactor
 	}
-	return ms * f.factor, memory
+	return ms * template.factor, memory
 }
 
-// IsExpensive tells whether a literal is one for which skewed forms take many times the usual.
+// IsExpensive tells whether a literal is one for which skewed templates take many times the usual.
 func IsExpensive(literal string) bool {
-	h := fnv.New32a()
-	h.Write([]byte(literal))
-	return h.Sum32()%skewLiterals == 0
+	hash := fnv.New32a()
+	hash.Write([]byte(literal))
+	return hash.Sum32()%skewLiterals == 0
 }
 
-// Run is what one run of a statement takes, drawn by its id: the same wherever it runs.
+// Run is what one run of a statement takes, drawn by the id of its request: the same wherever it runs.
 func (p *Planner) Run(statement, id string) (took time.Duration, memory float64, ok bool) {
-	f, group, literal := p.form(statement)
-	if f == nil {
+	template, group, literal := p.match(statement)
+	if template == nil {
 		return 0, 0, false
 	}
-	ms, memory := p.usual(f, group, literal)
-	h := fnv.New64a()
-	h.Write([]byte(id))
-	r := rand.New(rand.NewPCG(h.Sum64(), p.seed))
-	ms *= math.Exp(runSpread * r.NormFloat64())
-	if r.Float64() < f.bad {
-		ms *= badFrom * (1 + r.Float64())
+	ms, memory := p.typicalCost(template, group, literal)
+	hash := fnv.New64a()
+	hash.Write([]byte(id))
+	random := rand.New(rand.NewPCG(hash.Sum64(), p.seed))
+	ms *= math.Exp(runSpread * random.NormFloat64())
+	if random.Float64() < template.badShare {
+		ms *= badPlanFactor * (1 + random.Float64())
 	}
 	return time.Duration(ms * float64(time.Millisecond)), memory, true
 }
 
-// RecordRun takes in that a statement has run to its end: a load grows its tables.
+// RecordRun takes down that a statement has run to its end: a load grows its tables.
 func (p *Planner) RecordRun(statement string) {
-	if f, group, _ := p.form(statement); f != nil && f.Kind == BulkLoad {
+	if template, group, _ := p.match(statement); template != nil && template.Kind == BulkLoad {
 		p.mu.Lock()
 		p.loads[group]++
 		p.mu.Unlock()
 	}
 }
 
-// Skewed is how many forms take many times the usual for some literals.
+// Skewed is how many templates take many times the usual for some literals.
 func (p *Planner) Skewed() (n int) {
 	for i := range p.Templates {
 		if p.Templates[i].skewed {
--- a/internal/testbed/fake/work.go
+++ b/internal/testbed/fake/work.go
@@ -17,7 +17,7 @@
 	Tail float64 // of pareto, above 1
 }
 
-// Check tells what is amiss.
+// Check returns an error for the first field that is wrong; path is the name of the distribution in its file.
 func (s ServiceTime) Check(path string) error {
 	switch {
 	case s.Mean < 0 || s.Mean > time.Hour:
@@ -36,23 +36,23 @@
 
 // draw gives the time for an id: the same wherever and whenever it runs.
 func (s ServiceTime) draw(id string) time.Duration {
-	h := fnv.New64a()
-	h.Write([]byte(id))
-	r := rand.New(rand.NewPCG(h.Sum64(), 1))
+	hash := fnv.New64a()
+	hash.Write([]byte(id))
+	random := rand.New(rand.NewPCG(hash.Sum64(), 1))
 	mean := float64(s.Mean)
 	switch s.Kind {
 	case "exponential":
-		mean *= r.ExpFloat64()
+		mean *= random.ExpFloat64()
 	case "lognormal":
 		sigma := math.Sqrt(math.Log(1 + s.CV*s.CV))
-		mean *= math.Exp(sigma*r.NormFloat64() - sigma*sigma/2)
+		mean *= math.Exp(sigma*random.NormFloat64() - sigma*sigma/2)
 	case "pareto":
-		mean *= (s.Tail - 1) / s.Tail * math.Pow(1-r.Float64(), -1/s.Tail)
+		mean *= (s.Tail - 1) / s.Tail * math.Pow(1-random.Float64(), -1/s.Tail)
 	}
 	return time.Duration(min(mean, float64(time.Hour)))
 }
 
-// Work is what a request asks for: by its class, or by what its statement holds; the first that fits counts.
+// Work is what requests take, of a class or with a text in their statement.
 type Work struct {
 	Class    string // empty: any
 	Contains string // text of the statement; empty: any
@@ -62,10 +62,11 @@
 	Fails    float64 // share of requests that end with an error
 }
 
-func find(works []Work, lane, statement string) Work {
-	for _, w := range works {
-		if (w.Class == "" || w.Class == lane) && (w.Contains == "" || strings.Contains(statement, w.Contains)) {
-			return w
+// findWork is the first work that fits a request; without one it is one row at once.
+func findWork(works []Work, class, statement string) Work {
+	for _, work := range works {
+		if (work.Class == "" || work.Class == class) && (work.Contains == "" || strings.Contains(statement, work.Contains)) {
+			return work
 		}
 	}
 	return Work{Rows: 1}
