--- a/internal/testbed/load/arrival/arrival_test.go
+++ b/internal/testbed/load/arrival/arrival_test.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// counts tells how many arrivals a shape has in each of the first seconds.
-func counts(s Shape, seconds int) (out []int) {
-	out = make([]int, seconds)
-	stream := s.Stream(7)
+// countBySecond counts a shape's arrivals in each of the first seconds.
+func countBySecond(shape Shape, seconds int) (counts []int) {
+	counts = make([]int, seconds)
+	stream := shape.Stream(7)
 	for last := time.Duration(0); ; {
 		at, ok := stream.Next()
 		if !ok || at >= time.Duration(seconds)*time.Second {
-			return out
+			return counts
 		}
 		if at < last {
 			panic("times went back")
 		}
 		last = at
-		out[at/time.Second]++
+		counts[at/time.Second]++
 	}
 }
 
-// One line a shape: arrivals in each of eight seconds.
+// One line for each shape: arrivals in each of eight seconds.
 func ExampleShape() {
 	trace := Shape{Kind: Replay, Times: []time.Duration{0, time.Second, time.Second, 2500 * time.Millisecond, 7 * time.Second}}
-	for _, c := range []struct {
+	for _, example := range []struct {
 		name  string
 		shape Shape
 	}{
@@ -46,10 +46,10 @@
 		{"sequence", Shape{Kind: Sequence, Parts: []Shape{{Kind: Steady, Rate: 10, For: 3 * time.Second}, {Kind: Steady, Rate: 50}}}},
 		{"nothing", Shape{Kind: Poisson}},
 	} {
-		if err := c.shape.Check("load"); err != nil {
+		if err := example.shape.Check("load"); err != nil {
 			panic(err)
 		}
-		fmt.Printf("%-20s %v\n", c.name, counts(c.shape, 8))
+		fmt.Printf("%-20s %v\n", example.name, countBySecond(example.shape, 8))
 	}
 	// Output:
 	// poisson 100          [87 101 95 96 109 99 107 94]
@@ -86,15 +86,15 @@
 	// load.times: entry 1 comes before the one ahead of it
 }
 
-var lanes = []Class{
+var testClasses = []Class{
 	{Name: "look", Share: 3, Groups: 10, Zipf: 1, Statements: []string{"SELECT {literal} FROM actas_{group}.m", "SELECT {x}"}},
 	{Name: "load", Share: 1, Groups: 2, Literals: 5, Statements: []string{"INSERT INTO actas_{group}.m VALUES ({literal})"}},
 }
 
 func ExampleSchedule() {
-	s, err := NewSchedule(&Shape{Kind: Steady, Rate: 10}, lanes, 3, time.Second)
+	s, err := NewSchedule(&Shape{Kind: Steady, Rate: 10}, testClasses, 3, time.Second)
 	for t, ok := s.Next(); ok; t, ok = s.Next() {
-		fmt.Printf("%d %v %s %s\n", t.Number, t.At, lanes[t.Class].Name, lanes[t.Class].Statement(nil, &t))
+		fmt.Printf("%d %v %s %s\n", t.Number, t.At, testClasses[t.Class].Name, testClasses[t.Class].Statement(nil, &t))
 	}
 	fmt.Println(err)
 	// Output:
@@ -111,54 +111,58 @@
 	// <nil>
 }
 
+func drawSchedule(t *testing.T, shape *Shape, seed int64, length time.Duration) (requests []Request) {
+	t.Helper()
+	schedule, err := NewSchedule(shape, testClasses, seed, length)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for request, ok := schedule.Next(); ok; request, ok = schedule.Next() {
+		requests = append(requests, request)
+	}
+	return requests
+}
+
 // The union of the shards is exactly the schedule that nobody split, and the draws are the classes' shares and Zipf's.
-func TestShards(t *testing.T) {
+func TestShardsMakeUpTheSchedule(t *testing.T) {
 	shape := &Shape{Kind: Sum, Parts: []Shape{{Kind: Poisson, Rate: 500}, {Kind: Bursts, Levels: []float64{0, 900}, Dwell: 100 * time.Millisecond}}}
-	draw := func() (out []Request) {
-		s, err := NewSchedule(shape, lanes, 9, 20*time.Second)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for one, ok := s.Next(); ok; one, ok = s.Next() {
-			out = append(out, one)
-		}
-		return out
-	}
-	whole := draw()
-	const shards = 5
-	parts := map[uint64]Request{}
+	const seed, length, shards = 9, 20 * time.Second, 5
+	complete := drawSchedule(t, shape, seed, length)
+	sharded := map[uint64]Request{}
 	for shard := range shards {
-		for _, one := range draw() {
-			if Shard(one.Number, shards) == shard {
-				if _, twice := parts[one.Number]; twice {
-					t.Fatalf("task %d is in two shards", one.Number)
-				}
-				parts[one.Number] = one
+		for _, request := range drawSchedule(t, shape, seed, length) {
+			if Shard(request.Number, shards) != shard {
+				continue
+			}
+			if _, twice := sharded[request.Number]; twice {
+				t.Fatalf("request %d is in two shards", request.Number)
 			}
+			sharded[request.Number] = request
 		}
 	}
-	looks, first := 0, 0
-	for _, one := range whole {
-		if parts[one.Number] != one {
-			t.Fatalf("task %d: %+v in the whole, %+v in its shard", one.Number, one, parts[one.Number])
+	lookUps, firstGroup := 0, 0
+	for _, request := range complete {
+		if sharded[request.Number] != request {
+			t.Fatalf("request %d: %+v in the complete schedule, %+v in its shard", request.Number, request, sharded[request.Number])
 		}
-		if one.Class == 0 {
-			looks++
-			if one.Group == 1 {
-				first++
-			}
+		if request.Class != 0 {
+			continue
+		}
+		lookUps++
+		if request.Group == 1 {
+			firstGroup++
 		}
 	}
-	if n := float64(len(whole)); len(parts) != len(whole) || float64(looks)/n < 0.73 || float64(looks)/n > 0.77 {
-		t.Errorf("%d tasks, %d in shards, %d look-ups", len(whole), len(parts), looks)
+	if count := float64(len(complete)); len(sharded) != len(complete) || float64(lookUps)/count < 0.73 || float64(lookUps)/count > 0.77 {
+		t.Errorf("%d requests, %d in shards, %d look-ups", len(complete), len(sharded), lookUps)
 	}
-	if share := float64(first) / float64(looks); share < 0.32 || share > 0.36 { // 1 over the sum of 1/k up to 10 is 0.341
-		t.Errorf("the first group has a share of %.3f", share)
+	if fraction := float64(firstGroup) / float64(lookUps); fraction < 0.32 || fraction > 0.36 { // 1 over the sum of 1/k up to 10 is 0.341
+		t.Errorf("the first group has a share of %.3f", fraction)
 	}
 }
 
 func BenchmarkSchedule(b *testing.B) {
-	s, err := NewSchedule(&Shape{Kind: Poisson, Rate: 50000}, lanes, 1, 0)
+	s, err := NewSchedule(&Shape{Kind: Poisson, Rate: 50000}, testClasses, 1, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -166,6 +170,6 @@
 	var text []byte
 	for b.Loop() {
 		t, _ := s.Next()
-		text = lanes[t.Class].Statement(text[:0], &t)
+		text = testClasses[t.Class].Statement(text[:0], &t)
 	}
 }
--- a/internal/testbed/load/arrival/stream.go
+++ b/internal/testbed/load/arrival/stream.go
@@ -6,147 +6,160 @@
 	"time"
 )
 
-// seconds as a time on the schedule, which counts whole nanoseconds.
-func seconds(s float64) time.Duration {
-	if s > 1e9 {
+// fromSeconds converts to a time on the schedule, which counts whole nanoseconds.
+func fromSeconds(seconds float64) time.Duration {
+	if seconds > 1e9 {
 		return never
 	}
-	return time.Duration(s * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
-type steady struct {
-	rate float64
-	n    int64
+// steadyStream has even distances.
+type steadyStream struct {
+	rate  float64 // a second
+	count int64
 }
 
-func (s *steady) Next() (time.Duration, bool) {
+func (s *steadyStream) Next() (time.Duration, bool) {
 	if s.rate <= 0 {
 		return 0, false
 	}
-	at := seconds(float64(s.n) / s.rate) // from the count, so that no error adds up
-	s.n++
+	at := fromSeconds(float64(s.count) / s.rate) // from the count, so that rounding errors don't add up
+	s.count++
 	return at, at < never
 }
 
-// varying is a Poisson process whose rate changes with time: candidates at its highest rate, each kept with the
-// chance of the rate there.
-type varying struct {
-	r    *rand.Rand
-	most float64
-	rate func(time.Duration) float64
-	at   float64 // in seconds
-	dull int     // candidates in a row that were not kept
+// varyingStream is a Poisson process whose rate changes with time. It draws candidates at the maximum rate and accepts
+// each with the probability of the rate there.
+type varyingStream struct {
+	random  *rand.Rand
+	maximum float64 // rate a second
+	rate    func(time.Duration) float64
+	seconds float64 // time of the last candidate
 }
 
-// mostDull ends a process whose rate has come down to nothing for good: no shape has a gap of so many candidates
-// and then goes on, but for one that was given a rate a million times under its peak.
-const mostDull = 10_000_000
+// maxRejectedCandidates ends a process whose rate has come down to nothing without end: no shape has a gap of so many
+// candidates and then goes on, but for one that was given a rate a million times under its peak.
+const maxRejectedCandidates = 10_000_000
 
-func (v *varying) Next() (time.Duration, bool) {
-	if v.most <= 0 {
+func (v *varyingStream) Next() (time.Duration, bool) {
+	if v.maximum <= 0 {
 		return 0, false
 	}
-	for v.dull = 0; v.dull < mostDull; v.dull++ {
-		v.at += v.r.ExpFloat64() / v.most
-		at := seconds(v.at)
+	for range maxRejectedCandidates {
+		v.seconds += v.random.ExpFloat64() / v.maximum
+		at := fromSeconds(v.seconds)
 		if at == never {
 			return 0, false
 		}
-		if rate := v.rate(at); rate >= v.most || v.r.Float64()*v.most < rate {
+		rate := v.rate(at)
+		if rate >= v.maximum || v.random.Float64()*v.maximum < rate {
 			return at, true
 		}
 	}
 	return 0, false
 }
 
-// modulated is a Poisson process that stays at a rate for a while and then enters the next state.
-type modulated struct {
-	r     *rand.Rand
-	next  func(k int) (rate float64, stay time.Duration)
-	k     int
-	rate  float64
-	at    time.Duration
-	until time.Duration
+// modulatedStream is a Poisson process that keeps a rate for a while and then enters the next state.
+type modulatedStream struct {
+	random    *rand.Rand
+	drawState func(number int) (rate float64, length time.Duration)
+	states    int // entered so far
+	rate      float64
+	at        time.Duration
+	until     time.Duration // end of the state
 }
 
-func (m *modulated) enter() {
-	var stay time.Duration
-	m.rate, stay = m.next(m.k)
-	m.k++
-	m.until += max(stay, 1)
+func (m *modulatedStream) enterState() {
+	var length time.Duration
+	m.rate, length = m.drawState(m.states)
+	m.states++
+	m.until += max(length, 1)
 }
 
-func (m *modulated) Next() (time.Duration, bool) {
+func (m *modulatedStream) Next() (time.Duration, bool) {
 	for m.until < never/2 {
 		if m.rate > 0 {
-			if at := m.at + seconds(m.r.ExpFloat64()/m.rate); at < m.until && at >= m.at {
+			at := m.at + fromSeconds(m.random.ExpFloat64()/m.rate)
+			if at < m.until && at >= m.at {
 				m.at = at
 				return at, true
 			}
 		}
-		m.at = m.until // memoryless: what was drawn past the change counts for nothing
-		m.enter()
+		m.at = m.until // the process has no memory, so a time past the state's end is drawn anew
+		m.enterState()
 	}
 	return 0, false
 }
 
-type replay struct {
-	times []time.Duration
-	r     *rand.Rand // nil: at the times themselves, else somewhere in the gap behind each
-	n     int
-	last  time.Duration
+type replayStream struct {
+	times  []time.Duration
+	random *rand.Rand // nil: at the times themselves; otherwise somewhere in the gap that follows each
+	next   int        // index into times
+	last   time.Duration
 }
 
-func (p *replay) Next() (time.Duration, bool) {
-	if p.n >= len(p.times) {
+func (r *replayStream) Next() (time.Duration, bool) {
+	if r.next >= len(r.times) {
 		return 0, false
 	}
-	at := p.times[p.n]
-	p.n++
-	if p.r != nil && p.n < len(p.times) {
-		at += time.Duration(p.r.Float64() * float64(p.times[p.n]-at))
+	at := r.times[r.next]
+	r.next++
+	if r.random != nil && r.next < len(r.times) {
+		at += time.Duration(r.random.Float64() * float64(r.times[r.next]-at))
 	}
-	p.last = max(p.last, at)
-	return p.last, true
+	r.last = max(r.last, at)
+	return r.last, true
 }
 
-// merged gives the times of several streams in order; of equal times the earlier part's first.
-type merged struct{ heads []head }
+// mergedStream gives the times of several streams in order; of equal times the earlier part's first.
+type mergedStream struct{ heads []streamHead }
 
-type head struct {
-	at   time.Duration
-	part int
-	from Stream
+// streamHead is the next time of one of the streams.
+type streamHead struct {
+	at     time.Duration
+	part   int
+	source Stream
 }
 
-func (m *merged) Len() int { return len(m.heads) }
-func (m *merged) Less(i, j int) bool {
+func (m *mergedStream) Len() int { return len(m.heads) }
+func (m *mergedStream) Less(i, j int) bool {
 	if m.heads[i].at != m.heads[j].at {
 		return m.heads[i].at < m.heads[j].at
 	}
 	return m.heads[i].part < m.heads[j].part
 }
-func (m *merged) Swap(i, j int) { m.heads[i], m.heads[j] = m.heads[j], m.heads[i] }
-func (m *merged) Push(x any)    { m.heads = append(m.heads, x.(head)) }
-func (m *merged) Pop() any {
+func (m *mergedStream) Swap(i, j int) { m.heads[i], m.heads[j] = m.heads[j], m.heads[i] }
+
+// Push implements heap.Interface.
+func (m *mergedStream) Push(pushed any) {
+	head, ok := pushed.(streamHead)
+	if !ok {
+		panic("arrival: the heap holds stream heads alone")
+	}
+	m.heads = append(m.heads, head)
+}
+
+// Pop implements heap.Interface.
+func (m *mergedStream) Pop() any {
 	last := m.heads[len(m.heads)-1]
 	m.heads = m.heads[:len(m.heads)-1]
 	return last
 }
 
-func (m *merged) add(from Stream) {
-	if at, ok := from.Next(); ok {
-		heap.Push(m, head{at, len(m.heads), from})
+func (m *mergedStream) add(source Stream) {
+	if at, ok := source.Next(); ok {
+		heap.Push(m, streamHead{at, len(m.heads), source})
 	}
 }
 
-func (m *merged) Next() (time.Duration, bool) {
+func (m *mergedStream) Next() (time.Duration, bool) {
 	if len(m.heads) == 0 {
 		return 0, false
 	}
 	first := &m.heads[0]
 	at := first.at
-	if next, ok := first.from.Next(); ok {
+	if next, ok := first.source.Next(); ok {
 		first.at = next
 		heap.Fix(m, 0)
 	} else {
@@ -155,53 +168,54 @@
 	return at, true
 }
 
-type thinned struct {
-	from Stream
-	r    *rand.Rand
-	keep float64
+// thinnedStream passes each time on with a probability.
+type thinnedStream struct {
+	source      Stream
+	random      *rand.Rand
+	probability float64
 }
 
-func (t *thinned) Next() (time.Duration, bool) {
-	if t.keep <= 0 {
+func (t *thinnedStream) Next() (time.Duration, bool) {
+	if t.probability <= 0 {
 		return 0, false
 	}
 	for {
-		at, ok := t.from.Next()
-		if !ok || t.r.Float64() < t.keep {
+		at, ok := t.source.Next()
+		if !ok || t.random.Float64() < t.probability {
 			return at, ok
 		}
 	}
 }
 
-type bounded struct {
-	from Stream
-	end  time.Duration
+type boundedStream struct {
+	source Stream
+	end    time.Duration
 }
 
-func (b *bounded) Next() (time.Duration, bool) {
-	at, ok := b.from.Next()
+func (b *boundedStream) Next() (time.Duration, bool) {
+	at, ok := b.source.Next()
 	return at, ok && at < b.end
 }
 
-// sequence plays its parts one behind the other; a part's own times count from its start.
-type sequence struct {
-	parts []Shape
-	make  func(i int) Stream
-	i     int
-	from  Stream
-	start time.Duration
+// sequenceStream gives its parts' times one part after the other; a part's own times count from its start.
+type sequenceStream struct {
+	parts   []Shape
+	newPart func(part int) Stream
+	part    int
+	source  Stream // of the part; nil: not made yet
+	start   time.Duration
 }
 
-func (s *sequence) Next() (time.Duration, bool) {
-	for s.i < len(s.parts) {
-		if s.from == nil {
-			s.from = s.make(s.i)
+func (s *sequenceStream) Next() (time.Duration, bool) {
+	for s.part < len(s.parts) {
+		if s.source == nil {
+			s.source = s.newPart(s.part)
 		}
-		if at, ok := s.from.Next(); ok {
+		if at, ok := s.source.Next(); ok {
 			return s.start + at, true
 		}
-		s.start += s.parts[s.i].For
-		s.i, s.from = s.i+1, nil
+		s.start += s.parts[s.part].For
+		s.part, s.source = s.part+1, nil
 	}
 	return 0, false
 }
