--- a/internal/testbed/load/stats/metrics_test.go
+++ b/internal/testbed/load/stats/metrics_test.go
@@ -9,36 +9,36 @@
 	"magpiebank/internal/testbed/load/client"
 )
 
-func over(f *Metrics, n uint64, how client.Outcome, at, latency time.Duration) {
-	f.RecordOffered(at)
-	f.RecordFinished(&client.Report{Request: &arrival.Request{Number: n, At: at}, Outcome: how, FinishedAt: at + latency, SentAt: at, Attempts: 1})
+func recordRequest(metrics *Metrics, number uint64, outcome client.Outcome, at, latency time.Duration) {
+	metrics.RecordOffered(at)
+	metrics.RecordFinished(&client.Report{Request: &arrival.Request{Number: number, At: at}, Outcome: outcome, FinishedAt: at + latency, SentAt: at, Attempts: 1})
 }
 
-func show(f *Metrics) {
-	l := &f.Classes[0]
-	fmt.Printf("%d offered, %d quick, p50 %v, max %v; %d seconds, worst %v by task %d; %v\n", f.Total(), l.WithinObjective,
-		l.Quantile(client.Served, 0.5), l.Quantile(client.Served, 1), len(f.Seconds), f.Seconds[0].Worst, f.Seconds[0].WorstRequest, f.Violations)
+func printMetrics(metrics *Metrics) {
+	class := &metrics.Classes[0]
+	fmt.Printf("%d offered, %d quick, p50 %v, max %v; %d seconds, worst %v by task %d; %v\n", metrics.Total(), class.WithinObjective,
+		class.Quantile(client.Served, 0.5), class.Quantile(client.Served, 1), len(metrics.Seconds), metrics.Seconds[0].Worst, metrics.Seconds[0].WorstRequest, metrics.Violations)
 }
 
-// Parts are merged; a request that two parts have, and one that nobody has, are found.
+// Shards are merged; a request that two shards have, and one that none has, are found.
 func ExampleMetrics_Merge() {
 	one, two := New([]string{"look"}, []time.Duration{time.Second}), New([]string{"look"}, []time.Duration{time.Second})
 	for n := range uint64(100) {
-		over(one, 2*n, client.Served, time.Duration(n)*10*time.Millisecond, time.Duration(n+1)*time.Millisecond)
-		over(two, 2*n+1, client.Served, time.Duration(n)*10*time.Millisecond, time.Duration(n+1)*20*time.Millisecond)
+		recordRequest(one, 2*n, client.Served, time.Duration(n)*10*time.Millisecond, time.Duration(n+1)*time.Millisecond)
+		recordRequest(two, 2*n+1, client.Served, time.Duration(n)*10*time.Millisecond, time.Duration(n+1)*20*time.Millisecond)
 	}
-	over(two, 300, client.MalformedAnswer, 0, time.Second)
-	over(two, 4, client.Served, 0, time.Second)
-	over(two, 5, client.Served, 0, time.Second)
+	recordRequest(two, 300, client.MalformedAnswer, 0, time.Second)
+	recordRequest(two, 4, client.Served, 0, time.Second)
+	recordRequest(two, 5, client.Served, 0, time.Second)
 	text, err := json.Marshal(two)
 	fmt.Println(err)
 	var read Metrics
 	fmt.Println(json.Unmarshal(text, &read))
-	show(one)
-	show(&read)
+	printMetrics(one)
+	printMetrics(&read)
 	fmt.Println(one.Merge(&read))
 	one.RecordMissing(205)
-	show(one)
+	printMetrics(one)
 	fmt.Println(json.Unmarshal([]byte(`{"v":2}`), &read), one.Merge(New(nil, nil)))
 	// Output:
 	// <nil>
