--- a/cmd/magpiebank-testbed/clock.go
+++ b/cmd/magpiebank-testbed/clock.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := play(c.Context(), c, e, o, nil)
+	r, err := play(c.Context(), c, e, o)
 	if err != nil {
 		return err
 	}
--- a/cmd/magpiebank-testbed/experiment.go
+++ b/cmd/magpiebank-testbed/experiment.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -35,19 +35,20 @@
 	c.Flags().StringVar(&o.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one")
 }
 
-// play runs an experiment and shows what came of it.
-func play(ctx context.Context, c *cobra.Command, e *experiment.Experiment, o *output, send experiment.Sender) (*experiment.Result, error) {
+// play runs an experiment and shows its result.
+func play(ctx context.Context, c *cobra.Command, e *experiment.Experiment, o *output) (*experiment.Result, error) {
 	if o.folder == "" {
 		o.folder = experiment.Folder(e.Name)
 	}
 	if e.Installation != nil && o.gateway != "" {
 		e.Installation.Program = o.gateway
 	}
-	if e.Workers > 0 && send == nil {
-		send = crewSender(e, o.folder)
+	var send experiment.Sender // nil: this process sends
+	if e.Workers > 0 {
+		send = workerSender(e, o.folder)
 	}
 	bar := newProgress(c.ErrOrStderr(), e)
-	result, err := e.Run(ctx, o.folder, send, bar.say)
+	result, err := e.Run(ctx, o.folder, send, bar.update)
 	bar.done()
 	if err != nil {
 		return nil, err
@@ -58,9 +59,7 @@
 // show prints a result and keeps it where that was asked for.
 func show(c *cobra.Command, result *experiment.Result, o *output) error {
 	if o.json {
-		out := json.NewEncoder(c.OutOrStdout())
-		out.SetIndent("", " ")
-		if err := out.Encode(result); err != nil {
+		if err := writeJSON(c.OutOrStdout(), result); err != nil {
 			return err
 		}
 	} else {
@@ -71,34 +70,32 @@
 			return err
 		}
 	}
-	if o.archive != "" {
-		a, err := report.OpenArchive(o.archive)
-		if err != nil {
-			return err
-		}
-		defer a.Close()
-		id, err := a.Put(result, o.note)
-		if err != nil {
-			return err
-		}
-		fmt.Fprintf(c.ErrOrStderr(), "kept as run %d in %s\n", id, o.archive)
+	if o.archive == "" {
+		return nil
+	}
+	id, err := addToArchive(o.archive, result, o.note)
+	if err != nil {
+		return err
 	}
+	fmt.Fprintf(c.ErrOrStderr(), "kept as run %d in %s\n", id, o.archive)
 	return nil
 }
 
-func writePage(path string, r *experiment.Result) error {
-	f, err := os.Create(path)
+// addToArchive adds a run to an archive and returns its number there.
+func addToArchive(path string, result *experiment.Result, note string) (id uint64, err error) {
+	archive, err := report.OpenArchive(path)
 	if err != nil {
-		return err
+		return 0, err
 	}
-	if err := report.Page(f, r); err != nil {
-		f.Close()
-		return err
-	}
-	return f.Close()
+	defer func() { err = errors.Join(err, archive.Close()) }()
+	return archive.Put(result, note)
+}
+
+func writePage(path string, result *experiment.Result) error {
+	return writeFile(path, func(out io.Writer) error { return report.Page(out, result) })
 }
 
-// verdict turns a result into the command's end.
+// verdict returns errMissed if a result has missed a bound.
 func verdict(r *experiment.Result) error {
 	if !r.Good() {
 		return errMissed
@@ -123,7 +120,7 @@
 	return p
 }
 
-func (p *progress) say(now experiment.Progress) {
+func (p *progress) update(now experiment.Progress) {
 	if p.w == nil {
 		return
 	}
@@ -185,7 +182,7 @@
 		if workers >= 0 {
 			e.Workers = workers
 		}
-		r, err := play(c.Context(), c, e, o, nil)
+		r, err := play(c.Context(), c, e, o)
 		if err != nil {
 			return err
 		}
@@ -252,7 +249,7 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d engines and their list, %d gateways, %v of load; engine 0 stands still from 20 s to 25 s\n\n",
 				e.Installation.Engines, e.Installation.Gateways, e.Length)
-			r, err := play(c.Context(), c, e, &o, nil)
+			r, err := play(c.Context(), c, e, &o)
 			if err != nil {
 				return err
 			}
--- /dev/null
+++ b/cmd/magpiebank-testbed/fleet_scale.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/plotutil"
+	"gonum.org/v1/plot/vg"
+
+	"magpiebank/internal/admission"
+	"magpiebank/internal/testbed/simcluster"
+)
+
+// scaleSizes are the sizes of the simulated clusters, in members.
+var scaleSizes = []int{8, 32, 100, 200, 500}
+
+// scaleSeed is the seed of all simulations of fleet scale.
+const scaleSeed = 1
+
+func fleetScale() *cobra.Command {
+	var most int
+	var picture string
+	c := &cobra.Command{Use: "scale", Short: "Fleets of 8 to 500 members in one process, in virtual time: detection, sharing, budgets, counts, changes of policy", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			out := c.OutOrStdout()
+			fmt.Fprintln(out, "simulated: one process, virtual time, seed 1")
+			members := scaleMembership(out, most)
+			fmt.Fprintln(out)
+			scaleHealthReports(out, most)
+			fmt.Fprintln(out)
+			quotas := forSizes(most, func(n int) simcluster.QuotaResult { return simcluster.MeasureQuota(n, scaleSeed) })
+			simcluster.WriteQuota(out, quotas)
+			fmt.Fprintln(out)
+			counters := forSizes(most, func(n int) simcluster.CounterResult { return simcluster.MeasureCounters(n, 0, scaleSeed) })
+			simcluster.WriteCounters(out, append(counters, simcluster.MeasureCounters(min(most, 32), 0.2, scaleSeed)))
+			fmt.Fprintln(out)
+			simcluster.WriteRollout(out, forSizes(most, func(n int) simcluster.RolloutResult { return simcluster.MeasureRollout(n, scaleSeed) }))
+			if picture == "" {
+				return nil
+			}
+			return plotScale(picture, members, quotas)
+		}}
+	c.Flags().IntVar(&most, "most", 500, "members of the largest fleet")
+	c.Flags().StringVar(&picture, "plot", "", "write detection and bytes by size of the fleet to this picture (png or svg)")
+	return c
+}
+
+// forSizes measures clusters of each size up to a largest one.
+func forSizes[Result any](most int, measure func(members int) Result) (results []Result) {
+	for _, members := range scaleSizes {
+		if members <= most {
+			results = append(results, measure(members))
+		}
+	}
+	return results
+}
+
+// scaleMembership measures and prints membership by size, and by loss and stopped members; it returns those by size.
+func scaleMembership(out io.Writer, most int) []simcluster.MembershipResult {
+	bySize := forSizes(most, func(n int) simcluster.MembershipResult { return simcluster.MeasureMembership(n, 0, 0, scaleSeed) })
+	all := bySize
+	for _, faults := range []struct{ loss, stopped float64 }{{0.05, 0}, {0.2, 0}, {0.4, 0}, {0, 0.1}, {0.05, 0.1}} {
+		all = append(all, simcluster.MeasureMembership(most, faults.loss, faults.stopped, scaleSeed))
+	}
+	simcluster.WriteMembership(out, all)
+	return bySize
+}
+
+// scaleHealthReports measures and prints health reports by size, and with loss and with more failures.
+func scaleHealthReports(out io.Writer, most int) {
+	measure := func(members int, failures, loss float64) simcluster.HealthReportResult {
+		return simcluster.MeasureHealthReports(members, max(6, members/5), 1.3, failures, loss, scaleSeed)
+	}
+	results := forSizes(most, func(n int) simcluster.HealthReportResult { return measure(n, 0.01, 0) })
+	results = append(results, measure(min(most, 100), 0.01, 0.2), measure(min(most, 100), 0.05, 0))
+	simcluster.WriteHealthReports(out, results)
+}
+
+// plotScale draws times and bytes by the size of the cluster.
+func plotScale(path string, members []simcluster.MembershipResult, quotas []simcluster.QuotaResult) error {
+	p := plot.New()
+	p.Title.Text = "A fleet's cost by its size (simulated)"
+	p.X.Label.Text = "members"
+	p.Y.Label.Text, p.Y.Min = "seconds; hundreds of bytes/s", 0
+	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	var detect, bytes, there, lent plotter.XYs
+	for _, f := range members {
+		detect = append(detect, plotter.XY{X: float64(f.Members), Y: float64(f.Detect) / float64(admission.Second)})
+		bytes = append(bytes, plotter.XY{X: float64(f.Members), Y: f.Bytes / 100})
+	}
+	for _, d := range quotas {
+		there = append(there, plotter.XY{X: float64(d.Members), Y: float64(d.There) / float64(admission.Second)})
+		lent = append(lent, plotter.XY{X: float64(d.Members), Y: d.Bytes / 100})
+	}
+	if err := plotutil.AddLinePoints(p, "until 9 of 10 know of a death, s", detect, "members, bytes/s a member / 100", bytes,
+		"until 9/10 of a budget is at one, s", there, "budgets, moving demand, bytes/s a member / 100", lent); err != nil {
+		return err
+	}
+	p.Legend.Top, p.Legend.Left = true, true
+	return p.Save(7*vg.Inch, 4*vg.Inch, path)
+}
--- a/cmd/magpiebank-testbed/fmt.go
+++ b/cmd/magpiebank-testbed/fmt.go
@@ -8,30 +8,23 @@
 	"github.com/spf13/cobra"
 )
 
-// fmtCommand writes operators' files in their usual form.
+// formattedFileMode is the mode of a file that fmt creates; files that are there keep theirs.
+const formattedFileMode = 0o644
+
+// fmtCommand formats operators' files.
 func fmtCommand() *cobra.Command {
 	var test bool
 	c := &cobra.Command{Use: "fmt FILE...", Short: "Write Jsonnet files in their usual form", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			differ := false
 			for _, path := range args {
-				text, err := os.ReadFile(path)
-				if err != nil {
-					return badFile{err}
-				}
-				out, err := formatter.Format(path, string(text), formatter.DefaultOptions())
+				changed, err := formatFile(path, !test)
 				if err != nil {
-					return badFile{err}
+					return err
 				}
-				if out == string(text) {
-					continue
-				}
-				differ = true
-				fmt.Fprintln(c.OutOrStdout(), path)
-				if !test {
-					if err := os.WriteFile(path, []byte(out), 0o644); err != nil {
-						return err
-					}
+				if changed {
+					differ = true
+					fmt.Fprintln(c.OutOrStdout(), path)
 				}
 			}
 			if test && differ {
@@ -42,3 +35,22 @@
 	c.Flags().BoolVar(&test, "test", false, "write nothing; status 1 when a file is not in its usual form")
 	return c
 }
+
+// formatFile tells whether formatting changes a file, and writes the change if it is to.
+func formatFile(path string, write bool) (changed bool, err error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return false, badFile{err}
+	}
+	formatted, err := formatter.Format(path, string(text), formatter.DefaultOptions())
+	if err != nil {
+		return false, badFile{err}
+	}
+	if formatted == string(text) {
+		return false, nil
+	}
+	if !write {
+		return true, nil
+	}
+	return true, os.WriteFile(path, []byte(formatted), formattedFileMode)
+}
--- a/cmd/magpiebank-testbed/restart.go
+++ b/cmd/magpiebank-testbed/restart.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -23,9 +22,7 @@
 		return err
 	}
 	if o.json {
-		out := json.NewEncoder(c.OutOrStdout())
-		out.SetIndent("", " ")
-		err = out.Encode(r)
+		err = writeJSON(c.OutOrStdout(), r)
 	} else {
 		r.Text(c.OutOrStdout())
 	}
--- a/cmd/magpiebank-testbed/runs.go
+++ b/cmd/magpiebank-testbed/runs.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"strconv"
 	"strings"
 
@@ -15,119 +16,150 @@
 // usualArchive is the default of --archive; archives of earlier versions lie under this name.
 const usualArchive = "magpielab.runs"
 
-func runsCommand() *cobra.Command {
-	var path string
-	c := &cobra.Command{Use: "runs", Short: "Runs that were kept with --archive"}
-	c.PersistentFlags().StringVar(&path, "archive", usualArchive, "the archive's file")
-	with := func(f func(c *cobra.Command, a *report.Archive, args []string) error) func(*cobra.Command, []string) error {
-		return func(c *cobra.Command, args []string) error {
-			a, err := report.OpenArchive(path)
-			if err != nil {
-				return err
-			}
-			defer a.Close()
-			return f(c, a, args)
+// archiveCommand makes the commands that read an archive.
+type archiveCommand struct{ path string }
+
+// run opens the archive around a command.
+func (a *archiveCommand) run(command func(c *cobra.Command, archive *report.Archive, args []string) error) func(*cobra.Command, []string) error {
+	return func(c *cobra.Command, args []string) (err error) {
+		archive, err := report.OpenArchive(a.path)
+		if err != nil {
+			return err
 		}
+		defer func() {
+			if closeErr := archive.Close(); err == nil {
+				err = closeErr
+			}
+		}()
+		return command(c, archive, args)
 	}
-	list := &cobra.Command{Use: "list", Short: "List them", Args: cobra.NoArgs,
-		RunE: with(func(c *cobra.Command, a *report.Archive, _ []string) error {
-			return a.Each(func(k *report.ArchivedRun) error {
-				word := "good"
-				if !k.Result.Good() {
-					word = "missed"
+}
+
+func runsCommand() *cobra.Command {
+	var a archiveCommand
+	c := &cobra.Command{Use: "runs", Short: "Runs that were kept with --archive"}
+	c.PersistentFlags().StringVar(&a.path, "archive", usualArchive, "the archive's file")
+	c.AddCommand(a.listCommand(), a.showCommand(), a.compareCommand(), a.removeCommand())
+	return c
+}
+
+func (a *archiveCommand) listCommand() *cobra.Command {
+	return &cobra.Command{Use: "list", Short: "List them", Args: cobra.NoArgs,
+		RunE: a.run(func(c *cobra.Command, archive *report.Archive, _ []string) error {
+			return archive.Each(func(run *report.ArchivedRun) error {
+				verdict := "good"
+				if !run.Result.Good() {
+					verdict = "missed"
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%4d  %s  %-14s seed %-6d %8d tasks  %-6s  %s\n", k.ID,
-					k.Result.Began.Format("2006-01-02 15:04:05"), k.Result.Name, k.Result.Seed, k.Result.Scheduled, word, k.Note)
+				fmt.Fprintf(c.OutOrStdout(), "%4d  %s  %-14s seed %-6d %8d tasks  %-6s  %s\n", run.ID,
+					run.Result.Began.Format("2006-01-02 15:04:05"), run.Result.Name, run.Result.Seed, run.Result.Scheduled, verdict, run.Note)
 				return nil
 			})
 		})}
+}
+
+func (a *archiveCommand) showCommand() *cobra.Command {
 	var asJSON bool
 	var page string
-	show := &cobra.Command{Use: "show N", Short: "Show one", Args: cobra.ExactArgs(1),
-		RunE: with(func(c *cobra.Command, a *report.Archive, args []string) error {
-			kept, err := pick(a, args[0])
+	c := &cobra.Command{Use: "show N", Short: "Show one", Args: cobra.ExactArgs(1),
+		RunE: a.run(func(c *cobra.Command, archive *report.Archive, args []string) error {
+			results, err := readRuns(archive, args[0])
 			if err != nil {
 				return err
 			}
-			for _, k := range kept {
-				if page != "" {
-					if err := writePage(page, k); err != nil {
-						return err
-					}
-				}
-				if asJSON {
-					if err := json.NewEncoder(c.OutOrStdout()).Encode(k); err != nil {
-						return err
-					}
-					continue
+			for _, result := range results {
+				if err := showRun(c.OutOrStdout(), result, page, asJSON); err != nil {
+					return err
 				}
-				report.Text(c.OutOrStdout(), k)
 			}
 			return nil
 		})}
-	show.Flags().BoolVar(&asJSON, "json", false, "print it as JSON")
-	show.Flags().StringVar(&page, "html", "", "write the report's page to this file")
-	compare := &cobra.Command{Use: "compare BEFORE AFTER", Short: "Compare two sets of runs, as in: compare 1,2,3 4-6", Args: cobra.ExactArgs(2),
-		RunE: with(func(c *cobra.Command, a *report.Archive, args []string) error {
-			before, err := pick(a, args[0])
+	c.Flags().BoolVar(&asJSON, "json", false, "print it as JSON")
+	c.Flags().StringVar(&page, "html", "", "write the report's page to this file")
+	return c
+}
+
+// showRun prints a run, and writes its page if a path is given.
+func showRun(out io.Writer, result *experiment.Result, page string, asJSON bool) error {
+	if page != "" {
+		if err := writePage(page, result); err != nil {
+			return err
+		}
+	}
+	if asJSON {
+		return json.NewEncoder(out).Encode(result)
+	}
+	report.Text(out, result)
+	return nil
+}
+
+func (a *archiveCommand) compareCommand() *cobra.Command {
+	return &cobra.Command{Use: "compare BEFORE AFTER", Short: "Compare two sets of runs, as in: compare 1,2,3 4-6", Args: cobra.ExactArgs(2),
+		RunE: a.run(func(c *cobra.Command, archive *report.Archive, args []string) error {
+			before, err := readRuns(archive, args[0])
 			if err != nil {
 				return err
 			}
-			after, err := pick(a, args[1])
+			after, err := readRuns(archive, args[1])
 			if err != nil {
 				return err
 			}
 			return report.Compare(c.OutOrStdout(), before, after)
 		})}
-	rm := &cobra.Command{Use: "rm N...", Short: "Take runs out", Args: cobra.MinimumNArgs(1),
-		RunE: with(func(c *cobra.Command, a *report.Archive, args []string) error {
+}
+
+func (a *archiveCommand) removeCommand() *cobra.Command {
+	return &cobra.Command{Use: "rm N...", Short: "Take runs out", Args: cobra.MinimumNArgs(1),
+		RunE: a.run(func(_ *cobra.Command, archive *report.Archive, args []string) error {
 			for _, arg := range args {
-				ids, err := numbers(arg)
+				ids, err := parseRunNumbers(arg)
 				if err != nil {
 					return err
 				}
 				for _, id := range ids {
-					if err := a.Remove(id); err != nil {
+					if err := archive.Remove(id); err != nil {
 						return err
 					}
 				}
 			}
 			return nil
 		})}
-	c.AddCommand(list, show, compare, rm)
-	return c
 }
 
-// numbers reads a list as in 1,4-6.
-func numbers(text string) (out []uint64, err error) {
+// maxRunRange is the most runs that a range such as 4-6 may name.
+const maxRunRange = 10000
+
+// parseRunNumbers reads a list such as 1,4-6.
+func parseRunNumbers(text string) (ids []uint64, err error) {
 	for _, part := range strings.Split(text, ",") {
-		first, last, ok := strings.Cut(part, "-")
-		if !ok {
-			last = first
+		firstText, lastText, isRange := strings.Cut(part, "-")
+		if !isRange {
+			lastText = firstText
 		}
-		a, err1 := strconv.ParseUint(first, 10, 64)
-		b, err2 := strconv.ParseUint(last, 10, 64)
-		if err1 != nil || err2 != nil || a > b || b-a > 10000 {
+		first, firstErr := strconv.ParseUint(firstText, 10, 64)
+		last, lastErr := strconv.ParseUint(lastText, 10, 64)
+		if firstErr != nil || lastErr != nil || first > last || last-first > maxRunRange {
 			return nil, badFile{fmt.Errorf("%q: expected numbers of runs, as in 1,4-6", text)}
 		}
-		for ; a <= b; a++ {
-			out = append(out, a)
+		for id := first; id <= last; id++ {
+			ids = append(ids, id)
 		}
 	}
-	return out, nil
+	return ids, nil
 }
 
-func pick(a *report.Archive, text string) (out []*experiment.Result, err error) {
-	ids, err := numbers(text)
+// readRuns reads the runs of a list such as 1,4-6.
+func readRuns(archive *report.Archive, list string) (results []*experiment.Result, err error) {
+	ids, err := parseRunNumbers(list)
 	if err != nil {
 		return nil, err
 	}
 	for _, id := range ids {
-		k, err := a.Get(id)
+		run, err := archive.Get(id)
 		if err != nil {
 			return nil, badFile{err}
 		}
-		out = append(out, k.Result)
+		results = append(results, run.Result)
 	}
-	return out, nil
+	return results, nil
 }
--- a/cmd/magpiebank-testbed/search.go
+++ b/cmd/magpiebank-testbed/search.go
@@ -26,7 +26,7 @@
 			}
 			good, bad := 0.0, 0.0
 			for factor := from; ; {
-				kept, err := keeps(c, args[0], factor, length, tries, &o)
+				kept, err := keepsBounds(c, args[0], factor, length, tries)
 				if err != nil {
 					return err
 				}
@@ -63,7 +63,8 @@
 	return c
 }
 
-func keeps(c *cobra.Command, name string, factor float64, length time.Duration, tries int, o *output) (bool, error) {
+// keepsBounds tells whether one of some tries keeps all bounds with the rates times a factor.
+func keepsBounds(c *cobra.Command, name string, factor float64, length time.Duration, tries int) (bool, error) {
 	for k := range tries {
 		e, err := experiment.Find(name)
 		if err != nil {
@@ -74,7 +75,7 @@
 		}
 		e.Seed += int64(k)
 		e.Shape = arrival.Shape{Kind: arrival.Scale, Factor: factor, Parts: []arrival.Shape{e.Shape}}
-		r, err := e.Run(c.Context(), experiment.Folder(e.Name), nil, newProgress(c.ErrOrStderr(), e).say)
+		r, err := e.Run(c.Context(), experiment.Folder(e.Name), nil, newProgress(c.ErrOrStderr(), e).update)
 		if err != nil {
 			return false, err
 		}
--- a/cmd/magpiebank-testbed/starved.go
+++ b/cmd/magpiebank-testbed/starved.go
@@ -12,6 +12,14 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
+// spin keeps a processor busy until it is over.
+func spin(over *atomic.Bool) {
+	rounds := 0
+	for !over.Load() {
+		rounds++
+	}
+}
+
 // starved plays a load on one processor beside a busy loop: the run must say that it was late, and not be called good.
 func starved(c *cobra.Command, o *output) error {
 	e, err := experiment.Find("generator")
@@ -23,11 +31,8 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	var over atomic.Bool
 	defer over.Store(true)
-	go func() {
-		for n := 0; !over.Load(); n++ {
-		}
-	}()
-	r, err := play(c.Context(), c, e, o, nil)
+	go spin(&over)
+	r, err := play(c.Context(), c, e, o)
 	if err != nil {
 		return err
 	}
--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand"
@@ -60,9 +59,7 @@
 	quick, more := classification.JudgeDelays(delays)
 	good, lines = good && quick, append(lines, more...)
 	if o.json {
-		e := json.NewEncoder(out)
-		e.SetIndent("", " ")
-		if err := e.Encode(map[string]any{"classes": m, "delays": delays, "runs": runs}); err != nil {
+		if err := writeJSON(out, map[string]any{"classes": m, "delays": delays, "runs": runs}); err != nil {
 			return err
 		}
 	} else {
@@ -119,7 +116,7 @@
 		e.Name = "statements, " + with.name
 		one := *o
 		one.json, one.page, one.folder = false, "", filepath.Join(folder, strings.Fields(with.name)[0])
-		r, err := play(c.Context(), quietly(c), e, &one, nil)
+		r, err := play(c.Context(), quietly(c), e, &one)
 		if err != nil {
 			return nil, err
 		}
@@ -167,34 +164,34 @@
 		}
 		return out
 	}
-	lane := func(name, as string, quoted, patience time.Duration, statements []string) arrival.Class {
-		return arrival.Class{Name: name, GatewayClass: as, Share: 1, Statements: statements, Groups: statementGroups, Literals: 40, LatencyObjective: quoted,
-			MaxWait: patience, Idempotent: true, MarkRetry: true}
+	class := func(name, as string, objective, maxWait time.Duration, statements []string) arrival.Class {
+		return arrival.Class{Name: name, GatewayClass: as, Share: 1, Statements: statements, Groups: statementGroups, Literals: 40, LatencyObjective: objective,
+			MaxWait: maxWait, Idempotent: true, MarkRetry: true}
 	}
 	looks := texts(fake.PointLookup)
 	e := &experiment.Experiment{Seed: seed, Length: statementsLength, Behavior: client.Behavior{PooledShare: 1, MaxAttempts: 1},
 		Classes: []arrival.Class{
-			lane("look-ups", "look", time.Second, 5*time.Second, looks),
-			lane("look-ups in the burst", "look", time.Second, 5*time.Second, looks),
-			lane("reports", "report", 4*time.Second, 12*time.Second, texts(fake.RangeScan, fake.IndexJoin)),
-			lane("whole tables", "look", time.Second, 5*time.Second, texts(fake.FullScan)),
+			class("look-ups", "look", time.Second, 5*time.Second, looks),
+			class("look-ups in the burst", "look", time.Second, 5*time.Second, looks),
+			class("reports", "report", 4*time.Second, 12*time.Second, texts(fake.RangeScan, fake.IndexJoin)),
+			class("whole tables", "look", time.Second, 5*time.Second, texts(fake.FullScan)),
 		},
 		Bounds: experiment.Bounds{GeneratorDelay: 10 * time.Millisecond, Offered: 0.01, Allow: []client.Outcome{client.TimedOut}},
 	}
 	e.Shape = arrival.Shape{Kind: arrival.Replay}
 	r := rand.New(rand.NewSource(seed))
-	type one struct {
-		at   time.Duration
-		lane int
+	type scheduledRequest struct {
+		at    time.Duration
+		class int
 	}
-	var all []one
-	draw := func(rate float64, from, until time.Duration, lane func(at time.Duration) int) {
+	var all []scheduledRequest
+	draw := func(rate float64, from, until time.Duration, class func(at time.Duration) int) {
 		for at := from; ; {
 			at += time.Duration(r.ExpFloat64() / rate * float64(time.Second))
 			if at >= until {
 				return
 			}
-			all = append(all, one{at, lane(at)})
+			all = append(all, scheduledRequest{at, class(at)})
 		}
 	}
 	draw(looksRate, 0, statementsLength, func(at time.Duration) int {
@@ -205,10 +202,10 @@
 	})
 	draw(reportsRate, 0, statementsLength, func(time.Duration) int { return 2 })
 	draw(scansRate, burstFrom, burstUntil, func(time.Duration) int { return 3 })
-	slices.SortStableFunc(all, func(a, b one) int { return int(a.at - b.at) })
+	slices.SortStableFunc(all, func(a, b scheduledRequest) int { return int(a.at - b.at) })
 	for _, t := range all {
 		e.Shape.Times = append(e.Shape.Times, t.at)
-		e.Shape.Marks = append(e.Shape.Marks, arrival.Mark{Class: t.lane, Group: 1 + r.Intn(statementGroups)})
+		e.Shape.Marks = append(e.Shape.Marks, arrival.Mark{Class: t.class, Group: 1 + r.Intn(statementGroups)})
 	}
 	e.Installation = &installation.Plan{Gateways: 2, Engines: statementEngines, Zones: []string{"norte", "sur"}, Cores: engineCores, MemoryMB: 192, Sockets: 1024,
 		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: seed, ExtraArguments: more,
@@ -226,11 +223,11 @@
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\tearned in quoted time\tlook-ups in the burst\tin quoted time\tp50 ms\tp99\treports in quoted time\twhole tables\ttasks begun short of memory\t")
 	for _, r := range runs {
-		share := func(lane string) string {
-			return fmt.Sprintf("%.1f%%", 100*float64(r.Quick[lane])/max(1, float64(r.Offered[lane])))
+		share := func(class string) string {
+			return fmt.Sprintf("%.1f%%", 100*float64(r.Quick[class])/max(1, float64(r.Offered[class])))
 		}
 		fmt.Fprintf(w, "%s\t%.0f\t%d\t%s\t%.1f\t%.1f\t%s\t%s\t%d\t\n", r.Name, r.Earned, r.Offered["look-ups in the burst"], share("look-ups in the burst"),
 			float64(r.LooksP50)/1e6, float64(r.LooksP99)/1e6, share("reports"), share("whole tables"), r.Swapped)
 	}
-	w.Flush()
+	_ = w.Flush() // output to a terminal, as of the other tables
 }
--- a/cmd/magpiebank-testbed/trace.go
+++ b/cmd/magpiebank-testbed/trace.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"strings"
 	"time"
@@ -19,67 +20,92 @@
 	return c
 }
 
+// traceImport are the flags of trace import.
+type traceImport struct {
+	format, out, columns string
+	options              importer.Options
+	clock                importer.ClockRepair
+	json                 bool
+}
+
 func importCommand() *cobra.Command {
-	var form, out, lane, columns string
-	var wait time.Duration
-	var clock importer.ClockRepair
-	var keepText, asJSON bool
+	var t traceImport
 	c := &cobra.Command{Use: "import FILE", Short: "Make a trace of JSON lines, CSV or MySQL's general or slow log, and mend its clock",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			options := importer.Options{Class: lane, Wait: wait, KeepText: keepText, Columns: map[string]string{}}
-			for _, pair := range strings.Split(columns, ",") {
-				if pair == "" {
-					continue
-				}
-				name, column, ok := strings.Cut(pair, "=")
-				if !ok {
-					return badFile{fmt.Errorf("flag columns: expected NAME=COLUMN,..., found %q", pair)}
-				}
-				options.Columns[name] = column
-			}
-			var in = c.InOrStdin()
-			if args[0] != "-" {
-				f, err := os.Open(args[0])
-				if err != nil {
-					return badFile{err}
-				}
-				defer f.Close()
-				in = f
-			}
-			raws, amiss, err := importer.Read(in, importer.Format(form), options)
-			if err != nil {
-				return badFile{fmt.Errorf("%s: %w", args[0], err)}
-			}
-			t, repairs := importer.RepairClock(raws, clock)
-			if err := t.WriteFile(out); err != nil {
-				return err
-			}
-			if asJSON {
-				return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"records": len(t.Records), "repairs": repairs, "amiss": amiss})
-			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: %d records over %v, from %s\n", out, len(t.Records), span(t), t.Start.UTC().Format(time.RFC3339))
-			for _, r := range repairs {
-				fmt.Fprintln(c.OutOrStdout(), "mended:", r)
-			}
-			for _, a := range amiss {
-				fmt.Fprintln(c.OutOrStdout(), "amiss:", a)
-			}
-			return nil
-		}}
-	c.Flags().StringVar(&form, "form", "jsonl", "jsonl, csv, mysql-general or mysql-slow")
-	c.Flags().StringVarP(&out, "out", "o", "", "file for the trace")
-	c.Flags().StringVar(&lane, "lane", "lookup", "lane of entries that name none")
-	c.Flags().DurationVar(&wait, "wait", 5*time.Second, "patience of entries that state none")
-	c.Flags().StringVar(&columns, "columns", "", "names in the file for time, lane, group, wait_ms, retry, statement: NAME=COLUMN,...")
-	c.Flags().BoolVar(&keepText, "keep-text", false, "keep statements, not their shapes only")
-	c.Flags().BoolVar(&clock.KeepGaps, "keep-gaps", false, "long gaps are quiet times, not jumps of the clock")
-	c.Flags().DurationVar(&clock.MaxGap, "most-gap", time.Minute, "a longer gap is a jump of the clock")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the report as JSON")
-	c.MarkFlagRequired("out")
+		RunE: func(c *cobra.Command, args []string) error { return t.run(c.InOrStdin(), c.OutOrStdout(), args[0]) }}
+	c.Flags().StringVar(&t.format, "form", "jsonl", "jsonl, csv, mysql-general or mysql-slow")
+	c.Flags().StringVarP(&t.out, "out", "o", "", "file for the trace")
+	c.Flags().StringVar(&t.options.Class, "lane", "lookup", "lane of entries that name none")
+	c.Flags().DurationVar(&t.options.Wait, "wait", 5*time.Second, "patience of entries that state none")
+	c.Flags().StringVar(&t.columns, "columns", "", "names in the file for time, lane, group, wait_ms, retry, statement: NAME=COLUMN,...")
+	c.Flags().BoolVar(&t.options.KeepText, "keep-text", false, "keep statements, not their shapes only")
+	c.Flags().BoolVar(&t.clock.KeepGaps, "keep-gaps", false, "long gaps are quiet times, not jumps of the clock")
+	c.Flags().DurationVar(&t.clock.MaxGap, "most-gap", time.Minute, "a longer gap is a jump of the clock")
+	c.Flags().BoolVar(&t.json, "json", false, "print the report as JSON")
+	requireFlag(c, "out")
 	return c
 }
 
+// requireFlag marks a flag that must be given.
+func requireFlag(c *cobra.Command, name string) {
+	if err := c.MarkFlagRequired(name); err != nil {
+		panic(err) // the command has no such flag
+	}
+}
+
+// run imports a file, or standard input for "-".
+func (t *traceImport) run(in io.Reader, out io.Writer, path string) error {
+	columns, err := parseColumns(t.columns)
+	if err != nil {
+		return err
+	}
+	t.options.Columns = columns
+	if path != "-" {
+		file, err := os.Open(path)
+		if err != nil {
+			return badFile{err}
+		}
+		defer func() { _ = file.Close() }() // it was only read
+		in = file
+	}
+	entries, problems, err := importer.Read(in, importer.Format(t.format), t.options)
+	if err != nil {
+		return badFile{fmt.Errorf("%s: %w", path, err)}
+	}
+	imported, repairs := importer.RepairClock(entries, t.clock)
+	if err := imported.WriteFile(t.out); err != nil {
+		return err
+	}
+	if t.json {
+		return json.NewEncoder(out).Encode(map[string]any{"records": len(imported.Records), "repairs": repairs, "amiss": problems})
+	}
+	fmt.Fprintf(out, "%s: %d records over %v, from %s\n", t.out, len(imported.Records), span(imported), imported.Start.UTC().Format(time.RFC3339))
+	for _, repair := range repairs {
+		fmt.Fprintln(out, "mended:", repair)
+	}
+	for _, problem := range problems {
+		fmt.Fprintln(out, "amiss:", problem)
+	}
+	return nil
+}
+
+// parseColumns reads a list such as time=at,lane=class.
+func parseColumns(list string) (map[string]string, error) {
+	columns := map[string]string{}
+	for _, pair := range strings.Split(list, ",") {
+		if pair == "" {
+			continue
+		}
+		name, column, ok := strings.Cut(pair, "=")
+		if !ok {
+			return nil, badFile{fmt.Errorf("flag columns: expected NAME=COLUMN,..., found %q", pair)}
+		}
+		columns[name] = column
+	}
+	return columns, nil
+}
+
+// span is the time from a trace's start to its last record.
 func span(t *trace.Trace) time.Duration {
 	if len(t.Records) == 0 {
 		return 0
@@ -154,6 +180,6 @@
 	c.Flags().IntVar(&loop, "loop", 1, "play it so many times")
 	c.Flags().Int64Var(&seed, "seed", 1, "for thinning")
 	c.Flags().BoolVar(&salvage, "salvage", false, "use what stands before the first damage")
-	c.MarkFlagRequired("out")
+	requireFlag(c, "out")
 	return c
 }
--- a/cmd/magpiebank-testbed/worker.go
+++ b/cmd/magpiebank-testbed/worker.go
@@ -21,17 +21,17 @@
 	var join string
 	var index int
 	c := &cobra.Command{Use: "worker", Short: "Send a share of a run; magpiebank-testbed run --workers starts these", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return workers.RunWorker(join, index) }}
+		RunE: func(*cobra.Command, []string) error { return workers.RunWorker(join, index) }}
 	c.Flags().StringVar(&join, "join", "", "address of the coordinator")
 	c.Flags().IntVar(&index, "index", 0, "number of this worker, from 0")
-	c.MarkFlagRequired("join")
+	requireFlag(c, "join")
 	return c
 }
 
-// crewSender sends a run by worker processes.
-func crewSender(e *experiment.Experiment, folder string) experiment.Sender {
-	return func(ctx context.Context, l driver.Load, start time.Time, say func(experiment.Progress)) (*stats.Metrics, int64, int64, error) {
-		co, err := workers.NewCoordinator(folder, e.Workers, e.OnLoss == "drop", l, start)
+// workerSender sends a run by worker processes.
+func workerSender(e *experiment.Experiment, folder string) experiment.Sender {
+	return func(ctx context.Context, load driver.Load, start time.Time, report func(experiment.Progress)) (*stats.Metrics, int64, int64, error) {
+		coordinator, err := workers.NewCoordinator(folder, e.Workers, e.OnLoss == "drop", load, start)
 		if err != nil {
 			return nil, 0, 0, err
 		}
@@ -39,37 +39,50 @@
 		if err != nil {
 			return nil, 0, 0, err
 		}
-		var started []*exec.Cmd
-		co.Spawn = func(worker int, address string) error {
-			log, err := os.Create(filepath.Join(folder, fmt.Sprintf("worker-%d.log", worker)))
-			if err != nil {
-				return err
-			}
-			defer log.Close()
-			cmd := exec.Command(self, "worker", "--join", address, "--index", strconv.Itoa(worker))
-			cmd.Stdout, cmd.Stderr = log, log
-			if err := cmd.Start(); err != nil {
-				return err
-			}
-			started = append(started, cmd)
-			os.WriteFile(filepath.Join(folder, fmt.Sprintf("worker-%d.pid", worker)), []byte(strconv.Itoa(cmd.Process.Pid)), 0o600)
-			go cmd.Wait()
-			return nil
+		started := &workerProcesses{program: self, folder: folder}
+		coordinator.Spawn = started.start
+		coordinator.Log = func(text string) { fmt.Fprintln(os.Stderr, "magpiebank-testbed:", text) }
+		coordinator.Progress = func(at time.Duration, offered, ended, open int64) {
+			report(experiment.Progress{At: at, Offered: offered, Finished: ended, Open: open})
 		}
-		co.Log = func(text string) { fmt.Fprintln(os.Stderr, "magpiebank-testbed:", text) }
-		co.Progress = func(at time.Duration, offered, ended, open int64) {
-			say(experiment.Progress{At: at, Offered: offered, Finished: ended, Open: open})
-		}
-		defer context.AfterFunc(ctx, co.Kill)()
-		f, notSent, unknown, err := co.Serve()
-		for _, cmd := range started {
-			cmd.Process.Kill() // those that are stopped or lost; the others have ended
-		}
-		return f, notSent, unknown, err
+		defer context.AfterFunc(ctx, coordinator.Kill)()
+		defer started.kill()
+		return coordinator.Serve()
+	}
+}
+
+// workerProcesses are the worker processes of a run.
+type workerProcesses struct {
+	program string
+	folder  string
+	started []*exec.Cmd
+}
+
+// start starts a worker, with a log and a file with its process id.
+func (p *workerProcesses) start(worker int, address string) error {
+	log, err := os.Create(filepath.Join(p.folder, fmt.Sprintf("worker-%d.log", worker)))
+	if err != nil {
+		return err
+	}
+	defer func() { _ = log.Close() }()                                                                                        // the process has a descriptor of its own
+	cmd := exec.CommandContext(context.Background(), p.program, "worker", "--join", address, "--index", strconv.Itoa(worker)) // kill ends it
+	cmd.Stdout, cmd.Stderr = log, log
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	p.started = append(p.started, cmd)
+	go func() { _ = cmd.Wait() }() // its coordinator learns of its end by its connection
+	return os.WriteFile(filepath.Join(p.folder, fmt.Sprintf("worker-%d.pid", worker)), []byte(strconv.Itoa(cmd.Process.Pid)), 0o600)
+}
+
+// kill ends the workers that are stopped or lost; the others have ended.
+func (p *workerProcesses) kill() {
+	for _, cmd := range p.started {
+		_ = cmd.Process.Kill() // fails for those that have ended
 	}
 }
 
-// resumeRun goes on in place of a coordinator that died.
+// resumeRun continues a run in place of a coordinator that died.
 func resumeRun(c *cobra.Command, name, folder string, o *output) error {
 	e, err := experiment.Find(name)
 	if err != nil {
