--- a/internal/testbed/load/crashtest/crashtest.go
+++ b/internal/testbed/load/crashtest/crashtest.go
@@ -1,13 +1,9 @@
-// Package crashtest kills a gateway that keeps a record of its requests, again and again under load, and holds what its clients and
-// engines have seen against the rules: no request that may not run twice runs twice, each gets one answer, and whoever asks
-// again is told the same.
 package crashtest
 
 import (
 	"context"
 	"database/sql"
 	"fmt"
-	"io"
 	"math/rand"
 	"path/filepath"
 	"slices"
@@ -22,235 +18,238 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// Plan is what is done.
-type Plan struct {
-	Program   string // the gateway's
-	Folder    string
-	Kills     int
-	Loads     int // clients that ask for requests that may not run twice, one after the other
-	Looks     int // and for look-ups
-	Seed      int64
-	NoJournal bool // no record is kept: for what that would be like
-}
-
-// Result is what was seen.
-type Result struct {
-	Kills               int           `json:"kills"`
-	Requests            int           `json:"tasks"`     // that may not run twice
-	Served              int           `json:"delivered"` // by their final answers
-	Rejected            int           `json:"nacked"`
-	Failed              int           `json:"written_off"`
-	AskedAgain          int           `json:"asked_again"` // asks for a request whose connection broke, or that was answered
-	RunTwice            []string      `json:"begun_twice"`
-	AnsweredDifferently []string      `json:"answered_differently"`
-	FalseAnswers        []string      `json:"answers_that_are_not_true"` // served that did not run, rejected that did
-	Unanswered          []string      `json:"without_an_answer"`
-	LooksP50            time.Duration `json:"look_ups_p50_ns"`
-	LoadsP50            time.Duration `json:"loads_p50_ns"`
-	Recovery            time.Duration `json:"longest_recovery_ns"` // from a start to the first connection taken
-}
-
-// Good tells whether the rules were kept.
-func (r *Result) Good() bool {
-	return len(r.RunTwice)+len(r.AnsweredDifferently)+len(r.FalseAnswers)+len(r.Unanswered) == 0 && r.Served > 0
-}
+// The times of a run: requests take some tens of milliseconds, so that many are in flight at each kill; a gateway lives
+// for some hundreds, so that some requests are recorded, some in flight and some answered when it dies.
+const (
+	loadService  = 30 * time.Millisecond
+	lookService  = 4 * time.Millisecond
+	minLifetime  = 100 * time.Millisecond
+	maxLifetime  = 400 * time.Millisecond
+	maxWait      = 8 * time.Second
+	answerPeriod = 20 * time.Second // a client that had no answer within it never gets one
+	// maxRecovery is for how long a gateway that was started is waited for.
+	maxRecovery = 5 * time.Second
+	// maxRetryDelay bounds the random time between a lost connection and the next attempt.
+	maxRetryDelay = 20 * time.Millisecond
+	lookInterval  = 2 * time.Millisecond
+)
 
-// The times of a run: requests are some tens of milliseconds, so that many are under way at each kill; a gateway lives for some
-// hundreds, so that some are recorded, some out and some answered when it dies.
+// Ids of non-idempotent requests begin with loadIDPrefix, those of look-ups with lookIDPrefix.
 const (
-	loadService = 30 * time.Millisecond
-	lookService = 4 * time.Millisecond
-	leastLife   = 100 * time.Millisecond
-	mostLife    = 400 * time.Millisecond
-	patience    = 8 * time.Second
-	answerBy    = 20 * time.Second // a client that had no answer by then never gets one
+	loadIDPrefix = "1"
+	lookIDPrefix = "2"
 )
 
 type runner struct {
-	p      Plan
-	db     *sql.DB
-	result Result
-	mu     sync.Mutex
-	over   atomic.Bool
-	gots   map[string]string // by request
-	looks  []time.Duration
-	loads  []time.Duration
+	plan    Plan
+	db      *sql.DB
+	stopped atomic.Bool
+	clients sync.WaitGroup
+
+	mu      sync.Mutex // of all below
+	result  Result
+	answers map[string]string // by request
+	looks   []time.Duration   // latencies
+	loads   []time.Duration
 }
 
-// Run makes a run.
-func Run(ctx context.Context, p Plan) (*Result, error) {
-	plan := installation.Plan{Gateways: 1, Engines: 4, Zones: []string{"norte", "sur"}, Cores: 8, MemoryMB: 192, Sockets: 512,
-		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: p.Seed, Program: p.Program,
-		Classes: []installation.Class{{Name: "look", LatencyObjective: time.Second, MaxWait: patience, Weight: 1, Effect: "idempotent", Threads: 1},
-			{Name: "load", LatencyObjective: 4 * time.Second, MaxWait: patience, Weight: 10, Effect: "unrepeatable", Threads: 1}},
-		Behavior: fake.EngineBehavior{Threads: 16, Cores: 8, Works: []fake.Work{{Class: "load", Rows: 2, Service: fake.ServiceTime{Kind: "exponential", Mean: loadService}},
-			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: lookService}}}}}
-	if !p.NoJournal {
-		plan.ExtraArguments = []string{"--state", filepath.Join(p.Folder, "state")}
+// Run runs a load with a gateway that is killed and started again as often as the plan says. It returns the context's
+// error where that is done before.
+func Run(ctx context.Context, plan Plan) (*Result, error) {
+	site, err := installation.Start(newInstallationPlan(&plan), plan.Folder)
+	if err != nil {
+		return nil, err
 	}
-	s, err := installation.Start(plan, p.Folder)
+	defer site.Stop()
+	run := &runner{plan: plan, answers: map[string]string{}}
+	run.db, err = sqlclient.Open(site.Targets()[0])
 	if err != nil {
 		return nil, err
 	}
-	defer s.Stop()
-	r := &runner{p: p, gots: map[string]string{}}
-	if r.db, err = sqlclient.Open(s.Targets()[0]); err != nil {
+	defer func() { _ = run.db.Close() }() // all clients have ended, so nothing is lost with an error
+	run.db.SetMaxIdleConns(0)             // each attempt on a connection of its own, as the last one may be dead
+	run.startClients()
+	gateway := site.Gateways[0]
+	err = run.killRepeatedly(ctx, gateway)
+	if err == nil {
+		time.Sleep(maxLifetime)
+	}
+	run.stopped.Store(true)
+	run.clients.Wait()
+	if err != nil {
 		return nil, err
 	}
-	defer r.db.Close()
-	r.db.SetMaxIdleConns(0) // each ask on a connection of its own, as the last one may be dead
-	var all sync.WaitGroup
-	for c := range p.Loads {
-		all.Add(1)
-		go func() { defer all.Done(); r.loader(c) }()
+	gateway.Signal(syscall.SIGTERM)
+	run.judge(site.Log)
+	run.result.LooksP50, run.result.LoadsP50 = median(run.looks), median(run.loads)
+	return &run.result, nil
+}
+
+func newInstallationPlan(plan *Plan) installation.Plan {
+	created := installation.Plan{Gateways: 1, Engines: 4, Zones: []string{"norte", "sur"}, Cores: 8, MemoryMB: 192, Sockets: 512,
+		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: plan.Seed, Program: plan.Program,
+		Classes: []installation.Class{{Name: "look", LatencyObjective: time.Second, MaxWait: maxWait, Weight: 1, Effect: "idempotent", Threads: 1},
+			{Name: "load", LatencyObjective: 4 * time.Second, MaxWait: maxWait, Weight: 10, Effect: "unrepeatable", Threads: 1}},
+		Behavior: fake.EngineBehavior{Threads: 16, Cores: 8, Works: []fake.Work{{Class: "load", Rows: 2, Service: fake.ServiceTime{Kind: "exponential", Mean: loadService}},
+			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: lookService}}}}}
+	if !plan.NoJournal {
+		created.ExtraArguments = []string{"--state", filepath.Join(plan.Folder, "state")}
+	}
+	return created
+}
+
+func (r *runner) startClients() {
+	for number := range r.plan.Loads {
+		r.clients.Go(func() { r.sendLoads(number) })
 	}
-	for c := range p.Looks {
-		all.Add(1)
-		go func() { defer all.Done(); r.looker(c) }()
+	for number := range r.plan.Looks {
+		r.clients.Go(func() { r.sendLooks(number) })
 	}
-	chance := rand.New(rand.NewSource(p.Seed))
-	gateway := s.Gateways[0]
-	for range p.Kills {
+}
+
+// killRepeatedly kills the gateway and starts it again, after random lifetimes.
+func (r *runner) killRepeatedly(ctx context.Context, gateway *installation.Gateway) error {
+	random := rand.New(rand.NewSource(r.plan.Seed))
+	for range r.plan.Kills {
 		select {
 		case <-ctx.Done():
-			r.over.Store(true)
-			all.Wait()
-			return nil, ctx.Err()
-		case <-time.After(leastLife + time.Duration(chance.Int63n(int64(mostLife-leastLife)))):
+			return ctx.Err()
+		case <-time.After(minLifetime + time.Duration(random.Int63n(int64(maxLifetime-minLifetime)))):
 		}
 		gateway.Kill()
-		began := time.Now()
-		if err = gateway.Start(); err != nil {
-			break
-		}
-		for by := began.Add(5 * time.Second); r.db.Ping() != nil && time.Now().Before(by); time.Sleep(time.Millisecond) {
+		startedAt := time.Now()
+		err := gateway.Start()
+		if err != nil {
+			return err
 		}
-		r.result.Recovery = max(r.result.Recovery, time.Since(began))
+		r.awaitConnection(startedAt.Add(maxRecovery))
+		r.mu.Lock()
+		r.result.Recovery = max(r.result.Recovery, time.Since(startedAt))
 		r.result.Kills++
+		r.mu.Unlock()
 	}
-	time.Sleep(mostLife)
-	r.over.Store(true)
-	all.Wait()
-	if err != nil {
-		return nil, err
+	return nil
+}
+
+// awaitConnection waits until the gateway accepts a connection, or a time.
+func (r *runner) awaitConnection(deadline time.Time) {
+	for r.db.PingContext(context.Background()) != nil && time.Now().Before(deadline) {
+		time.Sleep(time.Millisecond)
 	}
-	gateway.Signal(syscall.SIGTERM)
-	s.Log.Each(func(t fake.ExecutionRecord) {
-		if strings.HasPrefix(t.ID, "1") && t.Starts > 1 {
-			r.result.RunTwice = append(r.result.RunTwice, fmt.Sprintf("%s began %d times", t.ID, t.Starts))
-		}
-	})
-	r.judge(s.Log)
-	r.result.LooksP50, r.result.LoadsP50 = middle(r.looks), middle(r.loads)
-	return &r.result, nil
 }
 
-// ask sends one statement and tells how it ended. A gateway that is not there, or says nothing, is asked again like one that broke.
-func (r *runner) ask(lane, id, statement string) string {
-	end := sqlclient.Query(r.db, lane, id, statement, patience)
-	if end == sqlclient.NotConnected || end == sqlclient.TimedOut {
+// send sends one statement and returns its outcome. A gateway that is not there or doesn't answer counts like one whose
+// connection was lost.
+func (r *runner) send(class, id, statement string) string {
+	outcome := sqlclient.Query(r.db, class, id, statement, maxWait)
+	if outcome == sqlclient.NotConnected || outcome == sqlclient.TimedOut {
 		return sqlclient.ConnectionLost
 	}
-	return end
+	return outcome
 }
 
-// loader asks for one request after the other, and again for each until it has its answer; some are asked for once more then.
-func (r *runner) loader(c int) {
-	chance := rand.New(rand.NewSource(r.p.Seed*100 + int64(c)))
-	for n := 0; !r.over.Load(); n++ {
-		id := fmt.Sprintf("1%07x%08x", c, n)
-		statement := fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", c%4+1, n)
-		began := time.Now()
-		got, asks := sqlclient.ConnectionLost, 0
-		for got == sqlclient.ConnectionLost && time.Since(began) < answerBy {
-			if asks > 0 {
-				time.Sleep(time.Duration(chance.Int63n(int64(20 * time.Millisecond))))
-			}
-			got = r.ask("load", id, statement)
-			asks++
-		}
-		took := time.Since(began)
-		again := got
-		if got != sqlclient.ConnectionLost && chance.Intn(3) == 0 {
-			for again = sqlclient.ConnectionLost; again == sqlclient.ConnectionLost && time.Since(began) < 2*answerBy; asks++ {
-				again = r.ask("load", id, statement)
-			}
-		}
-		r.mu.Lock()
-		r.result.Requests++
-		r.result.AskedAgain += asks - 1
-		switch got {
-		case sqlclient.Served:
-			r.result.Served++
-		case sqlclient.Rejected:
-			r.result.Rejected++
-		case sqlclient.Failed:
-			r.result.Failed++
-		case sqlclient.ConnectionLost:
-			r.result.Unanswered = append(r.result.Unanswered, id)
-		default:
-			r.result.FalseAnswers = append(r.result.FalseAnswers, id+": "+got)
-		}
-		if asks == 1 {
-			r.loads = append(r.loads, took)
-		}
-		if again != got {
-			r.result.AnsweredDifferently = append(r.result.AnsweredDifferently, fmt.Sprintf("%s: %s, then %s", id, got, again))
+// sendLoads sends one request after the other, and each again until it has its answer; some are sent once more then.
+func (r *runner) sendLoads(client int) {
+	random := rand.New(rand.NewSource(r.plan.Seed*100 + int64(client)))
+	for number := 0; !r.stopped.Load(); number++ {
+		sent := loadRequest{id: fmt.Sprintf("%s%07x%08x", loadIDPrefix, client, number),
+			statement: fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", client%4+1, number), startedAt: time.Now()}
+		r.sendUntilAnswered(&sent, random)
+		r.recordLoad(&sent)
+	}
+}
+
+// loadRequest is a non-idempotent request and its outcomes.
+type loadRequest struct {
+	id, statement string
+	startedAt     time.Time
+	attempts      int
+	latency       time.Duration // of the first outcome
+	outcome       string
+	repeated      string // outcome after the answer, or the first one where the request was not sent again
+}
+
+func (r *runner) sendUntilAnswered(sent *loadRequest, random *rand.Rand) {
+	sent.outcome = sqlclient.ConnectionLost
+	for sent.outcome == sqlclient.ConnectionLost && time.Since(sent.startedAt) < answerPeriod {
+		if sent.attempts > 0 {
+			time.Sleep(time.Duration(random.Int63n(int64(maxRetryDelay))))
 		}
-		r.gots[id] = got
-		r.mu.Unlock()
+		sent.outcome = r.send("load", sent.id, sent.statement)
+		sent.attempts++
 	}
+	sent.latency = time.Since(sent.startedAt)
+	sent.repeated = sent.outcome
+	if sent.outcome == sqlclient.ConnectionLost || random.Intn(3) != 0 {
+		return
+	}
+	sent.repeated = sqlclient.ConnectionLost
+	for sent.repeated == sqlclient.ConnectionLost && time.Since(sent.startedAt) < 2*answerPeriod {
+		sent.repeated = r.send("load", sent.id, sent.statement)
+		sent.attempts++
+	}
+}
+
+func (r *runner) recordLoad(sent *loadRequest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.Requests++
+	r.result.AskedAgain += sent.attempts - 1
+	switch sent.outcome {
+	case sqlclient.Served:
+		r.result.Served++
+	case sqlclient.Rejected:
+		r.result.Rejected++
+	case sqlclient.Failed:
+		r.result.Failed++
+	case sqlclient.ConnectionLost:
+		r.result.Unanswered = append(r.result.Unanswered, sent.id)
+	default:
+		r.result.FalseAnswers = append(r.result.FalseAnswers, sent.id+": "+sent.outcome)
+	}
+	if sent.attempts == 1 {
+		r.loads = append(r.loads, sent.latency)
+	}
+	if sent.repeated != sent.outcome {
+		r.result.AnsweredDifferently = append(r.result.AnsweredDifferently, fmt.Sprintf("%s: %s, then %s", sent.id, sent.outcome, sent.repeated))
+	}
+	r.answers[sent.id] = sent.outcome
 }
 
-// judge holds answers against what engines did.
+// judge checks the answers against what the engines ran.
 func (r *runner) judge(log *fake.ExecutionLog) {
-	for id, got := range r.gots {
-		if t, _ := log.Find(id); got == sqlclient.Served && t.Completions != 1 || got == sqlclient.Rejected && t.Starts > 0 {
-			r.result.FalseAnswers = append(r.result.FalseAnswers, fmt.Sprintf("%s was %s, and ran %d times", id, got, t.Starts))
+	log.Each(func(record fake.ExecutionRecord) {
+		if strings.HasPrefix(record.ID, loadIDPrefix) && record.Starts > 1 {
+			r.result.RunTwice = append(r.result.RunTwice, fmt.Sprintf("%s began %d times", record.ID, record.Starts))
+		}
+	})
+	for id, answer := range r.answers {
+		record, _ := log.Find(id)
+		if answer == sqlclient.Served && record.Completions != 1 || answer == sqlclient.Rejected && record.Starts > 0 {
+			r.result.FalseAnswers = append(r.result.FalseAnswers, fmt.Sprintf("%s was %s, and ran %d times", id, answer, record.Starts))
 		}
 	}
 	slices.Sort(r.result.FalseAnswers)
 }
 
-func (r *runner) looker(c int) {
-	for n := 0; !r.over.Load(); n++ {
-		began := time.Now()
-		if r.ask("look", fmt.Sprintf("2%07x%08x", c, n), fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", n%4+1, n)) == sqlclient.Served {
+func (r *runner) sendLooks(client int) {
+	for number := 0; !r.stopped.Load(); number++ {
+		startedAt := time.Now()
+		id := fmt.Sprintf("%s%07x%08x", lookIDPrefix, client, number)
+		statement := fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", number%4+1, number)
+		if r.send("look", id, statement) == sqlclient.Served {
 			r.mu.Lock()
-			r.looks = append(r.looks, time.Since(began))
+			r.looks = append(r.looks, time.Since(startedAt))
 			r.mu.Unlock()
 		}
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(lookInterval)
 	}
 }
 
-func middle(list []time.Duration) time.Duration {
-	if len(list) == 0 {
+func median(latencies []time.Duration) time.Duration {
+	if len(latencies) == 0 {
 		return 0
 	}
-	slices.Sort(list)
-	return list[len(list)/2]
-}
-
-// Text writes a result.
-func (r *Result) Text(out io.Writer) {
-	fmt.Fprintf(out, "%d kills, %d tasks that may not run twice, %d asked again: %d delivered, %d nacked, %d written off (real sockets on loopback)\n",
-		r.Kills, r.Requests, r.AskedAgain, r.Served, r.Rejected, r.Failed)
-	fmt.Fprintf(out, "medians of those answered at the first ask: loads %.1f ms, look-ups %.1f ms; longest from a start to a connection %.0f ms\n",
-		float64(r.LoadsP50)/1e6, float64(r.LooksP50)/1e6, float64(r.Recovery)/1e6)
-	for _, v := range []struct {
-		what string
-		list []string
-	}{{"run twice", r.RunTwice}, {"answered differently when asked again", r.AnsweredDifferently}, {"answers that are not true", r.FalseAnswers}, {"without an answer", r.Unanswered}} {
-		word := "good"
-		if len(v.list) > 0 {
-			word = "BAD "
-		}
-		fmt.Fprintf(out, "%s   %d %s\n", word, len(v.list), v.what)
-		for i, line := range v.list {
-			if i < 5 {
-				fmt.Fprintln(out, "         "+line)
-			}
-		}
-	}
+	slices.Sort(latencies)
+	return latencies[len(latencies)/2]
 }
--- a/internal/testbed/load/crashtest/crashtest_test.go
+++ b/internal/testbed/load/crashtest/crashtest_test.go
@@ -8,23 +8,23 @@
 	"testing"
 )
 
-// Some kills of a real gateway; the full run is magpiebank-testbed experiment run restart. Without a record the same run shows loads
-// that ran twice, so it can tell.
+// Some kills of a real gateway; the full run is magpiebank-testbed experiment run restart. Without a journal the same run
+// shows loads that ran twice, so it can tell.
 func TestRestarts(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "magpiebank")
-	if out, err := exec.Command("go", "build", "-o", program, "magpiebank/cmd/magpiebank").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", program, "magpiebank/cmd/magpiebank").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	for _, without := range []bool{false, true} {
-		r, err := Run(context.Background(), Plan{Program: program, Folder: t.TempDir(), Kills: 12, Loads: 16, Looks: 4, Seed: 3, NoJournal: without})
+	for _, withoutJournal := range []bool{false, true} {
+		result, err := Run(context.Background(), Plan{Program: program, Folder: t.TempDir(), Kills: 12, Loads: 16, Looks: 4, Seed: 3, NoJournal: withoutJournal})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var text strings.Builder
-		r.Text(&text)
-		t.Logf("without %t\n%s", without, &text)
-		if r.Good() == without {
-			t.Errorf("without %t: good %t", without, r.Good())
+		result.Text(&text)
+		t.Logf("without a journal %t\n%s", withoutJournal, &text)
+		if result.Good() == withoutJournal {
+			t.Errorf("without a journal %t: good %t", withoutJournal, result.Good())
 		}
 	}
 }
--- a/internal/testbed/load/timerwheel/timerwheel_test.go
+++ b/internal/testbed/load/timerwheel/timerwheel_test.go
@@ -13,123 +13,154 @@
 
 // The same runs each time; -rapid.seed=0 draws others.
 func init() {
-	flag.Set("rapid.seed", "1")
-	flag.Set("rapid.nofailfile", "true")
+	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
+}
+
+// reference is a wheel beside a plain list of its timers.
+type reference struct {
+	t      *rapid.T
+	wheel  *Wheel
+	now    Tick
+	timers []referenceTimer
+	added  uint64
+}
+
+type referenceTimer struct {
+	at     Tick
+	number uint64
+	timer  Timer
+}
+
+// drawSpan draws a length of any level, and past the last one.
+func (r *reference) drawSpan(minimum int64, label string) Tick {
+	return Tick(rapid.Int64Range(minimum, 1<<rapid.IntRange(1, 38).Draw(r.t, "bits")).Draw(r.t, label))
+}
+
+func (r *reference) add() {
+	at := r.now + r.drawSpan(-5, "in")
+	r.added++
+	r.timers = append(r.timers, referenceTimer{max(at, r.now+1), r.added, r.wheel.Add(at, r.added)})
+}
+
+func (r *reference) stop() {
+	if len(r.timers) == 0 {
+		return
+	}
+	index := rapid.IntRange(0, len(r.timers)-1).Draw(r.t, "which")
+	if !r.wheel.Stop(r.timers[index].timer) || r.wheel.Stop(r.timers[index].timer) {
+		r.t.Fatal("a timer that was set could not be stopped once")
+	}
+	r.timers = slices.Delete(r.timers, index, index+1)
 }
 
-// The wheel against a plain list of times: whatever is added, called off and moved, the same timers come, each at its
-// time, in order.
-func TestAgainstList(t *testing.T) {
+func (r *reference) advance() {
+	to := r.now + r.drawSpan(0, "by")
+	r.checkNext()
+	last := r.now
+	r.wheel.Advance(to, func(number uint64) {
+		index := slices.IndexFunc(r.timers, func(one referenceTimer) bool { return one.number == number })
+		if index < 0 || r.timers[index].at > to || r.timers[index].at < last {
+			r.t.Fatalf("timer %d fired in moving to %d, last %d: %v", number, to, last, r.timers)
+		}
+		last = r.timers[index].at
+		r.timers = slices.Delete(r.timers, index, index+1)
+	})
+	r.now = to
+	for _, one := range r.timers {
+		if one.at <= r.now {
+			r.t.Fatalf("timer for %d did not fire by %d", one.at, r.now)
+		}
+	}
+}
+
+func (r *reference) checkNext() {
+	at, ok := r.wheel.Next()
+	if ok != (len(r.timers) > 0) {
+		r.t.Fatalf("next: %v %v with %d set", at, ok, len(r.timers))
+	}
+	for _, one := range r.timers {
+		if one.at < at {
+			r.t.Fatalf("a timer is due at %d, before %d", one.at, at)
+		}
+	}
+}
+
+// Whatever is added, stopped and moved, the same timers fire as of a plain list, each at its time, in order.
+func TestWheelFiresAsPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := Tick(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
-		w := New(now)
-		type timer struct {
-			at   Tick
-			what uint64
-			name Timer
-		}
-		var set []timer
-		next := uint64(0)
+		r := &reference{t: t, wheel: New(now), now: now}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				// Lengths of all levels, and past the last one.
-				at := now + Tick(rapid.Int64Range(-5, 1<<rapid.IntRange(1, 38).Draw(t, "bits")).Draw(t, "in"))
-				next++
-				set = append(set, timer{max(at, now+1), next, w.Add(at, next)})
+				r.add()
 			case 2:
-				if len(set) > 0 {
-					i := rapid.IntRange(0, len(set)-1).Draw(t, "which")
-					if !w.Stop(set[i].name) || w.Stop(set[i].name) {
-						t.Fatal("a timer that was set could not be called off once")
-					}
-					set = slices.Delete(set, i, i+1)
-				}
+				r.stop()
 			case 3:
-				to := now + Tick(rapid.Int64Range(0, 1<<rapid.IntRange(1, 38).Draw(t, "bits")).Draw(t, "by"))
-				if at, ok := w.Next(); ok != (len(set) > 0) {
-					t.Fatalf("next: %v %v with %d set", at, ok, len(set))
-				} else if ok {
-					for _, one := range set {
-						if one.at < at {
-							t.Fatalf("a timer comes at %d, before %d", one.at, at)
-						}
-					}
-				}
-				last := now
-				w.Advance(to, func(what uint64) {
-					i := slices.IndexFunc(set, func(one timer) bool { return one.what == what })
-					if i < 0 || set[i].at > to || set[i].at < last {
-						t.Fatalf("timer %d came in moving to %d, last %d: %v", what, to, last, set)
-					}
-					last = set[i].at
-					set = slices.Delete(set, i, i+1)
-				})
-				now = to
-				for _, one := range set {
-					if one.at <= now {
-						t.Fatalf("timer for %d did not come by %d", one.at, now)
-					}
-				}
+				r.advance()
 			}
-			if w.Len() != len(set) {
-				t.Fatalf("%d are set, expected %d", w.Len(), len(set))
+			if r.wheel.Len() != len(r.timers) {
+				t.Fatalf("%d are set, expected %d", r.wheel.Len(), len(r.timers))
 			}
 		}
 	})
 }
 
 // A timer that sets another for the same time, and one that stops its neighbour.
-func TestWhileFiring(t *testing.T) {
+func TestAddAndStopWhileFiring(t *testing.T) {
 	w := New(0)
 	var got []uint64
 	var third Timer
 	w.Add(5, 1)
 	third = w.Add(5, 3)
-	w.Advance(10, func(what uint64) {
-		got = append(got, what)
-		if what == 1 {
-			w.Add(5, 2) // comes a tick later
+	w.Advance(10, func(number uint64) {
+		got = append(got, number)
+		if number == 1 {
+			w.Add(5, 2) // fires a tick later
 			w.Stop(third)
 		}
 	})
 	if !slices.Equal(got, []uint64{1, 2}) {
-		t.Errorf("came: %v", got)
+		t.Errorf("fired: %v", got)
 	}
 }
 
-// What a load does with a timer: set a attempt timeout, call it off when the answer comes, with 100,000 open.
-const open = 100_000
+// What a load does with a timer: set an attempt timeout, stop it when the answer comes, with 100,000 open.
+const openTimers = 100_000
 
 func BenchmarkWheel(b *testing.B) {
 	w := New(0)
 	r := rand.New(rand.NewSource(1))
-	names := make([]Timer, open)
+	names := make([]Timer, openTimers)
 	for i := range names {
 		names[i] = w.Add(Tick(r.Intn(50000)+1), uint64(i))
 	}
 	b.ReportAllocs()
 	now := Tick(0)
 	for n := 0; b.Loop(); n++ {
-		i := n % open
+		i := n % openTimers
 		w.Stop(names[i])
 		names[i] = w.Add(now+Tick(r.Intn(50000)+1), uint64(i))
 		if n%8 == 0 {
 			now++
-			w.Advance(now, func(what uint64) { names[what] = w.Add(now+50000, what) })
+			w.Advance(now, func(number uint64) { names[number] = w.Add(now+50000, number) })
 		}
 	}
 }
 
 func BenchmarkAfterFunc(b *testing.B) {
 	r := rand.New(rand.NewSource(1))
-	timers := make([]*time.Timer, open)
+	timers := make([]*time.Timer, openTimers)
 	for i := range timers {
 		timers[i] = time.AfterFunc(time.Duration(r.Intn(50000)+50000)*100*time.Microsecond, func() {})
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		i := n % open
+		i := n % openTimers
 		timers[i].Stop()
 		timers[i] = time.AfterFunc(time.Duration(r.Intn(50000)+50000)*100*time.Microsecond, func() {})
 	}
@@ -138,21 +169,27 @@
 	}
 }
 
-type heaped struct {
+type heapTimer struct {
 	at    Tick
-	what  int
-	place int
+	index int
 }
 
-type timerHeap []*heaped
+type timerHeap []*heapTimer
 
 func (h timerHeap) Len() int           { return len(h) }
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].index, h[j].index = i, j
+}
+func (h *timerHeap) Push(pushed any) {
+	timer, ok := pushed.(*heapTimer)
+	if !ok {
+		panic("the heap holds timers alone")
+	}
+	timer.index = len(*h)
+	*h = append(*h, timer)
 }
-func (h *timerHeap) Push(x any) { x.(*heaped).place = len(*h); *h = append(*h, x.(*heaped)) }
 func (h *timerHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
@@ -162,17 +199,17 @@
 func BenchmarkHeap(b *testing.B) {
 	r := rand.New(rand.NewSource(1))
 	var h timerHeap
-	timers := make([]*heaped, open)
+	timers := make([]*heapTimer, openTimers)
 	for i := range timers {
-		timers[i] = &heaped{at: Tick(r.Intn(50000) + 1), what: i}
+		timers[i] = &heapTimer{at: Tick(r.Intn(50000) + 1)}
 		heap.Push(&h, timers[i])
 	}
 	b.ReportAllocs()
 	now := Tick(0)
 	for n := 0; b.Loop(); n++ {
-		t := timers[n%open]
+		t := timers[n%openTimers]
 		t.at = now + Tick(r.Intn(50000)+1)
-		heap.Fix(&h, t.place)
+		heap.Fix(&h, t.index)
 		if n%8 == 0 {
 			now++
 			for h[0].at <= now {
