--- a/internal/testbed/quorumquota/quorumquota.go
+++ b/internal/testbed/quorumquota/quorumquota.go
@@ -1,6 +1,6 @@
-// Package quorumquota is what the budgets are measured against: each unit of a total is asked of a majority of the replicas for each use,
-// when a request waits for it, and is given back at the use's end. Nothing is held ahead and nothing is lent. Only the testbed's
-// builds have it. It does no I/O.
+// Package quorumquota is the baseline that the synchronized quotas are measured against: each unit of a total is requested from a
+// majority of the replicas for each use, when a request waits for it, and is returned at the end of the use. No unit is reserved ahead
+// or leased to others. Only builds of the testbed contain it. It does no I/O.
 package quorumquota
 
 import (
@@ -15,275 +15,331 @@
 // Time is a point on the caller's clock.
 type Time = admission.Time
 
-// An ask without a majority of answers for this long is given up.
-const patience = 100 * admission.Millisecond
-
-// So many units are asked for at a time.
-const atOnce = 32
+const (
+	// attemptTimeout is how long an attempt without a majority of answers lasts.
+	attemptTimeout = 100 * admission.Millisecond
+	// maxAttempts is how many units of a quota are requested at a time.
+	maxAttempts = 32
+	// fullBackoff is how long nothing is requested after a replica said that all units are in use.
+	fullBackoff = 20 * admission.Millisecond
+)
 
-// Core is one process's part. Its calls may come from two goroutines.
+// Core is one process's part. Its methods may be called from several goroutines.
 type Core struct {
-	mu     sync.Mutex
-	plan   *quota.Plan
-	host   quota.Host
-	name   string
-	start  uint64
-	chance *rand.Rand
-	now    Time
-	last   uint32
-	tries  []unit
-	hands  []unit // held, and in no use
-	uses   []unit
-	wanted []int64
-	takes  []int64 // promised to a request about to go out
-	hints  [][]int // units that a replica said are free
-	restAt []Time  // until when nothing is asked for, as all was in use
-
-	keeps  bool // it is a replica
-	openAt Time // from when it grants: what one before it granted has ended
-	grants [][]grant
+	mu          sync.Mutex
+	plan        *quota.Plan
+	host        quota.Host
+	name        string
+	incarnation uint64
+	random      *rand.Rand
+	now         Time
+	sequence    uint32 // of the last attempt
+	attempts    []unit
+	reserved    []unit // that are in no use
+	inUse       []unit
+	quotas      []demand
+	isReplica   bool
+	grantsFrom  Time // a replica grants from then on, as what its predecessor granted has ended
+	grants      [][]grant
 }
 
-// unit is one of a budget that is asked for, held or used.
+// demand is what this process wants of one quota.
+type demand struct {
+	wanted    int64 // units that requests wait for
+	promised  int64 // units, to a request that is about to be sent
+	freeHints []int // units that a replica said are free
+	backoff   Time  // until when nothing is requested
+}
+
+// unit is one unit of a quota that is requested, reserved or in use.
 type unit struct {
-	budget, n int
-	seq       uint32
-	at        Time // when it was asked for
-	until     Time // of its use
-	yes, no   []string
+	quota       int
+	number      int
+	sequence    uint32
+	requestedAt Time
+	usedUntil   Time
+	granted     []string // by which replicas
+	rejected    []string
 }
 
+// grant is who holds a unit, as a replica knows it.
 type grant struct {
-	holder string
-	start  uint64
-	until  Time
+	holder      string
+	incarnation uint64
+	until       Time
 }
 
-// New begins with nothing.
-func New(now Time, plan *quota.Plan, name string, start uint64, host quota.Host) *Core {
-	c := &Core{plan: plan, host: host, name: name, start: start, chance: rand.New(rand.NewPCG(start, 5)), now: now, keeps: slices.Contains(plan.Voters, name)}
-	n := len(plan.Totals)
-	c.wanted, c.takes, c.hints, c.restAt = make([]int64, n), make([]int64, n), make([][]int, n), make([]Time, n)
-	for _, t := range plan.Totals {
-		c.grants = append(c.grants, make([]grant, t))
+// New returns a core without any units.
+func New(now Time, plan *quota.Plan, name string, incarnation uint64, host quota.Host) *Core {
+	c := &Core{
+		plan:        plan,
+		host:        host,
+		name:        name,
+		incarnation: incarnation,
+		random:      rand.New(rand.NewPCG(incarnation, 5)),
+		now:         now,
+		quotas:      make([]demand, len(plan.Totals)),
+		isReplica:   slices.Contains(plan.Voters, name),
+	}
+	for _, total := range plan.Totals {
+		c.grants = append(c.grants, make([]grant, total))
 	}
-	c.openAt = now + c.margin()
+	c.grantsFrom = now + c.replicaLease()
 	return c
 }
 
-// lease is how long a unit is held for: it must last to the end of a use that begins within another.
+// lease is how long a unit is held: it must last to the end of a use that begins within another.
 func (c *Core) lease() Time { return 2 * c.plan.LongestUse }
 
-// margin is a lease at a replica, by whose clock it must have ended surely.
-func (c *Core) margin() Time { return c.lease() + 3*c.lease()/c.plan.DriftDivisor + 1 }
+// replicaLease is the lease at a replica, by whose clock it must certainly have ended.
+func (c *Core) replicaLease() Time { return c.lease() + 3*c.lease()/c.plan.DriftDivisor + 1 }
 
 func (c *Core) send(to string, m quota.Message) {
-	m.Sender, m.SenderIncarnation, m.PlanNumber = c.name, c.start, c.plan.Number
+	m.Sender, m.SenderIncarnation, m.PlanNumber = c.name, c.incarnation, c.plan.Number
 	c.host.Send(to, m)
 }
 
-func (c *Core) all(kind quota.Kind, u *unit) {
-	for _, k := range c.plan.Voters {
-		c.send(k, quota.Message{Kind: kind, QuotaID: c.plan.QuotaIDs[u.budget], Share: u.n, Sequence: u.seq})
+// broadcast sends a message about a unit to all replicas.
+func (c *Core) broadcast(kind quota.Kind, u *unit) {
+	for _, replica := range c.plan.Voters {
+		c.send(replica, quota.Message{Kind: kind, QuotaID: c.plan.QuotaIDs[u.quota], Share: u.number, Sequence: u.sequence})
 	}
 }
 
-// HandleMessage takes in a message; true: a unit has come.
+// HandleMessage handles a message, and returns true if a unit was granted by it.
 func (c *Core) HandleMessage(now Time, m quota.Message) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
-	b := slices.Index(c.plan.QuotaIDs, m.QuotaID)
-	if b < 0 || m.Share < 0 || m.Share >= len(c.grants[b]) {
+	index := slices.Index(c.plan.QuotaIDs, m.QuotaID)
+	if index < 0 || m.Share < 0 || m.Share >= len(c.grants[index]) {
 		return false
 	}
 	switch m.Kind {
 	case quota.KindLeaseRequest:
-		if c.keeps && c.now >= c.openAt {
-			c.asked(b, m)
+		if c.isReplica && c.now >= c.grantsFrom {
+			c.handleRequest(index, m)
 		}
 	case quota.KindLeaseReturn:
-		if g := &c.grants[b][m.Share]; g.holder == m.Sender && g.start == m.SenderIncarnation {
+		if g := &c.grants[index][m.Share]; g.holder == m.Sender && g.incarnation == m.SenderIncarnation {
 			*g = grant{}
 		}
 	case quota.KindLeaseGrant, quota.KindReject:
-		return c.answered(b, m)
+		return c.handleAnswer(index, m)
 	}
 	return false
 }
 
-// asked grants a unit that nobody holds; a refusal names one that is free, if there is any.
-func (c *Core) asked(b int, m quota.Message) {
-	g := &c.grants[b][m.Share]
-	kind, free := quota.KindLeaseGrant, 0
-	if g.start > 0 && c.now < g.until && (g.holder != m.Sender || g.start != m.SenderIncarnation) {
-		kind = quota.KindReject
-		from := c.chance.IntN(len(c.grants[b]))
-		for k := range c.grants[b] {
-			if n := (from + k) % len(c.grants[b]); c.grants[b][n].start == 0 || c.now >= c.grants[b][n].until {
-				free = n + 1
-				break
-			}
-		}
+// handleRequest grants a unit that nobody holds. A rejection names a free unit, if there is any.
+func (c *Core) handleRequest(index int, m quota.Message) {
+	g := &c.grants[index][m.Share]
+	answer := quota.Message{Kind: quota.KindLeaseGrant, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Share: m.Share, Sequence: m.Sequence}
+	if g.isHeld(c.now) && (g.holder != m.Sender || g.incarnation != m.SenderIncarnation) {
+		answer.Kind = quota.KindReject
+		answer.LeaseID = uint32(c.findFree(index) + 1)
 	} else {
-		*g = grant{m.Sender, m.SenderIncarnation, c.now + c.margin()}
+		*g = grant{m.Sender, m.SenderIncarnation, c.now + c.replicaLease()}
+	}
+	c.send(m.Sender, answer)
+}
+
+func (g *grant) isHeld(now Time) bool { return g.incarnation > 0 && now < g.until }
+
+// findFree finds a unit that nobody holds, from a random one on; -1: there is none.
+func (c *Core) findFree(index int) int {
+	grants := c.grants[index]
+	first := c.random.IntN(len(grants))
+	for i := range grants {
+		number := (first + i) % len(grants)
+		if !grants[number].isHeld(c.now) {
+			return number
+		}
 	}
-	c.send(m.Sender, quota.Message{Kind: kind, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Share: m.Share, Sequence: m.Sequence, LeaseID: uint32(free)})
+	return -1
 }
 
-func (c *Core) answered(b int, m quota.Message) bool {
-	i := slices.IndexFunc(c.tries, func(u unit) bool { return u.budget == b && u.n == m.Share && u.seq == m.Sequence })
-	if i < 0 || m.RecipientIncarnation != c.start {
+func (c *Core) handleAnswer(index int, m quota.Message) bool {
+	i := slices.IndexFunc(c.attempts, func(u unit) bool { return u.quota == index && u.number == m.Share && u.sequence == m.Sequence })
+	if i < 0 || m.RecipientIncarnation != c.incarnation {
 		return false
 	}
-	u := &c.tries[i]
-	list := &u.yes
+	u := &c.attempts[i]
+	answers := &u.granted
 	if m.Kind == quota.KindReject {
-		list = &u.no
-		if m.LeaseID > 0 {
-			c.hints[b] = append(c.hints[b], int(m.LeaseID)-1)
-		} else { // all is in use
-			c.hints[b], c.restAt[b] = c.hints[b][:0], c.now+20*admission.Millisecond
-		}
+		answers = &u.rejected
+		c.takeHint(&c.quotas[index], int(m.LeaseID)-1)
 	}
-	if !slices.Contains(*list, m.Sender) {
-		*list = append(*list, m.Sender)
+	if !slices.Contains(*answers, m.Sender) {
+		*answers = append(*answers, m.Sender)
 	}
 	switch {
-	case 2*len(u.yes) > len(c.plan.Voters):
-		c.hands = append(c.hands, *u)
-		c.tries = slices.Delete(c.tries, i, i+1)
+	case 2*len(u.granted) > len(c.plan.Voters):
+		c.reserved = append(c.reserved, *u)
+		c.attempts = slices.Delete(c.attempts, i, i+1)
 		return true
-	case 2*len(u.no) > len(c.plan.Voters):
-		c.giveBack(&c.tries, i)
-		c.ask(b)
+	case 2*len(u.rejected) > len(c.plan.Voters):
+		c.giveBack(&c.attempts, i)
+		c.requestUnits(index)
 	}
 	return false
 }
 
+// takeHint takes in which unit a replica said is free; below 0: none.
+func (c *Core) takeHint(d *demand, free int) {
+	if free >= 0 {
+		d.freeHints = append(d.freeHints, free)
+		return
+	}
+	d.freeHints = d.freeHints[:0]
+	d.backoff = c.now + fullBackoff
+}
+
+// giveBack returns a unit of a list to the replicas.
 func (c *Core) giveBack(list *[]unit, i int) {
 	u := (*list)[i]
 	*list = slices.Delete(*list, i, i+1)
-	c.all(quota.KindLeaseReturn, &u)
+	c.broadcast(quota.KindLeaseReturn, &u)
 }
 
-// Tick is the timer.
+// Tick does what is due: it gives up attempts, returns units, and requests those that are waited for.
 func (c *Core) Tick(now Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
-	for i := len(c.tries) - 1; i >= 0; i-- {
-		if c.now-c.tries[i].at >= patience {
-			c.giveBack(&c.tries, i)
+	for i := len(c.attempts) - 1; i >= 0; i-- {
+		if c.now-c.attempts[i].requestedAt >= attemptTimeout {
+			c.giveBack(&c.attempts, i)
 		}
 	}
-	c.uses = slices.DeleteFunc(c.uses, func(u unit) bool { return c.now >= u.until })
-	for i := len(c.hands) - 1; i >= 0; i-- {
-		u := &c.hands[i]
-		if stale := c.now+c.plan.LongestUse >= u.at+c.lease(); stale || c.wanted[u.budget]+c.takes[u.budget] == 0 {
-			c.giveBack(&c.hands, i)
+	c.inUse = slices.DeleteFunc(c.inUse, func(u unit) bool { return c.now >= u.usedUntil })
+	for i := len(c.reserved) - 1; i >= 0; i-- {
+		u := &c.reserved[i]
+		d := &c.quotas[u.quota]
+		if !c.lastsForUse(u) || d.wanted+d.promised == 0 {
+			c.giveBack(&c.reserved, i)
 		}
 	}
-	for b := range c.wanted {
-		c.ask(b)
+	for index := range c.quotas {
+		c.requestUnits(index)
 	}
 }
 
-// ask asks for as many units as are waited for.
-func (c *Core) ask(b int) {
-	of := func(u unit) bool { return u.budget == b }
-	lack := int(c.wanted[b]) - count(c.tries, of) - count(c.hands, of)
-	for n := min(lack, atOnce-count(c.tries, of)); n > 0 && c.now >= c.restAt[b] && len(c.grants[b]) > 0; n-- {
-		u := unit{budget: b, n: c.chance.IntN(len(c.grants[b])), at: c.now}
-		if k := len(c.hints[b]); k > 0 {
-			u.n, c.hints[b] = c.hints[b][k-1], c.hints[b][:k-1]
+// lastsForUse tells whether a reserved unit lasts to the end of a use that begins now.
+func (c *Core) lastsForUse(u *unit) bool {
+	return c.now+c.plan.LongestUse < u.requestedAt+c.lease()
+}
+
+// requestUnits requests as many units of a quota as are waited for.
+func (c *Core) requestUnits(index int) {
+	d := &c.quotas[index]
+	attempts := countUnits(c.attempts, index)
+	missing := int(d.wanted) - attempts - countUnits(c.reserved, index)
+	for range min(missing, maxAttempts-attempts) {
+		if c.now < d.backoff || len(c.grants[index]) == 0 {
+			return
+		}
+		u := unit{quota: index, number: c.random.IntN(len(c.grants[index])), requestedAt: c.now}
+		if n := len(d.freeHints); n > 0 {
+			u.number = d.freeHints[n-1]
+			d.freeHints = d.freeHints[:n-1]
 		}
-		same := func(o unit) bool { return o.budget == b && o.n == u.n }
-		if slices.ContainsFunc(c.tries, same) || slices.ContainsFunc(c.hands, same) || slices.ContainsFunc(c.uses, same) {
+		if c.has(&u) {
 			continue
 		}
-		c.last++
-		u.seq = c.last
-		c.tries = append(c.tries, u)
-		c.all(quota.KindLeaseRequest, &u)
+		c.sequence++
+		u.sequence = c.sequence
+		c.attempts = append(c.attempts, u)
+		c.broadcast(quota.KindLeaseRequest, &u)
 	}
 }
 
-func count(list []unit, f func(unit) bool) (n int) {
-	for _, u := range list {
-		if f(u) {
-			n++
+// has tells whether a unit is requested, reserved or in use here.
+func (c *Core) has(u *unit) bool {
+	isSame := func(other unit) bool { return other.quota == u.quota && other.number == u.number }
+	return slices.ContainsFunc(c.attempts, isSame) || slices.ContainsFunc(c.reserved, isSame) || slices.ContainsFunc(c.inUse, isSame)
+}
+
+func countUnits(units []unit, index int) (count int) {
+	for i := range units {
+		if units[i].quota == index {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// fit are the units in hand that last to the end of a use that begins now.
-func (c *Core) fit(b int) (out []int) {
-	for i, u := range c.hands {
-		if u.budget == b && c.now+c.plan.LongestUse < u.at+c.lease() {
-			out = append(out, i)
+// usable are the indices of the reserved units that last to the end of a use that begins now.
+func (c *Core) usable(index int) (indices []int) {
+	for i := range c.reserved {
+		if c.reserved[i].quota == index && c.lastsForUse(&c.reserved[i]) {
+			indices = append(indices, i)
 		}
 	}
-	return out
+	return indices
 }
 
-// TryReserve tells whether a use, of at most the longest, may begin now; where it may not, units are waited for from now on.
-func (c *Core) TryReserve(now Time, b int, amount int64, length Time) bool {
+// TryReserve tells whether a use may begin now; where it may not, its units are waited for from now on. The length of the use, at most
+// the plan's longest, does not matter.
+func (c *Core) TryReserve(now Time, index int, amount int64, _ Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
-	if int64(len(c.fit(b))) < amount {
-		c.wanted[b] = max(c.wanted[b], amount)
+	d := &c.quotas[index]
+	if int64(len(c.usable(index))) < amount {
+		d.wanted = max(d.wanted, amount)
 		return false
 	}
-	c.takes[b] = max(c.takes[b], amount)
+	d.promised = max(d.promised, amount)
 	return true
 }
 
-// CommitReservation begins a use of what was promised.
-func (c *Core) CommitReservation(now Time, b int, amount int64, length Time) bool {
+// CommitReservation begins a use of units that TryReserve promised.
+func (c *Core) CommitReservation(now Time, index int, amount int64, length Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
-	c.takes[b] = 0
-	c.wanted[b] = max(0, c.wanted[b]-amount)
-	fit := c.fit(b)
-	if int64(len(fit)) < amount {
+	d := &c.quotas[index]
+	d.promised = 0
+	d.wanted = max(0, d.wanted-amount)
+	usable := c.usable(index)
+	if int64(len(usable)) < amount {
 		return false
 	}
-	for k := amount - 1; k >= 0; k-- {
-		u := c.hands[fit[k]]
-		u.until = c.now + length
-		c.uses = append(c.uses, u)
-		c.hands = slices.Delete(c.hands, fit[k], fit[k]+1)
+	for i := amount - 1; i >= 0; i-- {
+		u := c.reserved[usable[i]]
+		u.usedUntil = c.now + length
+		c.inUse = append(c.inUse, u)
+		c.reserved = slices.Delete(c.reserved, usable[i], usable[i]+1)
 	}
 	return true
 }
 
-// Release ends a use; what it had is given back when Due is called next.
-func (c *Core) Release(now Time, b int, amount int64) {
+// Release ends a use. Its units are returned at the next Tick.
+func (c *Core) Release(_ Time, index int, amount int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for ; amount > 0; amount-- {
-		if i := slices.IndexFunc(c.uses, func(u unit) bool { return u.budget == b }); i >= 0 {
-			u := c.uses[i]
-			c.uses = slices.Delete(c.uses, i, i+1)
-			u.at = -c.lease() // it fits no use: Due gives it back
-			c.hands = append(c.hands, u)
+	for range amount {
+		i := slices.IndexFunc(c.inUse, func(u unit) bool { return u.quota == index })
+		if i < 0 {
+			return
 		}
+		u := c.inUse[i]
+		c.inUse = slices.Delete(c.inUse, i, i+1)
+		u.requestedAt = -c.lease() // it lasts for no use, so that Tick returns it
+		c.reserved = append(c.reserved, u)
 	}
 }
 
-// SetDemand tells how much waiting requests would use.
-func (c *Core) SetDemand(now Time, b int, amount int64) {
+// SetDemand sets how much the waiting requests would use.
+func (c *Core) SetDemand(_ Time, index int, amount int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.takes[b], c.wanted[b] = 0, amount
+	d := &c.quotas[index]
+	d.promised, d.wanted = 0, amount
 }
 
-// ReserveRate and Shrink are not measured.
+// ReserveRate grants nothing: rates are not measured.
 func (c *Core) ReserveRate(Time, int, int64) (int64, Time) { return 0, quota.Never }
 
-// ScaleTotal does nothing.
+// ScaleTotal does nothing: scaled totals are not measured.
 func (c *Core) ScaleTotal(Time, int, float64) {}
--- a/internal/testbed/quorumquota/quorumquota_test.go
+++ b/internal/testbed/quorumquota/quorumquota_test.go
@@ -1,78 +1,104 @@
 package quorumquota
 
 import (
-	"fmt"
 	"math/rand/v2"
+	"strconv"
 	"testing"
 
 	"magpiebank/internal/admission"
 	"magpiebank/internal/cluster/quota"
 )
 
-// link carries messages that may be lost, doubled and late.
-type link struct {
-	now    Time
-	chance *rand.Rand
-	cores  []*Core
-	mail   []mail
+// lossyCluster is a set of cores whose messages may be lost, duplicated and delayed.
+type lossyCluster struct {
+	t        *testing.T
+	now      Time
+	random   *rand.Rand
+	plan     *quota.Plan
+	cores    []*Core
+	inFlight []delayedMessage
+	starts   uint64
 }
 
-type mail struct {
-	at Time
-	to int
-	m  quota.Message
+type delayedMessage struct {
+	dueAt   Time
+	to      int
+	message quota.Message
 }
 
-func (l *link) Send(to string, m quota.Message) {
-	var n int
-	fmt.Sscanf(to, "g%d", &n)
-	for range l.chance.IntN(3) {
-		l.mail = append(l.mail, mail{l.now + Time(l.chance.Int64N(int64(30*admission.Millisecond))), n, m})
+func newLossyCluster(t *testing.T, plan *quota.Plan, members int) *lossyCluster {
+	t.Helper()
+	c := &lossyCluster{t: t, random: rand.New(rand.NewPCG(1, 2)), plan: plan, starts: 1, cores: make([]*Core, members)}
+	for member := range members {
+		c.start(member)
 	}
+	return c
 }
 
-func (l *link) Peers() []string { return nil }
+// start starts a member anew.
+func (c *lossyCluster) start(member int) {
+	c.starts++
+	c.cores[member] = New(c.now, c.plan, "g"+strconv.Itoa(member), c.starts, c)
+}
 
-// Never more uses than units, and all are used, though a third of the messages is lost and members are started anew.
-func TestNeverMore(t *testing.T) {
-	plan := &quota.Plan{Shares: 8, Voters: []string{"g0", "g1", "g2"}, LongestUse: admission.Second / 2, DriftDivisor: 20, Number: 1, QuotaIDs: []uint32{7}, Totals: []int64{10}}
-	l := &link{chance: rand.New(rand.NewPCG(1, 2))}
-	start := uint64(1)
-	begin := func(n int) *Core { start++; return New(l.now, plan, fmt.Sprint("g", n), start, l) }
-	for n := range 8 {
-		l.cores = append(l.cores, begin(n))
+// Send sends a message to a member called g and its number.
+func (c *lossyCluster) Send(to string, m quota.Message) {
+	member, err := strconv.Atoi(to[1:])
+	if err != nil {
+		c.t.Fatal(err)
 	}
-	most, sum, looks := 0, 0, 0
-	for l.now = 0; l.now < 60*admission.Second; l.now += 5 * admission.Millisecond {
-		var later []mail
-		due := l.mail
-		l.mail = nil
-		for _, m := range due {
-			if m.at > l.now {
-				later = append(later, m)
-			} else {
-				l.cores[m.to].HandleMessage(l.now, m.m)
-			}
+	for range c.random.IntN(3) {
+		c.inFlight = append(c.inFlight, delayedMessage{c.now + Time(c.random.Int64N(int64(30*admission.Millisecond))), member, m})
+	}
+}
+
+func (c *lossyCluster) Peers() []string { return nil }
+
+// deliver delivers the messages that are due.
+func (c *lossyCluster) deliver() {
+	messages := c.inFlight
+	c.inFlight = nil
+	var later []delayedMessage
+	for _, m := range messages {
+		if m.dueAt > c.now {
+			later = append(later, m)
+		} else {
+			c.cores[m.to].HandleMessage(c.now, m.message)
+		}
+	}
+	c.inFlight = append(c.inFlight, later...)
+}
+
+// step ends and begins uses at all members, and returns how many units are in use.
+func (c *lossyCluster) step() (used int) {
+	for _, core := range c.cores {
+		if c.random.IntN(60) == 0 && len(core.inUse) > 0 {
+			core.Release(c.now, 0, 1)
 		}
-		l.mail = append(l.mail, later...)
-		if l.chance.IntN(1000) == 0 { // a replica as well: it grants nothing until what it granted has ended
-			n := l.chance.IntN(8)
-			l.cores[n] = begin(n)
+		if core.TryReserve(c.now, 0, 1, c.plan.LongestUse) && !core.CommitReservation(c.now, 0, 1, c.plan.LongestUse) {
+			c.t.Fatal("what was promised was not there")
 		}
-		used := 0
-		for _, c := range l.cores {
-			if l.chance.IntN(60) == 0 && len(c.uses) > 0 {
-				c.Release(l.now, 0, 1)
-			}
-			if c.TryReserve(l.now, 0, 1, plan.LongestUse) && !c.CommitReservation(l.now, 0, 1, plan.LongestUse) {
-				t.Fatal("what was promised was not there")
-			}
-			c.Tick(l.now)
-			used += len(c.uses)
+		core.Tick(c.now)
+		used += len(core.inUse)
+	}
+	return used
+}
+
+// Never more uses than units, and nearly all are used, though a third of the messages is lost and members are started anew.
+func TestNeverMore(t *testing.T) {
+	const members = 8
+	c := newLossyCluster(t, &quota.Plan{Shares: members, Voters: []string{"g0", "g1", "g2"}, LongestUse: admission.Second / 2, DriftDivisor: 20, Number: 1, QuotaIDs: []uint32{7}, Totals: []int64{10}}, members)
+	most, sum, looks := 0, 0, 0
+	for ; c.now < 60*admission.Second; c.now += 5 * admission.Millisecond {
+		c.deliver()
+		if c.random.IntN(1000) == 0 { // a replica as well: it grants nothing until what it granted has ended
+			c.start(c.random.IntN(members))
 		}
+		used := c.step()
 		most = max(most, used)
-		if l.now > 2*admission.Second {
-			sum, looks = sum+used, looks+1
+		if c.now > 2*admission.Second {
+			sum += used
+			looks++
 		}
 	}
 	t.Logf("at most %d of 10 in use, %.2f in the mean", most, float64(sum)/float64(looks))
