--- a/internal/testbed/report/archive.go
+++ b/internal/testbed/report/archive.go
@@ -12,7 +12,7 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// Archive keeps runs in one file.
+// Archive stores runs in one file.
 type Archive struct{ db *bbolt.DB }
 
 // ArchivedRun is a run with what the archive knows of it.
@@ -24,9 +24,12 @@
 
 var runsBucket = []byte("runs")
 
-// OpenArchive opens a file, or makes it.
+// openTimeout is how long another process that has the file open is waited for.
+const openTimeout = 2 * time.Second
+
+// OpenArchive opens an archive's file, or creates it. Another process that has it open is waited for.
 func OpenArchive(path string) (*Archive, error) {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 2 * time.Second})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("archive %s: %w", path, err)
 	}
@@ -35,8 +38,7 @@
 		return err
 	})
 	if err != nil {
-		db.Close()
-		return nil, fmt.Errorf("archive %s: %w", path, err)
+		return nil, errors.Join(fmt.Errorf("archive %s: %w", path, err), db.Close())
 	}
 	return &Archive{db}, nil
 }
@@ -44,59 +46,61 @@
 // Close closes the file.
 func (a *Archive) Close() error { return a.db.Close() }
 
-// Put keeps a run and returns its number.
+// Put stores a run and returns its number.
 func (a *Archive) Put(r *experiment.Result, note string) (id uint64, err error) {
 	err = a.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(runsBucket)
-		if id, err = b.NextSequence(); err != nil {
+		bucket := tx.Bucket(runsBucket)
+		id, err = bucket.NextSequence()
+		if err != nil {
 			return err
 		}
 		text, err := json.Marshal(ArchivedRun{id, note, r})
 		if err != nil {
 			return err
 		}
-		return b.Put(key(id), text)
+		return bucket.Put(key(id), text)
 	})
 	return id, err
 }
 
+// key is the key of a run; keys sort by number.
 func key(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
 
-// ErrNoRun is a number that the archive doesn't have.
+// ErrNoRun is the error for a number that the archive doesn't have.
 var ErrNoRun = errors.New("no such run in the archive")
 
-// Get is one run.
-func (a *Archive) Get(id uint64) (k *ArchivedRun, err error) {
+// Get returns the run of a number, or ErrNoRun.
+func (a *Archive) Get(id uint64) (run *ArchivedRun, err error) {
 	err = a.db.View(func(tx *bbolt.Tx) error {
 		text := tx.Bucket(runsBucket).Get(key(id))
 		if text == nil {
 			return fmt.Errorf("run %d: %w", id, ErrNoRun)
 		}
-		return json.Unmarshal(text, &k)
+		return json.Unmarshal(text, &run)
 	})
-	return k, err
+	return run, err
 }
 
-// Each calls f for every run, oldest first.
+// Each calls f for every run, oldest first, up to the first error.
 func (a *Archive) Each(f func(*ArchivedRun) error) error {
 	return a.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(runsBucket).ForEach(func(_, text []byte) error {
-			var k *ArchivedRun
-			if err := json.Unmarshal(text, &k); err != nil {
+			var run *ArchivedRun
+			if err := json.Unmarshal(text, &run); err != nil {
 				return err
 			}
-			return f(k)
+			return f(run)
 		})
 	})
 }
 
-// Remove takes a run out.
+// Remove deletes the run of a number, or returns ErrNoRun.
 func (a *Archive) Remove(id uint64) error {
 	return a.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(runsBucket)
-		if b.Get(key(id)) == nil {
+		bucket := tx.Bucket(runsBucket)
+		if bucket.Get(key(id)) == nil {
 			return fmt.Errorf("run %d: %w", id, ErrNoRun)
 		}
-		return b.Delete(key(id))
+		return bucket.Delete(key(id))
 	})
 }
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -1,9 +1,11 @@
 package report
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"math"
+	"slices"
 	"sort"
 
 	"gonum.org/v1/gonum/stat/distuv"
@@ -12,140 +14,157 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// measure is one figure of a run; better tells the direction (1: more is better).
-type measure struct {
-	name   string
-	better float64
-	of     func(*experiment.Result) float64
+// metric is one figure of a run. direction is 1 if more is better, and -1 if less is.
+type metric struct {
+	name      string
+	direction float64
+	value     func(*experiment.Result) float64
 }
 
-func measures(r *experiment.Result) (out []measure) {
-	for i, l := range r.Figures.Classes {
-		lane := func(f func(*experiment.Result, int) float64) func(*experiment.Result) float64 {
-			return func(r *experiment.Result) float64 { return f(r, i) }
-		}
-		for _, q := range []float64{0.5, 0.99, 0.999} {
-			out = append(out, measure{fmt.Sprintf("%s p%g ms", l.Name, 100*q), -1, lane(func(r *experiment.Result, i int) float64 {
+// comparedQuantiles are the quantiles of latencies that are compared.
+var comparedQuantiles = []float64{0.5, 0.99, 0.999}
+
+// comparedMetrics are the metrics of a run's classes.
+func comparedMetrics(r *experiment.Result) (metrics []metric) {
+	for i := range r.Figures.Classes {
+		name := r.Figures.Classes[i].Name
+		for _, q := range comparedQuantiles {
+			metrics = append(metrics, metric{fmt.Sprintf("%s p%g ms", name, 100*q), -1, func(r *experiment.Result) float64 {
 				return r.Figures.Classes[i].Quantile(client.Served, q).Seconds() * 1000
-			})})
+			}})
 		}
-		out = append(out, measure{l.Name + " in quoted time %", 1, lane(func(r *experiment.Result, i int) float64 {
-			return 100 * float64(r.Figures.Classes[i].WithinObjective) / math.Max(1, float64(r.Figures.Classes[i].Offered))
-		})})
+		metrics = append(metrics, metric{name + " in quoted time %", 1, func(r *experiment.Result) float64 {
+			class := &r.Figures.Classes[i]
+			return 100 * float64(class.WithinObjective) / math.Max(1, float64(class.Offered))
+		}})
 	}
-	return out
+	return metrics
 }
 
-// median and an interval that holds it: the order statistics that do so with a chance of 95 percent at least, from the
-// binomial distribution; with fewer than six runs no two do, so the interval is the whole range.
-func median(values []float64) (mid, low, high float64) {
+// valuesOf are a metric's values in some runs.
+func valuesOf(m metric, runs []*experiment.Result) (values []float64) {
+	for _, run := range runs {
+		values = append(values, m.value(run))
+	}
+	return values
+}
+
+// median sorts values and returns their median, and an interval that contains the true one with a probability of 95 percent at least:
+// two order statistics by the binomial distribution. With fewer than six runs no two reach it, so the interval is the whole range.
+func median(values []float64) (middle, low, high float64) {
 	sort.Float64s(values)
 	n := len(values)
 	if n == 1 {
 		return values[0], values[0], values[0]
 	}
 	if n%2 == 0 {
-		mid = (values[n/2-1] + values[n/2]) / 2
+		middle = (values[n/2-1] + values[n/2]) / 2
 	} else {
-		mid = values[n/2]
+		middle = values[n/2]
 	}
-	half := distuv.Binomial{N: float64(n), P: 0.5}
-	k := 0
-	for 2*half.CDF(float64(k)) <= 0.05 {
-		k++
+	below := distuv.Binomial{N: float64(n), P: 0.5} // how many values lie below the true median
+	rank := 0
+	for 2*below.CDF(float64(rank)) <= significance {
+		rank++
 	}
-	if k == 0 {
-		return mid, values[0], values[n-1]
+	if rank == 0 {
+		return middle, values[0], values[n-1]
 	}
-	return mid, values[k-1], values[n-k]
+	return middle, values[rank-1], values[n-rank]
 }
 
-// Verdicts of a comparison.
+// The verdicts of a comparison.
+const (
+	better = "better"
+	worse  = "worse"
+	noise  = "within the noise"
+	tooFew = "too few runs to tell"
+)
+
 const (
-	better   = "better"
-	worse    = "worse"
-	noise    = "within the noise"
-	tooFew   = "too few runs to tell"
-	leastRun = 3 // on each side, before a difference is called one
+	significance = 0.05
+	// minRuns is how many runs each side needs for a verdict.
+	minRuns = 3
+	// minRunsForRankSum is how many runs both sides together need for the rank-sum test to tell anything.
+	minRunsForRankSum = 8
 )
 
 // Compare writes, for two sets of runs of one experiment, medians with intervals and whether they differ by more than the
-// noise: the rank-sum test's chance of such a difference by luck is under 5 percent, or with so few runs that it can't
-// be, the ranges do not touch.
-func Compare(w io.Writer, a, b []*experiment.Result) error {
-	if len(a) == 0 || len(b) == 0 {
-		return fmt.Errorf("expected runs on both sides")
-	}
-	for _, r := range append(append([]*experiment.Result{}, a...), b...) {
-		if r.Name != a[0].Name || len(r.Figures.Classes) != len(a[0].Figures.Classes) {
-			return fmt.Errorf("runs of %s and of %s can't be compared", a[0].Name, r.Name)
+// noise: the rank-sum test's probability of such a difference by chance is under 5 percent, or, with too few runs for the test, the
+// ranges do not overlap.
+func Compare(out io.Writer, before, after []*experiment.Result) error {
+	if len(before) == 0 || len(after) == 0 {
+		return errors.New("expected runs on both sides")
+	}
+	first := before[0]
+	for _, run := range slices.Concat(before, after) {
+		if run.Name != first.Name || len(run.Figures.Classes) != len(first.Figures.Classes) {
+			return fmt.Errorf("runs of %s and of %s can't be compared", first.Name, run.Name)
 		}
 	}
-	rows := [][]string{{a[0].Name, fmt.Sprintf("before (%d)", len(a)), "interval", fmt.Sprintf("after (%d)", len(b)), "interval",
+	rows := [][]string{{first.Name, fmt.Sprintf("before (%d)", len(before)), "interval", fmt.Sprintf("after (%d)", len(after)), "interval",
 		"difference", "verdict"}}
-	for _, m := range measures(a[0]) {
-		var x, y []float64
-		for _, r := range a {
-			x = append(x, m.of(r))
-		}
-		for _, r := range b {
-			y = append(y, m.of(r))
-		}
-		xm, xl, xh := median(x)
-		ym, yl, yh := median(y)
-		rows = append(rows, []string{m.name, fmt.Sprintf("%.2f", xm), fmt.Sprintf("%.2f..%.2f", xl, xh), fmt.Sprintf("%.2f", ym),
-			fmt.Sprintf("%.2f..%.2f", yl, yh), fmt.Sprintf("%+.2f", ym-xm), judge(x, y, m.better)})
+	for _, m := range comparedMetrics(first) {
+		rows = append(rows, comparisonRow(m, valuesOf(m, before), valuesOf(m, after)))
 	}
-	table(w, rows)
+	table(out, rows)
 	return nil
 }
 
-func judge(x, y []float64, direction float64) string {
-	if len(x) < leastRun || len(y) < leastRun {
+func comparisonRow(m metric, before, after []float64) []string {
+	medianBefore, lowBefore, highBefore := median(before)
+	medianAfter, lowAfter, highAfter := median(after)
+	return []string{m.name, fmt.Sprintf("%.2f", medianBefore), fmt.Sprintf("%.2f..%.2f", lowBefore, highBefore), fmt.Sprintf("%.2f", medianAfter),
+		fmt.Sprintf("%.2f..%.2f", lowAfter, highAfter), fmt.Sprintf("%+.2f", medianAfter-medianBefore), verdict(before, after, m.direction)}
+}
+
+// verdict tells whether values after differ from those before by more than the noise.
+func verdict(before, after []float64, direction float64) string {
+	if len(before) < minRuns || len(after) < minRuns {
 		return tooFew
 	}
-	xm, _, _ := median(x)
-	ym, _, _ := median(y)
-	apart := x[len(x)-1] < y[0] || y[len(y)-1] < x[0] // both are sorted by now
-	if !apart && rankSum(x, y) >= 0.05 || len(x)+len(y) < 8 && !apart {
+	medianBefore, _, _ := median(before)
+	medianAfter, _, _ := median(after)
+	apart := before[len(before)-1] < after[0] || after[len(after)-1] < before[0] // median has sorted both
+	if !apart && (rankSum(before, after) >= significance || len(before)+len(after) < minRunsForRankSum) {
 		return noise
 	}
-	if (ym-xm)*direction > 0 {
+	if (medianAfter-medianBefore)*direction > 0 {
 		return better
 	}
 	return worse
 }
 
-// rankSum is the two-sided chance of ranks that differ as much, by the normal approximation with ties.
+// rankSum is the two-sided probability of ranks that differ as much, by the normal approximation with ties.
 func rankSum(x, y []float64) float64 {
-	type ranked struct {
-		v     float64
-		first bool
+	type rankedValue struct {
+		value   float64
+		isFirst bool // of x
 	}
-	var all []ranked
-	for _, v := range x {
-		all = append(all, ranked{v, true})
+	var all []rankedValue
+	for _, value := range x {
+		all = append(all, rankedValue{value, true})
 	}
-	for _, v := range y {
-		all = append(all, ranked{v, false})
+	for _, value := range y {
+		all = append(all, rankedValue{value, false})
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].v < all[j].v })
-	n, m := float64(len(x)), float64(len(y))
+	sort.Slice(all, func(i, j int) bool { return all[i].value < all[j].value })
 	sum, ties := 0.0, 0.0
 	for i := 0; i < len(all); {
-		j := i
-		for j < len(all) && all[j].v == all[i].v {
-			j++
+		end := i
+		for end < len(all) && all[end].value == all[i].value {
+			end++
 		}
-		rank, t := float64(i+j+1)/2, float64(j-i)
-		ties += t*t*t - t
-		for _, r := range all[i:j] {
-			if r.first {
+		rank, tied := float64(i+end+1)/2, float64(end-i)
+		ties += tied*tied*tied - tied
+		for _, ranked := range all[i:end] {
+			if ranked.isFirst {
 				sum += rank
 			}
 		}
-		i = j
+		i = end
 	}
+	n, m := float64(len(x)), float64(len(y))
 	total := n + m
 	spread := math.Sqrt(n * m / 12 * (total + 1 - ties/(total*(total-1))))
 	if spread == 0 {
--- a/internal/testbed/report/format_test.go
+++ b/internal/testbed/report/format_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer archive.Close()
+	t.Cleanup(func() { _ = archive.Close() })
 	run, err := archive.Get(2)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -35,7 +35,7 @@
 	},
 }).Parse(pageText))
 
-// Page writes a result as one page that needs no other file.
+// Page writes a result as one HTML page that needs no other file.
 func Page(w io.Writer, r *experiment.Result) error {
 	type picture struct {
 		Title, Text string
@@ -47,7 +47,7 @@
 		Lanes    [][]string
 		Outcomes [][]string
 		Pictures []picture
-	}{Result: r, Good: r.Good(), Lanes: laneRows(r.Figures), Outcomes: outcomeRows(r.Figures)}
+	}{Result: r, Good: r.Good(), Lanes: classRows(r.Figures), Outcomes: outcomeRows(r.Figures)}
 	for _, p := range []struct {
 		title, text string
 		draw        func(*experiment.Result) (*plot.Plot, error)
@@ -57,7 +57,7 @@
 		{"Latency by quantile", "From the intended times, by lane; to the right ever fewer tasks are slower.", quantilePlot},
 		{"Outcomes by second", "All ends but delivered.", outcomePlot},
 		{"The generator's own delay", "What of the latencies is the generator's, by quantile; a run is late where p99 passes the bound.",
-			ownPlot},
+			generatorDelayPlot},
 	} {
 		drawn, err := p.draw(r)
 		if err != nil {
@@ -72,31 +72,31 @@
 	return pageTemplate.Execute(w, view)
 }
 
-// render draws a plot as SVG text without what stands before the element.
+// render draws a plot as an SVG element.
 func render(p *plot.Plot) (template.HTML, error) {
 	if _, log := p.Y.Scale.(plot.LogScale); log && !(p.Y.Min > 0 && p.Y.Max > p.Y.Min && !math.IsInf(p.Y.Min, 0)) {
-		// Nothing to draw, or all at one height: such an axis has no end by itself.
-		least := p.Y.Min
-		if !(least > 0) || math.IsInf(least, 0) {
-			least = 1
+		// With nothing to draw, or all at one height, the logarithmic axis has no range of its own.
+		lowest := p.Y.Min
+		if !(lowest > 0) || math.IsInf(lowest, 0) {
+			lowest = 1
 		}
-		p.Y.Min, p.Y.Max = least/2, 2*least
+		p.Y.Min, p.Y.Max = lowest/2, 2*lowest
 	}
 	c := vgsvg.New(22*vg.Centimeter, 8*vg.Centimeter)
 	p.Draw(draw.New(c))
-	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+	var svg bytes.Buffer
+	if _, err := c.WriteTo(&svg); err != nil {
 		return "", err
 	}
-	text := b.String()
+	text := svg.String()
 	if i := strings.Index(text, "<svg"); i > 0 {
 		text = text[i:]
 	}
 	return template.HTML(text), nil // made by the library from numbers and the names that it escapes
 }
 
-// Colours that are told apart by those who see red and green alike, too.
-var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
+// colors can also be told apart by readers who don't distinguish red and green.
+var colors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{60, 60, 60, 255}}
 
 func newPlot(x, y string) *plot.Plot {
@@ -107,23 +107,25 @@
 	return p
 }
 
-func addLine(p *plot.Plot, name string, xy plotter.XYs, n int) error {
+// addLine adds a line in one of the colors, unless it has no points.
+func addLine(p *plot.Plot, name string, xy plotter.XYs, color int) error {
 	if len(xy) == 0 {
 		return nil
 	}
-	l, err := plotter.NewLine(xy)
+	line, err := plotter.NewLine(xy)
 	if err != nil {
 		return err
 	}
-	l.Color, l.Width = colours[n%len(colours)], vg.Points(1.5)
-	p.Add(l)
-	p.Legend.Add(name, l)
+	line.Color, line.Width = colors[color%len(colors)], vg.Points(1.5)
+	p.Add(line)
+	p.Legend.Add(name, line)
 	return nil
 }
 
-func bySecond(r *experiment.Result, of func(i int) float64) (xy plotter.XYs) {
+// bySecond are the points of a value for each second of a run.
+func bySecond(r *experiment.Result, value func(second int) float64) (xy plotter.XYs) {
 	for i := range r.Figures.Seconds {
-		xy = append(xy, plotter.XY{X: float64(i), Y: of(i)})
+		xy = append(xy, plotter.XY{X: float64(i), Y: value(i)})
 	}
 	return xy
 }
@@ -137,7 +139,7 @@
 	return p, addLine(p, "delivered", bySecond(r, func(i int) float64 { return float64(s[i].Outcomes[client.Served]) }), 2)
 }
 
-// logMS is a latency on a logarithmic axis, which has no 0.
+// logMS is a latency in milliseconds on a logarithmic axis, which has no 0.
 func logMS(d time.Duration) float64 { return math.Max(0.01, float64(d)/float64(time.Millisecond)) }
 
 func logAxis(p *plot.Plot) {
@@ -172,13 +174,13 @@
 		if err != nil {
 			return nil, err
 		}
-		mark.Shape, mark.Radius, mark.Color = draw.CrossGlyph{}, vg.Points(6), colours[1]
+		mark.Shape, mark.Radius, mark.Color = draw.CrossGlyph{}, vg.Points(6), colors[1]
 		p.Add(mark)
 	}
 	return p, nil
 }
 
-// nines is the axis of quantiles up to five nines: as many steps as there are nines.
+// nines is the position of a quantile on an axis with equal steps from each nine to the next.
 func nines(q float64) float64 { return -math.Log10(1 - q) }
 
 type nineTicks struct{}
@@ -195,13 +197,14 @@
 	return out
 }
 
-func byQuantile(count int64, of func(q float64) time.Duration) (xy plotter.XYs) {
+// byQuantile are the points of a distribution of so many values, up to its last one.
+func byQuantile(count int64, quantile func(q float64) time.Duration) (xy plotter.XYs) {
 	for x := 0.0; x <= 5; x += 0.05 {
 		q := 1 - math.Pow(10, -x)
 		if float64(count)*(1-q) < 0.5 { // no request lies beyond
 			break
 		}
-		xy = append(xy, plotter.XY{X: x, Y: logMS(of(q))})
+		xy = append(xy, plotter.XY{X: x, Y: logMS(quantile(q))})
 	}
 	return xy
 }
@@ -238,7 +241,7 @@
 	return p, nil
 }
 
-func ownPlot(r *experiment.Result) (*plot.Plot, error) {
+func generatorDelayPlot(r *experiment.Result) (*plot.Plot, error) {
 	p := newPlot("quantile", "milliseconds")
 	logAxis(p)
 	p.X.Tick.Marker = nineTicks{}
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -143,13 +143,18 @@
 	if err := a.Remove(2); err == nil {
 		t.Error("a run was taken out twice")
 	}
-	a.Close()
-	if a, err = OpenArchive(path); err != nil {
+	if err := a.Close(); err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
+	a, err = OpenArchive(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = a.Close() })
 	n := 0
-	a.Each(func(k *ArchivedRun) error { n += int(k.ID); return nil })
+	if err := a.Each(func(k *ArchivedRun) error { n += int(k.ID); return nil }); err != nil {
+		t.Error(err)
+	}
 	k, err := a.Get(3)
 	if err != nil || n != 4 || k.Note != "note" || k.Result.Figures.Total() != 2000 || k.Result.Good() {
 		t.Errorf("%d %v %+v", n, err, k)
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -1,9 +1,10 @@
-// Package report shows what came of a run: as a table for a terminal, as JSON, and as one page.
+// Package report shows the result of a run: as a table for a terminal, as JSON, and as one page.
 package report
 
 import (
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 	"time"
 
@@ -15,7 +16,7 @@
 // quantiles that the tables show.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999, 1}
 
-// ms shows a latency in milliseconds, a tenth the least.
+// ms formats a latency in milliseconds with three digits or more.
 func ms(d time.Duration) string {
 	v := float64(d) / float64(time.Millisecond)
 	switch {
@@ -27,7 +28,7 @@
 	return fmt.Sprintf("%.2f", v)
 }
 
-// table writes rows with their columns under each other; the first column stands left, the others right.
+// table writes rows with their columns below each other; the first column is aligned left, the others right.
 func table(w io.Writer, rows [][]string) {
 	var widths []int
 	for _, row := range rows {
@@ -52,21 +53,21 @@
 	}
 }
 
-// laneRows are the figures by class.
-func laneRows(f *stats.Metrics) [][]string {
+// classRows are the metrics by class.
+func classRows(metrics *stats.Metrics) [][]string {
 	rows := [][]string{{"lane", "offered", "delivered", "in quoted time", "p50 ms", "p90", "p99", "p99.9", "max", "tries"}}
-	lanes := append([]stats.ClassMetrics(nil), f.Classes...)
-	if f.Misbehaving.Offered > 0 {
-		lanes = append(lanes, f.Misbehaving)
+	classes := slices.Clone(metrics.Classes)
+	if metrics.Misbehaving.Offered > 0 {
+		classes = append(classes, metrics.Misbehaving)
 	}
-	for i := range lanes {
-		l := &lanes[i]
-		n := l.Outcomes[client.Served].TotalCount()
-		row := []string{l.Name, fmt.Sprint(l.Offered), fmt.Sprint(n), percent(l.WithinObjective, l.Offered)}
+	for i := range classes {
+		class := &classes[i]
+		served := class.Outcomes[client.Served].TotalCount()
+		row := []string{class.Name, fmt.Sprint(class.Offered), fmt.Sprint(served), percent(class.WithinObjective, class.Offered)}
 		for _, q := range quantiles {
-			row = append(row, ms(l.Quantile(client.Served, q)))
+			row = append(row, ms(class.Quantile(client.Served, q)))
 		}
-		rows = append(rows, append(row, fmt.Sprint(l.Attempts)))
+		rows = append(rows, append(row, fmt.Sprint(class.Attempts)))
 	}
 	return rows
 }
@@ -78,21 +79,21 @@
 	return fmt.Sprintf("%.2f%%", 100*float64(part)/float64(whole))
 }
 
-// outcomeRows are the ends that came.
-func outcomeRows(f *stats.Metrics) [][]string {
-	head := []string{"outcomes"}
+// outcomeRows are the counts of the outcomes that occurred, by class.
+func outcomeRows(metrics *stats.Metrics) [][]string {
+	header := []string{"outcomes"}
 	var shown []client.Outcome
 	for o := range client.Outcome(client.OutcomeCount) {
-		if f.Count(o) > 0 {
+		if metrics.Count(o) > 0 {
 			shown = append(shown, o)
-			head = append(head, o.String())
+			header = append(header, o.String())
 		}
 	}
-	rows := [][]string{head}
-	for i := range f.Classes {
-		row := []string{f.Classes[i].Name}
+	rows := [][]string{header}
+	for i := range metrics.Classes {
+		row := []string{metrics.Classes[i].Name}
 		for _, o := range shown {
-			row = append(row, fmt.Sprint(f.Classes[i].Outcomes[o].TotalCount()))
+			row = append(row, fmt.Sprint(metrics.Classes[i].Outcomes[o].TotalCount()))
 		}
 		rows = append(rows, row)
 	}
@@ -103,7 +104,7 @@
 func Text(w io.Writer, r *experiment.Result) {
 	fmt.Fprintf(w, "%s: seed %d, %d tasks in %v, real sockets on loopback\n\n", r.Name, r.Seed, r.Scheduled,
 		r.Took.Round(100*time.Millisecond))
-	table(w, laneRows(r.Figures))
+	table(w, classRows(r.Figures))
 	fmt.Fprintln(w)
 	table(w, outcomeRows(r.Figures))
 	if len(r.Script) > 0 {
@@ -112,22 +113,8 @@
 			fmt.Fprintf(w, "at %6.2f s  %s\n", h.At.Seconds(), h.What)
 		}
 	}
-	for _, c := range r.Truth {
-		fmt.Fprintf(w, "\n%s against the truth: %d answers; a closed loop of %d users would not have sent %d of them\n", c.Class,
-			c.Requests, c.Users, c.Hidden)
-		rows := [][]string{{"quantile", "reported ms", "true", "off by", "closed loop", ""}}
-		for _, row := range c.Rows {
-			mark := "ok"
-			if !row.Good {
-				mark = "OUT OF BOUND"
-			}
-			name := fmt.Sprintf("p%g", 100*row.Quantile)
-			if row.Quantile == 1 {
-				name = "max"
-			}
-			rows = append(rows, []string{name, ms(row.Reported), ms(row.True), ms((row.Reported - row.True).Abs()), ms(row.Closed), mark})
-		}
-		table(w, rows)
+	for i := range r.Truth {
+		writeComparison(w, &r.Truth[i])
 	}
 	fmt.Fprintln(w)
 	for _, g := range r.Gateways {
@@ -141,3 +128,22 @@
 		fmt.Fprintf(w, "%-6s %s: %s\n", word, v.Name, v.Text)
 	}
 }
+
+// writeComparison writes the measured latencies of a class beside the true ones.
+func writeComparison(w io.Writer, c *experiment.Comparison) {
+	fmt.Fprintf(w, "\n%s against the truth: %d answers; a closed loop of %d users would not have sent %d of them\n", c.Class,
+		c.Requests, c.Users, c.Hidden)
+	rows := [][]string{{"quantile", "reported ms", "true", "off by", "closed loop", ""}}
+	for _, row := range c.Rows {
+		mark := "ok"
+		if !row.Good {
+			mark = "OUT OF BOUND"
+		}
+		name := fmt.Sprintf("p%g", 100*row.Quantile)
+		if row.Quantile == 1 {
+			name = "max"
+		}
+		rows = append(rows, []string{name, ms(row.Reported), ms(row.True), ms((row.Reported - row.True).Abs()), ms(row.Closed), mark})
+	}
+	table(w, rows)
+}
