--- /dev/null
+++ b/internal/testbed/load/classification/verdict.go
@@ -0,0 +1,61 @@
+package classification
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+)
+
+// The bounds of a good measurement, as shares.
+const (
+	maxWrongAtFirst = 0.15
+	maxWrongLater   = 0.03 // after a hundred answers
+	minFound        = 0.9  // of shifts, within twenty answers
+	maxAlarms       = 1e-4 // an answer
+)
+
+// Verdict tells whether the bounds are kept, and by which it is not.
+func (r *Result) Verdict() (good bool, text []string) {
+	good = true
+	line := func(ok bool, format string, args ...any) {
+		verdict := "good"
+		if !ok {
+			verdict, good = "BAD ", false
+		}
+		text = append(text, verdict+"   "+fmt.Sprintf(format, args...))
+	}
+	for i := range r.Matrices {
+		matrix := &r.Matrices[i]
+		bound := maxWrongLater
+		if matrix.After < 100 {
+			bound = maxWrongAtFirst
+		}
+		wrong, none := matrix.Wrong()
+		line(wrong < bound, "classes after %d answers: %.1f%% wrong, the bound is %.0f%%; %.1f%% were given none", matrix.After, 100*wrong, 100*bound, 100*none)
+	}
+	line(r.Named == r.Scans, "whole tables named at first sight: %d of %d; %d others taken for such", r.Named, r.Scans, r.Mistaken)
+	line(float64(r.Found) >= minFound*float64(r.Shifts), "shifts of factor three found within 20 answers: %d of %d, on average after %.1f", r.Found, r.Shifts, r.Mean)
+	line(float64(r.Alarms) < maxAlarms*float64(r.Answers), "false alarms: %d in %d answers", r.Alarms, r.Answers)
+	return good, text
+}
+
+// Text writes a result as tables.
+func (r *Result) Text(out io.Writer) {
+	fmt.Fprintf(out, "seeds from %d on, %d forms, %d statements (simulated); %d forms skewed, on %d groups of tables split by their literal\n", r.Seed, r.Templates, r.Statements, r.Skewed, r.Split)
+	for i := range r.Matrices {
+		matrix := &r.Matrices[i]
+		fmt.Fprintf(out, "\nafter %d answers, true class by class given\n", matrix.After)
+		table := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
+		fmt.Fprintln(table, "\t"+strings.Join(classNames, "\t")+"\tnone\t")
+		for trueClass, row := range matrix.Count {
+			fmt.Fprint(table, classNames[trueClass])
+			for _, count := range row {
+				fmt.Fprintf(table, "\t%d", count)
+			}
+			fmt.Fprintln(table, "\t")
+		}
+		_ = table.Flush() // an error of the output, as those of the lines around it
+	}
+	fmt.Fprintln(out)
+}
