--- a/internal/testbed/simcluster/cluster.go
+++ b/internal/testbed/simcluster/cluster.go
@@ -1,10 +1,9 @@
-// Package simcluster plays a fleet of some hundred members in one process, in virtual time under a seeded schedule: the same
-// cores that gateways run, with links that lose, delay, double and cut, processes that die, stop and come back, and clocks
-// that run off. Same seed, same run.
+// Package simcluster runs a fleet of some hundred members in one process, in virtual time under a seeded schedule: the same
+// cores that gateways run, with links that lose, delay, duplicate and cut messages, processes that die, stop and come back,
+// and clocks that drift. The same seed gives the same run.
 package simcluster
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 
@@ -16,11 +15,11 @@
 // Time is virtual, in tenths of a millisecond from the run's begin.
 type Time = admission.Time
 
-// Link is what a message from one process to another meets.
+// Link describes the path of a message from one process to another.
 type Link struct {
 	Cut             bool
 	Loss, Duplicate float64 // shares
-	Delay, Jitter   Time    // Spread: how much more, at most
+	Delay, Jitter   Time    // Jitter is the most that a random part adds to Delay
 }
 
 // Process is one member of the fleet.
@@ -32,13 +31,13 @@
 	Up                bool
 	Sent              int64 // bytes
 	Messages          int64
-	healthReportBytes int64 // of Sent, about engines
+	healthReportBytes int64 // of Sent
 	cluster           *Cluster
-	incarnation       int // events of an earlier process are nothing to this one
-	stopped           Time
-	rate              float64 // of its clock
-	ahead             Time
-	waiting           []event
+	incarnation       int     // timers of an earlier process under this name are ignored
+	pausedUntil       Time    // 0: it runs
+	clockRate         float64 // against the virtual time
+	clockOffset       Time
+	waiting           []event // that came while it was paused
 	timerSet          bool
 }
 
@@ -52,245 +51,230 @@
 
 // Cluster is a fleet.
 type Cluster struct {
-	Now       Time
-	Processes []*Process
-	Changes   []MembershipChange
-	Link      func(from, to int) Link
-	OnChange  func(MembershipChange)
-	random    *rand.Rand
-	events    events
-	order     uint64
-	seeds     []string
-	starts    uint64
-}
-
-type event struct {
-	at          Time
-	order       uint64
-	to          *Process
-	incarnation int
-	from        *Process
-	bytes       []byte
-	kind        uint8 // of the message: member's or health report's
-	call        func()
+	Now             Time
+	Processes       []*Process
+	Changes         []MembershipChange
+	Link            func(from, to int) Link
+	OnChange        func(MembershipChange)
+	random          *rand.Rand
+	events          eventQueue
+	nextOrder       uint64
+	seeds           []string
+	lastIncarnation uint64
 }
 
 const (
-	ofMembers = iota
-	ofEngines
-	ofTimer
+	firstIncarnation = 1000
+	messageOverhead  = 28 + 60 // bytes of the datagram's own headers, and what sealing adds
 )
 
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	old := *e
-	x := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*e = old[:len(old)-1]
-	return x
-}
-
-// New makes a fleet of so many processes, none of which is up. The first two are everybody's seeds.
-func New(n int, seed uint64) *Cluster {
-	c := &Cluster{random: rand.New(rand.NewPCG(seed, 1)), starts: 1000, seeds: []string{"a0", "a1"}}
-	c.Link = func(int, int) Link { return Link{Delay: 10, Jitter: 20} }
-	for i := range n {
-		c.Processes = append(c.Processes, &Process{Index: i, Name: fmt.Sprintf("g%03d", i), cluster: c, rate: 1})
+// New creates a fleet of so many processes, none of which is up. The first two are the seeds of all.
+func New(size int, seed uint64) *Cluster {
+	cluster := &Cluster{random: rand.New(rand.NewPCG(seed, 1)), lastIncarnation: firstIncarnation, seeds: []string{"a0", "a1"}}
+	cluster.Link = func(int, int) Link { return Link{Delay: 10, Jitter: 20} }
+	for index := range size {
+		cluster.Processes = append(cluster.Processes, &Process{Index: index, Name: fmt.Sprintf("g%03d", index), cluster: cluster, clockRate: 1})
 	}
-	return c
+	return cluster
 }
 
-// Schedule has something done at a time.
-func (c *Cluster) Schedule(at Time, call func()) { c.push(event{at: at, call: call}) }
-
-func (c *Cluster) push(e event) {
-	c.order++
-	e.order = c.order
-	heap.Push(&c.events, e)
-}
-
-// Start starts a process; its start is later than any before, unless its clock is told to be behind.
-func (p *Process) Start(start uint64) {
-	c := p.cluster
-	c.starts++
-	if start == 0 {
-		start = c.starts
+// Start starts a process; its incarnation is later than any before, unless one is named, as by a clock that is behind.
+func (p *Process) Start(incarnation uint64) {
+	cluster := p.cluster
+	cluster.lastIncarnation++
+	if incarnation == 0 {
+		incarnation = cluster.lastIncarnation
 	}
 	p.incarnation++
-	p.Up, p.stopped, p.waiting, p.timerSet = true, 0, nil, false
-	self := membership.Member{Name: p.Name, Incarnation: start, Address: fmt.Sprint("a", p.Index)}
-	p.Core = membership.New(p.clock(), self, c.seeds, rand.New(rand.NewPCG(c.random.Uint64(), 2)), host{p})
-	p.HealthReports = healthreport.New(len(c.Processes)-1, 0.25, healthreport.RetryPhase(p.Name))
-	p.timer()
+	p.Up, p.pausedUntil, p.waiting, p.timerSet = true, 0, nil, false
+	self := membership.Member{Name: p.Name, Incarnation: incarnation, Address: fmt.Sprint("a", p.Index)}
+	p.Core = membership.New(p.clock(), self, cluster.seeds, rand.New(rand.NewPCG(cluster.random.Uint64(), 2)), membershipHost{p})
+	p.HealthReports = healthreport.New(len(cluster.Processes)-1, 0.25, healthreport.RetryPhase(p.Name))
+	p.setTimer()
 }
 
 // Kill ends a process at once.
-func (p *Process) Kill() { p.Up = false; p.incarnation++ }
+func (p *Process) Kill() {
+	p.Up = false
+	p.incarnation++
+}
 
-// Pause has it stand still for a time; what comes meanwhile waits for it.
+// Pause stops a process for a time; what comes meanwhile waits for it.
 func (p *Process) Pause(length Time) {
-	if p.Up && p.stopped == 0 {
-		p.stopped = p.cluster.Now + length
-		life := p.incarnation
-		p.cluster.Schedule(p.stopped, func() {
-			if p.incarnation != life {
-				return
-			}
-			p.stopped = 0
-			waiting := p.waiting
-			p.waiting = nil
-			for _, e := range waiting {
-				p.take(e)
-			}
-		})
+	if !p.Up || p.pausedUntil != 0 {
+		return
 	}
+	p.pausedUntil = p.cluster.Now + length
+	incarnation := p.incarnation
+	p.cluster.Schedule(p.pausedUntil, func() {
+		if p.incarnation != incarnation {
+			return
+		}
+		p.pausedUntil = 0
+		waiting := p.waiting
+		p.waiting = nil
+		for _, delayed := range waiting {
+			p.handle(delayed)
+		}
+	})
 }
 
-// SetClockRate has its clock run at a rate from now on.
+// SetClockRate has the process's clock run at a rate from now on.
 func (p *Process) SetClockRate(rate float64) {
 	now := p.clock()
-	p.rate = rate
-	p.ahead = now - Time(float64(p.cluster.Now)*rate)
+	p.clockRate = rate
+	p.clockOffset = now - Time(float64(p.cluster.Now)*rate)
 }
 
-func (p *Process) clock() Time { return Time(float64(p.cluster.Now)*p.rate) + p.ahead }
+func (p *Process) clock() Time { return Time(float64(p.cluster.Now)*p.clockRate) + p.clockOffset }
 
-type host struct{ p *Process }
+// membershipHost carries out what a process's membership decides.
+type membershipHost struct{ process *Process }
 
-func (h host) Send(to string, m []byte) {
-	var n int
-	if _, err := fmt.Sscanf(to, "a%d", &n); err != nil || n >= len(h.p.cluster.Processes) {
+// Send implements membership.Host.
+func (h membershipHost) Send(to string, message []byte) {
+	cluster := h.process.cluster
+	target, ok := cluster.processAt(to)
+	if !ok {
 		return
 	}
-	h.p.cluster.carry(h.p, h.p.cluster.Processes[n], m, ofMembers)
+	cluster.transmit(h.process, target, message, eventMembership)
 }
 
-func (h host) MemberChanged(code membership.EventCode, m membership.Member) {
-	c := h.p.cluster
-	t := MembershipChange{c.Now, h.p.Index, code, m}
-	if c.OnChange != nil {
-		c.OnChange(t)
+// MemberChanged implements membership.Host.
+func (h membershipHost) MemberChanged(code membership.EventCode, member membership.Member) {
+	cluster := h.process.cluster
+	change := MembershipChange{cluster.Now, h.process.Index, code, member}
+	if cluster.OnChange != nil {
+		cluster.OnChange(change)
 		return
 	}
-	c.Changes = append(c.Changes, t)
+	cluster.Changes = append(cluster.Changes, change)
+}
+
+// processAt finds a process by its address, as "a7".
+func (c *Cluster) processAt(address string) (process *Process, ok bool) {
+	var index int
+	_, err := fmt.Sscanf(address, "a%d", &index)
+	if err != nil || index >= len(c.Processes) {
+		return nil, false
+	}
+	return c.Processes[index], true
 }
 
-func (c *Cluster) carry(from, to *Process, m []byte, kind uint8) {
-	from.Sent += int64(len(m) + 28 + 60) // the datagram's own heads, and what sealing adds
+// transmit sends a message over the link between two processes.
+func (c *Cluster) transmit(from, to *Process, message []byte, kind eventKind) {
+	from.Sent += int64(len(message) + messageOverhead)
 	from.Messages++
-	l := c.Link(from.Index, to.Index)
-	if l.Cut || l.Loss > 0 && c.random.Float64() < l.Loss {
+	link := c.Link(from.Index, to.Index)
+	if link.Cut || link.Loss > 0 && c.random.Float64() < link.Loss {
 		return
 	}
-	for range 1 + btoi(l.Duplicate > 0 && c.random.Float64() < l.Duplicate) {
-		at := c.Now + l.Delay
-		if l.Jitter > 0 {
-			at += Time(c.random.Int64N(int64(l.Jitter)))
+	for range 1 + countTrue(link.Duplicate > 0 && c.random.Float64() < link.Duplicate) {
+		at := c.Now + link.Delay
+		if link.Jitter > 0 {
+			at += Time(c.random.Int64N(int64(link.Jitter)))
 		}
-		c.push(event{at: at, to: to, incarnation: to.incarnation, from: from, bytes: m, kind: kind})
+		c.push(event{at: at, to: to, incarnation: to.incarnation, from: from, message: message, kind: kind})
 	}
 }
 
-func btoi(b bool) int {
-	if b {
+// countTrue is 1 for true, and 0 for false.
+func countTrue(condition bool) int {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-// Say has a process tell all it takes to be there what it has to say of engines.
-func (p *Process) Say() {
-	if !p.Up || p.stopped > 0 {
+// SendHealthReport has a process send its health report to all members that it takes to be alive.
+func (p *Process) SendHealthReport() {
+	if !p.Up || p.pausedUntil > 0 {
 		return
 	}
-	m := p.HealthReports.NextMessage(p.clock())
-	if m == nil {
+	message := p.HealthReports.NextMessage(p.clock())
+	if message == nil {
 		return
 	}
 	before := p.Sent
-	for _, other := range p.Core.Members() {
-		var n int
-		if _, err := fmt.Sscanf(other.Address, "a%d", &n); err == nil && other.State <= membership.Suspect {
-			p.cluster.carry(p, p.cluster.Processes[n], m, ofEngines)
+	for _, member := range p.Core.Members() {
+		target, ok := p.cluster.processAt(member.Address)
+		if ok && member.State <= membership.Suspect {
+			p.cluster.transmit(p, target, message, eventHealthReport)
 		}
 	}
 	p.healthReportBytes += p.Sent - before
 }
 
-// take is one event of a process that is up.
-func (p *Process) take(e event) {
-	if p.stopped > 0 {
-		p.waiting = append(p.waiting, e)
+// handle handles an event of a process that is up.
+func (p *Process) handle(received event) {
+	if p.pausedUntil > 0 {
+		p.waiting = append(p.waiting, received)
 		return
 	}
 	now := p.clock()
-	switch e.kind {
-	case ofTimer:
+	switch received.kind {
+	case eventCall: // carried out by the cluster
+	case eventTimer:
 		p.timerSet = false
 		p.Core.Tick(now)
-	case ofMembers:
-		p.Core.HandleMessage(now, e.bytes)
-	case ofEngines:
-		p.HealthReports.HandleMessage(now, source(e.from.Core.Self()), e.bytes)
+	case eventMembership:
+		_ = p.Core.HandleMessage(now, received.message) // messages that can't be used are dropped, as by gateways
+	case eventHealthReport:
+		_ = p.HealthReports.HandleMessage(now, sourceOf(received.from.Core.Self()), received.message) // likewise
 	}
-	p.timer()
+	p.setTimer()
 }
 
-func source(m membership.Member) healthreport.Source {
-	return healthreport.Source{Name: m.Name, Incarnation: m.Incarnation}
+func sourceOf(member membership.Member) healthreport.Source {
+	return healthreport.Source{Name: member.Name, Incarnation: member.Incarnation}
 }
 
-// timer sets the next call of Due.
-func (p *Process) timer() {
+// setTimer schedules the next tick of the membership.
+func (p *Process) setTimer() {
 	if p.timerSet || !p.Up {
 		return
 	}
 	p.timerSet = true
-	wait := max(1, Time(float64(p.Core.NextTick()-p.clock())/p.rate))
-	p.cluster.push(event{at: p.cluster.Now + wait, to: p, incarnation: p.incarnation, kind: ofTimer})
+	wait := max(1, Time(float64(p.Core.NextTick()-p.clock())/p.clockRate))
+	p.cluster.push(event{at: p.cluster.Now + wait, to: p, incarnation: p.incarnation, kind: eventTimer})
 }
 
-// Run plays until a time.
+// Run advances the virtual time.
 func (c *Cluster) Run(until Time) {
 	for len(c.events) > 0 && c.events[0].at <= until {
-		e := heap.Pop(&c.events).(event)
-		c.Now = max(c.Now, e.at)
+		next := c.events.popFirst()
+		c.Now = max(c.Now, next.at)
 		switch {
-		case e.call != nil:
-			e.call()
-		case e.to.Up && (e.kind != ofTimer || e.incarnation == e.to.incarnation): // a message finds whoever has the address by then
-			e.to.take(e)
+		case next.call != nil:
+			next.call()
+		case next.to.Up && (next.kind != eventTimer || next.incarnation == next.to.incarnation): // a message reaches whoever has the address by then
+			next.to.handle(next)
 		}
 	}
 	c.Now = until
 }
 
-// Start starts all, spread over a time, and lets them find each other.
+// Start starts all processes, spread over a time, and lets them find each other.
 func (c *Cluster) Start(over Time) {
-	for i, p := range c.Processes {
-		c.Schedule(c.Now+over*Time(i)/Time(len(c.Processes)), func() { p.Start(0) })
+	for index, process := range c.Processes {
+		c.Schedule(c.Now+over*Time(index)/Time(len(c.Processes)), func() { process.Start(0) })
 	}
 }
 
-// WrongViews tells how many ordered pairs of processes that are up don't take each other to be there, or not under the right start.
+// WrongViews counts the ordered pairs of processes that are up of which the first doesn't take the second to be alive, or
+// not under the right incarnation.
 func (c *Cluster) WrongViews() (wrong int) {
-	for _, p := range c.Processes {
-		if !p.Up || p.Core.IsInactive() {
+	for _, viewer := range c.Processes {
+		if !viewer.Up || viewer.Core.IsInactive() {
 			continue
 		}
-		for _, q := range c.Processes {
-			if q == p || !q.Up || q.Core.IsInactive() || q.Name == p.Name {
+		for _, other := range c.Processes {
+			if other == viewer || !other.Up || other.Core.IsInactive() || other.Name == viewer.Name {
 				continue
 			}
-			m, ok := p.Core.Find(q.Name)
-			if !ok || m.State > membership.Suspect || m.Incarnation != q.Core.Self().Incarnation {
+			member, ok := viewer.Core.Find(other.Name)
+			if !ok || member.State > membership.Suspect || member.Incarnation != other.Core.Self().Incarnation {
 				wrong++
 			}
 		}
--- a/internal/testbed/simcluster/counter_cluster.go
+++ b/internal/testbed/simcluster/counter_cluster.go
@@ -120,7 +120,7 @@
 	p.core.Tick(now)
 }
 
-func btoi64(b bool) int64 { return int64(btoi(b)) }
+func btoi64(b bool) int64 { return int64(countTrue(b)) }
 
 func (t *counterCluster) pass(length Time, check func()) {
 	t.advance(length, func(l datagram[counterMessage]) {
--- a/internal/testbed/simcluster/counter_cluster_test.go
+++ b/internal/testbed/simcluster/counter_cluster_test.go
@@ -19,7 +19,7 @@
 				if wrong != "" {
 					t.Fatalf("seed %d: %s", seed, wrong)
 				}
-				reads, silent = reads+1, silent+btoi(r.Unknown > 0)
+				reads, silent = reads+1, silent+countTrue(r.Unknown > 0)
 				if r.Unknown == 0 {
 					widest = max(widest, r.Counts[0].Ranges[1].High-r.Counts[0].Ranges[1].Low)
 				}
--- a/internal/testbed/simcluster/health_reports.go
+++ b/internal/testbed/simcluster/health_reports.go
@@ -70,7 +70,7 @@
 		var tick func()
 		tick = func() {
 			converse()
-			p.Say()
+			p.SendHealthReport()
 			c.Schedule(c.Now+200, tick)
 		}
 		c.Schedule(c.Now+Time(c.random.Int64N(int64(second))), task)
@@ -81,7 +81,7 @@
 			if p != q {
 				for range 3 {
 					self := q.Core.Self()
-					p.HealthReports.ObserveClock(p.clock(), source(self), uint32(q.clock()))
+					p.HealthReports.ObserveClock(p.clock(), sourceOf(self), uint32(q.clock()))
 				}
 			}
 		}
--- a/internal/testbed/simcluster/membership_test.go
+++ b/internal/testbed/simcluster/membership_test.go
@@ -160,7 +160,7 @@
 // Of two processes under one name the later counts, and the one before it says that it is displaced.
 func TestOneNameTwice(t *testing.T) {
 	c := up(t, 8, 6)
-	twin := &Process{Index: 8, Name: "g003", cluster: c, rate: 1}
+	twin := &Process{Index: 8, Name: "g003", cluster: c, clockRate: 1}
 	c.Processes = append(c.Processes, twin)
 	twin.Start(0)
 	c.Run(c.Now + 10*second)
@@ -176,7 +176,7 @@
 	c = up(t, 8, 6)
 	c.Processes[5].Pause(20 * second)
 	c.Run(c.Now + second)
-	twin = &Process{Index: 8, Name: "g005", cluster: c, rate: 1}
+	twin = &Process{Index: 8, Name: "g005", cluster: c, clockRate: 1}
 	c.Processes = append(c.Processes, twin)
 	twin.Start(0)
 	c.Run(c.Now + 30*second)
--- a/internal/testbed/simcluster/network.go
+++ b/internal/testbed/simcluster/network.go
@@ -7,17 +7,25 @@
 	"magpiebank/internal/admission"
 )
 
-// network carries messages among processes that are stepped ten milliseconds at a time: it loses, doubles, delays and cuts.
+const (
+	// datagramOverhead is what a message costs besides itself, in bytes: the datagram's headers, and what sealing and the
+	// sender's name add.
+	datagramOverhead = 28 + 70
+	networkStep      = 10 * admission.Millisecond
+	maxUsualDelay    = 20 * admission.Millisecond
+)
+
+// network carries messages among processes that advance ten milliseconds at a time: it loses, duplicates, delays and cuts.
 type network[M any] struct {
 	now          Time
 	random       *rand.Rand
 	loss         float64
 	duplicate    float64 // share of messages that come twice
-	delayedShare float64 // and that are as late as can be
+	delayedShare float64 // share of messages that take up to maxDelay
 	maxDelay     Time
 	cut          func(from, to int) bool
 	inFlight     []datagram[M]
-	sent         int
+	sent         int // messages
 	bytes        int
 }
 
@@ -27,35 +35,35 @@
 	message  M
 }
 
-// send posts a message of so many bytes to some processes, which bear one name.
-func (p *network[M]) send(from int, to []int, m M, bytes int) {
-	p.sent++
-	p.bytes += bytes + perDatagram
-	for _, k := range to {
-		for range 1 + btoi(p.duplicate > 0 && p.random.Float64() < p.duplicate) {
-			if k != from && (p.random.Float64() < p.loss || p.cut != nil && p.cut(from, k)) {
+// send sends a message of so many bytes to some processes, which have one name.
+func (n *network[M]) send(from int, to []int, message M, bytes int) {
+	n.sent++
+	n.bytes += bytes + datagramOverhead
+	for _, recipient := range to {
+		for range 1 + countTrue(n.duplicate > 0 && n.random.Float64() < n.duplicate) {
+			if recipient != from && (n.random.Float64() < n.loss || n.cut != nil && n.cut(from, recipient)) {
 				continue
 			}
-			wait := Time(p.random.Int64N(int64(20 * admission.Millisecond)))
-			if p.delayedShare > 0 && p.random.Float64() < p.delayedShare {
-				wait = Time(p.random.Int64N(int64(p.maxDelay)))
+			delay := Time(n.random.Int64N(int64(maxUsualDelay)))
+			if n.delayedShare > 0 && n.random.Float64() < n.delayedShare {
+				delay = Time(n.random.Int64N(int64(n.maxDelay)))
 			}
-			p.inFlight = append(p.inFlight, datagram[M]{p.now + wait, from, k, m})
+			n.inFlight = append(n.inFlight, datagram[M]{n.now + delay, from, recipient, message})
 		}
 	}
 }
 
-// advance plays some time: what is due is served, each process is stepped, and then all are looked at.
-func (p *network[M]) advance(length Time, deliver func(datagram[M]), step, look func()) {
-	for until := p.now + length; p.now < until; {
-		p.now += 10 * admission.Millisecond
-		slices.SortStableFunc(p.inFlight, func(a, b datagram[M]) int { return int(a.at - b.at) })
-		for len(p.inFlight) > 0 && p.inFlight[0].at <= p.now {
-			l := p.inFlight[0]
-			p.inFlight = p.inFlight[1:]
-			deliver(l)
+// advance lets time pass: in each step what is due is delivered, the processes are stepped, and then check is called.
+func (n *network[M]) advance(length Time, deliver func(datagram[M]), step, check func()) {
+	for until := n.now + length; n.now < until; {
+		n.now += networkStep
+		slices.SortStableFunc(n.inFlight, func(a, b datagram[M]) int { return int(a.at - b.at) })
+		for len(n.inFlight) > 0 && n.inFlight[0].at <= n.now {
+			due := n.inFlight[0]
+			n.inFlight = n.inFlight[1:]
+			deliver(due)
 		}
 		step()
-		look()
+		check()
 	}
 }
--- a/internal/testbed/simcluster/quota_cluster.go
+++ b/internal/testbed/simcluster/quota_cluster.go
@@ -11,9 +11,6 @@
 	"magpiebank/internal/cluster/quota"
 )
 
-// perDatagram is what a message costs besides itself: the datagram's heads, and what sealing and the sender's name add.
-const perDatagram = 28 + 70
-
 // quotaCluster is a fleet in one process and virtual time, with links that lose, delay and double, processes that are killed, doubled and
 // stopped, and clocks that run off.
 type quotaCluster struct {
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -277,7 +277,7 @@
 		sum, n = sum+float64(used)/48, n+1
 	})
 	for _, p := range w.members {
-		served += btoi(p.served > 0)
+		served += countTrue(p.served > 0)
 	}
 	t.Logf("share of the total used %.3f, by %d of 40 members", sum/float64(n), served)
 	if sum/float64(n) < 0.3 || served < 10 {
