--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -80,7 +80,7 @@
 	case result.Answered || request.abandoned:
 		c.removeRequest(index)
 	case result.Outcome == Unsent || now >= c.latestStart(request) || !c.allowsRepeat(request) || c.usedUpAttempts(request):
-		c.answerUnserved(index)
+		c.rejectOrFail(index)
 	default:
 		c.queues.insert(&c.requests, index)
 	}
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -30,7 +30,7 @@
 	l.memoryMB -= memoryMB
 }
 
-// slotAdjuster moves the bounds by the step rule of the write-up on admission control (CPULoad), one query at a time.
+// slotAdjuster moves the bounds by the step rule of CockroachDB's kvSlotAdjuster (docs/design.md), one query at a time.
 type slotAdjuster struct {
 	deployment *Deployment
 	random     *rand.Rand
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -126,6 +126,6 @@
 	case request.attempt.inFlight:
 		c.cancelIfSilent(request)
 	default:
-		c.checkRequest(index)
+		c.shedIfLate(index)
 	}
 }
--- a/internal/admission/deployment.go
+++ b/internal/admission/deployment.go
@@ -19,7 +19,7 @@
 	ReportsCost          bool // answers tell work and memory
 	SupportsCancel       bool // attempts can be cancelled
 	NoticeInterval       Time // of notices about a running attempt; 0: none come
-	RetryAfter           Time // the longest Retry-After that clients follow; 0: they are told none
+	RetryAfter           Time // told with every rejection: the longest that clients follow; 0: none
 	PollsEndpoints       bool // the engine list comes only when it is asked for
 	MaxRequests          int  // requests that the gateway can have in hand; 0: no limit
 
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -76,7 +76,7 @@
 	index, work := c.addRequest(arrival)
 	request := c.requests.at(index)
 	if !c.allowsRepeat(request) {
-		c.answerUnserved(index) // a process before this one had sent it
+		c.rejectOrFail(index) // a process before this one had sent it
 		return
 	}
 	if c.deployment.Classes[request.class].Ordered && arrival.Key != "" {
@@ -89,13 +89,13 @@
 	c.probeLongestUnseen()
 	if p := c.pools.of(request, now); c.isUnderpriced(request, work, p) {
 		p.shortageAt = now
-		c.answerUnserved(index)
+		c.rejectOrFail(index)
 		return
 	}
 	c.releaseQueued()
 	c.shedForHeadroom()
 	if request.queued && now >= c.latestStart(request) {
-		c.answerUnserved(index) // it came too late to wait for the next tick
+		c.rejectOrFail(index) // it came too late to wait for the next tick
 	}
 }
 
@@ -140,7 +140,7 @@
 			}
 			last := queue[len(queue)-1]
 			c.pools.of(c.requests.at(last), c.now).shortageAt = c.now
-			c.answerUnserved(last)
+			c.rejectOrFail(last)
 			return
 		}
 	}
@@ -154,9 +154,9 @@
 	return min(request.objective-Time(free), request.deadline-2*tickInterval)
 }
 
-// answerUnserved is the only place that answers a request without an engine: by a rejection where another try by the client is
-// harmless.
-func (c *Controller) answerUnserved(index requestIndex) {
+// rejectOrFail gives a request its final answer without a result: a rejection where a retry by the client is harmless, else
+// a failure. It is the only place in this package that does; package router also rejects requests that never come here.
+func (c *Controller) rejectOrFail(index requestIndex) {
 	request := c.requests.at(index)
 	if request.attempt.inFlight || request.abandoned {
 		return
@@ -170,8 +170,8 @@
 	c.removeRequest(index)
 }
 
-// checkRequest gives up a request that has waited too long, and notes whether its pool is short of room.
-func (c *Controller) checkRequest(index requestIndex) {
+// shedIfLate gives up a request that has waited too long, and notes whether its pool is short of room.
+func (c *Controller) shedIfLate(index requestIndex) {
 	request := c.requests.at(index)
 	latest := c.latestStart(request)
 	p := c.pools.of(request, c.now)
@@ -185,5 +185,5 @@
 	if !heldByPolicyOnly {
 		p.shortageAt = c.now
 	}
-	c.answerUnserved(index)
+	c.rejectOrFail(index)
 }
--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -22,8 +22,9 @@
 	"magpiebank/internal/router"
 )
 
-// Agent is this gateway's part in the cluster of gateways. Its exported methods may be called by the router's owner;
-// everything else belongs to the agent's goroutine, unless a field says otherwise.
+// Agent is this gateway's part in the cluster of gateways. Most exported methods are for the router's owner;
+// TryBeginWrite, EndWrite, ActivePolicy, HistoryNow and ReplaceQuota may be called from any goroutine. Everything else
+// belongs to the agent's goroutine, unless a field says otherwise.
 type Agent struct {
 	config   Config
 	name     string // of the gateway
@@ -192,7 +193,8 @@
 	}
 }
 
-// HandleEndpoints takes in an update of the endpoint list. The router's owner calls it, as the other methods below.
+// HandleEndpoints takes in an update of the endpoint list. The router's owner calls it, as it
+// calls RecordObservation and RecordAttempt.
 func (a *Agent) HandleEndpoints(_ admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint) {
 	a.queue.Put(endpointsReceived{kind, endpoints})
 }
--- a/internal/cluster/rollout/host.go
+++ b/internal/cluster/rollout/host.go
@@ -51,7 +51,7 @@
 // HoldsLease tells whether the gateway may decide by the policy now.
 func (f *InForce) HoldsLease(now Time) bool { return now < f.LeaseUntil }
 
-// EventCode identifies an event in the log; docs/oncall.md lists the codes.
+// EventCode identifies an event in the log; docs/policy.md lists the codes.
 type EventCode string
 
 // The events.
--- a/internal/resourcegroup/class.go
+++ b/internal/resourcegroup/class.go
@@ -47,7 +47,7 @@
 type Counts struct {
 	Admitted     int64 // requests
 	OverCapacity int64 // requests
-	Rejected     int64 // requests
+	Denied       int64 // requests
 	Served       int64 // attempts whose work is known
 }
 
--- a/internal/resourcegroup/limiter.go
+++ b/internal/resourcegroup/limiter.go
@@ -28,7 +28,7 @@
 const (
 	Admitted     Verdict = iota
 	OverCapacity         // too many of its class wait; the client may retry
-	Rejected             // by a rule, and so on every retry
+	Denied               // by a rule, and so on every retry
 )
 
 // New returns a limiter that knows no engine yet. coresByKind has the cores of an engine by machine kind; zones and kinds are the
@@ -77,8 +77,8 @@
 	number = l.classNumbers[n-1]
 	c := &l.classes[number]
 	if c.RejectText != "" {
-		c.counts.Rejected++
-		return 0, Rejected, c.RejectText
+		c.counts.Denied++
+		return 0, Denied, c.RejectText
 	}
 	if !l.hasWaitingPlace(c) {
 		c.counts.OverCapacity++
--- a/internal/resourcegroup/limiter_test.go
+++ b/internal/resourcegroup/limiter_test.go
@@ -102,7 +102,7 @@
 	s.logf("%s arrives, class %d of the plan", id, n)
 	number, verdict, rejectText := s.limiter.Admit(n)
 	switch verdict {
-	case Rejected:
+	case Denied:
 		s.logf("  -> refuse: %s", rejectText)
 		return
 	case OverCapacity:
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -13,8 +13,9 @@
 	"magpiebank/internal/traffic/capture"
 )
 
-// owner holds the state of the gateway and calls the admission controller. All of its methods but post, and the methods
-// that the usage counters serve, run on one goroutine. Other goroutines reach it through events; it reaches them through
+// owner holds the state of the gateway and calls the admission controller. The goroutine of run handles the events, and
+// owns now, admission, requests, engines, sessions and listings. post, postAttemptEnd and the methods in router.go and
+// shutdown.go may run on other goroutines, and touch none of these while it runs. Other goroutines reach it through events; it reaches them through
 // the queues of sessions and the wake-up channels of engines, and never waits for either.
 type owner struct {
 	clock          Clock
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -18,7 +18,7 @@
 	parsed, err := mysql.ReadRequest(sql)
 	class := slices.Index(s.owner.network.Classes, string(parsed.Class))
 	if err == nil {
-		err = checkRequest(&parsed, class, s.owner.network, s.owner.deployment)
+		err = validateRequest(&parsed, class, s.owner.network, s.owner.deployment)
 	}
 	if err != nil {
 		s.rejectCommand(mysql.ErrParse, err.Error())
@@ -99,9 +99,9 @@
 	s.dismissed = true
 }
 
-// checkRequest returns an error if a request doesn't fit the deployment. class is the index of its class, negative if the
+// validateRequest returns an error if a request doesn't fit the deployment. class is the index of its class, negative if the
 // deployment has no such class.
-func checkRequest(r *mysql.Request, class int, network *config.Network, deployment *admission.Deployment) error {
+func validateRequest(r *mysql.Request, class int, network *config.Network, deployment *admission.Deployment) error {
 	switch {
 	case class < 0:
 		return mysql.ErrClass
--- a/internal/router/resource_groups.go
+++ b/internal/router/resource_groups.go
@@ -4,7 +4,7 @@
 
 // ResourceGroups applies an operator's rules: it puts requests into classes, limits what runs of each class at a time,
 // and estimates costs. The owner calls all methods but BeginWrite and EndWrite, which the goroutine that writes an attempt
-// calls. Package workload implements it.
+// calls, and NewStatementReader, which the acceptor calls. Package workload implements it.
 type ResourceGroups interface {
 	admission.Policy
 	// HandleEndpoints takes in an update of the engine list.
--- a/internal/router/session_events.go
+++ b/internal/router/session_events.go
@@ -36,10 +36,10 @@
 	requestRejected struct{ retryAfter admission.Time }
 	// requestFailed ends a request that may have run and must not run again.
 	requestFailed struct{}
-	// requestDenied is an operator's rule for the request.
+	// requestDenied ends a request that an operator's rule forbids, or whose recorded rows are not kept, with error 1104.
 	requestDenied struct{ reason string }
-	// requestRefused answers a query that never became a request.
-	requestRefused struct{ reason string }
+	// requestInvalid answers a query that is no valid request, with error 1064.
+	requestInvalid struct{ reason string }
 	// requestAbandoned ends a request for which nobody waits any more; no answer is owed.
 	requestAbandoned struct{}
 )
@@ -51,14 +51,14 @@
 func (requestRejected) isSessionEvent()  {}
 func (requestFailed) isSessionEvent()    {}
 func (requestDenied) isSessionEvent()    {}
-func (requestRefused) isSessionEvent()   {}
+func (requestInvalid) isSessionEvent()   {}
 func (requestAbandoned) isSessionEvent() {}
 
 func (requestServed) isFinalAnswer()    {}
 func (requestRejected) isFinalAnswer()  {}
 func (requestFailed) isFinalAnswer()    {}
 func (requestDenied) isFinalAnswer()    {}
-func (requestRefused) isFinalAnswer()   {}
+func (requestInvalid) isFinalAnswer()   {}
 func (requestAbandoned) isFinalAnswer() {}
 
 // handleEvent handles one event, on the session's goroutine.
@@ -81,7 +81,7 @@
 		s.writeFailure()
 	case requestDenied:
 		s.writeDenial(e.reason)
-	case requestRefused:
+	case requestInvalid:
 		s.writeRefusal(e.reason)
 	case requestAbandoned:
 		s.abandonRequest()
--- a/internal/workload/fleetpolicy.go
+++ b/internal/workload/fleetpolicy.go
@@ -162,7 +162,7 @@
 		estimate.ShadowClass = m.rehearsal.admit(reader.rehearsedClass, verdict)
 	}
 	switch verdict {
-	case resourcegroup.Rejected:
+	case resourcegroup.Denied:
 		m.inForce.RecordDecision(decisionRejected, basis, "", asOf)
 		return estimate, false, rejection(plan, reader.planClass, text)
 	case resourcegroup.OverCapacity:
--- a/internal/workload/manager.go
+++ b/internal/workload/manager.go
@@ -164,6 +164,6 @@
 	for _, class := range m.limiter.ClassStates() {
 		m.log.Info("class", "name", class.Name, "retired", class.Retired, "limit", fmt.Sprintf("%.1f", class.ThreadLimit),
 			"running", class.RunningThreads, "waiting", class.Waiting, "taken", class.Admitted, "crowded", class.OverCapacity,
-			"refused", class.Rejected, "delivered", class.Served)
+			"refused", class.Denied, "delivered", class.Served)
 	}
 }
--- a/internal/workload/rehearsal.go
+++ b/internal/workload/rehearsal.go
@@ -60,7 +60,7 @@
 
 func countVerdict(counts *rollout.RequestCounts, verdict resourcegroup.Verdict) {
 	switch verdict {
-	case resourcegroup.Rejected:
+	case resourcegroup.Denied:
 		counts.Rejected++
 	case resourcegroup.OverCapacity:
 		counts.Shed++
--- a/internal/workload/requests.go
+++ b/internal/workload/requests.go
@@ -23,7 +23,7 @@
 	}
 	number, verdict, text := m.limiter.Admit(reader.planClass)
 	switch verdict {
-	case resourcegroup.Rejected:
+	case resourcegroup.Denied:
 		return admission.Estimate{}, false, rejection(reader.plan, reader.planClass, text)
 	case resourcegroup.OverCapacity:
 		return admission.Estimate{}, true, ""
