--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -107,7 +107,7 @@
 	for _, m := range comparedMetrics(first) {
 		rows = append(rows, comparisonRow(m, valuesOf(m, before), valuesOf(m, after)))
 	}
-	table(out, rows)
+	writeTable(out, rows)
 	return nil
 }
 
--- /dev/null
+++ b/internal/testbed/report/plots.go
@@ -0,0 +1,260 @@
+package report
+
+import (
+	"bytes"
+	"html/template"
+	"image/color"
+	"math"
+	"strings"
+	"time"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+	"gonum.org/v1/plot/vg/vgsvg"
+
+	"magpiebank/internal/testbed/load/client"
+	"magpiebank/internal/testbed/load/experiment"
+)
+
+const (
+	pictureWidth  = 22 * vg.Centimeter
+	pictureHeight = 8 * vg.Centimeter
+)
+
+// seriesColors can also be told apart by readers who don't distinguish red and green.
+var seriesColors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
+	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{60, 60, 60, 255}}
+
+// Indexes into seriesColors of what has a color of its own.
+const (
+	colorOffered = 0
+	colorWorst   = 1
+	colorServed  = 2
+	colorNone    = 6
+)
+
+// renderSVG draws a plot as an SVG element, without the XML header before it.
+func renderSVG(drawn *plot.Plot) (template.HTML, error) {
+	boundLogAxis(&drawn.Y)
+	canvas := vgsvg.New(pictureWidth, pictureHeight)
+	drawn.Draw(draw.New(canvas))
+	var buffer bytes.Buffer
+	_, err := canvas.WriteTo(&buffer)
+	if err != nil {
+		return "", err
+	}
+	text := buffer.String()
+	if start := strings.Index(text, "<svg"); start > 0 {
+		text = text[start:]
+	}
+	return template.HTML(text), nil // made by the library from numbers and the names that it escapes
+}
+
+// boundLogAxis gives a logarithmic axis a range where it has none of its own: nothing is drawn, or all at one height.
+func boundLogAxis(axis *plot.Axis) {
+	_, isLog := axis.Scale.(plot.LogScale)
+	if !isLog || axis.Min > 0 && axis.Max > axis.Min && !math.IsInf(axis.Min, 0) {
+		return
+	}
+	height := axis.Min
+	if !(height > 0) || math.IsInf(height, 0) {
+		height = 1
+	}
+	axis.Min, axis.Max = height/2, 2*height
+}
+
+func newPlot(xLabel, yLabel string) *plot.Plot {
+	created := plot.New()
+	created.X.Label.Text, created.Y.Label.Text = xLabel, yLabel
+	created.Legend.Top = true
+	created.Add(plotter.NewGrid())
+	return created
+}
+
+func useLogAxis(target *plot.Plot) {
+	target.Y.Scale, target.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+}
+
+// newQuantilePlot returns a plot for latencies by quantile.
+func newQuantilePlot() *plot.Plot {
+	created := newPlot("quantile", "milliseconds")
+	useLogAxis(created)
+	created.X.Tick.Marker = quantileTicks{}
+	return created
+}
+
+// addLine adds a series in the color of an index; one without points is left out.
+func addLine(target *plot.Plot, name string, points plotter.XYs, colorIndex int) error {
+	if len(points) == 0 {
+		return nil
+	}
+	line, err := plotter.NewLine(points)
+	if err != nil {
+		return err
+	}
+	line.Color, line.Width = seriesColors[colorIndex%len(seriesColors)], vg.Points(1.5)
+	target.Add(line)
+	target.Legend.Add(name, line)
+	return nil
+}
+
+// pointsBySecond returns a value for each second of a run.
+func pointsBySecond(result *experiment.Result, value func(second int) float64) (points plotter.XYs) {
+	for second := range result.Figures.Seconds {
+		points = append(points, plotter.XY{X: float64(second), Y: value(second)})
+	}
+	return points
+}
+
+func plotOffered(result *experiment.Result) (*plot.Plot, error) {
+	drawn := newPlot("second", "tasks")
+	seconds := result.Figures.Seconds
+	offered := pointsBySecond(result, func(second int) float64 { return float64(seconds[second].Offered) })
+	err := addLine(drawn, "offered", offered, colorOffered)
+	if err != nil {
+		return nil, err
+	}
+	served := pointsBySecond(result, func(second int) float64 { return float64(seconds[second].Outcomes[client.Served]) })
+	return drawn, addLine(drawn, "delivered", served, colorServed)
+}
+
+// logMillis is a latency in milliseconds on a logarithmic axis, which has no 0.
+func logMillis(latency time.Duration) float64 {
+	return math.Max(0.01, float64(latency)/float64(time.Millisecond))
+}
+
+func plotLatency(result *experiment.Result) (*plot.Plot, error) {
+	drawn := newPlot("second", "milliseconds")
+	useLogAxis(drawn)
+	for index, series := range []struct {
+		name     string
+		quantile float64
+	}{{"p50", 0.5}, {"p99", 0.99}, {"worst", 1}} {
+		err := addLine(drawn, series.name, latencyBySecond(result, series.quantile), index)
+		if err != nil {
+			return nil, err
+		}
+	}
+	return drawn, markWorst(drawn, result)
+}
+
+// latencyBySecond returns a quantile of each second that has served requests; 1 is the exact maximum.
+func latencyBySecond(result *experiment.Result, quantile float64) (points plotter.XYs) {
+	for index := range result.Figures.Seconds {
+		second := &result.Figures.Seconds[index]
+		if second.Outcomes[client.Served] == 0 {
+			continue
+		}
+		latency := second.Worst
+		if quantile < 1 {
+			latency = second.Quantile(quantile)
+		}
+		points = append(points, plotter.XY{X: float64(index), Y: logMillis(latency)})
+	}
+	return points
+}
+
+// markWorst puts a cross on the longest latency of a run.
+func markWorst(target *plot.Plot, result *experiment.Result) error {
+	worst, worstSecond := time.Duration(0), 0
+	for index := range result.Figures.Seconds {
+		second := &result.Figures.Seconds[index]
+		if second.Outcomes[client.Served] > 0 && second.Worst > worst {
+			worst, worstSecond = second.Worst, index
+		}
+	}
+	if worst <= 0 {
+		return nil
+	}
+	cross, err := plotter.NewScatter(plotter.XYs{{X: float64(worstSecond), Y: logMillis(worst)}})
+	if err != nil {
+		return err
+	}
+	cross.Shape, cross.Radius, cross.Color = draw.CrossGlyph{}, vg.Points(6), seriesColors[colorWorst]
+	target.Add(cross)
+	return nil
+}
+
+// The axis of quantiles has equal steps from each nine to the next. maxNines is its end, ninesStep the distance of its
+// points.
+const (
+	maxNines  = 5
+	ninesStep = 0.05
+)
+
+// nines is the position of a quantile on the axis of quantiles.
+func nines(quantile float64) float64 { return -math.Log10(1 - quantile) }
+
+// quantileTicks labels the axis of quantiles.
+type quantileTicks struct{}
+
+// Ticks implements plot.Ticker.
+func (quantileTicks) Ticks(low, high float64) (ticks []plot.Tick) {
+	for _, tick := range []struct {
+		quantile float64
+		label    string
+	}{{0, "0"}, {0.5, "50%"}, {0.9, "90%"}, {0.99, "99%"}, {0.999, "99.9%"}, {0.9999, "99.99%"}, {0.99999, "99.999%"}} {
+		if value := nines(tick.quantile); value >= low && value <= high {
+			ticks = append(ticks, plot.Tick{Value: value, Label: tick.label})
+		}
+	}
+	return ticks
+}
+
+// pointsByQuantile returns the quantiles of a distribution of so many values, up to its last one.
+func pointsByQuantile(count int64, latency func(quantile float64) time.Duration) (points plotter.XYs) {
+	for x := 0.0; x <= maxNines; x += ninesStep {
+		quantile := 1 - math.Pow(10, -x)
+		if float64(count)*(1-quantile) < 0.5 { // no request lies beyond
+			break
+		}
+		points = append(points, plotter.XY{X: x, Y: logMillis(latency(quantile))})
+	}
+	return points
+}
+
+func plotQuantiles(result *experiment.Result) (*plot.Plot, error) {
+	drawn := newQuantilePlot()
+	for index := range result.Figures.Classes {
+		class := &result.Figures.Classes[index]
+		points := pointsByQuantile(class.Outcomes[client.Served].TotalCount(),
+			func(quantile float64) time.Duration { return class.Quantile(client.Served, quantile) })
+		err := addLine(drawn, class.Name, points, index)
+		if err != nil {
+			return nil, err
+		}
+	}
+	return drawn, nil
+}
+
+func plotOutcomes(result *experiment.Result) (*plot.Plot, error) {
+	drawn := newPlot("second", "tasks")
+	lines := 0
+	for outcome := client.Served + 1; outcome < client.Outcome(client.OutcomeCount); outcome++ {
+		if result.Figures.Count(outcome) == 0 {
+			continue
+		}
+		points := pointsBySecond(result, func(second int) float64 { return float64(result.Figures.Seconds[second].Outcomes[outcome]) })
+		err := addLine(drawn, outcome.String(), points, lines)
+		if err != nil {
+			return nil, err
+		}
+		lines++
+	}
+	if lines == 0 {
+		return drawn, addLine(drawn, "none", pointsBySecond(result, func(int) float64 { return 0 }), colorNone)
+	}
+	return drawn, nil
+}
+
+func plotGeneratorDelay(result *experiment.Result) (*plot.Plot, error) {
+	drawn := newQuantilePlot()
+	metrics := result.Figures
+	err := addLine(drawn, "own delay", pointsByQuantile(metrics.Total(), metrics.GeneratorDelayQuantile), 0)
+	if err != nil {
+		return nil, err
+	}
+	return drawn, addLine(drawn, "waits for a connection", pointsByQuantile(metrics.Total(), metrics.QueueDelayQuantile), 1)
+}
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -13,23 +13,31 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// quantiles that the tables show.
-var quantiles = []float64{0.5, 0.9, 0.99, 0.999, 1}
+// shownQuantiles are those in the tables.
+var shownQuantiles = []float64{0.5, 0.9, 0.99, 0.999, 1}
 
-// ms formats a latency in milliseconds with three digits or more.
-func ms(d time.Duration) string {
-	v := float64(d) / float64(time.Millisecond)
+// formatMillis formats a latency in milliseconds with three digits or more.
+func formatMillis(latency time.Duration) string {
+	millis := float64(latency) / float64(time.Millisecond)
 	switch {
-	case v >= 1000:
-		return fmt.Sprintf("%.0f", v)
-	case v >= 10:
-		return fmt.Sprintf("%.1f", v)
+	case millis >= 1000:
+		return fmt.Sprintf("%.0f", millis)
+	case millis >= 10:
+		return fmt.Sprintf("%.1f", millis)
 	}
-	return fmt.Sprintf("%.2f", v)
+	return fmt.Sprintf("%.2f", millis)
 }
 
-// table writes rows with their columns below each other; the first column is aligned left, the others right.
-func table(w io.Writer, rows [][]string) {
+// quantileName is "p99" for 0.99, and "max" for 1.
+func quantileName(quantile float64) string {
+	if quantile == 1 {
+		return "max"
+	}
+	return fmt.Sprintf("p%g", 100*quantile)
+}
+
+// writeTable writes rows with their columns below each other; the first column is aligned left, the others right.
+func writeTable(out io.Writer, rows [][]string) {
 	var widths []int
 	for _, row := range rows {
 		for i, cell := range row {
@@ -40,16 +48,16 @@
 		}
 	}
 	for _, row := range rows {
-		var b strings.Builder
+		var line strings.Builder
 		for i, cell := range row {
-			pad := strings.Repeat(" ", widths[i]-len([]rune(cell)))
+			padding := strings.Repeat(" ", widths[i]-len([]rune(cell)))
 			if i == 0 {
-				b.WriteString(cell + pad)
+				line.WriteString(cell + padding)
 			} else {
-				b.WriteString("  " + pad + cell)
+				line.WriteString("  " + padding + cell)
 			}
 		}
-		fmt.Fprintln(w, strings.TrimRight(b.String(), " "))
+		fmt.Fprintln(out, strings.TrimRight(line.String(), " "))
 	}
 }
 
@@ -63,37 +71,37 @@
 	for i := range classes {
 		class := &classes[i]
 		served := class.Outcomes[client.Served].TotalCount()
-		row := []string{class.Name, fmt.Sprint(class.Offered), fmt.Sprint(served), percent(class.WithinObjective, class.Offered)}
-		for _, q := range quantiles {
-			row = append(row, ms(class.Quantile(client.Served, q)))
+		row := []string{class.Name, fmt.Sprint(class.Offered), fmt.Sprint(served), formatPercent(class.WithinObjective, class.Offered)}
+		for _, quantile := range shownQuantiles {
+			row = append(row, formatMillis(class.Quantile(client.Served, quantile)))
 		}
 		rows = append(rows, append(row, fmt.Sprint(class.Attempts)))
 	}
 	return rows
 }
 
-func percent(part, whole int64) string {
-	if whole == 0 {
+func formatPercent(count, total int64) string {
+	if total == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f%%", 100*float64(part)/float64(whole))
+	return fmt.Sprintf("%.2f%%", 100*float64(count)/float64(total))
 }
 
 // outcomeRows are the counts of the outcomes that occurred, by class.
 func outcomeRows(metrics *stats.Metrics) [][]string {
 	header := []string{"outcomes"}
 	var shown []client.Outcome
-	for o := range client.Outcome(client.OutcomeCount) {
-		if metrics.Count(o) > 0 {
-			shown = append(shown, o)
-			header = append(header, o.String())
+	for outcome := range client.Outcome(client.OutcomeCount) {
+		if metrics.Count(outcome) > 0 {
+			shown = append(shown, outcome)
+			header = append(header, outcome.String())
 		}
 	}
 	rows := [][]string{header}
 	for i := range metrics.Classes {
 		row := []string{metrics.Classes[i].Name}
-		for _, o := range shown {
-			row = append(row, fmt.Sprint(metrics.Classes[i].Outcomes[o].TotalCount()))
+		for _, outcome := range shown {
+			row = append(row, fmt.Sprint(metrics.Classes[i].Outcomes[outcome].TotalCount()))
 		}
 		rows = append(rows, row)
 	}
@@ -101,49 +109,46 @@
 }
 
 // Text writes a result as tables.
-func Text(w io.Writer, r *experiment.Result) {
-	fmt.Fprintf(w, "%s: seed %d, %d tasks in %v, real sockets on loopback\n\n", r.Name, r.Seed, r.Scheduled,
-		r.Took.Round(100*time.Millisecond))
-	table(w, classRows(r.Figures))
-	fmt.Fprintln(w)
-	table(w, outcomeRows(r.Figures))
-	if len(r.Script) > 0 {
-		fmt.Fprintln(w)
-		for _, h := range r.Script {
-			fmt.Fprintf(w, "at %6.2f s  %s\n", h.At.Seconds(), h.What)
+func Text(out io.Writer, result *experiment.Result) {
+	fmt.Fprintf(out, "%s: seed %d, %d tasks in %v, real sockets on loopback\n\n", result.Name, result.Seed, result.Scheduled,
+		result.Took.Round(100*time.Millisecond))
+	writeTable(out, classRows(result.Figures))
+	fmt.Fprintln(out)
+	writeTable(out, outcomeRows(result.Figures))
+	if len(result.Script) > 0 {
+		fmt.Fprintln(out)
+		for _, event := range result.Script {
+			fmt.Fprintf(out, "at %6.2f s  %s\n", event.At.Seconds(), event.What)
 		}
 	}
-	for i := range r.Truth {
-		writeComparison(w, &r.Truth[i])
+	for i := range result.Truth {
+		writeComparison(out, &result.Truth[i])
 	}
-	fmt.Fprintln(w)
-	for _, g := range r.Gateways {
-		fmt.Fprintf(w, "gateway %s: %.1f MB resident at its peak\n", g.Name, float64(g.PeakKB)/1024)
+	fmt.Fprintln(out)
+	for _, gateway := range result.Gateways {
+		fmt.Fprintf(out, "gateway %s: %.1f MB resident at its peak\n", gateway.Name, float64(gateway.PeakKB)/1024)
 	}
-	for _, v := range r.Verdicts {
-		word := "good"
-		if !v.Good {
-			word = "MISSED"
+	for _, verdict := range result.Verdicts {
+		grade := "good"
+		if !verdict.Good {
+			grade = "MISSED"
 		}
-		fmt.Fprintf(w, "%-6s %s: %s\n", word, v.Name, v.Text)
+		fmt.Fprintf(out, "%-6s %s: %s\n", grade, verdict.Name, verdict.Text)
 	}
 }
 
 // writeComparison writes the measured latencies of a class beside the true ones.
-func writeComparison(w io.Writer, c *experiment.Comparison) {
-	fmt.Fprintf(w, "\n%s against the truth: %d answers; a closed loop of %d users would not have sent %d of them\n", c.Class,
-		c.Requests, c.Users, c.Hidden)
+func writeComparison(out io.Writer, comparison *experiment.Comparison) {
+	fmt.Fprintf(out, "\n%s against the truth: %d answers; a closed loop of %d users would not have sent %d of them\n", comparison.Class,
+		comparison.Requests, comparison.Users, comparison.Hidden)
 	rows := [][]string{{"quantile", "reported ms", "true", "off by", "closed loop", ""}}
-	for _, row := range c.Rows {
-		mark := "ok"
+	for _, row := range comparison.Rows {
+		grade := "ok"
 		if !row.Good {
-			mark = "OUT OF BOUND"
-		}
-		name := fmt.Sprintf("p%g", 100*row.Quantile)
-		if row.Quantile == 1 {
-			name = "max"
+			grade = "OUT OF BOUND"
 		}
-		rows = append(rows, []string{name, ms(row.Reported), ms(row.True), ms((row.Reported - row.True).Abs()), ms(row.Closed), mark})
+		rows = append(rows, []string{quantileName(row.Quantile), formatMillis(row.Reported), formatMillis(row.True),
+			formatMillis((row.Reported - row.True).Abs()), formatMillis(row.Closed), grade})
 	}
-	table(w, rows)
+	writeTable(out, rows)
 }
