--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,6 +1,6 @@
 // Package admission decides, for one gateway, which request runs on which engine and when. It does no I/O: a
 // Controller is told what happens (HandleRequest, HandleAttemptEnd, HandleNotice, HandleDisconnect, HandleProbeResult,
-// HandlePeerReport, UpdateEndpoints, Tick) and acts at once through the Host that it was given. Calls come one at a
+// HandlePeerReport, HandleCapacityChange, UpdateEndpoints, Tick) and acts at once through the Host that it was given. Calls come one at a
 // time, with a clock that never goes back. Clock and seed are handed in, so that the same events lead to the same actions.
 //
 // Each file holds one decision with its state, its limits and the reasons for them:
@@ -23,5 +23,7 @@
 //	estimates.go    what is learned of classes from answers
 //	snapshot.go     what outlives the process
 //
+// types.go, deployment.go and host.go have the types that callers use, the settings, and the interfaces that the decisions act on.
+//
 // docs/design.md has the source of the rules and the departures from it.
 package admission
