--- a/internal/testbed/simcluster/counter_cluster.go
+++ b/internal/testbed/simcluster/counter_cluster.go
@@ -10,219 +10,242 @@
 	"magpiebank/internal/cluster/counters"
 )
 
-// counterCluster is a fleet in one process and virtual time whose processes count what they have in hand.
+// counterCluster is a simulated cluster whose processes share counts of their requests.
 type counterCluster struct {
 	network[counterMessage]
 	members         []*counterMember
 	starts          uint64
-	eventsPerSecond float64 // events a second at each
+	eventsPerSecond float64 // at each process: arrivals, attempts and ends of requests
 }
 
-// counterMember is one process, and what it truly had.
+// counterMember is one process, and its true counts.
 type counterMember struct {
 	cluster     *counterCluster
 	index       int
 	name        string
-	start       uint64
+	incarnation uint64
 	core        *counters.Core
 	clockRate   float64
 	clockOffset float64
 	up          bool
-	stopped     Time
-	trueCounts  []instant
-	nextAt      Time
+	pausedUntil Time
+	trueCounts  []countChange
+	nextEventAt Time
 }
 
-type instant struct {
-	at    Time
-	of    [3]int64
-	start uint64
+// countChange are the true counts of one incarnation from a time on, by counters.Waiting, Running and Attempted.
+type countChange struct {
+	at          Time
+	counts      [3]int64
+	incarnation uint64
 }
 
-// counterMessage is a message and the start of its sender.
+// counterMessage is a message and the incarnation of its sender.
 type counterMessage struct {
-	start uint64
-	bytes []byte
+	incarnation uint64
+	bytes       []byte
 }
 
-// The most that one has in hand there, and for how long.
+// The most requests that a process has in flight, and for how long.
 const (
 	maxInFlight = 40
 	maxRunTime  = 4 * admission.Second
 )
 
 func newCounterCluster(seed uint64, n int) *counterCluster {
-	t := &counterCluster{eventsPerSecond: 20}
-	t.random, t.maxDelay = rand.New(rand.NewPCG(seed, 9)), 10*admission.Second
+	c := &counterCluster{eventsPerSecond: 20}
+	c.random, c.maxDelay = rand.New(rand.NewPCG(seed, 9)), 10*admission.Second
 	for i := range n {
-		t.members = append(t.members, &counterMember{cluster: t, index: i, name: fmt.Sprint("g", i), clockRate: 0.955 + 0.09*t.random.Float64(), clockOffset: float64(t.random.IntN(1e6))})
+		c.members = append(c.members, &counterMember{cluster: c, index: i, name: fmt.Sprint("g", i), clockRate: 0.955 + 0.09*c.random.Float64(), clockOffset: float64(c.random.IntN(1e6))})
 	}
-	for _, p := range t.members {
-		p.begin()
+	for _, p := range c.members {
+		p.start()
 	}
-	return t
+	return c
 }
 
 func (p *counterMember) clock() Time { return Time(float64(p.cluster.now)*p.clockRate + p.clockOffset) }
 
-// since is the time at which its clock showed something.
-func (p *counterMember) since(clock Time) Time {
+// timeAt is the time at which its clock showed a value.
+func (p *counterMember) timeAt(clock Time) Time {
 	return Time((float64(clock) - p.clockOffset) / p.clockRate)
 }
 
-func (p *counterMember) begin() {
+// start starts the process, or starts it again.
+func (p *counterMember) start() {
 	p.cluster.starts++
-	p.start, p.up, p.nextAt = p.cluster.starts, true, p.cluster.now
-	p.trueCounts = append(p.trueCounts, instant{p.cluster.now, [3]int64{}, p.start})
+	p.incarnation, p.up, p.nextEventAt = p.cluster.starts, true, p.cluster.now
+	p.recordTrueCounts([3]int64{})
 	p.core = counters.New(p.clock(), counters.Options{Name: p.name, Processes: len(p.cluster.members), MaxInFlight: maxInFlight, LongestRequest: maxRunTime, Host: p})
 }
 
-// end is its death: it has nothing any more.
-func (p *counterMember) end() {
+// kill ends the process: it has no requests any more.
+func (p *counterMember) kill() {
 	p.up = false
-	p.trueCounts = append(p.trueCounts, instant{p.cluster.now, [3]int64{}, p.start})
+	p.recordTrueCounts([3]int64{})
 }
 
-func (p *counterMember) Send(to string, m []byte) {
-	n := slices.IndexFunc(p.cluster.members, func(q *counterMember) bool { return q.name == to })
-	p.cluster.send(p.index, []int{n}, counterMessage{p.start, m}, len(m))
+func (p *counterMember) recordTrueCounts(counts [3]int64) {
+	p.trueCounts = append(p.trueCounts, countChange{p.cluster.now, counts, p.incarnation})
 }
 
-func (p *counterMember) Peers() (out []string) {
-	for _, q := range p.cluster.members {
-		if q.index != p.index {
-			out = append(out, q.name)
+func (p *counterMember) isRunning() bool { return p.up && p.pausedUntil <= p.cluster.now }
+
+func (p *counterMember) Send(to string, message []byte) {
+	index := slices.IndexFunc(p.cluster.members, func(other *counterMember) bool { return other.name == to })
+	p.cluster.send(p.index, []int{index}, counterMessage{p.incarnation, message}, len(message))
+}
+
+func (p *counterMember) Peers() (names []string) {
+	for _, other := range p.cluster.members {
+		if other.index != p.index {
+			names = append(names, other.name)
 		}
 	}
-	return out
+	return names
 }
 
-// step has requests come, go out and end.
-func (p *counterMember) step() {
+// lookClass is the class of which the requests are counted besides all.
+var lookClass = counters.Key{Kind: counters.KindClass, Name: "look"}
+
+// tick has requests arrive, be sent and end.
+func (p *counterMember) tick() {
 	now := p.clock()
-	for p.nextAt <= p.cluster.now {
-		p.nextAt += Time(p.cluster.random.ExpFloat64() * float64(admission.Second) / p.cluster.eventsPerSecond)
-		had := p.core.OwnCounts(counters.Key{})
-		var waits, runs, handed int64
+	for p.nextEventAt <= p.cluster.now {
+		p.nextEventAt += Time(p.cluster.random.ExpFloat64() * float64(admission.Second) / p.cluster.eventsPerSecond)
+		counts := p.core.OwnCounts(counters.Key{})
+		var waiting, running, attempted int64
 		switch p.cluster.random.IntN(3) {
 		case 0:
-			waits = btoi64(had[counters.Waiting]+had[counters.Running] < maxInFlight)
+			waiting = btoi64(counts[counters.Waiting]+counts[counters.Running] < maxInFlight)
 		case 1:
-			waits = -btoi64(had[counters.Waiting] > 0)
-			runs, handed = -waits, -waits
+			waiting = -btoi64(counts[counters.Waiting] > 0)
+			running, attempted = -waiting, -waiting
 		case 2:
-			runs = -btoi64(had[counters.Running] > 0)
+			running = -btoi64(counts[counters.Running] > 0)
 		}
-		by := [3]int64{waits, runs, handed}
-		p.core.ApplyChanges(now, counters.Change{Delta: by}, counters.Change{Key: counters.Key{Kind: counters.KindClass, Name: "look"}, Delta: by})
-		p.trueCounts = append(p.trueCounts, instant{p.cluster.now, p.core.OwnCounts(counters.Key{}), p.start})
+		delta := [3]int64{waiting, running, attempted}
+		p.core.ApplyChanges(now, counters.Change{Delta: delta}, counters.Change{Key: lookClass, Delta: delta})
+		p.recordTrueCounts(p.core.OwnCounts(counters.Key{}))
 	}
 	p.core.Tick(now)
 }
 
 func btoi64(b bool) int64 { return int64(countTrue(b)) }
 
-func (t *counterCluster) pass(length Time, check func()) {
-	t.advance(length, func(l datagram[counterMessage]) {
-		if p := t.members[l.to]; p.up && p.stopped <= t.now {
-			p.core.HandleMessage(p.clock(), t.members[l.from].name, l.message.start, l.message.bytes)
+// simulate simulates some time, and calls check after each step.
+func (c *counterCluster) simulate(length Time, check func()) {
+	c.advance(length, func(d datagram[counterMessage]) {
+		if p := c.members[d.to]; p.isRunning() {
+			_ = p.core.HandleMessage(p.clock(), c.members[d.from].name, d.message.incarnation, d.message.bytes) // one that can't be read is dropped
 		}
 	}, func() {
-		for _, p := range t.members {
-			if p.up && p.stopped <= t.now {
-				p.step()
+		for _, p := range c.members {
+			if p.isRunning() {
+				p.tick()
 			}
 		}
 	}, check)
 }
 
-// true tells between what all had at an instant, as clocks show whole tenths of a millisecond. Hand-offs are those since the start
-// of a process: of one that is dead, or was started anew, a reader
-// may know the earlier one.
-func (t *counterCluster) true(figure int, at Time) (low, high int64) {
-	for _, p := range t.members {
-		i, _ := slices.BinarySearchFunc(p.trueCounts, at, func(v instant, at Time) int { return int(v.at - at) })
-		l, h := int64(-1), int64(0)
-		from := max(0, i-1)
-		if figure == counters.Attempted && (p.trueCounts[0].start != p.trueCounts[from].start || p.trueCounts[from].of[figure] == 0) {
-			from = 0
-		}
-		for k := from; k < len(p.trueCounts) && (k < i || p.trueCounts[k].at <= at+1); k++ {
-			v := p.trueCounts[k].of[figure]
-			if k < i-1 && p.trueCounts[k+1].start == p.trueCounts[k].start && p.trueCounts[k+1].of[figure] >= v {
-				continue // of each process the last
-			}
-			if h = max(h, v); l < 0 || v < l {
-				l = v
-			}
-		}
-		low, high = low+max(0, l), high+h
+// trueRange is the range of the true sum of a count at a time, as clocks show tenths of a millisecond. Attempts are those since the
+// start of a process: of one that is dead, or was started again, a reader may know the earlier ones.
+func (c *counterCluster) trueRange(count int, at Time) (low, high int64) {
+	for _, p := range c.members {
+		ownLow, ownHigh := p.trueRange(count, at)
+		low += ownLow
+		high += ownHigh
 	}
 	return low, high
 }
 
-// wrong reads at one process, and tells what a reading says that was not so; empty: nothing.
-func (t *counterCluster) wrong(p *counterMember) (r counters.Reading, text string) {
-	k := counters.Key{Kind: counters.KindClass, Name: "look"}
-	r = p.core.TakeReading(p.clock(), counters.Key{}, k)
-	at := p.since(p.clock() - r.Age)
-	for _, c := range r.Counts {
-		for f, of := range c.Ranges {
-			low, high := t.true(f, at)
-			if of.Low > high || of.High >= 0 && of.High < low {
-				return r, fmt.Sprintf("%.3f s, %s: as of %.3f s ago figure %d of %v %s in [%d, %d], in truth %d", float64(t.now)/float64(admission.Second), p.name,
-					float64(r.Age)/float64(admission.Second), f, c.Kind, c.Name, of.Low, of.High, low)
+func (p *counterMember) trueRange(count int, at Time) (low, high int64) {
+	changes := p.trueCounts
+	next, _ := slices.BinarySearchFunc(changes, at, func(change countChange, at Time) int { return int(change.at - at) })
+	first := max(0, next-1)
+	if count == counters.Attempted && (changes[0].incarnation != changes[first].incarnation || changes[first].counts[count] == 0) {
+		first = 0
+	}
+	low = -1
+	for k := first; k < len(changes) && (k < next || changes[k].at <= at+1); k++ {
+		value := changes[k].counts[count]
+		if k < next-1 && changes[k+1].incarnation == changes[k].incarnation && changes[k+1].counts[count] >= value {
+			continue // of each incarnation the last one counts
+		}
+		high = max(high, value)
+		if low < 0 || value < low {
+			low = value
+		}
+	}
+	return max(0, low), high
+}
+
+// checkReading takes a reading at one process, and tells which of its ranges doesn't contain the truth; empty: all do.
+func (c *counterCluster) checkReading(p *counterMember) (reading counters.Reading, violation string) {
+	reading = p.core.TakeReading(p.clock(), counters.Key{}, lookClass)
+	at := p.timeAt(p.clock() - reading.Age)
+	for _, counts := range reading.Counts {
+		for count, claimed := range counts.Ranges {
+			low, high := c.trueRange(count, at)
+			if claimed.Low > high || claimed.High >= 0 && claimed.High < low {
+				return reading, fmt.Sprintf("%.3f s, %s: as of %.3f s ago figure %d of %v %s in [%d, %d], in truth %d", float64(c.now)/float64(admission.Second), p.name,
+					float64(reading.Age)/float64(admission.Second), count, counts.Kind, counts.Name, claimed.Low, claimed.High, low)
 			}
 		}
 	}
-	return r, ""
+	return reading, ""
 }
 
-// CounterResult is how close readings come.
+// CounterResult is how close readings of shared counts come to the truth.
 type CounterResult struct {
 	Members int
 	Age     Time    // of a reading, in the mean
-	Width   float64 // of the interval of requests that run, against their number
-	Silent  float64 // processes that a reading knows nothing of, in the mean
+	Width   float64 // of the range of running requests, against their number
+	Silent  float64 // processes of which a reading knows nothing, in the mean
 	Bytes   float64 // a second a member
-	Wrong   int     // readings in whose interval the truth was not
+	Wrong   int     // readings whose range didn't contain the truth
 	Reads   int
 }
 
-// MeasureCounters measures a fleet whose messages are lost with some chance, over ten seconds once all have heard of each other.
+// stepsPerReading is how many steps of the clock lie between two readings.
+const stepsPerReading = 5
+
+// MeasureCounters measures a cluster whose messages are lost with some probability, over ten seconds once all have heard of each other.
 func MeasureCounters(n int, loss float64, seed uint64) CounterResult {
-	t := newCounterCluster(seed, n)
-	t.loss = loss
-	t.pass(Time(6+n/8)*admission.Second, func() {})
-	t.bytes = 0
-	began := t.now
-	out := CounterResult{Members: n}
-	k := 0
-	var truth float64
-	t.pass(10*admission.Second, func() {
-		if k++; k%5 > 0 {
+	c := newCounterCluster(seed, n)
+	c.loss = loss
+	c.simulate(Time(6+n/8)*admission.Second, func() {})
+	c.bytes = 0
+	began := c.now
+	result := CounterResult{Members: n}
+	steps := 0
+	var running float64
+	c.simulate(10*admission.Second, func() {
+		steps++
+		if steps%stepsPerReading > 0 {
 			return
 		}
-		p := t.members[k/5%n]
-		r, bad := t.wrong(p)
-		if bad != "" {
-			out.Wrong++
+		p := c.members[steps/stepsPerReading%n]
+		reading, violation := c.checkReading(p)
+		if violation != "" {
+			result.Wrong++
 		}
-		out.Reads++
-		out.Age += r.Age
-		out.Silent += float64(r.Unknown)
-		low, _ := t.true(counters.Running, p.since(p.clock()-r.Age))
-		truth += float64(low)
-		out.Width += float64(r.Counts[0].Ranges[counters.Running].High - r.Counts[0].Ranges[counters.Running].Low)
+		result.Reads++
+		result.Age += reading.Age
+		result.Silent += float64(reading.Unknown)
+		low, _ := c.trueRange(counters.Running, p.timeAt(p.clock()-reading.Age))
+		running += float64(low)
+		claimed := reading.Counts[0].Ranges[counters.Running]
+		result.Width += float64(claimed.High - claimed.Low)
 	})
-	out.Age /= Time(out.Reads)
-	out.Silent /= float64(out.Reads)
-	out.Width /= truth
-	out.Bytes = float64(t.bytes) / float64(n) / (float64(t.now-began) / float64(admission.Second))
-	return out
+	result.Age /= Time(result.Reads)
+	result.Silent /= float64(result.Reads)
+	result.Width /= running
+	result.Bytes = float64(c.bytes) / float64(n) / (float64(c.now-began) / float64(admission.Second))
+	return result
 }
 
-// WriteCounters writes figures as a table.
+// WriteCounters writes results as a table.
 func WriteCounters(out io.Writer, list []CounterResult) {
 	fmt.Fprintln(out, "members  reading's age s  interval / tasks that run  silent  bytes/s a member  wrong of readings")
 	for _, c := range list {
--- a/internal/testbed/simcluster/health_reports.go
+++ b/internal/testbed/simcluster/health_reports.go
@@ -8,103 +8,161 @@
 	"magpiebank/internal/admission"
 )
 
-// HealthReportResult is what health reports came to in a fleet where each member sends requests to engines drawn at random.
+// HealthReportResult is the result of sharing health reports in a cluster whose members send requests to engines drawn at random.
 type HealthReportResult struct {
 	Members, Engines int
 	Loss             float64
 	Rate             float64 // requests a second at each member
-	Detect           Time    // until nine of ten members hold enough against the bad engine to send it nothing; below 0: they did not
-	Sent             int     // requests that went there in the half minute that it was bad
-	Alone            float64 // and how many would have, by the rate alone
-	Wrong            int     // times that enough was held against a sound engine, by its share of single errors
+	Detect           Time    // until nine of ten members have ejected the faulty engine; below 0: they did not
+	Sent             int     // requests that went there while it was faulty
+	Alone            float64 // and how many would have without ejection
+	Wrong            int     // times that a healthy engine was ejected, because of its single errors
 	Bytes            float64 // a second a member, of health reports alone
 }
 
-// MeasureHealthReports plays a fleet whose engines have some single errors, and of which one fails all that comes for half a minute.
+const (
+	faultDelay    = 20 * admission.Second // from the begin of the load to the fault
+	faultLength   = 30 * admission.Second
+	reportPeriod  = 200 // in ticks of Time
+	faultyEngine  = admission.EngineID("e0")
+	clockSamples  = 3
+	detectedShare = 10 // all but one in so many have to detect the fault
+)
+
+// healthReportRun is a run in which members send requests to engines and share health reports.
+type healthReportRun struct {
+	cluster   *Cluster
+	endpoints []admission.Endpoint
+	rate      float64 // requests a second at each member
+	errors    float64 // share of requests that fail at a healthy engine
+	faultFrom Time
+	faultEnd  Time
+	ejected   []map[admission.EngineID]Time // by member: until when it sends an engine nothing
+	detected  []Time                        // by member: how long after the fault it ejected the engine; 0: not yet
+	result    HealthReportResult
+}
+
+// MeasureHealthReports simulates a cluster whose engines have single errors, and of which one fails all requests for half a minute.
 func MeasureHealthReports(n, engines int, rate, errors, loss float64, seed uint64) HealthReportResult {
 	const second = admission.Second
 	c := New(n, seed)
 	c.Link = func(int, int) Link { return Link{Loss: loss, Delay: 5, Jitter: 20} }
 	c.Start(second)
 	c.Run(30 * second)
-	s := HealthReportResult{Members: n, Engines: engines, Loss: loss, Rate: rate, Detect: -1, Alone: 30 * rate * float64(n) / float64(engines)}
-	var list []admission.Endpoint
-	for i := range engines {
-		list = append(list, admission.Endpoint{Engine: admission.EngineID(fmt.Sprint("e", i)), Since: second})
+	r := &healthReportRun{
+		cluster:   c,
+		rate:      rate,
+		errors:    errors,
+		faultFrom: c.Now + faultDelay,
+		faultEnd:  c.Now + faultDelay + faultLength,
+		detected:  make([]Time, n),
+		result:    HealthReportResult{Members: n, Engines: engines, Loss: loss, Rate: rate, Detect: -1, Alone: 30 * rate * float64(n) / float64(engines)},
 	}
-	bad, from := admission.EngineID("e0"), c.Now+20*second
-	until := from + 30*second
-	out := make([]map[admission.EngineID]Time, n) // until when a member sends it nothing
-	detected := make([]Time, n)
-	for i, p := range c.Processes {
-		out[i] = map[admission.EngineID]Time{}
-		p.HealthReports.UpdateEngines(admission.FullUpdate, list)
-		p.HealthReports.SetPeerCount(n - 1)
-		converse := func() {
-			p.HealthReports.VisitChangedFindings(p.clock(), func(f *admission.PeerReport) {
-				if delete(out[i], f.Engine); f.Ejects() {
-					out[i][f.Engine] = c.Now + f.ScoreUntil - p.clock()
-					if f.Engine != bad {
-						s.Wrong++
-					} else if detected[i] == 0 && c.Now >= from {
-						detected[i] = c.Now - from
-					}
-				}
-			})
-		}
-		var task func()
-		task = func() {
-			e := list[c.random.IntN(engines)].Engine
-			if c.Now >= out[i][e] {
-				saw := admission.Answered
-				if e == bad && c.Now >= from && c.Now < until || c.random.Float64() < errors {
-					saw = admission.Erred
-				}
-				if e == bad && c.Now >= from && c.Now < until {
-					s.Sent++
-				}
-				p.HealthReports.Observe(p.clock(), e, saw, admission.NoReport, 1e9)
-			}
-			c.Schedule(c.Now+1+Time(c.random.ExpFloat64()/rate*float64(second)), task)
-		}
-		var tick func()
-		tick = func() {
-			converse()
-			p.SendHealthReport()
-			c.Schedule(c.Now+200, tick)
-		}
-		c.Schedule(c.Now+Time(c.random.Int64N(int64(second))), task)
-		c.Schedule(c.Now+Time(c.random.Int64N(200)), tick)
+	for i := range engines {
+		r.endpoints = append(r.endpoints, admission.Endpoint{Engine: admission.EngineID(fmt.Sprint("e", i)), Since: second})
 	}
-	for _, p := range c.Processes { // as datagrams of members do between gateways
-		for _, q := range c.Processes {
-			if p != q {
-				for range 3 {
-					self := q.Core.Self()
-					p.HealthReports.ObserveClock(p.clock(), sourceOf(self), uint32(q.clock()))
-				}
-			}
-		}
+	for _, p := range c.Processes {
+		r.startMember(p)
 	}
+	c.exchangeClocks()
 	c.OnChange = func(MembershipChange) {}
 	for _, p := range c.Processes {
 		p.healthReportBytes = 0
 	}
 	began := c.Now
-	c.Run(until)
+	c.Run(r.faultEnd)
 	var bytes int64
 	for _, p := range c.Processes {
 		bytes += p.healthReportBytes
 	}
-	s.Bytes = float64(bytes) / float64(n) / (float64(c.Now-began) / float64(second))
-	slices.Sort(detected) // who never found it out stands first, with 0
-	if never := slices.IndexFunc(detected, func(t Time) bool { return t > 0 }); never >= 0 && never <= n/10 {
-		s.Detect = detected[never+(n*9+9)/10-1-min(never, n/10)]
+	r.result.Bytes = float64(bytes) / float64(n) / (float64(c.Now-began) / float64(second))
+	r.result.Detect = detectTime(r.detected)
+	return r.result
+}
+
+// startMember schedules a member's requests and health reports.
+func (r *healthReportRun) startMember(p *Process) {
+	c := r.cluster
+	r.ejected = append(r.ejected, map[admission.EngineID]Time{})
+	p.HealthReports.UpdateEngines(admission.FullUpdate, r.endpoints)
+	p.HealthReports.SetPeerCount(len(c.Processes) - 1)
+	var request, report func()
+	request = func() {
+		r.sendRequest(p)
+		c.Schedule(c.Now+1+Time(c.random.ExpFloat64()/r.rate*float64(admission.Second)), request)
+	}
+	report = func() {
+		p.HealthReports.VisitChangedFindings(p.clock(), func(finding *admission.PeerReport) { r.recordFinding(p, finding) })
+		p.SendHealthReport()
+		c.Schedule(c.Now+reportPeriod, report)
+	}
+	c.Schedule(c.Now+Time(c.random.Int64N(int64(admission.Second))), request)
+	c.Schedule(c.Now+Time(c.random.Int64N(reportPeriod)), report)
+}
+
+func (r *healthReportRun) isFaulty(engine admission.EngineID) bool {
+	return engine == faultyEngine && r.cluster.Now >= r.faultFrom && r.cluster.Now < r.faultEnd
+}
+
+// sendRequest sends a member's request to a random engine, unless the member has ejected it.
+func (r *healthReportRun) sendRequest(p *Process) {
+	c := r.cluster
+	engine := r.endpoints[c.random.IntN(len(r.endpoints))].Engine
+	if c.Now < r.ejected[p.Index][engine] {
+		return
+	}
+	outcome := admission.Answered
+	if r.isFaulty(engine) {
+		outcome = admission.Erred
+		r.result.Sent++
+	} else if c.random.Float64() < r.errors {
+		outcome = admission.Erred
+	}
+	p.HealthReports.Observe(p.clock(), engine, outcome, admission.NoReport, 1e9)
+}
+
+// recordFinding takes down what a member's health reports came to on an engine.
+func (r *healthReportRun) recordFinding(p *Process, finding *admission.PeerReport) {
+	c := r.cluster
+	ejected := r.ejected[p.Index]
+	delete(ejected, finding.Engine)
+	if !finding.Ejects() {
+		return
+	}
+	ejected[finding.Engine] = c.Now + finding.ScoreUntil - p.clock()
+	if finding.Engine != faultyEngine {
+		r.result.Wrong++
+	} else if r.detected[p.Index] == 0 && c.Now >= r.faultFrom {
+		r.detected[p.Index] = c.Now - r.faultFrom
+	}
+}
+
+// exchangeClocks has all processes know each other's clocks, as by the datagrams of membership between gateways.
+func (c *Cluster) exchangeClocks() {
+	for _, p := range c.Processes {
+		for _, other := range c.Processes {
+			if p == other {
+				continue
+			}
+			for range clockSamples {
+				p.HealthReports.ObserveClock(p.clock(), sourceOf(other.Core.Self()), uint32(other.clock()))
+			}
+		}
+	}
+}
+
+// detectTime is when nine of ten members had detected the fault; below 0: they had not. It sorts the times.
+func detectTime(detected []Time) Time {
+	slices.Sort(detected) // members that never did come first, with 0
+	n := len(detected)
+	never := slices.IndexFunc(detected, func(t Time) bool { return t > 0 })
+	if never < 0 || never > n/detectedShare {
+		return -1
 	}
-	return s
+	return detected[never+(n*9+9)/10-1-min(never, n/detectedShare)]
 }
 
-// WriteHealthReports writes figures as a table.
+// WriteHealthReports writes results as a table.
 func WriteHealthReports(out io.Writer, list []HealthReportResult) {
 	fmt.Fprintln(out, "members  engines  tasks/s each  loss  9 of 10 send it nothing after s  tasks to it in 30 s  without sharing  sound ones out  bytes/s a member")
 	for _, s := range list {
--- a/internal/testbed/simcluster/membership.go
+++ b/internal/testbed/simcluster/membership.go
@@ -9,67 +9,86 @@
 	"magpiebank/internal/cluster/membership"
 )
 
-// MembershipResult are what one run of membership came to.
+// MembershipResult is the result of one run of membership.
 type MembershipResult struct {
 	Members   int
 	Loss      float64
-	Stopped   float64 // share of members that stand still now and then
+	Stopped   float64 // share of members that are paused now and then
 	Joined    Time    // until all had found each other; below 0: they had not
 	Detect    Time    // until nine of ten had taken a killed member for dead, the median of those killed
 	DetectAll Time    // the longest until all had
-	False     int     // times that somebody took a living member for dead
+	False     int     // times that a member took a living one for dead
 	Suspected int     // suspicions of members that ran
-	Bytes     float64 // a second a member, heads of datagrams and sealing counted
+	Bytes     float64 // a second a member, with headers of datagrams and sealing
 	Seconds   float64 // of the quiet part over which the last three were counted
 }
 
-// MeasureMembership plays one fleet: it starts, runs for a minute with loss and with members that stop, and loses some members at once.
+const quietSeconds = 60
+
+// MeasureMembership simulates one cluster: it starts, runs for a minute with loss and with members that pause, and loses members at once.
 func MeasureMembership(n int, loss, stopped float64, seed uint64) MembershipResult {
 	const second = admission.Second
 	c := New(n, seed)
-	f := MembershipResult{Members: n, Loss: loss, Stopped: stopped, Joined: -1, Seconds: 60}
+	result := MembershipResult{Members: n, Loss: loss, Stopped: stopped, Joined: -1, Seconds: quietSeconds}
 	c.Link = func(int, int) Link { return Link{Loss: loss, Delay: 5, Jitter: 20} }
 	c.Start(2 * second)
-	for at := second; at <= 60*second && f.Joined < 0; at += second / 2 {
-		if c.Run(at); at >= 2*second && c.WrongViews() == 0 {
-			f.Joined = at
+	for at := second; at <= 60*second && result.Joined < 0; at += second / 2 {
+		c.Run(at)
+		if at >= 2*second && c.WrongViews() == 0 {
+			result.Joined = at
 		}
 	}
 	c.Run(c.Now + 10*second)
-	var bytes int64
+	c.measureQuiet(&result)
+	c.measureDeaths(&result)
+	return result
+}
+
+// measureQuiet runs the cluster without deaths, while some members pause, and counts its mistakes and bytes.
+func (c *Cluster) measureQuiet(result *MembershipResult) {
 	for _, p := range c.Processes {
 		p.Sent = 0
 	}
-	halted := map[int]bool{}
 	for i, p := range c.Processes {
-		if float64(i%100) < 100*stopped {
-			halted[i] = true
-			for at := c.Now + Time(c.random.Int64N(int64(10*second))); at < c.Now+60*second; at += 8*second + Time(c.random.Int64N(int64(6*second))) {
-				c.Schedule(at, func() { p.Pause(second + Time(c.random.Int64N(int64(3*second)))) })
-			}
+		if float64(i%100) < 100*result.Stopped {
+			c.schedulePauses(p, c.Now+quietSeconds*admission.Second)
 		}
 	}
-	c.OnChange = func(t MembershipChange) {
+	c.OnChange = func(change MembershipChange) {
 		switch {
-		case t.Code == membership.Died:
-			f.False++
-		case t.Code == membership.Suspected && t.Member.Accuser == c.Processes[t.By].Name:
-			f.Suspected++
+		case change.Code == membership.Died:
+			result.False++
+		case change.Code == membership.Suspected && change.Member.Accuser == c.Processes[change.By].Name:
+			result.Suspected++
 		}
 	}
-	c.Run(c.Now + 60*second)
+	c.Run(c.Now + quietSeconds*admission.Second)
+	var bytes int64
 	for _, p := range c.Processes {
 		bytes += p.Sent
 	}
-	f.Bytes = float64(bytes) / float64(n) / f.Seconds
-	killed := map[string][]Time{}
+	result.Bytes = float64(bytes) / float64(result.Members) / result.Seconds
+}
+
+// schedulePauses has a process pause for one to four seconds every eight to fourteen, until a time.
+func (c *Cluster) schedulePauses(p *Process, until Time) {
+	const second = admission.Second
+	for at := c.Now + Time(c.random.Int64N(int64(10*second))); at < until; at += 8*second + Time(c.random.Int64N(int64(6*second))) {
+		c.Schedule(at, func() { p.Pause(second + Time(c.random.Int64N(int64(3*second)))) })
+	}
+}
+
+// measureDeaths kills one member in fifty at once, and measures when the others have taken them for dead.
+func (c *Cluster) measureDeaths(result *MembershipResult) {
+	killed := map[string][]Time{} // by name: when each other member took it for dead
 	began := c.Now
-	c.OnChange = func(t MembershipChange) {
-		if _, ok := killed[t.Member.Name]; ok && t.Code == membership.Died {
-			killed[t.Member.Name] = append(killed[t.Member.Name], t.At-began)
+	c.OnChange = func(change MembershipChange) {
+		if times, ok := killed[change.Member.Name]; ok && change.Code == membership.Died {
+			killed[change.Member.Name] = append(times, change.At-began)
 		}
 	}
 	var names []string
+	n := result.Members
 	for k := range max(1, n/50) {
 		p := c.Processes[2+k*7%(n-2)]
 		if _, again := killed[p.Name]; !again {
@@ -78,28 +97,27 @@
 			p.Kill()
 		}
 	}
-	c.Run(c.Now + 120*second)
-	var nines []Time
+	c.Run(c.Now + 120*admission.Second)
+	var detected []Time // by nine of ten
 	others := n - len(names)
 	for _, name := range names {
-		at := killed[name]
-		slices.Sort(at)
-		if k := others * 9 / 10; len(at) > k {
-			nines = append(nines, at[k])
+		times := killed[name]
+		slices.Sort(times)
+		if k := others * 9 / 10; len(times) > k {
+			detected = append(detected, times[k])
 		}
-		if len(at) > 0 {
-			f.DetectAll = max(f.DetectAll, at[len(at)-1])
+		if len(times) > 0 {
+			result.DetectAll = max(result.DetectAll, times[len(times)-1])
 		}
 	}
-	if slices.Sort(nines); len(nines) > 0 {
-		f.Detect = nines[len(nines)/2]
-	} else {
-		f.Detect = -1
+	slices.Sort(detected)
+	result.Detect = -1
+	if len(detected) > 0 {
+		result.Detect = detected[len(detected)/2]
 	}
-	return f
 }
 
-// WriteMembership writes figures as a table.
+// WriteMembership writes results as a table.
 func WriteMembership(out io.Writer, list []MembershipResult) {
 	fmt.Fprintln(out, "members  loss  stopped  joined s  dead known to 9 of 10 s  to all s  false deaths  suspicions  bytes/s a member")
 	for _, f := range list {
--- a/internal/testbed/simcluster/membership_test.go
+++ b/internal/testbed/simcluster/membership_test.go
@@ -39,8 +39,8 @@
 
 // died is how often a member was taken for dead that the test didn't kill.
 func (c *Cluster) died(except func(name string) bool) (n int) {
-	for _, told := range c.Changes {
-		if told.Code == membership.Died && !except(told.Member.Name) {
+	for _, change := range c.Changes {
+		if change.Code == membership.Died && !except(change.Member.Name) {
 			n++
 		}
 	}
@@ -53,9 +53,9 @@
 func TestTrace(t *testing.T) {
 	c := New(4, 7)
 	var out strings.Builder
-	c.OnChange = func(told MembershipChange) {
-		if told.By == 0 {
-			fmt.Fprintf(&out, "%6.1f s  %-9s %s, start %d, refuted %d\n", float64(told.At)/float64(second), told.Code, told.Member.Name, told.Member.Incarnation, told.Member.Refutations)
+	c.OnChange = func(change MembershipChange) {
+		if change.By == 0 {
+			fmt.Fprintf(&out, "%6.1f s  %-9s %s, start %d, refuted %d\n", float64(change.At)/float64(second), change.Code, change.Member.Name, change.Member.Incarnation, change.Member.Refutations)
 		}
 	}
 	say := func(text string) { fmt.Fprintf(&out, "%6.1f s  -- %s\n", float64(c.Now)/float64(second), text) }
@@ -81,7 +81,9 @@
 	c.Link = func(int, int) Link { return Link{Delay: 10} }
 	c.Run(60 * second)
 	if *keep {
-		os.WriteFile("testdata/small.txt", []byte(out.String()), 0o644)
+		if err := os.WriteFile("testdata/small.txt", []byte(out.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
 	}
 	want, _ := os.ReadFile("testdata/small.txt")
 	if out.String() != string(want) {
@@ -191,9 +193,9 @@
 	c.Changes = nil
 	c.Processes[4].Pause(20 * second)
 	c.Run(c.Now + 60*second)
-	for _, told := range c.Changes {
-		if told.By == 4 && (told.Code == membership.Died || told.Code == membership.Suspected && told.Member.Accuser == "g004") {
-			t.Errorf("at %.1f s it took %s for %s", float64(told.At)/float64(second), told.Member.Name, told.Code)
+	for _, change := range c.Changes {
+		if change.By == 4 && (change.Code == membership.Died || change.Code == membership.Suspected && change.Member.Accuser == "g004") {
+			t.Errorf("at %.1f s it took %s for %s", float64(change.At)/float64(second), change.Member.Name, change.Code)
 		}
 	}
 	if c.WrongViews() > 0 {
--- a/internal/testbed/simcluster/quota_cluster.go
+++ b/internal/testbed/simcluster/quota_cluster.go
@@ -11,8 +11,8 @@
 	"magpiebank/internal/cluster/quota"
 )
 
-// quotaCluster is a fleet in one process and virtual time, with links that lose, delay and double, processes that are killed, doubled and
-// stopped, and clocks that run off.
+// quotaCluster is a simulated cluster that shares a quota, with links that lose, delay and duplicate, processes that are killed,
+// started twice and paused, and clocks that drift.
 type quotaCluster struct {
 	network[quota.Message]
 	plan     *quota.Plan
@@ -22,93 +22,100 @@
 	byName   map[string][]int
 }
 
+// quotaMember is one process.
 type quotaMember struct {
 	cluster      *quotaCluster
-	share        int // its seat is this by the seats
+	share        int // modulo the plan's shares
 	index        int // among all processes
 	name         string
 	core         *quota.Core
 	clockRate    float64
 	clockOffset  float64
 	up           bool
-	stopped      Time
-	demand       int64 // requests that it would have at once
-	requestUnits int64 // of each
+	pausedUntil  Time
+	demand       int64 // requests that it would run at once
+	requestUnits int64 // that each needs
 	served       int
-	running      []Time
-	predecessors []uint64 // starts of its processes
+	running      []Time   // when each running request ends
+	incarnations []uint64 // of its processes so far
 }
 
 func (p *quotaMember) Send(to string, m quota.Message) {
 	p.cluster.send(p.index, p.cluster.byName[to], m, len(m.Encode()))
 }
 
-func (p *quotaMember) Peers() (out []string) {
-	for _, q := range p.cluster.members {
-		if q.share != p.share {
-			out = append(out, q.name)
+func (p *quotaMember) Peers() (names []string) {
+	for _, other := range p.cluster.members {
+		if other.share != p.share {
+			names = append(names, other.name)
 		}
 	}
-	return out
+	return names
 }
 
 func (p *quotaMember) clock() Time { return Time(float64(p.cluster.now)*p.clockRate + p.clockOffset) }
 
+func (p *quotaMember) isRunning() bool { return p.up && p.pausedUntil <= p.cluster.now }
+
+// start starts a process that knows of none before it.
 func (p *quotaMember) start() {
 	p.cluster.starts++
 	p.up, p.running, p.requestUnits = true, nil, max(1, p.requestUnits)
 	p.core = quota.New(p.clock(), quota.Options{Plan: p.cluster.plan, Name: p.name, Incarnation: p.cluster.starts, Share: p.share % p.cluster.plan.Shares, Host: p})
-	p.predecessors = append(p.predecessors, p.cluster.starts)
+	p.incarnations = append(p.incarnations, p.cluster.starts)
 }
 
-// succeed has the process be followed, by one that knows that those before it on its machine have ended.
+// succeed starts a process that knows that those before it on its machine have ended.
 func (p *quotaMember) succeed() {
-	before := p.predecessors
+	before := p.incarnations
 	p.start()
 	p.core.SucceedIncarnations(before[max(0, len(before)-quota.MaxPredecessors):])
 }
 
-// newQuotaCluster starts a fleet of so many seats, the first of which are replicas.
-func newQuotaCluster(seed uint64, seats, keepers int, total int64) *quotaCluster {
-	t := &quotaCluster{byName: map[string][]int{}, plan: &quota.Plan{Shares: seats, ShareTerm: 2 * admission.Second, LeaseTerm: admission.Second, LongestUse: admission.Second / 4, DriftDivisor: 20, Number: 1, QuotaIDs: []uint32{7}, Totals: []int64{total}}}
-	t.random, t.maxDelay = rand.New(rand.NewPCG(seed, 3)), 3*t.plan.ShareTerm
-	for k := range keepers {
-		t.plan.Voters = append(t.plan.Voters, fmt.Sprint("g", k))
+// quotaVoters is how many members replicate the quota.
+const quotaVoters = 3
+
+// newQuotaCluster starts a cluster of so many members that share a total.
+func newQuotaCluster(seed uint64, members int, total int64) *quotaCluster {
+	c := &quotaCluster{byName: map[string][]int{}, plan: &quota.Plan{Shares: members, ShareTerm: 2 * admission.Second, LeaseTerm: admission.Second, LongestUse: admission.Second / 4, DriftDivisor: 20, Number: 1, QuotaIDs: []uint32{7}, Totals: []int64{total}}}
+	c.random, c.maxDelay = rand.New(rand.NewPCG(seed, 3)), 3*c.plan.ShareTerm
+	for k := range quotaVoters {
+		c.plan.Voters = append(c.plan.Voters, fmt.Sprint("g", k))
 	}
-	for n := range seats {
-		t.add(&quotaMember{cluster: t, share: n, clockRate: 0.955 + 0.09*t.random.Float64(), clockOffset: float64(t.random.IntN(1e6))})
+	for n := range members {
+		c.add(&quotaMember{cluster: c, share: n, clockRate: 0.955 + 0.09*c.random.Float64(), clockOffset: float64(c.random.IntN(1e6))})
 	}
-	return t
+	return c
 }
 
 // add starts a process.
-func (t *quotaCluster) add(p *quotaMember) {
-	p.name, p.index = fmt.Sprint("g", p.share%t.plan.Shares), len(t.members)
-	t.byName[p.name] = append(t.byName[p.name], len(t.members))
-	t.members = append(t.members, p)
+func (c *quotaCluster) add(p *quotaMember) {
+	p.name, p.index = fmt.Sprint("g", p.share%c.plan.Shares), len(c.members)
+	c.byName[p.name] = append(c.byName[p.name], len(c.members))
+	c.members = append(c.members, p)
 	p.start()
 }
 
-// advance plays some time; check is told after each step.
-func (t *quotaCluster) advance(length Time, check func()) {
-	t.network.advance(length, func(l datagram[quota.Message]) {
-		if p := t.members[l.to]; p.up && p.stopped <= t.now {
-			m, err := quota.Decode(l.message.Encode())
+// advance simulates some time, and calls check after each step.
+func (c *quotaCluster) advance(length Time, check func()) {
+	c.network.advance(length, func(d datagram[quota.Message]) {
+		if p := c.members[d.to]; p.isRunning() {
+			message, err := quota.Decode(d.message.Encode())
 			if err != nil {
 				panic(err)
 			}
-			p.core.HandleMessage(p.clock(), m)
+			p.core.HandleMessage(p.clock(), message)
 		}
 	}, func() {
-		for _, p := range t.members {
-			if p.up && p.stopped <= t.now {
+		for _, p := range c.members {
+			if p.isRunning() {
 				p.tick()
 			}
 		}
 	}, check)
 }
 
-// step lets requests end and begin, as many as its demand and its rights have it.
+// tick lets requests end, and begin as far as its demand and the quota allow.
 func (p *quotaMember) tick() {
 	now := p.clock()
 	p.running = slices.DeleteFunc(p.running, func(end Time) bool {
@@ -127,9 +134,9 @@
 	p.core.Tick(now)
 }
 
-// held is what all living processes may use at this instant, and used what they do.
-func (t *quotaCluster) totals() (held, used int64) {
-	for _, p := range t.members {
+// totals are the units that all processes that are up may use now, and that they do use.
+func (c *quotaCluster) totals() (held, used int64) {
+	for _, p := range c.members {
 		if p.up {
 			held += p.core.HeldUnits(p.clock(), 0)
 			used += p.core.UsedUnits(p.clock(), 0)
@@ -138,86 +145,104 @@
 	return held, used
 }
 
-// QuotaResult is how well a total was used, by the share of what one that knows all would have used at each instant.
+// QuotaResult is how well a total was used, as a share of what an all-knowing one would have used at each instant.
 type QuotaResult struct {
 	Members     int
-	Even, Zipf  float64 // demand of two thirds more than there is, alike and by Zipf's law
-	Moving      float64 // nine tenths of it at one member, at another every five seconds
-	EqualEven   float64 // the same with fixed equal parts
+	Even, Zipf  float64 // with a demand of two thirds more than the total, even and by Zipf's law
+	Moving      float64 // with nine tenths of the demand at one member, at another every five seconds
+	EqualEven   float64 // the same with fixed equal shares
 	EqualZipf   float64
 	EqualMoving float64
-	There       Time    // until nine tenths of the total are used at one, after it was wanted there alone; below 0: they never were
+	There       Time    // until nine tenths of the total are used at one member, after it was wanted there alone; below 0: they never were
 	Bytes       float64 // a second a member, under moving demand
 	Messages    float64 // a request, under moving demand
 }
 
-// MeasureQuota plays a fleet whose total is twice its members.
+// MeasureQuota simulates a cluster whose total is twice its members.
 func MeasureQuota(n int, seed uint64) QuotaResult {
 	const second = admission.Second
-	total := int64(2 * n)
-	t := newQuotaCluster(seed, n, 3, total)
-	d := QuotaResult{Members: n, There: -1}
-	t.advance(6*second, func() {})
-	share := func(length Time) (ours, equal float64) {
-		var used, equals, could float64
-		t.advance(length, func() {
-			_, u := t.totals()
-			want := int64(0)
-			for _, p := range t.members {
-				want += p.demand
-				equals += float64(min(p.demand, 2))
-			}
-			used, could = used+float64(u), could+float64(min(want, total))
-		})
-		return used / could, equals / could
+	c := newQuotaCluster(seed, n, int64(2*n))
+	result := QuotaResult{Members: n}
+	c.advance(6*second, func() {})
+	c.setDemand(func(int) float64 { return 1 })
+	c.advance(2*second, func() {})
+	result.Even, result.EqualEven = c.measureUse(5 * second)
+	c.setDemand(func(n int) float64 { return 1 / float64(1+n) })
+	c.advance(2*second, func() {})
+	result.Zipf, result.EqualZipf = c.measureUse(5 * second)
+	c.measureMovingDemand(&result)
+	for _, p := range c.members {
+		p.demand = 0
 	}
-	demand := func(f func(n int) float64) {
-		sum := 0.0
-		for _, p := range t.members {
-			sum += f(p.share)
-		}
-		for _, p := range t.members {
-			p.demand = int64(math.Round(float64(total) * 5 / 3 * f(p.share) / sum))
-		}
+	c.advance(3*second, func() {})
+	result.There = c.measureBurst(c.members[n/2])
+	return result
+}
+
+// setDemand shares a demand of two thirds more than the total among the members by their weights.
+func (c *quotaCluster) setDemand(weight func(n int) float64) {
+	sum := 0.0
+	for _, p := range c.members {
+		sum += weight(p.share)
+	}
+	for _, p := range c.members {
+		p.demand = int64(math.Round(float64(c.plan.Totals[0]) * 5 / 3 * weight(p.share) / sum))
 	}
-	demand(func(int) float64 { return 1 })
-	t.advance(2*second, func() {})
-	d.Even, d.EqualEven = share(5 * second)
-	demand(func(n int) float64 { return 1 / float64(1+n) })
-	t.advance(2*second, func() {})
-	d.Zipf, d.EqualZipf = share(5 * second)
-	t.bytes, t.sent, t.requests = 0, 0, 0
-	began := t.now
-	var ours, equal float64
-	for k := range 4 {
-		at := (7 + 13*k) % n
-		demand(func(n int) float64 {
-			if n == at {
+}
+
+// measureUse measures for a time how much is used, and would be with fixed equal shares, of what an all-knowing one would use.
+func (c *quotaCluster) measureUse(length Time) (share, equalShare float64) {
+	var used, equal, ideal float64
+	total := c.plan.Totals[0]
+	c.advance(length, func() {
+		_, usedNow := c.totals()
+		demand := int64(0)
+		for _, p := range c.members {
+			demand += p.demand
+			equal += float64(min(p.demand, 2))
+		}
+		used += float64(usedNow)
+		ideal += float64(min(demand, total))
+	})
+	return used / ideal, equal / ideal
+}
+
+// measureMovingDemand has nine tenths of the demand at one member, and every five seconds at another.
+func (c *quotaCluster) measureMovingDemand(result *QuotaResult) {
+	const second, moves = admission.Second, 4
+	n := result.Members
+	c.bytes, c.sent, c.requests = 0, 0, 0
+	began := c.now
+	for move := range moves {
+		busy := (7 + 13*move) % n
+		c.setDemand(func(n int) float64 {
+			if n == busy {
 				return 9
 			}
-			return 1 / float64(t.plan.Shares)
+			return 1 / float64(c.plan.Shares)
 		})
-		o, e := share(5 * second)
-		ours, equal = ours+o/4, equal+e/4
-	}
-	d.Moving, d.EqualMoving = ours, equal
-	d.Bytes = float64(t.bytes) / float64(n) / (float64(t.now-began) / float64(second))
-	d.Messages = float64(t.sent) / float64(max(1, t.requests))
-	for _, p := range t.members {
-		p.demand = 0
+		share, equalShare := c.measureUse(5 * second)
+		result.Moving += share / moves
+		result.EqualMoving += equalShare / moves
 	}
-	t.advance(3*second, func() {})
-	t.members[n/2].demand = total
-	began = t.now
-	t.advance(20*second, func() {
-		if _, used := t.totals(); used*10 >= total*9 && d.There < 0 {
-			d.There = t.now - began
+	result.Bytes = float64(c.bytes) / float64(n) / (float64(c.now-began) / float64(second))
+	result.Messages = float64(c.sent) / float64(max(1, c.requests))
+}
+
+// measureBurst is how long it takes until one member uses nine tenths of the total; below 0: longer than twenty seconds.
+func (c *quotaCluster) measureBurst(p *quotaMember) Time {
+	total := c.plan.Totals[0]
+	p.demand = total
+	began, took := c.now, Time(-1)
+	c.advance(20*admission.Second, func() {
+		if _, used := c.totals(); used*10 >= total*9 && took < 0 {
+			took = c.now - began
 		}
 	})
-	return d
+	return took
 }
 
-// WriteQuota writes figures as a table.
+// WriteQuota writes results as a table.
 func WriteQuota(out io.Writer, list []QuotaResult) {
 	fmt.Fprintln(out, "         share of what one that knows all would use: lent (equal parts)")
 	fmt.Fprintln(out, "members  even           Zipf           moving         all at one after s  bytes/s a member  messages a task")
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -8,77 +8,94 @@
 // seeds of TestNeverMore; three thousand were played once.
 var seeds = 60
 
-// margin is a term or a loan at one who waits for its end.
-func margin(t Time) Time { return t + 3*t/20 + 1 }
+// margin is a term at a process that waits for its end by its own clock.
+func margin(term Time) Time { return term + 3*term/20 + 1 }
 
-// mayBegin keeps to the stated bound: of the replicas a minority at most is doubled at a time.
-func (t *quotaCluster) mayBegin(n int, in *quotaMember) bool {
-	living := map[int]int{}
-	for _, q := range t.members {
-		if q.up && q != in {
-			living[q.share%t.plan.Shares]++
+// mayStart keeps to the stated bound: of the replicas a minority at most runs twice at a time.
+func (c *quotaCluster) mayStart(share int, starting *quotaMember) bool {
+	running := map[int]int{}
+	for _, p := range c.members {
+		if p.up && p != starting {
+			running[p.share%c.plan.Shares]++
 		}
 	}
-	living[n%t.plan.Shares]++
-	doubled := 0
-	for k := range t.plan.Voters {
-		if living[k] > 1 {
-			doubled++
+	running[share%c.plan.Shares]++
+	twice := 0
+	for voter := range c.plan.Voters {
+		if running[voter] > 1 {
+			twice++
 		}
 	}
-	return 2*doubled < len(t.plan.Voters)
+	return 2*twice < len(c.plan.Voters)
 }
 
-// Whatever is lost, late, doubled, cut, killed, stopped or started twice under one name, and however clocks run: never more.
+// quotaFault has a fault happen to a random process or to the network, or ends one.
+func (c *quotaCluster) quotaFault() {
+	p := c.members[c.random.IntN(len(c.members))]
+	switch c.random.IntN(8) {
+	case 0:
+		p.up = false
+	case 1:
+		c.restart(p)
+	case 2:
+		p.pausedUntil = c.now + Time(c.random.Int64N(int64(3*c.plan.ShareTerm)))
+	case 3:
+		k := c.random.IntN(3)
+		c.cut = func(from, to int) bool { return from%3 == k != (to%3 == k) }
+	case 4:
+		c.cut = func(from, to int) bool { return from < 4 && to >= 4 } // one way
+	case 5:
+		c.cut = nil
+	case 6:
+		c.startTwin(p)
+	case 7:
+		if p.up {
+			p.core.ReleaseShares(p.clock())
+			p.up = false
+		}
+	}
+}
+
+func (c *quotaCluster) restart(p *quotaMember) {
+	if !c.mayStart(p.share, p) {
+		return
+	}
+	if c.random.IntN(2) == 0 {
+		p.succeed()
+	} else {
+		p.start()
+	}
+}
+
+// startTwin starts a second process under a random name that runs, while there are few.
+func (c *quotaCluster) startTwin(p *quotaMember) {
+	if len(c.members) >= 16 {
+		return
+	}
+	twin := &quotaMember{cluster: c, share: 12 + c.random.IntN(12), clockRate: p.clockRate, clockOffset: p.clockOffset}
+	if c.mayStart(twin.share, nil) {
+		c.add(twin)
+	}
+}
+
+// Whatever is lost, late, duplicated, cut, killed, paused or started twice under one name, and however clocks run: never more.
 func TestNeverMore(t *testing.T) {
 	for seed := range uint64(seeds) {
-		w := newQuotaCluster(seed, 12, 3, []int64{30, 7, 3}[seed%3])
-		total := w.plan.Totals[0]
+		c := newQuotaCluster(seed, 12, []int64{30, 7, 3}[seed%3])
+		total := c.plan.Totals[0]
 		check := func() {
-			if held, used := w.totals(); held > total || used > total {
-				t.Fatalf("seed %d, %.2f s: %d held and %d used of %d", seed, float64(w.now)/float64(second), held, used, total)
+			if held, used := c.totals(); held > total || used > total {
+				t.Fatalf("seed %d, %.2f s: %d held and %d used of %d", seed, float64(c.now)/float64(second), held, used, total)
 			}
 		}
-		w.advance(6*second, check)
-		w.loss, w.duplicate, w.delayedShare = 0.1, 0.1, 0.005
+		c.advance(6*second, check)
+		c.loss, c.duplicate, c.delayedShare = 0.1, 0.1, 0.005
 		for range 60 {
-			for _, p := range w.members {
-				p.demand = int64(w.random.IntN(2) * w.random.IntN(int(total)+2))
-			}
-			p := w.members[w.random.IntN(len(w.members))]
-			switch w.random.IntN(8) {
-			case 0:
-				p.up = false
-			case 7:
-				if p.up {
-					p.core.ReleaseShares(p.clock())
-					p.up = false
-				}
-			case 1:
-				if !w.mayBegin(p.share, p) {
-				} else if w.random.IntN(2) == 0 {
-					p.succeed()
-				} else {
-					p.start()
-				}
-			case 2:
-				p.stopped = w.now + Time(w.random.Int64N(int64(3*w.plan.ShareTerm)))
-			case 3:
-				k := w.random.IntN(3)
-				w.cut = func(from, to int) bool { return from%3 == k != (to%3 == k) }
-			case 4:
-				w.cut = func(from, to int) bool { return from < 4 && to >= 4 } // one way
-			case 5:
-				w.cut = nil
-			case 6:
-				if len(w.members) < 16 { // a second process under a name that lives
-					twin := &quotaMember{cluster: w, share: 12 + w.random.IntN(12), clockRate: p.clockRate, clockOffset: p.clockOffset}
-					if w.mayBegin(twin.share, nil) {
-						w.add(twin)
-					}
-				}
+			for _, p := range c.members {
+				p.demand = int64(c.random.IntN(2) * c.random.IntN(int(total)+2))
 			}
-			w.advance(Time(100+w.random.IntN(900))*admission.Millisecond, check)
+			c.quotaFault()
+			c.advance(Time(100+c.random.IntN(900))*admission.Millisecond, check)
 		}
 	}
 }
@@ -87,84 +104,84 @@
 func TestFollow(t *testing.T) {
 	var took [2]Time
 	for k := range took {
-		w := newQuotaCluster(5, 6, 3, 12)
-		for _, p := range w.members {
+		c := newQuotaCluster(5, 6, 12)
+		for _, p := range c.members {
 			p.demand = 4
 		}
-		w.advance(8*second, func() {})
-		for _, p := range w.members {
+		c.advance(8*second, func() {})
+		for _, p := range c.members {
 			p.demand = 0 // nothing is lent, so that what it has is its part
 		}
-		p := w.members[4]
+		p := c.members[4]
 		p.up = false
-		w.advance(second/10, func() {})
+		c.advance(second/10, func() {})
 		if k == 0 {
 			p.succeed()
 		} else {
 			p.start()
 		}
-		began := w.now
-		for p.core.HeldUnits(p.clock(), 0) < 2 && w.now < began+20*second {
-			w.advance(second/100, func() {})
+		began := c.now
+		for p.core.HeldUnits(p.clock(), 0) < 2 && c.now < began+20*second {
+			c.advance(second/100, func() {})
 		}
-		took[k] = w.now - began
+		took[k] = c.now - began
 	}
-	term, loan := 2*second, second // of the town
+	term, loan := 2*second, second // of the plan
 	if took[0] < loan || took[0] > margin(loan)+second/5 || took[1] < term-term/4 || took[1] > 2*margin(term) {
 		t.Errorf("its part is back after %.2f s, and after %.2f s for one that comes with nothing", float64(took[0])/float64(second), float64(took[1])/float64(second))
 	}
 }
 
-// renew has some go by another total.
-func (t *quotaCluster) renew(number uint64, total int64, some func(n int) bool) {
-	plan := *t.plan
+// replacePlan has some members go by another total.
+func (c *quotaCluster) replacePlan(number uint64, total int64, some func(n int) bool) {
+	plan := *c.plan
 	plan.Number, plan.Totals = number, []int64{total}
-	for _, p := range t.members {
+	for _, p := range c.members {
 		if p.up && some(p.share) {
 			if err := p.core.ReplacePlan(p.clock(), &plan); err != nil {
 				panic(err)
 			}
 		}
 	}
-	t.plan = &plan // that whoever starts goes by
+	c.plan = &plan // by which processes start from now on
 }
 
 // A total that is raised, lowered below what is out, and taken away, while a third of the members is cut off and does not hear of it:
 // never more than the larger, and after a term, a loan and their drift never more than the new one. Who comes back under the old
 // number holds nothing of it.
 func TestTotals(t *testing.T) {
-	w := newQuotaCluster(4, 12, 3, 24)
-	for _, p := range w.members {
+	c := newQuotaCluster(4, 12, 24)
+	for _, p := range c.members {
 		p.demand = 4
 	}
 	most := int64(24)
 	check := func() {
-		if held, used := w.totals(); held > most || used > most {
-			t.Fatalf("%.2f s: %d held and %d used of %d", float64(w.now)/float64(second), held, used, most)
+		if held, used := c.totals(); held > most || used > most {
+			t.Fatalf("%.2f s: %d held and %d used of %d", float64(c.now)/float64(second), held, used, most)
 		}
 	}
 	third := func(n int) bool { return n >= 8 }
-	bound := margin(w.plan.ShareTerm) + margin(w.plan.LeaseTerm) + w.plan.ShareTerm/4
-	w.advance(6*second, check)
+	bound := margin(c.plan.ShareTerm) + margin(c.plan.LeaseTerm) + c.plan.ShareTerm/4
+	c.advance(6*second, check)
 	for i, total := range []int64{36, 6, 0, 24} {
-		w.cut = func(from, to int) bool { return third(from) != third(to) }
-		w.advance(second/5, check)
+		c.cut = func(from, to int) bool { return third(from) != third(to) }
+		c.advance(second/5, check)
 		most = max(most, total)
-		w.renew(uint64(2+i), total, func(n int) bool { return !third(n) })
-		w.advance(bound, check)
+		c.replacePlan(uint64(2+i), total, func(n int) bool { return !third(n) })
+		c.advance(bound, check)
 		most = total // the third still lives, by the old number
-		w.advance(2*second, check)
-		w.cut = nil
-		w.advance(2*second, check)
-		held, _ := w.totals()
-		for _, p := range w.members {
+		c.advance(2*second, check)
+		c.cut = nil
+		c.advance(2*second, check)
+		held, _ := c.totals()
+		for _, p := range c.members {
 			if third(p.share) && p.core.HeldUnits(p.clock(), 0) > 0 {
 				t.Errorf("total %d: %s has %d by the old number", total, p.name, p.core.HeldUnits(p.clock(), 0))
 			}
 		}
-		w.renew(uint64(2+i), total, third)
-		w.advance(margin(w.plan.ShareTerm)+w.plan.ShareTerm, check)
-		now, used := w.totals()
+		c.replacePlan(uint64(2+i), total, third)
+		c.advance(margin(c.plan.ShareTerm)+c.plan.ShareTerm, check)
+		now, used := c.totals()
 		t.Logf("total %d: %d held without the third, %d with it again, %d used", total, held, now, used)
 		if used < total*9/10 {
 			t.Errorf("total %d: only %d are used", total, used)
@@ -174,13 +191,13 @@
 
 // Who leaves with nothing in use frees its seat at once for who follows.
 func TestFarewell(t *testing.T) {
-	w := newQuotaCluster(5, 12, 3, 24)
-	w.advance(6*second, func() {})
-	p := w.members[7]
+	c := newQuotaCluster(5, 12, 24)
+	c.advance(6*second, func() {})
+	p := c.members[7]
 	p.core.ReleaseShares(p.clock())
-	w.advance(second/10, func() {})
+	c.advance(second/10, func() {})
 	p.start()
-	w.advance(second/2, func() {})
+	c.advance(second/2, func() {})
 	if got := p.core.HeldUnits(p.clock(), 0); got != 2 {
 		t.Errorf("half a second after it follows it has %d, expected 2", got)
 	}
@@ -189,24 +206,24 @@
 // Connected and wanted, nearly all of it is used, wherever the demand is; a part that is cut off uses its own for a term, and all
 // is used again soon after.
 func TestWellUsed(t *testing.T) {
-	w := newQuotaCluster(1, 32, 3, 64)
+	c := newQuotaCluster(1, 32, 64)
 	check := func() {}
-	w.advance(6*second, check)
+	c.advance(6*second, check)
 	share := func(length Time) float64 {
 		sum, n := 0.0, 0
-		w.advance(length, func() {
-			_, used := w.totals()
+		c.advance(length, func() {
+			_, used := c.totals()
 			sum, n = sum+float64(used)/64, n+1
 		})
 		return sum / float64(n)
 	}
 	demand := func(f func(n int) int64) {
-		for _, p := range w.members {
+		for _, p := range c.members {
 			p.demand = f(p.share)
 		}
 	}
 	demand(func(int) int64 { return 4 })
-	w.advance(2*second, check)
+	c.advance(2*second, check)
 	even := share(5 * second)
 	demand(func(n int) int64 {
 		if n == 7 {
@@ -214,17 +231,17 @@
 		}
 		return 0
 	})
-	w.advance(3*second, check)
+	c.advance(3*second, check)
 	one := share(5 * second)
 	third := func(n int) bool { return n >= 21 }
-	w.cut = func(from, to int) bool { return third(from) != third(to) }
+	c.cut = func(from, to int) bool { return third(from) != third(to) }
 	demand(func(int) int64 { return 4 })
-	w.advance(w.plan.ShareTerm/2, check)
-	during := share(w.plan.ShareTerm / 4)
-	w.advance(3*w.plan.ShareTerm, check)
+	c.advance(c.plan.ShareTerm/2, check)
+	during := share(c.plan.ShareTerm / 4)
+	c.advance(3*c.plan.ShareTerm, check)
 	long := share(5 * second)
-	w.cut = nil
-	w.advance(3*second, check)
+	c.cut = nil
+	c.advance(3*second, check)
 	healed := share(5 * second)
 	t.Logf("share of the total used: even demand %.3f, all at one of 32 %.3f, a third cut off for half a term %.3f, for three terms %.3f, 3 s after %.3f", even, one, during, long, healed)
 	// The replicas are on one side; on the other seats are held for three quarters of a term at least, and are then taken over.
@@ -235,20 +252,20 @@
 
 // A total far below the members' number is still used whole, though not yet by all: docs/budgets.md, to come.
 func TestSmallTotal(t *testing.T) {
-	w := newQuotaCluster(2, 40, 3, 3)
-	w.advance(6*second, func() {})
-	for _, p := range w.members {
+	c := newQuotaCluster(2, 40, 3)
+	c.advance(6*second, func() {})
+	for _, p := range c.members {
 		p.demand = 1
 	}
-	w.advance(2*second, func() {})
+	c.advance(2*second, func() {})
 	sum, n, had := 0.0, 0, map[int]bool{}
-	w.advance(20*second, func() {
-		held, used := w.totals()
+	c.advance(20*second, func() {
+		held, used := c.totals()
 		if held > 3 {
 			t.Fatalf("%d held of 3", held)
 		}
 		sum, n = sum+float64(used)/3, n+1
-		for _, p := range w.members {
+		for _, p := range c.members {
 			if len(p.running) > 0 {
 				had[p.share] = true
 			}
@@ -262,21 +279,21 @@
 
 // Requests that need more than a member's part, and more than a few could lend: not all hold a little and wait for each other.
 func TestWide(t *testing.T) {
-	w := newQuotaCluster(3, 40, 3, 48)
-	w.advance(6*second, func() {})
-	for _, p := range w.members {
+	c := newQuotaCluster(3, 40, 48)
+	c.advance(6*second, func() {})
+	for _, p := range c.members {
 		p.demand, p.requestUnits = 1, 12
 	}
-	w.advance(4*second, func() {})
+	c.advance(4*second, func() {})
 	sum, n, served := 0.0, 0, 0
-	w.advance(30*second, func() {
-		held, used := w.totals()
+	c.advance(30*second, func() {
+		held, used := c.totals()
 		if held > 48 {
 			t.Fatalf("%d held of 48", held)
 		}
 		sum, n = sum+float64(used)/48, n+1
 	})
-	for _, p := range w.members {
+	for _, p := range c.members {
 		served += countTrue(p.served > 0)
 	}
 	t.Logf("share of the total used %.3f, by %d of 40 members", sum/float64(n), served)
@@ -287,13 +304,13 @@
 
 // A burst at one member, while all others idle, has nearly all of the total within half a second.
 func TestBurst(t *testing.T) {
-	w := newQuotaCluster(1, 32, 3, 64)
-	w.advance(9*second, func() {})
-	w.members[16].demand = 64
-	began, there := w.now, Time(-1)
-	w.advance(2*second, func() {
-		if _, used := w.totals(); used >= 58 && there < 0 {
-			there = w.now - began
+	c := newQuotaCluster(1, 32, 64)
+	c.advance(9*second, func() {})
+	c.members[16].demand = 64
+	began, there := c.now, Time(-1)
+	c.advance(2*second, func() {
+		if _, used := c.totals(); used >= 58 && there < 0 {
+			there = c.now - began
 		}
 	})
 	t.Logf("nine tenths after %.2f s", float64(there)/float64(second))
--- a/internal/testbed/simcluster/rollout_cluster.go
+++ b/internal/testbed/simcluster/rollout_cluster.go
@@ -13,24 +13,32 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// rolloutCluster is a fleet that goes by one policy rollout, in one process and virtual time: links that lose, delay, double and cut, processes that are
-// killed, doubled and stopped, disks that are slow, full or lie, clocks that run off.
+// rolloutCluster is a simulated cluster that rolls out policies: with links that lose, delay, duplicate and cut, processes that are
+// killed, started twice and paused, disks that are slow, full or lie, and clocks that drift.
 type rolloutCluster struct {
 	network[[]byte]
 	plan              *rollout.Config
 	members           []*rolloutMember
 	starts            uint64
 	byName            map[string][]int
-	highestDecision   [2]uint64 // the highest era and number that anyone has decided by,
-	highestDecisionBy string    // who,
-	decisions         int       // how many times decisions were looked at
-	undecided         int       // and how many times a living process could decide nothing
-	violation         string    // the first decision that was made by an older one
+	highestDecision   policyNumber // that any process has decided by
+	highestDecisionBy string       // which process
+	decisions         int          // how many times a process could decide by a lease
+	undecided         int          // how many times a process could decide nothing
+	violation         string       // the first decision by an older number
 	voters            []string
 	onEvent           func(p *rolloutMember, code rollout.EventCode, more []any)
 	policies          map[rollout.Digest]bool // that went into force anywhere
 }
 
+// policyNumber is a policy's number in its era.
+type policyNumber struct{ era, number uint64 }
+
+func (n policyNumber) isLaterThan(other policyNumber) bool {
+	return n.era > other.era || n.era == other.era && n.number > other.number
+}
+
+// rolloutMember is one process.
 type rolloutMember struct {
 	cluster       *rolloutCluster
 	index         int
@@ -39,75 +47,95 @@
 	clockRate     float64
 	clockOffset   float64
 	up            bool
-	stopped       Time
+	pausedUntil   Time
 	inForce       rollout.InForce
 	disk          []consensus.Record // what survives
 	unsynced      []consensus.Record // what doesn't yet
 	pending       []pendingWrite
-	syncTime      Time // a sync takes so long
-	diskFull      bool // the disk is,
-	diskLies      bool // or says that it has what it has not
-	heldMessages  [][]byte
-	heldFrom      []string
-	drainingUntil Time // until when something decided is still on its way out
-	rejectsHalf   bool // half of its requests find no room
+	syncTime      Time // that a sync takes
+	diskFull      bool
+	diskLies      bool          // it reports records as synced that it hasn't written
+	deferred      []heldMessage // that came while it was paused
+	drainingUntil Time          // until when requests decided by the policy before are on their way
+	shedsHalf     bool          // of its requests
 }
 
+// pendingWrite is a write, or another call of the core's, that ends later.
 type pendingWrite struct {
-	at   Time
-	core *rollout.Core
-	do   func()
-	save int // records of behind that survive with it
+	dueAt   Time
+	core    *rollout.Core // for which it is; nil: for any
+	finish  func()
+	records int // of unsynced, that survive with it
+}
+
+// heldMessage is a message in the buffer of a socket.
+type heldMessage struct {
+	from    string
+	message []byte
 }
 
+// maxDeferred is how many messages a socket's buffer holds.
+const maxDeferred = 500
+
 func newRolloutCluster(seed uint64, n, voters int, lease Time) *rolloutCluster {
-	a := &rolloutCluster{byName: map[string][]int{}, policies: map[rollout.Digest]bool{}}
-	a.random = rand.New(rand.NewPCG(seed, 9))
+	c := &rolloutCluster{byName: map[string][]int{}, policies: map[rollout.Digest]bool{}}
+	c.random = rand.New(rand.NewPCG(seed, 9))
 	for k := range voters {
-		a.voters = append(a.voters, fmt.Sprint("g", k))
+		c.voters = append(c.voters, fmt.Sprint("g", k))
 	}
-	a.plan = &rollout.Config{Voters: a.voters, LeaseDuration: lease, PrepareTimeout: 3 * admission.Second, ClockDriftDivisor: 20, Persistent: true}
-	a.highestDecision, a.highestDecisionBy = [2]uint64{}, "nobody"
+	c.plan = &rollout.Config{Voters: c.voters, LeaseDuration: lease, PrepareTimeout: 3 * admission.Second, ClockDriftDivisor: 20, Persistent: true}
+	c.highestDecisionBy = "nobody"
 	for k := range n {
-		p := &rolloutMember{cluster: a, name: fmt.Sprint("g", k), clockRate: 0.955 + 0.09*a.random.Float64(), clockOffset: float64(a.random.IntN(1e6)), syncTime: 2 * admission.Millisecond}
-		a.add(p)
+		p := &rolloutMember{cluster: c, name: fmt.Sprint("g", k), clockRate: 0.955 + 0.09*c.random.Float64(), clockOffset: float64(c.random.IntN(1e6)), syncTime: 2 * admission.Millisecond}
+		c.add(p)
 	}
-	a.maxDelay = 2 * lease
-	return a
+	c.maxDelay = 2 * lease
+	return c
 }
 
-func (a *rolloutCluster) add(p *rolloutMember) {
-	p.index = len(a.members)
-	a.byName[p.name] = append(a.byName[p.name], p.index)
-	a.members = append(a.members, p)
+func (c *rolloutCluster) add(p *rolloutMember) {
+	p.index = len(c.members)
+	c.byName[p.name] = append(c.byName[p.name], p.index)
+	c.members = append(c.members, p)
 	p.start()
 }
 
 func (p *rolloutMember) clock() Time { return Time(float64(p.cluster.now)*p.clockRate + p.clockOffset) }
 
+func (p *rolloutMember) isRunning() bool { return p.up && p.pausedUntil <= p.cluster.now }
+
+// start starts a process with what its disk has.
 func (p *rolloutMember) start() {
 	p.cluster.starts++
-	p.up, p.inForce, p.pending, p.heldMessages, p.heldFrom, p.unsynced, p.drainingUntil = true, rollout.InForce{}, nil, nil, nil, nil, 0
-	kept := &rollout.StoredState{}
-	last := map[[16]byte]int{}
-	for i, r := range p.disk {
-		last[r.Key] = i
-	}
-	for i, r := range p.disk {
-		if last[r.Key] == i {
-			kept.AddRecord(r.Key, r.Value, r.Value == nil)
-		}
+	p.up, p.inForce, p.pending, p.deferred, p.unsynced, p.drainingUntil = true, rollout.InForce{}, nil, nil, nil, 0
+	stored := &rollout.StoredState{}
+	for _, record := range p.latestRecords() {
+		stored.AddRecord(record.Key, record.Value, record.Value == nil)
 	}
-	if kept.Err() != nil {
-		panic(kept.Err())
+	if stored.Err() != nil {
+		panic(stored.Err())
 	}
 	p.core = nil
 	p.core = rollout.New(p.clock(), p.cluster.plan, rollout.Process{
-		Name: p.name, Incarnation: p.cluster.starts, Random: rand.New(rand.NewPCG(p.cluster.random.Uint64(), 4)), Stored: kept,
+		Name: p.name, Incarnation: p.cluster.starts, Random: rand.New(rand.NewPCG(p.cluster.random.Uint64(), 4)), Stored: stored,
 	}, p)
 }
 
-// kill ends a process; of what its disk had not yet, any first part survives.
+// latestRecords are the last record of each key on the disk, in the order in which they were written.
+func (p *rolloutMember) latestRecords() (records []consensus.Record) {
+	last := map[[16]byte]int{}
+	for i, record := range p.disk {
+		last[record.Key] = i
+	}
+	for i, record := range p.disk {
+		if last[record.Key] == i {
+			records = append(records, record)
+		}
+	}
+	return records
+}
+
+// kill ends a process; of the records that were not synced, any first ones survive.
 func (p *rolloutMember) kill() {
 	p.up = false
 	if !p.diskLies {
@@ -120,71 +148,69 @@
 	p.cluster.send(p.index, p.cluster.byName[to], p.wrap(m), len(m))
 }
 
-// wrap puts the sender's name before a message, as the fleet's datagrams have it.
+// wrap puts the sender's name before a message, as the datagrams of a cluster have it.
 func (p *rolloutMember) wrap(m []byte) []byte {
 	return append(append([]byte{byte(len(p.name))}, p.name...), m...)
 }
 
-func (p *rolloutMember) Peers() (out []string) {
-	for _, q := range p.cluster.members {
-		if q.name != p.name && !slices.Contains(out, q.name) {
-			out = append(out, q.name)
+func (p *rolloutMember) Peers() (names []string) {
+	for _, other := range p.cluster.members {
+		if other.name != p.name && !slices.Contains(names, other.name) {
+			names = append(names, other.name)
 		}
 	}
-	return out
+	return names
 }
 
-// Check can't follow what says so of it.
-func (p *rolloutMember) CheckPolicy(d rollout.Digest, text []byte, done func(rollout.Terms, error)) {
+// CheckPolicy reads the terms of a policy from words in its text; a policy that says so is wrong at this process.
+func (p *rolloutMember) CheckPolicy(_ rollout.Digest, text []byte, done func(rollout.Terms, error)) {
 	p.later(Time(p.cluster.random.IntN(50)), 0, func() {
-		var t rollout.Terms
+		var terms rollout.Terms
 		if bytes.Contains(text, []byte("not for "+p.name+";")) {
-			done(t, errors.New("statements.pools[0].zones: expected some of [norte], found [este]"))
+			done(terms, errors.New("statements.pools[0].zones: expected some of [norte], found [este]"))
 			return
 		}
 		if bytes.Contains(text, []byte("both;")) {
-			t.Overlap = 3 * p.cluster.plan.LeaseDuration
+			terms.Overlap = 3 * p.cluster.plan.LeaseDuration
 		}
 		if bytes.Contains(text, []byte("rehearse;")) {
-			t.RehearsalLength = admission.Second / 2
+			terms.RehearsalLength = admission.Second / 2
 		}
 		if bytes.Contains(text, []byte("probation;")) {
-			t.Probation, t.ProbationBounds = 2*admission.Second, rollout.Bounds{Rejected: 0.1, Shed: 0.1}
+			terms.Probation, terms.ProbationBounds = 2*admission.Second, rollout.Bounds{Rejected: 0.1, Shed: 0.1}
 		}
-		done(t, nil)
+		done(terms, nil)
 	})
 }
 
-var errFull = errors.New("no space left on device")
+var errDiskFull = errors.New("no space left on device")
 
 func (p *rolloutMember) SaveRecords(records []consensus.Record, done func(error)) {
 	if p.diskFull {
-		p.later(1, 0, func() { done(errFull) })
+		p.later(1, 0, func() { done(errDiskFull) })
 		return
 	}
 	p.unsynced = append(p.unsynced, records...)
 	p.later(p.syncTime+Time(p.cluster.random.IntN(20)), len(records), func() { done(nil) })
 }
 
-// later does something some time on, in the order in which it was asked for.
-func (p *rolloutMember) later(wait Time, save int, do func()) {
-	at := p.cluster.now + wait
+// later calls a function after some time, in the order of the calls of later. That many unsynced records are on the disk by then.
+func (p *rolloutMember) later(wait Time, records int, finish func()) {
+	dueAt := p.cluster.now + wait
 	if n := len(p.pending); n > 0 {
-		at = max(at, p.pending[n-1].at)
+		dueAt = max(dueAt, p.pending[n-1].dueAt)
 	}
-	p.pending = append(p.pending, pendingWrite{at, p.core, do, save})
+	p.pending = append(p.pending, pendingWrite{dueAt, p.core, finish, records})
 }
 
 func (p *rolloutMember) LoadPolicy(d rollout.Digest) []byte {
-	return rollout.ReadPolicyText(d, func(key [16]byte) (out []byte) {
-		for _, list := range [][]consensus.Record{p.disk, p.unsynced} {
-			for _, r := range list {
-				if r.Key == key {
-					out = r.Value
-				}
+	return rollout.ReadPolicyText(d, func(key [16]byte) (value []byte) {
+		for _, record := range slices.Concat(p.disk, p.unsynced) {
+			if record.Key == key {
+				value = record.Value
 			}
 		}
-		return out
+		return value
 	})
 }
 
@@ -198,11 +224,11 @@
 func (p *rolloutMember) Drained() bool { return p.cluster.now >= p.drainingUntil }
 
 func (p *rolloutMember) RequestCounts() rollout.RequestCounts {
-	k := rollout.RequestCounts{Subject: p.inForce.Number, Requests: 100}
-	if p.rejectsHalf {
-		k.Shed = 50
+	counts := rollout.RequestCounts{Subject: p.inForce.Number, Requests: 100}
+	if p.shedsHalf {
+		counts.Shed = 50
 	}
-	return k
+	return counts
 }
 
 func (p *rolloutMember) UnixSeconds() int64 { return int64(p.cluster.now / admission.Second) }
@@ -213,23 +239,23 @@
 	}
 }
 
-// step has a process do what is due, and looks what it may go by.
+// tick does what is due at a process, and checks by which policy it may decide.
 func (p *rolloutMember) tick() {
-	for len(p.pending) > 0 && p.pending[0].at <= p.cluster.now {
-		t := p.pending[0]
+	for len(p.pending) > 0 && p.pending[0].dueAt <= p.cluster.now {
+		write := p.pending[0]
 		p.pending = p.pending[1:]
 		if !p.diskLies {
-			p.disk = append(p.disk, p.unsynced[:t.save]...)
-			p.unsynced = p.unsynced[t.save:]
+			p.disk = append(p.disk, p.unsynced[:write.records]...)
+			p.unsynced = p.unsynced[write.records:]
 		}
-		if t.core == p.core || t.core == nil {
-			t.do()
+		if write.core == p.core || write.core == nil {
+			write.finish()
 		}
 	}
-	held, from := p.heldMessages, p.heldFrom
-	p.heldMessages, p.heldFrom = nil, nil
-	for i, m := range held {
-		p.handleMessage(from[i], m)
+	deferred := p.deferred
+	p.deferred = nil
+	for _, held := range deferred {
+		p.handleMessage(held.from, held.message)
 	}
 	p.core.Tick(p.clock())
 	p.decide()
@@ -241,68 +267,67 @@
 	}
 }
 
-// decide has a process that may decide something, by a number or, without a lease, by what two policies allow.
+// decide checks a process that may decide requests: by a number, or without a lease by what two policies allow.
 func (p *rolloutMember) decide() {
-	a, s := p.cluster, &p.inForce
-	at := [2]uint64{s.Era, s.Number}
-	later := func(x, y [2]uint64) bool { return x[0] > y[0] || x[0] == y[0] && x[1] > y[1] }
+	c, s := p.cluster, &p.inForce
+	current := policyNumber{s.Era, s.Number}
 	switch now := p.clock(); {
 	case s.HoldsLease(now):
-		a.decisions++
-		if later(a.highestDecision, at) && a.violation == "" {
-			a.violation = fmt.Sprintf("%.3f s: %s decides by number %d of era %d, after %s has decided by %d of %d", float64(a.now)/float64(admission.Second), p.name, s.Number, s.Era, a.highestDecisionBy,
-				a.highestDecision[1], a.highestDecision[0])
+		c.decisions++
+		if c.highestDecision.isLaterThan(current) && c.violation == "" {
+			c.violation = fmt.Sprintf("%.3f s: %s decides by number %d of era %d, after %s has decided by %d of %d", float64(c.now)/float64(admission.Second), p.name, s.Number, s.Era, c.highestDecisionBy,
+				c.highestDecision.number, c.highestDecision.era)
 		}
-		if later(at, a.highestDecision) {
-			a.highestDecision, a.highestDecisionBy = at, p.name
+		if current.isLaterThan(c.highestDecision) {
+			c.highestDecision, c.highestDecisionBy = current, p.name
 		}
-		a.policies[s.Digest] = true
+		c.policies[s.Digest] = true
 	case s.OverlapDigest != (rollout.Digest{}) && now < s.OverlapUntil:
-		next := [2]uint64{s.Era, s.Number + 1}
-		if a.violation == "" && (later(a.highestDecision, next) || a.highestDecision == next && !a.policies[s.OverlapDigest]) {
-			a.violation = fmt.Sprintf("%.3f s: %s decides by what number %d and a proposal after it allow, after %s has decided by %d", float64(a.now)/float64(admission.Second), p.name, s.Number,
-				a.highestDecisionBy, a.highestDecision[1])
+		next := policyNumber{s.Era, s.Number + 1}
+		if c.violation == "" && (c.highestDecision.isLaterThan(next) || c.highestDecision == next && !c.policies[s.OverlapDigest]) {
+			c.violation = fmt.Sprintf("%.3f s: %s decides by what number %d and a proposal after it allow, after %s has decided by %d", float64(c.now)/float64(admission.Second), p.name, s.Number,
+				c.highestDecisionBy, c.highestDecision.number)
 		}
 	default:
-		a.undecided++
+		c.undecided++
 	}
 }
 
-// advance plays some time.
-func (a *rolloutCluster) advance(length Time) {
-	a.network.advance(length, func(l datagram[[]byte]) {
-		p := a.members[l.to]
-		n := int(l.message[0])
-		from, m := string(l.message[1:1+n]), l.message[1+n:]
+// advance simulates some time.
+func (c *rolloutCluster) advance(length Time) {
+	c.network.advance(length, func(d datagram[[]byte]) {
+		p := c.members[d.to]
+		nameLength := int(d.message[0])
+		from, message := string(d.message[1:1+nameLength]), d.message[1+nameLength:]
 		switch {
 		case !p.up:
-		case p.stopped > a.now:
-			if len(p.heldMessages) < 500 { // its socket's buffer
-				p.heldMessages, p.heldFrom = append(p.heldMessages, m), append(p.heldFrom, from)
+		case p.pausedUntil > c.now:
+			if len(p.deferred) < maxDeferred {
+				p.deferred = append(p.deferred, heldMessage{from, message})
 			}
 		default:
-			p.handleMessage(from, m)
+			p.handleMessage(from, message)
 		}
 	}, func() {
-		for _, p := range a.members {
-			if p.up && p.stopped <= a.now {
+		for _, p := range c.members {
+			if p.isRunning() {
 				p.tick()
 			}
 		}
 	}, func() {})
 }
 
-// propose has a process propose a policy.
-func (a *rolloutCluster) propose(p *rolloutMember, text string, done func(rollout.Result)) {
-	id := a.random.Uint64() | 1
+// propose has a process propose a policy; done is called with the result.
+func (c *rolloutCluster) propose(p *rolloutMember, text string, done func(rollout.Result)) {
+	id := c.random.Uint64() | 1
 	if err := p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.KindChange, Text: []byte(text)}, done); err != nil {
 		done(rollout.Result{ID: id, Outcome: rollout.OutcomeRejected, Reason: err.Error()})
 	}
 }
 
-// holding is how many processes may decide by a policy now.
-func (a *rolloutCluster) countInForce(d rollout.Digest) (n int) {
-	for _, p := range a.members {
+// countInForce counts the processes that may decide by a policy now.
+func (c *rolloutCluster) countInForce(d rollout.Digest) (n int) {
+	for _, p := range c.members {
 		if p.up && p.inForce.HoldsLease(p.clock()) && p.inForce.Digest == d {
 			n++
 		}
@@ -310,7 +335,7 @@
 	return n
 }
 
-// RolloutResult is what changes came to in a fleet of some size.
+// RolloutResult is the result of policy changes in a cluster of some size.
 type RolloutResult struct {
 	Members  int
 	Voters   int
@@ -321,47 +346,45 @@
 	Bytes    float64 // a second a member, at rest
 }
 
-// MeasureRollout plays changes of a policy of some kB in a fleet of n.
+// MeasureRollout simulates changes of a policy of some kB in a cluster.
 func MeasureRollout(n int, seed uint64) RolloutResult {
-	const second = admission.Second
-	e := RolloutResult{Members: n, Voters: 5}
-	lease := 3 * second
-	a := newRolloutCluster(seed, n, e.Voters, lease)
-	a.advance(8 * second)
-	a.bytes, a.sent = 0, 0
-	a.advance(10 * second)
-	e.Bytes = float64(a.bytes) / float64(n) / 10
-	rest := a.sent
-	const changes = 5
+	const second, voters, changes = admission.Second, 5, 5
+	result := RolloutResult{Members: n, Voters: voters}
+	c := newRolloutCluster(seed, n, voters, 3*second)
+	c.advance(8 * second)
+	c.bytes, c.sent = 0, 0
+	c.advance(10 * second)
+	result.Bytes = float64(c.bytes) / float64(n) / 10
+	sentAtRest := c.sent
+	c.sent, c.undecided = 0, 0
+	began := c.now
 	var took Time
-	a.sent, a.undecided = 0, 0
-	began := a.now
-	change := func(k, of int) Time {
-		text := fmt.Sprintf("policy %d %s", k, bytes.Repeat([]byte("x"), 3000))
-		at := a.now
-		a.propose(a.members[n-1], text, func(rollout.Result) {})
-		for a.countInForce(rollout.DigestOf([]byte(text))) < of && a.now-at < 60*second {
-			a.advance(10 * admission.Millisecond)
-		}
-		return a.now - at
-	}
 	for k := range changes {
-		took += change(k, n)
+		took += c.measureChange(k, n)
 	}
-	e.Took = took / changes
-	e.Messages = (float64(a.sent) - float64(rest)/10*float64(a.now-began)/float64(second)) / float64(n) / changes
-	e.Gap = float64(a.undecided) * 0.01 / float64(n) / changes
+	result.Took = took / changes
+	result.Messages = (float64(c.sent) - float64(sentAtRest)/10*float64(c.now-began)/float64(second)) / float64(n) / changes
+	result.Gap = float64(c.undecided) * 0.01 / float64(n) / changes
 	third := n / 3
-	a.cut = func(from, to int) bool {
-		away := func(k int) bool { return k >= e.Voters && k < e.Voters+third }
-		return away(from) != away(to)
+	isAway := func(member int) bool { return member >= voters && member < voters+third }
+	c.cut = func(from, to int) bool { return isAway(from) != isAway(to) }
+	c.advance(second / 2)
+	result.Silent = c.measureChange(changes, n-third)
+	return result
+}
+
+// measureChange is how long it takes until so many members go by a new policy, a minute at most.
+func (c *rolloutCluster) measureChange(number, members int) Time {
+	text := fmt.Sprintf("policy %d %s", number, bytes.Repeat([]byte("x"), 3000))
+	began := c.now
+	c.propose(c.members[len(c.members)-1], text, func(rollout.Result) {})
+	for c.countInForce(rollout.DigestOf([]byte(text))) < members && c.now-began < 60*admission.Second {
+		c.advance(networkStep)
 	}
-	a.advance(second / 2)
-	e.Silent = change(changes, n-third)
-	return e
+	return c.now - began
 }
 
-// WriteRollout writes figures as a table.
+// WriteRollout writes results as a table.
 func WriteRollout(out io.Writer, list []RolloutResult) {
 	fmt.Fprintln(out, "members  voters  until all go by it s  no lease ms a change  a third silent s  messages a member a change  bytes/s a member at rest")
 	for _, e := range list {
--- /dev/null
+++ b/internal/testbed/simcluster/rollout_linearizable_test.go
@@ -0,0 +1,154 @@
+package simcluster
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"github.com/anishathalye/porcupine"
+
+	"magpiebank/internal/admission"
+	"magpiebank/internal/cluster/rollout"
+)
+
+// registerInput is an operation on the register: a proposal, which writes the next number, or a decision, which reads the number.
+type registerInput struct {
+	isWrite bool
+	id      uint64
+}
+
+// unknownNumber is the output of a proposal of which nobody knows the end.
+const unknownNumber uint64 = math.MaxUint64
+
+// registerModel is a register whose writes give it the next number, or fail with 0.
+func registerModel(t *testing.T) porcupine.Model {
+	t.Helper()
+	model := porcupine.NondeterministicModel{
+		Init: func() []any { return []any{uint64(0)} },
+		Step: func(state, in, out any) []any {
+			number, isNumber := state.(uint64)
+			input, isInput := in.(registerInput)
+			output, isOutput := out.(uint64)
+			if !isNumber || !isInput || !isOutput {
+				t.Fatalf("a history of %T, %T and %T", state, in, out)
+			}
+			return stepRegister(number, input, output)
+		},
+	}
+	return model.ToModel()
+}
+
+// stepRegister are the numbers that the register may have after an operation; none: it could not have that output.
+func stepRegister(number uint64, input registerInput, output uint64) []any {
+	switch {
+	case !input.isWrite && number == output, input.isWrite && output == 0:
+		return []any{number}
+	case input.isWrite && output == unknownNumber:
+		return []any{number, number + 1}
+	case input.isWrite && output == number+1:
+		return []any{number + 1}
+	}
+	return nil
+}
+
+// registerHistory is the history of proposals and of decisions by numbers in a cluster with faults.
+type registerHistory struct {
+	t          *testing.T
+	cluster    *rolloutCluster
+	operations []porcupine.Operation
+	open       map[uint64]int // by proposal id: its operation
+}
+
+// propose has a random member propose a policy, if it runs.
+func (h *registerHistory) propose(seed uint64, client int) {
+	c := h.cluster
+	p := c.members[c.random.IntN(len(c.members))]
+	if !p.isRunning() {
+		return
+	}
+	id := c.random.Uint64() | 1
+	h.open[id] = len(h.operations)
+	h.operations = append(h.operations, porcupine.Operation{ClientId: 10 + client, Input: registerInput{true, id}, Call: int64(c.now), Output: unknownNumber, Return: math.MaxInt64})
+	proposal := rollout.Proposal{ID: id, Kind: rollout.KindChange, Text: []byte(fmt.Sprint("policy ", seed, client))}
+	err := p.core.Propose(p.clock(), proposal, func(r rollout.Result) {
+		operation := &h.operations[h.open[id]]
+		operation.Return, operation.Output = int64(c.now)+1, uint64(0)
+		if r.Outcome == rollout.OutcomeDecided {
+			operation.Output = r.Number
+		}
+	})
+	if err != nil { // the operation's end stays unknown, which allows for more than happened
+		h.t.Logf("%s takes no proposal: %v", p.name, err)
+	}
+}
+
+// disturb has a fault happen to a random process or to the network, or ends all but pauses.
+func (h *registerHistory) disturb() {
+	c := h.cluster
+	p := c.members[c.random.IntN(len(c.members))]
+	switch c.random.IntN(5) {
+	case 0:
+		if p.up {
+			p.kill()
+		}
+	case 1:
+		p.pausedUntil = c.now + Time(c.random.Int64N(int64(4*second)))
+	case 2:
+		n := c.random.IntN(len(c.members))
+		c.cut = func(from, _ int) bool { return from == n }
+	default:
+		c.cut = nil
+		for _, member := range c.members {
+			if !member.up {
+				member.start()
+			}
+		}
+	}
+}
+
+// observe simulates some time and takes down by which numbers members decide.
+func (h *registerHistory) observe() {
+	c := h.cluster
+	c.advance(100 * admission.Millisecond)
+	for _, p := range c.members {
+		if p.isRunning() && p.inForce.HoldsLease(p.clock()) && c.random.IntN(3) == 0 {
+			h.operations = append(h.operations, porcupine.Operation{ClientId: p.index, Input: registerInput{}, Call: int64(c.now), Output: p.inForce.Number, Return: int64(c.now)})
+		}
+	}
+}
+
+// countWrites counts the proposals that are known to be decided.
+func (h *registerHistory) countWrites() (writes int) {
+	for _, operation := range h.operations {
+		input, isInput := operation.Input.(registerInput)
+		number, isNumber := operation.Output.(uint64)
+		if isInput && isNumber && input.isWrite && number > 0 && number < unknownNumber {
+			writes++
+		}
+	}
+	return writes
+}
+
+// The histories of proposals and of decisions by numbers, under faults, are those of one register.
+func TestLinearizable(t *testing.T) {
+	model := registerModel(t)
+	for seed := range uint64(6) {
+		c := newRolloutCluster(seed+100, 7, 3, 2*second)
+		c.advance(6 * second)
+		h := &registerHistory{t: t, cluster: c, open: map[uint64]int{}}
+		c.loss, c.duplicate, c.delayedShare = 0.05, 0.05, 0.01
+		for client := range 24 {
+			h.propose(seed, client)
+			h.disturb()
+			for range 10 {
+				h.observe()
+			}
+		}
+		if !porcupine.CheckOperations(model, h.operations) {
+			t.Errorf("seed %d: %d operations are not those of one register", seed, len(h.operations))
+		}
+		if writes := h.countWrites(); len(h.operations) < 200 || writes < 3 {
+			t.Errorf("seed %d: only %d operations, %d changes", seed, len(h.operations), writes)
+		}
+	}
+}
--- a/internal/testbed/simcluster/rollout_test.go
+++ b/internal/testbed/simcluster/rollout_test.go
@@ -2,13 +2,10 @@
 
 import (
 	"fmt"
-	"math"
 	"slices"
 	"strings"
 	"testing"
 
-	"github.com/anishathalye/porcupine"
-
 	"magpiebank/internal/admission"
 	"magpiebank/internal/cluster/rollout"
 )
@@ -25,63 +22,54 @@
 }
 
 // enact proposes a policy and waits for its end.
-func (a *rolloutCluster) enact(by int, text string, wait Time) rollout.Result {
+func (c *rolloutCluster) enact(by int, text string, wait Time) rollout.Result {
 	r := rollout.Result{Reason: "it has not ended"}
-	a.propose(a.members[by], text, func(end rollout.Result) { r = end })
-	for until := a.now + wait; a.now < until && r.Outcome == rollout.OutcomePending; {
-		a.advance(10 * admission.Millisecond)
+	c.propose(c.members[by], text, func(end rollout.Result) { r = end })
+	for until := c.now + wait; c.now < until && r.Outcome == rollout.OutcomePending; {
+		c.advance(10 * admission.Millisecond)
 	}
 	return r
 }
 
-// What becomes of proposals, as an operator is told it.
-func TestEnds(t *testing.T) {
-	a := calm(t, 1, 8, 5)
-	var got []string
-	tell := func(what string, r rollout.Result) {
-		got = append(got, fmt.Sprintf("%s: %s %d %s", what, r.Outcome, r.Number, r.Reason))
-	}
-	tell("plain", a.enact(6, "one", 5*second))
-	tell("a member can't follow", a.enact(5, "two; not for g7;", 5*second))
-	tell("the leader can't follow", a.enact(5, "two; not for g0; not for g1; not for g2; not for g3; not for g4;", 5*second))
-	tell("the same again", a.enact(4, "one", 5*second))
-	one, two := rollout.Result{}, rollout.Result{}
-	a.propose(a.members[6], "three; rehearse;", func(r rollout.Result) { one = r })
-	a.propose(a.members[7], "four", func(r rollout.Result) { two = r })
-	a.advance(3 * second)
-	if one.Outcome == rollout.OutcomeRejected {
-		one, two = two, one
+// proposeThere has a member propose, waits for a time, and returns what the member knows of the proposal by then.
+func (c *rolloutCluster) proposeThere(t *testing.T, by int, p rollout.Proposal, wait Time) rollout.Result {
+	t.Helper()
+	member := c.members[by]
+	if err := member.core.Propose(member.clock(), p, func(rollout.Result) {}); err != nil {
+		t.Error(err)
 	}
-	two.Reason = two.Reason[strings.LastIndex(two.Reason, " of "):]
-	tell("one of two at once", rollout.Result{Outcome: one.Outcome, Number: one.Number})
-	tell("the other", rollout.Result{Outcome: two.Outcome, Reason: "proposal ... of one " + two.Reason[len(two.Reason)-7:]})
-	p := rollout.Proposal{ID: 99, Kind: rollout.KindChange, Text: []byte("five")}
-	for range 3 { // its answer was lost: it is proposed again, here and elsewhere
+	c.advance(wait)
+	result, _ := member.core.ProposalProgress(p.ID)
+	return result
+}
+
+// proposeTwoAtOnce has two members propose at once, and returns the result of the proposal that was taken first, and of the other.
+func (c *rolloutCluster) proposeTwoAtOnce() (taken, rejected rollout.Result) {
+	c.propose(c.members[6], "three; rehearse;", func(r rollout.Result) { taken = r })
+	c.propose(c.members[7], "four", func(r rollout.Result) { rejected = r })
+	c.advance(3 * second)
+	if taken.Outcome == rollout.OutcomeRejected {
+		taken, rejected = rejected, taken
+	}
+	return taken, rejected
+}
+
+// proposeRepeatedly proposes the same again and again, here and elsewhere, as after a lost answer.
+func (c *rolloutCluster) proposeRepeatedly(t *testing.T, p rollout.Proposal) rollout.Result {
+	t.Helper()
+	for range 3 {
 		for _, by := range []int{7, 3} {
-			if err := a.members[by].core.Propose(a.members[by].clock(), p, func(rollout.Result) {}); err != nil {
+			if err := c.members[by].core.Propose(c.members[by].clock(), p, func(rollout.Result) {}); err != nil {
 				t.Error(err)
 			}
 		}
-		a.advance(second)
-	}
-	r, _ := a.members[3].core.ProposalProgress(99)
-	tell("one proposed six times", r)
-	p = rollout.Proposal{ID: 100, Kind: rollout.KindRollback, RollbackTo: 1}
-	a.members[2].core.Propose(a.members[2].clock(), p, func(rollout.Result) {})
-	a.advance(2 * second)
-	r, _ = a.members[2].core.ProposalProgress(100)
-	tell("back to 1", r)
-	p = rollout.Proposal{ID: 101, Kind: rollout.KindRollback, RollbackTo: 77}
-	a.members[2].core.Propose(a.members[2].clock(), p, func(rollout.Result) {})
-	a.advance(2 * second)
-	r, _ = a.members[2].core.ProposalProgress(101)
-	tell("back to 77", r)
-	p = rollout.Proposal{ID: 102, Kind: rollout.KindChange, Text: []byte("six"), BaseNumber: 1}
-	a.members[2].core.Propose(a.members[2].clock(), p, func(rollout.Result) {})
-	a.advance(2 * second)
-	r, _ = a.members[2].core.ProposalProgress(102)
-	tell("meant to follow 1", r)
-	want := `plain: decided 1 
+		c.advance(second)
+	}
+	result, _ := c.members[3].core.ProposalProgress(p.ID)
+	return result
+}
+
+const wantedEnds = `plain: decided 1 
 a member can't follow: dropped 0 g7: statements.pools[0].zones: expected some of [norte], found [este]
 the leader can't follow: refused 0 LEADER: statements.pools[0].zones: expected some of [norte], found [este]
 the same again: refused 1 number 1 in force is the same
@@ -91,42 +79,70 @@
 back to 1: decided 4 
 back to 77: refused 0 number 77 is not among the last 16
 meant to follow 1: refused 0 it is meant to follow number 1, and 4 is in force`
+
+// What becomes of proposals, as an operator is told it.
+func TestEnds(t *testing.T) {
+	a := calm(t, 1, 8, 5)
+	var got []string
+	tell := func(what string, r rollout.Result) {
+		got = append(got, fmt.Sprintf("%s: %s %d %s", what, r.Outcome, r.Number, r.Reason))
+	}
+	tell("plain", a.enact(6, "one", 5*second))
+	tell("a member can't follow", a.enact(5, "two; not for g7;", 5*second))
+	tell("the leader can't follow", a.enact(5, "two; not for g0; not for g1; not for g2; not for g3; not for g4;", 5*second))
+	tell("the same again", a.enact(4, "one", 5*second))
+	one, two := a.proposeTwoAtOnce()
+	two.Reason = two.Reason[strings.LastIndex(two.Reason, " of "):]
+	tell("one of two at once", rollout.Result{Outcome: one.Outcome, Number: one.Number})
+	tell("the other", rollout.Result{Outcome: two.Outcome, Reason: "proposal ... of one " + two.Reason[len(two.Reason)-7:]})
+	tell("one proposed six times", a.proposeRepeatedly(t, rollout.Proposal{ID: 99, Kind: rollout.KindChange, Text: []byte("five")}))
+	tell("back to 1", a.proposeThere(t, 2, rollout.Proposal{ID: 100, Kind: rollout.KindRollback, RollbackTo: 1}, 2*second))
+	tell("back to 77", a.proposeThere(t, 2, rollout.Proposal{ID: 101, Kind: rollout.KindRollback, RollbackTo: 77}, 2*second))
+	tell("meant to follow 1", a.proposeThere(t, 2, rollout.Proposal{ID: 102, Kind: rollout.KindChange, Text: []byte("six"), BaseNumber: 1}, 2*second))
 	text := strings.Join(got, "\n")
 	for _, v := range a.voters {
 		text = strings.ReplaceAll(text, "refused 0 "+v+":", "refused 0 LEADER:")
 	}
-	if text != want {
-		t.Errorf("found\n%s\nexpected\n%s", text, want)
+	if text != wantedEnds {
+		t.Errorf("found\n%s\nexpected\n%s", text, wantedEnds)
 	}
 	if a.countInForce(rollout.DigestOf([]byte("one"))) != 8 || a.violation != "" {
 		t.Errorf("%d of 8 go by it; %s", a.countInForce(rollout.DigestOf([]byte("one"))), a.violation)
 	}
 }
 
-// A thousand changes in a row while members come and go, one of them a megabyte; one that was away through all of it is there in a second.
-func TestThousand(t *testing.T) {
-	a := calm(t, 3, 10, 3)
-	away := a.members[9]
-	away.kill()
-	decided := 0
+// enactThousand proposes a thousand policies in a row, one of the largest size, while members come and go.
+func (c *rolloutCluster) enactThousand(t *testing.T) (decided int) {
+	t.Helper()
 	for k := range 1000 {
 		size := 100
 		if k == 500 {
 			size = rollout.MaxPolicyBytes
 		}
 		text := fmt.Sprintf("%d %s", k, strings.Repeat("x", size-5))
-		if r := a.enact(k%3, text, 20*second); r.Outcome == rollout.OutcomeDecided {
+		result := c.enact(k%3, text, 20*second)
+		switch result.Outcome {
+		case rollout.OutcomeDecided:
 			decided++
-		} else if r.Outcome != rollout.OutcomeRejected {
-			t.Fatalf("change %d: %s %s", k, r.Outcome, r.Reason)
+		case rollout.OutcomeRejected:
+		default:
+			t.Fatalf("change %d: %s %s", k, result.Outcome, result.Reason)
 		}
-		if p := a.members[4+k%5]; k%20 == 7 {
+		if p := c.members[4+k%5]; k%20 == 7 {
 			p.kill()
 		} else if !p.up {
 			p.start()
 		}
 	}
-	if decided != 1000 || a.violation != "" {
+	return decided
+}
+
+// A thousand changes in a row while members come and go, one of them a megabyte; one that was away through all of it is there in a second.
+func TestThousand(t *testing.T) {
+	a := calm(t, 3, 10, 3)
+	away := a.members[9]
+	away.kill()
+	if decided := a.enactThousand(t); decided != 1000 || a.violation != "" {
 		t.Errorf("%d of 1000 were decided; %s", decided, a.violation)
 	}
 	away.start()
@@ -139,14 +155,8 @@
 	}
 	for _, p := range a.members[:3] { // sixteen policies, one of them a megabyte, and the log
 		bytes := 0
-		last := map[[16]byte]int{}
-		for i, r := range p.disk {
-			last[r.Key] = i
-		}
-		for i, r := range p.disk {
-			if last[r.Key] == i {
-				bytes += len(r.Value)
-			}
+		for _, record := range p.latestRecords() {
+			bytes += len(record.Value)
 		}
 		if bytes > 100<<10 {
 			t.Errorf("%s keeps %d bytes", p.name, bytes)
@@ -159,7 +169,7 @@
 func TestVotersFolders(t *testing.T) {
 	a := calm(t, 5, 6, 3)
 	said := map[rollout.EventCode]int{}
-	a.onEvent = func(p *rolloutMember, code rollout.EventCode, _ []any) { said[code]++ }
+	a.onEvent = func(_ *rolloutMember, code rollout.EventCode, _ []any) { said[code]++ }
 	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
@@ -200,7 +210,7 @@
 func TestLyingDisk(t *testing.T) {
 	a := calm(t, 6, 6, 3)
 	behind := 0
-	a.onEvent = func(p *rolloutMember, code rollout.EventCode, _ []any) {
+	a.onEvent = func(_ *rolloutMember, code rollout.EventCode, _ []any) {
 		if code == rollout.VotersBehind {
 			behind++
 		}
@@ -281,7 +291,7 @@
 		t.Fatal(r)
 	}
 	for _, p := range a.members {
-		p.rejectsHalf = true
+		p.shedsHalf = true
 	}
 	if r := a.enact(5, "two; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
@@ -292,7 +302,7 @@
 		t.Errorf("%d of 6 go by the one before, under number %d", n, p.inForce.Number)
 	}
 	for _, p := range a.members {
-		p.rejectsHalf = false
+		p.shedsHalf = false
 	}
 	if r := a.enact(5, "three; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
@@ -302,87 +312,3 @@
 		t.Errorf("a good one was taken back: number %d", p.inForce.Number)
 	}
 }
-
-// The histories of proposals and of decisions by numbers, under faults, are those of one register.
-func TestLinearizable(t *testing.T) {
-	type input struct {
-		write bool
-		id    uint64
-	}
-	register := porcupine.NondeterministicModel{
-		Init: func() []any { return []any{uint64(0)} },
-		Step: func(state, in, out any) []any {
-			n, at := state.(uint64), out.(uint64)
-			switch {
-			case !in.(input).write && n == at, in.(input).write && at == 0:
-				return []any{n}
-			case in.(input).write && at == math.MaxUint64: // nobody knows
-				return []any{n, n + 1}
-			case in.(input).write && at == n+1:
-				return []any{n + 1}
-			}
-			return nil
-		},
-	}
-	model := register.ToModel()
-	for seed := range uint64(6) {
-		a := newRolloutCluster(seed+100, 7, 3, 2*second)
-		a.advance(6 * second)
-		var ops []porcupine.Operation
-		open := map[uint64]int{}
-		a.loss, a.duplicate, a.delayedShare = 0.05, 0.05, 0.01
-		for k := range 24 {
-			p := a.members[a.random.IntN(7)]
-			if p.up && p.stopped <= a.now {
-				id := a.random.Uint64() | 1
-				open[id] = len(ops)
-				ops = append(ops, porcupine.Operation{ClientId: 10 + k, Input: input{true, id}, Call: int64(a.now), Output: uint64(math.MaxUint64), Return: math.MaxInt64})
-				p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.KindChange, Text: []byte(fmt.Sprint("policy ", seed, k))}, func(r rollout.Result) {
-					op := &ops[open[id]]
-					op.Return, op.Output = int64(a.now)+1, uint64(0)
-					if r.Outcome == rollout.OutcomeDecided {
-						op.Output = r.Number
-					}
-				})
-			}
-			switch q := a.members[a.random.IntN(7)]; a.random.IntN(5) {
-			case 0:
-				if q.up {
-					q.kill()
-				}
-			case 1:
-				q.stopped = a.now + Time(a.random.Int64N(int64(4*second)))
-			case 2:
-				n := a.random.IntN(7)
-				a.cut = func(from, to int) bool { return from == n }
-			default:
-				a.cut = nil
-				for _, q := range a.members {
-					if !q.up {
-						q.start()
-					}
-				}
-			}
-			for range 10 {
-				a.advance(100 * admission.Millisecond)
-				for _, q := range a.members {
-					if q.up && q.stopped <= a.now && q.inForce.HoldsLease(q.clock()) && a.random.IntN(3) == 0 {
-						ops = append(ops, porcupine.Operation{ClientId: q.index, Input: input{}, Call: int64(a.now), Output: q.inForce.Number, Return: int64(a.now)})
-					}
-				}
-			}
-		}
-		if !porcupine.CheckOperations(model, ops) {
-			t.Errorf("seed %d: %d operations are not those of one register", seed, len(ops))
-		}
-		writes := 0
-		for _, o := range ops {
-			if n, ok := o.Output.(uint64); o.Input.(input).write && ok && n > 0 && n < math.MaxUint64 {
-				writes++
-			}
-		}
-		if len(ops) < 200 || writes < 3 {
-			t.Errorf("seed %d: only %d operations, %d changes", seed, len(ops), writes)
-		}
-	}
-}
