--- a/cmd/magpiebank-testbed/search.go
+++ b/cmd/magpiebank-testbed/search.go
@@ -87,7 +87,7 @@
 			}
 		}
 		fmt.Fprintf(c.OutOrStdout(), "x%-8.3f %9.0f tasks/s  own delay p99 %v  allocations a task %.1f  peak %d MB%s\n", factor, rate,
-			r.Figures.GeneratorDelayQuantile(0.99), float64(r.Process.Mallocs)/float64(max(1, r.Scheduled)), r.Process.PeakKB>>10, first)
+			r.Metrics.GeneratorDelayQuantile(0.99), float64(r.Process.Mallocs)/float64(max(1, r.Scheduled)), r.Process.PeakKB>>10, first)
 		if r.Good() {
 			return true, nil
 		}
--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -121,8 +121,8 @@
 			return nil, err
 		}
 		run := &classedRun{Name: with.name, Quick: map[string]int64{}, Offered: map[string]int64{}, Swapped: r.Swapped}
-		for i := range r.Figures.Classes {
-			l := &r.Figures.Classes[i]
+		for i := range r.Metrics.Classes {
+			l := &r.Metrics.Classes[i]
 			run.Quick[l.Name], run.Offered[l.Name] = l.WithinObjective, l.Offered
 			switch l.Name {
 			case "look-ups":
--- a/internal/testbed/load/crashtest/crashtest.go
+++ b/internal/testbed/load/crashtest/crashtest.go
@@ -194,7 +194,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.Requests++
-	r.result.AskedAgain += sent.attempts - 1
+	r.result.Retries += sent.attempts - 1
 	switch sent.outcome {
 	case sqlclient.Served:
 		r.result.Served++
--- a/internal/testbed/load/crashtest/result.go
+++ b/internal/testbed/load/crashtest/result.go
@@ -27,7 +27,7 @@
 	Served              int           `json:"delivered"` // by their final answers
 	Rejected            int           `json:"nacked"`
 	Failed              int           `json:"written_off"`
-	AskedAgain          int           `json:"asked_again"` // retries of a request whose connection was lost, or that was answered
+	Retries             int           `json:"asked_again"` // retries of a request whose connection was lost, or that was answered
 	RunTwice            []string      `json:"begun_twice"`
 	AnsweredDifferently []string      `json:"answered_differently"`
 	FalseAnswers        []string      `json:"answers_that_are_not_true"` // served that did not run, rejected that did
@@ -48,7 +48,7 @@
 // Text writes a result.
 func (r *Result) Text(out io.Writer) {
 	fmt.Fprintf(out, "%d kills, %d tasks that may not run twice, %d asked again: %d delivered, %d nacked, %d written off (real sockets on loopback)\n",
-		r.Kills, r.Requests, r.AskedAgain, r.Served, r.Rejected, r.Failed)
+		r.Kills, r.Requests, r.Retries, r.Served, r.Rejected, r.Failed)
 	fmt.Fprintf(out, "medians of those answered at the first ask: loads %.1f ms, look-ups %.1f ms; longest from a start to a connection %.0f ms\n",
 		float64(r.LoadsP50)/1e6, float64(r.LooksP50)/1e6, float64(r.Recovery)/1e6)
 	for _, rule := range []struct {
--- a/internal/testbed/load/experiment/experiment_test.go
+++ b/internal/testbed/load/experiment/experiment_test.go
@@ -98,13 +98,13 @@
 			t.Fatal(err)
 		}
 		if !good {
-			e.Bounds.Truth = 0
+			e.Bounds.TruthTolerance = 0
 		}
 		r, err := e.Run(context.Background(), t.TempDir(), nil, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Good() != good || r.Figures.Total() != r.Scheduled || len(r.Script) != 2 {
+		if r.Good() != good || r.Metrics.Total() != r.Scheduled || len(r.Script) != 2 {
 			t.Errorf("bound %s: %+v", bound, r.Verdicts)
 		}
 	}
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -36,15 +36,15 @@
 
 // Bounds are what a run must keep to be called good.
 type Bounds struct {
-	GeneratorDelay time.Duration    // of the generator's own delay at p99
-	QueueDelay     time.Duration    // of waits for a connection under the limit at p99; 0: not judged
-	Offered        float64          // share by which what was offered may miss the schedule
-	Truth          float64          // share by which reported quantiles may miss the true ones,
-	TruthLeast     time.Duration    // or this, whichever is larger
-	Allow          []client.Outcome // that would break a rule otherwise
-	Goals          []Goal
-	CheckTruth     bool
-	ClosedUsers    int // of the closed loop that the run is compared with; 0: as many as it holds at its median
+	GeneratorDelay    time.Duration    // of the generator's own delay at p99
+	QueueDelay        time.Duration    // of waits for a connection under the limit at p99; 0: not judged
+	Offered           float64          // share by which what was offered may miss the schedule
+	TruthTolerance    float64          // share by which reported quantiles may miss the true ones,
+	MinTruthTolerance time.Duration    // or this, whichever is larger
+	Allow             []client.Outcome // that would break a rule otherwise
+	Goals             []Goal
+	CheckTruth        bool
+	ClosedUsers       int // of the closed loop that the run is compared with; 0: as many as it holds at its median
 }
 
 // Goal is a quantile that a class must reach.
@@ -198,7 +198,7 @@
 // decodeBounds reads the bounds; o is nil where the file names none.
 func (d *decoder) decodeBounds(o *configfile.Object) {
 	bounds := &d.experiment.Bounds
-	*bounds = Bounds{GeneratorDelay: defaultGeneratorDelay, Offered: defaultOfferedMiss, Truth: defaultTruthMiss, TruthLeast: time.Millisecond}
+	*bounds = Bounds{GeneratorDelay: defaultGeneratorDelay, Offered: defaultOfferedMiss, TruthTolerance: defaultTruthMiss, MinTruthTolerance: time.Millisecond}
 	if o == nil {
 		return
 	}
@@ -206,8 +206,8 @@
 	bounds.QueueDelay = o.Duration("queued", 0)
 	bounds.Offered = o.Fraction("offered", bounds.Offered)
 	bounds.CheckTruth = o.Bool("check_truth", false)
-	bounds.Truth = o.Fraction("truth", bounds.Truth)
-	bounds.TruthLeast = o.Duration("truth_least", bounds.TruthLeast)
+	bounds.TruthTolerance = o.Fraction("truth", bounds.TruthTolerance)
+	bounds.MinTruthTolerance = o.Duration("truth_least", bounds.MinTruthTolerance)
 	bounds.ClosedUsers = o.Int("closed_users", 0, 0, 1<<20)
 	for _, name := range o.Texts("allow") {
 		outcome, ok := outcomeByName(name)
--- a/internal/testbed/load/experiment/result.go
+++ b/internal/testbed/load/experiment/result.go
@@ -23,7 +23,7 @@
 	Scheduled int64            `json:"scheduled"`
 	NotSent   int64            `json:"not_offered"` // counted as such when a worker was lost
 	Unknown   int64            `json:"unknown"`     // of a lost worker: whether they were sent can't be told
-	Figures   *stats.Metrics   `json:"figures"`
+	Metrics   *stats.Metrics   `json:"figures"`
 	Script    []ScriptEvent    `json:"script"`
 	Verdicts  []Verdict        `json:"verdicts"`
 	Truth     []Comparison     `json:"truth,omitempty"`
--- a/internal/testbed/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -115,7 +115,7 @@
 	stop := make(chan struct{})
 	var script sync.WaitGroup
 	script.Go(func() { e.runScript(result, running, stop) })
-	result.Figures, result.NotSent, result.Unknown, err = send(ctx, load, result.Began, onProgress)
+	result.Metrics, result.NotSent, result.Unknown, err = send(ctx, load, result.Began, onProgress)
 	result.Took = time.Since(result.Began)
 	close(stop)
 	script.Wait()
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	before := currentUsage()
-	result.Figures, result.NotSent, result.Unknown, err = serve()
+	result.Metrics, result.NotSent, result.Unknown, err = serve()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/load/experiment/truth.go
+++ b/internal/testbed/load/experiment/truth.go
@@ -49,12 +49,12 @@
 	})
 	good := true
 	for class := range e.Classes {
-		comparison := compareClass(&r.Figures.Classes[class], r.trueLatencies[class], &e.Bounds)
+		comparison := compareClass(&r.Metrics.Classes[class], r.trueLatencies[class], &e.Bounds)
 		good = good && comparison.Good
 		r.Truth = append(r.Truth, comparison)
 	}
 	r.addVerdict("truth", good, "reported quantiles against the true ones, within %g%% or %v; %d tasks have no true answer",
-		100*e.Bounds.Truth, e.Bounds.TruthLeast, unanswered)
+		100*e.Bounds.TruthTolerance, e.Bounds.MinTruthTolerance, unanswered)
 }
 
 // findAnswer returns when the last attempt that was answered with data had its answer.
@@ -85,7 +85,7 @@
 	for _, quantile := range comparedQuantiles {
 		row := Row{Quantile: quantile, Reported: class.Quantile(client.Served, quantile), True: exactQuantile(latencies, quantile),
 			Closed: exactQuantile(closedLoop, quantile)}
-		tolerance := max(bounds.TruthLeast, time.Duration(bounds.Truth*float64(row.True)))
+		tolerance := max(bounds.MinTruthTolerance, time.Duration(bounds.TruthTolerance*float64(row.True)))
 		row.Good = (row.Reported - row.True).Abs() <= tolerance
 		comparison.Good = comparison.Good && row.Good
 		comparison.Rows = append(comparison.Rows, row)
--- a/internal/testbed/load/experiment/verdicts.go
+++ b/internal/testbed/load/experiment/verdicts.go
@@ -18,7 +18,7 @@
 
 // judge adds the verdicts of a run by its experiment's bounds. log is the fakes' log, or nil where there is none.
 func (r *Result) judge(e *Experiment, log *fake.ExecutionLog) {
-	r.Figures.RecordMissing(r.Scheduled - r.NotSent - r.Unknown)
+	r.Metrics.RecordMissing(r.Scheduled - r.NotSent - r.Unknown)
 	r.judgeDelays(&e.Bounds)
 	r.judgeOffered(&e.Bounds)
 	r.judgeRules(&e.Bounds)
@@ -39,7 +39,7 @@
 
 // judgeDelays judges what the generator added to the latencies.
 func (r *Result) judgeDelays(bounds *Bounds) {
-	metrics := r.Figures
+	metrics := r.Metrics
 	delay := metrics.GeneratorDelayQuantile(judgedQuantile)
 	punctuality := "in time"
 	if delay > bounds.GeneratorDelay {
@@ -57,7 +57,7 @@
 
 // judgeOffered judges whether the schedule's requests were offered, in all and in each second.
 func (r *Result) judgeOffered(bounds *Bounds) {
-	metrics := r.Figures
+	metrics := r.Metrics
 	worstMiss, worstSecond := 0.0, 0
 	for second, expected := range r.bySecond {
 		var offered int64
@@ -88,7 +88,7 @@
 
 // judgeRules judges whether each request had one complete answer, but for what the experiment allows.
 func (r *Result) judgeRules(bounds *Bounds) {
-	metrics := r.Figures
+	metrics := r.Metrics
 	allowed := map[string]bool{}
 	for _, outcome := range bounds.Allow {
 		if violation, ok := violationsOf[outcome]; ok {
@@ -126,7 +126,7 @@
 }
 
 func (r *Result) judgeGoal(e *Experiment, goal *Goal) {
-	class := &r.Figures.Classes[e.classIndex(goal.Class)]
+	class := &r.Metrics.Classes[e.classIndex(goal.Class)]
 	if goal.Quantile > 0 {
 		found := class.Quantile(client.Served, goal.Quantile)
 		r.addVerdict("goal "+goal.Class, found <= goal.Within, "p%g is %v, the goal %v", 100*goal.Quantile, found, goal.Within)
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -26,15 +26,15 @@
 
 // comparedMetrics are the metrics of a run's classes.
 func comparedMetrics(r *experiment.Result) (metrics []metric) {
-	for i := range r.Figures.Classes {
-		name := r.Figures.Classes[i].Name
+	for i := range r.Metrics.Classes {
+		name := r.Metrics.Classes[i].Name
 		for _, q := range comparedQuantiles {
 			metrics = append(metrics, metric{fmt.Sprintf("%s p%g ms", name, 100*q), -1, func(r *experiment.Result) float64 {
-				return r.Figures.Classes[i].Quantile(client.Served, q).Seconds() * 1000
+				return r.Metrics.Classes[i].Quantile(client.Served, q).Seconds() * 1000
 			}})
 		}
 		metrics = append(metrics, metric{name + " in quoted time %", 1, func(r *experiment.Result) float64 {
-			class := &r.Figures.Classes[i]
+			class := &r.Metrics.Classes[i]
 			return 100 * float64(class.WithinObjective) / math.Max(1, float64(class.Offered))
 		}})
 	}
@@ -98,7 +98,7 @@
 	}
 	first := before[0]
 	for _, run := range slices.Concat(before, after) {
-		if run.Name != first.Name || len(run.Figures.Classes) != len(first.Figures.Classes) {
+		if run.Name != first.Name || len(run.Metrics.Classes) != len(first.Metrics.Classes) {
 			return fmt.Errorf("runs of %s and of %s can't be compared", first.Name, run.Name)
 		}
 	}
--- a/internal/testbed/report/format_test.go
+++ b/internal/testbed/report/format_test.go
@@ -59,6 +59,6 @@
 		t.Errorf("expected a run that began at %v, found %v", began, result.Began)
 	}
 	without := *result
-	without.Began, without.Figures = time.Time{}, nil
+	without.Began, without.Metrics = time.Time{}, nil
 	golden.CheckValues(t, "result", without)
 }
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -50,7 +50,7 @@
 
 // Page writes a result as one HTML page that needs no other file.
 func Page(out io.Writer, result *experiment.Result) error {
-	view := pageView{Result: result, Good: result.Good(), Lanes: classRows(result.Figures), Outcomes: outcomeRows(result.Figures)}
+	view := pageView{Result: result, Good: result.Good(), Lanes: classRows(result.Metrics), Outcomes: outcomeRows(result.Metrics)}
 	for _, figure := range figures {
 		drawn, err := figure.draw(result)
 		if err != nil {
--- a/internal/testbed/report/plots.go
+++ b/internal/testbed/report/plots.go
@@ -102,7 +102,7 @@
 
 // pointsBySecond returns a value for each second of a run.
 func pointsBySecond(result *experiment.Result, value func(second int) float64) (points plotter.XYs) {
-	for second := range result.Figures.Seconds {
+	for second := range result.Metrics.Seconds {
 		points = append(points, plotter.XY{X: float64(second), Y: value(second)})
 	}
 	return points
@@ -110,7 +110,7 @@
 
 func plotOffered(result *experiment.Result) (*plot.Plot, error) {
 	drawn := newPlot("second", "tasks")
-	seconds := result.Figures.Seconds
+	seconds := result.Metrics.Seconds
 	offered := pointsBySecond(result, func(second int) float64 { return float64(seconds[second].Offered) })
 	err := addLine(drawn, "offered", offered, colorOffered)
 	if err != nil {
@@ -142,8 +142,8 @@
 
 // latencyBySecond returns a quantile of each second that has served requests; 1 is the exact maximum.
 func latencyBySecond(result *experiment.Result, quantile float64) (points plotter.XYs) {
-	for index := range result.Figures.Seconds {
-		second := &result.Figures.Seconds[index]
+	for index := range result.Metrics.Seconds {
+		second := &result.Metrics.Seconds[index]
 		if second.Outcomes[client.Served] == 0 {
 			continue
 		}
@@ -159,8 +159,8 @@
 // markWorst puts a cross on the longest latency of a run.
 func markWorst(target *plot.Plot, result *experiment.Result) error {
 	worst, worstSecond := time.Duration(0), 0
-	for index := range result.Figures.Seconds {
-		second := &result.Figures.Seconds[index]
+	for index := range result.Metrics.Seconds {
+		second := &result.Metrics.Seconds[index]
 		if second.Outcomes[client.Served] > 0 && second.Worst > worst {
 			worst, worstSecond = second.Worst, index
 		}
@@ -217,8 +217,8 @@
 
 func plotQuantiles(result *experiment.Result) (*plot.Plot, error) {
 	drawn := newQuantilePlot()
-	for index := range result.Figures.Classes {
-		class := &result.Figures.Classes[index]
+	for index := range result.Metrics.Classes {
+		class := &result.Metrics.Classes[index]
 		points := pointsByQuantile(class.Outcomes[client.Served].TotalCount(),
 			func(quantile float64) time.Duration { return class.Quantile(client.Served, quantile) })
 		err := addLine(drawn, class.Name, points, index)
@@ -233,10 +233,10 @@
 	drawn := newPlot("second", "tasks")
 	lines := 0
 	for outcome := client.Served + 1; outcome < client.Outcome(client.OutcomeCount); outcome++ {
-		if result.Figures.Count(outcome) == 0 {
+		if result.Metrics.Count(outcome) == 0 {
 			continue
 		}
-		points := pointsBySecond(result, func(second int) float64 { return float64(result.Figures.Seconds[second].Outcomes[outcome]) })
+		points := pointsBySecond(result, func(second int) float64 { return float64(result.Metrics.Seconds[second].Outcomes[outcome]) })
 		err := addLine(drawn, outcome.String(), points, lines)
 		if err != nil {
 			return nil, err
@@ -251,7 +251,7 @@
 
 func plotGeneratorDelay(result *experiment.Result) (*plot.Plot, error) {
 	drawn := newQuantilePlot()
-	metrics := result.Figures
+	metrics := result.Metrics
 	err := addLine(drawn, "own delay", pointsByQuantile(metrics.Total(), metrics.GeneratorDelayQuantile), 0)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -28,7 +28,7 @@
 		f.RecordFinished(&client.Report{Request: &arrival.Request{Number: n, At: at, Class: int(n % 2)}, Outcome: how, FinishedAt: at + about + time.Duration(n%50)*time.Millisecond,
 			SentAt: at, Attempts: 1})
 	}
-	r := &experiment.Result{Name: name, Seed: 4, Scheduled: 2000, Took: 10 * time.Second, Length: 10 * time.Second, Figures: f}
+	r := &experiment.Result{Name: name, Seed: 4, Scheduled: 2000, Took: 10 * time.Second, Length: 10 * time.Second, Metrics: f}
 	r.Verdicts = []experiment.Verdict{{Name: "generator", Good: true, Text: "in time"}, {Name: "rules", Text: "broken <b>"}}
 	r.Script = []experiment.ScriptEvent{{At: time.Second, What: "pause 0"}}
 	r.Truth = []experiment.Comparison{{Class: "look", Requests: 10, Rows: []experiment.Row{{Quantile: 0.5, Reported: time.Second, True: time.Second, Good: true}}}}
@@ -120,7 +120,7 @@
 	if n := strings.Count(page, "<svg"); n != 5 || strings.Contains(page, "src=") || strings.Contains(page, "href=\"http") {
 		t.Errorf("%d pictures", n)
 	}
-	empty := &experiment.Result{Name: "empty", Figures: stats.New([]string{"look"}, []time.Duration{1})}
+	empty := &experiment.Result{Name: "empty", Metrics: stats.New([]string{"look"}, []time.Duration{1})}
 	if err := Page(&bytes.Buffer{}, empty); err != nil {
 		t.Errorf("a run without a task: %v", err)
 	}
@@ -156,7 +156,7 @@
 		t.Error(err)
 	}
 	k, err := a.Get(3)
-	if err != nil || n != 4 || k.Note != "note" || k.Result.Figures.Total() != 2000 || k.Result.Good() {
+	if err != nil || n != 4 || k.Note != "note" || k.Result.Metrics.Total() != 2000 || k.Result.Good() {
 		t.Errorf("%d %v %+v", n, err, k)
 	}
 	if _, err := a.Get(2); err == nil {
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -112,9 +112,9 @@
 func Text(out io.Writer, result *experiment.Result) {
 	fmt.Fprintf(out, "%s: seed %d, %d tasks in %v, real sockets on loopback\n\n", result.Name, result.Seed, result.Scheduled,
 		result.Took.Round(100*time.Millisecond))
-	writeTable(out, classRows(result.Figures))
+	writeTable(out, classRows(result.Metrics))
 	fmt.Fprintln(out)
-	writeTable(out, outcomeRows(result.Figures))
+	writeTable(out, outcomeRows(result.Metrics))
 	if len(result.Script) > 0 {
 		fmt.Fprintln(out)
 		for _, event := range result.Script {
