--- a/internal/testbed/faulttest/outages.go
+++ b/internal/testbed/faulttest/outages.go
@@ -12,14 +12,14 @@
 
 // Outage is a time in which an engine was faulty, and how the gateways dealt with it.
 type Outage struct {
-	Engine string        `json:"engine"`
-	Be     string        `json:"be"`
-	At     time.Duration `json:"at"`
-	Length time.Duration `json:"length"`
-	T95    time.Duration `json:"t95"`    // after which 95% of the gateways sent it nothing new, to the end of the outage
-	Sent   int           `json:"sent"`   // attempts to it in that time
-	Others int           `json:"others"` // and to all other engines
-	Served float64       `json:"served"` // share of the priority weight asked for in that time that was served within the latency objective
+	Engine      string        `json:"engine"`
+	EngineState string        `json:"be"`
+	At          time.Duration `json:"at"`
+	Length      time.Duration `json:"length"`
+	T95         time.Duration `json:"t95"`    // after which 95% of the gateways sent it nothing new, to the end of the outage
+	Sent        int           `json:"sent"`   // attempts to it in that time
+	Others      int           `json:"others"` // and to all other engines
+	Served      float64       `json:"served"` // share of the priority weight asked for in that time that was served within the latency objective
 }
 
 // Outages are the outages of engines in a run.
@@ -36,7 +36,7 @@
 }
 
 func (r *Result) outage(engine string, step Step) Outage {
-	outage := Outage{Engine: engine, Be: step.EngineState, At: step.At, Length: step.Until - step.At}
+	outage := Outage{Engine: engine, EngineState: step.EngineState, At: step.At, Length: step.Until - step.At}
 	lastSent := map[string]time.Duration{} // by gateway: its last attempt, from the outage's begin
 	for _, e := range r.Events {
 		at := time.Duration(e.At - r.StartMonotonic)
@@ -78,7 +78,7 @@
 	fmt.Fprintln(out, "                            with sharing                           without")
 	fmt.Fprintln(out, "engine   is        for s    t95 s  hand-offs there  worth served   t95 s  hand-offs there  worth served")
 	for i := range shared {
-		fmt.Fprintf(out, "%-8s %-8s %6.0f   %6.1f  %15d  %12.3f  %6.1f  %15d  %12.3f\n", shared[i].Engine, shared[i].Be, shared[i].Length.Seconds(), shared[i].T95.Seconds(), shared[i].Sent, shared[i].Served,
+		fmt.Fprintf(out, "%-8s %-8s %6.0f   %6.1f  %15d  %12.3f  %6.1f  %15d  %12.3f\n", shared[i].Engine, shared[i].EngineState, shared[i].Length.Seconds(), shared[i].T95.Seconds(), shared[i].Sent, shared[i].Served,
 			unshared[i].T95.Seconds(), unshared[i].Sent, unshared[i].Served)
 	}
 	fmt.Fprintf(out, "whole run: worth served %.3f with, %.3f without; %d and %d tasks\n", with.Served, without.Served, len(with.Requests), len(without.Requests))
--- a/internal/testbed/faulttest/quota_modes.go
+++ b/internal/testbed/faulttest/quota_modes.go
@@ -22,35 +22,35 @@
 
 // QuotaMode is one way of sharing a quota, and what came of a run with it.
 type QuotaMode struct {
-	Name    string     `json:"name"`
-	Planted string     `json:"-"` // the mutation that shares this way
-	Result  *Result    `json:"result"`
-	Phases  []PhaseUse `json:"phases"`
-	Sent    float64    `json:"datagrams"` // a request more than without a limit
+	Name     string     `json:"name"`
+	Mutation string     `json:"-"` // the mutation that shares this way
+	Result   *Result    `json:"result"`
+	Phases   []PhaseUse `json:"phases"`
+	Sent     float64    `json:"datagrams"` // a request more than without a limit
 }
 
 // PhaseUse is the use of the quotas in one phase.
 type PhaseUse struct {
 	Phase
-	Used  float64       `json:"used"`  // share of the total, over the phase
-	Least float64       `json:"least"` // in its least half second
-	Own   float64       `json:"own"`   // share of the phase's gateways' own part that they used, if it names any
-	P50   time.Duration `json:"p50"`   // of requests that came in it and were served, beyond their service
-	P99   time.Duration `json:"p99"`
-	Tasks int           `json:"tasks"`
+	Used     float64       `json:"used"`  // share of the total, over the phase
+	Least    float64       `json:"least"` // in its least half second
+	Own      float64       `json:"own"`   // share of the phase's gateways' own part that they used, if it names any
+	P50      time.Duration `json:"p50"`   // of requests that came in it and were served, beyond their service
+	P99      time.Duration `json:"p99"`
+	Requests int           `json:"tasks"`
 }
 
 // CompareQuotaModes plays a scenario with each way of sharing its quota, or the first few, one after the other on the same machine; the last is without
 // a limit: what it uses, up to the total, is what an all-knowing one could have.
 func CompareQuotaModes(ctx context.Context, s *Scenario, folder, program string, few int) (list []*QuotaMode, err error) {
-	list = []*QuotaMode{{Name: "lent"}, {Name: "equal parts", Planted: "equal-parts"}, {Name: "a quorum a task", Planted: "quorum"}, {Name: "no limit"}}
+	list = []*QuotaMode{{Name: "lent"}, {Name: "equal parts", Mutation: "equal-parts"}, {Name: "a quorum a task", Mutation: "quorum"}, {Name: "no limit"}}
 	if few > 0 && few < len(list) {
 		list = append(list[:few], list[len(list)-1])
 	}
 	unlimited := list[len(list)-1]
 	for i, mode := range list {
 		scenario := *s
-		scenario.Mutation = mode.Planted
+		scenario.Mutation = mode.Mutation
 		if mode == unlimited {
 			scenario.Limits = installation.ClusterLimits{}
 		}
@@ -226,7 +226,7 @@
 		if !u.contains(request.At) {
 			continue
 		}
-		u.Tasks++
+		u.Requests++
 		if request.End == sqlclient.Served {
 			took = append(took, request.Took-service)
 		}
--- a/internal/testbed/faulttest/result.go
+++ b/internal/testbed/faulttest/result.go
@@ -108,7 +108,7 @@
 func (r *Result) missedEjections(expectation *Expectation) (missed []string) {
 	for _, outage := range r.Outages() {
 		if expectation.EjectedEngine == outage.Engine && outage.T95 > expectation.Within {
-			missed = append(missed, fmt.Sprintf("expected: %s, which %s from %v on, is left alone by 95%% of the gateways within %v, found %v", outage.Engine, outage.Be, outage.At, expectation.Within,
+			missed = append(missed, fmt.Sprintf("expected: %s, which %s from %v on, is left alone by 95%% of the gateways within %v, found %v", outage.Engine, outage.EngineState, outage.At, expectation.Within,
 				outage.T95.Round(time.Millisecond)))
 		}
 	}
@@ -132,7 +132,7 @@
 		r.Policies.Text(out, r.Proposals)
 	}
 	for _, record := range r.SlowStarts {
-		fmt.Fprintf(out, "%s, cold from %v on, was sent %.2f of what tips it over at most; tasks by second %v\n", record.Engine, record.At, record.Most, record.Tasks)
+		fmt.Fprintf(out, "%s, cold from %v on, was sent %.2f of what tips it over at most; tasks by second %v\n", record.Engine, record.At, record.Most, record.Requests)
 	}
 	fmt.Fprintf(out, "%d datagrams of %d bytes in the mean, %d dropped, %d doubled, %d with a bit turned; %d events of history\n", r.Counts.Datagrams,
 		r.Counts.Bytes/max(1, r.Counts.Datagrams), r.Counts.Dropped, r.Counts.Duplicated, r.Counts.Corrupted, len(r.Events))
--- a/internal/testbed/faulttest/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -91,7 +91,7 @@
 }
 
 // Mutations are caught by the same checkers.
-func TestPlanted(t *testing.T) {
+func TestMutationsAreCaught(t *testing.T) {
 	for _, c := range []struct{ defect, on, rule string }{
 		{"relays-hearsay", "noise", "evidence:"},
 		{"ages-nothing", "late-words", "evidence:"},
--- a/internal/testbed/faulttest/slow_start.go
+++ b/internal/testbed/faulttest/slow_start.go
@@ -13,10 +13,10 @@
 
 // SlowStartRecord is what an engine was sent after it had started, by its own count.
 type SlowStartRecord struct {
-	Engine string        `json:"engine"`
-	At     time.Duration `json:"at"`
-	Most   float64       `json:"most"`  // in any time after which it tips over, as a multiple of what tips it over in its first moment
-	Tasks  []int         `json:"tasks"` // by second from its start on
+	Engine   string        `json:"engine"`
+	At       time.Duration `json:"at"`
+	Most     float64       `json:"most"`  // in any time after which it tips over, as a multiple of what tips it over in its first moment
+	Requests []int         `json:"tasks"` // by second from its start on
 }
 
 // slowStartRecords reads what engines that restarted were sent until they were warm.
@@ -37,7 +37,7 @@
 
 // slowStartRecord reads what one engine was sent from its start on, at a time from the load's begin, until it was warm.
 func slowStartRecord(engine string, startedAt time.Duration, plan installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) SlowStartRecord {
-	record := SlowStartRecord{Engine: engine, At: startedAt, Tasks: make([]int, int(plan.Warm/time.Second))}
+	record := SlowStartRecord{Engine: engine, At: startedAt, Requests: make([]int, int(plan.Warm/time.Second))}
 	overloadWork := plan.Factor * plan.Share * cores * plan.Tip.Seconds()
 	var window []fake.Sent
 	work := 0.0
@@ -46,8 +46,8 @@
 		if attempt.Engine != engine || at < startedAt || at >= startedAt+plan.Warm {
 			continue
 		}
-		if second := int((at - startedAt) / time.Second); second < len(record.Tasks) {
-			record.Tasks[second]++
+		if second := int((at - startedAt) / time.Second); second < len(record.Requests) {
+			record.Requests[second]++
 		}
 		window = append(window, attempt)
 		work += attempt.Work.Seconds()
@@ -80,7 +80,7 @@
 	fmt.Fprintln(out, "most sent in a second after which an engine tips over (1: what tips it over in its first moment), tasks by second from its start")
 	for i, r := range []*Result{shared, byNumber} {
 		for _, record := range r.SlowStarts {
-			fmt.Fprintf(out, "%-9s %s at %3.0f s  %5.2f  %v\n", names[i], record.Engine, record.At.Seconds(), record.Most, record.Tasks)
+			fmt.Fprintf(out, "%-9s %s at %3.0f s  %5.2f  %v\n", names[i], record.Engine, record.At.Seconds(), record.Most, record.Requests)
 		}
 	}
 	for i, r := range []*Result{shared, byNumber} {
--- a/internal/testbed/quotamodel/system.go
+++ b/internal/testbed/quotamodel/system.go
@@ -61,7 +61,7 @@
 	recalls    int // a lender's own requests begin to lack what it has leased out
 }
 
-// system is a state of a small fleet. It is not changed once made: after returns another one.
+// system is a state of a small cluster. It is not changed once made: after returns another one.
 type system struct {
 	plan            *quota.Plan
 	ticks           quota.Time // that have passed
--- a/internal/testbed/simcluster/cluster.go
+++ b/internal/testbed/simcluster/cluster.go
@@ -1,4 +1,4 @@
-// Package simcluster runs a fleet of some hundred members in one process, in virtual time under a seeded schedule: the same
+// Package simcluster runs a cluster of some hundred members in one process, in virtual time under a seeded schedule: the same
 // cores that gateways run, with links that lose, delay, duplicate and cut messages, processes that die, stop and come back,
 // and clocks that drift. The same seed gives the same run.
 package simcluster
@@ -22,7 +22,7 @@
 	Delay, Jitter   Time    // Jitter is the most that a random part adds to Delay
 }
 
-// Process is one member of the fleet.
+// Process is one member of a cluster.
 type Process struct {
 	Index             int
 	Name              string
@@ -49,7 +49,7 @@
 	Member membership.Member
 }
 
-// Cluster is a fleet.
+// Cluster is a simulated cluster.
 type Cluster struct {
 	Now             Time
 	Processes       []*Process
@@ -68,7 +68,7 @@
 	messageOverhead  = 28 + 60 // bytes of the datagram's own headers, and what sealing adds
 )
 
-// New creates a fleet of so many processes, none of which is up. The first two are the seeds of all.
+// New creates a cluster of so many processes, none of which is up. The first two are the seeds of all.
 func New(size int, seed uint64) *Cluster {
 	cluster := &Cluster{random: rand.New(rand.NewPCG(seed, 1)), lastIncarnation: firstIncarnation, seeds: []string{"a0", "a1"}}
 	cluster.Link = func(int, int) Link { return Link{Delay: 10, Jitter: 20} }
--- a/internal/testbed/simcluster/membership_test.go
+++ b/internal/testbed/simcluster/membership_test.go
@@ -15,7 +15,7 @@
 
 const second = admission.Second
 
-// up is a fleet whose members have found each other.
+// up is a cluster whose members have found each other.
 func up(t *testing.T, n int, seed uint64) *Cluster {
 	t.Helper()
 	c := New(n, seed)
@@ -49,7 +49,7 @@
 
 func nobody(string) bool { return false }
 
-// A small fleet, in the words of one of its members.
+// The changes that one member of a small cluster notices.
 func TestTrace(t *testing.T) {
 	c := New(4, 7)
 	var out strings.Builder
@@ -101,7 +101,7 @@
 	}
 }
 
-// A third of the fleet hears nothing, one way or both, for a minute.
+// A third of the cluster hears nothing, one way or both, for a minute.
 func TestThirdHearsNothing(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		c := up(t, 24, 2)
@@ -148,7 +148,7 @@
 	}
 }
 
-// A fleet whose seeds are down waits for them, and is whole once one is there.
+// A cluster whose seeds are down waits for them, and is complete once one is up.
 func TestSeedsDown(t *testing.T) {
 	c := New(12, 5)
 	for _, p := range c.Processes[2:] {
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// A member that is killed has its part back once a loan is over if it knows that the process before it has ended; else after a term.
+// A member that is killed has its share again after a lease if it knows that the process before it has ended; else after a term.
 func TestFollow(t *testing.T) {
 	var took [2]Time
 	for k := range took {
@@ -110,7 +110,7 @@
 		}
 		c.advance(8*second, func() {})
 		for _, p := range c.members {
-			p.demand = 0 // nothing is lent, so that what it has is its part
+			p.demand = 0 // nothing is leased to others, so that what it has is its share
 		}
 		p := c.members[4]
 		p.up = false
@@ -126,8 +126,8 @@
 		}
 		took[k] = c.now - began
 	}
-	term, loan := 2*second, second // of the plan
-	if took[0] < loan || took[0] > margin(loan)+second/5 || took[1] < term-term/4 || took[1] > 2*margin(term) {
+	term, lease := 2*second, second // of the plan
+	if took[0] < lease || took[0] > margin(lease)+second/5 || took[1] < term-term/4 || took[1] > 2*margin(term) {
 		t.Errorf("its part is back after %.2f s, and after %.2f s for one that comes with nothing", float64(took[0])/float64(second), float64(took[1])/float64(second))
 	}
 }
@@ -147,7 +147,7 @@
 }
 
 // A total that is raised, lowered below what is out, and taken away, while a third of the members is cut off and does not hear of it:
-// never more than the larger, and after a term, a loan and their drift never more than the new one. Who comes back under the old
+// never more than the larger, and after a term, a lease and their drift never more than the new one. Who comes back under the old
 // number holds nothing of it.
 func TestTotals(t *testing.T) {
 	c := newQuotaCluster(4, 12, 24)
@@ -189,7 +189,7 @@
 	}
 }
 
-// Who leaves with nothing in use frees its seat at once for who follows.
+// A member that leaves with nothing in use frees its share at once for its successor.
 func TestFarewell(t *testing.T) {
 	c := newQuotaCluster(5, 12, 24)
 	c.advance(6*second, func() {})
@@ -203,7 +203,7 @@
 	}
 }
 
-// Connected and wanted, nearly all of it is used, wherever the demand is; a part that is cut off uses its own for a term, and all
+// Connected and wanted, nearly all of it is used, wherever the demand is; a side that is cut off uses its own share for a term, and all
 // is used again soon after.
 func TestWellUsed(t *testing.T) {
 	c := newQuotaCluster(1, 32, 64)
@@ -244,7 +244,7 @@
 	c.advance(3*second, check)
 	healed := share(5 * second)
 	t.Logf("share of the total used: even demand %.3f, all at one of 32 %.3f, a third cut off for half a term %.3f, for three terms %.3f, 3 s after %.3f", even, one, during, long, healed)
-	// The replicas are on one side; on the other seats are held for three quarters of a term at least, and are then taken over.
+	// The replicas are on one side; on the other shares are held for three quarters of a term at least, and are then taken over.
 	if even < 0.95 || one < 0.95 || during < 0.8 || long < 0.95 || healed < 0.95 {
 		t.Error("0.95, 0.95, 0.8, 0.95 and 0.95 were expected")
 	}
@@ -277,7 +277,7 @@
 	}
 }
 
-// Requests that need more than a member's part, and more than a few could lend: not all hold a little and wait for each other.
+// Requests that need more than a member's share, and more than a few could lease to it: not all hold a little and wait for each other.
 func TestWide(t *testing.T) {
 	c := newQuotaCluster(3, 40, 48)
 	c.advance(6*second, func() {})
@@ -319,7 +319,7 @@
 	}
 }
 
-// Rights are where demand is also in a larger fleet, where a member hears of another only every few seconds: whom nobody heard of lately is asked.
+// Units are where the demand is also in a larger cluster, where a member hears of another only every few seconds: members not heard of lately are asked.
 func TestMovingDemand(t *testing.T) {
 	if d := MeasureQuota(100, 2); d.Zipf < 0.97 || d.Moving < 0.85 || d.There < 0 || d.There > second/2 || d.Messages > 8 {
 		t.Errorf("%+v", d)
--- a/internal/testbed/simcluster/rollout_cluster_test.go
+++ b/internal/testbed/simcluster/rollout_cluster_test.go
@@ -173,7 +173,7 @@
 }
 
 // Mutations are found by the same seeds.
-func TestNeverOlderPlanted(t *testing.T) {
+func TestNeverOlderFindsMutations(t *testing.T) {
 	for _, mutation := range []string{"switches-on-word", "believes-folder", "leader-without-wait", "keeps-on-yield", "both-forever"} {
 		found := ""
 		for seed := range uint64(60) {
--- a/internal/testbed/simcluster/rollout_test.go
+++ b/internal/testbed/simcluster/rollout_test.go
@@ -10,7 +10,7 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// calm is a fleet that has a leader and leases.
+// calm is a cluster that has a leader and leases.
 func calm(t *testing.T, seed uint64, n, voters int) *rolloutCluster {
 	t.Helper()
 	a := newRolloutCluster(seed, n, voters, 2*second)
