--- a/cmd/magpiebank-testbed/fleet_scale.go
+++ b/cmd/magpiebank-testbed/fleet_scale.go
@@ -72,7 +72,7 @@
 // scaleHealthReports measures and prints health reports by size, and with loss and with more failures.
 func scaleHealthReports(out io.Writer, most int) {
 	measure := func(members int, failures, loss float64) simcluster.HealthReportResult {
-		return simcluster.MeasureHealthReports(members, max(6, members/5), 1.3, failures, loss, scaleSeed)
+		return simcluster.MeasureHealthReports(simcluster.HealthReportLoad{Members: members, Engines: max(6, members/5), Rate: 1.3, Errors: failures, Loss: loss}, scaleSeed)
 	}
 	results := forSizes(most, func(n int) simcluster.HealthReportResult { return measure(n, 0.01, 0) })
 	results = append(results, measure(min(most, 100), 0.01, 0.2), measure(min(most, 100), 0.05, 0))
--- a/internal/testbed/simcluster/counter_cluster_test.go
+++ b/internal/testbed/simcluster/counter_cluster_test.go
@@ -66,7 +66,7 @@
 }
 
 // A reading is fresh and narrow while all are heard.
-func TestCensus(t *testing.T) {
+func TestReadingsAreFreshAndNarrow(t *testing.T) {
 	c := MeasureCounters(32, 0, 1)
 	t.Logf("%+v", c)
 	if c.Wrong > 0 || c.Silent > 0 || c.Age > 2*second || c.Width > 1.5 {
--- a/internal/testbed/simcluster/health_reports.go
+++ b/internal/testbed/simcluster/health_reports.go
@@ -29,12 +29,19 @@
 	detectedShare = 10 // all but one in so many have to detect the fault
 )
 
+// HealthReportLoad is the load of a run with health reports.
+type HealthReportLoad struct {
+	Members, Engines int
+	Rate             float64 // requests a second at each member
+	Errors           float64 // share of requests that fail at a healthy engine
+	Loss             float64 // share of messages that are lost
+}
+
 // healthReportRun is a run in which members send requests to engines and share health reports.
 type healthReportRun struct {
 	cluster   *Cluster
+	load      HealthReportLoad
 	endpoints []admission.Endpoint
-	rate      float64 // requests a second at each member
-	errors    float64 // share of requests that fail at a healthy engine
 	faultFrom Time
 	faultEnd  Time
 	ejected   []map[admission.EngineID]Time // by member: until when it sends an engine nothing
@@ -43,22 +50,22 @@
 }
 
 // MeasureHealthReports simulates a cluster whose engines have single errors, and of which one fails all requests for half a minute.
-func MeasureHealthReports(n, engines int, rate, errors, loss float64, seed uint64) HealthReportResult {
+func MeasureHealthReports(load HealthReportLoad, seed uint64) HealthReportResult {
 	const second = admission.Second
-	c := New(n, seed)
-	c.Link = func(int, int) Link { return Link{Loss: loss, Delay: 5, Jitter: 20} }
+	c := New(load.Members, seed)
+	c.Link = func(int, int) Link { return Link{Loss: load.Loss, Delay: 5, Jitter: 20} }
 	c.Start(second)
 	c.Run(30 * second)
 	r := &healthReportRun{
 		cluster:   c,
-		rate:      rate,
-		errors:    errors,
+		load:      load,
 		faultFrom: c.Now + faultDelay,
 		faultEnd:  c.Now + faultDelay + faultLength,
-		detected:  make([]Time, n),
-		result:    HealthReportResult{Members: n, Engines: engines, Loss: loss, Rate: rate, Detect: -1, Alone: 30 * rate * float64(n) / float64(engines)},
+		detected:  make([]Time, load.Members),
+		result: HealthReportResult{Members: load.Members, Engines: load.Engines, Loss: load.Loss, Rate: load.Rate, Detect: -1,
+			Alone: 30 * load.Rate * float64(load.Members) / float64(load.Engines)},
 	}
-	for i := range engines {
+	for i := range load.Engines {
 		r.endpoints = append(r.endpoints, admission.Endpoint{Engine: admission.EngineID(fmt.Sprint("e", i)), Since: second})
 	}
 	for _, p := range c.Processes {
@@ -75,7 +82,7 @@
 	for _, p := range c.Processes {
 		bytes += p.healthReportBytes
 	}
-	r.result.Bytes = float64(bytes) / float64(n) / (float64(c.Now-began) / float64(second))
+	r.result.Bytes = float64(bytes) / float64(load.Members) / (float64(c.Now-began) / float64(second))
 	r.result.Detect = detectTime(r.detected)
 	return r.result
 }
@@ -89,7 +96,7 @@
 	var request, report func()
 	request = func() {
 		r.sendRequest(p)
-		c.Schedule(c.Now+1+Time(c.random.ExpFloat64()/r.rate*float64(admission.Second)), request)
+		c.Schedule(c.Now+1+Time(c.random.ExpFloat64()/r.load.Rate*float64(admission.Second)), request)
 	}
 	report = func() {
 		p.HealthReports.VisitChangedFindings(p.clock(), func(finding *admission.PeerReport) { r.recordFinding(p, finding) })
@@ -115,7 +122,7 @@
 	if r.isFaulty(engine) {
 		outcome = admission.Erred
 		r.result.Sent++
-	} else if c.random.Float64() < r.errors {
+	} else if c.random.Float64() < r.load.Errors {
 		outcome = admission.Erred
 	}
 	p.HealthReports.Observe(p.clock(), engine, outcome, admission.NoReport, 1e9)
--- a/internal/testbed/simcluster/membership_test.go
+++ b/internal/testbed/simcluster/membership_test.go
@@ -50,7 +50,7 @@
 func nobody(string) bool { return false }
 
 // The changes that one member of a small cluster notices.
-func TestTrace(t *testing.T) {
+func TestSmallClusterTrace(t *testing.T) {
 	c := New(4, 7)
 	var out strings.Builder
 	c.OnChange = func(change MembershipChange) {
@@ -92,7 +92,7 @@
 }
 
 // What can't reach each other directly, but by others, takes nobody for dead.
-func TestOneWayBetweenSome(t *testing.T) {
+func TestIndirectlyReachableMembersStayAlive(t *testing.T) {
 	c := up(t, 12, 1)
 	c.Link = func(from, to int) Link { return Link{Cut: from < 3 && to > 8, Delay: 10, Jitter: 20} }
 	c.Run(c.Now + 60*second)
@@ -149,7 +149,7 @@
 }
 
 // A cluster whose seeds are down waits for them, and is complete once one is up.
-func TestSeedsDown(t *testing.T) {
+func TestClusterFormsOnceOneSeedIsUp(t *testing.T) {
 	c := New(12, 5)
 	for _, p := range c.Processes[2:] {
 		p.Start(0)
@@ -188,7 +188,7 @@
 }
 
 // One that stood still accuses nobody for what it missed, and is there again.
-func TestStoodStill(t *testing.T) {
+func TestPausedMemberAccusesNobody(t *testing.T) {
 	c := up(t, 16, 7)
 	c.Changes = nil
 	c.Processes[4].Pause(20 * second)
@@ -204,7 +204,7 @@
 }
 
 // Clocks a twentieth fast and slow, and half of all packets of one lost: nobody is taken for dead.
-func TestClocksAndLoss(t *testing.T) {
+func TestDriftAndLossKillNobody(t *testing.T) {
 	c := up(t, 16, 8)
 	c.Processes[2].SetClockRate(1.05)
 	c.Processes[3].SetClockRate(0.95)
@@ -223,7 +223,7 @@
 }
 
 // The same seed plays the same run.
-func TestSeeded(t *testing.T) {
+func TestSameSeedGivesSameRun(t *testing.T) {
 	play := func() string { return fmt.Sprintf("%+v", MeasureMembership(16, 0.3, 0.1, 9)) }
 	if a, b := play(), play(); a != b {
 		t.Errorf("%s\n%s", a, b)
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -101,7 +101,7 @@
 }
 
 // A member that is killed has its share again after a lease if it knows that the process before it has ended; else after a term.
-func TestFollow(t *testing.T) {
+func TestSuccessorHasItsShareBack(t *testing.T) {
 	var took [2]Time
 	for k := range took {
 		c := newQuotaCluster(5, 6, 12)
@@ -303,7 +303,7 @@
 }
 
 // A burst at one member, while all others idle, has nearly all of the total within half a second.
-func TestBurst(t *testing.T) {
+func TestBurstHasTheTotalInHalfASecond(t *testing.T) {
 	c := newQuotaCluster(1, 32, 64)
 	c.advance(9*second, func() {})
 	c.members[16].demand = 64
@@ -320,7 +320,7 @@
 }
 
 // Units are where the demand is also in a larger cluster, where a member hears of another only every few seconds: members not heard of lately are asked.
-func TestMovingDemand(t *testing.T) {
+func TestQuotaFollowsMovingDemand(t *testing.T) {
 	if d := MeasureQuota(100, 2); d.Zipf < 0.97 || d.Moving < 0.85 || d.There < 0 || d.There > second/2 || d.Messages > 8 {
 		t.Errorf("%+v", d)
 	}
--- a/internal/testbed/simcluster/rollout_size_test.go
+++ b/internal/testbed/simcluster/rollout_size_test.go
@@ -6,7 +6,7 @@
 )
 
 // The core among a hundred: all go by a change within half a second, a third silent costs a lease, and the figures come out the same again.
-func TestEnact(t *testing.T) {
+func TestChangeReachesHundredMembers(t *testing.T) {
 	n := 100
 	e := MeasureRollout(n, 1)
 	WriteRollout(os.Stdout, []RolloutResult{e})
--- a/internal/testbed/simcluster/rollout_test.go
+++ b/internal/testbed/simcluster/rollout_test.go
@@ -138,7 +138,7 @@
 }
 
 // A thousand changes in a row while members come and go, one of them a megabyte; one that was away through all of it is there in a second.
-func TestThousand(t *testing.T) {
+func TestThousandChangesInARow(t *testing.T) {
 	a := calm(t, 3, 10, 3)
 	away := a.members[9]
 	away.kill()
@@ -253,7 +253,7 @@
 }
 
 // Without a lease what both policies allow goes on, where the policy says so, and ends in time.
-func TestBoth(t *testing.T) {
+func TestOverlapWithoutLease(t *testing.T) {
 	a := calm(t, 7, 6, 3)
 	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
