--- a/internal/testbed/faulttest/clients.go
+++ b/internal/testbed/faulttest/clients.go
@@ -65,7 +65,7 @@
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	due := c.run.startedAt
-	for k := 0; ; k++ {
+	for index := 0; ; index++ {
 		gap := time.Duration(c.random.ExpFloat64() / c.run.requestRate(c.gateway, due.Sub(c.run.startedAt)) * float64(time.Second))
 		due = due.Add(min(gap, maxGap))
 		if gap > maxGap {
@@ -80,20 +80,20 @@
 		requests.Add(1)
 		go func(due time.Time) {
 			defer requests.Done()
-			c.sendRequest(due, isLoad, k)
+			c.sendRequest(due, isLoad, index)
 		}(due)
 	}
 }
 
-// sendRequest sends one request and records how it ended. Its time counts from when it was due.
-func (c *client) sendRequest(due time.Time, isLoad bool, k int) {
+// sendRequest sends the client's request of an index and records how it ended. Its time counts from when it was due.
+func (c *client) sendRequest(due time.Time, isLoad bool, index int) {
 	request := Request{
 		Gateway: c.gateway.Label(),
 		At:      due.Sub(c.run.startedAt),
 		Load:    isLoad,
-		id:      fmt.Sprintf("%d%07x%08x", 2-btoi(isLoad), c.number, k),
+		id:      fmt.Sprintf("%d%07x%08x", 2-btoi(isLoad), c.number, index),
 	}
-	request.End = query(c.db, &request, k, c.run.scenario.MaxWait)
+	request.End = query(c.db, &request, index, c.run.scenario.MaxWait)
 	request.Took = time.Since(due)
 	c.run.mu.Lock()
 	defer c.run.mu.Unlock()
@@ -108,10 +108,10 @@
 }
 
 // query sends one request's statement and returns how it ended.
-func query(db *sql.DB, request *Request, k int, wait time.Duration) string {
-	class, statement := "look", fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", k%4+1, k)
+func query(db *sql.DB, request *Request, index int, wait time.Duration) string {
+	class, statement := "look", fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", index%4+1, index)
 	if request.Load {
-		class, statement = "load", fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", k%4+1, k)
+		class, statement = "load", fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", index%4+1, index)
 	}
 	return sqlclient.Query(db, class, request.id, statement, wait)
 }
--- a/internal/testbed/faulttest/convergence.go
+++ b/internal/testbed/faulttest/convergence.go
@@ -68,12 +68,12 @@
 	if problem != "" {
 		return problem
 	}
-	for _, a := range views {
-		for _, b := range views {
-			if a.label == b.label {
+	for _, view := range views {
+		for _, other := range views {
+			if view.label == other.label {
 				continue
 			}
-			if difference := a.differenceOn(b); difference != "" {
+			if difference := view.differenceOn(other); difference != "" {
 				return difference
 			}
 		}
--- a/internal/testbed/faulttest/outcome.go
+++ b/internal/testbed/faulttest/outcome.go
@@ -17,9 +17,9 @@
 	Figures any // what Text prints, for encoding/json
 }
 
-// Good tells whether all held in each.
-func (p *Outcome) Good() bool {
-	for _, r := range p.Results {
+// Good tells whether nothing was violated in any run.
+func (o *Outcome) Good() bool {
+	for _, r := range o.Results {
 		if !r.Good() {
 			return false
 		}
@@ -55,11 +55,11 @@
 		if err != nil {
 			return nil, err
 		}
-		p := &Outcome{Text: func(out io.Writer) { WriteQuotaModes(out, list) }, Figures: list}
-		for _, w := range list {
-			p.Results = append(p.Results, w.Result)
+		outcome := &Outcome{Text: func(out io.Writer) { WriteQuotaModes(out, list) }, Figures: list}
+		for _, mode := range list {
+			outcome.Results = append(outcome.Results, mode.Result)
 		}
-		return p, nil
+		return outcome, nil
 	}
 	r, err := Run(ctx, s, folder, program)
 	if err != nil {
--- a/internal/testbed/faulttest/quota_modes.go
+++ b/internal/testbed/faulttest/quota_modes.go
@@ -292,44 +292,54 @@
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// PlotUse draws the total and what each member uses over time, one above the other, so that the outline is the sum.
+// PlotUse draws the total and what each gateway uses over time into a picture. The gateways' areas are stacked, so that the outline is
+// the sum.
 func (r *Result) PlotUse(path, title string) error {
 	labels, samples := r.sampleUse()
-	p := plot.New()
-	p.Title.Text = title
-	p.X.Label.Text, p.Y.Label.Text = "seconds", fmt.Sprintf("threads in use, of %d gateways one above the other", len(labels))
-	colors := palette.Rainbow(max(2, len(labels)), palette.Blue, palette.Red, 0.7, 0.9, 1).Colors()
-	below := make([]float64, len(samples))
-	for i := range labels {
-		var up, down plotter.XYs
-		for k := range samples {
-			x := float64(k+1) * sampleInterval.Seconds()
-			down = append(down, plotter.XY{X: x, Y: below[k]})
-			below[k] += samples[k][i]
-			up = append(up, plotter.XY{X: x, Y: below[k]})
-		}
-		slices.Reverse(down)
-		area, err := plotter.NewPolygon(append(up, down...))
-		if err != nil {
-			return err
-		}
-		area.Color, area.Width = colors[i], 0
-		p.Add(area)
+	picture := plot.New()
+	picture.Title.Text = title
+	picture.X.Label.Text, picture.Y.Label.Text = "seconds", fmt.Sprintf("threads in use, of %d gateways one above the other", len(labels))
+	if err := plotAreas(picture, len(labels), samples); err != nil {
+		return err
 	}
-	total, err := plotter.NewLine(plotter.XYs{{X: 0, Y: float64(r.Scenario.Limits.Threads)}, {X: r.Scenario.Length.Seconds(), Y: float64(r.Scenario.Limits.Threads)}})
+	threads := float64(r.Scenario.Limits.Threads)
+	total, err := plotter.NewLine(plotter.XYs{{X: 0, Y: threads}, {X: r.Scenario.Length.Seconds(), Y: threads}})
 	if err != nil {
 		return err
 	}
 	total.Width = vg.Points(1.5)
-	p.Add(total)
-	p.Legend.Add("total", total)
-	for _, u := range r.Scenario.Phases {
-		text, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: u.At.Seconds(), Y: 1.04 * float64(r.Scenario.Limits.Threads)}}, Labels: []string{u.Name}})
+	picture.Add(total)
+	picture.Legend.Add("total", total)
+	for _, phase := range r.Scenario.Phases {
+		name, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: phase.At.Seconds(), Y: 1.04 * threads}}, Labels: []string{phase.Name}})
+		if err != nil {
+			return err
+		}
+		picture.Add(name)
+	}
+	picture.Y.Min, picture.Y.Max = 0, 1.15*threads
+	return picture.Save(24*vg.Centimeter, 12*vg.Centimeter, path)
+}
+
+// plotAreas adds an area for each gateway, on top of those before it.
+func plotAreas(picture *plot.Plot, gateways int, samples [][]float64) error {
+	colors := palette.Rainbow(max(2, gateways), palette.Blue, palette.Red, 0.7, 0.9, 1).Colors()
+	base := make([]float64, len(samples))
+	for gateway := range gateways {
+		var upper, lower plotter.XYs
+		for i, sample := range samples {
+			seconds := float64(i+1) * sampleInterval.Seconds()
+			lower = append(lower, plotter.XY{X: seconds, Y: base[i]})
+			base[i] += sample[gateway]
+			upper = append(upper, plotter.XY{X: seconds, Y: base[i]})
+		}
+		slices.Reverse(lower)
+		area, err := plotter.NewPolygon(append(upper, lower...))
 		if err != nil {
 			return err
 		}
-		p.Add(text)
+		area.Color, area.Width = colors[gateway], 0
+		picture.Add(area)
 	}
-	p.Y.Min, p.Y.Max = 0, 1.15*float64(r.Scenario.Limits.Threads)
-	return p.Save(24*vg.Centimeter, 12*vg.Centimeter, path)
+	return nil
 }
--- a/internal/testbed/faulttest/result.go
+++ b/internal/testbed/faulttest/result.go
@@ -54,7 +54,6 @@
 	Events         []history.Event      `json:"-"`
 	StartMonotonic int64                `json:"-"` // CLOCK_MONOTONIC of the load's begin
 	Processes      []string             `json:"-"`
-	StepsDone      []Step               `json:"-"`
 	Displaced      int                  `json:"displaced"` // processes that found their name taken by a later one
 	PlayTime       time.Duration        `json:"played"`    // while datagrams were counted
 	SlowStarts     []SlowStartRecord    `json:"colds,omitempty"`
--- a/internal/testbed/faulttest/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -63,8 +63,8 @@
 		return nil, err
 	}
 	p := &run{scenario: s, folder: folder, network: faultproxy.New(s.Seed), killed: map[string][]time.Duration{}, notRunning: map[string]bool{}, dbs: map[string]*sql.DB{}}
-	for _, g := range s.NotStarted {
-		p.notRunning[g] = true
+	for _, name := range s.NotStarted {
+		p.notRunning[name] = true
 	}
 	plan := p.plan(program)
 	up, err := installation.Start(plan, folder)
@@ -174,8 +174,8 @@
 	p.startedAt, r.StartMonotonic = time.Now(), history.Now()
 	r.Began = p.startedAt
 	stop, cancel := context.WithCancel(ctx)
-	for _, g := range p.installation.Gateways {
-		p.runClient(stop, g)
+	for _, gateway := range p.installation.Gateways {
+		p.runClient(stop, gateway)
 	}
 	err := p.runSteps(ctx)
 	cancel()
@@ -197,10 +197,10 @@
 
 // voters are the gateways that say of themselves that they vote on policies.
 func (p *run) voters(ctx context.Context) (names []string) {
-	for _, g := range p.installation.Gateways {
-		answer, err := agent.SendPolicyRequest(ctx, g.Control, &agent.PolicyRequest{Operation: agent.StatusOperation})
+	for _, gateway := range p.installation.Gateways {
+		answer, err := agent.SendPolicyRequest(ctx, gateway.Control, &agent.PolicyRequest{Operation: agent.StatusOperation})
 		if err == nil && answer.Status != nil && answer.Status.IsVoter {
-			names = append(names, g.Name)
+			names = append(names, gateway.Name)
 		}
 	}
 	return names
@@ -208,18 +208,18 @@
 
 // endGateways ends all processes, and returns the files of their histories.
 func (p *run) endGateways(r *Result) (histories []string) {
-	for _, g := range p.installation.Gateways {
-		r.Processes = append(r.Processes, g.Label())
-		histories = append(histories, g.History)
-		g.Signal(syscall.SIGTERM)
+	for _, gateway := range p.installation.Gateways {
+		r.Processes = append(r.Processes, gateway.Label())
+		histories = append(histories, gateway.History)
+		gateway.Signal(syscall.SIGTERM)
 	}
 	deadline := time.Now().Add(endWithin)
 	for time.Now().Before(deadline) && slices.ContainsFunc(p.installation.Gateways, (*installation.Gateway).IsRunning) {
 		time.Sleep(10 * time.Millisecond)
 	}
-	for _, g := range p.installation.Gateways {
-		if g.IsRunning() { // and its history is not whole
-			r.addTimedViolations(fmt.Sprintf("eventual: %s had not ended %v after SIGTERM, with nothing in its hands", g.Label(), endWithin))
+	for _, gateway := range p.installation.Gateways {
+		if gateway.IsRunning() { // and its history is not whole
+			r.addTimedViolations(fmt.Sprintf("eventual: %s had not ended %v after SIGTERM, with nothing in its hands", gateway.Label(), endWithin))
 		}
 	}
 	return histories
