--- a/cmd/magpiebank-testbed/main.go
+++ b/cmd/magpiebank-testbed/main.go
@@ -1,4 +1,4 @@
-// Magpielab is the testbed: it puts gateways under load on loopback and tells what came of it.
+// Magpiebank-testbed puts gateways under load on loopback and tells what came of it.
 package main
 
 import (
@@ -36,8 +36,8 @@
 	root := &cobra.Command{
 		Use:   "magpiebank-testbed",
 		Short: "Puts gateways under load on loopback and tells what came of it",
-		Long: `Magpielab is the laboratory of magpiebank. It starts stand-ins of engines and of their list, gateways between
-them and a load, and tells what came of it. All of it stays on this machine's loopback addresses.`,
+		Long: `The testbed of magpiebank starts fake engines and a fake discovery service, gateways between them and a load, and
+tells what came of it. All of it stays on this machine's loopback addresses.`,
 		SilenceErrors: true, SilenceUsage: true, Version: version,
 	}
 	root.AddCommand(demoCommand(), runCommand(), workerCommand(), experimentCommand(), checkCommand(), fmtCommand(), traceCommand(), runsCommand(),
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -52,7 +52,7 @@
 	"policy":    "The fleet's policy: propose a change, follow it, go back",
 }
 
-const usage = `Magpiebank is one router before analytic engines.
+const usage = `Magpiebank is one gateway before analytic engines.
 
   magpiebank serve       serve clients until told to stop by SIGTERM; SIGHUP has the configuration read again
   magpiebank check       read the configuration, print what it says, and stop
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -36,9 +36,9 @@
 		RunE: func(*cobra.Command, []string) error { return p.serve(&flags, errs) }}
 	flags.configuration.register(command, env)
 	set := command.Flags()
-	set.StringVar(&flags.captureFile, "capture", "", "record the tasks that come to this new file, for magpiebank-testbed to play again")
+	set.StringVar(&flags.captureFile, "capture", "", "record the requests that come to this new file, for magpiebank-testbed to replay")
 	set.Int64Var(&flags.captureMB, "capture-mb", defaultCaptureMB, "most megabytes that the file grows to")
-	set.StringVar(&flags.stateFolder, "state", "", "folder for the record of tasks, which survives a crash; default none is kept")
+	set.StringVar(&flags.stateFolder, "state", "", "folder of the request journal, which survives a crash; default none is kept")
 	set.Int64Var(&flags.stateMB, "state-mb", defaultStateMB, "most megabytes that the folder takes")
 	set.BoolVar(&flags.captureText, "capture-text", false, "record statements with their literals, not their shapes only")
 	return command
