--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -15,10 +15,10 @@
 type acceptor struct {
 	owner    *owner
 	listener net.Listener
-	done     chan struct{} // closed once it accepts no more
+	done     chan struct{} // closed when run returns
 }
 
-// run accepts connections until stop. It is the acceptor's goroutine.
+// run accepts connections until stop is called or the listener is closed. It runs on the acceptor's own goroutine.
 func (a *acceptor) run() {
 	defer close(a.done)
 	for {
@@ -29,15 +29,15 @@
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
 			a.drainBacklog()
 			return
-		default: // usually there are no descriptors left; some are free again soon
+		default: // usually the process has no file descriptors left; some become free soon
 			a.owner.log.Warn("accept", "error", err)
 			time.Sleep(finalReadWait)
 		}
 	}
 }
 
-// stop starts sessions for the connections that the system has accepted already, and accepts no more. A close alone would
-// reset those connections.
+// stop makes the acceptor start sessions for the connections that the kernel has already accepted, and then closes the
+// listener. Closing the listener first would reset those connections.
 func (a *acceptor) stop() {
 	tcp, ok := a.listener.(*net.TCPListener)
 	if !ok || tcp.SetDeadline(expiredDeadline) != nil {
@@ -47,8 +47,8 @@
 	a.listener.Close()
 }
 
-// drainBacklog starts sessions for the connections that wait in the listener's backlog. Accept doesn't look for them any more
-// once its deadline has passed, so the system is asked.
+// drainBacklog starts sessions for the connections that wait in the listener's backlog. It calls the kernel's accept
+// directly, because Go's Accept fails without looking at the backlog once the listener's deadline has passed.
 func (a *acceptor) drainBacklog() {
 	socket, ok := a.listener.(syscall.Conn)
 	if !ok {
@@ -65,14 +65,14 @@
 	for _, descriptor := range waiting {
 		file := os.NewFile(uintptr(descriptor), "client")
 		socket, err := net.FileConn(file)
-		_ = file.Close() // the connection has a descriptor of its own
+		_ = file.Close() // FileConn duplicated the descriptor
 		if err == nil {
 			a.startSession(socket)
 		}
 	}
 }
 
-// acceptWaiting accepts the connections in a listener's backlog without waiting, and returns their descriptors.
+// acceptWaiting accepts the connections in a listener's backlog without blocking, and returns their file descriptors.
 func acceptWaiting(listener uintptr) (descriptors []int) {
 	for {
 		descriptor, _, err := syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
@@ -86,7 +86,7 @@
 	}
 }
 
-// startSession starts a session for a client, or rejects it if there is no place for one.
+// startSession starts a session for a client. It rejects the client if the connection limiter doesn't admit the session.
 func (a *acceptor) startSession(socket net.Conn) {
 	o := a.owner
 	o.usage.openConnections.Add(1)
@@ -98,9 +98,9 @@
 	go s.run()
 }
 
-// rejectClient answers a client for which there is no place. The client may have written its login and a query already, and a
-// close over unread bytes would take the answer with it. So the connection is kept open for a while, if there are
-// descriptors for that.
+// rejectClient answers a client that the connection limiter did not admit with an error. The client may already have sent
+// its login and a query. Closing a connection with unread input resets it, and the client would lose the error. So the
+// connection stays open and its input is read for up to lingerTimeout, unless too many connections linger already.
 func (a *acceptor) rejectClient(s *clientSession) {
 	end := func() {
 		s.socket.Close()
@@ -118,7 +118,8 @@
 	}()
 }
 
-// newSession returns a session for a client. Whoever knows a connection's id may have its query killed, so ids are random.
+// newSession returns a session for a client. Its connection id is random, because a client that knows the id of another
+// connection can kill the query on that connection.
 func newSession(o *owner, socket net.Conn) *clientSession {
 	s := &clientSession{owner: o, socket: socket, input: newClientReader(socket), connectionID: rand.Uint32(), startedAt: time.Now()}
 	s.events = newSessionQueue(s.handleEvent)
--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -13,27 +13,28 @@
 	"magpiebank/internal/admission"
 )
 
-// eventuallyTimeout is how long a test waits for what must come about. It is generous, because machines are busy.
+// eventuallyTimeout is how long a test waits for a condition that must become true. It is long because test machines can be
+// busy.
 const eventuallyTimeout = 10 * time.Second
 
-// eventually waits until something holds.
+// eventually waits until a condition holds, and fails the test if it doesn't hold in time. what describes the condition.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for by := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("not so after %v: %s", eventuallyTimeout, what)
+			t.Fatalf("condition not met after %v: %s", eventuallyTimeout, what)
 		}
 	}
 }
 
-// inFlight counts the requests that the gateway has accepted and not answered.
+// inFlight returns the number of requests that the gateway has accepted and not answered.
 func (s *fixture) inFlight() int {
 	answer := make(chan int, 1)
 	s.onOwner(func(admission.Time) { answer <- len(s.o.requests) })
 	return <-answer
 }
 
-// The ways in which a client leaves while its request is in hand.
+// departures are the ways in which a client can disconnect while its request is outstanding.
 var departures = map[string]func(c *testClient){
 	"closes": func(c *testClient) { c.socket.Close() },
 	"resets": func(c *testClient) {
@@ -61,7 +62,7 @@
 	return <-tcp
 }
 
-// endArrived tells whether the system has got the other side's end of a connection, also behind unread bytes.
+// endArrived reports whether the kernel has received the end of a connection from the peer, even if unread bytes precede it.
 func endArrived(tcp net.Conn) (arrived bool) {
 	connection, ok := tcp.(*net.TCPConn)
 	if !ok {
@@ -79,8 +80,8 @@
 	return arrived
 }
 
-// requireOnlyReceives sends a query with another client, and requires that an engine receives it first, so that nothing was
-// sent for the one before.
+// requireNextAttempt sends a query with a new client, and requires that its attempt is the next command that the engine
+// receives. This proves that no attempt of an earlier query was sent to the engine.
 func (s *fixture) requireOnlyReceives(e *fakeEngine, id string) {
 	s.t.Helper()
 	b := s.newClient()
@@ -88,10 +89,10 @@
 	select {
 	case h := <-e.received:
 		if h.parts[0] != "do" || h.parts[1] != "00000000000000"+id {
-			s.t.Errorf("%s heard %q", e.name, h.parts)
+			s.t.Errorf("%s received %q", e.name, h.parts)
 		}
 	case <-time.After(eventuallyTimeout):
-		s.t.Errorf("%s heard nothing of %s", e.name, id)
+		s.t.Errorf("%s received no attempt of request %s", e.name, id)
 	}
 }
 
@@ -105,16 +106,17 @@
 			a.sendLook("aa")
 			s.awaitRequests(1)
 			leave(a)
-			eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
+			eventually(t, "the request of a disconnected client is abandoned", func() bool { return s.inFlight() == 0 })
 			s.announceEngine(e, "Ready")
 			s.requireOnlyReceives(e, "bb")
 		})
 	}
 }
 
-// A query that lay unread until its client had left is not sent on: the process stood still, as the limiter's lock has the session do
-// here. A connection to the engine is up, so an attempt would be written at once; without the look at the client which of the
-// attempt and the end was first was chance, so it is tried often.
+// A query that is read only after its client disconnected must not be sent to an engine. This happens when the process is
+// stalled; here, holding the limiter's lock stalls the session. A connection to the engine is up, so the attempt would be
+// written at once. If the session didn't check the client's socket first, it would be a race whether it handles the attempt
+// or the disconnect first. Therefore the test repeats every case many times.
 func TestClientLeftBeforeItsQueryIsRead(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -130,11 +132,11 @@
 			c.sendLook("aa")
 			leave(c)
 			tcp := s.connectionOf(c)
-			eventually(t, "the client's end is there", func() bool { return endArrived(tcp) })
+			eventually(t, "the client's end of stream has arrived", func() bool { return endArrived(tcp) })
 			s.o.clients.mu.Unlock()
 		}
 	}
-	eventually(t, "all sessions but one end", func() bool { return s.kept() == 2 }) // its place among the clients, and its number
+	eventually(t, "all sessions but one end", func() bool { return s.kept() == 2 }) // its entries in the limiter and in owner.sessions
 	s.requireOnlyReceives(e, "cc")
 }
 
@@ -150,9 +152,9 @@
 			s.announceEngine(f, "Ready")
 			s.announceEngine(e, "Terminating")
 			leave(a)
-			eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
+			eventually(t, "the request of a disconnected client is abandoned", func() bool { return s.inFlight() == 0 })
 			if h := <-e.received; h.parts[0] != "undo" {
-				t.Errorf("the engine heard %q", h.parts)
+				t.Errorf("the engine received %q", h.parts)
 			}
 			k.Close()
 			s.requireOnlyReceives(f, "bb")
@@ -160,7 +162,7 @@
 	}
 }
 
-// An attempt that waits for its connection is withdrawn before that is up.
+// An attempt that waits for a connection to its engine is withdrawn if the client disconnects before the connection is up.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
@@ -190,15 +192,15 @@
 	a.sendLook("aa")
 	<-dialled
 	if n := s.inFlight(); n != 1 {
-		t.Fatalf("%d requests in hand while the connection comes up", n)
+		t.Fatalf("%d outstanding requests while the engine is being dialled, want 1", n)
 	}
 	a.socket.Close()
-	eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
+	eventually(t, "the request of a disconnected client is abandoned", func() bool { return s.inFlight() == 0 })
 	close(goOn)
 	s.requireOnlyReceives(e, "bb")
 }
 
-// blockingClient holds the goroutine of a session that sends an attempt until done is closed.
+// blockingClient is an engine client whose send blocks the session's goroutine until done is closed. send closes busy first.
 type blockingClient struct {
 	engineClient
 	busy, done chan bool
@@ -209,7 +211,8 @@
 	<-b.done
 }
 
-// The connection comes up before the session has seen its client leave, as it stands still: nothing is written all the same.
+// The connection to the engine comes up after the client disconnected, but before the session, which is blocked, has noticed
+// the disconnect. The attempt must not be written.
 func TestClientLeftWhenTheConnectionIsUp(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
@@ -226,18 +229,18 @@
 	})
 	<-busy
 	a.socket.Close()
-	eventually(t, "the end is there", func() bool {
+	eventually(t, "the client's end of stream has arrived", func() bool {
 		gone := make(chan bool, 1)
 		s.onOwner(func(admission.Time) { gone <- s.o.requests["00000000000000aa"].responder.hasClientLeft() })
 		return <-gone
 	})
 	close(goOn)
-	eventually(t, "the request is withdrawn", func() bool { return s.inFlight() == 0 })
+	eventually(t, "the request is abandoned", func() bool { return s.inFlight() == 0 })
 	close(done)
 	s.requireOnlyReceives(e, "bb")
 }
 
-// Who sends on and on before the answer is ended with an error, and the attempt is called off.
+// A client that sends too much before its answer gets an error and its session ends. The attempt is cancelled.
 func TestFloodBeforeTheAnswer(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -250,15 +253,15 @@
 		t.Errorf("the client got %q", p)
 	}
 	if h := <-e.received; h.parts[0] != "undo" {
-		t.Errorf("the engine heard %q", h.parts)
+		t.Errorf("the engine received %q", h.parts)
 	}
 	s.awaitLog("code=flooded")
 	if n := s.inFlight(); n != 0 {
-		t.Errorf("%d requests in hand", n)
+		t.Errorf("%d outstanding requests, want 0", n)
 	}
 }
 
-// The crossings of a call with the session's read, each at its line.
+// An event may be queued before, during or after the session's read. The test covers each of these cases.
 func TestMailboxInterruptsAtEveryLine(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
@@ -274,37 +277,37 @@
 	m := newSessionQueue(func(sessionEvent) { called++ })
 	m.Put(call)
 	if m.beginInterruptibleRead(near) {
-		t.Error("a session may read though a call waits already")
+		t.Error("the session may read although an event is queued")
 	}
 	m.run()
 
 	if !m.beginInterruptibleRead(near) {
-		t.Fatal("a session may not read though no call waits")
+		t.Fatal("the session may not read although no event is queued")
 	}
 	m.Put(call) // before the read
 	if err := interrupted(m); !os.IsTimeout(err) {
-		t.Errorf("a call before the read left it waiting: %v", err)
+		t.Errorf("an event queued before the read did not interrupt it: %v", err)
 	}
 	m.run()
 
 	m.beginInterruptibleRead(near)
 	read := make(chan error)
 	go func() { read <- interrupted(m) }()
-	m.Put(call) // while it reads, or just before
+	m.Put(call) // during the read, or just before it
 	if err := <-read; !os.IsTimeout(err) {
-		t.Errorf("a call during the read left it waiting: %v", err)
+		t.Errorf("an event queued during the read did not interrupt it: %v", err)
 	}
 	m.run()
 
 	m.beginInterruptibleRead(near)
 	m.endInterruptibleRead()
-	m.Put(call) // after the read: the next one is not disturbed
+	m.Put(call) // after the read; the next read must not be interrupted
 	go func() { _, _ = far.Write([]byte{1}) }()
 	if _, err := near.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a call after the read disturbed the next: %v", err)
+		t.Errorf("an event queued after the read interrupted the next read: %v", err)
 	}
 	m.run()
 	if called != 4 {
-		t.Errorf("%d of 4 calls made", called)
+		t.Errorf("%d of 4 events were handled", called)
 	}
 }
--- a/internal/router/client_session.go
+++ b/internal/router/client_session.go
@@ -13,42 +13,40 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-// clientSession is one client's connection. Its goroutine reads a query, hands it in as a request, and then handles events
-// until the final answer is written.
+// clientSession serves one client connection. Its goroutine reads a query, submits it to the owner as a request, and then
+// handles events until the final answer is written.
 type clientSession struct {
 	owner           *owner
 	socket          net.Conn
 	input           *bufio.Reader
 	connectionID    uint32
-	payload         []byte // of the packet read last
-	packetNumber    byte   // of the packet read last
+	payload         []byte // payload of the last packet read
+	packetNumber    byte   // sequence number of the last packet read
 	events          *sessionQueue
-	statementReader StatementReader // nil if statements are not read
+	statementReader StatementReader // nil if the gateway has no resource groups
 	startedAt       time.Time
 
-	// endReason is the code with which the end of the session is logged; empty while it goes on. dismissed tells that the
-	// client was told why.
-	endReason string
-	dismissed bool
+	endReason string // code by which the log reports why the session ended; empty until the session ends
+	dismissed bool   // the client has received a last answer, so the session lingers before it closes
 
-	protocolErrors int       // in a row
-	lastRequestID  [16]byte  // of the query before
-	rejections     int       // queries rejected or given up in a row
-	rejectedAt     time.Time // when the last one was
+	protocolErrors int       // invalid commands in a row
+	lastRequestID  [16]byte  // request id of the previous query
+	rejections     int       // rejections since a result was last written
+	rejectedAt     time.Time // time of the last rejection
 
-	// The request in hand.
-	answerDeadline time.Time // when a client that stopped waiting has closed
+	// State of the outstanding request.
+	answerDeadline time.Time // a client that stopped waiting has closed its connection by then
 	awaitingAnswer bool
-	unanswered     bool // it ended without an answer, because its client left or seemed to
+	unanswered     bool // the request ended without an answer: the client disconnected or sent too much, or its query was killed
 	attempts       []*attempt
 
-	// Guarded by the connection limiter.
+	// Used by the connection limiter. Its mutex guards idleList, idleElement and evicted.
 	idleList     *list.List
-	idleElement  *list.Element // nil while the session is busy
+	idleElement  *list.Element // nil while the session is busy or evicted
 	answeredOnce bool          // a command was answered
 	evicted      bool
 
-	request *request // in hand, as the owner knows it; nil: none
+	request *request // the session's outstanding request; nil if there is none. Only the owner's goroutine uses it.
 }
 
 const (
@@ -59,29 +57,32 @@
 const (
 	// clientCloseDelay is how long after its deadline a client that stopped waiting closes its connection.
 	clientCloseDelay = 500 * time.Millisecond
-	// maxStatementSize is the size of the longest statement in bytes. The protocol names none, and its fields and names fill no
-	// more than some hundred bytes.
+	// maxStatementSize is the maximum payload size of a client's packet, in bytes. The protocol states no limit, and its fields
+	// and names take no more than a few hundred bytes.
 	maxStatementSize = 1 << 18
-	// usualStatementSize is what a session allocates for a statement before more of it has come, and keeps for the next one.
+	// usualStatementSize is the step in bytes by which a session grows its buffer as a packet arrives, so that a large length in
+	// the header alone takes no memory. The session keeps a buffer of up to this size for the next packet.
 	usualStatementSize = 1 << 13
-	// packetTimeout is how long a begun packet may take to become complete. The protocol owes a client a close within 3 s.
+	// packetTimeout is how long the rest of a packet may take to arrive after its header. The protocol requires the gateway to
+	// close the connection of an incomplete packet within 3 s.
 	packetTimeout = 2 * time.Second
-	// maxProtocolErrors is how many commands in a row may be none of the protocol's before the session ends.
+	// maxProtocolErrors is the number of invalid commands in a row after which the session ends.
 	maxProtocolErrors = 8
-	// maxQuickRejections is how many rejections in a row a client may have without a pause of rejectionPause before the next
-	// one. Usual clients wait several times as long, and one that does not costs no more than fifty answers a second.
+	// After maxQuickRejections rejections in a row, the session reads the next command no earlier than rejectionPause after the
+	// last rejection. Usual clients wait several times as long by themselves. A client that doesn't wait causes no more than
+	// fifty answers a second.
 	maxQuickRejections = 4
 	rejectionPause     = 20 * time.Millisecond
-	// maxReadAhead is how many bytes are read from a client that sends before it has its answer. The protocol has it send
-	// nothing then.
+	// maxReadAhead is how many bytes the session reads from a client that sends before it has received its answer. The protocol
+	// forbids clients to do so.
 	maxReadAhead = 1 << 12
-	// lingerTimeout and maxLingerBytes limit what is read from a client after its last answer, because a close over unread
-	// bytes would take the answer with it.
+	// lingerTimeout and maxLingerBytes limit how long and how many bytes a session reads from a client after its last answer. It
+	// reads them because closing a connection with unread input resets it, and the client would lose the answer.
 	lingerTimeout  = 300 * time.Millisecond
 	maxLingerBytes = 1 << 18
 )
 
-// run serves a session and logs its end. It is the session's goroutine.
+// run serves a session and logs its end. It runs on the session's own goroutine.
 func (s *clientSession) run() {
 	o := s.owner
 	o.post(sessionOpened{s})
@@ -96,7 +97,7 @@
 	s.serve()
 }
 
-// serve speaks with a client until one of the two ends the session.
+// serve logs the client in and handles its commands until the client or the gateway ends the session.
 func (s *clientSession) serve() {
 	s.logIn()
 	for s.endReason == "" && s.readPacket() {
@@ -104,30 +105,32 @@
 	}
 	switch {
 	case s.endReason == "displaced":
-		s.linger(closeCrossingTime) // its descriptor is wanted
+		s.linger(closeCrossingTime) // shorter than lingerTimeout, because the descriptor is needed
 	case s.dismissed, s.endReason == "idle", s.endReason == "stopped":
 		s.linger(lingerTimeout)
 	}
 }
 
-// dismiss answers a client for the last time.
+// dismiss sends a client a last error packet and ends the session. code is the end reason for the log; number and text go
+// into the error packet.
 func (s *clientSession) dismiss(code string, number uint16, text string) {
 	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, number, text))
 	s.endReason, s.dismissed = code, true
 }
 
-// linger ends what the client reads, and reads and discards what it sends until it has closed, for a time at most. A close
-// over unread bytes would reset the connection and take the last answer with it.
+// linger closes the sending direction of the connection, and discards what the client still sends until the client closes
+// too, the timeout passes, or maxLingerBytes are read. Closing a connection with unread input would reset it, and the client
+// would lose the last answer.
 func (s *clientSession) linger(timeout time.Duration) {
 	closeWrite(s.socket)
 	s.socket.SetReadDeadline(time.Now().Add(timeout))
-	_, _ = io.CopyN(io.Discard, s.input, maxLingerBytes) // however it ends, the connection is closed next
+	_, _ = io.CopyN(io.Discard, s.input, maxLingerBytes) // errors don't matter, because the connection is closed next
 }
 
-// newClientReader returns a buffered reader of what a client sends.
+// newClientReader returns a buffered reader of a client connection.
 func newClientReader(socket net.Conn) *bufio.Reader { return bufio.NewReaderSize(socket, maxReadAhead) }
 
-// readPacket reads the next packet's payload. It reports false if the session ends instead.
+// readPacket reads the payload of the next packet. It reports false, and sets the end reason, if the session must end.
 func (s *clientSession) readPacket() bool {
 	if rest := rejectionPause - time.Since(s.rejectedAt); rest > 0 && s.rejections >= maxQuickRejections {
 		time.Sleep(rest)
@@ -158,7 +161,7 @@
 		}
 		n, err := s.input.Read(s.payload[len(s.payload):min(length, cap(s.payload))])
 		s.payload = s.payload[:len(s.payload)+n]
-		if errors.Is(err, os.ErrDeadlineExceeded) && hasInput(s.socket) { // it came while this process stood still
+		if errors.Is(err, os.ErrDeadlineExceeded) && hasInput(s.socket) { // the bytes arrived during a stall of this process
 			err = readArrived(s.socket, s.input, 1)
 		}
 		if err != nil {
@@ -169,8 +172,8 @@
 	return true
 }
 
-// peekHeader waits for the header of the next packet. One that has begun to come when the time runs out has finalReadWait to
-// become complete.
+// peekHeader waits for the header of the next packet. If the deadline passes when some of the header has arrived, the rest
+// may take up to finalReadWait.
 func (s *clientSession) peekHeader() ([]byte, error) {
 	head, err := s.input.Peek(mysql.HeaderSize)
 	if !errors.Is(err, os.ErrDeadlineExceeded) || !hasInput(s.socket) {
@@ -183,7 +186,7 @@
 	return s.input.Peek(mysql.HeaderSize)
 }
 
-// endUnread ends a session that waited for a packet, of which nothing or less than its header came.
+// endUnread ends a session that waited for a packet but received no complete header.
 func (s *clientSession) endUnread(err error) {
 	switch {
 	case !errors.Is(err, os.ErrDeadlineExceeded):
@@ -197,16 +200,16 @@
 	}
 }
 
-// endCutShort ends a session of which a begun packet did not become complete.
+// endCutShort ends a session that received an incomplete packet.
 func (s *clientSession) endCutShort(err error) {
-	if !errors.Is(err, os.ErrDeadlineExceeded) { // the client is gone
+	if !errors.Is(err, os.ErrDeadlineExceeded) { // the client has disconnected
 		s.endReason = "cut_short"
 		return
 	}
 	s.dismiss("cut_short", mysql.ErrParse, "a packet was cut short")
 }
 
-// releaseStatementBuffer frees the buffer of a long statement.
+// releaseStatementBuffer frees the payload buffer if it is larger than usualStatementSize.
 func (s *clientSession) releaseStatementBuffer() {
 	if cap(s.payload) > usualStatementSize {
 		s.owner.usage.statementBytes.Add(-int64(cap(s.payload)))
@@ -214,7 +217,8 @@
 	}
 }
 
-// growPayload makes room for n more bytes of a statement. It reports false if long statements hold too much memory.
+// growPayload grows the payload buffer by n bytes of capacity. It reports false if the large buffers of all sessions together
+// exceed the memory limit for statements.
 func (s *clientSession) growPayload(n int) bool {
 	old := cap(s.payload)
 	s.payload = slices.Grow(s.payload, n)
@@ -223,13 +227,14 @@
 		return true
 	}
 	if old <= usualStatementSize {
-		old = 0 // that is not counted
+		old = 0 // statementBytes doesn't include buffers up to usualStatementSize
 	}
 	all := s.owner.usage.statementBytes.Add(int64(size - old))
 	return s.owner.usage.maxStatementBytes == 0 || all <= s.owner.usage.maxStatementBytes
 }
 
-// writePackets writes packets. They must be written by the time at which a client that stopped waiting has closed.
+// writePackets writes packets to the client. The write deadline is clientCloseDelay from now, or answerDeadline if that is
+// later: by then a client that stopped waiting has closed its connection.
 func (s *clientSession) writePackets(packets ...[]byte) {
 	by := time.Now().Add(clientCloseDelay)
 	if s.answerDeadline.After(by) {
@@ -240,10 +245,10 @@
 	}
 }
 
-// logIn greets a client and checks its login.
+// logIn sends the greeting to a client and checks the client's login.
 func (s *clientSession) logIn() {
 	var salt [20]byte
-	for i := range salt { // passwords are empty, so there is nothing for it to guard
+	for i := range salt { // a predictable salt is enough, because passwords are empty
 		salt[i] = byte('a' + (int(s.connectionID)+i)%26)
 	}
 	s.writePackets(mysql.AppendGreeting(nil, s.connectionID, &salt))
@@ -263,13 +268,13 @@
 	}
 }
 
-// noteRejection counts a rejection, by which the next command may be delayed.
+// noteRejection counts a rejection. After too many in a row, readPacket delays the next command.
 func (s *clientSession) noteRejection() {
 	s.rejections++
 	s.rejectedAt = time.Now()
 }
 
-// rejectCommand answers a command that is none of the protocol's, and ends the session after too many of them.
+// rejectCommand answers an invalid command with an error. It ends the session after maxProtocolErrors of them in a row.
 func (s *clientSession) rejectCommand(code uint16, text string) {
 	s.noteRejection()
 	s.protocolErrors++
@@ -280,7 +285,7 @@
 	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, code, text))
 }
 
-// handleCommand carries out the command in the packet read last.
+// handleCommand executes the command in the last packet read.
 func (s *clientSession) handleCommand() {
 	if len(s.payload) == 0 {
 		s.dismiss("bad_packet", mysql.ErrParse, "empty packet")
--- a/internal/router/client_session_test.go
+++ b/internal/router/client_session_test.go
@@ -10,7 +10,8 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-func TestRequestWithoutAnEngineIsRejected(t *testing.T) { // no engine, so it is held while that is of use
+// A request is held while no engine is available, and is rejected when holding it any longer is of no use.
+func TestRequestWithoutAnEngineIsRejected(t *testing.T) {
 	s := startFixture(t)
 	a := s.newClient()
 	a.sendLook("aa")
@@ -20,7 +21,8 @@
 	s.compareTrace("nacked")
 }
 
-func TestKillQueryWithdrawsTheRequest(t *testing.T) { // nothing is owed then, the engine is told, and the session can go on
+// KILL QUERY ends a request without an answer and cancels its attempt at the engine. The session remains usable.
+func TestKillQueryWithdrawsTheRequest(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
@@ -41,7 +43,8 @@
 	s.compareTrace("killed")
 }
 
-// The owner looked at what a session writes as it reads its next query, which the race detector tells.
+// A KILL QUERY may arrive while the session reads its next query. The owner must not access the fields that the session writes
+// then, as it once did. The race detector reports such an access.
 func TestKillQueryBetweenTwoRequests(t *testing.T) {
 	s := startFixture(t)
 	a, b := s.newClient(), s.newClient()
@@ -50,7 +53,7 @@
 		a.send(0, fmt.Appendf([]byte{mysql.Query}, "/* class=look,id=%016x,wait=1 */ SELECT a FROM t_7.x", i))
 		b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
 		b.packet()
-		if p := a.packet(); p[0] == 0xff { // its time is too short to hold it, so no KILL finds it in hand
+		if p := a.packet(); p[0] == 0xff { // its wait of 1 ms is too short to hold it, so no KILL QUERY finds it outstanding
 			nacked++
 		}
 	}
@@ -58,7 +61,8 @@
 	s.compareTrace("killed between")
 }
 
-// Who speaks no protocol gets an error or a close, with a code, and no engine hears of it.
+// A client that violates the protocol gets an error packet, or its connection is closed. The log has a code for the end of its
+// session. Nothing is sent to the engine.
 func TestBadClientsAreToldAndEnded(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -99,12 +103,13 @@
 		s.awaitLog("peer=" + b.socket.LocalAddr().String() + " code=" + c.code)
 	}
 	if len(e.received) > 0 {
-		t.Error("the engine heard of it")
+		t.Error("the engine received a command")
 	}
 	s.compareTrace("bad clients")
 }
 
-func TestOddCommandsReachNoEngine(t *testing.T) { // errors and codes; nothing of it reaches an engine
+// Invalid and unusual commands get errors, and the ends of their sessions get codes in the log. Nothing is sent to the engine.
+func TestOddCommandsReachNoEngine(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
@@ -145,7 +150,7 @@
 		s.awaitLog("code=" + code)
 	}
 	if len(e.received) > 0 {
-		t.Error("the engine heard of it")
+		t.Error("the engine received a command")
 	}
 	s.compareTrace("odd clients")
 }
--- a/internal/router/connection_limiter.go
+++ b/internal/router/connection_limiter.go
@@ -7,35 +7,37 @@
 	"time"
 )
 
-// connectionLimiter limits the number of client sessions to the clients' part of the descriptors. A newcomer that finds the
-// limit reached takes the place of an idle session of which no input waits to be read: of those that have asked for nothing
-// yet the oldest, else the one that has been idle for longest. A session with a query is never evicted.
+// connectionLimiter limits the number of client sessions to the file descriptors reserved for clients. When the limit is
+// reached, a new session evicts an idle session that has no unread input. Sessions that have not had a command answered yet
+// are evicted first, the oldest of them before the others; then the session that has been idle for longest. A session with a
+// running query is never evicted.
 type connectionLimiter struct {
 	mu            sync.Mutex
 	limit         int // 0: no limit
-	sessions      int // that run and are not evicted
-	lingering     int // connections that are about to be closed, beyond the limit
+	sessions      int // admitted sessions that are neither evicted nor removed
+	lingering     int // evicted or rejected connections that still read input before they close; they don't count toward limit
 	closing       bool
-	idleNewcomers list.List // idle sessions without an answer to any command yet, the oldest first
-	idleKnown     list.List // the other idle sessions, the one that has been idle for longest first
+	idleNewcomers list.List // idle sessions that have not had a command answered yet, oldest first
+	idleKnown     list.List // the other idle sessions, the one idle for longest first
 }
 
 const (
-	// firstQueryTimeout is how long a client may be connected without a command. The protocol owes it a close within 3 s; the
-	// rest is for the close.
+	// firstQueryTimeout is how long a client may be connected before its first command. The protocol requires the gateway to
+	// close such a connection within 3 s; the remaining 0.5 s is for the close itself.
 	firstQueryTimeout = 2500 * time.Millisecond
-	// idleClientTimeout is how long a client may be idle. Clients close connections that were idle for 4 s, so one that is
-	// there for longer is stuck or forgotten.
+	// idleClientTimeout is how long a client may be idle. Clients close connections that have been idle for 4 s, so a
+	// connection that is idle for longer is stuck or forgotten.
 	idleClientTimeout = 5 * time.Second
-	// finalReadWait is how long input is still awaited that was sent before a deadline or a stop. It must cover the last
-	// requests, which clients send until 0.1 s before drainTime is over.
+	// finalReadWait is how long the gateway still waits for input that may have been sent before a deadline passed or the
+	// shutdown began. It must cover the last requests, which clients send until 0.1 s before drainTime is over.
 	finalReadWait = 100 * time.Millisecond
-	// maxLingering is how many connections may be kept open for their last answers, a part of reservedDescriptors. Beyond it
-	// they are closed at once, because their descriptors are wanted.
+	// maxLingering is how many connections may be kept open so that their clients receive the last answer. It is a part of
+	// reservedDescriptors. Connections beyond it are closed at once, because their descriptors are needed.
 	maxLingering = reservedDescriptors / 3
 )
 
-// admit counts a session in, and evicts another one if it must. It reports false if all are busy with queries.
+// admit adds a session, and evicts another one if the limit is reached. It reports false, and doesn't add the session, if no
+// session can be evicted because each is busy or has unread input.
 func (l *connectionLimiter) admit(s *clientSession) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,8 +56,9 @@
 	return true
 }
 
-// evict ends an idle session. Its client sees the end of what it reads. What the client sends at that very moment is still
-// read by the session, because a close over unread bytes would reset the connection. The caller holds mu.
+// evict ends an idle session. It closes the sending direction of the connection, so that the client reads the end of the
+// stream. The session still reads what the client sends at the same time, because closing a connection with unread input
+// resets it. Beyond maxLingering connections, evict closes the connection at once. The caller holds mu.
 func (l *connectionLimiter) evict(s *clientSession) {
 	l.removeIdle(s)
 	s.evicted = true
@@ -69,7 +72,8 @@
 	s.socket.SetReadDeadline(expiredDeadline)
 }
 
-// beginLinger reports whether one more connection may be kept open for its last answer. If so, endLinger follows.
+// beginLinger reports whether one more connection may be kept open so that its client receives the last answer. If it
+// returns true, the caller must call endLinger when the connection is closed.
 func (l *connectionLimiter) beginLinger() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,8 +90,8 @@
 	l.lingering--
 }
 
-// firstWithoutInput returns the first session of a list of which no input waits to be read; nil if there is none. A burst of
-// newcomers, or a stall of this process, must not cost a client its place that has sent a command.
+// firstWithoutInput returns the first session in a list that has no unread input, or nil if there is none. A client that has
+// sent a command must not be evicted because many clients connect at once or because this process was stalled.
 func firstWithoutInput(sessions *list.List) *clientSession {
 	for s := range sessionsOf(sessions) {
 		if !hasInput(s.socket) {
@@ -108,7 +112,8 @@
 	}
 }
 
-// markIdle lists a session as idle while it waits for a packet, and sets the read deadline of that wait.
+// markIdle sets the read deadline for a session that waits for a packet. It adds the session to an idle list, unless the
+// session is on one already, was evicted, or has buffered input.
 func (l *connectionLimiter) markIdle(s *clientSession) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +125,7 @@
 	soonest := now.Add(finalReadWait)
 	if !s.answeredOnce {
 		deadline = s.startedAt.Add(firstQueryTimeout)
-		if deadline.Before(soonest) { // this process was slow to read the login, not its client to send it
+		if deadline.Before(soonest) { // this process may have been slow to read the login, so the client gets more time
 			deadline = soonest
 		}
 	}
@@ -130,7 +135,8 @@
 	s.socket.SetReadDeadline(deadline)
 }
 
-// markBusy takes a session that reads a packet off the idle lists, and reports whether it was not evicted before.
+// markBusy removes a session from its idle list because its wait for a packet is over. It reports false if the session was
+// evicted during the wait.
 func (l *connectionLimiter) markBusy(s *clientSession) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +144,7 @@
 	return !s.evicted
 }
 
-// remove counts a session out that has ended.
+// remove removes a session that has ended from the counts and from its idle list.
 func (l *connectionLimiter) remove(s *clientSession) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,7 +156,7 @@
 	}
 }
 
-// addIdle adds a session to its idle list. The caller holds mu.
+// addIdle appends a session to the idle list that it belongs to. The caller holds mu.
 func (l *connectionLimiter) addIdle(s *clientSession) {
 	s.idleList = &l.idleNewcomers
 	if s.answeredOnce {
@@ -159,7 +165,7 @@
 	s.idleElement = s.idleList.PushBack(s)
 }
 
-// removeIdle takes a session off its idle list, if it is on one. The caller holds mu.
+// removeIdle removes a session from its idle list, if it is on one. The caller holds mu.
 func (l *connectionLimiter) removeIdle(s *clientSession) {
 	if s.idleElement != nil {
 		s.idleList.Remove(s.idleElement)
@@ -167,7 +173,8 @@
 	}
 }
 
-// beginShutdown ends the sessions: idle ones once finalReadWait is over, the others with their answers.
+// beginShutdown makes idle sessions end once finalReadWait is over. The other sessions end after they have answered their
+// requests.
 func (l *connectionLimiter) beginShutdown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -185,7 +192,7 @@
 	return l.closing
 }
 
-// isEmpty tells whether no session runs any more, and no connection is kept open for its last answer.
+// isEmpty reports whether all sessions have ended and no connection is kept open for its last answer.
 func (l *connectionLimiter) isEmpty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/router/connection_limiter_test.go
+++ b/internal/router/connection_limiter_test.go
@@ -10,14 +10,15 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-// Beyond the descriptors for clients a newcomer takes the place of one without a query, strangers first.
+// When the limit of sessions is reached, a new client evicts an idle one. Clients that have not had a command answered yet are
+// evicted first.
 func TestNewcomerDisplacesAnIdleClient(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	s.o.clients.mu.Lock()
 	s.o.clients.limit = 2
 	s.o.clients.mu.Unlock()
-	// The session is in its place some time after its client has heard.
+	// A session may enter its idle list some time after its client has received the answer.
 	until := func(there func(d *connectionLimiter) bool) {
 		for ok := false; !ok; time.Sleep(time.Millisecond) {
 			s.o.clients.mu.Lock()
@@ -48,7 +49,8 @@
 	s.compareTrace("door")
 }
 
-// In a burst, or while this process stands still, newcomers have spoken and are not read yet: the silent go first.
+// In a burst of new clients, or during a stall of this process, sessions can have input that is not read yet. Sessions without
+// unread input must be evicted first.
 func TestClientThatHasSpokenKeepsItsPlace(t *testing.T) {
 	s := &fixture{t: t}
 	l := s.listen()
@@ -81,7 +83,7 @@
 	s.compareTrace("burst")
 }
 
-// displacedOf returns the sessions that were evicted.
+// displacedOf returns the evicted ones among the given sessions.
 func displacedOf(all []*clientSession) (displaced []*clientSession) {
 	for _, s := range all {
 		if s.evicted {
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -19,7 +19,8 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// asRouter is the environment variable with the configuration by which this program runs a gateway in place of its tests.
+// asRouter is the environment variable that holds the path of a configuration. If it is set, the test binary runs a gateway
+// with that configuration instead of the tests.
 const asRouter = "ROUTER_TEST_CONFIG"
 
 func TestMain(m *testing.M) {
@@ -29,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// serveAsProcess runs a gateway's process, as the command line does.
+// serveAsProcess runs a gateway until SIGTERM, as the command line does, and returns the process's exit code.
 func serveAsProcess(path string) int {
 	ends := make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM)
@@ -50,7 +51,7 @@
 	return 0
 }
 
-// startProcess starts a gateway as a process with a limit on its descriptors.
+// startProcess starts a gateway as a separate process with a limit on its file descriptors.
 func startProcess(t *testing.T, configuration string, descriptors int) (process *exec.Cmd, log *lockedBuffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.json")
@@ -71,7 +72,7 @@
 	return process, log
 }
 
-// freeAddress returns an address on which nobody listens.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := listenTCP("127.0.0.1:0")
@@ -98,8 +99,8 @@
 	return k
 }
 
-// Idle clients fill every descriptor that they can get while the engine list is down: once it is back, the list, the engine and its
-// probes still get theirs, and a client that asks is served.
+// While the engine list is down, idle clients take every file descriptor that they can get. Once the list is up, there must
+// still be descriptors for connections to the list, for attempts and for health checks, and a client's query must be served.
 func TestDescriptorsForListAndEngines(t *testing.T) {
 	const descriptors = 96
 	e, err := fake.StartEngine("e-1", "127.0.0.1:0", fake.EngineBehavior{Threads: 4, Cores: 8,
@@ -111,7 +112,7 @@
 	address, listAddress := freeAddress(t), freeAddress(t)
 	_, log := startProcess(t, fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","limits":{"sockets":%d},"coordinator":%q,
 	 "known":{"index":0,"updates":[]},"settings":%s}`, address, descriptors, listAddress, settings), descriptors)
-	eventually(t, "the router serves", func() bool { return logIn(address) != nil })
+	eventually(t, "the gateway accepts logins", func() bool { return logIn(address) != nil })
 	var crowd []net.Conn
 	defer func() {
 		for _, c := range crowd {
@@ -136,14 +137,14 @@
 	defer list.Close()
 	fill()
 	served := false
-	eventually(t, "a client is served before the crowd", func() bool {
+	eventually(t, "a client's query is served despite the idle connections", func() bool {
 		k := logIn(address)
 		if k == nil {
 			return false
 		}
 		defer k.socket.Close()
 		_, _ = k.socket.Write(queryPacket(fmt.Sprintf("%02x", len(crowd)%256)))
-		served = k.packet()[0] == 3 // the columns of a result
+		served = k.packet()[0] == 3 // the first packet of a result, which holds its number of columns
 		fill()
 		return served
 	})
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -13,7 +13,7 @@
 	"magpiebank/internal/traffic/capture"
 )
 
-// handleQuery hands a statement in as a request and returns once it has its final answer.
+// handleQuery submits a statement to the owner as a request, and returns once the request has its final answer.
 func (s *clientSession) handleQuery(sql []byte) {
 	parsed, err := mysql.ReadRequest(sql)
 	class := slices.Index(s.owner.network.Classes, string(parsed.Class))
@@ -42,11 +42,11 @@
 	for _, attempt := range s.attempts {
 		attempt.release()
 	}
-	clear(s.attempts) // an idle session keeps no results
+	clear(s.attempts) // so that an idle session retains no results
 	s.attempts = s.attempts[:0]
 }
 
-// mayRequest tells whether a query may become a request now. Otherwise it ends the session with an answer.
+// mayRequest reports whether a query may be submitted as a request now. If not, it answers the query and ends the session.
 func (s *clientSession) mayRequest(parsed *mysql.Request) bool {
 	switch {
 	case s.owner.clients.isShuttingDown():
@@ -62,8 +62,9 @@
 	return false
 }
 
-// awaitAnswer handles events until the request in hand has its final answer. Meanwhile it reads ahead, so that it notices
-// when the client leaves, also behind commands that came early. The request of a client that left is withdrawn.
+// awaitAnswer handles events until the request has its final answer. Meanwhile it reads ahead from the client, so that it
+// notices a disconnect even after commands that the client sent early. If the client disconnects or sends too much,
+// awaitAnswer asks the owner to abandon the request.
 func (s *clientSession) awaitAnswer(request *request) {
 	for watching := true; s.awaitingAnswer; s.events.run() {
 		if !watching {
@@ -91,7 +92,7 @@
 	}
 }
 
-// endFlooded ends a session whose client sends without waiting for answers, with an error if its request had no answer yet.
+// endFlooded dismisses a client that sent too much before its answer. It sends an error if the request was not answered.
 func (s *clientSession) endFlooded() {
 	if s.unanswered {
 		s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrInterrupted, "too much was sent before the answer"))
@@ -99,8 +100,8 @@
 	s.dismissed = true
 }
 
-// validateRequest returns an error if a request doesn't fit the deployment. class is the index of its class, negative if the
-// deployment has no such class.
+// validateRequest returns an error if a request is invalid in this deployment. class is the index of the request's class, or
+// negative if the deployment has no such class.
 func validateRequest(r *mysql.Request, class int, network *config.Network, deployment *admission.Deployment) error {
 	switch {
 	case class < 0:
@@ -115,7 +116,8 @@
 	return nil
 }
 
-// newRequest returns the request of a query. Its statement and token lie in the session's buffer.
+// newRequest returns a request for a parsed query. The request's statement and idempotency token point into the session's
+// payload buffer.
 func (s *clientSession) newRequest(r *mysql.Request, class int) *request {
 	return &request{
 		id:               admission.RequestID(r.ID),
@@ -132,9 +134,9 @@
 	}
 }
 
-// clientEstimate returns what a client says that its request will take, limited to what could be served at all, so that a
-// wrong estimate doesn't spoil what is learned of the class: the longest wait on all threads of the class, and the memory
-// of the largest engine.
+// clientEstimate returns the client's own estimate of the work and memory that its request needs. It limits the estimate to
+// the most that could be served at all, so that a wrong one doesn't distort what is learned about the class: for work, the
+// longest wait of the class times the threads that its requests use; for memory, the size of the largest engine.
 func (o *owner) clientEstimate(r *mysql.Request, class int) admission.Estimate {
 	work, memory := r.WorkMS, r.MemoryMB
 	if longest := o.network.LongestWaits[class]; longest > 0 {
@@ -146,32 +148,34 @@
 	return admission.Estimate{Work: admission.Time(work * float64(admission.Millisecond)), Memory: memory}
 }
 
-// detectDeparture reads what the client has sent, and tells whether it has left, also behind commands that came early.
+// detectDeparture reads the input that has already arrived, and reports whether the client has disconnected. It detects a
+// disconnect even after commands that the client sent early.
 func (s *clientSession) detectDeparture() bool {
 	if err := readArrived(s.socket, s.input, maxReadAhead); err != nil {
-		return false // the next read tells why
+		return false // the session's next read returns the error
 	}
 	_, ended := peekSocket(s.socket)
 	return ended
 }
 
-// hasPipelinedInput tells whether a command came before the answer to the one in hand. A client may quit, though.
+// hasPipelinedInput reports whether the client sent another command before the answer to the current one. A single quit
+// command is allowed and doesn't count.
 func (s *clientSession) hasPipelinedInput() bool {
 	next, _ := s.input.Peek(s.input.Buffered())
 	quits := len(next) == mysql.HeaderSize+1 && next[mysql.HeaderSize] == mysql.Quit
 	return len(next) > 0 && !quits
 }
 
-// usualHeadBytes is room for the packets before a result's rows.
+// usualHeadBytes is the initial buffer capacity for the packets before a result's rows.
 const usualHeadBytes = 512
 
-// writeResult writes a result.
+// writeResult writes a result to the client, or an error if the engine's rows are malformed.
 func (s *clientSession) writeResult(pages [][]byte) {
 	s.awaitingAnswer, s.rejections = false, 0
 	head, number := mysql.AppendColumns(make([]byte, 0, usualHeadBytes), s.packetNumber+1)
 	size := 0
 	for _, page := range pages {
-		size += len(page) + len(page)/2 // rows grow by half as packets, as a rule
+		size += len(page) + len(page)/2 // encoding rows as packets usually makes them half as long again
 	}
 	rows := make([]byte, 0, size)
 	for _, page := range pages {
@@ -185,14 +189,14 @@
 	s.writePackets(head, rows, mysql.AppendEOF(nil, number))
 }
 
-// writeDenial writes the final answer that an operator's rule has for a request.
+// writeDenial writes that a request is denied, and why. See requestDenied.
 func (s *clientSession) writeDenial(why string) {
 	s.awaitingAnswer = false
 	s.noteRejection()
 	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrForbidden, why))
 }
 
-// writeRejection writes that a request was shed.
+// writeRejection writes that a request is rejected. The client may retry after retryAfterMS; 0 states no time.
 func (s *clientSession) writeRejection(retryAfterMS int64) {
 	s.awaitingAnswer = false
 	s.noteRejection()
@@ -205,11 +209,11 @@
 	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrInterrupted, "written off"))
 }
 
-// writeRefusal answers a query that never became a request.
+// writeRefusal writes that a query is not a valid request, and why. See requestInvalid.
 func (s *clientSession) writeRefusal(why string) {
 	s.awaitingAnswer = false
 	s.rejectCommand(mysql.ErrParse, why)
 }
 
-// abandonRequest ends a request whose client stopped waiting. No answer is owed.
+// abandonRequest ends a request whose client no longer waits. Nothing is written.
 func (s *clientSession) abandonRequest() { s.awaitingAnswer, s.unanswered = false, true }
--- a/internal/router/query_test.go
+++ b/internal/router/query_test.go
@@ -7,8 +7,8 @@
 	"magpiebank/internal/admission"
 )
 
-// customer is another deployment: its clients name tenants and send estimates, and its loads carry a token by which engines
-// tell a repeat.
+// tenantSettings are the settings of a deployment whose clients state tenants and estimates. Its load requests have an
+// idempotency token, by which engines detect a repeated request.
 const customer = `{"fleetSize":1,"zones":["hall"],"skus":["std"],"projects":[{"name":"north","fraction":0.5},{"name":"south","fraction":0.5}],
  "classes":[{"name":"look","sloUs":1000000,"worth":1,"effect":"read_like"},
   {"name":"load","sloUs":4000000,"worth":10,"effect":"idempotency_key","windowUs":2000000,"fifoByKey":true}],
@@ -17,8 +17,8 @@
 
 const token = "6520e9b9eb7682deebfe42a23d2c027c"
 
-// Every field that clients of a deployment send is taken; the token goes out with each attempt, the estimates are heeded, and
-// what the settings don't know is refused.
+// The gateway reads every field that a client of the deployment can send. It sends the idempotency token with each attempt,
+// uses the client's estimates, and rejects fields and values that the settings don't allow.
 func TestFieldsOfOtherDeployments(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixtureWith(t, customer, e, f)
@@ -30,7 +30,7 @@
 	requests := make(chan request, 1)
 	s.onOwner(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
 	if got := <-requests; got.tenant != 1 || got.key != "000f32068cc24621" || got.estimate.Work != 1205 || got.estimate.Memory != 200 {
-		t.Errorf("tenant %d, key %q, foreseen %+v", got.tenant, got.key, got.estimate)
+		t.Errorf("tenant %d, key %q, estimate %+v", got.tenant, got.key, got.estimate)
 	}
 	s.announceEngine(e, "Terminating")
 	s.announceEngine(f, "Ready")
@@ -39,7 +39,7 @@
 	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	if got := strings.Count(s.out.String(), "token="+token); got != 2 {
-		t.Errorf("%d attempts with the token", got)
+		t.Errorf("%d attempts carried the idempotency token, want 2", got)
 	}
 	for _, fields := range []string{"class=look,id=00000000000000ab,wait=500,tenant=west", "class=look,id=00000000000000ac,wait=500,once=" + token} {
 		a.ask("/* " + fields + " */ SELECT a FROM t_7.x")
@@ -48,7 +48,7 @@
 	s.compareTrace("fields of other deployments")
 }
 
-// An estimate that can't be served at all must not spoil what is learned of a class.
+// A client's estimate is limited to what could be served at all, so that it doesn't distort what is learned about its class.
 func TestEstimatesAreBounded(t *testing.T) {
 	s := startFixtureWith(t, strings.Replace(customer, `"sloUs":1000000,`, `"sloUs":1000000,"deadlineUs":5000000,`, 1))
 	a := s.newClient()
@@ -57,7 +57,7 @@
 	requests := make(chan request, 1)
 	s.onOwner(func(admission.Time) { requests <- *s.o.requests["00000000000000aa"] })
 	if got := (<-requests).estimate; got.Work != 5*admission.Second || got.Memory != 16384 {
-		t.Errorf("foreseen %+v", got)
+		t.Errorf("estimate %+v", got)
 	}
 	s.close()
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,6 @@
-// Package router is the gateway on sockets. It connects client sessions, connections to engines and the engine list to the
-// admission controller, which decides. One goroutine, the owner, calls the controller; events.go lists what it may be told.
+// Package router runs the gateway on network sockets. It connects client sessions, engine connections and the watcher of the
+// engine list to the admission controller, which decides which request runs where and when. Only one goroutine, the owner,
+// calls the controller. The other goroutines send the owner the events that are defined in events.go.
 package router
 
 import (
@@ -20,19 +21,19 @@
 	"magpiebank/internal/traffic/capture"
 )
 
-// Options are the optional parts of a gateway. It does without those that are nil.
+// Options holds the optional parts of a gateway. A nil field disables its part.
 type Options struct {
 	Capture        *capture.Recorder // records requests for later replay
-	ResourceGroups ResourceGroups    // an operator's rules
-	Journal        *Journal          // the durable record of requests
-	Peers          Peers             // the other gateways
+	ResourceGroups ResourceGroups    // applies the operator's rules
+	Journal        *Journal          // records requests durably
+	Peers          Peers             // exchanges messages with the other gateways
 }
 
-// Serve runs a gateway until stop is closed and all requests that it accepted are answered. A configuration that comes by
-// reloads is applied as far as that is possible while serving. Serve returns an error if the gateway can't begin.
+// Serve runs a gateway until stop is closed and every accepted request is answered. When a configuration arrives on reloads,
+// Serve applies the settings that can change while the gateway runs. It returns an error if the gateway can't start.
 func Serve(start *config.Config, options Options, log *slog.Logger, stop <-chan struct{}, reloads <-chan *config.Config) error {
 	if start.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(start.MemoryMB) << 20 * 3 / 4) // the rest is for stacks and the sockets' buffers
+		debug.SetMemoryLimit(int64(start.MemoryMB) << 20 * 3 / 4) // a quarter is left for memory beyond Go's limit, such as socket buffers
 	}
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(context.Background(), "tcp", start.Listen)
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// serve runs the gateway's goroutines until stop is closed and the shutdown is over.
+// serve starts the gateway's goroutines, and returns once stop is closed and the shutdown is complete.
 func (o *owner) serve(start *config.Config, listener net.Listener, stop <-chan struct{}, reloads <-chan *config.Config) {
 	watcher := newWatcher(o, start.DiscoveryAddress)
 	watcher.postEvents(start.KnownEndpoints, admission.CachedUpdate)
@@ -78,14 +79,14 @@
 	o.shutDown(acceptor, reloads, reload)
 	o.stopped.Store(true)
 	close(ended)
-	<-ownerEnded // from now on the owner's state is this goroutine's
+	<-ownerEnded // the owner's goroutine has ended, so this goroutine may access its state
 	for _, client := range o.engines {
 		client.close()
 	}
 	o.awaitConnectionEnds()
 }
 
-// awaitConnectionEnds waits until the end of each connection is logged, but not for long.
+// awaitConnectionEnds waits until the end of every connection is logged, for clientCloseDelay at most.
 func (o *owner) awaitConnectionEnds() {
 	const pollInterval = time.Millisecond
 	deadline := time.Now().Add(clientCloseDelay)
@@ -94,8 +95,9 @@
 	}
 }
 
-// applyConfiguration applies what can change while serving: the address of the engine list and the endpoints known from it.
-// It logs which other parts need a restart.
+// applyConfiguration applies the settings that can change while the gateway runs: the address of the engine list, and the
+// endpoints that the configuration contains. It logs a warning if the name, the memory limit or the settings have changed,
+// because these need a restart.
 func (o *owner) applyConfiguration(watcher *watcher, start, next *config.Config) {
 	needsRestart := func(field string, changed bool) {
 		if changed {
@@ -109,8 +111,8 @@
 	o.log.Info("configuration", "code", "renewed", "engine_list", next.DiscoveryAddress)
 }
 
-// connectionEnded logs the end of a connection, each of which has one line. open is the number of attempts in flight on it,
-// fault the value of a panic that ended it.
+// connectionEnded logs the end of a connection in one line and no longer counts it as open. open is the number of attempts
+// that were in flight on the connection. fault is the value of the panic that ended it, or nil.
 func (o *owner) connectionEnded(side, peer, code string, open int, fault any) {
 	defer o.usage.openConnections.Add(-1)
 	if o.stopped.Load() {
@@ -124,7 +126,7 @@
 	o.log.Info("connection", "side", side, "peer", peer, "code", code, "open", open)
 }
 
-// endCode returns the code with which the log names the reason for the end of a connection.
+// endCode returns the code by which the log reports why a connection ended.
 func endCode(err error) string {
 	var wait net.Error
 	switch {
--- a/internal/router/session_events.go
+++ b/internal/router/session_events.go
@@ -2,26 +2,26 @@
 
 import "magpiebank/internal/admission"
 
-// sessionEvent is what the owner may tell the goroutine of a client session.
+// sessionEvent is an event that the owner sends to the goroutine of a client session.
 type sessionEvent interface{ isSessionEvent() }
 
-// finalAnswer is a sessionEvent that ends a request; each request gets exactly one.
+// finalAnswer is a sessionEvent that ends a request. Each request gets exactly one.
 type finalAnswer interface {
 	sessionEvent
 	isFinalAnswer()
 }
 
-// Events of the request in hand. What is written to engines on its behalf is written by the session's goroutine.
+// Events that concern the session's outstanding request.
 type (
-	// attemptReady has an attempt sent to an engine, unless the client has left.
+	// attemptReady makes the session send an attempt to an engine, unless the client has disconnected.
 	attemptReady struct {
 		attempt *attempt
 		client  engineClient
-		first   bool // it is sent for the first time
+		first   bool // the attempt is not a resend
 	}
-	// attemptCancelled has an engine told that an attempt is given up.
+	// attemptCancelled makes the session cancel an attempt at its engine.
 	attemptCancelled struct{ attempt *attempt }
-	// priorityChanged has an engine told of an attempt's new priority.
+	// priorityChanged makes the session send an attempt's new priority to its engine.
 	priorityChanged struct {
 		attempt  *attempt
 		priority int
@@ -30,17 +30,18 @@
 
 // Final answers.
 type (
-	// requestServed brings the result that an attempt got.
+	// requestServed carries the attempt with the result.
 	requestServed struct{ attempt *attempt }
-	// requestRejected sheds the request; the client may retry after the given time.
+	// requestRejected rejects the request; the client may retry after the given time.
 	requestRejected struct{ retryAfter admission.Time }
 	// requestFailed ends a request that may have run and must not run again.
 	requestFailed struct{}
-	// requestDenied ends a request that an operator's rule forbids, or whose recorded rows are not kept, with error 1104.
+	// requestDenied ends a request with error 1104. Either an operator's rule forbids the request, or it was served before and
+	// its rows are not stored.
 	requestDenied struct{ reason string }
-	// requestInvalid answers a query that is no valid request, with error 1064.
+	// requestInvalid rejects a query that is not a valid request, with error 1064.
 	requestInvalid struct{ reason string }
-	// requestAbandoned ends a request for which nobody waits any more; no answer is owed.
+	// requestAbandoned ends a request whose client no longer waits. The client gets no answer.
 	requestAbandoned struct{}
 )
 
@@ -61,7 +62,7 @@
 func (requestInvalid) isFinalAnswer()   {}
 func (requestAbandoned) isFinalAnswer() {}
 
-// handleEvent handles one event, on the session's goroutine.
+// handleEvent handles one event. It runs on the session's goroutine.
 func (s *clientSession) handleEvent(e sessionEvent) {
 	switch e := e.(type) {
 	case attemptReady:
@@ -72,7 +73,7 @@
 		e.attempt.setPriority(e.priority)
 	case requestServed:
 		s.writeResult(e.attempt.result.pages)
-		if s.statementReader != nil && e.attempt.client != nil { // an answer from the journal has no client and cost nothing
+		if s.statementReader != nil && e.attempt.client != nil { // an answer from the journal has no engine client and cost nothing
 			s.statementReader.RecordCost(e.attempt.result.work, e.attempt.result.memoryMB)
 		}
 	case requestRejected:
@@ -88,8 +89,8 @@
 	}
 }
 
-// startAttempt sends an attempt to its engine. The client may have left while this process stood still and the read
-// that would tell has not returned yet, so its socket is looked at first.
+// startAttempt sends an attempt to its engine, unless the client has disconnected. It checks the client's socket itself: after
+// a stall of this process, the read that would report the disconnect may not have returned yet.
 func (s *clientSession) startAttempt(e attemptReady) {
 	if s.detectDeparture() {
 		s.owner.post(clientLeft{e.attempt.request})
@@ -101,7 +102,7 @@
 	e.client.send(e.attempt)
 }
 
-// The owner tells a session by the methods of responder.
+// The methods below implement responder, through which the owner sends events to a session.
 
 func (s *clientSession) sendAttempt(a *attempt, client engineClient) {
 	s.events.Put(attemptReady{attempt: a, client: client, first: !a.resent})
--- a/internal/router/session_queue.go
+++ b/internal/router/session_queue.go
@@ -8,24 +8,24 @@
 	"magpiebank/internal/eventqueue"
 )
 
-// sessionQueue brings events to the goroutine of a client session, also while that reads from its client: an event
-// interrupts the read.
+// sessionQueue delivers events to the goroutine of a client session. An event that is queued while the session reads from
+// its client interrupts the read.
 type sessionQueue struct {
 	queue  *eventqueue.Queue[sessionEvent]
 	handle func(e sessionEvent)
 
 	mu     sync.Mutex
-	reader net.Conn // the connection whose read an event interrupts; nil if the session doesn't read
+	reader net.Conn // the connection whose read an event interrupts; nil while reads are not interruptible
 }
 
 func newSessionQueue(handle func(e sessionEvent)) *sessionQueue {
 	return &sessionQueue{queue: eventqueue.New[sessionEvent](), handle: handle}
 }
 
-// expiredDeadline is a read deadline that ends a read at once.
+// expiredDeadline is a deadline in the past, which ends a blocked read or accept at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// Put adds an event and interrupts the read that the session is in. It may be called from any goroutine.
+// Put queues an event and interrupts the session's read, if one is interruptible. It may be called from any goroutine.
 func (q *sessionQueue) Put(e sessionEvent) {
 	q.queue.Put(e)
 	q.mu.Lock()
@@ -35,8 +35,8 @@
 	}
 }
 
-// beginInterruptibleRead has events interrupt reads of a connection from now on, and reports whether the session may
-// read: it may not if an event is queued already, because that one will not interrupt the read.
+// beginInterruptibleRead makes events interrupt reads of a connection until endInterruptibleRead is called. It reports false,
+// and changes nothing, if an event may be queued already: that event would not interrupt the read.
 func (q *sessionQueue) beginInterruptibleRead(socket net.Conn) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -48,7 +48,7 @@
 	return true
 }
 
-// endInterruptibleRead ends what beginInterruptibleRead began.
+// endInterruptibleRead makes reads uninterruptible again.
 func (q *sessionQueue) endInterruptibleRead() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -58,7 +58,7 @@
 // wait returns once an event is queued.
 func (q *sessionQueue) wait() { <-q.queue.Wake }
 
-// run handles the queued events.
+// run handles the queued events on the calling goroutine, and returns once the queue is empty.
 func (q *sessionQueue) run() {
 	select {
 	case <-q.queue.Wake:
--- a/internal/router/shapes_test.go
+++ b/internal/router/shapes_test.go
@@ -20,8 +20,10 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// The two shapes of a deployment during the move, as settings: the old one probes and reads utilisation; the new one
-// may not probe, reads held queries from answers, hears notes every 100 ms, and sends reports to kind a alone.
+// Settings of a deployment during a migration, in which gateways with the old and the new settings run at the same time. With
+// the old settings a gateway sends health checks and uses the reported utilization. With the new ones it sends no health
+// checks, reads the number of queries in flight from the engines' answers, receives notices every 100 ms, and sends requests
+// of class report only to engines of kind a.
 const (
 	shapeLanes = `"zones":["hall"],"skus":["a","b"],"familyInfo":{"dop":[1,2],"kindCores":[4,4]%s},
  "limits":{"cancel":true,"probes":%v,"maxAttempts":3,"multiplex":4,"keepaliveUs":30000000,"connectTimeoutUs":250000,
@@ -32,7 +34,7 @@
  {"name":"report","sloUs":2000000,"worth":4,"effect":"read_like","servedOn":[0]}],` + shapeLanes + `}`
 )
 
-// query sends a query and reads its result.
+// query sends a query of a class and reads its result to the end.
 func query(db *sql.DB, class, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -46,18 +48,19 @@
 	return rows.Err()
 }
 
-// served counts the requests of clients that were served, by the prefix of their ids and their class.
+// served counts the served requests, by the prefix of their ids and by class. The prefix identifies the gateway.
 type served struct {
 	mu    sync.Mutex
 	count map[string]int
 }
 
-// ask sends a client's requests one after the other. Each must get one answer: a result, or an error of the gateway's.
+// ask sends a client's requests one after the other. It fails the test if the gateway answers one with neither a result nor
+// an error packet.
 func (s *served) ask(t *testing.T, db *sql.DB, prefix string, client int) {
 	t.Helper()
 	for n := range 40 {
 		class := []string{"look", "look", "look", "report"}[n%4]
-		id := fmt.Sprintf("%s%02x%011x%d", prefix, client, n, n%4/3) // ends in 1: a report
+		id := fmt.Sprintf("%s%02x%011x%d", prefix, client, n, n%4/3) // ids of class report end in 1
 		err := query(db, class, id)
 		if rejection := (*driver.MySQLError)(nil); err != nil && !errors.As(err, &rejection) {
 			t.Errorf("%s: no answer from the gateway: %v", id, err)
@@ -70,7 +73,7 @@
 	}
 }
 
-// check fails the test if less than nine tenths of the requests of a prefix and class were served.
+// check fails the test if less than nine tenths of the requests of any prefix and class were served.
 func (s *served) check(t *testing.T) {
 	t.Helper()
 	for _, k := range []string{"0a look", "0a report", "0b look", "0b report"} {
@@ -79,12 +82,12 @@
 			most = 120
 		}
 		if s.count[k] < most*9/10 {
-			t.Errorf("%s: %d of %d delivered", k, s.count[k], most)
+			t.Errorf("%s: %d of %d requests served", k, s.count[k], most)
 		}
 	}
 }
 
-// startEngines starts two engines of kind a and one of kind b, each with the log of its kind.
+// startEngines starts two engines of kind a and one of kind b, each with the execution log of its kind.
 func startEngines(t *testing.T, behavior fake.EngineBehavior, logs map[string]*fake.ExecutionLog) (entries []fake.Endpoint) {
 	t.Helper()
 	for i, kind := range []string{"a", "a", "b"} {
@@ -98,9 +101,9 @@
 	return entries
 }
 
-// Gateways of both shapes before the same engines: each request gets one answer, reports of the new shape run on
-// kind a only, neither shape starves the other, and once the list says that the engine of kind b drains, neither
-// sends it more.
+// A gateway with the old settings and one with the new settings send to the same engines. Each request must get one answer,
+// the new gateway must send reports to engines of kind a only, and neither gateway may starve the other. Once the engine list
+// announces that the engine of kind b is terminating, neither gateway may send it more requests.
 func TestShapesSide(t *testing.T) {
 	_ = driver.SetLogger(&driver.NopLogger{})
 	kindA, kindB := fake.NewExecutionLog(), fake.NewExecutionLog()
@@ -121,7 +124,7 @@
 	wait.Go(func() {
 		time.Sleep(time.Second)
 		drained = time.Now()
-		draining := entries[2] // the list holds the entries themselves
+		draining := entries[2] // a copy, because the engine list refers to the entries themselves
 		draining.State = "Terminating"
 		list.Publish(draining)
 	})
@@ -139,11 +142,11 @@
 	}
 	wait.Wait()
 	delivered.check(t)
-	const heard = 500 * time.Millisecond // the list answers a waiting poll at once; the module stops on hearing it
+	const heard = 500 * time.Millisecond // the list answers a waiting poll at once, and the gateway then stops sending
 	late, before := 0, 0
 	kindB.Each(func(truth fake.ExecutionRecord) {
 		if strings.HasPrefix(truth.ID, "0b") && strings.HasSuffix(truth.ID, "1") {
-			t.Errorf("%s: a report of the new shape came to kind b", truth.ID)
+			t.Errorf("%s: an engine of kind b received a report of the gateway with the new settings", truth.ID)
 		}
 		if truth.ReceivedAt.After(drained.Add(heard)) {
 			late++
@@ -152,14 +155,14 @@
 		}
 	})
 	if before == 0 {
-		t.Error("the engine of kind b had no request before its drain, so the drain was not tried")
+		t.Error("the engine of kind b received no request before it began to drain, so the test did not exercise the drain")
 	}
 	if late > 0 {
-		t.Errorf("%d requests came to the draining engine later than %v after the list said so", late, heard)
+		t.Errorf("the draining engine received %d requests later than %v after the list announced the drain", late, heard)
 	}
 }
 
-// startGateway serves settings before the engines of a list, until stop.
+// startGateway starts a gateway with the given settings that follows an engine list. stop ends it and waits for its end.
 func startGateway(t *testing.T, list *fake.Discovery, settings string) (address string, stop func()) {
 	t.Helper()
 	free, err := listenTCP("127.0.0.1:0")
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// drainTime is how long new connections and requests are served as ever after the order to stop, as the protocol demands.
-	// Requests that are read later are rejected; sessions without a request end, and the others once they have answers.
+	// drainTime is how long the gateway still accepts new connections and requests after it was told to stop, as the protocol
+	// requires. Requests that are read later are rejected. Then idle sessions end, and the other sessions end once their
+	// requests are answered.
 	drainTime = 700 * time.Millisecond
-	// drainPollInterval is how often a shutdown looks whether the last session has ended.
+	// drainPollInterval is how often a shutdown checks whether the last session has ended.
 	drainPollInterval = 10 * time.Millisecond
 )
 
-// shutDown stops accepting requests, and returns once all that were accepted are answered. A new configuration is still
-// applied meanwhile, because it may name another address of the engine list.
+// shutDown stops accepting requests after drainTime, and returns once every accepted request is answered and all sessions
+// have ended. It still applies new configurations during that time, because they may change the engine list's address.
 func (o *owner) shutDown(acceptor *acceptor, reloads <-chan *config.Config, reload func(*config.Config)) {
 	o.log.Info("stopping")
 	wait := func(until <-chan time.Time) {
@@ -29,7 +30,7 @@
 		}
 	}
 	wait(time.After(drainTime))
-	acceptor.stop() // the address is free for a successor while requests still run here
+	acceptor.stop() // frees the listen address for a successor process while requests still run in this one
 	o.clients.beginShutdown()
 	for !o.clients.isEmpty() {
 		wait(time.After(drainPollInterval))
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -12,19 +12,20 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// queryPacket is a request as it lies on the wire.
+// queryPacket returns the bytes of a query packet whose request id ends in the two given digits.
 func queryPacket(id string) []byte {
 	sql := "\x03/* class=look,id=00000000000000" + id + ",wait=5000 */ SELECT a FROM t_7.x"
 	return append([]byte{byte(len(sql)), 0, 0, 0}, sql...)
 }
 
-// loginPacket is a login as it lies on the wire.
+// loginPacket returns the bytes of a login packet.
 func loginPacket() []byte {
 	login := append(append([]byte{0, 0x82, 0, 0}, make([]byte, 28)...), "app\x00\x00"...)
 	return append([]byte{byte(len(login)), 0, 0, 1}, login...)
 }
 
-// ends reads until the connection ends and tells how; it was reset if that is no io.EOF.
+// ends reads until the connection ends and returns the error: io.EOF if the gateway closed it, another error if it was reset or
+// did not end in time.
 func (c *testClient) ends() error {
 	c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	for {
@@ -34,7 +35,8 @@
 	}
 }
 
-// Whom the system had accepted when the router stops accepting is served to the end, and not reset.
+// Connections in the listener's backlog, which the kernel has accepted but the gateway has not when it stops accepting, must be
+// served and not reset.
 func TestStopServesWhomTheSystemAccepted(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -42,7 +44,7 @@
 	listener := s.listen()
 	const waiting = 3
 	var clients []*testClient
-	for n := range waiting { // nobody accepts yet
+	for n := range waiting { // the gateway doesn't accept connections yet
 		c, err := dialTCP(listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -52,7 +54,7 @@
 		clients = append(clients, &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)})
 	}
 	acceptor := &acceptor{owner: s.o, listener: listener, done: make(chan struct{})}
-	_ = asTCPListener(listener).SetDeadline(expiredDeadline) // the stop comes before the first accept
+	_ = asTCPListener(listener).SetDeadline(expiredDeadline) // the acceptor is stopped before its first accept
 	go acceptor.run()
 	acceptor.stop()
 	for range clients {
@@ -62,11 +64,11 @@
 	for _, c := range clients {
 		c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 		c.packet() // the greeting
-		c.packet() // the login is fine
+		c.packet() // the OK packet after the login
 		c.expectAnswer()
 	}
 	if got := strings.Count(s.out.String(), "client gets: rows"); got != waiting {
-		t.Errorf("%d of %d served:\n%s", got, waiting, s.out.String())
+		t.Errorf("%d of %d clients served:\n%s", got, waiting, s.out.String())
 	}
 	s.o.clients.beginShutdown()
 	for i, c := range clients {
@@ -76,7 +78,8 @@
 	}
 }
 
-// A request that is read once the router stops is refused and never sent on; one in hand is answered.
+// A request that is read after the gateway began to end its sessions is rejected and not sent to an engine. An outstanding
+// request is answered.
 func TestStopRefusesWhatIsReadLater(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -85,7 +88,7 @@
 	a.sendLook("aa")
 	k := e.receive()
 	s.o.clients.beginShutdown()
-	a.sendLook("bb") // on its way while the other is in hand
+	a.sendLook("bb") // sent while the other request is outstanding
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	a.expectAnswer()
@@ -93,13 +96,14 @@
 		t.Errorf("the session ended with %v", err)
 	}
 	if len(e.received) > 0 {
-		t.Errorf("the engine heard %q", (<-e.received).parts)
+		t.Errorf("the engine received %q", (<-e.received).parts)
 	}
 	s.awaitLog("code=stopped")
 	s.compareTrace("stop refuses")
 }
 
-// A request that crosses the end of its session is read, so that the connection is not reset under what went before.
+// A client may send a request while its session ends. The session must read the request, because closing a connection with
+// unread input resets it, and the client would lose what the gateway sent before.
 func TestEndOfSessionIsNoReset(t *testing.T) {
 	for what, end := range map[string]func(s *fixture){
 		"stop": func(s *fixture) { s.o.clients.beginShutdown() },
@@ -120,7 +124,7 @@
 			a := s.newClient()
 			a.send(0, []byte{0x0e})
 			a.packet()
-			eventually(t, "the session rests", func() bool {
+			eventually(t, "the session is idle", func() bool {
 				s.o.clients.mu.Lock()
 				defer s.o.clients.mu.Unlock()
 				return s.o.clients.idleKnown.Len() == 1
@@ -129,7 +133,7 @@
 			if err := a.ends(); !errors.Is(err, io.EOF) {
 				t.Fatalf("the session ended with %v", err)
 			}
-			for _, id := range []string{"aa", "ab"} { // a reset answers the first and fails the second
+			for _, id := range []string{"aa", "ab"} { // on a reset connection the first write succeeds and the second one fails
 				if _, err := a.socket.Write(queryPacket(id)); err != nil {
 					t.Errorf("the connection was reset: %v", err)
 				}
@@ -140,19 +144,20 @@
 				t.Errorf("the connection ended with %v", err)
 			}
 			if len(e.received) > 0 {
-				t.Errorf("the engine heard %q", (<-e.received).parts)
+				t.Errorf("the engine received %q", (<-e.received).parts)
 			}
 		})
 	}
 }
 
-// Who is turned away hears why, though its login and a query lie unread.
+// A client that is rejected because there are too many connections receives the error, although its login and a query are
+// unread.
 func TestTurnedAwayIsNoReset(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
 	s.o.clients.mu.Lock()
 	s.o.clients.limit = 1
-	s.o.clients.sessions = 1 // one in the middle of a query
+	s.o.clients.sessions = 1 // counts as a session that is busy with a query
 	s.o.clients.mu.Unlock()
 	listener := s.listen()
 	c, err := dialTCP(listener.Addr().String())
@@ -165,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the login is there", func() bool { return hasInput(tcp) })
+	eventually(t, "the login has arrived", func() bool { return hasInput(tcp) })
 	(&acceptor{owner: s.o}).startSession(tcp)
 	k := &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)}
 	if p := k.packet(); p[0] != 0xff || int(p[1])|int(p[2])<<8 != 1040 {
@@ -179,7 +184,8 @@
 	s.o.clients.mu.Unlock()
 }
 
-// A new configuration counts during a stop: drains are told at the address that it names.
+// A new configuration is applied during a shutdown, because the discovery service at the new address may announce that engines
+// are terminating.
 func TestReloadDuringAStop(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -192,7 +198,7 @@
 	select {
 	case s.renewed <- s.start:
 	case <-time.After(eventuallyTimeout):
-		t.Fatal("a new configuration is not taken during a stop")
+		t.Fatal("a new configuration is not applied during a shutdown")
 	}
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
@@ -202,7 +208,7 @@
 	}
 }
 
-// While a stop waits for a request in hand its address is free, for a successor that listens there.
+// While a shutdown waits for an outstanding request, the listen address must be free, so that a successor can listen on it.
 func TestAddressIsFreeDuringAStop(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -211,7 +217,7 @@
 	a.sendLook("aa")
 	k := e.receive()
 	close(s.stop)
-	eventually(t, "the router refuses requests", s.o.clients.isShuttingDown)
+	eventually(t, "the gateway rejects new requests", s.o.clients.isShuttingDown)
 	successor, err := listenTCP(s.address)
 	if err != nil {
 		t.Fatalf("a successor can't listen: %v", err)
@@ -225,11 +231,13 @@
 	n = s.o.clients.sessions + s.o.clients.lingering
 	s.o.clients.mu.Unlock()
 	if n != 0 {
-		t.Errorf("%d connections left", n)
+		t.Errorf("%d client connections left after the shutdown", n)
 	}
 }
 
-func TestStopAnswersWhatIsInHand(t *testing.T) { // new requests are still taken for a while, and all are answered before the end
+// After the gateway is told to stop, it still accepts new requests for drainTime. It answers every accepted request before it
+// ends.
+func TestStopAnswersWhatIsInHand(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
@@ -241,7 +249,7 @@
 	b.expectAnswer()
 	select {
 	case <-s.ended:
-		t.Error("it ended with a request open")
+		t.Error("the gateway ended with an outstanding request")
 	case <-time.After(drainTime + 100*time.Millisecond):
 	}
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
--- a/internal/router/socket.go
+++ b/internal/router/socket.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Deadlines count the time of this process, and a process can stand still: for want of a core, or with its whole machine. Go
-// then ends a read or a write by its deadline without trying it. What the peer sent in time must not be taken for its
-// silence, so the functions below look at what the system has already got.
+// A process can be stalled, because it gets no CPU time or because its whole machine is paused. If a deadline passes during
+// the stall, Go fails the read or write without trying it. Bytes that the peer sent in time could then be mistaken for a peer
+// that sent nothing. Therefore the functions below check what the kernel has already received.
 
-// readArrived buffers what the system has got of a connection, without waiting, until n bytes are buffered. The read
-// deadline has passed after it.
+// readAvailable reads the bytes that the kernel has already received into the reader's buffer, without blocking, until n
+// bytes are buffered or no more are available. It leaves the connection with an expired read deadline.
 func readArrived(socket net.Conn, reader *bufio.Reader, n int) error {
-	socket.SetReadDeadline(time.Time{}) // no read waits, because something is there
+	socket.SetReadDeadline(time.Time{}) // reads don't block, because each one follows a check for input
 	defer socket.SetReadDeadline(expiredDeadline)
 	for reader.Buffered() < n && hasInput(socket) {
 		if _, err := reader.Peek(reader.Buffered() + 1); err != nil {
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// writeBy writes buffers and returns how many bytes of them the system took. Once the deadline has passed it tries for
-// finalReadWait more.
+// writeWithDeadline writes buffers and returns how many bytes the kernel accepted. If the deadline passes, it continues to
+// write for up to finalReadWait, because this process may have been stalled.
 func writeBy(socket net.Conn, deadline time.Time, buffers net.Buffers) (written int64, err error) {
 	socket.SetWriteDeadline(deadline)
 	written, err = buffers.WriteTo(socket)
@@ -39,13 +39,14 @@
 	return written + more, err
 }
 
-// hasInput tells whether bytes of a connection wait to be read.
+// hasInput reports whether the kernel holds unread bytes of a connection.
 func hasInput(socket net.Conn) bool {
 	waiting, _ := peekSocket(socket)
 	return waiting
 }
 
-// peekSocket asks the system, without waiting, what the next read of a connection would bring: bytes, or its end.
+// peekSocket checks, without blocking or consuming input, what the next read of a connection would return. waiting reports
+// unread bytes; ended reports that the peer closed or reset the connection. Both are false if the read would block.
 func peekSocket(socket net.Conn) (waiting, ended bool) {
 	system, ok := socket.(syscall.Conn)
 	if !ok {
@@ -61,13 +62,14 @@
 		waiting = n > 0
 		ended = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 	})
-	if err != nil { // this side has closed it
+	if err != nil { // this process has closed the connection
 		return false, false
 	}
 	return waiting, ended
 }
 
-// closeWrite ends what a connection's peer reads. An error means that the connection has ended already.
+// closeWrite closes the sending direction of a connection, so that the peer reads the end of the stream. It ignores errors,
+// because they mean that the connection has already ended.
 func closeWrite(socket net.Conn) {
 	if half, ok := socket.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
--- a/internal/router/watcher.go
+++ b/internal/router/watcher.go
@@ -12,36 +12,37 @@
 	"magpiebank/internal/protocol/discovery"
 )
 
-// The HTTP statuses that discovery may answer a poll with. They are not taken from net/http, which would link its TLS and
-// HTTP/2 into a program that needs neither.
+// HTTP statuses with which the discovery service may answer a poll. The constants of net/http are not used, because importing
+// it would link TLS and HTTP/2 code into the program, which needs neither.
 const (
 	statusOK          = 200
 	statusNoContent   = 204
 	statusNotModified = 304
 )
 
-// watcher polls the engine list and posts its events to the owner.
+// watcher polls the engine list of the discovery service, and posts the list's events to the owner.
 type watcher struct {
 	owner *owner
 
-	// The watcher's goroutine's.
-	lastIndex  int64 // of the last event that was posted
-	badEvents  int   // how many times in a row the event after it could not be read
+	// Only the watcher's goroutine uses these fields while it runs.
+	lastIndex  int64 // index of the last event that was posted
+	badEvents  int   // consecutive failures to read the event after lastIndex
 	failureLog logLimiter
 
-	mu            sync.Mutex
-	address       string
-	pendingEvents *jsonvalue.Value // events of a new configuration that are not posted yet; nil: none
-	disconnect    func()           // ends the connection in use; nil: none was begun
+	mu            sync.Mutex       // guards the fields below up to disconnect
+	address       string           // of the discovery service
+	pendingEvents *jsonvalue.Value // events from a new configuration that are not posted yet; nil if there are none
+	disconnect    func()           // cancels the current connection; nil before the first one
 
-	configChanged chan struct{} // holds a value while a new configuration waits
+	configChanged chan struct{} // holds a value while a new configuration is pending
 }
 
 func newWatcher(o *owner, address string) *watcher {
 	return &watcher{owner: o, address: address, configChanged: make(chan struct{}, 1)}
 }
 
-// reconfigure has the watcher go on at another address, with the events that a new configuration knows.
+// reconfigure makes the watcher post the events that a new configuration contains, and poll at the new address. It cancels
+// the current connection.
 func (w *watcher) reconfigure(address string, known *jsonvalue.Value) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,23 +52,25 @@
 	}
 	select {
 	case w.configChanged <- struct{}{}:
-	default: // one waits already
+	default: // a change is pending already
 	}
 }
 
 const (
-	// maxBadEvents is how often an event that can't be read is polled again before those of its entries that can be read are
-	// used. Usually it was damaged on its way; several times in a row means that the list itself has it so.
+	// maxBadEvents is how many times in a row an event that can't be read is polled again, before the watcher uses those of its
+	// entries that it can read. Usually such an event was damaged in transit; if it fails several times in a row, the list
+	// itself contains the damage.
 	maxBadEvents = 8
-	// pollTimeout is how long the list may hold a poll back. Its events count as known 7 s after they happen, of which a
-	// silent connection then takes no more than a sixth, and a new poll another.
+	// pollTimeout is how long the discovery service may wait for an event before it answers a poll. The gateway is expected to
+	// know an event 7 s after it happens. A connection that went silent takes about a sixth of that time, and a new poll
+	// another sixth.
 	pollTimeout = time.Second
-	// pollBufferSize is what is read at a time of a poll's answer, in bytes.
+	// pollBufferSize is the size in bytes of the read buffer for the answers to polls.
 	pollBufferSize = 4096
 )
 
-// postEvents posts events to the owner. full is the kind of those that hold the whole list. It reports whether all events
-// could be read.
+// postEvents posts events to the owner. full is the update kind of events that contain the whole list. It reports whether all
+// events could be read.
 func (w *watcher) postEvents(events *jsonvalue.Value, full admission.UpdateKind) bool {
 	lastIndex := w.lastIndex
 	network := w.owner.network
@@ -89,12 +92,12 @@
 	return events.Err() == nil
 }
 
-// run polls until stop is closed. It is the watcher's goroutine. A connection that brought something and ended is followed
-// by the next one at once, because what the list could not finish counts as known soon. Others begin no more often than one
-// may take to come up.
+// run polls until stop is closed. It runs on the watcher's own goroutine. After a connection on which it received valid
+// events, it connects again at once, because the gateway must soon know the events that the connection didn't deliver. After
+// other connections it waits as long as reconnectDelay returns, unless a new configuration ended the connection or arrives.
 func (w *watcher) run(stop <-chan struct{}) {
 	for {
-		select { // a wait of no time may be over together with the stop
+		select { // checked first, because the select below chooses at random if stop is closed when a zero wait ends
 		case <-stop:
 			return
 		default:
@@ -108,14 +111,14 @@
 		select {
 		case <-stop:
 			return
-		case <-w.configChanged: // its address and events don't wait
+		case <-w.configChanged: // use the new address and events at once
 		case <-time.After(wait):
 		}
 	}
 }
 
-// connectOnce posts the events of a new configuration, if there is one, and polls on one connection until that ends. It
-// reports whether a poll was answered, and whether a new configuration ended the connection.
+// connectOnce posts the events of a new configuration, if one is pending, and polls on one connection until the connection
+// ends. useful reports whether valid events were received, reconfigured whether a new configuration ended the connection.
 func (w *watcher) connectOnce(stop <-chan struct{}) (useful, reconfigured bool) {
 	connected, disconnect := context.WithCancel(context.Background())
 	defer disconnect()
@@ -130,24 +133,26 @@
 	return useful, connected.Err() != nil
 }
 
-// reconnectDelay returns how long to wait before the next connection, where the last one brought nothing and took a given
-// time: connections begin no more often than one may take to come up. A longer delay would add to what is told late.
+// reconnectDelay returns how long to wait before the next connection, after one without valid events that lasted for took,
+// dial included. Connections then start at least connectTimeout apart. A longer delay would make events reach the gateway
+// later.
 func reconnectDelay(took, connectTimeout time.Duration) time.Duration {
 	return max(0, connectTimeout-took)
 }
 
-// logLimiter limits the log lines of repeated failures: the first one is logged, and then ever fewer.
+// logLimiter limits the log lines of repeated failures. It allows the first failure to be logged, and later ones at intervals
+// that double up to maxLogInterval.
 type logLimiter struct {
-	interval time.Duration // until the next line; it doubles each time
-	next     time.Time
+	interval time.Duration // the current minimum between two lines
+	next     time.Time     // when the next failure may be logged
 }
 
 const (
 	firstLogInterval = time.Second
-	maxLogInterval   = time.Minute // a failure that lasts is known by then
+	maxLogInterval   = time.Minute // by then, operators know of a failure that lasts
 )
 
-// allow tells whether to log what happened now. A success is logged, and resets the limiter.
+// allow reports whether to log an attempt that ended now. A success is always logged, and resets the limiter.
 func (l *logLimiter) allow(now time.Time, success bool) bool {
 	if success {
 		*l = logLimiter{}
@@ -161,14 +166,15 @@
 	return true
 }
 
-// connect polls on one connection until that ends, logs its end and reports whether a poll was answered.
+// connect polls on one connection until the connection ends, and logs the end. useful reports whether valid events were
+// received.
 func (w *watcher) connect(connected context.Context, address string, stop <-chan struct{}) (useful bool) {
 	code := "panic"
 	w.owner.usage.openConnections.Add(1)
 	defer func() {
 		fault := recover()
 		if fault == nil && !w.failureLog.allow(time.Now(), useful || connected.Err() != nil) {
-			w.owner.usage.openConnections.Add(-1) // its line would say what the last one said
+			w.owner.usage.openConnections.Add(-1) // no line is logged, because a recent one reports such a failure
 			return
 		}
 		w.owner.connectionEnded("engine list", address, code, 0, fault)
@@ -180,8 +186,8 @@
 	return useful
 }
 
-// poll dials the list and polls it until the connection ends. It reports whether a poll was answered, and the reason for the
-// end as the log has it.
+// poll dials the discovery service and polls the engine list until the connection ends. useful reports whether a poll was
+// answered with status 200 and valid events. code is the reason for the end, as it appears in the log.
 func (w *watcher) poll(connected context.Context, address string, stop <-chan struct{}) (useful bool, code string) {
 	connectTimeout := w.owner.network.ConnectTimeout
 	dialer := net.Dialer{Timeout: connectTimeout}
@@ -191,7 +197,7 @@
 	}
 	over := make(chan struct{})
 	defer close(over)
-	go func() { // a poll would go on after a stop or a new configuration
+	go func() { // closes the connection to interrupt a poll on a stop or a new configuration
 		select {
 		case <-stop:
 		case <-over:
@@ -227,20 +233,21 @@
 	}
 }
 
-// pollStatusOK tells whether a status lets polls go on: events, or none before the poll was over.
+// pollStatusOK reports whether polling may continue on the connection after an answer with the given status. The answer
+// either has events, or says that none happened before the poll timed out.
 func pollStatusOK(status int) bool {
 	return status == statusOK || status == statusNoContent || status == statusNotModified
 }
 
-// pollConnection is a connection on which polls are answered.
+// pollConnection reads the answers to polls from a connection.
 type pollConnection struct {
 	socket net.Conn
 	reader *bufio.Reader
-	buffer []byte // of the response at hand
+	buffer []byte // the bytes of the current response
 }
 
-// readResponse reads the answer to a poll, whose body lies in the connection's buffer until the next one is read. If there
-// is none that can be read it returns the reason, as the log has it.
+// readResponse reads the answer to a poll. The response's body points into the connection's buffer and is valid until the
+// next call. If no valid answer can be read, code is the reason, as it appears in the log; otherwise it is empty.
 func (c *pollConnection) readResponse() (response discovery.Response, code string) {
 	c.buffer = c.buffer[:0]
 	for {
@@ -250,7 +257,7 @@
 		}
 		if response.Length > 0 {
 			if response.Length < len(c.buffer) || c.reader.Buffered() > 0 {
-				response.Last = true // what follows was not asked for, and would be taken for the answer to another poll
+				response.Last = true // the surplus bytes answer no poll, and would be mistaken for the answer to the next one
 			}
 			return response, ""
 		}
--- a/internal/router/watcher_test.go
+++ b/internal/router/watcher_test.go
@@ -14,13 +14,13 @@
 
 func Example_restBefore() {
 	const within = 400 * time.Millisecond
-	for _, took := range []time.Duration{0, 100 * time.Millisecond, within, time.Second} { // refused at once, ..., not up in time
+	for _, took := range []time.Duration{0, 100 * time.Millisecond, within, time.Second} { // from refused at once to timed out
 		fmt.Print(reconnectDelay(took, within), " ")
 	}
 	// Output: 400ms 300ms 0s 0s
 }
 
-// polled waits for a poll of an engine list and returns its connection.
+// awaitPoll waits until the watcher has polled an engine list, and returns the connection.
 func polled(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
 	_ = asTCPListener(l).SetDeadline(time.Now().Add(eventuallyTimeout))
@@ -32,14 +32,14 @@
 		if _, err := bufio.NewReader(k).ReadString('\n'); err == nil {
 			return k
 		}
-		k.Close() // its dial was not up in time, where the site allows little
+		k.Close() // the watcher gave up the dial before it polled, which a short connect timeout can cause
 	}
 }
 
-// A new configuration that comes while the watcher rests after a refused connection is gone by at once: the events that it knows
-// count as told.
+// A new configuration that arrives while the watcher waits after a refused connection is used at once. The gateway is expected
+// to know the events that the configuration contains.
 func TestReloadWhileTheListIsDown(t *testing.T) {
-	long := strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":60000000`, 1) // which the rest is, too
+	long := strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":60000000`, 1) // also the longest wait
 	e := newFakeEngine(t, "e1")
 	s := startFixtureWith(t, long)
 	defer s.close()
@@ -58,7 +58,7 @@
 	polled(t, l)
 }
 
-// A whole list after a silence that names an engine no more takes it away, as if its end had been told.
+// An update with the whole list that no longer contains an engine removes the engine, as if the list had announced its end.
 func TestWholeListWithoutAnEngine(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t, e)
@@ -71,7 +71,7 @@
 	k := polled(t, l)
 	whole := fmt.Sprintf(`{"index":9,"updates":[%s]}`, watchEvent(9, true, []string{entry(f, "Ready")}))
 	fmt.Fprintf(k, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
-	eventually(t, "the whole list is taken in", func() bool {
+	eventually(t, "the whole list is applied", func() bool {
 		names := make(chan string, 1)
 		s.onOwner(func(admission.Time) {
 			var all []string
@@ -84,11 +84,11 @@
 	})
 	s.requireOnlyReceives(f, "aa")
 	if len(e.received) > 0 {
-		t.Errorf("the engine that is listed no more heard %q", (<-e.received).parts)
+		t.Errorf("the engine that is no longer listed received %q", (<-e.received).parts)
 	}
 }
 
-// A stop ends the watcher also while it rests or a poll is out.
+// A shutdown ends the watcher and closes its connection while a poll is unanswered.
 func TestStopEndsTheFollower(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
@@ -105,8 +105,8 @@
 	}
 }
 
-// The list breaks off, is spoilt, brings more than was asked for, or goes away for good: what it told before counts,
-// and the rest is asked for again under the last number, on a new connection.
+// The answer to a poll is cut off, malformed, too long, followed by surplus bytes, or lacks an event. The gateway keeps the
+// events that it has read, and polls again for the events after the last one, on a new connection.
 func TestSpoiltListIsAskedAgain(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
@@ -148,7 +148,8 @@
 	s.compareTrace("list amiss")
 }
 
-func TestDrainingEngineGetsNothingNew(t *testing.T) { // nothing new goes there, and what is out is still delivered
+// A terminating engine gets no new requests. The result of a request that it already runs is still delivered.
+func TestDrainingEngineGetsNothingNew(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
