--- a/internal/router/client_session_test.go
+++ b/internal/router/client_session_test.go
@@ -14,7 +14,7 @@
 func TestRequestWithoutAnEngineIsRejected(t *testing.T) {
 	s := startFixture(t)
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	s.awaitRequests(1)
 	s.advanceClock(2 * admission.Second)
 	a.expectAnswer()
@@ -26,9 +26,9 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
-	b.ask("KILL QUERY 0")
+	b.sendStatement("KILL QUERY 0")
 	b.expectAnswer()
 	b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
 	s.tracef("client kills the query of another session")
@@ -36,7 +36,7 @@
 	e.receive()
 	e.receive()
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
-	a.sendLook("bb")
+	a.sendIdempotentQuery("bb")
 	k = e.receive()
 	e.reply(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
 	a.expectAnswer()
@@ -52,8 +52,8 @@
 	for i := range 50 {
 		a.send(0, fmt.Appendf([]byte{mysql.Query}, "/* class=look,id=%016x,wait=1 */ SELECT a FROM t_7.x", i))
 		b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
-		b.packet()
-		if p := a.packet(); p[0] == 0xff { // its wait of 1 ms is too short to hold it, so no KILL QUERY finds it outstanding
+		b.readPacket()
+		if p := a.readPacket(); p[0] == 0xff { // its wait of 1 ms is too short to hold it, so no KILL QUERY finds it outstanding
 			nacked++
 		}
 	}
@@ -66,7 +66,9 @@
 func TestBadClientsAreToldAndEnded(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.onOwner(func(admission.Time) { s.o.network.LongestWaits = []time.Duration{5 * time.Second, 20 * time.Second} })
+	s.onOwner(func(admission.Time) {
+		s.owner.network.LongestWaits = []time.Duration{5 * time.Second, 20 * time.Second}
+	})
 	query := func(sql string) []byte {
 		return append([]byte{byte(len(sql) + 1), byte((len(sql) + 1) >> 8), 0, 0, mysql.Query}, sql...)
 	}
@@ -91,9 +93,9 @@
 		{"nothing", "idle", false, nil},
 	} {
 		b := s.dial()
-		if b.packet(); c.login {
+		if b.readPacket(); c.login {
 			b.login("app\x00\x00")
-			b.packet()
+			b.readPacket()
 		}
 		s.tracef("client sends %s", c.what)
 		_, _ = b.socket.Write(c.sends)
@@ -113,7 +115,7 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	a.ask("SELECT 1")
+	a.sendStatement("SELECT 1")
 	a.expectAnswer()
 	a.sendRequest("xx", "look", 5000)
 	a.expectAnswer()
@@ -131,7 +133,7 @@
 	a.expectAnswer()
 	for _, login := range []string{"root\x00\x00", "app\x00\x01x", "app"} {
 		b := s.dial()
-		b.packet()
+		b.readPacket()
 		b.login(login)
 		b.expectAnswer()
 		b.expectAnswer()
--- a/internal/router/socket.go
+++ b/internal/router/socket.go
@@ -15,7 +15,7 @@
 
 // readAvailable reads the bytes that the kernel has already received into the reader's buffer, without blocking, until n
 // bytes are buffered or no more are available. It leaves the connection with an expired read deadline.
-func readArrived(socket net.Conn, reader *bufio.Reader, n int) error {
+func readAvailable(socket net.Conn, reader *bufio.Reader, n int) error {
 	socket.SetReadDeadline(time.Time{}) // reads don't block, because each one follows a check for input
 	defer socket.SetReadDeadline(expiredDeadline)
 	for reader.Buffered() < n && hasInput(socket) {
@@ -28,7 +28,7 @@
 
 // writeWithDeadline writes buffers and returns how many bytes the kernel accepted. If the deadline passes, it continues to
 // write for up to finalReadWait, because this process may have been stalled.
-func writeBy(socket net.Conn, deadline time.Time, buffers net.Buffers) (written int64, err error) {
+func writeWithDeadline(socket net.Conn, deadline time.Time, buffers net.Buffers) (written int64, err error) {
 	socket.SetWriteDeadline(deadline)
 	written, err = buffers.WriteTo(socket)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
