--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -50,11 +50,11 @@
 // drainBacklog starts sessions for the connections that wait in the listener's backlog. It calls the kernel's accept
 // directly, because Go's Accept fails without looking at the backlog once the listener's deadline has passed.
 func (a *acceptor) drainBacklog() {
-	socket, ok := a.listener.(syscall.Conn)
+	syscallListener, ok := a.listener.(syscall.Conn)
 	if !ok {
 		return
 	}
-	raw, err := socket.SyscallConn()
+	raw, err := syscallListener.SyscallConn()
 	if err != nil {
 		return
 	}
--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -20,8 +20,8 @@
 // eventually waits until a condition holds, and fails the test if it doesn't hold in time. what describes the condition.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for by := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(by) {
+	for deadline := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("condition not met after %v: %s", eventuallyTimeout, what)
 		}
 	}
@@ -84,12 +84,12 @@
 // receives. This proves that no attempt of an earlier query was sent to the engine.
 func (s *fixture) requireNextAttempt(e *fakeEngine, id string) {
 	s.t.Helper()
-	b := s.newClient()
-	b.sendIdempotentQuery(id)
+	client := s.newClient()
+	client.sendIdempotentQuery(id)
 	select {
-	case h := <-e.received:
-		if h.parts[0] != "do" || h.parts[1] != "00000000000000"+id {
-			s.t.Errorf("%s received %q", e.name, h.parts)
+	case command := <-e.received:
+		if command.parts[0] != "do" || command.parts[1] != "00000000000000"+id {
+			s.t.Errorf("%s received %q", e.name, command.parts)
 		}
 	case <-time.After(eventuallyTimeout):
 		s.t.Errorf("%s received no attempt of request %s", e.name, id)
@@ -148,15 +148,15 @@
 			defer s.close()
 			a := s.newClient()
 			a.sendIdempotentQuery("aa")
-			k := e.receive()
+			conn := e.receive()
 			s.announceEngine(f, "Ready")
 			s.announceEngine(e, "Terminating")
 			leave(a)
 			eventually(t, "the request of a disconnected client is abandoned", func() bool { return s.inFlight() == 0 })
-			if h := <-e.received; h.parts[0] != "undo" {
-				t.Errorf("the engine received %q", h.parts)
+			if command := <-e.received; command.parts[0] != "undo" {
+				t.Errorf("the engine received %q", command.parts)
 			}
-			k.Close()
+			conn.Close()
 			s.requireNextAttempt(f, "bb")
 		})
 	}
@@ -167,26 +167,26 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
 	defer s.close()
-	dialled, goOn := make(chan bool, 1), make(chan bool)
+	dialled, finishDial := make(chan bool, 1), make(chan bool)
 	s.onOwner(func(admission.Time) {
 		dial := s.owner.dial
 		s.owner.dial = func(address string) (net.Conn, error) {
 			select {
 			case dialled <- true:
-				<-goOn
+				<-finishDial
 			default:
 			}
 			return dial(address)
 		}
 	})
 	s.sync()
-	started := func() {
+	listFakeEngine := func() {
 		s.onOwner(func(now admission.Time) {
 			s.owner.handleEndpoints(now, admission.PartialUpdate, []admission.Endpoint{{Engine: "e1", State: admission.Live}}, []string{e.listener.Addr().String()})
 		})
 		s.sync()
 	}
-	started()
+	listFakeEngine()
 	e.fixture = s
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
@@ -196,19 +196,20 @@
 	}
 	a.socket.Close()
 	eventually(t, "the request of a disconnected client is abandoned", func() bool { return s.inFlight() == 0 })
-	close(goOn)
+	close(finishDial)
 	s.requireNextAttempt(e, "bb")
 }
 
-// blockingClient is an engine client whose send blocks the session's goroutine until done is closed. send closes busy first.
+// blockingClient is an engine client whose send closes sending, and then blocks the session's goroutine until finishSend is
+// closed.
 type blockingClient struct {
 	engineClient
-	busy, done chan bool
+	sending, finishSend chan bool
 }
 
 func (b blockingClient) send(*attempt) {
-	close(b.busy)
-	<-b.done
+	close(b.sending)
+	<-b.finishSend
 }
 
 // The connection to the engine comes up after the client disconnected, but before the session, which is blocked, has noticed
@@ -217,26 +218,26 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
 	defer s.close()
-	dialled, goOn := s.slowDial(e)
+	dialled, finishDial := s.slowDial(e)
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
 	<-dialled
-	busy, done := make(chan bool), make(chan bool)
+	sending, finishSend := make(chan bool), make(chan bool)
 	s.onOwner(func(admission.Time) {
 		request := s.owner.requests["00000000000000aa"]
-		request.responder.sendAttempt(&attempt{request: request, resent: true}, blockingClient{busy: busy, done: done})
+		request.responder.sendAttempt(&attempt{request: request, resent: true}, blockingClient{sending: sending, finishSend: finishSend})
 	})
-	<-busy
+	<-sending
 	a.socket.Close()
 	eventually(t, "the client's end of stream has arrived", func() bool {
-		gone := make(chan bool, 1)
-		s.onOwner(func(admission.Time) { gone <- s.owner.requests["00000000000000aa"].responder.hasClientLeft() })
-		return <-gone
+		hasLeft := make(chan bool, 1)
+		s.onOwner(func(admission.Time) { hasLeft <- s.owner.requests["00000000000000aa"].responder.hasClientLeft() })
+		return <-hasLeft
 	})
-	close(goOn)
+	close(finishDial)
 	eventually(t, "the request is abandoned", func() bool { return s.inFlight() == 0 })
-	close(done)
+	close(finishSend)
 	s.requireNextAttempt(e, "bb")
 }
 
@@ -252,8 +253,8 @@
 	if p := a.readPacket(); p[0] != 0xff || !strings.Contains(string(p), "too much was sent") {
 		t.Errorf("the client got %q", p)
 	}
-	if h := <-e.received; h.parts[0] != "undo" {
-		t.Errorf("the engine received %q", h.parts)
+	if command := <-e.received; command.parts[0] != "undo" {
+		t.Errorf("the engine received %q", command.parts)
 	}
 	s.awaitLog("code=flooded")
 	if n := s.inFlight(); n != 0 {
@@ -262,52 +263,52 @@
 }
 
 // An event may be queued before, during or after the session's read. The test covers each of these cases.
-func TestMailboxInterruptsAtEveryLine(t *testing.T) {
+func TestSessionQueueInterruptsReads(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	interrupted := func(m *sessionQueue) error {
+	readAndEnd := func(queue *sessionQueue) error {
 		_, err := near.Read(make([]byte, 1))
-		m.endInterruptibleRead()
+		queue.endInterruptibleRead()
 		return err
 	}
-	called := 0
-	call := requestAbandoned{}
+	handled := 0
+	abandoned := requestAbandoned{}
 
-	m := newSessionQueue(func(sessionEvent) { called++ })
-	m.Put(call)
-	if m.beginInterruptibleRead(near) {
+	queue := newSessionQueue(func(sessionEvent) { handled++ })
+	queue.Put(abandoned)
+	if queue.beginInterruptibleRead(near) {
 		t.Error("the session may read although an event is queued")
 	}
-	m.run()
+	queue.run()
 
-	if !m.beginInterruptibleRead(near) {
+	if !queue.beginInterruptibleRead(near) {
 		t.Fatal("the session may not read although no event is queued")
 	}
-	m.Put(call) // before the read
-	if err := interrupted(m); !os.IsTimeout(err) {
+	queue.Put(abandoned) // before the read
+	if err := readAndEnd(queue); !os.IsTimeout(err) {
 		t.Errorf("an event queued before the read did not interrupt it: %v", err)
 	}
-	m.run()
+	queue.run()
 
-	m.beginInterruptibleRead(near)
-	read := make(chan error)
-	go func() { read <- interrupted(m) }()
-	m.Put(call) // during the read, or just before it
-	if err := <-read; !os.IsTimeout(err) {
+	queue.beginInterruptibleRead(near)
+	readResult := make(chan error)
+	go func() { readResult <- readAndEnd(queue) }()
+	queue.Put(abandoned) // during the read, or just before it
+	if err := <-readResult; !os.IsTimeout(err) {
 		t.Errorf("an event queued during the read did not interrupt it: %v", err)
 	}
-	m.run()
+	queue.run()
 
-	m.beginInterruptibleRead(near)
-	m.endInterruptibleRead()
-	m.Put(call) // after the read; the next read must not be interrupted
+	queue.beginInterruptibleRead(near)
+	queue.endInterruptibleRead()
+	queue.Put(abandoned) // after the read; the next read must not be interrupted
 	go func() { _, _ = far.Write([]byte{1}) }()
 	if _, err := near.Read(make([]byte, 1)); err != nil {
 		t.Errorf("an event queued after the read interrupted the next read: %v", err)
 	}
-	m.run()
-	if called != 4 {
-		t.Errorf("%d of 4 events were handled", called)
+	queue.run()
+	if handled != 4 {
+		t.Errorf("%d of 4 events were handled", handled)
 	}
 }
--- a/internal/router/client_session.go
+++ b/internal/router/client_session.go
@@ -132,12 +132,12 @@
 
 // readPacket reads the payload of the next packet. It reports false, and sets the end reason, if the session must end.
 func (s *clientSession) readPacket() bool {
-	if rest := rejectionPause - time.Since(s.rejectedAt); rest > 0 && s.rejections >= maxQuickRejections {
-		time.Sleep(rest)
+	if delay := rejectionPause - time.Since(s.rejectedAt); delay > 0 && s.rejections >= maxQuickRejections {
+		time.Sleep(delay)
 	}
 	s.releaseStatementBuffer()
 	s.owner.clients.markIdle(s)
-	head, err := s.peekHeader()
+	header, err := s.peekHeader()
 	if !s.owner.clients.markBusy(s) {
 		s.endReason = "displaced"
 		return false
@@ -146,7 +146,7 @@
 		s.endUnread(err)
 		return false
 	}
-	length, number := mysql.ParseHeader(head)
+	length, number := mysql.ParseHeader(header)
 	s.packetNumber = number
 	if length > maxStatementSize {
 		s.dismiss("too_large", mysql.ErrTooLarge, "packet too large")
@@ -175,9 +175,9 @@
 // peekHeader waits for the header of the next packet. If the deadline passes when some of the header has arrived, the rest
 // may take up to finalReadWait.
 func (s *clientSession) peekHeader() ([]byte, error) {
-	head, err := s.input.Peek(mysql.HeaderSize)
+	header, err := s.input.Peek(mysql.HeaderSize)
 	if !errors.Is(err, os.ErrDeadlineExceeded) || !hasInput(s.socket) {
-		return head, err
+		return header, err
 	}
 	if err := readAvailable(s.socket, s.input, mysql.HeaderSize); err != nil {
 		return nil, err
@@ -220,27 +220,27 @@
 // growPayload grows the payload buffer by n bytes of capacity. It reports false if the large buffers of all sessions together
 // exceed the memory limit for statements.
 func (s *clientSession) growPayload(n int) bool {
-	old := cap(s.payload)
+	oldSize := cap(s.payload)
 	s.payload = slices.Grow(s.payload, n)
 	size := cap(s.payload)
-	if size <= usualStatementSize || size == old {
+	if size <= usualStatementSize || size == oldSize {
 		return true
 	}
-	if old <= usualStatementSize {
-		old = 0 // statementBytes doesn't include buffers up to usualStatementSize
+	if oldSize <= usualStatementSize {
+		oldSize = 0 // statementBytes doesn't include buffers up to usualStatementSize
 	}
-	all := s.owner.usage.statementBytes.Add(int64(size - old))
-	return s.owner.usage.maxStatementBytes == 0 || all <= s.owner.usage.maxStatementBytes
+	total := s.owner.usage.statementBytes.Add(int64(size - oldSize))
+	return s.owner.usage.maxStatementBytes == 0 || total <= s.owner.usage.maxStatementBytes
 }
 
 // writePackets writes packets to the client. The write deadline is clientCloseDelay from now, or answerDeadline if that is
 // later: by then a client that stopped waiting has closed its connection.
 func (s *clientSession) writePackets(packets ...[]byte) {
-	by := time.Now().Add(clientCloseDelay)
-	if s.answerDeadline.After(by) {
-		by = s.answerDeadline
+	deadline := time.Now().Add(clientCloseDelay)
+	if s.answerDeadline.After(deadline) {
+		deadline = s.answerDeadline
 	}
-	if _, err := writeWithDeadline(s.socket, by, packets); err != nil && s.endReason == "" {
+	if _, err := writeWithDeadline(s.socket, deadline, packets); err != nil && s.endReason == "" {
 		s.endReason = "write_failed"
 	}
 }
--- a/internal/router/client_session_test.go
+++ b/internal/router/client_session_test.go
@@ -22,12 +22,12 @@
 }
 
 // KILL QUERY ends a request without an answer and cancels its attempt at the engine. The session remains usable.
-func TestKillQueryWithdrawsTheRequest(t *testing.T) {
+func TestKillQueryEndsTheRequest(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	b.sendStatement("KILL QUERY 0")
 	b.expectAnswer()
 	b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
@@ -35,10 +35,10 @@
 	b.expectAnswer()
 	e.receive()
 	e.receive()
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
 	a.sendIdempotentQuery("bb")
-	k = e.receive()
-	e.reply(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
+	conn = e.receive()
+	e.reply(conn, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
 	a.expectAnswer()
 	s.compareTrace("killed")
 }
@@ -48,22 +48,22 @@
 func TestKillQueryBetweenTwoRequests(t *testing.T) {
 	s := startFixture(t)
 	a, b := s.newClient(), s.newClient()
-	nacked := 0
+	rejected := 0
 	for i := range 50 {
 		a.send(0, fmt.Appendf([]byte{mysql.Query}, "/* class=look,id=%016x,wait=1 */ SELECT a FROM t_7.x", i))
 		b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
 		b.readPacket()
 		if p := a.readPacket(); p[0] == 0xff { // its wait of 1 ms is too short to hold it, so no KILL QUERY finds it outstanding
-			nacked++
+			rejected++
 		}
 	}
-	s.tracef("%d of 50 nacked", nacked)
+	s.tracef("%d of 50 nacked", rejected)
 	s.compareTrace("killed between")
 }
 
 // A client that violates the protocol gets an error packet, or its connection is closed. The log has a code for the end of its
 // session. Nothing is sent to the engine.
-func TestBadClientsAreToldAndEnded(t *testing.T) {
+func TestProtocolViolationsEndTheSession(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	s.onOwner(func(admission.Time) {
@@ -75,8 +75,8 @@
 	request := func(id, wait string) []byte {
 		return query("/* class=look,id=00000000000000" + id + ",wait=" + wait + " */ SELECT a FROM t_7.x")
 	}
-	odd := query("SELECT 1")
-	for _, c := range []struct {
+	queryWithoutFields := query("SELECT 1")
+	for _, violation := range []struct {
 		what, code string
 		login      bool
 		sends      []byte
@@ -86,23 +86,23 @@
 		{"an empty packet", "bad_packet", true, []byte{0, 0, 0, 0}},
 		{"a wait above any", "closed", true, request("b0", "1000000")},
 		{"two queries at once", "pipelined", true, append(request("b1", "5000"), request("b2", "5000")...)},
-		{"errors without an end", "no_protocol", true, bytes.Repeat(odd, 20)},
+		{"errors without an end", "no_protocol", true, bytes.Repeat(queryWithoutFields, 20)},
 		{"half a head", "idle", true, []byte{9, 0}},
-		{"half a statement", "cut_short", true, odd[:9]},
+		{"half a statement", "cut_short", true, queryWithoutFields[:9]},
 		{"nothing after the login", "idle", true, nil},
 		{"nothing", "idle", false, nil},
 	} {
-		b := s.dial()
-		if b.readPacket(); c.login {
-			b.login("app\x00\x00")
-			b.readPacket()
+		client := s.dial()
+		if client.readPacket(); violation.login {
+			client.login("app\x00\x00")
+			client.readPacket()
 		}
-		s.tracef("client sends %s", c.what)
-		_, _ = b.socket.Write(c.sends)
-		if b.expectAnswer(); c.code == "closed" {
-			b.socket.Close()
+		s.tracef("client sends %s", violation.what)
+		_, _ = client.socket.Write(violation.sends)
+		if client.expectAnswer(); violation.code == "closed" {
+			client.socket.Close()
 		}
-		s.awaitLog("peer=" + b.socket.LocalAddr().String() + " code=" + c.code)
+		s.awaitLog("peer=" + client.socket.LocalAddr().String() + " code=" + violation.code)
 	}
 	if len(e.received) > 0 {
 		t.Error("the engine received a command")
@@ -111,7 +111,7 @@
 }
 
 // Invalid and unusual commands get errors, and the ends of their sessions get codes in the log. Nothing is sent to the engine.
-func TestOddCommandsReachNoEngine(t *testing.T) {
+func TestInvalidCommandsReachNoEngine(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
--- a/internal/router/connection_limiter.go
+++ b/internal/router/connection_limiter.go
@@ -122,15 +122,15 @@
 	}
 	now := time.Now()
 	deadline := now.Add(idleClientTimeout)
-	soonest := now.Add(finalReadWait)
+	earliestDeadline := now.Add(finalReadWait)
 	if !s.answeredOnce {
 		deadline = s.startedAt.Add(firstQueryTimeout)
-		if deadline.Before(soonest) { // this process may have been slow to read the login, so the client gets more time
-			deadline = soonest
+		if deadline.Before(earliestDeadline) { // this process may have been slow to read the login, so the client gets more time
+			deadline = earliestDeadline
 		}
 	}
-	if l.closing && soonest.Before(deadline) {
-		deadline = soonest
+	if l.closing && earliestDeadline.Before(deadline) {
+		deadline = earliestDeadline
 	}
 	s.socket.SetReadDeadline(deadline)
 }
--- a/internal/router/connection_limiter_test.go
+++ b/internal/router/connection_limiter_test.go
@@ -12,37 +12,37 @@
 
 // When the limit of sessions is reached, a new client evicts an idle one. Clients that have not had a command answered yet are
 // evicted first.
-func TestNewcomerDisplacesAnIdleClient(t *testing.T) {
+func TestNewClientEvictsAnIdleClient(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	s.owner.clients.mu.Lock()
 	s.owner.clients.limit = 2
 	s.owner.clients.mu.Unlock()
 	// A session may enter its idle list some time after its client has received the answer.
-	until := func(there func(d *connectionLimiter) bool) {
+	awaitLimiter := func(condition func(d *connectionLimiter) bool) {
 		for ok := false; !ok; time.Sleep(time.Millisecond) {
 			s.owner.clients.mu.Lock()
-			ok = there(&s.owner.clients)
+			ok = condition(&s.owner.clients)
 			s.owner.clients.mu.Unlock()
 		}
 	}
-	stranger := s.dial()
-	until(func(d *connectionLimiter) bool { return d.sessions == 1 })
+	newcomer := s.dial()
+	awaitLimiter(func(limiter *connectionLimiter) bool { return limiter.sessions == 1 })
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	b := s.newClient()
-	stranger.readPacket()
-	s.tracef("the stranger has the %s", stranger.readPacket())
+	newcomer.readPacket()
+	s.tracef("the stranger has the %s", newcomer.readPacket())
 	b.sendIdempotentQuery("bb")
-	m := e.receive()
+	secondConn := e.receive()
 	s.tracef("a third client has error %d", int(s.dial().readPacket()[1])|4<<8)
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
-	until(func(d *connectionLimiter) bool { return d.idleKnown.Len() == 1 })
+	awaitLimiter(func(limiter *connectionLimiter) bool { return limiter.idleKnown.Len() == 1 })
 	c := s.newClient()
 	s.tracef("the first client has the %s", a.readPacket())
-	e.reply(m, "00000000000000bb", "data", "pages=1,cost=120,need=64", "d\te\tf\n")
+	e.reply(secondConn, "00000000000000bb", "data", "pages=1,cost=120,need=64", "d\te\tf\n")
 	b.expectAnswer()
 	c.send(0, []byte{mysql.Ping})
 	c.expectAnswer()
@@ -51,44 +51,44 @@
 
 // In a burst of new clients, or during a stall of this process, sessions can have input that is not read yet. Sessions without
 // unread input must be evicted first.
-func TestClientThatHasSpokenKeepsItsPlace(t *testing.T) {
+func TestClientWithUnreadInputIsNotEvicted(t *testing.T) {
 	s := &fixture{t: t}
 	l := s.listen()
-	d := connectionLimiter{limit: 3}
-	var in []*clientSession
-	for n, says := range []string{"hello", "", "", "hello", "hello", "hello"} {
+	limiter := connectionLimiter{limit: 3}
+	var sessions []*clientSession
+	for n, input := range []string{"hello", "", "", "hello", "hello", "hello"} {
 		c, err := dialTCP(l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.closers = append(s.closers, c)
 		tcp, _ := l.Accept()
-		_, _ = io.WriteString(c, says)
-		if says != "" {
+		_, _ = io.WriteString(c, input)
+		if input != "" {
 			for !hasInput(tcp) {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		in = append(in, &clientSession{socket: tcp, connectionID: uint32(n)})
-		before := displacedOf(in)
-		result := d.admit(in[n])
-		after := slices.DeleteFunc(displacedOf(in), func(s *clientSession) bool { return slices.Contains(before, s) })
-		if len(after) == 0 {
-			fmt.Fprintf(&s.trace, "client %d is let in: %v\n", n, result)
+		sessions = append(sessions, &clientSession{socket: tcp, connectionID: uint32(n)})
+		evictedBefore := evictedOf(sessions)
+		admitted := limiter.admit(sessions[n])
+		newlyEvicted := slices.DeleteFunc(evictedOf(sessions), func(s *clientSession) bool { return slices.Contains(evictedBefore, s) })
+		if len(newlyEvicted) == 0 {
+			fmt.Fprintf(&s.trace, "client %d is let in: %v\n", n, admitted)
 		}
-		for _, displaced := range after {
-			fmt.Fprintf(&s.trace, "client %d takes the place of client %d\n", n, displaced.connectionID)
+		for _, evicted := range newlyEvicted {
+			fmt.Fprintf(&s.trace, "client %d takes the place of client %d\n", n, evicted.connectionID)
 		}
 	}
 	s.compareTrace("burst")
 }
 
-// displacedOf returns the evicted ones among the given sessions.
-func displacedOf(all []*clientSession) (displaced []*clientSession) {
+// evictedOf returns the evicted ones among the given sessions.
+func evictedOf(all []*clientSession) (evicted []*clientSession) {
 	for _, s := range all {
 		if s.evicted {
-			displaced = append(displaced, s)
+			evicted = append(evicted, s)
 		}
 	}
-	return displaced
+	return evicted
 }
--- a/internal/router/shapes_test.go
+++ b/internal/router/mixed_settings_test.go
@@ -25,17 +25,17 @@
 // checks, reads the number of queries in flight from the engines' answers, receives notices every 100 ms, and sends requests
 // of class report only to engines of kind a.
 const (
-	shapeLanes = `"zones":["hall"],"skus":["a","b"],"familyInfo":{"dop":[1,2],"kindCores":[4,4]%s},
+	commonSettingsFormat = `"zones":["hall"],"skus":["a","b"],"familyInfo":{"dop":[1,2],"kindCores":[4,4]%s},
  "limits":{"cancel":true,"probes":%v,"maxAttempts":3,"multiplex":4,"keepaliveUs":30000000,"connectTimeoutUs":250000,
   "retryAfter":true,"maxRetryAfterUs":1000000},"rules":{},"stats":{"how":%q,"fields":[%s]}`
-	oldShape = `{"fleetSize":2,"me":0,"classes":[{"name":"look","sloUs":1000000,"worth":1,"effect":"read_like"},
- {"name":"report","sloUs":2000000,"worth":4,"effect":"read_like"}],` + shapeLanes + `}`
-	newShape = `{"fleetSize":2,"me":1,"classes":[{"name":"look","sloUs":1000000,"worth":1,"effect":"read_like"},
- {"name":"report","sloUs":2000000,"worth":4,"effect":"read_like","servedOn":[0]}],` + shapeLanes + `}`
+	oldSettingsFormat = `{"fleetSize":2,"me":0,"classes":[{"name":"look","sloUs":1000000,"worth":1,"effect":"read_like"},
+ {"name":"report","sloUs":2000000,"worth":4,"effect":"read_like"}],` + commonSettingsFormat + `}`
+	newSettingsFormat = `{"fleetSize":2,"me":1,"classes":[{"name":"look","sloUs":1000000,"worth":1,"effect":"read_like"},
+ {"name":"report","sloUs":2000000,"worth":4,"effect":"read_like","servedOn":[0]}],` + commonSettingsFormat + `}`
 )
 
-// query sends a query of a class and reads its result to the end.
-func query(db *sql.DB, class, id string) error {
+// runQuery sends a query of a class and reads its result to the end.
+func runQuery(db *sql.DB, class, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	rows, err := db.QueryContext(ctx, "/* class="+class+",id="+id+",wait=1900 */ SELECT a FROM t.m")
@@ -48,20 +48,20 @@
 	return rows.Err()
 }
 
-// served counts the served requests, by the prefix of their ids and by class. The prefix identifies the gateway.
-type served struct {
+// servedCounter counts the served requests, by the prefix of their ids and by class. The prefix identifies the gateway.
+type servedCounter struct {
 	mu    sync.Mutex
 	count map[string]int
 }
 
-// ask sends a client's requests one after the other. It fails the test if the gateway answers one with neither a result nor
-// an error packet.
-func (s *served) ask(t *testing.T, db *sql.DB, prefix string, client int) {
+// sendRequests sends a client's requests one after the other. It fails the test if the gateway answers one with neither a
+// result nor an error packet.
+func (s *servedCounter) sendRequests(t *testing.T, db *sql.DB, prefix string, client int) {
 	t.Helper()
 	for n := range 40 {
 		class := []string{"look", "look", "look", "report"}[n%4]
 		id := fmt.Sprintf("%s%02x%011x%d", prefix, client, n, n%4/3) // ids of class report end in 1
-		err := query(db, class, id)
+		err := runQuery(db, class, id)
 		if rejection := (*driver.MySQLError)(nil); err != nil && !errors.As(err, &rejection) {
 			t.Errorf("%s: no answer from the gateway: %v", id, err)
 		}
@@ -74,15 +74,15 @@
 }
 
 // check fails the test if less than nine tenths of the requests of any prefix and class were served.
-func (s *served) check(t *testing.T) {
+func (s *servedCounter) check(t *testing.T) {
 	t.Helper()
 	for _, k := range []string{"0a look", "0a report", "0b look", "0b report"} {
-		most := 40
+		sent := 40
 		if strings.HasSuffix(k, "look") {
-			most = 120
+			sent = 120
 		}
-		if s.count[k] < most*9/10 {
-			t.Errorf("%s: %d of %d requests served", k, s.count[k], most)
+		if s.count[k] < sent*9/10 {
+			t.Errorf("%s: %d of %d requests served", k, s.count[k], sent)
 		}
 	}
 }
@@ -104,22 +104,22 @@
 // A gateway with the old settings and one with the new settings send to the same engines. Each request must get one answer,
 // the new gateway must send reports to engines of kind a only, and neither gateway may starve the other. Once the engine list
 // announces that the engine of kind b is terminating, neither gateway may send it more requests.
-func TestShapesSide(t *testing.T) {
+func TestOldAndNewSettingsSideBySide(t *testing.T) {
 	_ = driver.SetLogger(&driver.NopLogger{})
 	kindA, kindB := fake.NewExecutionLog(), fake.NewExecutionLog()
-	manner := fake.EngineBehavior{Threads: 4, Cores: 4, MaxHeld: 40, NoteInterval: 100 * time.Millisecond, Works: []fake.Work{
+	behavior := fake.EngineBehavior{Threads: 4, Cores: 4, MaxHeld: 40, NoteInterval: 100 * time.Millisecond, Works: []fake.Work{
 		{Class: "look", Service: fake.ServiceTime{Mean: 20 * time.Millisecond}},
 		{Class: "report", Service: fake.ServiceTime{Mean: 150 * time.Millisecond}}}}
-	entries := startEngines(t, manner, map[string]*fake.ExecutionLog{"a": kindA, "b": kindB})
+	entries := startEngines(t, behavior, map[string]*fake.ExecutionLog{"a": kindA, "b": kindB})
 	list, err := fake.StartDiscovery("127.0.0.1:0", entries)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer list.Close()
-	oldSettings := fmt.Sprintf(oldShape, "", true, "probe", `"util"`)
-	newSettings := fmt.Sprintf(newShape, `,"progressPaceUs":100000`, false, "answers", `"inflight"`)
+	oldSettings := fmt.Sprintf(oldSettingsFormat, "", true, "probe", `"util"`)
+	newSettings := fmt.Sprintf(newSettingsFormat, `,"progressPaceUs":100000`, false, "answers", `"inflight"`)
 	var wait sync.WaitGroup
-	delivered := served{count: map[string]int{}}
+	served := servedCounter{count: map[string]int{}}
 	var drained time.Time
 	wait.Go(func() {
 		time.Sleep(time.Second)
@@ -128,8 +128,8 @@
 		draining.State = "Terminating"
 		list.Publish(draining)
 	})
-	for _, g := range []struct{ prefix, settings string }{{"0a", oldSettings}, {"0b", newSettings}} {
-		address, stop := startGateway(t, list, g.settings)
+	for _, gateway := range []struct{ prefix, settings string }{{"0a", oldSettings}, {"0b", newSettings}} {
+		address, stop := startGateway(t, list, gateway.settings)
 		defer stop()
 		db, err := sql.Open("mysql", "app@tcp("+address+")/reports?timeout=2s")
 		if err != nil {
@@ -137,20 +137,20 @@
 		}
 		defer func() { _ = db.Close() }()
 		for client := range 4 {
-			wait.Go(func() { delivered.ask(t, db, g.prefix, client) })
+			wait.Go(func() { served.sendRequests(t, db, gateway.prefix, client) })
 		}
 	}
 	wait.Wait()
-	delivered.check(t)
-	const heard = 500 * time.Millisecond // the list answers a waiting poll at once, and the gateway then stops sending
+	served.check(t)
+	const drainNoticeTime = 500 * time.Millisecond // the list answers a waiting poll at once, and the gateway then stops sending
 	late, before := 0, 0
-	kindB.Each(func(truth fake.ExecutionRecord) {
-		if strings.HasPrefix(truth.ID, "0b") && strings.HasSuffix(truth.ID, "1") {
-			t.Errorf("%s: an engine of kind b received a report of the gateway with the new settings", truth.ID)
+	kindB.Each(func(record fake.ExecutionRecord) {
+		if strings.HasPrefix(record.ID, "0b") && strings.HasSuffix(record.ID, "1") {
+			t.Errorf("%s: an engine of kind b received a report of the gateway with the new settings", record.ID)
 		}
-		if truth.ReceivedAt.After(drained.Add(heard)) {
+		if record.ReceivedAt.After(drained.Add(drainNoticeTime)) {
 			late++
-		} else if truth.ReceivedAt.Before(drained) {
+		} else if record.ReceivedAt.Before(drained) {
 			before++
 		}
 	})
@@ -158,19 +158,19 @@
 		t.Error("the engine of kind b received no request before it began to drain, so the test did not exercise the drain")
 	}
 	if late > 0 {
-		t.Errorf("the draining engine received %d requests later than %v after the list announced the drain", late, heard)
+		t.Errorf("the draining engine received %d requests later than %v after the list announced the drain", late, drainNoticeTime)
 	}
 }
 
 // startGateway starts a gateway with the given settings that follows an engine list. stop ends it and waits for its end.
 func startGateway(t *testing.T, list *fake.Discovery, settings string) (address string, stop func()) {
 	t.Helper()
-	free, err := listenTCP("127.0.0.1:0")
+	listener, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address = free.Addr().String()
-	free.Close()
+	address = listener.Addr().String()
+	listener.Close()
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","coordinator":%q,"known":%s,"settings":%s}`,
 		address, list.Address, list.Snapshot(), settings)
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -19,12 +19,12 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// asRouter is the environment variable that holds the path of a configuration. If it is set, the test binary runs a gateway
-// with that configuration instead of the tests.
-const asRouter = "ROUTER_TEST_CONFIG"
+// configVariable is the environment variable that holds the path of a configuration. If it is set, the test binary runs a
+// gateway with that configuration instead of the tests.
+const configVariable = "ROUTER_TEST_CONFIG"
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(asRouter); path != "" {
+	if path := os.Getenv(configVariable); path != "" {
 		os.Exit(serveAsProcess(path))
 	}
 	os.Exit(m.Run())
@@ -32,8 +32,8 @@
 
 // serveAsProcess runs a gateway until SIGTERM, as the command line does, and returns the process's exit code.
 func serveAsProcess(path string) int {
-	ends := make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM)
 	start, err := config.ReadFile(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -41,7 +41,7 @@
 	}
 	stop := make(chan struct{})
 	go func() {
-		<-ends
+		<-signals
 		close(stop)
 	}()
 	if err := Serve(start, Options{}, slog.New(slog.NewTextHandler(os.Stderr, nil)), stop, nil); err != nil {
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	process = exec.CommandContext(context.Background(), "/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %q", descriptors, os.Args[0]))
-	process.Env = append(os.Environ(), asRouter+"="+path)
+	process.Env = append(os.Environ(), configVariable+"="+path)
 	log = &lockedBuffer{}
 	process.Stderr = log
 	if err := process.Start(); err != nil {
@@ -91,12 +91,12 @@
 	}
 	c.SetDeadline(time.Now().Add(eventuallyTimeout))
 	_, _ = c.Write(loginPacket())
-	k := &testClient{socket: c, reader: bufio.NewReader(c)}
-	if k.readPacket()[0] != 10 || k.readPacket()[0] != 0 {
+	client := &testClient{socket: c, reader: bufio.NewReader(c)}
+	if client.readPacket()[0] != 10 || client.readPacket()[0] != 0 {
 		c.Close()
 		return nil
 	}
-	return k
+	return client
 }
 
 // While the engine list is down, idle clients take every file descriptor that they can get. Once the list is up, there must
@@ -113,39 +113,39 @@
 	_, log := startProcess(t, fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","limits":{"sockets":%d},"coordinator":%q,
 	 "known":{"index":0,"updates":[]},"settings":%s}`, address, descriptors, listAddress, settings), descriptors)
 	eventually(t, "the gateway accepts logins", func() bool { return logIn(address) != nil })
-	var crowd []net.Conn
+	var idleConns []net.Conn
 	defer func() {
-		for _, c := range crowd {
+		for _, c := range idleConns {
 			c.Close()
 		}
 	}()
-	fill := func() {
+	addIdleConns := func() {
 		for range 3 * descriptors {
 			c, err := dialTCP(address)
 			if err != nil {
 				t.Fatal(err)
 			}
-			crowd = append(crowd, c)
+			idleConns = append(idleConns, c)
 		}
 	}
-	fill()
+	addIdleConns()
 	list, err := fake.StartDiscovery(listAddress, []fake.Endpoint{
 		{ID: "e-1", Address: e.Address, Zone: "hall", Kind: "std", State: "Ready"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer list.Close()
-	fill()
+	addIdleConns()
 	served := false
 	eventually(t, "a client's query is served despite the idle connections", func() bool {
-		k := logIn(address)
-		if k == nil {
+		client := logIn(address)
+		if client == nil {
 			return false
 		}
-		defer k.socket.Close()
-		_, _ = k.socket.Write(queryPacket(fmt.Sprintf("%02x", len(crowd)%256)))
-		served = k.readPacket()[0] == 3 // the first packet of a result, which holds its number of columns
-		fill()
+		defer client.socket.Close()
+		_, _ = client.socket.Write(queryPacket(fmt.Sprintf("%02x", len(idleConns)%256)))
+		served = client.readPacket()[0] == 3 // the first packet of a result, which holds its number of columns
+		addIdleConns()
 		return served
 	})
 	if text := log.String(); strings.Contains(text, "too many open files") {
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -139,11 +139,11 @@
 // longest wait of the class times the threads that its requests use; for memory, the size of the largest engine.
 func (o *owner) clientEstimate(r *mysql.Request, class int) admission.Estimate {
 	work, memory := r.WorkMS, r.MemoryMB
-	if longest := o.network.LongestWaits[class]; longest > 0 {
-		work = min(work, float64(longest.Milliseconds())*float64(o.deployment.Classes[class].Threads))
+	if longestWait := o.network.LongestWaits[class]; longestWait > 0 {
+		work = min(work, float64(longestWait.Milliseconds())*float64(o.deployment.Classes[class].Threads))
 	}
-	if sizes := o.deployment.MemoryByKind; len(sizes) > 0 {
-		memory = min(memory, slices.Max(sizes))
+	if memorySizes := o.deployment.MemoryByKind; len(memorySizes) > 0 {
+		memory = min(memory, slices.Max(memorySizes))
 	}
 	return admission.Estimate{Work: admission.Time(work * float64(admission.Millisecond)), Memory: memory}
 }
@@ -161,9 +161,9 @@
 // hasPipelinedInput reports whether the client sent another command before the answer to the current one. A single quit
 // command is allowed and doesn't count.
 func (s *clientSession) hasPipelinedInput() bool {
-	next, _ := s.input.Peek(s.input.Buffered())
-	quits := len(next) == mysql.HeaderSize+1 && next[mysql.HeaderSize] == mysql.Quit
-	return len(next) > 0 && !quits
+	buffered, _ := s.input.Peek(s.input.Buffered())
+	quits := len(buffered) == mysql.HeaderSize+1 && buffered[mysql.HeaderSize] == mysql.Quit
+	return len(buffered) > 0 && !quits
 }
 
 // usualHeadBytes is the initial buffer capacity for the packets before a result's rows.
@@ -190,10 +190,10 @@
 }
 
 // writeDenial writes that a request is denied, and why. See requestDenied.
-func (s *clientSession) writeDenial(why string) {
+func (s *clientSession) writeDenial(reason string) {
 	s.awaitingAnswer = false
 	s.noteRejection()
-	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrForbidden, why))
+	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrForbidden, reason))
 }
 
 // writeRejection writes that a request is rejected. The client may retry after retryAfterMS; 0 states no time.
@@ -209,10 +209,10 @@
 	s.writePackets(mysql.AppendError(nil, s.packetNumber+1, mysql.ErrInterrupted, "written off"))
 }
 
-// writeRefusal writes that a query is not a valid request, and why. See requestInvalid.
-func (s *clientSession) writeRefusal(why string) {
+// writeInvalid writes that a query is not a valid request, and why. See requestInvalid.
+func (s *clientSession) writeInvalid(reason string) {
 	s.awaitingAnswer = false
-	s.rejectCommand(mysql.ErrParse, why)
+	s.rejectCommand(mysql.ErrParse, reason)
 }
 
 // abandonRequest ends a request whose client no longer waits. Nothing is written.
--- a/internal/router/query_test.go
+++ b/internal/router/query_test.go
@@ -19,14 +19,14 @@
 
 // The gateway reads every field that a client of the deployment can send. It sends the idempotency token with each attempt,
 // uses the client's estimates, and rejects fields and values that the settings don't allow.
-func TestFieldsOfOtherDeployments(t *testing.T) {
+func TestFieldsOfADeploymentWithTenants(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixtureWith(t, tenantSettings, e, f)
 	s.announceEngine(f, "Terminating")
 	a := s.newClient()
 	a.sendStatement("/* class=load,id=00000000000000aa,wait=20000,tenant=south,cost=120.5,once=" + testIdempotencyToken +
 		",key=000f32068cc24621,mb=200 */ INSERT INTO t_7.x SELECT * FROM staging.y")
-	k := e.receive()
+	conn := e.receive()
 	requests := make(chan request, 1)
 	s.onOwner(func(admission.Time) { requests <- *s.owner.requests["00000000000000aa"] })
 	if got := <-requests; got.tenant != 1 || got.orderingKey != "000f32068cc24621" || got.estimate.Work != 1205 || got.estimate.Memory != 200 {
@@ -34,9 +34,9 @@
 	}
 	s.announceEngine(e, "Terminating")
 	s.announceEngine(f, "Ready")
-	k.Close()
-	k = f.receive()
-	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	conn.Close()
+	conn = f.receive()
+	f.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	if got := strings.Count(s.trace.String(), "token="+testIdempotencyToken); got != 2 {
 		t.Errorf("%d attempts carried the idempotency token, want 2", got)
@@ -49,7 +49,7 @@
 }
 
 // A client's estimate is limited to what could be served at all, so that it doesn't distort what is learned about its class.
-func TestEstimatesAreBounded(t *testing.T) {
+func TestEstimatesAreLimited(t *testing.T) {
 	s := startFixtureWith(t, strings.Replace(tenantSettings, `"sloUs":1000000,`, `"sloUs":1000000,"deadlineUs":5000000,`, 1))
 	a := s.newClient()
 	a.sendStatement("/* class=look,id=00000000000000aa,wait=5000,tenant=north,cost=900000000,mb=900000000 */ SELECT a FROM t_7.x")
--- a/internal/router/session_events.go
+++ b/internal/router/session_events.go
@@ -83,7 +83,7 @@
 	case requestDenied:
 		s.writeDenial(e.reason)
 	case requestInvalid:
-		s.writeRefusal(e.reason)
+		s.writeInvalid(e.reason)
 	case requestAbandoned:
 		s.abandonRequest()
 	}
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -24,9 +24,9 @@
 	return append([]byte{byte(len(login)), 0, 0, 1}, login...)
 }
 
-// ends reads until the connection ends and returns the error: io.EOF if the gateway closed it, another error if it was reset or
-// did not end in time.
-func (c *testClient) ends() error {
+// awaitEnd reads until the connection ends and returns the error: io.EOF if the gateway closed it, another error if it was
+// reset or did not end in time.
+func (c *testClient) awaitEnd() error {
 	c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	for {
 		if _, err := c.reader.ReadByte(); err != nil {
@@ -37,14 +37,14 @@
 
 // Connections in the listener's backlog, which the kernel has accepted but the gateway has not when it stops accepting, must be
 // served and not reset.
-func TestStopServesWhomTheSystemAccepted(t *testing.T) {
+func TestStopServesConnectionsInTheBacklog(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
 	listener := s.listen()
-	const waiting = 3
+	const backlog = 3
 	var clients []*testClient
-	for n := range waiting { // the gateway doesn't accept connections yet
+	for n := range backlog { // the gateway doesn't accept connections yet
 		c, err := dialTCP(listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -58,8 +58,8 @@
 	go acceptor.run()
 	acceptor.stop()
 	for range clients {
-		h := <-e.received
-		_, _ = h.conn.Write(resp.AppendArray(nil, h.parts[1], "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
+		command := <-e.received
+		_, _ = command.conn.Write(resp.AppendArray(nil, command.parts[1], "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
 	}
 	for _, c := range clients {
 		c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
@@ -67,12 +67,12 @@
 		c.readPacket() // the OK packet after the login
 		c.expectAnswer()
 	}
-	if got := strings.Count(s.trace.String(), "client gets: rows"); got != waiting {
-		t.Errorf("%d of %d clients served:\n%s", got, waiting, s.trace.String())
+	if got := strings.Count(s.trace.String(), "client gets: rows"); got != backlog {
+		t.Errorf("%d of %d clients served:\n%s", got, backlog, s.trace.String())
 	}
 	s.owner.clients.beginShutdown()
 	for i, c := range clients {
-		if err := c.ends(); !errors.Is(err, io.EOF) {
+		if err := c.awaitEnd(); !errors.Is(err, io.EOF) {
 			t.Errorf("client %d: %v", i, err)
 		}
 	}
@@ -80,19 +80,19 @@
 
 // A request that is read after the gateway began to end its sessions is rejected and not sent to an engine. An outstanding
 // request is answered.
-func TestStopRefusesWhatIsReadLater(t *testing.T) {
+func TestStopRejectsLaterRequests(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	s.owner.clients.beginShutdown()
 	a.sendIdempotentQuery("bb") // sent while the other request is outstanding
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	a.expectAnswer()
-	if err := a.ends(); !errors.Is(err, io.EOF) {
+	if err := a.awaitEnd(); !errors.Is(err, io.EOF) {
 		t.Errorf("the session ended with %v", err)
 	}
 	if len(e.received) > 0 {
@@ -104,7 +104,7 @@
 
 // A client may send a request while its session ends. The session must read the request, because closing a connection with
 // unread input resets it, and the client would lose what the gateway sent before.
-func TestEndOfSessionIsNoReset(t *testing.T) {
+func TestSessionEndDoesNotResetTheConnection(t *testing.T) {
 	for what, end := range map[string]func(s *fixture){
 		"stop": func(s *fixture) { s.owner.clients.beginShutdown() },
 		"displaced": func(s *fixture) {
@@ -130,7 +130,7 @@
 				return s.owner.clients.idleKnown.Len() == 1
 			})
 			end(s)
-			if err := a.ends(); !errors.Is(err, io.EOF) {
+			if err := a.awaitEnd(); !errors.Is(err, io.EOF) {
 				t.Fatalf("the session ended with %v", err)
 			}
 			for _, id := range []string{"aa", "ab"} { // on a reset connection the first write succeeds and the second one fails
@@ -140,7 +140,7 @@
 			}
 			_ = asTCP(a.socket).CloseWrite()
 			s.awaitLog("side=client")
-			if err := a.ends(); !errors.Is(err, io.EOF) {
+			if err := a.awaitEnd(); !errors.Is(err, io.EOF) {
 				t.Errorf("the connection ended with %v", err)
 			}
 			if len(e.received) > 0 {
@@ -152,7 +152,7 @@
 
 // A client that is rejected because there are too many connections receives the error, although its login and a query are
 // unread.
-func TestTurnedAwayIsNoReset(t *testing.T) {
+func TestRejectionDoesNotResetTheConnection(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
 	s.owner.clients.mu.Lock()
@@ -172,11 +172,11 @@
 	}
 	eventually(t, "the login has arrived", func() bool { return hasInput(tcp) })
 	(&acceptor{owner: s.owner}).startSession(tcp)
-	k := &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)}
-	if p := k.readPacket(); p[0] != 0xff || int(p[1])|int(p[2])<<8 != 1040 {
+	client := &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)}
+	if p := client.readPacket(); p[0] != 0xff || int(p[1])|int(p[2])<<8 != 1040 {
 		t.Errorf("the client got %q", p)
 	}
-	if err := k.ends(); !errors.Is(err, io.EOF) {
+	if err := client.awaitEnd(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection ended with %v", err)
 	}
 	s.owner.clients.mu.Lock()
@@ -186,13 +186,13 @@
 
 // A new configuration is applied during a shutdown, because the discovery service at the new address may announce that engines
 // are terminating.
-func TestReloadDuringAStop(t *testing.T) {
+func TestReloadDuringShutdown(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	close(s.stop)
 	s.awaitLog("stopping")
 	select {
@@ -200,7 +200,7 @@
 	case <-time.After(eventuallyTimeout):
 		t.Fatal("a new configuration is not applied during a shutdown")
 	}
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	<-s.ended
 	if !strings.Contains(s.log.String(), "code=renewed") {
@@ -209,13 +209,13 @@
 }
 
 // While a shutdown waits for an outstanding request, the listen address must be free, so that a successor can listen on it.
-func TestAddressIsFreeDuringAStop(t *testing.T) {
+func TestAddressIsFreeDuringShutdown(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	close(s.stop)
 	eventually(t, "the gateway rejects new requests", s.owner.clients.isShuttingDown)
 	successor, err := listenTCP(s.address)
@@ -223,26 +223,26 @@
 		t.Fatalf("a successor can't listen: %v", err)
 	}
 	successor.Close()
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	<-s.ended
-	var n int
+	var openConnections int
 	s.owner.clients.mu.Lock()
-	n = s.owner.clients.sessions + s.owner.clients.lingering
+	openConnections = s.owner.clients.sessions + s.owner.clients.lingering
 	s.owner.clients.mu.Unlock()
-	if n != 0 {
-		t.Errorf("%d client connections left after the shutdown", n)
+	if openConnections != 0 {
+		t.Errorf("%d client connections left after the shutdown", openConnections)
 	}
 }
 
 // After the gateway is told to stop, it still accepts new requests for drainTime. It answers every accepted request before it
 // ends.
-func TestStopAnswersWhatIsInHand(t *testing.T) {
+func TestStopAnswersOutstandingRequests(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	close(s.stop)
 	b.sendIdempotentQuery("bb")
 	e.reply(e.receive(), "00000000000000bb", "data", "pages=1,cost=120,need=64", "d\te\tf\n")
@@ -252,7 +252,7 @@
 		t.Error("the gateway ended with an outstanding request")
 	case <-time.After(drainTime + 100*time.Millisecond):
 	}
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	<-s.ended
 	for _, side := range []string{"client", "engine", `"engine list"`} {
--- a/internal/router/socket.go
+++ b/internal/router/socket.go
@@ -48,11 +48,11 @@
 // peekSocket checks, without blocking or consuming input, what the next read of a connection would return. waiting reports
 // unread bytes; ended reports that the peer closed or reset the connection. Both are false if the read would block.
 func peekSocket(socket net.Conn) (waiting, ended bool) {
-	system, ok := socket.(syscall.Conn)
+	syscallConn, ok := socket.(syscall.Conn)
 	if !ok {
 		return false, false
 	}
-	raw, err := system.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false, false
 	}
@@ -71,7 +71,7 @@
 // closeWrite closes the sending direction of a connection, so that the peer reads the end of the stream. It ignores errors,
 // because they mean that the connection has already ended.
 func closeWrite(socket net.Conn) {
-	if half, ok := socket.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if writeCloser, ok := socket.(interface{ CloseWrite() error }); ok {
+		_ = writeCloser.CloseWrite()
 	}
 }
--- a/internal/router/watcher.go
+++ b/internal/router/watcher.go
@@ -43,10 +43,10 @@
 
 // reconfigure makes the watcher post the events that a new configuration contains, and poll at the new address. It cancels
 // the current connection.
-func (w *watcher) reconfigure(address string, known *jsonvalue.Value) {
+func (w *watcher) reconfigure(address string, events *jsonvalue.Value) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.address, w.pendingEvents = address, known
+	w.address, w.pendingEvents = address, events
 	if w.disconnect != nil {
 		w.disconnect()
 	}
@@ -69,16 +69,16 @@
 	pollBufferSize = 4096
 )
 
-// postEvents posts events to the owner. full is the update kind of events that contain the whole list. It reports whether all
-// events could be read.
-func (w *watcher) postEvents(events *jsonvalue.Value, full admission.UpdateKind) bool {
+// postEvents posts events to the owner. fullKind is the update kind of events that contain the whole list. It reports whether
+// all events could be read.
+func (w *watcher) postEvents(events *jsonvalue.Value, fullKind admission.UpdateKind) bool {
 	lastIndex := w.lastIndex
 	network := w.owner.network
 	reader := discovery.EventReader{Zones: network.Zones, Kinds: network.Kinds, AcceptPartial: w.badEvents >= maxBadEvents}
 	w.lastIndex = reader.ReadEvents(events, lastIndex, func(e discovery.WatchEvent) {
 		kind := admission.PartialUpdate
 		if e.Full {
-			kind = full
+			kind = fullKind
 		}
 		w.owner.post(endpointsUpdated{kind: kind, endpoints: e.Endpoints, addresses: e.Addresses})
 	})
@@ -102,11 +102,11 @@
 			return
 		default:
 		}
-		begun := time.Now()
+		startedAt := time.Now()
 		useful, reconfigured := w.connectOnce(stop)
 		wait := time.Duration(0)
 		if !useful && !reconfigured {
-			wait = reconnectDelay(time.Since(begun), w.owner.network.ConnectTimeout)
+			wait = reconnectDelay(time.Since(startedAt), w.owner.network.ConnectTimeout)
 		}
 		select {
 		case <-stop:
@@ -120,7 +120,7 @@
 // connectOnce posts the events of a new configuration, if one is pending, and polls on one connection until the connection
 // ends. useful reports whether valid events were received, reconfigured whether a new configuration ended the connection.
 func (w *watcher) connectOnce(stop <-chan struct{}) (useful, reconfigured bool) {
-	connected, disconnect := context.WithCancel(context.Background())
+	connectionCtx, disconnect := context.WithCancel(context.Background())
 	defer disconnect()
 	w.mu.Lock()
 	address, events := w.address, w.pendingEvents
@@ -129,15 +129,15 @@
 	if events != nil {
 		w.postEvents(events, admission.FullUpdate)
 	}
-	useful = w.connect(connected, address, stop)
-	return useful, connected.Err() != nil
+	useful = w.connect(connectionCtx, address, stop)
+	return useful, connectionCtx.Err() != nil
 }
 
-// reconnectDelay returns how long to wait before the next connection, after one without valid events that lasted for took,
-// dial included. Connections then start at least connectTimeout apart. A longer delay would make events reach the gateway
-// later.
-func reconnectDelay(took, connectTimeout time.Duration) time.Duration {
-	return max(0, connectTimeout-took)
+// reconnectDelay returns how long to wait before the next connection, after one without valid events. elapsed is the time since
+// that connection's dial began. Connections then start at least connectTimeout apart. A longer delay would make events reach
+// the gateway later.
+func reconnectDelay(elapsed, connectTimeout time.Duration) time.Duration {
+	return max(0, connectTimeout-elapsed)
 }
 
 // logLimiter limits the log lines of repeated failures. It allows the first failure to be logged, and later ones at intervals
@@ -168,19 +168,19 @@
 
 // connect polls on one connection until the connection ends, and logs the end. useful reports whether valid events were
 // received.
-func (w *watcher) connect(connected context.Context, address string, stop <-chan struct{}) (useful bool) {
+func (w *watcher) connect(connectionCtx context.Context, address string, stop <-chan struct{}) (useful bool) {
 	code := "panic"
 	w.owner.usage.openConnections.Add(1)
 	defer func() {
 		fault := recover()
-		if fault == nil && !w.failureLog.allow(time.Now(), useful || connected.Err() != nil) {
+		if fault == nil && !w.failureLog.allow(time.Now(), useful || connectionCtx.Err() != nil) {
 			w.owner.usage.openConnections.Add(-1) // no line is logged, because a recent one reports such a failure
 			return
 		}
 		w.owner.connectionEnded("engine list", address, code, 0, fault)
 	}()
-	useful, code = w.poll(connected, address, stop)
-	if connected.Err() != nil {
+	useful, code = w.poll(connectionCtx, address, stop)
+	if connectionCtx.Err() != nil {
 		code = "moved"
 	}
 	return useful
@@ -188,20 +188,20 @@
 
 // poll dials the discovery service and polls the engine list until the connection ends. useful reports whether a poll was
 // answered with status 200 and valid events. code is the reason for the end, as it appears in the log.
-func (w *watcher) poll(connected context.Context, address string, stop <-chan struct{}) (useful bool, code string) {
+func (w *watcher) poll(connectionCtx context.Context, address string, stop <-chan struct{}) (useful bool, code string) {
 	connectTimeout := w.owner.network.ConnectTimeout
 	dialer := net.Dialer{Timeout: connectTimeout}
-	socket, err := dialer.DialContext(connected, "tcp", address)
+	socket, err := dialer.DialContext(connectionCtx, "tcp", address)
 	if err != nil {
 		return false, endCode(err)
 	}
-	over := make(chan struct{})
-	defer close(over)
+	pollEnded := make(chan struct{})
+	defer close(pollEnded)
 	go func() { // closes the connection to interrupt a poll on a stop or a new configuration
 		select {
 		case <-stop:
-		case <-over:
-		case <-connected.Done():
+		case <-pollEnded:
+		case <-connectionCtx.Done():
 		}
 		socket.Close()
 	}()
--- a/internal/router/watcher_test.go
+++ b/internal/router/watcher_test.go
@@ -12,10 +12,11 @@
 	"magpiebank/internal/admission"
 )
 
-func Example_restBefore() {
-	const within = 400 * time.Millisecond
-	for _, took := range []time.Duration{0, 100 * time.Millisecond, within, time.Second} { // from refused at once to timed out
-		fmt.Print(reconnectDelay(took, within), " ")
+// The elapsed times are those of connections that were refused at once, ended early, and were not up in time.
+func Example_reconnectDelay() {
+	const connectTimeout = 400 * time.Millisecond
+	for _, elapsed := range []time.Duration{0, 100 * time.Millisecond, connectTimeout, time.Second} {
+		fmt.Print(reconnectDelay(elapsed, connectTimeout), " ")
 	}
 	// Output: 400ms 300ms 0s 0s
 }
@@ -25,41 +26,42 @@
 	t.Helper()
 	_ = asTCPListener(l).SetDeadline(time.Now().Add(eventuallyTimeout))
 	for {
-		k, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := bufio.NewReader(k).ReadString('\n'); err == nil {
-			return k
+		if _, err := bufio.NewReader(conn).ReadString('\n'); err == nil {
+			return conn
 		}
-		k.Close() // the watcher gave up the dial before it polled, which a short connect timeout can cause
+		conn.Close() // the watcher gave up the dial before it polled, which a short connect timeout can cause
 	}
 }
 
 // A new configuration that arrives while the watcher waits after a refused connection is used at once. The gateway is expected
 // to know the events that the configuration contains.
 func TestReloadWhileTheListIsDown(t *testing.T) {
-	long := strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":60000000`, 1) // also the longest wait
+	// The wait after a refused connection is as long as the connect timeout, which must not pass during the test.
+	longTimeoutSettings := strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":60000000`, 1)
 	e := newFakeEngine(t, "e1")
-	s := startFixtureWith(t, long)
+	s := startFixtureWith(t, longTimeoutSettings)
 	defer s.close()
 	e.fixture = s
-	down := s.listen()
-	address := down.Addr().String()
-	down.Close()
+	closedListener := s.listen()
+	address := closedListener.Addr().String()
+	closedListener.Close()
 	next := *s.startConfig
 	next.DiscoveryAddress, next.KnownEndpoints = address, nil
 	s.reloads <- &next
 	s.awaitLog("code=refused")
 	l := s.listen()
-	after := next
-	after.DiscoveryAddress = l.Addr().String()
-	s.reloads <- &after
+	afterNext := next
+	afterNext.DiscoveryAddress = l.Addr().String()
+	s.reloads <- &afterNext
 	awaitPoll(t, l)
 }
 
 // An update with the whole list that no longer contains an engine removes the engine, as if the list had announced its end.
-func TestWholeListWithoutAnEngine(t *testing.T) {
+func TestWholeListRemovesUnlistedEngine(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t, e)
 	defer s.close()
@@ -68,9 +70,9 @@
 	next := *s.startConfig
 	next.DiscoveryAddress = l.Addr().String()
 	s.reloads <- &next
-	k := awaitPoll(t, l)
-	whole := fmt.Sprintf(`{"index":9,"updates":[%s]}`, watchEvent(9, true, []string{serverJSON(f, "Ready")}))
-	fmt.Fprintf(k, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
+	conn := awaitPoll(t, l)
+	wholeList := fmt.Sprintf(`{"index":9,"updates":[%s]}`, watchEvent(9, true, []string{serverJSON(f, "Ready")}))
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(wholeList), wholeList)
 	eventually(t, "the whole list is applied", func() bool {
 		names := make(chan string, 1)
 		s.onOwner(func(admission.Time) {
@@ -89,25 +91,25 @@
 }
 
 // A shutdown ends the watcher and closes its connection while a poll is unanswered.
-func TestStopEndsTheFollower(t *testing.T) {
+func TestStopEndsTheWatcher(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
 	l := s.listen()
 	next := *s.startConfig
 	next.DiscoveryAddress = l.Addr().String()
 	s.reloads <- &next
-	k := awaitPoll(t, l)
+	conn := awaitPoll(t, l)
 	close(s.stop)
 	<-s.ended
-	k.SetReadDeadline(time.Now().Add(eventuallyTimeout))
-	if _, err := io.Copy(io.Discard, k); err != nil {
+	conn.SetReadDeadline(time.Now().Add(eventuallyTimeout))
+	if _, err := io.Copy(io.Discard, conn); err != nil {
 		t.Errorf("the poll was left open: %v", err)
 	}
 }
 
 // The answer to a poll is cut off, malformed, too long, followed by surplus bytes, or lacks an event. The gateway keeps the
 // events that it has read, and polls again for the events after the last one, on a new connection.
-func TestSpoiltListIsAskedAgain(t *testing.T) {
+func TestInvalidListIsPolledAgain(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
 	e.fixture = s
@@ -116,30 +118,30 @@
 	next.DiscoveryAddress = l.Addr().String()
 	s.reloads <- &next
 	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(e, "Ready")}))
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
+	validAnswer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
 	for _, c := range []struct{ what, answer string }{
-		{"breaks off", whole[:len(whole)-30]},
-		{"is spoilt", strings.Replace(whole, `"id":`, `"\x00d":`, 1)},
-		{"lacks an id", strings.Replace(whole, `"id"`, `"ID"`, 1)},
-		{"has an odd state", strings.Replace(whole, `Ready`, `Reedy`, 1)},
+		{"breaks off", validAnswer[:len(validAnswer)-30]},
+		{"is spoilt", strings.Replace(validAnswer, `"id":`, `"\x00d":`, 1)},
+		{"lacks an id", strings.Replace(validAnswer, `"id"`, `"ID"`, 1)},
+		{"has an odd state", strings.Replace(validAnswer, `Ready`, `Reedy`, 1)},
 		{"leaves an event out", "HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\n" + `{"index":2,"updates":[]}`},
 		{"claims too much", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{"},
 		{"has no end of its head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("x", 9000)},
-		{"comes twice", whole + whole},
+		{"comes twice", validAnswer + validAnswer},
 	} {
-		k, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		line, _ := bufio.NewReader(k).ReadString('\n')
+		line, _ := bufio.NewReader(conn).ReadString('\n')
 		s.tracef("polled: %.26s, the answer %s", line, c.what)
-		_, _ = io.WriteString(k, c.answer)
+		_, _ = io.WriteString(conn, c.answer)
 		if c.what == "breaks off" {
-			k.Close()
+			conn.Close()
 		}
 	}
-	k, _ := l.Accept()
-	line, _ := bufio.NewReader(k).ReadString('\n')
+	conn, _ := l.Accept()
+	line, _ := bufio.NewReader(conn).ReadString('\n')
 	s.tracef("polled: %.26s", line)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
@@ -154,13 +156,13 @@
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	s.announceEngine(e, "Terminating")
 	b.sendIdempotentQuery("bb")
 	s.awaitRequests(2)
 	s.advanceClock(900 * admission.Millisecond)
 	b.expectAnswer()
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	s.compareTrace("drain")
 }
