--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -98,9 +98,9 @@
 	go s.run()
 }
 
-// rejectClient answers a client that the connection limiter did not admit with an error. The client may already have sent
-// its login and a query. Closing a connection with unread input resets it, and the client would lose the error. So the
-// connection stays open and its input is read for up to lingerTimeout, unless too many connections linger already.
+// rejectClient sends an error to a client that the connection limiter did not admit. The client may already have sent its
+// login and a query. Closing a connection with unread input resets it, and the client would lose the error. So the connection
+// stays open and its input is read for up to lingerTimeout, unless too many connections linger already.
 func (a *acceptor) rejectClient(s *clientSession) {
 	end := func() {
 		s.socket.Close()
--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -57,18 +57,18 @@
 
 // connectionOf returns the gateway's side of a client's connection.
 func (s *fixture) connectionOf(c *testClient) net.Conn {
-	tcp := make(chan net.Conn, 1)
-	s.onOwner(func(admission.Time) { tcp <- s.owner.sessions[c.id].socket })
-	return <-tcp
+	socket := make(chan net.Conn, 1)
+	s.onOwner(func(admission.Time) { socket <- s.owner.sessions[c.id].socket })
+	return <-socket
 }
 
 // endArrived reports whether the kernel has received the end of a connection from the peer, even if unread bytes precede it.
-func endArrived(tcp net.Conn) (arrived bool) {
-	connection, ok := tcp.(*net.TCPConn)
+func endArrived(socket net.Conn) (arrived bool) {
+	tcpConn, ok := socket.(*net.TCPConn)
 	if !ok {
 		return false
 	}
-	raw, err := connection.SyscallConn()
+	raw, err := tcpConn.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -131,12 +131,13 @@
 			s.owner.clients.mu.Lock()
 			c.sendIdempotentQuery("aa")
 			leave(c)
-			tcp := s.connectionOf(c)
-			eventually(t, "the client's end of stream has arrived", func() bool { return endArrived(tcp) })
+			socket := s.connectionOf(c)
+			eventually(t, "the client's end of stream has arrived", func() bool { return endArrived(socket) })
 			s.owner.clients.mu.Unlock()
 		}
 	}
-	eventually(t, "all sessions but one end", func() bool { return s.retainedCount() == 2 }) // its entries in the limiter and in owner.sessions
+	// The remaining session counts twice, in the limiter and in owner.sessions.
+	eventually(t, "all sessions but one end", func() bool { return s.retainedCount() == 2 })
 	s.requireNextAttempt(e, "cc")
 }
 
--- a/internal/router/client_session.go
+++ b/internal/router/client_session.go
@@ -49,6 +49,7 @@
 	request *request // the session's outstanding request; nil if there is none. Only the owner's goroutine uses it.
 }
 
+// The only user and database with which clients may log in.
 const (
 	user     = "app"
 	database = "reports"
--- a/internal/router/connection_limiter.go
+++ b/internal/router/connection_limiter.go
@@ -12,13 +12,13 @@
 // are evicted first, the oldest of them before the others; then the session that has been idle for longest. A session with a
 // running query is never evicted.
 type connectionLimiter struct {
-	mu            sync.Mutex
-	limit         int // 0: no limit
-	sessions      int // admitted sessions that are neither evicted nor removed
-	lingering     int // evicted or rejected connections that still read input before they close; they don't count toward limit
-	closing       bool
-	idleNewcomers list.List // idle sessions that have not had a command answered yet, oldest first
-	idleKnown     list.List // the other idle sessions, the one idle for longest first
+	mu              sync.Mutex
+	limit           int // 0: no limit
+	sessions        int // admitted sessions that are neither evicted nor removed
+	lingering       int // evicted or rejected connections that still read input before they close; they don't count toward limit
+	shuttingDown    bool
+	idleNewcomers   list.List // idle sessions that have not had a command answered yet, oldest first
+	idleEstablished list.List // the other idle sessions, the one idle for longest first
 }
 
 const (
@@ -44,7 +44,7 @@
 	if l.limit > 0 && l.sessions >= l.limit {
 		evicted := firstWithoutInput(&l.idleNewcomers)
 		if evicted == nil {
-			evicted = firstWithoutInput(&l.idleKnown)
+			evicted = firstWithoutInput(&l.idleEstablished)
 		}
 		if evicted == nil {
 			return false
@@ -129,7 +129,7 @@
 			deadline = earliestDeadline
 		}
 	}
-	if l.closing && earliestDeadline.Before(deadline) {
+	if l.shuttingDown && earliestDeadline.Before(deadline) {
 		deadline = earliestDeadline
 	}
 	s.socket.SetReadDeadline(deadline)
@@ -160,7 +160,7 @@
 func (l *connectionLimiter) addIdle(s *clientSession) {
 	s.idleList = &l.idleNewcomers
 	if s.answeredOnce {
-		s.idleList = &l.idleKnown
+		s.idleList = &l.idleEstablished
 	}
 	s.idleElement = s.idleList.PushBack(s)
 }
@@ -178,8 +178,8 @@
 func (l *connectionLimiter) beginShutdown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.closing = true
-	for _, idle := range []*list.List{&l.idleNewcomers, &l.idleKnown} {
+	l.shuttingDown = true
+	for _, idle := range []*list.List{&l.idleNewcomers, &l.idleEstablished} {
 		for s := range sessionsOf(idle) {
 			s.socket.SetReadDeadline(time.Now().Add(finalReadWait))
 		}
@@ -189,7 +189,7 @@
 func (l *connectionLimiter) isShuttingDown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.closing
+	return l.shuttingDown
 }
 
 // isEmpty reports whether all sessions have ended and no connection is kept open for its last answer.
--- a/internal/router/connection_limiter_test.go
+++ b/internal/router/connection_limiter_test.go
@@ -19,7 +19,7 @@
 	s.owner.clients.limit = 2
 	s.owner.clients.mu.Unlock()
 	// A session may enter its idle list some time after its client has received the answer.
-	awaitLimiter := func(condition func(d *connectionLimiter) bool) {
+	awaitLimiter := func(condition func(limiter *connectionLimiter) bool) {
 		for ok := false; !ok; time.Sleep(time.Millisecond) {
 			s.owner.clients.mu.Lock()
 			ok = condition(&s.owner.clients)
@@ -39,7 +39,7 @@
 	s.tracef("a third client has error %d", int(s.dial().readPacket()[1])|4<<8)
 	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
-	awaitLimiter(func(limiter *connectionLimiter) bool { return limiter.idleKnown.Len() == 1 })
+	awaitLimiter(func(limiter *connectionLimiter) bool { return limiter.idleEstablished.Len() == 1 })
 	c := s.newClient()
 	s.tracef("the first client has the %s", a.readPacket())
 	e.reply(secondConn, "00000000000000bb", "data", "pages=1,cost=120,need=64", "d\te\tf\n")
@@ -53,23 +53,23 @@
 // unread input must be evicted first.
 func TestClientWithUnreadInputIsNotEvicted(t *testing.T) {
 	s := &fixture{t: t}
-	l := s.listen()
+	listener := s.listen()
 	limiter := connectionLimiter{limit: 3}
 	var sessions []*clientSession
 	for n, input := range []string{"hello", "", "", "hello", "hello", "hello"} {
-		c, err := dialTCP(l.Addr().String())
+		c, err := dialTCP(listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.closers = append(s.closers, c)
-		tcp, _ := l.Accept()
+		socket, _ := listener.Accept()
 		_, _ = io.WriteString(c, input)
 		if input != "" {
-			for !hasInput(tcp) {
+			for !hasInput(socket) {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		sessions = append(sessions, &clientSession{socket: tcp, connectionID: uint32(n)})
+		sessions = append(sessions, &clientSession{socket: socket, connectionID: uint32(n)})
 		evictedBefore := evictedOf(sessions)
 		admitted := limiter.admit(sessions[n])
 		newlyEvicted := slices.DeleteFunc(evictedOf(sessions), func(s *clientSession) bool { return slices.Contains(evictedBefore, s) })
--- a/internal/router/mixed_settings_test.go
+++ b/internal/router/mixed_settings_test.go
@@ -76,13 +76,13 @@
 // check fails the test if less than nine tenths of the requests of any prefix and class were served.
 func (s *servedCounter) check(t *testing.T) {
 	t.Helper()
-	for _, k := range []string{"0a look", "0a report", "0b look", "0b report"} {
+	for _, key := range []string{"0a look", "0a report", "0b look", "0b report"} {
 		sent := 40
-		if strings.HasSuffix(k, "look") {
+		if strings.HasSuffix(key, "look") {
 			sent = 120
 		}
-		if s.count[k] < sent*9/10 {
-			t.Errorf("%s: %d of %d requests served", k, s.count[k], sent)
+		if s.count[key] < sent*9/10 {
+			t.Errorf("%s: %d of %d requests served", key, s.count[key], sent)
 		}
 	}
 }
@@ -106,11 +106,11 @@
 // announces that the engine of kind b is terminating, neither gateway may send it more requests.
 func TestOldAndNewSettingsSideBySide(t *testing.T) {
 	_ = driver.SetLogger(&driver.NopLogger{})
-	kindA, kindB := fake.NewExecutionLog(), fake.NewExecutionLog()
+	logOfKindA, logOfKindB := fake.NewExecutionLog(), fake.NewExecutionLog()
 	behavior := fake.EngineBehavior{Threads: 4, Cores: 4, MaxHeld: 40, NoteInterval: 100 * time.Millisecond, Works: []fake.Work{
 		{Class: "look", Service: fake.ServiceTime{Mean: 20 * time.Millisecond}},
 		{Class: "report", Service: fake.ServiceTime{Mean: 150 * time.Millisecond}}}}
-	entries := startEngines(t, behavior, map[string]*fake.ExecutionLog{"a": kindA, "b": kindB})
+	entries := startEngines(t, behavior, map[string]*fake.ExecutionLog{"a": logOfKindA, "b": logOfKindB})
 	list, err := fake.StartDiscovery("127.0.0.1:0", entries)
 	if err != nil {
 		t.Fatal(err)
@@ -118,10 +118,10 @@
 	defer list.Close()
 	oldSettings := fmt.Sprintf(oldSettingsFormat, "", true, "probe", `"util"`)
 	newSettings := fmt.Sprintf(newSettingsFormat, `,"progressPaceUs":100000`, false, "answers", `"inflight"`)
-	var wait sync.WaitGroup
+	var goroutines sync.WaitGroup
 	served := servedCounter{count: map[string]int{}}
 	var drained time.Time
-	wait.Go(func() {
+	goroutines.Go(func() {
 		time.Sleep(time.Second)
 		drained = time.Now()
 		draining := entries[2] // a copy, because the engine list refers to the entries themselves
@@ -137,14 +137,14 @@
 		}
 		defer func() { _ = db.Close() }()
 		for client := range 4 {
-			wait.Go(func() { served.sendRequests(t, db, gateway.prefix, client) })
+			goroutines.Go(func() { served.sendRequests(t, db, gateway.prefix, client) })
 		}
 	}
-	wait.Wait()
+	goroutines.Wait()
 	served.check(t)
 	const drainNoticeTime = 500 * time.Millisecond // the list answers a waiting poll at once, and the gateway then stops sending
 	late, before := 0, 0
-	kindB.Each(func(record fake.ExecutionRecord) {
+	logOfKindB.Each(func(record fake.ExecutionRecord) {
 		if strings.HasPrefix(record.ID, "0b") && strings.HasSuffix(record.ID, "1") {
 			t.Errorf("%s: an engine of kind b received a report of the gateway with the new settings", record.ID)
 		}
@@ -183,11 +183,11 @@
 	}
 	done, ended := make(chan struct{}), make(chan error, 1)
 	go func() { ended <- Serve(start, Options{}, slog.New(slog.NewTextHandler(io.Discard, nil)), done, nil) }()
-	for by := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if c, err := dialTCP(address); err == nil {
 			c.Close()
 			break
-		} else if time.Now().After(by) {
+		} else if time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -75,12 +75,12 @@
 // freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	l, err := listenTCP("127.0.0.1:0")
+	listener, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
 // logIn connects a client and logs it in. It returns nil if the client was rejected.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -128,7 +128,7 @@
 
 // endCode returns the code by which the log reports why a connection ended.
 func endCode(err error) string {
-	var wait net.Error
+	var netErr net.Error
 	switch {
 	case errors.Is(err, io.EOF):
 		return "closed"
@@ -138,7 +138,7 @@
 		return "refused"
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return "reset"
-	case errors.As(err, &wait) && wait.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return "silent"
 	case errors.Is(err, net.ErrClosed):
 		return "given_up"
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -19,20 +19,20 @@
 // have ended. It still applies new configurations during that time, because they may change the engine list's address.
 func (o *owner) shutDown(acceptor *acceptor, reloads <-chan *config.Config, reload func(*config.Config)) {
 	o.log.Info("stopping")
-	wait := func(until <-chan time.Time) {
+	applyReloadsUntil := func(timer <-chan time.Time) {
 		for {
 			select {
 			case next := <-reloads:
 				reload(next)
-			case <-until:
+			case <-timer:
 				return
 			}
 		}
 	}
-	wait(time.After(drainTime))
+	applyReloadsUntil(time.After(drainTime))
 	acceptor.stop() // frees the listen address for a successor process while requests still run in this one
 	o.clients.beginShutdown()
 	for !o.clients.isEmpty() {
-		wait(time.After(drainPollInterval))
+		applyReloadsUntil(time.After(drainPollInterval))
 	}
 }
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -110,7 +110,7 @@
 		"displaced": func(s *fixture) {
 			s.owner.clients.mu.Lock()
 			defer s.owner.clients.mu.Unlock()
-			for idle := range sessionsOf(&s.owner.clients.idleKnown) {
+			for idle := range sessionsOf(&s.owner.clients.idleEstablished) {
 				s.owner.clients.evict(idle)
 				return
 			}
@@ -127,7 +127,7 @@
 			eventually(t, "the session is idle", func() bool {
 				s.owner.clients.mu.Lock()
 				defer s.owner.clients.mu.Unlock()
-				return s.owner.clients.idleKnown.Len() == 1
+				return s.owner.clients.idleEstablished.Len() == 1
 			})
 			end(s)
 			if err := a.awaitEnd(); !errors.Is(err, io.EOF) {
@@ -166,12 +166,12 @@
 	}
 	defer c.Close()
 	_, _ = c.Write(append(loginPacket(), queryPacket("aa")...))
-	tcp, err := listener.Accept()
+	socket, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the login has arrived", func() bool { return hasInput(tcp) })
-	(&acceptor{owner: s.owner}).startSession(tcp)
+	eventually(t, "the login has arrived", func() bool { return hasInput(socket) })
+	(&acceptor{owner: s.owner}).startSession(socket)
 	client := &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)}
 	if p := client.readPacket(); p[0] != 0xff || int(p[1])|int(p[2])<<8 != 1040 {
 		t.Errorf("the client got %q", p)
--- a/internal/router/watcher_test.go
+++ b/internal/router/watcher_test.go
@@ -22,11 +22,11 @@
 }
 
 // awaitPoll waits until the watcher has polled an engine list, and returns the connection.
-func awaitPoll(t *testing.T, l net.Listener) net.Conn {
+func awaitPoll(t *testing.T, listener net.Listener) net.Conn {
 	t.Helper()
-	_ = asTCPListener(l).SetDeadline(time.Now().Add(eventuallyTimeout))
+	_ = asTCPListener(listener).SetDeadline(time.Now().Add(eventuallyTimeout))
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,11 +53,11 @@
 	next.DiscoveryAddress, next.KnownEndpoints = address, nil
 	s.reloads <- &next
 	s.awaitLog("code=refused")
-	l := s.listen()
+	listener := s.listen()
 	afterNext := next
-	afterNext.DiscoveryAddress = l.Addr().String()
+	afterNext.DiscoveryAddress = listener.Addr().String()
 	s.reloads <- &afterNext
-	awaitPoll(t, l)
+	awaitPoll(t, listener)
 }
 
 // An update with the whole list that no longer contains an engine removes the engine, as if the list had announced its end.
@@ -66,11 +66,11 @@
 	s := startFixture(t, e)
 	defer s.close()
 	f.fixture = s
-	l := s.listen()
+	listener := s.listen()
 	next := *s.startConfig
-	next.DiscoveryAddress = l.Addr().String()
+	next.DiscoveryAddress = listener.Addr().String()
 	s.reloads <- &next
-	conn := awaitPoll(t, l)
+	conn := awaitPoll(t, listener)
 	wholeList := fmt.Sprintf(`{"index":9,"updates":[%s]}`, watchEvent(9, true, []string{serverJSON(f, "Ready")}))
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(wholeList), wholeList)
 	eventually(t, "the whole list is applied", func() bool {
@@ -94,11 +94,11 @@
 func TestStopEndsTheWatcher(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
-	l := s.listen()
+	listener := s.listen()
 	next := *s.startConfig
-	next.DiscoveryAddress = l.Addr().String()
+	next.DiscoveryAddress = listener.Addr().String()
 	s.reloads <- &next
-	conn := awaitPoll(t, l)
+	conn := awaitPoll(t, listener)
 	close(s.stop)
 	<-s.ended
 	conn.SetReadDeadline(time.Now().Add(eventuallyTimeout))
@@ -113,9 +113,9 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
 	e.fixture = s
-	l := s.listen()
+	listener := s.listen()
 	next := *s.startConfig
-	next.DiscoveryAddress = l.Addr().String()
+	next.DiscoveryAddress = listener.Addr().String()
 	s.reloads <- &next
 	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(e, "Ready")}))
 	validAnswer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
@@ -129,7 +129,7 @@
 		{"has no end of its head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("x", 9000)},
 		{"comes twice", validAnswer + validAnswer},
 	} {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,7 +140,7 @@
 			conn.Close()
 		}
 	}
-	conn, _ := l.Accept()
+	conn, _ := listener.Accept()
 	line, _ := bufio.NewReader(conn).ReadString('\n')
 	s.tracef("polled: %.26s", line)
 	a := s.newClient()
