--- a/internal/router/connection_limiter_test.go
+++ b/internal/router/connection_limiter_test.go
@@ -62,14 +62,14 @@
 			t.Fatal(err)
 		}
 		s.closers = append(s.closers, c)
-		socket, _ := listener.Accept()
+		accepted, _ := listener.Accept()
 		_, _ = io.WriteString(c, input)
 		if input != "" {
-			for !hasInput(socket) {
+			for !hasInput(accepted) {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		sessions = append(sessions, &clientSession{socket: socket, connectionID: uint32(n)})
+		sessions = append(sessions, &clientSession{socket: accepted, connectionID: uint32(n)})
 		evictedBefore := evictedOf(sessions)
 		admitted := limiter.admit(sessions[n])
 		newlyEvicted := slices.DeleteFunc(evictedOf(sessions), func(s *clientSession) bool { return slices.Contains(evictedBefore, s) })
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -166,12 +166,12 @@
 	}
 	defer c.Close()
 	_, _ = c.Write(append(loginPacket(), queryPacket("aa")...))
-	socket, err := listener.Accept()
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the login has arrived", func() bool { return hasInput(socket) })
-	(&acceptor{owner: s.owner}).startSession(socket)
+	eventually(t, "the login has arrived", func() bool { return hasInput(accepted) })
+	(&acceptor{owner: s.owner}).startSession(accepted)
 	client := &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)}
 	if p := client.readPacket(); p[0] != 0xff || int(p[1])|int(p[2])<<8 != 1040 {
 		t.Errorf("the client got %q", p)
