--- a/internal/router/client_session.go
+++ b/internal/router/client_session.go
@@ -58,8 +58,8 @@
 const (
 	// clientCloseDelay is how long after its deadline a client that stopped waiting closes its connection.
 	clientCloseDelay = 500 * time.Millisecond
-	// maxStatementSize is the maximum payload size of a client's packet, in bytes. The protocol states no limit, and its fields
-	// and names take no more than a few hundred bytes.
+	// maxStatementSize is the maximum payload size of a client's packet, in bytes. The protocol states no limit. The fields and
+	// names of a statement take no more than a few hundred bytes.
 	maxStatementSize = 1 << 18
 	// usualStatementSize is the step in bytes by which a session grows its buffer as a packet arrives, so that a large length in
 	// the header alone takes no memory. The session keeps a buffer of up to this size for the next packet.
--- a/internal/router/connection_limiter.go
+++ b/internal/router/connection_limiter.go
@@ -15,7 +15,7 @@
 	mu              sync.Mutex
 	limit           int // 0: no limit
 	sessions        int // admitted sessions that are neither evicted nor removed
-	lingering       int // evicted or rejected connections that still read input before they close; they don't count toward limit
+	lingering       int // evicted or rejected connections that have not ended yet; they don't count toward limit
 	shuttingDown    bool
 	idleNewcomers   list.List // idle sessions that have not had a command answered yet, oldest first
 	idleEstablished list.List // the other idle sessions, the one idle for longest first
@@ -29,7 +29,8 @@
 	// connection that is idle for longer is stuck or forgotten.
 	idleClientTimeout = 5 * time.Second
 	// finalReadWait is how long the gateway still waits for input that may have been sent before a deadline passed or the
-	// shutdown began. It must cover the last requests, which clients send until 0.1 s before drainTime is over.
+	// shutdown began. It must cover the last requests, which clients send until 0.1 s before drainTime is over. Writes get the
+	// same extra time after their deadline.
 	finalReadWait = 100 * time.Millisecond
 	// maxLingering is how many connections may be kept open so that their clients receive the last answer. It is a part of
 	// reservedDescriptors. Connections beyond it are closed at once, because their descriptors are needed.
