--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -13,27 +13,28 @@
 	"magpiebank/internal/admission"
 )
 
-// eventuallyTimeout is how long a test waits for what must come about. It is generous, because machines are busy.
+// eventuallyTimeout is how long a test waits for a condition that must become true. It is long because test machines can be
+// busy.
 const eventuallyTimeout = 10 * time.Second
 
-// eventually waits until something holds.
+// eventually waits until a condition holds, and fails the test if it doesn't hold in time. what describes the condition.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for by := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(by) {
-			t.Fatalf("not so after %v: %s", eventuallyTimeout, what)
+	for deadline := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met after %v: %s", eventuallyTimeout, what)
 		}
 	}
 }
 
-// inFlight counts the requests that the gateway has accepted and not answered.
+// inFlight returns the number of requests that the gateway has accepted and not answered.
 func (s *fixture) inFlight() int {
 	answer := make(chan int, 1)
 	s.onOwner(func(admission.Time) { answer <- len(s.owner.requests) })
 	return <-answer
 }
 
-// The ways in which a client leaves while its request is in hand.
+// departures are the ways in which a client can disconnect while its request is outstanding.
 var departures = map[string]func(c *testClient){
 	"closes": func(c *testClient) { c.socket.Close() },
 	"resets": func(c *testClient) {
@@ -56,18 +57,18 @@
 
 // connectionOf returns the gateway's side of a client's connection.
 func (s *fixture) connectionOf(c *testClient) net.Conn {
-	tcp := make(chan net.Conn, 1)
-	s.onOwner(func(admission.Time) { tcp <- s.owner.sessions[c.id].socket })
-	return <-tcp
+	socket := make(chan net.Conn, 1)
+	s.onOwner(func(admission.Time) { socket <- s.owner.sessions[c.id].socket })
+	return <-socket
 }
 
-// endArrived tells whether the system has got the other side's end of a connection, also behind unread bytes.
-func endArrived(tcp net.Conn) (arrived bool) {
-	connection, ok := tcp.(*net.TCPConn)
+// endArrived reports whether the kernel has received the end of a connection from the peer, even if unread bytes precede it.
+func endArrived(socket net.Conn) (arrived bool) {
+	tcpConn, ok := socket.(*net.TCPConn)
 	if !ok {
 		return false
 	}
-	raw, err := connection.SyscallConn()
+	raw, err := tcpConn.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -79,19 +80,19 @@
 	return arrived
 }
 
-// requireNextAttempt sends a query with another client, and requires that an engine receives it first, so that nothing was
-// sent for the one before.
+// requireNextAttempt sends a query with a new client, and requires that its attempt is the next command that the engine
+// receives. This proves that no attempt of an earlier query was sent to the engine.
 func (s *fixture) requireNextAttempt(e *fakeEngine, id string) {
 	s.t.Helper()
-	b := s.newClient()
-	b.sendIdempotentQuery(id)
+	client := s.newClient()
+	client.sendIdempotentQuery(id)
 	select {
-	case h := <-e.received:
-		if h.parts[0] != "do" || h.parts[1] != "00000000000000"+id {
-			s.t.Errorf("%s heard %q", e.name, h.parts)
+	case command := <-e.received:
+		if command.parts[0] != "do" || command.parts[1] != "00000000000000"+id {
+			s.t.Errorf("%s received %q", e.name, command.parts)
 		}
 	case <-time.After(eventuallyTimeout):
-		s.t.Errorf("%s heard nothing of %s", e.name, id)
+		s.t.Errorf("%s received no attempt of request %s", e.name, id)
 	}
 }
 
@@ -105,16 +106,17 @@
 			a.sendIdempotentQuery("aa")
 			s.awaitRequests(1)
 			leave(a)
-			eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
+			eventually(t, "the request of a disconnected client is abandoned", func() bool { return s.inFlight() == 0 })
 			s.announceEngine(e, "Ready")
 			s.requireNextAttempt(e, "bb")
 		})
 	}
 }
 
-// A query that lay unread until its client had left is not sent on: the process stood still, as the limiter's lock has the session do
-// here. A connection to the engine is up, so an attempt would be written at once; without the look at the client which of the
-// attempt and the end was first was chance, so it is tried often.
+// A query that is read only after its client disconnected must not be sent to an engine. This happens when the process is
+// stalled; here, holding the limiter's lock stalls the session. A connection to the engine is up, so the attempt would be
+// written at once. If the session didn't check the client's socket first, it would be a race whether it handles the attempt
+// or the disconnect first. Therefore the test repeats every case many times.
 func TestClientLeftBeforeItsQueryIsRead(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -129,12 +131,13 @@
 			s.owner.clients.mu.Lock()
 			c.sendIdempotentQuery("aa")
 			leave(c)
-			tcp := s.connectionOf(c)
-			eventually(t, "the client's end is there", func() bool { return endArrived(tcp) })
+			socket := s.connectionOf(c)
+			eventually(t, "the client's end of stream has arrived", func() bool { return endArrived(socket) })
 			s.owner.clients.mu.Unlock()
 		}
 	}
-	eventually(t, "all sessions but one end", func() bool { return s.retainedCount() == 2 }) // its place among the clients, and its number
+	// The remaining session counts twice, in the limiter and in owner.sessions.
+	eventually(t, "all sessions but one end", func() bool { return s.retainedCount() == 2 })
 	s.requireNextAttempt(e, "cc")
 }
 
@@ -146,98 +149,100 @@
 			defer s.close()
 			a := s.newClient()
 			a.sendIdempotentQuery("aa")
-			k := e.receive()
+			conn := e.receive()
 			s.announceEngine(f, "Ready")
 			s.announceEngine(e, "Terminating")
 			leave(a)
-			eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
-			if h := <-e.received; h.parts[0] != "undo" {
-				t.Errorf("the engine heard %q", h.parts)
+			eventually(t, "the request of a disconnected client is abandoned", func() bool { return s.inFlight() == 0 })
+			if command := <-e.received; command.parts[0] != "undo" {
+				t.Errorf("the engine received %q", command.parts)
 			}
-			k.Close()
+			conn.Close()
 			s.requireNextAttempt(f, "bb")
 		})
 	}
 }
 
-// An attempt that waits for its connection is withdrawn before that is up.
+// An attempt that waits for a connection to its engine is withdrawn if the client disconnects before the connection is up.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
 	defer s.close()
-	dialled, goOn := make(chan bool, 1), make(chan bool)
+	dialled, finishDial := make(chan bool, 1), make(chan bool)
 	s.onOwner(func(admission.Time) {
 		dial := s.owner.dial
 		s.owner.dial = func(address string) (net.Conn, error) {
 			select {
 			case dialled <- true:
-				<-goOn
+				<-finishDial
 			default:
 			}
 			return dial(address)
 		}
 	})
 	s.sync()
-	started := func() {
+	listFakeEngine := func() {
 		s.onOwner(func(now admission.Time) {
 			s.owner.handleEndpoints(now, admission.PartialUpdate, []admission.Endpoint{{Engine: "e1", State: admission.Live}}, []string{e.listener.Addr().String()})
 		})
 		s.sync()
 	}
-	started()
+	listFakeEngine()
 	e.fixture = s
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
 	<-dialled
 	if n := s.inFlight(); n != 1 {
-		t.Fatalf("%d requests in hand while the connection comes up", n)
+		t.Fatalf("%d outstanding requests while the engine is being dialled, want 1", n)
 	}
 	a.socket.Close()
-	eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
-	close(goOn)
+	eventually(t, "the request of a disconnected client is abandoned", func() bool { return s.inFlight() == 0 })
+	close(finishDial)
 	s.requireNextAttempt(e, "bb")
 }
 
-// blockingClient holds the goroutine of a session that sends an attempt until done is closed.
+// blockingClient is an engine client whose send closes sending, and then blocks the session's goroutine until finishSend is
+// closed.
 type blockingClient struct {
 	engineClient
-	busy, done chan bool
+	sending, finishSend chan bool
 }
 
 func (b blockingClient) send(*attempt) {
-	close(b.busy)
-	<-b.done
+	close(b.sending)
+	<-b.finishSend
 }
 
-// The connection comes up before the session has seen its client leave, as it stands still: nothing is written all the same.
+// The connection to the engine comes up after the client disconnected, but before the session, which is blocked, has noticed
+// the disconnect. The attempt must not be written.
 func TestClientLeftWhenTheConnectionIsUp(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
 	defer s.close()
-	dialled, goOn := s.slowDial(e)
+	dialled, finishDial := s.slowDial(e)
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
 	<-dialled
-	busy, done := make(chan bool), make(chan bool)
+	sending, finishSend := make(chan bool), make(chan bool)
 	s.onOwner(func(admission.Time) {
 		request := s.owner.requests["00000000000000aa"]
-		request.responder.sendAttempt(&attempt{request: request, resent: true}, blockingClient{busy: busy, done: done})
+		request.responder.sendAttempt(&attempt{request: request, resent: true}, blockingClient{sending: sending, finishSend: finishSend})
 	})
-	<-busy
+	<-sending
 	a.socket.Close()
-	eventually(t, "the end is there", func() bool {
-		gone := make(chan bool, 1)
-		s.onOwner(func(admission.Time) { gone <- s.owner.requests["00000000000000aa"].responder.hasClientLeft() })
-		return <-gone
+	eventually(t, "the client's end of stream has arrived", func() bool {
+		hasLeft := make(chan bool, 1)
+		s.onOwner(func(admission.Time) { hasLeft <- s.owner.requests["00000000000000aa"].responder.hasClientLeft() })
+		return <-hasLeft
 	})
-	close(goOn)
-	eventually(t, "the request is withdrawn", func() bool { return s.inFlight() == 0 })
-	close(done)
+	close(finishDial)
+	eventually(t, "the request is abandoned", func() bool { return s.inFlight() == 0 })
+	close(finishSend)
 	s.requireNextAttempt(e, "bb")
 }
 
-// Who sends on and on before the answer is ended with an error, and the attempt is called off.
+// A client that sends too much before its answer gets an error and its session ends. The attempt is cancelled.
 func TestFloodBeforeTheAnswer(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -249,62 +254,62 @@
 	if p := a.readPacket(); p[0] != 0xff || !strings.Contains(string(p), "too much was sent") {
 		t.Errorf("the client got %q", p)
 	}
-	if h := <-e.received; h.parts[0] != "undo" {
-		t.Errorf("the engine heard %q", h.parts)
+	if command := <-e.received; command.parts[0] != "undo" {
+		t.Errorf("the engine received %q", command.parts)
 	}
 	s.awaitLog("code=flooded")
 	if n := s.inFlight(); n != 0 {
-		t.Errorf("%d requests in hand", n)
+		t.Errorf("%d outstanding requests, want 0", n)
 	}
 }
 
-// The crossings of a call with the session's read, each at its line.
-func TestMailboxInterruptsAtEveryLine(t *testing.T) {
+// An event may be queued before, during or after the session's read. The test covers each of these cases.
+func TestSessionQueueInterruptsReads(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	interrupted := func(m *sessionQueue) error {
+	readAndEnd := func(queue *sessionQueue) error {
 		_, err := near.Read(make([]byte, 1))
-		m.endInterruptibleRead()
+		queue.endInterruptibleRead()
 		return err
 	}
-	called := 0
-	call := requestAbandoned{}
+	handled := 0
+	abandoned := requestAbandoned{}
 
-	m := newSessionQueue(func(sessionEvent) { called++ })
-	m.Put(call)
-	if m.beginInterruptibleRead(near) {
-		t.Error("a session may read though a call waits already")
+	queue := newSessionQueue(func(sessionEvent) { handled++ })
+	queue.Put(abandoned)
+	if queue.beginInterruptibleRead(near) {
+		t.Error("the session may read although an event is queued")
 	}
-	m.run()
+	queue.run()
 
-	if !m.beginInterruptibleRead(near) {
-		t.Fatal("a session may not read though no call waits")
+	if !queue.beginInterruptibleRead(near) {
+		t.Fatal("the session may not read although no event is queued")
 	}
-	m.Put(call) // before the read
-	if err := interrupted(m); !os.IsTimeout(err) {
-		t.Errorf("a call before the read left it waiting: %v", err)
+	queue.Put(abandoned) // before the read
+	if err := readAndEnd(queue); !os.IsTimeout(err) {
+		t.Errorf("an event queued before the read did not interrupt it: %v", err)
 	}
-	m.run()
+	queue.run()
 
-	m.beginInterruptibleRead(near)
-	read := make(chan error)
-	go func() { read <- interrupted(m) }()
-	m.Put(call) // while it reads, or just before
-	if err := <-read; !os.IsTimeout(err) {
-		t.Errorf("a call during the read left it waiting: %v", err)
+	queue.beginInterruptibleRead(near)
+	readResult := make(chan error)
+	go func() { readResult <- readAndEnd(queue) }()
+	queue.Put(abandoned) // during the read, or just before it
+	if err := <-readResult; !os.IsTimeout(err) {
+		t.Errorf("an event queued during the read did not interrupt it: %v", err)
 	}
-	m.run()
+	queue.run()
 
-	m.beginInterruptibleRead(near)
-	m.endInterruptibleRead()
-	m.Put(call) // after the read: the next one is not disturbed
+	queue.beginInterruptibleRead(near)
+	queue.endInterruptibleRead()
+	queue.Put(abandoned) // after the read; the next read must not be interrupted
 	go func() { _, _ = far.Write([]byte{1}) }()
 	if _, err := near.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a call after the read disturbed the next: %v", err)
+		t.Errorf("an event queued after the read interrupted the next read: %v", err)
 	}
-	m.run()
-	if called != 4 {
-		t.Errorf("%d of 4 calls made", called)
+	queue.run()
+	if handled != 4 {
+		t.Errorf("%d of 4 events were handled", handled)
 	}
 }
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -19,20 +19,21 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// asRouter is the environment variable with the configuration by which this program runs a gateway in place of its tests.
-const asRouter = "ROUTER_TEST_CONFIG"
+// configVariable is the environment variable that holds the path of a configuration. If it is set, the test binary runs a
+// gateway with that configuration instead of the tests.
+const configVariable = "ROUTER_TEST_CONFIG"
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(asRouter); path != "" {
+	if path := os.Getenv(configVariable); path != "" {
 		os.Exit(serveAsProcess(path))
 	}
 	os.Exit(m.Run())
 }
 
-// serveAsProcess runs a gateway's process, as the command line does.
+// serveAsProcess runs a gateway until SIGTERM, as the command line does, and returns the process's exit code.
 func serveAsProcess(path string) int {
-	ends := make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM)
 	start, err := config.ReadFile(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -40,7 +41,7 @@
 	}
 	stop := make(chan struct{})
 	go func() {
-		<-ends
+		<-signals
 		close(stop)
 	}()
 	if err := Serve(start, Options{}, slog.New(slog.NewTextHandler(os.Stderr, nil)), stop, nil); err != nil {
@@ -50,7 +51,7 @@
 	return 0
 }
 
-// startProcess starts a gateway as a process with a limit on its descriptors.
+// startProcess starts a gateway as a separate process with a limit on its file descriptors.
 func startProcess(t *testing.T, configuration string, descriptors int) (process *exec.Cmd, log *lockedBuffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.json")
@@ -58,7 +59,7 @@
 		t.Fatal(err)
 	}
 	process = exec.CommandContext(context.Background(), "/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %q", descriptors, os.Args[0]))
-	process.Env = append(os.Environ(), asRouter+"="+path)
+	process.Env = append(os.Environ(), configVariable+"="+path)
 	log = &lockedBuffer{}
 	process.Stderr = log
 	if err := process.Start(); err != nil {
@@ -71,15 +72,15 @@
 	return process, log
 }
 
-// freeAddress returns an address on which nobody listens.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	l, err := listenTCP("127.0.0.1:0")
+	listener, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
 // logIn connects a client and logs it in. It returns nil if the client was rejected.
@@ -90,16 +91,16 @@
 	}
 	c.SetDeadline(time.Now().Add(eventuallyTimeout))
 	_, _ = c.Write(loginPacket())
-	k := &testClient{socket: c, reader: bufio.NewReader(c)}
-	if k.readPacket()[0] != 10 || k.readPacket()[0] != 0 {
+	client := &testClient{socket: c, reader: bufio.NewReader(c)}
+	if client.readPacket()[0] != 10 || client.readPacket()[0] != 0 {
 		c.Close()
 		return nil
 	}
-	return k
+	return client
 }
 
-// Idle clients fill every descriptor that they can get while the engine list is down: once it is back, the list, the engine and its
-// probes still get theirs, and a client that asks is served.
+// While the engine list is down, idle clients take every file descriptor that they can get. Once the list is up, there must
+// still be descriptors for connections to the list, for attempts and for health checks, and a client's query must be served.
 func TestDescriptorsForListAndEngines(t *testing.T) {
 	const descriptors = 96
 	e, err := fake.StartEngine("e-1", "127.0.0.1:0", fake.EngineBehavior{Threads: 4, Cores: 8,
@@ -111,40 +112,40 @@
 	address, listAddress := freeAddress(t), freeAddress(t)
 	_, log := startProcess(t, fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","limits":{"sockets":%d},"coordinator":%q,
 	 "known":{"index":0,"updates":[]},"settings":%s}`, address, descriptors, listAddress, settings), descriptors)
-	eventually(t, "the router serves", func() bool { return logIn(address) != nil })
-	var crowd []net.Conn
+	eventually(t, "the gateway accepts logins", func() bool { return logIn(address) != nil })
+	var idleConns []net.Conn
 	defer func() {
-		for _, c := range crowd {
+		for _, c := range idleConns {
 			c.Close()
 		}
 	}()
-	fill := func() {
+	addIdleConns := func() {
 		for range 3 * descriptors {
 			c, err := dialTCP(address)
 			if err != nil {
 				t.Fatal(err)
 			}
-			crowd = append(crowd, c)
+			idleConns = append(idleConns, c)
 		}
 	}
-	fill()
+	addIdleConns()
 	list, err := fake.StartDiscovery(listAddress, []fake.Endpoint{
 		{ID: "e-1", Address: e.Address, Zone: "hall", Kind: "std", State: "Ready"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer list.Close()
-	fill()
+	addIdleConns()
 	served := false
-	eventually(t, "a client is served before the crowd", func() bool {
-		k := logIn(address)
-		if k == nil {
+	eventually(t, "a client's query is served despite the idle connections", func() bool {
+		client := logIn(address)
+		if client == nil {
 			return false
 		}
-		defer k.socket.Close()
-		_, _ = k.socket.Write(queryPacket(fmt.Sprintf("%02x", len(crowd)%256)))
-		served = k.readPacket()[0] == 3 // the columns of a result
-		fill()
+		defer client.socket.Close()
+		_, _ = client.socket.Write(queryPacket(fmt.Sprintf("%02x", len(idleConns)%256)))
+		served = client.readPacket()[0] == 3 // the first packet of a result, which holds its number of columns
+		addIdleConns()
 		return served
 	})
 	if text := log.String(); strings.Contains(text, "too many open files") {
