--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -1,7 +1,7 @@
 package admission
 
-// sendAttempt is the only place that sends a request to an engine. It checks all rules again, whatever was decided
-// before, and tells whether the request was sent.
+// sendAttempt is the only function that sends a request to an engine. It checks all rules again, whatever the caller decided
+// before, and reports whether it sent the request.
 func (c *Controller) sendAttempt(index requestIndex, to engineIndex) bool {
 	request := c.requests.at(index)
 	engine := c.engines.at(to)
@@ -28,12 +28,12 @@
 	return true
 }
 
-// setAttemptTerms asks for memory where engines heed grants, and names the rank where it has changed.
+// setAttemptTerms sets a memory grant if engines obey grants, and the rank if it has changed.
 func (c *Controller) setAttemptTerms(request *activeRequest) {
 	grant := 0.0
 	if c.deployment.SupportsMemoryGrants && c.deployment.EnginesSwap && request.attempt.memoryMB > 0 {
-		// Where an engine swaps, memory that is granted and not needed costs nothing, and too small a grant spills. Needs
-		// scatter, and three times the mean covers nearly all of them.
+		// On an engine that swaps, granted memory that isn't needed costs nothing, and a grant that is too small makes the request
+		// spill. Memory needs vary widely; three times the mean covers nearly all of them.
 		const grantFactor = 3
 		grant = grantFactor * request.attempt.memoryMB
 	}
@@ -44,9 +44,10 @@
 	}
 }
 
-// attemptTimeoutAt is when an attempt sent now ends unanswered. Past the latency objective it may run for the part
-// of the time to the deadline that matches the weight of a late answer, because an engine that stops work at a time-out is
-// then free for other requests. This guards against overload that feeds itself.
+// attemptTimeoutAt returns when an attempt that is sent now times out. This is the deadline if attempts can't be cancelled.
+// Otherwise the attempt may continue after the latency objective for a share of the time to the deadline; the share equals the
+// weight share of a late answer. An engine that stops working on a timed-out attempt is free for other requests, so the timeout
+// prevents overload that sustains itself.
 func (c *Controller) attemptTimeoutAt(request *activeRequest) Time {
 	if !c.deployment.SupportsCancel {
 		return request.deadline
@@ -55,8 +56,8 @@
 	return min(request.deadline, max(request.objective, c.now+1)+Time(lateShare*float64(request.deadline-request.objective)))
 }
 
-// sendBy is until when a repeat may be sent; 0: no limit. The host needs it because a connection may take longer
-// to come up than engines remember the requests whose repeats they drop.
+// sendBy returns the time until which a repeat may be sent; 0: no limit. The host needs it because opening a connection can take
+// longer than engines remember the requests whose repeats they drop.
 func (c *Controller) sendBy(request *activeRequest) Time {
 	class := &c.deployment.Classes[request.class]
 	if request.prior.MayHaveRun && class.Effect == Deduplicated {
@@ -65,7 +66,7 @@
 	return 0
 }
 
-// HandleAttemptEnd takes in how a request's attempt ended, and what the answer told.
+// HandleAttemptEnd processes the end of a request's attempt and the values that the answer reported.
 func (c *Controller) HandleAttemptEnd(now Time, result AttemptResult) {
 	c.now = now
 	index, request := c.requests.find(result.Request)
@@ -87,7 +88,7 @@
 	c.releaseQueued()
 }
 
-// returnSlots gives back what an attempt had in use, and counts the time that it took.
+// returnSlots releases the slots and memory of an ended attempt, and records its run time.
 func (c *Controller) returnSlots(request *activeRequest, work Time) {
 	engine := c.engines.at(request.attempt.engine)
 	threads := float64(c.deployment.Classes[request.class].Threads)
@@ -100,7 +101,7 @@
 	}
 }
 
-// judgeOutcome takes what an outcome tells of its engine and its class.
+// judgeOutcome updates the state of the engine and of the request's class from the outcome of an attempt.
 func (c *Controller) judgeOutcome(request *activeRequest, result AttemptResult) {
 	engine := c.engines.at(request.attempt.engine)
 	switch result.Outcome {
@@ -110,22 +111,22 @@
 	case Unreachable, Reset:
 		c.addFailure(engine, connectionFailurePoints, Unreached)
 	case Errored, Lost:
-		// Few points: any engine sends a corrupt answer now and then, and one that is gone fails connections and probes
-		// too. A second error counts nothing against the engine, because two engines that fail a request show that the
-		// request is at fault.
+		// The score for an error is low because any engine sends a corrupt answer now and then, and on an engine that is down,
+		// connections and probes fail too. A request's second error adds nothing to the engine's score: if a request fails on two
+		// engines, the request is at fault.
 		c.addFailure(engine, errorPoints*float64(1-request.errors), Erred)
 		request.errors++
 	case TimedOut, Cancelled:
-		if engine.limit.bound < 1 { // above it, the bound steps down instead
+		if engine.limit.bound < 1 { // at a limit of 1 or more, load signals step the limit down instead
 			c.addFailure(engine, timeoutPoints, Unanswered)
 		}
 	case Full:
 		c.adjustSlots(engine, loadThreshold, Second)
-	case Unsent: // tells nothing of the engine
+	case Unsent: // the outcome has no information about the engine
 	}
 }
 
-// recordPriorAttempt keeps that an attempt may have run, and begins its key's cooldown.
+// recordPriorAttempt records that an attempt may have run, and starts the cooldown of the request's key.
 func (c *Controller) recordPriorAttempt(request *activeRequest, outcome Outcome) {
 	if outcome == Served || outcome.NeverRan() {
 		return
@@ -139,7 +140,7 @@
 	}
 }
 
-// HandleNotice takes in a notice about a running attempt, the number-th of its request from 0.
+// HandleNotice processes a notice about a running attempt; number is the attempt's index within the request, from 0.
 func (c *Controller) HandleNotice(now Time, id RequestID, number int, kind NoticeKind, value float64) {
 	c.now = now
 	_, request := c.requests.find(id)
@@ -153,30 +154,31 @@
 	}
 }
 
-// isHopeless tells whether an attempt needs, by its progress, nearly all that is left of its timeout, or more. Such an
-// attempt would end in a time-out, and hold slots until then. Cancelling it guards against bad query plans (each attempt
-// gets a new one), engines that slow down or swap, and loads that block its tables. Harm: work is lost where the attempt would
-// have sped up again.
+// isHopeless reports whether an attempt, judging by its progress, needs more than nearly all of the time left until its timeout.
+// Such an attempt would time out, and would hold slots until then. Cancelling it guards against bad query plans (each attempt
+// gets a new plan), engines that slow down or swap, and loads that block the request's tables. Drawback: work is lost if the
+// attempt would have sped up again.
 func isHopeless(a *attempt, progress float64, now Time) bool {
-	const hopelessShare = 0.8 // progress is rough; 1 scored the same, 1.5 let more engines jam
+	const hopelessShare = 0.8 // below 1 because progress is imprecise; 1 scored the same, with 1.5 more engines became overloaded
 	left := float64(now-a.sentAt) * (1 - progress) / max(progress, 0.001)
 	return left > hopelessShare*float64(a.timeoutAt-now)
 }
 
-// cancelIfSilent cancels an attempt that has given no notice for an interval and a half, where notices come as long as work
-// runs: it hangs, or its answer is lost. The request is retried as its class allows. Waiting for two intervals scored lower
-// (leerkaart, quick: 0.725 against 0.735).
+// cancelIfSilent cancels an attempt that has sent no notice for one and a half intervals, if engines send notices for as long as
+// work runs: the attempt hangs, or its answer is lost. The request is retried as its class allows. Waiting for two intervals
+// scored lower (leerkaart, quick: 0.725 against 0.735).
 func (c *Controller) cancelIfSilent(request *activeRequest) {
 	d := c.deployment
 	if d.NoticeInterval <= 0 || !d.SupportsCancel || 2*(c.now-request.attempt.noticedAt) <= 3*d.NoticeInterval {
 		return
 	}
-	request.attempt.noticedAt = request.attempt.timeoutAt // so that it is cancelled once
+	request.attempt.noticedAt = request.attempt.timeoutAt // prevents a second cancellation
 	c.addFailure(c.engines.at(request.attempt.engine), silencePoints, Unanswered)
 	c.host.CancelAttempt(request.id, request.attempts-1)
 }
 
-// HandleDisconnect ends a request whose client left. An attempt in flight still gets its outcome.
+// HandleDisconnect ends a request whose client has disconnected. If an attempt is in flight, the request stays until the
+// attempt ends.
 func (c *Controller) HandleDisconnect(now Time, id RequestID) {
 	c.now = now
 	index, request := c.requests.find(id)
@@ -191,7 +193,7 @@
 	c.releaseQueued()
 }
 
-// removeRequest forgets a request that is over and has no attempt in flight, and lets the next of its key have its turn.
+// removeRequest removes a request that is over and has no attempt in flight, and queues the next request of its key.
 func (c *Controller) removeRequest(index requestIndex) {
 	request := c.requests.at(index)
 	c.queues.remove(&c.requests, index)
--- a/internal/admission/attempts_test.go
+++ b/internal/admission/attempts_test.go
@@ -5,7 +5,7 @@
 )
 
 var attemptScripts = map[string]func() *script{
-	"hopeless": func() *script { // called off when by its progress it would end in a time-out
+	"hopeless": func() *script { // an attempt is cancelled if, by its progress, it would time out
 		d := testDeployment()
 		d.SupportsCancel = true
 		s := startScript(d, "e1", "e2")
@@ -19,7 +19,7 @@
 		s.HandleNotice(s.at, "unrepeatable", 0, ProgressNotice, 0.01)
 		return s
 	},
-	"silence": func() *script { // notes every 500 ms; one that stops is called off, and the request goes elsewhere
+	"silence": func() *script { // notices come every 500 ms; an attempt without notices is cancelled and its request sent elsewhere
 		d := testDeployment()
 		d.NoticeInterval, d.SupportsCancel = 500*Millisecond, true
 		s := startScript(d, "e1", "e2")
@@ -58,7 +58,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := isHopeless(a, test.progress, test.now); got != test.want {
-				t.Errorf("hopeless: %t, want %t", got, test.want)
+				t.Errorf("isHopeless returned %t, want %t", got, test.want)
 			}
 		})
 	}
--- a/internal/admission/concurrency_test.go
+++ b/internal/admission/concurrency_test.go
@@ -8,7 +8,7 @@
 )
 
 var concurrencyScripts = map[string]func() *script{
-	"steps": func() *script { // the paper's rule: down, not when idle, up when full, still between, floor zero
+	"steps": func() *script { // down, not down when idle, up when full, no step in between, lowest limit zero
 		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		for _, c := range []struct{ bound, running, signal float64 }{
@@ -19,7 +19,7 @@
 		}
 		return s
 	},
-	"signals": func() *script { // held queries first, then utilisation, then our own count
+	"signals": func() *script { // from queries in flight, else from utilization, else from this gateway's own threads
 		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		show := func(why string) { s.record("%s: signal %.3g", why, s.loadSignal(e)) }
@@ -43,7 +43,7 @@
 		show("no report, 8 threads of ours")
 		return s
 	},
-	"chance at zero": func() *script { // at a bound of zero: one query, with chance 1/gateways a tick
+	"chance at zero": func() *script { // at a limit of zero, one query is sent with a probability of 1/gateways per tick
 		d := testDeployment()
 		d.Gateways = 4
 		s := startScript(d, "e1")
@@ -53,7 +53,7 @@
 		s.advanceTo(400 * Millisecond)
 		return s
 	},
-	"many gateways": func() *script { // a part far below a query: engines open by chance, seldom after long requests
+	"many gateways": func() *script { // limits far below one query: few engines admit one, and fewer after long requests
 		d := testDeployment()
 		d.Gateways, d.SupportsProbes = 300, false
 		var names []EngineID
@@ -83,7 +83,7 @@
 		show("half busy, after requests of ten times the work")
 		return s
 	},
-	"step by time held": func() *script { // a query is the threads of attempts by their time at the engine
+	"step by time held": func() *script { // one query counts as the mean threads of attempts, weighted by run time
 		s := startScript(testDeployment(), "e1")
 		s.engines.items[0].limit.bound = 8
 		s.record("step %.2f: the mean of the classes", s.estimates.querySlots())
@@ -96,13 +96,13 @@
 		s.record("step %.2f: nearer to the three threads held most of the time", s.estimates.querySlots())
 		return s
 	},
-	"held at zero": func() *script { // an engine that tells held queries lets one in at zero while it has room
+	"held at zero": func() *script { // at a limit near zero, an engine that reports queries in flight gets one while it has capacity
 		d := testDeployment()
 		d.Gateways = 300
 		s := startScript(d, "e1")
 		s.HandleAttemptEnd(0, AttemptResult{Request: "none", Outcome: Served, Answered: true, Report: NoReport})
 		s.engines.items[0].load.report, s.engines.items[0].load.reportAt = Report{InFlight: 2, Utilization: -1, Memory: -1, Disks: -1}, 0
-		s.engines.items[0].limit.randomFactor = 1 // a draw that the chance of a pace would turn down
+		s.engines.items[0].limit.randomFactor = 1 // with a finite admission rate, this factor would prevent the query
 		s.record("e1 holds 2 queries on 4 cores, bound %.3g", s.engines.items[0].limit.bound)
 		s.sendRequest("a", 0, 0, "")
 		s.endAttempt("a", Served)
@@ -112,7 +112,7 @@
 		s.sendRequest("b", 0, 0, "")
 		return s
 	},
-	"memory for utilisation": func() *script { // without utilisation, the scarcer of memory and disks steps the bound
+	"memory for utilisation": func() *script { // without a report on cores, the scarcer of memory and disks steps the limit
 		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		e.limit.bound, e.limit.running = 3, 3
@@ -143,7 +143,7 @@
 			l := concurrencyLimit{bound: test.bound, running: test.running}
 			a.adjust(&l, test.signal, 1.5, Second, 7*Second)
 			if l.bound != test.want {
-				t.Errorf("bound %g, want %g", l.bound, test.want)
+				t.Errorf("limit %g, want %g", l.bound, test.want)
 			}
 			if l.steppedAt != 7*Second {
 				t.Errorf("stepped at %d, want %d", l.steppedAt, 7*Second)
@@ -168,7 +168,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := admissionPace(test.report, test.busyShare); math.Abs(got-test.want) > 1e-9 && got != test.want {
-				t.Errorf("%g, want %g", got, test.want)
+				t.Errorf("rate %g, want %g", got, test.want)
 			}
 		})
 	}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -5,18 +5,19 @@
 	"math/rand"
 )
 
-// tickInterval is the time between two calls of Tick. A queued request is given up at most this late.
+// tickInterval is the time between two calls of Tick. A queued request is abandoned at most this much too late.
 const tickInterval = 20 * Millisecond
 
-// Controller decides for one gateway, from what it has seen and, where gateways exchange messages, from what peers observed.
+// Controller makes the decisions of one gateway. They rest on what the gateway itself observed and, if gateways exchange
+// messages, on what its peers observed.
 type Controller struct {
 	host       Host
 	deployment *Deployment
 	random     *rand.Rand
-	now        Time // of the event that is handled
-	tickedAt   Time // when Tick was last called
-	sequence   uint64
-	classOrder []int // classes, highest priority weight first
+	now        Time   // time of the event that the controller is handling
+	tickedAt   Time   // when Tick was last called
+	sequence   uint64 // sequence number of the latest request
+	classOrder []int  // classes, highest priority weight first
 
 	requests     requestTable
 	queues       requestQueues
@@ -31,11 +32,11 @@
 	probes       probeCredit
 	peerMessages peerMessages
 
-	pollAt   Time      // when to ask for the engine list again; 0: not
-	snapshot *Snapshot // of a process before this one; nil: there is none
+	pollAt   Time      // when to request the engine list again; 0: no poll is due
+	snapshot *Snapshot // snapshot of an earlier process; nil: none
 }
 
-// New returns a controller that knows no engine yet. The same seed and calls lead to the same actions.
+// New returns a controller with an empty engine list. The same seed and calls lead to the same actions.
 func New(now Time, seed int64, d *Deployment, host Host) *Controller {
 	random := rand.New(rand.NewSource(seed))
 	c := &Controller{
@@ -68,23 +69,24 @@
 	return c
 }
 
-// SetPolicy hands over what an operator's classes allow, before the first request that has one.
+// SetPolicy sets the operator's policy. The caller must call it before the first request that has a policy class.
 func (c *Controller) SetPolicy(policy Policy) { c.pools.policy = policy }
 
-// HandleCapacityChange releases queued requests after the policy has come to allow a class more than before.
+// HandleCapacityChange releases queued requests after the policy has started to allow a class more than before.
 func (c *Controller) HandleCapacityChange(now Time) {
 	c.now = now
 	c.releaseQueued()
 }
 
-// HasRequest tells whether a request of that id is queued or in flight.
+// HasRequest reports whether a request with that id is outstanding: queued or in flight.
 func (c *Controller) HasRequest(id RequestID) bool {
 	_, request := c.requests.find(id)
 	return request != nil
 }
 
-// Tick does what is due by time alone: probes, steps of bounds where no report comes, the draw for bounds of zero, silent
-// attempts, requests that have waited too long. The host calls it when ScheduleTick asked for it.
+// Tick does the work that is due by time alone: it sends probes, steps the concurrency limits of engines without a recent report,
+// draws the random factors for limits below 1, cancels silent attempts and abandons requests that have waited too long. The host
+// calls it at each time that the controller passed to ScheduleTick.
 func (c *Controller) Tick(now Time) {
 	c.now = now
 	c.pollEndpoints()
@@ -111,7 +113,7 @@
 }
 
 func (c *Controller) tickEngine(engine *engineState) {
-	if !engine.probe.inFlight { // the request that a probe was sent for waits for its result
+	if !engine.probe.inFlight { // a request that waits for a probe's result keeps the factor that was drawn
 		c.drawRandomFactor(engine)
 	}
 	if c.now-engine.load.reportAt >= staleReportAge && c.now-engine.limit.steppedAt >= staleReportAge/3 {
@@ -122,7 +124,7 @@
 func (c *Controller) tickRequest(index requestIndex) {
 	request := c.requests.at(index)
 	switch {
-	case request.id == "": // a free place
+	case request.id == "": // an unused entry
 	case request.attempt.inFlight:
 		c.cancelIfSilent(request)
 	default:
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-var keepTraces = flag.Bool("keep", false, "keep the traces as they come out now")
+var keepTraces = flag.Bool("keep", false, "overwrite the expected traces in testdata with the current ones")
 
-// Each script's trace is kept in testdata/NAME.txt.
+// scripts are the scripts of all files. The expected trace of each is in testdata/NAME.txt.
 var scripts = joinScripts(queueScripts, sheddingScripts, concurrencyScripts, retryScripts, keyOrderScripts,
 	placementScripts, endpointScripts, slowStartScripts, outlierScripts, peerScripts, loadReportScripts,
 	healthCheckScripts, estimateScripts, attemptScripts)
 
-// joinScripts puts the scripts of all modules together.
+// joinScripts merges the scripts of all files.
 func joinScripts(modules ...map[string]func() *script) map[string]func() *script {
 	all := map[string]func() *script{}
 	for _, module := range modules {
@@ -43,16 +43,16 @@
 				t.Fatal(err)
 			}
 			if got != string(want) {
-				t.Errorf("trace differs\ngot:\n%s\nkept:\n%s", got, want)
+				t.Errorf("trace differs\ngot:\n%s\nwant:\n%s", got, want)
 			}
 			if again := run().out.String(); again != got {
-				t.Errorf("the same events gave another trace:\n%s", again)
+				t.Errorf("the same events led to a different trace:\n%s", again)
 			}
 		})
 	}
 }
 
-// Every kept trace is the same, but for what the controller tells its peers.
+// Every trace equals the expected one, apart from the observations that the controller reports to its peers.
 func TestControllerWithSilentPeersDecidesAsWithoutPeers(t *testing.T) {
 	told := regexp.MustCompile(`(?m)^ *[0-9.]+ ms    -> tell peers of .*\n`)
 	for name, run := range scripts {
@@ -64,12 +64,13 @@
 		got := run().out.String()
 		peersEverywhere = false
 		if told.ReplaceAllString(got, "") != told.ReplaceAllString(string(want), "") {
-			t.Errorf("%s: with peers that say nothing\n%s\nkept:\n%s", name, got, want)
+			t.Errorf("%s: trace differs with peers that send nothing\ngot:\n%s\nwant:\n%s", name, got, want)
 		}
 	}
 }
 
-// Engines with new ids come all day, and some go while a request is in flight there.
+// Engines with new IDs arrive continually, and each is removed while a request is in flight there. The tables must reuse their
+// entries.
 func TestStateStaysSmallOverALongDay(t *testing.T) {
 	s := startScript(testDeployment())
 	for n := range 5000 {
@@ -82,13 +83,13 @@
 		s.advanceTo(s.at + 2*Second)
 	}
 	if len(s.engines.items) > 4 || len(s.engines.byName) > 4 || len(s.requests.items) > 4 || len(s.requests.byID) > 0 || s.queues.waiting > 0 {
-		t.Errorf("%d engines, %d names, %d places, %d requests, %d held", len(s.engines.items), len(s.engines.byName), len(s.requests.items),
-			len(s.requests.byID), s.queues.waiting)
+		t.Errorf("%d engines, %d engine IDs, %d request entries, %d requests, %d queued", len(s.engines.items), len(s.engines.byName),
+			len(s.requests.items), len(s.requests.byID), s.queues.waiting)
 	}
 }
 
-// ordinaryRound returns a controller, and a round of its ordinary path: two requests that are sent and served, a tick and
-// the result of a probe.
+// ordinaryRound returns a controller and a function that runs a round of its ordinary path: two requests that are sent and served,
+// a tick, and the result of a probe.
 func ordinaryRound() (c *Controller, round func()) {
 	d := testDeployment()
 	d.SupportsRanks = true
@@ -110,10 +111,10 @@
 	c, round := ordinaryRound()
 	round()
 	if n := testing.AllocsPerRun(1000, round); n != 0 {
-		t.Errorf("%v allocations a round", n)
+		t.Errorf("%v allocations per round, want 0", n)
 	}
 	if len(c.requests.byID) != 0 || len(c.keys.queues) != 0 {
-		t.Errorf("%d requests and %d keys left", len(c.requests.byID), len(c.keys.queues))
+		t.Errorf("%d requests and %d keys left, want none", len(c.requests.byID), len(c.keys.queues))
 	}
 }
 
@@ -125,6 +126,7 @@
 	}
 }
 
+// quiet is a Host that does nothing.
 type quiet struct{}
 
 func (quiet) SendAttempt(RequestID, EngineID, Time, Time)                {}
--- a/internal/admission/deployment.go
+++ b/internal/admission/deployment.go
@@ -1,68 +1,68 @@
 package admission
 
-// Deployment is what a controller is told at start of the gateways, the engines and the clients. A rule whose figures are
-// zero is absent.
+// Deployment describes the gateways, the engines and the clients to a controller at its start. A rule whose values are all
+// zero is disabled.
 type Deployment struct {
-	Gateways     int // how many there are
-	GatewayIndex int // the number of this one among them, from 0
+	Gateways     int // number of gateways
+	GatewayIndex int // index of this gateway, from 0
 	Classes      []Class
-	Tenants      []Tenant // none: all requests are of one tenant
+	Tenants      []Tenant // empty: all requests belong to one tenant
 
-	// What engines have, by machine kind.
+	// Resources of an engine, by machine kind.
 	CoresByKind  []float64
 	MemoryByKind []float64 // MB
 
-	// What engines and clients can do.
+	// Capabilities of engines and clients.
 	SupportsRanks        bool
 	SupportsMemoryGrants bool
-	EnginesSwap          bool // an engine short of memory lets requests in and slows down
-	ReportsCost          bool // answers tell work and memory
+	EnginesSwap          bool // an engine short of memory still accepts requests but slows down
+	ReportsCost          bool // answers report work and memory
 	SupportsCancel       bool // attempts can be cancelled
-	NoticeInterval       Time // of notices about a running attempt; 0: none come
-	RetryAfter           Time // told with every rejection: the longest that clients follow; 0: none
-	PollsEndpoints       bool // the engine list comes only when it is asked for
-	MaxRequests          int  // requests that the gateway can have in hand; 0: no limit
+	NoticeInterval       Time // time between notices about a running attempt; 0: engines send none
+	RetryAfter           Time // sent with every rejection: the longest wait that clients obey; 0: none
+	PollsEndpoints       bool // the engine list arrives only when the gateway requests it
+	MaxRequests          int  // maximum number of outstanding requests at the gateway; 0: no limit
 
-	// What messages cost, as a share of the service.
+	// Costs of messages, as a share of the service.
 	SupportsProbes   bool
-	ProbePrice       float64 // of one probe for each request
+	ProbePrice       float64 // cost of one probe per request
 	PeerMessages     bool    // gateways may send each other messages
-	PeerMessagePrice float64 // of 256 bytes delivered for each request
+	PeerMessagePrice float64 // cost of 256 bytes delivered per request
 
-	// An engine that has just started fails where it is sent more than WarmUpOverloadFactor times its present capacity
-	// within WarmUpOverloadTime, during its first WarmUpTime.
-	WarmUpCapacityShare  float64 // the part of its capacity that it has at the least, 0 to 1
+	// During its first WarmUpTime, an engine fails if it is sent more than WarmUpOverloadFactor times its present capacity
+	// within WarmUpOverloadTime.
+	WarmUpCapacityShare  float64 // lowest share of its full capacity that an engine has while it warms up, 0 to 1
 	WarmUpTime           Time
 	WarmUpOverloadFactor float64
 	WarmUpOverloadTime   Time
 
-	// Retries are limited to RetryBurst and RetryRatio of the requests taken, in any window of RetryWindow.
-	MaxAttempts int // of one request; 0: no limit
+	// In any window of RetryWindow, retries are limited to RetryBurst plus RetryRatio times the requests received.
+	MaxAttempts int // maximum attempts of one request; 0: no limit
 	RetryBurst  float64
 	RetryRatio  float64
 	RetryWindow Time
 
-	KeyCooldown Time // that requests of a key wait after an attempt that may still run
+	KeyCooldown Time // how long the next request of a key waits after an attempt that may still be running
 }
 
 // Class is a class of requests.
 type Class struct {
-	Threads          int     // that a request takes on its engine
-	LatencyObjective Time    // by when a request should be answered
-	ObjectivePerWork float64 // the objective grows by this times work over threads
-	Weight           float64 // priority weight: what a request answered in time is worth
-	LateWeightShare  float64 // the share of the weight that is left after the objective, 0 to 1
+	Threads          int     // threads that a request uses on its engine
+	LatencyObjective Time    // time within which a request should be answered
+	ObjectivePerWork float64 // the objective grows by this factor times work divided by threads
+	Weight           float64 // priority weight: value of a request that is answered in time
+	LateWeightShare  float64 // share of the weight that an answer after the objective still has, 0 to 1
 	Effect           Effect
-	DedupScope       DedupScope // of a Deduplicated class: the engines that drop repeats
-	DedupWindow      Time       // and for how long
+	DedupScope       DedupScope // in a Deduplicated class: the engines that drop repeats
+	DedupWindow      Time       // in a Deduplicated class: how long they drop repeats
 	Ordered          bool       // requests that share a key run one after another
 	Zones            []int      // the only zones allowed; nil: all
 	Kinds            []int      // the only machine kinds allowed; nil: all
-	LoadsTables      bool       // holds its tables while it runs
-	BlockedByLoads   bool       // stands still while a load holds its tables
+	LoadsTables      bool       // a request locks its tables while it runs
+	BlockedByLoads   bool       // a request waits while a load locks its tables
 }
 
 // Tenant is a tenant of the service.
 type Tenant struct {
-	Share float64 // that it should have while others wait, 0 to 1
+	Share float64 // share of the capacity that the tenant should get while others wait, 0 to 1
 }
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// EndpointState is what the engine list says of an engine.
+// EndpointState is the state of an engine according to the engine list.
 type EndpointState uint8
 
 // The states of a listed engine.
@@ -16,15 +16,15 @@
 	Gone
 )
 
-// UpdateKind tells what an update of the engine list holds.
+// UpdateKind is the kind of an update of the engine list.
 type UpdateKind uint8
 
 // The kinds of updates.
 const (
-	PartialUpdate UpdateKind = iota // the changed entries only
-	FullUpdate                      // all entries
-	CachedUpdate                    // all entries as last known; may be old
-	FailedPoll                      // nothing: a call failed, the old list stays
+	PartialUpdate UpdateKind = iota // contains only the changed entries
+	FullUpdate                      // contains all entries
+	CachedUpdate                    // contains all entries as last known; they may be outdated
+	FailedPoll                      // contains nothing: a poll failed, and the previous list stays valid
 )
 
 // Endpoint is one entry of the engine list.
@@ -32,25 +32,25 @@
 	Engine            EngineID
 	Zone, Kind, Group int
 	State             EndpointState
-	Since             Time // last start; 0: long ago
+	Since             Time // time of the last start; 0: long ago
 }
 
-// pollRetryDelay is how long after a failed poll the list is asked for again: a list service that fails is asked no faster,
-// and well within the time after which a gateway is expected to know of a change.
+// pollRetryDelay is the time between a failed poll of the engine list and the next poll. It limits the load on a discovery
+// service that fails, and is well below the time within which a gateway is expected to know of a change.
 const pollRetryDelay = Second
 
-// engineIndex is an engine's place in the table.
+// engineIndex is an engine's index in engineTable.items.
 type engineIndex int32
 
 const noEngine = engineIndex(-1)
 
-// engineState is an entry of the engine list with what this gateway knows of it.
+// engineState is an entry of the engine list, and what this gateway knows of the engine.
 type engineState struct {
 	Endpoint
-	listed       bool // the latest full update had it, or one since
+	listed       bool // the latest full update or a later update contained the engine
 	hash         uint32
 	cores        float64
-	memoryMB     float64 // +Inf: not known
+	memoryMB     float64 // +Inf: unknown
 	limit        concurrencyLimit
 	load         loadReport
 	probe        probeState
@@ -59,7 +59,7 @@
 	slowStartUse slowStartUse
 }
 
-// engineTable holds the engines. Places of engines that are gone are used again.
+// engineTable holds the engines. It reuses the entries of engines that are gone.
 type engineTable struct {
 	items  []engineState
 	byName map[EngineID]engineIndex
@@ -67,10 +67,11 @@
 
 func newEngineTable() engineTable { return engineTable{byName: map[EngineID]engineIndex{}} }
 
-// at returns the engine at a place. The pointer holds until the next add.
+// at returns the engine at an index. The pointer is valid until the next call of add.
 func (t *engineTable) at(index engineIndex) *engineState { return &t.items[index] }
 
-// add finds a place for a new engine; that of one which is gone and has nothing in flight is used again.
+// add creates an entry for a new engine. It reuses the entry of an engine that is gone and has neither attempts nor a probe in
+// flight.
 func (t *engineTable) add(name EngineID) engineIndex {
 	i := slices.IndexFunc(t.items, func(e engineState) bool {
 		return e.State == Gone && e.limit.running == 0 && !e.probe.inFlight
@@ -89,14 +90,14 @@
 	return engineIndex(i)
 }
 
-// markAllUnlisted begins a full update.
+// markAllUnlisted prepares the table for an update with all entries.
 func (t *engineTable) markAllUnlisted() {
 	for i := range t.items {
 		t.items[i].listed = false
 	}
 }
 
-// endUnlisted counts engines that the list doesn't have any more as gone.
+// endUnlisted sets the state of engines that the list no longer contains to Gone.
 func (t *engineTable) endUnlisted() {
 	for i := range t.items {
 		if !t.items[i].listed {
@@ -105,7 +106,7 @@
 	}
 }
 
-// UpdateEndpoints takes in an update of the engine list.
+// UpdateEndpoints processes an update of the engine list.
 func (c *Controller) UpdateEndpoints(now Time, kind UpdateKind, list []Endpoint) {
 	c.now = now
 	if kind == FailedPoll {
@@ -136,11 +137,13 @@
 	}
 }
 
-// startEngine has an engine begin anew, or where a process before this one left it if it is new to this one.
+// startEngine sets the initial state of an engine that has started. If the engine is new to this process, an earlier process's
+// snapshot of it is restored.
 func (c *Controller) startEngine(engine *engineState, isNew bool) {
 	engine.cores = max(1, ofKind(c.deployment.CoresByKind, engine.Kind, 1))
 	engine.memoryMB = ofKind(c.deployment.MemoryByKind, engine.Kind, math.Inf(1))
-	// Two threads a core over the gateways, the signal's own threshold: in a large fleet below a query.
+	// The threshold of the load signal, two threads per core, divided by the number of gateways. In a large cluster this is less
+	// than one query.
 	engine.limit.bound = loadThreshold * engine.cores / float64(c.deployment.Gateways)
 	engine.failures.points = 0
 	engine.load.report, engine.load.reportAt = NoReport, c.now
@@ -148,10 +151,10 @@
 	if c.snapshot != nil && isNew {
 		c.restoreEngine(engine)
 	}
-	engine.probe.sentAt = c.now - minProbeGap - Time(c.random.Int63n(int64(Second))) // each gateway in its own order
+	engine.probe.sentAt = c.now - minProbeGap - Time(c.random.Int63n(int64(Second))) // so gateways probe in different orders
 }
 
-// ofKind is a machine kind's figure, unknown where the deployment doesn't have it.
+// ofKind returns the value for a machine kind, or unknown if the deployment has none.
 func ofKind(figures []float64, kind int, unknown float64) float64 {
 	if kind < 0 || kind >= len(figures) {
 		return unknown
@@ -159,7 +162,7 @@
 	return figures[kind]
 }
 
-// pollEndpoints asks for the engine list again, where a poll failed a while ago.
+// pollEndpoints requests the engine list again some time after a failed poll.
 func (c *Controller) pollEndpoints() {
 	if c.deployment.PollsEndpoints && c.pollAt > 0 && c.now >= c.pollAt {
 		c.pollAt = 0
--- a/internal/admission/endpoints_test.go
+++ b/internal/admission/endpoints_test.go
@@ -5,7 +5,7 @@
 )
 
 var endpointScripts = map[string]func() *script{
-	"lists": func() *script { // drains at once; an old list; what a full list lacks is gone; a failure keeps it
+	"lists": func() *script { // draining takes effect at once; an engine missing from a full list is gone; a failed poll changes nothing
 		s := startScript(testDeployment(), "e1", "e2", "e3")
 		s.updateList(PartialUpdate, Endpoint{Engine: "e1", State: Draining}, Endpoint{Engine: "e2", State: Gone})
 		s.engines.items[2].limit.bound = 0
@@ -17,7 +17,7 @@
 		s.updateList(PartialUpdate, Endpoint{Engine: "e1", Since: 19 * Second})
 		return s
 	},
-	"asked list": func() *script { // a call that failed is made again a second later, not at once
+	"asked list": func() *script { // a failed poll is repeated a second later, not at once
 		d := testDeployment()
 		d.PollsEndpoints = true
 		s := startScript(d, "e1")
@@ -31,7 +31,7 @@
 	tests := []struct {
 		name string
 		old  func(e *engineState)
-		want bool // its place is used again
+		want bool // the entry of the old engine is reused
 	}{
 		{"of an engine that is gone", func(e *engineState) { e.State = Gone }, true},
 		{"not of a live one", func(*engineState) {}, false},
@@ -45,10 +45,10 @@
 			table.at(first).Endpoint = Endpoint{Engine: "old"}
 			test.old(table.at(first))
 			if got := table.add("new") == first; got != test.want {
-				t.Errorf("used again: %t, want %t", got, test.want)
+				t.Errorf("entry reused: %t, want %t", got, test.want)
 			}
 			if _, known := table.byName["old"]; known == test.want {
-				t.Errorf("the old engine is known: %t", known)
+				t.Errorf("the old engine's ID is in the table: %t; it must be there exactly if its entry isn't reused", known)
 			}
 		})
 	}
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -1,7 +1,7 @@
 package admission
 
-// A class's usual run time follows the engines' present state, so it rests on some twenty answers (recentShare is the weight of
-// one). Its work and memory are means over up to meanSamples answers, because they change with the mix of requests alone.
+// The mean run time of a class follows the present state of the engines, so it covers about twenty answers (recentShare is the
+// weight of one). The mean work and memory change only with the mix of requests, so they cover up to meanSamples answers.
 const (
 	recentShare = 0.05
 	meanSamples = 300
@@ -9,38 +9,38 @@
 
 const initialRank = 1
 
-// initialBusyShare is the busy share that engines are taken to have until one reports.
+// initialBusyShare is the assumed busy share of engines until one reports.
 const initialBusyShare = 0.5
 
-// classEstimate is what answers have told of a class. Times are in units of Time.
+// classEstimate holds what the gateway has learned about a class from estimates and answers. Times are in units of Time.
 type classEstimate struct {
-	runTime          float64 // from sending an attempt to its answer
-	work             float64 // time that a request takes on one thread
-	memory           float64 // MB
-	answers          float64 // that runTime, memory and correctionFactor rest on, capped
-	requests         float64 // that work rests on, capped
-	correctionFactor float64 // what a request takes over what it was told to take, on engines that aren't busy
+	runTime          float64 // mean time from sending an attempt to its answer
+	work             float64 // mean time that a request takes on one thread
+	memory           float64 // mean memory in MB
+	answers          float64 // number of answers in runTime, memory and correctionFactor, at most meanSamples
+	requests         float64 // number of requests in work, at most meanSamples
+	correctionFactor float64 // ratio of a request's thread time to its work (cost), on engines that aren't busy
 	rank             int
 }
 
-// estimator learns from answers what requests take, and from reports how busy engines are. Times are in units of Time.
+// estimator estimates the cost of requests from answers, and the load of engines from reports. Times are in units of Time.
 type estimator struct {
 	deployment *Deployment
 	classes    []classEstimate
 
-	// Sums over the attempts that ended lately; an attempt counts for less with each one that ends after it.
-	threadTime    float64
-	requestedWork float64
-	runTime       float64 // threadTime over runTime is the threads of a query in flight (querySlots)
+	// Sums over the attempts that ended lately; the weight of an attempt decreases with each later one.
+	threadTime    float64 // run time times threads
+	requestedWork float64 // work, as returned by cost
+	runTime       float64 // run time; threadTime divided by runTime is the mean number of threads of a query in flight (querySlots)
 
-	meanWork      float64 // mean of the requests sent lately
-	expectedWork  float64 // of a usual request, from the deployment alone: the same at all gateways
-	meanBusyShare float64 // of the engines that reported lately; an engine without a fresh report is taken to have it
-	bestPrice     float64 // of a usual request of the best class
+	meanWork      float64 // mean work of the requests sent lately
+	expectedWork  float64 // initial meanWork, from the deployment alone and thus the same at all gateways
+	meanBusyShare float64 // mean of the engines that reported lately; assumed for an engine without a fresh report
+	bestPrice     float64 // highest price among the classes, each at its mean work
 }
 
-// newEstimator begins with what the deployment lets expect: a third of the latency objective, because users set it with time
-// to wait.
+// newEstimator returns an estimator with initial values from the deployment. The initial run time of a class is a third of its
+// latency objective, because users choose objectives that include time to wait.
 func newEstimator(d *Deployment) estimator {
 	s := estimator{deployment: d, classes: make([]classEstimate, len(d.Classes)), meanBusyShare: initialBusyShare}
 	meanThreads := 0.0
@@ -59,12 +59,12 @@
 	return s
 }
 
-// querySlots is how many threads a query in flight takes: the mean of our attempts weighted by their run time, and of the
-// classes at first.
+// querySlots returns the threads that a query in flight uses: the mean over this gateway's attempts weighted by their run times,
+// and initially over the classes.
 func (s *estimator) querySlots() float64 { return s.threadTime / s.runTime }
 
-// expectWork returns the work that a request is expected to take: its estimate, which goes into its class's mean, else that
-// mean.
+// expectWork returns the expected work of a request. This is its estimate if it has one, which then also updates the class's
+// mean, and the class's mean otherwise.
 func (s *estimator) expectWork(class int, told Time) float64 {
 	if told <= 0 {
 		return s.classes[class].work
@@ -73,7 +73,7 @@
 	return float64(told)
 }
 
-// memory returns the memory that a request is expected to need, in MB.
+// memory returns the expected memory of a request, in MB.
 func (s *estimator) memory(request *activeRequest) float64 {
 	if request.estimate.Memory > 0 {
 		return request.estimate.Memory
@@ -81,13 +81,13 @@
 	return s.classes[request.class].memory
 }
 
-// slowStartWork returns the work that a request counts against the budget of an engine that warms up: the estimate's ninetieth
-// percentile where it is above the class's mean, because one heavy request can make the engine fail.
+// slowStartWork returns the work of a request that counts against the budget of an engine that is warming up. This is the 90th
+// percentile of the estimate or the class's mean, whichever is larger, because one heavy request can make the engine fail.
 func (s *estimator) slowStartWork(request *activeRequest) float64 {
 	return max(s.classes[request.class].work, float64(request.estimate.WorkP90))
 }
 
-// usualRunTime returns how long a request runs if it runs as its class usually does.
+// usualRunTime returns the expected run time of a request: its class's mean, scaled by its estimated work if known.
 func (s *estimator) usualRunTime(request *activeRequest) float64 {
 	class := &s.classes[request.class]
 	if request.estimate.Work > 0 {
@@ -96,14 +96,14 @@
 	return class.runTime
 }
 
-// countSent takes a request that is sent into meanWork, which rests on some five attempts.
+// countSent updates meanWork, a mean over about five attempts, with a request that is sent.
 func (s *estimator) countSent(class int) {
 	const weight = 0.2
 	s.meanWork += weight * (s.classes[class].work - s.meanWork)
 }
 
-// countRun takes an attempt that ended into the sums, which rest on some twenty. One that ended at the time it was sent at
-// has held no thread, and doesn't count.
+// countRun adds an ended attempt to the sums, which cover about twenty attempts. An attempt that ended at the time it was sent
+// used no thread and isn't counted.
 func (s *estimator) countRun(request *activeRequest, runTime, work Time) {
 	const keep = 0.95
 	run := float64(runTime)
@@ -116,7 +116,7 @@
 	s.runTime = keep*s.runTime + run
 }
 
-// learnAnswer takes what a served attempt tells into the estimate of its class.
+// learnAnswer updates the estimates of a class from the answer to a served attempt.
 func (s *estimator) learnAnswer(request *activeRequest, runTime, work Time, memory float64) {
 	class := &s.classes[request.class]
 	run := float64(runTime)
@@ -127,7 +127,7 @@
 	if request.estimate.Work == 0 {
 		s.learnWork(request.class, cost)
 	}
-	// The correction factor falls quickly and rises slowly, because busy engines make requests take longer.
+	// The correction factor falls quickly and rises slowly, because requests take longer on busy engines.
 	ratio := run * float64(s.deployment.Classes[request.class].Threads) / max(1, cost)
 	if class.answers == 1 || ratio < class.correctionFactor {
 		class.correctionFactor += max(recentShare, 1/class.answers) * (ratio - class.correctionFactor)
@@ -136,33 +136,35 @@
 	}
 }
 
-// cost returns a request's work: as its answer tells, else as estimated, else the thread time that it ran.
+// cost returns a request's work: the larger of the value in its answer and its estimate if either is known, else the thread time
+// of its run. Where engines report work but no value came, the class's mean limits that thread time.
 func (s *estimator) cost(request *activeRequest, runTime, work Time) float64 {
 	run := float64(runTime) * float64(s.deployment.Classes[request.class].Threads)
 	if told := max(work, request.estimate.Work); told > 0 {
 		return float64(told)
 	}
 	if s.deployment.ReportsCost {
-		return min(run, s.classes[request.class].work) // answers tell, but none came
+		return min(run, s.classes[request.class].work) // engines report work in answers, but none was reported
 	}
 	return run
 }
 
-// learnWork takes a request's work into its class's mean: its estimate on arrival, else what its answer tells.
+// learnWork updates the mean work of a class with a request's work: its estimate on arrival, or else its cost when answered.
 func (s *estimator) learnWork(class int, work float64) {
 	l := &s.classes[class]
 	l.requests = min(l.requests+1, meanSamples)
-	l.work += 1 / (l.requests + 1) * (work - l.work) // the initial value counts as one request
+	l.work += 1 / (l.requests + 1) * (work - l.work) // the initial value has the weight of one request
 }
 
-// price returns a request's weight over its work. The work is corrected by the class's factor, because estimates can be far
-// too high or too low for a class as a whole; no more than five times too high is believed.
+// price returns a request's weight divided by its work. The work is multiplied by the class's correction factor, because the
+// estimates of a whole class can be far too high or too low. The factor is at least 0.2, so an estimate is never taken to be more
+// than five times too high.
 func (s *estimator) price(class int, work float64) float64 {
 	return s.deployment.Classes[class].Weight / work / max(0.2, s.classes[class].correctionFactor)
 }
 
-// updatePrices finds the best price, and ranks classes by price where engines support ranks. An engine gives a rank two to four
-// times the share of the rank below, so a class with half of the best price gets the next lower rank.
+// updatePrices updates the best price, and ranks classes by price if engines support ranks. An engine gives a rank two to four
+// times the share of the rank below, so a class with about half of the best price gets the next lower rank.
 func (s *estimator) updatePrices() {
 	s.bestPrice = 0
 	for i := range s.classes {
@@ -172,15 +174,15 @@
 		return
 	}
 	for i := range s.classes {
-		const step = 0.35 // of the best price
+		const step = 0.35 // as a share of the best price
 		s.classes[i].rank = initialRank + min(2, int(s.price(i, s.classes[i].work)/s.bestPrice/step))
 	}
 }
 
-// reportedBusyShare returns the busy share that an engine reports: of the queries that loadThreshold allows it, or of its
-// cores, memory or disks, whichever is scarcest. Cores idle under requests that wait for memory or disks, and such requests
-// take longer than their work; so where answers tell work, the share is multiplied by how many times their work requests
-// took lately.
+// reportedBusyShare returns an engine's busy share according to its report. If the engine reports queries in flight, this is their
+// share of the queries that loadThreshold allows. Otherwise it is the share in use of cores, memory or disks, whichever is highest.
+// Cores are idle while requests wait for memory or disks, and such requests take longer than their work. Where answers report
+// work, the share is therefore multiplied by the recent ratio of thread time to work.
 func (s *estimator) reportedBusyShare(cores float64, report Report, utilization float64) float64 {
 	if report.InFlight >= 0 {
 		return report.InFlight / cores * s.querySlots() / loadThreshold
@@ -192,7 +194,7 @@
 	return share
 }
 
-// learnBusyShare takes a report into the mean busy share of the engines.
+// learnBusyShare updates the mean busy share of the engines from a report.
 func (s *estimator) learnBusyShare(cores float64, report Report, utilization float64) {
 	const weight = 0.2
 	s.meanBusyShare += weight * (min(1, s.reportedBusyShare(cores, report, utilization)) - s.meanBusyShare)
--- a/internal/admission/estimates_test.go
+++ b/internal/admission/estimates_test.go
@@ -7,13 +7,13 @@
 )
 
 var estimateScripts = map[string]func() *script{
-	"estimates too high": func() *script { // incident: a class told twice its work is not shed for it
+	"estimates too high": func() *script { // an incident: a class whose estimates are twice its work must not be shed for that
 		s := startScript(testDeployment(), "e1")
 		s.serveRequests(20, 200*Millisecond, 100*Millisecond)
 		s.record("price over that of the work told: %.2f", s.estimates.price(0, 1)/s.d.Classes[0].Weight)
 		return s
 	},
-	"crowded": func() *script { // where answers tell work, idle cores under slow requests are no room
+	"crowded": func() *script { // where answers report work, idle cores don't count as free capacity while requests are slow
 		d := testDeployment()
 		d.ReportsCost = true
 		s := startScript(d, "e1")
@@ -31,7 +31,7 @@
 			s.estimates.reportedBusyShare(e.cores, e.load.report, e.load.utilization))
 		return s
 	},
-	"ranks": func() *script { // by value for work
+	"ranks": func() *script { // by price
 		d := testDeployment()
 		d.SupportsRanks = true
 		s := startScript(d, "e1")
@@ -63,7 +63,7 @@
 			s.classes[0].work = float64(50 * Millisecond)
 			r := &activeRequest{estimate: Estimate{Work: test.estimated}}
 			if got := s.cost(r, run, test.told); got != float64(test.want) {
-				t.Errorf("%g, want %d", got, test.want)
+				t.Errorf("cost %g, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/admission/format_test.go
+++ b/internal/admission/format_test.go
@@ -21,6 +21,6 @@
 		t.Fatal(err)
 	}
 	for _, field := range golden.ZeroFields(snapshot) {
-		t.Errorf("field %s is not in what an earlier version wrote", field)
+		t.Errorf("field %s is missing from the snapshot that an earlier version wrote", field)
 	}
 }
--- a/internal/admission/healthchecks.go
+++ b/internal/admission/healthchecks.go
@@ -1,41 +1,42 @@
 package admission
 
-// Probes are paid for by the requests taken, so that all probes together cost at most probeBudget of the service, however
-// many gateways there are, and reports come when there are requests to place.
+// Each request received pays for a share of a probe, so that all probes together cost at most probeBudget of the service, however
+// many gateways there are, and reports arrive while there are requests to place.
 const (
 	probeBudget    = 0.005
-	maxProbeCredit = 8.0               // so that a gateway that stood still doesn't send a burst of probes
-	minProbeGap    = 200 * Millisecond // engines make new reports no faster
-	loadTurnover   = 800 * Millisecond // time in which an engine's load turns over; probes every 200 or 400 ms gained nothing
+	maxProbeCredit = 8.0               // prevents a burst of probes after a stall of the gateway
+	minProbeGap    = 200 * Millisecond // engines don't create new reports more often
+	loadTurnover   = 800 * Millisecond // time in which an engine's load changes; probes every 200 or 400 ms brought no benefit
 )
 
-// probeCredit counts how many probes the requests taken have paid for.
+// probeCredit counts the probes that requests have paid for.
 type probeCredit struct {
-	credit float64 // -Inf: the deployment has no probes
-	cost   float64 // see Deployment.ProbePrice
+	credit float64 // number of probes; -Inf: the deployment has no probes
+	cost   float64 // Deployment.ProbePrice
 }
 
-// earn adds what one request pays for.
+// earn adds the credit for one request.
 func (p *probeCredit) earn() {
 	p.credit = min(maxProbeCredit, p.credit+probeBudget/max(probeBudget/maxProbeCredit, p.cost))
 }
 
-// affordsOne tells whether a probe that an attempt waits for may be sent.
+// affordsOne reports whether there is credit for a probe whose result a queued request waits for.
 func (p *probeCredit) affordsOne() bool { return p.credit >= 1 }
 
-// hasSpare tells whether there is credit beyond the half that is reserved for probes that an attempt waits for.
+// hasSpare reports whether there is credit beyond the half that is reserved for probes whose results queued requests wait for.
 func (p *probeCredit) hasSpare() bool { return p.credit >= maxProbeCredit/2 }
 
-// spend takes the price of one probe.
+// spend deducts one probe.
 func (p *probeCredit) spend() { p.credit-- }
 
-// probeState is the latest probe of an engine.
+// probeState describes the latest probe of an engine.
 type probeState struct {
 	inFlight bool
 	sentAt   Time
 }
 
-// probeLongestUnseen probes the engines that were not probed for longest, while there is credit to spare.
+// probeLongestUnseen probes the engines whose last probe is at least loadTurnover old, the oldest first, while there is spare
+// credit.
 func (c *Controller) probeLongestUnseen() {
 	for c.probes.hasSpare() {
 		next := noEngine
@@ -61,7 +62,7 @@
 	c.host.ProbeEngine(engine.Engine)
 }
 
-// HandleProbeResult takes in the result of a probe.
+// HandleProbeResult processes the result of a probe.
 func (c *Controller) HandleProbeResult(now Time, name EngineID, outcome Outcome, report Report) {
 	c.now = now
 	index, ok := c.engines.byName[name]
--- a/internal/admission/healthchecks_test.go
+++ b/internal/admission/healthchecks_test.go
@@ -5,7 +5,7 @@
 )
 
 var healthCheckScripts = map[string]func() *script{
-	"probes": func() *script { // paid for by requests, one out at a time, no faster than reports are made
+	"probes": func() *script { // requests pay for probes; an engine has one probe in flight at a time, none before a new report is due
 		s := startScript(testDeployment(), "e1")
 		s.probes.credit = maxProbeCredit / 2
 		s.recordProbes = true
@@ -26,7 +26,7 @@
 		name     string
 		cost     float64
 		requests int
-		want     float64 // credit
+		want     float64 // credit after the requests
 	}{
 		{"a probe of the budget's price for each request", probeBudget, 3, 3},
 		{"a probe of twice that for every other request", 2 * probeBudget, 4, 2},
--- a/internal/admission/host.go
+++ b/internal/admission/host.go
@@ -1,41 +1,43 @@
 package admission
 
-// Host is what the decisions act on. It is handed over once, at start; every call takes effect at the
-// time of the event that is being handled. A Host must not call the Controller from within these calls.
+// Host carries out the Controller's decisions. New receives it once; every call takes effect at the time of the event that the
+// Controller is handling. A Host must not call the Controller from within these methods.
 type Host interface {
-	// SendAttempt sends a request to an engine. The attempt ends unanswered after timeout, and at the deadline at the latest.
-	// From sendBy on (0: no limit) it must not be sent any more: it ends as Unsent then.
+	// SendAttempt sends a request to an engine. An attempt without an answer ends after timeout, and at the request's deadline at
+	// the latest. If the host can't send it before sendBy (0: no limit), it must not send it at all; the attempt then ends as Unsent.
 	SendAttempt(request RequestID, engine EngineID, timeout, sendBy Time)
-	// CancelAttempt cancels an attempt of a request; number counts its attempts from 0.
+	// CancelAttempt cancels an attempt of a request; number is the attempt's index within the request, from 0.
 	CancelAttempt(request RequestID, number int)
-	// RejectRequest gives a final answer: another try by the client is harmless, best after retryAfter (0: no advice).
+	// RejectRequest gives the client a final answer which states that a retry by the client is harmless, best after retryAfter
+	// (0: no advice).
 	RejectRequest(request RequestID, retryAfter Time)
-	// FailRequest gives a final answer that promises nothing: the request may have run.
+	// FailRequest gives the client a final answer that promises nothing: the request may have run.
 	FailRequest(request RequestID)
-	// SetAttemptTerms sets the memory grant (MB, 0: the engine chooses) and the rank (0 to 3) of a request's attempts.
+	// SetAttemptTerms sets the memory grant (MB, 0: the engine chooses) and the priority rank (0 to 3) of a request's attempts.
 	SetAttemptTerms(request RequestID, memory float64, rank int)
-	// ProbeEngine asks an engine for its report; HandleProbeResult is called once it came or failed.
+	// ProbeEngine requests an engine's load report. The host passes the report or the failure to HandleProbeResult.
 	ProbeEngine(engine EngineID)
-	// SubscribeEndpoints asks for the changes of the engine list from now on.
+	// SubscribeEndpoints requests all changes of the engine list from now on.
 	SubscribeEndpoints()
-	// ReportObservation hands on to peers what this gateway saw of an engine itself, and how many bytes more may be sent to
-	// them from now on.
+	// ReportObservation passes to peers what this gateway itself observed of an engine. The gateway may send its peers this many
+	// more bytes from now on.
 	ReportObservation(engine EngineID, saw Observation, report Report, bytes float64)
-	// HasSlowStartCapacity tells whether this gateway may send the next request to an engine that is warming up, where gateways
-	// share what it may be sent by messages (shared); part is the request's share of that, 0 to 1.
+	// HasSlowStartCapacity reports whether this gateway may send the next request to an engine that is warming up (has). If shared
+	// is false, gateways don't divide the engine's budget by messages, and has means nothing. part is the request's share of the
+	// budget, 0 to 1.
 	HasSlowStartCapacity(engine EngineID, part float64) (has, shared bool)
-	// ScheduleTick asks for a call of Tick at a time.
+	// ScheduleTick requests a call of Tick at the given time.
 	ScheduleTick(at Time)
 	// LogEvent adds a line to the gateway's log.
 	LogEvent(text string)
 }
 
-// Policy is what an operator's policy classes allow; it is asked only about requests that have a class.
+// Policy applies the limits of an operator's policy. The Controller calls it only for requests that have a policy class.
 type Policy interface {
-	// AllowsAttempt tells whether one more request of a class, which takes so many threads, may be sent now.
+	// AllowsAttempt reports whether one more request of a class, which takes the given number of threads, may be sent now.
 	AllowsAttempt(now Time, class int, threads float64) bool
-	// Pool is the number of the class's pool; 0: all engines.
+	// Pool returns the number of the class's pool; 0: all engines.
 	Pool(class int) int
-	// InPool tells whether an engine belongs to a pool.
+	// InPool reports whether an engine belongs to a pool.
 	InPool(pool int, engine *Endpoint) bool
 }
--- a/internal/admission/keyorder.go
+++ b/internal/admission/keyorder.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// keyOrder has requests that share a key run one after another, in order of arrival. After an attempt that may still run,
-// the key has a cooldown before the next request starts.
+// keyOrder runs requests that share a key one after another, in order of arrival. After an attempt that may still be running, the
+// next request of the key starts only after a cooldown.
 type keyOrder struct {
-	cooldown Time // length; 0: none
+	cooldown Time // duration; 0: no cooldown
 	queues   map[string]keyQueue
-	spare    [][]requestIndex // emptied queues, to be used again without an allocation
+	spare    [][]requestIndex // emptied queues, reused to avoid allocations
 }
 
 // keyQueue is the queue of one key.
 type keyQueue struct {
-	waiting       []requestIndex // the first may run
+	waiting       []requestIndex // in order of arrival; only the first may run
 	cooldownUntil Time
 }
 
@@ -20,7 +20,7 @@
 	return keyOrder{cooldown: d.KeyCooldown, queues: map[string]keyQueue{}}
 }
 
-// join puts a request at the end of its key's queue and tells whether it is the first there.
+// join appends a request to its key's queue and reports whether it is the first there.
 func (o *keyOrder) join(key string, request requestIndex) bool {
 	queue := o.queues[key]
 	if n := len(o.spare); queue.waiting == nil && n > 0 {
@@ -32,7 +32,7 @@
 	return len(queue.waiting) == 1
 }
 
-// leave takes a request out of its key's queue. If it was the first and others wait, it returns the one that is first now.
+// leave removes a request from its key's queue. If it was the first and others wait, leave returns the new first request.
 func (o *keyOrder) leave(key string, request requestIndex, now Time) (nextIndex requestIndex, ok bool) {
 	queue := o.queues[key]
 	place := slices.Index(queue.waiting, request)
@@ -45,13 +45,13 @@
 	return 0, false
 }
 
-// first is the request of a key that may run.
+// first returns the request of a key that may run.
 func (o *keyOrder) first(key string) requestIndex { return o.queues[key].waiting[0] }
 
-// isCoolingDown tells whether a key still has its cooldown.
+// isCoolingDown reports whether a key's cooldown is still in progress.
 func (o *keyOrder) isCoolingDown(key string, now Time) bool { return now < o.queues[key].cooldownUntil }
 
-// startCooldown begins a key's cooldown, where the deployment has one.
+// startCooldown starts a key's cooldown if the deployment has one.
 func (o *keyOrder) startCooldown(key string, now Time) {
 	if o.cooldown == 0 {
 		return
@@ -61,17 +61,17 @@
 	o.queues[key] = queue
 }
 
-// removeIdle removes the keys that have no request and whose cooldown is over.
+// removeIdle removes the keys that have no requests and whose cooldown has ended.
 func (o *keyOrder) removeIdle(now Time) {
 	if o.cooldown == 0 {
-		return // leave removes them at once
+		return // without cooldowns, leave removes idle keys at once
 	}
 	for key, queue := range o.queues {
 		o.removeIfIdle(key, queue, now)
 	}
 }
 
-// removeIfIdle removes a key that has no request and no cooldown, and keeps its emptied queue for another key.
+// removeIfIdle removes a key that has no requests and no cooldown, and stores its emptied queue for reuse.
 func (o *keyOrder) removeIfIdle(key string, queue keyQueue, now Time) {
 	if len(queue.waiting) == 0 && queue.cooldownUntil <= now {
 		o.spare = append(o.spare, queue.waiting)
--- a/internal/admission/keyorder_test.go
+++ b/internal/admission/keyorder_test.go
@@ -6,7 +6,7 @@
 )
 
 var keyOrderScripts = map[string]func() *script{
-	"order": func() *script { // one at a time by key, with the cooldown after an attempt that may run; a rejection may come out of order
+	"order": func() *script { // requests with a key run in order, after cooldowns
 		d := testDeployment()
 		d.KeyCooldown = 300 * Millisecond
 		d.Classes[3].LatencyObjective = 5 * Second
@@ -30,19 +30,19 @@
 func TestKeyOrderLetsTheFirstOfEachKeyRun(t *testing.T) {
 	o := newKeyOrder(&Deployment{})
 	if !o.join("a", 1) || o.join("a", 2) || o.join("a", 3) || !o.join("b", 4) {
-		t.Fatal("not just the first of each key may run")
+		t.Fatal("join must return true for the first request of each key only")
 	}
 	if _, ok := o.leave("a", 2, 0); ok {
-		t.Error("one that left from the middle lets another run")
+		t.Error("leave returned a next request although the one that left wasn't first")
 	}
 	if next, ok := o.leave("a", 1, 0); !ok || next != 3 {
-		t.Errorf("after the first left, %d may run (%t), want 3", next, ok)
+		t.Errorf("after the first request left, leave returned %d (%t), want 3", next, ok)
 	}
 	if _, ok := o.leave("a", 3, 0); ok {
-		t.Error("the last one lets another run")
+		t.Error("leave returned a next request although none is left")
 	}
 	if _, known := o.queues["a"]; known {
-		t.Error("a key without requests is kept")
+		t.Error("a key without requests was not removed")
 	}
 }
 
@@ -53,16 +53,16 @@
 	o.startCooldown("a", Second)
 	o.leave("a", 1, Second)
 	if !o.isCoolingDown("a", Second+cooldown-1) {
-		t.Error("the cooldown ends early")
+		t.Error("the cooldown ended early")
 	}
 	if o.removeIdle(Second + cooldown - 1); len(o.queues) != 1 {
-		t.Error("the key is removed in its cooldown")
+		t.Error("the key was removed during its cooldown")
 	}
 	if o.isCoolingDown("a", Second+cooldown) {
-		t.Error("the cooldown lasts longer")
+		t.Error("the cooldown didn't end in time")
 	}
 	if o.removeIdle(Second + cooldown); len(o.queues) != 0 {
-		t.Error("the key is kept after its cooldown")
+		t.Error("the key was not removed after its cooldown")
 	}
 }
 
@@ -75,6 +75,6 @@
 	}
 	o.join("b", 2)
 	if len(o.spare) != 0 || !slices.Equal(o.queues["b"].waiting, []requestIndex{2}) {
-		t.Errorf("%d spare queues, %v waits", len(o.spare), o.queues["b"].waiting)
+		t.Errorf("%d spare queues, want 0; queue %v, want [2]", len(o.spare), o.queues["b"].waiting)
 	}
 }
--- a/internal/admission/loadreports_test.go
+++ b/internal/admission/loadreports_test.go
@@ -6,7 +6,7 @@
 )
 
 var loadReportScripts = map[string]func() *script{
-	"reports": func() *script { // the same report twice is one sight; two steps need two reports
+	"reports": func() *script { // a repeated report counts as one measurement: two steps need two different reports
 		s := startScript(testDeployment(), "e1")
 		s.sendRequest("a", 0, 0, "")
 		for _, u := range []float64{0.99, 0.99, 0.98} {
@@ -40,7 +40,7 @@
 				t.Errorf("utilization %g after %d, want %g after %d", l.utilization, interval, test.wantUtilization, test.wantInterval)
 			}
 			if l.report != test.report || l.reportAt != 10*Second {
-				t.Errorf("%v at %d is kept", l.report, l.reportAt)
+				t.Errorf("stored report %v at %d, want the new one at 10 s", l.report, l.reportAt)
 			}
 		})
 	}
--- a/internal/admission/outlier_test.go
+++ b/internal/admission/outlier_test.go
@@ -7,7 +7,7 @@
 )
 
 var outlierScripts = map[string]func() *script{
-	"failure score": func() *script { // a silent engine gets nothing, then trust fades back; all silent condemns none
+	"failure score": func() *script { // a silent engine gets no attempts until its score decays; if all are silent, none is ejected
 		s := startScript(testDeployment(), "e1", "e2")
 		s.advanceTo(100 * Millisecond)
 		for range 3 {
@@ -23,7 +23,7 @@
 		s.endProbe("e1", Served, Report{-1, 0.5, -1, -1})
 		return s
 	},
-	"time-outs": func() *script { // incident: at a bound of zero they turn a gateway from a jammed engine, above it the bound does
+	"time-outs": func() *script { // an incident: they add to the score of a jammed engine only at a limit of zero
 		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		for i, bound := range []float64{8, 0} {
@@ -38,7 +38,7 @@
 		}
 		return s
 	},
-	"errors": func() *script { // bad clients' requests fail everywhere, and eject no engine
+	"errors": func() *script { // requests that fail on every engine, because of the client, eject no engine
 		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		for _, how := range []Outcome{Errored, Lost} {
@@ -55,8 +55,8 @@
 func TestFailureScoreDecays(t *testing.T) {
 	tests := []struct {
 		name   string
-		points []float64 // one each half-life
-		after  Time      // the last
+		points []float64 // one failure per half-life
+		after  Time      // time since the last failure
 		want   float64
 	}{
 		{"no failure", nil, 0, 0},
@@ -76,7 +76,7 @@
 				s.add(points, now)
 			}
 			if got := s.decayed(now + test.after); math.Abs(got-test.want) > 1e-9 {
-				t.Errorf("%g, want %g", got, test.want)
+				t.Errorf("score %g, want %g", got, test.want)
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 		want bool
 	}{{Second, true}, {2 * Second, false}, {Second + ejectionLogInterval, true}, {2*Second + ejectionLogInterval, false}} {
 		if got := s.shouldLog(step.at); got != step.want {
-			t.Errorf("at %d: log %t, want %t", step.at, got, step.want)
+			t.Errorf("at %d: shouldLog returned %t, want %t", step.at, got, step.want)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 func TestPeerReportEjectsFromTheEjectionScoreOn(t *testing.T) {
 	for score, want := range map[float64]bool{0: false, ejectionScore - 0.1: false, ejectionScore: true} {
 		if got := (&PeerReport{FailureScore: score}).Ejects(); got != want {
-			t.Errorf("a score of %g ejects: %t, want %t", score, got, want)
+			t.Errorf("a report with a score of %g ejects: %t, want %t", score, got, want)
 		}
 	}
 }
--- a/internal/admission/peers.go
+++ b/internal/admission/peers.go
@@ -1,42 +1,42 @@
 package admission
 
-// peerBudget is the share of the service that messages to peers may cost. Budgets of 0.001 and 0.005 scored lower.
+// peerBudget is the maximum cost of messages to peers, as a share of the service. Budgets of 0.001 and 0.005 scored lower.
 const peerBudget = 0.0003
 
-// Observation is what a gateway saw of an engine itself.
+// Observation is what a gateway itself observed of an engine.
 type Observation uint8
 
-// The kinds of observations. Each comes with the engine's latest report.
+// The kinds of observations. Each comes with the engine's latest load report.
 const (
-	Reported   Observation = iota
-	Answered               // a request was served
-	Erred                  // an error, or an answer that was corrupt or lost; from here on they count against the engine
-	Unanswered             // no answer in time, of an attempt or a probe
-	Unreached              // no connection, or a broken one
+	Reported   Observation = iota // the engine sent a load report
+	Answered                      // the engine served a request
+	Erred                         // the engine sent an error, or a corrupt or lost answer; this and the following kinds are failures
+	Unanswered                    // an attempt or a probe got no answer in time
+	Unreached                     // a connection could not be opened, or it broke
 )
 
 func (o Observation) String() string {
 	return [...]string{"reported", "answered", "erred", "unanswered", "unreached"}[o]
 }
 
-// IsFailure tells whether an observation counts against the engine.
+// IsFailure reports whether an observation counts against the engine.
 func (o Observation) IsFailure() bool { return o >= Erred }
 
-// PeerReport sums up what peers observed of one start of an engine.
+// PeerReport summarizes what peers observed of an engine since one of its starts.
 type PeerReport struct {
 	Engine       EngineID
-	Since        Time    // the engine's start that they observed
-	Report       Report  // the latest load report that a peer had
-	ReportAt     Time    // when the peer had it
-	FailureScore float64 // what the witnesses' failures count for: a point each, or less
-	Witnesses    int     // peers whose last attempt there failed after the last answer that anyone had from there
-	ScoreUntil   Time    // until when the score counts
+	Since        Time    // the engine's start that the observations belong to
+	Report       Report  // the latest load report that a peer received
+	ReportAt     Time    // when that peer received it
+	FailureScore float64 // points for the witnesses' failures, at most one per witness
+	Witnesses    int     // peers whose last attempt at the engine failed after the last answer that any gateway got from it
+	ScoreUntil   Time    // when the score expires
 }
 
-// Ejects tells whether what peers say ejects an engine by itself, where all others are sound.
+// Ejects reports whether the peers' score alone ejects the engine, provided that all other engines are healthy.
 func (f *PeerReport) Ejects() bool { return f.FailureScore >= ejectionScore }
 
-// peerView is what peers observed of an engine.
+// peerView holds what peers observed of an engine.
 type peerView struct {
 	report     Report
 	reportAt   Time
@@ -44,17 +44,17 @@
 	scoreUntil Time
 }
 
-// peerMessages counts the bytes to peers that the requests taken have paid for.
+// peerMessages counts the bytes of messages to peers that requests have paid for.
 type peerMessages struct {
-	bytes float64 // not handed on yet
-	price float64 // see Deployment.PeerMessagePrice
+	bytes float64 // bytes that the host was not informed of yet
+	price float64 // Deployment.PeerMessagePrice
 }
 
-// earn adds what one request pays for.
+// earn adds the bytes that one request pays for.
 func (m *peerMessages) earn() { m.bytes += peerBudget * 256 / max(peerBudget, m.price) }
 
-// reportObservation hands on to peers what this gateway saw of an engine itself, and how many bytes the requests taken since
-// the last one have paid for.
+// reportObservation passes to the host what this gateway itself observed of an engine, and the number of bytes that requests have
+// paid for since the previous observation.
 func (c *Controller) reportObservation(engine *engineState, saw Observation) {
 	if !c.deployment.PeerMessages {
 		return
@@ -63,9 +63,10 @@
 	c.peerMessages.bytes = 0
 }
 
-// HandlePeerReport takes in what peers saw of an engine. Their load reports go into the mean busy share, and step a
-// bound where our own report is stale; they don't enter the draw, where all gateways would choose the same engines. Their
-// failures add to the engine's failure score until they are old. A gateway that receives nothing decides as one without peers.
+// HandlePeerReport processes what peers observed of an engine. Their load reports update the mean busy share and are used to step
+// the limit when this gateway's own report is stale. They don't affect placement, because all gateways would choose the same
+// engines. Their failures add to the engine's failure score until they expire. A gateway that receives nothing makes the same
+// decisions as one without peers.
 func (c *Controller) HandlePeerReport(now Time, report *PeerReport) {
 	c.now = now
 	index, ok := c.engines.byName[report.Engine]
--- a/internal/admission/peers_test.go
+++ b/internal/admission/peers_test.go
@@ -5,7 +5,7 @@
 )
 
 var peerScripts = map[string]func() *script{
-	"peers": func() *script { // three witnesses shut an engine and two don't; of its start alone, and not for ever
+	"peers": func() *script { // three witnesses eject an engine, two don't; a report counts for one start of the engine and expires
 		d := testDeployment()
 		d.Gateways, d.PeerMessages = 4, true
 		s := startScript(d, "e1", "e2")
--- a/internal/admission/placement.go
+++ b/internal/admission/placement.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// pickEngine picks an engine for an attempt at random, weighted down by its busy share; it returns noEngine if none
-// has room.
+// pickEngine picks an engine for an attempt at random, with weights that fall with the engines' busy shares. It returns noEngine
+// if no engine has free capacity.
 func (c *Controller) pickEngine(request *activeRequest) engineIndex {
 	if !c.allowsAttempt(request) {
 		return noEngine
@@ -29,8 +29,9 @@
 	return pick
 }
 
-// engineWeight returns an engine's weight in the draw: its cores times the square of its free share. The square prefers free
-// engines clearly, but isn't moved much by noise in reports. An engine that reports itself full keeps a small weight.
+// engineWeight returns an engine's weight in the random choice: its cores times the square of its free share, adjusted by its
+// failure score and table affinity. The square clearly prefers free engines, but changes little with noise in reports. An engine
+// that reports itself full keeps a small weight.
 func (c *Controller) engineWeight(request *activeRequest, index engineIndex, trust float64) float64 {
 	const exponent, floor = 2, 0.05
 	engine := c.engines.at(index)
@@ -41,7 +42,7 @@
 	return weight
 }
 
-// allowsEngine checks the rules that depend on the engine: its state, the class's zones and machine kinds, the pool, the scope
+// allowsEngine checks the rules that depend on the engine: its state, the zones and machine kinds of the class, the pool, the scope
 // of deduplication, and slow start.
 func (c *Controller) allowsEngine(request *activeRequest, engine *engineState) bool {
 	class := &c.deployment.Classes[request.class]
@@ -55,7 +56,7 @@
 	return !c.slowStart.isWarmingUp(engine, c.now) || c.hasSlowStartCapacity(engine, request)
 }
 
-// includes tells whether an engine drops a repeat of what an attempt before it may have run elsewhere.
+// includes reports whether an engine drops a repeat of a request that an earlier attempt may have run.
 func (s DedupScope) includes(prior *PriorAttempt, e *Endpoint) bool {
 	switch s {
 	case SameZone:
@@ -67,11 +68,13 @@
 	}
 }
 
-// tableAffinity weighs an engine by the group of tables that a request reads or loads, because engines cache what they read
-// last, and a load blocks other requests for its tables. Every gateway finds, by hashing the ids, the same third of engines for
-// a group's reads and another third for its loads. Harm: where one group is most of the traffic.
+// tableAffinity returns a weight factor for an engine by the group of tables that a request reads or loads, because engines cache
+// what they read last, and a load blocks other requests for its tables. All gateways hash the same ids, so they prefer the same
+// third of the engines for a group's reads and another third for its loads. Loads avoid the third for reads, and classes that wait
+// for loads avoid the third for loads. Drawback: if most of the traffic belongs to one group, it concentrates on a third of the
+// engines.
 func (c *Controller) tableAffinity(request *activeRequest, engine *engineState) float64 {
-	const strong = 4 // 2 keeps less cached, 8 crowds the same few engines
+	const strong = 4 // with 2 less is cached, with 8 too many requests go to the same few engines
 	class := &c.deployment.Classes[request.class]
 	hash := (engine.hash ^ uint32(request.tables)*2654435761) * 2246822519
 	third := (hash ^ hash>>15) * 3266489917 >> 16 % 3
@@ -84,9 +87,9 @@
 	return 1
 }
 
-// busyShare returns an engine's busy share: as it reported, plus what we sent since. An engine without a fresh report is taken
-// to be as busy as those that reported last, plus our own threads; these alone would tell nothing where this gateway's part of
-// an engine is below one query.
+// busyShare returns an engine's busy share: the reported share plus the threads that this gateway sent since. For an engine without
+// a fresh report, it is the mean of the engines that reported lately plus this gateway's running threads. Those threads alone
+// would be no estimate if this gateway's share of an engine is less than one query.
 func (c *Controller) busyShare(engine *engineState) float64 {
 	if engine.load.report != NoReport && c.now-engine.load.reportAt < staleReportAge {
 		return c.estimates.reportedBusyShare(engine.cores, engine.load.report, engine.load.utilization) + engine.load.sentSince/engine.cores
--- a/internal/admission/placement_test.go
+++ b/internal/admission/placement_test.go
@@ -7,7 +7,7 @@
 )
 
 var placementScripts = map[string]func() *script{
-	"placement": func() *script { // bound classes stay where they may go, however full that is
+	"placement": func() *script { // classes with zones or kinds use no other engines, however full the allowed ones are
 		d := testDeployment()
 		d.Classes[0].Zones, d.Classes[1].Kinds = []int{1}, []int{5}
 		s := startScript(d)
@@ -38,7 +38,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.scope.includes(prior, &test.e); got != test.want {
-				t.Errorf("included: %t, want %t", got, test.want)
+				t.Errorf("includes returned %t, want %t", got, test.want)
 			}
 		})
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// requestQueues holds the requests that wait for room, in a queue for each tenant and class, in order of arrival.
+// requestQueues holds the requests that wait for capacity. There is a queue for each tenant and class, in order of arrival.
 type requestQueues struct {
-	queues  [][]requestIndex // by tenant and class
+	queues  [][]requestIndex // index: tenant times classes plus class
 	classes int
 	waiting int // requests in all queues
 }
@@ -20,7 +20,7 @@
 	return &q.queues[tenant*q.classes+class]
 }
 
-// insert puts a request into its queue, in the order of arrival.
+// insert adds a request to its queue, at its position in the order of arrival.
 func (q *requestQueues) insert(t *requestTable, index requestIndex) {
 	request := t.at(index)
 	queue := q.of(request.tenant, request.class)
@@ -33,7 +33,7 @@
 	q.waiting++
 }
 
-// remove takes a request out of its queue, if it is in one.
+// remove removes a request from its queue, if it is in one.
 func (q *requestQueues) remove(t *requestTable, index requestIndex) {
 	request := t.at(index)
 	if !request.queued {
@@ -46,10 +46,10 @@
 	q.waiting--
 }
 
-// tenantShares counts the threads that each tenant has in use, and orders tenants by that over their shares.
+// tenantShares counts the running threads of each tenant, and orders tenants by running threads divided by share.
 type tenantShares struct {
 	tenants []Tenant
-	threads []float64 // running, by tenant
+	threads []float64 // running threads by tenant
 	order   []int     // tenants, in the order of release
 }
 
@@ -61,7 +61,7 @@
 	return s
 }
 
-// sort brings the order up to date, the tenant first that has the least in use for its share. Equal ones stay as they were.
+// sort updates the order: the tenant with the fewest running threads for its share is first. Ties keep their order.
 func (s *tenantShares) sort() {
 	if len(s.order) > 1 {
 		slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(s.use(a), s.use(b)) })
@@ -72,7 +72,7 @@
 	return s.threads[tenant] / max(0.001, s.tenants[tenant].Share)
 }
 
-// classesByWeight returns the classes, the one with the highest priority weight first.
+// classesByWeight returns the indexes of the classes, the highest priority weight first.
 func classesByWeight(classes []Class) (order []int) {
 	for class := range classes {
 		order = append(order, class)
@@ -81,8 +81,8 @@
 	return order
 }
 
-// releaseQueued sends queued requests while engines have room: by tenant fairness (the fewest threads in use for
-// its share first), then by priority weight, then by arrival.
+// releaseQueued sends queued requests while engines have free capacity. The order is by tenant (the one with the fewest running
+// threads for its share first), then by priority weight, then by arrival.
 func (c *Controller) releaseQueued() {
 	for c.queues.waiting > 0 {
 		if !c.releaseOne() {
@@ -103,10 +103,10 @@
 	return false
 }
 
-// releaseFrom sends the first request of a queue for which an engine has room. Where a request that
-// may use any engine of its pool finds none, the requests behind it that have the same choice are skipped.
+// releaseFrom sends the first request of a queue for which an engine has free capacity. If a request that may use any engine of
+// its pool finds none, it skips the later requests that have the same choice of engines.
 func (c *Controller) releaseFrom(queue []requestIndex) bool {
-	blocked := uint64(0) // policy classes of which one found no engine
+	blocked := uint64(0) // bit set of the policy classes for which no engine was found
 	for _, index := range queue {
 		request := c.requests.at(index)
 		anyEngineDoes := request.attempts == 0 && request.orderKey == ""
@@ -120,9 +120,9 @@
 			continue
 		}
 		if c.pools.policy == nil {
-			return false // the requests behind it have the same choice
+			return false // the later requests have the same choice of engines
 		}
-		blocked |= 1 << request.estimate.PolicyClass // those of the same policy class have the same choice
+		blocked |= 1 << request.estimate.PolicyClass // later requests of this policy class have the same choice of engines
 	}
 	return false
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -7,7 +7,7 @@
 )
 
 var queueScripts = map[string]func() *script{
-	"ordinary": func() *script { // one attempt each while there is room, then by value, then arrival
+	"ordinary": func() *script { // sent on arrival while there is capacity, then by priority weight, then by arrival
 		s := startScript(testDeployment(), "e1")
 		s.engines.items[0].limit.bound = 2
 		s.sendRequest("a", 0, 0, "")
@@ -33,7 +33,7 @@
 		s.endAttempt("first0", Served)
 		return s
 	},
-	"worth first": func() *script { // at zero too the dearest goes first, whatever its work
+	"worth first": func() *script { // at a limit near zero too, the class with the highest weight goes first, whatever its work
 		d := testDeployment()
 		d.Gateways, d.SupportsProbes = 300, false
 		s := startScript(d, "e1", "e2", "e3")
@@ -57,13 +57,13 @@
 	}
 	second := requests.byID["second"]
 	queues.remove(&requests, second)
-	queues.remove(&requests, second) // which is in no queue any more
+	queues.remove(&requests, second) // has no effect: the request is in no queue any more
 	queues.insert(&requests, second)
 	if want := []requestIndex{0, 1, 2}; !slices.Equal(*queues.of(0, 1), want) || queues.waiting != len(want) {
-		t.Errorf("%v, %d waiting, want %v", *queues.of(0, 1), queues.waiting, want)
+		t.Errorf("queue %v with %d waiting, want %v", *queues.of(0, 1), queues.waiting, want)
 	}
 	if len(*queues.of(0, 0)) != 0 {
-		t.Errorf("%v wait in the queue of another class", *queues.of(0, 0))
+		t.Errorf("the queue of another class contains %v, want none", *queues.of(0, 0))
 	}
 }
 
@@ -89,7 +89,7 @@
 			copy(s.threads, test.threads)
 			s.sort()
 			if !slices.Equal(s.order, test.want) {
-				t.Errorf("%v, want %v", s.order, test.want)
+				t.Errorf("order %v, want %v", s.order, test.want)
 			}
 		})
 	}
@@ -98,6 +98,6 @@
 func TestClassesByWeightKeepEqualOnesInOrder(t *testing.T) {
 	got := classesByWeight([]Class{{Weight: 1}, {Weight: 20}, {Weight: 5}, {Weight: 20}})
 	if want := []int{1, 3, 2, 0}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("order %v, want %v", got, want)
 	}
 }
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -1,53 +1,53 @@
 package admission
 
-// requestIndex is a request's place in the table of those in hand.
+// requestIndex is a request's index in requestTable.items.
 type requestIndex int32
 
-// activeRequest is a request in hand: queued, waiting behind its key, or with an attempt in flight.
+// activeRequest is an outstanding request: it is queued, waits for an earlier request of its key, or has an attempt in flight.
 type activeRequest struct {
 	id        RequestID
 	class     int
 	tenant    int
 	tables    int
-	orderKey  string // "": it need not wait for others
+	orderKey  string // "": the request need not wait for others
 	arrivedAt Time
 	deadline  Time
-	objective Time // by when it should be answered
+	objective Time // when the latency objective ends
 	estimate  Estimate
-	sequence  uint64 // in the order of arrival
+	sequence  uint64 // position in the order of arrival
 	queued    bool
-	abandoned bool // its client left while an attempt was in flight
-	rank      int  // that its attempts were last given
+	abandoned bool // the client disconnected while an attempt was in flight
+	rank      int  // rank that was last set for its attempts
 
 	attempts int
 	errors   int          // attempts that ended with an error or a lost answer
-	attempt  attempt      // the latest
+	attempt  attempt      // the latest attempt
 	prior    PriorAttempt // the first attempt that may have run
 }
 
-// attempt is one sending of a request to an engine.
+// attempt is one attempt to run a request on an engine.
 type attempt struct {
 	inFlight  bool
 	engine    engineIndex
 	sentAt    Time
 	timeoutAt Time
-	noticedAt Time // when it was sent or last gave a notice
+	noticedAt Time // when the attempt was sent or its last notice arrived
 	memoryMB  float64
 }
 
-// requestTable holds the requests in hand. Places are used again, so that the ordinary path allocates nothing.
+// requestTable holds the outstanding requests. Entries are reused so that the ordinary path makes no allocations.
 type requestTable struct {
-	items []activeRequest // a free place has no id
+	items []activeRequest // a free entry has an empty id
 	free  []requestIndex
 	byID  map[RequestID]requestIndex
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[RequestID]requestIndex{}} }
 
-// at returns the request at a place. The pointer holds until the next add.
+// at returns the request at an index. The pointer is valid until the next call of add.
 func (t *requestTable) at(index requestIndex) *activeRequest { return &t.items[index] }
 
-// find returns the request of an id, nil if there is none.
+// find returns the request with an id, or nil if there is none.
 func (t *requestTable) find(id RequestID) (requestIndex, *activeRequest) {
 	index, ok := t.byID[id]
 	if !ok {
@@ -56,7 +56,7 @@
 	return index, &t.items[index]
 }
 
-// add gives a request a place.
+// add stores a request in a free entry.
 func (t *requestTable) add(r activeRequest) requestIndex {
 	index := requestIndex(len(t.items))
 	if n := len(t.free); n > 0 {
@@ -70,16 +70,16 @@
 	return index
 }
 
-// release gives the place of a request free, which removeID has taken out of the index.
+// release frees the entry of a request. removeID must have removed the request from byID before.
 func (t *requestTable) release(index requestIndex) {
 	t.items[index] = activeRequest{}
 	t.free = append(t.free, index)
 }
 
-// removeID takes a request out of the index by id.
+// removeID removes a request from byID.
 func (t *requestTable) removeID(index requestIndex) { delete(t.byID, t.items[index].id) }
 
-// threadsSentTo counts the threads of the attempts that were sent to an engine since a time and are still in flight.
+// threadsSentTo returns the threads of the attempts that were sent to an engine at the given time or later and are in flight.
 func (t *requestTable) threadsSentTo(engine engineIndex, since Time, classes []Class) (threads float64) {
 	for i := range t.items {
 		request := &t.items[i]
--- a/internal/admission/requests_test.go
+++ b/internal/admission/requests_test.go
@@ -8,15 +8,15 @@
 	second := table.add(activeRequest{id: "second"})
 	table.removeID(first)
 	if _, request := table.find("first"); request != nil {
-		t.Error("a request is found whose id was removed")
+		t.Error("found a request whose ID was removed")
 	}
 	table.release(first)
 	if third := table.add(activeRequest{id: "third"}); third != first {
-		t.Errorf("the third request has place %d, want %d", third, first)
+		t.Errorf("the third request has index %d, want %d", third, first)
 	}
 	for id, want := range map[RequestID]requestIndex{"second": second, "third": first} {
 		if index, request := table.find(id); request == nil || request.id != id || index != want {
-			t.Errorf("%s is found as %v at %d, want place %d", id, request, index, want)
+			t.Errorf("find(%s) returned %v at index %d, want index %d", id, request, index, want)
 		}
 	}
 }
@@ -34,6 +34,6 @@
 		table.add(r)
 	}
 	if got := table.threadsSentTo(7, Second, classes); got != 5 {
-		t.Errorf("%g threads, want 5", got)
+		t.Errorf("%g threads sent, want 5", got)
 	}
 }
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -1,10 +1,10 @@
 package admission
 
-// retrySpans is the number of spans that the retry budget's window is divided into. One more is kept, so that complete spans
-// cover the window.
+// retrySpans is the number of spans that the retry budget's window is divided into. The budget stores one more span, so that
+// complete spans cover the window.
 const retrySpans = 50
 
-// retryBudget allows a number of retries and a share of the requests taken, in any window of a given length.
+// retryBudget allows a fixed number of retries plus a share of the requests received, in any window of a given length.
 type retryBudget struct {
 	burst  float64
 	ratio  float64
@@ -12,9 +12,9 @@
 	spans  []retrySpan // nil: there is no budget
 }
 
-// retrySpan counts what happened in one part of the window.
+// retrySpan counts the requests and retries in one span of the window.
 type retrySpan struct {
-	index    Time // number of the span since the clock's zero
+	index    Time // number of the span, counted from the clock's zero
 	requests float64
 	retries  float64
 }
@@ -27,7 +27,7 @@
 	return b
 }
 
-// current returns the present span, or nil where there is no budget.
+// current returns the current span, or nil if there is no budget.
 func (b *retryBudget) current(now Time) *retrySpan {
 	if b.spans == nil {
 		return nil
@@ -40,7 +40,8 @@
 	return span
 }
 
-// inWindow counts over the window that ends in a span: the requests that are surely within it, and the retries that may be.
+// inWindow returns the counts for the window that ends in the given span: the requests that are certainly within the window, and
+// the retries that may be.
 func (b *retryBudget) inWindow(last *retrySpan) (requests, retries float64) {
 	for i := range b.spans {
 		span := &b.spans[i]
@@ -54,7 +55,7 @@
 	return requests, retries
 }
 
-// countRequest counts a request taken.
+// countRequest counts a request that the gateway received.
 func (b *retryBudget) countRequest(now Time) {
 	if span := b.current(now); span != nil {
 		span.requests++
@@ -68,8 +69,8 @@
 	}
 }
 
-// allows tells whether one more retry is within the budget. It never allows too many: all retries that may be within the window
-// count, and only the requests that surely are.
+// allows reports whether one more retry is within the budget. It never allows too many, because it counts all retries that may be
+// within the window, but only the requests that certainly are.
 func (b *retryBudget) allows(now Time) bool {
 	last := b.current(now)
 	if last == nil {
@@ -79,14 +80,14 @@
 	return retries+1 <= b.burst+b.ratio*requests
 }
 
-// restore sets a span to what a process before this one counted.
+// restore sets a span to the counts of an earlier process.
 func (b *retryBudget) restore(span retrySpan) {
 	if b.spans != nil {
 		b.spans[span.index%(retrySpans+1)] = span
 	}
 }
 
-// exhaust counts all that the budget allows now as used.
+// exhaust uses up the budget as of now.
 func (b *retryBudget) exhaust(now Time) {
 	if span := b.current(now); span != nil {
 		requests, retries := b.inWindow(span)
@@ -94,8 +95,9 @@
 	}
 }
 
-// allowsAttempt checks the rules that don't depend on the engine: one attempt at a time, none after the deadline or for a client
-// that left, the most attempts of a request, the policy class's limits, the order of keys, repeats, the retry budget.
+// allowsAttempt checks the rules that don't depend on the engine: one attempt at a time, no attempt after the deadline or after the
+// client has disconnected, the maximum number of attempts, the limits of the policy class, the order of requests with a key,
+// repeats, and the retry budget.
 func (c *Controller) allowsAttempt(request *activeRequest) bool {
 	if request.attempt.inFlight || request.abandoned || c.now >= request.deadline || c.usedUpAttempts(request) {
 		return false
@@ -113,13 +115,13 @@
 	return c.allowsRepeat(request) && (request.attempts == 0 || c.retries.allows(c.now))
 }
 
-// usedUpAttempts tells whether a request has had as many attempts as the deployment allows.
+// usedUpAttempts reports whether a request has had the maximum number of attempts.
 func (c *Controller) usedUpAttempts(request *activeRequest) bool {
 	return c.deployment.MaxAttempts > 0 && request.attempts >= c.deployment.MaxAttempts
 }
 
-// allowsRepeat tells whether the request's class allows an attempt at any engine; after two errors none is allowed,
-// because then the request itself is at fault.
+// allowsRepeat reports whether the request's class allows an attempt on some engine. After two errors, a request that may have run
+// is not repeated, because the request itself is at fault.
 func (c *Controller) allowsRepeat(request *activeRequest) bool {
 	if !request.prior.MayHaveRun {
 		return true
--- a/internal/admission/retries_test.go
+++ b/internal/admission/retries_test.go
@@ -5,7 +5,7 @@
 )
 
 var retryScripts = map[string]func() *script{
-	"effects": func() *script { // a request that may have run goes on only as its class allows
+	"effects": func() *script { // a request that may have run is repeated only if its class allows it
 		s := startScript(testDeployment(), "e1", "e2")
 		s.sendRequest("idempotent", 0, 0, "")
 		s.endAttempt("idempotent", Reset)
@@ -15,7 +15,7 @@
 		s.endAttempt("idempotent", Errored)
 		return s
 	},
-	"deduplicated": func() *script { // within its group and its window; without the group of all no rejection
+	"deduplicated": func() *script { // repeats only in the same zone and window; a failure, not a rejection, as other zones may run it again
 		d := testDeployment()
 		d.Classes[3].DedupScope, d.Classes[3].DedupWindow = SameZone, 500*Millisecond
 		s := startScript(d)
@@ -28,7 +28,7 @@
 		s.endAttempt("a", Errored)
 		return s
 	},
-	"retry budget": func() *script { // one free retry and a tenth of the requests taken
+	"retry budget": func() *script { // one retry plus a tenth of the requests received
 		d := testDeployment()
 		d.RetryBurst, d.RetryRatio, d.RetryWindow = 1, 0.1, 5*Second
 		s := startScript(d, "e1", "e2")
@@ -55,9 +55,9 @@
 	const window = 5 * Second
 	tests := []struct {
 		name     string
-		requests int  // at 0 s
-		retries  int  // at 0 s
-		at       Time // of the question
+		requests int  // received at 0 s
+		retries  int  // sent at 0 s
+		at       Time // when the budget is checked
 		want     bool
 	}{
 		{"the burst without any request", 0, 0, 0, true},
@@ -88,7 +88,7 @@
 	b.countRetry(0)
 	b.exhaust(0)
 	if !b.allows(0) {
-		t.Error("a retry is refused where there is no budget")
+		t.Error("a retry was denied although there is no budget")
 	}
 }
 
@@ -97,9 +97,9 @@
 	b := newRetryBudget(&Deployment{RetryBurst: 2, RetryRatio: 0.1, RetryWindow: window})
 	b.exhaust(Second)
 	if b.allows(Second) {
-		t.Error("a retry is allowed at once")
+		t.Error("an exhausted budget allowed a retry at once")
 	}
 	if !b.allows(Second + 2*window) {
-		t.Error("no retry is allowed two windows later")
+		t.Error("the budget allowed no retry two windows after it was exhausted")
 	}
 }
--- a/internal/admission/script_test.go
+++ b/internal/admission/script_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// script drives one controller and records, a line each, what happens to it and what it does.
+// script drives one Controller, is its Host, and records a trace: one line for each event and each action.
 type script struct {
 	*Controller
 	d            *Deployment
@@ -52,10 +52,10 @@
 	}
 }
 
-// peersEverywhere has all scripts run where gateways may send each other messages.
+// peersEverywhere makes all scripts run with messages between gateways enabled.
 var peersEverywhere bool
 
-// testDeployment has four classes: 0 is short and of little weight, 1 long and of great weight, 2 non-idempotent, 3
+// testDeployment has four classes: 0 is short and of low weight, 1 is long and of high weight, 2 is non-idempotent, 3 is
 // deduplicated and ordered.
 func testDeployment() *Deployment {
 	return &Deployment{Gateways: 1, CoresByKind: []float64{4}, MaxAttempts: 4, RetryAfter: 500 * Millisecond,
@@ -69,7 +69,7 @@
 		}}
 }
 
-// startScript starts a controller at 0 s that knows some engines.
+// startScript starts a controller at 0 s with the given engines in its list.
 func startScript(d *Deployment, engines ...EngineID) *script {
 	s := &script{d: d}
 	d.PeerMessages = d.PeerMessages || peersEverywhere
@@ -82,7 +82,7 @@
 	return s
 }
 
-// advanceTo lets the timer tick until t.
+// advanceTo moves the clock to t and calls Tick for each tick until then.
 func (s *script) advanceTo(t Time) {
 	for s.at+tickInterval <= t {
 		s.at += tickInterval
@@ -91,7 +91,7 @@
 	s.at = t
 }
 
-// sendRequest brings a request of a class with 10 s to its deadline.
+// sendRequest delivers a request to the controller; its deadline is 10 s away.
 func (s *script) sendRequest(id RequestID, class int, work Time, key string) {
 	s.record("%s arrives in class %d", id, class)
 	s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second, Class: class, Key: key, Estimate: Estimate{Work: work}})
@@ -104,7 +104,7 @@
 	s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: outcome, Answered: outcome == Served, Report: NoReport})
 }
 
-// serveRequests has n requests of class 0, with the same estimate, served one after another; the trace starts behind them.
+// serveRequests runs n requests of class 0 with the same estimate one after another and then clears the trace.
 func (s *script) serveRequests(n int, estimate, took Time) {
 	for i := range n {
 		id := RequestID(fmt.Sprint("t", i))
@@ -115,20 +115,20 @@
 	s.out.Reset()
 }
 
-// engineOf is the engine of a request's latest attempt.
+// engineOf returns the engine of a request's latest attempt.
 func (s *script) engineOf(id RequestID) *engineState {
 	_, request := s.requests.find(id)
 	return s.engines.at(request.attempt.engine)
 }
 
-// endProbe ends an engine's probe.
+// endProbe delivers the result of an engine's probe.
 func (s *script) endProbe(name EngineID, outcome Outcome, report Report) {
 	s.HandleProbeResult(s.at, name, outcome, report)
 	engine := s.engines.at(s.engines.byName[name])
 	s.record("probe of %s: bound %.3g, failure score %.1f", name, engine.limit.bound, s.failureScore(engine))
 }
 
-// updateList updates the engine list, and records all engines.
+// updateList delivers an update of the engine list, and records the state of all engines.
 func (s *script) updateList(kind UpdateKind, list ...Endpoint) {
 	s.UpdateEndpoints(s.at, kind, list)
 	for i := range s.engines.items {
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -1,20 +1,21 @@
 package admission
 
-// pool is a part of the fleet that an operator keeps for some classes; the first is all of it. Each has its own state: one
-// that is crowded or gone turns no request away elsewhere.
+// pool is the state of a set of engines that an operator reserves for some classes; the pool at index 0 is the whole cluster.
+// Each pool has its own state, so a pool that is crowded or has no engines left doesn't cause rejections in other pools.
 type pool struct {
-	minPrice   float64 // least price of a request taken on, as a part of the best class's
-	starving   bool    // a queued request has used up much of its time, since minPrice last moved
-	hasWarm    bool    // an engine of it is live and not warming up, as of the last tick
-	shortageAt Time    // when a queued request was last given up for want of room
+	minPrice   float64 // lowest price at which requests are admitted, as a share of the best class's price
+	starving   bool    // since the last adjustment of minPrice, a queued request has used up half of its useful time
+	hasWarm    bool    // as of the last tick, the pool had a live engine that wasn't warming up
+	shortageAt Time    // when a queued request was last abandoned for lack of capacity
 }
 
-// adjustMinPrice sets the least price, in weight for work, at which requests are taken on: up while a queued one has
-// used up half of its useful time, else down. By weight alone classes of little weight would starve behind heavy ones.
-// Harm: where estimates are off beyond what answers correct, a class is shed before others.
+// adjustMinPrice adjusts the lowest price, in weight per work, at which requests are admitted. It raises the price while a queued
+// request has used up half of its useful time, and lowers it otherwise. If weight alone decided, classes of low weight would
+// starve behind heavy ones. Drawback: if the estimates of a class are wrong by more than its correction factor makes up for, that
+// class is shed before others.
 func (p *pool) adjustMinPrice() {
-	const rise, fall = 1.06, 0.97     // a tick: doubled in a quarter of a second, halved in twice that
-	const lowest, highest = 0.02, 1.5 // of the best class's price, whose usual requests pass all the same
+	const rise, fall = 1.06, 0.97     // factors per tick: the price doubles in a quarter of a second and halves in twice that
+	const lowest, highest = 0.02, 1.5 // shares of the best class's price; usual requests of the best class always pass
 	if p.starving {
 		p.starving = false
 		p.minPrice = min(highest, max(lowest, p.minPrice*rise))
@@ -22,11 +23,11 @@
 	}
 	p.minPrice *= fall
 	if p.minPrice < lowest {
-		p.minPrice = 0 // nobody waits long: what earns next to nothing for its work passes, too
+		p.minPrice = 0 // no request waits long, so even requests of very low price pass
 	}
 }
 
-// poolSet holds the pools, and asks the operator's policy which requests and engines are of which.
+// poolSet holds the pools. The operator's policy determines to which pools requests and engines belong.
 type poolSet struct {
 	list   []pool
 	policy Policy // nil: there are no policy classes
@@ -34,7 +35,7 @@
 
 func newPoolSet(now Time) poolSet { return poolSet{list: []pool{{shortageAt: now - Second}}} }
 
-// numberOf is the number of a request's pool.
+// numberOf returns the number of a request's pool, and creates the pool's state if needed.
 func (s *poolSet) numberOf(request *activeRequest, now Time) int {
 	if request.estimate.PolicyClass == 0 {
 		return 0
@@ -46,18 +47,19 @@
 	return number
 }
 
-// of is a request's pool.
+// of returns a request's pool.
 func (s *poolSet) of(request *activeRequest, now Time) *pool {
 	number := s.numberOf(request, now)
 	return &s.list[number]
 }
 
-// contains tells whether an engine belongs to a pool.
+// contains reports whether an engine belongs to a pool.
 func (s *poolSet) contains(number int, engine *engineState) bool {
 	return number == 0 || s.policy.InPool(number, &engine.Endpoint)
 }
 
-// shortOfRoom tells whether a request of an engine's pools was given up for want of room within the last second.
+// shortOfRoom reports whether, within the last second, a request of a pool that contains the engine was abandoned for lack of
+// capacity.
 func (s *poolSet) shortOfRoom(engine *engineState, now Time) bool {
 	for number := range s.list {
 		if now-s.list[number].shortageAt < Second && s.contains(number, engine) {
@@ -67,7 +69,8 @@
 	return false
 }
 
-// HandleRequest takes a request from a client. From here on it is owed one final answer.
+// HandleRequest processes the arrival of a request. From now on the Controller must see to it that the client gets exactly one
+// final answer.
 func (c *Controller) HandleRequest(now Time, arrival Request) {
 	c.now = now
 	c.probes.earn()
@@ -76,13 +79,13 @@
 	index, work := c.addRequest(arrival)
 	request := c.requests.at(index)
 	if !c.allowsRepeat(request) {
-		c.rejectOrFail(index) // a process before this one had sent it
+		c.rejectOrFail(index) // an earlier process sent this request, and its class allows no repeat
 		return
 	}
 	if c.deployment.Classes[request.class].Ordered && arrival.Key != "" {
 		request.orderKey = arrival.Key
 		if !c.keys.join(request.orderKey, index) {
-			return // it waits behind its key, in no queue yet
+			return // it waits for an earlier request of its key and is not queued yet
 		}
 	}
 	c.queues.insert(&c.requests, index)
@@ -95,11 +98,11 @@
 	c.releaseQueued()
 	c.shedForHeadroom()
 	if request.queued && now >= c.latestStart(request) {
-		c.rejectOrFail(index) // it came too late to wait for the next tick
+		c.rejectOrFail(index) // it arrived too late to wait for the next tick
 	}
 }
 
-// addRequest puts a request among those in hand, and returns its expected work beside its place.
+// addRequest adds a request to the outstanding ones, and returns its index and its expected work.
 func (c *Controller) addRequest(arrival Request) (index requestIndex, work float64) {
 	tenant := arrival.Tenant
 	if tenant < 0 || tenant >= len(c.tenants.threads) {
@@ -115,19 +118,20 @@
 	return index, work
 }
 
-// isUnderpriced tells whether a request earns too little for its work, while others like it wait long. What earns the best
-// class's usual price always passes.
+// isUnderpriced reports whether a request's price is too low while other requests of the pool wait long. A request at the usual
+// price of the best class always passes.
 func (c *Controller) isUnderpriced(request *activeRequest, work float64, p *pool) bool {
-	const usualShare = 0.99 // a tolerance: requests of the best class's usual price are never underpriced
+	const usualShare = 0.99 // tolerance, so that requests at the best class's usual price are never underpriced
 	price := c.estimates.price(request.class, work)
 	return price < usualShare*c.estimates.bestPrice && price < p.minPrice*c.estimates.bestPrice
 }
 
-// shedForHeadroom gives up the queued request that would leave last, by weight and arrival, while nearly all that the
-// gateway can have in hand is taken. This guards against shedding by chance: a request that finds no place,
-// whatever its weight, does not come here. Harm: cuts short a queue that would have been served soon, where places are few.
+// shedForHeadroom abandons the queued request that would be released last, by weight and arrival, if nearly all of the gateway's
+// MaxRequests entries are in use. Otherwise chance would determine what is shed: a request that finds all entries in use never
+// reaches this package, whatever its weight. Drawback: where entries are few, this shortens a queue that would soon have been
+// served.
 func (c *Controller) shedForHeadroom() {
-	const headroomPart = 8 // of the places: for what comes while answers are on their way, or in a stall of 50 ms
+	const headroomPart = 8 // an eighth stays free for requests that arrive while answers are being sent, or in a stall of 50 ms
 	most := c.deployment.MaxRequests - c.deployment.MaxRequests/headroomPart
 	if c.deployment.MaxRequests <= 0 {
 		return
@@ -146,16 +150,17 @@
 	}
 }
 
-// latestStart is until when holding a request has a useful chance: started then, it is answered by its latency objective
-// if it runs as its class usually does. It is always answered before its deadline.
+// latestStart returns the time until which it is useful to keep a request queued. A request that starts by then and runs as long
+// as its class usually does is answered by its latency objective. The returned time is early enough to answer the
+// request before its deadline.
 func (c *Controller) latestStart(request *activeRequest) Time {
-	const slack, maxShare = 1.5, 2.0 / 3 // usual runs kept free, and at most this part of the time to the objective
+	const slack, maxShare = 1.5, 2.0 / 3 // reserved: this many usual run times, but at most this share of the time to the objective
 	free := min(slack*c.estimates.usualRunTime(request), maxShare*float64(request.objective-request.arrivedAt))
 	return min(request.objective-Time(free), request.deadline-2*tickInterval)
 }
 
-// rejectOrFail gives a request its final answer without a result: a rejection where a retry by the client is harmless, else
-// a failure. It is the only place in this package that does; package router also rejects requests that never come here.
+// rejectOrFail sends a request's final answer without a result: a rejection if a retry by the client is harmless, else a failure.
+// It is the only function of this package that does so; package router also rejects requests that never reach this package.
 func (c *Controller) rejectOrFail(index requestIndex) {
 	request := c.requests.at(index)
 	if request.attempt.inFlight || request.abandoned {
@@ -170,7 +175,7 @@
 	c.removeRequest(index)
 }
 
-// shedIfLate gives up a request that has waited too long, and notes whether its pool is short of room.
+// shedIfLate abandons a request that has waited too long, and records whether its pool lacks capacity.
 func (c *Controller) shedIfLate(index requestIndex) {
 	request := c.requests.at(index)
 	latest := c.latestStart(request)
--- a/internal/admission/shedding_test.go
+++ b/internal/admission/shedding_test.go
@@ -6,7 +6,7 @@
 )
 
 var sheddingScripts = map[string]func() *script{
-	"seats": func() *script { // of eight places, seven are used; the request of high weight goes before those of low weight
+	"seats": func() *script { // of eight entries, seven are used; the request of high weight is kept and those of low weight are shed
 		d := testDeployment()
 		d.MaxRequests = 8
 		s := startScript(d, "e1")
@@ -20,12 +20,12 @@
 		s.endAttempt("runs", Served)
 		return s
 	},
-	"too late": func() *script { // what comes just before its deadline and finds no room is answered at once
+	"too late": func() *script { // a request that arrives just before its deadline and finds no capacity is answered at once
 		s := startScript(testDeployment())
 		s.HandleRequest(0, Request{ID: "a", Deadline: 5 * Millisecond})
 		return s
 	},
-	"bar": func() *script { // under overload what earns least for its work is given up when it comes
+	"bar": func() *script { // under overload, requests of low price are rejected on arrival
 		s := startScript(testDeployment(), "e1")
 		s.engines.items[0].limit.bound = 1
 		s.estimates.updatePrices()
@@ -37,7 +37,7 @@
 		s.sendRequest("long", 1, 60*Second, "")
 		return s
 	},
-	"idle": func() *script { // what earns a hundredth for its work passes where nobody waits
+	"idle": func() *script { // a request at a hundredth of the best price is sent while nobody waits
 		s := startScript(testDeployment(), "e1")
 		s.serveRequests(20, 100*Millisecond, 100*Millisecond)
 		s.advanceTo(s.at + Second)
@@ -47,14 +47,14 @@
 		s.sendRequest("long", 0, 10*Second, "")
 		return s
 	},
-	"no engine": func() *script { // held while there is a chance, then answered at once
+	"no engine": func() *script { // queued for as long as an answer in time is possible, then rejected
 		s := startScript(testDeployment())
 		s.sendRequest("a", 0, 0, "")
 		s.sendRequest("b", 2, 0, "")
 		s.advanceTo(3 * Second)
 		return s
 	},
-	"deadline": func() *script { // a time-out at the deadline is answered at once; nothing after the client left
+	"deadline": func() *script { // a time-out at the deadline is answered at once; nothing is sent after the client has disconnected
 		s := startScript(testDeployment(), "e1")
 		s.sendRequest("a", 2, 0, "")
 		s.sendRequest("b", 0, 0, "")
@@ -84,13 +84,13 @@
 			p := pool{minPrice: test.minPrice, starving: test.starving}
 			p.adjustMinPrice()
 			if p.minPrice != test.want || p.starving {
-				t.Errorf("%g, starving %t, want %g", p.minPrice, p.starving, test.want)
+				t.Errorf("lowest price %g, starving %t, want price %g, not starving", p.minPrice, p.starving, test.want)
 			}
 		})
 	}
 }
 
-// poolPolicy puts each class into the pool of its number, and engines of a zone into the pool of that number.
+// poolPolicy assigns each class, and the engines of each zone, to the pool with the same number.
 type poolPolicy struct{}
 
 func (poolPolicy) AllowsAttempt(Time, int, float64) bool       { return true }
@@ -116,11 +116,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			engine := &engineState{Endpoint: Endpoint{Zone: test.zone}}
 			if got := s.shortOfRoom(engine, test.at); got != test.want {
-				t.Errorf("short of room: %t, want %t", got, test.want)
+				t.Errorf("shortage of capacity: %t, want %t", got, test.want)
 			}
 		})
 	}
 	if len(s.list) != 3 {
-		t.Errorf("%d pools are kept, want 3", len(s.list))
+		t.Errorf("%d pools have state, want 3", len(s.list))
 	}
 }
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -1,37 +1,39 @@
 package admission
 
-// slowStart limits what an engine that has just started is sent. All gateways together may send a multiple of its
-// present capacity, of which only a lower bound is known.
+// slowStart limits what an engine that has just started is sent. All gateways together may send it a multiple of its present
+// capacity; only a lower bound of that capacity is known.
 type slowStart struct {
 	deployment *Deployment
 }
 
-// slowStartUse is the work that this gateway has sent to an engine that warms up, in one span of the clock.
+// slowStartUse is the work that this gateway has sent to an engine that is warming up, in one span of the clock.
 type slowStartUse struct {
 	span Time
 	work float64
 }
 
-// isWarmingUp tells whether an engine is still warming up.
+// isWarmingUp reports whether an engine is still warming up.
 func (s *slowStart) isWarmingUp(engine *engineState, now Time) bool {
 	d := s.deployment
 	return d.WarmUpOverloadTime > 0 && engine.Since > 0 && now < engine.Since+d.WarmUpTime
 }
 
-// spanOf is the number of a span of the clock. Each is as long as an engine that warms up takes to fail under overload.
+// spanOf returns the number of the clock span that contains a time. A span is as long as the time in which an engine that is
+// warming up fails under overload.
 func (s *slowStart) spanOf(now Time) Time { return now / s.deployment.WarmUpOverloadTime }
 
-// spanBudget is the work that all gateways together may send to an engine that warms up in one span: half of what it can take,
-// because any window of a span's length meets two spans.
+// spanBudget returns the work that all gateways together may send in one span to an engine that is warming up. It is half of the
+// work that the engine can take, because any window of a span's length can overlap two spans.
 func (s *slowStart) spanBudget(engine *engineState) float64 {
 	const careful = 0.5
 	d := s.deployment
 	return careful * d.WarmUpOverloadFactor * d.WarmUpCapacityShare * engine.cores * float64(d.WarmUpOverloadTime)
 }
 
-// parts is into how many parts the budget of a span is divided, and whether this gateway has one of them. Gateways take
-// turns by their numbers, so many at a time that each one's part holds a usual request; the deployment and the clock alone
-// say whose turn it is. Where no engine is warm, every other span is one gateway's alone, for what needs more than a part.
+// parts returns the number of shares that a span's budget is divided into, and whether this gateway has one of them (ours). There
+// are as many shares as usual requests fit into the budget, but at most one per gateway, and the shares rotate among the gateways.
+// The deployment and the clock alone determine which gateways have a share. If no engine is warm, every other span belongs to a
+// single gateway, so that requests that need more than a share can be sent.
 func (s *slowStart) parts(engine *engineState, span Time, usualRequests int, anyWarm bool) (parts Time, ours bool) {
 	gateways := s.deployment.Gateways
 	turn := span
@@ -46,19 +48,19 @@
 	return parts, place < parts
 }
 
-// startSpan forgets what was sent in an earlier span.
+// startSpan resets the use if it belongs to another span.
 func (q *slowStartUse) startSpan(span Time) {
 	if q.span != span {
 		*q = slowStartUse{span: span}
 	}
 }
 
-// hasSlowStartCapacity tells whether an engine that warms up can be sent a request. Where gateways share its budget by
-// messages, the host knows; else they take turns (slowStart.parts). What needs more than a part goes to warm engines.
-// Harm: classes far heavier than usual ones wait for warm engines.
+// hasSlowStartCapacity reports whether a request may be sent to an engine that is warming up. If gateways share the engine's budget
+// by messages, the host decides; otherwise the gateways take turns (slowStart.parts). Requests that need more than a share go to
+// warm engines. Drawback: classes far heavier than the usual one wait for warm engines.
 func (c *Controller) hasSlowStartCapacity(engine *engineState, request *activeRequest) bool {
 	class := &c.deployment.Classes[request.class]
-	// Until answers have told the work of a class, its latency objective counts beside the estimate, which is rather too much.
+	// Until the work of a class has been learned, the latency objective is added to the estimate, which is rather too much.
 	work := c.estimates.slowStartWork(request) +
 		float64(class.LatencyObjective)*float64(class.Threads)/(c.estimates.classes[request.class].requests+1)
 	budget := c.slowStart.spanBudget(engine)
@@ -75,7 +77,7 @@
 	return engine.slowStartUse.work+work <= budget/float64(parts)
 }
 
-// hasWarmEngine tells whether an engine of a pool is live and not warming up.
+// hasWarmEngine reports whether an engine of a pool is live and not warming up.
 func (c *Controller) hasWarmEngine(pool int) bool {
 	for i := range c.engines.items {
 		engine := &c.engines.items[i]
--- a/internal/admission/slowstart_simulation_test.go
+++ b/internal/admission/slowstart_simulation_test.go
@@ -14,43 +14,43 @@
 	warmEngine EngineID = "warm"
 )
 
-// slowStartFaults is what differs between the gateways of a simulation, and what goes wrong in it.
+// slowStartFaults describes how the gateways of a simulation differ, and which faults it injects.
 type slowStartFaults struct {
-	maxConnectTime Time    // the longest that a connection takes to come up
-	maxClockSkew   Time    // how far a gateway's clock may be off, either way
-	maxNewsDelay   Time    // within which all gateways learn of the start
-	heavyShare     float64 // share of requests with twenty times the work
+	maxConnectTime Time    // longest time that opening a connection takes
+	maxClockSkew   Time    // maximum deviation of a gateway's clock, in either direction
+	maxNewsDelay   Time    // time within which all gateways learn that the cold engine has started
+	heavyShare     float64 // share of requests with twenty times the usual work
 	resetShare     float64 // share of attempts at the cold engine whose connection is reset
-	warmEngineEnds bool    // the warm engine goes as the cold one comes
+	warmEngineEnds bool    // the warm engine disappears when the cold engine starts
 }
 
-// slowStartSimulation plays many gateways, which share nothing, before an engine that has just started, in virtual time. All
-// have more to send than fits anywhere; what they send the cold engine together is recorded.
+// slowStartSimulation simulates gateways that share nothing and send requests to an engine that has just started, in virtual time.
+// Each gateway has more requests than fit on any engine. The simulation records what all gateways together send to the cold engine.
 type slowStartSimulation struct {
 	slowStartFaults
 	deployment *Deployment
 	random     *rand.Rand
-	meanWork   []float64 // true mean of each class, in units of Time
+	meanWork   []float64 // true mean work of each class, in units of Time
 	now        Time
 	events     eventHeap
 	arrivals   []coldArrival
 }
 
-// coldArrival is an attempt at the cold engine. It counts with the mean work of its class: that one of them turns out far
-// heavier is nothing that a gateway knows, and the rule counts requests of mean work.
+// coldArrival is an attempt that reaches the cold engine. Its work is the mean work of its class: a gateway can't know that one
+// request is far heavier, and the slow-start rule is about mean work.
 type coldArrival struct {
 	at   Time
 	work float64
 }
 
-// scheduledEvent is what happens at a time; of two at the same time the one with the lower order comes first.
+// scheduledEvent is a function to run at a time; of two events at the same time, the one with the lower order runs first.
 type scheduledEvent struct {
 	at    Time
 	order int
 	run   func()
 }
 
-// eventHeap is a heap.Interface of events, the next one first.
+// eventHeap is a heap.Interface of events, ordered by time.
 type eventHeap []scheduledEvent
 
 func (h eventHeap) Len() int { return len(h) }
@@ -75,7 +75,7 @@
 	heap.Push(&s.events, scheduledEvent{s.now + delay, s.events.Len() + int(s.now), run})
 }
 
-// randomTime draws a time from 0 to below a limit.
+// randomTime returns a random time of at least 0 and less than limit.
 func (s *slowStartSimulation) randomTime(limit Time) Time {
 	if limit == 0 {
 		return 0
@@ -83,7 +83,7 @@
 	return Time(s.random.Int63n(int64(limit)))
 }
 
-// simulatedGateway is one gateway: its controller, and the host of that.
+// simulatedGateway is a gateway in the simulation: its Controller, and the Host of that controller.
 type simulatedGateway struct {
 	quiet
 	simulation *slowStartSimulation
@@ -94,7 +94,7 @@
 
 func (g *simulatedGateway) clock() Time { return g.simulation.now + g.clockSkew }
 
-// SendAttempt has the attempt arrive once its connection is up, and end once its work is done.
+// SendAttempt simulates an attempt: it reaches the engine once its connection is open, and ends once its work is done.
 func (g *simulatedGateway) SendAttempt(id RequestID, engine EngineID, _, _ Time) {
 	s := g.simulation
 	class := int(id[0] - '0')
@@ -119,7 +119,7 @@
 	})
 }
 
-// sendRequests brings the gateway requests without an end.
+// sendRequests sends the controller requests endlessly, at random intervals.
 func (g *simulatedGateway) sendRequests() {
 	s := g.simulation
 	class := []int{0, 0, 0, 0, 1}[s.random.Intn(5)]
@@ -135,10 +135,10 @@
 	g.simulation.after(tickInterval, g.tick)
 }
 
-// run has all gateways learn of the start, and ends when the engine is warm.
+// run starts all gateways and ends when the engine is warm.
 func (s *slowStartSimulation) run(gateways int) {
 	s.now = 1000 * Second
-	start := s.now + 3*Second // by when gateways have learned something of their classes
+	start := s.now + 3*Second // by then, the gateways have learned about their classes
 	for index := range gateways {
 		s.addGateway(gateways, index, start)
 	}
@@ -153,7 +153,7 @@
 	}
 }
 
-// addGateway starts a gateway, which learns of the cold engine some time after its start.
+// addGateway starts a gateway, which learns of the cold engine some time after the engine's start.
 func (s *slowStartSimulation) addGateway(gateways, index int, start Time) {
 	deployment := *s.deployment
 	deployment.Gateways = gateways
@@ -172,13 +172,13 @@
 	})
 }
 
-// budget is the work that the deployment allows the cold engine within the time after which it fails under overload.
+// budget returns the work that the cold engine may be sent within the time after which it fails under overload.
 func (s *slowStartSimulation) budget() float64 {
 	d := s.deployment
 	return d.WarmUpOverloadFactor * d.WarmUpCapacityShare * d.CoresByKind[0] * float64(d.WarmUpOverloadTime)
 }
 
-// usedShare is the work sent, as a share of the budget over all the time that the engine warms up.
+// usedShare returns the work sent as a share of the budget for the whole warm-up time.
 func (s *slowStartSimulation) usedShare() (share float64) {
 	for _, arrival := range s.arrivals {
 		share += arrival.work / s.budget() * float64(s.deployment.WarmUpOverloadTime) / float64(s.deployment.WarmUpTime)
@@ -186,8 +186,8 @@
 	return share
 }
 
-// worstWindow is the most work that arrived in any window of the length after which the engine fails, and how much of mean
-// work the deployment allows, with two standard deviations and two requests that are left to chance.
+// worstWindow returns the most work that arrived in any window of the length after which the engine fails under overload, and the
+// work that is allowed there: the budget, two standard deviations and two requests of mean work for chance.
 func (s *slowStartSimulation) worstWindow() (worst, allowed float64) {
 	slices.SortFunc(s.arrivals, func(a, b coldArrival) int { return int(a.at - b.at) })
 	inWindow, total, first := 0.0, 0.0, 0
@@ -205,7 +205,7 @@
 	return worst, (budget + 2*math.Sqrt(budget) + 2) * mean
 }
 
-// slowStartDeployment is a site whose engines fail at three times their capacity within 1.5 s.
+// slowStartDeployment has engines that fail if they are sent three times their capacity within 1.5 s.
 func slowStartDeployment() Deployment {
 	return Deployment{CoresByKind: []float64{8}, WarmUpCapacityShare: 0.34, WarmUpTime: 14 * Second,
 		WarmUpOverloadFactor: 3, WarmUpOverloadTime: 1500 * Millisecond, ReportsCost: true, MaxAttempts: 4, Classes: []Class{
@@ -214,8 +214,8 @@
 		}}
 }
 
-// The gateways share nothing; their number, their clocks, their connections and the time in which they learn of the start
-// differ.
+// TestSlowStartKeepsTheSumOfAllGatewaysWithinTheBudget simulates gateways that share nothing and differ in number, clocks,
+// connection times and the delay until they learn of the cold engine's start.
 func TestSlowStartKeepsTheSumOfAllGatewaysWithinTheBudget(t *testing.T) {
 	base := slowStartDeployment()
 	tight := base
@@ -255,8 +255,8 @@
 	}
 }
 
-// checkSlowStart runs a simulation with each seed. No window may have more work than is allowed, and all together must use
-// some of the budget.
+// checkSlowStart runs a simulation for each seed. No window may receive more work than allowed, and all gateways together must use
+// a minimum share of the budget.
 func checkSlowStart(t *testing.T, deployment *Deployment, gateways, seeds int, faults slowStartFaults) {
 	t.Helper()
 	sent, usedShare, highest := 0, 0.0, 0.0
@@ -277,11 +277,11 @@
 		}
 	}
 	if sent < seeds {
-		t.Errorf("%d requests sent to the cold engine in %d days: the slow start was not tried", sent, seeds)
+		t.Errorf("%d requests were sent to the cold engine in %d runs; the simulation doesn't exercise slow start", sent, seeds)
 	}
-	const minUsedShare = 0.1 // though all have more to send than fits: what no gateway may send is lost to all
+	const minUsedShare = 0.1 // each gateway has more requests than fit, so budget that no gateway may use is wasted
 	if usedShare < minUsedShare {
-		t.Errorf("only %.3f of the budget is used", usedShare)
+		t.Errorf("%.3f of the budget was used, want at least 0.1", usedShare)
 	}
 	t.Logf("%d sent, %.3f of the budget, at most %.2f of what is allowed in a window", sent, usedShare, highest)
 }
--- a/internal/admission/slowstart_test.go
+++ b/internal/admission/slowstart_test.go
@@ -6,7 +6,7 @@
 )
 
 var slowStartScripts = map[string]func() *script{
-	"cold": func() *script { // where no engine is warm, every other span at a cold one is one gateway's alone, within the budget
+	"cold": func() *script { // without a warm engine, every other span belongs to one gateway, within the budget
 		d := testDeployment()
 		d.Gateways, d.WarmUpTime = 3, 30*Second
 		s := startScript(d)
@@ -26,7 +26,7 @@
 		s.record("warm: %t", !s.slowStart.isWarmingUp(e, s.now))
 		return s
 	},
-	"cold beside warm": func() *script { // as many gateways at a time as the budget has parts for a usual request, others' turns after them
+	"cold beside warm": func() *script { // the budget's shares, each enough for a usual request, rotate among the gateways
 		d := testDeployment()
 		d.Gateways, d.WarmUpTime, d.CoresByKind = 5, 30*Second, []float64{16}
 		s := startScript(d, "warm")
@@ -62,14 +62,14 @@
 	},
 }
 
-// gatewaysWithATurn returns the parts of a span's budget, which all gateways see alike, and the gateways that have one.
+// gatewaysWithATurn returns the number of shares of a span's budget, on which all gateways must agree, and the gateways that have one.
 func gatewaysWithATurn(t *testing.T, gateways int, span Time, usualRequests int, anyWarm bool) (parts Time, having []int) {
 	t.Helper()
 	for gateway := range gateways {
 		s := slowStart{deployment: &Deployment{Gateways: gateways, GatewayIndex: gateway}}
 		seen, ours := s.parts(&engineState{hash: 77}, span, usualRequests, anyWarm)
 		if gateway > 0 && seen != parts {
-			t.Fatalf("gateway %d sees %d parts of span %d, those before it %d", gateway, seen, span, parts)
+			t.Fatalf("gateway %d computes %d shares of span %d, the gateways before it %d", gateway, seen, span, parts)
 		}
 		parts = seen
 		if ours {
@@ -84,7 +84,7 @@
 		name                    string
 		gateways, usualRequests int
 		anyWarm                 bool
-		parts                   Time // of an even span
+		parts                   Time // expected shares of an even span
 	}{
 		{"one gateway has it all", 1, 5, true, 1},
 		{"as many as usual requests fit", 7, 3, true, 3},
@@ -98,14 +98,14 @@
 			for span := range 2 * Time(test.gateways) {
 				parts, having := gatewaysWithATurn(t, test.gateways, span, test.usualRequests, test.anyWarm)
 				if span%2 == 0 && parts != test.parts || Time(len(having)) != parts {
-					t.Fatalf("span %d: gateways %v have one of %d parts, want %d parts", span, having, parts, test.parts)
+					t.Fatalf("span %d: gateways %v have one of %d shares, want %d shares", span, having, parts, test.parts)
 				}
 				for _, gateway := range having {
 					turns[gateway]++
 				}
 			}
 			if gateway := slices.Index(turns, 0); gateway >= 0 {
-				t.Errorf("gateway %d never has a turn", gateway)
+				t.Errorf("gateway %d never has a share", gateway)
 			}
 		})
 	}
@@ -128,7 +128,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			e := &engineState{Endpoint: Endpoint{Since: test.since}}
 			if got := s.isWarmingUp(e, test.now); got != test.want {
-				t.Errorf("warms up: %t, want %t", got, test.want)
+				t.Errorf("isWarmingUp returned %t, want %t", got, test.want)
 			}
 		})
 	}
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -8,23 +8,23 @@
 	"slices"
 )
 
-// Snapshot is what a controller knows that is worth keeping when its process dies. Times are those of its clock.
-// Stored files have the names of the tags.
+// Snapshot is the state of a controller that a later process can use. Times are those of the controller's clock. Stored files use
+// the field names in the tags.
 type Snapshot struct {
 	Version       int
 	At            Time
 	Classes       []ClassSnapshot       `json:"Lanes"`
-	RunTime       float64               `json:"Ran"` // as in estimator: thread time and work of the attempts that ended lately
+	RunTime       float64               `json:"Ran"` // estimator.threadTime: thread time of the attempts that ended lately
 	RequestedWork float64               `json:"Asked"`
 	MeanWork      float64               `json:"Usual"`
 	MeanBusyShare float64               `json:"Busy"`
 	MinPrice      float64               `json:"Bar"`
-	Engines       []EngineSnapshot      // by id
+	Engines       []EngineSnapshot      // sorted by engine ID
 	RetrySpans    []RetrySpanSnapshot   `json:"Takes"`
-	KeyCooldowns  []KeyCooldownSnapshot `json:"Rests"` // by key
+	KeyCooldowns  []KeyCooldownSnapshot `json:"Rests"` // sorted by key
 }
 
-// ClassSnapshot is what was learned of a class.
+// ClassSnapshot is the stored state of a class.
 type ClassSnapshot struct {
 	RunTime          float64 `json:"Run"`
 	Work             float64
@@ -34,7 +34,7 @@
 	CorrectionFactor float64 `json:"Ease"`
 }
 
-// EngineSnapshot is what was known of an engine. Since tells whether it has been started again.
+// EngineSnapshot is the stored state of an engine. A different Since shows that the engine has been restarted.
 type EngineSnapshot struct {
 	Engine         EngineID
 	Since          Time
@@ -46,23 +46,23 @@
 	FailureScoreAt Time    `json:"DistrustAt"`
 }
 
-// RetrySpanSnapshot is a part of the retry budget's window.
+// RetrySpanSnapshot is the stored state of one span of the retry budget's window.
 type RetrySpanSnapshot struct {
 	Index    Time
 	Requests float64 `json:"Taken"`
 	Retries  float64 `json:"Extra"`
 }
 
-// KeyCooldownSnapshot is the cooldown of a key.
+// KeyCooldownSnapshot is the stored cooldown of a key.
 type KeyCooldownSnapshot struct {
 	Key   string
 	Until Time `json:"Rest"`
 }
 
-// snapshotVersion is raised with every change of the stored form.
+// snapshotVersion must be incremented with every change of the stored format.
 const snapshotVersion = 1
 
-// TakeSnapshot returns what the controller knows now.
+// TakeSnapshot returns the controller's present state.
 func (c *Controller) TakeSnapshot(now Time) *Snapshot {
 	s := &Snapshot{Version: snapshotVersion, At: now, RunTime: c.estimates.threadTime, RequestedWork: c.estimates.requestedWork,
 		MeanWork: c.estimates.meanWork, MeanBusyShare: c.estimates.meanBusyShare, MinPrice: c.pools.list[0].minPrice}
@@ -95,12 +95,12 @@
 		Report: e.load.report, ReportAt: e.load.reportAt, FailureScore: e.failures.points, FailureScoreAt: e.failures.addedAt}
 }
 
-// RestoreSnapshot has the controller go on from what a process before it knew; it is called before the first update of the
-// engine list. Old figures count for less. What that process did after it took the snapshot is not known, so within twice the
-// window the retry budget counts as used up, and so does this turn at engines that warm up: two processes must not
-// do together what one may not.
+// RestoreSnapshot initializes the controller from a snapshot of an earlier process. It must be called before the first update of
+// the engine list. Old values have less weight. What that process did after the snapshot is unknown, and two processes together
+// must not do what one alone may not do. Therefore the retry budget counts as used up if the snapshot is younger than twice the
+// retry window, and so does the current span's slow-start budget of the engines that are warming up.
 func (c *Controller) RestoreSnapshot(now Time, s *Snapshot) {
-	const halfLife = 60 * Second // after which what was learned of classes counts half: mixes change by the minute
+	const halfLife = 60 * Second // weights halve in this time because the mix of requests changes within minutes
 	c.now = now
 	c.snapshot = s
 	weight := math.Exp2(-float64(max(0, now-s.At)) / float64(halfLife))
@@ -117,7 +117,8 @@
 	}
 }
 
-// restore takes over what was learned, if the classes are as many; weight is what it counts for, 0 to 1.
+// restore sets the estimates from a snapshot. The estimates of classes are used only if the snapshot has the same number of
+// classes; weight, 0 to 1, is the weight of their answers and requests.
 func (s *estimator) restore(from *Snapshot, weight float64) {
 	if len(from.Classes) == len(s.classes) {
 		for i := range from.Classes {
@@ -137,10 +138,10 @@
 	}
 }
 
-// restoreEngine has an engine begin as it was last known, if it has not been started again since: its bound near the last one,
-// the less the longer ago that was; its report and its failure score with their age.
+// restoreEngine sets an engine's state from the snapshot if the engine has not been restarted since. The concurrency limit moves
+// towards the stored one, by less the older the snapshot is. The load report and the failure score keep their age.
 func (c *Controller) restoreEngine(engine *engineState) {
-	const boundLifetime = 10 * Second // by then a bound has been stepped to somewhere else
+	const boundLifetime = 10 * Second // after this time, the limit would have been stepped to another value
 	for i := range c.snapshot.Engines {
 		known := &c.snapshot.Engines[i]
 		if known.Engine != engine.Engine || known.Since != engine.Since {
@@ -155,7 +156,7 @@
 	}
 }
 
-// Encode returns a snapshot's stored form, or nil if a figure of it can't be written because it is no number.
+// Encode returns the stored format of a snapshot, or nil if it contains a value that JSON can't represent, such as NaN.
 func (s *Snapshot) Encode() []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -164,7 +165,7 @@
 	return b
 }
 
-// DecodeSnapshot reads a snapshot's stored form. Another version is an error.
+// DecodeSnapshot parses the stored format of a snapshot. It returns an error if the version is not the current one.
 func DecodeSnapshot(b []byte) (*Snapshot, error) {
 	s := &Snapshot{}
 	if err := json.Unmarshal(b, s); err != nil {
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A controller goes on from what one before it knew: classes, bounds, reports and failure scores with their age; the retry
-// budget and this turn at a cold engine as used up; an engine that was started since is new.
+// A controller continues with the state of an earlier process: classes, limits, reports and failure scores with their age. The
+// retry budget and the current slow-start span count as used up. An engine that was restarted since starts without state.
 func ExampleController_RestoreSnapshot() {
 	d := testDeployment()
 	d.RetryBurst, d.RetryRatio, d.RetryWindow = 2, 0.1, 10*Second
@@ -62,7 +62,7 @@
 func TestSnapshotThatIsNoNumberIsNotWritten(t *testing.T) {
 	s := &Snapshot{Version: snapshotVersion, MinPrice: math.NaN()}
 	if b := s.Encode(); b != nil {
-		t.Errorf("written as %s", b)
+		t.Errorf("encoded as %s, want nil", b)
 	}
 }
 
@@ -75,7 +75,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if s, err := DecodeSnapshot([]byte(text)); err == nil {
-				t.Errorf("read as %+v", s)
+				t.Errorf("decoded as %+v, want an error", s)
 			}
 		})
 	}
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -1,99 +1,99 @@
 package admission
 
-// RequestID names a request, as the protocol gives it.
+// RequestID identifies a request; it comes from the protocol.
 type RequestID string
 
-// EngineID names an engine, as the engine list gives it.
+// EngineID identifies an engine; it comes from the engine list.
 type EngineID string
 
-// Time is a point on the gateway's clock or a length of time, in tenths of a millisecond.
+// Time is a point on the gateway's clock or a duration, in tenths of a millisecond.
 type Time int64
 
-// Lengths of time.
+// Common durations.
 const (
 	Millisecond Time = 10
 	Second      Time = 1000 * Millisecond
 )
 
-// Request is a client's request as it arrives.
+// Request is a client's request on arrival.
 type Request struct {
 	ID       RequestID
-	Deadline Time   // when the client stops waiting
+	Deadline Time   // when the client stops waiting for the answer
 	Class    int    // index into Deployment.Classes
-	Tenant   int    // index into Deployment.Tenants; one that is out of range counts as 0
-	Key      string // requests of an ordered class that share it run one after another; "": none
-	Tables   int    // number of the group of tables that it reads or loads
+	Tenant   int    // index into Deployment.Tenants; an index out of range counts as 0
+	Key      string // in an ordered class, requests with the same key run one after another; "": no key
+	Tables   int    // number of the group of tables that the request reads or loads
 	Estimate Estimate
 }
 
-// Estimate is what is known of a request before it has run; a figure of zero is not known.
+// Estimate is what the gateway knows of a request before it runs. A value of zero is unknown.
 type Estimate struct {
-	Work        Time    // on one thread, usually
-	WorkP90     Time    // that nine of ten such requests stay under
+	Work        Time    // expected time on one thread
+	WorkP90     Time    // 90th percentile of the time on one thread
 	Memory      float64 // MB
-	PolicyClass int     // the class of the operator's policy in force; 0: none
-	ShadowClass int     // the class of a policy that is rehearsed; nothing is decided by it
+	PolicyClass int     // class in the operator's policy that is in force; 0: none
+	ShadowClass int     // class in a policy under rehearsal; it affects no decision
 	Prior       PriorAttempt
 }
 
-// PriorAttempt is an attempt that may have run. Estimate has the one that a process before this one made; that of a new
-// request is zero.
+// PriorAttempt describes an attempt that may have run. Estimate.Prior is set only if an earlier process of this gateway already
+// sent the request.
 type PriorAttempt struct {
-	MayHaveRun  bool // an attempt ended without proof that nothing ran
+	MayHaveRun  bool // an attempt ended without proof that the engine did not run it
 	SentAt      Time // when the first such attempt was sent
-	Zone, Group int  // of its engine
+	Zone, Group int  // zone and group of that attempt's engine
 }
 
-// Outcome tells how an attempt or a probe ended.
+// Outcome is how an attempt or a probe ended.
 type Outcome uint8
 
 // The outcomes of attempts and probes.
 const (
 	Served      Outcome = iota
-	Errored             // the engine gave an error; the request may have run
-	Full                // the engine rejected it unseen
-	TimedOut            // no answer in time; it may still run
-	Unreachable         // no connection
+	Errored             // the engine returned an error; the request may have run
+	Full                // the engine rejected the request without starting it
+	TimedOut            // no answer arrived in time; the request may still be running
+	Unreachable         // no connection could be opened
 	Reset               // the connection broke
-	Cancelled           // it was cancelled; it may have run
-	Unsent              // it was never sent
-	Lost                // the answer was corrupt, cut off or never came, as far as the wire shows; it may have run
+	Cancelled           // the attempt was cancelled; the request may have run
+	Unsent              // the attempt was never sent
+	Lost                // the answer was corrupt, cut off or never arrived; the request may have run
 )
 
-// NeverRan tells whether the outcome proves that the engine did not begin the request.
+// NeverRan reports whether the outcome proves that the engine did not begin the request.
 func (o Outcome) NeverRan() bool { return o == Full || o == Unreachable || o == Unsent }
 
-// AttemptResult tells how an attempt of a request ended.
+// AttemptResult describes how an attempt of a request ended.
 type AttemptResult struct {
 	Request  RequestID
 	Outcome  Outcome
-	Answered bool    // the client has its final answer
-	Work     Time    // as the answer tells; 0: not told
-	Memory   float64 // MB, as the answer tells; 0: not told
-	Report   Report  // of the engine, as the answer tells; NoReport: not told
+	Answered bool    // the client has received its final answer
+	Work     Time    // work reported in the answer; 0: not reported
+	Memory   float64 // MB, reported in the answer; 0: not reported
+	Report   Report  // the engine's load report in the answer; NoReport: none
 }
 
 // NoticeKind is a kind of notice about a running attempt.
 type NoticeKind uint8
 
-// The kinds of notices.
+// The kinds of notices. Each comment describes the value that comes with the notice.
 const (
-	ProgressNotice NoticeKind = iota // value: the share done, 0 to 1
-	SpillNotice                      // value: MB missing
-	WaitNotice                       // value: 1 for memory, 2 for a load
+	ProgressNotice NoticeKind = iota // fraction of the work done, 0 to 1
+	SpillNotice                      // missing memory in MB
+	WaitNotice                       // what the attempt waits for: 1 for memory, 2 for a load
 )
 
-// Effect tells what a second run of a request would do.
+// Effect is what a second run of a request does.
 type Effect uint8
 
-// The effects of classes.
+// The effects of a second run.
 const (
 	Idempotent Effect = iota
 	Deduplicated
 	NonIdempotent
 )
 
-// DedupScope tells which engines drop repeats of a deduplicated request.
+// DedupScope determines which engines recognize and drop a repeat of a deduplicated request.
 type DedupScope uint8
 
 // The scopes of deduplication.
