--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -40,7 +40,7 @@
 	rank := c.estimates.classes[request.class].rank
 	if grant > 0 || rank != request.rank {
 		request.rank = rank
-		c.host.SetAttemptTerms(request.id, grant, rank)
+		c.host.SetAttemptOptions(request.id, grant, rank)
 	}
 }
 
@@ -60,7 +60,7 @@
 // longer than engines remember the requests whose repeats they drop.
 func (c *Controller) sendBy(request *activeRequest) Time {
 	class := &c.deployment.Classes[request.class]
-	if request.prior.MayHaveRun && class.Effect == Deduplicated {
+	if request.prior.MayHaveRun && class.RepeatEffect == Deduplicated {
 		return request.prior.SentAt + class.DedupWindow
 	}
 	return 0
@@ -110,7 +110,7 @@
 		c.reportObservation(engine, Answered)
 	case Unreachable, Reset:
 		c.addFailure(engine, connectionFailurePoints, Unreached)
-	case Errored, Lost:
+	case Errored, AnswerLost:
 		// The score for an error is low because any engine sends a corrupt answer now and then, and on an engine that is down,
 		// connections and probes fail too. A request's second error adds nothing to the engine's score: if a request fails on two
 		// engines, the request is at fault.
@@ -120,7 +120,7 @@
 		if engine.limit.bound < 1 { // at a limit of 1 or more, load signals step the limit down instead
 			c.addFailure(engine, timeoutPoints, Unanswered)
 		}
-	case Full:
+	case EngineFull:
 		c.adjustSlots(engine, loadThreshold, Second)
 	case Unsent: // the outcome has no information about the engine
 	}
@@ -149,7 +149,7 @@
 	}
 	request.attempt.noticedAt = now
 	if kind == ProgressNotice && !request.abandoned && c.deployment.SupportsCancel &&
-		c.deployment.Classes[request.class].Effect == Idempotent && !c.usedUpAttempts(request) && isHopeless(&request.attempt, value, now) {
+		c.deployment.Classes[request.class].RepeatEffect == Idempotent && !c.usedUpAttempts(request) && isHopeless(&request.attempt, value, now) {
 		c.host.CancelAttempt(id, number)
 	}
 }
--- a/internal/admission/deployment.go
+++ b/internal/admission/deployment.go
@@ -24,10 +24,10 @@
 	MaxRequests          int  // maximum number of outstanding requests at the gateway; 0: no limit
 
 	// Costs of messages, as a share of the service.
-	SupportsProbes   bool
-	ProbePrice       float64 // cost of one probe per request
-	PeerMessages     bool    // gateways may send each other messages
-	PeerMessagePrice float64 // cost of 256 bytes delivered per request
+	SupportsProbes  bool
+	ProbeCost       float64 // cost of one probe per request
+	PeerMessages    bool    // gateways may send each other messages
+	PeerMessageCost float64 // cost of 256 bytes delivered per request
 
 	// During its first WarmUpTime, an engine fails if it is sent more than WarmUpOverloadFactor times its present capacity
 	// within WarmUpOverloadTime.
@@ -52,7 +52,7 @@
 	ObjectivePerWork float64 // the objective grows by this factor times work divided by threads
 	Weight           float64 // priority weight: value of a request that is answered in time
 	LateWeightShare  float64 // share of the weight that an answer after the objective still has, 0 to 1
-	Effect           Effect
+	RepeatEffect     RepeatEffect
 	DedupScope       DedupScope // in a Deduplicated class: the engines that drop repeats
 	DedupWindow      Time       // in a Deduplicated class: how long they drop repeats
 	Ordered          bool       // requests that share a key run one after another
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -32,7 +32,7 @@
 	Engine            EngineID
 	Zone, Kind, Group int
 	State             EndpointState
-	Since             Time // time of the last start; 0: long ago
+	StartedAt         Time // time of the last start; 0: long ago
 }
 
 // pollRetryDelay is the time between a failed poll of the engine list and the next poll. It limits the load on a discovery
@@ -129,7 +129,7 @@
 		index = c.engines.add(endpoint.Engine)
 	}
 	engine := c.engines.at(index)
-	started := !known || endpoint.Since > engine.Since
+	started := !known || endpoint.StartedAt > engine.StartedAt
 	engine.Endpoint = endpoint
 	engine.listed = true
 	if started {
--- a/internal/admission/healthchecks.go
+++ b/internal/admission/healthchecks.go
@@ -12,7 +12,7 @@
 // probeCredit counts the probes that requests have paid for.
 type probeCredit struct {
 	credit float64 // number of probes; -Inf: the deployment has no probes
-	cost   float64 // Deployment.ProbePrice
+	cost   float64 // Deployment.ProbeCost
 }
 
 // earn adds the credit for one request.
--- a/internal/admission/host.go
+++ b/internal/admission/host.go
@@ -13,8 +13,8 @@
 	RejectRequest(request RequestID, retryAfter Time)
 	// FailRequest gives the client a final answer that promises nothing: the request may have run.
 	FailRequest(request RequestID)
-	// SetAttemptTerms sets the memory grant (MB, 0: the engine chooses) and the priority rank (0 to 3) of a request's attempts.
-	SetAttemptTerms(request RequestID, memory float64, rank int)
+	// SetAttemptOptions sets the memory grant (MB, 0: the engine chooses) and the priority rank (0 to 3) of a request's attempts.
+	SetAttemptOptions(request RequestID, memory float64, rank int)
 	// ProbeEngine requests an engine's load report. The host passes the report or the failure to HandleProbeResult.
 	ProbeEngine(engine EngineID)
 	// SubscribeEndpoints requests all changes of the engine list from now on.
--- a/internal/admission/peers.go
+++ b/internal/admission/peers.go
@@ -24,13 +24,13 @@
 
 // PeerReport summarizes what peers observed of an engine since one of its starts.
 type PeerReport struct {
-	Engine       EngineID
-	Since        Time    // the engine's start that the observations belong to
-	Report       Report  // the latest load report that a peer received
-	ReportAt     Time    // when that peer received it
-	FailureScore float64 // points for the witnesses' failures, at most one per witness
-	Witnesses    int     // peers whose last attempt at the engine failed after the last answer that any gateway got from it
-	ScoreUntil   Time    // when the score expires
+	Engine          EngineID
+	EngineStartedAt Time    // the engine's start that the observations belong to
+	Report          Report  // the latest load report that a peer received
+	ReportAt        Time    // when that peer received it
+	FailureScore    float64 // points for the witnesses' failures, at most one per witness
+	Witnesses       int     // peers whose last attempt at the engine failed after the last answer that any gateway got from it
+	ScoreUntil      Time    // when the score expires
 }
 
 // Ejects reports whether the peers' score alone ejects the engine, provided that all other engines are healthy.
@@ -47,7 +47,7 @@
 // peerMessages counts the bytes of messages to peers that requests have paid for.
 type peerMessages struct {
 	bytes float64 // bytes that the host was not informed of yet
-	price float64 // Deployment.PeerMessagePrice
+	price float64 // Deployment.PeerMessageCost
 }
 
 // earn adds the bytes that one request pays for.
@@ -70,7 +70,7 @@
 func (c *Controller) HandlePeerReport(now Time, report *PeerReport) {
 	c.now = now
 	index, ok := c.engines.byName[report.Engine]
-	if !ok || c.engines.at(index).Since != report.Since {
+	if !ok || c.engines.at(index).StartedAt != report.EngineStartedAt {
 		return
 	}
 	engine := c.engines.at(index)
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -15,7 +15,7 @@
 // isWarmingUp reports whether an engine is still warming up.
 func (s *slowStart) isWarmingUp(engine *engineState, now Time) bool {
 	d := s.deployment
-	return d.WarmUpOverloadTime > 0 && engine.Since > 0 && now < engine.Since+d.WarmUpTime
+	return d.WarmUpOverloadTime > 0 && engine.StartedAt > 0 && now < engine.StartedAt+d.WarmUpTime
 }
 
 // spanOf returns the number of the clock span that contains a time. A span is as long as the time in which an engine that is
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -17,13 +17,13 @@
 
 // Request is a client's request on arrival.
 type Request struct {
-	ID       RequestID
-	Deadline Time   // when the client stops waiting for the answer
-	Class    int    // index into Deployment.Classes
-	Tenant   int    // index into Deployment.Tenants; an index out of range counts as 0
-	Key      string // in an ordered class, requests with the same key run one after another; "": no key
-	Tables   int    // number of the group of tables that the request reads or loads
-	Estimate Estimate
+	ID         RequestID
+	Deadline   Time   // when the client stops waiting for the answer
+	Class      int    // index into Deployment.Classes
+	Tenant     int    // index into Deployment.Tenants; an index out of range counts as 0
+	Key        string // in an ordered class, requests with the same key run one after another; "": no key
+	TableGroup int    // number of the group of tables that the request reads or loads
+	Estimate   Estimate
 }
 
 // Estimate is what the gateway knows of a request before it runs. A value of zero is unknown.
@@ -51,17 +51,17 @@
 const (
 	Served      Outcome = iota
 	Errored             // the engine returned an error; the request may have run
-	Full                // the engine rejected the request without starting it
+	EngineFull          // the engine rejected the request without starting it
 	TimedOut            // no answer arrived in time; the request may still be running
 	Unreachable         // no connection could be opened
 	Reset               // the connection broke
 	Cancelled           // the attempt was cancelled; the request may have run
 	Unsent              // the attempt was never sent
-	Lost                // the answer was corrupt, cut off or never arrived; the request may have run
+	AnswerLost          // the answer was corrupt, cut off or never arrived; the request may have run
 )
 
 // NeverRan reports whether the outcome proves that the engine did not begin the request.
-func (o Outcome) NeverRan() bool { return o == Full || o == Unreachable || o == Unsent }
+func (o Outcome) NeverRan() bool { return o == EngineFull || o == Unreachable || o == Unsent }
 
 // AttemptResult describes how an attempt of a request ended.
 type AttemptResult struct {
@@ -83,12 +83,12 @@
 	WaitNotice                       // what the attempt waits for: 1 for memory, 2 for a load
 )
 
-// Effect is what a second run of a request does.
-type Effect uint8
+// RepeatEffect is what a second run of a request does.
+type RepeatEffect uint8
 
 // The effects of a second run.
 const (
-	Idempotent Effect = iota
+	Idempotent RepeatEffect = iota
 	Deduplicated
 	NonIdempotent
 )
@@ -100,5 +100,5 @@
 const (
 	AllEngines DedupScope = iota
 	SameZone
-	SameCell
+	SameGroup
 )
