--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -23,13 +23,13 @@
 	engine.concurrency.acquire(threads, request.attempt.memoryMB)
 	engine.load.sentSince += threads
 	c.tenants.threads[request.tenant] += threads
-	c.setAttemptTerms(request)
+	c.setAttemptOptions(request)
 	c.host.SendAttempt(request.id, engine.Engine, request.attempt.timeoutAt-c.now, c.sendBy(request))
 	return true
 }
 
-// setAttemptTerms sets a memory grant if engines obey grants, and the rank if it has changed.
-func (c *Controller) setAttemptTerms(request *activeRequest) {
+// setAttemptOptions sets a memory grant if engines obey grants, and the rank if it has changed.
+func (c *Controller) setAttemptOptions(request *activeRequest) {
 	grant := 0.0
 	if c.deployment.SupportsMemoryGrants && c.deployment.EnginesSwap && request.attempt.memoryMB > 0 {
 		// On an engine that swaps, granted memory that isn't needed costs nothing, and a grant that is too small makes the request
@@ -154,19 +154,19 @@
 	}
 }
 
-// isHopeless reports whether an attempt, judging by its progress, needs more than nearly all of the time left until its timeout.
+// isHopeless reports whether an attempt, judging by its progress, needs more than hopelessShare of the time left until its timeout.
 // Such an attempt would time out, and would hold slots until then. Cancelling it guards against bad query plans (each attempt
 // gets a new plan), engines that slow down or swap, and loads that block the request's tables. Drawback: work is lost if the
 // attempt would have sped up again.
 func isHopeless(a *attempt, progress float64, now Time) bool {
-	const hopelessShare = 0.8 // below 1 because progress is imprecise; 1 scored the same, with 1.5 more engines became overloaded
+	const hopelessShare = 0.8 // below 1 because progress is imprecise; 1 scored the same, at 1.5 more engines became overloaded
 	remaining := float64(now-a.sentAt) * (1 - progress) / max(progress, 0.001)
 	return remaining > hopelessShare*float64(a.timeoutAt-now)
 }
 
 // cancelIfSilent cancels an attempt that has sent no notice for one and a half intervals, if engines send notices for as long as
 // work runs: the attempt hangs, or its answer is lost. The request is retried as its class allows. Waiting for two intervals
-// scored lower (leerkaart, quick: 0.725 against 0.735).
+// scored lower: 0.725 against 0.735 in the quick run of leerkaart.
 func (c *Controller) cancelIfSilent(request *activeRequest) {
 	d := c.deployment
 	if d.NoticeInterval <= 0 || !d.SupportsCancel || 2*(c.now-request.attempt.noticedAt) <= 3*d.NoticeInterval {
--- a/internal/admission/concurrency_test.go
+++ b/internal/admission/concurrency_test.go
@@ -8,7 +8,7 @@
 )
 
 var concurrencyScripts = map[string]func() *script{
-	"steps": func() *script { // down, not down when idle, up when full, no step in between, lowest limit zero
+	"steps": func() *script { // kvSlotAdjuster's rule: down, not down when idle, up when full, no step in between, lowest limit zero
 		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		for _, c := range []struct{ limit, running, signal float64 }{
--- a/internal/admission/keyorder_test.go
+++ b/internal/admission/keyorder_test.go
@@ -6,7 +6,7 @@
 )
 
 var keyOrderScripts = map[string]func() *script{
-	"order": func() *script { // requests with a key run in order, after cooldowns
+	"order": func() *script { // one at a time per key, a cooldown after an attempt that may run; a rejection may come out of order
 		d := testDeployment()
 		d.KeyCooldown = 300 * Millisecond
 		d.Classes[3].LatencyObjective = 5 * Second
--- a/internal/admission/outlier_test.go
+++ b/internal/admission/outlier_test.go
@@ -23,7 +23,7 @@
 		s.endProbe("e1", Served, Report{-1, 0.5, -1, -1})
 		return s
 	},
-	"time-outs": func() *script { // an incident: they add to the score of a jammed engine only at a limit of zero
+	"time-outs": func() *script { // an incident: at a limit of zero they raise a jammed engine's score, above it its limit is lowered
 		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
 		for i, limit := range []float64{8, 0} {
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -14,8 +14,8 @@
 	Version       int
 	At            Time
 	Classes       []ClassSnapshot       `json:"Lanes"`
-	RunTime       float64               `json:"Ran"` // estimator.threadTime: thread time of the attempts that ended lately
-	RequestedWork float64               `json:"Asked"`
+	RunTime       float64               `json:"Ran"`   // estimator.threadTime: thread time of the attempts that ended lately
+	RequestedWork float64               `json:"Asked"` // estimator.requestedWork: their work
 	MeanWork      float64               `json:"Usual"`
 	MeanBusyShare float64               `json:"Busy"`
 	MinPrice      float64               `json:"Bar"`
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -93,7 +93,8 @@
 	NonIdempotent
 )
 
-// DedupScope determines which engines recognize and drop a repeat of a deduplicated request.
+// DedupScope determines which engines recognize and drop a repeat of a deduplicated request. Zone and group are those of the
+// first attempt that may have run.
 type DedupScope uint8
 
 // The scopes of deduplication.
