--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -114,7 +114,7 @@
 		ControlSocket:  filepath.Join(folder, start.Name+".sock"),
 		HistoryFile:    filepath.Join(folder, start.Name+".history"),
 		ShareHealth:    true,
-		Quota:          &QuotaConfig{Voters: []string{"g0", "g1", "g2"}, ShareTerm: time.Second, Number: 1, Names: []string{"c"}, Totals: []int64{6}},
+		Quota:          &QuotaConfig{Voters: []string{"g0", "g1", "g2"}, ShareTerm: time.Second, Revision: 1, Names: []string{"c"}, Totals: []int64{6}},
 	}
 	a, err := New(options, start, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/cluster/agent/config.go
+++ b/internal/cluster/agent/config.go
@@ -31,7 +31,7 @@
 type QuotaConfig struct {
 	Voters    []string      // names of the gateways that confirm who holds which share
 	ShareTerm time.Duration // for which a share is held without a message from the voters
-	Number    uint64        // raised with every change of the totals
+	Revision  uint64        // raised with every change of the totals
 	Names     []string      // of the budgets: a class and the resource that is shared of it
 	Totals    []int64       // by budget, in units of its resource
 	SlowStart bool          // the budgets include what engines that have just started may be sent
--- a/internal/cluster/agent/counters.go
+++ b/internal/cluster/agent/counters.go
@@ -95,7 +95,7 @@
 	reading := s.core.TakeReading(now, counters.Key{})
 	for figure, name := range []string{"waits", "runs"} {
 		interval := reading.Counts[0].Ranges[figure]
-		s.agent.history.Write(history.Event{Kind: history.CountersRead, Code: name, AgeNanos: duration(reading.Age).Nanoseconds(), Number: int(interval.Low), High: int(interval.High), Of: uint64(reading.Unknown)})
+		s.agent.history.Write(history.Event{Kind: history.CountersRead, Code: name, AgeNanos: duration(reading.Age).Nanoseconds(), Number: int(interval.Low), High: int(interval.High), Detail: uint64(reading.Unknown)})
 	}
 }
 
--- a/internal/cluster/agent/healthsharing.go
+++ b/internal/cluster/agent/healthsharing.go
@@ -84,7 +84,7 @@
 
 func (s *healthSharing) recordFinding(now admission.Time, observedAt int64, f *admission.PeerReport) {
 	ejects := f.Ejects()
-	s.agent.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(f.Engine), EngineStart: int64(f.EngineStartedAt), FailureScore: f.FailureScore, Number: f.Witnesses, Out: ejects,
+	s.agent.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(f.Engine), EngineStart: int64(f.EngineStartedAt), FailureScore: f.FailureScore, Number: f.Witnesses, Ejects: ejects,
 		ObservedAt: observedAt, ValidNanos: duration(max(0, f.ScoreUntil-now)).Nanoseconds()})
 	if ejects == s.ejected[f.Engine] {
 		return
@@ -124,7 +124,7 @@
 		age     admission.Time
 	}{{true, successAge}, {false, failureAge}} {
 		if outcome.age < healthreport.OutcomeLifetime {
-			s.agent.history.Write(history.Event{Kind: history.PeerOutcomeReceived, Member: from.Name, Of: from.Incarnation, Engine: string(endpoint.Engine), EngineStart: int64(endpoint.StartedAt), Success: outcome.success,
+			s.agent.history.Write(history.Event{Kind: history.PeerOutcomeReceived, Member: from.Name, Detail: from.Incarnation, Engine: string(endpoint.Engine), EngineStart: int64(endpoint.StartedAt), Success: outcome.success,
 				AgeNanos: duration(outcome.age).Nanoseconds()})
 		}
 	}
--- a/internal/cluster/agent/loop.go
+++ b/internal/cluster/agent/loop.go
@@ -49,7 +49,7 @@
 	}
 	if start := a.members.Self().Incarnation; start != a.start {
 		a.start = start
-		a.history.Write(history.Event{Kind: history.StartChanged, Of: start})
+		a.history.Write(history.Event{Kind: history.StartChanged, Detail: start})
 	}
 	if !a.members.IsInactive() {
 		a.counters.tick(now)
--- a/internal/cluster/agent/membershiphost.go
+++ b/internal/cluster/agent/membershiphost.go
@@ -22,7 +22,7 @@
 	if a.counters.core != nil && m.State == membership.Left {
 		a.counters.core.MarkStopped(m.Name, m.Incarnation)
 	}
-	a.history.Write(history.Event{Kind: history.MemberChanged, Code: string(code), Member: m.Name, Of: m.Incarnation, State: m.State.String()})
+	a.history.Write(history.Event{Kind: history.MemberChanged, Code: string(code), Member: m.Name, Detail: m.Incarnation, State: m.State.String()})
 	level := slog.LevelInfo
 	if code == membership.Partitioned || code == membership.Superseded {
 		level = slog.LevelWarn
--- a/internal/cluster/agent/policy.go
+++ b/internal/cluster/agent/policy.go
@@ -16,7 +16,7 @@
 
 // Policy is one that was read.
 type Policy interface {
-	Terms() rollout.Parameters
+	Parameters() rollout.Parameters
 	Budgets() (names []string, totals []int64) // over all gateways
 }
 
@@ -32,9 +32,9 @@
 // currentAndProposed marks decisions that the current policy and the proposed one both allow.
 const currentAndProposed = uint64(1) << 63
 
-// BasisAt returns what may be decided by at a time: the current policy's number and one, with a mark where the proposed
+// PolicyRevisionAt returns what may be decided by at a time: the current policy's number and one, with a mark where the proposed
 // policy must allow a decision as well; 0: nothing may be decided.
-func (p *ActivePolicy) BasisAt(now admission.Time) uint64 {
+func (p *ActivePolicy) PolicyRevisionAt(now admission.Time) uint64 {
 	switch {
 	case p.HoldsLease(now):
 		return p.Number + 1
@@ -44,8 +44,8 @@
 	return 0
 }
 
-// CoversBoth tells whether a basis is the current policy and the proposed one.
-func CoversBoth(basis uint64) bool { return basis&currentAndProposed != 0 }
+// CoversBothPolicies tells whether a basis is the current policy and the proposed one.
+func CoversBothPolicies(basis uint64) bool { return basis&currentAndProposed != 0 }
 
 // SetPolicyReader sets who reads policies. It is called before Start.
 func (a *Agent) SetPolicyReader(reader PolicyReader) { a.policyReader = reader }
@@ -57,7 +57,7 @@
 func (a *Agent) TryBeginWrite(basis uint64, request admission.RequestID) bool {
 	a.writing.Add(1)
 	observedAt := a.HistoryNow()
-	if basis != a.activePolicy.Load().BasisAt(a.clock.Now()) {
+	if basis != a.activePolicy.Load().PolicyRevisionAt(a.clock.Now()) {
 		a.writing.Add(-1)
 		return false
 	}
@@ -80,5 +80,5 @@
 		return
 	}
 	number := int(basis&^currentAndProposed) - 1
-	a.history.Write(history.Event{Kind: history.RequestDecided, Code: decision, Number: number, Out: CoversBoth(basis), Request: string(request), ObservedAt: observedAt})
+	a.history.Write(history.Event{Kind: history.RequestDecided, Code: decision, Number: number, Ejects: CoversBothPolicies(basis), Request: string(request), ObservedAt: observedAt})
 }
--- a/internal/cluster/agent/policyrollout.go
+++ b/internal/cluster/agent/policyrollout.go
@@ -183,7 +183,7 @@
 		return
 	}
 	p.parsed[e.digest] = e.policy
-	e.done(e.policy.Terms(), nil)
+	e.done(e.policy.Parameters(), nil)
 }
 
 // SaveRecords stores records. The done function is called by the agent's goroutine once the last one is stored.
@@ -233,7 +233,7 @@
 	}
 	p.dropParsedPolicies(inForce)
 	if p.agent.history != nil {
-		p.agent.history.Write(history.Event{Kind: history.PolicyChanged, Of: inForce.Era, Number: int(inForce.Number), Success: inForce.LeaseUntil > 0, Code: inForce.Digest.String()})
+		p.agent.history.Write(history.Event{Kind: history.PolicyChanged, Detail: inForce.Era, Number: int(inForce.Number), Success: inForce.LeaseUntil > 0, Code: inForce.Digest.String()})
 	}
 	p.agent.activePolicy.Store(active)
 }
@@ -252,7 +252,7 @@
 // replaceQuota puts the budgets of a policy in force under its number.
 func (p *policyRollout) replaceQuota(active *ActivePolicy) {
 	next := *p.agent.config.Quota
-	next.Number, next.Names, next.Totals = active.Number+1, nil, nil
+	next.Revision, next.Names, next.Totals = active.Number+1, nil, nil
 	if next.SlowStart {
 		next.Names, next.Totals = SlowStartBudgets()
 	}
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -85,7 +85,7 @@
 		LongestUse:   longest,
 		LeaseTerm:    2 * longest,
 		DriftDivisor: clockDriftDivisor,
-		Revision:     c.Number,
+		Revision:     c.Revision,
 		Totals:       c.Totals,
 	}
 	for _, name := range c.Names {
@@ -234,7 +234,7 @@
 		return fmt.Errorf("fleet.budgets.%w", err)
 	}
 	s.recordTotals(c)
-	a.log.Info("fleet", "code", "renewed", "number", c.Number)
+	a.log.Info("fleet", "code", "renewed", "number", c.Revision)
 	return nil
 }
 
@@ -258,7 +258,7 @@
 		if i := slices.Index(c.Names, name); i >= 0 {
 			total = c.Totals[i]
 		}
-		s.agent.history.Write(history.Event{Kind: history.TotalChanged, Code: name, Number: int(total), Of: c.Number})
+		s.agent.history.Write(history.Event{Kind: history.TotalChanged, Code: name, Number: int(total), Detail: c.Revision})
 	}
 }
 
--- a/internal/cluster/history/history.go
+++ b/internal/cluster/history/history.go
@@ -13,7 +13,7 @@
 	Label        string  `json:"-"` // of the file that the line stood in; set by MergeFiles
 	Code         string  `json:"code,omitempty"`
 	Member       string  `json:"member,omitempty"` // that the event is about, or from
-	Of           uint64  `json:"of,omitempty"`     // the start of that member, or what Kind says
+	Detail       uint64  `json:"of,omitempty"`     // the start of that member, or what Kind says
 	State        string  `json:"state,omitempty"`
 	Engine       string  `json:"engine,omitempty"`
 	EngineStart  int64   `json:"since,omitempty"`
@@ -21,7 +21,7 @@
 	AgeNanos     int64   `json:"age,omitempty"` // of what was received
 	Success      bool    `json:"good,omitempty"`
 	FailureScore float64 `json:"against,omitempty"`
-	Out          bool    `json:"out,omitempty"`    // what was found ejects the engine by itself, or what Kind says
+	Ejects       bool    `json:"out,omitempty"`    // what was found ejects the engine by itself, or what Kind says
 	Number       int     `json:"number,omitempty"` // of witnesses, or what Kind says
 	High         int     `json:"most,omitempty"`
 	ObservedAt   int64   `json:"as_of,omitempty"` // when the process looked at its clock for the event, which may be long before it wrote
--- a/internal/testbed/faulttest/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -78,7 +78,7 @@
 			observer := engineObserver{incarnationOf(e), e.Engine, e.EngineStart}
 			c.failures[observer] = append(c.failures[observer], e.At)
 		case e.Kind == history.StartChanged:
-			c.began[incarnation{e.Process, e.Of}] = incarnationOf(e)
+			c.began[incarnation{e.Process, e.Detail}] = incarnationOf(e)
 		}
 	}
 	return c
@@ -138,17 +138,17 @@
 	if e.Code == "displaced" {
 		return
 	}
-	if e.Of < view.memberStarts[e.Member] {
-		c.broken = append(c.broken, c.message(e, "start: %s under start %d is %s, after start %d was known", e.Member, e.Of, e.Code, view.memberStarts[e.Member]))
+	if e.Detail < view.memberStarts[e.Member] {
+		c.broken = append(c.broken, c.message(e, "start: %s under start %d is %s, after start %d was known", e.Member, e.Detail, e.Code, view.memberStarts[e.Member]))
 	}
-	view.memberStarts[e.Member] = max(view.memberStarts[e.Member], e.Of)
+	view.memberStarts[e.Member] = max(view.memberStarts[e.Member], e.Detail)
 }
 
 // checkPeerOutcome checks that a report of another member is of its latest start and of the listed start of the engine, and that the
 // member itself saw a failure that it reports.
 func (c *historyChecker) checkPeerOutcome(view *clusterView, e *history.Event) {
-	if e.Of < view.memberStarts[e.Member] {
-		c.broken = append(c.broken, c.message(e, "start: evidence of %s under start %d was taken in, after start %d was known", e.Member, e.Of, view.memberStarts[e.Member]))
+	if e.Detail < view.memberStarts[e.Member] {
+		c.broken = append(c.broken, c.message(e, "start: evidence of %s under start %d was taken in, after start %d was known", e.Member, e.Detail, view.memberStarts[e.Member]))
 	}
 	if engineStart, ok := view.endpoints[e.Engine]; !ok || engineStart != e.EngineStart {
 		c.broken = append(c.broken, c.message(e, "engine's start: evidence on %s of start %d was taken in, its own list has %d", e.Engine, e.EngineStart, engineStart))
@@ -167,7 +167,7 @@
 
 // sawFailure tells whether the member that reports a failure wrote it down itself.
 func (c *historyChecker) sawFailure(e *history.Event) bool {
-	reporter := incarnation{e.Member, e.Of}
+	reporter := incarnation{e.Member, e.Detail}
 	if first, ok := c.began[reporter]; ok {
 		reporter = first
 	}
--- a/internal/testbed/faulttest/check_policies.go
+++ b/internal/testbed/faulttest/check_policies.go
@@ -86,7 +86,7 @@
 	uses := map[int]policyUse{}
 	for i := range events {
 		e := &events[i]
-		if e.Kind != history.RequestDecided || e.Number < 0 || e.Out {
+		if e.Kind != history.RequestDecided || e.Number < 0 || e.Ejects {
 			continue
 		}
 		if first, ok := uses[e.Number]; !ok || e.At < first.at {
@@ -146,7 +146,7 @@
 // laterUse is the first use of a later number before the check that a decision rests on.
 func (c *policyChecker) laterUse(decision *history.Event) (number int, first policyUse, found bool) {
 	newest := decision.Number
-	if decision.Out {
+	if decision.Ejects {
 		newest++ // what two policies allow holds under both
 	}
 	for n, use := range c.firstUsedAt {
--- a/internal/testbed/faulttest/check_quotas.go
+++ b/internal/testbed/faulttest/check_quotas.go
@@ -35,15 +35,15 @@
 		if e.Kind != history.TotalChanged {
 			continue
 		}
-		total := quotaTotal{e.Of, e.Number}
+		total := quotaTotal{e.Detail, e.Number}
 		if !slices.Contains(totals.byCode[e.Code], total) {
 			totals.byCode[e.Code] = append(totals.byCode[e.Code], total)
 		}
-		if totals.since[e.Of] == nil {
-			totals.since[e.Of] = map[string]int64{}
+		if totals.since[e.Detail] == nil {
+			totals.since[e.Detail] = map[string]int64{}
 		}
-		if _, ok := totals.since[e.Of][e.Process]; !ok && slices.Contains(replicas, e.Process) {
-			totals.since[e.Of][e.Process] = e.At
+		if _, ok := totals.since[e.Detail][e.Process]; !ok && slices.Contains(replicas, e.Process) {
+			totals.since[e.Detail][e.Process] = e.At
 		}
 	}
 	return totals
--- a/internal/testbed/faulttest/page.go
+++ b/internal/testbed/faulttest/page.go
@@ -164,7 +164,7 @@
 		}
 		w.addMark(at, top, "sent", e.Request+" to "+e.Engine)
 	case history.EngineAssessed:
-		if e.Out {
+		if e.Ejects {
 			w.addMark(at, top, "found", fmt.Sprintf("%s: against %.1f by %d", e.Engine, e.FailureScore, e.Number))
 		}
 	case history.MemberChanged:
--- a/internal/testbed/faulttest/policy_modes.go
+++ b/internal/testbed/faulttest/policy_modes.go
@@ -93,7 +93,7 @@
 		user := incarnationOf(e)
 		switch e.Kind {
 		case history.TotalChanged:
-			numbers[user] = max(numbers[user], e.Of)
+			numbers[user] = max(numbers[user], e.Detail)
 		case history.BudgetUsed:
 			uses++
 			highest = max(highest, numbers[user])
--- a/internal/testbed/faulttest/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -194,7 +194,7 @@
 		event(1, "g1", history.Event{Kind: history.OutcomeObserved})}
 	rate := history.Event{Kind: history.RateGranted, Code: "loads", Number: 2, ValidNanos: int64(time.Second)}
 	took := history.Event{Kind: history.BudgetUsed, Code: "loads", Number: 1, ValidNanos: int64(4 * time.Second)}
-	heard := history.Event{Kind: history.PeerOutcomeReceived, Member: "g1", Of: 1, AgeNanos: int64(time.Second / 2)}
+	heard := history.Event{Kind: history.PeerOutcomeReceived, Member: "g1", Detail: 1, AgeNanos: int64(time.Second / 2)}
 	counted := history.Event{Kind: history.RequestsCounted, Number: 0, High: 2}
 	reading := func(low, high int) history.Event {
 		return history.Event{Kind: history.CountersRead, Code: "runs", AgeNanos: 1e9, Number: low, High: high}
@@ -206,18 +206,18 @@
 	}{
 		{"all well", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 1, Number: 1, ValidNanos: 1e10})}, ""},
 		{"evidence of nothing", []history.Event{event(9, "g0", heard)}, "evidence:"},
-		{"another's evidence", []history.Event{event(1.5, "g0", history.Event{Kind: history.PeerOutcomeReceived, Member: "g2", Of: 1})}, "evidence:"},
+		{"another's evidence", []history.Event{event(1.5, "g0", history.Event{Kind: history.PeerOutcomeReceived, Member: "g2", Detail: 1})}, "evidence:"},
 		{"one witness for two", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 2, Number: 2, ValidNanos: 1e10})}, "witnesses:"},
 		{"too many out", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 1, Number: 1, ValidNanos: 1e10}),
 			event(1.7, "g0", history.Event{Kind: history.EngineListed, Engine: "e2", State: "live"}), event(1.8, "g1", history.Event{Kind: history.OutcomeObserved, Engine: "e2"}),
-			event(1.9, "g0", history.Event{Kind: history.PeerOutcomeReceived, Member: "g1", Of: 1, Engine: "e2"}),
+			event(1.9, "g0", history.Event{Kind: history.PeerOutcomeReceived, Member: "g1", Detail: 1, Engine: "e2"}),
 			event(2, "g0", history.Event{Kind: history.EngineAssessed, Engine: "e2", FailureScore: 1, Number: 1, ValidNanos: 1e10})}, "part:"},
-		{"an earlier start", []history.Event{event(2, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Of: 5}),
-			event(3, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Of: 4})}, "start:"},
+		{"an earlier start", []history.Event{event(2, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Detail: 5}),
+			event(3, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Detail: 4})}, "start:"},
 		{"an engine that the list doesn't name", []history.Event{event(2, "g0", history.Event{Kind: history.AttemptSent, Engine: "e9"})}, "list:"},
 		{"within the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", took), event(2, "g1", took),
 			event(2.5, "g0", history.Event{Kind: history.BudgetReleased, Code: "loads", Number: 1}), event(2.6, "g1", took), event(7, "g2", took)}, ""},
-		{"beyond a total that was lowered", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2, Of: 1}), event(2, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 1, Of: 2}),
+		{"beyond a total that was lowered", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2, Detail: 1}), event(2, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 1, Detail: 2}),
 			event(4, "g0", took), event(4.5, "g1", took), event(5.5, "g2", took)}, "budget: 3 of loads"},
 		{"a rate beyond the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", rate), event(2.5, "g1", rate)}, "budget:"},
 		{"rates one after the other", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", rate), event(3.5, "g1", rate)}, ""},
@@ -254,7 +254,7 @@
 	}
 	base := []history.Event{stands(0, "g0", 1, "aa"), stands(0, "g1", 1, "aa"), decided(1, "g0", 1), decided(1.1, "g1", 1)}
 	both := decided(3, "g1", 1)
-	both.Out = true
+	both.Ejects = true
 	late := decided(3, "g1", 1) // looked at before, written after
 	late.ObservedAt = int64(1.9e9)
 	for _, c := range []struct {
@@ -284,7 +284,7 @@
 	run := func(seconds float64, class string, by int) fake.RunningChange {
 		return fake.RunningChange{At: began.Add(time.Duration(seconds * float64(time.Second))), Class: class, Delta: by}
 	}
-	limits := readQuotaTotals([]history.Event{{Kind: history.TotalChanged, Code: "loads threads", Number: 2, Of: 1, Process: "g0"}}, []string{"g0"}, time.Second)
+	limits := readQuotaTotals([]history.Event{{Kind: history.TotalChanged, Code: "loads threads", Number: 2, Detail: 1, Process: "g0"}}, []string{"g0"}, time.Second)
 	s := &Scenario{Limits: installation.ClusterLimits{Threads: 2}}
 	runs := []fake.RunningChange{run(1, "load", 1), run(1.1, "look", 1), run(1.2, "load", 1), run(1.3, "load", -1), run(1.4, "load", 1)}
 	if out := CheckEngines(s, runs, began, 0, limits); out != nil {
--- a/internal/workload/fleetpolicy.go
+++ b/internal/workload/fleetpolicy.go
@@ -26,8 +26,8 @@
 	decisionUndecided    = "unsure"
 )
 
-// noBasis is the basis of decisions that no policy takes part in.
-const noBasis = 0
+// noPolicyRevision is the basis of decisions that no policy takes part in.
+const noPolicyRevision = 0
 
 // fleetPolicy is the state of a Manager that applies the fleet's policies. The Manager's owner owns it, apart from
 // publishedCounts.
@@ -85,7 +85,7 @@
 // tickFleetPolicy applies what the fleet has decided since the last tick.
 func (m *Manager) tickFleetPolicy(now admission.Time) {
 	active := m.inForce.ActivePolicy()
-	if basis := active.BasisAt(now); basis != noBasis {
+	if basis := active.PolicyRevisionAt(now); basis != noPolicyRevision {
 		m.applyPolicy(now, active, basis)
 	}
 	m.updateRehearsal(now, active)
@@ -98,7 +98,7 @@
 // applyPolicy puts the policies of a basis in force in the limiter. It returns false if that is not possible.
 func (m *Manager) applyPolicy(now admission.Time, active *agent.ActivePolicy, basis uint64) bool {
 	wanted := appliedPolicy{current: policyOf(active.Current), number: active.Number}
-	if agent.CoversBoth(basis) {
+	if agent.CoversBothPolicies(basis) {
 		wanted.proposed = policyOf(active.Proposed)
 	}
 	if m.applied == wanted {
@@ -124,8 +124,8 @@
 // allowsByPolicy reports whether the fleet's decisions let attempts be sent now, and notes their basis.
 func (m *Manager) allowsByPolicy(now admission.Time) bool {
 	active := m.inForce.ActivePolicy()
-	basis := active.BasisAt(now)
-	if basis == noBasis || !m.applyPolicy(now, active, basis) {
+	basis := active.PolicyRevisionAt(now)
+	if basis == noPolicyRevision || !m.applyPolicy(now, active, basis) {
 		return false
 	}
 	m.attemptBasis = basis
@@ -136,17 +136,17 @@
 func (m *Manager) classifyByPolicy(now admission.Time, reader *StatementReader) (estimate admission.Estimate, overCapacity bool, rejectText string) {
 	asOf := m.inForce.HistoryNow()
 	active := m.inForce.ActivePolicy()
-	basis := active.BasisAt(now)
+	basis := active.PolicyRevisionAt(now)
 	if !samePolicies(active, reader.active) {
 		reader.classifyByPolicies(active)
 	}
-	if isUndecided(active, basis, reader) || basis != noBasis && !m.applyPolicy(now, active, basis) {
+	if isUndecided(active, basis, reader) || basis != noPolicyRevision && !m.applyPolicy(now, active, basis) {
 		m.undecided++
-		m.inForce.RecordDecision(decisionUndecided, noBasis, "", asOf)
+		m.inForce.RecordDecision(decisionUndecided, noPolicyRevision, "", asOf)
 		return admission.Estimate{}, true, ""
 	}
-	if basis == noBasis { // no policy that is known has a class for the request
-		m.inForce.RecordDecision(decisionAdmitted, noBasis, "", asOf)
+	if basis == noPolicyRevision { // no policy that is known has a class for the request
+		m.inForce.RecordDecision(decisionAdmitted, noPolicyRevision, "", asOf)
 		return reader.estimate(), false, ""
 	}
 	m.updateRehearsal(now, active)
@@ -177,11 +177,11 @@
 // isUndecided reports whether nobody knows now what holds for a request: policies that may be in force elsewhere put it into
 // classes that differ, or this gateway has not heard of the policies yet.
 func isUndecided(active *agent.ActivePolicy, basis uint64, reader *StatementReader) bool {
-	if agent.CoversBoth(basis) {
+	if agent.CoversBothPolicies(basis) {
 		current, proposed := &policyOf(active.Current).Plan, &policyOf(active.Proposed).Plan
 		return className(current, reader.planClass) != className(proposed, reader.proposedClass)
 	}
-	return basis == noBasis && (reader.anyPolicyApplies || !active.KnowsDecidedPolicy)
+	return basis == noPolicyRevision && (reader.anyPolicyApplies || !active.KnowsDecidedPolicy)
 }
 
 // classWithRest returns the number of the request's class in the plan with resourcegroup.RestClass. A request without a class
--- a/internal/workload/fleetpolicy_test.go
+++ b/internal/workload/fleetpolicy_test.go
@@ -21,7 +21,7 @@
 
 func (c *fakeFleet) ActivePolicy() *agent.ActivePolicy { return c.active }
 func (c *fakeFleet) TryBeginWrite(by uint64, _ admission.RequestID) bool {
-	return by == c.active.BasisAt(0)
+	return by == c.active.PolicyRevisionAt(0)
 }
 func (c *fakeFleet) EndWrite(uint64, admission.RequestID)                      {}
 func (c *fakeFleet) RecordDecision(string, uint64, admission.RequestID, int64) {}
@@ -89,7 +89,7 @@
 	if fleet.TryBeginWrite(basis, "") {
 		out += ", is written"
 	}
-	if agent.CoversBoth(basis) {
+	if agent.CoversBothPolicies(basis) {
 		out += " by both"
 	}
 	manager.RecordAttemptEnd(estimate, 2, charged, 0, false)
--- a/internal/workload/policy.go
+++ b/internal/workload/policy.go
@@ -20,8 +20,8 @@
 	return p
 }
 
-// Terms returns the requirements on the rollout.
-func (p *Policy) Terms() rollout.Parameters { return p.Requirements }
+// Parameters returns the requirements on the rollout.
+func (p *Policy) Parameters() rollout.Parameters { return p.Requirements }
 
 // Budgets returns the names and totals of the budgets of fleet-wide classes.
 func (p *Policy) Budgets() (names []string, totals []int64) { return p.Plan.FleetBudgets() }
--- a/internal/workload/requests.go
+++ b/internal/workload/requests.go
@@ -63,7 +63,7 @@
 func (m *Manager) RecordAttempt(estimate admission.Estimate, threads float64) (charged float64, basis uint64) {
 	m.rehearsal.beginAttempt(m.now, &estimate, threads)
 	if estimate.PolicyClass == 0 {
-		return 0, noBasis
+		return 0, noPolicyRevision
 	}
 	return m.limiter.BeginAttempt(estimate.PolicyClass, threads, toMillis(estimate.Work)), m.attemptBasis
 }
--- a/internal/workload/source/fleet.go
+++ b/internal/workload/source/fleet.go
@@ -95,7 +95,7 @@
 	quota := &agent.QuotaConfig{
 		Voters:    object.Texts("keepers"),
 		ShareTerm: object.Duration("term", defaultQuotaTerm),
-		Number:    uint64(object.Int("number", 1, 1, 1<<30)),
+		Revision:  uint64(object.Int("number", 1, 1, 1<<30)),
 		Folder:    object.Text("folder", ""),
 	}
 	if !slices.Contains([]int{1, 3, 5}, len(quota.Voters)) {
@@ -107,7 +107,7 @@
 	if object.HasField("number") && hasFleetPolicy {
 		object.Reject("number", "none where there is fleet.policy: totals follow the policy's number")
 	} else if hasFleetPolicy {
-		quota.Number = 0
+		quota.Revision = 0
 	}
 	quota.SlowStart = object.Bool("cold", false)
 	if quota.SlowStart {
