--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -10,78 +10,78 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// attempt is one attempt to have a request served by an engine.
+// attempt is one execution attempt of a request on an engine.
 type attempt struct {
-	// These don't change.
+	// Set at creation. Only assign changes any of them: it replaces statement and idempotencyToken by copies.
 	request          *request
-	client           engineClient // nil for an answer from the journal
+	client           engineClient // nil if the engine is no longer listed, and for an answer from the journal
 	engineID         admission.EngineID
 	requestID        admission.RequestID
-	number           int // of the request's attempts, from 0
+	number           int // position among the request's attempts, from 0
 	class            string
 	timeout          admission.Time
-	sendBy           admission.Time // from then on it must not be written; 0: no limit
-	memoryMB         float64        // that the engine is granted
+	sendBy           admission.Time // the attempt must not be written at or after this time; 0: no limit
+	memoryMB         float64        // memory that the engine may use for the attempt; 0: not set
 	statement        []byte
-	idempotencyToken []byte // by which engines detect a repeated request; nil if there is none
+	idempotencyToken []byte // lets engines detect a repeated request; nil if the client sent none
 
-	// state is attemptUnwritten, attemptWritten or attemptWithdrawn; every goroutine may read and change it.
+	// state is attemptUnwritten, attemptWritten or attemptWithdrawn. Any goroutine may read and change it.
 	state atomic.Int32
 
-	// The owner's.
+	// Used by the owner's goroutine only.
 	ended         bool
-	resent        bool              // it must not be sent again if its connection breaks before it is written
-	handedOver    bool              // the responder was told to send it
-	cancelOutcome admission.Outcome // reported once the cancellation is over; Served: nothing is left to report
+	resent        bool              // if its connection breaks before it is written, it is not sent again
+	handedOver    bool              // passed to the responder for sending
+	cancelOutcome admission.Outcome // reported once the cancellation has completed; Served: nothing is left to report
 	stopTimer     func()
 	charge        attemptCharge
 
 	// Guarded by the engine pool's mutex.
-	conn       *engineConn // nil until it is assigned to one
+	conn       *engineConn // nil until the attempt is assigned to a connection
 	priority   int
 	sentAt     time.Time
-	idleBefore time.Duration // how long the connection was idle before
+	idleBefore time.Duration // how long the connection had been idle when the attempt was assigned to it
 	cancelled  bool
-	finished   bool // it has its last answer or needs none; what still comes for it is ignored
+	finished   bool // its last answer has arrived or is no longer needed; later answers are ignored
 
-	// The connection reader's until the attempt has ended, then the owner's and the session's.
+	// Used by the goroutine that reads the connection until the attempt ends, then by the owner and the session.
 	result        attemptResult
-	progressNotes int              // that the engine sent
-	loadReport    admission.Report // of the engine, if the deployment has engines tell it in answers; else NoReport
+	progressNotes int              // number of progress notices from the engine
+	loadReport    admission.Report // the engine's load report if the deployment's answers contain one, else NoReport
 }
 
-// attemptCharge is what an attempt is charged to its resource group.
+// attemptCharge is what the resource groups charged for an attempt.
 type attemptCharge struct {
 	estimate admission.Estimate
 	threads  float64
 	charged  float64
-	// policyRevision names the rules that allowed the attempt; 0 if they can't change.
+	// policyRevision identifies the operator's rules that allowed the attempt; 0 if those rules can't change.
 	policyRevision uint64
 }
 
-// attemptResult is the result of an attempt as far as it has come.
+// attemptResult holds the pages of an attempt's result that have arrived so far, and its cost.
 type attemptResult struct {
-	pages        [][]byte // nil until the first page is there
+	pages        [][]byte // nil until the first page arrives
 	missingPages int
 	bytes        int
-	work         admission.Time // that the engine spent, as the first page tells
-	memoryMB     float64        // that the engine used, as the first page tells
+	work         admission.Time // work that the engine spent, as reported with the first page
+	memoryMB     float64        // memory that the engine used, as reported with the first page
 }
 
-// The states of an attempt on its way to the socket.
+// The states of an attempt before and after it is written to the socket.
 const (
 	attemptUnwritten int32 = iota
 	attemptWritten
 	attemptWithdrawn
 )
 
-// withdraw keeps an attempt from being written, and reports whether it was not written yet.
+// withdraw prevents an attempt from being written. It reports false if the attempt is already written or withdrawn.
 func (a *attempt) withdraw() bool { return a.state.CompareAndSwap(attemptUnwritten, attemptWithdrawn) }
 
-// cancel tells the engine that the attempt, or what is missing of its result, is given up.
+// cancel notifies the engine that the attempt, or the rest of its result, is no longer needed.
 func (a *attempt) cancel() {
 	conn := a.conn
-	if conn == nil { // it was withdrawn before it had a connection
+	if conn == nil { // withdrawn before it was assigned to a connection
 		return
 	}
 	conn.pool.mu.Lock()
@@ -101,14 +101,14 @@
 	if !open {
 		return
 	}
-	// An engine doesn't answer the command. It answers with a failure when it is asked for a page of a request that it
-	// doesn't know, which tells that it knows of the cancellation.
+	// An engine doesn't answer the cancel command. Therefore a page of the request is requested as well: an engine that has
+	// handled the cancellation no longer knows the request and answers with a failure.
 	conn.write(func() net.Buffers {
 		return net.Buffers{resp.AppendArray(nil, command, string(a.requestID)), resp.AppendArray(nil, "page", string(a.requestID), "1")}
 	}, ignoreFailure)
 }
 
-// setPriority changes the attempt's priority, and tells the engine if the attempt was written.
+// setPriority changes the attempt's priority, and notifies the engine if the attempt is already written.
 func (a *attempt) setPriority(priority int) {
 	conn := a.conn
 	if conn == nil {
@@ -123,8 +123,8 @@
 	}
 }
 
-// release removes the attempt from its connection, where it was kept to recognise late answers. The request is over, and
-// its id doesn't come again.
+// release removes the attempt from its connection, which keeps it to recognize late answers. It is called once the request
+// has its final answer, after which the request's id is not used again.
 func (a *attempt) release() {
 	conn := a.conn
 	if conn == nil {
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -14,7 +14,8 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// onDial has connections to engines dialled by a hook. It must be called before any engine is listed.
+// onDial has the gateway dial engines by calling hook, which gets the original dial function. It must be called before any engine
+// is listed.
 func (s *fixture) onDial(hook func(address string, dial func(string) (net.Conn, error)) (net.Conn, error)) {
 	s.onOwner(func(admission.Time) {
 		dial := s.o.dial
@@ -23,7 +24,7 @@
 	s.sync()
 }
 
-// listEngine has the owner take in an engine's state at once.
+// listEngine passes an engine's state directly to the owner, without the engine list.
 func (s *fixture) listEngine(e *fakeEngine, state admission.EndpointState) {
 	e.fixture = s
 	s.onOwner(func(now admission.Time) {
@@ -32,11 +33,12 @@
 	s.sync()
 }
 
+// listing returns an update of the engine list with a single engine.
 func listing(e *fakeEngine, state admission.EndpointState) []admission.Endpoint {
 	return []admission.Endpoint{{Engine: admission.EngineID(e.name), State: state}}
 }
 
-// slowDial holds the first dial to an engine back until goOn is closed.
+// slowDial delays the first dial to an engine until goOn is closed. dialled receives a value when that dial begins.
 func (s *fixture) slowDial(e *fakeEngine) (dialled chan bool, goOn chan bool) {
 	dialled, goOn = make(chan bool, 1), make(chan bool)
 	var held atomic.Bool
@@ -50,8 +52,8 @@
 	return dialled, goOn
 }
 
-// An engine is told to drain, or is gone, while an attempt waits for a connection to it: that goes elsewhere, and not a byte of it
-// goes to the engine once the connection is up.
+// An engine starts to drain, or is removed, while an attempt waits for a connection to it. The attempt must go to another engine,
+// and no byte of it may be written to the first engine once the connection is established.
 func TestDrainWhileAConnectionComesUp(t *testing.T) {
 	for state, name := range map[admission.EndpointState]string{admission.Draining: "drains", admission.Gone: "gone"} {
 		t.Run(name, func(t *testing.T) {
@@ -61,7 +63,7 @@
 			dialled, goOn := s.slowDial(e)
 			s.listEngine(e, admission.Live)
 			a := s.newClient()
-			a.sendLoad("aa") // which may not run twice: so it was known that it had not
+			a.sendLoad("aa") // must not run twice, so a second attempt shows that the gateway knows that nothing ran
 			<-dialled
 			s.listEngine(f, admission.Live)
 			s.listEngine(e, state)
@@ -69,7 +71,7 @@
 			a.expectAnswer()
 			close(goOn)
 			s.requireOnlyReceives(f, "bb")
-			if state == admission.Draining { // the connection is up by now, and can be used again
+			if state == admission.Draining { // the connection is established by now, and can be used again
 				s.listEngine(e, admission.Live)
 				s.listEngine(f, admission.Draining)
 				s.requireOnlyReceives(e, "cc")
@@ -78,7 +80,8 @@
 	}
 }
 
-// brokenConn is a connection that the other side may have reset: then the write of an attempt is refused whole.
+// brokenConn is a connection that fails the write of an attempt before its first byte while breaks returns true, as if the
+// peer had reset it.
 type brokenConn struct {
 	net.Conn
 	breaks func() bool
@@ -91,7 +94,7 @@
 	return c.Conn.Write(b)
 }
 
-// breakFirst has the first write of an attempt be refused, right after before is called.
+// breakFirst makes the first write of an attempt fail, after calling before.
 func (s *fixture) breakFirst(before func()) {
 	var broken atomic.Bool
 	breaks := func() bool {
@@ -110,7 +113,8 @@
 	})
 }
 
-// A connection that was broken before the first byte proves that nothing ran: also what must not run twice goes out again.
+// A connection that broke before the first byte of an attempt was written proves that nothing ran, so even a request that must not
+// run twice is sent again.
 func TestBrokenBeforeTheFirstByte(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
@@ -126,7 +130,8 @@
 	}
 }
 
-// The drain comes between the write that was refused and the second try on another connection: there is none.
+// An engine starts to drain between the failed write of an attempt and its second write on another connection. The second write
+// must not happen.
 func TestDrainBeforeTheSecondWrite(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t)
@@ -140,17 +145,18 @@
 	a.sendLoad("aa")
 	select {
 	case h := <-e.received:
-		t.Fatalf("the draining engine heard %q", h.parts)
+		t.Fatalf("the draining engine received %q", h.parts)
 	case h := <-f.received:
 		f.reply(h.c, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	}
 	a.expectAnswer()
 	if len(e.received) > 0 || !strings.Contains(s.out.String(), "client gets: rows") {
-		t.Errorf("%s\nthe draining engine heard %d", s.out.String(), len(e.received))
+		t.Errorf("%s\nthe draining engine received %d commands", s.out.String(), len(e.received))
 	}
 }
 
-// A deduplicated request must not reach an engine after the time for which engines remember it, however long the connection takes.
+// A deduplicated request must not reach an engine after the time for which engines remember its first attempt, however long the
+// connection to the engine takes.
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixtureWith(t, customer)
@@ -164,24 +170,25 @@
 	s.listEngine(e, admission.Draining)
 	k.Close()
 	<-dialled
-	s.advanceClock(2 * admission.Second) // the window
+	s.advanceClock(2 * admission.Second) // the deduplication window
 	close(goOn)
 	a.expectAnswer()
-	if !strings.Contains(s.out.String(), "client gets: error 1203") { // all engines dropped repeats, so a new request is harmless
+	if !strings.Contains(s.out.String(), "client gets: error 1203") { // engines would have detected a repeat, so a new request of the client is harmless
 		t.Error(s.out.String())
 	}
 	if len(f.received) > 0 {
-		t.Errorf("the engine heard %q", (<-f.received).parts)
+		t.Errorf("the engine received %q", (<-f.received).parts)
 	}
 }
 
-// endlessAnswer is a way in which an engine answers a request without an end.
+// endlessAnswer is a way in which an engine answers a request without ever stopping. code is the log code with which the gateway
+// ends the connection.
 type endlessAnswer struct {
 	what, code string
 	flood      func(k net.Conn)
 }
 
-// writeForever writes answers until the connection ends.
+// writeForever returns a function that writes the answers that next returns until the connection ends.
 func writeForever(next func(n int) []byte) func(k net.Conn) {
 	return func(k net.Conn) {
 		for n := 0; ; n++ {
@@ -192,6 +199,7 @@
 	}
 }
 
+// endlessAnswers returns the endless answers to the request with the given id.
 func endlessAnswers(id string) []endlessAnswer {
 	return []endlessAnswer{
 		{"notes", "bad_answer", writeForever(func(n int) []byte {
@@ -217,7 +225,7 @@
 	}
 }
 
-// Answers without an end, whole or in part, end their connection, and the request goes out again.
+// Endless answers, or a single answer that grows without end, end their connection, and the request is sent again.
 func TestEndlessAnswers(t *testing.T) {
 	const id = "00000000000000aa"
 	for _, c := range endlessAnswers(id) {
@@ -230,7 +238,7 @@
 			k := e.receive()
 			go c.flood(k)
 			s.awaitLog("code=" + c.code)
-			for { // pages of the first try may have been asked for
+			for { // the gateway may have requested pages of the first attempt's result
 				h := <-e.received
 				if h.parts[0] == "do" {
 					e.reply(h.c, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -6,17 +6,17 @@
 	"magpiebank/internal/admission"
 )
 
-// Clock tells the owner the time and sets its timers.
+// Clock provides the owner's time and timers.
 type Clock interface {
 	Now() admission.Time
-	// After calls f once, from any goroutine, when d has passed. stop cancels the call.
+	// After calls f once, from any goroutine, after the duration d. stop cancels the call.
 	After(d admission.Time, f func()) (stop func())
 }
 
 // timeUnit is the unit of admission.Time.
 const timeUnit = 100 * time.Microsecond
 
-// wallClock is the Unix time at the start, advanced by the monotonic clock, so that it never goes back.
+// wallClock is a Clock whose time is the Unix time at its creation plus the monotonic time since then, so that it never goes backwards.
 type wallClock struct{ start time.Time }
 
 func newWallClock() wallClock { return wallClock{time.Now()} }
--- a/internal/router/clock_skew_off.go
+++ b/internal/router/clock_skew_off.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// skewElapsed returns a time unchanged. Builds for the testbed replace it by one that skews clocks.
+// skewElapsed returns a duration unchanged. Builds with the tag testbed replace it by a version that skews the clock.
 func skewElapsed(since time.Duration) time.Duration { return since }
--- a/internal/router/clock_skew_testbed.go
+++ b/internal/router/clock_skew_testbed.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// In a build for the testbed the clock runs at a rate and jumps once: MAGPIEBANK_CLOCK="1.05 -60s 5s" is a twentieth fast, and
-// jumps a minute back five seconds after the start. A jump back holds the clock where it was, because the owner's time never
-// goes back.
+// The skew of the clock, set by MAGPIEBANK_CLOCK in builds for the testbed: the clock runs at a constant rate and jumps once.
+// With MAGPIEBANK_CLOCK="1.05 -60s 5s" it runs 5 % fast, and jumps back by 60 s when 5 s have passed since the start. The
+// owner's time never goes backwards, so after a jump back it stands still until the clock has caught up.
 var rate, jump, jumpAt = func() (rate float64, jump, at time.Duration) {
 	var by, when string
 	rate = 1
@@ -21,6 +21,7 @@
 	return rate, jump, at
 }()
 
+// skewElapsed applies the configured skew to a duration since the start.
 func skewElapsed(since time.Duration) time.Duration {
 	off := time.Duration(float64(since) * rate)
 	if jump != 0 && since >= jumpAt {
--- a/internal/router/cut_test.go
+++ b/internal/router/cut_test.go
@@ -10,7 +10,8 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// kept counts what the router holds for clients and requests: nothing once they are over.
+// retainedCount returns how many sessions, requests, statement bytes and lingering connections the router holds. It must be 0 once
+// all clients have disconnected.
 func (s *fixture) kept() (n int) {
 	done := make(chan struct{})
 	s.onOwner(func(admission.Time) {
@@ -23,7 +24,8 @@
 	return n + s.o.clients.sessions + s.o.clients.lingering
 }
 
-// A client that resets its connection after any byte of its login and query harms nobody, and nothing is kept of it.
+// A client that resets its connection after any byte of its login and query doesn't affect other clients, and the router retains
+// nothing for it.
 func TestClientResetsAtEveryByte(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -38,12 +40,12 @@
 		_ = asTCP(c).SetLinger(0)
 		c.Close()
 	}
-	eventually(t, "nothing is kept of clients that are gone", func() bool { return s.kept() == 0 })
-	eventually(t, "each left one line", func() bool { return strings.Count(s.log.String(), "side=client") == len(whole) })
+	eventually(t, "nothing is retained for disconnected clients", func() bool { return s.kept() == 0 })
+	eventually(t, "each client has one log line", func() bool { return strings.Count(s.log.String(), "side=client") == len(whole) })
 	s.requireOnlyReceives(e, "bb")
 }
 
-// An engine that resets its connection after any byte of its answer costs one attempt: the request is answered by the next.
+// An engine that resets its connection after any byte of its answer fails one attempt, and the next attempt of the request succeeds.
 func TestEngineResetsAtEveryByte(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -63,7 +65,7 @@
 		h.c.Close()
 		h = <-e.received
 		if h.parts[0] != "do" || h.parts[1] != id {
-			t.Fatalf("after %d bytes the engine heard %q", cut, h.parts)
+			t.Fatalf("after %d bytes the engine received %q", cut, h.parts)
 		}
 		_, _ = h.c.Write(whole)
 		a.expectAnswer()
@@ -72,10 +74,11 @@
 		}
 	}
 	a.socket.Close()
-	eventually(t, "nothing is kept of what is over", func() bool { return s.kept() == 0 })
+	eventually(t, "nothing is retained after the last request", func() bool { return s.kept() == 0 })
 }
 
-// A list whose answer breaks off after any byte is asked again under the number that is held, and what it tells whole counts.
+// After an incomplete answer of the engine list, cut off at any byte, the router polls again from the same index and ignores the
+// incomplete answer. A complete answer is applied.
 func TestListBreaksOffAtEveryByte(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixtureWith(t, strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":10000`, 1))
@@ -96,13 +99,13 @@
 	known := make(chan int, 1)
 	s.onOwner(func(admission.Time) { known <- len(s.o.engines) })
 	if n := <-known; n != 0 {
-		t.Errorf("%d engines known from answers that broke off", n)
+		t.Errorf("%d engines known from incomplete answers", n)
 	}
 	_, _ = polled(t, l).Write([]byte(whole))
 	s.requireOnlyReceives(e, "aa")
 }
 
-// An order to stop before any engine was told of changes nothing: what is in hand is answered.
+// A stop before any engine is listed still lets the router answer its outstanding requests.
 func TestStopBeforeTheFirstList(t *testing.T) {
 	s := startFixture(t)
 	a := s.newClient()
@@ -110,13 +113,13 @@
 	s.awaitRequests(1)
 	close(s.stop)
 	s.awaitLog("stopping")
-	eventually(t, "the router refuses requests", s.o.clients.isShuttingDown)
+	eventually(t, "the router rejects requests", s.o.clients.isShuttingDown)
 	s.advanceClock(2 * admission.Second)
 	a.expectAnswer()
 	select {
 	case <-s.ended:
 	case <-time.After(eventuallyTimeout):
-		t.Error("it did not end")
+		t.Error("the router did not stop")
 	}
 	if !strings.Contains(s.out.String(), "client gets: error 1203") {
 		t.Error(s.out.String())
--- a/internal/router/driver_test.go
+++ b/internal/router/driver_test.go
@@ -13,7 +13,8 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// ask sends a query and counts the rows of its result, each of which must be as the engine makes it.
+// ask sends a query and returns the number of rows in its result. It fails the test if a row differs from what the fake engine
+// generates.
 func ask(ctx context.Context, t *testing.T, db *sql.DB, class, id, statement string) (rows int, err error) {
 	t.Helper()
 	got, err := db.QueryContext(ctx, "/* class="+class+",id="+id+",wait=1900 */ "+statement)
@@ -31,7 +32,7 @@
 	return rows, got.Err()
 }
 
-// errorNumber returns the number of an error packet, 0 for other errors.
+// errorNumber returns the number of a MySQL error packet, or 0 for other errors.
 func errorNumber(err error) uint16 {
 	var e *driver.MySQLError
 	errors.As(err, &e)
@@ -41,8 +42,7 @@
 	return e.Number
 }
 
-// The server's side against a client that others wrote: ping, rows, an answer that failed, a cancelled context, a
-// refusal.
+// The gateway works with an independent MySQL client: ping, rows, a failed answer, a cancelled context and a rejection.
 func TestDriver(t *testing.T) {
 	_ = driver.SetLogger(&driver.NopLogger{})
 	e, err := fake.StartEngine("e-1", "127.0.0.1:0", fake.EngineBehavior{Threads: 4, Cores: 8, Works: []fake.Work{
@@ -73,7 +73,7 @@
 	}
 	e.FailQueries(1)
 	if _, err := ask(ctx, t, db, "load", "00000000000000a2", "SELECT a FROM actas_3.m"); errorNumber(err) != 1317 {
-		t.Errorf("an answer that failed: %v", err)
+		t.Errorf("a failed answer: %v", err)
 	}
 	e.FailQueries(0)
 	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
@@ -83,20 +83,21 @@
 	}
 	entry.State = "Gone"
 	list.Publish(entry)
-	for by := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until the gateway has heard of it
+	for by := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until the gateway has received the update
 		_, err := ask(ctx, t, db, "look", fmt.Sprintf("%016x", time.Now().UnixNano()), "SELECT a FROM actas_3.m")
 		if errorNumber(err) == 1203 {
 			break
 		}
 		if time.Now().After(by) {
-			t.Fatalf("no engine: %v", err)
+			t.Fatalf("without an engine, the query ended with: %v", err)
 		}
 	}
 	_ = db.Close()
 	stop()
 }
 
-func Example_lull() { // lines of a list that is away and asked four times a second, in seconds
+// Prints the times, in seconds, at which a failure is logged that repeats four times a second, with one success at 250 s.
+func Example_lull() {
 	var l logLimiter
 	from := time.Unix(0, 0)
 	for n := range 4 * 300 {
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -7,8 +7,9 @@
 	"magpiebank/internal/admission"
 )
 
-// handleEndpoints applies an update of the engine list: it retires the clients of engines that left or moved, makes
-// clients for new ones, and tells everything that follows the list. addresses has one entry for each endpoint.
+// handleEndpoints applies an update of the engine list. It retires the clients of engines that were removed or moved to
+// another address, creates clients for new engines, and passes the update to the resource groups, the journal's listings, the
+// peers and the admission controller. addresses has one entry for each endpoint.
 func (o *owner) handleEndpoints(now admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint, addresses []string) {
 	if kind != admission.PartialUpdate {
 		o.retireUnlisted(endpoints)
@@ -29,7 +30,7 @@
 	o.withdrawUnwrittenAttempts(now, endpoints)
 }
 
-// retireUnlisted retires the clients of engines that a complete list no longer has.
+// retireUnlisted retires the clients of engines that are missing from a complete engine list.
 func (o *owner) retireUnlisted(endpoints []admission.Endpoint) {
 	for name, client := range o.engines {
 		if !slices.ContainsFunc(endpoints, func(e admission.Endpoint) bool { return e.Engine == name }) {
@@ -39,8 +40,8 @@
 	}
 }
 
-// updateEngineClient replaces the client of an engine that moved to another address, and removes that of one that is
-// gone. Attempts in flight on a retired client end by themselves.
+// updateEngineClient creates the client of a new engine, replaces the client of an engine that moved to another address, and
+// removes the client of an engine that is gone. Attempts in flight on a retired client run to their end.
 func (o *owner) updateEngineClient(endpoint admission.Endpoint, address string) {
 	client := o.engines[endpoint.Engine]
 	moved := client != nil && address != "" && client.dialAddress() != address
@@ -54,9 +55,9 @@
 	}
 }
 
-// withdrawUnwrittenAttempts ends the attempts at engines that take nothing new any more, as far as no byte of them was
-// written: they wait for a connection, which may come up only after the time that the deployment allows for the last
-// attempts. They end in the order of their request ids, so that a run can be repeated.
+// withdrawUnwrittenAttempts ends the unwritten attempts at engines that moved or no longer accept attempts. Such an attempt waits for
+// a connection, which may be established only after the time up to which the deployment allows attempts at the engine. The
+// attempts end in the order of their request ids, so that runs are reproducible.
 func (o *owner) withdrawUnwrittenAttempts(now admission.Time, endpoints []admission.Endpoint) {
 	closed := func(a *attempt) bool {
 		return o.engines[a.engineID] != a.client ||
@@ -70,7 +71,7 @@
 	}
 	slices.SortFunc(late, func(a, b *attempt) int { return cmp.Compare(a.requestID, b.requestID) })
 	for _, attempt := range late {
-		attempt.resent = true // it isn't sent again if its connection breaks now
+		attempt.resent = true // prevents a second send if its connection breaks now
 		if attempt.withdraw() {
 			attempt.request.responder.cancelAttempt(attempt)
 			o.handleAttemptEnd(now, attempt, admission.Unreachable)
@@ -78,7 +79,7 @@
 	}
 }
 
-// recordListings keeps where engines are, for the journal.
+// recordListings stores the endpoints of the listed engines. The journal records an engine's zone and group from them.
 func (o *owner) recordListings(kind admission.UpdateKind, endpoints []admission.Endpoint) {
 	if kind != admission.PartialUpdate && kind != admission.FailedPoll {
 		clear(o.listings)
--- a/internal/router/engine_answer.go
+++ b/internal/router/engine_answer.go
@@ -12,38 +12,38 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// Commands of engines, the second part of an answer.
+// The commands of engines. A command is the second part of an answer.
 const (
-	answerNotice    = "news"   // on an attempt that runs
-	answerFirstPage = "data"   // the first page of a result, with what it cost
+	answerNotice    = "news"   // a progress notice on a running attempt
+	answerFirstPage = "data"   // the first page of a result, with the result's cost
 	answerPage      = "page"   // a further page
 	answerFull      = "full"   // the engine has no capacity
-	answerNotRun    = "moot"   // the engine did not begin
-	answerFailed    = "failed" // the attempt failed, or the engine does not know it
+	answerNotRun    = "moot"   // the engine did not start the attempt
+	answerFailed    = "failed" // the attempt failed, or the engine doesn't know it
 )
 
-// By the protocol, the most that a result and a page of it may hold.
+// Size limits of the protocol for a result and for each of its pages.
 const (
 	maxResultBytes = 48000
 	maxPageBytes   = 6000
-	maxPages       = 64 // more than the longest result has, as pages end at rows
+	maxPages       = 64 // more than the longest result has, although pages hold whole rows and may be shorter than the limit
 )
 
 const (
-	// maxUnexpectedAnswers is how many answers in a row may come that nobody waits for: all pages of the results that a
-	// connection's requests may have asked for and given up meanwhile.
+	// maxUnexpectedAnswers limits the answers in a row that no attempt waits for. It covers all pages of the results that
+	// the attempts on a connection may have requested and then abandoned.
 	maxUnexpectedAnswers = 16 * maxPages
-	// progressNoteBurst is how many notices an attempt may bring at once, and progressNotesPerInterval how many in the
-	// interval in which one is usual.
+	// An engine normally sends one notice per notice interval on an attempt. progressNoteBurst is the number of notices
+	// allowed at any time, and progressNotesPerInterval the additional number for each interval since the attempt was sent.
 	progressNoteBurst        = 64
 	progressNotesPerInterval = 8
 )
 
-// minAnswerParts is the least that an answer has: a request's id and a command.
+// minAnswerParts is the minimum number of parts of an answer: the request id and the command.
 const minAnswerParts = 2
 
-// readAnswer reads until an engine's next answer is complete. It returns the answer's parts, which lie in the reader's
-// buffer until size bytes are discarded. beforeWait is called each time that it may have to wait.
+// readAnswer reads until an engine's next answer is complete. The returned parts point into the reader's buffer and are valid
+// until the caller discards the answer's size bytes. beforeWait is called before each read that may block.
 func readAnswer(reader *bufio.Reader, parts [][]byte, beforeWait func()) (answer [][]byte, size int, err error) {
 	for {
 		buffered, _ := reader.Peek(reader.Buffered())
@@ -65,8 +65,8 @@
 	}
 }
 
-// handleAnswer handles one answer: a request's id, a command, and fields and a body where it has them. It reports whether
-// the answer could be read; otherwise nothing that follows on the connection can be trusted.
+// handleAnswer handles one answer, which consists of a request id, a command, and optionally fields and a body. It reports
+// false if the answer is invalid, or exceeds a limit on notices or unexpected answers. The connection can't be trusted after that.
 func (c *engineConn) handleAnswer(parts [][]byte) bool {
 	requestID := admission.RequestID(parts[0])
 	command := string(parts[1])
@@ -78,10 +78,10 @@
 		body = parts[3]
 	}
 	attempt, cancelled := c.recordAnswer(requestID)
-	if attempt == nil { // it came late, twice or for nobody
+	if attempt == nil { // a late or repeated answer, or one for an unknown request
 		return c.tolerateUnexpected()
 	}
-	if cancelled { // only that the engine doesn't know it any more counts
+	if cancelled { // a failure shows that the engine has handled the cancellation; other answers don't matter
 		if command == answerFailed {
 			c.endAttempt(attempt, admission.Errored)
 			return true
@@ -110,8 +110,8 @@
 	return true
 }
 
-// recordAnswer records that an answer came. It returns the attempt that waits for it, nil if none does, and whether the
-// attempt was cancelled.
+// recordAnswer records the arrival of an answer. It returns the attempt that waits for the answer, or nil if there is none, and
+// whether that attempt is cancelled.
 func (c *engineConn) recordAnswer(id admission.RequestID) (waiting *attempt, cancelled bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -123,13 +123,13 @@
 	return waiting, waiting.cancelled
 }
 
-// tolerateUnexpected counts an answer that nobody waits for, and reports whether the connection can still be trusted.
+// tolerateUnexpected counts an answer that no attempt waits for. It reports false after too many of them in a row.
 func (c *engineConn) tolerateUnexpected() bool {
 	c.unexpectedAnswers++
 	return c.unexpectedAnswers <= maxUnexpectedAnswers
 }
 
-// handleNotice passes on a notice on an attempt. A notice that can't be read is ignored.
+// handleNotice posts a progress notice to the owner. An invalid notice is ignored. It reports false after too many notices.
 func (c *engineConn) handleNotice(attempt *attempt, fields []byte) bool {
 	if !attempt.acceptNotice(time.Now(), c.pool.owner.noticeInterval()) {
 		return false
@@ -140,7 +140,8 @@
 	return true
 }
 
-// acceptNotice counts a notice and reports whether an engine may have sent so many, where one in each interval is usual.
+// acceptNotice counts a progress notice, and reports whether the count is within the limit. interval is the usual time between
+// two notices.
 func (a *attempt) acceptNotice(now time.Time, interval time.Duration) bool {
 	a.progressNotes++
 	limit := progressNoteBurst
@@ -150,7 +151,7 @@
 	return a.progressNotes <= limit
 }
 
-// handleFirstPage stores the first page of a result and asks for all others at once.
+// handleFirstPage stores the first page of a result and requests all further pages at once.
 func (c *engineConn) handleFirstPage(attempt *attempt, fields, body []byte) bool {
 	if attempt.result.pages != nil {
 		return c.tolerateUnexpected()
@@ -174,7 +175,7 @@
 	return true
 }
 
-// requestPages asks for all pages of a result but the first.
+// requestPages requests all pages of a result except the first.
 func (c *engineConn) requestPages(attempt *attempt, pages int) {
 	c.write(func() net.Buffers {
 		var commands []byte
@@ -185,7 +186,7 @@
 	}, ignoreFailure)
 }
 
-// handlePage stores a further page of a result. One that was not asked for is ignored.
+// handlePage stores a further page of a result. A page that was not requested counts as an unexpected answer.
 func (c *engineConn) handlePage(attempt *attempt, fields, body []byte) bool {
 	page, err := strconv.Atoi(string(resp.FindField(fields, "page")))
 	pages := attempt.result.pages
@@ -195,7 +196,7 @@
 	return err == nil && c.storePage(attempt, page, body)
 }
 
-// storePage stores a copy of a page, and reports whether it can be one. The attempt is served once no page is missing.
+// storePage stores a copy of a page, and reports false if the page is invalid. The attempt is served once no page is missing.
 func (c *engineConn) storePage(attempt *attempt, page int, body []byte) bool {
 	result := &attempt.result
 	if result.pages[page] != nil {
@@ -214,7 +215,7 @@
 	return true
 }
 
-// endAttempt ends an attempt that has its last answer.
+// endAttempt ends an attempt whose last answer has arrived.
 func (c *engineConn) endAttempt(attempt *attempt, outcome admission.Outcome) {
 	c.unexpectedAnswers = 0
 	c.pool.mu.Lock()
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -14,47 +14,49 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// engineConn is a connection for attempts. The pool's mutex guards its fields, but for writeMu and unexpectedAnswers.
+// engineConn is a connection to an engine that carries attempts. The pool's mutex guards all its fields except writeMu and
+// unexpectedAnswers.
 type engineConn struct {
 	pool *enginePool
-	// attempts holds attempts until their requests are over, because late and repeated answers may come for them.
+	// attempts holds each attempt until its request has its final answer, to recognize late and repeated answers.
 	attempts map[admission.RequestID]*attempt
-	inFlight int        // attempts without a last answer
-	unsent   []*attempt // that wait for the connection to come up
-	socket   net.Conn   // nil until it is up
+	inFlight int        // number of attempts whose last answer is outstanding
+	unsent   []*attempt // attempts that wait until the connection is established
+	socket   net.Conn   // nil until the connection is established
 	lastUsed time.Time
-	// lastAnswerAt is when an answer came, or when the first of the attempts in flight was sent.
+	// lastAnswerAt is when the last answer arrived. It is reset when the connection is established, and when an attempt is
+	// assigned while none is in flight.
 	lastAnswerAt time.Time
-	// cancelSentAt is when a cancellation was sent; zero once any answer has come.
+	// cancelSentAt is when a cancellation was sent. Any later answer resets it to zero.
 	cancelSentAt time.Time
-	// answerBegunAt is when the first bytes of an incomplete answer came, answerGrewAt when its last ones did. The first is
-	// zero if there is none.
+	// answerBegunAt is when the first bytes of an incomplete answer arrived, and answerGrewAt when its latest bytes did.
+	// answerBegunAt is zero if there is no incomplete answer.
 	answerBegunAt, answerGrewAt time.Time
-	// unexpectedAnswers counts answers in a row that nobody waits for; it is the reader's.
+	// unexpectedAnswers counts the answers in a row that no attempt waits for. Only the reading goroutine uses it.
 	unexpectedAnswers int
 
 	writeMu sync.Mutex // held while bytes are written
 }
 
-// isUnresponsive tells whether nothing came after a cancellation, not even the answer that shows that it arrived. The
-// machine behind the connection may be gone, which a new connection tells sooner than a timeout.
+// isUnresponsive reports whether no answer followed a cancellation within the connect timeout, not even the one that confirms
+// the cancellation. The engine's machine may be down, which a new connection detects sooner than a timeout does.
 func (c *engineConn) isUnresponsive() bool {
 	return !c.cancelSentAt.IsZero() && time.Since(c.cancelSentAt) > c.pool.owner.network.ConnectTimeout
 }
 
 const (
-	// maxAnswerWaits bounds the time that a whole answer may take to come, in multiples of the time that its next bytes may
-	// take, so that an answer that grows without an end is ended.
+	// maxAnswerWaits limits the time until an answer is complete, in multiples of the time allowed for its next bytes. It
+	// ends connections on which an answer grows without end.
 	maxAnswerWaits = 4
-	// silentNoticeIntervals is how many notice intervals may pass without an answer while an attempt is in flight. Engines
-	// send notices at the interval give or take half of it.
+	// silentNoticeIntervals is how many notice intervals may pass without an answer while an attempt is in flight. The time
+	// between two notices deviates from the interval by up to half of it.
 	silentNoticeIntervals = 2
 )
 
-// setReadDeadline sets the time until which nothing need come on the connection. The next bytes of an incomplete answer,
-// and the first after a cancellation, have as long as a connection may take to come up. While an attempt is in flight,
-// silence over several notice intervals means that its answer is lost. Otherwise an idle connection stays open until the
-// engine would close it, and to a retired engine not at all. The caller holds the pool's mutex.
+// setReadDeadline sets the time until which the connection may receive nothing. The next bytes of an incomplete answer, and
+// the first answer after a cancellation, must arrive within the connect timeout. While an attempt is in flight, several notice
+// intervals without an answer mean that its answer is lost. An idle connection stays open for at most maxIdle, or is closed at
+// once if the engine is retired. The caller holds the pool's mutex.
 func (c *engineConn) setReadDeadline() {
 	if c.socket == nil {
 		return
@@ -85,15 +87,15 @@
 	c.socket.SetReadDeadline(deadline)
 }
 
-// noticeInterval is how often engines send a notice on an attempt that runs; 0 if they don't.
+// noticeInterval returns the interval at which engines send progress notices on a running attempt; 0 if they send none.
 func (o *owner) noticeInterval() time.Duration {
 	return time.Duration(o.deployment.NoticeInterval) * timeUnit
 }
 
-// usualAttemptBytes is room for an attempt's command but for long statements, which are copied.
+// usualAttemptBytes is the initial size of the buffer for an attempt's command without the statement, which is not copied.
 const usualAttemptBytes = 320
 
-// writeAttempt writes an attempt, unless it was withdrawn, its time to be sent is over, or the rules that allowed it are
+// writeAttempt writes an attempt, unless the attempt is withdrawn, its sendBy time has passed, or the rules that allowed it are
 // no longer in force. In the last two cases it ends the attempt.
 func (c *engineConn) writeAttempt(attempt *attempt) {
 	owner := c.pool.owner
@@ -131,7 +133,8 @@
 	}
 }
 
-// revokeAttempt ends an attempt that must not be written any more. Nothing ran, and it tells nothing of the engine.
+// revokeAttempt ends an attempt that must no longer be written. Nothing ran, and the outcome says nothing about the engine's
+// health.
 func (c *engineConn) revokeAttempt(attempt *attempt) {
 	if !attempt.withdraw() {
 		return
@@ -145,9 +148,9 @@
 	c.pool.owner.postAttemptEnd(attempt, admission.Unsent)
 }
 
-// write writes the buffers that build returns, if any. A connection that doesn't take them within the time in which
-// connections come up is closed, and its reader ends it. notBegun is called if not even the first byte was taken, because
-// the connection was broken before: that proves that nothing ran.
+// write writes the buffers that build returns, if any. If they can't be written within the connect timeout, write closes the
+// socket, and the reading goroutine ends the connection. notBegun is called if not even the first byte was written, which
+// proves that nothing ran.
 func (c *engineConn) write(build func() net.Buffers, notBegun func()) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -165,14 +168,15 @@
 	}
 }
 
-// ignoreFailure is for writes of which it doesn't matter whether they were begun.
+// ignoreFailure is the notBegun callback of writes for which it doesn't matter whether any byte was written.
 func ignoreFailure() {}
 
 func (c *engineConn) writeCommand(words ...string) {
 	c.write(func() net.Buffers { return net.Buffers{resp.AppendArray(nil, words...)} }, ignoreFailure)
 }
 
-// finishAttempt counts an attempt out that has its last answer or needs none. The caller holds the pool's mutex.
+// finishAttempt marks an attempt as finished, because its last answer has arrived or is no longer needed, and decrements
+// inFlight. The caller holds the pool's mutex.
 func (c *engineConn) finishAttempt(attempt *attempt) {
 	if attempt.finished {
 		return
@@ -182,8 +186,8 @@
 	c.lastUsed = time.Now()
 }
 
-// serve dials the connection, writes the attempts that waited for it and reads answers until the connection ends. It is
-// the connection's goroutine.
+// serve dials the connection, writes the attempts that waited for it, and reads answers until the connection ends. It runs on
+// the connection's own goroutine.
 func (c *engineConn) serve() {
 	code := "panic"
 	var dialError error
@@ -203,7 +207,7 @@
 	code = c.readAnswers()
 }
 
-// writeUnsent puts the connection into use and writes the attempts that waited for it.
+// writeUnsent makes the connection available to the pool and writes the attempts that waited for it.
 func (c *engineConn) writeUnsent(socket net.Conn) {
 	c.pool.mu.Lock()
 	c.socket, c.lastAnswerAt = socket, time.Now()
@@ -219,7 +223,7 @@
 	}
 }
 
-// end takes the connection out of the pool and ends the attempts that were in flight on it. It returns their number.
+// end removes the connection from the pool, ends the attempts that are in flight on it and returns their number.
 func (c *engineConn) end(code string, dialError error) (inFlight int) {
 	written, unwritten, inFlight := c.takeAttempts()
 	c.pool.owner.usage.engineConnections.Add(-1)
@@ -228,8 +232,8 @@
 	return inFlight
 }
 
-// takeAttempts takes the connection out of the pool and withdraws what was not written. It waits for a write in progress,
-// because the writer then knows whether it had begun.
+// takeAttempts removes the connection from the pool and withdraws its unwritten attempts. It first waits for a write in
+// progress, because only then is it known whether any byte of that attempt was written.
 func (c *engineConn) takeAttempts() (written, unwritten []*attempt, inFlight int) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -250,12 +254,13 @@
 	return written, unwritten, inFlight
 }
 
-// leavePool keeps the pool from assigning attempts to the connection. The caller holds the pool's mutex.
+// leavePool removes the connection from the pool, so that it gets no further attempts. The caller holds the pool's mutex.
 func (c *engineConn) leavePool() {
 	c.pool.conns = slices.DeleteFunc(c.pool.conns, func(other *engineConn) bool { return other == c })
 }
 
-// endUnwritten ends attempts of which nothing ran.
+// endUnwritten ends attempts that were not written, so nothing ran. If the connection was established before it broke, the
+// owner decides whether to send them again.
 func (c *engineConn) endUnwritten(attempts []*attempt, dialError error) {
 	for _, attempt := range attempts {
 		switch {
@@ -269,17 +274,17 @@
 	}
 }
 
-// closeCrossingTime is how long the protocol lets a request cross a close.
+// closeRaceWindow is the time in which, according to the protocol, a request and the close of its connection may cross.
 const closeCrossingTime = 50 * time.Millisecond
 
-// endWritten ends attempts that may have run. Only the first of them counts as a reset, because all were lost by one fault,
-// and none does if the engine's answers were at fault or the connection had been idle for too long.
+// endWritten ends attempts that may have run. At most the first of them counts as a reset, because a single fault broke them
+// all. None does if the connection ended because of invalid or missing answers, or because it had been idle for too long.
 func (c *engineConn) endWritten(attempts []*attempt, code string) {
 	outcome := admission.Reset
 	if code == "bad_answer" || code == "cut_short" || code == "mute" {
 		outcome = admission.Lost
 		if len(attempts) > 0 {
-			time.Sleep(closeCrossingTime) // the engine notices the close before another engine gets a retry
+			time.Sleep(closeCrossingTime) // lets the engine detect the close before another engine gets a retry
 		}
 	}
 	for _, attempt := range attempts {
@@ -291,7 +296,7 @@
 	}
 }
 
-// isLocalShortage tells whether a dial failed because this machine lacks descriptors, memory or ports.
+// isLocalShortage reports whether a dial failed because this machine is out of descriptors, memory or ports.
 func isLocalShortage(err error) bool {
 	for _, want := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, want) {
@@ -301,13 +306,13 @@
 	return false
 }
 
-// readAnswers reads answers until the connection ends, was idle for too long, or brings nothing where it should. It
-// returns the reason, as the log has it.
+// readAnswers reads answers until the connection ends, has been idle for too long, or is silent although an answer is due. It
+// returns the reason as a log code.
 func (c *engineConn) readAnswers() (code string) {
 	reader := bufio.NewReaderSize(c.socket, resp.MaxBulkBytes)
 	var parts [][]byte
-	// finalDeadline is when a connection whose deadline has passed is ended, as bytes that came while this process stood
-	// still still count. It is zero before the deadline.
+	// finalDeadline is when a connection whose read deadline has passed is ended. The delay gives a last chance to bytes that
+	// arrived while this process was stalled. It is zero until the read deadline has passed.
 	var finalDeadline time.Time
 	beforeWait := func() {
 		c.pool.mu.Lock()
@@ -346,10 +351,11 @@
 	}
 }
 
-// discard drops bytes that the reader has buffered, which can't fail.
+// discard discards bytes that the reader has buffered. It can't fail, because they are already in the buffer.
 func discard(reader *bufio.Reader, buffered int) { _, _ = reader.Discard(buffered) }
 
-// noteAnswerBytes records how many bytes of the next answer are there. The caller holds the pool's mutex.
+// noteAnswerBytes records the progress of an incomplete answer, of which the given number of bytes is buffered. The caller
+// holds the pool's mutex.
 func (c *engineConn) noteAnswerBytes(bytes int) {
 	switch {
 	case bytes == 0:
@@ -362,8 +368,8 @@
 	}
 }
 
-// expire takes a connection out of the pool whose deadline has passed, and returns the reason; empty if the connection
-// was used meanwhile.
+// expire removes a connection whose read deadline has passed from the pool, and returns the reason as a log code. It returns an
+// empty code, and keeps the connection, if the connection was used in the meantime.
 func (c *engineConn) expire() (code string) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -14,20 +14,21 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-func TestPagesAreGatheredInOrder(t *testing.T) { // gathered in order, whatever order they come in; one connection carries two requests
+// Pages may arrive in any order, and one connection carries two requests.
+func TestPagesAreGatheredInOrder(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.onOwner(func(admission.Time) { s.o.usage.engineConnectionLimit = 0 }) // so that attempts share connections
+	s.onOwner(func(admission.Time) { s.o.usage.engineConnectionLimit = 0 }) // makes attempts share connections
 	a, b, c := s.newClient(), s.newClient(), s.newClient()
 	a.sendLook("aa")
 	k := e.receive()
 	b.sendLook("bb")
 	if e.receive() != k {
-		t.Error("the second attempt came on another connection")
+		t.Error("the second attempt arrived on another connection")
 	}
 	c.sendLook("cc")
 	if e.receive() == k {
-		t.Error("the third attempt came on the same connection")
+		t.Error("the third attempt arrived on the same connection")
 	}
 	e.reply(k, "00000000000000aa", "data", "pages=3,cost=120,need=64", "a\tb\tc\n")
 	e.receive()
@@ -44,7 +45,9 @@
 	s.compareTrace("pages")
 }
 
-func TestLostPageIsRetried(t *testing.T) { // nothing was passed on yet, so the module decides: here it hands off again
+// If a page is lost, the client has received nothing yet, so the admission controller decides what happens. Here it starts another
+// attempt.
+func TestLostPageIsRetried(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
@@ -59,7 +62,8 @@
 	s.compareTrace("lost pages")
 }
 
-func TestResetIsRetriedWhereTheClassAllows(t *testing.T) { // the one may run again, of the other nothing is known
+// An idempotent request is retried; the other may have run, so it fails.
+func TestResetIsRetriedWhereTheClassAllows(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t, e, f)
 	s.announceEngine(f, "Terminating")
@@ -78,7 +82,8 @@
 	s.compareTrace("reset")
 }
 
-func TestRefusedConnectionProvesThatNothingRan(t *testing.T) { // proof that nothing ran: even a request that must not run twice goes elsewhere
+// A refused connection proves that nothing ran, so even a request that must not run twice goes to another engine.
+func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
 	e, f := newFakeEngine(t, "e2"), newFakeEngine(t, "e1")
 	e.listener.Close()
 	s := startFixture(t)
@@ -94,7 +99,8 @@
 	s.compareTrace("refused")
 }
 
-func TestSilentEngineTimesOut(t *testing.T) { // a time-out, an answer after it, and another request on the same session
+// An attempt times out, its answer arrives too late, and the session's next request is served.
+func TestSilentEngineTimesOut(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
@@ -113,7 +119,8 @@
 	s.compareTrace("silent")
 }
 
-func TestUnaskedPagesArePassedOver(t *testing.T) { // what nobody asked for is passed over, and the client gets no part of it
+// The client gets no part of pages that were not requested.
+func TestUnaskedPagesArePassedOver(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
@@ -135,7 +142,8 @@
 	s.compareTrace("odd pages")
 }
 
-func TestReportOfNobodyIsPassedOver(t *testing.T) { // where answers hold reports, one for no request is passed over like its rows
+// If answers contain load reports, an answer for no request is ignored together with its report.
+func TestReportOfNobodyIsPassedOver(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	s.onOwner(func(admission.Time) { s.o.network.ReportsInAnswers = true })
@@ -148,8 +156,9 @@
 	s.compareTrace("gauges of nobody")
 }
 
-// A spoilt or missing answer ends its connection, with a code; it says little of the engine, and a request that may run
-// again goes out once more while one that may not is written off. Other requests have connections of their own.
+// An invalid or missing answer ends its connection with a log code. It says little about the engine's health. A request that may
+// run again is sent again, and one that must not run twice fails. Other requests are not affected, because they have connections of
+// their own.
 func TestSpoiltAnswerEndsItsConnection(t *testing.T) {
 	const id = "00000000000000aa"
 	var out strings.Builder
@@ -190,7 +199,8 @@
 	s.compareTrace("spoilt")
 }
 
-func TestSilentConnectionIsNotUsedAgain(t *testing.T) { // after an undo that was never heard of, a new connection is tried
+// A connection on which a cancellation was not confirmed is replaced by a new one.
+func TestSilentConnectionIsNotUsedAgain(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
@@ -204,12 +214,13 @@
 	time.Sleep(s.o.network.ConnectTimeout + time.Millisecond)
 	a.sendLook("bb")
 	if e.receive() == k {
-		t.Error("the next attempt came on the silent connection")
+		t.Error("the next attempt arrived on the silent connection")
 	}
 	s.compareTrace("gone without a sign")
 }
 
-// Where the next do overtook the undo on another connection, the engines held two copies of a request.
+// A retry must not overtake the cancellation (undo) of the previous attempt on another connection, because the engines would then
+// hold two copies of the request.
 func TestRetryWaitsForTheUndo(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t, e)
@@ -223,7 +234,7 @@
 	e.receive()
 	s.advanceClock(10 * admission.Millisecond)
 	if len(f.received) > 0 {
-		t.Error("a second copy went out before the first was known to be given up")
+		t.Error("a second copy was sent before the engine confirmed the cancellation of the first")
 	}
 	s.announceEngine(e, "Terminating")
 	e.reply(k, "00000000000000aa", "failed", "-", "")
@@ -233,8 +244,8 @@
 	s.compareTrace("called off")
 }
 
-// A connection that breaks at the request after a rest was dropped by then: later ones rest for half as long at most,
-// and the engine is not held at fault.
+// A connection that breaks at the first request after an idle time was dropped while it was idle. The idle time of later
+// connections is limited to half of that, and the break doesn't count as a failure of the engine.
 func TestIdleConnectionsRestShorterAfterABreak(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -271,18 +282,18 @@
 	})
 	d := <-fresh
 	if d >= s.o.engineIdleTimeout() {
-		t.Errorf("rests of %v", d)
+		t.Errorf("the limit on idle times is %v", d)
 	}
 	time.Sleep(d)
 	m := ask("cc")
 	if m == k {
-		t.Error("a connection was used again after the rest that broke one")
+		t.Error("a connection was used again after the idle time that broke another one")
 	}
 	answer(m, "cc")
 	s.compareTrace("stale")
 }
 
-// What this process lacks is not the engine's failure.
+// A dial that fails because this machine is out of descriptors or ports is not a failure of the engine.
 func TestLackOfDescriptorsIsNotTheEnginesFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.EADDRNOTAVAIL, syscall.ECONNREFUSED, syscall.ECONNRESET} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
--- a/internal/router/engine_pool.go
+++ b/internal/router/engine_pool.go
@@ -8,24 +8,25 @@
 	"magpiebank/internal/admission"
 )
 
-// enginePool holds the connections to one engine and assigns attempts to them. An attempt has a connection of its own
-// while descriptors allow; otherwise it shares one with as many as the deployment allows. Health checks have a connection
-// of their own.
+// enginePool holds the connections to one engine and assigns attempts to them. Each attempt has a connection of its own while
+// enough descriptors are free. Otherwise attempts share connections, up to the deployment's limit of attempts per connection.
+// Health checks use a separate connection.
 type enginePool struct {
 	owner          *owner
 	name           admission.EngineID
 	address        string
-	checkRequested chan struct{} // holds a value while a health check is wanted; closed once the engine is retired
+	checkRequested chan struct{} // holds a value while a health check is requested; closed once the engine is retired
 
 	mu      sync.Mutex
 	conns   []*engineConn
 	retired bool
-	// staleIdle is how long connections may be idle since one broke at a request; 0: none did. staleAt is when one last did.
+	// staleIdle limits the idle time of connections after an idle one broke when it was used again; 0: none broke so far.
+	// staleAt is when a connection last broke in this way.
 	staleIdle time.Duration
 	staleAt   time.Time
 }
 
-// newEnginePool returns an engine's pool without connections, and starts its health checker, which retire ends.
+// newEnginePool returns a pool without connections for an engine, and starts its health checker, which retire stops.
 func newEnginePool(o *owner, name admission.EngineID, address string) *enginePool {
 	pool := &enginePool{owner: o, name: name, address: address, checkRequested: make(chan struct{}, 1)}
 	go (&healthChecker{pool: pool}).run()
@@ -37,11 +38,11 @@
 func (p *enginePool) requestHealthCheck() {
 	select {
 	case p.checkRequested <- struct{}{}:
-	default: // one is wanted already
+	default: // one is already requested
 	}
 }
 
-// retire ends the health checks, and the connections once no attempt is in flight on them.
+// retire stops the health checks, and has each connection closed once no attempt is in flight on it.
 func (p *enginePool) retire() {
 	close(p.checkRequested)
 	p.mu.Lock()
@@ -64,8 +65,8 @@
 	}
 }
 
-// send assigns an attempt to a connection and writes it, if the connection is up; otherwise the connection's goroutine
-// writes it once it is. A withdrawn attempt is not sent.
+// send assigns an attempt to a connection. It writes the attempt if the connection is established; otherwise the connection's
+// goroutine writes it as soon as that is the case. A withdrawn attempt is not sent.
 func (p *enginePool) send(a *attempt) {
 	if a.state.Load() == attemptWithdrawn {
 		return
@@ -82,10 +83,10 @@
 	}
 }
 
-// reusableConn returns the connection with the fewest attempts in flight, and of idle ones the last used; nil if none
-// can take another attempt. An attempt gets a connection of its own while descriptors allow, because a connection that
-// breaks fails all attempts on it. A request goes out once on a connection, so that an answer to an earlier attempt is
-// not taken for a later one's. The caller holds mu.
+// reusableConn returns the connection with the fewest attempts in flight, and among equals the most recently used one. It
+// returns nil if no connection can take another attempt. Connections with few attempts are preferred because a connection that
+// breaks fails all attempts on it. A request is sent only once on a connection, so that an answer to an earlier attempt is not
+// mistaken for an answer to a later one. The caller holds mu.
 func (p *enginePool) reusableConn(id admission.RequestID) *engineConn {
 	var best *engineConn
 	maxIdle := p.maxIdle()
@@ -111,9 +112,8 @@
 	return conn
 }
 
-// assign adds an attempt to the connection and reports whether the connection is up. If it is not, the attempt waits
-// for it with copies of its statement and token, because the client session may reuse their buffer. The caller holds
-// the pool's mu.
+// assign adds an attempt to the connection and reports whether the connection is established. If it is not, the attempt waits
+// with copies of its statement and token, because the client session may reuse their buffer. The caller holds the pool's mu.
 func (c *engineConn) assign(a *attempt) (connected bool) {
 	a.conn, a.sentAt, a.idleBefore = c, time.Now(), 0
 	connected = c.socket != nil
@@ -136,17 +136,17 @@
 }
 
 const (
-	// staleHalfLife is how long a limit on idle times holds until it doubles: some hundred attempts of a busy gateway, of
-	// which few are lost to find out whether it still must hold.
+	// staleHalfLife is the time after which the limit on idle times doubles. A busy gateway makes some hundred attempts in
+	// that time, so only a small part of them is lost to find out whether the limit is still needed.
 	staleHalfLife = 10 * time.Second
-	// maxStaleDoublings keeps the shift from overflowing.
+	// maxStaleDoublings keeps the shift in maxIdle from overflowing.
 	maxStaleDoublings = 20
-	// minStaleIdle is the shortest idle time that explains a broken connection.
+	// minStaleIdle is the shortest idle time that is accepted as the reason why a connection broke.
 	minStaleIdle = 20 * time.Millisecond
 )
 
-// maxIdle returns how long a connection may have been idle to be used again: until the engine would close it, or less
-// while connections are known to have broken after a shorter time. The caller holds mu.
+// maxIdle returns the longest idle time after which a connection may be used again: engineIdleTimeout, or less if idle
+// connections have recently broken after a shorter time. The caller holds mu.
 func (p *enginePool) maxIdle() time.Duration {
 	limit := p.owner.engineIdleTimeout()
 	if p.staleIdle > 0 {
@@ -155,8 +155,9 @@
 	return limit
 }
 
-// noteStaleConnection reports whether a connection broke at an attempt because it had been idle: the engine, or what lies
-// between, had dropped it, which tells nothing of the engine now. Idle times are limited to half of that one from then on.
+// noteStaleConnection reports whether a connection broke at an attempt because it had been idle. In that case the engine, or a
+// device on the network path, had dropped the idle connection, which says nothing about the engine's current health. Idle times
+// are then limited to half of the idle time that broke the connection.
 func (p *enginePool) noteStaleConnection(attempt *attempt) bool {
 	if attempt.idleBefore < minStaleIdle || time.Since(attempt.sentAt) > p.owner.network.ConnectTimeout {
 		return false
@@ -167,8 +168,8 @@
 	return true
 }
 
-// engineIdleTimeout is when an idle connection is closed: before the engine would close it, so that no request crosses
-// its close.
+// engineIdleTimeout returns the idle time after which the gateway closes a connection to an engine. It is shorter than the
+// engine's own idle timeout, so that no request is sent while the engine closes the connection.
 func (o *owner) engineIdleTimeout() time.Duration {
 	return max(o.network.IdleTimeout-o.network.ConnectTimeout, o.network.IdleTimeout/2)
 }
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -6,7 +6,7 @@
 	"magpiebank/internal/admission"
 )
 
-// event is what other goroutines may tell the owner. Each is a small struct below, and handleEvent has a case for it.
+// event is a message from another goroutine to the owner. Each event type below has a case in handleEvent.
 type event interface{ isEvent() }
 
 // queuedEvent is an event with the time at which it was posted.
@@ -19,32 +19,33 @@
 type (
 	// sessionOpened registers a session, so that a KILL can name its connection.
 	sessionOpened struct{ session *clientSession }
-	// sessionClosed ends the request in hand of a session that has ended, and removes the session.
+	// sessionClosed removes a session that has ended, and ends its outstanding request.
 	sessionClosed struct{ session *clientSession }
-	// requestReceived hands in a request whose client waits for the given time.
+	// requestReceived submits a request. The request's deadline is the given wait time after the event.
 	requestReceived struct {
 		session *clientSession
 		request *request
 		wait    admission.Time
 	}
-	// clientLeft tells that nobody waits for a request any more.
+	// clientLeft reports that the client of a request has disconnected or no longer waits for the answer.
 	clientLeft struct{ request *request }
-	// killRequested tells of a client's KILL of the query on a connection.
+	// killRequested reports that a client sent KILL QUERY for a connection id.
 	killRequested struct{ connectionID uint32 }
 )
 
 // Events of attempts.
 type (
-	// attemptFinished tells how an attempt ended: an engine's last answer, a timeout, a cancellation or a broken connection.
+	// attemptFinished reports the end of an attempt: an engine's last answer, a timeout, a cancellation, or a connection that
+	// failed or broke.
 	attemptFinished struct {
 		attempt *attempt
 		outcome admission.Outcome
 	}
-	// attemptNotWritten tells that a connection broke before the attempt was written to it.
+	// attemptNotWritten reports that a connection broke before the attempt was written to it.
 	attemptNotWritten struct{ attempt *attempt }
-	// cancelTimedOut tells that an engine had long enough to hear that an attempt is cancelled.
+	// cancelTimedOut reports that an engine did not confirm the cancellation of an attempt in time.
 	cancelTimedOut struct{ attempt *attempt }
-	// progressReceived brings an engine's notice on an attempt that runs.
+	// progressReceived holds an engine's progress notice on a running attempt.
 	progressReceived struct {
 		request admission.RequestID
 		attempt int
@@ -55,13 +56,13 @@
 
 // Events of engines and discovery.
 type (
-	// endpointsUpdated brings endpoints of the engine list; addresses has one entry for each of them.
+	// endpointsUpdated holds an update of the engine list. addresses has one entry for each endpoint.
 	endpointsUpdated struct {
 		kind      admission.UpdateKind
 		endpoints []admission.Endpoint
 		addresses []string
 	}
-	// healthCheckFinished brings the result of a health check.
+	// healthCheckFinished holds the result of a health check.
 	healthCheckFinished struct {
 		engine  admission.EngineID
 		outcome admission.Outcome
@@ -71,21 +72,22 @@
 
 // Events of the request journal, the timer and the peers.
 type (
-	// attemptRecorded tells that the journal holds the start of an attempt, or why it can't.
+	// attemptRecorded reports that the journal has recorded the start of an attempt, or the error that prevented it.
 	attemptRecorded struct {
 		attempt *attempt
 		err     error
 	}
-	// answerRecorded tells that the journal holds a request's final answer, or can't; it is given in both cases.
+	// answerRecorded reports that the journal has recorded a request's final answer, or failed to. In both cases the client
+	// gets the answer.
 	answerRecorded struct {
 		request *request
 		answer  finalAnswer
 	}
-	// tickDue is the timer that the admission controller asked for.
+	// tickDue reports that a timer set by the admission controller has expired.
 	tickDue struct{}
-	// peerReportReceived brings what other gateways observed of an engine.
+	// peerReportReceived holds the other gateways' observations of an engine.
 	peerReportReceived struct{ report *admission.PeerReport }
-	// sharedCapacityChanged tells that requests which wait for a shared quota may have it now.
+	// sharedCapacityChanged reports that a shared quota may now have capacity for waiting requests.
 	sharedCapacityChanged struct{}
 )
 
@@ -106,17 +108,17 @@
 func (peerReportReceived) isEvent()    {}
 func (sharedCapacityChanged) isEvent() {}
 
-// post queues an event that happened now. It may be called from any goroutine and never waits.
+// post queues an event with the current time. It may be called from any goroutine and never blocks.
 func (o *owner) post(e event) { o.events.Put(queuedEvent{at: o.clock.Now(), event: e}) }
 
-// dispatch advances the owner's time to an event's and handles it. Events that raced to the queue are handled in its
-// order, so the time never goes back.
+// dispatch advances the owner's time to the time of an event and handles the event. Events of concurrent goroutines may be
+// queued in another order than that of their times; the owner's time still never goes backwards.
 func (o *owner) dispatch(queued queuedEvent) {
 	o.now = max(o.now, queued.at)
 	o.handle(o.now, queued.event)
 }
 
-// handleEvent handles one event, on the owner's goroutine.
+// handleEvent handles one event. It runs on the owner's goroutine.
 func (o *owner) handleEvent(now admission.Time, e event) {
 	switch e := e.(type) {
 	case sessionOpened:
@@ -158,7 +160,7 @@
 	}
 }
 
-// tick passes the timer on to all that keep time by it.
+// tick passes the expired timer to the resource groups, the journal, the peers and the admission controller.
 func (o *owner) tick(now admission.Time) {
 	if o.resourceGroups != nil {
 		o.resourceGroups.Tick(now)
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -14,7 +14,7 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// fakeEngine is an engine that hands a test what it receives. It answers health checks by itself.
+// fakeEngine is an engine that passes the commands that it receives to the test. It answers health checks itself.
 type fakeEngine struct {
 	fixture  *fixture
 	name     string
@@ -22,23 +22,25 @@
 	received chan receivedCommand
 }
 
+// receivedCommand is a command that a fakeEngine received, with the connection that it arrived on.
 type receivedCommand struct {
 	c     net.Conn
 	parts []string
 }
 
-// dialTCP and listenTCP leave the end of what they open to the caller.
+// dialTCP connects to a TCP address. The caller closes the connection.
 func dialTCP(address string) (net.Conn, error) {
 	var dialer net.Dialer
 	return dialer.DialContext(context.Background(), "tcp", address)
 }
 
+// listenTCP listens on a TCP address. The caller closes the listener.
 func listenTCP(address string) (net.Listener, error) {
 	var config net.ListenConfig
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// asTCP and asTCPListener panic if a test's connection or listener is not of TCP.
+// asTCP returns a test's connection as a TCP connection. It panics if the connection is of another type.
 func asTCP(c net.Conn) *net.TCPConn {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -47,6 +49,7 @@
 	return tcp
 }
 
+// asTCPListener returns a test's listener as a TCP listener. It panics if the listener is of another type.
 func asTCPListener(l net.Listener) *net.TCPListener {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
@@ -55,6 +58,7 @@
 	return tcp
 }
 
+// newFakeEngine starts a fake engine, whose listener is closed at the end of the test.
 func newFakeEngine(t *testing.T, name string) *fakeEngine {
 	t.Helper()
 	l, err := listenTCP("127.0.0.1:0")
@@ -75,6 +79,7 @@
 	return e
 }
 
+// read reads the commands on one connection until it ends.
 func (e *fakeEngine) read(c net.Conn) {
 	var buffer []byte
 	b := make([]byte, 4096)
@@ -104,26 +109,28 @@
 	}
 }
 
-// receive waits for the gateway's next command, and returns the connection that brought it.
+// receive waits for the gateway's next command, traces it, and returns the connection that it arrived on.
 func (e *fakeEngine) receive() net.Conn {
 	h := <-e.received
 	e.fixture.tracef("%s hears: %s", e.name, strings.Join(h.parts, " | "))
 	return h.c
 }
 
+// reply traces an answer and writes it.
 func (e *fakeEngine) reply(c net.Conn, parts ...string) {
 	e.fixture.tracef("%s says: %s", e.name, strings.Join(parts, " | "))
 	_, _ = c.Write(resp.AppendArray(nil, parts...))
 }
 
-// newClient connects a client, which logs in before it reads the greeting.
+// testClient is a client that speaks the MySQL protocol.
 type testClient struct {
 	fixture *fixture
 	socket  net.Conn
 	reader  *bufio.Reader
-	id      uint32
+	id      uint32 // connection id from the greeting
 }
 
+// newClient connects a client and logs it in. The client sends its login before it reads the greeting.
 func (s *fixture) newClient() *testClient {
 	c := s.dial()
 	c.login("app\x00\x00")
@@ -136,11 +143,12 @@
 	return c
 }
 
-// login sends a login of the protocol 4.1 with what follows its fixed part.
+// login sends a login packet of protocol 4.1. rest is the part after the fixed fields: the user name, the password and so on.
 func (c *testClient) login(rest string) {
 	c.send(1, append(append([]byte{0, 0x82, 0, 0}, make([]byte, 28)...), rest...))
 }
 
+// dial connects a client without a login.
 func (s *fixture) dial() *testClient {
 	c, err := dialTCP(s.address)
 	if err != nil {
@@ -150,10 +158,12 @@
 	return &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)}
 }
 
+// send writes a packet with the given sequence number.
 func (c *testClient) send(number byte, payload []byte) {
 	_, _ = c.socket.Write(append([]byte{byte(len(payload)), byte(len(payload) >> 8), 0, number}, payload...))
 }
 
+// readPacket reads the payload of the next packet, or returns a text if the connection has ended.
 func (c *testClient) packet() []byte {
 	head := make([]byte, mysql.HeaderSize)
 	if _, err := io.ReadFull(c.reader, head); err != nil {
@@ -165,16 +175,19 @@
 	return payload
 }
 
+// sendStatement traces a statement and sends it, without waiting for the answer.
 func (c *testClient) ask(sql string) {
 	c.fixture.tracef("client asks: %s", sql)
 	c.send(0, append([]byte{mysql.Query}, sql...))
 }
 
-// sendLook sends a query that may run again, sendLoad one that may not.
+// sendIdempotentQuery sends a query of the class look, which may run again.
 func (c *testClient) sendLook(id string) { c.sendRequest(id, "look", 5000) }
 
+// sendNonIdempotentQuery sends a query of the class load, which must not run twice.
 func (c *testClient) sendLoad(id string) { c.sendRequest(id, "load", 20000) }
 
+// sendRequest sends a query with the given class and wait in milliseconds. id holds the last two digits of the request id.
 func (c *testClient) sendRequest(id, class string, wait int) {
 	c.ask(fmt.Sprintf("/* class=%s,id=00000000000000%s,wait=%d */ SELECT a FROM t_7.x", class, id, wait))
 }
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -19,15 +19,16 @@
 	"magpiebank/internal/config"
 )
 
-var keep = flag.Bool("keep", false, "keep the traces as they come out now")
+var keep = flag.Bool("keep", false, "overwrite the golden files with the current traces")
 
-// manualClock stands still until a test advances it.
+// manualClock is a clock that only moves when a test advances it.
 type manualClock struct {
 	mu     sync.Mutex
 	now    admission.Time
 	timers map[*manualTimer]bool
 }
 
+// manualTimer is a timer of a manualClock; f is called at the time at.
 type manualTimer struct {
 	at admission.Time
 	f  func()
@@ -51,7 +52,8 @@
 	}
 }
 
-// next removes the earliest timer up to a time and moves the clock to it.
+// next removes the earliest timer that is due by until, moves the clock to its time and returns its function. If no timer is due,
+// next moves the clock to until and returns nil.
 func (c *manualClock) next(until admission.Time) func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,8 +72,8 @@
 	return first.f
 }
 
-// fixture is a gateway on loopback between clients, engines and an engine list that a test plays. It traces what they send
-// and receive.
+// fixture is a gateway on the loopback interface. The test plays the clients, the engines and the engine list, and the fixture
+// traces what they send and receive.
 type fixture struct {
 	t         *testing.T
 	clock     *manualClock
@@ -81,8 +83,8 @@
 	out       strings.Builder
 	log       lockedBuffer
 	address   string
-	list      chan string // events to come
-	polls     chan string // polls that came
+	list      chan string // answers that the engine list will give to the next polls
+	polls     chan string // request lines of the polls received
 	listIndex int
 	closers   []io.Closer
 
@@ -90,6 +92,7 @@
 	renewed chan *config.Config
 }
 
+// lockedBuffer is a buffer that several goroutines may write and read.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -114,12 +117,13 @@
  "limits":{"cancel":true,"maxAttempts":4,"multiplex":2,"keepaliveUs":30000000,"connectTimeoutUs":250000,
   "retryAfter":true,"maxRetryAfterUs":2000000},"rules":{}}`
 
-// startFixture starts a gateway that knows the given engines.
+// startFixture starts a gateway with the default settings that knows the given engines.
 func startFixture(t *testing.T, engines ...*fakeEngine) *fixture {
 	t.Helper()
 	return startFixtureWith(t, settings, engines...)
 }
 
+// startFixtureWith starts a gateway with the given settings that knows the given engines.
 func startFixtureWith(t *testing.T, settings string, engines ...*fakeEngine) *fixture {
 	t.Helper()
 	s := &fixture{t: t, clock: &manualClock{now: 17e12, timers: map[*manualTimer]bool{}}, stop: make(chan struct{}),
@@ -158,14 +162,15 @@
 	return s
 }
 
-// ownerCall is an event of the tests alone: a call on the owner's goroutine.
+// ownerCall is an event used only in tests. It calls a function on the owner's goroutine.
 type ownerCall func(now admission.Time)
 
 func (ownerCall) isEvent() {}
 
-// onOwner queues a call on the owner's goroutine.
+// onOwner queues a call of a function on the owner's goroutine.
 func (s *fixture) onOwner(call func(now admission.Time)) { s.o.post(ownerCall(call)) }
 
+// listen opens a listener that is closed with the fixture.
 func (s *fixture) listen() net.Listener {
 	l, err := listenTCP("127.0.0.1:0")
 	if err != nil {
@@ -175,16 +180,18 @@
 	return l
 }
 
+// serverJSON returns an engine's entry in the engine list.
 func entry(e *fakeEngine, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"hall","kind":"std","cell":0,"state":%q,"started_ms":0}`,
 		e.name, e.listener.Addr(), state)
 }
 
+// watchEvent returns an event of the engine list. If full is true, servers are the complete list.
 func watchEvent(index int, full bool, servers []string) string {
 	return fmt.Sprintf(`{"index":%d,"endpoints":{"full":%v,"servers":[%s]}}`, index, full, strings.Join(servers, ","))
 }
 
-// engineList serves an engine list with the events that a test announces, and returns its address.
+// engineList starts an engine list that serves the events announced by the test, and returns its address.
 func (s *fixture) engineList() string {
 	l := s.listen()
 	go func() {
@@ -196,14 +203,14 @@
 			go s.answerPolls(c)
 		}
 	}()
-	go func() { // polls that nobody waits for
+	go func() { // discards polls that no test waits for
 		for range s.polls {
 		}
 	}()
 	return l.Addr().String()
 }
 
-// answerPolls answers the polls on one connection, with no event if none is announced in time.
+// answerPolls answers the polls on one connection. The answer holds no event if the test announces none within 200 ms.
 func (s *fixture) answerPolls(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -225,7 +232,7 @@
 	}
 }
 
-// announceEngine announces an engine's state by the engine list, and waits until the gateway has taken it in.
+// announceEngine announces an engine's state through the engine list, and waits until the gateway has handled it.
 func (s *fixture) announceEngine(e *fakeEngine, state string) {
 	e.fixture = s
 	s.listIndex++
@@ -239,19 +246,20 @@
 	s.sync()
 }
 
+// tracef adds a line with the time since the start to the trace.
 func (s *fixture) tracef(format string, args ...any) {
 	what := strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", "\\n")
 	fmt.Fprintf(&s.out, "%8.1f ms  %s\n", float64(s.clock.Now()-17e12)/10, what)
 }
 
-// sync waits until the owner has handled the events that are queued.
+// sync waits until the owner has handled all events that are queued now.
 func (s *fixture) sync() {
 	done := make(chan struct{})
 	s.onOwner(func(admission.Time) { close(done) })
 	<-done
 }
 
-// advanceClock advances the clock, and has each timer that is due called.
+// advanceClock advances the clock and runs each timer that becomes due.
 func (s *fixture) advanceClock(d admission.Time) {
 	until := s.clock.Now() + d
 	for {
@@ -265,6 +273,7 @@
 	s.sync()
 }
 
+// close stops the gateway and closes all connections and listeners of the fixture.
 func (s *fixture) close() {
 	if s.o != nil {
 		s.stopGateway()
@@ -274,11 +283,11 @@
 	}
 }
 
-// nobody listens as long as the tests run, and never answers.
+// nobody returns a listener that never accepts or answers, and stays open as long as the test program runs.
 var nobody = sync.OnceValues(func() (net.Listener, error) { return listenTCP("127.0.0.1:0") })
 
-// stopGateway has the gateway leave its engine list and stop with no request in flight. Otherwise it would dial addresses that
-// the next test's servers get.
+// stopGateway ends all requests in flight, moves the gateway to an engine list that never answers and stops the gateway. Otherwise
+// it would dial addresses that the servers of the next test may get.
 func (s *fixture) stopGateway() {
 	l, err := nobody()
 	if err != nil {
@@ -297,13 +306,13 @@
 		}
 	})
 	select {
-	case <-s.stop: // by the test
+	case <-s.stop: // the test has stopped the gateway already
 	default:
 		close(s.stop)
 	}
 }
 
-// compareTrace compares the trace with the golden file of a name.
+// compareTrace closes the fixture and compares the trace with the golden file of the given name.
 func (s *fixture) compareTrace(name string) {
 	s.t.Helper()
 	s.close()
@@ -313,11 +322,11 @@
 		_ = os.WriteFile(path, []byte(s.out.String()), 0o644)
 	}
 	if want, err := os.ReadFile(path); err != nil || s.out.String() != string(want) {
-		s.t.Errorf("got:\n%s\nkept:\n%s\n%v\nlog:\n%s", s.out.String(), want, err, s.log.String())
+		s.t.Errorf("got:\n%s\nwant:\n%s\n%v\nlog:\n%s", s.out.String(), want, err, s.log.String())
 	}
 }
 
-// awaitRequests waits until the gateway has n requests in flight.
+// awaitRequests waits until the gateway has exactly n accepted requests without a final answer.
 func (s *fixture) awaitRequests(n int) {
 	for got := -1; got != n; {
 		answer := make(chan int)
@@ -326,7 +335,7 @@
 	}
 }
 
-// awaitLog waits until the log holds a text.
+// awaitLog waits until the log contains the given text.
 func (s *fixture) awaitLog(text string) {
 	for !strings.Contains(s.log.String(), text) {
 		time.Sleep(time.Millisecond)
--- a/internal/router/health_check.go
+++ b/internal/router/health_check.go
@@ -12,21 +12,21 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// healthChecker asks one engine for its load report, on a connection of its own.
+// healthChecker requests load reports from one engine, on a separate connection.
 type healthChecker struct {
 	pool     *enginePool
-	open     bool // there is a connection, or one is being dialled
+	open     bool // a connection is established or being dialled
 	socket   net.Conn
 	reader   *bufio.Reader
 	lastUsed time.Time
-	sequence int // of the last check, by which its answer is recognised
+	sequence int // number of the last check; its answer is recognized by it
 }
 
-// run makes a health check each time that one is requested, until the engine is retired. It is the checker's goroutine.
+// run performs a health check for each request until the engine is retired. It runs on the checker's own goroutine.
 func (h *healthChecker) run() {
 	for range h.pool.checkRequested {
 		outcome, report := h.checkRecovering()
-		// A connection may break, and an answer be spoilt, once with a sound engine.
+		// A healthy engine may also have a broken connection or an invalid answer once, so the check is repeated once.
 		if outcome != admission.Served && outcome != admission.Unreachable && !h.open {
 			outcome, report = h.checkRecovering()
 		}
@@ -35,7 +35,8 @@
 	h.closeConnection("retired", nil)
 }
 
-// checkRecovering makes one health check. A panic in it ends the connection and counts as the engine's failure.
+// checkRecovering performs one health check. It recovers from a panic, which ends the connection and counts as a failure of the
+// engine.
 func (h *healthChecker) checkRecovering() (outcome admission.Outcome, report admission.Report) {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -46,8 +47,8 @@
 	return h.check()
 }
 
-// check makes one health check. Its answer has as long as a connection to come up, because the deployment states no other
-// wait.
+// check performs one health check. The answer must arrive within the connect timeout, because the deployment defines no timeout
+// for health checks.
 func (h *healthChecker) check() (admission.Outcome, admission.Report) {
 	if time.Since(h.lastUsed) > h.pool.owner.engineIdleTimeout() {
 		h.closeConnection("idle", nil)
@@ -72,7 +73,7 @@
 	return outcome, report
 }
 
-// connect dials a connection unless there is one.
+// connect dials a connection unless one is open.
 func (h *healthChecker) connect() error {
 	if h.open {
 		return nil
@@ -88,14 +89,14 @@
 	return nil
 }
 
-// readReport reads until the answer with a tag has come. Answers to earlier checks are ignored.
+// readReport reads until the answer with the given tag arrives. Answers to earlier checks are ignored.
 func (h *healthChecker) readReport(tag string) (admission.Outcome, admission.Report, error) {
 	var parts [][]byte
 	for {
 		var size int
 		var err error
 		parts, size, err = readAnswer(h.reader, parts, func() {})
-		if errors.Is(err, os.ErrDeadlineExceeded) && hasInput(h.socket) { // it came while this process stood still
+		if errors.Is(err, os.ErrDeadlineExceeded) && hasInput(h.socket) { // it arrived while this process was stalled
 			err = readArrived(h.socket, h.reader, h.reader.Buffered()+1)
 			if err == nil {
 				continue
@@ -114,7 +115,7 @@
 	}
 }
 
-// parseHealthAnswer returns what an answer to a health check tells.
+// parseHealthAnswer returns the outcome and the load report of an answer to a health check.
 func parseHealthAnswer(parts [][]byte) (admission.Outcome, admission.Report) {
 	status := string(parts[1])
 	if status == "ill" || status == "failed" {
@@ -126,7 +127,7 @@
 	return admission.Served, admission.NoReport
 }
 
-// checkFailure returns how a health check ended of which the answer could not be read.
+// checkFailure returns the outcome of a health check whose answer could not be read.
 func checkFailure(err error) admission.Outcome {
 	switch {
 	case errors.Is(err, resp.ErrMalformedArray):
@@ -137,7 +138,7 @@
 	return admission.Reset
 }
 
-// closeConnection closes the connection, if there is one, and logs its end.
+// closeConnection closes the connection, if one is open, and logs its end.
 func (h *healthChecker) closeConnection(code string, fault any) {
 	if !h.open {
 		return
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -5,7 +5,7 @@
 	"magpiebank/internal/storage/requestjournal"
 )
 
-// host carries out the admission controller's decisions. Its methods run on the owner's goroutine.
+// host implements admission.Host: it carries out the admission controller's decisions. Its methods run on the owner's goroutine.
 type host struct{ owner *owner }
 
 // SendAttempt starts an attempt of a request at an engine.
@@ -28,7 +28,7 @@
 		o.peers.RecordAttempt(o.now, id, engine)
 		o.recordPlacement(request, Placement{Present: true, Engine: engine})
 	}
-	if client == nil { // the engine left the list within the same event
+	if client == nil { // the engine was removed from the list within the same event
 		o.postAttemptEnd(attempt, admission.Unreachable)
 		return
 	}
@@ -42,19 +42,19 @@
 	}
 }
 
-// RejectRequest sheds a request; its client may retry after the given time.
+// RejectRequest rejects a request; its client may retry after the given time.
 func (h host) RejectRequest(id admission.RequestID, retryAfter admission.Time) {
 	request := h.owner.requests[id]
 	h.owner.answerRequest(h.owner.now, request, requestjournal.Rejected, nil, requestRejected{retryAfter})
 }
 
-// FailRequest ends a request that may have run and must not run again.
+// FailRequest fails a request that may have run and must not run again.
 func (h host) FailRequest(id admission.RequestID) {
 	request := h.owner.requests[id]
 	h.owner.answerRequest(h.owner.now, request, requestjournal.Failed, nil, requestFailed{})
 }
 
-// SetAttemptTerms sets the memory that a request's next attempts are granted, and the priority of all.
+// SetAttemptOptions sets the memory granted to a request's next attempts, and the priority of its current and next attempts.
 func (h host) SetAttemptTerms(id admission.RequestID, memoryMB float64, priority int) {
 	request := h.owner.requests[id]
 	request.memoryMB, request.priority = memoryMB, priority
@@ -75,7 +75,8 @@
 	client.requestHealthCheck()
 }
 
-// HasSlowStartCapacity asks the peers whether a part of what a newly started engine may be sent is this gateway's to send.
+// HasSlowStartCapacity tries to reserve a fraction of an engine's slow-start quota, which the gateways share. It reports whether
+// this gateway has it, and false for shared if the gateways don't share such quotas.
 func (h host) HasSlowStartCapacity(name admission.EngineID, part float64) (available, shared bool) {
 	if h.owner.peers == nil {
 		return false, false
@@ -83,22 +84,22 @@
 	return h.owner.peers.TryReserveSlowStart(h.owner.now, name, part)
 }
 
-// SubscribeEndpoints has nothing to do, because the watcher follows the engine list from the start.
+// SubscribeEndpoints does nothing, because the watcher polls the engine list from the start.
 func (h host) SubscribeEndpoints() {}
 
-// ReportObservation tells the peers, if there are any, what the controller observed of an engine.
+// ReportObservation passes the controller's observation of an engine to the peers, if there are any.
 func (h host) ReportObservation(name admission.EngineID, observation admission.Observation, report admission.Report, allowedBytes float64) {
 	if h.owner.peers != nil {
 		h.owner.peers.RecordObservation(h.owner.now, name, observation, report, allowedBytes)
 	}
 }
 
-// ScheduleTick has the controller's Tick called at a time.
+// ScheduleTick has the controller's Tick method called at the given time.
 func (h host) ScheduleTick(at admission.Time) {
 	h.owner.clock.After(at-h.owner.clock.Now(), func() {
 		h.owner.post(tickDue{})
 	})
 }
 
-// LogEvent logs a decision.
+// LogEvent logs a decision of the controller.
 func (h host) LogEvent(text string) { h.owner.log.Info(text) }
--- a/internal/router/journal.go
+++ b/internal/router/journal.go
@@ -5,25 +5,26 @@
 	"magpiebank/internal/storage/requestjournal"
 )
 
-// Journal records requests durably, so that a restarted gateway knows which may have run and what was answered.
+// Journal records requests durably, so that a restarted gateway knows which requests may have run and how they were answered.
 type Journal struct {
 	Requests *requestjournal.Journal
-	// Failed returns why nothing can be recorded any more, and nil as long as it can.
+	// Err returns the reason why the journal can no longer record anything, or nil while it can.
 	Failed func() error
 
-	// Snapshot is what the previous process knew of engines and classes; nil if there is none.
+	// Snapshot is the previous process's knowledge about engines and classes; nil if there is none.
 	Snapshot *admission.Snapshot
 	// SaveSnapshot stores an encoded snapshot of this process.
 	SaveSnapshot func(encoded []byte)
 
-	snapshotAt admission.Time // when the last snapshot was taken
+	snapshotAt admission.Time // time of the last snapshot
 }
 
-// snapshotInterval is how often the admission controller's state is saved. Engines report a few times a second, so a
-// snapshot of that age still holds their limits; retry budgets and slow starts don't depend on its age.
+// snapshotInterval is the time between two snapshots of the admission controller's state. The engines' concurrency limits in a
+// snapshot of that age are still valid, because engines report only a few times a second. Retry budgets and slow starts don't
+// depend on the snapshot's age.
 const snapshotInterval = admission.Second
 
-// tick saves a snapshot when one is due, and passes the timer on to the request journal.
+// tick passes the expired timer to the request journal, and saves a snapshot if one is due.
 func (j *Journal) tick(now admission.Time, controller *admission.Controller) {
 	j.Requests.Tick(now)
 	if now-j.snapshotAt >= snapshotInterval {
@@ -32,8 +33,8 @@
 	}
 }
 
-// answerFromJournal answers a request that was answered before, and reports whether it did. A request that was in
-// flight when the previous process died goes on with what the journal knows of its attempts.
+// answerFromJournal answers a request that the journal has an answer for, and reports whether it did. A request that was in
+// flight when the previous process ended continues with the journal's record of its attempts.
 func (o *owner) answerFromJournal(request *request) bool {
 	status, entry := o.journal.Requests.Lookup(request.id)
 	switch {
@@ -46,7 +47,7 @@
 	case entry.Outcome == requestjournal.Served && entry.Complete():
 		request.responder.answer(requestServed{&attempt{request: request, result: attemptResult{pages: entry.Pages}}})
 	case entry.Outcome == requestjournal.Served:
-		request.responder.answer(requestDenied{"it was delivered before, and its rows are not kept"})
+		request.responder.answer(requestDenied{"the request was already answered, and its rows are not stored"})
 	case entry.Outcome == requestjournal.Failed, entry.Outcome == requestjournal.Abandoned && entry.MayHaveRun && o.mustNotRepeat(request):
 		request.responder.answer(requestFailed{})
 	default:
@@ -55,13 +56,14 @@
 	return true
 }
 
-// mustNotRepeat tells whether a second run of a request would do harm.
+// mustNotRepeat reports whether a request has effects that a second run would repeat, that is, whether its class is not
+// idempotent.
 func (o *owner) mustNotRepeat(request *request) bool {
 	return o.deployment.Classes[request.class].Effect != admission.Idempotent
 }
 
-// recordRequest records an accepted request and reports whether it may go on. If the journal has failed, a request that
-// must not run twice is rejected, because after a crash nobody would know that it was sent.
+// recordRequest records an accepted request and reports whether it may proceed. If the journal has failed, a request that must
+// not run twice is rejected, because after a crash there would be no record that it was sent.
 func (o *owner) recordRequest(now admission.Time, request *request) bool {
 	if o.mustNotRepeat(request) && o.journal.Failed() != nil {
 		request.responder.answer(requestRejected{o.deployment.RetryAfter})
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -13,62 +13,63 @@
 	"magpiebank/internal/traffic/capture"
 )
 
-// owner holds the state of the gateway and calls the admission controller. The goroutine of run handles the events, and
-// owns now, admission, requests, engines, sessions and listings. post, postAttemptEnd and the methods in router.go and
-// shutdown.go may run on other goroutines, and touch none of these while it runs. Other goroutines reach it through events; it reaches them through
-// the queues of sessions and the wake-up channels of engines, and never waits for either.
+// owner holds the gateway's state and calls the admission controller. Only the goroutine that executes run, called the owner's
+// goroutine, handles events and uses the fields now, admission, requests, engines, sessions and listings. post, postAttemptEnd
+// and the methods in router.go and shutdown.go may be called from other goroutines; they don't use these fields while run
+// executes. Other goroutines send events to the owner. The owner reaches them through the sessions' event queues and the
+// engines' wake-up channels, and never blocks on either.
 type owner struct {
 	clock          Clock
 	events         *eventqueue.Queue[queuedEvent]
-	handle         func(now admission.Time, e event) // handleEvent
+	handle         func(now admission.Time, e event) // handleEvent; tests replace it
 	log            *slog.Logger
 	network        *config.Network
 	deployment     *admission.Deployment
-	resourceGroups ResourceGroups    // nil if the operator has no classes
+	resourceGroups ResourceGroups    // nil without an operator's policy
 	journal        *Journal          // nil if requests are not recorded
-	peers          Peers             // nil if this gateway has no peers
+	peers          Peers             // nil if the gateway exchanges no messages with others
 	capture        *capture.Recorder // nil if requests are not captured
 	clients        connectionLimiter
 	usage          processUsage
 	stopped        atomic.Bool
 
-	// dial connects to an engine within the deployment's connect timeout.
+	// dial connects to an engine. The deployment's connect timeout applies.
 	dial func(address string) (net.Conn, error)
-	// newEngineClient makes the client for a newly listed engine.
+	// newEngineClient creates the client of a newly listed engine.
 	newEngineClient func(name admission.EngineID, address string) engineClient
 
 	now       admission.Time
 	admission *admission.Controller
-	requests  map[admission.RequestID]*request // accepted and without a final answer
+	requests  map[admission.RequestID]*request // accepted requests without a final answer
 	engines   map[admission.EngineID]engineClient
 	sessions  map[uint32]*clientSession                 // by connection id
-	listings  map[admission.EngineID]admission.Endpoint // kept for the journal alone
+	listings  map[admission.EngineID]admission.Endpoint // used for the journal only
 }
 
-// processUsage counts what the process uses of its limited resources. Every goroutine may read and change the counters.
+// processUsage counts how much of its limited resources the process uses. Any goroutine may read and change the counters.
 type processUsage struct {
-	statementBytes    atomic.Int64 // allocated for long statements
+	statementBytes    atomic.Int64 // bytes allocated for long statements
 	maxStatementBytes int64        // 0: no limit
 
-	engineConnections     atomic.Int64 // for attempts and health checks
-	engineConnectionLimit int64        // from this number on attempts share connections
+	engineConnections     atomic.Int64 // connections for attempts and health checks
+	engineConnectionLimit int64        // at or above this number of connections, attempts share connections
 
-	openConnections atomic.Int64 // of all kinds, until their end is logged
+	openConnections atomic.Int64 // connections of all kinds whose end is not logged yet
 }
 
 const (
-	// reservedDescriptors is the number of descriptors that the process needs besides connections of clients and engines:
-	// its streams, the poller's, the listener, the discovery connection, files that are being read, and connections
-	// that end while their successors begin.
+	// reservedDescriptors is the number of descriptors that the process needs besides connections to clients and engines:
+	// the standard streams, the network poller, the listener, the discovery connection, files being read, and connections
+	// that are closing while their replacements are already open.
 	reservedDescriptors = 24
-	// engineDescriptorShare is the part of the descriptors, one in so many, that connections to engines may hold before
-	// attempts share them.
+	// engineDescriptorShare is the divisor for the descriptors of connections to engines. Above 1/engineDescriptorShare of
+	// all descriptors, attempts share connections.
 	engineDescriptorShare = 3
-	// statementMemoryShare is the part of the memory limit, one in so many, that long statements may hold.
+	// statementMemoryShare is the divisor for the memory of long statements: 1/statementMemoryShare of the memory limit.
 	statementMemoryShare = 16
 )
 
-// newOwner returns the owner of a gateway that is configured by start. Nothing runs yet.
+// newOwner returns the owner of a gateway with the configuration start. It starts no goroutine.
 func newOwner(start *config.Config, clock Clock, log *slog.Logger) *owner {
 	o := &owner{
 		clock:      clock,
@@ -91,8 +92,8 @@
 	if descriptors := start.MaxDescriptors; descriptors > 0 {
 		forEngines := descriptors / engineDescriptorShare
 		o.usage.engineConnectionLimit = int64(forEngines)
-		// By the protocol clients hold a third of the descriptors. What remains beyond that lets the limiter meet
-		// connections that should not be there.
+		// According to the protocol, clients use at most a third of the descriptors. The limit also includes descriptors that
+		// would otherwise be unused, so that the limiter can handle client connections beyond that third.
 		o.clients.limit = max(descriptors/3, descriptors-forEngines-reservedDescriptors)
 	}
 	o.usage.maxStatementBytes = int64(start.MemoryMB) << 20 / statementMemoryShare
@@ -100,7 +101,7 @@
 	return o
 }
 
-// setResourceGroups installs an operator's rules. It must be called before the first event is handled.
+// setResourceGroups installs the operator's rules, if there are any. It must be called before the first event is handled.
 func (o *owner) setResourceGroups(groups ResourceGroups) {
 	if groups == nil {
 		return
@@ -109,8 +110,8 @@
 	o.admission.SetPolicy(groups)
 }
 
-// setJournal has requests recorded, and restores what the previous process knew. It must be called before the first event
-// is handled.
+// setJournal installs the journal that records requests, if there is one, and restores the previous process's snapshot. It must
+// be called before the first event is handled.
 func (o *owner) setJournal(journal *Journal) {
 	if journal == nil {
 		return
--- a/internal/router/owner_attempts.go
+++ b/internal/router/owner_attempts.go
@@ -5,7 +5,7 @@
 	"magpiebank/internal/storage/requestjournal"
 )
 
-// recordAttempt charges an attempt that is about to start to its request's class.
+// recordAttempt charges an attempt that is about to start to the class of its request.
 func (o *owner) recordAttempt(attempt *attempt) {
 	request := attempt.request
 	if !request.isLimited() {
@@ -17,7 +17,7 @@
 	request.waiting = false
 }
 
-// startAttempt has an attempt sent to its engine: at once, or once the journal holds that it may run.
+// startAttempt starts an attempt. It hands the attempt over at once, unless the journal must first record that it may run.
 func (o *owner) startAttempt(attempt *attempt, engine admission.EngineID) {
 	if o.journal != nil {
 		endpoint := o.listings[engine]
@@ -29,7 +29,7 @@
 	o.handOver(attempt)
 }
 
-// sendRecordedAttempt has an attempt sent that the journal holds. One that could not be recorded is never sent.
+// sendRecordedAttempt hands over an attempt that the journal has recorded. An attempt that could not be recorded is never sent.
 func (o *owner) sendRecordedAttempt(now admission.Time, attempt *attempt, err error) {
 	if attempt.ended {
 		return
@@ -42,14 +42,15 @@
 	o.handOver(attempt)
 }
 
-// handOver has the responder's goroutine send an attempt.
+// handOver passes an attempt to the responder, whose goroutine sends it.
 func (o *owner) handOver(attempt *attempt) {
 	attempt.handedOver = true
 	attempt.request.responder.sendAttempt(attempt, attempt.client)
 }
 
-// resendAttempt sends an attempt again whose connection broke before it was written, because that tells nothing of the
-// engine: the connection may have been closed while it was idle. A second time the engine counts as unreachable.
+// resendAttempt sends an attempt again whose connection broke before the attempt was written. The first such break says nothing
+// about the engine's health, because the connection may have been closed while it was idle. At a second break the engine counts
+// as unreachable.
 func (o *owner) resendAttempt(now admission.Time, attempt *attempt) {
 	if attempt.ended || attempt.resent {
 		o.handleAttemptEnd(now, attempt, admission.Unreachable)
@@ -60,12 +61,13 @@
 	attempt.request.responder.sendAttempt(attempt, attempt.client)
 }
 
-// postAttemptEnd tells the owner how an attempt ended. It may be called from any goroutine.
+// postAttemptEnd reports the outcome of an attempt to the owner. It may be called from any goroutine.
 func (o *owner) postAttemptEnd(attempt *attempt, outcome admission.Outcome) {
 	o.post(attemptFinished{attempt: attempt, outcome: outcome})
 }
 
-// handleAttemptEnd handles the end of an attempt. Several ends of one attempt may race; the first one counts.
+// handleAttemptEnd handles the end of an attempt. Several ends may be reported for one attempt; the first decides its outcome,
+// and a later one completes a cancellation.
 func (o *owner) handleAttemptEnd(now admission.Time, attempt *attempt, outcome admission.Outcome) {
 	if attempt.ended {
 		o.finishCancelledAttempt(now, attempt)
@@ -89,13 +91,13 @@
 	}
 }
 
-// cancelAttempt gives up an attempt that timed out or was cancelled. If it was never written it ends at once; otherwise
-// it ends when the engine tells that it knows of the cancellation, or has had the time to.
+// cancelAttempt cancels an attempt that timed out or was cancelled. The end of an attempt that was never written is reported at
+// once; otherwise it is reported when the engine confirms the cancellation or cancelTimeout has passed.
 func (o *owner) cancelAttempt(now admission.Time, attempt *attempt, outcome admission.Outcome) {
 	request := attempt.request
 	unwritten := admission.Unreachable
 	if request.clientLeft {
-		unwritten = admission.Unsent // it tells nothing of the engine
+		unwritten = admission.Unsent // the outcome says nothing about the engine
 	}
 	if !attempt.handedOver { // the journal has not recorded it yet, so nothing was written
 		o.reportAttemptEnd(now, attempt, admission.AttemptResult{Outcome: unwritten})
@@ -112,14 +114,14 @@
 	})
 }
 
-// cancelTimeout returns how long to wait for an engine to tell that it knows of a cancellation. A retry that overtook
-// the cancellation on another connection would be a second copy. It is as long as a connection may take to come up, but
-// never past the deadline, after which nothing is sent.
+// cancelTimeout returns how long to wait for an engine to confirm a cancellation. The wait is needed because a retry on another
+// connection could overtake the cancellation, and the request would run twice at the same time. The timeout is the connect
+// timeout, but doesn't extend beyond the request's deadline, after which nothing is sent.
 func (o *owner) cancelTimeout(now admission.Time, request *request) admission.Time {
 	return max(0, min(admission.Time(o.network.ConnectTimeout/timeUnit), request.deadline-now))
 }
 
-// finishCancelledAttempt reports the end of an attempt that was cancelled or timed out, unless that was done before.
+// finishCancelledAttempt reports the end of an attempt that was cancelled or timed out, unless it is already reported.
 func (o *owner) finishCancelledAttempt(now admission.Time, attempt *attempt) {
 	outcome := attempt.cancelOutcome
 	if outcome == admission.Served {
@@ -130,8 +132,8 @@
 	o.reportAttemptEnd(now, attempt, admission.AttemptResult{Outcome: outcome})
 }
 
-// reportAttemptEnd tells the admission controller that an attempt has ended, and before it the resource groups, the
-// peers and the journal. It fills in the result's request and load report.
+// reportAttemptEnd reports the end of an attempt to the resource groups, the peers, the journal and, last, the admission
+// controller. It fills in the result's request and load report.
 func (o *owner) reportAttemptEnd(now admission.Time, attempt *attempt, result admission.AttemptResult) {
 	request := attempt.request
 	if isLimited(&attempt.charge.estimate) {
@@ -152,7 +154,8 @@
 	o.admission.HandleAttemptEnd(now, result)
 }
 
-// isLimited tells whether the resource groups account for a request: in a class, or in one of a policy on trial.
+// isLimited reports whether the resource groups account for a request, because it belongs to a class of the policy in force or
+// of a policy in rehearsal.
 func (r *request) isLimited() bool { return isLimited(&r.estimate) }
 
 func isLimited(estimate *admission.Estimate) bool {
--- a/internal/router/owner_requests.go
+++ b/internal/router/owner_requests.go
@@ -5,15 +5,15 @@
 	"magpiebank/internal/storage/requestjournal"
 )
 
-// initialPriority is a request's priority at engines until the admission controller sets another one.
+// initialPriority is a request's priority at the engines until the admission controller sets another one.
 const initialPriority = 1
 
-// handleRequest accepts a request, or gives it its final answer at once: if its id is in use, if the journal knows the
-// answer, or if an operator's rule or a failed journal is against it.
+// handleRequest accepts a request, or gives it its final answer at once: if its id is in use, if the journal has the answer, if
+// an operator's rule forbids or rejects it, or if the journal can't record it.
 func (o *owner) handleRequest(now admission.Time, request *request) {
-	// The controller knows a killed request until its attempt ends.
+	// The controller keeps a killed request until its attempt ends.
 	if o.requests[request.id] != nil || o.admission.HasRequest(request.id) {
-		request.responder.answer(requestInvalid{"the id is in use"})
+		request.responder.answer(requestInvalid{"the request id is in use"})
 		return
 	}
 	if o.journal != nil && o.answerFromJournal(request) {
@@ -38,8 +38,8 @@
 	})
 }
 
-// classify puts a request into a class of the operator's and takes over its estimate. It reports whether the request
-// may go on; otherwise it has its final answer.
+// classify assigns a request to one of the operator's classes and sets its estimate. It reports whether the request may
+// proceed; otherwise it has given the request its final answer.
 func (o *owner) classify(now admission.Time, request *request) bool {
 	estimate, crowded, refusal := o.resourceGroups.Classify(now, request.statementReader)
 	if refusal != "" {
@@ -51,44 +51,44 @@
 		return false
 	}
 	estimate.Prior = request.estimate.Prior
-	if estimate.Work == 0 { // nothing was learned of such statements, so the client's own estimate stands
+	if estimate.Work == 0 { // nothing is known about such statements yet, so the client's estimate is used
 		estimate.Work, estimate.Memory = request.estimate.Work, max(estimate.Memory, request.estimate.Memory)
 	}
 	request.estimate, request.policyClass = estimate, estimate.PolicyClass
 	return true
 }
 
-// handleClientLeft ends a request for which nobody waits any more.
+// handleClientLeft ends a request whose client has disconnected or no longer waits.
 func (o *owner) handleClientLeft(now admission.Time, request *request) {
-	if request.answered { // its answer is on its way
+	if request.answered { // the final answer is already given
 		return
 	}
 	request.clientLeft = true
 	o.admission.HandleDisconnect(now, request.id)
-	if request.current != nil { // the controller can't cancel it any more, as it has let the request go
+	if request.current != nil { // the controller has removed the request, so it no longer cancels the attempt
 		o.handleAttemptEnd(now, request.current, admission.Cancelled)
 	}
 	o.answerRequest(now, request, requestjournal.Abandoned, nil, requestAbandoned{})
 }
 
-// killQuery ends the request of the session with a connection id, because its client stopped waiting.
+// killQuery ends the outstanding request, if any, of the session with the given connection id. Its client no longer waits.
 func (o *owner) killQuery(now admission.Time, connectionID uint32) {
 	if session := o.sessions[connectionID]; session != nil && session.request != nil {
 		o.handleClientLeft(now, session.request)
 	}
 }
 
-// closeSession removes a session that has ended, and ends a request that it could not see through.
+// closeSession removes a session that has ended, and ends its outstanding request.
 func (o *owner) closeSession(now admission.Time, session *clientSession) {
-	if o.sessions[session.connectionID] != session { // another one has got the same id
+	if o.sessions[session.connectionID] != session { // another session now has the same id
 		return
 	}
 	o.killQuery(now, session.connectionID)
 	delete(o.sessions, session.connectionID)
 }
 
-// answerRequest gives a request its final answer, once the journal holds it if another answer could be given after a
-// crash. An answer that can't be recorded is given all the same, because it is true now.
+// answerRequest gives a request its final answer. If a different answer could be given after a crash, the journal records the
+// answer first. An answer that can't be recorded is given anyway, because it is correct now.
 func (o *owner) answerRequest(now admission.Time, request *request, outcome requestjournal.Outcome, pages [][]byte, answer finalAnswer) {
 	o.removeRequest(request)
 	if o.journal != nil {
@@ -100,7 +100,7 @@
 	request.responder.answer(answer)
 }
 
-// removeRequest removes a request that is given its final answer.
+// removeRequest removes a request that gets its final answer.
 func (o *owner) removeRequest(request *request) {
 	request.answered = true
 	delete(o.requests, request.id)
--- a/internal/router/owner_test.go
+++ b/internal/router/owner_test.go
@@ -11,16 +11,16 @@
 	"magpiebank/internal/admission"
 )
 
-// eventStorm handles random events, whatever order they come in.
+// eventStorm passes random events in random order to an owner.
 type eventStorm struct {
 	t        *testing.T
 	o        *owner
 	rng      *rand.Rand
 	now      admission.Time
-	attempts []*attempt // that have not ended
+	attempts []*attempt // attempts that have not ended, or whose cancellation has not completed
 }
 
-// handleEvent handles one random event.
+// handleEvent has the owner handle one random event.
 func (e *eventStorm) handleEvent() {
 	name := admission.EngineID(fmt.Sprint("e", e.rng.Intn(5)))
 	switch e.rng.Intn(8) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// handleRequest hands in a request on a connection, unless one is in hand there.
+// handleRequest submits a request on a connection, unless the connection has an outstanding request.
 func (e *eventStorm) handleRequest(connectionID uint32) {
 	o := e.o
 	if o.sessions[connectionID] != nil && o.sessions[connectionID].request != nil {
@@ -54,7 +54,7 @@
 	o.handleRequest(e.now, session.request)
 }
 
-// trackAttempts takes in the attempts that have started, with a state, and leaves out those that have ended.
+// trackAttempts adds newly started attempts to the list, sets their state, and removes attempts that have ended.
 func (e *eventStorm) trackAttempts(state int32) {
 	for _, session := range e.o.sessions {
 		if session.request == nil {
@@ -68,18 +68,18 @@
 	e.attempts = slices.DeleteFunc(e.attempts, func(attempt *attempt) bool { return attempt.ended && attempt.cancelOutcome == admission.Served })
 }
 
-// checkCopies fails the test if a request has two attempts.
+// checkCopies fails the test if two attempts of a request have not ended.
 func (e *eventStorm) checkCopies(n int) {
 	copies := map[admission.RequestID]int{}
 	for _, attempt := range e.attempts {
 		copies[attempt.requestID]++
 		if copies[attempt.requestID] == 2 {
-			e.t.Errorf("event %d: two attempts of request %s are out", n, attempt.requestID)
+			e.t.Errorf("event %d: two attempts of request %s are in flight", n, attempt.requestID)
 		}
 	}
 }
 
-// No order of events brings the owner down, and nothing is kept of what is over.
+// No order of events makes the owner panic, and no request is retained after its deadline.
 func TestOwnerTakesEventsInAnyOrder(t *testing.T) {
 	s := startFixture(t)
 	done := make(chan struct{})
@@ -88,7 +88,7 @@
 		storm := &eventStorm{t: t, o: s.o, rng: rand.New(rand.NewSource(1)), now: now}
 		for n := range 20000 {
 			storm.handleEvent()
-			if n%1000 == 0 { // each goes on by itself
+			if n%1000 == 0 { // the controller normally schedules its ticks itself
 				storm.o.admission.Tick(storm.now)
 			}
 			storm.trackAttempts([]int32{attemptUnwritten, attemptWritten}[n%2])
@@ -102,12 +102,13 @@
 	s.compareTrace("any order")
 }
 
-// A long day: engines with new ids and clients that are always new come and go, and nothing of them is kept.
+// Engines and clients with ever new ids come and go. The gateway must retain no state, timers or goroutines for those that are
+// gone.
 func TestNothingIsKeptOfWhatIsOver(t *testing.T) {
 	e := newFakeEngine(t, "e")
 	s := startFixture(t)
 	e.fixture = s
-	s.awaitLog("serving") // the list of the start is told by then
+	s.awaitLog("serving") // the initial engine list has been posted by then
 	before := runtime.NumGoroutine()
 	for n := range 200 {
 		name := admission.EngineID(fmt.Sprint("e", n))
@@ -134,9 +135,9 @@
 			kept += s.o.clients.sessions
 			s.o.clients.mu.Unlock()
 			s.clock.mu.Lock()
-			kept += len(s.clock.timers) - 1 // the module's own
+			kept += len(s.clock.timers) - 1 // except the admission controller's own timer
 			s.clock.mu.Unlock()
-			kept += max(0, runtime.NumGoroutine()-before-8) // those of the stand-ins, as they end
+			kept += max(0, runtime.NumGoroutine()-before-8) // goroutines of the fake engine and clients may still be ending
 		})
 		s.sync()
 	}
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -2,38 +2,40 @@
 
 import "magpiebank/internal/admission"
 
-// Peers is this gateway's connection to the other gateways. The owner calls all methods but Start and Stop; none of them
-// waits. Package agent implements it.
+// Peers is this gateway's connection to the other gateways. The owner calls all methods except Start and Stop, and the methods
+// that it calls never block. Package agent implements Peers.
 type Peers interface {
-	// Start begins to exchange messages. The listener is told what they bring.
+	// Start begins the exchange of messages. The listener receives their contents.
 	Start(clock Clock, listener PeerListener) error
-	// HandleEndpoints takes in an update of the engine list.
+	// HandleEndpoints handles an update of the engine list.
 	HandleEndpoints(now admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint)
-	// RecordObservation takes in what this gateway observed of an engine, and the bytes that it may send to the others from now on.
+	// RecordObservation records this gateway's observation of an engine. allowedBytes is the number of bytes that may be sent
+	// to the other gateways from now on.
 	RecordObservation(now admission.Time, engine admission.EngineID, observation admission.Observation, report admission.Report, allowedBytes float64)
-	// TryReserveSlowStart reserves a part of what an engine that has just started may be sent. It reports whether this
-	// gateway has it; shared is false if the gateways don't share such quotas.
+	// TryReserveSlowStart tries to reserve a fraction, from 0 to 1, of the slow-start quota of an engine, and reports whether
+	// it is reserved. shared is false if the gateways don't share such quotas.
 	TryReserveSlowStart(now admission.Time, engine admission.EngineID, part float64) (reserved, shared bool)
-	// Tick is called by the owner's timer.
+	// Tick is called when the owner's timer expires.
 	Tick(now admission.Time)
-	// RecordAttempt takes in that an attempt starts.
+	// RecordAttempt records the start of an attempt.
 	RecordAttempt(now admission.Time, request admission.RequestID, engine admission.EngineID)
-	// RecordPlacement takes in where a request was and where it is now. policyClass is empty if it is in no class of the
-	// operator's.
+	// RecordPlacement records that the placement of a request has changed. policyClass is the name of the operator's class, or
+	// empty if the request belongs to none.
 	RecordPlacement(class, policyClass string, was, is Placement)
-	// Stop tells the others that this gateway leaves, and ends all goroutines that Start began.
+	// Stop notifies the other gateways that this gateway leaves, and stops all goroutines that Start started.
 	Stop()
 }
 
-// PeerListener is told what the other gateways' messages bring. Its methods may be called from any goroutine and never wait.
+// PeerListener receives the contents of the other gateways' messages. Its methods may be called from any goroutine and never
+// block.
 type PeerListener interface {
-	// HandlePeerReport takes in what other gateways observed of an engine. The report must not change any more.
+	// HandlePeerReport handles the other gateways' observations of an engine. The caller must not change the report any more.
 	HandlePeerReport(report *admission.PeerReport)
-	// HandleCapacityChange tells that requests which wait for a shared quota may have it now.
+	// HandleCapacityChange handles a change by which a shared quota may have capacity for waiting requests.
 	HandleCapacityChange()
 }
 
-// peerListener posts what the peers tell as events.
+// peerListener posts the contents of the peers' messages as events to the owner.
 type peerListener struct{ owner *owner }
 
 func (l peerListener) HandlePeerReport(report *admission.PeerReport) {
@@ -42,13 +44,13 @@
 
 func (l peerListener) HandleCapacityChange() { l.owner.post(sharedCapacityChanged{}) }
 
-// Placement is where a request is.
+// Placement describes whether a request is in this gateway, and on which engine it runs.
 type Placement struct {
-	Present bool               // in this gateway
-	Engine  admission.EngineID // where it runs; empty while it waits
+	Present bool               // the request is accepted by this gateway and has no final answer
+	Engine  admission.EngineID // the engine of the current attempt; empty while the request waits
 }
 
-// recordPlacement tells the peers where a request is.
+// recordPlacement reports a request's new placement to the peers.
 func (o *owner) recordPlacement(request *request, is Placement) {
 	if o.peers == nil {
 		return
@@ -61,7 +63,7 @@
 	request.placement = is
 }
 
-// joinPeers starts the exchange with the other gateways.
+// joinPeers starts the exchange of messages with the other gateways.
 func (o *owner) joinPeers(peers Peers) error {
 	o.peers = peers
 	return peers.Start(o.clock, peerListener{o})
--- a/internal/router/resource_groups.go
+++ b/internal/router/resource_groups.go
@@ -2,41 +2,41 @@
 
 import "magpiebank/internal/admission"
 
-// ResourceGroups applies an operator's rules: it puts requests into classes, limits what runs of each class at a time,
-// and estimates costs. The owner calls all methods but BeginWrite and EndWrite, which the goroutine that writes an attempt
-// calls, and NewStatementReader, which the acceptor calls. Package workload implements it.
+// ResourceGroups applies an operator's rules: it assigns requests to classes, limits how much of each class runs at the same
+// time, and estimates costs. The goroutine that writes an attempt calls BeginWrite and EndWrite, the acceptor calls
+// NewStatementReader, and the owner calls all other methods. Package workload implements ResourceGroups.
 type ResourceGroups interface {
 	admission.Policy
-	// HandleEndpoints takes in an update of the engine list.
+	// HandleEndpoints handles an update of the engine list.
 	HandleEndpoints(now admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint)
-	// Tick is called by the owner's timer.
+	// Tick is called when the owner's timer expires.
 	Tick(now admission.Time)
-	// Classify estimates the request whose statement reader has read, and puts it into a class. A refusal that isn't empty is
-	// the client's final answer. If crowded, the request is rejected, because too many of its class wait, or because it is
-	// not known now which rules are in force.
+	// Classify estimates the cost of the request whose statement the reader has read last, and assigns the request to a class.
+	// A rejectText that isn't empty is the client's final answer. If overCapacity is true, the request is rejected, because
+	// too many requests of its class wait, or because it is currently unknown which rules are in force.
 	Classify(now admission.Time, reader StatementReader) (estimate admission.Estimate, crowded bool, refusal string)
-	// RecordAttempt charges an attempt that runs on a number of threads. The charge is handed back to RecordAttemptEnd. A
-	// policy revision other than 0 names the rules that allowed the attempt.
+	// RecordAttempt charges an attempt that runs on the given number of threads. The caller passes the returned charge to
+	// RecordAttemptEnd. A policyRevision other than 0 identifies the rules that allowed the attempt.
 	RecordAttempt(estimate admission.Estimate, threads float64) (charged float64, policyRevision uint64)
-	// RecordAttemptEnd takes in the end of an attempt, the work it took, 0 if that isn't known, and whether its request
-	// waits again.
+	// RecordAttemptEnd records the end of an attempt. work is the work that the attempt took, 0 if unknown, and waits is true
+	// if its request waits again.
 	RecordAttemptEnd(estimate admission.Estimate, threads, charged float64, work admission.Time, waits bool)
-	// RecordDeparture takes in that a waiting request got its final answer.
+	// RecordQueueExit records that a waiting request got its final answer.
 	RecordDeparture(estimate admission.Estimate)
-	// BeginWrite tells, right before an attempt is written, whether the rules that allowed it are still in force. If they are,
-	// EndWrite follows once it is written.
+	// BeginWrite reports, right before an attempt is written, whether the rules that allowed it are still in force. If they
+	// are, the caller calls EndWrite after the write, whether or not it succeeded.
 	BeginWrite(policyRevision uint64, request admission.RequestID) bool
 	EndWrite(policyRevision uint64, request admission.RequestID)
-	// ClassName returns the name of a class of the operator's.
+	// ClassName returns the name of one of the operator's classes.
 	ClassName(class int) string
-	// NewStatementReader returns a reader for one session.
+	// NewStatementReader returns a statement reader for one client session.
 	NewStatementReader() StatementReader
 }
 
-// StatementReader reads the statements of one client session, one after the other. It is the session's.
+// StatementReader reads the statements of one client session, one after the other. The session's goroutine calls its methods.
 type StatementReader interface {
-	// ReadStatement reads the statement of a request that is about to be handed in.
+	// ReadStatement reads the statement of a request that is about to be submitted. tables is the index of its table group.
 	ReadStatement(sql []byte, class, tables int)
-	// RecordCost takes in the work that the statement read last took, and the memory in MB; 0: not known.
+	// RecordCost records the work and the memory in MB that the last read statement took; 0: unknown.
 	RecordCost(work admission.Time, memoryMB float64)
 }
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -12,18 +12,21 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// lateConn is a connection of a process that stands still right after it has set a deadline, for longer than that: while it is armed,
-// each deadline has passed once it is set.
+// lateConn is a connection that simulates a process that stalls right after it has set a deadline, until after that deadline.
+// While it is armed, each deadline has already passed when it is set.
 type lateConn struct {
 	*net.TCPConn
 	mu       sync.Mutex
-	reads    bool // read deadlines are late
-	writes   bool // the next write deadline is late
-	deadline time.Time
-	set      int            // how often a read deadline was set
-	standing chan chan bool // holds where the next read deadline waits to be let go on, if it is to stand still before it is set
+	reads    bool      // read deadlines have passed when they are set
+	writes   bool      // the next write deadline has passed when it is set
+	deadline time.Time // the read deadline that was set last
+	set      int       // number of read deadlines set
+	// If standing holds a channel, the next SetReadDeadline takes it, sends on it when it stalls, and resumes once it receives
+	// a value from it.
+	standing chan chan bool
 }
 
+// SetReadDeadline sets the read deadline, or an expired one while the connection is armed. It stalls first if a test requested it.
 func (c *lateConn) SetReadDeadline(t time.Time) error {
 	select {
 	case goOn := <-c.standing:
@@ -56,22 +59,23 @@
 	return c.TCPConn.SetWriteDeadline(t)
 }
 
-// arm has deadlines be late from now on, or not any more.
+// arm sets whether read deadlines, and the next write deadline, have passed when they are set.
 func (c *lateConn) arm(reads, writes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reads, c.writes = reads, writes
 }
 
-// rests tells whether a session waits for its first query: it has set deadlines for the head of the login, its rest, and that.
+// rests reports whether a session waits for its first query. By then it has set three read deadlines: for the header of the login,
+// for the rest of the login, and for the query.
 func (c *lateConn) rests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.set == 3
 }
 
-// standStill has the process stand still before the next line that sets a read deadline. stands returns once it is there; goOn has it go on,
-// with deadlines that are late from then on.
+// standStill makes the next SetReadDeadline stall before it sets the deadline. stands waits until the stall has begun. goOn ends
+// it, and from then on read deadlines have passed when they are set.
 func (c *lateConn) standStill() (stands, goOn func()) {
 	there := make(chan bool)
 	c.standing <- there
@@ -81,12 +85,12 @@
 	}
 }
 
-// late returns a connection as one of a process that can stand still.
+// late wraps a connection in a lateConn.
 func late(tcp net.Conn) *lateConn {
 	return &lateConn{TCPConn: asTCP(tcp), standing: make(chan chan bool, 1)}
 }
 
-// lateClient logs in on a connection whose router may stand still.
+// lateClient logs in a client whose connection is a lateConn on the router's side, and returns both.
 func (s *fixture) lateClient() (*testClient, *lateConn) {
 	listener := s.listen()
 	accepted := make(chan *lateConn)
@@ -106,25 +110,25 @@
 	return c, <-accepted
 }
 
-// arrived waits until a connection has unread input.
+// arrived waits until a connection has unread bytes.
 func arrived(t *testing.T, tcp net.Conn) {
 	t.Helper()
-	eventually(t, "the bytes are there", func() bool { return hasInput(tcp) })
+	eventually(t, "unread bytes have arrived", func() bool { return hasInput(tcp) })
 }
 
-// served sends one query and has the engine answer it.
+// served waits for an attempt at the engine, has the engine answer it, and requires that the client gets a result.
 func (s *fixture) served(c *testClient, e *fakeEngine, id string) {
 	s.t.Helper()
 	select {
 	case h := <-e.received:
 		e.reply(h.c, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	case <-time.After(eventuallyTimeout):
-		s.t.Fatalf("the engine heard nothing, log:\n%s", s.log.String())
+		s.t.Fatalf("the engine received nothing, log:\n%s", s.log.String())
 	}
 	c.isServed()
 }
 
-// isServed waits for the first packet of a result.
+// isServed waits for a packet and requires that it is the first one of a result.
 func (c *testClient) isServed() {
 	c.fixture.t.Helper()
 	c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
@@ -133,7 +137,8 @@
 	}
 }
 
-// A request that lies unread as its session's time runs out is served, however long the process stands still before each of the reads.
+// A request that arrives while the process is stalled, and is still unread when the session's read deadline passes, is served. The
+// process may stall before any of the reads.
 func TestRequestThatCameDuringAStallIsServed(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), 3*maxReadAhead)
 	for what, statement := range map[string]string{"short": "SELECT a FROM t_7.x", "longer than what is read ahead": "SELECT '" + string(long) + "' FROM t_7.x"} {
@@ -142,7 +147,7 @@
 			s := startFixture(t, e)
 			defer s.close()
 			c, conn := s.lateClient()
-			eventually(t, "the session rests", conn.rests)
+			eventually(t, "the session waits for its first query", conn.rests)
 			stands, goOn := conn.standStill()
 			c.send(0, []byte{mysql.Ping})
 			stands()
@@ -157,24 +162,24 @@
 	}
 }
 
-// Whoever logs in to a router that is slow to read it still has a while for the first query.
+// If the router was slow to read a client's login, the client still gets at least finalReadWait for its first query.
 func TestSlowRouterLeavesTimeForTheFirstQuery(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
 	_, conn := s.lateClient()
 	eventually(t, "the session waits for its first query", conn.rests)
-	rested := &clientSession{owner: s.o, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took so long
+	rested := &clientSession{owner: s.o, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took longer than firstQueryTimeout
 	before := time.Now()
 	s.o.clients.markIdle(rested)
 	s.o.clients.markBusy(rested)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if got := conn.deadline.Sub(before); got < finalReadWait {
-		t.Errorf("it has %v", got)
+		t.Errorf("the client has %v for its first query", got)
 	}
 }
 
-// An answer goes out although the process stands still right before the write for longer than that may take.
+// An answer is written even if the process stalls right before the write until after the write deadline.
 func TestAnswerIsWrittenAfterAStall(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -187,7 +192,7 @@
 	c.isServed()
 }
 
-// lateEngine has the router reach an engine by connections that it may stand still with; it tells of each.
+// lateEngine makes the router's connections to engines lateConns, and returns a channel that receives each of them.
 func (s *fixture) lateEngine() <-chan *lateConn {
 	conns := make(chan *lateConn, 8)
 	s.onOwner(func(admission.Time) {
@@ -206,7 +211,7 @@
 	return conns
 }
 
-// An attempt goes out on a connection although the process stands still right before the write.
+// An attempt is written to its connection even if the process stalls right before the write until after the write deadline.
 func TestAttemptIsWrittenAfterAStall(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -220,11 +225,11 @@
 	c.sendLook("bb")
 	s.served(c, e, "bb")
 	if len(conns) > 0 {
-		t.Error("it was written on another connection")
+		t.Error("the attempt was written on another connection")
 	}
 }
 
-// drain reads the rest of an answer whose first packet was read.
+// drain reads the rest of a result whose first packet was read.
 func (c *testClient) drain() {
 	for ends := 0; ends < 2; {
 		if p := c.packet(); p[0] == 0xfe {
@@ -233,7 +238,8 @@
 	}
 }
 
-// The rest of an answer that lies unread as its time runs out counts, however long the process stands still before each of the reads.
+// The rest of an answer that arrives while the process is stalled, and is still unread when the read deadline passes, is accepted.
+// The process may stall before any of the reads.
 func TestAnswerThatCameDuringAStallCounts(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -253,7 +259,7 @@
 	c.isServed()
 }
 
-// A probe's answer that lies unread as its time runs out counts.
+// The answer to a health check that is still unread when the read deadline passes is accepted.
 func TestProbeAnsweredDuringAStallCounts(t *testing.T) {
 	listener, err := listenTCP("127.0.0.1:0")
 	if err != nil {
@@ -278,7 +284,7 @@
 		conn := late(tcp)
 		engine := <-far
 		defer func() { far <- engine }()
-		_, _ = engine.Write(resp.AppendArray(nil, "top1", "well", "gauges=util:0.2", "")) // it is there before the wait begins
+		_, _ = engine.Write(resp.AppendArray(nil, "top1", "well", "gauges=util:0.2", "")) // arrives before the health check waits for it
 		arrived(t, conn)
 		conn.arm(true, false)
 		dialled <- conn
@@ -287,7 +293,7 @@
 	p := &healthChecker{pool: &enginePool{owner: s.o, name: "e1", address: listener.Addr().String()}}
 	how, report := p.check()
 	if how != admission.Served || report.Utilization != 0.2 {
-		t.Errorf("the probe ended as %v with %+v", how, report)
+		t.Errorf("the health check ended as %v with %+v", how, report)
 	}
 	_ = (<-dialled).Close()
 	(<-far).Close()
