--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -18,8 +18,8 @@
 // is listed.
 func (s *fixture) onDial(hook func(address string, dial func(string) (net.Conn, error)) (net.Conn, error)) {
 	s.onOwner(func(admission.Time) {
-		dial := s.o.dial
-		s.o.dial = func(address string) (net.Conn, error) { return hook(address, dial) }
+		dial := s.owner.dial
+		s.owner.dial = func(address string) (net.Conn, error) { return hook(address, dial) }
 	})
 	s.sync()
 }
@@ -28,7 +28,7 @@
 func (s *fixture) listEngine(e *fakeEngine, state admission.EndpointState) {
 	e.fixture = s
 	s.onOwner(func(now admission.Time) {
-		s.o.handleEndpoints(now, admission.PartialUpdate, listing(e, state), []string{e.listener.Addr().String()})
+		s.owner.handleEndpoints(now, admission.PartialUpdate, listing(e, state), []string{e.listener.Addr().String()})
 	})
 	s.sync()
 }
@@ -70,11 +70,11 @@
 			f.reply(f.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 			a.expectAnswer()
 			close(goOn)
-			s.requireOnlyReceives(f, "bb")
+			s.requireNextAttempt(f, "bb")
 			if state == admission.Draining { // the connection is established by now, and can be used again
 				s.listEngine(e, admission.Live)
 				s.listEngine(f, admission.Draining)
-				s.requireOnlyReceives(e, "cc")
+				s.requireNextAttempt(e, "cc")
 			}
 		})
 	}
@@ -125,8 +125,8 @@
 	a.sendLoad("aa")
 	e.reply(e.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
-	if !strings.Contains(s.out.String(), "client gets: rows") {
-		t.Error(s.out.String())
+	if !strings.Contains(s.trace.String(), "client gets: rows") {
+		t.Error(s.trace.String())
 	}
 }
 
@@ -147,11 +147,11 @@
 	case h := <-e.received:
 		t.Fatalf("the draining engine received %q", h.parts)
 	case h := <-f.received:
-		f.reply(h.c, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+		f.reply(h.conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	}
 	a.expectAnswer()
-	if len(e.received) > 0 || !strings.Contains(s.out.String(), "client gets: rows") {
-		t.Errorf("%s\nthe draining engine received %d commands", s.out.String(), len(e.received))
+	if len(e.received) > 0 || !strings.Contains(s.trace.String(), "client gets: rows") {
+		t.Errorf("%s\nthe draining engine received %d commands", s.trace.String(), len(e.received))
 	}
 }
 
@@ -159,12 +159,12 @@
 // connection to the engine takes.
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
-	s := startFixtureWith(t, customer)
+	s := startFixtureWith(t, tenantSettings)
 	defer s.close()
 	dialled, goOn := s.slowDial(f)
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
-	a.ask("/* class=load,id=00000000000000aa,wait=20000,once=" + token + " */ INSERT INTO t_7.x SELECT * FROM staging.y")
+	a.sendStatement("/* class=load,id=00000000000000aa,wait=20000,once=" + testIdempotencyToken + " */ INSERT INTO t_7.x SELECT * FROM staging.y")
 	k := e.receive()
 	s.listEngine(f, admission.Live)
 	s.listEngine(e, admission.Draining)
@@ -173,8 +173,8 @@
 	s.advanceClock(2 * admission.Second) // the deduplication window
 	close(goOn)
 	a.expectAnswer()
-	if !strings.Contains(s.out.String(), "client gets: error 1203") { // engines would have detected a repeat, so a new request of the client is harmless
-		t.Error(s.out.String())
+	if !strings.Contains(s.trace.String(), "client gets: error 1203") { // engines would have detected a repeat, so a new request of the client is harmless
+		t.Error(s.trace.String())
 	}
 	if len(f.received) > 0 {
 		t.Errorf("the engine received %q", (<-f.received).parts)
@@ -234,20 +234,20 @@
 			s := startFixture(t, e)
 			defer s.close()
 			a := s.newClient()
-			a.sendLook("aa")
+			a.sendIdempotentQuery("aa")
 			k := e.receive()
 			go c.flood(k)
 			s.awaitLog("code=" + c.code)
 			for { // the gateway may have requested pages of the first attempt's result
 				h := <-e.received
 				if h.parts[0] == "do" {
-					e.reply(h.c, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
+					e.reply(h.conn, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
 					break
 				}
 			}
 			a.expectAnswer()
-			if !strings.Contains(s.out.String(), "client gets: rows") {
-				t.Error(s.out.String())
+			if !strings.Contains(s.trace.String(), "client gets: rows") {
+				t.Error(s.trace.String())
 			}
 		})
 	}
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -158,7 +158,7 @@
 	if buffers == nil {
 		return
 	}
-	written, err := writeBy(c.socket, time.Now().Add(c.pool.owner.network.ConnectTimeout), buffers)
+	written, err := writeWithDeadline(c.socket, time.Now().Add(c.pool.owner.network.ConnectTimeout), buffers)
 	if err == nil {
 		return
 	}
@@ -275,24 +275,24 @@
 }
 
 // closeRaceWindow is the time in which, according to the protocol, a request and the close of its connection may cross.
-const closeCrossingTime = 50 * time.Millisecond
+const closeRaceWindow = 50 * time.Millisecond
 
 // endWritten ends attempts that may have run. At most the first of them counts as a reset, because a single fault broke them
 // all. None does if the connection ended because of invalid or missing answers, or because it had been idle for too long.
 func (c *engineConn) endWritten(attempts []*attempt, code string) {
 	outcome := admission.Reset
 	if code == "bad_answer" || code == "cut_short" || code == "mute" {
-		outcome = admission.Lost
+		outcome = admission.AnswerLost
 		if len(attempts) > 0 {
-			time.Sleep(closeCrossingTime) // lets the engine detect the close before another engine gets a retry
+			time.Sleep(closeRaceWindow) // lets the engine detect the close before another engine gets a retry
 		}
 	}
 	for _, attempt := range attempts {
 		if outcome == admission.Reset && c.pool.noteStaleConnection(attempt) {
-			outcome = admission.Lost
+			outcome = admission.AnswerLost
 		}
 		c.pool.owner.postAttemptEnd(attempt, outcome)
-		outcome = admission.Lost
+		outcome = admission.AnswerLost
 	}
 }
 
@@ -337,7 +337,7 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return endCode(err)
 		case hasInput(c.socket):
-			if err := readArrived(c.socket, reader, reader.Buffered()+1); err != nil {
+			if err := readAvailable(c.socket, reader, reader.Buffered()+1); err != nil {
 				return endCode(err)
 			}
 		case !finalDeadline.IsZero():
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -24,7 +24,7 @@
 
 // receivedCommand is a command that a fakeEngine received, with the connection that it arrived on.
 type receivedCommand struct {
-	c     net.Conn
+	conn  net.Conn
 	parts []string
 }
 
@@ -113,7 +113,7 @@
 func (e *fakeEngine) receive() net.Conn {
 	h := <-e.received
 	e.fixture.tracef("%s hears: %s", e.name, strings.Join(h.parts, " | "))
-	return h.c
+	return h.conn
 }
 
 // reply traces an answer and writes it.
@@ -134,10 +134,10 @@
 func (s *fixture) newClient() *testClient {
 	c := s.dial()
 	c.login("app\x00\x00")
-	greeting := c.packet()
+	greeting := c.readPacket()
 	rest := greeting[bytes.IndexByte(greeting, 0)+1:]
 	c.id = uint32(rest[0]) | uint32(rest[1])<<8 | uint32(rest[2])<<16 | uint32(rest[3])<<24
-	if ok := c.packet(); ok[0] != 0 {
+	if ok := c.readPacket(); ok[0] != 0 {
 		s.t.Fatalf("login: %q", ok)
 	}
 	return c
@@ -164,7 +164,7 @@
 }
 
 // readPacket reads the payload of the next packet, or returns a text if the connection has ended.
-func (c *testClient) packet() []byte {
+func (c *testClient) readPacket() []byte {
 	head := make([]byte, mysql.HeaderSize)
 	if _, err := io.ReadFull(c.reader, head); err != nil {
 		return []byte("end of connection")
@@ -176,35 +176,35 @@
 }
 
 // sendStatement traces a statement and sends it, without waiting for the answer.
-func (c *testClient) ask(sql string) {
+func (c *testClient) sendStatement(sql string) {
 	c.fixture.tracef("client asks: %s", sql)
 	c.send(0, append([]byte{mysql.Query}, sql...))
 }
 
 // sendIdempotentQuery sends a query of the class look, which may run again.
-func (c *testClient) sendLook(id string) { c.sendRequest(id, "look", 5000) }
+func (c *testClient) sendIdempotentQuery(id string) { c.sendRequest(id, "look", 5000) }
 
 // sendNonIdempotentQuery sends a query of the class load, which must not run twice.
 func (c *testClient) sendLoad(id string) { c.sendRequest(id, "load", 20000) }
 
 // sendRequest sends a query with the given class and wait in milliseconds. id holds the last two digits of the request id.
 func (c *testClient) sendRequest(id, class string, wait int) {
-	c.ask(fmt.Sprintf("/* class=%s,id=00000000000000%s,wait=%d */ SELECT a FROM t_7.x", class, id, wait))
+	c.sendStatement(fmt.Sprintf("/* class=%s,id=00000000000000%s,wait=%d */ SELECT a FROM t_7.x", class, id, wait))
 }
 
 // expectAnswer waits for one answer and traces it.
 func (c *testClient) expectAnswer() {
-	switch p := c.packet(); {
+	switch p := c.readPacket(); {
 	case p[0] == 0xff:
 		c.fixture.tracef("client gets: error %d %s", int(p[1])|int(p[2])<<8, p[3:])
 	case p[0] == 0:
 		c.fixture.tracef("client gets: OK")
 	case p[0] == 3 && len(p) == 1:
 		for range 4 {
-			c.packet()
+			c.readPacket()
 		}
 		var rows []string
-		for p = c.packet(); p[0] != 0xfe; p = c.packet() {
+		for p = c.readPacket(); p[0] != 0xfe; p = c.readPacket() {
 			rows = append(rows, fmt.Sprintf("%q", p))
 		}
 		c.fixture.tracef("client gets: rows %s", strings.Join(rows, " "))
--- a/internal/router/health_check.go
+++ b/internal/router/health_check.go
@@ -97,7 +97,7 @@
 		var err error
 		parts, size, err = readAnswer(h.reader, parts, func() {})
 		if errors.Is(err, os.ErrDeadlineExceeded) && hasInput(h.socket) { // it arrived while this process was stalled
-			err = readArrived(h.socket, h.reader, h.reader.Buffered()+1)
+			err = readAvailable(h.socket, h.reader, h.reader.Buffered()+1)
 			if err == nil {
 				continue
 			}
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -55,7 +55,7 @@
 }
 
 // SetAttemptOptions sets the memory granted to a request's next attempts, and the priority of its current and next attempts.
-func (h host) SetAttemptTerms(id admission.RequestID, memoryMB float64, priority int) {
+func (h host) SetAttemptOptions(id admission.RequestID, memoryMB float64, priority int) {
 	request := h.owner.requests[id]
 	request.memoryMB, request.priority = memoryMB, priority
 	if attempt := request.current; attempt != nil && !attempt.handedOver {
--- a/internal/router/journal.go
+++ b/internal/router/journal.go
@@ -9,7 +9,7 @@
 type Journal struct {
 	Requests *requestjournal.Journal
 	// Err returns the reason why the journal can no longer record anything, or nil while it can.
-	Failed func() error
+	Err func() error
 
 	// Snapshot is the previous process's knowledge about engines and classes; nil if there is none.
 	Snapshot *admission.Snapshot
@@ -59,13 +59,13 @@
 // mustNotRepeat reports whether a request has effects that a second run would repeat, that is, whether its class is not
 // idempotent.
 func (o *owner) mustNotRepeat(request *request) bool {
-	return o.deployment.Classes[request.class].Effect != admission.Idempotent
+	return o.deployment.Classes[request.class].RepeatEffect != admission.Idempotent
 }
 
 // recordRequest records an accepted request and reports whether it may proceed. If the journal has failed, a request that must
 // not run twice is rejected, because after a crash there would be no record that it was sent.
 func (o *owner) recordRequest(now admission.Time, request *request) bool {
-	if o.mustNotRepeat(request) && o.journal.Failed() != nil {
+	if o.mustNotRepeat(request) && o.journal.Err() != nil {
 		request.responder.answer(requestRejected{o.deployment.RetryAfter})
 		return false
 	}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -43,9 +43,9 @@
 	class            int // index into the deployment's classes
 	className        string
 	statement        []byte
-	tables           int    // index of the group of tables that the statement reads
+	tableGroup       int    // index of the group of tables that the statement reads
 	tenant           int    // index into the deployment's tenants
-	key              string // requests of an ordered class with the same key run one at a time; empty: no order
+	orderingKey      string // requests of an ordered class with the same key run one at a time; empty: no order
 	idempotencyToken []byte // nil if the client gave none
 	deadline         admission.Time
 	statementReader  StatementReader // nil if statements are not read
--- a/internal/router/resource_groups.go
+++ b/internal/router/resource_groups.go
@@ -22,7 +22,7 @@
 	// if its request waits again.
 	RecordAttemptEnd(estimate admission.Estimate, threads, charged float64, work admission.Time, waits bool)
 	// RecordQueueExit records that a waiting request got its final answer.
-	RecordDeparture(estimate admission.Estimate)
+	RecordQueueExit(estimate admission.Estimate)
 	// BeginWrite reports, right before an attempt is written, whether the rules that allowed it are still in force. If they
 	// are, the caller calls EndWrite after the write, whether or not it succeeded.
 	BeginWrite(policyRevision uint64, request admission.RequestID) bool
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -100,7 +100,7 @@
 			s.t.Error(err)
 		}
 		conn := late(tcp)
-		(&acceptor{owner: s.o}).startSession(conn)
+		(&acceptor{owner: s.owner}).startSession(conn)
 		accepted <- conn
 	}()
 	address := s.address
@@ -121,7 +121,7 @@
 	s.t.Helper()
 	select {
 	case h := <-e.received:
-		e.reply(h.c, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+		e.reply(h.conn, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	case <-time.After(eventuallyTimeout):
 		s.t.Fatalf("the engine received nothing, log:\n%s", s.log.String())
 	}
@@ -132,7 +132,7 @@
 func (c *testClient) isServed() {
 	c.fixture.t.Helper()
 	c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
-	if p := c.packet(); p[0] != 3 {
+	if p := c.readPacket(); p[0] != 3 {
 		c.fixture.t.Fatalf("the client got %q, log:\n%s", p, c.fixture.log.String())
 	}
 }
@@ -154,7 +154,7 @@
 			c.send(0, append([]byte{mysql.Query}, "/* class=look,id=00000000000000aa,wait=5000 */ "+statement...))
 			arrived(t, conn)
 			goOn()
-			if p := c.packet(); p[0] != 0 {
+			if p := c.readPacket(); p[0] != 0 {
 				t.Fatalf("the client got %q", p)
 			}
 			s.served(c, e, "aa")
@@ -168,10 +168,10 @@
 	defer s.close()
 	_, conn := s.lateClient()
 	eventually(t, "the session waits for its first query", conn.rests)
-	rested := &clientSession{owner: s.o, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took longer than firstQueryTimeout
+	rested := &clientSession{owner: s.owner, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took longer than firstQueryTimeout
 	before := time.Now()
-	s.o.clients.markIdle(rested)
-	s.o.clients.markBusy(rested)
+	s.owner.clients.markIdle(rested)
+	s.owner.clients.markBusy(rested)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if got := conn.deadline.Sub(before); got < finalReadWait {
@@ -185,7 +185,7 @@
 	s := startFixture(t, e)
 	defer s.close()
 	c, conn := s.lateClient()
-	c.sendLook("aa")
+	c.sendIdempotentQuery("aa")
 	k := e.receive()
 	conn.arm(false, true)
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
@@ -196,8 +196,8 @@
 func (s *fixture) lateEngine() <-chan *lateConn {
 	conns := make(chan *lateConn, 8)
 	s.onOwner(func(admission.Time) {
-		dial := s.o.dial
-		s.o.dial = func(address string) (net.Conn, error) {
+		dial := s.owner.dial
+		s.owner.dial = func(address string) (net.Conn, error) {
 			tcp, err := dial(address)
 			if err != nil {
 				return nil, err
@@ -218,11 +218,11 @@
 	defer s.close()
 	conns := s.lateEngine()
 	c := s.newClient()
-	c.sendLook("aa")
+	c.sendIdempotentQuery("aa")
 	s.served(c, e, "aa")
 	c.drain()
 	(<-conns).arm(false, true)
-	c.sendLook("bb")
+	c.sendIdempotentQuery("bb")
 	s.served(c, e, "bb")
 	if len(conns) > 0 {
 		t.Error("the attempt was written on another connection")
@@ -232,7 +232,7 @@
 // drain reads the rest of a result whose first packet was read.
 func (c *testClient) drain() {
 	for ends := 0; ends < 2; {
-		if p := c.packet(); p[0] == 0xfe {
+		if p := c.readPacket(); p[0] == 0xfe {
 			ends++
 		}
 	}
@@ -246,7 +246,7 @@
 	defer s.close()
 	conns := s.lateEngine()
 	c := s.newClient()
-	c.sendLook("aa")
+	c.sendIdempotentQuery("aa")
 	k := e.receive()
 	conn := <-conns
 	answer := resp.AppendArray(nil, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
@@ -276,7 +276,7 @@
 	s := startFixture(t)
 	defer s.close()
 	dialled := make(chan *lateConn, 1)
-	s.o.dial = func(address string) (net.Conn, error) {
+	s.owner.dial = func(address string) (net.Conn, error) {
 		tcp, err := dialTCP(address)
 		if err != nil {
 			return nil, err
@@ -290,7 +290,7 @@
 		dialled <- conn
 		return conn, nil
 	}
-	p := &healthChecker{pool: &enginePool{owner: s.o, name: "e1", address: listener.Addr().String()}}
+	p := &healthChecker{pool: &enginePool{owner: s.owner, name: "e1", address: listener.Addr().String()}}
 	how, report := p.check()
 	if how != admission.Served || report.Utilization != 0.2 {
 		t.Errorf("the health check ended as %v with %+v", how, report)
