--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -45,9 +45,9 @@
 	finished   bool // its last answer has arrived or is no longer needed; later answers are ignored
 
 	// Used by the goroutine that reads the connection until the attempt ends, then by the owner and the session.
-	result        attemptResult
-	progressNotes int              // number of progress notices from the engine
-	loadReport    admission.Report // the engine's load report if the deployment's answers contain one, else NoReport
+	result      attemptResult
+	noticeCount int              // number of progress notices from the engine
+	loadReport  admission.Report // the engine's load report if the deployment's answers contain one, else NoReport
 }
 
 // attemptCharge is what the resource groups charged for an attempt.
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -28,22 +28,22 @@
 func (s *fixture) listEngine(e *fakeEngine, state admission.EndpointState) {
 	e.fixture = s
 	s.onOwner(func(now admission.Time) {
-		s.owner.handleEndpoints(now, admission.PartialUpdate, listing(e, state), []string{e.listener.Addr().String()})
+		s.owner.handleEndpoints(now, admission.PartialUpdate, singleEngineUpdate(e, state), []string{e.listener.Addr().String()})
 	})
 	s.sync()
 }
 
-// listing returns an update of the engine list with a single engine.
-func listing(e *fakeEngine, state admission.EndpointState) []admission.Endpoint {
+// singleEngineUpdate returns an update of the engine list with a single engine.
+func singleEngineUpdate(e *fakeEngine, state admission.EndpointState) []admission.Endpoint {
 	return []admission.Endpoint{{Engine: admission.EngineID(e.name), State: state}}
 }
 
 // slowDial delays the first dial to an engine until goOn is closed. dialled receives a value when that dial begins.
 func (s *fixture) slowDial(e *fakeEngine) (dialled chan bool, goOn chan bool) {
 	dialled, goOn = make(chan bool, 1), make(chan bool)
-	var held atomic.Bool
+	var delayed atomic.Bool
 	s.onDial(func(address string, dial func(string) (net.Conn, error)) (net.Conn, error) {
-		if address == e.listener.Addr().String() && held.CompareAndSwap(false, true) {
+		if address == e.listener.Addr().String() && delayed.CompareAndSwap(false, true) {
 			dialled <- true
 			<-goOn
 		}
@@ -54,7 +54,7 @@
 
 // An engine starts to drain, or is removed, while an attempt waits for a connection to it. The attempt must go to another engine,
 // and no byte of it may be written to the first engine once the connection is established.
-func TestDrainWhileAConnectionComesUp(t *testing.T) {
+func TestDrainWhileConnecting(t *testing.T) {
 	for state, name := range map[admission.EndpointState]string{admission.Draining: "drains", admission.Gone: "gone"} {
 		t.Run(name, func(t *testing.T) {
 			e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
@@ -63,7 +63,7 @@
 			dialled, goOn := s.slowDial(e)
 			s.listEngine(e, admission.Live)
 			a := s.newClient()
-			a.sendLoad("aa") // must not run twice, so a second attempt shows that the gateway knows that nothing ran
+			a.sendNonIdempotentQuery("aa") // must not run twice, so a second attempt shows that the gateway knows that nothing ran
 			<-dialled
 			s.listEngine(f, admission.Live)
 			s.listEngine(e, state)
@@ -94,8 +94,8 @@
 	return c.Conn.Write(b)
 }
 
-// breakFirst makes the first write of an attempt fail, after calling before.
-func (s *fixture) breakFirst(before func()) {
+// failFirstWrite makes the first write of an attempt fail, after calling before.
+func (s *fixture) failFirstWrite(before func()) {
 	var broken atomic.Bool
 	breaks := func() bool {
 		if broken.Swap(true) {
@@ -115,14 +115,14 @@
 
 // A connection that broke before the first byte of an attempt was written proves that nothing ran, so even a request that must not
 // run twice is sent again.
-func TestBrokenBeforeTheFirstByte(t *testing.T) {
+func TestBreakBeforeTheFirstByteIsRetried(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
 	defer s.close()
-	s.breakFirst(func() {})
+	s.failFirstWrite(func() {})
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
-	a.sendLoad("aa")
+	a.sendNonIdempotentQuery("aa")
 	e.reply(e.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	if !strings.Contains(s.trace.String(), "client gets: rows") {
@@ -132,17 +132,17 @@
 
 // An engine starts to drain between the failed write of an attempt and its second write on another connection. The second write
 // must not happen.
-func TestDrainBeforeTheSecondWrite(t *testing.T) {
+func TestDrainBeforeTheSecondWriteOfAnAttempt(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t)
 	defer s.close()
-	s.breakFirst(func() {
+	s.failFirstWrite(func() {
 		s.listEngine(f, admission.Live)
 		s.listEngine(e, admission.Draining)
 	})
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
-	a.sendLoad("aa")
+	a.sendNonIdempotentQuery("aa")
 	select {
 	case h := <-e.received:
 		t.Fatalf("the draining engine received %q", h.parts)
@@ -157,7 +157,7 @@
 
 // A deduplicated request must not reach an engine after the time for which engines remember its first attempt, however long the
 // connection to the engine takes.
-func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
+func TestDeduplicationWindowEndsWhileConnecting(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixtureWith(t, tenantSettings)
 	defer s.close()
@@ -184,7 +184,7 @@
 // endlessAnswer is a way in which an engine answers a request without ever stopping. code is the log code with which the gateway
 // ends the connection.
 type endlessAnswer struct {
-	what, code string
+	name, code string
 	flood      func(k net.Conn)
 }
 
@@ -229,7 +229,7 @@
 func TestEndlessAnswers(t *testing.T) {
 	const id = "00000000000000aa"
 	for _, c := range endlessAnswers(id) {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			e := newFakeEngine(t, "e1")
 			s := startFixture(t, e)
 			defer s.close()
--- a/internal/router/cut_test.go
+++ b/internal/router/connection_reset_test.go
@@ -79,7 +79,7 @@
 
 // After an incomplete answer of the engine list, cut off at any byte, the router polls again from the same index and ignores the
 // incomplete answer. A complete answer is applied.
-func TestListBreaksOffAtEveryByte(t *testing.T) {
+func TestEngineListBreaksAtEveryByte(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixtureWith(t, strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":10000`, 1))
 	defer s.close()
@@ -106,7 +106,7 @@
 }
 
 // A stop before any engine is listed still lets the router answer its outstanding requests.
-func TestStopBeforeTheFirstList(t *testing.T) {
+func TestStopBeforeAnyEngineIsListed(t *testing.T) {
 	s := startFixture(t)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
--- a/internal/router/driver_test.go
+++ b/internal/router/driver_test.go
@@ -13,9 +13,9 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// ask sends a query and returns the number of rows in its result. It fails the test if a row differs from what the fake engine
+// countRows sends a query and returns the number of rows in its result. It fails the test if a row differs from what the fake engine
 // generates.
-func ask(ctx context.Context, t *testing.T, db *sql.DB, class, id, statement string) (rows int, err error) {
+func countRows(ctx context.Context, t *testing.T, db *sql.DB, class, id, statement string) (rows int, err error) {
 	t.Helper()
 	got, err := db.QueryContext(ctx, "/* class="+class+",id="+id+",wait=1900 */ "+statement)
 	if err != nil {
@@ -43,7 +43,7 @@
 }
 
 // The gateway works with an independent MySQL client: ping, rows, a failed answer, a cancelled context and a rejection.
-func TestDriver(t *testing.T) {
+func TestMySQLDriver(t *testing.T) {
 	_ = driver.SetLogger(&driver.NopLogger{})
 	e, err := fake.StartEngine("e-1", "127.0.0.1:0", fake.EngineBehavior{Threads: 4, Cores: 8, Works: []fake.Work{
 		{Contains: "slow", Service: fake.ServiceTime{Mean: 30 * time.Second}}, {Rows: 500}}}, fake.NewExecutionLog(), 1)
@@ -68,23 +68,23 @@
 		}
 	}
 	ctx := context.Background()
-	if rows, err := ask(ctx, t, db, "look", "00000000000000a1", "SELECT a FROM actas_3.m"); rows != 500 || err != nil {
+	if rows, err := countRows(ctx, t, db, "look", "00000000000000a1", "SELECT a FROM actas_3.m"); rows != 500 || err != nil {
 		t.Errorf("rows: %d, %v", rows, err)
 	}
 	e.FailQueries(1)
-	if _, err := ask(ctx, t, db, "load", "00000000000000a2", "SELECT a FROM actas_3.m"); errorNumber(err) != 1317 {
+	if _, err := countRows(ctx, t, db, "load", "00000000000000a2", "SELECT a FROM actas_3.m"); errorNumber(err) != 1317 {
 		t.Errorf("a failed answer: %v", err)
 	}
 	e.FailQueries(0)
 	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	if _, err := ask(short, t, db, "look", "00000000000000a3", "SELECT slow FROM actas_3.m"); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := countRows(short, t, db, "look", "00000000000000a3", "SELECT slow FROM actas_3.m"); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("a cancelled context: %v", err)
 	}
 	entry.State = "Gone"
 	list.Publish(entry)
 	for by := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until the gateway has received the update
-		_, err := ask(ctx, t, db, "look", fmt.Sprintf("%016x", time.Now().UnixNano()), "SELECT a FROM actas_3.m")
+		_, err := countRows(ctx, t, db, "look", fmt.Sprintf("%016x", time.Now().UnixNano()), "SELECT a FROM actas_3.m")
 		if errorNumber(err) == 1203 {
 			break
 		}
@@ -97,7 +97,7 @@
 }
 
 // Prints the times, in seconds, at which a failure is logged that repeats four times a second, with one success at 250 s.
-func Example_lull() {
+func Example_logLimiter() {
 	var l logLimiter
 	from := time.Unix(0, 0)
 	for n := range 4 * 300 {
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -59,18 +59,18 @@
 // a connection, which may be established only after the time up to which the deployment allows attempts at the engine. The
 // attempts end in the order of their request ids, so that runs are reproducible.
 func (o *owner) withdrawUnwrittenAttempts(now admission.Time, endpoints []admission.Endpoint) {
-	closed := func(a *attempt) bool {
+	isUnavailable := func(a *attempt) bool {
 		return o.engines[a.engineID] != a.client ||
 			slices.ContainsFunc(endpoints, func(e admission.Endpoint) bool { return e.Engine == a.engineID && e.State != admission.Live })
 	}
-	var late []*attempt
+	var affected []*attempt
 	for _, request := range o.requests {
-		if a := request.current; a != nil && !a.ended && closed(a) {
-			late = append(late, a)
+		if a := request.current; a != nil && !a.ended && isUnavailable(a) {
+			affected = append(affected, a)
 		}
 	}
-	slices.SortFunc(late, func(a, b *attempt) int { return cmp.Compare(a.requestID, b.requestID) })
-	for _, attempt := range late {
+	slices.SortFunc(affected, func(a, b *attempt) int { return cmp.Compare(a.requestID, b.requestID) })
+	for _, attempt := range affected {
 		attempt.resent = true // prevents a second send if its connection breaks now
 		if attempt.withdraw() {
 			attempt.request.responder.cancelAttempt(attempt)
--- a/internal/router/engine_answer.go
+++ b/internal/router/engine_answer.go
@@ -33,10 +33,10 @@
 	// maxUnexpectedAnswers limits the answers in a row that no attempt waits for. It covers all pages of the results that
 	// the attempts on a connection may have requested and then abandoned.
 	maxUnexpectedAnswers = 16 * maxPages
-	// An engine normally sends one notice per notice interval on an attempt. progressNoteBurst is the number of notices
-	// allowed at any time, and progressNotesPerInterval the additional number for each interval since the attempt was sent.
-	progressNoteBurst        = 64
-	progressNotesPerInterval = 8
+	// An engine normally sends one notice per notice interval on an attempt. noticeBurst is the number of notices
+	// allowed at any time, and noticesPerInterval the additional number for each interval since the attempt was sent.
+	noticeBurst        = 64
+	noticesPerInterval = 8
 )
 
 // minAnswerParts is the minimum number of parts of an answer: the request id and the command.
@@ -143,12 +143,12 @@
 // acceptNotice counts a progress notice, and reports whether the count is within the limit. interval is the usual time between
 // two notices.
 func (a *attempt) acceptNotice(now time.Time, interval time.Duration) bool {
-	a.progressNotes++
-	limit := progressNoteBurst
+	a.noticeCount++
+	limit := noticeBurst
 	if interval > 0 {
-		limit += progressNotesPerInterval * int(now.Sub(a.sentAt)/interval)
+		limit += noticesPerInterval * int(now.Sub(a.sentAt)/interval)
 	}
-	return a.progressNotes <= limit
+	return a.noticeCount <= limit
 }
 
 // handleFirstPage stores the first page of a result and requests all further pages at once.
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -66,23 +66,23 @@
 	if c.inFlight == 0 {
 		deadline = c.lastUsed.Add(c.pool.maxIdle())
 	}
-	limit := func(since time.Time, wait time.Duration) {
-		if by := since.Add(wait); by.Before(deadline) {
-			deadline = by
+	limitDeadline := func(since time.Time, wait time.Duration) {
+		if candidate := since.Add(wait); candidate.Before(deadline) {
+			deadline = candidate
 		}
 	}
 	if c.inFlight == 0 && c.pool.retired {
-		limit(now, 0)
+		limitDeadline(now, 0)
 	}
 	if interval := c.pool.owner.noticeInterval(); c.inFlight > 0 && interval > 0 {
-		limit(c.lastAnswerAt, silentNoticeIntervals*interval)
+		limitDeadline(c.lastAnswerAt, silentNoticeIntervals*interval)
 	}
 	if !c.cancelSentAt.IsZero() {
-		limit(c.cancelSentAt, connectTimeout)
+		limitDeadline(c.cancelSentAt, connectTimeout)
 	}
 	if !c.answerBegunAt.IsZero() {
-		limit(c.answerGrewAt, connectTimeout)
-		limit(c.answerBegunAt, maxAnswerWaits*connectTimeout)
+		limitDeadline(c.answerGrewAt, connectTimeout)
+		limitDeadline(c.answerBegunAt, maxAnswerWaits*connectTimeout)
 	}
 	c.socket.SetReadDeadline(deadline)
 }
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -15,7 +15,7 @@
 )
 
 // Pages may arrive in any order, and one connection carries two requests.
-func TestPagesAreGatheredInOrder(t *testing.T) {
+func TestPagesAreAssembledInOrder(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	s.onOwner(func(admission.Time) { s.owner.usage.engineConnectionLimit = 0 }) // makes attempts share connections
@@ -76,7 +76,7 @@
 	k = f.receive()
 	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
-	b.sendLoad("bb")
+	b.sendNonIdempotentQuery("bb")
 	f.receive().Close()
 	b.expectAnswer()
 	s.compareTrace("reset")
@@ -89,7 +89,7 @@
 	s := startFixture(t)
 	f.fixture = s
 	a := s.newClient()
-	a.sendLoad("aa")
+	a.sendNonIdempotentQuery("aa")
 	s.awaitRequests(1)
 	s.listEvents <- fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(f, "Ready"), serverJSON(e, "Ready")}))
 	k := f.receive()
@@ -104,7 +104,7 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	a.sendLoad("aa")
+	a.sendNonIdempotentQuery("aa")
 	k := e.receive()
 	s.advanceClock(12100 * admission.Millisecond)
 	e.receive()
@@ -120,11 +120,11 @@
 }
 
 // The client gets no part of pages that were not requested.
-func TestUnaskedPagesArePassedOver(t *testing.T) {
+func TestUnrequestedPagesAreIgnored(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	a.sendLoad("bb")
+	a.sendNonIdempotentQuery("bb")
 	k := e.receive()
 	e.reply(k, "00000000000000ff", "data", "pages=1", "of\tnobody\t.\n")
 	e.reply(k, "00000000000000bb", "page", "page=0", "too\tearly\t.\n")
@@ -143,7 +143,7 @@
 }
 
 // If answers contain load reports, an answer for no request is ignored together with its report.
-func TestReportOfNobodyIsPassedOver(t *testing.T) {
+func TestReportForUnknownRequestIsIgnored(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	s.onOwner(func(admission.Time) { s.owner.network.ReportsInAnswers = true })
@@ -159,7 +159,7 @@
 // An invalid or missing answer ends its connection with a log code. It says little about the engine's health. A request that may
 // run again is sent again, and one that must not run twice fails. Other requests are not affected, because they have connections of
 // their own.
-func TestSpoiltAnswerEndsItsConnection(t *testing.T) {
+func TestInvalidAnswerEndsItsConnection(t *testing.T) {
 	const id = "00000000000000aa"
 	var out strings.Builder
 	whole := string(resp.AppendArray(nil, id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
@@ -221,7 +221,7 @@
 
 // A retry must not overtake the cancellation (undo) of the previous attempt on another connection, because the engines would then
 // hold two copies of the request.
-func TestRetryWaitsForTheUndo(t *testing.T) {
+func TestRetryWaitsForTheCancellation(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t, e)
 	a := s.newClient()
@@ -246,11 +246,11 @@
 
 // A connection that breaks at the first request after an idle time was dropped while it was idle. The idle time of later
 // connections is limited to half of that, and the break doesn't count as a failure of the engine.
-func TestIdleConnectionsRestShorterAfterABreak(t *testing.T) {
+func TestIdleTimeIsLimitedAfterABreak(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	ask := func(id string) net.Conn {
+	sendAndReceive := func(id string) net.Conn {
 		a.sendIdempotentQuery(id)
 		return e.receive()
 	}
@@ -258,34 +258,34 @@
 		e.reply(k, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 		a.expectAnswer()
 	}
-	k := ask("aa")
+	k := sendAndReceive("aa")
 	answer(k, "aa")
 	time.Sleep(100 * time.Millisecond)
-	if ask("bb") != k {
+	if sendAndReceive("bb") != k {
 		t.Error("an idle connection was not used again")
 	}
 	_ = asTCP(k).SetLinger(0)
 	k.Close()
 	k = e.receive()
 	answer(k, "bb")
-	fresh := make(chan time.Duration)
+	limits := make(chan time.Duration)
 	s.onOwner(func(admission.Time) {
 		engine, ok := s.owner.engines["e1"].(*enginePool)
 		if !ok {
 			t.Errorf("the client of the engine is %T", s.owner.engines["e1"])
-			fresh <- 0
+			limits <- 0
 			return
 		}
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
-		fresh <- engine.maxIdle()
+		limits <- engine.maxIdle()
 	})
-	d := <-fresh
-	if d >= s.owner.engineIdleTimeout() {
-		t.Errorf("the limit on idle times is %v", d)
+	idleLimit := <-limits
+	if idleLimit >= s.owner.engineIdleTimeout() {
+		t.Errorf("the limit on idle times is %v", idleLimit)
 	}
-	time.Sleep(d)
-	m := ask("cc")
+	time.Sleep(idleLimit)
+	m := sendAndReceive("cc")
 	if m == k {
 		t.Error("a connection was used again after the idle time that broke another one")
 	}
@@ -294,7 +294,7 @@
 }
 
 // A dial that fails because this machine is out of descriptors or ports is not a failure of the engine.
-func TestLackOfDescriptorsIsNotTheEnginesFailure(t *testing.T) {
+func TestLocalShortageIsNotTheEnginesFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.EADDRNOTAVAIL, syscall.ECONNREFUSED, syscall.ECONNRESET} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		if got, want := isLocalShortage(err), errno == syscall.EMFILE || errno == syscall.EADDRNOTAVAIL; got != want {
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -185,7 +185,7 @@
 func (c *testClient) sendIdempotentQuery(id string) { c.sendRequest(id, "look", 5000) }
 
 // sendNonIdempotentQuery sends a query of the class load, which must not run twice.
-func (c *testClient) sendLoad(id string) { c.sendRequest(id, "load", 20000) }
+func (c *testClient) sendNonIdempotentQuery(id string) { c.sendRequest(id, "load", 20000) }
 
 // sendRequest sends a query with the given class and wait in milliseconds. id holds the last two digits of the request id.
 func (c *testClient) sendRequest(id, class string, wait int) {
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -19,7 +19,7 @@
 	"magpiebank/internal/config"
 )
 
-var keep = flag.Bool("keep", false, "overwrite the golden files with the current traces")
+var updateGolden = flag.Bool("keep", false, "overwrite the golden files with the current traces")
 
 // manualClock is a clock that only moves when a test advances it.
 type manualClock struct {
@@ -75,18 +75,18 @@
 // fixture is a gateway on the loopback interface. The test plays the clients, the engines and the engine list, and the fixture
 // traces what they send and receive.
 type fixture struct {
-	t          *testing.T
-	clock      *manualClock
-	owner      *owner
-	stop       chan struct{}
-	ended      chan struct{}
-	trace      strings.Builder
-	log        lockedBuffer
-	address    string
-	listEvents chan string // answers that the engine list will give to the next polls
-	polls      chan string // request lines of the polls received
-	listIndex  int
-	closers    []io.Closer
+	t             *testing.T
+	clock         *manualClock
+	owner         *owner
+	stop          chan struct{}
+	ended         chan struct{}
+	trace         strings.Builder
+	log           lockedBuffer
+	address       string
+	listEvents    chan string // answers that the engine list will give to the next polls
+	receivedPolls chan string // request lines of the polls received
+	listIndex     int
+	closers       []io.Closer
 
 	startConfig *config.Config
 	reloads     chan *config.Config
@@ -127,7 +127,7 @@
 func startFixtureWith(t *testing.T, settings string, engines ...*fakeEngine) *fixture {
 	t.Helper()
 	s := &fixture{t: t, clock: &manualClock{now: 17e12, timers: map[*manualTimer]bool{}}, stop: make(chan struct{}),
-		ended: make(chan struct{}), listEvents: make(chan string, 8), polls: make(chan string, 8), listIndex: 1,
+		ended: make(chan struct{}), listEvents: make(chan string, 8), receivedPolls: make(chan string, 8), listIndex: 1,
 		reloads: make(chan *config.Config)}
 	var servers []string
 	for _, e := range engines {
@@ -136,7 +136,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"memory_mb":192},
-	 "coordinator":%q,"known":{"index":1,"updates":[%s]},"settings":%s}`, s.engineList(), watchEvent(1, true, servers), settings)
+	 "coordinator":%q,"known":{"index":1,"updates":[%s]},"settings":%s}`, s.startEngineList(), watchEvent(1, true, servers), settings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -191,8 +191,8 @@
 	return fmt.Sprintf(`{"index":%d,"endpoints":{"full":%v,"servers":[%s]}}`, index, full, strings.Join(servers, ","))
 }
 
-// engineList starts an engine list that serves the events announced by the test, and returns its address.
-func (s *fixture) engineList() string {
+// startEngineList starts an engine list that serves the events announced by the test, and returns its address.
+func (s *fixture) startEngineList() string {
 	l := s.listen()
 	go func() {
 		for {
@@ -204,7 +204,7 @@
 		}
 	}()
 	go func() { // discards polls that no test waits for
-		for range s.polls {
+		for range s.receivedPolls {
 		}
 	}()
 	return l.Addr().String()
@@ -222,7 +222,7 @@
 		if !strings.HasPrefix(line, "GET ") {
 			continue
 		}
-		s.polls <- line
+		s.receivedPolls <- line
 		body := `{"index":1,"updates":[]}`
 		select {
 		case body = <-s.listEvents:
@@ -238,7 +238,7 @@
 	s.listIndex++
 	s.tracef("the list tells: %s is %s", e.name, state)
 	s.listEvents <- fmt.Sprintf(`{"index":%d,"updates":[%s]}`, s.listIndex, watchEvent(s.listIndex, false, []string{serverJSON(e, state)}))
-	for line := range s.polls {
+	for line := range s.receivedPolls {
 		if strings.Contains(line, fmt.Sprintf("follow=%d&", s.listIndex)) {
 			break
 		}
@@ -283,13 +283,13 @@
 	}
 }
 
-// nobody returns a listener that never accepts or answers, and stays open as long as the test program runs.
-var nobody = sync.OnceValues(func() (net.Listener, error) { return listenTCP("127.0.0.1:0") })
+// silentListener returns a listener that never accepts or answers, and stays open as long as the test program runs.
+var silentListener = sync.OnceValues(func() (net.Listener, error) { return listenTCP("127.0.0.1:0") })
 
 // stopGateway ends all requests in flight, moves the gateway to an engine list that never answers and stops the gateway. Otherwise
 // it would dial addresses that the servers of the next test may get.
 func (s *fixture) stopGateway() {
-	l, err := nobody()
+	l, err := silentListener()
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -317,7 +317,7 @@
 	s.t.Helper()
 	s.close()
 	path := "testdata/" + name + ".txt"
-	if *keep {
+	if *updateGolden {
 		_ = os.MkdirAll("testdata", 0o755)
 		_ = os.WriteFile(path, []byte(s.trace.String()), 0o644)
 	}
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -77,11 +77,11 @@
 
 // HasSlowStartCapacity tries to reserve a fraction of an engine's slow-start quota, which the gateways share. It reports whether
 // this gateway has it, and false for shared if the gateways don't share such quotas.
-func (h host) HasSlowStartCapacity(name admission.EngineID, part float64) (available, shared bool) {
+func (h host) HasSlowStartCapacity(name admission.EngineID, fraction float64) (available, shared bool) {
 	if h.owner.peers == nil {
 		return false, false
 	}
-	return h.owner.peers.TryReserveSlowStart(h.owner.now, name, part)
+	return h.owner.peers.TryReserveSlowStart(h.owner.now, name, fraction)
 }
 
 // SubscribeEndpoints does nothing, because the watcher polls the engine list from the start.
--- a/internal/router/owner_requests.go
+++ b/internal/router/owner_requests.go
@@ -41,12 +41,12 @@
 // classify assigns a request to one of the operator's classes and sets its estimate. It reports whether the request may
 // proceed; otherwise it has given the request its final answer.
 func (o *owner) classify(now admission.Time, request *request) bool {
-	estimate, crowded, refusal := o.resourceGroups.Classify(now, request.statementReader)
-	if refusal != "" {
-		request.responder.answer(requestDenied{refusal})
+	estimate, overCapacity, rejectText := o.resourceGroups.Classify(now, request.statementReader)
+	if rejectText != "" {
+		request.responder.answer(requestDenied{rejectText})
 		return false
 	}
-	if crowded {
+	if overCapacity {
 		request.responder.answer(requestRejected{o.deployment.RetryAfter})
 		return false
 	}
--- a/internal/router/owner_test.go
+++ b/internal/router/owner_test.go
@@ -80,7 +80,7 @@
 }
 
 // No order of events makes the owner panic, and no request is retained after its deadline.
-func TestOwnerTakesEventsInAnyOrder(t *testing.T) {
+func TestOwnerHandlesEventsInAnyOrder(t *testing.T) {
 	s := startFixture(t)
 	done := make(chan struct{})
 	s.onOwner(func(now admission.Time) {
@@ -104,7 +104,7 @@
 
 // Engines and clients with ever new ids come and go. The gateway must retain no state, timers or goroutines for those that are
 // gone.
-func TestNothingIsKeptOfWhatIsOver(t *testing.T) {
+func TestNothingIsRetainedForFormerClientsAndEngines(t *testing.T) {
 	e := newFakeEngine(t, "e")
 	s := startFixture(t)
 	e.fixture = s
@@ -128,16 +128,16 @@
 		a.socket.Close()
 		list(admission.Gone)
 	}
-	for kept := -1; kept != 0; time.Sleep(time.Millisecond) {
+	for retained := -1; retained != 0; time.Sleep(time.Millisecond) {
 		s.onOwner(func(admission.Time) {
-			kept = len(s.owner.sessions) + len(s.owner.requests) + len(s.owner.engines) + int(s.owner.usage.engineConnections.Load())
+			retained = len(s.owner.sessions) + len(s.owner.requests) + len(s.owner.engines) + int(s.owner.usage.engineConnections.Load())
 			s.owner.clients.mu.Lock()
-			kept += s.owner.clients.sessions
+			retained += s.owner.clients.sessions
 			s.owner.clients.mu.Unlock()
 			s.clock.mu.Lock()
-			kept += len(s.clock.timers) - 1 // except the admission controller's own timer
+			retained += len(s.clock.timers) - 1 // except the admission controller's own timer
 			s.clock.mu.Unlock()
-			kept += max(0, runtime.NumGoroutine()-before-8) // goroutines of the fake engine and clients may still be ending
+			retained += max(0, runtime.NumGoroutine()-before-8) // goroutines of the fake engine and clients may still be ending
 		})
 		s.sync()
 	}
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -14,14 +14,14 @@
 	RecordObservation(now admission.Time, engine admission.EngineID, observation admission.Observation, report admission.Report, allowedBytes float64)
 	// TryReserveSlowStart tries to reserve a fraction, from 0 to 1, of the slow-start quota of an engine, and reports whether
 	// it is reserved. shared is false if the gateways don't share such quotas.
-	TryReserveSlowStart(now admission.Time, engine admission.EngineID, part float64) (reserved, shared bool)
+	TryReserveSlowStart(now admission.Time, engine admission.EngineID, fraction float64) (reserved, shared bool)
 	// Tick is called when the owner's timer expires.
 	Tick(now admission.Time)
 	// RecordAttempt records the start of an attempt.
 	RecordAttempt(now admission.Time, request admission.RequestID, engine admission.EngineID)
 	// RecordPlacement records that the placement of a request has changed. policyClass is the name of the operator's class, or
 	// empty if the request belongs to none.
-	RecordPlacement(class, policyClass string, was, is Placement)
+	RecordPlacement(class, policyClass string, previous, current Placement)
 	// Stop notifies the other gateways that this gateway leaves, and stops all goroutines that Start started.
 	Stop()
 }
@@ -51,7 +51,7 @@
 }
 
 // recordPlacement reports a request's new placement to the peers.
-func (o *owner) recordPlacement(request *request, is Placement) {
+func (o *owner) recordPlacement(request *request, current Placement) {
 	if o.peers == nil {
 		return
 	}
@@ -59,8 +59,8 @@
 	if request.policyClass > 0 {
 		policyClass = o.resourceGroups.ClassName(request.policyClass)
 	}
-	o.peers.RecordPlacement(request.className, policyClass, request.placement, is)
-	request.placement = is
+	o.peers.RecordPlacement(request.className, policyClass, request.placement, current)
+	request.placement = current
 }
 
 // joinPeers starts the exchange of messages with the other gateways.
--- a/internal/router/resource_groups.go
+++ b/internal/router/resource_groups.go
@@ -14,7 +14,7 @@
 	// Classify estimates the cost of the request whose statement the reader has read last, and assigns the request to a class.
 	// A rejectText that isn't empty is the client's final answer. If overCapacity is true, the request is rejected, because
 	// too many requests of its class wait, or because it is currently unknown which rules are in force.
-	Classify(now admission.Time, reader StatementReader) (estimate admission.Estimate, crowded bool, refusal string)
+	Classify(now admission.Time, reader StatementReader) (estimate admission.Estimate, overCapacity bool, rejectText string)
 	// RecordAttempt charges an attempt that runs on the given number of threads. The caller passes the returned charge to
 	// RecordAttemptEnd. A policyRevision other than 0 identifies the rules that allowed the attempt.
 	RecordAttempt(estimate admission.Estimate, threads float64) (charged float64, policyRevision uint64)
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -12,24 +12,24 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// lateConn is a connection that simulates a process that stalls right after it has set a deadline, until after that deadline.
+// stalledConn is a connection that simulates a process that stalls right after it has set a deadline, until after that deadline.
 // While it is armed, each deadline has already passed when it is set.
-type lateConn struct {
+type stalledConn struct {
 	*net.TCPConn
-	mu       sync.Mutex
-	reads    bool      // read deadlines have passed when they are set
-	writes   bool      // the next write deadline has passed when it is set
-	deadline time.Time // the read deadline that was set last
-	set      int       // number of read deadlines set
+	mu              sync.Mutex
+	expireReads     bool      // read deadlines have passed when they are set
+	expireNextWrite bool      // the next write deadline has passed when it is set
+	deadline        time.Time // the read deadline that was set last
+	deadlinesSet    int       // number of read deadlines set
 	// If standing holds a channel, the next SetReadDeadline takes it, sends on it when it stalls, and resumes once it receives
 	// a value from it.
-	standing chan chan bool
+	stalls chan chan bool
 }
 
 // SetReadDeadline sets the read deadline, or an expired one while the connection is armed. It stalls first if a test requested it.
-func (c *lateConn) SetReadDeadline(t time.Time) error {
+func (c *stalledConn) SetReadDeadline(t time.Time) error {
 	select {
-	case goOn := <-c.standing:
+	case goOn := <-c.stalls:
 		goOn <- true
 		<-goOn
 	default:
@@ -37,69 +37,69 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	c.set++
-	if c.reads && !t.IsZero() {
+	c.deadlinesSet++
+	if c.expireReads && !t.IsZero() {
 		t = expiredDeadline
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-func (c *lateConn) SetDeadline(t time.Time) error {
+func (c *stalledConn) SetDeadline(t time.Time) error {
 	_ = c.SetReadDeadline(t)
 	return c.SetWriteDeadline(t)
 }
 
-func (c *lateConn) SetWriteDeadline(t time.Time) error {
+func (c *stalledConn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writes {
+	if c.expireNextWrite {
 		t = expiredDeadline
 	}
-	c.writes = false
+	c.expireNextWrite = false
 	return c.TCPConn.SetWriteDeadline(t)
 }
 
-// arm sets whether read deadlines, and the next write deadline, have passed when they are set.
-func (c *lateConn) arm(reads, writes bool) {
+// expireDeadlines sets whether read deadlines, and the next write deadline, have passed when they are set.
+func (c *stalledConn) expireDeadlines(reads, writes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reads, c.writes = reads, writes
+	c.expireReads, c.expireNextWrite = reads, writes
 }
 
-// rests reports whether a session waits for its first query. By then it has set three read deadlines: for the header of the login,
+// awaitsFirstQuery reports whether a session waits for its first query. By then it has set three read deadlines: for the header of the login,
 // for the rest of the login, and for the query.
-func (c *lateConn) rests() bool {
+func (c *stalledConn) awaitsFirstQuery() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.set == 3
+	return c.deadlinesSet == 3
 }
 
-// standStill makes the next SetReadDeadline stall before it sets the deadline. stands waits until the stall has begun. goOn ends
+// stallNextDeadline makes the next SetReadDeadline stall before it sets the deadline. stands waits until the stall has begun. goOn ends
 // it, and from then on read deadlines have passed when they are set.
-func (c *lateConn) standStill() (stands, goOn func()) {
+func (c *stalledConn) stallNextDeadline() (stands, goOn func()) {
 	there := make(chan bool)
-	c.standing <- there
+	c.stalls <- there
 	return func() { <-there }, func() {
-		c.arm(true, false)
+		c.expireDeadlines(true, false)
 		there <- true
 	}
 }
 
-// late wraps a connection in a lateConn.
-func late(tcp net.Conn) *lateConn {
-	return &lateConn{TCPConn: asTCP(tcp), standing: make(chan chan bool, 1)}
+// newStalledConn wraps a connection in a stalledConn.
+func newStalledConn(tcp net.Conn) *stalledConn {
+	return &stalledConn{TCPConn: asTCP(tcp), stalls: make(chan chan bool, 1)}
 }
 
-// lateClient logs in a client whose connection is a lateConn on the router's side, and returns both.
-func (s *fixture) lateClient() (*testClient, *lateConn) {
+// newStalledClient logs in a client whose connection is a stalledConn on the router's side, and returns both.
+func (s *fixture) newStalledClient() (*testClient, *stalledConn) {
 	listener := s.listen()
-	accepted := make(chan *lateConn)
+	accepted := make(chan *stalledConn)
 	go func() {
 		tcp, err := listener.Accept()
 		if err != nil {
 			s.t.Error(err)
 		}
-		conn := late(tcp)
+		conn := newStalledConn(tcp)
 		(&acceptor{owner: s.owner}).startSession(conn)
 		accepted <- conn
 	}()
@@ -110,14 +110,14 @@
 	return c, <-accepted
 }
 
-// arrived waits until a connection has unread bytes.
-func arrived(t *testing.T, tcp net.Conn) {
+// awaitInput waits until a connection has unread bytes.
+func awaitInput(t *testing.T, tcp net.Conn) {
 	t.Helper()
 	eventually(t, "unread bytes have arrived", func() bool { return hasInput(tcp) })
 }
 
-// served waits for an attempt at the engine, has the engine answer it, and requires that the client gets a result.
-func (s *fixture) served(c *testClient, e *fakeEngine, id string) {
+// requireServed waits for an attempt at the engine, has the engine answer it, and requires that the client gets a result.
+func (s *fixture) requireServed(c *testClient, e *fakeEngine, id string) {
 	s.t.Helper()
 	select {
 	case h := <-e.received:
@@ -125,11 +125,11 @@
 	case <-time.After(eventuallyTimeout):
 		s.t.Fatalf("the engine received nothing, log:\n%s", s.log.String())
 	}
-	c.isServed()
+	c.requireResult()
 }
 
-// isServed waits for a packet and requires that it is the first one of a result.
-func (c *testClient) isServed() {
+// requireResult waits for a packet and requires that it is the first one of a result.
+func (c *testClient) requireResult() {
 	c.fixture.t.Helper()
 	c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	if p := c.readPacket(); p[0] != 3 {
@@ -139,39 +139,39 @@
 
 // A request that arrives while the process is stalled, and is still unread when the session's read deadline passes, is served. The
 // process may stall before any of the reads.
-func TestRequestThatCameDuringAStallIsServed(t *testing.T) {
+func TestRequestThatArrivesDuringAStallIsServed(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), 3*maxReadAhead)
 	for what, statement := range map[string]string{"short": "SELECT a FROM t_7.x", "longer than what is read ahead": "SELECT '" + string(long) + "' FROM t_7.x"} {
 		t.Run(what, func(t *testing.T) {
 			e := newFakeEngine(t, "e1")
 			s := startFixture(t, e)
 			defer s.close()
-			c, conn := s.lateClient()
-			eventually(t, "the session waits for its first query", conn.rests)
-			stands, goOn := conn.standStill()
+			c, conn := s.newStalledClient()
+			eventually(t, "the session waits for its first query", conn.awaitsFirstQuery)
+			stands, goOn := conn.stallNextDeadline()
 			c.send(0, []byte{mysql.Ping})
 			stands()
 			c.send(0, append([]byte{mysql.Query}, "/* class=look,id=00000000000000aa,wait=5000 */ "+statement...))
-			arrived(t, conn)
+			awaitInput(t, conn)
 			goOn()
 			if p := c.readPacket(); p[0] != 0 {
 				t.Fatalf("the client got %q", p)
 			}
-			s.served(c, e, "aa")
+			s.requireServed(c, e, "aa")
 		})
 	}
 }
 
 // If the router was slow to read a client's login, the client still gets at least finalReadWait for its first query.
-func TestSlowRouterLeavesTimeForTheFirstQuery(t *testing.T) {
+func TestFirstQueryTimeoutAfterASlowLogin(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
-	_, conn := s.lateClient()
-	eventually(t, "the session waits for its first query", conn.rests)
-	rested := &clientSession{owner: s.owner, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took longer than firstQueryTimeout
+	_, conn := s.newStalledClient()
+	eventually(t, "the session waits for its first query", conn.awaitsFirstQuery)
+	session := &clientSession{owner: s.owner, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took longer than firstQueryTimeout
 	before := time.Now()
-	s.owner.clients.markIdle(rested)
-	s.owner.clients.markBusy(rested)
+	s.owner.clients.markIdle(session)
+	s.owner.clients.markBusy(session)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if got := conn.deadline.Sub(before); got < finalReadWait {
@@ -184,17 +184,17 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
-	c, conn := s.lateClient()
+	c, conn := s.newStalledClient()
 	c.sendIdempotentQuery("aa")
 	k := e.receive()
-	conn.arm(false, true)
+	conn.expireDeadlines(false, true)
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	c.isServed()
+	c.requireResult()
 }
 
-// lateEngine makes the router's connections to engines lateConns, and returns a channel that receives each of them.
-func (s *fixture) lateEngine() <-chan *lateConn {
-	conns := make(chan *lateConn, 8)
+// stallEngineConns makes the router's connections to engines lateConns, and returns a channel that receives each of them.
+func (s *fixture) stallEngineConns() <-chan *stalledConn {
+	conns := make(chan *stalledConn, 8)
 	s.onOwner(func(admission.Time) {
 		dial := s.owner.dial
 		s.owner.dial = func(address string) (net.Conn, error) {
@@ -202,7 +202,7 @@
 			if err != nil {
 				return nil, err
 			}
-			conn := late(tcp)
+			conn := newStalledConn(tcp)
 			conns <- conn
 			return conn, nil
 		}
@@ -216,21 +216,21 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
-	conns := s.lateEngine()
+	conns := s.stallEngineConns()
 	c := s.newClient()
 	c.sendIdempotentQuery("aa")
-	s.served(c, e, "aa")
-	c.drain()
-	(<-conns).arm(false, true)
+	s.requireServed(c, e, "aa")
+	c.discardResult()
+	(<-conns).expireDeadlines(false, true)
 	c.sendIdempotentQuery("bb")
-	s.served(c, e, "bb")
+	s.requireServed(c, e, "bb")
 	if len(conns) > 0 {
 		t.Error("the attempt was written on another connection")
 	}
 }
 
-// drain reads the rest of a result whose first packet was read.
-func (c *testClient) drain() {
+// discardResult reads the rest of a result whose first packet was read.
+func (c *testClient) discardResult() {
 	for ends := 0; ends < 2; {
 		if p := c.readPacket(); p[0] == 0xfe {
 			ends++
@@ -240,61 +240,61 @@
 
 // The rest of an answer that arrives while the process is stalled, and is still unread when the read deadline passes, is accepted.
 // The process may stall before any of the reads.
-func TestAnswerThatCameDuringAStallCounts(t *testing.T) {
+func TestAnswerThatArrivesDuringAStallIsAccepted(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
-	conns := s.lateEngine()
+	conns := s.stallEngineConns()
 	c := s.newClient()
 	c.sendIdempotentQuery("aa")
 	k := e.receive()
 	conn := <-conns
 	answer := resp.AppendArray(nil, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	stands, goOn := conn.standStill()
+	stands, goOn := conn.stallNextDeadline()
 	_, _ = k.Write(answer[:9])
 	stands()
 	_, _ = k.Write(answer[9:])
-	arrived(t, conn)
+	awaitInput(t, conn)
 	goOn()
-	c.isServed()
+	c.requireResult()
 }
 
 // The answer to a health check that is still unread when the read deadline passes is accepted.
-func TestProbeAnsweredDuringAStallCounts(t *testing.T) {
+func TestHealthCheckAnswerDuringAStallIsAccepted(t *testing.T) {
 	listener, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	far := make(chan net.Conn, 1)
+	engineConns := make(chan net.Conn, 1)
 	go func() {
 		tcp, err := listener.Accept()
 		if err == nil {
-			far <- tcp
+			engineConns <- tcp
 		}
 	}()
 	s := startFixture(t)
 	defer s.close()
-	dialled := make(chan *lateConn, 1)
+	dialled := make(chan *stalledConn, 1)
 	s.owner.dial = func(address string) (net.Conn, error) {
 		tcp, err := dialTCP(address)
 		if err != nil {
 			return nil, err
 		}
-		conn := late(tcp)
-		engine := <-far
-		defer func() { far <- engine }()
+		conn := newStalledConn(tcp)
+		engine := <-engineConns
+		defer func() { engineConns <- engine }()
 		_, _ = engine.Write(resp.AppendArray(nil, "top1", "well", "gauges=util:0.2", "")) // arrives before the health check waits for it
-		arrived(t, conn)
-		conn.arm(true, false)
+		awaitInput(t, conn)
+		conn.expireDeadlines(true, false)
 		dialled <- conn
 		return conn, nil
 	}
-	p := &healthChecker{pool: &enginePool{owner: s.owner, name: "e1", address: listener.Addr().String()}}
-	how, report := p.check()
-	if how != admission.Served || report.Utilization != 0.2 {
-		t.Errorf("the health check ended as %v with %+v", how, report)
+	checker := &healthChecker{pool: &enginePool{owner: s.owner, name: "e1", address: listener.Addr().String()}}
+	outcome, report := checker.check()
+	if outcome != admission.Served || report.Utilization != 0.2 {
+		t.Errorf("the health check ended as %v with %+v", outcome, report)
 	}
 	_ = (<-dialled).Close()
-	(<-far).Close()
+	(<-engineConns).Close()
 }
