--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -38,18 +38,18 @@
 	return []admission.Endpoint{{Engine: admission.EngineID(e.name), State: state}}
 }
 
-// slowDial delays the first dial to an engine until goOn is closed. dialled receives a value when that dial begins.
-func (s *fixture) slowDial(e *fakeEngine) (dialled chan bool, goOn chan bool) {
-	dialled, goOn = make(chan bool, 1), make(chan bool)
+// slowDial delays the first dial to an engine until resume is closed. dialled receives a value when that dial begins.
+func (s *fixture) slowDial(e *fakeEngine) (dialled chan bool, resume chan bool) {
+	dialled, resume = make(chan bool, 1), make(chan bool)
 	var delayed atomic.Bool
 	s.onDial(func(address string, dial func(string) (net.Conn, error)) (net.Conn, error) {
 		if address == e.listener.Addr().String() && delayed.CompareAndSwap(false, true) {
 			dialled <- true
-			<-goOn
+			<-resume
 		}
 		return dial(address)
 	})
-	return dialled, goOn
+	return dialled, resume
 }
 
 // An engine starts to drain, or is removed, while an attempt waits for a connection to it. The attempt must go to another engine,
@@ -60,7 +60,7 @@
 			e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 			s := startFixture(t)
 			defer s.close()
-			dialled, goOn := s.slowDial(e)
+			dialled, resume := s.slowDial(e)
 			s.listEngine(e, admission.Live)
 			a := s.newClient()
 			a.sendNonIdempotentQuery("aa") // must not run twice, so a second attempt shows that the gateway knows that nothing ran
@@ -69,7 +69,7 @@
 			s.listEngine(e, state)
 			f.reply(f.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 			a.expectAnswer()
-			close(goOn)
+			close(resume)
 			s.requireNextAttempt(f, "bb")
 			if state == admission.Draining { // the connection is established by now, and can be used again
 				s.listEngine(e, admission.Live)
@@ -144,10 +144,10 @@
 	a := s.newClient()
 	a.sendNonIdempotentQuery("aa")
 	select {
-	case h := <-e.received:
-		t.Fatalf("the draining engine received %q", h.parts)
-	case h := <-f.received:
-		f.reply(h.conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	case command := <-e.received:
+		t.Fatalf("the draining engine received %q", command.parts)
+	case command := <-f.received:
+		f.reply(command.conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	}
 	a.expectAnswer()
 	if len(e.received) > 0 || !strings.Contains(s.trace.String(), "client gets: rows") {
@@ -161,19 +161,20 @@
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixtureWith(t, tenantSettings)
 	defer s.close()
-	dialled, goOn := s.slowDial(f)
+	dialled, resume := s.slowDial(f)
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
 	a.sendStatement("/* class=load,id=00000000000000aa,wait=20000,once=" + testIdempotencyToken + " */ INSERT INTO t_7.x SELECT * FROM staging.y")
-	k := e.receive()
+	conn := e.receive()
 	s.listEngine(f, admission.Live)
 	s.listEngine(e, admission.Draining)
-	k.Close()
+	conn.Close()
 	<-dialled
 	s.advanceClock(2 * admission.Second) // the deduplication window
-	close(goOn)
+	close(resume)
 	a.expectAnswer()
-	if !strings.Contains(s.trace.String(), "client gets: error 1203") { // engines would have detected a repeat, so a new request of the client is harmless
+	// The request is rejected, not failed: engines drop repeats within the window, so a new request by the client is harmless.
+	if !strings.Contains(s.trace.String(), "client gets: error 1203") {
 		t.Error(s.trace.String())
 	}
 	if len(f.received) > 0 {
@@ -185,14 +186,14 @@
 // ends the connection.
 type endlessAnswer struct {
 	name, code string
-	flood      func(k net.Conn)
+	flood      func(conn net.Conn)
 }
 
 // writeForever returns a function that writes the answers that next returns until the connection ends.
-func writeForever(next func(n int) []byte) func(k net.Conn) {
-	return func(k net.Conn) {
+func writeForever(next func(n int) []byte) func(conn net.Conn) {
+	return func(conn net.Conn) {
 		for n := 0; ; n++ {
-			if _, err := k.Write(next(n)); err != nil {
+			if _, err := conn.Write(next(n)); err != nil {
 				return
 			}
 		}
@@ -209,14 +210,14 @@
 			return resp.AppendArray(nil, fmt.Sprintf("f%015x", n), "data", "pages=1,cost=1,need=1", "a\tb\tc\n")
 		})},
 		{"pages of no result", "bad_answer", writeForever(func(int) []byte { return resp.AppendArray(nil, id, "page", "page=1", "a\tb\tc\n") })},
-		{"the same page", "bad_answer", func(k net.Conn) {
-			_, _ = k.Write(resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n"))
-			writeForever(func(int) []byte { return resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n") })(k)
+		{"the same page", "bad_answer", func(conn net.Conn) {
+			_, _ = conn.Write(resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n"))
+			writeForever(func(int) []byte { return resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n") })(conn)
 		}},
-		{"one array that grows", "cut_short", func(k net.Conn) {
-			_, _ = io.WriteString(k, "*4\r\n$16\r\n"+id+"\r\n$4\r\ndata\r\n$7\r\npages=1\r\n$5000\r\n")
+		{"one array that grows", "cut_short", func(conn net.Conn) {
+			_, _ = io.WriteString(conn, "*4\r\n$16\r\n"+id+"\r\n$4\r\ndata\r\n$7\r\npages=1\r\n$5000\r\n")
 			for {
-				if _, err := k.Write([]byte("a")); err != nil {
+				if _, err := conn.Write([]byte("a")); err != nil {
 					return
 				}
 				time.Sleep(20 * time.Millisecond)
@@ -235,13 +236,13 @@
 			defer s.close()
 			a := s.newClient()
 			a.sendIdempotentQuery("aa")
-			k := e.receive()
-			go c.flood(k)
+			conn := e.receive()
+			go c.flood(conn)
 			s.awaitLog("code=" + c.code)
 			for { // the gateway may have requested pages of the first attempt's result
-				h := <-e.received
-				if h.parts[0] == "do" {
-					e.reply(h.conn, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
+				command := <-e.received
+				if command.parts[0] == "do" {
+					e.reply(command.conn, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
 					break
 				}
 			}
--- a/internal/router/connection_reset_test.go
+++ b/internal/router/connection_reset_test.go
@@ -59,15 +59,15 @@
 		}
 		s.trace.Reset()
 		a.sendIdempotentQuery(id[14:])
-		h := <-e.received
-		_, _ = h.conn.Write(whole[:cut])
-		_ = asTCP(h.conn).SetLinger(0)
-		h.conn.Close()
-		h = <-e.received
-		if h.parts[0] != "do" || h.parts[1] != id {
-			t.Fatalf("after %d bytes the engine received %q", cut, h.parts)
+		command := <-e.received
+		_, _ = command.conn.Write(whole[:cut])
+		_ = asTCP(command.conn).SetLinger(0)
+		command.conn.Close()
+		command = <-e.received
+		if command.parts[0] != "do" || command.parts[1] != id {
+			t.Fatalf("after %d bytes the engine received %q", cut, command.parts)
 		}
-		_, _ = h.conn.Write(whole)
+		_, _ = command.conn.Write(whole)
 		a.expectAnswer()
 		if !strings.Contains(s.trace.String(), `client gets: rows "\x01a\x01b\x01c"`) {
 			t.Errorf("after %d bytes: %s", cut, s.trace.String())
@@ -91,10 +91,10 @@
 	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(e, "Ready")}))
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
 	for cut := range whole {
-		k := awaitPoll(t, l)
-		_, _ = k.Write([]byte(whole[:cut]))
-		_ = asTCP(k).SetLinger(0)
-		k.Close()
+		conn := awaitPoll(t, l)
+		_, _ = conn.Write([]byte(whole[:cut]))
+		_ = asTCP(conn).SetLinger(0)
+		conn.Close()
 	}
 	known := make(chan int, 1)
 	s.onOwner(func(admission.Time) { known <- len(s.owner.engines) })
--- a/internal/router/engine_pool.go
+++ b/internal/router/engine_pool.go
@@ -84,9 +84,10 @@
 }
 
 // reusableConn returns the connection with the fewest attempts in flight, and among equals the most recently used one. It
-// returns nil if no connection can take another attempt. Connections with few attempts are preferred because a connection that
-// breaks fails all attempts on it. A request is sent only once on a connection, so that an answer to an earlier attempt is not
-// mistaken for an answer to a later one. The caller holds mu.
+// returns nil if no connection can take another attempt. Connections with few attempts are preferred, and send gives an
+// attempt a connection of its own while descriptors allow, because a connection that breaks fails all attempts on it. A request
+// is sent only once on a connection, so that an answer to an earlier attempt is not mistaken for an answer to a later one. The
+// caller holds mu.
 func (p *enginePool) reusableConn(id admission.RequestID) *engineConn {
 	var best *engineConn
 	maxIdle := p.maxIdle()
--- a/internal/router/health_check.go
+++ b/internal/router/health_check.go
@@ -26,7 +26,7 @@
 func (h *healthChecker) run() {
 	for range h.pool.checkRequested {
 		outcome, report := h.checkRecovering()
-		// A healthy engine may also have a broken connection or an invalid answer once, so the check is repeated once.
+		// A connection can break, or an answer be invalid, even if the engine is healthy, so the check is repeated once.
 		if outcome != admission.Served && outcome != admission.Unreachable && !h.open {
 			outcome, report = h.checkRecovering()
 		}
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -13,7 +13,7 @@
 )
 
 // stalledConn is a connection that simulates a process that stalls right after it has set a deadline, until after that deadline.
-// While it is armed, each deadline has already passed when it is set.
+// expireDeadlines selects which deadlines have already passed when they are set.
 type stalledConn struct {
 	*net.TCPConn
 	mu              sync.Mutex
@@ -21,17 +21,17 @@
 	expireNextWrite bool      // the next write deadline has passed when it is set
 	deadline        time.Time // the read deadline that was set last
 	deadlinesSet    int       // number of read deadlines set
-	// If standing holds a channel, the next SetReadDeadline takes it, sends on it when it stalls, and resumes once it receives
+	// If stalls holds a channel, the next SetReadDeadline takes it, sends on it when it stalls, and resumes once it receives
 	// a value from it.
 	stalls chan chan bool
 }
 
-// SetReadDeadline sets the read deadline, or an expired one while the connection is armed. It stalls first if a test requested it.
+// SetReadDeadline sets the read deadline, or an expired one if expireReads is set. It stalls first if the test has requested a stall.
 func (c *stalledConn) SetReadDeadline(t time.Time) error {
 	select {
-	case goOn := <-c.stalls:
-		goOn <- true
-		<-goOn
+	case resume := <-c.stalls:
+		resume <- true
+		<-resume
 	default:
 	}
 	c.mu.Lock()
@@ -66,17 +66,17 @@
 	c.expireReads, c.expireNextWrite = reads, writes
 }
 
-// awaitsFirstQuery reports whether a session waits for its first query. By then it has set three read deadlines: for the header of the login,
-// for the rest of the login, and for the query.
+// awaitsFirstQuery reports whether a session waits for its first query. By then it has set three read deadlines: for the
+// header of the login, for the rest of the login, and for the query.
 func (c *stalledConn) awaitsFirstQuery() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.deadlinesSet == 3
 }
 
-// stallNextDeadline makes the next SetReadDeadline stall before it sets the deadline. stands waits until the stall has begun. goOn ends
-// it, and from then on read deadlines have passed when they are set.
-func (c *stalledConn) stallNextDeadline() (stands, goOn func()) {
+// stallNextDeadline makes the next SetReadDeadline stall before it sets the deadline. awaitStall waits until the stall has
+// begun. resume ends it, and from then on read deadlines have passed when they are set.
+func (c *stalledConn) stallNextDeadline() (awaitStall, resume func()) {
 	there := make(chan bool)
 	c.stalls <- there
 	return func() { <-there }, func() {
@@ -120,8 +120,8 @@
 func (s *fixture) requireServed(c *testClient, e *fakeEngine, id string) {
 	s.t.Helper()
 	select {
-	case h := <-e.received:
-		e.reply(h.conn, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	case command := <-e.received:
+		e.reply(command.conn, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	case <-time.After(eventuallyTimeout):
 		s.t.Fatalf("the engine received nothing, log:\n%s", s.log.String())
 	}
@@ -148,12 +148,12 @@
 			defer s.close()
 			c, conn := s.newStalledClient()
 			eventually(t, "the session waits for its first query", conn.awaitsFirstQuery)
-			stands, goOn := conn.stallNextDeadline()
+			awaitStall, resume := conn.stallNextDeadline()
 			c.send(0, []byte{mysql.Ping})
-			stands()
+			awaitStall()
 			c.send(0, append([]byte{mysql.Query}, "/* class=look,id=00000000000000aa,wait=5000 */ "+statement...))
 			awaitInput(t, conn)
-			goOn()
+			resume()
 			if p := c.readPacket(); p[0] != 0 {
 				t.Fatalf("the client got %q", p)
 			}
@@ -168,7 +168,8 @@
 	defer s.close()
 	_, conn := s.newStalledClient()
 	eventually(t, "the session waits for its first query", conn.awaitsFirstQuery)
-	session := &clientSession{owner: s.owner, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took longer than firstQueryTimeout
+	// The login of this session took longer than firstQueryTimeout.
+	session := &clientSession{owner: s.owner, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)}
 	before := time.Now()
 	s.owner.clients.markIdle(session)
 	s.owner.clients.markBusy(session)
@@ -186,13 +187,13 @@
 	defer s.close()
 	c, conn := s.newStalledClient()
 	c.sendIdempotentQuery("aa")
-	k := e.receive()
+	engineSide := e.receive()
 	conn.expireDeadlines(false, true)
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(engineSide, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	c.requireResult()
 }
 
-// stallEngineConns makes the router's connections to engines lateConns, and returns a channel that receives each of them.
+// stallEngineConns wraps the router's connections to engines in stalledConns, and returns a channel that receives each of them.
 func (s *fixture) stallEngineConns() <-chan *stalledConn {
 	conns := make(chan *stalledConn, 8)
 	s.onOwner(func(admission.Time) {
@@ -247,15 +248,15 @@
 	conns := s.stallEngineConns()
 	c := s.newClient()
 	c.sendIdempotentQuery("aa")
-	k := e.receive()
+	engineSide := e.receive()
 	conn := <-conns
 	answer := resp.AppendArray(nil, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	stands, goOn := conn.stallNextDeadline()
-	_, _ = k.Write(answer[:9])
-	stands()
-	_, _ = k.Write(answer[9:])
+	awaitStall, resume := conn.stallNextDeadline()
+	_, _ = engineSide.Write(answer[:9])
+	awaitStall()
+	_, _ = engineSide.Write(answer[9:])
 	awaitInput(t, conn)
-	goOn()
+	resume()
 	c.requireResult()
 }
 
