--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -17,7 +17,7 @@
 
 // Events of client sessions.
 type (
-	// sessionOpened registers a session, so that a KILL can name its connection.
+	// sessionOpened registers a session, so that KILL QUERY can refer to it by its connection id.
 	sessionOpened struct{ session *clientSession }
 	// sessionClosed removes a session that has ended, and ends its outstanding request.
 	sessionClosed struct{ session *clientSession }
