--- a/internal/router/owner_attempts.go
+++ b/internal/router/owner_attempts.go
@@ -91,8 +91,9 @@
 	}
 }
 
-// cancelAttempt cancels at the engine an attempt that timed out or that the gateway no longer needs. The end of an attempt that was never written is reported at
-// once; otherwise it is reported when the engine confirms the cancellation or cancelTimeout has passed.
+// cancelAttempt cancels at the engine an attempt that timed out or that the gateway no longer needs. The end of an attempt that
+// was never written is reported at once; otherwise it is reported when the engine confirms the cancellation or cancelTimeout has
+// passed.
 func (o *owner) cancelAttempt(now admission.Time, attempt *attempt, outcome admission.Outcome) {
 	request := attempt.request
 	unwritten := admission.Unreachable
