--- a/internal/admission/script_test.go
+++ b/internal/admission/script_test.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// script drives one controller and records, a line each, what happens to it and what it does.
+// script drives one Controller, is its Host, and records a trace: one line for each event and each action.
 type script struct {
 	*Controller
 	d            *Deployment
-	at           Time
+	clock        Time
 	recordProbes bool
-	out          strings.Builder
+	trace        strings.Builder
 }
 
 func (s *script) record(format string, args ...any) {
-	fmt.Fprintf(&s.out, "%9s  %s\n", formatTime(s.at), fmt.Sprintf(format, args...))
+	fmt.Fprintf(&s.trace, "%9s  %s\n", formatTime(s.clock), fmt.Sprintf(format, args...))
 }
 
 func formatTime(t Time) string {
@@ -43,8 +43,8 @@
 func (s *script) HasSlowStartCapacity(EngineID, float64) (has, shared bool) { return false, false }
 func (s *script) LogEvent(text string)                                      { s.record("  -> log: %s", text) }
 func (s *script) ScheduleTick(Time)                                         {}
-func (s *script) ReportObservation(engine EngineID, saw Observation, report Report, bytes float64) {
-	s.record("  -> tell peers of %s: %s, report %v, %.0f bytes more", engine, saw, report, bytes)
+func (s *script) ReportObservation(engine EngineID, observed Observation, report Report, bytes float64) {
+	s.record("  -> tell peers of %s: %s, report %v, %.0f bytes more", engine, observed, report, bytes)
 }
 func (s *script) ProbeEngine(engine EngineID) {
 	if s.recordProbes {
@@ -52,10 +52,10 @@
 	}
 }
 
-// peersEverywhere has all scripts run where gateways may send each other messages.
-var peersEverywhere bool
+// forcePeerMessages makes all scripts run with messages between gateways enabled.
+var forcePeerMessages bool
 
-// testDeployment has four classes: 0 is short and of little weight, 1 long and of great weight, 2 non-idempotent, 3
+// testDeployment has four classes: 0 is short and of low weight, 1 is long and of high weight, 2 is non-idempotent, 3 is
 // deduplicated and ordered.
 func testDeployment() *Deployment {
 	return &Deployment{Gateways: 1, CoresByKind: []float64{4}, MaxAttempts: 4, RetryAfter: 500 * Millisecond,
@@ -69,10 +69,10 @@
 		}}
 }
 
-// startScript starts a controller at 0 s that knows some engines.
+// startScript starts a controller at 0 s with the given engines in its list.
 func startScript(d *Deployment, engines ...EngineID) *script {
 	s := &script{d: d}
-	d.PeerMessages = d.PeerMessages || peersEverywhere
+	d.PeerMessages = d.PeerMessages || forcePeerMessages
 	s.Controller = New(0, 7, d, s)
 	var list []Endpoint
 	for _, engine := range engines {
@@ -82,57 +82,57 @@
 	return s
 }
 
-// advanceTo lets the timer tick until t.
+// advanceTo moves the clock to t and calls Tick for each tick until then.
 func (s *script) advanceTo(t Time) {
-	for s.at+tickInterval <= t {
-		s.at += tickInterval
-		s.Tick(s.at)
+	for s.clock+tickInterval <= t {
+		s.clock += tickInterval
+		s.Tick(s.clock)
 	}
-	s.at = t
+	s.clock = t
 }
 
-// sendRequest brings a request of a class with 10 s to its deadline.
+// sendRequest delivers a request to the controller; its deadline is 10 s away.
 func (s *script) sendRequest(id RequestID, class int, work Time, key string) {
 	s.record("%s arrives in class %d", id, class)
-	s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second, Class: class, Key: key, Estimate: Estimate{Work: work}})
+	s.HandleRequest(s.clock, Request{ID: id, Deadline: s.clock + 10*Second, Class: class, Key: key, Estimate: Estimate{Work: work}})
 }
 
 // endAttempt ends a request's attempt.
 func (s *script) endAttempt(id RequestID, outcome Outcome) {
 	s.record("%s ends: %s", id, [...]string{"served", "error", "full", "timed out", "unreachable", "reset",
 		"cancelled", "moot", "lost"}[outcome])
-	s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: outcome, Answered: outcome == Served, Report: NoReport})
+	s.HandleAttemptEnd(s.clock, AttemptResult{Request: id, Outcome: outcome, Answered: outcome == Served, Report: NoReport})
 }
 
-// serveRequests has n requests of class 0, with the same estimate, served one after another; the trace starts behind them.
+// serveRequests runs n requests of class 0 with the same estimate one after another and then clears the trace.
 func (s *script) serveRequests(n int, estimate, took Time) {
 	for i := range n {
 		id := RequestID(fmt.Sprint("t", i))
-		s.HandleRequest(s.at, Request{ID: id, Deadline: s.at + 10*Second, Estimate: Estimate{Work: estimate}})
-		s.at += took
-		s.HandleAttemptEnd(s.at, AttemptResult{Request: id, Outcome: Served, Answered: true, Report: NoReport})
+		s.HandleRequest(s.clock, Request{ID: id, Deadline: s.clock + 10*Second, Estimate: Estimate{Work: estimate}})
+		s.clock += took
+		s.HandleAttemptEnd(s.clock, AttemptResult{Request: id, Outcome: Served, Answered: true, Report: NoReport})
 	}
-	s.out.Reset()
+	s.trace.Reset()
 }
 
-// engineOf is the engine of a request's latest attempt.
+// engineOf returns the engine of a request's latest attempt.
 func (s *script) engineOf(id RequestID) *engineState {
 	_, request := s.requests.find(id)
 	return s.engines.at(request.attempt.engine)
 }
 
-// endProbe ends an engine's probe.
+// endProbe delivers the result of an engine's probe.
 func (s *script) endProbe(name EngineID, outcome Outcome, report Report) {
-	s.HandleProbeResult(s.at, name, outcome, report)
+	s.HandleProbeResult(s.clock, name, outcome, report)
 	engine := s.engines.at(s.engines.byName[name])
-	s.record("probe of %s: bound %.3g, failure score %.1f", name, engine.limit.bound, s.failureScore(engine))
+	s.record("probe of %s: bound %.3g, failure score %.1f", name, engine.concurrency.limit, s.failureScore(engine))
 }
 
-// updateList updates the engine list, and records all engines.
+// updateList delivers an update of the engine list, and records the state of all engines.
 func (s *script) updateList(kind UpdateKind, list ...Endpoint) {
-	s.UpdateEndpoints(s.at, kind, list)
+	s.UpdateEndpoints(s.clock, kind, list)
 	for i := range s.engines.items {
 		engine := &s.engines.items[i]
-		s.record("%s is %s, bound %.3g", engine.Engine, [...]string{"live", "draining", "gone"}[engine.State], engine.limit.bound)
+		s.record("%s is %s, bound %.3g", engine.Engine, [...]string{"live", "draining", "gone"}[engine.State], engine.concurrency.limit)
 	}
 }
--- a/internal/admission/shedding_test.go
+++ b/internal/admission/shedding_test.go
@@ -6,11 +6,11 @@
 )
 
 var sheddingScripts = map[string]func() *script{
-	"seats": func() *script { // of eight places, seven are used; the request of high weight goes before those of low weight
+	"seats": func() *script { // of eight entries, seven are used; the request of high weight is kept and those of low weight are shed
 		d := testDeployment()
 		d.MaxRequests = 8
 		s := startScript(d, "e1")
-		s.engines.items[0].limit.bound = 1
+		s.engines.items[0].concurrency.limit = 1
 		s.sendRequest("runs", 0, 0, "")
 		for i := range 6 {
 			s.sendRequest(RequestID(fmt.Sprint("cheap", i+1)), 0, 0, "")
@@ -20,14 +20,14 @@
 		s.endAttempt("runs", Served)
 		return s
 	},
-	"too late": func() *script { // what comes just before its deadline and finds no room is answered at once
+	"too late": func() *script { // a request that arrives just before its deadline and finds no capacity is answered at once
 		s := startScript(testDeployment())
 		s.HandleRequest(0, Request{ID: "a", Deadline: 5 * Millisecond})
 		return s
 	},
-	"bar": func() *script { // under overload what earns least for its work is given up when it comes
+	"bar": func() *script { // under overload, requests of low price are rejected on arrival
 		s := startScript(testDeployment(), "e1")
-		s.engines.items[0].limit.bound = 1
+		s.engines.items[0].concurrency.limit = 1
 		s.estimates.updatePrices()
 		s.sendRequest("a", 1, 800*Millisecond, "")
 		s.sendRequest("held", 1, 800*Millisecond, "")
@@ -37,28 +37,28 @@
 		s.sendRequest("long", 1, 60*Second, "")
 		return s
 	},
-	"idle": func() *script { // what earns a hundredth for its work passes where nobody waits
+	"idle": func() *script { // a request at a hundredth of the best price is sent while nobody waits
 		s := startScript(testDeployment(), "e1")
 		s.serveRequests(20, 100*Millisecond, 100*Millisecond)
-		s.advanceTo(s.at + Second)
+		s.advanceTo(s.clock + Second)
 		s.estimates.updatePrices()
 		s.record("bar %.2f, price of the long one %.3f of the best", s.pools.list[0].minPrice,
 			s.estimates.price(0, 10000*float64(Millisecond))/s.estimates.bestPrice)
 		s.sendRequest("long", 0, 10*Second, "")
 		return s
 	},
-	"no engine": func() *script { // held while there is a chance, then answered at once
+	"no engine": func() *script { // queued for as long as an answer in time is possible, then rejected
 		s := startScript(testDeployment())
 		s.sendRequest("a", 0, 0, "")
 		s.sendRequest("b", 2, 0, "")
 		s.advanceTo(3 * Second)
 		return s
 	},
-	"deadline": func() *script { // a time-out at the deadline is answered at once; nothing after the client left
+	"deadline": func() *script { // a time-out at the deadline is answered at once; nothing is sent after the client has disconnected
 		s := startScript(testDeployment(), "e1")
 		s.sendRequest("a", 2, 0, "")
 		s.sendRequest("b", 0, 0, "")
-		s.HandleDisconnect(s.at, "b")
+		s.HandleDisconnect(s.clock, "b")
 		s.advanceTo(10 * Second)
 		s.endAttempt("b", Errored)
 		s.endAttempt("a", TimedOut)
@@ -84,24 +84,24 @@
 			p := pool{minPrice: test.minPrice, starving: test.starving}
 			p.adjustMinPrice()
 			if p.minPrice != test.want || p.starving {
-				t.Errorf("%g, starving %t, want %g", p.minPrice, p.starving, test.want)
+				t.Errorf("lowest price %g, starving %t, want price %g, not starving", p.minPrice, p.starving, test.want)
 			}
 		})
 	}
 }
 
-// poolPolicy puts each class into the pool of its number, and engines of a zone into the pool of that number.
+// poolPolicy assigns each class, and the engines of each zone, to the pool with the same number.
 type poolPolicy struct{}
 
 func (poolPolicy) AllowsAttempt(Time, int, float64) bool       { return true }
 func (poolPolicy) Pool(class int) int                          { return class }
 func (poolPolicy) InPool(pool int, engine *Endpoint) (in bool) { return engine.Zone == pool }
 
-func TestPoolSetShortageConcernsThePoolsOfAnEngine(t *testing.T) {
+func TestPoolSetShortageAffectsEnginesOfThatPool(t *testing.T) {
 	now := 10 * Second
 	s := newPoolSet(now)
 	s.policy = poolPolicy{}
-	s.of(&activeRequest{estimate: Estimate{PolicyClass: 2}}, now).shortageAt = now
+	s.forRequest(&activeRequest{estimate: Estimate{PolicyClass: 2}}, now).shortageAt = now
 	tests := []struct {
 		name string
 		zone int
@@ -115,12 +115,12 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			engine := &engineState{Endpoint: Endpoint{Zone: test.zone}}
-			if got := s.shortOfRoom(engine, test.at); got != test.want {
-				t.Errorf("short of room: %t, want %t", got, test.want)
+			if got := s.hadRecentShortage(engine, test.at); got != test.want {
+				t.Errorf("shortage of capacity: %t, want %t", got, test.want)
 			}
 		})
 	}
 	if len(s.list) != 3 {
-		t.Errorf("%d pools are kept, want 3", len(s.list))
+		t.Errorf("%d pools have state, want 3", len(s.list))
 	}
 }
--- a/internal/router/client_session_test.go
+++ b/internal/router/client_session_test.go
@@ -10,7 +10,8 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-func TestRequestWithoutAnEngineIsRejected(t *testing.T) { // no engine, so it is held while that is of use
+// A request is held while no engine is available, and is rejected when holding it any longer is of no use.
+func TestRequestWithoutAnEngineIsRejected(t *testing.T) {
 	s := startFixture(t)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
@@ -20,12 +21,13 @@
 	s.compareTrace("nacked")
 }
 
-func TestKillQueryWithdrawsTheRequest(t *testing.T) { // nothing is owed then, the engine is told, and the session can go on
+// KILL QUERY ends a request without an answer and cancels its attempt at the engine. The session remains usable.
+func TestKillQueryEndsTheRequest(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	b.sendStatement("KILL QUERY 0")
 	b.expectAnswer()
 	b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
@@ -33,33 +35,35 @@
 	b.expectAnswer()
 	e.receive()
 	e.receive()
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
 	a.sendIdempotentQuery("bb")
-	k = e.receive()
-	e.reply(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
+	conn = e.receive()
+	e.reply(conn, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
 	a.expectAnswer()
 	s.compareTrace("killed")
 }
 
-// The owner looked at what a session writes as it reads its next query, which the race detector tells.
+// A KILL QUERY may arrive while the session reads its next query. The owner must not access the fields that the session writes
+// then, as it once did. The race detector reports such an access.
 func TestKillQueryBetweenTwoRequests(t *testing.T) {
 	s := startFixture(t)
 	a, b := s.newClient(), s.newClient()
-	nacked := 0
+	rejected := 0
 	for i := range 50 {
 		a.send(0, fmt.Appendf([]byte{mysql.Query}, "/* class=look,id=%016x,wait=1 */ SELECT a FROM t_7.x", i))
 		b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
 		b.readPacket()
-		if p := a.readPacket(); p[0] == 0xff { // its time is too short to hold it, so no KILL finds it in hand
-			nacked++
+		if p := a.readPacket(); p[0] == 0xff { // its wait of 1 ms is too short to hold it, so no KILL QUERY finds it outstanding
+			rejected++
 		}
 	}
-	s.tracef("%d of 50 nacked", nacked)
+	s.tracef("%d of 50 nacked", rejected)
 	s.compareTrace("killed between")
 }
 
-// Who speaks no protocol gets an error or a close, with a code, and no engine hears of it.
-func TestBadClientsAreToldAndEnded(t *testing.T) {
+// A client that violates the protocol gets an error packet, or its connection is closed. The log has a code for the end of its
+// session. Nothing is sent to the engine.
+func TestProtocolViolationsEndTheSession(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	s.onOwner(func(admission.Time) {
@@ -71,8 +75,8 @@
 	request := func(id, wait string) []byte {
 		return query("/* class=look,id=00000000000000" + id + ",wait=" + wait + " */ SELECT a FROM t_7.x")
 	}
-	odd := query("SELECT 1")
-	for _, c := range []struct {
+	queryWithoutFields := query("SELECT 1")
+	for _, violation := range []struct {
 		what, code string
 		login      bool
 		sends      []byte
@@ -82,31 +86,32 @@
 		{"an empty packet", "bad_packet", true, []byte{0, 0, 0, 0}},
 		{"a wait above any", "closed", true, request("b0", "1000000")},
 		{"two queries at once", "pipelined", true, append(request("b1", "5000"), request("b2", "5000")...)},
-		{"errors without an end", "no_protocol", true, bytes.Repeat(odd, 20)},
+		{"errors without an end", "no_protocol", true, bytes.Repeat(queryWithoutFields, 20)},
 		{"half a head", "idle", true, []byte{9, 0}},
-		{"half a statement", "cut_short", true, odd[:9]},
+		{"half a statement", "cut_short", true, queryWithoutFields[:9]},
 		{"nothing after the login", "idle", true, nil},
 		{"nothing", "idle", false, nil},
 	} {
-		b := s.dial()
-		if b.readPacket(); c.login {
-			b.login("app\x00\x00")
-			b.readPacket()
+		client := s.dial()
+		if client.readPacket(); violation.login {
+			client.login("app\x00\x00")
+			client.readPacket()
 		}
-		s.tracef("client sends %s", c.what)
-		_, _ = b.socket.Write(c.sends)
-		if b.expectAnswer(); c.code == "closed" {
-			b.socket.Close()
+		s.tracef("client sends %s", violation.what)
+		_, _ = client.socket.Write(violation.sends)
+		if client.expectAnswer(); violation.code == "closed" {
+			client.socket.Close()
 		}
-		s.awaitLog("peer=" + b.socket.LocalAddr().String() + " code=" + c.code)
+		s.awaitLog("peer=" + client.socket.LocalAddr().String() + " code=" + violation.code)
 	}
 	if len(e.received) > 0 {
-		t.Error("the engine heard of it")
+		t.Error("the engine received a command")
 	}
 	s.compareTrace("bad clients")
 }
 
-func TestOddCommandsReachNoEngine(t *testing.T) { // errors and codes; nothing of it reaches an engine
+// Invalid and unusual commands get errors, and the ends of their sessions get codes in the log. Nothing is sent to the engine.
+func TestInvalidCommandsReachNoEngine(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
@@ -147,7 +152,7 @@
 		s.awaitLog("code=" + code)
 	}
 	if len(e.received) > 0 {
-		t.Error("the engine heard of it")
+		t.Error("the engine received a command")
 	}
 	s.compareTrace("odd clients")
 }
