--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -14,7 +14,8 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// onDial has connections to engines dialled by a hook. It must be called before any engine is listed.
+// onDial has the gateway dial engines by calling hook, which gets the original dial function. It must be called before any engine
+// is listed.
 func (s *fixture) onDial(hook func(address string, dial func(string) (net.Conn, error)) (net.Conn, error)) {
 	s.onOwner(func(admission.Time) {
 		dial := s.owner.dial
@@ -23,53 +24,54 @@
 	s.sync()
 }
 
-// listEngine has the owner take in an engine's state at once.
+// listEngine passes an engine's state directly to the owner, without the engine list.
 func (s *fixture) listEngine(e *fakeEngine, state admission.EndpointState) {
 	e.fixture = s
 	s.onOwner(func(now admission.Time) {
-		s.owner.handleEndpoints(now, admission.PartialUpdate, listing(e, state), []string{e.listener.Addr().String()})
+		s.owner.handleEndpoints(now, admission.PartialUpdate, singleEngineUpdate(e, state), []string{e.listener.Addr().String()})
 	})
 	s.sync()
 }
 
-func listing(e *fakeEngine, state admission.EndpointState) []admission.Endpoint {
+// singleEngineUpdate returns an update of the engine list with a single engine.
+func singleEngineUpdate(e *fakeEngine, state admission.EndpointState) []admission.Endpoint {
 	return []admission.Endpoint{{Engine: admission.EngineID(e.name), State: state}}
 }
 
-// slowDial holds the first dial to an engine back until goOn is closed.
-func (s *fixture) slowDial(e *fakeEngine) (dialled chan bool, goOn chan bool) {
-	dialled, goOn = make(chan bool, 1), make(chan bool)
-	var held atomic.Bool
+// slowDial delays the first dial to an engine until resume is closed. dialled receives a value when that dial begins.
+func (s *fixture) slowDial(e *fakeEngine) (dialled chan bool, resume chan bool) {
+	dialled, resume = make(chan bool, 1), make(chan bool)
+	var delayed atomic.Bool
 	s.onDial(func(address string, dial func(string) (net.Conn, error)) (net.Conn, error) {
-		if address == e.listener.Addr().String() && held.CompareAndSwap(false, true) {
+		if address == e.listener.Addr().String() && delayed.CompareAndSwap(false, true) {
 			dialled <- true
-			<-goOn
+			<-resume
 		}
 		return dial(address)
 	})
-	return dialled, goOn
+	return dialled, resume
 }
 
-// An engine is told to drain, or is gone, while an attempt waits for a connection to it: that goes elsewhere, and not a byte of it
-// goes to the engine once the connection is up.
-func TestDrainWhileAConnectionComesUp(t *testing.T) {
+// An engine starts to drain, or is removed, while an attempt waits for a connection to it. The attempt must go to another engine,
+// and no byte of it may be written to the first engine once the connection is established.
+func TestDrainWhileConnecting(t *testing.T) {
 	for state, name := range map[admission.EndpointState]string{admission.Draining: "drains", admission.Gone: "gone"} {
 		t.Run(name, func(t *testing.T) {
 			e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 			s := startFixture(t)
 			defer s.close()
-			dialled, goOn := s.slowDial(e)
+			dialled, resume := s.slowDial(e)
 			s.listEngine(e, admission.Live)
 			a := s.newClient()
-			a.sendLoad("aa") // which may not run twice: so it was known that it had not
+			a.sendNonIdempotentQuery("aa") // must not run twice, so a second attempt shows that the gateway knows that nothing ran
 			<-dialled
 			s.listEngine(f, admission.Live)
 			s.listEngine(e, state)
 			f.reply(f.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 			a.expectAnswer()
-			close(goOn)
+			close(resume)
 			s.requireNextAttempt(f, "bb")
-			if state == admission.Draining { // the connection is up by now, and can be used again
+			if state == admission.Draining { // the connection is established by now, and can be used again
 				s.listEngine(e, admission.Live)
 				s.listEngine(f, admission.Draining)
 				s.requireNextAttempt(e, "cc")
@@ -78,7 +80,8 @@
 	}
 }
 
-// brokenConn is a connection that the other side may have reset: then the write of an attempt is refused whole.
+// brokenConn is a connection that fails the write of an attempt before its first byte while breaks returns true, as if the
+// peer had reset it.
 type brokenConn struct {
 	net.Conn
 	breaks func() bool
@@ -91,8 +94,8 @@
 	return c.Conn.Write(b)
 }
 
-// breakFirst has the first write of an attempt be refused, right after before is called.
-func (s *fixture) breakFirst(before func()) {
+// failFirstWrite makes the first write of an attempt fail, after calling before.
+func (s *fixture) failFirstWrite(before func()) {
 	var broken atomic.Bool
 	breaks := func() bool {
 		if broken.Swap(true) {
@@ -110,15 +113,16 @@
 	})
 }
 
-// A connection that was broken before the first byte proves that nothing ran: also what must not run twice goes out again.
-func TestBrokenBeforeTheFirstByte(t *testing.T) {
+// A connection that broke before the first byte of an attempt was written proves that nothing ran, so even a request that must not
+// run twice is sent again.
+func TestBreakBeforeTheFirstByteIsRetried(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
 	defer s.close()
-	s.breakFirst(func() {})
+	s.failFirstWrite(func() {})
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
-	a.sendLoad("aa")
+	a.sendNonIdempotentQuery("aa")
 	e.reply(e.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	if !strings.Contains(s.trace.String(), "client gets: rows") {
@@ -126,72 +130,77 @@
 	}
 }
 
-// The drain comes between the write that was refused and the second try on another connection: there is none.
-func TestDrainBeforeTheSecondWrite(t *testing.T) {
+// An engine starts to drain between the failed write of an attempt and its second write on another connection. The second write
+// must not happen.
+func TestDrainBeforeTheSecondWriteOfAnAttempt(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t)
 	defer s.close()
-	s.breakFirst(func() {
+	s.failFirstWrite(func() {
 		s.listEngine(f, admission.Live)
 		s.listEngine(e, admission.Draining)
 	})
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
-	a.sendLoad("aa")
+	a.sendNonIdempotentQuery("aa")
 	select {
-	case h := <-e.received:
-		t.Fatalf("the draining engine heard %q", h.parts)
-	case h := <-f.received:
-		f.reply(h.conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	case command := <-e.received:
+		t.Fatalf("the draining engine received %q", command.parts)
+	case command := <-f.received:
+		f.reply(command.conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	}
 	a.expectAnswer()
 	if len(e.received) > 0 || !strings.Contains(s.trace.String(), "client gets: rows") {
-		t.Errorf("%s\nthe draining engine heard %d", s.trace.String(), len(e.received))
+		t.Errorf("%s\nthe draining engine received %d commands", s.trace.String(), len(e.received))
 	}
 }
 
-// A deduplicated request must not reach an engine after the time for which engines remember it, however long the connection takes.
-func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
+// A deduplicated request must not reach an engine after the time for which engines remember its first attempt, however long the
+// connection to the engine takes.
+func TestDeduplicationWindowEndsWhileConnecting(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixtureWith(t, tenantSettings)
 	defer s.close()
-	dialled, goOn := s.slowDial(f)
+	dialled, resume := s.slowDial(f)
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
 	a.sendStatement("/* class=load,id=00000000000000aa,wait=20000,once=" + testIdempotencyToken + " */ INSERT INTO t_7.x SELECT * FROM staging.y")
-	k := e.receive()
+	conn := e.receive()
 	s.listEngine(f, admission.Live)
 	s.listEngine(e, admission.Draining)
-	k.Close()
+	conn.Close()
 	<-dialled
-	s.advanceClock(2 * admission.Second) // the window
-	close(goOn)
+	s.advanceClock(2 * admission.Second) // the deduplication window
+	close(resume)
 	a.expectAnswer()
-	if !strings.Contains(s.trace.String(), "client gets: error 1203") { // all engines dropped repeats, so a new request is harmless
+	// The request is rejected, not failed: engines drop repeats within the window, so a new request by the client is harmless.
+	if !strings.Contains(s.trace.String(), "client gets: error 1203") {
 		t.Error(s.trace.String())
 	}
 	if len(f.received) > 0 {
-		t.Errorf("the engine heard %q", (<-f.received).parts)
+		t.Errorf("the engine received %q", (<-f.received).parts)
 	}
 }
 
-// endlessAnswer is a way in which an engine answers a request without an end.
+// endlessAnswer is a way in which an engine answers a request without ever stopping. code is the log code with which the gateway
+// ends the connection.
 type endlessAnswer struct {
-	what, code string
-	flood      func(k net.Conn)
+	name, code string
+	flood      func(conn net.Conn)
 }
 
-// writeForever writes answers until the connection ends.
-func writeForever(next func(n int) []byte) func(k net.Conn) {
-	return func(k net.Conn) {
+// writeForever returns a function that writes the answers that next returns until the connection ends.
+func writeForever(next func(n int) []byte) func(conn net.Conn) {
+	return func(conn net.Conn) {
 		for n := 0; ; n++ {
-			if _, err := k.Write(next(n)); err != nil {
+			if _, err := conn.Write(next(n)); err != nil {
 				return
 			}
 		}
 	}
 }
 
+// endlessAnswers returns the endless answers to the request with the given id.
 func endlessAnswers(id string) []endlessAnswer {
 	return []endlessAnswer{
 		{"notes", "bad_answer", writeForever(func(n int) []byte {
@@ -201,14 +210,14 @@
 			return resp.AppendArray(nil, fmt.Sprintf("f%015x", n), "data", "pages=1,cost=1,need=1", "a\tb\tc\n")
 		})},
 		{"pages of no result", "bad_answer", writeForever(func(int) []byte { return resp.AppendArray(nil, id, "page", "page=1", "a\tb\tc\n") })},
-		{"the same page", "bad_answer", func(k net.Conn) {
-			_, _ = k.Write(resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n"))
-			writeForever(func(int) []byte { return resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n") })(k)
+		{"the same page", "bad_answer", func(conn net.Conn) {
+			_, _ = conn.Write(resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n"))
+			writeForever(func(int) []byte { return resp.AppendArray(nil, id, "data", "pages=2,cost=1,need=1", "a\tb\tc\n") })(conn)
 		}},
-		{"one array that grows", "cut_short", func(k net.Conn) {
-			_, _ = io.WriteString(k, "*4\r\n$16\r\n"+id+"\r\n$4\r\ndata\r\n$7\r\npages=1\r\n$5000\r\n")
+		{"one array that grows", "cut_short", func(conn net.Conn) {
+			_, _ = io.WriteString(conn, "*4\r\n$16\r\n"+id+"\r\n$4\r\ndata\r\n$7\r\npages=1\r\n$5000\r\n")
 			for {
-				if _, err := k.Write([]byte("a")); err != nil {
+				if _, err := conn.Write([]byte("a")); err != nil {
 					return
 				}
 				time.Sleep(20 * time.Millisecond)
@@ -217,23 +226,23 @@
 	}
 }
 
-// Answers without an end, whole or in part, end their connection, and the request goes out again.
+// Endless answers, or a single answer that grows without end, end their connection, and the request is sent again.
 func TestEndlessAnswers(t *testing.T) {
 	const id = "00000000000000aa"
 	for _, c := range endlessAnswers(id) {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			e := newFakeEngine(t, "e1")
 			s := startFixture(t, e)
 			defer s.close()
 			a := s.newClient()
 			a.sendIdempotentQuery("aa")
-			k := e.receive()
-			go c.flood(k)
+			conn := e.receive()
+			go c.flood(conn)
 			s.awaitLog("code=" + c.code)
-			for { // pages of the first try may have been asked for
-				h := <-e.received
-				if h.parts[0] == "do" {
-					e.reply(h.conn, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
+			for { // the gateway may have requested pages of the first attempt's result
+				command := <-e.received
+				if command.parts[0] == "do" {
+					e.reply(command.conn, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
 					break
 				}
 			}
