--- a/internal/router/journal.go
+++ b/internal/router/journal.go
@@ -47,7 +47,7 @@
 	case entry.Outcome == requestjournal.Served && entry.Complete():
 		request.responder.answer(requestServed{&attempt{request: request, result: attemptResult{pages: entry.Pages}}})
 	case entry.Outcome == requestjournal.Served:
-		request.responder.answer(requestDenied{"the request was already answered, and its rows are not stored"})
+		request.responder.answer(requestDenied{"it was delivered before, and its rows are not kept"})
 	case entry.Outcome == requestjournal.Failed, entry.Outcome == requestjournal.Abandoned && entry.MayHaveRun && o.mustNotRepeat(request):
 		request.responder.answer(requestFailed{})
 	default:
--- a/internal/router/owner_requests.go
+++ b/internal/router/owner_requests.go
@@ -13,7 +13,7 @@
 func (o *owner) handleRequest(now admission.Time, request *request) {
 	// The controller keeps a killed request until its attempt ends.
 	if o.requests[request.id] != nil || o.admission.HasRequest(request.id) {
-		request.responder.answer(requestInvalid{"the request id is in use"})
+		request.responder.answer(requestInvalid{"the id is in use"})
 		return
 	}
 	if o.journal != nil && o.answerFromJournal(request) {
