--- a/internal/cluster/consensus/errors.go
+++ b/internal/cluster/consensus/errors.go
@@ -2,20 +2,20 @@
 
 import "errors"
 
-// What callers tell apart. Errors of this package wrap them.
+// The errors that callers can distinguish with errors.Is.
 var (
-	// ErrNotLeader: only the leader appends entries and changes voters.
+	// ErrNotLeader means that a node other than the leader was called to append an entry or to change the voters.
 	ErrNotLeader = errors.New("consensus: this node doesn't lead")
-	// ErrEntryTooLong: an entry is longer than MaxEntryBytes.
+	// ErrEntryTooLong means that an entry is longer than MaxEntryBytes.
 	ErrEntryTooLong = errors.New("consensus: the entry is too long")
-	// ErrProposalDropped: the leader can't take more entries now; it may be asked again.
+	// ErrProposalDropped means that the leader can't accept an entry or a change of the voters now. The caller may try again.
 	ErrProposalDropped = errors.New("consensus: the proposal was dropped")
-	// ErrLogNotEmpty: a log that exists can't be bootstrapped.
-	ErrLogNotEmpty = errors.New("consensus: expected an empty log to begin with")
-	// ErrLogLost: the log lacks entries that other voters were told it has, so that this node must not vote any more.
-	ErrLogLost = errors.New("consensus: the log lacks what others were told it has")
-	// ErrEntriesMissing: stored records lack entries that were decided.
+	// ErrLogNotEmpty means that Bootstrap was called for a node that has a log.
+	ErrLogNotEmpty = errors.New("consensus: expected an empty log to bootstrap")
+	// ErrLogLost means that the log lacks entries that this node has acknowledged to other voters, so that it must not vote any more.
+	ErrLogLost = errors.New("consensus: the log lacks entries that this node has acknowledged")
+	// ErrEntriesMissing means that the stored records lack entries that were decided.
 	ErrEntriesMissing = errors.New("consensus: the folder lacks entries that were decided")
-	// ErrMalformedMessage: a message can't be decoded.
+	// ErrMalformedMessage means that a message can't be decoded.
 	ErrMalformedMessage = errors.New("consensus: malformed message")
 )
--- a/internal/cluster/consensus/format_test.go
+++ b/internal/cluster/consensus/format_test.go
@@ -14,7 +14,7 @@
 	var found StoredLog
 	for _, r := range decodeRecords(t, form) {
 		if !found.AddRecord(r.Key, r.Value, false) {
-			t.Errorf("record %q is taken for another's", r.Key)
+			t.Errorf("record %q: expected a key of the log, found another", r.Key)
 		}
 	}
 	if found.err != nil {
@@ -33,7 +33,8 @@
 	checkRecords(t, again, form)
 }
 
-// A follower of three takes two entries from the earlier version's leader, and saves what the earlier version saved.
+// A follower in a cluster of three receives an append with two entries that a leader of an earlier version encoded. It must save the same
+// records as the earlier version did.
 func TestEntriesFromEarlierVersionAreTakenAndSavedAlike(t *testing.T) {
 	follower := newCluster(t, 1, 3).voters[1]
 	message := golden.Read(t, "append.form")
@@ -49,7 +50,7 @@
 	checkRecords(t, follower.disk, golden.Read(t, "append-records.form"))
 }
 
-// saveAll ends what the voter has under way to its disk.
+// saveAll completes all saves of the voter, including those that a completed save starts.
 func saveAll(v *voter) {
 	for len(v.done) > 0 {
 		done := v.done
@@ -61,7 +62,7 @@
 	}
 }
 
-// decodeRecords reads records one after another: the key, four bytes of the value's length, the value.
+// decodeRecords decodes consecutive records. Each consists of the key, the value's length in four bytes, and the value.
 func decodeRecords(t *testing.T, b []byte) (list []Record) {
 	t.Helper()
 	for len(b) > 0 {
--- a/internal/cluster/consensus/logger.go
+++ b/internal/cluster/consensus/logger.go
@@ -5,7 +5,8 @@
 	"log/slog"
 )
 
-// quietLogger drops what raft logs, as the host reports what matters, but for errors. What raft takes for impossible is a panic.
+// quietLogger is a logger for raft. It logs errors at debug level and drops the rest, because the host reports the relevant events. It
+// panics on fatal messages, which raft logs for states that it considers impossible.
 type quietLogger struct{}
 
 func (quietLogger) Debug(...any)            {}
--- a/internal/cluster/consensus/messages.go
+++ b/internal/cluster/consensus/messages.go
@@ -9,8 +9,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// HandleMessage takes in a voter's message. It returns ErrMalformedMessage for one that can't be decoded; a message to another node
-// passes without effect, as it is meant for a replica that was here before.
+// HandleMessage processes a voter's message. It returns an error that wraps ErrMalformedMessage if the message can't be decoded. It ignores
+// a message to another node ID, because it is meant for an earlier replica of this member.
 func (n *Node) HandleMessage(b []byte) error {
 	var m pb.Message
 	if err := m.Unmarshal(b); err != nil {
@@ -21,7 +21,7 @@
 	}
 	switch m.Type {
 	case pb.MsgHeartbeat:
-		if m.Commit > n.LastIndex() { // a leader reports no more as decided than this node has confirmed to have
+		if m.Commit > n.LastIndex() { // a leader's heartbeat reports only entries as decided that this node has acknowledged
 			n.err = ErrLogLost
 			n.host.LogLost()
 			return nil
@@ -30,7 +30,7 @@
 	case pb.MsgApp, pb.MsgSnap:
 		n.leaderHeard(m.Term)
 	case pb.MsgProp, pb.MsgReadIndex, pb.MsgTransferLeader:
-		return nil // voters don't send these
+		return nil // voters never send these to each other
 	}
 	err := n.raft.Step(m)
 	if err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// Append proposes an entry, which may be lost all the same. It returns ErrNotLeader, ErrEntryTooLong or ErrProposalDropped for one that
-// was not appended.
+// Append proposes an entry. It returns ErrNotLeader, ErrEntryTooLong or an error that wraps ErrProposalDropped if the entry was not
+// appended. An appended entry may still be lost.
 func (n *Node) Append(entry []byte) error {
 	if n.err != nil || !n.leading {
 		return ErrNotLeader
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// ConfirmLeadership asks a majority whether this node leads; Host.LeadershipConfirmed is the answer, which may not come.
+// ConfirmLeadership starts a read by which a majority confirms that this node leads. Host.LeadershipConfirmed reports the confirmation,
+// which may never come.
 func (n *Node) ConfirmLeadership(read uint64) {
 	if n.err != nil || !n.leading {
 		return
@@ -71,8 +72,8 @@
 	n.processReady()
 }
 
-// ChangeVoters proposes other voters by one entry, which may be lost all the same: first they learn, then they are promoted in the place
-// of those that are removed. It returns ErrNotLeader or ErrProposalDropped if the entry was not appended.
+// ChangeVoters proposes one entry that adds learners, promotes nodes to voters and removes voters. A new voter should be a learner first.
+// It returns ErrNotLeader or an error that wraps ErrProposalDropped if the entry was not appended. An appended entry may still be lost.
 func (n *Node) ChangeVoters(context []byte, learn, promote, remove []uint64) error {
 	if n.err != nil || !n.leading {
 		return ErrNotLeader
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// TransferLeadership has another voter lead, once it has all that this node has.
+// TransferLeadership makes another voter the leader once it has all entries of this node.
 func (n *Node) TransferLeadership(to uint64) {
 	if n.err != nil || !n.leading {
 		return
@@ -102,19 +103,19 @@
 	n.processReady()
 }
 
-// send sends raft's messages to other voters.
+// send sends raft's messages to the other voters.
 func (n *Node) send(list []pb.Message) {
 	for _, m := range list {
 		b, err := m.Marshal()
 		if err != nil {
-			continue // as if it were lost
+			continue // treated like a message that is lost on the way
 		}
 		if m.Type == pb.MsgVoteResp && !m.Reject {
 			n.resetElectionTimer()
 		}
 		n.host.Send(m.To, b)
 		if m.Type == pb.MsgSnap {
-			n.raft.ReportSnapshot(m.To, raft.SnapshotFinish) // if it is lost, the leader finds that out and sends it again
+			n.raft.ReportSnapshot(m.To, raft.SnapshotFinish) // raft notices a lost snapshot by itself and sends it again
 		}
 	}
 }
--- a/internal/cluster/consensus/node_test.go
+++ b/internal/cluster/consensus/node_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// cluster is some voters in one process and virtual time: ticks, messages that are lost, late and doubled, voters that are killed at
-// any time, with disks that have what was saved and any first part of what was not.
+// cluster simulates a group of voters in one process and virtual time. Messages may be lost, delayed or duplicated. A voter may be killed at
+// any time: its disk then holds the records whose save was complete and an arbitrary prefix of the others.
 type cluster struct {
 	t              *testing.T
 	random         *rand.Rand
@@ -18,8 +18,8 @@
 	voters         []*voter
 	loss           float64
 	isCut          func(from, to uint64) bool
-	decided        [][]byte // by index, as the first to be told has it
-	lastValue      uint64   // value to be appended
+	decided        [][]byte // decided entries by index, as reported first by any voter
+	lastValue      uint64   // the value of the last entry that a voter tried to append
 	decidedAtRead  map[uint64]uint64
 	lastRead       uint64
 	confirmedReads int
@@ -36,10 +36,10 @@
 	id           uint64
 	node         *Node
 	running      bool
-	disk         []Record // what survives
-	unsynced     []Record // what is under way
+	disk         []Record // records that survive a crash
+	unsynced     []Record // records being saved, which a crash may lose
 	done         []func(error)
-	syncInterval int // one sync in so many ticks
+	syncInterval int // ticks between two syncs
 	applied      []byte
 	appliedIndex uint64
 	logLost      bool
@@ -103,7 +103,7 @@
 	v.done = append(v.done, done)
 }
 
-// Applied takes in a decision: nobody is ever told another one at the same place.
+// EntryApplied checks that all voters report the same entry at each index.
 func (v *voter) EntryApplied(index uint64, entry []byte) {
 	c := v.cluster
 	for uint64(len(c.decided)) <= index {
@@ -112,7 +112,7 @@
 	if c.decided[index] == nil {
 		c.decided[index] = entry
 	} else if string(c.decided[index]) != string(entry) {
-		c.t.Fatalf("at %d: %x was decided, voter %d is told %x", index, c.decided[index], v.id, entry)
+		c.t.Fatalf("index %d: expected the decided entry %x, voter %d reported %x", index, c.decided[index], v.id, entry)
 	}
 	v.applied, v.appliedIndex = append(v.applied, entry...), index
 }
@@ -127,12 +127,12 @@
 
 func (v *voter) LeadershipConfirmed(read uint64) {
 	if v.appliedIndex < v.cluster.decidedAtRead[read] {
-		v.cluster.t.Fatalf("voter %d: read %d was asked when %d entries were decided, and is confirmed with %d", v.id, read, v.cluster.decidedAtRead[read], v.appliedIndex)
+		v.cluster.t.Fatalf("voter %d: read %d: expected at least %d applied entries, the number decided when the read started, found %d", v.id, read, v.cluster.decidedAtRead[read], v.appliedIndex)
 	}
 	v.cluster.confirmedReads++
 }
 
-// pass plays some ticks.
+// pass runs the simulation for some ticks and calls each after every tick.
 func (c *cluster) pass(ticks int, each func()) {
 	c.t.Helper()
 	for range ticks {
@@ -147,7 +147,7 @@
 	}
 }
 
-// deliver hands over the messages that are due; those to voters that are down are lost.
+// deliver delivers the messages that are due. Messages to voters that are not running are lost.
 func (c *cluster) deliver() {
 	c.t.Helper()
 	mail := c.inFlight
@@ -164,7 +164,7 @@
 	}
 }
 
-// tick ends a sync, ticks the node, and now and then appends and asks.
+// tick completes a sync if one is due and ticks the node. At random it also appends an entry or starts a read.
 func (v *voter) tick() {
 	c := v.cluster
 	if c.now%v.syncInterval == 0 {
@@ -186,7 +186,7 @@
 	}
 }
 
-// disturb plays a time in which messages are lost, one voter is cut off, disks are slow, and voters are killed and start again.
+// disturb runs a period in which messages are lost, at most one voter is isolated, disks are slow, and voters are killed and restarted.
 func (c *cluster) disturb() {
 	c.t.Helper()
 	c.loss = 0.3 * c.random.Float64()
@@ -218,7 +218,8 @@
 	}
 }
 
-// Whatever is lost, late, doubled, cut and killed: one sequence of decisions, and a read that is confirmed has seen all of it.
+// All voters must apply the same sequence of entries, and a confirmed read must see all entries decided before it, although messages are
+// lost, delayed and duplicated, voters are isolated, and voters are killed and restarted.
 func TestAllVotersApplyOneLog(t *testing.T) {
 	for seed := range uint64(30) {
 		c := newCluster(t, seed, 3+2*int(seed%2))
@@ -227,24 +228,25 @@
 			c.disturb()
 		}
 		if len(c.decided) < 60 || c.confirmedReads < 40 {
-			t.Errorf("seed %d: only %d decisions and %d reads", seed, len(c.decided), c.confirmedReads)
+			t.Errorf("seed %d: expected at least 60 decisions and 40 confirmed reads, found %d and %d", seed, len(c.decided), c.confirmedReads)
 		}
 		c.heal()
 		c.pass(200, func() {})
 		before := len(c.decided)
 		c.pass(60, func() {})
 		if len(c.decided) == before {
-			t.Errorf("seed %d: all hear each other, and nothing is decided", seed)
+			t.Errorf("seed %d: no entry was decided although no messages were lost", seed)
 		}
 		for _, v := range c.voters {
 			if v.logLost || v.appliedIndex+64 < c.voters[0].appliedIndex {
-				t.Errorf("seed %d: voter %d forgot %t, at %d of %d", seed, v.id, v.logLost, v.appliedIndex, len(c.decided))
+				t.Errorf("seed %d: voter %d: log lost %t, applied index %d of %d decided", seed, v.id, v.logLost, v.appliedIndex, len(c.decided))
 			}
 		}
 	}
 }
 
-// A voter whose folder is an older one finds that out, and takes no part; a newcomer takes its place, by one change.
+// A voter whose disk was replaced by an older copy must detect that its log lacks entries, and stop. One change of the voters then replaces
+// it by a new voter.
 func TestLostLogIsReplaced(t *testing.T) {
 	c := newCluster(t, 7, 3)
 	c.pass(100, func() {})
@@ -257,7 +259,7 @@
 	lost.start()
 	c.pass(60, func() {})
 	if !lost.logLost {
-		t.Error("an older folder was not found out")
+		t.Error("the voter did not detect that its disk is an older copy")
 	}
 	lost.running = false
 	c.voters = append(c.voters, &voter{cluster: c, id: 4, syncInterval: 1})
@@ -270,16 +272,16 @@
 			case !learned:
 				learned = v.node.ChangeVoters(nil, []uint64{4}, nil, nil) == nil
 			case v.node.IsCaughtUp(4) && c.now%10 == 0:
-				_ = v.node.ChangeVoters([]byte("four for one"), nil, []uint64{4}, []uint64{lost.id}) // it is proposed again until it is decided
+				_ = v.node.ChangeVoters([]byte("four for one"), nil, []uint64{4}, []uint64{lost.id}) // proposed again until it is decided
 			}
 		}
 	})
 	voters, learners := c.voters[3].node.Voters()
-	c.voters[(follower+1)%3].kill() // two of the three that are there now decide
+	c.voters[(follower+1)%3].kill() // the other two of the three current voters can still decide
 	before := len(c.decided)
 	c.pass(200, func() {})
 	if len(voters) != 3 || slices.Contains(voters, lost.id) || !slices.Contains(voters, 4) || len(learners) > 0 || len(c.decided) == before {
-		t.Errorf("voters %v, learners %v; decisions %d, then %d", voters, learners, before, len(c.decided))
+		t.Errorf("expected voter 4 in place of the lost one, and further decisions; found voters %v, learners %v, decisions %d before and %d after", voters, learners, before, len(c.decided))
 	}
 }
 
@@ -290,7 +292,7 @@
 	}
 	c.pass(50, func() {})
 	if len(c.decided) == 0 {
-		t.Error("a voter alone decides nothing")
+		t.Error("expected a sole voter to decide entries, found none")
 	}
 }
 
--- a/internal/cluster/consensus/ready.go
+++ b/internal/cluster/consensus/ready.go
@@ -9,10 +9,11 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// readContextBytes is the length of what ConfirmLeadership hands to raft: the number of the read.
+// readContextBytes is the length of the context that ConfirmLeadership passes to raft, which is the ID of the read.
 const readContextBytes = 8
 
-// processReady does what raft has ready. While records are being saved, what rests on them waits, and so does all that comes after.
+// processReady handles raft's Ready structs until there are no more. While records are being saved, the rest of their Ready waits, and so do
+// all later ones.
 func (n *Node) processReady() {
 	if n.processing {
 		return
@@ -25,7 +26,7 @@
 			n.updateLeadership()
 		}
 		if n.leading && !n.changesTerm(&ready) {
-			n.send(ready.Messages) // a leader's messages rest on nothing on its own disk but its term
+			n.send(ready.Messages) // of the leader's own records, its messages depend only on the term
 			ready.Messages = nil
 		}
 		records := n.readyRecords(&ready)
@@ -38,11 +39,11 @@
 }
 
 func (n *Node) changesTerm(ready *raft.Ready) bool {
-	hard, _, _ := n.storage.InitialState() // which fails never in memory
+	hard, _, _ := n.storage.InitialState() // MemoryStorage never fails here
 	return !raft.IsEmptyHardState(ready.HardState) && hard.Term != ready.Term
 }
 
-// saveRecords has records survive before anything else is done, then calls then.
+// saveRecords saves records, and calls then once they survive a crash. Meanwhile processReady does nothing. If saving fails, the node stops.
 func (n *Node) saveRecords(records []Record, then func()) {
 	n.saving = true
 	n.host.SaveRecords(records, func(err error) {
@@ -51,20 +52,20 @@
 			n.fail(err)
 			return
 		}
-		n.processing = true // the host may append or ask from within the reports that follow
+		n.processing = true // in then, the host may call Append or ConfirmLeadership, which call processReady
 		then()
 		n.processing = false
 		n.processReady()
 	})
 }
 
-// fail ends this node's part for good.
+// fail stops this node for good.
 func (n *Node) fail(err error) {
 	n.err = fmt.Errorf("consensus: %w", err)
 	n.stepDown()
 }
 
-// updateLeadership compares with raft whether this node leads.
+// updateLeadership reads from raft whether this node leads, and reports a change to the host.
 func (n *Node) updateLeadership() {
 	status := n.raft.BasicStatus()
 	leads := status.RaftState == raft.StateLeader
@@ -86,7 +87,7 @@
 	n.host.LeadershipChanged(0)
 }
 
-// readyRecords are what must survive before the rest of a Ready is done.
+// readyRecords returns the records that must survive a crash before the rest of a Ready is handled.
 func (n *Node) readyRecords(ready *raft.Ready) (records []Record) {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		n.generation++
@@ -95,7 +96,7 @@
 	}
 	if len(ready.Entries) > 0 {
 		last := n.LastIndex()
-		// Entries that are replaced are deleted first, so that what is stored has no gap at any time.
+		// Delete replaced entries first, so that the stored log has no gap at any time.
 		for i := ready.Entries[0].Index; i <= last; i++ {
 			records = append(records, Record{Key: entryKey(i)})
 		}
@@ -109,9 +110,9 @@
 	return records
 }
 
-// entryDeletions are records that delete the entries below an index.
+// entryDeletions returns records that delete the entries below an index.
 func (n *Node) entryDeletions(below uint64) (records []Record) {
-	first, _ := n.storage.FirstIndex() // which fails never in memory
+	first, _ := n.storage.FirstIndex() // MemoryStorage never fails here
 	last := n.LastIndex()
 	for i := first; i <= last && i < below; i++ {
 		records = append(records, Record{Key: entryKey(i)})
@@ -119,7 +120,7 @@
 	return records
 }
 
-// finishReady does what rested on the records of a Ready.
+// finishReady handles the rest of a Ready once its records survive a crash.
 func (n *Node) finishReady(ready raft.Ready) {
 	if err := n.store(&ready); err != nil {
 		n.fail(err)
@@ -142,7 +143,7 @@
 	}
 }
 
-// store has raft's storage in memory hold what the folder holds by now.
+// store updates raft's storage in memory with what the folder now contains.
 func (n *Node) store(ready *raft.Ready) error {
 	if !raft.IsEmptyHardState(ready.HardState) {
 		if err := n.storage.SetHardState(ready.HardState); err != nil {
@@ -158,7 +159,7 @@
 	return n.storage.Append(ready.Entries)
 }
 
-// installSnapshot has the host start from a snapshot.
+// installSnapshot replaces the host's state by a snapshot.
 func (n *Node) installSnapshot(s *pb.Snapshot) {
 	index := s.Metadata.Index
 	n.appliedIndex, n.snapshotIndex, n.confState = index, index, s.Metadata.ConfState
@@ -166,7 +167,8 @@
 	n.host.VotersChanged(index, nil, n.confState.Voters, n.confState.Learners)
 }
 
-// confirmedReads are the reads that a majority has confirmed and whose entries are reported; others wait for their entries.
+// confirmedReads returns the reads that a majority has confirmed and whose entries were reported to the host. Reads that wait for their
+// entries are added to n.pendingReads.
 func (n *Node) confirmedReads(states []raft.ReadState) (confirmed []uint64) {
 	for _, state := range states {
 		if len(state.RequestCtx) != readContextBytes {
@@ -196,12 +198,12 @@
 	case pb.EntryConfChangeV2, pb.EntryConfChange:
 		change, err := decodeConfChange(e)
 		if err != nil {
-			return // of another build; all of this one pass it over alike
+			return // written by another version of this program; all nodes of this version ignore it
 		}
 		n.confState = *n.raft.ApplyConfChange(change)
 		n.host.VotersChanged(e.Index, change.Context, n.confState.Voters, n.confState.Learners)
 		if len(n.confState.Learners) > 0 {
-			n.compact() // a learner can start from no snapshot that doesn't name it
+			n.compact() // a learner can only start from a snapshot that lists it
 		}
 	}
 }
@@ -216,7 +218,7 @@
 	return old.AsV2(), err
 }
 
-// compact has a snapshot take the place of old entries.
+// compact takes a snapshot and deletes the entries that it replaces, except for the last trailingEntries.
 func (n *Node) compact() {
 	s, err := n.storage.CreateSnapshot(n.appliedIndex, &n.confState, n.host.Snapshot())
 	if err != nil {
@@ -224,7 +226,7 @@
 	}
 	n.snapshotIndex = n.appliedIndex
 	records := []Record{n.snapshotRecord(&s)}
-	first, _ := n.storage.FirstIndex() // which fails never in memory
+	first, _ := n.storage.FirstIndex() // MemoryStorage never fails here
 	if n.appliedIndex >= first+trailingEntries {
 		records = append(records, n.entryDeletions(n.appliedIndex-trailingEntries+1)...)
 		if err := n.storage.Compact(n.appliedIndex - trailingEntries); err != nil {
--- a/internal/cluster/consensus/records.go
+++ b/internal/cluster/consensus/records.go
@@ -10,14 +10,14 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Record is a key and its value in a folder, to be kept over a crash. A record without a value deletes the key.
+// Record is a key and its value, to be stored in a folder so that it survives a crash. A record without a value deletes the key.
 type Record struct {
 	Key   [16]byte
 	Value []byte
 }
 
-// A key is "log", a zero byte and a kind, with an entry's index in its last eight bytes. A value begins with recordVersion and, in four
-// bytes, the log's generation; raft's own encoding follows.
+// A key consists of "log", a zero byte and the kind, and has the entry's index in its last eight bytes. A value consists of recordVersion,
+// the log's generation in four bytes, and a message in raft's encoding.
 const (
 	recordVersion = 1
 	kindHardState = 'h'
@@ -42,7 +42,7 @@
 func encodeRecord(key [16]byte, generation uint32, message marshaler) Record {
 	encoded, err := message.Marshal()
 	if err != nil {
-		panic(err) // raft can encode each of its own messages
+		panic(err) // can't happen: raft can encode each of its own messages
 	}
 	return Record{key, append(binary.BigEndian.AppendUint32([]byte{recordVersion}, generation), encoded...)}
 }
@@ -55,18 +55,18 @@
 }
 func hardStateRecord(h pb.HardState) Record { return encodeRecord(recordKey(kindHardState, 0), 0, &h) }
 
-// StoredLog is what a folder holds of a log.
+// StoredLog is a log as read from the records in a folder.
 type StoredLog struct {
 	hard        pb.HardState
 	snapshot    pb.Snapshot
 	entries     []pb.Entry
-	generations map[uint64]uint32 // of entries, by index
+	generations map[uint64]uint32 // the generation of each entry, by index
 	generation  uint32
 	err         error
 }
 
-// AddRecord takes in a record of the folder, or with deleted set that its key has none any more. Records come in the order in which they
-// were written. It returns false for a key that is not of a log. A value that can't be decoded has New fail.
+// AddRecord adds a record of the folder, or records the deletion of its key if deleted is set. It must be called in the order in which the
+// records were written. It returns false if the key doesn't belong to a log. A value that can't be decoded makes New return an error.
 func (l *StoredLog) AddRecord(key [16]byte, value []byte, deleted bool) bool {
 	if string(key[:len(keyPrefix)]) != keyPrefix {
 		return false
@@ -84,7 +84,7 @@
 	return true
 }
 
-// decode takes in the value of a record.
+// decode decodes the value of a record and stores it in l.
 func (l *StoredLog) decode(kind byte, index uint64, value []byte) error {
 	if len(value) < headerBytes || value[0] != recordVersion {
 		return fmt.Errorf("expected form %d, found another", recordVersion)
@@ -113,12 +113,12 @@
 	}
 }
 
-// IsEmpty tells whether the folder holds nothing of a log.
+// IsEmpty reports whether the folder contains no part of a log.
 func (l *StoredLog) IsEmpty() bool {
 	return len(l.entries) == 0 && raft.IsEmptySnap(l.snapshot) && raft.IsEmptyHardState(l.hard)
 }
 
-// DeletionRecords are records by which the folder holds nothing of this log any more.
+// DeletionRecords returns the records that delete this log from the folder.
 func (l *StoredLog) DeletionRecords() (deletions []Record) {
 	for i := range l.entries {
 		deletions = append(deletions, Record{Key: entryKey(l.entries[i].Index)})
@@ -126,8 +126,9 @@
 	return append(deletions, Record{Key: recordKey(kindSnapshot, 0)}, Record{Key: recordKey(kindHardState, 0)})
 }
 
-// restore hands the log to raft. A crash may leave part of the last write: entries that were replaced, that a snapshot covers, or that
-// lack those before them. No other voter was told of these, so they are left out, and stale deletes them from the folder.
+// restore copies the stored log to raft's storage. A crash may have left an incomplete last write, with entries that were replaced, that a
+// snapshot covers, or whose predecessors are missing. This node has not acknowledged such entries to other voters, so restore omits them
+// and returns records in stale that delete them from the folder.
 func (l *StoredLog) restore(to *raft.MemoryStorage) (stale []Record, err error) {
 	if l.err != nil {
 		return nil, l.err
--- a/internal/cluster/rollout/bootstrap.go
+++ b/internal/cluster/rollout/bootstrap.go
@@ -9,8 +9,8 @@
 	"magpiebank/internal/cluster/consensus"
 )
 
-// bootstrapWhenComplete begins the log once all first voters are heard, none of them has a log, and all agree on the length of leases.
-// Where another one has a log already, this voter waits for its leader.
+// bootstrapWhenComplete starts the log once all first voters have sent a recent hello, none of them has a log, and all agree on the
+// length of leases. If another voter already has a log, this voter opens an empty log and waits for messages of that log's leader.
 func (v *voter) bootstrapWhenComplete(c *Core) {
 	if !v.replicaIDSaved {
 		return
@@ -25,11 +25,11 @@
 		}
 		peer := v.heardPeer(c, name)
 		if peer == nil {
-			v.noteWaiting(c, "voter "+name+", which is not heard: all must be there for the first start")
+			v.noteWaiting(c, "voter "+name+", which sends no messages: the first start needs all voters")
 			return
 		}
 		if !peer.WithoutLog {
-			v.noteWaiting(c, "the others, which have begun without it")
+			v.noteWaiting(c, "the leader of the other voters, which already have a log")
 			v.openLog(c)
 			return
 		}
@@ -39,7 +39,7 @@
 		peer := &v.peers[i]
 		isVoter := slices.ContainsFunc(voters, func(k Voter) bool { return k.Name == peer.name })
 		if isVoter && peer.Lease != 0 && peer.Lease != c.config.LeaseDuration {
-			v.noteWaiting(c, "one mind on leases", "voter", peer.name, "lease", peer.Lease)
+			v.noteWaiting(c, "the same lease duration at all voters", "voter", peer.name, "lease", peer.Lease)
 			return
 		}
 	}
@@ -49,7 +49,7 @@
 	v.bootstrap(c, voters, Table{LeaseDuration: c.config.LeaseDuration, WantedVoters: slices.Clone(c.config.Voters)})
 }
 
-// noteWaiting logs once what this voter waits for.
+// noteWaiting logs what this voter waits for, unless that is the last thing logged.
 func (v *voter) noteWaiting(c *Core, what string, more ...any) {
 	if v.lastNotice == what {
 		return
@@ -58,7 +58,7 @@
 	c.host.LogEvent(VoterWaiting, append([]any{"for", what}, more...)...)
 }
 
-// bootstrap begins the log with its first voters and table.
+// bootstrap starts the log with its first voters and table.
 func (v *voter) bootstrap(c *Core, voters []Voter, table Table) {
 	slices.SortFunc(voters, func(a, b Voter) int { return strings.Compare(a.Name, b.Name) })
 	table.Voters = voters
@@ -79,12 +79,12 @@
 	c.host.LogEvent(LogStarted, "voters", fmt.Sprint(voterNames(voters)), "lease", table.LeaseDuration)
 }
 
-// ErrNoFolder is returned by a process that can't vote, as it has no folder.
-var ErrNoFolder = errors.New("this gateway keeps no folder for policies (fleet.policy.folder), so it can't vote")
+// ErrNoFolder is returned by a process that can't vote because it has no folder for its records.
+var ErrNoFolder = errors.New("this gateway has no folder for policies (fleet.policy.folder), so it can't vote")
 
-// ForceNewLog begins a new log with this voter alone and the latest policy that it knows, under a number and an era of its own; the other
-// voters named join it one by one. It is for the loss of a majority for good: what the lost voters decided last may be lost. It returns
-// ErrNoFolder, or an error about the voters or a policy whose text isn't here.
+// ForceNewLog starts a new log with this process as its only voter and the latest policy that it knows, under a new number and era. The
+// other voters in the list join the log one by one. It is meant for the permanent loss of a majority of the voters; the last decisions
+// of the lost voters may be lost. It returns ErrNoFolder, or an error if the list of voters is invalid or the policy's text isn't here.
 func (c *Core) ForceNewLog(now Time, voters []string) error {
 	c.advanceClock(now)
 	v := c.voter
@@ -92,7 +92,7 @@
 		return ErrNoFolder
 	}
 	if !slices.Contains(voters, c.name) {
-		return fmt.Errorf("expected %s among the voters, as it begins", c.name)
+		return fmt.Errorf("expected %s among the voters, because it starts the new log", c.name)
 	}
 	if err := checkVoterCount(voters); err != nil {
 		return err
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// forcedTable is the first table of a forced log.
+// forcedTable returns the first table of a forced log.
 func (c *Core) forcedTable(voters []string) (*Table, error) {
 	f := &c.follower
 	table := c.voter.table.clone()
@@ -120,7 +120,7 @@
 	}
 	body := c.host.LoadPolicy(table.Digest)
 	if table.Digest != (Digest{}) && !c.policies.isUsable(table.Digest) && DigestOf(body) != table.Digest {
-		return nil, fmt.Errorf("the text of number %d, %s, isn't here: force it at another gateway", table.Number, table.Digest)
+		return nil, fmt.Errorf("this gateway doesn't have the text of number %d, %s: force the log at another gateway", table.Number, table.Digest)
 	}
 	latest := table.Number
 	table.Era, table.Number = max(table.Era, f.decided.Era)+1, max(table.Number, f.decided.Number)+1
@@ -133,7 +133,7 @@
 	return table, nil
 }
 
-// checkVoterCount returns an error for a number of voters that is not 1, 3, 5 or 7.
+// checkVoterCount returns an error unless there are 1, 3, 5 or 7 voters.
 func checkVoterCount(voters []string) error {
 	if n := len(voters); n != 1 && n != 3 && n != 5 && n != 7 {
 		return fmt.Errorf("expected 1, 3, 5 or 7 voters, found %d", n)
--- a/internal/cluster/rollout/change.go
+++ b/internal/cluster/rollout/change.go
@@ -8,14 +8,15 @@
 const (
 	maxNamedMembers  = 3
 	maxProgressBytes = 200
-	// A proposal that waits for its text and isn't repeated is forgotten after this long.
+	// waitingProposalLifetime is how long the leader keeps a proposal that waits for its text after the member last repeated it.
 	waitingProposalLifetime = 10 * second
-	// Beside the times that a proposal must wait, it may stay open for this long, and for this many leases, for some attempts to switch.
+	// extraProposalTime and extraProposalLeases, a number of lease lengths, extend the time that a proposal may stay open, so that the
+	// leader can wait for old leases to expire and can retry the switch.
 	extraProposalTime   = 10 * second
 	extraProposalLeases = 3
 )
 
-// advanceProposal takes the open proposal as far as it can go.
+// advanceProposal moves the open proposal through its phases as far as is possible now.
 func (v *voter) advanceProposal(c *Core) {
 	leader, p := v.leadership, v.table.Proposal
 	if leader == nil || p == nil || leader.behind {
@@ -57,7 +58,8 @@
 	c.policies.fetch(c, p.Digest, p.Size, sources)
 }
 
-// failure is why the open proposal can't take hold: a member that is heard can't follow it, or its time is over. Empty: it may.
+// failure returns why the open proposal must be dropped: a member that the leader receives requests from can't follow it, or it has
+// been open for too long. It returns an empty string if the proposal can go on.
 func (v *voter) failure(c *Core, text *policyText) string {
 	leader, p := v.leadership, v.table.Proposal
 	for i := range leader.holders {
@@ -71,13 +73,13 @@
 	return ""
 }
 
-// isHeard tells whether a member has sent a request within a lease's time.
+// isHeard reports whether a member has sent a request within the length of a lease.
 func (v *voter) isHeard(c *Core, h *leaseHolder) bool {
 	return c.now-h.lastHeardAt < v.table.LeaseDuration
 }
 
-// proposalTimeout is how long a proposal may stay open: the time to prepare it, the longest lease that may have to end, its rehearsal, and
-// some attempts to switch.
+// proposalTimeout returns how long the proposal may stay open: the time to prepare it, the time for old leases and overlaps to expire, its
+// rehearsal, and time for several attempts to switch.
 func (v *voter) proposalTimeout(c *Core, text *policyText) Time {
 	longest := c.config.leaseMargin(max(v.table.LeaseDuration, v.table.Overlap))
 	timeout := c.config.PrepareTimeout + extraProposalLeases*longest + extraProposalTime + v.table.Proposal.RehearsalLength
@@ -87,7 +89,7 @@
 	return timeout
 }
 
-// endPreparing begins the rehearsal, if there is to be one, or the switch.
+// endPreparing starts the rehearsal if one is required and hasn't run yet, otherwise the switch.
 func (v *voter) endPreparing(c *Core, p *LoggedProposal, text *policyText) {
 	leader := v.leadership
 	if !leader.change.rehearsed && max(p.RehearsalLength, text.terms.RehearsalLength) > 0 {
@@ -105,7 +107,7 @@
 	v.advanceProposal(c)
 }
 
-// endRehearsal ends a proposal that was only to be rehearsed, or whose rehearsal passed its bounds, and goes on with any other.
+// endRehearsal drops the proposal if it was only a rehearsal, or if the rehearsal exceeded the bounds. Any other proposal goes on.
 func (v *voter) endRehearsal(c *Core, p *LoggedProposal, text *policyText) {
 	v.leadership.change.rehearsed = true
 	report, worse := v.rehearsalReport(p, text)
@@ -121,8 +123,8 @@
 	}
 }
 
-// advanceSwitch has the proposal decided once no lease runs. Members that don't give theirs up in time are excluded, and leases on the
-// policy in force are granted again.
+// advanceSwitch has the proposal decided once no lease is running. If some members don't give up their leases within YieldTimeout, it
+// excludes them and grants leases on the policy in force again.
 func (v *voter) advanceSwitch(c *Core, p *LoggedProposal, text *policyText) {
 	leader := v.leadership
 	var holding []*leaseHolder
@@ -147,7 +149,7 @@
 	v.confirmLeadership(c)
 }
 
-// exclude has a member get no lease until it is known to hear.
+// exclude denies a member leases until the member has received a reply to a request that it sends after this call.
 func (h *leaseHolder) exclude(c *Core, p *LoggedProposal) {
 	h.excluded, h.excludedSeq = true, h.seq
 	c.host.LogEvent(MemberExcluded, "member", h.name, "proposal", proposalName(p.ID))
@@ -166,8 +168,9 @@
 	v.appendEntry(c, &logEntry{Drop: &ProposalEnd{ID: v.table.Proposal.ID, Outcome: outcome, Reason: reason}})
 }
 
-// allPrepared tells whether all members that are heard are ready for the proposal, a majority of the voters among them, and no other
-// member can hold a lease, or an overlap with an earlier proposal, any more. It excludes members that are not ready in time.
+// allPrepared reports whether the switch may start. All members that send requests must be ready for the proposal, among them a majority
+// of the voters, and no other member may still hold a lease, or an overlap with an earlier proposal. Members that are not ready within
+// PrepareTimeout are excluded.
 func (v *voter) allPrepared(c *Core) bool {
 	leader, p := v.leadership, v.table.Proposal
 	if c.now < leader.leasesClearAt || c.now < v.overlapsClearAt(c) {
@@ -187,12 +190,13 @@
 	return all && 2*voters > len(v.table.Voters)
 }
 
-// isReady tells whether a member can follow a proposal and is to take part in it.
+// isReady reports whether a member can follow the proposal and is not excluded.
 func (h *leaseHolder) isReady(p *LoggedProposal) bool {
 	return h.request.ReadyFor == p.ID && !h.excluded
 }
 
-// isPrepared tells whether the proposal need not wait for a member.
+// isPrepared reports whether the proposal need not wait for a member: either the member is ready and has the overlap that it needs, or
+// it is unreachable or excluded and can't hold a lease. It excludes a member that was not ready within PrepareTimeout.
 func (v *voter) isPrepared(c *Core, h *leaseHolder, p *LoggedProposal) bool {
 	hasOtherOverlap := h.overlapClearAt > c.now && h.overlapWith != p.ID && c.config.Mutation != IgnoreOverlap
 	heard := v.isHeard(c, h)
@@ -209,7 +213,7 @@
 	return false
 }
 
-// overlapsClearAt is when all overlaps that earlier leaders granted have ended.
+// overlapsClearAt returns the time by which all overlaps that earlier leaders granted have ended.
 func (v *voter) overlapsClearAt(c *Core) Time {
 	if v.table.Overlap == 0 || c.config.Mutation == IgnoreOverlap || c.config.Mutation == SkipLeaseWait {
 		return v.leadership.startedAt
@@ -217,17 +221,17 @@
 	return v.leadership.startedAt + c.config.leaseMargin(v.table.Overlap)
 }
 
-// String is how operators read a phase.
+// String returns the phase as shown to operators.
 func (p phase) String() string {
 	return [...]string{preparing: "being taken", rehearsing: "rehearsed", switching: "switching", deciding: "being decided"}[p]
 }
 
-// describeProgress says for operators how far a change is.
+// describeProgress describes the progress of the open proposal for operators. It is empty if there is nothing to report.
 func (v *voter) describeProgress(c *Core) string {
 	leader, p := v.leadership, v.table.Proposal
 	switch {
 	case leader.behind:
-		return "behind: somebody has gone by more than the voters know; policy force is the way out"
+		return "behind: a gateway has applied a later policy than the voters know; resolve this with policy force"
 	case p == nil && v.table.Probation != nil:
 		return fmt.Sprintf("number %d is on probation", v.table.Number)
 	case p == nil:
--- a/internal/cluster/rollout/config.go
+++ b/internal/cluster/rollout/config.go
@@ -15,10 +15,10 @@
 	millisecond = second / 1000
 )
 
-// MaxPolicyBytes is the length of the longest policy text.
+// MaxPolicyBytes limits the length of a policy's text.
 const MaxPolicyBytes = 1 << 20
 
-// Digest identifies a policy by its text's SHA-256. The zero digest is that of having no policy.
+// Digest is the SHA-256 of a policy's text and identifies the policy. The zero digest stands for no policy.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a text; an empty text has the zero digest.
@@ -29,26 +29,29 @@
 	return sha256.Sum256(text)
 }
 
-// String is the short form by which people compare digests: 12 hexadecimal digits.
+// String returns the short form in which operators compare digests: the first 12 hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// Config is what a member's own settings say about rollouts.
+// Config holds a member's own settings for rollouts.
 type Config struct {
-	// Voters are the names of the first voters: 1, 3, 5 or 7.
+	// Voters lists the names of the first voters: 1, 3, 5 or 7 members.
 	Voters []string
-	// LeaseDuration is for how long a gateway goes on without a renewal. What the first voters agree on counts for all.
+	// LeaseDuration is how long a gateway may apply a policy without renewing its lease. The first voters must agree on it, and their
+	// value applies to all members.
 	LeaseDuration Time
-	// PrepareTimeout is for how long a proposal waits for a gateway that is heard and neither takes nor refuses it.
+	// PrepareTimeout is how long a proposal waits for a member that sends lease requests but reports neither that it is ready for the
+	// proposal nor that it can't follow it. After that the leader excludes the member.
 	PrepareTimeout Time
-	// ClockDriftDivisor bounds the drift of clocks: they run at most one part in so many fast or slow.
+	// ClockDriftDivisor bounds clock drift: a clock gains or loses at most 1/ClockDriftDivisor of the elapsed time.
 	ClockDriftDivisor Time
-	// Persistent says that records survive this process; only such a process can vote.
+	// Persistent is set if records survive a restart of this process. Only a persistent process can vote.
 	Persistent bool
-	// Mutation is NoMutation in a process that serves.
+	// Mutation is NoMutation in production.
 	Mutation Mutation
 }
 
-// leaseMargin is how long this process must wait until another one, whose clock may run slower, has surely counted a time of length t.
+// leaseMargin returns how long this process must wait, by its own clock, until the duration t has certainly passed by the clock of any
+// other process, which may run slower.
 func (c *Config) leaseMargin(t Time) Time {
 	if c.Mutation == IgnoreClockDrift {
 		return t
@@ -56,24 +59,30 @@
 	return t + (3*t+c.ClockDriftDivisor-1)/c.ClockDriftDivisor
 }
 
-// Terms are what a policy's text asks of its rollout.
+// Parameters are the settings in a policy's text that control its own rollout.
 type Terms struct {
-	Overlap         Time     // for how long a gateway without a lease goes by what both policies allow; 0: not at all
-	RehearsalLength Time     // for how long all gateways try it on live requests before it is decided
-	RehearsalBounds Bounds   // beyond which the rehearsal ends the proposal
-	Probation       Time     // for how long it may be rolled back automatically
-	ProbationBounds Bounds   // beyond which it is
-	Voters          []string // that decide from then on; none: those that do
+	// Overlap is how long a gateway without a lease may admit requests that both the old and the new policy allow; 0 allows none.
+	Overlap Time
+	// RehearsalLength is how long all gateways evaluate the policy on live requests before it is decided.
+	RehearsalLength Time
+	// RehearsalBounds are the limits that drop the proposal if the rehearsal exceeds them.
+	RehearsalBounds Bounds
+	// Probation is how long the policy may be rolled back automatically after it is decided.
+	Probation Time
+	// ProbationBounds are the limits that cause the rollback if the policy exceeds them during its probation.
+	ProbationBounds Bounds
+	// Voters is unused: policies don't change the voters. Core.ReplaceVoters does.
+	Voters []string
 }
 
-// Bounds are the largest shares of requests that may be rejected, or shed for want of capacity; above 1 there is no bound.
+// Bounds are the largest shares of requests that may be rejected, or shed for lack of capacity. A value above 1 sets no limit.
 type Bounds struct{ Rejected, Shed float64 }
 
-// RequestCounts count the requests at one member since a rehearsal or a policy began there.
+// RequestCounts counts the requests at one member since a rehearsal began or a policy came into force there.
 type RequestCounts struct {
-	Subject    uint64 `cbor:"1,keyasint,omitempty"` // ID of the proposal that is rehearsed, or number of the policy
+	Subject    uint64 `cbor:"1,keyasint,omitempty"` // the ID of the proposal being rehearsed, or the number of the policy in force
 	Requests   uint64 `cbor:"2,keyasint,omitempty"`
 	Classified uint64 `cbor:"3,keyasint,omitempty"`
-	Rejected   uint64 `cbor:"4,keyasint,omitempty"` // in a rehearsal: that the policy in force doesn't reject
-	Shed       uint64 `cbor:"5,keyasint,omitempty"` // for want of a slot or capacity; in a rehearsal: that the policy in force doesn't shed
+	Rejected   uint64 `cbor:"4,keyasint,omitempty"` // in a rehearsal: only requests that the policy in force doesn't reject
+	Shed       uint64 `cbor:"5,keyasint,omitempty"` // no slot or capacity; in a rehearsal: only requests that the policy in force doesn't shed
 }
--- a/internal/cluster/rollout/core.go
+++ b/internal/cluster/rollout/core.go
@@ -1,10 +1,12 @@
-// Package rollout has a policy take hold at all gateways of a fleet or at none: which classes there are, what they may use, and what
-// is rejected. It does no I/O and has no goroutine: its caller ticks it with the clock handed in, carries its messages and saves its
-// records. docs/policy.md has the protocol, why it holds, and which test shows it.
+// Package rollout puts a policy in force at all gateways of a cluster or at none of them. A policy defines the request classes, what
+// each class may use, and which requests are rejected. The package does no I/O and starts no goroutine: its caller calls Tick with the
+// current time, delivers its messages and saves its records. docs/policy.md describes the protocol, explains why it is correct, and
+// names the test for each property.
 //
-// A few voters keep a log of what was decided (package consensus). A gateway goes by the decided policy for as long as it holds a lease
-// on it, which the voters' leader grants once a majority has confirmed that it leads. A change is proposed, prepared by all gateways that
-// are heard, and decided only when no lease on the policy before it can still run. From then on leases are granted on the new one.
+// A few voters keep a log of decisions (package consensus). A gateway applies the decided policy while it holds a lease on it. The
+// voters' leader grants leases once a majority of the voters has confirmed that it leads. A change of policy is proposed, then prepared
+// by all gateways that the leader receives requests from. It is decided only when no lease on the previous policy can still be running.
+// From then on, leases are granted on the new policy.
 package rollout
 
 import (
@@ -12,11 +14,11 @@
 	"slices"
 )
 
-// A proposal that has ended is remembered for so long, for who asks about it.
+// endedProposalLifetime is how long the result of an ended proposal stays available after the proposal was last sent to a voter.
 const endedProposalLifetime = 10 * second
 
-// Core is one process: a gateway that goes by policies and, if its folder survives it, possibly a voter. Its calls come one at a time,
-// with a clock that never goes back.
+// Core is the rollout state of one process: a gateway that applies policies and, if its records are persistent, possibly a voter.
+// Its methods must be called one at a time, with the time of a monotonic clock.
 type Core struct {
 	config      *Config
 	host        Host
@@ -26,20 +28,20 @@
 	incarnation uint64
 	follower    follower
 	policies    policyStore
-	proposals   []*localProposal // that were made here
-	voter       *voter           // nil: this process doesn't vote
-	ended       bool             // by Leave
+	proposals   []*localProposal // proposals made at this process
+	voter       *voter           // nil: this process can't vote
+	ended       bool             // set by Leave
 }
 
-// Process is what tells a process from others, and what it starts with.
+// Process identifies a process and holds the state that it starts with.
 type Process struct {
 	Name        string
 	Incarnation uint64 // differs between processes of the same name
 	Random      *rand.Rand
-	Stored      *StoredState // what its folder holds; nil: it has none
+	Stored      *StoredState // the records in its folder; nil: it has no folder
 }
 
-// New starts a process.
+// New returns the core of a process that starts now.
 func New(now Time, config *Config, process Process, host Host) *Core {
 	stored := process.Stored
 	c := &Core{config: config, host: host, random: process.Random, now: now, name: process.Name, incarnation: process.Incarnation}
@@ -56,7 +58,7 @@
 
 func (c *Core) advanceClock(now Time) { c.now = max(c.now, now) }
 
-// Tick does what is due by now.
+// Tick runs everything that is due at the time now. The caller calls it regularly.
 func (c *Core) Tick(now Time) {
 	c.advanceClock(now)
 	if c.ended {
@@ -73,7 +75,7 @@
 	c.proposals = slices.DeleteFunc(c.proposals, func(p *localProposal) bool { return p.ended && c.now-p.sentAt > endedProposalLifetime })
 }
 
-// HandleMessage takes in a member's message. It returns an error that wraps ErrMalformedMessage for one that can't be decoded.
+// HandleMessage processes a message of another member. It returns an error that wraps ErrMalformedMessage if the message can't be decoded.
 func (c *Core) HandleMessage(now Time, from string, b []byte) error {
 	c.advanceClock(now)
 	m, err := decode(b)
@@ -116,7 +118,7 @@
 	}
 }
 
-// Leave gives up the lease that this process holds, as it stops.
+// Leave gives up the lease of this process and notifies the leader. The caller calls it before the process stops.
 func (c *Core) Leave(now Time) {
 	c.advanceClock(now)
 	c.follower.release(c)
--- a/internal/cluster/rollout/core_test.go
+++ b/internal/cluster/rollout/core_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// idleHost is a gateway without a folder that nobody hears.
+// idleHost is the host of a gateway without a folder. Tests with it send no messages.
 type idleHost struct{ Host }
 
 func (idleHost) LoadPolicy(Digest) []byte     { return nil }
@@ -79,7 +79,7 @@
 				t.Errorf("expected a rejection: %s; found %v: %s", c.expected, end.Outcome, end.Reason)
 			}
 			if table.Proposal != c.open {
-				t.Errorf("the open proposal is %v", table.Proposal)
+				t.Errorf("expected the open proposal unchanged, found %v", table.Proposal)
 			}
 		})
 	}
--- a/internal/cluster/rollout/exploration.go
+++ b/internal/cluster/rollout/exploration.go
@@ -7,17 +7,17 @@
 	"magpiebank/internal/cluster/consensus"
 )
 
-// The methods of this file let a model checker drive a core one step at a time: they copy it, hand it decoded messages and a log of
-// the checker's own, and show the state that decides what it does next. They change nothing about how a core behaves.
+// The methods in this file let a model checker drive a core one step at a time: they copy a core, pass it decoded messages and a log that
+// the checker provides, and return the state that determines the core's next steps. They don't change how a core behaves.
 
-// MessageSender is a host that takes messages as they are. A core calls SendMessage in place of Host.Send on a host that has it, so that
-// a model checker need not encode and decode them; the message must not be changed afterwards.
+// MessageSender is a host that accepts messages without encoding. A core calls SendMessage in place of Host.Send on a host that implements
+// it, so that a model checker need not encode and decode messages. The message must not be changed afterwards.
 type MessageSender interface {
 	SendMessage(to string, m *Message)
 }
 
-// Clone returns a copy of the core that acts on another host and draws from another random source. A core that votes gets log for
-// its voters' log. Policy texts are shared with the copy.
+// Clone returns a copy of the core that uses another host and another random source. The copy of a core with a voter uses log as the
+// voters' log. The copy shares the policy texts.
 func (c *Core) Clone(host Host, log Log, random *rand.Rand) *Core {
 	clone := *c
 	clone.host, clone.random = host, random
@@ -37,25 +37,25 @@
 	return &clone
 }
 
-// JoinVoters has a core without a voter decide on a log that already exists, as the replica that the log and the table name.
+// JoinVoters makes a core without a voter a voter of an existing log, with the replica ID by which the log and the table list it.
 func (c *Core) JoinVoters(log Log, table Table, replicaID uint64) {
 	c.voter = &voter{log: log, table: table, replicaID: replicaID, replicaIDSaved: true}
 }
 
-// LogHost is what the log of a core that votes reports to.
+// LogHost returns the host for the voters' log of a core that votes.
 func (c *Core) LogHost() consensus.Host { return voterHost{c, c.voter} }
 
-// AddPolicy gives the core the text of a policy, as if it had been fetched and stored.
+// AddPolicy adds a policy's text to the core, as if it had been fetched and stored.
 func (c *Core) AddPolicy(text []byte) { c.policies.add(c, DigestOf(text), text, true) }
 
-// HandleDecoded is HandleMessage for a message that was not encoded.
+// HandleDecoded does what HandleMessage does, for a message that is not encoded.
 func (c *Core) HandleDecoded(now Time, from string, m Message) {
 	c.advanceClock(now)
 	m.from = from
 	c.dispatch(&m)
 }
 
-// Advance ends what has expired and takes a change as far as it can go. Unlike Tick it sends no periodic message.
+// Advance ends an expired lease or overlap and moves the open proposal on as far as possible. Unlike Tick it sends no periodic messages.
 func (c *Core) Advance(now Time) {
 	c.advanceClock(now)
 	c.follower.expire(c)
@@ -64,37 +64,37 @@
 	}
 }
 
-// RequestLease sends a request for a lease now, as a gateway does that takes leader for the leader and held its last lease for
-// lastLease.
+// RequestLease sends a request for a lease now. The gateway takes leader for the current leader and lastLease for the length of its last
+// lease.
 func (c *Core) RequestLease(now Time, leader string, lastLease Time) {
 	c.advanceClock(now)
 	c.follower.leader, c.follower.leaseDuration = leader, lastLease
 	c.follower.requestLease(c)
 }
 
-// AppendProposal has a leader append a proposal whose text all members have.
+// AppendProposal makes a leader append a proposal to the log. The caller makes sure that all members have the policy's text.
 func (c *Core) AppendProposal(p *LoggedProposal) {
 	c.voter.appendEntry(c, &logEntry{Proposal: p})
 }
 
-// GrantsLeases tells whether this core leads and is not switching to another policy.
+// GrantsLeases reports whether this core leads and is not switching to another policy.
 func (c *Core) GrantsLeases() bool {
 	return c.voter != nil && c.voter.leadership != nil && c.voter.leadership.change.phase < switching
 }
 
-// FloorRecord is the record by which a folder remembers the policy that this gateway went by last.
+// LastPolicyRecord returns the record that stores, in a folder, the latest policy that this gateway has applied.
 func (c *Core) FloorRecord() consensus.Record {
 	f := &c.follower
 	return consensus.Record{Key: floorKey, Value: encode(floorRecord{f.current, f.currentDigest, f.currentSize, f.voters})}
 }
 
-// IsDecision tells whether an entry of the voters' log puts a policy in force.
+// IsDecision reports whether an entry of the voters' log puts a policy in force.
 func IsDecision(encoded []byte) bool {
 	var e logEntry
 	return unmarshal(encoded, &e) == nil && e.Decide != nil
 }
 
-// ApplyEncoded applies an entry of the voters' log. It passes over one that it can't decode, as voters do.
+// ApplyEncoded applies an encoded entry of the voters' log. It ignores an entry that it can't decode, as voters do.
 func (t *Table) ApplyEncoded(encoded []byte) {
 	var e logEntry
 	if unmarshal(encoded, &e) == nil {
@@ -102,28 +102,28 @@
 	}
 }
 
-// GatewayState is what a core knows as a gateway that goes by policies. Zero stands for no proposal.
+// GatewayState is the state of a core as a gateway that applies policies. A proposal ID of zero stands for no proposal.
 type GatewayState struct {
-	Current, Decided Version // the version it went by last, and the latest it knows as decided
+	Current, Decided Version // the version that it applied last, and the latest version that it knows as decided
 	LeaseUntil       Time
-	ProposalID       uint64 // the open proposal as far as it has heard
+	ProposalID       uint64 // the open proposal that the leader announced last
 	ReadyFor         uint64
 	ReleasedFor      uint64
 	OverlapWith      uint64
 	OverlapUntil     Time
-	Seq              uint32 // of its latest request
+	Seq              uint32 // the latest request
 	AnsweredSeq      uint32 // the latest request that was answered
-	MinValidSeq      uint32 // answers to earlier requests don't count
+	MinValidSeq      uint32 // replies to earlier requests are ignored
 	Requests         [maxTrackedRequests]SentRequest
 }
 
-// SentRequest is a request for a lease and when it was sent.
+// SentRequest identifies a request for a lease and the time when it was sent.
 type SentRequest struct {
 	Seq    uint32
 	SentAt Time
 }
 
-// GatewayState returns it.
+// GatewayState returns the state of this core as a gateway.
 func (c *Core) GatewayState() GatewayState {
 	f := &c.follower
 	s := GatewayState{
@@ -142,10 +142,10 @@
 	return s
 }
 
-// LeaderState is what a core knows as the voters' leader.
+// LeaderState is the state of a core as the voters' leader.
 type LeaderState struct {
-	LeasesClearAt   Time // leases that earlier leaders gave have ended by then
-	OverlapsClearAt Time // and so have the overlaps that they allowed
+	LeasesClearAt   Time // by then, all leases that earlier leaders granted have expired
+	OverlapsClearAt Time // by then, all overlaps that earlier leaders granted have expired
 	Proved          bool
 	Behind          bool
 	EntryPending    bool
@@ -157,7 +157,7 @@
 	Holders         []HolderState
 }
 
-// HolderState is what a leader knows of one member.
+// HolderState is a leader's state for one member.
 type HolderState struct {
 	Name           string
 	Incarnation    uint64
@@ -176,7 +176,7 @@
 	AwaitsRead     bool
 }
 
-// LeaderState returns it, and false for a core that doesn't lead.
+// LeaderState returns the state of this core as the leader. The second result is false if the core doesn't lead.
 func (c *Core) LeaderState() (LeaderState, bool) {
 	if c.voter == nil || c.voter.leadership == nil {
 		return LeaderState{}, false
--- a/internal/cluster/rollout/follower.go
+++ b/internal/cluster/rollout/follower.go
@@ -7,76 +7,79 @@
 )
 
 const (
-	// A gateway without a lease asks again after a tenth of a second, and after twice as long each time, up to half a second: so five
-	// hundred that start together cost the leader a thousand messages a second, and one that a change excluded is back soon.
+	// A gateway without a lease waits for requestRetryMin before its next request, and doubles the wait with each request up to
+	// requestRetryMax. At that rate, 500 gateways that start together cost the leader 1000 messages a second, and a gateway that was
+	// excluded from a change gets a lease again soon.
 	requestRetryMin = second / 10
 	requestRetryMax = second / 2
-	// So often the time between requests doubles.
+	// maxRetryDoublings limits how many times the wait is doubled.
 	maxRetryDoublings = 3
-	// Of a gateway without a lease, one request in so many goes to another voter than the leader it knows.
+	// Every requestsPerVoter-th request of a gateway without a lease goes to another voter instead of the leader that it knows.
 	requestsPerVoter = 3
-	// A lease is renewed after this part of it, so that two requests may get lost before it ends.
+	// A lease is renewed after 1/renewalDivisor of its length, so that two requests may get lost before it expires.
 	renewalDivisor = 4
-	// So many of the latest requests are remembered, for their replies.
+	// maxTrackedRequests is how many of the latest requests are stored, so that their replies can be matched.
 	maxTrackedRequests = 16
 )
 
-// follower is this process as a gateway that goes by policies.
+// follower is the state of this process as a gateway that requests leases and applies policies.
 type follower struct {
-	// The policy that this gateway went by last, and its lease on it.
+	// The policy that this gateway applied last, and its lease on that policy.
 	current       Version
 	currentDigest Digest
 	currentSize   int
 	leaseUntil    Time // 0: no lease
 	leaseDuration Time
 
-	// The latest policy that a majority confirmed as decided, which this gateway may not have a lease on yet.
+	// The latest policy that this gateway knows as decided. The gateway may not have a lease on it yet.
 	decided             Version
 	decidedDigest       Digest
-	informed            bool   // a majority has confirmed one since the start, or the folder has one
-	reportedUnsupported Digest // a decided policy that was logged as one that this gateway can't follow
+	informed            bool   // a confirmed leader has announced the decided policy since the start, or the folder has one's text
+	reportedUnsupported Digest // the decided policy that was last logged as one that this gateway can't follow
 
-	// The open proposal, and whether this gateway can follow it.
+	// The open proposal, and whether this gateway can follow it: readyFor or unsupported is its ID once its text was checked.
 	proposal    *ProposalNotice
 	readyFor    uint64
 	unsupported uint64
 	reason      string
 
-	// The proposal that the lease is given up for: first until nothing decided under it is on its way, then as reported to the leader.
+	// The proposal for which this gateway gives up its lease. The ID is in yieldingFor while requests admitted under the lease are still
+	// being sent to engines. Then it is in releasedFor, which is reported to the leader.
 	yieldingFor uint64
 	releasedFor uint64
 
-	// Without a lease, this gateway may go by what the policy in force and a proposal both allow.
+	// Without a lease, this gateway may admit requests that the policy in force and the proposal overlapWith both allow, until
+	// overlapUntil.
 	overlapUntil Time
 	overlapWith  *ProposalNotice
 
-	// Requests for leases. Replies to those before minValidSeq don't count.
+	// Requests for leases. Leases in replies to requests before minValidSeq are ignored.
 	seq           uint32
 	answeredSeq   uint32
 	minValidSeq   uint32
 	requests      [maxTrackedRequests]sentRequest
 	nextRequestAt Time
-	attempts      int // since the last lease
+	attempts      int // requests since the last lease
 
-	// What is known of the voters.
+	// What this gateway knows of the voters.
 	leader       string
 	voters       []string
-	wantedVoters []string // who is to vote, where these are others
+	wantedVoters []string // the members that should vote, if they differ from voters
 	nextVoter    int
-	progress     string // of the change, as the leader describes it
-	eraNoticeAt  Time   // when voters of an earlier era were last told that theirs is over
+	progress     string // the progress of the change, as the leader describes it
+	eraNoticeAt  Time   // when a voter of an earlier era was last notified that its log was replaced
 
-	published    InForce // what the host was told last
+	published    InForce // the last value passed to Host.SetInForce
 	hasPublished bool
 }
 
-// sentRequest is a request for a lease, which counts from when it was sent.
+// sentRequest identifies a request for a lease. A lease starts when its request was sent.
 type sentRequest struct {
 	seq    uint32
 	sentAt Time
 }
 
-// floorRecord is the latest policy that this gateway went by, as its folder has it.
+// floorRecord is the stored form of the latest policy that this gateway has applied.
 type floorRecord struct {
 	Version Version  `cbor:"1,keyasint"`
 	Digest  Digest   `cbor:"2,keyasint"`
@@ -84,7 +87,7 @@
 	Voters  []string `cbor:"4,keyasint,omitempty"`
 }
 
-// restore starts with what the folder has. It is no lease: the gateway asks for one at once.
+// restore sets the initial state from the records in the folder. They contain no lease, so the first request for one is due at once.
 func (f *follower) restore(c *Core, stored *StoredState) {
 	f.voters, f.nextRequestAt = slices.Clone(c.config.Voters), c.now
 	f.nextVoter = c.random.IntN(max(1, len(f.voters)))
@@ -107,7 +110,7 @@
 	}
 }
 
-// publishInForce tells the host what it may go by, where that has changed.
+// publishInForce calls Host.SetInForce if what the gateway may apply has changed.
 func (c *Core) publishInForce() {
 	f := &c.follower
 	next := f.inForce(c.config.Mutation)
@@ -142,7 +145,7 @@
 	return next
 }
 
-// equals tells whether the host needs to know of no difference. RehearsalID follows from RehearsalDigest.
+// equals reports whether the host can skip an update from f to other. It ignores RehearsalID, which changes only with RehearsalDigest.
 func (f *InForce) equals(other *InForce) bool {
 	return f.Era == other.Era && f.Number == other.Number && f.Digest == other.Digest && f.LeaseUntil == other.LeaseUntil &&
 		f.OverlapDigest == other.OverlapDigest && f.OverlapUntil == other.OverlapUntil && f.Informed == other.Informed &&
@@ -159,7 +162,7 @@
 	}
 }
 
-// expire ends a lease or an overlap whose time is over.
+// expire ends a lease or an overlap that has expired.
 func (f *follower) expire(c *Core) {
 	if f.leaseUntil != 0 && c.now >= f.leaseUntil {
 		f.leaseUntil = 0
@@ -174,7 +177,8 @@
 
 func (f *follower) endOverlap() { f.overlapWith, f.overlapUntil = nil, 0 }
 
-// requestLease asks the leader for a lease, or for more time on one. While a lease is given up nothing is sent.
+// requestLease requests a lease, or a renewal, from the leader. It sends nothing while the lease is being given up, until the requests
+// admitted under it have been sent to their engines.
 func (f *follower) requestLease(c *Core) {
 	if f.yieldingFor != 0 {
 		return
@@ -203,7 +207,8 @@
 	c.send(to, Message{LeaseRequest: request})
 }
 
-// scheduleRequest sets when the next request is due, and tells whether this one goes to another voter, as the leader may have changed.
+// scheduleRequest sets when the next request is due. It reports whether the current request should go to another voter, because the
+// leader may have changed.
 func (f *follower) scheduleRequest(c *Core) (tryOther bool) {
 	if c.now >= f.leaseUntil {
 		f.nextRequestAt = c.now + min(requestRetryMax, requestRetryMin<<min(f.attempts, maxRetryDoublings))
@@ -214,11 +219,11 @@
 	if c.now <= f.leaseUntil-f.leaseDuration/2 {
 		return false
 	}
-	f.nextRequestAt = c.now + requestRetryMin // the leader hasn't answered for half a lease
+	f.nextRequestAt = c.now + requestRetryMin // the leader hasn't renewed the lease for half of its length
 	return true
 }
 
-// usableDigest is the policy that this gateway can hold a lease on.
+// usableDigest returns the latest policy that this gateway can apply under a lease.
 func (f *follower) usableDigest(c *Core) Digest {
 	if c.policies.isUsable(f.decidedDigest) {
 		return f.decidedDigest
@@ -226,7 +231,7 @@
 	return f.currentDigest
 }
 
-// neededPolicies are the texts that this gateway has a use for.
+// neededPolicies returns the policies whose texts this gateway needs.
 func (f *follower) neededPolicies() []Digest {
 	needed := []Digest{f.currentDigest, f.decidedDigest}
 	if f.proposal != nil {
@@ -235,13 +240,14 @@
 	return needed
 }
 
-// saveFloor has the folder remember the policy that this gateway goes by, so that its requests tell voters that know less.
+// saveFloor stores which policy this gateway applies. After a restart, its requests report that version, so that voters whose log lacks it
+// find out.
 func (f *follower) saveFloor(c *Core) {
 	record := floorRecord{f.current, f.currentDigest, f.currentSize, f.voters}
 	c.saveRecords([]consensus.Record{{Key: floorKey, Value: encode(record)}}, func(error) {})
 }
 
-// release gives up the lease at once and tells the leader.
+// release gives up the lease at once and notifies the leader.
 func (f *follower) release(c *Core) {
 	f.leaseUntil, f.overlapWith = 0, nil
 	c.publishInForce()
--- a/internal/cluster/rollout/follower_reply.go
+++ b/internal/cluster/rollout/follower_reply.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// handleReply takes in a voter's reply, or what a leader says unasked.
+// handleReply processes a voter's reply, or a leader's message that answers no request.
 func (f *follower) handleReply(c *Core, m *Message) {
 	reply := m.LeaseReply
-	if reply.Leader != m.from { // of a voter that doesn't lead and names the leader
+	if reply.Leader != m.from { // the sender doesn't lead and names the leader, if it knows one
 		if reply.Leader != "" && reply.Leader != f.leader {
 			f.leader, f.nextRequestAt = reply.Leader, c.now
 		}
@@ -40,7 +40,8 @@
 	c.publishInForce()
 }
 
-// notifyOldEra tells voters of an earlier era, at most twice a second, that another group has taken their place.
+// notifyOldEra notifies a voter of an earlier era that its log was superseded by a forced one. It sends at most two such messages a
+// second.
 func (f *follower) notifyOldEra(c *Core, voter string) {
 	if c.now-f.eraNoticeAt < requestRetryMax {
 		return
@@ -51,7 +52,7 @@
 	c.send(voter, Message{LeaseRequest: &LeaseRequest{Seq: f.seq, Floor: floor, Has: f.usableDigest(c), AnsweredSeq: f.answeredSeq}})
 }
 
-// observeDecided takes in what a majority has confirmed as decided, and fetches it.
+// observeDecided records the decided version from a confirmed leader's reply. If the version is new, it fetches the policy's text.
 func (f *follower) observeDecided(c *Core, reply *LeaseReply, leader string) {
 	if f.decided.Before(reply.Decided) {
 		f.decided, f.decidedDigest, f.currentSize = reply.Decided, reply.Digest, reply.Size
@@ -61,18 +62,19 @@
 	f.informed, f.answeredSeq = true, max(f.answeredSeq, reply.Seq)
 }
 
-// mustYield tells whether a leader asks to give up the lease for a proposal that this gateway is ready for.
+// mustYield reports whether the leader requests this gateway to give up its lease for the open proposal, and the gateway is ready for
+// that proposal.
 func (f *follower) mustYield(reply *LeaseReply) bool {
 	id := reply.YieldFor
 	return id != 0 && f.proposal != nil && f.proposal.ID == id && f.readyFor == id && reply.Decided == f.current
 }
 
-// endsOverlap tells whether the proposal that the overlap is with has ended, or another policy is in force.
+// endsOverlap reports whether a reply shows that the overlap's proposal has ended, or that another policy is in force.
 func (f *follower) endsOverlap(reply *LeaseReply) bool {
 	return reply.Proposal == nil || reply.Proposal.ID != f.overlapWith.ID || reply.Decided != f.current
 }
 
-// acceptLease takes a lease, which counts from when its request was sent.
+// acceptLease records a lease, which starts when its request was sent.
 func (f *follower) acceptLease(c *Core, reply *LeaseReply, request sentRequest) {
 	until := request.sentAt + reply.Lease
 	if c.config.Mutation == LeaseFromAnswer {
@@ -92,7 +94,8 @@
 	if f.leaseUntil == 0 {
 		c.host.LogEvent(LeaseHeld, "number", reply.Decided.Number, "era", reply.Decided.Era, "digest", reply.Digest.String())
 	}
-	// Only the reply to the latest request allows an overlap, as the leader concludes from that request what this gateway has.
+	// Only the reply to the latest request may start an overlap, because the leader concludes from the latest request which overlap this
+	// gateway has.
 	if reply.Overlap > 0 && reply.Proposal != nil && reply.Proposal.ID == f.readyFor && reply.Seq == f.seq {
 		f.overlapWith, f.overlapUntil = f.proposal, max(f.overlapUntil, request.sentAt+reply.Overlap)
 	}
@@ -100,7 +103,8 @@
 	f.nextRequestAt = max(c.now, request.sentAt+reply.Lease/renewalDivisor)
 }
 
-// yieldLease gives up the lease for a proposal that all are ready for. The overlap goes on, as it holds whichever policy is in force.
+// yieldLease gives up the lease for a proposal that all members are ready for. An overlap continues, because it admits only requests that
+// both policies allow, and so is valid whichever of them is in force.
 func (f *follower) yieldLease(c *Core, proposal uint64) {
 	if f.yieldingFor == proposal {
 		return
@@ -108,7 +112,7 @@
 	if c.config.Mutation != KeepLeaseOnYield {
 		f.leaseUntil = 0
 	}
-	f.minValidSeq = f.seq + 1 // leases that are under way don't count
+	f.minValidSeq = f.seq + 1 // ignore leases in replies that haven't arrived yet
 	f.yieldingFor, f.attempts = proposal, 0
 	c.publishInForce()
 	if c.host.Drained() {
@@ -117,7 +121,7 @@
 	}
 }
 
-// observeProposal takes in which proposal is open.
+// observeProposal records which proposal is open. If it is a new one, it fetches the policy's text.
 func (f *follower) observeProposal(c *Core, notice *ProposalNotice, from string) {
 	if notice != nil && f.proposal != nil && f.proposal.ID == notice.ID {
 		f.proposal = notice
@@ -135,7 +139,7 @@
 	f.policyChecked(c, c.policies.find(notice.Digest))
 }
 
-// policyChecked takes in that a text is there and was checked.
+// policyChecked handles the result of checking a policy's text.
 func (f *follower) policyChecked(c *Core, text *policyText) {
 	if text == nil || text.state < textUsable {
 		return
@@ -155,7 +159,7 @@
 	c.publishInForce()
 }
 
-// proposalChecked has the next request tell the leader whether this gateway can follow the proposal.
+// proposalChecked records whether this gateway can follow the open proposal, and makes a request due that reports it to the leader.
 func (f *follower) proposalChecked(c *Core, text *policyText) {
 	id := f.proposal.ID
 	f.nextRequestAt = c.now
--- a/internal/cluster/rollout/format_folder_test.go
+++ b/internal/cluster/rollout/format_folder_test.go
@@ -10,7 +10,7 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-// replayHost takes what a log that is taken up again tells first.
+// replayHost records the snapshot and the entries that a reopened log reports.
 type replayHost struct {
 	consensus.Host
 	state   []byte
@@ -23,7 +23,7 @@
 func (h *replayHost) LeadershipChanged(uint64)                         {}
 
 func TestFolderOfEarlierVersionIsRead(t *testing.T) {
-	folder, err := store.OpenFolder(golden.CopyFolder(t, "folder")) // a store that is opened writes to its folder
+	folder, err := store.OpenFolder(golden.CopyFolder(t, "folder")) // a copy, because opening a store writes to its folder
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	golden.CheckValues(t, "folder", []any{*stored.floor, *stored.replica, stored.sortedPolicyKeys(), DigestOf(text), len(text)})
 	for _, r := range policyRecords(digest, text) {
 		if !bytes.Equal(r.Value, records[r.Key]) {
-			t.Errorf("record %q of the policy's text is written otherwise", r.Key)
+			t.Errorf("record %q of the policy's text: expected the stored value, found another", r.Key)
 		}
 	}
 
@@ -65,7 +65,7 @@
 	}
 	golden.CheckValues(t, "folder-state", table)
 	if len(host.entries) != 1 {
-		t.Fatalf("expected one decided entry, found %d", len(host.entries))
+		t.Fatalf("expected 1 decided entry, found %d", len(host.entries))
 	}
 	decided := &logEntry{}
 	if err := unmarshal(host.entries[0], decided); err != nil {
--- a/internal/cluster/rollout/format_test.go
+++ b/internal/cluster/rollout/format_test.go
@@ -20,7 +20,7 @@
 	t.Run("birth", checkRecord[replicaRecord])
 }
 
-// checkRecord checks the record that the subtest is named after.
+// checkRecord checks the round trip of the record in the test file that the subtest is named after.
 func checkRecord[T any](t *testing.T) {
 	t.Helper()
 	name := path.Base(t.Name())
--- a/internal/cluster/rollout/host.go
+++ b/internal/cluster/rollout/host.go
@@ -2,53 +2,56 @@
 
 import "magpiebank/internal/cluster/consensus"
 
-// Host is what a core acts on.
+// Host is the environment of a core: it sends messages, stores records, checks policies and enforces them.
 type Host interface {
-	// Send sends a message to a member by name, which may be this one.
+	// Send sends a message to the member with the given name, which may be this process itself.
 	Send(to string, m []byte)
-	// Peers are the names of the other members that are up.
+	// Peers returns the names of the other members that are alive.
 	Peers() []string
-	// CheckPolicy reads a policy's text and calls done, never before it returns, with its terms or with the reason why this gateway can't
-	// follow it.
+	// CheckPolicy parses a policy's text and calls done with its parameters, or with the reason why this gateway can't follow the policy.
+	// It calls done only after CheckPolicy has returned.
 	CheckPolicy(d Digest, text []byte, done func(Terms, error))
-	// SaveRecords writes records in their order and calls done, never before it returns, once all survive a crash.
+	// SaveRecords writes records in the given order. It calls done once all of them survive a crash, or with an error, but only after
+	// SaveRecords has returned.
 	SaveRecords(records []consensus.Record, done func(error))
-	// LoadPolicy reads a text from stored records; nil: it isn't there.
+	// LoadPolicy returns a policy's text from the stored records, or nil if it isn't stored.
 	LoadPolicy(d Digest) []byte
-	// SetInForce has the gateway go by another policy or lease at once.
+	// SetInForce makes the gateway apply the given policy and lease from now on.
 	SetInForce(inForce *InForce)
-	// Drained tells that nothing that was decided under an earlier InForce is still on its way to an engine.
+	// Drained reports whether no request that was admitted under an earlier InForce is still being sent to an engine.
 	Drained() bool
-	// RequestCounts are those of the policy in force or, while there is one, of the rehearsal.
+	// RequestCounts returns the counts of the rehearsal while one runs, otherwise those of the policy in force.
 	RequestCounts() RequestCounts
-	// UnixSeconds is the wall clock's time.
+	// UnixSeconds returns the time of the wall clock.
 	UnixSeconds() int64
-	// LogEvent logs an event with pairs of keys and values.
+	// LogEvent logs an event with alternating keys and values.
 	LogEvent(code EventCode, more ...any)
 }
 
-// InForce is what a gateway may go by.
+// InForce describes which policies a gateway may apply, and until when.
 type InForce struct {
 	Era        uint64
 	Number     uint64
 	Digest     Digest
-	LeaseUntil Time // the gateway may not decide by the policy from then on
+	LeaseUntil Time // the end of the lease; from then on the gateway may not apply the policy
 
-	// OverlapDigest is a second policy: without a lease, the gateway may go by what both allow until OverlapUntil. Zero: it may not.
+	// OverlapDigest is a second policy. Until OverlapUntil, a gateway without a lease may admit requests that both policies allow.
+	// Zero: there is no such policy.
 	OverlapDigest Digest
 	OverlapUntil  Time
 
-	// KnownDigests are the policies that this gateway has heard of, the one in force first. Requests that none of them concerns need no
+	// KnownDigests are the policies that this gateway knows of, the one in force first. A request that none of them applies to needs no
 	// lease.
 	KnownDigests []Digest
-	// Informed says that the gateway has heard of the decided policy since it started, or that its folder has one.
+	// KnowsDecidedPolicy is set once the gateway has learned the decided policy from the leader since it started, or has read the text of
+	// the policy that it applied last from its folder.
 	Informed bool
 
-	RehearsalDigest Digest // the policy that is tried on live requests; zero: none
-	RehearsalID     uint64 // its proposal
+	RehearsalDigest Digest // the policy being rehearsed, that is evaluated on live requests; zero: none
+	RehearsalID     uint64 // the ID of the proposal being rehearsed
 }
 
-// HoldsLease tells whether the gateway may decide by the policy now.
+// HoldsLease reports whether the gateway may apply the policy now.
 func (f *InForce) HoldsLease(now Time) bool { return now < f.LeaseUntil }
 
 // EventCode identifies an event in the log; docs/policy.md lists the codes.
@@ -56,27 +59,27 @@
 
 // The events.
 const (
-	LeaseHeld           EventCode = "holding"       // this gateway goes by a policy from now on
-	LeaseLost           EventCode = "lapsed"        // this gateway's lease has ended
-	ProposalHeard       EventCode = "heard"         // this gateway has heard of a proposal
-	ProposalPrepared    EventCode = "took"          // this gateway has stored a proposal and can follow it
+	LeaseHeld           EventCode = "holding"       // this gateway got a lease on a policy that it held no lease on
+	LeaseLost           EventCode = "lapsed"        // this gateway's lease has expired
+	ProposalHeard       EventCode = "heard"         // this gateway has received the announcement of a proposal
+	ProposalPrepared    EventCode = "took"          // this gateway has checked and stored a proposal and can follow it
 	ProposalUnsupported EventCode = "refuses"       // this gateway can't follow a proposal
 	CannotFollow        EventCode = "cannot_follow" // this gateway can't follow the decided policy
-	LeaderElected       EventCode = "leads"         // this voter leads
-	ProposalOpened      EventCode = "opened"        // the log has a proposal
-	SwitchStarted       EventCode = "yielding"      // all are ready and give up their leases
-	SwitchAbandoned     EventCode = "resumed"       // not all gave them up in time: leases go on, and the switch is tried again
+	LeaderElected       EventCode = "leads"         // this voter is the leader from now on
+	ProposalOpened      EventCode = "opened"        // the log contains a new open proposal
+	SwitchStarted       EventCode = "yielding"      // all members are ready, and the leader asks them to give up their leases
+	SwitchAbandoned     EventCode = "resumed"       // a member kept its lease too long: leases are granted again, and the switch is retried
 	ProposalDecided     EventCode = "decided"       // a proposal is in force
-	ProposalDropped     EventCode = "dropped"       // a proposal has ended without taking hold
-	ProposalRejected    EventCode = "refused"       // a proposal was never open
-	MemberExcluded      EventCode = "left_out"      // a member took no part in time
-	LogStarted          EventCode = "begun"         // the first voters have begun the log
-	VotersChanged       EventCode = "voting"        // the voters are others now
-	VoterWaiting        EventCode = "waits"         // this process is to vote and can't yet
-	SaveFailed          EventCode = "cant_keep"     // a record could not be saved, or a voters' message not be taken in
-	LogLost             EventCode = "lost"          // the folder lacks entries that others were told it has: this voter gets a new ID
-	VotersBehind        EventCode = "behind"        // a gateway has gone by more than the voters know
-	LogForced           EventCode = "forced"        // an operator has forced a new log here
-	LogSuperseded       EventCode = "overruled"     // a log was forced elsewhere
-	PolicyRolledBack    EventCode = "taken_back"    // a policy on probation has passed its bounds
+	ProposalDropped     EventCode = "dropped"       // an open proposal has ended without coming into force
+	ProposalRejected    EventCode = "refused"       // a proposal was not opened
+	MemberExcluded      EventCode = "left_out"      // a member was not ready, or kept its lease, beyond the timeout
+	LogStarted          EventCode = "begun"         // the first voters have started the log
+	VotersChanged       EventCode = "voting"        // the set of voters has changed
+	VoterWaiting        EventCode = "waits"         // this process is meant to vote, but can't yet
+	SaveFailed          EventCode = "cant_keep"     // a record could not be saved, or the voters' log failed or rejected a message
+	LogLost             EventCode = "lost"          // the folder lacks entries that this voter had acknowledged: it gets a new replica ID
+	VotersBehind        EventCode = "behind"        // a gateway has applied a later policy than the voters know of
+	LogForced           EventCode = "forced"        // an operator has forced a new log at this voter
+	LogSuperseded       EventCode = "overruled"     // an operator has forced a new log at another voter
+	PolicyRolledBack    EventCode = "taken_back"    // a policy on probation has exceeded its bounds
 )
--- a/internal/cluster/rollout/leadership.go
+++ b/internal/cluster/rollout/leadership.go
@@ -3,70 +3,74 @@
 import "slices"
 
 const (
-	// YieldTimeout is for how long members may take to give up their leases before these are granted again: some round trips, and what
-	// is on its way to engines.
+	// YieldTimeout is how long members may take to give up their leases before the leader grants leases again. It covers some round trips
+	// and the time to finish sending requests to engines.
 	YieldTimeout = second / 4
-	// An entry that was not decided after this long is appended again. If it was decided meanwhile, the second one changes nothing.
+	// appendRetryAfter is how long the leader waits for an entry to be decided before it may append another. The same entry may then be
+	// decided twice, and the second one changes nothing.
 	appendRetryAfter = second
-	// MaxUnansweredRequests is after how many requests without an answer a member that is heard is taken for one that doesn't hear.
+	// MaxUnansweredRequests limits how many requests of a member may stay unanswered before the leader assumes that its replies don't
+	// reach the member.
 	MaxUnansweredRequests = 8
-	// No bound is judged by fewer requests.
+	// minJudgedRequests is the smallest number of requests by which the bounds of a rehearsal or a probation are checked.
 	minJudgedRequests = 50
 	maxLeaseHolders   = 2048
-	// The leader makes itself known often until the first lease is granted, then rarely.
+	// A leader broadcasts at the fast interval until leases can be granted, then at the slow one.
 	broadcastFastInterval = second / 4
 	broadcastSlowInterval = 5 * second
 	maxWaitingProposals   = 8
-	// Of the number of a read, the low bits count reads and those above them hold the term.
+	// The ID of a read has the count of reads in its low readCountBits bits and the term in the bits above.
 	readCountBits = 20
-	// So many members are drawn as sources of the proposal's text beside the leader.
+	// maxDrawnSources limits how many members are drawn at random as sources of the proposal's text, in addition to the leader.
 	maxDrawnSources = 2
 )
 
-// phase is how far the open proposal is.
+// phase is the phase of the open proposal at the leader.
 type phase uint8
 
 const (
-	preparing  phase = iota // members fetch, check and store it, while leases on the policy in force go on
-	rehearsing              // members try it on live requests
-	switching               // members give up their leases
-	deciding                // no lease runs, and the decision is on its way through the log
+	preparing  phase = iota // members fetch, check and store the policy; leases on the policy in force are still granted
+	rehearsing              // members evaluate the policy on live requests
+	switching               // members give up their leases, and the leader grants none
+	deciding                // no lease is running, and the decision was appended to the log or is about to be
 )
 
-// leaseHolder is a member as the leader knows it.
+// leaseHolder is the leader's state for one process that requests leases.
 type leaseHolder struct {
 	name        string
 	incarnation uint64
 
-	// Its latest request. A read that a majority confirms answers it.
+	// The latest request. The leader replies to it once a majority has confirmed the read awaitedRead.
 	seq         uint32
 	request     LeaseRequest
 	lastHeardAt Time
 	awaitsReply bool
 	awaitedRead uint64
 
-	// What it was granted: by these times its lease and its overlap have surely ended.
+	// The member's lease and overlap have certainly ended at leaseClearAt and overlapClearAt, even if its clock runs slower.
 	leaseClearAt   Time
 	overlapClearAt Time
-	overlapWith    uint64 // the proposal of its overlap
+	overlapWith    uint64 // the proposal of the member's overlap
 	overlapSeq     uint32 // the latest request that was answered with an overlap
-	grantedSeq     uint32 // and with a lease
+	grantedSeq     uint32 // the latest request that was answered with a lease
 
-	// A member that took no part in time gets no lease until it answers to a later message than excludedSeq.
+	// A member that was not ready, or kept its lease, beyond the timeout is excluded: it gets no lease until it has received a reply to a
+	// later request than excludedSeq.
 	excluded    bool
 	excludedSeq uint32
 }
 
-// leadership is what a leader knows while it leads; nothing of it passes to the next leader.
+// leadership is the state of this voter while it leads. The next leader starts without it.
 type leadership struct {
 	term          uint64
 	startedAt     Time
-	leasesClearAt Time // leases that earlier leaders granted have ended by then
-	// proved says that somebody holds a lease on the policy that this leader knows as decided, so that nothing later was decided.
+	leasesClearAt Time // by then, all leases that earlier leaders granted have expired
+	// proved is set once the leader knows that no later policy than its own was decided: a member holds a lease on the leader's policy, or
+	// this leader decided the policy itself.
 	proved bool
-	// behind says that somebody has gone by a later policy than this leader knows: the voters have lost it.
+	// behind is set once a member reports that it has applied a later policy than this leader knows of. The voters have lost its decision.
 	behind  bool
-	holders []leaseHolder // by name and incarnation
+	holders []leaseHolder // sorted by name and incarnation
 
 	confirming confirmation
 	change     change
@@ -79,14 +83,14 @@
 	broadcastAt      Time
 }
 
-// confirmation is the read that a majority is asked to confirm.
+// confirmation is the outstanding read that a majority must confirm, and with it that this voter still leads.
 type confirmation struct {
-	read   uint64 // 0: none
+	read   uint64 // the ID of the read; 0: none is outstanding
 	sentAt Time
-	count  uint64 // of reads
+	count  uint64 // the number of reads so far
 }
 
-// change is how far the open proposal is.
+// change is the progress of the open proposal.
 type change struct {
 	phase      phase
 	phaseSince Time
@@ -94,32 +98,32 @@
 	rehearsed  bool
 }
 
-// pendingEntry is whether an entry is on its way through the log.
+// pendingEntry records whether an appended entry is not decided yet, and when it was appended.
 type pendingEntry struct {
 	appended bool
 	since    Time
 }
 
-// probationWatch is the policy on probation that is watched.
+// probationWatch is the number of the policy on probation, and when this leader started to watch it.
 type probationWatch struct {
 	number uint64
 	since  Time
 }
 
-// missingVoter is a voter that is not heard, whose place another replica may take in time.
+// missingVoter is a voter from which no messages arrive. Another replica may replace it after voterGoneAfter.
 type missingVoter struct {
 	replicaID uint64 // 0: none
 	since     Time
 }
 
-// waitingProposal is a proposal whose text is on its way.
+// waitingProposal is a proposal that waits until its text is fetched and checked.
 type waitingProposal struct {
 	from string
 	ProposalRequest
 	lastHeardAt Time
 }
 
-// leadershipChanged begins to lead in a term, or ends it with a term of 0.
+// leadershipChanged starts this voter's leadership of the given term, or ends its leadership if the term is 0.
 func (v *voter) leadershipChanged(c *Core, term uint64) {
 	if term == 0 {
 		v.leadership = nil
@@ -135,7 +139,8 @@
 	v.broadcastIfDue(c)
 }
 
-// broadcastIfDue has all members know the leader, so that one that has gone by a later policy says so before the first lease is granted.
+// broadcastIfDue announces the leader to all members at intervals, so that a member that has applied a later policy reports it before the
+// first lease is granted.
 func (v *voter) broadcastIfDue(c *Core) {
 	leader := v.leadership
 	if c.now < leader.broadcastAt {
@@ -148,7 +153,7 @@
 	v.broadcast(c)
 }
 
-// broadcast tells all members that are up what the leader knows.
+// broadcast sends the leader's status to all members that are alive or have sent a request.
 func (v *voter) broadcast(c *Core) {
 	to := c.host.Peers()
 	if !slices.Contains(to, c.name) {
@@ -164,7 +169,7 @@
 	}
 }
 
-// statusReply is what the leader tells one member, or with a nil holder all.
+// statusReply returns a reply with the leader's status for one member, or for all members if to is nil. It contains no lease.
 func (v *voter) statusReply(c *Core, to *leaseHolder) *LeaseReply {
 	table := &v.table
 	reply := &LeaseReply{Leader: c.name, Decided: table.version(), Digest: table.Digest, Size: table.Size, Progress: v.describeProgress(c)}
@@ -180,7 +185,8 @@
 	return reply
 }
 
-// policySources are a few members that have the proposal's text, drawn so that not all members fetch it from the same one.
+// policySources returns a few members that have the proposal's text. They are drawn at random so that not all members fetch the text from
+// the same one. The leader is the last one.
 func (v *voter) policySources(c *Core, to *leaseHolder) []string {
 	sources := []string{c.name}
 	holders := v.leadership.holders
@@ -196,7 +202,7 @@
 	return sources
 }
 
-// appendEntry appends an entry to the log, unless another is on its way, and tells whether it did.
+// appendEntry appends an entry to the log, unless another one is pending, and reports whether it did.
 func (v *voter) appendEntry(c *Core, e *logEntry) bool {
 	leader := v.leadership
 	if leader.pending.appended && c.now-leader.pending.since < appendRetryAfter {
@@ -205,7 +211,7 @@
 	if err := v.log.Append(encode(e)); err != nil {
 		return false
 	}
-	if v.leadership == leader { // a sole voter applies the entry within the call, and may lead no more after it
+	if v.leadership == leader { // a sole voter applies the entry during the call and may have lost its leadership after it
 		leader.pending = pendingEntry{true, c.now}
 	}
 	return true
--- a/internal/cluster/rollout/lease_grant.go
+++ b/internal/cluster/rollout/lease_grant.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// handleLeaseRequest takes in a member's request. A leader replies once a majority has confirmed that it leads; another voter names the
-// leader.
+// handleLeaseRequest processes a member's request. A leader replies once a majority has confirmed that it leads. Another voter replies with
+// the leader's name.
 func (v *voter) handleLeaseRequest(c *Core, m *Message) {
 	if v.checkSuperseded(c, m.LeaseRequest.Floor.Era, m.from) {
 		return
@@ -38,7 +38,7 @@
 	v.confirmLeadership(c)
 }
 
-// addHolder finds a member, or adds it; false: there are too many.
+// addHolder returns the index of a member in l.holders and adds the member if it is new; ok is false if there are too many.
 func (l *leadership) addHolder(name string, incarnation uint64) (index int, ok bool) {
 	wanted := leaseHolder{name: name, incarnation: incarnation}
 	i, found := slices.BinarySearchFunc(l.holders, wanted, func(a, b leaseHolder) int {
@@ -54,7 +54,8 @@
 	return i, true
 }
 
-// observeRequest concludes from a member's request what it holds no more, and that it hears.
+// observeRequest updates a member's state from its latest request: the member may have lost its overlap, released its lease, or shown
+// that it receives replies.
 func (v *voter) observeRequest(h *leaseHolder) {
 	if h.request.OverlapWith == 0 && h.seq > h.overlapSeq {
 		h.overlapClearAt, h.overlapWith = 0, 0
@@ -67,7 +68,7 @@
 	}
 }
 
-// isReleased tells whether a member has given up its lease for the open proposal, or for the one that was decided last.
+// isReleased reports whether a member has given up its lease for the open proposal, or for the proposal that was decided last.
 func (v *voter) isReleased(request *LeaseRequest) bool {
 	id := request.ReleasedFor
 	if id == 0 {
@@ -76,8 +77,8 @@
 	return id == v.table.LastProposal || v.table.Proposal != nil && id == v.table.Proposal.ID
 }
 
-// confirmLeadership asks a majority whether this voter leads, for all requests that came by now. While it switches to another policy,
-// requests wait for the decision.
+// confirmLeadership starts a read by which a majority confirms that this voter leads, for all requests that wait for a reply. During a
+// switch to another policy it does nothing, and the requests wait for the decision.
 func (v *voter) confirmLeadership(c *Core) {
 	leader := v.leadership
 	if leader == nil || leader.change.phase >= switching {
@@ -105,8 +106,8 @@
 	v.log.ConfirmLeadership(read)
 }
 
-// leadershipConfirmed replies to the requests that came before a read. All of them are looked at before the first reply, as one may show
-// that the voters are behind.
+// leadershipConfirmed replies to the requests that arrived before the read. It checks the versions in all of them before the first reply,
+// because one of them may show that the voters have lost a decision.
 func (v *voter) leadershipConfirmed(c *Core, read uint64) {
 	leader := v.leadership
 	if leader == nil || read != leader.confirming.read {
@@ -127,8 +128,8 @@
 	v.confirmLeadership(c)
 }
 
-// observeVersion compares what a member has gone by with what is decided here. A later version means that the voters have lost it; a lease
-// on the same one, that nothing later was decided.
+// observeVersion compares the version that a member has applied with the one decided here. A later version means that the voters have
+// lost a decision. A lease on the same version means that no later one was decided.
 func (v *voter) observeVersion(c *Core, h *leaseHolder) {
 	leader, decided, floor := v.leadership, v.table.version(), h.request.Floor
 	if decided.Before(floor) {
@@ -143,7 +144,7 @@
 	}
 }
 
-// replyTo replies to a member's request, with a lease if it may have one.
+// replyTo replies to a member's request and grants a lease if the member may have one.
 func (v *voter) replyTo(c *Core, h *leaseHolder) {
 	reply := v.statusReply(c, h)
 	reply.Seq, reply.ForIncarnation, reply.Confirmed = h.seq, h.incarnation, true
@@ -154,7 +155,8 @@
 	c.send(h.name, Message{LeaseReply: reply})
 }
 
-// mayHoldLease tells whether a member that has the policy in force and hears may get a lease on it.
+// mayHoldLease reports whether a member may get a lease: it has the policy in force, receives replies and is not excluded, and no later
+// policy can be in force elsewhere.
 func (v *voter) mayHoldLease(c *Core, h *leaseHolder) bool {
 	leader := v.leadership
 	has := h.request.Has == v.table.Digest || h.request.ReadyFor != 0 && h.request.ReadyFor == v.table.LastProposal
@@ -162,7 +164,7 @@
 	return has && hears && !h.excluded && !leader.behind && (leader.proved || c.now >= leader.leasesClearAt)
 }
 
-// grantLease adds a lease to a reply and, for a member that is ready for a proposal with an overlap, that overlap.
+// grantLease adds a lease to a reply. If the member is ready for an open proposal with an overlap, it adds that overlap too.
 func (v *voter) grantLease(c *Core, h *leaseHolder, reply *LeaseReply) {
 	reply.Lease = v.table.LeaseDuration
 	h.leaseClearAt, h.grantedSeq = max(h.leaseClearAt, c.now+c.config.leaseMargin(reply.Lease)), h.seq
@@ -174,7 +176,7 @@
 	h.overlapClearAt, h.overlapWith, h.overlapSeq = max(h.overlapClearAt, c.now+c.config.leaseMargin(reply.Overlap)), p.ID, h.seq
 }
 
-// sendYield asks a member to give up its lease for the open proposal.
+// sendYield requests a member to give up its lease for the open proposal.
 func (v *voter) sendYield(c *Core, h *leaseHolder) {
 	reply := v.statusReply(c, h)
 	reply.YieldFor = v.table.Proposal.ID
--- a/internal/cluster/rollout/local_proposal.go
+++ b/internal/cluster/rollout/local_proposal.go
@@ -6,42 +6,43 @@
 )
 
 const (
-	// A proposal is sent again until its outcome comes.
+	// proposalRetryAfter is the interval at which a proposal is sent again until its outcome arrives.
 	proposalRetryAfter = second / 5
 	maxLocalProposals  = 2 * maxWaitingProposals
 )
 
-// Proposal is what an operator asks for at one gateway.
+// Proposal is a proposal that an operator makes at one gateway.
 type Proposal struct {
-	ID              uint64 // drawn by the operator's side; the same one again is the same proposal
+	ID              uint64 // drawn at random by the operator's command; a repeated proposal has the same ID
 	Kind            ProposalKind
-	Text            []byte // of a change or a rehearsal
-	BaseNumber      uint64 // the number that it is to follow; 0: any
-	RollbackTo      uint64 // of a rollback: the number whose policy it is to return to; 0: to none
-	RehearsalLength Time   // of a rehearsal
+	Text            []byte // the policy's text, of a change or a rehearsal
+	BaseNumber      uint64 // the number that must be in force when the proposal is opened; 0: any
+	RollbackTo      uint64 // of a rollback: the number of the past policy to return to; 0: no policy
+	RehearsalLength Time   // of a rehearsal: its duration
 }
 
-// Result is how far a proposal is, or its outcome.
+// Result is the state of a proposal: its progress, or its outcome.
 type Result struct {
 	ID      uint64
 	Outcome Outcome
 	Number  uint64
-	Reason  string // or, while it is pending, its progress
+	Reason  string // why the proposal ended so; while it is pending, its progress
 }
 
-// localProposal is a proposal made here, which is sent to the leader until its outcome comes.
+// localProposal is a proposal made at this process. It is sent to the leader again and again until its outcome arrives.
 type localProposal struct {
 	ProposalRequest
 	sentAt   Time
 	attempts int
-	leader   string // whom to ask next; empty: whoever may lead
+	leader   string // the leader as a voter named it, for the next attempt; empty: submit picks a member
 	ended    bool
 	result   Result
 	done     func(Result)
 }
 
-// Propose makes a proposal, and calls done with its outcome. A proposal that was made here before goes on, with the new done. It returns an
-// error for one that can't be made.
+// Propose makes a proposal and calls done with its outcome. If the same proposal was made here before, it continues, and the new done
+// replaces the old one; for one that has ended, done is called at once. Propose returns an error for an invalid proposal, or if too many
+// proposals are open here.
 func (c *Core) Propose(now Time, proposal Proposal, done func(Result)) error {
 	c.advanceClock(now)
 	if err := proposal.check(); err != nil {
@@ -58,7 +59,7 @@
 		return nil
 	}
 	if len(c.proposals) >= maxLocalProposals {
-		return fmt.Errorf("%d proposals are under way here", len(c.proposals))
+		return fmt.Errorf("this gateway already has %d proposals: wait until some of them have ended", len(c.proposals))
 	}
 	request := ProposalRequest{
 		ID: proposal.ID, Digest: DigestOf(proposal.Text), Size: len(proposal.Text), Kind: proposal.Kind, BaseNumber: proposal.BaseNumber,
@@ -75,7 +76,7 @@
 
 func (p *Proposal) check() error {
 	if p.ID == 0 || p.Kind < KindChange || p.Kind > KindRehearsal {
-		return fmt.Errorf("expected a proposal with an id, found %d of kind %d", p.ID, p.Kind)
+		return fmt.Errorf("expected a proposal with an ID and a known kind, found ID %d, kind %d", p.ID, p.Kind)
 	}
 	if p.Kind != KindRollback && (len(p.Text) == 0 || len(p.Text) > MaxPolicyBytes) {
 		return fmt.Errorf("expected a policy of 1 to %d bytes, found %d", MaxPolicyBytes, len(p.Text))
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// ProposalProgress returns what is known of a proposal that was made here; ok is false for any other.
+// ProposalProgress returns the state of a proposal that was made at this process; ok is false for any other proposal.
 func (c *Core) ProposalProgress(id uint64) (result Result, ok bool) {
 	for _, p := range c.proposals {
 		if p.ID == id {
@@ -99,7 +100,8 @@
 	}
 }
 
-// submit sends the proposal to the leader that a voter named, else by turns to the leader known here and to a voter.
+// submit sends the proposal to the leader that a voter has named. Without such a reply it alternates between the leader that this gateway
+// knows and one voter after another.
 func (p *localProposal) submit(c *Core) {
 	f := &c.follower
 	to := p.leader
@@ -133,10 +135,10 @@
 	}
 }
 
-// proposalName is the short form of a proposal's ID.
+// proposalName returns the short form of a proposal's ID for people.
 func proposalName(id uint64) string { return fmt.Sprintf("%08x", uint32(id>>32)) }
 
-// truncate cuts a text to a number of bytes, the last three of which then are dots.
+// truncate shortens a text to maxBytes bytes. The last three bytes of a shortened text are dots.
 func truncate(s string, maxBytes int) string {
 	if len(s) <= maxBytes {
 		return s
--- a/internal/cluster/rollout/message.go
+++ b/internal/cluster/rollout/message.go
@@ -10,11 +10,11 @@
 // ErrMalformedMessage is wrapped by errors about messages that can't be decoded.
 var ErrMalformedMessage = errors.New("policy rollout: malformed message")
 
-// Message is what members send each other in CBOR: one of its parts is set. Fields that a build doesn't know are passed over, and the
-// keys of fields never change their meaning.
+// Message is a message between members, encoded in CBOR. Exactly one of the payload fields after Incarnation is set. A receiver ignores
+// fields that its version doesn't know. The meaning of a field's CBOR key must never change.
 type Message struct {
 	from            string
-	Incarnation     uint64           `cbor:"1,keyasint"` // of the sender
+	Incarnation     uint64           `cbor:"1,keyasint"` // the sender's incarnation
 	LeaseRequest    *LeaseRequest    `cbor:"2,keyasint,omitempty"`
 	LeaseReply      *LeaseReply      `cbor:"3,keyasint,omitempty"`
 	ProposalRequest *ProposalRequest `cbor:"4,keyasint,omitempty"`
@@ -22,65 +22,65 @@
 	ChunkRequest    *ChunkRequest    `cbor:"6,keyasint,omitempty"`
 	Chunk           *Chunk           `cbor:"7,keyasint,omitempty"`
 	VoterHello      *VoterHello      `cbor:"8,keyasint,omitempty"`
-	Log             []byte           `cbor:"9,keyasint,omitempty"` // of the voters' log
+	Log             []byte           `cbor:"9,keyasint,omitempty"` // an encoded message of the voters' log, for package consensus
 }
 
-// Version is a place in the history of policies: their number, and the era, which only a forced log raises.
+// Version orders the policies that were in force: by era, which rises only when a new log is forced, then by number.
 type Version struct {
 	Era    uint64 `cbor:"1,keyasint,omitempty"`
 	Number uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Before tells whether v comes earlier: an earlier era, or a lower number of the same one.
+// Before reports whether v is older than other: it has a lower era, or the same era and a lower number.
 func (v Version) Before(other Version) bool {
 	return v.Era < other.Era || v.Era == other.Era && v.Number < other.Number
 }
 
-// LeaseRequest is a member's request for a lease, to a voter.
+// LeaseRequest is a request for a lease that a member sends to a voter.
 type LeaseRequest struct {
 	Seq         uint32        `cbor:"1,keyasint"`
-	Floor       Version       `cbor:"2,keyasint"`           // the latest version that it has gone by
-	Holds       bool          `cbor:"3,keyasint,omitempty"` // its lease on that version runs by its own clock
-	Has         Digest        `cbor:"4,keyasint"`           // the policy that it can hold a lease on
+	Floor       Version       `cbor:"2,keyasint"`           // the latest version that this member has applied
+	Holds       bool          `cbor:"3,keyasint,omitempty"` // its lease on that version is still running by its own clock
+	Has         Digest        `cbor:"4,keyasint"`           // the policy that it can apply under a lease
 	ReadyFor    uint64        `cbor:"5,keyasint,omitempty"` // the proposal that it can follow
-	Unsupported uint64        `cbor:"6,keyasint,omitempty"` // the proposal that it can't follow,
-	Reason      string        `cbor:"7,keyasint,omitempty"` // and why
+	Unsupported uint64        `cbor:"6,keyasint,omitempty"` // the proposal that it can't follow
+	Reason      string        `cbor:"7,keyasint,omitempty"` // why it can't follow that proposal
 	ReleasedFor uint64        `cbor:"8,keyasint,omitempty"` // the proposal for which it has given up its lease
 	Counts      RequestCounts `cbor:"9,keyasint,omitempty"`
 	Leaving     bool          `cbor:"10,keyasint,omitempty"`
-	MinValidSeq uint32        `cbor:"13,keyasint,omitempty"` // replies to earlier requests don't count
-	AnsweredSeq uint32        `cbor:"12,keyasint,omitempty"` // its latest request that was answered
-	OverlapWith uint64        `cbor:"11,keyasint,omitempty"` // the proposal of its overlap
+	MinValidSeq uint32        `cbor:"13,keyasint,omitempty"` // the member ignores leases in replies to earlier requests
+	AnsweredSeq uint32        `cbor:"12,keyasint,omitempty"` // its latest request that the leader has answered
+	OverlapWith uint64        `cbor:"11,keyasint,omitempty"` // the proposal whose policy it applies together with the one in force
 }
 
-// LeaseReply is a voter's reply, or what a leader says unasked.
+// LeaseReply is a voter's reply to a LeaseRequest, or a message that the leader sends without a request.
 type LeaseReply struct {
-	Seq            uint32          `cbor:"1,keyasint,omitempty"` // of the request; 0: unasked
-	Leader         string          `cbor:"2,keyasint,omitempty"` // if it isn't the sender, no field below is set
+	Seq            uint32          `cbor:"1,keyasint,omitempty"` // the request's Seq; 0: sent without a request
+	Leader         string          `cbor:"2,keyasint,omitempty"` // if the leader isn't the sender, no field below is set
 	Decided        Version         `cbor:"3,keyasint,omitempty"` // the version in force
 	Digest         Digest          `cbor:"4,keyasint"`
 	Size           int             `cbor:"5,keyasint,omitempty"`
-	Lease          Time            `cbor:"6,keyasint,omitempty"` // its length, from when the request was sent; 0: none
-	Proposal       *ProposalNotice `cbor:"7,keyasint,omitempty"` // the open one
-	Overlap        Time            `cbor:"8,keyasint,omitempty"` // for how long, from then, a member without a lease may go by what both policies allow
-	YieldFor       uint64          `cbor:"9,keyasint,omitempty"` // the proposal for which to give up the lease
+	Lease          Time            `cbor:"6,keyasint,omitempty"` // the lease's length, counted from when the request was sent; 0: no lease
+	Proposal       *ProposalNotice `cbor:"7,keyasint,omitempty"` // the open proposal
+	Overlap        Time            `cbor:"8,keyasint,omitempty"` // how long it may apply both policies without a lease, counted like Lease
+	YieldFor       uint64          `cbor:"9,keyasint,omitempty"` // the proposal for which the member must give up its lease
 	Voters         []string        `cbor:"10,keyasint,omitempty"`
-	Progress       string          `cbor:"11,keyasint,omitempty"` // of the change, for operators
-	WantedVoters   []string        `cbor:"14,keyasint,omitempty"` // who is to vote, where these are others
-	Confirmed      bool            `cbor:"12,keyasint,omitempty"` // a majority confirmed the sender as leader after the request
-	ForIncarnation uint64          `cbor:"13,keyasint,omitempty"` // of the process that asked: another one of its name ignores the reply
+	Progress       string          `cbor:"11,keyasint,omitempty"` // the progress of the change, for operators
+	WantedVoters   []string        `cbor:"14,keyasint,omitempty"` // the members that should vote, if they differ from Voters
+	Confirmed      bool            `cbor:"12,keyasint,omitempty"` // a majority has confirmed the sender as leader after the request
+	ForIncarnation uint64          `cbor:"13,keyasint,omitempty"` // the requesting process; other processes of its name ignore the reply
 }
 
-// ProposalNotice is an open proposal, as the leader announces it.
+// ProposalNotice announces the open proposal to members.
 type ProposalNotice struct {
 	ID       uint64   `cbor:"1,keyasint"`
 	Digest   Digest   `cbor:"2,keyasint"`
 	Size     int      `cbor:"3,keyasint"`
-	Rehearse bool     `cbor:"4,keyasint,omitempty"` // it is tried on live requests now
-	Sources  []string `cbor:"5,keyasint,omitempty"` // who has its text
+	Rehearse bool     `cbor:"4,keyasint,omitempty"` // members evaluate it on live requests now
+	Sources  []string `cbor:"5,keyasint,omitempty"` // members that have its text
 }
 
-// ProposalKind is what a proposal asks for.
+// ProposalKind is the kind of a proposal.
 type ProposalKind uint8
 
 // The kinds of proposals.
@@ -97,27 +97,27 @@
 	return [...]string{"change", "rollback", "rehearsal"}[k-KindChange]
 }
 
-// ProposalRequest is a member's proposal to the leader. It is repeated until its outcome comes.
+// ProposalRequest submits a member's proposal to the leader. The member repeats it until it receives the outcome.
 type ProposalRequest struct {
 	ID              uint64       `cbor:"1,keyasint"`
 	Digest          Digest       `cbor:"2,keyasint"`
 	Size            int          `cbor:"3,keyasint"`
 	Kind            ProposalKind `cbor:"4,keyasint"`
-	BaseNumber      uint64       `cbor:"5,keyasint,omitempty"` // the number that it is to follow; 0: any
-	RollbackTo      uint64       `cbor:"6,keyasint,omitempty"` // of a rollback: the number whose policy it is
-	RehearsalLength Time         `cbor:"7,keyasint,omitempty"` // of a rehearsal: how long
+	BaseNumber      uint64       `cbor:"5,keyasint,omitempty"` // the number that must be in force when the proposal is opened; 0: any
+	RollbackTo      uint64       `cbor:"6,keyasint,omitempty"` // of a rollback: the number of the past policy to return to; 0: no policy
+	RehearsalLength Time         `cbor:"7,keyasint,omitempty"` // of a rehearsal: its duration
 }
 
-// ProposalReply is how far a proposal is, or its outcome.
+// ProposalReply reports the state of a proposal, or names the leader to send it to.
 type ProposalReply struct {
 	ID      uint64  `cbor:"1,keyasint"`
-	Outcome Outcome `cbor:"2,keyasint,omitempty"` // OutcomePending: it is open, or on its way
+	Outcome Outcome `cbor:"2,keyasint,omitempty"` // OutcomePending: it is open, or waits to be opened
 	Number  uint64  `cbor:"3,keyasint,omitempty"`
 	Reason  string  `cbor:"4,keyasint,omitempty"`
-	Leader  string  `cbor:"5,keyasint,omitempty"` // set by a voter that doesn't lead
+	Leader  string  `cbor:"5,keyasint,omitempty"` // the leader, if the sender is another voter; no other field but ID is set
 }
 
-// Outcome is how a proposal ended.
+// Outcome is the result of a proposal.
 type Outcome uint8
 
 // The outcomes.
@@ -125,7 +125,7 @@
 	OutcomePending Outcome = iota
 	OutcomeDecided
 	OutcomeDropped
-	OutcomeRejected // it was never open
+	OutcomeRejected // the proposal was not opened
 	OutcomeRehearsed
 )
 
@@ -133,37 +133,38 @@
 	return [...]string{"pending", "decided", "dropped", "refused", "rehearsed"}[min(o, OutcomeRehearsed)]
 }
 
-// ChunkRequest asks for chunks of a text: of those from First on the ones whose bit is set.
+// ChunkRequest requests chunks of a policy's text. Bit i of Bitmap requests the chunk with index First+i.
 type ChunkRequest struct {
 	Digest Digest `cbor:"1,keyasint"`
 	First  int    `cbor:"2,keyasint,omitempty"`
 	Bitmap uint32 `cbor:"3,keyasint"`
 }
 
-// Chunk is a part of a policy's text, of chunkBytes but for the last one.
+// Chunk is a piece of a policy's text. All chunks have chunkBytes bytes, except for the last one, which may be shorter.
 type Chunk struct {
 	Digest     Digest `cbor:"1,keyasint"`
 	Index      int    `cbor:"2,keyasint,omitempty"`
-	PolicySize int    `cbor:"3,keyasint"` // of the whole text
+	PolicySize int    `cbor:"3,keyasint"` // the length of the whole text
 	Text       []byte `cbor:"4,keyasint"`
 }
 
-// VoterHello is what a process that is to vote tells the other voters: its replica ID, which it drew when its folder was new.
+// VoterHello announces a process that should vote, but doesn't yet, to the other voters. ReplicaID is the random ID of the process's
+// replica of the log.
 type VoterHello struct {
 	ReplicaID  uint64 `cbor:"1,keyasint"`
 	Lease      Time   `cbor:"2,keyasint"`
 	Era        uint64 `cbor:"3,keyasint,omitempty"`
-	WithoutLog bool   `cbor:"4,keyasint,omitempty"` // there is no log yet
+	WithoutLog bool   `cbor:"4,keyasint,omitempty"` // the sender has no log yet
 	Reply      bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// deterministic has equal values encoded to equal bytes.
+// deterministic encodes equal values to equal bytes.
 var deterministic, _ = cbor.CoreDetEncOptions().EncMode()
 
 func encode(v any) []byte {
 	b, err := deterministic.Marshal(v)
 	if err != nil {
-		panic(err) // no type here has a value that can't be encoded
+		panic(err) // can't happen: every value of this package's types can be encoded
 	}
 	return b
 }
@@ -185,7 +186,7 @@
 		}
 	}
 	if parts != 1 {
-		return nil, fmt.Errorf("%w: expected one part, found %d", ErrMalformedMessage, parts)
+		return nil, fmt.Errorf("%w: expected one payload, found %d", ErrMalformedMessage, parts)
 	}
 	return m, nil
 }
--- a/internal/cluster/rollout/mutation.go
+++ b/internal/cluster/rollout/mutation.go
@@ -2,24 +2,24 @@
 
 import "strings"
 
-// Mutation is a deliberate defect by which the testbed shows that its checkers find real ones (mutation testing). A process that serves
-// runs with NoMutation: only testbed code and builds with the tag testbed set Config.Mutation.
+// Mutation is a deliberate defect, for mutation testing: the testbed shows with it that its checkers find real defects. A production process
+// runs with NoMutation, because only testbed code and builds with the tag testbed set Config.Mutation.
 type Mutation uint8
 
 // The mutations.
 const (
 	NoMutation         Mutation = iota
-	SwitchOnReady               // a member goes by a proposal as soon as it is ready for it
-	IgnoreClockDrift            // the leader counts a lease only to the end that the member itself counts
-	TrustStoredState            // a starting member goes by its stored policy without a lease
-	SkipLeaseWait               // a new leader decides before the leases that earlier leaders gave have ended
+	SwitchOnReady               // a member applies a proposal as soon as it is ready for it
+	IgnoreClockDrift            // the leader's wait for the end of a lease doesn't allow for clocks that run at different speeds
+	TrustStoredState            // a starting member applies its stored policy without a lease
+	SkipLeaseWait               // a new leader decides before the leases that earlier leaders granted have expired
 	GrantWithoutQuorum          // a leader grants leases without a majority's confirmation
-	KeepLeaseOnYield            // a member goes on by the lease that it reported as released
-	IgnoreOverlap               // a leader decides while members may still go by the overlap of an earlier change
-	LeaseFromAnswer             // a member counts its lease from the answer instead of from its request
+	KeepLeaseOnYield            // a member continues to use the lease that it reported as released
+	IgnoreOverlap               // a leader decides while members may still apply the overlap of an earlier change
+	LeaseFromAnswer             // a member's lease starts when the reply arrives instead of when the request was sent
 )
 
-// mutationNames are the names by which scenarios and the environment of a testbed build select mutations.
+// mutationNames holds the names by which scenarios, or the environment of a testbed build, select mutations.
 var mutationNames = [...]string{
 	SwitchOnReady:      "switches-on-word",
 	IgnoreClockDrift:   "lease-without-drift",
@@ -31,7 +31,7 @@
 	LeaseFromAnswer:    "lease-from-answer",
 }
 
-// ParseMutation returns the last mutation whose name occurs in names, or NoMutation.
+// ParseMutation returns the mutation whose name occurs in names, the last one if there are several, or NoMutation.
 func ParseMutation(names string) Mutation {
 	found := NoMutation
 	for mutation, name := range mutationNames {
--- a/internal/cluster/rollout/policy_store.go
+++ b/internal/cluster/rollout/policy_store.go
@@ -7,58 +7,59 @@
 )
 
 const (
-	// A chunk fits a datagram, with what its carriers add.
+	// A chunk of chunkBytes fits a datagram together with the headers of the layers below.
 	chunkBytes = 900
-	// So many chunks are asked for at a time; a socket's buffer holds them beside other messages. Their bits fit ChunkRequest.Bitmap.
+	// maxChunksPerRequest limits the chunks of one request. They fit a socket's buffer together with other messages, and
+	// ChunkRequest.Bitmap has one bit for each.
 	maxChunksPerRequest = 32
-	// Chunks take milliseconds to come, so what hasn't come after this long is asked for again.
+	// Chunks usually arrive within milliseconds, so missing ones are requested again after chunkRetryAfter.
 	chunkRetryAfter = 60 * millisecond
-	// A text that nobody needs any more leaves the memory after this long.
+	// unusedTextLifetime is how long a text stays in memory after its last use.
 	unusedTextLifetime = 20 * second
-	// So many members are remembered as sources of a text.
+	// maxSources limits the members that are stored as sources of a text.
 	maxSources = 8
-	// An error about a policy is cut to so many bytes.
+	// maxPolicyErrorBytes limits the length of an error about a policy.
 	maxPolicyErrorBytes = 200
 )
 
-// policyStore has the texts of policies in memory, and knows which the folder has.
+// policyStore holds the texts of policies in memory, fetches missing ones from other members, and knows which texts are in the folder.
 type policyStore struct {
 	texts      []*policyText
-	storedKeys [][16]byte // of the folder's records of texts
+	storedKeys [][16]byte // the keys of the text records in the folder
 }
 
 type textState uint8
 
 const (
-	textMissing  textState = iota // chunks of it are to come
-	textChecking                  // it is complete, and being checked or saved
+	textMissing  textState = iota // chunks of the text are missing
+	textChecking                  // the text is complete, and being checked or saved
 	textUsable
-	textUnusable // this gateway can't follow it, or can't save it
+	textUnusable // this gateway can't follow the policy, or can't save its text
 )
 
-// policyText is a policy's text, or what has come of it.
+// policyText is a policy's text, or the part of it that has been received so far.
 type policyText struct {
 	digest Digest
 	size   int
 	body   []byte
 	state  textState
 	terms  Terms
-	reason string // why it is unusable
+	reason string // why the text is unusable
 	usedAt Time
 
-	// While chunks are missing:
+	// The following fields are used only while chunks are missing.
 	received    []bool
 	missing     int
 	sources     []string
 	sourceIndex int
 	requestedAt Time
-	outstanding int // chunks that were asked for and haven't come
+	outstanding int // chunks that were requested and haven't arrived
 }
 
-// emptyPolicy stands for having no policy, which every gateway can follow.
+// emptyPolicy stands for no policy, which every gateway can follow.
 var emptyPolicy = &policyText{state: textUsable}
 
-// find returns a text, or what has come of it; nil: nothing is known of it.
+// find returns a text, which may be incomplete, or nil if the text is unknown.
 func (s *policyStore) find(digest Digest) *policyText {
 	if (digest == Digest{}) {
 		return emptyPolicy
@@ -70,13 +71,13 @@
 	return s.texts[i]
 }
 
-// isUsable tells whether a policy is here and can be followed.
+// isUsable reports whether a policy's text is here and this gateway can follow the policy.
 func (s *policyStore) isUsable(digest Digest) bool {
 	t := s.find(digest)
 	return t != nil && t.state == textUsable
 }
 
-// add takes in a complete text, which the folder has if stored is set.
+// add adds a complete text and has it checked. The folder has the text already if stored is set.
 func (s *policyStore) add(c *Core, digest Digest, body []byte, stored bool) *policyText {
 	t := s.find(digest)
 	if t == nil {
@@ -90,7 +91,7 @@
 	return t
 }
 
-// check has the host check a text, and saves one that can be followed.
+// check has the host check a text, and saves the text if this gateway can follow the policy and the folder doesn't have the text.
 func (s *policyStore) check(c *Core, t *policyText, stored bool) {
 	t.state = textChecking
 	c.host.CheckPolicy(t.digest, t.body, func(terms Terms, err error) {
@@ -109,7 +110,7 @@
 	})
 }
 
-// save writes a text's records; it is usable once they survive a crash.
+// save writes the records of a text. The text is usable once they survive a crash.
 func (s *policyStore) save(c *Core, t *policyText) {
 	records := policyRecords(t.digest, t.body)
 	for _, r := range records {
@@ -130,7 +131,7 @@
 	t.state, t.reason = textUnusable, truncate(reason, maxPolicyErrorBytes)
 }
 
-// policyChecked tells the gateway and the voter that a text was checked.
+// policyChecked passes the result of a check to the gateway and the voter of this process.
 func (c *Core) policyChecked(t *policyText) {
 	c.follower.policyChecked(c, t)
 	if c.voter != nil {
@@ -139,7 +140,7 @@
 	c.publishInForce()
 }
 
-// needsPolicy tells whether a text is to stay in memory.
+// needsPolicy reports whether a policy's text must stay in memory.
 func (c *Core) needsPolicy(digest Digest) bool {
 	if slices.Contains(c.follower.neededPolicies(), digest) || c.voter != nil && c.voter.needsPolicy(digest) {
 		return true
@@ -147,7 +148,7 @@
 	return slices.ContainsFunc(c.proposals, func(p *localProposal) bool { return !p.ended && p.Digest == digest })
 }
 
-// fetch has a text come from members that have it.
+// fetch requests a text, unless it is here already, from members that have it.
 func (s *policyStore) fetch(c *Core, digest Digest, size int, sources []string) {
 	if (digest == Digest{}) || size <= 0 || size > MaxPolicyBytes {
 		return
@@ -172,7 +173,7 @@
 	}
 }
 
-// requestChunks asks a source for the next chunks that are missing.
+// requestChunks requests the next missing chunks from the current source.
 func (t *policyText) requestChunks(c *Core) {
 	if len(t.sources) == 0 {
 		return
@@ -189,7 +190,7 @@
 	c.send(t.sources[t.sourceIndex%len(t.sources)], Message{ChunkRequest: request})
 }
 
-// retryChunks asks the next source for what hasn't come.
+// retryChunks requests the missing chunks from the next source.
 func (t *policyText) retryChunks(c *Core) {
 	t.sourceIndex++
 	t.outstanding = 0
@@ -208,7 +209,7 @@
 	s.texts = slices.DeleteFunc(s.texts, func(t *policyText) bool { return c.now-t.usedAt >= unusedTextLifetime })
 }
 
-// handleChunkRequest sends the chunks of a text that a member asks for, if the text is here or in the folder.
+// handleChunkRequest sends the chunks that a member has requested, if the text is in memory or in the folder.
 func (s *policyStore) handleChunkRequest(c *Core, m *Message) {
 	request := m.ChunkRequest
 	t := s.find(request.Digest)
@@ -232,7 +233,7 @@
 	}
 }
 
-// handleChunk takes in a chunk. If the complete text has another digest, a chunk was of another text, and all are fetched again.
+// handleChunk stores a chunk. If the complete text doesn't match its digest, one of the chunks was wrong, and all are fetched again.
 func (s *policyStore) handleChunk(c *Core, chunk *Chunk) {
 	t := s.find(chunk.Digest)
 	if t == nil || !t.lacks(chunk) {
@@ -256,7 +257,7 @@
 	}
 }
 
-// lacks tells whether a chunk has the form of one that is missing.
+// lacks reports whether a chunk is one of the missing ones, by its index and sizes.
 func (t *policyText) lacks(chunk *Chunk) bool {
 	if t.state != textMissing || chunk.PolicySize != t.size || chunk.Index < 0 || chunk.Index >= len(t.received) || t.received[chunk.Index] {
 		return false
@@ -264,7 +265,7 @@
 	return len(chunk.Text) == min(chunkBytes, t.size-chunk.Index*chunkBytes)
 }
 
-// deleteExcept has the folder lose all texts but some.
+// deleteExcept deletes the texts of all policies except those in keep from the folder.
 func (s *policyStore) deleteExcept(c *Core, keep []Digest) {
 	var deletions []consensus.Record
 	s.storedKeys = slices.DeleteFunc(s.storedKeys, func(key [16]byte) bool {
--- a/internal/cluster/rollout/probation.go
+++ b/internal/cluster/rollout/probation.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// countsFor are what the members have counted of a rehearsal, or of a policy's number.
+// countsFor returns the request counts that members have reported for a rehearsal, given the proposal's ID, or for a policy's number.
 func (v *voter) countsFor(subject uint64) (list []RequestCounts) {
 	for i := range v.leadership.holders {
 		if counts := v.leadership.holders[i].request.Counts; counts.Subject == subject {
@@ -29,10 +29,11 @@
 	return float64(count) / float64(total)
 }
 
-// exceededBy says which bound counts exceed, by the names that policies have for them; empty: none.
+// exceededBy describes the first bound that the counts exceed. It names the bound as policies do, and returns an empty string if no bound
+// is exceeded.
 func (b Bounds) exceededBy(counts RequestCounts) string {
 	report := func(what string, share, bound float64) string {
-		return fmt.Sprintf("%.3f of the tasks %s, at most %.3f may be", share, what, bound)
+		return fmt.Sprintf("%.3f of the requests %s, at most %.3f may be", share, what, bound)
 	}
 	rejected, shed := ratio(counts.Rejected, counts.Requests), ratio(counts.Shed, counts.Requests)
 	switch {
@@ -44,11 +45,11 @@
 	return ""
 }
 
-// rehearsalReport says what a rehearsal came to, and whether it exceeded the proposal's bounds.
+// rehearsalReport describes the result of a rehearsal, and reports whether it exceeded the proposal's bounds.
 func (v *voter) rehearsalReport(p *LoggedProposal, text *policyText) (report string, exceeded bool) {
 	list := v.countsFor(p.ID)
 	total := sumCounts(list)
-	report = fmt.Sprintf("rehearsed by %d members: of %d tasks %d classed, %d refused and %d held that are not now", len(list), total.Requests, total.Classified, total.Rejected, total.Shed)
+	report = fmt.Sprintf("rehearsed by %d members: of %d requests %d classed, %d refused and %d held that the policy in force doesn't refuse or hold", len(list), total.Requests, total.Classified, total.Rejected, total.Shed)
 	if text == nil || text.terms.RehearsalBounds == (Bounds{}) || total.Requests < minJudgedRequests {
 		return report, false
 	}
@@ -59,8 +60,8 @@
 	return report + "; guard: " + bound, true
 }
 
-// watchProbation has a policy on probation rolled back once it exceeds its bounds. The rollback is a proposal like any other, and has no
-// probation of its own.
+// watchProbation proposes a rollback once the policy on probation exceeds its bounds, and ends the probation after its time. The rollback
+// is an ordinary proposal, except that it has no probation of its own.
 func (v *voter) watchProbation(c *Core) {
 	leader, probation := v.leadership, v.table.Probation
 	if probation == nil {
--- a/internal/cluster/rollout/proposal.go
+++ b/internal/cluster/rollout/proposal.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// entryApplied takes in what the log has decided. An entry that can't be decoded is of another build, and all voters pass it over alike.
+// entryApplied applies a decided entry of the log. An entry that can't be decoded was written by another version of this program; every
+// voter ignores it, so that their tables stay equal.
 func (v *voter) entryApplied(c *Core, encoded []byte) {
 	var e logEntry
 	if unmarshal(encoded, &e) != nil {
@@ -33,10 +34,10 @@
 	}
 }
 
-// proposalChanged has the leader begin anew after a proposal was opened, decided or dropped.
+// proposalChanged resets the leader's progress after a proposal was opened, decided or dropped.
 func (v *voter) proposalChanged(c *Core, decided bool) {
 	leader := v.leadership
-	if decided && leader.change.phase == deciding { // by this leader, so that nobody can know of a later policy
+	if decided && leader.change.phase == deciding { // this leader decided it, so no member can know of a later policy
 		leader.proved = true
 	}
 	leader.change.openedAt, leader.change.rehearsed = c.now, false
@@ -49,7 +50,7 @@
 	} else {
 		v.broadcast(c)
 	}
-	v.confirmLeadership(c) // for the requests that waited for the decision
+	v.confirmLeadership(c) // replies to the requests that waited for the decision
 	v.advanceProposal(c)
 }
 
@@ -64,7 +65,7 @@
 	c.host.LogEvent(code, "proposal", proposalName(end.ID), "number", v.table.Number, "digest", v.table.Digest.String(), "how", end.Outcome.String(), "why", end.Reason)
 }
 
-// handleProposal takes in a member's proposal. A leader has it wait until its text is here; another voter names the leader.
+// handleProposal processes a member's proposal. A leader lets it wait until its text is here. Another voter replies with the leader's name.
 func (v *voter) handleProposal(c *Core, m *Message) {
 	request, leader := *m.ProposalRequest, v.leadership
 	reply := func(r *ProposalReply) { c.send(m.from, Message{ProposalReply: r}) }
@@ -96,7 +97,7 @@
 	v.openWaitingProposals(c)
 }
 
-// resolveProposal finds the policy of a rollback, and returns why a proposal is rejected; empty: it isn't.
+// resolveProposal sets the digest and size of a rollback's policy. It returns why the proposal is rejected, or an empty string.
 func (v *voter) resolveProposal(request *ProposalRequest) (reason string) {
 	if request.Kind == KindRollback {
 		request.Digest, request.Size = Digest{}, 0
@@ -114,7 +115,7 @@
 	return ""
 }
 
-// addWaiting has a proposal wait for its text, or go on waiting.
+// addWaiting adds a proposal to those that wait for their texts, or extends its waiting time if it is there already.
 func (l *leadership) addWaiting(from string, request ProposalRequest, now Time) {
 	i := slices.IndexFunc(l.waiting, func(w waitingProposal) bool { return w.ID == request.ID })
 	if i >= 0 {
@@ -126,7 +127,8 @@
 	}
 }
 
-// openWaitingProposals has the log open the first proposal whose text is here.
+// openWaitingProposals appends the first waiting proposal whose text is usable to the log, unless an entry is pending. It rejects those
+// whose text is unusable.
 func (v *voter) openWaitingProposals(c *Core) {
 	leader := v.leadership
 	leader.waiting = slices.DeleteFunc(leader.waiting, func(w waitingProposal) bool {
@@ -150,7 +152,7 @@
 	})
 }
 
-// policyChecked takes in that a text was checked.
+// policyChecked continues the work of a leader that may have waited for the check of a text.
 func (v *voter) policyChecked(c *Core) {
 	if v.leadership != nil {
 		v.openWaitingProposals(c)
@@ -158,7 +160,7 @@
 	}
 }
 
-// needsPolicy tells whether the leader needs a text at hand.
+// needsPolicy reports whether the voter needs a policy's text in memory, for the open proposal or a waiting one.
 func (v *voter) needsPolicy(digest Digest) bool {
 	if p := v.table.Proposal; p != nil && p.Digest == digest {
 		return true
--- a/internal/cluster/rollout/status.go
+++ b/internal/cluster/rollout/status.go
@@ -5,39 +5,39 @@
 	"slices"
 )
 
-// Status is what a process knows, for operators.
+// Status is the state of a process, for operators.
 type Status struct {
 	Name           string
 	InForce        InForce
 	LeaseRemaining Time   // 0: it holds no lease
-	LastNumber     uint64 // of the policy that it went by last
-	DecidedNumber  uint64 // of the latest policy that it knows as decided
+	LastNumber     uint64 // the number of the policy that it applied last
+	DecidedNumber  uint64 // the number of the latest policy that it knows as decided
 	Leader         string
 	Voters         []string
 	IsVoter        bool
-	IsLearner      bool   // it is to vote, and doesn't yet
-	ProposalID     uint64 // of the open proposal; 0: it knows of none
+	IsLearner      bool   // it should vote, but doesn't yet
+	ProposalID     uint64 // the ID of the open proposal; 0: it knows of none
 	ProposalDigest Digest
-	Ready          bool         // it can follow the proposal
-	Reason         string       // why it can't
-	Progress       string       // of the change, as the leader describes it
-	Unsupported    Digest       // the decided policy, if it can't follow that
-	Past           []PastPolicy // known by voters
+	Ready          bool         // it can follow the open proposal
+	Reason         string       // why it can't follow the open proposal
+	Progress       string       // the progress of the change, as the leader describes it
+	Unsupported    Digest       // the decided policy, if it can't follow it
+	Past           []PastPolicy // set at voters only, as EndedProposals
 	Ends           []ProposalEnd
-	Members        []Member // known by the leader
+	Members        []Member // set at the leader only
 }
 
-// Member is a member as the leader knows it.
+// Member is a leader's view of one member.
 type Member struct {
 	Name           string
 	SinceHeard     Time
-	LeaseRemaining Time // until its lease has surely ended
-	Ready          bool // for the open proposal
-	Excluded       bool // it took no part in time
+	LeaseRemaining Time // until its lease has certainly ended
+	Ready          bool // it can follow the open proposal
+	Excluded       bool // it was not ready, or kept its lease, beyond the timeout
 	Reason         string
 }
 
-// Status returns what this process knows.
+// Status returns the state of this process.
 func (c *Core) Status(now Time) Status {
 	c.advanceClock(now)
 	f := &c.follower
@@ -83,13 +83,13 @@
 	return m
 }
 
-// NotLeaderError is returned where only the leader can do something.
+// NotLeaderError is returned for an operation that only the leader can do. Leader is empty if the leader is unknown.
 type NotLeaderError struct{ Leader string }
 
-func (e *NotLeaderError) Error() string { return fmt.Sprintf("only the leader, %s, can", e.Leader) }
+func (e *NotLeaderError) Error() string { return fmt.Sprintf("not the leader: %s leads", e.Leader) }
 
-// ReplaceVoters has other members vote, one change at a time. It returns a *NotLeaderError at any process but the leader, and an error for
-// a number of voters that is not 1, 3, 5 or 7.
+// ReplaceVoters changes the members that should vote. The leader then replaces the voters one at a time. ReplaceVoters returns a
+// *NotLeaderError at any process but the leader, and an error unless there are 1, 3, 5 or 7 voters.
 func (c *Core) ReplaceVoters(now Time, voters []string) error {
 	c.advanceClock(now)
 	if c.voter == nil || c.voter.leadership == nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// PolicyText returns the text of a policy; nil: it isn't here.
+// PolicyText returns the text of a policy, or nil if the text isn't here.
 func (c *Core) PolicyText(digest Digest) []byte {
 	t := c.policies.find(digest)
 	if t != nil && t.state >= textChecking {
--- a/internal/cluster/rollout/stored_state.go
+++ b/internal/cluster/rollout/stored_state.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// A record of a text has at most so many bytes of it, so that it fits the store.
+	// A policy's text is stored in records of at most recordBytes bytes of text each, so that a record fits the store.
 	recordBytes = 60 << 10
-	// policyRecordVersion begins the value of a record of a text.
+	// policyRecordVersion is the first byte of the value of a text record.
 	policyRecordVersion = 1
-	// The key of a record of a text is this prefix, the first bytes of the text's digest, and the record's number.
+	// The key of a text record consists of policyKeyPrefix, the first bytes of the text's digest, and the record's number.
 	policyKeyPrefix = "txt\x00"
-	policyKeyNumber = 14 // where the number begins
+	policyKeyNumber = 14 // the offset of the number
 )
 
-// The keys of the other records. Folders hold these bytes, so they don't change.
+// The keys of the other records. They must not change, because existing folders contain them.
 var (
 	floorKey   = recordKey("charter floor")
 	replicaKey = recordKey("charter birth")
@@ -37,13 +37,13 @@
 	return key
 }
 
-// isPolicyRecordKey tells whether a key is of a record of a text.
+// isPolicyRecordKey reports whether the key of a text record belongs to the text with the given digest.
 func isPolicyRecordKey(key [16]byte, digest Digest) bool {
 	stored := key[len(policyKeyPrefix):policyKeyNumber]
 	return bytes.Equal(stored, digest[:len(stored)])
 }
 
-// policyRecords are the records of a text.
+// policyRecords returns the records that store a text.
 func policyRecords(digest Digest, body []byte) (records []consensus.Record) {
 	for number := 0; number*recordBytes < len(body); number++ {
 		part := body[number*recordBytes : min(len(body), (number+1)*recordBytes)]
@@ -52,7 +52,8 @@
 	return records
 }
 
-// ReadPolicyText reads a text from its records; get returns nil for a key that has none. The text is nil if a record is missing or wrong.
+// ReadPolicyText reads a text from its records. The function get must return nil for a key without a record. ReadPolicyText returns nil if
+// a record is missing or the text doesn't match the digest.
 func ReadPolicyText(digest Digest, get func(key [16]byte) []byte) (body []byte) {
 	for number := range MaxPolicyBytes/recordBytes + 1 {
 		value := get(policyRecordKey(digest, number))
@@ -67,7 +68,7 @@
 	return body
 }
 
-// StoredState is what a folder holds. Its zero value is an empty folder.
+// StoredState is the contents of a folder. The zero value stands for an empty folder.
 type StoredState struct {
 	floor      *floorRecord
 	replica    *replicaRecord
@@ -76,8 +77,8 @@
 	err        error
 }
 
-// AddRecord takes in a record of the folder, or with deleted set that its key has none any more. Records come in the order in which they
-// were written. Err returns what can't be read.
+// AddRecord adds a record of the folder, or records the deletion of its key if deleted is set. It must be called in the order in which the
+// records were written. A record that can't be decoded sets the error that Err returns.
 func (s *StoredState) AddRecord(key [16]byte, value []byte, deleted bool) {
 	if s.log.AddRecord(key, value, deleted) {
 		return
@@ -94,7 +95,7 @@
 		s.replica = &replicaRecord{}
 		err = unmarshal(value, s.replica)
 	default:
-		err = fmt.Errorf("no record of a policy rollout has the key %q", key[:])
+		err = fmt.Errorf("unknown record key %q", key[:])
 	}
 	if err != nil && s.err == nil {
 		s.err = fmt.Errorf("policy rollout: %w", err)
@@ -112,10 +113,10 @@
 	s.policyKeys[key] = true
 }
 
-// Err returns an error about the first record that can't be read, or nil.
+// Err returns an error about the first record that is unknown or can't be decoded, or nil.
 func (s *StoredState) Err() error { return s.err }
 
-// sortedPolicyKeys are the keys of the records of texts, in order.
+// sortedPolicyKeys returns the keys of the text records in ascending order.
 func (s *StoredState) sortedPolicyKeys() (keys [][16]byte) {
 	for key := range s.policyKeys {
 		keys = append(keys, key)
@@ -124,7 +125,7 @@
 	return keys
 }
 
-// saveRecords has records survive a crash, and calls done at once without a folder.
+// saveRecords saves records and calls done once they survive a crash. Without a folder or without records, it calls done at once.
 func (c *Core) saveRecords(records []consensus.Record, done func(error)) {
 	if !c.config.Persistent || len(records) == 0 {
 		done(nil)
--- a/internal/cluster/rollout/table.go
+++ b/internal/cluster/rollout/table.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// So many policies can be rolled back to, and so many proposals' ends are known to members that ask again.
+	// maxPastPolicies limits the stored history of policies, which are those that a rollback can return to.
 	maxPastPolicies = 16
+	// maxProposalEnds limits the stored outcomes of proposals, which answer a member that repeats its proposal.
 	maxProposalEnds = 32
 	maxReasonBytes  = 400
 	maxNameBytes    = 40
 )
 
-// Table is what the voters' log has decided. Each entry changes it, at all voters alike. Snapshots of the log are tables in CBOR.
+// Table is the state that results from applying the entries of the voters' log in order, so it is the same at all voters. A snapshot of
+// the log is a Table encoded in CBOR.
 type Table struct {
-	Era           uint64          `cbor:"1,keyasint,omitempty"` // raised by a forced log alone
-	Number        uint64          `cbor:"2,keyasint,omitempty"` // of the policy in force
+	Era           uint64          `cbor:"1,keyasint,omitempty"` // only raised when a new log is forced
+	Number        uint64          `cbor:"2,keyasint,omitempty"` // the number of the policy in force
 	Digest        Digest          `cbor:"3,keyasint"`
 	Size          int             `cbor:"4,keyasint,omitempty"`
-	LastProposal  uint64          `cbor:"5,keyasint,omitempty"` // the ID of the proposal by which it was decided
+	LastProposal  uint64          `cbor:"5,keyasint,omitempty"` // the ID of the proposal that put this policy in force
 	LeaseDuration Time            `cbor:"6,keyasint,omitempty"`
-	Overlap       Time            `cbor:"7,keyasint,omitempty"`  // the longest that any gateway without a lease may go by what two policies allow
+	Overlap       Time            `cbor:"7,keyasint,omitempty"`  // the longest time that a gateway without a lease may apply two policies
 	Proposal      *LoggedProposal `cbor:"8,keyasint,omitempty"`  // the open proposal: neither decided nor dropped
-	Past          []PastPolicy    `cbor:"9,keyasint,omitempty"`  // of the policies that were in force, the current one last
-	Ends          []ProposalEnd   `cbor:"10,keyasint,omitempty"` // of the proposals that ended, the latest last
-	Probation     *Probation      `cbor:"11,keyasint,omitempty"` // that runs
+	Past          []PastPolicy    `cbor:"9,keyasint,omitempty"`  // the policies that were in force, the current one last
+	Ends          []ProposalEnd   `cbor:"10,keyasint,omitempty"` // the outcomes of ended proposals, the latest last
+	Probation     *Probation      `cbor:"11,keyasint,omitempty"` // of the policy in force; nil: it isn't on probation
 	Voters        []Voter         `cbor:"12,keyasint,omitempty"`
-	WantedVoters  []string        `cbor:"13,keyasint,omitempty"` // who is to vote
+	WantedVoters  []string        `cbor:"13,keyasint,omitempty"` // the names of the members that should vote
 }
 
-// PastPolicy is one policy that was in force.
+// PastPolicy is a policy that is or was in force.
 type PastPolicy struct {
 	Number      uint64       `cbor:"1,keyasint"`
 	Digest      Digest       `cbor:"2,keyasint"`
@@ -41,18 +43,18 @@
 	RollbackTo  uint64       `cbor:"7,keyasint,omitempty"`
 }
 
-// LoggedProposal is a proposal as the log has it.
+// LoggedProposal is a proposal as stored in the log.
 type LoggedProposal struct {
 	ID              uint64       `cbor:"1,keyasint"`
 	Digest          Digest       `cbor:"2,keyasint"`
 	Size            int          `cbor:"3,keyasint"`
 	Kind            ProposalKind `cbor:"4,keyasint"`
 	By              string       `cbor:"5,keyasint"`
-	BaseNumber      uint64       `cbor:"6,keyasint,omitempty"` // the number that it is to follow; 0: any
+	BaseNumber      uint64       `cbor:"6,keyasint,omitempty"` // the number that must be in force when the proposal is opened; 0: any
 	RollbackTo      uint64       `cbor:"7,keyasint,omitempty"`
 	RehearsalLength Time         `cbor:"8,keyasint,omitempty"`
 	Overlap         Time         `cbor:"9,keyasint,omitempty"`
-	Automatic       bool         `cbor:"10,keyasint,omitempty"` // made by the leader, as a policy on probation passed its bounds
+	Automatic       bool         `cbor:"10,keyasint,omitempty"` // made by the leader because a policy on probation exceeded its bounds
 }
 
 // ProposalEnd is the outcome of a proposal.
@@ -63,24 +65,24 @@
 	Reason  string  `cbor:"4,keyasint,omitempty"`
 }
 
-// Probation is the time in which a policy may be rolled back automatically.
+// Probation describes a policy that may be rolled back automatically.
 type Probation struct {
 	Number     uint64 `cbor:"1,keyasint"`
-	RollbackTo uint64 `cbor:"2,keyasint"` // the number of the policy to return to
+	RollbackTo uint64 `cbor:"2,keyasint"` // the number of the previous policy, which a rollback returns to
 }
 
-// Voter is one replica of the log.
+// Voter is a member that votes, and its replica of the log.
 type Voter struct {
 	Name      string `cbor:"1,keyasint"`
 	ReplicaID uint64 `cbor:"2,keyasint"`
 }
 
-// logEntry is an entry of the log: one of its parts is set.
+// logEntry is an entry of the log. Exactly one of its fields is set.
 type logEntry struct {
 	Proposal        *LoggedProposal `cbor:"1,keyasint,omitempty"`
 	Drop            *ProposalEnd    `cbor:"2,keyasint,omitempty"`
 	Decide          *decision       `cbor:"3,keyasint,omitempty"`
-	ProbationPassed uint64          `cbor:"4,keyasint,omitempty"` // the number whose probation is over
+	ProbationPassed uint64          `cbor:"4,keyasint,omitempty"` // the number of the policy whose probation has ended without a rollback
 	WantedVoters    []string        `cbor:"5,keyasint,omitempty"`
 }
 
@@ -91,7 +93,7 @@
 	Probation   bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// apply changes the table by an entry.
+// apply applies an entry to the table.
 func (t *Table) apply(e *logEntry) {
 	switch {
 	case e.Proposal != nil:
@@ -114,7 +116,7 @@
 	}
 }
 
-// openProposal opens a proposal, or rejects it.
+// openProposal opens a proposal, or records its rejection. It ignores a proposal that is already open or has ended.
 func (t *Table) openProposal(p LoggedProposal) {
 	reject := func(number uint64, format string, values ...any) {
 		t.recordEnd(ProposalEnd{p.ID, OutcomeRejected, number, fmt.Sprintf(format, values...)})
@@ -132,7 +134,8 @@
 	}
 }
 
-// decide puts a proposal in force. Only its own overlap remains: gateways that still go by two policies go by this one and the one before.
+// decide puts a proposal in force. Only the overlap of this proposal remains in t.Overlap, because a gateway that still applies two
+// policies applies this one and the previous one.
 func (t *Table) decide(p *LoggedProposal, d *decision) {
 	previous := t.Number
 	t.Number++
@@ -146,7 +149,7 @@
 	t.recordEnd(ProposalEnd{p.ID, OutcomeDecided, t.Number, ""})
 }
 
-// knows tells whether a proposal is open or has ended.
+// knows reports whether a proposal is open, or its outcome is stored.
 func (t *Table) knows(id uint64) bool { return t.proposalReply(id) != nil }
 
 func (t *Table) recordEnd(end ProposalEnd) {
@@ -155,7 +158,7 @@
 	t.Ends = t.Ends[max(0, len(t.Ends)-maxProposalEnds):]
 }
 
-// lastEnd is the end of the proposal that ended last; zero: none has.
+// lastEnd returns the outcome of the proposal that ended last, or the zero value if none has ended.
 func (t *Table) lastEnd() ProposalEnd {
 	if len(t.Ends) == 0 {
 		return ProposalEnd{}
@@ -163,7 +166,7 @@
 	return t.Ends[len(t.Ends)-1]
 }
 
-// proposalReply is what is known of a proposal; nil: nothing.
+// proposalReply returns the state or outcome of a proposal, or nil if the proposal is unknown.
 func (t *Table) proposalReply(id uint64) *ProposalReply {
 	if t.Proposal != nil && t.Proposal.ID == id {
 		return &ProposalReply{ID: id}
@@ -176,7 +179,7 @@
 	return nil
 }
 
-// pastPolicy is a policy that was in force, by its number; nil: it isn't known any more.
+// pastPolicy returns the policy with the given number, or nil if it isn't among the stored past policies.
 func (t *Table) pastPolicy(number uint64) *PastPolicy {
 	i := slices.IndexFunc(t.Past, func(p PastPolicy) bool { return p.Number == number })
 	if i < 0 {
@@ -187,7 +190,7 @@
 
 func (t *Table) version() Version { return Version{t.Era, t.Number} }
 
-// voterNamed is the voter of a name; nil: there is none.
+// voterNamed returns the voter with the given name, or nil if there is none.
 func (t *Table) voterNamed(name string) *Voter {
 	i := slices.IndexFunc(t.Voters, func(v Voter) bool { return v.Name == name })
 	if i < 0 {
@@ -196,7 +199,7 @@
 	return &t.Voters[i]
 }
 
-// clone is a table that shares no list with this one.
+// clone returns a copy of the table that shares no slice with it.
 func (t *Table) clone() *Table {
 	copied := *t
 	copied.Past, copied.Ends = slices.Clone(t.Past), slices.Clone(t.Ends)
--- a/internal/cluster/rollout/voter.go
+++ b/internal/cluster/rollout/voter.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// logTick is the length of the ticks in which package consensus counts.
+	// logTick is the interval at which this package calls consensus.Node.Tick.
 	logTick = 50 * millisecond
-	// A log that has missed ticks for longer than this doesn't make up for them.
+	// Missed ticks of the log are skipped instead of made up for if they are more than maxTickDelay late.
 	maxTickDelay = second
-	// Processes that are to vote and don't yet say hello to the voters so often. One whose hello is older than this is not heard.
+	// A process that should vote but doesn't yet sends a hello to the voters at this interval. It counts as reachable for helloLifetime.
 	helloInterval = second / 5
 	helloLifetime = 10 * helloInterval
 	maxPeers      = 2 * maxWaitingProposals
 	maxLearners   = 2 * maxWaitingProposals
 )
 
-// Log is the voters' log as one voter has it; *consensus.Node is one.
+// Log is one voter's replica of the voters' log. *consensus.Node implements it.
 type Log interface {
 	Append(entry []byte) error
 	ConfirmLeadership(read uint64)
@@ -35,29 +35,29 @@
 	Err() error
 }
 
-// replicaRecord is what a folder says of its voter: the ID that it drew when it was new.
+// replicaRecord is the stored form of the replica ID, which a voter draws at random when its folder has none.
 type replicaRecord struct {
 	ReplicaID uint64 `cbor:"1,keyasint"`
 }
 
-// voter is this process as one that votes, or is to vote.
+// voter is the state of this process as a voter, or as a process that could become one.
 type voter struct {
 	table          Table
 	log            Log                  // nil: this voter has none yet
-	stored         *consensus.StoredLog // what the folder has of a log that isn't open
+	stored         *consensus.StoredLog // the folder's records of a log that isn't open yet
 	replicaID      uint64
 	replicaIDSaved bool
 	leadership     *leadership // nil: this voter doesn't lead
 
-	peers       []seenVoter // processes that are to vote, by their hellos
-	learners    []Voter     // replicas that the log named and the table doesn't have
+	peers       []seenVoter // processes that should vote, with their latest hellos
+	learners    []Voter     // names of replicas that were added to the log and may not be in the table's voters yet
 	nextTickAt  Time
 	nextHelloAt Time
-	lastNotice  string // what was logged last about not voting
-	logLost     bool   // the folder lacks entries that others were told it has
+	lastNotice  string // the last logged reason why this process doesn't vote
+	logLost     bool   // the folder lacks entries that this voter had acknowledged
 }
 
-// seenVoter is the latest hello of a process.
+// seenVoter is the latest hello from a process, and when it arrived.
 type seenVoter struct {
 	name string
 	VoterHello
@@ -77,16 +77,16 @@
 	return v
 }
 
-// drawReplicaID draws an ID for a folder that has none. This process says hello once the ID is saved.
+// drawReplicaID draws a random replica ID and saves it. This process sends hellos only once the ID is saved.
 func (v *voter) drawReplicaID(c *Core) {
-	id := c.random.Uint64() | 1 // as consensus has no replica 0
+	id := c.random.Uint64() | 1 // package consensus doesn't allow the ID 0
 	v.replicaID, v.replicaIDSaved = id, false
 	c.saveRecords([]consensus.Record{{Key: replicaKey, Value: encode(replicaRecord{id})}}, func(err error) {
 		v.replicaIDSaved = v.replicaID == id && err == nil
 	})
 }
 
-// openLog takes up the log in the folder; with an empty one it waits for a leader's messages.
+// openLog opens the log in the folder. An empty log waits for messages of a leader.
 func (v *voter) openLog(c *Core) {
 	node, err := consensus.New(v.replicaID, v.stored, rand.New(rand.NewPCG(c.random.Uint64(), 1)), voterHost{c, v})
 	if err != nil {
@@ -98,7 +98,7 @@
 	v.stored = &consensus.StoredLog{}
 }
 
-// resetLog has this voter begin anew as another replica, with an empty log: what it had can't be relied on.
+// resetLog deletes this voter's log and draws a new replica ID, because the old log can't be relied on.
 func (v *voter) resetLog(c *Core) {
 	deletions := v.stored.DeletionRecords()
 	if node, ok := v.log.(*consensus.Node); ok {
@@ -109,7 +109,7 @@
 	v.drawReplicaID(c)
 }
 
-// isVoter tells whether this replica is among the voters, by the table that it knows.
+// isVoter reports whether this replica is among the voters in its table.
 func (v *voter) isVoter(c *Core) bool {
 	k := v.table.voterNamed(c.name)
 	return k != nil && k.ReplicaID == v.replicaID
@@ -143,7 +143,7 @@
 	}
 }
 
-// tickLog makes the log's ticks that are due.
+// tickLog runs the ticks of the log that are due.
 func (v *voter) tickLog(c *Core) {
 	for ; v.log != nil && c.now >= v.nextTickAt; v.nextTickAt += logTick {
 		v.log.Tick()
@@ -153,7 +153,7 @@
 	}
 }
 
-// announce says hello to the voters while this replica is to vote and doesn't yet.
+// announce sends a hello to the voters while this process should vote and doesn't yet.
 func (v *voter) announce(c *Core) {
 	if v.log != nil && v.isVoter(c) {
 		v.lastNotice = ""
@@ -178,7 +178,7 @@
 	return &VoterHello{ReplicaID: v.replicaID, Lease: lease, Era: v.table.Era, WithoutLog: v.log == nil, Reply: reply}
 }
 
-// otherVoters are the names of all other processes that vote or are to vote, as far as this one knows.
+// otherVoters returns the names of all other members that vote or should vote, as far as this process knows.
 func (v *voter) otherVoters(c *Core) (names []string) {
 	for _, name := range slices.Concat(c.follower.voters, c.follower.wantedVoters, c.config.Voters) {
 		if name != c.name && !slices.Contains(names, name) {
@@ -188,7 +188,7 @@
 	return names
 }
 
-// handleHello takes in what another process says that is to vote.
+// handleHello stores a hello from another process that should vote, or its reply to a hello.
 func (v *voter) handleHello(c *Core, m *Message) {
 	hello := *m.VoterHello
 	i := slices.IndexFunc(v.peers, func(s seenVoter) bool { return s.name == m.from })
@@ -211,7 +211,7 @@
 	}
 }
 
-// heardPeer is the process of a name that said hello lately; nil: there is none.
+// heardPeer returns the process with the given name if a hello from it arrived within helloLifetime, otherwise nil.
 func (v *voter) heardPeer(c *Core, name string) *seenVoter {
 	i := slices.IndexFunc(v.peers, func(s seenVoter) bool { return s.name == name && c.now-s.heardAt < helloLifetime })
 	if i < 0 {
@@ -220,7 +220,7 @@
 	return &v.peers[i]
 }
 
-// checkSuperseded resets the log if a log of a later era was forced elsewhere, and tells whether it did.
+// checkSuperseded resets the log if an operator has forced a log of a later era at another voter. It reports whether it did.
 func (v *voter) checkSuperseded(c *Core, era uint64, by string) bool {
 	if v.log == nil || len(v.table.Voters) == 0 || era <= v.table.Era {
 		return false
@@ -230,7 +230,7 @@
 	return true
 }
 
-// deleteUnusedPolicies has the folder lose the texts that neither this gateway needs nor a rollback can need.
+// deleteUnusedPolicies deletes the texts from the folder that neither this gateway, the open proposal nor a rollback may need.
 func (v *voter) deleteUnusedPolicies(c *Core) {
 	if !c.config.Persistent {
 		return
@@ -245,7 +245,7 @@
 	c.policies.deleteExcept(c, keep)
 }
 
-// handleLogMessage takes in a message of the voters' log.
+// handleLogMessage passes a message of the voters' log to this voter's replica.
 func (v *voter) handleLogMessage(c *Core, b []byte) {
 	if v.log == nil {
 		return
@@ -255,7 +255,7 @@
 	}
 }
 
-// leaderName is the voter that this one follows; empty: none.
+// leaderName returns the name of the leader that this voter knows, or an empty string.
 func (v *voter) leaderName() string {
 	if v.log == nil || v.log.Err() != nil {
 		return ""
@@ -263,7 +263,7 @@
 	return v.nameOf(v.log.LeaderID())
 }
 
-// nameOf is the name of a replica; empty: it isn't known.
+// nameOf returns the name of the voter with a replica ID, or an empty string if the ID is unknown.
 func (v *voter) nameOf(replicaID uint64) string {
 	for _, k := range slices.Concat(v.table.Voters, v.learners) {
 		if k.ReplicaID == replicaID {
--- a/internal/cluster/rollout/voter_log.go
+++ b/internal/cluster/rollout/voter_log.go
@@ -9,7 +9,7 @@
 	"magpiebank/internal/cluster/consensus"
 )
 
-// voterHost is what the voters' log acts on; it implements consensus.Host.
+// voterHost implements consensus.Host for the voters' log.
 type voterHost struct {
 	c *Core
 	v *voter
@@ -24,7 +24,7 @@
 func (h voterHost) SaveRecords(records []consensus.Record, done func(error)) {
 	log := h.v.log
 	h.c.host.SaveRecords(records, func(err error) {
-		if h.v.log == log || log == nil { // this voter has begun another log since
+		if h.v.log == log || log == nil { // otherwise this voter has started another log meanwhile
 			done(err)
 		}
 	})
@@ -47,7 +47,8 @@
 	}
 }
 
-// nameVoters finds the names of replicas, by what the log itself has, so that all voters come to the same list.
+// nameVoters returns the voters with the given replica IDs, sorted by name. The names come from known, which contains only what the log
+// itself provides, so that all voters get the same list.
 func nameVoters(replicaIDs []uint64, known []Voter) (list []Voter) {
 	for _, id := range replicaIDs {
 		if i := slices.IndexFunc(known, func(k Voter) bool { return k.ReplicaID == id }); i >= 0 {
--- a/internal/cluster/rollout/voter_membership.go
+++ b/internal/cluster/rollout/voter_membership.go
@@ -3,15 +3,15 @@
 import "slices"
 
 const (
-	// The leader changes the voters at most this often.
+	// maintainVotersInterval is the shortest time between two changes of the voters by the leader.
 	maintainVotersInterval = second / 2
-	// A voter that lost its folder comes back under a new replica ID. It takes the place of the old one after that was not heard for so
-	// long: a second process under a living voter's name must not.
+	// A voter that lost its folder returns with a new replica ID. The new replica may replace the old one once the old one has been inactive
+	// for voterGoneAfter. Without this wait, a second process with the name of a running voter could replace that voter.
 	voterGoneAfter = 10 * second
 )
 
-// maintainVoters changes the voters to those that are wanted, one at a time: a new one learns the log first, then it takes the place of
-// one that leaves.
+// maintainVoters replaces the voters by the wanted ones, one at a time. A new voter first receives the log as a learner, and then replaces
+// a voter that is not wanted.
 func (v *voter) maintainVoters(c *Core) {
 	leader := v.leadership
 	if c.now < leader.maintainVotersAt {
@@ -26,8 +26,8 @@
 	v.removeSurplusVoter()
 }
 
-// addVoter takes the next step towards a wanted voter, if there is one to take, and tells whether it did. Only a process that isn't among
-// the voters says hello.
+// addVoter takes the next step to make a wanted member a voter: it adds the member as a learner, or promotes a learner that has caught up.
+// It reports whether it took a step. A member that already votes sends no hellos, so heardPeer doesn't find it.
 func (v *voter) addVoter(c *Core, name string) bool {
 	peer, old := v.heardPeer(c, name), v.table.voterNamed(name)
 	if peer == nil || old != nil && (old.ReplicaID == peer.ReplicaID || !v.isGone(c, old.ReplicaID)) {
@@ -52,8 +52,8 @@
 	return true
 }
 
-// removeSurplusVoter removes a voter that is not wanted, once all that are wanted vote. A leader that is not wanted first has another one
-// lead, so that the others go on without a pause.
+// removeSurplusVoter removes a voter that is not wanted, once all wanted members vote. A leader that is not wanted first transfers its
+// leadership to a wanted voter, so that the others continue without a pause.
 func (v *voter) removeSurplusVoter() {
 	var next *Voter
 	for _, name := range v.table.WantedVoters {
@@ -75,12 +75,13 @@
 	}
 }
 
-// changeVoters proposes other voters. A proposal that the log doesn't take, or loses, is made again at the next turn.
+// changeVoters proposes a change of the voters to the log. It ignores an error, because the next run of maintainVoters repeats a change that
+// was rejected or lost.
 func (v *voter) changeVoters(context []byte, learn, promote, remove []uint64) {
 	_ = v.log.ChangeVoters(context, learn, promote, remove)
 }
 
-// isGone tells whether a voter was not heard for long enough that another may take its place.
+// isGone reports whether a voter has been inactive for so long that another replica may replace it. It keeps track of one such voter.
 func (v *voter) isGone(c *Core, replicaID uint64) bool {
 	leader := v.leadership
 	if v.log.IsActive(replicaID) {
@@ -94,7 +95,7 @@
 	return c.now-leader.missing.since >= voterGoneAfter
 }
 
-// surplusVoter is a voter that is not wanted; nil: there is none. The leader itself comes last.
+// surplusVoter returns a voter that is not wanted, or nil if there is none. It returns the leader only if no other voter is unwanted.
 func (v *voter) surplusVoter() (surplus *Voter) {
 	for i := range v.table.Voters {
 		k := &v.table.Voters[i]
@@ -108,7 +109,7 @@
 	return surplus
 }
 
-// replaceVoters has other members vote from then on.
+// replaceVoters appends an entry that sets the members that should vote, unless they are the same.
 func (v *voter) replaceVoters(c *Core, names []string) {
 	names = slices.Clone(names)
 	slices.Sort(names)
