--- a/internal/cluster/counters/core.go
+++ b/internal/cluster/counters/core.go
@@ -75,7 +75,7 @@
 // Options are what a process begins with.
 type Options struct {
 	Name           string
-	Processes      int   // that the fleet may have
+	MaxProcesses   int   // that the fleet may have
 	MaxInFlight    int64 // requests that one process has in flight at most; 0: not bounded
 	LongestRequest Time  // how long a request is in flight at most
 	Host           Host
--- a/internal/cluster/counters/core_test.go
+++ b/internal/cluster/counters/core_test.go
@@ -240,5 +240,5 @@
 
 // newTestCore begins process n of a fleet of so many, whose processes have up to 100 requests in flight for up to four seconds.
 func newTestCore(now Time, n, processes int, host Host) *Core {
-	return New(now, Options{Name: fmt.Sprint("g", n), Processes: processes, MaxInFlight: 100, LongestRequest: 4 * second, Host: host})
+	return New(now, Options{Name: fmt.Sprint("g", n), MaxProcesses: processes, MaxInFlight: 100, LongestRequest: 4 * second, Host: host})
 }
--- a/internal/cluster/healthreport/finding.go
+++ b/internal/cluster/healthreport/finding.go
@@ -31,7 +31,7 @@
 // since, and it counts once for each gateway that observed any.
 func (b *Table) findingOf(now Time, index int) Finding {
 	e := &b.engines[index]
-	out := Finding{Engine: e.Engine, Since: e.Since, Report: admission.NoReport, ReportAt: never}
+	out := Finding{Engine: e.Engine, EngineStartedAt: e.StartedAt, Report: admission.NoReport, ReportAt: never}
 	answeredAt, failedAt := e.own.answeredAt, never
 	for k := range b.peers {
 		o := &b.peers[k].observations[index]
--- a/internal/cluster/healthreport/receive.go
+++ b/internal/cluster/healthreport/receive.go
@@ -73,7 +73,7 @@
 		return false
 	}
 	e := &b.engines[i]
-	if since := wireStart(e.Since); since != received.start {
+	if since := wireStart(e.StartedAt); since != received.start {
 		if received.start-since&startMask < startMask/2 { // by the peer's list it has restarted, so what was reported of it is over
 			b.forgetObservations(i)
 		}
--- a/internal/cluster/healthreport/send.go
+++ b/internal/cluster/healthreport/send.go
@@ -128,7 +128,7 @@
 
 // writeEntry reports whether the message and the budget had room for an engine's entry.
 func (b *Table) writeEntry(now Time, w *writer, e *engine) bool {
-	if float64(b.peerCount*(len(w.b)+entryBytes)) > b.byteBudget || !w.add(now, e.hash, e.Since, b.observationsToSend(e)) {
+	if float64(b.peerCount*(len(w.b)+entryBytes)) > b.byteBudget || !w.add(now, e.hash, e.StartedAt, b.observationsToSend(e)) {
 		return false
 	}
 	e.sent, e.waitingSince, e.contradicts, e.repeat = e.own, never, false, false
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -74,7 +74,7 @@
 // handleLeaseRequest leases out units of the own shares that are free, or gives more time on a lease, unless own requests
 // lack it. Each request is answered once.
 func (c *Core) handleLeaseRequest(quota int, m Message) {
-	if m.Units <= 0 || m.PlanNumber != c.plan.Number {
+	if m.Units <= 0 || m.PlanRevision != c.plan.Revision {
 		return
 	}
 	index := slices.IndexFunc(c.granted.leases, func(l lease) bool { return l.matches(quota, &m) })
@@ -177,7 +177,7 @@
 	if c.plan.Mutation != CountGrantTwice {
 		c.taken.requests = slices.Delete(c.taken.requests, index, index+1)
 	}
-	if m.PlanNumber != c.plan.Number { // it is of another total
+	if m.PlanRevision != c.plan.Revision { // it is of another total
 		c.send(m.Sender, Message{Kind: KindLeaseReturn, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, LeaseID: m.LeaseID})
 		return
 	}
--- a/internal/cluster/quota/mutation.go
+++ b/internal/cluster/quota/mutation.go
@@ -17,7 +17,7 @@
 	UseRecalledUnits                     // the lender uses what it has recalled before it is returned
 	SucceedWithoutWaiting                // a successor uses its share while its predecessor's leases are still out
 	SucceedAnyHolder                     // a voter passes a share to the successor of another process than its holder
-	CountUnacquaintedVoters              // confirmations count together though neither voter knows the other
+	CountMutuallyUnknownVoters           // confirmations count together though neither voter knows the other
 	JoinWithUnequalIncarnations          // a voter opens although the others know other incarnations than it does
 	GrantNoLease                         // no fault, but the baseline of measurements: shares stay as they are
 )
--- a/internal/cluster/quota/plan.go
+++ b/internal/cluster/quota/plan.go
@@ -21,7 +21,7 @@
 	LeaseTerm    Time     // how long a lease lasts; several times LongestUse
 	LongestUse   Time     // how long a use lasts at most
 	DriftDivisor Time     // clocks run at most one part in this many fast or slow
-	Number       uint64   // raised with every change of the totals
+	Revision     uint64   // raised with every change of the totals
 	QuotaIDs     []uint32 // by quota index; HashName makes an ID of a name
 	Totals       []int64  // units by quota index
 
--- a/internal/cluster/quota/share.go
+++ b/internal/cluster/quota/share.go
@@ -38,10 +38,10 @@
 	return v.knownIncarnations[w.voter] == w.incarnation || w.knownIncarnations[v.voter] == v.incarnation || unacquainted
 }
 
-// SucceedIncarnations takes in that processes under this name have surely ended, by their incarnations. Their share passes
+// SetPredecessors takes in that processes under this name have surely ended, by their incarnations. Their share passes
 // to this process without their term having to end. What the last of them leased out, and what its requests use, is waited
 // for: it has ended when a lease has. It is called right after New.
-func (c *Core) SucceedIncarnations(ended []uint64) {
+func (c *Core) SetPredecessors(ended []uint64) {
 	c.predecessors = ended
 	c.claims[0].usableFrom = c.now + c.plan.withDrift(c.plan.LeaseTerm)
 	if c.plan.Mutation == SucceedWithoutWaiting {
@@ -100,7 +100,7 @@
 	if len(claim.confirmations) < maxConfirmations && !counted {
 		claim.confirmations = append(claim.confirmations, confirmation{voter, m.SenderIncarnation, m.VoterIncarnations, m.KnownIncarnations})
 	}
-	if 2*largestSet(claim.confirmations, nil, c.plan.Mutation == CountUnacquaintedVoters) > voters {
+	if 2*largestSet(claim.confirmations, nil, c.plan.Mutation == CountMutuallyUnknownVoters) > voters {
 		begin := claim.claimedAt
 		if c.plan.Mutation == CountTermFromArrival {
 			begin = c.now
--- a/internal/cluster/quota/voter.go
+++ b/internal/cluster/quota/voter.go
@@ -120,7 +120,7 @@
 
 // handleShareClaim confirms a share to one holder at a time, until its term has surely ended by that holder's clock.
 func (c *Core) handleShareClaim(m Message) {
-	if c.voter.index < 0 || c.now < c.voter.openAt || m.Share < 0 || m.Share >= len(c.voter.holders) || m.PlanNumber < c.highestNumber {
+	if c.voter.index < 0 || c.now < c.voter.openAt || m.Share < 0 || m.Share >= len(c.voter.holders) || m.PlanRevision < c.highestNumber {
 		return
 	}
 	holder := &c.voter.holders[m.Share]
--- a/internal/cluster/rollout/config.go
+++ b/internal/cluster/rollout/config.go
@@ -60,7 +60,7 @@
 }
 
 // Parameters are the settings in a policy's text that control its own rollout.
-type Terms struct {
+type Parameters struct {
 	// Overlap is how long a gateway without a lease may admit requests that both the old and the new policy allow; 0 allows none.
 	Overlap Time
 	// RehearsalLength is how long all gateways evaluate the policy on live requests before it is decided.
--- a/internal/cluster/rollout/host.go
+++ b/internal/cluster/rollout/host.go
@@ -10,7 +10,7 @@
 	Peers() []string
 	// CheckPolicy parses a policy's text and calls done with its parameters, or with the reason why this gateway can't follow the policy.
 	// It calls done only after CheckPolicy has returned.
-	CheckPolicy(d Digest, text []byte, done func(Terms, error))
+	CheckPolicy(d Digest, text []byte, done func(Parameters, error))
 	// SaveRecords writes records in the given order. It calls done once all of them survive a crash, or with an error, but only after
 	// SaveRecords has returned.
 	SaveRecords(records []consensus.Record, done func(error))
@@ -45,7 +45,7 @@
 	KnownDigests []Digest
 	// KnowsDecidedPolicy is set once the gateway has learned the decided policy from the leader since it started, or has read the text of
 	// the policy that it applied last from its folder.
-	Informed bool
+	KnowsDecidedPolicy bool
 
 	RehearsalDigest Digest // the policy being rehearsed, that is evaluated on live requests; zero: none
 	RehearsalID     uint64 // the ID of the proposal being rehearsed
--- a/internal/cluster/rollout/policy_store.go
+++ b/internal/cluster/rollout/policy_store.go
@@ -43,7 +43,7 @@
 	size   int
 	body   []byte
 	state  textState
-	terms  Terms
+	terms  Parameters
 	reason string // why the text is unusable
 	usedAt Time
 
@@ -94,7 +94,7 @@
 // check has the host check a text, and saves the text if this gateway can follow the policy and the folder doesn't have the text.
 func (s *policyStore) check(c *Core, t *policyText, stored bool) {
 	t.state = textChecking
-	c.host.CheckPolicy(t.digest, t.body, func(terms Terms, err error) {
+	c.host.CheckPolicy(t.digest, t.body, func(terms Parameters, err error) {
 		if err != nil {
 			t.refuse(err.Error())
 			c.policyChecked(t)
