--- a/internal/cluster/consensus/format_test.go
+++ b/internal/cluster/consensus/format_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestLogOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
-	form := golden.Read(t, "log.form")
+	file := golden.Read(t, "log.form")
 	var found StoredLog
-	for _, r := range decodeRecords(t, form) {
+	for _, r := range decodeRecords(t, file) {
 		if !found.AddRecord(r.Key, r.Value, false) {
 			t.Errorf("record %q: expected a key of the log, found another", r.Key)
 		}
@@ -20,22 +20,22 @@
 	if found.err != nil {
 		t.Fatal(found.err)
 	}
-	values := []any{found.hard, found.snapshot, found.entries, found.generation}
+	values := []any{found.hardState, found.snapshot, found.entries, found.generation}
 	for i := range found.entries {
 		values = append(values, found.generations[found.entries[i].Index])
 	}
 	golden.CheckValues(t, "log", values)
-	again := []Record{hardStateRecord(found.hard), encodeRecord(recordKey(kindSnapshot, 0), found.generation, &found.snapshot)}
+	encoded := []Record{hardStateRecord(found.hardState), encodeRecord(recordKey(kindSnapshot, 0), found.generation, &found.snapshot)}
 	for i := range found.entries {
 		e := &found.entries[i]
-		again = append(again, encodeRecord(entryKey(e.Index), found.generations[e.Index], e))
+		encoded = append(encoded, encodeRecord(entryKey(e.Index), found.generations[e.Index], e))
 	}
-	checkRecords(t, again, form)
+	checkRecords(t, encoded, file)
 }
 
 // A follower in a cluster of three receives an append with two entries that a leader of an earlier version encoded. It must save the same
 // records as the earlier version did.
-func TestEntriesFromEarlierVersionAreTakenAndSavedAlike(t *testing.T) {
+func TestEntriesFromEarlierVersionAreAcceptedAndSavedAlike(t *testing.T) {
 	follower := newCluster(t, 1, 3).voters[1]
 	message := golden.Read(t, "append.form")
 	var decoded pb.Message
@@ -52,10 +52,10 @@
 
 // saveAll completes all saves of the voter, including those that a completed save starts.
 func saveAll(v *voter) {
-	for len(v.done) > 0 {
-		done := v.done
+	for len(v.saveCallbacks) > 0 {
+		done := v.saveCallbacks
 		v.disk = append(v.disk, v.unsynced...)
-		v.unsynced, v.done = nil, nil
+		v.unsynced, v.saveCallbacks = nil, nil
 		for _, d := range done {
 			d(nil)
 		}
--- a/internal/cluster/consensus/messages.go
+++ b/internal/cluster/consensus/messages.go
@@ -26,9 +26,9 @@
 			n.host.LogLost()
 			return nil
 		}
-		n.leaderHeard(m.Term)
+		n.leaderMessageReceived(m.Term)
 	case pb.MsgApp, pb.MsgSnap:
-		n.leaderHeard(m.Term)
+		n.leaderMessageReceived(m.Term)
 	case pb.MsgProp, pb.MsgReadIndex, pb.MsgTransferLeader:
 		return nil // voters never send these to each other
 	}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func (n *Node) leaderHeard(term uint64) {
+func (n *Node) leaderMessageReceived(term uint64) {
 	if term >= n.term {
 		n.resetElectionTimer()
 	}
@@ -104,8 +104,8 @@
 }
 
 // send sends raft's messages to the other voters.
-func (n *Node) send(list []pb.Message) {
-	for _, m := range list {
+func (n *Node) send(messages []pb.Message) {
+	for _, m := range messages {
 		b, err := m.Marshal()
 		if err != nil {
 			continue // treated like a message that is lost on the way
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -88,7 +88,7 @@
 
 // electionTimer counts the ticks since a follower last received a leader's message. It campaigns after campaignAfter ticks.
 type electionTimer struct {
-	quietTicks    int
+	silentTicks   int
 	campaignAfter int
 }
 
@@ -146,8 +146,8 @@
 	if err := n.storage.ApplySnapshot(s); err != nil {
 		return fmt.Errorf("consensus: first snapshot: %w", err)
 	}
-	hard := pb.HardState{Term: 1, Commit: 1}
-	if err := n.storage.SetHardState(hard); err != nil {
+	hardState := pb.HardState{Term: 1, Commit: 1}
+	if err := n.storage.SetHardState(hardState); err != nil {
 		return fmt.Errorf("consensus: first hard state: %w", err)
 	}
 	n.appliedIndex, n.snapshotIndex = 1, 1
@@ -155,7 +155,7 @@
 		return err
 	}
 	n.installSnapshot(&s)
-	n.saveRecords([]Record{n.snapshotRecord(&s), hardStateRecord(hard)}, func() {})
+	n.saveRecords([]Record{n.snapshotRecord(&s), hardStateRecord(hardState)}, func() {})
 	return nil
 }
 
@@ -170,8 +170,8 @@
 		return
 	}
 	n.raft.TickQuiesced() // advances raft's own timer, in which raft protects the current leader; n.timer decides when to campaign
-	n.timer.quietTicks++
-	if n.timer.quietTicks >= n.timer.campaignAfter {
+	n.timer.silentTicks++
+	if n.timer.silentTicks >= n.timer.campaignAfter {
 		n.resetElectionTimer()
 		_ = n.raft.Campaign() // an error means that the node may not campaign, as if its campaign had been lost
 	}
--- a/internal/cluster/consensus/node_test.go
+++ b/internal/cluster/consensus/node_test.go
@@ -17,7 +17,7 @@
 	inFlight       []envelope
 	voters         []*voter
 	loss           float64
-	isCut          func(from, to uint64) bool
+	isBlocked      func(from, to uint64) bool
 	decided        [][]byte // decided entries by index, as reported first by any voter
 	lastValue      uint64   // the value of the last entry that a voter tried to append
 	decidedAtRead  map[uint64]uint64
@@ -32,17 +32,17 @@
 }
 
 type voter struct {
-	cluster      *cluster
-	id           uint64
-	node         *Node
-	running      bool
-	disk         []Record // records that survive a crash
-	unsynced     []Record // records being saved, which a crash may lose
-	done         []func(error)
-	syncInterval int // ticks between two syncs
-	applied      []byte
-	appliedIndex uint64
-	logLost      bool
+	cluster       *cluster
+	id            uint64
+	node          *Node
+	running       bool
+	disk          []Record // records that survive a crash
+	unsynced      []Record // records being saved, which a crash may lose
+	saveCallbacks []func(error)
+	syncInterval  int // ticks between two syncs
+	applied       []byte
+	appliedIndex  uint64
+	logLost       bool
 }
 
 func newCluster(t *testing.T, seed uint64, n int) *cluster {
@@ -65,18 +65,18 @@
 }
 
 func (v *voter) start() {
-	var f StoredLog
+	var stored StoredLog
 	last := map[[16]byte]int{}
 	for i, r := range v.disk {
 		last[r.Key] = i
 	}
 	for i, r := range v.disk {
 		if last[r.Key] == i || r.Value == nil {
-			f.AddRecord(r.Key, r.Value, r.Value == nil)
+			stored.AddRecord(r.Key, r.Value, r.Value == nil)
 		}
 	}
 	v.running, v.applied, v.appliedIndex = true, nil, 0
-	node, err := New(v.id, &f, rand.New(rand.NewPCG(v.cluster.random.Uint64(), 2)), v)
+	node, err := New(v.id, &stored, rand.New(rand.NewPCG(v.cluster.random.Uint64(), 2)), v)
 	if err != nil {
 		v.cluster.t.Fatalf("voter %d: %v", v.id, err)
 	}
@@ -86,13 +86,13 @@
 func (v *voter) kill() {
 	v.running = false
 	v.disk = append(v.disk, v.unsynced[:v.cluster.random.IntN(len(v.unsynced)+1)]...)
-	v.unsynced, v.done = nil, nil
+	v.unsynced, v.saveCallbacks = nil, nil
 }
 
 func (v *voter) Send(to uint64, m []byte) {
 	c := v.cluster
 	for range 1 + c.random.IntN(20)/19 {
-		if c.random.Float64() >= c.loss && (c.isCut == nil || !c.isCut(v.id, to)) {
+		if c.random.Float64() >= c.loss && (c.isBlocked == nil || !c.isBlocked(v.id, to)) {
 			c.inFlight = append(c.inFlight, envelope{c.now + c.random.IntN(3), v.id, to, m})
 		}
 	}
@@ -100,7 +100,7 @@
 
 func (v *voter) SaveRecords(records []Record, done func(error)) {
 	v.unsynced = append(v.unsynced, records...)
-	v.done = append(v.done, done)
+	v.saveCallbacks = append(v.saveCallbacks, done)
 }
 
 // EntryApplied checks that all voters report the same entry at each index.
@@ -132,8 +132,8 @@
 	v.cluster.confirmedReads++
 }
 
-// pass runs the simulation for some ticks and calls each after every tick.
-func (c *cluster) pass(ticks int, each func()) {
+// run advances the simulation by some ticks and calls afterTick after each of them.
+func (c *cluster) run(ticks int, afterTick func()) {
 	c.t.Helper()
 	for range ticks {
 		c.now++
@@ -143,21 +143,21 @@
 				v.tick()
 			}
 		}
-		each()
+		afterTick()
 	}
 }
 
 // deliver delivers the messages that are due. Messages to voters that are not running are lost.
 func (c *cluster) deliver() {
 	c.t.Helper()
-	mail := c.inFlight
+	envelopes := c.inFlight
 	c.inFlight = nil
-	for _, l := range mail {
-		v := c.voters[l.to-1]
-		if l.deliverAt > c.now {
-			c.inFlight = append(c.inFlight, l)
+	for _, e := range envelopes {
+		v := c.voters[e.to-1]
+		if e.deliverAt > c.now {
+			c.inFlight = append(c.inFlight, e)
 		} else if v.running {
-			if err := v.node.HandleMessage(l.message); err != nil {
+			if err := v.node.HandleMessage(e.message); err != nil {
 				c.t.Fatal(err)
 			}
 		}
@@ -168,8 +168,8 @@
 func (v *voter) tick() {
 	c := v.cluster
 	if c.now%v.syncInterval == 0 {
-		done := v.done
-		v.disk, v.unsynced, v.done = append(v.disk, v.unsynced...), nil, nil
+		done := v.saveCallbacks
+		v.disk, v.unsynced, v.saveCallbacks = append(v.disk, v.unsynced...), nil, nil
 		for _, d := range done {
 			d(nil)
 		}
@@ -186,17 +186,17 @@
 	}
 }
 
-// disturb runs a period in which messages are lost, at most one voter is isolated, disks are slow, and voters are killed and restarted.
-func (c *cluster) disturb() {
+// injectFaults runs a period in which messages are lost, at most one voter is isolated, disks are slow, and voters are killed and restarted.
+func (c *cluster) injectFaults() {
 	c.t.Helper()
 	c.loss = 0.3 * c.random.Float64()
-	lonely := uint64(c.random.IntN(len(c.voters) + 1))
-	oneWay := c.random.IntN(2) == 0
-	c.isCut = func(from, to uint64) bool { return from == lonely || !oneWay && to == lonely }
+	isolated := uint64(c.random.IntN(len(c.voters) + 1))
+	outgoingOnly := c.random.IntN(2) == 0
+	c.isBlocked = func(from, to uint64) bool { return from == isolated || !outgoingOnly && to == isolated }
 	for _, v := range c.voters {
 		v.syncInterval = 1 + c.random.IntN(2)*c.random.IntN(8)
 	}
-	c.pass(60, func() {
+	c.run(60, func() {
 		for _, v := range c.voters {
 			if v.running && c.random.IntN(300) == 0 {
 				v.kill()
@@ -209,7 +209,7 @@
 
 // heal ends all disturbances and starts all voters.
 func (c *cluster) heal() {
-	c.isCut, c.loss = nil, 0
+	c.isBlocked, c.loss = nil, 0
 	for _, v := range c.voters {
 		v.syncInterval = 1
 		if !v.running {
@@ -223,17 +223,17 @@
 func TestAllVotersApplyOneLog(t *testing.T) {
 	for seed := range uint64(30) {
 		c := newCluster(t, seed, 3+2*int(seed%2))
-		c.pass(100, func() {})
+		c.run(100, func() {})
 		for range 12 {
-			c.disturb()
+			c.injectFaults()
 		}
 		if len(c.decided) < 60 || c.confirmedReads < 40 {
 			t.Errorf("seed %d: expected at least 60 decisions and 40 confirmed reads, found %d and %d", seed, len(c.decided), c.confirmedReads)
 		}
 		c.heal()
-		c.pass(200, func() {})
+		c.run(200, func() {})
 		before := len(c.decided)
-		c.pass(60, func() {})
+		c.run(60, func() {})
 		if len(c.decided) == before {
 			t.Errorf("seed %d: no entry was decided although no messages were lost", seed)
 		}
@@ -249,38 +249,38 @@
 // it by a new voter.
 func TestLostLogIsReplaced(t *testing.T) {
 	c := newCluster(t, 7, 3)
-	c.pass(100, func() {})
+	c.run(100, func() {})
 	follower := slices.IndexFunc(c.voters, func(v *voter) bool { return !v.node.IsLeader() })
-	lost := c.voters[follower]
-	olderDisk := slices.Clone(lost.disk)
-	c.pass(100, func() {})
-	lost.kill()
-	lost.disk = olderDisk
-	lost.start()
-	c.pass(60, func() {})
-	if !lost.logLost {
+	outdated := c.voters[follower]
+	olderDisk := slices.Clone(outdated.disk)
+	c.run(100, func() {})
+	outdated.kill()
+	outdated.disk = olderDisk
+	outdated.start()
+	c.run(60, func() {})
+	if !outdated.logLost {
 		t.Error("the voter did not detect that its disk is an older copy")
 	}
-	lost.running = false
+	outdated.running = false
 	c.voters = append(c.voters, &voter{cluster: c, id: 4, syncInterval: 1})
 	c.voters[3].start()
 	learned := false
-	c.pass(200, func() {
+	c.run(200, func() {
 		for _, v := range c.voters {
 			switch {
 			case !v.running || !v.node.IsLeader():
 			case !learned:
 				learned = v.node.ChangeVoters(nil, []uint64{4}, nil, nil) == nil
 			case v.node.IsCaughtUp(4) && c.now%10 == 0:
-				_ = v.node.ChangeVoters([]byte("four for one"), nil, []uint64{4}, []uint64{lost.id}) // proposed again until it is decided
+				_ = v.node.ChangeVoters([]byte("four for one"), nil, []uint64{4}, []uint64{outdated.id}) // proposed again until it is decided
 			}
 		}
 	})
 	voters, learners := c.voters[3].node.Voters()
 	c.voters[(follower+1)%3].kill() // the other two of the three current voters can still decide
 	before := len(c.decided)
-	c.pass(200, func() {})
-	if len(voters) != 3 || slices.Contains(voters, lost.id) || !slices.Contains(voters, 4) || len(learners) > 0 || len(c.decided) == before {
+	c.run(200, func() {})
+	if len(voters) != 3 || slices.Contains(voters, outdated.id) || !slices.Contains(voters, 4) || len(learners) > 0 || len(c.decided) == before {
 		t.Errorf("expected voter 4 in place of the lost one, and further decisions; found voters %v, learners %v, decisions %d before and %d after", voters, learners, before, len(c.decided))
 	}
 }
@@ -290,7 +290,7 @@
 	if err := c.voters[0].node.HandleMessage([]byte{0xff, 1, 2}); !errors.Is(err, ErrMalformedMessage) {
 		t.Errorf("expected ErrMalformedMessage, found %v", err)
 	}
-	c.pass(50, func() {})
+	c.run(50, func() {})
 	if len(c.decided) == 0 {
 		t.Error("expected a sole voter to decide entries, found none")
 	}
@@ -298,7 +298,7 @@
 
 func TestRefusalsAreTypedErrors(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	c.pass(100, func() {})
+	c.run(100, func() {})
 	leader := c.voters[slices.IndexFunc(c.voters, func(v *voter) bool { return v.node.IsLeader() })].node
 	follower := c.voters[slices.IndexFunc(c.voters, func(v *voter) bool { return !v.node.IsLeader() })].node
 	for _, refusal := range []struct {
--- a/internal/cluster/consensus/ready.go
+++ b/internal/cluster/consensus/ready.go
@@ -39,12 +39,13 @@
 }
 
 func (n *Node) changesTerm(ready *raft.Ready) bool {
-	hard, _, _ := n.storage.InitialState() // MemoryStorage never fails here
-	return !raft.IsEmptyHardState(ready.HardState) && hard.Term != ready.Term
+	stored, _, _ := n.storage.InitialState() // MemoryStorage never fails here
+	return !raft.IsEmptyHardState(ready.HardState) && stored.Term != ready.Term
 }
 
-// saveRecords saves records, and calls then once they survive a crash. Meanwhile processReady does nothing. If saving fails, the node stops.
-func (n *Node) saveRecords(records []Record, then func()) {
+// saveRecords saves records, and calls onSaved once they survive a crash. Until then processReady does nothing. If saving fails, the node
+// stops.
+func (n *Node) saveRecords(records []Record, onSaved func()) {
 	n.saving = true
 	n.host.SaveRecords(records, func(err error) {
 		n.saving = false
@@ -52,8 +53,8 @@
 			n.fail(err)
 			return
 		}
-		n.processing = true // in then, the host may call Append or ConfirmLeadership, which call processReady
-		then()
+		n.processing = true // during onSaved, the host may call Append or ConfirmLeadership, which call processReady
+		onSaved()
 		n.processing = false
 		n.processReady()
 	})
@@ -122,7 +123,7 @@
 
 // finishReady handles the rest of a Ready once its records survive a crash.
 func (n *Node) finishReady(ready raft.Ready) {
-	if err := n.store(&ready); err != nil {
+	if err := n.updateStorage(&ready); err != nil {
 		n.fail(err)
 		return
 	}
@@ -143,8 +144,8 @@
 	}
 }
 
-// store updates raft's storage in memory with what the folder now contains.
-func (n *Node) store(ready *raft.Ready) error {
+// updateStorage updates raft's storage in memory with what the folder now contains.
+func (n *Node) updateStorage(ready *raft.Ready) error {
 	if !raft.IsEmptyHardState(ready.HardState) {
 		if err := n.storage.SetHardState(ready.HardState); err != nil {
 			return err
--- a/internal/cluster/consensus/records.go
+++ b/internal/cluster/consensus/records.go
@@ -57,7 +57,7 @@
 
 // StoredLog is a log as read from the records in a folder.
 type StoredLog struct {
-	hard        pb.HardState
+	hardState   pb.HardState
 	snapshot    pb.Snapshot
 	entries     []pb.Entry
 	generations map[uint64]uint32 // the generation of each entry, by index
@@ -92,8 +92,8 @@
 	generation, encoded := binary.BigEndian.Uint32(value[1:]), value[headerBytes:]
 	switch kind {
 	case kindHardState:
-		l.hard.Reset()
-		return l.hard.Unmarshal(encoded)
+		l.hardState.Reset()
+		return l.hardState.Unmarshal(encoded)
 	case kindSnapshot:
 		l.snapshot.Reset()
 		l.generation = generation
@@ -115,7 +115,7 @@
 
 // IsEmpty reports whether the folder contains no part of a log.
 func (l *StoredLog) IsEmpty() bool {
-	return len(l.entries) == 0 && raft.IsEmptySnap(l.snapshot) && raft.IsEmptyHardState(l.hard)
+	return len(l.entries) == 0 && raft.IsEmptySnap(l.snapshot) && raft.IsEmptyHardState(l.hardState)
 }
 
 // DeletionRecords returns the records that delete this log from the folder.
@@ -142,24 +142,24 @@
 	}
 	slices.SortFunc(l.entries, func(a, b pb.Entry) int { return cmp.Compare(a.Index, b.Index) })
 	term := l.snapshot.Metadata.Term
-	var complete []pb.Entry
+	var contiguous []pb.Entry
 	for _, e := range l.entries {
 		if e.Index == next && e.Term >= term && l.generations[e.Index] == l.generation {
-			complete = append(complete, e)
+			contiguous = append(contiguous, e)
 			next, term = next+1, e.Term
 			continue
 		}
 		stale = append(stale, Record{Key: entryKey(e.Index)})
 	}
-	if err := to.Append(complete); err != nil {
+	if err := to.Append(contiguous); err != nil {
 		return nil, err
 	}
-	if l.hard.Commit >= next {
+	if l.hardState.Commit >= next {
 		return nil, ErrEntriesMissing
 	}
-	l.hard.Commit = max(l.hard.Commit, l.snapshot.Metadata.Index)
-	if l.hard.Term < term {
-		l.hard.Term, l.hard.Vote = term, 0
+	l.hardState.Commit = max(l.hardState.Commit, l.snapshot.Metadata.Index)
+	if l.hardState.Term < term {
+		l.hardState.Term, l.hardState.Vote = term, 0
 	}
-	return stale, to.SetHardState(l.hard)
+	return stale, to.SetHardState(l.hardState)
 }
--- a/internal/cluster/rollout/bootstrap.go
+++ b/internal/cluster/rollout/bootstrap.go
@@ -23,13 +23,13 @@
 		if name == c.name {
 			continue
 		}
-		peer := v.heardPeer(c, name)
+		peer := v.recentPeer(c, name)
 		if peer == nil {
-			v.noteWaiting(c, "voter "+name+", which sends no messages: the first start needs all voters")
+			v.logWaiting(c, "voter "+name+", which sends no messages: the first start needs all voters")
 			return
 		}
 		if !peer.WithoutLog {
-			v.noteWaiting(c, "the leader of the other voters, which already have a log")
+			v.logWaiting(c, "the leader of the other voters, which already have a log")
 			v.openLog(c)
 			return
 		}
@@ -37,9 +37,9 @@
 	}
 	for i := range v.peers {
 		peer := &v.peers[i]
-		isVoter := slices.ContainsFunc(voters, func(k Voter) bool { return k.Name == peer.name })
+		isVoter := slices.ContainsFunc(voters, func(replica Voter) bool { return replica.Name == peer.name })
 		if isVoter && peer.Lease != 0 && peer.Lease != c.config.LeaseDuration {
-			v.noteWaiting(c, "the same lease duration at all voters", "voter", peer.name, "lease", peer.Lease)
+			v.logWaiting(c, "the same lease duration at all voters", "voter", peer.name, "lease", peer.Lease)
 			return
 		}
 	}
@@ -49,13 +49,13 @@
 	v.bootstrap(c, voters, Table{LeaseDuration: c.config.LeaseDuration, WantedVoters: slices.Clone(c.config.Voters)})
 }
 
-// noteWaiting logs what this voter waits for, unless that is the last thing logged.
-func (v *voter) noteWaiting(c *Core, what string, more ...any) {
-	if v.lastNotice == what {
+// logWaiting logs what this voter waits for, unless that is the last thing logged.
+func (v *voter) logWaiting(c *Core, reason string, more ...any) {
+	if v.lastLoggedReason == reason {
 		return
 	}
-	v.lastNotice = what
-	c.host.LogEvent(VoterWaiting, append([]any{"for", what}, more...)...)
+	v.lastLoggedReason = reason
+	c.host.LogEvent(VoterWaiting, append([]any{"for", reason}, more...)...)
 }
 
 // bootstrap starts the log with its first voters and table.
@@ -69,8 +69,8 @@
 		return
 	}
 	var ids []uint64
-	for _, k := range voters {
-		ids = append(ids, k.ReplicaID)
+	for _, replica := range voters {
+		ids = append(ids, replica.ReplicaID)
 	}
 	if err := node.Bootstrap(ids, encode(table)); err != nil {
 		c.host.LogEvent(SaveFailed, "error", err.Error())
@@ -125,7 +125,7 @@
 	latest := table.Number
 	table.Era, table.Number = max(table.Era, f.decided.Era)+1, max(table.Number, f.decided.Number)+1
 	table.Proposal, table.Probation, table.LastProposal, table.WantedVoters = nil, nil, 0, slices.Clone(voters)
-	table.Past = append(table.Past, PastPolicy{table.Number, table.Digest, table.Size, KindChange, c.name, c.host.UnixSeconds(), latest})
+	table.PastPolicies = append(table.PastPolicies, PastPolicy{table.Number, table.Digest, table.Size, KindChange, c.name, c.host.UnixSeconds(), latest})
 	if table.LeaseDuration == 0 {
 		table.LeaseDuration = c.config.LeaseDuration
 	}
--- a/internal/cluster/rollout/change.go
+++ b/internal/cluster/rollout/change.go
@@ -19,7 +19,7 @@
 // advanceProposal moves the open proposal through its phases as far as is possible now.
 func (v *voter) advanceProposal(c *Core) {
 	leader, p := v.leadership, v.table.Proposal
-	if leader == nil || p == nil || leader.behind {
+	if leader == nil || p == nil || leader.votersBehind {
 		return
 	}
 	text := c.policies.find(p.Digest)
@@ -27,7 +27,7 @@
 		v.fetchProposal(c, p)
 	}
 	if leader.change.phase < deciding {
-		if reason := v.failure(c, text); reason != "" {
+		if reason := v.dropReason(c, text); reason != "" {
 			v.appendDrop(c, OutcomeDropped, reason)
 			return
 		}
@@ -38,7 +38,7 @@
 			v.endPreparing(c, p, text)
 		}
 	case rehearsing:
-		if c.now-leader.change.phaseSince >= max(p.RehearsalLength, text.terms.RehearsalLength) {
+		if c.now-leader.change.phaseSince >= max(p.RehearsalLength, text.parameters.RehearsalLength) {
 			v.endRehearsal(c, p, text)
 		}
 	case switching:
@@ -58,12 +58,12 @@
 	c.policies.fetch(c, p.Digest, p.Size, sources)
 }
 
-// failure returns why the open proposal must be dropped: a member that the leader receives requests from can't follow it, or it has
+// dropReason returns why the open proposal must be dropped: a member that the leader receives requests from can't follow it, or it has
 // been open for too long. It returns an empty string if the proposal can go on.
-func (v *voter) failure(c *Core, text *policyText) string {
+func (v *voter) dropReason(c *Core, text *policyText) string {
 	leader, p := v.leadership, v.table.Proposal
 	for i := range leader.holders {
-		if h := &leader.holders[i]; h.request.Unsupported == p.ID && v.isHeard(c, h) {
+		if h := &leader.holders[i]; h.request.Unsupported == p.ID && v.hasRecentRequest(c, h) {
 			return fmt.Sprintf("%s: %s", h.name, h.request.Reason)
 		}
 	}
@@ -73,9 +73,9 @@
 	return ""
 }
 
-// isHeard reports whether a member has sent a request within the length of a lease.
-func (v *voter) isHeard(c *Core, h *leaseHolder) bool {
-	return c.now-h.lastHeardAt < v.table.LeaseDuration
+// hasRecentRequest reports whether a member has sent a request within the length of a lease.
+func (v *voter) hasRecentRequest(c *Core, h *leaseHolder) bool {
+	return c.now-h.lastRequestAt < v.table.LeaseDuration
 }
 
 // proposalTimeout returns how long the proposal may stay open: the time to prepare it, the time for old leases and overlaps to expire, its
@@ -84,7 +84,7 @@
 	longest := c.config.leaseMargin(max(v.table.LeaseDuration, v.table.Overlap))
 	timeout := c.config.PrepareTimeout + extraProposalLeases*longest + extraProposalTime + v.table.Proposal.RehearsalLength
 	if text != nil {
-		timeout += text.terms.RehearsalLength
+		timeout += text.parameters.RehearsalLength
 	}
 	return timeout
 }
@@ -92,7 +92,7 @@
 // endPreparing starts the rehearsal if one is required and hasn't run yet, otherwise the switch.
 func (v *voter) endPreparing(c *Core, p *LoggedProposal, text *policyText) {
 	leader := v.leadership
-	if !leader.change.rehearsed && max(p.RehearsalLength, text.terms.RehearsalLength) > 0 {
+	if !leader.change.rehearsed && max(p.RehearsalLength, text.parameters.RehearsalLength) > 0 {
 		v.enterPhase(c, rehearsing)
 		v.broadcast(c)
 		return
@@ -110,12 +110,12 @@
 // endRehearsal drops the proposal if it was only a rehearsal, or if the rehearsal exceeded the bounds. Any other proposal goes on.
 func (v *voter) endRehearsal(c *Core, p *LoggedProposal, text *policyText) {
 	v.leadership.change.rehearsed = true
-	report, worse := v.rehearsalReport(p, text)
+	report, exceeded := v.rehearsalReport(p, text)
 	v.enterPhase(c, preparing)
 	switch {
 	case p.Kind == KindRehearsal:
 		v.appendDrop(c, OutcomeRehearsed, report)
-	case worse:
+	case exceeded:
 		v.appendDrop(c, OutcomeDropped, report)
 	default:
 		v.broadcast(c)
@@ -160,7 +160,7 @@
 }
 
 func (v *voter) appendDecision(c *Core, text *policyText) {
-	probation := text != nil && text.terms.Probation > 0
+	probation := text != nil && text.parameters.Probation > 0
 	v.appendEntry(c, &logEntry{Decide: &decision{v.table.Proposal.ID, c.host.UnixSeconds(), probation}})
 }
 
@@ -183,7 +183,7 @@
 		if !v.isPrepared(c, h, p) {
 			all = false
 		}
-		if h.isReady(p) && v.isHeard(c, h) && v.table.voterNamed(h.name) != nil {
+		if h.isReady(p) && v.hasRecentRequest(c, h) && v.table.voterNamed(h.name) != nil {
 			voters++
 		}
 	}
@@ -199,7 +199,7 @@
 // it is unreachable or excluded and can't hold a lease. It excludes a member that was not ready within PrepareTimeout.
 func (v *voter) isPrepared(c *Core, h *leaseHolder, p *LoggedProposal) bool {
 	hasOtherOverlap := h.overlapClearAt > c.now && h.overlapWith != p.ID && c.config.Mutation != IgnoreOverlap
-	heard := v.isHeard(c, h)
+	heard := v.hasRecentRequest(c, h)
 	if h.isReady(p) {
 		needsOverlap := p.Overlap > 0 && p.Kind != KindRehearsal && h.overlapWith != p.ID && heard
 		return !hasOtherOverlap && !needsOverlap
@@ -230,7 +230,7 @@
 func (v *voter) describeProgress(c *Core) string {
 	leader, p := v.leadership, v.table.Proposal
 	switch {
-	case leader.behind:
+	case leader.votersBehind:
 		return "behind: a gateway has applied a later policy than the voters know; resolve this with policy force"
 	case p == nil && v.table.Probation != nil:
 		return fmt.Sprintf("number %d is on probation", v.table.Number)
--- a/internal/cluster/rollout/core_test.go
+++ b/internal/cluster/rollout/core_test.go
@@ -62,10 +62,10 @@
 func TestTableRejectsProposalsByState(t *testing.T) {
 	inForce := Table{Number: 3, Digest: DigestOf([]byte("three"))}
 	for _, c := range []struct {
-		name     string
-		open     *LoggedProposal
-		proposal LoggedProposal
-		expected string
+		name         string
+		openProposal *LoggedProposal
+		proposal     LoggedProposal
+		expected     string
 	}{
 		{"another is open", &LoggedProposal{ID: 1 << 32, By: "b"}, LoggedProposal{ID: 2, Digest: DigestOf([]byte("four"))}, "proposal 00000001 of b is open"},
 		{"it follows another number", nil, LoggedProposal{ID: 2, BaseNumber: 2, Digest: DigestOf([]byte("four"))}, "it is meant to follow number 2, and 3 is in force"},
@@ -73,12 +73,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := inForce
-			table.Proposal = c.open
+			table.Proposal = c.openProposal
 			table.apply(&logEntry{Proposal: &c.proposal})
-			if end := table.lastEnd(); end.Outcome != OutcomeRejected || end.Reason != c.expected {
+			if end := table.lastProposalEnd(); end.Outcome != OutcomeRejected || end.Reason != c.expected {
 				t.Errorf("expected a rejection: %s; found %v: %s", c.expected, end.Outcome, end.Reason)
 			}
-			if table.Proposal != c.open {
+			if table.Proposal != c.openProposal {
 				t.Errorf("expected the open proposal unchanged, found %v", table.Proposal)
 			}
 		})
--- a/internal/cluster/rollout/exploration.go
+++ b/internal/cluster/rollout/exploration.go
@@ -85,7 +85,7 @@
 // LastPolicyRecord returns the record that stores, in a folder, the latest policy that this gateway has applied.
 func (c *Core) LastPolicyRecord() consensus.Record {
 	f := &c.follower
-	return consensus.Record{Key: floorKey, Value: encode(floorRecord{f.current, f.currentDigest, f.currentSize, f.voters})}
+	return consensus.Record{Key: lastPolicyKey, Value: encode(lastPolicyRecord{f.current, f.currentDigest, f.currentSize, f.voters})}
 }
 
 // IsDecision reports whether an entry of the voters' log puts a policy in force.
@@ -183,14 +183,14 @@
 	}
 	table, l := &c.voter.table, c.voter.leadership
 	s := LeaderState{
-		LeasesClearAt: l.leasesClearAt, OverlapsClearAt: l.startedAt + c.config.leaseMargin(table.Overlap), LatestVerified: l.proved, VotersBehind: l.behind,
-		EntryPending: l.pending.appended, ConfirmationPending: l.confirming.read != 0, Phase: int(l.change.phase), PhaseSince: l.change.phaseSince,
+		LeasesClearAt: l.leasesClearAt, OverlapsClearAt: l.startedAt + c.config.leaseMargin(table.Overlap), LatestVerified: l.latestVerified, VotersBehind: l.votersBehind,
+		EntryPending: l.pending.appended, ConfirmationPending: l.confirmation.read != 0, Phase: int(l.change.phase), PhaseSince: l.change.phaseSince,
 		ProposalOpen: table.Proposal != nil, ProposalSince: l.change.openedAt,
 	}
 	for i := range l.holders {
 		h := &l.holders[i]
 		s.Holders = append(s.Holders, HolderState{
-			Name: h.name, Incarnation: h.incarnation, Seq: h.seq, HoldsLease: h.request.Holds, ReadyFor: h.request.ReadyFor, LastRequestAt: h.lastHeardAt,
+			Name: h.name, Incarnation: h.incarnation, Seq: h.seq, HoldsLease: h.request.HoldsLease, ReadyFor: h.request.ReadyFor, LastRequestAt: h.lastRequestAt,
 			LeaseClearAt: h.leaseClearAt, OverlapClearAt: h.overlapClearAt, OverlapWith: h.overlapWith, OverlapSeq: h.overlapSeq,
 			GrantedSeq: h.grantedSeq, Excluded: h.excluded, ExcludedSeq: h.excludedSeq, AwaitsReply: h.awaitsReply, AwaitsConfirmation: h.awaitedRead != 0,
 		})
--- a/internal/cluster/rollout/follower.go
+++ b/internal/cluster/rollout/follower.go
@@ -34,7 +34,7 @@
 	// The latest policy that this gateway knows as decided. The gateway may not have a lease on it yet.
 	decided             Version
 	decidedDigest       Digest
-	informed            bool   // a confirmed leader has announced the decided policy since the start, or the folder has one's text
+	knowsDecidedPolicy  bool   // a confirmed leader has announced the decided policy since the start, or the folder has one's text
 	reportedUnsupported Digest // the decided policy that was last logged as one that this gateway can't follow
 
 	// The open proposal, and whether this gateway can follow it: readyFor or unsupported is its ID once its text was checked.
@@ -62,12 +62,12 @@
 	attempts      int // requests since the last lease
 
 	// What this gateway knows of the voters.
-	leader       string
-	voters       []string
-	wantedVoters []string // the members that should vote, if they differ from voters
-	nextVoter    int
-	progress     string // the progress of the change, as the leader describes it
-	eraNoticeAt  Time   // when a voter of an earlier era was last notified that its log was replaced
+	leader          string
+	voters          []string
+	wantedVoters    []string // the members that should vote, if they differ from voters
+	nextVoterIndex  int
+	progress        string // the progress of the change, as the leader describes it
+	lastEraNoticeAt Time   // when a voter of an earlier era was last notified that its log was replaced
 
 	published    InForce // the last value passed to Host.SetInForce
 	hasPublished bool
@@ -79,8 +79,8 @@
 	sentAt Time
 }
 
-// floorRecord is the stored form of the latest policy that this gateway has applied.
-type floorRecord struct {
+// lastPolicyRecord is the stored form of the latest policy that this gateway has applied.
+type lastPolicyRecord struct {
 	Version Version  `cbor:"1,keyasint"`
 	Digest  Digest   `cbor:"2,keyasint"`
 	Size    int      `cbor:"3,keyasint"`
@@ -90,20 +90,20 @@
 // restore sets the initial state from the records in the folder. They contain no lease, so the first request for one is due at once.
 func (f *follower) restore(c *Core, stored *StoredState) {
 	f.voters, f.nextRequestAt = slices.Clone(c.config.Voters), c.now
-	f.nextVoter = c.random.IntN(max(1, len(f.voters)))
-	if stored == nil || stored.floor == nil {
+	f.nextVoterIndex = c.random.IntN(max(1, len(f.voters)))
+	if stored == nil || stored.lastPolicy == nil {
 		return
 	}
-	floor := stored.floor
-	f.current, f.currentDigest, f.currentSize = floor.Version, floor.Digest, floor.Size
-	f.decided, f.decidedDigest = floor.Version, floor.Digest
-	if len(floor.Voters) > 0 {
-		f.voters = floor.Voters
+	last := stored.lastPolicy
+	f.current, f.currentDigest, f.currentSize = last.Version, last.Digest, last.Size
+	f.decided, f.decidedDigest = last.Version, last.Digest
+	if len(last.Voters) > 0 {
+		f.voters = last.Voters
 	}
-	body := c.host.LoadPolicy(floor.Digest)
-	if DigestOf(body) == floor.Digest {
-		c.policies.add(c, floor.Digest, body, true)
-		f.informed = true
+	body := c.host.LoadPolicy(last.Digest)
+	if DigestOf(body) == last.Digest {
+		c.policies.add(c, last.Digest, body, true)
+		f.knowsDecidedPolicy = true
 	}
 	if c.config.Mutation == TrustStoredState {
 		f.leaseUntil = c.now + 1000*second
@@ -122,8 +122,8 @@
 }
 
 func (f *follower) inForce(mutation Mutation) InForce {
-	next := InForce{Era: f.current.Era, Number: f.current.Number, Digest: f.currentDigest, LeaseUntil: f.leaseUntil, KnowsDecidedPolicy: f.informed}
-	if f.informed {
+	next := InForce{Era: f.current.Era, Number: f.current.Number, Digest: f.currentDigest, LeaseUntil: f.leaseUntil, KnowsDecidedPolicy: f.knowsDecidedPolicy}
+	if f.knowsDecidedPolicy {
 		next.KnownDigests = append(next.KnownDigests, f.currentDigest)
 	}
 	if f.decided != f.current {
@@ -166,7 +166,7 @@
 func (f *follower) expire(c *Core) {
 	if f.leaseUntil != 0 && c.now >= f.leaseUntil {
 		f.leaseUntil = 0
-		c.host.LogEvent(LeaseLost, "number", f.current.Number)
+		c.host.LogEvent(LeaseExpired, "number", f.current.Number)
 		c.publishInForce()
 	}
 	if f.overlapWith != nil && c.now >= f.overlapUntil {
@@ -189,13 +189,13 @@
 	}
 	if to == "" && len(f.voters) > 0 {
 		f.leader = ""
-		to = f.voters[f.nextVoter%len(f.voters)]
-		f.nextVoter++
+		to = f.voters[f.nextVoterIndex%len(f.voters)]
+		f.nextVoterIndex++
 	}
 	f.seq++
 	f.requests[f.seq%maxTrackedRequests] = sentRequest{f.seq, c.now}
 	request := &LeaseRequest{
-		Seq: f.seq, Floor: f.current, Holds: c.now < f.leaseUntil, Has: f.usableDigest(c), ReleasedFor: f.releasedFor,
+		Seq: f.seq, LastVersion: f.current, HoldsLease: c.now < f.leaseUntil, UsableDigest: f.usableDigest(c), ReleasedFor: f.releasedFor,
 		MinValidSeq: f.minValidSeq, AnsweredSeq: f.answeredSeq, Counts: c.host.RequestCounts(),
 	}
 	if f.proposal != nil {
@@ -209,7 +209,7 @@
 
 // scheduleRequest sets when the next request is due. It reports whether the current request should go to another voter, because the
 // leader may have changed.
-func (f *follower) scheduleRequest(c *Core) (tryOther bool) {
+func (f *follower) scheduleRequest(c *Core) (tryOtherVoter bool) {
 	if c.now >= f.leaseUntil {
 		f.nextRequestAt = c.now + min(requestRetryMax, requestRetryMin<<min(f.attempts, maxRetryDoublings))
 		f.attempts++
@@ -240,11 +240,11 @@
 	return needed
 }
 
-// saveFloor stores which policy this gateway applies. After a restart, its requests report that version, so that voters whose log lacks it
-// find out.
-func (f *follower) saveFloor(c *Core) {
-	record := floorRecord{f.current, f.currentDigest, f.currentSize, f.voters}
-	c.saveRecords([]consensus.Record{{Key: floorKey, Value: encode(record)}}, func(error) {})
+// saveLastPolicy stores which policy this gateway applies. After a restart, its requests report that version, so that voters whose log
+// lacks it find out.
+func (f *follower) saveLastPolicy(c *Core) {
+	record := lastPolicyRecord{f.current, f.currentDigest, f.currentSize, f.voters}
+	c.saveRecords([]consensus.Record{{Key: lastPolicyKey, Value: encode(record)}}, func(error) {})
 }
 
 // release gives up the lease at once and notifies the leader.
@@ -255,5 +255,5 @@
 		return
 	}
 	f.seq++
-	c.send(f.leader, Message{LeaseRequest: &LeaseRequest{Seq: f.seq, Floor: f.current, Has: f.currentDigest, Leaving: true}})
+	c.send(f.leader, Message{LeaseRequest: &LeaseRequest{Seq: f.seq, LastVersion: f.current, UsableDigest: f.currentDigest, Leaving: true}})
 }
--- a/internal/cluster/rollout/follower_reply.go
+++ b/internal/cluster/rollout/follower_reply.go
@@ -43,13 +43,13 @@
 // notifyOldEra notifies a voter of an earlier era that its log was superseded by a forced one. It sends at most two such messages a
 // second.
 func (f *follower) notifyOldEra(c *Core, voter string) {
-	if c.now-f.eraNoticeAt < requestRetryMax {
+	if c.now-f.lastEraNoticeAt < requestRetryMax {
 		return
 	}
-	f.eraNoticeAt = c.now
+	f.lastEraNoticeAt = c.now
 	f.seq++
-	floor := Version{f.decided.Era, f.current.Number}
-	c.send(voter, Message{LeaseRequest: &LeaseRequest{Seq: f.seq, Floor: floor, Has: f.usableDigest(c), AnsweredSeq: f.answeredSeq}})
+	version := Version{f.decided.Era, f.current.Number}
+	c.send(voter, Message{LeaseRequest: &LeaseRequest{Seq: f.seq, LastVersion: version, UsableDigest: f.usableDigest(c), AnsweredSeq: f.answeredSeq}})
 }
 
 // observeDecided records the decided version from a confirmed leader's reply. If the version is new, it fetches the policy's text.
@@ -59,7 +59,7 @@
 		f.nextRequestAt = c.now
 		c.policies.fetch(c, reply.Digest, reply.Size, append([]string{leader}, f.voters...))
 	}
-	f.informed, f.answeredSeq = true, max(f.answeredSeq, reply.Seq)
+	f.knowsDecidedPolicy, f.answeredSeq = true, max(f.answeredSeq, reply.Seq)
 }
 
 // mustYield reports whether the leader requests this gateway to give up its lease for the open proposal, and the gateway is ready for
@@ -86,13 +86,13 @@
 	if reply.Decided != f.current || f.currentDigest != reply.Digest {
 		f.current, f.currentDigest, f.leaseUntil = reply.Decided, reply.Digest, 0
 		f.endOverlap()
-		f.saveFloor(c)
+		f.saveLastPolicy(c)
 		if c.voter == nil {
 			c.policies.deleteExcept(c, f.neededPolicies())
 		}
 	}
 	if f.leaseUntil == 0 {
-		c.host.LogEvent(LeaseHeld, "number", reply.Decided.Number, "era", reply.Decided.Era, "digest", reply.Digest.String())
+		c.host.LogEvent(LeaseAcquired, "number", reply.Decided.Number, "era", reply.Decided.Era, "digest", reply.Digest.String())
 	}
 	// Only the reply to the latest request may start an overlap, because the leader concludes from the latest request which overlap this
 	// gateway has.
@@ -134,7 +134,7 @@
 	if notice == nil {
 		return
 	}
-	c.host.LogEvent(ProposalHeard, "proposal", proposalName(notice.ID), "digest", notice.Digest.String())
+	c.host.LogEvent(ProposalReceived, "proposal", proposalName(notice.ID), "digest", notice.Digest.String())
 	c.policies.fetch(c, notice.Digest, notice.Size, append(slices.Clone(notice.Sources), from))
 	f.policyChecked(c, c.policies.find(notice.Digest))
 }
--- a/internal/cluster/rollout/format_folder_test.go
+++ b/internal/cluster/rollout/format_folder_test.go
@@ -29,9 +29,9 @@
 	}
 	stored := &StoredState{}
 	records := map[[16]byte][]byte{}
-	opened, _, err := store.Open(folder, "gateway-a", store.Limits{}, func(key store.Key, value []byte, gone bool) {
+	opened, _, err := store.Open(folder, "gateway-a", store.Limits{}, func(key store.Key, value []byte, deleted bool) {
 		records[key] = bytes.Clone(value)
-		stored.AddRecord(key, records[key], gone)
+		stored.AddRecord(key, records[key], deleted)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -44,9 +44,9 @@
 	if err := stored.Err(); err != nil {
 		t.Fatal(err)
 	}
-	digest := stored.floor.Digest
+	digest := stored.lastPolicy.Digest
 	text := ReadPolicyText(digest, func(key [16]byte) []byte { return records[key] })
-	golden.CheckValues(t, "folder", []any{*stored.floor, *stored.replica, stored.sortedPolicyKeys(), DigestOf(text), len(text)})
+	golden.CheckValues(t, "folder", []any{*stored.lastPolicy, *stored.replica, stored.sortedPolicyKeys(), DigestOf(text), len(text)})
 	for _, r := range policyRecords(digest, text) {
 		if !bytes.Equal(r.Value, records[r.Key]) {
 			t.Errorf("record %q of the policy's text: expected the stored value, found another", r.Key)
--- a/internal/cluster/rollout/format_test.go
+++ b/internal/cluster/rollout/format_test.go
@@ -16,7 +16,7 @@
 func TestRecordsOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
 	t.Run("state", checkRecord[Table])
 	t.Run("entry", checkRecord[logEntry])
-	t.Run("floor", checkRecord[floorRecord])
+	t.Run("floor", checkRecord[lastPolicyRecord])
 	t.Run("birth", checkRecord[replicaRecord])
 }
 
--- a/internal/cluster/rollout/host.go
+++ b/internal/cluster/rollout/host.go
@@ -59,9 +59,9 @@
 
 // The events.
 const (
-	LeaseHeld           EventCode = "holding"       // this gateway got a lease on a policy that it held no lease on
-	LeaseLost           EventCode = "lapsed"        // this gateway's lease has expired
-	ProposalHeard       EventCode = "heard"         // this gateway has received the announcement of a proposal
+	LeaseAcquired       EventCode = "holding"       // this gateway got a lease on a policy that it held no lease on
+	LeaseExpired        EventCode = "lapsed"        // this gateway's lease has expired
+	ProposalReceived    EventCode = "heard"         // this gateway has received the announcement of a proposal
 	ProposalPrepared    EventCode = "took"          // this gateway has checked and stored a proposal and can follow it
 	ProposalUnsupported EventCode = "refuses"       // this gateway can't follow a proposal
 	CannotFollow        EventCode = "cannot_follow" // this gateway can't follow the decided policy
--- a/internal/cluster/rollout/leadership.go
+++ b/internal/cluster/rollout/leadership.go
@@ -12,17 +12,17 @@
 	// MaxUnansweredRequests limits how many requests of a member may stay unanswered before the leader assumes that its replies don't
 	// reach the member.
 	MaxUnansweredRequests = 8
-	// minJudgedRequests is the smallest number of requests by which the bounds of a rehearsal or a probation are checked.
-	minJudgedRequests = 50
-	maxLeaseHolders   = 2048
+	// minRequestsForBounds is the smallest number of requests by which the bounds of a rehearsal or a probation are checked.
+	minRequestsForBounds = 50
+	maxLeaseHolders      = 2048
 	// A leader broadcasts at the fast interval until leases can be granted, then at the slow one.
 	broadcastFastInterval = second / 4
 	broadcastSlowInterval = 5 * second
 	maxWaitingProposals   = 8
 	// The ID of a read has the count of reads in its low readCountBits bits and the term in the bits above.
 	readCountBits = 20
-	// maxDrawnSources limits how many members are drawn at random as sources of the proposal's text, in addition to the leader.
-	maxDrawnSources = 2
+	// maxRandomSources limits how many members are drawn at random as sources of the proposal's text, in addition to the leader.
+	maxRandomSources = 2
 )
 
 // phase is the phase of the open proposal at the leader.
@@ -41,11 +41,11 @@
 	incarnation uint64
 
 	// The latest request. The leader replies to it once a majority has confirmed the read awaitedRead.
-	seq         uint32
-	request     LeaseRequest
-	lastHeardAt Time
-	awaitsReply bool
-	awaitedRead uint64
+	seq           uint32
+	request       LeaseRequest
+	lastRequestAt Time
+	awaitsReply   bool
+	awaitedRead   uint64
 
 	// The member's lease and overlap have certainly ended at leaseClearAt and overlapClearAt, even if its clock runs slower.
 	leaseClearAt   Time
@@ -65,18 +65,19 @@
 	term          uint64
 	startedAt     Time
 	leasesClearAt Time // by then, all leases that earlier leaders granted have expired
-	// proved is set once the leader knows that no later policy than its own was decided: a member holds a lease on the leader's policy, or
-	// this leader decided the policy itself.
-	proved bool
-	// behind is set once a member reports that it has applied a later policy than this leader knows of. The voters have lost its decision.
-	behind  bool
-	holders []leaseHolder // sorted by name and incarnation
-
-	confirming confirmation
-	change     change
-	pending    pendingEntry
-	probation  probationWatch
-	missing    missingVoter
+	// latestVerified is set once the leader knows that no later policy than its own was decided: a member holds a lease on the leader's
+	// policy, or this leader decided the policy itself.
+	latestVerified bool
+	// votersBehind is set once a member reports that it has applied a later policy than this leader knows of. The voters have lost the
+	// decision on that policy.
+	votersBehind bool
+	holders      []leaseHolder // sorted by name and incarnation
+
+	confirmation confirmation
+	change       change
+	pending      pendingEntry
+	probation    probationWatch
+	missing      missingVoter
 
 	waiting          []waitingProposal
 	maintainVotersAt Time
@@ -85,9 +86,9 @@
 
 // confirmation is the outstanding read that a majority must confirm, and with it that this voter still leads.
 type confirmation struct {
-	read   uint64 // the ID of the read; 0: none is outstanding
-	sentAt Time
-	count  uint64 // the number of reads so far
+	read      uint64 // the ID of the read; 0: none is outstanding
+	sentAt    Time
+	readCount uint64 // the number of reads so far
 }
 
 // change is the progress of the open proposal.
@@ -110,7 +111,7 @@
 	since  Time
 }
 
-// missingVoter is a voter from which no messages arrive. Another replica may replace it after voterGoneAfter.
+// missingVoter is a voter from which no messages arrive. Another replica may replace it after voterReplaceableAfter.
 type missingVoter struct {
 	replicaID uint64 // 0: none
 	since     Time
@@ -120,7 +121,7 @@
 type waitingProposal struct {
 	from string
 	ProposalRequest
-	lastHeardAt Time
+	lastReceivedAt Time
 }
 
 // leadershipChanged starts this voter's leadership of the given term, or ends its leadership if the term is 0.
@@ -147,7 +148,7 @@
 		return
 	}
 	leader.broadcastAt = c.now + broadcastSlowInterval
-	if !leader.proved && c.now < leader.leasesClearAt {
+	if !leader.latestVerified && c.now < leader.leasesClearAt {
 		leader.broadcastAt = c.now + broadcastFastInterval
 	}
 	v.broadcast(c)
@@ -190,7 +191,7 @@
 func (v *voter) policySources(c *Core, to *leaseHolder) []string {
 	sources := []string{c.name}
 	holders := v.leadership.holders
-	for range min(len(holders), maxDrawnSources) {
+	for range min(len(holders), maxRandomSources) {
 		h := &holders[c.random.IntN(len(holders))]
 		if h.request.ReadyFor == v.table.Proposal.ID && h != to {
 			sources = append(sources, h.name)
--- a/internal/cluster/rollout/lease_grant.go
+++ b/internal/cluster/rollout/lease_grant.go
@@ -9,7 +9,7 @@
 // handleLeaseRequest processes a member's request. A leader replies once a majority has confirmed that it leads. Another voter replies with
 // the leader's name.
 func (v *voter) handleLeaseRequest(c *Core, m *Message) {
-	if v.checkSuperseded(c, m.LeaseRequest.Floor.Era, m.from) {
+	if v.checkSuperseded(c, m.LeaseRequest.LastVersion.Era, m.from) {
 		return
 	}
 	leader := v.leadership
@@ -24,7 +24,7 @@
 		return
 	}
 	h := &leader.holders[i]
-	h.seq, h.request, h.lastHeardAt, h.awaitsReply, h.awaitedRead = m.LeaseRequest.Seq, *m.LeaseRequest, c.now, true, 0
+	h.seq, h.request, h.lastRequestAt, h.awaitsReply, h.awaitedRead = m.LeaseRequest.Seq, *m.LeaseRequest, c.now, true, 0
 	if h.request.Leaving {
 		leader.holders = slices.Delete(leader.holders, i, i+1)
 		v.advanceProposal(c)
@@ -60,7 +60,7 @@
 	if h.request.OverlapWith == 0 && h.seq > h.overlapSeq {
 		h.overlapClearAt, h.overlapWith = 0, 0
 	}
-	if v.isReleased(&h.request) && h.request.MinValidSeq > h.grantedSeq {
+	if v.hasReleasedLease(&h.request) && h.request.MinValidSeq > h.grantedSeq {
 		h.leaseClearAt = 0
 	}
 	if h.excluded && h.request.AnsweredSeq > h.excludedSeq {
@@ -68,8 +68,8 @@
 	}
 }
 
-// isReleased reports whether a member has given up its lease for the open proposal, or for the proposal that was decided last.
-func (v *voter) isReleased(request *LeaseRequest) bool {
+// hasReleasedLease reports whether a member has given up its lease for the open proposal, or for the proposal that was decided last.
+func (v *voter) hasReleasedLease(request *LeaseRequest) bool {
 	id := request.ReleasedFor
 	if id == 0 {
 		return false
@@ -84,16 +84,16 @@
 	if leader == nil || leader.change.phase >= switching {
 		return
 	}
-	if leader.confirming.read != 0 && c.now-leader.confirming.sentAt < requestRetryMax {
+	if leader.confirmation.read != 0 && c.now-leader.confirmation.sentAt < requestRetryMax {
 		return
 	}
 	if !slices.ContainsFunc(leader.holders, func(h leaseHolder) bool { return h.awaitsReply }) {
-		leader.confirming.read = 0
+		leader.confirmation.read = 0
 		return
 	}
-	leader.confirming.count++
-	read := leader.term<<readCountBits | leader.confirming.count&(1<<readCountBits-1)
-	leader.confirming.read, leader.confirming.sentAt = read, c.now
+	leader.confirmation.readCount++
+	read := leader.term<<readCountBits | leader.confirmation.readCount&(1<<readCountBits-1)
+	leader.confirmation.read, leader.confirmation.sentAt = read, c.now
 	for i := range leader.holders {
 		if leader.holders[i].awaitsReply {
 			leader.holders[i].awaitedRead = read
@@ -110,10 +110,10 @@
 // because one of them may show that the voters have lost a decision.
 func (v *voter) leadershipConfirmed(c *Core, read uint64) {
 	leader := v.leadership
-	if leader == nil || read != leader.confirming.read {
+	if leader == nil || read != leader.confirmation.read {
 		return
 	}
-	leader.confirming.read = 0
+	leader.confirmation.read = 0
 	if leader.change.phase >= switching {
 		return
 	}
@@ -131,16 +131,16 @@
 // observeVersion compares the version that a member has applied with the one decided here. A later version means that the voters have
 // lost a decision. A lease on the same version means that no later one was decided.
 func (v *voter) observeVersion(c *Core, h *leaseHolder) {
-	leader, decided, floor := v.leadership, v.table.version(), h.request.Floor
-	if decided.Before(floor) {
-		if !leader.behind {
-			leader.behind = true
-			c.host.LogEvent(VotersBehind, "member", h.name, "goes_by", floor.Number, "era", floor.Era, "number", v.table.Number)
+	leader, decided, reported := v.leadership, v.table.version(), h.request.LastVersion
+	if decided.Before(reported) {
+		if !leader.votersBehind {
+			leader.votersBehind = true
+			c.host.LogEvent(VotersBehind, "member", h.name, "goes_by", reported.Number, "era", reported.Era, "number", v.table.Number)
 		}
 		return
 	}
-	if h.request.Holds && floor == decided {
-		leader.proved = true
+	if h.request.HoldsLease && reported == decided {
+		leader.latestVerified = true
 	}
 }
 
@@ -159,9 +159,9 @@
 // policy can be in force elsewhere.
 func (v *voter) mayHoldLease(c *Core, h *leaseHolder) bool {
 	leader := v.leadership
-	has := h.request.Has == v.table.Digest || h.request.ReadyFor != 0 && h.request.ReadyFor == v.table.LastProposal
-	hears := h.seq-h.request.AnsweredSeq <= MaxUnansweredRequests
-	return has && hears && !h.excluded && !leader.behind && (leader.proved || c.now >= leader.leasesClearAt)
+	hasPolicy := h.request.UsableDigest == v.table.Digest || h.request.ReadyFor != 0 && h.request.ReadyFor == v.table.LastProposal
+	receivesReplies := h.seq-h.request.AnsweredSeq <= MaxUnansweredRequests
+	return hasPolicy && receivesReplies && !h.excluded && !leader.votersBehind && (leader.latestVerified || c.now >= leader.leasesClearAt)
 }
 
 // grantLease adds a lease to a reply. If the member is ready for an open proposal with an overlap, it adds that overlap too.
--- a/internal/cluster/rollout/local_proposal.go
+++ b/internal/cluster/rollout/local_proposal.go
@@ -32,12 +32,12 @@
 // localProposal is a proposal made at this process. It is sent to the leader again and again until its outcome arrives.
 type localProposal struct {
 	ProposalRequest
-	sentAt   Time
-	attempts int
-	leader   string // the leader as a voter named it, for the next attempt; empty: submit picks a member
-	ended    bool
-	result   Result
-	done     func(Result)
+	sentAt     Time
+	attempts   int
+	nextLeader string // the leader as a voter named it, for the next attempt; empty: submit picks a member
+	ended      bool
+	result     Result
+	done       func(Result)
 }
 
 // Propose makes a proposal and calls done with its outcome. If the same proposal was made here before, it continues, and the new done
@@ -104,7 +104,7 @@
 // knows and one voter after another.
 func (p *localProposal) submit(c *Core) {
 	f := &c.follower
-	to := p.leader
+	to := p.nextLeader
 	if to == "" {
 		to = f.leader
 		if to == "" || p.attempts%2 == 1 {
@@ -112,7 +112,7 @@
 		}
 		p.attempts++
 	}
-	p.leader, p.sentAt = "", c.now
+	p.nextLeader, p.sentAt = "", c.now
 	request := p.ProposalRequest
 	c.send(to, Message{ProposalRequest: &request})
 }
@@ -122,8 +122,8 @@
 		return
 	}
 	if reply.Leader != "" {
-		if p.leader != reply.Leader {
-			p.leader = reply.Leader
+		if p.nextLeader != reply.Leader {
+			p.nextLeader = reply.Leader
 			p.submit(c)
 		}
 		return
--- a/internal/cluster/rollout/message.go
+++ b/internal/cluster/rollout/message.go
@@ -38,19 +38,19 @@
 
 // LeaseRequest is a request for a lease that a member sends to a voter.
 type LeaseRequest struct {
-	Seq         uint32        `cbor:"1,keyasint"`
-	Floor       Version       `cbor:"2,keyasint"`           // the latest version that this member has applied
-	Holds       bool          `cbor:"3,keyasint,omitempty"` // its lease on that version is still running by its own clock
-	Has         Digest        `cbor:"4,keyasint"`           // the policy that it can apply under a lease
-	ReadyFor    uint64        `cbor:"5,keyasint,omitempty"` // the proposal that it can follow
-	Unsupported uint64        `cbor:"6,keyasint,omitempty"` // the proposal that it can't follow
-	Reason      string        `cbor:"7,keyasint,omitempty"` // why it can't follow that proposal
-	ReleasedFor uint64        `cbor:"8,keyasint,omitempty"` // the proposal for which it has given up its lease
-	Counts      RequestCounts `cbor:"9,keyasint,omitempty"`
-	Leaving     bool          `cbor:"10,keyasint,omitempty"`
-	MinValidSeq uint32        `cbor:"13,keyasint,omitempty"` // the member ignores leases in replies to earlier requests
-	AnsweredSeq uint32        `cbor:"12,keyasint,omitempty"` // its latest request that the leader has answered
-	OverlapWith uint64        `cbor:"11,keyasint,omitempty"` // the proposal whose policy it applies together with the one in force
+	Seq          uint32        `cbor:"1,keyasint"`
+	LastVersion  Version       `cbor:"2,keyasint"`           // the latest version that this member has applied
+	HoldsLease   bool          `cbor:"3,keyasint,omitempty"` // its lease on that version is still running by its own clock
+	UsableDigest Digest        `cbor:"4,keyasint"`           // the policy that it can apply under a lease
+	ReadyFor     uint64        `cbor:"5,keyasint,omitempty"` // the proposal that it can follow
+	Unsupported  uint64        `cbor:"6,keyasint,omitempty"` // the proposal that it can't follow
+	Reason       string        `cbor:"7,keyasint,omitempty"` // why it can't follow that proposal
+	ReleasedFor  uint64        `cbor:"8,keyasint,omitempty"` // the proposal for which it has given up its lease
+	Counts       RequestCounts `cbor:"9,keyasint,omitempty"`
+	Leaving      bool          `cbor:"10,keyasint,omitempty"`
+	MinValidSeq  uint32        `cbor:"13,keyasint,omitempty"` // the member ignores leases in replies to earlier requests
+	AnsweredSeq  uint32        `cbor:"12,keyasint,omitempty"` // its latest request that the leader has answered
+	OverlapWith  uint64        `cbor:"11,keyasint,omitempty"` // the proposal whose policy it applies together with the one in force
 }
 
 // LeaseReply is a voter's reply to a LeaseRequest, or a message that the leader sends without a request.
@@ -176,17 +176,17 @@
 	if err := cbor.Unmarshal(b, m); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
-	parts := 0
+	payloads := 0
 	for _, isSet := range []bool{
 		m.LeaseRequest != nil, m.LeaseReply != nil, m.ProposalRequest != nil, m.ProposalReply != nil,
 		m.ChunkRequest != nil, m.Chunk != nil, m.VoterHello != nil, m.Log != nil,
 	} {
 		if isSet {
-			parts++
+			payloads++
 		}
 	}
-	if parts != 1 {
-		return nil, fmt.Errorf("%w: expected one payload, found %d", ErrMalformedMessage, parts)
+	if payloads != 1 {
+		return nil, fmt.Errorf("%w: expected one payload, found %d", ErrMalformedMessage, payloads)
 	}
 	return m, nil
 }
--- a/internal/cluster/rollout/policy_store.go
+++ b/internal/cluster/rollout/policy_store.go
@@ -39,13 +39,13 @@
 
 // policyText is a policy's text, or the part of it that has been received so far.
 type policyText struct {
-	digest Digest
-	size   int
-	body   []byte
-	state  textState
-	terms  Parameters
-	reason string // why the text is unusable
-	usedAt Time
+	digest     Digest
+	size       int
+	body       []byte
+	state      textState
+	parameters Parameters
+	reason     string // why the text is unusable
+	lastUsedAt Time
 
 	// The following fields are used only while chunks are missing.
 	received    []bool
@@ -85,7 +85,7 @@
 		s.texts = append(s.texts, t)
 	}
 	if t.state == textMissing {
-		t.body, t.size, t.missing, t.usedAt = body, len(body), 0, c.now
+		t.body, t.size, t.missing, t.lastUsedAt = body, len(body), 0, c.now
 		s.check(c, t, stored)
 	}
 	return t
@@ -94,13 +94,13 @@
 // check has the host check a text, and saves the text if this gateway can follow the policy and the folder doesn't have the text.
 func (s *policyStore) check(c *Core, t *policyText, stored bool) {
 	t.state = textChecking
-	c.host.CheckPolicy(t.digest, t.body, func(terms Parameters, err error) {
+	c.host.CheckPolicy(t.digest, t.body, func(parameters Parameters, err error) {
 		if err != nil {
-			t.refuse(err.Error())
+			t.markUnusable(err.Error())
 			c.policyChecked(t)
 			return
 		}
-		t.terms = terms
+		t.parameters = parameters
 		if stored || !c.config.Persistent {
 			t.state = textUsable
 			c.policyChecked(t)
@@ -121,13 +121,13 @@
 	c.saveRecords(records, func(err error) {
 		t.state = textUsable
 		if err != nil {
-			t.refuse("no room to keep it: " + err.Error())
+			t.markUnusable("no room to keep it: " + err.Error())
 		}
 		c.policyChecked(t)
 	})
 }
 
-func (t *policyText) refuse(reason string) {
+func (t *policyText) markUnusable(reason string) {
 	t.state, t.reason = textUnusable, truncate(reason, maxPolicyErrorBytes)
 }
 
@@ -162,7 +162,7 @@
 		}
 		s.texts = append(s.texts, t)
 	}
-	t.usedAt = c.now
+	t.lastUsedAt = c.now
 	for _, from := range sources {
 		if from != "" && from != c.name && !slices.Contains(t.sources, from) && len(t.sources) < maxSources {
 			t.sources = append(t.sources, from)
@@ -200,13 +200,13 @@
 func (s *policyStore) tick(c *Core) {
 	for _, t := range s.texts {
 		if c.needsPolicy(t.digest) {
-			t.usedAt = c.now
+			t.lastUsedAt = c.now
 		}
 		if t.state == textMissing && c.now-t.requestedAt >= chunkRetryAfter {
 			t.retryChunks(c)
 		}
 	}
-	s.texts = slices.DeleteFunc(s.texts, func(t *policyText) bool { return c.now-t.usedAt >= unusedTextLifetime })
+	s.texts = slices.DeleteFunc(s.texts, func(t *policyText) bool { return c.now-t.lastUsedAt >= unusedTextLifetime })
 }
 
 // handleChunkRequest sends the chunks that a member has requested, if the text is in memory or in the folder.
@@ -220,15 +220,15 @@
 		}
 		t = s.add(c, request.Digest, body, true)
 	}
-	t.usedAt = c.now
+	t.lastUsedAt = c.now
 	if request.First < 0 {
 		return
 	}
 	for i := range maxChunksPerRequest {
 		index := request.First + i
-		at := index * chunkBytes
-		if request.Bitmap>>i&1 == 1 && at < len(t.body) {
-			c.send(m.from, Message{Chunk: &Chunk{t.digest, index, len(t.body), t.body[at:min(len(t.body), at+chunkBytes)]}})
+		offset := index * chunkBytes
+		if request.Bitmap>>i&1 == 1 && offset < len(t.body) {
+			c.send(m.from, Message{Chunk: &Chunk{t.digest, index, len(t.body), t.body[offset:min(len(t.body), offset+chunkBytes)]}})
 		}
 	}
 }
@@ -236,7 +236,7 @@
 // handleChunk stores a chunk. If the complete text doesn't match its digest, one of the chunks was wrong, and all are fetched again.
 func (s *policyStore) handleChunk(c *Core, chunk *Chunk) {
 	t := s.find(chunk.Digest)
-	if t == nil || !t.lacks(chunk) {
+	if t == nil || !t.isMissingChunk(chunk) {
 		return
 	}
 	copy(t.body[chunk.Index*chunkBytes:], chunk.Text)
@@ -257,8 +257,8 @@
 	}
 }
 
-// lacks reports whether a chunk is one of the missing ones, by its index and sizes.
-func (t *policyText) lacks(chunk *Chunk) bool {
+// isMissingChunk reports whether a chunk is one of the missing ones, by its index and sizes.
+func (t *policyText) isMissingChunk(chunk *Chunk) bool {
 	if t.state != textMissing || chunk.PolicySize != t.size || chunk.Index < 0 || chunk.Index >= len(t.received) || t.received[chunk.Index] {
 		return false
 	}
--- a/internal/cluster/rollout/probation.go
+++ b/internal/cluster/rollout/probation.go
@@ -29,18 +29,18 @@
 	return float64(count) / float64(total)
 }
 
-// exceededBy describes the first bound that the counts exceed. It names the bound as policies do, and returns an empty string if no bound
-// is exceeded.
-func (b Bounds) exceededBy(counts RequestCounts) string {
-	report := func(what string, share, bound float64) string {
-		return fmt.Sprintf("%.3f of the requests %s, at most %.3f may be", share, what, bound)
+// describeExceeded describes the first bound that the counts exceed. It names the bound as policies do, and returns an empty string if no
+// bound is exceeded.
+func (b Bounds) describeExceeded(counts RequestCounts) string {
+	describe := func(decision string, share, bound float64) string {
+		return fmt.Sprintf("%.3f of the requests %s, at most %.3f may be", share, decision, bound)
 	}
 	rejected, shed := ratio(counts.Rejected, counts.Requests), ratio(counts.Shed, counts.Requests)
 	switch {
 	case rejected > b.Rejected:
-		return report("refused", rejected, b.Rejected)
+		return describe("refused", rejected, b.Rejected)
 	case shed > b.Shed:
-		return report("held", shed, b.Shed)
+		return describe("held", shed, b.Shed)
 	}
 	return ""
 }
@@ -50,14 +50,14 @@
 	list := v.countsFor(p.ID)
 	total := sumCounts(list)
 	report = fmt.Sprintf("rehearsed by %d members: of %d requests %d classed, %d refused and %d held that the policy in force doesn't refuse or hold", len(list), total.Requests, total.Classified, total.Rejected, total.Shed)
-	if text == nil || text.terms.RehearsalBounds == (Bounds{}) || total.Requests < minJudgedRequests {
+	if text == nil || text.parameters.RehearsalBounds == (Bounds{}) || total.Requests < minRequestsForBounds {
 		return report, false
 	}
-	bound := text.terms.RehearsalBounds.exceededBy(total)
-	if bound == "" {
+	exceededBound := text.parameters.RehearsalBounds.describeExceeded(total)
+	if exceededBound == "" {
 		return report, false
 	}
-	return report + "; guard: " + bound, true
+	return report + "; guard: " + exceededBound, true
 }
 
 // watchProbation proposes a rollback once the policy on probation exceeds its bounds, and ends the probation after its time. The rollback
@@ -75,14 +75,14 @@
 		return
 	}
 	total := sumCounts(v.countsFor(probation.Number))
-	exceeded := text.terms.ProbationBounds.exceededBy(total)
+	exceeded := text.parameters.ProbationBounds.describeExceeded(total)
 	previous := v.table.pastPolicy(probation.RollbackTo)
 	canRollBack := previous != nil || probation.RollbackTo == 0
-	if exceeded != "" && total.Requests >= minJudgedRequests && canRollBack {
+	if exceeded != "" && total.Requests >= minRequestsForBounds && canRollBack {
 		v.rollBack(c, probation, previous, exceeded)
 		return
 	}
-	if c.now-leader.probation.since >= text.terms.Probation {
+	if c.now-leader.probation.since >= text.parameters.Probation {
 		v.appendEntry(c, &logEntry{ProbationPassed: probation.Number})
 	}
 }
--- a/internal/cluster/rollout/proposal.go
+++ b/internal/cluster/rollout/proposal.go
@@ -12,10 +12,10 @@
 	if unmarshal(encoded, &e) != nil {
 		return
 	}
-	number, proposal, lastEnd := v.table.Number, v.table.Proposal, v.table.lastEnd()
+	number, proposal, lastEnd := v.table.Number, v.table.Proposal, v.table.lastProposalEnd()
 	v.table.apply(&e)
-	if end := v.table.lastEnd(); end != lastEnd {
-		v.logEnd(c, end)
+	if end := v.table.lastProposalEnd(); end != lastEnd {
+		v.logProposalEnd(c, end)
 	}
 	changed := v.table.Proposal != proposal
 	if p := v.table.Proposal; changed && p != nil {
@@ -38,7 +38,7 @@
 func (v *voter) proposalChanged(c *Core, decided bool) {
 	leader := v.leadership
 	if decided && leader.change.phase == deciding { // this leader decided it, so no member can know of a later policy
-		leader.proved = true
+		leader.latestVerified = true
 	}
 	leader.change.openedAt, leader.change.rehearsed = c.now, false
 	v.enterPhase(c, preparing)
@@ -54,7 +54,7 @@
 	v.advanceProposal(c)
 }
 
-func (v *voter) logEnd(c *Core, end ProposalEnd) {
+func (v *voter) logProposalEnd(c *Core, end ProposalEnd) {
 	code := ProposalDropped
 	switch end.Outcome {
 	case OutcomeDecided:
@@ -119,7 +119,7 @@
 func (l *leadership) addWaiting(from string, request ProposalRequest, now Time) {
 	i := slices.IndexFunc(l.waiting, func(w waitingProposal) bool { return w.ID == request.ID })
 	if i >= 0 {
-		l.waiting[i].lastHeardAt = now
+		l.waiting[i].lastReceivedAt = now
 		return
 	}
 	if len(l.waiting) < maxWaitingProposals {
@@ -132,7 +132,7 @@
 func (v *voter) openWaitingProposals(c *Core) {
 	leader := v.leadership
 	leader.waiting = slices.DeleteFunc(leader.waiting, func(w waitingProposal) bool {
-		if v.table.knows(w.ID) || c.now-w.lastHeardAt >= waitingProposalLifetime {
+		if v.table.isKnown(w.ID) || c.now-w.lastReceivedAt >= waitingProposalLifetime {
 			return true
 		}
 		text := c.policies.find(w.Digest)
@@ -141,11 +141,11 @@
 		case text.state == textUnusable:
 			reason := c.name + ": " + text.reason
 			c.send(w.from, Message{ProposalReply: &ProposalReply{ID: w.ID, Outcome: OutcomeRejected, Reason: reason}})
-			return c.now-w.lastHeardAt >= second
+			return c.now-w.lastReceivedAt >= second
 		case text.state == textUsable && !leader.pending.appended:
 			v.appendEntry(c, &logEntry{Proposal: &LoggedProposal{
 				ID: w.ID, Digest: w.Digest, Size: w.Size, Kind: w.Kind, By: w.from, BaseNumber: w.BaseNumber, RollbackTo: w.RollbackTo,
-				RehearsalLength: w.RehearsalLength, Overlap: text.terms.Overlap,
+				RehearsalLength: w.RehearsalLength, Overlap: text.parameters.Overlap,
 			}})
 		}
 		return false
--- a/internal/cluster/rollout/status.go
+++ b/internal/cluster/rollout/status.go
@@ -60,7 +60,7 @@
 func (v *voter) addStatus(c *Core, s *Status) {
 	s.IsVoter = v.log != nil && v.isVoter(c)
 	s.IsLearner = !s.IsVoter && (slices.Contains(v.table.WantedVoters, c.name) || slices.Contains(c.config.Voters, c.name))
-	s.PastPolicies, s.EndedProposals = slices.Clone(v.table.Past), slices.Clone(v.table.Ends)
+	s.PastPolicies, s.EndedProposals = slices.Clone(v.table.PastPolicies), slices.Clone(v.table.EndedProposals)
 	if v.leadership == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 func (v *voter) member(c *Core, h *leaseHolder) Member {
-	m := Member{Name: h.name, SinceLastRequest: c.now - h.lastHeardAt, LeaseRemaining: max(0, h.leaseClearAt-c.now), Excluded: h.excluded}
+	m := Member{Name: h.name, SinceLastRequest: c.now - h.lastRequestAt, LeaseRemaining: max(0, h.leaseClearAt-c.now), Excluded: h.excluded}
 	p := v.table.Proposal
 	if p == nil {
 		return m
--- a/internal/cluster/rollout/stored_state.go
+++ b/internal/cluster/rollout/stored_state.go
@@ -21,8 +21,8 @@
 
 // The keys of the other records. They must not change, because existing folders contain them.
 var (
-	floorKey   = recordKey("charter floor")
-	replicaKey = recordKey("charter birth")
+	lastPolicyKey = recordKey("charter floor")
+	replicaKey    = recordKey("charter birth")
 )
 
 func recordKey(name string) (key [16]byte) {
@@ -46,8 +46,8 @@
 // policyRecords returns the records that store a text.
 func policyRecords(digest Digest, body []byte) (records []consensus.Record) {
 	for number := 0; number*recordBytes < len(body); number++ {
-		part := body[number*recordBytes : min(len(body), (number+1)*recordBytes)]
-		records = append(records, consensus.Record{Key: policyRecordKey(digest, number), Value: append([]byte{policyRecordVersion}, part...)})
+		fragment := body[number*recordBytes : min(len(body), (number+1)*recordBytes)]
+		records = append(records, consensus.Record{Key: policyRecordKey(digest, number), Value: append([]byte{policyRecordVersion}, fragment...)})
 	}
 	return records
 }
@@ -70,7 +70,7 @@
 
 // StoredState is the contents of a folder. The zero value stands for an empty folder.
 type StoredState struct {
-	floor      *floorRecord
+	lastPolicy *lastPolicyRecord
 	replica    *replicaRecord
 	log        consensus.StoredLog
 	policyKeys map[[16]byte]bool
@@ -88,9 +88,9 @@
 	case string(key[:len(policyKeyPrefix)]) == policyKeyPrefix:
 		s.addPolicyKey(key, deleted)
 	case deleted:
-	case key == floorKey:
-		s.floor = &floorRecord{}
-		err = unmarshal(value, s.floor)
+	case key == lastPolicyKey:
+		s.lastPolicy = &lastPolicyRecord{}
+		err = unmarshal(value, s.lastPolicy)
 	case key == replicaKey:
 		s.replica = &replicaRecord{}
 		err = unmarshal(value, s.replica)
--- a/internal/cluster/rollout/table.go
+++ b/internal/cluster/rollout/table.go
@@ -17,19 +17,19 @@
 // Table is the state that results from applying the entries of the voters' log in order, so it is the same at all voters. A snapshot of
 // the log is a Table encoded in CBOR.
 type Table struct {
-	Era           uint64          `cbor:"1,keyasint,omitempty"` // only raised when a new log is forced
-	Number        uint64          `cbor:"2,keyasint,omitempty"` // the number of the policy in force
-	Digest        Digest          `cbor:"3,keyasint"`
-	Size          int             `cbor:"4,keyasint,omitempty"`
-	LastProposal  uint64          `cbor:"5,keyasint,omitempty"` // the ID of the proposal that put this policy in force
-	LeaseDuration Time            `cbor:"6,keyasint,omitempty"`
-	Overlap       Time            `cbor:"7,keyasint,omitempty"`  // the longest time that a gateway without a lease may apply two policies
-	Proposal      *LoggedProposal `cbor:"8,keyasint,omitempty"`  // the open proposal: neither decided nor dropped
-	Past          []PastPolicy    `cbor:"9,keyasint,omitempty"`  // the policies that were in force, the current one last
-	Ends          []ProposalEnd   `cbor:"10,keyasint,omitempty"` // the outcomes of ended proposals, the latest last
-	Probation     *Probation      `cbor:"11,keyasint,omitempty"` // of the policy in force; nil: it isn't on probation
-	Voters        []Voter         `cbor:"12,keyasint,omitempty"`
-	WantedVoters  []string        `cbor:"13,keyasint,omitempty"` // the names of the members that should vote
+	Era            uint64          `cbor:"1,keyasint,omitempty"` // only raised when a new log is forced
+	Number         uint64          `cbor:"2,keyasint,omitempty"` // the number of the policy in force
+	Digest         Digest          `cbor:"3,keyasint"`
+	Size           int             `cbor:"4,keyasint,omitempty"`
+	LastProposal   uint64          `cbor:"5,keyasint,omitempty"` // the ID of the proposal that put this policy in force
+	LeaseDuration  Time            `cbor:"6,keyasint,omitempty"`
+	Overlap        Time            `cbor:"7,keyasint,omitempty"`  // the longest time that a gateway without a lease may apply two policies
+	Proposal       *LoggedProposal `cbor:"8,keyasint,omitempty"`  // the open proposal: neither decided nor dropped
+	PastPolicies   []PastPolicy    `cbor:"9,keyasint,omitempty"`  // the policies that were in force, the current one last
+	EndedProposals []ProposalEnd   `cbor:"10,keyasint,omitempty"` // the outcomes of ended proposals, the latest last
+	Probation      *Probation      `cbor:"11,keyasint,omitempty"` // of the policy in force; nil: it isn't on probation
+	Voters         []Voter         `cbor:"12,keyasint,omitempty"`
+	WantedVoters   []string        `cbor:"13,keyasint,omitempty"` // the names of the members that should vote
 }
 
 // PastPolicy is a policy that is or was in force.
@@ -101,7 +101,7 @@
 	case e.Drop != nil:
 		if t.Proposal != nil && t.Proposal.ID == e.Drop.ID {
 			t.Proposal = nil
-			t.recordEnd(*e.Drop)
+			t.recordProposalEnd(*e.Drop)
 		}
 	case e.Decide != nil:
 		if t.Proposal != nil && t.Proposal.ID == e.Decide.ID {
@@ -119,10 +119,10 @@
 // openProposal opens a proposal, or records its rejection. It ignores a proposal that is already open or has ended.
 func (t *Table) openProposal(p LoggedProposal) {
 	reject := func(number uint64, format string, values ...any) {
-		t.recordEnd(ProposalEnd{p.ID, OutcomeRejected, number, fmt.Sprintf(format, values...)})
+		t.recordProposalEnd(ProposalEnd{p.ID, OutcomeRejected, number, fmt.Sprintf(format, values...)})
 	}
 	switch {
-	case t.knows(p.ID):
+	case t.isKnown(p.ID):
 	case t.Proposal != nil:
 		reject(0, "proposal %s of %s is open", proposalName(t.Proposal.ID), t.Proposal.By)
 	case p.BaseNumber != 0 && p.BaseNumber != t.Number:
@@ -140,30 +140,30 @@
 	previous := t.Number
 	t.Number++
 	t.Digest, t.Size, t.LastProposal, t.Proposal, t.Overlap = p.Digest, p.Size, p.ID, nil, p.Overlap
-	t.Past = append(t.Past, PastPolicy{t.Number, p.Digest, p.Size, p.Kind, p.By, d.UnixSeconds, p.RollbackTo})
-	t.Past = t.Past[max(0, len(t.Past)-maxPastPolicies):]
+	t.PastPolicies = append(t.PastPolicies, PastPolicy{t.Number, p.Digest, p.Size, p.Kind, p.By, d.UnixSeconds, p.RollbackTo})
+	t.PastPolicies = t.PastPolicies[max(0, len(t.PastPolicies)-maxPastPolicies):]
 	t.Probation = nil
 	if d.Probation && !p.Automatic {
 		t.Probation = &Probation{t.Number, previous}
 	}
-	t.recordEnd(ProposalEnd{p.ID, OutcomeDecided, t.Number, ""})
+	t.recordProposalEnd(ProposalEnd{p.ID, OutcomeDecided, t.Number, ""})
 }
 
-// knows reports whether a proposal is open, or its outcome is stored.
-func (t *Table) knows(id uint64) bool { return t.proposalReply(id) != nil }
+// isKnown reports whether a proposal is open, or its outcome is stored.
+func (t *Table) isKnown(id uint64) bool { return t.proposalReply(id) != nil }
 
-func (t *Table) recordEnd(end ProposalEnd) {
+func (t *Table) recordProposalEnd(end ProposalEnd) {
 	end.Reason = truncate(end.Reason, maxReasonBytes)
-	t.Ends = append(t.Ends, end)
-	t.Ends = t.Ends[max(0, len(t.Ends)-maxProposalEnds):]
+	t.EndedProposals = append(t.EndedProposals, end)
+	t.EndedProposals = t.EndedProposals[max(0, len(t.EndedProposals)-maxProposalEnds):]
 }
 
-// lastEnd returns the outcome of the proposal that ended last, or the zero value if none has ended.
-func (t *Table) lastEnd() ProposalEnd {
-	if len(t.Ends) == 0 {
+// lastProposalEnd returns the outcome of the proposal that ended last, or the zero value if none has ended.
+func (t *Table) lastProposalEnd() ProposalEnd {
+	if len(t.EndedProposals) == 0 {
 		return ProposalEnd{}
 	}
-	return t.Ends[len(t.Ends)-1]
+	return t.EndedProposals[len(t.EndedProposals)-1]
 }
 
 // proposalReply returns the state or outcome of a proposal, or nil if the proposal is unknown.
@@ -171,7 +171,7 @@
 	if t.Proposal != nil && t.Proposal.ID == id {
 		return &ProposalReply{ID: id}
 	}
-	for _, end := range t.Ends {
+	for _, end := range t.EndedProposals {
 		if end.ID == id {
 			return &ProposalReply{ID: id, Outcome: end.Outcome, Number: end.Number, Reason: end.Reason}
 		}
@@ -181,11 +181,11 @@
 
 // pastPolicy returns the policy with the given number, or nil if it isn't among the stored past policies.
 func (t *Table) pastPolicy(number uint64) *PastPolicy {
-	i := slices.IndexFunc(t.Past, func(p PastPolicy) bool { return p.Number == number })
+	i := slices.IndexFunc(t.PastPolicies, func(p PastPolicy) bool { return p.Number == number })
 	if i < 0 {
 		return nil
 	}
-	return &t.Past[i]
+	return &t.PastPolicies[i]
 }
 
 func (t *Table) version() Version { return Version{t.Era, t.Number} }
@@ -202,7 +202,7 @@
 // clone returns a copy of the table that shares no slice with it.
 func (t *Table) clone() *Table {
 	copied := *t
-	copied.Past, copied.Ends = slices.Clone(t.Past), slices.Clone(t.Ends)
+	copied.PastPolicies, copied.EndedProposals = slices.Clone(t.PastPolicies), slices.Clone(t.EndedProposals)
 	copied.Voters, copied.WantedVoters = slices.Clone(t.Voters), slices.Clone(t.WantedVoters)
 	return &copied
 }
--- a/internal/cluster/rollout/voter.go
+++ b/internal/cluster/rollout/voter.go
@@ -49,19 +49,19 @@
 	replicaIDSaved bool
 	leadership     *leadership // nil: this voter doesn't lead
 
-	peers       []seenVoter // processes that should vote, with their latest hellos
-	learners    []Voter     // names of replicas that were added to the log and may not be in the table's voters yet
-	nextTickAt  Time
-	nextHelloAt Time
-	lastNotice  string // the last logged reason why this process doesn't vote
-	logLost     bool   // the folder lacks entries that this voter had acknowledged
+	peers            []peerHello // processes that should vote, with their latest hellos
+	learners         []Voter     // names of replicas that were added to the log and may not be in the table's voters yet
+	nextTickAt       Time
+	nextHelloAt      Time
+	lastLoggedReason string // the last logged reason why this process doesn't vote
+	logLost          bool   // the folder lacks entries that this voter had acknowledged
 }
 
-// seenVoter is the latest hello from a process, and when it arrived.
-type seenVoter struct {
+// peerHello is the latest hello from a process, and when it arrived.
+type peerHello struct {
 	name string
 	VoterHello
-	heardAt Time
+	receivedAt Time
 }
 
 func newVoter(c *Core, stored *StoredState) *voter {
@@ -111,8 +111,8 @@
 
 // isVoter reports whether this replica is among the voters in its table.
 func (v *voter) isVoter(c *Core) bool {
-	k := v.table.voterNamed(c.name)
-	return k != nil && k.ReplicaID == v.replicaID
+	listed := v.table.voterNamed(c.name)
+	return listed != nil && listed.ReplicaID == v.replicaID
 }
 
 func (v *voter) tick(c *Core) {
@@ -122,8 +122,8 @@
 	}
 	if v.log != nil && v.log.Err() != nil {
 		v.leadership = nil
-		if v.lastNotice != "failed" {
-			v.lastNotice = "failed"
+		if v.lastLoggedReason != "failed" {
+			v.lastLoggedReason = "failed"
 			c.host.LogEvent(SaveFailed, "error", v.log.Err().Error())
 		}
 		return
@@ -156,7 +156,7 @@
 // announce sends a hello to the voters while this process should vote and doesn't yet.
 func (v *voter) announce(c *Core) {
 	if v.log != nil && v.isVoter(c) {
-		v.lastNotice = ""
+		v.lastLoggedReason = ""
 		return
 	}
 	if !slices.Contains(slices.Concat(c.follower.voters, c.follower.wantedVoters, c.config.Voters), c.name) {
@@ -191,15 +191,15 @@
 // handleHello stores a hello from another process that should vote, or its reply to a hello.
 func (v *voter) handleHello(c *Core, m *Message) {
 	hello := *m.VoterHello
-	i := slices.IndexFunc(v.peers, func(s seenVoter) bool { return s.name == m.from })
+	i := slices.IndexFunc(v.peers, func(s peerHello) bool { return s.name == m.from })
 	if i < 0 {
 		if len(v.peers) >= maxPeers || len(m.from) > maxNameBytes {
 			return
 		}
 		i = len(v.peers)
-		v.peers = append(v.peers, seenVoter{name: m.from})
+		v.peers = append(v.peers, peerHello{name: m.from})
 	}
-	v.peers[i].VoterHello, v.peers[i].heardAt = hello, c.now
+	v.peers[i].VoterHello, v.peers[i].receivedAt = hello, c.now
 	if !hello.Reply && v.replicaIDSaved {
 		c.send(m.from, Message{VoterHello: v.hello(c, true)})
 	}
@@ -211,9 +211,9 @@
 	}
 }
 
-// heardPeer returns the process with the given name if a hello from it arrived within helloLifetime, otherwise nil.
-func (v *voter) heardPeer(c *Core, name string) *seenVoter {
-	i := slices.IndexFunc(v.peers, func(s seenVoter) bool { return s.name == name && c.now-s.heardAt < helloLifetime })
+// recentPeer returns the process with the given name if a hello from it arrived within helloLifetime, otherwise nil.
+func (v *voter) recentPeer(c *Core, name string) *peerHello {
+	i := slices.IndexFunc(v.peers, func(s peerHello) bool { return s.name == name && c.now-s.receivedAt < helloLifetime })
 	if i < 0 {
 		return nil
 	}
@@ -236,7 +236,7 @@
 		return
 	}
 	keep := c.follower.neededPolicies()
-	for _, past := range v.table.Past {
+	for _, past := range v.table.PastPolicies {
 		keep = append(keep, past.Digest)
 	}
 	if v.table.Proposal != nil {
@@ -265,9 +265,9 @@
 
 // nameOf returns the name of the voter with a replica ID, or an empty string if the ID is unknown.
 func (v *voter) nameOf(replicaID uint64) string {
-	for _, k := range slices.Concat(v.table.Voters, v.learners) {
-		if k.ReplicaID == replicaID {
-			return k.Name
+	for _, replica := range slices.Concat(v.table.Voters, v.learners) {
+		if replica.ReplicaID == replicaID {
+			return replica.Name
 		}
 	}
 	for i := range v.peers {
--- a/internal/cluster/rollout/voter_log.go
+++ b/internal/cluster/rollout/voter_log.go
@@ -11,29 +11,29 @@
 
 // voterHost implements consensus.Host for the voters' log.
 type voterHost struct {
-	c *Core
-	v *voter
+	core  *Core
+	voter *voter
 }
 
 func (h voterHost) Send(to uint64, m []byte) {
-	if name := h.v.nameOf(to); name != "" && name != h.c.name {
-		h.c.send(name, Message{Log: m})
+	if name := h.voter.nameOf(to); name != "" && name != h.core.name {
+		h.core.send(name, Message{Log: m})
 	}
 }
 
 func (h voterHost) SaveRecords(records []consensus.Record, done func(error)) {
-	log := h.v.log
-	h.c.host.SaveRecords(records, func(err error) {
-		if h.v.log == log || log == nil { // otherwise this voter has started another log meanwhile
+	log := h.voter.log
+	h.core.host.SaveRecords(records, func(err error) {
+		if h.voter.log == log || log == nil { // otherwise this voter has started another log meanwhile
 			done(err)
 		}
 	})
 }
 
-func (h voterHost) EntryApplied(_ uint64, entry []byte) { h.v.entryApplied(h.c, entry) }
+func (h voterHost) EntryApplied(_ uint64, entry []byte) { h.voter.entryApplied(h.core, entry) }
 
 func (h voterHost) VotersChanged(_ uint64, context []byte, voters, learners []uint64) {
-	v, c := h.v, h.c
+	v, c := h.voter, h.core
 	var added []Voter
 	if len(context) > 0 && unmarshal(context, &added) != nil {
 		added = nil
@@ -51,7 +51,7 @@
 // itself provides, so that all voters get the same list.
 func nameVoters(replicaIDs []uint64, known []Voter) (list []Voter) {
 	for _, id := range replicaIDs {
-		if i := slices.IndexFunc(known, func(k Voter) bool { return k.ReplicaID == id }); i >= 0 {
+		if i := slices.IndexFunc(known, func(replica Voter) bool { return replica.ReplicaID == id }); i >= 0 {
 			list = append(list, known[i])
 		}
 	}
@@ -64,17 +64,17 @@
 func (h voterHost) SnapshotInstalled(_ uint64, state []byte) {
 	var table Table
 	if unmarshal(state, &table) == nil {
-		h.v.table = table
+		h.voter.table = table
 	}
 }
 
-func (h voterHost) Snapshot() []byte { return encode(h.v.table) }
+func (h voterHost) Snapshot() []byte { return encode(h.voter.table) }
 
-func (h voterHost) LeadershipChanged(term uint64) { h.v.leadershipChanged(h.c, term) }
+func (h voterHost) LeadershipChanged(term uint64) { h.voter.leadershipChanged(h.core, term) }
 
-func (h voterHost) LeadershipConfirmed(read uint64) { h.v.leadershipConfirmed(h.c, read) }
+func (h voterHost) LeadershipConfirmed(read uint64) { h.voter.leadershipConfirmed(h.core, read) }
 
 func (h voterHost) LogLost() {
-	h.c.host.LogEvent(LogLost, "birth", fmt.Sprintf("%016x", h.v.replicaID))
-	h.v.logLost = true
+	h.core.host.LogEvent(LogLost, "birth", fmt.Sprintf("%016x", h.voter.replicaID))
+	h.voter.logLost = true
 }
--- a/internal/cluster/rollout/voter_membership.go
+++ b/internal/cluster/rollout/voter_membership.go
@@ -6,8 +6,8 @@
 	// maintainVotersInterval is the shortest time between two changes of the voters by the leader.
 	maintainVotersInterval = second / 2
 	// A voter that lost its folder returns with a new replica ID. The new replica may replace the old one once the old one has been inactive
-	// for voterGoneAfter. Without this wait, a second process with the name of a running voter could replace that voter.
-	voterGoneAfter = 10 * second
+	// for voterReplaceableAfter. Without this wait, a second process with the name of a running voter could replace that voter.
+	voterReplaceableAfter = 10 * second
 )
 
 // maintainVoters replaces the voters by the wanted ones, one at a time. A new voter first receives the log as a learner, and then replaces
@@ -27,10 +27,10 @@
 }
 
 // addVoter takes the next step to make a wanted member a voter: it adds the member as a learner, or promotes a learner that has caught up.
-// It reports whether it took a step. A member that already votes sends no hellos, so heardPeer doesn't find it.
+// It reports whether it took a step. A member that already votes sends no hellos, so recentPeer doesn't find it.
 func (v *voter) addVoter(c *Core, name string) bool {
-	peer, old := v.heardPeer(c, name), v.table.voterNamed(name)
-	if peer == nil || old != nil && (old.ReplicaID == peer.ReplicaID || !v.isGone(c, old.ReplicaID)) {
+	peer, current := v.recentPeer(c, name), v.table.voterNamed(name)
+	if peer == nil || current != nil && (current.ReplicaID == peer.ReplicaID || !v.isReplaceable(c, current.ReplicaID)) {
 		return false
 	}
 	context := encode([]Voter{{name, peer.ReplicaID}})
@@ -43,8 +43,8 @@
 		return false
 	}
 	var remove []uint64
-	if old != nil {
-		remove = append(remove, old.ReplicaID)
+	if current != nil {
+		remove = append(remove, current.ReplicaID)
 	} else if surplus := v.surplusVoter(); surplus != nil && surplus.ReplicaID != v.replicaID {
 		remove = append(remove, surplus.ReplicaID)
 	}
@@ -81,8 +81,8 @@
 	_ = v.log.ChangeVoters(context, learn, promote, remove)
 }
 
-// isGone reports whether a voter has been inactive for so long that another replica may replace it. It keeps track of one such voter.
-func (v *voter) isGone(c *Core, replicaID uint64) bool {
+// isReplaceable reports whether a voter has been inactive for so long that another replica may replace it. It keeps track of one such voter.
+func (v *voter) isReplaceable(c *Core, replicaID uint64) bool {
 	leader := v.leadership
 	if v.log.IsActive(replicaID) {
 		leader.missing = missingVoter{0, c.now}
@@ -92,18 +92,18 @@
 		leader.missing = missingVoter{replicaID, c.now}
 		return false
 	}
-	return c.now-leader.missing.since >= voterGoneAfter
+	return c.now-leader.missing.since >= voterReplaceableAfter
 }
 
 // surplusVoter returns a voter that is not wanted, or nil if there is none. It returns the leader only if no other voter is unwanted.
 func (v *voter) surplusVoter() (surplus *Voter) {
 	for i := range v.table.Voters {
-		k := &v.table.Voters[i]
-		if slices.Contains(v.table.WantedVoters, k.Name) {
+		candidate := &v.table.Voters[i]
+		if slices.Contains(v.table.WantedVoters, candidate.Name) {
 			continue
 		}
-		if surplus == nil || k.ReplicaID != v.replicaID {
-			surplus = k
+		if surplus == nil || candidate.ReplicaID != v.replicaID {
+			surplus = candidate
 		}
 	}
 	return surplus
