--- a/internal/cluster/rollout/bootstrap.go
+++ b/internal/cluster/rollout/bootstrap.go
@@ -49,7 +49,7 @@
 	v.bootstrap(c, voters, Table{LeaseDuration: c.config.LeaseDuration, WantedVoters: slices.Clone(c.config.Voters)})
 }
 
-// logWaiting logs what this voter waits for, unless that is the last thing logged.
+// logWaiting logs what this voter waits for, unless it logged the same reason last.
 func (v *voter) logWaiting(c *Core, reason string, more ...any) {
 	if v.lastLoggedReason == reason {
 		return
--- a/internal/cluster/rollout/change.go
+++ b/internal/cluster/rollout/change.go
@@ -10,8 +10,8 @@
 	maxProgressBytes = 200
 	// waitingProposalLifetime is how long the leader keeps a proposal that waits for its text after the member last repeated it.
 	waitingProposalLifetime = 10 * second
-	// extraProposalTime and extraProposalLeases, a number of lease lengths, extend the time that a proposal may stay open, so that the
-	// leader can wait for old leases to expire and can retry the switch.
+	// extraProposalTime and extraProposalLeases, a number of lease lengths, extend the time for which a proposal may stay open, so that the
+	// leader can wait until old leases expire and can retry the switch.
 	extraProposalTime   = 10 * second
 	extraProposalLeases = 3
 )
@@ -149,7 +149,8 @@
 	v.confirmLeadership(c)
 }
 
-// exclude denies a member leases until the member has received a reply to a request that it sends after this call.
+// exclude denies a member leases until the member has received a reply to a request that it sends after this call. A decision also ends the
+// exclusion if the member's lease has ended.
 func (h *leaseHolder) exclude(c *Core, p *LoggedProposal) {
 	h.excluded, h.excludedSeq = true, h.seq
 	c.host.LogEvent(MemberExcluded, "member", h.name, "proposal", proposalName(p.ID))
@@ -195,8 +196,9 @@
 	return h.request.ReadyFor == p.ID && !h.excluded
 }
 
-// isPrepared reports whether the proposal need not wait for a member: either the member is ready and has the overlap that it needs, or
-// it is unreachable or excluded and can't hold a lease. It excludes a member that was not ready within PrepareTimeout.
+// isPrepared reports whether the proposal need not wait for a member. Either the member is ready and has the overlap that it needs, or it
+// is unreachable or excluded and can't hold a lease any more. In both cases it must not have the overlap of another proposal. isPrepared
+// excludes a member that was not ready within PrepareTimeout.
 func (v *voter) isPrepared(c *Core, h *leaseHolder, p *LoggedProposal) bool {
 	hasOtherOverlap := h.overlapClearAt > c.now && h.overlapWith != p.ID && c.config.Mutation != IgnoreOverlap
 	heard := v.hasRecentRequest(c, h)
--- a/internal/cluster/rollout/config.go
+++ b/internal/cluster/rollout/config.go
@@ -65,11 +65,11 @@
 	Overlap Time
 	// RehearsalLength is how long all gateways evaluate the policy on live requests before it is decided.
 	RehearsalLength Time
-	// RehearsalBounds are the limits that drop the proposal if the rehearsal exceeds them.
+	// RehearsalBounds are limits for the rehearsal. The proposal is dropped if the rehearsal exceeds them.
 	RehearsalBounds Bounds
 	// Probation is how long the policy may be rolled back automatically after it is decided.
 	Probation Time
-	// ProbationBounds are the limits that cause the rollback if the policy exceeds them during its probation.
+	// ProbationBounds are limits for the probation. The policy is rolled back if it exceeds them.
 	ProbationBounds Bounds
 	// Voters is unused: policies don't change the voters. Core.ReplaceVoters does.
 	Voters []string
--- a/internal/cluster/rollout/core.go
+++ b/internal/cluster/rollout/core.go
@@ -75,7 +75,7 @@
 	c.proposals = slices.DeleteFunc(c.proposals, func(p *localProposal) bool { return p.ended && c.now-p.sentAt > endedProposalLifetime })
 }
 
-// HandleMessage processes a message of another member. It returns an error that wraps ErrMalformedMessage if the message can't be decoded.
+// HandleMessage processes a message from a member. It returns an error that wraps ErrMalformedMessage if the message can't be decoded.
 func (c *Core) HandleMessage(now Time, from string, b []byte) error {
 	c.advanceClock(now)
 	m, err := decode(b)
--- a/internal/cluster/rollout/exploration.go
+++ b/internal/cluster/rollout/exploration.go
@@ -113,7 +113,7 @@
 	OverlapUntil     Time
 	Seq              uint32 // the latest request
 	AnsweredSeq      uint32 // the latest request that was answered
-	MinValidSeq      uint32 // replies to earlier requests are ignored
+	MinValidSeq      uint32 // leases in replies to earlier requests are ignored
 	Requests         [maxTrackedRequests]SentRequest
 }
 
--- a/internal/cluster/rollout/follower.go
+++ b/internal/cluster/rollout/follower.go
@@ -145,7 +145,8 @@
 	return next
 }
 
-// equals reports whether the host can skip an update from f to other. It ignores RehearsalID, which changes only with RehearsalDigest.
+// equals reports whether the host needs no update from f to other. It does not compare RehearsalID, on the assumption that RehearsalID
+// changes only together with RehearsalDigest.
 func (f *InForce) equals(other *InForce) bool {
 	return f.Era == other.Era && f.Number == other.Number && f.Digest == other.Digest && f.LeaseUntil == other.LeaseUntil &&
 		f.OverlapDigest == other.OverlapDigest && f.OverlapUntil == other.OverlapUntil && f.KnowsDecidedPolicy == other.KnowsDecidedPolicy &&
--- a/internal/cluster/rollout/host.go
+++ b/internal/cluster/rollout/host.go
@@ -72,7 +72,7 @@
 	ProposalDecided     EventCode = "decided"       // a proposal is in force
 	ProposalDropped     EventCode = "dropped"       // an open proposal has ended without coming into force
 	ProposalRejected    EventCode = "refused"       // a proposal was not opened
-	MemberExcluded      EventCode = "left_out"      // a member was not ready, or kept its lease, beyond the timeout
+	MemberExcluded      EventCode = "left_out"      // a member was not ready in time, or kept its lease too long
 	LogStarted          EventCode = "begun"         // the first voters have started the log
 	VotersChanged       EventCode = "voting"        // the set of voters has changed
 	VoterWaiting        EventCode = "waits"         // this process is meant to vote, but can't yet
--- a/internal/cluster/rollout/leadership.go
+++ b/internal/cluster/rollout/leadership.go
@@ -54,8 +54,8 @@
 	overlapSeq     uint32 // the latest request that was answered with an overlap
 	grantedSeq     uint32 // the latest request that was answered with a lease
 
-	// A member that was not ready, or kept its lease, beyond the timeout is excluded: it gets no lease until it has received a reply to a
-	// later request than excludedSeq.
+	// A member is excluded if it was not ready in time or kept its lease too long. It gets no lease until it has received a reply to a later
+	// request than excludedSeq, or until a proposal is decided after its lease has ended.
 	excluded    bool
 	excludedSeq uint32
 }
--- a/internal/cluster/rollout/message.go
+++ b/internal/cluster/rollout/message.go
@@ -152,10 +152,10 @@
 // replica of the log.
 type VoterHello struct {
 	ReplicaID  uint64 `cbor:"1,keyasint"`
-	Lease      Time   `cbor:"2,keyasint"`
+	Lease      Time   `cbor:"2,keyasint"` // the lease duration in the sender's table or, without a log, in its settings
 	Era        uint64 `cbor:"3,keyasint,omitempty"`
 	WithoutLog bool   `cbor:"4,keyasint,omitempty"` // the sender has no log yet
-	Reply      bool   `cbor:"5,keyasint,omitempty"`
+	Reply      bool   `cbor:"5,keyasint,omitempty"` // this hello answers one of the receiver, and needs no reply
 }
 
 // deterministic encodes equal values to equal bytes.
--- a/internal/cluster/rollout/status.go
+++ b/internal/cluster/rollout/status.go
@@ -33,7 +33,7 @@
 	SinceLastRequest Time
 	LeaseRemaining   Time // until its lease has certainly ended
 	Ready            bool // it can follow the open proposal
-	Excluded         bool // it was not ready, or kept its lease, beyond the timeout
+	Excluded         bool // it was not ready in time, or kept its lease too long
 	Reason           string
 }
 
--- a/internal/cluster/rollout/table.go
+++ b/internal/cluster/rollout/table.go
@@ -49,7 +49,7 @@
 	Digest          Digest       `cbor:"2,keyasint"`
 	Size            int          `cbor:"3,keyasint"`
 	Kind            ProposalKind `cbor:"4,keyasint"`
-	By              string       `cbor:"5,keyasint"`
+	By              string       `cbor:"5,keyasint"`           // the member that proposed it
 	BaseNumber      uint64       `cbor:"6,keyasint,omitempty"` // the number that must be in force when the proposal is opened; 0: any
 	RollbackTo      uint64       `cbor:"7,keyasint,omitempty"`
 	RehearsalLength Time         `cbor:"8,keyasint,omitempty"`
