--- a/internal/cluster/consensus/errors.go
+++ b/internal/cluster/consensus/errors.go
@@ -4,7 +4,7 @@
 
 // The errors that callers can distinguish with errors.Is.
 var (
-	// ErrNotLeader means that a node other than the leader was called to append an entry or to change the voters.
+	// ErrNotLeader means that a node that doesn't lead, or has stopped, was called to append an entry or to change the voters.
 	ErrNotLeader = errors.New("consensus: this node doesn't lead")
 	// ErrEntryTooLong means that an entry is longer than MaxEntryBytes.
 	ErrEntryTooLong = errors.New("consensus: the entry is too long")
--- a/internal/cluster/consensus/node_test.go
+++ b/internal/cluster/consensus/node_test.go
@@ -207,7 +207,7 @@
 	})
 }
 
-// heal ends all disturbances and starts all voters.
+// heal ends all faults and starts the voters that are not running.
 func (c *cluster) heal() {
 	c.isBlocked, c.loss = nil, 0
 	for _, v := range c.voters {
--- a/internal/cluster/rollout/config.go
+++ b/internal/cluster/rollout/config.go
@@ -7,7 +7,7 @@
 	"magpiebank/internal/admission"
 )
 
-// Time is a point on the caller's monotonic clock, or a length of time on it.
+// Time is a point in time on the caller's monotonic clock, or a duration.
 type Time = admission.Time
 
 const (
--- a/internal/cluster/rollout/host.go
+++ b/internal/cluster/rollout/host.go
@@ -57,7 +57,7 @@
 // EventCode identifies an event in the log; docs/policy.md lists the codes.
 type EventCode string
 
-// The events.
+// The events that a core logs.
 const (
 	LeaseAcquired       EventCode = "holding"       // this gateway got a lease on a policy that it held no lease on
 	LeaseExpired        EventCode = "lapsed"        // this gateway's lease has expired
--- a/internal/cluster/rollout/message.go
+++ b/internal/cluster/rollout/message.go
@@ -120,7 +120,7 @@
 // Outcome is the result of a proposal.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of proposals.
 const (
 	OutcomePending Outcome = iota
 	OutcomeDecided
--- a/internal/cluster/rollout/mutation.go
+++ b/internal/cluster/rollout/mutation.go
@@ -6,7 +6,7 @@
 // runs with NoMutation, because only testbed code and builds with the tag testbed set Config.Mutation.
 type Mutation uint8
 
-// The mutations.
+// The mutations of a core.
 const (
 	NoMutation         Mutation = iota
 	SwitchOnReady               // a member applies a proposal as soon as it is ready for it
--- a/internal/cluster/rollout/table.go
+++ b/internal/cluster/rollout/table.go
@@ -39,7 +39,7 @@
 	Size        int          `cbor:"3,keyasint"`
 	Kind        ProposalKind `cbor:"4,keyasint"`
 	ProposedBy  string       `cbor:"5,keyasint"`
-	UnixSeconds int64        `cbor:"6,keyasint"` // by the leader's wall clock
+	UnixSeconds int64        `cbor:"6,keyasint"` // when it was decided, by the leader's wall clock
 	RollbackTo  uint64       `cbor:"7,keyasint,omitempty"`
 }
 
--- a/internal/cluster/rollout/voter.go
+++ b/internal/cluster/rollout/voter.go
@@ -153,7 +153,8 @@
 	}
 }
 
-// announce sends a hello to the voters while this process should vote and doesn't yet.
+// announce sends a hello to the voters while this process should vote and doesn't yet. If the process has no log, announce also starts one
+// if that is possible.
 func (v *voter) announce(c *Core) {
 	if v.log != nil && v.isVoter(c) {
 		v.lastLoggedReason = ""
