--- a/internal/cluster/rollout/format_test.go
+++ b/internal/cluster/rollout/format_test.go
@@ -16,11 +16,11 @@
 func TestRecordsOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
 	t.Run("state", checkRecord[Table])
 	t.Run("entry", checkRecord[logEntry])
-	t.Run("floor", checkRecord[floorRecord])
+	t.Run("floor", checkRecord[lastPolicyRecord])
 	t.Run("birth", checkRecord[replicaRecord])
 }
 
-// checkRecord checks the record that the subtest is named after.
+// checkRecord checks the round trip of the record in the test file that the subtest is named after.
 func checkRecord[T any](t *testing.T) {
 	t.Helper()
 	name := path.Base(t.Name())
