--- a/internal/cluster/rollout/change.go
+++ b/internal/cluster/rollout/change.go
@@ -233,7 +233,7 @@
 	leader, p := v.leadership, v.table.Proposal
 	switch {
 	case leader.votersBehind:
-		return "behind: a gateway has applied a later policy than the voters know; resolve this with policy force"
+		return "behind: somebody has gone by more than the voters know; policy force is the way out"
 	case p == nil && v.table.Probation != nil:
 		return fmt.Sprintf("number %d is on probation", v.table.Number)
 	case p == nil:
--- a/internal/cluster/rollout/probation.go
+++ b/internal/cluster/rollout/probation.go
@@ -33,7 +33,7 @@
 // bound is exceeded.
 func (b Bounds) describeExceeded(counts RequestCounts) string {
 	describe := func(decision string, share, bound float64) string {
-		return fmt.Sprintf("%.3f of the requests %s, at most %.3f may be", share, decision, bound)
+		return fmt.Sprintf("%.3f of the tasks %s, at most %.3f may be", share, decision, bound)
 	}
 	rejected, shed := ratio(counts.Rejected, counts.Requests), ratio(counts.Shed, counts.Requests)
 	switch {
@@ -49,7 +49,7 @@
 func (v *voter) rehearsalReport(p *LoggedProposal, text *policyText) (report string, exceeded bool) {
 	list := v.countsFor(p.ID)
 	total := sumCounts(list)
-	report = fmt.Sprintf("rehearsed by %d members: of %d requests %d classed, %d refused and %d held that the policy in force doesn't refuse or hold", len(list), total.Requests, total.Classified, total.Rejected, total.Shed)
+	report = fmt.Sprintf("rehearsed by %d members: of %d tasks %d classed, %d refused and %d held that are not now", len(list), total.Requests, total.Classified, total.Rejected, total.Shed)
 	if text == nil || text.parameters.RehearsalBounds == (Bounds{}) || total.Requests < minRequestsForBounds {
 		return report, false
 	}
