--- a/cmd/magpiebank-operator/explain.go
+++ b/cmd/magpiebank-operator/explain.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	explainEstimate(out, &estimate)
-	subject := resourcegroup.Subject{RequestClass: requestClass, Features: features, Estimate: estimate}
+	subject := resourcegroup.ClassificationInput{RequestClass: requestClass, Features: features, Estimate: estimate}
 	explainClass(out, &s.Plan, s.Plan.Classify(&subject))
 	return nil
 }
--- a/cmd/magpiebank-operator/rules.go
+++ b/cmd/magpiebank-operator/rules.go
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// SaveLearned keeps what was learned of statements.
-func (r *rules) SaveLearned() {
+// SaveCostModel keeps what was learned of statements.
+func (r *rules) SaveCostModel() {
 	if r.manager != nil {
 		r.manager.SaveSnapshot()
 	}
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -29,8 +29,8 @@
 	Peers() router.Peers
 	// Reload reads the operator's file again. If it returns an error the rules stay as they are.
 	Reload() error
-	// SaveLearned writes what was learned of statements to where the operator's file says.
-	SaveLearned()
+	// SaveCostModel writes what was learned of statements to where the operator's file says.
+	SaveCostModel()
 }
 
 // Program is one of the programs that share the command line.
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -72,7 +72,7 @@
 		options.ResourceGroups, options.Peers = rules.ResourceGroups(), rules.Peers()
 		signals.catchSave()
 		go signals.saveOnRequest(rules)
-		defer rules.SaveLearned()
+		defer rules.SaveCostModel()
 	}
 	stop, reloads := make(chan struct{}), make(chan *config.Config)
 	go signals.awaitStop(stop)
@@ -136,7 +136,7 @@
 	for {
 		select {
 		case <-s.save:
-			rules.SaveLearned()
+			rules.SaveCostModel()
 		case <-s.released:
 			return
 		}
--- a/internal/resourcegroup/plan.go
+++ b/internal/resourcegroup/plan.go
@@ -78,8 +78,8 @@
 	return schema && name
 }
 
-// Subject is what the conditions of classes are applied to.
-type Subject struct {
+// ClassificationInput is what the conditions of classes are applied to.
+type ClassificationInput struct {
 	RequestClass string
 	Features     *costmodel.Features
 	Estimate     costmodel.Estimate
@@ -87,7 +87,7 @@
 
 // Classify returns the number of the first class whose conditions hold, counted from 1, or 0. It only reads the plan, and so may
 // be called by any goroutine.
-func (p *Plan) Classify(subject *Subject) int {
+func (p *Plan) Classify(subject *ClassificationInput) int {
 	for i := range p.Classes {
 		if p.Classes[i].Conditions.match(subject) {
 			return i + 1
@@ -96,11 +96,11 @@
 	return 0
 }
 
-func (c *Conditions) match(subject *Subject) bool {
+func (c *Conditions) match(subject *ClassificationInput) bool {
 	return c.matchFeatures(subject) && c.matchEstimate(&subject.Estimate) && c.matchTables(subject.Features)
 }
 
-func (c *Conditions) matchFeatures(subject *Subject) bool {
+func (c *Conditions) matchFeatures(subject *ClassificationInput) bool {
 	features := subject.Features
 	switch {
 	case len(c.RequestClasses) > 0 && !slices.Contains(c.RequestClasses, subject.RequestClass),
--- a/internal/resourcegroup/plan_test.go
+++ b/internal/resourcegroup/plan_test.go
@@ -24,7 +24,7 @@
 			for range 8 {
 				model.Observe(&inspected, cost, 0)
 			}
-			n := plan.Classify(&Subject{"look", inspected.Features(), model.Estimate(&inspected)})
+			n := plan.Classify(&ClassificationInput{"look", inspected.Features(), model.Estimate(&inspected)})
 			fmt.Printf("%d ", n)
 		}
 		fmt.Println(sql)
--- a/internal/testbed/load/classification/delay.go
+++ b/internal/testbed/load/classification/delay.go
@@ -70,12 +70,12 @@
 	}
 	histogram := hdrhistogram.New(1, int64(10*time.Second), 3)
 	delay := Delay{Name: name}
-	var subject resourcegroup.Subject
+	var subject resourcegroup.ClassificationInput
 	for number := range count {
 		sql := text(number)
 		startedAt := time.Now()
 		statement := model.Inspect(sql, mysql.TableGroup(sql), 0)
-		subject = resourcegroup.Subject{Features: statement.Features(), Estimate: model.Estimate(&statement)}
+		subject = resourcegroup.ClassificationInput{Features: statement.Features(), Estimate: model.Estimate(&statement)}
 		plan.Classify(&subject)
 		took := time.Since(startedAt)
 		if isTimed(number) {
--- a/internal/workload/reader.go
+++ b/internal/workload/reader.go
@@ -15,7 +15,7 @@
 type StatementReader struct {
 	manager   *Manager
 	query     costmodel.Query
-	subject   resourcegroup.Subject
+	subject   resourcegroup.ClassificationInput
 	plan      *resourcegroup.Plan // that planClass is of, where the operator's file is in force
 	planClass int                 // number in the plan in force, from 1; 0: none
 
@@ -40,7 +40,7 @@
 func (r *StatementReader) ReadStatement(sql []byte, requestClass, tables int) {
 	model := r.manager.costModel
 	r.query = model.Inspect(sql, tables, requestClass)
-	r.subject = resourcegroup.Subject{
+	r.subject = resourcegroup.ClassificationInput{
 		RequestClass: r.manager.requestClasses[requestClass],
 		Features:     r.query.Features(),
 		Estimate:     model.Estimate(&r.query),
