--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -26,7 +26,7 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 	} {
 		r, err := ParseResponse([]byte(b))
-		fmt.Printf("%d %q of %d, %d more, last %v, %v\n", r.Status, r.Body, r.Length, len(b)-r.Length, r.Last, err)
+		fmt.Printf("%d %q of %d, %d more, last %v, %v\n", r.Status, r.Body, r.Length, len(b)-r.Length, r.ClosesConnection, err)
 	}
 	// Output:
 	// 200 "hello" of 43, 4 more, last false, <nil>
--- a/internal/protocol/discovery/response.go
+++ b/internal/protocol/discovery/response.go
@@ -29,10 +29,10 @@
 
 // Response is an HTTP response.
 type Response struct {
-	Status int
-	Body   []byte // it may lie in the bytes that were parsed
-	Length int    // bytes that the response takes; 0: it has not arrived completely
-	Last   bool   // the server closes the connection after it
+	Status           int
+	Body             []byte // it may lie in the bytes that were parsed
+	Length           int    // bytes that the response takes; 0: it has not arrived completely
+	ClosesConnection bool   // the server closes the connection after it
 }
 
 // ParseResponse parses the response at the start of b. The error is ErrMalformedResponse.
@@ -48,7 +48,7 @@
 	if err != nil {
 		return Response{}, err
 	}
-	response := Response{Status: header.status, Last: header.last}
+	response := Response{Status: header.status, ClosesConnection: header.last}
 	bodyStart := end + len(headerEnd)
 	switch {
 	case header.chunked:
--- a/internal/protocol/mysql/query.go
+++ b/internal/protocol/mysql/query.go
@@ -21,7 +21,7 @@
 	ErrKey              = errors.New("field key: expected 16 hex digits in lower case")
 	ErrCost             = errors.New("field cost: expected milliseconds of 0 or more")
 	ErrMemory           = errors.New("field mb: expected megabytes of 0 or more")
-	ErrField            = errors.New("a field stands twice, or is none of class, id, wait, retry=1, tenant, key, once, cost and mb")
+	ErrUnexpectedField  = errors.New("a field stands twice, or is none of class, id, wait, retry=1, tenant, key, once, cost and mb")
 	ErrText             = errors.New("expected the text of one statement")
 )
 
@@ -86,7 +86,7 @@
 		return setOnce(&r.ID, value)
 	case "wait":
 		if r.WaitMS != 0 {
-			return ErrField
+			return ErrUnexpectedField
 		}
 		r.WaitMS, err = strconv.ParseInt(string(value), 10, 32)
 		if err != nil {
@@ -94,7 +94,7 @@
 		}
 	case "retry":
 		if r.Retry || string(value) != "1" {
-			return ErrField
+			return ErrUnexpectedField
 		}
 		r.Retry = true
 	case "tenant":
@@ -117,7 +117,7 @@
 	case "mb":
 		return setEstimate(&r.MemoryMB, value, ErrMemory)
 	default:
-		return ErrField
+		return ErrUnexpectedField
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 // setOnce sets a field that may stand only once.
 func setOnce(field *[]byte, value []byte) error {
 	if *field != nil {
-		return ErrField
+		return ErrUnexpectedField
 	}
 	*field = value
 	return nil
@@ -134,7 +134,7 @@
 // setEstimate sets a field that is an amount and may stand only once.
 func setEstimate(field *float64, value []byte, malformed error) error {
 	if *field != 0 {
-		return ErrField
+		return ErrUnexpectedField
 	}
 	amount, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || !(amount >= 0 && amount <= maxEstimate) {
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -111,7 +111,7 @@
 	case len(r.Tenant) > 0 && !slices.Contains(network.Tenants, string(r.Tenant)):
 		return mysql.ErrTenant
 	case len(r.IdempotencyToken) > 0 && deployment.Classes[class].RepeatEffect != admission.Deduplicated:
-		return mysql.ErrField
+		return mysql.ErrUnexpectedField
 	}
 	return nil
 }
--- a/internal/router/watcher.go
+++ b/internal/router/watcher.go
@@ -224,7 +224,7 @@
 			}
 			useful = true
 		}
-		if response.Last {
+		if response.ClosesConnection {
 			return useful, "closed"
 		}
 		if !pollStatusOK(response.Status) {
@@ -257,7 +257,7 @@
 		}
 		if response.Length > 0 {
 			if response.Length < len(c.buffer) || c.reader.Buffered() > 0 {
-				response.Last = true // the surplus bytes answer no poll, and would be mistaken for the answer to the next one
+				response.ClosesConnection = true // the surplus bytes answer no poll, and would be mistaken for the answer to the next one
 			}
 			return response, ""
 		}
