--- a/internal/cluster/counters/core.go
+++ b/internal/cluster/counters/core.go
@@ -1,8 +1,8 @@
-// Package counters counts what runs, waits and was attempted over the whole fleet. Every process tells the others, now and
-// then, between which bounds its own counts lay over the last seconds. A reading is taken as of an instant that these times
-// cover, and is an interval in which the true sum lay at that instant. A process whose report does not cover it may have
-// had anything up to the most that one process has in flight: a member that receives nothing reads wide intervals, never
-// wrong ones. The package does no I/O. docs/counts.md has the rules, and why they hold.
+// Package counters counts the running requests, waiting requests and attempts of the whole cluster. Every process regularly reports to
+// the others the minimum and maximum of its own counts over the last seconds. A reading applies to an instant that these reports cover.
+// It is an interval that contains the true sum at that instant. A process whose report does not cover the instant may have had any number
+// of requests, up to the maximum that one process may have in flight. So a member that receives nothing reads wide intervals, but never
+// wrong ones. The package does no I/O. docs/counts.md has the rules and the reasons why they are correct.
 package counters
 
 import (
@@ -14,38 +14,42 @@
 	"magpiebank/internal/admission"
 )
 
-// Time is a point on the caller's monotonic clock.
+// Time is a time on the caller's monotonic clock, or a duration.
 type Time = admission.Time
 
 const (
-	// Each round goes to so many others in turn: at 500 members each receives as many reports a second.
+	// fanOut is the number of peers that a round reports to; the next round reports to the next peers. At 500 members, each member
+	// receives 16 reports per round.
 	fanOut = 16
-	// Rounds are half a second apart: a count is half a second and the delay old, at some hundreds of bytes a second.
+	// roundInterval is the time between two rounds. If a round reaches all peers, a count is as old as half a second plus the message
+	// delay, at a few hundred bytes per second.
 	roundInterval = admission.Second / 2
-	// A report covers three turns through all others, so that two messages may be lost before a member is unknown.
+	// coveredTurns is the number of cycles through all peers that a report covers. With three, two messages may be lost before the
+	// counts of a member are unknown.
 	coveredTurns = 3
-	// The time that is reported is kept in so many slots and the one that is being filled.
+	// The time that a report covers is divided into slotCount slots, besides the current one.
 	slotCount = 8
-	// Clocks run at most one part in twenty fast or slow; two differ by less than one part in eight.
+	// driftDivisor limits how fast two clocks drift apart: by less than one part in eight, as each is fast or slow by at most one part
+	// in twenty.
 	driftDivisor = 8
-	// maxPeers bounds the processes that are known.
+	// maxPeers limits the processes whose reports are stored.
 	maxPeers = 1024
 )
 
 // Kind is a kind of key.
 type Kind uint8
 
-// The kinds.
+// The kinds of keys.
 const (
 	KindAll         Kind = iota // all requests
-	KindClass                   // those of a class
-	KindPolicyClass             // those of a class of the operator's policy
-	KindEngine                  // those on an engine
+	KindClass                   // the requests of a class
+	KindPolicyClass             // the requests of a class defined by the operator's policy
+	KindEngine                  // the requests on an engine
 )
 
 func (k Kind) String() string { return [...]string{"all", "lane", "class", "engine"}[k] }
 
-// Key is what is counted by.
+// Key identifies a set of requests that are counted together.
 type Key struct {
 	Kind Kind
 	Name string
@@ -58,7 +62,7 @@
 	return h.Sum32()
 }
 
-// The figures of a key: requests that wait, requests that run, and attempts since the process's start.
+// The metrics of a key: waiting requests, running requests, and attempts since the start of the process.
 const (
 	Waiting = iota
 	Running
@@ -66,22 +70,22 @@
 	figureCount
 )
 
-// Host is what a core acts on.
+// Host sends a core's messages and lists its peers.
 type Host interface {
 	Send(to string, message []byte)
-	Peers() []string // names of the other members that are alive
+	Peers() []string // names of the other live members
 }
 
-// Options are what a process begins with.
+// Options configures a new core.
 type Options struct {
 	Name           string
-	Processes      int   // that the fleet may have
-	MaxInFlight    int64 // requests that one process has in flight at most; 0: not bounded
-	LongestRequest Time  // how long a request is in flight at most
+	Processes      int   // number of processes that the cluster may have
+	MaxInFlight    int64 // maximum number of requests in flight at one process; 0: unlimited
+	LongestRequest Time  // maximum time that a request is in flight
 	Host           Host
 }
 
-// Core is one process's part. Its calls may come from two goroutines.
+// Core counts for one process. It is safe for concurrent use.
 type Core struct {
 	mu      sync.Mutex
 	options Options
@@ -92,12 +96,12 @@
 	slots    slots
 
 	nextRoundAt   Time
-	nextRecipient int // where the peers that are sent to next begin
-	peers         []peer
+	nextRecipient int    // counter that selects the first peer of the next round
+	peers         []peer // by name
 	ended         []endedProcess
 }
 
-// counter is a key's own counts.
+// counter holds this process's own counts of a key.
 type counter struct {
 	key     Key
 	hash    uint32
@@ -105,24 +109,24 @@
 	bounds  [slotCount + 1]bounds // by slot
 }
 
-// bounds are the least and the greatest counts within a slot.
+// bounds holds the minimum and maximum of each metric within a slot.
 type bounds struct{ low, high [figureCount]int64 }
 
-// slots are the times for which the bounds of own counts are kept. They are filled one after the other, and used again.
+// slots is a ring buffer of the time slots for which the bounds of own counts are stored.
 type slots struct {
 	start   [slotCount + 1]Time
-	current int // that is being filled
-	filled  int // that hold anything
-	length  Time
+	current int  // index of the slot that contains the current time
+	filled  int  // number of slots in use
+	length  Time // minimum length of a slot
 }
 
-// oldest returns from when on the own counts are known.
+// oldest returns the start of the oldest slot. Own counts are known from that time on.
 func (s *slots) oldest() Time { return s.start[s.before(s.filled-1)] }
 
-// before returns the index of the slot so many before the current one.
+// before returns the index of the slot that is n slots before the current one.
 func (s *slots) before(n int) int { return (s.current - n + len(s.start)) % len(s.start) }
 
-// New begins a process's part, with nothing in flight.
+// New returns the core of a process that has just started, with no requests.
 func New(now Time, o Options) *Core {
 	c := &Core{options: o, now: now, byKey: map[Key]int{}, slots: slots{filled: 1, length: reportedWindow(0) / slotCount}, nextRoundAt: now}
 	c.slots.start[0] = now
@@ -130,7 +134,7 @@
 	return c
 }
 
-// reportedWindow returns the time that a report covers, by how many others there are.
+// reportedWindow returns how much time a report covers, given the number of peers.
 func reportedWindow(others int) Time { return coveredTurns * roundInterval * Time(1+others/fanOut) }
 
 func (c *Core) counterOf(k Key) *counter {
@@ -143,13 +147,13 @@
 	return &c.counters[i]
 }
 
-// Change is by how much a key's figures change.
+// Change is a change of a key's metrics.
 type Change struct {
 	Key
 	Delta [figureCount]int64
 }
 
-// ApplyChanges takes in changes that happen at once.
+// ApplyChanges applies changes that happen at the same time.
 func (c *Core) ApplyChanges(now Time, changes ...Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,14 +168,14 @@
 	}
 }
 
-// OwnCounts returns what this process has of a key.
+// OwnCounts returns this process's own counts of a key.
 func (c *Core) OwnCounts(k Key) [figureCount]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counterOf(k).current
 }
 
-// ListKeys returns the keys of a kind that this process counts by, by name.
+// ListKeys returns the keys of a kind that this process has used, sorted by name.
 func (c *Core) ListKeys(kind Kind) (out []Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +188,7 @@
 	return out
 }
 
-// advance has time go on, and the next slot be filled after the length of one.
+// advance moves the clock forward, and starts the next slot when the current one is long enough.
 func (c *Core) advance(now Time) {
 	c.now = max(c.now, now)
 	s := &c.slots
@@ -200,7 +204,7 @@
 	}
 }
 
-// ownRanges returns a key's bounds from one time to another, as wide as the slots are long.
+// ownRanges returns a key's bounds between two times. They cover whole slots, so they may be wider than the counts between the two times.
 func (c *Core) ownRanges(own *counter, from, to Time) (ranges [figureCount]Range) {
 	first := true
 	for n := range c.slots.filled {
@@ -222,7 +226,7 @@
 	return ranges
 }
 
-// Tick is the timer: each round it reports the own counts to the next of the others.
+// Tick does the periodic work: in each round, it reports the own counts to the next peers.
 func (c *Core) Tick(now Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/counters/core_test.go
+++ b/internal/cluster/counters/core_test.go
@@ -12,13 +12,13 @@
 
 const second = admission.Second
 
-// recordingHost keeps the last message to each member.
+// recordingHost is a host that stores the last message to each member.
 type recordingHost struct{ sent map[string][]byte }
 
 func (p *recordingHost) Send(to string, m []byte) { p.sent[to] = m }
 func (p *recordingHost) Peers() []string          { return []string{"g0", "g1", "g2"} }
 
-// testFleet is some processes, and the readings of the first.
+// testFleet is a cluster of processes, and a text of the readings of the first one.
 type testFleet struct {
 	hosts []*recordingHost
 	cores []*Core
@@ -40,7 +40,7 @@
 	}
 }
 
-// playRound delivers the messages of all to all, but for some processes that are cut off from all.
+// playRound delivers the messages of all processes to all others, except for those to and from the processes that are cut off.
 func (f *testFleet) playRound(now Time, cut ...int) {
 	for i, c := range f.cores {
 		c.Tick(now)
@@ -88,8 +88,9 @@
   all waits {0 0} runs {0 0} handed {0 0}
 `
 
-// A member that is cut off widens the interval, one that leaves has nothing, one that was started anew counts twice until the requests of
-// the earlier process are surely over.
+// Guards against intervals that do not contain the true counts when processes are cut off, stop or restart. A member that is cut off widens
+// the interval. A member that has left has no requests. A restarted member counts as two processes until the requests of the
+// earlier process have certainly ended.
 func TestReadingsHoldTheTruth(t *testing.T) {
 	f := newTestFleet(3)
 	engine := Key{KindEngine, "e-1"}
@@ -137,11 +138,11 @@
 	}
 	f.writeReading(at, "five seconds later")
 	if got := f.out.String(); got != expectedReadings {
-		t.Errorf("got\n%s", got)
+		t.Errorf("readings differ, got\n%s", got)
 	}
 }
 
-// Messages that come again, late or in another order change nothing.
+// Messages that are delivered again, late or in another order change nothing.
 func TestMessagesCountAlikeInAnyOrder(t *testing.T) {
 	f := newTestFleet(3)
 	var messages [][]byte
@@ -163,9 +164,9 @@
 	}
 }
 
-// What a message says of two clocks is as old as the message that it echoes: the sender's clock runs a twentieth fast, the
-// receiver's a twentieth slow, and for ten seconds messages go one way only. The waiting requests that it had are not read
-// as of a time when they were gone.
+// Guards against readings that assign old counts to a later time because the clock offset comes from an old echo. The sender's clock runs a
+// twentieth fast, the receiver's a twentieth slow, and from 10 s to 21 s messages arrive in one direction only. The sender's waiting
+// requests must not be read for a time after they ended.
 func TestOldClockEchoesDoNotDateCountsTooLate(t *testing.T) {
 	post := func() *recordingHost { return &recordingHost{map[string][]byte{}} }
 	mine, theirs := post(), post()
@@ -188,12 +189,12 @@
 		}
 		r := receiver.TakeReading(slow(t0), Key{})
 		if at := t0 - r.Age*20/19; at > gone+second/50 && r.Counts[0].Ranges[Waiting].Low > 0 {
-			t.Fatalf("as of %.2f s %v requests are read that wait, which ended at %.2f s", float64(at)/float64(second), r.Counts[0].Ranges[Waiting], float64(gone)/float64(second))
+			t.Fatalf("the reading for %.2f s has %v waiting requests, but they ended at %.2f s", float64(at)/float64(second), r.Counts[0].Ranges[Waiting], float64(gone)/float64(second))
 		}
 	}
 }
 
-// Counts that don't fit are not taken for 0.
+// Counts that do not fit into a message are read as unknown, not as 0.
 func TestCountersThatDoNotFitAreUnknown(t *testing.T) {
 	f := newTestFleet(3)
 	for i := range 300 {
@@ -202,11 +203,11 @@
 	f.playRound(roundInterval)
 	f.playRound(2 * roundInterval)
 	if n := len(f.hosts[1].sent["g0"]); n > MaxMessageBytes {
-		t.Errorf("%d bytes", n)
+		t.Errorf("the message is too long: %d bytes", n)
 	}
 	r := f.cores[0].TakeReading(2*roundInterval, Key{KindEngine, "e-0"}, Key{KindEngine, "e-299"})
 	if got := fmt.Sprint(r.Counts[0].Ranges[Running], r.Counts[1].Ranges[Running]); got != "{0 1} {0 100}" {
-		t.Errorf("runs %s", got)
+		t.Errorf("running requests: got %s", got)
 	}
 }
 
@@ -216,7 +217,7 @@
 	f.Add(c.encodeMessage("g1"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if m, err := decode(b); err != nil && (m.until != 0 || m.counts != nil) {
-			t.Fatal("part of it was used")
+			t.Fatal("decode returned a partial message with an error")
 		}
 	})
 }
@@ -230,7 +231,7 @@
 	}
 }
 
-// receive takes in a message that must be readable.
+// receive makes a core process a message that must be valid.
 func receive(t *testing.T, c *Core, now Time, from string, incarnation uint64, message []byte) {
 	t.Helper()
 	if err := c.HandleMessage(now, from, incarnation, message); err != nil {
@@ -238,7 +239,8 @@
 	}
 }
 
-// newTestCore begins process n of a fleet of so many, whose processes have up to 100 requests in flight for up to four seconds.
+// newTestCore returns the core of process n in a cluster of the given number of processes. A process has up to 100 requests in flight, each
+// for up to four seconds.
 func newTestCore(now Time, n, processes int, host Host) *Core {
 	return New(now, Options{Name: fmt.Sprint("g", n), Processes: processes, MaxInFlight: 100, LongestRequest: 4 * second, Host: host})
 }
--- a/internal/cluster/counters/format_test.go
+++ b/internal/cluster/counters/format_test.go
@@ -14,7 +14,7 @@
 	golden.CheckValues(t, "counts", []any{m.until, m.length, m.maxInFlight, m.complete, m.counts, m.echoedClock, m.echoReceivedAt})
 }
 
-// The earlier version wrote the message with these very steps.
+// The earlier version produced the file by exactly these steps.
 func TestMessageIsWrittenAsByEarlierVersion(t *testing.T) {
 	f := newTestFleet(2)
 	at := Time(0)
--- a/internal/cluster/counters/message.go
+++ b/internal/cluster/counters/message.go
@@ -5,44 +5,45 @@
 	"errors"
 )
 
-// MaxMessageBytes is the length of the longest message. Counts that do not fit are not sent, and the receiver knows that some are missing.
+// MaxMessageBytes is the maximum length of a message. Counts that do not fit are left out, and a flag notifies the receiver of this.
 const MaxMessageBytes = 1000
 
 const (
 	version        = 1
-	headBytes      = 2 // version and whether all counts fitted
+	headBytes      = 2 // version, and whether all counts fitted
 	hashBytes      = 4
 	maxNumber      = 1 << 50
 	incomplete     = 0
 	allCountsAreIn = 1
 )
 
-// ErrMessage reports bytes that are no message of this version.
-var ErrMessage = errors.New("counters: no message of this version")
+// ErrMessage is returned for bytes that are not a valid message of this version.
+var ErrMessage = errors.New("counters: not a valid message of this version")
 
-// report is what a process reports of its own counts.
+// report is a process's report of its own counts over a time window.
 type report struct {
-	until       Time // by its clock, the end of the time that is covered
-	length      Time // of that time
+	until       Time // end of the window, on the clock of the reporting process
+	length      Time // length of the window
 	maxInFlight int64
-	complete    bool // all its keys fitted
+	complete    bool // the counts of all keys fitted into the message
 	counts      []reportedCount
 }
 
-// reportedCount is the bounds of one key's figures.
+// reportedCount holds the bounds of one key's metrics.
 type reportedCount struct {
-	hash   uint32
+	hash   uint32 // hash of the key
 	ranges [figureCount]Range
 }
 
-// message is a message that was read. The echo is of the last message that the sender received from this process.
+// message is a decoded message. The echo refers to the last message that the sender received from this process.
 type message struct {
 	report
-	echoedClock    Time // this process's clock, as that message had it
-	echoReceivedAt Time // by the sender's clock
+	echoedClock    Time // when this process sent that message, on its own clock
+	echoReceivedAt Time // when the sender received that message, on the sender's clock
 }
 
-// encodeMessage reports the own bounds to a peer, and echoes its last message, by which it knows how the two clocks differ.
+// encodeMessage encodes a report of the own bounds to a peer. It also echoes the peer's last message, from which the peer learns how the
+// two clocks differ.
 func (c *Core) encodeMessage(to string) []byte {
 	b := []byte{version, allCountsAreIn}
 	oldest := c.slots.oldest()
@@ -73,7 +74,7 @@
 	return b
 }
 
-// decode reads a message, whole or not at all.
+// decode decodes a message. If any part is invalid, it returns an empty message and ErrMessage.
 func decode(b []byte) (message, error) {
 	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version || b[1] > allCountsAreIn {
 		return message{}, ErrMessage
@@ -92,7 +93,7 @@
 	return m, nil
 }
 
-// reader reads values from what is left of a message, and zeros once a read has failed.
+// reader reads values from the rest of a message. After a failed read it returns zeros.
 type reader struct {
 	b      []byte
 	failed bool
--- a/internal/cluster/counters/mutation_off.go
+++ b/internal/cluster/counters/mutation_off.go
@@ -2,5 +2,5 @@
 
 package counters
 
-// trustOldCounts is a mutation by which tests prove that their checks find it. An ordinary build has none.
+// trustOldCounts is a mutation. Tests enable it to show that their checks find it. It is off in an ordinary build.
 const trustOldCounts = false
--- a/internal/cluster/counters/mutation_testbed.go
+++ b/internal/cluster/counters/mutation_testbed.go
@@ -7,5 +7,5 @@
 	"strings"
 )
 
-// trustOldCounts is a mutation by which tests prove that their checks find it: what was reported last is taken for what is.
+// trustOldCounts is a mutation: the last reported counts are treated as current. Tests enable it to show that their checks find it.
 var trustOldCounts = strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "trusts-old")
--- a/internal/cluster/counters/peer.go
+++ b/internal/cluster/counters/peer.go
@@ -5,40 +5,41 @@
 	"strings"
 )
 
-// peer is what was last received of another process.
+// peer holds the last report of another process.
 type peer struct {
 	name        string
 	incarnation uint64
-	report      report // until is below 0 before the first
+	report      report // its field until is below 0 before the first report
 	receivedAt  Time
 	offset      clockOffset
-	stopped     bool // gracefully: it has nothing in flight
+	stopped     bool // it stopped gracefully and has no requests in flight
 }
 
-// endedProcess is one that another took the place of. It may have had anything until its last request has surely ended.
+// endedProcess is a process that was replaced by a later one of its name. It may have any number of requests in flight until the last of
+// them has certainly ended.
 type endedProcess struct {
 	name        string
 	maxInFlight int64
-	until       Time
+	until       Time // when its last request has certainly ended
 }
 
-// clockOffset is what is known of this process's clock less a peer's.
+// clockOffset holds the known limits of the difference between this process's clock and a peer's clock, and the times at which they held.
 type clockOffset struct {
 	most, mostAt   Time
 	least, leastAt Time
 	leastKnown     bool
 }
 
-// mostFor returns the greatest offset at a time, as the clocks may have drifted since it was known.
+// mostFor returns the maximum offset at a time. It allows for drift since the time at which the limit held.
 func (o *clockOffset) mostFor(t Time) Time { return o.most + abs(t-o.mostAt)/driftDivisor + 1 }
 
-// leastFor returns the least offset at a time.
+// leastFor returns the minimum offset at a time. It allows for drift since the time at which the limit held.
 func (o *clockOffset) leastFor(t Time) Time { return o.least - abs(t-o.leastAt)/driftDivisor - 1 }
 
 func abs(t Time) Time { return max(t, -t) }
 
-// update takes in the clocks of a message: the peer's as it sent it, and the echo of an earlier message of this process.
-// The echo is as of when that message was sent, which may be long ago.
+// update updates the limits from the clocks in a message: the peer's clock when it sent the message, and the echo of an earlier message of
+// this process. The limit from the echo held when that earlier message was sent, which may be long ago.
 func (o *clockOffset) update(now Time, m *message, isFirst bool) {
 	most := now - m.until
 	if isFirst || most <= o.most+(now-o.mostAt)/driftDivisor {
@@ -65,8 +66,8 @@
 	return &c.peers[i]
 }
 
-// HandleMessage takes in a message of a process, whole or not at all. One older than the last changes nothing. The error is ErrMessage if
-// it cannot be read.
+// HandleMessage processes a message from another process. A message older than the last one changes nothing. For an invalid message,
+// it returns ErrMessage and changes nothing.
 func (c *Core) HandleMessage(now Time, from string, incarnation uint64, b []byte) error {
 	m, err := decode(b)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return peer{name: name, incarnation: incarnation, report: report{until: -1}}
 }
 
-// MarkStopped takes in that a process has stopped gracefully: it has nothing in flight.
+// MarkStopped records that a process has stopped gracefully and has no requests in flight.
 func (c *Core) MarkStopped(name string, incarnation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// ForgetProcess takes in that no process has a name any more.
+// ForgetProcess removes the report of the process with a name, because no process has that name any more.
 func (c *Core) ForgetProcess(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/counters/reading.go
+++ b/internal/cluster/counters/reading.go
@@ -1,6 +1,6 @@
 package counters
 
-// Range is an interval. A High below 0 is not bounded.
+// Range is an interval. A High below 0 means that there is no upper limit.
 type Range struct{ Low, High int64 }
 
 func (r *Range) add(o Range) {
@@ -12,10 +12,10 @@
 	}
 }
 
-// KeyCounts is what is known of a key.
+// KeyCounts holds the intervals of a key's counts over the whole cluster.
 type KeyCounts struct {
 	Key
-	Ranges [figureCount]Range // by figure
+	Ranges [figureCount]Range // by metric
 }
 
 func (k *KeyCounts) add(ranges [figureCount]Range) {
@@ -24,21 +24,21 @@
 	}
 }
 
-// Reading is what is known of the fleet as of one instant.
+// Reading holds the counts of the whole cluster at one instant.
 type Reading struct {
-	Age     Time // of that instant
-	Known   int  // processes whose counts are known for it, this one among them
-	Unknown int  // processes that may have had anything, up to the most that one has in flight
+	Age     Time // age of that instant
+	Known   int  // number of processes whose counts at that instant are known, including this one
+	Unknown int  // number of processes that may have had any number of requests, up to the maximum in flight at one process
 	Counts  []KeyCounts
 }
 
-// TakeReading reads some keys, as of the latest instant that all processes that reported lately cover.
+// TakeReading reads the counts of some keys at the latest instant that the reports of all processes that reported recently cover.
 func (c *Core) TakeReading(now Time, keys ...Key) Reading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.advance(now)
 	t := c.commonInstant()
-	silent := max(0, c.options.Processes-1-len(c.peers)) // processes of which nothing was ever received
+	silent := max(0, c.options.Processes-1-len(c.peers)) // number of processes that no report was received from
 	out := Reading{Age: c.now - t, Known: 1, Unknown: len(c.ended) + silent}
 	covered := make([]bool, len(c.peers))
 	for i := range c.peers {
@@ -59,14 +59,14 @@
 			counts.add(unknownRanges(c.ended[i].maxInFlight, 0))
 		}
 		for range silent {
-			counts.add(unknownRanges(c.options.MaxInFlight, 0)) // all have the same program and settings
+			counts.add(unknownRanges(c.options.MaxInFlight, 0)) // all processes run the same program with the same settings
 		}
 		out.Counts = append(out.Counts, counts)
 	}
 	return out
 }
 
-// commonInstant returns the latest instant that all processes that reported lately cover.
+// commonInstant returns the latest instant that the reports of all processes that reported recently cover.
 func (c *Core) commonInstant() Time {
 	recent := reportedWindow(len(c.peers))
 	t := c.now
@@ -79,14 +79,14 @@
 	return max(t, c.slots.oldest())
 }
 
-// latestCovered returns the last instant that a peer's report surely covers. The least offset must be known.
+// latestCovered returns the last instant that a peer's report certainly covers. The minimum clock offset must be known.
 func (p *peer) latestCovered(now Time) Time {
 	const rounding = 2
 	t := p.report.until + p.offset.least
 	return t - (max(0, now-p.offset.leastAt)+max(0, now-t))/driftDivisor - rounding
 }
 
-// covers reports whether a peer's report surely covers an instant.
+// covers reports whether a peer's report certainly covers an instant.
 func (p *peer) covers(t Time) bool {
 	if trustOldCounts {
 		return true
@@ -94,25 +94,27 @@
 	return p.offset.leastKnown && p.beginsBy(t) && t-p.offset.leastFor(t) <= p.report.until
 }
 
-// beginsBy reports whether the time that a peer's report covers surely begins by an instant.
+// beginsBy reports whether the window of a peer's report certainly begins at or before an instant.
 func (p *peer) beginsBy(t Time) bool {
 	return t-p.offset.mostFor(t) >= p.report.until-p.report.length
 }
 
-// rangesAt returns a key's bounds at an instant: as they were reported if the report covers it, else all that may be.
+// rangesAt returns a key's bounds at an instant. They are the reported bounds if the report covers the instant, and otherwise the widest
+// bounds that are possible.
 func (p *peer) rangesAt(t Time, hash uint32, covered bool) [figureCount]Range {
 	reported := p.report.rangesOf(hash)
 	if covered {
 		return reported
 	}
 	attempted := int64(0)
-	if p.beginsBy(t) { // attempts never become fewer
+	if p.beginsBy(t) { // the number of attempts never decreases
 		attempted = reported[Attempted].Low
 	}
 	return unknownRanges(p.report.maxInFlight, attempted)
 }
 
-// rangesOf returns a key's bounds as they were reported. A key that was not is 0, if all were.
+// rangesOf returns the reported bounds of a key. For a key that was not reported, they are 0 if the report is complete, and unknown
+// otherwise.
 func (r *report) rangesOf(hash uint32) [figureCount]Range {
 	for i := range r.counts {
 		if r.counts[i].hash == hash {
@@ -125,7 +127,7 @@
 	return [figureCount]Range{}
 }
 
-// unknownRanges returns all that a process may have that is not known of.
+// unknownRanges returns the widest possible bounds of a process's counts. A maxInFlight of 0 means that there is no limit.
 func unknownRanges(maxInFlight, attempted int64) [figureCount]Range {
 	if maxInFlight == 0 {
 		maxInFlight = -1
--- a/internal/cluster/healthreport/engine.go
+++ b/internal/cluster/healthreport/engine.go
@@ -6,24 +6,24 @@
 	"magpiebank/internal/admission"
 )
 
-// engine is one of the endpoint list.
+// engine holds the state of an engine that is or was in the endpoint list.
 type engine struct {
 	admission.Endpoint
 	hash   uint32
 	listed bool
 	own    observations
 
-	sent         observations // last, by times
-	waitingSince Time         // since when there is something to send; never: nothing
-	contradicts  bool         // there is an answer that contradicts what peers reported
-	repeat       bool         // news is sent a second time, because the first message may be lost
+	sent         observations // own observations when they were last sent
+	waitingSince Time         // time from which there is something to send; never: there is nothing
+	contradicts  bool         // this gateway had an answer that contradicts the failures that peers reported
+	repeat       bool         // news must be sent a second time, because the first message may be lost
 
-	found     Finding // by all observations
-	published Finding // as far as not too many engines are ejected at a time
+	found     Finding // finding from all observations
+	published Finding // finding last passed to the caller; its score is 0 if too many engines would be ejected
 }
 
-// UpdateEngines takes in an update of the endpoint list. Nothing is used of engines that it does not name, and what was known of an engine
-// ends with its incarnation.
+// UpdateEngines applies an update of the endpoint list. A full update removes the engines that it does not name. Observations of an engine
+// are removed when it has restarted.
 func (b *Table) UpdateEngines(kind admission.UpdateKind, list []admission.Endpoint) {
 	if kind == admission.FailedPoll {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// addEngine returns the index of a new engine. Those of engines that are gone are used again.
+// addEngine adds an engine and returns its index. It reuses the index of a removed engine if there is one.
 func (b *Table) addEngine(name admission.EngineID) int {
 	i := slices.IndexFunc(b.engines, func(e engine) bool { return !e.listed })
 	if i < 0 {
@@ -80,7 +80,7 @@
 	return i
 }
 
-// resetEngine forgets all that is known of an engine.
+// resetEngine removes all observations of an engine, and its findings.
 func (b *Table) resetEngine(index int) {
 	e := &b.engines[index]
 	nothing := Finding{Engine: e.Engine, Since: e.Since, Report: admission.NoReport, ReportAt: never}
@@ -88,7 +88,7 @@
 	b.forgetObservations(index)
 }
 
-// forgetObservations forgets all that peers reported of an engine.
+// forgetObservations removes all observations of an engine that peers reported.
 func (b *Table) forgetObservations(index int) {
 	for k := range b.peers {
 		b.peers[k].observations[index] = noObservations
--- a/internal/cluster/healthreport/finding.go
+++ b/internal/cluster/healthreport/finding.go
@@ -2,8 +2,8 @@
 
 import "magpiebank/internal/admission"
 
-// VisitChangedFindings calls visit for each engine whose finding has changed. The finding is the table's and must not be kept. Scores that
-// fall come first, so that at no time more engines are ejected by peers' reports than may be.
+// VisitChangedFindings calls visit for each engine whose finding has changed. The finding belongs to the table, and visit must not retain
+// it. Falling scores come first, so that peers' reports never eject more engines than allowed.
 func (b *Table) VisitChangedFindings(now Time, visit func(*Finding)) {
 	if len(b.changed) == 0 {
 		return
@@ -27,8 +27,8 @@
 	}
 }
 
-// findingOf weighs what is known of an engine. A failure counts while no gateway, this one included, has had an answer from there
-// since, and it counts once for each gateway that observed any.
+// findingOf returns the finding of an engine from all observations. A failure counts as long as no gateway, including this one, has had an
+// answer from the engine since. However many failures a gateway observed, it adds at most one to the score.
 func (b *Table) findingOf(now Time, index int) Finding {
 	e := &b.engines[index]
 	out := Finding{Engine: e.Engine, Since: e.Since, Report: admission.NoReport, ReportAt: never}
@@ -51,15 +51,15 @@
 			out.ScoreUntil = failedAt + b.outcomeLifetime
 		}
 	}
-	if out.Witnesses > 0 && counts(&e.own) { // beside others' observations the own count as much
+	if out.Witnesses > 0 && counts(&e.own) { // own failures have the same weight as those of a peer, but count only if a peer observed failures too
 		out.FailureScore += 1 / float64(b.countFailing(now, func(i int) *observations { return &b.engines[i].own }))
 		out.Witnesses++
 	}
 	return out
 }
 
-// countFailing returns how many engines a gateway finds failing. Its one vote is split over them, because a gateway that
-// finds many failing is likelier itself at fault, or its network.
+// countFailing returns how many engines fail according to a gateway's observations, but at least 1. The gateway's single vote is divided
+// among them, because if many engines fail, the cause is more likely the gateway itself or its network.
 func (b *Table) countFailing(now Time, observed func(index int) *observations) (n int) {
 	for i := range b.engines {
 		if b.engines[i].listed && observed(i).isFailing(now) {
@@ -69,7 +69,8 @@
 	return max(1, n)
 }
 
-// mayEject reports whether an engine is among the few with the highest scores: peers' reports eject a part of the engines at most.
+// mayEject reports whether an engine is one of those with the highest scores that peers' reports may eject. They may eject at most
+// maxEjectedShare of the listed engines, but at least one.
 func (b *Table) mayEject(now Time, index int) bool {
 	listed, before, own := 0, 0, b.engines[index].found.FailureScore
 	for i := range b.engines {
--- a/internal/cluster/healthreport/format_test.go
+++ b/internal/cluster/healthreport/format_test.go
@@ -6,7 +6,7 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-// decodedReport is a whole report as it is read; the clock is the sender's.
+// decodedReport is a decoded message. sent is the sender's clock.
 type decodedReport struct {
 	sent    uint32
 	entries []entry
--- a/internal/cluster/healthreport/hard_cases_test.go
+++ b/internal/cluster/healthreport/hard_cases_test.go
@@ -7,7 +7,7 @@
 	"magpiebank/internal/admission"
 )
 
-// newTestPeers returns a table and three gateways that it trusts.
+// newTestPeers returns a table and three gateways whose observations it accepts.
 func newTestPeers(t *testing.T) (*Table, []*testGateway) {
 	t.Helper()
 	h := newTestTable(12)
@@ -20,7 +20,7 @@
 	return h, peers
 }
 
-// checkScore checks the failure score of engine e1.
+// checkScore compares the failure score of engine e1 with the expected one.
 func checkScore(t *testing.T, h *Table, at Time, expected float64) {
 	t.Helper()
 	if score, _ := h.failureScore(at, 1); score != expected {
@@ -28,7 +28,7 @@
 	}
 }
 
-// testTime is when the hard cases begin.
+// testTime is the time at which each hard case begins.
 const testTime = 100 * second
 
 func TestFindingsInHardCases(t *testing.T) {
@@ -65,7 +65,7 @@
 	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, ampleBytes)
 	old := peers[0].NextMessage(now)
 	h.mustHandleMessage(now, peers[0].Source, old)
-	for _, since := range []Time{now + 100*millisecond, now + 600*millisecond} { // twice in a second
+	for _, since := range []Time{now + 100*millisecond, now + 600*millisecond} { // two restarts within a second
 		h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: since}})
 		checkScore(t, h, now+second, 0)
 		h.mustHandleMessage(now+second, peers[0].Source, old)
@@ -87,7 +87,7 @@
 	checkScore(t, h, now+1, 0)
 	peers[0].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: now}})
 	h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: now}})
-	peers[1].Observe(now+2, engineName(1), admission.Erred, admission.NoReport, 0) // whose list is behind
+	peers[1].Observe(now+2, engineName(1), admission.Erred, admission.NoReport, 0) // this peer's list still has the earlier start
 	peers[1].sendMessages(now+2, h)
 	checkScore(t, h, now+2, 0)
 }
@@ -134,7 +134,7 @@
 	next.sendEmptyMessages(now, h)
 	checkScore(t, h, now, 0)
 	peers[0].Observe(now+1, engineName(1), admission.Erred, admission.NoReport, 0)
-	peers[0].sendMessages(now+1, h) // the earlier one still speaks
+	peers[0].sendMessages(now+1, h) // the earlier process still sends
 	checkScore(t, h, now+1, 0)
 }
 
@@ -145,9 +145,9 @@
 		p.Observe(now, engineName(1), admission.Erred, admission.NoReport, 0)
 		p.sendMessages(now, h)
 	}
-	checkScore(t, h, now+OutcomeLifetime, 0) // nobody has tried
+	checkScore(t, h, now+OutcomeLifetime, 0) // no gateway has tried the engine again
 	for at := now + OutcomeLifetime; at < now+5*OutcomeLifetime; at += OutcomeLifetime {
-		h.peers[0].observations[1].failedAt = at // g0 alone goes on failing there
+		h.peers[0].observations[1].failedAt = at // only g0 observes further failures
 		want := 3.0
 		if at >= now+ConfirmedFailureLifetime {
 			want = 1
@@ -220,7 +220,7 @@
 	}
 	for e, ok := r.next(); ok; e, ok = r.next() {
 		if e.hash == hashName(engineName(1)) {
-			t.Error("it sends what it received")
+			t.Error("the gateway sends observations that it received from peers")
 		}
 	}
 }
@@ -235,6 +235,6 @@
 	}
 	b.Observe(now, engineName(1), admission.Erred, admission.NoReport, 39*30)
 	if b.NextMessage(now+second) == nil {
-		t.Error("no message was sent")
+		t.Error("no message was sent although the budget suffices")
 	}
 }
--- a/internal/cluster/healthreport/message.go
+++ b/internal/cluster/healthreport/message.go
@@ -8,22 +8,22 @@
 	"magpiebank/internal/admission"
 )
 
-// MaxMessageBytes is the length of the longest message: the simulator's wire carries no longer one, and a datagram has room
-// for more beside it.
+// MaxMessageBytes is the maximum length of a message. The simulator's network carries no longer messages, and a datagram has
+// space for other parts besides a message of this length.
 const MaxMessageBytes = 256
 
 const (
 	version        = 1
 	headBytes      = 5  // version and the sender's clock
-	entryHeadBytes = 8  // the engine's hash and start, and flags
-	entryFlagsAt   = 7  // place of the flags in an entry
-	entryBytes     = 20 // of an entry with four load figures; most have fewer
+	entryHeadBytes = 8  // the engine's hash, its start time, and the flags
+	entryFlagsAt   = 7  // offset of the flags in an entry
+	entryBytes     = 20 // space reserved for an entry, enough for one with all four load metrics; most entries are shorter
 )
 
-// ErrMessage reports bytes that are no message of this version.
-var ErrMessage = errors.New("healthreport: no message of this version")
+// ErrMessage is returned for bytes that are not a valid message of this version.
+var ErrMessage = errors.New("healthreport: not a valid message of this version")
 
-// The flags of an entry: the parts that it has, and above them how the last failure was.
+// The flags of an entry. The lower bits state which fields it has, and the bits from failureUnit on state the kind of the last failure.
 const (
 	hasAnswer = 1 << iota
 	hasFailure
@@ -36,35 +36,35 @@
 	hasReport = hasInFlight | hasUtilization | hasMemory | hasDisks
 )
 
-// startMask cuts an engine's last start to 24 bits, which tell any two within half an hour apart.
+// startMask reduces an engine's start time to 24 bits, which distinguish any two start times within half an hour.
 const startMask = 1<<24 - 1
 
-// wireStart returns an engine's last start as messages carry it.
+// wireStart returns an engine's start time as it is encoded in messages.
 func wireStart(since Time) uint32 { return uint32(since) & startMask }
 
-// Ages are sent in steps that fit a byte, rounded up so that nothing seems younger than it is.
+// An age is sent as a number of steps in one byte. It is rounded up, so that no observation seems newer than it is.
 const (
-	outcomeStep = 40 * admission.Millisecond // 254 of them are OutcomeLifetime
-	reportStep  = 12 * admission.Millisecond // 254 of them are ReportLifetime
+	outcomeStep = 40 * admission.Millisecond // maxSteps of these cover OutcomeLifetime
+	reportStep  = 12 * admission.Millisecond // maxSteps of these cover ReportLifetime
 	maxSteps    = 254
 )
 
-// encodeAge returns an age in steps; false: it is too old to count.
+// encodeAge returns the age of an observation in steps. It returns false if the observation is older than maxSteps or is in the future.
 func encodeAge(now, at, step Time) (byte, bool) {
 	steps := (now - at + step - 1) / step
 	return byte(steps), steps >= 0 && steps <= maxSteps
 }
 
-// Load figures are sent in thousandths; requests in flight are divided by ten, so that more of them fit.
+// Load metrics are sent in thousandths. The requests in flight are divided by ten before, so that larger numbers fit.
 const (
 	figureScale   = 1000
 	inFlightScale = 10
 )
 
-// writer writes a message up to its greatest length.
+// writer encodes a message up to the maximum length.
 type writer struct {
 	b     []byte
-	count int // entries
+	count int // number of entries
 }
 
 func newWriter(now Time) *writer {
@@ -72,7 +72,7 @@
 	return &writer{b: binary.BigEndian.AppendUint32(append(b, version), uint32(now))}
 }
 
-// add adds an engine's entry, without what is too old to count, and reports whether there was room.
+// add adds an entry for an engine, without the observations that are too old to count. It returns false if the entry does not fit.
 func (w *writer) add(now Time, hash uint32, since Time, o observations) bool {
 	entryAt := len(w.b)
 	b := binary.BigEndian.AppendUint32(w.b, hash)
@@ -110,10 +110,10 @@
 // reader reads the entries of a message.
 type reader struct {
 	b    []byte
-	sent uint32 // the sender's clock
+	sent uint32 // the sender's clock when the message was sent
 }
 
-// entry is what one gateway observed of one engine. Ages below 0 are not there.
+// entry holds the observations of one engine by one gateway. A negative age means that there is no such observation.
 type entry struct {
 	hash, start                      uint32
 	answerAge, failureAge, reportAge Time
@@ -121,7 +121,7 @@
 	report                           admission.Report
 }
 
-// observationsAt returns the entry by the receiver's clock.
+// observationsAt returns the observations of an entry, with their times on the receiver's clock.
 func (e *entry) observationsAt(now, delay Time) observations {
 	o := noObservations
 	if e.answerAge >= 0 {
@@ -136,7 +136,7 @@
 	return o
 }
 
-// newReader checks a whole message before any of it is used.
+// newReader returns a reader for a message, after it has checked that the whole message is valid.
 func newReader(b []byte) (*reader, error) {
 	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version {
 		return nil, ErrMessage
@@ -151,7 +151,7 @@
 	return r, nil
 }
 
-// next returns the next entry; false: there is none, or it cannot be read.
+// next returns the next entry. It returns false if there is none or if it is invalid.
 func (r *reader) next() (e entry, ok bool) {
 	if len(r.b) < entryHeadBytes {
 		return e, false
@@ -188,7 +188,7 @@
 	return e, true
 }
 
-// fieldReader reads the fields of an entry, and zeros once a read has failed.
+// fieldReader reads the fields of an entry. After a failed read it returns zeros.
 type fieldReader struct {
 	b      []byte
 	failed bool
--- a/internal/cluster/healthreport/mutation_off.go
+++ b/internal/cluster/healthreport/mutation_off.go
@@ -2,5 +2,5 @@
 
 package healthreport
 
-// Mutations by which tests prove that their checks find them. An ordinary build has none.
+// Mutations. Tests enable them to show that their checks find them. They are off in an ordinary build.
 const relayPeerReports, ignoreDelay = false, false
--- a/internal/cluster/healthreport/mutation_testbed.go
+++ b/internal/cluster/healthreport/mutation_testbed.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Mutations by which tests prove that their checks find them.
+// Mutations. Tests enable them to show that their checks find them.
 var (
-	// What peers observed is sent as if this gateway had.
+	// The observations of peers are sent as if this gateway had made them.
 	relayPeerReports = strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "relays-hearsay")
-	// Messages are taken to have had no delay.
+	// Messages are treated as if they had no delay.
 	ignoreDelay = strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "ages-nothing")
 )
--- a/internal/cluster/healthreport/receive.go
+++ b/internal/cluster/healthreport/receive.go
@@ -6,11 +6,13 @@
 )
 
 const (
-	// maxPeers bounds what is kept: 512 gateways on 80 engines take 2.6 MB.
+	// maxPeers limits the memory use: 512 gateways and 80 engines take 2.6 MB.
 	maxPeers = 512
-	// A peer's messages are taken in from this one on, because then one that was delayed long is told from the others.
+	// trustedMessages is the number of a peer's first message whose observations are used. By then, a message that was delayed for long
+	// can be distinguished from the others.
 	trustedMessages = 3
-	// Two clocks may each run a twentieth off, so that the least delay that is known counts for a tenth of the time since then less.
+	// delayDriftDivisor is the fraction of the elapsed time by which the minimum delay of a peer may have risen through clock drift, as
+	// each of the two clocks may be off by a twentieth.
 	delayDriftDivisor = 10
 )
 
@@ -18,12 +20,13 @@
 type peer struct {
 	Source
 	observations []observations // by engine index
-	messages     int            // received
-	minDelay     Time           // arrival less sending on the two clocks, of the message that was fastest
+	messages     int            // number of messages received
+	minDelay     Time           // arrival time less sending time, on the two clocks, of the fastest message; raised by possible drift
 	receivedAt   Time
 }
 
-// ObserveClock takes in that a gateway sent anything at all, and its clock as it did. By that the age of its observations is known.
+// ObserveClock records the clock that a gateway had when it sent any message. The delays of the gateway's messages, and so the ages of its
+// observations, are derived from it.
 func (b *Table) ObserveClock(now Time, from Source, sent uint32) {
 	if p := b.peerOf(now, from); p != nil {
 		p.delayOf(now, sent)
@@ -31,8 +34,8 @@
 	}
 }
 
-// HandleMessage takes in a gateway's message. VisitChangedFindings then has what it changes. The error is ErrMessage if the
-// message cannot be read; then nothing of it is used.
+// HandleMessage processes a gateway's message. VisitChangedFindings then visits the findings that it changes. For an invalid message, it
+// returns ErrMessage and changes nothing.
 func (b *Table) HandleMessage(now Time, from Source, message []byte) error {
 	r, err := newReader(message)
 	if err != nil {
@@ -56,7 +59,7 @@
 		taken := b.handleEntry(now, delay, p, &e)
 		failures = failures || taken && e.failureAge >= 0
 	}
-	if failures { // its vote is split anew over all engines that it finds failing
+	if failures { // the peer's vote is divided again among all engines that it finds failing
 		for i := range b.engines {
 			if p.observations[i].isFailing(now) {
 				b.markChanged(i)
@@ -66,7 +69,8 @@
 	return nil
 }
 
-// handleEntry takes in what a peer observed of one engine, and reports whether it concerns the engine's incarnation that is listed here.
+// handleEntry processes a peer's observations of one engine. It reports whether they concern the incarnation of the engine that is listed
+// here; otherwise it does not store them.
 func (b *Table) handleEntry(now, delay Time, p *peer, received *entry) bool {
 	i, known := b.byHash[received.hash]
 	if !known || i < 0 {
@@ -74,7 +78,7 @@
 	}
 	e := &b.engines[i]
 	if since := wireStart(e.Since); since != received.start {
-		if received.start-since&startMask < startMask/2 { // by the peer's list it has restarted, so what was reported of it is over
+		if received.start-since&startMask < startMask/2 { // the peer lists a later start, so the stored observations of peers are outdated
 			b.forgetObservations(i)
 		}
 		return false
@@ -88,7 +92,8 @@
 	return true
 }
 
-// peerOf finds or makes a gateway's record; nil: it is an earlier incarnation than is known, or there are too many.
+// peerOf returns a gateway's record, and adds one for a new gateway. It returns nil if a later incarnation of the gateway is known, or if
+// there are too many gateways.
 func (b *Table) peerOf(now Time, from Source) *peer {
 	i, known := b.indexOfPeer(from.Name)
 	if !known {
@@ -105,7 +110,7 @@
 	if p.Incarnation > from.Incarnation {
 		return nil
 	}
-	if p.Incarnation < from.Incarnation { // it has another clock, and did not observe what the earlier process did
+	if p.Incarnation < from.Incarnation { // the new process has another clock, and the observations are those of the earlier process
 		p.Incarnation, p.messages = from.Incarnation, 0
 		for i := range p.observations {
 			p.observations[i] = noObservations
@@ -118,10 +123,10 @@
 	return slices.BinarySearchFunc(b.peers, name, func(p peer, name string) int { return cmp.Compare(p.Name, name) })
 }
 
-// delayOf returns how much longer than the fastest a message of this peer was delayed. The fastest counts for no less than the drift of the
-// clocks explains, because after a stall of this process or of the network's the first message to arrive is the oldest.
+// delayOf returns how much longer a message of this peer was delayed than the peer's fastest message. The minimum delay rises only as far as
+// clock drift can explain, because after a stall of this process or of the network, the first message to arrive is the oldest.
 func (p *peer) delayOf(now Time, sent uint32) Time {
-	difference := Time(int32(uint32(now) - sent)) // both clocks are cut to 32 bits; only its changes count
+	difference := Time(int32(uint32(now) - sent)) // both clocks are reduced to 32 bits; only changes of the difference matter
 	p.minDelay = min(difference, p.minDelay+max(0, now-p.receivedAt)/delayDriftDivisor)
 	if p.messages == 0 {
 		p.minDelay = difference
--- a/internal/cluster/healthreport/send.go
+++ b/internal/cluster/healthreport/send.go
@@ -3,20 +3,23 @@
 import "magpiebank/internal/admission"
 
 const (
-	// Load reports wait so long for others, with which they share a message's head; news that is repeated waits as long.
+	// batchDelay is how long a load report waits for other load reports that share the head of its message, and how long news waits
+	// before it is repeated.
 	batchDelay = 100 * admission.Millisecond
-	// So many load reports are sent without waiting on.
+	// batchSize is the number of waiting engines from which on a message is sent without further delay.
 	batchSize = 6
-	// A load report is sent if it is newer than any other by this: half of the shortest time between reports, so that every second
-	// gateway's is not sent.
+	// reportSpacing is the minimum time by which a load report must be newer than any received one to be sent. It is half of the shortest
+	// interval between an engine's reports, so that the reports of every second gateway are not sent.
 	reportSpacing = 100 * admission.Millisecond
-	// A failure that goes on is sent again after this, so that gateways that started meanwhile learn of it and its age is known.
+	// failureRepeat is the interval at which an ongoing failure is sent again, so that gateways that started in the meantime learn of it
+	// and its age stays known.
 	failureRepeat = admission.Second
-	// The budget holds so many messages at most, so that a quiet hour does not pay for a flood.
+	// budgetMessages limits the byte budget to that number of messages to every peer, so that savings from an idle hour do not allow a
+	// burst of messages.
 	budgetMessages = 4
 )
 
-// Observe takes in what this gateway observed itself, and the bytes that it may send more from now on.
+// Observe records an observation made by this gateway, and adds byteBudget bytes to the budget for messages.
 func (b *Table) Observe(now Time, name admission.EngineID, saw admission.Observation, report admission.Report, byteBudget float64) {
 	b.byteBudget = min(b.byteBudget+byteBudget, float64(budgetMessages*MaxMessageBytes*b.peerCount))
 	i, ok := b.byName[name]
@@ -35,15 +38,15 @@
 	}
 	if e.published.Witnesses > 0 && saw != admission.Reported {
 		e.contradicts = e.published.Witnesses > 1 && saw == admission.Answered
-		b.markChanged(i) // an answer outweighs what others observed before, here and at those it is sent to; a failure confirms it
+		b.markChanged(i) // an answer overrides earlier failures observed by peers, here and at the receivers; a failure confirms them
 	}
 	if e.waitingSince == never && (e.hasNews() || e.hasNewReport(now)) {
 		e.waitingSince = now
 	}
 }
 
-// hasNews reports whether a failure followed an answer, or an answer a failure that was reported by this gateway
-// or another. Answers as such are not sent, because they are many.
+// hasNews reports whether there is news to send: the first failure after an answer, an ongoing failure that must be repeated, or an answer
+// after a failure that this gateway or peers reported. Other answers are not sent, because they are too many.
 func (e *engine) hasNews() bool {
 	if e.contradicts {
 		return true
@@ -53,7 +56,7 @@
 	return turned && e.own != e.sent || failing && e.own.failedAt-e.sent.failedAt >= failureRepeat
 }
 
-// hasNewReport reports whether the own load report is newer than any that was received.
+// hasNewReport reports whether the own load report was not sent yet, is recent, and is newer than any received one by reportSpacing.
 func (e *engine) hasNewReport(now Time) bool {
 	if e.own.reportedAt == e.sent.reportedAt || now-e.own.reportedAt >= ReportLifetime {
 		return false
@@ -61,14 +64,14 @@
 	return e.own.reportedAt > e.published.ReportAt+reportSpacing
 }
 
-// isWaiting reports whether there is something to send of an engine, and its hash names it alone.
+// isWaiting reports whether there is something to send about an engine, and no other engine has its hash.
 func (b *Table) isWaiting(now Time, index int) bool {
 	e := &b.engines[index]
 	return e.waitingSince != never && e.waitingSince <= now && e.listed && b.byHash[e.hash] == index
 }
 
-// NextMessage returns what is worth sending now, or nil: news of failures at once, load reports several together, and never more than the
-// budget allows.
+// NextMessage returns the next message to send now, or nil. News is sent at once, and load reports are sent in batches. No message exceeds
+// the budget.
 func (b *Table) NextMessage(now Time) []byte {
 	if !b.shouldSend(now) {
 		return nil
@@ -101,7 +104,7 @@
 	return urgent || due || waiting >= batchSize
 }
 
-// writeNews writes the engines with news. They are sent once more after a while.
+// writeNews writes entries for the engines with news, and schedules their repetition after batchDelay.
 func (b *Table) writeNews(now Time, w *writer) {
 	for i := range b.engines {
 		e := &b.engines[i]
@@ -111,7 +114,7 @@
 	}
 }
 
-// writeReports writes the engines with a new load report, and those whose news is repeated.
+// writeReports writes entries for the engines with a new load report and for those whose news is repeated.
 func (b *Table) writeReports(now Time, w *writer) {
 	for i := range b.engines {
 		e := &b.engines[i]
@@ -126,7 +129,7 @@
 	}
 }
 
-// writeEntry reports whether the message and the budget had room for an engine's entry.
+// writeEntry writes an entry for an engine. It returns false if the entry does not fit into the message or the budget.
 func (b *Table) writeEntry(now Time, w *writer, e *engine) bool {
 	if float64(b.peerCount*(len(w.b)+entryBytes)) > b.byteBudget || !w.add(now, e.hash, e.Since, b.observationsToSend(e)) {
 		return false
@@ -135,7 +138,7 @@
 	return true
 }
 
-// observationsToSend returns what this gateway observed itself, and nothing that it received.
+// observationsToSend returns this gateway's own observations of an engine, and none that it received from peers.
 func (b *Table) observationsToSend(e *engine) observations {
 	own := e.own
 	if relayPeerReports {
--- a/internal/cluster/healthreport/status.go
+++ b/internal/cluster/healthreport/status.go
@@ -7,18 +7,18 @@
 	"magpiebank/internal/admission"
 )
 
-// EngineStatus is what is known of an engine.
+// EngineStatus holds the observations of an engine for display.
 type EngineStatus struct {
 	Engine       admission.EngineID
-	AnswerAge    Time // of the last answer that this gateway observed; below 0: not lately
-	FailureAge   Time // of the last failure; below 0: not lately
+	AnswerAge    Time // age of the last answer that this gateway observed; below 0: none recently
+	FailureAge   Time // age of the last failure that this gateway observed; below 0: none recently
 	LastFailure  admission.Observation
 	Finding      Finding
-	ReportAge    Time
-	PeerFailures []admission.Observation // the last failure of each peer for which the engine fails
+	ReportAge    Time                    // age of the latest load report from peers; below 0: none recently
+	PeerFailures []admission.Observation // last failure observed by each peer for which the engine is failing
 }
 
-// Status returns what is known of all listed engines, by name.
+// Status returns the status of all listed engines, sorted by name.
 func (b *Table) Status(now Time) (out []EngineStatus) {
 	for i := range b.engines {
 		if b.engines[i].listed {
@@ -45,7 +45,7 @@
 	return s
 }
 
-// ageOf returns the age of an observation; -1: it is too old to be of interest.
+// ageOf returns the age of an observation, or -1 if it is too old to be shown or does not exist.
 func ageOf(now, at Time) Time {
 	const maxAge = 10 * OutcomeLifetime
 	if now-at > maxAge {
--- a/internal/cluster/healthreport/table.go
+++ b/internal/cluster/healthreport/table.go
@@ -1,6 +1,6 @@
-// Package healthreport keeps what gateways tell each other of engines: observations, not verdicts. Each sends what it observed itself,
-// with its age: the engine's load report, when a request was last answered there, and when one last failed. It does no I/O.
-// What a finding means for routing is decided in package admission. docs/fleet.md has the reasons.
+// Package healthreport exchanges observations of engines between gateways. Gateways send observations, not decisions. Each gateway sends
+// what it observed itself, with its age: the engine's load report, the last answer and the last failure of a request. The
+// package does no I/O. Package admission decides what a finding means for routing. docs/fleet.md has the reasons.
 package healthreport
 
 import (
@@ -11,66 +11,68 @@
 	"magpiebank/internal/admission"
 )
 
-// Time is a point on the caller's clock.
+// Time is a time on the caller's clock, or a duration.
 type Time = admission.Time
 
 // The ages up to which observations count.
 const (
-	// OutcomeLifetime is that of answers and failures. In a fleet of some hundred, where each gateway sends a request to an
-	// engine every 25 s, it holds the fleet's last dozens of attempts there; an engine that is ejected gets its next one
-	// when the last failures are this old. Each gateway has its own figure between this and twice this, so that one tries
-	// the engine before all do.
+	// OutcomeLifetime is the lifetime of answers and failures. In a cluster of some hundred gateways, each of which sends a request to
+	// an engine every 25 s, this covers the cluster's last dozens of attempts at the engine. An ejected engine gets its next request when
+	// the last failures are this old. Each gateway uses its own value between this and twice this, so that one gateway tries the engine
+	// before all others do.
 	OutcomeLifetime = 10 * admission.Second
-	// ConfirmedFailureLifetime is that of failures that a fresh one confirms: while the last failure that anybody observed
-	// there counts, those before it count up to this age. So one gateway's attempt is enough to tell that an engine still
-	// fails, and a gateway whose own network fails cannot keep it ejected for longer than this by the reports of others.
+	// ConfirmedFailureLifetime is the lifetime of failures that a fresh failure confirms: while the last failure that any gateway
+	// observed at the engine counts, earlier failures count up to this age. So the attempt of one gateway is enough to show that the
+	// engine still fails. And a gateway whose own network fails cannot use other gateways' earlier failures to keep the engine ejected
+	// for longer than this.
 	ConfirmedFailureLifetime = 3 * OutcomeLifetime
-	// ReportLifetime is that of load reports, as the decisions take them.
+	// ReportLifetime is the lifetime of load reports in routing decisions.
 	ReportLifetime = 3 * admission.Second
 )
 
-// never is before any time that counts.
+// never is a time before any other time. It stands for an observation that does not exist.
 const never = Time(math.MinInt64 / 4)
 
-// Source is a gateway that sends observations. Of two incarnations under a name the later counts.
+// Source is a gateway that sends observations. The later of two incarnations with the same name replaces the earlier one.
 type Source struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Finding is what is known of one engine from all gateways' observations.
+// Finding summarizes the observations of one engine by all gateways.
 type Finding = admission.PeerReport
 
-// Table is what one gateway knows of the engines of its endpoint list.
+// Table holds the observations of the engines in a gateway's endpoint list, by the gateway itself and by its peers.
 type Table struct {
-	peerCount       int     // that a message goes to
-	byteBudget      float64 // that may be sent, to all peers together
-	outcomeLifetime Time    // this gateway's own
-	maxEjectedShare float64 // of the engines that peers' reports may eject at a time
+	peerCount       int     // number of peers that a message is sent to
+	byteBudget      float64 // number of bytes that may be sent, summed over all peers
+	outcomeLifetime Time    // this gateway's own lifetime of outcomes; see OutcomeLifetime
+	maxEjectedShare float64 // share of the engines that peers' reports may eject at a time
 
 	engines []engine
-	byHash  map[uint32]int // index of the listed engines; below 0: two have the hash, and nothing received can be told apart
+	byHash  map[uint32]int // index of each listed engine; below 0: several engines have the hash, and entries with it are ignored
 	byName  map[admission.EngineID]int
 	peers   []peer // by name
 	changed []int  // indices of the engines whose finding may have changed
 
-	// OnObservation, if set, is called with each outcome that is received and its age; OutcomeLifetime or older where there is none.
+	// OnObservation, if set, is called for each received entry that is stored, with the ages of the last answer and the last failure in
+	// it. If one of them does not exist, its age is larger than OutcomeLifetime.
 	OnObservation func(from Source, engine *admission.Endpoint, answerAge, failureAge Time)
 }
 
-// New makes a table. A message goes to so many peers. maxEjectedShare is the part of the engines that peers' reports may eject at a time.
-// retryPhase, from 0 to 1, sets the gateway apart from others in when it tries an ejected engine again.
+// New returns a table. peers is the number of peers that a message is sent to. maxEjectedShare is the share of the engines that peers'
+// reports may eject at a time. retryPhase, from 0 to 1, makes gateways try an ejected engine again at different times.
 func New(peers int, maxEjectedShare, retryPhase float64) *Table {
 	return &Table{peerCount: max(1, peers), outcomeLifetime: OutcomeLifetime + Time(retryPhase*float64(OutcomeLifetime)), maxEjectedShare: maxEjectedShare,
 		byHash: map[uint32]int{}, byName: map[admission.EngineID]int{}}
 }
 
-// SetPeerCount has a message be paid for by so many receivers from now on.
+// SetPeerCount sets the number of peers that a message is sent to. A message uses up the budget once for each of them.
 func (b *Table) SetPeerCount(n int) { b.peerCount = max(1, n) }
 
-// MaxEjectedShare returns the part of the engines that peers' reports may eject at a time: what the retry budget allows,
-// because by that the site says how many requests may fail at first; else a zone's, which the site must do without when it
-// loses one; else a quarter.
+// MaxEjectedShare returns the share of the engines that peers' reports may eject at a time. With a retry budget, it is the retry ratio,
+// by which the site states how many requests may fail at the first attempt. Otherwise, with several zones, it is the share of one zone,
+// because the site must be able to lose a zone. Otherwise it is a quarter. The result is at most a half.
 func MaxEjectedShare(d *admission.Deployment, zones int) float64 {
 	const most, usual = 0.5, 0.25
 	switch {
@@ -82,7 +84,7 @@
 	return usual
 }
 
-// RetryPhase returns a gateway's retry phase, from 0 to 1, by its name.
+// RetryPhase returns the retry phase of the gateway with a name, from 0 to 1.
 func RetryPhase(name string) float64 {
 	const phases = 997
 	return float64(hashName(admission.EngineID(name))%phases) / phases
--- a/internal/cluster/healthreport/table_test.go
+++ b/internal/cluster/healthreport/table_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-var keep = flag.Bool("keep", false, "keep the traces as they come out now")
+var keep = flag.Bool("keep", false, "overwrite the stored traces with the current ones")
 
 const (
 	millisecond = admission.Millisecond
@@ -36,7 +36,7 @@
 	return b
 }
 
-// testGateway is a peer with a table of its own.
+// testGateway is a peer that has its own table.
 type testGateway struct {
 	*Table
 	Source
@@ -48,21 +48,21 @@
 
 const ampleBytes = 1e6
 
-// mustHandleMessage takes in a message that must be readable.
+// mustHandleMessage makes a table process a message that must be valid.
 func (b *Table) mustHandleMessage(now Time, from Source, message []byte) {
 	if err := b.HandleMessage(now, from, message); err != nil {
 		panic(err)
 	}
 }
 
-// sendEmptyMessages sends messages with nothing new, so that the hearer trusts the clock.
+// sendEmptyMessages sends enough messages without entries that the receiver accepts the sender's observations.
 func (g *testGateway) sendEmptyMessages(now Time, to *Table) {
 	for k := range 3 {
 		to.mustHandleMessage(now+Time(k), g.Source, newWriter(now+Time(k)).bytes())
 	}
 }
 
-// sendMessages delivers all that a gateway has to send.
+// sendMessages delivers all messages that a gateway has to send.
 func (g *testGateway) sendMessages(now Time, to ...*Table) {
 	g.Observe(now, "", admission.Reported, admission.NoReport, ampleBytes)
 	for m := g.NextMessage(now); m != nil; m = g.NextMessage(now) {
@@ -77,7 +77,7 @@
 	return f.FailureScore, f.Witnesses
 }
 
-// Each failure and answer moves what is found as a person would expect; a trace that people read.
+// Each failure and each answer changes the findings in the expected way. The findings are compared with a stored, readable trace.
 func TestFindingsFollowObservations(t *testing.T) {
 	var out strings.Builder
 	now := 100 * second
@@ -134,7 +134,7 @@
 	checkTrace(t, out.String())
 }
 
-// checkTrace compares a trace with the one that is kept.
+// checkTrace compares a trace with the stored one.
 func checkTrace(t *testing.T, found string) {
 	t.Helper()
 	const file = "testdata/evidence.txt"
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	if found != string(kept) {
-		t.Errorf("found:\n%s\nkept:\n%s", found, kept)
+		t.Errorf("found:\n%s\nstored:\n%s", found, kept)
 	}
 }
 
@@ -159,7 +159,7 @@
 	at    Time
 }
 
-// drawMessages draws what three gateways send of four engines.
+// drawMessages draws observations of four engines by three gateways, and returns the messages that these send.
 func drawMessages(t *rapid.T) (messages []sentMessage) {
 	for g := range 3 {
 		p := newTestGateway(4, fmt.Sprint("g", g))
@@ -177,14 +177,14 @@
 	return messages
 }
 
-// findingsAfter writes what a table finds after some messages.
+// findingsAfter returns a text of a table's findings after it has processed the messages.
 func findingsAfter(messages []sentMessage) string {
 	h := newTestTable(4)
 	for g := range 3 {
 		newTestGateway(4, fmt.Sprint("g", g)).sendEmptyMessages(testTime, h)
 	}
 	for _, m := range messages {
-		h.mustHandleMessage(m.at, m.from, m.bytes) // each arrives when it was sent, so its ages are exact
+		h.mustHandleMessage(m.at, m.from, m.bytes) // each message arrives without delay, so its ages are exact
 	}
 	var out []string
 	for i := range h.engines {
@@ -193,8 +193,7 @@
 	return strings.Join(out, "\n")
 }
 
-// Findings don't depend on the order in which messages arrive, on how often each does, nor on those lost before a later
-// one of the same gateway on the same engine.
+// Findings do not depend on the order in which messages arrive, nor on how often each one arrives.
 func TestFindingsDoNotDependOnOrderOrDuplicates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		messages := drawMessages(t)
@@ -221,7 +220,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := draw.Draw(t, "a"), draw.Draw(t, "b"), draw.Draw(t, "c")
 		if merge(a, b) != merge(b, a) || merge(a, merge(b, c)) != merge(merge(a, b), c) || merge(a, a) != a {
-			t.Fatal("order or doubling matters")
+			t.Fatal("the result of merge depends on order or duplicates")
 		}
 	})
 }
@@ -235,11 +234,11 @@
 		h := newTestTable(3)
 		newTestGateway(3, "g").sendEmptyMessages(100*second, h)
 		if err := h.HandleMessage(100*second, Source{"g", 1}, m); err != nil && len(h.changed) > 0 {
-			t.Fatal("part of a message that can't be read was used")
+			t.Fatal("part of an invalid message was applied")
 		}
 		h.VisitChangedFindings(100*second, func(f *Finding) {
 			if f.FailureScore > 1 || f.ReportAt > 100*second {
-				t.Fatalf("%+v", f)
+				t.Fatalf("finding with a score above 1 or a report from the future: %+v", f)
 			}
 		})
 	})
@@ -254,7 +253,7 @@
 			p.Observe(now, engineName(e), admission.Reported, admission.Report{InFlight: -1, Utilization: float64(n%10) / 10, Memory: 0.5, Disks: 0.25}, ampleBytes)
 		}
 		if p.NextMessage(now+second/2) == nil {
-			b.Fatal("nothing to say")
+			b.Fatal("no message to send")
 		}
 	}
 }
--- a/internal/cluster/membership/core.go
+++ b/internal/cluster/membership/core.go
@@ -1,6 +1,6 @@
-// Package membership knows which gateways of a fleet are alive. It is the protocol of SWIM (probes, indirect probes, suspicion
-// that the suspect can refute, gossip carried by the probes) with the local health of Lifeguard. It does no I/O: its caller
-// steps it with the clock and a random source handed in, and carries its messages. docs/fleet.md has the reasons and the figures.
+// Package membership tracks which gateways of a cluster are alive. It implements the SWIM protocol (probes, indirect probes, suspicions that
+// the suspect can refute, gossip in the probe messages) with the local health of Lifeguard. It does no I/O: its caller passes in the
+// current time and a random source, and delivers the messages. docs/fleet.md has the reasons and the measurements.
 package membership
 
 import (
@@ -11,82 +11,83 @@
 	"magpiebank/internal/admission"
 )
 
-// Time is a point on the caller's monotonic clock.
+// Time is a time on the caller's monotonic clock, or a duration.
 type Time = admission.Time
 
-// State is the state that a member is in, as far as is known here.
+// State is the state of a member, as far as this process knows.
 type State uint8
 
-// The states. Each overrides the ones before it for the same incarnation and number of refutations.
+// The states of a member. For the same incarnation and number of refutations, each state overrides the states before it.
 const (
 	Alive State = iota
 	Suspect
 	Dead
-	Left // the member said so itself
+	Left // the member announced that it leaves
 )
 
 func (s State) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s] }
 
-// Member is one process of the fleet as it is known here. Incarnations tell processes under one name apart: the later one counts.
+// Member is this process's record of one process of the cluster. Incarnations distinguish processes with the same name; a higher one is
+// later and replaces the earlier one.
 type Member struct {
 	Name        string
 	Incarnation uint64
-	Refutations uint32 // how many suspicions it has refuted
+	Refutations uint32 // number of suspicions that the member has refuted
 	State       State
 	Address     string
-	Accuser     string // the member that suspects it
-	StateSince  Time   // when it came to this state here
+	Accuser     string // the member that suspects it, if State is Suspect
+	StateSince  Time   // when this process last replaced the record
 }
 
-// sameLife reports whether two records are about the same incarnation, with the same number of refutations.
+// sameLife reports whether two records have the same incarnation and the same number of refutations.
 func (m *Member) sameLife(other *Member) bool {
 	return m.Incarnation == other.Incarnation && m.Refutations == other.Refutations
 }
 
-// EventCode names what happened to a member, or to the fleet as a whole.
+// EventCode identifies an event of a member or of the whole cluster.
 type EventCode string
 
 // The events.
 const (
 	Joined      EventCode = "joined"
-	Restarted   EventCode = "restarted" // another process has its name
+	Restarted   EventCode = "restarted" // a later process has the member's name
 	Suspected   EventCode = "suspected"
 	Refuted     EventCode = "refuted"
 	Died        EventCode = "dead"
 	Departed    EventCode = "left"
-	Superseded  EventCode = "displaced" // a later process has this one's own name
-	Partitioned EventCode = "split"     // a quarter of the fleet, or more, is dead
-	Healed      EventCode = "healed"
+	Superseded  EventCode = "displaced" // a later process has the name of this process
+	Partitioned EventCode = "split"     // at least a quarter of the cluster, and at least two members, are dead
+	Healed      EventCode = "healed"    // the cluster is no longer partitioned
 )
 
-// Host is what a core acts on.
+// Host sends a core's messages and is notified of its events.
 type Host interface {
 	Send(to string, message []byte)
 	MemberChanged(code EventCode, m Member)
 }
 
 const (
-	// ProbeInterval is the time between probes. An answer takes some milliseconds, so half of the interval is far more than
-	// it needs. In the rest of it helpers probe as well.
+	// ProbeInterval is the time between two probes. A reply takes a few milliseconds, so half of the interval is more than enough for it.
+	// In the other half, helpers probe the member too.
 	ProbeInterval = 500 * admission.Millisecond
-	// ForgetAfter is how long dead members are remembered: longer than any partition that must heal by itself.
+	// ForgetAfter is how long dead members are stored. It is longer than any partition that must heal without intervention.
 	ForgetAfter = 24 * 3600 * admission.Second
 
 	tickInterval   = ProbeInterval / 5
-	helperCount    = 3                    // members that probe indirectly, as in SWIM's paper
-	maxLocalHealth = 8                    // Lifeguard's: how many times slower a member that doubts itself judges
+	helperCount    = 3                    // members that probe indirectly, as in the SWIM paper
+	maxLocalHealth = 8                    // Lifeguard's maximum; it makes a probe's timeout nine times as long
 	maxName        = 40                   // bytes
 	maxAddress     = 64                   // bytes
-	maxMembers     = 1024                 // twice the largest fleet that is supported
-	contactPeriod  = 5 * admission.Second // between messages to dead members and seeds: a fleet of ten finds itself in seconds
-	lonelyPeriod   = admission.Second     // between them while nobody else is known
-	settledAfter   = 5 * admission.Second // a process that has served so long under its name does not outbid a later one
-	growthPeriod   = 2 * admission.Second // after a member new to it, it asks for as many more as fit: a newcomer knows 500 in seconds
-	usualRefresh   = 8                    // members refreshed with each message: all of 500 are in half a minute
+	maxMembers     = 1024                 // twice the largest supported cluster
+	contactPeriod  = 5 * admission.Second // interval between probes of dead members and seeds; ten members find each other in seconds
+	lonelyPeriod   = admission.Second     // the same interval while no other member is reachable
+	settledAfter   = 5 * admission.Second // a process this old no longer raises its incarnation above that of a later process of its name
+	growthPeriod   = 2 * admission.Second // full member lists are exchanged this long after learning of a new member: 500 in seconds
+	usualRefresh   = 8                    // member records added to each message; all of 500 members are refreshed in half a minute
 	maxRelays      = 64
 )
 
-// Core is one process's part of the protocol. Its calls come one at a time, with a clock that never goes back.
+// Core runs the protocol for one process. It is not safe for concurrent use, and the times passed to it must not decrease.
 type Core struct {
 	host   Host
 	random *rand.Rand
@@ -95,50 +96,52 @@
 	seeds  []string
 
 	self     Member
-	inactive bool // superseded, or left
-	outbid   bool // it took a later incarnation than it began with
-	health   int  // Lifeguard's local health, from 0: how many times slower than usual it judges
+	inactive bool // it was superseded or has left
+	outbid   bool // it has raised its incarnation above that of another process of its name
+	health   int  // Lifeguard's local health: 0 is healthy, and timeouts grow with it
 
-	members     []Member // by name, without itself
+	members     []Member // by name, without this process
 	grewAt      Time     // when it last learned of a new member
 	partitioned bool
 	suspicions  []suspicion
 
-	sequence      uint32 // of the last probe
+	sequence      uint32 // sequence number of the last probe
 	nextTickAt    Time
-	nextContactAt Time // with dead members and seeds
-	round         []string
+	nextContactAt Time     // when to probe dead members and seeds next
+	round         []string // names of the members still to be probed in this round
 	probe         probe
 	relays        []relay
 
 	rumours     []rumour
-	refreshedTo int // where the members refreshed next begin
+	refreshedTo int // counter that selects the next member whose record is refreshed
 }
 
-// New begins a process's part under a name. Its incarnation must be higher than that of any process before it, as far as known.
+// New returns the core of a process that has just started. Its incarnation must be higher than that of any known earlier process of its
+// name.
 func New(now Time, self Member, seeds []string, random *rand.Rand, host Host) *Core {
 	self.State, self.StateSince = Alive, now
 	return &Core{host: host, random: random, now: now, began: now, self: self, seeds: seeds, nextTickAt: now}
 }
 
-// Self returns this process.
+// Self returns the record of this process.
 func (c *Core) Self() Member { return c.self }
 
-// IsInactive reports whether it takes part no more: a later process has its name, or it has left.
+// IsInactive reports whether this process has stopped taking part, because a later process has its name or because it has left.
 func (c *Core) IsInactive() bool { return c.inactive }
 
-// LocalHealth returns how many times slower than usual it judges others, from 0.
+// LocalHealth returns the local health of Lifeguard, from 0 (healthy) to 8. The timeout of a probe is multiplied by one more than that.
 func (c *Core) LocalHealth() int { return c.health }
 
-// Members returns all that it knows of besides itself, by name. They are the core's and must not be kept or changed.
+// Members returns the records of all known members but this process, by name. The slice belongs to the core: callers must not retain or
+// modify it.
 func (c *Core) Members() []Member { return c.members }
 
-// CountDead returns how many members died without leaving.
+// CountDead returns the number of members that died without leaving.
 func (c *Core) CountDead() int {
 	return c.count(func(m *Member) bool { return m.State == Dead })
 }
 
-// CountReachable returns how many other members are alive or suspect.
+// CountReachable returns the number of other members that are alive or suspect.
 func (c *Core) CountReachable() int {
 	return c.count(func(m *Member) bool { return m.State <= Suspect })
 }
@@ -152,7 +155,7 @@
 	return n
 }
 
-// Find returns what is known of a member.
+// Find returns the record of a member, and whether there is one.
 func (c *Core) Find(name string) (Member, bool) {
 	if i, ok := c.indexOf(name); ok {
 		return c.members[i], true
@@ -160,12 +163,12 @@
 	return Member{}, false
 }
 
-// indexOf returns a member's index, or where it would be.
+// indexOf returns the index of a member, or the index at which it would be inserted, and whether the member is known.
 func (c *Core) indexOf(name string) (int, bool) {
 	return slices.BinarySearchFunc(c.members, name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
 }
 
-// pickMember draws one of the members that match.
+// pickMember returns a random member that matches, and whether there is one.
 func (c *Core) pickMember(matches func(*Member) bool) (Member, bool) {
 	candidates, picked := 0, -1
 	for i := range c.members {
@@ -183,10 +186,10 @@
 	return c.members[picked], true
 }
 
-// NextTick returns when Tick is to be called at the latest.
+// NextTick returns the latest time at which Tick must be called next.
 func (c *Core) NextTick() Time { return c.nextTickAt }
 
-// Tick is the timer.
+// Tick does the periodic work: probes, suspicions, contacts with dead members and seeds, and the removal of old members.
 func (c *Core) Tick(now Time) {
 	late := now - c.nextTickAt
 	c.now = now
@@ -218,8 +221,8 @@
 	}
 }
 
-// resumeAfterStall takes in that a tick came far too late, because the process stood still. It cannot know what it missed, so it judges
-// nobody by that time and trusts itself less.
+// resumeAfterStall handles a tick that comes far too late because the process was stalled. It cannot know which messages it missed, so the
+// time of the stall counts against no member, and its local health gets worse.
 func (c *Core) resumeAfterStall(late Time) {
 	const penalty = 2
 	c.probe.waiting = false
@@ -231,10 +234,10 @@
 
 func (c *Core) changeHealth(by int) { c.health = max(0, min(maxLocalHealth, c.health+by)) }
 
-// slowed returns a time as a member that doubts itself takes it.
+// slowed returns a timeout multiplied according to the local health.
 func (c *Core) slowed(t Time) Time { return t * Time(1+c.health) }
 
-// Leave notifies some members that this one leaves. They pass it on.
+// Leave notifies a few members that this process leaves, and makes it inactive. These members spread the notice.
 func (c *Core) Leave(now Time) {
 	c.now = now
 	if c.inactive {
--- a/internal/cluster/membership/core_test.go
+++ b/internal/cluster/membership/core_test.go
@@ -28,7 +28,7 @@
 	return m
 }
 
-// What is known of members after some statements doesn't depend on their order, nor on how often each comes.
+// The member records after a number of received records do not depend on the order of these, nor on how often each is received.
 func TestRecordsCountAlikeInAnyOrderAndNumber(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		said := rapid.SliceOfN(rapid.Custom(drawMember), 1, 12).Draw(t, "said")
@@ -43,7 +43,7 @@
 			return fmt.Sprint(c.Members())
 		}
 		if a, b := table(said), table(order); a != b {
-			t.Fatalf("%s\n%s", a, b)
+			t.Fatalf("members in the first order:\n%s\nin another order and with duplicates:\n%s", a, b)
 		}
 	})
 }
@@ -61,12 +61,12 @@
 		}
 		got, err := decode(w.bytes())
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(m) {
-			t.Fatalf("%v\n%v\n%v", err, m, got)
+			t.Fatalf("error %v\nencoded %v\ndecoded %v", err, m, got)
 		}
 	})
 }
 
-// Whatever comes, a message is read whole or not at all, and takes no more room than its own length.
+// Guards against invalid messages that are applied in part, and against messages that add more members than fit into one message.
 func FuzzHandleMessage(f *testing.F) {
 	w := newWriter(message{kind: kindPing, sequence: 7, from: Member{Name: "b", Incarnation: 3, Address: "x:1"}, about: "a"})
 	w.add(&Member{Name: "c", Incarnation: 9, State: Suspect, Accuser: "b", Address: "y:1"})
@@ -76,13 +76,13 @@
 		c := newTestCore("a")
 		err := c.HandleMessage(1, b)
 		if n := len(c.Members()); err != nil && n > 0 || n > 256 {
-			t.Fatalf("%v, %d members", err, n)
+			t.Fatalf("error %v, but %d members", err, n)
 		}
 		c.Tick(ProbeInterval)
 	})
 }
 
-// A state table that many names are pushed into stays bounded.
+// The number of members stays limited, however many names are received.
 func TestTableStaysBounded(t *testing.T) {
 	c := newTestCore("self")
 	for i := range 5000 {
@@ -90,7 +90,7 @@
 	}
 	c.Tick(1)
 	if n := len(c.Members()); n > maxMembers {
-		t.Errorf("%d members are kept", n)
+		t.Errorf("%d members are stored, more than the limit", n)
 	}
 }
 
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// rumour is a member whose record is still passed on.
+// rumour names a member whose changed record is still added to messages.
 type rumour struct {
 	name string
-	sent int // times
+	sent int // number of messages that carried the record
 }
 
-// spread has a member's record be passed on.
+// spread makes the core add a member's record to its next messages.
 func (c *Core) spread(name string) {
 	c.rumours = slices.DeleteFunc(c.rumours, func(r rumour) bool { return r.name == name })
 	c.rumours = append(c.rumours, rumour{name: name})
 }
 
-// HandleMessage takes in a message. The error is ErrMessage if it cannot be read.
+// HandleMessage processes a received message. For an invalid message, it returns ErrMessage and changes nothing.
 func (c *Core) HandleMessage(now Time, b []byte) error {
 	m, err := decode(b)
 	if err != nil {
@@ -32,7 +32,7 @@
 		c.learn(m.records[i])
 	}
 	if m.from.Name == c.self.Name {
-		return nil // records of this name have been taken in
+		return nil // the records in the message have been applied
 	}
 	c.learn(m.from)
 	i, known := c.indexOf(m.from.Name)
@@ -40,7 +40,7 @@
 		return nil
 	}
 	if c.members[i].Incarnation > m.from.Incarnation && !ignoreIncarnations {
-		// A process that has been superseded still sends. It is notified, and nothing that it sends counts as a sign of its successor.
+		// The sender has been superseded but still runs. It is notified, and its message does not count as a reply of its successor.
 		c.send(m.from.Address, message{kind: kindAck, about: m.from.Name}, usualRefresh)
 		return nil
 	}
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// send writes a message: the record of the member that it is about, then rumours, and then the records of so many members in turn.
+// send encodes and sends a message. It adds the record of the member that the message is about, then rumours, and then the records of
+// up to refresh members, which it selects one after another.
 func (c *Core) send(address string, m message, refresh int) {
 	m.from = c.self
 	w := newWriter(m)
@@ -73,13 +74,13 @@
 	c.host.Send(address, w.bytes())
 }
 
-// addRumours adds the records that were passed on least, and drops rumours that were passed on often enough.
+// addRumours adds the rumours that were sent least often, and removes those that were sent often enough.
 func (c *Core) addRumours(w *writer) {
 	maxSent := 3 * int(math.Ceil(math.Log2(float64(len(c.members)+2))))
 	slices.SortStableFunc(c.rumours, func(a, b rumour) int { return cmp.Compare(a.sent, b.sent) })
 	for k := range c.rumours {
 		r := &c.rumours[k]
-		if r.name != c.self.Name { // its own record is in every message
+		if r.name != c.self.Name { // the sender's record is part of every message
 			i, ok := c.indexOf(r.name)
 			if ok && !w.add(&c.members[i]) {
 				break
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -10,42 +10,42 @@
 const (
 	kindPing kind = iota + 1
 	kindAck
-	kindPingRequest // asks a helper to probe another member
+	kindPingRequest // requests a probe of another member from a helper
 )
 
-// message is one message between members. docs/fleet.md has it byte by byte.
+// message is a message between members. docs/fleet.md describes the encoding.
 type message struct {
 	kind     kind
-	full     bool // a ping that asks for as many members as an answer holds
+	full     bool // a ping that requests a reply with as many member records as fit
 	sequence uint32
 	from     Member
-	about    string // the member that a ping request is to probe, or that an answer is from
-	target   string // its address, in a ping request
+	about    string // the member that is probed; in an ack, the member that sent the ping or that a helper received a reply from
+	target   string // in a ping request: address of the member to probe
 	records  []Member
 }
 
-// MaxMessageBytes is the length of the longest message. With what others put into the same datagram it stays below what any network
-// carries in one piece.
+// MaxMessageBytes is the maximum length of a message. Together with the other parts of a datagram, a message of this length still fits
+// into one packet on any network.
 const MaxMessageBytes = 720
 
 const (
-	version    = 1    // the first byte of every message; those of other versions are not read
-	fullFlag   = 0x80 // of the kind's byte
+	version    = 1    // the first byte of every message; messages of other versions are rejected
+	fullFlag   = 0x80 // flag in the byte of the kind
 	headBytes  = 6    // version, kind and sequence
-	maxRecords = 255  // in a message
-	// A record with more refutations than this is not read.
+	maxRecords = 255  // records in a message
+	// A message that has a record with more refutations is rejected.
 	maxRefutations = 1 << 31
 )
 
-// ErrMessage reports bytes that are no message of this version.
-var ErrMessage = errors.New("membership: no message of this version")
+// ErrMessage is returned for bytes that are not a valid message of this version.
+var ErrMessage = errors.New("membership: not a valid message of this version")
 
-// writer writes a message up to its greatest length.
+// writer encodes a message up to the maximum length.
 type writer struct {
 	b       []byte
-	count   int // records
-	countAt int // place of the count in b
-	added   map[string]bool
+	count   int             // number of records
+	countAt int             // index of the number of records in b
+	added   map[string]bool // names of the members whose records the message has
 }
 
 func newWriter(m message) *writer {
@@ -64,7 +64,7 @@
 	return w
 }
 
-// add adds a member's record, unless the message has it, and reports whether there was room.
+// add adds a member's record, unless the message already has it. It returns false if the record does not fit.
 func (w *writer) add(m *Member) bool {
 	if w.added[m.Name] {
 		return true
@@ -99,7 +99,7 @@
 	return b
 }
 
-// reader reads values from what is left of a message, and zero values once a read has failed.
+// reader reads values from the rest of a message. It sets failed after a failed read.
 type reader struct {
 	b      []byte
 	failed bool
@@ -170,7 +170,7 @@
 	return m, nil
 }
 
-// ValidNameAndAddress reports whether a name and an address fit into messages.
+// ValidNameAndAddress reports whether a name and an address are not empty and fit into messages.
 func ValidNameAndAddress(name, address string) bool {
 	return name != "" && len(name) <= maxName && address != "" && len(address) <= maxAddress
 }
--- a/internal/cluster/membership/mutation_off.go
+++ b/internal/cluster/membership/mutation_off.go
@@ -2,5 +2,5 @@
 
 package membership
 
-// ignoreIncarnations is a mutation by which tests prove that their checks find it. An ordinary build has none.
+// ignoreIncarnations is a mutation. Tests enable it to show that their checks find it. It is off in an ordinary build.
 const ignoreIncarnations = false
--- a/internal/cluster/membership/mutation_testbed.go
+++ b/internal/cluster/membership/mutation_testbed.go
@@ -7,5 +7,5 @@
 	"strings"
 )
 
-// ignoreIncarnations is a mutation by which tests prove that their checks find it: processes under one name are not told apart.
+// ignoreIncarnations is a mutation: processes with the same name are not distinguished. Tests enable it to show that their checks find it.
 var ignoreIncarnations = strings.Contains(os.Getenv("MAGPIEBANK_PLANTED"), "ignores-start")
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -6,28 +6,29 @@
 	"magpiebank/internal/admission"
 )
 
-// probe is the last one that was sent.
+// probe is the last probe that was sent in a round.
 type probe struct {
 	sequence      uint32
 	target        string
 	sentAt        Time
-	helpAt        Time // when helpers are asked to probe as well
-	until         Time // when the next one may be sent
-	waiting       bool // for an answer
+	helpAt        Time // when to send ping requests to helpers
+	until         Time // when the probe times out, and the next one may be sent
+	waiting       bool // no reply has been received
 	helpRequested bool
 }
 
-// relay is a probe that is made for another member.
+// relay is a probe that this process sends as a helper of another member.
 type relay struct {
 	sequence          uint32
 	requesterSequence uint32
-	requester         string // its address
+	requester         string // address of the member that requested the probe
 	until             Time
 }
 
 const relayTimeout = 2 * admission.Second
 
-// startProbe probes the next member of the round. Each round has its own order, so that every member is probed once a round.
+// startProbe probes the next member of the round, or starts a new round if none is left. Each round has a random order, and probes every
+// member once.
 func (c *Core) startProbe() {
 	for len(c.round) > 0 {
 		name := c.round[len(c.round)-1]
@@ -48,7 +49,7 @@
 	c.probe.until = c.now + tickInterval
 }
 
-// sendPing sends a probe; full: it asks for as many members as an answer holds, and sends as many.
+// sendPing sends a ping. A full ping requests a reply with as many member records as fit into a message, and carries as many itself.
 func (c *Core) sendPing(address string, sequence uint32, about string, full bool) {
 	refresh := usualRefresh
 	if full {
@@ -57,7 +58,7 @@
 	c.send(address, message{kind: kindPing, full: full, sequence: sequence, about: about}, refresh)
 }
 
-// requestHelp probes the target once more, because the first probe may be lost, and has helpers probe it.
+// requestHelp probes the target again, because the first probe may be lost, and requests probes of the target from helpers.
 func (c *Core) requestHelp() {
 	i, ok := c.indexOf(c.probe.target)
 	if !ok {
@@ -72,7 +73,7 @@
 	}
 }
 
-// endUnansweredProbe suspects the target, and trusts this process less.
+// endUnansweredProbe makes the target a suspect, or confirms the suspicion of it, and makes the local health worse.
 func (c *Core) endUnansweredProbe() {
 	c.probe.waiting = false
 	c.changeHealth(1)
@@ -89,10 +90,10 @@
 	}
 }
 
-// contactLost sends probes to members that may have come back: to the seeds while nobody else is known, and else to one of
-// the dead and of the seeds.
+// contactLost sends pings to members that may be back: to at most two addresses, drawn from one random dead member and the seeds that
+// are not known as reachable members.
 func (c *Core) contactLost() {
-	const maxContacts = 2 // seeds that are down cost next to nothing
+	const maxContacts = 2 // limits the cost of seeds that are down
 	c.nextContactAt = c.now + contactPeriod
 	if c.CountReachable() == 0 {
 		c.nextContactAt = c.now + lonelyPeriod
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// suspicion is one that has begun to run. Members that share it shorten it.
+// suspicion is the suspicion that a member is under, and the time since which it is running. It ends earlier the more members share it.
 type suspicion struct {
 	name        string
 	incarnation uint64
@@ -16,14 +16,15 @@
 
 const maxAccusers = 4
 
-// concerns reports whether a suspicion is the one that a member is under. One that it has refuted is over.
+// concerns reports whether a suspicion is about the current record of a member. A suspicion that the member has refuted is not.
 func (s *suspicion) concerns(m *Member) bool {
 	return s.name == m.Name && s.incarnation == m.Incarnation && s.refutations == m.Refutations
 }
 
-// suspicionTimeout returns how long a suspicion runs. It grows with the logarithm of the fleet, because gossip takes so
-// many rounds, and is three times as long while nobody shares the suspicion. A member that doubts itself waits longer, but
-// a part of the fleet that is cut off and whose probes mostly fail still finds out within two minutes.
+// suspicionTimeout returns after what time a suspected member is declared dead. The timeout grows with the logarithm of the cluster size,
+// like the number of rounds that gossip needs. It is three times as long while no other member shares the suspicion. It also grows with
+// the local health, but so little that members in a cut-off part of the cluster, most of whose probes fail, still declare the others dead
+// within two minutes.
 func (c *Core) suspicionTimeout(s *suspicion) Time {
 	least := float64(ProbeInterval) * (1 + float64(c.health)/4) * 2 * max(1, math.Log2(float64(len(c.members)+2)))
 	const maxFactor, shared = 3, 3.0
@@ -31,7 +32,7 @@
 	return Time(least * max(1, maxFactor-(maxFactor-1)*part))
 }
 
-// endSuspicions declares suspects dead whose suspicion has run out, and drops suspicions that are over.
+// endSuspicions declares suspects dead whose suspicion has timed out, and removes suspicions that no longer concern a suspect.
 func (c *Core) endSuspicions() {
 	for i := 0; i < len(c.suspicions); {
 		s := &c.suspicions[i]
@@ -51,7 +52,8 @@
 	}
 }
 
-// addAccuser notes who shares a suspicion. A further accuser is passed on.
+// addAccuser adds an accuser to the suspicion of a member, and starts the suspicion if there is none. Every accuser after the first makes
+// the core spread the member's record.
 func (c *Core) addAccuser(m *Member, accuser string) {
 	i := slices.IndexFunc(c.suspicions, func(s suspicion) bool { return s.concerns(m) })
 	if i < 0 {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// overrides reports whether a record that was received replaces the one that is known.
+// overrides reports whether a received record replaces the known record of the member.
 func overrides(received, known *Member) bool {
 	order := cmp.Or(cmp.Compare(received.Refutations, known.Refutations), cmp.Compare(received.State, known.State))
 	if ignoreIncarnations {
@@ -14,7 +14,7 @@
 	return cmp.Or(cmp.Compare(received.Incarnation, known.Incarnation), order) > 0
 }
 
-// learn takes in a record of a member, and passes it on if it is new.
+// learn applies a received record of a member, and spreads it if it is new.
 func (c *Core) learn(received Member) {
 	if received.Name == c.self.Name {
 		c.learnOfSelf(received)
@@ -59,7 +59,7 @@
 	c.checkPartition()
 }
 
-// reportChange notifies the host of how a member's record has changed.
+// reportChange notifies the host of a change in a member's record.
 func (c *Core) reportChange(before, now Member) {
 	switch {
 	case now.Incarnation > before.Incarnation && now.State <= Suspect:
@@ -78,12 +78,12 @@
 	}
 }
 
-// learnOfSelf answers a record of this process. A suspicion is refuted. A later incarnation under the same name supersedes this one, unless
-// this one has only just begun and so must be the later.
+// learnOfSelf handles a received record with the name of this process. It refutes a suspicion or a report of death. A higher incarnation
+// supersedes this process, unless this process has just started and so must be the later one.
 func (c *Core) learnOfSelf(received Member) {
 	switch {
 	case received.Incarnation > c.self.Incarnation && c.now-c.began < settledAfter && !c.outbid:
-		c.outbid = true // its clock is behind that of the process before it
+		c.outbid = true // the clock of this process is behind that of the earlier process
 		c.self.Incarnation, c.self.Refutations = received.Incarnation+1, 0
 		c.spread(c.self.Name)
 	case received.Incarnation > c.self.Incarnation:
@@ -96,7 +96,7 @@
 	}
 }
 
-// checkPartition notices when much of the fleet is dead at a time, and when it is back.
+// checkPartition notifies the host when a large part of the cluster is dead at the same time, and when it no longer is.
 func (c *Core) checkPartition() {
 	const minDead, divisor = 2, 4
 	present := 1 + c.count(func(m *Member) bool { return m.State != Left })
@@ -112,7 +112,8 @@
 	c.host.MemberChanged(code, c.self)
 }
 
-// forgetMembers drops dead members after their time, and those that have been dead longest where there are too many.
+// forgetMembers removes members that have been dead or have left for ForgetAfter. If there are still too many members, it removes more, in
+// the order of forgetBefore.
 func (c *Core) forgetMembers() {
 	c.members = slices.DeleteFunc(c.members, func(m Member) bool { return m.State >= Dead && c.now-m.StateSince >= ForgetAfter })
 	for len(c.members) > maxMembers {
@@ -126,7 +127,8 @@
 	}
 }
 
-// forgetBefore reports whether a member is dropped before another one: the dead before the living, and the older state first.
+// forgetBefore reports whether a member is removed before another one. Members that are dead or have left come before the others, and
+// otherwise members with an older state come first.
 func forgetBefore(a, b *Member) bool {
 	aDead, bDead := a.State >= Dead, b.State >= Dead
 	if aDead != bDead {
--- a/internal/cluster/quota/core.go
+++ b/internal/cluster/quota/core.go
@@ -1,12 +1,12 @@
-// Package quota shares what an operator allows the whole installation (threads, places, turns) among its gateways, so that
-// all together never use more than the total, whichever are cut off, stopped, killed, restarted or doubled under one name, and
-// however late messages come. It does no I/O: its caller steps it with the clock handed in and carries its messages.
-// docs/budgets.md has the protocol, why it holds, and which test shows it.
+// Package quota divides the totals that an operator sets for the whole cluster among its gateways. All gateways together never use
+// more than a total, even if some of them are partitioned, stopped, killed, restarted or run twice under one name, and however late
+// messages arrive. The package does no I/O: its caller passes in the current time and delivers the messages.
+// docs/budgets.md describes the protocol, why it is safe, and which tests show it.
 //
-// Every gateway has a share, by its number among all. The holder of a share may use its equal part of each total, for as long as a
-// majority of the voters, a few named gateways, has lately confirmed it; a confirmation counts from when it was asked for. The
-// holder leases to others what it does not need. A lease ends at the borrower a stated time after it was requested, and at the lender
-// only when the borrower's slowest clock has surely come to that.
+// Every gateway has one share, chosen by its index among the gateways. The holder of a share may use an equal part of each total for
+// one share term after a majority of the voters (a few named gateways) has confirmed it. The term is counted from when the holder
+// requested the confirmation. The holder leases the units that it does not need to other gateways. At the borrower, a lease ends a
+// fixed time after it was requested. At the lender, it ends only when that time has passed on the slowest clock that the borrower may have.
 package quota
 
 import (
@@ -16,13 +16,13 @@
 	"slices"
 )
 
-// Host is what a core acts on.
+// Host sends a core's messages and lists its peers.
 type Host interface {
 	Send(to string, m Message)
-	Peers() []string // names of the other members that are alive
+	Peers() []string // names of the other live members
 }
 
-// Core is one process's part of the protocol. Its calls come one at a time, with a clock that never goes back.
+// Core runs the protocol for one process. It is not safe for concurrent use, and it ignores a time that is before an earlier one.
 type Core struct {
 	plan *Plan
 	host Host
@@ -30,13 +30,13 @@
 
 	name          string
 	incarnation   uint64
-	share         int    // number of the own share
-	sequence      uint32 // of the last claim or lease request sent
-	highestNumber uint64 // highest plan number received
+	share         int    // index of the own share; below 0 for none
+	sequence      uint32 // sequence number of the last claim or lease request sent
+	highestNumber uint64 // highest plan revision seen
 
 	voter        voterState
-	claims       []shareClaim // the own share's first, then those taken over
-	predecessors []uint64     // incarnations under this name that have surely ended
+	claims       []shareClaim // the claim of the own share, then the claims of shares taken over
+	predecessors []uint64     // earlier incarnations of this member that have certainly ended
 	granted      grantedLeases
 	taken        takenLeases
 	allocations  []allocation
@@ -44,13 +44,13 @@
 	spares       spareExchange
 }
 
-// quotaState is what a member knows and wants of one quota.
+// quotaState holds a member's state of one quota.
 type quotaState struct {
-	scale     float64 // part of the total that counts, as the owner sets it
-	rateUnits int64   // in use as a rate, without an end of its own
+	scale     float64 // fraction of the total that is in effect; see ScaleTotal
+	rateUnits int64   // units in use as a rate, which have no end time of their own
 
-	// What TryReserve promised to a request that is about to be sent. Until it has been sent, or waits on, nothing of it is leased out
-	// or returned.
+	// Units that TryReserve reserved for a request that is about to be sent. They are neither leased out nor returned until the request
+	// has been sent or the owner drops the reservation with SetDemand.
 	reservedUnits int64
 	reservedUntil Time // end of the use
 
@@ -58,34 +58,34 @@
 	announce announceState
 }
 
-// demandState is what waiting requests need of a quota.
+// demandState holds what waiting requests need of a quota.
 type demandState struct {
-	units            int64 // that all waiting requests would use at once
-	nextRequestUnits int64 // that the next of them needs; less is of no use to it
-	neededAt         Time  // when what was borrowed was last needed
-	collectingSince  Time  // since when units are borrowed for one wide request
-	pausedUntil      Time  // until when units that own requests wait for are leased out, and none are requested
-	failures         uint8 // collections in a row that found too little
+	units            int64 // units that all waiting requests together would use
+	nextRequestUnits int64 // units that the next waiting request needs; it cannot use fewer
+	neededAt         Time  // when the borrowed units were last needed
+	collectingSince  Time  // start of the collection of units for one wide request
+	pausedUntil      Time  // until then, no units are held back for own waiting requests, and no new leases are requested
+	failures         uint8 // consecutive collections that found too few units, up to maxFailures
 }
 
-// announceState is what was announced of the spare units of a quota.
+// announceState holds the last announcement of a quota's spare units.
 type announceState struct {
-	units int64 // announced last; below 0: to be announced anew
-	round int   // in which that changed
+	units int64 // units announced last; below 0: they must be announced again
+	round int   // announcement round in which units last changed
 }
 
-// Options are what a process begins with.
+// Options configures a new core.
 type Options struct {
 	Plan        *Plan
 	Name        string
-	Incarnation uint64 // higher than that of any process before it under its name
-	Share       int    // number of its share; below 0 for none
+	Incarnation uint64 // higher than that of any earlier process with this name
+	Share       int    // index of its share; below 0 for none
 	Host        Host
 }
 
-// New begins a process's part. It holds nothing, whatever an earlier process under its name held.
+// New returns the core of a process that has just started. It holds no units, even if an earlier process with its name held some.
 func New(now Time, o Options) *Core {
-	peerOffset := int(HashName(o.Name) >> 1) // each member begins with other peers
+	peerOffset := int(HashName(o.Name) >> 1) // members start with different peers
 	c := &Core{
 		plan: o.Plan, host: o.Host, now: now, name: o.Name, incarnation: o.Incarnation, share: o.Share, highestNumber: o.Plan.Number,
 		claims: []shareClaim{{share: o.Share, heldUntil: now, nextClaimAt: now}},
@@ -99,7 +99,7 @@
 	return c
 }
 
-// addQuotas adds the state of the plan's new quotas, and has all spare units announced anew.
+// addQuotas adds state for the new quotas of the plan, and makes the core announce all spare units again.
 func (c *Core) addQuotas() {
 	for len(c.quotas) < len(c.plan.Totals) {
 		c.quotas = append(c.quotas, quotaState{
@@ -109,20 +109,20 @@
 	}
 	c.spares.peers = c.spares.peers[:0]
 	for i := range c.quotas {
-		c.quotas[i].announce.units = -1 // members that went by another number did not heed it
+		c.quotas[i].announce.units = -1 // members that had another plan revision ignored the last announcement
 	}
 }
 
-var errPlanChange = errors.New("expected the seats, keepers and term that there are; others need a restart of all")
+var errPlanChange = errors.New("expected unchanged seats, keepers and term; changing them requires a restart of all gateways")
 
-// ReplacePlan replaces the totals by others, under a higher number. A quota that the next plan lacks has a total of 0 from
-// now on. Uses beyond the new share end by themselves; what was borrowed of a total that is lowered is returned as soon as
-// it can be, and no more of it is leased or used before.
+// ReplacePlan replaces the totals with those of a plan that has a higher revision. A quota that the next plan lacks gets a total of 0.
+// Uses that exceed the new share are not interrupted. Leases taken from a total that is lowered are returned as soon as possible, and
+// until then they are neither renewed nor used for new requests.
 func (c *Core) ReplacePlan(now Time, next *Plan) error {
 	c.advance(now)
 	old := c.plan
 	if next.Number <= old.Number {
-		return fmt.Errorf("number: expected above %d, under which other totals are gone by, found %d", old.Number, next.Number)
+		return fmt.Errorf("number: expected more than %d, the number of the totals in force, found %d", old.Number, next.Number)
 	}
 	if next.Shares != old.Shares || !slices.Equal(next.Voters, old.Voters) || next.ShareTerm != old.ShareTerm || next.LeaseTerm != old.LeaseTerm || next.LongestUse != old.LongestUse {
 		return errPlanChange
@@ -139,12 +139,12 @@
 		c.ReturnLeases(c.now, q, 0)
 	}
 	for i := range c.claims {
-		c.claims[i].nextClaimAt = min(c.claims[i].nextClaimAt, c.now) // under the new number at once
+		c.claims[i].nextClaimAt = min(c.claims[i].nextClaimAt, c.now) // claim under the new revision at once
 	}
 	return nil
 }
 
-// mergePlans returns the old plan with the next one's number and totals. Quotas keep their index; new ones come after them.
+// mergePlans returns the old plan with the revision and totals of the next one. Quotas keep their index; new quotas are appended.
 func mergePlans(old, next *Plan) *Plan {
 	merged := *old
 	merged.Number, merged.QuotaIDs, merged.Totals = next.Number, slices.Clone(old.QuotaIDs), make([]int64, len(old.QuotaIDs))
@@ -159,8 +159,8 @@
 	return &merged
 }
 
-// ReleaseShares returns what was borrowed and, if nothing is used or leased out any more, releases the shares, so that a successor need not
-// wait for their term. It reports whether the shares were released.
+// ReleaseShares returns all borrowed units. If no units are in use or leased out any more, it also releases the shares, so that a
+// successor does not have to wait for the end of their term. It reports whether the shares were released.
 func (c *Core) ReleaseShares(now Time) bool {
 	c.advance(now)
 	c.expire()
@@ -182,7 +182,7 @@
 	return true
 }
 
-// Tick is the timer: it claims shares, has a voter join, requests, renews and returns leases and announces spare units.
+// Tick does the periodic work: it claims shares, makes a voter join, requests, renews and returns leases, and announces spare units.
 func (c *Core) Tick(now Time) {
 	c.advance(now)
 	c.expire()
@@ -202,7 +202,7 @@
 	}
 }
 
-// HandleMessage takes in a message.
+// HandleMessage processes a received message.
 func (c *Core) HandleMessage(now Time, m Message) {
 	c.advance(now)
 	c.highestNumber = max(c.highestNumber, m.PlanNumber)
@@ -224,10 +224,11 @@
 	}
 }
 
-// advance has time go on. Calls of two goroutines that raced are taken in their order.
+// advance moves the clock forward. Two goroutines read the clock before they call, so a later call may bring an earlier time, which
+// leaves the clock as it is.
 func (c *Core) advance(now Time) { c.now = max(c.now, now) }
 
-// expire drops what has ended.
+// expire removes allocations, claims, leases and lease requests that have ended.
 func (c *Core) expire() {
 	c.allocations = slices.DeleteFunc(c.allocations, func(a allocation) bool { return c.now >= a.until })
 	c.claims = slices.DeleteFunc(c.claims, func(k shareClaim) bool {
--- a/internal/cluster/quota/demand.go
+++ b/internal/cluster/quota/demand.go
@@ -6,41 +6,44 @@
 	"magpiebank/internal/admission"
 )
 
-// How units go where they are needed. Every member announces to its peers now and then what it could lease out. A member
-// whose requests wait for more than it has asks those that could lease out most, for what it lacks and at most half of what
-// each has. It renews what it has borrowed while it is needed, and returns it a while after. What own requests wait for is
-// not leased out, so that at equal demand all come to their equal shares.
+// These constants control how units move to the members that need them. Every member regularly announces to its peers how many units it
+// could lease out. A member whose waiting requests need more units than it has requests the missing units from the peers that announced
+// most, up to half of what each announced. It renews its leases while the units are needed, and returns them when the units have been
+// idle for a while. Units that a member's own requests wait for are not leased out, so that members with equal demand end up with equal
+// shares.
 const (
-	// A lease request that has had no answer for 0.1 s is lost: answers take milliseconds.
+	// requestTimeout is the time after which an unanswered lease request is considered lost. Replies take milliseconds.
 	requestTimeout = admission.Second / 10
-	// So many requests are out at once: a burst at one of 500 members that have two units each is served within a second or two.
+	// maxOpenRequests limits a member's open requests for new leases of a quota. With 32, a burst at one of 500 members that have two
+	// units each is served within one or two seconds. It also limits the rejected requests that are stored and the credit for blind
+	// requests.
 	maxOpenRequests = 32
-	// What is borrowed is kept so long beyond the last need. To ask again costs two messages and a round trip, to keep it
-	// idle costs a part of the total (real sockets, 32 gateways, demand by Zipf's law: a quarter of a second 0.930 to 0.940
-	// of it used, a tenth 0.953; a second 0.86).
+	// keepIdle is how long borrowed units are kept after they were last needed. Requesting them again costs two messages and a round
+	// trip. Keeping them idle wastes a part of the total: with 32 gateways, real sockets and Zipf-distributed demand, 0.953 of the
+	// total is used with a tenth of a second, 0.930 to 0.940 with a quarter, and 0.86 with a second.
 	keepIdle = admission.Second / 10
-	// A member whose next request needs more than its own share collects units for so long.
+	// collectInterval is how long a member collects units for a next request that needs more than its own share, before it pauses.
 	collectInterval = admission.Second / 4
-	// A member that has collected enough goes on for so long before it pauses, so that all come to their turn.
+	// collectLimit is how long a member that has collected enough units goes on before it pauses, so that every member gets units.
 	collectLimit = admission.Second
-	// Pauses last from one to pauseSteps collect intervals, doubled by each failure up to maxFailures.
+	// A pause lasts from one to pauseSteps collect intervals. Each consecutive failure, up to maxFailures, doubles the maximum.
 	pauseSteps  = 4
 	maxFailures = 4
-	pausePrime  = 7919 // spreads the pauses of a member
+	pausePrime  = 7919 // makes the lengths of a member's pauses differ
 )
 
-// SetDemand sets how many units waiting requests would use at once.
+// SetDemand sets how many units all waiting requests together would use.
 func (c *Core) SetDemand(now Time, quota int, units int64) {
 	c.advance(now)
 	c.quotas[quota].demand.units = units
 }
 
-// SetNextRequestUnits sets how many units the next request needs. Fewer are of no use to it.
+// SetNextRequestUnits sets how many units the next waiting request needs. It cannot use fewer.
 func (c *Core) SetNextRequestUnits(quota int, units int64) {
 	c.quotas[quota].demand.nextRequestUnits = units
 }
 
-// meetDemand borrows what requests wait for, renews leases while they are needed, and returns them after.
+// meetDemand borrows the units that waiting requests need, renews leases while they are needed, and returns unneeded leases.
 func (c *Core) meetDemand(quota int) {
 	c.spares.limitPeers()
 	c.ReturnLeases(c.now, quota, c.unneededUnits(quota))
@@ -52,7 +55,7 @@
 	demand := &c.quotas[quota].demand
 	lack, open := demand.units-free, 0
 	if c.isWide(quota) && free < demand.nextRequestUnits {
-		lack = min(lack, demand.nextRequestUnits-free) // for one request at a time: a part of what it needs serves none
+		lack = min(lack, demand.nextRequestUnits-free) // collect for one request at a time, because a request cannot use a part of its units
 	}
 	for i := range c.taken.requests {
 		if r := &c.taken.requests[i]; r.quota == quota && r.isNew && c.now-r.sentAt < requestTimeout {
@@ -62,7 +65,8 @@
 	c.borrow(quota, lack, maxOpenRequests-open)
 }
 
-// unneededUnits returns how many units can be spared that have not been needed for a while.
+// unneededUnits returns how many free units exceed the demand, if these have been enough to return the smallest lease for at least
+// keepIdle. Otherwise it returns 0.
 func (c *Core) unneededUnits(quota int) int64 {
 	demand := &c.quotas[quota].demand
 	spared, smallest := c.free(quota, c.now)-demand.units, int64(0)
@@ -80,7 +84,8 @@
 	return spared
 }
 
-// renewLeases asks for more time on leases early enough that the next request can use them for the longest time.
+// renewLeases requests the renewal of each lease after the first quarter of its term, so that a request that starts later still
+// has the longest use before it.
 func (c *Core) renewLeases(quota int) {
 	for i := range c.taken.leases {
 		l := &c.taken.leases[i]
@@ -90,7 +95,8 @@
 	}
 }
 
-// borrow requests leases of so many units altogether, from the peers that could lease out most, and from unknown ones after them.
+// borrow requests leases of lack units in total, in at most the given number of requests. It sends them first to the peers that announced
+// most spare units, then to peers that announced nothing recently.
 func (c *Core) borrow(quota int, lack int64, requests int) {
 	for ; lack > 0 && requests > 0; requests-- {
 		index := c.spares.richestPeer(quota, c.name)
@@ -98,7 +104,7 @@
 			peer := &c.spares.peers[index]
 			c.spares.nextLender = index + 1
 			units := min(lack, (peer.units[quota]+1)/2)
-			peer.units[quota] -= units // until it announces more
+			peer.units[quota] -= units // until the peer's next announcement
 			lack -= units
 			c.requestNewLease(quota, peer.name, units)
 			continue
@@ -114,9 +120,11 @@
 	}
 }
 
-// pauseCollecting has a member whose next request needs more than its own share, and than it can borrow in a quarter of a second, return
-// what it has collected for it, and lease out its own share for a while. Otherwise all would hold a little of a quota and wait for
-// each other. Pauses differ, and become longer after failures, so that few enough members collect at a time.
+// pauseCollecting reports whether a member that collects units for a wide request is in a pause, and starts a pause if it is due. A pause
+// is due when the member has not found enough units within collectInterval, or has collected enough for collectLimit. The member
+// then returns the borrowed units that are not in use, and may lease out its own share during the pause. Without pauses, every member
+// could hold a few units of a quota and wait for the others. The lengths of pauses differ and their maximum grows after failures, so
+// that only a few members collect at the same time.
 func (c *Core) pauseCollecting(quota int, free int64) bool {
 	demand := &c.quotas[quota].demand
 	if demand.units == 0 || !c.isWide(quota) {
@@ -141,7 +149,7 @@
 	return true
 }
 
-// isWide reports whether the next request needs more than one unit, and than the own share.
+// isWide reports whether the next request needs more than one unit and more than the own share.
 func (c *Core) isWide(quota int) bool {
 	return c.quotas[quota].demand.nextRequestUnits > max(1, c.ownShareUnits(quota))
 }
@@ -150,7 +158,7 @@
 	return c.plan.shareUnits(quota, c.share, c.quotas[quota].scale)
 }
 
-// heldBack returns the units that own requests wait for, which are not leased out.
+// heldBack returns the units that are not leased out because own requests wait for them. It returns 0 during a pause.
 func (c *Core) heldBack(quota int) int64 {
 	if c.now < c.quotas[quota].demand.pausedUntil {
 		return 0
--- a/internal/cluster/quota/exploration.go
+++ b/internal/cluster/quota/exploration.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// State exploration (internal/testbed/quotamodel) steps a core by less than a tick at a time, from states that it sets up, and compares the
-// states that it comes to. What it needs of a core beyond the protocol's calls is in this file.
+// This file holds the methods that only the testbed uses, mainly state exploration (internal/testbed/quotamodel). State exploration
+// runs parts of a tick one by one, starts from states that it sets up, and compares the states that it reaches.
 
-// Name returns the member's name.
+// Name returns the name of the member.
 func (c *Core) Name() string { return c.name }
 
 // Incarnation returns the process's incarnation.
@@ -17,20 +17,20 @@
 // IsVoter reports whether the process is a voter.
 func (c *Core) IsVoter() bool { return c.voter.index >= 0 }
 
-// IsJoining reports whether the process is a voter that the other voters do not know yet.
+// IsJoining reports whether the process is a voter that not all other voters know yet.
 func (c *Core) IsJoining() bool { return c.voter.index >= 0 && c.voter.openAt == Never }
 
-// LastClaim returns the number of the last claim of the own share, 0 before the first, and when it was sent.
+// LastClaim returns the sequence number of the last claim of the own share, or 0 before the first, and when the claim was sent.
 func (c *Core) LastClaim() (sequence uint32, sentAt Time) {
 	return c.claims[0].sequence, c.claims[0].claimedAt
 }
 
-// LeaseCounts returns how many leases are requested, taken and granted.
+// LeaseCounts returns the number of open lease requests, of leases taken and of leases granted.
 func (c *Core) LeaseCounts() (requested, taken, granted int) {
 	return len(c.taken.requests), len(c.taken.leases), len(c.granted.leases)
 }
 
-// Expire has time go on and drops what has ended, without the other steps of a tick.
+// Expire moves the clock forward and removes what has ended, without the other steps of a tick.
 func (c *Core) Expire(now Time) {
 	c.advance(now)
 	c.expire()
@@ -42,12 +42,12 @@
 	c.claimShare(0)
 }
 
-// HoldShare has the own share be held until a time, without claims.
+// HoldShare makes the process hold its own share until a time, without claims.
 func (c *Core) HoldShare(until Time) {
 	c.claims[0].heldUntil, c.claims[0].nextClaimAt = until, Never
 }
 
-// OpenVoter opens a voter at once that knows these incarnations of the voters and was known by those.
+// OpenVoter opens a voter at once, and sets the incarnations of the voters that it knows and of those that knew it.
 func (c *Core) OpenVoter(now Time, incarnations, knownBy []uint64) {
 	c.advance(now)
 	copy(c.voter.incarnations, incarnations)
@@ -55,16 +55,16 @@
 	c.voter.openAt = c.now
 }
 
-// RestartJoin has a voter forget by whom it is known.
+// RestartJoin closes a voter and makes it forget which voters know it.
 func (c *Core) RestartJoin() { c.restartJoin() }
 
-// JoinVoters has a voter that is not open ask the others to learn its incarnation.
+// JoinVoters makes a voter that has not joined yet send its incarnation to the voters that do not know it.
 func (c *Core) JoinVoters(now Time) {
 	c.advance(now)
 	c.joinVoters()
 }
 
-// RequestLease asks a member for so many units of a quota, or for more time on the lease that it has granted.
+// RequestLease requests a lease of units from a member, or the renewal of a lease that the member has already granted.
 func (c *Core) RequestLease(quota int, lender string, units int64) {
 	i := slices.IndexFunc(c.taken.leases, func(l lease) bool { return l.quota == quota && l.peer == lender })
 	if i < 0 {
@@ -74,14 +74,14 @@
 	c.requestLease(quota, lender, c.taken.leases[i].units, c.taken.leases[i].id)
 }
 
-// Clone returns a copy that shares no state with the core and acts on another host.
+// Clone returns a copy of the core that uses another host and shares no modifiable state with the core.
 func (c *Core) Clone(host Host) *Core {
 	d := *c
 	d.host = host
 	d.voter.incarnations, d.voter.knownBy, d.voter.holders = slices.Clone(c.voter.incarnations), slices.Clone(c.voter.knownBy), slices.Clone(c.voter.holders)
 	d.claims = slices.Clone(c.claims)
 	for i := range d.claims {
-		d.claims[i].confirmations = slices.Clip(d.claims[i].confirmations) // confirmations are added, and never changed
+		d.claims[i].confirmations = slices.Clip(d.claims[i].confirmations) // confirmations are only appended, and never modified
 	}
 	d.granted.leases, d.granted.rejected = slices.Clone(c.granted.leases), slices.Clone(c.granted.rejected)
 	d.taken.leases, d.taken.requests = slices.Clone(c.taken.leases), slices.Clone(c.taken.requests)
@@ -93,14 +93,14 @@
 	return &d
 }
 
-// Digests tell apart times up to these differences from now.
+// Limits for the times in a digest, which are relative to now.
 const (
-	digestHorizon  = 1000
-	digestMaxAge   = 100
-	digestUpToDate = -1 // of all times that have passed
+	digestHorizon  = 1000 // maximum time until a voter opens
+	digestMaxAge   = 100  // maximum age of a claim
+	digestUpToDate = -1   // stands for every deadline that has passed
 )
 
-// digest collects the parts of a core's state that decide how it goes on, with times relative to now.
+// digest collects the parts of a core's state that determine its future behavior, with times relative to now.
 type digest struct {
 	b   []byte
 	now Time
@@ -133,8 +133,8 @@
 	}
 }
 
-// AppendDigest appends the parts of the state that decide how claims and leases go on, with times relative to now. Cores
-// with equal digests go on alike, whatever the time.
+// AppendDigest appends the parts of the state that determine the future of claims and leases, with times relative to now. Cores with
+// equal digests behave alike from then on, at whatever time.
 func (c *Core) AppendDigest(b []byte, now Time) []byte {
 	d := &digest{b: b, now: now}
 	d.deadline(min(c.voter.openAt, now+digestHorizon))
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -2,44 +2,44 @@
 
 import "slices"
 
-// lease is units of a quota that are leased out, at the lender and at the borrower.
+// lease is a number of units that one member has leased to another, as stored at the lender or at the borrower.
 type lease struct {
 	quota       int
-	peer        string // the borrower at the lender, the lender at the borrower
-	incarnation uint64 // of the peer
+	peer        string // at the lender: the borrower; at the borrower: the lender
+	incarnation uint64 // incarnation of the peer
 	id          uint32
 	units       int64
 	until       Time
-	final       bool // it is not renewed; the borrower uses it for nothing new, and returns it as soon as it can
+	final       bool // the lease is not renewed; the borrower uses it for no new request and returns it as soon as possible
 }
 
-// matches reports whether a message of the peer is about the lease.
+// matches reports whether a message was sent by the lease's peer and refers to the lease.
 func (l *lease) matches(quota int, m *Message) bool {
 	return l.peer == m.Sender && l.incarnation == m.SenderIncarnation && l.quota == quota && l.id == m.LeaseID
 }
 
-// grantedLeases is what a lender has leased out.
+// grantedLeases holds the leases that this member has granted as a lender.
 type grantedLeases struct {
 	leases   []lease
-	rejected []rejectedRequest // by whom it was lately asked for more than it had
+	rejected []rejectedRequest // members that recently requested units and may need more
 }
 
-// rejectedRequest is a member that asked for units of which there were none, or too few.
+// rejectedRequest identifies a member that requested units and got none, or possibly fewer than it needs.
 type rejectedRequest struct {
 	quota int
 	peer  string
 	at    Time
 }
 
-// takenLeases is what a borrower has, and what it has requested.
+// takenLeases holds the leases that this member has taken as a borrower, and its open lease requests.
 type takenLeases struct {
 	leases   []lease
 	requests []leaseRequest
 	lastID   uint32
-	pauses   uint32 // in collecting units for a wide request
+	pauses   uint32 // number of pauses in collecting units for wide requests; see pauseCollecting
 }
 
-// leaseRequest is a request for a lease, or for more time on one.
+// leaseRequest is a request for a lease or for a renewal.
 type leaseRequest struct {
 	quota    int
 	lender   string
@@ -47,8 +47,8 @@
 	sequence uint32
 	units    int64
 	sentAt   Time
-	isNew    bool // for a new lease, not for more time on one
-	blind    bool // to a member that has lately not announced its spare units
+	isNew    bool // it requests a new lease, not a renewal
+	blind    bool // it went to a member that has not announced its spare units recently
 }
 
 func (r *leaseRequest) matches(quota int, m *Message) bool {
@@ -58,7 +58,7 @@
 func (c *Core) handleLeaseMessage(quota int, m Message) {
 	switch m.Kind {
 	case KindLeaseRequest:
-		c.quotas[quota].announce.units = -1 // the borrower counts with less from then on
+		c.quotas[quota].announce.units = -1 // the borrower has reduced its record of this member's spare units
 		c.handleLeaseRequest(quota, m)
 	case KindLeaseGrant:
 		c.handleLeaseGrant(quota, m)
@@ -71,8 +71,8 @@
 	}
 }
 
-// handleLeaseRequest leases out units of the own shares that are free, or gives more time on a lease, unless own requests
-// lack it. Each request is answered once.
+// handleLeaseRequest leases out free units of the own shares, or renews a lease, unless own requests need the units. A request with a
+// lower lease ID than another lease of the same borrower is ignored, because it arrives late or repeatedly.
 func (c *Core) handleLeaseRequest(quota int, m Message) {
 	if m.Units <= 0 || m.PlanNumber != c.plan.Number {
 		return
@@ -90,7 +90,7 @@
 	}
 	end := c.now + c.plan.withDrift(c.plan.LeaseTerm)
 	units := min(m.Units, c.spareUnits(quota, end))
-	c.noteRejected(quota, m.Sender) // even one that is granted a lease may lack more
+	c.noteRejected(quota, m.Sender) // a borrower that gets a lease may need more units than it got
 	if units <= 0 {
 		c.rejectLease(m)
 		return
@@ -99,7 +99,7 @@
 	c.grantLease(m, units)
 }
 
-// renewLease gives more time on a lease, unless own requests wait for more units than are recalled already.
+// renewLease renews a lease, unless own requests wait for more units than are free or already recalled.
 func (c *Core) renewLease(l *lease, m Message) {
 	if c.now >= l.until {
 		return
@@ -115,7 +115,7 @@
 	before := l.until
 	l.until = max(before, end)
 	if c.leastOwn(l.quota, end) < 0 && c.plan.Mutation != LeaseBeyondShareTerm {
-		l.until = before // a lease must end before the share does of which it is
+		l.until = before // a lease must end before the share that its units belong to
 		return
 	}
 	c.grantLease(m, l.units)
@@ -137,10 +137,10 @@
 	c.granted.leases = slices.DeleteFunc(c.granted.leases, func(l lease) bool { return l.matches(quota, &m) })
 }
 
-// recalled returns the units that borrowers return as soon as they can.
+// recalled returns the units that borrowers must return as soon as possible.
 func (c *Core) recalled(quota int) int64 { return finalUnits(c.granted.leases, quota) }
 
-// toBeReturned returns the units that this process returns as soon as it can.
+// toBeReturned returns the units that this process must return to lenders as soon as possible.
 func (c *Core) toBeReturned(quota int) int64 { return finalUnits(c.taken.leases, quota) }
 
 func finalUnits(leases []lease, quota int) (units int64) {
@@ -152,7 +152,7 @@
 	return units
 }
 
-// spareUnits returns the units of the own shares that are free until a time, less what own requests wait for or have reserved.
+// spareUnits returns the units of the own shares that are free until a time, less the units that own requests wait for or have reserved.
 func (c *Core) spareUnits(quota int, until Time) int64 {
 	own := c.leastOwn(quota, until)
 	switch c.plan.Mutation {
@@ -164,7 +164,7 @@
 	return min(own, c.free(quota, until)-c.heldBack(quota)-c.quotas[quota].reservedUnits)
 }
 
-// handleLeaseGrant takes a lease, or more time on one. It ends a lease term after it was requested.
+// handleLeaseGrant stores a granted lease or extends a renewed one. The lease ends one lease term after it was requested.
 func (c *Core) handleLeaseGrant(quota int, m Message) {
 	index := slices.IndexFunc(c.taken.requests, func(r leaseRequest) bool { return r.matches(quota, &m) })
 	if index < 0 || m.RecipientIncarnation != c.incarnation || m.Units <= 0 || m.Units > c.taken.requests[index].units {
@@ -177,7 +177,7 @@
 	if c.plan.Mutation != CountGrantTwice {
 		c.taken.requests = slices.Delete(c.taken.requests, index, index+1)
 	}
-	if m.PlanNumber != c.plan.Number { // it is of another total
+	if m.PlanNumber != c.plan.Number { // the lender granted it under other totals
 		c.send(m.Sender, Message{Kind: KindLeaseReturn, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, LeaseID: m.LeaseID})
 		return
 	}
@@ -192,7 +192,8 @@
 	c.taken.leases = append(c.taken.leases, lease{quota: quota, peer: m.Sender, incarnation: m.SenderIncarnation, id: m.LeaseID, units: m.Units, until: until})
 }
 
-// handleLeaseRejection takes in that a member has nothing to lease out, or gives no more time. Others are asked at once.
+// handleLeaseRejection processes a rejection: the member has no units to lease out, or does not renew a lease. It removes the request and
+// resets the member's spare units, so that meetDemand can request the units from other members at once.
 func (c *Core) handleLeaseRejection(quota int, m Message) {
 	index := slices.IndexFunc(c.taken.requests, func(r leaseRequest) bool { return r.matches(quota, &m) })
 	if index < 0 || m.RecipientIncarnation != c.incarnation {
@@ -211,8 +212,8 @@
 	}
 }
 
-// ReturnLeases returns leases of a quota one by one as far as so many units can be spared, and in any case those that are not renewed.
-// What requests use stays until their end.
+// ReturnLeases returns leases of a quota one by one, up to the given number of spared units, and also all final leases. A lease that is
+// needed for units in use is kept until these uses end. While units of the quota are reserved, no lease is returned.
 func (c *Core) ReturnLeases(now Time, quota int, spared int64) {
 	c.advance(now)
 	if c.quotas[quota].reservedUnits > 0 {
@@ -224,7 +225,7 @@
 			i++
 			continue
 		}
-		c.taken.leases = slices.Delete(c.taken.leases, i, i+1) // from here on nothing of it is used
+		c.taken.leases = slices.Delete(c.taken.leases, i, i+1) // undone below if units in use depend on it
 		if !c.coversUses(quota) {
 			c.taken.leases = slices.Insert(c.taken.leases, i, l)
 			i++
@@ -237,7 +238,8 @@
 	}
 }
 
-// returnLease notifies the lender. A renewal that was requested is ignored when it comes, because the lender has the units back by then.
+// returnLease notifies the lender of a returned lease. It also removes an open renewal request, so that a late grant of the renewal is
+// ignored, because the lender may use the units again by then.
 func (c *Core) returnLease(l *lease) {
 	if c.plan.Mutation != RenewReturnedLease {
 		c.taken.requests = slices.DeleteFunc(c.taken.requests, func(r leaseRequest) bool {
@@ -247,7 +249,7 @@
 	c.send(l.peer, Message{Kind: KindLeaseReturn, RecipientIncarnation: l.incarnation, QuotaID: c.plan.QuotaIDs[l.quota], LeaseID: l.id})
 }
 
-// requestLease asks for a lease, or for more time on one.
+// requestLease requests a lease, or the renewal of the lease with the given ID.
 func (c *Core) requestLease(quota int, lender string, units int64, id uint32) {
 	c.sequence++
 	isNew := !slices.ContainsFunc(c.taken.leases, func(l lease) bool { return l.quota == quota && l.peer == lender && l.id == id })
@@ -255,13 +257,13 @@
 	c.send(lender, Message{Kind: KindLeaseRequest, QuotaID: c.plan.QuotaIDs[quota], Units: units, Sequence: c.sequence, LeaseID: id})
 }
 
-// requestNewLease asks for a lease under a new ID.
+// requestNewLease requests a lease under a new ID.
 func (c *Core) requestNewLease(quota int, lender string, units int64) {
 	c.taken.lastID++
 	c.requestLease(quota, lender, units, c.taken.lastID)
 }
 
-// renewalRequested reports whether more time on a lease was requested lately.
+// renewalRequested reports whether a renewal of a lease was requested so recently that the reply may still arrive.
 func (c *Core) renewalRequested(l *lease) bool {
 	return slices.ContainsFunc(c.taken.requests, func(r leaseRequest) bool {
 		return r.quota == l.quota && r.lender == l.peer && r.leaseID == l.id && c.now-r.sentAt < requestTimeout
--- a/internal/cluster/quota/message.go
+++ b/internal/cluster/quota/message.go
@@ -12,16 +12,16 @@
 
 // The kinds of messages.
 const (
-	KindVoterJoin    Kind = iota + 1 // a voter that has started asks the other voters to learn its incarnation
-	KindVoterJoined                  // the answer: the incarnation is known
-	KindShareClaim                   // a member asks a voter to confirm its share
-	KindShareConfirm                 // the voter confirms it
-	KindReject                       // the share belongs to another; or no lease is granted, or no more time on one
-	KindLeaseRequest                 // a member asks for a lease, or for more time on one
-	KindLeaseGrant                   // the lease, or more time on it, is granted
-	KindLeaseReturn                  // a lease ends early
-	KindSpareUnits                   // how many units a member could lease out
-	KindShareRelease                 // a holder stops: its share is free at once
+	KindVoterJoin    Kind = iota + 1 // a voter sends its incarnation to the other voters, because it has started or must rejoin
+	KindVoterJoined                  // a voter replies with the incarnations that it knows, including that of the joining voter
+	KindShareClaim                   // a member requests a voter's confirmation of its share
+	KindShareConfirm                 // a voter confirms the share
+	KindReject                       // a voter rejects a claim because another member holds the share, or a lender rejects a lease request
+	KindLeaseRequest                 // a member requests a lease, or the renewal of one
+	KindLeaseGrant                   // a lender grants a lease or renews it
+	KindLeaseReturn                  // a borrower ends a lease early
+	KindSpareUnits                   // a member announces how many units it could lease out
+	KindShareRelease                 // a holder stops and frees its share at once
 )
 
 var kindNames = [...]string{
@@ -39,43 +39,43 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Message is one message between members. Incarnations tell processes under one name apart: a message for another incarnation is ignored.
+// Message is a message between members. Incarnations distinguish processes with the same name: a reply to another incarnation is ignored.
 type Message struct {
 	Kind                 Kind
 	Sender               string
 	SenderIncarnation    uint64
-	RecipientIncarnation uint64 // of the process that is answered
+	RecipientIncarnation uint64 // in replies and lease returns: incarnation of the process that the message is for
 	PlanNumber           uint64
 	Share                int
-	Sequence             uint32   // numbers claims and lease requests; answers repeat it
-	VoterIncarnations    []uint64 // by voter, as the sender knows them
-	KnownIncarnations    []uint64 // of a confirmation: the voters that knew its sender when it began to confirm
-	Predecessors         []uint64 // of a claim: incarnations under its sender's name that have surely ended
+	Sequence             uint32   // number of a claim or lease request; replies repeat it
+	VoterIncarnations    []uint64 // incarnation of each voter, as far as the sender knows
+	KnownIncarnations    []uint64 // in a confirmation: incarnation of each voter that knew the sender before it opened
+	Predecessors         []uint64 // in a claim: earlier incarnations of the sender that have certainly ended
 	QuotaID              uint32
 	Units                int64
 	LeaseID              uint32 // assigned by the borrower
 }
 
-// MaxMessageBytes is the length of the longest message.
+// MaxMessageBytes is the maximum length of an encoded message.
 const MaxMessageBytes = 200
 
-// MaxPredecessors is how many predecessors a claim names at most: the incarnations since the last one that held the share, where each
-// ended soon after its start.
+// MaxPredecessors is the maximum number of predecessors in a claim: the last incarnation that held the share, and those after it that
+// ended soon after their start.
 const MaxPredecessors = 4
 
 const (
 	version         = 1
-	headBytes       = 3 // version, kind and the length of the sender's name
-	maxIncarnations = 7 // in a list
+	headBytes       = 3 // version, kind and length of the sender's name
+	maxIncarnations = 7 // maximum length of a list of incarnations
 	maxShare        = 1 << 20
 	maxUnits        = 1 << 40
 )
 
-// ErrMessage reports bytes that are no message of this version.
-var ErrMessage = errors.New("quota: no message of this version")
+// ErrMessage is returned for bytes that are not a valid message of this version.
+var ErrMessage = errors.New("quota: not a valid message of this version")
 
-// Encode writes the version, the kind, the length of the sender's name and the name, then all numbers as varints, and the voters'
-// incarnations with their count before them. A confirmation's known incarnations or a claim's predecessors follow, if there are any.
+// Encode encodes a message: the version, the kind, the length of the sender's name, the name, all numbers as varints, and the voters'
+// incarnations preceded by their count. The known incarnations of a confirmation or the predecessors of a claim follow, if there are any.
 func (m *Message) Encode() []byte {
 	b := append([]byte{version, byte(m.Kind), byte(len(m.Sender))}, m.Sender...)
 	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber, uint64(m.Share + 1), uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID)} {
@@ -96,7 +96,7 @@
 	return b
 }
 
-// Decode reads a message, whole or not at all. The error is ErrMessage.
+// Decode decodes a message. If any part is invalid, it returns an empty message and ErrMessage.
 func Decode(b []byte) (Message, error) {
 	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version || Kind(b[1]) < KindVoterJoin || Kind(b[1]) > KindShareRelease {
 		return Message{}, ErrMessage
@@ -129,7 +129,7 @@
 	return m, nil
 }
 
-// reader reads numbers from what is left of a message, and zeros once a read has failed.
+// reader reads numbers from the rest of a message. After a failed read it returns zeros.
 type reader struct {
 	b      []byte
 	failed bool
--- a/internal/cluster/quota/message_test.go
+++ b/internal/cluster/quota/message_test.go
@@ -15,7 +15,7 @@
 			VoterIncarnations: rapid.SliceOfN(rapid.Uint64(), 0, 5).Draw(t, "incarnations")}
 		got, err := Decode(m.Encode())
 		if fmt.Sprint(got) != fmt.Sprint(m) || err != nil {
-			t.Fatalf("%v %v %v", err, m, got)
+			t.Fatalf("error %v, encoded %v, decoded %v", err, m, got)
 		}
 	})
 }
@@ -25,7 +25,7 @@
 	f.Add(m.Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if m, err := Decode(b); err != nil && m.Kind != 0 {
-			t.Fatal("part of it was used")
+			t.Fatal("Decode returned a partial message with an error")
 		}
 	})
 }
--- a/internal/cluster/quota/mutation_off.go
+++ b/internal/cluster/quota/mutation_off.go
@@ -2,5 +2,5 @@
 
 package quota
 
-// ApplyMutation does nothing in an ordinary build. In one with the tag testbed it sets the mutation that the environment names.
+// ApplyMutation does nothing in an ordinary build. In a build with the tag testbed, it sets the mutation named in the environment.
 func (p *Plan) ApplyMutation() {}
--- a/internal/cluster/quota/mutation_testbed.go
+++ b/internal/cluster/quota/mutation_testbed.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ApplyMutation sets the mutation that MAGPIEBANK_PLANTED names, if it is one of the quota's.
+// ApplyMutation sets the mutation named in MAGPIEBANK_PLANTED, if it is a mutation of this package.
 func (p *Plan) ApplyMutation() {
 	mutations := map[string]Mutation{
 		"takes-twice":        CountGrantTwice,
--- a/internal/cluster/quota/plan.go
+++ b/internal/cluster/quota/plan.go
@@ -7,37 +7,37 @@
 	"magpiebank/internal/admission"
 )
 
-// Time is a point on the caller's monotonic clock.
+// Time is a time on the caller's monotonic clock, or a duration.
 type Time = admission.Time
 
-// Never is later than any time that comes.
+// Never is a time after any other time.
 const Never = Time(1) << 60
 
-// Plan holds the settings that are equal at all members.
+// Plan holds the settings of the protocol, which must be equal at all members.
 type Plan struct {
-	Shares       int      // number of equal shares, one for each gateway of the installation
+	Shares       int      // number of equal shares, one for each gateway of the cluster
 	Voters       []string // names of the 1, 3 or 5 gateways that confirm who holds a share
-	ShareTerm    Time     // how long a confirmed share is held
-	LeaseTerm    Time     // how long a lease lasts; several times LongestUse
-	LongestUse   Time     // how long a use lasts at most
-	DriftDivisor Time     // clocks run at most one part in this many fast or slow
-	Number       uint64   // raised with every change of the totals
-	QuotaIDs     []uint32 // by quota index; HashName makes an ID of a name
-	Totals       []int64  // units by quota index
-
-	// Mutation is a deliberate fault of the protocol, by which tests prove that their checks find it. It is NoMutation in service.
+	ShareTerm    Time     // how long a share is held after the claim that was confirmed
+	LeaseTerm    Time     // how long a lease lasts at the borrower after its request; longer than LongestUse
+	LongestUse   Time     // maximum duration of a use
+	DriftDivisor Time     // the rate of a clock is wrong by at most 1/DriftDivisor
+	Number       uint64   // increases with every change of the totals
+	QuotaIDs     []uint32 // ID of each quota, by quota index; see HashName
+	Totals       []int64  // units of each quota, by quota index
+
+	// Mutation is a defect injected to show that the checks of tests find it. In production it is NoMutation.
 	Mutation Mutation
 }
 
-// HashName returns the ID of a quota by its name. Messages carry IDs, because the members' files may list quotas in any order.
+// HashName returns the ID of the quota with a name. Messages carry IDs, because the members' files may list quotas in any order.
 func HashName(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
 }
 
-// withDrift returns how long a member must wait by its own clock until another clock, which may run slower, has surely counted the
-// duration. Three times the drift exceeds the difference of any two clocks that drift by a third at most.
+// withDrift returns how long a member must wait on its own clock until a duration has certainly passed on another member's clock, which
+// may run slower. Three times the drift covers the difference of any two clocks, as long as the drift of a clock is at most a third.
 func (p *Plan) withDrift(duration Time) Time {
 	if p.Mutation == IgnoreClockDrift {
 		return duration
@@ -45,8 +45,8 @@
 	return duration + (3*duration+p.DriftDivisor-1)/p.DriftDivisor
 }
 
-// shareUnits returns the units of one share of a scaled total. All shares are equal, except that the first ones have a unit more where
-// the total does not divide.
+// shareUnits returns the units of one share of a scaled total. All shares are equal, except that the first ones get one unit more if the
+// total is not a multiple of the number of shares.
 func (p *Plan) shareUnits(quota, share int, scale float64) int64 {
 	if share < 0 || share >= p.Shares {
 		return 0
--- a/internal/cluster/quota/share.go
+++ b/internal/cluster/quota/share.go
@@ -6,18 +6,18 @@
 	"magpiebank/internal/admission"
 )
 
-// shareClaim is a share that this process holds, or wants to hold.
+// shareClaim is a share that this process holds or claims.
 type shareClaim struct {
 	share         int
-	usableFrom    Time // nothing of the share is used before, as a predecessor may have leased it out
-	heldUntil     Time // until when it is surely held
-	claimedAt     Time // when the claim was sent whose answers are counted
-	nextClaimAt   Time // Never: it is not claimed again
+	usableFrom    Time // no unit is used before this time, because a predecessor may have leased it out
+	heldUntil     Time // end of the term that voters have confirmed
+	claimedAt     Time // when the last claim was sent; only its confirmations are counted
+	nextClaimAt   Time // when to send the next claim; Never: the share is not claimed again
 	sequence      uint32
 	confirmations []confirmation
 }
 
-// confirmation is a voter's answer to a claim.
+// confirmation is a voter's positive reply to a claim.
 type confirmation struct {
 	voter             int
 	incarnation       uint64
@@ -25,12 +25,12 @@
 	knownIncarnations []uint64
 }
 
-// A claim keeps at most this many confirmations, from several processes under one voter's name.
+// maxConfirmations limits the confirmations stored for a claim, as several processes may reply under the name of one voter.
 const maxConfirmations = 8
 
-// countsWith reports whether two confirmations count together: neither voter knows of a later process of the other, and one
-// of them was known by the other when it began to confirm. Otherwise each could count with another process under the
-// other's name.
+// countsWith reports whether two confirmations count together. They do if neither voter knows a later incarnation of the other, and
+// at least one of them was known to the other before it opened. Otherwise each of them could also count together with another process
+// that has the other voter's name.
 func (v *confirmation) countsWith(w *confirmation, unacquainted bool) bool {
 	if v.voter == w.voter || v.voterIncarnations[w.voter] > w.incarnation || w.voterIncarnations[v.voter] > v.incarnation {
 		return false
@@ -38,9 +38,9 @@
 	return v.knownIncarnations[w.voter] == w.incarnation || w.knownIncarnations[v.voter] == v.incarnation || unacquainted
 }
 
-// SucceedIncarnations takes in that processes under this name have surely ended, by their incarnations. Their share passes
-// to this process without their term having to end. What the last of them leased out, and what its requests use, is waited
-// for: it has ended when a lease has. It is called right after New.
+// SetPredecessors sets the incarnations of earlier processes of this name that have certainly ended. Their share passes to this process
+// before their term ends. The process does not use the share for one lease term, until all leases that the last predecessor
+// granted and all uses by its requests have ended. It must be called right after New.
 func (c *Core) SucceedIncarnations(ended []uint64) {
 	c.predecessors = ended
 	c.claims[0].usableFrom = c.now + c.plan.withDrift(c.plan.LeaseTerm)
@@ -49,15 +49,15 @@
 	}
 }
 
-// ShareStatus reports whether the own share is held, and whether its units may be used.
+// ShareStatus reports whether this process holds its own share, and whether it may use the units of the share.
 func (c *Core) ShareStatus(now Time) (held, usable bool) {
 	held = now < c.claims[0].heldUntil
 	return held, held && now >= c.claims[0].usableFrom
 }
 
-// claimShare asks all voters to confirm a share. Only answers to the last claim are counted.
+// claimShare requests a confirmation of a share from all voters. Only replies to the last claim are counted.
 func (c *Core) claimShare(index int) {
-	const retryInterval = admission.Second / 2 // of a share that is not held: a voter may not have been open yet
+	const retryInterval = admission.Second / 2 // while the share is not held, because a voter may not have been open yet
 	c.sequence++
 	claim := &c.claims[index]
 	claim.sequence, claim.claimedAt, claim.confirmations = c.sequence, c.now, nil
@@ -74,7 +74,8 @@
 	}
 }
 
-// stopClaiming has a share that was taken over end with its term, because its own holder is back.
+// stopClaiming stops the renewal of a taken-over share, because another member claims it, usually its owner that is back. This process
+// holds the share until the end of the current term.
 func (c *Core) stopClaiming(share int) {
 	for i := range c.claims {
 		if claim := &c.claims[i]; i > 0 && claim.share == share {
@@ -83,8 +84,8 @@
 	}
 }
 
-// handleShareConfirm counts the voters that have confirmed the last claim: a majority of those that count together holds
-// the share for a term from when the claim was sent, however late the answers come.
+// handleShareConfirm counts the voters that have confirmed the last claim. If the confirmations of a majority count together, the
+// process holds the share for a term that begins when the claim was sent, however late the replies arrive.
 func (c *Core) handleShareConfirm(m Message) {
 	voter, voters := slices.Index(c.plan.Voters, m.Sender), len(c.plan.Voters)
 	if voter < 0 || m.RecipientIncarnation != c.incarnation || len(m.VoterIncarnations) != voters || len(m.KnownIncarnations) != voters {
@@ -109,8 +110,8 @@
 	}
 }
 
-// rejoinIfUnknownTo has an open voter join again where another one began to confirm without knowing it, by another process under
-// its name: nobody counts the two together.
+// rejoinIfUnknownTo makes an open voter join again if another voter opened in a new incarnation without knowing this one. Otherwise
+// no member could count the confirmations of the two together.
 func (c *Core) rejoinIfUnknownTo(voter int, m Message) {
 	if c.voter.index < 0 || voter == c.voter.index || c.voter.openAt == Never {
 		return
@@ -120,7 +121,7 @@
 	}
 }
 
-// largestSet returns how many of the confirmations count with those chosen, and with each other, at most.
+// largestSet returns the size of the largest set of confirmations that contains the chosen ones and in which all count together.
 func largestSet(confirmations, chosen []confirmation, unacquainted bool) int {
 	most := len(chosen)
 	for i := range confirmations {
--- a/internal/cluster/quota/spares.go
+++ b/internal/cluster/quota/spares.go
@@ -8,46 +8,50 @@
 )
 
 const (
-	// Spare units are announced every 0.3 s: a burst finds idle members within the time of some requests, at some bytes a second a member.
+	// announceInterval is the time between two announcement rounds. With 0.3 s, a burst finds idle members within the duration of a few
+	// requests, and announcements cost a few bytes per second and member.
 	announceInterval = 3 * admission.Second / 10
-	// Each announcement goes to so many peers in turn: of 500 each hears of as many a time, and of all in ten seconds.
+	// announceFanOut is the number of peers notified in a round; the next round notifies the next peers. With 500 members, each member
+	// receives 16 announcements per round, and one from every other member within ten seconds.
 	announceFanOut = 16
-	// What has not changed since all peers were notified is announced again in one of so many turns, for members that are
-	// new or have lost it.
+	// A value that has not changed since all peers were notified is announced only in one of repeatTurns cycles through the peers, for
+	// members that are new or have lost it.
 	repeatTurns = 10
-	// A peer that has announced nothing for so long may be asked all the same: among 500 each is notified by the others
-	// every ten seconds, and a burst moves faster.
+	// peerSilence is the time without an announcement after which a peer may be sent a blind request. With 500 members, a peer's
+	// announcement arrives only every ten seconds, and a burst moves faster.
 	peerSilence = admission.Second
-	// A blind request is paid for by credit, of which one is added every quarter of a second; a request that finds something adds more.
+	// Each blind request uses one credit. One credit is added every blindInterval, and blindReward credits for each blind request that
+	// is granted.
 	blindInterval = admission.Second / 4
 	blindReward   = 2
-	// A rejected member is notified of spare units for so long; after that it has been notified by others.
+	// rejectedLifetime is how long a rejected request is stored so that its sender can be notified of spare units. After that time,
+	// other members have notified the sender.
 	rejectedLifetime = admission.Second
-	// So many peers are remembered; then all are forgotten, because names come and go.
+	// maxPeers limits the peers whose spare units are stored. When there are more, all are removed, because members come and go.
 	maxPeers = 1024
 )
 
-// spareExchange is what members announce to each other of the units that they could lease out.
+// spareExchange holds the spare units that peers have announced, and the state of this member's announcements and blind requests.
 type spareExchange struct {
 	peers              []peerSpare // by name
 	nextAnnouncementAt Time
-	nextRecipient      int // where the peers that are notified next begin
-	round              int // of announcements
+	nextRecipient      int // counter that selects the first peer of the next announcement round
+	round              int // number of the last announcement round
 
-	nextLender      int // the peer to ask next, where several could lease out as much
-	nextUnknownPeer int // the peer to ask next of those that announced nothing lately
-	blindCredit     int // so many blind requests may be sent
-	creditAt        Time
+	nextLender      int  // index at which the next search for a lender starts, to alternate between peers with equal spare units
+	nextUnknownPeer int  // counter that selects the next peer considered for a blind request
+	blindCredit     int  // number of blind requests that may be sent
+	creditAt        Time // when the next credit is added
 }
 
-// peerSpare is how many units of each quota a peer could lease out when it last said so.
+// peerSpare holds how many units of each quota a peer could lease out: as it last announced, less the units requested from it since.
 type peerSpare struct {
 	name       string
 	units      []int64 // by quota index
-	receivedAt Time
+	receivedAt Time    // when the peer last sent an announcement or a rejection, or was chosen for a blind request
 }
 
-// rewardBlindRequest adds credit for a blind request that was granted.
+// rewardBlindRequest adds credits for a blind request that was granted.
 func (s *spareExchange) rewardBlindRequest() {
 	s.blindCredit = min(s.blindCredit+blindReward, maxOpenRequests)
 }
@@ -58,7 +62,8 @@
 	}
 }
 
-// richestPeer returns the index of the peer that could lease out most, beginning after the one that was asked last; -1: none could.
+// richestPeer returns the index of the peer with most spare units, or -1 if no peer has any. Among equal ones, it returns the first
+// after the lender chosen last.
 func (s *spareExchange) richestPeer(quota int, self string) int {
 	most, richest := int64(0), -1
 	for k := range s.peers {
@@ -70,13 +75,13 @@
 	return richest
 }
 
-// announceSpareUnits notifies some peers of what this member could lease out.
+// announceSpareUnits notifies the next peers of the units that this member could lease out.
 func (c *Core) announceSpareUnits() {
 	s := &c.spares
 	s.nextAnnouncementAt = c.now + announceInterval
 	peers := c.host.Peers()
 	recipients := min(announceFanOut, len(peers))
-	turn := max(1, (len(peers)+announceFanOut-1)/announceFanOut) // rounds until all have been notified
+	turn := max(1, (len(peers)+announceFanOut-1)/announceFanOut) // rounds in a cycle through all peers
 	s.round++
 	for q := range c.plan.Totals {
 		units := max(0, c.spareUnits(q, c.now+c.plan.withDrift(c.plan.LeaseTerm)))
@@ -94,7 +99,7 @@
 	s.nextRecipient += recipients
 }
 
-// noteRejected remembers a member that asked for units, so that notifyRejected notifies it first once there are more.
+// noteRejected stores a member that requested units, so that notifyRejected can notify it as soon as there are spare units.
 func (c *Core) noteRejected(quota int, peer string) {
 	known := slices.ContainsFunc(c.granted.rejected, func(r rejectedRequest) bool { return r.quota == quota && r.peer == peer })
 	if !known && len(c.granted.rejected) < maxOpenRequests {
@@ -102,13 +107,14 @@
 	}
 }
 
-// notifyRejected notifies the members that asked in vain of spare units, as many of them as there are units.
+// notifyRejected notifies stored members of spare units, at most one member for each spare unit. It removes the members that it has
+// notified and those whose request is too old.
 func (c *Core) notifyRejected() {
 	if len(c.granted.rejected) == 0 {
 		return
 	}
 	const usualQuotas = 8
-	spare := make([]int64, 0, usualQuotas) // by quota index, for the members that were not notified yet
+	spare := make([]int64, 0, usualQuotas) // by quota index: spare units left for the members not notified yet
 	c.granted.rejected = slices.DeleteFunc(c.granted.rejected, func(r rejectedRequest) bool {
 		if c.now-r.at >= rejectedLifetime {
 			return true
@@ -133,7 +139,7 @@
 	peer.units[quota], peer.receivedAt = m.Units, c.now
 }
 
-// spareOf returns what is known of a peer, and makes it where there is nothing.
+// spareOf returns the record of a peer, and adds an empty record for a new peer.
 func (c *Core) spareOf(name string) *peerSpare {
 	i, ok := slices.BinarySearchFunc(c.spares.peers, name, func(p peerSpare, name string) int { return strings.Compare(p.name, name) })
 	if !ok {
@@ -142,7 +148,8 @@
 	return &c.spares.peers[i]
 }
 
-// nextUnknownPeer returns the next peer that has announced nothing lately; empty: there is none, or no credit for asking it.
+// nextUnknownPeer uses one credit and returns the next peer that has announced nothing recently. It returns an empty name if there is no
+// such peer or no credit.
 func (c *Core) nextUnknownPeer() string {
 	s := &c.spares
 	for ; c.now >= s.creditAt && s.blindCredit < maxOpenRequests; s.creditAt = max(s.creditAt+blindInterval, c.now-peerSilence) {
--- a/internal/cluster/quota/status.go
+++ b/internal/cluster/quota/status.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// Status is one quota as a member sees it, in units.
+// Status is the state of one quota at a member. Amounts are in units.
 type Status struct {
-	Index          int // of the quota
+	Index          int // index of the quota
 	Total          int64
-	OwnShare       int64 // of the shares that it holds
+	OwnShare       int64 // units of the usable shares that the member holds
 	LeasedOut      int64
 	LeasedIn       int64
 	InUse          int64
-	Demand         int64 // of waiting requests
-	ShareExpiresIn Time  // for how long the own share is still held; below 0: it is not
+	Demand         int64 // units that waiting requests need
+	ShareExpiresIn Time  // time until the own share expires; 0 or less: the member does not hold it
 	Peers          []PeerStatus
 }
 
-// PeerStatus is what there is of a quota between this member and another.
+// PeerStatus is the state of one quota between this member and a peer.
 type PeerStatus struct {
 	Name       string
-	LeasedOut  int64
-	LeasedIn   int64
-	ExpiresIn  Time  // until the first of these leases ends
-	SpareUnits int64 // that the peer could lease out
-	SpareAge   Time  // since it said so; below 0: it never did
+	LeasedOut  int64 // units leased to the peer
+	LeasedIn   int64 // units leased from the peer
+	ExpiresIn  Time  // time until the first lease between the two ends; 0: there is none
+	SpareUnits int64 // units that the peer could lease out, less the units requested from it since its last announcement
+	SpareAge   Time  // time since the peer last sent an announcement or a rejection, or was sent a blind request; below 0: no record of the peer
 }
 
-// Statuses returns those of all quotas, with peers by name.
+// Statuses returns the status of every quota. Peers are sorted by name.
 func (s *Synchronized) Statuses(now Time) (out []Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +67,7 @@
 	return s
 }
 
-// peerOf returns the status of a lease's peer, with the end of that lease taken in.
+// peerOf returns the status of a lease's peer, and updates its ExpiresIn with the end of the lease.
 func (s *Status) peerOf(l *lease, now Time) *PeerStatus {
 	i, ok := slices.BinarySearchFunc(s.Peers, l.peer, func(p PeerStatus, name string) int { return strings.Compare(p.Name, name) })
 	if !ok {
--- a/internal/cluster/quota/synchronized.go
+++ b/internal/cluster/quota/synchronized.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Synchronized is a core for two goroutines: the cluster agent's, which steps it and carries its messages, and the owner of
-// the decisions, which asks whether a request may be sent and reserves what it uses. No call waits for anything but the
-// other's few steps. Between TryReserve and CommitReservation nothing of what was reserved is leased out.
+// Synchronized wraps a core for use by two goroutines: the cluster agent's, which calls Tick and delivers messages, and the owner
+// goroutine, which decides whether a request may be sent and reserves the units that it uses. A call waits only for the other goroutine's
+// current call. Between TryReserve and CommitReservation, the reserved units are not leased out.
 type Synchronized struct {
 	mu   sync.Mutex
 	core *Core
 }
 
-// NewSynchronized wraps a core.
+// NewSynchronized returns a wrapper for a core.
 func NewSynchronized(c *Core) *Synchronized { return &Synchronized{core: c} }
 
 // Incarnation returns the core's incarnation.
@@ -20,28 +20,29 @@
 	return s.core.incarnation
 }
 
-// ReplaceCore has another core take the place of this one. What requests have of the old one ends with them: nobody else may use it before.
+// ReplaceCore replaces the core with another one. Units that requests use under the old core stay in use until the requests end, and the
+// caller must ensure that no other member uses them before.
 func (s *Synchronized) ReplaceCore(c *Core) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core = c
 }
 
-// WithCore calls f with the core, for the agent's goroutine.
+// WithCore calls f with the core while no other call runs. It is for the agent's goroutine.
 func (s *Synchronized) WithCore(f func(c *Core)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.core)
 }
 
-// Tick is the timer.
+// Tick calls Core.Tick.
 func (s *Synchronized) Tick(now Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Tick(now)
 }
 
-// HandleMessage takes in a message, and reports whether more may be used than before.
+// HandleMessage processes a received message, and reports whether it is a lease grant, after which more units may be usable.
 func (s *Synchronized) HandleMessage(now Time, m Message) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,8 +50,8 @@
 	return m.Kind == KindLeaseGrant
 }
 
-// TryReserve reserves units of a quota for a use from now on, for so long, if they are free. The reservation stands until
-// CommitReservation or SetDemand.
+// TryReserve reserves units of a quota for a use that starts now and has the given length, if they are free until its end. It reports
+// whether they were. The reservation is valid until CommitReservation or SetDemand.
 func (s *Synchronized) TryReserve(now Time, quota int, units int64, length Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,8 +68,8 @@
 	return true
 }
 
-// CommitReservation has a request that is sent use what was reserved, to the time that it was reserved for. It reports
-// whether the units were there; they count as used in any case, as the request is sent.
+// CommitReservation marks reserved units as used by a request that is being sent, until the end for which they were reserved. It reports
+// whether the units were available. They count as used in any case, because the request is sent in any case.
 func (s *Synchronized) CommitReservation(now Time, quota int, units int64, length Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,12 +81,12 @@
 		until = state.reservedUntil
 	}
 	state.reservedUnits = 0
-	available := c.free(quota, until)+c.toBeReturned(quota) >= units // a lease that is recalled serves what it was reserved for
+	available := c.free(quota, until)+c.toBeReturned(quota) >= units // a recalled lease may still be used for a reservation
 	c.allocations = append(c.allocations, allocation{quota, units, until})
 	return available
 }
 
-// Release ends a use, and reports whether others asked for units of a quota in vain lately.
+// Release ends a use, and reports whether other members that requested units of any quota recently may still need some.
 func (s *Synchronized) Release(now Time, quota int, units int64) (awaited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +94,7 @@
 	return len(s.core.granted.rejected) > 0
 }
 
-// SetDemand sets how many units waiting requests would use, and drops what the owner has reserved without using it.
+// SetDemand sets how many units waiting requests would use, and drops a reservation that was not committed.
 func (s *Synchronized) SetDemand(now Time, quota int, units int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,14 +102,14 @@
 	s.core.SetDemand(now, quota, units)
 }
 
-// ReserveRate has up to need units of a quota be in use as a rate. See Core.ReserveRate.
+// ReserveRate marks up to need units of a quota as in use as a rate. See Core.ReserveRate.
 func (s *Synchronized) ReserveRate(now Time, quota int, need int64) (units int64, until Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.ReserveRate(now, quota, need)
 }
 
-// ScaleTotal has only a part of a total count, from 0 to 1.
+// ScaleTotal limits a total to a fraction of itself, from 0 to 1. See Core.ScaleTotal.
 func (s *Synchronized) ScaleTotal(now Time, quota int, part float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/quota/units.go
+++ b/internal/cluster/quota/units.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// allocation is some units of a quota that a request uses, until its end at the latest.
+// allocation is a number of units of a quota that a request uses, at most until a given time.
 type allocation struct {
 	quota int
 	units int64
 	until Time
 }
 
-// HeldUnits returns how many units of a quota this process may use now, those among them that are in use. It is 0 where a
-// lowered total leaves less than is leased out.
+// HeldUnits returns how many units of a quota this process holds now, including those in use. It returns 0 if more is leased out than
+// the process still holds, as happens after a total is lowered.
 func (c *Core) HeldUnits(now Time, quota int) int64 { return max(0, c.heldAt(quota, now)) }
 
-// UsedUnits returns how many units of a quota are in use.
+// UsedUnits returns how many units of a quota are in use now.
 func (c *Core) UsedUnits(now Time, quota int) int64 { return c.usedAt(quota, now) }
 
-// heldAt returns the units held at a time from now on, as far as is known now: those of the own shares and those that are borrowed.
+// heldAt returns the units held at a time that is not in the past: those of the held shares, less the units leased out, plus the
+// borrowed units. It counts only the shares and leases that exist now.
 func (c *Core) heldAt(quota int, t Time) int64 {
 	units := c.ownAt(quota, t)
 	for i := range c.taken.leases {
@@ -27,7 +28,7 @@
 	return units
 }
 
-// ownAt returns the units of the held shares less those that are leased out.
+// ownAt returns the units of the held shares at a time, less the units leased out.
 func (c *Core) ownAt(quota int, t Time) (units int64) {
 	for i := range c.claims {
 		if claim := &c.claims[i]; claim.usableFrom <= t && t < claim.heldUntil {
@@ -42,12 +43,13 @@
 	return units
 }
 
-// usesGranted reports whether a mutation has the lender use a lease that it has granted.
+// usesGranted reports whether a mutation makes the lender use the units of a lease that it has granted.
 func (c *Core) usesGranted(l *lease) bool {
 	return c.plan.Mutation == UseLeasedUnits || l.final && c.plan.Mutation == UseRecalledUnits
 }
 
-// leastOwn returns the least of the own units from now until a time. Leases only come back, so the units fall only where a share ends.
+// leastOwn returns the minimum of ownAt from now until a time. The end of a granted lease raises the value, so it falls only where a
+// share ends.
 func (c *Core) leastOwn(quota int, until Time) int64 {
 	least := c.ownAt(quota, c.now)
 	for i := range c.claims {
@@ -58,7 +60,7 @@
 	return least
 }
 
-// usedAt returns the units that are in use at a time from now on.
+// usedAt returns the units of current uses that are still in use at a time that is not in the past.
 func (c *Core) usedAt(quota int, t Time) (units int64) {
 	for i := range c.allocations {
 		if a := &c.allocations[i]; a.quota == quota && t < a.until {
@@ -68,7 +70,7 @@
 	return units + c.quotas[quota].rateUnits
 }
 
-// visitEnds calls visit for each later time at which some of what is held ends.
+// visitEnds calls visit for each future time at which a share or a borrowed lease ends.
 func (c *Core) visitEnds(visit func(t Time)) {
 	for i := range c.claims {
 		if t := c.claims[i].heldUntil; t > c.now {
@@ -82,8 +84,8 @@
 	}
 }
 
-// free returns how many more units may be used from now until a time: the least of what is held less what is used, over all times at
-// which some of it ends, less what must be returned.
+// free returns how many more units may be used from now until a time: the minimum of held units less used units, now and at each end
+// of a share or lease until then, less the units that must be returned.
 func (c *Core) free(quota int, until Time) int64 {
 	least := c.heldAt(quota, c.now) - c.usedAt(quota, c.now)
 	c.visitEnds(func(t Time) {
@@ -94,15 +96,15 @@
 	return least - c.toBeReturned(quota)
 }
 
-// coversUses reports whether what is held is enough for all uses, to the end of each.
+// coversUses reports whether the held units suffice for all current uses until each of them ends.
 func (c *Core) coversUses(quota int) bool {
 	covers := c.heldAt(quota, c.now) >= c.usedAt(quota, c.now)
 	c.visitEnds(func(t Time) { covers = covers && c.heldAt(quota, t) >= c.usedAt(quota, t) })
 	return covers
 }
 
-// ReserveRate has up to need units of a quota that is used as a rate be in use, as far as they are free, until the next
-// call: they are neither leased out nor returned. It returns how many there are, and when the first of what is held ends.
+// ReserveRate marks up to need units of a quota that is used as a rate as in use until the next call, so that they are neither leased
+// out nor returned. It returns how many units it marked, and when the first share or borrowed lease ends, of whatever quota.
 func (c *Core) ReserveRate(now Time, quota int, need int64) (units int64, until Time) {
 	c.advance(now)
 	units, until = min(max(0, c.heldAt(quota, c.now)-c.toBeReturned(quota)), need), Never
@@ -111,14 +113,14 @@
 	return units, until
 }
 
-// ScaleTotal has only a part of a total count, from 0 to 1, as part of the engines are up. Members that see the same
-// engines come to the same.
+// ScaleTotal limits a total to a fraction of itself, from 0 to 1, for example while only some of the engines are up. Members that
+// see the same engines set the same fraction.
 func (c *Core) ScaleTotal(now Time, quota int, part float64) {
 	c.advance(now)
 	c.quotas[quota].scale = part
 }
 
-// TryAcquire has a request use some units of a quota, if they are free until its end.
+// TryAcquire marks units of a quota as in use until a time, if they are free until then. It reports whether they were.
 func (c *Core) TryAcquire(now Time, quota int, units int64, until Time) bool {
 	c.advance(now)
 	if c.free(quota, until) < units {
@@ -128,8 +130,8 @@
 	return true
 }
 
-// Release ends a use of so many units. Of several such uses it ends the one that would end first, so that no more is taken
-// for free than is.
+// Release ends a use of the given number of units. Of several such uses it ends the one that would end first, so that the units in use
+// are never underestimated.
 func (c *Core) Release(now Time, quota int, units int64) {
 	c.advance(now)
 	first := -1
--- a/internal/cluster/quota/voter.go
+++ b/internal/cluster/quota/voter.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// voterState is what a voter knows. A gateway that is no voter keeps an index below 0 and what it hears of the voters' incarnations.
+// voterState holds the state of a voter. At a gateway that is not a voter, index is below 0 and the state is not used.
 type voterState struct {
-	index        int           // place among the plan's voters; below 0: it is none
-	incarnations []uint64      // of the voters, as far as known; messages of earlier ones count no more
-	knownBy      []uint64      // incarnation of each voter that knew this one, and the same incarnations, when it opened; 0: not yet
-	openAt       Time          // from when it confirms shares; Never: not all voters know it yet
+	index        int           // index among the plan's voters; below 0: not a voter
+	incarnations []uint64      // latest known incarnation of each voter; a join message of an earlier one is ignored
+	knownBy      []uint64      // by voter: its incarnation, if it knew this voter and the same incarnations before this voter opened; else 0
+	openAt       Time          // when the voter starts to confirm shares; Never: not all voters know it yet
 	holders      []shareHolder // by share
 }
 
-// shareHolder is whom a voter has confirmed a share to.
+// shareHolder is the process to which a voter has confirmed a share.
 type shareHolder struct {
 	name        string
 	incarnation uint64
@@ -29,7 +29,7 @@
 	return v
 }
 
-// joinVoters has a voter that is not open ask the other voters to learn its incarnation.
+// joinVoters makes a voter that has not joined yet send its incarnation to the voters that do not know it.
 func (c *Core) joinVoters() {
 	if c.voter.openAt != Never || c.voter.index < 0 {
 		return
@@ -41,16 +41,16 @@
 	}
 }
 
-// restartJoin has a voter join, or join again.
+// restartJoin closes a voter and makes it join again from the beginning.
 func (c *Core) restartJoin() {
 	c.voter.openAt = Never
 	clear(c.voter.knownBy)
 	c.voter.knownBy[c.voter.index] = c.incarnation
 }
 
-// openVoter opens a voter once all other voters know its incarnation, and the same incarnations of each other. What an earlier process
-// under its name has confirmed can then no more be counted together with a confirmation of theirs, and what was counted before has
-// ended after a term.
+// openVoter sets the time at which a voter opens, if all other voters know its incarnation and the same incarnations of each other.
+// From then on, no confirmation by an earlier process of its name counts together with a confirmation by another voter. The voter opens
+// one share term later, when every share that was confirmed before has ended.
 func (c *Core) openVoter() {
 	v := &c.voter
 	others := 0
@@ -60,7 +60,7 @@
 		}
 	}
 	if v.incarnations[v.index] > c.incarnation {
-		return // a later process has its name
+		return // a later process has this voter's name
 	}
 	alone := others < len(v.knownBy)-1
 	if alone && (c.plan.Mutation != JoinWithoutAllVoters || others == 0) {
@@ -72,7 +72,8 @@
 	}
 }
 
-// learnIncarnations takes in the voters' incarnations. A voter that is not open must be known anew by those that are new.
+// learnIncarnations stores later incarnations of the voters. A voter that has not joined yet then starts again, because all voters must
+// know the same incarnations.
 func (c *Core) learnIncarnations(incarnations []uint64) {
 	for i, incarnation := range incarnations {
 		if incarnation <= c.voter.incarnations[i] {
@@ -85,8 +86,8 @@
 	}
 }
 
-// otherVoter returns the index of the voter that sent a message between voters; false: this process or the sender is none,
-// or the message does not fit the plan.
+// otherVoter returns the index of the voter that sent a message between voters. It returns false if this process or the sender is not a
+// voter, or if the message has another number of voters than the plan.
 func (c *Core) otherVoter(m Message) (int, bool) {
 	sender := slices.Index(c.plan.Voters, m.Sender)
 	return sender, sender >= 0 && c.voter.index >= 0 && len(m.VoterIncarnations) == len(c.voter.incarnations)
@@ -118,7 +119,8 @@
 	}
 }
 
-// handleShareClaim confirms a share to one holder at a time, until its term has surely ended by that holder's clock.
+// handleShareClaim confirms a share to its claimant. It rejects the claim while another process holds the share and its term may not
+// have ended on that process's clock, unless the claimant has the same name and lists that process as a predecessor.
 func (c *Core) handleShareClaim(m Message) {
 	if c.voter.index < 0 || c.now < c.voter.openAt || m.Share < 0 || m.Share >= len(c.voter.holders) || m.PlanNumber < c.highestNumber {
 		return
@@ -143,13 +145,14 @@
 	for i := range c.voter.holders {
 		holder := &c.voter.holders[i]
 		if holder.name == m.Sender && holder.incarnation == m.SenderIncarnation {
-			*holder = shareHolder{until: c.now} // a successor that comes soon is before those that take over
+			*holder = shareHolder{until: c.now} // others take over the share only after a delay, so that a prompt successor gets it first
 		}
 	}
 }
 
-// takeOverShares has a voter claim the shares that nobody has held for a quarter of a term, or ever, so that the units of dead members are
-// used again. Voters take turns at each share, a term at a time, so that a voter that is dead itself leaves none idle.
+// takeOverShares makes an open voter claim the shares that have had no holder for a quarter of a term, or never had one, so that the
+// units of dead members are used again. The time without a holder starts when this voter opened at the earliest. The voters alternate
+// at each share, one term each, so that a dead voter leaves no share unused.
 func (c *Core) takeOverShares() {
 	if c.voter.index < 0 || c.now < c.voter.openAt || c.voter.openAt == Never {
 		return
