--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -40,7 +40,7 @@
 	rank := c.estimates.classes[request.class].rank
 	if grant > 0 || rank != request.rank {
 		request.rank = rank
-		c.host.SetAttemptTerms(request.id, grant, rank)
+		c.host.SetAttemptOptions(request.id, grant, rank)
 	}
 }
 
@@ -59,7 +59,7 @@
 // to come up than engines remember the requests whose repeats they drop.
 func (c *Controller) sendBy(request *activeRequest) Time {
 	class := &c.deployment.Classes[request.class]
-	if request.prior.MayHaveRun && class.Effect == Deduplicated {
+	if request.prior.MayHaveRun && class.RepeatEffect == Deduplicated {
 		return request.prior.SentAt + class.DedupWindow
 	}
 	return 0
@@ -109,7 +109,7 @@
 		c.reportObservation(engine, Answered)
 	case Unreachable, Reset:
 		c.addFailure(engine, connectionFailurePoints, Unreached)
-	case Errored, Lost:
+	case Errored, AnswerLost:
 		// Few points: any engine sends a corrupt answer now and then, and one that is gone fails connections and probes
 		// too. A second error counts nothing against the engine, because two engines that fail a request show that the
 		// request is at fault.
@@ -119,7 +119,7 @@
 		if engine.limit.bound < 1 { // above it, the bound steps down instead
 			c.addFailure(engine, timeoutPoints, Unanswered)
 		}
-	case Full:
+	case EngineFull:
 		c.adjustSlots(engine, loadThreshold, Second)
 	case Unsent: // tells nothing of the engine
 	}
@@ -148,7 +148,7 @@
 	}
 	request.attempt.noticedAt = now
 	if kind == ProgressNotice && !request.abandoned && c.deployment.SupportsCancel &&
-		c.deployment.Classes[request.class].Effect == Idempotent && !c.usedUpAttempts(request) && isHopeless(&request.attempt, value, now) {
+		c.deployment.Classes[request.class].RepeatEffect == Idempotent && !c.usedUpAttempts(request) && isHopeless(&request.attempt, value, now) {
 		c.host.CancelAttempt(id, number)
 	}
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -54,8 +54,8 @@
 		slots:        slotAdjuster{deployment: d, random: random},
 		slowStart:    slowStart{deployment: d},
 		retries:      newRetryBudget(d),
-		probes:       probeCredit{credit: maxProbeCredit, cost: d.ProbePrice},
-		peerMessages: peerMessages{price: d.PeerMessagePrice},
+		probes:       probeCredit{credit: maxProbeCredit, cost: d.ProbeCost},
+		peerMessages: peerMessages{price: d.PeerMessageCost},
 	}
 	c.queues = newRequestQueues(len(c.tenants.threads), len(d.Classes))
 	if !d.SupportsProbes {
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -97,8 +97,8 @@
 	now := Time(0)
 	return c, func() {
 		now += 5 * Millisecond
-		c.HandleRequest(now, Request{ID: "a", Deadline: now + Second, Tables: 3, Estimate: Estimate{Work: 50 * Millisecond}})
-		c.HandleRequest(now, Request{ID: "b", Deadline: now + Second, Class: 3, Key: "key", Tables: 3})
+		c.HandleRequest(now, Request{ID: "a", Deadline: now + Second, TableGroup: 3, Estimate: Estimate{Work: 50 * Millisecond}})
+		c.HandleRequest(now, Request{ID: "b", Deadline: now + Second, Class: 3, Key: "key", TableGroup: 3})
 		c.Tick(now)
 		c.HandleProbeResult(now, "e1", Served, Report{-1, float64(now%100) / 100, -1, -1})
 		c.HandleAttemptEnd(now, AttemptResult{Request: "a", Outcome: Served, Answered: true, Report: NoReport})
@@ -131,7 +131,7 @@
 func (quiet) CancelAttempt(RequestID, int)                               {}
 func (quiet) RejectRequest(RequestID, Time)                              {}
 func (quiet) FailRequest(RequestID)                                      {}
-func (quiet) SetAttemptTerms(RequestID, float64, int)                    {}
+func (quiet) SetAttemptOptions(RequestID, float64, int)                  {}
 func (quiet) ProbeEngine(EngineID)                                       {}
 func (quiet) SubscribeEndpoints()                                        {}
 func (quiet) HasSlowStartCapacity(EngineID, float64) (room, shared bool) { return false, false }
--- a/internal/admission/deployment.go
+++ b/internal/admission/deployment.go
@@ -24,10 +24,10 @@
 	MaxRequests          int  // requests that the gateway can have in hand; 0: no limit
 
 	// What messages cost, as a share of the service.
-	SupportsProbes   bool
-	ProbePrice       float64 // of one probe for each request
-	PeerMessages     bool    // gateways may send each other messages
-	PeerMessagePrice float64 // of 256 bytes delivered for each request
+	SupportsProbes  bool
+	ProbeCost       float64 // of one probe for each request
+	PeerMessages    bool    // gateways may send each other messages
+	PeerMessageCost float64 // of 256 bytes delivered for each request
 
 	// An engine that has just started fails where it is sent more than WarmUpOverloadFactor times its present capacity
 	// within WarmUpOverloadTime, during its first WarmUpTime.
@@ -52,7 +52,7 @@
 	ObjectivePerWork float64 // the objective grows by this times work over threads
 	Weight           float64 // priority weight: what a request answered in time is worth
 	LateWeightShare  float64 // the share of the weight that is left after the objective, 0 to 1
-	Effect           Effect
+	RepeatEffect     RepeatEffect
 	DedupScope       DedupScope // of a Deduplicated class: the engines that drop repeats
 	DedupWindow      Time       // and for how long
 	Ordered          bool       // requests that share a key run one after another
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -32,7 +32,7 @@
 	Engine            EngineID
 	Zone, Kind, Group int
 	State             EndpointState
-	Since             Time // last start; 0: long ago
+	StartedAt         Time // last start; 0: long ago
 }
 
 // pollRetryDelay is how long after a failed poll the list is asked for again: a list service that fails is asked no faster,
@@ -128,7 +128,7 @@
 		index = c.engines.add(endpoint.Engine)
 	}
 	engine := c.engines.at(index)
-	started := !known || endpoint.Since > engine.Since
+	started := !known || endpoint.StartedAt > engine.StartedAt
 	engine.Endpoint = endpoint
 	engine.listed = true
 	if started {
--- a/internal/admission/endpoints_test.go
+++ b/internal/admission/endpoints_test.go
@@ -14,7 +14,7 @@
 		s.updateList(FullUpdate, Endpoint{Engine: "e1"})
 		s.updateList(FailedPoll)
 		s.advanceTo(20 * Second)
-		s.updateList(PartialUpdate, Endpoint{Engine: "e1", Since: 19 * Second})
+		s.updateList(PartialUpdate, Endpoint{Engine: "e1", StartedAt: 19 * Second})
 		return s
 	},
 	"asked list": func() *script { // a call that failed is made again a second later, not at once
--- a/internal/admission/healthchecks.go
+++ b/internal/admission/healthchecks.go
@@ -12,7 +12,7 @@
 // probeCredit counts how many probes the requests taken have paid for.
 type probeCredit struct {
 	credit float64 // -Inf: the deployment has no probes
-	cost   float64 // see Deployment.ProbePrice
+	cost   float64 // see Deployment.ProbeCost
 }
 
 // earn adds what one request pays for.
--- a/internal/admission/host.go
+++ b/internal/admission/host.go
@@ -12,8 +12,8 @@
 	RejectRequest(request RequestID, retryAfter Time)
 	// FailRequest gives a final answer that promises nothing: the request may have run.
 	FailRequest(request RequestID)
-	// SetAttemptTerms sets the memory grant (MB, 0: the engine chooses) and the rank (0 to 3) of a request's attempts.
-	SetAttemptTerms(request RequestID, memory float64, rank int)
+	// SetAttemptOptions sets the memory grant (MB, 0: the engine chooses) and the rank (0 to 3) of a request's attempts.
+	SetAttemptOptions(request RequestID, memory float64, rank int)
 	// ProbeEngine asks an engine for its report; HandleProbeResult is called once it came or failed.
 	ProbeEngine(engine EngineID)
 	// SubscribeEndpoints asks for the changes of the engine list from now on.
--- a/internal/admission/outlier_test.go
+++ b/internal/admission/outlier_test.go
@@ -41,7 +41,7 @@
 	"errors": func() *script { // bad clients' requests fail everywhere, and eject no engine
 		s := startScript(testDeployment(), "e1")
 		e := &s.engines.items[0]
-		for _, how := range []Outcome{Errored, Lost} {
+		for _, how := range []Outcome{Errored, AnswerLost} {
 			s.sendRequest("a", 0, 0, "")
 			s.endAttempt("a", how)
 			s.record("failure score %.1f", s.failureScore(e))
--- a/internal/admission/peers.go
+++ b/internal/admission/peers.go
@@ -24,13 +24,13 @@
 
 // PeerReport sums up what peers observed of one start of an engine.
 type PeerReport struct {
-	Engine       EngineID
-	Since        Time    // the engine's start that they observed
-	Report       Report  // the latest load report that a peer had
-	ReportAt     Time    // when the peer had it
-	FailureScore float64 // what the witnesses' failures count for: a point each, or less
-	Witnesses    int     // peers whose last attempt there failed after the last answer that anyone had from there
-	ScoreUntil   Time    // until when the score counts
+	Engine          EngineID
+	EngineStartedAt Time    // the engine's start that they observed
+	Report          Report  // the latest load report that a peer had
+	ReportAt        Time    // when the peer had it
+	FailureScore    float64 // what the witnesses' failures count for: a point each, or less
+	Witnesses       int     // peers whose last attempt there failed after the last answer that anyone had from there
+	ScoreUntil      Time    // until when the score counts
 }
 
 // Ejects tells whether what peers say ejects an engine by itself, where all others are sound.
@@ -47,7 +47,7 @@
 // peerMessages counts the bytes to peers that the requests taken have paid for.
 type peerMessages struct {
 	bytes float64 // not handed on yet
-	price float64 // see Deployment.PeerMessagePrice
+	price float64 // see Deployment.PeerMessageCost
 }
 
 // earn adds what one request pays for.
@@ -69,7 +69,7 @@
 func (c *Controller) HandlePeerReport(now Time, report *PeerReport) {
 	c.now = now
 	index, ok := c.engines.byName[report.Engine]
-	if !ok || c.engines.at(index).Since != report.Since {
+	if !ok || c.engines.at(index).StartedAt != report.EngineStartedAt {
 		return
 	}
 	engine := c.engines.at(index)
--- a/internal/admission/peers_test.go
+++ b/internal/admission/peers_test.go
@@ -16,7 +16,7 @@
 			s.record("heard of e1: against %.1f, score %.1f, own %.1f, busy %.2f, signal %.2f", f.FailureScore,
 				s.failureScore(e), e.failures.decayed(s.at), s.estimates.meanBusyShare, s.loadSignal(e))
 		}
-		hear(PeerReport{Since: 7, FailureScore: 3, Report: NoReport})
+		hear(PeerReport{EngineStartedAt: 7, FailureScore: 3, Report: NoReport})
 		hear(PeerReport{FailureScore: 2, Report: Report{-1, 0.95, -1, -1}})
 		s.sendRequest("a", 0, 0, "")
 		hear(PeerReport{FailureScore: 3, Report: NoReport})
--- a/internal/admission/placement.go
+++ b/internal/admission/placement.go
@@ -49,7 +49,7 @@
 		class.Kinds != nil && !slices.Contains(class.Kinds, engine.Kind) || !c.pools.contains(c.pools.numberOf(request, c.now), engine) {
 		return false
 	}
-	if request.prior.MayHaveRun && class.Effect == Deduplicated && !class.DedupScope.includes(&request.prior, &engine.Endpoint) {
+	if request.prior.MayHaveRun && class.RepeatEffect == Deduplicated && !class.DedupScope.includes(&request.prior, &engine.Endpoint) {
 		return false
 	}
 	return !c.slowStart.isWarmingUp(engine, c.now) || c.hasSlowStartCapacity(engine, request)
@@ -60,7 +60,7 @@
 	switch s {
 	case SameZone:
 		return e.Zone == prior.Zone
-	case SameCell:
+	case SameGroup:
 		return e.Zone == prior.Zone && e.Group == prior.Group
 	default:
 		return true
--- a/internal/admission/placement_test.go
+++ b/internal/admission/placement_test.go
@@ -13,7 +13,7 @@
 		s := startScript(d)
 		s.updateList(FullUpdate, Endpoint{Engine: "z0"}, Endpoint{Engine: "z1", Zone: 1})
 		s.sendRequest("a", 0, 0, "")
-		s.endAttempt("a", Full)
+		s.endAttempt("a", EngineFull)
 		s.sendRequest("nowhere", 1, 0, "")
 		s.advanceTo(5 * Second)
 		return s
@@ -31,9 +31,9 @@
 		{"any engine", AllEngines, Endpoint{Zone: 7, Group: 7}, true},
 		{"the zone", SameZone, Endpoint{Zone: 1, Group: 7}, true},
 		{"not another zone", SameZone, Endpoint{Zone: 7, Group: 2}, false},
-		{"the cell", SameCell, Endpoint{Zone: 1, Group: 2}, true},
-		{"not another cell of the zone", SameCell, Endpoint{Zone: 1, Group: 7}, false},
-		{"not the cell of that number in another zone", SameCell, Endpoint{Zone: 7, Group: 2}, false},
+		{"the cell", SameGroup, Endpoint{Zone: 1, Group: 2}, true},
+		{"not another cell of the zone", SameGroup, Endpoint{Zone: 1, Group: 7}, false},
+		{"not the cell of that number in another zone", SameGroup, Endpoint{Zone: 7, Group: 2}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -128,6 +128,6 @@
 		return false
 	}
 	class := &c.deployment.Classes[request.class]
-	return class.Effect == Idempotent ||
-		class.Effect == Deduplicated && c.now < request.prior.SentAt+class.DedupWindow
+	return class.RepeatEffect == Idempotent ||
+		class.RepeatEffect == Deduplicated && c.now < request.prior.SentAt+class.DedupWindow
 }
--- a/internal/admission/retries_test.go
+++ b/internal/admission/retries_test.go
@@ -10,7 +10,7 @@
 		s.sendRequest("idempotent", 0, 0, "")
 		s.endAttempt("idempotent", Reset)
 		s.sendRequest("unrepeatable", 2, 0, "")
-		s.endAttempt("unrepeatable", Full)
+		s.endAttempt("unrepeatable", EngineFull)
 		s.endAttempt("unrepeatable", Reset)
 		s.endAttempt("idempotent", Errored)
 		return s
@@ -34,18 +34,18 @@
 		s := startScript(d, "e1", "e2")
 		for _, id := range []RequestID{"a", "b"} {
 			s.sendRequest(id, 0, 0, "")
-			s.endAttempt(id, Full)
+			s.endAttempt(id, EngineFull)
 		}
 		s.advanceTo(6 * Second)
 		s.sendRequest("c", 0, 0, "")
-		s.endAttempt("c", Full)
+		s.endAttempt("c", EngineFull)
 		return s
 	},
 	"most attempts": func() *script {
 		s := startScript(testDeployment(), "e1", "e2")
 		s.sendRequest("a", 0, 0, "")
 		for range 4 {
-			s.endAttempt("a", Full)
+			s.endAttempt("a", EngineFull)
 		}
 		return s
 	},
--- a/internal/admission/script_test.go
+++ b/internal/admission/script_test.go
@@ -36,7 +36,7 @@
 	s.record("  -> reject %s, retry after %s", request, formatTime(retryAfter))
 }
 func (s *script) FailRequest(request RequestID) { s.record("  -> fail %s", request) }
-func (s *script) SetAttemptTerms(request RequestID, memory float64, rank int) {
+func (s *script) SetAttemptOptions(request RequestID, memory float64, rank int) {
 	s.record("  -> terms of %s: %.0f MB, rank %d", request, memory, rank)
 }
 func (s *script) SubscribeEndpoints()                                       { s.record("  -> subscribe to the list") }
@@ -60,12 +60,12 @@
 func testDeployment() *Deployment {
 	return &Deployment{Gateways: 1, CoresByKind: []float64{4}, MaxAttempts: 4, RetryAfter: 500 * Millisecond,
 		WarmUpCapacityShare: 0.25, WarmUpTime: 10 * Second, WarmUpOverloadFactor: 2, WarmUpOverloadTime: Second,
-		SupportsProbes: true, ProbePrice: 0.01,
+		SupportsProbes: true, ProbeCost: 0.01,
 		Classes: []Class{
 			{Threads: 1, LatencyObjective: 400 * Millisecond, ObjectivePerWork: 1, Weight: 1},
 			{Threads: 3, LatencyObjective: 2 * Second, ObjectivePerWork: 2, Weight: 20, LateWeightShare: 0.5},
-			{Threads: 2, LatencyObjective: 2 * Second, Weight: 5, Effect: NonIdempotent},
-			{Threads: 1, LatencyObjective: 2 * Second, Weight: 5, Effect: Deduplicated, DedupWindow: 3 * Second, Ordered: true},
+			{Threads: 2, LatencyObjective: 2 * Second, Weight: 5, RepeatEffect: NonIdempotent},
+			{Threads: 1, LatencyObjective: 2 * Second, Weight: 5, RepeatEffect: Deduplicated, DedupWindow: 3 * Second, Ordered: true},
 		}}
 }
 
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -109,7 +109,7 @@
 	work = c.estimates.expectWork(arrival.Class, arrival.Estimate.Work)
 	objective := c.now + class.LatencyObjective + Time(class.ObjectivePerWork*work/float64(class.Threads))
 	c.sequence++
-	index = c.requests.add(activeRequest{id: arrival.ID, class: arrival.Class, tenant: tenant, tables: arrival.Tables,
+	index = c.requests.add(activeRequest{id: arrival.ID, class: arrival.Class, tenant: tenant, tables: arrival.TableGroup,
 		arrivedAt: c.now, deadline: arrival.Deadline, objective: min(arrival.Deadline, objective), estimate: arrival.Estimate,
 		sequence: c.sequence, rank: initialRank, attempt: attempt{engine: noEngine}, prior: arrival.Estimate.Prior})
 	return index, work
@@ -162,7 +162,7 @@
 		return
 	}
 	class := &c.deployment.Classes[request.class]
-	if !request.prior.MayHaveRun || class.Effect == Idempotent || class.Effect == Deduplicated && class.DedupScope == AllEngines {
+	if !request.prior.MayHaveRun || class.RepeatEffect == Idempotent || class.RepeatEffect == Deduplicated && class.DedupScope == AllEngines {
 		c.host.RejectRequest(request.id, c.deployment.RetryAfter)
 	} else {
 		c.host.FailRequest(request.id)
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -15,7 +15,7 @@
 // isWarmingUp tells whether an engine is still warming up.
 func (s *slowStart) isWarmingUp(engine *engineState, now Time) bool {
 	d := s.deployment
-	return d.WarmUpOverloadTime > 0 && engine.Since > 0 && now < engine.Since+d.WarmUpTime
+	return d.WarmUpOverloadTime > 0 && engine.StartedAt > 0 && now < engine.StartedAt+d.WarmUpTime
 }
 
 // spanOf is the number of a span of the clock. Each is as long as an engine that warms up takes to fail under overload.
--- a/internal/admission/slowstart_simulation_test.go
+++ b/internal/admission/slowstart_simulation_test.go
@@ -126,7 +126,7 @@
 	g.requests++
 	id := RequestID(fmt.Sprintf("%d-%d", class, g.requests))
 	g.controller.HandleRequest(g.clock(), Request{ID: id, Deadline: g.clock() + 20*Second, Class: class,
-		Tables: s.random.Intn(20)})
+		TableGroup: s.random.Intn(20)})
 	s.after(Second/8+s.randomTime(Second/4), g.sendRequests)
 }
 
@@ -164,7 +164,7 @@
 	s.after(s.randomTime(Second/4), g.sendRequests)
 	s.after(s.randomTime(tickInterval), g.tick)
 	s.after(start-s.now+s.randomTime(s.maxNewsDelay), func() {
-		changes := []Endpoint{{Engine: coldEngine, State: Live, Since: start}}
+		changes := []Endpoint{{Engine: coldEngine, State: Live, StartedAt: start}}
 		if s.warmEngineEnds {
 			changes = append(changes, Endpoint{Engine: warmEngine, State: Gone})
 		}
--- a/internal/admission/slowstart_test.go
+++ b/internal/admission/slowstart_test.go
@@ -11,7 +11,7 @@
 		d.Gateways, d.WarmUpTime = 3, 30*Second
 		s := startScript(d)
 		s.advanceTo(Second)
-		s.updateList(CachedUpdate, Endpoint{Engine: "cold", Since: Second})
+		s.updateList(CachedUpdate, Endpoint{Engine: "cold", StartedAt: Second})
 		e := &s.engines.items[0]
 		s.estimates.classes[0].work, s.estimates.classes[0].requests = float64(300*Millisecond), 20
 		for range 13 {
@@ -31,7 +31,7 @@
 		d.Gateways, d.WarmUpTime, d.CoresByKind = 5, 30*Second, []float64{16}
 		s := startScript(d, "warm")
 		s.advanceTo(Second)
-		s.updateList(PartialUpdate, Endpoint{Engine: "cold", Since: Second})
+		s.updateList(PartialUpdate, Endpoint{Engine: "cold", StartedAt: Second})
 		s.advanceTo(Second + tickInterval)
 		e := &s.engines.items[1]
 		s.estimates.classes[0].work, s.estimates.classes[0].requests = float64(300*Millisecond), 20
@@ -126,7 +126,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			e := &engineState{Endpoint: Endpoint{Since: test.since}}
+			e := &engineState{Endpoint: Endpoint{StartedAt: test.since}}
 			if got := s.isWarmingUp(e, test.now); got != test.want {
 				t.Errorf("warms up: %t, want %t", got, test.want)
 			}
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -91,7 +91,7 @@
 }
 
 func (e *engineState) snapshot() EngineSnapshot {
-	return EngineSnapshot{Engine: e.Engine, Since: e.Since, Bound: e.limit.bound, Utilization: e.load.utilization,
+	return EngineSnapshot{Engine: e.Engine, Since: e.StartedAt, Bound: e.limit.bound, Utilization: e.load.utilization,
 		Report: e.load.report, ReportAt: e.load.reportAt, FailureScore: e.failures.points, FailureScoreAt: e.failures.addedAt}
 }
 
@@ -143,7 +143,7 @@
 	const boundLifetime = 10 * Second // by then a bound has been stepped to somewhere else
 	for i := range c.snapshot.Engines {
 		known := &c.snapshot.Engines[i]
-		if known.Engine != engine.Engine || known.Since != engine.Since {
+		if known.Engine != engine.Engine || known.Since != engine.StartedAt {
 			continue
 		}
 		engine.limit.bound += (known.Bound - engine.limit.bound) * max(0, 1-float64(c.now-c.snapshot.At)/float64(boundLifetime))
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -14,7 +14,7 @@
 	d.KeyCooldown = 2 * Second
 	s := startScript(d, "e1", "e2")
 	s.serveRequests(30, 0, 120*Millisecond)
-	s.UpdateEndpoints(s.at, PartialUpdate, []Endpoint{{Engine: "e3", Since: s.at}})
+	s.UpdateEndpoints(s.at, PartialUpdate, []Endpoint{{Engine: "e3", StartedAt: s.at}})
 	s.endProbe("e1", Served, Report{-1, 0.2, -1, -1})
 	s.endProbe("e2", Reset, NoReport)
 	s.sendRequest("k", 3, 0, "key")
@@ -26,8 +26,8 @@
 		n := &script{d: d, at: s.at + later}
 		n.Controller = New(n.at, 8, d, n)
 		n.RestoreSnapshot(n.at, m)
-		n.UpdateEndpoints(n.at, FullUpdate, []Endpoint{{Engine: "e1", Since: s.at + 1}, {Engine: "e2"},
-			{Engine: "e3", Since: m.Engines[2].Since}})
+		n.UpdateEndpoints(n.at, FullUpdate, []Endpoint{{Engine: "e1", StartedAt: s.at + 1}, {Engine: "e2"},
+			{Engine: "e3", StartedAt: m.Engines[2].Since}})
 		fmt.Printf("%v later: run %.0f ms by %.0f answers, retries allowed %t, key rests %t\n", formatTime(later),
 			n.estimates.classes[0].runTime/10,
 			n.estimates.classes[0].answers, n.retries.allows(n.now), n.keys.queues["key"].cooldownUntil > n.at)
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -17,13 +17,13 @@
 
 // Request is a client's request as it arrives.
 type Request struct {
-	ID       RequestID
-	Deadline Time   // when the client stops waiting
-	Class    int    // index into Deployment.Classes
-	Tenant   int    // index into Deployment.Tenants; one that is out of range counts as 0
-	Key      string // requests of an ordered class that share it run one after another; "": none
-	Tables   int    // number of the group of tables that it reads or loads
-	Estimate Estimate
+	ID         RequestID
+	Deadline   Time   // when the client stops waiting
+	Class      int    // index into Deployment.Classes
+	Tenant     int    // index into Deployment.Tenants; one that is out of range counts as 0
+	Key        string // requests of an ordered class that share it run one after another; "": none
+	TableGroup int    // number of the group of tables that it reads or loads
+	Estimate   Estimate
 }
 
 // Estimate is what is known of a request before it has run; a figure of zero is not known.
@@ -51,17 +51,17 @@
 const (
 	Served      Outcome = iota
 	Errored             // the engine gave an error; the request may have run
-	Full                // the engine rejected it unseen
+	EngineFull          // the engine rejected it unseen
 	TimedOut            // no answer in time; it may still run
 	Unreachable         // no connection
 	Reset               // the connection broke
 	Cancelled           // it was cancelled; it may have run
 	Unsent              // it was never sent
-	Lost                // the answer was corrupt, cut off or never came, as far as the wire shows; it may have run
+	AnswerLost          // the answer was corrupt, cut off or never came, as far as the wire shows; it may have run
 )
 
 // NeverRan tells whether the outcome proves that the engine did not begin the request.
-func (o Outcome) NeverRan() bool { return o == Full || o == Unreachable || o == Unsent }
+func (o Outcome) NeverRan() bool { return o == EngineFull || o == Unreachable || o == Unsent }
 
 // AttemptResult tells how an attempt of a request ended.
 type AttemptResult struct {
@@ -83,12 +83,12 @@
 	WaitNotice                       // value: 1 for memory, 2 for a load
 )
 
-// Effect tells what a second run of a request would do.
-type Effect uint8
+// RepeatEffect tells what a second run of a request would do.
+type RepeatEffect uint8
 
 // The effects of classes.
 const (
-	Idempotent Effect = iota
+	Idempotent RepeatEffect = iota
 	Deduplicated
 	NonIdempotent
 )
@@ -100,5 +100,5 @@
 const (
 	AllEngines DedupScope = iota
 	SameZone
-	SameCell
+	SameGroup
 )
--- a/internal/cli/format_test.go
+++ b/internal/cli/format_test.go
@@ -20,7 +20,7 @@
 		Deployment: &admission.Deployment{Classes: make([]admission.Class, 2)},
 		Network:    &config.Network{LongestWaits: []time.Duration{time.Second, time.Minute}},
 	}
-	start.Deployment.Classes[1].Effect = admission.NonIdempotent
+	start.Deployment.Classes[1].RepeatEffect = admission.NonIdempotent
 	journal, shut, err := openState(golden.CopyFolder(t, "state"), 64, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -67,7 +67,7 @@
 	log.Info("state", "code", "recovered", "folder", folder, "fresh", recovery.Fresh, "segments", recovery.Segments,
 		"records", recovery.Records, "tasks", requests.Len(), "open", requests.Counts.Recovered,
 		"may_have_run", requests.Counts.Uncertain, "cut_bytes", recovery.TornBytes, "warm", snapshot != nil, "took", time.Since(begun))
-	journal = &router.Journal{Requests: requests, Failed: records.Err, Snapshot: snapshot,
+	journal = &router.Journal{Requests: requests, Err: records.Err, Snapshot: snapshot,
 		SaveSnapshot: func(encoded []byte) { saveSnapshot(records, encoded) }}
 	closeState = func() error {
 		if err := records.Close(); err != nil {
@@ -83,7 +83,7 @@
 	var classes []requestjournal.Class
 	for i, class := range start.Deployment.Classes {
 		classes = append(classes, requestjournal.Class{
-			Effect: class.Effect, DedupWindow: class.DedupWindow,
+			Effect: class.RepeatEffect, DedupWindow: class.DedupWindow,
 			LongestWait: admission.Time(start.Network.LongestWaits[i] / timeUnit),
 		})
 	}
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -38,7 +38,7 @@
 func (nobody) CancelAttempt(admission.RequestID, int)                                              {}
 func (nobody) RejectRequest(admission.RequestID, admission.Time)                                   {}
 func (nobody) FailRequest(admission.RequestID)                                                     {}
-func (nobody) SetAttemptTerms(admission.RequestID, float64, int)                                   {}
+func (nobody) SetAttemptOptions(admission.RequestID, float64, int)                                 {}
 func (nobody) ProbeEngine(admission.EngineID)                                                      {}
 func (nobody) SubscribeEndpoints()                                                                 {}
 func (nobody) HasSlowStartCapacity(admission.EngineID, float64) (room, shared bool) {
--- a/internal/cluster/agent/counters.go
+++ b/internal/cluster/agent/counters.go
@@ -33,7 +33,7 @@
 func (h countersHost) Peers() []string { return h.agent.livingMembers() }
 
 func (s *counterSharing) begin(now admission.Time) {
-	s.core = counters.New(now, counters.Options{Name: s.agent.name, Processes: s.agent.gateways, MaxInFlight: s.maxRequests, LongestRequest: s.longestWait, Host: countersHost{s.agent}})
+	s.core = counters.New(now, counters.Options{Name: s.agent.name, MaxProcesses: s.agent.gateways, MaxInFlight: s.maxRequests, LongestRequest: s.longestWait, Host: countersHost{s.agent}})
 }
 
 func (s *counterSharing) tick(now admission.Time) {
--- a/internal/cluster/agent/events.go
+++ b/internal/cluster/agent/events.go
@@ -54,7 +54,7 @@
 		digest rollout.Digest
 		policy Policy
 		err    error // why the gateway can't follow it; nil: it can
-		done   func(rollout.Terms, error)
+		done   func(rollout.Parameters, error)
 	}
 
 	// recordsStored is the result of storing records of the policy rollout.
--- a/internal/cluster/agent/healthsharing.go
+++ b/internal/cluster/agent/healthsharing.go
@@ -84,7 +84,7 @@
 
 func (s *healthSharing) recordFinding(now admission.Time, observedAt int64, f *admission.PeerReport) {
 	ejects := f.Ejects()
-	s.agent.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(f.Engine), EngineStart: int64(f.Since), FailureScore: f.FailureScore, Number: f.Witnesses, Out: ejects,
+	s.agent.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(f.Engine), EngineStart: int64(f.EngineStartedAt), FailureScore: f.FailureScore, Number: f.Witnesses, Out: ejects,
 		ObservedAt: observedAt, ValidNanos: duration(max(0, f.ScoreUntil-now)).Nanoseconds()})
 	if ejects == s.ejected[f.Engine] {
 		return
@@ -124,7 +124,7 @@
 		age     admission.Time
 	}{{true, successAge}, {false, failureAge}} {
 		if outcome.age < healthreport.OutcomeLifetime {
-			s.agent.history.Write(history.Event{Kind: history.PeerOutcomeReceived, Member: from.Name, Of: from.Incarnation, Engine: string(endpoint.Engine), EngineStart: int64(endpoint.Since), Success: outcome.success,
+			s.agent.history.Write(history.Event{Kind: history.PeerOutcomeReceived, Member: from.Name, Of: from.Incarnation, Engine: string(endpoint.Engine), EngineStart: int64(endpoint.StartedAt), Success: outcome.success,
 				AgeNanos: duration(outcome.age).Nanoseconds()})
 		}
 	}
@@ -159,10 +159,10 @@
 	if l.State == admission.Gone {
 		delete(s.listed, l.Engine)
 	} else {
-		s.listed[l.Engine] = l.Since
-		if known && since == l.Since {
+		s.listed[l.Engine] = l.StartedAt
+		if known && since == l.StartedAt {
 			return
 		}
 	}
-	s.agent.history.Write(history.Event{Kind: history.EngineListed, Engine: string(l.Engine), EngineStart: int64(l.Since), State: endpointStates[l.State]})
+	s.agent.history.Write(history.Event{Kind: history.EngineListed, Engine: string(l.Engine), EngineStart: int64(l.StartedAt), State: endpointStates[l.State]})
 }
--- a/internal/cluster/agent/policy.go
+++ b/internal/cluster/agent/policy.go
@@ -16,7 +16,7 @@
 
 // Policy is one that was read.
 type Policy interface {
-	Terms() rollout.Terms
+	Terms() rollout.Parameters
 	Budgets() (names []string, totals []int64) // over all gateways
 }
 
--- a/internal/cluster/agent/policyrequests.go
+++ b/internal/cluster/agent/policyrequests.go
@@ -186,7 +186,7 @@
 	if number == state.InForce.Number {
 		return state.InForce.Digest, nil
 	}
-	for _, past := range state.Past {
+	for _, past := range state.PastPolicies {
 		if past.Number == number {
 			return past.Digest, nil
 		}
@@ -223,14 +223,14 @@
 	if (state.Unsupported != rollout.Digest{}) {
 		out.UnusableDigest = state.Unsupported.String()
 	}
-	for _, past := range state.Past {
-		out.Records = append(out.Records, PolicyRecord{past.Number, past.Digest.String(), past.Size, past.Kind.String(), past.By, past.UnixSeconds, past.RollbackTo})
+	for _, past := range state.PastPolicies {
+		out.Records = append(out.Records, PolicyRecord{past.Number, past.Digest.String(), past.Size, past.Kind.String(), past.ProposedBy, past.UnixSeconds, past.RollbackTo})
 	}
-	for _, end := range state.Ends {
+	for _, end := range state.EndedProposals {
 		out.Results = append(out.Results, *newProposalResult(rollout.Result(end)))
 	}
 	for _, m := range state.Members {
-		out.Members = append(out.Members, PolicyMember{m.Name, seconds(m.SinceHeard), seconds(m.LeaseRemaining), m.Ready, m.Excluded, m.Reason})
+		out.Members = append(out.Members, PolicyMember{m.Name, seconds(m.SinceLastRequest), seconds(m.LeaseRemaining), m.Ready, m.Excluded, m.Reason})
 	}
 	return out
 }
--- a/internal/cluster/agent/policyrollout.go
+++ b/internal/cluster/agent/policyrollout.go
@@ -154,7 +154,7 @@
 
 // CheckPolicy reads a policy in a goroutine of its own, because a long one takes its time. The done function is called by the
 // agent's goroutine.
-func (p *policyRollout) CheckPolicy(digest rollout.Digest, text []byte, done func(rollout.Terms, error)) {
+func (p *policyRollout) CheckPolicy(digest rollout.Digest, text []byte, done func(rollout.Parameters, error)) {
 	p.agent.goroutines.Go(func() {
 		policy, err := p.read(text)
 		p.agent.queue.Put(policyParsed{digest, policy, err, done})
@@ -179,7 +179,7 @@
 
 func (p *policyRollout) finishCheck(e *policyParsed) {
 	if e.err != nil {
-		e.done(rollout.Terms{}, e.err)
+		e.done(rollout.Parameters{}, e.err)
 		return
 	}
 	p.parsed[e.digest] = e.policy
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -85,7 +85,7 @@
 		LongestUse:   longest,
 		LeaseTerm:    2 * longest,
 		DriftDivisor: clockDriftDivisor,
-		Number:       c.Number,
+		Revision:     c.Number,
 		Totals:       c.Totals,
 	}
 	for _, name := range c.Names {
@@ -140,7 +140,7 @@
 	ended, err := s.handover.beginClaim(start)
 	s.logFolderError(err)
 	if len(ended) > 0 {
-		core.SucceedIncarnations(ended)
+		core.SetPredecessors(ended)
 		a.log.Info("fleet", "code", "follows", "starts", ended)
 	}
 	return core
--- a/internal/cluster/counters/core.go
+++ b/internal/cluster/counters/core.go
@@ -79,7 +79,7 @@
 // Options configures a new core.
 type Options struct {
 	Name           string
-	Processes      int   // number of processes that the cluster may have
+	MaxProcesses   int   // number of processes that the cluster may have
 	MaxInFlight    int64 // maximum number of requests in flight at one process; 0: unlimited
 	LongestRequest Time  // maximum time that a request is in flight
 	Host           Host
--- a/internal/cluster/counters/core_test.go
+++ b/internal/cluster/counters/core_test.go
@@ -242,5 +242,5 @@
 // newTestCore returns the core of process n in a cluster of the given number of processes. A process has up to 100 requests in flight, each
 // for up to four seconds.
 func newTestCore(now Time, n, processes int, host Host) *Core {
-	return New(now, Options{Name: fmt.Sprint("g", n), Processes: processes, MaxInFlight: 100, LongestRequest: 4 * second, Host: host})
+	return New(now, Options{Name: fmt.Sprint("g", n), MaxProcesses: processes, MaxInFlight: 100, LongestRequest: 4 * second, Host: host})
 }
--- a/internal/cluster/counters/reading.go
+++ b/internal/cluster/counters/reading.go
@@ -38,7 +38,7 @@
 	defer c.mu.Unlock()
 	c.advance(now)
 	t := c.commonInstant()
-	silent := max(0, c.options.Processes-1-len(c.peers)) // number of processes that no report was received from
+	silent := max(0, c.options.MaxProcesses-1-len(c.peers)) // number of processes that no report was received from
 	out := Reading{Age: c.now - t, Known: 1, Unknown: len(c.ended) + silent}
 	covered := make([]bool, len(c.peers))
 	for i := range c.peers {
--- a/internal/cluster/healthreport/engine.go
+++ b/internal/cluster/healthreport/engine.go
@@ -39,7 +39,7 @@
 			i = b.addEngine(endpoint.Engine)
 		}
 		e := &b.engines[i]
-		restarted := !known || e.Since != endpoint.Since
+		restarted := !known || e.StartedAt != endpoint.StartedAt
 		e.Endpoint, e.listed = endpoint, endpoint.State != admission.Gone
 		if restarted {
 			b.resetEngine(i)
@@ -83,7 +83,7 @@
 // resetEngine removes all observations of an engine, and its findings.
 func (b *Table) resetEngine(index int) {
 	e := &b.engines[index]
-	nothing := Finding{Engine: e.Engine, Since: e.Since, Report: admission.NoReport, ReportAt: never}
+	nothing := Finding{Engine: e.Engine, EngineStartedAt: e.StartedAt, Report: admission.NoReport, ReportAt: never}
 	*e = engine{Endpoint: e.Endpoint, hash: e.hash, listed: e.listed, own: noObservations, sent: noObservations, waitingSince: never, found: nothing, published: nothing}
 	b.forgetObservations(index)
 }
--- a/internal/cluster/healthreport/finding.go
+++ b/internal/cluster/healthreport/finding.go
@@ -31,7 +31,7 @@
 // answer from the engine since. However many failures a gateway observed, it adds at most one to the score.
 func (b *Table) findingOf(now Time, index int) Finding {
 	e := &b.engines[index]
-	out := Finding{Engine: e.Engine, Since: e.Since, Report: admission.NoReport, ReportAt: never}
+	out := Finding{Engine: e.Engine, EngineStartedAt: e.StartedAt, Report: admission.NoReport, ReportAt: never}
 	answeredAt, failedAt := e.own.answeredAt, never
 	for k := range b.peers {
 		o := &b.peers[k].observations[index]
--- a/internal/cluster/healthreport/hard_cases_test.go
+++ b/internal/cluster/healthreport/hard_cases_test.go
@@ -66,7 +66,7 @@
 	old := peers[0].NextMessage(now)
 	h.mustHandleMessage(now, peers[0].Source, old)
 	for _, since := range []Time{now + 100*millisecond, now + 600*millisecond} { // two restarts within a second
-		h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: since}})
+		h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), StartedAt: since}})
 		checkScore(t, h, now+second, 0)
 		h.mustHandleMessage(now+second, peers[0].Source, old)
 		checkScore(t, h, now+second, 0)
@@ -81,12 +81,12 @@
 		p.sendMessages(now, h)
 	}
 	checkScore(t, h, now, 2)
-	peers[2].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: now}})
+	peers[2].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), StartedAt: now}})
 	peers[2].Observe(now+1, engineName(1), admission.Erred, admission.NoReport, 0)
 	peers[2].sendMessages(now+1, h)
 	checkScore(t, h, now+1, 0)
-	peers[0].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: now}})
-	h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), Since: now}})
+	peers[0].UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), StartedAt: now}})
+	h.UpdateEngines(admission.PartialUpdate, []admission.Endpoint{{Engine: engineName(1), StartedAt: now}})
 	peers[1].Observe(now+2, engineName(1), admission.Erred, admission.NoReport, 0) // this peer's list still has the earlier start
 	peers[1].sendMessages(now+2, h)
 	checkScore(t, h, now+2, 0)
--- a/internal/cluster/healthreport/receive.go
+++ b/internal/cluster/healthreport/receive.go
@@ -77,7 +77,7 @@
 		return false
 	}
 	e := &b.engines[i]
-	if since := wireStart(e.Since); since != received.start {
+	if since := wireStart(e.StartedAt); since != received.start {
 		if received.start-since&startMask < startMask/2 { // the peer lists a later start, so the stored observations of peers are outdated
 			b.forgetObservations(i)
 		}
--- a/internal/cluster/healthreport/send.go
+++ b/internal/cluster/healthreport/send.go
@@ -131,7 +131,7 @@
 
 // writeEntry writes an entry for an engine. It returns false if the entry does not fit into the message or the budget.
 func (b *Table) writeEntry(now Time, w *writer, e *engine) bool {
-	if float64(b.peerCount*(len(w.b)+entryBytes)) > b.byteBudget || !w.add(now, e.hash, e.Since, b.observationsToSend(e)) {
+	if float64(b.peerCount*(len(w.b)+entryBytes)) > b.byteBudget || !w.add(now, e.hash, e.StartedAt, b.observationsToSend(e)) {
 		return false
 	}
 	e.sent, e.waitingSince, e.contradicts, e.repeat = e.own, never, false, false
--- a/internal/cluster/healthreport/table_test.go
+++ b/internal/cluster/healthreport/table_test.go
@@ -22,7 +22,7 @@
 
 func newEndpoints(n int) (out []admission.Endpoint) {
 	for i := range n {
-		out = append(out, admission.Endpoint{Engine: engineName(i), Since: 5 * second})
+		out = append(out, admission.Endpoint{Engine: engineName(i), StartedAt: 5 * second})
 	}
 	return out
 }
--- a/internal/cluster/quota/core.go
+++ b/internal/cluster/quota/core.go
@@ -87,7 +87,7 @@
 func New(now Time, o Options) *Core {
 	peerOffset := int(HashName(o.Name) >> 1) // members start with different peers
 	c := &Core{
-		plan: o.Plan, host: o.Host, now: now, name: o.Name, incarnation: o.Incarnation, share: o.Share, highestNumber: o.Plan.Number,
+		plan: o.Plan, host: o.Host, now: now, name: o.Name, incarnation: o.Incarnation, share: o.Share, highestNumber: o.Plan.Revision,
 		claims: []shareClaim{{share: o.Share, heldUntil: now, nextClaimAt: now}},
 		spares: spareExchange{nextRecipient: peerOffset, nextUnknownPeer: peerOffset},
 	}
@@ -121,14 +121,14 @@
 func (c *Core) ReplacePlan(now Time, next *Plan) error {
 	c.advance(now)
 	old := c.plan
-	if next.Number <= old.Number {
-		return fmt.Errorf("number: expected more than %d, the number of the totals in force, found %d", old.Number, next.Number)
+	if next.Revision <= old.Revision {
+		return fmt.Errorf("number: expected more than %d, the number of the totals in force, found %d", old.Revision, next.Revision)
 	}
 	if next.Shares != old.Shares || !slices.Equal(next.Voters, old.Voters) || next.ShareTerm != old.ShareTerm || next.LeaseTerm != old.LeaseTerm || next.LongestUse != old.LongestUse {
 		return errPlanChange
 	}
 	c.plan = mergePlans(old, next)
-	c.highestNumber = max(c.highestNumber, c.plan.Number)
+	c.highestNumber = max(c.highestNumber, c.plan.Revision)
 	for i := range c.taken.leases {
 		if l := &c.taken.leases[i]; c.plan.Totals[l.quota] < old.Totals[l.quota] {
 			l.final = true
@@ -147,7 +147,7 @@
 // mergePlans returns the old plan with the revision and totals of the next one. Quotas keep their index; new quotas are appended.
 func mergePlans(old, next *Plan) *Plan {
 	merged := *old
-	merged.Number, merged.QuotaIDs, merged.Totals = next.Number, slices.Clone(old.QuotaIDs), make([]int64, len(old.QuotaIDs))
+	merged.Revision, merged.QuotaIDs, merged.Totals = next.Revision, slices.Clone(old.QuotaIDs), make([]int64, len(old.QuotaIDs))
 	for i, id := range next.QuotaIDs {
 		q := slices.Index(merged.QuotaIDs, id)
 		if q < 0 {
@@ -205,7 +205,7 @@
 // HandleMessage processes a received message.
 func (c *Core) HandleMessage(now Time, m Message) {
 	c.advance(now)
-	c.highestNumber = max(c.highestNumber, m.PlanNumber)
+	c.highestNumber = max(c.highestNumber, m.PlanRevision)
 	switch m.Kind {
 	case KindVoterJoin:
 		c.handleVoterJoin(m)
@@ -241,6 +241,6 @@
 }
 
 func (c *Core) send(to string, m Message) {
-	m.Sender, m.SenderIncarnation, m.PlanNumber = c.name, c.incarnation, c.plan.Number
+	m.Sender, m.SenderIncarnation, m.PlanRevision = c.name, c.incarnation, c.plan.Revision
 	c.host.Send(to, m)
 }
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -74,7 +74,7 @@
 // handleLeaseRequest leases out free units of the own shares, or renews a lease, unless own requests need the units. A request with a
 // lower lease ID than another lease of the same borrower is ignored, because it arrives late or repeatedly.
 func (c *Core) handleLeaseRequest(quota int, m Message) {
-	if m.Units <= 0 || m.PlanNumber != c.plan.Number {
+	if m.Units <= 0 || m.PlanRevision != c.plan.Revision {
 		return
 	}
 	index := slices.IndexFunc(c.granted.leases, func(l lease) bool { return l.matches(quota, &m) })
@@ -177,7 +177,7 @@
 	if c.plan.Mutation != CountGrantTwice {
 		c.taken.requests = slices.Delete(c.taken.requests, index, index+1)
 	}
-	if m.PlanNumber != c.plan.Number { // the lender granted it under other totals
+	if m.PlanRevision != c.plan.Revision { // the lender granted it under other totals
 		c.send(m.Sender, Message{Kind: KindLeaseReturn, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, LeaseID: m.LeaseID})
 		return
 	}
--- a/internal/cluster/quota/message.go
+++ b/internal/cluster/quota/message.go
@@ -45,7 +45,7 @@
 	Sender               string
 	SenderIncarnation    uint64
 	RecipientIncarnation uint64 // in replies and lease returns: incarnation of the process that the message is for
-	PlanNumber           uint64
+	PlanRevision         uint64
 	Share                int
 	Sequence             uint32   // number of a claim or lease request; replies repeat it
 	VoterIncarnations    []uint64 // incarnation of each voter, as far as the sender knows
@@ -78,7 +78,7 @@
 // incarnations preceded by their count. The known incarnations of a confirmation or the predecessors of a claim follow, if there are any.
 func (m *Message) Encode() []byte {
 	b := append([]byte{version, byte(m.Kind), byte(len(m.Sender))}, m.Sender...)
-	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber, uint64(m.Share + 1), uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID)} {
+	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanRevision, uint64(m.Share + 1), uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID)} {
 		b = binary.AppendUvarint(b, v)
 	}
 	b = appendList(b, m.VoterIncarnations)
@@ -107,7 +107,7 @@
 	}
 	m := Message{Kind: Kind(b[1]), Sender: string(b[headBytes:nameEnd])}
 	r := reader{b: b[nameEnd:]}
-	m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber = r.uvarint(math.MaxUint64), r.uvarint(math.MaxUint64), r.uvarint(math.MaxUint64)
+	m.SenderIncarnation, m.RecipientIncarnation, m.PlanRevision = r.uvarint(math.MaxUint64), r.uvarint(math.MaxUint64), r.uvarint(math.MaxUint64)
 	m.Share = int(r.uvarint(maxShare)) - 1
 	m.Sequence, m.QuotaID = uint32(r.uvarint(math.MaxUint32)), uint32(r.uvarint(math.MaxUint32))
 	m.Units, m.LeaseID = int64(r.uvarint(maxUnits)), uint32(r.uvarint(math.MaxUint32))
--- a/internal/cluster/quota/mutation.go
+++ b/internal/cluster/quota/mutation.go
@@ -17,7 +17,7 @@
 	UseRecalledUnits                     // a lender uses the units of a recalled lease before they are returned
 	SucceedWithoutWaiting                // a successor uses its share before the leases granted by its predecessor have ended
 	SucceedAnyHolder                     // a voter accepts any claim with predecessors, even if the holder is not one of them
-	CountUnacquaintedVoters              // confirmations count together although neither voter was known to the other
+	CountMutuallyUnknownVoters           // confirmations count together although neither voter was known to the other
 	JoinWithUnequalIncarnations          // a voter opens although other voters know other incarnations than it does
 	GrantNoLease                         // not a defect: no units are leased, as a baseline for measurements
 )
--- a/internal/cluster/quota/plan.go
+++ b/internal/cluster/quota/plan.go
@@ -21,7 +21,7 @@
 	LeaseTerm    Time     // how long a lease lasts at the borrower after its request; longer than LongestUse
 	LongestUse   Time     // maximum duration of a use
 	DriftDivisor Time     // the rate of a clock is wrong by at most 1/DriftDivisor
-	Number       uint64   // increases with every change of the totals
+	Revision     uint64   // increases with every change of the totals
 	QuotaIDs     []uint32 // ID of each quota, by quota index; see HashName
 	Totals       []int64  // units of each quota, by quota index
 
--- a/internal/cluster/quota/share.go
+++ b/internal/cluster/quota/share.go
@@ -41,7 +41,7 @@
 // SetPredecessors sets the incarnations of earlier processes of this name that have certainly ended. Their share passes to this process
 // before their term ends. The process does not use the share for one lease term, until all leases that the last predecessor
 // granted and all uses by its requests have ended. It must be called right after New.
-func (c *Core) SucceedIncarnations(ended []uint64) {
+func (c *Core) SetPredecessors(ended []uint64) {
 	c.predecessors = ended
 	c.claims[0].usableFrom = c.now + c.plan.withDrift(c.plan.LeaseTerm)
 	if c.plan.Mutation == SucceedWithoutWaiting {
@@ -101,7 +101,7 @@
 	if len(claim.confirmations) < maxConfirmations && !counted {
 		claim.confirmations = append(claim.confirmations, confirmation{voter, m.SenderIncarnation, m.VoterIncarnations, m.KnownIncarnations})
 	}
-	if 2*largestSet(claim.confirmations, nil, c.plan.Mutation == CountUnacquaintedVoters) > voters {
+	if 2*largestSet(claim.confirmations, nil, c.plan.Mutation == CountMutuallyUnknownVoters) > voters {
 		begin := claim.claimedAt
 		if c.plan.Mutation == CountTermFromArrival {
 			begin = c.now
--- a/internal/cluster/quota/spares.go
+++ b/internal/cluster/quota/spare_units.go
@@ -132,7 +132,7 @@
 }
 
 func (c *Core) handleSpareUnits(quota int, m Message) {
-	if m.PlanNumber != c.plan.Number {
+	if m.PlanRevision != c.plan.Revision {
 		return
 	}
 	peer := c.spareOf(m.Sender)
--- a/internal/cluster/quota/voter.go
+++ b/internal/cluster/quota/voter.go
@@ -122,7 +122,7 @@
 // handleShareClaim confirms a share to its claimant. It rejects the claim while another process holds the share and its term may not
 // have ended on that process's clock, unless the claimant has the same name and lists that process as a predecessor.
 func (c *Core) handleShareClaim(m Message) {
-	if c.voter.index < 0 || c.now < c.voter.openAt || m.Share < 0 || m.Share >= len(c.voter.holders) || m.PlanNumber < c.highestNumber {
+	if c.voter.index < 0 || c.now < c.voter.openAt || m.Share < 0 || m.Share >= len(c.voter.holders) || m.PlanRevision < c.highestNumber {
 		return
 	}
 	holder := &c.voter.holders[m.Share]
--- a/internal/cluster/rollout/config.go
+++ b/internal/cluster/rollout/config.go
@@ -56,8 +56,8 @@
 	return t + (3*t+c.ClockDriftDivisor-1)/c.ClockDriftDivisor
 }
 
-// Terms are what a policy's text asks of its rollout.
-type Terms struct {
+// Parameters are what a policy's text asks of its rollout.
+type Parameters struct {
 	Overlap         Time     // for how long a gateway without a lease goes by what both policies allow; 0: not at all
 	RehearsalLength Time     // for how long all gateways try it on live requests before it is decided
 	RehearsalBounds Bounds   // beyond which the rehearsal ends the proposal
--- a/internal/cluster/rollout/exploration.go
+++ b/internal/cluster/rollout/exploration.go
@@ -82,8 +82,8 @@
 	return c.voter != nil && c.voter.leadership != nil && c.voter.leadership.change.phase < switching
 }
 
-// FloorRecord is the record by which a folder remembers the policy that this gateway went by last.
-func (c *Core) FloorRecord() consensus.Record {
+// LastPolicyRecord is the record by which a folder remembers the policy that this gateway went by last.
+func (c *Core) LastPolicyRecord() consensus.Record {
 	f := &c.follower
 	return consensus.Record{Key: floorKey, Value: encode(floorRecord{f.current, f.currentDigest, f.currentSize, f.voters})}
 }
@@ -144,36 +144,36 @@
 
 // LeaderState is what a core knows as the voters' leader.
 type LeaderState struct {
-	LeasesClearAt   Time // leases that earlier leaders gave have ended by then
-	OverlapsClearAt Time // and so have the overlaps that they allowed
-	Proved          bool
-	Behind          bool
-	EntryPending    bool
-	Confirming      bool
-	Phase           int
-	PhaseSince      Time
-	ProposalOpen    bool
-	ProposalSince   Time
-	Holders         []HolderState
+	LeasesClearAt       Time // leases that earlier leaders gave have ended by then
+	OverlapsClearAt     Time // and so have the overlaps that they allowed
+	LatestVerified      bool
+	VotersBehind        bool
+	EntryPending        bool
+	ConfirmationPending bool
+	Phase               int
+	PhaseSince          Time
+	ProposalOpen        bool
+	ProposalSince       Time
+	Holders             []HolderState
 }
 
 // HolderState is what a leader knows of one member.
 type HolderState struct {
-	Name           string
-	Incarnation    uint64
-	Seq            uint32
-	Holds          bool
-	ReadyFor       uint64
-	LastHeardAt    Time
-	LeaseClearAt   Time
-	OverlapClearAt Time
-	OverlapWith    uint64
-	OverlapSeq     uint32
-	GrantedSeq     uint32
-	Excluded       bool
-	ExcludedSeq    uint32
-	AwaitsReply    bool
-	AwaitsRead     bool
+	Name               string
+	Incarnation        uint64
+	Seq                uint32
+	HoldsLease         bool
+	ReadyFor           uint64
+	LastRequestAt      Time
+	LeaseClearAt       Time
+	OverlapClearAt     Time
+	OverlapWith        uint64
+	OverlapSeq         uint32
+	GrantedSeq         uint32
+	Excluded           bool
+	ExcludedSeq        uint32
+	AwaitsReply        bool
+	AwaitsConfirmation bool
 }
 
 // LeaderState returns it, and false for a core that doesn't lead.
@@ -183,16 +183,16 @@
 	}
 	table, l := &c.voter.table, c.voter.leadership
 	s := LeaderState{
-		LeasesClearAt: l.leasesClearAt, OverlapsClearAt: l.startedAt + c.config.leaseMargin(table.Overlap), Proved: l.proved, Behind: l.behind,
-		EntryPending: l.pending.appended, Confirming: l.confirming.read != 0, Phase: int(l.change.phase), PhaseSince: l.change.phaseSince,
+		LeasesClearAt: l.leasesClearAt, OverlapsClearAt: l.startedAt + c.config.leaseMargin(table.Overlap), LatestVerified: l.proved, VotersBehind: l.behind,
+		EntryPending: l.pending.appended, ConfirmationPending: l.confirming.read != 0, Phase: int(l.change.phase), PhaseSince: l.change.phaseSince,
 		ProposalOpen: table.Proposal != nil, ProposalSince: l.change.openedAt,
 	}
 	for i := range l.holders {
 		h := &l.holders[i]
 		s.Holders = append(s.Holders, HolderState{
-			Name: h.name, Incarnation: h.incarnation, Seq: h.seq, Holds: h.request.Holds, ReadyFor: h.request.ReadyFor, LastHeardAt: h.lastHeardAt,
+			Name: h.name, Incarnation: h.incarnation, Seq: h.seq, HoldsLease: h.request.Holds, ReadyFor: h.request.ReadyFor, LastRequestAt: h.lastHeardAt,
 			LeaseClearAt: h.leaseClearAt, OverlapClearAt: h.overlapClearAt, OverlapWith: h.overlapWith, OverlapSeq: h.overlapSeq,
-			GrantedSeq: h.grantedSeq, Excluded: h.excluded, ExcludedSeq: h.excludedSeq, AwaitsReply: h.awaitsReply, AwaitsRead: h.awaitedRead != 0,
+			GrantedSeq: h.grantedSeq, Excluded: h.excluded, ExcludedSeq: h.excludedSeq, AwaitsReply: h.awaitsReply, AwaitsConfirmation: h.awaitedRead != 0,
 		})
 	}
 	return s, true
--- a/internal/cluster/rollout/follower.go
+++ b/internal/cluster/rollout/follower.go
@@ -119,7 +119,7 @@
 }
 
 func (f *follower) inForce(mutation Mutation) InForce {
-	next := InForce{Era: f.current.Era, Number: f.current.Number, Digest: f.currentDigest, LeaseUntil: f.leaseUntil, Informed: f.informed}
+	next := InForce{Era: f.current.Era, Number: f.current.Number, Digest: f.currentDigest, LeaseUntil: f.leaseUntil, KnowsDecidedPolicy: f.informed}
 	if f.informed {
 		next.KnownDigests = append(next.KnownDigests, f.currentDigest)
 	}
@@ -145,7 +145,7 @@
 // equals tells whether the host needs to know of no difference. RehearsalID follows from RehearsalDigest.
 func (f *InForce) equals(other *InForce) bool {
 	return f.Era == other.Era && f.Number == other.Number && f.Digest == other.Digest && f.LeaseUntil == other.LeaseUntil &&
-		f.OverlapDigest == other.OverlapDigest && f.OverlapUntil == other.OverlapUntil && f.Informed == other.Informed &&
+		f.OverlapDigest == other.OverlapDigest && f.OverlapUntil == other.OverlapUntil && f.KnowsDecidedPolicy == other.KnowsDecidedPolicy &&
 		f.RehearsalDigest == other.RehearsalDigest && slices.Equal(f.KnownDigests, other.KnownDigests)
 }
 
--- a/internal/cluster/rollout/host.go
+++ b/internal/cluster/rollout/host.go
@@ -10,7 +10,7 @@
 	Peers() []string
 	// CheckPolicy reads a policy's text and calls done, never before it returns, with its terms or with the reason why this gateway can't
 	// follow it.
-	CheckPolicy(d Digest, text []byte, done func(Terms, error))
+	CheckPolicy(d Digest, text []byte, done func(Parameters, error))
 	// SaveRecords writes records in their order and calls done, never before it returns, once all survive a crash.
 	SaveRecords(records []consensus.Record, done func(error))
 	// LoadPolicy reads a text from stored records; nil: it isn't there.
@@ -41,8 +41,8 @@
 	// KnownDigests are the policies that this gateway has heard of, the one in force first. Requests that none of them concerns need no
 	// lease.
 	KnownDigests []Digest
-	// Informed says that the gateway has heard of the decided policy since it started, or that its folder has one.
-	Informed bool
+	// KnowsDecidedPolicy says that the gateway has heard of the decided policy since it started, or that its folder has one.
+	KnowsDecidedPolicy bool
 
 	RehearsalDigest Digest // the policy that is tried on live requests; zero: none
 	RehearsalID     uint64 // its proposal
--- a/internal/cluster/rollout/policy_store.go
+++ b/internal/cluster/rollout/policy_store.go
@@ -42,7 +42,7 @@
 	size   int
 	body   []byte
 	state  textState
-	terms  Terms
+	terms  Parameters
 	reason string // why it is unusable
 	usedAt Time
 
@@ -93,7 +93,7 @@
 // check has the host check a text, and saves one that can be followed.
 func (s *policyStore) check(c *Core, t *policyText, stored bool) {
 	t.state = textChecking
-	c.host.CheckPolicy(t.digest, t.body, func(terms Terms, err error) {
+	c.host.CheckPolicy(t.digest, t.body, func(terms Parameters, err error) {
 		if err != nil {
 			t.refuse(err.Error())
 			c.policyChecked(t)
--- a/internal/cluster/rollout/status.go
+++ b/internal/cluster/rollout/status.go
@@ -22,19 +22,19 @@
 	Reason         string       // why it can't
 	Progress       string       // of the change, as the leader describes it
 	Unsupported    Digest       // the decided policy, if it can't follow that
-	Past           []PastPolicy // known by voters
-	Ends           []ProposalEnd
+	PastPolicies   []PastPolicy // known by voters
+	EndedProposals []ProposalEnd
 	Members        []Member // known by the leader
 }
 
 // Member is a member as the leader knows it.
 type Member struct {
-	Name           string
-	SinceHeard     Time
-	LeaseRemaining Time // until its lease has surely ended
-	Ready          bool // for the open proposal
-	Excluded       bool // it took no part in time
-	Reason         string
+	Name             string
+	SinceLastRequest Time
+	LeaseRemaining   Time // until its lease has surely ended
+	Ready            bool // for the open proposal
+	Excluded         bool // it took no part in time
+	Reason           string
 }
 
 // Status returns what this process knows.
@@ -60,7 +60,7 @@
 func (v *voter) addStatus(c *Core, s *Status) {
 	s.IsVoter = v.log != nil && v.isVoter(c)
 	s.IsLearner = !s.IsVoter && (slices.Contains(v.table.WantedVoters, c.name) || slices.Contains(c.config.Voters, c.name))
-	s.Past, s.Ends = slices.Clone(v.table.Past), slices.Clone(v.table.Ends)
+	s.PastPolicies, s.EndedProposals = slices.Clone(v.table.Past), slices.Clone(v.table.Ends)
 	if v.leadership == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 func (v *voter) member(c *Core, h *leaseHolder) Member {
-	m := Member{Name: h.name, SinceHeard: c.now - h.lastHeardAt, LeaseRemaining: max(0, h.leaseClearAt-c.now), Excluded: h.excluded}
+	m := Member{Name: h.name, SinceLastRequest: c.now - h.lastHeardAt, LeaseRemaining: max(0, h.leaseClearAt-c.now), Excluded: h.excluded}
 	p := v.table.Proposal
 	if p == nil {
 		return m
--- a/internal/cluster/rollout/table.go
+++ b/internal/cluster/rollout/table.go
@@ -36,7 +36,7 @@
 	Digest      Digest       `cbor:"2,keyasint"`
 	Size        int          `cbor:"3,keyasint"`
 	Kind        ProposalKind `cbor:"4,keyasint"`
-	By          string       `cbor:"5,keyasint"`
+	ProposedBy  string       `cbor:"5,keyasint"`
 	UnixSeconds int64        `cbor:"6,keyasint"` // by the leader's wall clock
 	RollbackTo  uint64       `cbor:"7,keyasint,omitempty"`
 }
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -45,9 +45,9 @@
 		ReportsCost:          settings.Bool("familyInfo", "saysCost"),
 		SupportsCancel:       settings.Bool("limits", "cancel"),
 		SupportsProbes:       settings.Bool("limits", "probes"),
-		ProbePrice:           settings.Float("penalties", "probe"),
+		ProbeCost:            settings.Float("penalties", "probe"),
 		PeerMessages:         settings.Bool("limits", "peerMessages"),
-		PeerMessagePrice:     settings.Float("penalties", "peer"),
+		PeerMessageCost:      settings.Float("penalties", "peer"),
 		MaxAttempts:          int(settings.Float("limits", "maxAttempts")),
 		MaxRequests:          int(settings.Float("limits", "maxOpen")),
 		PollsEndpoints:       settings.Lookup("discovery") == "ask",
@@ -93,11 +93,11 @@
 	}
 	switch settings.Lookup("classes", i, "effect") {
 	case "read_like":
-		class.Effect = admission.Idempotent
+		class.RepeatEffect = admission.Idempotent
 	case "idempotency_key":
-		class.Effect = admission.Deduplicated
+		class.RepeatEffect = admission.Deduplicated
 	case "non_idempotent":
-		class.Effect = admission.NonIdempotent
+		class.RepeatEffect = admission.NonIdempotent
 	default:
 		settings.Fail("read_like, idempotency_key or non_idempotent", "classes", i, "effect")
 	}
@@ -105,7 +105,7 @@
 	case "zone":
 		class.DedupScope = admission.SameZone
 	case "cell":
-		class.DedupScope = admission.SameCell
+		class.DedupScope = admission.SameGroup
 	}
 	return class
 }
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -81,11 +81,11 @@
 func (r *EventReader) readEndpoint(response *jsonvalue.Value, path ...any) (endpoint admission.Endpoint, address string, ok bool) {
 	at := func(field string) []any { return append(path[:len(path):len(path)], field) }
 	endpoint = admission.Endpoint{
-		Engine: admission.EngineID(response.RequireText(at("id")...)),
-		Zone:   slices.Index(r.Zones, response.Text(at("zone")...)),
-		Kind:   slices.Index(r.Kinds, response.Text(at("kind")...)),
-		Group:  int(response.Float(at("cell")...)),
-		Since:  admission.Time(response.Float(at("started_ms")...)) * admission.Millisecond,
+		Engine:    admission.EngineID(response.RequireText(at("id")...)),
+		Zone:      slices.Index(r.Zones, response.Text(at("zone")...)),
+		Kind:      slices.Index(r.Kinds, response.Text(at("kind")...)),
+		Group:     int(response.Float(at("cell")...)),
+		StartedAt: admission.Time(response.Float(at("started_ms")...)) * admission.Millisecond,
 	}
 	address = response.Text(at("addr")...)
 	switch response.Text(at("state")...) {
--- a/internal/resourcegroup/limiter_test.go
+++ b/internal/resourcegroup/limiter_test.go
@@ -45,9 +45,9 @@
 	}
 	delete(s.classOf, t)
 }
-func (s *script) CancelAttempt(admission.RequestID, int)            {}
-func (s *script) SetAttemptTerms(admission.RequestID, float64, int) {}
-func (s *script) ProbeEngine(admission.EngineID)                    {}
+func (s *script) CancelAttempt(admission.RequestID, int)              {}
+func (s *script) SetAttemptOptions(admission.RequestID, float64, int) {}
+func (s *script) ProbeEngine(admission.EngineID)                      {}
 func (s *script) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
 }
 func (s *script) SubscribeEndpoints() {}
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -17,8 +17,8 @@
 // onDial has connections to engines dialled by a hook. It must be called before any engine is listed.
 func (s *fixture) onDial(hook func(address string, dial func(string) (net.Conn, error)) (net.Conn, error)) {
 	s.onOwner(func(admission.Time) {
-		dial := s.o.dial
-		s.o.dial = func(address string) (net.Conn, error) { return hook(address, dial) }
+		dial := s.owner.dial
+		s.owner.dial = func(address string) (net.Conn, error) { return hook(address, dial) }
 	})
 	s.sync()
 }
@@ -27,7 +27,7 @@
 func (s *fixture) listEngine(e *fakeEngine, state admission.EndpointState) {
 	e.fixture = s
 	s.onOwner(func(now admission.Time) {
-		s.o.handleEndpoints(now, admission.PartialUpdate, listing(e, state), []string{e.listener.Addr().String()})
+		s.owner.handleEndpoints(now, admission.PartialUpdate, listing(e, state), []string{e.listener.Addr().String()})
 	})
 	s.sync()
 }
@@ -68,11 +68,11 @@
 			f.reply(f.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 			a.expectAnswer()
 			close(goOn)
-			s.requireOnlyReceives(f, "bb")
+			s.requireNextAttempt(f, "bb")
 			if state == admission.Draining { // the connection is up by now, and can be used again
 				s.listEngine(e, admission.Live)
 				s.listEngine(f, admission.Draining)
-				s.requireOnlyReceives(e, "cc")
+				s.requireNextAttempt(e, "cc")
 			}
 		})
 	}
@@ -121,8 +121,8 @@
 	a.sendLoad("aa")
 	e.reply(e.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
-	if !strings.Contains(s.out.String(), "client gets: rows") {
-		t.Error(s.out.String())
+	if !strings.Contains(s.trace.String(), "client gets: rows") {
+		t.Error(s.trace.String())
 	}
 }
 
@@ -142,23 +142,23 @@
 	case h := <-e.received:
 		t.Fatalf("the draining engine heard %q", h.parts)
 	case h := <-f.received:
-		f.reply(h.c, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+		f.reply(h.conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	}
 	a.expectAnswer()
-	if len(e.received) > 0 || !strings.Contains(s.out.String(), "client gets: rows") {
-		t.Errorf("%s\nthe draining engine heard %d", s.out.String(), len(e.received))
+	if len(e.received) > 0 || !strings.Contains(s.trace.String(), "client gets: rows") {
+		t.Errorf("%s\nthe draining engine heard %d", s.trace.String(), len(e.received))
 	}
 }
 
 // A deduplicated request must not reach an engine after the time for which engines remember it, however long the connection takes.
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
-	s := startFixtureWith(t, customer)
+	s := startFixtureWith(t, tenantSettings)
 	defer s.close()
 	dialled, goOn := s.slowDial(f)
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
-	a.ask("/* class=load,id=00000000000000aa,wait=20000,once=" + token + " */ INSERT INTO t_7.x SELECT * FROM staging.y")
+	a.sendStatement("/* class=load,id=00000000000000aa,wait=20000,once=" + testIdempotencyToken + " */ INSERT INTO t_7.x SELECT * FROM staging.y")
 	k := e.receive()
 	s.listEngine(f, admission.Live)
 	s.listEngine(e, admission.Draining)
@@ -167,8 +167,8 @@
 	s.advanceClock(2 * admission.Second) // the window
 	close(goOn)
 	a.expectAnswer()
-	if !strings.Contains(s.out.String(), "client gets: error 1203") { // all engines dropped repeats, so a new request is harmless
-		t.Error(s.out.String())
+	if !strings.Contains(s.trace.String(), "client gets: error 1203") { // all engines dropped repeats, so a new request is harmless
+		t.Error(s.trace.String())
 	}
 	if len(f.received) > 0 {
 		t.Errorf("the engine heard %q", (<-f.received).parts)
@@ -226,20 +226,20 @@
 			s := startFixture(t, e)
 			defer s.close()
 			a := s.newClient()
-			a.sendLook("aa")
+			a.sendIdempotentQuery("aa")
 			k := e.receive()
 			go c.flood(k)
 			s.awaitLog("code=" + c.code)
 			for { // pages of the first try may have been asked for
 				h := <-e.received
 				if h.parts[0] == "do" {
-					e.reply(h.c, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
+					e.reply(h.conn, id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
 					break
 				}
 			}
 			a.expectAnswer()
-			if !strings.Contains(s.out.String(), "client gets: rows") {
-				t.Error(s.out.String())
+			if !strings.Contains(s.trace.String(), "client gets: rows") {
+				t.Error(s.trace.String())
 			}
 		})
 	}
--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -29,7 +29,7 @@
 // inFlight counts the requests that the gateway has accepted and not answered.
 func (s *fixture) inFlight() int {
 	answer := make(chan int, 1)
-	s.onOwner(func(admission.Time) { answer <- len(s.o.requests) })
+	s.onOwner(func(admission.Time) { answer <- len(s.owner.requests) })
 	return <-answer
 }
 
@@ -57,7 +57,7 @@
 // connectionOf returns the gateway's side of a client's connection.
 func (s *fixture) connectionOf(c *testClient) net.Conn {
 	tcp := make(chan net.Conn, 1)
-	s.onOwner(func(admission.Time) { tcp <- s.o.sessions[c.id].socket })
+	s.onOwner(func(admission.Time) { tcp <- s.owner.sessions[c.id].socket })
 	return <-tcp
 }
 
@@ -79,12 +79,12 @@
 	return arrived
 }
 
-// requireOnlyReceives sends a query with another client, and requires that an engine receives it first, so that nothing was
+// requireNextAttempt sends a query with another client, and requires that an engine receives it first, so that nothing was
 // sent for the one before.
-func (s *fixture) requireOnlyReceives(e *fakeEngine, id string) {
+func (s *fixture) requireNextAttempt(e *fakeEngine, id string) {
 	s.t.Helper()
 	b := s.newClient()
-	b.sendLook(id)
+	b.sendIdempotentQuery(id)
 	select {
 	case h := <-e.received:
 		if h.parts[0] != "do" || h.parts[1] != "00000000000000"+id {
@@ -102,12 +102,12 @@
 			s := startFixture(t)
 			defer s.close()
 			a := s.newClient()
-			a.sendLook("aa")
+			a.sendIdempotentQuery("aa")
 			s.awaitRequests(1)
 			leave(a)
 			eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
 			s.announceEngine(e, "Ready")
-			s.requireOnlyReceives(e, "bb")
+			s.requireNextAttempt(e, "bb")
 		})
 	}
 }
@@ -120,22 +120,22 @@
 	s := startFixture(t, e)
 	defer s.close()
 	a := s.newClient()
-	a.sendLook("bb")
+	a.sendIdempotentQuery("bb")
 	e.reply(e.receive(), "00000000000000bb", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	for range 40 {
 		for _, leave := range departures {
 			c := s.newClient()
-			s.o.clients.mu.Lock()
-			c.sendLook("aa")
+			s.owner.clients.mu.Lock()
+			c.sendIdempotentQuery("aa")
 			leave(c)
 			tcp := s.connectionOf(c)
 			eventually(t, "the client's end is there", func() bool { return endArrived(tcp) })
-			s.o.clients.mu.Unlock()
+			s.owner.clients.mu.Unlock()
 		}
 	}
-	eventually(t, "all sessions but one end", func() bool { return s.kept() == 2 }) // its place among the clients, and its number
-	s.requireOnlyReceives(e, "cc")
+	eventually(t, "all sessions but one end", func() bool { return s.retainedCount() == 2 }) // its place among the clients, and its number
+	s.requireNextAttempt(e, "cc")
 }
 
 func TestClientLeavesBeforeARetry(t *testing.T) {
@@ -145,7 +145,7 @@
 			s := startFixture(t, e)
 			defer s.close()
 			a := s.newClient()
-			a.sendLook("aa")
+			a.sendIdempotentQuery("aa")
 			k := e.receive()
 			s.announceEngine(f, "Ready")
 			s.announceEngine(e, "Terminating")
@@ -155,7 +155,7 @@
 				t.Errorf("the engine heard %q", h.parts)
 			}
 			k.Close()
-			s.requireOnlyReceives(f, "bb")
+			s.requireNextAttempt(f, "bb")
 		})
 	}
 }
@@ -167,8 +167,8 @@
 	defer s.close()
 	dialled, goOn := make(chan bool, 1), make(chan bool)
 	s.onOwner(func(admission.Time) {
-		dial := s.o.dial
-		s.o.dial = func(address string) (net.Conn, error) {
+		dial := s.owner.dial
+		s.owner.dial = func(address string) (net.Conn, error) {
 			select {
 			case dialled <- true:
 				<-goOn
@@ -180,14 +180,14 @@
 	s.sync()
 	started := func() {
 		s.onOwner(func(now admission.Time) {
-			s.o.handleEndpoints(now, admission.PartialUpdate, []admission.Endpoint{{Engine: "e1", State: admission.Live}}, []string{e.listener.Addr().String()})
+			s.owner.handleEndpoints(now, admission.PartialUpdate, []admission.Endpoint{{Engine: "e1", State: admission.Live}}, []string{e.listener.Addr().String()})
 		})
 		s.sync()
 	}
 	started()
 	e.fixture = s
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	<-dialled
 	if n := s.inFlight(); n != 1 {
 		t.Fatalf("%d requests in hand while the connection comes up", n)
@@ -195,7 +195,7 @@
 	a.socket.Close()
 	eventually(t, "the request of a client that left is withdrawn", func() bool { return s.inFlight() == 0 })
 	close(goOn)
-	s.requireOnlyReceives(e, "bb")
+	s.requireNextAttempt(e, "bb")
 }
 
 // blockingClient holds the goroutine of a session that sends an attempt until done is closed.
@@ -217,24 +217,24 @@
 	dialled, goOn := s.slowDial(e)
 	s.listEngine(e, admission.Live)
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	<-dialled
 	busy, done := make(chan bool), make(chan bool)
 	s.onOwner(func(admission.Time) {
-		request := s.o.requests["00000000000000aa"]
+		request := s.owner.requests["00000000000000aa"]
 		request.responder.sendAttempt(&attempt{request: request, resent: true}, blockingClient{busy: busy, done: done})
 	})
 	<-busy
 	a.socket.Close()
 	eventually(t, "the end is there", func() bool {
 		gone := make(chan bool, 1)
-		s.onOwner(func(admission.Time) { gone <- s.o.requests["00000000000000aa"].responder.hasClientLeft() })
+		s.onOwner(func(admission.Time) { gone <- s.owner.requests["00000000000000aa"].responder.hasClientLeft() })
 		return <-gone
 	})
 	close(goOn)
 	eventually(t, "the request is withdrawn", func() bool { return s.inFlight() == 0 })
 	close(done)
-	s.requireOnlyReceives(e, "bb")
+	s.requireNextAttempt(e, "bb")
 }
 
 // Who sends on and on before the answer is ended with an error, and the attempt is called off.
@@ -243,10 +243,10 @@
 	s := startFixture(t, e)
 	defer s.close()
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	e.receive()
 	_, _ = a.socket.Write(bytes.Repeat([]byte{1, 0, 0, 0, 0x0e}, maxReadAhead))
-	if p := a.packet(); p[0] != 0xff || !strings.Contains(string(p), "too much was sent") {
+	if p := a.readPacket(); p[0] != 0xff || !strings.Contains(string(p), "too much was sent") {
 		t.Errorf("the client got %q", p)
 	}
 	if h := <-e.received; h.parts[0] != "undo" {
--- a/internal/router/client_session.go
+++ b/internal/router/client_session.go
@@ -104,7 +104,7 @@
 	}
 	switch {
 	case s.endReason == "displaced":
-		s.linger(closeCrossingTime) // its descriptor is wanted
+		s.linger(closeRaceWindow) // its descriptor is wanted
 	case s.dismissed, s.endReason == "idle", s.endReason == "stopped":
 		s.linger(lingerTimeout)
 	}
@@ -159,7 +159,7 @@
 		n, err := s.input.Read(s.payload[len(s.payload):min(length, cap(s.payload))])
 		s.payload = s.payload[:len(s.payload)+n]
 		if errors.Is(err, os.ErrDeadlineExceeded) && hasInput(s.socket) { // it came while this process stood still
-			err = readArrived(s.socket, s.input, 1)
+			err = readAvailable(s.socket, s.input, 1)
 		}
 		if err != nil {
 			s.endCutShort(err)
@@ -176,7 +176,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) || !hasInput(s.socket) {
 		return head, err
 	}
-	if err := readArrived(s.socket, s.input, mysql.HeaderSize); err != nil {
+	if err := readAvailable(s.socket, s.input, mysql.HeaderSize); err != nil {
 		return nil, err
 	}
 	s.socket.SetReadDeadline(time.Now().Add(finalReadWait))
@@ -235,7 +235,7 @@
 	if s.answerDeadline.After(by) {
 		by = s.answerDeadline
 	}
-	if _, err := writeBy(s.socket, by, packets); err != nil && s.endReason == "" {
+	if _, err := writeWithDeadline(s.socket, by, packets); err != nil && s.endReason == "" {
 		s.endReason = "write_failed"
 	}
 }
--- a/internal/router/client_session_test.go
+++ b/internal/router/client_session_test.go
@@ -13,7 +13,7 @@
 func TestRequestWithoutAnEngineIsRejected(t *testing.T) { // no engine, so it is held while that is of use
 	s := startFixture(t)
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	s.awaitRequests(1)
 	s.advanceClock(2 * admission.Second)
 	a.expectAnswer()
@@ -24,9 +24,9 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
-	b.ask("KILL QUERY 0")
+	b.sendStatement("KILL QUERY 0")
 	b.expectAnswer()
 	b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
 	s.tracef("client kills the query of another session")
@@ -34,7 +34,7 @@
 	e.receive()
 	e.receive()
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
-	a.sendLook("bb")
+	a.sendIdempotentQuery("bb")
 	k = e.receive()
 	e.reply(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
 	a.expectAnswer()
@@ -49,8 +49,8 @@
 	for i := range 50 {
 		a.send(0, fmt.Appendf([]byte{mysql.Query}, "/* class=look,id=%016x,wait=1 */ SELECT a FROM t_7.x", i))
 		b.send(0, fmt.Appendf([]byte{mysql.Query}, "KILL QUERY %d", a.id))
-		b.packet()
-		if p := a.packet(); p[0] == 0xff { // its time is too short to hold it, so no KILL finds it in hand
+		b.readPacket()
+		if p := a.readPacket(); p[0] == 0xff { // its time is too short to hold it, so no KILL finds it in hand
 			nacked++
 		}
 	}
@@ -62,7 +62,9 @@
 func TestBadClientsAreToldAndEnded(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.onOwner(func(admission.Time) { s.o.network.LongestWaits = []time.Duration{5 * time.Second, 20 * time.Second} })
+	s.onOwner(func(admission.Time) {
+		s.owner.network.LongestWaits = []time.Duration{5 * time.Second, 20 * time.Second}
+	})
 	query := func(sql string) []byte {
 		return append([]byte{byte(len(sql) + 1), byte((len(sql) + 1) >> 8), 0, 0, mysql.Query}, sql...)
 	}
@@ -87,9 +89,9 @@
 		{"nothing", "idle", false, nil},
 	} {
 		b := s.dial()
-		if b.packet(); c.login {
+		if b.readPacket(); c.login {
 			b.login("app\x00\x00")
-			b.packet()
+			b.readPacket()
 		}
 		s.tracef("client sends %s", c.what)
 		_, _ = b.socket.Write(c.sends)
@@ -108,7 +110,7 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	a.ask("SELECT 1")
+	a.sendStatement("SELECT 1")
 	a.expectAnswer()
 	a.sendRequest("xx", "look", 5000)
 	a.expectAnswer()
@@ -126,7 +128,7 @@
 	a.expectAnswer()
 	for _, login := range []string{"root\x00\x00", "app\x00\x01x", "app"} {
 		b := s.dial()
-		b.packet()
+		b.readPacket()
 		b.login(login)
 		b.expectAnswer()
 		b.expectAnswer()
--- a/internal/router/connection_limiter_test.go
+++ b/internal/router/connection_limiter_test.go
@@ -14,33 +14,33 @@
 func TestNewcomerDisplacesAnIdleClient(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.o.clients.mu.Lock()
-	s.o.clients.limit = 2
-	s.o.clients.mu.Unlock()
+	s.owner.clients.mu.Lock()
+	s.owner.clients.limit = 2
+	s.owner.clients.mu.Unlock()
 	// The session is in its place some time after its client has heard.
 	until := func(there func(d *connectionLimiter) bool) {
 		for ok := false; !ok; time.Sleep(time.Millisecond) {
-			s.o.clients.mu.Lock()
-			ok = there(&s.o.clients)
-			s.o.clients.mu.Unlock()
+			s.owner.clients.mu.Lock()
+			ok = there(&s.owner.clients)
+			s.owner.clients.mu.Unlock()
 		}
 	}
 	stranger := s.dial()
 	until(func(d *connectionLimiter) bool { return d.sessions == 1 })
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	b := s.newClient()
-	stranger.packet()
-	s.tracef("the stranger has the %s", stranger.packet())
-	b.sendLook("bb")
+	stranger.readPacket()
+	s.tracef("the stranger has the %s", stranger.readPacket())
+	b.sendIdempotentQuery("bb")
 	m := e.receive()
-	s.tracef("a third client has error %d", int(s.dial().packet()[1])|4<<8)
+	s.tracef("a third client has error %d", int(s.dial().readPacket()[1])|4<<8)
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	until(func(d *connectionLimiter) bool { return d.idleKnown.Len() == 1 })
 	c := s.newClient()
-	s.tracef("the first client has the %s", a.packet())
+	s.tracef("the first client has the %s", a.readPacket())
 	e.reply(m, "00000000000000bb", "data", "pages=1,cost=120,need=64", "d\te\tf\n")
 	b.expectAnswer()
 	c.send(0, []byte{mysql.Ping})
@@ -72,10 +72,10 @@
 		result := d.admit(in[n])
 		after := slices.DeleteFunc(displacedOf(in), func(s *clientSession) bool { return slices.Contains(before, s) })
 		if len(after) == 0 {
-			fmt.Fprintf(&s.out, "client %d is let in: %v\n", n, result)
+			fmt.Fprintf(&s.trace, "client %d is let in: %v\n", n, result)
 		}
 		for _, displaced := range after {
-			fmt.Fprintf(&s.out, "client %d takes the place of client %d\n", n, displaced.connectionID)
+			fmt.Fprintf(&s.trace, "client %d takes the place of client %d\n", n, displaced.connectionID)
 		}
 	}
 	s.compareTrace("burst")
--- a/internal/router/cut_test.go
+++ b/internal/router/cut_test.go
@@ -10,17 +10,17 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// kept counts what the router holds for clients and requests: nothing once they are over.
-func (s *fixture) kept() (n int) {
+// retainedCount counts what the router holds for clients and requests: nothing once they are over.
+func (s *fixture) retainedCount() (n int) {
 	done := make(chan struct{})
 	s.onOwner(func(admission.Time) {
-		n = len(s.o.sessions) + len(s.o.requests) + int(s.o.usage.statementBytes.Load())
+		n = len(s.owner.sessions) + len(s.owner.requests) + int(s.owner.usage.statementBytes.Load())
 		close(done)
 	})
 	<-done
-	s.o.clients.mu.Lock()
-	defer s.o.clients.mu.Unlock()
-	return n + s.o.clients.sessions + s.o.clients.lingering
+	s.owner.clients.mu.Lock()
+	defer s.owner.clients.mu.Unlock()
+	return n + s.owner.clients.sessions + s.owner.clients.lingering
 }
 
 // A client that resets its connection after any byte of its login and query harms nobody, and nothing is kept of it.
@@ -38,9 +38,9 @@
 		_ = asTCP(c).SetLinger(0)
 		c.Close()
 	}
-	eventually(t, "nothing is kept of clients that are gone", func() bool { return s.kept() == 0 })
+	eventually(t, "nothing is kept of clients that are gone", func() bool { return s.retainedCount() == 0 })
 	eventually(t, "each left one line", func() bool { return strings.Count(s.log.String(), "side=client") == len(whole) })
-	s.requireOnlyReceives(e, "bb")
+	s.requireNextAttempt(e, "bb")
 }
 
 // An engine that resets its connection after any byte of its answer costs one attempt: the request is answered by the next.
@@ -55,24 +55,24 @@
 		if cut == len(whole) {
 			break
 		}
-		s.out.Reset()
-		a.sendLook(id[14:])
+		s.trace.Reset()
+		a.sendIdempotentQuery(id[14:])
 		h := <-e.received
-		_, _ = h.c.Write(whole[:cut])
-		_ = asTCP(h.c).SetLinger(0)
-		h.c.Close()
+		_, _ = h.conn.Write(whole[:cut])
+		_ = asTCP(h.conn).SetLinger(0)
+		h.conn.Close()
 		h = <-e.received
 		if h.parts[0] != "do" || h.parts[1] != id {
 			t.Fatalf("after %d bytes the engine heard %q", cut, h.parts)
 		}
-		_, _ = h.c.Write(whole)
+		_, _ = h.conn.Write(whole)
 		a.expectAnswer()
-		if !strings.Contains(s.out.String(), `client gets: rows "\x01a\x01b\x01c"`) {
-			t.Errorf("after %d bytes: %s", cut, s.out.String())
+		if !strings.Contains(s.trace.String(), `client gets: rows "\x01a\x01b\x01c"`) {
+			t.Errorf("after %d bytes: %s", cut, s.trace.String())
 		}
 	}
 	a.socket.Close()
-	eventually(t, "nothing is kept of what is over", func() bool { return s.kept() == 0 })
+	eventually(t, "nothing is kept of what is over", func() bool { return s.retainedCount() == 0 })
 }
 
 // A list whose answer breaks off after any byte is asked again under the number that is held, and what it tells whole counts.
@@ -82,35 +82,35 @@
 	defer s.close()
 	e.fixture = s
 	l := s.listen()
-	next := *s.start
+	next := *s.startConfig
 	next.DiscoveryAddress = l.Addr().String()
-	s.renewed <- &next
-	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{entry(e, "Ready")}))
+	s.reloads <- &next
+	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(e, "Ready")}))
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
 	for cut := range whole {
-		k := polled(t, l)
+		k := awaitPoll(t, l)
 		_, _ = k.Write([]byte(whole[:cut]))
 		_ = asTCP(k).SetLinger(0)
 		k.Close()
 	}
 	known := make(chan int, 1)
-	s.onOwner(func(admission.Time) { known <- len(s.o.engines) })
+	s.onOwner(func(admission.Time) { known <- len(s.owner.engines) })
 	if n := <-known; n != 0 {
 		t.Errorf("%d engines known from answers that broke off", n)
 	}
-	_, _ = polled(t, l).Write([]byte(whole))
-	s.requireOnlyReceives(e, "aa")
+	_, _ = awaitPoll(t, l).Write([]byte(whole))
+	s.requireNextAttempt(e, "aa")
 }
 
 // An order to stop before any engine was told of changes nothing: what is in hand is answered.
 func TestStopBeforeTheFirstList(t *testing.T) {
 	s := startFixture(t)
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	s.awaitRequests(1)
 	close(s.stop)
 	s.awaitLog("stopping")
-	eventually(t, "the router refuses requests", s.o.clients.isShuttingDown)
+	eventually(t, "the router refuses requests", s.owner.clients.isShuttingDown)
 	s.advanceClock(2 * admission.Second)
 	a.expectAnswer()
 	select {
@@ -118,8 +118,8 @@
 	case <-time.After(eventuallyTimeout):
 		t.Error("it did not end")
 	}
-	if !strings.Contains(s.out.String(), "client gets: error 1203") {
-		t.Error(s.out.String())
+	if !strings.Contains(s.trace.String(), "client gets: error 1203") {
+		t.Error(s.trace.String())
 	}
 	s.close()
 }
--- a/internal/router/engine_answer.go
+++ b/internal/router/engine_answer.go
@@ -99,7 +99,7 @@
 	case answerPage:
 		return c.handlePage(attempt, fields, body)
 	case answerFull:
-		c.endAttempt(attempt, admission.Full)
+		c.endAttempt(attempt, admission.EngineFull)
 	case answerNotRun:
 		c.endAttempt(attempt, admission.Unsent)
 	case answerFailed:
--- a/internal/router/engine_conn.go
+++ b/internal/router/engine_conn.go
@@ -155,7 +155,7 @@
 	if buffers == nil {
 		return
 	}
-	written, err := writeBy(c.socket, time.Now().Add(c.pool.owner.network.ConnectTimeout), buffers)
+	written, err := writeWithDeadline(c.socket, time.Now().Add(c.pool.owner.network.ConnectTimeout), buffers)
 	if err == nil {
 		return
 	}
@@ -269,25 +269,25 @@
 	}
 }
 
-// closeCrossingTime is how long the protocol lets a request cross a close.
-const closeCrossingTime = 50 * time.Millisecond
+// closeRaceWindow is how long the protocol lets a request cross a close.
+const closeRaceWindow = 50 * time.Millisecond
 
 // endWritten ends attempts that may have run. Only the first of them counts as a reset, because all were lost by one fault,
 // and none does if the engine's answers were at fault or the connection had been idle for too long.
 func (c *engineConn) endWritten(attempts []*attempt, code string) {
 	outcome := admission.Reset
 	if code == "bad_answer" || code == "cut_short" || code == "mute" {
-		outcome = admission.Lost
+		outcome = admission.AnswerLost
 		if len(attempts) > 0 {
-			time.Sleep(closeCrossingTime) // the engine notices the close before another engine gets a retry
+			time.Sleep(closeRaceWindow) // the engine notices the close before another engine gets a retry
 		}
 	}
 	for _, attempt := range attempts {
 		if outcome == admission.Reset && c.pool.noteStaleConnection(attempt) {
-			outcome = admission.Lost
+			outcome = admission.AnswerLost
 		}
 		c.pool.owner.postAttemptEnd(attempt, outcome)
-		outcome = admission.Lost
+		outcome = admission.AnswerLost
 	}
 }
 
@@ -332,7 +332,7 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return endCode(err)
 		case hasInput(c.socket):
-			if err := readArrived(c.socket, reader, reader.Buffered()+1); err != nil {
+			if err := readAvailable(c.socket, reader, reader.Buffered()+1); err != nil {
 				return endCode(err)
 			}
 		case !finalDeadline.IsZero():
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -17,15 +17,15 @@
 func TestPagesAreGatheredInOrder(t *testing.T) { // gathered in order, whatever order they come in; one connection carries two requests
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.onOwner(func(admission.Time) { s.o.usage.engineConnectionLimit = 0 }) // so that attempts share connections
+	s.onOwner(func(admission.Time) { s.owner.usage.engineConnectionLimit = 0 }) // so that attempts share connections
 	a, b, c := s.newClient(), s.newClient(), s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
-	b.sendLook("bb")
+	b.sendIdempotentQuery("bb")
 	if e.receive() != k {
 		t.Error("the second attempt came on another connection")
 	}
-	c.sendLook("cc")
+	c.sendIdempotentQuery("cc")
 	if e.receive() == k {
 		t.Error("the third attempt came on the same connection")
 	}
@@ -37,7 +37,7 @@
 	b.expectAnswer()
 	e.reply(k, "00000000000000aa", "page", "page=1", "d\te\tf\n")
 	a.expectAnswer()
-	a.sendLook("dd") // the session goes on
+	a.sendIdempotentQuery("dd") // the session goes on
 	e.receive()
 	e.reply(k, "00000000000000dd", "full", "-", "")
 	e.receive()
@@ -48,7 +48,7 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	e.reply(k, "00000000000000aa", "data", "pages=2,cost=120,need=64", "a\tb\tc\n")
 	e.receive()
@@ -64,7 +64,7 @@
 	s := startFixture(t, e, f)
 	s.announceEngine(f, "Terminating")
 	a, b := s.newClient(), s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	s.announceEngine(e, "Terminating")
 	s.announceEngine(f, "Ready")
@@ -86,7 +86,7 @@
 	a := s.newClient()
 	a.sendLoad("aa")
 	s.awaitRequests(1)
-	s.list <- fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{entry(f, "Ready"), entry(e, "Ready")}))
+	s.listEvents <- fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(f, "Ready"), serverJSON(e, "Ready")}))
 	k := f.receive()
 	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "")
 	a.expectAnswer()
@@ -106,7 +106,7 @@
 	s.advanceClock(150 * admission.Millisecond)
 	a.expectAnswer()
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
-	a.sendLook("bb")
+	a.sendIdempotentQuery("bb")
 	k = e.receive()
 	e.reply(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
 	a.expectAnswer()
@@ -129,7 +129,7 @@
 	e.reply(k, "00000000000000bb", "page", "page=1", "once\tmore\t.\n")
 	a.expectAnswer()
 	e.reply(k, "00000000000000bb", "full", "-", "")
-	a.sendLook("cc")
+	a.sendIdempotentQuery("cc")
 	e.reply(e.receive(), "00000000000000cc", "data", "pages=1", "a\tb\tc\n")
 	a.expectAnswer()
 	s.compareTrace("odd pages")
@@ -138,9 +138,9 @@
 func TestReportOfNobodyIsPassedOver(t *testing.T) { // where answers hold reports, one for no request is passed over like its rows
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.onOwner(func(admission.Time) { s.o.network.ReportsInAnswers = true })
+	s.onOwner(func(admission.Time) { s.owner.network.ReportsInAnswers = true })
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	e.reply(k, "00000000000000ff", "failed", "gauges=inflight:3", "")
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=5,need=1,gauges=inflight:2", "a\tb\tc\n")
@@ -171,9 +171,9 @@
 	} {
 		e := newFakeEngine(t, "e1")
 		s := startFixture(t, e)
-		s.onOwner(func(admission.Time) { s.o.deployment.NoticeInterval = 50 * admission.Millisecond })
+		s.onOwner(func(admission.Time) { s.owner.deployment.NoticeInterval = 50 * admission.Millisecond })
 		a := s.newClient()
-		a.sendLook("aa")
+		a.sendIdempotentQuery("aa")
 		k := e.receive()
 		_, _ = io.WriteString(k, c.answer)
 		if c.code == "closed" {
@@ -182,11 +182,11 @@
 		s.awaitLog("code=" + c.code)
 		e.reply(e.receive(), id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
 		a.expectAnswer()
-		out.WriteString("after " + c.what + ", code " + c.code + "\n" + s.out.String())
+		out.WriteString("after " + c.what + ", code " + c.code + "\n" + s.trace.String())
 		s.close()
 	}
 	s := &fixture{t: t}
-	s.out.WriteString(out.String())
+	s.trace.WriteString(out.String())
 	s.compareTrace("spoilt")
 }
 
@@ -194,15 +194,15 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	s.advanceClock(1100 * admission.Millisecond)
 	e.receive()
 	e.receive()
 	s.advanceClock(250 * admission.Millisecond)
 	a.expectAnswer()
-	time.Sleep(s.o.network.ConnectTimeout + time.Millisecond)
-	a.sendLook("bb")
+	time.Sleep(s.owner.network.ConnectTimeout + time.Millisecond)
+	a.sendIdempotentQuery("bb")
 	if e.receive() == k {
 		t.Error("the next attempt came on the silent connection")
 	}
@@ -214,7 +214,7 @@
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t, e)
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	s.announceEngine(f, "Ready")
 	s.advanceClock(100 * admission.Millisecond)
@@ -240,7 +240,7 @@
 	s := startFixture(t, e)
 	a := s.newClient()
 	ask := func(id string) net.Conn {
-		a.sendLook(id)
+		a.sendIdempotentQuery(id)
 		return e.receive()
 	}
 	answer := func(k net.Conn, id string) {
@@ -259,9 +259,9 @@
 	answer(k, "bb")
 	fresh := make(chan time.Duration)
 	s.onOwner(func(admission.Time) {
-		engine, ok := s.o.engines["e1"].(*enginePool)
+		engine, ok := s.owner.engines["e1"].(*enginePool)
 		if !ok {
-			t.Errorf("the client of the engine is %T", s.o.engines["e1"])
+			t.Errorf("the client of the engine is %T", s.owner.engines["e1"])
 			fresh <- 0
 			return
 		}
@@ -270,7 +270,7 @@
 		fresh <- engine.maxIdle()
 	})
 	d := <-fresh
-	if d >= s.o.engineIdleTimeout() {
+	if d >= s.owner.engineIdleTimeout() {
 		t.Errorf("rests of %v", d)
 	}
 	time.Sleep(d)
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -23,7 +23,7 @@
 }
 
 type receivedCommand struct {
-	c     net.Conn
+	conn  net.Conn
 	parts []string
 }
 
@@ -108,7 +108,7 @@
 func (e *fakeEngine) receive() net.Conn {
 	h := <-e.received
 	e.fixture.tracef("%s hears: %s", e.name, strings.Join(h.parts, " | "))
-	return h.c
+	return h.conn
 }
 
 func (e *fakeEngine) reply(c net.Conn, parts ...string) {
@@ -127,10 +127,10 @@
 func (s *fixture) newClient() *testClient {
 	c := s.dial()
 	c.login("app\x00\x00")
-	greeting := c.packet()
+	greeting := c.readPacket()
 	rest := greeting[bytes.IndexByte(greeting, 0)+1:]
 	c.id = uint32(rest[0]) | uint32(rest[1])<<8 | uint32(rest[2])<<16 | uint32(rest[3])<<24
-	if ok := c.packet(); ok[0] != 0 {
+	if ok := c.readPacket(); ok[0] != 0 {
 		s.t.Fatalf("login: %q", ok)
 	}
 	return c
@@ -154,7 +154,7 @@
 	_, _ = c.socket.Write(append([]byte{byte(len(payload)), byte(len(payload) >> 8), 0, number}, payload...))
 }
 
-func (c *testClient) packet() []byte {
+func (c *testClient) readPacket() []byte {
 	head := make([]byte, mysql.HeaderSize)
 	if _, err := io.ReadFull(c.reader, head); err != nil {
 		return []byte("end of connection")
@@ -165,33 +165,33 @@
 	return payload
 }
 
-func (c *testClient) ask(sql string) {
+func (c *testClient) sendStatement(sql string) {
 	c.fixture.tracef("client asks: %s", sql)
 	c.send(0, append([]byte{mysql.Query}, sql...))
 }
 
-// sendLook sends a query that may run again, sendLoad one that may not.
-func (c *testClient) sendLook(id string) { c.sendRequest(id, "look", 5000) }
+// sendIdempotentQuery sends a query that may run again, sendLoad one that may not.
+func (c *testClient) sendIdempotentQuery(id string) { c.sendRequest(id, "look", 5000) }
 
 func (c *testClient) sendLoad(id string) { c.sendRequest(id, "load", 20000) }
 
 func (c *testClient) sendRequest(id, class string, wait int) {
-	c.ask(fmt.Sprintf("/* class=%s,id=00000000000000%s,wait=%d */ SELECT a FROM t_7.x", class, id, wait))
+	c.sendStatement(fmt.Sprintf("/* class=%s,id=00000000000000%s,wait=%d */ SELECT a FROM t_7.x", class, id, wait))
 }
 
 // expectAnswer waits for one answer and traces it.
 func (c *testClient) expectAnswer() {
-	switch p := c.packet(); {
+	switch p := c.readPacket(); {
 	case p[0] == 0xff:
 		c.fixture.tracef("client gets: error %d %s", int(p[1])|int(p[2])<<8, p[3:])
 	case p[0] == 0:
 		c.fixture.tracef("client gets: OK")
 	case p[0] == 3 && len(p) == 1:
 		for range 4 {
-			c.packet()
+			c.readPacket()
 		}
 		var rows []string
-		for p = c.packet(); p[0] != 0xfe; p = c.packet() {
+		for p = c.readPacket(); p[0] != 0xfe; p = c.readPacket() {
 			rows = append(rows, fmt.Sprintf("%q", p))
 		}
 		c.fixture.tracef("client gets: rows %s", strings.Join(rows, " "))
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -73,21 +73,21 @@
 // fixture is a gateway on loopback between clients, engines and an engine list that a test plays. It traces what they send
 // and receive.
 type fixture struct {
-	t         *testing.T
-	clock     *manualClock
-	o         *owner
-	stop      chan struct{}
-	ended     chan struct{}
-	out       strings.Builder
-	log       lockedBuffer
-	address   string
-	list      chan string // events to come
-	polls     chan string // polls that came
-	listIndex int
-	closers   []io.Closer
-
-	start   *config.Config
-	renewed chan *config.Config
+	t          *testing.T
+	clock      *manualClock
+	owner      *owner
+	stop       chan struct{}
+	ended      chan struct{}
+	trace      strings.Builder
+	log        lockedBuffer
+	address    string
+	listEvents chan string // events to come
+	polls      chan string // polls that came
+	listIndex  int
+	closers    []io.Closer
+
+	startConfig *config.Config
+	reloads     chan *config.Config
 }
 
 type lockedBuffer struct {
@@ -123,12 +123,12 @@
 func startFixtureWith(t *testing.T, settings string, engines ...*fakeEngine) *fixture {
 	t.Helper()
 	s := &fixture{t: t, clock: &manualClock{now: 17e12, timers: map[*manualTimer]bool{}}, stop: make(chan struct{}),
-		ended: make(chan struct{}), list: make(chan string, 8), polls: make(chan string, 8), listIndex: 1,
-		renewed: make(chan *config.Config)}
+		ended: make(chan struct{}), listEvents: make(chan string, 8), polls: make(chan string, 8), listIndex: 1,
+		reloads: make(chan *config.Config)}
 	var servers []string
 	for _, e := range engines {
 		e.fixture = s
-		servers = append(servers, entry(e, "Ready"))
+		servers = append(servers, serverJSON(e, "Ready"))
 	}
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"memory_mb":192},
@@ -140,19 +140,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.start = start
+	s.startConfig = start
 	listener := s.listen()
 	s.address = listener.Addr().String()
-	s.o = newOwner(start, s.clock, slog.New(slog.NewTextHandler(&s.log, nil)))
-	s.o.handle = func(now admission.Time, e event) {
+	s.owner = newOwner(start, s.clock, slog.New(slog.NewTextHandler(&s.log, nil)))
+	s.owner.handle = func(now admission.Time, e event) {
 		if call, ok := e.(ownerCall); ok {
 			call(now)
 			return
 		}
-		s.o.handleEvent(now, e)
+		s.owner.handleEvent(now, e)
 	}
 	go func() {
-		s.o.serve(start, listener, s.stop, s.renewed)
+		s.owner.serve(start, listener, s.stop, s.reloads)
 		close(s.ended)
 	}()
 	return s
@@ -164,7 +164,7 @@
 func (ownerCall) isEvent() {}
 
 // onOwner queues a call on the owner's goroutine.
-func (s *fixture) onOwner(call func(now admission.Time)) { s.o.post(ownerCall(call)) }
+func (s *fixture) onOwner(call func(now admission.Time)) { s.owner.post(ownerCall(call)) }
 
 func (s *fixture) listen() net.Listener {
 	l, err := listenTCP("127.0.0.1:0")
@@ -175,7 +175,7 @@
 	return l
 }
 
-func entry(e *fakeEngine, state string) string {
+func serverJSON(e *fakeEngine, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"hall","kind":"std","cell":0,"state":%q,"started_ms":0}`,
 		e.name, e.listener.Addr(), state)
 }
@@ -218,7 +218,7 @@
 		s.polls <- line
 		body := `{"index":1,"updates":[]}`
 		select {
-		case body = <-s.list:
+		case body = <-s.listEvents:
 		case <-time.After(200 * time.Millisecond):
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -230,7 +230,7 @@
 	e.fixture = s
 	s.listIndex++
 	s.tracef("the list tells: %s is %s", e.name, state)
-	s.list <- fmt.Sprintf(`{"index":%d,"updates":[%s]}`, s.listIndex, watchEvent(s.listIndex, false, []string{entry(e, state)}))
+	s.listEvents <- fmt.Sprintf(`{"index":%d,"updates":[%s]}`, s.listIndex, watchEvent(s.listIndex, false, []string{serverJSON(e, state)}))
 	for line := range s.polls {
 		if strings.Contains(line, fmt.Sprintf("follow=%d&", s.listIndex)) {
 			break
@@ -241,7 +241,7 @@
 
 func (s *fixture) tracef(format string, args ...any) {
 	what := strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", "\\n")
-	fmt.Fprintf(&s.out, "%8.1f ms  %s\n", float64(s.clock.Now()-17e12)/10, what)
+	fmt.Fprintf(&s.trace, "%8.1f ms  %s\n", float64(s.clock.Now()-17e12)/10, what)
 }
 
 // sync waits until the owner has handled the events that are queued.
@@ -266,7 +266,7 @@
 }
 
 func (s *fixture) close() {
-	if s.o != nil {
+	if s.owner != nil {
 		s.stopGateway()
 	}
 	for _, c := range s.closers {
@@ -284,16 +284,16 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	next := *s.start
+	next := *s.startConfig
 	next.DiscoveryAddress, next.KnownEndpoints = l.Addr().String(), nil
 	select {
-	case s.renewed <- &next:
+	case s.reloads <- &next:
 	case <-s.ended:
 		return
 	}
 	s.onOwner(func(now admission.Time) {
-		for _, request := range s.o.requests {
-			s.o.handleClientLeft(now, request)
+		for _, request := range s.owner.requests {
+			s.owner.handleClientLeft(now, request)
 		}
 	})
 	select {
@@ -310,10 +310,10 @@
 	path := "testdata/" + name + ".txt"
 	if *keep {
 		_ = os.MkdirAll("testdata", 0o755)
-		_ = os.WriteFile(path, []byte(s.out.String()), 0o644)
+		_ = os.WriteFile(path, []byte(s.trace.String()), 0o644)
 	}
-	if want, err := os.ReadFile(path); err != nil || s.out.String() != string(want) {
-		s.t.Errorf("got:\n%s\nkept:\n%s\n%v\nlog:\n%s", s.out.String(), want, err, s.log.String())
+	if want, err := os.ReadFile(path); err != nil || s.trace.String() != string(want) {
+		s.t.Errorf("got:\n%s\nkept:\n%s\n%v\nlog:\n%s", s.trace.String(), want, err, s.log.String())
 	}
 }
 
@@ -321,7 +321,7 @@
 func (s *fixture) awaitRequests(n int) {
 	for got := -1; got != n; {
 		answer := make(chan int)
-		s.onOwner(func(admission.Time) { answer <- len(s.o.requests) })
+		s.onOwner(func(admission.Time) { answer <- len(s.owner.requests) })
 		got = <-answer
 	}
 }
--- a/internal/router/health_check.go
+++ b/internal/router/health_check.go
@@ -96,7 +96,7 @@
 		var err error
 		parts, size, err = readAnswer(h.reader, parts, func() {})
 		if errors.Is(err, os.ErrDeadlineExceeded) && hasInput(h.socket) { // it came while this process stood still
-			err = readArrived(h.socket, h.reader, h.reader.Buffered()+1)
+			err = readAvailable(h.socket, h.reader, h.reader.Buffered()+1)
 			if err == nil {
 				continue
 			}
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -54,8 +54,8 @@
 	h.owner.answerRequest(h.owner.now, request, requestjournal.Failed, nil, requestFailed{})
 }
 
-// SetAttemptTerms sets the memory that a request's next attempts are granted, and the priority of all.
-func (h host) SetAttemptTerms(id admission.RequestID, memoryMB float64, priority int) {
+// SetAttemptOptions sets the memory that a request's next attempts are granted, and the priority of all.
+func (h host) SetAttemptOptions(id admission.RequestID, memoryMB float64, priority int) {
 	request := h.owner.requests[id]
 	request.memoryMB, request.priority = memoryMB, priority
 	if attempt := request.current; attempt != nil && !attempt.handedOver {
--- a/internal/router/journal.go
+++ b/internal/router/journal.go
@@ -8,8 +8,8 @@
 // Journal records requests durably, so that a restarted gateway knows which may have run and what was answered.
 type Journal struct {
 	Requests *requestjournal.Journal
-	// Failed returns why nothing can be recorded any more, and nil as long as it can.
-	Failed func() error
+	// Err returns why nothing can be recorded any more, and nil as long as it can.
+	Err func() error
 
 	// Snapshot is what the previous process knew of engines and classes; nil if there is none.
 	Snapshot *admission.Snapshot
@@ -57,13 +57,13 @@
 
 // mustNotRepeat tells whether a second run of a request would do harm.
 func (o *owner) mustNotRepeat(request *request) bool {
-	return o.deployment.Classes[request.class].Effect != admission.Idempotent
+	return o.deployment.Classes[request.class].RepeatEffect != admission.Idempotent
 }
 
 // recordRequest records an accepted request and reports whether it may go on. If the journal has failed, a request that
 // must not run twice is rejected, because after a crash nobody would know that it was sent.
 func (o *owner) recordRequest(now admission.Time, request *request) bool {
-	if o.mustNotRepeat(request) && o.journal.Failed() != nil {
+	if o.mustNotRepeat(request) && o.journal.Err() != nil {
 		request.responder.answer(requestRejected{o.deployment.RetryAfter})
 		return false
 	}
--- a/internal/router/owner_requests.go
+++ b/internal/router/owner_requests.go
@@ -24,7 +24,7 @@
 	}
 	if o.journal != nil && !o.recordRequest(now, request) {
 		if request.isLimited() {
-			o.resourceGroups.RecordDeparture(request.estimate)
+			o.resourceGroups.RecordQueueExit(request.estimate)
 		}
 		return
 	}
@@ -34,7 +34,7 @@
 	request.priority = initialPriority
 	o.admission.HandleRequest(now, admission.Request{
 		ID: request.id, Deadline: request.deadline, Class: request.class, Tenant: request.tenant,
-		Key: request.key, Tables: request.tables, Estimate: request.estimate,
+		Key: request.orderingKey, TableGroup: request.tableGroup, Estimate: request.estimate,
 	})
 }
 
@@ -107,6 +107,6 @@
 	o.recordPlacement(request, Placement{})
 	if request.waiting {
 		request.waiting = false
-		o.resourceGroups.RecordDeparture(request.estimate)
+		o.resourceGroups.RecordQueueExit(request.estimate)
 	}
 }
--- a/internal/router/owner_test.go
+++ b/internal/router/owner_test.go
@@ -85,7 +85,7 @@
 	done := make(chan struct{})
 	s.onOwner(func(now admission.Time) {
 		defer close(done)
-		storm := &eventStorm{t: t, o: s.o, rng: rand.New(rand.NewSource(1)), now: now}
+		storm := &eventStorm{t: t, o: s.owner, rng: rand.New(rand.NewSource(1)), now: now}
 		for n := range 20000 {
 			storm.handleEvent()
 			if n%1000 == 0 { // each goes on by itself
@@ -97,7 +97,7 @@
 	})
 	<-done
 	s.advanceClock(20 * admission.Second)
-	s.onOwner(func(admission.Time) { s.tracef("%d requests in hand", len(s.o.requests)) })
+	s.onOwner(func(admission.Time) { s.tracef("%d requests in hand", len(s.owner.requests)) })
 	s.sync()
 	s.compareTrace("any order")
 }
@@ -113,7 +113,7 @@
 		name := admission.EngineID(fmt.Sprint("e", n))
 		list := func(state admission.EndpointState) {
 			s.onOwner(func(now admission.Time) {
-				s.o.handleEndpoints(now, admission.PartialUpdate, []admission.Endpoint{{Engine: name, State: state}},
+				s.owner.handleEndpoints(now, admission.PartialUpdate, []admission.Endpoint{{Engine: name, State: state}},
 					[]string{e.listener.Addr().String()})
 			})
 		}
@@ -129,10 +129,10 @@
 	}
 	for kept := -1; kept != 0; time.Sleep(time.Millisecond) {
 		s.onOwner(func(admission.Time) {
-			kept = len(s.o.sessions) + len(s.o.requests) + len(s.o.engines) + int(s.o.usage.engineConnections.Load())
-			s.o.clients.mu.Lock()
-			kept += s.o.clients.sessions
-			s.o.clients.mu.Unlock()
+			kept = len(s.owner.sessions) + len(s.owner.requests) + len(s.owner.engines) + int(s.owner.usage.engineConnections.Load())
+			s.owner.clients.mu.Lock()
+			kept += s.owner.clients.sessions
+			s.owner.clients.mu.Unlock()
 			s.clock.mu.Lock()
 			kept += len(s.clock.timers) - 1 // the module's own
 			s.clock.mu.Unlock()
--- a/internal/router/process_test.go
+++ b/internal/router/process_test.go
@@ -91,7 +91,7 @@
 	c.SetDeadline(time.Now().Add(eventuallyTimeout))
 	_, _ = c.Write(loginPacket())
 	k := &testClient{socket: c, reader: bufio.NewReader(c)}
-	if k.packet()[0] != 10 || k.packet()[0] != 0 {
+	if k.readPacket()[0] != 10 || k.readPacket()[0] != 0 {
 		c.Close()
 		return nil
 	}
@@ -143,7 +143,7 @@
 		}
 		defer k.socket.Close()
 		_, _ = k.socket.Write(queryPacket(fmt.Sprintf("%02x", len(crowd)%256)))
-		served = k.packet()[0] == 3 // the columns of a result
+		served = k.readPacket()[0] == 3 // the columns of a result
 		fill()
 		return served
 	})
--- a/internal/router/query.go
+++ b/internal/router/query.go
@@ -34,9 +34,9 @@
 	s.answerDeadline = time.Now().Add(wait + clientCloseDelay)
 	s.awaitingAnswer, s.unanswered = true, false
 	if s.statementReader != nil {
-		s.statementReader.ReadStatement(request.statement, class, request.tables)
+		s.statementReader.ReadStatement(request.statement, class, request.tableGroup)
 	}
-	s.owner.capture.RecordQuery(capture.Query{Class: request.className, Group: request.tables, WaitMS: parsed.WaitMS, SQL: sql, Statement: request.statement})
+	s.owner.capture.RecordQuery(capture.Query{Class: request.className, Group: request.tableGroup, WaitMS: parsed.WaitMS, SQL: sql, Statement: request.statement})
 	s.owner.post(requestReceived{session: s, request: request, wait: admission.Time(wait / timeUnit)})
 	s.awaitAnswer(request)
 	for _, attempt := range s.attempts {
@@ -109,7 +109,7 @@
 		return mysql.ErrWait
 	case len(r.Tenant) > 0 && !slices.Contains(network.Tenants, string(r.Tenant)):
 		return mysql.ErrTenant
-	case len(r.IdempotencyToken) > 0 && deployment.Classes[class].Effect != admission.Deduplicated:
+	case len(r.IdempotencyToken) > 0 && deployment.Classes[class].RepeatEffect != admission.Deduplicated:
 		return mysql.ErrField
 	}
 	return nil
@@ -123,9 +123,9 @@
 		class:            class,
 		className:        s.owner.network.Classes[class],
 		statement:        r.Statement,
-		tables:           mysql.TableGroup(r.Statement),
+		tableGroup:       mysql.TableGroup(r.Statement),
 		tenant:           max(0, slices.Index(s.owner.network.Tenants, string(r.Tenant))),
-		key:              string(r.Key),
+		orderingKey:      string(r.Key),
 		idempotencyToken: r.IdempotencyToken,
 		statementReader:  s.statementReader,
 		estimate:         s.owner.clientEstimate(r, class),
@@ -148,7 +148,7 @@
 
 // detectDeparture reads what the client has sent, and tells whether it has left, also behind commands that came early.
 func (s *clientSession) detectDeparture() bool {
-	if err := readArrived(s.socket, s.input, maxReadAhead); err != nil {
+	if err := readAvailable(s.socket, s.input, maxReadAhead); err != nil {
 		return false // the next read tells why
 	}
 	_, ended := peekSocket(s.socket)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -42,9 +42,9 @@
 	class            int // index into the deployment's classes
 	className        string
 	statement        []byte
-	tables           int    // the group of tables that the statement reads
+	tableGroup       int    // the group of tables that the statement reads
 	tenant           int    // index into the deployment's tenants
-	key              string // requests of an ordered class run one at a time under it; empty: no order
+	orderingKey      string // requests of an ordered class run one at a time under it; empty: no order
 	idempotencyToken []byte // nil if the client gave none
 	deadline         admission.Time
 	statementReader  StatementReader // nil if statements are not read
--- a/internal/router/resource_groups.go
+++ b/internal/router/resource_groups.go
@@ -21,8 +21,8 @@
 	// RecordAttemptEnd takes in the end of an attempt, the work it took, 0 if that isn't known, and whether its request
 	// waits again.
 	RecordAttemptEnd(estimate admission.Estimate, threads, charged float64, work admission.Time, waits bool)
-	// RecordDeparture takes in that a waiting request got its final answer.
-	RecordDeparture(estimate admission.Estimate)
+	// RecordQueueExit takes in that a waiting request got its final answer.
+	RecordQueueExit(estimate admission.Estimate)
 	// BeginWrite tells, right before an attempt is written, whether the rules that allowed it are still in force. If they are,
 	// EndWrite follows once it is written.
 	BeginWrite(policyRevision uint64, request admission.RequestID) bool
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -51,24 +51,24 @@
 		_, _ = c.Write(append(loginPacket(), queryPacket(fmt.Sprintf("a%d", n))...))
 		clients = append(clients, &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)})
 	}
-	acceptor := &acceptor{owner: s.o, listener: listener, done: make(chan struct{})}
+	acceptor := &acceptor{owner: s.owner, listener: listener, done: make(chan struct{})}
 	_ = asTCPListener(listener).SetDeadline(expiredDeadline) // the stop comes before the first accept
 	go acceptor.run()
 	acceptor.stop()
 	for range clients {
 		h := <-e.received
-		_, _ = h.c.Write(resp.AppendArray(nil, h.parts[1], "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
+		_, _ = h.conn.Write(resp.AppendArray(nil, h.parts[1], "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
 	}
 	for _, c := range clients {
 		c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
-		c.packet() // the greeting
-		c.packet() // the login is fine
+		c.readPacket() // the greeting
+		c.readPacket() // the login is fine
 		c.expectAnswer()
 	}
-	if got := strings.Count(s.out.String(), "client gets: rows"); got != waiting {
-		t.Errorf("%d of %d served:\n%s", got, waiting, s.out.String())
+	if got := strings.Count(s.trace.String(), "client gets: rows"); got != waiting {
+		t.Errorf("%d of %d served:\n%s", got, waiting, s.trace.String())
 	}
-	s.o.clients.beginShutdown()
+	s.owner.clients.beginShutdown()
 	for i, c := range clients {
 		if err := c.ends(); !errors.Is(err, io.EOF) {
 			t.Errorf("client %d: %v", i, err)
@@ -82,10 +82,10 @@
 	s := startFixture(t, e)
 	defer s.close()
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
-	s.o.clients.beginShutdown()
-	a.sendLook("bb") // on its way while the other is in hand
+	s.owner.clients.beginShutdown()
+	a.sendIdempotentQuery("bb") // on its way while the other is in hand
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	a.expectAnswer()
@@ -102,12 +102,12 @@
 // A request that crosses the end of its session is read, so that the connection is not reset under what went before.
 func TestEndOfSessionIsNoReset(t *testing.T) {
 	for what, end := range map[string]func(s *fixture){
-		"stop": func(s *fixture) { s.o.clients.beginShutdown() },
+		"stop": func(s *fixture) { s.owner.clients.beginShutdown() },
 		"displaced": func(s *fixture) {
-			s.o.clients.mu.Lock()
-			defer s.o.clients.mu.Unlock()
-			for idle := range sessionsOf(&s.o.clients.idleKnown) {
-				s.o.clients.evict(idle)
+			s.owner.clients.mu.Lock()
+			defer s.owner.clients.mu.Unlock()
+			for idle := range sessionsOf(&s.owner.clients.idleKnown) {
+				s.owner.clients.evict(idle)
 				return
 			}
 			s.t.Error("no session is idle")
@@ -119,11 +119,11 @@
 			defer s.close()
 			a := s.newClient()
 			a.send(0, []byte{0x0e})
-			a.packet()
+			a.readPacket()
 			eventually(t, "the session rests", func() bool {
-				s.o.clients.mu.Lock()
-				defer s.o.clients.mu.Unlock()
-				return s.o.clients.idleKnown.Len() == 1
+				s.owner.clients.mu.Lock()
+				defer s.owner.clients.mu.Unlock()
+				return s.owner.clients.idleKnown.Len() == 1
 			})
 			end(s)
 			if err := a.ends(); !errors.Is(err, io.EOF) {
@@ -150,10 +150,10 @@
 func TestTurnedAwayIsNoReset(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
-	s.o.clients.mu.Lock()
-	s.o.clients.limit = 1
-	s.o.clients.sessions = 1 // one in the middle of a query
-	s.o.clients.mu.Unlock()
+	s.owner.clients.mu.Lock()
+	s.owner.clients.limit = 1
+	s.owner.clients.sessions = 1 // one in the middle of a query
+	s.owner.clients.mu.Unlock()
 	listener := s.listen()
 	c, err := dialTCP(listener.Addr().String())
 	if err != nil {
@@ -166,17 +166,17 @@
 		t.Fatal(err)
 	}
 	eventually(t, "the login is there", func() bool { return hasInput(tcp) })
-	(&acceptor{owner: s.o}).startSession(tcp)
+	(&acceptor{owner: s.owner}).startSession(tcp)
 	k := &testClient{fixture: s, socket: c, reader: bufio.NewReader(c)}
-	if p := k.packet(); p[0] != 0xff || int(p[1])|int(p[2])<<8 != 1040 {
+	if p := k.readPacket(); p[0] != 0xff || int(p[1])|int(p[2])<<8 != 1040 {
 		t.Errorf("the client got %q", p)
 	}
 	if err := k.ends(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection ended with %v", err)
 	}
-	s.o.clients.mu.Lock()
-	s.o.clients.sessions = 0
-	s.o.clients.mu.Unlock()
+	s.owner.clients.mu.Lock()
+	s.owner.clients.sessions = 0
+	s.owner.clients.mu.Unlock()
 }
 
 // A new configuration counts during a stop: drains are told at the address that it names.
@@ -185,12 +185,12 @@
 	s := startFixture(t, e)
 	defer s.close()
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	close(s.stop)
 	s.awaitLog("stopping")
 	select {
-	case s.renewed <- s.start:
+	case s.reloads <- s.startConfig:
 	case <-time.After(eventuallyTimeout):
 		t.Fatal("a new configuration is not taken during a stop")
 	}
@@ -208,10 +208,10 @@
 	s := startFixture(t, e)
 	defer s.close()
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	close(s.stop)
-	eventually(t, "the router refuses requests", s.o.clients.isShuttingDown)
+	eventually(t, "the router refuses requests", s.owner.clients.isShuttingDown)
 	successor, err := listenTCP(s.address)
 	if err != nil {
 		t.Fatalf("a successor can't listen: %v", err)
@@ -221,9 +221,9 @@
 	a.expectAnswer()
 	<-s.ended
 	var n int
-	s.o.clients.mu.Lock()
-	n = s.o.clients.sessions + s.o.clients.lingering
-	s.o.clients.mu.Unlock()
+	s.owner.clients.mu.Lock()
+	n = s.owner.clients.sessions + s.owner.clients.lingering
+	s.owner.clients.mu.Unlock()
 	if n != 0 {
 		t.Errorf("%d connections left", n)
 	}
@@ -233,10 +233,10 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	close(s.stop)
-	b.sendLook("bb")
+	b.sendIdempotentQuery("bb")
 	e.reply(e.receive(), "00000000000000bb", "data", "pages=1,cost=120,need=64", "d\te\tf\n")
 	b.expectAnswer()
 	select {
--- a/internal/router/socket.go
+++ b/internal/router/socket.go
@@ -13,9 +13,9 @@
 // then ends a read or a write by its deadline without trying it. What the peer sent in time must not be taken for its
 // silence, so the functions below look at what the system has already got.
 
-// readArrived buffers what the system has got of a connection, without waiting, until n bytes are buffered. The read
+// readAvailable buffers what the system has got of a connection, without waiting, until n bytes are buffered. The read
 // deadline has passed after it.
-func readArrived(socket net.Conn, reader *bufio.Reader, n int) error {
+func readAvailable(socket net.Conn, reader *bufio.Reader, n int) error {
 	socket.SetReadDeadline(time.Time{}) // no read waits, because something is there
 	defer socket.SetReadDeadline(expiredDeadline)
 	for reader.Buffered() < n && hasInput(socket) {
@@ -26,9 +26,9 @@
 	return nil
 }
 
-// writeBy writes buffers and returns how many bytes of them the system took. Once the deadline has passed it tries for
+// writeWithDeadline writes buffers and returns how many bytes of them the system took. Once the deadline has passed it tries for
 // finalReadWait more.
-func writeBy(socket net.Conn, deadline time.Time, buffers net.Buffers) (written int64, err error) {
+func writeWithDeadline(socket net.Conn, deadline time.Time, buffers net.Buffers) (written int64, err error) {
 	socket.SetWriteDeadline(deadline)
 	written, err = buffers.WriteTo(socket)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -96,7 +96,7 @@
 			s.t.Error(err)
 		}
 		conn := late(tcp)
-		(&acceptor{owner: s.o}).startSession(conn)
+		(&acceptor{owner: s.owner}).startSession(conn)
 		accepted <- conn
 	}()
 	address := s.address
@@ -117,7 +117,7 @@
 	s.t.Helper()
 	select {
 	case h := <-e.received:
-		e.reply(h.c, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+		e.reply(h.conn, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	case <-time.After(eventuallyTimeout):
 		s.t.Fatalf("the engine heard nothing, log:\n%s", s.log.String())
 	}
@@ -128,7 +128,7 @@
 func (c *testClient) isServed() {
 	c.fixture.t.Helper()
 	c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
-	if p := c.packet(); p[0] != 3 {
+	if p := c.readPacket(); p[0] != 3 {
 		c.fixture.t.Fatalf("the client got %q, log:\n%s", p, c.fixture.log.String())
 	}
 }
@@ -149,7 +149,7 @@
 			c.send(0, append([]byte{mysql.Query}, "/* class=look,id=00000000000000aa,wait=5000 */ "+statement...))
 			arrived(t, conn)
 			goOn()
-			if p := c.packet(); p[0] != 0 {
+			if p := c.readPacket(); p[0] != 0 {
 				t.Fatalf("the client got %q", p)
 			}
 			s.served(c, e, "aa")
@@ -163,10 +163,10 @@
 	defer s.close()
 	_, conn := s.lateClient()
 	eventually(t, "the session waits for its first query", conn.rests)
-	rested := &clientSession{owner: s.o, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took so long
+	rested := &clientSession{owner: s.owner, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took so long
 	before := time.Now()
-	s.o.clients.markIdle(rested)
-	s.o.clients.markBusy(rested)
+	s.owner.clients.markIdle(rested)
+	s.owner.clients.markBusy(rested)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if got := conn.deadline.Sub(before); got < finalReadWait {
@@ -180,7 +180,7 @@
 	s := startFixture(t, e)
 	defer s.close()
 	c, conn := s.lateClient()
-	c.sendLook("aa")
+	c.sendIdempotentQuery("aa")
 	k := e.receive()
 	conn.arm(false, true)
 	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
@@ -191,8 +191,8 @@
 func (s *fixture) lateEngine() <-chan *lateConn {
 	conns := make(chan *lateConn, 8)
 	s.onOwner(func(admission.Time) {
-		dial := s.o.dial
-		s.o.dial = func(address string) (net.Conn, error) {
+		dial := s.owner.dial
+		s.owner.dial = func(address string) (net.Conn, error) {
 			tcp, err := dial(address)
 			if err != nil {
 				return nil, err
@@ -213,11 +213,11 @@
 	defer s.close()
 	conns := s.lateEngine()
 	c := s.newClient()
-	c.sendLook("aa")
+	c.sendIdempotentQuery("aa")
 	s.served(c, e, "aa")
 	c.drain()
 	(<-conns).arm(false, true)
-	c.sendLook("bb")
+	c.sendIdempotentQuery("bb")
 	s.served(c, e, "bb")
 	if len(conns) > 0 {
 		t.Error("it was written on another connection")
@@ -227,7 +227,7 @@
 // drain reads the rest of an answer whose first packet was read.
 func (c *testClient) drain() {
 	for ends := 0; ends < 2; {
-		if p := c.packet(); p[0] == 0xfe {
+		if p := c.readPacket(); p[0] == 0xfe {
 			ends++
 		}
 	}
@@ -240,7 +240,7 @@
 	defer s.close()
 	conns := s.lateEngine()
 	c := s.newClient()
-	c.sendLook("aa")
+	c.sendIdempotentQuery("aa")
 	k := e.receive()
 	conn := <-conns
 	answer := resp.AppendArray(nil, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
@@ -270,7 +270,7 @@
 	s := startFixture(t)
 	defer s.close()
 	dialled := make(chan *lateConn, 1)
-	s.o.dial = func(address string) (net.Conn, error) {
+	s.owner.dial = func(address string) (net.Conn, error) {
 		tcp, err := dialTCP(address)
 		if err != nil {
 			return nil, err
@@ -284,7 +284,7 @@
 		dialled <- conn
 		return conn, nil
 	}
-	p := &healthChecker{pool: &enginePool{owner: s.o, name: "e1", address: listener.Addr().String()}}
+	p := &healthChecker{pool: &enginePool{owner: s.owner, name: "e1", address: listener.Addr().String()}}
 	how, report := p.check()
 	if how != admission.Served || report.Utilization != 0.2 {
 		t.Errorf("the probe ended as %v with %+v", how, report)
--- a/internal/router/watcher_test.go
+++ b/internal/router/watcher_test.go
@@ -20,8 +20,8 @@
 	// Output: 400ms 300ms 0s 0s
 }
 
-// polled waits for a poll of an engine list and returns its connection.
-func polled(t *testing.T, l net.Listener) net.Conn {
+// awaitPoll waits for a poll of an engine list and returns its connection.
+func awaitPoll(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
 	_ = asTCPListener(l).SetDeadline(time.Now().Add(eventuallyTimeout))
 	for {
@@ -47,15 +47,15 @@
 	down := s.listen()
 	address := down.Addr().String()
 	down.Close()
-	next := *s.start
+	next := *s.startConfig
 	next.DiscoveryAddress, next.KnownEndpoints = address, nil
-	s.renewed <- &next
+	s.reloads <- &next
 	s.awaitLog("code=refused")
 	l := s.listen()
 	after := next
 	after.DiscoveryAddress = l.Addr().String()
-	s.renewed <- &after
-	polled(t, l)
+	s.reloads <- &after
+	awaitPoll(t, l)
 }
 
 // A whole list after a silence that names an engine no more takes it away, as if its end had been told.
@@ -65,24 +65,24 @@
 	defer s.close()
 	f.fixture = s
 	l := s.listen()
-	next := *s.start
+	next := *s.startConfig
 	next.DiscoveryAddress = l.Addr().String()
-	s.renewed <- &next
-	k := polled(t, l)
-	whole := fmt.Sprintf(`{"index":9,"updates":[%s]}`, watchEvent(9, true, []string{entry(f, "Ready")}))
+	s.reloads <- &next
+	k := awaitPoll(t, l)
+	whole := fmt.Sprintf(`{"index":9,"updates":[%s]}`, watchEvent(9, true, []string{serverJSON(f, "Ready")}))
 	fmt.Fprintf(k, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
 	eventually(t, "the whole list is taken in", func() bool {
 		names := make(chan string, 1)
 		s.onOwner(func(admission.Time) {
 			var all []string
-			for name := range s.o.engines {
+			for name := range s.owner.engines {
 				all = append(all, string(name))
 			}
 			names <- strings.Join(all, " ")
 		})
 		return <-names == "e2"
 	})
-	s.requireOnlyReceives(f, "aa")
+	s.requireNextAttempt(f, "aa")
 	if len(e.received) > 0 {
 		t.Errorf("the engine that is listed no more heard %q", (<-e.received).parts)
 	}
@@ -93,10 +93,10 @@
 	s := startFixture(t)
 	defer s.close()
 	l := s.listen()
-	next := *s.start
+	next := *s.startConfig
 	next.DiscoveryAddress = l.Addr().String()
-	s.renewed <- &next
-	k := polled(t, l)
+	s.reloads <- &next
+	k := awaitPoll(t, l)
 	close(s.stop)
 	<-s.ended
 	k.SetReadDeadline(time.Now().Add(eventuallyTimeout))
@@ -112,10 +112,10 @@
 	s := startFixture(t)
 	e.fixture = s
 	l := s.listen()
-	next := *s.start
+	next := *s.startConfig
 	next.DiscoveryAddress = l.Addr().String()
-	s.renewed <- &next
-	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{entry(e, "Ready")}))
+	s.reloads <- &next
+	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(e, "Ready")}))
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
 	for _, c := range []struct{ what, answer string }{
 		{"breaks off", whole[:len(whole)-30]},
@@ -142,7 +142,7 @@
 	line, _ := bufio.NewReader(k).ReadString('\n')
 	s.tracef("polled: %.26s", line)
 	a := s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	e.reply(e.receive(), "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	s.compareTrace("list amiss")
@@ -152,10 +152,10 @@
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
-	a.sendLook("aa")
+	a.sendIdempotentQuery("aa")
 	k := e.receive()
 	s.announceEngine(e, "Terminating")
-	b.sendLook("bb")
+	b.sendIdempotentQuery("bb")
 	s.awaitRequests(2)
 	s.advanceClock(900 * admission.Millisecond)
 	b.expectAnswer()
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -138,7 +138,7 @@
 		f.fail("health", "live, quiescing or dead")
 	}
 	f.number("capacityHint")
-	endpoint.Since = f.timestamp("onlineSinceUs")
+	endpoint.StartedAt = f.timestamp("onlineSinceUs")
 	lists.lists[lists.open] = append(lists.lists[lists.open], endpoint)
 }
 
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -108,7 +108,7 @@
 	}
 	return func(controller *admission.Controller) {
 		controller.HandleRequest(now, admission.Request{ID: id, Deadline: deadline, Class: class, Tenant: tenant, Key: key,
-			Tables: tables, Estimate: admission.Estimate{Work: work, Memory: memory}})
+			TableGroup: tables, Estimate: admission.Estimate{Work: work, Memory: memory}})
 	}
 }
 
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -103,7 +103,7 @@
 
 // failureOutcomes are the outcomes with the codes from firstFailureCode on.
 var failureOutcomes = [...]admission.Outcome{admission.Unsent, admission.Cancelled, admission.Reset, admission.Unreachable,
-	admission.TimedOut, admission.Full, admission.Errored}
+	admission.TimedOut, admission.EngineFull, admission.Errored}
 
 func (f *fieldReader) outcome(field string) admission.Outcome {
 	code := f.integer(field)
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -90,8 +90,8 @@
 	i.begin("surrender").text(string(request)).end()
 }
 
-// SetAttemptTerms states the memory grant in megabytes and the priority of the attempt that is sent next.
-func (i *instance) SetAttemptTerms(request admission.RequestID, memory float64, rank int) {
+// SetAttemptOptions states the memory grant in megabytes and the priority of the attempt that is sent next.
+func (i *instance) SetAttemptOptions(request admission.RequestID, memory float64, rank int) {
 	i.begin("grant_and_rank").text(string(request)).number(int64(memory)).number(int64(rank)).end()
 }
 
--- a/internal/storage/requestjournal/journal.go
+++ b/internal/storage/requestjournal/journal.go
@@ -36,7 +36,7 @@
 
 // Class is what the journal needs to know of a request class.
 type Class struct {
-	Effect      admission.Effect
+	Effect      admission.RepeatEffect
 	DedupWindow admission.Time // for which engines drop repeats of its deduplicated requests
 	LongestWait admission.Time // of its clients for an answer
 }
--- a/internal/testbed/quorumquota/quorumquota.go
+++ b/internal/testbed/quorumquota/quorumquota.go
@@ -95,7 +95,7 @@
 func (c *Core) replicaLease() Time { return c.lease() + 3*c.lease()/c.plan.DriftDivisor + 1 }
 
 func (c *Core) send(to string, m quota.Message) {
-	m.Sender, m.SenderIncarnation, m.PlanNumber = c.name, c.incarnation, c.plan.Number
+	m.Sender, m.SenderIncarnation, m.PlanRevision = c.name, c.incarnation, c.plan.Revision
 	c.host.Send(to, m)
 }
 
--- a/internal/testbed/quorumquota/quorumquota_test.go
+++ b/internal/testbed/quorumquota/quorumquota_test.go
@@ -87,7 +87,7 @@
 // Never more uses than units, and nearly all are used, though a third of the messages is lost and members are started anew.
 func TestNeverMore(t *testing.T) {
 	const members = 8
-	c := newLossyCluster(t, &quota.Plan{Shares: members, Voters: []string{"g0", "g1", "g2"}, LongestUse: admission.Second / 2, DriftDivisor: 20, Number: 1, QuotaIDs: []uint32{7}, Totals: []int64{10}}, members)
+	c := newLossyCluster(t, &quota.Plan{Shares: members, Voters: []string{"g0", "g1", "g2"}, LongestUse: admission.Second / 2, DriftDivisor: 20, Revision: 1, QuotaIDs: []uint32{7}, Totals: []int64{10}}, members)
 	most, sum, looks := 0, 0, 0
 	for ; c.now < 60*admission.Second; c.now += 5 * admission.Millisecond {
 		c.deliver()
--- a/internal/testbed/quotamodel/leases.go
+++ b/internal/testbed/quotamodel/leases.go
@@ -16,7 +16,7 @@
 // leaseSystem is the system of leases: three holders whose shares last, one of them with a fast clock and one with a slow one. A process
 // may be killed, and a message duplicated.
 func leaseSystem(mutation quota.Mutation, total int64) *system {
-	plan := &quota.Plan{Shares: 3, Voters: []string{"a", "b", "c"}, ShareTerm: 1000 * tick, LeaseTerm: 2 * tick, DriftDivisor: driftDivisor, Number: 1,
+	plan := &quota.Plan{Shares: 3, Voters: []string{"a", "b", "c"}, ShareTerm: 1000 * tick, LeaseTerm: 2 * tick, DriftDivisor: driftDivisor, Revision: 1,
 		QuotaIDs: []uint32{0}, Totals: []int64{total}, Mutation: mutation}
 	s := &system{plan: plan, faults: faults{crashes: 1, duplicates: 1}, lastIncarnation: 3, listTransitions: leaseTransitions, check: checkTotal}
 	for i, name := range plan.Voters {
@@ -94,7 +94,7 @@
 		out = append(out, s.transition(name+" is killed, and its successor has its share", func(s *system) {
 			s.faults.successors--
 			s.restartHolder(i)
-			s.processes[i].core.SucceedIncarnations([]uint64{incarnation})
+			s.processes[i].core.SetPredecessors([]uint64{incarnation})
 			s.processes[i].core.HoldShare(quota.Never - 1)
 		}))
 	}
--- a/internal/testbed/quotamodel/quotamodel_test.go
+++ b/internal/testbed/quotamodel/quotamodel_test.go
@@ -46,7 +46,7 @@
 		{"a voter's twin that opens once one other voter knows it", voterTwinSystem(quota.JoinWithoutAllVoters)},
 		{"a successor uses its share at once", leaseSuccessorSystem(quota.SucceedWithoutWaiting)},
 		{"a voter that passes the share to the successor of another than its holder", shareSystem(quota.SucceedAnyHolder, faults{successors: 1}, 1, 3)},
-		{"voters that count together though neither has heard of the other", forgottenTwinSystem(quota.CountUnacquaintedVoters)},
+		{"voters that count together though neither has heard of the other", forgottenTwinSystem(quota.CountMutuallyUnknownVoters)},
 		{"a voter that joins by others who know less than it", joiningSystem(quota.JoinWithUnequalIncarnations)},
 		{"a confirmation that counts from its arrival", shareSystem(quota.CountTermFromArrival, faults{}, 1, 3)},
 	} {
--- a/internal/testbed/quotamodel/shares.go
+++ b/internal/testbed/quotamodel/shares.go
@@ -24,7 +24,7 @@
 // of one member, for which there is one share. They are killed and doubled as the faults allow, each becoming a process
 // that knows nothing. Time passes by some numbers of ticks.
 func shareSystem(mutation quota.Mutation, f faults, steps ...quota.Time) *system {
-	plan := &quota.Plan{Shares: 1, Voters: []string{"a", "b", "c"}, ShareTerm: 4 * tick, LeaseTerm: tick, DriftDivisor: driftDivisor, Number: 1,
+	plan := &quota.Plan{Shares: 1, Voters: []string{"a", "b", "c"}, ShareTerm: 4 * tick, LeaseTerm: tick, DriftDivisor: driftDivisor, Revision: 1,
 		QuotaIDs: []uint32{0}, Totals: []int64{1}, Mutation: mutation}
 	s := &system{plan: plan, faults: f, lastIncarnation: 5, check: checkOneHolder}
 	s.listTransitions = func(s *system) []modelcheck.Transition { return shareTransitions(s, steps) }
@@ -127,7 +127,7 @@
 		out = append(out, s.transition(p.String()+" is killed and has a successor", func(s *system) {
 			s.faults.successors--
 			s.processes[i].core = s.start(s.processes[i], 0)
-			s.processes[i].core.SucceedIncarnations([]uint64{incarnation})
+			s.processes[i].core.SetPredecessors([]uint64{incarnation})
 		}))
 	}
 	return out
--- a/internal/testbed/quotamodel/system.go
+++ b/internal/testbed/quotamodel/system.go
@@ -33,7 +33,7 @@
 func seal(to string, m quota.Message) envelope {
 	b := append([]byte(to), byte(m.Kind), byte(m.Share))
 	b = append(b, m.Sender...)
-	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanNumber, uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID)} {
+	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanRevision, uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID)} {
 		b = binary.AppendUvarint(b, v)
 	}
 	for _, v := range slices.Concat(m.VoterIncarnations, m.KnownIncarnations, m.Predecessors) {
--- a/internal/testbed/rolloutmodel/host.go
+++ b/internal/testbed/rolloutmodel/host.go
@@ -30,14 +30,14 @@
 }
 
 // CheckPolicy implements rollout.Host: every gateway can follow every policy.
-func (h host) CheckPolicy(_ rollout.Digest, _ []byte, done func(rollout.Terms, error)) {
-	done(rollout.Terms{}, nil)
+func (h host) CheckPolicy(_ rollout.Digest, _ []byte, done func(rollout.Parameters, error)) {
+	done(rollout.Parameters{}, nil)
 }
 
 // SetInForce implements rollout.Host.
 func (h host) SetInForce(inForce *rollout.InForce) { h.system.processes[h.index].inForce = *inForce }
 
-// SaveRecords implements rollout.Host: a restart takes up what the killed core knew (rollout.Core.FloorRecord).
+// SaveRecords implements rollout.Host: a restart takes up what the killed core knew (rollout.Core.LastPolicyRecord).
 func (h host) SaveRecords([]consensus.Record, func(error)) {}
 
 // LoadPolicy implements rollout.Host.
--- a/internal/testbed/rolloutmodel/key.go
+++ b/internal/testbed/rolloutmodel/key.go
@@ -92,8 +92,8 @@
 	now := s.clock(p)
 	k.remaining(l.LeasesClearAt, now)
 	k.remaining(l.OverlapsClearAt, now)
-	k.flags(l.Proved, l.Behind, l.EntryPending)
-	k.numbers(int64(l.Phase), asNumber(l.Confirming))
+	k.flags(l.LatestVerified, l.VotersBehind, l.EntryPending)
+	k.numbers(int64(l.Phase), asNumber(l.ConfirmationPending))
 	if l.ProposalOpen {
 		k.numbers(int64(max(-4*timeStep, l.ProposalSince-now)), int64(max(-2*timeStep, l.PhaseSince-now)))
 	}
@@ -105,15 +105,15 @@
 // addHolder writes what a leader knows of a member. Of sequence numbers only the distance to the latest one matters.
 func (s *system) addHolder(k *keyBuilder, h *rollout.HolderState, now admission.Time) {
 	k.b = append(k.b, h.Name...)
-	k.numbers(int64(h.Incarnation), int64(h.OverlapWith), int64(h.ReadyFor), asNumber(h.AwaitsRead))
+	k.numbers(int64(h.Incarnation), int64(h.OverlapWith), int64(h.ReadyFor), asNumber(h.AwaitsConfirmation))
 	if h.Name == memberName {
 		latest := s.processes[memberIndex].core.GatewayState().Seq
 		k.numbers(int64(h.Seq-min(h.Seq, h.OverlapSeq)), int64(h.Seq-min(h.Seq, h.GrantedSeq)), int64(h.Seq-min(h.Seq, h.ExcludedSeq)), int64(h.Seq-latest))
 	}
 	k.remaining(h.LeaseClearAt, now)
 	k.remaining(h.OverlapClearAt, now)
-	k.numbers(int64(max(-s.config.LeaseDuration, h.LastHeardAt-now)))
-	k.flags(h.Excluded, h.AwaitsReply, h.Holds)
+	k.numbers(int64(max(-s.config.LeaseDuration, h.LastRequestAt-now)))
+	k.flags(h.Excluded, h.AwaitsReply, h.HoldsLease)
 }
 
 // envelopeKey tells messages apart. It has a request's number as its distance to the latest request.
--- a/internal/testbed/rolloutmodel/transitions.go
+++ b/internal/testbed/rolloutmodel/transitions.go
@@ -57,7 +57,7 @@
 	if t.system.restarts > 0 {
 		t.add(member.label()+" is killed and starts by its folder", func(s *system) {
 			s.restarts--
-			floor := member.core.FloorRecord()
+			floor := member.core.LastPolicyRecord()
 			stored := &rollout.StoredState{}
 			stored.AddRecord(floor.Key, floor.Value, false)
 			s.start(index, stored)
--- a/internal/testbed/simcluster/counter_cluster.go
+++ b/internal/testbed/simcluster/counter_cluster.go
@@ -76,7 +76,7 @@
 	p.cluster.starts++
 	p.incarnation, p.up, p.nextEventAt = p.cluster.starts, true, p.cluster.now
 	p.recordTrueCounts([3]int64{})
-	p.core = counters.New(p.clock(), counters.Options{Name: p.name, Processes: len(p.cluster.members), MaxInFlight: maxInFlight, LongestRequest: maxRunTime, Host: p})
+	p.core = counters.New(p.clock(), counters.Options{Name: p.name, MaxProcesses: len(p.cluster.members), MaxInFlight: maxInFlight, LongestRequest: maxRunTime, Host: p})
 }
 
 // kill ends the process: it has no requests any more.
--- a/internal/testbed/simcluster/health_reports.go
+++ b/internal/testbed/simcluster/health_reports.go
@@ -66,7 +66,7 @@
 			Alone: 30 * load.Rate * float64(load.Members) / float64(load.Engines)},
 	}
 	for i := range load.Engines {
-		r.endpoints = append(r.endpoints, admission.Endpoint{Engine: admission.EngineID(fmt.Sprint("e", i)), Since: second})
+		r.endpoints = append(r.endpoints, admission.Endpoint{Engine: admission.EngineID(fmt.Sprint("e", i)), StartedAt: second})
 	}
 	for _, p := range c.Processes {
 		r.startMember(p)
--- a/internal/testbed/simcluster/quota_cluster.go
+++ b/internal/testbed/simcluster/quota_cluster.go
@@ -69,7 +69,7 @@
 func (p *quotaMember) succeed() {
 	before := p.incarnations
 	p.start()
-	p.core.SucceedIncarnations(before[max(0, len(before)-quota.MaxPredecessors):])
+	p.core.SetPredecessors(before[max(0, len(before)-quota.MaxPredecessors):])
 }
 
 // quotaVoters is how many members replicate the quota.
@@ -77,7 +77,7 @@
 
 // newQuotaCluster starts a cluster of so many members that share a total.
 func newQuotaCluster(seed uint64, members int, total int64) *quotaCluster {
-	c := &quotaCluster{byName: map[string][]int{}, plan: &quota.Plan{Shares: members, ShareTerm: 2 * admission.Second, LeaseTerm: admission.Second, LongestUse: admission.Second / 4, DriftDivisor: 20, Number: 1, QuotaIDs: []uint32{7}, Totals: []int64{total}}}
+	c := &quotaCluster{byName: map[string][]int{}, plan: &quota.Plan{Shares: members, ShareTerm: 2 * admission.Second, LeaseTerm: admission.Second, LongestUse: admission.Second / 4, DriftDivisor: 20, Revision: 1, QuotaIDs: []uint32{7}, Totals: []int64{total}}}
 	c.random, c.maxDelay = rand.New(rand.NewPCG(seed, 3)), 3*c.plan.ShareTerm
 	for k := range quotaVoters {
 		c.plan.Voters = append(c.plan.Voters, fmt.Sprint("g", k))
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -135,7 +135,7 @@
 // replacePlan has some members go by another total.
 func (c *quotaCluster) replacePlan(number uint64, total int64, some func(n int) bool) {
 	plan := *c.plan
-	plan.Number, plan.Totals = number, []int64{total}
+	plan.Revision, plan.Totals = number, []int64{total}
 	for _, p := range c.members {
 		if p.up && some(p.share) {
 			if err := p.core.ReplacePlan(p.clock(), &plan); err != nil {
--- a/internal/testbed/simcluster/rollout_cluster.go
+++ b/internal/testbed/simcluster/rollout_cluster.go
@@ -163,9 +163,9 @@
 }
 
 // CheckPolicy reads the terms of a policy from words in its text; a policy that says so is wrong at this process.
-func (p *rolloutMember) CheckPolicy(_ rollout.Digest, text []byte, done func(rollout.Terms, error)) {
+func (p *rolloutMember) CheckPolicy(_ rollout.Digest, text []byte, done func(rollout.Parameters, error)) {
 	p.later(Time(p.cluster.random.IntN(50)), 0, func() {
-		var terms rollout.Terms
+		var terms rollout.Parameters
 		if bytes.Contains(text, []byte("not for "+p.name+";")) {
 			done(terms, errors.New("statements.pools[0].zones: expected some of [norte], found [este]"))
 			return
--- a/internal/workload/fleetpolicy.go
+++ b/internal/workload/fleetpolicy.go
@@ -181,7 +181,7 @@
 		current, proposed := &policyOf(active.Current).Plan, &policyOf(active.Proposed).Plan
 		return className(current, reader.planClass) != className(proposed, reader.proposedClass)
 	}
-	return basis == noBasis && (reader.anyPolicyApplies || !active.Informed)
+	return basis == noBasis && (reader.anyPolicyApplies || !active.KnowsDecidedPolicy)
 }
 
 // classWithRest returns the number of the request's class in the plan with resourcegroup.RestClass. A request without a class
--- a/internal/workload/fleetpolicy_test.go
+++ b/internal/workload/fleetpolicy_test.go
@@ -29,7 +29,7 @@
 func (c *fakeFleet) putInForce(number uint64, p agent.Policy)                  { c.active = activePolicy(number, p) }
 
 func activePolicy(number uint64, p agent.Policy) *agent.ActivePolicy {
-	r := &agent.ActivePolicy{InForce: rollout.InForce{Number: number, LeaseUntil: 1 << 50, Informed: true}, Current: p}
+	r := &agent.ActivePolicy{InForce: rollout.InForce{Number: number, LeaseUntil: 1 << 50, KnowsDecidedPolicy: true}, Current: p}
 	if p != nil {
 		r.Parsed = []agent.Policy{p}
 	}
@@ -81,7 +81,7 @@
 	}
 	name := manager.ClassName(estimate.PolicyClass)
 	if !manager.AllowsAttempt(10, estimate.PolicyClass, 2) {
-		manager.RecordDeparture(estimate)
+		manager.RecordQueueExit(estimate)
 		return name + ", waits"
 	}
 	charged, basis := manager.RecordAttempt(estimate, 2)
@@ -94,7 +94,7 @@
 	}
 	manager.RecordAttemptEnd(estimate, 2, charged, 0, false)
 	estimate.PolicyClass = 0
-	manager.RecordDeparture(estimate)
+	manager.RecordQueueExit(estimate)
 	return out
 }
 
@@ -112,7 +112,7 @@
 		out.WriteByte('\n')
 	}
 	first, second, third := policy("loads:load:4"), policy("loads:load:2 looks:look:3"), policy("loads:load:refuse")
-	fleet.active.Informed, fleet.active.LeaseUntil = false, 0
+	fleet.active.KnowsDecidedPolicy, fleet.active.LeaseUntil = false, 0
 	try("nothing was heard")
 	fleet.putInForce(0, nil)
 	try("no policy")
--- a/internal/workload/policy.go
+++ b/internal/workload/policy.go
@@ -9,7 +9,7 @@
 // Policy is what a fleet may decide on: pools and classes, and how a change to them is rolled out.
 type Policy struct {
 	Plan         resourcegroup.Plan
-	Requirements rollout.Terms
+	Requirements rollout.Parameters
 
 	planWithRest *resourcegroup.Plan // the plan with resourcegroup.RestClass
 }
@@ -21,7 +21,7 @@
 }
 
 // Terms returns the requirements on the rollout.
-func (p *Policy) Terms() rollout.Terms { return p.Requirements }
+func (p *Policy) Terms() rollout.Parameters { return p.Requirements }
 
 // Budgets returns the names and totals of the budgets of fleet-wide classes.
 func (p *Policy) Budgets() (names []string, totals []int64) { return p.Plan.FleetBudgets() }
--- a/internal/workload/requests.go
+++ b/internal/workload/requests.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// RecordDeparture records that a waiting request got its final answer, or that its client left.
-func (m *Manager) RecordDeparture(estimate admission.Estimate) {
+// RecordQueueExit records that a waiting request got its final answer, or that its client left.
+func (m *Manager) RecordQueueExit(estimate admission.Estimate) {
 	if number := m.rehearsal.classOf(&estimate); number > 0 {
 		m.rehearsal.limiter.EndWaiting(number)
 	}
--- a/internal/workload/source/policy.go
+++ b/internal/workload/source/policy.go
@@ -86,7 +86,7 @@
 )
 
 // readRequirements reads what a policy requires of its rollout.
-func readRequirements(object *configfile.Object) (terms rollout.Terms) {
+func readRequirements(object *configfile.Object) (terms rollout.Parameters) {
 	if object.OneOf("silent", "nack", "nack", "both") == "both" {
 		terms.Overlap = readLength(object, "both_for", defaultOverlap, maxOverlap)
 	} else if object.HasField("both_for") {
