--- a/internal/cluster/counters/core.go
+++ b/internal/cluster/counters/core.go
@@ -24,9 +24,9 @@
 	// roundInterval is the time between two rounds. If a round reaches all peers, a count is as old as half a second plus the message
 	// delay, at a few hundred bytes per second.
 	roundInterval = admission.Second / 2
-	// coveredTurns is the number of cycles through all peers that a report covers. With three, two messages may be lost before the
+	// coveredCycles is the number of cycles through all peers that a report covers. With three, two messages may be lost before the
 	// counts of a member are unknown.
-	coveredTurns = 3
+	coveredCycles = 3
 	// The time that a report covers is divided into slotCount slots, besides the current one.
 	slotCount = 8
 	// driftDivisor limits how fast two clocks drift apart: by less than one part in eight, as each is fast or slow by at most one part
@@ -67,7 +67,7 @@
 	Waiting = iota
 	Running
 	Attempted
-	figureCount
+	metricCount
 )
 
 // Host sends a core's messages and lists its peers.
@@ -105,12 +105,12 @@
 type counter struct {
 	key     Key
 	hash    uint32
-	current [figureCount]int64
+	current [metricCount]int64
 	bounds  [slotCount + 1]bounds // by slot
 }
 
 // bounds holds the minimum and maximum of each metric within a slot.
-type bounds struct{ low, high [figureCount]int64 }
+type bounds struct{ low, high [metricCount]int64 }
 
 // slots is a ring buffer of the time slots for which the bounds of own counts are stored.
 type slots struct {
@@ -135,7 +135,7 @@
 }
 
 // reportedWindow returns how much time a report covers, given the number of peers.
-func reportedWindow(others int) Time { return coveredTurns * roundInterval * Time(1+others/fanOut) }
+func reportedWindow(others int) Time { return coveredCycles * roundInterval * Time(1+others/fanOut) }
 
 func (c *Core) counterOf(k Key) *counter {
 	i, known := c.byKey[k]
@@ -150,7 +150,7 @@
 // Change is a change of a key's metrics.
 type Change struct {
 	Key
-	Delta [figureCount]int64
+	Delta [metricCount]int64
 }
 
 // ApplyChanges applies changes that happen at the same time.
@@ -161,15 +161,15 @@
 	for i := range changes {
 		own := c.counterOf(changes[i].Key)
 		b := &own.bounds[c.slots.current]
-		for figure, delta := range changes[i].Delta {
-			own.current[figure] += delta
-			b.low[figure], b.high[figure] = min(b.low[figure], own.current[figure]), max(b.high[figure], own.current[figure])
+		for metric, delta := range changes[i].Delta {
+			own.current[metric] += delta
+			b.low[metric], b.high[metric] = min(b.low[metric], own.current[metric]), max(b.high[metric], own.current[metric])
 		}
 	}
 }
 
 // OwnCounts returns this process's own counts of a key.
-func (c *Core) OwnCounts(k Key) [figureCount]int64 {
+func (c *Core) OwnCounts(k Key) [metricCount]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counterOf(k).current
@@ -205,17 +205,17 @@
 }
 
 // ownRanges returns a key's bounds between two times. They cover whole slots, so they may be wider than the counts between the two times.
-func (c *Core) ownRanges(own *counter, from, to Time) (ranges [figureCount]Range) {
+func (c *Core) ownRanges(own *counter, from, to Time) (ranges [metricCount]Range) {
 	first := true
 	for n := range c.slots.filled {
 		i := c.slots.before(n)
 		if c.slots.start[i] <= to {
 			b := &own.bounds[i]
-			for figure := range ranges {
+			for metric := range ranges {
 				if first {
-					ranges[figure] = Range{b.low[figure], b.high[figure]}
+					ranges[metric] = Range{b.low[metric], b.high[metric]}
 				}
-				ranges[figure] = Range{min(ranges[figure].Low, b.low[figure]), max(ranges[figure].High, b.high[figure])}
+				ranges[metric] = Range{min(ranges[metric].Low, b.low[metric]), max(ranges[metric].High, b.high[metric])}
 			}
 			first = false
 		}
--- a/internal/cluster/counters/core_test.go
+++ b/internal/cluster/counters/core_test.go
@@ -18,15 +18,15 @@
 func (p *recordingHost) Send(to string, m []byte) { p.sent[to] = m }
 func (p *recordingHost) Peers() []string          { return []string{"g0", "g1", "g2"} }
 
-// testFleet is a cluster of processes, and a text of the readings of the first one.
-type testFleet struct {
-	hosts []*recordingHost
-	cores []*Core
-	out   strings.Builder
+// testCluster is a cluster of processes, and a text of the readings of the first one.
+type testCluster struct {
+	hosts    []*recordingHost
+	cores    []*Core
+	readings strings.Builder
 }
 
-func newTestFleet(n int) *testFleet {
-	f := &testFleet{}
+func newTestCluster(n int) *testCluster {
+	f := &testCluster{}
 	for i := range n {
 		f.hosts = append(f.hosts, &recordingHost{map[string][]byte{}})
 		f.cores = append(f.cores, newTestCore(0, i, n, f.hosts[i]))
@@ -34,14 +34,14 @@
 	return f
 }
 
-func (f *testFleet) advance(now Time) {
+func (f *testCluster) advance(now Time) {
 	for _, c := range f.cores {
 		c.ApplyChanges(now)
 	}
 }
 
-// playRound delivers the messages of all processes to all others, except for those to and from the processes that are cut off.
-func (f *testFleet) playRound(now Time, cut ...int) {
+// deliverRound delivers the messages of all processes to all others, except for those to and from the processes that are cut off.
+func (f *testCluster) deliverRound(now Time, cut ...int) {
 	for i, c := range f.cores {
 		c.Tick(now)
 		for to, m := range f.hosts[i].sent {
@@ -56,11 +56,11 @@
 	}
 }
 
-func (f *testFleet) writeReading(now Time, what string, keys ...Key) {
+func (f *testCluster) writeReading(now Time, what string, keys ...Key) {
 	r := f.cores[0].TakeReading(now, append([]Key{{}}, keys...)...)
-	fmt.Fprintf(&f.out, "%s: %.1f s old, %d heard, %d silent\n", what, float64(r.Age)/float64(second), r.Known, r.Unknown)
+	fmt.Fprintf(&f.readings, "%s: %.1f s old, %d heard, %d silent\n", what, float64(r.Age)/float64(second), r.Known, r.Unknown)
 	for _, c := range r.Counts {
-		fmt.Fprintf(&f.out, "  %s waits %v runs %v handed %v\n", strings.TrimSpace(c.Kind.String()+" "+c.Name), c.Ranges[Waiting], c.Ranges[Running], c.Ranges[Attempted])
+		fmt.Fprintf(&f.readings, "  %s waits %v runs %v handed %v\n", strings.TrimSpace(c.Kind.String()+" "+c.Name), c.Ranges[Waiting], c.Ranges[Running], c.Ranges[Attempted])
 	}
 }
 
@@ -91,8 +91,8 @@
 // Guards against intervals that do not contain the true counts when processes are cut off, stop or restart. A member that is cut off widens
 // the interval. A member that has left has no requests. A restarted member counts as two processes until the requests of the
 // earlier process have certainly ended.
-func TestReadingsHoldTheTruth(t *testing.T) {
-	f := newTestFleet(3)
+func TestReadingsContainTrueCounts(t *testing.T) {
+	f := newTestCluster(3)
 	engine := Key{KindEngine, "e-1"}
 	at := Time(0)
 	rounds := func(n int, cut ...int) {
@@ -101,7 +101,7 @@
 				at += roundInterval / 10
 				f.advance(at)
 			}
-			f.playRound(at, cut...)
+			f.deliverRound(at, cut...)
 		}
 	}
 	f.writeReading(at, "nobody heard of")
@@ -137,18 +137,18 @@
 		receive(t, f.cores[0], at, "g2", 2, f.hosts[2].sent["g0"])
 	}
 	f.writeReading(at, "five seconds later")
-	if got := f.out.String(); got != expectedReadings {
+	if got := f.readings.String(); got != expectedReadings {
 		t.Errorf("readings differ, got\n%s", got)
 	}
 }
 
 // Messages that are delivered again, late or in another order change nothing.
-func TestMessagesCountAlikeInAnyOrder(t *testing.T) {
-	f := newTestFleet(3)
+func TestMessageOrderAndDuplicatesDoNotMatter(t *testing.T) {
+	f := newTestCluster(3)
 	var messages [][]byte
 	for at := roundInterval; at < 20*roundInterval; at += roundInterval {
 		f.cores[1].ApplyChanges(at, Change{Delta: [3]int64{1, 0, 0}})
-		f.playRound(at, 2)
+		f.deliverRound(at, 2)
 		messages = append(messages, f.hosts[1].sent["g0"])
 	}
 	at := 20 * roundInterval
@@ -168,40 +168,40 @@
 // twentieth fast, the receiver's a twentieth slow, and from 10 s to 21 s messages arrive in one direction only. The sender's waiting
 // requests must not be read for a time after they ended.
 func TestOldClockEchoesDoNotDateCountsTooLate(t *testing.T) {
-	post := func() *recordingHost { return &recordingHost{map[string][]byte{}} }
-	mine, theirs := post(), post()
-	receiver, sender := newTestCore(0, 0, 2, mine), newTestCore(0, 1, 2, theirs)
+	newHost := func() *recordingHost { return &recordingHost{map[string][]byte{}} }
+	receiverHost, senderHost := newHost(), newHost()
+	receiver, sender := newTestCore(0, 0, 2, receiverHost), newTestCore(0, 1, 2, senderHost)
 	fast := func(t Time) Time { return t + t/20 }
 	slow := func(t Time) Time { return t - t/20 }
 	sender.ApplyChanges(0, Change{Delta: [3]int64{9}})
-	gone := 20 * second
-	for t0 := Time(0); t0 < 21*second; t0 += second / 20 {
-		sender.Tick(fast(t0))
-		receiver.Tick(slow(t0))
-		if m := theirs.sent["g0"]; m != nil {
-			receive(t, receiver, slow(t0), "g1", 1, m)
+	endedAt := 20 * second
+	for trueTime := Time(0); trueTime < 21*second; trueTime += second / 20 {
+		sender.Tick(fast(trueTime))
+		receiver.Tick(slow(trueTime))
+		if m := senderHost.sent["g0"]; m != nil {
+			receive(t, receiver, slow(trueTime), "g1", 1, m)
 		}
-		if m := mine.sent["g1"]; m != nil && t0 < 10*second {
-			receive(t, sender, fast(t0), "g0", 1, m)
+		if m := receiverHost.sent["g1"]; m != nil && trueTime < 10*second {
+			receive(t, sender, fast(trueTime), "g0", 1, m)
 		}
-		if t0 == gone {
-			sender.ApplyChanges(fast(t0), Change{Delta: [3]int64{-9}})
+		if trueTime == endedAt {
+			sender.ApplyChanges(fast(trueTime), Change{Delta: [3]int64{-9}})
 		}
-		r := receiver.TakeReading(slow(t0), Key{})
-		if at := t0 - r.Age*20/19; at > gone+second/50 && r.Counts[0].Ranges[Waiting].Low > 0 {
-			t.Fatalf("the reading for %.2f s has %v waiting requests, but they ended at %.2f s", float64(at)/float64(second), r.Counts[0].Ranges[Waiting], float64(gone)/float64(second))
+		r := receiver.TakeReading(slow(trueTime), Key{})
+		if at := trueTime - r.Age*20/19; at > endedAt+second/50 && r.Counts[0].Ranges[Waiting].Low > 0 {
+			t.Fatalf("the reading for %.2f s has %v waiting requests, but they ended at %.2f s", float64(at)/float64(second), r.Counts[0].Ranges[Waiting], float64(endedAt)/float64(second))
 		}
 	}
 }
 
 // Counts that do not fit into a message are read as unknown, not as 0.
 func TestCountersThatDoNotFitAreUnknown(t *testing.T) {
-	f := newTestFleet(3)
+	f := newTestCluster(3)
 	for i := range 300 {
 		f.cores[1].ApplyChanges(0, Change{Key: Key{KindEngine, fmt.Sprint("e-", i)}, Delta: [3]int64{0, 1, 1}})
 	}
-	f.playRound(roundInterval)
-	f.playRound(2 * roundInterval)
+	f.deliverRound(roundInterval)
+	f.deliverRound(2 * roundInterval)
 	if n := len(f.hosts[1].sent["g0"]); n > MaxMessageBytes {
 		t.Errorf("the message is too long: %d bytes", n)
 	}
--- a/internal/cluster/counters/format_test.go
+++ b/internal/cluster/counters/format_test.go
@@ -16,13 +16,13 @@
 
 // The earlier version produced the file by exactly these steps.
 func TestMessageIsWrittenAsByEarlierVersion(t *testing.T) {
-	f := newTestFleet(2)
+	f := newTestCluster(2)
 	at := Time(0)
 	a, b := f.cores[0], f.cores[1]
 	for k := range int64(40) {
 		at += roundInterval / 2
-		a.ApplyChanges(at, Change{Key{KindClass, "dashboards"}, [figureCount]int64{k%5 + 1}}, Change{Key{KindPolicyClass, "reports"}, [figureCount]int64{0, 3}},
-			Change{Key{KindEngine, "engine-7"}, [figureCount]int64{Attempted: k}}, Change{Key{}, [figureCount]int64{2, k % 3, 1}})
+		a.ApplyChanges(at, Change{Key{KindClass, "dashboards"}, [metricCount]int64{k%5 + 1}}, Change{Key{KindPolicyClass, "reports"}, [metricCount]int64{0, 3}},
+			Change{Key{KindEngine, "engine-7"}, [metricCount]int64{Attempted: k}}, Change{Key{}, [metricCount]int64{2, k % 3, 1}})
 		b.ApplyChanges(at + 7)
 		a.Tick(at)
 		b.Tick(at + 7)
--- a/internal/cluster/counters/message.go
+++ b/internal/cluster/counters/message.go
@@ -9,16 +9,16 @@
 const MaxMessageBytes = 1000
 
 const (
-	version        = 1
-	headBytes      = 2 // version, and whether all counts fitted
-	hashBytes      = 4
-	maxNumber      = 1 << 50
-	incomplete     = 0
-	allCountsAreIn = 1
+	version          = 1
+	headBytes        = 2 // version, and whether all counts fitted
+	hashBytes        = 4
+	maxNumber        = 1 << 50
+	countsIncomplete = 0
+	countsComplete   = 1
 )
 
-// ErrMessage is returned for bytes that are not a valid message of this version.
-var ErrMessage = errors.New("counters: not a valid message of this version")
+// ErrInvalidMessage is returned for bytes that are not a valid message of this version.
+var ErrInvalidMessage = errors.New("counters: not a valid message of this version")
 
 // report is a process's report of its own counts over a time window.
 type report struct {
@@ -32,7 +32,7 @@
 // reportedCount holds the bounds of one key's metrics.
 type reportedCount struct {
 	hash   uint32 // hash of the key
-	ranges [figureCount]Range
+	ranges [metricCount]Range
 }
 
 // message is a decoded message. The echo refers to the last message that the sender received from this process.
@@ -45,7 +45,7 @@
 // encodeMessage encodes a report of the own bounds to a peer. It also echoes the peer's last message, from which the peer learns how the
 // two clocks differ.
 func (c *Core) encodeMessage(to string) []byte {
-	b := []byte{version, allCountsAreIn}
+	b := []byte{version, countsComplete}
 	oldest := c.slots.oldest()
 	var echoedClock, echoReceivedAt Time
 	if p := c.peerOf(to); p != nil {
@@ -57,7 +57,7 @@
 	for i := range c.counters {
 		own := &c.counters[i]
 		ranges := c.ownRanges(own, oldest, c.now)
-		if ranges == [figureCount]Range{} {
+		if ranges == [metricCount]Range{} {
 			continue
 		}
 		before := len(b)
@@ -67,28 +67,28 @@
 		}
 		if len(b) > MaxMessageBytes {
 			b = b[:before]
-			b[1] = incomplete
+			b[1] = countsIncomplete
 			break
 		}
 	}
 	return b
 }
 
-// decode decodes a message. If any part is invalid, it returns an empty message and ErrMessage.
+// decode decodes a message. If any part is invalid, it returns an empty message and ErrInvalidMessage.
 func decode(b []byte) (message, error) {
-	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version || b[1] > allCountsAreIn {
-		return message{}, ErrMessage
+	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version || b[1] > countsComplete {
+		return message{}, ErrInvalidMessage
 	}
 	r := reader{b: b[headBytes:]}
 	var m message
-	m.complete = b[1] == allCountsAreIn
+	m.complete = b[1] == countsComplete
 	m.until, m.length, m.maxInFlight = Time(r.number()), Time(r.number()), r.number()
 	m.echoedClock, m.echoReceivedAt = Time(r.number()), Time(r.number())
 	for len(r.b) > 0 && !r.failed {
 		m.counts = append(m.counts, r.count())
 	}
 	if r.failed {
-		return message{}, ErrMessage
+		return message{}, ErrInvalidMessage
 	}
 	return m, nil
 }
@@ -119,9 +119,9 @@
 	}
 	c.hash = binary.BigEndian.Uint32(r.b)
 	r.b = r.b[hashBytes:]
-	for figure := range c.ranges {
+	for metric := range c.ranges {
 		low := r.number()
-		c.ranges[figure] = Range{low, low + r.number()}
+		c.ranges[metric] = Range{low, low + r.number()}
 	}
 	return c
 }
--- a/internal/cluster/counters/peer.go
+++ b/internal/cluster/counters/peer.go
@@ -25,32 +25,36 @@
 
 // clockOffset holds the known limits of the difference between this process's clock and a peer's clock, and the times at which they held.
 type clockOffset struct {
-	most, mostAt   Time
-	least, leastAt Time
-	leastKnown     bool
+	maxOffset, maxOffsetTime Time
+	minOffset, minOffsetTime Time
+	minOffsetKnown           bool
 }
 
-// mostFor returns the maximum offset at a time. It allows for drift since the time at which the limit held.
-func (o *clockOffset) mostFor(t Time) Time { return o.most + abs(t-o.mostAt)/driftDivisor + 1 }
+// maxAt returns the maximum offset at a time. It allows for drift since the time at which the limit held.
+func (o *clockOffset) maxAt(t Time) Time {
+	return o.maxOffset + abs(t-o.maxOffsetTime)/driftDivisor + 1
+}
 
-// leastFor returns the minimum offset at a time. It allows for drift since the time at which the limit held.
-func (o *clockOffset) leastFor(t Time) Time { return o.least - abs(t-o.leastAt)/driftDivisor - 1 }
+// minAt returns the minimum offset at a time. It allows for drift since the time at which the limit held.
+func (o *clockOffset) minAt(t Time) Time {
+	return o.minOffset - abs(t-o.minOffsetTime)/driftDivisor - 1
+}
 
 func abs(t Time) Time { return max(t, -t) }
 
 // update updates the limits from the clocks in a message: the peer's clock when it sent the message, and the echo of an earlier message of
 // this process. The limit from the echo held when that earlier message was sent, which may be long ago.
 func (o *clockOffset) update(now Time, m *message, isFirst bool) {
-	most := now - m.until
-	if isFirst || most <= o.most+(now-o.mostAt)/driftDivisor {
-		o.most, o.mostAt = most, now
+	maxOffset := now - m.until
+	if isFirst || maxOffset <= o.maxOffset+(now-o.maxOffsetTime)/driftDivisor {
+		o.maxOffset, o.maxOffsetTime = maxOffset, now
 	}
 	if m.echoedClock <= 0 {
 		return
 	}
-	least := m.echoedClock - m.echoReceivedAt
-	if !o.leastKnown || least-(now-m.echoedClock)/driftDivisor >= o.least-(now-o.leastAt)/driftDivisor {
-		o.least, o.leastAt, o.leastKnown = least, m.echoedClock, true
+	minOffset := m.echoedClock - m.echoReceivedAt
+	if !o.minOffsetKnown || minOffset-(now-m.echoedClock)/driftDivisor >= o.minOffset-(now-o.minOffsetTime)/driftDivisor {
+		o.minOffset, o.minOffsetTime, o.minOffsetKnown = minOffset, m.echoedClock, true
 	}
 }
 
@@ -67,7 +71,7 @@
 }
 
 // HandleMessage processes a message from another process. A message older than the last one changes nothing. For an invalid message,
-// it returns ErrMessage and changes nothing.
+// it returns ErrInvalidMessage and changes nothing.
 func (c *Core) HandleMessage(now Time, from string, incarnation uint64, b []byte) error {
 	m, err := decode(b)
 	if err != nil {
--- a/internal/cluster/counters/reading.go
+++ b/internal/cluster/counters/reading.go
@@ -15,12 +15,12 @@
 // KeyCounts holds the intervals of a key's counts over the whole cluster.
 type KeyCounts struct {
 	Key
-	Ranges [figureCount]Range // by metric
+	Ranges [metricCount]Range // by metric
 }
 
-func (k *KeyCounts) add(ranges [figureCount]Range) {
-	for figure := range k.Ranges {
-		k.Ranges[figure].add(ranges[figure])
+func (k *KeyCounts) add(ranges [metricCount]Range) {
+	for metric := range k.Ranges {
+		k.Ranges[metric].add(ranges[metric])
 	}
 }
 
@@ -38,8 +38,8 @@
 	defer c.mu.Unlock()
 	c.advance(now)
 	t := c.commonInstant()
-	silent := max(0, c.options.MaxProcesses-1-len(c.peers)) // number of processes that no report was received from
-	out := Reading{Age: c.now - t, Known: 1, Unknown: len(c.ended) + silent}
+	neverReported := max(0, c.options.MaxProcesses-1-len(c.peers)) // number of processes that no report was received from
+	out := Reading{Age: c.now - t, Known: 1, Unknown: len(c.ended) + neverReported}
 	covered := make([]bool, len(c.peers))
 	for i := range c.peers {
 		covered[i] = c.peers[i].stopped || c.peers[i].covers(t)
@@ -58,7 +58,7 @@
 		for i := range c.ended {
 			counts.add(unknownRanges(c.ended[i].maxInFlight, 0))
 		}
-		for range silent {
+		for range neverReported {
 			counts.add(unknownRanges(c.options.MaxInFlight, 0)) // all processes run the same program with the same settings
 		}
 		out.Counts = append(out.Counts, counts)
@@ -72,7 +72,7 @@
 	t := c.now
 	for i := range c.peers {
 		p := &c.peers[i]
-		if p.offset.leastKnown && !p.stopped && c.now-p.receivedAt < recent {
+		if p.offset.minOffsetKnown && !p.stopped && c.now-p.receivedAt < recent {
 			t = min(t, p.latestCovered(c.now))
 		}
 	}
@@ -82,8 +82,8 @@
 // latestCovered returns the last instant that a peer's report certainly covers. The minimum clock offset must be known.
 func (p *peer) latestCovered(now Time) Time {
 	const rounding = 2
-	t := p.report.until + p.offset.least
-	return t - (max(0, now-p.offset.leastAt)+max(0, now-t))/driftDivisor - rounding
+	t := p.report.until + p.offset.minOffset
+	return t - (max(0, now-p.offset.minOffsetTime)+max(0, now-t))/driftDivisor - rounding
 }
 
 // covers reports whether a peer's report certainly covers an instant.
@@ -91,23 +91,23 @@
 	if trustOldCounts {
 		return true
 	}
-	return p.offset.leastKnown && p.beginsBy(t) && t-p.offset.leastFor(t) <= p.report.until
+	return p.offset.minOffsetKnown && p.windowBeginsBy(t) && t-p.offset.minAt(t) <= p.report.until
 }
 
-// beginsBy reports whether the window of a peer's report certainly begins at or before an instant.
-func (p *peer) beginsBy(t Time) bool {
-	return t-p.offset.mostFor(t) >= p.report.until-p.report.length
+// windowBeginsBy reports whether the window of a peer's report certainly begins at or before an instant.
+func (p *peer) windowBeginsBy(t Time) bool {
+	return t-p.offset.maxAt(t) >= p.report.until-p.report.length
 }
 
 // rangesAt returns a key's bounds at an instant. They are the reported bounds if the report covers the instant, and otherwise the widest
 // bounds that are possible.
-func (p *peer) rangesAt(t Time, hash uint32, covered bool) [figureCount]Range {
+func (p *peer) rangesAt(t Time, hash uint32, covered bool) [metricCount]Range {
 	reported := p.report.rangesOf(hash)
 	if covered {
 		return reported
 	}
 	attempted := int64(0)
-	if p.beginsBy(t) { // the number of attempts never decreases
+	if p.windowBeginsBy(t) { // the number of attempts never decreases
 		attempted = reported[Attempted].Low
 	}
 	return unknownRanges(p.report.maxInFlight, attempted)
@@ -115,7 +115,7 @@
 
 // rangesOf returns the reported bounds of a key. For a key that was not reported, they are 0 if the report is complete, and unknown
 // otherwise.
-func (r *report) rangesOf(hash uint32) [figureCount]Range {
+func (r *report) rangesOf(hash uint32) [metricCount]Range {
 	for i := range r.counts {
 		if r.counts[i].hash == hash {
 			return r.counts[i].ranges
@@ -124,13 +124,13 @@
 	if !r.complete {
 		return unknownRanges(r.maxInFlight, 0)
 	}
-	return [figureCount]Range{}
+	return [metricCount]Range{}
 }
 
 // unknownRanges returns the widest possible bounds of a process's counts. A maxInFlight of 0 means that there is no limit.
-func unknownRanges(maxInFlight, attempted int64) [figureCount]Range {
+func unknownRanges(maxInFlight, attempted int64) [metricCount]Range {
 	if maxInFlight == 0 {
 		maxInFlight = -1
 	}
-	return [figureCount]Range{{0, maxInFlight}, {0, maxInFlight}, {attempted, -1}}
+	return [metricCount]Range{{0, maxInFlight}, {0, maxInFlight}, {attempted, -1}}
 }
--- a/internal/cluster/healthreport/engine.go
+++ b/internal/cluster/healthreport/engine.go
@@ -13,13 +13,13 @@
 	listed bool
 	own    observations
 
-	sent         observations // own observations when they were last sent
-	waitingSince Time         // time from which there is something to send; never: there is nothing
-	contradicts  bool         // this gateway had an answer that contradicts the failures that peers reported
-	repeat       bool         // news must be sent a second time, because the first message may be lost
+	sent             observations // own observations when they were last sent
+	waitingSince     Time         // time from which there is something to send; never: there is nothing
+	contradictsPeers bool         // this gateway had an answer that contradicts the failures that peers reported
+	repeatNews       bool         // news must be sent a second time, because the first message may be lost
 
-	found     Finding // finding from all observations
-	published Finding // finding last passed to the caller; its score is 0 if too many engines would be ejected
+	currentFinding   Finding // finding from all observations
+	publishedFinding Finding // finding last passed to the caller; its score is 0 if too many engines would be ejected
 }
 
 // UpdateEngines applies an update of the endpoint list. A full update removes the engines that it does not name. Observations of an engine
@@ -84,12 +84,12 @@
 func (b *Table) resetEngine(index int) {
 	e := &b.engines[index]
 	nothing := Finding{Engine: e.Engine, EngineStartedAt: e.StartedAt, Report: admission.NoReport, ReportAt: never}
-	*e = engine{Endpoint: e.Endpoint, hash: e.hash, listed: e.listed, own: noObservations, sent: noObservations, waitingSince: never, found: nothing, published: nothing}
-	b.forgetObservations(index)
+	*e = engine{Endpoint: e.Endpoint, hash: e.hash, listed: e.listed, own: noObservations, sent: noObservations, waitingSince: never, currentFinding: nothing, publishedFinding: nothing}
+	b.removePeerObservations(index)
 }
 
-// forgetObservations removes all observations of an engine that peers reported.
-func (b *Table) forgetObservations(index int) {
+// removePeerObservations removes all observations of an engine that peers reported.
+func (b *Table) removePeerObservations(index int) {
 	for k := range b.peers {
 		b.peers[k].observations[index] = noObservations
 	}
--- a/internal/cluster/healthreport/finding.go
+++ b/internal/cluster/healthreport/finding.go
@@ -9,19 +9,19 @@
 		return
 	}
 	for _, i := range b.changed {
-		b.engines[i].found = b.findingOf(now, i)
+		b.engines[i].currentFinding = b.findingOf(now, i)
 	}
 	b.changed = b.changed[:0]
 	for _, falling := range []bool{true, false} {
 		for i := range b.engines {
 			e := &b.engines[i]
-			found := e.found
-			if found.FailureScore > 0 && (now >= found.ScoreUntil || !b.mayEject(now, i)) {
+			found := e.currentFinding
+			if found.FailureScore > 0 && (now >= found.ScoreUntil || !b.withinEjectionLimit(now, i)) {
 				found.FailureScore, found.ScoreUntil = 0, 0
 			}
-			if e.listed && found != e.published && (found.FailureScore < e.published.FailureScore) == falling {
-				e.published = found
-				visit(&e.published)
+			if e.listed && found != e.publishedFinding && (found.FailureScore < e.publishedFinding.FailureScore) == falling {
+				e.publishedFinding = found
+				visit(&e.publishedFinding)
 			}
 		}
 	}
@@ -69,20 +69,20 @@
 	return max(1, n)
 }
 
-// mayEject reports whether an engine is one of those with the highest scores that peers' reports may eject. They may eject at most
+// withinEjectionLimit reports whether an engine is one of those with the highest scores that peers' reports may eject. They may eject at most
 // maxEjectedShare of the listed engines, but at least one.
-func (b *Table) mayEject(now Time, index int) bool {
-	listed, before, own := 0, 0, b.engines[index].found.FailureScore
+func (b *Table) withinEjectionLimit(now Time, index int) bool {
+	listed, higherRanked, ownScore := 0, 0, b.engines[index].currentFinding.FailureScore
 	for i := range b.engines {
 		e := &b.engines[i]
 		if !e.listed {
 			continue
 		}
 		listed++
-		score := e.found.FailureScore
-		if i != index && now < e.found.ScoreUntil && (score > own || score == own && i < index) {
-			before++
+		score := e.currentFinding.FailureScore
+		if i != index && now < e.currentFinding.ScoreUntil && (score > ownScore || score == ownScore && i < index) {
+			higherRanked++
 		}
 	}
-	return before < max(1, int(b.maxEjectedShare*float64(listed)))
+	return higherRanked < max(1, int(b.maxEjectedShare*float64(listed)))
 }
--- a/internal/cluster/healthreport/format_test.go
+++ b/internal/cluster/healthreport/format_test.go
@@ -25,7 +25,7 @@
 	for len(r.b) > 0 {
 		e, ok := r.next()
 		if !ok {
-			return decodedReport{}, ErrMessage
+			return decodedReport{}, ErrInvalidMessage
 		}
 		report.entries = append(report.entries, e)
 	}
--- a/internal/cluster/healthreport/hard_cases_test.go
+++ b/internal/cluster/healthreport/hard_cases_test.go
@@ -33,18 +33,18 @@
 
 func TestFindingsInHardCases(t *testing.T) {
 	t.Run("own answer counts against what others saw before it", testOwnAnswerOutweighsEarlierFailures)
-	t.Run("a restart ends evidence, and what is under way about the start before it", testRestartEndsObservations)
-	t.Run("a peer whose list has a later start ends what was received of the one before", testPeerWithLaterStartEndsObservations)
+	t.Run("a restart ends evidence, and what is under way about the start before it", testRestartRemovesObservations)
+	t.Run("a peer whose list has a later start ends what was received of the one before", testPeerWithLaterStartRemovesObservations)
 	t.Run("how a request failed is sent", testKindOfFailureIsSent)
 	t.Run("a message a minute late counts by its age", testLateMessageCountsByItsAge)
-	t.Run("a first message of a process is not believed, as it may be old", testFirstMessageIsNotTaken)
+	t.Run("a first message of a process is not believed, as it may be old", testFirstMessageIsIgnored)
 	t.Run("a later process under the name takes the place of the one before", testLaterIncarnationReplacesEarlier)
 	t.Run("a fresh failure bears out those before it, but not for ever", testFreshFailureConfirmsEarlier)
-	t.Run("peers' reports eject a part of the engines at most", testPartOfFleetIsEjected)
+	t.Run("peers' reports eject a part of the engines at most", testEjectedShareIsLimited)
 	t.Run("after this process stood still what comes first is what is oldest", testFirstMessageAfterStallIsOldest)
 	t.Run("clocks a twentieth fast and slow", testClocksMayDrift)
-	t.Run("what is received is never sent on", testReceivedIsNotSentOn)
-	t.Run("no message beyond what is paid for", testBudgetBoundsMessages)
+	t.Run("what is received is never sent on", testReceivedObservationsAreNotForwarded)
+	t.Run("no message beyond what is paid for", testBudgetLimitsMessages)
 }
 
 func testOwnAnswerOutweighsEarlierFailures(t *testing.T) {
@@ -59,10 +59,10 @@
 	checkScore(t, h, now+1, 0)
 }
 
-func testRestartEndsObservations(t *testing.T) {
+func testRestartRemovesObservations(t *testing.T) {
 	const now = testTime
 	h, peers := newTestPeers(t)
-	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, ampleBytes)
+	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, sufficientBudget)
 	old := peers[0].NextMessage(now)
 	h.mustHandleMessage(now, peers[0].Source, old)
 	for _, since := range []Time{now + 100*millisecond, now + 600*millisecond} { // two restarts within a second
@@ -73,7 +73,7 @@
 	}
 }
 
-func testPeerWithLaterStartEndsObservations(t *testing.T) {
+func testPeerWithLaterStartRemovesObservations(t *testing.T) {
 	const now = testTime
 	h, peers := newTestPeers(t)
 	for _, p := range peers[:2] {
@@ -107,7 +107,7 @@
 func testLateMessageCountsByItsAge(t *testing.T) {
 	const now = testTime
 	h, peers := newTestPeers(t)
-	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, ampleBytes)
+	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, sufficientBudget)
 	old := peers[0].NextMessage(now)
 	for at := now; at < now+60*second; at += second {
 		h.mustHandleMessage(at, peers[0].Source, newWriter(at).bytes())
@@ -116,7 +116,7 @@
 	checkScore(t, h, now+60*second, 0)
 }
 
-func testFirstMessageIsNotTaken(t *testing.T) {
+func testFirstMessageIsIgnored(t *testing.T) {
 	const now = testTime
 	h, _ := newTestPeers(t)
 	p := newTestGateway(12, "new")
@@ -156,33 +156,33 @@
 	}
 }
 
-func testPartOfFleetIsEjected(t *testing.T) {
+func testEjectedShareIsLimited(t *testing.T) {
 	const now = testTime
 	h, _ := newTestPeers(t)
-	out := 0
+	ejected := 0
 	for i := range 40 {
 		p := newTestGateway(12, fmt.Sprint("h", i))
 		p.sendEmptyMessages(now, h)
 		for _, e := range []int{i % 5, (i + 1) % 5} {
-			p.Observe(now+1, engineName(e), admission.Erred, admission.NoReport, ampleBytes)
+			p.Observe(now+1, engineName(e), admission.Erred, admission.NoReport, sufficientBudget)
 		}
 		p.sendMessages(now+1, h)
 		h.VisitChangedFindings(now+1, func(*Finding) {})
 	}
 	for e := range 12 {
-		if h.engines[e].published.FailureScore > 0 {
-			out++
+		if h.engines[e].publishedFinding.FailureScore > 0 {
+			ejected++
 		}
 	}
-	if out != 3 {
-		t.Errorf("%d engines of 12 are ejected by peers' reports, expected a quarter", out)
+	if ejected != 3 {
+		t.Errorf("%d engines of 12 are ejected by peers' reports, expected a quarter", ejected)
 	}
 }
 
 func testFirstMessageAfterStallIsOldest(t *testing.T) {
 	const now = testTime
 	h, peers := newTestPeers(t)
-	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, ampleBytes)
+	peers[0].Observe(now, engineName(1), admission.Erred, admission.NoReport, sufficientBudget)
 	old := peers[0].NextMessage(now + second)
 	h.mustHandleMessage(now+21*second, peers[0].Source, old)
 	checkScore(t, h, now+21*second, 0)
@@ -198,21 +198,21 @@
 			h.mustHandleMessage(when, p.Source, newWriter(at(when)).bytes())
 		}
 		when := now + 100*second
-		p.Observe(at(when), engineName(1), admission.Erred, admission.NoReport, ampleBytes)
+		p.Observe(at(when), engineName(1), admission.Erred, admission.NoReport, sufficientBudget)
 		h.mustHandleMessage(when, p.Source, p.NextMessage(at(when)))
 		checkScore(t, h, when+OutcomeLifetime/2, 1)
 		checkScore(t, h, when+OutcomeLifetime, 0)
 	}
 }
 
-func testReceivedIsNotSentOn(t *testing.T) {
+func testReceivedObservationsAreNotForwarded(t *testing.T) {
 	const now = testTime
 	h, peers := newTestPeers(t)
 	for _, p := range peers {
 		p.Observe(now, engineName(1), admission.Erred, admission.NoReport, 0)
 		p.sendMessages(now, h)
 	}
-	h.Observe(now, engineName(2), admission.Answered, admission.Report{InFlight: -1, Utilization: 0.3, Memory: -1, Disks: -1}, ampleBytes)
+	h.Observe(now, engineName(2), admission.Answered, admission.Report{InFlight: -1, Utilization: 0.3, Memory: -1, Disks: -1}, sufficientBudget)
 	m := h.NextMessage(now + second)
 	r, err := newReader(m)
 	if err != nil {
@@ -225,7 +225,7 @@
 	}
 }
 
-func testBudgetBoundsMessages(t *testing.T) {
+func testBudgetLimitsMessages(t *testing.T) {
 	const now = testTime
 	b := New(39, 0.25, 0)
 	b.UpdateEngines(admission.FullUpdate, newEndpoints(12))
--- a/internal/cluster/healthreport/message.go
+++ b/internal/cluster/healthreport/message.go
@@ -20,8 +20,8 @@
 	entryBytes     = 20 // space reserved for an entry, enough for one with all four load metrics; most entries are shorter
 )
 
-// ErrMessage is returned for bytes that are not a valid message of this version.
-var ErrMessage = errors.New("healthreport: not a valid message of this version")
+// ErrInvalidMessage is returned for bytes that are not a valid message of this version.
+var ErrInvalidMessage = errors.New("healthreport: not a valid message of this version")
 
 // The flags of an entry. The lower bits state which fields it has, and the bits from failureUnit on state the kind of the last failure.
 const (
@@ -39,8 +39,8 @@
 // startMask reduces an engine's start time to 24 bits, which distinguish any two start times within half an hour.
 const startMask = 1<<24 - 1
 
-// wireStart returns an engine's start time as it is encoded in messages.
-func wireStart(since Time) uint32 { return uint32(since) & startMask }
+// encodeStart returns an engine's start time as it is encoded in messages.
+func encodeStart(since Time) uint32 { return uint32(since) & startMask }
 
 // An age is sent as a number of steps in one byte. It is rounded up, so that no observation seems newer than it is.
 const (
@@ -57,7 +57,7 @@
 
 // Load metrics are sent in thousandths. The requests in flight are divided by ten before, so that larger numbers fit.
 const (
-	figureScale   = 1000
+	metricScale   = 1000
 	inFlightScale = 10
 )
 
@@ -76,7 +76,7 @@
 func (w *writer) add(now Time, hash uint32, since Time, o observations) bool {
 	entryAt := len(w.b)
 	b := binary.BigEndian.AppendUint32(w.b, hash)
-	start := wireStart(since)
+	start := encodeStart(since)
 	b = append(b, byte(start>>16), byte(start>>8), byte(start), 0)
 	flags := 0
 	if age, ok := encodeAge(now, o.answeredAt, outcomeStep); ok {
@@ -89,10 +89,10 @@
 	}
 	if age, ok := encodeAge(now, o.reportedAt, reportStep); ok {
 		b = append(b, age)
-		for i, figure := range []float64{o.report.InFlight / inFlightScale, o.report.Utilization, o.report.Memory, o.report.Disks} {
-			if figure >= 0 {
+		for i, metric := range []float64{o.report.InFlight / inFlightScale, o.report.Utilization, o.report.Memory, o.report.Disks} {
+			if metric >= 0 {
 				flags |= hasInFlight << i
-				b = binary.BigEndian.AppendUint16(b, uint16(min(math.MaxUint16, math.Round(figure*figureScale))))
+				b = binary.BigEndian.AppendUint16(b, uint16(min(math.MaxUint16, math.Round(metric*metricScale))))
 			}
 		}
 	}
@@ -139,13 +139,13 @@
 // newReader returns a reader for a message, after it has checked that the whole message is valid.
 func newReader(b []byte) (*reader, error) {
 	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version {
-		return nil, ErrMessage
+		return nil, ErrInvalidMessage
 	}
 	r := &reader{b: b[headBytes:], sent: binary.BigEndian.Uint32(b[1:])}
 	check := *r
 	for len(check.b) > 0 {
 		if _, ok := check.next(); !ok {
-			return nil, ErrMessage
+			return nil, ErrInvalidMessage
 		}
 	}
 	return r, nil
@@ -172,13 +172,13 @@
 	}
 	if flags&hasReport != 0 {
 		e.reportAge = f.age(reportStep)
-		for i, figure := range []*float64{&e.report.InFlight, &e.report.Utilization, &e.report.Memory, &e.report.Disks} {
+		for i, metric := range []*float64{&e.report.InFlight, &e.report.Utilization, &e.report.Memory, &e.report.Disks} {
 			if flags&(hasInFlight<<i) != 0 {
-				*figure = f.figure()
+				*metric = f.metric()
 			}
 		}
 		if flags&hasInFlight != 0 {
-			e.report.InFlight = math.Round(e.report.InFlight*(figureScale/inFlightScale)) / inFlightScale
+			e.report.InFlight = math.Round(e.report.InFlight*(metricScale/inFlightScale)) / inFlightScale
 		}
 	}
 	if f.failed {
@@ -204,7 +204,7 @@
 	return Time(steps) * step
 }
 
-func (f *fieldReader) figure() float64 {
+func (f *fieldReader) metric() float64 {
 	const size = 2
 	if f.failed || len(f.b) < size {
 		f.failed = true
@@ -212,5 +212,5 @@
 	}
 	v := binary.BigEndian.Uint16(f.b)
 	f.b = f.b[size:]
-	return float64(v) / figureScale
+	return float64(v) / metricScale
 }
--- a/internal/cluster/healthreport/receive.go
+++ b/internal/cluster/healthreport/receive.go
@@ -8,9 +8,9 @@
 const (
 	// maxPeers limits the memory use: 512 gateways and 80 engines take 2.6 MB.
 	maxPeers = 512
-	// trustedMessages is the number of a peer's first message whose observations are used. By then, a message that was delayed for long
+	// firstUsedMessage is the number of a peer's first message whose observations are used. By then, a message that was delayed for long
 	// can be distinguished from the others.
-	trustedMessages = 3
+	firstUsedMessage = 3
 	// delayDriftDivisor is the fraction of the elapsed time by which the minimum delay of a peer may have risen through clock drift, as
 	// each of the two clocks may be off by a twentieth.
 	delayDriftDivisor = 10
@@ -29,13 +29,13 @@
 // observations, are derived from it.
 func (b *Table) ObserveClock(now Time, from Source, sent uint32) {
 	if p := b.peerOf(now, from); p != nil {
-		p.delayOf(now, sent)
+		p.updateDelay(now, sent)
 		p.messages++
 	}
 }
 
 // HandleMessage processes a gateway's message. VisitChangedFindings then visits the findings that it changes. For an invalid message, it
-// returns ErrMessage and changes nothing.
+// returns ErrInvalidMessage and changes nothing.
 func (b *Table) HandleMessage(now Time, from Source, message []byte) error {
 	r, err := newReader(message)
 	if err != nil {
@@ -45,9 +45,9 @@
 	if p == nil {
 		return nil
 	}
-	delay := p.delayOf(now, r.sent)
+	delay := p.updateDelay(now, r.sent)
 	p.messages++
-	if p.messages < trustedMessages {
+	if p.messages < firstUsedMessage {
 		return nil
 	}
 	failures := false
@@ -56,8 +56,8 @@
 		if !ok {
 			break
 		}
-		taken := b.handleEntry(now, delay, p, &e)
-		failures = failures || taken && e.failureAge >= 0
+		stored := b.handleEntry(now, delay, p, &e)
+		failures = failures || stored && e.failureAge >= 0
 	}
 	if failures { // the peer's vote is divided again among all engines that it finds failing
 		for i := range b.engines {
@@ -77,9 +77,9 @@
 		return false
 	}
 	e := &b.engines[i]
-	if since := wireStart(e.StartedAt); since != received.start {
+	if since := encodeStart(e.StartedAt); since != received.start {
 		if received.start-since&startMask < startMask/2 { // the peer lists a later start, so the stored observations of peers are outdated
-			b.forgetObservations(i)
+			b.removePeerObservations(i)
 		}
 		return false
 	}
@@ -123,9 +123,9 @@
 	return slices.BinarySearchFunc(b.peers, name, func(p peer, name string) int { return cmp.Compare(p.Name, name) })
 }
 
-// delayOf returns how much longer a message of this peer was delayed than the peer's fastest message. The minimum delay rises only as far as
+// updateDelay returns how much longer a message of this peer was delayed than the peer's fastest message. The minimum delay rises only as far as
 // clock drift can explain, because after a stall of this process or of the network, the first message to arrive is the oldest.
-func (p *peer) delayOf(now Time, sent uint32) Time {
+func (p *peer) updateDelay(now Time, sent uint32) Time {
 	difference := Time(int32(uint32(now) - sent)) // both clocks are reduced to 32 bits; only changes of the difference matter
 	p.minDelay = min(difference, p.minDelay+max(0, now-p.receivedAt)/delayDriftDivisor)
 	if p.messages == 0 {
--- a/internal/cluster/healthreport/send.go
+++ b/internal/cluster/healthreport/send.go
@@ -20,7 +20,7 @@
 )
 
 // Observe records an observation made by this gateway, and adds byteBudget bytes to the budget for messages.
-func (b *Table) Observe(now Time, name admission.EngineID, saw admission.Observation, report admission.Report, byteBudget float64) {
+func (b *Table) Observe(now Time, name admission.EngineID, observed admission.Observation, report admission.Report, byteBudget float64) {
 	b.byteBudget = min(b.byteBudget+byteBudget, float64(budgetMessages*MaxMessageBytes*b.peerCount))
 	i, ok := b.byName[name]
 	if !ok {
@@ -28,16 +28,16 @@
 	}
 	e := &b.engines[i]
 	switch {
-	case saw == admission.Answered:
+	case observed == admission.Answered:
 		e.own.answeredAt = now
-	case saw.IsFailure():
-		e.own.failedAt, e.own.failure = now, saw
+	case observed.IsFailure():
+		e.own.failedAt, e.own.failure = now, observed
 	}
 	if report != admission.NoReport && report != e.own.report {
 		e.own.report, e.own.reportedAt = report, now
 	}
-	if e.published.Witnesses > 0 && saw != admission.Reported {
-		e.contradicts = e.published.Witnesses > 1 && saw == admission.Answered
+	if e.publishedFinding.Witnesses > 0 && observed != admission.Reported {
+		e.contradictsPeers = e.publishedFinding.Witnesses > 1 && observed == admission.Answered
 		b.markChanged(i) // an answer overrides earlier failures observed by peers, here and at the receivers; a failure confirms them
 	}
 	if e.waitingSince == never && (e.hasNews() || e.hasNewReport(now)) {
@@ -48,12 +48,12 @@
 // hasNews reports whether there is news to send: the first failure after an answer, an ongoing failure that must be repeated, or an answer
 // after a failure that this gateway or peers reported. Other answers are not sent, because they are too many.
 func (e *engine) hasNews() bool {
-	if e.contradicts {
+	if e.contradictsPeers {
 		return true
 	}
 	failing := e.own.failedAt > e.own.answeredAt
-	turned := failing && e.sent.failedAt <= e.own.answeredAt || e.own.answeredAt > e.own.failedAt && e.sent.failedAt > e.sent.answeredAt
-	return turned && e.own != e.sent || failing && e.own.failedAt-e.sent.failedAt >= failureRepeat
+	outcomeChanged := failing && e.sent.failedAt <= e.own.answeredAt || e.own.answeredAt > e.own.failedAt && e.sent.failedAt > e.sent.answeredAt
+	return outcomeChanged && e.own != e.sent || failing && e.own.failedAt-e.sent.failedAt >= failureRepeat
 }
 
 // hasNewReport reports whether the own load report was not sent yet, is recent, and is newer than any received one by reportSpacing.
@@ -61,7 +61,7 @@
 	if e.own.reportedAt == e.sent.reportedAt || now-e.own.reportedAt >= ReportLifetime {
 		return false
 	}
-	return e.own.reportedAt > e.published.ReportAt+reportSpacing
+	return e.own.reportedAt > e.publishedFinding.ReportAt+reportSpacing
 }
 
 // isWaiting reports whether there is something to send about an engine, and no other engine has its hash.
@@ -109,7 +109,7 @@
 	for i := range b.engines {
 		e := &b.engines[i]
 		if b.isWaiting(now, i) && e.hasNews() && b.writeEntry(now, w, e) {
-			e.repeat, e.waitingSince = true, now+batchDelay
+			e.repeatNews, e.waitingSince = true, now+batchDelay
 		}
 	}
 }
@@ -121,7 +121,7 @@
 		if !b.isWaiting(now, i) || e.hasNews() {
 			continue
 		}
-		if e.repeat || e.hasNewReport(now) {
+		if e.repeatNews || e.hasNewReport(now) {
 			b.writeEntry(now, w, e)
 		} else {
 			e.waitingSince = never
@@ -134,7 +134,7 @@
 	if float64(b.peerCount*(len(w.b)+entryBytes)) > b.byteBudget || !w.add(now, e.hash, e.StartedAt, b.observationsToSend(e)) {
 		return false
 	}
-	e.sent, e.waitingSince, e.contradicts, e.repeat = e.own, never, false, false
+	e.sent, e.waitingSince, e.contradictsPeers, e.repeatNews = e.own, never, false, false
 	return true
 }
 
--- a/internal/cluster/healthreport/status.go
+++ b/internal/cluster/healthreport/status.go
@@ -31,7 +31,7 @@
 
 func (b *Table) engineStatus(now Time, index int) EngineStatus {
 	e := &b.engines[index]
-	found := e.published
+	found := e.publishedFinding
 	if now >= found.ScoreUntil {
 		found.FailureScore, found.Witnesses = 0, 0
 	}
--- a/internal/cluster/healthreport/table_test.go
+++ b/internal/cluster/healthreport/table_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-var keep = flag.Bool("keep", false, "overwrite the stored traces with the current ones")
+var overwriteTraces = flag.Bool("keep", false, "overwrite the stored traces with the current ones")
 
 const (
 	millisecond = admission.Millisecond
@@ -46,7 +46,7 @@
 	return &testGateway{newTestTable(n), Source{who, 1}}
 }
 
-const ampleBytes = 1e6
+const sufficientBudget = 1e6
 
 // mustHandleMessage makes a table process a message that must be valid.
 func (b *Table) mustHandleMessage(now Time, from Source, message []byte) {
@@ -64,7 +64,7 @@
 
 // sendMessages delivers all messages that a gateway has to send.
 func (g *testGateway) sendMessages(now Time, to ...*Table) {
-	g.Observe(now, "", admission.Reported, admission.NoReport, ampleBytes)
+	g.Observe(now, "", admission.Reported, admission.NoReport, sufficientBudget)
 	for m := g.NextMessage(now); m != nil; m = g.NextMessage(now) {
 		for _, b := range to {
 			b.mustHandleMessage(now, g.Source, m)
@@ -72,7 +72,7 @@
 	}
 }
 
-func (b *Table) failureScore(now Time, i int) (against float64, witnesses int) {
+func (b *Table) failureScore(now Time, i int) (score float64, witnesses int) {
 	f := b.findingOf(now, b.byName[engineName(i)])
 	return f.FailureScore, f.Witnesses
 }
@@ -81,12 +81,12 @@
 func TestFindingsFollowObservations(t *testing.T) {
 	var out strings.Builder
 	now := 100 * second
-	hearer := newTestTable(12)
+	receiver := newTestTable(12)
 	var peers []*testGateway
 	for i := range 4 {
 		peers = append(peers, newTestGateway(12, fmt.Sprint("g", i)))
 	}
-	all := []*Table{hearer}
+	all := []*Table{receiver}
 	for _, p := range peers {
 		all = append(all, p.Table)
 	}
@@ -96,41 +96,41 @@
 		}
 	}
 	others := func(p int) []*Table { return append(slices.Clone(all[:p+1]), all[p+2:]...) }
-	line := func(what string) {
+	writeChanges := func(what string) {
 		for _, p := range peers {
 			p.VisitChangedFindings(now, func(*Finding) {})
 		}
-		hearer.VisitChangedFindings(now, func(f *Finding) {
+		receiver.VisitChangedFindings(now, func(f *Finding) {
 			fmt.Fprintf(&out, "%7.1f s  %-52s %s: against %.2f of %d, report %v\n", float64(now)/float64(second), what, f.Engine, f.FailureScore, f.Witnesses, f.Report.Utilization)
 		})
 	}
-	fail := func(p int, e int, what string) {
+	observeFailure := func(p int, e int, what string) {
 		now += 10 * millisecond
-		peers[p].Observe(now, engineName(e), admission.Erred, admission.NoReport, ampleBytes)
+		peers[p].Observe(now, engineName(e), admission.Erred, admission.NoReport, sufficientBudget)
 		peers[p].sendMessages(now, others(p)...)
-		line(what)
+		writeChanges(what)
 	}
-	fail(0, 3, "g0 fails at e3")
-	fail(0, 3, "again: still one witness")
-	fail(1, 3, "g1 too")
-	fail(2, 3, "g2 too")
+	observeFailure(0, 3, "g0 fails at e3")
+	observeFailure(0, 3, "again: still one witness")
+	observeFailure(1, 3, "g1 too")
+	observeFailure(2, 3, "g2 too")
 	now += second
-	peers[3].Observe(now, engineName(3), admission.Answered, admission.NoReport, ampleBytes)
-	fail(3, 4, "g3 has an answer from e3, and fails at e4")
+	peers[3].Observe(now, engineName(3), admission.Answered, admission.NoReport, sufficientBudget)
+	observeFailure(3, 4, "g3 has an answer from e3, and fails at e4")
 	now += 200 * millisecond
-	peers[1].Observe(now, engineName(3), admission.Reported, admission.Report{InFlight: 3, Utilization: 0.5, Memory: -1, Disks: -1}, ampleBytes)
+	peers[1].Observe(now, engineName(3), admission.Reported, admission.Report{InFlight: 3, Utilization: 0.5, Memory: -1, Disks: -1}, sufficientBudget)
 	now += 200 * millisecond
 	peers[1].sendMessages(now, others(1)...)
-	line("g1 tells a report of e3")
+	writeChanges("g1 tells a report of e3")
 	for e := range 12 {
 		now += 10 * millisecond
-		peers[0].Observe(now, engineName(e), admission.Erred, admission.NoReport, ampleBytes)
+		peers[0].Observe(now, engineName(e), admission.Erred, admission.NoReport, sufficientBudget)
 	}
 	peers[0].sendMessages(now, others(0)...)
-	line("g0 accuses all twelve: one voice over them")
+	writeChanges("g0 accuses all twelve: one voice over them")
 	now += OutcomeLifetime
-	hearer.changed = []int{3, 4}
-	line("ten seconds later")
+	receiver.changed = []int{3, 4}
+	writeChanges("ten seconds later")
 	checkTrace(t, out.String())
 }
 
@@ -138,17 +138,17 @@
 func checkTrace(t *testing.T, found string) {
 	t.Helper()
 	const file = "testdata/evidence.txt"
-	if *keep {
+	if *overwriteTraces {
 		if err := os.WriteFile(file, []byte(found), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	kept, err := os.ReadFile(file)
+	stored, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found != string(kept) {
-		t.Errorf("found:\n%s\nstored:\n%s", found, kept)
+	if found != string(stored) {
+		t.Errorf("found:\n%s\nstored:\n%s", found, stored)
 	}
 }
 
@@ -167,7 +167,7 @@
 			at := testTime + Time(k)*200*millisecond
 			for range 2 {
 				saw := admission.Observation(rapid.IntRange(0, 2).Draw(t, "saw"))
-				p.Observe(at, engineName(rapid.IntRange(0, 3).Draw(t, "engine")), saw, admission.Report{InFlight: float64(rapid.IntRange(0, 3).Draw(t, "in flight")), Utilization: 0.5, Memory: -1, Disks: -1}, ampleBytes)
+				p.Observe(at, engineName(rapid.IntRange(0, 3).Draw(t, "engine")), saw, admission.Report{InFlight: float64(rapid.IntRange(0, 3).Draw(t, "in flight")), Utilization: 0.5, Memory: -1, Disks: -1}, sufficientBudget)
 			}
 			if m := p.NextMessage(at + 150*millisecond); m != nil {
 				messages = append(messages, sentMessage{p.Source, m, at + 150*millisecond})
@@ -206,16 +206,16 @@
 	})
 }
 
-func TestMergeIsIdempotentAndOrderFree(t *testing.T) {
+func TestMergeIsIdempotentAndOrderIndependent(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) observations {
 		times := func(n string) Time {
 			return rapid.SampledFrom([]Time{never, 1, 2, 3}).Draw(t, n)
 		}
-		r := observations{times("good"), times("bad"), times("report"), admission.Observation(rapid.IntRange(2, 4).Draw(t, "how")), admission.NoReport}
-		if r.reportedAt != never {
-			r.report = admission.Report{InFlight: float64(rapid.IntRange(0, 2).Draw(t, "held")), Utilization: -1, Memory: -1, Disks: -1}
+		o := observations{times("good"), times("bad"), times("report"), admission.Observation(rapid.IntRange(2, 4).Draw(t, "how")), admission.NoReport}
+		if o.reportedAt != never {
+			o.report = admission.Report{InFlight: float64(rapid.IntRange(0, 2).Draw(t, "held")), Utilization: -1, Memory: -1, Disks: -1}
 		}
-		return r
+		return o
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := draw.Draw(t, "a"), draw.Draw(t, "b"), draw.Draw(t, "c")
@@ -227,7 +227,7 @@
 
 func FuzzHandleMessage(f *testing.F) {
 	p := newTestGateway(3, "g")
-	p.Observe(100, engineName(1), admission.Erred, admission.Report{InFlight: 3, Utilization: 0.5, Memory: 0.25, Disks: 0.1}, ampleBytes)
+	p.Observe(100, engineName(1), admission.Erred, admission.Report{InFlight: 3, Utilization: 0.5, Memory: 0.25, Disks: 0.1}, sufficientBudget)
 	f.Add(p.NextMessage(200))
 	f.Add([]byte{version, 0, 0, 0, 1})
 	f.Fuzz(func(t *testing.T, m []byte) {
@@ -250,7 +250,7 @@
 	for n := 0; b.Loop(); n++ {
 		now := Time(n+10) * second
 		for e := range 12 {
-			p.Observe(now, engineName(e), admission.Reported, admission.Report{InFlight: -1, Utilization: float64(n%10) / 10, Memory: 0.5, Disks: 0.25}, ampleBytes)
+			p.Observe(now, engineName(e), admission.Reported, admission.Report{InFlight: -1, Utilization: float64(n%10) / 10, Memory: 0.5, Disks: 0.25}, sufficientBudget)
 		}
 		if p.NextMessage(now+second/2) == nil {
 			b.Fatal("no message to send")
@@ -265,7 +265,7 @@
 	}
 	p := newTestTable(40)
 	for e := range 12 {
-		p.Observe(second, engineName(e), admission.Reported, admission.Report{InFlight: -1, Utilization: 0.5, Memory: 0.5, Disks: 0.25}, ampleBytes)
+		p.Observe(second, engineName(e), admission.Reported, admission.Report{InFlight: -1, Utilization: 0.5, Memory: 0.5, Disks: 0.25}, sufficientBudget)
 	}
 	m := p.NextMessage(second + second/2)
 	b.ReportAllocs()
--- a/internal/cluster/membership/core.go
+++ b/internal/cluster/membership/core.go
@@ -39,8 +39,8 @@
 	StateSince  Time   // when this process last replaced the record
 }
 
-// sameLife reports whether two records have the same incarnation and the same number of refutations.
-func (m *Member) sameLife(other *Member) bool {
+// sameVersion reports whether two records have the same incarnation and the same number of refutations.
+func (m *Member) sameVersion(other *Member) bool {
 	return m.Incarnation == other.Incarnation && m.Refutations == other.Refutations
 }
 
@@ -73,35 +73,35 @@
 	// ForgetAfter is how long dead members are stored. It is longer than any partition that must heal without intervention.
 	ForgetAfter = 24 * 3600 * admission.Second
 
-	tickInterval   = ProbeInterval / 5
-	helperCount    = 3                    // members that probe indirectly, as in the SWIM paper
-	maxLocalHealth = 8                    // Lifeguard's maximum; it makes a probe's timeout nine times as long
-	maxName        = 40                   // bytes
-	maxAddress     = 64                   // bytes
-	maxMembers     = 1024                 // twice the largest supported cluster
-	contactPeriod  = 5 * admission.Second // interval between probes of dead members and seeds; ten members find each other in seconds
-	lonelyPeriod   = admission.Second     // the same interval while no other member is reachable
-	settledAfter   = 5 * admission.Second // a process this old no longer raises its incarnation above that of a later process of its name
-	growthPeriod   = 2 * admission.Second // full member lists are exchanged this long after learning of a new member: 500 in seconds
-	usualRefresh   = 8                    // member records added to each message; all of 500 members are refreshed in half a minute
-	maxRelays      = 64
+	tickInterval            = ProbeInterval / 5
+	helperCount             = 3                    // members that probe indirectly, as in the SWIM paper
+	maxLocalHealth          = 8                    // Lifeguard's maximum; it makes a probe's timeout nine times as long
+	maxNameBytes            = 40                   // bytes
+	maxAddressBytes         = 64                   // bytes
+	maxMembers              = 1024                 // twice the largest supported cluster
+	contactInterval         = 5 * admission.Second // interval between probes of dead members and seeds; ten members find each other in seconds
+	isolatedContactInterval = admission.Second     // the same interval while no other member is reachable
+	incarnationRaisePeriod  = 5 * admission.Second // a process this old no longer raises its incarnation above that of a later process of its name
+	fullExchangePeriod      = 2 * admission.Second // full member lists are exchanged this long after learning of a new member: 500 in seconds
+	defaultRefreshCount     = 8                    // member records added to each message; all of 500 members are refreshed in half a minute
+	maxRelays               = 64
 )
 
 // Core runs the protocol for one process. It is not safe for concurrent use, and the times passed to it must not decrease.
 type Core struct {
-	host   Host
-	random *rand.Rand
-	now    Time
-	began  Time
-	seeds  []string
+	host      Host
+	random    *rand.Rand
+	now       Time
+	startedAt Time
+	seeds     []string
 
-	self     Member
-	inactive bool // it was superseded or has left
-	outbid   bool // it has raised its incarnation above that of another process of its name
-	health   int  // Lifeguard's local health: 0 is healthy, and timeouts grow with it
+	self              Member
+	inactive          bool // it was superseded or has left
+	raisedIncarnation bool // it has raised its incarnation above that of another process of its name
+	localHealth       int  // Lifeguard's local health: 0 is healthy, and timeouts grow with it
 
 	members     []Member // by name, without this process
-	grewAt      Time     // when it last learned of a new member
+	newMemberAt Time     // when it last learned of a new member
 	partitioned bool
 	suspicions  []suspicion
 
@@ -112,15 +112,15 @@
 	probe         probe
 	relays        []relay
 
-	rumours     []rumour
-	refreshedTo int // counter that selects the next member whose record is refreshed
+	pendingUpdates []pendingUpdate
+	refreshCounter int // counter that selects the next member whose record is refreshed
 }
 
 // New returns the core of a process that has just started. Its incarnation must be higher than that of any known earlier process of its
 // name.
 func New(now Time, self Member, seeds []string, random *rand.Rand, host Host) *Core {
 	self.State, self.StateSince = Alive, now
-	return &Core{host: host, random: random, now: now, began: now, self: self, seeds: seeds, nextTickAt: now}
+	return &Core{host: host, random: random, now: now, startedAt: now, self: self, seeds: seeds, nextTickAt: now}
 }
 
 // Self returns the record of this process.
@@ -130,7 +130,7 @@
 func (c *Core) IsInactive() bool { return c.inactive }
 
 // LocalHealth returns the local health of Lifeguard, from 0 (healthy) to 8. The timeout of a probe is multiplied by one more than that.
-func (c *Core) LocalHealth() int { return c.health }
+func (c *Core) LocalHealth() int { return c.localHealth }
 
 // Members returns the records of all known members but this process, by name. The slice belongs to the core: callers must not retain or
 // modify it.
@@ -212,9 +212,9 @@
 		c.startProbe()
 	}
 	if now >= c.nextContactAt {
-		c.contactLost()
+		c.contactUnreachable()
 	}
-	c.forgetMembers()
+	c.removeOldMembers()
 	c.nextTickAt = now + tickInterval
 	if c.probe.waiting && !c.probe.helpRequested {
 		c.nextTickAt = min(c.nextTickAt, max(now+1, c.probe.helpAt))
@@ -227,15 +227,17 @@
 	const penalty = 2
 	c.probe.waiting = false
 	for i := range c.suspicions {
-		c.suspicions[i].began += late
+		c.suspicions[i].startedAt += late
 	}
-	c.changeHealth(penalty)
+	c.changeLocalHealth(penalty)
 }
 
-func (c *Core) changeHealth(by int) { c.health = max(0, min(maxLocalHealth, c.health+by)) }
+func (c *Core) changeLocalHealth(by int) {
+	c.localHealth = max(0, min(maxLocalHealth, c.localHealth+by))
+}
 
-// slowed returns a timeout multiplied according to the local health.
-func (c *Core) slowed(t Time) Time { return t * Time(1+c.health) }
+// scaleTimeout returns a timeout multiplied according to the local health.
+func (c *Core) scaleTimeout(t Time) Time { return t * Time(1+c.localHealth) }
 
 // Leave notifies a few members that this process leaves, and makes it inactive. These members spread the notice.
 func (c *Core) Leave(now Time) {
@@ -247,7 +249,7 @@
 	c.self.Refutations++
 	for range 3 * helperCount {
 		if m, ok := c.pickMember(func(m *Member) bool { return m.State == Alive }); ok {
-			c.send(m.Address, message{kind: kindAck}, usualRefresh)
+			c.send(m.Address, message{kind: kindAck}, defaultRefreshCount)
 		}
 	}
 	c.inactive = true
--- a/internal/cluster/membership/core_test.go
+++ b/internal/cluster/membership/core_test.go
@@ -31,18 +31,18 @@
 // The member records after a number of received records do not depend on the order of these, nor on how often each is received.
 func TestRecordsCountAlikeInAnyOrderAndNumber(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		said := rapid.SliceOfN(rapid.Custom(drawMember), 1, 12).Draw(t, "said")
-		other := slices.Clone(said)
-		other = append(other, rapid.SliceOf(rapid.SampledFrom(said)).Draw(t, "again")...)
-		order := rapid.Permutation(other).Draw(t, "order")
-		table := func(list []Member) string {
+		records := rapid.SliceOfN(rapid.Custom(drawMember), 1, 12).Draw(t, "said")
+		repeated := slices.Clone(records)
+		repeated = append(repeated, rapid.SliceOf(rapid.SampledFrom(records)).Draw(t, "again")...)
+		order := rapid.Permutation(repeated).Draw(t, "order")
+		membersAfter := func(list []Member) string {
 			c := newTestCore("self")
 			for _, m := range list {
-				c.learn(m)
+				c.applyRecord(m)
 			}
 			return fmt.Sprint(c.Members())
 		}
-		if a, b := table(said), table(order); a != b {
+		if a, b := membersAfter(records), membersAfter(order); a != b {
 			t.Fatalf("members in the first order:\n%s\nin another order and with duplicates:\n%s", a, b)
 		}
 	})
@@ -51,7 +51,7 @@
 func TestMessagesAreReadAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := message{kind: kind(rapid.IntRange(1, 3).Draw(t, "kind")), sequence: rapid.Uint32().Draw(t, "seq"), from: drawMember(t),
-			about: rapid.StringN(0, 8, maxName).Draw(t, "about"), target: rapid.StringN(0, 8, maxAddress).Draw(t, "target"),
+			about: rapid.StringN(0, 8, maxNameBytes).Draw(t, "about"), target: rapid.StringN(0, 8, maxAddressBytes).Draw(t, "target"),
 			full: rapid.Bool().Draw(t, "full")}
 		w := newWriter(m)
 		for _, s := range rapid.SliceOfNDistinct(rapid.Custom(drawMember), 0, 3, func(m Member) string { return m.Name }).Draw(t, "said") {
@@ -86,7 +86,7 @@
 func TestTableStaysBounded(t *testing.T) {
 	c := newTestCore("self")
 	for i := range 5000 {
-		c.learn(Member{Name: fmt.Sprint("m", i), Incarnation: 1, State: Dead, Address: "x"})
+		c.applyRecord(Member{Name: fmt.Sprint("m", i), Incarnation: 1, State: Dead, Address: "x"})
 	}
 	c.Tick(1)
 	if n := len(c.Members()); n > maxMembers {
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// rumour names a member whose changed record is still added to messages.
-type rumour struct {
+// pendingUpdate names a member whose changed record is still added to messages.
+type pendingUpdate struct {
 	name string
 	sent int // number of messages that carried the record
 }
 
-// spread makes the core add a member's record to its next messages.
-func (c *Core) spread(name string) {
-	c.rumours = slices.DeleteFunc(c.rumours, func(r rumour) bool { return r.name == name })
-	c.rumours = append(c.rumours, rumour{name: name})
+// queueUpdate makes the core add a member's record to its next messages.
+func (c *Core) queueUpdate(name string) {
+	c.pendingUpdates = slices.DeleteFunc(c.pendingUpdates, func(r pendingUpdate) bool { return r.name == name })
+	c.pendingUpdates = append(c.pendingUpdates, pendingUpdate{name: name})
 }
 
-// HandleMessage processes a received message. For an invalid message, it returns ErrMessage and changes nothing.
+// HandleMessage processes a received message. For an invalid message, it returns ErrInvalidMessage and changes nothing.
 func (c *Core) HandleMessage(now Time, b []byte) error {
 	m, err := decode(b)
 	if err != nil {
@@ -29,19 +29,19 @@
 		return nil
 	}
 	for i := range m.records {
-		c.learn(m.records[i])
+		c.applyRecord(m.records[i])
 	}
 	if m.from.Name == c.self.Name {
 		return nil // the records in the message have been applied
 	}
-	c.learn(m.from)
+	c.applyRecord(m.from)
 	i, known := c.indexOf(m.from.Name)
 	if !known {
 		return nil
 	}
 	if c.members[i].Incarnation > m.from.Incarnation && !ignoreIncarnations {
 		// The sender has been superseded but still runs. It is notified, and its message does not count as a reply of its successor.
-		c.send(m.from.Address, message{kind: kindAck, about: m.from.Name}, usualRefresh)
+		c.send(m.from.Address, message{kind: kindAck, about: m.from.Name}, defaultRefreshCount)
 		return nil
 	}
 	switch m.kind {
@@ -64,22 +64,22 @@
 	if i, ok := c.indexOf(m.about); ok && m.about != "" {
 		w.add(&c.members[i])
 	}
-	c.addRumours(w)
+	c.addPendingUpdates(w)
 	for n := 0; n < min(refresh, len(c.members)); n++ {
-		c.refreshedTo++
-		if !w.add(&c.members[c.refreshedTo%len(c.members)]) {
+		c.refreshCounter++
+		if !w.add(&c.members[c.refreshCounter%len(c.members)]) {
 			break
 		}
 	}
 	c.host.Send(address, w.bytes())
 }
 
-// addRumours adds the rumours that were sent least often, and removes those that were sent often enough.
-func (c *Core) addRumours(w *writer) {
+// addPendingUpdates adds the rumours that were sent least often, and removes those that were sent often enough.
+func (c *Core) addPendingUpdates(w *writer) {
 	maxSent := 3 * int(math.Ceil(math.Log2(float64(len(c.members)+2))))
-	slices.SortStableFunc(c.rumours, func(a, b rumour) int { return cmp.Compare(a.sent, b.sent) })
-	for k := range c.rumours {
-		r := &c.rumours[k]
+	slices.SortStableFunc(c.pendingUpdates, func(a, b pendingUpdate) int { return cmp.Compare(a.sent, b.sent) })
+	for k := range c.pendingUpdates {
+		r := &c.pendingUpdates[k]
 		if r.name != c.self.Name { // the sender's record is part of every message
 			i, ok := c.indexOf(r.name)
 			if ok && !w.add(&c.members[i]) {
@@ -88,5 +88,5 @@
 		}
 		r.sent++
 	}
-	c.rumours = slices.DeleteFunc(c.rumours, func(r rumour) bool { return r.sent >= maxSent })
+	c.pendingUpdates = slices.DeleteFunc(c.pendingUpdates, func(r pendingUpdate) bool { return r.sent >= maxSent })
 }
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -37,15 +37,15 @@
 	maxRefutations = 1 << 31
 )
 
-// ErrMessage is returned for bytes that are not a valid message of this version.
-var ErrMessage = errors.New("membership: not a valid message of this version")
+// ErrInvalidMessage is returned for bytes that are not a valid message of this version.
+var ErrInvalidMessage = errors.New("membership: not a valid message of this version")
 
 // writer encodes a message up to the maximum length.
 type writer struct {
-	b       []byte
-	count   int             // number of records
-	countAt int             // index of the number of records in b
-	added   map[string]bool // names of the members whose records the message has
+	b           []byte
+	count       int             // number of records
+	countOffset int             // index of the number of records in b
+	added       map[string]bool // names of the members whose records the message has
 }
 
 func newWriter(m message) *writer {
@@ -60,7 +60,7 @@
 	b = appendText(b, m.about)
 	b = appendText(b, m.target)
 	w := &writer{b: append(b, 0), added: map[string]bool{}}
-	w.countAt = len(w.b) - 1
+	w.countOffset = len(w.b) - 1
 	return w
 }
 
@@ -81,7 +81,7 @@
 }
 
 func (w *writer) bytes() []byte {
-	w.b[w.countAt] = byte(w.count)
+	w.b[w.countOffset] = byte(w.count)
 	return w.b
 }
 
@@ -115,9 +115,9 @@
 	return v
 }
 
-func (r *reader) text(most int) string {
+func (r *reader) text(maxLength int) string {
 	n := int(r.byte())
-	if n > most || n > len(r.b) {
+	if n > maxLength || n > len(r.b) {
 		r.failed = true
 		return ""
 	}
@@ -137,12 +137,12 @@
 }
 
 func (r *reader) member() (m Member) {
-	m.Name, m.Incarnation = r.text(maxName), r.uvarint()
+	m.Name, m.Incarnation = r.text(maxNameBytes), r.uvarint()
 	refutations := r.uvarint()
 	m.Refutations, m.State = uint32(refutations), State(r.byte())
-	m.Address = r.text(maxAddress)
+	m.Address = r.text(maxAddressBytes)
 	if m.State == Suspect {
-		m.Accuser = r.text(maxName)
+		m.Accuser = r.text(maxNameBytes)
 	}
 	if m.Name == "" || m.State > Left || refutations > maxRefutations {
 		r.failed = true
@@ -152,12 +152,12 @@
 
 func decode(b []byte) (message, error) {
 	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version {
-		return message{}, ErrMessage
+		return message{}, ErrInvalidMessage
 	}
 	m := message{kind: kind(b[1] &^ fullFlag), full: b[1]&fullFlag != 0, sequence: binary.BigEndian.Uint32(b[2:])}
 	r := &reader{b: b[headBytes:]}
 	m.from = r.member()
-	m.about, m.target = r.text(maxName), r.text(maxAddress)
+	m.about, m.target = r.text(maxNameBytes), r.text(maxAddressBytes)
 	for range r.byte() {
 		if r.failed {
 			break
@@ -165,12 +165,12 @@
 		m.records = append(m.records, r.member())
 	}
 	if r.failed || len(r.b) > 0 || m.kind < kindPing || m.kind > kindPingRequest {
-		return m, ErrMessage
+		return m, ErrInvalidMessage
 	}
 	return m, nil
 }
 
 // ValidNameAndAddress reports whether a name and an address are not empty and fit into messages.
 func ValidNameAndAddress(name, address string) bool {
-	return name != "" && len(name) <= maxName && address != "" && len(address) <= maxAddress
+	return name != "" && len(name) <= maxNameBytes && address != "" && len(address) <= maxAddressBytes
 }
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -35,8 +35,8 @@
 		c.round = c.round[:len(c.round)-1]
 		if i, ok := c.indexOf(name); ok && c.members[i].State <= Suspect {
 			c.sequence++
-			c.probe = probe{sequence: c.sequence, target: name, sentAt: c.now, helpAt: c.now + c.slowed(ProbeInterval/2), until: c.now + c.slowed(ProbeInterval), waiting: true}
-			c.sendPing(c.members[i].Address, c.sequence, name, c.now-c.grewAt < growthPeriod)
+			c.probe = probe{sequence: c.sequence, target: name, sentAt: c.now, helpAt: c.now + c.scaleTimeout(ProbeInterval/2), until: c.now + c.scaleTimeout(ProbeInterval), waiting: true}
+			c.sendPing(c.members[i].Address, c.sequence, name, c.now-c.newMemberAt < fullExchangePeriod)
 			return
 		}
 	}
@@ -51,7 +51,7 @@
 
 // sendPing sends a ping. A full ping requests a reply with as many member records as fit into a message, and carries as many itself.
 func (c *Core) sendPing(address string, sequence uint32, about string, full bool) {
-	refresh := usualRefresh
+	refresh := defaultRefreshCount
 	if full {
 		refresh = maxMembers
 	}
@@ -68,7 +68,7 @@
 	c.sendPing(target.Address, c.probe.sequence, target.Name, false)
 	for range helperCount {
 		if helper, ok := c.pickMember(func(m *Member) bool { return m.State == Alive && m.Name != target.Name }); ok {
-			c.send(helper.Address, message{kind: kindPingRequest, sequence: c.probe.sequence, about: target.Name, target: target.Address}, usualRefresh)
+			c.send(helper.Address, message{kind: kindPingRequest, sequence: c.probe.sequence, about: target.Name, target: target.Address}, defaultRefreshCount)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 // endUnansweredProbe makes the target a suspect, or confirms the suspicion of it, and makes the local health worse.
 func (c *Core) endUnansweredProbe() {
 	c.probe.waiting = false
-	c.changeHealth(1)
+	c.changeLocalHealth(1)
 	i, ok := c.indexOf(c.probe.target)
 	if !ok {
 		return
@@ -84,19 +84,19 @@
 	switch m := c.members[i]; m.State {
 	case Alive:
 		m.State, m.Accuser = Suspect, c.self.Name
-		c.learn(m)
+		c.applyRecord(m)
 	case Suspect:
 		c.addAccuser(&c.members[i], c.self.Name)
 	}
 }
 
-// contactLost sends pings to members that may be back: to at most two addresses, drawn from one random dead member and the seeds that
+// contactUnreachable sends pings to members that may be back: to at most two addresses, drawn from one random dead member and the seeds that
 // are not known as reachable members.
-func (c *Core) contactLost() {
+func (c *Core) contactUnreachable() {
 	const maxContacts = 2 // limits the cost of seeds that are down
-	c.nextContactAt = c.now + contactPeriod
+	c.nextContactAt = c.now + contactInterval
 	if c.CountReachable() == 0 {
-		c.nextContactAt = c.now + lonelyPeriod
+		c.nextContactAt = c.now + isolatedContactInterval
 	}
 	var addresses []string
 	if dead, ok := c.pickMember(func(m *Member) bool { return m.State == Dead }); ok {
@@ -119,7 +119,7 @@
 }
 
 func (c *Core) handlePing(m *message) {
-	refresh := usualRefresh
+	refresh := defaultRefreshCount
 	if m.full {
 		refresh = maxMembers
 	}
@@ -139,17 +139,17 @@
 	if p := &c.probe; p.waiting && m.sequence == p.sequence && (m.from.Name == p.target || m.about == p.target) {
 		p.waiting = false
 		p.until = p.sentAt + ProbeInterval
-		if c.now-c.grewAt < growthPeriod {
+		if c.now-c.newMemberAt < fullExchangePeriod {
 			p.until = p.sentAt + tickInterval
 		}
 		if !p.helpRequested {
-			c.changeHealth(-1)
+			c.changeLocalHealth(-1)
 		}
 	}
 	i := slices.IndexFunc(c.relays, func(r relay) bool { return r.sequence == m.sequence && m.sequence != 0 })
 	if i >= 0 {
 		r := c.relays[i]
-		c.send(r.requester, message{kind: kindAck, sequence: r.requesterSequence, about: m.from.Name}, usualRefresh)
+		c.send(r.requester, message{kind: kindAck, sequence: r.requesterSequence, about: m.from.Name}, defaultRefreshCount)
 		c.relays = slices.Delete(c.relays, i, i+1)
 	}
 }
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -10,7 +10,7 @@
 	name        string
 	incarnation uint64
 	refutations uint32
-	began       Time
+	startedAt   Time
 	accusers    []string
 }
 
@@ -26,10 +26,10 @@
 // the local health, but so little that members in a cut-off part of the cluster, most of whose probes fail, still declare the others dead
 // within two minutes.
 func (c *Core) suspicionTimeout(s *suspicion) Time {
-	least := float64(ProbeInterval) * (1 + float64(c.health)/4) * 2 * max(1, math.Log2(float64(len(c.members)+2)))
-	const maxFactor, shared = 3, 3.0
-	part := math.Log2(float64(len(s.accusers))) / math.Log2(shared+1)
-	return Time(least * max(1, maxFactor-(maxFactor-1)*part))
+	minTimeout := float64(ProbeInterval) * (1 + float64(c.localHealth)/4) * 2 * max(1, math.Log2(float64(len(c.members)+2)))
+	const maxFactor, sharersForMinimum = 3, 3.0
+	reduction := math.Log2(float64(len(s.accusers))) / math.Log2(sharersForMinimum+1)
+	return Time(minTimeout * max(1, maxFactor-(maxFactor-1)*reduction))
 }
 
 // endSuspicions declares suspects dead whose suspicion has timed out, and removes suspicions that no longer concern a suspect.
@@ -41,14 +41,14 @@
 			c.suspicions = slices.Delete(c.suspicions, i, i+1)
 			continue
 		}
-		if c.now-s.began < c.suspicionTimeout(s) {
+		if c.now-s.startedAt < c.suspicionTimeout(s) {
 			i++
 			continue
 		}
 		m := c.members[k]
 		m.State = Dead
 		c.suspicions = slices.Delete(c.suspicions, i, i+1)
-		c.learn(m)
+		c.applyRecord(m)
 	}
 }
 
@@ -58,7 +58,7 @@
 	i := slices.IndexFunc(c.suspicions, func(s suspicion) bool { return s.concerns(m) })
 	if i < 0 {
 		i = len(c.suspicions)
-		c.suspicions = append(c.suspicions, suspicion{name: m.Name, incarnation: m.Incarnation, refutations: m.Refutations, began: c.now})
+		c.suspicions = append(c.suspicions, suspicion{name: m.Name, incarnation: m.Incarnation, refutations: m.Refutations, startedAt: c.now})
 	}
 	s := &c.suspicions[i]
 	if len(s.accusers) >= maxAccusers || slices.Contains(s.accusers, accuser) {
@@ -66,6 +66,6 @@
 	}
 	s.accusers = append(s.accusers, accuser)
 	if len(s.accusers) > 1 {
-		c.spread(m.Name)
+		c.queueUpdate(m.Name)
 	}
 }
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -6,18 +6,18 @@
 )
 
 // overrides reports whether a received record replaces the known record of the member.
-func overrides(received, known *Member) bool {
-	order := cmp.Or(cmp.Compare(received.Refutations, known.Refutations), cmp.Compare(received.State, known.State))
+func overrides(received, current *Member) bool {
+	order := cmp.Or(cmp.Compare(received.Refutations, current.Refutations), cmp.Compare(received.State, current.State))
 	if ignoreIncarnations {
 		return order > 0
 	}
-	return cmp.Or(cmp.Compare(received.Incarnation, known.Incarnation), order) > 0
+	return cmp.Or(cmp.Compare(received.Incarnation, current.Incarnation), order) > 0
 }
 
-// learn applies a received record of a member, and spreads it if it is new.
-func (c *Core) learn(received Member) {
+// applyRecord applies a received record of a member, and spreads it if it is new.
+func (c *Core) applyRecord(received Member) {
 	if received.Name == c.self.Name {
-		c.learnOfSelf(received)
+		c.applyOwnRecord(received)
 		return
 	}
 	received.StateSince = c.now
@@ -27,7 +27,7 @@
 		return
 	}
 	before := c.members[i]
-	if received.State == Suspect && before.State == Suspect && received.sameLife(&before) {
+	if received.State == Suspect && before.State == Suspect && received.sameVersion(&before) {
 		c.addAccuser(&c.members[i], received.Accuser)
 		return
 	}
@@ -35,7 +35,7 @@
 		return
 	}
 	c.members[i] = received
-	c.spread(received.Name)
+	c.queueUpdate(received.Name)
 	c.reportChange(before, received)
 	if received.State == Suspect {
 		c.addAccuser(&c.members[i], received.Accuser)
@@ -48,8 +48,8 @@
 		return
 	}
 	c.members = slices.Insert(c.members, index, m)
-	c.grewAt = c.now
-	c.spread(m.Name)
+	c.newMemberAt = c.now
+	c.queueUpdate(m.Name)
 	if m.State <= Suspect {
 		c.host.MemberChanged(Joined, m)
 	}
@@ -78,21 +78,21 @@
 	}
 }
 
-// learnOfSelf handles a received record with the name of this process. It refutes a suspicion or a report of death. A higher incarnation
+// applyOwnRecord handles a received record with the name of this process. It refutes a suspicion or a report of death. A higher incarnation
 // supersedes this process, unless this process has just started and so must be the later one.
-func (c *Core) learnOfSelf(received Member) {
+func (c *Core) applyOwnRecord(received Member) {
 	switch {
-	case received.Incarnation > c.self.Incarnation && c.now-c.began < settledAfter && !c.outbid:
-		c.outbid = true // the clock of this process is behind that of the earlier process
+	case received.Incarnation > c.self.Incarnation && c.now-c.startedAt < incarnationRaisePeriod && !c.raisedIncarnation:
+		c.raisedIncarnation = true // the clock of this process is behind that of the earlier process
 		c.self.Incarnation, c.self.Refutations = received.Incarnation+1, 0
-		c.spread(c.self.Name)
+		c.queueUpdate(c.self.Name)
 	case received.Incarnation > c.self.Incarnation:
 		c.inactive = true
 		c.host.MemberChanged(Superseded, received)
 	case received.Incarnation == c.self.Incarnation && received.State != Alive && received.Refutations >= c.self.Refutations:
 		c.self.Refutations = received.Refutations + 1
-		c.changeHealth(1)
-		c.spread(c.self.Name)
+		c.changeLocalHealth(1)
+		c.queueUpdate(c.self.Name)
 	}
 }
 
@@ -112,14 +112,14 @@
 	c.host.MemberChanged(code, c.self)
 }
 
-// forgetMembers removes members that have been dead or have left for ForgetAfter. If there are still too many members, it removes more, in
-// the order of forgetBefore.
-func (c *Core) forgetMembers() {
+// removeOldMembers removes members that have been dead or have left for ForgetAfter. If there are still too many members, it removes more, in
+// the order of removedBefore.
+func (c *Core) removeOldMembers() {
 	c.members = slices.DeleteFunc(c.members, func(m Member) bool { return m.State >= Dead && c.now-m.StateSince >= ForgetAfter })
 	for len(c.members) > maxMembers {
 		first := 0
 		for i := range c.members {
-			if forgetBefore(&c.members[i], &c.members[first]) {
+			if removedBefore(&c.members[i], &c.members[first]) {
 				first = i
 			}
 		}
@@ -127,9 +127,9 @@
 	}
 }
 
-// forgetBefore reports whether a member is removed before another one. Members that are dead or have left come before the others, and
+// removedBefore reports whether a member is removed before another one. Members that are dead or have left come before the others, and
 // otherwise members with an older state come first.
-func forgetBefore(a, b *Member) bool {
+func removedBefore(a, b *Member) bool {
 	aDead, bDead := a.State >= Dead, b.State >= Dead
 	if aDead != bDead {
 		return aDead
--- a/internal/cluster/quota/core.go
+++ b/internal/cluster/quota/core.go
@@ -28,11 +28,11 @@
 	host Host
 	now  Time
 
-	name          string
-	incarnation   uint64
-	share         int    // index of the own share; below 0 for none
-	sequence      uint32 // sequence number of the last claim or lease request sent
-	highestNumber uint64 // highest plan revision seen
+	name            string
+	incarnation     uint64
+	share           int    // index of the own share; below 0 for none
+	sequence        uint32 // sequence number of the last claim or lease request sent
+	highestRevision uint64 // highest plan revision seen
 
 	voter        voterState
 	claims       []shareClaim // the claim of the own share, then the claims of shares taken over
@@ -87,7 +87,7 @@
 func New(now Time, o Options) *Core {
 	peerOffset := int(HashName(o.Name) >> 1) // members start with different peers
 	c := &Core{
-		plan: o.Plan, host: o.Host, now: now, name: o.Name, incarnation: o.Incarnation, share: o.Share, highestNumber: o.Plan.Revision,
+		plan: o.Plan, host: o.Host, now: now, name: o.Name, incarnation: o.Incarnation, share: o.Share, highestRevision: o.Plan.Revision,
 		claims: []shareClaim{{share: o.Share, heldUntil: now, nextClaimAt: now}},
 		spares: spareExchange{nextRecipient: peerOffset, nextUnknownPeer: peerOffset},
 	}
@@ -128,7 +128,7 @@
 		return errPlanChange
 	}
 	c.plan = mergePlans(old, next)
-	c.highestNumber = max(c.highestNumber, c.plan.Revision)
+	c.highestRevision = max(c.highestRevision, c.plan.Revision)
 	for i := range c.taken.leases {
 		if l := &c.taken.leases[i]; c.plan.Totals[l.quota] < old.Totals[l.quota] {
 			l.final = true
@@ -163,7 +163,7 @@
 // successor does not have to wait for the end of their term. It reports whether the shares were released.
 func (c *Core) ReleaseShares(now Time) bool {
 	c.advance(now)
-	c.expire()
+	c.removeExpired()
 	for q := range c.quotas {
 		state := &c.quotas[q]
 		state.demand.units, state.rateUnits, state.reservedUnits = 0, 0, 0
@@ -185,7 +185,7 @@
 // Tick does the periodic work: it claims shares, makes a voter join, requests, renews and returns leases, and announces spare units.
 func (c *Core) Tick(now Time) {
 	c.advance(now)
-	c.expire()
+	c.removeExpired()
 	c.joinVoters()
 	c.takeOverShares()
 	for i := range c.claims {
@@ -205,7 +205,7 @@
 // HandleMessage processes a received message.
 func (c *Core) HandleMessage(now Time, m Message) {
 	c.advance(now)
-	c.highestNumber = max(c.highestNumber, m.PlanRevision)
+	c.highestRevision = max(c.highestRevision, m.PlanRevision)
 	switch m.Kind {
 	case KindVoterJoin:
 		c.handleVoterJoin(m)
@@ -228,8 +228,8 @@
 // leaves the clock as it is.
 func (c *Core) advance(now Time) { c.now = max(c.now, now) }
 
-// expire removes allocations, claims, leases and lease requests that have ended.
-func (c *Core) expire() {
+// removeExpired removes allocations, claims, leases and lease requests that have ended.
+func (c *Core) removeExpired() {
 	c.allocations = slices.DeleteFunc(c.allocations, func(a allocation) bool { return c.now >= a.until })
 	c.claims = slices.DeleteFunc(c.claims, func(k shareClaim) bool {
 		return k.share != c.share && k.nextClaimAt == Never && c.now >= k.heldUntil
--- a/internal/cluster/quota/demand.go
+++ b/internal/cluster/quota/demand.go
@@ -18,18 +18,18 @@
 	// units each is served within one or two seconds. It also limits the rejected requests that are stored and the credit for blind
 	// requests.
 	maxOpenRequests = 32
-	// keepIdle is how long borrowed units are kept after they were last needed. Requesting them again costs two messages and a round
+	// idleReturnDelay is how long borrowed units are kept after they were last needed. Requesting them again costs two messages and a round
 	// trip. Keeping them idle wastes a part of the total: with 32 gateways, real sockets and Zipf-distributed demand, 0.953 of the
 	// total is used with a tenth of a second, 0.930 to 0.940 with a quarter, and 0.86 with a second.
-	keepIdle = admission.Second / 10
+	idleReturnDelay = admission.Second / 10
 	// collectInterval is how long a member collects units for a next request that needs more than its own share, before it pauses.
 	collectInterval = admission.Second / 4
 	// collectLimit is how long a member that has collected enough units goes on before it pauses, so that every member gets units.
 	collectLimit = admission.Second
 	// A pause lasts from one to pauseSteps collect intervals. Each consecutive failure, up to maxFailures, doubles the maximum.
-	pauseSteps  = 4
-	maxFailures = 4
-	pausePrime  = 7919 // makes the lengths of a member's pauses differ
+	pauseSteps      = 4
+	maxFailures     = 4
+	pauseMultiplier = 7919 // makes the lengths of a member's pauses differ
 )
 
 // SetDemand sets how many units all waiting requests together would use.
@@ -48,37 +48,37 @@
 	c.spares.limitPeers()
 	c.ReturnLeases(c.now, quota, c.unneededUnits(quota))
 	c.renewLeases(quota)
-	free := max(0, c.free(quota, c.now+c.plan.LongestUse))
+	free := max(0, c.freeUnits(quota, c.now+c.plan.LongestUse))
 	if c.pauseCollecting(quota, free) {
 		return
 	}
 	demand := &c.quotas[quota].demand
-	lack, open := demand.units-free, 0
-	if c.isWide(quota) && free < demand.nextRequestUnits {
-		lack = min(lack, demand.nextRequestUnits-free) // collect for one request at a time, because a request cannot use a part of its units
+	missing, openRequests := demand.units-free, 0
+	if c.nextRequestIsWide(quota) && free < demand.nextRequestUnits {
+		missing = min(missing, demand.nextRequestUnits-free) // collect for one request at a time, because a request cannot use a part of its units
 	}
 	for i := range c.taken.requests {
 		if r := &c.taken.requests[i]; r.quota == quota && r.isNew && c.now-r.sentAt < requestTimeout {
-			lack, open = lack-r.units, open+1
+			missing, openRequests = missing-r.units, openRequests+1
 		}
 	}
-	c.borrow(quota, lack, maxOpenRequests-open)
+	c.borrow(quota, missing, maxOpenRequests-openRequests)
 }
 
 // unneededUnits returns how many free units exceed the demand, if these have been enough to return the smallest lease for at least
-// keepIdle. Otherwise it returns 0.
+// idleReturnDelay. Otherwise it returns 0.
 func (c *Core) unneededUnits(quota int) int64 {
 	demand := &c.quotas[quota].demand
-	spared, smallest := c.free(quota, c.now)-demand.units, int64(0)
+	spared, smallestLease := c.freeUnits(quota, c.now)-demand.units, int64(0)
 	for i := range c.taken.leases {
-		if l := &c.taken.leases[i]; l.quota == quota && (smallest == 0 || l.units < smallest) {
-			smallest = l.units
+		if l := &c.taken.leases[i]; l.quota == quota && (smallestLease == 0 || l.units < smallestLease) {
+			smallestLease = l.units
 		}
 	}
-	if smallest == 0 || spared < smallest {
+	if smallestLease == 0 || spared < smallestLease {
 		demand.neededAt = c.now
 	}
-	if c.now-demand.neededAt < keepIdle {
+	if c.now-demand.neededAt < idleReturnDelay {
 		return 0
 	}
 	return spared
@@ -97,15 +97,15 @@
 
 // borrow requests leases of lack units in total, in at most the given number of requests. It sends them first to the peers that announced
 // most spare units, then to peers that announced nothing recently.
-func (c *Core) borrow(quota int, lack int64, requests int) {
-	for ; lack > 0 && requests > 0; requests-- {
-		index := c.spares.richestPeer(quota, c.name)
+func (c *Core) borrow(quota int, missing int64, maxRequests int) {
+	for ; missing > 0 && maxRequests > 0; maxRequests-- {
+		index := c.spares.peerWithMostSpare(quota, c.name)
 		if index >= 0 {
 			peer := &c.spares.peers[index]
 			c.spares.nextLender = index + 1
-			units := min(lack, (peer.units[quota]+1)/2)
+			units := min(missing, (peer.units[quota]+1)/2)
 			peer.units[quota] -= units // until the peer's next announcement
-			lack -= units
+			missing -= units
 			c.requestNewLease(quota, peer.name, units)
 			continue
 		}
@@ -113,8 +113,8 @@
 		if name == "" {
 			return
 		}
-		units := min(lack, max(1, c.ownShareUnits(quota)))
-		lack -= units
+		units := min(missing, max(1, c.ownShareUnits(quota)))
+		missing -= units
 		c.requestNewLease(quota, name, units)
 		c.taken.requests[len(c.taken.requests)-1].blind = true
 	}
@@ -127,7 +127,7 @@
 // that only a few members collect at the same time.
 func (c *Core) pauseCollecting(quota int, free int64) bool {
 	demand := &c.quotas[quota].demand
-	if demand.units == 0 || !c.isWide(quota) {
+	if demand.units == 0 || !c.nextRequestIsWide(quota) {
 		demand.collectingSince, demand.failures = c.now, 0
 		return false
 	}
@@ -143,14 +143,14 @@
 		demand.failures = min(demand.failures+1, maxFailures)
 	}
 	c.taken.pauses++
-	steps := 1 + (HashName(c.name)+c.taken.pauses*pausePrime)%(pauseSteps<<demand.failures)
+	steps := 1 + (HashName(c.name)+c.taken.pauses*pauseMultiplier)%(pauseSteps<<demand.failures)
 	demand.pausedUntil = c.now + collectInterval*Time(steps)
 	c.ReturnLeases(c.now, quota, math.MaxInt64)
 	return true
 }
 
-// isWide reports whether the next request needs more than one unit and more than the own share.
-func (c *Core) isWide(quota int) bool {
+// nextRequestIsWide reports whether the next request needs more than one unit and more than the own share.
+func (c *Core) nextRequestIsWide(quota int) bool {
 	return c.quotas[quota].demand.nextRequestUnits > max(1, c.ownShareUnits(quota))
 }
 
@@ -158,8 +158,8 @@
 	return c.plan.shareUnits(quota, c.share, c.quotas[quota].scale)
 }
 
-// heldBack returns the units that are not leased out because own requests wait for them. It returns 0 during a pause.
-func (c *Core) heldBack(quota int) int64 {
+// heldBackUnits returns the units that are not leased out because own requests wait for them. It returns 0 during a pause.
+func (c *Core) heldBackUnits(quota int) int64 {
 	if c.now < c.quotas[quota].demand.pausedUntil {
 		return 0
 	}
--- a/internal/cluster/quota/exploration.go
+++ b/internal/cluster/quota/exploration.go
@@ -33,7 +33,7 @@
 // Expire moves the clock forward and removes what has ended, without the other steps of a tick.
 func (c *Core) Expire(now Time) {
 	c.advance(now)
-	c.expire()
+	c.removeExpired()
 }
 
 // ClaimShare claims the own share now.
@@ -95,9 +95,9 @@
 
 // Limits for the times in a digest, which are relative to now.
 const (
-	digestHorizon  = 1000 // maximum time until a voter opens
-	digestMaxAge   = 100  // maximum age of a claim
-	digestUpToDate = -1   // stands for every deadline that has passed
+	digestHorizon = 1000 // maximum time until a voter opens
+	digestMaxAge  = 100  // maximum age of a claim
+	digestPassed  = -1   // stands for every deadline that has passed
 )
 
 // digest collects the parts of a core's state that determine its future behavior, with times relative to now.
@@ -108,7 +108,7 @@
 
 func (d *digest) number(v int64)   { d.b = binary.AppendVarint(d.b, v) }
 func (d *digest) text(s string)    { d.b = append(d.b, s...) }
-func (d *digest) deadline(at Time) { d.number(int64(max(digestUpToDate, at-d.now))) }
+func (d *digest) deadline(at Time) { d.number(int64(max(digestPassed, at-d.now))) }
 
 func (d *digest) numbers(list []uint64) {
 	for _, v := range list {
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -26,9 +26,9 @@
 
 // rejectedRequest identifies a member that requested units and got none, or possibly fewer than it needs.
 type rejectedRequest struct {
-	quota int
-	peer  string
-	at    Time
+	quota       int
+	peer        string
+	requestedAt Time
 }
 
 // takenLeases holds the leases that this member has taken as a borrower, and its open lease requests.
@@ -90,7 +90,7 @@
 	}
 	end := c.now + c.plan.withDrift(c.plan.LeaseTerm)
 	units := min(m.Units, c.spareUnits(quota, end))
-	c.noteRejected(quota, m.Sender) // a borrower that gets a lease may need more units than it got
+	c.storeRejected(quota, m.Sender) // a borrower that gets a lease may need more units than it got
 	if units <= 0 {
 		c.rejectLease(m)
 		return
@@ -105,7 +105,7 @@
 		return
 	}
 	if !l.final {
-		l.final = c.heldBack(l.quota)-max(0, c.free(l.quota, c.now)) > c.recalled(l.quota)
+		l.final = c.heldBackUnits(l.quota)-max(0, c.freeUnits(l.quota, c.now)) > c.recalledUnits(l.quota)
 	}
 	if l.final {
 		c.rejectLease(m)
@@ -114,7 +114,7 @@
 	end := c.now + c.plan.withDrift(c.plan.LeaseTerm)
 	before := l.until
 	l.until = max(before, end)
-	if c.leastOwn(l.quota, end) < 0 && c.plan.Mutation != LeaseBeyondShareTerm {
+	if c.minOwnUnits(l.quota, end) < 0 && c.plan.Mutation != LeaseBeyondShareTerm {
 		l.until = before // a lease must end before the share that its units belong to
 		return
 	}
@@ -137,11 +137,11 @@
 	c.granted.leases = slices.DeleteFunc(c.granted.leases, func(l lease) bool { return l.matches(quota, &m) })
 }
 
-// recalled returns the units that borrowers must return as soon as possible.
-func (c *Core) recalled(quota int) int64 { return finalUnits(c.granted.leases, quota) }
+// recalledUnits returns the units that borrowers must return as soon as possible.
+func (c *Core) recalledUnits(quota int) int64 { return finalUnits(c.granted.leases, quota) }
 
-// toBeReturned returns the units that this process must return to lenders as soon as possible.
-func (c *Core) toBeReturned(quota int) int64 { return finalUnits(c.taken.leases, quota) }
+// unitsToReturn returns the units that this process must return to lenders as soon as possible.
+func (c *Core) unitsToReturn(quota int) int64 { return finalUnits(c.taken.leases, quota) }
 
 func finalUnits(leases []lease, quota int) (units int64) {
 	for i := range leases {
@@ -154,14 +154,14 @@
 
 // spareUnits returns the units of the own shares that are free until a time, less the units that own requests wait for or have reserved.
 func (c *Core) spareUnits(quota int, until Time) int64 {
-	own := c.leastOwn(quota, until)
+	own := c.minOwnUnits(quota, until)
 	switch c.plan.Mutation {
 	case LeaseBeyondShareTerm:
-		own = c.ownAt(quota, c.now)
+		own = c.ownUnitsAt(quota, c.now)
 	case GrantNoLease:
 		return 0
 	}
-	return min(own, c.free(quota, until)-c.heldBack(quota)-c.quotas[quota].reservedUnits)
+	return min(own, c.freeUnits(quota, until)-c.heldBackUnits(quota)-c.quotas[quota].reservedUnits)
 }
 
 // handleLeaseGrant stores a granted lease or extends a renewed one. The lease ends one lease term after it was requested.
--- a/internal/cluster/quota/message.go
+++ b/internal/cluster/quota/message.go
@@ -71,8 +71,8 @@
 	maxUnits        = 1 << 40
 )
 
-// ErrMessage is returned for bytes that are not a valid message of this version.
-var ErrMessage = errors.New("quota: not a valid message of this version")
+// ErrInvalidMessage is returned for bytes that are not a valid message of this version.
+var ErrInvalidMessage = errors.New("quota: not a valid message of this version")
 
 // Encode encodes a message: the version, the kind, the length of the sender's name, the name, all numbers as varints, and the voters'
 // incarnations preceded by their count. The known incarnations of a confirmation or the predecessors of a claim follow, if there are any.
@@ -96,14 +96,14 @@
 	return b
 }
 
-// Decode decodes a message. If any part is invalid, it returns an empty message and ErrMessage.
+// Decode decodes a message. If any part is invalid, it returns an empty message and ErrInvalidMessage.
 func Decode(b []byte) (Message, error) {
 	if len(b) < headBytes || len(b) > MaxMessageBytes || b[0] != version || Kind(b[1]) < KindVoterJoin || Kind(b[1]) > KindShareRelease {
-		return Message{}, ErrMessage
+		return Message{}, ErrInvalidMessage
 	}
 	nameEnd := headBytes + int(b[2])
 	if len(b) < nameEnd {
-		return Message{}, ErrMessage
+		return Message{}, ErrInvalidMessage
 	}
 	m := Message{Kind: Kind(b[1]), Sender: string(b[headBytes:nameEnd])}
 	r := reader{b: b[nameEnd:]}
@@ -124,7 +124,7 @@
 		}
 	}
 	if r.failed || len(r.b) > 0 {
-		return Message{}, ErrMessage
+		return Message{}, ErrInvalidMessage
 	}
 	return m, nil
 }
@@ -135,12 +135,12 @@
 	failed bool
 }
 
-func (r *reader) uvarint(most uint64) uint64 {
+func (r *reader) uvarint(limit uint64) uint64 {
 	if r.failed {
 		return 0
 	}
 	v, n := binary.Uvarint(r.b)
-	if n <= 0 || v > most {
+	if n <= 0 || v > limit {
 		r.failed = true
 		return 0
 	}
--- a/internal/cluster/quota/share.go
+++ b/internal/cluster/quota/share.go
@@ -28,14 +28,14 @@
 // maxConfirmations limits the confirmations stored for a claim, as several processes may reply under the name of one voter.
 const maxConfirmations = 8
 
-// countsWith reports whether two confirmations count together. They do if neither voter knows a later incarnation of the other, and
+// isCompatible reports whether two confirmations count together. They do if neither voter knows a later incarnation of the other, and
 // at least one of them was known to the other before it opened. Otherwise each of them could also count together with another process
 // that has the other voter's name.
-func (v *confirmation) countsWith(w *confirmation, unacquainted bool) bool {
-	if v.voter == w.voter || v.voterIncarnations[w.voter] > w.incarnation || w.voterIncarnations[v.voter] > v.incarnation {
+func (v *confirmation) isCompatible(other *confirmation, allowMutuallyUnknown bool) bool {
+	if v.voter == other.voter || v.voterIncarnations[other.voter] > other.incarnation || other.voterIncarnations[v.voter] > v.incarnation {
 		return false
 	}
-	return v.knownIncarnations[w.voter] == w.incarnation || w.knownIncarnations[v.voter] == v.incarnation || unacquainted
+	return v.knownIncarnations[other.voter] == other.incarnation || other.knownIncarnations[v.voter] == v.incarnation || allowMutuallyUnknown
 }
 
 // SetPredecessors sets the incarnations of earlier processes of this name that have certainly ended. Their share passes to this process
@@ -101,12 +101,12 @@
 	if len(claim.confirmations) < maxConfirmations && !counted {
 		claim.confirmations = append(claim.confirmations, confirmation{voter, m.SenderIncarnation, m.VoterIncarnations, m.KnownIncarnations})
 	}
-	if 2*largestSet(claim.confirmations, nil, c.plan.Mutation == CountMutuallyUnknownVoters) > voters {
-		begin := claim.claimedAt
+	if 2*maxCompatibleSet(claim.confirmations, nil, c.plan.Mutation == CountMutuallyUnknownVoters) > voters {
+		termStart := claim.claimedAt
 		if c.plan.Mutation == CountTermFromArrival {
-			begin = c.now
+			termStart = c.now
 		}
-		claim.heldUntil = max(claim.heldUntil, begin+c.plan.ShareTerm)
+		claim.heldUntil = max(claim.heldUntil, termStart+c.plan.ShareTerm)
 	}
 }
 
@@ -121,14 +121,14 @@
 	}
 }
 
-// largestSet returns the size of the largest set of confirmations that contains the chosen ones and in which all count together.
-func largestSet(confirmations, chosen []confirmation, unacquainted bool) int {
-	most := len(chosen)
+// maxCompatibleSet returns the size of the largest set of confirmations that contains the chosen ones and in which all count together.
+func maxCompatibleSet(confirmations, chosen []confirmation, allowMutuallyUnknown bool) int {
+	largest := len(chosen)
 	for i := range confirmations {
-		conflicts := slices.ContainsFunc(chosen, func(w confirmation) bool { return !confirmations[i].countsWith(&w, unacquainted) })
+		conflicts := slices.ContainsFunc(chosen, func(w confirmation) bool { return !confirmations[i].isCompatible(&w, allowMutuallyUnknown) })
 		if !conflicts {
-			most = max(most, largestSet(confirmations[i+1:], append(slices.Clip(chosen), confirmations[i]), unacquainted))
+			largest = max(largest, maxCompatibleSet(confirmations[i+1:], append(slices.Clip(chosen), confirmations[i]), allowMutuallyUnknown))
 		}
 	}
-	return most
+	return largest
 }
--- a/internal/cluster/quota/spare_units.go
+++ b/internal/cluster/quota/spare_units.go
@@ -14,12 +14,12 @@
 	// announceFanOut is the number of peers notified in a round; the next round notifies the next peers. With 500 members, each member
 	// receives 16 announcements per round, and one from every other member within ten seconds.
 	announceFanOut = 16
-	// A value that has not changed since all peers were notified is announced only in one of repeatTurns cycles through the peers, for
+	// A value that has not changed since all peers were notified is announced only in one of repeatCycles cycles through the peers, for
 	// members that are new or have lost it.
-	repeatTurns = 10
-	// peerSilence is the time without an announcement after which a peer may be sent a blind request. With 500 members, a peer's
+	repeatCycles = 10
+	// announcementLifetime is the time without an announcement after which a peer may be sent a blind request. With 500 members, a peer's
 	// announcement arrives only every ten seconds, and a burst moves faster.
-	peerSilence = admission.Second
+	announcementLifetime = admission.Second
 	// Each blind request uses one credit. One credit is added every blindInterval, and blindReward credits for each blind request that
 	// is granted.
 	blindInterval = admission.Second / 4
@@ -41,7 +41,7 @@
 	nextLender      int  // index at which the next search for a lender starts, to alternate between peers with equal spare units
 	nextUnknownPeer int  // counter that selects the next peer considered for a blind request
 	blindCredit     int  // number of blind requests that may be sent
-	creditAt        Time // when the next credit is added
+	nextCreditAt    Time // when the next credit is added
 }
 
 // peerSpare holds how many units of each quota a peer could lease out: as it last announced, less the units requested from it since.
@@ -62,17 +62,17 @@
 	}
 }
 
-// richestPeer returns the index of the peer with most spare units, or -1 if no peer has any. Among equal ones, it returns the first
+// peerWithMostSpare returns the index of the peer with most spare units, or -1 if no peer has any. Among equal ones, it returns the first
 // after the lender chosen last.
-func (s *spareExchange) richestPeer(quota int, self string) int {
-	most, richest := int64(0), -1
+func (s *spareExchange) peerWithMostSpare(quota int, self string) int {
+	maxUnits, best := int64(0), -1
 	for k := range s.peers {
 		i := (s.nextLender + k) % len(s.peers)
-		if peer := &s.peers[i]; peer.units[quota] > most && peer.name != self {
-			most, richest = peer.units[quota], i
+		if peer := &s.peers[i]; peer.units[quota] > maxUnits && peer.name != self {
+			maxUnits, best = peer.units[quota], i
 		}
 	}
-	return richest
+	return best
 }
 
 // announceSpareUnits notifies the next peers of the units that this member could lease out.
@@ -81,7 +81,7 @@
 	s.nextAnnouncementAt = c.now + announceInterval
 	peers := c.host.Peers()
 	recipients := min(announceFanOut, len(peers))
-	turn := max(1, (len(peers)+announceFanOut-1)/announceFanOut) // rounds in a cycle through all peers
+	cycleRounds := max(1, (len(peers)+announceFanOut-1)/announceFanOut) // rounds in a cycle through all peers
 	s.round++
 	for q := range c.plan.Totals {
 		units := max(0, c.spareUnits(q, c.now+c.plan.withDrift(c.plan.LeaseTerm)))
@@ -89,7 +89,7 @@
 		if units != last.units {
 			last.units, last.round = units, s.round
 		}
-		if s.round-last.round >= turn && s.round%(repeatTurns*turn) >= turn {
+		if s.round-last.round >= cycleRounds && s.round%(repeatCycles*cycleRounds) >= cycleRounds {
 			continue
 		}
 		for k := range recipients {
@@ -99,8 +99,8 @@
 	s.nextRecipient += recipients
 }
 
-// noteRejected stores a member that requested units, so that notifyRejected can notify it as soon as there are spare units.
-func (c *Core) noteRejected(quota int, peer string) {
+// storeRejected stores a member that requested units, so that notifyRejected can notify it as soon as there are spare units.
+func (c *Core) storeRejected(quota int, peer string) {
 	known := slices.ContainsFunc(c.granted.rejected, func(r rejectedRequest) bool { return r.quota == quota && r.peer == peer })
 	if !known && len(c.granted.rejected) < maxOpenRequests {
 		c.granted.rejected = append(c.granted.rejected, rejectedRequest{quota, peer, c.now})
@@ -116,7 +116,7 @@
 	const usualQuotas = 8
 	spare := make([]int64, 0, usualQuotas) // by quota index: spare units left for the members not notified yet
 	c.granted.rejected = slices.DeleteFunc(c.granted.rejected, func(r rejectedRequest) bool {
-		if c.now-r.at >= rejectedLifetime {
+		if c.now-r.requestedAt >= rejectedLifetime {
 			return true
 		}
 		for len(spare) <= r.quota {
@@ -135,15 +135,15 @@
 	if m.PlanRevision != c.plan.Revision {
 		return
 	}
-	peer := c.spareOf(m.Sender)
+	peer := c.peerSpareOf(m.Sender)
 	peer.units[quota], peer.receivedAt = m.Units, c.now
 }
 
-// spareOf returns the record of a peer, and adds an empty record for a new peer.
-func (c *Core) spareOf(name string) *peerSpare {
+// peerSpareOf returns the record of a peer, and adds an empty record for a new peer.
+func (c *Core) peerSpareOf(name string) *peerSpare {
 	i, ok := slices.BinarySearchFunc(c.spares.peers, name, func(p peerSpare, name string) int { return strings.Compare(p.name, name) })
 	if !ok {
-		c.spares.peers = slices.Insert(c.spares.peers, i, peerSpare{name: name, units: make([]int64, len(c.plan.Totals)), receivedAt: -peerSilence})
+		c.spares.peers = slices.Insert(c.spares.peers, i, peerSpare{name: name, units: make([]int64, len(c.plan.Totals)), receivedAt: -announcementLifetime})
 	}
 	return &c.spares.peers[i]
 }
@@ -152,7 +152,7 @@
 // such peer or no credit.
 func (c *Core) nextUnknownPeer() string {
 	s := &c.spares
-	for ; c.now >= s.creditAt && s.blindCredit < maxOpenRequests; s.creditAt = max(s.creditAt+blindInterval, c.now-peerSilence) {
+	for ; c.now >= s.nextCreditAt && s.blindCredit < maxOpenRequests; s.nextCreditAt = max(s.nextCreditAt+blindInterval, c.now-announcementLifetime) {
 		s.blindCredit++
 	}
 	if s.blindCredit == 0 {
@@ -165,7 +165,7 @@
 		if name == c.name {
 			continue
 		}
-		if peer := c.spareOf(name); c.now-peer.receivedAt >= peerSilence {
+		if peer := c.peerSpareOf(name); c.now-peer.receivedAt >= announcementLifetime {
 			peer.receivedAt = c.now
 			s.blindCredit--
 			return name
--- a/internal/cluster/quota/status.go
+++ b/internal/cluster/quota/status.go
@@ -41,7 +41,7 @@
 }
 
 func (c *Core) status(quota int) Status {
-	s := Status{Index: quota, Total: c.plan.Totals[quota], InUse: c.usedAt(quota, c.now), Demand: c.quotas[quota].demand.units,
+	s := Status{Index: quota, Total: c.plan.Totals[quota], InUse: c.usedUnitsAt(quota, c.now), Demand: c.quotas[quota].demand.units,
 		ShareExpiresIn: max(-1, c.claims[0].heldUntil-c.now)}
 	for i := range c.claims {
 		if claim := &c.claims[i]; claim.usableFrom <= c.now && c.now < claim.heldUntil {
--- a/internal/cluster/quota/synchronized.go
+++ b/internal/cluster/quota/synchronized.go
@@ -58,7 +58,7 @@
 	c := s.core
 	c.advance(now)
 	until := c.now + length
-	if c.free(quota, until) < units {
+	if c.freeUnits(quota, until) < units {
 		c.SetNextRequestUnits(quota, units)
 		return false
 	}
@@ -81,7 +81,7 @@
 		until = state.reservedUntil
 	}
 	state.reservedUnits = 0
-	available := c.free(quota, until)+c.toBeReturned(quota) >= units // a recalled lease may still be used for a reservation
+	available := c.freeUnits(quota, until)+c.unitsToReturn(quota) >= units // a recalled lease may still be used for a reservation
 	c.allocations = append(c.allocations, allocation{quota, units, until})
 	return available
 }
@@ -110,8 +110,8 @@
 }
 
 // ScaleTotal limits a total to a fraction of itself, from 0 to 1. See Core.ScaleTotal.
-func (s *Synchronized) ScaleTotal(now Time, quota int, part float64) {
+func (s *Synchronized) ScaleTotal(now Time, quota int, fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.ScaleTotal(now, quota, part)
+	s.core.ScaleTotal(now, quota, fraction)
 }
--- a/internal/cluster/quota/units.go
+++ b/internal/cluster/quota/units.go
@@ -11,15 +11,15 @@
 
 // HeldUnits returns how many units of a quota this process holds now, including those in use. It returns 0 if more is leased out than
 // the process still holds, as happens after a total is lowered.
-func (c *Core) HeldUnits(now Time, quota int) int64 { return max(0, c.heldAt(quota, now)) }
+func (c *Core) HeldUnits(now Time, quota int) int64 { return max(0, c.heldUnitsAt(quota, now)) }
 
 // UsedUnits returns how many units of a quota are in use now.
-func (c *Core) UsedUnits(now Time, quota int) int64 { return c.usedAt(quota, now) }
+func (c *Core) UsedUnits(now Time, quota int) int64 { return c.usedUnitsAt(quota, now) }
 
-// heldAt returns the units held at a time that is not in the past: those of the held shares, less the units leased out, plus the
+// heldUnitsAt returns the units held at a time that is not in the past: those of the held shares, less the units leased out, plus the
 // borrowed units. It counts only the shares and leases that exist now.
-func (c *Core) heldAt(quota int, t Time) int64 {
-	units := c.ownAt(quota, t)
+func (c *Core) heldUnitsAt(quota int, t Time) int64 {
+	units := c.ownUnitsAt(quota, t)
 	for i := range c.taken.leases {
 		if l := &c.taken.leases[i]; l.quota == quota && t < l.until {
 			units += l.units
@@ -28,40 +28,40 @@
 	return units
 }
 
-// ownAt returns the units of the held shares at a time, less the units leased out.
-func (c *Core) ownAt(quota int, t Time) (units int64) {
+// ownUnitsAt returns the units of the held shares at a time, less the units leased out.
+func (c *Core) ownUnitsAt(quota int, t Time) (units int64) {
 	for i := range c.claims {
 		if claim := &c.claims[i]; claim.usableFrom <= t && t < claim.heldUntil {
 			units += c.plan.shareUnits(quota, claim.share, c.quotas[quota].scale)
 		}
 	}
 	for i := range c.granted.leases {
-		if l := &c.granted.leases[i]; l.quota == quota && t < l.until && !c.usesGranted(l) {
+		if l := &c.granted.leases[i]; l.quota == quota && t < l.until && !c.lenderUsesLease(l) {
 			units -= l.units
 		}
 	}
 	return units
 }
 
-// usesGranted reports whether a mutation makes the lender use the units of a lease that it has granted.
-func (c *Core) usesGranted(l *lease) bool {
+// lenderUsesLease reports whether a mutation makes the lender use the units of a lease that it has granted.
+func (c *Core) lenderUsesLease(l *lease) bool {
 	return c.plan.Mutation == UseLeasedUnits || l.final && c.plan.Mutation == UseRecalledUnits
 }
 
-// leastOwn returns the minimum of ownAt from now until a time. The end of a granted lease raises the value, so it falls only where a
+// minOwnUnits returns the minimum of ownUnitsAt from now until a time. The end of a granted lease raises the value, so it falls only where a
 // share ends.
-func (c *Core) leastOwn(quota int, until Time) int64 {
-	least := c.ownAt(quota, c.now)
+func (c *Core) minOwnUnits(quota int, until Time) int64 {
+	minUnits := c.ownUnitsAt(quota, c.now)
 	for i := range c.claims {
 		if t := c.claims[i].heldUntil; t > c.now && t <= until {
-			least = min(least, c.ownAt(quota, t))
+			minUnits = min(minUnits, c.ownUnitsAt(quota, t))
 		}
 	}
-	return least
+	return minUnits
 }
 
-// usedAt returns the units of current uses that are still in use at a time that is not in the past.
-func (c *Core) usedAt(quota int, t Time) (units int64) {
+// usedUnitsAt returns the units of current uses that are still in use at a time that is not in the past.
+func (c *Core) usedUnitsAt(quota int, t Time) (units int64) {
 	for i := range c.allocations {
 		if a := &c.allocations[i]; a.quota == quota && t < a.until {
 			units += a.units
@@ -70,8 +70,8 @@
 	return units + c.quotas[quota].rateUnits
 }
 
-// visitEnds calls visit for each future time at which a share or a borrowed lease ends.
-func (c *Core) visitEnds(visit func(t Time)) {
+// visitEndTimes calls visit for each future time at which a share or a borrowed lease ends.
+func (c *Core) visitEndTimes(visit func(t Time)) {
 	for i := range c.claims {
 		if t := c.claims[i].heldUntil; t > c.now {
 			visit(t)
@@ -84,22 +84,22 @@
 	}
 }
 
-// free returns how many more units may be used from now until a time: the minimum of held units less used units, now and at each end
+// freeUnits returns how many more units may be used from now until a time: the minimum of held units less used units, now and at each end
 // of a share or lease until then, less the units that must be returned.
-func (c *Core) free(quota int, until Time) int64 {
-	least := c.heldAt(quota, c.now) - c.usedAt(quota, c.now)
-	c.visitEnds(func(t Time) {
+func (c *Core) freeUnits(quota int, until Time) int64 {
+	minFree := c.heldUnitsAt(quota, c.now) - c.usedUnitsAt(quota, c.now)
+	c.visitEndTimes(func(t Time) {
 		if t <= until {
-			least = min(least, c.heldAt(quota, t)-c.usedAt(quota, t))
+			minFree = min(minFree, c.heldUnitsAt(quota, t)-c.usedUnitsAt(quota, t))
 		}
 	})
-	return least - c.toBeReturned(quota)
+	return minFree - c.unitsToReturn(quota)
 }
 
 // coversUses reports whether the held units suffice for all current uses until each of them ends.
 func (c *Core) coversUses(quota int) bool {
-	covers := c.heldAt(quota, c.now) >= c.usedAt(quota, c.now)
-	c.visitEnds(func(t Time) { covers = covers && c.heldAt(quota, t) >= c.usedAt(quota, t) })
+	covers := c.heldUnitsAt(quota, c.now) >= c.usedUnitsAt(quota, c.now)
+	c.visitEndTimes(func(t Time) { covers = covers && c.heldUnitsAt(quota, t) >= c.usedUnitsAt(quota, t) })
 	return covers
 }
 
@@ -107,23 +107,23 @@
 // out nor returned. It returns how many units it marked, and when the first share or borrowed lease ends, of whatever quota.
 func (c *Core) ReserveRate(now Time, quota int, need int64) (units int64, until Time) {
 	c.advance(now)
-	units, until = min(max(0, c.heldAt(quota, c.now)-c.toBeReturned(quota)), need), Never
-	c.visitEnds(func(t Time) { until = min(until, t) })
+	units, until = min(max(0, c.heldUnitsAt(quota, c.now)-c.unitsToReturn(quota)), need), Never
+	c.visitEndTimes(func(t Time) { until = min(until, t) })
 	c.quotas[quota].rateUnits = units
 	return units, until
 }
 
 // ScaleTotal limits a total to a fraction of itself, from 0 to 1, for example while only some of the engines are up. Members that
 // see the same engines set the same fraction.
-func (c *Core) ScaleTotal(now Time, quota int, part float64) {
+func (c *Core) ScaleTotal(now Time, quota int, fraction float64) {
 	c.advance(now)
-	c.quotas[quota].scale = part
+	c.quotas[quota].scale = fraction
 }
 
 // TryAcquire marks units of a quota as in use until a time, if they are free until then. It reports whether they were.
 func (c *Core) TryAcquire(now Time, quota int, units int64, until Time) bool {
 	c.advance(now)
-	if c.free(quota, until) < units {
+	if c.freeUnits(quota, until) < units {
 		return false
 	}
 	c.allocations = append(c.allocations, allocation{quota, units, until})
@@ -134,14 +134,14 @@
 // are never underestimated.
 func (c *Core) Release(now Time, quota int, units int64) {
 	c.advance(now)
-	first := -1
+	earliest := -1
 	for i := range c.allocations {
 		a := &c.allocations[i]
-		if a.quota == quota && a.units == units && (first < 0 || a.until < c.allocations[first].until) {
-			first = i
+		if a.quota == quota && a.units == units && (earliest < 0 || a.until < c.allocations[earliest].until) {
+			earliest = i
 		}
 	}
-	if first >= 0 {
-		c.allocations = slices.Delete(c.allocations, first, first+1)
+	if earliest >= 0 {
+		c.allocations = slices.Delete(c.allocations, earliest, earliest+1)
 	}
 }
--- a/internal/cluster/quota/voter.go
+++ b/internal/cluster/quota/voter.go
@@ -53,17 +53,17 @@
 // one share term later, when every share that was confirmed before has ended.
 func (c *Core) openVoter() {
 	v := &c.voter
-	others := 0
+	votersKnowing := 0
 	for i := range v.knownBy {
 		if i != v.index && v.knownBy[i] != 0 {
-			others++
+			votersKnowing++
 		}
 	}
 	if v.incarnations[v.index] > c.incarnation {
 		return // a later process has this voter's name
 	}
-	alone := others < len(v.knownBy)-1
-	if alone && (c.plan.Mutation != JoinWithoutAllVoters || others == 0) {
+	incomplete := votersKnowing < len(v.knownBy)-1
+	if incomplete && (c.plan.Mutation != JoinWithoutAllVoters || votersKnowing == 0) {
 		return
 	}
 	v.openAt = c.now + c.plan.withDrift(c.plan.ShareTerm)
@@ -122,7 +122,7 @@
 // handleShareClaim confirms a share to its claimant. It rejects the claim while another process holds the share and its term may not
 // have ended on that process's clock, unless the claimant has the same name and lists that process as a predecessor.
 func (c *Core) handleShareClaim(m Message) {
-	if c.voter.index < 0 || c.now < c.voter.openAt || m.Share < 0 || m.Share >= len(c.voter.holders) || m.PlanRevision < c.highestNumber {
+	if c.voter.index < 0 || c.now < c.voter.openAt || m.Share < 0 || m.Share >= len(c.voter.holders) || m.PlanRevision < c.highestRevision {
 		return
 	}
 	holder := &c.voter.holders[m.Share]
@@ -131,8 +131,8 @@
 	}
 	succeeds := holder.name == m.Sender &&
 		(slices.Contains(m.Predecessors, holder.incarnation) || len(m.Predecessors) > 0 && c.plan.Mutation == SucceedAnyHolder)
-	same := holder.name == m.Sender && holder.incarnation == m.SenderIncarnation
-	if holder.incarnation > 0 && c.now < holder.until && !same && !succeeds {
+	sameHolder := holder.name == m.Sender && holder.incarnation == m.SenderIncarnation
+	if holder.incarnation > 0 && c.now < holder.until && !sameHolder && !succeeds {
 		c.send(m.Sender, Message{Kind: KindReject, RecipientIncarnation: m.SenderIncarnation, Share: m.Share})
 		return
 	}
@@ -159,9 +159,9 @@
 	}
 	for share := range c.voter.holders {
 		idle := c.now - max(c.voter.holders[share].until, c.voter.openAt)
-		turn := (share + int(idle/c.plan.ShareTerm)) % len(c.plan.Voters)
+		designatedVoter := (share + int(idle/c.plan.ShareTerm)) % len(c.plan.Voters)
 		claimed := slices.ContainsFunc(c.claims, func(k shareClaim) bool { return k.share == share })
-		if idle >= c.plan.ShareTerm/4 && turn == c.voter.index && !claimed {
+		if idle >= c.plan.ShareTerm/4 && designatedVoter == c.voter.index && !claimed {
 			c.claims = append(c.claims, shareClaim{share: share, heldUntil: c.now, nextClaimAt: c.now})
 		}
 	}
