--- a/internal/cluster/healthreport/finding.go
+++ b/internal/cluster/healthreport/finding.go
@@ -51,7 +51,7 @@
 			out.ScoreUntil = failedAt + b.outcomeLifetime
 		}
 	}
-	if out.Witnesses > 0 && counts(&e.own) { // own failures have the same weight as those of a peer, but count only if a peer observed failures too
+	if out.Witnesses > 0 && counts(&e.own) { // own failures weigh as much as a peer's, but count only with a peer's
 		out.FailureScore += 1 / float64(b.countFailing(now, func(i int) *observations { return &b.engines[i].own }))
 		out.Witnesses++
 	}
@@ -69,8 +69,8 @@
 	return max(1, n)
 }
 
-// withinEjectionLimit reports whether an engine is one of those with the highest scores that peers' reports may eject. They may eject at most
-// maxEjectedShare of the listed engines, but at least one.
+// withinEjectionLimit reports whether an engine's score is among the highest, so that peers' reports may eject the engine. They may eject
+// at most maxEjectedShare of the listed engines, but at least one.
 func (b *Table) withinEjectionLimit(now Time, index int) bool {
 	listed, higherRanked, ownScore := 0, 0, b.engines[index].currentFinding.FailureScore
 	for i := range b.engines {
--- a/internal/cluster/healthreport/message.go
+++ b/internal/cluster/healthreport/message.go
@@ -36,7 +36,7 @@
 	hasReport = hasInFlight | hasUtilization | hasMemory | hasDisks
 )
 
-// startMask reduces an engine's start time to 24 bits, which distinguish any two start times within half an hour.
+// startMask reduces an engine's start time to 24 bits, which distinguish any two start times less than 28 minutes apart.
 const startMask = 1<<24 - 1
 
 // encodeStart returns an engine's start time as it is encoded in messages.
--- a/internal/cluster/healthreport/receive.go
+++ b/internal/cluster/healthreport/receive.go
@@ -123,8 +123,9 @@
 	return slices.BinarySearchFunc(b.peers, name, func(p peer, name string) int { return cmp.Compare(p.Name, name) })
 }
 
-// updateDelay returns how much longer a message of this peer was delayed than the peer's fastest message. The minimum delay rises only as far as
-// clock drift can explain, because after a stall of this process or of the network, the first message to arrive is the oldest.
+// updateDelay returns how much longer a message of this peer was delayed than the peer's fastest message, and updates the minimum delay.
+// The minimum rises only as far as clock drift can explain, because after a stall of this process or of the network, the first message
+// to arrive is the oldest.
 func (p *peer) updateDelay(now Time, sent uint32) Time {
 	difference := Time(int32(uint32(now) - sent)) // both clocks are reduced to 32 bits; only changes of the difference matter
 	p.minDelay = min(difference, p.minDelay+max(0, now-p.receivedAt)/delayDriftDivisor)
--- a/internal/cluster/healthreport/table.go
+++ b/internal/cluster/healthreport/table.go
@@ -21,7 +21,7 @@
 	// the last failures are this old. Each gateway uses its own value between this and twice this, so that one gateway tries the engine
 	// before all others do.
 	OutcomeLifetime = 10 * admission.Second
-	// ConfirmedFailureLifetime is the lifetime of failures that a fresh failure confirms: while the last failure that any gateway
+	// ConfirmedFailureLifetime is the lifetime of failures that a fresh failure confirms: while the last failure that any peer
 	// observed at the engine counts, earlier failures count up to this age. So the attempt of one gateway is enough to show that the
 	// engine still fails. And a gateway whose own network fails cannot use other gateways' earlier failures to keep the engine ejected
 	// for longer than this.
--- a/internal/cluster/membership/core.go
+++ b/internal/cluster/membership/core.go
@@ -1,6 +1,6 @@
-// Package membership tracks which gateways of a cluster are alive. It implements the SWIM protocol (probes, indirect probes, suspicions that
-// the suspect can refute, gossip in the probe messages) with the local health of Lifeguard. It does no I/O: its caller passes in the
-// current time and a random source, and delivers the messages. docs/fleet.md has the reasons and the measurements.
+// Package membership tracks which gateways of a cluster are alive. It implements the SWIM protocol (probes, indirect probes, suspicions
+// that the suspect can refute, gossip in the probe messages) with the local health of Lifeguard. It does no I/O: its caller passes in
+// the current time and a random source, and delivers the messages. docs/fleet.md has the reasons and the measurements.
 package membership
 
 import (
@@ -79,10 +79,10 @@
 	maxNameBytes            = 40                   // bytes
 	maxAddressBytes         = 64                   // bytes
 	maxMembers              = 1024                 // twice the largest supported cluster
-	contactInterval         = 5 * admission.Second // interval between probes of dead members and seeds; ten members find each other in seconds
+	contactInterval         = 5 * admission.Second // interval between pings to dead members and seeds; ten members find each other in seconds
 	isolatedContactInterval = admission.Second     // the same interval while no other member is reachable
-	incarnationRaisePeriod  = 5 * admission.Second // a process this old no longer raises its incarnation above that of a later process of its name
-	fullExchangePeriod      = 2 * admission.Second // full member lists are exchanged this long after learning of a new member: 500 in seconds
+	incarnationRaisePeriod  = 5 * admission.Second // age up to which a process raises its incarnation above that of another of its name
+	fullExchangePeriod      = 2 * admission.Second // time after a new member during which pings are full; a new process learns of 500 in seconds
 	defaultRefreshCount     = 8                    // member records added to each message; all of 500 members are refreshed in half a minute
 	maxRelays               = 64
 )
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// send encodes and sends a message. It adds the record of the member that the message is about, then rumours, and then the records of
-// up to refresh members, which it selects one after another.
+// send encodes and sends a message. It adds the record of the member that the message is about, then pending updates, and then the records
+// of up to refresh members, which it selects one after another.
 func (c *Core) send(address string, m message, refresh int) {
 	m.from = c.self
 	w := newWriter(m)
@@ -74,7 +74,7 @@
 	c.host.Send(address, w.bytes())
 }
 
-// addPendingUpdates adds the rumours that were sent least often, and removes those that were sent often enough.
+// addPendingUpdates adds the pending updates that were sent least often, and removes those that were sent often enough.
 func (c *Core) addPendingUpdates(w *writer) {
 	maxSent := 3 * int(math.Ceil(math.Log2(float64(len(c.members)+2))))
 	slices.SortStableFunc(c.pendingUpdates, func(a, b pendingUpdate) int { return cmp.Compare(a.sent, b.sent) })
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// contactUnreachable sends pings to members that may be back: to at most two addresses, drawn from one random dead member and the seeds that
-// are not known as reachable members.
+// contactUnreachable pings members that may be back. It pings at most two addresses, drawn from those of one random dead member and of the
+// seeds that are not known as reachable members.
 func (c *Core) contactUnreachable() {
 	const maxContacts = 2 // limits the cost of seeds that are down
 	c.nextContactAt = c.now + contactInterval
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -14,7 +14,7 @@
 	return cmp.Or(cmp.Compare(received.Incarnation, current.Incarnation), order) > 0
 }
 
-// applyRecord applies a received record of a member, and spreads it if it is new.
+// applyRecord applies a received record of a member. If the record is new, it is added to the next messages.
 func (c *Core) applyRecord(received Member) {
 	if received.Name == c.self.Name {
 		c.applyOwnRecord(received)
@@ -112,8 +112,8 @@
 	c.host.MemberChanged(code, c.self)
 }
 
-// removeOldMembers removes members that have been dead or have left for ForgetAfter. If there are still too many members, it removes more, in
-// the order of removedBefore.
+// removeOldMembers removes members that died or left at least ForgetAfter ago. While there are still more than maxMembers, it removes more,
+// in the order of removedBefore.
 func (c *Core) removeOldMembers() {
 	c.members = slices.DeleteFunc(c.members, func(m Member) bool { return m.State >= Dead && c.now-m.StateSince >= ForgetAfter })
 	for len(c.members) > maxMembers {
--- a/internal/cluster/quota/core.go
+++ b/internal/cluster/quota/core.go
@@ -1,12 +1,13 @@
-// Package quota divides the totals that an operator sets for the whole cluster among its gateways. All gateways together never use
-// more than a total, even if some of them are partitioned, stopped, killed, restarted or run twice under one name, and however late
-// messages arrive. The package does no I/O: its caller passes in the current time and delivers the messages.
+// Package quota divides the totals that an operator sets for the whole cluster (threads, concurrent requests, rates) among its gateways.
+// All gateways together never use more than a total, even if some of them are partitioned, stopped, killed, restarted or run twice
+// under one name, and however late messages arrive. The package does no I/O: its caller passes in the current time and delivers the
+// messages.
 // docs/budgets.md describes the protocol, why it is safe, and which tests show it.
 //
 // Every gateway has one share, chosen by its index among the gateways. The holder of a share may use an equal part of each total for
 // one share term after a majority of the voters (a few named gateways) has confirmed it. The term is counted from when the holder
 // requested the confirmation. The holder leases the units that it does not need to other gateways. At the borrower, a lease ends a
-// fixed time after it was requested. At the lender, it ends only when that time has passed on the slowest clock that the borrower may have.
+// fixed time after it was requested. The lender waits until this time has passed even on the slowest clock that the borrower may have.
 package quota
 
 import (
@@ -64,7 +65,7 @@
 	nextRequestUnits int64 // units that the next waiting request needs; it cannot use fewer
 	neededAt         Time  // when the borrowed units were last needed
 	collectingSince  Time  // start of the collection of units for one wide request
-	pausedUntil      Time  // until then, no units are held back for own waiting requests, and no new leases are requested
+	pausedUntil      Time  // end of a pause, during which no units are held back for own requests and no new leases are requested
 	failures         uint8 // consecutive collections that found too few units, up to maxFailures
 }
 
@@ -159,8 +160,9 @@
 	return &merged
 }
 
-// ReleaseShares returns all borrowed units. If no units are in use or leased out any more, it also releases the shares, so that a
-// successor does not have to wait for the end of their term. It reports whether the shares were released.
+// ReleaseShares drops the demand and returns the borrowed units that are not in use. If no units are in use or leased out and the own
+// share is usable, it also releases the shares, so that a successor does not have to wait for the end of their term. It reports whether
+// the shares were released.
 func (c *Core) ReleaseShares(now Time) bool {
 	c.advance(now)
 	c.removeExpired()
--- a/internal/cluster/quota/demand.go
+++ b/internal/cluster/quota/demand.go
@@ -55,7 +55,7 @@
 	demand := &c.quotas[quota].demand
 	missing, openRequests := demand.units-free, 0
 	if c.nextRequestIsWide(quota) && free < demand.nextRequestUnits {
-		missing = min(missing, demand.nextRequestUnits-free) // collect for one request at a time, because a request cannot use a part of its units
+		missing = min(missing, demand.nextRequestUnits-free) // collect only for the next request, which cannot use fewer units
 	}
 	for i := range c.taken.requests {
 		if r := &c.taken.requests[i]; r.quota == quota && r.isNew && c.now-r.sentAt < requestTimeout {
--- a/internal/cluster/quota/units.go
+++ b/internal/cluster/quota/units.go
@@ -48,8 +48,8 @@
 	return c.plan.Mutation == UseLeasedUnits || l.final && c.plan.Mutation == UseRecalledUnits
 }
 
-// minOwnUnits returns the minimum of ownUnitsAt from now until a time. The end of a granted lease raises the value, so it falls only where a
-// share ends.
+// minOwnUnits returns the minimum of ownUnitsAt from now until a time. The value falls only where a share ends, because the end of a granted
+// lease raises it.
 func (c *Core) minOwnUnits(quota int, until Time) int64 {
 	minUnits := c.ownUnitsAt(quota, c.now)
 	for i := range c.claims {
