--- a/internal/cluster/membership/core.go
+++ b/internal/cluster/membership/core.go
@@ -47,7 +47,7 @@
 // EventCode identifies an event of a member or of the whole cluster.
 type EventCode string
 
-// The events.
+// The events of a member or of the cluster.
 const (
 	Joined      EventCode = "joined"
 	Restarted   EventCode = "restarted" // a later process has the member's name
--- a/internal/cluster/quota/core.go
+++ b/internal/cluster/quota/core.go
@@ -1,4 +1,4 @@
-// Package quota divides the totals that an operator sets for the whole cluster (threads, concurrent requests, rates) among its gateways.
+// Package quota divides the totals that an operator sets for the whole cluster (threads, requests that wait or run, rates of work) among its gateways.
 // All gateways together never use more than a total, even if some of them are partitioned, stopped, killed, restarted or run twice
 // under one name, and however late messages arrive. The package does no I/O: its caller passes in the current time and delivers the
 // messages.
