--- a/internal/cluster/quota/core.go
+++ b/internal/cluster/quota/core.go
@@ -1,8 +1,7 @@
-// Package quota divides the totals that an operator sets for the whole cluster (threads, requests that wait or run, rates of work) among its gateways.
-// All gateways together never use more than a total, even if some of them are partitioned, stopped, killed, restarted or run twice
-// under one name, and however late messages arrive. The package does no I/O: its caller passes in the current time and delivers the
-// messages.
-// docs/budgets.md describes the protocol, why it is safe, and which tests show it.
+// Package quota divides the totals that an operator sets for the whole cluster (threads, requests that wait or run, rates of work)
+// among its gateways. All gateways together never use more than a total, even if some of them are partitioned, stopped, killed,
+// restarted or run twice under one name, and however late messages arrive. The package does no I/O: its caller passes in the current
+// time and delivers the messages. docs/budgets.md describes the protocol, why it is safe, and which tests show it.
 //
 // Every gateway has one share, chosen by its index among the gateways. The holder of a share may use an equal part of each total for
 // one share term after a majority of the voters (a few named gateways) has confirmed it. The term is counted from when the holder
