--- a/internal/router/watcher_test.go
+++ b/internal/router/watcher_test.go
@@ -12,66 +12,68 @@
 	"magpiebank/internal/admission"
 )
 
-func Example_restBefore() {
-	const within = 400 * time.Millisecond
-	for _, took := range []time.Duration{0, 100 * time.Millisecond, within, time.Second} { // refused at once, ..., not up in time
-		fmt.Print(reconnectDelay(took, within), " ")
+// The elapsed times are those of connections that were refused at once, ended early, and were not up in time.
+func Example_reconnectDelay() {
+	const connectTimeout = 400 * time.Millisecond
+	for _, elapsed := range []time.Duration{0, 100 * time.Millisecond, connectTimeout, time.Second} {
+		fmt.Print(reconnectDelay(elapsed, connectTimeout), " ")
 	}
 	// Output: 400ms 300ms 0s 0s
 }
 
-// awaitPoll waits for a poll of an engine list and returns its connection.
-func awaitPoll(t *testing.T, l net.Listener) net.Conn {
+// awaitPoll waits until the watcher has polled an engine list, and returns the connection.
+func awaitPoll(t *testing.T, listener net.Listener) net.Conn {
 	t.Helper()
-	_ = asTCPListener(l).SetDeadline(time.Now().Add(eventuallyTimeout))
+	_ = asTCPListener(listener).SetDeadline(time.Now().Add(eventuallyTimeout))
 	for {
-		k, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := bufio.NewReader(k).ReadString('\n'); err == nil {
-			return k
+		if _, err := bufio.NewReader(conn).ReadString('\n'); err == nil {
+			return conn
 		}
-		k.Close() // its dial was not up in time, where the site allows little
+		conn.Close() // the watcher gave up the dial before it polled, which a short connect timeout can cause
 	}
 }
 
-// A new configuration that comes while the watcher rests after a refused connection is gone by at once: the events that it knows
-// count as told.
+// A new configuration that arrives while the watcher waits after a refused connection is used at once. The gateway is expected
+// to know the events that the configuration contains.
 func TestReloadWhileTheListIsDown(t *testing.T) {
-	long := strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":60000000`, 1) // which the rest is, too
+	// The wait after a refused connection is as long as the connect timeout, which must not pass during the test.
+	longTimeoutSettings := strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":60000000`, 1)
 	e := newFakeEngine(t, "e1")
-	s := startFixtureWith(t, long)
+	s := startFixtureWith(t, longTimeoutSettings)
 	defer s.close()
 	e.fixture = s
-	down := s.listen()
-	address := down.Addr().String()
-	down.Close()
+	closedListener := s.listen()
+	address := closedListener.Addr().String()
+	closedListener.Close()
 	next := *s.startConfig
 	next.DiscoveryAddress, next.KnownEndpoints = address, nil
 	s.reloads <- &next
 	s.awaitLog("code=refused")
-	l := s.listen()
-	after := next
-	after.DiscoveryAddress = l.Addr().String()
-	s.reloads <- &after
-	awaitPoll(t, l)
+	listener := s.listen()
+	afterNext := next
+	afterNext.DiscoveryAddress = listener.Addr().String()
+	s.reloads <- &afterNext
+	awaitPoll(t, listener)
 }
 
-// A whole list after a silence that names an engine no more takes it away, as if its end had been told.
-func TestWholeListWithoutAnEngine(t *testing.T) {
+// An update with the whole list that no longer contains an engine removes the engine, as if the list had announced its end.
+func TestWholeListRemovesUnlistedEngine(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t, e)
 	defer s.close()
 	f.fixture = s
-	l := s.listen()
+	listener := s.listen()
 	next := *s.startConfig
-	next.DiscoveryAddress = l.Addr().String()
+	next.DiscoveryAddress = listener.Addr().String()
 	s.reloads <- &next
-	k := awaitPoll(t, l)
-	whole := fmt.Sprintf(`{"index":9,"updates":[%s]}`, watchEvent(9, true, []string{serverJSON(f, "Ready")}))
-	fmt.Fprintf(k, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
-	eventually(t, "the whole list is taken in", func() bool {
+	conn := awaitPoll(t, listener)
+	wholeList := fmt.Sprintf(`{"index":9,"updates":[%s]}`, watchEvent(9, true, []string{serverJSON(f, "Ready")}))
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(wholeList), wholeList)
+	eventually(t, "the whole list is applied", func() bool {
 		names := make(chan string, 1)
 		s.onOwner(func(admission.Time) {
 			var all []string
@@ -84,62 +86,62 @@
 	})
 	s.requireNextAttempt(f, "aa")
 	if len(e.received) > 0 {
-		t.Errorf("the engine that is listed no more heard %q", (<-e.received).parts)
+		t.Errorf("the engine that is no longer listed received %q", (<-e.received).parts)
 	}
 }
 
-// A stop ends the watcher also while it rests or a poll is out.
-func TestStopEndsTheFollower(t *testing.T) {
+// A shutdown ends the watcher and closes its connection while a poll is unanswered.
+func TestStopEndsTheWatcher(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
-	l := s.listen()
+	listener := s.listen()
 	next := *s.startConfig
-	next.DiscoveryAddress = l.Addr().String()
+	next.DiscoveryAddress = listener.Addr().String()
 	s.reloads <- &next
-	k := awaitPoll(t, l)
+	conn := awaitPoll(t, listener)
 	close(s.stop)
 	<-s.ended
-	k.SetReadDeadline(time.Now().Add(eventuallyTimeout))
-	if _, err := io.Copy(io.Discard, k); err != nil {
+	conn.SetReadDeadline(time.Now().Add(eventuallyTimeout))
+	if _, err := io.Copy(io.Discard, conn); err != nil {
 		t.Errorf("the poll was left open: %v", err)
 	}
 }
 
-// The list breaks off, is spoilt, brings more than was asked for, or goes away for good: what it told before counts,
-// and the rest is asked for again under the last number, on a new connection.
-func TestSpoiltListIsAskedAgain(t *testing.T) {
+// The answer to a poll is cut off, malformed, too long, followed by surplus bytes, or lacks an event. The gateway keeps the
+// events that it has read, and polls again for the events after the last one, on a new connection.
+func TestInvalidListIsPolledAgain(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t)
 	e.fixture = s
-	l := s.listen()
+	listener := s.listen()
 	next := *s.startConfig
-	next.DiscoveryAddress = l.Addr().String()
+	next.DiscoveryAddress = listener.Addr().String()
 	s.reloads <- &next
 	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(e, "Ready")}))
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
+	validAnswer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
 	for _, c := range []struct{ what, answer string }{
-		{"breaks off", whole[:len(whole)-30]},
-		{"is spoilt", strings.Replace(whole, `"id":`, `"\x00d":`, 1)},
-		{"lacks an id", strings.Replace(whole, `"id"`, `"ID"`, 1)},
-		{"has an odd state", strings.Replace(whole, `Ready`, `Reedy`, 1)},
+		{"breaks off", validAnswer[:len(validAnswer)-30]},
+		{"is spoilt", strings.Replace(validAnswer, `"id":`, `"\x00d":`, 1)},
+		{"lacks an id", strings.Replace(validAnswer, `"id"`, `"ID"`, 1)},
+		{"has an odd state", strings.Replace(validAnswer, `Ready`, `Reedy`, 1)},
 		{"leaves an event out", "HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\n" + `{"index":2,"updates":[]}`},
 		{"claims too much", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{"},
 		{"has no end of its head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("x", 9000)},
-		{"comes twice", whole + whole},
+		{"comes twice", validAnswer + validAnswer},
 	} {
-		k, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		line, _ := bufio.NewReader(k).ReadString('\n')
+		line, _ := bufio.NewReader(conn).ReadString('\n')
 		s.tracef("polled: %.26s, the answer %s", line, c.what)
-		_, _ = io.WriteString(k, c.answer)
+		_, _ = io.WriteString(conn, c.answer)
 		if c.what == "breaks off" {
-			k.Close()
+			conn.Close()
 		}
 	}
-	k, _ := l.Accept()
-	line, _ := bufio.NewReader(k).ReadString('\n')
+	conn, _ := listener.Accept()
+	line, _ := bufio.NewReader(conn).ReadString('\n')
 	s.tracef("polled: %.26s", line)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
@@ -148,18 +150,19 @@
 	s.compareTrace("list amiss")
 }
 
-func TestDrainingEngineGetsNothingNew(t *testing.T) { // nothing new goes there, and what is out is still delivered
+// A terminating engine gets no new requests. The result of a request that it already runs is still delivered.
+func TestDrainingEngineGetsNothingNew(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a, b := s.newClient(), s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	s.announceEngine(e, "Terminating")
 	b.sendIdempotentQuery("bb")
 	s.awaitRequests(2)
 	s.advanceClock(900 * admission.Millisecond)
 	b.expectAnswer()
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	s.compareTrace("drain")
 }
