--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// rumour is a member whose record is still passed on.
-type rumour struct {
+// pendingUpdate names a member whose changed record is still added to messages.
+type pendingUpdate struct {
 	name string
-	sent int // times
+	sent int // number of messages that carried the record
 }
 
-// spread has a member's record be passed on.
-func (c *Core) spread(name string) {
-	c.rumours = slices.DeleteFunc(c.rumours, func(r rumour) bool { return r.name == name })
-	c.rumours = append(c.rumours, rumour{name: name})
+// queueUpdate makes the core add a member's record to its next messages.
+func (c *Core) queueUpdate(name string) {
+	c.pendingUpdates = slices.DeleteFunc(c.pendingUpdates, func(r pendingUpdate) bool { return r.name == name })
+	c.pendingUpdates = append(c.pendingUpdates, pendingUpdate{name: name})
 }
 
-// HandleMessage takes in a message. The error is ErrMessage if it cannot be read.
+// HandleMessage processes a received message. For an invalid message, it returns ErrInvalidMessage and changes nothing.
 func (c *Core) HandleMessage(now Time, b []byte) error {
 	m, err := decode(b)
 	if err != nil {
@@ -29,19 +29,19 @@
 		return nil
 	}
 	for i := range m.records {
-		c.learn(m.records[i])
+		c.applyRecord(m.records[i])
 	}
 	if m.from.Name == c.self.Name {
-		return nil // records of this name have been taken in
+		return nil // the records in the message have been applied
 	}
-	c.learn(m.from)
+	c.applyRecord(m.from)
 	i, known := c.indexOf(m.from.Name)
 	if !known {
 		return nil
 	}
 	if c.members[i].Incarnation > m.from.Incarnation && !ignoreIncarnations {
-		// A process that has been superseded still sends. It is notified, and nothing that it sends counts as a sign of its successor.
-		c.send(m.from.Address, message{kind: kindAck, about: m.from.Name}, usualRefresh)
+		// The sender has been superseded but still runs. It is notified, and its message does not count as a reply of its successor.
+		c.send(m.from.Address, message{kind: kindAck, about: m.from.Name}, defaultRefreshCount)
 		return nil
 	}
 	switch m.kind {
@@ -56,30 +56,31 @@
 	return nil
 }
 
-// send writes a message: the record of the member that it is about, then rumours, and then the records of so many members in turn.
+// send encodes and sends a message. It adds the record of the member that the message is about, then pending updates, and then the records
+// of up to refresh members, which it selects one after another.
 func (c *Core) send(address string, m message, refresh int) {
 	m.from = c.self
 	w := newWriter(m)
 	if i, ok := c.indexOf(m.about); ok && m.about != "" {
 		w.add(&c.members[i])
 	}
-	c.addRumours(w)
+	c.addPendingUpdates(w)
 	for n := 0; n < min(refresh, len(c.members)); n++ {
-		c.refreshedTo++
-		if !w.add(&c.members[c.refreshedTo%len(c.members)]) {
+		c.refreshCounter++
+		if !w.add(&c.members[c.refreshCounter%len(c.members)]) {
 			break
 		}
 	}
 	c.host.Send(address, w.bytes())
 }
 
-// addRumours adds the records that were passed on least, and drops rumours that were passed on often enough.
-func (c *Core) addRumours(w *writer) {
+// addPendingUpdates adds the pending updates that were sent least often, and removes those that were sent often enough.
+func (c *Core) addPendingUpdates(w *writer) {
 	maxSent := 3 * int(math.Ceil(math.Log2(float64(len(c.members)+2))))
-	slices.SortStableFunc(c.rumours, func(a, b rumour) int { return cmp.Compare(a.sent, b.sent) })
-	for k := range c.rumours {
-		r := &c.rumours[k]
-		if r.name != c.self.Name { // its own record is in every message
+	slices.SortStableFunc(c.pendingUpdates, func(a, b pendingUpdate) int { return cmp.Compare(a.sent, b.sent) })
+	for k := range c.pendingUpdates {
+		r := &c.pendingUpdates[k]
+		if r.name != c.self.Name { // the sender's record is part of every message
 			i, ok := c.indexOf(r.name)
 			if ok && !w.add(&c.members[i]) {
 				break
@@ -87,5 +88,5 @@
 		}
 		r.sent++
 	}
-	c.rumours = slices.DeleteFunc(c.rumours, func(r rumour) bool { return r.sent >= maxSent })
+	c.pendingUpdates = slices.DeleteFunc(c.pendingUpdates, func(r pendingUpdate) bool { return r.sent >= maxSent })
 }
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -5,33 +5,34 @@
 	"slices"
 )
 
-// suspicion is one that has begun to run. Members that share it shorten it.
+// suspicion is the suspicion that a member is under, and the time since which it is running. It ends earlier the more members share it.
 type suspicion struct {
 	name        string
 	incarnation uint64
 	refutations uint32
-	began       Time
+	startedAt   Time
 	accusers    []string
 }
 
 const maxAccusers = 4
 
-// concerns reports whether a suspicion is the one that a member is under. One that it has refuted is over.
+// concerns reports whether a suspicion is about the current record of a member. A suspicion that the member has refuted is not.
 func (s *suspicion) concerns(m *Member) bool {
 	return s.name == m.Name && s.incarnation == m.Incarnation && s.refutations == m.Refutations
 }
 
-// suspicionTimeout returns how long a suspicion runs. It grows with the logarithm of the fleet, because gossip takes so
-// many rounds, and is three times as long while nobody shares the suspicion. A member that doubts itself waits longer, but
-// a part of the fleet that is cut off and whose probes mostly fail still finds out within two minutes.
+// suspicionTimeout returns after what time a suspected member is declared dead. The timeout grows with the logarithm of the cluster size,
+// like the number of rounds that gossip needs. It is three times as long while no other member shares the suspicion. It also grows with
+// the local health, but so little that members in a cut-off part of the cluster, most of whose probes fail, still declare the others dead
+// within two minutes.
 func (c *Core) suspicionTimeout(s *suspicion) Time {
-	least := float64(ProbeInterval) * (1 + float64(c.health)/4) * 2 * max(1, math.Log2(float64(len(c.members)+2)))
-	const maxFactor, shared = 3, 3.0
-	part := math.Log2(float64(len(s.accusers))) / math.Log2(shared+1)
-	return Time(least * max(1, maxFactor-(maxFactor-1)*part))
+	minTimeout := float64(ProbeInterval) * (1 + float64(c.localHealth)/4) * 2 * max(1, math.Log2(float64(len(c.members)+2)))
+	const maxFactor, sharersForMinimum = 3, 3.0
+	reduction := math.Log2(float64(len(s.accusers))) / math.Log2(sharersForMinimum+1)
+	return Time(minTimeout * max(1, maxFactor-(maxFactor-1)*reduction))
 }
 
-// endSuspicions declares suspects dead whose suspicion has run out, and drops suspicions that are over.
+// endSuspicions declares suspects dead whose suspicion has timed out, and removes suspicions that no longer concern a suspect.
 func (c *Core) endSuspicions() {
 	for i := 0; i < len(c.suspicions); {
 		s := &c.suspicions[i]
@@ -40,23 +41,24 @@
 			c.suspicions = slices.Delete(c.suspicions, i, i+1)
 			continue
 		}
-		if c.now-s.began < c.suspicionTimeout(s) {
+		if c.now-s.startedAt < c.suspicionTimeout(s) {
 			i++
 			continue
 		}
 		m := c.members[k]
 		m.State = Dead
 		c.suspicions = slices.Delete(c.suspicions, i, i+1)
-		c.learn(m)
+		c.applyRecord(m)
 	}
 }
 
-// addAccuser notes who shares a suspicion. A further accuser is passed on.
+// addAccuser adds an accuser to the suspicion of a member, and starts the suspicion if there is none. Every accuser after the first makes
+// the core spread the member's record.
 func (c *Core) addAccuser(m *Member, accuser string) {
 	i := slices.IndexFunc(c.suspicions, func(s suspicion) bool { return s.concerns(m) })
 	if i < 0 {
 		i = len(c.suspicions)
-		c.suspicions = append(c.suspicions, suspicion{name: m.Name, incarnation: m.Incarnation, refutations: m.Refutations, began: c.now})
+		c.suspicions = append(c.suspicions, suspicion{name: m.Name, incarnation: m.Incarnation, refutations: m.Refutations, startedAt: c.now})
 	}
 	s := &c.suspicions[i]
 	if len(s.accusers) >= maxAccusers || slices.Contains(s.accusers, accuser) {
@@ -64,6 +66,6 @@
 	}
 	s.accusers = append(s.accusers, accuser)
 	if len(s.accusers) > 1 {
-		c.spread(m.Name)
+		c.queueUpdate(m.Name)
 	}
 }
