--- a/internal/query/costmodel/cache.go
+++ b/internal/query/costmodel/cache.go
@@ -6,38 +6,39 @@
 	"sync"
 )
 
-// Cache holds values by key within a bound of memory. It is a CLOCK cache with admission by frequency (TinyLFU): when it is
-// full, a new key replaces an old one only if it has been asked for more often lately, so that a client that never repeats
-// a statement does not push out those that others use. Keys are spread over shards with a lock each. The methods may be
-// called from several goroutines.
+// Cache holds values by key in a bounded amount of memory. It is a CLOCK cache with admission by frequency (TinyLFU):
+// when it is full, a new key replaces an old one only if it was requested more often recently. A client that never
+// repeats a statement thus does not evict the statements of others. Keys are distributed over shards, each with its
+// own lock. The methods are safe for concurrent use.
 type Cache[V any] struct{ shards [cacheShards]cacheShard[V] }
 
-// cacheShards is ample: a gateway's sessions run on a few cores, and hold a shard for some tens of nanoseconds.
+// cacheShards is sufficient because a gateway's sessions run on a few cores, and hold the lock of a shard for some
+// tens of nanoseconds.
 const cacheShards = 16
 
-// minShardEntries is the capacity of a shard at least.
+// minShardEntries is the minimum capacity of a shard.
 const minShardEntries = 4
 
 type cacheShard[V any] struct {
 	mu        sync.Mutex
-	slots     map[uint64]int32 // the index in entries, by key
+	slots     map[uint64]int32 // indices in entries, by key
 	entries   []cacheEntry[V]
 	capacity  int
-	hand      int // the entry that is looked at next for eviction
+	hand      int // index of the entry that is the next candidate for eviction
 	frequency frequency
-	_         [40]byte // keeps shards off each other's line of the processor's cache
+	_         [40]byte // padding, which keeps shards out of each other's CPU cache lines
 }
 
 type cacheEntry[V any] struct {
 	key   uint64
 	value V
-	used  bool // since the hand passed
+	used  bool // it was read since the hand passed it
 }
 
-// slotBytes is the memory of an entry besides its value.
+// slotBytes is the memory of an entry without its value.
 const slotBytes = 56
 
-// NewCache returns a cache that takes up to about so many bytes for values that take about valueBytes each.
+// NewCache returns a cache that takes up to about the given number of bytes, if each value takes about valueBytes.
 func NewCache[V any](bytes int64, valueBytes int) *Cache[V] {
 	c := &Cache[V]{}
 	capacity := max(minShardEntries, int(bytes/int64(valueBytes+slotBytes)/cacheShards))
@@ -53,8 +54,8 @@
 	return &c.shards[spreadKey(key)>>60%cacheShards]
 }
 
-// keySeed spreads keys by a number that is drawn at start, as clients may choose keys. It decides only in which shard and
-// counters a key is.
+// keySeed is a random number that is drawn at start and determines the distribution of the keys, because clients may
+// choose keys. It affects only which shard and counters a key has.
 var keySeed = func() uint64 { return maphash.Bytes(maphash.MakeSeed(), []byte("cache")) | 1 }()
 
 func spreadKey(key uint64) uint64 {
@@ -62,13 +63,14 @@
 	return (key ^ key>>29) * keySeed
 }
 
-// Get returns the value of a key.
+// Get returns the value of a key; ok is false if there is none.
 func (c *Cache[V]) Get(key uint64) (value V, ok bool) {
 	ok = c.Visit(key, func(found V) { value = found })
 	return value, ok
 }
 
-// Visit calls visit with the value of a key while nobody else has access to it, and tells whether there is one.
+// Visit calls visit with the value of a key while it holds the lock of the key's shard. It reports whether there is a
+// value.
 func (c *Cache[V]) Visit(key uint64, visit func(V)) bool {
 	shard := c.shard(key)
 	shard.mu.Lock()
@@ -82,7 +84,8 @@
 	return ok
 }
 
-// Put offers a value. It tells whether the value was admitted, and returns the value that was evicted for it, if one was.
+// Put offers a value to the cache. It reports whether the value was admitted, and returns the value that was evicted
+// in its place, if any.
 func (c *Cache[V]) Put(key uint64, value V) (evicted V, admitted bool) {
 	shard := c.shard(key)
 	shard.mu.Lock()
@@ -115,7 +118,7 @@
 
 func (s *cacheShard[V]) moveHand() { s.hand = (s.hand + 1) % len(s.entries) }
 
-// Clear drops all values; the frequencies of keys stay.
+// Clear removes all values; the frequencies of keys are kept.
 func (c *Cache[V]) Clear() {
 	for i := range c.shards {
 		shard := &c.shards[i]
@@ -138,7 +141,7 @@
 	return count
 }
 
-// VisitAll calls visit for all values, in no particular order, with their shard locked.
+// VisitAll calls visit for all values, in no particular order, while it holds the lock of their shard.
 func (c *Cache[V]) VisitAll(visit func(key uint64, value V)) {
 	for i := range c.shards {
 		shard := &c.shards[i]
@@ -150,12 +153,13 @@
 	}
 }
 
-// frequency is a count-min sketch of how often keys were asked for lately. Each key has a counter in each of four rows,
-// and its estimate is the least of them. All counters are halved after ten times as many additions as there are counters.
+// frequency is a count-min sketch of how often keys were requested recently. Each key has four counters, all in one
+// array, and its estimate is the lowest of them. All counters are halved after ten times as many additions as there
+// are counters.
 type frequency struct {
 	counts []byte
 	mask   uint64
-	added  int // since the counters were halved
+	added  int // number of additions since the counters were halved
 }
 
 const (
@@ -183,7 +187,8 @@
 	return slots
 }
 
-// add counts a request for a key. Only the least of its counters are raised, so that collisions count less.
+// add counts a request for a key. Only the lowest of the key's counters are incremented, which reduces the effect of
+// collisions.
 func (f *frequency) add(key uint64) {
 	least := f.estimate(key)
 	if least >= maxFrequency {
--- a/internal/query/costmodel/estimate.go
+++ b/internal/query/costmodel/estimate.go
@@ -2,42 +2,47 @@
 
 import "math"
 
-// Estimate is what a query is expected to cost.
+// Estimate is the predicted cost of a query.
 type Estimate struct {
-	WorkMillis    float64 // the typical work
-	UpperMillis   float64 // nine of ten queries stay under it
-	MemoryMB      float64 // 0: not known
-	Observations  int     // of this shape on this group of tables
-	BadPlanShare  float64 // share of observations that took several times the typical work
-	BadPlanFactor float64 // how many times the typical work those took
-	Uncertain     bool    // a load has ended on the tables, or the cost has shifted, a few observations ago or less
-	FullScan      string  // a table that is read completely; empty: none
-	Known         bool    // false: there are too few observations of the shape and of the class; work and upper mean nothing
+	WorkMillis    float64 // typical work
+	UpperMillis   float64 // work that nine of ten queries do not exceed
+	MemoryMB      float64 // 0: unknown
+	Observations  int     // number of observations of this shape on this group of tables
+	BadPlanShare  float64 // share of the observations that took several times the typical work
+	BadPlanFactor float64 // ratio of the work of those observations to the typical work
+	Uncertain     bool    // a load ended on the tables, or the cost shifted, within the last few observations
+	FullScan      string  // name of a table that is read completely; empty: none
+	Known         bool    // false: the shape and its class have too few observations, and WorkMillis and UpperMillis are meaningless
 }
 
 const (
-	// priorDeviation is the deviation of the logarithm of a first estimate.
+	// priorDeviation is the standard deviation of the logarithm of the work in a prior estimate, which is made from
+	// the class and the regression without any observation of the shape.
 	priorDeviation = 1.0
-	// priorWeight is how many observations a first estimate counts as.
+	// priorWeight is the number of observations that a prior estimate counts as.
 	priorWeight = 2.0
-	// deviationsToUpper is the number of deviations under which nine of ten values of a normal distribution stay.
+	// deviationsToUpper is the number of standard deviations above the mean that nine of ten values of a normal
+	// distribution do not exceed.
 	deviationsToUpper = 1.2816
-	// minClassObservations is how many observations of a class a first estimate must rest on; with fewer, the class's
-	// mean is a guess.
+	// minClassObservations is the number of observations of a class that a prior estimate needs. With fewer, the mean
+	// of the class is a guess.
 	minClassObservations = 8
-	// minGroupObservations is how many observations the record of a literal's group needs to replace that of the shape.
+	// minGroupObservations is the number of observations with which the record of a group of literals replaces the
+	// record of the shape, and with which the estimate of a record counts as known.
 	minGroupObservations = 3
-	// maxLogMillis is the logarithm of an hour in milliseconds. No client waits longer, so a higher estimate is an error.
+	// maxLogMillis is the logarithm of an hour in milliseconds. No client waits longer, so a higher estimate is an
+	// error and is reduced to this.
 	maxLogMillis = 15.1
-	// minBadPlanShare is the share of bad plans from which nine of ten queries need not stay under the usual upper bound.
+	// minBadPlanShare is the share of bad plans from which UpperMillis is at least the work of a bad plan. From this
+	// share on, nine of ten queries need not stay below the bound that is computed from the usual plans.
 	minBadPlanShare = 0.05
-	// uncertainFactor widens the upper bound of an uncertain estimate.
+	// uncertainFactor is the factor by which UpperMillis of an uncertain estimate is raised.
 	uncertainFactor = 2
-	// peakMemoryShare is the share of the fading peak that an estimate of memory has at least.
+	// peakMemoryShare is the share of the decaying memory peak that an estimate of memory has at least.
 	peakMemoryShare = 0.7
 )
 
-// Estimate returns what a query is expected to cost.
+// Estimate predicts the cost of a query.
 func (m *Model) Estimate(q *Query) (e Estimate) {
 	e.FullScan = q.info.fullScan
 	m.mu.Lock()
@@ -69,9 +74,9 @@
 	return e
 }
 
-// blend sets in an estimate what a record says, and returns the mean and deviation of the logarithm of the work: those
-// of the record and of the first estimate, weighted by their observations. A first estimate of a class without
-// observations has no weight.
+// blend sets the fields of an estimate that come from a record. It returns the mean and the standard deviation of the
+// logarithm of the work: those of the record and of the prior estimate, weighted by their numbers of observations.
+// The prior estimate has no weight if e.Known is false, because its class has too few observations then.
 func (m *Model) blend(e *Estimate, r *record, prior float64, loads int) (mean, deviation float64) {
 	usual, usualDeviation, badShare, badFactor := r.sketch.SplitModes()
 	e.Observations, e.BadPlanShare, e.BadPlanFactor = r.observations, badShare, badFactor
--- a/internal/query/costmodel/expression_features.go
+++ b/internal/query/costmodel/expression_features.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// readWhere reads the predicates of a condition: its parts between ANDs. What stands under OR holds for no row by itself,
-// so there only the subqueries and functions are read. firstTable is the index of the first table of the query that the
-// condition belongs to.
+// readWhere reads the predicates of a condition, which are its operands between ANDs. In a condition with OR, no
+// operand needs to hold for all rows, so only the subqueries and functions are read. firstTable is the index of the
+// first table of the query that the condition belongs to.
 func (f *Features) readWhere(e *expression, firstTable int) {
 	if e == nil {
 		return
@@ -29,15 +29,15 @@
 	f.readCondition(condition, firstTable)
 }
 
-// comparison is a condition with an operator.
+// comparison is a condition with an operator, such as a = 5.
 type comparison struct {
 	left, right *operand
 	operator    string // without NOT
 	negated     bool
-	operands    int
+	operands    int // number of operands
 }
 
-// readCondition reads one condition, operands and the operators between them.
+// readCondition reads one condition, which consists of operands and the operators between them.
 func (f *Features) readCondition(condition []*operation, firstTable int) {
 	for _, op := range condition {
 		f.readOperand(op.Value)
@@ -64,8 +64,9 @@
 	f.addPredicate(c.left.Name, match, firstTable)
 }
 
-// turnToColumn makes a comparison whose left side is no column begin with one, as in 5 = a. It returns false if it can't;
-// then it has read a column that a function is applied to or that is compared to a computed value.
+// turnToColumn swaps the sides of a comparison such as 5 = a, so that the column is on the left, and returns true. It
+// returns false if the sides can't be swapped. In that case it has added a predicate for a column that a function is
+// applied to, or that is compared to a computed value.
 func (f *Features) turnToColumn(c *comparison, firstTable int) bool {
 	call := c.left.Call
 	switch {
@@ -82,7 +83,7 @@
 	return false
 }
 
-// match returns how the comparison narrows the column on its left.
+// match returns how the comparison narrows the column on its left side.
 func (c *comparison) match() Match {
 	toOtherTable := c.right.Query != nil
 	switch {
@@ -107,7 +108,7 @@
 	case "BETWEEN", "<", ">", "<=", ">=":
 		return Range
 	case "LIKE":
-		if literal := c.right.Literal; len(literal) < 2 || literal[1] == '%' || literal[1] == '_' { // behind the quote
+		if literal := c.right.Literal; len(literal) < 2 || literal[1] == '%' || literal[1] == '_' { // literal[0] is the quote
 			return Wildcard
 		}
 		return Prefix
@@ -124,10 +125,11 @@
 	return strings.ContainsAny(operator, "+-*/%&^") || operator == "DIV" || operator == "MOD"
 }
 
-// isColumn tells whether an operand is the name of a column and nothing else.
+// isColumn reports whether an operand is the name of a column and nothing else.
 func (o *operand) isColumn() bool { return len(o.Name) > 0 && o.Call == nil && len(o.Prefix) == 0 }
 
-// isConstant tells whether an operand depends on no column, as far as is seen; function calls count as constant.
+// isConstant reports whether an operand contains no column. All function calls count as constant; their arguments are
+// not checked.
 func (o *operand) isConstant() bool {
 	return o.Literal != "" || o.Interval != nil || len(o.Name) > 0 && o.Call != nil
 }
@@ -177,7 +179,7 @@
 	}
 }
 
-// aggregates are the functions that sum up rows.
+// aggregates is the set of functions that aggregate rows.
 var aggregates = map[string]bool{"COUNT": true, "SUM": true, "AVG": true, "MIN": true, "MAX": true, "GROUP_CONCAT": true, "STD": true,
 	"STDDEV": true, "VARIANCE": true, "BIT_OR": true, "BIT_AND": true, "JSON_ARRAYAGG": true, "ANY_VALUE": true}
 
--- a/internal/query/costmodel/features.go
+++ b/internal/query/costmodel/features.go
@@ -1,5 +1,6 @@
-// Package costmodel estimates what statements will cost. It reads the features of a statement once for each shape, and
-// learns from the costs of finished queries. A statement that its parser does not take gets features from its tokens.
+// Package costmodel estimates the costs of statements. It reads the features of a statement once for each shape, and
+// learns from the costs of finished queries. The features of a statement that its parser rejects are read from the
+// tokens alone.
 package costmodel
 
 import (
@@ -30,18 +31,18 @@
 // VerbNames returns the names of all verbs.
 func VerbNames() []string { return verbNames[:] }
 
-// Match is how a predicate narrows what is read.
+// Match is the kind of a predicate: how it narrows the rows that are read.
 type Match uint8
 
 // The kinds of predicates on a column.
 const (
-	Equal      Match = iota // to a literal, or one of a list
-	Range                   // between or beyond literals
+	Equal      Match = iota // equal to a literal, or to one of a list
+	Range                   // between literals, or above or below one
 	Prefix                  // LIKE 'x%'
-	Wildcard                // LIKE '%x', REGEXP: no index helps
-	Function                // over the column: no index helps
-	Joined                  // equal to another column
-	Unequal                 // not equal, not in, is not: narrows little
+	Wildcard                // LIKE '%x', REGEXP: no index can be used
+	Function                // a function or calculation on the column is compared: no index can be used
+	Joined                  // equal to another column, or to a value of a subquery
+	Unequal                 // not equal, NOT IN, IS NOT: excludes few rows
 	matchCount = iota
 )
 
@@ -51,56 +52,57 @@
 
 // Predicate is a condition on a column that holds for all rows of a result.
 type Predicate struct {
-	Table   int // index of the column's table in Features.Tables; unknownTable: the statement does not say
+	Table   int // index of the column's table in Features.Tables, or unknownTable
 	Column  string
 	Match   Match
-	Narrows bool // an engine finds the rows without reading the whole table, as far as is known
+	Narrows bool // as far as is known, an engine finds the rows without reading the whole table
 }
 
-// unknownTable stands for the table of a column that may belong to any of the statement's tables.
+// unknownTable is the Table of a predicate on a column that may belong to any of the statement's tables.
 const unknownTable = -1
 
 // Table is a table that a statement reads or writes.
 type Table struct {
 	Schema, Name, Alias string
 	Written             bool
-	Scanned             bool // no predicate narrows what is read of it
+	Scanned             bool // no predicate narrows the rows that are read from it
 }
 
-// Features are what a statement's cost is estimated from.
+// Features are the properties of a statement from which its cost is estimated.
 type Features struct {
 	Verb       Verb
-	Parsed     bool   // by the grammar; otherwise the features are from the tokens alone
-	ParseError string // why it was not parsed
+	Parsed     bool   // the parser accepted the statement; otherwise the features are from the tokens alone
+	ParseError string // why the parser rejected the statement
 
 	Tables     []Table
 	Predicates []Predicate
 
-	// Counts of parts of the statement.
+	// The numbers of such elements in the statement.
 	Joins        int
-	UnboundJoins int // without a condition
+	UnboundJoins int // joins without a condition
 	Subqueries   int
 	Unions       int
 	Aggregates   int
 	Groups       int
 	Sorts        int
 	Windows      int
-	ValueRows    int // in VALUES
+	ValueRows    int // rows in VALUES
 	Tokens       int
 
 	Distinct bool
-	Limit    int64 // rows; noLimit: there is none
+	Limit    int64 // number of rows; noLimit: the statement has no LIMIT
 }
 
 const noLimit = -1
 
-// maxTables and maxPredicates bound what is kept of a statement; further ones say little of its cost.
+// maxTables and maxPredicates limit the tables and predicates that are stored of a statement. Further ones have
+// little effect on its cost.
 const (
 	maxTables     = 16
 	maxPredicates = 32
 )
 
-// ReadFeatures returns the features of a statement, whatever it is.
+// ReadFeatures returns the features of a statement. It accepts any text.
 func ReadFeatures(sql []byte) *Features {
 	f := &Features{Limit: noLimit}
 	parsed, err := parse(sql)
@@ -119,8 +121,8 @@
 	return f
 }
 
-// ReadFeaturesWith returns the features of a statement over tables of which an operator has declared keys; tables may be
-// nil.
+// ReadFeaturesWith returns the features of a statement, using the keys that an operator has declared for its tables.
+// tables may be nil.
 func ReadFeaturesWith(sql []byte, tables TableLookup) *Features {
 	f := ReadFeatures(sql)
 	if tables == nil {
@@ -136,7 +138,7 @@
 	return f
 }
 
-// String returns the table's name, behind its schema if it has one.
+// String returns the table's name, qualified by its schema if it has one.
 func (t *Table) String() string {
 	if t.Schema == "" {
 		return t.Name
@@ -144,10 +146,11 @@
 	return t.Schema + "." + t.Name
 }
 
-// maxCheapLimit is the limit up to which a plain SELECT without conditions is cheap: the engine stops reading early.
+// maxCheapLimit is the highest LIMIT with which a plain SELECT without conditions is cheap, because the engine stops
+// reading early.
 const maxCheapLimit = 1000
 
-// FullScan returns a table that the statement reads completely, nil if there is none.
+// FullScan returns a table that the statement reads completely, or nil if there is none.
 func (f *Features) FullScan() (table *Table) {
 	if f.Verb != Select && f.Verb != InsertSelect && f.Verb != Update && f.Verb != Delete {
 		return nil
@@ -163,14 +166,14 @@
 	return nil
 }
 
-// isPlain tells whether the statement needs no rows beyond those that it returns: it has no conditions, and nothing is
-// joined, sorted or summed up.
+// isPlain reports whether the engine needs to read no rows but those that it returns: the statement has no
+// conditions, and does not join, sort or aggregate.
 func (f *Features) isPlain() bool {
 	return f.Sorts == 0 && f.Aggregates == 0 && f.Groups == 0 && f.Windows == 0 && !f.Distinct && len(f.Predicates) == 0 && f.Joins == 0
 }
 
-// addTable adds a table by its name, the last of names, and its schema, the one before, if there is one. The names are
-// copied, as they lie in the text of the whole statement.
+// addTable adds a table. The last of names is the table's name, and the one before it, if any, is its schema. The
+// names are cloned because they are substrings of the text of the whole statement, which must not stay in memory.
 func (f *Features) addTable(names []string, alias string, written bool) {
 	if len(names) == 0 || len(f.Tables) >= maxTables {
 		return
@@ -182,8 +185,9 @@
 	f.Tables = append(f.Tables, t)
 }
 
-// addPredicate adds a predicate on a column, the last of names, with the table that qualifies it, if there is one.
-// firstTable is the index of the first table of the query that the predicate belongs to.
+// addPredicate adds a predicate on a column. The last of names is the column's name, and the one before it, if any,
+// is the table that qualifies it. firstTable is the index of the first table of the query that the predicate belongs
+// to.
 func (f *Features) addPredicate(names []string, match Match, firstTable int) {
 	if len(f.Predicates) >= maxPredicates || len(names) == 0 {
 		return
@@ -198,7 +202,8 @@
 	f.Predicates = append(f.Predicates, p)
 }
 
-// findTable returns the index of the last table with an alias, or with a name and no alias.
+// findTable returns the index of the last table whose alias, or name if it has no alias, is the qualifier. If there
+// is none, it returns unknownTable.
 func (f *Features) findTable(qualifier string) int {
 	for i := len(f.Tables) - 1; i >= 0; i-- {
 		t := &f.Tables[i]
--- a/internal/query/costmodel/grammar.go
+++ b/internal/query/costmodel/grammar.go
@@ -2,12 +2,13 @@
 
 import "strings"
 
-// A statement is a syntax tree of the analytic part of MySQL's language. Expressions are flat, operands and operators in
-// turn: predicates are told apart by their operators and not by precedence, and only AND and OR matter, at which the
-// features are split.
+// A statement is a syntax tree of the analytic subset of MySQL's language. Expressions are flat lists that alternate
+// between operands and operators. Predicates are recognized by their operators, without regard to precedence. Only
+// AND and OR matter: readWhere splits a condition at them.
 //
-// The tags state the grammar. The parser in parse.go was written by hand from them, as the one that a library makes of the
-// tags takes 1.8 ms for one statement in a thousand; TestParserAgreesWithGrammar compares the two.
+// The tags define the grammar, in the syntax of the participle library. The parser in parse.go was written by hand
+// from them, because the parser that participle builds from the tags takes 1.8 ms for one statement in a thousand.
+// TestParserAgreesWithGrammar compares the two.
 type (
 	statement struct {
 		With   []*commonTable   `parser:"( 'WITH' 'RECURSIVE'? @@ ( ',' @@ )* )?"`
@@ -95,7 +96,7 @@
 		Args  []*callArgument `parser:"| @@ ( ',' @@ )* )?"`
 		Order []*orderTerm    `parser:"( 'ORDER' 'BY' @@ ( ',' @@ )* )? ( 'SEPARATOR' Text )? ')'"`
 		Over  *windowSpec     `parser:"( 'OVER' ( '(' @@ ')'"`
-		Named string          `parser:"| @Name ) )?"` // a window that is named elsewhere
+		Named string          `parser:"| @Name ) )?"` // the name of a window in the WINDOW clause
 	}
 	callArgument struct {
 		Value *expression `parser:"@@"`
@@ -153,8 +154,8 @@
 	}
 )
 
-// keywords are the words that the grammar names; any other word is a name. Each maps to itself, so that a look-up returns a
-// string that need not be allocated.
+// keywords are the words that occur in the grammar; any other word is a name. Each maps to itself, so that a lookup
+// returns a string without allocating it.
 var keywords = func() map[string]string {
 	m := map[string]string{}
 	for _, w := range strings.Fields(`WITH RECURSIVE AS UNION EXCEPT INTERSECT ALL DISTINCT ORDER BY LIMIT OFFSET SELECT STRAIGHT_JOIN
--- a/internal/query/costmodel/observe.go
+++ b/internal/query/costmodel/observe.go
@@ -3,23 +3,24 @@
 import "math"
 
 const (
-	// mispredictedFactor is the factor between estimate and observation from which an estimate counts as wrong. It is
-	// what the costs of one class span as a rule.
+	// mispredictedFactor is the factor between estimate and observation above which an estimate counts as wrong. The
+	// costs of one class usually span this factor.
 	mispredictedFactor = 3
-	// sharedObservations is how many observations of a shape teach the class and the regression; further ones say
-	// nothing of other shapes.
+	// sharedObservations is the number of observations of a record that also update the class and the regression.
+	// Further ones contain no information about other shapes.
 	sharedObservations = 6
 )
 
-// observation is what one finished query cost.
+// observation is the measured cost of one finished query.
 type observation struct {
 	millis    float64
 	logMillis float64
-	memoryMB  float64 // 0: not known
-	loads     int     // that had ended on the group of tables
+	memoryMB  float64 // 0: unknown
+	loads     int     // number of loads that had ended on the group of tables
 }
 
-// Observe learns from a finished query that took so many milliseconds of work and so much memory, 0 if that is not known.
+// Observe updates the model with the cost of a finished query: the work in milliseconds, and the memory, which is 0
+// if it is unknown. It ignores work that is not a positive, finite number.
 func (m *Model) Observe(q *Query, millis, memoryMB float64) {
 	if !(millis > 0) || math.IsInf(millis, 0) {
 		return
@@ -56,7 +57,8 @@
 	m.regression.update(&q.info.input, typical-class.mean)
 }
 
-// updateRecord calls update with the record of a key, after fading its old observations, or with a new record.
+// updateRecord calls update with the record of a key, after applying the decay of its old observations. If there is
+// none, it calls update with a new record and offers that to the cache.
 func (m *Model) updateRecord(key uint64, loads int, update func(r *record)) {
 	hours := m.hours.Load()
 	known := m.records.Visit(key, func(r *record) {
--- a/internal/query/costmodel/parse.go
+++ b/internal/query/costmodel/parse.go
@@ -2,8 +2,8 @@
 
 import "magpiebank/internal/query/sqltext"
 
-// parser parses a statement from tokens by recursive descent. Its parse methods take tokens from the current one on. After
-// the first token that does not fit the parser has failed, and all further methods take nothing.
+// parser parses a statement from tokens by recursive descent. Its parse methods consume tokens from the current one
+// on. After the first unexpected token, failed is set and all further methods consume nothing.
 type parser struct {
 	tokens   []token
 	position int
@@ -12,19 +12,19 @@
 
 func (p *parser) current() *token { return &p.tokens[p.position] }
 
-// fail ends the parse.
+// fail marks the parse as failed.
 func (p *parser) fail() {
 	p.failed = true
 	p.position = min(p.position, len(p.tokens)-1)
 }
 
-// is tells whether the current token is a keyword or sign.
+// is reports whether the current token is a keyword or sign.
 func (p *parser) is(word string) bool {
 	t := p.current()
 	return !p.failed && (t.key == word || t.kind == sqltext.Sign && t.text == word)
 }
 
-// take takes a keyword or sign if it is the current token, and tells whether it did.
+// take consumes the current token if it is the given keyword or sign, and reports whether it did.
 func (p *parser) take(word string) bool {
 	if p.is(word) {
 		p.position++
@@ -33,7 +33,7 @@
 	return false
 }
 
-// takeAny takes one of some keywords or signs, and tells whether it did.
+// takeAny consumes the current token if it is one of the given keywords or signs, and reports whether it did.
 func (p *parser) takeAny(words ...string) bool {
 	for _, word := range words {
 		if p.take(word) {
@@ -43,14 +43,14 @@
 	return false
 }
 
-// skipAll takes as many of some keywords as there are.
+// skipAll consumes tokens as long as they are among the given keywords.
 func (p *parser) skipAll(words ...string) {
 	for p.takeAny(words...) {
 		continue
 	}
 }
 
-// expect takes keywords or signs that must stand here, one after the other.
+// expect consumes the given keywords or signs, in this order. The parse fails if one is missing.
 func (p *parser) expect(words ...string) {
 	for _, word := range words {
 		if !p.take(word) {
@@ -67,7 +67,7 @@
 
 func (p *parser) isKind(kind sqltext.Kind) bool { return !p.failed && p.current().kind == kind }
 
-// takeText takes the current token, whatever it is, and returns its text.
+// takeText consumes the current token, whatever it is, and returns its text.
 func (p *parser) takeText() string {
 	t := p.current()
 	p.position++
@@ -82,7 +82,7 @@
 	return p.takeText()
 }
 
-// parsePath takes names with dots between them. If star is set, the last may be a star.
+// parsePath parses names separated by dots. If star is set, the last name may be an asterisk.
 func (p *parser) parsePath(star bool) (names []string) {
 	names = append(names, p.takeName())
 	for p.take(".") {
@@ -94,7 +94,7 @@
 	return names
 }
 
-// parseList parses one or more elements with commas between them.
+// parseList parses one or more elements separated by commas.
 func parseList[T any](p *parser, parseElement func() T) (list []T) {
 	for {
 		list = append(list, parseElement())
@@ -104,7 +104,7 @@
 	}
 }
 
-// parseInBrackets parses what stands in brackets.
+// parseInBrackets parses an opening bracket, the content and a closing bracket, and returns the content.
 func parseInBrackets[T any](p *parser, parseContent func() T) T {
 	p.expect("(")
 	content := parseContent()
--- a/internal/query/costmodel/parse_change.go
+++ b/internal/query/costmodel/parse_change.go
@@ -43,7 +43,7 @@
 	p.takeAny("REPLACE", "IGNORE")
 	p.expect("INTO", "TABLE")
 	load.Table = p.parsePath(false)
-	for !p.failed && !p.isKind(sqltext.End) && !p.is(";") { // the layout of the file does not matter for its cost
+	for !p.failed && !p.isKind(sqltext.End) && !p.is(";") { // the format of the file does not affect the cost
 		p.position++
 	}
 	return load
--- a/internal/query/costmodel/parse_expression.go
+++ b/internal/query/costmodel/parse_expression.go
@@ -2,7 +2,7 @@
 
 import "magpiebank/internal/query/sqltext"
 
-// isOperator tells whether a token stands between two operands, alone or with others.
+// isOperator reports whether a token is an operator between two operands, or a part of one, such as NOT in NOT IN.
 func (t *token) isOperator() bool {
 	switch t.key {
 	case "AND", "OR", "XOR", "NOT", "IN", "LIKE", "REGEXP", "RLIKE", "BETWEEN", "IS", "DIV", "MOD", "COLLATE", "ESCAPE":
@@ -56,7 +56,7 @@
 	return parsed
 }
 
-// parseOperandBody parses what stands behind the prefixes.
+// parseOperandBody parses an operand after its prefixes.
 func (p *parser) parseOperandBody(parsed *operand) *operand {
 	switch t := p.current(); {
 	case t.kind == sqltext.Number, t.kind == sqltext.Text, t.key == "NULL", t.key == "TRUE", t.key == "FALSE":
@@ -99,7 +99,7 @@
 	return parsed
 }
 
-// parseCall parses what stands behind the name of a function.
+// parseCall parses the arguments of a function and the clauses after them.
 func (p *parser) parseCall() *callSuffix {
 	call := &callSuffix{Open: true}
 	p.expect("(")
@@ -130,7 +130,7 @@
 	argument := &callArgument{Value: p.parseExpression()}
 	if p.takeAny("AS", "USING", "FROM") {
 		argument.As = p.takeName()
-		if p.is("(") { // the lengths of a type
+		if p.is("(") { // the parameters of a type, such as decimal(10, 2)
 			parseInBrackets(p, func() []string { return parseList(p, p.parseAmount) })
 		}
 	}
--- a/internal/query/costmodel/parse_select.go
+++ b/internal/query/costmodel/parse_select.go
@@ -2,8 +2,9 @@
 
 import "magpiebank/internal/query/sqltext"
 
-// isQuery tells whether the bracket at the current token holds a query. A bracket that begins with another one holds a
-// query if the inner one does, or if a query goes on behind the inner one.
+// isQuery reports whether the bracket at the current token contains a query. A bracket that begins with an inner
+// bracket contains one if a set operation, ORDER or LIMIT follows the inner bracket, or if there is nothing after the
+// inner bracket and that contains a query.
 func (p *parser) isQuery() bool {
 	for at := p.position; p.is("(") && p.tokens[at].sign == '('; at++ {
 		next := &p.tokens[at+1]
@@ -25,7 +26,7 @@
 	return false
 }
 
-// parseStatement parses the whole statement; a semicolon may end it.
+// parseStatement parses the whole statement, which may end with a semicolon.
 func (p *parser) parseStatement() *statement {
 	parsed := &statement{}
 	if p.take("WITH") {
@@ -85,7 +86,8 @@
 	return term
 }
 
-// parseLimit parses a LIMIT clause if there is one. The last number is that of the rows; an OFFSET is left out.
+// parseLimit parses a LIMIT clause if there is one. The last number returned is the number of rows; a number after
+// OFFSET is not returned.
 func (p *parser) parseLimit() (numbers []string) {
 	if !p.take("LIMIT") {
 		return nil
@@ -99,7 +101,7 @@
 	return numbers
 }
 
-// parseAmount takes a number, or a string or placeholder in its place.
+// parseAmount consumes a number, or a string or placeholder in place of one.
 func (p *parser) parseAmount() string {
 	if !p.isKind(sqltext.Number) && !p.isKind(sqltext.Text) {
 		p.fail()
@@ -149,7 +151,7 @@
 	return query
 }
 
-// parseAfter parses a keyword and the expression behind it; nil: the keyword does not stand here.
+// parseAfter parses a keyword and the expression after it. It returns nil if the current token is not the keyword.
 func (p *parser) parseAfter(word string) *expression {
 	if !p.take(word) {
 		return nil
@@ -202,7 +204,7 @@
 	return reference
 }
 
-// isJoin tells whether a keyword of a join stands here.
+// isJoin reports whether the current token is a keyword of a join.
 func (p *parser) isJoin() bool {
 	switch p.current().key {
 	case "JOIN", "INNER", "LEFT", "RIGHT", "OUTER", "CROSS", "NATURAL", "STRAIGHT_JOIN":
--- a/internal/query/costmodel/parse_tokens.go
+++ b/internal/query/costmodel/parse_tokens.go
@@ -7,32 +7,32 @@
 	"magpiebank/internal/query/sqltext"
 )
 
-// The budget of a parse. Statements of people and tools have some hundred tokens and nest some ten deep. Features of a
-// statement beyond the budget are read from its tokens, so that one parse takes well under a millisecond.
+// The limits of a parse. Statements from people and tools have some hundred tokens and nest about ten levels deep.
+// Beyond these limits, the features are read from the tokens alone, so that a parse takes well under a millisecond.
 const (
 	maxTokens  = 1200
 	maxNesting = 24
 )
 
-// usualTokens is the capacity that a list of tokens begins with.
+// usualTokens is the initial capacity of the list of tokens.
 const usualTokens = 64
 
-// token is a token of the lexer as the parser needs it.
+// token is a lexer token with the information that the parser needs.
 type token struct {
 	kind  sqltext.Kind
 	sign  byte
-	call  bool   // the keyword is a function's name here, as a bracket follows
-	key   string // the keyword in capitals; empty: it is none
-	text  string // it lies in the statement's text
-	match int    // of an opening bracket: the index of the closing one; 0: there is none
+	call  bool   // the keyword is the name of a function here, because a bracket follows
+	key   string // the keyword in capitals; empty: the token is no keyword
+	text  string // a substring of the statement, or the text of a sign
+	match int    // of an opening bracket: index of the closing one; 0: there is none
 }
 
 var (
-	errUnterminated = errors.New("a string that doesn't end")
-	errTooComplex   = errors.New("more tokens or brackets than are parsed")
+	errUnterminated = errors.New("unterminated string")
+	errTooComplex   = errors.New("too many tokens, or brackets nested too deep")
 )
 
-// signTexts are the texts of signs.
+// signTexts are the texts of signs, so that a sign needs no allocation.
 var signTexts = func() (t [256]string) {
 	for c := range t {
 		t[c] = string(rune(c))
@@ -40,7 +40,7 @@
 	return t
 }()
 
-// functionKeywords are keywords that are functions when a bracket follows.
+// functionKeywords are the keywords that are names of functions if a bracket follows.
 var functionKeywords = map[string]bool{"LEFT": true, "RIGHT": true, "REPLACE": true, "MOD": true, "INSERT": true, "VALUES": true}
 
 // maxKeywordBytes is the length of the longest keyword.
@@ -61,7 +61,7 @@
 	return keywords[string(upper[:len(word)])]
 }
 
-// parse parses a statement by the grammar.
+// parse parses a statement according to the grammar.
 func parse(sql []byte) (*statement, error) {
 	tokens, err := tokenize(sql)
 	if err != nil {
@@ -70,22 +70,22 @@
 	p := parser{tokens: tokens}
 	parsed := p.parseStatement()
 	if p.failed {
-		return nil, fmt.Errorf("nothing that is read begins at token %d", p.position+1)
+		return nil, fmt.Errorf("unexpected token %d", p.position+1)
 	}
 	return parsed, nil
 }
 
-// tokenizer makes the list of tokens for the parser.
+// tokenizer builds the list of tokens for the parser.
 type tokenizer struct {
 	text     string
 	lexer    sqltext.Lexer
 	tokens   []token
-	open     [maxNesting + 1]int // the indices of the brackets that are open, by depth
+	open     [maxNesting + 1]int // indices of the open brackets, by depth
 	depth    int
-	afterDot bool
+	afterDot bool // the previous token is a dot
 }
 
-// tokenize returns the tokens of a statement; the last is of the kind End.
+// tokenize returns the tokens of a statement; the last one has the kind End.
 func tokenize(sql []byte) ([]token, error) {
 	t := tokenizer{text: string(sql), lexer: sqltext.Lexer{Text: sql}, tokens: make([]token, 0, usualTokens)}
 	for {
@@ -106,7 +106,7 @@
 	added := token{kind: next.Kind, sign: next.Sign, text: t.text[next.From:next.To]}
 	switch next.Kind {
 	case sqltext.Word:
-		if !t.afterDot { // any word behind a dot is a name
+		if !t.afterDot { // any word after a dot is a name
 			added.key = keywordOf(t.lexer.Bytes(next))
 		}
 	case sqltext.Text:
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// matchBracket notes that the next token is an opening or closing bracket, if it is one.
+// matchBracket processes the sign that is added next. It matches a closing bracket with its opening one, and marks a
+// keyword before an opening bracket that is the name of a function.
 func (t *tokenizer) matchBracket(sign byte) error {
 	index := len(t.tokens)
 	switch sign {
--- a/internal/query/costmodel/record.go
+++ b/internal/query/costmodel/record.go
@@ -6,52 +6,55 @@
 	"sync/atomic"
 )
 
-// record holds the observations of a shape on a group of tables.
+// record holds the observations of a shape, or of a group of its literals, on a group of tables.
 type record struct {
 	sketch       Sketch
 	memory       float64 // mean, in MB
-	memoryPeak   float64 // in MB, fading
-	observations int     // since the record was created or restarted
-	uncertainFor int     // observations until estimates are certain again
-	loads        int     // that had ended on the group at the last observation
+	memoryPeak   float64 // decaying peak, in MB
+	observations int     // number since the record was created or restarted
+	uncertainFor int     // number of observations until estimates are certain again
+	loads        int     // number that had ended on the group of tables at the last observation
 
-	// The shift detector: how far observations lay above and below the baseline, summed up, in deviations.
+	// State of the shift detector: the sums of the distances of observations above and below the baseline, in standard
+	// deviations.
 	shiftUp, shiftDown  float64
-	baseline, deviation float64 // of the logarithms of the usual costs, when they were computed last
+	baseline, deviation float64 // mean and standard deviation of the logarithms of the usual costs, as computed by computeBaseline
 
-	recent [recentObservations]float64 // the last costs, a ring
+	recent [recentObservations]float64 // the last costs in milliseconds, a ring buffer
 	trend  trend
-	hours  int64 // the model's age up to which old observations have faded
+	hours  int64 // age of the model up to which the decay of old observations has been applied
 
-	skew         *skewSearch // nil: no search is under way
-	skewSearched bool        // a search has ended, with or without a finding
-	skewPlace    int         // the literal and grouping that determine the cost, from 1; 0: none is known
+	skew         *skewSearch // search in progress; nil: none
+	skewSearched bool        // a search has ended, with or without a result
+	skewPlace    int         // the grouping of literals that determines the cost, counted from 1; 0: none is known
 }
 
-// recentObservations is how many costs a record keeps; a record whose cost has shifted restarts with them.
+// recentObservations is the number of recent costs that a record stores. A record whose cost has shifted restarts
+// with them.
 const recentObservations = 8
 
-// The shift detector is a two-sided CUSUM on clipped deviations. With a slack of 0.75 a shift by a factor of three over a
-// deviation of 0.8 (1.37 deviations) adds some 0.6 an observation, so it is found within some fifteen; clipping at two
-// deviations keeps single bad plans from being taken for a shift. The threshold holds false alarms under one in ten
-// thousand observations with one bad plan in ten (TestShiftIsDetected).
+// The shift detector is a two-sided CUSUM of clipped deviations. With a slack of 0.75, a shift by a factor of three
+// at a standard deviation of 0.8 (1.37 standard deviations) adds about 0.6 per observation, so it is detected within
+// about fifteen. Clipping at two standard deviations prevents single bad plans from being detected as a shift. The
+// threshold keeps false alarms below one in ten thousand observations if one plan in ten is bad
+// (TestShiftIsDetected).
 const (
 	cusumSlack         = 0.75
 	cusumClip          = 2.0
 	cusumThreshold     = 7.5
-	warmupObservations = 24  // before the detector watches
-	baselineInterval   = 64  // observations after which the baseline is computed anew
-	minDeviation       = 0.2 // of logarithms: a quarter, which is a step of the sketch, looks like this
+	warmupObservations = 24  // observations before the detector starts
+	baselineInterval   = 64  // observations between two computations of the baseline
+	minDeviation       = 0.2 // of logarithms: costs that differ by a quarter, the width of a bucket, have about this deviation
 	uncertainAfterLoad = 5   // observations
 )
 
-// The weights of the mean and the peak of memory.
+// The weights of the memory mean and of the memory peak.
 const (
-	memoryMeanObservations = 50
-	memoryPeakFading       = 0.98
+	memoryMeanObservations = 50   // a new observation has at least the weight 1/memoryMeanObservations in the mean
+	memoryPeakFading       = 0.98 // factor by which each observation reduces the peak
 )
 
-// fade halves the weight of the observations for each half-life up to an age of the model.
+// fade halves the weight of the observations once for each half-life that has passed at the given age of the model.
 func (r *record) fade(hours int64) {
 	for ; hours-r.hours >= halfLifeHours; r.hours += halfLifeHours {
 		r.sketch.Fade()
@@ -61,7 +64,8 @@
 	}
 }
 
-// observe adds an observation. If it shows that the cost has shifted, the record restarts and shifts is raised.
+// observe adds an observation. If the observation shows that the cost has shifted, the record restarts and shifts is
+// incremented.
 func (r *record) observe(seen observation, shifts *atomic.Int64) {
 	if seen.loads > r.loads {
 		r.loads, r.uncertainFor = seen.loads, uncertainAfterLoad
@@ -86,8 +90,8 @@
 	}
 }
 
-// detectShift adds an observation to the sums of the detector and tells whether one is over the threshold. Soon after a
-// load half the threshold will do, as a shift is likely then.
+// detectShift adds an observation to the sums of the detector and reports whether one exceeds the threshold. While
+// estimates are uncertain, as after a load, the threshold is halved because a shift is likely then.
 func (r *record) detectShift(seen observation) bool {
 	slope, meanLoads := r.trend.slope()
 	z := (seen.logMillis - r.baseline - slope*(float64(seen.loads)-meanLoads)) / r.deviation
@@ -100,8 +104,8 @@
 	return r.shiftUp > threshold || r.shiftDown > threshold
 }
 
-// computeBaseline computes the usual cost. What clipping leaves of the bad plans belongs to the baseline, as it moves the
-// sums of the detector all the time.
+// computeBaseline computes the usual cost. The baseline includes the mean contribution of the clipped bad plans,
+// which would otherwise raise the sums of the detector all the time.
 func (r *record) computeBaseline() {
 	var badShare float64
 	r.baseline, r.deviation, badShare, _ = r.sketch.SplitModes()
@@ -109,8 +113,8 @@
 	r.deviation = max(minDeviation, r.deviation)
 }
 
-// typicalLog returns the logarithm of the lower median of the recent costs, so that a bad plan among them does not teach
-// anything of other shapes, and latest if there is no more than that.
+// typicalLog returns the logarithm of the lower median of the recent costs, so that a bad plan among them does not
+// affect the estimates of other shapes. If there are fewer than two recent costs, it returns latest.
 func (r *record) typicalLog(latest float64) float64 {
 	n := min(r.observations, recentObservations)
 	if n < 2 {
@@ -122,7 +126,7 @@
 	return math.Log(max(minMillis, sorted[(n-1)/2]))
 }
 
-// restart drops all observations but the recent ones, as the cost has shifted.
+// restart drops all observations but the recent ones. It is called when the cost has shifted.
 func (r *record) restart() {
 	recent := r.recent
 	*r = record{
--- a/internal/query/costmodel/regression.go
+++ b/internal/query/costmodel/regression.go
@@ -9,13 +9,13 @@
 // regressionTerms is the number of inputs of the regression.
 const regressionTerms = 14
 
-// The inputs of the regression, in their order. Counts enter as log(1+count).
+// The indices of the inputs of the regression. Counts are entered as log(1+count).
 const (
 	termConstant = iota
 	termJoins
 	termUnboundJoins
 	termFullScan
-	termTableRows // decimal logarithm, from usualLogRows
+	termTableRows // decimal logarithm of the number of rows, less usualLogRows
 	termKeyAccess
 	termAggregates
 	termGroups
@@ -27,22 +27,22 @@
 	termRangeAccess
 )
 
-// usualLogRows is the decimal logarithm of the rows of a table that is taken for usual.
+// usualLogRows is the decimal logarithm of the number of rows of a table of usual size.
 const usualLogRows = 5
 
-// initialWeights are the weights before the first observation: a full scan costs several times a look-up by key in the
-// same class, everything else costs a little.
+// initialWeights are the weights before the first observation: a full scan costs several times as much as a lookup by
+// key in the same class, and everything else adds a little.
 var initialWeights = [regressionTerms]float64{0, 0.1, 0.8, 2, 0.3, -1.2, 0.1, 0.1, 0.2, 0.1, 0.2, 0.2, 0.2, 0.2}
 
 const (
-	initialVariance       = 1.0   // the initial weights hold against about one observation
-	forgettingFactor      = 0.999 // the weight that an observation keeps with each further one
-	maxRegressionError    = 3.0   // of logarithms: one observation says no more than a factor of twenty
+	initialVariance       = 1.0   // gives the initial weights the weight of about one observation
+	forgettingFactor      = 0.999 // factor by which each new observation reduces the weight of the older ones
+	maxRegressionError    = 3.0   // of logarithms: one observation counts as a deviation by a factor of twenty at most
 	maxRegressionVariance = 10
 )
 
-// regression predicts the logarithm of a cost over the mean of its class from what a statement does. All shapes share it;
-// it learns one observation at a time, by recursive least squares.
+// regression predicts the logarithm of the ratio of a cost to the mean cost of its class, from the features of a
+// statement. All shapes share it. It learns from one observation at a time, by recursive least squares.
 type regression struct {
 	weights    *mat.VecDense
 	covariance *mat.SymDense
@@ -77,7 +77,7 @@
 	r.weights.AddScaledVec(r.weights, deviation*scale, &product)
 	r.covariance.SymRankOne(r.covariance, -scale, &product)
 	r.covariance.ScaleSym(1/forgettingFactor, r.covariance)
-	for i := range regressionTerms { // the variance of a term that never occurs would grow without end
+	for i := range regressionTerms { // without this limit, the variance of a term that never occurs would grow indefinitely
 		if variance := r.covariance.At(i, i); variance > maxRegressionVariance {
 			r.covariance.ScaleSym(maxRegressionVariance/variance, r.covariance)
 		}
@@ -114,8 +114,8 @@
 	return input
 }
 
-// maxScannedRows returns the rows of the largest table that is read completely; known is false if an operator has
-// declared none of them.
+// maxScannedRows returns the number of rows of the largest table that is read completely; known is false if an
+// operator has declared none of these tables.
 func (f *Features) maxScannedRows(tables TableLookup) (rows float64, known bool) {
 	if tables == nil {
 		return 0, false
--- a/internal/query/costmodel/sketch.go
+++ b/internal/query/costmodel/sketch.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// Sketch holds the distribution of costs in milliseconds, in steps of a quarter from a tenth of a millisecond to an hour.
-// Old observations fade as new ones come. The zero Sketch is empty.
+// Sketch is a histogram of costs in milliseconds. Each bucket is a quarter wider than the one before, from a tenth of
+// a millisecond to more than an hour. The weight of old observations decays as new ones are added. The zero Sketch is
+// empty.
 type Sketch struct {
 	counts [sketchSteps]uint16
 	total  uint32
@@ -11,21 +12,21 @@
 
 const (
 	sketchSteps = 80
-	minMillis   = 0.1  // the lower bound of the first step
-	stepRatio   = 1.25 // quantiles are off by an eighth at most, far less than costs scatter
-	// fadeAt is the total at which all counts are halved, so that what is older than some thousand observations counts for
-	// little.
+	minMillis   = 0.1  // lower bound of the first bucket
+	stepRatio   = 1.25 // ratio of the bounds of a bucket; quantiles are off by an eighth at most, far less than costs vary
+	// fadeAt is the total at which all counts are halved, so that observations have little weight after some thousand
+	// later ones.
 	fadeAt = 4096
-	// maxMergedTotal bounds the total of merged sketches, so that no count overflows.
+	// maxMergedTotal limits the total of merged sketches, so that no count overflows.
 	maxMergedTotal = 1 << 16
-	// badPlanFactor is how many times the median a cost must be to count as a bad plan. A usual cost, lognormal with a
-	// deviation of 0.8, is so far off one time in forty.
+	// badPlanFactor is the ratio to the median above which a cost counts as a bad plan. A usual cost, lognormal with
+	// a standard deviation of 0.8, exceeds it one time in forty.
 	badPlanFactor = 5
 )
 
 var logStepRatio = math.Log(stepRatio)
 
-// sketchStep returns the step of a cost.
+// sketchStep returns the bucket of a cost.
 func sketchStep(millis float64) int {
 	if !(millis > minMillis) {
 		return 0
@@ -33,7 +34,7 @@
 	return min(sketchSteps-1, int(math.Log(millis/minMillis)/logStepRatio))
 }
 
-// stepMillis returns the cost that stands for a step.
+// stepMillis returns the cost that represents a bucket, the geometric mean of its bounds.
 func stepMillis(step int) float64 { return minMillis * math.Pow(stepRatio, float64(step)+0.5) }
 
 // Add adds an observation in milliseconds.
@@ -45,7 +46,7 @@
 	}
 }
 
-// Fade halves the weight of all observations so far.
+// Fade halves the weight of all observations.
 func (s *Sketch) Fade() {
 	s.total = 0
 	for i := range s.counts {
@@ -54,7 +55,7 @@
 	}
 }
 
-// Merge adds the observations of another sketch, which stays as it is.
+// Merge adds the observations of another sketch, which does not change.
 func (s *Sketch) Merge(other *Sketch) {
 	for s.total+other.total >= maxMergedTotal {
 		s.Fade()
@@ -68,10 +69,10 @@
 	s.total += other.total
 }
 
-// Count returns how many observations the sketch holds; those that have faded count less or not at all.
+// Count returns the number of observations in the sketch, in which old observations count less or not at all.
 func (s *Sketch) Count() int { return int(s.total) }
 
-// Quantile returns the cost in milliseconds under which a share q of the observations stayed, 0 if there are none.
+// Quantile returns the cost in milliseconds below which a share q of the observations lies, or 0 if there are none.
 func (s *Sketch) Quantile(q float64) float64 {
 	if s.total == 0 {
 		return 0
@@ -86,9 +87,10 @@
 	return stepMillis(sketchSteps - 1)
 }
 
-// SplitModes tells usual observations from bad plans: those that took several times the median, which come of a plan that
-// went wrong and not of chance. usual and deviation are the mean and deviation of the logarithms of the usual
-// observations, badShare is the share of the bad plans, and badFactor how many times the usual cost a bad plan takes.
+// SplitModes separates the usual observations from bad plans: those that took several times the median, which is due
+// to a wrong plan and not to chance. usual and deviation are the mean and the standard deviation of the logarithms of
+// the usual observations. badShare is the share of the bad plans, and badFactor the ratio of their cost to the usual
+// cost.
 func (s *Sketch) SplitModes() (usual, deviation, badShare, badFactor float64) {
 	lastUsual := sketchStep(s.Quantile(0.5) * badPlanFactor)
 	var weight, sum, squares, badWeight, badSum float64
--- a/internal/query/costmodel/skew.go
+++ b/internal/query/costmodel/skew.go
@@ -6,48 +6,55 @@
 	"magpiebank/internal/query/sqltext"
 )
 
-// skewSearch looks for a literal that determines a shape's cost. It sums up the costs in groups of literals, for each
-// place: each of the first literals of the statement, grouped in each of the ways. Once one place explains most of the
-// scatter, the groups of that place get records of their own.
+// skewSearch looks for a literal that determines the cost of a shape. A grouping puts the statements of the shape
+// into groups by a hash of one of their first literals. Each literal has several groupings, with different hashes.
+// The search sums the costs of each group in each grouping. When a grouping explains enough of the variance of the
+// costs, its groups get records of their own.
 type skewSearch struct {
-	counts             [skewPlaces][skewGroups]uint16
-	sums               [skewPlaces][skewGroups]float32
-	total              float64 // observations
-	logSum, logSquares float64 // over all observations
+	counts             [skewPlaces][skewGroups]uint16  // numbers of observations
+	sums               [skewPlaces][skewGroups]float32 // sums of the logarithms of the costs
+	total              float64                         // number of observations
+	logSum, logSquares float64                         // sums of the logarithms of all costs, and of their squares
 }
 
 const (
-	// skewGroupings is the number of ways in which each literal is grouped. A costly literal that shares its group with
-	// others is hidden by them: with one way, 13 of 40 shapes with one costly literal of sixteen were not split.
+	// skewGroupings is the number of groupings of each literal. A costly literal that shares its group with others is
+	// hidden by them: with one grouping, 13 of 40 shapes with one costly literal of sixteen were not split.
 	skewGroupings = 2
-	skewPlaces    = skewGroupings * len(sqltext.Literals{}.Hashes)
-	skewGroups    = 64
+	// skewPlaces is the number of groupings of all literals.
+	skewPlaces = skewGroupings * len(sqltext.Literals{}.Hashes)
+	// skewGroups is the number of groups in a grouping.
+	skewGroups = 64
 	// skewBytes is the memory of a search.
 	skewBytes = skewPlaces*skewGroups*6 + 32
 
-	// skewMinObservations is when a search looks for the first time: a literal of one in twenty has come six times.
+	// skewMinObservations is the number of observations after which a search evaluates its groupings for the first
+	// time. By then, a literal of one statement in twenty has occurred about six times.
 	skewMinObservations = 128
-	// skewMaxObservations is when a search without a finding ends: no place explains the scatter.
+	// skewMaxObservations is the number of observations after which a search without a result ends, because no
+	// grouping explains the variance.
 	skewMaxObservations = 600
-	// skewInterval is how many observations lie between two looks.
+	// skewInterval is the number of observations between two evaluations.
 	skewInterval = 16
 
-	// skewMinShare is the share of the scatter that a place must explain. One costly literal of sixteen among bad plans
-	// explains four tenths.
+	// skewMinShare is the share of the variance that a grouping must explain. One costly literal of sixteen explains
+	// 40% if there are also bad plans.
 	skewMinShare = 0.25
-	// skewMinRatio is how many times as much as chance a place must explain (an F statistic). Bad plans fall into groups
-	// by chance, and a ratio of five comes once in some ten thousand looks.
+	// skewMinRatio is the F statistic that a grouping must exceed: the variance between its groups over the variance
+	// within them. Bad plans fall into groups by chance, and chance alone gives a ratio of five in about one of ten
+	// thousand evaluations.
 	skewMinRatio = 5.0
-	// skewMinDeviation is the deviation, of logarithms, from which a search is worth its memory.
+	// skewMinDeviation is the standard deviation of the logarithms of the costs from which a search justifies its
+	// memory. A search has a result only if its own observations reach it, too.
 	skewMinDeviation = 0.5
-	// skewMinBadPlanShare is the share of bad plans from which a search is worth its memory.
+	// skewMinBadPlanShare is the share of bad plans from which a search justifies its memory.
 	skewMinBadPlanShare = 0.02
 )
 
-// skewHashFactors are the factors of the ways of grouping.
+// skewHashFactors are the multipliers of the hashes, one for each grouping of a literal.
 var skewHashFactors = [skewGroupings]uint32{0x9e3779b1, 0x85ebca6b}
 
-// skewGroup returns a literal's group by a place, which counts from 0 here.
+// skewGroup returns the group of a literal in a grouping, which is counted from 0 here.
 func skewGroup(l *sqltext.Literals, place int) int {
 	return int(l.Hashes[place/skewGroupings]*skewHashFactors[place%skewGroupings]>>26) % skewGroups
 }
@@ -63,7 +70,8 @@
 	s.logSquares += logMillis * logMillis
 }
 
-// findPlace returns the place, counted from 1, whose literal explains most of the scatter; 0: none explains enough.
+// findPlace returns the grouping, counted from 1, that explains the largest share of the variance, or 0 if none
+// explains enough.
 func (s *skewSearch) findPlace() int {
 	mean := s.logSum / s.total
 	scatter := s.logSquares - s.logSum*mean
@@ -76,7 +84,8 @@
 		if groups < 2 || counted < s.total || groups >= s.total {
 			continue
 		}
-		// The share explained, less what so many groups explain by chance.
+		// The share of the variance that the grouping explains, less what this number of groups explains by chance
+		// (the adjusted R squared).
 		within := max(1e-9, scatter-between) / (s.total - groups)
 		share := 1 - within/(scatter/(s.total-1))
 		if share > best && between/(groups-1) > skewMinRatio*within {
@@ -86,8 +95,8 @@
 	return found
 }
 
-// scatterBetween returns how many groups of a place have observations, how many observations those are, and the scatter
-// between the groups.
+// scatterBetween returns the number of groups of a grouping that have observations, the number of these observations,
+// and the sum of squares between the groups.
 func (s *skewSearch) scatterBetween(place int, mean float64) (groups, counted, between float64) {
 	for group, count := range s.counts[place] {
 		if count == 0 {
@@ -101,7 +110,8 @@
 	return groups, counted, between
 }
 
-// splitKey returns the key of the record of a literal's group by a place, which counts from 1.
+// splitKey returns the key of the record for the group of a literal in a grouping, which is counted from 1. It
+// returns key itself if the statement has no such literal.
 func splitKey(key uint64, l *sqltext.Literals, place int) uint64 {
 	if place > l.Count*skewGroupings {
 		return key
@@ -109,8 +119,8 @@
 	return key ^ (uint64(place)<<8|uint64(skewGroup(l, place-1))+1)*0xd6e8feb86659fd93
 }
 
-// searchSkew adds an observation to the search for a literal that determines the record's cost, and begins or ends the
-// search.
+// searchSkew adds an observation to the search for a literal that determines the record's cost. It also starts and
+// ends the search.
 func (m *Model) searchSkew(r *record, l *sqltext.Literals, logMillis float64) {
 	if r.skewPlace > 0 || l.Count == 0 || r.observations < warmupObservations || r.skewSearched {
 		return
@@ -137,7 +147,7 @@
 	}
 }
 
-// scatters tells whether the costs differ enough for a search.
+// scatters reports whether the costs differ enough for a search.
 func (r *record) scatters() bool {
 	_, deviation, badShare, _ := r.sketch.SplitModes()
 	return deviation >= skewMinDeviation || badShare >= skewMinBadPlanShare
--- a/internal/query/costmodel/snapshot.go
+++ b/internal/query/costmodel/snapshot.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// Snapshot is what a model has learned. It does not hold the shapes themselves, which are parsed again when they come.
-// docs/statements.md has its encoding byte by byte.
+// Snapshot is the learned state of a model. It does not contain the features of the shapes: they are read again from
+// the next statement of each shape. docs/statements.md describes the encoding byte by byte.
 type Snapshot struct {
 	classes    []savedClass
 	weights    [regressionTerms]float64
-	covariance [regressionTerms * (regressionTerms + 1) / 2]float64 // of the weights: the upper triangle, row by row
+	covariance [regressionTerms * (regressionTerms + 1) / 2]float64 // upper triangle of the covariance matrix of the weights, row by row
 	groups     []savedGroup                                         // sorted by group
 	records    []savedRecord                                        // sorted by key
 }
@@ -25,11 +25,11 @@
 
 type savedRecord struct {
 	key uint64
-	age int64 // hours since its old observations faded
+	age int64 // hours for which the decay of its old observations has not been applied yet
 	record
 }
 
-// Snapshot returns a snapshot of the model; classes are the names of its classes.
+// Snapshot returns a snapshot of the model. classes are the names of the model's classes, in their order.
 func (m *Model) Snapshot(classes []string) *Snapshot {
 	s := &Snapshot{}
 	m.mu.Lock()
@@ -56,8 +56,8 @@
 	slices.SortFunc(s.records, func(a, b savedRecord) int { return cmp.Compare(a.key, b.key) })
 }
 
-// Restore sets an empty model to what a snapshot holds; classes are the names of the model's classes. If there is not
-// room for all records, those with most observations are kept.
+// Restore sets an empty model to the state in a snapshot. classes are the names of the model's classes, in their
+// order. If the model does not have the capacity for all records, those with the most observations are kept.
 func (m *Model) Restore(s *Snapshot, classes []string) {
 	m.restoreShared(s, classes)
 	byObservations := slices.Clone(s.records)
@@ -70,7 +70,7 @@
 	}
 }
 
-// restoreShared restores what all shapes share.
+// restoreShared restores the state that all shapes share: the classes, the regression and the numbers of loads.
 func (m *Model) restoreShared(s *Snapshot, classes []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// CountRecords returns how many records there are, of shapes on groups of tables, and how many observations they rest on.
+// CountRecords returns the number of records, and the number of observations in them.
 func (s *Snapshot) CountRecords() (records, observations int) {
 	for i := range s.records {
 		observations += s.records[i].observations
@@ -126,7 +126,8 @@
 	return names
 }
 
-// UsualMillis returns the usual work of a shape on a group of tables; ok is false if the snapshot does not know it.
+// UsualMillis returns the usual work of a shape on a group of tables; ok is false if the snapshot has no observations
+// of it.
 func (s *Snapshot) UsualMillis(shape uint64, group int) (millis float64, ok bool) {
 	i, ok := slices.BinarySearchFunc(s.records, recordKey(shape, group), func(r savedRecord, key uint64) int {
 		return cmp.Compare(r.key, key)
--- a/internal/query/costmodel/snapshot_codec.go
+++ b/internal/query/costmodel/snapshot_codec.go
@@ -8,13 +8,15 @@
 	"math"
 )
 
-// snapshotVersion is raised with every change of the encoding, the regression's terms or the sketch's steps.
+// snapshotVersion must be incremented with every change of the encoding, of the regression's terms or of the sketch's
+// buckets.
 const snapshotVersion = 1
 
-// snapshotMagic is what an encoded snapshot begins with.
+// snapshotMagic is the first four bytes of an encoded snapshot.
 const snapshotMagic = "MPST"
 
-// An encoded snapshot has a header (magic, version, two bytes of 0, length of the payload), a payload, and its CRC-32C.
+// An encoded snapshot consists of a header (magic, version, two bytes of 0, length of the payload), the payload, and
+// a CRC-32C of both.
 const (
 	versionOffset   = 4
 	lengthOffset    = 8
@@ -22,16 +24,18 @@
 	snapshotTrailer = 4
 )
 
-// maxSnapshotBytes bounds what is read: a model of 1 GB writes less.
+// maxSnapshotBytes is the size of the largest snapshot that is decoded. A model with 1 GB of memory has a smaller
+// snapshot.
 const maxSnapshotBytes = 1 << 30
 
-// maxSavedNumber is the highest value of any number in a snapshot.
+// maxSavedNumber is the highest value of an integer in a snapshot that has no lower limit of its own.
 const maxSavedNumber = math.MaxInt32
 
 // maxSavedFloat is the highest absolute value of any float in a snapshot.
 const maxSavedFloat = 1e18
 
-// The fewest bytes that the parts of a snapshot take; they bound how many of them a payload may announce.
+// The minimum sizes of the elements of a snapshot. DecodeSnapshot rejects a number of elements for which the payload
+// is too short.
 const (
 	minClassBytes  = 17
 	minGroupBytes  = 2
@@ -41,7 +45,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode encodes a snapshot.
+// Encode returns the snapshot in its binary encoding.
 func (s *Snapshot) Encode() []byte {
 	var e encoder
 	e.number(len(s.classes))
@@ -68,7 +72,7 @@
 	return binary.LittleEndian.AppendUint32(out, crc32.Checksum(out, castagnoli))
 }
 
-// encoder appends values to a payload.
+// encoder appends encoded values to a payload.
 type encoder struct{ payload []byte }
 
 func (e *encoder) number(value int) {
@@ -112,15 +116,16 @@
 	}
 }
 
-// The errors of DecodeSnapshot, beside that of another version.
+// The errors of DecodeSnapshot, apart from the error for a snapshot of another version.
 var (
-	errNotSnapshot   = errors.New("not a snapshot of statements")
-	errTruncated     = errors.New("it is cut short, or goes on behind its end")
-	errChecksum      = errors.New("its checksum differs")
-	errInvalidValues = errors.New("it holds figures that can't be")
+	errNotSnapshot   = errors.New("this is not a snapshot of statement costs")
+	errTruncated     = errors.New("the snapshot is truncated or has trailing bytes")
+	errChecksum      = errors.New("the checksum of the snapshot does not match")
+	errInvalidValues = errors.New("the snapshot contains invalid values")
 )
 
-// DecodeSnapshot decodes a snapshot. One of another version, or one that was truncated or changed, is refused as a whole.
+// DecodeSnapshot decodes a snapshot. It returns an error and no snapshot if the bytes have another version, or were
+// truncated or changed.
 func DecodeSnapshot(b []byte) (*Snapshot, error) {
 	payload, err := snapshotPayload(b)
 	if err != nil {
@@ -149,7 +154,7 @@
 	return s, nil
 }
 
-// snapshotPayload checks header and checksum and returns what lies between them.
+// snapshotPayload checks the header and the checksum and returns the payload between them.
 func snapshotPayload(b []byte) ([]byte, error) {
 	if len(b) < snapshotHeader+snapshotTrailer || string(b[:versionOffset]) != snapshotMagic {
 		return nil, errNotSnapshot
@@ -168,7 +173,8 @@
 	return b[snapshotHeader:end], nil
 }
 
-// decoder reads values off a payload. After the first invalid one it is failed and reads zeros.
+// decoder reads values from the start of rest. The first invalid value sets failed. After an integer that is invalid
+// or a value that is truncated, all further reads return zeros.
 type decoder struct {
 	rest   []byte
 	failed bool
@@ -196,7 +202,8 @@
 	return int(value)
 }
 
-// count reads how many things follow that take at least so many bytes each.
+// count reads the number of the elements that follow. Each takes at least minBytes, so a number for which rest is too
+// short is invalid.
 func (d *decoder) count(minBytes int) int { return d.number(len(d.rest) / minBytes) }
 
 func (d *decoder) float() float64 {
--- a/internal/query/costmodel/snapshot_merge.go
+++ b/internal/query/costmodel/snapshot_merge.go
@@ -2,7 +2,7 @@
 
 import "gonum.org/v1/gonum/mat"
 
-// MergeSnapshots makes one snapshot of those of several gateways.
+// MergeSnapshots merges the snapshots of several gateways into one.
 func MergeSnapshots(list ...*Snapshot) *Snapshot {
 	merged := &snapshotMerger{
 		out:     &Snapshot{},
@@ -30,7 +30,8 @@
 	return out
 }
 
-// snapshotMerger collects a snapshot, and knows at which index each of its parts is.
+// snapshotMerger builds a merged snapshot. The maps hold the indices of its classes by name, its groups by number and
+// its records by key.
 type snapshotMerger struct {
 	out     *Snapshot
 	classes map[string]int
@@ -52,7 +53,8 @@
 	into.count += class.count
 }
 
-// addGroup adds the loads of a group: each gateway counts those that it forwarded, so the sum is that of all.
+// addGroup adds the loads of a group. Each gateway counts the loads that it forwarded itself, so the merged number is
+// the sum.
 func (m *snapshotMerger) addGroup(group savedGroup) {
 	i, ok := m.groups[group.group]
 	if !ok {
@@ -73,8 +75,9 @@
 	m.out.records[i].merge(record)
 }
 
-// merge adds another gateway's record of the same shape and group. Sketches add up; what depends on the order of the
-// observations, such as the shift detector, is that of the record with more of them.
+// merge adds another gateway's record of the same shape and group of tables. The sketches are added. State that
+// depends on the order of the observations, such as that of the shift detector, comes from the record with more
+// observations.
 func (r *savedRecord) merge(other *savedRecord) {
 	sketch, observations := r.sketch, r.observations+other.observations
 	sketch.Merge(&other.sketch)
@@ -86,14 +89,15 @@
 	r.sketch, r.observations = sketch, observations
 	r.memory, r.memoryPeak = memory, memoryPeak
 	r.age, r.loads = age, loads
-	r.trend = trend{} // it starts anew, over the loads of all gateways
+	r.trend = trend{} // it restarts, because the numbers of loads are now those of all gateways
 	if r.skewPlace != other.skewPlace && other.skewPlace > 0 {
-		r.skewPlace = 0 // the gateways found different literals, so the search starts anew
+		r.skewPlace = 0 // the gateways found different literals, so the search restarts
 	}
 }
 
-// mergeRegressions merges the regressions: what each has learned beyond the common prior adds up in precision. If
-// rounding has made one of them singular, the result has the mean of the weights and the prior's covariance.
+// mergeRegressions merges the regressions of snapshots by adding up what each has learned beyond the prior that all
+// start from. If rounding errors have made one of their covariance matrices singular, the result has the mean of the
+// weights and the covariance of the prior.
 func (s *Snapshot) mergeRegressions(list []*Snapshot) {
 	merged, ok := mergeByPrecision(list)
 	if !ok {
@@ -102,7 +106,8 @@
 	s.saveRegression(merged)
 }
 
-// precisionSum sums up precision matrices, and the weights multiplied by them.
+// precisionSum is a sum of precision matrices, the inverses of covariance matrices, and the sum of their products
+// with the weights.
 type precisionSum struct {
 	precision *mat.SymDense
 	weighted  *mat.VecDense
@@ -127,6 +132,8 @@
 	return inverse, cholesky.InverseTo(inverse) == nil
 }
 
+// mergeByPrecision adds up the precision matrices of the regressions. Each contains the prior, so the prior is
+// subtracted once less than there are regressions. ok is false if the list is empty or a matrix can't be inverted.
 func mergeByPrecision(list []*Snapshot) (merged *regression, ok bool) {
 	if len(list) == 0 {
 		return nil, false
@@ -157,6 +164,7 @@
 	return merged, true
 }
 
+// meanOfWeights returns a regression with the mean of the weights and the covariance of the prior.
 func meanOfWeights(list []*Snapshot) *regression {
 	mean := &regression{}
 	mean.reset()
--- a/internal/query/costmodel/statement_features.go
+++ b/internal/query/costmodel/statement_features.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// readChange reads the parts that UPDATE and DELETE share.
+// readChange reads the clauses that UPDATE and DELETE have in common.
 func (f *Features) readChange(from []*tableReference, where *expression, limit []string) {
 	firstTable := len(f.Tables)
 	f.readFrom(from)
@@ -43,7 +43,7 @@
 	f.setLimit(limit)
 }
 
-// setLimit sets the limit from the numbers of a LIMIT clause, of which the last is the number of rows.
+// setLimit sets the limit from the numbers of a LIMIT clause, the last of which is the number of rows.
 func (f *Features) setLimit(limit []string) {
 	if len(limit) == 0 {
 		return
@@ -87,7 +87,7 @@
 	f.readExpression(s.Having)
 	f.Sorts += len(s.Order)
 	f.Distinct = f.Distinct || s.Distinct
-	if isNested := firstTable > 0; !isNested { // the limit of a nested query says little of the whole
+	if isNested := firstTable > 0; !isNested { // the limit of a nested query has little effect on the cost of the statement
 		f.setLimit(s.Limit)
 	}
 	if tablesToJoin > 0 {
@@ -95,7 +95,7 @@
 	}
 }
 
-// countJoined counts the predicates from an index on that join tables.
+// countJoined returns the number of predicates that join tables, among those from the index firstPredicate on.
 func (f *Features) countJoined(firstPredicate int) int {
 	count := 0
 	for _, p := range f.Predicates[firstPredicate:] {
--- a/internal/query/costmodel/table_scan.go
+++ b/internal/query/costmodel/table_scan.go
@@ -10,11 +10,11 @@
 
 const (
 	reachAll   reach = iota // all rows of at least one table
-	reachRange              // a range of keys, or a prefix
-	reachKey                // rows with a given key, and what is joined to them
+	reachRange              // a range of keys, or the keys with a prefix
+	reachKey                // rows with a given key, and rows that are joined to them
 )
 
-// reach returns the widest reach over the tables that the statement reads.
+// reach returns the widest access over the tables that the statement reads.
 func (f *Features) reach() reach {
 	if len(f.Tables) == 0 {
 		return reachAll
@@ -35,7 +35,7 @@
 	return widest
 }
 
-// foundByKey tells whether the rows of a table are found by an equality or by a join.
+// foundByKey reports whether an engine finds the rows of a table by an equality or by a join.
 func (f *Features) foundByKey(table int) bool {
 	return slices.ContainsFunc(f.Predicates, func(p Predicate) bool {
 		if p.Table != table && p.Table != unknownTable {
@@ -45,8 +45,9 @@
 	})
 }
 
-// markScans decides which predicates narrow what is read, and which tables are read completely because none does. keys
-// returns the columns by which an engine finds a table's rows, nil if they are not known; a nil keys knows no table.
+// markScans determines which predicates narrow what is read, and which tables are read completely because no
+// predicate narrows them. keys returns the columns by which an engine finds the rows of a table, or nil if they are
+// unknown. If keys is nil, they are unknown for all tables.
 func (f *Features) markScans(keys func(*Table) []string) {
 	narrowed := make(tableSet, len(f.Tables))
 	for i := range f.Predicates {
@@ -56,7 +57,7 @@
 			narrowed.add(p.Table)
 		}
 	}
-	// A table that is joined by a column to one that is narrowed is looked up row by row.
+	// If a predicate narrows one table, the rows of the tables that are joined to it by a column are looked up one by one.
 	if slices.Contains(narrowed, true) {
 		for _, p := range f.Predicates {
 			if p.Match == Joined {
@@ -69,7 +70,8 @@
 	}
 }
 
-// narrows tells whether an engine finds the rows of a predicate without reading the whole table, as far as is known.
+// narrows reports whether an engine finds the rows of a predicate without reading the whole table, as far as is
+// known.
 func (f *Features) narrows(p *Predicate, keys func(*Table) []string) bool {
 	if p.Match != Equal && p.Match != Range && p.Match != Prefix {
 		return false
@@ -84,10 +86,10 @@
 	return slices.ContainsFunc(columns, func(column string) bool { return strings.EqualFold(column, p.Column) })
 }
 
-// tableSet is a set of a statement's tables, by index.
+// tableSet is a set of the tables of a statement: the element at a table's index is true if the table is in the set.
 type tableSet []bool
 
-// add adds a table; an unknown one may be any, so it adds all of them.
+// add adds a table. An unknown table may be any of them, so it adds all.
 func (s tableSet) add(table int) {
 	if table != unknownTable {
 		s[table] = true
--- a/internal/query/costmodel/token_features.go
+++ b/internal/query/costmodel/token_features.go
@@ -6,20 +6,20 @@
 	"magpiebank/internal/query/sqltext"
 )
 
-// tokenReader reads features from the tokens of a statement that the parser does not take.
+// tokenReader reads features from the tokens of a statement that the parser rejects.
 type tokenReader struct {
 	features *Features
 	lexer    sqltext.Lexer
 	previous sqltext.Token
 
 	started     bool // the first word has been read
-	expectTable bool // the next name may be a table's
-	inTableList bool // after a comma the next name may be a table's again
+	expectTable bool // the next name may be that of a table
+	inTableList bool // the name after a comma may be that of a table
 	inCondition bool
-	column      []string // the last name with its qualifiers, which an operator may follow; nil: none
+	column      []string // the last name with its qualifiers, to which the next operator may apply; nil: none
 }
 
-// readTokens reads what can be read from tokens alone.
+// readTokens reads the features that can be read from the tokens alone.
 func (f *Features) readTokens(sql []byte) {
 	r := tokenReader{features: f, lexer: sqltext.Lexer{Text: sql}}
 	for token := r.lexer.Next(); token.Kind != sqltext.End; token = r.lexer.Next() {
@@ -35,7 +35,7 @@
 	}
 }
 
-// isComparison tells whether a token is the first sign of an operator that compares a column.
+// isComparison reports whether a token is the first sign of an operator that compares a column.
 func (r *tokenReader) isComparison(token sqltext.Token) bool {
 	if token.Kind != sqltext.Sign || token.Sign != '=' && token.Sign != '<' && token.Sign != '>' {
 		return false
@@ -85,11 +85,12 @@
 	}
 }
 
-// firstVerbs are the verbs of statements by their first word; others are Other.
+// firstVerbs maps the first word of a statement to its verb. A statement with any other first word has the verb
+// Other.
 var firstVerbs = map[string]Verb{"SELECT": Select, "WITH": Select, "INSERT": Insert, "REPLACE": Insert, "LOAD": Load,
 	"UPDATE": Update, "DELETE": Delete}
 
-// readClause reads a keyword that begins a clause, and tells whether it is one.
+// readClause reads a keyword that begins a clause, and reports whether the keyword does.
 func (r *tokenReader) readClause(keyword string) bool {
 	f := r.features
 	switch keyword {
@@ -121,10 +122,11 @@
 	return true
 }
 
-// wordMatches are the kinds of predicates of operators that are words.
+// wordMatches maps the operators that are words to the kinds of their predicates.
 var wordMatches = map[string]Match{"IN": Equal, "LIKE": Prefix, "BETWEEN": Range}
 
-// readCount reads a keyword that counts wherever it stands, and tells whether it is one.
+// readCount reads a keyword that does not begin a clause but changes a feature, and reports whether the keyword is
+// one.
 func (r *tokenReader) readCount(keyword string) bool {
 	f := r.features
 	switch keyword {
@@ -148,7 +150,7 @@
 	return true
 }
 
-// readName reads a word that is none of the keywords above: a table, a function or a column.
+// readName reads a name of a table, a function or a column. It ignores keywords.
 func (r *tokenReader) readName(names []string, keyword string) {
 	f := r.features
 	isKeyword := keywords[keyword] != ""
--- a/internal/query/costmodel/trend.go
+++ b/internal/query/costmodel/trend.go
@@ -1,13 +1,14 @@
 package costmodel
 
-// trend follows how a cost grows with the loads that end on its tables: a least-squares line through the logarithms of
-// the costs (y) over the number of loads (x), in which older observations fade.
+// trend shows how a cost grows with the number of loads of data that have ended on its tables. It is a least-squares
+// line through the logarithms of the costs (y) over the number of loads (x), in which the weight of old observations
+// decays.
 type trend struct{ count, sumX, sumY, sumXX, sumXY float64 }
 
 const (
-	trendFading   = 0.99 // the weight that an observation keeps with each further one
-	minLoadSpread = 1    // the variance of the loads from which the slope can be told
-	maxTrendSlope = 0.2  // a load, of logarithms
+	trendFading   = 0.99 // factor by which each new observation reduces the weight of the older ones
+	minLoadSpread = 1    // variance of the numbers of loads below which no slope is computed
+	maxTrendSlope = 0.2  // growth of the logarithm of the cost per load
 )
 
 func (t *trend) add(x, y float64) {
@@ -18,8 +19,8 @@
 	t.sumXY = trendFading*t.sumXY + x*y
 }
 
-// slope returns the growth of the cost's logarithm with a load, 0 if there are too few observations to tell, and the mean
-// number of loads, at which the line has the mean cost.
+// slope returns the growth of the logarithm of the cost per load, and the mean number of loads, at which the line has
+// the mean cost. The slope is 0 if there are too few observations, or if their numbers of loads differ too little.
 func (t *trend) slope() (slope, meanLoads float64) {
 	if t.count < warmupObservations {
 		return 0, 0
