--- a/internal/query/costmodel/features.go
+++ b/internal/query/costmodel/features.go
@@ -119,9 +119,9 @@
 	return f
 }
 
-// ReadFeaturesWith returns the features of a statement over tables of which an operator has declared keys; tables may be
+// ReadFeaturesWithTables returns the features of a statement over tables of which an operator has declared keys; tables may be
 // nil.
-func ReadFeaturesWith(sql []byte, tables TableLookup) *Features {
+func ReadFeaturesWithTables(sql []byte, tables TableLookup) *Features {
 	f := ReadFeatures(sql)
 	if tables == nil {
 		return f
--- a/internal/query/costmodel/model.go
+++ b/internal/query/costmodel/model.go
@@ -127,7 +127,7 @@
 	m.mu.Lock()
 	tables := m.tables
 	m.mu.Unlock()
-	features := ReadFeaturesWith(sql, tables)
+	features := ReadFeaturesWithTables(sql, tables)
 	m.Parsed.Add(1)
 	if !features.Parsed {
 		m.Unparsed.Add(1)
--- a/internal/query/digest/digest.go
+++ b/internal/query/digest/digest.go
@@ -162,7 +162,7 @@
 	if t.text == "" {
 		return row
 	}
-	features := costmodel.ReadFeaturesWith([]byte(t.text), tables)
+	features := costmodel.ReadFeaturesWithTables([]byte(t.text), tables)
 	row.Verb, row.Parsed = features.Verb.String(), features.Parsed
 	if table := features.FullScan(); table != nil {
 		row.FullScanOf = table.String()
--- a/internal/query/sqltext/lexer.go
+++ b/internal/query/sqltext/lexer.go
@@ -34,7 +34,7 @@
 // times. A Lexer may be copied to look ahead.
 type Lexer struct {
 	Text     []byte
-	At       int  // the offset of the next token, or of what stands before it
+	Offset   int  // the offset of the next token, or of what stands before it
 	previous Kind // of the token before
 }
 
@@ -66,21 +66,21 @@
 
 // Next returns the next token; at the end of the text its kind is End.
 func (l *Lexer) Next() Token {
-	for l.At < len(l.Text) {
-		from := l.At
+	for l.Offset < len(l.Text) {
+		from := l.Offset
 		c := l.Text[from]
 		switch byteClass[c] {
 		case space:
-			l.At++
+			l.Offset++
 			continue
 		case letter: // about every third token, so it comes early
-			l.At = l.skipLetters(from + 1)
+			l.Offset = l.skipLetters(from + 1)
 			l.previous = Word
-			return Token{Kind: Word, From: from, To: l.At}
+			return Token{Kind: Word, From: from, To: l.Offset}
 		case 0:
-			l.At++
+			l.Offset++
 			l.previous = Sign
-			return Token{Kind: Sign, Sign: c, From: from, To: l.At}
+			return Token{Kind: Sign, Sign: c, From: from, To: l.Offset}
 		case special:
 			if l.skipComment(c) {
 				continue
@@ -90,7 +90,7 @@
 		l.previous = token.Kind
 		return token
 	}
-	return Token{From: l.At, To: l.At}
+	return Token{From: l.Offset, To: l.Offset}
 }
 
 // skipLetters returns the offset of the first byte from an offset on that can't stand in a name.
@@ -104,19 +104,19 @@
 // skipComment skips a comment that begins at the current byte, which is c, and tells whether one does. The marks of a
 // comment that the server executes are skipped alone, so that its content is read.
 func (l *Lexer) skipComment(c byte) bool {
-	from := l.At
+	from := l.Offset
 	switch {
 	case c == '#', c == '-' && l.byteAhead(1) == '-' && (from+2 >= len(l.Text) || l.Text[from+2] <= ' '):
 		l.skipPast(from, "\n")
 	case c == '/' && l.byteAhead(1) == '*' && l.byteAhead(2) == '!':
-		l.At = from + len("/*!")
-		for l.At < len(l.Text) && byteClass[l.Text[l.At]]&digit != 0 { // the server's version
-			l.At++
+		l.Offset = from + len("/*!")
+		for l.Offset < len(l.Text) && byteClass[l.Text[l.Offset]]&digit != 0 { // the server's version
+			l.Offset++
 		}
 	case c == '/' && l.byteAhead(1) == '*' && l.byteAhead(2) != '+':
 		l.skipPast(from+len("/*"), "*/")
 	case c == '*' && l.byteAhead(1) == '/': // the end of a comment that is executed
-		l.At += len("*/")
+		l.Offset += len("*/")
 	default:
 		return false
 	}
@@ -125,7 +125,7 @@
 
 // readOther reads a token that begins with c, a digit or a special byte.
 func (l *Lexer) readOther(c byte) Token {
-	from := l.At
+	from := l.Offset
 	switch {
 	case c == '\'' || c == '"':
 		return l.readString(from, c)
@@ -134,13 +134,13 @@
 	case c == '/' && l.byteAhead(1) == '*': // a hint, as comments are skipped
 		return l.readMarked(Hint, from+len("/*+"), "*/")
 	case c == '?':
-		l.At++
-		return Token{Kind: Text, From: from, To: l.At}
+		l.Offset++
+		return Token{Kind: Text, From: from, To: l.Offset}
 	case byteClass[c]&digit != 0, c == '.' && l.isFraction():
 		return l.readNumber(from)
 	}
-	l.At++
-	return Token{Kind: Sign, Sign: c, From: from, To: l.At}
+	l.Offset++
+	return Token{Kind: Sign, Sign: c, From: from, To: l.Offset}
 }
 
 // isFraction tells whether the dot at the current byte begins a number and does not qualify a name.
@@ -152,9 +152,9 @@
 // readMarked reads a token whose text begins at an offset and ends before a mark.
 func (l *Lexer) readMarked(kind Kind, from int, mark string) Token {
 	token := Token{Kind: kind, From: from, Unterminated: !l.skipPast(from, mark)}
-	token.To = l.At
+	token.To = l.Offset
 	if !token.Unterminated {
-		token.To = max(from, l.At-len(mark))
+		token.To = max(from, l.Offset-len(mark))
 	}
 	return token
 }
@@ -167,7 +167,7 @@
 
 // NextIsDot tells whether the next token is a dot, so that the name before it qualifies another.
 func (l *Lexer) NextIsDot() bool {
-	offset := l.At
+	offset := l.Offset
 	for offset < len(l.Text) && byteClass[l.Text[offset]] == space {
 		offset++
 	}
@@ -187,8 +187,8 @@
 
 // byteAhead returns the byte at a distance from the current one, 0 behind the end.
 func (l *Lexer) byteAhead(distance int) byte {
-	if l.At+distance < len(l.Text) {
-		return l.Text[l.At+distance]
+	if l.Offset+distance < len(l.Text) {
+		return l.Text[l.Offset+distance]
 	}
 	return 0
 }
@@ -196,34 +196,34 @@
 // skipPast moves behind the first mark from an offset on, or to the end if there is none; it tells whether there is one.
 func (l *Lexer) skipPast(from int, mark string) bool {
 	if from > len(l.Text) {
-		l.At = len(l.Text)
+		l.Offset = len(l.Text)
 		return false
 	}
 	distance := bytes.Index(l.Text[from:], []byte(mark))
 	if distance < 0 {
-		l.At = len(l.Text)
+		l.Offset = len(l.Text)
 		return false
 	}
-	l.At = from + distance + len(mark)
+	l.Offset = from + distance + len(mark)
 	return true
 }
 
 // readString reads a string, in which a doubled quote and a character behind a backslash do not end it.
 func (l *Lexer) readString(from int, quote byte) Token {
-	for l.At = from + 1; l.At < len(l.Text); l.At++ {
-		switch l.Text[l.At] {
+	for l.Offset = from + 1; l.Offset < len(l.Text); l.Offset++ {
+		switch l.Text[l.Offset] {
 		case '\\':
-			l.At++
+			l.Offset++
 		case quote:
 			if l.byteAhead(1) != quote {
-				l.At++
-				return Token{Kind: Text, From: from + 1, To: l.At - 1}
+				l.Offset++
+				return Token{Kind: Text, From: from + 1, To: l.Offset - 1}
 			}
-			l.At++
+			l.Offset++
 		}
 	}
-	l.At = len(l.Text)
-	return Token{Kind: Text, Unterminated: true, From: min(from+1, l.At), To: l.At}
+	l.Offset = len(l.Text)
+	return Token{Kind: Text, Unterminated: true, From: min(from+1, l.Offset), To: l.Offset}
 }
 
 // readNumber reads a number. With letters behind it that belong to no number it is a word, as names may begin with a
@@ -240,7 +240,7 @@
 		kind = Word
 		end = l.skipLetters(end)
 	}
-	l.At = end
+	l.Offset = end
 	return Token{Kind: kind, From: from, To: end}
 }
 
