--- a/internal/query/costmodel/features.go
+++ b/internal/query/costmodel/features.go
@@ -121,9 +121,9 @@
 	return f
 }
 
-// ReadFeaturesWith returns the features of a statement, using the keys that an operator has declared for its tables.
+// ReadFeaturesWithTables returns the features of a statement, using the keys that an operator has declared for its tables.
 // tables may be nil.
-func ReadFeaturesWith(sql []byte, tables TableLookup) *Features {
+func ReadFeaturesWithTables(sql []byte, tables TableLookup) *Features {
 	f := ReadFeatures(sql)
 	if tables == nil {
 		return f
