--- a/internal/query/costmodel/cache.go
+++ b/internal/query/costmodel/cache.go
@@ -35,13 +35,13 @@
 	used  bool // it was read since the hand passed it
 }
 
-// slotBytes is the memory of an entry without its value.
-const slotBytes = 56
+// entryOverheadBytes is the memory of an entry without its value.
+const entryOverheadBytes = 56
 
 // NewCache returns a cache that takes up to about the given number of bytes, if each value takes about valueBytes.
 func NewCache[V any](bytes int64, valueBytes int) *Cache[V] {
 	c := &Cache[V]{}
-	capacity := max(minShardEntries, int(bytes/int64(valueBytes+slotBytes)/cacheShards))
+	capacity := max(minShardEntries, int(bytes/int64(valueBytes+entryOverheadBytes)/cacheShards))
 	for i := range c.shards {
 		shard := &c.shards[i]
 		shard.capacity, shard.slots = capacity, map[uint64]int32{}
@@ -163,7 +163,7 @@
 }
 
 const (
-	frequencyRows       = 4
+	countersPerKey      = 4
 	countersPerEntry    = 4
 	minCounters         = 64
 	maxFrequency        = 15
@@ -178,8 +178,8 @@
 	f.counts, f.mask = make([]byte, size), size-1
 }
 
-// slots returns the indices of a key's counters.
-func (f *frequency) slots(key uint64) (slots [frequencyRows]uint64) {
+// counterIndices returns the indices of a key's counters.
+func (f *frequency) counterIndices(key uint64) (slots [countersPerKey]uint64) {
 	for row := range slots {
 		key = (key ^ key>>31) * 0x9e3779b97f4a7c15
 		slots[row] = key >> 20 & f.mask
@@ -194,7 +194,7 @@
 	if least >= maxFrequency {
 		return
 	}
-	for _, slot := range f.slots(key) {
+	for _, slot := range f.counterIndices(key) {
 		if f.counts[slot] == least {
 			f.counts[slot]++
 		}
@@ -211,7 +211,7 @@
 
 func (f *frequency) estimate(key uint64) byte {
 	least := byte(math.MaxUint8)
-	for _, slot := range f.slots(key) {
+	for _, slot := range f.counterIndices(key) {
 		least = min(least, f.counts[slot])
 	}
 	return least
--- a/internal/query/costmodel/cache_test.go
+++ b/internal/query/costmodel/cache_test.go
@@ -65,7 +65,7 @@
 		gain   float64
 	}{{"zipf", 0, 0}, {"scan", 1, 0.03}, {"flood", 2, 0.05}} {
 		t.Run(c.name, func(t *testing.T) {
-			both := cacheComparison{ours: NewCache[int](most*(8+slotBytes), 8), plain: &plainLRU{most, list.New(), map[uint64]*list.Element{}}}
+			both := cacheComparison{ours: NewCache[int](most*(8+entryOverheadBytes), 8), plain: &plainLRU{most, list.New(), map[uint64]*list.Element{}}}
 			zipf := rand.NewZipf(rand.New(rand.NewSource(2)), 1.1, 1, keys)
 			unique := uint64(1 << 40)
 			for i := range requests {
@@ -100,7 +100,7 @@
 }
 
 func BenchmarkPlainLRU(b *testing.B) {
-	c := &plainLRU{1 << 20 / (8 + slotBytes), list.New(), map[uint64]*list.Element{}}
+	c := &plainLRU{1 << 20 / (8 + entryOverheadBytes), list.New(), map[uint64]*list.Element{}}
 	z := rand.NewZipf(rand.New(rand.NewSource(2)), 1.1, 1, 20000)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/query/costmodel/estimate.go
+++ b/internal/query/costmodel/estimate.go
@@ -44,20 +44,20 @@
 
 // Estimate predicts the cost of a query.
 func (m *Model) Estimate(q *Query) (e Estimate) {
-	e.FullScan = q.info.fullScan
+	e.FullScan = q.info.fullScanTable
 	m.mu.Lock()
-	prior := m.classes[q.Class].mean + m.regression.predict(&q.info.input)
+	prior := m.classes[q.Class].mean + m.regression.predict(&q.info.regressionInput)
 	e.Known = m.classes[q.Class].count >= minClassObservations
 	loads := m.loadsOf(q.Group)
 	m.mu.Unlock()
 	mean, deviation := prior, priorDeviation
-	key, place := recordKey(q.Shape, q.Group), 0
+	key, grouping := recordKey(q.Shape, q.Group), 0
 	m.records.Visit(key, func(r *record) {
-		place = r.skewPlace
+		grouping = r.skewGrouping
 		mean, deviation = m.blend(&e, r, prior, loads)
 	})
-	if place > 0 {
-		m.records.Visit(splitKey(key, &q.literals, place), func(r *record) {
+	if grouping > 0 {
+		m.records.Visit(splitKey(key, &q.literals, grouping), func(r *record) {
 			if r.observations >= minGroupObservations {
 				mean, deviation = m.blend(&e, r, prior, loads)
 			}
@@ -88,7 +88,7 @@
 	if !e.Known {
 		weight = 0
 	}
-	n := float64(r.sketch.Count()) * math.Exp2(-float64(m.hours.Load()-r.hours)/halfLifeHours)
+	n := float64(r.sketch.Count()) * math.Exp2(-float64(m.ageHours.Load()-r.decayedAtHours)/halfLifeHours)
 	e.Known = e.Known || r.observations >= minGroupObservations
 	e.Uncertain = r.uncertainFor > 0 || loads > r.loads
 	if weight+n == 0 {
--- a/internal/query/costmodel/expression_features.go
+++ b/internal/query/costmodel/expression_features.go
@@ -54,7 +54,7 @@
 	}
 	operator, negated := strings.CutPrefix(strings.Join(condition[1].Op, ""), "NOT")
 	c := comparison{left: left, right: condition[1].Value, operator: operator, negated: negated, operands: len(condition)}
-	if !c.left.isColumn() && !f.turnToColumn(&c, firstTable) {
+	if !c.left.isColumn() && !f.moveColumnLeft(&c, firstTable) {
 		return
 	}
 	match := c.match()
@@ -64,10 +64,10 @@
 	f.addPredicate(c.left.Name, match, firstTable)
 }
 
-// turnToColumn swaps the sides of a comparison such as 5 = a, so that the column is on the left, and returns true. It
+// moveColumnLeft swaps the sides of a comparison such as 5 = a, so that the column is on the left, and returns true. It
 // returns false if the sides can't be swapped. In that case it has added a predicate for a column that a function is
 // applied to, or that is compared to a computed value.
-func (f *Features) turnToColumn(c *comparison, firstTable int) bool {
+func (f *Features) moveColumnLeft(c *comparison, firstTable int) bool {
 	call := c.left.Call
 	switch {
 	case c.right.isColumn() && c.operands == 2 && c.left.isConstant() && call == nil: // 5 = a
@@ -85,7 +85,7 @@
 
 // match returns how the comparison narrows the column on its left side.
 func (c *comparison) match() Match {
-	toOtherTable := c.right.Query != nil
+	toSubquery := c.right.Query != nil
 	switch {
 	case c.negated, c.operator == "<>", c.operator == "!=":
 		return Unequal
@@ -94,12 +94,12 @@
 	}
 	switch c.operator {
 	case "=", "<=>":
-		if toOtherTable || c.right.isColumn() {
+		if toSubquery || c.right.isColumn() {
 			return Joined
 		}
 		return Equal
 	case "IN":
-		if toOtherTable {
+		if toSubquery {
 			return Joined
 		}
 		return Equal
--- a/internal/query/costmodel/format_test.go
+++ b/internal/query/costmodel/format_test.go
@@ -28,7 +28,7 @@
 		values = append(values, g.group, g.loads)
 	}
 	for _, r := range s.records {
-		values = append(values, r.key, r.age, r.observations, r.uncertainFor, r.loads, r.skewPlace, r.memory, r.memoryPeak, r.shiftUp, r.shiftDown, r.baseline, r.deviation, r.recent,
+		values = append(values, r.key, r.hoursToDecay, r.observations, r.uncertainFor, r.loads, r.skewGrouping, r.memory, r.memoryPeak, r.shiftUp, r.shiftDown, r.baseline, r.deviation, r.recent,
 			r.trend.count, r.trend.sumX, r.trend.sumY, r.trend.sumXX, r.trend.sumXY, r.sketch.counts, r.sketch.total)
 	}
 	return values
--- a/internal/query/costmodel/model.go
+++ b/internal/query/costmodel/model.go
@@ -13,9 +13,9 @@
 
 // Model learns the costs of statements from finished queries. Its methods are safe for concurrent use.
 type Model struct {
-	shapes  *Cache[*shapeInfo] // by shape
-	records *Cache[*record]    // by shape and group of tables
-	hours   atomic.Int64       // age of the model, which AdvanceHours increases
+	shapes   *Cache[*shapeInfo] // by shape
+	records  *Cache[*record]    // by shape and group of tables
+	ageHours atomic.Int64       // age of the model, which AdvanceHours increases
 
 	mu         sync.Mutex // guards the fields below
 	tables     TableLookup
@@ -38,9 +38,9 @@
 
 // shapeInfo is what the model derives from the first statement of a shape.
 type shapeInfo struct {
-	features *Features
-	input    [regressionTerms]float64 // of the regression
-	fullScan string                   // name of a table that is read completely; empty: none
+	features        *Features
+	regressionInput [regressionTerms]float64 // inputs of the regression
+	fullScanTable   string                   // name of a table that is read completely; empty: none
 }
 
 // classCost is the mean of the logarithms of the costs of a class, and the number of observations in the mean.
@@ -84,7 +84,7 @@
 }
 
 // AdvanceHours increases the age of the model, which determines the decay of old observations.
-func (m *Model) AdvanceHours(hours int64) { m.hours.Add(hours) }
+func (m *Model) AdvanceHours(hours int64) { m.ageHours.Add(hours) }
 
 // halfLifeHours is the time in which the weight of a record's observations halves. It is a day because data is
 // usually loaded once a day.
@@ -141,9 +141,9 @@
 func newShapeInfo(features *Features, tables TableLookup) *shapeInfo {
 	info := &shapeInfo{features: features}
 	if table := features.FullScan(); table != nil {
-		info.fullScan = table.String()
+		info.fullScanTable = table.String()
 	}
-	info.input = regressionInput(features, info.fullScan != "", tables)
+	info.regressionInput = regressionInput(features, info.fullScanTable != "", tables)
 	return info
 }
 
--- a/internal/query/costmodel/observe.go
+++ b/internal/query/costmodel/observe.go
@@ -6,9 +6,9 @@
 	// mispredictedFactor is the factor between estimate and observation above which an estimate counts as wrong. The
 	// costs of one class usually span this factor.
 	mispredictedFactor = 3
-	// sharedObservations is the number of observations of a record that also update the class and the regression.
+	// maxSharedObservations is the number of observations of a record that also update the class and the regression.
 	// Further ones contain no information about other shapes.
-	sharedObservations = 6
+	maxSharedObservations = 6
 )
 
 // observation is the measured cost of one finished query.
@@ -33,34 +33,34 @@
 	m.mu.Lock()
 	loads := m.loadsOf(q.Group)
 	m.mu.Unlock()
-	seen := observation{millis: millis, logMillis: math.Log(max(millis, minMillis)), memoryMB: memoryMB, loads: loads}
+	observed := observation{millis: millis, logMillis: math.Log(max(millis, minMillis)), memoryMB: memoryMB, loads: loads}
 	key := recordKey(q.Shape, q.Group)
-	shared, place, typical := true, 0, seen.logMillis
+	updateShared, grouping, typical := true, 0, observed.logMillis
 	m.updateRecord(key, loads, func(r *record) {
-		shared = r.observations < sharedObservations
-		r.observe(seen, &m.Shifts)
-		typical = r.typicalLog(seen.logMillis)
-		m.searchSkew(r, &q.literals, seen.logMillis)
-		place = r.skewPlace
+		updateShared = r.observations < maxSharedObservations
+		r.observe(observed, &m.Shifts)
+		typical = r.typicalLog(observed.logMillis)
+		m.searchSkew(r, &q.literals, observed.logMillis)
+		grouping = r.skewGrouping
 	})
-	if place > 0 && place <= q.literals.Count*skewGroupings {
-		m.updateRecord(splitKey(key, &q.literals, place), loads, func(r *record) { r.observe(seen, &m.Shifts) })
+	if grouping > 0 && grouping <= q.literals.Count*skewHashesPerLiteral {
+		m.updateRecord(splitKey(key, &q.literals, grouping), loads, func(r *record) { r.observe(observed, &m.Shifts) })
 	}
-	if !shared {
+	if !updateShared {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	class := &m.classes[q.Class]
 	class.count = min(class.count+1, maxClassObservations)
-	class.mean += (seen.logMillis - class.mean) / class.count
-	m.regression.update(&q.info.input, typical-class.mean)
+	class.mean += (observed.logMillis - class.mean) / class.count
+	m.regression.update(&q.info.regressionInput, typical-class.mean)
 }
 
 // updateRecord calls update with the record of a key, after applying the decay of its old observations. If there is
 // none, it calls update with a new record and offers that to the cache.
 func (m *Model) updateRecord(key uint64, loads int, update func(r *record)) {
-	hours := m.hours.Load()
+	hours := m.ageHours.Load()
 	known := m.records.Visit(key, func(r *record) {
 		r.fade(hours)
 		update(r)
@@ -68,7 +68,7 @@
 	if known {
 		return
 	}
-	r := &record{loads: loads, hours: hours}
+	r := &record{loads: loads, decayedAtHours: hours}
 	update(r)
 	evicted, _ := m.records.Put(key, r)
 	if evicted != nil && evicted.skew != nil {
--- a/internal/query/costmodel/parse.go
+++ b/internal/query/costmodel/parse.go
@@ -21,7 +21,7 @@
 // is reports whether the current token is a keyword or sign.
 func (p *parser) is(word string) bool {
 	t := p.current()
-	return !p.failed && (t.key == word || t.kind == sqltext.Sign && t.text == word)
+	return !p.failed && (t.keyword == word || t.kind == sqltext.Sign && t.text == word)
 }
 
 // take consumes the current token if it is the given keyword or sign, and reports whether it did.
@@ -62,7 +62,7 @@
 
 func (p *parser) isName() bool {
 	t := p.current()
-	return !p.failed && (t.kind == sqltext.Word && (t.key == "" || t.call) || t.kind == sqltext.Quoted)
+	return !p.failed && (t.kind == sqltext.Word && (t.keyword == "" || t.isFunction) || t.kind == sqltext.Quoted)
 }
 
 func (p *parser) isKind(kind sqltext.Kind) bool { return !p.failed && p.current().kind == kind }
@@ -83,10 +83,10 @@
 }
 
 // parsePath parses names separated by dots. If star is set, the last name may be an asterisk.
-func (p *parser) parsePath(star bool) (names []string) {
+func (p *parser) parsePath(allowStar bool) (names []string) {
 	names = append(names, p.takeName())
 	for p.take(".") {
-		if star && p.is("*") {
+		if allowStar && p.is("*") {
 			return append(names, p.takeText())
 		}
 		names = append(names, p.takeName())
--- a/internal/query/costmodel/parse_change.go
+++ b/internal/query/costmodel/parse_change.go
@@ -3,7 +3,7 @@
 import "magpiebank/internal/query/sqltext"
 
 func (p *parser) parseInsert() *insertStatement {
-	insert := &insertStatement{Verb: p.current().key}
+	insert := &insertStatement{Verb: p.current().keyword}
 	p.position++
 	p.skipAll("IGNORE", "LOW_PRIORITY", "DELAYED")
 	p.take("INTO")
@@ -39,7 +39,7 @@
 	p.expect("LOAD", "DATA")
 	p.take("LOCAL")
 	p.expect("INFILE")
-	load := &loadStatement{File: p.parseAmount()}
+	load := &loadStatement{File: p.parseNumberOrText()}
 	p.takeAny("REPLACE", "IGNORE")
 	p.expect("INTO", "TABLE")
 	load.Table = p.parsePath(false)
@@ -55,7 +55,7 @@
 	update := &updateStatement{From: parseList(p, p.parseTableReference)}
 	p.expect("SET")
 	update.Set = p.parseExpressions()
-	update.Where = p.parseAfter("WHERE")
+	update.Where = p.parseOptionalClause("WHERE")
 	update.Order, update.Limit = p.parseOrder(), p.parseLimit()
 	return update
 }
@@ -69,7 +69,7 @@
 	}
 	p.expect("FROM")
 	remove.From = parseList(p, p.parseTableReference)
-	remove.Where = p.parseAfter("WHERE")
+	remove.Where = p.parseOptionalClause("WHERE")
 	remove.Order, remove.Limit = p.parseOrder(), p.parseLimit()
 	return remove
 }
--- a/internal/query/costmodel/parse_expression.go
+++ b/internal/query/costmodel/parse_expression.go
@@ -4,9 +4,9 @@
 
 // isOperator reports whether a token is an operator between two operands, or a part of one, such as NOT in NOT IN.
 func (t *token) isOperator() bool {
-	switch t.key {
+	switch t.keyword {
 	case "AND", "OR", "XOR", "NOT", "IN", "LIKE", "REGEXP", "RLIKE", "BETWEEN", "IS", "DIV", "MOD", "COLLATE", "ESCAPE":
-		return !t.call
+		return !t.isFunction
 	}
 	switch t.sign {
 	case '=', '<', '>', '!', '+', '-', '*', '/', '%', '|', '&', '^', ':':
@@ -15,10 +15,10 @@
 	return false
 }
 
-// word returns a keyword in capitals, or the token's text.
-func (t *token) word() string {
-	if t.key != "" {
-		return t.key
+// keywordOrText returns a keyword in capitals, or the token's text.
+func (t *token) keywordOrText() string {
+	if t.keyword != "" {
+		return t.keyword
 	}
 	return t.text
 }
@@ -29,7 +29,7 @@
 	for !p.failed && p.current().isOperator() {
 		op := &operation{}
 		for p.current().isOperator() {
-			op.Op = append(op.Op, p.current().word())
+			op.Op = append(op.Op, p.current().keywordOrText())
 			p.position++
 		}
 		op.Value = p.parseOperand()
@@ -43,14 +43,14 @@
 	parsed := &operand{}
 	for !p.failed {
 		t := p.current()
-		switch t.key {
+		switch t.keyword {
 		case "NOT", "BINARY", "EXISTS", "DISTINCT", "ALL", "ANY":
 		default:
 			if t.sign != '-' && t.sign != '+' && t.sign != '~' && t.sign != '!' {
 				return p.parseOperandBody(parsed)
 			}
 		}
-		parsed.Prefix = append(parsed.Prefix, t.word())
+		parsed.Prefix = append(parsed.Prefix, t.keywordOrText())
 		p.position++
 	}
 	return parsed
@@ -59,7 +59,7 @@
 // parseOperandBody parses an operand after its prefixes.
 func (p *parser) parseOperandBody(parsed *operand) *operand {
 	switch t := p.current(); {
-	case t.kind == sqltext.Number, t.kind == sqltext.Text, t.key == "NULL", t.key == "TRUE", t.key == "FALSE":
+	case t.kind == sqltext.Number, t.kind == sqltext.Text, t.keyword == "NULL", t.keyword == "TRUE", t.keyword == "FALSE":
 		parsed.Literal = p.takeText()
 	case p.take("CASE"):
 		parsed.Case = p.parseCase()
@@ -94,7 +94,7 @@
 	if len(parsed.When) == 0 {
 		p.fail()
 	}
-	parsed.Else = p.parseAfter("ELSE")
+	parsed.Else = p.parseOptionalClause("ELSE")
 	p.expect("END")
 	return parsed
 }
@@ -131,7 +131,7 @@
 	if p.takeAny("AS", "USING", "FROM") {
 		argument.As = p.takeName()
 		if p.is("(") { // the parameters of a type, such as decimal(10, 2)
-			parseInBrackets(p, func() []string { return parseList(p, p.parseAmount) })
+			parseInBrackets(p, func() []string { return parseList(p, p.parseNumberOrText) })
 		}
 	}
 	return argument
--- a/internal/query/costmodel/parse_select.go
+++ b/internal/query/costmodel/parse_select.go
@@ -8,18 +8,18 @@
 func (p *parser) isQuery() bool {
 	for at := p.position; p.is("(") && p.tokens[at].sign == '('; at++ {
 		next := &p.tokens[at+1]
-		if next.key == "SELECT" {
+		if next.keyword == "SELECT" {
 			return true
 		}
-		if next.sign != '(' || next.match == 0 {
+		if next.sign != '(' || next.closingBracket == 0 {
 			return false
 		}
-		behind := &p.tokens[next.match+1]
-		switch behind.key {
+		afterInner := &p.tokens[next.closingBracket+1]
+		switch afterInner.keyword {
 		case "UNION", "EXCEPT", "INTERSECT", "ORDER", "LIMIT":
 			return true
 		}
-		if behind.sign != ')' {
+		if afterInner.sign != ')' {
 			return false
 		}
 	}
@@ -92,17 +92,17 @@
 	if !p.take("LIMIT") {
 		return nil
 	}
-	numbers = append(numbers, p.parseAmount())
+	numbers = append(numbers, p.parseNumberOrText())
 	if p.take(",") {
-		numbers = append(numbers, p.parseAmount())
+		numbers = append(numbers, p.parseNumberOrText())
 	} else if p.take("OFFSET") {
-		p.parseAmount()
+		p.parseNumberOrText()
 	}
 	return numbers
 }
 
-// parseAmount consumes a number, or a string or placeholder in place of one.
-func (p *parser) parseAmount() string {
+// parseNumberOrText consumes a number, or a string or placeholder in place of one.
+func (p *parser) parseNumberOrText() string {
 	if !p.isKind(sqltext.Number) && !p.isKind(sqltext.Text) {
 		p.fail()
 		return ""
@@ -123,11 +123,11 @@
 	for p.takeAny("DISTINCT", "ALL", "STRAIGHT_JOIN") {
 		query.Distinct = true
 	}
-	query.Columns = parseList(p, p.parseItem)
+	query.Columns = parseList(p, p.parseSelectItem)
 	if p.take("FROM") {
 		query.From = parseList(p, p.parseTableReference)
 	}
-	query.Where = p.parseAfter("WHERE")
+	query.Where = p.parseOptionalClause("WHERE")
 	if p.take("GROUP") {
 		p.expect("BY")
 		query.Group = parseList(p, p.parseExpression)
@@ -135,7 +135,7 @@
 			p.expect("ROLLUP")
 		}
 	}
-	query.Having = p.parseAfter("HAVING")
+	query.Having = p.parseOptionalClause("HAVING")
 	if p.take("WINDOW") {
 		query.Window = parseList(p, p.parseNamedWindow)
 	}
@@ -151,15 +151,15 @@
 	return query
 }
 
-// parseAfter parses a keyword and the expression after it. It returns nil if the current token is not the keyword.
-func (p *parser) parseAfter(word string) *expression {
+// parseOptionalClause parses a keyword and the expression after it. It returns nil if the current token is not the keyword.
+func (p *parser) parseOptionalClause(word string) *expression {
 	if !p.take(word) {
 		return nil
 	}
 	return p.parseExpression()
 }
 
-func (p *parser) parseItem() *selectItem {
+func (p *parser) parseSelectItem() *selectItem {
 	item := &selectItem{Star: p.take("*")}
 	if !item.Star {
 		item.Value = p.parseExpression()
@@ -188,14 +188,14 @@
 	for !p.failed {
 		var kind []string
 		for p.isJoin() {
-			kind = append(kind, p.current().key)
+			kind = append(kind, p.current().keyword)
 			p.position++
 		}
 		if kind == nil {
 			break
 		}
 		join := &joinedTable{Kind: kind, Table: p.parseTableFactor()}
-		join.On = p.parseAfter("ON")
+		join.On = p.parseOptionalClause("ON")
 		if join.On == nil && p.take("USING") {
 			join.Using = parseInBrackets(p, p.parseNames)
 		}
@@ -206,7 +206,7 @@
 
 // isJoin reports whether the current token is a keyword of a join.
 func (p *parser) isJoin() bool {
-	switch p.current().key {
+	switch p.current().keyword {
 	case "JOIN", "INNER", "LEFT", "RIGHT", "OUTER", "CROSS", "NATURAL", "STRAIGHT_JOIN":
 		return !p.failed
 	}
--- a/internal/query/costmodel/parse_tokens.go
+++ b/internal/query/costmodel/parse_tokens.go
@@ -14,17 +14,17 @@
 	maxNesting = 24
 )
 
-// usualTokens is the initial capacity of the list of tokens.
-const usualTokens = 64
+// initialTokenCapacity is the initial capacity of the list of tokens.
+const initialTokenCapacity = 64
 
 // token is a lexer token with the information that the parser needs.
 type token struct {
-	kind  sqltext.Kind
-	sign  byte
-	call  bool   // the keyword is the name of a function here, because a bracket follows
-	key   string // the keyword in capitals; empty: the token is no keyword
-	text  string // a substring of the statement, or the text of a sign
-	match int    // of an opening bracket: index of the closing one; 0: there is none
+	kind           sqltext.Kind
+	sign           byte
+	isFunction     bool   // the keyword is the name of a function here, because a bracket follows
+	keyword        string // the keyword in capitals; empty: the token is no keyword
+	text           string // a substring of the statement, or the text of a sign
+	closingBracket int    // of an opening bracket: index of the closing one; 0: there is none
 }
 
 var (
@@ -77,17 +77,17 @@
 
 // tokenizer builds the list of tokens for the parser.
 type tokenizer struct {
-	text     string
-	lexer    sqltext.Lexer
-	tokens   []token
-	open     [maxNesting + 1]int // indices of the open brackets, by depth
-	depth    int
-	afterDot bool // the previous token is a dot
+	text         string
+	lexer        sqltext.Lexer
+	tokens       []token
+	openBrackets [maxNesting + 1]int // indices of the open brackets, by depth
+	depth        int
+	afterDot     bool // the previous token is a dot
 }
 
 // tokenize returns the tokens of a statement; the last one has the kind End.
 func tokenize(sql []byte) ([]token, error) {
-	t := tokenizer{text: string(sql), lexer: sqltext.Lexer{Text: sql}, tokens: make([]token, 0, usualTokens)}
+	t := tokenizer{text: string(sql), lexer: sqltext.Lexer{Text: sql}, tokens: make([]token, 0, initialTokenCapacity)}
 	for {
 		next := t.lexer.Next()
 		if next.Kind == sqltext.End {
@@ -107,7 +107,7 @@
 	switch next.Kind {
 	case sqltext.Word:
 		if !t.afterDot { // any word after a dot is a name
-			added.key = keywordOf(t.lexer.Bytes(next))
+			added.keyword = keywordOf(t.lexer.Bytes(next))
 		}
 	case sqltext.Text:
 		if next.Unterminated {
@@ -137,13 +137,13 @@
 		if t.depth > maxNesting {
 			return errTooComplex
 		}
-		t.open[t.depth] = index
-		if index > 0 && functionKeywords[t.tokens[index-1].key] {
-			t.tokens[index-1].call = true
+		t.openBrackets[t.depth] = index
+		if index > 0 && functionKeywords[t.tokens[index-1].keyword] {
+			t.tokens[index-1].isFunction = true
 		}
 	case ')':
 		if t.depth > 0 {
-			t.tokens[t.open[t.depth]].match = index
+			t.tokens[t.openBrackets[t.depth]].closingBracket = index
 			t.depth--
 		}
 	}
--- a/internal/query/costmodel/record.go
+++ b/internal/query/costmodel/record.go
@@ -20,13 +20,13 @@
 	shiftUp, shiftDown  float64
 	baseline, deviation float64 // mean and standard deviation of the logarithms of the usual costs, as computed by computeBaseline
 
-	recent [recentObservations]float64 // the last costs in milliseconds, a ring buffer
-	trend  trend
-	hours  int64 // age of the model up to which the decay of old observations has been applied
+	recent         [recentObservations]float64 // the last costs in milliseconds, a ring buffer
+	trend          trend
+	decayedAtHours int64 // age of the model up to which the decay of old observations has been applied
 
 	skew         *skewSearch // search in progress; nil: none
 	skewSearched bool        // a search has ended, with or without a result
-	skewPlace    int         // the grouping of literals that determines the cost, counted from 1; 0: none is known
+	skewGrouping int         // the grouping of literals that determines the cost, counted from 1; 0: none is known
 }
 
 // recentObservations is the number of recent costs that a record stores. A record whose cost has shifted restarts
@@ -51,39 +51,39 @@
 // The weights of the memory mean and of the memory peak.
 const (
 	memoryMeanObservations = 50   // a new observation has at least the weight 1/memoryMeanObservations in the mean
-	memoryPeakFading       = 0.98 // factor by which each observation reduces the peak
+	memoryPeakDecay        = 0.98 // factor by which each observation reduces the peak
 )
 
 // fade halves the weight of the observations once for each half-life that has passed at the given age of the model.
 func (r *record) fade(hours int64) {
-	for ; hours-r.hours >= halfLifeHours; r.hours += halfLifeHours {
+	for ; hours-r.decayedAtHours >= halfLifeHours; r.decayedAtHours += halfLifeHours {
 		r.sketch.Fade()
 		if r.sketch.Count() == 0 {
-			r.hours = hours
+			r.decayedAtHours = hours
 		}
 	}
 }
 
 // observe adds an observation. If the observation shows that the cost has shifted, the record restarts and shifts is
 // incremented.
-func (r *record) observe(seen observation, shifts *atomic.Int64) {
-	if seen.loads > r.loads {
-		r.loads, r.uncertainFor = seen.loads, uncertainAfterLoad
+func (r *record) observe(observed observation, shifts *atomic.Int64) {
+	if observed.loads > r.loads {
+		r.loads, r.uncertainFor = observed.loads, uncertainAfterLoad
 	}
 	r.uncertainFor = max(0, r.uncertainFor-1)
-	if seen.memoryMB > 0 {
-		r.memory += (seen.memoryMB - r.memory) / float64(min(r.observations+1, memoryMeanObservations))
-		r.memoryPeak = max(seen.memoryMB, memoryPeakFading*r.memoryPeak)
+	if observed.memoryMB > 0 {
+		r.memory += (observed.memoryMB - r.memory) / float64(min(r.observations+1, memoryMeanObservations))
+		r.memoryPeak = max(observed.memoryMB, memoryPeakDecay*r.memoryPeak)
 	}
-	r.trend.add(float64(seen.loads), seen.logMillis)
-	r.recent[r.observations%recentObservations] = seen.millis
+	r.trend.add(float64(observed.loads), observed.logMillis)
+	r.recent[r.observations%recentObservations] = observed.millis
 	r.observations++
-	if r.observations >= warmupObservations && r.deviation > 0 && r.detectShift(seen) {
+	if r.observations >= warmupObservations && r.deviation > 0 && r.detectShift(observed) {
 		shifts.Add(1)
 		r.restart()
 		return
 	}
-	r.sketch.Add(seen.millis)
+	r.sketch.Add(observed.millis)
 	warm := r.observations > warmupObservations
 	if r.observations == warmupObservations || warm && r.observations%baselineInterval == 0 {
 		r.computeBaseline()
@@ -92,9 +92,9 @@
 
 // detectShift adds an observation to the sums of the detector and reports whether one exceeds the threshold. While
 // estimates are uncertain, as after a load, the threshold is halved because a shift is likely then.
-func (r *record) detectShift(seen observation) bool {
+func (r *record) detectShift(observed observation) bool {
 	slope, meanLoads := r.trend.slope()
-	z := (seen.logMillis - r.baseline - slope*(float64(seen.loads)-meanLoads)) / r.deviation
+	z := (observed.logMillis - r.baseline - slope*(float64(observed.loads)-meanLoads)) / r.deviation
 	z = min(cusumClip, max(-cusumClip, z))
 	threshold := cusumThreshold
 	if r.uncertainFor > 0 {
@@ -131,8 +131,8 @@
 	recent := r.recent
 	*r = record{
 		memory: r.memory, memoryPeak: r.memoryPeak,
-		loads: r.loads, uncertainFor: uncertainAfterLoad, hours: r.hours,
-		skew: r.skew, skewSearched: r.skewSearched, skewPlace: r.skewPlace,
+		loads: r.loads, uncertainFor: uncertainAfterLoad, decayedAtHours: r.decayedAtHours,
+		skew: r.skew, skewSearched: r.skewSearched, skewGrouping: r.skewGrouping,
 	}
 	for _, millis := range recent {
 		r.recent[r.observations%recentObservations] = millis
--- a/internal/query/costmodel/regression.go
+++ b/internal/query/costmodel/regression.go
@@ -15,7 +15,7 @@
 	termJoins
 	termUnboundJoins
 	termFullScan
-	termTableRows // decimal logarithm of the number of rows, less usualLogRows
+	termTableRows // decimal logarithm of the number of rows, less typicalLogRows
 	termKeyAccess
 	termAggregates
 	termGroups
@@ -27,8 +27,8 @@
 	termRangeAccess
 )
 
-// usualLogRows is the decimal logarithm of the number of rows of a table of usual size.
-const usualLogRows = 5
+// typicalLogRows is the decimal logarithm of the number of rows of a table of usual size.
+const typicalLogRows = 5
 
 // initialWeights are the weights before the first observation: a full scan costs several times as much as a lookup by
 // key in the same class, and everything else adds a little.
@@ -44,15 +44,15 @@
 // regression predicts the logarithm of the ratio of a cost to the mean cost of its class, from the features of a
 // statement. All shapes share it. It learns from one observation at a time, by recursive least squares.
 type regression struct {
-	weights    *mat.VecDense
-	covariance *mat.SymDense
-	input      *mat.VecDense // reused by update
+	weights     *mat.VecDense
+	covariance  *mat.SymDense
+	inputBuffer *mat.VecDense // reused by update
 }
 
 func (r *regression) reset() {
 	r.weights = mat.NewVecDense(regressionTerms, append([]float64(nil), initialWeights[:]...))
 	r.covariance = mat.NewSymDense(regressionTerms, nil)
-	r.input = mat.NewVecDense(regressionTerms, nil)
+	r.inputBuffer = mat.NewVecDense(regressionTerms, nil)
 	for i := range regressionTerms {
 		r.covariance.SetSym(i, i, initialVariance)
 	}
@@ -68,12 +68,12 @@
 
 func (r *regression) update(input *[regressionTerms]float64, observed float64) {
 	for i, value := range input {
-		r.input.SetVec(i, value)
+		r.inputBuffer.SetVec(i, value)
 	}
 	deviation := min(maxRegressionError, max(-maxRegressionError, observed-r.predict(input)))
 	var product mat.VecDense
-	product.MulVec(r.covariance, r.input)
-	scale := 1 / (forgettingFactor + mat.Dot(r.input, &product))
+	product.MulVec(r.covariance, r.inputBuffer)
+	scale := 1 / (forgettingFactor + mat.Dot(r.inputBuffer, &product))
 	r.weights.AddScaledVec(r.weights, deviation*scale, &product)
 	r.covariance.SymRankOne(r.covariance, -scale, &product)
 	r.covariance.ScaleSym(1/forgettingFactor, r.covariance)
@@ -93,13 +93,13 @@
 	if fullScan {
 		input[termFullScan] = 1
 		if rows, known := f.maxScannedRows(tables); known {
-			input[termTableRows] = math.Log10(max(1, rows)) - usualLogRows
+			input[termTableRows] = math.Log10(max(1, rows)) - typicalLogRows
 		}
 	}
-	switch f.reach() {
-	case reachKey:
+	switch f.widestAccess() {
+	case accessKey:
 		input[termKeyAccess] = 1
-	case reachRange:
+	case accessRange:
 		input[termRangeAccess] = 1
 	}
 	input[termAggregates] = logCount(f.Aggregates)
--- a/internal/query/costmodel/sketch.go
+++ b/internal/query/costmodel/sketch.go
@@ -6,17 +6,17 @@
 // a millisecond to more than an hour. The weight of old observations decays as new ones are added. The zero Sketch is
 // empty.
 type Sketch struct {
-	counts [sketchSteps]uint16
+	counts [sketchBuckets]uint16
 	total  uint32
 }
 
 const (
-	sketchSteps = 80
-	minMillis   = 0.1  // lower bound of the first bucket
-	stepRatio   = 1.25 // ratio of the bounds of a bucket; quantiles are off by an eighth at most, far less than costs vary
-	// fadeAt is the total at which all counts are halved, so that observations have little weight after some thousand
+	sketchBuckets = 80
+	minMillis     = 0.1  // lower bound of the first bucket
+	bucketRatio   = 1.25 // ratio of the bounds of a bucket; quantiles are off by an eighth at most, far less than costs vary
+	// fadeThreshold is the total at which all counts are halved, so that observations have little weight after some thousand
 	// later ones.
-	fadeAt = 4096
+	fadeThreshold = 4096
 	// maxMergedTotal limits the total of merged sketches, so that no count overflows.
 	maxMergedTotal = 1 << 16
 	// badPlanFactor is the ratio to the median above which a cost counts as a bad plan. A usual cost, lognormal with
@@ -24,24 +24,24 @@
 	badPlanFactor = 5
 )
 
-var logStepRatio = math.Log(stepRatio)
+var logBucketRatio = math.Log(bucketRatio)
 
-// sketchStep returns the bucket of a cost.
-func sketchStep(millis float64) int {
+// bucketOf returns the bucket of a cost.
+func bucketOf(millis float64) int {
 	if !(millis > minMillis) {
 		return 0
 	}
-	return min(sketchSteps-1, int(math.Log(millis/minMillis)/logStepRatio))
+	return min(sketchBuckets-1, int(math.Log(millis/minMillis)/logBucketRatio))
 }
 
-// stepMillis returns the cost that represents a bucket, the geometric mean of its bounds.
-func stepMillis(step int) float64 { return minMillis * math.Pow(stepRatio, float64(step)+0.5) }
+// bucketMillis returns the cost that represents a bucket, the geometric mean of its bounds.
+func bucketMillis(bucket int) float64 { return minMillis * math.Pow(bucketRatio, float64(bucket)+0.5) }
 
 // Add adds an observation in milliseconds.
 func (s *Sketch) Add(millis float64) {
-	s.counts[sketchStep(millis)]++
+	s.counts[bucketOf(millis)]++
 	s.total++
-	if s.total >= fadeAt {
+	if s.total >= fadeThreshold {
 		s.Fade()
 	}
 }
@@ -78,13 +78,13 @@
 		return 0
 	}
 	rank := uint32(q * float64(s.total))
-	for step, count := range s.counts {
+	for bucket, count := range s.counts {
 		if rank < uint32(count) {
-			return stepMillis(step)
+			return bucketMillis(bucket)
 		}
 		rank -= uint32(count)
 	}
-	return stepMillis(sketchSteps - 1)
+	return bucketMillis(sketchBuckets - 1)
 }
 
 // SplitModes separates the usual observations from bad plans: those that took several times the median, which is due
@@ -92,14 +92,14 @@
 // the usual observations. badShare is the share of the bad plans, and badFactor the ratio of their cost to the usual
 // cost.
 func (s *Sketch) SplitModes() (usual, deviation, badShare, badFactor float64) {
-	lastUsual := sketchStep(s.Quantile(0.5) * badPlanFactor)
+	lastUsual := bucketOf(s.Quantile(0.5) * badPlanFactor)
 	var weight, sum, squares, badWeight, badSum float64
-	for step, count := range s.counts {
+	for bucket, count := range s.counts {
 		if count == 0 {
 			continue
 		}
-		logMillis, n := math.Log(stepMillis(step)), float64(count)
-		if step > lastUsual {
+		logMillis, n := math.Log(bucketMillis(bucket)), float64(count)
+		if bucket > lastUsual {
 			badWeight += n
 			badSum += logMillis * n
 			continue
--- a/internal/query/costmodel/skew.go
+++ b/internal/query/costmodel/skew.go
@@ -11,22 +11,22 @@
 // The search sums the costs of each group in each grouping. When a grouping explains enough of the variance of the
 // costs, its groups get records of their own.
 type skewSearch struct {
-	counts             [skewPlaces][skewGroups]uint16  // numbers of observations
-	sums               [skewPlaces][skewGroups]float32 // sums of the logarithms of the costs
-	total              float64                         // number of observations
-	logSum, logSquares float64                         // sums of the logarithms of all costs, and of their squares
+	counts             [skewGroupings][skewGroups]uint16  // numbers of observations
+	sums               [skewGroupings][skewGroups]float32 // sums of the logarithms of the costs
+	total              float64                            // number of observations
+	logSum, logSquares float64                            // sums of the logarithms of all costs, and of their squares
 }
 
 const (
-	// skewGroupings is the number of groupings of each literal. A costly literal that shares its group with others is
+	// skewHashesPerLiteral is the number of groupings of each literal. A costly literal that shares its group with others is
 	// hidden by them: with one grouping, 13 of 40 shapes with one costly literal of sixteen were not split.
-	skewGroupings = 2
-	// skewPlaces is the number of groupings of all literals.
-	skewPlaces = skewGroupings * len(sqltext.Literals{}.Hashes)
+	skewHashesPerLiteral = 2
+	// skewGroupings is the number of groupings of all literals.
+	skewGroupings = skewHashesPerLiteral * len(sqltext.Literals{}.Hashes)
 	// skewGroups is the number of groups in a grouping.
 	skewGroups = 64
 	// skewBytes is the memory of a search.
-	skewBytes = skewPlaces*skewGroups*6 + 32
+	skewBytes = skewGroupings*skewGroups*6 + 32
 
 	// skewMinObservations is the number of observations after which a search evaluates its groupings for the first
 	// time. By then, a literal of one statement in twenty has occurred about six times.
@@ -52,59 +52,59 @@
 )
 
 // skewHashFactors are the multipliers of the hashes, one for each grouping of a literal.
-var skewHashFactors = [skewGroupings]uint32{0x9e3779b1, 0x85ebca6b}
+var skewHashFactors = [skewHashesPerLiteral]uint32{0x9e3779b1, 0x85ebca6b}
 
 // skewGroup returns the group of a literal in a grouping, which is counted from 0 here.
-func skewGroup(l *sqltext.Literals, place int) int {
-	return int(l.Hashes[place/skewGroupings]*skewHashFactors[place%skewGroupings]>>26) % skewGroups
+func skewGroup(l *sqltext.Literals, grouping int) int {
+	return int(l.Hashes[grouping/skewHashesPerLiteral]*skewHashFactors[grouping%skewHashesPerLiteral]>>26) % skewGroups
 }
 
 func (s *skewSearch) add(l *sqltext.Literals, logMillis float64) {
-	for place := range l.Count * skewGroupings {
-		group := skewGroup(l, place)
-		s.counts[place][group]++
-		s.sums[place][group] += float32(logMillis)
+	for grouping := range l.Count * skewHashesPerLiteral {
+		group := skewGroup(l, grouping)
+		s.counts[grouping][group]++
+		s.sums[grouping][group] += float32(logMillis)
 	}
 	s.total++
 	s.logSum += logMillis
 	s.logSquares += logMillis * logMillis
 }
 
-// findPlace returns the grouping, counted from 1, that explains the largest share of the variance, or 0 if none
+// findGrouping returns the grouping, counted from 1, that explains the largest share of the variance, or 0 if none
 // explains enough.
-func (s *skewSearch) findPlace() int {
+func (s *skewSearch) findGrouping() int {
 	mean := s.logSum / s.total
-	scatter := s.logSquares - s.logSum*mean
-	if scatter/s.total < skewMinDeviation*skewMinDeviation {
+	totalSquares := s.logSquares - s.logSum*mean
+	if totalSquares/s.total < skewMinDeviation*skewMinDeviation {
 		return 0
 	}
-	best, found := skewMinShare, 0
-	for place := range s.counts {
-		groups, counted, between := s.scatterBetween(place, mean)
+	bestShare, found := skewMinShare, 0
+	for grouping := range s.counts {
+		groups, counted, squaresBetween := s.squaresBetween(grouping, mean)
 		if groups < 2 || counted < s.total || groups >= s.total {
 			continue
 		}
 		// The share of the variance that the grouping explains, less what this number of groups explains by chance
 		// (the adjusted R squared).
-		within := max(1e-9, scatter-between) / (s.total - groups)
-		share := 1 - within/(scatter/(s.total-1))
-		if share > best && between/(groups-1) > skewMinRatio*within {
-			best, found = share, place+1
+		varianceWithin := max(1e-9, totalSquares-squaresBetween) / (s.total - groups)
+		share := 1 - varianceWithin/(totalSquares/(s.total-1))
+		if share > bestShare && squaresBetween/(groups-1) > skewMinRatio*varianceWithin {
+			bestShare, found = share, grouping+1
 		}
 	}
 	return found
 }
 
-// scatterBetween returns the number of groups of a grouping that have observations, the number of these observations,
+// squaresBetween returns the number of groups of a grouping that have observations, the number of these observations,
 // and the sum of squares between the groups.
-func (s *skewSearch) scatterBetween(place int, mean float64) (groups, counted, between float64) {
-	for group, count := range s.counts[place] {
+func (s *skewSearch) squaresBetween(grouping int, mean float64) (groups, counted, between float64) {
+	for group, count := range s.counts[grouping] {
 		if count == 0 {
 			continue
 		}
 		groups++
 		counted += float64(count)
-		deviation := float64(s.sums[place][group])/float64(count) - mean
+		deviation := float64(s.sums[grouping][group])/float64(count) - mean
 		between += float64(count) * deviation * deviation
 	}
 	return groups, counted, between
@@ -112,21 +112,21 @@
 
 // splitKey returns the key of the record for the group of a literal in a grouping, which is counted from 1. It
 // returns key itself if the statement has no such literal.
-func splitKey(key uint64, l *sqltext.Literals, place int) uint64 {
-	if place > l.Count*skewGroupings {
+func splitKey(key uint64, l *sqltext.Literals, grouping int) uint64 {
+	if grouping > l.Count*skewHashesPerLiteral {
 		return key
 	}
-	return key ^ (uint64(place)<<8|uint64(skewGroup(l, place-1))+1)*0xd6e8feb86659fd93
+	return key ^ (uint64(grouping)<<8|uint64(skewGroup(l, grouping-1))+1)*0xd6e8feb86659fd93
 }
 
 // searchSkew adds an observation to the search for a literal that determines the record's cost. It also starts and
 // ends the search.
 func (m *Model) searchSkew(r *record, l *sqltext.Literals, logMillis float64) {
-	if r.skewPlace > 0 || l.Count == 0 || r.observations < warmupObservations || r.skewSearched {
+	if r.skewGrouping > 0 || l.Count == 0 || r.observations < warmupObservations || r.skewSearched {
 		return
 	}
 	if r.skew == nil {
-		if !r.scatters() || m.skewSearches.Load() >= m.maxSkewSearches {
+		if !r.costsVary() || m.skewSearches.Load() >= m.maxSkewSearches {
 			return
 		}
 		m.skewSearches.Add(1)
@@ -137,18 +137,18 @@
 	if observations < skewMinObservations || math.Mod(observations, skewInterval) != 0 {
 		return
 	}
-	r.skewPlace = r.skew.findPlace()
-	if r.skewPlace > 0 {
+	r.skewGrouping = r.skew.findGrouping()
+	if r.skewGrouping > 0 {
 		m.SplitShapes.Add(1)
 	}
-	if r.skewPlace > 0 || observations >= skewMaxObservations {
+	if r.skewGrouping > 0 || observations >= skewMaxObservations {
 		r.skew, r.skewSearched = nil, true
 		m.skewSearches.Add(-1)
 	}
 }
 
-// scatters reports whether the costs differ enough for a search.
-func (r *record) scatters() bool {
+// costsVary reports whether the costs differ enough for a search.
+func (r *record) costsVary() bool {
 	_, deviation, badShare, _ := r.sketch.SplitModes()
 	return deviation >= skewMinDeviation || badShare >= skewMinBadPlanShare
 }
--- a/internal/query/costmodel/snapshot.go
+++ b/internal/query/costmodel/snapshot.go
@@ -24,8 +24,8 @@
 type savedGroup struct{ group, loads int }
 
 type savedRecord struct {
-	key uint64
-	age int64 // hours for which the decay of its old observations has not been applied yet
+	key          uint64
+	hoursToDecay int64 // hours for which the decay of its old observations has not been applied yet
 	record
 }
 
@@ -41,10 +41,10 @@
 		s.groups = append(s.groups, savedGroup{group, state.loads})
 	}
 	m.mu.Unlock()
-	hours := m.hours.Load()
+	hours := m.ageHours.Load()
 	m.records.VisitAll(func(key uint64, r *record) {
-		saved := savedRecord{key: key, age: max(0, hours-r.hours), record: *r}
-		saved.skew, saved.hours = nil, 0
+		saved := savedRecord{key: key, hoursToDecay: max(0, hours-r.decayedAtHours), record: *r}
+		saved.skew, saved.decayedAtHours = nil, 0
 		s.records = append(s.records, saved)
 	})
 	s.sort()
@@ -65,7 +65,7 @@
 	for i := range byObservations {
 		saved := &byObservations[i]
 		restored := saved.record
-		restored.hours = -saved.age
+		restored.decayedAtHours = -saved.hoursToDecay
 		m.records.Put(saved.key, &restored)
 	}
 }
--- a/internal/query/costmodel/snapshot_codec.go
+++ b/internal/query/costmodel/snapshot_codec.go
@@ -18,10 +18,10 @@
 // An encoded snapshot consists of a header (magic, version, two bytes of 0, length of the payload), the payload, and
 // a CRC-32C of both.
 const (
-	versionOffset   = 4
-	lengthOffset    = 8
-	snapshotHeader  = 12
-	snapshotTrailer = 4
+	versionOffset        = 4
+	lengthOffset         = 8
+	snapshotHeaderBytes  = 12
+	snapshotTrailerBytes = 4
 )
 
 // maxSnapshotBytes is the size of the largest snapshot that is decoded. A model with 1 GB of memory has a smaller
@@ -40,7 +40,7 @@
 	minClassBytes  = 17
 	minGroupBytes  = 2
 	minRecordBytes = 100
-	minStepBytes   = 2
+	minBucketBytes = 2
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -64,8 +64,8 @@
 	for i := range s.records {
 		e.record(&s.records[i])
 	}
-	out := append(make([]byte, 0, snapshotHeader+len(e.payload)+snapshotTrailer), snapshotMagic...)
-	out = out[:snapshotHeader]
+	out := append(make([]byte, 0, snapshotHeaderBytes+len(e.payload)+snapshotTrailerBytes), snapshotMagic...)
+	out = out[:snapshotHeaderBytes]
 	binary.LittleEndian.PutUint16(out[versionOffset:], snapshotVersion)
 	binary.LittleEndian.PutUint32(out[lengthOffset:], uint32(len(e.payload)))
 	out = append(out, e.payload...)
@@ -98,7 +98,7 @@
 
 func (e *encoder) record(r *savedRecord) {
 	e.payload = binary.LittleEndian.AppendUint64(e.payload, r.key)
-	e.numbers(int(r.age), r.observations, r.uncertainFor, r.loads, r.skewPlace)
+	e.numbers(int(r.hoursToDecay), r.observations, r.uncertainFor, r.loads, r.skewGrouping)
 	e.floats(r.memory, r.memoryPeak, r.shiftUp, r.shiftDown, r.baseline, r.deviation)
 	e.floats(r.recent[:]...)
 	e.floats(r.trend.count, r.trend.sumX, r.trend.sumY, r.trend.sumXX, r.trend.sumXY)
@@ -109,9 +109,9 @@
 		}
 	}
 	e.number(used)
-	for step, count := range r.sketch.counts {
+	for bucket, count := range r.sketch.counts {
 		if count > 0 {
-			e.numbers(step, int(count))
+			e.numbers(bucket, int(count))
 		}
 	}
 }
@@ -156,21 +156,21 @@
 
 // snapshotPayload checks the header and the checksum and returns the payload between them.
 func snapshotPayload(b []byte) ([]byte, error) {
-	if len(b) < snapshotHeader+snapshotTrailer || string(b[:versionOffset]) != snapshotMagic {
+	if len(b) < snapshotHeaderBytes+snapshotTrailerBytes || string(b[:versionOffset]) != snapshotMagic {
 		return nil, errNotSnapshot
 	}
 	if version := binary.LittleEndian.Uint16(b[versionOffset:]); version != snapshotVersion {
 		return nil, fmt.Errorf("version %d of the form, this program knows %d", version, snapshotVersion)
 	}
-	end := len(b) - snapshotTrailer
+	end := len(b) - snapshotTrailerBytes
 	length := int64(binary.LittleEndian.Uint32(b[lengthOffset:]))
-	if length != int64(end-snapshotHeader) || len(b) > maxSnapshotBytes {
+	if length != int64(end-snapshotHeaderBytes) || len(b) > maxSnapshotBytes {
 		return nil, errTruncated
 	}
 	if crc32.Checksum(b[:end], castagnoli) != binary.LittleEndian.Uint32(b[end:]) {
 		return nil, errChecksum
 	}
-	return b[snapshotHeader:end], nil
+	return b[snapshotHeaderBytes:end], nil
 }
 
 // decoder reads values from the start of rest. The first invalid value sets failed. After an integer that is invalid
@@ -223,16 +223,16 @@
 
 func (d *decoder) record() (r savedRecord) {
 	r.key = binary.LittleEndian.Uint64(d.bytes(8))
-	r.age = int64(d.number(maxSavedNumber))
+	r.hoursToDecay = int64(d.number(maxSavedNumber))
 	r.observations, r.uncertainFor = d.number(maxSavedNumber), d.number(uncertainAfterLoad)
-	r.loads, r.skewPlace = d.number(maxSavedNumber), d.number(skewPlaces)
+	r.loads, r.skewGrouping = d.number(maxSavedNumber), d.number(skewGroupings)
 	r.memory, r.memoryPeak = d.float(), d.float()
 	r.shiftUp, r.shiftDown = d.float(), d.float()
 	r.baseline, r.deviation = d.float(), d.float()
 	d.floats(r.recent[:])
 	r.trend = trend{d.float(), d.float(), d.float(), d.float(), d.float()}
-	for range d.count(minStepBytes) {
-		step, count := d.number(sketchSteps-1), d.number(math.MaxUint16)
+	for range d.count(minBucketBytes) {
+		step, count := d.number(sketchBuckets-1), d.number(math.MaxUint16)
 		r.sketch.total += uint32(count) - uint32(r.sketch.counts[step])
 		r.sketch.counts[step] = uint16(count)
 	}
--- a/internal/query/costmodel/snapshot_merge.go
+++ b/internal/query/costmodel/snapshot_merge.go
@@ -82,16 +82,16 @@
 	sketch, observations := r.sketch, r.observations+other.observations
 	sketch.Merge(&other.sketch)
 	memory := (r.memory*float64(r.observations) + other.memory*float64(other.observations)) / float64(max(1, observations))
-	memoryPeak, age, loads := max(r.memoryPeak, other.memoryPeak), min(r.age, other.age), r.loads+other.loads
+	memoryPeak, age, loads := max(r.memoryPeak, other.memoryPeak), min(r.hoursToDecay, other.hoursToDecay), r.loads+other.loads
 	if other.observations > r.observations {
 		r.record = other.record
 	}
 	r.sketch, r.observations = sketch, observations
 	r.memory, r.memoryPeak = memory, memoryPeak
-	r.age, r.loads = age, loads
+	r.hoursToDecay, r.loads = age, loads
 	r.trend = trend{} // it restarts, because the numbers of loads are now those of all gateways
-	if r.skewPlace != other.skewPlace && other.skewPlace > 0 {
-		r.skewPlace = 0 // the gateways found different literals, so the search restarts
+	if r.skewGrouping != other.skewGrouping && other.skewGrouping > 0 {
+		r.skewGrouping = 0 // the gateways found different literals, so the search restarts
 	}
 }
 
@@ -113,13 +113,13 @@
 	weighted  *mat.VecDense
 }
 
-func (p *precisionSum) add(precision *mat.SymDense, weights *mat.VecDense, times float64) {
+func (p *precisionSum) add(precision *mat.SymDense, weights *mat.VecDense, factor float64) {
 	var scaled mat.SymDense
-	scaled.ScaleSym(times, precision)
+	scaled.ScaleSym(factor, precision)
 	p.precision.AddSym(p.precision, &scaled)
 	var product mat.VecDense
 	product.MulVec(precision, weights)
-	p.weighted.AddScaledVec(p.weighted, times, &product)
+	p.weighted.AddScaledVec(p.weighted, factor, &product)
 }
 
 // invert inverts a symmetric matrix; ok is false if it is not positive definite.
--- a/internal/query/costmodel/table_scan.go
+++ b/internal/query/costmodel/table_scan.go
@@ -5,31 +5,31 @@
 	"strings"
 )
 
-// reach is how much of its tables a statement reads.
-type reach uint8
+// accessType is how much of its tables a statement reads.
+type accessType uint8
 
 const (
-	reachAll   reach = iota // all rows of at least one table
-	reachRange              // a range of keys, or the keys with a prefix
-	reachKey                // rows with a given key, and rows that are joined to them
+	accessAll   accessType = iota // all rows of at least one table
+	accessRange                   // a range of keys, or the keys with a prefix
+	accessKey                     // rows with a given key, and rows that are joined to them
 )
 
-// reach returns the widest access over the tables that the statement reads.
-func (f *Features) reach() reach {
+// widestAccess returns the widest access over the tables that the statement reads.
+func (f *Features) widestAccess() accessType {
 	if len(f.Tables) == 0 {
-		return reachAll
+		return accessAll
 	}
-	widest := reachKey
+	widest := accessKey
 	for i := range f.Tables {
 		table := &f.Tables[i]
 		if table.Written {
 			continue
 		}
 		if table.Scanned {
-			return reachAll
+			return accessAll
 		}
 		if !f.foundByKey(i) {
-			widest = reachRange
+			widest = accessRange
 		}
 	}
 	return widest
--- a/internal/query/costmodel/token_features.go
+++ b/internal/query/costmodel/token_features.go
@@ -80,7 +80,7 @@
 		r.started = true
 		r.features.Verb = firstVerbs[keyword]
 	}
-	if !r.readClause(keyword) && !r.readCount(keyword) {
+	if !r.readClause(keyword) && !r.readOtherKeyword(keyword) {
 		r.readName(names, keyword)
 	}
 }
@@ -125,9 +125,9 @@
 // wordMatches maps the operators that are words to the kinds of their predicates.
 var wordMatches = map[string]Match{"IN": Equal, "LIKE": Prefix, "BETWEEN": Range}
 
-// readCount reads a keyword that does not begin a clause but changes a feature, and reports whether the keyword is
+// readOtherKeyword reads a keyword that does not begin a clause but changes a feature, and reports whether the keyword is
 // one.
-func (r *tokenReader) readCount(keyword string) bool {
+func (r *tokenReader) readOtherKeyword(keyword string) bool {
 	f := r.features
 	switch keyword {
 	case "UNION":
--- a/internal/query/costmodel/trend.go
+++ b/internal/query/costmodel/trend.go
@@ -6,17 +6,17 @@
 type trend struct{ count, sumX, sumY, sumXX, sumXY float64 }
 
 const (
-	trendFading   = 0.99 // factor by which each new observation reduces the weight of the older ones
+	trendDecay    = 0.99 // factor by which each new observation reduces the weight of the older ones
 	minLoadSpread = 1    // variance of the numbers of loads below which no slope is computed
 	maxTrendSlope = 0.2  // growth of the logarithm of the cost per load
 )
 
 func (t *trend) add(x, y float64) {
-	t.count = trendFading*t.count + 1
-	t.sumX = trendFading*t.sumX + x
-	t.sumY = trendFading*t.sumY + y
-	t.sumXX = trendFading*t.sumXX + x*x
-	t.sumXY = trendFading*t.sumXY + x*y
+	t.count = trendDecay*t.count + 1
+	t.sumX = trendDecay*t.sumX + x
+	t.sumY = trendDecay*t.sumY + y
+	t.sumXX = trendDecay*t.sumXX + x*x
+	t.sumXY = trendDecay*t.sumXY + x*y
 }
 
 // slope returns the growth of the logarithm of the cost per load, and the mean number of loads, at which the line has
--- a/internal/query/digest/digest.go
+++ b/internal/query/digest/digest.go
@@ -1,4 +1,4 @@
-// Package digest sums up recorded statements by their shapes: which cost most, and why.
+// Package digest summarizes recorded statements by their shapes: which cost most, and why.
 package digest
 
 import (
@@ -19,7 +19,7 @@
 type Entry struct {
 	Shape        uint64
 	TableGroup   int
-	Text         string // empty: it was not recorded
+	Text         string // empty: not recorded
 	Elapsed      time.Duration
 	RowsExamined int64
 }
@@ -29,15 +29,15 @@
 	Shape            string   `json:"shape"`
 	Count            int      `json:"count"`
 	Share            float64  `json:"share"`    // of the time of all statements, or of their number if no times are known
-	TotalMS          float64  `json:"total_ms"` // 0: not known
+	TotalMS          float64  `json:"total_ms"` // 0: unknown
 	MeanMS           float64  `json:"mean_ms"`
 	P50MS            float64  `json:"p50_ms"`
 	P99MS            float64  `json:"p99_ms"`
 	WorstMS          float64  `json:"worst_ms"`
-	BadPlanShare     float64  `json:"bad_share"` // of those that took five times the median and more
+	BadPlanShare     float64  `json:"bad_share"` // share of the statements that took more than five times the median
 	MeanRowsExamined float64  `json:"rows_examined_mean"`
-	TableGroups      int      `json:"groups"` // of tables
-	Verb             string   `json:"verb"`   // empty: no text was recorded
+	TableGroups      int      `json:"groups"` // number of groups of tables
+	Verb             string   `json:"verb"`   // empty: the text was not recorded
 	FullScanOf       string   `json:"full_scan_of"`
 	Parsed           bool     `json:"parsed"`
 	Tables           []string `json:"tables"`
@@ -49,17 +49,17 @@
 	Statements           int     `json:"statements"`
 	Shapes               int     `json:"shapes"`
 	TotalMS              float64 `json:"total_ms"`
-	StatementsBySnapshot int     `json:"statements_by_snapshot"` // whose time is what a snapshot says they usually take
-	Rows                 []Row   `json:"rows"`                   // the most expensive first
+	StatementsBySnapshot int     `json:"statements_by_snapshot"` // statements whose time is the usual time in a snapshot
+	Rows                 []Row   `json:"rows"`                   // the most expensive shapes, in descending order
 	ShapesLeftOut        int     `json:"shapes_left_out"`
 	ShareLeftOut         float64 `json:"share_left_out"`
 }
 
-// CostLookup returns the usual work, in milliseconds, of a shape on a group of tables, for recordings without times. ok is
-// false if it is not known.
+// CostLookup returns the usual work, in milliseconds, of a shape on a group of tables. It is used for recordings
+// without times. ok is false if the work is unknown.
 type CostLookup func(shape uint64, group int) (millis float64, ok bool)
 
-// shapeTotals sums up the entries of one shape.
+// shapeTotals holds the totals of the entries of one shape.
 type shapeTotals struct {
 	shape        uint64
 	count        int
@@ -71,20 +71,22 @@
 	text         string
 }
 
-// maxGroups bounds the groups of tables that are counted of a shape; more are shown as that many.
-const maxGroups = 1000
+// maxTableGroups limits the groups of tables that are counted for a shape. A shape with more groups is shown with this
+// number.
+const maxTableGroups = 1000
 
-// Summarize sums up entries by their shapes, and has a row for each of the up to maxShapes most expensive ones. tables is
-// what an operator has declared of tables, costs what a snapshot knows; both may be nil.
+// Summarize summarizes entries by their shapes. The digest has a row for each of the most expensive shapes, up to
+// maxShapes rows. tables returns what an operator has declared about tables, and costs the usual work in a snapshot;
+// both may be nil.
 func Summarize(entries []Entry, maxShapes int, tables costmodel.TableLookup, costs CostLookup) *Digest {
 	s := summarizer{digest: &Digest{Statements: len(entries)}, costs: costs, totals: map[uint64]*shapeTotals{}}
 	for i := range entries {
 		s.add(&entries[i])
 	}
 	d := s.digest
-	d.Shapes = len(s.order)
-	slices.SortStableFunc(s.order, func(a, b *shapeTotals) int { return cmp.Compare(s.share(b), s.share(a)) })
-	for n, totals := range s.order {
+	d.Shapes = len(s.shapes)
+	slices.SortStableFunc(s.shapes, func(a, b *shapeTotals) int { return cmp.Compare(s.share(b), s.share(a)) })
+	for n, totals := range s.shapes {
 		if n >= maxShapes {
 			d.ShapesLeftOut++
 			d.ShareLeftOut += s.share(totals)
@@ -97,11 +99,12 @@
 	return d
 }
 
+// summarizer collects the totals of each shape.
 type summarizer struct {
 	digest *Digest
 	costs  CostLookup
 	totals map[uint64]*shapeTotals
-	order  []*shapeTotals // of the shapes' first entries
+	shapes []*shapeTotals // the shapes in the order of their first entries, until Summarize sorts them by share
 }
 
 func (s *summarizer) add(e *Entry) {
@@ -109,7 +112,7 @@
 	if t == nil {
 		t = &shapeTotals{shape: e.Shape, groups: map[int]bool{}}
 		s.totals[e.Shape] = t
-		s.order = append(s.order, t)
+		s.shapes = append(s.shapes, t)
 	}
 	t.count++
 	millis := s.millisOf(e)
@@ -119,7 +122,7 @@
 		t.sketch.Add(millis)
 	}
 	t.rowsExamined += e.RowsExamined
-	if len(t.groups) < maxGroups {
+	if len(t.groups) < maxTableGroups {
 		t.groups[e.TableGroup] = true
 	}
 	if t.text == "" {
@@ -128,7 +131,8 @@
 	s.digest.TotalMS += millis
 }
 
-// millisOf returns how long an entry took: as it was recorded, or else as its shape usually takes; 0: not known.
+// millisOf returns how long an entry took: the recorded time, or else the usual time of its shape. It returns 0 if
+// both are unknown.
 func (s *summarizer) millisOf(e *Entry) float64 {
 	if e.Elapsed != 0 || s.costs == nil {
 		return float64(e.Elapsed) / float64(time.Millisecond)
@@ -141,7 +145,7 @@
 	return usual
 }
 
-// share returns a shape's share of the time, or of the statements if no times are known.
+// share returns the share of a shape in the time of all statements, or in their number if no times are known.
 func (s *summarizer) share(t *shapeTotals) float64 {
 	if s.digest.TotalMS > 0 {
 		return t.totalMS / s.digest.TotalMS
@@ -149,7 +153,7 @@
 	return float64(t.count) / float64(max(1, s.digest.Statements))
 }
 
-// row returns the row of a shape without its share.
+// row returns the row of a shape, in which Share is not set.
 func (t *shapeTotals) row(tables costmodel.TableLookup) Row {
 	row := Row{Shape: fmt.Sprintf("%016x", t.shape), Count: t.count, TotalMS: t.totalMS, WorstMS: t.worstMS,
 		MeanRowsExamined: float64(t.rowsExamined) / float64(t.count), TableGroups: len(t.groups)}
@@ -174,11 +178,11 @@
 	return row
 }
 
-// WriteText writes a digest as a table.
+// WriteText writes a digest as plain text: a table of the rows, and the statement of each row.
 func (d *Digest) WriteText(out io.Writer) error {
 	fmt.Fprintf(out, "%d statements of %d shapes, %.1f s in all\n", d.Statements, d.Shapes, d.TotalMS/1000)
 	if d.StatementsBySnapshot > 0 {
-		fmt.Fprintf(out, "%d of them by what the snapshot says they usually take\n", d.StatementsBySnapshot)
+		fmt.Fprintf(out, "%d of them with the usual time from the snapshot\n", d.StatementsBySnapshot)
 	}
 	fmt.Fprintln(out)
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
@@ -207,7 +211,7 @@
 	return nil
 }
 
-// truncate cuts a text to so many characters.
+// truncate shortens a text to at most maxCharacters characters and appends " ..." if it was longer.
 func truncate(text string, maxCharacters int) string {
 	if characters := []rune(text); len(characters) > maxCharacters {
 		return string(characters[:maxCharacters]) + " ..."
@@ -225,8 +229,8 @@
 <style>body{font:15px/1.5 sans-serif;margin:2em;max-width:80em}table{border-collapse:collapse}th,td{padding:.3em .7em;text-align:right;
 border-bottom:1px solid #ccc;vertical-align:top}td.t,th.t{text-align:left}code{white-space:pre-wrap;word-break:break-word}.f{color:#a33}</style></head>
 <body><h1>Statements by cost</h1>
-<p>{{.Statements}} statements of {{.Shapes}} shapes, {{seconds .TotalMS}} s in all.{{if .StatementsBySnapshot}} {{.StatementsBySnapshot}} of them by what the
-snapshot says they usually take.{{end}}{{if .ShapesLeftOut}} {{.ShapesLeftOut}} further shapes, {{percent .ShareLeftOut}}, are left out.{{end}}</p>
+<p>{{.Statements}} statements of {{.Shapes}} shapes, {{seconds .TotalMS}} s in all.{{if .StatementsBySnapshot}} {{.StatementsBySnapshot}} of them with the usual
+time from the snapshot.{{end}}{{if .ShapesLeftOut}} {{.ShapesLeftOut}} further shapes, {{percent .ShareLeftOut}}, are left out.{{end}}</p>
 <table><tr><th>share</th><th>count</th><th>mean ms</th><th>p50</th><th>p99</th><th>worst</th><th>bad plans</th><th>rows read</th><th>groups</th><th class="t">statement</th></tr>
 {{range .Rows}}<tr><td>{{percent .Share}}</td><td>{{.Count}}</td><td>{{one .MeanMS}}</td><td>{{one .P50MS}}</td><td>{{one .P99MS}}</td><td>{{one .WorstMS}}</td>
 <td>{{percent .BadPlanShare}}</td><td>{{one .MeanRowsExamined}}</td><td>{{.TableGroups}}</td><td class="t"><code>{{if .Normalized}}{{cut .Normalized}}{{else}}shape {{.Shape}}, text not recorded{{end}}</code>
@@ -234,5 +238,5 @@
 {{end}}</table></body></html>
 `))
 
-// WriteHTML writes a digest as one page.
+// WriteHTML writes a digest as an HTML page.
 func (d *Digest) WriteHTML(out io.Writer) error { return htmlPage.Execute(out, d) }
--- a/internal/query/digest/digest_test.go
+++ b/internal/query/digest/digest_test.go
@@ -26,7 +26,7 @@
 	if err := d.WriteText(os.Stdout); err != nil {
 		fmt.Println(err)
 	}
-	// Where no time was recorded, what a snapshot knows stands for it.
+	// Entries without a recorded time count with the usual time from a snapshot.
 	for i := range list {
 		list[i].Elapsed = 0
 	}
--- a/internal/query/sqltext/lexer.go
+++ b/internal/query/sqltext/lexer.go
@@ -1,45 +1,46 @@
-// Package sqltext splits statements into tokens and computes their shapes, which are equal for statements that differ only
-// in literals. It is the one lexer of the project. It works on bytes, allocates nothing and takes any text.
+// Package sqltext splits statements into tokens and computes their shapes, which are equal for statements that differ
+// only in literals. It contains the only SQL lexer of the project. It works on bytes, allocates nothing and accepts any
+// text.
 package sqltext
 
 import "bytes"
 
-// Kind is a token's kind.
+// Kind is the kind of a token.
 type Kind uint8
 
 // The kinds of tokens.
 const (
 	End    Kind = iota
 	Word        // a name or keyword
-	Quoted      // a name in back quotes; the token's text is without them
-	Text        // a string in single or double quotes, or a placeholder
-	Number      // also in hexadecimal
-	Hint        // /*+ ... */, text without the marks
-	Sign        // any other character, one by one
+	Quoted      // a name in back quotes; the text of the token does not include them
+	Text        // a string in single or double quotes, or a placeholder; the text of the token does not include quotes
+	Number      // a number, decimal or hexadecimal
+	Hint        // /*+ ... */; the text of the token does not include the delimiters
+	Sign        // any other character; each one is a token of its own
 )
 
 var kindNames = [...]string{"end", "word", "quoted", "text", "number", "hint", "sign"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Token is a part of a statement; its text is the statement's bytes From to To.
+// Token is a token of a statement. Its text is the bytes of the statement from From to before To.
 type Token struct {
 	Kind         Kind
 	Sign         byte // the character of a Sign
-	Unterminated bool // a string, name or hint that does not end
+	Unterminated bool // a string, quoted name or hint whose end is missing
 	From, To     int
 }
 
-// Lexer splits a statement into tokens, without comments and white space. It looks at each byte a bounded number of
-// times. A Lexer may be copied to look ahead.
+// Lexer splits a statement into tokens, without comments and white space. It reads each byte a bounded number of
+// times. A copy of a Lexer can be used to look ahead.
 type Lexer struct {
 	Text     []byte
-	Offset   int  // the offset of the next token, or of what stands before it
-	previous Kind // of the token before
+	Offset   int  // of the next byte to read
+	previous Kind // kind of the previous token
 }
 
-// The classes of bytes. A digit is a letter, too, as names may contain it. A byte of no class is a Sign wherever it begins
-// a token.
+// The classes of bytes. A digit is also a letter, because names may contain it. A byte without a class is always a
+// Sign at the start of a token.
 const (
 	letter = 1 << iota
 	digit
@@ -47,7 +48,7 @@
 	special // it may begin a comment, a string, a quoted name, a placeholder or a fraction
 )
 
-// byteClass has the class of each byte.
+// byteClass is the class of each byte.
 var byteClass = func() (t [256]byte) {
 	for c := range t {
 		switch {
@@ -64,7 +65,7 @@
 	return t
 }()
 
-// Next returns the next token; at the end of the text its kind is End.
+// Next returns the next token. At the end of the text, its kind is End.
 func (l *Lexer) Next() Token {
 	for l.Offset < len(l.Text) {
 		from := l.Offset
@@ -73,7 +74,7 @@
 		case space:
 			l.Offset++
 			continue
-		case letter: // about every third token, so it comes early
+		case letter: // about every third token, so it is checked early
 			l.Offset = l.skipLetters(from + 1)
 			l.previous = Word
 			return Token{Kind: Word, From: from, To: l.Offset}
@@ -93,7 +94,7 @@
 	return Token{From: l.Offset, To: l.Offset}
 }
 
-// skipLetters returns the offset of the first byte from an offset on that can't stand in a name.
+// skipLetters returns the offset of the first byte, from the given offset on, that can't be part of a name.
 func (l *Lexer) skipLetters(offset int) int {
 	for offset < len(l.Text) && byteClass[l.Text[offset]]&letter != 0 {
 		offset++
@@ -101,8 +102,8 @@
 	return offset
 }
 
-// skipComment skips a comment that begins at the current byte, which is c, and tells whether one does. The marks of a
-// comment that the server executes are skipped alone, so that its content is read.
+// skipComment skips a comment that begins at the current byte, which is c, and reports whether there is one. Of a
+// comment that the server executes (/*! ... */), it skips only the delimiters, so that the content is read.
 func (l *Lexer) skipComment(c byte) bool {
 	from := l.Offset
 	switch {
@@ -110,7 +111,7 @@
 		l.skipPast(from, "\n")
 	case c == '/' && l.byteAhead(1) == '*' && l.byteAhead(2) == '!':
 		l.Offset = from + len("/*!")
-		for l.Offset < len(l.Text) && byteClass[l.Text[l.Offset]]&digit != 0 { // the server's version
+		for l.Offset < len(l.Text) && byteClass[l.Text[l.Offset]]&digit != 0 { // the version of the server from which on the content is executed
 			l.Offset++
 		}
 	case c == '/' && l.byteAhead(1) == '*' && l.byteAhead(2) != '+':
@@ -123,16 +124,16 @@
 	return true
 }
 
-// readOther reads a token that begins with c, a digit or a special byte.
+// readOther reads a token that begins with c, which is a digit or a special byte.
 func (l *Lexer) readOther(c byte) Token {
 	from := l.Offset
 	switch {
 	case c == '\'' || c == '"':
 		return l.readString(from, c)
 	case c == '`':
-		return l.readMarked(Quoted, from+1, "`")
-	case c == '/' && l.byteAhead(1) == '*': // a hint, as comments are skipped
-		return l.readMarked(Hint, from+len("/*+"), "*/")
+		return l.readDelimited(Quoted, from+1, "`")
+	case c == '/' && l.byteAhead(1) == '*': // a hint, because comments have been skipped
+		return l.readDelimited(Hint, from+len("/*+"), "*/")
 	case c == '?':
 		l.Offset++
 		return Token{Kind: Text, From: from, To: l.Offset}
@@ -143,14 +144,15 @@
 	return Token{Kind: Sign, Sign: c, From: from, To: l.Offset}
 }
 
-// isFraction tells whether the dot at the current byte begins a number and does not qualify a name.
+// isFraction reports whether the dot at the current byte begins a number, and is not the separator of a qualified
+// name.
 func (l *Lexer) isFraction() bool {
 	next := l.byteAhead(1)
 	return next >= '0' && next <= '9' && l.previous != Word && l.previous != Quoted
 }
 
-// readMarked reads a token whose text begins at an offset and ends before a mark.
-func (l *Lexer) readMarked(kind Kind, from int, mark string) Token {
+// readDelimited reads a token whose text begins at an offset and ends before a delimiter.
+func (l *Lexer) readDelimited(kind Kind, from int, mark string) Token {
 	token := Token{Kind: kind, From: from, Unterminated: !l.skipPast(from, mark)}
 	token.To = l.Offset
 	if !token.Unterminated {
@@ -159,13 +161,13 @@
 	return token
 }
 
-// Peek returns the next token without moving on.
+// Peek returns the next token without consuming it.
 func (l *Lexer) Peek() Token {
 	ahead := *l
 	return ahead.Next()
 }
 
-// NextIsDot tells whether the next token is a dot, so that the name before it qualifies another.
+// NextIsDot reports whether the next token is a dot, so that the name before the dot qualifies the one after it.
 func (l *Lexer) NextIsDot() bool {
 	offset := l.Offset
 	for offset < len(l.Text) && byteClass[l.Text[offset]] == space {
@@ -175,17 +177,17 @@
 		return false
 	}
 	switch c := l.Text[offset]; c {
-	case '/', '*', '#', '-': // a comment may stand between
+	case '/', '*', '#', '-': // there may be a comment before the dot
 		return l.Peek().Sign == '.'
 	default:
 		return c == '.'
 	}
 }
 
-// Bytes returns a token's text.
+// Bytes returns the text of a token.
 func (l *Lexer) Bytes(t Token) []byte { return l.Text[t.From:t.To] }
 
-// byteAhead returns the byte at a distance from the current one, 0 behind the end.
+// byteAhead returns the byte at the given distance after the current one, or 0 after the end of the text.
 func (l *Lexer) byteAhead(distance int) byte {
 	if l.Offset+distance < len(l.Text) {
 		return l.Text[l.Offset+distance]
@@ -193,7 +195,8 @@
 	return 0
 }
 
-// skipPast moves behind the first mark from an offset on, or to the end if there is none; it tells whether there is one.
+// skipPast moves to after the first delimiter from an offset on, and reports whether there is one. If there is none,
+// it moves to the end of the text.
 func (l *Lexer) skipPast(from int, mark string) bool {
 	if from > len(l.Text) {
 		l.Offset = len(l.Text)
@@ -208,7 +211,7 @@
 	return true
 }
 
-// readString reads a string, in which a doubled quote and a character behind a backslash do not end it.
+// readString reads a string. A doubled quote and a character after a backslash do not end it.
 func (l *Lexer) readString(from int, quote byte) Token {
 	for l.Offset = from + 1; l.Offset < len(l.Text); l.Offset++ {
 		switch l.Text[l.Offset] {
@@ -226,8 +229,8 @@
 	return Token{Kind: Text, Unterminated: true, From: min(from+1, l.Offset), To: l.Offset}
 }
 
-// readNumber reads a number. With letters behind it that belong to no number it is a word, as names may begin with a
-// digit.
+// readNumber reads a number. If letters follow that can't be part of the number, the token is a word, because names
+// may begin with a digit.
 func (l *Lexer) readNumber(from int) Token {
 	var end int
 	if l.Text[from] == '0' && from+1 < len(l.Text) && l.Text[from+1]|0x20 == 'x' {
@@ -244,7 +247,7 @@
 	return Token{Kind: kind, From: from, To: end}
 }
 
-// skipDigits returns the offset of the first byte from an offset on that is no digit.
+// skipDigits returns the offset of the first byte, from the given offset on, that is not a digit.
 func (l *Lexer) skipDigits(offset int, hexadecimal bool) int {
 	for ; offset < len(l.Text); offset++ {
 		c := l.Text[offset]
@@ -256,7 +259,7 @@
 	return offset
 }
 
-// skipDecimal returns the offset behind a decimal number, with a fraction and an exponent if it has them.
+// skipDecimal returns the offset after a decimal number, which may have a fraction and an exponent.
 func (l *Lexer) skipDecimal(from int) int {
 	end := l.skipDigits(from, false)
 	if end < len(l.Text) && l.Text[end] == '.' {
--- a/internal/query/sqltext/shape.go
+++ b/internal/query/sqltext/shape.go
@@ -4,21 +4,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxStatementBytes is the length of the longest statement that has a shape of its own, which is the longest that a
-// gateway takes.
+// MaxStatementBytes is the length of the longest statement that has a shape of its own. It is also the length of the
+// longest statement that a gateway accepts.
 const MaxStatementBytes = 1 << 18
 
 // ShapeTooLong is the shape of all longer statements.
 const ShapeTooLong = 1
 
-// Shape returns a number that is equal for statements that differ only in literals, the length of lists of literals and of
-// VALUES, the number in a schema's name, spacing, comments and the case of words. It allocates nothing.
+// Shape returns a number that is equal for statements that differ only in literals, in the length of lists of
+// literals and of VALUES, in the number in the name of a schema, in spacing, comments, and the case of words. It
+// allocates nothing.
 func Shape(sql []byte) uint64 {
 	shape, _ := ShapeAndLiterals(sql)
 	return shape
 }
 
-// Literals are hashes of the first literals of a statement; a list counts with its first literal.
+// Literals are the hashes of the first literals of a statement. Of a list, only the first literal counts.
 type Literals struct {
 	Count  int
 	Hashes [4]uint32
@@ -45,7 +46,7 @@
 	return n.hash.Sum64(), n.literals
 }
 
-// AppendNormalized appends a statement's normal form, of which its shape is the hash.
+// AppendNormalized appends the normal form of a statement. Its shape is the hash of this form.
 func AppendNormalized(dst, sql []byte) []byte {
 	if len(sql) > MaxStatementBytes {
 		return append(dst, "a statement that is too long"...)
@@ -56,28 +57,28 @@
 	return n.text
 }
 
-// normalizer writes a statement's normal form into a hash or a text: tokens with a space behind each, each literal as ?,
-// the further literals of a list as one +, and the further rows of VALUES as one +.
+// normalizer writes the normal form of a statement into a hash or a text. Each token is followed by a space. A
+// literal is written as ?, the further literals of a list as one +, and the further rows of VALUES as one +.
 type normalizer struct {
 	lexer    Lexer
 	literals Literals
 
-	afterSign    bool // the token before is a sign other than a closing bracket
-	afterLiteral bool // a literal, or a list of them, was written last
-	listWritten  bool // and its +, too
-	commaHeld    bool // a comma behind a literal is not written yet, as the list may go on
-	inValues     bool // in the rows of VALUES, of which the first is being written
-	depth        int  // of brackets
-	valuesDepth  int  // at which the rows of VALUES stand
+	afterSign    bool // the previous token is a sign other than a closing bracket
+	afterLiteral bool // the previous token in the normal form is a literal or belongs to a list of literals
+	plusWritten  bool // the + of that list has been written
+	commaPending bool // the comma after a literal is not written yet, because it may belong to a list of literals
+	inValues     bool // VALUES was read, and a bracket at valuesDepth is its first row
+	depth        int  // nesting depth of brackets
+	valuesDepth  int  // nesting depth of the rows of VALUES
 
 	output
 }
 
-// output collects the normal form in a buffer and passes it on to a hash or a text.
+// output collects the normal form in a buffer, and flushes the buffer to a hash or a text.
 type output struct {
 	hash     xxhash.Digest
 	text     []byte
-	keepText bool // write to text and not to hash
+	keepText bool // flush to text instead of hash
 	buffered int
 	buffer   [256]byte
 }
@@ -86,7 +87,7 @@
 	if o.keepText {
 		o.text = append(o.text, o.buffer[:o.buffered]...)
 	} else {
-		_, _ = o.hash.Write(o.buffer[:o.buffered]) // it never fails
+		_, _ = o.hash.Write(o.buffer[:o.buffered]) // a hash never returns an error
 	}
 	o.buffered = 0
 }
@@ -99,7 +100,7 @@
 	o.buffered++
 }
 
-// writeSign writes a token of one character.
+// writeSign writes a token of one character, and a space.
 func (o *output) writeSign(c byte) {
 	if o.buffered+2 > len(o.buffer) {
 		o.flush()
@@ -108,13 +109,13 @@
 	o.buffered += 2
 }
 
-// writeWord writes a token.
+// writeWord writes a token, and a space.
 func (o *output) writeWord(text []byte, lower bool) {
 	o.writeName(text, lower)
 	o.writeByte(' ')
 }
 
-// lowerCase has each byte, capitals as small letters.
+// lowerCase maps each byte to its lower case; bytes that are not capital letters map to themselves.
 var lowerCase = func() (t [256]byte) {
 	for i := range t {
 		c := byte(i)
@@ -126,7 +127,7 @@
 	return t
 }()
 
-// writeName writes a token without the space behind it.
+// writeName writes a token without a space after it.
 func (o *output) writeName(text []byte, lower bool) {
 	for len(text) > 0 {
 		if o.buffered == len(o.buffer) {
@@ -149,8 +150,8 @@
 	n.lexer = Lexer{Text: sql}
 	for {
 		token := n.lexer.Next()
-		if n.commaHeld && !mayContinueList(token) {
-			n.releaseComma()
+		if n.commaPending && !mayContinueList(token) {
+			n.writePendingComma()
 		}
 		switch token.Kind {
 		case End:
@@ -174,23 +175,23 @@
 	}
 }
 
-// mayContinueList tells whether a token behind a comma may belong to a list of literals.
+// mayContinueList reports whether a token after a comma may belong to a list of literals.
 func mayContinueList(token Token) bool {
 	return token.Kind == Text || token.Kind == Number || token.Kind == Sign && token.Sign == '-'
 }
 
-func (n *normalizer) releaseComma() {
+func (n *normalizer) writePendingComma() {
 	n.writeSign(',')
-	n.commaHeld = false
+	n.commaPending = false
 }
 
 func (n *normalizer) normalizeLiteral(token Token) {
 	n.afterSign = false
-	if n.afterLiteral && n.commaHeld { // a further literal of a list
-		n.commaHeld = false
-		if !n.listWritten {
+	if n.afterLiteral && n.commaPending { // a further literal of a list
+		n.commaPending = false
+		if !n.plusWritten {
 			n.writeSign('+')
-			n.listWritten = true
+			n.plusWritten = true
 		}
 		return
 	}
@@ -200,22 +201,22 @@
 	} else {
 		n.writeSign('?')
 	}
-	n.afterLiteral, n.listWritten = true, false
+	n.afterLiteral, n.plusWritten = true, false
 }
 
 func (n *normalizer) normalizeSign(token Token) {
 	switch token.Sign {
 	case ',':
 		if n.afterLiteral {
-			n.commaHeld = true
+			n.commaPending = true
 			return
 		}
 	case '-', '+':
 		if n.beginsNumber(token) {
 			return
 		}
-		if n.commaHeld {
-			n.releaseComma()
+		if n.commaPending {
+			n.writePendingComma()
 		}
 	case '(':
 		n.depth++
@@ -226,7 +227,7 @@
 			return
 		}
 	case ';':
-		if n.lexer.Peek().Kind == End { // a semicolon at the end makes no difference
+		if n.lexer.Peek().Kind == End { // a semicolon at the end is not part of the normal form
 			return
 		}
 	}
@@ -234,13 +235,14 @@
 	n.afterLiteral, n.afterSign = false, token.Sign != ')'
 }
 
-// beginsNumber tells whether a plus or minus belongs to the number behind it and does not stand between two terms.
+// beginsNumber reports whether a plus or minus is the sign of the number after it, and not an operator between two
+// terms.
 func (n *normalizer) beginsNumber(sign Token) bool {
 	next := n.lexer.Peek()
-	return next.Kind == Number && next.From == sign.To && (n.commaHeld || n.afterSign)
+	return next.Kind == Number && next.From == sign.To && (n.commaPending || n.afterSign)
 }
 
-// endRow ends the first row of VALUES and passes over the others.
+// endRow ends the first row of VALUES and skips the others.
 func (n *normalizer) endRow() {
 	n.writeSign(')')
 	if n.skipRows() {
@@ -255,7 +257,7 @@
 		return
 	}
 	n.writeWord(word, true)
-	switch len(word) { // most words have another length, so this is cheap
+	switch len(word) { // most words have another length, so this check is cheap
 	case len("VALUES"), len("VALUE"):
 		if isKeyword(word, "VALUES") || isKeyword(word, "VALUE") {
 			n.inValues, n.valuesDepth = true, n.depth
@@ -269,7 +271,7 @@
 	}
 }
 
-// writeQualified writes a name, as a schema's if a dot follows.
+// writeQualified writes a name. If a dot follows, the name is written as that of a schema.
 func (n *normalizer) writeQualified(name []byte, lower bool) {
 	if n.lexer.NextIsDot() {
 		n.writeSchema(name, lower)
@@ -278,7 +280,8 @@
 	}
 }
 
-// writeSchema writes a name before a dot; the number of its group is written as a literal.
+// writeSchema writes a name before a dot. If it ends with an underscore and the number of a group of tables, the
+// number is written as a literal.
 func (n *normalizer) writeSchema(name []byte, lower bool) {
 	end := len(name)
 	for end > 0 && byteClass[name[end-1]]&digit != 0 {
@@ -292,7 +295,7 @@
 	n.writeWord(name, lower)
 }
 
-// skipRows passes over the rows of VALUES behind the first, and tells whether there were any.
+// skipRows skips the rows of VALUES after the first, and reports whether there are any.
 func (n *normalizer) skipRows() (skipped bool) {
 	for {
 		ahead := n.lexer
@@ -307,7 +310,7 @@
 	}
 }
 
-// skipBrackets passes over the rest of a bracket that has been opened, and tells whether it is closed.
+// skipBrackets skips the rest of a bracket that has been opened, and reports whether the bracket is closed.
 func (l *Lexer) skipBrackets() bool {
 	for depth := 1; depth > 0; {
 		switch token := l.Next(); {
@@ -322,7 +325,7 @@
 	return true
 }
 
-// isKeyword tells whether a word is a keyword, which is given in capitals.
+// isKeyword reports whether a word is the given keyword, regardless of case.
 func isKeyword(word []byte, keyword string) bool {
 	if len(word) != len(keyword) {
 		return false
--- a/internal/traffic/capture/capture.go
+++ b/internal/traffic/capture/capture.go
@@ -1,5 +1,5 @@
-// Package capture records the queries that a gateway receives, as a trace that can be replayed. It never delays a query:
-// what can't be written in time is counted and dropped.
+// Package capture records the queries that a gateway receives as a trace, which can be replayed. It never delays a
+// query: queries that can't be written in time are dropped and counted.
 package capture
 
 import (
@@ -17,17 +17,19 @@
 )
 
 const (
-	// queueLength is how many queries may wait to be written. At ten times the load of a first installation 60 would do
-	// for a tenth of a second, and a disk can stand still for several; the statements are most of the memory.
+	// queueLength is the number of queries that may wait to be written. At ten times the load of a first
+	// installation, 60 cover a tenth of a second, and a disk can stall for several tenths. The statements take most
+	// of the memory of the queue.
 	queueLength = 512
-	// flushInterval is how often what has been recorded is written out, so that little is lost with the process.
+	// flushInterval is the interval at which records are written to the file, so that few are lost if the process
+	// dies.
 	flushInterval = time.Second
-	// recordOverhead is ample for a record without its statement.
-	recordOverhead = 64
-	fileBuffer     = 1 << 15
+	// recordOverheadBytes is more than the size of any record without its statement.
+	recordOverheadBytes = 64
+	fileBufferBytes     = 1 << 15
 )
 
-// Recorder is a recording under way. A nil Recorder records nothing.
+// Recorder is a recording in progress. A nil Recorder records nothing.
 type Recorder struct {
 	start    time.Time
 	withText bool
@@ -37,15 +39,15 @@
 	dropped  atomic.Int64
 }
 
-// Start begins a recording to a new file of up to maxBytes. If withText is set, it records statements and not only their
-// shapes. The error is that of the file, which must not exist. The caller must call Stop.
+// Start begins a recording to a new file of up to maxBytes. If withText is set, it records statements in addition to
+// their shapes. It returns an error if the file exists or can't be written. The caller must call Stop.
 func Start(path string, maxBytes int64, withText bool, log *slog.Logger) (*Recorder, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
 	r := &Recorder{start: time.Now(), withText: withText, records: make(chan trace.Record, queueLength), done: make(chan struct{})}
-	buffered := bufio.NewWriterSize(f, fileBuffer)
+	buffered := bufio.NewWriterSize(f, fileBufferBytes)
 	writer, err := trace.NewWriter(buffered, r.start)
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
@@ -62,18 +64,18 @@
 	return r, nil
 }
 
-// fileWriter writes the records of a recorder to its file.
+// fileWriter writes the records of a Recorder to its file.
 type fileWriter struct {
-	recorder *Recorder
-	trace    *trace.Writer
-	buffered *bufio.Writer
-	maxBytes int64
-	previous time.Duration // the offset of the last record
-	count    int
-	full     bool // nothing more is written, as the file is full or a write has failed
+	recorder       *Recorder
+	trace          *trace.Writer
+	buffered       *bufio.Writer
+	maxBytes       int64
+	previousOffset time.Duration // offset of the last record
+	count          int
+	full           bool // no more records are written, because the file is full or a write has failed
 }
 
-// run writes records until the recording is stopped, and completes the file.
+// run writes records until the recording is stopped, and then completes the file.
 func (w *fileWriter) run() error {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -90,23 +92,23 @@
 	}
 }
 
-// write writes a record, or drops it. Sessions put records in an order of their own, so a record may come a little before
-// the last one; then it gets the last one's time.
+// write writes a record, or drops it if the file is full. Sessions add records concurrently, so a record may be
+// slightly earlier than the previous one. Such a record gets the time of the previous one.
 func (w *fileWriter) write(record *trace.Record) {
-	if w.trace.Size()+int64(len(record.Text))+recordOverhead > w.maxBytes {
+	if w.trace.Size()+int64(len(record.Text))+recordOverheadBytes > w.maxBytes {
 		w.full = true
 	}
 	if w.full {
 		w.recorder.dropped.Add(1)
 		return
 	}
-	record.Offset = max(record.Offset, w.previous)
+	record.Offset = max(record.Offset, w.previousOffset)
 	if err := w.trace.Write(record); err != nil {
 		w.full = true
 		w.recorder.dropped.Add(1)
 		return
 	}
-	w.previous = record.Offset
+	w.previousOffset = record.Offset
 	w.count++
 }
 
@@ -131,13 +133,13 @@
 // Query is a query that a gateway has received.
 type Query struct {
 	Class     string
-	Group     int   // of tables; 0: none
-	WaitMS    int64 // how long the client waits
+	Group     int   // group of tables; 0: none
+	WaitMS    int64 // how long the client waits for an answer
 	SQL       []byte
-	Statement []byte // the SQL without the fields in front
+	Statement []byte // SQL without the comment with the client's fields
 }
 
-// RecordQuery records a query that has just arrived. It copies what it keeps, and returns at once.
+// RecordQuery records a query that has just arrived. It copies the data that it stores, and never blocks.
 func (r *Recorder) RecordQuery(q Query) {
 	if r == nil {
 		return
@@ -148,7 +150,7 @@
 		record.Text = string(q.Statement)
 	}
 	defer func() {
-		if recover() != nil { // the recording was stopped meanwhile, and its channel is closed
+		if recover() != nil { // the recording was stopped concurrently, which closes its channel
 			r.dropped.Add(1)
 		}
 	}()
--- a/internal/traffic/capture/capture_test.go
+++ b/internal/traffic/capture/capture_test.go
@@ -18,7 +18,7 @@
 
 var query = Query{Class: "look", Group: 3, WaitMS: 700, SQL: []byte(sql), Statement: []byte(statement)}
 
-// What was recorded can be read: fields and shapes, and the text where it was asked for.
+// A recording can be read back: the fields and shapes, and the text if it was requested.
 func TestRecordedQueriesCanBeRead(t *testing.T) {
 	for _, text := range []bool{false, true} {
 		path := filepath.Join(t.TempDir(), "x.trace")
@@ -31,7 +31,7 @@
 		}
 		c.Stop()
 		c.Stop()
-		c.RecordQuery(query) // after its end it is left out
+		c.RecordQuery(query) // a query after the end of the recording is ignored
 		got, err := trace.ReadFile(path, false)
 		if err != nil || len(got.Records) != 100 {
 			t.Fatalf("%v, %v", got, err)
@@ -41,7 +41,7 @@
 			t.Errorf("%+v", r)
 		}
 		if _, err := Start(path, 1, text, quiet); err == nil {
-			t.Error("a file that was there is written over")
+			t.Error("an existing file is overwritten")
 		}
 	}
 	var none *Recorder
@@ -49,7 +49,7 @@
 	none.Stop()
 }
 
-// The file keeps to its size, whole, and queries go on.
+// A file that reaches its maximum size is complete, and the recorder keeps accepting queries.
 func TestFileKeepsToItsSize(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.trace")
 	const most = 4000
--- a/internal/traffic/importer/importer_test.go
+++ b/internal/traffic/importer/importer_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Each format that can be read, with malformed entries in it.
+// The example reads each format, with malformed entries in it.
 func ExampleRead() {
 	o := Options{Class: "look", Wait: 5 * time.Second, KeepText: true}
 	show(JSONLines, `{"time":"2026-11-01T18:00:00Z","lane":"report","group":4,"wait_ms":900,"retry":true}
@@ -86,7 +86,7 @@
 	// xml: 0, form "xml": expected jsonl, csv, mysql-general or mysql-slow
 }
 
-// raw is entries with stamps in milliseconds from noon; -1: none.
+// raw returns entries with timestamps in milliseconds from noon; -1 stands for none.
 func raw(ms ...int64) (out []Entry) {
 	noon := time.Date(2026, 11, 1, 12, 0, 0, 0, time.UTC)
 	for i, m := range ms {
@@ -99,7 +99,7 @@
 	return out
 }
 
-// One line a rule: the times that come of some timestamps, and what was repaired.
+// Each case lists the times that result from some timestamps, and the repairs.
 func ExampleRepairClock() {
 	const hour, day = int64(3600_000), int64(86400_000)
 	for _, c := range []struct {
@@ -172,14 +172,14 @@
 	// loop 0s 1s 2s 5s 6.666666666s 7.666666666s 8.666666666s 11.666666666s
 }
 
-// Order is kept and no time goes back, whatever the stamps are.
+// RepairClock keeps the order, and times never decrease, whatever the timestamps are.
 func TestOrder(t *testing.T) {
 	stamps := []int64{5, 5, -1, 3, 86400_000 * 3, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 0, 3600_000, -1, 1}
 	for turn := range stamps {
 		got, _ := RepairClock(raw(append(stamps[turn:len(stamps):len(stamps)], stamps[:turn]...)...), ClockRepair{})
 		for i, r := range got.Records {
 			if r.Group != i || i > 0 && r.Offset < got.Records[i-1].Offset {
-				t.Fatalf("turn %d: record %d is %+v", turn, i, r)
+				t.Fatalf("rotation %d: record %d is %+v", turn, i, r)
 			}
 		}
 	}
--- a/internal/traffic/importer/mysql_log.go
+++ b/internal/traffic/importer/mysql_log.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// generalLine matches a line of the general log that begins an entry: a time, which may be absent, the thread, the command
-// and its argument. Other lines go on with the argument of the line above.
+// generalLine matches a line of the general log that begins an entry. The line consists of a time, which may be
+// absent, the thread, the command and its argument. Other lines continue the argument of the line before.
 var generalLine = regexp.MustCompile(`^(\d{4}-\d\d-\d\dT[0-9:.]+(?:Z|[+-]\d\d:\d\d)|\d{6}\s+\d{1,2}:\d\d:\d\d|\t)?\t?\s*(\d+) ` +
 	`(Query|Execute|Connect|Quit|Prepare|Close stmt|Init DB|Statistics|Ping|Field List|Reset stmt|Shutdown|Kill)\t?(.*)$`)
 
-// logStatement is a statement of a log that further lines may belong to.
+// logStatement is a statement of a log. Further lines may belong to it.
 type logStatement struct {
 	line      int
 	timestamp time.Time
 	text      strings.Builder
 }
 
-// readGeneralLog reads the server's general log. Old versions leave out a time that is the same as that of the line above.
+// readGeneralLog reads the server's general log. Old versions omit a time that is equal to that of the line before.
 func (r *reader) readGeneralLog(in io.Reader) error {
 	scanner := newLineScanner(in)
 	var lastTimestamp time.Time
@@ -56,14 +56,15 @@
 	return scanner.Err()
 }
 
-// slowLogReader reads the entries of a slow log: header lines that begin with #, and the statement behind them.
+// slowLogReader reads the entries of a slow log. An entry consists of header lines that begin with #, and a
+// statement.
 type slowLogReader struct {
 	*reader
 	inHeader     bool
-	ended        time.Time // as the header states
+	ended        time.Time // time in the header
 	elapsed      time.Duration
 	rowsExamined int64
-	firstLine    int // of the statement; 0: no entry has begun
+	firstLine    int // line of the statement; 0: no entry has begun
 	statement    strings.Builder
 }
 
@@ -87,18 +88,18 @@
 		s.readHeader(line, text)
 	case s.inHeader && strings.HasPrefix(text, "SET timestamp="):
 		s.readSetTimestamp(text)
-	case s.inHeader && strings.HasPrefix(strings.ToLower(text), "use ") && s.statement.Len() == 0: // the database
+	case s.inHeader && strings.HasPrefix(strings.ToLower(text), "use ") && s.statement.Len() == 0: // selects the database; not part of the statement
 	default:
 		if s.inHeader {
 			s.firstLine, s.inHeader = line, false
 		}
-		if s.firstLine > 0 { // what stands before the first entry is the server's banner
+		if s.firstLine > 0 { // text before the first entry is the server's banner
 			s.statement.WriteString(text + "\n")
 		}
 	}
 }
 
-// maxQuerySeconds bounds the time of a query.
+// maxQuerySeconds is the limit for the time of a query; a Query_time must be lower.
 const maxQuerySeconds = 1e9
 
 func (s *slowLogReader) readHeader(line int, text string) {
@@ -125,7 +126,7 @@
 	}
 }
 
-// headerField returns the word behind a field's name; ok tells whether the name stands there.
+// headerField returns the word after the name of a field. ok is false if the text does not contain the name.
 func headerField(text, name string) (field string, ok bool) {
 	_, rest, ok := strings.Cut(text, name)
 	if !ok {
@@ -138,7 +139,7 @@
 	return words[0], true
 }
 
-// readSetTimestamp reads the time of an entry whose header states none.
+// readSetTimestamp reads the time of an entry whose header has none.
 func (s *slowLogReader) readSetTimestamp(text string) {
 	seconds, err := strconv.ParseInt(strings.TrimRight(strings.TrimPrefix(text, "SET timestamp="), ";"), 10, 64)
 	if err == nil && s.ended.IsZero() {
@@ -146,7 +147,8 @@
 	}
 }
 
-// finish adds the entry whose statement is complete. Its time is when it ended, so the elapsed time is taken off.
+// finish adds the entry whose statement is complete. The log has the time at which the query ended, so the elapsed
+// time is subtracted.
 func (s *slowLogReader) finish() {
 	text := strings.TrimSpace(s.statement.String())
 	s.statement.Reset()
--- a/internal/traffic/importer/read.go
+++ b/internal/traffic/importer/read.go
@@ -29,16 +29,16 @@
 	SlowLog    Format = "mysql-slow"
 )
 
-// Options complete what a recording does not say.
+// Options are defaults for data that a recording does not contain, and settings of the import.
 type Options struct {
-	Class    string            // of entries that name none
-	Wait     time.Duration     // of entries that state none
-	Columns  map[string]string // of CSV and JSON lines: their names for time, lane, group, wait_ms, retry and statement
-	KeepText bool              // keep statements and not only their shapes
+	Class    string            // class of entries that have none
+	Wait     time.Duration     // wait of entries that have none
+	Columns  map[string]string // names in CSV and JSON lines of the columns time, lane, group, wait_ms, retry and statement
+	KeepText bool              // store statements in addition to their shapes
 }
 
-// Read reads a recording. Malformed entries are skipped, and listed with their lines. The error is that of a recording
-// that can't be read at all.
+// Read reads a recording. It skips malformed entries and lists them with their lines. It returns an error if the
+// recording can't be read at all.
 func Read(in io.Reader, format Format, options Options) (entries []Entry, malformed []string, err error) {
 	r := &reader{options: options}
 	switch format {
@@ -63,17 +63,17 @@
 	malformed []string
 }
 
-// maxMalformed bounds the list of malformed entries.
+// maxMalformed limits the list of malformed entries.
 const maxMalformed = 100
 
-// skip notes that an entry, or a field of it, is malformed.
+// skip adds an entry, or a field of one, to the list of malformed ones.
 func (r *reader) skip(line int, format string, args ...any) {
 	if len(r.malformed) < maxMalformed {
 		r.malformed = append(r.malformed, fmt.Sprintf("line %d: ", line)+fmt.Sprintf(format, args...))
 	}
 }
 
-// maxLineBytes is the length of the longest line that is read.
+// maxLineBytes is the length of the longest line that can be read.
 const maxLineBytes = 1 << 20
 
 const lineBufferBytes = 1 << 16
@@ -84,7 +84,7 @@
 	return s
 }
 
-// columnName returns the recording's name of a column.
+// columnName returns the name that a column has in the recording.
 func (r *reader) columnName(name string) string {
 	if renamed := r.options.Columns[name]; renamed != "" {
 		return renamed
@@ -92,8 +92,8 @@
 	return name
 }
 
-// add adds an entry whose record has what the recording says of it, and completes the record from its statement, which
-// may have the fields of the gateway's clients, and from the options.
+// add adds an entry. It completes the entry's record from the statement, which may begin with the fields of the
+// gateway's clients, and from the options.
 func (r *reader) add(entry Entry, statement string) {
 	record := &entry.Record
 	if statement != "" {
@@ -156,7 +156,8 @@
 	return scanner.Err()
 }
 
-// addFields adds an entry whose fields have names; field returns the text of one, "" if the entry does not have it.
+// addFields adds an entry whose fields have names. field returns the text of a field, or "" if the entry does not
+// have it.
 func (r *reader) addFields(line int, field func(name string) string) {
 	timestamp, err := parseTimestamp(field("time"))
 	if err != nil {
@@ -171,10 +172,10 @@
 	}}, field("statement"))
 }
 
-// maxNumber bounds numbers in fields.
+// maxNumber is the limit for numbers in fields; a number must be lower.
 const maxNumber = 1e12
 
-// parseNumber parses the text of a field that is a number; an absent or malformed one is 0.
+// parseNumber parses the text of a numeric field. It returns 0 if the field is absent or malformed.
 func (r *reader) parseNumber(line int, name, text string) int64 {
 	if text == "" {
 		return 0
--- a/internal/traffic/importer/repair.go
+++ b/internal/traffic/importer/repair.go
@@ -1,4 +1,5 @@
-// Package importer makes traces of what other programs have recorded, and repairs timestamps that a clock has spoilt.
+// Package importer converts recordings of other programs to traces, and repairs timestamps that are wrong because of
+// the clock.
 package importer
 
 import (
@@ -9,71 +10,73 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-// Entry is one entry of a recording, in the recording's order.
+// Entry is one entry of a recording. Entries are in the order of the recording.
 type Entry struct {
-	Timestamp time.Time // zero: it has none that can be read
-	Line      int       // of the recording, from 1
+	Timestamp time.Time // zero: the entry has none that can be read
+	Line      int       // line of the entry in the recording, from 1
 	Record    trace.Record
 
-	// From a slow log; 0: not known.
+	// From a slow log; 0: unknown.
 	Elapsed      time.Duration
 	RowsExamined int64
 }
 
-// ClockRepair has the rules by which timestamps are repaired.
+// ClockRepair is the set of rules by which timestamps are repaired.
 type ClockRepair struct {
-	KeepGaps         bool          // long gaps are quiet times and not jumps of the clock
+	KeepGaps         bool          // long gaps are times without queries, and not jumps of the clock
 	MaxGap           time.Duration // a longer gap is a jump of the clock; 0: one minute
-	ReorderTolerance time.Duration // entries that are out of order by up to this are no jump back; 0: one second
+	ReorderTolerance time.Duration // entries out of order by up to this are not a jump of the clock; 0: one second
 }
 
-// A minute without a query is longer than any pause of a service worth recording, and a clock that is set jumps by more.
-// Writers of logs hold entries back for less than a second.
+// A minute without a query is longer than any pause of a service that is worth recording, and a clock that is set
+// jumps by more. Programs that write logs delay entries by less than a second.
 const (
 	defaultMaxGap           = time.Minute
 	defaultReorderTolerance = time.Second
 )
 
-// Repair is one repair.
+// Repair is one repair of timestamps.
 type Repair struct {
 	Line    int           `json:"line"`
 	Kind    string        `json:"kind"`
-	Count   int           `json:"count"`   // of entries that it concerns
-	Jump    time.Duration `json:"by_ns"`   // of the clock
-	Applied time.Duration `json:"used_ns"` // the gap or span that stands there now
+	Count   int           `json:"count"`   // number of entries that the repair affects
+	Jump    time.Duration `json:"by_ns"`   // jump of the clock
+	Applied time.Duration `json:"used_ns"` // gap or span in the trace after the repair
 }
 
 func (r Repair) String() string {
 	return fmt.Sprintf("line %d: %s, %d entries, by %v; now %v", r.Line, r.Kind, r.Count, r.Jump, r.Applied)
 }
 
-// The kinds of repairs, with their rules.
+// The kinds of repairs.
 const (
-	// The entries keep their order, with the mean gap between them.
+	// JumpBack replaces a jump back by the mean gap. The entries keep their order.
 	JumpBack = "the clock jumped back"
-	// The mean gap stands in place of the jump, unless ClockRepair.KeepGaps is set.
+	// JumpForward replaces a jump forward by the mean gap. It is not made if ClockRepair.KeepGaps is set.
 	JumpForward = "the clock jumped forward"
-	// The entries keep their order, and the later time counts for both.
+	// OutOfOrder keeps the order of two entries with slightly earlier second timestamp: both get the later time.
 	OutOfOrder = "entries are a little out of order"
-	// The entries get the time of the one before.
+	// NoTimestamp gives entries without a timestamp the time of the entry before them.
 	NoTimestamp = "entries have no stamp"
-	// The entries are spread evenly up to the next timestamp; listed once for all such entries from the line on.
+	// RepeatedFewTimestamps spreads entries with the same timestamp evenly up to the next timestamp. It is for fewer
+	// than minListedEntries entries, and is listed once, with the line of the first and the number of all such entries.
 	RepeatedFewTimestamps = "stamps are shared by a few entries"
-	// The entries are spread evenly up to the next timestamp.
+	// RepeatedTimestamp spreads entries with the same timestamp evenly up to the next timestamp. It is for minListedEntries
+	// entries or more.
 	RepeatedTimestamp = "a stamp is repeated"
 )
 
-// maxSpread is the span over which entries of one timestamp are spread at most, unless the mean gap between so many asks
-// for more. A timestamp of whole seconds stands for any time in its second, and a clock that stood still has one for all
-// entries.
+// maxSpread is the maximum span over which entries with the same timestamp are spread, unless the mean gap between
+// that number of entries makes a longer span. A timestamp of whole seconds stands for any time in its second, and a
+// clock that stood still gives all entries the same timestamp.
 const maxSpread = time.Second
 
-// minListed is how many entries of one timestamp are listed as a repair of their own; fewer come by chance if timestamps
-// are coarse.
-const minListed = 10
+// minListedEntries is the number of entries with the same timestamp from which they are listed as a separate repair. Fewer
+// may have the same timestamp by chance if timestamps are coarse.
+const minListedEntries = 10
 
-// RepairClock makes a trace of entries, whose times count from the trace's start and never go back, and lists what was
-// repaired.
+// RepairClock makes a trace of entries and lists the repairs. The offsets of the trace count from its start and never
+// decrease.
 func RepairClock(entries []Entry, c ClockRepair) (*trace.Trace, []Repair) {
 	if c.MaxGap <= 0 {
 		c.MaxGap = defaultMaxGap
@@ -82,10 +85,10 @@
 		c.ReorderTolerance = defaultReorderTolerance
 	}
 	r := clockRepairer{
-		rules:    c,
-		entries:  entries,
-		trace:    &trace.Trace{Records: make([]trace.Record, len(entries))},
-		usualGap: meanGap(entries, c),
+		rules:   c,
+		entries: entries,
+		trace:   &trace.Trace{Records: make([]trace.Record, len(entries))},
+		meanGap: meanGap(entries, c),
 	}
 	var offset time.Duration
 	for i := range entries {
@@ -99,15 +102,15 @@
 
 // clockRepairer is the state of a repair.
 type clockRepairer struct {
-	rules    ClockRepair
-	entries  []Entry
-	trace    *trace.Trace
-	usualGap time.Duration // stands in for gaps that are not to be believed
-	repairs  []Repair
-	previous time.Time // the last timestamp that counted
+	rules             ClockRepair
+	entries           []Entry
+	trace             *trace.Trace
+	meanGap           time.Duration // mean gap of the entries, which replaces jumps of the clock
+	repairs           []Repair
+	previousTimestamp time.Time // the last timestamp in order, from which the next gap is measured
 }
 
-// gapBefore returns the time between an entry and the one before, and notes a repair.
+// gapBefore returns the time between an entry and the one before it, and adds a repair if it made one.
 func (r *clockRepairer) gapBefore(i int) time.Duration {
 	entry := &r.entries[i]
 	if entry.Timestamp.IsZero() {
@@ -115,28 +118,29 @@
 		r.repairs = addRepair(r.repairs, Repair{entry.Line, NoTimestamp, 1, 0, 0}, follows)
 		return 0
 	}
-	if r.previous.IsZero() {
-		r.trace.Start, r.previous = entry.Timestamp, entry.Timestamp
+	if r.previousTimestamp.IsZero() {
+		r.trace.Start, r.previousTimestamp = entry.Timestamp, entry.Timestamp
 		return 0
 	}
-	gap := entry.Timestamp.Sub(r.previous)
+	gap := entry.Timestamp.Sub(r.previousTimestamp)
 	if gap < 0 && gap >= -r.rules.ReorderTolerance {
 		r.repairs = addRepair(r.repairs, Repair{entry.Line, OutOfOrder, 1, gap, 0}, false)
-		return 0 // the timestamp before goes on counting, so that no time is added
+		return 0 // r.previous stays, so that the next gap adds no extra time
 	}
-	r.previous = entry.Timestamp
+	r.previousTimestamp = entry.Timestamp
 	switch {
 	case gap < 0:
-		r.repairs = append(r.repairs, Repair{entry.Line, JumpBack, 1, gap, r.usualGap})
-		return r.usualGap
+		r.repairs = append(r.repairs, Repair{entry.Line, JumpBack, 1, gap, r.meanGap})
+		return r.meanGap
 	case gap > r.rules.MaxGap && !r.rules.KeepGaps:
-		r.repairs = append(r.repairs, Repair{entry.Line, JumpForward, 1, gap, r.usualGap})
-		return r.usualGap
+		r.repairs = append(r.repairs, Repair{entry.Line, JumpForward, 1, gap, r.meanGap})
+		return r.meanGap
 	}
 	return gap
 }
 
-// addRepair adds a repair, or counts it with the one before if same is set and both are of one kind.
+// addRepair adds a repair. If same is set and the last repair has the same kind, it increments the count of that one
+// instead.
 func addRepair(repairs []Repair, r Repair, same bool) []Repair {
 	if n := len(repairs); n > 0 && same && repairs[n-1].Kind == r.Kind {
 		repairs[n-1].Count++
@@ -145,7 +149,7 @@
 	return append(repairs, r)
 }
 
-// meanGap returns the mean of the gaps that are no jumps of the clock.
+// meanGap returns the mean of the gaps that are not jumps of the clock.
 func meanGap(entries []Entry, c ClockRepair) time.Duration {
 	var sum time.Duration
 	count := 0
@@ -167,7 +171,7 @@
 	return sum / time.Duration(count)
 }
 
-// spreadTimestamps moves entries that share a time apart, evenly up to the next entry, but over no more than maxSpread.
+// spreadTimestamps spreads the records that have the same offset.
 func (r *clockRepairer) spreadTimestamps() {
 	records := r.trace.Records
 	var few Repair
@@ -176,7 +180,7 @@
 		for end < len(records) && records[end].Offset == records[first].Offset {
 			end++
 		}
-		if count := end - first; count >= minListed {
+		if count := end - first; count >= minListedEntries {
 			span := r.spread(first, end)
 			r.repairs = append(r.repairs, Repair{r.entries[first].Line, RepeatedTimestamp, count, 0, span})
 		} else if count > 1 {
@@ -194,14 +198,15 @@
 	slices.SortStableFunc(r.repairs, func(a, b Repair) int { return a.Line - b.Line })
 }
 
-// spread spreads the records from first to before end evenly, and returns over which time.
+// spread spreads the records from first to before end evenly up to the next record, but over no more than the larger
+// of maxSpread and their mean gaps. It returns the span.
 func (r *clockRepairer) spread(first, end int) time.Duration {
 	records, count := r.trace.Records, time.Duration(end-first)
-	span := count * max(r.usualGap, time.Microsecond)
+	span := count * max(r.meanGap, time.Microsecond)
 	if end < len(records) {
 		span = records[end].Offset - records[first].Offset
 	}
-	span = min(span, max(maxSpread, count*r.usualGap))
+	span = min(span, max(maxSpread, count*r.meanGap))
 	for i := range records[first:end] {
 		records[first+i].Offset += span * time.Duration(i) / count
 	}
--- a/internal/traffic/importer/timestamp.go
+++ b/internal/traffic/importer/timestamp.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// The numbers from which a time since 1970 is in smaller units than seconds.
+// The values from which a number since 1970 is in milliseconds, microseconds or nanoseconds and not in seconds, and
+// the highest accepted value.
 const (
 	fromMillis = 1e11
 	fromMicros = 1e14
@@ -16,11 +17,11 @@
 	maxEpoch   = 1e20
 )
 
-// timestampLayouts are the layouts of timestamps that are no numbers: RFC 3339, and MySQL's own.
+// timestampLayouts are the layouts of timestamps that are not numbers: RFC 3339, and those of MySQL.
 var timestampLayouts = []string{time.RFC3339Nano, "2006-01-02T15:04:05.999999", "2006-01-02 15:04:05.999999", "060102 15:04:05"}
 
-// parseTimestamp parses a time in one of the layouts, or as a number of seconds, milliseconds, micro- or nanoseconds since
-// 1970, told apart by its size. An empty text is the zero time.
+// parseTimestamp parses a time in one of the layouts, or as a number of seconds, milliseconds, microseconds or
+// nanoseconds since 1970, depending on its size. An empty text is the zero time.
 func parseTimestamp(text string) (time.Time, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -39,7 +40,7 @@
 
 func parseEpoch(text string, number float64) (time.Time, error) {
 	if number < 0 || math.IsNaN(number) || number > maxEpoch {
-		return time.Time{}, fmt.Errorf("time %q can't be", text)
+		return time.Time{}, fmt.Errorf("time %q: number out of range", text)
 	}
 	if whole, err := strconv.ParseInt(text, 10, 64); err == nil {
 		switch {
--- a/internal/traffic/importer/transform.go
+++ b/internal/traffic/importer/transform.go
@@ -8,7 +8,8 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-// Trim returns the part of a trace between two offsets, which begins at 0; without a bound if to is 0.
+// Trim returns the part of a trace from offset from to before offset to. Its offsets start at 0. If to is 0, there is
+// no upper bound.
 func Trim(t *trace.Trace, from, to time.Duration) *trace.Trace {
 	out := &trace.Trace{Start: t.Start.Add(from)}
 	for _, r := range t.Records {
@@ -20,7 +21,7 @@
 	return out
 }
 
-// Accelerate returns a trace that is so many times as fast.
+// Accelerate returns a copy of a trace that runs faster by the given factor.
 func Accelerate(t *trace.Trace, times float64) *trace.Trace {
 	out := &trace.Trace{Start: t.Start, Records: slices.Clone(t.Records)}
 	for i := range out.Records {
@@ -29,7 +30,7 @@
 	return out
 }
 
-// Sample returns a trace with a share of the records, which are drawn by a seed.
+// Sample returns a trace with a random share of the records. The seed determines which ones.
 func Sample(t *trace.Trace, share float64, seed int64) *trace.Trace {
 	r := rand.New(rand.NewSource(seed))
 	out := &trace.Trace{Start: t.Start}
@@ -41,7 +42,7 @@
 	return out
 }
 
-// Repeat returns a trace that runs so many times, with the mean gap between the runs.
+// Repeat returns a trace that repeats t the given number of times, with the mean gap between the repetitions.
 func Repeat(t *trace.Trace, times int) *trace.Trace {
 	out := &trace.Trace{Start: t.Start}
 	if len(t.Records) == 0 {
--- a/internal/traffic/trace/file.go
+++ b/internal/traffic/trace/file.go
@@ -16,14 +16,14 @@
 	Records []Record
 }
 
-// ReadFile reads a trace from a file. If salvage is set, the records before the first corrupt one are returned beside the
-// error.
+// ReadFile reads a trace from a file. If salvage is set, it returns the records before the first corrupt one together
+// with the error.
 func ReadFile(path string, salvage bool) (*Trace, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // nothing was written
+	defer func() { _ = f.Close() }() // the file was only read
 	t, err := Read(f)
 	if err == nil {
 		return t, nil
@@ -34,7 +34,7 @@
 	return t, fmt.Errorf("%s: %w", path, err)
 }
 
-// Read reads a trace. With an error it returns the records before the corrupt one.
+// Read reads a trace. If it returns an error, it also returns the records before the corrupt one.
 func Read(in io.Reader) (*Trace, error) {
 	r, err := NewReader(in)
 	if err != nil {
@@ -54,14 +54,14 @@
 	}
 }
 
-// WriteFile writes a trace to a file, which is replaced only when all has been written.
+// WriteFile writes a trace to a file. An existing file is replaced only after everything has been written.
 func (t *Trace) WriteFile(path string) (err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), ".trace-*")
 	if err != nil {
 		return err
 	}
 	defer func() {
-		if err != nil { // the first error is the one to report
+		if err != nil { // the first error is reported, later ones are ignored
 			_ = f.Close()
 			_ = os.Remove(f.Name())
 		}
--- a/internal/traffic/trace/reader.go
+++ b/internal/traffic/trace/reader.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// CorruptError tells where a trace can't be read any further, and why.
+// CorruptError reports where a trace can't be read further, and why.
 type CorruptError struct {
-	Offset int64 // of the part that is corrupt, in bytes
+	Offset int64 // of the corrupt part, in bytes
 	Reason string
 }
 
@@ -21,32 +21,32 @@
 type Reader struct {
 	Start time.Time
 
-	in       *bufio.Reader
-	offset   int64         // of the next block
-	previous time.Duration // the offset of the last record
-	records  uint32        // that have been read, modulo 2^32
-	ended    bool
+	in             *bufio.Reader
+	offset         int64         // of the next block, in bytes
+	previousOffset time.Duration // offset of the last record
+	records        uint32        // number of records that have been read, modulo 2^32
+	ended          bool
 
-	// The block that is being read.
+	// State of the current block.
 	block       []byte
 	blockRest   []byte
 	recordsLeft uint32
 	classNames  []string
 }
 
-// NewReader reads a trace's header. The error is a *CorruptError.
+// NewReader reads the header of a trace. The error is a *CorruptError.
 func NewReader(in io.Reader) (*Reader, error) {
 	r := &Reader{in: bufio.NewReaderSize(in, ioBufferBytes)}
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r.in, header[:]); err != nil {
-		return nil, &CorruptError{0, "the head of a trace is not whole"}
+		return nil, &CorruptError{0, "the header of the trace is incomplete"}
 	}
 	if string(header[:len(Magic)]) != Magic {
-		return nil, &CorruptError{0, "this is no trace"}
+		return nil, &CorruptError{0, "this is not a trace"}
 	}
 	const checksumOffset = headerBytes - checksumBytes
 	if crc32.Checksum(header[:checksumOffset], castagnoli) != binary.LittleEndian.Uint32(header[checksumOffset:]) {
-		return nil, &CorruptError{versionOffset, "the checksum of the head is wrong"}
+		return nil, &CorruptError{versionOffset, "the checksum of the header does not match"}
 	}
 	if found := binary.LittleEndian.Uint16(header[versionOffset:]); found != version {
 		return nil, &CorruptError{versionOffset, fmt.Sprintf("version %d, expected %d", found, version)}
@@ -72,27 +72,27 @@
 	r.recordsLeft--
 	r.records++
 	if r.recordsLeft == 0 && len(r.blockRest) > 0 {
-		return r.corruptRecord("a block holds more than its records")
+		return r.corruptRecord("a block has bytes after its last record")
 	}
 	return nil
 }
 
-// corruptRecord is an error at what has not been read yet of the block.
+// corruptRecord returns an error at the offset of the unread rest of the block.
 func (r *Reader) corruptRecord(reason string) error {
 	return &CorruptError{r.offset - int64(len(r.blockRest)), reason}
 }
 
-// blockHeader is the header of a block; the end has one with a length of 0.
+// blockHeader is the header of a block. The end of a trace consists of one whose length is 0.
 type blockHeader struct {
 	raw                              [blockHeaderBytes]byte
 	length, records, first, checksum uint32
 }
 
-// readBlock reads the next block, or the end.
+// readBlock reads the next block, or the end of the trace.
 func (r *Reader) readBlock() error {
 	var header blockHeader
 	if n, err := io.ReadFull(r.in, header.raw[:]); err != nil {
-		return &CorruptError{r.offset + int64(n), "the trace breaks off"}
+		return &CorruptError{r.offset + int64(n), "the trace is truncated"}
 	}
 	for i, field := range []*uint32{&header.length, &header.records, &header.first, &header.checksum} {
 		*field = binary.LittleEndian.Uint32(header.raw[4*i:])
@@ -102,62 +102,62 @@
 	}
 	length := int(header.length)
 	if header.length > maxBlockBytes || header.records == 0 || header.records > header.length {
-		return &CorruptError{r.offset, fmt.Sprintf("a block of %d bytes with %d records can't be", header.length, header.records)}
+		return &CorruptError{r.offset, fmt.Sprintf("invalid block of %d bytes with %d records", header.length, header.records)}
 	}
 	if cap(r.block) < length {
 		r.block = make([]byte, length)
 	}
 	r.block = r.block[:length]
 	if n, err := io.ReadFull(r.in, r.block); err != nil {
-		return &CorruptError{r.offset + blockHeaderBytes + int64(n), "the trace breaks off"}
+		return &CorruptError{r.offset + blockHeaderBytes + int64(n), "the trace is truncated"}
 	}
 	if header.checksum != blockChecksum(header.raw[:], r.block) {
-		return &CorruptError{r.offset, "the checksum of a block is wrong"}
+		return &CorruptError{r.offset, "the checksum of a block does not match"}
 	}
 	if header.first != r.records {
-		return &CorruptError{r.offset, fmt.Sprintf("a block from record %d on, expected %d", header.first, r.records)}
+		return &CorruptError{r.offset, fmt.Sprintf("the block begins with record %d, expected %d", header.first, r.records)}
 	}
 	r.offset += blockHeaderBytes + int64(length)
 	r.blockRest, r.recordsLeft, r.classNames = r.block, header.records, r.classNames[:0]
 	return nil
 }
 
-// readEnd checks the end, whose first record is the number of all records.
+// readEnd checks the end of the trace, in which the field first is the number of all records.
 func (r *Reader) readEnd(header *blockHeader) error {
 	if header.checksum != blockChecksum(header.raw[:], nil) {
-		return &CorruptError{r.offset, "the checksum of the end is wrong"}
+		return &CorruptError{r.offset, "the checksum of the end does not match"}
 	}
 	if header.first != r.records {
-		return &CorruptError{r.offset, fmt.Sprintf("%d records were written, %d are here", header.first, r.records)}
+		return &CorruptError{r.offset, fmt.Sprintf("the trace ends with a count of %d records, but contains %d", header.first, r.records)}
 	}
 	if _, err := r.in.ReadByte(); err == nil {
-		return &CorruptError{r.offset + blockHeaderBytes, "something stands behind the end"}
+		return &CorruptError{r.offset + blockHeaderBytes, "there are bytes after the end of the trace"}
 	}
 	r.ended = true
 	return nil
 }
 
-const incompleteRecord = "a record is not whole"
+const incompleteRecord = "a record is incomplete"
 
-// maxGapMicros is the longest time between two records, some 35 years.
+// maxGapMicros is the longest time between two records, about 35 years.
 const maxGapMicros = 1 << 50
 
-// The highest values of numbers in a record; what is above is cut.
+// The highest values of numbers in a record. Higher bits are ignored.
 const (
 	maxGroup  = 1<<31 - 1
 	maxWaitMS = 1<<40 - 1
 )
 
-// readRecord takes one record off the block. It returns why it can't, or "".
+// readRecord reads one record from the block. It returns the reason if it can't, and "" otherwise.
 func (r *Reader) readRecord(into *Record) string {
 	fields := fieldReader{rest: r.blockRest}
 	defer func() { r.blockRest = fields.rest }()
 	gapMicros := fields.number()
 	if gapMicros > maxGapMicros {
-		return "a time that can't be"
+		return "the time of a record is out of range"
 	}
-	r.previous += time.Duration(gapMicros) * time.Microsecond
-	*into = Record{Offset: r.previous}
+	r.previousOffset += time.Duration(gapMicros) * time.Microsecond
+	*into = Record{Offset: r.previousOffset}
 	switch number := fields.number(); {
 	case number == 0:
 		into.Class = string(fields.bytes(maxClassBytes))
@@ -165,7 +165,7 @@
 	case number <= uint64(len(r.classNames)):
 		into.Class = r.classNames[number-1]
 	default:
-		return "a class that was not named"
+		return "a record has an unknown class number"
 	}
 	into.Group = int(fields.number() & maxGroup)
 	into.WaitMS = int64(fields.number() & maxWaitMS)
@@ -185,7 +185,7 @@
 	return ""
 }
 
-// fieldReader takes fields off a block.
+// fieldReader reads fields from a block.
 type fieldReader struct {
 	rest       []byte
 	incomplete bool
--- a/internal/traffic/trace/trace_test.go
+++ b/internal/traffic/trace/trace_test.go
@@ -47,8 +47,8 @@
 	return b.Bytes()
 }
 
-// Cut at every byte, and with every byte changed: an error with an offset each time, and what can be read before it is
-// what was written.
+// A trace that is truncated at any byte, or has any byte changed, gives an error with an offset, and the records
+// before that offset are unchanged.
 func TestCorruptTraceIsReported(t *testing.T) {
 	want := some(60)
 	file := written(t, want, 11)
@@ -77,13 +77,14 @@
 		altered[i] ^= 0x41
 		check(fmt.Sprintf("byte %d changed", i), altered)
 	}
-	check("something behind", append(bytes.Clone(file), 0))
-	// Whole blocks away in the middle: the end's count tells.
+	check("a byte after the end", append(bytes.Clone(file), 0))
+	// A missing block is detected by the numbers of the first records in the next block and the end.
 	first := headerBytes + blockHeaderBytes + int(file[headerBytes]) + int(file[headerBytes+1])<<8
-	check("a block away", append(bytes.Clone(file[:headerBytes]), file[first:]...))
+	check("a block missing", append(bytes.Clone(file[:headerBytes]), file[first:]...))
 }
 
-func TestFailedWriteKeepsFile(t *testing.T) { // a write that fails leaves the old file
+// A write that fails leaves the old file as it was.
+func TestFailedWriteKeepsFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.trace")
 	if err := some(5000).WriteFile(path); err != nil {
 		t.Fatal(err)
@@ -105,7 +106,7 @@
 		t.Errorf("salvage: %v", err)
 	}
 	if got, err := ReadFile(path, false); err == nil || got != nil {
-		t.Errorf("a damaged file was read: %v", err)
+		t.Errorf("a corrupt file was read: %v", err)
 	}
 }
 
@@ -121,7 +122,7 @@
 		if err != nil {
 			return
 		}
-		var again bytes.Buffer // what can be read can be written and read again
+		var again bytes.Buffer // a trace that can be read can also be written and read again
 		w, _ := NewWriter(&again, got.Start)
 		for i := range got.Records {
 			if err := w.Write(&got.Records[i]); err != nil {
--- a/internal/traffic/trace/writer.go
+++ b/internal/traffic/trace/writer.go
@@ -10,18 +10,18 @@
 
 // Writer writes a trace.
 type Writer struct {
-	out      io.Writer
-	previous time.Duration // the offset of the last record
-	records  uint32        // modulo 2^32
-	written  int64         // bytes
+	out            io.Writer
+	previousOffset time.Duration // offset of the last record
+	records        uint32        // number of records, modulo 2^32
+	written        int64         // number of bytes
 
-	// The block that is being filled.
+	// State of the block that is not written yet.
 	block        []byte
 	blockRecords uint32
 	classNumbers map[string]uint64
 }
 
-// NewWriter begins a trace.
+// NewWriter writes the header of a trace and returns a Writer for its records.
 func NewWriter(out io.Writer, start time.Time) (*Writer, error) {
 	header := append(make([]byte, 0, headerBytes), Magic...)
 	header = binary.LittleEndian.AppendUint16(header, version)
@@ -33,17 +33,17 @@
 	return w, err
 }
 
-// ErrOutOfOrder is returned for a record that is earlier than the one before it.
-var ErrOutOfOrder = errors.New("a record before the last one")
+// ErrOutOfOrder is returned for a record that is earlier than the previous one.
+var ErrOutOfOrder = errors.New("the record is earlier than the previous one")
 
-// Write adds a record. Its offset is cut to whole microseconds; a text or class that is too long is cut, too. The error is
-// ErrOutOfOrder or that of the underlying writer.
+// Write adds a record. It truncates the offset to whole microseconds, and a text or class that is too long to the
+// maximum length. The error is ErrOutOfOrder or that of the underlying writer.
 func (w *Writer) Write(r *Record) error {
-	if r.Offset < w.previous {
+	if r.Offset < w.previousOffset {
 		return ErrOutOfOrder
 	}
-	w.appendNumber(uint64(r.Offset/time.Microsecond - w.previous/time.Microsecond))
-	w.previous = r.Offset
+	w.appendNumber(uint64(r.Offset/time.Microsecond - w.previousOffset/time.Microsecond))
+	w.previousOffset = r.Offset
 	w.appendClass(r.Class)
 	w.appendNumber(uint64(max(0, r.Group)))
 	w.appendNumber(uint64(max(0, r.WaitMS)))
@@ -74,7 +74,8 @@
 	w.block = append(w.block, text...)
 }
 
-// appendClass appends the number of a class in the block; a class that is new there has the number 0 and its name.
+// appendClass appends the number of a class in the block. For a class that is new in the block, it appends 0 and the
+// name.
 func (w *Writer) appendClass(class string) {
 	number := w.classNumbers[class]
 	w.appendNumber(number)
@@ -84,10 +85,11 @@
 	}
 }
 
-// Size returns the bytes of the trace, with what has not been written yet and the end.
+// Size returns the number of bytes of the trace if it were closed now, including the records that are not written yet
+// and the end.
 func (w *Writer) Size() int64 { return w.written + int64(len(w.block)) + 2*blockHeaderBytes }
 
-// Flush writes the records that have not been written yet as a block.
+// Flush writes the records that are not written yet as a block.
 func (w *Writer) Flush() error {
 	if w.blockRecords == 0 {
 		return nil
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// Close writes the last block and the end. It does not close the underlying writer.
+// Close writes the last block and the end of the trace. It does not close the underlying writer.
 func (w *Writer) Close() error {
 	if err := w.Flush(); err != nil {
 		return err
