--- a/internal/query/costmodel/cache_test.go
+++ b/internal/query/costmodel/cache_test.go
@@ -8,80 +8,80 @@
 	"testing"
 )
 
-// plainLRU is the plain cache that ours is measured against.
+// plainLRU is an LRU cache without admission control, with which Cache is compared.
 type plainLRU struct {
-	most  int
-	order *list.List
-	at    map[uint64]*list.Element
+	maxEntries int
+	order      *list.List
+	byKey      map[uint64]*list.Element
 }
 
-func (c *plainLRU) hit(key uint64) bool {
-	if e, ok := c.at[key]; ok {
+func (c *plainLRU) request(key uint64) bool {
+	if e, ok := c.byKey[key]; ok {
 		c.order.MoveToFront(e)
 		return true
 	}
-	if c.order.Len() >= c.most {
+	if c.order.Len() >= c.maxEntries {
 		if last, ok := c.order.Remove(c.order.Back()).(uint64); ok {
-			delete(c.at, last)
+			delete(c.byKey, last)
 		}
 	}
-	c.at[key] = c.order.PushFront(key)
+	c.byKey[key] = c.order.PushFront(key)
 	return false
 }
 
-// cacheComparison asks a cache and a plain LRU for the same keys, and counts hits.
+// cacheComparison requests the same keys from a Cache and a plain LRU cache, and counts the hits.
 type cacheComparison struct {
-	ours                  *Cache[int]
-	plain                 *plainLRU
-	asked, hits, plainHit int
+	cache                     *Cache[int]
+	plain                     *plainLRU
+	requests, hits, plainHits int
 }
 
-func (c *cacheComparison) ask(key uint64, counted bool) {
-	_, hit := c.ours.Get(key)
+func (c *cacheComparison) request(key uint64, counted bool) {
+	_, hit := c.cache.Get(key)
 	if !hit {
-		c.ours.Put(key, 0)
+		c.cache.Put(key, 0)
 	}
-	plainHit := c.plain.hit(key)
+	plainHit := c.plain.request(key)
 	if !counted {
 		return
 	}
-	c.asked++
+	c.requests++
 	if hit {
 		c.hits++
 	}
 	if plainHit {
-		c.plainHit++
+		c.plainHits++
 	}
 }
 
-// The cache's hit ratio beats that of a plain LRU: for Zipf traffic, the same with a scan of keys that come once, and with
-// a flood of unique keys at twice the rate.
+// The hit ratio of the cache is higher than that of a plain LRU cache: for keys with a Zipf distribution, for these
+// together with a scan of keys that are requested once, and for these together with twice as many unique keys.
 func TestHitRatioBeatsLRU(t *testing.T) {
-	const most, keys = 1600, 20000
+	const maxEntries, keys = 1600, 20000
 	const requests, warmup = 200000, 50000
 	for _, c := range []struct {
 		name   string
-		unique int // keys that come once, for each usual one
+		unique int // keys that are requested once, for each key of the distribution
 		gain   float64
 	}{{"zipf", 0, 0}, {"scan", 1, 0.03}, {"flood", 2, 0.05}} {
 		t.Run(c.name, func(t *testing.T) {
-			both := cacheComparison{ours: NewCache[int](most*(8+entryOverheadBytes), 8), plain: &plainLRU{most, list.New(), map[uint64]*list.Element{}}}
+			caches := cacheComparison{cache: NewCache[int](maxEntries*(8+entryOverheadBytes), 8), plain: &plainLRU{maxEntries, list.New(), map[uint64]*list.Element{}}}
 			zipf := rand.NewZipf(rand.New(rand.NewSource(2)), 1.1, 1, keys)
 			unique := uint64(1 << 40)
 			for i := range requests {
-				both.ask(zipf.Uint64(), i > warmup)
+				caches.request(zipf.Uint64(), i > warmup)
 				for range c.unique {
 					unique++
-					both.ask(unique, false)
+					caches.request(unique, false)
 				}
 			}
-			ours, plain := float64(both.hits)/float64(both.asked), float64(both.plainHit)/float64(both.asked)
-			t.Logf("%.3f ours, %.3f plain LRU", ours, plain)
-			if ours < plain+c.gain {
-				t.Errorf("%.3f ours, %.3f plain LRU", ours, plain)
+			hitRatio, plainHitRatio := float64(caches.hits)/float64(caches.requests), float64(caches.plainHits)/float64(caches.requests)
+			t.Logf("hit ratio %.3f, plain LRU %.3f", hitRatio, plainHitRatio)
+			if hitRatio < plainHitRatio+c.gain {
+				t.Errorf("hit ratio %.3f, plain LRU %.3f: the gain is too small", hitRatio, plainHitRatio)
 			}
-			if both.ours.Len() > most {
-				t.Errorf("%d entries, %d allowed", both.ours.Len(), most)
+			if caches.cache.Len() > maxEntries {
+				t.Errorf("%d entries, at most %d allowed", caches.cache.Len(), maxEntries)
 			}
 		})
 	}
@@ -104,27 +104,27 @@
 	z := rand.NewZipf(rand.New(rand.NewSource(2)), 1.1, 1, 20000)
 	b.ReportAllocs()
 	for b.Loop() {
-		c.hit(z.Uint64())
+		c.request(z.Uint64())
 	}
 }
 
-// A model stays within its bytes, also when no shape ever repeats.
+// A model does not exceed its memory, even if no shape repeats.
 func TestModelStaysWithinBytes(t *testing.T) {
-	const most = 2 << 20
+	const maxBytes = 2 << 20
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	model := NewModel(most, 1, nil)
+	model := NewModel(maxBytes, 1, nil)
 	for i := range 30000 {
 		s := model.Inspect([]byte(fmt.Sprintf("SELECT c%d FROM t_%d.m WHERE k%d = 1 GROUP BY c%d", i, i%7, i%11, i)), i%7, 0)
 		model.Observe(&s, 50, 64)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if took := int64(after.HeapAlloc) - int64(before.HeapAlloc); took > most*5/4 {
-		t.Errorf("%d bytes, %d allowed", took, most)
+	if took := int64(after.HeapAlloc) - int64(before.HeapAlloc); took > maxBytes*5/4 {
+		t.Errorf("%d bytes exceed %d by more than a quarter", took, maxBytes)
 	} else {
-		t.Logf("%d bytes of %d; %d shapes, %d costs", took, most, model.shapes.Len(), model.records.Len())
+		t.Logf("%d bytes of %d; %d shapes, %d costs", took, maxBytes, model.shapes.Len(), model.records.Len())
 	}
 	runtime.KeepAlive(model)
 }
--- a/internal/query/costmodel/features_test.go
+++ b/internal/query/costmodel/features_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// show returns features as one line of text.
 func show(f *Features) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s parsed %v", f.Verb, f.Parsed)
@@ -33,7 +34,7 @@
 	return b.String()
 }
 
-// One line a statement: what is read of it.
+// The example prints the features of one statement in each line.
 func ExampleReadFeatures() {
 	for _, sql := range []string{
 		"SELECT dia, count(*), max(nota) FROM actas_17.mesas WHERE clave = '3f9c' GROUP BY dia",
@@ -80,7 +81,8 @@
 	// other parsed false joins 0 loose 0 sub 0 unions 0 agg 0 groups 0 sorts 0 windows 0 limit -1
 }
 
-func BenchmarkRead(b *testing.B) { // a shape seen for the first time
+// BenchmarkRead measures reading the features of a new shape.
+func BenchmarkRead(b *testing.B) {
 	sql := []byte(shortStatement)
 	ReadFeatures(sql)
 	b.ReportAllocs()
--- a/internal/query/costmodel/format_test.go
+++ b/internal/query/costmodel/format_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestSnapshotOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
-	form := golden.Read(t, "snapshot.form")
-	snapshot, err := DecodeSnapshot(form)
+	stored := golden.Read(t, "snapshot.form")
+	snapshot, err := DecodeSnapshot(stored)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.CheckValues(t, "snapshot", snapshotValues(snapshot))
-	if again := snapshot.Encode(); string(again) != string(form) {
-		t.Errorf("encoding again gives other bytes:\nexpected %x\nfound    %x", form, again)
+	if encoded := snapshot.Encode(); string(encoded) != string(stored) {
+		t.Errorf("the snapshot is encoded differently:\nexpected %x\nfound    %x", stored, encoded)
 	}
 }
 
-// snapshotValues lists all that a snapshot holds, in the order in which the earlier version had it.
+// snapshotValues lists all values in a snapshot, in the order in which the earlier version listed them.
 func snapshotValues(s *Snapshot) (values []any) {
 	for _, l := range s.classes {
 		values = append(values, l.name, l.mean, l.count)
--- a/internal/query/costmodel/grammar_test.go
+++ b/internal/query/costmodel/grammar_test.go
@@ -14,7 +14,7 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// The token types that the grammar sees.
+// The token types of the grammar.
 const (
 	typeName lexer.TokenType = iota - 100
 	typeKey
@@ -24,7 +24,7 @@
 	typeSign
 )
 
-// lexerDefinition has participle read our lexer's tokens.
+// lexerDefinition makes the tokens of sqltext.Lexer available to participle.
 type lexerDefinition struct{}
 
 func (lexerDefinition) Symbols() map[string]lexer.TokenType {
@@ -37,16 +37,17 @@
 }
 
 type tokenStream struct {
-	l    sqltext.Lexer
-	last bool // the token before was a dot, so a word is a name
+	l        sqltext.Lexer
+	afterDot bool // the previous token was a dot, so a word is a name
 }
 
-// Next hands out the next token; MySQL takes any word behind a dot for a name, and function names are names.
+// Next returns the next token. Like MySQL, it treats any word after a dot as a name, and keywords that name a
+// function as names.
 func (t *tokenStream) Next() (lexer.Token, error) {
 	tok := t.l.Next()
 	out := lexer.Token{Pos: lexer.Position{Offset: tok.From}}
-	dot := t.last
-	t.last = tok.Sign == '.'
+	afterDot := t.afterDot
+	t.afterDot = tok.Sign == '.'
 	text := t.l.Bytes(tok)
 	switch tok.Kind {
 	case sqltext.End:
@@ -55,7 +56,7 @@
 	case sqltext.Word:
 		out.Type, out.Value = typeName, string(text)
 		isCall := t.l.Peek().Sign == '('
-		if upper := strings.ToUpper(out.Value); !dot && keywords[upper] != "" && (!functionKeywords[upper] || !isCall) {
+		if upper := strings.ToUpper(out.Value); !afterDot && keywords[upper] != "" && (!functionKeywords[upper] || !isCall) {
 			out.Type, out.Value = typeKey, upper
 		}
 	case sqltext.Quoted:
@@ -75,11 +76,12 @@
 	return out, nil
 }
 
-// grammarParser is the parser that participle builds of the tree's tags.
+// grammarParser is the parser that participle builds from the tags of the syntax tree.
 var grammarParser = sync.OnceValues(func() (*participle.Parser[statement], error) {
 	return participle.Build[statement](participle.Lexer(lexerDefinition{}), participle.UseLookahead(3))
 })
 
+// readByGrammar reads the features of a statement with the parser that participle builds.
 func readByGrammar(sql []byte) (*Features, error) {
 	p, err := grammarParser()
 	if err != nil {
@@ -99,24 +101,26 @@
 	return f, nil
 }
 
-// checkAgainstGrammar holds what is read by hand against what the library reads by the tags.
-func checkAgainstGrammar(t *testing.T, sql string) (both bool) {
+// checkAgainstGrammar compares the features that the parser written by hand reads with those that participle reads.
+// It returns whether participle accepts the statement.
+func checkAgainstGrammar(t *testing.T, sql string) (accepted bool) {
 	t.Helper()
 	want, err := readByGrammar([]byte(sql))
 	got := ReadFeatures([]byte(sql))
 	if err != nil {
-		return false // the reader by hand may take more, as it looks further ahead
+		return false // the parser by hand may accept more statements, because it looks further ahead
 	}
 	if !got.Parsed {
-		t.Errorf("%s\nby hand: %s, by the library: %s", sql, got.ParseError, show(want))
+		t.Errorf("%s\nparser by hand: rejected: %s\nparticiple:     %s", sql, got.ParseError, show(want))
 	} else if show(got) != show(want) {
-		t.Errorf("%s\nby hand        %s\nby the library %s", sql, show(got), show(want))
+		t.Errorf("%s\nparser by hand: %s\nparticiple:     %s", sql, show(got), show(want))
 	}
 	return true
 }
 
-// Whatever the library takes is read the same by hand: statements of people, of planners, and each of them with a token
-// taken out, doubled or put in another's place.
+// For any statement that participle accepts, the parser written by hand reads the same features. The statements are
+// like those of people and of planners, and are also tested with each token removed, doubled or replaced by another
+// token of the statement.
 func TestParserAgreesWithGrammar(t *testing.T) {
 	list := []string{
 		"SELECT DISTINCT a, b AS x, c 'y' FROM a_1.m m USE INDEX (i, j) WHERE a = 1 AND (b = 2 OR c = 3) AND d IS NOT NULL",
@@ -140,18 +144,18 @@
 	for i := range p.Templates {
 		list = append(list, strings.NewReplacer("{group}", "1", "{literal}", "v").Replace(p.Templates[i].Text))
 	}
-	parsed, changed := 0, 0
+	accepted, changed := 0, 0
 	for n, sql := range list {
 		if !checkAgainstGrammar(t, sql) {
-			t.Errorf("the library doesn't take it: %s", sql)
+			t.Errorf("participle rejects: %s", sql)
 			continue
 		}
-		parsed++
+		accepted++
 		var parts []string
 		l := sqltext.Lexer{Text: []byte(sql)}
-		for k := l.Next(); k.Kind != sqltext.End; k = l.Next() {
-			text := string(l.Bytes(k))
-			switch k.Kind {
+		for token := l.Next(); token.Kind != sqltext.End; token = l.Next() {
+			text := string(l.Bytes(token))
+			switch token.Kind {
 			case sqltext.Text:
 				text = "'" + text + "'"
 			case sqltext.Quoted:
@@ -161,20 +165,21 @@
 			}
 			parts = append(parts, text)
 		}
-		if n >= 20+10 { // of planners' forms, which are alike, some
+		if n >= 20+10 { // only the first of the planner's statements are changed, because they are similar
 			continue
 		}
 		for i := range parts {
-			for _, other := range []string{"", parts[i] + " " + parts[i], parts[(i*7+3)%len(parts)]} {
-				if checkAgainstGrammar(t, strings.Join(parts[:i], " ")+" "+other+" "+strings.Join(parts[i+1:], " ")) {
+			for _, replacement := range []string{"", parts[i] + " " + parts[i], parts[(i*7+3)%len(parts)]} {
+				if checkAgainstGrammar(t, strings.Join(parts[:i], " ")+" "+replacement+" "+strings.Join(parts[i+1:], " ")) {
 					changed++
 				}
 			}
 		}
 	}
-	t.Logf("%d statements, and %d changed ones that the library takes", parsed, changed)
+	t.Logf("%d statements, and %d changed ones that participle accepts", accepted, changed)
 }
 
+// FuzzRead checks that the features of any text stay within their limits, and that both parsers agree on short texts.
 func FuzzRead(f *testing.F) {
 	f.Add("SELECT a FROM t_1.m WHERE x IN (1,2) AND y = 'z' OR (a + 1) > 5 ORDER BY b LIMIT 5")
 	f.Add("INSERT INTO t SELECT * FROM ((a JOIN b ON a.x = b.x)) WHERE CASE WHEN a THEN b END")
--- a/internal/query/costmodel/model_test.go
+++ b/internal/query/costmodel/model_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-func BenchmarkKnownShape(b *testing.B) { // a shape that is known, up to its estimate
+// BenchmarkKnownShape measures Inspect and Estimate for a known shape.
+func BenchmarkKnownShape(b *testing.B) {
 	model := NewModel(1<<20, 1, nil)
 	sql := []byte(shortStatement)
 	s := model.Inspect(sql, 17, 0)
@@ -32,7 +33,8 @@
 	}
 }
 
-// drawCost draws answers about a mean: lognormal, one in ten a bad plan.
+// drawCost draws a cost from a lognormal distribution. A share bad of the costs are those of bad plans, which are 15
+// to 24 times as high.
 func drawCost(r *rand.Rand, mean, deviation, bad float64) float64 {
 	v := mean * math.Exp(deviation*r.NormFloat64())
 	if r.Float64() < bad {
@@ -41,8 +43,8 @@
 	return v
 }
 
-// A cost that is usual one time and bad one time in ten is known by both; a shift of factor three is found within
-// twenty answers, and false alarms are rarer than one in ten thousand answers.
+// If one plan in ten is bad, the estimate has both the usual cost and the bad plans. A shift by a factor of three is
+// detected within twenty answers, and there is less than one false alarm in ten thousand answers.
 func TestShiftIsDetected(t *testing.T) {
 	found, late, alarms, answers := 0, 0, int64(0), 0
 	for seed := range int64(200) {
@@ -74,15 +76,16 @@
 	}
 }
 
-// Scans and look-ups of one class are told apart once a few of either have been observed elsewhere.
+// The first estimates of a scan and of a lookup in the same class differ, after the costs of other scans and lookups
+// have been observed.
 func TestFirstEstimateTellsScansFromLookups(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	model := NewModel(1<<20, 1, nil)
 	for i := range 30 {
-		look := fmt.Sprintf("SELECT a FROM t_%d.m WHERE k%d = 1", i%5, i)
+		lookup := fmt.Sprintf("SELECT a FROM t_%d.m WHERE k%d = 1", i%5, i)
 		scan := fmt.Sprintf("SELECT k%d, count(*) FROM t_%d.m GROUP BY k%d", i, i%5, i)
 		for range 5 {
-			s := model.Inspect([]byte(look), i%5, 0)
+			s := model.Inspect([]byte(lookup), i%5, 0)
 			model.Observe(&s, drawCost(r, 50, 0.5, 0), 0)
 		}
 		if i%5 == 0 {
@@ -90,15 +93,15 @@
 			model.Observe(&s, drawCost(r, 2000, 0.5, 0), 0)
 		}
 	}
-	one := model.Inspect([]byte("SELECT z FROM t_9.other WHERE y = 7"), 9, 0)
-	two := model.Inspect([]byte("SELECT z, count(*) FROM t_9.other GROUP BY z"), 9, 0)
-	look, scan := model.Estimate(&one), model.Estimate(&two)
-	if look.Observations != 0 || look.WorkMillis < 20 || look.WorkMillis > 150 || scan.WorkMillis < 600 || scan.FullScan != "t_9.other" || look.FullScan != "" {
-		t.Errorf("look-up %+v\nscan %+v", look, scan)
+	lookupQuery := model.Inspect([]byte("SELECT z FROM t_9.other WHERE y = 7"), 9, 0)
+	scanQuery := model.Inspect([]byte("SELECT z, count(*) FROM t_9.other GROUP BY z"), 9, 0)
+	lookup, scan := model.Estimate(&lookupQuery), model.Estimate(&scanQuery)
+	if lookup.Observations != 0 || lookup.WorkMillis < 20 || lookup.WorkMillis > 150 || scan.WorkMillis < 600 || scan.FullScan != "t_9.other" || lookup.FullScan != "" {
+		t.Errorf("lookup %+v\nscan %+v", lookup, scan)
 	}
 }
 
-// Loads make estimates uncertain, and a cost that grows with the loads is followed.
+// A load makes estimates uncertain, and the estimate follows a cost that grows with the loads.
 func TestLoadMakesEstimateUncertain(t *testing.T) {
 	r := rand.New(rand.NewSource(5))
 	model := NewModel(1<<20, 1, nil)
@@ -118,11 +121,11 @@
 		mean *= 1.04
 	}
 	if e := model.Estimate(&s); e.WorkMillis < 0.75*mean || e.WorkMillis > 1.3*mean {
-		t.Errorf("estimate %.0f, truth %.0f", e.WorkMillis, mean)
+		t.Errorf("estimate %.0f, actual mean %.0f", e.WorkMillis, mean)
 	}
 }
 
-// skewTrial observes statements whose cost may depend on their literal.
+// skewTrial observes statements whose cost may depend on a literal.
 type skewTrial struct {
 	model  *Model
 	random *rand.Rand
@@ -140,8 +143,8 @@
 	return q, cost
 }
 
-// run observes 700 statements: with sixteen literals if the trial is skewed, and with literals that never come again
-// otherwise.
+// run observes 700 statements. If the trial is skewed, they have sixteen different literals, and otherwise literals
+// that never repeat.
 func (s *skewTrial) run() {
 	for range 700 {
 		literal := s.random.Intn(16)
@@ -153,10 +156,10 @@
 	}
 }
 
-// A shape is split if one literal of sixteen is costly, and then the literal's group is known by its own observations; bad
-// plans alone, or literals that never come again, split nothing.
+// A shape is split if one literal of sixteen is costly, and the estimate of the literal's group then comes from its
+// own observations. Bad plans alone, or literals that never repeat, do not split a shape.
 func TestCostlyLiteralSplitsShape(t *testing.T) {
-	split, falsely := 0, 0
+	split, falseSplits := 0, 0
 	for seed := range int64(40) {
 		random := rand.New(rand.NewSource(seed))
 		for _, skewed := range []bool{true, false} {
@@ -164,10 +167,10 @@
 			trial.run()
 			splits := trial.model.SplitShapes.Load()
 			if n := trial.model.skewSearches.Load(); n != 0 {
-				t.Errorf("seed %d: %d shapes are still searched", seed, n)
+				t.Errorf("seed %d: %d searches have not ended", seed, n)
 			}
 			if !skewed {
-				falsely += int(splits)
+				falseSplits += int(splits)
 				continue
 			}
 			if splits == 0 {
@@ -181,8 +184,8 @@
 			}
 		}
 	}
-	t.Logf("%d of 40 split, %d falsely", split, falsely)
-	if split < 36 || falsely > 0 {
-		t.Errorf("%d of 40 split, %d falsely", split, falsely)
+	t.Logf("%d of 40 skewed shapes split, %d splits of other shapes", split, falseSplits)
+	if split < 36 || falseSplits > 0 {
+		t.Errorf("%d of 40 skewed shapes split, %d splits of other shapes", split, falseSplits)
 	}
 }
--- a/internal/query/costmodel/snapshot_test.go
+++ b/internal/query/costmodel/snapshot_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// learnedModel returns a model that has observed some shapes in two classes.
+// learnedModel returns a model with observations of several shapes in two classes.
 func learnedModel(seed int64) *Model {
 	r := rand.New(rand.NewSource(seed))
 	model := NewModel(1<<20, 2, nil)
@@ -31,31 +31,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := NewModel(1<<20, 2, nil)
-	again.Restore(s, classes)
+	restored := NewModel(1<<20, 2, nil)
+	restored.Restore(s, classes)
 	for i := range 7 {
 		sql := []byte(fmt.Sprintf("SELECT k%d FROM t_1.m WHERE b = 1 ORDER BY k%d", i, i))
-		one, two := model.Inspect(sql, 1, 1), again.Inspect(sql, 1, 1)
-		if e, f := model.Estimate(&one), again.Estimate(&two); e != f || e.Observations == 0 {
-			t.Errorf("%+v is not %+v", f, e)
+		one, two := model.Inspect(sql, 1, 1), restored.Inspect(sql, 1, 1)
+		if e, f := model.Estimate(&one), restored.Estimate(&two); e != f || e.Observations == 0 {
+			t.Errorf("the restored model estimates %+v, expected %+v", f, e)
 		}
 	}
-	if string(again.Snapshot(classes).Encode()) != string(b) {
-		t.Error("written again it is another")
+	if string(restored.Snapshot(classes).Encode()) != string(b) {
+		t.Error("the snapshot of the restored model differs")
 	}
-	// Cut anywhere, with any bit flipped, or of another version, it is refused as a whole.
+	// A snapshot that is truncated anywhere, has a bit flipped or another version is rejected.
 	for n := range b {
 		if _, err := DecodeSnapshot(b[:n]); err == nil {
-			t.Fatalf("cut to %d bytes it is read", n)
+			t.Fatalf("a snapshot truncated to %d bytes is accepted", n)
 		}
 		bad := append([]byte(nil), b...)
 		bad[n] ^= 1 << (n % 8)
 		if _, err := DecodeSnapshot(bad); err == nil {
-			t.Fatalf("with byte %d changed it is read", n)
+			t.Fatalf("a snapshot with byte %d changed is accepted", n)
 		}
 	}
 	if _, err := DecodeSnapshot(append(append([]byte(nil), b...), 0)); err == nil {
-		t.Error("with a byte more it is read")
+		t.Error("a snapshot with an additional byte is accepted")
 	}
 	other := append([]byte(nil), b...)
 	other[4]++
@@ -64,44 +64,45 @@
 	}
 }
 
-// Merged, two gateways' knowledge is as if one had seen all answers: quantiles of each shape, classes, loads; and the
-// regression lies between the two.
+// The merged snapshot of two gateways has the sketches and loads that one gateway would have with the observations of
+// both, and its regression lies between the two.
 func TestMergeSnapshots(t *testing.T) {
 	classes := []string{"look", "report"}
-	one, two := learnedModel(1).Snapshot(classes), learnedModel(2).Snapshot(classes)
-	m := MergeSnapshots(one, two)
-	if r, n := m.CountRecords(); r != 21 || n != 600 {
-		t.Errorf("%d shapes, %d answers", r, n)
+	first, second := learnedModel(1).Snapshot(classes), learnedModel(2).Snapshot(classes)
+	merged := MergeSnapshots(first, second)
+	if r, n := merged.CountRecords(); r != 21 || n != 600 {
+		t.Errorf("%d records, %d observations", r, n)
 	}
-	for i := range m.records {
+	for i := range merged.records {
 		var want Sketch
-		want.Merge(&one.records[i].sketch)
-		want.Merge(&two.records[i].sketch)
-		if m.records[i].sketch != want {
-			t.Fatalf("record %d", i)
+		want.Merge(&first.records[i].sketch)
+		want.Merge(&second.records[i].sketch)
+		if merged.records[i].sketch != want {
+			t.Fatalf("record %d: the sketch is not the sum of both", i)
 		}
 	}
-	if m.groups[1].loads != one.groups[1].loads+two.groups[1].loads {
-		t.Errorf("loads %+v", m.groups)
+	if merged.groups[1].loads != first.groups[1].loads+second.groups[1].loads {
+		t.Errorf("loads %+v", merged.groups)
 	}
-	for i, w := range m.weights {
-		lo, hi := min(one.weights[i], two.weights[i], initialWeights[i]), max(one.weights[i], two.weights[i], initialWeights[i])
+	for i, w := range merged.weights {
+		lo, hi := min(first.weights[i], second.weights[i], initialWeights[i]), max(first.weights[i], second.weights[i], initialWeights[i])
 		if w < lo-0.3 || w > hi+0.3 {
-			t.Errorf("weight %d: %.2f of %.2f and %.2f", i, w, one.weights[i], two.weights[i])
+			t.Errorf("weight %d: %.2f from %.2f and %.2f", i, w, first.weights[i], second.weights[i])
 		}
 	}
-	if same := MergeSnapshots(one); same.weights[0]-one.weights[0] > 1e-6 || one.weights[0]-same.weights[0] > 1e-6 {
-		t.Errorf("one alone: %v, %v", same.weights, one.weights)
+	if same := MergeSnapshots(first); same.weights[0]-first.weights[0] > 1e-6 || first.weights[0]-same.weights[0] > 1e-6 {
+		t.Errorf("merging one snapshot changes its weights: %v, expected %v", same.weights, first.weights)
 	}
-	if _, err := DecodeSnapshot(m.Encode()); err != nil {
+	if _, err := DecodeSnapshot(merged.Encode()); err != nil {
 		t.Error(err)
 	}
 }
 
+// FuzzDecode checks that a snapshot that can be decoded can also be restored, observed and merged without a panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(learnedModel(1).Snapshot([]string{"a", "b"}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > 16 { // past the checksum, so that what is behind it is reached
+		if len(b) > 16 { // sets a valid header and checksum, so that the payload is decoded
 			b = append([]byte(nil), b...)
 			copy(b, snapshotMagic)
 			binary.LittleEndian.PutUint16(b[4:], snapshotVersion)
@@ -111,10 +112,10 @@
 		if s, err := DecodeSnapshot(b); err == nil {
 			model := NewModel(1<<16, 2, nil)
 			model.Restore(s, []string{"a", "b"})
-			look := model.Inspect([]byte("SELECT 1"), 0, 0)
-			model.Observe(&look, 5, 0)
+			query := model.Inspect([]byte("SELECT 1"), 0, 0)
+			model.Observe(&query, 5, 0)
 			if _, err := DecodeSnapshot(MergeSnapshots(s, model.Snapshot([]string{"a", "b"})).Encode()); err != nil {
-				t.Log(err) // sums of what was read may leave what can be read, and are refused
+				t.Log(err) // the sums of decoded values may exceed the accepted range, so an error is no failure
 			}
 		}
 	})
--- a/internal/query/sqltext/lexer.go
+++ b/internal/query/sqltext/lexer.go
@@ -152,11 +152,11 @@
 }
 
 // readDelimited reads a token whose text begins at an offset and ends before a delimiter.
-func (l *Lexer) readDelimited(kind Kind, from int, mark string) Token {
-	token := Token{Kind: kind, From: from, Unterminated: !l.skipPast(from, mark)}
+func (l *Lexer) readDelimited(kind Kind, from int, delimiter string) Token {
+	token := Token{Kind: kind, From: from, Unterminated: !l.skipPast(from, delimiter)}
 	token.To = l.Offset
 	if !token.Unterminated {
-		token.To = max(from, l.Offset-len(mark))
+		token.To = max(from, l.Offset-len(delimiter))
 	}
 	return token
 }
@@ -197,17 +197,17 @@
 
 // skipPast moves to after the first delimiter from an offset on, and reports whether there is one. If there is none,
 // it moves to the end of the text.
-func (l *Lexer) skipPast(from int, mark string) bool {
+func (l *Lexer) skipPast(from int, delimiter string) bool {
 	if from > len(l.Text) {
 		l.Offset = len(l.Text)
 		return false
 	}
-	distance := bytes.Index(l.Text[from:], []byte(mark))
+	distance := bytes.Index(l.Text[from:], []byte(delimiter))
 	if distance < 0 {
 		l.Offset = len(l.Text)
 		return false
 	}
-	l.Offset = from + distance + len(mark)
+	l.Offset = from + distance + len(delimiter)
 	return true
 }
 
--- a/internal/query/sqltext/sqltext_test.go
+++ b/internal/query/sqltext/sqltext_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// One line a statement: its normal form.
+// The example prints the normal form of one statement in each line.
 func ExampleAppendNormalized() {
 	for _, sql := range []string{
 		"SELECT a, 1.5e-3 FROM actas_17.mesas /* c */ WHERE b = 'it''s' AND c IN (1, 2, -3) -- end",
@@ -36,28 +36,29 @@
 	// select a
 }
 
-// Whatever a statement is, its shape takes a bounded time and is that of its normal form.
+// The shapes of lists and rows do not depend on their length, and any statement's shape takes a bounded time.
 func TestShapeTakesBoundedTime(t *testing.T) {
-	in := "SELECT a FROM t WHERE b IN (" + strings.Repeat("17, ", 10000) + "1)"
+	list := "SELECT a FROM t WHERE b IN (" + strings.Repeat("17, ", 10000) + "1)"
 	rows := "INSERT INTO t VALUES " + strings.Repeat("(1, 'x', (2)), ", 10000) + "(1)"
-	if Shape([]byte(in)) != Shape([]byte("select a from t where b in (1,2)")) || Shape([]byte(in)) == Shape([]byte("select a from t where b in (1)")) {
-		t.Error("a list of ten thousand is not one of two")
+	if Shape([]byte(list)) != Shape([]byte("select a from t where b in (1,2)")) || Shape([]byte(list)) == Shape([]byte("select a from t where b in (1)")) {
+		t.Error("a list of ten thousand literals does not have the shape of a list of two")
 	}
 	if Shape([]byte(rows)) != Shape([]byte("insert into t values (1,2,(3)),(4)")) {
-		t.Error("ten thousand rows are not two")
+		t.Error("ten thousand rows do not have the shape of two rows")
 	}
 	for _, c := range []struct{ name, text string }{{"brackets", strings.Repeat("(", MaxStatementBytes)}, {"quotes", strings.Repeat("'\\", MaxStatementBytes/2)},
 		{"back quotes", strings.Repeat("`", MaxStatementBytes)}, {"comments", strings.Repeat("/*", MaxStatementBytes/2)}, {"hints", strings.Repeat("/*+*/", MaxStatementBytes/5)},
-		{"commas", strings.Repeat("1,(", MaxStatementBytes/3)}, {"signs", strings.Repeat("-", MaxStatementBytes)}, {"list", in}, {"rows", rows},
+		{"commas", strings.Repeat("1,(", MaxStatementBytes/3)}, {"signs", strings.Repeat("-", MaxStatementBytes)}, {"list", list}, {"rows", rows},
 		{"values", strings.Repeat("values(),(", MaxStatementBytes/10)}, {"too long", strings.Repeat("a", MaxStatementBytes+1)}} {
 		began := time.Now()
 		Shape([]byte(c.text))
-		if took := time.Since(began); took > 30*time.Second { // linear is some milliseconds, squared hours
+		if took := time.Since(began); took > 30*time.Second { // linear time is some milliseconds, quadratic time is hours
 			t.Errorf("%s took %v", c.name, took)
 		}
 	}
 }
 
+// FuzzShape checks that literals, spacing and comments do not change the normal form of any text.
 func FuzzShape(f *testing.F) {
 	f.Add([]byte("SELECT a FROM t_1.m WHERE x IN (1,2) AND y = 'z'"), []byte("7"))
 	f.Add([]byte("INSERT INTO t VALUES (1),(2)"), []byte("'it'"))
@@ -71,7 +72,7 @@
 			text := sql[tok.From:tok.To]
 			switch {
 			case tok.Unterminated, tok.Kind == Hint, tok.Kind == Sign && (tok.Sign == '\\'):
-				return // what is open takes in what would be put behind it
+				return // text appended after an unterminated token would become part of it
 			case tok.Kind == Quoted:
 				out = append(append(append(out, '`'), text...), "` "...)
 				other = append(append(append(other, '`'), text...), "`\n"...)
@@ -83,17 +84,17 @@
 				other = append(append(other, text...), " /* c */ "...)
 			}
 		}
-		if a, b := AppendNormalized(nil, out), AppendNormalized(nil, other); !bytes.Equal(a, b) { // other literals and spacing
+		if a, b := AppendNormalized(nil, out), AppendNormalized(nil, other); !bytes.Equal(a, b) { // the two differ in literals and spacing
 			t.Fatalf("%q: %q\n%q: %q", out, a, other, b)
 		}
 	})
 }
 
-const short = `SELECT dia, count(*), max(nota) FROM actas_17.mesas WHERE clave = '3f9c2a' AND distrito IN (4, 8, 15, 16) AND nota > 3.5 ` +
+const shortStatement = `SELECT dia, count(*), max(nota) FROM actas_17.mesas WHERE clave = '3f9c2a' AND distrito IN (4, 8, 15, 16) AND nota > 3.5 ` +
 	`GROUP BY dia HAVING count(*) > 10 ORDER BY dia DESC LIMIT 20 /* some more words that nobody reads, so that it is as long as three hundred bytes are, as many are */`
 
 func BenchmarkShape(b *testing.B) {
-	sql := []byte(short)
+	sql := []byte(shortStatement)
 	b.ReportAllocs()
 	b.SetBytes(int64(len(sql)))
 	for b.Loop() {
--- a/internal/traffic/capture/capture_test.go
+++ b/internal/traffic/capture/capture_test.go
@@ -20,9 +20,9 @@
 
 // A recording can be read back: the fields and shapes, and the text if it was requested.
 func TestRecordedQueriesCanBeRead(t *testing.T) {
-	for _, text := range []bool{false, true} {
+	for _, withText := range []bool{false, true} {
 		path := filepath.Join(t.TempDir(), "x.trace")
-		c, err := Start(path, 1<<20, text, quiet)
+		c, err := Start(path, 1<<20, withText, quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,10 +37,10 @@
 			t.Fatalf("%v, %v", got, err)
 		}
 		r := got.Records[99]
-		if r.Class != "look" || r.Group != 3 || r.WaitMS != 700 || !r.Retry || r.Shape == 0 || (r.Text == statement) != text {
+		if r.Class != "look" || r.Group != 3 || r.WaitMS != 700 || !r.Retry || r.Shape == 0 || (r.Text == statement) != withText {
 			t.Errorf("%+v", r)
 		}
-		if _, err := Start(path, 1, text, quiet); err == nil {
+		if _, err := Start(path, 1, withText, quiet); err == nil {
 			t.Error("an existing file is overwritten")
 		}
 	}
@@ -52,8 +52,8 @@
 // A file that reaches its maximum size is complete, and the recorder keeps accepting queries.
 func TestFileKeepsToItsSize(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.trace")
-	const most = 4000
-	c, err := Start(path, most, true, quiet)
+	const maxBytes = 4000
+	c, err := Start(path, maxBytes, true, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	}
 	c.Stop()
 	got, err := trace.ReadFile(path, false)
-	if err != nil || len(got.Records) < 40 || len(got.Records) > most/len(statement) || c.dropped.Load()+int64(len(got.Records)) != 5000 {
+	if err != nil || len(got.Records) < 40 || len(got.Records) > maxBytes/len(statement) || c.dropped.Load()+int64(len(got.Records)) != 5000 {
 		t.Errorf("%d records, %d dropped, %v", len(got.Records), c.dropped.Load(), err)
 	}
 }
--- a/internal/traffic/importer/importer_test.go
+++ b/internal/traffic/importer/importer_test.go
@@ -9,10 +9,10 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-func show(form Format, text string, o Options) {
-	entries, malformed, err := Read(strings.NewReader(text), form, o)
+func show(format Format, text string, o Options) {
+	entries, malformed, err := Read(strings.NewReader(text), format, o)
 	t, repairs := RepairClock(entries, ClockRepair{})
-	fmt.Printf("%s: %d, %v\n", form, len(entries), err)
+	fmt.Printf("%s: %d, %v\n", format, len(entries), err)
 	for _, r := range t.Records {
 		fmt.Printf("  %v %s group %d wait %d retry %v text %q\n", r.Offset, r.Class, r.Group, r.WaitMS, r.Retry, r.Text)
 	}
@@ -86,8 +86,8 @@
 	// xml: 0, form "xml": expected jsonl, csv, mysql-general or mysql-slow
 }
 
-// raw returns entries with timestamps in milliseconds from noon; -1 stands for none.
-func raw(ms ...int64) (out []Entry) {
+// entriesAt returns entries with timestamps in milliseconds from noon; -1 stands for none.
+func entriesAt(ms ...int64) (out []Entry) {
 	noon := time.Date(2026, 11, 1, 12, 0, 0, 0, time.UTC)
 	for i, m := range ms {
 		r := Entry{Line: i + 1, Record: trace.Record{Group: i}}
@@ -107,15 +107,15 @@
 		entries []Entry
 		clock   ClockRepair
 	}{
-		{"as it was", raw(0, 100, 200, 300), ClockRepair{}},
-		{"jumps back an hour", raw(2*hour, 2*hour+100, hour+200, hour+300), ClockRepair{}},
-		{"jumps forward a day", raw(0, 100, 200, day+300, day+400), ClockRepair{}},
-		{"a day of quiet, kept", raw(0, 100, 200, day+300, day+400), ClockRepair{KeepGaps: true}},
-		{"days in the wrong order", raw(day, day+100, 0, 100, 2*day, 2*day+100), ClockRepair{}},
-		{"a little out of order", raw(0, 200, 150, 300), ClockRepair{}},
-		{"no stamps", raw(0, -1, -1, 300), ClockRepair{}},
-		{"none at all", raw(-1, -1), ClockRepair{}},
-		{"whole seconds", raw(0, 0, 0, 0, 1000, 1000, 2000), ClockRepair{}},
+		{"as it was", entriesAt(0, 100, 200, 300), ClockRepair{}},
+		{"jumps back an hour", entriesAt(2*hour, 2*hour+100, hour+200, hour+300), ClockRepair{}},
+		{"jumps forward a day", entriesAt(0, 100, 200, day+300, day+400), ClockRepair{}},
+		{"a day of quiet, kept", entriesAt(0, 100, 200, day+300, day+400), ClockRepair{KeepGaps: true}},
+		{"days in the wrong order", entriesAt(day, day+100, 0, 100, 2*day, 2*day+100), ClockRepair{}},
+		{"a little out of order", entriesAt(0, 200, 150, 300), ClockRepair{}},
+		{"no stamps", entriesAt(0, -1, -1, 300), ClockRepair{}},
+		{"none at all", entriesAt(-1, -1), ClockRepair{}},
+		{"whole seconds", entriesAt(0, 0, 0, 0, 1000, 1000, 2000), ClockRepair{}},
 		{"nothing", nil, ClockRepair{}},
 	} {
 		t, repairs := RepairClock(c.entries, c.clock)
@@ -175,11 +175,11 @@
 // RepairClock keeps the order, and times never decrease, whatever the timestamps are.
 func TestOrder(t *testing.T) {
 	stamps := []int64{5, 5, -1, 3, 86400_000 * 3, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 0, 3600_000, -1, 1}
-	for turn := range stamps {
-		got, _ := RepairClock(raw(append(stamps[turn:len(stamps):len(stamps)], stamps[:turn]...)...), ClockRepair{})
+	for rotation := range stamps {
+		got, _ := RepairClock(entriesAt(append(stamps[rotation:len(stamps):len(stamps)], stamps[:rotation]...)...), ClockRepair{})
 		for i, r := range got.Records {
 			if r.Group != i || i > 0 && r.Offset < got.Records[i-1].Offset {
-				t.Fatalf("rotation %d: record %d is %+v", turn, i, r)
+				t.Fatalf("rotation %d: record %d is %+v", rotation, i, r)
 			}
 		}
 	}
--- a/internal/traffic/importer/repair.go
+++ b/internal/traffic/importer/repair.go
@@ -54,7 +54,8 @@
 	JumpBack = "the clock jumped back"
 	// JumpForward replaces a jump forward by the mean gap. It is not made if ClockRepair.KeepGaps is set.
 	JumpForward = "the clock jumped forward"
-	// OutOfOrder keeps the order of two entries with slightly earlier second timestamp: both get the later time.
+	// OutOfOrder keeps the order of two entries although the second has a slightly earlier timestamp. Both get the
+	// later time.
 	OutOfOrder = "entries are a little out of order"
 	// NoTimestamp gives entries without a timestamp the time of the entry before them.
 	NoTimestamp = "entries have no stamp"
@@ -85,10 +86,10 @@
 		c.ReorderTolerance = defaultReorderTolerance
 	}
 	r := clockRepairer{
-		rules:   c,
-		entries: entries,
-		trace:   &trace.Trace{Records: make([]trace.Record, len(entries))},
-		meanGap: meanGap(entries, c),
+		rules:      c,
+		entries:    entries,
+		trace:      &trace.Trace{Records: make([]trace.Record, len(entries))},
+		typicalGap: meanGap(entries, c),
 	}
 	var offset time.Duration
 	for i := range entries {
@@ -105,7 +106,7 @@
 	rules             ClockRepair
 	entries           []Entry
 	trace             *trace.Trace
-	meanGap           time.Duration // mean gap of the entries, which replaces jumps of the clock
+	typicalGap        time.Duration // mean gap of the entries, which replaces jumps of the clock
 	repairs           []Repair
 	previousTimestamp time.Time // the last timestamp in order, from which the next gap is measured
 }
@@ -130,19 +131,19 @@
 	r.previousTimestamp = entry.Timestamp
 	switch {
 	case gap < 0:
-		r.repairs = append(r.repairs, Repair{entry.Line, JumpBack, 1, gap, r.meanGap})
-		return r.meanGap
+		r.repairs = append(r.repairs, Repair{entry.Line, JumpBack, 1, gap, r.typicalGap})
+		return r.typicalGap
 	case gap > r.rules.MaxGap && !r.rules.KeepGaps:
-		r.repairs = append(r.repairs, Repair{entry.Line, JumpForward, 1, gap, r.meanGap})
-		return r.meanGap
+		r.repairs = append(r.repairs, Repair{entry.Line, JumpForward, 1, gap, r.typicalGap})
+		return r.typicalGap
 	}
 	return gap
 }
 
 // addRepair adds a repair. If same is set and the last repair has the same kind, it increments the count of that one
 // instead.
-func addRepair(repairs []Repair, r Repair, same bool) []Repair {
-	if n := len(repairs); n > 0 && same && repairs[n-1].Kind == r.Kind {
+func addRepair(repairs []Repair, r Repair, mergeWithLast bool) []Repair {
+	if n := len(repairs); n > 0 && mergeWithLast && repairs[n-1].Kind == r.Kind {
 		repairs[n-1].Count++
 		return repairs
 	}
@@ -174,7 +175,7 @@
 // spreadTimestamps spreads the records that have the same offset.
 func (r *clockRepairer) spreadTimestamps() {
 	records := r.trace.Records
-	var few Repair
+	var fewRepair Repair
 	for first := 0; first < len(records); {
 		end := first + 1
 		for end < len(records) && records[end].Offset == records[first].Offset {
@@ -184,16 +185,16 @@
 			span := r.spread(first, end)
 			r.repairs = append(r.repairs, Repair{r.entries[first].Line, RepeatedTimestamp, count, 0, span})
 		} else if count > 1 {
-			if few.Count == 0 {
-				few = Repair{r.entries[first].Line, RepeatedFewTimestamps, 0, 0, 0}
+			if fewRepair.Count == 0 {
+				fewRepair = Repair{r.entries[first].Line, RepeatedFewTimestamps, 0, 0, 0}
 			}
-			few.Count += count
-			few.Applied = max(few.Applied, r.spread(first, end))
+			fewRepair.Count += count
+			fewRepair.Applied = max(fewRepair.Applied, r.spread(first, end))
 		}
 		first = end
 	}
-	if few.Count > 0 {
-		r.repairs = append(r.repairs, few)
+	if fewRepair.Count > 0 {
+		r.repairs = append(r.repairs, fewRepair)
 	}
 	slices.SortStableFunc(r.repairs, func(a, b Repair) int { return a.Line - b.Line })
 }
@@ -202,11 +203,11 @@
 // of maxSpread and their mean gaps. It returns the span.
 func (r *clockRepairer) spread(first, end int) time.Duration {
 	records, count := r.trace.Records, time.Duration(end-first)
-	span := count * max(r.meanGap, time.Microsecond)
+	span := count * max(r.typicalGap, time.Microsecond)
 	if end < len(records) {
 		span = records[end].Offset - records[first].Offset
 	}
-	span = min(span, max(maxSpread, count*r.meanGap))
+	span = min(span, max(maxSpread, count*r.typicalGap))
 	for i := range records[first:end] {
 		records[first+i].Offset += span * time.Duration(i) / count
 	}
--- a/internal/traffic/importer/transform.go
+++ b/internal/traffic/importer/transform.go
@@ -34,9 +34,9 @@
 func Sample(t *trace.Trace, share float64, seed int64) *trace.Trace {
 	r := rand.New(rand.NewSource(seed))
 	out := &trace.Trace{Start: t.Start}
-	for _, one := range t.Records {
+	for _, record := range t.Records {
 		if r.Float64() < share {
-			out.Records = append(out.Records, one)
+			out.Records = append(out.Records, record)
 		}
 	}
 	return out
--- a/internal/traffic/trace/format_test.go
+++ b/internal/traffic/trace/format_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestTraceOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
-	form := golden.Read(t, "trace.form")
-	recorded, err := Read(bytes.NewReader(form))
+	stored := golden.Read(t, "trace.form")
+	recorded, err := Read(bytes.NewReader(stored))
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.CheckValues(t, "trace", []any{recorded.Start.UnixMicro(), recorded.Records})
-	if again := written(t, recorded, 3); !bytes.Equal(again, form) {
-		t.Errorf("expected %x\nfound    %x", form, again)
+	if rewritten := encodeTrace(t, recorded, 3); !bytes.Equal(rewritten, stored) {
+		t.Errorf("expected %x\nfound    %x", stored, rewritten)
 	}
 }
--- a/internal/traffic/trace/trace_test.go
+++ b/internal/traffic/trace/trace_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-func some(n int) *Trace {
+// makeTrace returns a trace with n records.
+func makeTrace(n int) *Trace {
 	t := &Trace{Start: time.UnixMicro(1764600000_000001)}
 	for i := range n {
 		r := Record{Offset: time.Duration(i*i) * time.Microsecond, Class: []string{"look", "report", "load"}[i%3], Group: i % 20,
@@ -24,7 +25,8 @@
 	return t
 }
 
-func written(t *testing.T, tr *Trace, flushEach int) []byte {
+// encodeTrace returns the bytes of a trace that is written with a flush after every flushEach records.
+func encodeTrace(t *testing.T, tr *Trace, flushEach int) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	w, err := NewWriter(&b, tr.Start)
@@ -50,16 +52,16 @@
 // A trace that is truncated at any byte, or has any byte changed, gives an error with an offset, and the records
 // before that offset are unchanged.
 func TestCorruptTraceIsReported(t *testing.T) {
-	want := some(60)
-	file := written(t, want, 11)
+	want := makeTrace(60)
+	file := encodeTrace(t, want, 11)
 	got, err := Read(bytes.NewReader(file))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("the whole file: %v, %d records", err, len(got.Records))
+		t.Fatalf("the complete file: %v, %d records", err, len(got.Records))
 	}
 	check := func(what string, b []byte) {
 		got, err := Read(bytes.NewReader(b))
-		var d *CorruptError
-		if !errors.As(err, &d) || d.Offset < 0 || d.Offset > int64(len(file))+blockHeaderBytes {
+		var corrupt *CorruptError
+		if !errors.As(err, &corrupt) || corrupt.Offset < 0 || corrupt.Offset > int64(len(file))+blockHeaderBytes {
 			t.Fatalf("%s: %v", what, err)
 		}
 		if len(got.Records) > len(want.Records) {
@@ -86,10 +88,10 @@
 // A write that fails leaves the old file as it was.
 func TestFailedWriteKeepsFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.trace")
-	if err := some(5000).WriteFile(path); err != nil {
+	if err := makeTrace(5000).WriteFile(path); err != nil {
 		t.Fatal(err)
 	}
-	bad := some(3)
+	bad := makeTrace(3)
 	bad.Records[2].Offset = 0
 	if err := bad.WriteFile(path); !errors.Is(err, ErrOutOfOrder) {
 		t.Errorf("records out of order: %v", err)
@@ -110,6 +112,7 @@
 	}
 }
 
+// FuzzRead checks that any trace that can be read is the same after it is written and read again.
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
 	w, _ := NewWriter(&b, time.UnixMicro(5))
@@ -122,8 +125,8 @@
 		if err != nil {
 			return
 		}
-		var again bytes.Buffer // a trace that can be read can also be written and read again
-		w, _ := NewWriter(&again, got.Start)
+		var rewritten bytes.Buffer // a trace that can be read can also be written and read again
+		w, _ := NewWriter(&rewritten, got.Start)
 		for i := range got.Records {
 			if err := w.Write(&got.Records[i]); err != nil {
 				t.Fatal(err)
@@ -132,7 +135,7 @@
 		if err := w.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if back, err := Read(&again); err != nil || !reflect.DeepEqual(back, got) {
+		if back, err := Read(&rewritten); err != nil || !reflect.DeepEqual(back, got) {
 			t.Fatalf("%v", err)
 		}
 	})
