--- a/internal/query/costmodel/cache.go
+++ b/internal/query/costmodel/cache.go
@@ -20,13 +20,13 @@
 const minShardEntries = 4
 
 type cacheShard[V any] struct {
-	mu        sync.Mutex
-	slots     map[uint64]int32 // indices in entries, by key
-	entries   []cacheEntry[V]
-	capacity  int
-	hand      int // index of the entry that is the next candidate for eviction
-	frequency frequency
-	_         [40]byte // padding, which keeps shards out of each other's CPU cache lines
+	mu           sync.Mutex
+	entryIndices map[uint64]int32 // indices in entries, by key
+	entries      []cacheEntry[V]
+	capacity     int
+	hand         int // index of the entry that is the next candidate for eviction
+	frequency    frequency
+	_            [40]byte // padding, which keeps shards out of each other's CPU cache lines
 }
 
 type cacheEntry[V any] struct {
@@ -44,7 +44,7 @@
 	capacity := max(minShardEntries, int(bytes/int64(valueBytes+entryOverheadBytes)/cacheShards))
 	for i := range c.shards {
 		shard := &c.shards[i]
-		shard.capacity, shard.slots = capacity, map[uint64]int32{}
+		shard.capacity, shard.entryIndices = capacity, map[uint64]int32{}
 		shard.frequency.reset(capacity)
 	}
 	return c
@@ -76,10 +76,10 @@
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	shard.frequency.add(spreadKey(key))
-	slot, ok := shard.slots[key]
+	index, ok := shard.entryIndices[key]
 	if ok {
-		shard.entries[slot].used = true
-		visit(shard.entries[slot].value)
+		shard.entries[index].used = true
+		visit(shard.entries[index].value)
 	}
 	return ok
 }
@@ -90,12 +90,12 @@
 	shard := c.shard(key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	if slot, ok := shard.slots[key]; ok {
-		shard.entries[slot].value = value
+	if index, ok := shard.entryIndices[key]; ok {
+		shard.entries[index].value = value
 		return evicted, true
 	}
 	if len(shard.entries) < shard.capacity {
-		shard.slots[key] = int32(len(shard.entries))
+		shard.entryIndices[key] = int32(len(shard.entries))
 		shard.entries = append(shard.entries, cacheEntry[V]{key: key, value: value})
 		return evicted, true
 	}
@@ -109,8 +109,8 @@
 		return evicted, false
 	}
 	evicted = victim.value
-	delete(shard.slots, victim.key)
-	shard.slots[key] = int32(shard.hand)
+	delete(shard.entryIndices, victim.key)
+	shard.entryIndices[key] = int32(shard.hand)
 	*victim = cacheEntry[V]{key: key, value: value}
 	shard.moveHand()
 	return evicted, true
@@ -123,7 +123,7 @@
 	for i := range c.shards {
 		shard := &c.shards[i]
 		shard.mu.Lock()
-		clear(shard.slots)
+		clear(shard.entryIndices)
 		clear(shard.entries)
 		shard.entries, shard.hand = shard.entries[:0], 0
 		shard.mu.Unlock()
@@ -179,12 +179,12 @@
 }
 
 // counterIndices returns the indices of a key's counters.
-func (f *frequency) counterIndices(key uint64) (slots [countersPerKey]uint64) {
-	for row := range slots {
+func (f *frequency) counterIndices(key uint64) (indices [countersPerKey]uint64) {
+	for row := range indices {
 		key = (key ^ key>>31) * 0x9e3779b97f4a7c15
-		slots[row] = key >> 20 & f.mask
+		indices[row] = key >> 20 & f.mask
 	}
-	return slots
+	return indices
 }
 
 // add counts a request for a key. Only the lowest of the key's counters are incremented, which reduces the effect of
@@ -194,9 +194,9 @@
 	if least >= maxFrequency {
 		return
 	}
-	for _, slot := range f.counterIndices(key) {
-		if f.counts[slot] == least {
-			f.counts[slot]++
+	for _, index := range f.counterIndices(key) {
+		if f.counts[index] == least {
+			f.counts[index]++
 		}
 	}
 	f.added++
@@ -204,15 +204,15 @@
 		return
 	}
 	f.added = 0
-	for slot := range f.counts {
-		f.counts[slot] /= 2
+	for index := range f.counts {
+		f.counts[index] /= 2
 	}
 }
 
 func (f *frequency) estimate(key uint64) byte {
 	least := byte(math.MaxUint8)
-	for _, slot := range f.counterIndices(key) {
-		least = min(least, f.counts[slot])
+	for _, index := range f.counterIndices(key) {
+		least = min(least, f.counts[index])
 	}
 	return least
 }
--- a/internal/query/costmodel/cache_test.go
+++ b/internal/query/costmodel/cache_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// A model does not exceed its memory, even if no shape repeats.
+// A model does not exceed its memory by more than a quarter, even if no shape repeats.
 func TestModelStaysWithinBytes(t *testing.T) {
 	const maxBytes = 2 << 20
 	var before, after runtime.MemStats
--- a/internal/query/costmodel/estimate.go
+++ b/internal/query/costmodel/estimate.go
@@ -21,8 +21,8 @@
 	priorDeviation = 1.0
 	// priorWeight is the number of observations that a prior estimate counts as.
 	priorWeight = 2.0
-	// deviationsToUpper is the number of standard deviations above the mean that nine of ten values of a normal
-	// distribution do not exceed.
+	// deviationsToUpper is the distance from the mean of a normal distribution, in standard deviations, below which
+	// nine of ten values lie.
 	deviationsToUpper = 1.2816
 	// minClassObservations is the number of observations of a class that a prior estimate needs. With fewer, the mean
 	// of the class is a guess.
--- a/internal/query/costmodel/features.go
+++ b/internal/query/costmodel/features.go
@@ -77,7 +77,7 @@
 	Tables     []Table
 	Predicates []Predicate
 
-	// The numbers of such elements in the statement.
+	// The numbers of these elements in the statement.
 	Joins        int
 	UnboundJoins int // joins without a condition
 	Subqueries   int
--- a/internal/query/costmodel/grammar_test.go
+++ b/internal/query/costmodel/grammar_test.go
@@ -165,7 +165,7 @@
 			}
 			parts = append(parts, text)
 		}
-		if n >= 20+10 { // only the first of the planner's statements are changed, because they are similar
+		if n >= 20+10 { // most of the planner's statements are not changed, because they are similar
 			continue
 		}
 		for i := range parts {
--- a/internal/query/costmodel/model.go
+++ b/internal/query/costmodel/model.go
@@ -17,7 +17,7 @@
 	records  *Cache[*record]    // by shape and group of tables
 	ageHours atomic.Int64       // age of the model, which AdvanceHours increases
 
-	mu         sync.Mutex // guards the fields below
+	mu         sync.Mutex // guards tables, classes, regression and groups
 	tables     TableLookup
 	classes    []classCost
 	regression regression
--- a/internal/query/costmodel/model_test.go
+++ b/internal/query/costmodel/model_test.go
@@ -78,7 +78,7 @@
 
 // The first estimates of a scan and of a lookup in the same class differ, after the costs of other scans and lookups
 // have been observed.
-func TestFirstEstimateTellsScansFromLookups(t *testing.T) {
+func TestFirstEstimateSeparatesScansFromLookups(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	model := NewModel(1<<20, 1, nil)
 	for i := range 30 {
--- a/internal/query/costmodel/parse.go
+++ b/internal/query/costmodel/parse.go
@@ -82,7 +82,7 @@
 	return p.takeText()
 }
 
-// parsePath parses names separated by dots. If star is set, the last name may be an asterisk.
+// parsePath parses names separated by dots. If allowStar is set, the last name may be an asterisk.
 func (p *parser) parsePath(allowStar bool) (names []string) {
 	names = append(names, p.takeName())
 	for p.take(".") {
--- a/internal/query/costmodel/record.go
+++ b/internal/query/costmodel/record.go
@@ -13,7 +13,7 @@
 	memoryPeak   float64 // decaying peak, in MB
 	observations int     // number since the record was created or restarted
 	uncertainFor int     // number of observations until estimates are certain again
-	loads        int     // number that had ended on the group of tables at the last observation
+	loads        int     // number of loads of data that had ended on the group of tables at the last observation
 
 	// State of the shift detector: the sums of the distances of observations above and below the baseline, in standard
 	// deviations.
@@ -44,7 +44,7 @@
 	cusumThreshold     = 7.5
 	warmupObservations = 24  // observations before the detector starts
 	baselineInterval   = 64  // observations between two computations of the baseline
-	minDeviation       = 0.2 // of logarithms: costs that differ by a quarter, the width of a bucket, have about this deviation
+	minDeviation       = 0.2 // lowest standard deviation of the logarithms, about the difference of costs that are one bucket apart
 	uncertainAfterLoad = 5   // observations
 )
 
--- a/internal/query/costmodel/regression.go
+++ b/internal/query/costmodel/regression.go
@@ -27,7 +27,7 @@
 	termRangeAccess
 )
 
-// typicalLogRows is the decimal logarithm of the number of rows of a table of usual size.
+// typicalLogRows is the decimal logarithm of the number of rows of a table of typical size.
 const typicalLogRows = 5
 
 // initialWeights are the weights before the first observation: a full scan costs several times as much as a lookup by
--- a/internal/query/costmodel/snapshot_codec.go
+++ b/internal/query/costmodel/snapshot_codec.go
@@ -28,7 +28,7 @@
 // snapshot.
 const maxSnapshotBytes = 1 << 30
 
-// maxSavedNumber is the highest value of an integer in a snapshot that has no lower limit of its own.
+// maxSavedNumber is the highest value of any integer in a snapshot. Some integers have a smaller maximum.
 const maxSavedNumber = math.MaxInt32
 
 // maxSavedFloat is the highest absolute value of any float in a snapshot.
--- a/internal/query/costmodel/trend.go
+++ b/internal/query/costmodel/trend.go
@@ -8,7 +8,7 @@
 const (
 	trendDecay    = 0.99 // factor by which each new observation reduces the weight of the older ones
 	minLoadSpread = 1    // variance of the numbers of loads below which no slope is computed
-	maxTrendSlope = 0.2  // growth of the logarithm of the cost per load
+	maxTrendSlope = 0.2  // highest growth of the logarithm of the cost per load
 )
 
 func (t *trend) add(x, y float64) {
--- a/internal/query/sqltext/shape.go
+++ b/internal/query/sqltext/shape.go
@@ -51,7 +51,7 @@
 	if len(sql) > MaxStatementBytes {
 		return append(dst, "a statement that is too long"...)
 	}
-	n := normalizer{output: output{text: dst, keepText: true}}
+	n := normalizer{output: output{text: dst, toText: true}}
 	n.normalize(sql)
 	n.flush()
 	return n.text
@@ -78,13 +78,13 @@
 type output struct {
 	hash     xxhash.Digest
 	text     []byte
-	keepText bool // flush to text instead of hash
+	toText   bool // flush to text instead of hash
 	buffered int
 	buffer   [256]byte
 }
 
 func (o *output) flush() {
-	if o.keepText {
+	if o.toText {
 		o.text = append(o.text, o.buffer[:o.buffered]...)
 	} else {
 		_, _ = o.hash.Write(o.buffer[:o.buffered]) // a hash never returns an error
--- a/internal/traffic/capture/capture_test.go
+++ b/internal/traffic/capture/capture_test.go
@@ -50,7 +50,7 @@
 }
 
 // A file that reaches its maximum size is complete, and the recorder keeps accepting queries.
-func TestFileKeepsToItsSize(t *testing.T) {
+func TestFileSizeIsLimited(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.trace")
 	const maxBytes = 4000
 	c, err := Start(path, maxBytes, true, quiet)
--- a/internal/traffic/importer/importer_test.go
+++ b/internal/traffic/importer/importer_test.go
@@ -152,7 +152,8 @@
 	// nothing
 }
 
-func ExampleCut() {
+// The example trims, accelerates, samples and repeats a trace.
+func ExampleTrim() {
 	t := &trace.Trace{Records: []trace.Record{{Offset: 0}, {Offset: time.Second}, {Offset: 2 * time.Second}, {Offset: 5 * time.Second}}}
 	show := func(name string, t *trace.Trace) {
 		fmt.Print(name)
@@ -173,7 +174,7 @@
 }
 
 // RepairClock keeps the order, and times never decrease, whatever the timestamps are.
-func TestOrder(t *testing.T) {
+func TestRepairClockKeepsOrder(t *testing.T) {
 	stamps := []int64{5, 5, -1, 3, 86400_000 * 3, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 0, 3600_000, -1, 1}
 	for rotation := range stamps {
 		got, _ := RepairClock(entriesAt(append(stamps[rotation:len(stamps):len(stamps)], stamps[:rotation]...)...), ClockRepair{})
