--- a/cmd/magpiebank/imports_test.go
+++ b/cmd/magpiebank/imports_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The gateway reads discovery's answers itself; net/http would bring TLS and HTTP/2, and more than a megabyte.
+// The gateway parses the discovery server's HTTP responses itself. Linking net/http would add TLS, HTTP/2 and more than a megabyte to
+// the program.
 func TestGatewayDoesNotLinkHTTPLibrary(t *testing.T) {
 	output, err := exec.CommandContext(t.Context(), "go", "list", "-deps", "magpiebank/cmd/magpiebank").CombinedOutput()
 	if err != nil {
@@ -18,7 +19,7 @@
 	}
 }
 
-// Served programs must not link what is there for tests and measurements alone.
+// Programs that run in production must not link packages that exist only for tests and measurements.
 func TestServedProgramsImportNothingOfTheTestbed(t *testing.T) {
 	for _, program := range []string{"magpiebank", "magpiebank-operator", "magpiebank-sim"} {
 		t.Run(program, func(t *testing.T) {
--- a/cmd/magpiebank/main.go
+++ b/cmd/magpiebank/main.go
@@ -1,4 +1,5 @@
-// Magpiebank is a gateway before analytic engines, on sockets.
+// Magpiebank is a gateway that accepts client requests on a socket, limits how much runs on each analytic engine and forwards the
+// requests to the engines.
 package main
 
 import (
--- a/internal/cli/build_release.go
+++ b/internal/cli/build_release.go
@@ -2,5 +2,5 @@
 
 package cli
 
-// build is the part of the version that tells a special build; empty for releases.
+// build is appended to the version and marks a special build; it is empty in releases.
 const build = ""
--- a/internal/cli/build_testbed.go
+++ b/internal/cli/build_testbed.go
@@ -2,5 +2,6 @@
 
 package cli
 
-// build marks a build for the testbed, in which clocks can be skewed and mutations switched on. It must never serve.
+// build is appended to the version and marks a build for the testbed, in which clocks can be skewed and mutations switched on. Such a
+// build must never run in production.
 const build = " (laboratory)"
--- a/internal/cli/configuration.go
+++ b/internal/cli/configuration.go
@@ -15,29 +15,29 @@
 // timeUnit is the unit of admission.Time.
 const timeUnit = 100 * time.Microsecond
 
-// errNoConfiguration tells what a first start lacks.
-var errNoConfiguration = errors.New("no configuration: name its file by --config or $RELAY_CONFIG; " +
-	"to see a gateway at work without one, run magpiebank-testbed demo")
+// errNoConfiguration is returned if no configuration file is named. Its text helps somebody who starts a gateway for the first time.
+var errNoConfiguration = errors.New("no configuration: name its file with --config or $RELAY_CONFIG; " +
+	"to see a gateway at work without a configuration, run magpiebank-testbed demo")
 
-// configurationFlags are the flags by which a command finds its configuration.
+// configurationFlags are the flags that tell a command where its configuration is and what overrides it.
 type configurationFlags struct {
 	path     string
-	listen   string // empty: as the configuration has it
+	listen   string // address that replaces the configuration's; empty: the configuration's address
 	logLevel string
-	operator string // the operator's file; empty: none
+	operator string // path of the operator's file; empty: no operator's rules
 }
 
 // register adds the flags to a command.
 func (f *configurationFlags) register(command *cobra.Command, env func(string) string) {
 	flags := command.Flags()
-	flags.StringVar(&f.path, "config", env("RELAY_CONFIG"), "file with the configuration; default $RELAY_CONFIG")
+	flags.StringVar(&f.path, "config", env("RELAY_CONFIG"), "configuration file; default $RELAY_CONFIG")
 	flags.StringVar(&f.listen, "listen", env("RELAY_LISTEN"),
-		"address to listen on, in place of the configuration's; default $RELAY_LISTEN")
-	flags.StringVar(&f.operator, "operator", "", "the operator's own file, in Jsonnet; default none")
-	flags.StringVar(&f.logLevel, "log-level", "info", "least level logged: debug, info, warn or error")
+		"address to listen on instead of the configuration's; default $RELAY_LISTEN")
+	flags.StringVar(&f.operator, "operator", "", "operator's file, in Jsonnet; default none")
+	flags.StringVar(&f.logLevel, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
 }
 
-// read reads the configuration, and the least level to be logged.
+// read reads the configuration file and parses the lowest level that is logged.
 func (f *configurationFlags) read() (start *config.Config, level slog.Level, err error) {
 	if err := level.UnmarshalText([]byte(f.logLevel)); err != nil {
 		return nil, level, fmt.Errorf("flag log-level: %w", err)
@@ -55,15 +55,16 @@
 	return start, level, nil
 }
 
-// checkCommand returns the command that reads the configuration and prints what it says.
+// checkCommand returns the command that reads the configuration and prints a summary of it.
 func (p Program) checkCommand(env func(string) string, out io.Writer) *cobra.Command {
 	var flags configurationFlags
-	command := &cobra.Command{Use: "check", Short: "Read the configuration, print what it says, and stop", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "check", Short: "Read the configuration, print a summary of it and exit", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return p.check(&flags, out) }}
 	flags.register(command, env)
 	return command
 }
 
+// check validates the configuration and, if one is named, the operator's file, and prints a summary of the configuration.
 func (p Program) check(flags *configurationFlags, out io.Writer) error {
 	if flags.operator != "" && p.LoadOperatorRules == nil {
 		return becomeOperatorProgram()
--- a/internal/cli/format_test.go
+++ b/internal/cli/format_test.go
@@ -13,7 +13,8 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-// The folder holds a request that was pending, one with an attempt in flight, one of each outcome, and the decisions' snapshot.
+// The folder in testdata contains a request that was pending, one with an attempt in flight, one per final outcome, and a snapshot of
+// the admission controller.
 func TestStateFolderOfEarlierVersionIsRecovered(t *testing.T) {
 	start := &config.Config{
 		Name:       "gateway-a",
@@ -27,12 +28,12 @@
 	}
 	t.Cleanup(func() { _ = shut() })
 	if journal.Snapshot == nil {
-		t.Fatal("expected the decisions' snapshot, found none")
+		t.Fatal("expected a snapshot of the admission controller, found none")
 	}
 	golden.CheckValues(t, "snapshot", journal.Snapshot)
 	for id, outcome := range map[admission.RequestID]requestjournal.Outcome{
-		"request-open-001": requestjournal.Rejected, // its deadline is past, and nothing ran
-		"request-out-0001": requestjournal.Failed,   // it may have run
+		"request-open-001": requestjournal.Rejected, // its deadline has passed, and no attempt was sent
+		"request-out-0001": requestjournal.Failed,   // an attempt was in flight, so the request may have run
 		"request-done-001": requestjournal.Served,
 		"request-nack-001": requestjournal.Rejected,
 		"request-lost-001": requestjournal.Failed,
@@ -48,7 +49,7 @@
 	}
 }
 
-// What the documented commands print of a folder is as it was.
+// The documented subcommands of "store" print the same text for a folder as in earlier versions.
 func TestStoreCommandsPrintAsInEarlierVersion(t *testing.T) {
 	for _, name := range []string{"inspect", "verify", "dump"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -1,5 +1,5 @@
-// Package cli is the gateway's command line, which two programs share: magpiebank, and magpiebank-operator, which applies an
-// operator's rules besides and takes magpiebank's place where they are asked for.
+// Package cli implements the gateway's command line for two programs: magpiebank, and magpiebank-operator, which also applies an
+// operator's rules. If a command needs those rules, magpiebank replaces itself with magpiebank-operator.
 package cli
 
 import (
@@ -21,65 +21,65 @@
 
 const version = "0.1.0"
 
-// OperatorRules are an operator's rules for one gateway.
+// OperatorRules is the set of rules that an operator's file defines for one gateway.
 type OperatorRules interface {
 	// ResourceGroups returns nil if the operator's file has no classes.
 	ResourceGroups() router.ResourceGroups
 	// Peers returns nil if the operator's file has no fleet.
 	Peers() router.Peers
-	// Reload reads the operator's file again. If it returns an error the rules stay as they are.
+	// Reload reads the operator's file again. If it returns an error, the rules in force don't change.
 	Reload() error
-	// SaveCostModel writes what was learned of statements to where the operator's file says.
+	// SaveCostModel writes a snapshot of the statement cost model, if the operator's file names a file for it.
 	SaveCostModel()
 }
 
 // Program is one of the programs that share the command line.
 type Program struct {
-	// LoadOperatorRules reads an operator's file; nil if the program has no part in such rules.
+	// LoadOperatorRules reads an operator's file. It is nil in a program that does not support operator's rules.
 	LoadOperatorRules func(file string, start *config.Config, log *slog.Logger) (OperatorRules, error)
-	// Commands are the program's commands besides the gateway's.
+	// Commands are added to the commands that both programs have.
 	Commands []*cobra.Command
 }
 
-// OperatorProgram is the name of the program that applies an operator's rules. It takes the place of the other one in the
-// same process.
+// OperatorProgram is the name of the program that applies an operator's rules. The other program replaces itself with it in the same
+// process.
 const OperatorProgram = "magpiebank-operator"
 
-// operatorCommands are the commands that only OperatorProgram has, with their descriptions.
+// operatorCommands maps the name of each command that only OperatorProgram implements to its description.
 var operatorCommands = map[string]string{
-	"statement": "What is read of statements, and what was learned of them",
-	"fleet":     "What a gateway knows of the others",
-	"policy":    "The fleet's policy: propose a change, follow it, go back",
+	"statement": "Show how statements are parsed and what the cost model learned from them",
+	"fleet":     "Show what a gateway knows about the other gateways",
+	"policy":    "Manage the fleet's policy: propose a change, watch its rollout, roll back",
 }
 
-const usage = `Magpiebank is one gateway before analytic engines.
+const usage = `Magpiebank runs one gateway in front of analytic engines.
 
-  magpiebank serve       serve clients until told to stop by SIGTERM; SIGHUP has the configuration read again
-  magpiebank check       read the configuration, print what it says, and stop
-  magpiebank statement   what is read of statements, and what was learned of them
-  magpiebank fleet       what a gateway knows of the others
-  magpiebank policy      the fleet's policy: propose a change, follow it, go back
-  magpiebank store       what a folder of --state holds
+  magpiebank serve       serve clients until SIGTERM; on SIGHUP, read the configuration again
+  magpiebank check       read the configuration, print a summary of it and exit
+  magpiebank statement   show how statements are parsed and what the cost model learned from them
+  magpiebank fleet       show what a gateway knows about the other gateways
+  magpiebank policy      manage the fleet's policy: propose a change, watch its rollout, roll back
+  magpiebank store       inspect or repair a folder of --state
   magpiebank version     print the version
 
-Each takes --help. To see it at work without a configuration: magpiebank-testbed demo.
+Each command takes --help. To see a gateway at work without a configuration, run magpiebank-testbed demo.
 `
 
-// The exit statuses.
+// The exit statuses of a command that fails.
 const (
 	exitFailure = 1
-	exitMisuse  = 2 // of the command line or the configuration
+	exitMisuse  = 2 // what the command was given is invalid: the command line, the configuration or a folder of --state
 )
 
-// runError is an error of carrying out what was asked for, not of the command line or the configuration.
+// runError marks an error that makes the process exit with exitFailure. All other errors make it exit with exitMisuse.
 type runError struct{ cause error }
 
 func (e runError) Error() string { return e.cause.Error() }
 
 func (e runError) Unwrap() error { return e.cause }
 
-// Run carries out one command and returns the exit status of the process: 0, 1 if the command failed, or 2 if the command
-// line or the configuration was at fault.
+// Run executes one command and returns the exit status of the process: 0 on success, 1 if the command failed while it ran, or 2 if what
+// it was given is invalid: the command line, the configuration or a folder of the request journal.
 func (p Program) Run(args []string, env func(string) string, out, errs io.Writer) int {
 	root := p.rootCommand(env, out, errs)
 	root.SetArgs(args)
@@ -98,7 +98,7 @@
 	return exitMisuse
 }
 
-// rootCommand returns the command that has all others.
+// rootCommand returns the command that contains all others as subcommands.
 func (p Program) rootCommand(env func(string) string, out, errs io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use: "magpiebank", SilenceErrors: true, SilenceUsage: true, Args: cobra.ArbitraryArgs,
@@ -133,8 +133,8 @@
 		Run: func(*cobra.Command, []string) { fmt.Fprintln(out, "magpiebank", version+build) }}
 }
 
-// becomeOperatorProgram replaces this process by OperatorProgram, which is in the same folder, with the same arguments. It
-// returns only if that fails.
+// becomeOperatorProgram executes OperatorProgram, which is in the same folder as this program, in place of this process and with the
+// same arguments. It returns only if that fails.
 func becomeOperatorProgram() error {
 	self, err := os.Executable()
 	if err != nil {
@@ -142,7 +142,7 @@
 	}
 	program := filepath.Join(filepath.Dir(self), OperatorProgram)
 	if _, err := exec.LookPath(program); err != nil {
-		return runError{fmt.Errorf("an operator's rules need the program %s beside this one: %w", OperatorProgram, err)}
+		return runError{fmt.Errorf("operator's rules need the program %s in the same folder as this one: %w", OperatorProgram, err)}
 	}
 	return runError{syscall.Exec(program, append([]string{OperatorProgram}, os.Args[1:]...), os.Environ())}
 }
--- a/internal/cli/program_test.go
+++ b/internal/cli/program_test.go
@@ -43,7 +43,7 @@
 	// 0 magpiebank 0.1.0
 }
 
-// SIGHUP has the configuration read again. SIGTERM ends the command with status 0.
+// SIGHUP makes the gateway read the configuration again, and SIGTERM ends the command with status 0.
 func TestServe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	if err := os.WriteFile(path, []byte(configuration), 0o600); err != nil {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,41 +15,41 @@
 	"magpiebank/internal/traffic/capture"
 )
 
-// defaultCaptureMB limits a recording: some millions of requests without their text.
+// defaultCaptureMB is the default maximum size of a recording, which is enough for a few million requests without their text.
 const defaultCaptureMB = 256
 
 // serveFlags are the flags of the serve command.
 type serveFlags struct {
 	configuration configurationFlags
-	captureFile   string // empty: nothing is recorded
+	captureFile   string // empty: requests are not recorded
 	captureMB     int64
 	captureText   bool
-	stateFolder   string // empty: no request journal is kept
+	stateFolder   string // empty: there is no request journal
 	stateMB       int64
 }
 
 // serveCommand returns the command that runs the gateway.
 func (p Program) serveCommand(env func(string) string, errs io.Writer) *cobra.Command {
 	var flags serveFlags
-	command := &cobra.Command{Use: "serve", Short: "Serve clients until told to stop by SIGTERM; SIGHUP has the configuration read again",
+	command := &cobra.Command{Use: "serve", Short: "Serve clients until SIGTERM; on SIGHUP, read the configuration again",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return p.serve(&flags, errs) }}
 	flags.configuration.register(command, env)
 	set := command.Flags()
-	set.StringVar(&flags.captureFile, "capture", "", "record the requests that come to this new file, for magpiebank-testbed to replay")
-	set.Int64Var(&flags.captureMB, "capture-mb", defaultCaptureMB, "most megabytes that the file grows to")
-	set.StringVar(&flags.stateFolder, "state", "", "folder of the request journal, which survives a crash; default none is kept")
-	set.Int64Var(&flags.stateMB, "state-mb", defaultStateMB, "most megabytes that the folder takes")
-	set.BoolVar(&flags.captureText, "capture-text", false, "record statements with their literals, not their shapes only")
+	set.StringVar(&flags.captureFile, "capture", "", "new file in which requests are recorded, for replay by magpiebank-testbed")
+	set.Int64Var(&flags.captureMB, "capture-mb", defaultCaptureMB, "maximum size of the file in megabytes")
+	set.StringVar(&flags.stateFolder, "state", "", "folder of the request journal, which survives a crash; default no journal")
+	set.Int64Var(&flags.stateMB, "state-mb", defaultStateMB, "maximum size of the folder in megabytes")
+	set.BoolVar(&flags.captureText, "capture-text", false, "record statements with their literals instead of their shapes only")
 	return command
 }
 
-// serve runs the gateway until SIGTERM or SIGINT, and the shutdown after it.
+// serve runs the gateway until SIGTERM or SIGINT, and then shuts it down.
 func (p Program) serve(flags *serveFlags, errs io.Writer) error {
 	if flags.configuration.operator != "" && p.LoadOperatorRules == nil {
 		return becomeOperatorProgram()
 	}
-	// Signals are caught before anything else, so that none ends a gateway that is starting.
+	// Signals are caught before the gateway starts, so that no signal kills the process during startup.
 	signals := catchSignals()
 	defer signals.release()
 	start, level, err := flags.configuration.read()
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// startCapture begins a recording if one is asked for; otherwise it returns nil.
+// startCapture starts a recording if the flags name a file; otherwise it returns nil.
 func (f *serveFlags) startCapture(log *slog.Logger) (*capture.Recorder, error) {
 	if f.captureFile == "" {
 		return nil, nil
@@ -96,14 +96,15 @@
 	return capture.Start(f.captureFile, f.captureMB<<20, f.captureText, log)
 }
 
-// signals are the process's signals to the gateway. Each of its goroutines ends at release.
+// signals receives the signals that the process gets. Its methods awaitStop, saveOnRequest and reloadOnRequest run in goroutines, which
+// end when release is called.
 type signals struct {
 	stop, reload, save chan os.Signal
 	released           chan struct{}
 }
 
-// catchSignals catches SIGTERM, SIGINT and SIGHUP from now on, which stay caught after release, so that none
-// cuts the end of the process short.
+// catchSignals starts to catch SIGTERM, SIGINT and SIGHUP. They stay caught after release, so that no signal kills the process while it
+// shuts down.
 func catchSignals() *signals {
 	s := &signals{
 		stop:     make(chan os.Signal, 1),
@@ -116,7 +117,7 @@
 	return s
 }
 
-// catchSave catches SIGUSR1 from now on.
+// catchSave starts to catch SIGUSR1.
 func (s *signals) catchSave() { signal.Notify(s.save, syscall.SIGUSR1) }
 
 // release ends the goroutines that wait for signals.
@@ -131,7 +132,7 @@
 	}
 }
 
-// saveOnRequest has what was learned saved at each SIGUSR1.
+// saveOnRequest saves the cost model at each SIGUSR1.
 func (s *signals) saveOnRequest(rules OperatorRules) {
 	for {
 		select {
@@ -143,7 +144,8 @@
 	}
 }
 
-// reloadOnRequest reads the operator's file, if there are rules, and the configuration again at each SIGHUP.
+// reloadOnRequest reads the operator's file, if rules is not nil, and the configuration again at each SIGHUP, and sends the new
+// configuration to reloads. If a file is invalid, it logs a warning, and the settings from that file stay in force.
 func (s *signals) reloadOnRequest(flags *configurationFlags, rules OperatorRules, reloads chan<- *config.Config, log *slog.Logger) {
 	for {
 		select {
--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -12,19 +12,19 @@
 	"magpiebank/internal/storage/store"
 )
 
-// The admission controller's snapshot is stored in parts, because a record has a largest size. The key of a part has its
-// number; its first byte is none of a request's id. A part begins with the number of parts and the checksum of the whole
-// snapshot, both in four bytes, the least significant first.
+// The admission controller's snapshot is split into parts, because the size of a store record is limited. The key of a part is
+// snapshotKeyPrefix followed by the number of the part, from 0. The zero byte at the start of the prefix does not occur in request IDs.
+// Each part begins with a header: the number of parts and the CRC-32 of the whole encoded snapshot, both as little-endian uint32.
 const (
 	snapshotKeyPrefix   = "\x00decisions-"
 	maxPartBytes        = 60 << 10
 	snapshotHeaderBytes = 8
 )
 
-// snapshotParts are the stored parts of a snapshot by their numbers.
+// snapshotParts maps the number of each stored part of a snapshot to its record, including the header.
 type snapshotParts map[int][]byte
 
-// snapshotPart returns the number of the snapshot's part that has a key; ok is false for other records.
+// snapshotPart returns the number of the snapshot part that is stored under a key; ok is false for the key of a request.
 func snapshotPart(key store.Key) (part int, ok bool) {
 	number, ok := bytes.CutPrefix(key[:], []byte(snapshotKeyPrefix))
 	if !ok {
@@ -34,7 +34,7 @@
 	return part, err == nil
 }
 
-// saveSnapshot stores an encoded snapshot.
+// saveSnapshot splits an encoded snapshot into parts and stores them. It does not wait until they are durable.
 func saveSnapshot(records *store.Store, encoded []byte) {
 	parts := (len(encoded) + maxPartBytes - 1) / maxPartBytes
 	for part := range parts {
@@ -47,14 +47,14 @@
 	}
 }
 
-// The reasons why a stored snapshot can't be used.
+// The reasons why a stored snapshot can't be decoded.
 var (
-	errSnapshotIncomplete = errors.New("what the decisions knew is there in part only")
-	errSnapshotMixed      = errors.New("what the decisions knew is of two times")
+	errSnapshotIncomplete = errors.New("a part of the admission controller's stored snapshot is missing or belongs to another snapshot")
+	errSnapshotMixed      = errors.New("the admission controller's stored snapshot does not match its checksum")
 )
 
-// decode joins the parts and decodes the snapshot. It returns nil if none is stored. Parts of different snapshots are told
-// by the checksum.
+// decode joins the parts and decodes the snapshot. It returns nil if no snapshot is stored. Parts of different snapshots, as a crash
+// may leave them, have different checksums in their headers.
 func (p snapshotParts) decode() (*admission.Snapshot, error) {
 	first := p[0]
 	if len(first) < snapshotHeaderBytes {
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// defaultStateMB has room for a day of a gateway that accepts a load a second, as the store's own default.
+	// defaultStateMB equals the store's own default. It holds the records of one day at one load per second.
 	defaultStateMB = 64
 	minStateMB     = 16
-	// requestsPerMB is how many requests are known at a time for each megabyte of the folder. A request's record takes some
-	// sixty bytes on disk, and as many in memory, so a megabyte has room for some ten thousand. A quarter of these may be
-	// known, so that half of the folder may be records that no longer hold.
+	// requestsPerMB is the maximum number of requests in the journal per megabyte of the folder. A request's record takes about
+	// 60 bytes on disk, and as many in memory, so a megabyte holds about 10,000 records. The journal keeps at most a quarter of
+	// that number, so that half of the folder may consist of records that were replaced or deleted.
 	requestsPerMB = 2500
 )
 
-// journalLog is the request journal's log. The store that holds it is set once the journal has replayed its records.
+// journalLog implements requestjournal.Log with a store. The field store is set only after the store's records have been replayed.
 type journalLog struct{ store *store.Store }
 
 func (l *journalLog) Put(key requestjournal.Key, record []byte, done func(error)) {
@@ -35,7 +35,7 @@
 	l.store.Delete(store.Key(key), done)
 }
 
-// openState opens the request journal in a folder and recovers it. Without a folder there is none. closeState closes it.
+// openState opens the request journal in a folder and recovers it. If folder is empty, journal is nil. closeState closes the store.
 func openState(folder string, megabytes int64, start *config.Config, log *slog.Logger) (journal *router.Journal, closeState func() error, err error) {
 	if folder == "" {
 		return nil, func() error { return nil }, nil
@@ -78,7 +78,7 @@
 	return journal, closeState, nil
 }
 
-// journalClasses returns what the request journal needs to know of the deployment's classes.
+// journalClasses returns the properties of the deployment's classes that the request journal needs.
 func journalClasses(start *config.Config) []requestjournal.Class {
 	var classes []requestjournal.Class
 	for i, class := range start.Deployment.Classes {
@@ -90,11 +90,11 @@
 	return classes
 }
 
-// recordReplay takes in the records of a store as it is opened.
+// recordReplay collects the records of a store while it is opened: requests go to the journal, parts of the snapshot into snapshot.
 type recordReplay struct {
 	requests *requestjournal.Journal
 	snapshot snapshotParts
-	err      error // of the first record that can't be replayed
+	err      error // error of the first record that can't be replayed
 }
 
 func (r *recordReplay) handle(key store.Key, record []byte, deleted bool) {
--- a/internal/cli/store_command.go
+++ b/internal/cli/store_command.go
@@ -14,30 +14,30 @@
 	"magpiebank/internal/storage/store"
 )
 
-// storeCommand returns the command that looks at a folder of the request journal, and repairs it.
+// storeCommand returns the command that inspects and repairs a folder of the request journal.
 func storeCommand(out io.Writer) *cobra.Command {
-	command := &cobra.Command{Use: "store", Short: "What a folder of --state holds; its gateway must not be running"}
-	inspect := &cobra.Command{Use: "inspect FOLDER", Short: "Say what the folder holds", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{Use: "store", Short: "Inspect or repair a folder of --state while its gateway is not running"}
+	inspect := &cobra.Command{Use: "inspect FOLDER", Short: "Print a summary of the folder's content", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return inspectState(out, args[0]) }}
-	verify := &cobra.Command{Use: "verify FOLDER", Short: "Read all of it; status 2 with file, offset and cause where it is damaged",
+	verify := &cobra.Command{Use: "verify FOLDER", Short: "Read all records; if the folder is damaged, print file, offset and cause and exit with status 2",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return verifyState(out, args[0]) }}
-	dump := &cobra.Command{Use: "dump FOLDER", Short: "Print all records, a line each, in the order in which they were written",
+	dump := &cobra.Command{Use: "dump FOLDER", Short: "Print all records in the order in which they were written, one per line",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := inspectFolder(args[0], func(key store.Key, record []byte, deleted bool) { dumpRecord(out, key, record, deleted) })
 			return err
 		}}
 	var drop bool
-	repair := &cobra.Command{Use: "repair FOLDER", Short: "Say what a damaged folder must lose to be read again, and with --drop lose it",
+	repair := &cobra.Command{Use: "repair FOLDER", Short: "Print what has to be removed from a damaged folder to make it readable, and with --drop remove it",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return repairState(out, args[0], drop) }}
-	repair.Flags().BoolVar(&drop, "drop", false, "lose what can't be read and all that was written after it; files are kept as *.lost")
+	repair.Flags().BoolVar(&drop, "drop", false, "remove what can't be read and everything written after it; copies are kept in files named *.lost")
 	command.AddCommand(inspect, verify, dump, repair)
 	return command
 }
 
-// inspectFolder reads a folder without changing it, and calls handle for each record in the order in which they were written.
+// inspectFolder reads a folder without changing it. It calls handle for each record, in the order in which the records were written.
 func inspectFolder(folder string, handle func(key store.Key, record []byte, deleted bool)) (*store.Inspection, error) {
 	disk, err := store.OpenFolder(folder)
 	if err != nil {
@@ -46,7 +46,8 @@
 	return store.Inspect(disk, handle)
 }
 
-// inspectState prints what a folder holds.
+// inspectState prints a summary of a folder: its owner, its segments and the number of requests per outcome. If the folder is corrupt,
+// it prints the summary of what precedes the corruption and returns the error.
 func inspectState(out io.Writer, folder string) error {
 	requests := map[store.Key]*requestjournal.Entry{}
 	inspection, err := inspectFolder(folder, func(key store.Key, record []byte, deleted bool) {
@@ -75,7 +76,7 @@
 	return err
 }
 
-// printOutcomes prints how many requests have which outcome.
+// printOutcomes prints the number of requests per outcome, and how many of the pending ones may have run.
 func printOutcomes(out io.Writer, requests map[store.Key]*requestjournal.Entry) {
 	counts := map[requestjournal.Outcome]int{}
 	uncertain := 0
@@ -90,7 +91,8 @@
 		counts[requestjournal.Rejected], counts[requestjournal.Failed], counts[requestjournal.Abandoned])
 }
 
-// verifyState reads all records of a folder, and prints their number if all can be read.
+// verifyState reads all records of a folder and prints their number if all can be decoded. Otherwise it returns the error of the store
+// and that of the first request that can't be decoded.
 func verifyState(out io.Writer, folder string) error {
 	var recordError error
 	inspection, err := inspectFolder(folder, func(key store.Key, record []byte, deleted bool) {
@@ -109,7 +111,7 @@
 	return nil
 }
 
-// repairState prints what a folder must lose to be read again, and drops it if it is told to.
+// repairState prints what has to be removed from a corrupt folder to make it readable again, and removes it if drop is true.
 func repairState(out io.Writer, folder string, drop bool) error {
 	disk, err := store.OpenFolder(folder)
 	if err != nil {
@@ -125,12 +127,12 @@
 	case len(lost) == 0:
 		fmt.Fprintf(out, "%s: nothing is amiss\n", filepath.Clean(folder))
 	case !drop:
-		return errors.New("nothing was changed; --drop loses what is listed, and with it the word on which of those tasks may have run")
+		return errors.New("nothing was changed; --drop removes what is listed, including the records of which of those requests may have run")
 	}
 	return nil
 }
 
-// dumpRecord prints one record.
+// dumpRecord prints one record as a line of the command "store dump".
 func dumpRecord(out io.Writer, key store.Key, record []byte, deleted bool) {
 	if part, ok := snapshotPart(key); ok {
 		fmt.Fprintf(out, "what the decisions know, part %d, %d bytes\n", part, len(record))
@@ -153,7 +155,7 @@
 	fmt.Fprintln(out)
 }
 
-// formatTime returns a time of the journal, which is in Unix time, as RFC 3339 has it.
+// formatTime formats a time of the journal, which is a Unix time in units of admission.Time, as in RFC 3339.
 func formatTime(t admission.Time) string {
 	return time.Unix(0, int64(t)*int64(timeUnit)).UTC().Format(time.RFC3339Nano)
 }
--- a/internal/storage/faultdisk/faultdisk.go
+++ b/internal/storage/faultdisk/faultdisk.go
@@ -1,10 +1,10 @@
 //go:build !testbed
 
-// Package faultdisk is the one hook by which the testbed's build (tag testbed) has the disks of a gateway's process fail on
-// purpose. In any other build it does nothing.
+// Package faultdisk is the hook through which a build with the tag testbed injects disk faults into a gateway's process. In all other
+// builds it does nothing.
 package faultdisk
 
 import "magpiebank/internal/storage/store"
 
-// WrapFolder returns the folder itself.
+// WrapFolder returns the folder unchanged.
 func WrapFolder(folder store.Folder) store.Folder { return folder }
--- a/internal/storage/faultdisk/faultdisk_testbed.go
+++ b/internal/storage/faultdisk/faultdisk_testbed.go
@@ -1,7 +1,7 @@
 //go:build testbed
 
-// Package faultdisk is the one hook by which the testbed's build (tag testbed) has the disks of a gateway's process fail on
-// purpose. In any other build it does nothing.
+// Package faultdisk is the hook through which a build with the tag testbed injects disk faults into a gateway's process. In all other
+// builds it does nothing.
 package faultdisk
 
 import (
@@ -15,7 +15,8 @@
 	"magpiebank/internal/storage/store"
 )
 
-// environmentVariable has the kind of fault and the time after the process's start from which on it is there, as in "full 5s".
+// environmentVariable contains the kind of fault and the time from the call of WrapFolder until the fault becomes active, as in
+// "full 5s".
 const environmentVariable = "MAGPIEBANK_DISK"
 
 // The kinds of faults.
@@ -23,7 +24,7 @@
 	diskFull    = "full"     // writes and creations fail with ENOSPC
 	slowSyncs   = "slow"     // each sync takes slowSyncTime longer
 	failedSyncs = "unsynced" // each sync fails
-	lyingSyncs  = "lies"     // syncs report success, while writes reach the disk only lieTime later: a kill loses them
+	lyingSyncs  = "lies"     // writes are buffered for at least lieTime though syncs report success, so a kill loses them
 )
 
 const (
@@ -31,9 +32,9 @@
 	lieTime      = 3 * time.Second
 )
 
-var errInjectedSync = errors.New("sync failed on purpose, in the testbed's build")
+var errInjectedSync = errors.New("injected sync error of the testbed's build")
 
-// WrapFolder returns a folder with the fault that MAGPIEBANK_DISK names, or the folder itself if that is not set.
+// WrapFolder returns a folder with the fault that MAGPIEBANK_DISK describes, or the folder itself if the variable is not set.
 func WrapFolder(folder store.Folder) store.Folder {
 	var kind, after string
 	if _, err := fmt.Sscan(os.Getenv(environmentVariable), &kind, &after); err != nil {
@@ -43,6 +44,7 @@
 	return faultyFolder{folder, fault{kind: kind, from: time.Now().Add(wait)}}
 }
 
+// fault is a kind of fault and the time at which it becomes active.
 type fault struct {
 	kind string
 	from time.Time
@@ -50,7 +52,7 @@
 
 func (f fault) isActive(kind string) bool { return f.kind == kind && time.Now().After(f.from) }
 
-// beforeSync delays a sync or returns the error with which it fails.
+// beforeSync delays a sync if the fault is slowSyncs, and returns an error if the fault is failedSyncs.
 func (f fault) beforeSync() error {
 	if f.isActive(slowSyncs) {
 		time.Sleep(slowSyncTime)
@@ -85,9 +87,9 @@
 	store.File
 	fault
 
-	mu            sync.Mutex // guards what follows
-	buffered      []byte     // written by the process, and not to the file
-	bufferedSince time.Time
+	mu            sync.Mutex // guards buffered and bufferedSince
+	buffered      []byte     // bytes that the process has written but that are not in the file yet
+	bufferedSince time.Time  // when the oldest of the buffered bytes were written
 }
 
 func (f *faultyFile) Write(b []byte) (int, error) {
@@ -111,7 +113,7 @@
 	return len(b), nil
 }
 
-// flush writes what is buffered to the file. The caller holds mu.
+// flush writes the buffered bytes to the file. The caller holds mu.
 func (f *faultyFile) flush() error {
 	_, err := f.File.Write(f.buffered)
 	f.buffered = nil
--- a/internal/storage/faultfs/crashstate.go
+++ b/internal/storage/faultfs/crashstate.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// sectorSize is the unit, in bytes, in which unsynced data may reach the disk. Sectors of real disks are as large or larger.
+// sectorSize is the unit, in bytes, in which unsynced data reaches the disk. Sectors of real disks have this size or a larger one.
 const sectorSize = 512
 
-// dontTear has AfterPowerLoss keep whole sectors.
+// dontTear makes AfterPowerLoss keep whole sectors.
 const dontTear = -1
 
-// parts counts what of a change may or may not have reached the disk: a truncation, or each of the sectors of a write.
+// parts returns the number of parts of a change that may reach the disk independently of each other: 1 for a truncation, the number of
+// sectors for a write.
 func (c *dataChange) parts() int {
 	if c.data == nil {
 		return 1
@@ -20,8 +21,8 @@
 	return int((c.offset+int64(len(c.data))-1)/sectorSize-c.offset/sectorSize) + 1
 }
 
-// CountUnsynced counts the parts that may or may not have reached the disk: changes of names, truncations, and sectors of
-// writes.
+// CountUnsynced returns the number of unsynced parts, each of which may or may not have reached the disk. A part is a change of a name,
+// a truncation or one sector of a write.
 func (f *Folder) CountUnsynced() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -34,10 +35,10 @@
 	return parts
 }
 
-// reachable returns the files that the process sees or that survive a power loss, in the order of their names. A name stands
-// for two files if it was removed or replaced and that is not synced. A file with two such names is there twice.
+// reachable returns the files that the process sees or that survive a power loss, sorted by name. If a name was removed or replaced and
+// the change is not synced, the name may refer to two files. A file that has two such names is returned twice.
 func (f *Folder) reachable() (files []*inode) {
-	// Names of the durable files get a suffix that sorts them behind the current file of the same name.
+	// durableSuffix sorts a durable file after the current file of the same name.
 	const durableSuffix = "\x00disk"
 	byName := maps.Clone(f.current)
 	for name, i := range f.durable {
@@ -51,9 +52,9 @@
 	return files
 }
 
-// AfterPowerLoss returns what is found after a power loss. survives tells of each unsynced part, which are numbered in the order in
-// which they were made, names first, whether it reached the disk. If tear is not negative, at most so many bytes of each kept
-// sector did.
+// AfterPowerLoss returns a copy of the folder as it may be found after a power loss. survives reports whether an unsynced part reached
+// the disk. The parts are numbered from 0: first the changes of names, then the changes of each file, each in the order in which they
+// were made. If tear is not negative, only the first tear bytes of each surviving sector reached the disk.
 func (f *Folder) AfterPowerLoss(survives func(part int) bool, tear int) *Folder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,7 +88,8 @@
 	return left
 }
 
-// afterPowerLoss returns a content that is not nil.
+// afterPowerLoss returns the file's content after a power loss. The result is never nil, because AfterPowerLoss uses nil for files that
+// it has not processed.
 func (i *inode) afterPowerLoss(survivesNext func() bool, tear int) []byte {
 	content := append(make([]byte, 0, len(i.current)+1), i.durable...)
 	for _, change := range i.unsynced {
@@ -109,6 +111,7 @@
 	return content
 }
 
+// torn returns the first tear bytes of data, or all of data if tear is negative or data is not longer.
 func torn(data []byte, tear int) []byte {
 	if tear >= 0 && tear < len(data) {
 		return data[:tear]
@@ -116,7 +119,7 @@
 	return data
 }
 
-// overwrite puts data at an offset of content, which is extended with zeros if it is too short.
+// overwrite copies data to an offset of content, which is extended with zeros if it is too short.
 func overwrite(content []byte, offset int64, data []byte) []byte {
 	for int64(len(content)) < offset+int64(len(data)) {
 		content = append(content, 0)
@@ -125,9 +128,10 @@
 	return content
 }
 
-// ForEachCrashState calls visit with folders that may be found after a power loss, and returns their number. If there are at
-// most maxExhaustive unsynced parts, these are all combinations of parts, each once with whole sectors and once with torn ones.
-// Otherwise they are none of the parts, all of them, and 1<<maxExhaustive combinations drawn at random from the seed.
+// ForEachCrashState calls visit with folders as they may be found after a power loss, and returns their number. With at most
+// maxExhaustive unsynced parts, it visits every combination of surviving parts: once with whole sectors and, unless no part survives,
+// once with torn sectors. With more parts, it visits the states in which no part and all parts survive, and 1<<maxExhaustive
+// combinations that are drawn at random from the seed.
 func (f *Folder) ForEachCrashState(maxExhaustive int, seed int64, visit func(left *Folder)) (states int) {
 	parts := f.CountUnsynced()
 	random := rand.New(rand.NewSource(seed))
@@ -154,7 +158,7 @@
 	return states
 }
 
-// drawState draws which parts reach the disk, and in half of the cases where their sectors are torn.
+// drawState draws at random which parts reach the disk and, in half of the cases, at which byte their sectors are torn.
 func drawState(random *rand.Rand, parts int) (survives func(part int) bool, tear int) {
 	surviving := make([]bool, parts)
 	for part := range surviving {
--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -1,6 +1,6 @@
-// Package faultfs has a store.Folder in memory that fails on purpose, for tests. Power can be lost at any operation, after
-// which any part of what was not synced may be there: any of the sectors, and these torn at any byte. Operations can return
-// errors, syncs can do nothing and report success, and bits can be flipped.
+// Package faultfs implements a store.Folder in memory that injects faults, for tests. Power can be lost at any operation. Afterwards any
+// combination of the unsynced changes may have survived: any of the written sectors, and each of them torn at any byte. Operations can
+// return errors, syncs can do nothing and report success, and bits can be flipped.
 package faultfs
 
 import (
@@ -18,20 +18,21 @@
 // Folder is a folder whose files are in memory. The zero Folder is empty and does not fail.
 type Folder struct {
 	mu            sync.Mutex
-	current       map[string]*inode // by name, as the process sees them
-	durable       map[string]*inode // by name, as they survive a power loss
-	unsyncedNames []nameChange      // since names were synced, in order
+	current       map[string]*inode // files by the names that the process sees
+	durable       map[string]*inode // files by the names that survive a power loss
+	unsyncedNames []nameChange      // changes of names since the last SyncNames, oldest first
 	powerLost     bool
 	locked        bool
 
-	// BeforeOperation, if it is set, is called before each operation that changes something, with the operation's number from 0
-	// on and its name. The operation returns its error, if there is one. After ErrPowerLost nothing works any more.
+	// BeforeOperation, if set, is called before each operation that changes or syncs something, with the operation's number, counted
+	// from 0, and a description such as "write manifest". If it returns an error, the operation fails with that error. Once it has
+	// returned ErrPowerLost, all further operations fail, and so do Open, Names and reads.
 	BeforeOperation func(n int, what string) error
-	// SyncLies, if it is set, tells whether a sync does nothing and reports success.
+	// SyncLies, if set, reports whether a sync does nothing and returns success.
 	SyncLies func(n int, what string) bool
-	// ShortWrite, if it is set, returns how many bytes are written by a write for which BeforeOperation returns an error.
+	// ShortWrite, if set, returns how many bytes a write for which BeforeOperation returns an error writes nevertheless.
 	ShortWrite func(n int) int
-	// Operations is the number of operations so far.
+	// Operations is the number of operations so far that change or sync something.
 	Operations int
 }
 
@@ -52,7 +53,7 @@
 
 var _ store.Folder = (*Folder)(nil)
 
-// beginOperation counts an operation, and returns an error if it is to fail. The caller holds mu.
+// beginOperation counts an operation, and returns an error if the operation has to fail. The caller holds mu.
 func (f *Folder) beginOperation(what string) error {
 	if f.powerLost {
 		return ErrPowerLost
@@ -69,7 +70,7 @@
 	return err
 }
 
-// syncLies reports whether the operation begun last, a sync, is to do nothing. The caller holds mu.
+// syncLies reports whether the latest operation, which is a sync, has to do nothing. The caller holds mu.
 func (f *Folder) syncLies(what string) bool {
 	return f.SyncLies != nil && f.SyncLies(f.Operations-1, what)
 }
@@ -80,9 +81,9 @@
 	}
 }
 
-func errNotFound(name string) error { return fmt.Errorf("%s is not there", name) }
+func errNotFound(name string) error { return fmt.Errorf("file %s does not exist", name) }
 
-// LosePowerAt returns a BeforeOperation by which power is lost at an operation.
+// LosePowerAt returns a function for Folder.BeforeOperation that loses power at the operation with the given number.
 func LosePowerAt(operation int) func(n int, what string) error {
 	return func(n int, _ string) error {
 		if n >= operation {
@@ -92,7 +93,7 @@
 	}
 }
 
-// Create makes a file.
+// Create creates a file and fails if the name exists.
 func (f *Folder) Create(name string) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,7 +102,7 @@
 		return nil, err
 	}
 	if f.current[name] != nil {
-		return nil, fmt.Errorf("%s exists", name)
+		return nil, fmt.Errorf("file %s exists", name)
 	}
 	created := &inode{}
 	f.current[name] = created
@@ -109,7 +110,7 @@
 	return &file{f, created, name}, nil
 }
 
-// Open opens a file.
+// Open opens an existing file.
 func (f *Folder) Open(name string) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,7 +139,7 @@
 	return names, nil
 }
 
-// Rename gives a file another name, in place of a file that has that name.
+// Rename renames a file and replaces an existing file of the new name.
 func (f *Folder) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,7 +173,7 @@
 
 const syncNames = "sync names"
 
-// SyncNames makes the names durable, unless SyncLies.
+// SyncNames makes the names of the files durable, unless SyncLies returns true.
 func (f *Folder) SyncNames() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// Lock locks the folder, or returns store.ErrLocked.
+// Lock locks the folder, or returns store.ErrLocked if it is locked.
 func (f *Folder) Lock() (func() error, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -206,7 +207,7 @@
 	}, nil
 }
 
-// FlipBit flips a bit, from 0 to 7, of a file's byte at an offset. All of the file is durable then.
+// FlipBit flips a bit, numbered from 0 to 7, of the byte at an offset of a file. Afterwards the whole content of the file is durable.
 func (f *Folder) FlipBit(name string, offset int64, bit uint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -225,7 +226,7 @@
 	return slices.Clone(f.current[name].current)
 }
 
-// SetFile makes a file with the given content, or replaces one. The name and the content are durable.
+// SetFile creates or replaces a file with the given content. The name and the content are durable.
 func (f *Folder) SetFile(name string, content []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/storage/faultfs/file.go
+++ b/internal/storage/faultfs/file.go
@@ -7,12 +7,12 @@
 
 // inode is the content of a file.
 type inode struct {
-	current  []byte       // as the process sees it
-	durable  []byte       // as it survives a power loss
-	unsynced []dataChange // since it was synced, in order
+	current  []byte       // content that the process sees
+	durable  []byte       // content that survives a power loss
+	unsynced []dataChange // changes since the last sync, oldest first
 }
 
-// dataChange is a write, or a truncation if data is nil.
+// dataChange is a write of data at offset, or a truncation to offset bytes if data is nil.
 type dataChange struct {
 	offset int64
 	data   []byte
@@ -25,7 +25,7 @@
 	}
 }
 
-// file is an open file. The folder's mu guards its content.
+// file is an open file. The mutex of the folder guards its content.
 type file struct {
 	folder *Folder
 	inode  *inode
--- a/internal/storage/requestjournal/crash_test.go
+++ b/internal/storage/requestjournal/crash_test.go
@@ -14,29 +14,29 @@
 	"magpiebank/internal/storage/store"
 )
 
-// observation is something that an engine or a client has seen: an attempt's first byte, the proof that nothing of an
-// attempt ran, or an answer.
+// observation is an event outside the gateway that the recovered journal must not contradict: an engine received an attempt, an attempt
+// was proved not to have run, or a client received an answer.
 type observation struct {
 	id           admission.RequestID
-	sent         bool // an attempt's first byte
+	sent         bool // the first byte of an attempt reached the engine
 	provedNotRun bool // the attempt is known not to have run
 	outcome      requestjournal.Outcome
-	logBytes     int // size of the log by then
+	logBytes     int // size of the log at the time of the event
 }
 
-// segmentName is the log's only file: a workload is too short to fill it.
+// segmentName is the name of the log's only segment: the workload is too short to fill it.
 const segmentName = "0000000000000001.log"
 
-// workload takes requests of all classes through every course that they can take, and notes what engines and clients see.
+// workload runs requests of all classes through combinations of attempts and outcomes, and records what engines and clients observe.
 type workload struct {
 	folder      *faultfs.Folder
 	journal     *requestjournal.Journal
 	now         admission.Time
-	answerEarly bool // a mutation: clients see answers before these are on record
+	answerEarly bool // a mutation: clients receive answers before the answers are recorded
 	observed    []observation
 }
 
-// runWorkload returns what engines and clients saw until the end, or until power was lost.
+// runWorkload returns what engines and clients observed until the workload ended or power was lost.
 func runWorkload(folder *faultfs.Folder, answerEarly bool) []observation {
 	journal, logStore, err := openJournal(folder, 1000*second)
 	if err != nil {
@@ -58,12 +58,12 @@
 	w.observed = append(w.observed, o)
 }
 
-// runRequest takes a request through its course, and returns false if that is the end of the workload.
+// runRequest runs request n, and returns false if the workload ends with it.
 func (w *workload) runRequest(n int) bool {
 	id := admission.RequestID(fmt.Sprintf("%016x", n))
 	w.journal.Accept(w.now, id, n%3, w.now+10*second)
 	if n == 11 {
-		return false // accepted, and nothing more
+		return false // the last request is accepted, but no attempt begins
 	}
 	staysInFlight := n >= 9
 	for attempt := range 1 + n%2 {
@@ -99,7 +99,7 @@
 	return true
 }
 
-// classOf is the class that the workload has a request in.
+// classOf returns the index of the class into which the workload puts a request.
 func classOf(id admission.RequestID) int {
 	n, err := strconv.ParseUint(string(id), 16, 64)
 	if err != nil {
@@ -108,9 +108,9 @@
 	return int(n % 3)
 }
 
-// checkRecovered recovers the journal in a folder and compares it with what was observed. A request that must not run twice
-// and of which an engine has seen a byte is known as one that may have run, or has its answer. A repeat of an answered request
-// gets the answer that its client has seen.
+// checkRecovered recovers the journal in a folder and compares it with the observations. If an engine received a byte of a request that
+// is not idempotent, the journal must know that the request may have run, or have its answer. If a client received an answer, a repeat
+// of the request must get the same answer.
 func checkRecovered(folder store.Folder, observed []observation, now admission.Time) error {
 	journal, logStore, err := openJournal(folder, now)
 	if err != nil {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// isProvedNotRun reports whether it was observed that an attempt of the request has not run.
+// isProvedNotRun reports whether the observations contain the proof that an attempt of the request did not run.
 func isProvedNotRun(id admission.RequestID, observed []observation) bool {
 	return slices.ContainsFunc(observed, func(o observation) bool { return o.id == id && o.provedNotRun })
 }
@@ -143,13 +143,13 @@
 	status, entry := journal.Lookup(seen.id)
 	switch {
 	case status == requestjournal.Unknown:
-		return fmt.Errorf("%s was sent, and nothing is known of it", seen.id)
+		return fmt.Errorf("%s was sent, but the journal has no record of it", seen.id)
 	case status == requestjournal.Resumable && !entry.MayHaveRun:
-		return fmt.Errorf("%s was sent, and would be sent as a new one", seen.id)
+		return fmt.Errorf("%s was sent, but the journal doesn't know that it may have run", seen.id)
 	case status == requestjournal.Resumable && classOf(seen.id) == 1:
-		return fmt.Errorf("%s was sent and must not run twice, and has no answer", seen.id)
+		return fmt.Errorf("%s was sent and must not run twice, but it is still pending", seen.id)
 	case status == requestjournal.Resumable && now >= entry.UncertainSince+3*second:
-		return fmt.Errorf("%s was sent, its deduplication window is over, and it has no answer", seen.id)
+		return fmt.Errorf("%s was sent and its deduplication window is over, but it is still pending", seen.id)
 	}
 	return nil
 }
@@ -157,17 +157,17 @@
 func checkAnswer(journal *requestjournal.Journal, seen observation) error {
 	status, entry := journal.Lookup(seen.id)
 	if status != requestjournal.Answered || entry.Outcome != seen.outcome {
-		return fmt.Errorf("%s was answered %v; after the recovery it is %v", seen.id, seen.outcome, entry)
+		return fmt.Errorf("%s was answered %v, but after the recovery its entry is %v", seen.id, seen.outcome, entry)
 	}
 	if seen.outcome == requestjournal.Served && (!entry.Complete() || string(entry.Pages[0]) != "a\tb\tc\n") {
-		return fmt.Errorf("%s was served, and its rows are %q", seen.id, entry.Pages)
+		return fmt.Errorf("%s was served, but after the recovery its rows are %q", seen.id, entry.Pages)
 	}
 	return nil
 }
 
-// exploreCrashes loses power at each operation of a workload, and once more at each of the first ten operations of the
-// recovery. It checks the crash states that faultfs.Folder.ForEachCrashState explores with the bound maxExhaustive, and
-// returns their number and the first error.
+// exploreCrashes loses power at each operation of the workload, and then a second time at each of the first ten operations of the
+// recovery. After each power loss it checks the crash states that faultfs.Folder.ForEachCrashState visits for maxExhaustive. It returns
+// their number and the first error.
 func exploreCrashes(maxExhaustive int, answerEarly bool) (states int, firstErr error) {
 	check := func(folder *faultfs.Folder, observed []observation, now admission.Time, seed int, when string) {
 		states += folder.ForEachCrashState(maxExhaustive, int64(seed), func(left *faultfs.Folder) {
@@ -184,7 +184,7 @@
 		for recoveryOperation := range 10 {
 			left := folder.AfterPowerLoss(func(part int) bool { return (part+recoveryOperation)%2 == 0 }, -1)
 			left.BeforeOperation = faultfs.LosePowerAt(recoveryOperation)
-			_ = checkRecovered(left, nil, now) // power is lost meanwhile
+			_ = checkRecovered(left, nil, now) // power is lost during the recovery
 			check(left, observed, now+5*second, recoveryOperation,
 				fmt.Sprintf("power lost at operation %d, and at operation %d of the recovery", operation, recoveryOperation))
 		}
@@ -202,13 +202,14 @@
 		t.Error(err)
 	}
 	if _, err := exploreCrashes(3, true); err == nil {
-		t.Error("answers that are seen before they are recorded are not found")
+		t.Error("the checks don't detect that clients receive answers before the answers are recorded")
 	} else {
-		t.Log("mutation found: ", err)
+		t.Log("mutation detected: ", err)
 	}
 }
 
-// A log cut at any byte, as by a power loss during a write, has all that engines and clients had seen by then.
+// If the log is cut at any byte, as by a power loss during a write, the recovered journal agrees with everything that engines and clients
+// had observed when the log had that size.
 func TestRecoveryOfLogCutAtEveryByte(t *testing.T) {
 	folder := &faultfs.Folder{}
 	observed := runWorkload(folder, false)
@@ -216,7 +217,7 @@
 	for cut := 48; cut <= len(log); cut++ {
 		left := &faultfs.Folder{}
 		manifest := folder.Contents("manifest")
-		copy(manifest[40:48], make([]byte, 8)) // as if it had not been closed
+		copy(manifest[40:48], make([]byte, 8)) // clears closedAtSequence, as if the store had not been closed
 		left.SetFile("manifest", withChecksum(manifest))
 		left.SetFile(segmentName, log[:cut])
 		var observedByThen []observation
@@ -226,13 +227,13 @@
 			}
 		}
 		if err := checkRecovered(left, observedByThen, 1002*second); err != nil {
-			t.Fatalf("cut to %d of %d bytes: %v", cut, len(log), err)
+			t.Fatalf("log cut to %d of %d bytes: %v", cut, len(log), err)
 		}
 	}
 	t.Logf("%d cuts, %d observations", len(log)-47, len(observed))
 }
 
-// withChecksum sets the checksum of a changed manifest.
+// withChecksum updates the checksum at the end of a changed manifest and returns the manifest.
 func withChecksum(b []byte) []byte {
 	binary.LittleEndian.PutUint32(b[len(b)-4:], crc32.Checksum(b[:len(b)-4], crc32.MakeTable(crc32.Castagnoli)))
 	return b
--- a/internal/storage/requestjournal/entry.go
+++ b/internal/storage/requestjournal/entry.go
@@ -7,19 +7,19 @@
 	"magpiebank/internal/admission"
 )
 
-// Outcome is a request's final answer. Its numbers are stored.
+// Outcome is the kind of a request's final answer. Its numeric values are stored and must not change.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a request.
 const (
-	Pending   Outcome = iota // no answer yet
-	Served                   // with its rows
-	Rejected                 // it never ran, or may run again
-	Failed                   // it may have run, and must not run again
-	Abandoned                // its client stopped waiting
+	Pending   Outcome = iota // there is no final answer yet
+	Served                   // the client got the rows
+	Rejected                 // the request never ran, or it may run again
+	Failed                   // the request may have run and must not run again
+	Abandoned                // the client stopped waiting
 )
 
-// outcomeNames are printed by the documented command "store dump", which keeps its words.
+// outcomeNames are printed by the documented command "store dump", so they must not change.
 var outcomeNames = [...]string{"open", "delivered", "nacked", "written off", "left"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
@@ -28,32 +28,34 @@
 type Entry struct {
 	Class      int // index of the request class
 	AcceptedAt admission.Time
-	Deadline   admission.Time // of its client
+	Deadline   admission.Time // when the client stops waiting for the answer
 
-	Attempts   int
-	InFlight   bool // an attempt is in flight, or was when the process died
-	MayHaveRun bool // an attempt ended without proof that nothing of it ran
+	Attempts   int  // number of attempts begun so far
+	InFlight   bool // an attempt is in flight, or was in flight when the process crashed
+	MayHaveRun bool // an attempt ended without proof that the engine executed nothing of it
 
-	// Of the first attempt that may have run; of the latest attempt as long as there is none.
+	// UncertainSince, Zone and Group are the start of the first attempt that may have run and the zone and group of its engine. As
+	// long as no attempt may have run, they describe the latest attempt.
 	UncertainSince admission.Time
-	Zone           int // of its engine
-	Group          int // of its engine
+	Zone           int
+	Group          int
 
 	Outcome    Outcome
 	AnsweredAt admission.Time // 0 while the request is pending
-	Pages      [][]byte       // rows of a served answer, if they are kept
+	Pages      [][]byte       // rows of a served answer, if they are stored
 
-	complete     bool // Pages has all rows of the answer
-	acceptedHere bool // by this process; not stored
+	complete     bool // Pages contains all rows of the answer
+	acceptedHere bool // this process accepted the request; not stored
 }
 
-// maxPageBytes bounds the rows that are kept of an answer. Loads return a few bytes; a lookup can simply be repeated.
+// maxPageBytes is the maximum size of an answer whose rows are stored. Answers to loads have a few bytes, and lookups, whose answers may
+// be larger, can simply be repeated.
 const maxPageBytes = 8 << 10
 
-// Complete reports whether Pages has all rows of a served answer.
+// Complete reports whether Pages contains all rows of a served answer.
 func (e *Entry) Complete() bool { return e.complete }
 
-// setAnswer sets the final answer. The rows are kept if they are those of a served request and small enough.
+// setAnswer sets the final answer. It keeps the rows if the request was served and the rows don't exceed maxPageBytes.
 func (e *Entry) setAnswer(now admission.Time, outcome Outcome, pages [][]byte) {
 	e.Outcome, e.AnsweredAt, e.InFlight = outcome, now, false
 	size := 0
@@ -66,15 +68,15 @@
 	}
 }
 
-// A stored record consists of the version, the flags and the outcome, a byte each, numberFields signed varints and, if
-// flagComplete is set, the number of pages and each page with its length before it, as unsigned varints.
+// A stored record consists of the version, the flags and the outcome in one byte each, and numberFields signed varints. If flagComplete
+// is set, the number of pages follows, and then each page, preceded by its length. These numbers are unsigned varints.
 const (
 	recordVersion = 1
 	fixedBytes    = 3
 	numberFields  = 8
 )
 
-// The flags of a record.
+// The bits in the flags of a stored record.
 const (
 	flagInFlight = 1 << iota
 	flagMayHaveRun
@@ -82,12 +84,12 @@
 )
 
 // ErrInvalidRecord is returned for bytes that are not a record of this version.
-var ErrInvalidRecord = errors.New("not a record of a request, or of another version")
+var ErrInvalidRecord = errors.New("not a record of a request, or a record of another version")
 
-// maxAnyClass bounds class numbers where the site's classes are not known.
+// maxAnyClass is the number of classes that Decode assumes, because it doesn't know the deployment's classes.
 const maxAnyClass = 1 << 16
 
-// Decode decodes a stored record without knowing the site's classes, for tools. The error is ErrInvalidRecord.
+// Decode decodes a stored record for tools, which don't know the deployment's classes. The error is ErrInvalidRecord.
 func Decode(record []byte) (*Entry, error) { return decode(record, maxAnyClass) }
 
 func (e *Entry) flags() (flags byte) {
@@ -121,6 +123,7 @@
 	return b
 }
 
+// decode decodes a stored record. Records whose class index is not less than classes are invalid.
 func decode(b []byte, classes int) (*Entry, error) {
 	if len(b) < fixedBytes || b[0] != recordVersion || int(b[2]) >= len(outcomeNames) {
 		return nil, ErrInvalidRecord
@@ -151,7 +154,7 @@
 	return e, nil
 }
 
-// decodeNumbers reads the numbers at the start of b and returns what follows them.
+// decodeNumbers decodes the numbers at the start of b and returns the bytes after them.
 func (e *Entry) decodeNumbers(b []byte) (rest []byte, err error) {
 	var numbers [numberFields]int64
 	for i := range numbers {
@@ -173,7 +176,7 @@
 	return b, nil
 }
 
-// decodePages reads the pages at the start of b and returns what follows them.
+// decodePages decodes the pages at the start of b and returns the bytes after them.
 func (e *Entry) decodePages(b []byte) (rest []byte, err error) {
 	pages, size := binary.Uvarint(b)
 	if size <= 0 || pages > uint64(len(b)) {
--- a/internal/storage/requestjournal/entry_test.go
+++ b/internal/storage/requestjournal/entry_test.go
@@ -10,7 +10,7 @@
 	"magpiebank/internal/storage/requestjournal"
 )
 
-// memoryLog keeps the records as they were written, in hex digits.
+// memoryLog collects the written records, encoded in hex.
 type memoryLog struct{ records []string }
 
 func (l *memoryLog) Put(_ requestjournal.Key, record []byte, _ func(error)) {
@@ -19,7 +19,7 @@
 
 func (l *memoryLog) Delete(requestjournal.Key, func(error)) {}
 
-// Records have the bytes that gateways of earlier versions wrote, and are decoded from them.
+// Records are encoded into the same bytes as by earlier versions, and records of earlier versions can be decoded.
 func TestStoredRecordsKeepTheirBytes(t *testing.T) {
 	var log memoryLog
 	journal := requestjournal.New(&log, classes, 10)
@@ -34,7 +34,7 @@
 		"0106010280dac409c0f4d00902a0f6c5090406e0aec80901046109620a",
 	}
 	if !slices.Equal(log.records, want) {
-		t.Errorf("records are\n%q, expected\n%q", log.records, want)
+		t.Errorf("found records\n%q, expected\n%q", log.records, want)
 	}
 	for _, record := range want {
 		b := decodeHex(t, record)
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if entry.Deadline != 1010*admission.Second || entry.Zone != 2 || entry.Group != 3 || string(entry.Pages[0]) != "a\tb\n" {
-		t.Errorf("decoded %+v", entry)
+		t.Errorf("decoded an unexpected entry: %+v", entry)
 	}
 }
 
--- a/internal/storage/requestjournal/format_test.go
+++ b/internal/storage/requestjournal/format_test.go
@@ -9,14 +9,14 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-// keyedEntry is a request as the folder has it.
+// keyedEntry is an entry of the journal with its key.
 type keyedEntry struct {
 	key   Key
 	entry *Entry
 }
 
 func TestFolderOfEarlierVersionIsReadAndRecordsAreWrittenAlike(t *testing.T) {
-	folder, err := store.OpenFolder(golden.CopyFolder(t, "folder")) // a store that is opened writes to its folder
+	folder, err := store.OpenFolder(golden.CopyFolder(t, "folder")) // a copy, because opening a store writes to its folder
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/storage/requestjournal/journal.go
+++ b/internal/storage/requestjournal/journal.go
@@ -1,8 +1,8 @@
-// Package requestjournal records what must be known of requests after a crash of the gateway: that a request was accepted,
-// that an attempt was sent to an engine, how the attempt ended and which final answer the client got. It tells the caller
-// when a record has to be durable before an attempt or an answer may leave the gateway.
+// Package requestjournal records what a gateway has to know about requests after a crash: that a request was accepted, that an
+// attempt was sent to an engine, how the attempt ended and which final answer the client got. Its methods report whether a record has
+// to be durable before an attempt or an answer may leave the gateway.
 //
-// The package makes no routing decisions and does no I/O: records are written to a Log and are replayed from one.
+// The package makes no routing decisions and does no I/O: it writes records to a Log, and the caller replays them after a restart.
 package requestjournal
 
 import (
@@ -27,62 +27,63 @@
 	return key
 }
 
-// Log stores records by key. Put and Delete return before the record is durable. done, where it is not nil, is called once
-// the record survives a crash, or with the reason why it may not; it may be called from any goroutine.
+// Log stores records by key. Put and Delete return before the change is durable. If done is not nil, it is called with nil once the
+// change survives a crash, or with the reason why it may not survive. Any goroutine may call it.
 type Log interface {
 	Put(key Key, record []byte, done func(error))
 	Delete(key Key, done func(error))
 }
 
-// Class is what the journal needs to know of a request class.
+// Class contains the properties of a request class that the journal needs.
 type Class struct {
 	Effect      admission.RepeatEffect
-	DedupWindow admission.Time // for which engines drop repeats of its deduplicated requests
-	LongestWait admission.Time // of its clients for an answer
+	DedupWindow admission.Time // how long engines drop repeats of the class's deduplicated requests
+	LongestWait admission.Time // how long clients wait for an answer at most
 }
 
-// isNonIdempotent reports whether a second execution of the class's requests does harm, so that their records have to be
-// durable before anything leaves the gateway.
+// isNonIdempotent reports whether the class's requests have effects that a second run may repeat, so that their records have to be
+// durable before an attempt or an answer leaves the gateway.
 func (c *Class) isNonIdempotent() bool { return c.Effect != admission.Idempotent }
 
-// Journal is the state of all requests that are on record. It must be used by one goroutine at a time.
+// Journal holds the records of all requests that are not forgotten yet. Only one goroutine may use it at a time.
 type Journal struct {
 	log        Log
 	classes    []Class
 	entries    map[Key]*Entry
-	latestTime admission.Time // the latest time seen in a call or in a replayed record
-	answered   []expiry       // answered requests, the first to be forgotten first
-	recovered  []expiry       // requests found pending at the start, by their deadlines
-	retention  admission.Time // for which answered requests are kept
+	latestTime admission.Time // the latest time in any call or replayed record
+	answered   []expiry       // answered requests, in the order in which they are forgotten
+	recovered  []expiry       // requests found pending at the start, sorted by deadline
+	retention  admission.Time // how long answered requests are kept
 	maxEntries int
 	Counts     Counts
 }
 
-// Counts are numbers of requests since the start.
+// Counts holds numbers of requests since the start of the process.
 type Counts struct {
-	Recovered int   // found pending at the start
-	Uncertain int   // of those, the ones that may have run
-	Accepted  int64 // by this process, recovered ones included
-	Answered  int64
+	Recovered int   // requests found pending at the start
+	Uncertain int   // recovered requests that may have run
+	Accepted  int64 // requests accepted by this process, including repeats of recovered ones
+	Answered  int64 // requests answered through RecordAnswer
 	Repeated  int64 // lookups that found a record
-	Evicted   int64 // answers forgotten before their time, because maxEntries was reached
+	Evicted   int64 // answers forgotten before the end of the retention because maxEntries was reached
 }
 
-// minRetention is the least time for which answers are kept: a client that reconnects after a restart of the gateway does so
-// within its own timeout and a few retries, which take seconds as a rule.
+// minRetention is the minimum time for which answers are kept. A client that reconnects after a restart of the gateway does so within
+// its own timeout and a few retries, which usually take seconds.
 const minRetention = 60 * admission.Second
 
-// New returns an empty journal for the given request classes, which holds at most maxEntries requests.
+// New returns an empty journal for the given request classes. When it holds maxEntries requests and accepts another, it forgets the
+// oldest answer. Pending requests are never forgotten, even if there are more than maxEntries.
 func New(log Log, classes []Class, maxEntries int) *Journal {
 	j := &Journal{log: log, classes: classes, entries: map[Key]*Entry{}, retention: minRetention, maxEntries: maxEntries}
 	for _, class := range classes {
-		// Entries outlive the deduplication window, so that a repeat within the window is recognized.
+		// Entries are kept for longer than the deduplication window, so that the journal recognizes a repeat within the window.
 		j.retention = max(j.retention, class.DedupWindow+class.LongestWait, 2*class.LongestWait)
 	}
 	return j
 }
 
-// advanceClock returns now, or the latest time on record if the wall clock was set back, also across a restart.
+// advanceClock returns now, or the latest time in any call or record if the wall clock was set back, even during a restart.
 func (j *Journal) advanceClock(now admission.Time) admission.Time {
 	j.latestTime = max(j.latestTime, now)
 	return j.latestTime
@@ -93,17 +94,17 @@
 	return now < entry.UncertainSince+j.classes[entry.Class].DedupWindow
 }
 
-// Status is what the journal knows of a request that a client sends.
+// Status is the state of a request in the journal.
 type Status uint8
 
-// The statuses.
+// The statuses of a request.
 const (
-	Unknown   Status = iota // no record: it is a new request
-	Answered                // it has a final answer
-	Resumable               // it was pending when the gateway died and may go on under the rules of its class
+	Unknown   Status = iota // there is no record, so the request is new
+	Answered                // the request has a final answer
+	Resumable               // the request is pending, as after a crash, and may continue under the rules of its class
 )
 
-// Lookup returns what is known of a request; the entry is nil if and only if the status is Unknown.
+// Lookup returns the status and the entry of a request; the entry is nil if and only if the status is Unknown.
 func (j *Journal) Lookup(id admission.RequestID) (Status, *Entry) {
 	entry := j.entries[KeyOf(id)]
 	if entry == nil {
@@ -116,8 +117,8 @@
 	return Resumable, entry
 }
 
-// Accept records that a request was accepted, or that a recovered one goes on. Nobody has to wait for the record: if it is
-// lost, a client that repeats the request finds it new, and nothing of it has run.
+// Accept records that a request was accepted, or that a recovered request continues. The caller doesn't have to wait until the record is
+// durable: if a crash loses it, no attempt was sent, and a repeat of the request is accepted as a new one.
 func (j *Journal) Accept(now admission.Time, id admission.RequestID, class int, deadline admission.Time) *Entry {
 	now = j.advanceClock(now)
 	key := KeyOf(id)
@@ -133,7 +134,7 @@
 	return entry
 }
 
-// makeRoom forgets the oldest answers while the journal is full.
+// makeRoom forgets the oldest answers until the journal holds fewer than maxEntries requests or there are no more answers.
 func (j *Journal) makeRoom() {
 	for len(j.entries) >= j.maxEntries && len(j.answered) > 0 {
 		j.forget(j.answered[0].key)
@@ -147,9 +148,9 @@
 	j.log.Delete(key, nil)
 }
 
-// BeginAttempt records that an attempt is about to be sent to an engine of the given zone and group. If mustWait is true, no
-// byte may go to the engine before onDurable is called with nil; called with an error, the attempt must not be sent. If
-// mustWait is false, the attempt may be sent at once and onDurable is never called.
+// BeginAttempt records that an attempt is about to be sent to an engine of the given zone and group. If mustWait is true, no byte may be
+// sent to the engine before onDurable is called with nil; if onDurable is called with an error, the attempt must not be sent. If mustWait
+// is false, the attempt may be sent at once, and onDurable is never called.
 func (j *Journal) BeginAttempt(now admission.Time, id admission.RequestID, zone, group int, onDurable func(error)) (mustWait bool) {
 	now = j.advanceClock(now)
 	key := KeyOf(id)
@@ -160,7 +161,7 @@
 	entry.Attempts++
 	entry.InFlight = true
 	if !entry.MayHaveRun {
-		// The first uncertain attempt determines where engines drop repeats, and from when on.
+		// The first attempt that may have run determines which engines drop repeats and when their deduplication window begins.
 		entry.UncertainSince, entry.Zone, entry.Group = now, zone, group
 	}
 	if j.classes[entry.Class].isNonIdempotent() {
@@ -171,7 +172,7 @@
 	return false
 }
 
-// EndAttempt records how an attempt ended: neverRan tells that the engine is known not to have executed any of it.
+// EndAttempt records how an attempt ended. neverRan reports that the engine is known to have executed nothing of it.
 func (j *Journal) EndAttempt(now admission.Time, id admission.RequestID, neverRan bool) {
 	j.advanceClock(now)
 	key := KeyOf(id)
@@ -188,9 +189,9 @@
 	}
 }
 
-// RecordAnswer records a final answer; pages are the rows of a served one. If mustWait is true, the client must not see the
-// answer before onDurable is called, because after a crash it could get another one. If mustWait is false, the client may
-// see it at once and onDurable is never called.
+// RecordAnswer records a final answer; pages are the rows if the outcome is Served. If mustWait is true, the answer must not be sent to
+// the client before onDurable is called, because after a crash the client could get a different answer. If mustWait is false, the answer
+// may be sent at once, and onDurable is never called.
 func (j *Journal) RecordAnswer(now admission.Time, id admission.RequestID, outcome Outcome, pages [][]byte, onDurable func(error)) (mustWait bool) {
 	now = j.advanceClock(now)
 	key := KeyOf(id)
@@ -208,13 +209,13 @@
 	return mustWait
 }
 
-// storeAnswer writes an entry that has just got its answer, and has it forgotten when the retention is over.
+// storeAnswer writes an entry whose answer was just set, and adds it to the entries that are forgotten after the retention.
 func (j *Journal) storeAnswer(key Key, entry *Entry, onDurable func(error)) {
 	j.log.Put(key, entry.encode(), onDurable)
 	j.answered = append(j.answered, expiry{key, entry.AnsweredAt})
 }
 
-// Tick forgets answers whose retention is over, and answers recovered requests whose deadline has passed without a repeat.
+// Tick answers recovered requests whose deadline has passed without a repeat, and forgets answers that are older than the retention.
 func (j *Journal) Tick(now admission.Time) {
 	now = j.advanceClock(now)
 	for len(j.recovered) > 0 && now >= j.recovered[0].at {
@@ -228,7 +229,7 @@
 	}
 }
 
-// expireRecovered answers a recovered request that no client has repeated before its deadline.
+// expireRecovered answers a recovered request that is still pending and that its client hasn't repeated before the deadline.
 func (j *Journal) expireRecovered(now admission.Time, key Key) {
 	entry := j.entries[key]
 	if entry == nil || entry.Outcome != Pending || entry.acceptedHere {
@@ -242,10 +243,10 @@
 	j.storeAnswer(key, entry, nil)
 }
 
-// Len returns the number of requests on record.
+// Len returns the number of requests in the journal.
 func (j *Journal) Len() int { return len(j.entries) }
 
-// ForEach calls visit for each request on record, in no particular order.
+// ForEach calls visit for each request in the journal, in no particular order.
 func (j *Journal) ForEach(visit func(key Key, entry *Entry)) {
 	for key, entry := range j.entries {
 		visit(key, entry)
--- a/internal/storage/requestjournal/journal_test.go
+++ b/internal/storage/requestjournal/journal_test.go
@@ -15,14 +15,14 @@
 
 const second = admission.Second
 
-// classes has one class of each effect; the tests put request n into class n%3.
+// classes contains one class per repeat effect; the tests put request n into class n%3.
 var classes = []requestjournal.Class{
 	{Effect: admission.Idempotent, LongestWait: 5 * second},
 	{Effect: admission.NonIdempotent, LongestWait: 20 * second},
 	{Effect: admission.Deduplicated, DedupWindow: 3 * second, LongestWait: 20 * second},
 }
 
-// storeLog is a journal's log in a store.
+// storeLog implements requestjournal.Log with a store.
 type storeLog struct{ store *store.Store }
 
 func (l storeLog) Put(k requestjournal.Key, b []byte, done func(error)) {
@@ -50,7 +50,7 @@
 	return journal, logStore, nil
 }
 
-// waitDurable calls record and, if that asks for it, waits until the record is durable.
+// waitDurable calls record and, if it returns true, waits until the record is durable.
 func waitDurable(record func(onDurable func(error)) bool) error {
 	done := make(chan error, 1)
 	if record(func(err error) { done <- err }) {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// closeAfterFault closes a store that may have failed on purpose.
+// closeAfterFault closes a store that an injected fault may have failed, and ignores the error.
 func closeAfterFault(s *store.Store) { _ = s.Close() }
 
 // closeStore closes a store that has not failed.
@@ -70,7 +70,7 @@
 	}
 }
 
-// A clock set back by an hour between two starts makes no record younger and no deduplication window longer.
+// If the clock is set back by an hour between two starts, records don't become younger and deduplication windows don't become longer.
 func TestClockSetBackBetweenStarts(t *testing.T) {
 	folder := &faultfs.Folder{}
 	journal, logStore, err := openJournal(folder, 5000*second)
@@ -91,11 +91,11 @@
 	}
 	defer closeStore(t, logStore)
 	if status, entry := journal.Lookup("0000000000000001"); status != requestjournal.Answered || entry.Outcome != requestjournal.Failed {
-		t.Errorf("%v %+v", status, entry)
+		t.Errorf("expected the request to be answered as failed, found status %v, entry %+v", status, entry)
 	}
 }
 
-// While a sync takes long, idempotent requests do not wait for it; a non-idempotent one goes on once the sync is done.
+// While a sync is slow, idempotent requests don't wait for it, and a non-idempotent request continues once the sync has ended.
 func TestSlowSyncDelaysNonIdempotentRequestsOnly(t *testing.T) {
 	folder := &faultfs.Folder{}
 	journal, logStore, err := openJournal(folder, 1000*second)
@@ -114,7 +114,7 @@
 	journal.Accept(1000*second, "0000000000000001", 1, 1020*second)
 	durable := make(chan error, 1)
 	if !journal.BeginAttempt(1000*second, "0000000000000001", 0, 0, func(err error) { durable <- err }) {
-		t.Fatal("a non-idempotent request does not wait for its record")
+		t.Fatal("a non-idempotent request doesn't wait until its record is durable")
 	}
 	<-syncBegun
 	for n := range 1000 {
@@ -130,7 +130,7 @@
 	}
 	select {
 	case err := <-durable:
-		t.Fatalf("the write ended before the sync was done: %v", err)
+		t.Fatalf("the record was reported as durable before the sync ended: %v", err)
 	default:
 	}
 	close(finishSync)
@@ -139,7 +139,7 @@
 	}
 }
 
-// A recovered request that no client repeats is answered at its deadline, and forgotten later.
+// A recovered request that its client doesn't repeat is answered at its deadline and forgotten after the retention.
 func TestRecoveredRequestsEndAtTheirDeadlines(t *testing.T) {
 	folder := &faultfs.Folder{}
 	journal, logStore, err := openJournal(folder, 1000*second)
@@ -171,11 +171,12 @@
 	}
 	journal.Tick(1200 * second)
 	if journal.Len() != 1 {
-		t.Errorf("%d are known", journal.Len())
+		t.Errorf("the journal has %d entries, expected only the pending request", journal.Len())
 	}
 }
 
-// Answers are kept until deduplication windows are over; if there are too many, the oldest are forgotten first.
+// Answers are kept for at least a minute and until the deduplication windows are over. If the journal is full, the oldest answers are
+// forgotten earlier.
 func TestAnswersAreForgottenByAgeAndByNumber(t *testing.T) {
 	folder := &faultfs.Folder{}
 	journal, logStore, err := openJournal(folder, 1000*second)
--- a/internal/storage/requestjournal/recovery.go
+++ b/internal/storage/requestjournal/recovery.go
@@ -7,14 +7,14 @@
 	"magpiebank/internal/admission"
 )
 
-// expiry is the time at which a request is dealt with next.
+// expiry is the key of a request and a time: the time of its answer in Journal.answered, its deadline in Journal.recovered.
 type expiry struct {
 	key Key
 	at  admission.Time
 }
 
-// Replay takes in one record of the log. Records have to be replayed in the order in which they were written; deleted tells
-// that the key's record was deleted. The error is ErrInvalidRecord, in which case the journal is unchanged.
+// Replay applies one record of the log to the journal. The caller must replay the records in the order in which they were written.
+// deleted reports that the key's record was deleted. If the error is ErrInvalidRecord, the journal is unchanged.
 func (j *Journal) Replay(key Key, record []byte, deleted bool) error {
 	if deleted {
 		delete(j.entries, key)
@@ -29,8 +29,9 @@
 	return nil
 }
 
-// Recover ends the replay. An attempt that was in flight when the process died may have run. A request that must not run
-// again fails, which is recorded; any other one stays pending and goes on if a client repeats it.
+// Recover ends the replay. It assumes that an attempt that was in flight when the process crashed may have run. It records that a
+// request fails if it may have run and must not run again, and that any other request is rejected if its deadline has passed. The
+// remaining requests stay pending, and continue if a client repeats them.
 func (j *Journal) Recover(now admission.Time) {
 	now = j.advanceClock(now)
 	for key, entry := range j.entries {
@@ -65,7 +66,7 @@
 	}
 }
 
-// mayRunAgain reports whether a request that may have run already can be sent to an engine once more without harm.
+// mayRunAgain reports whether a request that may already have run can be sent to an engine again without repeating its effect.
 func (j *Journal) mayRunAgain(entry *Entry, now admission.Time) bool {
 	switch j.classes[entry.Class].Effect {
 	case admission.NonIdempotent:
@@ -77,7 +78,7 @@
 	}
 }
 
-// sortByExpiry sorts by time; requests of the same time are sorted by key, so that the order does not depend on the map.
+// sortByExpiry sorts by time. Requests with the same time are sorted by key, so that the order doesn't depend on the order of the map.
 func sortByExpiry(list []expiry) {
 	slices.SortFunc(list, func(a, b expiry) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), slices.Compare(a.key[:], b.key[:]))
--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -14,7 +14,8 @@
 	"magpiebank/internal/storage/store"
 )
 
-// commits has so many writers commit a value of 100 bytes each in turn, and reports commits a second and p99.
+// measureCommits calls commit about b.N times from the given number of concurrent writers, each of which waits for its previous call.
+// It reports the commits per second and the 99th percentile of their latency.
 func measureCommits(b *testing.B, writers int, commit func(n int) error) {
 	b.Helper()
 	each := max(1, b.N/writers)
@@ -111,7 +112,7 @@
 	b.ReportMetric(float64(stats.TxStats.GetPageAlloc())/float64(max(1, b.N)*116), "bytes/kept")
 }
 
-// BenchmarkRecovery opens a log of a million records that all hold.
+// BenchmarkRecovery measures how long it takes to open a log of a million live records.
 func BenchmarkRecovery(b *testing.B) {
 	folder := b.TempDir()
 	d, err := store.CreateFolder(folder)
--- a/internal/storage/store/compaction.go
+++ b/internal/storage/store/compaction.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// compactionBytes bounds what one step of the compaction reads of the oldest segment, so that writes get the disk between.
+	// compactionBytes limits how much of the oldest segment one step of the compaction processes, so that writes can use the disk
+	// between two steps.
 	compactionBytes = 256 << 10
 
-	// shortOfCapacity is the part of MaxBytes from which on segments are compacted even if most of them is live. With the reserve
-	// there is room to write on meanwhile.
+	// shortOfCapacity is a fraction of MaxBytes. If the closed segments take more than that, the compaction runs even if most of their
+	// bytes are live. The rest of MaxBytes and the reserve for deletions leave capacity for writes during the compaction.
 	shortOfCapacity = 0.75
 )
 
-// needsCompaction reports whether the oldest segment should be compacted: less than half of what is in closed segments is
-// live, or room is short and compaction would free at least a segment.
+// needsCompaction reports whether the oldest segment should be compacted. That is so if less than half of the bytes in the closed
+// segments are live, or if capacity is short and the compaction would free at least one segment.
 func (s *Store) needsCompaction() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,9 +33,9 @@
 	return mostlyDead || short && live < bytes-s.limits.SegmentBytes
 }
 
-// compact does one step of the compaction of the oldest segment, if one is due: it appends some of the segment's live records
-// to the log again. Once all of them are synced there, the manifest is changed to begin with the next segment and the file is
-// removed. Deletions in the oldest segment need not be kept, since there is nothing older that they could hide.
+// compact runs one step of the compaction of the oldest segment, if one is due: it appends some of the segment's live records to the
+// end of the log. Once all of them are rewritten and synced, the next segment becomes the first one in the manifest, and the oldest
+// file is removed. Deletions in the oldest segment are not rewritten, because no older record exists that they hide.
 func (s *Store) compact() error {
 	if !s.needsCompaction() || time.Since(s.lastCompaction) < s.limits.CompactionInterval {
 		return nil
@@ -61,8 +62,8 @@
 	return s.dropOldest()
 }
 
-// collectLive puts live records of the oldest segment, from the compaction's offset on, into the buffer as new records. It
-// returns these and the number of bytes that were scanned.
+// collectLive scans the oldest segment from compactionOffset for up to compactionBytes and encodes its live records into the buffer as
+// new records. It returns the new records and the number of bytes scanned.
 func (s *Store) collectLive(oldest *segment) (live []record, scanned int64, err error) {
 	chunk := make([]byte, min(compactionBytes+recordHeaderSize+maxValueSize, oldest.size-s.compactionOffset))
 	if n, err := oldest.file.ReadAt(chunk, s.compactionOffset); n < len(chunk) {
@@ -90,7 +91,7 @@
 	return live, scanned, nil
 }
 
-// isLive reports whether the index points to a key's record at the given place.
+// isLive reports whether the index points to a key's record at an offset of a segment.
 func (s *Store) isLive(g *segment, key Key, offset int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,8 +99,8 @@
 	return ok && l.segment == uint32(g.number) && int64(l.offset) == offset
 }
 
-// rewrite appends the records in the buffer to the log; postponed tells that the disk is full, and that the same step has to be
-// done again later.
+// rewrite appends the records in the buffer to the log. postponed reports that the disk is full and that the step has to be repeated
+// later.
 func (s *Store) rewrite(live []record) (postponed bool, err error) {
 	canPostpone, err := s.rollSegment()
 	if err != nil && canPostpone {
@@ -121,7 +122,7 @@
 	return false, nil
 }
 
-// dropOldest removes the oldest segment, all live records of which have been written again.
+// dropOldest removes the oldest segment. All its live records must have been rewritten.
 func (s *Store) dropOldest() error {
 	if s.lastSequence > s.syncedSequence {
 		if err := s.syncActive(); err != nil {
@@ -135,7 +136,7 @@
 	}
 	header, ok := decodeSegmentHeader(b)
 	if !ok {
-		return &CorruptionError{next.name(), 0, "its head can't be read"}
+		return &CorruptionError{next.name(), 0, "the header can't be decoded"}
 	}
 	before := s.manifest
 	s.manifest.firstSegment, s.manifest.firstSequence = header.number, header.firstSequence
@@ -151,7 +152,7 @@
 	return s.folder.Remove(oldest.name())
 }
 
-// ignoreDiskFull returns nil for a full disk, which only puts the compaction off; any other error ends the store.
+// ignoreDiskFull returns nil if the error is a full disk, which only postpones the compaction. Any other error fails the store.
 func ignoreDiskFull(err error) error {
 	if isDiskFull(err) {
 		return nil
--- a/internal/storage/store/corruption_test.go
+++ b/internal/storage/store/corruption_test.go
@@ -8,7 +8,7 @@
 	"magpiebank/internal/storage/store"
 )
 
-// workloadFolder returns the folder of a workload whose store was closed.
+// workloadFolder returns the folder that a workload leaves after its store was closed.
 func workloadFolder(t *testing.T) *faultfs.Folder {
 	t.Helper()
 	folder := &faultfs.Folder{}
@@ -22,7 +22,8 @@
 	return f.AfterPowerLoss(func(int) bool { return true }, -1)
 }
 
-// A segment that is cut anywhere is refused, as the store was closed with more records. So is a log with a bit flipped anywhere.
+// Open rejects a file that is cut at any byte, because the manifest says that the store was closed with more records. It also rejects a
+// file in which any byte has a flipped bit.
 func TestCutAndFlippedBytesAreRefused(t *testing.T) {
 	folder := workloadFolder(t)
 	names, _ := folder.Names()
@@ -33,7 +34,7 @@
 			changed := cloneFolder(folder)
 			changed.SetFile(name, b[:offset])
 			if _, _, err := store.Open(changed, "g1", smallLimits, func(store.Key, []byte, bool) {}); err == nil {
-				t.Fatalf("%s cut to %d bytes was read, though it was closed in order", name, offset)
+				t.Fatalf("Open accepted %s cut to %d bytes, though the store was closed", name, offset)
 			}
 			cut++
 			changed = cloneFolder(folder)
@@ -42,7 +43,7 @@
 			if err == nil {
 				read++
 				closeStore(t, s)
-				t.Errorf("%s with byte %d changed was read", name, offset)
+				t.Errorf("Open accepted %s with byte %d changed", name, offset)
 				continue
 			}
 			var corruption *store.CorruptionError
@@ -52,44 +53,44 @@
 			flipped++
 		}
 	}
-	t.Logf("%d cuts, %d flips refused, %d read", cut, flipped, read)
+	t.Logf("%d cuts rejected, %d flipped bits rejected, %d accepted", cut, flipped, read)
 }
 
-// A corrupt record before one that was synced is refused with its offset, and nothing is changed. A folder is refused to another
-// owner and to a second process.
+// If a corrupt record precedes a record that proves it was synced, Open returns the offset of the corrupt record and doesn't truncate
+// the segment. Open also rejects a folder that belongs to another owner or is already open.
 func TestCorruptRecordIsRefusedWithItsOffset(t *testing.T) {
 	folder := workloadFolder(t)
 	names, _ := folder.Names()
-	last := names[len(names)-2] // before the manifest
+	last := names[len(names)-2] // the last segment; the manifest is after it
 	before := folder.Contents(last)
 	folder.FlipBit(last, 60, 1)
 	_, _, err := store.Open(folder, "g1", smallLimits, func(store.Key, []byte, bool) {})
 	var corruption *store.CorruptionError
 	if !errors.As(err, &corruption) || corruption.File != last || corruption.Offset != 48 {
-		t.Errorf("%v", err)
+		t.Errorf("expected a *CorruptionError at offset 48 of the last segment, found %v", err)
 	}
 	if len(folder.Contents(last)) != len(before) {
-		t.Error("it was cut")
+		t.Error("Open truncated the corrupt segment")
 	}
 	folder.FlipBit(last, 60, 1)
 	var owner *store.OwnerError
 	if s, _, err := store.Open(folder, "g2", smallLimits, func(store.Key, []byte, bool) {}); err == nil {
 		closeStore(t, s)
-		t.Error("another owner opened the folder")
+		t.Error("Open accepted another owner")
 	} else if !errors.As(err, &owner) || owner.Found != "g1" || owner.Expected != "g2" {
-		t.Errorf("opened by another owner: %v", err)
+		t.Errorf("error of Open for another owner: %v", err)
 	}
 	s, _, err := store.Open(folder, "g1", smallLimits, func(store.Key, []byte, bool) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := store.Open(folder, "g1", smallLimits, nil); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("expected ErrLocked from a second Open, found %v", err)
 	}
 	closeStore(t, s)
 }
 
-// Repair lists what must be lost, changes nothing unless it is told to, loses just that and keeps a copy.
+// Repair lists what has to be removed. Without drop it changes nothing; with drop it removes exactly that and keeps a copy.
 func TestRepairLosesWhatFollowsTheCorruption(t *testing.T) {
 	folder := workloadFolder(t)
 	names, _ := folder.Names()
@@ -98,11 +99,11 @@
 	folder.FlipBit(first, 48+3, 1) // the first record of the first segment
 	lost, err := store.Repair(folder, false)
 	if err != nil || len(lost) != len(names)-1 || len(folder.Contents(first)) != len(before) {
-		t.Errorf("%q, %v", lost, err)
+		t.Errorf("repair without drop: %q, %v", lost, err)
 	}
 	lost, err = store.Repair(folder, true)
 	if err != nil || len(folder.Contents(first)) != 48 || len(folder.Contents(first+".lost")) != len(before) {
-		t.Errorf("%q, %v; %d bytes", lost, err, len(folder.Contents(first)))
+		t.Errorf("repair with drop: %q, %v; %d bytes are left", lost, err, len(folder.Contents(first)))
 	}
 	got := 0
 	s, _, err := store.Open(folder, "g1", smallLimits, func(store.Key, []byte, bool) { got++ })
@@ -112,6 +113,6 @@
 	closeStore(t, s)
 	lost, err = store.Repair(folder, true)
 	if err != nil || len(lost) != 0 {
-		t.Errorf("sound again: %q, %v", lost, err)
+		t.Errorf("repair of a folder that is no longer corrupt: %q, %v", lost, err)
 	}
 }
--- a/internal/storage/store/crash_test.go
+++ b/internal/storage/store/crash_test.go
@@ -12,28 +12,28 @@
 	"magpiebank/internal/storage/store"
 )
 
-// smallLimits have a short run start, compact and remove segments.
+// smallLimits are so small that even a short run starts, compacts and removes segments.
 var smallLimits = store.Limits{SegmentBytes: 600, MaxBytes: 1 << 20, CompactionInterval: 1}
 
-// expectation is what a store must have: of each key a value that was written after the last durable one, or that one.
+// expectation describes the values that a store may have after a power loss: per key, the last durable value or one written later.
 type expectation struct {
-	allowed map[store.Key][]string // the last durable value and those written since, in order; "" is a deletion
+	allowed map[store.Key][]string // per key: the last durable value and the values written since, in order; "" means no value
 }
 
 func (e *expectation) noteWritten(key store.Key, value string) {
 	if e.allowed[key] == nil {
-		e.allowed[key] = []string{""} // it had none before
+		e.allowed[key] = []string{""} // the key had no value before
 	}
 	e.allowed[key] = append(e.allowed[key], value)
 }
 
-// noteDurable notes that the last value written of a key is durable.
+// noteDurable records that the last value written for a key is durable.
 func (e *expectation) noteDurable(key store.Key) {
 	allowed := e.allowed[key]
 	e.allowed[key] = allowed[len(allowed)-1:]
 }
 
-// check opens a folder after a power loss and compares it with the expectation.
+// check opens the store in a folder after a power loss and compares its values with the expectation.
 func (e *expectation) check(folder *faultfs.Folder) error {
 	got := map[store.Key]string{}
 	s, _, err := store.Open(folder, "g1", smallLimits, func(key store.Key, value []byte, deleted bool) {
@@ -52,16 +52,16 @@
 		}
 		value, present, err := s.Get(key)
 		if err != nil {
-			return fmt.Errorf("%s is replayed as %q and can't be read: %w", key, got[key], err)
+			return fmt.Errorf("%s is replayed as %q, but can't be read: %w", key, got[key], err)
 		}
 		if string(value) != got[key] || present != (got[key] != "") {
-			return fmt.Errorf("%s is replayed as %q and read as %q", key, got[key], value)
+			return fmt.Errorf("%s is replayed as %q, but read as %q", key, got[key], value)
 		}
 	}
 	return nil
 }
 
-// runWorkload writes and deletes until an operation fails or all steps are done.
+// runWorkload writes and deletes values, and stops after the given number of operations or at the first error.
 func runWorkload(folder *faultfs.Folder, expected *expectation, operations int) error {
 	s, _, err := store.Open(folder, "g1", smallLimits, func(store.Key, []byte, bool) {})
 	if err != nil {
@@ -76,7 +76,7 @@
 		case n%5 == 3:
 			expected.noteWritten(id, "")
 			s.Delete(id, func(err error) { done <- err })
-		case n%7 == 6: // nobody waits
+		case n%7 == 6: // a write without a callback
 			expected.noteWritten(id, fmt.Sprintf("lazy %d", n))
 			s.Put(id, []byte(fmt.Sprintf("lazy %d", n)), nil)
 			continue
@@ -89,26 +89,26 @@
 			return err
 		}
 		expected.noteDurable(id)
-		if n%9 == 8 { // so that the oldest segment is compacted
+		if n%9 == 8 { // gives the store time to compact the oldest segment
 			time.Sleep(time.Millisecond)
 		}
 	}
 	return nil
 }
 
-// closeAfterFault closes a store that may have failed on purpose.
+// closeAfterFault closes a store that an injected fault may have failed, and ignores the error.
 func closeAfterFault(s *store.Store) { _ = s.Close() }
 
-// crashExplorer checks what is found after power losses.
+// crashExplorer checks the states in which power losses leave a folder.
 type crashExplorer struct {
-	maxExhaustive int // bound for faultfs.Folder.ForEachCrashState
+	maxExhaustive int // argument of faultfs.Folder.ForEachCrashState
 	syncLies      func(n int, what string) bool
-	states        int
+	states        int // number of states checked
 	firstErr      error
 }
 
-// explore loses power at each operation of a workload, and again at each of the first eight operations of the recovery, until the
-// workload ends before the operation.
+// explore runs the workload once per operation, loses power at that operation, and then a second time at each of the first eight
+// operations of the recovery. It returns when the workload ends before power is lost, or at the first error.
 func (e *crashExplorer) explore(operations int) {
 	for operation := 0; e.firstErr == nil; operation++ {
 		expected := &expectation{allowed: map[store.Key][]string{}}
@@ -119,7 +119,7 @@
 			left := folder.AfterPowerLoss(func(part int) bool { return part%2 == recoveryOperation%2 }, -1)
 			left.SyncLies = e.syncLies
 			left.BeforeOperation = faultfs.LosePowerAt(recoveryOperation)
-			_ = expected.check(left) // power is lost meanwhile
+			_ = expected.check(left) // power is lost during the recovery
 			e.checkStates(left, expected, recoveryOperation,
 				fmt.Sprintf("power lost at operation %d, and at operation %d of the recovery", operation, recoveryOperation))
 		}
@@ -129,7 +129,7 @@
 	}
 }
 
-// checkStates checks the states in which a folder may be found after a power loss.
+// checkStates checks the states in which a power loss may leave a folder.
 func (e *crashExplorer) checkStates(folder *faultfs.Folder, expected *expectation, seed int, when string) {
 	e.states += folder.ForEachCrashState(e.maxExhaustive, int64(seed), func(left *faultfs.Folder) {
 		if e.firstErr != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// Exploring crashes finds syncs of names, log or manifest that are missing.
+// The crash explorer detects if syncs of names, of the log or of the manifest are skipped.
 func TestLyingSyncsAreFound(t *testing.T) {
 	syncs := 0
 	for name, syncLies := range map[string]func(syncs int, what string) bool{
@@ -165,7 +165,7 @@
 			explorer := &crashExplorer{maxExhaustive: 3, syncLies: syncLies}
 			explorer.explore(45)
 			if explorer.firstErr == nil {
-				t.Fatal("nothing was found")
+				t.Fatal("the explorer found no error")
 			}
 			t.Log(explorer.firstErr)
 		})
--- a/internal/storage/store/folder.go
+++ b/internal/storage/store/folder.go
@@ -1,8 +1,8 @@
-// Package store keeps values by key so that they survive a crash: an append-only log in segments, with an index in memory.
-// docs/store.md describes the files byte by byte, what a crash may leave of them, and the tests.
+// Package store is a key-value store whose values survive a crash. It consists of an append-only log, which is divided into segments,
+// and an index in memory. docs/store.md describes the files byte by byte, the states in which a crash may leave them, and the tests.
 //
-// A write is durable once it is synced. Those who wait for their writes are called after the sync of all records of their
-// batch; all other writes are synced within 50 ms.
+// A write is durable once it is synced. Writes are synced in batches. The callback of a write is called after its batch is synced; a
+// write without a callback is synced within 50 ms.
 package store
 
 import (
@@ -16,42 +16,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// Folder is the part of a file system that a store needs: the files of one folder, by name.
+// Folder is the part of a file system that a store needs: the files in one folder, identified by name.
 type Folder interface {
-	// Create makes a new file and fails if there is one of that name. The name survives a crash only after SyncNames.
+	// Create creates a file and fails if the name exists. The name survives a crash only after SyncNames.
 	Create(name string) (File, error)
-	// Open opens a file for reading, and for writing at its end.
+	// Open opens an existing file for reading and appending.
 	Open(name string) (File, error)
 	// Names returns the names of all files in lexical order.
 	Names() ([]string, error)
-	// Rename gives a file another name, in place of a file that has that name. It survives a crash only after SyncNames.
+	// Rename renames a file and replaces an existing file of the new name. The change survives a crash only after SyncNames.
 	Rename(from, to string) error
-	// Remove removes a file. It stays removed after a crash only after SyncNames.
+	// Remove removes a file. The change survives a crash only after SyncNames.
 	Remove(name string) error
-	// SyncNames returns once the names of the folder's files, as they are now, survive a crash. It does not sync the files.
+	// SyncNames syncs the directory: when it returns, the current names of the files survive a crash. It does not sync the files'
+	// content.
 	SyncNames() error
-	// Lock keeps other processes out until unlock is called or this process ends. It returns ErrLocked if one has the lock.
+	// Lock excludes other processes until unlock is called or this process ends. It returns ErrLocked if another process holds the
+	// lock.
 	Lock() (unlock func() error, err error)
 }
 
-// File is one file of a folder.
+// File is an open file of a Folder.
 type File interface {
-	// Write appends to the file. Any part of what was written may survive a crash before Sync.
+	// Write appends to the file. If a crash happens before Sync, any part of the written bytes may survive.
 	io.Writer
 	io.ReaderAt
 	// Size returns the file's size in bytes.
 	Size() (int64, error)
-	// Truncate cuts the file to a size in bytes. It survives a crash only after Sync.
+	// Truncate shortens the file to a size in bytes. The change survives a crash only after Sync.
 	Truncate(size int64) error
-	// Sync returns once the content of the file, as it is now, survives a crash. After an error it is unknown what does.
+	// Sync returns nil once the current content of the file survives a crash. After an error it is unknown which part survives.
 	Sync() error
 	Close() error
 }
 
-// diskFolder is a folder of the operating system.
+// diskFolder is a Folder in the operating system's file system.
 type diskFolder struct{ path string }
 
-// CreateFolder returns a folder of the operating system, which it makes if it is not there.
+// CreateFolder returns a folder in the operating system's file system, and creates it if it doesn't exist.
 func CreateFolder(path string) (Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -59,7 +61,7 @@
 	return diskFolder{path}, nil
 }
 
-// OpenFolder returns an existing folder of the operating system.
+// OpenFolder returns an existing folder in the operating system's file system.
 func OpenFolder(path string) (Folder, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -138,7 +140,7 @@
 	return f.Close, nil
 }
 
-// readFile returns the content of one of a folder's files.
+// readFile returns the content of a file in a folder.
 func readFile(folder Folder, name string) ([]byte, error) {
 	file, err := folder.Open(name)
 	if err != nil {
@@ -171,5 +173,6 @@
 	return folder.Remove(name)
 }
 
-// closeUnchanged closes a file of which nothing written is relied on, so that an error of the close has no meaning.
+// closeUnchanged closes a file and ignores the error. It is used where an error of Close doesn't matter, because nobody relies on bytes
+// that were written to the file.
 func closeUnchanged(file io.Closer) { _ = file.Close() }
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// Key identifies a value: the 16 hex digits of a request's ID as they are, or whatever its owner chooses.
+// Key identifies a value. The user of the store chooses its bytes, for example the 16 hex digits of a request's ID.
 type Key [16]byte
 
-// The format of the log. A segment begins with a header, and records follow without gaps. All numbers are little-endian; the
-// fields and their sizes in bytes are listed in their order.
+// The format of the log. A segment consists of a header and records that follow it without gaps. All numbers are little-endian. The
+// comments on the header sizes list the fields in their order, each with its size in bytes.
 const (
 	segmentMagic      = "MPLOG\x00\x00\x01" // the last byte is the version of the format
 	segmentHeaderSize = 48                  // magic 8, store ID 16, segment number 8, first sequence 8, zeros 4, checksum 4
 	recordHeaderSize  = 41                  // mark 1, value's length 4, sequence 8, synced sequence 8, key 16, checksum 4
-	recordMark        = 0xA7                // the first byte of a record with a value
-	deletionMark      = 0xA8                // the first byte of a record of a deletion
+	recordMark        = 0xA7                // first byte of a record with a value
+	deletionMark      = 0xA8                // first byte of a record of a deletion
 	maxValueSize      = 1 << 16             // bytes
-	checksumSize      = 4                   // of a CRC-32C
+	checksumSize      = 4                   // bytes of a CRC-32C
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // record is a value or a deletion in a segment.
 type record struct {
-	sequence       uint64
-	syncedSequence uint64 // the last one known to be synced when this record was written
+	sequence       uint64 // the records of a store are numbered consecutively
+	syncedSequence uint64 // sequence number of the last record that was known to be synced when this record was written
 	key            Key
 	deleted        bool
 	value          []byte
@@ -54,7 +54,7 @@
 	return append(dst, r.value...)
 }
 
-// decodeRecord decodes the record at the start of b; ok is false if there is none, or not all of it.
+// decodeRecord decodes the record at the start of b; ok is false if b doesn't begin with a complete, valid record.
 func decodeRecord(b []byte) (r record, ok bool) {
 	if len(b) < recordHeaderSize || b[0] != recordMark && b[0] != deletionMark {
 		return r, false
@@ -76,11 +76,11 @@
 	return r, true
 }
 
-// segmentHeader is the start of a segment.
+// segmentHeader is the header at the start of a segment.
 type segmentHeader struct {
 	storeID       [16]byte
 	number        uint64
-	firstSequence uint64 // of the first record
+	firstSequence uint64 // sequence number of the segment's first record
 }
 
 func (h *segmentHeader) encode() []byte {
@@ -103,7 +103,7 @@
 	return h, true
 }
 
-// The names of a store's files.
+// The names of the files in a store's folder. The name of a segment is its number and segmentSuffix.
 const (
 	manifestName    = "manifest"
 	newManifestName = "manifest.new"
@@ -122,13 +122,13 @@
 	return number, err == nil
 }
 
-// manifest identifies the store and its owner, and says where its log begins.
+// manifest identifies the store, its owner and the beginning of its log.
 type manifest struct {
 	storeID          [16]byte
 	owner            string
 	firstSegment     uint64 // number of the oldest segment
-	closedAtSequence uint64 // the last sequence when the store was closed; 0: it is open, or its process died
-	firstSequence    uint64 // of the oldest segment
+	closedAtSequence uint64 // last sequence number when the store was closed; 0: the store is open, or its process crashed
+	firstSequence    uint64 // sequence number of the first record in the oldest segment
 }
 
 const manifestMagic = "MPMAN\x00\x00\x01"
@@ -143,7 +143,7 @@
 }
 
 func decodeManifest(b []byte) (m manifest, ok bool) {
-	const fixed = 8 + 16 + 4*8 // magic, store ID, four numbers
+	const fixed = 8 + 16 + 4*8 // magic, store ID and four numbers
 	if len(b) < fixed+4 || string(b[:8]) != manifestMagic ||
 		crc32.Checksum(b[:len(b)-4], castagnoli) != binary.LittleEndian.Uint32(b[len(b)-4:]) {
 		return m, false
--- a/internal/storage/store/format_test.go
+++ b/internal/storage/store/format_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The files have the bytes that earlier versions wrote.
+// Headers, records and manifests are encoded into the same bytes as by earlier versions.
 func TestFormatKeepsItsBytes(t *testing.T) {
 	storeID := [16]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
 	var key Key
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := hex.EncodeToString(format.got); got != format.want {
-				t.Errorf("encoded as\n%s, expected\n%s", got, format.want)
+				t.Errorf("found bytes\n%s, expected\n%s", got, format.want)
 			}
 		})
 	}
--- a/internal/storage/store/index_test.go
+++ b/internal/storage/store/index_test.go
@@ -23,7 +23,7 @@
 				k, at := hexKey(keys.Draw(t, "key")), rapid.Uint32().Draw(t, "at")
 				old, had := x.put(location{key: k, segment: 1, offset: at})
 				if want, ok := m[k]; ok != had || had && old.offset != want {
-					t.Fatalf("%v %v, expected %v %v", old.offset, had, want, ok)
+					t.Fatalf("put returned offset %v, replaced %v; expected %v, %v", old.offset, had, want, ok)
 				}
 				m[k] = at
 			},
@@ -31,17 +31,17 @@
 				k := hexKey(keys.Draw(t, "key"))
 				_, had := x.remove(&k)
 				if _, ok := m[k]; ok != had {
-					t.Fatal("removed or not")
+					t.Fatal("remove and the map disagree on whether the key was there")
 				}
 				delete(m, k)
 			},
 			"": func(t *rapid.T) {
 				if x.count != len(m) {
-					t.Fatalf("%d, expected %d", x.count, len(m))
+					t.Fatalf("the index counts %d keys, expected %d", x.count, len(m))
 				}
 				for k, at := range m {
 					if p, ok := x.get(&k); !ok || p.offset != at {
-						t.Fatalf("%s: %v %v", k, p, ok)
+						t.Fatalf("get of key %s returned %v, %v", k, p, ok)
 					}
 				}
 			},
@@ -64,7 +64,7 @@
 	return out
 }
 
-// report adds bytes an entry and the pause of a collection to a benchmark of a table with a million entries.
+// report reports the bytes per entry and the duration of a garbage collection for a table with a million entries.
 func report(b *testing.B, before runtime.MemStats) {
 	b.Helper()
 	var after runtime.MemStats
--- a/internal/storage/store/inspect.go
+++ b/internal/storage/store/inspect.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Inspection is what a folder holds.
+// Inspection describes the store in a folder.
 type Inspection struct {
 	Owner         string
 	StoreID       [16]byte
 	ClosedCleanly bool
 	Segments      []SegmentInfo
 	Records       int
-	TornBytes     int64 // at the end, as a crash leaves them
+	TornBytes     int64 // bytes of a torn end of the log, as a crash leaves it
 }
 
 // SegmentInfo describes one file of the log.
 type SegmentInfo struct {
 	Name          string
-	FirstSequence uint64 // of its first record
+	FirstSequence uint64 // sequence number of the segment's first record
 	Bytes         int64
 	Records       int
 }
 
-// readOnlyFolder has the recovery read a folder without changing it. Removals and truncations seem to succeed, so that what
-// is read is what the next start would read; the first file that the recovery would make ends it with errReadOnly.
+// readOnlyFolder lets the recovery read a folder without changing it. Removals and truncations do nothing and report success, so that
+// the recovery reads the same records as the next start would. Creating a file fails with errReadOnly, which ends the recovery.
 type readOnlyFolder struct{ Folder }
 
-var errReadOnly = errors.New("the folder is only read")
+var errReadOnly = errors.New("the folder is read-only")
 
 func (readOnlyFolder) Create(string) (File, error) { return nil, errReadOnly }
 func (readOnlyFolder) Rename(string, string) error { return errReadOnly }
@@ -46,20 +46,21 @@
 func (readOnlyFile) Truncate(int64) error { return nil }
 func (readOnlyFile) Sync() error          { return nil }
 
-// Inspect reads a folder as the next start would, without changing it, and calls replay for each record. Errors are those of
-// Open. If the log is corrupt, the inspection of what was read before that place is returned along with the error.
+// Inspect reads a folder in the same way as Open, but without changing it, and calls replay for each record. It returns the same errors
+// as Open, except that it accepts any owner and reports a missing manifest as a *CorruptionError. If the log is corrupt, Inspect
+// returns the error along with the inspection of what precedes the corrupt place.
 func Inspect(folder Folder, replay func(key Key, value []byte, deleted bool)) (*Inspection, error) {
 	unlock, err := folder.Lock()
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = unlock() }() // what was read is true whether or not the lock file could be closed
+	defer func() { _ = unlock() }() // an error of closing the lock file doesn't invalidate what was read
 	names, err := folder.Names()
 	if err != nil {
 		return nil, err
 	}
 	if !slices.Contains(names, manifestName) {
-		return nil, &CorruptionError{manifestName, 0, "it is not there"}
+		return nil, &CorruptionError{manifestName, 0, "the file is missing"}
 	}
 	m, err := readManifest(folder)
 	if err != nil {
@@ -69,7 +70,7 @@
 	s := &Store{folder: readOnlyFolder{folder}}
 	var report RecoveryReport
 	err = s.recoverLog(m.owner, replay, &report)
-	if errors.Is(err, errReadOnly) { // all was read, and a start would go on by writing
+	if errors.Is(err, errReadOnly) { // all records were read; Open would now write the manifest
 		err = nil
 	}
 	for _, g := range s.segments {
--- a/internal/storage/store/model_test.go
+++ b/internal/storage/store/model_test.go
@@ -11,15 +11,15 @@
 	"magpiebank/internal/storage/store"
 )
 
-// storeModel has a store and what is expected of it.
+// storeModel is the state of a model-based test: a store, its folder and the values that the store may have.
 type storeModel struct {
 	folder   *faultfs.Folder
 	store    *store.Store
 	expected *expectation
-	writes   int
+	writes   int // number of values written, which makes each value unique
 }
 
-// open checks the folder and opens the store.
+// open checks the folder against the expectation and opens the store.
 func (m *storeModel) open(t *rapid.T) {
 	t.Helper()
 	if err := m.expected.check(m.folder); err != nil {
@@ -32,7 +32,7 @@
 	m.store = opened
 }
 
-// write writes a value, or deletes it if it is empty, and waits for that or not.
+// write writes a value, or deletes the key if the value is empty. If wait is true, it waits until the write is durable.
 func (m *storeModel) write(t *rapid.T, id store.Key, value string, wait bool) {
 	t.Helper()
 	m.expected.noteWritten(id, value)
@@ -87,7 +87,7 @@
 	m.folder = left
 	m.open(t)
 	closeAfterFault(old)
-	for id := range m.expected.allowed { // what is there now stays
+	for id := range m.expected.allowed { // the values that survived are durable
 		value, _, err := m.store.Get(id)
 		if err != nil {
 			t.Fatal(err)
@@ -96,7 +96,7 @@
 	}
 }
 
-// The store has what a map has after writes, deletions, power losses and restarts in any order.
+// After any sequence of writes, deletions, power losses and restarts, the store has only values that the expectation allows.
 func TestStoreAgainstModel(t *testing.T) {
 	if err := flag.Set("rapid.seed", "11"); err != nil {
 		t.Fatal(err)
--- a/internal/storage/store/recovery.go
+++ b/internal/storage/store/recovery.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// RecoveryReport says what Open found.
+// RecoveryReport describes what Open found in a folder.
 type RecoveryReport struct {
 	Fresh     bool // the folder had no store
 	Segments  int
-	Records   int   // read, including those that no longer hold
+	Records   int   // records read, including deletions and records that later ones replace
 	LiveKeys  int   // keys that have a value
-	TornBytes int64 // cut off at the end
+	TornBytes int64 // bytes cut off at the end of the log
 	Duration  time.Duration
 }
 
 // replayFunc is called for each record of the log, in the order in which the records were written.
 type replayFunc = func(key Key, value []byte, deleted bool)
 
-// recoverLog reads the folder and makes it ready for writes.
+// recoverLog reads the folder and prepares the store for writes.
 func (s *Store) recoverLog(owner string, replay replayFunc, report *RecoveryReport) error {
 	names, err := s.folder.Names()
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 	s.syncedSequence = s.lastSequence
 	report.Segments, report.LiveKeys = len(s.segments), s.index.count
-	s.manifest.closedAtSequence = 0 // the store is open now
+	s.manifest.closedAtSequence = 0 // marks the store as open
 	if err := s.writeManifest(); err != nil {
 		return err
 	}
@@ -54,11 +54,11 @@
 	return numbers
 }
 
-// recoverManifest reads the manifest, or makes one up for a folder that has no store.
+// recoverManifest reads the manifest, or initializes a new one if the folder has no store.
 func (s *Store) recoverManifest(owner string, names []string, numbers []uint64, report *RecoveryReport) error {
 	if !slices.Contains(names, manifestName) {
 		if len(numbers) > 0 {
-			return &CorruptionError{manifestName, 0, fmt.Sprintf("it is missing, though %s is there", segmentName(numbers[0]))}
+			return &CorruptionError{manifestName, 0, fmt.Sprintf("the file is missing, but %s exists", segmentName(numbers[0]))}
 		}
 		report.Fresh = true
 		s.manifest = manifest{owner: owner, firstSegment: 1, firstSequence: 1}
@@ -84,25 +84,25 @@
 	}
 	m, ok := decodeManifest(b)
 	if !ok {
-		return m, &CorruptionError{manifestName, 0, "it can't be read"}
+		return m, &CorruptionError{manifestName, 0, "the manifest can't be decoded"}
 	}
 	return m, nil
 }
 
-// recoverSegments reads all segments from the manifest's first one on.
+// recoverSegments reads the segments, beginning with the first one according to the manifest.
 func (s *Store) recoverSegments(numbers []uint64, replay replayFunc, report *RecoveryReport) error {
 	next := s.manifest.firstSegment
 	s.lastSequence = s.manifest.firstSequence - 1
 	for i, number := range numbers {
 		if number < s.manifest.firstSegment {
-			// It was compacted, and the process died before it was removed.
+			// The segment was compacted, but the process crashed before it removed the file.
 			if err := s.folder.Remove(segmentName(number)); err != nil {
 				return err
 			}
 			continue
 		}
 		if number != next {
-			return &CorruptionError{segmentName(next), 0, fmt.Sprintf("it is missing, though %s is there", segmentName(number))}
+			return &CorruptionError{segmentName(next), 0, fmt.Sprintf("the file is missing, but %s exists", segmentName(number))}
 		}
 		if err := s.recoverSegment(number, i == len(numbers)-1, replay, report); err != nil {
 			return err
@@ -111,12 +111,12 @@
 	}
 	if s.manifest.closedAtSequence > s.lastSequence {
 		return &CorruptionError{segmentName(next - 1), s.activeEnd(),
-			fmt.Sprintf("records up to %d are missing, which were there when it was closed", s.manifest.closedAtSequence)}
+			fmt.Sprintf("records up to %d are missing that existed when the store was closed", s.manifest.closedAtSequence)}
 	}
 	return nil
 }
 
-// activeEnd is the size in bytes of the last segment, or 0 if there is none.
+// activeEnd returns the size in bytes of the last segment, or 0 if there is none.
 func (s *Store) activeEnd() int64 {
 	if len(s.segments) == 0 {
 		return 0
@@ -124,7 +124,8 @@
 	return s.activeSegment().size
 }
 
-// recoverSegment reads one segment. Only the last one may have a torn header or tail.
+// recoverSegment reads one segment. Only the last segment may have a torn header, in which case the file is removed, or a torn end,
+// which is cut off.
 func (s *Store) recoverSegment(number uint64, last bool, replay replayFunc, report *RecoveryReport) error {
 	name := segmentName(number)
 	file, err := s.folder.Open(name)
@@ -141,9 +142,9 @@
 	if !ok || header.storeID != s.manifest.storeID || header.number != number || header.firstSequence != s.lastSequence+1 {
 		closeUnchanged(file)
 		if !last || hasLaterRecord(b, s.lastSequence+1, 0) {
-			return &CorruptionError{name, 0, "its head can't be read, or is another store's"}
+			return &CorruptionError{name, 0, "the header can't be decoded, or belongs to another store or segment"}
 		}
-		// The process died while it made the file. Records are written only once the header is synced, so there is none.
+		// The process crashed while it created the file. Records are written only once the header is synced, so the file has none.
 		report.TornBytes += size
 		return s.folder.Remove(name)
 	}
@@ -154,7 +155,7 @@
 		return nil
 	}
 	if !last || hasLaterRecord(b[g.size:], s.lastSequence+1, s.lastSequence+1) {
-		return &CorruptionError{name, g.size, fmt.Sprintf("record %d can't be read, and what follows tells that it was written", s.lastSequence+1)}
+		return &CorruptionError{name, g.size, fmt.Sprintf("record %d can't be decoded, though later bytes prove that it was written", s.lastSequence+1)}
 	}
 	report.TornBytes += size - g.size
 	if err := file.Truncate(g.size); err != nil {
@@ -163,7 +164,8 @@
 	return file.Sync()
 }
 
-// replayRecords reads the records of a segment up to the first that is not complete, and sets the segment's size to that.
+// replayRecords indexes and replays the records of a segment up to the first one that is incomplete or invalid, and sets the segment's
+// size to the offset at which it stops.
 func (s *Store) replayRecords(g *segment, b []byte, replay replayFunc, report *RecoveryReport) {
 	for g.size < int64(len(b)) {
 		r, ok := decodeRecord(b[g.size:])
@@ -178,10 +180,10 @@
 	}
 }
 
-// hasLaterRecord reports whether a complete record stands anywhere in b that has the given sequence or a later one and tells
-// that records up to synced were synced. If so, what stands before it is damaged rather than torn by a crash.
+// hasLaterRecord reports whether b contains, at any offset, a complete record whose sequence number is sequence or later and whose
+// syncedSequence is at least synced. If so, the bytes before that record were damaged rather than torn by a crash.
 func hasLaterRecord(b []byte, sequence, synced uint64) bool {
-	// A segment holds fewer records than this; bytes that claim a sequence beyond are no record.
+	// A segment holds fewer records than this, so bytes with a higher sequence number aren't a record.
 	const maxAhead = 1 << 24
 	for i := range b {
 		if b[i] != recordMark && b[i] != deletionMark {
--- a/internal/storage/store/repair.go
+++ b/internal/storage/store/repair.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// lostSuffix is appended to the names of files that keep what a repair removes.
+// lostSuffix is appended to the name of a file to form the name of the backup of what a repair removes.
 const lostSuffix = ".lost"
 
-// maxRepairs bounds the places that one call repairs: the manifest and the log may both be corrupt.
+// maxRepairs limits how many corrupt places one call of Repair processes. Repair inspects the folder again after each of them.
 const maxRepairs = 3
 
 // Errors of a repair.
 var (
-	ErrNoManifest   = errors.New("a folder without its manifest can't be repaired; begin with an empty one")
-	ErrStillCorrupt = errors.New("it is still damaged")
+	ErrNoManifest   = errors.New("a folder without a valid manifest can't be repaired; start with an empty folder")
+	ErrStillCorrupt = errors.New("the folder is still corrupt")
 )
 
-// Repair returns what a corrupt folder must lose to be read again, a line each: everything from the corrupt place on. If drop
-// is true, it removes that, and keeps the removed bytes in files whose names end in ".lost". A folder that is not corrupt
-// loses nothing.
+// Repair determines what has to be removed from a corrupt folder to make it readable again: everything from the first corrupt place to
+// the end of the log. It returns one line per affected file. If drop is true, it removes these bytes and keeps a copy in files whose
+// names end in ".lost". For a folder that isn't corrupt, Repair returns no lines and removes nothing.
 func Repair(folder Folder, drop bool) (lost []string, err error) {
 	for range maxRepairs {
 		_, err := Inspect(folder, func(Key, []byte, bool) {})
@@ -43,7 +43,7 @@
 	return lost, ErrStillCorrupt
 }
 
-// repairOnce lists, and with drop removes, everything from a corrupt place on.
+// repairOnce lists everything from a corrupt place to the end of the log, and removes it if drop is true.
 func repairOnce(folder Folder, corruption *CorruptionError, drop bool) (lost []string, err error) {
 	names, err := folder.Names()
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	if corruption.File == manifestName {
 		if slices.Contains(names, manifestName) || len(names) > 1 {
-			lost = append(lost, fmt.Sprintf("%v: without it nothing says whose the log is and where it begins; all is lost", corruption))
+			lost = append(lost, fmt.Sprintf("%v: without the manifest the log's owner and beginning are unknown; the whole log is lost", corruption))
 		}
 		return lost, ErrNoManifest
 	}
@@ -77,7 +77,7 @@
 	return lost, nil
 }
 
-// loseTail describes, and with drop removes, what follows the corrupt place of a segment.
+// loseTail returns a description of the bytes from the corrupt place to the end of a segment, and removes them if drop is true.
 func loseTail(folder Folder, corruption *CorruptionError, name string, drop bool) (line string, err error) {
 	b, err := readFile(folder, name)
 	if err != nil {
@@ -90,7 +90,8 @@
 	return line, err
 }
 
-// reopenManifest notes that the store is not closed: records that were there when it was closed are not any more.
+// reopenManifest clears closedAtSequence in the manifest. After a repair, records that existed when the store was closed are missing,
+// and the recovery would report them as corruption.
 func reopenManifest(folder Folder) error {
 	m, err := readManifest(folder)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return s.writeManifest()
 }
 
-// cutFile truncates a file with the given content to a size in bytes, once a copy of all of it is synced beside it.
+// cutFile truncates a file with the given content to a size in bytes, after a copy of the whole content is synced in the same folder.
 func cutFile(folder Folder, name string, content []byte, size int64) error {
 	lost, err := folder.Create(name + lostSuffix)
 	if err != nil {
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -9,25 +9,26 @@
 type segment struct {
 	number    uint64
 	file      File
-	size      int64 // bytes, the header included
-	liveBytes int64 // of the records to which the index points
+	size      int64 // bytes, including the header
+	liveBytes int64 // bytes of the records to which the index points
 }
 
 func (g *segment) name() string { return segmentName(g.number) }
 
 func unreadableRecord(g *segment, offset int64) error {
-	return &CorruptionError{g.name(), offset, "a record that was written there can't be read"}
+	return &CorruptionError{g.name(), offset, "the record there can't be decoded"}
 }
 
-// activeSegment is the one to which records are appended.
+// activeSegment returns the last segment, to which records are appended.
 func (s *Store) activeSegment() *segment { return s.segments[len(s.segments)-1] }
 
-// segmentByNumber returns a segment that is there. The caller holds mu, or is alone.
+// segmentByNumber returns the segment with a number that must exist. The caller holds mu, unless the writer goroutine hasn't started.
 func (s *Store) segmentByNumber(number uint32) *segment {
 	return s.segments[number-uint32(s.segments[0].number)]
 }
 
-// indexRecord points the index at a record, and keeps account of live bytes. The caller holds mu, or is alone.
+// indexRecord updates the index for a record at an offset of a segment, and updates the live bytes of the segments. The caller holds
+// mu, unless the writer goroutine hasn't started.
 func (s *Store) indexRecord(g *segment, r *record, offset int64) {
 	var old location
 	var replaced bool
@@ -42,8 +43,8 @@
 	}
 }
 
-// startSegment makes the next segment and syncs its header and name. The caller has synced the segment before it, so that
-// only the last segment can have a torn tail.
+// startSegment creates the next segment and syncs its header and name. The caller must have synced the previous segment, so that only
+// the last segment can end with a torn record.
 func (s *Store) startSegment() error {
 	number := s.manifest.firstSegment
 	if len(s.segments) > 0 {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// writeDurably writes to a new file and syncs the file and the folder's names.
+// writeDurably writes b to a new file and syncs the file and the folder's names.
 func writeDurably(folder Folder, file File, b []byte) error {
 	if _, err := file.Write(b); err != nil {
 		return err
@@ -75,7 +76,7 @@
 	return folder.SyncNames()
 }
 
-// appendRecords writes the buffer, which holds the given records, to a segment and indexes them.
+// appendRecords appends the buffer, which contains the given records in encoded form, to a segment and indexes the records.
 func (s *Store) appendRecords(g *segment, records []record) error {
 	n, err := g.file.Write(s.buffer)
 	if err != nil {
@@ -97,7 +98,8 @@
 	return nil
 }
 
-// writeManifest replaces the manifest: the new one is synced under another name first, so that a crash leaves either of them.
+// writeManifest replaces the manifest. The new manifest is synced under another name before it is renamed, so that a crash leaves either
+// the old or the new one.
 func (s *Store) writeManifest() error {
 	if err := removeIfPresent(s.folder, newManifestName); err != nil {
 		return err
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -6,23 +6,25 @@
 	"time"
 )
 
-// Limits bound a store. A field that is zero stands for its default.
+// Limits configures the sizes of a store and the pace of its compaction. A field that is zero stands for its default.
 type Limits struct {
-	SegmentBytes int64 // a segment of this size is closed, and the next one started
-	MaxBytes     int64 // of all segments together
-	// CompactionInterval is the least time between two steps of the compaction, each of which rewrites a part of a segment.
+	SegmentBytes int64 // when a segment reaches this size, the next segment is started
+	MaxBytes     int64 // maximum size of all segments together
+	// CompactionInterval is the minimum time between two steps of the compaction. Each step processes a part of a segment.
 	CompactionInterval time.Duration
 }
 
 const (
-	defaultSegmentBytes       = 4 << 20  // some seconds of writes of a busy gateway, and quickly rewritten
-	defaultMaxBytes           = 64 << 20 // a day of requests of a gateway that takes one load a second
+	defaultSegmentBytes       = 4 << 20  // a few seconds of a busy gateway's writes; small enough to be compacted quickly
+	defaultMaxBytes           = 64 << 20 // one day of requests of a gateway that accepts one load per second
 	defaultCompactionInterval = 20 * time.Millisecond
 
-	// reserveSegments is how many segments deletions may take beyond MaxBytes, because deletions free space.
+	// reserveSegments is the number of segments by which deletions may exceed MaxBytes, because deletions allow the compaction to
+	// free space.
 	reserveSegments = 2
 
-	// maxQueuedWrites bounds the writes that wait for the disk: some seconds of a busy gateway, in some megabytes.
+	// maxQueuedWrites limits the number of writes that wait for the disk. It allows for a few seconds of a busy gateway's writes,
+	// which take a few megabytes of memory.
 	maxQueuedWrites = 1 << 16
 )
 
@@ -39,63 +41,65 @@
 	return l
 }
 
-// Store is an open store. Its methods may be called by many goroutines at a time. One goroutine, started by Open and ended by
-// Close, does all writes.
+// Store is an open store. Its methods may be called by several goroutines at the same time. A single goroutine, the writer, does all
+// writes; Open starts it and Close ends it.
 type Store struct {
 	folder Folder
 	unlock func() error
 	limits Limits
 
-	// mu guards the fields up to counts. Only the writer changes index and segments, so that it reads segments without mu.
+	// mu guards the fields from index to counts. Only the writer changes index and segments, so it may read segments without mu.
 	mu       sync.Mutex
 	index    index
-	segments []*segment // oldest first; their numbers are consecutive
+	segments []*segment // oldest first, with consecutive numbers
 	queue    []write
-	failed   error // a *FailedError; nil while the store takes writes
+	failed   error // a *FailedError; nil while the store accepts writes
 	closing  bool
 	counts   Counts
 
-	wake       chan struct{} // has one element while the writer has something to do
+	wake       chan struct{} // holds one element when the writer has something to do
 	writerDone chan struct{} // closed when the writer has ended
 
 	writerState
 }
 
-// writerState belongs to the writer goroutine. Open uses it before the goroutine starts and Close after it has ended.
+// writerState is used only by the writer goroutine, except that Open uses it before the goroutine starts and Close after it has ended.
 type writerState struct {
 	manifest         manifest
-	lastSequence     uint64 // of the last record that was written
-	syncedSequence   uint64 // of the last record that is known to survive a crash
-	buffer           []byte
+	lastSequence     uint64        // sequence number of the last record that was written
+	syncedSequence   uint64        // sequence number of the last record that is known to survive a crash
+	buffer           []byte        // encoded records that are written next
 	meanSyncTime     time.Duration // moving average
-	lastBatchWaiters int           // writes of the last batch that somebody waited for
-	unsyncedSince    time.Time     // zero: everything written is synced
-	compactionOffset int64         // up to which the oldest segment is rewritten
+	lastBatchWaiters int           // number of writes in the last batch that had a callback
+	unsyncedSince    time.Time     // when the oldest unsynced record was written; zero: all records are synced
+	compactionOffset int64         // the compaction has processed the oldest segment up to this offset
 	lastCompaction   time.Time
 }
 
-// Counts are numbers since the store was opened.
+// Counts holds counters that start at zero when the store is opened.
 type Counts struct {
-	Writes    int64 // records written, rewritten ones included
-	Syncs     int64
+	Writes    int64 // records written, including those that the compaction wrote again
+	Syncs     int64 // syncs of the active segment
 	Rewritten int64 // records that the compaction wrote again
-	Bytes     int64 // written
-	Refused   int64 // writes for which there was no room, or that found the backlog full
+	Bytes     int64 // bytes of the records written
+	Refused   int64 // writes rejected because the store, the disk or the queue was full
 }
 
-// write is a record that waits for the writer.
+// write is a value or a deletion that is queued for the writer.
 type write struct {
 	key     Key
 	deleted bool
 	value   []byte
-	done    func(error) // nil: nobody waits
+	done    func(error) // callback of Put or Delete; nil: the caller doesn't wait for the write
 }
 
-// Open opens the store in a folder, or makes one for the given owner. It calls replay for each record, in the order in which
-// the records were written: the last record of a key holds. A torn tail, as a crash leaves it, is cut off.
+// Open opens the store in a folder, or creates one for the given owner. It calls replay for each record, in the order in which the
+// records were written; the last record of a key determines its value. A torn record at the end of the log, as a crash leaves it, is
+// cut off.
 //
-// Open returns ErrLocked if another process has the folder, an *OwnerError if it belongs to another owner, and a
-// *CorruptionError, with the folder unchanged, if it holds something that no crash leaves.
+// Open returns ErrLocked if another process has opened the folder, an *OwnerError if the store in it belongs to another owner, and a
+// *CorruptionError if the folder contains something that a crash can't have left. It doesn't repair corruption: even then it removes
+// only compacted segments and a torn end of the log.
 func Open(folder Folder, owner string, limits Limits, replay func(key Key, value []byte, deleted bool)) (*Store, RecoveryReport, error) {
 	began := time.Now()
 	var report RecoveryReport
@@ -118,10 +122,10 @@
 	return s, report, nil
 }
 
-// Put sets a key's value, which the store keeps. If done is not nil, it is called once the value is synced and so survives a
-// crash, or with the reason why it may not: ErrFull, ErrBacklogFull, ErrClosed, a *ValueSizeError or a *FailedError. It is
-// called by the writer goroutine, or by the caller's if the write is not taken at all. If done is nil, the value is synced
-// within maxUnsyncedTime, and an error is not reported.
+// Put sets a key's value. The store retains the slice value, so the caller must not change it. If done is not nil, it is called with
+// nil once the value is synced and survives a crash, or with the reason why it may not survive: ErrFull, ErrBacklogFull, ErrClosed, a
+// *ValueSizeError or a *FailedError. The writer goroutine calls done, or the caller's goroutine if the write is rejected at once. If
+// done is nil, the value is synced within maxUnsyncedTime, and errors are not reported.
 func (s *Store) Put(key Key, value []byte, done func(error)) {
 	if len(value) > maxValueSize {
 		if done != nil {
@@ -132,7 +136,7 @@
 	s.enqueue(write{key: key, value: value, done: done})
 }
 
-// Delete removes a key's value. It is a write as Put is, and done is called in the same way.
+// Delete removes a key's value. It calls done in the same way as Put.
 func (s *Store) Delete(key Key, done func(error)) {
 	s.enqueue(write{key: key, deleted: true, done: done})
 }
@@ -151,7 +155,7 @@
 	}
 }
 
-// refusalReason returns why no write is taken now, or nil. The caller holds mu.
+// refusalReason returns the error with which a new write has to be rejected, or nil if it can be queued. The caller holds mu.
 func (s *Store) refusalReason() error {
 	switch {
 	case s.failed != nil:
@@ -172,8 +176,8 @@
 	}
 }
 
-// Get reads a key's value from the disk; ok is false if it has none. The error is a *CorruptionError if the record can't be
-// decoded, or one of the file.
+// Get reads a key's value from the disk; ok is false if the key has no value. The error is a *CorruptionError if the record can't be
+// decoded, or the error of reading the file.
 func (s *Store) Get(key Key) (value []byte, ok bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,14 +203,14 @@
 	return r, nil
 }
 
-// Err returns the *FailedError because of which the store takes no more writes, or nil.
+// Err returns the *FailedError because of which the store rejects all writes, or nil.
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed
 }
 
-// Size returns the bytes that the log takes, the bytes of those records that still hold, and the number of keys with a value.
+// Size returns the size of the log, the size of the records in it that hold a key's current value, and the number of keys with a value.
 func (s *Store) Size() (bytes, liveBytes int64, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,7 +221,7 @@
 	return bytes, liveBytes, s.index.count
 }
 
-// Counts returns what the store has done since it was opened.
+// Counts returns the counters of the store.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,8 +234,8 @@
 	s.counts.Refused += int64(writes)
 }
 
-// Close writes and syncs what is queued, notes in the manifest that the store was closed, and unlocks the folder. A second
-// call returns nil once the writer has ended.
+// Close writes and syncs the queued writes, records in the manifest that the store was closed, and unlocks the folder. A second call
+// returns nil once the writer has ended.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	alreadyClosing := s.closing
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// After a sync has failed no write is taken, and no write whose durability is unknown is reported as durable.
+// After a failed sync, the store rejects all writes, and doesn't report a write as durable whose durability is unknown.
 func TestNoWritesAfterFailedSync(t *testing.T) {
 	folder := &faultfs.Folder{}
 	s, _, err := store.Open(folder, "g1", store.Limits{}, func(store.Key, []byte, bool) {})
@@ -50,20 +50,20 @@
 	}
 	var failed *store.FailedError
 	if err := put(2); !errors.As(err, &failed) || !errors.Is(err, syscall.EIO) {
-		t.Errorf("%v", err)
+		t.Errorf("expected a *FailedError with cause EIO, found %v", err)
 	}
 	if err := put(3); !errors.As(err, &failed) {
-		t.Errorf("%v", err)
+		t.Errorf("expected a *FailedError after the failed sync, found %v", err)
 	}
 	if s.Err() == nil || s.Close() == nil {
-		t.Error("it goes on as if nothing had happened")
+		t.Error("Err or Close returned nil after the failed sync")
 	}
 	if n, _ := folder.Names(); len(n) != 2 {
-		t.Errorf("%v", n)
+		t.Errorf("expected two files, found %v", n)
 	}
 }
 
-// While a sync takes long, writes without a waiter do not block, and the number of queued writes is bounded.
+// While a sync is slow, writes without a callback don't block, and the number of queued writes is limited.
 func TestBacklogIsBounded(t *testing.T) {
 	folder := &faultfs.Folder{}
 	syncBegun, finishSync := make(chan bool, 1000), make(chan bool)
@@ -85,12 +85,12 @@
 		s.Put(key(1+n%100), []byte("x"), nil)
 	}
 	if c := s.Counts(); c.Refused != 70000-1<<16 {
-		t.Errorf("%d refused", c.Refused)
+		t.Errorf("%d writes rejected", c.Refused)
 	}
 	late := make(chan error, 1)
 	s.Put(key(1), []byte("y"), func(err error) { late <- err })
 	if err := <-late; !errors.Is(err, store.ErrBacklogFull) {
-		t.Errorf("%v", err)
+		t.Errorf("expected ErrBacklogFull, found %v", err)
 	}
 	close(finishSync)
 	if err := <-first; err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// await calls write and waits until that is done.
+// await calls write, waits until write calls done, and returns the error.
 func await(write func(done func(error))) error {
 	done := make(chan error, 1)
 	write(func(err error) { done <- err })
@@ -114,7 +114,8 @@
 
 var fullLimits = store.Limits{SegmentBytes: 2000, MaxBytes: 6000}
 
-// A full disk rejects the writes that find no room and takes later ones; so does the store's bound, beyond which deletions may go.
+// On a full disk, the store rejects writes with an error and accepts later ones once the disk has space. The same holds when the store
+// reaches MaxBytes, except that deletions may exceed it.
 func TestFullDiskRejectsWritesAndGoesOn(t *testing.T) {
 	folder := &faultfs.Folder{}
 	full, shortBytes := false, 0
@@ -132,7 +133,7 @@
 	for n := range 30 {
 		full = n%3 == 1
 		if rejected := putHundredBytes(s, n) != nil; rejected != full {
-			t.Fatalf("write %d with a full disk %t", n, full)
+			t.Fatalf("write %d must be rejected if and only if the disk is full; it is full: %t", n, full)
 		}
 	}
 	full = false
@@ -141,23 +142,24 @@
 		n++
 	}
 	if err := putHundredBytes(s, n); !errors.Is(err, store.ErrFull) || n > 60 {
-		t.Errorf("%d written, then %v", n, err)
+		t.Errorf("after %d writes: expected ErrFull, found %v", n, err)
 	}
 	for k := range n {
 		if err := await(func(done func(error)) { s.Delete(key(k), done) }); err != nil {
 			t.Fatalf("deletion %d: %v", k, err)
 		}
 	}
-	for by := time.Now().Add(5 * time.Second); putHundredBytes(s, 200) != nil; time.Sleep(10 * time.Millisecond) { // until room is made
+	for by := time.Now().Add(5 * time.Second); putHundredBytes(s, 200) != nil; time.Sleep(10 * time.Millisecond) { // until the compaction has freed space
 		if time.Now().After(by) {
-			t.Fatal("no room was made")
+			t.Fatal("the compaction freed no space")
 		}
 	}
 	closeStore(t, s)
 	checkOnlyKey(t, folder, key(200))
 }
 
-// checkOnlyKey opens a folder and checks that only one key has a value: what is replayed of all other keys ends in a deletion.
+// checkOnlyKey opens the store in a folder and checks that only one key has a value, and that the last replayed record of every other
+// key is a deletion.
 func checkOnlyKey(t *testing.T, folder *faultfs.Folder, only store.Key) {
 	t.Helper()
 	live := map[store.Key]bool{}
@@ -171,12 +173,12 @@
 		t.Fatal(err)
 	}
 	if _, _, keys := s.Size(); keys != 1 || len(live) != 1 || !live[only] {
-		t.Errorf("%d keys, %v are replayed", keys, live)
+		t.Errorf("the store has %d keys; %v have a value after the replay", keys, live)
 	}
 	closeStore(t, s)
 }
 
-// Concurrent writers share syncs.
+// Concurrent writers share syncs: there is at most one sync per four writes.
 func TestConcurrentWritersShareSyncs(t *testing.T) {
 	folder, err := store.CreateFolder(t.TempDir())
 	if err != nil {
@@ -207,7 +209,7 @@
 		}
 	}
 	if c := s.Counts(); c.Writes != writers*each || c.Syncs > c.Writes/4 {
-		t.Errorf("%+v", c)
+		t.Errorf("expected at most one sync per four writes, found counts %+v", c)
 	}
 	closeStore(t, s)
 	n := 0
@@ -218,7 +220,7 @@
 	closeStore(t, s)
 }
 
-// A value that is too long, and a write after Close, are refused with errors that callers can tell apart.
+// A value that is too long and a write after Close are rejected with errors that callers can distinguish.
 func TestRefusedWritesHaveTypedErrors(t *testing.T) {
 	s, _, err := store.Open(&faultfs.Folder{}, "g1", store.Limits{}, func(store.Key, []byte, bool) {})
 	if err != nil {
@@ -231,15 +233,15 @@
 	}
 	var size *store.ValueSizeError
 	if err := put(make([]byte, 1<<16+1)); !errors.As(err, &size) || size.Bytes != 1<<16+1 {
-		t.Errorf("a value that is too long: %v", err)
+		t.Errorf("error for a value that is too long: %v", err)
 	}
 	if err := put(make([]byte, 1<<16)); err != nil {
-		t.Errorf("the longest value: %v", err)
+		t.Errorf("a value of the maximum size was rejected: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := put([]byte("x")); !errors.Is(err, store.ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("expected ErrClosed after Close, found %v", err)
 	}
 }
--- a/internal/storage/store/writer.go
+++ b/internal/storage/store/writer.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// maxUnsyncedTime is the longest time after which records that nobody waits for are synced.
+	// maxUnsyncedTime is the maximum time until records without a callback are synced.
 	maxUnsyncedTime = 50 * time.Millisecond
 
-	// A batch waits for as many writers as the last batch had, for a mean sync time over batchWaitDivisor and at most maxBatchWait: the
-	// cost of a sync hardly depends on the number of records, so that writers who share one gain more than they lose.
+	// Before the writer takes a batch, it waits until as many writes with a callback are queued as the last batch had. It waits at
+	// most for the mean sync time divided by batchWaitDivisor, and at most for maxBatchWait. The cost of a sync hardly depends on
+	// the number of records, so callers gain more from sharing a sync than they lose by the wait.
 	batchWaitDivisor = 8
 	maxBatchWait     = 2 * time.Millisecond
-	minBatchWait     = 200 * time.Microsecond // a shorter sleep takes longer than it says
-	batchPolls       = 4                      // in minBatchWait
+	minBatchWait     = 200 * time.Microsecond // if the limit is shorter, the writer doesn't wait, as short sleeps overrun
+	batchPolls       = 4                      // checks of the queue per minBatchWait
 
-	syncTimeWeight = 8 // the moving average of sync times takes in this part of each new one
+	syncTimeWeight = 8 // each new sync time contributes 1/syncTimeWeight to the moving average
 
-	longIdle = time.Hour // until the writer looks for work that nobody woke it up for
+	longIdle = time.Hour // the writer checks for work after this time even if it was not woken up
 )
 
-// runWriter writes batches until the store is closed or has failed.
+// runWriter writes batches and compacts the log until the store is closed or has failed.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
 	timer := time.NewTimer(longIdle)
@@ -58,7 +59,7 @@
 	return batch, s.closing
 }
 
-// timeToNextWork is how long the writer may sleep if no write comes.
+// timeToNextWork returns how long the writer may sleep if no write is queued meanwhile.
 func (s *Store) timeToNextWork() time.Duration {
 	sleep := longIdle
 	if !s.unsyncedSince.IsZero() {
@@ -70,7 +71,7 @@
 	return sleep
 }
 
-// waitForBatch waits a little for as many writers as the last batch had.
+// waitForBatch waits for a short time until as many writes with a callback are queued as the last batch had.
 func (s *Store) waitForBatch() {
 	if s.lastBatchWaiters < 2 {
 		return
@@ -95,7 +96,7 @@
 	return countWaiters(s.queue), s.closing
 }
 
-// countWaiters counts the writes that somebody waits for.
+// countWaiters returns the number of writes with a callback.
 func countWaiters(batch []write) (waiters int) {
 	for i := range batch {
 		if batch[i].done != nil {
@@ -105,7 +106,7 @@
 	return waiters
 }
 
-// fail rejects all queued writes and all writes to come.
+// fail marks the store as failed and rejects all queued writes. Later writes are rejected when they are made.
 func (s *Store) fail(cause error) {
 	failed := &FailedError{cause}
 	s.mu.Lock()
@@ -116,7 +117,8 @@
 	rejectWrites(queued, failed)
 }
 
-// commit writes a batch. It syncs if somebody waits for a write, or if records have been unsynced for maxUnsyncedTime.
+// commit writes a batch. It syncs the log if a write of the batch has a callback, if the store is closing, or if records have been
+// unsynced for maxUnsyncedTime.
 func (s *Store) commit(batch []write, closing bool) error {
 	for written := 0; written < len(batch); {
 		n, err := s.writePart(batch[written:])
@@ -143,14 +145,15 @@
 	return nil
 }
 
-// noteUnsynced starts the clock of maxUnsyncedTime if something is unsynced.
+// noteUnsynced sets unsyncedSince if there are unsynced records and it isn't set yet.
 func (s *Store) noteUnsynced() {
 	if s.lastSequence > s.syncedSequence && s.unsyncedSince.IsZero() {
 		s.unsyncedSince = time.Now()
 	}
 }
 
-// rejectWrites calls those who wait for writes with the reason why these may not survive. They are not called again.
+// rejectWrites calls the callbacks of writes with the reason why the writes may not survive a crash, and clears them, so that they are
+// not called again.
 func rejectWrites(batch []write, reason error) {
 	for i := range batch {
 		if batch[i].done != nil {
@@ -160,7 +163,7 @@
 	}
 }
 
-// syncActive syncs the active segment, after which all records written before survive a crash.
+// syncActive syncs the active segment. Afterwards all records written so far survive a crash.
 func (s *Store) syncActive() error {
 	began := time.Now()
 	if err := s.activeSegment().file.Sync(); err != nil {
@@ -178,8 +181,9 @@
 	return nil
 }
 
-// rollSegment starts the next segment if the active one has its full size. It syncs before, as only the last segment may be
-// torn. canRefuse tells whether the error left the active segment as it was, so that a full disk is no failure of the store.
+// rollSegment starts the next segment if the active one has reached its maximum size. It syncs the active segment first, because only
+// the last segment may end with a torn record. canRefuse reports whether an error left the active segment unchanged, so that the
+// caller can reject writes on a full disk instead of failing the store.
 func (s *Store) rollSegment() (canRefuse bool, err error) {
 	if s.activeSegment().size < s.limits.SegmentBytes {
 		return false, nil
@@ -192,8 +196,8 @@
 	return true, s.startSegment()
 }
 
-// writePart writes as many of a batch as fit into the active segment, in one write, and returns how many writes it has dealt
-// with. A write that finds no room is rejected, and counts among those.
+// writePart writes as many writes of a batch as fit into the active segment, in one operation. It returns how many writes of the batch
+// are finished, including those that were rejected because the store or the disk is full.
 func (s *Store) writePart(batch []write) (n int, err error) {
 	canRefuse, err := s.rollSegment()
 	if err != nil && canRefuse {
@@ -213,8 +217,8 @@
 	return n, nil
 }
 
-// encodeBatch puts as many writes into the buffer as fit into a segment of the given size. It returns how many writes it has
-// dealt with, the rejected ones included, and the records in the buffer.
+// encodeBatch encodes writes into the buffer until a segment that has the given size would be full. It returns the records in the
+// buffer and how many writes of the batch are finished, including those that were rejected because the store is full.
 func (s *Store) encodeBatch(batch []write, segmentSize int64) (n int, records []record) {
 	logBytes, _, _ := s.Size()
 	s.buffer = s.buffer[:0]
@@ -242,15 +246,15 @@
 	return n, records
 }
 
-// rejectIfDiskFull deals with the error of writing a batch. If the disk is full and the active segment can be truncated to
-// what it was, the writes are rejected, and others may find room later. Any other error is returned.
+// rejectIfDiskFull handles the error of writing a batch. If the disk is full and the active segment can be truncated to its previous
+// size, the batch is rejected, and later writes may succeed. Any other error is returned and fails the store.
 func (s *Store) rejectIfDiskFull(batch []write, cause error) (n int, err error) {
 	if !isDiskFull(cause) {
 		return 0, cause
 	}
 	active := s.activeSegment()
 	if err := active.file.Truncate(active.size); err != nil {
-		return 0, fmt.Errorf("%w, and its part can't be taken back: %w", cause, err)
+		return 0, fmt.Errorf("%w, and the segment can't be truncated to its previous size: %w", cause, err)
 	}
 	rejectWrites(batch, fmt.Errorf("%w: %w", ErrFull, cause))
 	s.countRefused(len(batch))
