--- a/cmd/magpiebank/imports_test.go
+++ b/cmd/magpiebank/imports_test.go
@@ -20,7 +20,7 @@
 }
 
 // Programs that run in production must not link packages that exist only for tests and measurements.
-func TestServedProgramsImportNothingOfTheTestbed(t *testing.T) {
+func TestReleaseProgramsDoNotImportTestbed(t *testing.T) {
 	for _, program := range []string{"magpiebank", "magpiebank-operator", "magpiebank-sim"} {
 		t.Run(program, func(t *testing.T) {
 			output, err := exec.CommandContext(t.Context(), "go", "list", "-deps", "magpiebank/cmd/"+program).CombinedOutput()
--- a/internal/cli/build_release.go
+++ b/internal/cli/build_release.go
@@ -2,5 +2,5 @@
 
 package cli
 
-// build is appended to the version and marks a special build; it is empty in releases.
-const build = ""
+// versionSuffix is appended to the version and marks a special build; it is empty in releases.
+const versionSuffix = ""
--- a/internal/cli/configuration.go
+++ b/internal/cli/configuration.go
@@ -19,7 +19,7 @@
 var errNoConfiguration = errors.New("no configuration: name its file with --config or $RELAY_CONFIG; " +
 	"to see a gateway at work without a configuration, run magpiebank-testbed demo")
 
-// configurationFlags are the flags that tell a command where its configuration is and what overrides it.
+// configurationFlags are the flags that name a command's configuration file and override parts of the configuration.
 type configurationFlags struct {
 	path     string
 	listen   string // address that replaces the configuration's; empty: the configuration's address
@@ -67,7 +67,7 @@
 // check validates the configuration and, if one is named, the operator's file, and prints a summary of the configuration.
 func (p Program) check(flags *configurationFlags, out io.Writer) error {
 	if flags.operator != "" && p.LoadOperatorRules == nil {
-		return becomeOperatorProgram()
+		return execOperatorProgram()
 	}
 	start, _, err := flags.read()
 	if err != nil {
--- a/internal/cli/format_test.go
+++ b/internal/cli/format_test.go
@@ -15,18 +15,18 @@
 
 // The folder in testdata contains a request that was pending, one with an attempt in flight, one per final outcome, and a snapshot of
 // the admission controller.
-func TestStateFolderOfEarlierVersionIsRecovered(t *testing.T) {
+func TestRecoverStateFolderOfEarlierVersion(t *testing.T) {
 	start := &config.Config{
 		Name:       "gateway-a",
 		Deployment: &admission.Deployment{Classes: make([]admission.Class, 2)},
 		Network:    &config.Network{LongestWaits: []time.Duration{time.Second, time.Minute}},
 	}
 	start.Deployment.Classes[1].RepeatEffect = admission.NonIdempotent
-	journal, shut, err := openState(golden.CopyFolder(t, "state"), 64, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	journal, closeState, err := openState(golden.CopyFolder(t, "state"), 64, start, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = shut() })
+	t.Cleanup(func() { _ = closeState() })
 	if journal.Snapshot == nil {
 		t.Fatal("expected a snapshot of the admission controller, found none")
 	}
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -120,7 +120,7 @@
 	if p.LoadOperatorRules == nil {
 		for use, short := range operatorCommands {
 			root.AddCommand(&cobra.Command{Use: use, Short: short, DisableFlagParsing: true,
-				RunE: func(*cobra.Command, []string) error { return becomeOperatorProgram() }})
+				RunE: func(*cobra.Command, []string) error { return execOperatorProgram() }})
 		}
 	}
 	root.AddCommand(p.Commands...)
@@ -130,12 +130,12 @@
 
 func versionCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(*cobra.Command, []string) { fmt.Fprintln(out, "magpiebank", version+build) }}
+		Run: func(*cobra.Command, []string) { fmt.Fprintln(out, "magpiebank", version+versionSuffix) }}
 }
 
-// becomeOperatorProgram executes OperatorProgram, which is in the same folder as this program, in place of this process and with the
+// execOperatorProgram executes OperatorProgram, which is in the same folder as this program, in place of this process and with the
 // same arguments. It returns only if that fails.
-func becomeOperatorProgram() error {
+func execOperatorProgram() error {
 	self, err := os.Executable()
 	if err != nil {
 		return runError{err}
--- a/internal/cli/program_test.go
+++ b/internal/cli/program_test.go
@@ -44,7 +44,7 @@
 }
 
 // SIGHUP makes the gateway read the configuration again, and SIGTERM ends the command with status 0.
-func TestServe(t *testing.T) {
+func TestServeReloadsOnSIGHUPAndStopsOnSIGTERM(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	if err := os.WriteFile(path, []byte(configuration), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -47,7 +47,7 @@
 // serve runs the gateway until SIGTERM or SIGINT, and then shuts it down.
 func (p Program) serve(flags *serveFlags, errs io.Writer) error {
 	if flags.configuration.operator != "" && p.LoadOperatorRules == nil {
-		return becomeOperatorProgram()
+		return execOperatorProgram()
 	}
 	// Signals are caught before the gateway starts, so that no signal kills the process during startup.
 	signals := catchSignals()
--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -50,7 +50,7 @@
 // The reasons why a stored snapshot can't be decoded.
 var (
 	errSnapshotIncomplete = errors.New("a part of the admission controller's stored snapshot is missing or belongs to another snapshot")
-	errSnapshotMixed      = errors.New("the admission controller's stored snapshot does not match its checksum")
+	errSnapshotChecksum   = errors.New("the admission controller's stored snapshot does not match its checksum")
 )
 
 // decode joins the parts and decodes the snapshot. It returns nil if no snapshot is stored. Parts of different snapshots, as a crash
@@ -70,7 +70,7 @@
 		encoded = append(encoded, record[snapshotHeaderBytes:]...)
 	}
 	if crc32.ChecksumIEEE(encoded) != binary.LittleEndian.Uint32(header[4:]) {
-		return nil, errSnapshotMixed
+		return nil, errSnapshotChecksum
 	}
 	return admission.DecodeSnapshot(encoded)
 }
--- a/internal/storage/faultdisk/faultdisk_testbed.go
+++ b/internal/storage/faultdisk/faultdisk_testbed.go
@@ -21,15 +21,15 @@
 
 // The kinds of faults.
 const (
-	diskFull    = "full"     // writes and creations fail with ENOSPC
-	slowSyncs   = "slow"     // each sync takes slowSyncTime longer
-	failedSyncs = "unsynced" // each sync fails
-	lyingSyncs  = "lies"     // writes are buffered for at least lieTime though syncs report success, so a kill loses them
+	diskFull      = "full"     // writes and creations fail with ENOSPC
+	slowSyncs     = "slow"     // each sync takes slowSyncTime longer
+	failedSyncs   = "unsynced" // each sync fails
+	delayedWrites = "lies"     // writes are buffered for at least writeDelay though syncs report success, so a kill loses them
 )
 
 const (
 	slowSyncTime = 300 * time.Millisecond
-	lieTime      = 3 * time.Second
+	writeDelay   = 3 * time.Second
 )
 
 var errInjectedSync = errors.New("injected sync error of the testbed's build")
@@ -98,12 +98,12 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.buffered) > 0 && time.Since(f.bufferedSince) > lieTime {
+	if len(f.buffered) > 0 && time.Since(f.bufferedSince) > writeDelay {
 		if err := f.flush(); err != nil {
 			return 0, err
 		}
 	}
-	if !f.isActive(lyingSyncs) {
+	if !f.isActive(delayedWrites) {
 		return f.File.Write(b)
 	}
 	if len(f.buffered) == 0 {
@@ -144,9 +144,9 @@
 
 func (f *faultyFile) Sync() error {
 	f.mu.Lock()
-	lies := len(f.buffered) > 0
+	hasBuffered := len(f.buffered) > 0
 	f.mu.Unlock()
-	if lies {
+	if hasBuffered {
 		return nil
 	}
 	return errors.Join(f.beforeSync(), f.File.Sync())
--- a/internal/storage/faultfs/crashstate.go
+++ b/internal/storage/faultfs/crashstate.go
@@ -9,27 +9,27 @@
 // sectorSize is the unit, in bytes, in which unsynced data reaches the disk. Sectors of real disks have this size or a larger one.
 const sectorSize = 512
 
-// dontTear makes AfterPowerLoss keep whole sectors.
-const dontTear = -1
+// noTear is the argument tear of AfterPowerLoss that leaves all surviving sectors whole.
+const noTear = -1
 
-// parts returns the number of parts of a change that may reach the disk independently of each other: 1 for a truncation, the number of
-// sectors for a write.
-func (c *dataChange) parts() int {
+// countParts returns the number of parts of a change that may reach the disk independently of each other: 1 for a truncation, the
+// number of sectors for a write.
+func (c *dataChange) countParts() int {
 	if c.data == nil {
 		return 1
 	}
 	return int((c.offset+int64(len(c.data))-1)/sectorSize-c.offset/sectorSize) + 1
 }
 
-// CountUnsynced returns the number of unsynced parts, each of which may or may not have reached the disk. A part is a change of a name,
-// a truncation or one sector of a write.
-func (f *Folder) CountUnsynced() int {
+// CountUnsyncedParts returns the number of unsynced parts, each of which may or may not have reached the disk. A part is a change of a
+// name, a truncation or one sector of a write.
+func (f *Folder) CountUnsyncedParts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	parts := len(f.unsyncedNames)
 	for _, i := range f.reachable() {
 		for _, change := range i.unsynced {
-			parts += change.parts()
+			parts += change.countParts()
 		}
 	}
 	return parts
@@ -76,16 +76,16 @@
 			contents[i] = i.afterPowerLoss(survivesNext, tear)
 		}
 	}
-	left := &Folder{}
-	left.init()
+	crashState := &Folder{}
+	crashState.init()
 	for name, i := range names {
 		content := contents[i]
 		if content == nil {
 			content = slices.Clone(i.durable)
 		}
-		left.SetFile(name, content)
+		crashState.SetFile(name, content)
 	}
-	return left
+	return crashState
 }
 
 // afterPowerLoss returns the file's content after a power loss. The result is never nil, because AfterPowerLoss uses nil for files that
@@ -103,7 +103,7 @@
 		for from := change.offset; from < end; {
 			to := min((from/sectorSize+1)*sectorSize, end)
 			if survivesNext() {
-				content = overwrite(content, from, torn(change.data[from-change.offset:to-change.offset], tear))
+				content = overwrite(content, from, tearSector(change.data[from-change.offset:to-change.offset], tear))
 			}
 			from = to
 		}
@@ -111,8 +111,8 @@
 	return content
 }
 
-// torn returns the first tear bytes of data, or all of data if tear is negative or data is not longer.
-func torn(data []byte, tear int) []byte {
+// tearSector returns the first tear bytes of data, or all of data if tear is negative or data is not longer.
+func tearSector(data []byte, tear int) []byte {
 	if tear >= 0 && tear < len(data) {
 		return data[:tear]
 	}
@@ -132,8 +132,8 @@
 // maxExhaustive unsynced parts, it visits every combination of surviving parts: once with whole sectors and, unless no part survives,
 // once with torn sectors. With more parts, it visits the states in which no part and all parts survive, and 1<<maxExhaustive
 // combinations that are drawn at random from the seed.
-func (f *Folder) ForEachCrashState(maxExhaustive int, seed int64, visit func(left *Folder)) (states int) {
-	parts := f.CountUnsynced()
+func (f *Folder) ForEachCrashState(maxExhaustive int, seed int64, visit func(crashState *Folder)) (states int) {
+	parts := f.CountUnsyncedParts()
 	random := rand.New(rand.NewSource(seed))
 	visitState := func(survives func(int) bool, tear int) {
 		states++
@@ -142,15 +142,15 @@
 	if parts <= maxExhaustive {
 		for bits := range 1 << parts {
 			survives := func(part int) bool { return bits>>part&1 == 1 }
-			visitState(survives, dontTear)
+			visitState(survives, noTear)
 			if bits > 0 {
 				visitState(survives, random.Intn(sectorSize))
 			}
 		}
 		return states
 	}
-	visitState(func(int) bool { return false }, dontTear)
-	visitState(func(int) bool { return true }, dontTear)
+	visitState(func(int) bool { return false }, noTear)
+	visitState(func(int) bool { return true }, noTear)
 	for range 1 << maxExhaustive {
 		survives, tear := drawState(rand.New(rand.NewSource(random.Int63())), parts)
 		visitState(survives, tear)
@@ -164,7 +164,7 @@
 	for part := range surviving {
 		surviving[part] = random.Intn(2) == 0
 	}
-	tear = dontTear
+	tear = noTear
 	if random.Intn(2) == 0 {
 		tear = random.Intn(sectorSize)
 	}
--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -12,7 +12,7 @@
 	"magpiebank/internal/storage/store"
 )
 
-// ErrPowerLost is returned by all operations after a power loss.
+// ErrPowerLost is returned by operations after a power loss.
 var ErrPowerLost = errors.New("power is lost")
 
 // Folder is a folder whose files are in memory. The zero Folder is empty and does not fail.
@@ -27,9 +27,9 @@
 	// BeforeOperation, if set, is called before each operation that changes or syncs something, with the operation's number, counted
 	// from 0, and a description such as "write manifest". If it returns an error, the operation fails with that error. Once it has
 	// returned ErrPowerLost, all further operations fail, and so do Open, Names and reads.
-	BeforeOperation func(n int, what string) error
-	// SyncLies, if set, reports whether a sync does nothing and returns success.
-	SyncLies func(n int, what string) bool
+	BeforeOperation func(n int, description string) error
+	// SkipSync, if set, reports whether a sync does nothing and returns success.
+	SkipSync func(n int, description string) bool
 	// ShortWrite, if set, returns how many bytes a write for which BeforeOperation returns an error writes nevertheless.
 	ShortWrite func(n int) int
 	// Operations is the number of operations so far that change or sync something.
@@ -54,7 +54,7 @@
 var _ store.Folder = (*Folder)(nil)
 
 // beginOperation counts an operation, and returns an error if the operation has to fail. The caller holds mu.
-func (f *Folder) beginOperation(what string) error {
+func (f *Folder) beginOperation(description string) error {
 	if f.powerLost {
 		return ErrPowerLost
 	}
@@ -63,16 +63,16 @@
 	if f.BeforeOperation == nil {
 		return nil
 	}
-	err := f.BeforeOperation(n, what)
+	err := f.BeforeOperation(n, description)
 	if errors.Is(err, ErrPowerLost) {
 		f.powerLost = true
 	}
 	return err
 }
 
-// syncLies reports whether the latest operation, which is a sync, has to do nothing. The caller holds mu.
-func (f *Folder) syncLies(what string) bool {
-	return f.SyncLies != nil && f.SyncLies(f.Operations-1, what)
+// skipsSync reports whether the latest operation, which is a sync, has to do nothing. The caller holds mu.
+func (f *Folder) skipsSync(description string) bool {
+	return f.SkipSync != nil && f.SkipSync(f.Operations-1, description)
 }
 
 func (f *Folder) init() {
@@ -84,7 +84,7 @@
 func errNotFound(name string) error { return fmt.Errorf("file %s does not exist", name) }
 
 // LosePowerAt returns a function for Folder.BeforeOperation that loses power at the operation with the given number.
-func LosePowerAt(operation int) func(n int, what string) error {
+func LosePowerAt(operation int) func(n int, description string) error {
 	return func(n int, _ string) error {
 		if n >= operation {
 			return ErrPowerLost
@@ -173,14 +173,14 @@
 
 const syncNames = "sync names"
 
-// SyncNames makes the names of the files durable, unless SyncLies returns true.
+// SyncNames makes the names of the files durable, unless SkipSync returns true.
 func (f *Folder) SyncNames() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.beginOperation(syncNames); err != nil {
 		return err
 	}
-	if f.syncLies(syncNames) {
+	if f.skipsSync(syncNames) {
 		return nil
 	}
 	for _, change := range f.unsyncedNames {
--- a/internal/storage/faultfs/file.go
+++ b/internal/storage/faultfs/file.go
@@ -80,11 +80,11 @@
 func (f *file) Sync() error {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
-	what := "sync " + f.name
-	if err := f.folder.beginOperation(what); err != nil {
+	description := "sync " + f.name
+	if err := f.folder.beginOperation(description); err != nil {
 		return err
 	}
-	if f.folder.syncLies(what) {
+	if f.folder.skipsSync(description) {
 		return nil
 	}
 	f.inode.durable, f.inode.unsynced = slices.Clone(f.inode.current), nil
--- a/internal/storage/requestjournal/crash_test.go
+++ b/internal/storage/requestjournal/crash_test.go
@@ -27,7 +27,8 @@
 // segmentName is the name of the log's only segment: the workload is too short to fill it.
 const segmentName = "0000000000000001.log"
 
-// workload runs requests of all classes through combinations of attempts and outcomes, and records what engines and clients observe.
+// workload runs requests of all classes through various sequences of attempts and answers, and records what engines and clients
+// observe.
 type workload struct {
 	folder      *faultfs.Folder
 	journal     *requestjournal.Journal
@@ -170,8 +171,8 @@
 // their number and the first error.
 func exploreCrashes(maxExhaustive int, answerEarly bool) (states int, firstErr error) {
 	check := func(folder *faultfs.Folder, observed []observation, now admission.Time, seed int, when string) {
-		states += folder.ForEachCrashState(maxExhaustive, int64(seed), func(left *faultfs.Folder) {
-			if err := checkRecovered(left, observed, now); err != nil && firstErr == nil {
+		states += folder.ForEachCrashState(maxExhaustive, int64(seed), func(crashState *faultfs.Folder) {
+			if err := checkRecovered(crashState, observed, now); err != nil && firstErr == nil {
 				firstErr = fmt.Errorf("%s: %w", when, err)
 			}
 		})
@@ -182,10 +183,10 @@
 		now := 1000*second + 2*second
 		check(folder, observed, now, operation, fmt.Sprintf("power lost at operation %d", operation))
 		for recoveryOperation := range 10 {
-			left := folder.AfterPowerLoss(func(part int) bool { return (part+recoveryOperation)%2 == 0 }, -1)
-			left.BeforeOperation = faultfs.LosePowerAt(recoveryOperation)
-			_ = checkRecovered(left, nil, now) // power is lost during the recovery
-			check(left, observed, now+5*second, recoveryOperation,
+			crashState := folder.AfterPowerLoss(func(part int) bool { return (part+recoveryOperation)%2 == 0 }, -1)
+			crashState.BeforeOperation = faultfs.LosePowerAt(recoveryOperation)
+			_ = checkRecovered(crashState, nil, now) // power is lost during the recovery
+			check(crashState, observed, now+5*second, recoveryOperation,
 				fmt.Sprintf("power lost at operation %d, and at operation %d of the recovery", operation, recoveryOperation))
 		}
 		if folder.Operations < operation {
@@ -215,18 +216,18 @@
 	observed := runWorkload(folder, false)
 	log := folder.Contents(segmentName)
 	for cut := 48; cut <= len(log); cut++ {
-		left := &faultfs.Folder{}
+		cutFolder := &faultfs.Folder{}
 		manifest := folder.Contents("manifest")
 		copy(manifest[40:48], make([]byte, 8)) // clears closedAtSequence, as if the store had not been closed
-		left.SetFile("manifest", withChecksum(manifest))
-		left.SetFile(segmentName, log[:cut])
+		cutFolder.SetFile("manifest", withChecksum(manifest))
+		cutFolder.SetFile(segmentName, log[:cut])
 		var observedByThen []observation
 		for _, seen := range observed {
 			if seen.logBytes <= cut {
 				observedByThen = append(observedByThen, seen)
 			}
 		}
-		if err := checkRecovered(left, observedByThen, 1002*second); err != nil {
+		if err := checkRecovered(cutFolder, observedByThen, 1002*second); err != nil {
 			t.Fatalf("log cut to %d of %d bytes: %v", cut, len(log), err)
 		}
 	}
--- a/internal/storage/requestjournal/entry.go
+++ b/internal/storage/requestjournal/entry.go
@@ -86,11 +86,11 @@
 // ErrInvalidRecord is returned for bytes that are not a record of this version.
 var ErrInvalidRecord = errors.New("not a record of a request, or a record of another version")
 
-// maxAnyClass is the number of classes that Decode assumes, because it doesn't know the deployment's classes.
-const maxAnyClass = 1 << 16
+// maxDecodeClasses is the number of classes that Decode assumes, because it doesn't know the deployment's classes.
+const maxDecodeClasses = 1 << 16
 
 // Decode decodes a stored record for tools, which don't know the deployment's classes. The error is ErrInvalidRecord.
-func Decode(record []byte) (*Entry, error) { return decode(record, maxAnyClass) }
+func Decode(record []byte) (*Entry, error) { return decode(record, maxDecodeClasses) }
 
 func (e *Entry) flags() (flags byte) {
 	if e.InFlight {
--- a/internal/storage/requestjournal/format_test.go
+++ b/internal/storage/requestjournal/format_test.go
@@ -15,15 +15,15 @@
 	entry *Entry
 }
 
-func TestFolderOfEarlierVersionIsReadAndRecordsAreWrittenAlike(t *testing.T) {
+func TestReadAndEncodeFolderOfEarlierVersion(t *testing.T) {
 	folder, err := store.OpenFolder(golden.CopyFolder(t, "folder")) // a copy, because opening a store writes to its folder
 	if err != nil {
 		t.Fatal(err)
 	}
 	journal := New(nil, make([]Class, 4), 100)
 	records := map[Key][]byte{}
-	opened, _, err := store.Open(folder, "gateway-a", store.Limits{}, func(k store.Key, record []byte, gone bool) {
-		if err := journal.Replay(Key(k), record, gone); err != nil {
+	opened, _, err := store.Open(folder, "gateway-a", store.Limits{}, func(k store.Key, record []byte, deleted bool) {
+		if err := journal.Replay(Key(k), record, deleted); err != nil {
 			t.Errorf("record %q: %v", k[:], err)
 		}
 		records[Key(k)] = bytes.Clone(record)
@@ -39,8 +39,8 @@
 	var found []keyedEntry
 	journal.ForEach(func(key Key, entry *Entry) {
 		found = append(found, keyedEntry{key, entry})
-		if again := entry.encode(); !bytes.Equal(again, records[key]) {
-			t.Errorf("record %q: expected %x, found %x", key[:], records[key], again)
+		if encoded := entry.encode(); !bytes.Equal(encoded, records[key]) {
+			t.Errorf("record %q: expected %x, found %x", key[:], records[key], encoded)
 		}
 	})
 	slices.SortFunc(found, func(a, b keyedEntry) int { return bytes.Compare(a.key[:], b.key[:]) })
--- a/internal/storage/requestjournal/journal.go
+++ b/internal/storage/requestjournal/journal.go
@@ -41,9 +41,9 @@
 	LongestWait admission.Time // how long clients wait for an answer at most
 }
 
-// isNonIdempotent reports whether the class's requests have effects that a second run may repeat, so that their records have to be
+// repeatHasEffect reports whether the class's requests have effects that a second run may repeat, so that their records have to be
 // durable before an attempt or an answer leaves the gateway.
-func (c *Class) isNonIdempotent() bool { return c.Effect != admission.Idempotent }
+func (c *Class) repeatHasEffect() bool { return c.Effect != admission.Idempotent }
 
 // Journal holds the records of all requests that are not forgotten yet. Only one goroutine may use it at a time.
 type Journal struct {
@@ -51,8 +51,8 @@
 	classes    []Class
 	entries    map[Key]*Entry
 	latestTime admission.Time // the latest time in any call or replayed record
-	answered   []expiry       // answered requests, in the order in which they are forgotten
-	recovered  []expiry       // requests found pending at the start, sorted by deadline
+	answered   []timedKey     // answered requests, in the order in which they are forgotten
+	recovered  []timedKey     // requests found pending at the start, sorted by deadline
 	retention  admission.Time // how long answered requests are kept
 	maxEntries int
 	Counts     Counts
@@ -124,7 +124,7 @@
 	key := KeyOf(id)
 	entry := j.entries[key]
 	if entry == nil {
-		j.makeRoom()
+		j.evictAnswers()
 		entry = &Entry{Class: class, AcceptedAt: now}
 		j.entries[key] = entry
 	}
@@ -134,8 +134,8 @@
 	return entry
 }
 
-// makeRoom forgets the oldest answers until the journal holds fewer than maxEntries requests or there are no more answers.
-func (j *Journal) makeRoom() {
+// evictAnswers forgets the oldest answers until the journal holds fewer than maxEntries requests or there are no more answers.
+func (j *Journal) evictAnswers() {
 	for len(j.entries) >= j.maxEntries && len(j.answered) > 0 {
 		j.forget(j.answered[0].key)
 		j.answered = j.answered[1:]
@@ -164,7 +164,7 @@
 		// The first attempt that may have run determines which engines drop repeats and when their deduplication window begins.
 		entry.UncertainSince, entry.Zone, entry.Group = now, zone, group
 	}
-	if j.classes[entry.Class].isNonIdempotent() {
+	if j.classes[entry.Class].repeatHasEffect() {
 		j.log.Put(key, entry.encode(), onDurable)
 		return true
 	}
@@ -200,7 +200,7 @@
 		return false
 	}
 	j.Counts.Answered++
-	mustWait = j.classes[entry.Class].isNonIdempotent() && entry.Attempts > 0
+	mustWait = j.classes[entry.Class].repeatHasEffect() && entry.Attempts > 0
 	if !mustWait {
 		onDurable = nil
 	}
@@ -212,7 +212,7 @@
 // storeAnswer writes an entry whose answer was just set, and adds it to the entries that are forgotten after the retention.
 func (j *Journal) storeAnswer(key Key, entry *Entry, onDurable func(error)) {
 	j.log.Put(key, entry.encode(), onDurable)
-	j.answered = append(j.answered, expiry{key, entry.AnsweredAt})
+	j.answered = append(j.answered, timedKey{key, entry.AnsweredAt})
 }
 
 // Tick answers recovered requests whose deadline has passed without a repeat, and forgets answers that are older than the retention.
@@ -236,7 +236,7 @@
 		return
 	}
 	outcome := Rejected
-	if entry.MayHaveRun && j.classes[entry.Class].isNonIdempotent() {
+	if entry.MayHaveRun && j.classes[entry.Class].repeatHasEffect() {
 		outcome = Failed
 	}
 	entry.setAnswer(now, outcome, nil)
--- a/internal/storage/requestjournal/journal_test.go
+++ b/internal/storage/requestjournal/journal_test.go
@@ -104,8 +104,8 @@
 	}
 	defer closeStore(t, logStore)
 	syncBegun, finishSync := make(chan bool, 100), make(chan bool)
-	folder.BeforeOperation = func(_ int, what string) error {
-		if strings.HasPrefix(what, "sync ") {
+	folder.BeforeOperation = func(_ int, description string) error {
+		if strings.HasPrefix(description, "sync ") {
 			syncBegun <- true
 			<-finishSync
 		}
@@ -140,7 +140,7 @@
 }
 
 // A recovered request that its client doesn't repeat is answered at its deadline and forgotten after the retention.
-func TestRecoveredRequestsEndAtTheirDeadlines(t *testing.T) {
+func TestRecoveredRequestsAreAnsweredAtTheirDeadlines(t *testing.T) {
 	folder := &faultfs.Folder{}
 	journal, logStore, err := openJournal(folder, 1000*second)
 	if err != nil {
--- a/internal/storage/requestjournal/recovery.go
+++ b/internal/storage/requestjournal/recovery.go
@@ -7,8 +7,8 @@
 	"magpiebank/internal/admission"
 )
 
-// expiry is the key of a request and a time: the time of its answer in Journal.answered, its deadline in Journal.recovered.
-type expiry struct {
+// timedKey is the key of a request and a time: the time of its answer in Journal.answered, its deadline in Journal.recovered.
+type timedKey struct {
 	key Key
 	at  admission.Time
 }
@@ -36,13 +36,13 @@
 	now = j.advanceClock(now)
 	for key, entry := range j.entries {
 		if entry.Outcome != Pending {
-			j.answered = append(j.answered, expiry{key, entry.AnsweredAt})
+			j.answered = append(j.answered, timedKey{key, entry.AnsweredAt})
 			continue
 		}
 		j.recoverPending(now, key, entry)
 	}
-	sortByExpiry(j.answered)
-	sortByExpiry(j.recovered)
+	sortByTime(j.answered)
+	sortByTime(j.recovered)
 }
 
 func (j *Journal) recoverPending(now admission.Time, key Key, entry *Entry) {
@@ -62,7 +62,7 @@
 		j.storeAnswer(key, entry, nil)
 	default:
 		j.log.Put(key, entry.encode(), nil)
-		j.recovered = append(j.recovered, expiry{key, entry.Deadline})
+		j.recovered = append(j.recovered, timedKey{key, entry.Deadline})
 	}
 }
 
@@ -78,9 +78,9 @@
 	}
 }
 
-// sortByExpiry sorts by time. Requests with the same time are sorted by key, so that the order doesn't depend on the order of the map.
-func sortByExpiry(list []expiry) {
-	slices.SortFunc(list, func(a, b expiry) int {
+// sortByTime sorts by time. Requests with the same time are sorted by key, so that the order doesn't depend on the order of the map.
+func sortByTime(list []timedKey) {
+	slices.SortFunc(list, func(a, b timedKey) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), slices.Compare(a.key[:], b.key[:]))
 	})
 }
--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -18,30 +18,30 @@
 // It reports the commits per second and the 99th percentile of their latency.
 func measureCommits(b *testing.B, writers int, commit func(n int) error) {
 	b.Helper()
-	each := max(1, b.N/writers)
-	allLatencies := make([]time.Duration, 0, each*writers)
+	commitsPerWriter := max(1, b.N/writers)
+	allLatencies := make([]time.Duration, 0, commitsPerWriter*writers)
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	began := time.Now()
 	for w := range writers {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			latencies := make([]time.Duration, each)
-			for n := range each {
-				at := time.Now()
-				if err := commit(w*each + n); err != nil {
+			defer running.Done()
+			latencies := make([]time.Duration, commitsPerWriter)
+			for n := range commitsPerWriter {
+				start := time.Now()
+				if err := commit(w*commitsPerWriter + n); err != nil {
 					b.Error(err)
 					return
 				}
-				latencies[n] = time.Since(at)
+				latencies[n] = time.Since(start)
 			}
 			mu.Lock()
 			allLatencies = append(allLatencies, latencies...)
 			mu.Unlock()
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	duration := time.Since(began)
 	slices.Sort(allLatencies)
 	if len(allLatencies) > 0 {
@@ -59,11 +59,11 @@
 
 func benchmarkStore(b *testing.B, writers int) {
 	b.Helper()
-	d, err := store.CreateFolder(b.TempDir())
+	folder, err := store.CreateFolder(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
-	s, _, err := store.Open(d, "g1", store.Limits{MaxBytes: 1 << 30}, func(store.Key, []byte, bool) {})
+	s, _, err := store.Open(folder, "g1", store.Limits{MaxBytes: 1 << 30}, func(store.Key, []byte, bool) {})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/storage/store/compaction.go
+++ b/internal/storage/store/compaction.go
@@ -10,9 +10,9 @@
 	// between two steps.
 	compactionBytes = 256 << 10
 
-	// shortOfCapacity is a fraction of MaxBytes. If the closed segments take more than that, the compaction runs even if most of their
-	// bytes are live. The rest of MaxBytes and the reserve for deletions leave capacity for writes during the compaction.
-	shortOfCapacity = 0.75
+	// nearlyFullFraction is the fraction of MaxBytes above which the closed segments are compacted even if most of their bytes are
+	// live. The rest of MaxBytes and the reserve for deletions leave capacity for writes during the compaction.
+	nearlyFullFraction = 0.75
 )
 
 // needsCompaction reports whether the oldest segment should be compacted. That is so if less than half of the bytes in the closed
@@ -29,8 +29,8 @@
 		live += g.liveBytes
 	}
 	mostlyDead := live < bytes/2
-	short := float64(bytes) > shortOfCapacity*float64(s.limits.MaxBytes)
-	return mostlyDead || short && live < bytes-s.limits.SegmentBytes
+	nearlyFull := float64(bytes) > nearlyFullFraction*float64(s.limits.MaxBytes)
+	return mostlyDead || nearlyFull && live < bytes-s.limits.SegmentBytes
 }
 
 // compact runs one step of the compaction of the oldest segment, if one is due: it appends some of the segment's live records to the
@@ -138,17 +138,17 @@
 	if !ok {
 		return &CorruptionError{next.name(), 0, "the header can't be decoded"}
 	}
-	before := s.manifest
+	previousManifest := s.manifest
 	s.manifest.firstSegment, s.manifest.firstSequence = header.number, header.firstSequence
 	if err := s.writeManifest(); err != nil {
-		s.manifest = before
+		s.manifest = previousManifest
 		return ignoreDiskFull(err)
 	}
 	s.mu.Lock()
 	s.segments = s.segments[1:]
 	s.mu.Unlock()
 	s.compactionOffset = 0
-	closeUnchanged(oldest.file)
+	closeIgnoringError(oldest.file)
 	return s.folder.Remove(oldest.name())
 }
 
--- a/internal/storage/store/corruption_test.go
+++ b/internal/storage/store/corruption_test.go
@@ -24,10 +24,10 @@
 
 // Open rejects a file that is cut at any byte, because the manifest says that the store was closed with more records. It also rejects a
 // file in which any byte has a flipped bit.
-func TestCutAndFlippedBytesAreRefused(t *testing.T) {
+func TestOpenRejectsCutFilesAndFlippedBits(t *testing.T) {
 	folder := workloadFolder(t)
 	names, _ := folder.Names()
-	cut, flipped, read := 0, 0, 0
+	rejectedCuts, rejectedFlips, acceptedFlips := 0, 0, 0
 	for _, name := range names {
 		b := folder.Contents(name)
 		for offset := range b {
@@ -36,12 +36,12 @@
 			if _, _, err := store.Open(changed, "g1", smallLimits, func(store.Key, []byte, bool) {}); err == nil {
 				t.Fatalf("Open accepted %s cut to %d bytes, though the store was closed", name, offset)
 			}
-			cut++
+			rejectedCuts++
 			changed = cloneFolder(folder)
 			changed.FlipBit(name, int64(offset), uint(offset%8))
 			s, _, err := store.Open(changed, "g1", smallLimits, func(store.Key, []byte, bool) {})
 			if err == nil {
-				read++
+				acceptedFlips++
 				closeStore(t, s)
 				t.Errorf("Open accepted %s with byte %d changed", name, offset)
 				continue
@@ -50,15 +50,15 @@
 			if !errors.As(err, &corruption) {
 				t.Fatalf("%s with byte %d changed: %v", name, offset, err)
 			}
-			flipped++
+			rejectedFlips++
 		}
 	}
-	t.Logf("%d cuts rejected, %d flipped bits rejected, %d accepted", cut, flipped, read)
+	t.Logf("%d cuts rejected, %d flipped bits rejected, %d accepted", rejectedCuts, rejectedFlips, acceptedFlips)
 }
 
 // If a corrupt record precedes a record that proves it was synced, Open returns the offset of the corrupt record and doesn't truncate
 // the segment. Open also rejects a folder that belongs to another owner or is already open.
-func TestCorruptRecordIsRefusedWithItsOffset(t *testing.T) {
+func TestOpenReturnsOffsetOfCorruptRecord(t *testing.T) {
 	folder := workloadFolder(t)
 	names, _ := folder.Names()
 	last := names[len(names)-2] // the last segment; the manifest is after it
@@ -91,7 +91,7 @@
 }
 
 // Repair lists what has to be removed. Without drop it changes nothing; with drop it removes exactly that and keeps a copy.
-func TestRepairLosesWhatFollowsTheCorruption(t *testing.T) {
+func TestRepairRemovesEverythingFromCorruptRecordOn(t *testing.T) {
 	folder := workloadFolder(t)
 	names, _ := folder.Names()
 	first := names[0]
@@ -105,10 +105,10 @@
 	if err != nil || len(folder.Contents(first)) != 48 || len(folder.Contents(first+".lost")) != len(before) {
 		t.Errorf("repair with drop: %q, %v; %d bytes are left", lost, err, len(folder.Contents(first)))
 	}
-	got := 0
-	s, _, err := store.Open(folder, "g1", smallLimits, func(store.Key, []byte, bool) { got++ })
-	if err != nil || got != 0 {
-		t.Fatal(got, err)
+	replayed := 0
+	s, _, err := store.Open(folder, "g1", smallLimits, func(store.Key, []byte, bool) { replayed++ })
+	if err != nil || replayed != 0 {
+		t.Fatal(replayed, err)
 	}
 	closeStore(t, s)
 	lost, err = store.Repair(folder, true)
--- a/internal/storage/store/folder.go
+++ b/internal/storage/store/folder.go
@@ -99,15 +99,15 @@
 	return diskFile{f}, nil
 }
 
-func (d diskFolder) Names() (out []string, err error) {
+func (d diskFolder) Names() (names []string, err error) {
 	entries, err := os.ReadDir(d.path)
 	for _, e := range entries {
 		if e.Type().IsRegular() {
-			out = append(out, e.Name())
+			names = append(names, e.Name())
 		}
 	}
-	slices.Sort(out)
-	return out, err
+	slices.Sort(names)
+	return names, err
 }
 
 func (d diskFolder) Rename(from, to string) error {
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	defer closeUnchanged(f)
+	defer closeIgnoringError(f)
 	return f.Sync()
 }
 
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		closeUnchanged(f)
+		closeIgnoringError(f)
 		if errors.Is(err, unix.EWOULDBLOCK) {
 			return nil, ErrLocked
 		}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer closeUnchanged(file)
+	defer closeIgnoringError(file)
 	return readOpenFile(file, name)
 }
 
@@ -173,6 +173,6 @@
 	return folder.Remove(name)
 }
 
-// closeUnchanged closes a file and ignores the error. It is used where an error of Close doesn't matter, because nobody relies on bytes
+// closeIgnoringError closes a file and ignores the error. It is used where an error of Close doesn't matter, because nobody relies on bytes
 // that were written to the file.
-func closeUnchanged(file io.Closer) { _ = file.Close() }
+func closeIgnoringError(file io.Closer) { _ = file.Close() }
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -38,7 +38,7 @@
 
 // appendRecord appends the encoded record to dst.
 func appendRecord(dst []byte, r *record) []byte {
-	at := len(dst)
+	start := len(dst)
 	mark := byte(recordMark)
 	if r.deleted {
 		mark = deletionMark
@@ -48,7 +48,7 @@
 	dst = binary.LittleEndian.AppendUint64(dst, r.sequence)
 	dst = binary.LittleEndian.AppendUint64(dst, r.syncedSequence)
 	dst = append(dst, r.key[:]...)
-	sum := crc32.Checksum(dst[at:], castagnoli)
+	sum := crc32.Checksum(dst[start:], castagnoli)
 	sum = crc32.Update(sum, castagnoli, r.value)
 	dst = binary.LittleEndian.AppendUint32(dst, sum)
 	return append(dst, r.value...)
@@ -63,10 +63,10 @@
 	if length > maxValueSize || len(b) < recordHeaderSize+length {
 		return r, false
 	}
-	const summed = recordHeaderSize - checksumSize
-	sum := crc32.Checksum(b[:summed], castagnoli)
+	const checksummedSize = recordHeaderSize - checksumSize
+	sum := crc32.Checksum(b[:checksummedSize], castagnoli)
 	r.value = b[recordHeaderSize : recordHeaderSize+length : recordHeaderSize+length]
-	if crc32.Update(sum, castagnoli, r.value) != binary.LittleEndian.Uint32(b[summed:]) {
+	if crc32.Update(sum, castagnoli, r.value) != binary.LittleEndian.Uint32(b[checksummedSize:]) {
 		return r, false
 	}
 	r.deleted = b[0] == deletionMark
@@ -143,8 +143,8 @@
 }
 
 func decodeManifest(b []byte) (m manifest, ok bool) {
-	const fixed = 8 + 16 + 4*8 // magic, store ID and four numbers
-	if len(b) < fixed+4 || string(b[:8]) != manifestMagic ||
+	const fixedSize = 8 + 16 + 4*8 // magic, store ID and four numbers
+	if len(b) < fixedSize+4 || string(b[:8]) != manifestMagic ||
 		crc32.Checksum(b[:len(b)-4], castagnoli) != binary.LittleEndian.Uint32(b[len(b)-4:]) {
 		return m, false
 	}
@@ -152,9 +152,9 @@
 	m.firstSegment = binary.LittleEndian.Uint64(b[24:])
 	m.firstSequence = binary.LittleEndian.Uint64(b[32:])
 	m.closedAtSequence = binary.LittleEndian.Uint64(b[40:])
-	if n := binary.LittleEndian.Uint64(b[48:]); n != uint64(len(b)-fixed-4) {
+	if n := binary.LittleEndian.Uint64(b[48:]); n != uint64(len(b)-fixedSize-4) {
 		return m, false
 	}
-	m.owner = string(b[fixed : len(b)-4])
+	m.owner = string(b[fixedSize : len(b)-4])
 	return m, true
 }
--- a/internal/storage/store/index_test.go
+++ b/internal/storage/store/index_test.go
@@ -21,16 +21,16 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				k, at := hexKey(keys.Draw(t, "key")), rapid.Uint32().Draw(t, "at")
-				old, had := x.put(location{key: k, segment: 1, offset: at})
-				if want, ok := m[k]; ok != had || had && old.offset != want {
-					t.Fatalf("put returned offset %v, replaced %v; expected %v, %v", old.offset, had, want, ok)
+				old, replaced := x.put(location{key: k, segment: 1, offset: at})
+				if want, ok := m[k]; ok != replaced || replaced && old.offset != want {
+					t.Fatalf("put returned offset %v, replaced %v; expected %v, %v", old.offset, replaced, want, ok)
 				}
 				m[k] = at
 			},
 			"remove": func(t *rapid.T) {
 				k := hexKey(keys.Draw(t, "key"))
-				_, had := x.remove(&k)
-				if _, ok := m[k]; ok != had {
+				_, removed := x.remove(&k)
+				if _, ok := m[k]; ok != removed {
 					t.Fatal("remove and the map disagree on whether the key was there")
 				}
 				delete(m, k)
@@ -57,15 +57,15 @@
 const million = 1 << 20
 
 func keysFor(n int) []Key {
-	out := make([]Key, n)
-	for i := range out {
-		out[i] = hexKey(i)
+	keys := make([]Key, n)
+	for i := range keys {
+		keys[i] = hexKey(i)
 	}
-	return out
+	return keys
 }
 
-// report reports the bytes per entry and the duration of a garbage collection for a table with a million entries.
-func report(b *testing.B, before runtime.MemStats) {
+// reportMemory reports the bytes per entry and the duration of a garbage collection for a table with a million entries.
+func reportMemory(b *testing.B, before runtime.MemStats) {
 	b.Helper()
 	var after runtime.MemStats
 	runtime.GC()
@@ -90,7 +90,7 @@
 		i = (i*5 + 1) % million
 		x.get(&keys[i])
 	}
-	report(b, before)
+	reportMemory(b, before)
 	runtime.KeepAlive(&x)
 }
 
@@ -108,6 +108,6 @@
 		i = (i*5 + 1) % million
 		_ = m[keys[i]]
 	}
-	report(b, before)
+	reportMemory(b, before)
 	runtime.KeepAlive(m)
 }
--- a/internal/storage/store/inspect.go
+++ b/internal/storage/store/inspect.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = unlock() }() // an error of closing the lock file doesn't invalidate what was read
+	defer func() { _ = unlock() }() // an error of closing the lock file doesn't invalidate the inspection
 	names, err := folder.Names()
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	}
 	for _, g := range s.segments {
 		inspection.Segments = append(inspection.Segments, inspectSegment(folder, g))
-		closeUnchanged(g.file)
+		closeIgnoringError(g.file)
 	}
 	inspection.Records, inspection.TornBytes = report.Records, report.TornBytes
 	return inspection, err
--- a/internal/storage/store/model_test.go
+++ b/internal/storage/store/model_test.go
@@ -35,7 +35,7 @@
 // write writes a value, or deletes the key if the value is empty. If wait is true, it waits until the write is durable.
 func (m *storeModel) write(t *rapid.T, id store.Key, value string, wait bool) {
 	t.Helper()
-	m.expected.noteWritten(id, value)
+	m.expected.recordWritten(id, value)
 	var durable chan error
 	var done func(error)
 	if wait {
@@ -53,7 +53,7 @@
 	if err := <-durable; err != nil {
 		t.Fatal(err)
 	}
-	m.expected.noteDurable(id)
+	m.expected.recordDurable(id)
 }
 
 func drawKey(t *rapid.T) store.Key { return key(rapid.IntRange(0, 20).Draw(t, "id")) }
@@ -75,16 +75,16 @@
 		t.Fatal(err)
 	}
 	for id := range m.expected.allowed {
-		m.expected.noteDurable(id)
+		m.expected.recordDurable(id)
 	}
 	m.open(t)
 }
 
 func (m *storeModel) losePower(t *rapid.T) {
 	bits := rapid.Uint64().Draw(t, "kept")
-	left := m.folder.AfterPowerLoss(func(part int) bool { return bits>>(part%64)&1 == 1 }, rapid.IntRange(-1, 500).Draw(t, "tear"))
+	crashState := m.folder.AfterPowerLoss(func(part int) bool { return bits>>(part%64)&1 == 1 }, rapid.IntRange(-1, 500).Draw(t, "tear"))
 	old := m.store
-	m.folder = left
+	m.folder = crashState
 	m.open(t)
 	closeAfterFault(old)
 	for id := range m.expected.allowed { // the values that survived are durable
--- a/internal/storage/store/recovery.go
+++ b/internal/storage/store/recovery.go
@@ -110,14 +110,14 @@
 		next++
 	}
 	if s.manifest.closedAtSequence > s.lastSequence {
-		return &CorruptionError{segmentName(next - 1), s.activeEnd(),
+		return &CorruptionError{segmentName(next - 1), s.activeSegmentSize(),
 			fmt.Sprintf("records up to %d are missing that existed when the store was closed", s.manifest.closedAtSequence)}
 	}
 	return nil
 }
 
-// activeEnd returns the size in bytes of the last segment, or 0 if there is none.
-func (s *Store) activeEnd() int64 {
+// activeSegmentSize returns the size in bytes of the last segment, or 0 if there is none.
+func (s *Store) activeSegmentSize() int64 {
 	if len(s.segments) == 0 {
 		return 0
 	}
@@ -134,13 +134,13 @@
 	}
 	b, err := readOpenFile(file, name)
 	if err != nil {
-		closeUnchanged(file)
+		closeIgnoringError(file)
 		return err
 	}
 	size := int64(len(b))
 	header, ok := decodeSegmentHeader(b)
 	if !ok || header.storeID != s.manifest.storeID || header.number != number || header.firstSequence != s.lastSequence+1 {
-		closeUnchanged(file)
+		closeIgnoringError(file)
 		if !last || hasLaterRecord(b, s.lastSequence+1, 0) {
 			return &CorruptionError{name, 0, "the header can't be decoded, or belongs to another store or segment"}
 		}
@@ -184,13 +184,13 @@
 // syncedSequence is at least synced. If so, the bytes before that record were damaged rather than torn by a crash.
 func hasLaterRecord(b []byte, sequence, synced uint64) bool {
 	// A segment holds fewer records than this, so bytes with a higher sequence number aren't a record.
-	const maxAhead = 1 << 24
+	const maxSequencesAhead = 1 << 24
 	for i := range b {
 		if b[i] != recordMark && b[i] != deletionMark {
 			continue
 		}
 		r, ok := decodeRecord(b[i:])
-		if ok && r.sequence >= sequence && r.sequence < sequence+maxAhead && r.syncedSequence >= synced {
+		if ok && r.sequence >= sequence && r.sequence < sequence+maxSequencesAhead && r.syncedSequence >= synced {
 			return true
 		}
 	}
--- a/internal/storage/store/repair.go
+++ b/internal/storage/store/repair.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// lostSuffix is appended to the name of a file to form the name of the backup of what a repair removes.
+// lostSuffix is appended to the name of a file to form the name of its backup, which a repair makes before it removes bytes.
 const lostSuffix = ".lost"
 
 // maxRepairs limits how many corrupt places one call of Repair processes. Repair inspects the folder again after each of them.
@@ -36,7 +36,7 @@
 		if err != nil || !drop {
 			return lost, err
 		}
-		if err := reopenManifest(folder); err != nil {
+		if err := clearClosedAtSequence(folder); err != nil {
 			return lost, err
 		}
 	}
@@ -55,15 +55,15 @@
 		}
 		return lost, ErrNoManifest
 	}
-	firstLost, _ := segmentNumber(corruption.File)
+	corruptNumber, _ := segmentNumber(corruption.File)
 	for _, name := range names {
 		number, ok := segmentNumber(name)
-		if !ok || number < firstLost {
+		if !ok || number < corruptNumber {
 			continue
 		}
 		line := fmt.Sprintf("%s: all of it", name)
-		if number == firstLost && corruption.Offset >= segmentHeaderSize {
-			line, err = loseTail(folder, corruption, name, drop)
+		if number == corruptNumber && corruption.Offset >= segmentHeaderSize {
+			line, err = repairSegmentTail(folder, corruption, name, drop)
 		} else if drop {
 			err = folder.Rename(name, name+lostSuffix)
 		}
@@ -77,22 +77,22 @@
 	return lost, nil
 }
 
-// loseTail returns a description of the bytes from the corrupt place to the end of a segment, and removes them if drop is true.
-func loseTail(folder Folder, corruption *CorruptionError, name string, drop bool) (line string, err error) {
+// repairSegmentTail returns a description of the bytes from the corrupt place to the end of a segment, and removes them if drop is true.
+func repairSegmentTail(folder Folder, corruption *CorruptionError, name string, drop bool) (line string, err error) {
 	b, err := readFile(folder, name)
 	if err != nil {
 		return "", err
 	}
 	line = fmt.Sprintf("%v; %d bytes from there on", corruption, int64(len(b))-corruption.Offset)
 	if drop {
-		err = cutFile(folder, name, b, corruption.Offset)
+		err = truncateWithBackup(folder, name, b, corruption.Offset)
 	}
 	return line, err
 }
 
-// reopenManifest clears closedAtSequence in the manifest. After a repair, records that existed when the store was closed are missing,
-// and the recovery would report them as corruption.
-func reopenManifest(folder Folder) error {
+// clearClosedAtSequence clears closedAtSequence in the manifest. After a repair, records that existed when the store was closed are
+// missing, which the recovery would otherwise report as corruption.
+func clearClosedAtSequence(folder Folder) error {
 	m, err := readManifest(folder)
 	if err != nil {
 		return err
@@ -103,17 +103,18 @@
 	return s.writeManifest()
 }
 
-// cutFile truncates a file with the given content to a size in bytes, after a copy of the whole content is synced in the same folder.
-func cutFile(folder Folder, name string, content []byte, size int64) error {
-	lost, err := folder.Create(name + lostSuffix)
+// truncateWithBackup truncates a file with the given content to a size in bytes, after it has written and synced a copy of the whole
+// content in the same folder.
+func truncateWithBackup(folder Folder, name string, content []byte, size int64) error {
+	backup, err := folder.Create(name + lostSuffix)
 	if err != nil {
 		return err
 	}
-	_, err = lost.Write(content)
+	_, err = backup.Write(content)
 	if err == nil {
-		err = lost.Sync()
+		err = backup.Sync()
 	}
-	err = errors.Join(err, lost.Close(), folder.SyncNames())
+	err = errors.Join(err, backup.Close(), folder.SyncNames())
 	if err != nil {
 		return err
 	}
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -56,7 +56,7 @@
 	}
 	header := segmentHeader{storeID: s.manifest.storeID, number: number, firstSequence: s.lastSequence + 1}
 	if err := writeDurably(s.folder, file, header.encode()); err != nil {
-		closeUnchanged(file)
+		closeIgnoringError(file)
 		return errors.Join(err, s.folder.Remove(segmentName(number)))
 	}
 	s.mu.Lock()
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -19,9 +19,9 @@
 	defaultMaxBytes           = 64 << 20 // one day of requests of a gateway that accepts one load per second
 	defaultCompactionInterval = 20 * time.Millisecond
 
-	// reserveSegments is the number of segments by which deletions may exceed MaxBytes, because deletions allow the compaction to
+	// deletionReserveSegments is the number of segments by which deletions may exceed MaxBytes, because deletions allow the compaction to
 	// free space.
-	reserveSegments = 2
+	deletionReserveSegments = 2
 
 	// maxQueuedWrites limits the number of writes that wait for the disk. It allows for a few seconds of a busy gateway's writes,
 	// which take a few megabytes of memory.
@@ -82,7 +82,7 @@
 	Syncs     int64 // syncs of the active segment
 	Rewritten int64 // records that the compaction wrote again
 	Bytes     int64 // bytes of the records written
-	Refused   int64 // writes rejected because the store, the disk or the queue was full
+	Rejected  int64 // writes rejected because the store, the disk or the queue was full
 }
 
 // write is a value or a deletion that is queued for the writer.
@@ -143,7 +143,7 @@
 
 func (s *Store) enqueue(w write) {
 	s.mu.Lock()
-	err := s.refusalReason()
+	err := s.rejectionReason()
 	if err == nil {
 		s.queue = append(s.queue, w)
 	}
@@ -155,15 +155,15 @@
 	}
 }
 
-// refusalReason returns the error with which a new write has to be rejected, or nil if it can be queued. The caller holds mu.
-func (s *Store) refusalReason() error {
+// rejectionReason returns the error with which a new write has to be rejected, or nil if it can be queued. The caller holds mu.
+func (s *Store) rejectionReason() error {
 	switch {
 	case s.failed != nil:
 		return s.failed
 	case s.closing:
 		return ErrClosed
 	case len(s.queue) >= maxQueuedWrites:
-		s.counts.Refused++
+		s.counts.Rejected++
 		return ErrBacklogFull
 	}
 	return nil
@@ -228,10 +228,10 @@
 	return s.counts
 }
 
-func (s *Store) countRefused(writes int) {
+func (s *Store) countRejected(writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.counts.Refused += int64(writes)
+	s.counts.Rejected += int64(writes)
 }
 
 // Close writes and syncs the queued writes, records in the manifest that the store was closed, and unlocks the folder. A second call
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -26,7 +26,7 @@
 }
 
 // After a failed sync, the store rejects all writes, and doesn't report a write as durable whose durability is unknown.
-func TestNoWritesAfterFailedSync(t *testing.T) {
+func TestStoreRejectsWritesAfterFailedSync(t *testing.T) {
 	folder := &faultfs.Folder{}
 	s, _, err := store.Open(folder, "g1", store.Limits{}, func(store.Key, []byte, bool) {})
 	if err != nil {
@@ -41,8 +41,8 @@
 		t.Fatal(err)
 	}
 	failing := true
-	folder.BeforeOperation = func(_ int, what string) error {
-		if failing && what[:4] == "sync" {
+	folder.BeforeOperation = func(_ int, description string) error {
+		if failing && description[:4] == "sync" {
 			failing = false
 			return syscall.EIO
 		}
@@ -58,21 +58,21 @@
 	if s.Err() == nil || s.Close() == nil {
 		t.Error("Err or Close returned nil after the failed sync")
 	}
-	if n, _ := folder.Names(); len(n) != 2 {
-		t.Errorf("expected two files, found %v", n)
+	if names, _ := folder.Names(); len(names) != 2 {
+		t.Errorf("expected two files, found %v", names)
 	}
 }
 
 // While a sync is slow, writes without a callback don't block, and the number of queued writes is limited.
-func TestBacklogIsBounded(t *testing.T) {
+func TestQueuedWritesAreLimited(t *testing.T) {
 	folder := &faultfs.Folder{}
 	syncBegun, finishSync := make(chan bool, 1000), make(chan bool)
 	s, _, err := store.Open(folder, "g1", store.Limits{}, func(store.Key, []byte, bool) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	folder.BeforeOperation = func(_ int, what string) error {
-		if strings.HasPrefix(what, "sync ") {
+	folder.BeforeOperation = func(_ int, description string) error {
+		if strings.HasPrefix(description, "sync ") {
 			syncBegun <- true
 			<-finishSync
 		}
@@ -84,8 +84,8 @@
 	for n := range 70000 {
 		s.Put(key(1+n%100), []byte("x"), nil)
 	}
-	if c := s.Counts(); c.Refused != 70000-1<<16 {
-		t.Errorf("%d writes rejected", c.Refused)
+	if c := s.Counts(); c.Rejected != 70000-1<<16 {
+		t.Errorf("%d writes rejected", c.Rejected)
 	}
 	late := make(chan error, 1)
 	s.Put(key(1), []byte("y"), func(err error) { late <- err })
@@ -112,45 +112,45 @@
 	return await(func(done func(error)) { s.Put(key(n), make([]byte, 100), done) })
 }
 
-var fullLimits = store.Limits{SegmentBytes: 2000, MaxBytes: 6000}
+var tinyLimits = store.Limits{SegmentBytes: 2000, MaxBytes: 6000}
 
 // On a full disk, the store rejects writes with an error and accepts later ones once the disk has space. The same holds when the store
 // reaches MaxBytes, except that deletions may exceed it.
-func TestFullDiskRejectsWritesAndGoesOn(t *testing.T) {
+func TestStoreRejectsWritesWhileFull(t *testing.T) {
 	folder := &faultfs.Folder{}
-	full, shortBytes := false, 0
-	folder.BeforeOperation = func(_ int, what string) error {
-		if full && (what[:5] == "write" || what[:6] == "create") {
+	diskFull, shortBytes := false, 0
+	folder.BeforeOperation = func(_ int, description string) error {
+		if diskFull && (description[:5] == "write" || description[:6] == "create") {
 			return syscall.ENOSPC
 		}
 		return nil
 	}
 	folder.ShortWrite = func(int) int { shortBytes += 7; return shortBytes }
-	s, _, err := store.Open(folder, "g1", fullLimits, func(store.Key, []byte, bool) {})
+	s, _, err := store.Open(folder, "g1", tinyLimits, func(store.Key, []byte, bool) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range 30 {
-		full = n%3 == 1
-		if rejected := putHundredBytes(s, n) != nil; rejected != full {
-			t.Fatalf("write %d must be rejected if and only if the disk is full; it is full: %t", n, full)
+		diskFull = n%3 == 1
+		if rejected := putHundredBytes(s, n) != nil; rejected != diskFull {
+			t.Fatalf("write %d must be rejected if and only if the disk is full; it is full: %t", n, diskFull)
 		}
 	}
-	full = false
+	diskFull = false
 	n := 30
 	for n < 100 && putHundredBytes(s, n) == nil {
 		n++
 	}
 	if err := putHundredBytes(s, n); !errors.Is(err, store.ErrFull) || n > 60 {
-		t.Errorf("after %d writes: expected ErrFull, found %v", n, err)
+		t.Errorf("after %d writes (at most 60 are expected to fit), expected ErrFull, found %v", n, err)
 	}
 	for k := range n {
 		if err := await(func(done func(error)) { s.Delete(key(k), done) }); err != nil {
 			t.Fatalf("deletion %d: %v", k, err)
 		}
 	}
-	for by := time.Now().Add(5 * time.Second); putHundredBytes(s, 200) != nil; time.Sleep(10 * time.Millisecond) { // until the compaction has freed space
-		if time.Now().After(by) {
+	for deadline := time.Now().Add(5 * time.Second); putHundredBytes(s, 200) != nil; time.Sleep(10 * time.Millisecond) { // until space is freed
+		if time.Now().After(deadline) {
 			t.Fatal("the compaction freed no space")
 		}
 	}
@@ -163,7 +163,7 @@
 func checkOnlyKey(t *testing.T, folder *faultfs.Folder, only store.Key) {
 	t.Helper()
 	live := map[store.Key]bool{}
-	s, _, err := store.Open(folder, "g1", fullLimits, func(k store.Key, _ []byte, deleted bool) {
+	s, _, err := store.Open(folder, "g1", tinyLimits, func(k store.Key, _ []byte, deleted bool) {
 		live[k] = true
 		if deleted {
 			delete(live, k)
@@ -188,14 +188,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const writers, each = 32, 20
+	const writers, writesPerWriter = 32, 20
 	done := make(chan error)
 	for w := range writers {
 		go func() {
-			for n := range each {
-				one := make(chan error, 1)
-				s.Put(key(w*each+n), []byte("value"), func(err error) { one <- err })
-				if err := <-one; err != nil {
+			for n := range writesPerWriter {
+				written := make(chan error, 1)
+				s.Put(key(w*writesPerWriter+n), []byte("value"), func(err error) { written <- err })
+				if err := <-written; err != nil {
 					done <- err
 					return
 				}
@@ -208,20 +208,20 @@
 			t.Fatal(err)
 		}
 	}
-	if c := s.Counts(); c.Writes != writers*each || c.Syncs > c.Writes/4 {
+	if c := s.Counts(); c.Writes != writers*writesPerWriter || c.Syncs > c.Writes/4 {
 		t.Errorf("expected at most one sync per four writes, found counts %+v", c)
 	}
 	closeStore(t, s)
 	n := 0
 	s, _, err = store.Open(folder, "g1", store.Limits{}, func(store.Key, []byte, bool) { n++ })
-	if err != nil || n != writers*each {
+	if err != nil || n != writers*writesPerWriter {
 		t.Fatal(n, err)
 	}
 	closeStore(t, s)
 }
 
 // A value that is too long and a write after Close are rejected with errors that callers can distinguish.
-func TestRefusedWritesHaveTypedErrors(t *testing.T) {
+func TestRejectedWritesHaveTypedErrors(t *testing.T) {
 	s, _, err := store.Open(&faultfs.Folder{}, "g1", store.Limits{}, func(store.Key, []byte, bool) {})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/storage/store/writer.go
+++ b/internal/storage/store/writer.go
@@ -12,20 +12,20 @@
 	// Before the writer takes a batch, it waits until as many writes with a callback are queued as the last batch had. It waits at
 	// most for the mean sync time divided by batchWaitDivisor, and at most for maxBatchWait. The cost of a sync hardly depends on
 	// the number of records, so callers gain more from sharing a sync than they lose by the wait.
-	batchWaitDivisor = 8
-	maxBatchWait     = 2 * time.Millisecond
-	minBatchWait     = 200 * time.Microsecond // if the limit is shorter, the writer doesn't wait, as short sleeps overrun
-	batchPolls       = 4                      // checks of the queue per minBatchWait
+	batchWaitDivisor     = 8
+	maxBatchWait         = 2 * time.Millisecond
+	minBatchWait         = 200 * time.Microsecond // if the limit is shorter, the writer doesn't wait, as short sleeps overrun
+	pollsPerMinBatchWait = 4                      // checks of the queue per minBatchWait
 
-	syncTimeWeight = 8 // each new sync time contributes 1/syncTimeWeight to the moving average
+	syncTimeSmoothing = 8 // each new sync time contributes 1/syncTimeSmoothing to the moving average
 
-	longIdle = time.Hour // the writer checks for work after this time even if it was not woken up
+	maxIdleTime = time.Hour // the writer checks for work after this time even if it was not woken up
 )
 
 // runWriter writes batches and compacts the log until the store is closed or has failed.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
-	timer := time.NewTimer(longIdle)
+	timer := time.NewTimer(maxIdleTime)
 	defer timer.Stop()
 	for {
 		timer.Reset(s.timeToNextWork())
@@ -61,7 +61,7 @@
 
 // timeToNextWork returns how long the writer may sleep if no write is queued meanwhile.
 func (s *Store) timeToNextWork() time.Duration {
-	sleep := longIdle
+	sleep := maxIdleTime
 	if !s.unsyncedSince.IsZero() {
 		sleep = max(0, maxUnsyncedTime-time.Since(s.unsyncedSince))
 	}
@@ -86,7 +86,7 @@
 		if waiters == 0 || waiters >= s.lastBatchWaiters || closing {
 			return
 		}
-		time.Sleep(minBatchWait / batchPolls)
+		time.Sleep(minBatchWait / pollsPerMinBatchWait)
 	}
 }
 
@@ -106,7 +106,7 @@
 	return waiters
 }
 
-// fail marks the store as failed and rejects all queued writes. Later writes are rejected when they are made.
+// fail marks the store as failed and rejects all queued writes. Later writes are rejected at once.
 func (s *Store) fail(cause error) {
 	failed := &FailedError{cause}
 	s.mu.Lock()
@@ -121,7 +121,7 @@
 // unsynced for maxUnsyncedTime.
 func (s *Store) commit(batch []write, closing bool) error {
 	for written := 0; written < len(batch); {
-		n, err := s.writePart(batch[written:])
+		n, err := s.writeNext(batch[written:])
 		if err != nil {
 			rejectWrites(batch[written:], &FailedError{err})
 			return err
@@ -129,7 +129,7 @@
 		written += n
 	}
 	s.lastBatchWaiters = countWaiters(batch)
-	s.noteUnsynced()
+	s.markUnsynced()
 	unsynced := s.lastSequence > s.syncedSequence
 	if unsynced && (s.lastBatchWaiters > 0 || closing || time.Since(s.unsyncedSince) >= maxUnsyncedTime) {
 		if err := s.syncActive(); err != nil {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// noteUnsynced sets unsyncedSince if there are unsynced records and it isn't set yet.
-func (s *Store) noteUnsynced() {
+// markUnsynced sets unsyncedSince if there are unsynced records and it isn't set yet.
+func (s *Store) markUnsynced() {
 	if s.lastSequence > s.syncedSequence && s.unsyncedSince.IsZero() {
 		s.unsyncedSince = time.Now()
 	}
@@ -173,7 +173,7 @@
 	if s.meanSyncTime == 0 {
 		s.meanSyncTime = took
 	}
-	s.meanSyncTime += (took - s.meanSyncTime) / syncTimeWeight
+	s.meanSyncTime += (took - s.meanSyncTime) / syncTimeSmoothing
 	s.syncedSequence, s.unsyncedSince = s.lastSequence, time.Time{}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,9 +182,9 @@
 }
 
 // rollSegment starts the next segment if the active one has reached its maximum size. It syncs the active segment first, because only
-// the last segment may end with a torn record. canRefuse reports whether an error left the active segment unchanged, so that the
+// the last segment may end with a torn record. canReject reports whether an error left the active segment unchanged, so that the
 // caller can reject writes on a full disk instead of failing the store.
-func (s *Store) rollSegment() (canRefuse bool, err error) {
+func (s *Store) rollSegment() (canReject bool, err error) {
 	if s.activeSegment().size < s.limits.SegmentBytes {
 		return false, nil
 	}
@@ -196,11 +196,11 @@
 	return true, s.startSegment()
 }
 
-// writePart writes as many writes of a batch as fit into the active segment, in one operation. It returns how many writes of the batch
+// writeNext writes as many writes of a batch as fit into the active segment, in one operation. It returns how many writes of the batch
 // are finished, including those that were rejected because the store or the disk is full.
-func (s *Store) writePart(batch []write) (n int, err error) {
-	canRefuse, err := s.rollSegment()
-	if err != nil && canRefuse {
+func (s *Store) writeNext(batch []write) (n int, err error) {
+	canReject, err := s.rollSegment()
+	if err != nil && canReject {
 		return s.rejectIfDiskFull(batch, err)
 	}
 	if err != nil {
@@ -226,11 +226,11 @@
 		w := &batch[n]
 		maxBytes := s.limits.MaxBytes
 		if w.deleted {
-			maxBytes += reserveSegments * s.limits.SegmentBytes
+			maxBytes += deletionReserveSegments * s.limits.SegmentBytes
 		}
 		if logBytes+int64(len(s.buffer)+recordHeaderSize+len(w.value)) > maxBytes {
 			rejectWrites(batch[n:n+1], ErrFull)
-			s.countRefused(1)
+			s.countRejected(1)
 			continue
 		}
 		r := record{
@@ -257,6 +257,6 @@
 		return 0, fmt.Errorf("%w, and the segment can't be truncated to its previous size: %w", cause, err)
 	}
 	rejectWrites(batch, fmt.Errorf("%w: %w", ErrFull, cause))
-	s.countRefused(len(batch))
+	s.countRejected(len(batch))
 	return len(batch), nil
 }
