--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -23,9 +23,9 @@
 
 // OperatorRules is the set of rules that an operator's file defines for one gateway.
 type OperatorRules interface {
-	// ResourceGroups returns nil if the operator's file has no classes.
+	// ResourceGroups returns the rules for resource groups, or nil if the operator's file has no classes.
 	ResourceGroups() router.ResourceGroups
-	// Peers returns nil if the operator's file has no fleet.
+	// Peers returns the connection to the other gateways, or nil if the operator's file has no fleet.
 	Peers() router.Peers
 	// Reload reads the operator's file again. If it returns an error, the rules in force don't change.
 	Reload() error
@@ -33,7 +33,7 @@
 	SaveCostModel()
 }
 
-// Program is one of the programs that share the command line.
+// Program is a program with the gateway's command line: magpiebank or magpiebank-operator.
 type Program struct {
 	// LoadOperatorRules reads an operator's file. It is nil in a program that does not support operator's rules.
 	LoadOperatorRules func(file string, start *config.Config, log *slog.Logger) (OperatorRules, error)
@@ -41,8 +41,8 @@
 	Commands []*cobra.Command
 }
 
-// OperatorProgram is the name of the program that applies an operator's rules. The other program replaces itself with it in the same
-// process.
+// OperatorProgram is the name of the program that applies an operator's rules. The program magpiebank executes it in place of its own
+// process for commands that need those rules.
 const OperatorProgram = "magpiebank-operator"
 
 // operatorCommands maps the name of each command that only OperatorProgram implements to its description.
@@ -68,7 +68,7 @@
 // The exit statuses of a command that fails.
 const (
 	exitFailure = 1
-	exitMisuse  = 2 // what the command was given is invalid: the command line, the configuration or a folder of --state
+	exitMisuse  = 2 // invalid input: the command line, the configuration or a folder of --state
 )
 
 // runError marks an error that makes the process exit with exitFailure. All other errors make it exit with exitMisuse.
@@ -78,8 +78,8 @@
 
 func (e runError) Unwrap() error { return e.cause }
 
-// Run executes one command and returns the exit status of the process: 0 on success, 1 if the command failed while it ran, or 2 if what
-// it was given is invalid: the command line, the configuration or a folder of the request journal.
+// Run executes one command and returns the exit status of the process: 0 on success, 1 if the command failed while it ran, or 2 if its
+// input is invalid, which is the command line, the configuration or a folder of the request journal.
 func (p Program) Run(args []string, env func(string) string, out, errs io.Writer) int {
 	root := p.rootCommand(env, out, errs)
 	root.SetArgs(args)
--- a/internal/storage/store/repair.go
+++ b/internal/storage/store/repair.go
@@ -14,7 +14,9 @@
 
 // Errors of a repair.
 var (
-	ErrNoManifest   = errors.New("a folder without a valid manifest can't be repaired; start with an empty folder")
+	// ErrNoManifest means that the manifest is missing or corrupt, so that the owner and the beginning of the log are unknown.
+	ErrNoManifest = errors.New("a folder without a valid manifest can't be repaired; start with an empty folder")
+	// ErrStillCorrupt means that maxRepairs repairs were not enough.
 	ErrStillCorrupt = errors.New("the folder is still corrupt")
 )
 
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -69,7 +69,7 @@
 	lastSequence     uint64        // sequence number of the last record that was written
 	syncedSequence   uint64        // sequence number of the last record that is known to survive a crash
 	buffer           []byte        // encoded records that are written next
-	meanSyncTime     time.Duration // moving average
+	meanSyncTime     time.Duration // moving average of the time that a sync takes
 	lastBatchWaiters int           // number of writes in the last batch that had a callback
 	unsyncedSince    time.Time     // when the oldest unsynced record was written; zero: all records are synced
 	compactionOffset int64         // the compaction has processed the oldest segment up to this offset
