--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -1,8 +1,9 @@
-// Package agent joins a gateway to the other gateways of its installation. One goroutine steps the cores that the
-// gateways share: who is there (membership), what they saw of engines (healthreport), what classes may use over all of
-// them (quota), how many requests there are (counters) and which policy is in force (rollout). It carries the cores'
-// messages over UDP, sealed with one key. The router's owner notifies the agent of what it saw, and is notified of what
-// was found; neither waits for the other.
+// Package agent connects a gateway to the other gateways of its installation. One goroutine steps the protocol cores that
+// the gateways run together: membership (which gateways are up), healthreport (what the gateways observed of engines), quota
+// (what classes may use over all gateways), counters (how many requests there are) and rollout (which policy is in force).
+// The agent sends the cores' messages over UDP, encrypted with a key that all gateways share. The router's owner, the
+// goroutine that makes the gateway's decisions, passes its observations to the agent, and the agent passes its findings to
+// the router's owner. Neither waits for the other.
 package agent
 
 import (
@@ -22,41 +23,41 @@
 	"magpiebank/internal/router"
 )
 
-// Agent is this gateway's part in the cluster of gateways. Most exported methods are for the router's owner;
-// TryBeginWrite, EndWrite, ActivePolicy, HistoryNow and ReplaceQuota may be called from any goroutine. Everything else
-// belongs to the agent's goroutine, unless a field says otherwise.
+// Agent makes this gateway a member of the cluster of gateways. Only the router's owner calls most exported methods;
+// TryBeginWrite, EndWrite, ActivePolicy, HistoryNow and ReplaceQuota may be called from any goroutine. Once the agent has
+// started, its goroutine owns the fields and calls the unexported methods, unless a comment says otherwise.
 type Agent struct {
 	config   Config
-	name     string // of the gateway
-	gateways int    // of the installation
+	name     string // name of the gateway
+	gateways int    // number of gateways in the installation
 	log      *slog.Logger
 	clock    router.Clock
 	listener router.PeerListener
 
 	queue      *eventqueue.Queue[event]
 	stop       chan struct{}  // closed to end the agent's goroutine
-	ended      chan struct{}  // closed once it has ended
-	goroutines sync.WaitGroup // all others that the agent starts
+	ended      chan struct{}  // closed when the agent's goroutine has ended
+	goroutines sync.WaitGroup // all other goroutines that the agent starts
 
 	transport transport
-	control   *controlServer  // nil: there is none
-	history   *history.Writer // nil: there is none
+	control   *controlServer  // nil: no control socket is configured
+	history   *history.Writer // nil: no history is written
 	wake      wakeMonitor
 
 	members   *membership.Core
-	start     uint64 // of this process among the members, as it was last looked at
+	start     uint64 // incarnation of this process, as last read from members
 	health    healthSharing
 	counters  counterSharing
-	quota     *quotaSharing // nil: nothing is shared
-	slowStart *slowStart    // of the router's owner; nil: it isn't shared
+	quota     *quotaSharing // nil: the gateways share no budgets
+	slowStart *slowStart    // used by the router's owner; nil: slow start has no shared budgets
 
 	policyReader PolicyReader                 // set before Start
-	policies     *policyRollout               // nil: each gateway reads its own file
-	activePolicy atomic.Pointer[ActivePolicy] // nil: as policies
-	writing      atomic.Int32                 // attempts that were allowed and are being written
+	policies     *policyRollout               // nil: each gateway applies the policy of its own file
+	activePolicy atomic.Pointer[ActivePolicy] // nil: each gateway applies the policy of its own file
+	writing      atomic.Int32                 // attempts that were allowed and are being written to an engine
 }
 
-// New returns the agent of a gateway. It opens nothing yet but reads the key file.
+// New returns the agent of a gateway. It reads the key file, but opens no sockets or other files; Start does.
 func New(options Config, start *config.Config, log *slog.Logger) (*Agent, error) {
 	if options.Advertise == "" {
 		options.Advertise = options.Listen
@@ -84,7 +85,7 @@
 	a.health = newHealthSharing(a, start)
 	longestWait := slices.Max(start.Network.LongestWaits)
 	if longestWait <= 0 {
-		longestWait = time.Hour // how long clients wait isn't configured: longer than any should
+		longestWait = time.Hour // not configured; no client should wait longer
 	}
 	a.counters = counterSharing{agent: a, classes: start.Network.Classes, maxRequests: int64(start.MaxDescriptors), longestWait: ticks(longestWait)}
 	if options.Quota == nil {
@@ -100,7 +101,8 @@
 	return a, nil
 }
 
-// Start opens the sockets and files and begins. The listener is told what the other gateways found.
+// Start opens the sockets and files and starts the agent's goroutines. The agent notifies the listener of what the other
+// gateways report.
 func (a *Agent) Start(clock router.Clock, listener router.PeerListener) error {
 	a.clock, a.listener = clock, listener
 	if err := a.open(); err != nil {
@@ -116,12 +118,13 @@
 	return nil
 }
 
-// open opens what the configuration names and begins the cores.
+// open opens the sockets and files that the configuration names and creates the cores.
 func (a *Agent) open() error {
 	if err := a.transport.listen(a.config.Listen); err != nil {
 		return fmt.Errorf("fleet.listen: %w", err)
 	}
-	// Of two processes under one name the later start counts.
+	// If two processes have the same name, the one with the higher incarnation keeps it. The start time serves as incarnation,
+	// so that the later process has the higher one.
 	a.start = uint64(time.Now().Add(mutations.startClockOffset()).UnixNano())
 	if err := a.openHistory(); err != nil {
 		return err
@@ -171,17 +174,17 @@
 	return nil
 }
 
-// close closes the sockets, which ends the goroutines that read from them.
+// close closes the sockets, for Start and Stop. That ends the goroutines that read from them.
 func (a *Agent) close() {
 	if a.transport.socket != nil {
-		_ = a.transport.socket.Close() // no data is lost by it
+		_ = a.transport.socket.Close() // a UDP socket has no unwritten data
 	}
 	if a.control != nil {
 		a.control.listener.Close()
 	}
 }
 
-// Stop tells the other gateways that this one leaves, ends the agent's goroutines and waits for them.
+// Stop notifies the other gateways that this one leaves, ends the agent's goroutines and waits until they have ended.
 func (a *Agent) Stop() {
 	close(a.stop)
 	<-a.ended
@@ -193,19 +196,19 @@
 	}
 }
 
-// HandleEndpoints takes in an update of the endpoint list. The router's owner calls it, as it
-// calls RecordObservation and RecordAttempt.
+// HandleEndpoints queues an update of the gateway's endpoint list for the agent's goroutine. The router's owner calls
+// HandleEndpoints, RecordObservation and RecordAttempt.
 func (a *Agent) HandleEndpoints(_ admission.Time, kind admission.UpdateKind, endpoints []admission.Endpoint) {
 	a.queue.Put(endpointsReceived{kind, endpoints})
 }
 
-// RecordObservation takes in what the decisions saw of an engine themselves, and the bytes of reports that may be sent
-// from now on.
+// RecordObservation queues an observation that this gateway made of an engine itself. capacity is the number of bytes of
+// health reports that may be sent in addition from now on.
 func (a *Agent) RecordObservation(now admission.Time, engine admission.EngineID, observation admission.Observation, report admission.Report, capacity float64) {
 	a.queue.Put(outcomeObserved{now, engine, observation, report, capacity})
 }
 
-// RecordAttempt takes in that an attempt was sent.
+// RecordAttempt records that an attempt was sent to an engine.
 func (a *Agent) RecordAttempt(now admission.Time, request admission.RequestID, engine admission.EngineID) {
 	a.slowStart.recordAttempt(now, engine)
 	if a.history != nil {
@@ -213,8 +216,8 @@
 	}
 }
 
-// HistoryNow returns the time by the clock of histories at which something is looked at that is decided by, and 0
-// where no history is written.
+// HistoryNow returns the current time on the clock of histories, or 0 if no history is written. A caller that is about to make
+// a decision passes it on as the time at which it read the state that the decision rests on.
 func (a *Agent) HistoryNow() int64 {
 	if a.history == nil {
 		return 0
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -15,7 +15,7 @@
 	"magpiebank/internal/config"
 )
 
-// wall is the clock of a gateway's owner.
+// wall is a router.Clock that follows the system clock.
 type wall struct{ began time.Time }
 
 func (w wall) Now() admission.Time { return ticks(time.Since(w.began) + time.Hour) }
@@ -24,14 +24,14 @@
 	return func() { t.Stop() }
 }
 
-// owner stands for the router's owner: its controller is told what was found.
+// owner is a router.PeerListener that passes the agent's findings to an admission controller, as the router's owner does.
 type owner struct {
 	clock      wall
 	lock       sync.Mutex
 	controller *admission.Controller
 }
 
-// nobody is a host of a controller that does nothing.
+// nobody is a host of an admission controller that ignores all calls.
 type nobody struct{}
 
 func (nobody) SendAttempt(admission.RequestID, admission.EngineID, admission.Time, admission.Time) {}
@@ -69,7 +69,7 @@
 
 const testGateways = 4
 
-// cluster is some gateways in one process.
+// cluster is a set of agents in one process.
 type cluster struct {
 	clock  wall
 	agents []*Agent
@@ -130,7 +130,7 @@
 	return a
 }
 
-// status asks a gateway for its state by its control socket.
+// status requests a gateway's status over its control socket.
 func (c *cluster) status(t *testing.T, index int) *Status {
 	t.Helper()
 	status, err := FetchStatus(c.agents[index].config.ControlSocket)
@@ -140,18 +140,19 @@
 	return status
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds, and fails the test if it doesn't within 20 seconds.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	const limit = 20 * time.Second
 	for deadline := time.Now().Add(limit); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v", limit)
+			t.Fatalf("the condition doesn't hold within %v", limit)
 		}
 	}
 }
 
-// Four gateways in one process, for the race detector as well. Each subtest goes on where the one before ended.
+// The agents of four gateways run in one process, so that the race detector sees all of them. Each subtest continues from the state
+// in which the previous one ended.
 func TestGatewaysJoin(t *testing.T) {
 	c := startCluster(t)
 	for _, phase := range []struct {
@@ -195,7 +196,8 @@
 	}
 }
 
-// threadsAreBorrowed has the last gateway use one more thread each time.
+// threadsAreBorrowed returns a condition that has the last gateway use one more thread each time it is checked, until the gateway has
+// borrowed threads.
 func (c *cluster) threadsAreBorrowed(t *testing.T) func() bool {
 	t.Helper()
 	const total = 6
@@ -221,7 +223,7 @@
 		lock.Lock()
 		defer lock.Unlock()
 		if highest > total {
-			t.Fatalf("%d of %d are used", highest, total)
+			t.Fatalf("%d threads are used, the total is %d", highest, total)
 		}
 		return c.status(t, testGateways-1).Budgets[0].Borrowed >= 3
 	}
@@ -240,7 +242,8 @@
 	}
 }
 
-// Stop waits for all goroutines, but not for a client of the control socket that sends nothing.
+// Guards against a Stop that waits for a client of the control socket that sends nothing: Stop has to end all goroutines, but closes
+// the connection of such a client.
 func TestStopCutsOffSilentClients(t *testing.T) {
 	c := startCluster(t)
 	client, err := new(net.Dialer).DialContext(t.Context(), "unix", c.agents[0].config.ControlSocket)
@@ -248,13 +251,13 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	c.status(t, 0) // a connection after the silent one was accepted, and so was that one
+	c.status(t, 0) // connections are accepted in order, so the silent one has been accepted too
 	began := time.Now()
 	for _, a := range c.agents {
 		a.Stop()
 	}
 	if took := time.Since(began); took >= controlTimeout {
-		t.Errorf("expected it to stop before a client's time is over, %v; it took %v", controlTimeout, took)
+		t.Errorf("expected the agents to stop within less than controlTimeout, %v; it took %v", controlTimeout, took)
 	}
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("expected the connection to be closed, found %v", err)
--- a/internal/cluster/agent/control.go
+++ b/internal/cluster/agent/control.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	// controlTimeout bounds how long a client takes to send its request, or to read the reply.
+	// controlTimeout limits the time in which a client sends its request, and the time in which it reads the reply.
 	controlTimeout = 5 * time.Second
-	// controlStopTimeout is the same while the agent stops.
+	// controlStopTimeout takes the place of controlTimeout when the agent has stopped.
 	controlStopTimeout = 100 * time.Millisecond
-	// controlProbeTimeout bounds how long another process may take to answer at the socket.
+	// controlProbeTimeout limits the attempt to connect to a process that already serves the socket.
 	controlProbeTimeout = time.Second
-	// maxProposalWait is how long a client may wait for a proposal to end.
+	// maxProposalWait limits how long a client waits for the end of a proposal.
 	maxProposalWait = 10 * time.Minute
 )
 
-// errNoPolicyRollout is the reply to a request on policies where each gateway reads its own file.
+// errNoPolicyRollout is the reply to a policy request if each gateway applies the policy of its own file.
 var errNoPolicyRollout = errors.New("this gateway's file has no fleet.policy")
 
-// controlRequest is what the control socket receives, as one JSON object. An empty one asks for the state.
+// controlRequest is a request to the control socket, sent as one JSON object. An empty object requests the gateway's status.
 type controlRequest struct {
 	Policy *PolicyRequest `json:"policy,omitempty"`
 }
 
-// controlReply is what it answers: one of the two.
+// controlReply is the reply to a controlRequest. Exactly one of its fields is set.
 type controlReply struct {
 	status *Status
 	policy *PolicyReply
@@ -49,8 +49,8 @@
 	return json.NewEncoder(to).Encode(r.status)
 }
 
-// controlServer answers requests on the gateway's Unix socket. Closing the listener and ending the agent's goroutine
-// ends it.
+// controlServer serves requests on the gateway's Unix socket. Its goroutines end once the listener is closed and the agent's
+// goroutine has ended.
 type controlServer struct {
 	agent    *Agent
 	listener net.Listener
@@ -64,30 +64,30 @@
 	return &controlServer{a, listener}, nil
 }
 
-// listenControl opens the control socket. It removes one that a process before this one left behind, but not one that
-// is answered.
+// listenControl opens the control socket. It removes a socket that an earlier process left behind, but not one on which
+// another process still listens.
 func listenControl(path string) (net.Listener, error) {
 	dialer := net.Dialer{Timeout: controlProbeTimeout}
 	c, err := dialer.DialContext(context.Background(), "unix", path)
 	if err == nil {
 		c.Close()
-		return nil, fmt.Errorf("%s: another process answers there", path)
+		return nil, fmt.Errorf("%s: another process already listens on this socket", path)
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		_ = os.Remove(path) // where it can't be removed, listening fails
+		_ = os.Remove(path) // if it can't be removed, Listen reports the error
 	}
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "unix", path)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Chmod(path, 0o600); err != nil { // the state is for those who run the gateway
+	if err := os.Chmod(path, 0o600); err != nil { // only the user that runs the gateway may read its state
 		listener.Close()
 		return nil, err
 	}
 	return listener, nil
 }
 
-// acceptConnections serves connections until the listener is closed.
+// acceptConnections accepts connections until the listener is closed, and serves each in a goroutine of its own.
 func (s *controlServer) acceptConnections() {
 	for {
 		c, err := s.listener.Accept()
@@ -103,7 +103,7 @@
 	}
 }
 
-// serve reads one request, has the agent's goroutine answer it, and writes the reply.
+// serve reads one request, passes it to the agent's goroutine, and writes the reply.
 func (s *controlServer) serve(c net.Conn) error {
 	if err := checkPeer(c); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	request, err := s.readRequest(c)
 	if err != nil {
 		if s.hasStopped() {
-			return nil // the client was cut off
+			return nil // expected: readRequest stopped waiting for the client
 		}
 		return err
 	}
@@ -128,7 +128,7 @@
 	case <-s.agent.ended:
 	}
 	select {
-	case reply := <-replies: // it came with the last events
+	case reply := <-replies: // the agent's goroutine replied before it ended
 		c.SetDeadline(time.Now().Add(controlStopTimeout))
 		return reply.encode(c)
 	default:
@@ -136,7 +136,7 @@
 	}
 }
 
-// hasStopped tells whether the agent's goroutine has ended.
+// hasStopped reports whether the agent's goroutine has ended.
 func (s *controlServer) hasStopped() bool {
 	select {
 	case <-s.agent.ended:
@@ -146,7 +146,8 @@
 	}
 }
 
-// readRequest reads a request. A client that has sent none when the agent stops isn't waited for.
+// readRequest reads a request. When the agent stops, it soon gives up on a client that hasn't sent its request yet, so that
+// Stop doesn't wait for silent clients.
 func (s *controlServer) readRequest(c net.Conn) (*controlRequest, error) {
 	c.SetDeadline(time.Now().Add(controlTimeout))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -165,7 +166,7 @@
 	return request, nil
 }
 
-// handleControlRequest answers a request, in the agent's goroutine. A proposal is answered once it has ended.
+// handleControlRequest handles a request, in the agent's goroutine. The reply to a proposal follows when the proposal has ended.
 func (a *Agent) handleControlRequest(now admission.Time, e *controlRequested) {
 	switch {
 	case e.request.Policy == nil:
@@ -176,17 +177,17 @@
 		a.policies.handleRequest(now, e.request.Policy, func(reply *PolicyReply) {
 			select {
 			case e.reply <- controlReply{policy: reply}:
-			default: // it was answered before
+			default: // a reply was sent before; the channel holds one
 			}
 		})
 	}
 }
 
-// checkPeer refuses clients of another user than this process's or root.
+// checkPeer returns an error for a client whose user is neither root nor the user of this process.
 func checkPeer(c net.Conn) error {
 	socket, ok := c.(*net.UnixConn)
 	if !ok {
-		return errors.New("no Unix socket")
+		return errors.New("not a Unix socket connection")
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -204,7 +205,7 @@
 		return failed
 	}
 	if peer.Uid != 0 && int(peer.Uid) != os.Geteuid() {
-		return fmt.Errorf("user %d asked, this process is of user %d", peer.Uid, os.Geteuid())
+		return fmt.Errorf("the client runs as user %d, this process as user %d", peer.Uid, os.Geteuid())
 	}
 	return nil
 }
--- a/internal/cluster/agent/controlclient.go
+++ b/internal/cluster/agent/controlclient.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// controlDialTimeout bounds how long a client waits for the control socket to accept.
+// controlDialTimeout limits how long a client waits for a connection to the control socket.
 const controlDialTimeout = 2 * time.Second
 
-// FetchStatus asks a gateway for its state by its control socket.
+// FetchStatus requests a gateway's status over its control socket.
 func FetchStatus(path string) (*Status, error) {
 	dialer := net.Dialer{Timeout: controlDialTimeout}
 	c, err := dialer.DialContext(context.Background(), "unix", path)
@@ -24,8 +24,9 @@
 	return status, exchange(c, path, &controlRequest{}, status)
 }
 
-// SendPolicyRequest sends a request on policies to a gateway's control socket and waits for the reply, until the
-// context is done. A proposal is answered once it has ended. A refusal is a reply, not an error.
+// SendPolicyRequest sends a policy request to a gateway's control socket and waits for the reply until the context is done.
+// The reply to a proposal arrives when the proposal has ended. A rejected request has a reply with PolicyReply.Error and no
+// error here.
 func SendPolicyRequest(ctx context.Context, path string, request *PolicyRequest) (*PolicyReply, error) {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "unix", path)
@@ -39,7 +40,7 @@
 	return reply, exchange(c, path, &controlRequest{request}, reply)
 }
 
-// exchange sends a request and decodes the reply into a value.
+// exchange sends a request and decodes the reply into the value that reply points to.
 func exchange(c net.Conn, path string, request *controlRequest, reply any) error {
 	err := json.NewEncoder(c).Encode(request)
 	if err == nil {
--- a/internal/cluster/agent/counters.go
+++ b/internal/cluster/agent/counters.go
@@ -13,23 +13,23 @@
 type counterSharing struct {
 	agent       *Agent
 	core        *counters.Core // nil: counts aren't shared
-	classes     []string       // of the deployment
-	maxRequests int64          // that the gateway has at a time
-	longestWait admission.Time // of a request
-	recordedAt  admission.Time // when a reading was written into the history last
+	classes     []string       // classes of the deployment
+	maxRequests int64          // limit of the requests that the gateway has at a time
+	longestWait admission.Time // longest wait of a client, which limits how long a request is in progress
+	recordedAt  admission.Time // time of the last reading that was written to the history
 }
 
-// countersHost is what the counters' core acts on.
+// countersHost implements counters.Host.
 type countersHost struct{ agent *Agent }
 
-// Send sends a message of the core to a member.
+// Send sends a message of the core to the member named to. It drops messages to unknown members.
 func (h countersHost) Send(to string, message []byte) {
 	if other, ok := h.agent.members.Find(to); ok {
 		h.agent.transport.send(other.Address, countersSection, message)
 	}
 }
 
-// Peers are the names of the members that are alive.
+// Peers returns the names of the other members that are alive.
 func (h countersHost) Peers() []string { return h.agent.livingMembers() }
 
 func (s *counterSharing) begin(now admission.Time) {
@@ -44,12 +44,13 @@
 	s.recordReading(now)
 }
 
-// RecordPlacement takes in that a request of a class, and of a class of the operator's (empty: none), has moved.
+// RecordPlacement updates the counts for a request that has moved from one placement to another. class is its class in the
+// deployment, policyClass its class in the operator's policy, or empty if it has none.
 func (a *Agent) RecordPlacement(class, policyClass string, was, is router.Placement) {
 	if a.counters.core == nil {
 		return
 	}
-	var all [3]int64 // by figure: waiting, running, attempts
+	var all [3]int64 // changes of the counts counters.Waiting, Running and Attempted
 	var changes [5]counters.Change
 	used := 0
 	add := func(kind counters.Kind, name string, by [3]int64) {
@@ -83,10 +84,11 @@
 	a.history.Write(history.Event{Kind: history.RequestsCounted, Number: int(own[counters.Waiting]), High: int(own[counters.Running])})
 }
 
-// readingInterval is the time between two readings in the history.
+// readingInterval is the time between two readings that are written to the history.
 const readingInterval = admission.Second / 2
 
-// recordReading writes what is known of all gateways' counts into the history, for a checker to compare.
+// recordReading writes the known counts of all gateways to the history at every readingInterval. The testbed's checkers
+// compare them with the requests that the gateways recorded.
 func (s *counterSharing) recordReading(now admission.Time) {
 	if s.agent.history == nil || now-s.recordedAt < readingInterval {
 		return
@@ -99,8 +101,9 @@
 	}
 }
 
-// status reads the counts of all that this gateway can name: its classes, the policy's classes that it had requests
-// of, and the engines that it knows.
+// status returns the counts of all gateways, in total and by class, policy class and engine. Peers identify keys by hashes, so
+// status lists only what this gateway has the names of: the deployment's classes, the policy classes of its own requests, and
+// the engines of its endpoint list.
 func (s *counterSharing) status(now admission.Time) *CountStatus {
 	keys := []counters.Key{{}}
 	for _, class := range s.classes {
--- a/internal/cluster/agent/datagram.go
+++ b/internal/cluster/agent/datagram.go
@@ -13,22 +13,23 @@
 	"golang.org/x/crypto/chacha20poly1305"
 )
 
-// A datagram is a version, a nonce and a sealed envelope. All figures are big-endian.
+// datagramVersion is the first byte of a datagram. A datagram consists of a version, a nonce and a sealed envelope. All numbers
+// are big-endian.
 //
 //	1 byte    version
 //	24 bytes  nonce, random for each datagram
-//	sealed    8 bytes the sender's start, 8 bytes the datagram's sequence number, 4 bytes of the sender's clock, 1 byte
-//	          and the sender's name, then sections: 1 byte kind, 2 bytes length, the payload
+//	sealed    8 bytes sender's incarnation, 8 bytes sequence number of the datagram, 4 bytes sender's clock, 1 byte length of
+//	          the sender's name, the name, then sections of 1 byte kind, 2 bytes length of the payload, and the payload
 //	16 bytes  authentication tag (XChaCha20-Poly1305, with the version as additional data)
 const datagramVersion = 1
 
-// maxDatagramBytes is below what networks carry without fragmentation.
+// maxDatagramBytes keeps datagrams small enough for networks to carry without IP fragmentation.
 const maxDatagramBytes = 1200
 
-// sectionKind says which core a section of a datagram is for.
+// sectionKind identifies the core that a section of a datagram belongs to.
 type sectionKind byte
 
-// The kinds of sections. Their values are sent.
+// The kinds of sections. Datagrams contain these values.
 const (
 	membershipSection   sectionKind = 1
 	healthReportSection sectionKind = 2
@@ -37,7 +38,7 @@
 	policySection       sectionKind = 5
 )
 
-// The reasons for which datagrams are dropped. The control socket reports them by their texts.
+// The reasons for dropping a datagram. The control socket reports counts of dropped datagrams under these texts.
 var (
 	errOtherVersion = errors.New("another version")
 	errWrongKey     = errors.New("not sealed by this key")
@@ -45,7 +46,7 @@
 	errReplayed     = errors.New("replayed")
 )
 
-// sealer seals and opens datagrams with the key that all gateways of an installation share.
+// sealer encrypts and decrypts datagrams with the key that all gateways of an installation share.
 type sealer struct{ aead cipher.AEAD }
 
 // readKey reads a key file: 64 hexadecimal digits, with optional white space around them.
@@ -67,26 +68,26 @@
 
 // envelope is the sealed content of a datagram.
 type envelope struct {
-	sender   string // name of the gateway
-	start    uint64 // of the sender's process
-	sequence uint64 // rises with every datagram of the process
-	clock    uint32 // the low 32 bits of the sender's clock, in tenths of a millisecond
+	sender   string // name of the sending gateway
+	start    uint64 // incarnation of the sending process
+	sequence uint64 // one higher for each datagram of the process
+	clock    uint32 // low 32 bits of the sender's clock, in tenths of a millisecond
 	sections []section
 }
 
-// section is a message of one core.
+// section is a message of one core, or a fragment of one.
 type section struct {
 	kind    sectionKind
 	payload []byte
 }
 
-// The lengths of an envelope's fields, in bytes.
+// The lengths of the fixed parts of an envelope, in bytes.
 const (
-	envelopeHeaderBytes = 8 + 8 + 4 + 1 // start, sequence, clock and the length of the name
-	sectionHeaderBytes  = 1 + 2         // kind and length
+	envelopeHeaderBytes = 8 + 8 + 4 + 1 // incarnation, sequence number, clock and the length of the name
+	sectionHeaderBytes  = 1 + 2         // kind and length of the payload
 )
 
-// seal encodes and encrypts an envelope.
+// seal encodes and encrypts an envelope into a datagram.
 func (s *sealer) seal(e *envelope) ([]byte, error) {
 	plain := binary.BigEndian.AppendUint64(nil, e.start)
 	plain = binary.BigEndian.AppendUint64(plain, e.sequence)
@@ -125,7 +126,7 @@
 	return decodeEnvelope(plain)
 }
 
-// decodeEnvelope decodes what a datagram's seal covers. Its error is errMalformed.
+// decodeEnvelope decodes the decrypted content of a datagram. Its error is errMalformed.
 func decodeEnvelope(plain []byte) (*envelope, error) {
 	if len(plain) < envelopeHeaderBytes {
 		return nil, errMalformed
--- a/internal/cluster/agent/datagram_test.go
+++ b/internal/cluster/agent/datagram_test.go
@@ -38,7 +38,7 @@
 	}
 	opened, err := s.open(datagram)
 	if err != nil || opened.sender != "g1" || opened.start != 7 || opened.sequence != 9 || len(opened.sections) != 2 || string(opened.sections[0].payload) != "abc" {
-		t.Errorf("%v %+v", err, opened)
+		t.Errorf("expected the sealed envelope, found error %v and %+v", err, opened)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// Each sequence number of a process is accepted once, in whatever order they come, and none of an earlier process.
+// Each sequence number of a process is accepted once, in whatever order they arrive, and none of an earlier process is.
 func TestReplayWindowAcceptsEachNumberOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var window replayWindow
@@ -93,7 +93,7 @@
 				t.Fatalf("%d was accepted twice", number)
 			}
 			if !ok && !accepted[number] && number+replayWindowBits > highest {
-				t.Fatalf("%d is new, and not %d old, and was dropped", number, replayWindowBits)
+				t.Fatalf("%d is new and within the window of %d, and was rejected", number, replayWindowBits)
 			}
 			accepted[number] = accepted[number] || ok
 			highest = max(highest, number)
@@ -113,7 +113,7 @@
 	f.Add(datagram)
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		if opened, err := s.open(datagram); (opened == nil) == (err == nil) {
-			t.Fatal("neither an envelope nor an error")
+			t.Fatal("expected either an envelope or an error")
 		}
 	})
 }
--- a/internal/cluster/agent/events.go
+++ b/internal/cluster/agent/events.go
@@ -7,8 +7,8 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// event is what other goroutines, and the cores themselves, send to the agent's goroutine. The types below are all
-// that it may receive.
+// event is an input of the agent's goroutine, sent by another goroutine or by a core. The types below are all events that
+// there are.
 type event interface{ isEvent() }
 
 type (
@@ -18,42 +18,44 @@
 		endpoints []admission.Endpoint
 	}
 
-	// outcomeObserved is an outcome that this gateway saw of an engine itself.
+	// outcomeObserved is an observation that this gateway made of an engine itself.
 	outcomeObserved struct {
 		at          admission.Time
 		engine      admission.EngineID
 		observation admission.Observation
 		report      admission.Report
-		capacity    float64 // bytes of reports that may be sent from now on
+		capacity    float64 // bytes of health reports that may be sent in addition from now on
 	}
 
-	// attemptSent is an attempt that the gateway sent. Only histories need it, in the order of the other events.
+	// attemptSent is an attempt that the gateway sent. It serves only to write attempts to the history in their order among
+	// the other events.
 	attemptSent struct {
 		request    admission.RequestID
 		engine     admission.EngineID
-		observedAt int64 // by the clock of histories
+		observedAt int64 // time on the clock of histories
 	}
 
-	// datagramReceived is a datagram of another gateway, with the time at which it was read.
+	// datagramReceived is a datagram of another gateway, with the time at which it was read from the socket.
 	datagramReceived struct {
 		at       admission.Time
 		datagram []byte
 	}
 
-	// quotaMessageToSelf is a message of the quota's core to the gateway's own voter.
+	// quotaMessageToSelf is a message of the quota core to the voter of the same gateway.
 	quotaMessageToSelf struct{ message quota.Message }
 
-	// policyMessageToSelf is a message of the policy rollout's core to the gateway's own voter.
+	// policyMessageToSelf is a message of the policy rollout's core to the voter of the same gateway.
 	policyMessageToSelf struct{ message []byte }
 
-	// quotaDemandChanged wakes the goroutine, so that the quota's core sends at once what the owner's calls led to.
+	// quotaDemandChanged wakes the agent's goroutine, so that the quota core at once sends the messages that a call of the
+	// router's owner made necessary.
 	quotaDemandChanged struct{}
 
-	// policyParsed is the result of reading a policy's text.
+	// policyParsed is the result of parsing a policy's text.
 	policyParsed struct {
 		digest rollout.Digest
 		policy Policy
-		err    error // why the gateway can't follow it; nil: it can
+		err    error // why the gateway can't apply the policy; nil: it can
 		done   func(rollout.Parameters, error)
 	}
 
@@ -63,7 +65,7 @@
 		done func(error)
 	}
 
-	// controlRequested is a request to the control socket. The reply channel has room for one reply.
+	// controlRequested is a request to the control socket. The reply channel has a buffer for one reply.
 	controlRequested struct {
 		request *controlRequest
 		reply   chan<- controlReply
@@ -81,7 +83,7 @@
 func (recordsStored) isEvent()       {}
 func (controlRequested) isEvent()    {}
 
-// handle takes in one event, in the agent's goroutine.
+// handle processes one event, in the agent's goroutine.
 func (a *Agent) handle(received event) {
 	switch e := received.(type) {
 	case endpointsReceived:
@@ -97,7 +99,7 @@
 		a.quota.handleMessage(a.clock.Now(), e.message)
 	case policyMessageToSelf:
 		a.policies.handleOwnMessage(a.clock.Now(), e.message)
-	case quotaDemandChanged: // the tick that follows every event sends what is due
+	case quotaDemandChanged: // run calls tick after every event, which sends what is due
 	case policyParsed:
 		a.policies.finishCheck(&e)
 	case recordsStored:
--- a/internal/cluster/agent/format_fragments_test.go
+++ b/internal/cluster/agent/format_fragments_test.go
@@ -42,7 +42,7 @@
 			t.Errorf("fragment %d: expected one section with %x, found %v", i, expected, e.sections)
 		}
 		if i == 2 {
-			break // with the last one the message goes to the rollout's core
+			break // the last fragment would complete the message, and the receiver has no core to handle it
 		}
 		if err := receiver.handleFragment(0, e, expected); err != nil {
 			t.Fatal(err)
--- a/internal/cluster/agent/format_json_test.go
+++ b/internal/cluster/agent/format_json_test.go
@@ -13,7 +13,7 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-// What `fleet status --json` prints, and what the control socket is asked and answers.
+// Covers the output of `fleet status --json`, and the requests and replies of the control socket.
 func TestControlMessagesOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
 	t.Run("status", func(t *testing.T) {
 		golden.CheckRoundTrip(t, "status", golden.DecodeJSON[Status], golden.EncodeJSON)
@@ -46,7 +46,8 @@
 	})
 }
 
-// The earlier version's file names its boot, device and inode; with this folder's in their place it is followed.
+// The earlier version's file contains a boot ID, device and inode. The test replaces them with those of this machine and file, so that
+// the file is accepted.
 func TestHandoverOfEarlierVersionIsFollowed(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "succession")
@@ -73,6 +74,6 @@
 	defer closeHandover(t, handover)
 	after, err := handover.beginClaim(7)
 	if expected := []uint64{1<<60 + 3, 1<<60 + 4}; err != nil || !slices.Equal(after, expected) {
-		t.Errorf("expected to follow %d, found %d, error %v", expected, after, err)
+		t.Errorf("expected the ended incarnations %d, found %d, error %v", expected, after, err)
 	}
 }
--- a/internal/cluster/agent/format_test.go
+++ b/internal/cluster/agent/format_test.go
@@ -8,7 +8,7 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-// The nonce is random, so a datagram that is sealed again differs; it must hold the same values when it is opened.
+// The nonce is random, so a datagram that is sealed again has other bytes. It must contain the same values when it is opened.
 func TestDatagramOfEarlierVersionIsOpened(t *testing.T) {
 	key, err := readKey(filepath.Join("testdata", "format", "key"))
 	if err != nil {
@@ -34,6 +34,6 @@
 		t.Fatal(err)
 	}
 	if len(sealed) != len(form) || !slices.Equal(golden.Values(again), golden.Values(opened)) {
-		t.Errorf("sealed again: expected %v, found %v", golden.Values(opened), golden.Values(again))
+		t.Errorf("after sealing again: expected %v, found %v", golden.Values(opened), golden.Values(again))
 	}
 }
--- a/internal/cluster/agent/handover.go
+++ b/internal/cluster/agent/handover.go
@@ -15,23 +15,23 @@
 	"magpiebank/internal/cluster/quota"
 )
 
-// shareHandover is a file in a folder that outlives the process. It lists the starts under which this gateway held its
-// share of the budgets, so that the next process under the same name may have that share at once. The next process may
-// rely on those starts only if it can be sure that their processes have ended: the writer holds a lock on the file, and
-// the file records its own device and inode and the boot of its machine. A copy is another file, and a machine that was
-// switched off is another boot, so neither proves anything.
+// shareHandover is a file that outlives the process. It lists the incarnations of the gateway that claimed its share of the
+// budgets, so that the next process under the same name can take over that share at once. The next process may use the list
+// only if the processes in it have surely ended. Two checks ensure that: the process that writes the file holds a lock on
+// it, and the file records its own device and inode and the boot ID of its machine. A copied file has another inode, and
+// after a reboot the boot ID differs; the list is ignored in both cases.
 type shareHandover struct {
 	file   *os.File
 	record handoverRecord
 }
 
-// handoverRecord is the content of the file.
+// handoverRecord is the content of the handover file.
 type handoverRecord struct {
 	Boot   string   `json:"boot"`
 	Device uint64   `json:"device"`
 	Inode  uint64   `json:"inode"`
 	Name   string   `json:"name"`
-	Starts []uint64 `json:"starts"` // first the last one that held the share, then those that ended before they did
+	Starts []uint64 `json:"starts"` // incarnations: first the last one that held the share, then later ones that ended before they held it
 }
 
 const (
@@ -39,10 +39,11 @@
 	maxHandoverBytes = 4096
 )
 
-// errHandoverLocked says that another process holds the share: the one before this one, or a second one under its name.
-var errHandoverLocked = errors.New("another process goes by it")
+// errHandoverLocked means that another process holds the lock on the handover file: an earlier process of this gateway that
+// still runs, or a second process under its name.
+var errHandoverLocked = errors.New("another process holds the lock on this file")
 
-// openHandover opens the file for a gateway, or creates it. Where another process holds the lock, the error wraps
+// openHandover opens or creates the handover file of a gateway. If another process holds the lock, the error wraps
 // errHandoverLocked.
 func openHandover(folder, name string) (*shareHandover, error) {
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
@@ -63,7 +64,8 @@
 	return h, nil
 }
 
-// lockAndRead locks the file and takes over the starts that it lists, if it proves that their processes have ended.
+// lockAndRead locks the file and reads the incarnations that it lists, unless a copy, a reboot or another gateway's name makes
+// them unreliable.
 func (h *shareHandover) lockAndRead() error {
 	descriptor := int(h.file.Fd())
 	err := unix.Flock(descriptor, unix.LOCK_EX|unix.LOCK_NB)
@@ -85,7 +87,7 @@
 	}
 	var found handoverRecord
 	if json.Unmarshal(text, &found) != nil {
-		return nil // a file that is cut short proves nothing
+		return nil // a new file is empty; a process that was killed in write leaves an incomplete one
 	}
 	own := &h.record
 	if found.Boot == own.Boot && found.Device == own.Device && found.Inode == own.Inode && found.Name == own.Name {
@@ -94,9 +96,9 @@
 	return nil
 }
 
-// beginClaim records the start under which the share is claimed from now on, and returns the starts that have ended.
-// The file isn't synchronized to the disk: what a process has written outlives it, and after a loss of power the file
-// proves nothing anyway.
+// beginClaim records the incarnation that claims the share from now on, and returns the incarnations that have ended. The file
+// isn't synced to disk: written data outlives the process, and after a power loss the boot ID differs, so that the next process
+// ignores the list anyway.
 func (h *shareHandover) beginClaim(start uint64) (ended []uint64, err error) {
 	ended = slices.Clone(h.record.Starts)
 	if len(ended) > quota.MaxPredecessors {
@@ -106,7 +108,8 @@
 	return ended, h.write()
 }
 
-// confirmClaim records that this process holds the share, after which the starts before it are of no more use.
+// confirmClaim records that this process holds the share. It removes the earlier incarnations, because the next process needs
+// only the one that held the share last and those after it.
 func (h *shareHandover) confirmClaim() error {
 	if len(h.record.Starts) < 2 {
 		return nil
@@ -115,7 +118,7 @@
 	return h.write()
 }
 
-// release records that nobody holds the share, so that the next process needn't wait for anything.
+// release records that no process holds the share, so that the next one has no predecessor to wait for.
 func (h *shareHandover) release() error {
 	h.record.Starts = nil
 	return h.write()
@@ -126,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	if err := h.file.Truncate(0); err != nil { // a file that is cut short here proves nothing
+	if err := h.file.Truncate(0); err != nil { // a process that is killed here leaves an empty file, which lockAndRead ignores
 		return err
 	}
 	_, err = h.file.WriteAt(append(text, '\n'), 0)
--- a/internal/cluster/agent/handover_test.go
+++ b/internal/cluster/agent/handover_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// claimShare opens a handover file as one process does, and checks which starts it learns to have ended.
+// claimShare opens the handover file and claims the share like a process with the incarnation start. It checks which incarnations
+// the file lists as ended.
 func claimShare(t *testing.T, folder, name string, start uint64, expected ...uint64) *shareHandover {
 	t.Helper()
 	handover, err := openHandover(folder, name)
@@ -21,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(ended, expected) {
-		t.Errorf("start %d: expected to follow %d, found %d", start, expected, ended)
+		t.Errorf("incarnation %d: expected the ended incarnations %d, found %d", start, expected, ended)
 	}
 	return handover
 }
@@ -37,25 +38,25 @@
 	folder := t.TempDir()
 	first := claimShare(t, folder, "g1", 1)
 	if _, err := openHandover(folder, "g1"); !errors.Is(err, errHandoverLocked) {
-		t.Errorf("a second process beside the first: expected %v, found %v", errHandoverLocked, err)
+		t.Errorf("a second process while the first one runs: expected %v, found %v", errHandoverLocked, err)
 	}
 	copied := t.TempDir()
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	closeHandover(t, claimShare(t, copied, "g1", 2)) // a copy proves nothing
+	closeHandover(t, claimShare(t, copied, "g1", 2)) // the list in a copied file is ignored
 	closeHandover(t, first)
 	closeHandover(t, claimShare(t, folder, "g1", 3, 1))
 }
 
-// The share passes to the next process under the name only from one that has surely ended.
+// The next process under the same name takes over the share only from processes that have surely ended.
 func TestShareHandover(t *testing.T) {
 	folder := t.TempDir()
 	for _, process := range []struct {
 		name  string
 		start uint64
 		ended []uint64
-		then  func(*shareHandover) error // before it ends
+		then  func(*shareHandover) error // called before the process ends
 	}{
 		{"first", 1, nil, nil},
 		{"after one that ended before it held the share", 3, []uint64{1}, nil},
@@ -88,7 +89,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, []byte(strings.Replace(string(text), from, to, 1)), 0o600); err != nil { // the same file
+			if err := os.WriteFile(path, []byte(strings.Replace(string(text), from, to, 1)), 0o600); err != nil { // keeps the inode
 				t.Fatal(err)
 			}
 		}
--- a/internal/cluster/agent/healthsharing.go
+++ b/internal/cluster/agent/healthsharing.go
@@ -14,14 +14,14 @@
 type healthSharing struct {
 	agent         *Agent
 	reports       *healthreport.Table
-	ejectionShare float64                     // of the engines, that reports of others may eject
-	ejected       map[admission.EngineID]bool // by reports of others alone, as the log has it
+	ejectionShare float64                     // share of the engines that reports of other gateways may eject
+	ejected       map[admission.EngineID]bool // engines last logged as ejected by reports of other gateways alone
 
-	// The bytes that may be sent are a token bucket, filled at the configured rate.
-	tokens   float64
+	// A token bucket, filled at Config.BytesPerSecond, limits the bytes of reports that are sent.
+	tokens   float64 // bytes
 	filledAt admission.Time
 
-	listed map[admission.EngineID]admission.Time // starts of listed engines, as the history has them
+	listed map[admission.EngineID]admission.Time // start times of listed engines, as last written to the history
 }
 
 func newHealthSharing(a *Agent, start *config.Config) healthSharing {
@@ -40,7 +40,7 @@
 	}
 }
 
-// accepts tells whether reports that arrive at a time are taken in.
+// accepts reports whether health reports that arrive at a time are processed. They are ignored for a while after a stall.
 func (s *healthSharing) accepts(at admission.Time) bool {
 	return s.agent.config.ShareHealth && at >= s.agent.wake.deafUntil
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// handleReport takes in a report of a known member. Reports of an earlier process under the member's name are ignored.
+// handleReport processes a report of a known member. It ignores reports of an earlier process under the member's name.
 func (s *healthSharing) handleReport(at admission.Time, e *envelope, payload []byte) error {
 	m, ok := s.agent.members.Find(e.sender)
 	if !ok || m.Incarnation > e.start && !mutations.ignoresStart() {
@@ -68,7 +68,7 @@
 	return s.reports.HandleMessage(at, healthreport.Source{Name: e.sender, Incarnation: e.start}, payload)
 }
 
-// tick notifies the router's owner of new findings and broadcasts a report when there is one.
+// tick notifies the router's owner of changed findings and broadcasts a report if one is due.
 func (s *healthSharing) tick(now admission.Time) {
 	observedAt := int64(0)
 	if s.agent.history != nil {
@@ -93,7 +93,7 @@
 	s.agent.log.Info("fleet", "code", "found", "engine", string(f.Engine), "out", ejects, "against", math.Round(100*f.FailureScore)/100, "witnesses", f.Witnesses)
 }
 
-// broadcast sends a report to the other members, within the bytes a second that the operator allows.
+// broadcast sends a report to the other members if one is due and the configured rate allows it.
 func (s *healthSharing) broadcast(now admission.Time) {
 	members, rate := s.agent.members, float64(s.agent.config.BytesPerSecond)
 	s.tokens = min(rate, s.tokens+rate*float64(now-s.filledAt)/float64(admission.Second))
@@ -117,7 +117,7 @@
 	}
 }
 
-// recordPeerOutcomes writes outcomes of a peer that were received into the history.
+// recordPeerOutcomes writes the outcomes that a peer reported for an engine to the history, unless they have expired.
 func (s *healthSharing) recordPeerOutcomes(from healthreport.Source, endpoint *admission.Endpoint, successAge, failureAge admission.Time) {
 	for _, outcome := range []struct {
 		success bool
@@ -130,7 +130,7 @@
 	}
 }
 
-// recordEndpoints writes what the gateway's own endpoint list says of engines into the history, where it has changed.
+// recordEndpoints writes engines to the history that the gateway's own endpoint list has added, restarted or removed.
 func (s *healthSharing) recordEndpoints(kind admission.UpdateKind, endpoints []admission.Endpoint) {
 	if kind == admission.FailedPoll {
 		return
@@ -151,7 +151,7 @@
 	}
 }
 
-// endpointStates are the names of endpoint states in histories.
+// endpointStates lists the names of endpoint states in histories.
 var endpointStates = [...]string{"live", "draining", "gone"}
 
 func (s *healthSharing) recordEndpoint(l *admission.Endpoint) {
--- a/internal/cluster/agent/loop.go
+++ b/internal/cluster/agent/loop.go
@@ -7,10 +7,11 @@
 	"magpiebank/internal/cluster/history"
 )
 
-// tickInterval is the pace of the agent's goroutine. Health reports wait some 100 ms for others, failures this long.
+// tickInterval is the time between two ticks of the agent's goroutine if no event wakes it earlier. Load reports wait some
+// 100 ms to be sent together; reports of failures wait at most one interval.
 const tickInterval = 20 * time.Millisecond
 
-// run is the agent's goroutine. Closing stop ends it.
+// run is the main loop of the agent's goroutine. It ends when stop is closed.
 func (a *Agent) run() {
 	defer close(a.ended)
 	ticker := time.NewTicker(tickInterval)
@@ -31,7 +32,8 @@
 	}
 }
 
-// leave tells the other gateways that this one goes, and gives up what it holds.
+// leave notifies the other gateways that this one leaves, and releases its policy lease and, if no unit of it is
+// in use, its share of the budgets.
 func (a *Agent) leave(now admission.Time) {
 	a.members.Leave(now)
 	if a.quota != nil {
@@ -42,7 +44,8 @@
 	}
 }
 
-// tick steps the cores and passes on what they found. A displaced gateway steps its membership alone.
+// tick steps the cores and passes on their findings. A displaced gateway, whose name a later process has, steps only its
+// membership and its health reports, which it doesn't broadcast.
 func (a *Agent) tick(now admission.Time) {
 	if now >= a.members.NextTick() {
 		a.members.Tick(now)
@@ -64,22 +67,23 @@
 	a.transport.logDropped()
 }
 
-// The bounds of wakeMonitor.
+// The thresholds of wakeMonitor.
 const (
-	stallThreshold    = admission.Second / 2   // far more than the tick interval
-	stallRecovery     = admission.Second / 5   // within which a full socket buffer is read
-	lateWakeThreshold = 100 * time.Millisecond // five tick intervals
+	stallThreshold    = admission.Second / 2   // a gap this long, far more than tickInterval, counts as a stall
+	stallRecovery     = admission.Second / 5   // time in which a full socket buffer is read after a stall
+	lateWakeThreshold = 100 * time.Millisecond // five tick intervals; the history records gaps from this length on
 )
 
-// wakeMonitor notices that the agent's goroutine was woken late, as it is when the whole process stood still.
+// wakeMonitor detects that the agent's goroutine ran late, for example because the whole process was stopped for a while.
 type wakeMonitor struct {
-	lastAt        admission.Time // at which the goroutine ran last
-	lastHistoryAt int64          // the same by the clock of histories, where one is written
-	deafUntil     admission.Time // before which health reports are ignored
+	lastAt        admission.Time // time at which the goroutine last ran
+	lastHistoryAt int64          // the same time on the clock of histories, if a history is written
+	deafUntil     admission.Time // health reports are ignored before this time
 }
 
-// recordWake records that the goroutine runs. After a stall, datagrams that lay in the socket's buffer are read with
-// the time at which the process woke. Health reports are ignored for a moment then, because nobody knows their age.
+// recordWake records that the goroutine runs. Datagrams that were in the socket's buffer during a stall get the time at which
+// the process resumed as their time of arrival. Health reports are therefore ignored for a moment after a stall, because their
+// age is unknown.
 func (w *wakeMonitor) recordWake(now admission.Time, writer *history.Writer) {
 	if w.lastAt > 0 && now-w.lastAt >= stallThreshold {
 		w.deafUntil = now + stallRecovery
@@ -88,8 +92,8 @@
 	w.recordLateWake(writer)
 }
 
-// recordLateWake writes into the history that the goroutine was woken late. It tells readers of histories what the
-// machine was too busy for.
+// recordLateWake writes to the history that the goroutine ran late. Readers of the history can tell from it that the machine
+// was too busy.
 func (w *wakeMonitor) recordLateWake(writer *history.Writer) {
 	if writer == nil {
 		return
--- a/internal/cluster/agent/membershiphost.go
+++ b/internal/cluster/agent/membershiphost.go
@@ -8,7 +8,7 @@
 	"magpiebank/internal/cluster/membership"
 )
 
-// membershipHost is what the membership's core acts on.
+// membershipHost implements membership.Host.
 type membershipHost struct{ agent *Agent }
 
 // Send sends a message of the core to an address.
@@ -16,7 +16,7 @@
 	h.agent.transport.send(to, membershipSection, message)
 }
 
-// MemberChanged records and logs that a member's state has changed.
+// MemberChanged writes a change of a member's state to the history and the log.
 func (h membershipHost) MemberChanged(code membership.EventCode, m membership.Member) {
 	a := h.agent
 	if a.counters.core != nil && m.State == membership.Left {
@@ -28,7 +28,7 @@
 		level = slog.LevelWarn
 	}
 	lost := 0
-	if a.members != nil { // the core reports its first changes while it is being made
+	if a.members != nil { // nil until membership.New has returned
 		lost = a.members.CountDead()
 	}
 	a.log.Log(context.Background(), level, "fleet", "code", string(code), "member", m.Name, "start", m.Incarnation, "address", m.Address, "lost", lost)
--- a/internal/cluster/agent/mutation.go
+++ b/internal/cluster/agent/mutation.go
@@ -6,27 +6,27 @@
 	"magpiebank/internal/admission"
 )
 
-// mutationHook is the one place at which a build with the tag testbed changes what the agent does, to show that the
-// testbed's checkers notice it. An ordinary build has noMutations alone.
+// mutationHook is the only interface through which a build with the tag testbed changes the agent's behavior. Tests inject
+// mutations to verify that the testbed's checkers detect them. A production build contains only noMutations.
 type mutationHook interface {
-	// names are the names of the mutations that the process runs with, for the cores that have their own.
+	// names returns the names of the mutations that the process runs with, for the cores that define their own.
 	names() string
-	// ignoresStart has health reports of an earlier process under a member's name count.
+	// ignoresStart reports whether health reports of an earlier process under a member's name are accepted.
 	ignoresStart() bool
-	// startClockOffset is how far the wall clock is off when the process starts.
+	// startClockOffset returns the offset by which the wall clock is wrong when the process starts.
 	startClockOffset() time.Duration
-	// replaceQuotaShares returns another way to share budgets, which the agent's own is compared with; nil: none.
+	// replaceQuotaShares returns an implementation of quotaShares to compare the agent's own with; nil: none.
 	replaceQuotaShares(a *Agent, now admission.Time) quotaShares
-	// rejectPolicy is why a gateway that stands for one of an older build can't follow a policy.
+	// rejectPolicy returns the error with which a gateway of a simulated older build rejects a policy; nil: it accepts it.
 	rejectPolicy(text []byte) error
-	// crashPoint is told of what a process does of policies, and may end the process or have it stand still.
+	// crashPoint is called at each step of a policy rollout, and may kill or stop the process there.
 	crashPoint(step string)
 }
 
-// mutations is replaced when a build with the tag testbed starts.
+// mutations is replaced by an init function in a build with the tag testbed.
 var mutations mutationHook = noMutations{}
 
-// noMutations changes nothing.
+// noMutations implements mutationHook without any mutation.
 type noMutations struct{}
 
 func (noMutations) names() string                                         { return "" }
--- a/internal/cluster/agent/mutation_testbed.go
+++ b/internal/cluster/agent/mutation_testbed.go
@@ -15,14 +15,14 @@
 	"magpiebank/internal/testbed/quorumquota"
 )
 
-// The environment variables by which the testbed mutates a process.
+// The environment variables by which the testbed selects the mutations of a process.
 const (
-	mutationsVariable  = "MAGPIEBANK_PLANTED" // names of mutations
-	clockVariable      = "MAGPIEBANK_BORN"    // how far the wall clock is off at the process's start, as "-1h"
+	mutationsVariable  = "MAGPIEBANK_PLANTED" // names of the mutations
+	clockVariable      = "MAGPIEBANK_BORN"    // offset of the wall clock when the process starts, for example "-1h"
 	crashPointVariable = "MAGPIEBANK_DIE"     // see crashPlan
 )
 
-// The names of the mutations that the agent has itself.
+// The names of the mutations of the agent itself; the cores have others.
 const (
 	ignoresStartMutation = "ignores-start"
 	quorumQuotaMutation  = "quorum"
@@ -31,7 +31,7 @@
 
 func init() { mutations = newTestbedMutations() }
 
-// testbedMutations are those that the process's environment names.
+// testbedMutations implements mutationHook with the mutations that the process's environment names.
 type testbedMutations struct {
 	ignoresEarlierStart bool
 	crash               crashPlan
@@ -39,7 +39,7 @@
 
 func newTestbedMutations() *testbedMutations {
 	m := &testbedMutations{ignoresEarlierStart: hasMutation(ignoresStartMutation)}
-	// A variable that isn't set, or is cut short, leaves the plan's fields empty.
+	// If the variable isn't set or has fewer fields, the remaining fields of the plan stay empty.
 	_, _ = fmt.Sscan(os.Getenv(crashPointVariable), &m.crash.firstStep, &m.crash.secondStep, &m.crash.messagesLeft, &m.crash.action, &m.crash.marker)
 	return m
 }
@@ -58,7 +58,7 @@
 	return offset
 }
 
-// replaceQuotaShares returns the quota by quorum, which the agent's own is measured against.
+// replaceQuotaShares returns the quorum-based quota, the baseline that the agent's own quota is compared with.
 func (*testbedMutations) replaceQuotaShares(a *Agent, now admission.Time) quotaShares {
 	if !hasMutation(quorumQuotaMutation) {
 		return nil
@@ -67,13 +67,13 @@
 	return eagerQuorumQuota{core, a.queue}
 }
 
-// eagerQuorumQuota has the agent's goroutine send at once what the owner's calls led to.
+// eagerQuorumQuota wakes the agent's goroutine after a failed reservation, so that it requests the units at once.
 type eagerQuorumQuota struct {
 	*quorumquota.Core
 	queue *eventqueue.Queue[event]
 }
 
-// TryReserve reserves units, or has them asked for.
+// TryReserve reserves units. If that fails, it wakes the agent's goroutine, which requests them.
 func (q eagerQuorumQuota) TryReserve(now admission.Time, budget int, amount int64, length admission.Time) bool {
 	ok := q.Core.TryReserve(now, budget, amount, length)
 	if !ok {
@@ -82,13 +82,13 @@
 	return ok
 }
 
-// Release frees units, which may always be awaited.
+// Release frees units. It always returns true, because other gateways may be waiting for them.
 func (q eagerQuorumQuota) Release(now admission.Time, budget int, amount int64) bool {
 	q.Core.Release(now, budget, amount)
 	return true
 }
 
-// rejectPolicy has a process stand for one of a build that doesn't know the field "waiting".
+// rejectPolicy simulates an older build, which doesn't support the field "waiting".
 func (*testbedMutations) rejectPolicy(text []byte) error {
 	if hasMutation(olderBuildMutation) && strings.Contains(string(text), `"waiting"`) {
 		return fmt.Errorf("statements.classes[0].waiting: expected no such field, found \"waiting\"")
@@ -98,17 +98,17 @@
 
 func (m *testbedMutations) crashPoint(step string) { m.crash.take(step) }
 
-// crashPlan says where a process ends itself or stands still, as MAGPIEBANK_DIE="yielding decided 4 kill /tmp/once"
-// does: once it has taken the first step, then the second, and then sent so many messages. The marker file is created
-// then, and where it exists no process does so any more.
+// crashPlan defines where a process kills or stops itself: after it has reached the first step, then the second, and has then
+// begun to send a number of messages. MAGPIEBANK_DIE="yielding decided 4 kill /tmp/once" is an example. The process creates the
+// marker file just before it crashes. If the file exists already, it doesn't crash, so that only one process ever does.
 type crashPlan struct {
 	lock         sync.Mutex
-	firstStep    string // empty: there is no plan
+	firstStep    string // empty: there is no plan, or it has been carried out
 	secondStep   string
-	messagesLeft int
-	action       string // stop, or kill
-	marker       string // path
-	stepsTaken   int
+	messagesLeft int    // messages to send after the second step
+	action       string // stop or kill
+	marker       string // path of the marker file
+	stepsTaken   int    // 0, 1 or 2
 }
 
 func (p *crashPlan) take(step string) {
@@ -131,12 +131,12 @@
 	p.firstStep = ""
 	marker, err := os.OpenFile(p.marker, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return // another process was first
+		return // the marker exists: another process has crashed already
 	}
 	marker.Close()
 	signal := syscall.SIGKILL
 	if p.action == "stop" {
 		signal = syscall.SIGSTOP
 	}
-	_ = syscall.Kill(os.Getpid(), signal) // a process may always signal itself
+	_ = syscall.Kill(os.Getpid(), signal) // a process is always allowed to signal itself
 }
--- a/internal/cluster/agent/policy.go
+++ b/internal/cluster/agent/policy.go
@@ -6,34 +6,37 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// PolicyReader reads policies for the gateway that follows them.
+// PolicyReader parses policies and counts requests under them.
 type PolicyReader interface {
-	// ReadPolicy reads a policy's text. Its error says why this gateway can't follow the policy. Any goroutine may call it.
+	// ReadPolicy parses a policy's text. Its error is the reason why this gateway can't apply the policy. It may be called from
+	// any goroutine.
 	ReadPolicy(text []byte) (Policy, error)
-	// RequestCounts is what became of requests since a policy came into force here, or a rehearsal began.
+	// RequestCounts returns the outcomes of requests since the policy in force at this gateway took effect, or since the
+	// rehearsal began.
 	RequestCounts() rollout.RequestCounts
 }
 
-// Policy is one that was read.
+// Policy is a parsed policy.
 type Policy interface {
 	Parameters() rollout.Parameters
-	Budgets() (names []string, totals []int64) // over all gateways
+	Budgets() (names []string, totals []int64) // the budgets that all gateways share
 }
 
-// ActivePolicy is what this gateway may decide by, as those see it that decide.
+// ActivePolicy holds the policies that this gateway's decisions may rest on.
 type ActivePolicy struct {
 	rollout.InForce
-	Current   Policy   // in force, or so last; nil: none is known
-	Proposed  Policy   // may be followed beside the current one; nil: none
-	Parsed    []Policy // all that were received and read
-	Rehearsed Policy   // is tried beside the current one, deciding nothing; nil: none
+	Current   Policy   // the policy in force, or the last one that was; nil: not known
+	Proposed  Policy   // the policy that may apply together with Current during a change; nil: none
+	Parsed    []Policy // all known policies that were parsed
+	Rehearsed Policy   // evaluated on live requests without affecting decisions; nil: none
 }
 
-// currentAndProposed marks decisions that the current policy and the proposed one both allow.
+// currentAndProposed is the flag of a policy revision that names two policies: the current and the proposed one must both allow
+// a decision.
 const currentAndProposed = uint64(1) << 63
 
-// PolicyRevisionAt returns what may be decided by at a time: the current policy's number and one, with a mark where the proposed
-// policy must allow a decision as well; 0: nothing may be decided.
+// PolicyRevisionAt returns the policy revision that decisions may rest on at a time. It is the current policy's number plus one,
+// with the flag currentAndProposed if the proposed policy must allow a decision as well. 0 means that no policy may be applied.
 func (p *ActivePolicy) PolicyRevisionAt(now admission.Time) uint64 {
 	switch {
 	case p.HoldsLease(now):
@@ -44,16 +47,17 @@
 	return 0
 }
 
-// CoversBothPolicies tells whether a basis is the current policy and the proposed one.
+// CoversBothPolicies reports whether a policy revision names the current and the proposed policy.
 func CoversBothPolicies(basis uint64) bool { return basis&currentAndProposed != 0 }
 
-// SetPolicyReader sets who reads policies. It is called before Start.
+// SetPolicyReader sets the reader that parses policies. It has to be called before Start.
 func (a *Agent) SetPolicyReader(reader PolicyReader) { a.policyReader = reader }
 
-// ActivePolicy is what may be decided by now; nil: each gateway reads its own file.
+// ActivePolicy returns the policies that decisions may rest on now, or nil if each gateway applies the policy of its own file.
 func (a *Agent) ActivePolicy() *ActivePolicy { return a.activePolicy.Load() }
 
-// TryBeginWrite tells whether an attempt that was decided on a basis may be written now. EndWrite follows once it is.
+// TryBeginWrite reports whether an attempt that was decided under a policy revision may be written to its engine now, which is
+// so if the revision is still in force. If it returns true, the caller has to call EndWrite after writing the attempt.
 func (a *Agent) TryBeginWrite(basis uint64, request admission.RequestID) bool {
 	a.writing.Add(1)
 	observedAt := a.HistoryNow()
@@ -65,7 +69,7 @@
 	return true
 }
 
-// EndWrite takes in that an attempt is written.
+// EndWrite records that an attempt has been written to its engine.
 func (a *Agent) EndWrite(_ uint64, request admission.RequestID) {
 	a.writing.Add(-1)
 	if a.history != nil {
@@ -73,8 +77,8 @@
 	}
 }
 
-// RecordDecision writes into the history what was decided of a request, on which basis (0: none), and at which time by
-// the clock of histories the basis was looked at.
+// RecordDecision writes a decision on a request to the history, with the policy revision that it rests on (0: none). observedAt is
+// the time on the clock of histories at which the revision was read.
 func (a *Agent) RecordDecision(decision string, basis uint64, request admission.RequestID, observedAt int64) {
 	if a.history == nil {
 		return
--- a/internal/cluster/agent/policyfragments.go
+++ b/internal/cluster/agent/policyfragments.go
@@ -7,19 +7,21 @@
 	"magpiebank/internal/admission"
 )
 
-// A message of the policy rollout may be longer than a datagram. It is sent as fragments: how many there are (1 byte),
-// which one this is (1 byte), the message's number (4 bytes), and up to 1000 bytes of the message.
+// A message of the policy rollout may be longer than a datagram, so it is sent as fragments. A fragment consists of the number of
+// fragments of the message (1 byte), the index of this one (1 byte), the message's number (4 bytes), and up to 1000 bytes of the
+// message.
 const (
 	fragmentHeaderBytes = 1 + 1 + 4
 	maxFragmentBytes    = 1000
 	maxFragments        = 255
-	// maxPartialMessages bounds the messages whose fragments haven't all arrived; the oldest is dropped.
+	// maxPartialMessages limits the number of incomplete messages. One more drops the oldest.
 	maxPartialMessages = 64
-	// partialMessageTime is how long their fragments are waited for.
+	// partialMessageTime is the time after its first fragment at which an incomplete message is dropped.
 	partialMessageTime = 2 * admission.Second
 )
 
-// splitMessage returns the fragments of a message with a number. One that is too long has none; the core makes none.
+// splitMessage splits a message into fragments that carry its number. It returns nil for a message that is too long; the core makes
+// none that long.
 func splitMessage(number uint32, message []byte) (fragments [][]byte) {
 	count := (len(message) + maxFragmentBytes - 1) / maxFragmentBytes
 	if count > maxFragments {
@@ -34,20 +36,20 @@
 	return fragments
 }
 
-// reassembler puts messages together from their fragments, in whatever order these arrive.
+// reassembler reassembles messages from fragments that may arrive in any order.
 type reassembler struct{ partial []partialMessage }
 
-// partialMessage is a message whose fragments haven't all arrived.
+// partialMessage is a message some of whose fragments haven't arrived yet.
 type partialMessage struct {
 	sender    string
-	start     uint64 // of the sender's process
+	start     uint64 // incarnation of the sending process
 	number    uint32
-	fragments [][]byte // nil: it hasn't arrived
-	missing   int
-	startedAt admission.Time
+	fragments [][]byte       // by index; nil: that fragment hasn't arrived
+	missing   int            // number of fragments that haven't arrived
+	startedAt admission.Time // when the first fragment arrived
 }
 
-// add takes in a fragment, and returns the message once it is complete. The error is errMalformed.
+// add adds a fragment. If that completes its message, add returns the message. Its error is errMalformed.
 func (r *reassembler) add(at admission.Time, e *envelope, payload []byte) (message []byte, complete bool, err error) {
 	if len(payload) < fragmentHeaderBytes || payload[0] == 0 || payload[1] >= payload[0] {
 		return nil, false, errMalformed
@@ -92,7 +94,7 @@
 	return len(r.partial) - 1
 }
 
-// dropExpired drops messages whose fragments have been waited for long enough.
+// dropExpired drops the messages that are still incomplete after partialMessageTime.
 func (r *reassembler) dropExpired(now admission.Time) {
 	r.partial = slices.DeleteFunc(r.partial, func(m partialMessage) bool { return now-m.startedAt >= partialMessageTime })
 }
--- a/internal/cluster/agent/policyfragments_test.go
+++ b/internal/cluster/agent/policyfragments_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// receivedFragment is a fragment with the envelope that it came in.
+// receivedFragment is a fragment with the envelope in which it arrived.
 type receivedFragment struct {
 	envelope envelope
 	payload  []byte
 }
 
-// drawFragments returns the fragments of a message, some of them repeated.
+// drawFragments splits a message into fragments and repeats some of them.
 func drawFragments(t *rapid.T, sender string, message []byte) (fragments []receivedFragment) {
 	for _, payload := range splitMessage(7, message) {
 		copies := rapid.IntRange(1, 2).Draw(t, "copies")
@@ -24,7 +24,7 @@
 	return fragments
 }
 
-// Fragments may be repeated, and arrive in any order and mixed with those of other messages.
+// Fragments may arrive repeatedly, in any order, and mixed with fragments of other messages.
 func TestReassemblerPutsMessagesTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		messages := map[string][]byte{}
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 			if ok && !bytes.Equal(message, messages[f.envelope.sender]) {
-				t.Fatalf("the message of %s was put together otherwise than it was sent", f.envelope.sender)
+				t.Fatalf("the reassembled message of %s differs from the one that was sent", f.envelope.sender)
 			}
 			complete[f.envelope.sender] = complete[f.envelope.sender] || ok
 		}
@@ -88,7 +88,7 @@
 	expectDropped := func(t *testing.T, r *reassembler) {
 		t.Helper()
 		if _, complete, err := r.add(partialMessageTime, e, first[1]); err != nil || complete {
-			t.Errorf("expected a message that isn't complete, found %v, complete: %t", err, complete)
+			t.Errorf("expected an incomplete message, found error %v, complete: %t", err, complete)
 		}
 	}
 	t.Run("once their time is over", func(t *testing.T) {
@@ -109,7 +109,7 @@
 		r := begin(t)
 		r.dropExpired(partialMessageTime - 1)
 		if message, _, err := r.add(partialMessageTime, e, first[1]); err != nil || len(message) != 2*maxFragmentBytes {
-			t.Errorf("expected the message, found %d bytes and %v", len(message), err)
+			t.Errorf("expected the message, found %d bytes and error %v", len(message), err)
 		}
 	})
 }
--- a/internal/cluster/agent/policyrequests.go
+++ b/internal/cluster/agent/policyrequests.go
@@ -8,7 +8,7 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// PolicyOperation is what a PolicyRequest asks for.
+// PolicyOperation is the operation that a PolicyRequest requests.
 type PolicyOperation string
 
 // The operations of a PolicyRequest.
@@ -17,24 +17,24 @@
 	ProposeOperation  PolicyOperation = "propose"
 	RehearseOperation PolicyOperation = "rehearse"
 	RollbackOperation PolicyOperation = "rollback"
-	AwaitOperation    PolicyOperation = "await" // how far a proposal is that was made at this gateway
+	AwaitOperation    PolicyOperation = "await" // the progress of a proposal that was made at this gateway
 	TextOperation     PolicyOperation = "text"
 	VotersOperation   PolicyOperation = "voters"
 	ForceOperation    PolicyOperation = "force"
 )
 
-// PolicyRequest is a request on policies to a gateway's control socket.
+// PolicyRequest is a request to a gateway's control socket that concerns policies.
 type PolicyRequest struct {
 	Operation      PolicyOperation `json:"do"`
-	ID             uint64          `json:"id,omitempty"`     // of a proposal
-	Text           []byte          `json:"text,omitempty"`   // of a proposed policy
-	BaseNumber     uint64          `json:"base,omitempty"`   // that must be in force for a proposal; 0: any
-	Number         uint64          `json:"number,omitempty"` // of the policy that is asked for, or returned to
-	DurationMillis int64           `json:"for,omitempty"`    // of a rehearsal
+	ID             uint64          `json:"id,omitempty"`     // ID of a proposal
+	Text           []byte          `json:"text,omitempty"`   // text of a proposed policy
+	BaseNumber     uint64          `json:"base,omitempty"`   // number of the policy that has to be in force for a proposal; 0: any
+	Number         uint64          `json:"number,omitempty"` // number of the policy whose text is requested or that a rollback returns to
+	DurationMillis int64           `json:"for,omitempty"`    // length of a rehearsal
 	Voters         []string        `json:"voters,omitempty"`
 }
 
-// PolicyReply is the reply to a PolicyRequest: one of its fields.
+// PolicyReply is the reply to a PolicyRequest. At most one of its fields is set.
 type PolicyReply struct {
 	Error  string          `json:"error,omitempty"`
 	Result *ProposalResult `json:"result,omitempty"`
@@ -42,17 +42,17 @@
 	Text   []byte          `json:"text,omitempty"`
 }
 
-// The outcomes of proposals that aren't failures.
+// The values of ProposalResult.Outcome that aren't failures.
 const (
 	PendingOutcome   = "pending"
 	DecidedOutcome   = "decided"
 	RehearsedOutcome = "rehearsed"
 )
 
-// ProposalResult is what became of a proposal.
+// ProposalResult is the outcome of a proposal.
 type ProposalResult struct {
 	ID      uint64 `json:"id"`
-	Outcome string `json:"end"` // one of the outcomes above, or how it failed
+	Outcome string `json:"end"` // PendingOutcome, DecidedOutcome, RehearsedOutcome or the kind of failure
 	Number  uint64 `json:"number,omitempty"`
 	Reason  string `json:"why,omitempty"`
 }
@@ -61,30 +61,30 @@
 	return &ProposalResult{ID: r.ID, Outcome: r.Outcome.String(), Number: r.Number, Reason: r.Reason}
 }
 
-// PolicyStatus is what a gateway knows of policies.
+// PolicyStatus is a gateway's state of the policy rollout.
 type PolicyStatus struct {
-	Name           string           `json:"name"`   // of the gateway
-	Number         uint64           `json:"number"` // in force here, or so last
+	Name           string           `json:"name"`   // name of the gateway
+	Number         uint64           `json:"number"` // number of the policy that is in force at this gateway, or was last
 	Era            uint64           `json:"era"`
 	Digest         string           `json:"digest"`
-	LeaseSeconds   float64          `json:"lease"` // for which the policy may be followed without another message; 0: it may not
+	LeaseSeconds   float64          `json:"lease"` // time for which it may apply the policy without another message; 0: it may not
 	DecidedNumber  uint64           `json:"decided"`
 	Leader         string           `json:"leader"`
 	Voters         []string         `json:"voters"`
 	IsVoter        bool             `json:"votes"`
 	IsLearner      bool             `json:"learning,omitempty"`
-	Proposal       string           `json:"proposal,omitempty"` // the open one's ID
+	Proposal       string           `json:"proposal,omitempty"` // ID of the open proposal; empty: none is known
 	ProposalDigest string           `json:"offered,omitempty"`
-	Ready          bool             `json:"ready,omitempty"` // for the open proposal
-	Reason         string           `json:"why,omitempty"`   // why not
+	Ready          bool             `json:"ready,omitempty"` // the gateway can apply the open proposal's policy
+	Reason         string           `json:"why,omitempty"`   // why the gateway isn't ready
 	VoterChange    string           `json:"change,omitempty"`
 	UnusableDigest string           `json:"cannot_follow,omitempty"`
 	Records        []PolicyRecord   `json:"past,omitempty"`
 	Results        []ProposalResult `json:"ends,omitempty"`
-	Members        []PolicyMember   `json:"members,omitempty"` // at the leader
+	Members        []PolicyMember   `json:"members,omitempty"` // only the leader lists them
 }
 
-// PolicyRecord is one policy that was in force.
+// PolicyRecord is a policy that is or was in force.
 type PolicyRecord struct {
 	Number       uint64 `json:"number"`
 	Digest       string `json:"digest"`
@@ -92,28 +92,28 @@
 	Kind         string `json:"kind"`
 	Proposer     string `json:"by"`
 	UnixSeconds  int64  `json:"at"`
-	SourceNumber uint64 `json:"of,omitempty"` // that a rollback returned to
+	SourceNumber uint64 `json:"of,omitempty"` // for a rollback: number of the policy that it returned to
 }
 
-// PolicyMember is a gateway as the leader knows it.
+// PolicyMember is the leader's view of a gateway.
 type PolicyMember struct {
 	Name           string  `json:"name"`
-	ContactSeconds float64 `json:"heard"` // since its last message
-	LeaseSeconds   float64 `json:"lease"` // until its lease has surely ended
+	ContactSeconds float64 `json:"heard"` // time since its last lease request
+	LeaseSeconds   float64 `json:"lease"` // time until its lease has surely ended
 	Ready          bool    `json:"ready"`
 	Excluded       bool    `json:"out"`
 	Reason         string  `json:"why,omitempty"`
 }
 
-// proposalKinds are the kinds of proposals by the operations that make them.
+// proposalKinds maps the operations that make proposals to the kinds of these proposals.
 var proposalKinds = map[PolicyOperation]rollout.ProposalKind{
 	ProposeOperation:  rollout.KindChange,
 	RehearseOperation: rollout.KindRehearsal,
 	RollbackOperation: rollout.KindRollback,
 }
 
-// handleRequest serves one request of the control socket, in the agent's goroutine. It calls reply once: for a proposal
-// that was taken, when it has ended; otherwise before it returns.
+// handleRequest handles one request of the control socket, in the agent's goroutine. It calls reply once: for an accepted
+// proposal when the proposal has ended, otherwise before handleRequest returns.
 func (p *policyRollout) handleRequest(now admission.Time, request *PolicyRequest, reply func(*PolicyReply)) {
 	if kind, ok := proposalKinds[request.Operation]; ok {
 		p.propose(now, kind, request, reply)
@@ -141,7 +141,7 @@
 	}
 }
 
-// answer serves a request that isn't a proposal.
+// answer handles a request that isn't a proposal.
 func (p *policyRollout) answer(now admission.Time, request *PolicyRequest) (*PolicyReply, error) {
 	switch request.Operation {
 	case StatusOperation:
@@ -149,7 +149,7 @@
 	case AwaitOperation:
 		result, ok := p.core.ProposalProgress(request.ID)
 		if !ok {
-			return nil, fmt.Errorf("no proposal %08x was made here", uint32(request.ID>>32))
+			return nil, fmt.Errorf("no proposal %08x was made at this gateway", uint32(request.ID>>32))
 		}
 		return &PolicyReply{Result: newProposalResult(result)}, nil
 	case TextOperation:
@@ -175,12 +175,12 @@
 	}
 	text := p.core.PolicyText(digest)
 	if text == nil && (digest != rollout.Digest{}) {
-		return nil, fmt.Errorf("the text of number %d isn't here: ask a voter", number)
+		return nil, fmt.Errorf("the text of policy %d isn't stored at this gateway: ask a voter", number)
 	}
 	return &PolicyReply{Text: text}, nil
 }
 
-// findDigest is the digest of a number that this gateway knows.
+// findDigest returns the digest of the policy with a number. If number 0 isn't known, it returns the zero digest.
 func (p *policyRollout) findDigest(now admission.Time, number uint64) (rollout.Digest, error) {
 	state := p.core.Status(now)
 	if number == state.InForce.Number {
@@ -194,10 +194,10 @@
 	if number == 0 {
 		return rollout.Digest{}, nil
 	}
-	return rollout.Digest{}, fmt.Errorf("number %d isn't known here: ask a voter, which knows the last ones", number)
+	return rollout.Digest{}, fmt.Errorf("policy %d isn't known at this gateway: ask a voter, which knows the latest policies", number)
 }
 
-// status is what the gateway knows of policies.
+// status returns the gateway's state of the policy rollout.
 func (p *policyRollout) status(now admission.Time) *PolicyStatus {
 	state := p.core.Status(now)
 	inForce := &state.InForce
--- a/internal/cluster/agent/policyrollout.go
+++ b/internal/cluster/agent/policyrollout.go
@@ -20,30 +20,30 @@
 )
 
 const (
-	// maxPolicyFolderBytes has room for the last sixteen policies of a megabyte each, for as many again while they are
+	// maxPolicyFolderBytes is enough for the last sixteen policies of a megabyte each, for a second copy of them while they are
 	// rewritten, and for the log.
 	maxPolicyFolderBytes = 64 << 20
-	// maxParsedPolicies is how many policies are cached that were read, beside those in use.
+	// maxParsedPolicies is the number of parsed policies above which those that aren't in use are dropped from the cache.
 	maxParsedPolicies = 16
 )
 
-// policyRollout is the gateway's part in changes of the policy, and what the rollout's core acts on.
+// policyRollout connects the core of the policy rollout to the gateway. It implements rollout.Host.
 type policyRollout struct {
 	agent     *Agent
 	config    PolicyConfig
 	reader    PolicyReader
 	core      *rollout.Core
-	store     *store.Store // nil: the gateway doesn't vote
-	parsed    map[rollout.Digest]Policy
-	fragments reassembler // of messages that are received
-	sent      uint32      // messages, which numbers their fragments
+	store     *store.Store              // nil: the gateway doesn't vote
+	parsed    map[rollout.Digest]Policy // cache of parsed policies
+	fragments reassembler               // of received messages
+	sent      uint32                    // number of messages sent, and the message number in the fragments of the last one
 
 	// The policy whose budgets are in force.
 	quotaDigest rollout.Digest
 	quotaNumber uint64
 }
 
-// newPolicyRollout opens the folder and begins the core.
+// newPolicyRollout opens the folder and creates the core.
 func newPolicyRollout(a *Agent, now admission.Time) (*policyRollout, error) {
 	p := &policyRollout{agent: a, config: *a.config.Policy, reader: a.policyReader, parsed: map[rollout.Digest]Policy{}}
 	plan := &rollout.Config{
@@ -62,7 +62,7 @@
 	return p, nil
 }
 
-// openFolder opens the store and reads its records; nil: there is no folder.
+// openFolder opens the store and reads its records. It returns nil if no folder is configured.
 func (p *policyRollout) openFolder() (*rollout.StoredState, error) {
 	if p.config.Folder == "" {
 		return nil, nil
@@ -90,7 +90,7 @@
 	p.fragments.dropExpired(now)
 }
 
-// stop gives up what is held, and closes the folder.
+// stop has the core leave, which releases its lease, and closes the folder.
 func (p *policyRollout) stop(now admission.Time) {
 	p.core.Leave(now)
 	if p.store == nil {
@@ -105,7 +105,7 @@
 	p.agent.log.Warn("policy", "code", string(rollout.SaveFailed), "error", err)
 }
 
-// handleFragment takes in a fragment of a message, and the message once it is complete. Its error is errMalformed.
+// handleFragment processes a fragment of a message, and the message when the fragment completes it. Its error is errMalformed.
 func (p *policyRollout) handleFragment(at admission.Time, e *envelope, payload []byte) error {
 	message, complete, err := p.fragments.add(at, e, payload)
 	if err != nil || !complete {
@@ -114,7 +114,7 @@
 	return p.handleMessage(at, e.sender, message)
 }
 
-// handleMessage takes in a message of a member. Its error is errMalformed.
+// handleMessage passes a member's message to the core. Its error is errMalformed.
 func (p *policyRollout) handleMessage(at admission.Time, from string, message []byte) error {
 	if p.core.HandleMessage(at, from, message) != nil {
 		return errMalformed
@@ -122,12 +122,12 @@
 	return nil
 }
 
-// handleOwnMessage takes in a message of the core to the gateway's own voter, which is well formed.
+// handleOwnMessage passes a message of the core to the voter of the same gateway. Such a message is always well formed.
 func (p *policyRollout) handleOwnMessage(at admission.Time, message []byte) {
 	_ = p.handleMessage(at, p.agent.name, message)
 }
 
-// Send sends a message of the core to a member, or to this gateway's own voter.
+// Send sends a message of the core to a member or to this gateway itself. It drops messages to members that are unknown or have left.
 func (p *policyRollout) Send(to string, message []byte) {
 	if to == p.agent.name {
 		p.agent.queue.Put(policyMessageToSelf{message})
@@ -141,7 +141,7 @@
 	p.sendFragments(other.Address, message)
 }
 
-// sendFragments sends a message to an address, in as many datagrams as it needs.
+// sendFragments sends a message to an address, split into as many datagrams as necessary.
 func (p *policyRollout) sendFragments(address string, message []byte) {
 	p.sent++
 	for _, fragment := range splitMessage(p.sent, message) {
@@ -149,11 +149,11 @@
 	}
 }
 
-// Peers are the names of the members that are alive.
+// Peers returns the names of the other members that are alive.
 func (p *policyRollout) Peers() []string { return p.agent.livingMembers() }
 
-// CheckPolicy reads a policy in a goroutine of its own, because a long one takes its time. The done function is called by the
-// agent's goroutine.
+// CheckPolicy parses a policy in a goroutine of its own, because parsing a long policy takes time. The agent's goroutine calls done
+// with the result.
 func (p *policyRollout) CheckPolicy(digest rollout.Digest, text []byte, done func(rollout.Parameters, error)) {
 	p.agent.goroutines.Go(func() {
 		policy, err := p.read(text)
@@ -161,7 +161,7 @@
 	})
 }
 
-// read reads a policy's text. Its error says why this gateway can't follow the policy.
+// read parses a policy's text. Its error is the reason why this gateway can't apply the policy.
 func (p *policyRollout) read(text []byte) (Policy, error) {
 	policy, err := p.reader.ReadPolicy(text)
 	if err != nil {
@@ -172,7 +172,7 @@
 	}
 	if names, _ := policy.Budgets(); len(names) > 0 && p.agent.quota == nil {
 		class := strings.Fields(names[0])[0]
-		return nil, fmt.Errorf("statements.classes: expected fleet.budgets in this gateway's file, as %s is the fleet's, found nothing", class)
+		return nil, fmt.Errorf("statements.classes: expected fleet.budgets in this gateway's file, because the fleet shares budgets of class %s, found nothing", class)
 	}
 	return policy, nil
 }
@@ -186,7 +186,7 @@
 	e.done(e.policy.Parameters(), nil)
 }
 
-// SaveRecords stores records. The done function is called by the agent's goroutine once the last one is stored.
+// SaveRecords stores records. The agent's goroutine calls done once the last record is stored.
 func (p *policyRollout) SaveRecords(records []consensus.Record, done func(error)) {
 	for i, record := range records {
 		var stored func(error)
@@ -201,7 +201,7 @@
 	}
 }
 
-// LoadPolicy reads a policy's text from the folder; nil: it isn't there.
+// LoadPolicy reads a policy's text from the folder. It returns nil if the text isn't stored there.
 func (p *policyRollout) LoadPolicy(digest rollout.Digest) []byte {
 	if p.store == nil {
 		return nil
@@ -215,7 +215,7 @@
 	})
 }
 
-// SetInForce puts another policy in force: the budgets at once, the classes at the next decision.
+// SetInForce puts a policy in force: its budgets at once, its classes with the next decision.
 func (p *policyRollout) SetInForce(inForce *rollout.InForce) {
 	active := &ActivePolicy{InForce: *inForce, Current: p.parsed[inForce.Digest], Rehearsed: p.parsed[inForce.RehearsalDigest]}
 	if (inForce.OverlapDigest != rollout.Digest{}) {
@@ -238,8 +238,8 @@
 	p.agent.activePolicy.Store(active)
 }
 
-// dropParsedPolicies drops policies that aren't in use. Which of them go is of no consequence, because a policy is read
-// again where it is needed.
+// dropParsedPolicies drops cached policies that aren't in use until maxParsedPolicies are left. It doesn't matter which of them
+// it drops, because a policy is parsed again when it is needed.
 func (p *policyRollout) dropParsedPolicies(inForce *rollout.InForce) {
 	inUse := append([]rollout.Digest{inForce.Digest, inForce.OverlapDigest, inForce.RehearsalDigest}, inForce.KnownDigests...)
 	for digest := range p.parsed {
@@ -249,7 +249,7 @@
 	}
 }
 
-// replaceQuota puts the budgets of a policy in force under its number.
+// replaceQuota puts the budgets of a policy in force, under the policy's number plus one as their revision.
 func (p *policyRollout) replaceQuota(active *ActivePolicy) {
 	next := *p.agent.config.Quota
 	next.Revision, next.Names, next.Totals = active.Number+1, nil, nil
@@ -266,16 +266,16 @@
 	}
 }
 
-// Drained tells whether no attempt is being written that was allowed before.
+// Drained reports whether no attempt that was allowed earlier is still being written to an engine.
 func (p *policyRollout) Drained() bool { return p.agent.writing.Load() == 0 }
 
-// RequestCounts is what became of requests under the policy that is tried.
+// RequestCounts returns the outcomes of requests under the policy in force or, during a rehearsal, under the rehearsed one.
 func (p *policyRollout) RequestCounts() rollout.RequestCounts { return p.reader.RequestCounts() }
 
-// UnixSeconds is the wall clock in seconds.
+// UnixSeconds returns the time of the wall clock in Unix seconds.
 func (p *policyRollout) UnixSeconds() int64 { return time.Now().Unix() }
 
-// LogEvent logs a step of the core.
+// LogEvent logs an event of the core.
 func (p *policyRollout) LogEvent(code rollout.EventCode, more ...any) {
 	level := slog.LevelInfo
 	switch code {
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -14,29 +14,29 @@
 	"magpiebank/internal/config"
 )
 
-// quotaSharing holds this gateway's share of what classes may use over all gateways.
+// quotaSharing connects the quota core, which holds this gateway's share of the budgets, to the gateway.
 type quotaSharing struct {
 	agent        *Agent
 	plan         *quota.Plan
-	longestWait  time.Duration  // of a request, and so the longest use of a unit
-	overloadTime admission.Time // after which an engine that has just started is overloaded, by the deployment's rule
-	gatewayIndex int            // of this gateway among the shares
+	longestWait  time.Duration  // longest wait of a request, and so the longest time that a unit is used
+	overloadTime admission.Time // deployment's time window in which an engine that has just started must not be sent too much
+	gatewayIndex int            // index of this gateway's share
 
 	shares       quotaShares         // nil until Start
-	synchronized *quota.Synchronized // the same; nil in the testbed's comparison with another way to share
+	synchronized *quota.Synchronized // the same as shares; nil if a mutation replaces the agent's own shares
 
-	handover  *shareHandover // nil: the next process begins with nothing
-	confirmed bool           // the share is held under this start and may be used
-	claimedAt admission.Time // when it was claimed under this start
+	handover  *shareHandover // nil: the next process can't take over the share
+	confirmed bool           // this incarnation holds the share, and its units may be used
+	claimedAt admission.Time // when this incarnation claimed the share
 
 	namesLock sync.Mutex
-	names     []string // of the budgets, in the core's order
+	names     []string // names of the budgets, by their index in the core
 
-	recordedRates map[int]recordedRate // by budget; of the router's owner: what the history has of rates
+	recordedRates map[int]recordedRate // by budget: the rates last written to the history; used by the router's owner
 }
 
-// quotaShares are this gateway's shares of budgets. The agent's goroutine calls the first two methods, the router's
-// owner the others.
+// quotaShares gives access to this gateway's shares of the budgets. The agent's goroutine calls the first two methods, the
+// router's owner the others.
 type quotaShares interface {
 	Tick(now admission.Time)
 	HandleMessage(now admission.Time, m quota.Message) (more bool)
@@ -48,6 +48,7 @@
 	ScaleTotal(now admission.Time, budget int, fraction float64)
 }
 
+// recordedRate is a rate that was written to the history.
 type recordedRate struct {
 	rate int64
 	at   admission.Time
@@ -64,18 +65,18 @@
 	}
 	s.plan = s.newPlan(a.config.Quota)
 	if s.plan.ShareTerm < 2*s.plan.LeaseTerm {
-		return nil, fmt.Errorf("fleet.budgets.term: expected six times the longest wait of a class at least, %v, found %v", 6*longestWait, a.config.Quota.ShareTerm)
+		return nil, fmt.Errorf("fleet.budgets.term: expected at least six times the longest wait of a class, %v, found %v", 6*longestWait, a.config.Quota.ShareTerm)
 	}
 	return s, nil
 }
 
-// clockDriftDivisor says how far two clocks may drift apart: by one part in so many. Clocks of machines drift by some parts in
-// a million; one in twenty leaves room for those that are being set.
+// clockDriftDivisor limits the drift of clocks: a clock runs at most one part in clockDriftDivisor fast or slow. Clocks of
+// machines drift by some parts in a million; one part in twenty also covers clocks that are being adjusted.
 const clockDriftDivisor = 20
 
-// newPlan is the plan of the quota's core. A lease lasts twice the longest use: it is renewed after its first quarter
-// and is then good for a whole use more. It lasts no longer, because what is lent across a network cut is of no use to
-// either side for the rest of the lease.
+// newPlan returns the plan of the quota core. A lease lasts twice the longest use. It is renewed after its first quarter, when
+// the rest of it is still longer than a whole use. It doesn't last longer, because during a network partition neither the lender
+// nor the borrower can use lent units until the lease ends.
 func (s *quotaSharing) newPlan(c *QuotaConfig) *quota.Plan {
 	longest := ticks(s.longestWait)
 	plan := &quota.Plan{
@@ -94,7 +95,7 @@
 	return plan
 }
 
-// begin claims the share under this process's start.
+// begin has this process claim its share.
 func (s *quotaSharing) begin(now admission.Time) error {
 	s.plan.ApplyMutation()
 	if err := s.openHandover(); err != nil {
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// openHandover opens the folder by which the share passes on. Where another process holds it, this one begins with
-// nothing.
+// openHandover opens the handover file, if its folder is configured. If another process holds the file's lock, this process
+// doesn't take over any share.
 func (s *quotaSharing) openHandover() error {
 	folder := s.agent.config.Quota.Folder
 	if folder == "" {
@@ -127,8 +128,8 @@
 	return nil
 }
 
-// claim returns a core that claims the share under this process's start. It begins with nothing but what earlier
-// processes have surely given up.
+// claim returns a core that claims the share for this process's incarnation. The core takes over the share at once only from
+// predecessors that have surely ended, as listed in the handover file.
 func (s *quotaSharing) claim(now admission.Time) *quota.Core {
 	a := s.agent
 	start := a.members.Self().Incarnation
@@ -146,7 +147,7 @@
 	return core
 }
 
-// tick steps the core. A process that had to take a later start than it began with claims the share anew.
+// tick steps the core. If the process had to take a higher incarnation than it started with, it claims the share anew.
 func (s *quotaSharing) tick(now admission.Time) {
 	if s.synchronized != nil && s.synchronized.Incarnation() != s.agent.start {
 		s.synchronized.ReplaceCore(s.claim(now))
@@ -155,7 +156,7 @@
 	s.confirmShare(now)
 }
 
-// confirmShare records that the share is held, and logs that it may be used.
+// confirmShare records in the handover file that this process holds the share, and logs when the share may be used.
 func (s *quotaSharing) confirmShare(now admission.Time) {
 	if s.confirmed || s.synchronized == nil {
 		return
@@ -170,7 +171,8 @@
 	}
 }
 
-// leave gives the share up, or leaves it to the next process.
+// leave releases the share if none of it is in use or lent, and records that in the handover file. Otherwise the file keeps this
+// process's incarnation, so that the next process can take over the share.
 func (s *quotaSharing) leave() {
 	if s.synchronized == nil {
 		return
@@ -194,18 +196,19 @@
 	}
 }
 
-// handleMessage takes in a message on budgets. Where more of a budget may be used now, requests that wait for it are
-// sent at once.
+// handleMessage processes a message on budgets. If this gateway may now use more of a budget, it notifies the listener, so that
+// requests that wait for the budget are sent at once.
 func (s *quotaSharing) handleMessage(at admission.Time, m quota.Message) {
 	if s.shares != nil && s.shares.HandleMessage(at, m) {
 		s.agent.listener.HandleCapacityChange()
 	}
 }
 
-// quotaHost is what the quota's core acts on.
+// quotaHost implements quota.Host.
 type quotaHost struct{ agent *Agent }
 
-// Send sends a message of the core to a member, or to this gateway's own voter.
+// Send sends a message of the core to a member or to this gateway itself. It drops messages to members that are unknown, dead or have
+// left.
 func (h quotaHost) Send(to string, m quota.Message) {
 	a := h.agent
 	if to == a.name {
@@ -217,10 +220,10 @@
 	}
 }
 
-// Peers are the names of the members that are alive.
+// Peers returns the names of the other members that are alive.
 func (h quotaHost) Peers() []string { return h.agent.livingMembers() }
 
-// ReplaceQuota replaces the totals of the budgets, under a higher number: all of them or none.
+// ReplaceQuota replaces the totals of all budgets, under a higher revision. On an error it replaces none.
 func (a *Agent) ReplaceQuota(c *QuotaConfig) error {
 	s := a.quota
 	var err error
@@ -243,12 +246,12 @@
 	defer s.namesLock.Unlock()
 	for _, name := range names {
 		if !slices.Contains(s.names, name) {
-			s.names = append(s.names, name) // in the core's order
+			s.names = append(s.names, name) // the core appends new budgets in the same order
 		}
 	}
 }
 
-// recordTotals writes the totals in force into the history.
+// recordTotals writes the totals in force to the history. A budget that is no longer configured has the total 0.
 func (s *quotaSharing) recordTotals(c *QuotaConfig) {
 	s.namesLock.Lock()
 	names := slices.Clone(s.names)
@@ -268,7 +271,7 @@
 	return s.names[budget]
 }
 
-// status reads the budgets as this gateway has them.
+// status returns this gateway's state of the budgets.
 func (s *quotaSharing) status(now admission.Time) (out []BudgetStatus) {
 	if s.synchronized == nil {
 		return nil
--- a/internal/cluster/agent/quotause.go
+++ b/internal/cluster/agent/quotause.go
@@ -7,9 +7,9 @@
 	"magpiebank/internal/cluster/history"
 )
 
-// The methods of Agent in this file are the router owner's access to its share of the budgets.
+// The router's owner uses the gateway's share of the budgets through the methods of Agent in this file.
 
-// BudgetIndex is a budget's index by its name, and -1 where there is none.
+// BudgetIndex returns the index of the budget with a name, or -1 if there is none.
 func (a *Agent) BudgetIndex(name string) int {
 	if a.quota == nil {
 		return -1
@@ -19,7 +19,7 @@
 	return slices.Index(a.quota.names, name)
 }
 
-// quotaShares are the shares of budgets; nil: nothing is shared, or the agent hasn't started.
+// quotaShares returns the shares of the budgets, or nil if the gateways share no budgets or the agent hasn't started.
 func (a *Agent) quotaShares() quotaShares {
 	if a.quota == nil {
 		return nil
@@ -27,36 +27,36 @@
 	return a.quota.shares
 }
 
-// TryReserve reserves an amount of a budget, if this gateway's share allows it.
+// TryReserve reserves an amount of a budget and reports whether this gateway's share allowed it.
 func (a *Agent) TryReserve(now admission.Time, budget int, amount int64) bool {
 	shares := a.quotaShares()
 	return shares != nil && shares.TryReserve(now, budget, amount, a.quota.plan.LongestUse)
 }
 
-// CommitReservation uses what was reserved, as an attempt is sent.
+// CommitReservation uses an amount that was reserved, when an attempt is sent. It reports whether the amount was available.
 func (a *Agent) CommitReservation(now admission.Time, budget int, amount int64) bool {
 	return a.quota.use(now, budget, amount, a.quota.plan.LongestUse)
 }
 
-// use uses an amount of a budget for a time at most.
+// use uses an amount of a budget until Release, or until length has passed. It reports whether the amount was available.
 func (s *quotaSharing) use(now admission.Time, budget int, amount int64, length admission.Time) bool {
 	ok := s.shares != nil && s.shares.CommitReservation(now, budget, amount, length)
-	if !ok { // the attempt is sent all the same
+	if !ok { // the caller sends the attempt anyway
 		s.agent.log.Error("fleet", "code", "overrun", "budget", s.name(budget), "amount", amount)
 	}
 	s.agent.history.Write(history.Event{Kind: history.BudgetUsed, Code: s.name(budget), Number: int(amount), ValidNanos: duration(length).Nanoseconds()})
 	return ok
 }
 
-// Release ends a use.
+// Release ends the use of an amount of a budget.
 func (a *Agent) Release(now admission.Time, budget int, amount int64) {
 	if a.quota.shares.Release(now, budget, amount) {
-		a.queue.Put(quotaDemandChanged{}) // other gateways asked for it in vain and are told at once
+		a.queue.Put(quotaDemandChanged{}) // wakes the agent's goroutine, which at once informs the gateways whose requests for units failed
 	}
 	a.history.Write(history.Event{Kind: history.BudgetReleased, Code: a.quota.name(budget), Number: int(amount)})
 }
 
-// SetDemand reports what waiting requests would use.
+// SetDemand sets the amount of a budget that waiting requests need.
 func (a *Agent) SetDemand(now admission.Time, budget int, amount int64) {
 	shares := a.quotaShares()
 	if shares == nil {
@@ -64,14 +64,15 @@
 	}
 	shares.SetDemand(now, budget, amount)
 	if amount > 0 {
-		a.queue.Put(quotaDemandChanged{}) // it is asked for at once
+		a.queue.Put(quotaDemandChanged{}) // wakes the agent's goroutine, which at once requests missing units from other gateways
 	}
 }
 
-// rateRecordInterval is the time after which a rate is written into the history again though it is the same.
+// rateRecordInterval is the time after which an unchanged rate is written to the history again.
 const rateRecordInterval = admission.Second / 2
 
-// ReserveRate uses a budget that is a rate, up to an amount, and returns the units a second that this gateway may use.
+// ReserveRate uses up to need units of a budget that is a rate. It returns the units per second that this gateway may use until the
+// next call.
 func (a *Agent) ReserveRate(now admission.Time, budget int, need int64) int64 {
 	shares := a.quotaShares()
 	if shares == nil {
@@ -90,7 +91,7 @@
 	return rate
 }
 
-// ScaleTotal reduces a total to a fraction of itself.
+// ScaleTotal scales the configured total of a budget by a fraction.
 func (a *Agent) ScaleTotal(now admission.Time, budget int, fraction float64) {
 	if shares := a.quotaShares(); shares != nil {
 		shares.ScaleTotal(now, budget, fraction)
--- a/internal/cluster/agent/replaywindow.go
+++ b/internal/cluster/agent/replaywindow.go
@@ -1,18 +1,18 @@
 package agent
 
-// replayWindowBits is how many of a process's latest datagrams are remembered.
+// replayWindowBits is the number of latest sequence numbers of a process that a replayWindow covers.
 const replayWindowBits = 64
 
-// replayWindow tells repeated datagrams of a gateway from new ones. It holds the latest process of the gateway and, as
-// a bit set, which of that process's last 64 sequence numbers have arrived.
+// replayWindow detects repeated datagrams of a gateway. It holds the incarnation of the gateway's latest process and a bit set of
+// that process's last 64 sequence numbers that have arrived.
 type replayWindow struct {
-	start   uint64 // of the process
-	highest uint64 // sequence number
-	arrived uint64 // bit i: highest-i has arrived
+	start   uint64 // incarnation of the process
+	highest uint64 // highest sequence number that has arrived
+	arrived uint64 // bit i: sequence number highest-i has arrived
 }
 
-// accept records a sequence number. It returns false for one that has arrived before, that is too old to tell, or that
-// is of an earlier process.
+// accept records the sequence number of a datagram. It returns false if the number has arrived before, is older than the window,
+// or belongs to an earlier process.
 func (w *replayWindow) accept(start, sequence uint64) bool {
 	switch {
 	case start < w.start:
--- a/internal/cluster/agent/slowstart.go
+++ b/internal/cluster/agent/slowstart.go
@@ -9,16 +9,18 @@
 	"magpiebank/internal/admission"
 )
 
-// What an engine that has just started may be sent, within the time after which it would be overloaded, is a budget of
-// all gateways. Engines come and go, so there is a fixed number of such budgets, as many as engines may start at a time
-// without sharing one. An engine's budget is found by the hash of its name; two engines at one budget have half each.
+// An engine that has just started fails if the gateways together send it too much within a time window. What they may send it is
+// therefore a budget that all gateways share. Engines come and go, so there is a fixed number of such budgets: the number of engines
+// that may start at the same time without sharing one. An engine's budget is found by the hash of its name. If two starting engines
+// share a budget, each can be sent half.
 const (
 	slowStartBudgets = 8
-	// slowStartUnits divides a budget. Finer units fit requests better, but cost a request more leases.
+	// slowStartUnits is the number of units of a budget. Smaller units fit the size of requests better, but a request then needs more
+	// leases.
 	slowStartUnits = 12
 )
 
-// SlowStartBudgets are the names and totals of the budgets for engines that have just started.
+// SlowStartBudgets returns the names and totals of the budgets for engines that have just started.
 func SlowStartBudgets() (names []string, totals []int64) {
 	for i := range slowStartBudgets {
 		names = append(names, fmt.Sprint("cold ", i))
@@ -27,32 +29,32 @@
 	return names, totals
 }
 
-// slowStart reserves units of the budgets for engines that have just started. It is the router owner's.
+// slowStart reserves units of the budgets for engines that have just started. Only the router's owner uses it.
 type slowStart struct {
 	agent   *Agent
-	useTime admission.Time // for which units count once they are used
+	useTime admission.Time // how long units stay in use after an attempt was sent
 	budgets [slowStartBudgets]slowStartBudget
 
-	// What was reserved last, for the attempt that follows.
-	engine admission.EngineID // empty: nothing
-	slot   int                // in budgets
+	// The last reservation, which the next attempt at the engine uses.
+	engine admission.EngineID // empty: there is no reservation
+	slot   int                // index in budgets
 	units  int64
 }
 
-// slowStartBudget is what this gateway wants of one budget.
+// slowStartBudget is this gateway's demand for one budget.
 type slowStartBudget struct {
-	index    int            // among all budgets
-	wanted   int64          // units
-	wantedAt admission.Time // when they were wanted last
-	reported bool           // something is wanted or reserved
+	index    int            // index among all budgets
+	wanted   int64          // units that the last failed reservation needed
+	wantedAt admission.Time // when that reservation failed
+	reported bool           // the next Tick has to call SetDemand even if nothing is wanted, to withdraw a demand or free a reservation
 }
 
 func newSlowStart(a *Agent) *slowStart {
 	if !a.config.Quota.SlowStart {
 		return nil
 	}
-	// Units count half as long again as the time after which an engine is overloaded, because an attempt that waited
-	// for its connection may arrive in the same window as a later one that did not.
+	// Units stay in use for one and a half times the window in which an engine can be overloaded, because an attempt that has
+	// to wait for its connection may arrive in the same window as a later attempt that doesn't.
 	s := &slowStart{agent: a, useTime: a.quota.overloadTime + a.quota.overloadTime/2}
 	names, _ := SlowStartBudgets()
 	for i := range s.budgets {
@@ -61,8 +63,9 @@
 	return s
 }
 
-// TryReserveSlowStart reserves a fraction of what an engine that has just started may be sent, for the next attempt.
-// Where none is this gateway's, it is asked for. The result shared is false where these budgets aren't shared.
+// TryReserveSlowStart reserves a fraction of what an engine that has just started may be sent, for the next attempt. If this
+// gateway's share isn't enough, Tick requests the units from the other gateways. The result shared is false if the gateways share
+// no slow start budgets.
 func (a *Agent) TryReserveSlowStart(now admission.Time, engine admission.EngineID, fraction float64) (reserved, shared bool) {
 	s := a.slowStart
 	if s == nil {
@@ -83,7 +86,7 @@
 	return true, true
 }
 
-// recordAttempt uses what was reserved last, if it was for the engine that an attempt was sent to.
+// recordAttempt uses the last reservation if it was made for the engine that an attempt was sent to.
 func (s *slowStart) recordAttempt(now admission.Time, engine admission.EngineID) {
 	if s == nil || s.engine != engine {
 		return
@@ -92,10 +95,11 @@
 	s.engine = ""
 }
 
-// slowStartWantTime is how long units are wanted for: longer than the pause between two looks of waiting requests.
+// slowStartWantTime is how long demand for units lasts after a failed reservation. It is longer than the time between two
+// attempts of a waiting request to reserve them.
 const slowStartWantTime = 3 * admission.Second / 10
 
-// Tick reports what is wanted, and frees what was reserved and not used. The router's owner calls it.
+// Tick reports the demand for slow start budgets, and frees units that were reserved but not used. The router's owner calls it.
 func (a *Agent) Tick(now admission.Time) {
 	s := a.slowStart
 	if s == nil {
--- a/internal/cluster/agent/status.go
+++ b/internal/cluster/agent/status.go
@@ -8,86 +8,86 @@
 	"magpiebank/internal/admission"
 )
 
-// Status is what a gateway reports of itself and the others over its control socket.
+// Status is a gateway's report on itself and the other gateways over its control socket.
 type Status struct {
 	Name                string         `json:"name"`
-	Start               uint64         `json:"start"` // of its process
+	Start               uint64         `json:"start"` // incarnation of its process
 	Address             string         `json:"address"`
-	Displaced           bool           `json:"quiet"`  // another process has its name, and it takes no part
-	SuspicionMultiplier int            `json:"health"` // how many times more slowly than usual it suspects others
-	Lost                int            `json:"lost"`   // members
-	Sent                int64          `json:"sent"`   // datagrams
-	Received            int64          `json:"heard"`  // datagrams
+	Displaced           bool           `json:"quiet"`  // a later process has its name, so it doesn't take part in the cluster
+	SuspicionMultiplier int            `json:"health"` // membership.Core.LocalHealth: how many times slower than usual it suspects, from 0
+	Lost                int            `json:"lost"`   // number of members that died without leaving
+	Sent                int64          `json:"sent"`   // number of datagrams sent
+	Received            int64          `json:"heard"`  // number of valid datagrams received
 	Members             []MemberStatus `json:"members"`
 	Engines             []EngineStatus `json:"engines"`
-	Dropped             map[string]int `json:"dropped"` // datagrams since the last log line, by reason
-	EjectionShare       float64        `json:"share"`   // of the engines, that reports of others may eject
+	Dropped             map[string]int `json:"dropped"` // number of datagrams dropped since the last log line on them, by reason
+	EjectionShare       float64        `json:"share"`   // share of the engines that reports of other gateways may eject
 	Budgets             []BudgetStatus `json:"budgets,omitempty"`
 	Counts              *CountStatus   `json:"counts,omitempty"`
 }
 
-// MemberStatus is one other member.
+// MemberStatus is the state of another member.
 type MemberStatus struct {
 	Name         string  `json:"name"`
 	State        string  `json:"state"`
 	Start        uint64  `json:"start"`
 	Address      string  `json:"address"`
-	StateSeconds float64 `json:"seconds"` // since it came to that state
+	StateSeconds float64 `json:"seconds"` // time since it entered that state
 }
 
-// BudgetStatus is one budget as this gateway has it, in units of its resource.
+// BudgetStatus is this gateway's state of a budget, in units of the budget's resource.
 type BudgetStatus struct {
-	Budget       string             `json:"budget"` // the class and the resource that is shared of it
+	Budget       string             `json:"budget"` // the class and the resource that the budget limits for it
 	Total        int64              `json:"total"`
 	LocalShare   int64              `json:"own"`
 	Lent         int64              `json:"lent"`
 	Borrowed     int64              `json:"borrowed"`
 	Used         int64              `json:"used"`
 	Wanted       int64              `json:"wanted"`
-	ShareSeconds float64            `json:"seat"` // for which the share is held without another message; -1: it is not held
+	ShareSeconds float64            `json:"seat"` // time for which the gateway holds its share without another message; -1: it doesn't hold it
 	Peers        []BudgetPeerStatus `json:"parts"`
 }
 
-// BudgetPeerStatus is what one other gateway and this one have lent each other of a budget.
+// BudgetPeerStatus is what another gateway and this one have lent each other of a budget.
 type BudgetPeerStatus struct {
 	Member        string  `json:"member"`
 	Lent          int64   `json:"lent"`
 	Borrowed      int64   `json:"borrowed"`
-	LeaseSeconds  float64 `json:"ends"`  // until the first lease ends, unless it is renewed
-	Lendable      int64   `json:"spare"` // what it last reported that it could lend
-	ReportSeconds float64 `json:"told"`  // since that report; -1: there was none
+	LeaseSeconds  float64 `json:"ends"`  // time until the first of these leases ends, unless it is renewed
+	Lendable      int64   `json:"spare"` // units that the other gateway last announced that it could lend
+	ReportSeconds float64 `json:"told"`  // time since that announcement; -1: there was none
 }
 
-// EngineStatus is one engine. Ages are in seconds; -1: there is none, or not lately.
+// EngineStatus is what is known of an engine. A time of -1 means that the event hasn't happened lately, or never.
 type EngineStatus struct {
 	Engine           string  `json:"engine"`
-	AnsweredSeconds  float64 `json:"answered"` // since this gateway's own last answer
-	FailedSeconds    float64 `json:"failed"`   // since this gateway's own last failure
-	Failure          string  `json:"how"`      // the kind of that failure
+	AnsweredSeconds  float64 `json:"answered"` // time since the engine last answered this gateway
+	FailedSeconds    float64 `json:"failed"`   // time since an attempt of this gateway last failed
+	Failure          string  `json:"how"`      // kind of that failure; empty: none lately
 	FailureScore     float64 `json:"against"`
 	Witnesses        int     `json:"witnesses"`
-	ReportedFailures string  `json:"heard"`  // how it last failed for others, as "2 erred, 1 unreached"
-	ReportSeconds    float64 `json:"report"` // since the latest report that was received
+	ReportedFailures string  `json:"heard"`  // the last failures at other gateways by kind, for example "2 erred, 1 unreached"
+	ReportSeconds    float64 `json:"report"` // age of the latest load report that other gateways sent
 }
 
-// CountStatus are the counts of requests at all gateways, as of some seconds ago. They are intervals that contain the
-// true figure, as low and high; a high of -1 is no bound.
+// CountStatus holds the counts of requests at all gateways, as of some seconds ago. Each count is an interval, low and high, that
+// contains the true value. A high value of -1 means that there is no upper limit.
 type CountStatus struct {
 	AgeSeconds     float64     `json:"age"`
-	KnownGateways  int         `json:"heard"`  // gateways whose counts are known for that time
-	SilentGateways int         `json:"silent"` // those that may have had anything
+	KnownGateways  int         `json:"heard"`  // number of gateways whose counts are known for that time
+	SilentGateways int         `json:"silent"` // number of gateways whose counts are unknown; the intervals allow for any counts of theirs
 	Lines          []CountLine `json:"lines"`
 }
 
-// CountLine is one class, policy class or engine, or all of them.
+// CountLine holds the counts of one class, policy class or engine, or of all requests.
 type CountLine struct {
 	Subject  string   `json:"of"`
 	Waiting  [2]int64 `json:"waits"`
 	Running  [2]int64 `json:"runs"`
-	Attempts [2]int64 `json:"handed_off"` // since the gateways' starts
+	Attempts [2]int64 `json:"handed_off"` // attempts since the gateways' processes started
 }
 
-// seconds rounds a span of the decisions' clock to tenths of a second. A negative one, which is none, becomes -1.
+// seconds converts a time span to seconds, rounded to tenths. A negative span, which stands for none, becomes -1.
 func seconds(t admission.Time) float64 {
 	if t < 0 {
 		return -1
@@ -95,7 +95,7 @@
 	return math.Round(10*float64(t)/float64(admission.Second)) / 10
 }
 
-// status reads the state, in the agent's goroutine.
+// status returns the gateway's status. The agent's goroutine calls it.
 func (a *Agent) status(now admission.Time) *Status {
 	self := a.members.Self()
 	status := &Status{
@@ -126,7 +126,7 @@
 	return status
 }
 
-// status reads what is known of engines.
+// status returns what is known of the listed engines.
 func (s *healthSharing) status(now admission.Time) (out []EngineStatus) {
 	for _, line := range s.reports.Status(now) {
 		engine := EngineStatus{
@@ -146,7 +146,7 @@
 	return out
 }
 
-// summarizeFailures counts how an engine has failed for others.
+// summarizeFailures counts the failures of an engine at other gateways by kind.
 func summarizeFailures(failures []admission.Observation) string {
 	var counts []string
 	for kind := admission.Erred; kind <= admission.Unreached; kind++ {
--- a/internal/cluster/agent/statustext.go
+++ b/internal/cluster/agent/statustext.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// WriteText writes a state as tables.
+// WriteText writes the status as text tables.
 func (s *Status) WriteText(out io.Writer) {
 	displaced := ""
 	if s.Displaced {
-		displaced = "; displaced: a later process has its name, and it takes no part"
+		displaced = "; displaced: a later process has its name, so it doesn't take part in the cluster"
 	}
-	fmt.Fprintf(out, "%s at %s, start %d: %d members known, %d of them lost; judges %d times slower than usual%s\n", s.Name, s.Address, s.Start, len(s.Members), s.Lost,
+	fmt.Fprintf(out, "%s at %s, start %d: %d members known, %d of them lost; suspects others %d times slower than usual%s\n", s.Name, s.Address, s.Start, len(s.Members), s.Lost,
 		s.SuspicionMultiplier, displaced)
-	fmt.Fprintf(out, "%d datagrams sent, %d taken in; dropped since the last line in the log: %v\n\n", s.Sent, s.Received, s.Dropped)
+	fmt.Fprintf(out, "%d datagrams sent, %d received; dropped since the last log line on them: %v\n\n", s.Sent, s.Received, s.Dropped)
 	fmt.Fprintf(out, "%-20s %-8s %10s  %s\n", "member", "state", "since s", "address")
 	for _, m := range s.Members {
 		fmt.Fprintf(out, "%-20s %-8s %10.1f  %s\n", m.Name, m.State, m.StateSeconds, m.Address)
@@ -34,7 +34,7 @@
 	}
 }
 
-// formatAge formats an age in seconds; a negative one is none.
+// formatAge formats an age in seconds. A negative age stands for none and becomes "-".
 func formatAge(seconds float64) string {
 	if seconds < 0 {
 		return "-"
@@ -42,10 +42,11 @@
 	return fmt.Sprintf("%.1f", seconds)
 }
 
-// WriteBudgets writes budgets member by member, and the counts of all gateways by class.
+// WriteBudgets writes the budgets, for each of them what every other member has lent and borrowed, and the counts of requests at
+// all gateways.
 func (s *Status) WriteBudgets(out io.Writer) {
 	if len(s.Budgets) == 0 {
-		fmt.Fprintf(out, "%s shares no budget\n", s.Name)
+		fmt.Fprintf(out, "%s shares no budgets\n", s.Name)
 		return
 	}
 	s.writeBudgetTable(out)
@@ -68,14 +69,14 @@
 }
 
 func (c *CountStatus) writeText(out io.Writer) {
-	fmt.Fprintf(out, "\ncounts of the fleet as of %.1f s ago: %d gateways heard, %d silent\n", c.AgeSeconds, c.KnownGateways, c.SilentGateways)
+	fmt.Fprintf(out, "\ncounts of the fleet as of %.1f s ago: %d gateways known, %d unknown\n", c.AgeSeconds, c.KnownGateways, c.SilentGateways)
 	fmt.Fprintf(out, "%-28s %12s %12s %16s\n", "of", "waits", "runs", "handed off")
 	for _, l := range c.Lines {
 		fmt.Fprintf(out, "%-28s %12s %12s %16s\n", l.Subject, formatInterval(l.Waiting), formatInterval(l.Running), formatInterval(l.Attempts))
 	}
 }
 
-// formatInterval formats a low and a high bound; a negative high one is none.
+// formatInterval formats an interval of a low and a high value. A negative high value means that there is no upper limit.
 func formatInterval(bounds [2]int64) string {
 	low, high := bounds[0], bounds[1]
 	switch {
@@ -87,24 +88,24 @@
 	return fmt.Sprintf("%d to %d", low, high)
 }
 
-// WriteText writes what a gateway knows of policies.
+// WriteText writes the gateway's state of the policy rollout as text.
 func (s *PolicyStatus) WriteText(out io.Writer) {
 	lease := fmt.Sprintf("lease for %.1f s", s.LeaseSeconds)
 	if s.LeaseSeconds == 0 {
-		lease = "NO LEASE: tasks that a class of any policy has to do with are turned away"
+		lease = "NO LEASE: requests to which a class of any policy applies are rejected"
 	}
-	fmt.Fprintf(out, "%s goes by number %d, %s; %s\n", s.Name, s.Number, s.Digest, lease)
+	fmt.Fprintf(out, "%s applies policy %d, %s; %s\n", s.Name, s.Number, s.Digest, lease)
 	if s.DecidedNumber != s.Number {
-		fmt.Fprintf(out, "number %d is decided\n", s.DecidedNumber)
+		fmt.Fprintf(out, "policy %d is decided\n", s.DecidedNumber)
 	}
 	if s.UnusableDigest != "" {
-		fmt.Fprintf(out, "it can't follow %s: its log says why\n", s.UnusableDigest)
+		fmt.Fprintf(out, "it can't apply policy %s: its log has the reason\n", s.UnusableDigest)
 	}
 	role := ""
 	if s.IsVoter {
 		role = "; it is one of them"
 	} else if s.IsLearner {
-		role = "; it is to be one of them, and is not yet"
+		role = "; it is becoming one of them"
 	}
 	leader := s.Leader
 	if leader == "" {
@@ -122,13 +123,13 @@
 	}
 }
 
-// formatReadiness says whether the gateway is ready for the open proposal.
+// formatReadiness describes whether the gateway is ready for the open proposal.
 func (s *PolicyStatus) formatReadiness() string {
 	switch {
 	case s.Ready:
 		return "ready for it"
 	case s.Reason != "":
-		return "refuses it: " + s.Reason
+		return "rejects it: " + s.Reason
 	}
 	return "not ready for it"
 }
@@ -144,7 +145,7 @@
 	}
 }
 
-// WriteHistory writes the policies that were in force, and how proposals ended.
+// WriteHistory writes the policies that were in force and the outcomes of proposals.
 func (s *PolicyStatus) WriteHistory(out io.Writer) {
 	fmt.Fprintf(out, "%7s  %-12s %8s  %-9s %-20s %s\n", "number", "digest", "bytes", "kind", "by", "at")
 	for _, r := range s.Records {
--- a/internal/cluster/agent/transport.go
+++ b/internal/cluster/agent/transport.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// maxQueuedDatagrams bounds the datagrams that wait for the agent's goroutine: a second of all that 500 members send.
+	// maxQueuedDatagrams limits the datagrams that wait for the agent's goroutine. It is enough for all that 500 members send in a
+	// second.
 	maxQueuedDatagrams = 4096
-	// maxReplayWindows bounds the senders that are remembered.
+	// maxReplayWindows limits the number of senders that have a replay window.
 	maxReplayWindows = 2048
-	// dropLogInterval is the least time between two log lines on dropped datagrams.
+	// dropLogInterval is the shortest time between two log lines on dropped datagrams.
 	dropLogInterval = time.Minute
 )
 
-// transport is the UDP socket with what is counted of datagrams.
+// transport sends and receives datagrams over a UDP socket, and counts them.
 type transport struct {
 	agent  *Agent
 	sealer *sealer
 	socket *net.UDPConn
 	queued atomic.Int32 // datagrams that wait for the agent's goroutine
 
-	sequence uint64 // of the datagram that was sent last
-	sent     int64
-	received int64
-	windows  map[string]*replayWindow // by sender
-	dropped  map[error]int            // since the last log line, by reason
-	loggedAt time.Time
+	sequence uint64                   // sequence number of the last datagram that was sealed
+	sent     int64                    // number of datagrams sent
+	received int64                    // number of valid datagrams received
+	windows  map[string]*replayWindow // by name of the sender
+	dropped  map[error]int            // number of datagrams dropped since the last log line on them, by reason
+	loggedAt time.Time                // when dropped datagrams were last checked for a log line
 }
 
 func newTransport(a *Agent, key *sealer) transport {
@@ -51,8 +52,8 @@
 	return err
 }
 
-// receiveDatagrams reads datagrams until the socket is closed. It notes their time, which may be long before the
-// agent's goroutine gets to them.
+// receiveDatagrams reads datagrams until the socket is closed, in a goroutine of its own. It queues each with its time of arrival,
+// which may be long before the agent's goroutine handles it. It drops datagrams while the queue is full.
 func (a *Agent) receiveDatagrams() {
 	for {
 		buffer := make([]byte, maxDatagramBytes+1)
@@ -61,7 +62,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(tickInterval) // the socket reports a datagram of ours that a peer's machine refused as an error
+			time.Sleep(tickInterval) // Read returns an error if a peer's machine rejected a datagram that this socket sent
 			continue
 		}
 		if a.transport.queued.Load() >= maxQueuedDatagrams {
@@ -72,7 +73,8 @@
 	}
 }
 
-// send writes one datagram with one section and returns its size in bytes. One that can't be sent counts as lost.
+// send sends one datagram with one section and returns its size in bytes. Like a datagram that the network loses, one that can't be
+// written is dropped without an error.
 func (t *transport) send(to string, kind sectionKind, payload []byte) int {
 	address, err := netip.ParseAddrPort(to)
 	if err != nil {
@@ -90,11 +92,11 @@
 		return 0
 	}
 	t.sent++
-	_, _ = t.socket.WriteToUDPAddrPort(datagram, address) // as if the network had lost it
+	_, _ = t.socket.WriteToUDPAddrPort(datagram, address) // an error has the same effect as a loss in the network
 	return len(datagram)
 }
 
-// open opens a datagram and checks that it isn't a repetition.
+// open decrypts and decodes a datagram and checks that it isn't a replay.
 func (t *transport) open(datagram []byte) (*envelope, error) {
 	e, err := t.sealer.open(datagram)
 	if err != nil {
@@ -103,19 +105,20 @@
 	window := t.windows[e.sender]
 	if window == nil {
 		if len(t.windows) >= maxReplayWindows {
-			clear(t.windows) // names come and go; those that are there are heard again
+			clear(t.windows) // drops departed senders; active ones get a new window with their next datagram
 		}
 		window = &replayWindow{}
 		t.windows[e.sender] = window
 	}
-	// An earlier process under the name isn't dropped: it is told that it is displaced.
+	// A datagram of an earlier process under the same name isn't dropped, because the membership core has to answer that the
+	// process is displaced.
 	if !window.accept(e.start, e.sequence) && e.start >= window.start {
 		return nil, errReplayed
 	}
 	return e, nil
 }
 
-// logDropped logs the datagrams that were dropped, one line a minute at most.
+// logDropped logs the number of dropped datagrams, with at most one line per dropLogInterval.
 func (t *transport) logDropped() {
 	if time.Since(t.loggedAt) < dropLogInterval {
 		return
@@ -132,7 +135,8 @@
 	clear(t.dropped)
 }
 
-// handleDatagram hands the sections of a datagram to their cores. One with a malformed section counts as dropped.
+// handleDatagram passes the sections of a datagram to their cores. A datagram with a malformed section counts as dropped, but its
+// other sections are still handled.
 func (a *Agent) handleDatagram(at admission.Time, datagram []byte) {
 	e, err := a.transport.open(datagram)
 	a.wake.recordWake(at, a.history)
@@ -155,8 +159,8 @@
 	a.transport.received++
 }
 
-// handleSection hands one section to its core and returns whether it was well formed. A displaced gateway takes in
-// membership and health reports alone.
+// handleSection passes one section to its core and reports whether it was well formed. A displaced gateway handles only membership
+// messages and health reports. Sections of unknown kinds and of cores that aren't in use are ignored.
 func (a *Agent) handleSection(at admission.Time, e *envelope, one section) bool {
 	displaced := a.members.IsInactive()
 	switch one.kind {
@@ -186,7 +190,7 @@
 	return true
 }
 
-// livingMembers are the names of the other members that are alive.
+// livingMembers returns the names of the other members that are alive.
 func (a *Agent) livingMembers() (names []string) {
 	for _, m := range a.members.Members() {
 		if m.State == membership.Alive {
--- a/internal/cluster/agent/wakemonitor_test.go
+++ b/internal/cluster/agent/wakemonitor_test.go
@@ -8,7 +8,7 @@
 	"magpiebank/internal/cluster/history"
 )
 
-// A goroutine that was woken late says so once in the history, and one in time says nothing.
+// A run of the goroutine that is late adds one event to the history, and one that is in time adds none.
 func TestLateWakeIsWrittenDown(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "g0.history")
 	writer, err := history.Open(path, "g0", 1)
@@ -26,6 +26,6 @@
 	}
 	events, err := history.MergeFiles(path)
 	if err != nil || len(events) != 1 || events[0].Kind != history.LateWake || events[0].AgeNanos < int64(time.Second) {
-		t.Errorf("found %+v, %v", events, err)
+		t.Errorf("expected one LateWake event of a second or more, found %+v, error %v", events, err)
 	}
 }
--- a/internal/cluster/history/format_test.go
+++ b/internal/cluster/history/format_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Kinds are what tools search for in files of any version.
+// Tools search for kinds in files of any version, so the values must not change.
 func TestKindsAreThoseOfEarlierVersion(t *testing.T) {
 	kinds := []Kind{ProcessStarted, StartChanged, MemberChanged, EngineListed, OutcomeObserved, PeerOutcomeReceived, EngineAssessed, AttemptSent, RateGranted, TotalChanged, BudgetUsed,
 		BudgetReleased, RequestsCounted, CountersRead, PolicyChanged, RequestDecided, AttemptWritten, LateWake, ProcessStopped}
--- a/internal/cluster/history/history.go
+++ b/internal/cluster/history/history.go
@@ -1,82 +1,88 @@
-// Package history records what processes of a cluster of gateways decided, as lines of JSON, for a checker to merge and
-// read. All times are CLOCK_MONOTONIC, which is one clock for all processes of a machine, whatever their own clocks say.
+// Package history records what the processes of a cluster of gateways observed and decided, as lines of JSON. Checkers of the testbed
+// merge and read the histories of all processes. All times are CLOCK_MONOTONIC, which is the same clock for all processes of a
+// machine, even if a process runs with a shifted wall clock.
 package history
 
 import "golang.org/x/sys/unix"
 
-// Event is one line. Kind says which of the other fields it has. The JSON names are those of earlier versions.
+// Event is one line of a history. Kind determines which of the other fields are set. The JSON names are those of earlier versions.
 type Event struct {
 	At           int64   `json:"at"` // nanoseconds, CLOCK_MONOTONIC
 	Process      string  `json:"process"`
-	Start        uint64  `json:"start"` // of the process
+	Start        uint64  `json:"start"` // incarnation with which the process started
 	Kind         Kind    `json:"what"`
-	Label        string  `json:"-"` // of the file that the line stood in; set by MergeFiles
+	Label        string  `json:"-"` // name of the file that contains the line, without its extension; set by MergeFiles
 	Code         string  `json:"code,omitempty"`
-	Member       string  `json:"member,omitempty"` // that the event is about, or from
-	Detail       uint64  `json:"of,omitempty"`     // the start of that member, or what Kind says
+	Member       string  `json:"member,omitempty"` // name of the member that the event concerns or comes from
+	Detail       uint64  `json:"of,omitempty"`     // incarnation of that member, unless the comment on Kind's value says otherwise
 	State        string  `json:"state,omitempty"`
 	Engine       string  `json:"engine,omitempty"`
-	EngineStart  int64   `json:"since,omitempty"`
+	EngineStart  int64   `json:"since,omitempty"` // admission.Time at which the engine started
 	Request      string  `json:"task,omitempty"`
-	AgeNanos     int64   `json:"age,omitempty"` // of what was received
+	AgeNanos     int64   `json:"age,omitempty"` // age of a received observation, unless the comment on Kind's value says otherwise
 	Success      bool    `json:"good,omitempty"`
 	FailureScore float64 `json:"against,omitempty"`
-	Ejects       bool    `json:"out,omitempty"`    // what was found ejects the engine by itself, or what Kind says
-	Number       int     `json:"number,omitempty"` // of witnesses, or what Kind says
+	Ejects       bool    `json:"out,omitempty"`    // the assessment alone ejects the engine, unless the comment on Kind's value says otherwise
+	Number       int     `json:"number,omitempty"` // number of witnesses, unless the comment on Kind's value says otherwise
 	High         int     `json:"most,omitempty"`
-	ObservedAt   int64   `json:"as_of,omitempty"` // when the process looked at its clock for the event, which may be long before it wrote
-	ValidNanos   int64   `json:"until,omitempty"` // from ObservedAt on
+	ObservedAt   int64   `json:"as_of,omitempty"` // when the process read the state that the event rests on, possibly long before At
+	ValidNanos   int64   `json:"until,omitempty"` // time from ObservedAt, or from At if ObservedAt isn't set, for which the event holds
 }
 
-// Kind says what an event records; it is the "what" of the file's line.
+// Kind is the kind of an event, stored under "what".
 type Kind string
 
-// Kinds of events, with the fields of Event that each of them fills.
+// The kinds of events, each with the fields of Event that it sets.
 const (
-	// ProcessStarted: the process takes part. Number is the share of engines that reports of others may eject, in
-	// thousandths; State is its address.
+	// ProcessStarted means that the process has joined. Number is the share of the engines that reports of other gateways may
+	// eject, in thousandths; State is the address of the process.
 	ProcessStarted Kind = "began"
-	// StartChanged: the process goes by another start from now on, Of.
+	// StartChanged means that the process has a new incarnation from now on: Detail.
 	StartChanged Kind = "renamed"
-	// MemberChanged: Code, Member, Of, State.
+	// MemberChanged means that the state of Member with incarnation Detail has changed to State. Code is the
+	// membership.EventCode.
 	MemberChanged Kind = "member"
-	// EngineListed: Engine, EngineStart and State of the process's own endpoint list.
+	// EngineListed means that the process's own endpoint list has a new EngineStart or State for Engine.
 	EngineListed Kind = "listed"
-	// OutcomeObserved: Engine, EngineStart and Success of an outcome of its own.
+	// OutcomeObserved is the outcome of an attempt of the process itself at Engine: EngineStart, Success.
 	OutcomeObserved Kind = "saw"
-	// PeerOutcomeReceived: Member, Of, Engine, EngineStart, AgeNanos and Success of an outcome that a member reported.
+	// PeerOutcomeReceived is an outcome that Member with incarnation Detail reported: Engine, EngineStart, AgeNanos, Success.
 	PeerOutcomeReceived Kind = "heard"
-	// EngineAssessed: Engine, EngineStart, FailureScore, Number, Out, ObservedAt, ValidNanos.
+	// EngineAssessed is a changed finding on Engine from the reports of other gateways: EngineStart, FailureScore, Number, Ejects,
+	// ObservedAt, ValidNanos.
 	EngineAssessed Kind = "found"
-	// AttemptSent: Engine, Request, ObservedAt.
+	// AttemptSent means that an attempt of Request was sent to Engine at ObservedAt.
 	AttemptSent Kind = "sent"
-	// RateGranted: Number is how much a second of the budget Code the process has now.
+	// RateGranted means that the process may use Number units per second of the budget Code, for ValidNanos.
 	RateGranted Kind = "rate"
-	// TotalChanged: Number is the total of the budget Code, and Of the number under which it is.
+	// TotalChanged means that the budget Code has the total Number under the revision Detail.
 	TotalChanged Kind = "total"
-	// BudgetUsed: Number is how much of the budget Code is used, for ValidNanos at the longest.
+	// BudgetUsed means that Number units of the budget Code are in use, for ValidNanos at most.
 	BudgetUsed Kind = "took"
-	// BudgetReleased: Number is how much of the budget Code is used no longer.
+	// BudgetReleased means that Number units of the budget Code are no longer in use.
 	BudgetReleased Kind = "done"
-	// RequestsCounted: Number requests wait and High run.
+	// RequestsCounted means that Number requests wait and High requests run at the process.
 	RequestsCounted Kind = "counted"
-	// CountersRead: Number to High is what all processes together had of Code, "waits" or "runs", AgeNanos ago; a negative
-	// High is no bound. Of is the number of processes that weren't heard.
+	// CountersRead means that, AgeNanos ago, between Number and High requests of all processes were waiting (Code "waits") or
+	// running (Code "runs"). A negative High means that there is no upper limit. Detail is the number of processes whose counts
+	// are unknown.
 	CountersRead Kind = "reading"
-	// PolicyChanged: Number is the policy that the process follows, Code its digest, Of its era; Success: it has a lease.
+	// PolicyChanged means that the process applies policy Number with the digest Code and the era Detail. Success: it holds a
+	// lease.
 	PolicyChanged Kind = "stands"
-	// RequestDecided: Code is taken, refused, crowded, sent or unsure; Number is the policy by which Request was decided
-	// (-1: none); Out: the proposal after it allows the same.
+	// RequestDecided is a decision on Request at ObservedAt. Code is taken, refused, crowded, sent or unsure. Number is the policy
+	// that the decision rests on (-1: none). Ejects: the decision rests on the proposed policy as
+	// well.
 	RequestDecided Kind = "decided"
-	// AttemptWritten: an attempt of Request that was decided is written.
+	// AttemptWritten means that an attempt of Request has been written to its engine.
 	AttemptWritten Kind = "wrote"
-	// LateWake: the process looked at what is due AgeNanos after it had looked before, far more than its interval.
+	// LateWake means that the agent's goroutine ran AgeNanos after its previous run, far more than its interval.
 	LateWake Kind = "woke"
-	// ProcessStopped: the process stopped by itself.
+	// ProcessStopped means that the process stopped in an orderly way.
 	ProcessStopped Kind = "ended"
 )
 
-// Now returns the time by the clock of all histories, in nanoseconds.
+// Now returns the current time on the clock of all histories, CLOCK_MONOTONIC, in nanoseconds.
 func Now() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) != nil {
--- a/internal/cluster/history/history_test.go
+++ b/internal/cluster/history/history_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// writeEvents writes events of a process, and one after its end, which goes nowhere.
+// writeEvents writes events of a process. After Close it writes one more event, which must not reach the file.
 func writeEvents(t *testing.T, path string, start uint64, kinds ...Kind) {
 	t.Helper()
 	writer, err := Open(path, "g0", start)
@@ -24,7 +24,7 @@
 	writer.Write(Event{Kind: AttemptSent})
 }
 
-// appendText appends what a killed or broken process left.
+// appendText appends text to a history, as left by a process that was killed while it wrote.
 func appendText(t *testing.T, path, text string) {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
@@ -65,7 +65,7 @@
 	path := filepath.Join(t.TempDir(), "g0.history")
 	writeEvents(t, path, 1, ProcessStarted)
 	appendText(t, path, `{"at":`)
-	writeEvents(t, path, 2, OutcomeObserved) // no process begins with that
+	writeEvents(t, path, 2, OutcomeObserved) // the history of a process begins with ProcessStarted, so the incomplete line is in the middle
 	if _, err := MergeFiles(path); err == nil || !strings.Contains(err.Error(), "g0.history:") {
 		t.Errorf("expected an error with the file's name, found %v", err)
 	}
--- a/internal/cluster/history/merge.go
+++ b/internal/cluster/history/merge.go
@@ -13,8 +13,8 @@
 	"strings"
 )
 
-// MergeFiles reads histories and returns their events in order of time. Files that don't exist are passed over. The last
-// line of a process may be cut, where it was killed; any other line that can't be read is an error.
+// MergeFiles reads histories and returns their events in the order of their times. It skips files that don't exist. The last line of
+// a process may be incomplete, because the process was killed while it wrote; any other malformed line is an error.
 func MergeFiles(paths ...string) ([]Event, error) {
 	var merged []Event
 	for _, path := range paths {
@@ -38,7 +38,7 @@
 // parseLines reads the events of one file.
 func parseLines(path string, text []byte) (events []Event, err error) {
 	label := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	var cut error // of the line before, which a process must begin after
+	var cut error // error of the previous line, accepted only if a new process starts after it
 	for i, line := range bytes.Split(text, []byte{'\n'}) {
 		if len(line) == 0 {
 			continue
--- a/internal/cluster/history/writer.go
+++ b/internal/cluster/history/writer.go
@@ -8,18 +8,18 @@
 	"sync"
 )
 
-// Writer writes a process's history, each event at once, so that what was decided before the process is killed is there.
-// A nil Writer writes nothing. Any goroutine may use it.
+// Writer writes the history of a process. It writes each event to the file at once, so that a process that is killed leaves all
+// earlier events. A nil Writer writes nothing. A Writer may be used by any goroutine.
 type Writer struct {
 	process string
-	start   uint64 // of the process
+	start   uint64 // incarnation of the process
 
 	lock    sync.Mutex
-	file    *os.File // nil once it is closed
-	failure error    // the first one
+	file    *os.File // nil: closed
+	failure error    // first error of a write
 }
 
-// Open opens a file to append the history of a process.
+// Open opens or creates a file and returns a Writer that appends the history of a process to it.
 func Open(path, process string, start uint64) (*Writer, error) {
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return w, nil
 }
 
-// endCutLine ends the last line of a process before, which may be cut where that process was killed. Readers pass over
-// empty lines.
+// endCutLine appends a line break to a file that isn't empty, because the last line of an earlier process that was killed may be
+// incomplete. Readers skip empty lines.
 func (w *Writer) endCutLine() error {
 	info, err := w.file.Stat()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return err
 }
 
-// Write appends an event that happens now. Close returns the first error.
+// Write appends an event with the current time. Close returns the first error of a write.
 func (w *Writer) Write(event Event) {
 	if w == nil {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// Close closes the file and returns the first error of all writes. Later events aren't written.
+// Close closes the file and returns the first error of a write or, if there is none, that of closing. Later events aren't written.
 func (w *Writer) Close() error {
 	if w == nil {
 		return nil
