--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -44,12 +44,12 @@
 	history   *history.Writer // nil: no history is written
 	wake      wakeMonitor
 
-	members   *membership.Core
-	start     uint64 // incarnation of this process, as last read from members
-	health    healthSharing
-	counters  counterSharing
-	quota     *quotaSharing // nil: the gateways share no budgets
-	slowStart *slowStart    // used by the router's owner; nil: slow start has no shared budgets
+	members     *membership.Core
+	incarnation uint64 // incarnation of this process, as last read from members
+	health      healthSharing
+	counters    counterSharing
+	quota       *quotaSharing // nil: the gateways share no budgets
+	slowStart   *slowStart    // used by the router's owner; nil: slow start has no shared budgets
 
 	policyReader PolicyReader                 // set before Start
 	policies     *policyRollout               // nil: each gateway applies the policy of its own file
@@ -58,43 +58,43 @@
 }
 
 // New returns the agent of a gateway. It reads the key file, but opens no sockets or other files; Start does.
-func New(options Config, start *config.Config, log *slog.Logger) (*Agent, error) {
+func New(options Config, startConfig *config.Config, log *slog.Logger) (*Agent, error) {
 	if options.Advertise == "" {
 		options.Advertise = options.Listen
 	}
-	if err := options.validateAddresses(start.Name); err != nil {
+	if err := options.validateAddresses(startConfig.Name); err != nil {
 		return nil, err
 	}
 	key, err := readKey(options.Key)
 	if err != nil {
 		return nil, err
 	}
-	if err := options.validatePolicy(start.Name); err != nil {
+	if err := options.validatePolicy(startConfig.Name); err != nil {
 		return nil, err
 	}
 	a := &Agent{
 		config:   options,
-		name:     start.Name,
-		gateways: start.Deployment.Gateways,
+		name:     startConfig.Name,
+		gateways: startConfig.Deployment.Gateways,
 		log:      log,
 		queue:    eventqueue.New[event](),
 		stop:     make(chan struct{}),
 		ended:    make(chan struct{}),
 	}
 	a.transport = newTransport(a, key)
-	a.health = newHealthSharing(a, start)
-	longestWait := slices.Max(start.Network.LongestWaits)
+	a.health = newHealthSharing(a, startConfig)
+	longestWait := slices.Max(startConfig.Network.LongestWaits)
 	if longestWait <= 0 {
 		longestWait = time.Hour // not configured; no client should wait longer
 	}
-	a.counters = counterSharing{agent: a, classes: start.Network.Classes, maxRequests: int64(start.MaxDescriptors), longestWait: ticks(longestWait)}
+	a.counters = counterSharing{agent: a, classes: startConfig.Network.Classes, maxRequests: int64(startConfig.MaxDescriptors), longestWait: ticks(longestWait)}
 	if options.Quota == nil {
 		return a, nil
 	}
-	if err := options.Quota.validateClasses(start); err != nil {
+	if err := options.Quota.validateClasses(startConfig); err != nil {
 		return nil, err
 	}
-	a.quota, err = newQuotaSharing(a, start, longestWait)
+	a.quota, err = newQuotaSharing(a, startConfig, longestWait)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 		a.close()
 		return err
 	}
-	a.log.Info("fleet", "code", "begun", "address", a.config.Advertise, "seeds", len(a.config.Seeds), "start", a.start)
+	a.log.Info("fleet", "code", "begun", "address", a.config.Advertise, "seeds", len(a.config.Seeds), "start", a.incarnation)
 	a.goroutines.Go(a.receiveDatagrams)
 	go a.run()
 	if a.control != nil {
@@ -125,7 +125,7 @@
 	}
 	// If two processes have the same name, the one with the higher incarnation keeps it. The start time serves as incarnation,
 	// so that the later process has the higher one.
-	a.start = uint64(time.Now().Add(mutations.startClockOffset()).UnixNano())
+	a.incarnation = uint64(time.Now().Add(mutations.startClockOffset()).UnixNano())
 	if err := a.openHistory(); err != nil {
 		return err
 	}
@@ -137,8 +137,8 @@
 		a.control = control
 	}
 	now := a.clock.Now()
-	self := membership.Member{Name: a.name, Incarnation: a.start, Address: a.config.Advertise}
-	a.members = membership.New(now, self, a.config.Seeds, rand.New(rand.NewPCG(a.start, 1)), membershipHost{a})
+	self := membership.Member{Name: a.name, Incarnation: a.incarnation, Address: a.config.Advertise}
+	a.members = membership.New(now, self, a.config.Seeds, rand.New(rand.NewPCG(a.incarnation, 1)), membershipHost{a})
 	a.health.begin()
 	a.history.Write(history.Event{Kind: history.ProcessStarted, Number: int(1000 * a.health.ejectionShare), State: a.config.Advertise})
 	if a.config.ShareCounters {
@@ -166,7 +166,7 @@
 	if a.config.HistoryFile == "" {
 		return nil
 	}
-	writer, err := history.Open(a.config.HistoryFile, a.name, a.start)
+	writer, err := history.Open(a.config.HistoryFile, a.name, a.incarnation)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -15,53 +15,54 @@
 	"magpiebank/internal/config"
 )
 
-// wall is a router.Clock that follows the system clock.
-type wall struct{ began time.Time }
+// wallClock is a router.Clock that follows the system clock.
+type wallClock struct{ began time.Time }
 
-func (w wall) Now() admission.Time { return ticks(time.Since(w.began) + time.Hour) }
-func (w wall) After(d admission.Time, f func()) func() {
+func (w wallClock) Now() admission.Time { return ticks(time.Since(w.began) + time.Hour) }
+func (w wallClock) After(d admission.Time, f func()) func() {
 	t := time.AfterFunc(time.Duration(d)*100*time.Microsecond, f)
 	return func() { t.Stop() }
 }
 
-// owner is a router.PeerListener that passes the agent's findings to an admission controller, as the router's owner does.
-type owner struct {
-	clock      wall
+// fakeOwner is a router.PeerListener that passes the agent's findings to an admission controller, as the router's owner does.
+type fakeOwner struct {
+	clock      wallClock
 	lock       sync.Mutex
 	controller *admission.Controller
 }
 
-// nobody is a host of an admission controller that ignores all calls.
-type nobody struct{}
+// discardHost is a host of an admission controller that ignores all calls.
+type discardHost struct{}
 
-func (nobody) SendAttempt(admission.RequestID, admission.EngineID, admission.Time, admission.Time) {}
-func (nobody) CancelAttempt(admission.RequestID, int)                                              {}
-func (nobody) RejectRequest(admission.RequestID, admission.Time)                                   {}
-func (nobody) FailRequest(admission.RequestID)                                                     {}
-func (nobody) SetAttemptOptions(admission.RequestID, float64, int)                                 {}
-func (nobody) ProbeEngine(admission.EngineID)                                                      {}
-func (nobody) SubscribeEndpoints()                                                                 {}
-func (nobody) HasSlowStartCapacity(admission.EngineID, float64) (room, shared bool) {
+func (discardHost) SendAttempt(admission.RequestID, admission.EngineID, admission.Time, admission.Time) {
+}
+func (discardHost) CancelAttempt(admission.RequestID, int)              {}
+func (discardHost) RejectRequest(admission.RequestID, admission.Time)   {}
+func (discardHost) FailRequest(admission.RequestID)                     {}
+func (discardHost) SetAttemptOptions(admission.RequestID, float64, int) {}
+func (discardHost) ProbeEngine(admission.EngineID)                      {}
+func (discardHost) SubscribeEndpoints()                                 {}
+func (discardHost) HasSlowStartCapacity(admission.EngineID, float64) (capacity, shared bool) {
 	return false, false
 }
-func (nobody) ScheduleTick(admission.Time) {}
-func (nobody) LogEvent(string)             {}
-func (nobody) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
+func (discardHost) ScheduleTick(admission.Time) {}
+func (discardHost) LogEvent(string)             {}
+func (discardHost) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
 }
 
-func (o *owner) HandlePeerReport(report *admission.PeerReport) {
+func (o *fakeOwner) HandlePeerReport(report *admission.PeerReport) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.controller.HandlePeerReport(o.clock.Now(), report)
 }
 
-func (o *owner) HandleCapacityChange() {
+func (o *fakeOwner) HandleCapacityChange() {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.controller.HandleCapacityChange(o.clock.Now())
 }
 
-func (o *owner) updateEndpoints(endpoints []admission.Endpoint) {
+func (o *fakeOwner) updateEndpoints(endpoints []admission.Endpoint) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.controller.UpdateEndpoints(o.clock.Now(), admission.FullUpdate, endpoints)
@@ -71,15 +72,15 @@
 
 // cluster is a set of agents in one process.
 type cluster struct {
-	clock  wall
+	clock  wallClock
 	agents []*Agent
 }
 
 func startCluster(t *testing.T) *cluster {
 	t.Helper()
 	folder := t.TempDir()
-	writeKey(t, filepath.Join(folder, "key"), ours)
-	c := &cluster{clock: wall{time.Now()}}
+	writeKey(t, filepath.Join(folder, "key"), ownKey)
+	c := &cluster{clock: wallClock{time.Now()}}
 	addresses := unusedAddresses(t)
 	for i := range addresses {
 		c.agents = append(c.agents, c.startAgent(t, folder, addresses, i))
@@ -105,22 +106,22 @@
 func (c *cluster) startAgent(t *testing.T, folder string, addresses []string, index int) *Agent {
 	t.Helper()
 	deployment := &admission.Deployment{Gateways: testGateways, GatewayIndex: index, PeerMessages: true, Classes: []admission.Class{{Threads: 1, LatencyObjective: 1000}}}
-	start := &config.Config{Name: fmt.Sprint("g", index), Deployment: deployment, Network: &config.Network{Zones: []string{"a"}, LongestWaits: []time.Duration{50 * time.Millisecond}}}
+	startConfig := &config.Config{Name: fmt.Sprint("g", index), Deployment: deployment, Network: &config.Network{Zones: []string{"a"}, LongestWaits: []time.Duration{50 * time.Millisecond}}}
 	options := Config{
 		Listen:         addresses[index],
 		Seeds:          addresses[:2],
 		Key:            filepath.Join(folder, "key"),
 		BytesPerSecond: 1 << 20,
-		ControlSocket:  filepath.Join(folder, start.Name+".sock"),
-		HistoryFile:    filepath.Join(folder, start.Name+".history"),
+		ControlSocket:  filepath.Join(folder, startConfig.Name+".sock"),
+		HistoryFile:    filepath.Join(folder, startConfig.Name+".history"),
 		ShareHealth:    true,
 		Quota:          &QuotaConfig{Voters: []string{"g0", "g1", "g2"}, ShareTerm: time.Second, Revision: 1, Names: []string{"c"}, Totals: []int64{6}},
 	}
-	a, err := New(options, start, slog.New(slog.DiscardHandler))
+	a, err := New(options, startConfig, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &owner{clock: c.clock, controller: admission.New(c.clock.Now(), 1, deployment, nobody{})}
+	o := &fakeOwner{clock: c.clock, controller: admission.New(c.clock.Now(), 1, deployment, discardHost{})}
 	if err := a.Start(c.clock, o); err != nil {
 		t.Fatal(err)
 	}
@@ -143,10 +144,10 @@
 // eventually waits until a condition holds, and fails the test if it doesn't within 20 seconds.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	const limit = 20 * time.Second
-	for deadline := time.Now().Add(limit); !condition(); time.Sleep(10 * time.Millisecond) {
+	const timeout = 20 * time.Second
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("the condition doesn't hold within %v", limit)
+			t.Fatalf("the condition doesn't hold within %v", timeout)
 		}
 	}
 }
@@ -162,7 +163,7 @@
 		{"all know each other", c.allAreKnown},
 		{"three gateways' failures reach the fourth", c.failuresAreReported},
 		{"one gateway borrows threads of the others and never uses more than the total", c.threadsAreBorrowed},
-		{"the others know that one left", c.lastHasLeft},
+		{"the others know that one left", c.lastGatewayHasLeft},
 	} {
 		if !t.Run(phase.name, func(t *testing.T) { eventually(t, phase.condition(t)) }) {
 			break
@@ -229,7 +230,7 @@
 	}
 }
 
-func (c *cluster) lastHasLeft(t *testing.T) func() bool {
+func (c *cluster) lastGatewayHasLeft(t *testing.T) func() bool {
 	t.Helper()
 	c.agents[testGateways-1].Stop()
 	return func() bool {
@@ -244,7 +245,7 @@
 
 // Guards against a Stop that waits for a client of the control socket that sends nothing: Stop has to end all goroutines, but closes
 // the connection of such a client.
-func TestStopCutsOffSilentClients(t *testing.T) {
+func TestStopDisconnectsSilentClients(t *testing.T) {
 	c := startCluster(t)
 	client, err := new(net.Dialer).DialContext(t.Context(), "unix", c.agents[0].config.ControlSocket)
 	if err != nil {
@@ -256,8 +257,8 @@
 	for _, a := range c.agents {
 		a.Stop()
 	}
-	if took := time.Since(began); took >= controlTimeout {
-		t.Errorf("expected the agents to stop within less than controlTimeout, %v; it took %v", controlTimeout, took)
+	if elapsed := time.Since(began); elapsed >= controlTimeout {
+		t.Errorf("expected the agents to stop within less than controlTimeout, %v; it took %v", controlTimeout, elapsed)
 	}
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("expected the connection to be closed, found %v", err)
--- a/internal/cluster/agent/config.go
+++ b/internal/cluster/agent/config.go
@@ -75,11 +75,11 @@
 
 // validateClasses checks that the deployment has the settings that budgets need: a longest wait for every class and, for slow
 // start, a rule for engines that have just started.
-func (q *QuotaConfig) validateClasses(start *config.Config) error {
-	if slices.Min(start.Network.LongestWaits) <= 0 {
+func (q *QuotaConfig) validateClasses(startConfig *config.Config) error {
+	if slices.Min(startConfig.Network.LongestWaits) <= 0 {
 		return errors.New("fleet.budgets: expected a longest wait (deadlineUs) for every class of the site, because it limits how long a unit is used, found a class without one")
 	}
-	if q.SlowStart && start.Deployment.WarmUpOverloadTime <= 0 {
+	if q.SlowStart && startConfig.Deployment.WarmUpOverloadTime <= 0 {
 		return errors.New("fleet.budgets.cold: expected the site to have a rule for engines that have just started (rules.tipAfterUs), found none")
 	}
 	return nil
--- a/internal/cluster/agent/control.go
+++ b/internal/cluster/agent/control.go
@@ -42,11 +42,11 @@
 	policy *PolicyReply
 }
 
-func (r controlReply) encode(to io.Writer) error {
+func (r controlReply) encode(out io.Writer) error {
 	if r.policy != nil {
-		return json.NewEncoder(to).Encode(r.policy)
+		return json.NewEncoder(out).Encode(r.policy)
 	}
-	return json.NewEncoder(to).Encode(r.status)
+	return json.NewEncoder(out).Encode(r.status)
 }
 
 // controlServer serves requests on the gateway's Unix socket. Its goroutines end once the listener is closed and the agent's
@@ -194,15 +194,15 @@
 		return err
 	}
 	var peer *unix.Ucred
-	var failed error
+	var optionErr error
 	err = raw.Control(func(descriptor uintptr) {
-		peer, failed = unix.GetsockoptUcred(int(descriptor), unix.SOL_SOCKET, unix.SO_PEERCRED)
+		peer, optionErr = unix.GetsockoptUcred(int(descriptor), unix.SOL_SOCKET, unix.SO_PEERCRED)
 	})
 	if err != nil {
 		return err
 	}
-	if failed != nil {
-		return failed
+	if optionErr != nil {
+		return optionErr
 	}
 	if peer.Uid != 0 && int(peer.Uid) != os.Geteuid() {
 		return fmt.Errorf("the client runs as user %d, this process as user %d", peer.Uid, os.Geteuid())
--- a/internal/cluster/agent/controlclient.go
+++ b/internal/cluster/agent/controlclient.go
@@ -34,8 +34,8 @@
 		return nil, err
 	}
 	defer c.Close()
-	unwatch := context.AfterFunc(ctx, func() { c.SetDeadline(time.Now()) })
-	defer unwatch()
+	stopWatching := context.AfterFunc(ctx, func() { c.SetDeadline(time.Now()) })
+	defer stopWatching()
 	reply := &PolicyReply{}
 	return reply, exchange(c, path, &controlRequest{request}, reply)
 }
--- a/internal/cluster/agent/counters.go
+++ b/internal/cluster/agent/counters.go
@@ -46,42 +46,42 @@
 
 // RecordPlacement updates the counts for a request that has moved from one placement to another. class is its class in the
 // deployment, policyClass its class in the operator's policy, or empty if it has none.
-func (a *Agent) RecordPlacement(class, policyClass string, was, is router.Placement) {
+func (a *Agent) RecordPlacement(class, policyClass string, before, after router.Placement) {
 	if a.counters.core == nil {
 		return
 	}
 	var all [3]int64 // changes of the counts counters.Waiting, Running and Attempted
 	var changes [5]counters.Change
-	used := 0
-	add := func(kind counters.Kind, name string, by [3]int64) {
+	changeCount := 0
+	add := func(kind counters.Kind, name string, delta [3]int64) {
 		if kind == counters.KindAll || name != "" {
-			changes[used] = counters.Change{Key: counters.Key{Kind: kind, Name: name}, Delta: by}
-			used++
+			changes[changeCount] = counters.Change{Key: counters.Key{Kind: kind, Name: name}, Delta: delta}
+			changeCount++
 		}
 	}
-	count := func(placement router.Placement, by int64) {
+	count := func(placement router.Placement, delta int64) {
 		switch {
 		case !placement.Present:
 		case placement.Engine == "":
-			all[counters.Waiting] += by
+			all[counters.Waiting] += delta
 		default:
-			attempts := max(0, by)
-			all[counters.Running] += by
+			attempts := max(0, delta)
+			all[counters.Running] += delta
 			all[counters.Attempted] += attempts
-			add(counters.KindEngine, string(placement.Engine), [3]int64{0, by, attempts})
+			add(counters.KindEngine, string(placement.Engine), [3]int64{0, delta, attempts})
 		}
 	}
-	count(was, -1)
-	count(is, 1)
+	count(before, -1)
+	count(after, 1)
 	add(counters.KindAll, "", all)
 	add(counters.KindClass, class, all)
 	add(counters.KindPolicyClass, policyClass, all)
-	a.counters.core.ApplyChanges(a.clock.Now(), changes[:used]...)
+	a.counters.core.ApplyChanges(a.clock.Now(), changes[:changeCount]...)
 	if a.history == nil {
 		return
 	}
-	own := a.counters.core.OwnCounts(counters.Key{})
-	a.history.Write(history.Event{Kind: history.RequestsCounted, Number: int(own[counters.Waiting]), High: int(own[counters.Running])})
+	ownCounts := a.counters.core.OwnCounts(counters.Key{})
+	a.history.Write(history.Event{Kind: history.RequestsCounted, Number: int(ownCounts[counters.Waiting]), High: int(ownCounts[counters.Running])})
 }
 
 // readingInterval is the time between two readings that are written to the history.
@@ -95,8 +95,8 @@
 	}
 	s.recordedAt = now
 	reading := s.core.TakeReading(now, counters.Key{})
-	for figure, name := range []string{"waits", "runs"} {
-		interval := reading.Counts[0].Ranges[figure]
+	for metric, name := range []string{"waits", "runs"} {
+		interval := reading.Counts[0].Ranges[metric]
 		s.agent.history.Write(history.Event{Kind: history.CountersRead, Code: name, AgeNanos: duration(reading.Age).Nanoseconds(), Number: int(interval.Low), High: int(interval.High), Detail: uint64(reading.Unknown)})
 	}
 }
@@ -116,7 +116,7 @@
 	reading := s.core.TakeReading(now, keys...)
 	status := &CountStatus{AgeSeconds: seconds(reading.Age), KnownGateways: reading.Known, SilentGateways: reading.Unknown}
 	for _, count := range reading.Counts {
-		interval := func(figure int) [2]int64 { return [2]int64{count.Ranges[figure].Low, count.Ranges[figure].High} }
+		interval := func(metric int) [2]int64 { return [2]int64{count.Ranges[metric].Low, count.Ranges[metric].High} }
 		status.Lines = append(status.Lines, CountLine{
 			Subject:  strings.TrimSpace(count.Kind.String() + " " + count.Name),
 			Waiting:  interval(counters.Waiting),
--- a/internal/cluster/agent/datagram.go
+++ b/internal/cluster/agent/datagram.go
@@ -68,11 +68,11 @@
 
 // envelope is the sealed content of a datagram.
 type envelope struct {
-	sender   string // name of the sending gateway
-	start    uint64 // incarnation of the sending process
-	sequence uint64 // one higher for each datagram of the process
-	clock    uint32 // low 32 bits of the sender's clock, in tenths of a millisecond
-	sections []section
+	sender      string // name of the sending gateway
+	incarnation uint64 // incarnation of the sending process
+	sequence    uint64 // one higher for each datagram of the process
+	clock       uint32 // low 32 bits of the sender's clock, in tenths of a millisecond
+	sections    []section
 }
 
 // section is a message of one core, or a fragment of one.
@@ -89,15 +89,15 @@
 
 // seal encodes and encrypts an envelope into a datagram.
 func (s *sealer) seal(e *envelope) ([]byte, error) {
-	plain := binary.BigEndian.AppendUint64(nil, e.start)
+	plain := binary.BigEndian.AppendUint64(nil, e.incarnation)
 	plain = binary.BigEndian.AppendUint64(plain, e.sequence)
 	plain = binary.BigEndian.AppendUint32(plain, e.clock)
 	plain = append(plain, byte(len(e.sender)))
 	plain = append(plain, e.sender...)
-	for _, one := range e.sections {
-		plain = append(plain, byte(one.kind))
-		plain = binary.BigEndian.AppendUint16(plain, uint16(len(one.payload)))
-		plain = append(plain, one.payload...)
+	for _, item := range e.sections {
+		plain = append(plain, byte(item.kind))
+		plain = binary.BigEndian.AppendUint16(plain, uint16(len(item.payload)))
+		plain = append(plain, item.payload...)
 	}
 	headerBytes := 1 + s.aead.NonceSize()
 	out := make([]byte, headerBytes, headerBytes+len(plain)+s.aead.Overhead())
@@ -136,10 +136,10 @@
 		return nil, errMalformed
 	}
 	e := &envelope{
-		start:    binary.BigEndian.Uint64(plain),
-		sequence: binary.BigEndian.Uint64(plain[8:]),
-		clock:    binary.BigEndian.Uint32(plain[16:]),
-		sender:   string(plain[envelopeHeaderBytes:nameEnd]),
+		incarnation: binary.BigEndian.Uint64(plain),
+		sequence:    binary.BigEndian.Uint64(plain[8:]),
+		clock:       binary.BigEndian.Uint32(plain[16:]),
+		sender:      string(plain[envelopeHeaderBytes:nameEnd]),
 	}
 	for rest := plain[nameEnd:]; len(rest) > 0; {
 		if len(rest) < sectionHeaderBytes {
--- a/internal/cluster/agent/datagram_test.go
+++ b/internal/cluster/agent/datagram_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func key(tb testing.TB, digits string) *sealer {
+func newTestSealer(tb testing.TB, digits string) *sealer {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "key")
 	writeKey(tb, path, digits)
@@ -28,23 +28,23 @@
 	return s
 }
 
-var ours, theirs = strings.Repeat("0f", 32), strings.Repeat("a1", 32)
+var ownKey, otherKey = strings.Repeat("0f", 32), strings.Repeat("a1", 32)
 
 func TestDatagramIsOpenedAsSealed(t *testing.T) {
-	s := key(t, ours)
-	datagram, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
+	s := newTestSealer(t, ownKey)
+	datagram, err := s.seal(&envelope{sender: "g1", incarnation: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	opened, err := s.open(datagram)
-	if err != nil || opened.sender != "g1" || opened.start != 7 || opened.sequence != 9 || len(opened.sections) != 2 || string(opened.sections[0].payload) != "abc" {
+	if err != nil || opened.sender != "g1" || opened.incarnation != 7 || opened.sequence != 9 || len(opened.sections) != 2 || string(opened.sections[0].payload) != "abc" {
 		t.Errorf("expected the sealed envelope, found error %v and %+v", err, opened)
 	}
 }
 
 func TestDatagramIsRejected(t *testing.T) {
-	s := key(t, ours)
-	datagram, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
+	s := newTestSealer(t, ownKey)
+	datagram, err := s.seal(&envelope{sender: "g1", incarnation: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		datagram []byte
 		expected error
 	}{
-		{"another key", key(t, theirs), datagram, errWrongKey},
+		{"another key", newTestSealer(t, otherKey), datagram, errWrongKey},
 		{"another version", s, flipped(0), errOtherVersion},
 		{"a flipped bit of the nonce", s, flipped(5), errWrongKey},
 		{"a flipped bit of what is sealed", s, flipped(len(datagram) - 20), errWrongKey},
@@ -105,8 +105,8 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	s := key(f, ours)
-	datagram, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}}})
+	s := newTestSealer(f, ownKey)
+	datagram, err := s.seal(&envelope{sender: "g1", incarnation: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -119,11 +119,11 @@
 }
 
 func BenchmarkDatagram(b *testing.B) {
-	s := key(b, ours)
-	l := &envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{healthReportSection, make([]byte, 200)}}}
+	s := newTestSealer(b, ownKey)
+	e := &envelope{sender: "g1", incarnation: 7, sequence: 9, sections: []section{{healthReportSection, make([]byte, 200)}}}
 	b.ReportAllocs()
 	for b.Loop() {
-		d, _ := s.seal(l)
+		d, _ := s.seal(e)
 		if _, err := s.open(d); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/cluster/agent/format_fragments_test.go
+++ b/internal/cluster/agent/format_fragments_test.go
@@ -13,7 +13,7 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-func TestFragmentsOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
+func TestFragmentsOfEarlierVersionRoundTrip(t *testing.T) {
 	key, err := readKey(filepath.Join("testdata", "format", "key"))
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = peer.Close() })
-	a := &Agent{name: "gateway-a", clock: wall{time.Now()}}
+	a := &Agent{name: "gateway-a", clock: wallClock{time.Now()}}
 	a.members = membership.New(0, membership.Member{Name: a.name}, nil, rand.New(rand.NewPCG(1, 2)), nil)
 	a.transport = newTransport(a, key)
 	if err := a.transport.listen("127.0.0.1:0"); err != nil {
@@ -32,7 +32,7 @@
 	t.Cleanup(func() { _ = a.transport.socket.Close() })
 
 	message := golden.Read(t, "policy-message.form")
-	sender := &policyRollout{agent: a, sent: 1<<24 + 6}
+	sender := &policyRollout{agent: a, messagesSent: 1<<24 + 6}
 	sender.sendFragments(peer.LocalAddr().String(), message)
 	receiver := &policyRollout{agent: a}
 	for i := range 3 {
--- a/internal/cluster/agent/format_json_test.go
+++ b/internal/cluster/agent/format_json_test.go
@@ -14,7 +14,7 @@
 )
 
 // Covers the output of `fleet status --json`, and the requests and replies of the control socket.
-func TestControlMessagesOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
+func TestControlMessagesOfEarlierVersionRoundTrip(t *testing.T) {
 	t.Run("status", func(t *testing.T) {
 		golden.CheckRoundTrip(t, "status", golden.DecodeJSON[Status], golden.EncodeJSON)
 	})
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestHandoverOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
+func TestHandoverOfEarlierVersionRoundTrips(t *testing.T) {
 	golden.CheckRoundTrip(t, "succession", golden.DecodeJSON[handoverRecord], func(record *handoverRecord) []byte {
 		folder := t.TempDir()
 		handover, err := openHandover(folder, record.Name)
@@ -48,7 +48,7 @@
 
 // The earlier version's file contains a boot ID, device and inode. The test replaces them with those of this machine and file, so that
 // the file is accepted.
-func TestHandoverOfEarlierVersionIsFollowed(t *testing.T) {
+func TestHandoverOfEarlierVersionIsAccepted(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "succession")
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
--- a/internal/cluster/agent/format_test.go
+++ b/internal/cluster/agent/format_test.go
@@ -14,8 +14,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	form := golden.Read(t, "datagram.form")
-	opened, err := key.open(form)
+	encoded := golden.Read(t, "datagram.form")
+	opened, err := key.open(encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(sealed) != len(form) || !slices.Equal(golden.Values(again), golden.Values(opened)) {
+	if len(sealed) != len(encoded) || !slices.Equal(golden.Values(again), golden.Values(opened)) {
 		t.Errorf("after sealing again: expected %v, found %v", golden.Values(opened), golden.Values(again))
 	}
 }
--- a/internal/cluster/agent/handover.go
+++ b/internal/cluster/agent/handover.go
@@ -27,11 +27,11 @@
 
 // handoverRecord is the content of the handover file.
 type handoverRecord struct {
-	Boot   string   `json:"boot"`
-	Device uint64   `json:"device"`
-	Inode  uint64   `json:"inode"`
-	Name   string   `json:"name"`
-	Starts []uint64 `json:"starts"` // incarnations: first the last one that held the share, then later ones that ended before they held it
+	Boot         string   `json:"boot"`
+	Device       uint64   `json:"device"`
+	Inode        uint64   `json:"inode"`
+	Name         string   `json:"name"`
+	Incarnations []uint64 `json:"starts"` // first the last one that held the share, then later ones that ended before they held it
 }
 
 const (
@@ -91,7 +91,7 @@
 	}
 	own := &h.record
 	if found.Boot == own.Boot && found.Device == own.Device && found.Inode == own.Inode && found.Name == own.Name {
-		own.Starts = found.Starts
+		own.Incarnations = found.Incarnations
 	}
 	return nil
 }
@@ -99,28 +99,28 @@
 // beginClaim records the incarnation that claims the share from now on, and returns the incarnations that have ended. The file
 // isn't synced to disk: written data outlives the process, and after a power loss the boot ID differs, so that the next process
 // ignores the list anyway.
-func (h *shareHandover) beginClaim(start uint64) (ended []uint64, err error) {
-	ended = slices.Clone(h.record.Starts)
+func (h *shareHandover) beginClaim(incarnation uint64) (ended []uint64, err error) {
+	ended = slices.Clone(h.record.Incarnations)
 	if len(ended) > quota.MaxPredecessors {
 		ended = append(ended[:1], ended[len(ended)-quota.MaxPredecessors+1:]...)
 	}
-	h.record.Starts = append(slices.Clone(ended), start)
+	h.record.Incarnations = append(slices.Clone(ended), incarnation)
 	return ended, h.write()
 }
 
 // confirmClaim records that this process holds the share. It removes the earlier incarnations, because the next process needs
 // only the one that held the share last and those after it.
 func (h *shareHandover) confirmClaim() error {
-	if len(h.record.Starts) < 2 {
+	if len(h.record.Incarnations) < 2 {
 		return nil
 	}
-	h.record.Starts = h.record.Starts[len(h.record.Starts)-1:]
+	h.record.Incarnations = h.record.Incarnations[len(h.record.Incarnations)-1:]
 	return h.write()
 }
 
 // release records that no process holds the share, so that the next one has no predecessor to wait for.
 func (h *shareHandover) release() error {
-	h.record.Starts = nil
+	h.record.Incarnations = nil
 	return h.write()
 }
 
--- a/internal/cluster/agent/handover_test.go
+++ b/internal/cluster/agent/handover_test.go
@@ -11,18 +11,18 @@
 
 // claimShare opens the handover file and claims the share like a process with the incarnation start. It checks which incarnations
 // the file lists as ended.
-func claimShare(t *testing.T, folder, name string, start uint64, expected ...uint64) *shareHandover {
+func claimShare(t *testing.T, folder, name string, incarnation uint64, expected ...uint64) *shareHandover {
 	t.Helper()
 	handover, err := openHandover(folder, name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended, err := handover.beginClaim(start)
+	ended, err := handover.beginClaim(incarnation)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !slices.Equal(ended, expected) {
-		t.Errorf("incarnation %d: expected the ended incarnations %d, found %d", start, expected, ended)
+		t.Errorf("incarnation %d: expected the ended incarnations %d, found %d", incarnation, expected, ended)
 	}
 	return handover
 }
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestShareHandoverIsOfOneProcessAtATime(t *testing.T) {
+func TestShareHandoverIsLockedByOneProcess(t *testing.T) {
 	folder := t.TempDir()
 	first := claimShare(t, folder, "g1", 1)
 	if _, err := openHandover(folder, "g1"); !errors.Is(err, errHandoverLocked) {
@@ -53,10 +53,10 @@
 func TestShareHandover(t *testing.T) {
 	folder := t.TempDir()
 	for _, process := range []struct {
-		name  string
-		start uint64
-		ended []uint64
-		then  func(*shareHandover) error // called before the process ends
+		name        string
+		incarnation uint64
+		ended       []uint64
+		beforeClose func(*shareHandover) error // called before the process ends
 	}{
 		{"first", 1, nil, nil},
 		{"after one that ended before it held the share", 3, []uint64{1}, nil},
@@ -70,9 +70,9 @@
 		{"after one that released the share", 11, nil, nil},
 	} {
 		t.Run(process.name, func(t *testing.T) {
-			handover := claimShare(t, folder, "g1", process.start, process.ended...)
-			if process.then != nil {
-				if err := process.then(handover); err != nil {
+			handover := claimShare(t, folder, "g1", process.incarnation, process.ended...)
+			if process.beforeClose != nil {
+				if err := process.beforeClose(handover); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestShareHandoverProvesNothing(t *testing.T) {
+func TestShareHandoverIgnoresUnreliableFile(t *testing.T) {
 	replace := func(from, to string) func(*testing.T, string, *shareHandover) {
 		return func(t *testing.T, path string, _ *shareHandover) {
 			t.Helper()
--- a/internal/cluster/agent/healthsharing.go
+++ b/internal/cluster/agent/healthsharing.go
@@ -21,15 +21,15 @@
 	tokens   float64 // bytes
 	filledAt admission.Time
 
-	listed map[admission.EngineID]admission.Time // start times of listed engines, as last written to the history
+	listedStarts map[admission.EngineID]admission.Time // start times of listed engines, as last written to the history
 }
 
-func newHealthSharing(a *Agent, start *config.Config) healthSharing {
+func newHealthSharing(a *Agent, startConfig *config.Config) healthSharing {
 	return healthSharing{
 		agent:         a,
-		ejectionShare: healthreport.MaxEjectedShare(start.Deployment, len(start.Network.Zones)),
+		ejectionShare: healthreport.MaxEjectedShare(startConfig.Deployment, len(startConfig.Network.Zones)),
 		ejected:       map[admission.EngineID]bool{},
-		listed:        map[admission.EngineID]admission.Time{},
+		listedStarts:  map[admission.EngineID]admission.Time{},
 	}
 }
 
@@ -42,7 +42,7 @@
 
 // accepts reports whether health reports that arrive at a time are processed. They are ignored for a while after a stall.
 func (s *healthSharing) accepts(at admission.Time) bool {
-	return s.agent.config.ShareHealth && at >= s.agent.wake.deafUntil
+	return s.agent.config.ShareHealth && at >= s.agent.wake.ignoreReportsUntil
 }
 
 func (s *healthSharing) handleEndpoints(kind admission.UpdateKind, endpoints []admission.Endpoint) {
@@ -55,17 +55,17 @@
 func (s *healthSharing) recordOutcome(e *outcomeObserved) {
 	s.reports.Observe(e.at, e.engine, e.observation, e.report, e.capacity)
 	if s.agent.history != nil && e.observation != admission.Reported {
-		s.agent.history.Write(history.Event{Kind: history.OutcomeObserved, Engine: string(e.engine), EngineStart: int64(s.listed[e.engine]), Success: !e.observation.IsFailure()})
+		s.agent.history.Write(history.Event{Kind: history.OutcomeObserved, Engine: string(e.engine), EngineStart: int64(s.listedStarts[e.engine]), Success: !e.observation.IsFailure()})
 	}
 }
 
 // handleReport processes a report of a known member. It ignores reports of an earlier process under the member's name.
 func (s *healthSharing) handleReport(at admission.Time, e *envelope, payload []byte) error {
 	m, ok := s.agent.members.Find(e.sender)
-	if !ok || m.Incarnation > e.start && !mutations.ignoresStart() {
+	if !ok || m.Incarnation > e.incarnation && !mutations.acceptsEarlierIncarnations() {
 		return nil
 	}
-	return s.reports.HandleMessage(at, healthreport.Source{Name: e.sender, Incarnation: e.start}, payload)
+	return s.reports.HandleMessage(at, healthreport.Source{Name: e.sender, Incarnation: e.incarnation}, payload)
 }
 
 // tick notifies the router's owner of changed findings and broadcasts a report if one is due.
@@ -74,23 +74,23 @@
 	if s.agent.history != nil {
 		observedAt = history.Now() - duration(s.agent.clock.Now()-now).Nanoseconds()
 	}
-	s.reports.VisitChangedFindings(now, func(found *admission.PeerReport) {
-		report := *found
+	s.reports.VisitChangedFindings(now, func(finding *admission.PeerReport) {
+		report := *finding
 		s.recordFinding(now, observedAt, &report)
 		s.agent.listener.HandlePeerReport(&report)
 	})
 	s.broadcast(now)
 }
 
-func (s *healthSharing) recordFinding(now admission.Time, observedAt int64, f *admission.PeerReport) {
-	ejects := f.Ejects()
-	s.agent.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(f.Engine), EngineStart: int64(f.EngineStartedAt), FailureScore: f.FailureScore, Number: f.Witnesses, Ejects: ejects,
-		ObservedAt: observedAt, ValidNanos: duration(max(0, f.ScoreUntil-now)).Nanoseconds()})
-	if ejects == s.ejected[f.Engine] {
+func (s *healthSharing) recordFinding(now admission.Time, observedAt int64, finding *admission.PeerReport) {
+	ejects := finding.Ejects()
+	s.agent.history.Write(history.Event{Kind: history.EngineAssessed, Engine: string(finding.Engine), EngineStart: int64(finding.EngineStartedAt), FailureScore: finding.FailureScore, Number: finding.Witnesses, Ejects: ejects,
+		ObservedAt: observedAt, ValidNanos: duration(max(0, finding.ScoreUntil-now)).Nanoseconds()})
+	if ejects == s.ejected[finding.Engine] {
 		return
 	}
-	s.ejected[f.Engine] = ejects
-	s.agent.log.Info("fleet", "code", "found", "engine", string(f.Engine), "out", ejects, "against", math.Round(100*f.FailureScore)/100, "witnesses", f.Witnesses)
+	s.ejected[finding.Engine] = ejects
+	s.agent.log.Info("fleet", "code", "found", "engine", string(finding.Engine), "out", ejects, "against", math.Round(100*finding.FailureScore)/100, "witnesses", finding.Witnesses)
 }
 
 // broadcast sends a report to the other members if one is due and the configured rate allows it.
@@ -143,9 +143,9 @@
 	if kind == admission.PartialUpdate {
 		return
 	}
-	for engine := range s.listed {
+	for engine := range s.listedStarts {
 		if !present[engine] {
-			delete(s.listed, engine)
+			delete(s.listedStarts, engine)
 			s.agent.history.Write(history.Event{Kind: history.EngineListed, Engine: string(engine), State: endpointStates[admission.Gone]})
 		}
 	}
@@ -154,15 +154,15 @@
 // endpointStates lists the names of endpoint states in histories.
 var endpointStates = [...]string{"live", "draining", "gone"}
 
-func (s *healthSharing) recordEndpoint(l *admission.Endpoint) {
-	since, known := s.listed[l.Engine]
-	if l.State == admission.Gone {
-		delete(s.listed, l.Engine)
+func (s *healthSharing) recordEndpoint(endpoint *admission.Endpoint) {
+	startedAt, known := s.listedStarts[endpoint.Engine]
+	if endpoint.State == admission.Gone {
+		delete(s.listedStarts, endpoint.Engine)
 	} else {
-		s.listed[l.Engine] = l.StartedAt
-		if known && since == l.StartedAt {
+		s.listedStarts[endpoint.Engine] = endpoint.StartedAt
+		if known && startedAt == endpoint.StartedAt {
 			return
 		}
 	}
-	s.agent.history.Write(history.Event{Kind: history.EngineListed, Engine: string(l.Engine), EngineStart: int64(l.StartedAt), State: endpointStates[l.State]})
+	s.agent.history.Write(history.Event{Kind: history.EngineListed, Engine: string(endpoint.Engine), EngineStart: int64(endpoint.StartedAt), State: endpointStates[endpoint.State]})
 }
--- a/internal/cluster/agent/loop.go
+++ b/internal/cluster/agent/loop.go
@@ -50,9 +50,9 @@
 	if now >= a.members.NextTick() {
 		a.members.Tick(now)
 	}
-	if start := a.members.Self().Incarnation; start != a.start {
-		a.start = start
-		a.history.Write(history.Event{Kind: history.StartChanged, Detail: start})
+	if incarnation := a.members.Self().Incarnation; incarnation != a.incarnation {
+		a.incarnation = incarnation
+		a.history.Write(history.Event{Kind: history.StartChanged, Detail: incarnation})
 	}
 	if !a.members.IsInactive() {
 		a.counters.tick(now)
@@ -76,9 +76,9 @@
 
 // wakeMonitor detects that the agent's goroutine ran late, for example because the whole process was stopped for a while.
 type wakeMonitor struct {
-	lastAt        admission.Time // time at which the goroutine last ran
-	lastHistoryAt int64          // the same time on the clock of histories, if a history is written
-	deafUntil     admission.Time // health reports are ignored before this time
+	lastAt             admission.Time // time at which the goroutine last ran
+	lastHistoryAt      int64          // the same time on the clock of histories, if a history is written
+	ignoreReportsUntil admission.Time // health reports are ignored before this time
 }
 
 // recordWake records that the goroutine runs. Datagrams that were in the socket's buffer during a stall get the time at which
@@ -86,7 +86,7 @@
 // age is unknown.
 func (w *wakeMonitor) recordWake(now admission.Time, writer *history.Writer) {
 	if w.lastAt > 0 && now-w.lastAt >= stallThreshold {
-		w.deafUntil = now + stallRecovery
+		w.ignoreReportsUntil = now + stallRecovery
 	}
 	w.lastAt = max(w.lastAt, now)
 	w.recordLateWake(writer)
--- a/internal/cluster/agent/mutation.go
+++ b/internal/cluster/agent/mutation.go
@@ -11,8 +11,8 @@
 type mutationHook interface {
 	// names returns the names of the mutations that the process runs with, for the cores that define their own.
 	names() string
-	// ignoresStart reports whether health reports of an earlier process under a member's name are accepted.
-	ignoresStart() bool
+	// acceptsEarlierIncarnations reports whether health reports of an earlier process under a member's name are accepted.
+	acceptsEarlierIncarnations() bool
 	// startClockOffset returns the offset by which the wall clock is wrong when the process starts.
 	startClockOffset() time.Duration
 	// replaceQuotaShares returns an implementation of quotaShares to compare the agent's own with; nil: none.
@@ -30,7 +30,7 @@
 type noMutations struct{}
 
 func (noMutations) names() string                                         { return "" }
-func (noMutations) ignoresStart() bool                                    { return false }
+func (noMutations) acceptsEarlierIncarnations() bool                      { return false }
 func (noMutations) startClockOffset() time.Duration                       { return 0 }
 func (noMutations) replaceQuotaShares(*Agent, admission.Time) quotaShares { return nil }
 func (noMutations) rejectPolicy([]byte) error                             { return nil }
--- a/internal/cluster/agent/mutation_testbed.go
+++ b/internal/cluster/agent/mutation_testbed.go
@@ -33,12 +33,12 @@
 
 // testbedMutations implements mutationHook with the mutations that the process's environment names.
 type testbedMutations struct {
-	ignoresEarlierStart bool
-	crash               crashPlan
+	acceptEarlier bool
+	crash         crashPlan
 }
 
 func newTestbedMutations() *testbedMutations {
-	m := &testbedMutations{ignoresEarlierStart: hasMutation(ignoresStartMutation)}
+	m := &testbedMutations{acceptEarlier: hasMutation(ignoresStartMutation)}
 	// If the variable isn't set or has fewer fields, the remaining fields of the plan stay empty.
 	_, _ = fmt.Sscan(os.Getenv(crashPointVariable), &m.crash.firstStep, &m.crash.secondStep, &m.crash.messagesLeft, &m.crash.action, &m.crash.marker)
 	return m
@@ -48,7 +48,7 @@
 
 func (*testbedMutations) names() string { return os.Getenv(mutationsVariable) }
 
-func (m *testbedMutations) ignoresStart() bool { return m.ignoresEarlierStart }
+func (m *testbedMutations) acceptsEarlierIncarnations() bool { return m.acceptEarlier }
 
 func (*testbedMutations) startClockOffset() time.Duration {
 	offset, err := time.ParseDuration(os.Getenv(clockVariable))
@@ -74,8 +74,8 @@
 }
 
 // TryReserve reserves units. If that fails, it wakes the agent's goroutine, which requests them.
-func (q eagerQuorumQuota) TryReserve(now admission.Time, budget int, amount int64, length admission.Time) bool {
-	ok := q.Core.TryReserve(now, budget, amount, length)
+func (q eagerQuorumQuota) TryReserve(now admission.Time, budget int, amount int64, useTime admission.Time) bool {
+	ok := q.Core.TryReserve(now, budget, amount, useTime)
 	if !ok {
 		q.queue.Put(quotaDemandChanged{})
 	}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (m *testbedMutations) crashPoint(step string) { m.crash.take(step) }
+func (m *testbedMutations) crashPoint(step string) { m.crash.recordStep(step) }
 
 // crashPlan defines where a process kills or stops itself: after it has reached the first step, then the second, and has then
 // begun to send a number of messages. MAGPIEBANK_DIE="yielding decided 4 kill /tmp/once" is an example. The process creates the
@@ -111,7 +111,7 @@
 	stepsTaken   int    // 0, 1 or 2
 }
 
-func (p *crashPlan) take(step string) {
+func (p *crashPlan) recordStep(step string) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.firstStep == "" {
--- a/internal/cluster/agent/policy.go
+++ b/internal/cluster/agent/policy.go
@@ -48,7 +48,7 @@
 }
 
 // CoversBothPolicies reports whether a policy revision names the current and the proposed policy.
-func CoversBothPolicies(basis uint64) bool { return basis&currentAndProposed != 0 }
+func CoversBothPolicies(policyRevision uint64) bool { return policyRevision&currentAndProposed != 0 }
 
 // SetPolicyReader sets the reader that parses policies. It has to be called before Start.
 func (a *Agent) SetPolicyReader(reader PolicyReader) { a.policyReader = reader }
@@ -58,14 +58,14 @@
 
 // TryBeginWrite reports whether an attempt that was decided under a policy revision may be written to its engine now, which is
 // so if the revision is still in force. If it returns true, the caller has to call EndWrite after writing the attempt.
-func (a *Agent) TryBeginWrite(basis uint64, request admission.RequestID) bool {
+func (a *Agent) TryBeginWrite(policyRevision uint64, request admission.RequestID) bool {
 	a.writing.Add(1)
 	observedAt := a.HistoryNow()
-	if basis != a.activePolicy.Load().PolicyRevisionAt(a.clock.Now()) {
+	if policyRevision != a.activePolicy.Load().PolicyRevisionAt(a.clock.Now()) {
 		a.writing.Add(-1)
 		return false
 	}
-	a.RecordDecision("sent", basis, request, observedAt)
+	a.RecordDecision("sent", policyRevision, request, observedAt)
 	return true
 }
 
@@ -79,10 +79,10 @@
 
 // RecordDecision writes a decision on a request to the history, with the policy revision that it rests on (0: none). observedAt is
 // the time on the clock of histories at which the revision was read.
-func (a *Agent) RecordDecision(decision string, basis uint64, request admission.RequestID, observedAt int64) {
+func (a *Agent) RecordDecision(decision string, policyRevision uint64, request admission.RequestID, observedAt int64) {
 	if a.history == nil {
 		return
 	}
-	number := int(basis&^currentAndProposed) - 1
-	a.history.Write(history.Event{Kind: history.RequestDecided, Code: decision, Number: number, Ejects: CoversBothPolicies(basis), Request: string(request), ObservedAt: observedAt})
+	number := int(policyRevision&^currentAndProposed) - 1
+	a.history.Write(history.Event{Kind: history.RequestDecided, Code: decision, Number: number, Ejects: CoversBothPolicies(policyRevision), Request: string(request), ObservedAt: observedAt})
 }
--- a/internal/cluster/agent/policyfragments.go
+++ b/internal/cluster/agent/policyfragments.go
@@ -41,12 +41,12 @@
 
 // partialMessage is a message some of whose fragments haven't arrived yet.
 type partialMessage struct {
-	sender    string
-	start     uint64 // incarnation of the sending process
-	number    uint32
-	fragments [][]byte       // by index; nil: that fragment hasn't arrived
-	missing   int            // number of fragments that haven't arrived
-	startedAt admission.Time // when the first fragment arrived
+	sender      string
+	incarnation uint64 // incarnation of the sending process
+	number      uint32
+	fragments   [][]byte       // by index; nil: that fragment hasn't arrived
+	missing     int            // number of fragments that haven't arrived
+	startedAt   admission.Time // when the first fragment arrived
 }
 
 // add adds a fragment. If that completes its message, add returns the message. Its error is errMalformed.
@@ -62,7 +62,7 @@
 	}
 	position := r.find(e, number)
 	if position < 0 {
-		position = r.begin(partialMessage{e.sender, e.start, number, make([][]byte, count), count, at})
+		position = r.begin(partialMessage{e.sender, e.incarnation, number, make([][]byte, count), count, at})
 	}
 	partial := &r.partial[position]
 	if len(partial.fragments) != count {
@@ -82,7 +82,7 @@
 
 func (r *reassembler) find(e *envelope, number uint32) int {
 	return slices.IndexFunc(r.partial, func(m partialMessage) bool {
-		return m.sender == e.sender && m.start == e.start && m.number == number
+		return m.sender == e.sender && m.incarnation == e.incarnation && m.number == number
 	})
 }
 
--- a/internal/cluster/agent/policyfragments_test.go
+++ b/internal/cluster/agent/policyfragments_test.go
@@ -19,13 +19,13 @@
 func drawFragments(t *rapid.T, sender string, message []byte) (fragments []receivedFragment) {
 	for _, payload := range splitMessage(7, message) {
 		copies := rapid.IntRange(1, 2).Draw(t, "copies")
-		fragments = append(fragments, slices.Repeat([]receivedFragment{{envelope{sender: sender, start: 3}, payload}}, copies)...)
+		fragments = append(fragments, slices.Repeat([]receivedFragment{{envelope{sender: sender, incarnation: 3}, payload}}, copies)...)
 	}
 	return fragments
 }
 
 // Fragments may arrive repeatedly, in any order, and mixed with fragments of other messages.
-func TestReassemblerPutsMessagesTogether(t *testing.T) {
+func TestReassemblerReassemblesMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		messages := map[string][]byte{}
 		var fragments []receivedFragment
@@ -63,7 +63,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var r reassembler
-			e := &envelope{sender: "g1", start: 3}
+			e := &envelope{sender: "g1", incarnation: 3}
 			if _, _, err := r.add(0, e, []byte{2, 0, 0, 0, 0, 9, 'x'}); err != nil {
 				t.Fatal(err)
 			}
@@ -76,7 +76,7 @@
 
 func TestReassemblerDropsOldMessages(t *testing.T) {
 	first := splitMessage(1, make([]byte, 2*maxFragmentBytes))
-	e := &envelope{sender: "g1", start: 3}
+	e := &envelope{sender: "g1", incarnation: 3}
 	begin := func(t *testing.T) *reassembler {
 		t.Helper()
 		r := &reassembler{}
--- a/internal/cluster/agent/policyrollout.go
+++ b/internal/cluster/agent/policyrollout.go
@@ -29,14 +29,14 @@
 
 // policyRollout connects the core of the policy rollout to the gateway. It implements rollout.Host.
 type policyRollout struct {
-	agent     *Agent
-	config    PolicyConfig
-	reader    PolicyReader
-	core      *rollout.Core
-	store     *store.Store              // nil: the gateway doesn't vote
-	parsed    map[rollout.Digest]Policy // cache of parsed policies
-	fragments reassembler               // of received messages
-	sent      uint32                    // number of messages sent, and the message number in the fragments of the last one
+	agent        *Agent
+	config       PolicyConfig
+	reader       PolicyReader
+	core         *rollout.Core
+	store        *store.Store              // nil: the gateway doesn't vote
+	parsed       map[rollout.Digest]Policy // cache of parsed policies
+	fragments    reassembler               // of received messages
+	messagesSent uint32                    // number of messages sent, and the message number in the fragments of the last one
 
 	// The policy whose budgets are in force.
 	quotaDigest rollout.Digest
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.core = rollout.New(now, plan, rollout.Process{Name: a.name, Incarnation: a.start, Random: rand.New(rand.NewPCG(a.start, 3)), Stored: stored}, p)
+	p.core = rollout.New(now, plan, rollout.Process{Name: a.name, Incarnation: a.incarnation, Random: rand.New(rand.NewPCG(a.incarnation, 3)), Stored: stored}, p)
 	return p, nil
 }
 
@@ -143,8 +143,8 @@
 
 // sendFragments sends a message to an address, split into as many datagrams as necessary.
 func (p *policyRollout) sendFragments(address string, message []byte) {
-	p.sent++
-	for _, fragment := range splitMessage(p.sent, message) {
+	p.messagesSent++
+	for _, fragment := range splitMessage(p.messagesSent, message) {
 		p.agent.transport.send(address, policySection, fragment)
 	}
 }
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -39,9 +39,9 @@
 // router's owner the others.
 type quotaShares interface {
 	Tick(now admission.Time)
-	HandleMessage(now admission.Time, m quota.Message) (more bool)
-	TryReserve(now admission.Time, budget int, amount int64, length admission.Time) bool
-	CommitReservation(now admission.Time, budget int, amount int64, length admission.Time) bool
+	HandleMessage(now admission.Time, m quota.Message) (moreAvailable bool)
+	TryReserve(now admission.Time, budget int, amount int64, useTime admission.Time) bool
+	CommitReservation(now admission.Time, budget int, amount int64, useTime admission.Time) bool
 	Release(now admission.Time, budget int, amount int64) (awaited bool)
 	SetDemand(now admission.Time, budget int, amount int64)
 	ReserveRate(now admission.Time, budget int, need int64) (rate int64, until admission.Time)
@@ -54,12 +54,12 @@
 	at   admission.Time
 }
 
-func newQuotaSharing(a *Agent, start *config.Config, longestWait time.Duration) (*quotaSharing, error) {
+func newQuotaSharing(a *Agent, startConfig *config.Config, longestWait time.Duration) (*quotaSharing, error) {
 	s := &quotaSharing{
 		agent:         a,
 		longestWait:   longestWait,
-		overloadTime:  start.Deployment.WarmUpOverloadTime,
-		gatewayIndex:  start.Deployment.GatewayIndex,
+		overloadTime:  startConfig.Deployment.WarmUpOverloadTime,
+		gatewayIndex:  startConfig.Deployment.GatewayIndex,
 		names:         slices.Clone(a.config.Quota.Names),
 		recordedRates: map[int]recordedRate{},
 	}
@@ -78,13 +78,13 @@
 // the rest of it is still longer than a whole use. It doesn't last longer, because during a network partition neither the lender
 // nor the borrower can use lent units until the lease ends.
 func (s *quotaSharing) newPlan(c *QuotaConfig) *quota.Plan {
-	longest := ticks(s.longestWait)
+	longestUse := ticks(s.longestWait)
 	plan := &quota.Plan{
 		Shares:       s.agent.gateways,
 		Voters:       c.Voters,
 		ShareTerm:    ticks(c.ShareTerm),
-		LongestUse:   longest,
-		LeaseTerm:    2 * longest,
+		LongestUse:   longestUse,
+		LeaseTerm:    2 * longestUse,
 		DriftDivisor: clockDriftDivisor,
 		Revision:     c.Revision,
 		Totals:       c.Totals,
@@ -132,13 +132,13 @@
 // predecessors that have surely ended, as listed in the handover file.
 func (s *quotaSharing) claim(now admission.Time) *quota.Core {
 	a := s.agent
-	start := a.members.Self().Incarnation
-	core := quota.New(now, quota.Options{Plan: s.plan, Name: a.name, Incarnation: start, Share: s.gatewayIndex, Host: quotaHost{a}})
+	incarnation := a.members.Self().Incarnation
+	core := quota.New(now, quota.Options{Plan: s.plan, Name: a.name, Incarnation: incarnation, Share: s.gatewayIndex, Host: quotaHost{a}})
 	s.confirmed, s.claimedAt = false, now
 	if s.handover == nil {
 		return core
 	}
-	ended, err := s.handover.beginClaim(start)
+	ended, err := s.handover.beginClaim(incarnation)
 	s.logFolderError(err)
 	if len(ended) > 0 {
 		core.SetPredecessors(ended)
@@ -149,7 +149,7 @@
 
 // tick steps the core. If the process had to take a higher incarnation than it started with, it claims the share anew.
 func (s *quotaSharing) tick(now admission.Time) {
-	if s.synchronized != nil && s.synchronized.Incarnation() != s.agent.start {
+	if s.synchronized != nil && s.synchronized.Incarnation() != s.agent.incarnation {
 		s.synchronized.ReplaceCore(s.claim(now))
 	}
 	s.shares.Tick(now)
@@ -177,13 +177,13 @@
 	if s.synchronized == nil {
 		return
 	}
-	var free bool
+	var released bool
 	s.synchronized.WithCore(func(core *quota.Core) {
-		free = core.ReleaseShares(s.agent.clock.Now())
+		released = core.ReleaseShares(s.agent.clock.Now())
 		if s.handover == nil {
 			return
 		}
-		if free {
+		if released {
 			s.logFolderError(s.handover.release())
 		}
 		s.logFolderError(s.handover.close())
@@ -277,7 +277,7 @@
 		return nil
 	}
 	for _, b := range s.synchronized.Statuses(now) {
-		one := BudgetStatus{
+		budget := BudgetStatus{
 			Budget:       s.name(b.Index),
 			Total:        b.Total,
 			LocalShare:   b.OwnShare,
@@ -288,9 +288,9 @@
 			ShareSeconds: seconds(b.ShareExpiresIn),
 		}
 		for _, p := range b.Peers {
-			one.Peers = append(one.Peers, BudgetPeerStatus{p.Name, p.LeasedOut, p.LeasedIn, seconds(p.ExpiresIn), p.SpareUnits, seconds(p.SpareAge)})
+			budget.Peers = append(budget.Peers, BudgetPeerStatus{p.Name, p.LeasedOut, p.LeasedIn, seconds(p.ExpiresIn), p.SpareUnits, seconds(p.SpareAge)})
 		}
-		out = append(out, one)
+		out = append(out, budget)
 	}
 	return out
 }
--- a/internal/cluster/agent/quotause.go
+++ b/internal/cluster/agent/quotause.go
@@ -39,12 +39,12 @@
 }
 
 // use uses an amount of a budget until Release, or until length has passed. It reports whether the amount was available.
-func (s *quotaSharing) use(now admission.Time, budget int, amount int64, length admission.Time) bool {
-	ok := s.shares != nil && s.shares.CommitReservation(now, budget, amount, length)
+func (s *quotaSharing) use(now admission.Time, budget int, amount int64, useTime admission.Time) bool {
+	ok := s.shares != nil && s.shares.CommitReservation(now, budget, amount, useTime)
 	if !ok { // the caller sends the attempt anyway
 		s.agent.log.Error("fleet", "code", "overrun", "budget", s.name(budget), "amount", amount)
 	}
-	s.agent.history.Write(history.Event{Kind: history.BudgetUsed, Code: s.name(budget), Number: int(amount), ValidNanos: duration(length).Nanoseconds()})
+	s.agent.history.Write(history.Event{Kind: history.BudgetUsed, Code: s.name(budget), Number: int(amount), ValidNanos: duration(useTime).Nanoseconds()})
 	return ok
 }
 
--- a/internal/cluster/agent/replaywindow.go
+++ b/internal/cluster/agent/replaywindow.go
@@ -6,19 +6,19 @@
 // replayWindow detects repeated datagrams of a gateway. It holds the incarnation of the gateway's latest process and a bit set of
 // that process's last 64 sequence numbers that have arrived.
 type replayWindow struct {
-	start   uint64 // incarnation of the process
-	highest uint64 // highest sequence number that has arrived
-	arrived uint64 // bit i: sequence number highest-i has arrived
+	incarnation uint64 // incarnation of the process
+	highest     uint64 // highest sequence number that has arrived
+	arrived     uint64 // bit i: sequence number highest-i has arrived
 }
 
 // accept records the sequence number of a datagram. It returns false if the number has arrived before, is older than the window,
 // or belongs to an earlier process.
-func (w *replayWindow) accept(start, sequence uint64) bool {
+func (w *replayWindow) accept(incarnation, sequence uint64) bool {
 	switch {
-	case start < w.start:
+	case incarnation < w.incarnation:
 		return false
-	case start > w.start:
-		*w = replayWindow{start: start, highest: sequence, arrived: 1}
+	case incarnation > w.incarnation:
+		*w = replayWindow{incarnation: incarnation, highest: sequence, arrived: 1}
 		return true
 	case sequence > w.highest:
 		advance := sequence - w.highest
--- a/internal/cluster/agent/slowstart.go
+++ b/internal/cluster/agent/slowstart.go
@@ -37,16 +37,16 @@
 
 	// The last reservation, which the next attempt at the engine uses.
 	engine admission.EngineID // empty: there is no reservation
-	slot   int                // index in budgets
+	bucket int                // index in budgets
 	units  int64
 }
 
 // slowStartBudget is this gateway's demand for one budget.
 type slowStartBudget struct {
-	index    int            // index among all budgets
-	wanted   int64          // units that the last failed reservation needed
-	wantedAt admission.Time // when that reservation failed
-	reported bool           // the next Tick has to call SetDemand even if nothing is wanted, to withdraw a demand or free a reservation
+	index       int            // index among all budgets
+	wanted      int64          // units that the last failed reservation needed
+	wantedAt    admission.Time // when that reservation failed
+	needsUpdate bool           // the next Tick has to call SetDemand even if nothing is wanted, to withdraw a demand or free a reservation
 }
 
 func newSlowStart(a *Agent) *slowStart {
@@ -75,14 +75,14 @@
 	if units > slowStartUnits {
 		return false, true
 	}
-	slot := int(xxhash.Sum64String(string(engine)) % slowStartBudgets)
-	budget := &s.budgets[slot]
+	bucket := int(xxhash.Sum64String(string(engine)) % slowStartBudgets)
+	budget := &s.budgets[bucket]
 	if !a.quota.shares.TryReserve(now, budget.index, units, s.useTime) {
 		budget.wanted, budget.wantedAt = units, now
 		return false, true
 	}
-	budget.reported = true
-	s.engine, s.slot, s.units = engine, slot, units
+	budget.needsUpdate = true
+	s.engine, s.bucket, s.units = engine, bucket, units
 	return true, true
 }
 
@@ -91,7 +91,7 @@
 	if s == nil || s.engine != engine {
 		return
 	}
-	s.agent.quota.use(now, s.budgets[s.slot].index, s.units, s.useTime)
+	s.agent.quota.use(now, s.budgets[s.bucket].index, s.units, s.useTime)
 	s.engine = ""
 }
 
@@ -111,9 +111,9 @@
 		if now-budget.wantedAt >= slowStartWantTime {
 			budget.wanted = 0
 		}
-		if budget.wanted > 0 || budget.reported {
+		if budget.wanted > 0 || budget.needsUpdate {
 			a.quota.shares.SetDemand(now, budget.index, budget.wanted)
-			budget.reported = budget.wanted > 0
+			budget.needsUpdate = budget.wanted > 0
 		}
 	}
 }
--- a/internal/cluster/agent/transport.go
+++ b/internal/cluster/agent/transport.go
@@ -82,11 +82,11 @@
 	}
 	t.sequence++
 	datagram, err := t.sealer.seal(&envelope{
-		sender:   t.agent.name,
-		start:    t.agent.members.Self().Incarnation,
-		sequence: t.sequence,
-		clock:    uint32(t.agent.clock.Now()),
-		sections: []section{{kind, payload}},
+		sender:      t.agent.name,
+		incarnation: t.agent.members.Self().Incarnation,
+		sequence:    t.sequence,
+		clock:       uint32(t.agent.clock.Now()),
+		sections:    []section{{kind, payload}},
 	})
 	if err != nil {
 		return 0
@@ -112,7 +112,7 @@
 	}
 	// A datagram of an earlier process under the same name isn't dropped, because the membership core has to answer that the
 	// process is displaced.
-	if !window.accept(e.start, e.sequence) && e.start >= window.start {
+	if !window.accept(e.incarnation, e.sequence) && e.incarnation >= window.incarnation {
 		return nil, errReplayed
 	}
 	return e, nil
@@ -145,10 +145,10 @@
 		return
 	}
 	if a.health.accepts(at) {
-		a.health.reports.ObserveClock(at, healthreport.Source{Name: e.sender, Incarnation: e.start}, e.clock)
+		a.health.reports.ObserveClock(at, healthreport.Source{Name: e.sender, Incarnation: e.incarnation}, e.clock)
 	}
-	for _, one := range e.sections {
-		if !a.handleSection(at, e, one) {
+	for _, item := range e.sections {
+		if !a.handleSection(at, e, item) {
 			err = errMalformed
 		}
 	}
@@ -161,14 +161,14 @@
 
 // handleSection passes one section to its core and reports whether it was well formed. A displaced gateway handles only membership
 // messages and health reports. Sections of unknown kinds and of cores that aren't in use are ignored.
-func (a *Agent) handleSection(at admission.Time, e *envelope, one section) bool {
+func (a *Agent) handleSection(at admission.Time, e *envelope, item section) bool {
 	displaced := a.members.IsInactive()
-	switch one.kind {
+	switch item.kind {
 	case membershipSection:
-		return a.members.HandleMessage(at, one.payload) == nil
+		return a.members.HandleMessage(at, item.payload) == nil
 	case quotaSection:
-		message, err := quota.Decode(one.payload)
-		if err != nil || message.Sender != e.sender || message.SenderIncarnation != e.start {
+		message, err := quota.Decode(item.payload)
+		if err != nil || message.Sender != e.sender || message.SenderIncarnation != e.incarnation {
 			return false
 		}
 		if a.quota != nil && !displaced {
@@ -176,15 +176,15 @@
 		}
 	case countersSection:
 		if a.counters.core != nil && !displaced {
-			return a.counters.core.HandleMessage(at, e.sender, e.start, one.payload) == nil
+			return a.counters.core.HandleMessage(at, e.sender, e.incarnation, item.payload) == nil
 		}
 	case policySection:
 		if a.policies != nil && !displaced {
-			return a.policies.handleFragment(at, e, one.payload) == nil
+			return a.policies.handleFragment(at, e, item.payload) == nil
 		}
 	case healthReportSection:
 		if a.health.accepts(at) {
-			return a.health.handleReport(at, e, one.payload) == nil
+			return a.health.handleReport(at, e, item.payload) == nil
 		}
 	}
 	return true
--- a/internal/cluster/agent/wakemonitor_test.go
+++ b/internal/cluster/agent/wakemonitor_test.go
@@ -9,7 +9,7 @@
 )
 
 // A run of the goroutine that is late adds one event to the history, and one that is in time adds none.
-func TestLateWakeIsWrittenDown(t *testing.T) {
+func TestLateWakeIsRecorded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "g0.history")
 	writer, err := history.Open(path, "g0", 1)
 	if err != nil {
--- a/internal/cluster/history/format_test.go
+++ b/internal/cluster/history/format_test.go
@@ -8,7 +8,7 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-func TestHistoryOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
+func TestHistoryOfEarlierVersionRoundTrips(t *testing.T) {
 	events, err := MergeFiles(filepath.Join("testdata", "format", "history.form"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/history/history_test.go
+++ b/internal/cluster/history/history_test.go
@@ -9,9 +9,9 @@
 )
 
 // writeEvents writes events of a process. After Close it writes one more event, which must not reach the file.
-func writeEvents(t *testing.T, path string, start uint64, kinds ...Kind) {
+func writeEvents(t *testing.T, path string, incarnation uint64, kinds ...Kind) {
 	t.Helper()
-	writer, err := Open(path, "g0", start)
+	writer, err := Open(path, "g0", incarnation)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestMergeFilesPassesOverLinesCutByAKill(t *testing.T) {
+func TestMergeFilesSkipsLinesTruncatedByAKill(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "g0.history")
 	writeEvents(t, path, 1, ProcessStarted, AttemptSent)
 	appendText(t, path, `{"at":12,"pro`)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestMergeFilesNamesALineThatIsBrokenInTheMiddle(t *testing.T) {
+func TestMergeFilesRejectsMalformedLineInTheMiddle(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "g0.history")
 	writeEvents(t, path, 1, ProcessStarted)
 	appendText(t, path, `{"at":`)
--- a/internal/cluster/history/merge.go
+++ b/internal/cluster/history/merge.go
@@ -38,19 +38,19 @@
 // parseLines reads the events of one file.
 func parseLines(path string, text []byte) (events []Event, err error) {
 	label := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	var cut error // error of the previous line, accepted only if a new process starts after it
+	var truncatedLineErr error // error of the previous line, accepted only if a new process starts after it
 	for i, line := range bytes.Split(text, []byte{'\n'}) {
 		if len(line) == 0 {
 			continue
 		}
 		var event Event
 		err := json.Unmarshal(line, &event)
-		if cut != nil && event.Kind != ProcessStarted {
-			return nil, cut
+		if truncatedLineErr != nil && event.Kind != ProcessStarted {
+			return nil, truncatedLineErr
 		}
-		cut = nil
+		truncatedLineErr = nil
 		if err != nil {
-			cut = fmt.Errorf("%s:%d: expected an event, found %w", path, i+1, err)
+			truncatedLineErr = fmt.Errorf("%s:%d: expected an event, found %w", path, i+1, err)
 			continue
 		}
 		event.Label = label
--- a/internal/cluster/history/writer.go
+++ b/internal/cluster/history/writer.go
@@ -11,30 +11,30 @@
 // Writer writes the history of a process. It writes each event to the file at once, so that a process that is killed leaves all
 // earlier events. A nil Writer writes nothing. A Writer may be used by any goroutine.
 type Writer struct {
-	process string
-	start   uint64 // incarnation of the process
+	process     string
+	incarnation uint64 // incarnation of the process
 
-	lock    sync.Mutex
-	file    *os.File // nil: closed
-	failure error    // first error of a write
+	lock     sync.Mutex
+	file     *os.File // nil: closed
+	firstErr error    // first error of a write
 }
 
 // Open opens or creates a file and returns a Writer that appends the history of a process to it.
-func Open(path, process string, start uint64) (*Writer, error) {
+func Open(path, process string, incarnation uint64) (*Writer, error) {
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	w := &Writer{process: process, start: start, file: file}
-	if err := w.endCutLine(); err != nil {
+	w := &Writer{process: process, incarnation: incarnation, file: file}
+	if err := w.endTruncatedLine(); err != nil {
 		return nil, errors.Join(fmt.Errorf("history: %w", err), file.Close())
 	}
 	return w, nil
 }
 
-// endCutLine appends a line break to a file that isn't empty, because the last line of an earlier process that was killed may be
+// endTruncatedLine appends a line break to a file that isn't empty, because the last line of an earlier process that was killed may be
 // incomplete. Readers skip empty lines.
-func (w *Writer) endCutLine() error {
+func (w *Writer) endTruncatedLine() error {
 	info, err := w.file.Stat()
 	if err != nil {
 		return err
@@ -56,13 +56,13 @@
 	if w.file == nil {
 		return
 	}
-	event.At, event.Process, event.Start = Now(), w.process, w.start
+	event.At, event.Process, event.Start = Now(), w.process, w.incarnation
 	line, err := json.Marshal(event)
 	if err == nil {
 		_, err = w.file.Write(append(line, '\n'))
 	}
-	if err != nil && w.failure == nil {
-		w.failure = err
+	if err != nil && w.firstErr == nil {
+		w.firstErr = err
 	}
 }
 
@@ -73,9 +73,9 @@
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	if err := w.file.Close(); w.failure == nil {
-		w.failure = err
+	if err := w.file.Close(); w.firstErr == nil {
+		w.firstErr = err
 	}
 	w.file = nil
-	return w.failure
+	return w.firstErr
 }
