--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -23,8 +23,8 @@
 	"magpiebank/internal/router"
 )
 
-// Agent makes this gateway a member of the cluster of gateways. Only the router's owner calls most exported methods;
-// TryBeginWrite, EndWrite, ActivePolicy, HistoryNow and ReplaceQuota may be called from any goroutine. Once the agent has
+// Agent makes this gateway a member of the cluster of gateways. Most exported methods are only for the router's
+// owner; TryBeginWrite, EndWrite, ActivePolicy, HistoryNow and ReplaceQuota may be called from any goroutine. Once the agent has
 // started, its goroutine owns the fields and calls the unexported methods, unless a comment says otherwise.
 type Agent struct {
 	config   Config
@@ -177,7 +177,7 @@
 // close closes the sockets, for Start and Stop. That ends the goroutines that read from them.
 func (a *Agent) close() {
 	if a.transport.socket != nil {
-		_ = a.transport.socket.Close() // a UDP socket has no unwritten data
+		_ = a.transport.socket.Close() // closing a UDP socket loses no data
 	}
 	if a.control != nil {
 		a.control.listener.Close()
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -198,7 +198,7 @@
 }
 
 // threadsAreBorrowed returns a condition that has the last gateway use one more thread each time it is checked, until the gateway has
-// borrowed threads.
+// borrowed three threads. It fails the test if the gateway uses more threads than the total.
 func (c *cluster) threadsAreBorrowed(t *testing.T) func() bool {
 	t.Helper()
 	const total = 6
--- a/internal/cluster/agent/config.go
+++ b/internal/cluster/agent/config.go
@@ -30,7 +30,7 @@
 // QuotaConfig holds the budgets: what classes may use over all gateways of the installation.
 type QuotaConfig struct {
 	Voters    []string      // names of the gateways that confirm which gateway holds which share
-	ShareTerm time.Duration // how long a gateway holds its share after the voters last confirmed it
+	ShareTerm time.Duration // how long a gateway holds its share after it sent the last claim that the voters confirmed
 	Revision  uint64        // raised with every change of the totals
 	Names     []string      // names of the budgets: a class and the resource that the budget limits for it
 	Totals    []int64       // by budget, in units of its resource
--- a/internal/cluster/agent/controlclient.go
+++ b/internal/cluster/agent/controlclient.go
@@ -25,8 +25,8 @@
 }
 
 // SendPolicyRequest sends a policy request to a gateway's control socket and waits for the reply until the context is done.
-// The reply to a proposal arrives when the proposal has ended. A rejected request has a reply with PolicyReply.Error and no
-// error here.
+// The reply to a proposal arrives when the proposal has ended. A rejection is returned as a
+// reply, not as an error.
 func SendPolicyRequest(ctx context.Context, path string, request *PolicyRequest) (*PolicyReply, error) {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "unix", path)
--- a/internal/cluster/agent/handover.go
+++ b/internal/cluster/agent/handover.go
@@ -15,10 +15,10 @@
 	"magpiebank/internal/cluster/quota"
 )
 
-// shareHandover is a file that outlives the process. It lists the incarnations of the gateway that claimed its share of the
-// budgets, so that the next process under the same name can take over that share at once. The next process may use the list
-// only if the processes in it have surely ended. Two checks ensure that: the process that writes the file holds a lock on
-// it, and the file records its own device and inode and the boot ID of its machine. A copied file has another inode, and
+// shareHandover is a file that outlives the process. It lists the incarnations under which this gateway claimed its share of
+// the budgets, so that the next process under the same name can take over that share at once. The next process may use the
+// list only if the listed processes have surely ended. Two checks ensure that: a process locks the file until it ends, and the
+// file records its own device and inode and the boot ID of its machine. A copied file has another inode, and
 // after a reboot the boot ID differs; the list is ignored in both cases.
 type shareHandover struct {
 	file   *os.File
--- a/internal/cluster/agent/healthsharing.go
+++ b/internal/cluster/agent/healthsharing.go
@@ -18,8 +18,8 @@
 	ejected       map[admission.EngineID]bool // engines last logged as ejected by reports of other gateways alone
 
 	// A token bucket, filled at Config.BytesPerSecond, limits the bytes of reports that are sent.
-	tokens   float64 // bytes
-	filledAt admission.Time
+	tokens   float64        // bytes
+	filledAt admission.Time // when tokens were last added
 
 	listedStarts map[admission.EngineID]admission.Time // start times of listed engines, as last written to the history
 }
--- a/internal/cluster/agent/loop.go
+++ b/internal/cluster/agent/loop.go
@@ -33,7 +33,7 @@
 }
 
 // leave notifies the other gateways that this one leaves, and releases its policy lease and, if no unit of it is
-// in use, its share of the budgets.
+// in use or lent, its share of the budgets.
 func (a *Agent) leave(now admission.Time) {
 	a.members.Leave(now)
 	if a.quota != nil {
--- a/internal/cluster/agent/mutation.go
+++ b/internal/cluster/agent/mutation.go
@@ -19,7 +19,8 @@
 	replaceQuotaShares(a *Agent, now admission.Time) quotaShares
 	// rejectPolicy returns the error with which a gateway of a simulated older build rejects a policy; nil: it accepts it.
 	rejectPolicy(text []byte) error
-	// crashPoint is called at each step of a policy rollout, and may kill or stop the process there.
+	// crashPoint is called with the code of each event of a policy rollout, and with "sent" before each message of it. It may
+	// kill or stop the process.
 	crashPoint(step string)
 }
 
--- a/internal/cluster/agent/policyfragments.go
+++ b/internal/cluster/agent/policyfragments.go
@@ -14,7 +14,8 @@
 	fragmentHeaderBytes = 1 + 1 + 4
 	maxFragmentBytes    = 1000
 	maxFragments        = 255
-	// maxPartialMessages limits the number of incomplete messages. One more drops the oldest.
+	// maxPartialMessages limits the number of incomplete messages. When another one begins, the oldest is
+	// dropped.
 	maxPartialMessages = 64
 	// partialMessageTime is the time after its first fragment at which an incomplete message is dropped.
 	partialMessageTime = 2 * admission.Second
--- a/internal/cluster/agent/policyrequests.go
+++ b/internal/cluster/agent/policyrequests.go
@@ -64,7 +64,7 @@
 // PolicyStatus is a gateway's state of the policy rollout.
 type PolicyStatus struct {
 	Name           string           `json:"name"`   // name of the gateway
-	Number         uint64           `json:"number"` // number of the policy that is in force at this gateway, or was last
+	Number         uint64           `json:"number"` // number of the policy that is in force at this gateway, or was in force last
 	Era            uint64           `json:"era"`
 	Digest         string           `json:"digest"`
 	LeaseSeconds   float64          `json:"lease"` // time for which it may apply the policy without another message; 0: it may not
@@ -149,7 +149,7 @@
 	case AwaitOperation:
 		result, ok := p.core.ProposalProgress(request.ID)
 		if !ok {
-			return nil, fmt.Errorf("no proposal %08x was made at this gateway", uint32(request.ID>>32))
+			return nil, fmt.Errorf("no proposal %08x was made here", uint32(request.ID>>32))
 		}
 		return &PolicyReply{Result: newProposalResult(result)}, nil
 	case TextOperation:
@@ -175,7 +175,7 @@
 	}
 	text := p.core.PolicyText(digest)
 	if text == nil && (digest != rollout.Digest{}) {
-		return nil, fmt.Errorf("the text of policy %d isn't stored at this gateway: ask a voter", number)
+		return nil, fmt.Errorf("the text of number %d isn't here: ask a voter", number)
 	}
 	return &PolicyReply{Text: text}, nil
 }
@@ -194,7 +194,7 @@
 	if number == 0 {
 		return rollout.Digest{}, nil
 	}
-	return rollout.Digest{}, fmt.Errorf("policy %d isn't known at this gateway: ask a voter, which knows the latest policies", number)
+	return rollout.Digest{}, fmt.Errorf("number %d isn't known here: ask a voter, which knows the last ones", number)
 }
 
 // status returns the gateway's state of the policy rollout.
--- a/internal/cluster/agent/policyrollout.go
+++ b/internal/cluster/agent/policyrollout.go
@@ -33,10 +33,10 @@
 	config       PolicyConfig
 	reader       PolicyReader
 	core         *rollout.Core
-	store        *store.Store              // nil: the gateway doesn't vote
+	store        *store.Store              // nil: no folder is configured, so the gateway doesn't vote
 	parsed       map[rollout.Digest]Policy // cache of parsed policies
 	fragments    reassembler               // of received messages
-	messagesSent uint32                    // number of messages sent, and the message number in the fragments of the last one
+	messagesSent uint32                    // number of messages sent; the fragments of a message carry it as the message's number
 
 	// The policy whose budgets are in force.
 	quotaDigest rollout.Digest
@@ -172,7 +172,7 @@
 	}
 	if names, _ := policy.Budgets(); len(names) > 0 && p.agent.quota == nil {
 		class := strings.Fields(names[0])[0]
-		return nil, fmt.Errorf("statements.classes: expected fleet.budgets in this gateway's file, because the fleet shares budgets of class %s, found nothing", class)
+		return nil, fmt.Errorf("statements.classes: expected fleet.budgets in this gateway's file, as %s is the fleet's, found nothing", class)
 	}
 	return policy, nil
 }
--- a/internal/cluster/agent/quota.go
+++ b/internal/cluster/agent/quota.go
@@ -19,13 +19,13 @@
 	agent        *Agent
 	plan         *quota.Plan
 	longestWait  time.Duration  // longest wait of a request, and so the longest time that a unit is used
-	overloadTime admission.Time // deployment's time window in which an engine that has just started must not be sent too much
+	overloadTime admission.Time // window in which an engine that has just started fails if it is sent too much
 	gatewayIndex int            // index of this gateway's share
 
 	shares       quotaShares         // nil until Start
 	synchronized *quota.Synchronized // the same as shares; nil if a mutation replaces the agent's own shares
 
-	handover  *shareHandover // nil: the next process can't take over the share
+	handover  *shareHandover // nil: there is no handover file, so the next process can't take over the share
 	confirmed bool           // this incarnation holds the share, and its units may be used
 	claimedAt admission.Time // when this incarnation claimed the share
 
--- a/internal/cluster/agent/quotause.go
+++ b/internal/cluster/agent/quotause.go
@@ -38,7 +38,7 @@
 	return a.quota.use(now, budget, amount, a.quota.plan.LongestUse)
 }
 
-// use uses an amount of a budget until Release, or until length has passed. It reports whether the amount was available.
+// use uses an amount of a budget until Release, or until useTime has passed. It reports whether the amount was available.
 func (s *quotaSharing) use(now admission.Time, budget int, amount int64, useTime admission.Time) bool {
 	ok := s.shares != nil && s.shares.CommitReservation(now, budget, amount, useTime)
 	if !ok { // the caller sends the attempt anyway
--- a/internal/cluster/agent/status.go
+++ b/internal/cluster/agent/status.go
@@ -58,7 +58,7 @@
 	ReportSeconds float64 `json:"told"`  // time since that announcement; -1: there was none
 }
 
-// EngineStatus is what is known of an engine. A time of -1 means that the event hasn't happened lately, or never.
+// EngineStatus is what is known of an engine. A time of -1 means that the event hasn't happened lately or at all.
 type EngineStatus struct {
 	Engine           string  `json:"engine"`
 	AnsweredSeconds  float64 `json:"answered"` // time since the engine last answered this gateway
--- a/internal/cluster/agent/statustext.go
+++ b/internal/cluster/agent/statustext.go
@@ -94,7 +94,7 @@
 	if s.LeaseSeconds == 0 {
 		lease = "NO LEASE: requests to which a class of any policy applies are rejected"
 	}
-	fmt.Fprintf(out, "%s applies policy %d, %s; %s\n", s.Name, s.Number, s.Digest, lease)
+	fmt.Fprintf(out, "%s has policy %d, %s; %s\n", s.Name, s.Number, s.Digest, lease)
 	if s.DecidedNumber != s.Number {
 		fmt.Fprintf(out, "policy %d is decided\n", s.DecidedNumber)
 	}
--- a/internal/cluster/agent/transport.go
+++ b/internal/cluster/agent/transport.go
@@ -160,7 +160,7 @@
 }
 
 // handleSection passes one section to its core and reports whether it was well formed. A displaced gateway handles only membership
-// messages and health reports. Sections of unknown kinds and of cores that aren't in use are ignored.
+// messages and health reports. Sections of unknown kinds are ignored.
 func (a *Agent) handleSection(at admission.Time, e *envelope, item section) bool {
 	displaced := a.members.IsInactive()
 	switch item.kind {
--- a/internal/cluster/history/history.go
+++ b/internal/cluster/history/history.go
@@ -24,9 +24,9 @@
 	FailureScore float64 `json:"against,omitempty"`
 	Ejects       bool    `json:"out,omitempty"`    // the assessment alone ejects the engine, unless the comment on Kind's value says otherwise
 	Number       int     `json:"number,omitempty"` // number of witnesses, unless the comment on Kind's value says otherwise
-	High         int     `json:"most,omitempty"`
-	ObservedAt   int64   `json:"as_of,omitempty"` // when the process read the state that the event rests on, possibly long before At
-	ValidNanos   int64   `json:"until,omitempty"` // time from ObservedAt, or from At if ObservedAt isn't set, for which the event holds
+	High         int     `json:"most,omitempty"`   // see RequestsCounted and CountersRead
+	ObservedAt   int64   `json:"as_of,omitempty"`  // when the process read the state that the event rests on, possibly long before At
+	ValidNanos   int64   `json:"until,omitempty"`  // time from ObservedAt, or from At if ObservedAt isn't set, for which the event holds
 }
 
 // Kind is the kind of an event, stored under "what".
@@ -71,8 +71,7 @@
 	// lease.
 	PolicyChanged Kind = "stands"
 	// RequestDecided is a decision on Request at ObservedAt. Code is taken, refused, crowded, sent or unsure. Number is the policy
-	// that the decision rests on (-1: none). Ejects: the decision rests on the proposed policy as
-	// well.
+	// that the decision rests on (-1: none). Ejects: the decision rests on the proposed policy as well.
 	RequestDecided Kind = "decided"
 	// AttemptWritten means that an attempt of Request has been written to its engine.
 	AttemptWritten Kind = "wrote"
