--- a/internal/cluster/rollout/change.go
+++ b/internal/cluster/rollout/change.go
@@ -8,17 +8,18 @@
 const (
 	maxNamedMembers  = 3
 	maxProgressBytes = 200
-	// A proposal that waits for its text and isn't repeated is forgotten after this long.
+	// waitingProposalLifetime is how long the leader keeps a proposal that waits for its text after the member last repeated it.
 	waitingProposalLifetime = 10 * second
-	// Beside the times that a proposal must wait, it may stay open for this long, and for this many leases, for some attempts to switch.
+	// extraProposalTime and extraProposalLeases, a number of lease lengths, extend the time for which a proposal may stay open, so that the
+	// leader can wait until old leases expire and can retry the switch.
 	extraProposalTime   = 10 * second
 	extraProposalLeases = 3
 )
 
-// advanceProposal takes the open proposal as far as it can go.
+// advanceProposal moves the open proposal through its phases as far as is possible now.
 func (v *voter) advanceProposal(c *Core) {
 	leader, p := v.leadership, v.table.Proposal
-	if leader == nil || p == nil || leader.behind {
+	if leader == nil || p == nil || leader.votersBehind {
 		return
 	}
 	text := c.policies.find(p.Digest)
@@ -26,7 +27,7 @@
 		v.fetchProposal(c, p)
 	}
 	if leader.change.phase < deciding {
-		if reason := v.failure(c, text); reason != "" {
+		if reason := v.dropReason(c, text); reason != "" {
 			v.appendDrop(c, OutcomeDropped, reason)
 			return
 		}
@@ -37,7 +38,7 @@
 			v.endPreparing(c, p, text)
 		}
 	case rehearsing:
-		if c.now-leader.change.phaseSince >= max(p.RehearsalLength, text.terms.RehearsalLength) {
+		if c.now-leader.change.phaseSince >= max(p.RehearsalLength, text.parameters.RehearsalLength) {
 			v.endRehearsal(c, p, text)
 		}
 	case switching:
@@ -57,11 +58,12 @@
 	c.policies.fetch(c, p.Digest, p.Size, sources)
 }
 
-// failure is why the open proposal can't take hold: a member that is heard can't follow it, or its time is over. Empty: it may.
-func (v *voter) failure(c *Core, text *policyText) string {
+// dropReason returns why the open proposal must be dropped: a member that the leader receives requests from can't follow it, or it has
+// been open for too long. It returns an empty string if the proposal can go on.
+func (v *voter) dropReason(c *Core, text *policyText) string {
 	leader, p := v.leadership, v.table.Proposal
 	for i := range leader.holders {
-		if h := &leader.holders[i]; h.request.Unsupported == p.ID && v.isHeard(c, h) {
+		if h := &leader.holders[i]; h.request.Unsupported == p.ID && v.hasRecentRequest(c, h) {
 			return fmt.Sprintf("%s: %s", h.name, h.request.Reason)
 		}
 	}
@@ -71,26 +73,26 @@
 	return ""
 }
 
-// isHeard tells whether a member has sent a request within a lease's time.
-func (v *voter) isHeard(c *Core, h *leaseHolder) bool {
-	return c.now-h.lastHeardAt < v.table.LeaseDuration
+// hasRecentRequest reports whether a member has sent a request within the length of a lease.
+func (v *voter) hasRecentRequest(c *Core, h *leaseHolder) bool {
+	return c.now-h.lastRequestAt < v.table.LeaseDuration
 }
 
-// proposalTimeout is how long a proposal may stay open: the time to prepare it, the longest lease that may have to end, its rehearsal, and
-// some attempts to switch.
+// proposalTimeout returns how long the proposal may stay open: the time to prepare it, the time for old leases and overlaps to expire, its
+// rehearsal, and time for several attempts to switch.
 func (v *voter) proposalTimeout(c *Core, text *policyText) Time {
 	longest := c.config.leaseMargin(max(v.table.LeaseDuration, v.table.Overlap))
 	timeout := c.config.PrepareTimeout + extraProposalLeases*longest + extraProposalTime + v.table.Proposal.RehearsalLength
 	if text != nil {
-		timeout += text.terms.RehearsalLength
+		timeout += text.parameters.RehearsalLength
 	}
 	return timeout
 }
 
-// endPreparing begins the rehearsal, if there is to be one, or the switch.
+// endPreparing starts the rehearsal if one is required and hasn't run yet, otherwise the switch.
 func (v *voter) endPreparing(c *Core, p *LoggedProposal, text *policyText) {
 	leader := v.leadership
-	if !leader.change.rehearsed && max(p.RehearsalLength, text.terms.RehearsalLength) > 0 {
+	if !leader.change.rehearsed && max(p.RehearsalLength, text.parameters.RehearsalLength) > 0 {
 		v.enterPhase(c, rehearsing)
 		v.broadcast(c)
 		return
@@ -105,15 +107,15 @@
 	v.advanceProposal(c)
 }
 
-// endRehearsal ends a proposal that was only to be rehearsed, or whose rehearsal passed its bounds, and goes on with any other.
+// endRehearsal drops the proposal if it was only a rehearsal, or if the rehearsal exceeded the bounds. Any other proposal goes on.
 func (v *voter) endRehearsal(c *Core, p *LoggedProposal, text *policyText) {
 	v.leadership.change.rehearsed = true
-	report, worse := v.rehearsalReport(p, text)
+	report, exceeded := v.rehearsalReport(p, text)
 	v.enterPhase(c, preparing)
 	switch {
 	case p.Kind == KindRehearsal:
 		v.appendDrop(c, OutcomeRehearsed, report)
-	case worse:
+	case exceeded:
 		v.appendDrop(c, OutcomeDropped, report)
 	default:
 		v.broadcast(c)
@@ -121,8 +123,8 @@
 	}
 }
 
-// advanceSwitch has the proposal decided once no lease runs. Members that don't give theirs up in time are excluded, and leases on the
-// policy in force are granted again.
+// advanceSwitch has the proposal decided once no lease is running. If some members don't give up their leases within YieldTimeout, it
+// excludes them and grants leases on the policy in force again.
 func (v *voter) advanceSwitch(c *Core, p *LoggedProposal, text *policyText) {
 	leader := v.leadership
 	var holding []*leaseHolder
@@ -147,7 +149,8 @@
 	v.confirmLeadership(c)
 }
 
-// exclude has a member get no lease until it is known to hear.
+// exclude denies a member leases until the member has received a reply to a request that it sends after this call. A decision also ends the
+// exclusion if the member's lease has ended.
 func (h *leaseHolder) exclude(c *Core, p *LoggedProposal) {
 	h.excluded, h.excludedSeq = true, h.seq
 	c.host.LogEvent(MemberExcluded, "member", h.name, "proposal", proposalName(p.ID))
@@ -158,7 +161,7 @@
 }
 
 func (v *voter) appendDecision(c *Core, text *policyText) {
-	probation := text != nil && text.terms.Probation > 0
+	probation := text != nil && text.parameters.Probation > 0
 	v.appendEntry(c, &logEntry{Decide: &decision{v.table.Proposal.ID, c.host.UnixSeconds(), probation}})
 }
 
@@ -166,8 +169,9 @@
 	v.appendEntry(c, &logEntry{Drop: &ProposalEnd{ID: v.table.Proposal.ID, Outcome: outcome, Reason: reason}})
 }
 
-// allPrepared tells whether all members that are heard are ready for the proposal, a majority of the voters among them, and no other
-// member can hold a lease, or an overlap with an earlier proposal, any more. It excludes members that are not ready in time.
+// allPrepared reports whether the switch may start. All members that send requests must be ready for the proposal, among them a majority
+// of the voters, and no other member may still hold a lease, or an overlap with an earlier proposal. Members that are not ready within
+// PrepareTimeout are excluded.
 func (v *voter) allPrepared(c *Core) bool {
 	leader, p := v.leadership, v.table.Proposal
 	if c.now < leader.leasesClearAt || c.now < v.overlapsClearAt(c) {
@@ -180,22 +184,24 @@
 		if !v.isPrepared(c, h, p) {
 			all = false
 		}
-		if h.isReady(p) && v.isHeard(c, h) && v.table.voterNamed(h.name) != nil {
+		if h.isReady(p) && v.hasRecentRequest(c, h) && v.table.voterNamed(h.name) != nil {
 			voters++
 		}
 	}
 	return all && 2*voters > len(v.table.Voters)
 }
 
-// isReady tells whether a member can follow a proposal and is to take part in it.
+// isReady reports whether a member can follow the proposal and is not excluded.
 func (h *leaseHolder) isReady(p *LoggedProposal) bool {
 	return h.request.ReadyFor == p.ID && !h.excluded
 }
 
-// isPrepared tells whether the proposal need not wait for a member.
+// isPrepared reports whether the proposal need not wait for a member. Either the member is ready and has the overlap that it needs, or it
+// is unreachable or excluded and can't hold a lease any more. In both cases it must not have the overlap of another proposal. isPrepared
+// excludes a member that was not ready within PrepareTimeout.
 func (v *voter) isPrepared(c *Core, h *leaseHolder, p *LoggedProposal) bool {
 	hasOtherOverlap := h.overlapClearAt > c.now && h.overlapWith != p.ID && c.config.Mutation != IgnoreOverlap
-	heard := v.isHeard(c, h)
+	heard := v.hasRecentRequest(c, h)
 	if h.isReady(p) {
 		needsOverlap := p.Overlap > 0 && p.Kind != KindRehearsal && h.overlapWith != p.ID && heard
 		return !hasOtherOverlap && !needsOverlap
@@ -209,7 +215,7 @@
 	return false
 }
 
-// overlapsClearAt is when all overlaps that earlier leaders granted have ended.
+// overlapsClearAt returns the time by which all overlaps that earlier leaders granted have ended.
 func (v *voter) overlapsClearAt(c *Core) Time {
 	if v.table.Overlap == 0 || c.config.Mutation == IgnoreOverlap || c.config.Mutation == SkipLeaseWait {
 		return v.leadership.startedAt
@@ -217,16 +223,16 @@
 	return v.leadership.startedAt + c.config.leaseMargin(v.table.Overlap)
 }
 
-// String is how operators read a phase.
+// String returns the phase as shown to operators.
 func (p phase) String() string {
 	return [...]string{preparing: "being taken", rehearsing: "rehearsed", switching: "switching", deciding: "being decided"}[p]
 }
 
-// describeProgress says for operators how far a change is.
+// describeProgress describes the progress of the open proposal for operators. It is empty if there is nothing to report.
 func (v *voter) describeProgress(c *Core) string {
 	leader, p := v.leadership, v.table.Proposal
 	switch {
-	case leader.behind:
+	case leader.votersBehind:
 		return "behind: somebody has gone by more than the voters know; policy force is the way out"
 	case p == nil && v.table.Probation != nil:
 		return fmt.Sprintf("number %d is on probation", v.table.Number)
--- a/internal/cluster/rollout/follower.go
+++ b/internal/cluster/rollout/follower.go
@@ -7,107 +7,110 @@
 )
 
 const (
-	// A gateway without a lease asks again after a tenth of a second, and after twice as long each time, up to half a second: so five
-	// hundred that start together cost the leader a thousand messages a second, and one that a change excluded is back soon.
+	// A gateway without a lease waits for requestRetryMin before its next request, and doubles the wait with each request up to
+	// requestRetryMax. At that rate, 500 gateways that start together cost the leader 1000 messages a second, and a gateway that was
+	// excluded from a change gets a lease again soon.
 	requestRetryMin = second / 10
 	requestRetryMax = second / 2
-	// So often the time between requests doubles.
+	// maxRetryDoublings limits how many times the wait is doubled.
 	maxRetryDoublings = 3
-	// Of a gateway without a lease, one request in so many goes to another voter than the leader it knows.
+	// Every requestsPerVoter-th request of a gateway without a lease goes to another voter instead of the leader that it knows.
 	requestsPerVoter = 3
-	// A lease is renewed after this part of it, so that two requests may get lost before it ends.
+	// A lease is renewed after 1/renewalDivisor of its length, so that two requests may get lost before it expires.
 	renewalDivisor = 4
-	// So many of the latest requests are remembered, for their replies.
+	// maxTrackedRequests is how many of the latest requests are stored, so that their replies can be matched.
 	maxTrackedRequests = 16
 )
 
-// follower is this process as a gateway that goes by policies.
+// follower is the state of this process as a gateway that requests leases and applies policies.
 type follower struct {
-	// The policy that this gateway went by last, and its lease on it.
+	// The policy that this gateway applied last, and its lease on that policy.
 	current       Version
 	currentDigest Digest
 	currentSize   int
 	leaseUntil    Time // 0: no lease
 	leaseDuration Time
 
-	// The latest policy that a majority confirmed as decided, which this gateway may not have a lease on yet.
+	// The latest policy that this gateway knows as decided. The gateway may not have a lease on it yet.
 	decided             Version
 	decidedDigest       Digest
-	informed            bool   // a majority has confirmed one since the start, or the folder has one
-	reportedUnsupported Digest // a decided policy that was logged as one that this gateway can't follow
+	knowsDecidedPolicy  bool   // a confirmed leader has announced the decided policy since the start, or the folder has one's text
+	reportedUnsupported Digest // the decided policy that was last logged as one that this gateway can't follow
 
-	// The open proposal, and whether this gateway can follow it.
+	// The open proposal, and whether this gateway can follow it: readyFor or unsupported is its ID once its text was checked.
 	proposal    *ProposalNotice
 	readyFor    uint64
 	unsupported uint64
 	reason      string
 
-	// The proposal that the lease is given up for: first until nothing decided under it is on its way, then as reported to the leader.
+	// The proposal for which this gateway gives up its lease. The ID is in yieldingFor while requests admitted under the lease are still
+	// being sent to engines. Then it is in releasedFor, which is reported to the leader.
 	yieldingFor uint64
 	releasedFor uint64
 
-	// Without a lease, this gateway may go by what the policy in force and a proposal both allow.
+	// Without a lease, this gateway may admit requests that the policy in force and the proposal overlapWith both allow, until
+	// overlapUntil.
 	overlapUntil Time
 	overlapWith  *ProposalNotice
 
-	// Requests for leases. Replies to those before minValidSeq don't count.
+	// Requests for leases. Leases in replies to requests before minValidSeq are ignored.
 	seq           uint32
 	answeredSeq   uint32
 	minValidSeq   uint32
 	requests      [maxTrackedRequests]sentRequest
 	nextRequestAt Time
-	attempts      int // since the last lease
+	attempts      int // requests since the last lease
 
-	// What is known of the voters.
-	leader       string
-	voters       []string
-	wantedVoters []string // who is to vote, where these are others
-	nextVoter    int
-	progress     string // of the change, as the leader describes it
-	eraNoticeAt  Time   // when voters of an earlier era were last told that theirs is over
+	// What this gateway knows of the voters.
+	leader          string
+	voters          []string
+	wantedVoters    []string // the members that should vote, if they differ from voters
+	nextVoterIndex  int
+	progress        string // the progress of the change, as the leader describes it
+	lastEraNoticeAt Time   // when a voter of an earlier era was last notified that its log was replaced
 
-	published    InForce // what the host was told last
+	published    InForce // the last value passed to Host.SetInForce
 	hasPublished bool
 }
 
-// sentRequest is a request for a lease, which counts from when it was sent.
+// sentRequest identifies a request for a lease. A lease starts when its request was sent.
 type sentRequest struct {
 	seq    uint32
 	sentAt Time
 }
 
-// floorRecord is the latest policy that this gateway went by, as its folder has it.
-type floorRecord struct {
+// lastPolicyRecord is the stored form of the latest policy that this gateway has applied.
+type lastPolicyRecord struct {
 	Version Version  `cbor:"1,keyasint"`
 	Digest  Digest   `cbor:"2,keyasint"`
 	Size    int      `cbor:"3,keyasint"`
 	Voters  []string `cbor:"4,keyasint,omitempty"`
 }
 
-// restore starts with what the folder has. It is no lease: the gateway asks for one at once.
+// restore sets the initial state from the records in the folder. They contain no lease, so the first request for one is due at once.
 func (f *follower) restore(c *Core, stored *StoredState) {
 	f.voters, f.nextRequestAt = slices.Clone(c.config.Voters), c.now
-	f.nextVoter = c.random.IntN(max(1, len(f.voters)))
-	if stored == nil || stored.floor == nil {
+	f.nextVoterIndex = c.random.IntN(max(1, len(f.voters)))
+	if stored == nil || stored.lastPolicy == nil {
 		return
 	}
-	floor := stored.floor
-	f.current, f.currentDigest, f.currentSize = floor.Version, floor.Digest, floor.Size
-	f.decided, f.decidedDigest = floor.Version, floor.Digest
-	if len(floor.Voters) > 0 {
-		f.voters = floor.Voters
+	last := stored.lastPolicy
+	f.current, f.currentDigest, f.currentSize = last.Version, last.Digest, last.Size
+	f.decided, f.decidedDigest = last.Version, last.Digest
+	if len(last.Voters) > 0 {
+		f.voters = last.Voters
 	}
-	body := c.host.LoadPolicy(floor.Digest)
-	if DigestOf(body) == floor.Digest {
-		c.policies.add(c, floor.Digest, body, true)
-		f.informed = true
+	body := c.host.LoadPolicy(last.Digest)
+	if DigestOf(body) == last.Digest {
+		c.policies.add(c, last.Digest, body, true)
+		f.knowsDecidedPolicy = true
 	}
 	if c.config.Mutation == TrustStoredState {
 		f.leaseUntil = c.now + 1000*second
 	}
 }
 
-// publishInForce tells the host what it may go by, where that has changed.
+// publishInForce calls Host.SetInForce if what the gateway may apply has changed.
 func (c *Core) publishInForce() {
 	f := &c.follower
 	next := f.inForce(c.config.Mutation)
@@ -119,8 +122,8 @@
 }
 
 func (f *follower) inForce(mutation Mutation) InForce {
-	next := InForce{Era: f.current.Era, Number: f.current.Number, Digest: f.currentDigest, LeaseUntil: f.leaseUntil, KnowsDecidedPolicy: f.informed}
-	if f.informed {
+	next := InForce{Era: f.current.Era, Number: f.current.Number, Digest: f.currentDigest, LeaseUntil: f.leaseUntil, KnowsDecidedPolicy: f.knowsDecidedPolicy}
+	if f.knowsDecidedPolicy {
 		next.KnownDigests = append(next.KnownDigests, f.currentDigest)
 	}
 	if f.decided != f.current {
@@ -142,7 +145,8 @@
 	return next
 }
 
-// equals tells whether the host needs to know of no difference. RehearsalID follows from RehearsalDigest.
+// equals reports whether the host needs no update from f to other. It does not compare RehearsalID, on the assumption that RehearsalID
+// changes only together with RehearsalDigest.
 func (f *InForce) equals(other *InForce) bool {
 	return f.Era == other.Era && f.Number == other.Number && f.Digest == other.Digest && f.LeaseUntil == other.LeaseUntil &&
 		f.OverlapDigest == other.OverlapDigest && f.OverlapUntil == other.OverlapUntil && f.KnowsDecidedPolicy == other.KnowsDecidedPolicy &&
@@ -159,11 +163,11 @@
 	}
 }
 
-// expire ends a lease or an overlap whose time is over.
+// expire ends a lease or an overlap that has expired.
 func (f *follower) expire(c *Core) {
 	if f.leaseUntil != 0 && c.now >= f.leaseUntil {
 		f.leaseUntil = 0
-		c.host.LogEvent(LeaseLost, "number", f.current.Number)
+		c.host.LogEvent(LeaseExpired, "number", f.current.Number)
 		c.publishInForce()
 	}
 	if f.overlapWith != nil && c.now >= f.overlapUntil {
@@ -174,7 +178,8 @@
 
 func (f *follower) endOverlap() { f.overlapWith, f.overlapUntil = nil, 0 }
 
-// requestLease asks the leader for a lease, or for more time on one. While a lease is given up nothing is sent.
+// requestLease requests a lease, or a renewal, from the leader. It sends nothing while the lease is being given up, until the requests
+// admitted under it have been sent to their engines.
 func (f *follower) requestLease(c *Core) {
 	if f.yieldingFor != 0 {
 		return
@@ -185,13 +190,13 @@
 	}
 	if to == "" && len(f.voters) > 0 {
 		f.leader = ""
-		to = f.voters[f.nextVoter%len(f.voters)]
-		f.nextVoter++
+		to = f.voters[f.nextVoterIndex%len(f.voters)]
+		f.nextVoterIndex++
 	}
 	f.seq++
 	f.requests[f.seq%maxTrackedRequests] = sentRequest{f.seq, c.now}
 	request := &LeaseRequest{
-		Seq: f.seq, Floor: f.current, Holds: c.now < f.leaseUntil, Has: f.usableDigest(c), ReleasedFor: f.releasedFor,
+		Seq: f.seq, LastVersion: f.current, HoldsLease: c.now < f.leaseUntil, UsableDigest: f.usableDigest(c), ReleasedFor: f.releasedFor,
 		MinValidSeq: f.minValidSeq, AnsweredSeq: f.answeredSeq, Counts: c.host.RequestCounts(),
 	}
 	if f.proposal != nil {
@@ -203,8 +208,9 @@
 	c.send(to, Message{LeaseRequest: request})
 }
 
-// scheduleRequest sets when the next request is due, and tells whether this one goes to another voter, as the leader may have changed.
-func (f *follower) scheduleRequest(c *Core) (tryOther bool) {
+// scheduleRequest sets when the next request is due. It reports whether the current request should go to another voter, because the
+// leader may have changed.
+func (f *follower) scheduleRequest(c *Core) (tryOtherVoter bool) {
 	if c.now >= f.leaseUntil {
 		f.nextRequestAt = c.now + min(requestRetryMax, requestRetryMin<<min(f.attempts, maxRetryDoublings))
 		f.attempts++
@@ -214,11 +220,11 @@
 	if c.now <= f.leaseUntil-f.leaseDuration/2 {
 		return false
 	}
-	f.nextRequestAt = c.now + requestRetryMin // the leader hasn't answered for half a lease
+	f.nextRequestAt = c.now + requestRetryMin // the leader hasn't renewed the lease for half of its length
 	return true
 }
 
-// usableDigest is the policy that this gateway can hold a lease on.
+// usableDigest returns the latest policy that this gateway can apply under a lease.
 func (f *follower) usableDigest(c *Core) Digest {
 	if c.policies.isUsable(f.decidedDigest) {
 		return f.decidedDigest
@@ -226,7 +232,7 @@
 	return f.currentDigest
 }
 
-// neededPolicies are the texts that this gateway has a use for.
+// neededPolicies returns the policies whose texts this gateway needs.
 func (f *follower) neededPolicies() []Digest {
 	needed := []Digest{f.currentDigest, f.decidedDigest}
 	if f.proposal != nil {
@@ -235,13 +241,14 @@
 	return needed
 }
 
-// saveFloor has the folder remember the policy that this gateway goes by, so that its requests tell voters that know less.
-func (f *follower) saveFloor(c *Core) {
-	record := floorRecord{f.current, f.currentDigest, f.currentSize, f.voters}
-	c.saveRecords([]consensus.Record{{Key: floorKey, Value: encode(record)}}, func(error) {})
+// saveLastPolicy stores which policy this gateway applies. After a restart, its requests report that version, so that voters whose log
+// lacks it find out.
+func (f *follower) saveLastPolicy(c *Core) {
+	record := lastPolicyRecord{f.current, f.currentDigest, f.currentSize, f.voters}
+	c.saveRecords([]consensus.Record{{Key: lastPolicyKey, Value: encode(record)}}, func(error) {})
 }
 
-// release gives up the lease at once and tells the leader.
+// release gives up the lease at once and notifies the leader.
 func (f *follower) release(c *Core) {
 	f.leaseUntil, f.overlapWith = 0, nil
 	c.publishInForce()
@@ -249,5 +256,5 @@
 		return
 	}
 	f.seq++
-	c.send(f.leader, Message{LeaseRequest: &LeaseRequest{Seq: f.seq, Floor: f.current, Has: f.currentDigest, Leaving: true}})
+	c.send(f.leader, Message{LeaseRequest: &LeaseRequest{Seq: f.seq, LastVersion: f.current, UsableDigest: f.currentDigest, Leaving: true}})
 }
--- a/internal/router/cut_test.go
+++ b/internal/router/connection_reset_test.go
@@ -10,7 +10,8 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// retainedCount counts what the router holds for clients and requests: nothing once they are over.
+// retainedCount returns how many sessions, requests, statement bytes and lingering connections the router holds. It must be 0 once
+// all clients have disconnected.
 func (s *fixture) retainedCount() (n int) {
 	done := make(chan struct{})
 	s.onOwner(func(admission.Time) {
@@ -23,7 +24,8 @@
 	return n + s.owner.clients.sessions + s.owner.clients.lingering
 }
 
-// A client that resets its connection after any byte of its login and query harms nobody, and nothing is kept of it.
+// A client that resets its connection after any byte of its login and query doesn't affect other clients, and the router retains
+// nothing for it.
 func TestClientResetsAtEveryByte(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -38,12 +40,12 @@
 		_ = asTCP(c).SetLinger(0)
 		c.Close()
 	}
-	eventually(t, "nothing is kept of clients that are gone", func() bool { return s.retainedCount() == 0 })
-	eventually(t, "each left one line", func() bool { return strings.Count(s.log.String(), "side=client") == len(whole) })
+	eventually(t, "nothing is retained for disconnected clients", func() bool { return s.retainedCount() == 0 })
+	eventually(t, "each client has one log line", func() bool { return strings.Count(s.log.String(), "side=client") == len(whole) })
 	s.requireNextAttempt(e, "bb")
 }
 
-// An engine that resets its connection after any byte of its answer costs one attempt: the request is answered by the next.
+// An engine that resets its connection after any byte of its answer fails one attempt, and the next attempt of the request succeeds.
 func TestEngineResetsAtEveryByte(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
@@ -57,26 +59,27 @@
 		}
 		s.trace.Reset()
 		a.sendIdempotentQuery(id[14:])
-		h := <-e.received
-		_, _ = h.conn.Write(whole[:cut])
-		_ = asTCP(h.conn).SetLinger(0)
-		h.conn.Close()
-		h = <-e.received
-		if h.parts[0] != "do" || h.parts[1] != id {
-			t.Fatalf("after %d bytes the engine heard %q", cut, h.parts)
+		command := <-e.received
+		_, _ = command.conn.Write(whole[:cut])
+		_ = asTCP(command.conn).SetLinger(0)
+		command.conn.Close()
+		command = <-e.received
+		if command.parts[0] != "do" || command.parts[1] != id {
+			t.Fatalf("after %d bytes the engine received %q", cut, command.parts)
 		}
-		_, _ = h.conn.Write(whole)
+		_, _ = command.conn.Write(whole)
 		a.expectAnswer()
 		if !strings.Contains(s.trace.String(), `client gets: rows "\x01a\x01b\x01c"`) {
 			t.Errorf("after %d bytes: %s", cut, s.trace.String())
 		}
 	}
 	a.socket.Close()
-	eventually(t, "nothing is kept of what is over", func() bool { return s.retainedCount() == 0 })
+	eventually(t, "nothing is retained after the last request", func() bool { return s.retainedCount() == 0 })
 }
 
-// A list whose answer breaks off after any byte is asked again under the number that is held, and what it tells whole counts.
-func TestListBreaksOffAtEveryByte(t *testing.T) {
+// After an incomplete answer of the engine list, cut off at any byte, the router polls again from the same index and ignores the
+// incomplete answer. A complete answer is applied.
+func TestEngineListBreaksAtEveryByte(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixtureWith(t, strings.Replace(settings, `"connectTimeoutUs":250000`, `"connectTimeoutUs":10000`, 1))
 	defer s.close()
@@ -88,35 +91,35 @@
 	ready := fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(e, "Ready")}))
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(ready), ready)
 	for cut := range whole {
-		k := awaitPoll(t, l)
-		_, _ = k.Write([]byte(whole[:cut]))
-		_ = asTCP(k).SetLinger(0)
-		k.Close()
+		conn := awaitPoll(t, l)
+		_, _ = conn.Write([]byte(whole[:cut]))
+		_ = asTCP(conn).SetLinger(0)
+		conn.Close()
 	}
 	known := make(chan int, 1)
 	s.onOwner(func(admission.Time) { known <- len(s.owner.engines) })
 	if n := <-known; n != 0 {
-		t.Errorf("%d engines known from answers that broke off", n)
+		t.Errorf("%d engines known from incomplete answers", n)
 	}
 	_, _ = awaitPoll(t, l).Write([]byte(whole))
 	s.requireNextAttempt(e, "aa")
 }
 
-// An order to stop before any engine was told of changes nothing: what is in hand is answered.
-func TestStopBeforeTheFirstList(t *testing.T) {
+// A stop before any engine is listed still lets the router answer its outstanding requests.
+func TestStopBeforeAnyEngineIsListed(t *testing.T) {
 	s := startFixture(t)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
 	s.awaitRequests(1)
 	close(s.stop)
 	s.awaitLog("stopping")
-	eventually(t, "the router refuses requests", s.owner.clients.isShuttingDown)
+	eventually(t, "the router rejects requests", s.owner.clients.isShuttingDown)
 	s.advanceClock(2 * admission.Second)
 	a.expectAnswer()
 	select {
 	case <-s.ended:
 	case <-time.After(eventuallyTimeout):
-		t.Error("it did not end")
+		t.Error("the router did not stop")
 	}
 	if !strings.Contains(s.trace.String(), "client gets: error 1203") {
 		t.Error(s.trace.String())
--- a/internal/router/engine_conn_test.go
+++ b/internal/router/engine_conn_test.go
@@ -14,143 +14,152 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-func TestPagesAreGatheredInOrder(t *testing.T) { // gathered in order, whatever order they come in; one connection carries two requests
+// Pages may arrive in any order, and one connection carries two requests.
+func TestPagesAreAssembledInOrder(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
-	s.onOwner(func(admission.Time) { s.owner.usage.engineConnectionLimit = 0 }) // so that attempts share connections
+	s.onOwner(func(admission.Time) { s.owner.usage.engineConnectionLimit = 0 }) // makes attempts share connections
 	a, b, c := s.newClient(), s.newClient(), s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	b.sendIdempotentQuery("bb")
-	if e.receive() != k {
-		t.Error("the second attempt came on another connection")
+	if e.receive() != conn {
+		t.Error("the second attempt arrived on another connection")
 	}
 	c.sendIdempotentQuery("cc")
-	if e.receive() == k {
-		t.Error("the third attempt came on the same connection")
+	if e.receive() == conn {
+		t.Error("the third attempt arrived on the same connection")
 	}
-	e.reply(k, "00000000000000aa", "data", "pages=3,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=3,cost=120,need=64", "a\tb\tc\n")
 	e.receive()
 	e.receive()
-	e.reply(k, "00000000000000aa", "page", "page=2", "g\th\ti\n")
-	e.reply(k, "00000000000000bb", "data", "pages=1,cost=100,need=64", "")
+	e.reply(conn, "00000000000000aa", "page", "page=2", "g\th\ti\n")
+	e.reply(conn, "00000000000000bb", "data", "pages=1,cost=100,need=64", "")
 	b.expectAnswer()
-	e.reply(k, "00000000000000aa", "page", "page=1", "d\te\tf\n")
+	e.reply(conn, "00000000000000aa", "page", "page=1", "d\te\tf\n")
 	a.expectAnswer()
 	a.sendIdempotentQuery("dd") // the session goes on
 	e.receive()
-	e.reply(k, "00000000000000dd", "full", "-", "")
+	e.reply(conn, "00000000000000dd", "full", "-", "")
 	e.receive()
 	s.compareTrace("pages")
 }
 
-func TestLostPageIsRetried(t *testing.T) { // nothing was passed on yet, so the module decides: here it hands off again
+// If a page is lost, the client has received nothing yet, so the admission controller decides what happens. Here it starts another
+// attempt.
+func TestLostPageIsRetried(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
-	e.reply(k, "00000000000000aa", "data", "pages=2,cost=120,need=64", "a\tb\tc\n")
+	conn := e.receive()
+	e.reply(conn, "00000000000000aa", "data", "pages=2,cost=120,need=64", "a\tb\tc\n")
 	e.receive()
-	e.reply(k, "00000000000000aa", "failed", "-", "")
-	k = e.receive()
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "failed", "-", "")
+	conn = e.receive()
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	s.compareTrace("lost pages")
 }
 
-func TestResetIsRetriedWhereTheClassAllows(t *testing.T) { // the one may run again, of the other nothing is known
+// An idempotent request is retried; the other may have run, so it fails.
+func TestResetIsRetriedWhereTheClassAllows(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t, e, f)
 	s.announceEngine(f, "Terminating")
 	a, b := s.newClient(), s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	s.announceEngine(e, "Terminating")
 	s.announceEngine(f, "Ready")
-	k.Close()
-	k = f.receive()
-	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	conn.Close()
+	conn = f.receive()
+	f.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
-	b.sendLoad("bb")
+	b.sendNonIdempotentQuery("bb")
 	f.receive().Close()
 	b.expectAnswer()
 	s.compareTrace("reset")
 }
 
-func TestRefusedConnectionProvesThatNothingRan(t *testing.T) { // proof that nothing ran: even a request that must not run twice goes elsewhere
+// A refused connection proves that nothing ran, so even a request that must not run twice goes to another engine.
+func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
 	e, f := newFakeEngine(t, "e2"), newFakeEngine(t, "e1")
 	e.listener.Close()
 	s := startFixture(t)
 	f.fixture = s
 	a := s.newClient()
-	a.sendLoad("aa")
+	a.sendNonIdempotentQuery("aa")
 	s.awaitRequests(1)
 	s.listEvents <- fmt.Sprintf(`{"index":2,"updates":[%s]}`, watchEvent(2, false, []string{serverJSON(f, "Ready"), serverJSON(e, "Ready")}))
-	k := f.receive()
-	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "")
+	conn := f.receive()
+	f.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "")
 	a.expectAnswer()
 	s.tracef("connections refused: %d", strings.Count(s.log.String(), "code=refused"))
 	s.compareTrace("refused")
 }
 
-func TestSilentEngineTimesOut(t *testing.T) { // a time-out, an answer after it, and another request on the same session
+// An attempt times out, its answer arrives too late, and the session's next request is served.
+func TestSilentEngineTimesOut(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	a.sendLoad("aa")
-	k := e.receive()
+	a.sendNonIdempotentQuery("aa")
+	conn := e.receive()
 	s.advanceClock(12100 * admission.Millisecond)
 	e.receive()
 	e.receive()
 	s.advanceClock(150 * admission.Millisecond)
 	a.expectAnswer()
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "too\tlate\t.\n")
 	a.sendIdempotentQuery("bb")
-	k = e.receive()
-	e.reply(k, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
+	conn = e.receive()
+	e.reply(conn, "00000000000000bb", "data", "pages=1,cost=120,need=64", "in\ttime\t.\n")
 	a.expectAnswer()
 	s.compareTrace("silent")
 }
 
-func TestUnaskedPagesArePassedOver(t *testing.T) { // what nobody asked for is passed over, and the client gets no part of it
+// The client gets no part of pages that were not requested.
+func TestUnrequestedPagesAreIgnored(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	a.sendLoad("bb")
-	k := e.receive()
-	e.reply(k, "00000000000000ff", "data", "pages=1", "of\tnobody\t.\n")
-	e.reply(k, "00000000000000bb", "page", "page=0", "too\tearly\t.\n")
-	e.reply(k, "00000000000000bb", "data", "pages=2,cost=5,need=-0", "a\tb\tc\n")
+	a.sendNonIdempotentQuery("bb")
+	conn := e.receive()
+	e.reply(conn, "00000000000000ff", "data", "pages=1", "of\tnobody\t.\n")
+	e.reply(conn, "00000000000000bb", "page", "page=0", "too\tearly\t.\n")
+	e.reply(conn, "00000000000000bb", "data", "pages=2,cost=5,need=-0", "a\tb\tc\n")
 	e.receive()
-	e.reply(k, "00000000000000bb", "page", "page=2", "too\tmany\t.\n")
-	e.reply(k, "00000000000000bb", "data", "pages=1", "once\tmore\t.\n")
-	e.reply(k, "00000000000000bb", "page", "page=1", "d\te\tf\n")
-	e.reply(k, "00000000000000bb", "page", "page=1", "once\tmore\t.\n")
+	e.reply(conn, "00000000000000bb", "page", "page=2", "too\tmany\t.\n")
+	e.reply(conn, "00000000000000bb", "data", "pages=1", "once\tmore\t.\n")
+	e.reply(conn, "00000000000000bb", "page", "page=1", "d\te\tf\n")
+	e.reply(conn, "00000000000000bb", "page", "page=1", "once\tmore\t.\n")
 	a.expectAnswer()
-	e.reply(k, "00000000000000bb", "full", "-", "")
+	e.reply(conn, "00000000000000bb", "full", "-", "")
 	a.sendIdempotentQuery("cc")
 	e.reply(e.receive(), "00000000000000cc", "data", "pages=1", "a\tb\tc\n")
 	a.expectAnswer()
 	s.compareTrace("odd pages")
 }
 
-func TestReportOfNobodyIsPassedOver(t *testing.T) { // where answers hold reports, one for no request is passed over like its rows
+// If answers contain load reports, an answer for no request is ignored together with its report.
+func TestReportForUnknownRequestIsIgnored(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	s.onOwner(func(admission.Time) { s.owner.network.ReportsInAnswers = true })
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
-	e.reply(k, "00000000000000ff", "failed", "gauges=inflight:3", "")
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=5,need=1,gauges=inflight:2", "a\tb\tc\n")
+	conn := e.receive()
+	e.reply(conn, "00000000000000ff", "failed", "gauges=inflight:3", "")
+	e.reply(conn, "00000000000000aa", "data", "pages=1,cost=5,need=1,gauges=inflight:2", "a\tb\tc\n")
 	a.expectAnswer()
 	s.compareTrace("gauges of nobody")
 }
 
-// A spoilt or missing answer ends its connection, with a code; it says little of the engine, and a request that may run
-// again goes out once more while one that may not is written off. Other requests have connections of their own.
-func TestSpoiltAnswerEndsItsConnection(t *testing.T) {
+// An invalid or missing answer ends its connection with a log code. It says little about the engine's health. A request that may
+// run again is sent again, and one that must not run twice fails. Other requests are not affected, because they have connections of
+// their own.
+func TestInvalidAnswerEndsItsConnection(t *testing.T) {
 	const id = "00000000000000aa"
 	var out strings.Builder
 	whole := string(resp.AppendArray(nil, id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n"))
@@ -174,10 +183,10 @@
 		s.onOwner(func(admission.Time) { s.owner.deployment.NoticeInterval = 50 * admission.Millisecond })
 		a := s.newClient()
 		a.sendIdempotentQuery("aa")
-		k := e.receive()
-		_, _ = io.WriteString(k, c.answer)
+		conn := e.receive()
+		_, _ = io.WriteString(conn, c.answer)
 		if c.code == "closed" {
-			k.Close()
+			conn.Close()
 		}
 		s.awaitLog("code=" + c.code)
 		e.reply(e.receive(), id, "data", "pages=1,cost=120,need=64", "d\te\tf\n")
@@ -190,12 +199,13 @@
 	s.compareTrace("spoilt")
 }
 
-func TestSilentConnectionIsNotUsedAgain(t *testing.T) { // after an undo that was never heard of, a new connection is tried
+// A connection on which a cancellation was not confirmed is replaced by a new one.
+func TestSilentConnectionIsNotUsedAgain(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	s.advanceClock(1100 * admission.Millisecond)
 	e.receive()
 	e.receive()
@@ -203,87 +213,88 @@
 	a.expectAnswer()
 	time.Sleep(s.owner.network.ConnectTimeout + time.Millisecond)
 	a.sendIdempotentQuery("bb")
-	if e.receive() == k {
-		t.Error("the next attempt came on the silent connection")
+	if e.receive() == conn {
+		t.Error("the next attempt arrived on the silent connection")
 	}
 	s.compareTrace("gone without a sign")
 }
 
-// Where the next do overtook the undo on another connection, the engines held two copies of a request.
-func TestRetryWaitsForTheUndo(t *testing.T) {
+// A retry must not overtake the cancellation (undo) of the previous attempt on another connection, because the engines would then
+// hold two copies of the request.
+func TestRetryWaitsForTheCancellation(t *testing.T) {
 	e, f := newFakeEngine(t, "e1"), newFakeEngine(t, "e2")
 	s := startFixture(t, e)
 	a := s.newClient()
 	a.sendIdempotentQuery("aa")
-	k := e.receive()
+	conn := e.receive()
 	s.announceEngine(f, "Ready")
 	s.advanceClock(100 * admission.Millisecond)
-	e.reply(k, "00000000000000aa", "news", "res=so_far,v=0.01", "")
+	e.reply(conn, "00000000000000aa", "news", "res=so_far,v=0.01", "")
 	e.receive()
 	e.receive()
 	s.advanceClock(10 * admission.Millisecond)
 	if len(f.received) > 0 {
-		t.Error("a second copy went out before the first was known to be given up")
+		t.Error("a second copy was sent before the engine confirmed the cancellation of the first")
 	}
 	s.announceEngine(e, "Terminating")
-	e.reply(k, "00000000000000aa", "failed", "-", "")
-	k = f.receive()
-	f.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	e.reply(conn, "00000000000000aa", "failed", "-", "")
+	conn = f.receive()
+	f.reply(conn, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	a.expectAnswer()
 	s.compareTrace("called off")
 }
 
-// A connection that breaks at the request after a rest was dropped by then: later ones rest for half as long at most,
-// and the engine is not held at fault.
-func TestIdleConnectionsRestShorterAfterABreak(t *testing.T) {
+// A connection that breaks at the first request after an idle time was dropped while it was idle. The idle time of later
+// connections is limited to half of that, and the break doesn't count as a failure of the engine.
+func TestIdleTimeIsLimitedAfterABreak(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	a := s.newClient()
-	ask := func(id string) net.Conn {
+	sendAndReceive := func(id string) net.Conn {
 		a.sendIdempotentQuery(id)
 		return e.receive()
 	}
-	answer := func(k net.Conn, id string) {
-		e.reply(k, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	answer := func(conn net.Conn, id string) {
+		e.reply(conn, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 		a.expectAnswer()
 	}
-	k := ask("aa")
-	answer(k, "aa")
+	conn := sendAndReceive("aa")
+	answer(conn, "aa")
 	time.Sleep(100 * time.Millisecond)
-	if ask("bb") != k {
+	if sendAndReceive("bb") != conn {
 		t.Error("an idle connection was not used again")
 	}
-	_ = asTCP(k).SetLinger(0)
-	k.Close()
-	k = e.receive()
-	answer(k, "bb")
-	fresh := make(chan time.Duration)
+	_ = asTCP(conn).SetLinger(0)
+	conn.Close()
+	conn = e.receive()
+	answer(conn, "bb")
+	limits := make(chan time.Duration)
 	s.onOwner(func(admission.Time) {
 		engine, ok := s.owner.engines["e1"].(*enginePool)
 		if !ok {
 			t.Errorf("the client of the engine is %T", s.owner.engines["e1"])
-			fresh <- 0
+			limits <- 0
 			return
 		}
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
-		fresh <- engine.maxIdle()
+		limits <- engine.maxIdle()
 	})
-	d := <-fresh
-	if d >= s.owner.engineIdleTimeout() {
-		t.Errorf("rests of %v", d)
+	idleLimit := <-limits
+	if idleLimit >= s.owner.engineIdleTimeout() {
+		t.Errorf("the limit on idle times is %v", idleLimit)
 	}
-	time.Sleep(d)
-	m := ask("cc")
-	if m == k {
-		t.Error("a connection was used again after the rest that broke one")
+	time.Sleep(idleLimit)
+	next := sendAndReceive("cc")
+	if next == conn {
+		t.Error("a connection was used again after the idle time that broke another one")
 	}
-	answer(m, "cc")
+	answer(next, "cc")
 	s.compareTrace("stale")
 }
 
-// What this process lacks is not the engine's failure.
-func TestLackOfDescriptorsIsNotTheEnginesFailure(t *testing.T) {
+// A dial that fails because this machine is out of descriptors or ports is not a failure of the engine.
+func TestLocalShortageIsNotTheEnginesFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.EADDRNOTAVAIL, syscall.ECONNREFUSED, syscall.ECONNRESET} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		if got, want := isLocalShortage(err), errno == syscall.EMFILE || errno == syscall.EADDRNOTAVAIL; got != want {
--- a/internal/router/stall_test.go
+++ b/internal/router/stall_test.go
@@ -12,90 +12,94 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// lateConn is a connection of a process that stands still right after it has set a deadline, for longer than that: while it is armed,
-// each deadline has passed once it is set.
-type lateConn struct {
+// stalledConn is a connection that simulates a process that stalls right after it has set a deadline, until after that deadline.
+// expireDeadlines selects which deadlines have already passed when they are set.
+type stalledConn struct {
 	*net.TCPConn
-	mu       sync.Mutex
-	reads    bool // read deadlines are late
-	writes   bool // the next write deadline is late
-	deadline time.Time
-	set      int            // how often a read deadline was set
-	standing chan chan bool // holds where the next read deadline waits to be let go on, if it is to stand still before it is set
+	mu              sync.Mutex
+	expireReads     bool      // read deadlines have passed when they are set
+	expireNextWrite bool      // the next write deadline has passed when it is set
+	deadline        time.Time // the read deadline that was set last
+	deadlinesSet    int       // number of read deadlines set
+	// If stalls holds a channel, the next SetReadDeadline takes it, sends on it when it stalls, and resumes once it receives
+	// a value from it.
+	stalls chan chan bool
 }
 
-func (c *lateConn) SetReadDeadline(t time.Time) error {
+// SetReadDeadline sets the read deadline, or an expired one if expireReads is set. It stalls first if the test has requested a stall.
+func (c *stalledConn) SetReadDeadline(t time.Time) error {
 	select {
-	case goOn := <-c.standing:
-		goOn <- true
-		<-goOn
+	case resume := <-c.stalls:
+		resume <- true
+		<-resume
 	default:
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	c.set++
-	if c.reads && !t.IsZero() {
+	c.deadlinesSet++
+	if c.expireReads && !t.IsZero() {
 		t = expiredDeadline
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-func (c *lateConn) SetDeadline(t time.Time) error {
+func (c *stalledConn) SetDeadline(t time.Time) error {
 	_ = c.SetReadDeadline(t)
 	return c.SetWriteDeadline(t)
 }
 
-func (c *lateConn) SetWriteDeadline(t time.Time) error {
+func (c *stalledConn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writes {
+	if c.expireNextWrite {
 		t = expiredDeadline
 	}
-	c.writes = false
+	c.expireNextWrite = false
 	return c.TCPConn.SetWriteDeadline(t)
 }
 
-// arm has deadlines be late from now on, or not any more.
-func (c *lateConn) arm(reads, writes bool) {
+// expireDeadlines sets whether read deadlines, and the next write deadline, have passed when they are set.
+func (c *stalledConn) expireDeadlines(reads, writes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reads, c.writes = reads, writes
+	c.expireReads, c.expireNextWrite = reads, writes
 }
 
-// rests tells whether a session waits for its first query: it has set deadlines for the head of the login, its rest, and that.
-func (c *lateConn) rests() bool {
+// awaitsFirstQuery reports whether a session waits for its first query. By then it has set three read deadlines: for the
+// header of the login, for the rest of the login, and for the query.
+func (c *stalledConn) awaitsFirstQuery() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.set == 3
+	return c.deadlinesSet == 3
 }
 
-// standStill has the process stand still before the next line that sets a read deadline. stands returns once it is there; goOn has it go on,
-// with deadlines that are late from then on.
-func (c *lateConn) standStill() (stands, goOn func()) {
+// stallNextDeadline makes the next SetReadDeadline stall before it sets the deadline. awaitStall waits until the stall has
+// begun. resume ends it, and from then on read deadlines have passed when they are set.
+func (c *stalledConn) stallNextDeadline() (awaitStall, resume func()) {
 	there := make(chan bool)
-	c.standing <- there
+	c.stalls <- there
 	return func() { <-there }, func() {
-		c.arm(true, false)
+		c.expireDeadlines(true, false)
 		there <- true
 	}
 }
 
-// late returns a connection as one of a process that can stand still.
-func late(tcp net.Conn) *lateConn {
-	return &lateConn{TCPConn: asTCP(tcp), standing: make(chan chan bool, 1)}
+// newStalledConn wraps a connection in a stalledConn.
+func newStalledConn(tcp net.Conn) *stalledConn {
+	return &stalledConn{TCPConn: asTCP(tcp), stalls: make(chan chan bool, 1)}
 }
 
-// lateClient logs in on a connection whose router may stand still.
-func (s *fixture) lateClient() (*testClient, *lateConn) {
+// newStalledClient logs in a client whose connection is a stalledConn on the router's side, and returns both.
+func (s *fixture) newStalledClient() (*testClient, *stalledConn) {
 	listener := s.listen()
-	accepted := make(chan *lateConn)
+	accepted := make(chan *stalledConn)
 	go func() {
 		tcp, err := listener.Accept()
 		if err != nil {
 			s.t.Error(err)
 		}
-		conn := late(tcp)
+		conn := newStalledConn(tcp)
 		(&acceptor{owner: s.owner}).startSession(conn)
 		accepted <- conn
 	}()
@@ -106,26 +110,26 @@
 	return c, <-accepted
 }
 
-// arrived waits until a connection has unread input.
-func arrived(t *testing.T, tcp net.Conn) {
+// awaitInput waits until a connection has unread bytes.
+func awaitInput(t *testing.T, tcp net.Conn) {
 	t.Helper()
-	eventually(t, "the bytes are there", func() bool { return hasInput(tcp) })
+	eventually(t, "unread bytes have arrived", func() bool { return hasInput(tcp) })
 }
 
-// served sends one query and has the engine answer it.
-func (s *fixture) served(c *testClient, e *fakeEngine, id string) {
+// requireServed waits for an attempt at the engine, has the engine answer it, and requires that the client gets a result.
+func (s *fixture) requireServed(c *testClient, e *fakeEngine, id string) {
 	s.t.Helper()
 	select {
-	case h := <-e.received:
-		e.reply(h.conn, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	case command := <-e.received:
+		e.reply(command.conn, "00000000000000"+id, "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
 	case <-time.After(eventuallyTimeout):
-		s.t.Fatalf("the engine heard nothing, log:\n%s", s.log.String())
+		s.t.Fatalf("the engine received nothing, log:\n%s", s.log.String())
 	}
-	c.isServed()
+	c.requireResult()
 }
 
-// isServed waits for the first packet of a result.
-func (c *testClient) isServed() {
+// requireResult waits for a packet and requires that it is the first one of a result.
+func (c *testClient) requireResult() {
 	c.fixture.t.Helper()
 	c.socket.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	if p := c.readPacket(); p[0] != 3 {
@@ -133,63 +137,65 @@
 	}
 }
 
-// A request that lies unread as its session's time runs out is served, however long the process stands still before each of the reads.
-func TestRequestThatCameDuringAStallIsServed(t *testing.T) {
+// A request that arrives while the process is stalled, and is still unread when the session's read deadline passes, is served. The
+// process may stall before any of the reads.
+func TestRequestThatArrivesDuringAStallIsServed(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), 3*maxReadAhead)
 	for what, statement := range map[string]string{"short": "SELECT a FROM t_7.x", "longer than what is read ahead": "SELECT '" + string(long) + "' FROM t_7.x"} {
 		t.Run(what, func(t *testing.T) {
 			e := newFakeEngine(t, "e1")
 			s := startFixture(t, e)
 			defer s.close()
-			c, conn := s.lateClient()
-			eventually(t, "the session rests", conn.rests)
-			stands, goOn := conn.standStill()
+			c, conn := s.newStalledClient()
+			eventually(t, "the session waits for its first query", conn.awaitsFirstQuery)
+			awaitStall, resume := conn.stallNextDeadline()
 			c.send(0, []byte{mysql.Ping})
-			stands()
+			awaitStall()
 			c.send(0, append([]byte{mysql.Query}, "/* class=look,id=00000000000000aa,wait=5000 */ "+statement...))
-			arrived(t, conn)
-			goOn()
+			awaitInput(t, conn)
+			resume()
 			if p := c.readPacket(); p[0] != 0 {
 				t.Fatalf("the client got %q", p)
 			}
-			s.served(c, e, "aa")
+			s.requireServed(c, e, "aa")
 		})
 	}
 }
 
-// Whoever logs in to a router that is slow to read it still has a while for the first query.
-func TestSlowRouterLeavesTimeForTheFirstQuery(t *testing.T) {
+// If the router was slow to read a client's login, the client still gets at least finalReadWait for its first query.
+func TestFirstQueryTimeoutAfterASlowLogin(t *testing.T) {
 	s := startFixture(t)
 	defer s.close()
-	_, conn := s.lateClient()
-	eventually(t, "the session waits for its first query", conn.rests)
-	rested := &clientSession{owner: s.owner, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)} // its login took so long
+	_, conn := s.newStalledClient()
+	eventually(t, "the session waits for its first query", conn.awaitsFirstQuery)
+	// The login of this session took longer than firstQueryTimeout.
+	session := &clientSession{owner: s.owner, socket: conn, input: newClientReader(conn), startedAt: time.Now().Add(-2 * firstQueryTimeout)}
 	before := time.Now()
-	s.owner.clients.markIdle(rested)
-	s.owner.clients.markBusy(rested)
+	s.owner.clients.markIdle(session)
+	s.owner.clients.markBusy(session)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if got := conn.deadline.Sub(before); got < finalReadWait {
-		t.Errorf("it has %v", got)
+		t.Errorf("the client has %v for its first query", got)
 	}
 }
 
-// An answer goes out although the process stands still right before the write for longer than that may take.
+// An answer is written even if the process stalls right before the write until after the write deadline.
 func TestAnswerIsWrittenAfterAStall(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
-	c, conn := s.lateClient()
+	c, conn := s.newStalledClient()
 	c.sendIdempotentQuery("aa")
-	k := e.receive()
-	conn.arm(false, true)
-	e.reply(k, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	c.isServed()
+	engineSide := e.receive()
+	conn.expireDeadlines(false, true)
+	e.reply(engineSide, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
+	c.requireResult()
 }
 
-// lateEngine has the router reach an engine by connections that it may stand still with; it tells of each.
-func (s *fixture) lateEngine() <-chan *lateConn {
-	conns := make(chan *lateConn, 8)
+// stallEngineConns wraps the router's connections to engines in stalledConns, and returns a channel that receives each of them.
+func (s *fixture) stallEngineConns() <-chan *stalledConn {
+	conns := make(chan *stalledConn, 8)
 	s.onOwner(func(admission.Time) {
 		dial := s.owner.dial
 		s.owner.dial = func(address string) (net.Conn, error) {
@@ -197,7 +203,7 @@
 			if err != nil {
 				return nil, err
 			}
-			conn := late(tcp)
+			conn := newStalledConn(tcp)
 			conns <- conn
 			return conn, nil
 		}
@@ -206,26 +212,26 @@
 	return conns
 }
 
-// An attempt goes out on a connection although the process stands still right before the write.
+// An attempt is written to its connection even if the process stalls right before the write until after the write deadline.
 func TestAttemptIsWrittenAfterAStall(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
-	conns := s.lateEngine()
+	conns := s.stallEngineConns()
 	c := s.newClient()
 	c.sendIdempotentQuery("aa")
-	s.served(c, e, "aa")
-	c.drain()
-	(<-conns).arm(false, true)
+	s.requireServed(c, e, "aa")
+	c.discardResult()
+	(<-conns).expireDeadlines(false, true)
 	c.sendIdempotentQuery("bb")
-	s.served(c, e, "bb")
+	s.requireServed(c, e, "bb")
 	if len(conns) > 0 {
-		t.Error("it was written on another connection")
+		t.Error("the attempt was written on another connection")
 	}
 }
 
-// drain reads the rest of an answer whose first packet was read.
-func (c *testClient) drain() {
+// discardResult reads the rest of a result whose first packet was read.
+func (c *testClient) discardResult() {
 	for ends := 0; ends < 2; {
 		if p := c.readPacket(); p[0] == 0xfe {
 			ends++
@@ -233,62 +239,63 @@
 	}
 }
 
-// The rest of an answer that lies unread as its time runs out counts, however long the process stands still before each of the reads.
-func TestAnswerThatCameDuringAStallCounts(t *testing.T) {
+// The rest of an answer that arrives while the process is stalled, and is still unread when the read deadline passes, is accepted.
+// The process may stall before any of the reads.
+func TestAnswerThatArrivesDuringAStallIsAccepted(t *testing.T) {
 	e := newFakeEngine(t, "e1")
 	s := startFixture(t, e)
 	defer s.close()
-	conns := s.lateEngine()
+	conns := s.stallEngineConns()
 	c := s.newClient()
 	c.sendIdempotentQuery("aa")
-	k := e.receive()
+	engineSide := e.receive()
 	conn := <-conns
 	answer := resp.AppendArray(nil, "00000000000000aa", "data", "pages=1,cost=120,need=64", "a\tb\tc\n")
-	stands, goOn := conn.standStill()
-	_, _ = k.Write(answer[:9])
-	stands()
-	_, _ = k.Write(answer[9:])
-	arrived(t, conn)
-	goOn()
-	c.isServed()
+	awaitStall, resume := conn.stallNextDeadline()
+	_, _ = engineSide.Write(answer[:9])
+	awaitStall()
+	_, _ = engineSide.Write(answer[9:])
+	awaitInput(t, conn)
+	resume()
+	c.requireResult()
 }
 
-// A probe's answer that lies unread as its time runs out counts.
-func TestProbeAnsweredDuringAStallCounts(t *testing.T) {
+// The answer to a health check that is still unread when the read deadline passes is accepted.
+func TestHealthCheckAnswerDuringAStallIsAccepted(t *testing.T) {
 	listener, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	far := make(chan net.Conn, 1)
+	engineConns := make(chan net.Conn, 1)
 	go func() {
 		tcp, err := listener.Accept()
 		if err == nil {
-			far <- tcp
+			engineConns <- tcp
 		}
 	}()
 	s := startFixture(t)
 	defer s.close()
-	dialled := make(chan *lateConn, 1)
+	dialled := make(chan *stalledConn, 1)
 	s.owner.dial = func(address string) (net.Conn, error) {
 		tcp, err := dialTCP(address)
 		if err != nil {
 			return nil, err
 		}
-		conn := late(tcp)
-		engine := <-far
-		defer func() { far <- engine }()
-		_, _ = engine.Write(resp.AppendArray(nil, "top1", "well", "gauges=util:0.2", "")) // it is there before the wait begins
-		arrived(t, conn)
-		conn.arm(true, false)
+		conn := newStalledConn(tcp)
+		engine := <-engineConns
+		defer func() { engineConns <- engine }()
+		_, _ = engine.Write(resp.AppendArray(nil, "top1", "well", "gauges=util:0.2", "")) // arrives before the health check waits for it
+		awaitInput(t, conn)
+		conn.expireDeadlines(true, false)
 		dialled <- conn
 		return conn, nil
 	}
-	p := &healthChecker{pool: &enginePool{owner: s.owner, name: "e1", address: listener.Addr().String()}}
-	how, report := p.check()
-	if how != admission.Served || report.Utilization != 0.2 {
-		t.Errorf("the probe ended as %v with %+v", how, report)
+	checker := &healthChecker{pool: &enginePool{owner: s.owner, name: "e1", address: listener.Addr().String()}}
+	outcome, report := checker.check()
+	if outcome != admission.Served || report.Utilization != 0.2 {
+		t.Errorf("the health check ended as %v with %+v", outcome, report)
 	}
 	_ = (<-dialled).Close()
-	(<-far).Close()
+	(<-engineConns).Close()
 }
