--- a/cmd/magpiebank-sim/main.go
+++ b/cmd/magpiebank-sim/main.go
@@ -1,4 +1,5 @@
-// Magpiebank-sim runs gateways' admission controllers for a simulator, on standard input and output.
+// Magpiebank-sim runs the admission controllers of gateways for a simulator. It reads the simulator's events from standard
+// input and writes the controllers' actions to standard output.
 package main
 
 import (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the configuration of a gateway: its deployment, for the simulator's adapter and for the gateway on
-// sockets, and what the latter needs besides.
+// Package config reads a gateway's configuration file and parses engines' load reports. A gateway process uses the whole
+// configuration; the simulator's adapter uses only the deployment.
 package config
 
 import (
@@ -11,23 +11,23 @@
 	"magpiebank/internal/jsonvalue"
 )
 
-// Config is the configuration of one gateway process on sockets.
+// Config is the configuration of one gateway process.
 type Config struct {
 	Name             string
-	Listen           string           // address for clients
-	DiscoveryAddress string           // address of the engine list
-	Seed             int64            // of the admission controller's random decisions
-	MemoryMB         int              // that the process may use; 0: not told
-	MaxDescriptors   int              // that the process may hold; 0: not told
-	KnownEndpoints   *jsonvalue.Value // the engine list's events so far
+	Listen           string           // address on which the gateway accepts clients
+	DiscoveryAddress string           // address of the discovery service, which serves the engine list
+	Seed             int64            // seed of the admission controller's random decisions
+	MemoryMB         int              // memory that the process may use; 0: not configured
+	MaxDescriptors   int              // file descriptors that the process may have open; 0: not configured
+	KnownEndpoints   *jsonvalue.Value // a discovery response with the engine list as last known
 	Deployment       *admission.Deployment
 	Network          *Network
 }
 
-// clientDescriptorShare is the part of the descriptors, one in so many, that clients may hold by the protocol.
+// clientDescriptorShare is a divisor: the protocol allows client connections a third of the process's file descriptors.
 const clientDescriptorShare = 3
 
-// ReadFile reads a gateway's configuration from a JSON file. Errors name the field at fault.
+// ReadFile reads a gateway's configuration from a JSON file. An error about a field names the field.
 func ReadFile(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -66,7 +66,8 @@
 	return config, nil
 }
 
-// limitRequests limits the requests in flight to the sessions that the descriptors allow, as each carries one request.
+// limitRequests limits the outstanding requests to the number of client sessions that the file descriptors allow, because
+// a session carries one request at a time.
 func (c *Config) limitRequests() {
 	sessions := c.MaxDescriptors / clientDescriptorShare
 	if sessions > 0 && (c.Deployment.MaxRequests == 0 || sessions < c.Deployment.MaxRequests) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 const settings = `{"classes":[{"name":"look","sloUs":1000000,"worth":1,"effect":"read_like"}],
  "limits":{"connectTimeoutUs":250000,"keepaliveUs":30000000,"maxOpen":%d}}`
 
-// readText reads a configuration from a file with a text.
+// readText writes a configuration to a temporary file and reads it with ReadFile.
 func readText(t *testing.T, text string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.json")
@@ -21,7 +21,7 @@
 	return ReadFile(path)
 }
 
-// Clients hold a third of the descriptors, so no more requests can be in flight.
+// Client connections may use a third of the file descriptors, so the limit of outstanding requests must not exceed that.
 func TestRequestsAreLimitedByDescriptors(t *testing.T) {
 	for _, c := range []struct{ descriptors, configured, requests int }{{1024, 20000, 341}, {1024, 100, 100}, {0, 100, 100}, {1024, 0, 341}} {
 		s, err := readText(t, fmt.Sprintf(`{"name":"n","listen":"l","coordinator":"c","seed":"ffffffffffffffff","known":{},
@@ -59,11 +59,11 @@
 		}
 	}
 	if _, err := ReadFile(""); err == nil {
-		t.Error("a configuration that isn't there was read")
+		t.Error("ReadFile returned no error for a missing file")
 	}
 }
 
-// Notices and reports in answers are off unless the settings have them.
+// Notices and load reports in answers are disabled unless the settings enable them.
 func TestNoticesAndReportsInAnswers(t *testing.T) {
 	for text, want := range map[string]string{
 		`{}`: "pace 0, answers tell false",
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -5,21 +5,21 @@
 	"magpiebank/internal/jsonvalue"
 )
 
-// microsPerUnit is the number of microseconds, the unit of times in the settings, in the unit of admission.Time.
+// microsPerUnit converts times: the settings are in microseconds, admission.Time counts units of 100 microseconds.
 const microsPerUnit = 100
 
-// readTimeDown reads microseconds and rounds down, for limits that must not be exceeded.
+// readTimeDown reads a time in microseconds and rounds it down. It is for limits that must not be exceeded.
 func readTimeDown(settings *jsonvalue.Value, path ...any) admission.Time {
 	return admission.Time(int64(settings.Float(path...)) / microsPerUnit)
 }
 
-// readTimeUp reads microseconds and rounds up, for waits that must not be too short.
+// readTimeUp reads a time in microseconds and rounds it up. It is for waits that must not be too short.
 func readTimeUp(settings *jsonvalue.Value, path ...any) admission.Time {
 	return admission.Time((int64(settings.Float(path...)) + microsPerUnit - 1) / microsPerUnit)
 }
 
-// readIndexes reads a list of indexes. It returns nil if the key is absent, which allows all, and an empty list that isn't nil
-// if nothing is allowed.
+// readIndexes reads a list of allowed indexes. It returns nil, which allows all indexes, if the key is absent. For an empty
+// list, which allows none, it returns an empty slice that is not nil.
 func readIndexes(settings *jsonvalue.Value, path ...any) []int {
 	if settings.Lookup(path...) == nil {
 		return nil
@@ -31,8 +31,7 @@
 	return indexes
 }
 
-// ReadDeployment decodes the part of the settings that the admission controller's decisions rest on. Errors name the field at
-// fault.
+// ReadDeployment decodes the settings that the admission controller uses. Errors name the invalid field.
 func ReadDeployment(settings *jsonvalue.Value) (*admission.Deployment, error) {
 	deployment := &admission.Deployment{
 		Gateways:             max(1, int(settings.Float("fleetSize"))),
@@ -76,7 +75,7 @@
 	return deployment, settings.Err()
 }
 
-// readClass decodes the class with an index.
+// readClass decodes the class at index i of the list of classes.
 func readClass(settings *jsonvalue.Value, i int) admission.Class {
 	class := admission.Class{
 		Threads:          max(1, int(settings.Float("familyInfo", "dop", i))),
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -7,11 +7,12 @@
 	"magpiebank/internal/admission"
 )
 
-// maxReportValue is above any value that a report can hold: queries, or shares with some noise.
+// maxReportValue is larger than any valid value: a report contains numbers of queries, and shares near 0 to 1 with some noise.
 const maxReportValue = 1e6
 
-// ParseReport parses an engine's load report, pairs name:value with a separator between them, under the names that the
-// settings give its fields. Other fields are ignored. ok tells whether all of it was pairs with a number from 0 to 1e6.
+// ParseReport parses an engine's load report: pairs name:value, divided by separator. The names inflight, util, x0 and x1 come
+// from the settings; pairs with other names are ignored. ok reports whether the value of every pair is a number from 0 to 1e6;
+// other pairs are left out of the report.
 func ParseReport(text, separator string) (report admission.Report, ok bool) {
 	report, ok = admission.NoReport, true
 	for rest := text; rest != ""; {
--- a/internal/config/network.go
+++ b/internal/config/network.go
@@ -6,19 +6,19 @@
 	"magpiebank/internal/jsonvalue"
 )
 
-// Network is what the gateway on sockets needs of the settings: the names on its wires of what the admission controller knows
-// by index, and the network's timeouts.
+// Network holds the settings that only a gateway process needs: the names that the protocols use for the classes, zones, kinds
+// and tenants, which the admission controller identifies by index, and the settings of connections.
 type Network struct {
 	Classes, Zones, Kinds []string
-	Tenants               []string        // empty if requests name none
-	LongestWaits          []time.Duration // by class, how long a client waits at most; 0: not told
-	AttemptsPerConnection int             // that a connection to an engine carries at the same time, at least 1
+	Tenants               []string        // empty if requests name no tenant
+	LongestWaits          []time.Duration // by class: longest time that a client waits for an answer; 0: not configured
+	AttemptsPerConnection int             // maximum number of concurrent attempts on a connection to an engine, at least 1
 	ConnectTimeout        time.Duration
-	IdleTimeout           time.Duration // after which engines close idle connections
-	ReportsInAnswers      bool          // answers hold the engine's load report, as health checks do
+	IdleTimeout           time.Duration // idle time after which engines close a connection
+	ReportsInAnswers      bool          // answers contain the engine's load report, as answers to health checks do
 }
 
-// ReadNetwork decodes the part of the settings that the gateway on sockets needs. Errors name the field at fault.
+// ReadNetwork decodes the settings that only a gateway process needs. Errors name the invalid field.
 func ReadNetwork(settings *jsonvalue.Value) (*Network, error) {
 	network := &Network{
 		Zones:                 settings.Texts("zones"),
@@ -52,7 +52,7 @@
 	return network, settings.Err()
 }
 
-// readDuration reads microseconds.
+// readDuration reads a time in microseconds.
 func readDuration(settings *jsonvalue.Value, path ...any) time.Duration {
 	return time.Duration(settings.Float(path...)) * time.Microsecond
 }
--- a/internal/configfile/configfile.go
+++ b/internal/configfile/configfile.go
@@ -1,6 +1,6 @@
-// Package configfile reads the files that operators write: Jsonnet, with units in texts ("250ms", "64MB"). All errors of a
-// file are reported at once, as FILE:LINE: FIELD: expected WHAT, found WHAT; for an unknown field the nearest known name is
-// suggested.
+// Package configfile reads configuration files that operators write in Jsonnet. Times and sizes are strings with a unit
+// ("250ms", "64MB"). All errors in the fields of a file are reported together, each in the format FILE:LINE: FIELD: expected
+// WHAT, found WHAT. The error for an unknown field suggests the most similar known name.
 package configfile
 
 import (
@@ -14,18 +14,18 @@
 	"github.com/google/go-jsonnet"
 )
 
-// File is a file that was evaluated, and collects the errors of its fields.
+// File is an evaluated file. It collects the errors in its fields.
 type File struct {
-	name  string // empty: a text without a file
+	name  string // empty: the text is not from a file
 	lines *lineFinder
 	errs  []*FieldError
 }
 
-// FieldError is an error of one field.
+// FieldError is an error in one field.
 type FieldError struct {
-	File    string // empty: the text is not from a file, and has no lines
+	File    string // empty: the text is not from a file, and Line means nothing
 	Line    int
-	Field   string // its path, as in load.parts[1].rate
+	Field   string // path of the field, for example load.parts[1].rate
 	Problem string
 }
 
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Problem)
 }
 
-// Read evaluates a file; imports are looked for beside it. The object is the file's root.
+// Read evaluates a file and returns it with its root object. Imports are resolved relative to the file's directory.
 func Read(path string) (*File, *Object, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return Parse(path, string(text))
 }
 
-// Parse evaluates a text as if it were in a file of that name.
+// Parse evaluates a text as if it were the content of a file with the given name.
 func Parse(name, text string) (*File, *Object, error) {
 	vm := jsonnet.MakeVM()
 	vm.Importer(&jsonnet.FileImporter{JPaths: []string{filepath.Dir(name)}})
@@ -66,7 +66,7 @@
 	return f, f.newObject(nil, object), nil
 }
 
-// ParseJSON reads a JSON text that is not from a file. Its errors name no line.
+// ParseJSON reads a JSON object that is not from a file. Its errors contain no line.
 func ParseJSON(text []byte) (*Object, error) {
 	var root any
 	if err := json.Unmarshal(text, &root); err != nil {
@@ -79,17 +79,18 @@
 	return (&File{lines: &lineFinder{}}).newObject(nil, object), nil
 }
 
-// LocateError puts the file's name and the field's line before the text of an error that begins with the path of a field,
-// as in "load.parts[1].rate: expected ...".
+// LocateError prefixes the text of an error with the file's name and the line of a field. The text must begin with the
+// field's path, as in "load.parts[1].rate: expected ...".
 func (f *File) LocateError(text string) string {
 	path, _, _ := strings.Cut(text, ": ")
 	return fmt.Sprintf("%s:%d: %s", f.name, f.lines.lineOf(parsePath(nil, path)), text)
 }
 
-// maxDepth bounds the nesting of calls, so that the evaluation of a file that calls itself without end fails.
+// maxDepth limits the depth of nested calls, so that the evaluation of a file with an endless recursion fails. It also limits
+// the search for the line of a field.
 const maxDepth = 200
 
-// evaluatorError returns the place and reason of an error of the evaluator, without the trace of calls behind it.
+// evaluatorError shortens the text of an evaluator's error to the position and the reason, without the stack trace.
 func evaluatorError(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	if len(lines) > 1 && strings.HasPrefix(lines[0], "RUNTIME ERROR") {
@@ -98,7 +99,7 @@
 	return lines[0]
 }
 
-// addError notes that a field is not what was expected.
+// addError records that a field has another value than expected.
 func (f *File) addError(path []pathStep, want, found string) {
 	f.addProblem(path, fmt.Sprintf("expected %s, found %s", want, found))
 }
@@ -107,10 +108,10 @@
 	f.errs = append(f.errs, &FieldError{File: f.name, Line: f.lines.lineOf(path), Field: formatPath(path), Problem: problem})
 }
 
-// nothing stands for the value of a field that is absent.
+// nothing describes the value of an absent field in errors.
 const nothing = "nothing"
 
-// maxShownValue is the length up to which errors show a value; of a longer one they show the kind.
+// maxShownValue is the maximum length in bytes of a value that errors show. For a longer value they show its kind.
 const maxShownValue = 60
 
 func formatValue(value any) string {
--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Every kind of error is named with its line and what was expected, all of them at once.
+// Validate reports all errors together, each with its line and the expected value. The file has one error of each kind.
 func ExampleObject_Validate() {
 	_, o, err := Parse("load.jsonnet", `local base = {
   rate: 500,
@@ -55,7 +55,7 @@
 	// load.jsonnet:12: lanes[2]: expected an object, found "c"
 }
 
-// What the language itself refuses is one line, too.
+// An error of the Jsonnet evaluator is one line, too.
 func ExampleParse() {
 	for _, text := range []string{"{ a: 1", "{ a: self.b }", "[1]", "import 'none.jsonnet'", "local f(x) = f(x); f(1)"} {
 		_, _, err := Parse("load.jsonnet", text)
@@ -69,7 +69,7 @@
 	// load.jsonnet:1:14-18: max stack frames exceeded.
 }
 
-// Imports are found beside the file.
+// Imports are resolved relative to the file's directory.
 func ExampleRead() {
 	dir, err := os.MkdirTemp("", "configfile")
 	if err != nil {
--- a/internal/configfile/lines.go
+++ b/internal/configfile/lines.go
@@ -5,19 +5,20 @@
 	"github.com/google/go-jsonnet/ast"
 )
 
-// lineFinder finds the lines on which the fields of a file stand. A field that the file computes has the line of the
-// nearest thing that is written out.
+// lineFinder finds the lines of fields in the source text of a file. For a computed field, which is not in the text, it finds
+// the line of the nearest enclosing field or list element that is.
 type lineFinder struct{ root ast.Node }
 
 func newLineFinder(name, text string) *lineFinder {
 	root, err := jsonnet.SnippetToAST(name, text)
-	if err != nil { // not for a text that was evaluated
+	if err != nil { // does not happen for a text that the evaluator accepted
 		return &lineFinder{}
 	}
 	return &lineFinder{root}
 }
 
-// lineOf returns the line that a path leads to, as far as it can be followed.
+// lineOf returns the line of the field at a path. If it cannot follow the whole path, it returns the line of the last step
+// that it found, or 1.
 func (f *lineFinder) lineOf(path []pathStep) int {
 	line := 1
 	if f.root == nil {
@@ -38,11 +39,11 @@
 	return line
 }
 
-// pathWalker follows a path through a syntax tree, and knows the variables that are in scope.
+// pathWalker follows a path through a syntax tree. It collects the values of the variables that it passes.
 type pathWalker struct{ variables map[string]ast.Node }
 
-// follow follows one step from a node, through what stands round objects in the text. It returns the node that the step
-// leads to, nil if it leads nowhere, and its line.
+// follow takes one step of a path from a node. It looks for the object or list inside local definitions, variables,
+// parentheses and operators. It returns the node of the step and its line, or nil and 0 if there is no such node.
 func (w *pathWalker) follow(node ast.Node, step pathStep, depth int) (ast.Node, int) {
 	if depth > maxDepth {
 		return nil, 0
@@ -59,7 +60,7 @@
 		}
 	case *ast.Parens:
 		return w.follow(n.Inner, step, depth+1)
-	case *ast.Binary: // of a + b, the fields of b replace those of a
+	case *ast.Binary: // in a + b, the fields of b replace those of a
 		if next, line := w.follow(n.Right, step, depth+1); line > 0 {
 			return next, line
 		}
@@ -93,7 +94,7 @@
 	return nil, 0
 }
 
-// beginLine returns the line on which a node begins, 0 if that is not known.
+// beginLine returns the line on which a node begins; 0: unknown.
 func beginLine(node ast.Node) int {
 	if node == nil || node.Loc() == nil {
 		return 0
--- a/internal/configfile/object.go
+++ b/internal/configfile/object.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Object is an object in a file. The fields that its methods are asked for are the ones that it knows; Validate rejects
-// all others.
+// Object is an object in a file. A field name is known once a method has read that field. Validate rejects fields with unknown
+// names.
 type Object struct {
 	file     *File
 	path     []pathStep
 	value    map[string]any
-	known    map[string]bool // the names that were asked for
+	known    map[string]bool // the names of the fields that methods have read
 	children []*Object
 }
 
@@ -22,8 +22,8 @@
 	return &Object{file: f, path: path, value: value, known: map[string]bool{}}
 }
 
-// Validate returns all errors of the file so far, *FieldErrors in the order of their lines, joined. It adds an error for
-// each field of this object, and of those under it, that was never asked for.
+// Validate adds an error for each unknown field of this object and of the objects within it. It returns all errors of the
+// file up to now, joined: *FieldErrors in the order of their lines.
 func (o *Object) Validate() error {
 	o.rejectUnknown()
 	found := o.file.errs
@@ -59,31 +59,31 @@
 	return append(o.path[:len(o.path):len(o.path)], pathStep{name: name})
 }
 
-// RawValue returns a field's decoded value, nil if the field is absent.
+// RawValue returns a field's decoded value, or nil if the field is absent.
 func (o *Object) RawValue(name string) any {
 	o.known[name] = true
 	return o.value[name]
 }
 
-// Reject adds an error to a field: what the caller expected in place of its value.
+// Reject adds an error for a field's value. want describes the value that the caller expected.
 func (o *Object) Reject(name, want string) {
 	o.file.addError(o.fieldPath(name), want, formatValue(o.value[name]))
 }
 
-// RejectError adds an error of another check, whose text begins with the path of the field from this object on, as in
-// "parts[1].rate: expected ...".
+// RejectError adds an error that another check returned. The error's text must begin with the field's path relative to this
+// object, as in "parts[1].rate: expected ...".
 func (o *Object) RejectError(err error) {
 	path, problem, _ := strings.Cut(err.Error(), ": ")
 	o.file.addProblem(parsePath(o.path, path), problem)
 }
 
-// HasField tells whether a field is there and not null.
+// HasField reports whether a field is present and not null.
 func (o *Object) HasField(name string) bool {
 	o.known[name] = true
 	return o.value[name] != nil
 }
 
-// Object returns a field that is an object, nil if it is absent.
+// Object returns the object in a field, or nil if the field is absent.
 func (o *Object) Object(name string) *Object {
 	value, ok := getField[map[string]any](o, name, "an object")
 	if !ok {
@@ -94,7 +94,7 @@
 	return child
 }
 
-// Objects returns a field that is a list of objects, empty if it is absent.
+// Objects returns the objects in a field that is a list. The result is empty if the field is absent.
 func (o *Object) Objects(name string) (objects []*Object) {
 	list, _ := getField[[]any](o, name, "a list of objects")
 	for i, raw := range list {
--- a/internal/configfile/path.go
+++ b/internal/configfile/path.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// pathStep is one step of the path to a field: a name in an object, or an index in a list.
+// pathStep is one step of the path to a field: a field name in an object, or an index in a list.
 type pathStep struct {
 	name    string
 	index   int
 	isIndex bool
 }
 
-// parsePath appends the steps of a path in words, as in load.parts[1].rate, to a path.
+// parsePath parses a path such as load.parts[1].rate and returns base followed by its steps.
 func parsePath(base []pathStep, text string) []pathStep {
 	path := slices.Clone(base)
 	for _, word := range strings.FieldsFunc(text, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
--- a/internal/configfile/suggest.go
+++ b/internal/configfile/suggest.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// nearestName returns the known name that a misspelt one is nearest to, "" if none is near.
+// nearestName returns the known name that is most similar to a misspelt name, or "" if none is similar enough.
 func nearestName(name string, known map[string]bool) (nearest string) {
 	nearestDistance := max(2, len(name)/3) + 1
 	var names []string
@@ -21,7 +21,7 @@
 	return nearest
 }
 
-// editDistance returns the Levenshtein distance of two texts, in bytes.
+// editDistance returns the Levenshtein distance between two strings, counted in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/configfile/values.go
+++ b/internal/configfile/values.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// getField returns a field's value; ok is false if it is absent or of another type, which is an error.
+// getField returns a field's value. ok is false if the field is absent or has another type; another type is also recorded as
+// an error.
 func getField[T any](o *Object, name, want string) (value T, ok bool) {
 	o.known[name] = true
 	raw := o.value[name]
@@ -23,7 +24,7 @@
 	return value, ok
 }
 
-// Text returns a field that is a text, or fallback if it is absent.
+// Text returns the string in a field, or fallback if the field is absent.
 func (o *Object) Text(name, fallback string) string {
 	if value, ok := getField[string](o, name, "a text"); ok {
 		return value
@@ -31,7 +32,7 @@
 	return fallback
 }
 
-// RequiredText returns a field that is a text; it is an error if the field is absent.
+// RequiredText returns the string in a field. An absent field is an error.
 func (o *Object) RequiredText(name string) string {
 	value := o.Text(name, "")
 	if value == "" && o.value[name] == nil {
@@ -40,7 +41,7 @@
 	return value
 }
 
-// OneOf returns a field that is one of some words, or fallback if it is absent.
+// OneOf returns the string in a field, which must be one of words, or fallback if the field is absent.
 func (o *Object) OneOf(name, fallback string, words ...string) string {
 	value := o.Text(name, fallback)
 	if !slices.Contains(words, value) {
@@ -57,7 +58,7 @@
 	return value
 }
 
-// Bool returns a field that is true or false, or fallback if it is absent.
+// Bool returns the boolean in a field, or fallback if the field is absent.
 func (o *Object) Bool(name string, fallback bool) bool {
 	if value, ok := getField[bool](o, name, "true or false"); ok {
 		return value
@@ -65,7 +66,7 @@
 	return fallback
 }
 
-// Number returns a field that is a number from minimum to maximum, or fallback if it is absent.
+// Number returns the number in a field, which must be from minimum to maximum, or fallback if the field is absent.
 func (o *Object) Number(name string, fallback, minimum, maximum float64) float64 {
 	value, ok := getField[float64](o, name, "a number")
 	if !ok {
@@ -81,7 +82,7 @@
 	}
 }
 
-// Int returns a field that is a whole number from minimum to maximum, or fallback if it is absent.
+// Int returns the whole number in a field, which must be from minimum to maximum, or fallback if the field is absent.
 func (o *Object) Int(name string, fallback, minimum, maximum int) int {
 	value := o.Number(name, float64(fallback), float64(minimum), float64(maximum))
 	if value != math.Trunc(value) {
@@ -90,13 +91,13 @@
 	return int(value)
 }
 
-// Fraction returns a field that is a number from 0 to 1, or fallback if it is absent.
+// Fraction returns the number in a field, which must be from 0 to 1, or fallback if the field is absent.
 func (o *Object) Fraction(name string, fallback float64) float64 {
 	return o.Number(name, fallback, 0, 1)
 }
 
-// Duration returns a field that is a time with its unit, as in "250ms", or fallback if it is absent. A bare number is an
-// error.
+// Duration returns the duration in a field, or fallback if the field is absent. The field must be a string with a unit, such
+// as "250ms"; a number is an error.
 func (o *Object) Duration(name string, fallback time.Duration) time.Duration {
 	o.known[name] = true
 	switch value := o.value[name].(type) {
@@ -111,18 +112,18 @@
 	return fallback
 }
 
-// sizeUnits are the units of sizes. A megabyte is 2^20 bytes, as the platform counts memory. The unit B is the last one, as
-// the others end in it, too.
+// sizeUnits are the units of sizes. A megabyte is 2^20 bytes, as the platform counts memory. The unit B must be the last one,
+// because parseSize takes the first unit that the text ends with, and the other units end with B, too.
 var sizeUnits = []struct {
 	unit  string
 	bytes int64
 }{{"kB", 1 << 10}, {"KB", 1 << 10}, {"MB", 1 << 20}, {"GB", 1 << 30}, {"B", 1}}
 
-// maxSize bounds sizes.
+// maxSize is the number of bytes that a size must be below.
 const maxSize = 1 << 60
 
-// Size returns the bytes of a field that is an amount of memory with its unit, as in "64MB", or fallback if it is absent. A
-// bare number is an error.
+// Size returns the number of bytes in a field, or fallback if the field is absent. The field must be a string with a unit,
+// such as "64MB"; a number is an error.
 func (o *Object) Size(name string, fallback int64) int64 {
 	o.known[name] = true
 	value := o.value[name]
@@ -154,7 +155,7 @@
 	return 0, false
 }
 
-// getList returns a field that is a list of plain values.
+// getList returns the elements of a field that is a list. It records an error for each element of another type and omits it.
 func getList[T any](o *Object, name, want string) (list []T) {
 	values, _ := getField[[]any](o, name, "a list")
 	for i, raw := range values {
@@ -168,10 +169,11 @@
 	return list
 }
 
-// Texts returns a field that is a list of texts, empty if it is absent.
+// Texts returns the strings in a field that is a list. The result is empty if the field is absent.
 func (o *Object) Texts(name string) []string { return getList[string](o, name, "a text") }
 
-// Numbers returns a field that is a list of numbers from minimum to maximum, empty if it is absent.
+// Numbers returns the numbers in a field that is a list; each must be from minimum to maximum. The result is empty if the
+// field is absent.
 func (o *Object) Numbers(name string, minimum, maximum float64) []float64 {
 	numbers := getList[float64](o, name, "a number")
 	for i, number := range numbers {
--- a/internal/jsonvalue/value.go
+++ b/internal/jsonvalue/value.go
@@ -1,5 +1,5 @@
-// Package jsonvalue reads values by path out of decoded JSON. The first value that is not of the expected type is kept as an
-// error until it is asked for, so that many values can be read in a row.
+// Package jsonvalue reads values by path from decoded JSON. The first value that doesn't have the expected type is recorded as
+// an error, which Err returns, so that callers can read many values and check for an error once.
 package jsonvalue
 
 import (
@@ -7,15 +7,15 @@
 	"fmt"
 )
 
-// Value is a JSON value with a name, by which its errors name it. A path into it has a string for a key of an object, and an
-// int for an index of a list.
+// Value is a decoded JSON value with a name that its errors contain. In a path to a value within it, a string is a key of an
+// object and an int is an index of a list.
 type Value struct {
 	name string
 	root any
 	err  error
 }
 
-// Parse decodes a JSON object. Its error names the value, and wraps the decoder's if the text is no JSON.
+// Parse decodes a JSON object. Its error contains the name, and wraps the decoder's error if the text is not valid JSON.
 func Parse(name string, text []byte) (*Value, error) {
 	v := &Value{name: name}
 	if err := json.Unmarshal(text, &v.root); err != nil {
@@ -27,8 +27,8 @@
 	return v, nil
 }
 
-// Object returns the object at a path as a value of its own, which keeps its own error. An absent or other value is an error
-// of the receiver.
+// Object returns the object at a path as a separate Value, which records its own errors. If there is no object at the path,
+// the receiver records an error.
 func (v *Value) Object(path ...any) *Value {
 	at := v.Lookup(path...)
 	if _, ok := at.(map[string]any); !ok {
@@ -37,7 +37,7 @@
 	return &Value{name: fmt.Sprint(v.name, path), root: at}
 }
 
-// Lookup returns the decoded value at a path, and nil if there is none.
+// Lookup returns the decoded value at a path, or nil if there is none.
 func (v *Value) Lookup(path ...any) any {
 	at := v.root
 	for _, step := range path {
@@ -56,17 +56,18 @@
 	return at
 }
 
-// Fail records what was expected at a path, unless an error was recorded before.
+// Fail records an error about the value at a path, unless an error was recorded before. expected describes the expected value.
 func (v *Value) Fail(expected string, path ...any) {
 	if v.err == nil {
 		v.err = fmt.Errorf("field %s%v: expected %s", v.name, path, expected)
 	}
 }
 
-// Err returns the first error that was recorded.
+// Err returns the recorded error, which is the first one.
 func (v *Value) Err() error { return v.err }
 
-// get returns the value at a path, and the zero value if there is none or it is of another type. The latter is an error.
+// get returns the value at a path, or the zero value if there is none or it has another type. A value of another type is an
+// error.
 func get[T any](v *Value, expected string, path []any) T {
 	at := v.Lookup(path...)
 	typed, ok := at.(T)
@@ -76,19 +77,19 @@
 	return typed
 }
 
-// Float returns a number, 0 if there is none.
+// Float returns the number at a path, or 0 if there is none.
 func (v *Value) Float(path ...any) float64 { return get[float64](v, "a number", path) }
 
-// Bool returns a boolean, false if there is none.
+// Bool returns the boolean at a path, or false if there is none.
 func (v *Value) Bool(path ...any) bool { return get[bool](v, "true or false", path) }
 
-// Text returns a string, empty if there is none.
+// Text returns the string at a path, or an empty one if there is none.
 func (v *Value) Text(path ...any) string { return get[string](v, "a text", path) }
 
-// List returns a list, nil if there is none.
+// List returns the list at a path, or nil if there is none.
 func (v *Value) List(path ...any) []any { return get[[]any](v, "a list", path) }
 
-// RequireText returns a string. An absent or empty one is an error.
+// RequireText returns the string at a path. An absent or empty string is an error.
 func (v *Value) RequireText(path ...any) string {
 	text := v.Text(path...)
 	if text == "" {
@@ -97,13 +98,13 @@
 	return text
 }
 
-// Floats returns a list of numbers, nil if there is none.
+// Floats returns the list of numbers at a path, or nil if there is none.
 func (v *Value) Floats(path ...any) []float64 { return each(v, v.Float, path) }
 
-// Texts returns a list of strings, nil if there is none.
+// Texts returns the list of strings at a path, or nil if there is none.
 func (v *Value) Texts(path ...any) []string { return each(v, v.Text, path) }
 
-// each reads the entries of a list one by one.
+// each calls read for the path of each entry of a list and returns the results.
 func each[T any](v *Value, read func(path ...any) T, path []any) (entries []T) {
 	for i := range v.List(path...) {
 		entries = append(entries, read(append(path[:len(path):len(path)], i)...))
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery parses and writes the wire of the endpoint list: long polls over HTTP/1.1 for watch events. It works
-// on bytes alone and opens no connections.
+// Package discovery encodes and decodes the messages of the discovery service: HTTP/1.1 long polls, which the service answers
+// with changes of the endpoint list. It works on byte slices and opens no connections.
 package discovery
 
 import (
@@ -11,8 +11,8 @@
 	"magpiebank/internal/jsonvalue"
 )
 
-// AppendPollRequest appends the request for the events after the one with the index after; the server waits up to
-// waitMS milliseconds for the first of them.
+// AppendPollRequest appends a request for the events whose index is above after. If there are none, the server waits up to
+// waitMS milliseconds for the first one.
 func AppendPollRequest(dst []byte, host string, after, waitMS int64) []byte {
 	dst = strconv.AppendInt(append(dst, "GET /v2/stream?follow="...), after, 10)
 	dst = strconv.AppendInt(append(dst, "&wait_ms="...), waitMS, 10)
@@ -21,23 +21,25 @@
 
 // WatchEvent is one change of the endpoint list, or the complete list.
 type WatchEvent struct {
-	Full      bool // Endpoints is the complete list
+	Full      bool // Endpoints is the complete list, not only the changed endpoints
 	Endpoints []admission.Endpoint
-	Addresses []string // host:port of each of the endpoints
+	Addresses []string // host:port of each endpoint, in the order of Endpoints
 }
 
 // EventReader reads the watch events of a response.
 type EventReader struct {
-	Zones []string // the names that a zone's number stands for
-	Kinds []string // the names that an engine kind's number stands for
+	Zones []string // zone names; an endpoint's zone is the index of its name
+	Kinds []string // names of engine kinds; an endpoint's kind is the index of its name
 
-	// AcceptPartial has the reader report an event with malformed endpoints, without them. Otherwise the reader
-	// stops before such an event, as a list that was damaged on its way is complete when it is asked for again.
+	// AcceptPartial makes the reader handle an event that has a malformed endpoint, without that endpoint and without the
+	// endpoints after it, except those that are gone. Otherwise the reader stops before such an event, because a list that was
+	// damaged in transit is intact in the next response.
 	AcceptPartial bool
 }
 
-// ReadEvents calls handle for each event whose index is above after, in order, and returns the index of the last event
-// that was handled. After a malformed event it stops, and the error is that of the JSON reader.
+// ReadEvents calls handle for each event whose index is above after, in order, and returns the index of the last event that it
+// handled. It stops at a malformed event, or after it with AcceptPartial, and response.Err returns the error. If the response
+// has a higher index than its last event, that is an error, too; with AcceptPartial, ReadEvents returns that index.
 func (r *EventReader) ReadEvents(response *jsonvalue.Value, after int64, handle func(WatchEvent)) int64 {
 	for i := range response.List("updates") {
 		index := int64(response.Float("updates", i, "index"))
@@ -77,7 +79,8 @@
 	return event
 }
 
-// readEndpoint reads one endpoint of an event; ok tells whether all that it needs could be read.
+// readEndpoint reads one endpoint of an event. ok reports whether the endpoint can be used. An endpoint that is gone needs only
+// an engine id. Any other endpoint must be complete, and the response must have no error up to there.
 func (r *EventReader) readEndpoint(response *jsonvalue.Value, path ...any) (endpoint admission.Endpoint, address string, ok bool) {
 	at := func(field string) []any { return append(path[:len(path):len(path)], field) }
 	endpoint = admission.Endpoint{
--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -52,7 +52,7 @@
 	show := func(event WatchEvent) { fmt.Println(event.Full, event.Endpoints, event.Addresses) }
 	reader := EventReader{Zones: []string{"west", "east"}, Kinds: []string{"std"}}
 	last := reader.ReadEvents(s, 7, show)
-	fmt.Println(last, s.Err()) // the last event is malformed: it is asked for again
+	fmt.Println(last, s.Err()) // 8, because the last event is malformed and must be requested again
 	s, _ = jsonvalue.Parse("events", text)
 	reader.AcceptPartial = true
 	fmt.Println(reader.ReadEvents(s, last, show))
--- a/internal/protocol/discovery/response.go
+++ b/internal/protocol/discovery/response.go
@@ -7,16 +7,18 @@
 	"strings"
 )
 
-// ErrMalformedResponse is returned for what is no HTTP/1.1 response with a body.
+// ErrMalformedResponse is returned for bytes that are not a valid HTTP response, and for a response whose header or body is
+// too long or which doesn't state the length of its body.
 var ErrMalformedResponse = errors.New("malformed answer")
 
-// MaxResponseBytes is the longest body that is taken: some ten thousand endpoints.
+// MaxResponseBytes is the maximum length of a body with a stated length, and of each chunk of a chunked body. About ten
+// thousand endpoints fit.
 const MaxResponseBytes = 1 << 21
 
-// maxHeaderBytes bounds the status line and the header fields.
+// maxHeaderBytes is the maximum length of the status line and the header fields together.
 const maxHeaderBytes = 1 << 13
 
-// The statuses of responses that have no body.
+// The status codes of responses that have no body.
 const (
 	statusNoContent   = 204
 	statusNotModified = 304
@@ -30,12 +32,12 @@
 // Response is an HTTP response.
 type Response struct {
 	Status           int
-	Body             []byte // it may lie in the bytes that were parsed
-	Length           int    // bytes that the response takes; 0: it has not arrived completely
-	ClosesConnection bool   // the server closes the connection after it
+	Body             []byte // may point into the bytes that were parsed
+	Length           int    // length of the whole response in bytes; 0: it has not arrived completely
+	ClosesConnection bool   // the server closes the connection after this response
 }
 
-// ParseResponse parses the response at the start of b. The error is ErrMalformedResponse.
+// ParseResponse parses the response at the start of b. Any error is ErrMalformedResponse.
 func ParseResponse(b []byte) (Response, error) {
 	end := bytes.Index(b, []byte(headerEnd))
 	if end < 0 && len(b) <= maxHeaderBytes {
@@ -66,7 +68,7 @@
 
 type responseHeader struct {
 	status    int
-	bodyBytes int // -1: not stated
+	bodyBytes int // -1: the header doesn't state it
 	chunked   bool
 	last      bool
 }
@@ -98,8 +100,8 @@
 	return header, nil
 }
 
-// parseChunks parses a chunked body that starts at offset, and returns the offset behind it, 0 if the body has not
-// arrived completely.
+// parseChunks parses a chunked body that starts at offset. It returns the body and the offset at which it ends, or 0 if the
+// body has not arrived completely.
 func parseChunks(b []byte, offset int) (body []byte, end int, err error) {
 	for {
 		sizeLength := bytes.Index(b[offset:], []byte(lineEnd))
@@ -113,7 +115,8 @@
 		}
 		offset += sizeLength + len(lineEnd)
 		if size == 0 {
-			// Trailers, if there are any, end with an empty line; without them it is the line end just read and the next.
+			// The body ends with an empty line after the trailers. Without trailers, the end of the size line is the first half
+			// of headerEnd, so the search begins there.
 			trailerLength := bytes.Index(b[offset-len(lineEnd):], []byte(headerEnd))
 			if trailerLength < 0 {
 				return nil, 0, nil
--- a/internal/protocol/mysql/client.go
+++ b/internal/protocol/mysql/client.go
@@ -7,16 +7,16 @@
 	"strconv"
 )
 
-// This file has the client's side of the protocol, as far as the gateway serves it: a greeting, a login without a
-// password, and one command at a time.
+// This file implements the client side of the protocol, for the features that the gateway serves: a greeting, a login without
+// a password, and one command at a time.
 
-// ErrMalformedGreeting is returned for a first packet that no server of the protocol 4.1 sends.
+// ErrMalformedGreeting is returned for a first packet that is not a greeting of the protocol 4.1.
 var ErrMalformedGreeting = errors.New("malformed greeting")
 
-// protocolVersion is the version that a greeting begins with.
+// protocolVersion is the first byte of a greeting.
 const protocolVersion = 10
 
-// ReadGreeting reads the payload of the server's first packet and returns the connection's id, which KILL QUERY takes.
+// ReadGreeting parses the payload of the server's first packet and returns the connection's id, which KILL QUERY requires.
 func ReadGreeting(payload []byte) (connection uint32, err error) {
 	const idSize, saltSize, flagsSize = 4, 8 + 1, 2
 	if len(payload) < 1 || payload[0] != protocolVersion {
@@ -33,11 +33,11 @@
 	return binary.LittleEndian.Uint32(id), nil
 }
 
-// AppendLogin appends the client's first packet: an empty password, no encryption, EOF packets in use.
+// AppendLogin appends the client's first packet. It sends an empty password, and requests no encryption and EOF packets.
 func AppendLogin(dst []byte, user, database string) []byte {
 	const maxPacketBytes = 1<<24 - 1
 	const reservedBytes = loginFixedSize - 4 - 4 - 1
-	const emptyPassword = 0 // its length
+	const emptyPassword = 0 // the length of the password
 	dst, start := beginPacket(dst, 1)
 	dst = binary.LittleEndian.AppendUint32(dst, capabilities)
 	dst = binary.LittleEndian.AppendUint32(dst, maxPacketBytes)
@@ -49,28 +49,28 @@
 	return endPacket(dst, start)
 }
 
-// AppendCommand appends a command without an argument: Ping or Quit.
+// AppendCommand appends the packet of a command without an argument: Ping or Quit.
 func AppendCommand(dst []byte, command byte) []byte {
 	dst, start := beginPacket(dst, 0)
 	return endPacket(append(dst, command), start)
 }
 
-// AppendKill appends a KILL QUERY for a connection.
+// AppendKill appends the packet of a KILL QUERY statement for a connection.
 func AppendKill(dst []byte, connection uint32) []byte {
 	dst, start := beginPacket(dst, 0)
 	dst = append(append(dst, Query), "KILL QUERY "...)
 	return endPacket(strconv.AppendUint(dst, uint64(connection), 10), start)
 }
 
-// QueryFields are the fields in the comment before a statement.
+// QueryFields contains the fields that AppendQuery writes in the comment before a statement.
 type QueryFields struct {
 	Class  string
 	ID     uint64
 	WaitMS int64 // how long the client waits for the complete response
-	Retry  bool  // the client sent the query before
+	Retry  bool  // the client has sent the query before
 }
 
-// AppendQuery appends a query: the fields in a comment and the statement, which appendStatement appends.
+// AppendQuery appends the packet of a query: a comment with the fields, and the statement, which appendStatement appends.
 func AppendQuery(dst []byte, fields QueryFields, appendStatement func([]byte) []byte) []byte {
 	dst, start := beginPacket(dst, 0)
 	dst = append(append(dst, Query), "/* class="...)
@@ -83,7 +83,7 @@
 	return endPacket(appendStatement(append(dst, " */ "...)), start)
 }
 
-// AppendID appends an id as the fields carry it: 16 hexadecimal digits.
+// AppendID appends an id in the format of the field id: 16 hexadecimal digits.
 func AppendID(dst []byte, id uint64) []byte {
 	const digits = "0123456789abcdef"
 	const bitsPerDigit = 4
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -57,7 +57,7 @@
 	// "\x05\x00\x00\x06\xfe\x00\x00\x02\x00"
 }
 
-// loginPacket is the payload of a client's first packet.
+// loginPacket returns the payload of a client's first packet with the given capabilities.
 func loginPacket(flags uint32, rest string) []byte {
 	b := make([]byte, loginFixedSize)
 	b[0], b[1], b[2], b[3] = byte(flags), byte(flags>>8), byte(flags>>16), byte(flags>>24)
@@ -171,7 +171,7 @@
 	}
 	for _, sql := range []string{"KILL 77", "KILL QUERY", "KILL QUERY x", "KILL QUERY 4294967296", "SELECT 1 2"} {
 		if _, ok := ParseKillQuery([]byte(sql)); ok {
-			t.Errorf("%q: taken for one", sql)
+			t.Errorf("%q: parsed as a KILL QUERY statement", sql)
 		}
 	}
 }
@@ -208,7 +208,8 @@
 	})
 }
 
-// The client's side: what it writes is what the server's side reads, and back; a request costs it no allocation.
+// The server side reads what the client side writes, and the other way round. The client side allocates no memory for a query
+// and its response.
 func TestClient(t *testing.T) {
 	if connection, err := ReadGreeting(AppendGreeting(nil, 77, &[20]byte{})[HeaderSize:]); connection != 77 || err != nil {
 		t.Errorf("greeting: %d, %v", connection, err)
@@ -246,7 +247,7 @@
 	}
 }
 
-func ExampleResponse() { // errors, what is none, and rows that stop short
+func ExampleResponse() { // an OK packet, errors, malformed responses, and a truncated row
 	for _, packets := range [][]byte{AppendOK(nil, 1), AppendRejection(nil, 1, 250), AppendError(nil, 1, ErrInterrupted, "x"), {1, 0, 0, 1, 9}, {2, 0, 0, 1, 3, 3},
 		append(func() []byte { b, _ := AppendColumns(nil, 1); return b }(), 2, 0, 0, 6, 5, 'a')} {
 		var response Response
--- a/internal/protocol/mysql/packet.go
+++ b/internal/protocol/mysql/packet.go
@@ -1,4 +1,5 @@
-// Package mysql parses and writes the server's side of the MySQL client protocol 4.1, on bytes alone.
+// Package mysql encodes and decodes packets of the MySQL client protocol 4.1, for the server side and the client side. It works
+// on byte slices and opens no connections.
 package mysql
 
 import (
@@ -11,7 +12,7 @@
 // HeaderSize is the length of the header before each packet's payload.
 const HeaderSize = 4
 
-// ParseHeader reads a packet's header, which must have HeaderSize bytes: the payload's length and the packet's number.
+// ParseHeader parses a packet's header: the payload's length and the packet's number. b must have at least HeaderSize bytes.
 func ParseHeader(b []byte) (length int, number byte) {
 	return int(b[0]) | int(b[1])<<8 | int(b[2])<<16, b[3]
 }
@@ -24,7 +25,7 @@
 	Ping   byte = 0x0e
 )
 
-// The capabilities of the protocol 4.1 that a session uses; no encryption, and EOF packets in use.
+// Capability flags of the protocol 4.1, and other constants of the login. Sessions use EOF packets and no encryption.
 const (
 	longPassword   = 1 << 0
 	withDatabase   = 1 << 3
@@ -42,12 +43,12 @@
 	loginFixedSize = 32
 )
 
-// beginPacket appends the header of a packet, whose length endPacket fills in, and returns where the packet starts.
+// beginPacket appends the header of a packet and returns the offset of the packet. endPacket sets the length in the header.
 func beginPacket(dst []byte, number byte) ([]byte, int) {
 	return append(dst, 0, 0, 0, number), len(dst)
 }
 
-// endPacket completes the packet that starts at an offset and reaches to the end of dst.
+// endPacket sets the length of the packet that begins at the offset start and extends to the end of dst.
 func endPacket(dst []byte, start int) []byte {
 	length := len(dst) - start - HeaderSize
 	dst[start], dst[start+1], dst[start+2] = byte(length), byte(length>>8), byte(length>>16)
@@ -71,10 +72,10 @@
 	return endPacket(dst, start)
 }
 
-// ErrMalformedLogin is returned for a login that is no packet of the protocol 4.1.
+// ErrMalformedLogin is returned for a login that is not a packet of the protocol 4.1.
 var ErrMalformedLogin = errors.New("malformed login")
 
-// ParseLogin reads the payload of the client's first packet. The results lie in the payload.
+// ParseLogin parses the payload of the client's first packet. The results point into the payload.
 func ParseLogin(payload []byte) (user, password, database []byte, err error) {
 	if len(payload) < loginFixedSize {
 		return nil, nil, nil, ErrMalformedLogin
@@ -88,7 +89,7 @@
 	if !ok {
 		return nil, nil, nil, ErrMalformedLogin
 	}
-	if flags&(secureLogin|lengthInLogin) != 0 { // the password's length comes first, one byte
+	if flags&(secureLogin|lengthInLogin) != 0 { // one byte with the password's length precedes the password
 		if len(rest) == 0 || len(rest)-1 < int(rest[0]) {
 			return nil, nil, nil, ErrMalformedLogin
 		}
@@ -112,7 +113,8 @@
 	return endPacket(dst, start)
 }
 
-// The codes of the errors that sessions answer with. After the first two a retry is safe, as the query did not run.
+// The error codes that sessions send. After ErrTooManyConnections and ErrRejected a retry is safe, because the query did not
+// run.
 const (
 	ErrTooManyConnections = 1040 // ER_CON_COUNT_ERROR
 	ErrRejected           = 1203 // ER_TOO_MANY_USER_CONNECTIONS
@@ -143,11 +145,11 @@
 	return endPacket(append(append(dst, state...), text...), start)
 }
 
-// retryAfterPrefix stands before the milliseconds in the text of a rejection.
+// retryAfterPrefix precedes the number of milliseconds in the text of a rejection.
 const retryAfterPrefix = "after="
 
-// AppendRejection appends the error packet of a rejected query. If retryAfterMS is above 0 its text states the
-// milliseconds after which the client may retry.
+// AppendRejection appends the error packet of a rejected query. If retryAfterMS is above 0, the error's text states the number
+// of milliseconds after which the client may retry.
 func AppendRejection(dst []byte, number byte, retryAfterMS int64) []byte {
 	text := "no room now"
 	if retryAfterMS > 0 {
@@ -156,24 +158,24 @@
 	return AppendError(dst, number, ErrRejected, text)
 }
 
-// AppendEOF appends the packet that ends the columns and the rows of a result.
+// AppendEOF appends an EOF packet, which follows the column definitions and the rows of a result.
 func AppendEOF(dst []byte, number byte) []byte {
 	dst, start := beginPacket(dst, number)
 	return endPacket(append(dst, eofMarker, 0, 0, autocommit, 0), start)
 }
 
-// columns is how many columns each result has.
+// columns is the number of columns of every result.
 const columns = 3
 
-// AppendColumns appends the packets before a result's rows, from the given number on, and returns the number of the next
-// packet.
+// AppendColumns appends the packets that precede the rows of a result. number is the number of the first packet; the result is
+// the number of the next packet.
 func AppendColumns(dst []byte, number byte) ([]byte, byte) {
 	dst, start := beginPacket(dst, number)
 	dst = endPacket(append(dst, columns), start)
 	for _, name := range [columns]string{"c1", "c2", "c3"} {
 		number++
 		dst, start = beginPacket(dst, number)
-		for _, field := range [...]string{"def", "", "", "", name, name} { // catalogue, schema, tables and names
+		for _, field := range [...]string{"def", "", "", "", name, name} { // catalog, schema, table, original table, name, original name
 			dst = appendLengthEncoded(dst, field)
 		}
 		dst = append(dst, 0x0c, charset, 0)
@@ -184,11 +186,11 @@
 	return AppendEOF(dst, number+1), number + 2
 }
 
-// ErrMalformedRows is returned for text that is not complete rows of three columns.
+// ErrMalformedRows is returned for text that does not consist of complete rows of three columns.
 var ErrMalformedRows = errors.New("malformed rows")
 
-// ValidRows tells whether a page is text in complete rows of three columns, with a tab between columns and a line feed
-// behind each row.
+// ValidRows reports whether a page of a result consists of complete rows of three columns. A tab separates the columns, and a
+// line feed ends each row.
 func ValidRows(page []byte) bool {
 	for len(page) > 0 {
 		_, rest, ok := cutRow(page)
@@ -200,14 +202,14 @@
 	return true
 }
 
-// cutRow cuts the first row off a page; ok tells whether it is complete.
+// cutRow splits a page after its first row. ok reports whether the row is complete.
 func cutRow(page []byte) (line, rest []byte, ok bool) {
 	line, rest, ok = bytes.Cut(page, []byte{'\n'})
 	return line, rest, ok && bytes.Count(line, []byte{'\t'}) == columns-1
 }
 
-// AppendRows appends the packets of the rows of a page and returns the number of the next packet. The error is
-// ErrMalformedRows; the rows before the malformed one have been appended.
+// AppendRows appends a packet for each row of a page and returns the number of the next packet. Any error is ErrMalformedRows;
+// the rows before the malformed row have then been appended.
 func AppendRows(dst []byte, number byte, page []byte) ([]byte, byte, error) {
 	for len(page) > 0 {
 		line, rest, ok := cutRow(page)
--- a/internal/protocol/mysql/query.go
+++ b/internal/protocol/mysql/query.go
@@ -10,7 +10,7 @@
 	"magpiebank/internal/query/sqltext"
 )
 
-// The fields that a statement's leading comment can lack or get wrong.
+// The errors of ReadRequest. Most are about one field in the comment before a statement.
 var (
 	ErrFields           = errors.New("no fields in a comment before the statement")
 	ErrClass            = errors.New("field class: expected a name")
@@ -25,7 +25,8 @@
 	ErrText             = errors.New("expected the text of one statement")
 )
 
-// The lengths of the fields that are hexadecimal digits, and the highest estimate that is taken: days, or a petabyte.
+// The lengths of the fields that consist of hexadecimal digits, and the maximum estimate that is accepted, in milliseconds
+// (days) or megabytes (a petabyte).
 const (
 	idDigits    = 16
 	keyDigits   = 16
@@ -33,28 +34,28 @@
 	maxEstimate = 1e9
 )
 
-// Request is a client's query: the fields in the comment before its statement, and the statement without the comment.
-// The slices lie in the text that it was read from.
+// Request is a client's query: the fields in the comment before its statement, and the statement without the comment. The
+// slices point into the text that the request was read from.
 type Request struct {
 	Class, ID []byte
 	WaitMS    int64 // how long the client waits for the complete response
-	Retry     bool  // the client sent the query before
+	Retry     bool  // the client has sent the query before
 
-	// Optional fields; empty or 0 if the client did not send them.
+	// Optional fields. A field that the client did not send is empty or 0.
 	Tenant           []byte
-	Key              []byte  // requests with the same key may have to run in order
-	IdempotencyToken []byte  // the same for all attempts of a client, so that engines recognise a repeated query
+	Key              []byte  // in an ordered class, requests with the same key run one after another
+	IdempotencyToken []byte  // the same in all retries by the client, so that engines recognize a repeated query
 	WorkMS           float64 // the client's estimate of the work, in milliseconds on one thread
 	MemoryMB         float64 // the client's estimate of the memory
 
 	Statement []byte
 }
 
-// whitespace may stand before and after the comment with the fields.
+// whitespace contains the characters that are allowed before and after the comment with the fields.
 const whitespace = " \t\r\n"
 
-// ReadRequest reads the fields in the comment before a statement, and the statement. The error is the one that the
-// variables above list for the field; the request holds the fields before it.
+// ReadRequest parses the comment with the fields and the statement after it. Any error is one of the variables above. If the
+// error is about the content of a field, the request contains the fields before it.
 func ReadRequest(sql []byte) (r Request, err error) {
 	rest := bytes.TrimLeft(sql, whitespace)
 	rest, ok := bytes.CutPrefix(rest, []byte("/*"))
@@ -77,7 +78,7 @@
 	return r, r.validate()
 }
 
-// setField sets one field from its text.
+// setField parses and sets the field with the given name.
 func (r *Request) setField(name string, value []byte) (err error) {
 	switch name {
 	case "class":
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// setOnce sets a field that may stand only once.
+// setOnce sets a field that may occur only once.
 func setOnce(field *[]byte, value []byte) error {
 	if *field != nil {
 		return ErrUnexpectedField
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// setEstimate sets a field that is an amount and may stand only once.
+// setEstimate parses and sets a field that is an estimate and may occur only once. It returns malformed for an invalid value.
 func setEstimate(field *float64, value []byte, malformed error) error {
 	if *field != 0 {
 		return ErrUnexpectedField
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// isHexDigits tells whether a text is so many hexadecimal digits in lower case.
+// isHexDigits reports whether a text consists of exactly count hexadecimal digits in lower case.
 func isHexDigits(text []byte, count int) bool {
 	if len(text) != count {
 		return false
@@ -173,7 +174,7 @@
 	return true
 }
 
-// isSingleStatement tells whether a text is one statement; a semicolon may end it.
+// isSingleStatement reports whether a text is a single statement, which may end with a semicolon.
 func isSingleStatement(sql []byte) bool {
 	if bytes.IndexByte(sql, ';') < 0 { // most statements have no semicolon at all
 		return true
@@ -187,11 +188,11 @@
 	return true
 }
 
-// ParseKillQuery reads the connection id of a KILL QUERY statement; ok tells whether the statement is one.
+// ParseKillQuery parses the connection id in a KILL QUERY statement. ok reports whether the text is a KILL QUERY statement.
 func ParseKillQuery(sql []byte) (connection uint32, ok bool) {
-	const maxBytes = 64 // a longer statement is cut; none that is valid is so long
+	const maxBytes = 64 // only the first bytes are parsed, because no KILL QUERY statement is longer
 	sql = bytes.TrimLeft(sql, whitespace)
-	if len(sql) == 0 || sql[0]|0x20 != 'k' { // most statements begin otherwise
+	if len(sql) == 0 || sql[0]|0x20 != 'k' { // most statements begin with another letter
 		return 0, false
 	}
 	words := strings.Fields(strings.TrimRight(string(sql[:min(len(sql), maxBytes)]), ";"+whitespace))
@@ -202,7 +203,7 @@
 	return uint32(id), err == nil
 }
 
-// IsRetry tells whether the fields of a query mark it as one that the client sent before.
+// IsRetry reports whether a query's fields mark it as one that the client has sent before.
 func IsRetry(sql []byte) bool {
 	comment, _, ok := bytes.Cut(sql, []byte("*/"))
 	if !ok {
--- a/internal/protocol/mysql/response.go
+++ b/internal/protocol/mysql/response.go
@@ -7,27 +7,28 @@
 	"math"
 )
 
-// ErrMalformedResponse is returned for a packet that no server of the protocol 4.1 sends at its place.
+// ErrMalformedResponse is returned for a packet that is invalid at its position in a response.
 var ErrMalformedResponse = errors.New("malformed answer")
 
-// The first bytes of packets.
+// The first byte of a packet.
 const (
 	okMarker    = 0x00
 	eofMarker   = 0xfe
 	errorMarker = 0xff
 )
 
-// maxEOFBytes is the length below which a packet that begins with eofMarker is an EOF packet and not a long row.
+// maxEOFBytes is the length that the payload of an EOF packet must be below. A longer payload that begins with eofMarker is a
+// row with a long first column.
 const maxEOFBytes = 9
 
-// Response reads the response to one command, packet by packet. The zero Response is ready for the first packet.
+// Response parses the response to one command, packet by packet. The zero Response is ready for the first packet.
 type Response struct {
-	Code         uint16 // of the error; 0: the response is not an error
-	RetryAfterMS int64  // how long the client is asked to wait before a retry, from the error's text; 0: not stated
+	Code         uint16 // error code; 0: the response is not an error
+	RetryAfterMS int64  // time that the client should wait before a retry, from the error's text; 0: not stated
 	Rows         int
 
 	state       responseState
-	columnsLeft uint64 // column definitions that have not been read yet
+	columnsLeft uint64 // number of column definitions that have not been read yet
 	columnCount int
 }
 
@@ -41,13 +42,13 @@
 	complete
 )
 
-// ReadPacket reads the next packet's payload and tells whether the response is complete. It calls handleRow for each
-// row; the columns lie in the payload. The error is ErrMalformedResponse.
+// ReadPacket parses the next packet's payload. done reports whether the response is complete. For a row, ReadPacket calls
+// handleRow; the columns point into the payload. Any error is ErrMalformedResponse.
 func (r *Response) ReadPacket(payload []byte, handleRow func(columns [3][]byte)) (done bool, err error) {
 	if len(payload) == 0 || r.state == complete {
 		return false, ErrMalformedResponse
 	}
-	if payload[0] == errorMarker && r.state != expectColumns { // it may also stand in place of further rows
+	if payload[0] == errorMarker && r.state != expectColumns { // an error packet may also follow some rows
 		return r.readError(payload)
 	}
 	switch r.state {
@@ -70,7 +71,7 @@
 	}
 }
 
-// readFirst reads an OK packet, or the number of columns of a result.
+// readFirst parses the first packet of a response: an OK packet, or the number of columns of a result.
 func (r *Response) readFirst(payload []byte) (done bool, err error) {
 	if payload[0] == okMarker {
 		r.state = complete
@@ -125,17 +126,17 @@
 	return true, nil
 }
 
-// IsRejected tells whether an error's code says that the query was rejected before it ran, so that a retry is safe.
+// IsRejected reports whether an error code means that the query was rejected before it ran, so that a retry is safe.
 func IsRejected(code uint16) bool {
 	return code == ErrTooManyConnections || code == ErrRejected || code == ErrUserLimitReached
 }
 
-// ErrUserLimitReached is the third code of a rejection, which other servers use (ER_USER_LIMIT_REACHED).
+// ErrUserLimitReached is the third error code of a rejection, which other servers send (ER_USER_LIMIT_REACHED).
 const ErrUserLimitReached = 1226
 
 func isEOF(payload []byte) bool { return payload[0] == eofMarker && len(payload) < maxEOFBytes }
 
-// readLengthEncoded reads a length-encoded number.
+// readLengthEncoded parses a length-encoded integer and returns the bytes after it.
 func readLengthEncoded(b []byte) (number uint64, rest []byte, ok bool) {
 	if len(b) == 0 {
 		return 0, nil, false
--- a/internal/protocol/mysql/table_group.go
+++ b/internal/protocol/mysql/table_group.go
@@ -8,16 +8,16 @@
 	"magpiebank/internal/query/sqltext"
 )
 
-// stagingSchema is the schema whose tables belong to no group.
+// stagingSchema is the schema of tables that belong to no group.
 const stagingSchema = "staging"
 
-// TableGroup finds the group of tables that a statement reads or writes: the number behind the underscore in the name
-// of the schema before a table's name. It returns 0 if there is none. Strings, comments and the staging schema do not
-// count, nor do columns qualified by a table's alias.
+// TableGroup returns the number of the group of tables that a statement reads or writes, or 0 if it finds none. This is the
+// number after the last underscore in the schema of the first qualified table name that has one. TableGroup ignores strings,
+// comments, the staging schema, and columns that are qualified with a table or its alias.
 func TableGroup(sql []byte) int {
 	lexer := sqltext.Lexer{Text: sql}
-	expectTable := false // the next name may be a table's
-	inTableList := false // after a comma the next name may be a table's again
+	expectTable := false // the next name may be the name of a table
+	inTableList := false // after a comma, the next name may again be the name of a table
 	for token := lexer.Next(); token.Kind != sqltext.End; token = lexer.Next() {
 		if token.Sign == ',' && inTableList {
 			expectTable = true
@@ -28,8 +28,8 @@
 		}
 		name := lexer.Bytes(token)
 		if lexer.NextIsDot() {
-			lexer.Next() // the dot
-			lexer.Next() // the qualified name
+			lexer.Next() // skip the dot
+			lexer.Next() // skip the name after the dot
 			if group, ok := schemaGroup(name); ok && expectTable {
 				return group
 			}
@@ -51,7 +51,7 @@
 	return 0
 }
 
-// schemaGroup reads the group's number at the end of a schema's name.
+// schemaGroup returns the group number at the end of a schema's name. ok reports whether the name has one.
 func schemaGroup(schema []byte) (group int, ok bool) {
 	underscore := bytes.LastIndexByte(schema, '_')
 	if underscore < 0 || bytes.EqualFold(schema, []byte(stagingSchema)) {
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp parses and writes the engines' wire, arrays of bulk strings in RESP. It works on bytes alone and opens no
-// connections.
+// Package resp encodes and decodes the messages between gateways and engines, which are arrays of bulk strings in RESP. It
+// works on byte slices and opens no connections.
 package resp
 
 import (
@@ -13,23 +13,24 @@
 	"magpiebank/internal/config"
 )
 
-// MaxBulkBytes is the longest bulk string that Parse takes: a page of 6,000 bytes with its fields has ample room.
+// MaxBulkBytes is the maximum length of a bulk string that Parse accepts. A page of 6,000 bytes and its fields fit easily.
 const MaxBulkBytes = 1 << 14
 
-// maxElements is the largest number of bulk strings that Parse takes in one array.
+// maxElements is the maximum number of bulk strings in an array that Parse accepts.
 const maxElements = 16
 
-// maxLengthDigits bounds a line that states a length.
+// maxLengthDigits is the maximum number of bytes of an incomplete line with a length. Beyond it, Parse rejects the line
+// without waiting for its end.
 const maxLengthDigits = 16
 
 // lineEnd ends each line and each bulk string.
 const lineEnd = "\r\n"
 
-// ErrMalformedArray is returned for what is no array of bulk strings.
+// ErrMalformedArray is returned for bytes that are not an array of bulk strings, and for an array beyond the limits of Parse.
 var ErrMalformedArray = errors.New("malformed array")
 
-// Parse parses the array at the start of b, appends its elements, which lie in b, to dst, and returns the length of the
-// array, 0 if b does not hold all of it yet. The error is ErrMalformedArray.
+// Parse parses the array at the start of b. It appends the elements to dst; they point into b. It returns the length of the
+// array in bytes, or 0 if the array has not arrived completely. Any error is ErrMalformedArray.
 func Parse(b []byte, dst [][]byte) (elements [][]byte, length int, err error) {
 	elements = dst
 	count, next, err := readLength(b, 0, '*')
@@ -59,8 +60,8 @@
 	return elements, next, nil
 }
 
-// readLength reads the line at an offset, which has a marker and a number, and returns the offset of the next line, 0
-// if the line has not arrived completely.
+// readLength reads the line at an offset, which consists of a marker and a number. It returns the number and the offset of the
+// next line, or 0 if the line has not arrived completely.
 func readLength(b []byte, offset int, marker byte) (length, next int, err error) {
 	if offset >= len(b) {
 		return 0, 0, nil
@@ -86,7 +87,7 @@
 	return length, offset + newline + 1, nil
 }
 
-// AppendArray appends an array of bulk strings.
+// AppendArray appends elements as an array of bulk strings.
 func AppendArray(dst []byte, elements ...string) []byte {
 	dst = appendLength(dst, '*', len(elements))
 	for _, element := range elements {
@@ -95,21 +96,21 @@
 	return dst
 }
 
-// Attempt is one attempt of a request, as it is sent to an engine.
+// Attempt is an attempt of a request in the format in which it is sent to an engine.
 type Attempt struct {
 	ID, Class string
 	TimeoutMS int64
-	MemoryMB  float64 // the grant; below 1 the engine decides
+	MemoryMB  float64 // memory grant; below 1: the engine chooses
 	Priority  int
-	Token     []byte // the idempotency token; empty: the request has none
+	Token     []byte // idempotency token; empty: the request has none
 	Statement []byte
 }
 
-// attemptFieldsBytes is ample for the fields of an attempt.
+// attemptFieldsBytes is a buffer size that is sufficient for the usual fields of an attempt.
 const attemptFieldsBytes = 144
 
-// AppendAttempt returns the buffers of an attempt: all that stands before the statement, appended to dst, and the
-// statement itself, which is not copied.
+// AppendAttempt encodes an attempt. It appends everything before the statement to dst, and returns buffers of dst, the
+// statement, which is not copied, and the end of the line.
 func AppendAttempt(dst []byte, a Attempt) net.Buffers {
 	dst = append(appendLength(dst, '*', 4), "$2\r\ndo\r\n"...)
 	dst = appendBulk(dst, a.ID)
@@ -136,8 +137,8 @@
 	return append(append(appendLength(dst, '$', len(text)), text...), lineEnd...)
 }
 
-// FindField returns a field's value from a list name=value,name=value, nil if the list has no such field. The empty list
-// is written as -.
+// FindField returns a field's value from a list such as name=value,name=value, or nil if the list has no such field. The empty
+// list is written as "-".
 func FindField(fields []byte, name string) []byte {
 	for len(fields) > 0 {
 		var field []byte
@@ -149,11 +150,11 @@
 	return nil
 }
 
-// maxAmount is the highest amount that is taken, in milliseconds or MB: years, or petabytes.
+// maxAmount is the maximum of an amount that ParseAmount accepts, in milliseconds (decades) or MB (an exabyte).
 const maxAmount = 1e12
 
-// ParseAmount returns a field's value as a number from 0, 0 if the list has no such field; ok tells whether the value is a
-// valid amount.
+// ParseAmount returns a field's value as a number of 0 or more, or 0 if the field is absent or empty. ok is false if the value
+// is not a valid amount.
 func ParseAmount(fields []byte, name string) (amount float64, ok bool) {
 	text := FindField(fields, name)
 	if len(text) == 0 {
@@ -166,7 +167,7 @@
 	return amount, true
 }
 
-// ParseProgress reads a note about a running attempt; ok tells whether its kind is known and its value valid.
+// ParseProgress parses an engine's notice about a running attempt. ok reports whether its kind is known and its value valid.
 func ParseProgress(fields []byte) (kind admission.NoticeKind, value float64, ok bool) {
 	switch string(FindField(fields, "res")) {
 	case "so_far":
@@ -182,8 +183,8 @@
 	return kind, value, ok
 }
 
-// ParseLoadReport reads an engine's load report, as in inflight:7;util:0.61. Gauges that are unknown or malformed are
-// left out.
+// ParseLoadReport parses an engine's load report, such as gauges=inflight:7;util:0.61, among the fields of a message. It leaves
+// out gauges that are unknown or malformed.
 func ParseLoadReport(fields []byte) admission.Report {
 	report, _ := config.ParseReport(string(FindField(fields, "gauges")), ";")
 	return report
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -65,7 +65,7 @@
 	}
 	for _, empty := range []string{"-", "", "res", "=", "gauges=,res=other"} {
 		if _, _, ok := ParseProgress([]byte(empty)); ok || ParseLoadReport([]byte(empty)) != admission.NoReport {
-			t.Errorf("%q has something", empty)
+			t.Errorf("%q: got a notice or a load report", empty)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 			t.Errorf("%q: %d elements, then %d, %v", b[:n], len(elements), len(again), err)
 		}
 		if _, short, _ := Parse(b[:n-1], nil); short != 0 {
-			t.Errorf("%q: whole without its last byte", b[:n])
+			t.Errorf("%q: parsed as complete without its last byte", b[:n])
 		}
 	})
 }
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,6 +1,6 @@
-// Package simadapter connects the admission decisions to the wire of the simulator. It reads batches of events from
-// one stream, passes each decoded event to the instance of the controller that it names, and writes the actions that the
-// instances take to another stream. Everything runs on the goroutine that calls Serve.
+// Package simadapter connects admission controllers to a simulator. It reads batches of events from one stream, passes each
+// event to the controller instance that it names, and writes the actions of the instances to another stream. Everything runs
+// on the goroutine that calls Serve.
 package simadapter
 
 import (
@@ -17,18 +17,18 @@
 	"magpiebank/internal/jsonvalue"
 )
 
-// microsPerTick converts the decisions' unit of time into the wire's microseconds.
+// microsPerTick converts times: admission.Time counts units of 100 microseconds, the simulator's messages use microseconds.
 const microsPerTick = 100
 
-// maxEndpointLists is how many numbered endpoint lists the simulator may define.
+// maxEndpointLists is the maximum number of endpoint lists that the simulator may define.
 const maxEndpointLists = 16
 
-// readBufferBytes is the size of the buffer in front of the input.
+// readBufferBytes is the size of the input buffer.
 const readBufferBytes = 1 << 16
 
-// Serve reads batches of events from in until it ends, and answers each batch on out. It returns nil at the end of the
-// input, and an error that names the line, the message and the field when a message is malformed; nothing is written
-// for the batch that the malformed message belongs to.
+// Serve reads batches of events from in and writes a reply to each batch to out. It returns nil at the end of the input. If a
+// message is malformed, it returns an error that names the line, the message and the field, and writes no reply to the batch
+// that contains the message.
 func Serve(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferBytes)
 	a := &adapter{instances: map[int]*instance{}}
@@ -56,25 +56,26 @@
 	}
 }
 
-// adapter is the state of one stream.
+// adapter is the state of one call of Serve.
 type adapter struct {
 	fields    fieldReader
 	now       admission.Time
-	sequence  string // of the batch; the reply repeats it
-	flushed   bool   // the batch is complete, and reply answers it
+	sequence  string // number of the batch, as sent by the simulator; the reply repeats it
+	flushed   bool   // the batch is complete, and reply must be written
 	reply     []byte
 	instances map[int]*instance
 	endpoints endpointLists
 }
 
-// endpointLists holds the numbered lists that "directory" and "entry" messages define.
+// endpointLists holds the endpoint lists. A "directory" message begins a list and gives its number and its length; the "entry"
+// messages after it add the endpoints.
 type endpointLists struct {
 	lists     [maxEndpointLists][]admission.Endpoint
-	open      int // the list that entries are being added to
-	remaining int // entries that the open list still lacks
+	open      int // number of the list that entries are added to
+	remaining int // number of entries that the open list still lacks
 }
 
-// handleLine decodes one message and carries it out.
+// handleLine decodes and processes one message.
 func (a *adapter) handleLine(line string) {
 	f := &a.fields
 	f.startMessage(line)
@@ -113,7 +114,7 @@
 	}
 }
 
-// listNumberRange is what errors state of the number of an endpoint list.
+// listNumberRange is the range of the numbers of endpoint lists, as errors state it. It depends on maxEndpointLists.
 const listNumberRange = "0 to 15"
 
 func validListNumber(number int64) bool { return number >= 0 && number < maxEndpointLists }
@@ -142,7 +143,7 @@
 	lists.lists[lists.open] = append(lists.lists[lists.open], endpoint)
 }
 
-// bootInstance starts a router instance with the deployment that the message carries as JSON.
+// bootInstance starts a controller instance. Its deployment is the message's last field, in JSON.
 func (a *adapter) bootInstance() {
 	f := &a.fields
 	id, seed := int(f.integer("routerId")), f.integer("entropy")
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// A panic in one instance ends that instance alone.
+// A panic in an instance is reported as one line, and does not end the process.
 func TestPanicEndsInstance(t *testing.T) {
 	a := &adapter{}
 	i := &instance{adapter: a, id: 5}
@@ -71,7 +71,7 @@
 	}
 }
 
-// Whatever comes in, each flush gets one reply that ends in ready, and nothing follows a malformed line.
+// For any input, output that is not empty ends with a ready line, and errors begin with the number of the input line.
 func FuzzServe(f *testing.F) {
 	f.Add(day)
 	f.Add("clock\t1\t1\nflush\n")
@@ -80,7 +80,7 @@
 		var out strings.Builder
 		err := Serve(strings.NewReader(in), &out)
 		if err != nil && !strings.HasPrefix(err.Error(), "line ") {
-			t.Fatalf("no line number: %v", err)
+			t.Fatalf("the error has no line number: %v", err)
 		}
 		if s := out.String(); s != "" && !strings.HasPrefix(s[strings.LastIndex(s[:len(s)-1], "\n")+1:], "ready\t") {
 			t.Fatalf("the output ends in %q", s)
@@ -88,7 +88,7 @@
 	})
 }
 
-// What one router saw of an engine reaches the others, and what can't be read harms nobody.
+// Instance 0 broadcasts one message after it could not reach an engine. A payload that is not a valid report causes no error.
 func TestInstancesExchangeReports(t *testing.T) {
 	boot := func(n string) string {
 		return "boot\t" + n + "\t7\t" + `{"fleetSize":4,"me":` + n + `,"classes":[{"name":"x","sloUs":400000,"worth":1,"effect":"read_like"}],` +
@@ -109,6 +109,6 @@
 		}
 	}
 	if len(messages) != 1 || len(messages[0]) > 512 {
-		t.Errorf("router 0 told %q of an engine it can't reach; all it did:\n%s", messages, &out)
+		t.Errorf("instance 0 broadcast %q about an unreachable engine, want one message of at most 512 characters; output:\n%s", messages, &out)
 	}
 }
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -12,8 +12,8 @@
 // controllerCall passes one decoded event to a controller.
 type controllerCall func(router *admission.Controller)
 
-// eventDecoder reads the fields of an event for an instance, which is nil if the message names none that was booted.
-// It returns nil if the event asks for no decision.
+// eventDecoder decodes the fields of an event. The instance is nil if the message names none that was booted. The result is nil
+// if the event requires no call of the controller, and is not used if a field is malformed.
 type eventDecoder func(a *adapter, i *instance) controllerCall
 
 var eventDecoders = map[string]eventDecoder{
@@ -29,8 +29,8 @@
 	"interim":          decodeProgress,
 }
 
-// handleEvent decodes one of the messages that tell a controller what happened. All fields are read before the controller
-// is called, so that a malformed line has no effect.
+// handleEvent decodes an event and passes it to its controller. It reads all fields before it calls the controller, so that a
+// malformed message has no effect.
 func (a *adapter) handleEvent() {
 	decode := eventDecoders[a.fields.message]
 	if decode == nil {
@@ -48,7 +48,7 @@
 	})
 }
 
-// readInstance reads which instance a message is for.
+// readInstance reads the instance that a message is addressed to. It returns nil and records an error if there is none.
 func (a *adapter) readInstance() *instance {
 	i := a.instances[int(a.fields.integer("routerId"))]
 	if i == nil && a.fields.err == nil {
@@ -61,7 +61,7 @@
 	return func(*admission.Controller) { i.controller = nil }
 }
 
-// updateKinds are the letters of the kinds of an endpoint update, in the order of admission.UpdateKind.
+// updateKinds contains the letter for each kind of update of an endpoint list, in the order of admission.UpdateKind.
 const updateKinds = "DFCX"
 
 func decodeEndpointUpdate(a *adapter, i *instance) controllerCall {
@@ -90,7 +90,7 @@
 	}
 }
 
-// workKnown is the bit of an arrival's options that says that its estimate of work holds.
+// workKnown is the bit in the options of an arrival that marks its estimate of work as valid.
 const workKnown = 1
 
 func decodeArrival(a *adapter, i *instance) controllerCall {
@@ -112,8 +112,8 @@
 	}
 }
 
-// decodeAccepted reads past the start of an answer. A stream that breaks comes back as a finished response, so its
-// start asks for no decision.
+// decodeAccepted skips the fields of a message that an answer has begun. The controller doesn't need it: if the answer breaks
+// off, a response event reports it as finished.
 func decodeAccepted(a *adapter, _ *instance) controllerCall {
 	f := &a.fields
 	f.text("handle")
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// The wire packs what a request has used into one number: milliseconds of work above, units of memory below.
+// The simulator packs what a request has used into one number: milliseconds of work times memoryUnits, plus units of memory.
 const (
 	memoryUnits      = 4096
 	megabytesPerUnit = 4
@@ -163,8 +163,8 @@
 	return func(controller *admission.Controller) { controller.HandleProbeResult(now, engine, outcome, report) }
 }
 
-// decodeGossip reads a health report of another instance. A payload that can't be read comes from another version and
-// is ignored.
+// decodeGossip reads a health report from another instance. A payload that is not a valid report is ignored, because it comes
+// from another version.
 func decodeGossip(a *adapter, i *instance) controllerCall {
 	f, now := &a.fields, a.now
 	source := healthreport.Source{Name: strconv.FormatInt(f.integer("src"), 10)}
@@ -179,7 +179,7 @@
 	}
 }
 
-// The codes of the kinds of progress on the wire, in the order of admission.NoticeKind.
+// The range of the simulator's codes for kinds of notices, which are in the order of admission.NoticeKind.
 const (
 	firstProgressCode = 1
 	lastProgressCode  = 3
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -10,12 +10,12 @@
 	"magpiebank/internal/config"
 )
 
-// absent stands on the wire for a field without a value.
+// absent is the text of a field without a value.
 const absent = "-"
 
-// fieldReader reads the tab-separated fields of one message after another. It keeps the first error.
+// fieldReader reads the tab-separated fields of messages in order. It stores the first error.
 type fieldReader struct {
-	line    int    // of the input, from 1
+	line    int    // number of the input line, from 1
 	message string // the name of the message
 	rest    string // the fields that have not been read yet
 	more    bool   // rest holds a field, which may be empty
@@ -35,7 +35,7 @@
 	}
 }
 
-// text reads a field that must have a value; "-" counts as one.
+// text reads a field that must not be empty; "-" is a valid value.
 func (f *fieldReader) text(field string) string {
 	if !f.more {
 		f.fail(field, "a value, found the end of the line")
@@ -49,7 +49,7 @@
 	return value
 }
 
-// optional reads a field and returns "" for an absent value.
+// optional reads a field and returns "" if its value is absent ("-").
 func (f *fieldReader) optional(field string) string {
 	value := f.text(field)
 	if value == absent {
@@ -58,7 +58,7 @@
 	return value
 }
 
-// integer reads a whole number; an absent one is 0.
+// integer reads a whole number, and returns 0 if the value is absent.
 func (f *fieldReader) integer(field string) int64 {
 	value := f.optional(field)
 	if value == "" {
@@ -71,7 +71,7 @@
 	return number
 }
 
-// number reads a number; an absent one is 0.
+// number reads a number, and returns 0 if the value is absent.
 func (f *fieldReader) number(field string) float64 {
 	value := f.optional(field)
 	if value == "" {
@@ -84,12 +84,13 @@
 	return number
 }
 
-// timestamp reads a time in microseconds and rounds it down to the decisions' unit.
+// timestamp reads a time in microseconds and rounds it to the unit of admission.Time, toward zero.
 func (f *fieldReader) timestamp(field string) admission.Time {
 	return admission.Time(f.integer(field) / microsPerTick)
 }
 
-// id reads an identifier, which may be kept beyond the message.
+// id reads an identifier, which must not be absent. It returns a copy, so that an identifier that is stored does not keep the
+// whole line in memory.
 func (f *fieldReader) id(field string) string {
 	value := f.optional(field)
 	if value == "" {
@@ -98,10 +99,10 @@
 	return strings.Clone(value)
 }
 
-// firstFailureCode is the wire's lowest code of an outcome other than success, which is 0.
+// firstFailureCode is the simulator's lowest code for an outcome other than success. Success has the code 0.
 const firstFailureCode = 249
 
-// failureOutcomes are the outcomes with the codes from firstFailureCode on.
+// failureOutcomes contains the outcomes with the codes from firstFailureCode on, in order.
 var failureOutcomes = [...]admission.Outcome{admission.Unsent, admission.Cancelled, admission.Reset, admission.Unreachable,
 	admission.TimedOut, admission.EngineFull, admission.Errored}
 
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -10,17 +10,16 @@
 	"magpiebank/internal/cluster/healthreport"
 )
 
-// instance is the host of one controller: it writes the controller's actions into the reply.
+// instance runs one controller and is its admission.Host: it appends the controller's actions to the adapter's reply.
 type instance struct {
 	adapter    *adapter
 	id         int
 	classes    int
-	controller *admission.Controller // nil once retired or failed
-	reports    *healthreport.Table   // health reports exchanged with other instances; nil if the deployment has none
+	controller *admission.Controller // nil after the instance was retired or has panicked
+	reports    *healthreport.Table   // health reports exchanged with other instances; nil if instances exchange none
 }
 
-// exchangeReports passes what other instances reported to the controller, and broadcasts the instance's own report if
-// there is one to send.
+// exchangeReports passes other instances' reports to the controller, and broadcasts this instance's own report if one is due.
 func (i *instance) exchangeReports(now admission.Time) {
 	if i.reports == nil || i.controller == nil {
 		return
@@ -31,7 +30,8 @@
 	}
 }
 
-// recoverPanic calls decide and ends the instance, but not the process, if it panics.
+// recoverPanic calls decide. If decide panics, recoverPanic ends the instance and reports the panic to the simulator; the
+// process and the other instances continue.
 func (i *instance) recoverPanic(decide func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -68,19 +68,19 @@
 
 func (w actionWriter) end() { w.adapter.reply = append(w.adapter.reply, '\n') }
 
-// The methods of admission.Host, each of which writes one action.
+// The following methods implement admission.Host. Most of them write one action.
 
 // SendAttempt starts an attempt of a request on an engine.
 func (i *instance) SendAttempt(request admission.RequestID, engine admission.EngineID, timeout, _ admission.Time) {
 	i.begin("relay").text(string(request)).text(string(engine)).timestamp(timeout).end()
 }
 
-// CancelAttempt ends an attempt whose answer is no longer needed.
+// CancelAttempt cancels an attempt whose answer is no longer needed.
 func (i *instance) CancelAttempt(request admission.RequestID, attempt int) {
 	i.begin("abandon").text(string(request)).number(int64(attempt)).end()
 }
 
-// RejectRequest turns a request away; the client may retry after retryAfter.
+// RejectRequest rejects a request; the client may retry after retryAfter.
 func (i *instance) RejectRequest(request admission.RequestID, retryAfter admission.Time) {
 	i.begin("decline").text(string(request)).timestamp(retryAfter).end()
 }
@@ -90,33 +90,34 @@
 	i.begin("surrender").text(string(request)).end()
 }
 
-// SetAttemptOptions states the memory grant in megabytes and the priority of the attempt that is sent next.
+// SetAttemptOptions sets the memory grant in megabytes and the priority rank of a request's attempts.
 func (i *instance) SetAttemptOptions(request admission.RequestID, memory float64, rank int) {
 	i.begin("grant_and_rank").text(string(request)).number(int64(memory)).number(int64(rank)).end()
 }
 
-// ProbeEngine asks for a health check of an engine.
+// ProbeEngine requests a health check of an engine.
 func (i *instance) ProbeEngine(engine admission.EngineID) {
 	i.begin("health_check").text(string(engine)).end()
 }
 
-// SubscribeEndpoints asks for the endpoint list and its updates.
+// SubscribeEndpoints requests the endpoint list and its updates.
 func (i *instance) SubscribeEndpoints() { i.begin("keep_informed").number(1).end() }
 
-// HasSlowStartCapacity reports that no quota on warming engines is shared between instances.
+// HasSlowStartCapacity returns false as its second result: instances don't divide the capacity of engines that are warming up
+// by messages.
 func (i *instance) HasSlowStartCapacity(admission.EngineID, float64) (capacity, shared bool) {
 	return false, false
 }
 
-// ReportObservation records what the controller observed of an engine, for the reports to other instances.
+// ReportObservation records what the controller observed of an engine, for the report to other instances.
 func (i *instance) ReportObservation(engine admission.EngineID, sight admission.Observation, report admission.Report, capacity float64) {
 	if i.reports != nil {
 		i.reports.Observe(i.adapter.now, engine, sight, report, capacity)
 	}
 }
 
-// ScheduleTick asks for a timer event.
+// ScheduleTick requests a timer event at the given time.
 func (i *instance) ScheduleTick(at admission.Time) { i.begin("sleep").text("tick").timestamp(at).end() }
 
-// LogEvent writes a line of the simulator's log.
+// LogEvent adds a line to the simulator's log.
 func (i *instance) LogEvent(text string) { i.begin("emit").text(text).end() }
