--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,8 +24,9 @@
 	Network          *Network
 }
 
-// clientDescriptorShare is a divisor: the protocol allows client connections a third of the process's file descriptors.
-const clientDescriptorShare = 3
+// clientDescriptorDivisor limits client sessions to a third of the process's file descriptors, which is the share that the
+// protocol allows them.
+const clientDescriptorDivisor = 3
 
 // ReadFile reads a gateway's configuration from a JSON file. An error about a field names the field.
 func ReadFile(path string) (*Config, error) {
@@ -69,7 +70,7 @@
 // limitRequests limits the outstanding requests to the number of client sessions that the file descriptors allow, because
 // a session carries one request at a time.
 func (c *Config) limitRequests() {
-	sessions := c.MaxDescriptors / clientDescriptorShare
+	sessions := c.MaxDescriptors / clientDescriptorDivisor
 	if sessions > 0 && (c.Deployment.MaxRequests == 0 || sessions < c.Deployment.MaxRequests) {
 		c.Deployment.MaxRequests = sessions
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,8 +11,8 @@
 const settings = `{"classes":[{"name":"look","sloUs":1000000,"worth":1,"effect":"read_like"}],
  "limits":{"connectTimeoutUs":250000,"keepaliveUs":30000000,"maxOpen":%d}}`
 
-// readText writes a configuration to a temporary file and reads it with ReadFile.
-func readText(t *testing.T, text string) (*Config, error) {
+// readConfig writes a configuration to a temporary file and reads it with ReadFile.
+func readConfig(t *testing.T, text string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -24,10 +24,10 @@
 // Client connections may use a third of the file descriptors, so the limit of outstanding requests must not exceed that.
 func TestRequestsAreLimitedByDescriptors(t *testing.T) {
 	for _, c := range []struct{ descriptors, configured, requests int }{{1024, 20000, 341}, {1024, 100, 100}, {0, 100, 100}, {1024, 0, 341}} {
-		s, err := readText(t, fmt.Sprintf(`{"name":"n","listen":"l","coordinator":"c","seed":"ffffffffffffffff","known":{},
+		config, err := readConfig(t, fmt.Sprintf(`{"name":"n","listen":"l","coordinator":"c","seed":"ffffffffffffffff","known":{},
 		 "limits":{"sockets":%d},"settings":`+settings+`}`, c.descriptors, c.configured))
-		if err != nil || s.Deployment.MaxRequests != c.requests || s.Seed != -1 {
-			t.Errorf("%v: got %+v, %v", c, s, err)
+		if err != nil || config.Deployment.MaxRequests != c.requests || config.Seed != -1 {
+			t.Errorf("%v: got %+v, %v", c, config, err)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		 "effect":"read_like"}],"stats":{"how":"answer"},"limits":{"connectTimeoutUs":1,"keepaliveUs":1}}}`: "field " +
 			"configuration[settings][stats how]: expected answers, probe or none",
 	} {
-		if _, err := readText(t, text); err == nil || err.Error() != want {
+		if _, err := readConfig(t, text); err == nil || err.Error() != want {
 			t.Errorf("%s: got %v, want %s", text, err, want)
 		}
 	}
@@ -74,11 +74,11 @@
 		text = `{"name":"n","listen":"l","coordinator":"c","known":{},"seed":"1","settings":{"classes":[{"name":"a",
 		 "effect":"read_like"}],"limits":{"connectTimeoutUs":1,"keepaliveUs":1},` + text[1:] + `}`
 		text = strings.Replace(text, ",}", "}", 1)
-		s, err := readText(t, text)
+		config, err := readConfig(t, text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprintf("pace %d, answers tell %v", s.Deployment.NoticeInterval, s.Network.ReportsInAnswers); got != want {
+		if got := fmt.Sprintf("pace %d, answers tell %v", config.Deployment.NoticeInterval, config.Network.ReportsInAnswers); got != want {
 			t.Errorf("%s: got %s, want %s", text, got, want)
 		}
 	}
--- a/internal/configfile/configfile.go
+++ b/internal/configfile/configfile.go
@@ -61,7 +61,7 @@
 	f := &File{name: name, lines: newLineFinder(name, text)}
 	object, ok := root.(map[string]any)
 	if !ok {
-		return nil, nil, fmt.Errorf("%s:1: expected an object, found %s", name, kindOf(root))
+		return nil, nil, fmt.Errorf("%s:1: expected an object, found %s", name, describeType(root))
 	}
 	return f, f.newObject(nil, object), nil
 }
@@ -74,7 +74,7 @@
 	}
 	object, ok := root.(map[string]any)
 	if !ok {
-		return nil, fmt.Errorf("expected an object, found %s", kindOf(root))
+		return nil, fmt.Errorf("expected an object, found %s", describeType(root))
 	}
 	return (&File{lines: &lineFinder{}}).newObject(nil, object), nil
 }
@@ -108,27 +108,27 @@
 	f.errs = append(f.errs, &FieldError{File: f.name, Line: f.lines.lineOf(path), Field: formatPath(path), Problem: problem})
 }
 
-// nothing describes the value of an absent field in errors.
-const nothing = "nothing"
+// absentValue describes the value of an absent field in errors.
+const absentValue = "nothing"
 
-// maxShownValue is the maximum length in bytes of a value that errors show. For a longer value they show its kind.
-const maxShownValue = 60
+// maxShownValueBytes is the maximum length in bytes of a value that errors show. For a longer value they show its type.
+const maxShownValueBytes = 60
 
 func formatValue(value any) string {
 	if value == nil {
-		return nothing
+		return absentValue
 	}
 	text, err := json.Marshal(value)
-	if err != nil || len(text) > maxShownValue {
-		return kindOf(value)
+	if err != nil || len(text) > maxShownValueBytes {
+		return describeType(value)
 	}
 	return string(text)
 }
 
-func kindOf(value any) string {
+func describeType(value any) string {
 	switch value.(type) {
 	case nil:
-		return nothing
+		return absentValue
 	case map[string]any:
 		return "an object"
 	case []any:
--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-func read(o *Object) {
-	o.RequiredText("name")
-	o.Number("rate", 1, 0, 100)
-	o.Duration("length", time.Second)
-	o.Duration("patience", time.Second)
-	o.OneOf("kind", "poisson", "poisson", "steady")
-	for _, l := range o.Objects("lanes") {
-		l.RequiredText("name")
-		l.Fraction("share", 1)
-		l.Size("memory", 0)
-		l.Int("groups", 1, 1, 100)
+func readLoadFile(object *Object) {
+	object.RequiredText("name")
+	object.Number("rate", 1, 0, 100)
+	object.Duration("length", time.Second)
+	object.Duration("patience", time.Second)
+	object.OneOf("kind", "poisson", "poisson", "steady")
+	for _, lane := range object.Objects("lanes") {
+		lane.RequiredText("name")
+		lane.Fraction("share", 1)
+		lane.Size("memory", 0)
+		lane.Int("groups", 1, 1, 100)
 	}
 }
 
-// Validate reports all errors together, each with its line and the expected value. The file has one error of each kind.
+// Validate reports errors of every kind, all of them together. Each error names its line and what was expected.
 func ExampleObject_Validate() {
-	_, o, err := Parse("load.jsonnet", `local base = {
+	_, object, err := Parse("load.jsonnet", `local base = {
   rate: 500,
   lenhgt: '5s',
 };
@@ -41,8 +41,8 @@
 		fmt.Println(err)
 		return
 	}
-	read(o)
-	fmt.Println(o.Validate())
+	readLoadFile(object)
+	fmt.Println(object.Validate())
 	// Output:
 	// load.jsonnet:1: name: expected a text, found nothing
 	// load.jsonnet:2: rate: expected a number from 0 to 100, found 500
@@ -86,12 +86,12 @@
 			return
 		}
 	}
-	_, o, err := Read(filepath.Join(dir, "load.jsonnet"))
+	_, object, err := Read(filepath.Join(dir, "load.jsonnet"))
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	l := o.Objects("lanes")[0]
-	fmt.Println(o.RequiredText("name"), l.RequiredText("name"), l.Size("memory", 0), o.Validate())
+	lane := object.Objects("lanes")[0]
+	fmt.Println(object.RequiredText("name"), lane.RequiredText("name"), lane.Size("memory", 0), object.Validate())
 	// Output: x look 1610612736 <nil>
 }
--- a/internal/configfile/object.go
+++ b/internal/configfile/object.go
@@ -26,10 +26,10 @@
 // file up to now, joined: *FieldErrors in the order of their lines.
 func (o *Object) Validate() error {
 	o.rejectUnknown()
-	found := o.file.errs
-	sort.SliceStable(found, func(i, j int) bool { return found[i].Line < found[j].Line })
-	errs := make([]error, len(found))
-	for i, err := range found {
+	fieldErrors := o.file.errs
+	sort.SliceStable(fieldErrors, func(i, j int) bool { return fieldErrors[i].Line < fieldErrors[j].Line })
+	errs := make([]error, len(fieldErrors))
+	for i, err := range fieldErrors {
 		errs[i] = err
 	}
 	return errors.Join(errs...)
@@ -45,8 +45,8 @@
 	sort.Strings(names)
 	for _, name := range names {
 		want := "no such field"
-		if near := nearestName(name, o.known); near != "" {
-			want = fmt.Sprintf("%q (the nearest known name)", near)
+		if nearest := nearestName(name, o.known); nearest != "" {
+			want = fmt.Sprintf("%q (the nearest known name)", nearest)
 		}
 		o.file.addError(o.fieldPath(name), want, strconv.Quote(name))
 	}
--- a/internal/configfile/suggest.go
+++ b/internal/configfile/suggest.go
@@ -14,8 +14,8 @@
 	}
 	sort.Strings(names)
 	for _, candidate := range names {
-		if d := editDistance(strings.ToLower(name), strings.ToLower(candidate)); d < nearestDistance {
-			nearestDistance, nearest = d, candidate
+		if distance := editDistance(strings.ToLower(name), strings.ToLower(candidate)); distance < nearestDistance {
+			nearestDistance, nearest = distance, candidate
 		}
 	}
 	return nearest
--- a/internal/configfile/values.go
+++ b/internal/configfile/values.go
@@ -50,8 +50,8 @@
 			known[word] = true
 		}
 		want := "one of " + strings.Join(words, ", ")
-		if near := nearestName(value, known); near != "" {
-			want = fmt.Sprintf("%q (the nearest of %s)", near, strings.Join(words, ", "))
+		if nearest := nearestName(value, known); nearest != "" {
+			want = fmt.Sprintf("%q (the nearest of %s)", nearest, strings.Join(words, ", "))
 		}
 		o.file.addError(o.fieldPath(name), want, strconv.Quote(value))
 	}
--- a/internal/jsonvalue/value.go
+++ b/internal/jsonvalue/value.go
@@ -30,30 +30,30 @@
 // Object returns the object at a path as a separate Value, which records its own errors. If there is no object at the path,
 // the receiver records an error.
 func (v *Value) Object(path ...any) *Value {
-	at := v.Lookup(path...)
-	if _, ok := at.(map[string]any); !ok {
+	value := v.Lookup(path...)
+	if _, ok := value.(map[string]any); !ok {
 		v.Fail("an object", path...)
 	}
-	return &Value{name: fmt.Sprint(v.name, path), root: at}
+	return &Value{name: fmt.Sprint(v.name, path), root: value}
 }
 
 // Lookup returns the decoded value at a path, or nil if there is none.
 func (v *Value) Lookup(path ...any) any {
-	at := v.root
+	current := v.root
 	for _, step := range path {
 		switch step := step.(type) {
 		case string:
-			object, _ := at.(map[string]any)
-			at = object[step]
+			object, _ := current.(map[string]any)
+			current = object[step]
 		case int:
-			list, _ := at.([]any)
+			list, _ := current.([]any)
 			if step >= len(list) {
 				return nil
 			}
-			at = list[step]
+			current = list[step]
 		}
 	}
-	return at
+	return current
 }
 
 // Fail records an error about the value at a path, unless an error was recorded before. expected describes the expected value.
@@ -69,9 +69,9 @@
 // get returns the value at a path, or the zero value if there is none or it has another type. A value of another type is an
 // error.
 func get[T any](v *Value, expected string, path []any) T {
-	at := v.Lookup(path...)
-	typed, ok := at.(T)
-	if at != nil && !ok {
+	value := v.Lookup(path...)
+	typed, ok := value.(T)
+	if value != nil && !ok {
 		v.Fail(expected, path...)
 	}
 	return typed
@@ -99,13 +99,13 @@
 }
 
 // Floats returns the list of numbers at a path, or nil if there is none.
-func (v *Value) Floats(path ...any) []float64 { return each(v, v.Float, path) }
+func (v *Value) Floats(path ...any) []float64 { return readEntries(v, v.Float, path) }
 
 // Texts returns the list of strings at a path, or nil if there is none.
-func (v *Value) Texts(path ...any) []string { return each(v, v.Text, path) }
+func (v *Value) Texts(path ...any) []string { return readEntries(v, v.Text, path) }
 
-// each calls read for the path of each entry of a list and returns the results.
-func each[T any](v *Value, read func(path ...any) T, path []any) (entries []T) {
+// readEntries calls read for the path of each entry of a list and returns the results.
+func readEntries[T any](v *Value, read func(path ...any) T, path []any) (entries []T) {
 	for i := range v.List(path...) {
 		entries = append(entries, read(append(path[:len(path):len(path)], i)...))
 	}
--- a/internal/jsonvalue/value_test.go
+++ b/internal/jsonvalue/value_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestParseWantsAnObject(t *testing.T) {
+func TestParseRequiresObject(t *testing.T) {
 	if _, err := Parse("file", []byte("[]")); err == nil || err.Error() != "field file: expected a JSON object" {
 		t.Errorf("a list: %v", err)
 	}
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -69,8 +69,8 @@
 
 func (r *EventReader) readEvent(response *jsonvalue.Value, i int) WatchEvent {
 	var event WatchEvent
-	for k := range response.List("updates", i, "endpoints", "servers") {
-		endpoint, address, ok := r.readEndpoint(response, "updates", i, "endpoints", "servers", k)
+	for j := range response.List("updates", i, "endpoints", "servers") {
+		endpoint, address, ok := r.readEndpoint(response, "updates", i, "endpoints", "servers", j)
 		if ok {
 			event.Endpoints, event.Addresses = append(event.Endpoints, endpoint), append(event.Addresses, address)
 		}
@@ -82,16 +82,16 @@
 // readEndpoint reads one endpoint of an event. ok reports whether the endpoint can be used. An endpoint that is gone needs only
 // an engine id. Any other endpoint must be complete, and the response must have no error up to there.
 func (r *EventReader) readEndpoint(response *jsonvalue.Value, path ...any) (endpoint admission.Endpoint, address string, ok bool) {
-	at := func(field string) []any { return append(path[:len(path):len(path)], field) }
+	fieldPath := func(field string) []any { return append(path[:len(path):len(path)], field) }
 	endpoint = admission.Endpoint{
-		Engine:    admission.EngineID(response.RequireText(at("id")...)),
-		Zone:      slices.Index(r.Zones, response.Text(at("zone")...)),
-		Kind:      slices.Index(r.Kinds, response.Text(at("kind")...)),
-		Group:     int(response.Float(at("cell")...)),
-		StartedAt: admission.Time(response.Float(at("started_ms")...)) * admission.Millisecond,
+		Engine:    admission.EngineID(response.RequireText(fieldPath("id")...)),
+		Zone:      slices.Index(r.Zones, response.Text(fieldPath("zone")...)),
+		Kind:      slices.Index(r.Kinds, response.Text(fieldPath("kind")...)),
+		Group:     int(response.Float(fieldPath("cell")...)),
+		StartedAt: admission.Time(response.Float(fieldPath("started_ms")...)) * admission.Millisecond,
 	}
-	address = response.Text(at("addr")...)
-	switch response.Text(at("state")...) {
+	address = response.Text(fieldPath("addr")...)
+	switch response.Text(fieldPath("state")...) {
 	case "Ready":
 		endpoint.State = admission.Live
 	case "Terminating":
@@ -100,11 +100,11 @@
 		endpoint.State = admission.Gone
 		return endpoint, address, endpoint.Engine != ""
 	default:
-		response.Fail("Ready, Terminating or Gone", at("state")...)
+		response.Fail("Ready, Terminating or Gone", fieldPath("state")...)
 		return endpoint, address, false
 	}
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		response.Fail("host:port", at("addr")...)
+		response.Fail("host:port", fieldPath("addr")...)
 	}
 	return endpoint, address, endpoint.Engine != "" && response.Err() == nil
 }
--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -48,19 +48,19 @@
 	  {"id":"s-1","addr":"127.0.0.2:5050","zone":"east","kind":"std","cell":2,"state":"Ready","started_ms":0},
 	  {"id":"s-2","addr":"127.0.0.3:5050","zone":"west","kind":"new","cell":3,"state":"Terminating","started_ms":5}]}},
 	 {"index":9,"endpoints":{"full":false,"servers":[{"id":"s-3","state":"Lost"},{"id":"s-1","state":"Gone"}]}}]}`)
-	s, _ := jsonvalue.Parse("events", text)
+	response, _ := jsonvalue.Parse("events", text)
 	show := func(event WatchEvent) { fmt.Println(event.Full, event.Endpoints, event.Addresses) }
 	reader := EventReader{Zones: []string{"west", "east"}, Kinds: []string{"std"}}
-	last := reader.ReadEvents(s, 7, show)
-	fmt.Println(last, s.Err()) // 8, because the last event is malformed and must be requested again
-	s, _ = jsonvalue.Parse("events", text)
+	last := reader.ReadEvents(response, 7, show)
+	fmt.Println(last, response.Err()) // 8, because the last event is malformed and must be requested again
+	response, _ = jsonvalue.Parse("events", text)
 	reader.AcceptPartial = true
-	fmt.Println(reader.ReadEvents(s, last, show))
+	fmt.Println(reader.ReadEvents(response, last, show))
 	for _, text := range []string{`{"index":9,"updates":[]}`, `{"index":8,"updates":[{"index":8,"endpoints":{"servers":[
 	 {"id":"s-4","addr":"127.0.0.2","state":"Ready"}]}}]}`} {
-		s, _ := jsonvalue.Parse("events", []byte(text))
+		response, _ := jsonvalue.Parse("events", []byte(text))
 		var strict EventReader
-		fmt.Println(strict.ReadEvents(s, 7, show), s.Err())
+		fmt.Println(strict.ReadEvents(response, 7, show), response.Err())
 	}
 	// Output:
 	// true [{s-1 1 0 2 0 0} {s-2 0 -1 3 1 50}] [127.0.0.2:5050 127.0.0.3:5050]
@@ -81,9 +81,9 @@
 		if length := response.Length; length < 0 || length > len(b) || err != nil && length > 0 {
 			t.Fatalf("%q: length %d, %v", b, length, err)
 		}
-		if s, err := jsonvalue.Parse("events", response.Body); err == nil {
+		if events, err := jsonvalue.Parse("events", response.Body); err == nil {
 			reader := EventReader{AcceptPartial: true}
-			reader.ReadEvents(s, 0, func(WatchEvent) {})
+			reader.ReadEvents(events, 0, func(WatchEvent) {})
 		}
 	})
 }
--- a/internal/protocol/discovery/response.go
+++ b/internal/protocol/discovery/response.go
@@ -50,27 +50,27 @@
 	if err != nil {
 		return Response{}, err
 	}
-	response := Response{Status: header.status, ClosesConnection: header.last}
+	response := Response{Status: header.status, ClosesConnection: header.closesConnection}
 	bodyStart := end + len(headerEnd)
 	switch {
 	case header.chunked:
 		response.Body, response.Length, err = parseChunks(b, bodyStart)
 	case header.status == statusNoContent || header.status == statusNotModified:
 		response.Length = bodyStart
-	case header.bodyBytes < 0:
+	case header.contentLength < 0:
 		err = ErrMalformedResponse
-	case bodyStart+header.bodyBytes <= len(b):
-		response.Length = bodyStart + header.bodyBytes
+	case bodyStart+header.contentLength <= len(b):
+		response.Length = bodyStart + header.contentLength
 		response.Body = b[bodyStart:response.Length]
 	}
 	return response, err
 }
 
 type responseHeader struct {
-	status    int
-	bodyBytes int // -1: the header doesn't state it
-	chunked   bool
-	last      bool
+	status           int
+	contentLength    int // -1: the header doesn't state it
+	chunked          bool
+	closesConnection bool
 }
 
 func parseHeader(text string) (responseHeader, error) {
@@ -81,20 +81,20 @@
 	if err != nil || !strings.HasPrefix(protocol, "HTTP/1.") {
 		return responseHeader{}, ErrMalformedResponse
 	}
-	header := responseHeader{status: status, bodyBytes: -1}
+	header := responseHeader{status: status, contentLength: -1}
 	for _, line := range lines[1:] {
 		name, value, _ := strings.Cut(line, ":")
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
-			header.bodyBytes, err = strconv.Atoi(value)
-			if err != nil || header.bodyBytes < 0 || header.bodyBytes > MaxResponseBytes {
+			header.contentLength, err = strconv.Atoi(value)
+			if err != nil || header.contentLength < 0 || header.contentLength > MaxResponseBytes {
 				return responseHeader{}, ErrMalformedResponse
 			}
 		case "transfer-encoding":
 			header.chunked = strings.EqualFold(value, "chunked")
 		case "connection":
-			header.last = strings.EqualFold(value, "close")
+			header.closesConnection = strings.EqualFold(value, "close")
 		}
 	}
 	return header, nil
@@ -104,16 +104,16 @@
 // body has not arrived completely.
 func parseChunks(b []byte, offset int) (body []byte, end int, err error) {
 	for {
-		sizeLength := bytes.Index(b[offset:], []byte(lineEnd))
-		if sizeLength < 0 {
+		sizeLineLength := bytes.Index(b[offset:], []byte(lineEnd))
+		if sizeLineLength < 0 {
 			return nil, 0, nil
 		}
-		digits, _, _ := bytes.Cut(b[offset:offset+sizeLength], []byte{';'})
+		digits, _, _ := bytes.Cut(b[offset:offset+sizeLineLength], []byte{';'})
 		size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
 		if err != nil || size > MaxResponseBytes {
 			return nil, 0, ErrMalformedResponse
 		}
-		offset += sizeLength + len(lineEnd)
+		offset += sizeLineLength + len(lineEnd)
 		if size == 0 {
 			// The body ends with an empty line after the trailers. Without trailers, the end of the size line is the first half
 			// of headerEnd, so the search begins there.
--- a/internal/protocol/mysql/client.go
+++ b/internal/protocol/mysql/client.go
@@ -33,7 +33,7 @@
 	return binary.LittleEndian.Uint32(id), nil
 }
 
-// AppendLogin appends the client's first packet. It sends an empty password, and requests no encryption and EOF packets.
+// AppendLogin appends the client's first packet. The password is empty, encryption is not requested, and EOF packets stay in use.
 func AppendLogin(dst []byte, user, database string) []byte {
 	const maxPacketBytes = 1<<24 - 1
 	const reservedBytes = loginFixedSize - 4 - 4 - 1
@@ -41,11 +41,11 @@
 	dst, start := beginPacket(dst, 1)
 	dst = binary.LittleEndian.AppendUint32(dst, capabilities)
 	dst = binary.LittleEndian.AppendUint32(dst, maxPacketBytes)
-	dst = append(dst, charset)
+	dst = append(dst, charsetUTF8)
 	dst = append(dst, make([]byte, reservedBytes)...)
 	dst = append(append(dst, user...), 0, emptyPassword)
 	dst = append(append(dst, database...), 0)
-	dst = append(append(dst, plugin...), 0)
+	dst = append(append(dst, authPlugin...), 0)
 	return endPacket(dst, start)
 }
 
--- a/internal/protocol/mysql/mysql_test.go
+++ b/internal/protocol/mysql/mysql_test.go
@@ -49,8 +49,8 @@
 }
 
 func ExampleAppendColumns() {
-	head, number := AppendColumns(nil, 1)
-	fmt.Printf("%q\nnext %d\n%q\n", head[:38], number, AppendEOF(nil, number))
+	packets, number := AppendColumns(nil, 1)
+	fmt.Printf("%q\nnext %d\n%q\n", packets[:38], number, AppendEOF(nil, number))
 	// Output:
 	// "\x01\x00\x00\x01\x03\x1a\x00\x00\x02\x03def\x00\x00\x00\x02c1\x02c1\f!\x00\xff\xff\x00\x00\xfd\x00\x00\x00\x00\x00\x1a\x00\x00"
 	// next 6
@@ -65,24 +65,24 @@
 }
 
 func TestParseLogin(t *testing.T) {
-	const secure = protocol41 | secureLogin | withDatabase
+	const allCapabilities = protocol41 | secureConnection | connectWithDB
 	for _, c := range []struct {
-		packet               []byte
-		user, password, base string
-		err                  error
+		packet                   []byte
+		user, password, database string
+		err                      error
 	}{
-		{loginPacket(secure, "app\x00\x00reports\x00mysql_native_password\x00"), "app", "", "reports", nil},
-		{loginPacket(secure, "app\x00\x03abcreports"), "app", "abc", "reports", nil},
-		{loginPacket(protocol41|secureLogin, "app\x00\x00"), "app", "", "", nil},
+		{loginPacket(allCapabilities, "app\x00\x00reports\x00mysql_native_password\x00"), "app", "", "reports", nil},
+		{loginPacket(allCapabilities, "app\x00\x03abcreports"), "app", "abc", "reports", nil},
+		{loginPacket(protocol41|secureConnection, "app\x00\x00"), "app", "", "", nil},
 		{loginPacket(protocol41, "app\x00\x00"), "app", "", "", nil},
-		{loginPacket(secure, "app\x00\x09abc"), "", "", "", ErrMalformedLogin},
-		{loginPacket(secure, "app"), "", "", "", ErrMalformedLogin},
-		{loginPacket(secureLogin, "app\x00\x00"), "", "", "", ErrMalformedLogin},
+		{loginPacket(allCapabilities, "app\x00\x09abc"), "", "", "", ErrMalformedLogin},
+		{loginPacket(allCapabilities, "app"), "", "", "", ErrMalformedLogin},
+		{loginPacket(secureConnection, "app\x00\x00"), "", "", "", ErrMalformedLogin},
 		{[]byte("short"), "", "", "", ErrMalformedLogin},
 	} {
-		user, password, base, err := ParseLogin(c.packet)
-		if string(user) != c.user || string(password) != c.password || string(base) != c.base || !errors.Is(err, c.err) {
-			t.Errorf("%q: got %q %q %q %v", c.packet, user, password, base, err)
+		user, password, database, err := ParseLogin(c.packet)
+		if string(user) != c.user || string(password) != c.password || string(database) != c.database || !errors.Is(err, c.err) {
+			t.Errorf("%q: got %q %q %q %v", c.packet, user, password, database, err)
 		}
 	}
 }
@@ -92,8 +92,8 @@
 		sql  string
 		want error
 	}{
-		{"SELECT 1", ErrFields},
-		{"/* class=a,id=0123456789abcdef,wait=5", ErrFields},
+		{"SELECT 1", ErrNoFields},
+		{"/* class=a,id=0123456789abcdef,wait=5", ErrNoFields},
 		{"/* id=0123456789abcdef,wait=5 */ SELECT 1", ErrClass},
 		{"/* class=a,wait=5 */ SELECT 1", ErrID},
 		{"/* class=a,id=0123456789abcdeg,wait=5 */ SELECT 1", ErrID},
@@ -118,10 +118,10 @@
 		{"/* class=a,id=0123456789abcdef,wait=5,prio=3 */ SELECT 1", ErrUnexpectedField},
 		{"/* class=a,id=0123456789abcdef,wait=5,retry=1,retry=1 */ SELECT 1", ErrUnexpectedField},
 		{"/* class=a,id=0123456789abcdef,wait=5,retry=x */ SELECT 1", ErrUnexpectedField},
-		{"/* class=a,id=0123456789abcdef,wait=5 */ ", ErrText},
-		{"/* class=a,id=0123456789abcdef,wait=5 */ SELECT '\xff'", ErrText},
-		{"/* class=a,id=0123456789abcdef,wait=5 */ SELECT '\x00'", ErrText},
-		{"/* class=a,id=0123456789abcdef,wait=5 */ SELECT 1; DROP TABLE staging.x", ErrText},
+		{"/* class=a,id=0123456789abcdef,wait=5 */ ", ErrStatement},
+		{"/* class=a,id=0123456789abcdef,wait=5 */ SELECT '\xff'", ErrStatement},
+		{"/* class=a,id=0123456789abcdef,wait=5 */ SELECT '\x00'", ErrStatement},
+		{"/* class=a,id=0123456789abcdef,wait=5 */ SELECT 1; DROP TABLE staging.x", ErrStatement},
 		{"/* class=a,id=0123456789abcdef,wait=5 */ SELECT ';' -- ;\n; /* ; */", nil},
 	} {
 		if _, err := ReadRequest([]byte(c.sql)); !errors.Is(err, c.want) {
@@ -191,7 +191,7 @@
 
 func FuzzPackets(f *testing.F) {
 	f.Add([]byte("a\tb\tc\n"))
-	f.Add(loginPacket(protocol41|secureLogin, "app\x00\x00"))
+	f.Add(loginPacket(protocol41|secureConnection, "app\x00\x00"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		_, _, _, _ = ParseLogin(b)
 		rows, _, err := AppendRows(nil, 0, b)
@@ -214,24 +214,24 @@
 	if connection, err := ReadGreeting(AppendGreeting(nil, 77, &[20]byte{})[HeaderSize:]); connection != 77 || err != nil {
 		t.Errorf("greeting: %d, %v", connection, err)
 	}
-	name, password, db, err := ParseLogin(AppendLogin(nil, "app", "reports")[HeaderSize:])
-	if string(name) != "app" || len(password) > 0 || string(db) != "reports" || err != nil {
-		t.Errorf("login: %q %q %q %v", name, password, db, err)
+	user, password, database, err := ParseLogin(AppendLogin(nil, "app", "reports")[HeaderSize:])
+	if string(user) != "app" || len(password) > 0 || string(database) != "reports" || err != nil {
+		t.Errorf("login: %q %q %q %v", user, password, database, err)
 	}
 	if connection, ok := ParseKillQuery(AppendKill(nil, 77)[HeaderSize+1:]); connection != 77 || !ok {
 		t.Errorf("kill: %d", connection)
 	}
 	statement := func(b []byte) []byte { return append(b, "SELECT 1 FROM actas_4.m"...) }
-	var out, got []byte
-	got, number := AppendColumns(got, 1)
-	got, number, _ = AppendRows(got, number, []byte("a\tb\tc\nd\te\tf\n"))
-	got = AppendEOF(got, number)
+	var queryPacket, responsePackets []byte
+	responsePackets, number := AppendColumns(responsePackets, 1)
+	responsePackets, number, _ = AppendRows(responsePackets, number, []byte("a\tb\tc\nd\te\tf\n"))
+	responsePackets = AppendEOF(responsePackets, number)
 	var rows int
 	row := func([3][]byte) { rows++ }
 	allocations := testing.AllocsPerRun(100, func() {
-		out = AppendQuery(out[:0], QueryFields{Class: "look", ID: 0xab, WaitMS: 1500, Retry: true}, statement)
+		queryPacket = AppendQuery(queryPacket[:0], QueryFields{Class: "look", ID: 0xab, WaitMS: 1500, Retry: true}, statement)
 		var response Response
-		for rest := got; len(rest) > 0; {
+		for rest := responsePackets; len(rest) > 0; {
 			length, _ := ParseHeader(rest)
 			done, err := response.ReadPacket(rest[HeaderSize:HeaderSize+length], row)
 			rest = rest[HeaderSize+length:]
@@ -240,8 +240,8 @@
 			}
 		}
 	})
-	r, err := ReadRequest(out[HeaderSize+1:])
-	if string(r.Class) != "look" || string(r.ID) != "00000000000000ab" || r.WaitMS != 1500 || !r.Retry || !IsRetry(out[HeaderSize+1:]) ||
+	r, err := ReadRequest(queryPacket[HeaderSize+1:])
+	if string(r.Class) != "look" || string(r.ID) != "00000000000000ab" || r.WaitMS != 1500 || !r.Retry || !IsRetry(queryPacket[HeaderSize+1:]) ||
 		rows != 202 || string(r.Statement) != "SELECT 1 FROM actas_4.m" || err != nil || allocations != 0 {
 		t.Errorf("%+v %v, %d rows, %.0f allocations", r, err, rows, allocations)
 	}
--- a/internal/protocol/mysql/packet.go
+++ b/internal/protocol/mysql/packet.go
@@ -27,20 +27,20 @@
 
 // Capability flags of the protocol 4.1, and other constants of the login. Sessions use EOF packets and no encryption.
 const (
-	longPassword   = 1 << 0
-	withDatabase   = 1 << 3
-	protocol41     = 1 << 9
-	transactions   = 1 << 13
-	secureLogin    = 1 << 15
-	pluginAuth     = 1 << 19
-	lengthInLogin  = 1 << 21
-	capabilities   = longPassword | withDatabase | protocol41 | transactions | secureLogin | pluginAuth
-	charset        = 33 // utf8
-	autocommit     = 2
-	plugin         = "mysql_native_password"
-	serverVersion  = "8.0.36-magpiebank"
-	typeVarString  = 0xfd
-	loginFixedSize = 32
+	longPassword          = 1 << 0
+	connectWithDB         = 1 << 3
+	protocol41            = 1 << 9
+	transactions          = 1 << 13
+	secureConnection      = 1 << 15
+	pluginAuth            = 1 << 19
+	lengthEncodedAuthData = 1 << 21
+	capabilities          = longPassword | connectWithDB | protocol41 | transactions | secureConnection | pluginAuth
+	charsetUTF8           = 33 // number of the collation utf8_general_ci
+	statusAutocommit      = 2
+	authPlugin            = "mysql_native_password"
+	serverVersion         = "8.0.36-magpiebank"
+	typeVarString         = 0xfd
+	loginFixedSize        = 32
 )
 
 // beginPacket appends the header of a packet and returns the offset of the packet. endPacket sets the length in the header.
@@ -62,13 +62,13 @@
 	dst = binary.LittleEndian.AppendUint32(dst, connection)
 	dst = append(append(dst, salt[:8]...), 0)
 	dst = binary.LittleEndian.AppendUint16(dst, capabilities&0xffff)
-	dst = append(dst, charset)
-	dst = binary.LittleEndian.AppendUint16(dst, autocommit)
+	dst = append(dst, charsetUTF8)
+	dst = binary.LittleEndian.AppendUint16(dst, statusAutocommit)
 	dst = binary.LittleEndian.AppendUint16(dst, capabilities>>16)
 	dst = append(dst, byte(len(salt)+1))
 	dst = append(dst, make([]byte, 10)...)
 	dst = append(append(dst, salt[8:]...), 0)
-	dst = append(append(dst, plugin...), 0)
+	dst = append(append(dst, authPlugin...), 0)
 	return endPacket(dst, start)
 }
 
@@ -89,7 +89,7 @@
 	if !ok {
 		return nil, nil, nil, ErrMalformedLogin
 	}
-	if flags&(secureLogin|lengthInLogin) != 0 { // one byte with the password's length precedes the password
+	if flags&(secureConnection|lengthEncodedAuthData) != 0 { // one byte with the password's length precedes the password
 		if len(rest) == 0 || len(rest)-1 < int(rest[0]) {
 			return nil, nil, nil, ErrMalformedLogin
 		}
@@ -100,7 +100,7 @@
 			return nil, nil, nil, ErrMalformedLogin
 		}
 	}
-	if flags&withDatabase != 0 && len(rest) > 0 {
+	if flags&connectWithDB != 0 && len(rest) > 0 {
 		database, _, _ = bytes.Cut(rest, []byte{0})
 	}
 	return user, password, database, nil
@@ -109,7 +109,7 @@
 // AppendOK appends an OK packet.
 func AppendOK(dst []byte, number byte) []byte {
 	dst, start := beginPacket(dst, number)
-	dst = append(dst, okMarker, 0, 0, autocommit, 0, 0, 0)
+	dst = append(dst, okMarker, 0, 0, statusAutocommit, 0, 0, 0)
 	return endPacket(dst, start)
 }
 
@@ -161,7 +161,7 @@
 // AppendEOF appends an EOF packet, which follows the column definitions and the rows of a result.
 func AppendEOF(dst []byte, number byte) []byte {
 	dst, start := beginPacket(dst, number)
-	return endPacket(append(dst, eofMarker, 0, 0, autocommit, 0), start)
+	return endPacket(append(dst, eofMarker, 0, 0, statusAutocommit, 0), start)
 }
 
 // columns is the number of columns of every result.
@@ -178,7 +178,7 @@
 		for _, field := range [...]string{"def", "", "", "", name, name} { // catalog, schema, table, original table, name, original name
 			dst = appendLengthEncoded(dst, field)
 		}
-		dst = append(dst, 0x0c, charset, 0)
+		dst = append(dst, 0x0c, charsetUTF8, 0)
 		dst = binary.LittleEndian.AppendUint32(dst, 1<<16-1)
 		dst = append(dst, typeVarString, 0, 0, 0, 0, 0)
 		dst = endPacket(dst, start)
--- a/internal/protocol/mysql/query.go
+++ b/internal/protocol/mysql/query.go
@@ -12,7 +12,7 @@
 
 // The errors of ReadRequest. Most are about one field in the comment before a statement.
 var (
-	ErrFields           = errors.New("no fields in a comment before the statement")
+	ErrNoFields         = errors.New("no fields in a comment before the statement")
 	ErrClass            = errors.New("field class: expected a name")
 	ErrID               = errors.New("field id: expected 16 hex digits in lower case")
 	ErrWait             = errors.New("field wait: expected milliseconds above 0, at most the class's longest wait")
@@ -22,7 +22,7 @@
 	ErrCost             = errors.New("field cost: expected milliseconds of 0 or more")
 	ErrMemory           = errors.New("field mb: expected megabytes of 0 or more")
 	ErrUnexpectedField  = errors.New("a field stands twice, or is none of class, id, wait, retry=1, tenant, key, once, cost and mb")
-	ErrText             = errors.New("expected the text of one statement")
+	ErrStatement        = errors.New("expected the text of one statement")
 )
 
 // The lengths of the fields that consist of hexadecimal digits, and the maximum estimate that is accepted, in milliseconds
@@ -60,11 +60,11 @@
 	rest := bytes.TrimLeft(sql, whitespace)
 	rest, ok := bytes.CutPrefix(rest, []byte("/*"))
 	if !ok {
-		return r, ErrFields
+		return r, ErrNoFields
 	}
 	fields, body, ok := bytes.Cut(rest, []byte("*/"))
 	if !ok {
-		return r, ErrFields
+		return r, ErrNoFields
 	}
 	for len(fields) > 0 {
 		var field []byte
@@ -150,7 +150,7 @@
 	statement := r.Statement
 	switch {
 	case len(statement) == 0 || !utf8.Valid(statement) || bytes.IndexByte(statement, 0) >= 0 || !isSingleStatement(statement):
-		return ErrText
+		return ErrStatement
 	case len(r.Class) == 0:
 		return ErrClass
 	case !isHexDigits(r.ID, idDigits):
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -19,9 +19,9 @@
 // maxElements is the maximum number of bulk strings in an array that Parse accepts.
 const maxElements = 16
 
-// maxLengthDigits is the maximum number of bytes of an incomplete line with a length. Beyond it, Parse rejects the line
+// maxLengthLineBytes is the maximum number of bytes of an incomplete line with a length. Beyond it, Parse rejects the line
 // without waiting for its end.
-const maxLengthDigits = 16
+const maxLengthLineBytes = 16
 
 // lineEnd ends each line and each bulk string.
 const lineEnd = "\r\n"
@@ -71,13 +71,13 @@
 	}
 	newline := bytes.IndexByte(b[offset:], '\n')
 	if newline < 0 {
-		if len(b)-offset > maxLengthDigits {
+		if len(b)-offset > maxLengthLineBytes {
 			return 0, 0, ErrMalformedArray
 		}
 		return 0, 0, nil
 	}
-	const shortestLine = len("*1\r")
-	if newline < shortestLine || b[offset+newline-1] != '\r' {
+	const minLineBytes = len("*1\r")
+	if newline < minLineBytes || b[offset+newline-1] != '\r' {
 		return 0, 0, ErrMalformedArray
 	}
 	length, err = strconv.Atoi(string(b[offset+1 : offset+newline-1]))
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -58,9 +58,9 @@
 	if got, ok := ParseAmount(fields, "cost"); got != 1.5 || !ok {
 		t.Errorf("cost: got %v %v", got, ok)
 	}
-	for _, odd := range []string{"-1", "x", "NaN", "Inf", "1e300", "1,5e"} {
-		if got, ok := ParseAmount([]byte("cost="+odd), "cost"); ok && odd != "1,5e" {
-			t.Errorf("cost %s: got %v", odd, got)
+	for _, text := range []string{"-1", "x", "NaN", "Inf", "1e300", "1,5e"} {
+		if got, ok := ParseAmount([]byte("cost="+text), "cost"); ok && text != "1,5e" {
+			t.Errorf("cost %s: got %v", text, got)
 		}
 	}
 	for _, empty := range []string{"-", "", "res", "=", "gauges=,res=other"} {
@@ -78,14 +78,14 @@
 		if err != nil || n == 0 {
 			return
 		}
-		for _, p := range elements {
-			ParseProgress(p)
-			ParseLoadReport(p)
+		for _, element := range elements {
+			ParseProgress(element)
+			ParseLoadReport(element)
 		}
-		if again, _, err := Parse(b[:n], nil); err != nil || len(again) != len(elements) {
-			t.Errorf("%q: %d elements, then %d, %v", b[:n], len(elements), len(again), err)
+		if reparsed, _, err := Parse(b[:n], nil); err != nil || len(reparsed) != len(elements) {
+			t.Errorf("%q: %d elements, then %d, %v", b[:n], len(elements), len(reparsed), err)
 		}
-		if _, short, _ := Parse(b[:n-1], nil); short != 0 {
+		if _, truncatedLength, _ := Parse(b[:n-1], nil); truncatedLength != 0 {
 			t.Errorf("%q: parsed as complete without its last byte", b[:n])
 		}
 	})
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -45,10 +45,10 @@
 		if a.fields.err != nil {
 			return a.fields.err
 		}
-		if !a.flushed {
+		if !a.batchComplete {
 			continue
 		}
-		a.flushed = false
+		a.batchComplete = false
 		if _, err := out.Write(a.reply); err != nil {
 			return err
 		}
@@ -58,13 +58,13 @@
 
 // adapter is the state of one call of Serve.
 type adapter struct {
-	fields    fieldReader
-	now       admission.Time
-	sequence  string // number of the batch, as sent by the simulator; the reply repeats it
-	flushed   bool   // the batch is complete, and reply must be written
-	reply     []byte
-	instances map[int]*instance
-	endpoints endpointLists
+	fields        fieldReader
+	now           admission.Time
+	sequence      string // number of the batch, as sent by the simulator; the reply repeats it
+	batchComplete bool   // the batch is complete, and reply must be written
+	reply         []byte
+	instances     map[int]*instance
+	endpoints     endpointLists
 }
 
 // endpointLists holds the endpoint lists. A "directory" message begins a list and gives its number and its length; the "entry"
@@ -89,7 +89,7 @@
 		a.sequence = f.text("seq")
 	case "flush":
 		a.reply = append(append(append(a.reply, "ready\t"...), a.sequence...), '\n')
-		a.flushed = true
+		a.batchComplete = true
 	case "directory":
 		a.openEndpointList()
 	case "entry":
@@ -147,7 +147,7 @@
 func (a *adapter) bootInstance() {
 	f := &a.fields
 	id, seed := int(f.integer("routerId")), f.integer("entropy")
-	if !f.more {
+	if !f.hasMore {
 		f.fail("info", "a JSON object")
 	}
 	if f.err != nil {
@@ -162,7 +162,7 @@
 		f.err = fmt.Errorf("line %d: boot: %w", f.line, err)
 		return
 	}
-	i := &instance{adapter: a, id: id, classes: len(deployment.Classes)}
+	i := &instance{adapter: a, id: id, classCount: len(deployment.Classes)}
 	a.instances[id] = i
 	if deployment.PeerMessages && deployment.Gateways > 1 {
 		i.reports = healthreport.New(deployment.Gateways-1, healthreport.MaxEjectedShare(deployment, len(info.Texts("zones"))),
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -10,7 +10,7 @@
 	`"familyInfo":{"dop":[1],"kindCores":[4]},"limits":{"maxAttempts":2,"retryAfter":true,"maxRetryAfterUs":1000050},` +
 	`"rules":{},"unknown":{"new":[1]}}`
 
-const day = "clock\t1000050\t1\n" + bootLine + "\ndirectory\t0\t1\n" +
+const dayInput = "clock\t1000050\t1\n" + bootLine + "\ndirectory\t0\t1\n" +
 	"entry\t10.0.0.1:1\t0\t0\t0\tlive\t1\t-\nmembers\t3\tC\t41\t0\nflush\n" +
 	"clock\t1000150\t2\narrival\t3\t00000000000000aa\t1100099\t1\t-\t0\t-\t-\t0\t-\n" +
 	"arrival\t3\t00000000000000bb\t9000000\t1\t12000\t0\t-\t-\t1\t64\ndue\t3\ttick\nflush\n" +
@@ -20,7 +20,7 @@
 
 func TestServeRecordedDay(t *testing.T) {
 	var out strings.Builder
-	if err := Serve(strings.NewReader(day), &out); err != nil {
+	if err := Serve(strings.NewReader(dayInput), &out); err != nil {
 		t.Fatal(err)
 	}
 	want, err := os.ReadFile("testdata/day.txt")
@@ -73,7 +73,7 @@
 
 // For any input, output that is not empty ends with a ready line, and errors begin with the number of the input line.
 func FuzzServe(f *testing.F) {
-	f.Add(day)
+	f.Add(dayInput)
 	f.Add("clock\t1\t1\nflush\n")
 	f.Add("clock\t1\t1\n" + bootLine + "\nmembers\t3\tX\t0\t-\nflush\n")
 	f.Fuzz(func(t *testing.T, in string) {
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -10,7 +10,7 @@
 )
 
 // controllerCall passes one decoded event to a controller.
-type controllerCall func(router *admission.Controller)
+type controllerCall func(controller *admission.Controller)
 
 // eventDecoder decodes the fields of an event. The instance is nil if the message names none that was booted. The result is nil
 // if the event requires no call of the controller, and is not used if a field is malformed.
@@ -22,11 +22,11 @@
 	"arrival":          decodeArrival,
 	"accepted":         decodeAccepted,
 	"response":         decodeResponse,
-	"timed_out_client": decodeClientGone,
+	"timed_out_client": decodeDisconnect,
 	"due":              decodeTimer,
 	"health":           decodeHealthCheck,
-	"neighbour_says":   decodeGossip,
-	"interim":          decodeProgress,
+	"neighbour_says":   decodeHealthReport,
+	"interim":          decodeNotice,
 }
 
 // handleEvent decodes an event and passes it to its controller. It reads all fields before it calls the controller, so that a
@@ -61,13 +61,13 @@
 	return func(*admission.Controller) { i.controller = nil }
 }
 
-// updateKinds contains the letter for each kind of update of an endpoint list, in the order of admission.UpdateKind.
-const updateKinds = "DFCX"
+// updateKindLetters contains the letter for each kind of update of an endpoint list, in the order of admission.UpdateKind.
+const updateKindLetters = "DFCX"
 
 func decodeEndpointUpdate(a *adapter, i *instance) controllerCall {
 	f, now := &a.fields, a.now
 	letter := (f.text("form") + " ")[0]
-	kind := strings.IndexByte(updateKinds, letter)
+	kind := strings.IndexByte(updateKindLetters, letter)
 	f.integer("rev")
 	number := f.integer("sheet")
 	if kind < 0 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// workKnown is the bit in the options of an arrival that marks its estimate of work as valid.
-const workKnown = 1
+// workKnownFlag is the bit in the options of an arrival that marks its estimate of work as valid.
+const workKnownFlag = 1
 
 func decodeArrival(a *adapter, i *instance) controllerCall {
 	f, now := &a.fields, a.now
@@ -100,10 +100,10 @@
 	key := strings.Clone(f.optional("object"))
 	options := f.integer("options")
 	memory := f.number("footprintMb")
-	if i != nil && (class < 0 || class >= i.classes) {
+	if i != nil && (class < 0 || class >= i.classCount) {
 		f.fail("profile", "a class of the settings")
 	}
-	if options&workKnown == 0 {
+	if options&workKnownFlag == 0 {
 		work = 0
 	}
 	return func(controller *admission.Controller) {
@@ -123,9 +123,9 @@
 	return nil
 }
 
-// The simulator packs what a request has used into one number: milliseconds of work times memoryUnits, plus units of memory.
+// The simulator packs what a request has used into one number: milliseconds of work times memoryRange, plus units of memory.
 const (
-	memoryUnits      = 4096
+	memoryRange      = 4096
 	megabytesPerUnit = 4
 )
 
@@ -137,14 +137,14 @@
 	finished := f.integer("finished") != 0
 	f.text("engine")
 	report := f.loadReport("serverStats")
-	work, memory := admission.Time(used/memoryUnits)*admission.Millisecond, float64(used%memoryUnits)*megabytesPerUnit
+	work, memory := admission.Time(used/memoryRange)*admission.Millisecond, float64(used%memoryRange)*megabytesPerUnit
 	return func(controller *admission.Controller) {
 		controller.HandleAttemptEnd(now, admission.AttemptResult{Request: id, Outcome: outcome, Answered: finished, Work: work,
 			Memory: memory, Report: report})
 	}
 }
 
-func decodeClientGone(a *adapter, _ *instance) controllerCall {
+func decodeDisconnect(a *adapter, _ *instance) controllerCall {
 	now, id := a.now, admission.RequestID(a.fields.text("handle"))
 	return func(controller *admission.Controller) { controller.HandleDisconnect(now, id) }
 }
@@ -163,9 +163,9 @@
 	return func(controller *admission.Controller) { controller.HandleProbeResult(now, engine, outcome, report) }
 }
 
-// decodeGossip reads a health report from another instance. A payload that is not a valid report is ignored, because it comes
+// decodeHealthReport reads a health report from another instance. A payload that is not a valid report is ignored, because it comes
 // from another version.
-func decodeGossip(a *adapter, i *instance) controllerCall {
+func decodeHealthReport(a *adapter, i *instance) controllerCall {
 	f, now := &a.fields, a.now
 	source := healthreport.Source{Name: strconv.FormatInt(f.integer("src"), 10)}
 	payload, err := hex.DecodeString(f.text("payload"))
@@ -181,19 +181,19 @@
 
 // The range of the simulator's codes for kinds of notices, which are in the order of admission.NoticeKind.
 const (
-	firstProgressCode = 1
-	lastProgressCode  = 3
+	firstNoticeCode = 1
+	lastNoticeCode  = 3
 )
 
-func decodeProgress(a *adapter, _ *instance) controllerCall {
+func decodeNotice(a *adapter, _ *instance) controllerCall {
 	f, now := &a.fields, a.now
 	id, attempt := admission.RequestID(f.text("handle")), int(f.integer("n"))
 	f.text("engine")
 	code, value := f.integer("what"), f.number("value")
-	if code < firstProgressCode || code > lastProgressCode {
+	if code < firstNoticeCode || code > lastNoticeCode {
 		f.fail("what", "1 to 3")
 	}
 	return func(controller *admission.Controller) {
-		controller.HandleNotice(now, id, attempt, admission.NoticeKind(code-firstProgressCode), value)
+		controller.HandleNotice(now, id, attempt, admission.NoticeKind(code-firstNoticeCode), value)
 	}
 }
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -10,22 +10,22 @@
 	"magpiebank/internal/config"
 )
 
-// absent is the text of a field without a value.
-const absent = "-"
+// absentValue is the text of a field without a value.
+const absentValue = "-"
 
 // fieldReader reads the tab-separated fields of messages in order. It stores the first error.
 type fieldReader struct {
 	line    int    // number of the input line, from 1
-	message string // the name of the message
-	rest    string // the fields that have not been read yet
-	more    bool   // rest holds a field, which may be empty
+	message string // name of the message
+	rest    string // the fields of the message that have not been read yet
+	hasMore bool   // rest contains at least one field, which may be empty
 	err     error
 }
 
 func (f *fieldReader) startLine() { f.line++ }
 
 func (f *fieldReader) startMessage(line string) {
-	f.message, f.rest, f.more = strings.Cut(line, "\t")
+	f.message, f.rest, f.hasMore = strings.Cut(line, "\t")
 }
 
 // fail records that a field is not what was expected, unless an error was recorded before.
@@ -37,12 +37,12 @@
 
 // text reads a field that must not be empty; "-" is a valid value.
 func (f *fieldReader) text(field string) string {
-	if !f.more {
+	if !f.hasMore {
 		f.fail(field, "a value, found the end of the line")
 		return ""
 	}
 	var value string
-	value, f.rest, f.more = strings.Cut(f.rest, "\t")
+	value, f.rest, f.hasMore = strings.Cut(f.rest, "\t")
 	if value == "" {
 		f.fail(field, "a value")
 	}
@@ -52,7 +52,7 @@
 // optional reads a field and returns "" if its value is absent ("-").
 func (f *fieldReader) optional(field string) string {
 	value := f.text(field)
-	if value == absent {
+	if value == absentValue {
 		return ""
 	}
 	return value
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -14,7 +14,7 @@
 type instance struct {
 	adapter    *adapter
 	id         int
-	classes    int
+	classCount int
 	controller *admission.Controller // nil after the instance was retired or has panicked
 	reports    *healthreport.Table   // health reports exchanged with other instances; nil if instances exchange none
 }
@@ -26,7 +26,7 @@
 	}
 	i.reports.VisitChangedFindings(now, func(finding *admission.PeerReport) { i.controller.HandlePeerReport(now, finding) })
 	if message := i.reports.NextMessage(now); message != nil {
-		i.begin("broadcast_to").text("all").text(hex.EncodeToString(message)).end()
+		i.beginAction("broadcast_to").text("all").text(hex.EncodeToString(message)).end()
 	}
 }
 
@@ -36,7 +36,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			i.controller = nil
-			i.begin("die").text(strings.Join(strings.Fields(fmt.Sprint(cause)), " ")).end()
+			i.beginAction("die").text(strings.Join(strings.Fields(fmt.Sprint(cause)), " ")).end()
 		}
 	}()
 	decide()
@@ -45,7 +45,7 @@
 // actionWriter appends the fields of one action to the reply.
 type actionWriter struct{ adapter *adapter }
 
-func (i *instance) begin(name string) actionWriter {
+func (i *instance) beginAction(name string) actionWriter {
 	a := i.adapter
 	a.reply = append(append(a.reply, name...), '\t')
 	a.reply = strconv.AppendInt(a.reply, int64(i.id), 10)
@@ -72,36 +72,36 @@
 
 // SendAttempt starts an attempt of a request on an engine.
 func (i *instance) SendAttempt(request admission.RequestID, engine admission.EngineID, timeout, _ admission.Time) {
-	i.begin("relay").text(string(request)).text(string(engine)).timestamp(timeout).end()
+	i.beginAction("relay").text(string(request)).text(string(engine)).timestamp(timeout).end()
 }
 
 // CancelAttempt cancels an attempt whose answer is no longer needed.
 func (i *instance) CancelAttempt(request admission.RequestID, attempt int) {
-	i.begin("abandon").text(string(request)).number(int64(attempt)).end()
+	i.beginAction("abandon").text(string(request)).number(int64(attempt)).end()
 }
 
 // RejectRequest rejects a request; the client may retry after retryAfter.
 func (i *instance) RejectRequest(request admission.RequestID, retryAfter admission.Time) {
-	i.begin("decline").text(string(request)).timestamp(retryAfter).end()
+	i.beginAction("decline").text(string(request)).timestamp(retryAfter).end()
 }
 
-// FailRequest ends a request without an answer.
+// FailRequest ends a request without a result. The request may have run.
 func (i *instance) FailRequest(request admission.RequestID) {
-	i.begin("surrender").text(string(request)).end()
+	i.beginAction("surrender").text(string(request)).end()
 }
 
 // SetAttemptOptions sets the memory grant in megabytes and the priority rank of a request's attempts.
 func (i *instance) SetAttemptOptions(request admission.RequestID, memory float64, rank int) {
-	i.begin("grant_and_rank").text(string(request)).number(int64(memory)).number(int64(rank)).end()
+	i.beginAction("grant_and_rank").text(string(request)).number(int64(memory)).number(int64(rank)).end()
 }
 
 // ProbeEngine requests a health check of an engine.
 func (i *instance) ProbeEngine(engine admission.EngineID) {
-	i.begin("health_check").text(string(engine)).end()
+	i.beginAction("health_check").text(string(engine)).end()
 }
 
 // SubscribeEndpoints requests the endpoint list and its updates.
-func (i *instance) SubscribeEndpoints() { i.begin("keep_informed").number(1).end() }
+func (i *instance) SubscribeEndpoints() { i.beginAction("keep_informed").number(1).end() }
 
 // HasSlowStartCapacity returns false as its second result: instances don't divide the capacity of engines that are warming up
 // by messages.
@@ -110,14 +110,16 @@
 }
 
 // ReportObservation records what the controller observed of an engine, for the report to other instances.
-func (i *instance) ReportObservation(engine admission.EngineID, sight admission.Observation, report admission.Report, capacity float64) {
+func (i *instance) ReportObservation(engine admission.EngineID, observed admission.Observation, report admission.Report, byteBudget float64) {
 	if i.reports != nil {
-		i.reports.Observe(i.adapter.now, engine, sight, report, capacity)
+		i.reports.Observe(i.adapter.now, engine, observed, report, byteBudget)
 	}
 }
 
 // ScheduleTick requests a timer event at the given time.
-func (i *instance) ScheduleTick(at admission.Time) { i.begin("sleep").text("tick").timestamp(at).end() }
+func (i *instance) ScheduleTick(at admission.Time) {
+	i.beginAction("sleep").text("tick").timestamp(at).end()
+}
 
 // LogEvent adds a line to the simulator's log.
-func (i *instance) LogEvent(text string) { i.begin("emit").text(text).end() }
+func (i *instance) LogEvent(text string) { i.beginAction("emit").text(text).end() }
