--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -6,36 +6,37 @@
 	"magpiebank/internal/admission"
 )
 
-// probe is the last one that was sent.
+// probe is the last probe that was sent in a round.
 type probe struct {
 	sequence      uint32
 	target        string
 	sentAt        Time
-	helpAt        Time // when helpers are asked to probe as well
-	until         Time // when the next one may be sent
-	waiting       bool // for an answer
+	helpAt        Time // when to send ping requests to helpers
+	until         Time // when the probe times out, and the next one may be sent
+	waiting       bool // no reply has been received
 	helpRequested bool
 }
 
-// relay is a probe that is made for another member.
+// relay is a probe that this process sends as a helper of another member.
 type relay struct {
 	sequence          uint32
 	requesterSequence uint32
-	requester         string // its address
+	requester         string // address of the member that requested the probe
 	until             Time
 }
 
 const relayTimeout = 2 * admission.Second
 
-// startProbe probes the next member of the round. Each round has its own order, so that every member is probed once a round.
+// startProbe probes the next member of the round, or starts a new round if none is left. Each round has a random order, and probes every
+// member once.
 func (c *Core) startProbe() {
 	for len(c.round) > 0 {
 		name := c.round[len(c.round)-1]
 		c.round = c.round[:len(c.round)-1]
 		if i, ok := c.indexOf(name); ok && c.members[i].State <= Suspect {
 			c.sequence++
-			c.probe = probe{sequence: c.sequence, target: name, sentAt: c.now, helpAt: c.now + c.slowed(ProbeInterval/2), until: c.now + c.slowed(ProbeInterval), waiting: true}
-			c.sendPing(c.members[i].Address, c.sequence, name, c.now-c.grewAt < growthPeriod)
+			c.probe = probe{sequence: c.sequence, target: name, sentAt: c.now, helpAt: c.now + c.scaleTimeout(ProbeInterval/2), until: c.now + c.scaleTimeout(ProbeInterval), waiting: true}
+			c.sendPing(c.members[i].Address, c.sequence, name, c.now-c.newMemberAt < fullExchangePeriod)
 			return
 		}
 	}
@@ -48,16 +49,16 @@
 	c.probe.until = c.now + tickInterval
 }
 
-// sendPing sends a probe; full: it asks for as many members as an answer holds, and sends as many.
+// sendPing sends a ping. A full ping requests a reply with as many member records as fit into a message, and carries as many itself.
 func (c *Core) sendPing(address string, sequence uint32, about string, full bool) {
-	refresh := usualRefresh
+	refresh := defaultRefreshCount
 	if full {
 		refresh = maxMembers
 	}
 	c.send(address, message{kind: kindPing, full: full, sequence: sequence, about: about}, refresh)
 }
 
-// requestHelp probes the target once more, because the first probe may be lost, and has helpers probe it.
+// requestHelp probes the target again, because the first probe may be lost, and requests probes of the target from helpers.
 func (c *Core) requestHelp() {
 	i, ok := c.indexOf(c.probe.target)
 	if !ok {
@@ -67,15 +68,15 @@
 	c.sendPing(target.Address, c.probe.sequence, target.Name, false)
 	for range helperCount {
 		if helper, ok := c.pickMember(func(m *Member) bool { return m.State == Alive && m.Name != target.Name }); ok {
-			c.send(helper.Address, message{kind: kindPingRequest, sequence: c.probe.sequence, about: target.Name, target: target.Address}, usualRefresh)
+			c.send(helper.Address, message{kind: kindPingRequest, sequence: c.probe.sequence, about: target.Name, target: target.Address}, defaultRefreshCount)
 		}
 	}
 }
 
-// endUnansweredProbe suspects the target, and trusts this process less.
+// endUnansweredProbe makes the target a suspect, or confirms the suspicion of it, and makes the local health worse.
 func (c *Core) endUnansweredProbe() {
 	c.probe.waiting = false
-	c.changeHealth(1)
+	c.changeLocalHealth(1)
 	i, ok := c.indexOf(c.probe.target)
 	if !ok {
 		return
@@ -83,19 +84,19 @@
 	switch m := c.members[i]; m.State {
 	case Alive:
 		m.State, m.Accuser = Suspect, c.self.Name
-		c.learn(m)
+		c.applyRecord(m)
 	case Suspect:
 		c.addAccuser(&c.members[i], c.self.Name)
 	}
 }
 
-// contactLost sends probes to members that may have come back: to the seeds while nobody else is known, and else to one of
-// the dead and of the seeds.
-func (c *Core) contactLost() {
-	const maxContacts = 2 // seeds that are down cost next to nothing
-	c.nextContactAt = c.now + contactPeriod
+// contactUnreachable pings members that may be back. It pings at most two addresses, drawn from those of one random dead member and of the
+// seeds that are not known as reachable members.
+func (c *Core) contactUnreachable() {
+	const maxContacts = 2 // limits the cost of seeds that are down
+	c.nextContactAt = c.now + contactInterval
 	if c.CountReachable() == 0 {
-		c.nextContactAt = c.now + lonelyPeriod
+		c.nextContactAt = c.now + isolatedContactInterval
 	}
 	var addresses []string
 	if dead, ok := c.pickMember(func(m *Member) bool { return m.State == Dead }); ok {
@@ -118,7 +119,7 @@
 }
 
 func (c *Core) handlePing(m *message) {
-	refresh := usualRefresh
+	refresh := defaultRefreshCount
 	if m.full {
 		refresh = maxMembers
 	}
@@ -138,17 +139,17 @@
 	if p := &c.probe; p.waiting && m.sequence == p.sequence && (m.from.Name == p.target || m.about == p.target) {
 		p.waiting = false
 		p.until = p.sentAt + ProbeInterval
-		if c.now-c.grewAt < growthPeriod {
+		if c.now-c.newMemberAt < fullExchangePeriod {
 			p.until = p.sentAt + tickInterval
 		}
 		if !p.helpRequested {
-			c.changeHealth(-1)
+			c.changeLocalHealth(-1)
 		}
 	}
 	i := slices.IndexFunc(c.relays, func(r relay) bool { return r.sequence == m.sequence && m.sequence != 0 })
 	if i >= 0 {
 		r := c.relays[i]
-		c.send(r.requester, message{kind: kindAck, sequence: r.requesterSequence, about: m.from.Name}, usualRefresh)
+		c.send(r.requester, message{kind: kindAck, sequence: r.requesterSequence, about: m.from.Name}, defaultRefreshCount)
 		c.relays = slices.Delete(c.relays, i, i+1)
 	}
 }
