--- a/internal/cluster/agent/datagram_test.go
+++ b/internal/cluster/agent/datagram_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func key(tb testing.TB, digits string) *sealer {
+func newTestSealer(tb testing.TB, digits string) *sealer {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "key")
 	writeKey(tb, path, digits)
@@ -28,23 +28,23 @@
 	return s
 }
 
-var ours, theirs = strings.Repeat("0f", 32), strings.Repeat("a1", 32)
+var ownKey, otherKey = strings.Repeat("0f", 32), strings.Repeat("a1", 32)
 
 func TestDatagramIsOpenedAsSealed(t *testing.T) {
-	s := key(t, ours)
-	datagram, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
+	s := newTestSealer(t, ownKey)
+	datagram, err := s.seal(&envelope{sender: "g1", incarnation: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	opened, err := s.open(datagram)
-	if err != nil || opened.sender != "g1" || opened.start != 7 || opened.sequence != 9 || len(opened.sections) != 2 || string(opened.sections[0].payload) != "abc" {
-		t.Errorf("%v %+v", err, opened)
+	if err != nil || opened.sender != "g1" || opened.incarnation != 7 || opened.sequence != 9 || len(opened.sections) != 2 || string(opened.sections[0].payload) != "abc" {
+		t.Errorf("expected the sealed envelope, found error %v and %+v", err, opened)
 	}
 }
 
 func TestDatagramIsRejected(t *testing.T) {
-	s := key(t, ours)
-	datagram, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
+	s := newTestSealer(t, ownKey)
+	datagram, err := s.seal(&envelope{sender: "g1", incarnation: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}, {healthReportSection, nil}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		datagram []byte
 		expected error
 	}{
-		{"another key", key(t, theirs), datagram, errWrongKey},
+		{"another key", newTestSealer(t, otherKey), datagram, errWrongKey},
 		{"another version", s, flipped(0), errOtherVersion},
 		{"a flipped bit of the nonce", s, flipped(5), errWrongKey},
 		{"a flipped bit of what is sealed", s, flipped(len(datagram) - 20), errWrongKey},
@@ -81,7 +81,7 @@
 	}
 }
 
-// Each sequence number of a process is accepted once, in whatever order they come, and none of an earlier process.
+// Each sequence number of a process is accepted once, in whatever order they arrive, and none of an earlier process is.
 func TestReplayWindowAcceptsEachNumberOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var window replayWindow
@@ -93,7 +93,7 @@
 				t.Fatalf("%d was accepted twice", number)
 			}
 			if !ok && !accepted[number] && number+replayWindowBits > highest {
-				t.Fatalf("%d is new, and not %d old, and was dropped", number, replayWindowBits)
+				t.Fatalf("%d is new and within the window of %d, and was rejected", number, replayWindowBits)
 			}
 			accepted[number] = accepted[number] || ok
 			highest = max(highest, number)
@@ -105,25 +105,25 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	s := key(f, ours)
-	datagram, err := s.seal(&envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}}})
+	s := newTestSealer(f, ownKey)
+	datagram, err := s.seal(&envelope{sender: "g1", incarnation: 7, sequence: 9, sections: []section{{membershipSection, []byte("abc")}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(datagram)
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		if opened, err := s.open(datagram); (opened == nil) == (err == nil) {
-			t.Fatal("neither an envelope nor an error")
+			t.Fatal("expected either an envelope or an error")
 		}
 	})
 }
 
 func BenchmarkDatagram(b *testing.B) {
-	s := key(b, ours)
-	l := &envelope{sender: "g1", start: 7, sequence: 9, sections: []section{{healthReportSection, make([]byte, 200)}}}
+	s := newTestSealer(b, ownKey)
+	e := &envelope{sender: "g1", incarnation: 7, sequence: 9, sections: []section{{healthReportSection, make([]byte, 200)}}}
 	b.ReportAllocs()
 	for b.Loop() {
-		d, _ := s.seal(l)
+		d, _ := s.seal(e)
 		if _, err := s.open(d); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -10,7 +10,7 @@
 	`"familyInfo":{"dop":[1],"kindCores":[4]},"limits":{"maxAttempts":2,"retryAfter":true,"maxRetryAfterUs":1000050},` +
 	`"rules":{},"unknown":{"new":[1]}}`
 
-const day = "clock\t1000050\t1\n" + bootLine + "\ndirectory\t0\t1\n" +
+const dayInput = "clock\t1000050\t1\n" + bootLine + "\ndirectory\t0\t1\n" +
 	"entry\t10.0.0.1:1\t0\t0\t0\tlive\t1\t-\nmembers\t3\tC\t41\t0\nflush\n" +
 	"clock\t1000150\t2\narrival\t3\t00000000000000aa\t1100099\t1\t-\t0\t-\t-\t0\t-\n" +
 	"arrival\t3\t00000000000000bb\t9000000\t1\t12000\t0\t-\t-\t1\t64\ndue\t3\ttick\nflush\n" +
@@ -20,7 +20,7 @@
 
 func TestServeRecordedDay(t *testing.T) {
 	var out strings.Builder
-	if err := Serve(strings.NewReader(day), &out); err != nil {
+	if err := Serve(strings.NewReader(dayInput), &out); err != nil {
 		t.Fatal(err)
 	}
 	want, err := os.ReadFile("testdata/day.txt")
@@ -61,7 +61,7 @@
 	}
 }
 
-// A panic in one instance ends that instance alone.
+// A panic in an instance is reported as one line, and does not end the process.
 func TestPanicEndsInstance(t *testing.T) {
 	a := &adapter{}
 	i := &instance{adapter: a, id: 5}
@@ -71,16 +71,16 @@
 	}
 }
 
-// Whatever comes in, each flush gets one reply that ends in ready, and nothing follows a malformed line.
+// For any input, output that is not empty ends with a ready line, and errors begin with the number of the input line.
 func FuzzServe(f *testing.F) {
-	f.Add(day)
+	f.Add(dayInput)
 	f.Add("clock\t1\t1\nflush\n")
 	f.Add("clock\t1\t1\n" + bootLine + "\nmembers\t3\tX\t0\t-\nflush\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		var out strings.Builder
 		err := Serve(strings.NewReader(in), &out)
 		if err != nil && !strings.HasPrefix(err.Error(), "line ") {
-			t.Fatalf("no line number: %v", err)
+			t.Fatalf("the error has no line number: %v", err)
 		}
 		if s := out.String(); s != "" && !strings.HasPrefix(s[strings.LastIndex(s[:len(s)-1], "\n")+1:], "ready\t") {
 			t.Fatalf("the output ends in %q", s)
@@ -88,7 +88,7 @@
 	})
 }
 
-// What one router saw of an engine reaches the others, and what can't be read harms nobody.
+// Instance 0 broadcasts one message after it could not reach an engine. A payload that is not a valid report causes no error.
 func TestInstancesExchangeReports(t *testing.T) {
 	boot := func(n string) string {
 		return "boot\t" + n + "\t7\t" + `{"fleetSize":4,"me":` + n + `,"classes":[{"name":"x","sloUs":400000,"worth":1,"effect":"read_like"}],` +
@@ -109,6 +109,6 @@
 		}
 	}
 	if len(messages) != 1 || len(messages[0]) > 512 {
-		t.Errorf("router 0 told %q of an engine it can't reach; all it did:\n%s", messages, &out)
+		t.Errorf("instance 0 broadcast %q about an unreachable engine, want one message of at most 512 characters; output:\n%s", messages, &out)
 	}
 }
