--- a/internal/storage/faultdisk/faultdisk_testbed.go
+++ b/internal/storage/faultdisk/faultdisk_testbed.go
@@ -32,7 +32,7 @@
 	writeDelay   = 3 * time.Second
 )
 
-var errInjectedSync = errors.New("injected sync error of the testbed's build")
+var errInjectedSync = errors.New("sync failed on purpose, in the testbed's build")
 
 // WrapFolder returns a folder with the fault that MAGPIEBANK_DISK describes, or the folder itself if the variable is not set.
 func WrapFolder(folder store.Folder) store.Folder {
--- a/internal/storage/store/compaction.go
+++ b/internal/storage/store/compaction.go
@@ -136,7 +136,7 @@
 	}
 	header, ok := decodeSegmentHeader(b)
 	if !ok {
-		return &CorruptionError{next.name(), 0, "the header can't be decoded"}
+		return &CorruptionError{next.name(), 0, "its head can't be read"}
 	}
 	previousManifest := s.manifest
 	s.manifest.firstSegment, s.manifest.firstSequence = header.number, header.firstSequence
--- a/internal/storage/store/errors.go
+++ b/internal/storage/store/errors.go
@@ -14,7 +14,7 @@
 	// ErrClosed means that the store was closed before the write.
 	ErrClosed = errors.New("the store is closed")
 	// ErrBacklogFull means that too many writes are waiting for the disk. Later writes may succeed.
-	ErrBacklogFull = errors.New("too many writes are waiting for the disk")
+	ErrBacklogFull = errors.New("the disk is too far behind")
 	// ErrLocked means that another process has opened the folder.
 	ErrLocked = errors.New("another process has opened the folder")
 )
@@ -51,7 +51,7 @@
 type ValueSizeError struct{ Bytes int }
 
 func (e *ValueSizeError) Error() string {
-	return fmt.Sprintf("the value has %d bytes, the maximum is %d", e.Bytes, maxValueSize)
+	return fmt.Sprintf("a value of %d bytes, the most is %d", e.Bytes, maxValueSize)
 }
 
 // isDiskFull reports whether an error means that the disk is full or that the user's disk quota is exhausted.
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -16,7 +16,7 @@
 func (g *segment) name() string { return segmentName(g.number) }
 
 func unreadableRecord(g *segment, offset int64) error {
-	return &CorruptionError{g.name(), offset, "the record there can't be decoded"}
+	return &CorruptionError{g.name(), offset, "a record that was written there can't be read"}
 }
 
 // activeSegment returns the last segment, to which records are appended.
--- a/internal/storage/store/writer.go
+++ b/internal/storage/store/writer.go
@@ -254,7 +254,7 @@
 	}
 	active := s.activeSegment()
 	if err := active.file.Truncate(active.size); err != nil {
-		return 0, fmt.Errorf("%w, and the segment can't be truncated to its previous size: %w", cause, err)
+		return 0, fmt.Errorf("%w, and its part can't be taken back: %w", cause, err)
 	}
 	rejectWrites(batch, fmt.Errorf("%w: %w", ErrFull, cause))
 	s.countRejected(len(batch))
