--- a/cmd/magpiebank-testbed/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -96,7 +96,7 @@
 // show prints an outcome, writes its page and picture, and returns errMissed if anything was violated.
 func (o *fleetRunOptions) show(out io.Writer, s *faulttest.Scenario, outcome *faulttest.Outcome) error {
 	if o.json {
-		if err := writeJSON(out, outcome.Figures); err != nil {
+		if err := writeJSON(out, outcome.Data); err != nil {
 			return err
 		}
 	} else {
--- a/cmd/magpiebank-testbed/fleet_scale.go
+++ b/cmd/magpiebank-testbed/fleet_scale.go
@@ -92,7 +92,7 @@
 		bytes = append(bytes, plotter.XY{X: float64(f.Members), Y: f.Bytes / 100})
 	}
 	for _, d := range quotas {
-		there = append(there, plotter.XY{X: float64(d.Members), Y: float64(d.There) / float64(admission.Second)})
+		there = append(there, plotter.XY{X: float64(d.Members), Y: float64(d.BurstTime) / float64(admission.Second)})
 		lent = append(lent, plotter.XY{X: float64(d.Members), Y: d.Bytes / 100})
 	}
 	if err := plotutil.AddLinePoints(p, "until 9 of 10 know of a death, s", detect, "members, bytes/s a member / 100", bytes,
--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -208,7 +208,7 @@
 		e.Shape.Marks = append(e.Shape.Marks, arrival.Mark{Class: t.class, Group: 1 + r.Intn(statementGroups)})
 	}
 	e.Installation = &installation.Plan{Gateways: 2, Engines: statementEngines, Zones: []string{"norte", "sur"}, Cores: engineCores, MemoryMB: 192, Sockets: 1024,
-		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: seed, ExtraArguments: more,
+		ConnectWithin: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Seed: seed, ExtraArguments: more,
 		Classes: []installation.Class{
 			{Name: "look", LatencyObjective: time.Second, MaxWait: 5 * time.Second, Weight: 1, Effect: "idempotent", Threads: 1},
 			{Name: "report", LatencyObjective: 4 * time.Second, MaxWait: 12 * time.Second, Weight: reportEarnings, LateShare: 0.4, Effect: "idempotent", Threads: 1}},
--- a/internal/testbed/faulttest/outcome.go
+++ b/internal/testbed/faulttest/outcome.go
@@ -14,7 +14,7 @@
 type Outcome struct {
 	Results []*Result
 	Text    func(out io.Writer)
-	Figures any // what Text prints, for encoding/json
+	Data    any // what Text prints, for encoding/json
 }
 
 // Good tells whether nothing was violated in any run.
@@ -55,7 +55,7 @@
 		if err != nil {
 			return nil, err
 		}
-		outcome := &Outcome{Text: func(out io.Writer) { WriteQuotaModes(out, list) }, Figures: list}
+		outcome := &Outcome{Text: func(out io.Writer) { WriteQuotaModes(out, list) }, Data: list}
 		for _, mode := range list {
 			outcome.Results = append(outcome.Results, mode.Result)
 		}
--- a/internal/testbed/faulttest/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -133,7 +133,7 @@
 	}
 	plan := installation.Plan{
 		Gateways: s.Gateways, Engines: s.Engines, Zones: s.Zones, Down: s.NotStarted, Durable: s.Durable,
-		Cores: 8, MemoryMB: 96, Sockets: 384, ConnectWithin: connectWithin, Idle: 30 * time.Second,
+		Cores: 8, MemoryMB: 96, Sockets: 384, ConnectWithin: connectWithin, IdleTimeout: 30 * time.Second,
 		Seed: int64(s.Seed), Program: program, Env: p.env, Proxies: p.network,
 		Cluster: &installation.Cluster{Seeds: 2, HealthReports: s.HealthReports, Counts: s.Counters, Limits: s.Limits, ShareTerm: s.ShareTerm, Rollout: s.Rollout},
 		Classes: []installation.Class{
--- a/internal/testbed/installation/gateway.go
+++ b/internal/testbed/installation/gateway.go
@@ -51,7 +51,7 @@
 			"fleetSize": p.Gateways, "me": g.index, "zones": p.Zones, "skus": []string{"std"}, "classes": p.classSettings(),
 			"familyInfo": p.familySettings(),
 			"limits": map[string]any{"cancel": true, "probes": true, "peerMessages": p.Cluster != nil, "maxAttempts": 4, "multiplex": 32,
-				"connectTimeoutUs": p.ConnectWithin.Microseconds(), "keepaliveUs": p.Idle.Microseconds(), "retryAfter": true,
+				"connectTimeoutUs": p.ConnectWithin.Microseconds(), "keepaliveUs": p.IdleTimeout.Microseconds(), "retryAfter": true,
 				"maxRetryAfterUs": (2 * time.Second).Microseconds()},
 			"rules":     p.ruleSettings(),
 			"penalties": map[string]any{"probe": 0.011},
@@ -73,7 +73,7 @@
 	for _, class := range p.Classes {
 		threads = append(threads, max(1, class.Threads))
 		loads = append(loads, class.Load)
-		blocked = append(blocked, class.HeldByLoads)
+		blocked = append(blocked, class.BlockedByLoads)
 	}
 	return map[string]any{"dop": threads, "kindCores": []float64{p.Cores}, "saysCost": true,
 		"loads": loads, "blockedByLoads": blocked, "progressPaceUs": p.Behavior.NoteInterval.Microseconds()}
--- a/internal/testbed/installation/installation.go
+++ b/internal/testbed/installation/installation.go
@@ -28,7 +28,7 @@
 	Effect           string  // idempotent, deduplicated or unrepeatable
 	Threads          int     // of one of its requests on an engine
 	Load             bool    // it loads tables, so that others wait for it
-	HeldByLoads      bool    // its requests wait for loads
+	BlockedByLoads   bool    // its requests wait for loads
 }
 
 // Plan is what an installation consists of.
@@ -42,7 +42,7 @@
 	MemoryMB       int // of a gateway
 	Sockets        int
 	ConnectWithin  time.Duration
-	Idle           time.Duration // after which engines close connections
+	IdleTimeout    time.Duration // after which engines close connections
 	Seed           int64
 	Program        string   // the gateway's; empty: magpiebank beside this program
 	ExtraArguments []string // arguments after serve --config FILE
--- a/internal/testbed/load/crashtest/crashtest.go
+++ b/internal/testbed/load/crashtest/crashtest.go
@@ -87,7 +87,7 @@
 
 func newInstallationPlan(plan *Plan) installation.Plan {
 	created := installation.Plan{Gateways: 1, Engines: 4, Zones: []string{"norte", "sur"}, Cores: 8, MemoryMB: 192, Sockets: 512,
-		ConnectWithin: 250 * time.Millisecond, Idle: 30 * time.Second, Seed: plan.Seed, Program: plan.Program,
+		ConnectWithin: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Seed: plan.Seed, Program: plan.Program,
 		Classes: []installation.Class{{Name: "look", LatencyObjective: time.Second, MaxWait: maxWait, Weight: 1, Effect: "idempotent", Threads: 1},
 			{Name: "load", LatencyObjective: 4 * time.Second, MaxWait: maxWait, Weight: 10, Effect: "unrepeatable", Threads: 1}},
 		Behavior: fake.EngineBehavior{Threads: 16, Cores: 8, Works: []fake.Work{{Class: "load", Rows: 2, Service: fake.ServiceTime{Kind: "exponential", Mean: loadService}},
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -185,7 +185,7 @@
 	plan := &installation.Plan{Gateways: o.Int("gateways", 1, 1, 64), Engines: o.Int("engines", 4, 1, 1000), Zones: o.Texts("zones"),
 		Cores: o.Number("cores", 8, 1, 1024), Classes: d.gatewayClasses, MemoryMB: int(o.Size("memory", 192<<20) >> 20),
 		Sockets: o.Int("sockets", 1024, 64, 1<<20), ConnectWithin: o.Duration("connect_within", 250*time.Millisecond),
-		Idle: o.Duration("idle", 30*time.Second), Seed: d.experiment.Seed, Program: o.Text("program", ""), ExtraArguments: o.Texts("arguments"),
+		IdleTimeout: o.Duration("idle", 30*time.Second), Seed: d.experiment.Seed, Program: o.Text("program", ""), ExtraArguments: o.Texts("arguments"),
 		Behavior: fake.EngineBehavior{Threads: o.Int("threads", 32, 1, 1<<16), MaxHeld: o.Int("most", 0, 0, 1<<20), Works: d.experiment.Works,
 			ColdSpeed: o.Fraction("cold", 0), WarmUp: o.Duration("warm", 0), NoteInterval: o.Duration("notes", 0)}}
 	plan.Behavior.Cores = plan.Cores
--- a/internal/testbed/load/experiment/read_load.go
+++ b/internal/testbed/load/experiment/read_load.go
@@ -25,7 +25,7 @@
 		MarkRetry: o.Bool("mark_retry", true)}
 	gatewayClass := installation.Class{Name: class.Name, LatencyObjective: class.LatencyObjective, MaxWait: class.MaxWait, Weight: o.Number("earnings", 1, 0, 1e6),
 		LateShare: o.Fraction("late", 0), Effect: o.OneOf("effect", "idempotent", "idempotent", "deduplicated", "unrepeatable"),
-		Threads: o.Int("threads", 1, 1, 64), Load: o.Bool("loads", false), HeldByLoads: o.Bool("held_by_loads", false)}
+		Threads: o.Int("threads", 1, 1, 64), Load: o.Bool("loads", false), BlockedByLoads: o.Bool("held_by_loads", false)}
 	class.Idempotent = o.Bool("repeat", gatewayClass.Effect == "idempotent")
 	if len(class.Statements) == 0 {
 		class.Statements = []string{defaultStatement}
--- a/internal/testbed/simcluster/quota_cluster.go
+++ b/internal/testbed/simcluster/quota_cluster.go
@@ -153,7 +153,7 @@
 	EqualEven   float64 // the same with fixed equal shares
 	EqualZipf   float64
 	EqualMoving float64
-	There       Time    // until nine tenths of the total are used at one member, after it was wanted there alone; below 0: they never were
+	BurstTime   Time    // until nine tenths of the total are used at one member, after it was wanted there alone; below 0: they never were
 	Bytes       float64 // a second a member, under moving demand
 	Messages    float64 // a request, under moving demand
 }
@@ -175,7 +175,7 @@
 		p.demand = 0
 	}
 	c.advance(3*second, func() {})
-	result.There = c.measureBurst(c.members[n/2])
+	result.BurstTime = c.measureBurst(c.members[n/2])
 	return result
 }
 
@@ -248,6 +248,6 @@
 	fmt.Fprintln(out, "members  even           Zipf           moving         all at one after s  bytes/s a member  messages a task")
 	for _, d := range list {
 		fmt.Fprintf(out, "%7d  %.3f (%.3f)  %.3f (%.3f)  %.3f (%.3f)  %18.2f  %16.0f  %15.2f\n", d.Members, d.Even, d.EqualEven, d.Zipf, d.EqualZipf, d.Moving, d.EqualMoving,
-			float64(d.There)/float64(admission.Second), d.Bytes, d.Messages)
+			float64(d.BurstTime)/float64(admission.Second), d.Bytes, d.Messages)
 	}
 }
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -321,7 +321,7 @@
 
 // Units are where the demand is also in a larger cluster, where a member hears of another only every few seconds: members not heard of lately are asked.
 func TestQuotaFollowsMovingDemand(t *testing.T) {
-	if d := MeasureQuota(100, 2); d.Zipf < 0.97 || d.Moving < 0.85 || d.There < 0 || d.There > second/2 || d.Messages > 8 {
+	if d := MeasureQuota(100, 2); d.Zipf < 0.97 || d.Moving < 0.85 || d.BurstTime < 0 || d.BurstTime > second/2 || d.Messages > 8 {
 		t.Errorf("%+v", d)
 	}
 }
