--- a/cmd/magpiebank-operator/digest.go
+++ b/cmd/magpiebank-operator/digest.go
@@ -17,7 +17,7 @@
 // traceFormat is the recording format that package trace reads. Package importer reads the others.
 const traceFormat = "trace"
 
-// digestOptions are the digest command's flags.
+// digestOptions holds the arguments of the command "digest".
 type digestOptions struct {
 	format        string // of the recording; empty: detected from its first bytes
 	operatorFile  string
--- a/cmd/magpiebank-operator/explain.go
+++ b/cmd/magpiebank-operator/explain.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// explainClass writes the class at a position of a plan, counted from 1; 0 means that the statement has no class.
+// explainClass writes the class at the position number in the plan, counted from 1; 0 means that the statement has no class.
 func explainClass(out io.Writer, plan *resourcegroup.Plan, number int) {
 	if number == 0 {
 		fmt.Fprintln(out, "class      none: no limits, all engines")
--- a/cmd/magpiebank-operator/policy.go
+++ b/cmd/magpiebank-operator/policy.go
@@ -38,7 +38,8 @@
 	c.Flags().StringVar(&g.control, "control", "", "the gateway's control socket; any gateway of the fleet will do")
 }
 
-// findSocket returns the path of the gateway's control socket. If neither flag names it, it is taken from a proposed file.
+// findSocket returns the path of the gateway's control socket. If no flag leads to one, it is taken from the first
+// proposed file that names one.
 func (g *gatewayAddress) findSocket(proposed ...string) (string, error) {
 	if g.control != "" {
 		return g.control, nil
--- a/cmd/magpiebank-operator/policydiff.go
+++ b/cmd/magpiebank-operator/policydiff.go
@@ -114,7 +114,8 @@
 	return lines
 }
 
-// listNamedDifferences lists the differences between two lists of named objects, including a difference in order only.
+// listNamedDifferences lists the differences between two lists of named objects. If both have the same names in a different order, it
+// lists that as well.
 func listNamedDifferences(path string, a, b []namedObject) (lines []string) {
 	namesA, namesB := objectNames(a), objectNames(b)
 	sameNames := slices.Equal(slices.Sorted(slices.Values(union(namesA, nil))), slices.Sorted(slices.Values(namesB)))
--- a/cmd/magpiebank-operator/policypropose.go
+++ b/cmd/magpiebank-operator/policypropose.go
@@ -20,7 +20,7 @@
 // progressInterval is the time between two requests for the progress of a proposal.
 const progressInterval = 500 * time.Millisecond
 
-// errNothingChanged is the error of a command whose proposal was decided against: the gateways work, but the policy is the same.
+// errNothingChanged marks the error of a command whose proposal failed: the gateways work, but the proposed change is not in force.
 var errNothingChanged = errors.New("nothing has changed")
 
 // proposeCommand returns the command "propose" or "rehearse", which proposes or rehearses the policy in a file.
--- a/cmd/magpiebank-operator/rules.go
+++ b/cmd/magpiebank-operator/rules.go
@@ -14,7 +14,7 @@
 	"magpiebank/internal/workload/source"
 )
 
-// rules are an operator's rules for this gateway and the file that they were read from. They implement cli.OperatorRules.
+// rules holds an operator's rules for this gateway and the file that they were read from. It implements cli.OperatorRules.
 type rules struct {
 	file    string
 	cluster *agent.Config // configuration in force; nil: the file has no field "fleet"
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -4,8 +4,8 @@
 
 import "sync"
 
-// Queue is an unbounded first-in, first-out queue of events with one consumer. Put may be called from any goroutine and
-// never blocks; Drain is for the consumer alone.
+// Queue is an unbounded first-in, first-out queue of events with one consumer. Any goroutine may call Put, which
+// never blocks. Only the consumer may call Drain.
 type Queue[E any] struct {
 	// Wake holds one value while events are queued, so that the consumer can select on it. A value may remain after
 	// Drain has handled the events that it announced.
@@ -25,11 +25,11 @@
 	q.mu.Unlock()
 	select {
 	case q.Wake <- struct{}{}:
-	default: // it is signalled already
+	default: // Wake already holds a value
 	}
 }
 
-// Drain handles the queued events in order, and those that are queued meanwhile, until the queue is empty.
+// Drain handles the queued events in order, including those that are queued in the meantime, until the queue is empty.
 func (q *Queue[E]) Drain(handle func(event E)) {
 	for {
 		q.mu.Lock()
--- a/internal/eventqueue/queue_test.go
+++ b/internal/eventqueue/queue_test.go
@@ -27,7 +27,7 @@
 	q := New[int]()
 	select {
 	case <-q.Wake:
-		t.Fatal("an empty queue signals")
+		t.Fatal("Wake holds a value though the queue is empty")
 	default:
 	}
 	q.Put(1)
@@ -54,7 +54,7 @@
 		q.Drain(func(event int) {
 			handled++
 			if producer, n := event/events, event%events; n != last[producer] {
-				t.Errorf("producer %d: event %d handled as its %dth", producer, n, last[producer])
+				t.Errorf("producer %d: event %d is handled in place of event %d", producer, n, last[producer])
 			}
 			last[event/events]++
 		})
--- a/internal/resourcegroup/class.go
+++ b/internal/resourcegroup/class.go
@@ -44,9 +44,9 @@
 	rejectedByQuota int64            // requests rejected since the last tick because the quota had no free waiting place
 }
 
-// Counts counts a class's requests and attempts since the class was added.
+// Counts holds the numbers of a class's requests and attempts since the class was added.
 type Counts struct {
-	Admitted     int64 // requests
+	Admitted     int64 // requests that were admitted
 	OverCapacity int64 // requests rejected because too many were waiting
 	Denied       int64 // requests rejected by a rule
 	Served       int64 // attempts whose work is known
@@ -84,7 +84,8 @@
 	return c.creditMillis > 0
 }
 
-// maxDebtSeconds limits a class's negative credit to the work of this many seconds, because an estimate can be far too high.
+// maxDebtSeconds limits a class's negative credit to the work of this many seconds at WorkMillisPerSecond, because an estimate can be
+// far too high.
 const maxDebtSeconds = 10
 
 // charge subtracts the estimated work of an attempt, in ms, from the credit.
--- a/internal/resourcegroup/intersect.go
+++ b/internal/resourcegroup/intersect.go
@@ -32,8 +32,8 @@
 	return out
 }
 
-// limitBy lowers the limits of a class to those of another class. The result is ClusterWide if either class is. It is rejected if either
-// class is, with the class's own RejectText if both have one.
+// limitBy lowers the limits of a class to those of another class. The class becomes ClusterWide if the other one is, and gets the other's
+// RejectText if it has none.
 func (c *Class) limitBy(other *Class) {
 	c.MaxThreads = lowerLimit(c.MaxThreads, other.MaxThreads)
 	c.WorkMillisPerSecond = lowerLimit(c.WorkMillisPerSecond, other.WorkMillisPerSecond)
--- a/internal/resourcegroup/limiter.go
+++ b/internal/resourcegroup/limiter.go
@@ -201,7 +201,7 @@
 		hasUnused = hasUnused || c.inUse && c.isUnused()
 		target := l.targetThreadLimit(c)
 		if c.threadLimit < target && now-c.limitChangedAt >= limitRaiseInterval {
-			// The minimum of one thread keeps a small limit from rising by fractions of a thread.
+			// With the minimum of one thread, a small limit rises in no more steps than a large one, and not by fractions of a thread.
 			c.threadLimit = min(target, c.threadLimit+max(1, c.MaxThreads/limitRaiseSteps))
 			c.limitChangedAt = now
 		}
--- a/internal/resourcegroup/limiter_test.go
+++ b/internal/resourcegroup/limiter_test.go
@@ -29,21 +29,21 @@
 	fmt.Fprintf(&s.trace, "%6d ms  %s\n", s.now/ms, fmt.Sprintf(format, args...))
 }
 
-func (s *script) SendAttempt(t admission.RequestID, e admission.EngineID, _, _ admission.Time) {
-	s.logf("  -> hand %s to %s", t, e)
-	if n := s.classNumbers[t]; n > 0 {
+func (s *script) SendAttempt(id admission.RequestID, engine admission.EngineID, _, _ admission.Time) {
+	s.logf("  -> hand %s to %s", id, engine)
+	if n := s.classNumbers[id]; n > 0 {
 		s.limiter.BeginAttempt(n, 2, 100)
 	}
-	s.inFlight[t] = true
+	s.inFlight[id] = true
 }
-func (s *script) RejectRequest(t admission.RequestID, _ admission.Time) { s.finish(t, "nack") }
-func (s *script) FailRequest(t admission.RequestID)                     { s.finish(t, "write off") }
-func (s *script) finish(t admission.RequestID, outcome string) {
-	s.logf("  -> %s %s", outcome, t)
-	if n := s.classNumbers[t]; n > 0 && !s.inFlight[t] {
+func (s *script) RejectRequest(id admission.RequestID, _ admission.Time) { s.finish(id, "nack") }
+func (s *script) FailRequest(id admission.RequestID)                     { s.finish(id, "write off") }
+func (s *script) finish(id admission.RequestID, outcome string) {
+	s.logf("  -> %s %s", outcome, id)
+	if n := s.classNumbers[id]; n > 0 && !s.inFlight[id] {
 		s.limiter.EndWaiting(n)
 	}
-	delete(s.classNumbers, t)
+	delete(s.classNumbers, id)
 }
 func (s *script) CancelAttempt(admission.RequestID, int)              {}
 func (s *script) SetAttemptOptions(admission.RequestID, float64, int) {}
--- a/internal/resourcegroup/plan.go
+++ b/internal/resourcegroup/plan.go
@@ -60,7 +60,7 @@
 	Tables            []TablePattern // the statement reads or writes a table that matches one of them
 	FullScan          *bool          // whether a full table scan is expected
 	HasLimit          *bool          // whether the statement has a LIMIT
-	Uncertain         *bool          // whether the estimate is unreliable, since the cost changed or data was loaded into the tables
+	Uncertain         *bool          // whether the estimate is unreliable, as the cost changed or a load ended on the tables recently
 	MinWorkMillis     float64        // lower limit of the usual work
 	MinUpperMillis    float64        // lower limit of the work that nine of ten executions stay under
 	MinMemoryMB       float64
--- a/internal/workload/clusterpolicy.go
+++ b/internal/workload/clusterpolicy.go
@@ -14,7 +14,7 @@
 	ActivePolicy() *agent.ActivePolicy
 	TryBeginWrite(policyRevision uint64, request admission.RequestID) bool
 	EndWrite(policyRevision uint64, request admission.RequestID)
-	RecordDecision(decision string, policyRevision uint64, request admission.RequestID, asOf int64)
+	RecordDecision(decision string, policyRevision uint64, request admission.RequestID, observedAt int64)
 	HistoryNow() int64
 }
 
@@ -39,7 +39,7 @@
 	applied         appliedPolicy
 	attemptRevision uint64 // policy revision of the last attempt that was allowed
 
-	counts          rollout.RequestCounts                 // since the policy was applied
+	counts          rollout.RequestCounts                 // since the current policy was applied here
 	undecided       int64                                 // requests rejected because it was unknown which policy applied to them
 	publishedCounts atomic.Pointer[rollout.RequestCounts] // read by any goroutine
 }
@@ -82,7 +82,8 @@
 	m.publishedCounts.Store(&counts)
 }
 
-// tickClusterPolicy applies the cluster's policy if it has changed since the last tick, and publishes the counts of requests.
+// tickClusterPolicy applies the cluster's policy and rehearsal if they have changed since the last tick, and publishes the counts of
+// requests.
 func (m *Manager) tickClusterPolicy(now admission.Time) {
 	active := m.policySource.ActivePolicy()
 	if policyRevision := active.PolicyRevisionAt(now); policyRevision != noPolicyRevision {
@@ -134,7 +135,7 @@
 
 // classifyByPolicy decides on a request by the cluster's policies.
 func (m *Manager) classifyByPolicy(now admission.Time, reader *StatementReader) (estimate admission.Estimate, overCapacity bool, rejectText string) {
-	asOf := m.policySource.HistoryNow()
+	observedAt := m.policySource.HistoryNow()
 	active := m.policySource.ActivePolicy()
 	policyRevision := active.PolicyRevisionAt(now)
 	if !samePolicies(active, reader.active) {
@@ -142,11 +143,11 @@
 	}
 	if isUndecided(active, policyRevision, reader) || policyRevision != noPolicyRevision && !m.applyPolicy(now, active, policyRevision) {
 		m.undecided++
-		m.policySource.RecordDecision(decisionUndecided, noPolicyRevision, "", asOf)
+		m.policySource.RecordDecision(decisionUndecided, noPolicyRevision, "", observedAt)
 		return admission.Estimate{}, true, ""
 	}
 	if policyRevision == noPolicyRevision { // no known policy has a class for the request
-		m.policySource.RecordDecision(decisionAdmitted, noPolicyRevision, "", asOf)
+		m.policySource.RecordDecision(decisionAdmitted, noPolicyRevision, "", observedAt)
 		return reader.estimate(), false, ""
 	}
 	m.updateRehearsal(now, active)
@@ -163,20 +164,20 @@
 	}
 	switch verdict {
 	case resourcegroup.Denied:
-		m.policySource.RecordDecision(decisionRejected, policyRevision, "", asOf)
+		m.policySource.RecordDecision(decisionRejected, policyRevision, "", observedAt)
 		return estimate, false, rejectionText(plan, reader.planClass, text)
 	case resourcegroup.OverCapacity:
-		m.policySource.RecordDecision(decisionOverCapacity, policyRevision, "", asOf)
+		m.policySource.RecordDecision(decisionOverCapacity, policyRevision, "", observedAt)
 		return estimate, true, ""
 	}
-	m.policySource.RecordDecision(decisionAdmitted, policyRevision, "", asOf)
+	m.policySource.RecordDecision(decisionAdmitted, policyRevision, "", observedAt)
 	estimate.PolicyClass = number
 	return estimate, false, ""
 }
 
-// isUndecided reports whether this gateway can't tell which rules apply to a request. If both the current and the proposed policy may be
-// in force at other gateways, that is so if they put the request into different classes. If no policy may be applied now, it is so if a
-// known policy has a class for the request, or if this gateway has not yet received the decided policy.
+// isUndecided reports whether this gateway can't tell which rules apply to a request, because either
+//   - the current or the proposed policy may be in force at other gateways, and they put the request into different classes; or
+//   - no policy may be applied now, and a known policy has a class for the request or the decided policy is still unknown here.
 func isUndecided(active *agent.ActivePolicy, policyRevision uint64, reader *StatementReader) bool {
 	if agent.CoversBothPolicies(policyRevision) {
 		current, proposed := &policyOf(active.Current).Plan, &policyOf(active.Proposed).Plan
@@ -186,7 +187,8 @@
 }
 
 // classOrUnclassified returns the position of the request's class in the plan extended by resourcegroup.UnclassifiedClass. A request
-// without a class gets that one if another policy has a class for it, so that AllowsAttempt checks the policies again before it is sent.
+// without a class gets UnclassifiedClass if another policy has a class for it, so that AllowsAttempt checks the policies again
+// before the request is sent.
 func (r *StatementReader) classOrUnclassified(plan *resourcegroup.Plan) int {
 	if r.planClass == 0 && r.anyPolicyApplies {
 		return len(plan.Classes) + 1
--- a/internal/workload/clusterpolicy_test.go
+++ b/internal/workload/clusterpolicy_test.go
@@ -149,8 +149,8 @@
 // A request that was admitted under one policy keeps its class until it ends. Its running attempt counts against the next policy's limits.
 func TestRequestsEndUnderThePolicyThatAdmittedThem(t *testing.T) {
 	manager, cluster, policy := newPolicyManager(t)
-	one, two := policy("loads:load:4 old:look:1"), policy("loads:load:2")
-	cluster.putInForce(1, one)
+	first, second := policy("loads:load:4 old:look:1"), policy("loads:load:2")
+	cluster.putInForce(1, first)
 	arrive := func(class int) admission.Estimate {
 		reader := manager.newReader()
 		reader.ReadStatement([]byte("SELECT 1"), class, 0)
@@ -165,7 +165,7 @@
 		t.Fatal("an attempt of 2 threads is not allowed under a limit of 4")
 	}
 	charged, _ := manager.RecordAttempt(a, 2)
-	cluster.putInForce(2, two)
+	cluster.putInForce(2, second)
 	if manager.AllowsAttempt(30, b.PolicyClass, 2) {
 		t.Error("an attempt is allowed though the limit of 2 threads is in use")
 	}
--- a/internal/workload/policy.go
+++ b/internal/workload/policy.go
@@ -36,10 +36,10 @@
 	return emptyPolicy
 }
 
-// className returns the name of the class at position n of the plan, counted from 1, or "" if there is none.
-func className(plan *resourcegroup.Plan, n int) string {
-	if n == 0 || n > len(plan.Classes) {
+// className returns the name of the class at a position of the plan, counted from 1, or "" if there is none.
+func className(plan *resourcegroup.Plan, position int) string {
+	if position == 0 || position > len(plan.Classes) {
 		return ""
 	}
-	return plan.Classes[n-1].Name
+	return plan.Classes[position-1].Name
 }
--- a/internal/workload/rehearsal.go
+++ b/internal/workload/rehearsal.go
@@ -40,11 +40,11 @@
 }
 
 // admit decides on a request by the rehearsed policy, and counts the verdict if it differs from inForce, the verdict by the policy in
-// force. n is the position of the request's class in the rehearsed policy. admit returns the ShadowClass for the request's estimate.
-func (r *rehearsal) admit(n int, inForce resourcegroup.Verdict) (shadowClass int) {
-	number, verdict, _ := r.limiter.Admit(n)
+// force. planClass is the position of the request's class in the rehearsed policy. admit returns the ShadowClass for the request's estimate.
+func (r *rehearsal) admit(planClass int, inForce resourcegroup.Verdict) (shadowClass int) {
+	number, verdict, _ := r.limiter.Admit(planClass)
 	r.counts.Requests++
-	if n > 0 {
+	if planClass > 0 {
 		r.counts.Classified++
 	}
 	if verdict != inForce {
--- a/internal/workload/requests.go
+++ b/internal/workload/requests.go
@@ -95,7 +95,7 @@
 	return m.policySource == nil || m.policySource.TryBeginWrite(policyRevision, request)
 }
 
-// EndWrite records that the attempt was written. The goroutine that wrote the attempt calls it.
+// EndWrite records that the write which BeginWrite permitted has ended. The goroutine that wrote the attempt calls it.
 func (m *Manager) EndWrite(policyRevision uint64, request admission.RequestID) {
 	if m.policySource != nil {
 		m.policySource.EndWrite(policyRevision, request)
--- a/internal/workload/source/statements.go
+++ b/internal/workload/source/statements.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// defaultMemoryBytes is small compared with the 48 MB that a gateway uses.
+	// defaultMemoryBytes is small compared with a gateway's 48 MB.
 	defaultMemoryBytes = 2 << 20
 	minMemoryBytes     = 64 << 10
 	maxMemoryBytes     = 1 << 30
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -219,9 +219,9 @@
 	g.endpoints[0].State = "Gone"
 	g.discovery.Publish(g.endpoints[0])
 	time.Sleep(300 * time.Millisecond)
-	began := time.Now()
-	if number, _ := g.query(200, "look", "SELECT a FROM actas_3.otra"); number != 1203 || time.Since(began) > 2*time.Second {
-		t.Errorf("pool without engines: error %d after %v, want 1203 within 2 s", number, time.Since(began))
+	started := time.Now()
+	if number, _ := g.query(200, "look", "SELECT a FROM actas_3.otra"); number != 1203 || time.Since(started) > 2*time.Second {
+		t.Errorf("pool without engines: error %d after %v, want 1203 within 2 s", number, time.Since(started))
 	}
 	if number, _ := g.query(201, "look", "SELECT nota FROM actas_3.mesas WHERE clave = 'x'"); number != 0 {
 		t.Errorf("look-up: error %d", number)
