--- a/internal/cluster/membership/core_test.go
+++ b/internal/cluster/membership/core_test.go
@@ -28,22 +28,22 @@
 	return m
 }
 
-// What is known of members after some statements doesn't depend on their order, nor on how often each comes.
+// The member records after a number of received records do not depend on the order of these, nor on how often each is received.
 func TestRecordsCountAlikeInAnyOrderAndNumber(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		said := rapid.SliceOfN(rapid.Custom(drawMember), 1, 12).Draw(t, "said")
-		other := slices.Clone(said)
-		other = append(other, rapid.SliceOf(rapid.SampledFrom(said)).Draw(t, "again")...)
-		order := rapid.Permutation(other).Draw(t, "order")
-		table := func(list []Member) string {
+		records := rapid.SliceOfN(rapid.Custom(drawMember), 1, 12).Draw(t, "said")
+		repeated := slices.Clone(records)
+		repeated = append(repeated, rapid.SliceOf(rapid.SampledFrom(records)).Draw(t, "again")...)
+		order := rapid.Permutation(repeated).Draw(t, "order")
+		membersAfter := func(list []Member) string {
 			c := newTestCore("self")
 			for _, m := range list {
-				c.learn(m)
+				c.applyRecord(m)
 			}
 			return fmt.Sprint(c.Members())
 		}
-		if a, b := table(said), table(order); a != b {
-			t.Fatalf("%s\n%s", a, b)
+		if a, b := membersAfter(records), membersAfter(order); a != b {
+			t.Fatalf("members in the first order:\n%s\nin another order and with duplicates:\n%s", a, b)
 		}
 	})
 }
@@ -51,7 +51,7 @@
 func TestMessagesAreReadAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := message{kind: kind(rapid.IntRange(1, 3).Draw(t, "kind")), sequence: rapid.Uint32().Draw(t, "seq"), from: drawMember(t),
-			about: rapid.StringN(0, 8, maxName).Draw(t, "about"), target: rapid.StringN(0, 8, maxAddress).Draw(t, "target"),
+			about: rapid.StringN(0, 8, maxNameBytes).Draw(t, "about"), target: rapid.StringN(0, 8, maxAddressBytes).Draw(t, "target"),
 			full: rapid.Bool().Draw(t, "full")}
 		w := newWriter(m)
 		for _, s := range rapid.SliceOfNDistinct(rapid.Custom(drawMember), 0, 3, func(m Member) string { return m.Name }).Draw(t, "said") {
@@ -61,12 +61,12 @@
 		}
 		got, err := decode(w.bytes())
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(m) {
-			t.Fatalf("%v\n%v\n%v", err, m, got)
+			t.Fatalf("error %v\nencoded %v\ndecoded %v", err, m, got)
 		}
 	})
 }
 
-// Whatever comes, a message is read whole or not at all, and takes no more room than its own length.
+// Guards against invalid messages that are applied in part, and against messages that add more members than fit into one message.
 func FuzzHandleMessage(f *testing.F) {
 	w := newWriter(message{kind: kindPing, sequence: 7, from: Member{Name: "b", Incarnation: 3, Address: "x:1"}, about: "a"})
 	w.add(&Member{Name: "c", Incarnation: 9, State: Suspect, Accuser: "b", Address: "y:1"})
@@ -76,21 +76,21 @@
 		c := newTestCore("a")
 		err := c.HandleMessage(1, b)
 		if n := len(c.Members()); err != nil && n > 0 || n > 256 {
-			t.Fatalf("%v, %d members", err, n)
+			t.Fatalf("error %v, but %d members", err, n)
 		}
 		c.Tick(ProbeInterval)
 	})
 }
 
-// A state table that many names are pushed into stays bounded.
+// The number of members stays limited, however many names are received.
 func TestTableStaysBounded(t *testing.T) {
 	c := newTestCore("self")
 	for i := range 5000 {
-		c.learn(Member{Name: fmt.Sprint("m", i), Incarnation: 1, State: Dead, Address: "x"})
+		c.applyRecord(Member{Name: fmt.Sprint("m", i), Incarnation: 1, State: Dead, Address: "x"})
 	}
 	c.Tick(1)
 	if n := len(c.Members()); n > maxMembers {
-		t.Errorf("%d members are kept", n)
+		t.Errorf("%d members are stored, more than the limit", n)
 	}
 }
 
