--- a/cmd/magpiebank-operator/policydiff.go
+++ b/cmd/magpiebank-operator/policydiff.go
@@ -16,7 +16,7 @@
 
 func policyShowCommand() *cobra.Command {
 	var gateway gatewayAddress
-	c := &cobra.Command{Use: "show N", Short: "Print the policy with a number", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "show N", Short: "Print the policy that has the given number", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			policy, err := gateway.readPolicy(c, args[0])
 			if err != nil {
--- a/cmd/magpiebank-operator/policypropose.go
+++ b/cmd/magpiebank-operator/policypropose.go
@@ -86,7 +86,7 @@
 	reporter.Wait()
 	switch {
 	case err != nil:
-		return fmt.Errorf("%w; it is unknown whether the policy is in force: repeat the command with --id %016x to learn that", err, request.ID)
+		return fmt.Errorf("%w; the result of the proposal is unknown: repeat the command with --id %016x to learn it", err, request.ID)
 	case reply.Error != "":
 		return errors.New(reply.Error)
 	}
--- a/cmd/magpiebank-operator/policystatus.go
+++ b/cmd/magpiebank-operator/policystatus.go
@@ -78,7 +78,7 @@
 				return err
 			}
 			status := reply.Status
-			fmt.Fprintf(c.OutOrStdout(), "%s starts a new log with policy number %d; it grants no lease until all earlier leases have expired\n", status.Name, status.Number)
+			fmt.Fprintf(c.OutOrStdout(), "%s starts a new log from the policy that it has, number %d; it grants no lease until all earlier leases have expired\n", status.Name, status.Number)
 			return nil
 		}}
 	gateway.addFlags(c)
