--- a/internal/resourcegroup/limiter_test.go
+++ b/internal/resourcegroup/limiter_test.go
@@ -11,39 +11,39 @@
 	"magpiebank/internal/admission"
 )
 
-var updateTraces = flag.Bool("keep", false, "write the kept traces anew")
+var updateTraces = flag.Bool("keep", false, "overwrite the expected traces in testdata")
 
 const ms, second = admission.Millisecond, admission.Second
 
-// script runs a limiter together with the controller of package admission, and records what happens.
+// script runs a limiter together with the controller of package admission, and records a trace of calls and decisions.
 type script struct {
 	*admission.Controller
-	limiter  *Limiter
-	now      admission.Time
-	trace    strings.Builder
-	classOf  map[admission.RequestID]int // numbers of admitted requests' classes
-	inFlight map[admission.RequestID]bool
+	limiter      *Limiter
+	now          admission.Time
+	trace        strings.Builder
+	classNumbers map[admission.RequestID]int // the limiter's class numbers of admitted requests
+	inFlight     map[admission.RequestID]bool
 }
 
 func (s *script) logf(format string, args ...any) {
 	fmt.Fprintf(&s.trace, "%6d ms  %s\n", s.now/ms, fmt.Sprintf(format, args...))
 }
 
-func (s *script) SendAttempt(t admission.RequestID, e admission.EngineID, _, _ admission.Time) {
-	s.logf("  -> hand %s to %s", t, e)
-	if n := s.classOf[t]; n > 0 {
+func (s *script) SendAttempt(id admission.RequestID, engine admission.EngineID, _, _ admission.Time) {
+	s.logf("  -> hand %s to %s", id, engine)
+	if n := s.classNumbers[id]; n > 0 {
 		s.limiter.BeginAttempt(n, 2, 100)
 	}
-	s.inFlight[t] = true
+	s.inFlight[id] = true
 }
-func (s *script) RejectRequest(t admission.RequestID, _ admission.Time) { s.finish(t, "nack") }
-func (s *script) FailRequest(t admission.RequestID)                     { s.finish(t, "write off") }
-func (s *script) finish(t admission.RequestID, how string) {
-	s.logf("  -> %s %s", how, t)
-	if n := s.classOf[t]; n > 0 && !s.inFlight[t] {
+func (s *script) RejectRequest(id admission.RequestID, _ admission.Time) { s.finish(id, "nack") }
+func (s *script) FailRequest(id admission.RequestID)                     { s.finish(id, "write off") }
+func (s *script) finish(id admission.RequestID, outcome string) {
+	s.logf("  -> %s %s", outcome, id)
+	if n := s.classNumbers[id]; n > 0 && !s.inFlight[id] {
 		s.limiter.EndWaiting(n)
 	}
-	delete(s.classOf, t)
+	delete(s.classNumbers, id)
 }
 func (s *script) CancelAttempt(admission.RequestID, int)              {}
 func (s *script) SetAttemptOptions(admission.RequestID, float64, int) {}
@@ -51,7 +51,7 @@
 func (s *script) ReportObservation(admission.EngineID, admission.Observation, admission.Report, float64) {
 }
 func (s *script) SubscribeEndpoints() {}
-func (s *script) HasSlowStartCapacity(admission.EngineID, float64) (room, shared bool) {
+func (s *script) HasSlowStartCapacity(admission.EngineID, float64) (hasCapacity, shared bool) {
 	return false, false
 }
 func (s *script) ScheduleTick(admission.Time) {}
@@ -61,9 +61,9 @@
 	return admission.Endpoint{Engine: admission.EngineID(name), Zone: zone}
 }
 
-// newScript starts with engines a1 and a2 in zone 0 and b1 in zone 1, and a plan.
+// newScript returns a script with a plan, and with the engines a1 and a2 in zone 0 and b1 in zone 1.
 func newScript(p *Plan) *script {
-	s := &script{classOf: map[admission.RequestID]int{}, inFlight: map[admission.RequestID]bool{}}
+	s := &script{classNumbers: map[admission.RequestID]int{}, inFlight: map[admission.RequestID]bool{}}
 	limiter, err := New(0, p, []float64{4}, []string{"norte", "sur"}, []string{"std"})
 	if err != nil {
 		panic(err)
@@ -76,16 +76,16 @@
 	return s
 }
 
-func (s *script) updateEndpoints(form admission.UpdateKind, l ...admission.Endpoint) {
-	s.limiter.UpdateEndpoints(s.now, form, l)
-	s.UpdateEndpoints(s.now, form, l)
+func (s *script) updateEndpoints(kind admission.UpdateKind, list ...admission.Endpoint) {
+	s.limiter.UpdateEndpoints(s.now, kind, list)
+	s.UpdateEndpoints(s.now, kind, list)
 }
 
 func (s *script) setState(name string, zone int, state admission.EndpointState) {
-	l := newEndpoint(name, zone)
-	l.State = state
+	endpoint := newEndpoint(name, zone)
+	endpoint.State = state
 	s.logf("%s is %s", name, [...]string{"live", "draining", "gone"}[state])
-	s.updateEndpoints(admission.PartialUpdate, l)
+	s.updateEndpoints(admission.PartialUpdate, endpoint)
 }
 
 func (s *script) advanceTo(t admission.Time) {
@@ -97,10 +97,10 @@
 	s.now = t
 }
 
-// arrive has a request of the plan's n-th class arrive.
-func (s *script) arrive(id admission.RequestID, n int) {
-	s.logf("%s arrives, class %d of the plan", id, n)
-	number, verdict, rejectText := s.limiter.Admit(n)
+// arrive passes a request to the limiter and, if admitted, to the controller. planClass is the position of its class in the plan, from 1.
+func (s *script) arrive(id admission.RequestID, planClass int) {
+	s.logf("%s arrives, class %d of the plan", id, planClass)
+	number, verdict, rejectText := s.limiter.Admit(planClass)
 	switch verdict {
 	case Denied:
 		s.logf("  -> refuse: %s", rejectText)
@@ -109,19 +109,19 @@
 		s.logf("  -> nack, crowded")
 		return
 	}
-	s.classOf[id] = number
+	s.classNumbers[id] = number
 	s.HandleRequest(s.now, admission.Request{ID: id, Deadline: s.now + 10*second, Estimate: admission.Estimate{PolicyClass: number}})
 }
 
-func (s *script) endAttempt(id admission.RequestID, how admission.Outcome, cost float64) {
-	s.logf("%s ends: %s", id, map[admission.Outcome]string{admission.Served: "delivered", admission.Reset: "reset"}[how])
-	if n := s.classOf[id]; n > 0 {
-		s.limiter.EndAttempt(n, 2, 100, cost, how != admission.Served)
+func (s *script) endAttempt(id admission.RequestID, outcome admission.Outcome, cost float64) {
+	s.logf("%s ends: %s", id, map[admission.Outcome]string{admission.Served: "delivered", admission.Reset: "reset"}[outcome])
+	if n := s.classNumbers[id]; n > 0 {
+		s.limiter.EndAttempt(n, 2, 100, cost, outcome != admission.Served)
 	}
 	s.inFlight[id] = false
-	s.HandleAttemptEnd(s.now, admission.AttemptResult{Request: id, Outcome: how, Answered: how == admission.Served, Report: admission.NoReport})
-	if how == admission.Served {
-		delete(s.classOf, id)
+	s.HandleAttemptEnd(s.now, admission.AttemptResult{Request: id, Outcome: outcome, Answered: outcome == admission.Served, Report: admission.NoReport})
+	if outcome == admission.Served {
+		delete(s.classNumbers, id)
 	}
 }
 
@@ -142,18 +142,18 @@
 var northPool = []Pool{{Name: "n", Zones: []string{"norte"}}}
 
 var scripts = map[string]func() *script{
-	"limit": func() *script { // two of a class run at a time, the others in order; a third one that waits is rejected at once
+	"limit": func() *script { // at most two requests run, the others wait in order; a third waiting request is rejected at once
 		s := newScript(&Plan{Classes: []Class{{Name: "scan", MaxThreads: 4, MaxWaiting: 2}}})
 		for _, id := range []admission.RequestID{"t1", "t2", "t3", "t4", "t5"} {
 			s.arrive(id, 1)
 		}
 		s.arrive("other", 0)
 		s.endAttempt("t1", admission.Served, 80)
-		s.endAttempt("t2", admission.Reset, 0) // it waits again, ahead of the one that arrived later
+		s.endAttempt("t2", admission.Reset, 0) // t2 waits again, ahead of t4, which arrived later
 		s.logStates()
 		return s
 	},
-	"lowered": func() *script { // a limit lowered below what runs lets nothing start until enough has ended
+	"lowered": func() *script { // with a limit lowered below the running threads, nothing starts until enough attempts have ended
 		s := newScript(&Plan{Classes: []Class{{Name: "scan", MaxThreads: 8}}})
 		for _, id := range []admission.RequestID{"t1", "t2", "t3", "t4", "t5"} {
 			s.arrive(id, 1)
@@ -166,7 +166,7 @@
 		s.logStates()
 		return s
 	},
-	"pool gone": func() *script { // a class whose pool has no engine waits and is not sent elsewhere; no other request is rejected for it
+	"pool gone": func() *script { // requests of a pool without engines wait and use no other engine, and cause no rejection of other requests
 		s := newScript(&Plan{Pools: northPool, Classes: []Class{{Name: "scan", Pool: "n"}}})
 		s.arrive("t1", 1)
 		s.setState("a1", 0, admission.Draining)
@@ -185,7 +185,7 @@
 		s.logStates()
 		return s
 	},
-	"limits by engines": func() *script { // limits fall at once with the pool's engines, and rise by steps
+	"limits by engines": func() *script { // limits fall at once when the pool loses engines, and rise in steps
 		s := newScript(&Plan{Pools: northPool, Classes: []Class{{Name: "scan", Pool: "n", MaxThreads: 16}}})
 		s.logStates()
 		s.setState("a1", 0, admission.Gone)
@@ -198,7 +198,7 @@
 		}
 		return s
 	},
-	"work a second": func() *script { // work beyond the estimate becomes debt; credit that is not used for a second is lost
+	"work a second": func() *script { // work beyond the estimate makes the credit negative; credit is limited to one second's work
 		s := newScript(&Plan{Classes: []Class{{Name: "scan", WorkMillisPerSecond: 150}}})
 		s.advanceTo(5 * second)
 		for _, id := range []admission.RequestID{"t1", "t2", "t3"} {
@@ -209,7 +209,7 @@
 		s.advanceTo(8500 * ms)
 		return s
 	},
-	"renewed": func() *script { // a plan is replaced completely or not at all; classes of the earlier plan remain until their requests have ended
+	"renewed": func() *script { // a plan is replaced completely or not at all; earlier classes remain until their requests have ended
 		s := newScript(&Plan{Pools: northPool, Classes: []Class{{Name: "scan", Pool: "n", MaxThreads: 2}, {Name: "never", RejectText: "a whole table"}}})
 		s.arrive("t1", 1)
 		s.arrive("t2", 1)
@@ -228,7 +228,7 @@
 		s.logf("%d pools", len(s.limiter.pools)-1)
 		return s
 	},
-	"distrusted pool": func() *script { // a fault that all engines of a pool have ejects none of them, though engines outside are sound
+	"distrusted pool": func() *script { // requests use the pool's engines even if all are ejected, though others work
 		s := newScript(&Plan{Pools: northPool, Classes: []Class{{Name: "scan", Pool: "n"}}})
 		for _, id := range []admission.RequestID{"t1", "t2", "t3", "t4"} {
 			s.arrive(id, 1)
@@ -247,7 +247,7 @@
 	}
 }
 
-// compareTrace compares a script's trace with the kept one, or with the flag -keep writes it anew.
+// compareTrace compares a script's trace with the expected one in testdata, or overwrites that one if the flag -keep is set.
 func compareTrace(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".txt")
