--- a/internal/workload/source/fleet.go
+++ b/internal/workload/source/cluster.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// defaultBytesPerSecond bounds what a gateway sends to the others: a hundred bytes on each of five hundred engines, four times
-	// a second.
+	// defaultBytesPerSecond limits what a gateway sends to the other gateways. It is enough for a hundred bytes on each of five hundred
+	// engines, four times a second.
 	defaultBytesPerSecond = 200 << 10
 	minBytesPerSecond     = 1 << 10
 	maxBytesPerSecond     = 1 << 30
 
-	// defaultLease is how long a gateway acts on its policy without hearing of the leader. A leader that dies is replaced within
-	// two seconds.
+	// defaultLease is the time for which a gateway applies its policy without contact to the leader. It is longer than the two seconds
+	// within which a failed leader is replaced.
 	defaultLease = 3 * time.Second
-	// defaultProposalTimeout is how long a change waits for a gateway that does not take it. Others take it within some tenths of
-	// a second.
+	// defaultProposalTimeout is the time for which a proposal waits for a gateway that doesn't confirm it. Gateways normally confirm
+	// within some tenths of a second.
 	defaultProposalTimeout = 5 * time.Second
-	// defaultQuotaTerm is how long a gateway that hears nothing uses its share: longer than a restart of the network's devices.
+	// defaultQuotaTerm is the time for which a gateway without contact to the voters uses its share of a quota. It is longer than a restart
+	// of network devices.
 	defaultQuotaTerm = time.Minute
 )
 
-// readFleet reads how the gateways of a fleet communicate.
-func readFleet(object *configfile.Object) *agent.Config {
-	fleet := &agent.Config{
+// readCluster reads the field "fleet": how the gateways of the cluster communicate.
+func readCluster(object *configfile.Object) *agent.Config {
+	cluster := &agent.Config{
 		Listen:         object.RequiredText("listen"),
 		Advertise:      object.Text("advertise", ""),
 		Seeds:          object.Texts("seeds"),
@@ -39,39 +40,39 @@
 		ShareHealth:    object.Bool("judgements", true),
 		ShareCounters:  object.Bool("counts", false),
 	}
-	checkAddresses(object, fleet)
+	checkAddresses(object, cluster)
 	if policy := object.Object("policy"); policy != nil {
-		fleet.Policy = readFleetPolicy(policy)
+		cluster.Policy = readClusterPolicy(policy)
 	}
-	if fleet.BytesPerSecond < minBytesPerSecond || fleet.BytesPerSecond > maxBytesPerSecond {
+	if cluster.BytesPerSecond < minBytesPerSecond || cluster.BytesPerSecond > maxBytesPerSecond {
 		object.Reject("bytes_per_second", `a size from "1kB" to "1GB"`)
 	}
 	if budgets := object.Object("budgets"); budgets != nil {
-		fleet.Quota = readQuota(budgets, fleet.Policy != nil)
+		cluster.Quota = readQuota(budgets, cluster.Policy != nil)
 	}
-	return fleet
+	return cluster
 }
 
-func checkAddresses(object *configfile.Object, fleet *agent.Config) {
-	listen, err := netip.ParseAddrPort(fleet.Listen)
-	if fleet.Listen != "" && err != nil {
+func checkAddresses(object *configfile.Object, cluster *agent.Config) {
+	listen, err := netip.ParseAddrPort(cluster.Listen)
+	if cluster.Listen != "" && err != nil {
 		object.Reject("listen", `an address and port, as in "10.0.0.3:7100"`)
 	}
 	if object.HasField("advertise") {
-		if _, err := netip.ParseAddrPort(fleet.Advertise); err != nil {
+		if _, err := netip.ParseAddrPort(cluster.Advertise); err != nil {
 			object.Reject("advertise", `an address and port that the others reach, as in "10.0.0.3:7100"`)
 		}
 	} else if err == nil && listen.Addr().IsUnspecified() {
 		object.Reject("listen", "an address of this machine, or advertise with the one that the others reach")
 	}
-	for _, seed := range fleet.Seeds {
+	for _, seed := range cluster.Seeds {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
 			object.Reject("seeds", "addresses and ports, of which "+seed+" is none")
 		}
 	}
 }
 
-func readFleetPolicy(object *configfile.Object) *agent.PolicyConfig {
+func readClusterPolicy(object *configfile.Object) *agent.PolicyConfig {
 	policy := &agent.PolicyConfig{
 		Voters:          object.Texts("voters"),
 		Folder:          object.Text("folder", ""),
@@ -90,8 +91,9 @@
 	return policy
 }
 
-// readQuota reads how gateways share budgets. Where the fleet decides on policies, the totals have the number of the policy.
-func readQuota(object *configfile.Object, hasFleetPolicy bool) *agent.QuotaConfig {
+// readQuota reads how gateways share budgets. If the cluster decides on policies, the revision of the totals follows the policy's number
+// and the file must not set one.
+func readQuota(object *configfile.Object, hasClusterPolicy bool) *agent.QuotaConfig {
 	quota := &agent.QuotaConfig{
 		Voters:    object.Texts("keepers"),
 		ShareTerm: object.Duration("term", defaultQuotaTerm),
@@ -104,9 +106,9 @@
 	if quota.ShareTerm < time.Second || quota.ShareTerm > time.Hour {
 		object.Reject("term", `a time from "1s" to "1h"`)
 	}
-	if object.HasField("number") && hasFleetPolicy {
+	if object.HasField("number") && hasClusterPolicy {
 		object.Reject("number", "none where there is fleet.policy: totals follow the policy's number")
-	} else if hasFleetPolicy {
+	} else if hasClusterPolicy {
 		quota.Revision = 0
 	}
 	quota.SlowStart = object.Bool("cold", false)
--- a/internal/workload/source/source_test.go
+++ b/internal/workload/source/source_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Errors of files, and what two sound files say.
+// Errors in files, and the results of two valid files.
 func ExampleParse() {
 	for _, text := range []string{
 		"{ statments: {} }",
@@ -20,11 +20,11 @@
 		}
 		fmt.Println(f.Statements != nil)
 		if f.Statements != nil {
-			b := f.Statements.NewCostModel(1)
+			model := f.Statements.NewCostModel(1)
 			for _, sql := range []string{"SELECT a FROM actas_3.mesas WHERE clave = 1", "SELECT a FROM actas_3.mesas WHERE nota = 1",
 				"SELECT a FROM actas_3.otra WHERE nota = 1"} {
-				look := b.Inspect([]byte(sql), 3, 0)
-				e := b.Estimate(&look)
+				query := model.Inspect([]byte(sql), 3, 0)
+				e := model.Estimate(&query)
 				fmt.Printf("%-45s full %q\n", sql, e.FullScan)
 			}
 		}
@@ -57,7 +57,7 @@
 	// SELECT a FROM actas_3.otra WHERE nota = 1     full ""
 }
 
-// The file's part on the fleet.
+// Errors in the field "fleet", and the result of a valid one.
 func ExampleParse_fleet() {
 	for _, text := range []string{
 		"{ fleet: { listen: '7100', seeds: ['g1'],\n bytes_per_second: '2' } }",
@@ -71,7 +71,7 @@
 			fmt.Println(err)
 			continue
 		}
-		fmt.Printf("%+v\n", *f.Fleet)
+		fmt.Printf("%+v\n", *f.Cluster)
 	}
 	// Output:
 	// operator.jsonnet:1: fleet.key: expected a text, found nothing
