--- a/internal/storage/store/model_test.go
+++ b/internal/storage/store/model_test.go
@@ -11,15 +11,15 @@
 	"magpiebank/internal/storage/store"
 )
 
-// storeModel has a store and what is expected of it.
+// storeModel is the state of a model-based test: a store, its folder and the values that the store may have.
 type storeModel struct {
 	folder   *faultfs.Folder
 	store    *store.Store
 	expected *expectation
-	writes   int
+	writes   int // number of values written, which makes each value unique
 }
 
-// open checks the folder and opens the store.
+// open checks the folder against the expectation and opens the store.
 func (m *storeModel) open(t *rapid.T) {
 	t.Helper()
 	if err := m.expected.check(m.folder); err != nil {
@@ -32,10 +32,10 @@
 	m.store = opened
 }
 
-// write writes a value, or deletes it if it is empty, and waits for that or not.
+// write writes a value, or deletes the key if the value is empty. If wait is true, it waits until the write is durable.
 func (m *storeModel) write(t *rapid.T, id store.Key, value string, wait bool) {
 	t.Helper()
-	m.expected.noteWritten(id, value)
+	m.expected.recordWritten(id, value)
 	var durable chan error
 	var done func(error)
 	if wait {
@@ -53,7 +53,7 @@
 	if err := <-durable; err != nil {
 		t.Fatal(err)
 	}
-	m.expected.noteDurable(id)
+	m.expected.recordDurable(id)
 }
 
 func drawKey(t *rapid.T) store.Key { return key(rapid.IntRange(0, 20).Draw(t, "id")) }
@@ -75,19 +75,19 @@
 		t.Fatal(err)
 	}
 	for id := range m.expected.allowed {
-		m.expected.noteDurable(id)
+		m.expected.recordDurable(id)
 	}
 	m.open(t)
 }
 
 func (m *storeModel) losePower(t *rapid.T) {
 	bits := rapid.Uint64().Draw(t, "kept")
-	left := m.folder.AfterPowerLoss(func(part int) bool { return bits>>(part%64)&1 == 1 }, rapid.IntRange(-1, 500).Draw(t, "tear"))
+	crashState := m.folder.AfterPowerLoss(func(part int) bool { return bits>>(part%64)&1 == 1 }, rapid.IntRange(-1, 500).Draw(t, "tear"))
 	old := m.store
-	m.folder = left
+	m.folder = crashState
 	m.open(t)
 	closeAfterFault(old)
-	for id := range m.expected.allowed { // what is there now stays
+	for id := range m.expected.allowed { // the values that survived are durable
 		value, _, err := m.store.Get(id)
 		if err != nil {
 			t.Fatal(err)
@@ -96,7 +96,7 @@
 	}
 }
 
-// The store has what a map has after writes, deletions, power losses and restarts in any order.
+// After any sequence of writes, deletions, power losses and restarts, the store has only values that the expectation allows.
 func TestStoreAgainstModel(t *testing.T) {
 	if err := flag.Set("rapid.seed", "11"); err != nil {
 		t.Fatal(err)
--- a/internal/storage/store/repair.go
+++ b/internal/storage/store/repair.go
@@ -6,21 +6,23 @@
 	"slices"
 )
 
-// lostSuffix is appended to the names of files that keep what a repair removes.
+// lostSuffix is appended to the name of a file to form the name of its backup, which a repair makes before it removes bytes.
 const lostSuffix = ".lost"
 
-// maxRepairs bounds the places that one call repairs: the manifest and the log may both be corrupt.
+// maxRepairs limits how many corrupt places one call of Repair processes. Repair inspects the folder again after each of them.
 const maxRepairs = 3
 
 // Errors of a repair.
 var (
-	ErrNoManifest   = errors.New("a folder without its manifest can't be repaired; begin with an empty one")
-	ErrStillCorrupt = errors.New("it is still damaged")
+	// ErrNoManifest means that the manifest is missing or corrupt, so that the owner and the beginning of the log are unknown.
+	ErrNoManifest = errors.New("a folder without a valid manifest can't be repaired; start with an empty folder")
+	// ErrStillCorrupt means that maxRepairs repairs were not enough.
+	ErrStillCorrupt = errors.New("the folder is still corrupt")
 )
 
-// Repair returns what a corrupt folder must lose to be read again, a line each: everything from the corrupt place on. If drop
-// is true, it removes that, and keeps the removed bytes in files whose names end in ".lost". A folder that is not corrupt
-// loses nothing.
+// Repair determines what has to be removed from a corrupt folder to make it readable again: everything from the first corrupt place to
+// the end of the log. It returns one line per affected file. If drop is true, it removes these bytes and keeps a copy in files whose
+// names end in ".lost". For a folder that isn't corrupt, Repair returns no lines and removes nothing.
 func Repair(folder Folder, drop bool) (lost []string, err error) {
 	for range maxRepairs {
 		_, err := Inspect(folder, func(Key, []byte, bool) {})
@@ -36,14 +38,14 @@
 		if err != nil || !drop {
 			return lost, err
 		}
-		if err := reopenManifest(folder); err != nil {
+		if err := clearClosedAtSequence(folder); err != nil {
 			return lost, err
 		}
 	}
 	return lost, ErrStillCorrupt
 }
 
-// repairOnce lists, and with drop removes, everything from a corrupt place on.
+// repairOnce lists everything from a corrupt place to the end of the log, and removes it if drop is true.
 func repairOnce(folder Folder, corruption *CorruptionError, drop bool) (lost []string, err error) {
 	names, err := folder.Names()
 	if err != nil {
@@ -51,19 +53,19 @@
 	}
 	if corruption.File == manifestName {
 		if slices.Contains(names, manifestName) || len(names) > 1 {
-			lost = append(lost, fmt.Sprintf("%v: without it nothing says whose the log is and where it begins; all is lost", corruption))
+			lost = append(lost, fmt.Sprintf("%v: without the manifest the log's owner and beginning are unknown; the whole log is lost", corruption))
 		}
 		return lost, ErrNoManifest
 	}
-	firstLost, _ := segmentNumber(corruption.File)
+	corruptNumber, _ := segmentNumber(corruption.File)
 	for _, name := range names {
 		number, ok := segmentNumber(name)
-		if !ok || number < firstLost {
+		if !ok || number < corruptNumber {
 			continue
 		}
 		line := fmt.Sprintf("%s: all of it", name)
-		if number == firstLost && corruption.Offset >= segmentHeaderSize {
-			line, err = loseTail(folder, corruption, name, drop)
+		if number == corruptNumber && corruption.Offset >= segmentHeaderSize {
+			line, err = repairSegmentTail(folder, corruption, name, drop)
 		} else if drop {
 			err = folder.Rename(name, name+lostSuffix)
 		}
@@ -77,21 +79,22 @@
 	return lost, nil
 }
 
-// loseTail describes, and with drop removes, what follows the corrupt place of a segment.
-func loseTail(folder Folder, corruption *CorruptionError, name string, drop bool) (line string, err error) {
+// repairSegmentTail returns a description of the bytes from the corrupt place to the end of a segment, and removes them if drop is true.
+func repairSegmentTail(folder Folder, corruption *CorruptionError, name string, drop bool) (line string, err error) {
 	b, err := readFile(folder, name)
 	if err != nil {
 		return "", err
 	}
 	line = fmt.Sprintf("%v; %d bytes from there on", corruption, int64(len(b))-corruption.Offset)
 	if drop {
-		err = cutFile(folder, name, b, corruption.Offset)
+		err = truncateWithBackup(folder, name, b, corruption.Offset)
 	}
 	return line, err
 }
 
-// reopenManifest notes that the store is not closed: records that were there when it was closed are not any more.
-func reopenManifest(folder Folder) error {
+// clearClosedAtSequence clears closedAtSequence in the manifest. After a repair, records that existed when the store was closed are
+// missing, which the recovery would otherwise report as corruption.
+func clearClosedAtSequence(folder Folder) error {
 	m, err := readManifest(folder)
 	if err != nil {
 		return err
@@ -102,17 +105,18 @@
 	return s.writeManifest()
 }
 
-// cutFile truncates a file with the given content to a size in bytes, once a copy of all of it is synced beside it.
-func cutFile(folder Folder, name string, content []byte, size int64) error {
-	lost, err := folder.Create(name + lostSuffix)
+// truncateWithBackup truncates a file with the given content to a size in bytes, after it has written and synced a copy of the whole
+// content in the same folder.
+func truncateWithBackup(folder Folder, name string, content []byte, size int64) error {
+	backup, err := folder.Create(name + lostSuffix)
 	if err != nil {
 		return err
 	}
-	_, err = lost.Write(content)
+	_, err = backup.Write(content)
 	if err == nil {
-		err = lost.Sync()
+		err = backup.Sync()
 	}
-	err = errors.Join(err, lost.Close(), folder.SyncNames())
+	err = errors.Join(err, backup.Close(), folder.SyncNames())
 	if err != nil {
 		return err
 	}
