--- a/cmd/magpiebank-operator/fleet.go
+++ b/cmd/magpiebank-operator/fleet.go
@@ -12,7 +12,7 @@
 
 // fleetCommand returns the command "fleet", which shows what a gateway knows about the other gateways.
 func fleetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "What a gateway knows of the others"}
+	c := &cobra.Command{Use: "fleet", Short: "Show what a gateway knows about the other gateways"}
 	c.AddCommand(
 		gatewayStatusCommand("status", "Members with their age and state; budgets and counts; engines with the evidence of this gateway and of others", (*agent.Status).WriteText),
 		gatewayStatusCommand("budgets", "Budgets of the whole fleet: units held, used and lent by each member, and counts by class", (*agent.Status).WriteBudgets),
--- a/cmd/magpiebank-operator/policy.go
+++ b/cmd/magpiebank-operator/policy.go
@@ -12,7 +12,7 @@
 
 // policyCommand returns the command "policy", which changes the policy of all gateways and shows the state of such changes.
 func policyCommand() *cobra.Command {
-	c := &cobra.Command{Use: "policy", Short: "The fleet's policy: propose a change, follow it, go back"}
+	c := &cobra.Command{Use: "policy", Short: "Manage the fleet's policy: propose a change, watch its rollout, roll back"}
 	c.AddCommand(
 		proposeCommand("propose", "Put a file's pools and classes in force at all gateways, or at none"),
 		proposeCommand("rehearse", "Have all gateways evaluate a file's pools and classes besides those in force, without any effect on requests"),
--- a/cmd/magpiebank-operator/statement.go
+++ b/cmd/magpiebank-operator/statement.go
@@ -13,7 +13,7 @@
 )
 
 func statementCommand() *cobra.Command {
-	c := &cobra.Command{Use: "statement", Short: "What is read of statements, and what was learned of them"}
+	c := &cobra.Command{Use: "statement", Short: "Show how statements are parsed and what the cost model learned from them"}
 	c.AddCommand(explainCommand(), digestCommand(), checkFileCommand(), snapshotCommand())
 	return c
 }
