--- a/internal/testbed/load/client/client.go
+++ b/internal/testbed/load/client/client.go
@@ -39,11 +39,11 @@
 	HeldOpenShare float64       `json:"Kept"`
 	IdleTimeout   time.Duration `json:"Idle"` // after which a pooled session is closed
 
-	MaxAttempts     int           `json:"Tries"`       // in all, the first included
-	Backoff         time.Duration `json:"BackOff"`     // before the second attempt; doubled each time
-	MaxBackoff      time.Duration `json:"MostBackOff"` // bound of the doubled backoff
-	Jitter          float64       // share of a backoff that is drawn
-	HonorRetryAfter float64       `json:"Honour"` // chance that a retry-after time is kept to
+	MaxAttempts                int           `json:"Tries"`       // in all, the first included
+	Backoff                    time.Duration `json:"BackOff"`     // before the second attempt; doubled each time
+	MaxBackoff                 time.Duration `json:"MostBackOff"` // bound of the doubled backoff
+	Jitter                     float64       // share of a backoff that is drawn
+	HonorRetryAfterProbability float64       `json:"Honour"` // chance that a retry-after time is kept to
 
 	// The retry budget allows in each RetryWindow RetryBurst retries and RetryRatio of the first attempts in it.
 	RetryRatio  float64       `json:"Budget"`
--- a/internal/testbed/load/client/clients_test.go
+++ b/internal/testbed/load/client/clients_test.go
@@ -116,7 +116,7 @@
 
 // Rejections with and without a Retry-After time that is honored, until the attempts are used up.
 func TestRetries(t *testing.T) {
-	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 3, Backoff: 100 * ms, HonorRetryAfter: 1})
+	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 3, Backoff: 100 * ms, HonorRetryAfterProbability: 1})
 	s.arrive(0)
 	s.connect(0)
 	s.advance(10 * ms)
--- a/internal/testbed/load/client/events.go
+++ b/internal/testbed/load/client/events.go
@@ -118,7 +118,7 @@
 		backoff = min(backoff, c.behavior.MaxBackoff)
 	}
 	backoff -= time.Duration(c.behavior.Jitter * c.random.Float64() * float64(backoff))
-	if retryAfter > 0 && c.random.Float64() < c.behavior.HonorRetryAfter {
+	if retryAfter > 0 && c.random.Float64() < c.behavior.HonorRetryAfterProbability {
 		backoff = max(backoff, retryAfter)
 	}
 	return backoff
--- a/internal/testbed/load/driver/events.go
+++ b/internal/testbed/load/driver/events.go
@@ -77,7 +77,7 @@
 			w.avoidTargets[source.target] = received.at + refusalCooldown
 		}
 		w.connections[source.session] = nil
-		w.driver.Open.Add(-1)
+		w.driver.OpenSessions.Add(-1)
 		w.clients.HandleClosed(received.at, source.session, received.refused)
 	}
 }
--- a/internal/testbed/load/driver/load.go
+++ b/internal/testbed/load/driver/load.go
@@ -41,8 +41,8 @@
 	stop     chan struct{}
 	stopOnce sync.Once
 
-	Offered, Ended, Open atomic.Int64 // for progress
-	Horizon              atomic.Int64 // ns from the start up to which all arrivals have been handed out
+	Offered, Finished, OpenSessions atomic.Int64 // for progress
+	OfferedUntil                    atomic.Int64 // ns from the start up to which all arrivals have been handed out
 }
 
 // Start begins to send at a time, which may lie a little ahead. The caller ends the loops' goroutines by Stop, or lets
--- a/internal/testbed/load/driver/loop.go
+++ b/internal/testbed/load/driver/loop.go
@@ -88,7 +88,7 @@
 		w.fireTimers(now)
 		now = w.offerArrivals(now)
 		if w.index == 0 {
-			w.driver.Horizon.Store(int64(now))
+			w.driver.OfferedUntil.Store(int64(now))
 		}
 		if now-w.idleClosedAt > housekeepingInterval {
 			w.idleClosedAt = now
--- a/internal/testbed/load/driver/transport.go
+++ b/internal/testbed/load/driver/transport.go
@@ -36,7 +36,7 @@
 	}
 	dialed := &conn{loop: w, session: session, target: w.pickTarget()}
 	w.connections[session] = dialed
-	w.driver.Open.Add(1)
+	w.driver.OpenSessions.Add(1)
 	go dialed.run()
 }
 
@@ -80,7 +80,7 @@
 func (w *loop) Close(session client.Session) {
 	closed := w.connections[session]
 	w.connections[session] = nil
-	w.driver.Open.Add(-1)
+	w.driver.OpenSessions.Add(-1)
 	closed.leave()
 }
 
@@ -98,7 +98,7 @@
 
 // Finished implements client.Transport.
 func (w *loop) Finished(report *client.Report) {
-	w.driver.Ended.Add(1)
+	w.driver.Finished.Add(1)
 	w.metrics.RecordFinished(report)
 	if w.driver.load.OnFinished != nil {
 		w.driver.load.OnFinished(report)
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -175,7 +175,7 @@
 func decodeBehavior(o *configfile.Object) client.Behavior {
 	return client.Behavior{Connections: o.Int("connections", 0, 0, 1<<20), PooledShare: o.Fraction("reused", 1), HeldOpenShare: o.Fraction("kept", 0),
 		IdleTimeout: o.Duration("idle", 4*time.Second), MaxAttempts: o.Int("tries", 1, 1, 60), Backoff: o.Duration("back_off", 100*time.Millisecond),
-		MaxBackoff: o.Duration("most_back_off", 2*time.Second), Jitter: o.Fraction("jitter", 0.5), HonorRetryAfter: o.Fraction("honour", 1),
+		MaxBackoff: o.Duration("most_back_off", 2*time.Second), Jitter: o.Fraction("jitter", 0.5), HonorRetryAfterProbability: o.Fraction("honour", 1),
 		RetryRatio: o.Number("budget", 0.2, 0, 10), RetryBurst: o.Int("budget_free", 10, 0, 1<<20),
 		RetryWindow: o.Duration("budget_window", 10*time.Second),
 		SlowShare:   o.Fraction("slow", 0), LeavingShare: o.Fraction("leave", 0), SilentShare: o.Fraction("mute", 0)}
--- a/internal/testbed/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -172,7 +172,7 @@
 		case <-done:
 			return
 		case <-time.After(progressInterval):
-			onProgress(Progress{time.Since(start), running.Offered.Load(), running.Ended.Load(), running.Open.Load()})
+			onProgress(Progress{time.Since(start), running.Offered.Load(), running.Finished.Load(), running.OpenSessions.Load()})
 		}
 	}
 }
--- a/internal/testbed/load/workers/worker.go
+++ b/internal/testbed/load/workers/worker.go
@@ -191,8 +191,8 @@
 		if remaining > 0 {
 			continue
 		}
-		horizon := time.Duration(w.driver.Horizon.Load())
-		if coordinator.writeJSON(frameHeartbeat, heartbeat{horizon, done, w.driver.Open.Load()}) != nil {
+		horizon := time.Duration(w.driver.OfferedUntil.Load())
+		if coordinator.writeJSON(frameHeartbeat, heartbeat{horizon, done, w.driver.OpenSessions.Load()}) != nil {
 			return
 		}
 		select {
