--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -14,33 +14,34 @@
 	"magpiebank/internal/storage/store"
 )
 
-// commits has so many writers commit a value of 100 bytes each in turn, and reports commits a second and p99.
+// measureCommits calls commit about b.N times from the given number of concurrent writers, each of which waits for its previous call.
+// It reports the commits per second and the 99th percentile of their latency.
 func measureCommits(b *testing.B, writers int, commit func(n int) error) {
 	b.Helper()
-	each := max(1, b.N/writers)
-	allLatencies := make([]time.Duration, 0, each*writers)
+	commitsPerWriter := max(1, b.N/writers)
+	allLatencies := make([]time.Duration, 0, commitsPerWriter*writers)
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	began := time.Now()
 	for w := range writers {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			latencies := make([]time.Duration, each)
-			for n := range each {
-				at := time.Now()
-				if err := commit(w*each + n); err != nil {
+			defer running.Done()
+			latencies := make([]time.Duration, commitsPerWriter)
+			for n := range commitsPerWriter {
+				start := time.Now()
+				if err := commit(w*commitsPerWriter + n); err != nil {
 					b.Error(err)
 					return
 				}
-				latencies[n] = time.Since(at)
+				latencies[n] = time.Since(start)
 			}
 			mu.Lock()
 			allLatencies = append(allLatencies, latencies...)
 			mu.Unlock()
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	duration := time.Since(began)
 	slices.Sort(allLatencies)
 	if len(allLatencies) > 0 {
@@ -58,11 +59,11 @@
 
 func benchmarkStore(b *testing.B, writers int) {
 	b.Helper()
-	d, err := store.CreateFolder(b.TempDir())
+	folder, err := store.CreateFolder(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
-	s, _, err := store.Open(d, "g1", store.Limits{MaxBytes: 1 << 30}, func(store.Key, []byte, bool) {})
+	s, _, err := store.Open(folder, "g1", store.Limits{MaxBytes: 1 << 30}, func(store.Key, []byte, bool) {})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -111,7 +112,7 @@
 	b.ReportMetric(float64(stats.TxStats.GetPageAlloc())/float64(max(1, b.N)*116), "bytes/kept")
 }
 
-// BenchmarkRecovery opens a log of a million records that all hold.
+// BenchmarkRecovery measures how long it takes to open a log of a million live records.
 func BenchmarkRecovery(b *testing.B) {
 	folder := b.TempDir()
 	d, err := store.CreateFolder(folder)
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -175,7 +175,7 @@
 func decodeBehavior(o *configfile.Object) client.Behavior {
 	return client.Behavior{Connections: o.Int("connections", 0, 0, 1<<20), PooledShare: o.Fraction("reused", 1), HeldOpenShare: o.Fraction("kept", 0),
 		IdleTimeout: o.Duration("idle", 4*time.Second), MaxAttempts: o.Int("tries", 1, 1, 60), Backoff: o.Duration("back_off", 100*time.Millisecond),
-		MaxBackoff: o.Duration("most_back_off", 2*time.Second), Jitter: o.Fraction("jitter", 0.5), HonorRetryAfter: o.Fraction("honour", 1),
+		MaxBackoff: o.Duration("most_back_off", 2*time.Second), Jitter: o.Fraction("jitter", 0.5), HonorRetryAfterProbability: o.Fraction("honour", 1),
 		RetryRatio: o.Number("budget", 0.2, 0, 10), RetryBurst: o.Int("budget_free", 10, 0, 1<<20),
 		RetryWindow: o.Duration("budget_window", 10*time.Second),
 		SlowShare:   o.Fraction("slow", 0), LeavingShare: o.Fraction("leave", 0), SilentShare: o.Fraction("mute", 0)}
@@ -185,7 +185,7 @@
 	plan := &installation.Plan{Gateways: o.Int("gateways", 1, 1, 64), Engines: o.Int("engines", 4, 1, 1000), Zones: o.Texts("zones"),
 		Cores: o.Number("cores", 8, 1, 1024), Classes: d.gatewayClasses, MemoryMB: int(o.Size("memory", 192<<20) >> 20),
 		Sockets: o.Int("sockets", 1024, 64, 1<<20), ConnectWithin: o.Duration("connect_within", 250*time.Millisecond),
-		Idle: o.Duration("idle", 30*time.Second), Seed: d.experiment.Seed, Program: o.Text("program", ""), ExtraArguments: o.Texts("arguments"),
+		IdleTimeout: o.Duration("idle", 30*time.Second), Seed: d.experiment.Seed, Program: o.Text("program", ""), ExtraArguments: o.Texts("arguments"),
 		Behavior: fake.EngineBehavior{Threads: o.Int("threads", 32, 1, 1<<16), MaxHeld: o.Int("most", 0, 0, 1<<20), Works: d.experiment.Works,
 			ColdSpeed: o.Fraction("cold", 0), WarmUp: o.Duration("warm", 0), NoteInterval: o.Duration("notes", 0)}}
 	plan.Behavior.Cores = plan.Cores
