--- a/internal/query/costmodel/model_test.go
+++ b/internal/query/costmodel/model_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// drawCost draws a cost from a lognormal distribution. A share bad of the costs are those of bad plans, which are 15
+// drawCost draws a cost from a lognormal distribution. With the probability bad, the cost is that of a bad plan, 15
 // to 24 times as high.
 func drawCost(r *rand.Rand, mean, deviation, bad float64) float64 {
 	v := mean * math.Exp(deviation*r.NormFloat64())
--- a/internal/traffic/importer/repair.go
+++ b/internal/traffic/importer/repair.go
@@ -72,8 +72,8 @@
 // clock that stood still gives all entries the same timestamp.
 const maxSpread = time.Second
 
-// minListedEntries is the number of entries with the same timestamp from which they are listed as a separate repair. Fewer
-// may have the same timestamp by chance if timestamps are coarse.
+// minListedEntries is the number of entries with the same timestamp from which they are listed as a separate repair.
+// A smaller number may have the same timestamp by chance if timestamps are coarse.
 const minListedEntries = 10
 
 // RepairClock makes a trace of entries and lists the repairs. The offsets of the trace count from its start and never
