--- a/internal/query/costmodel/regression.go
+++ b/internal/query/costmodel/regression.go
@@ -9,13 +9,13 @@
 // regressionTerms is the number of inputs of the regression.
 const regressionTerms = 14
 
-// The inputs of the regression, in their order. Counts enter as log(1+count).
+// The indices of the inputs of the regression. Counts are entered as log(1+count).
 const (
 	termConstant = iota
 	termJoins
 	termUnboundJoins
 	termFullScan
-	termTableRows // decimal logarithm, from usualLogRows
+	termTableRows // decimal logarithm of the number of rows, less typicalLogRows
 	termKeyAccess
 	termAggregates
 	termGroups
@@ -27,32 +27,32 @@
 	termRangeAccess
 )
 
-// usualLogRows is the decimal logarithm of the rows of a table that is taken for usual.
-const usualLogRows = 5
+// typicalLogRows is the decimal logarithm of the number of rows of a table of typical size.
+const typicalLogRows = 5
 
-// initialWeights are the weights before the first observation: a full scan costs several times a look-up by key in the
-// same class, everything else costs a little.
+// initialWeights are the weights before the first observation: a full scan costs several times as much as a lookup by
+// key in the same class, and everything else adds a little.
 var initialWeights = [regressionTerms]float64{0, 0.1, 0.8, 2, 0.3, -1.2, 0.1, 0.1, 0.2, 0.1, 0.2, 0.2, 0.2, 0.2}
 
 const (
-	initialVariance       = 1.0   // the initial weights hold against about one observation
-	forgettingFactor      = 0.999 // the weight that an observation keeps with each further one
-	maxRegressionError    = 3.0   // of logarithms: one observation says no more than a factor of twenty
+	initialVariance       = 1.0   // gives the initial weights the weight of about one observation
+	forgettingFactor      = 0.999 // factor by which each new observation reduces the weight of the older ones
+	maxRegressionError    = 3.0   // of logarithms: one observation counts as a deviation by a factor of twenty at most
 	maxRegressionVariance = 10
 )
 
-// regression predicts the logarithm of a cost over the mean of its class from what a statement does. All shapes share it;
-// it learns one observation at a time, by recursive least squares.
+// regression predicts the logarithm of the ratio of a cost to the mean cost of its class, from the features of a
+// statement. All shapes share it. It learns from one observation at a time, by recursive least squares.
 type regression struct {
-	weights    *mat.VecDense
-	covariance *mat.SymDense
-	input      *mat.VecDense // reused by update
+	weights     *mat.VecDense
+	covariance  *mat.SymDense
+	inputBuffer *mat.VecDense // reused by update
 }
 
 func (r *regression) reset() {
 	r.weights = mat.NewVecDense(regressionTerms, append([]float64(nil), initialWeights[:]...))
 	r.covariance = mat.NewSymDense(regressionTerms, nil)
-	r.input = mat.NewVecDense(regressionTerms, nil)
+	r.inputBuffer = mat.NewVecDense(regressionTerms, nil)
 	for i := range regressionTerms {
 		r.covariance.SetSym(i, i, initialVariance)
 	}
@@ -68,16 +68,16 @@
 
 func (r *regression) update(input *[regressionTerms]float64, observed float64) {
 	for i, value := range input {
-		r.input.SetVec(i, value)
+		r.inputBuffer.SetVec(i, value)
 	}
 	deviation := min(maxRegressionError, max(-maxRegressionError, observed-r.predict(input)))
 	var product mat.VecDense
-	product.MulVec(r.covariance, r.input)
-	scale := 1 / (forgettingFactor + mat.Dot(r.input, &product))
+	product.MulVec(r.covariance, r.inputBuffer)
+	scale := 1 / (forgettingFactor + mat.Dot(r.inputBuffer, &product))
 	r.weights.AddScaledVec(r.weights, deviation*scale, &product)
 	r.covariance.SymRankOne(r.covariance, -scale, &product)
 	r.covariance.ScaleSym(1/forgettingFactor, r.covariance)
-	for i := range regressionTerms { // the variance of a term that never occurs would grow without end
+	for i := range regressionTerms { // without this limit, the variance of a term that never occurs would grow indefinitely
 		if variance := r.covariance.At(i, i); variance > maxRegressionVariance {
 			r.covariance.ScaleSym(maxRegressionVariance/variance, r.covariance)
 		}
@@ -93,13 +93,13 @@
 	if fullScan {
 		input[termFullScan] = 1
 		if rows, known := f.maxScannedRows(tables); known {
-			input[termTableRows] = math.Log10(max(1, rows)) - usualLogRows
+			input[termTableRows] = math.Log10(max(1, rows)) - typicalLogRows
 		}
 	}
-	switch f.reach() {
-	case reachKey:
+	switch f.widestAccess() {
+	case accessKey:
 		input[termKeyAccess] = 1
-	case reachRange:
+	case accessRange:
 		input[termRangeAccess] = 1
 	}
 	input[termAggregates] = logCount(f.Aggregates)
@@ -114,8 +114,8 @@
 	return input
 }
 
-// maxScannedRows returns the rows of the largest table that is read completely; known is false if an operator has
-// declared none of them.
+// maxScannedRows returns the number of rows of the largest table that is read completely; known is false if an
+// operator has declared none of these tables.
 func (f *Features) maxScannedRows(tables TableLookup) (rows float64, known bool) {
 	if tables == nil {
 		return 0, false
--- a/internal/query/costmodel/snapshot_codec.go
+++ b/internal/query/costmodel/snapshot_codec.go
@@ -8,40 +8,44 @@
 	"math"
 )
 
-// snapshotVersion is raised with every change of the encoding, the regression's terms or the sketch's steps.
+// snapshotVersion must be incremented with every change of the encoding, of the regression's terms or of the sketch's
+// buckets.
 const snapshotVersion = 1
 
-// snapshotMagic is what an encoded snapshot begins with.
+// snapshotMagic is the first four bytes of an encoded snapshot.
 const snapshotMagic = "MPST"
 
-// An encoded snapshot has a header (magic, version, two bytes of 0, length of the payload), a payload, and its CRC-32C.
+// An encoded snapshot consists of a header (magic, version, two bytes of 0, length of the payload), the payload, and
+// a CRC-32C of both.
 const (
-	versionOffset   = 4
-	lengthOffset    = 8
-	snapshotHeader  = 12
-	snapshotTrailer = 4
+	versionOffset        = 4
+	lengthOffset         = 8
+	snapshotHeaderBytes  = 12
+	snapshotTrailerBytes = 4
 )
 
-// maxSnapshotBytes bounds what is read: a model of 1 GB writes less.
+// maxSnapshotBytes is the size of the largest snapshot that is decoded. A model with 1 GB of memory has a smaller
+// snapshot.
 const maxSnapshotBytes = 1 << 30
 
-// maxSavedNumber is the highest value of any number in a snapshot.
+// maxSavedNumber is the highest value of any integer in a snapshot. Some integers have a smaller maximum.
 const maxSavedNumber = math.MaxInt32
 
 // maxSavedFloat is the highest absolute value of any float in a snapshot.
 const maxSavedFloat = 1e18
 
-// The fewest bytes that the parts of a snapshot take; they bound how many of them a payload may announce.
+// The minimum sizes of the elements of a snapshot. DecodeSnapshot rejects a number of elements for which the payload
+// is too short.
 const (
 	minClassBytes  = 17
 	minGroupBytes  = 2
 	minRecordBytes = 100
-	minStepBytes   = 2
+	minBucketBytes = 2
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode encodes a snapshot.
+// Encode returns the snapshot in its binary encoding.
 func (s *Snapshot) Encode() []byte {
 	var e encoder
 	e.number(len(s.classes))
@@ -60,15 +64,15 @@
 	for i := range s.records {
 		e.record(&s.records[i])
 	}
-	out := append(make([]byte, 0, snapshotHeader+len(e.payload)+snapshotTrailer), snapshotMagic...)
-	out = out[:snapshotHeader]
+	out := append(make([]byte, 0, snapshotHeaderBytes+len(e.payload)+snapshotTrailerBytes), snapshotMagic...)
+	out = out[:snapshotHeaderBytes]
 	binary.LittleEndian.PutUint16(out[versionOffset:], snapshotVersion)
 	binary.LittleEndian.PutUint32(out[lengthOffset:], uint32(len(e.payload)))
 	out = append(out, e.payload...)
 	return binary.LittleEndian.AppendUint32(out, crc32.Checksum(out, castagnoli))
 }
 
-// encoder appends values to a payload.
+// encoder appends encoded values to a payload.
 type encoder struct{ payload []byte }
 
 func (e *encoder) number(value int) {
@@ -94,7 +98,7 @@
 
 func (e *encoder) record(r *savedRecord) {
 	e.payload = binary.LittleEndian.AppendUint64(e.payload, r.key)
-	e.numbers(int(r.age), r.observations, r.uncertainFor, r.loads, r.skewPlace)
+	e.numbers(int(r.hoursToDecay), r.observations, r.uncertainFor, r.loads, r.skewGrouping)
 	e.floats(r.memory, r.memoryPeak, r.shiftUp, r.shiftDown, r.baseline, r.deviation)
 	e.floats(r.recent[:]...)
 	e.floats(r.trend.count, r.trend.sumX, r.trend.sumY, r.trend.sumXX, r.trend.sumXY)
@@ -105,22 +109,23 @@
 		}
 	}
 	e.number(used)
-	for step, count := range r.sketch.counts {
+	for bucket, count := range r.sketch.counts {
 		if count > 0 {
-			e.numbers(step, int(count))
+			e.numbers(bucket, int(count))
 		}
 	}
 }
 
-// The errors of DecodeSnapshot, beside that of another version.
+// The errors of DecodeSnapshot, apart from the error for a snapshot of another version.
 var (
-	errNotSnapshot   = errors.New("not a snapshot of statements")
-	errTruncated     = errors.New("it is cut short, or goes on behind its end")
-	errChecksum      = errors.New("its checksum differs")
-	errInvalidValues = errors.New("it holds figures that can't be")
+	errNotSnapshot   = errors.New("this is not a snapshot of statement costs")
+	errTruncated     = errors.New("the snapshot is truncated or has trailing bytes")
+	errChecksum      = errors.New("the checksum of the snapshot does not match")
+	errInvalidValues = errors.New("the snapshot contains invalid values")
 )
 
-// DecodeSnapshot decodes a snapshot. One of another version, or one that was truncated or changed, is refused as a whole.
+// DecodeSnapshot decodes a snapshot. It returns an error and no snapshot if the bytes have another version, or were
+// truncated or changed.
 func DecodeSnapshot(b []byte) (*Snapshot, error) {
 	payload, err := snapshotPayload(b)
 	if err != nil {
@@ -149,26 +154,27 @@
 	return s, nil
 }
 
-// snapshotPayload checks header and checksum and returns what lies between them.
+// snapshotPayload checks the header and the checksum and returns the payload between them.
 func snapshotPayload(b []byte) ([]byte, error) {
-	if len(b) < snapshotHeader+snapshotTrailer || string(b[:versionOffset]) != snapshotMagic {
+	if len(b) < snapshotHeaderBytes+snapshotTrailerBytes || string(b[:versionOffset]) != snapshotMagic {
 		return nil, errNotSnapshot
 	}
 	if version := binary.LittleEndian.Uint16(b[versionOffset:]); version != snapshotVersion {
 		return nil, fmt.Errorf("version %d of the form, this program knows %d", version, snapshotVersion)
 	}
-	end := len(b) - snapshotTrailer
+	end := len(b) - snapshotTrailerBytes
 	length := int64(binary.LittleEndian.Uint32(b[lengthOffset:]))
-	if length != int64(end-snapshotHeader) || len(b) > maxSnapshotBytes {
+	if length != int64(end-snapshotHeaderBytes) || len(b) > maxSnapshotBytes {
 		return nil, errTruncated
 	}
 	if crc32.Checksum(b[:end], castagnoli) != binary.LittleEndian.Uint32(b[end:]) {
 		return nil, errChecksum
 	}
-	return b[snapshotHeader:end], nil
+	return b[snapshotHeaderBytes:end], nil
 }
 
-// decoder reads values off a payload. After the first invalid one it is failed and reads zeros.
+// decoder reads values from the start of rest. The first invalid value sets failed. After an integer that is invalid
+// or a value that is truncated, all further reads return zeros.
 type decoder struct {
 	rest   []byte
 	failed bool
@@ -196,7 +202,8 @@
 	return int(value)
 }
 
-// count reads how many things follow that take at least so many bytes each.
+// count reads the number of the elements that follow. Each takes at least minBytes, so a number for which rest is too
+// short is invalid.
 func (d *decoder) count(minBytes int) int { return d.number(len(d.rest) / minBytes) }
 
 func (d *decoder) float() float64 {
@@ -216,16 +223,16 @@
 
 func (d *decoder) record() (r savedRecord) {
 	r.key = binary.LittleEndian.Uint64(d.bytes(8))
-	r.age = int64(d.number(maxSavedNumber))
+	r.hoursToDecay = int64(d.number(maxSavedNumber))
 	r.observations, r.uncertainFor = d.number(maxSavedNumber), d.number(uncertainAfterLoad)
-	r.loads, r.skewPlace = d.number(maxSavedNumber), d.number(skewPlaces)
+	r.loads, r.skewGrouping = d.number(maxSavedNumber), d.number(skewGroupings)
 	r.memory, r.memoryPeak = d.float(), d.float()
 	r.shiftUp, r.shiftDown = d.float(), d.float()
 	r.baseline, r.deviation = d.float(), d.float()
 	d.floats(r.recent[:])
 	r.trend = trend{d.float(), d.float(), d.float(), d.float(), d.float()}
-	for range d.count(minStepBytes) {
-		step, count := d.number(sketchSteps-1), d.number(math.MaxUint16)
+	for range d.count(minBucketBytes) {
+		step, count := d.number(sketchBuckets-1), d.number(math.MaxUint16)
 		r.sketch.total += uint32(count) - uint32(r.sketch.counts[step])
 		r.sketch.counts[step] = uint16(count)
 	}
