--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -213,7 +213,7 @@
 			{Name: "look", LatencyObjective: time.Second, MaxWait: 5 * time.Second, Weight: 1, Effect: "idempotent", Threads: 1},
 			{Name: "report", LatencyObjective: 4 * time.Second, MaxWait: 12 * time.Second, Weight: reportEarnings, LateShare: 0.4, Effect: "idempotent", Threads: 1}},
 		Behavior: fake.EngineBehavior{Threads: engineSlot, Cores: engineCores, Works: []fake.Work{{Rows: 3}}, Planner: p, MemoryMB: engineMemory,
-			NoteInterval: 300 * time.Millisecond}}
+			NoticeInterval: 300 * time.Millisecond}}
 	return e
 }
 
--- a/internal/router/mixed_settings_test.go
+++ b/internal/router/mixed_settings_test.go
@@ -107,7 +107,7 @@
 func TestOldAndNewSettingsSideBySide(t *testing.T) {
 	_ = driver.SetLogger(&driver.NopLogger{})
 	logOfKindA, logOfKindB := fake.NewExecutionLog(), fake.NewExecutionLog()
-	behavior := fake.EngineBehavior{Threads: 4, Cores: 4, MaxHeld: 40, NoteInterval: 100 * time.Millisecond, Works: []fake.Work{
+	behavior := fake.EngineBehavior{Threads: 4, Cores: 4, MaxHeld: 40, NoticeInterval: 100 * time.Millisecond, Works: []fake.Work{
 		{Class: "look", Service: fake.ServiceTime{Mean: 20 * time.Millisecond}},
 		{Class: "report", Service: fake.ServiceTime{Mean: 150 * time.Millisecond}}}}
 	entries := startEngines(t, behavior, map[string]*fake.ExecutionLog{"a": logOfKindA, "b": logOfKindB})
--- a/internal/testbed/fake/engine.go
+++ b/internal/testbed/fake/engine.go
@@ -13,13 +13,13 @@
 
 // EngineBehavior is how an engine works.
 type EngineBehavior struct {
-	Threads      int           // requests that run at the same time; the others wait in a queue
-	MaxHeld      int           // requests that it holds at all; more are answered full. 0: no limit
-	Works        []Work        // by class or statement
-	Cores        float64       // for the load it reports: running requests against cores
-	NoteInterval time.Duration // of notes on how far running requests are; 0: none
-	ColdSpeed    float64       // speed just after its start, as a share; 0: always warm
-	WarmUp       time.Duration // until it has come up to full speed
+	Threads        int           // requests that run at the same time; the others wait in a queue
+	MaxHeld        int           // requests that it holds at all; more are answered full. 0: no limit
+	Works          []Work        // by class or statement
+	Cores          float64       // for the load it reports: running requests against cores
+	NoticeInterval time.Duration // of notes on how far running requests are; 0: none
+	ColdSpeed      float64       // speed just after its start, as a share; 0: always warm
+	WarmUp         time.Duration // until it has come up to full speed
 
 	Planner  *Planner // what statements of its templates take; nil: Works alone tell
 	MemoryMB float64  // a request that begins while running requests need more than this swaps; 0: no limit
--- a/internal/testbed/fake/engine_requests.go
+++ b/internal/testbed/fake/engine_requests.go
@@ -93,7 +93,7 @@
 	if e.behavior.Planner == nil {
 		return r
 	}
-	if service, memoryMB, ok := e.behavior.Planner.Run(statement, key.id); ok {
+	if service, memoryMB, ok := e.behavior.Planner.DrawCost(statement, key.id); ok {
 		r.service, r.work.MemoryMB, r.statement = service, memoryMB, statement
 	}
 	return r
@@ -137,7 +137,7 @@
 
 // scheduleNote sets the timer of the next note on a request.
 func (e *Engine) scheduleNote(r *request) {
-	interval := e.behavior.NoteInterval
+	interval := e.behavior.NoticeInterval
 	if interval > 0 && e.clock.now()+interval < r.endsAt {
 		id := e.timers.add(timerEntry{request: r, isNote: true})
 		e.wheel.Add(timerwheel.Tick((e.clock.now()+interval)/engineTick), uint64(id))
@@ -174,7 +174,7 @@
 	e.memoryMB -= r.work.MemoryMB
 	e.Log.recordStop(r.class)
 	if r.statement != "" {
-		e.behavior.Planner.RecordRun(r.statement)
+		e.behavior.Planner.RecordCompletion(r.statement)
 	}
 	r.isRunning, r.isDone = false, true
 	key := r.key
@@ -182,7 +182,7 @@
 	switch {
 	case e.drawShare(e.faults.dropShare):
 		delete(e.requests, key)
-	case e.drawShare(e.faults.failShare) || e.drawShare(r.work.Fails):
+	case e.drawShare(e.faults.failShare) || e.drawShare(r.work.FailureShare):
 		e.Log.recordAnswer(key.id, "failed", time.Now())
 		e.answer(key.conn, key.id, "failed", "-", "")
 		delete(e.requests, key)
--- a/internal/testbed/fake/execution_log.go
+++ b/internal/testbed/fake/execution_log.go
@@ -25,7 +25,7 @@
 	arrivals int
 	retain   bool // runs and sent
 	runs     []RunningChange
-	sent     []Sent
+	sent     []AcceptedRequest
 }
 
 // RunningChange is that a request of a class began to run (Delta 1), or stopped (Delta -1).
@@ -35,8 +35,8 @@
 	Delta int
 }
 
-// Sent is that an engine took a request, which is that much work.
-type Sent struct {
+// AcceptedRequest is that an engine took a request, which is that much work.
+type AcceptedRequest struct {
 	At     time.Time
 	Engine string
 	Work   time.Duration
@@ -53,12 +53,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.retain {
-		l.sent = append(l.sent, Sent{time.Now(), engine, work})
+		l.sent = append(l.sent, AcceptedRequest{time.Now(), engine, work})
 	}
 }
 
-// Sent is all that engines took, in order.
-func (l *ExecutionLog) Sent() []Sent {
+// AcceptedRequests is all that engines took, in order.
+func (l *ExecutionLog) AcceptedRequests() []AcceptedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.sent)
@@ -109,8 +109,8 @@
 	l.recordChange(class, -1)
 }
 
-// Runs are all changes of what runs, in order, as far as they were retained.
-func (l *ExecutionLog) Runs() []RunningChange {
+// RunningChanges are all changes of what runs, in order, as far as they were retained.
+func (l *ExecutionLog) RunningChanges() []RunningChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.runs)
--- a/internal/testbed/fake/fake_test.go
+++ b/internal/testbed/fake/fake_test.go
@@ -108,7 +108,7 @@
 
 func startTestEngine(t *testing.T, log *ExecutionLog) *Engine {
 	t.Helper()
-	e, err := StartEngine("e", "127.0.0.1:0", EngineBehavior{Threads: 1, MaxHeld: 2, Cores: 4, NoteInterval: 50 * time.Millisecond, Works: []Work{
+	e, err := StartEngine("e", "127.0.0.1:0", EngineBehavior{Threads: 1, MaxHeld: 2, Cores: 4, NoticeInterval: 50 * time.Millisecond, Works: []Work{
 		{Contains: "slow", Service: ServiceTime{Mean: 10 * time.Minute}}, {Contains: "some", Service: ServiceTime{Mean: 120 * time.Millisecond}, Rows: 1},
 		{Rows: 400}}}, log, 1)
 	if err != nil {
--- a/internal/testbed/fake/frontend.go
+++ b/internal/testbed/fake/frontend.go
@@ -31,8 +31,8 @@
 
 	// Spoil, Double and Drop are faults for the checker of the load to find: one of so many answers has the rows of another request, is
 	// sent twice, or is dropped with the connection. 0: none.
-	Spoil, Double, Drop atomic.Int64
-	answers             atomic.Int64
+	CorruptEvery, DuplicateEvery, DropEvery atomic.Int64
+	answers                                 atomic.Int64
 }
 
 // StartFrontend starts a frontend on a loopback address. log may be nil.
@@ -211,15 +211,15 @@
 	work := findWork(f.works, string(request.Class), string(request.Statement))
 	f.work(work.Service.draw(id))
 	answer := f.answers.Add(1)
-	if isEvery(answer, f.Drop.Load()) {
+	if isEvery(answer, f.DropEvery.Load()) {
 		return false
 	}
 	rowsOf := id
-	if isEvery(answer, f.Spoil.Load()) {
+	if isEvery(answer, f.CorruptEvery.Load()) {
 		rowsOf = otherRequestID
 	}
 	s.out = appendResult(s.out[:0], number+1, resultPages(rowsOf, work.Rows))
-	if isEvery(answer, f.Double.Load()) {
+	if isEvery(answer, f.DuplicateEvery.Load()) {
 		s.out = append(s.out, s.out...)
 	}
 	ok := s.write(s.out)
--- a/internal/testbed/fake/planner.go
+++ b/internal/testbed/fake/planner.go
@@ -66,7 +66,7 @@
 
 // The names of columns. Keys are those that an operator would declare as keys.
 var (
-	Keys         = []string{"clave", "distrito", "dia"}
+	KeyColumns   = []string{"clave", "distrito", "dia"}
 	otherColumns = []string{"nota", "votos", "mesa", "ronda", "acta", "folio", "turno", "cargo"}
 )
 
@@ -117,7 +117,7 @@
 		columns += ", count(*)"
 		tail = " GROUP BY " + mark
 	}
-	d.drawText(&t, mark, columns, d.pick(Keys), tail)
+	d.drawText(&t, mark, columns, d.pick(KeyColumns), tail)
 	return t
 }
 
@@ -243,8 +243,8 @@
 	return hash.Sum32()%skewLiterals == 0
 }
 
-// Run is what one run of a statement takes, drawn by the id of its request: the same wherever it runs.
-func (p *Planner) Run(statement, id string) (took time.Duration, memory float64, ok bool) {
+// DrawCost is what one run of a statement takes, drawn by the id of its request: the same wherever it runs.
+func (p *Planner) DrawCost(statement, id string) (took time.Duration, memory float64, ok bool) {
 	template, group, literal := p.match(statement)
 	if template == nil {
 		return 0, 0, false
@@ -260,8 +260,8 @@
 	return time.Duration(ms * float64(time.Millisecond)), memory, true
 }
 
-// RecordRun takes down that a statement has run to its end: a load grows its tables.
-func (p *Planner) RecordRun(statement string) {
+// RecordCompletion takes down that a statement has run to its end: a load grows its tables.
+func (p *Planner) RecordCompletion(statement string) {
 	if template, group, _ := p.match(statement); template != nil && template.Kind == BulkLoad {
 		p.mu.Lock()
 		p.loads[group]++
@@ -269,8 +269,8 @@
 	}
 }
 
-// Skewed is how many templates take many times the usual for some literals.
-func (p *Planner) Skewed() (n int) {
+// SkewedTemplates is how many templates take many times the usual for some literals.
+func (p *Planner) SkewedTemplates() (n int) {
 	for i := range p.Templates {
 		if p.Templates[i].skewed {
 			n++
--- a/internal/testbed/fake/work.go
+++ b/internal/testbed/fake/work.go
@@ -54,12 +54,12 @@
 
 // Work is what requests take, of a class or with a text in their statement.
 type Work struct {
-	Class    string // empty: any
-	Contains string // text of the statement; empty: any
-	Service  ServiceTime
-	Rows     int // of the result
-	MemoryMB float64
-	Fails    float64 // share of requests that end with an error
+	Class        string // empty: any
+	Contains     string // text of the statement; empty: any
+	Service      ServiceTime
+	Rows         int // of the result
+	MemoryMB     float64
+	FailureShare float64 // share of requests that end with an error
 }
 
 // findWork is the first work that fits a request; without one it is one row at once.
--- a/internal/testbed/faulttest/expectations.go
+++ b/internal/testbed/faulttest/expectations.go
@@ -21,8 +21,8 @@
 	r.Requests = p.requests
 	r.addTimedViolations(p.failures...)
 	p.checkRequests(r)
-	r.Runs = p.installation.Log.Runs()
-	r.SlowStarts = slowStartRecords(s, plan.SlowStart, plan.Behavior.Cores, p.installation.Log.Sent(), p.startedAt)
+	r.Runs = p.installation.Log.RunningChanges()
+	r.SlowStarts = slowStartRecords(s, plan.SlowStart, plan.Behavior.Cores, p.installation.Log.AcceptedRequests(), p.startedAt)
 	for _, record := range r.SlowStarts {
 		if record.Most > 1 {
 			// A fake that was late reads what came over a while in one moment.
--- a/internal/testbed/faulttest/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -139,7 +139,7 @@
 		Classes: []installation.Class{
 			{Name: "look", LatencyObjective: latencyObjective, MaxWait: s.MaxWait, Weight: lookWeight, Effect: "idempotent", Threads: 1},
 			{Name: "load", LatencyObjective: latencyObjective, MaxWait: s.MaxWait, Weight: loadWeight, Effect: "unrepeatable", Threads: 1}},
-		Behavior: fake.EngineBehavior{Threads: 16, Cores: 8, NoteInterval: 250 * time.Millisecond, Works: []fake.Work{
+		Behavior: fake.EngineBehavior{Threads: 16, Cores: 8, NoticeInterval: 250 * time.Millisecond, Works: []fake.Work{
 			{Class: "load", Rows: 1, Service: loads},
 			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: lookService}}}},
 	}
--- a/internal/testbed/faulttest/slow_start.go
+++ b/internal/testbed/faulttest/slow_start.go
@@ -20,7 +20,7 @@
 }
 
 // slowStartRecords reads what engines that restarted were sent until they were warm.
-func slowStartRecords(s *Scenario, plan installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) (records []SlowStartRecord) {
+func slowStartRecords(s *Scenario, plan installation.SlowStart, cores float64, sent []fake.AcceptedRequest, began time.Time) (records []SlowStartRecord) {
 	if plan.Warm == 0 {
 		return nil
 	}
@@ -36,10 +36,10 @@
 }
 
 // slowStartRecord reads what one engine was sent from its start on, at a time from the load's begin, until it was warm.
-func slowStartRecord(engine string, startedAt time.Duration, plan installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) SlowStartRecord {
+func slowStartRecord(engine string, startedAt time.Duration, plan installation.SlowStart, cores float64, sent []fake.AcceptedRequest, began time.Time) SlowStartRecord {
 	record := SlowStartRecord{Engine: engine, At: startedAt, Requests: make([]int, int(plan.Warm/time.Second))}
 	overloadWork := plan.Factor * plan.Share * cores * plan.Tip.Seconds()
-	var window []fake.Sent
+	var window []fake.AcceptedRequest
 	work := 0.0
 	for _, attempt := range sent {
 		at := attempt.At.Sub(began)
--- a/internal/testbed/installation/gateway.go
+++ b/internal/testbed/installation/gateway.go
@@ -76,7 +76,7 @@
 		blocked = append(blocked, class.BlockedByLoads)
 	}
 	return map[string]any{"dop": threads, "kindCores": []float64{p.Cores}, "saysCost": true,
-		"loads": loads, "blockedByLoads": blocked, "progressPaceUs": p.Behavior.NoteInterval.Microseconds()}
+		"loads": loads, "blockedByLoads": blocked, "progressPaceUs": p.Behavior.NoticeInterval.Microseconds()}
 }
 
 func (p *Plan) ruleSettings() map[string]any {
--- a/internal/testbed/load/classification/classification.go
+++ b/internal/testbed/load/classification/classification.go
@@ -105,7 +105,7 @@
 	m := &measurement{result: &Result{Seed: seed, Templates: templates, Statements: statements}, planner: fake.NewPlanner(seed, templates),
 		groups: groups, answers: map[templateGroup]int{}, seen: map[int]bool{}}
 	m.model = costmodel.NewModel(modelBytes, 1, func(table *costmodel.Table) (rows float64, keys []string, ok bool) {
-		return tableRows, fake.Keys, strings.HasPrefix(table.Schema, "actas_")
+		return tableRows, fake.KeyColumns, strings.HasPrefix(table.Schema, "actas_")
 	})
 	for _, count := range answerCounts {
 		m.result.Matrices = append(m.result.Matrices, Matrix{After: count})
@@ -121,7 +121,7 @@
 		text := fillTemplate(m.planner.Templates[template].Text, group, random.Intn(literals))
 		m.run(templateGroup{template, group}, text, strconv.Itoa(number)+"-"+strconv.FormatInt(seed, 10))
 	}
-	m.result.Split, m.result.Skewed = m.model.SplitShapes.Load(), m.planner.Skewed()
+	m.result.Split, m.result.Skewed = m.model.SplitShapes.Load(), m.planner.SkewedTemplates()
 	m.result.measureShifts(seed)
 	return m.result
 }
@@ -138,9 +138,9 @@
 	}
 	m.countPrediction(key, text, &estimate)
 	m.answers[key]++
-	took, memory, _ := m.planner.Run(text, id)
+	took, memory, _ := m.planner.DrawCost(text, id)
 	m.model.Observe(&statement, float64(took)/nanosPerMilli, memory)
-	m.planner.RecordRun(text)
+	m.planner.RecordCompletion(text)
 	if template.Kind == fake.BulkLoad {
 		m.model.RecordLoad(key.group)
 	}
--- a/internal/testbed/load/classification/delay.go
+++ b/internal/testbed/load/classification/delay.go
@@ -62,7 +62,7 @@
 // measureDelay times so many statements of those that isTimed names.
 func measureDelay(name string, count int, text func(number int) []byte, isTimed func(number int) bool) Delay {
 	plan := newPlan()
-	tables := func(*costmodel.Table) (float64, []string, bool) { return tableRows, fake.Keys, true }
+	tables := func(*costmodel.Table) (float64, []string, bool) { return tableRows, fake.KeyColumns, true }
 	model := costmodel.NewModel(2<<20, 1, tables)
 	for number := range knownLookUps {
 		statement := model.Inspect(lookUp(number), number%12+1, 0)
--- a/internal/testbed/load/driver/driver_test.go
+++ b/internal/testbed/load/driver/driver_test.go
@@ -63,9 +63,9 @@
 		inject func(*fake.Frontend)
 		want   string
 	}{
-		{"spoilt", func(f *fake.Frontend) { f.Spoil.Store(40) }, stats.ViolationIncompleteRows},
-		{"twice", func(f *fake.Frontend) { f.Double.Store(39) }, stats.ViolationUnexpectedAnswer},
-		{"dropped", func(f *fake.Frontend) { f.Drop.Store(40) }, stats.ViolationConnectionLost},
+		{"spoilt", func(f *fake.Frontend) { f.CorruptEvery.Store(40) }, stats.ViolationIncompleteRows},
+		{"twice", func(f *fake.Frontend) { f.DuplicateEvery.Store(39) }, stats.ViolationUnexpectedAnswer},
+		{"dropped", func(f *fake.Frontend) { f.DropEvery.Store(40) }, stats.ViolationConnectionLost},
 	} {
 		f := startFrontend(t, fake.Work{Rows: 2, Service: fake.ServiceTime{Mean: 60 * time.Millisecond}})
 		fault.inject(f)
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -187,7 +187,7 @@
 		Sockets: o.Int("sockets", 1024, 64, 1<<20), ConnectWithin: o.Duration("connect_within", 250*time.Millisecond),
 		IdleTimeout: o.Duration("idle", 30*time.Second), Seed: d.experiment.Seed, Program: o.Text("program", ""), ExtraArguments: o.Texts("arguments"),
 		Behavior: fake.EngineBehavior{Threads: o.Int("threads", 32, 1, 1<<16), MaxHeld: o.Int("most", 0, 0, 1<<20), Works: d.experiment.Works,
-			ColdSpeed: o.Fraction("cold", 0), WarmUp: o.Duration("warm", 0), NoteInterval: o.Duration("notes", 0)}}
+			ColdSpeed: o.Fraction("cold", 0), WarmUp: o.Duration("warm", 0), NoticeInterval: o.Duration("notes", 0)}}
 	plan.Behavior.Cores = plan.Cores
 	if len(plan.Zones) == 0 {
 		plan.Zones = []string{"norte", "sur"}
--- a/internal/testbed/load/experiment/read_load.go
+++ b/internal/testbed/load/experiment/read_load.go
@@ -45,7 +45,7 @@
 // decodeWorks reads how the fakes work on a class's requests.
 func (d *decoder) decodeWorks(o *configfile.Object, wireName string) {
 	work := fake.Work{Class: wireName, Rows: o.Int("rows", 3, 1, 2000), MemoryMB: float64(o.Size("memory", 64<<20)) / (1 << 20),
-		Fails: o.Fraction("fails", 0)}
+		FailureShare: o.Fraction("fails", 0)}
 	if service := o.Object("service"); service != nil {
 		work.Service = decodeServiceTime(service)
 	}
