--- a/cmd/magpiebank-testbed/clock.go
+++ b/cmd/magpiebank-testbed/clock.go
@@ -17,7 +17,7 @@
 // clockJumps records a load with a clock that jumps, imports it, and plays what was mended against what is true.
 func clockJumps(c *cobra.Command, o *output) error {
 	if o.folder == "" {
-		o.folder = experiment.Folder("clock-jumps")
+		o.folder = experiment.DefaultFolder("clock-jumps")
 	}
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return err
--- a/cmd/magpiebank-testbed/experiment.go
+++ b/cmd/magpiebank-testbed/experiment.go
@@ -38,7 +38,7 @@
 // play runs an experiment and shows its result.
 func play(ctx context.Context, c *cobra.Command, e *experiment.Experiment, o *output) (*experiment.Result, error) {
 	if o.folder == "" {
-		o.folder = experiment.Folder(e.Name)
+		o.folder = experiment.DefaultFolder(e.Name)
 	}
 	if e.Installation != nil && o.gateway != "" {
 		e.Installation.Program = o.gateway
@@ -139,7 +139,7 @@
 	c := &cobra.Command{Use: "experiment", Short: "Experiments that are built in"}
 	list := &cobra.Command{Use: "list", Short: "List the built-in experiments", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			for _, name := range append(experiment.Names(), "clock-jumps", "starved", "statements", "restart") {
+			for _, name := range append(experiment.BuiltinNames(), "clock-jumps", "starved", "statements", "restart") {
 				fmt.Fprintln(c.OutOrStdout(), name)
 			}
 			return nil
@@ -242,7 +242,7 @@
 				e.Length = length
 			}
 			if o.folder == "" {
-				o.folder = experiment.Folder(e.Name)
+				o.folder = experiment.DefaultFolder(e.Name)
 			}
 			if o.page == "" {
 				o.page = filepath.Join(o.folder, "report.html")
--- a/cmd/magpiebank-testbed/restart.go
+++ b/cmd/magpiebank-testbed/restart.go
@@ -12,12 +12,12 @@
 // restarts kills a gateway with a record of its requests a hundred times under load.
 func restarts(c *cobra.Command, o *output, seed int64, without bool) error {
 	if o.folder == "" {
-		o.folder = experiment.Folder("restart")
+		o.folder = experiment.DefaultFolder("restart")
 	}
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return err
 	}
-	r, err := crashtest.Run(c.Context(), crashtest.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, Loads: 24, Looks: 8, Seed: seed, NoJournal: without})
+	r, err := crashtest.Run(c.Context(), crashtest.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, LoadClients: 24, LookupClients: 8, Seed: seed, NoJournal: without})
 	if err != nil {
 		return err
 	}
--- a/cmd/magpiebank-testbed/search.go
+++ b/cmd/magpiebank-testbed/search.go
@@ -75,7 +75,7 @@
 		}
 		e.Seed += int64(k)
 		e.Shape = arrival.Shape{Kind: arrival.Scale, Factor: factor, Parts: []arrival.Shape{e.Shape}}
-		r, err := e.Run(c.Context(), experiment.Folder(e.Name), nil, newProgress(c.ErrOrStderr(), e).update)
+		r, err := e.Run(c.Context(), experiment.DefaultFolder(e.Name), nil, newProgress(c.ErrOrStderr(), e).update)
 		if err != nil {
 			return false, err
 		}
--- a/cmd/magpiebank-testbed/standin.go
+++ b/cmd/magpiebank-testbed/standin.go
@@ -22,7 +22,7 @@
 				return badFile{err}
 			}
 			if folder == "" {
-				folder = experiment.Folder(e.Name)
+				folder = experiment.DefaultFolder(e.Name)
 			}
 			if err := os.MkdirAll(folder, 0o755); err != nil {
 				return err
--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -49,14 +49,14 @@
 // statementsExperiment measures classes by simulation, and the same traffic on sockets without and with classes.
 func statementsExperiment(c *cobra.Command, o *output, seed int64) error {
 	out := c.OutOrStdout()
-	m := classification.Several(seed, measureSeeds, measureForms, measureGroups, measureStatements)
-	delays := classification.Delays(1000000, 20000)
+	m := classification.MeasureSeeds(seed, measureSeeds, measureForms, measureGroups, measureStatements)
+	delays := classification.MeasureDelays(1000000, 20000)
 	runs, err := classedRuns(c, o, seed)
 	if err != nil {
 		return err
 	}
 	good, lines := m.Verdict()
-	quick, more := classification.JudgeDelays(delays)
+	quick, more := classification.CheckDelays(delays)
 	good, lines = good && quick, append(lines, more...)
 	if o.json {
 		if err := writeJSON(out, map[string]any{"classes": m, "delays": delays, "runs": runs}); err != nil {
@@ -97,7 +97,7 @@
 
 func classedRuns(c *cobra.Command, o *output, seed int64) (runs []*classedRun, err error) {
 	if o.folder == "" {
-		o.folder = experiment.Folder("statements")
+		o.folder = experiment.DefaultFolder("statements")
 	}
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return nil, err
@@ -176,7 +176,7 @@
 			class("reports", "report", 4*time.Second, 12*time.Second, texts(fake.RangeScan, fake.IndexJoin)),
 			class("whole tables", "look", time.Second, 5*time.Second, texts(fake.FullScan)),
 		},
-		Bounds: experiment.Bounds{GeneratorDelay: 10 * time.Millisecond, Offered: 0.01, Allow: []client.Outcome{client.TimedOut}},
+		Bounds: experiment.Bounds{GeneratorDelay: 10 * time.Millisecond, OfferedTolerance: 0.01, AllowedOutcomes: []client.Outcome{client.TimedOut}},
 	}
 	e.Shape = arrival.Shape{Kind: arrival.Replay}
 	r := rand.New(rand.NewSource(seed))
--- a/internal/testbed/load/classification/classification.go
+++ b/internal/testbed/load/classification/classification.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// Several adds up the measurements of so many seeds from one on: a single one has some hundred first sights.
-func Several(seed int64, seeds, templates, groups, statements int) *Result {
+// MeasureSeeds adds up the measurements of so many seeds from one on: a single one has some hundred first sights.
+func MeasureSeeds(seed int64, seeds, templates, groups, statements int) *Result {
 	sum := Measure(seed, templates, groups, statements)
 	for number := 1; number < seeds; number++ {
 		one := Measure(seed+int64(number), templates, groups, statements)
--- a/internal/testbed/load/classification/classification_test.go
+++ b/internal/testbed/load/classification/classification_test.go
@@ -4,7 +4,7 @@
 
 // A small measurement, of statements that no constant was chosen with; the full one is magpiebank-testbed experiment run statements.
 func TestMeasure(t *testing.T) {
-	result := Several(201, 3, 100, 2, 40000)
+	result := MeasureSeeds(201, 3, 100, 2, 40000)
 	good, lines := result.Verdict()
 	for _, line := range lines {
 		t.Log(line)
--- a/internal/testbed/load/classification/delay.go
+++ b/internal/testbed/load/classification/delay.go
@@ -44,9 +44,9 @@
 	return lookUp(number)
 }
 
-// Delays times look-ups whose shape is known, some of shapes never seen, and known ones among which every tenth is of a
+// MeasureDelays times look-ups whose shape is known, some of shapes never seen, and known ones among which every tenth is of a
 // shape that never comes again.
-func Delays(known, fresh int) []Delay {
+func MeasureDelays(known, fresh int) []Delay {
 	all := func(int) bool { return true }
 	isLookUp := func(number int) bool { return number%floodInterval != 0 }
 	return []Delay{
@@ -100,9 +100,9 @@
 // maxDelay is what reading a statement may add to a look-up: a hundredth of what the shortest latency objectives leave.
 const maxDelay = time.Millisecond
 
-// JudgeDelays tells whether all but one of a thousand delays stay under the bound. The longest one is shown alone, because
+// CheckDelays tells whether all but one of a thousand delays stay under the bound. The longest one is shown alone, because
 // on a shared machine it is the scheduler's as a rule.
-func JudgeDelays(delays []Delay) (good bool, text []string) {
+func CheckDelays(delays []Delay) (good bool, text []string) {
 	good = true
 	for _, delay := range delays {
 		verdict := "good"
--- a/internal/testbed/load/crashtest/crashtest.go
+++ b/internal/testbed/load/crashtest/crashtest.go
@@ -99,10 +99,10 @@
 }
 
 func (r *runner) startClients() {
-	for number := range r.plan.Loads {
+	for number := range r.plan.LoadClients {
 		r.clients.Go(func() { r.sendLoads(number) })
 	}
-	for number := range r.plan.Looks {
+	for number := range r.plan.LookupClients {
 		r.clients.Go(func() { r.sendLooks(number) })
 	}
 }
--- a/internal/testbed/load/crashtest/crashtest_test.go
+++ b/internal/testbed/load/crashtest/crashtest_test.go
@@ -16,7 +16,7 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	for _, withoutJournal := range []bool{false, true} {
-		result, err := Run(context.Background(), Plan{Program: program, Folder: t.TempDir(), Kills: 12, Loads: 16, Looks: 4, Seed: 3, NoJournal: withoutJournal})
+		result, err := Run(context.Background(), Plan{Program: program, Folder: t.TempDir(), Kills: 12, LoadClients: 16, LookupClients: 4, Seed: 3, NoJournal: withoutJournal})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/load/crashtest/result.go
+++ b/internal/testbed/load/crashtest/result.go
@@ -11,13 +11,13 @@
 
 // Plan describes a run.
 type Plan struct {
-	Program   string // the gateway's
-	Folder    string
-	Kills     int
-	Loads     int // clients that send non-idempotent requests, one after the other
-	Looks     int // clients that send look-ups
-	Seed      int64
-	NoJournal bool // the gateway keeps no journal, so that the checks fail
+	Program       string // the gateway's
+	Folder        string
+	Kills         int
+	LoadClients   int // clients that send non-idempotent requests, one after the other
+	LookupClients int // clients that send look-ups
+	Seed          int64
+	NoJournal     bool // the gateway keeps no journal, so that the checks fail
 }
 
 // Result is the outcome of a run.
--- a/internal/testbed/load/experiment/builtin.go
+++ b/internal/testbed/load/experiment/builtin.go
@@ -12,8 +12,8 @@
 //go:embed builtin
 var builtin embed.FS
 
-// Names are the built-in experiments.
-func Names() (names []string) {
+// BuiltinNames are the built-in experiments.
+func BuiltinNames() (names []string) {
 	files, err := fs.Glob(builtin, "builtin/*.jsonnet")
 	if err != nil {
 		panic(err) // the pattern is constant
@@ -29,7 +29,7 @@
 	text, err := builtin.ReadFile("builtin/" + name + ".jsonnet")
 	if err != nil {
 		if _, err := os.Stat(name); err != nil {
-			return nil, fmt.Errorf("%s: no such file, nor one of the built-in experiments %s", name, strings.Join(Names(), ", "))
+			return nil, fmt.Errorf("%s: no such file, nor one of the built-in experiments %s", name, strings.Join(BuiltinNames(), ", "))
 		}
 		return Read(name)
 	}
--- a/internal/testbed/load/experiment/experiment_test.go
+++ b/internal/testbed/load/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestShippedFilesCanBeRead(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range BuiltinNames() {
 		if _, err := Find(name); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -38,10 +38,10 @@
 type Bounds struct {
 	GeneratorDelay    time.Duration    // of the generator's own delay at p99
 	QueueDelay        time.Duration    // of waits for a connection under the limit at p99; 0: not judged
-	Offered           float64          // share by which what was offered may miss the schedule
+	OfferedTolerance  float64          // share by which what was offered may miss the schedule
 	TruthTolerance    float64          // share by which reported quantiles may miss the true ones,
 	MinTruthTolerance time.Duration    // or this, whichever is larger
-	Allow             []client.Outcome // that would break a rule otherwise
+	AllowedOutcomes   []client.Outcome // that would break a rule otherwise
 	Goals             []Goal
 	CheckTruth        bool
 	ClosedUsers       int // of the closed loop that the run is compared with; 0: as many as it holds at its median
@@ -198,13 +198,13 @@
 // decodeBounds reads the bounds; o is nil where the file names none.
 func (d *decoder) decodeBounds(o *configfile.Object) {
 	bounds := &d.experiment.Bounds
-	*bounds = Bounds{GeneratorDelay: defaultGeneratorDelay, Offered: defaultOfferedMiss, TruthTolerance: defaultTruthMiss, MinTruthTolerance: time.Millisecond}
+	*bounds = Bounds{GeneratorDelay: defaultGeneratorDelay, OfferedTolerance: defaultOfferedMiss, TruthTolerance: defaultTruthMiss, MinTruthTolerance: time.Millisecond}
 	if o == nil {
 		return
 	}
 	bounds.GeneratorDelay = o.Duration("own", bounds.GeneratorDelay)
 	bounds.QueueDelay = o.Duration("queued", 0)
-	bounds.Offered = o.Fraction("offered", bounds.Offered)
+	bounds.OfferedTolerance = o.Fraction("offered", bounds.OfferedTolerance)
 	bounds.CheckTruth = o.Bool("check_truth", false)
 	bounds.TruthTolerance = o.Fraction("truth", bounds.TruthTolerance)
 	bounds.MinTruthTolerance = o.Duration("truth_least", bounds.MinTruthTolerance)
@@ -215,7 +215,7 @@
 			o.Reject("allow", "names of outcomes, as in \"given up\"")
 			continue
 		}
-		bounds.Allow = append(bounds.Allow, outcome)
+		bounds.AllowedOutcomes = append(bounds.AllowedOutcomes, outcome)
 	}
 	for _, goal := range o.Objects("goals") {
 		bounds.Goals = append(bounds.Goals, d.decodeGoal(goal))
--- a/internal/testbed/load/experiment/result.go
+++ b/internal/testbed/load/experiment/result.go
@@ -29,7 +29,7 @@
 	Truth     []Comparison     `json:"truth,omitempty"`
 	Gateways  []GatewayMetrics `json:"gateways,omitempty"`
 	Swapped   int              `json:"swapped,omitempty"` // requests that began while their engine was short of memory
-	Process   Process          `json:"process"`
+	Process   ProcessUsage     `json:"process"`
 
 	bySecond      []int64               // requests of the schedule, by second
 	trueLatencies map[int][]trueLatency // by class
--- a/internal/testbed/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// Folder is where a run's files go when no other place is named.
-func Folder(name string) string {
+// DefaultFolder is where a run's files go when no other place is named.
+func DefaultFolder(name string) string {
 	return filepath.Join(os.TempDir(), fmt.Sprintf("magpiebank-testbed-%s-%d", name, os.Getpid()))
 }
--- a/internal/testbed/load/experiment/usage.go
+++ b/internal/testbed/load/experiment/usage.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Process is what the generator itself used.
-type Process struct {
+// ProcessUsage is what the generator itself used.
+type ProcessUsage struct {
 	CPU        time.Duration `json:"cpu_ns"`
 	PeakKB     int64         `json:"peak_kb"`
 	Mallocs    uint64        `json:"allocations"`
@@ -15,7 +15,7 @@
 }
 
 // currentUsage returns what this process has used since its start.
-func currentUsage() (usage Process) {
+func currentUsage() (usage ProcessUsage) {
 	var resources syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &resources) == nil {
 		usage.CPU = time.Duration(resources.Utime.Nano() + resources.Stime.Nano())
@@ -28,6 +28,6 @@
 }
 
 // since returns what was used after an earlier moment; the peak is that of the whole process.
-func (p Process) since(earlier Process) Process {
-	return Process{p.CPU - earlier.CPU, p.PeakKB, p.Mallocs - earlier.Mallocs, p.AllocBytes - earlier.AllocBytes}
+func (p ProcessUsage) since(earlier ProcessUsage) ProcessUsage {
+	return ProcessUsage{p.CPU - earlier.CPU, p.PeakKB, p.Mallocs - earlier.Mallocs, p.AllocBytes - earlier.AllocBytes}
 }
--- a/internal/testbed/load/experiment/verdicts.go
+++ b/internal/testbed/load/experiment/verdicts.go
@@ -74,7 +74,7 @@
 	}
 	offered := metrics.Total()
 	miss := math.Abs(float64(offered-r.Scheduled)) / math.Max(1, float64(r.Scheduled))
-	r.addVerdict("offered", miss <= bounds.Offered && worstMiss <= bounds.Offered, "%d of %d tasks of the schedule were offered; the worst second "+
+	r.addVerdict("offered", miss <= bounds.OfferedTolerance && worstMiss <= bounds.OfferedTolerance, "%d of %d tasks of the schedule were offered; the worst second "+
 		"(%d) misses by %.3f%%; %d not offered and %d unknown by the loss of workers", offered, r.Scheduled, worstSecond, 100*worstMiss,
 		r.NotSent, r.Unknown)
 }
@@ -90,7 +90,7 @@
 func (r *Result) judgeRules(bounds *Bounds) {
 	metrics := r.Metrics
 	allowed := map[string]bool{}
-	for _, outcome := range bounds.Allow {
+	for _, outcome := range bounds.AllowedOutcomes {
 		if violation, ok := violationsOf[outcome]; ok {
 			allowed[violation] = true
 		}
