--- a/internal/testbed/load/classification/classification.go
+++ b/internal/testbed/load/classification/classification.go
@@ -14,20 +14,20 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// The classes: look-ups, reports, and statements that load an engine noticeably. classBounds are the times in ms under
+// The classes: look-ups, reports, and statements that load an engine noticeably. classUpperBounds are the times in ms under
 // which the first and second stay.
 var (
-	classBounds = []float64{45, 500}
-	classNames  = []string{"short", "middle", "heavy"}
+	classUpperBounds = []float64{45, 500}
+	classNames       = []string{"short", "middle", "heavy"}
 )
 
 func classOf(workMillis float64) int {
-	for class, bound := range classBounds {
+	for class, bound := range classUpperBounds {
 		if workMillis < bound {
 			return class
 		}
 	}
-	return len(classBounds)
+	return len(classUpperBounds)
 }
 
 // Matrix counts predicted classes against true ones, for statements whose shape and group of tables had so many answers.
@@ -37,8 +37,8 @@
 	Count [3][4]int `json:"true_given"`
 }
 
-// Wrong returns the share of predicted classes that were wrong, and the share of statements that got none.
-func (m *Matrix) Wrong() (wrong, none float64) {
+// ErrorRates returns the share of predicted classes that were wrong, and the share of statements that got none.
+func (m *Matrix) ErrorRates() (wrong, none float64) {
 	all, incorrect, unknown := 0, 0, 0
 	for trueClass, row := range m.Count {
 		for predicted, count := range row {
@@ -56,21 +56,21 @@
 
 // Result is the outcome of a measurement.
 type Result struct {
-	Seed       int64    `json:"seed"`
-	Templates  int      `json:"forms"`
-	Statements int      `json:"statements"`
-	Matrices   []Matrix `json:"matrices"`
-	Named      int      `json:"scans_named_at_first_sight"` // templates that read a whole table
-	Scans      int      `json:"scans"`
-	Mistaken   int      `json:"others_named_scans"`
-	Split      int64    `json:"split_by_literal"`
-	Skewed     int      `json:"skewed_forms"`
-
-	Shifts  int     `json:"shifts"`       // of factor three
-	Found   int     `json:"found_within"` // 20 answers
-	Alarms  int64   `json:"false_alarms"`
-	Answers int     `json:"answers_without_shift"`
-	Mean    float64 `json:"answers_until_found"`
+	Seed            int64    `json:"seed"`
+	Templates       int      `json:"forms"`
+	Statements      int      `json:"statements"`
+	Matrices        []Matrix `json:"matrices"`
+	RecognizedScans int      `json:"scans_named_at_first_sight"` // templates that read a whole table
+	Scans           int      `json:"scans"`
+	FalseScans      int      `json:"others_named_scans"`
+	SplitShapes     int64    `json:"split_by_literal"`
+	SkewedTemplates int      `json:"skewed_forms"`
+
+	Shifts                 int     `json:"shifts"`       // of factor three
+	DetectedShifts         int     `json:"found_within"` // 20 answers
+	FalseAlarms            int64   `json:"false_alarms"`
+	SteadyAnswers          int     `json:"answers_without_shift"`
+	MeanAnswersToDetection float64 `json:"answers_until_found"`
 }
 
 // answerCounts are the numbers of answers after which predicted classes are compared.
@@ -91,19 +91,19 @@
 
 // measurement is one run of a planner's statements through a cost model.
 type measurement struct {
-	result  *Result
-	planner *fake.Planner
-	model   *costmodel.Model
-	groups  int
-	answers map[templateGroup]int
-	seen    map[int]bool // templates
+	result        *Result
+	planner       *fake.Planner
+	model         *costmodel.Model
+	groups        int
+	answerCount   map[templateGroup]int
+	seenTemplates map[int]bool // templates
 }
 
 // Measure runs statements of a planner through a cost model, in the order that clients would send them: templates, groups
 // and literals are drawn, and bulk loads among them grow the tables.
 func Measure(seed int64, templates, groups, statements int) *Result {
 	m := &measurement{result: &Result{Seed: seed, Templates: templates, Statements: statements}, planner: fake.NewPlanner(seed, templates),
-		groups: groups, answers: map[templateGroup]int{}, seen: map[int]bool{}}
+		groups: groups, answerCount: map[templateGroup]int{}, seenTemplates: map[int]bool{}}
 	m.model = costmodel.NewModel(modelBytes, 1, func(table *costmodel.Table) (rows float64, keys []string, ok bool) {
 		return tableRows, fake.KeyColumns, strings.HasPrefix(table.Schema, "actas_")
 	})
@@ -121,7 +121,7 @@
 		text := fillTemplate(m.planner.Templates[template].Text, group, random.Intn(literals))
 		m.run(templateGroup{template, group}, text, strconv.Itoa(number)+"-"+strconv.FormatInt(seed, 10))
 	}
-	m.result.Split, m.result.Skewed = m.model.SplitShapes.Load(), m.planner.SkewedTemplates()
+	m.result.SplitShapes, m.result.SkewedTemplates = m.model.SplitShapes.Load(), m.planner.SkewedTemplates()
 	m.result.measureShifts(seed)
 	return m.result
 }
@@ -132,12 +132,12 @@
 	sql := []byte(text)
 	statement := m.model.Inspect(sql, mysql.TableGroup(sql), 0)
 	estimate := m.model.Estimate(&statement)
-	if !m.seen[key.template] {
-		m.seen[key.template] = true
+	if !m.seenTemplates[key.template] {
+		m.seenTemplates[key.template] = true
 		m.result.countFullScan(template, &estimate)
 	}
 	m.countPrediction(key, text, &estimate)
-	m.answers[key]++
+	m.answerCount[key]++
 	took, memory, _ := m.planner.DrawCost(text, id)
 	m.model.Observe(&statement, float64(took)/nanosPerMilli, memory)
 	m.planner.RecordCompletion(text)
@@ -150,7 +150,7 @@
 func (m *measurement) countPrediction(key templateGroup, text string, estimate *costmodel.Estimate) {
 	for index, count := range answerCounts {
 		// At first sight that of the shape counts, on whatever group it comes first.
-		if m.answers[key] != count || count == 0 && !m.isFirstSight(key.template) {
+		if m.answerCount[key] != count || count == 0 && !m.isFirstSight(key.template) {
 			continue
 		}
 		typicalMillis, _, _ := m.planner.TypicalCost(text)
@@ -165,7 +165,7 @@
 // isFirstSight tells whether a template had no answer on any group.
 func (m *measurement) isFirstSight(template int) bool {
 	for group := 1; group <= m.groups; group++ {
-		if m.answers[templateGroup{template, group}] > 0 {
+		if m.answerCount[templateGroup{template, group}] > 0 {
 			return false
 		}
 	}
@@ -179,10 +179,10 @@
 	case template.Kind == fake.FullScan || template.Kind == fake.CrossJoin:
 		r.Scans++
 		if named {
-			r.Named++
+			r.RecognizedScans++
 		}
 	case template.Kind != fake.BulkLoad && named:
-		r.Mistaken++
+		r.FalseScans++
 	}
 }
 
@@ -191,7 +191,7 @@
 	sum := Measure(seed, templates, groups, statements)
 	for number := 1; number < seeds; number++ {
 		one := Measure(seed+int64(number), templates, groups, statements)
-		sum.Mean = (sum.Mean*float64(number) + one.Mean) / float64(number+1)
+		sum.MeanAnswersToDetection = (sum.MeanAnswersToDetection*float64(number) + one.MeanAnswersToDetection) / float64(number+1)
 		sum.addCounts(one)
 	}
 	return sum
@@ -207,15 +207,15 @@
 	}
 	r.Templates += other.Templates
 	r.Statements += other.Statements
-	r.Named += other.Named
+	r.RecognizedScans += other.RecognizedScans
 	r.Scans += other.Scans
-	r.Mistaken += other.Mistaken
-	r.Split += other.Split
-	r.Skewed += other.Skewed
+	r.FalseScans += other.FalseScans
+	r.SplitShapes += other.SplitShapes
+	r.SkewedTemplates += other.SkewedTemplates
 	r.Shifts += other.Shifts
-	r.Found += other.Found
-	r.Alarms += other.Alarms
-	r.Answers += other.Answers
+	r.DetectedShifts += other.DetectedShifts
+	r.FalseAlarms += other.FalseAlarms
+	r.SteadyAnswers += other.SteadyAnswers
 }
 
 func fillTemplate(text string, group, literal int) string {
--- a/internal/testbed/load/classification/delay.go
+++ b/internal/testbed/load/classification/delay.go
@@ -25,23 +25,23 @@
 	Max   time.Duration `json:"max_ns"`
 }
 
-// lookUp is a statement whose shape is known, and newShape one whose shape never comes again.
-func lookUp(number int) []byte {
+// lookupStatement is a statement whose shape is known, and newShapeStatement one whose shape never comes again.
+func lookupStatement(number int) []byte {
 	return fmt.Appendf(nil, "SELECT nota, mesa FROM actas_%d.mesas WHERE clave = 'v%d' AND distrito IN (%d, 7, 9) ORDER BY dia LIMIT 20", number%12+1, number, number)
 }
 
-func newShape(number int) []byte {
+func newShapeStatement(number int) []byte {
 	return fmt.Appendf(nil, "SELECT c%d, count(*), max(nota) AS m FROM actas_%d.mesas WHERE clave = 'v' AND nota > 3 GROUP BY c%d ORDER BY m DESC LIMIT 5", number, number%12+1, number)
 }
 
 // floodInterval is how often a statement of a new shape comes under a flood of them.
 const floodInterval = 10
 
-func floodedLookUp(number int) []byte {
+func floodStatement(number int) []byte {
 	if number%floodInterval == 0 {
-		return newShape(number)
+		return newShapeStatement(number)
 	}
-	return lookUp(number)
+	return lookupStatement(number)
 }
 
 // MeasureDelays times look-ups whose shape is known, some of shapes never seen, and known ones among which every tenth is of a
@@ -50,22 +50,22 @@
 	all := func(int) bool { return true }
 	isLookUp := func(number int) bool { return number%floodInterval != 0 }
 	return []Delay{
-		measureDelay("known", known, lookUp, all),
-		measureDelay("never seen", fresh, newShape, all),
-		measureDelay("known, under a flood", known, floodedLookUp, isLookUp),
+		measureDelay("known", known, lookupStatement, all),
+		measureDelay("never seen", fresh, newShapeStatement, all),
+		measureDelay("known, under a flood", known, floodStatement, isLookUp),
 	}
 }
 
-// knownLookUps is how many look-ups the model has observed before a measurement begins.
-const knownLookUps = 1000
+// observedLookups is how many look-ups the model has observed before a measurement begins.
+const observedLookups = 1000
 
 // measureDelay times so many statements of those that isTimed names.
 func measureDelay(name string, count int, text func(number int) []byte, isTimed func(number int) bool) Delay {
 	plan := newPlan()
 	tables := func(*costmodel.Table) (float64, []string, bool) { return tableRows, fake.KeyColumns, true }
 	model := costmodel.NewModel(2<<20, 1, tables)
-	for number := range knownLookUps {
-		statement := model.Inspect(lookUp(number), number%12+1, 0)
+	for number := range observedLookups {
+		statement := model.Inspect(lookupStatement(number), number%12+1, 0)
 		model.Observe(&statement, 15, 8)
 	}
 	histogram := hdrhistogram.New(1, int64(10*time.Second), 3)
--- a/internal/testbed/load/classification/shifts.go
+++ b/internal/testbed/load/classification/shifts.go
@@ -9,16 +9,16 @@
 
 // The measurement of shifts: in each run a cost is steady for a while and then grows by a factor of three.
 const (
-	shiftRuns        = 200
-	steadyAnswers    = 500
-	detectionBound   = 20 // answers within which a shift should be detected
-	maxShiftAnswers  = 100
-	steadyMillis     = 100
-	shiftedMillis    = 300
-	costScatter      = 0.5 // of the logarithm
-	badPlanShare     = 0.1
-	shiftModelBytes  = 1 << 20
-	seedsOfShiftRuns = 1000
+	shiftRuns       = 200
+	steadyAnswers   = 500
+	detectionBound  = 20 // answers within which a shift should be detected
+	maxShiftAnswers = 100
+	steadyMillis    = 100
+	shiftedMillis   = 300
+	costScatter     = 0.5 // of the logarithm
+	badPlanShare    = 0.1
+	shiftModelBytes = 1 << 20
+	seedStride      = 1000
 )
 
 // shiftRun is a cost model that observes one statement.
@@ -41,14 +41,14 @@
 func (r *Result) measureShifts(seed int64) {
 	sum := 0
 	for number := range shiftRuns {
-		run := &shiftRun{random: rand.New(rand.NewSource(seed*seedsOfShiftRuns + int64(number))), model: costmodel.NewModel(shiftModelBytes, 1, nil)}
+		run := &shiftRun{random: rand.New(rand.NewSource(seed*seedStride + int64(number))), model: costmodel.NewModel(shiftModelBytes, 1, nil)}
 		run.statement = run.model.Inspect([]byte("SELECT a FROM t_1.m WHERE b = 1"), 1, 0)
 		for range steadyAnswers {
 			run.observe(steadyMillis)
 		}
-		r.Answers += steadyAnswers
+		r.SteadyAnswers += steadyAnswers
 		falseAlarms := run.model.Shifts.Load()
-		r.Alarms += falseAlarms
+		r.FalseAlarms += falseAlarms
 		run.model.RecordLoad(1)
 		r.Shifts++
 		answers := 0
@@ -58,8 +58,8 @@
 		}
 		sum += answers
 		if answers <= detectionBound {
-			r.Found++
+			r.DetectedShifts++
 		}
 	}
-	r.Mean = float64(sum) / shiftRuns
+	r.MeanAnswersToDetection = float64(sum) / shiftRuns
 }
--- a/internal/testbed/load/classification/verdict.go
+++ b/internal/testbed/load/classification/verdict.go
@@ -9,10 +9,10 @@
 
 // The bounds of a good measurement, as shares.
 const (
-	maxWrongAtFirst = 0.15
-	maxWrongLater   = 0.03 // after a hundred answers
-	minFound        = 0.9  // of shifts, within twenty answers
-	maxAlarms       = 1e-4 // an answer
+	maxEarlyErrorRate = 0.15
+	maxLateErrorRate  = 0.03 // after a hundred answers
+	minDetectionRate  = 0.9  // of shifts, within twenty answers
+	maxFalseAlarmRate = 1e-4 // an answer
 )
 
 // Verdict tells whether the bounds are kept, and by which it is not.
@@ -27,22 +27,22 @@
 	}
 	for i := range r.Matrices {
 		matrix := &r.Matrices[i]
-		bound := maxWrongLater
+		bound := maxLateErrorRate
 		if matrix.After < 100 {
-			bound = maxWrongAtFirst
+			bound = maxEarlyErrorRate
 		}
-		wrong, none := matrix.Wrong()
+		wrong, none := matrix.ErrorRates()
 		line(wrong < bound, "classes after %d answers: %.1f%% wrong, the bound is %.0f%%; %.1f%% were given none", matrix.After, 100*wrong, 100*bound, 100*none)
 	}
-	line(r.Named == r.Scans, "whole tables named at first sight: %d of %d; %d others taken for such", r.Named, r.Scans, r.Mistaken)
-	line(float64(r.Found) >= minFound*float64(r.Shifts), "shifts of factor three found within 20 answers: %d of %d, on average after %.1f", r.Found, r.Shifts, r.Mean)
-	line(float64(r.Alarms) < maxAlarms*float64(r.Answers), "false alarms: %d in %d answers", r.Alarms, r.Answers)
+	line(r.RecognizedScans == r.Scans, "whole tables named at first sight: %d of %d; %d others taken for such", r.RecognizedScans, r.Scans, r.FalseScans)
+	line(float64(r.DetectedShifts) >= minDetectionRate*float64(r.Shifts), "shifts of factor three found within 20 answers: %d of %d, on average after %.1f", r.DetectedShifts, r.Shifts, r.MeanAnswersToDetection)
+	line(float64(r.FalseAlarms) < maxFalseAlarmRate*float64(r.SteadyAnswers), "false alarms: %d in %d answers", r.FalseAlarms, r.SteadyAnswers)
 	return good, text
 }
 
 // Text writes a result as tables.
 func (r *Result) Text(out io.Writer) {
-	fmt.Fprintf(out, "seeds from %d on, %d forms, %d statements (simulated); %d forms skewed, on %d groups of tables split by their literal\n", r.Seed, r.Templates, r.Statements, r.Skewed, r.Split)
+	fmt.Fprintf(out, "seeds from %d on, %d forms, %d statements (simulated); %d forms skewed, on %d groups of tables split by their literal\n", r.Seed, r.Templates, r.Statements, r.SkewedTemplates, r.SplitShapes)
 	for i := range r.Matrices {
 		matrix := &r.Matrices[i]
 		fmt.Fprintf(out, "\nafter %d answers, true class by class given\n", matrix.After)
--- a/internal/testbed/load/crashtest/crashtest.go
+++ b/internal/testbed/load/crashtest/crashtest.go
@@ -21,23 +21,23 @@
 // The times of a run: requests take some tens of milliseconds, so that many are in flight at each kill; a gateway lives
 // for some hundreds, so that some requests are recorded, some in flight and some answered when it dies.
 const (
-	loadService  = 30 * time.Millisecond
-	lookService  = 4 * time.Millisecond
-	minLifetime  = 100 * time.Millisecond
-	maxLifetime  = 400 * time.Millisecond
-	maxWait      = 8 * time.Second
-	answerPeriod = 20 * time.Second // a client that had no answer within it never gets one
+	meanLoadServiceTime   = 30 * time.Millisecond
+	meanLookupServiceTime = 4 * time.Millisecond
+	minUptime             = 100 * time.Millisecond
+	maxUptime             = 400 * time.Millisecond
+	maxWait               = 8 * time.Second
+	answerTimeout         = 20 * time.Second // a client that had no answer within it never gets one
 	// maxRecovery is for how long a gateway that was started is waited for.
 	maxRecovery = 5 * time.Second
 	// maxRetryDelay bounds the random time between a lost connection and the next attempt.
-	maxRetryDelay = 20 * time.Millisecond
-	lookInterval  = 2 * time.Millisecond
+	maxRetryDelay  = 20 * time.Millisecond
+	lookupInterval = 2 * time.Millisecond
 )
 
-// Ids of non-idempotent requests begin with loadIDPrefix, those of look-ups with lookIDPrefix.
+// Ids of non-idempotent requests begin with loadIDPrefix, those of look-ups with lookupIDPrefix.
 const (
-	loadIDPrefix = "1"
-	lookIDPrefix = "2"
+	loadIDPrefix   = "1"
+	lookupIDPrefix = "2"
 )
 
 type runner struct {
@@ -46,11 +46,11 @@
 	stopped atomic.Bool
 	clients sync.WaitGroup
 
-	mu      sync.Mutex // of all below
-	result  Result
-	answers map[string]string // by request
-	looks   []time.Duration   // latencies
-	loads   []time.Duration
+	mu              sync.Mutex // of all below
+	result          Result
+	outcomes        map[string]string // by request
+	lookupLatencies []time.Duration   // latencies
+	loadLatencies   []time.Duration
 }
 
 // Run runs a load with a gateway that is killed and started again as often as the plan says. It returns the context's
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	defer site.Stop()
-	run := &runner{plan: plan, answers: map[string]string{}}
+	run := &runner{plan: plan, outcomes: map[string]string{}}
 	run.db, err = sqlclient.Open(site.Targets()[0])
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	gateway := site.Gateways[0]
 	err = run.killRepeatedly(ctx, gateway)
 	if err == nil {
-		time.Sleep(maxLifetime)
+		time.Sleep(maxUptime)
 	}
 	run.stopped.Store(true)
 	run.clients.Wait()
@@ -80,8 +80,8 @@
 		return nil, err
 	}
 	gateway.Signal(syscall.SIGTERM)
-	run.judge(site.Log)
-	run.result.LooksP50, run.result.LoadsP50 = median(run.looks), median(run.loads)
+	run.checkAnswers(site.Log)
+	run.result.LookupsP50, run.result.LoadsP50 = median(run.lookupLatencies), median(run.loadLatencies)
 	return &run.result, nil
 }
 
@@ -90,8 +90,8 @@
 		ConnectWithin: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Seed: plan.Seed, Program: plan.Program,
 		Classes: []installation.Class{{Name: "look", LatencyObjective: time.Second, MaxWait: maxWait, Weight: 1, Effect: "idempotent", Threads: 1},
 			{Name: "load", LatencyObjective: 4 * time.Second, MaxWait: maxWait, Weight: 10, Effect: "unrepeatable", Threads: 1}},
-		Behavior: fake.EngineBehavior{Threads: 16, Cores: 8, Works: []fake.Work{{Class: "load", Rows: 2, Service: fake.ServiceTime{Kind: "exponential", Mean: loadService}},
-			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: lookService}}}}}
+		Behavior: fake.EngineBehavior{Threads: 16, Cores: 8, Works: []fake.Work{{Class: "load", Rows: 2, Service: fake.ServiceTime{Kind: "exponential", Mean: meanLoadServiceTime}},
+			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: meanLookupServiceTime}}}}}
 	if !plan.NoJournal {
 		created.ExtraArguments = []string{"--state", filepath.Join(plan.Folder, "state")}
 	}
@@ -103,7 +103,7 @@
 		r.clients.Go(func() { r.sendLoads(number) })
 	}
 	for number := range r.plan.LookupClients {
-		r.clients.Go(func() { r.sendLooks(number) })
+		r.clients.Go(func() { r.sendLookups(number) })
 	}
 }
 
@@ -114,7 +114,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(minLifetime + time.Duration(random.Int63n(int64(maxLifetime-minLifetime)))):
+		case <-time.After(minUptime + time.Duration(random.Int63n(int64(maxUptime-minUptime)))):
 		}
 		gateway.Kill()
 		startedAt := time.Now()
@@ -166,12 +166,12 @@
 	attempts      int
 	latency       time.Duration // of the first outcome
 	outcome       string
-	repeated      string // outcome after the answer, or the first one where the request was not sent again
+	repeatOutcome string // outcome after the answer, or the first one where the request was not sent again
 }
 
 func (r *runner) sendUntilAnswered(sent *loadRequest, random *rand.Rand) {
 	sent.outcome = sqlclient.ConnectionLost
-	for sent.outcome == sqlclient.ConnectionLost && time.Since(sent.startedAt) < answerPeriod {
+	for sent.outcome == sqlclient.ConnectionLost && time.Since(sent.startedAt) < answerTimeout {
 		if sent.attempts > 0 {
 			time.Sleep(time.Duration(random.Int63n(int64(maxRetryDelay))))
 		}
@@ -179,13 +179,13 @@
 		sent.attempts++
 	}
 	sent.latency = time.Since(sent.startedAt)
-	sent.repeated = sent.outcome
+	sent.repeatOutcome = sent.outcome
 	if sent.outcome == sqlclient.ConnectionLost || random.Intn(3) != 0 {
 		return
 	}
-	sent.repeated = sqlclient.ConnectionLost
-	for sent.repeated == sqlclient.ConnectionLost && time.Since(sent.startedAt) < 2*answerPeriod {
-		sent.repeated = r.send("load", sent.id, sent.statement)
+	sent.repeatOutcome = sqlclient.ConnectionLost
+	for sent.repeatOutcome == sqlclient.ConnectionLost && time.Since(sent.startedAt) < 2*answerTimeout {
+		sent.repeatOutcome = r.send("load", sent.id, sent.statement)
 		sent.attempts++
 	}
 }
@@ -208,22 +208,22 @@
 		r.result.FalseAnswers = append(r.result.FalseAnswers, sent.id+": "+sent.outcome)
 	}
 	if sent.attempts == 1 {
-		r.loads = append(r.loads, sent.latency)
+		r.loadLatencies = append(r.loadLatencies, sent.latency)
 	}
-	if sent.repeated != sent.outcome {
-		r.result.AnsweredDifferently = append(r.result.AnsweredDifferently, fmt.Sprintf("%s: %s, then %s", sent.id, sent.outcome, sent.repeated))
+	if sent.repeatOutcome != sent.outcome {
+		r.result.AnsweredDifferently = append(r.result.AnsweredDifferently, fmt.Sprintf("%s: %s, then %s", sent.id, sent.outcome, sent.repeatOutcome))
 	}
-	r.answers[sent.id] = sent.outcome
+	r.outcomes[sent.id] = sent.outcome
 }
 
-// judge checks the answers against what the engines ran.
-func (r *runner) judge(log *fake.ExecutionLog) {
+// checkAnswers checks the answers against what the engines ran.
+func (r *runner) checkAnswers(log *fake.ExecutionLog) {
 	log.Each(func(record fake.ExecutionRecord) {
 		if strings.HasPrefix(record.ID, loadIDPrefix) && record.Starts > 1 {
 			r.result.RunTwice = append(r.result.RunTwice, fmt.Sprintf("%s began %d times", record.ID, record.Starts))
 		}
 	})
-	for id, answer := range r.answers {
+	for id, answer := range r.outcomes {
 		record, _ := log.Find(id)
 		if answer == sqlclient.Served && record.Completions != 1 || answer == sqlclient.Rejected && record.Starts > 0 {
 			r.result.FalseAnswers = append(r.result.FalseAnswers, fmt.Sprintf("%s was %s, and ran %d times", id, answer, record.Starts))
@@ -232,17 +232,17 @@
 	slices.Sort(r.result.FalseAnswers)
 }
 
-func (r *runner) sendLooks(client int) {
+func (r *runner) sendLookups(client int) {
 	for number := 0; !r.stopped.Load(); number++ {
 		startedAt := time.Now()
-		id := fmt.Sprintf("%s%07x%08x", lookIDPrefix, client, number)
+		id := fmt.Sprintf("%s%07x%08x", lookupIDPrefix, client, number)
 		statement := fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", number%4+1, number)
 		if r.send("look", id, statement) == sqlclient.Served {
 			r.mu.Lock()
-			r.looks = append(r.looks, time.Since(startedAt))
+			r.lookupLatencies = append(r.lookupLatencies, time.Since(startedAt))
 			r.mu.Unlock()
 		}
-		time.Sleep(lookInterval)
+		time.Sleep(lookupInterval)
 	}
 }
 
--- a/internal/testbed/load/crashtest/result.go
+++ b/internal/testbed/load/crashtest/result.go
@@ -32,7 +32,7 @@
 	AnsweredDifferently []string      `json:"answered_differently"`
 	FalseAnswers        []string      `json:"answers_that_are_not_true"` // served that did not run, rejected that did
 	Unanswered          []string      `json:"without_an_answer"`
-	LooksP50            time.Duration `json:"look_ups_p50_ns"`
+	LookupsP50          time.Duration `json:"look_ups_p50_ns"`
 	LoadsP50            time.Duration `json:"loads_p50_ns"`
 	Recovery            time.Duration `json:"longest_recovery_ns"` // from a start to the first accepted connection
 }
@@ -50,7 +50,7 @@
 	fmt.Fprintf(out, "%d kills, %d tasks that may not run twice, %d asked again: %d delivered, %d nacked, %d written off (real sockets on loopback)\n",
 		r.Kills, r.Requests, r.Retries, r.Served, r.Rejected, r.Failed)
 	fmt.Fprintf(out, "medians of those answered at the first ask: loads %.1f ms, look-ups %.1f ms; longest from a start to a connection %.0f ms\n",
-		float64(r.LoadsP50)/1e6, float64(r.LooksP50)/1e6, float64(r.Recovery)/1e6)
+		float64(r.LoadsP50)/1e6, float64(r.LookupsP50)/1e6, float64(r.Recovery)/1e6)
 	for _, rule := range []struct {
 		name       string
 		violations []string
--- a/internal/testbed/load/experiment/builtin.go
+++ b/internal/testbed/load/experiment/builtin.go
@@ -12,7 +12,7 @@
 //go:embed builtin
 var builtin embed.FS
 
-// BuiltinNames are the built-in experiments.
+// BuiltinNames returns the names of the built-in experiments.
 func BuiltinNames() (names []string) {
 	files, err := fs.Glob(builtin, "builtin/*.jsonnet")
 	if err != nil {
@@ -24,7 +24,7 @@
 	return names
 }
 
-// Find reads an experiment by its file, or by the name of a built-in one.
+// Find returns the built-in experiment of a name, or else reads the experiment's file at that path.
 func Find(name string) (*Experiment, error) {
 	text, err := builtin.ReadFile("builtin/" + name + ".jsonnet")
 	if err != nil {
@@ -37,11 +37,13 @@
 	if err != nil {
 		return nil, err
 	}
-	// The one import that built-in files have is expanded here, because the evaluator reads no embedded files.
+	// The import of lanes.libsonnet, the only one in built-in files, is expanded here, because the evaluator can't read
+	// embedded files.
 	expanded := strings.ReplaceAll(string(text), "import 'lanes.libsonnet'", strings.TrimSpace(stripComments(string(classes))))
 	return Parse(name+".jsonnet", expanded)
 }
 
+// stripComments joins the lines of a text, without those that are comments.
 func stripComments(text string) string {
 	var lines []string
 	for _, line := range strings.Split(text, "\n") {
--- a/internal/testbed/load/experiment/builtin/demo.jsonnet
+++ b/internal/testbed/load/experiment/builtin/demo.jsonnet
@@ -1,4 +1,4 @@
-// A minute with a pause in it: one of six engines stands still for five seconds, and the others carry on.
+// A load of one minute on six engines. One engine is paused for five seconds.
 local lanes = import 'lanes.libsonnet';
 {
   name: 'demo',
--- a/internal/testbed/load/experiment/builtin/generator.jsonnet
+++ b/internal/testbed/load/experiment/builtin/generator.jsonnet
@@ -1,5 +1,5 @@
-// The generator alone against one stand-in that answers at once. The search raises the rate from here. The limit keeps
-// the first moment from being a storm of thousands of log-ins, which is another thing to measure.
+// The generator against one fake frontend that answers at once. The search raises the rate from the one given here. The limit
+// of connections prevents thousands of simultaneous log-ins at the start, which would distort this measurement.
 {
   name: 'generator',
   seed: 3,
--- a/internal/testbed/load/experiment/builtin/killed.jsonnet
+++ b/internal/testbed/load/experiment/builtin/killed.jsonnet
@@ -1,4 +1,4 @@
-// One of two gateways is killed under load and comes back: each open task has an outcome, none two.
+// One of two gateways is killed under load and started again. Each request must have exactly one outcome.
 local lanes = import 'lanes.libsonnet';
 {
   name: 'killed',
--- a/internal/testbed/load/experiment/builtin/lanes.libsonnet
+++ b/internal/testbed/load/experiment/builtin/lanes.libsonnet
@@ -1,4 +1,4 @@
-// The lanes that the built-in experiments share: short look-ups, long reports, and loads that must not run twice.
+// The lanes that the built-in experiments import: short look-ups, long reports, and bulk loads that must not run twice.
 {
   lookup: {
     name: 'lookup',
--- a/internal/testbed/load/experiment/builtin/paused.jsonnet
+++ b/internal/testbed/load/experiment/builtin/paused.jsonnet
@@ -1,5 +1,5 @@
-// What the load generator reports against what is true: a stand-in of the gateway stands still for five seconds, and its
-// own log of when each answer left is held against the reported quantiles.
+// Compares reported latencies with true ones: a fake frontend is paused for five seconds, and the reported quantiles are
+// compared with its log of the times at which it sent the answers.
 local lanes = import 'lanes.libsonnet';
 {
   name: 'paused',
--- a/internal/testbed/load/experiment/builtin/ten-times.jsonnet
+++ b/internal/testbed/load/experiment/builtin/ten-times.jsonnet
@@ -1,4 +1,4 @@
-// Ten times the load of a first installation: 600 tasks a second over three gateways, on loopback.
+// Ten times the load of a first installation: 600 requests a second on three gateways, on loopback.
 local lanes = import 'lanes.libsonnet';
 {
   name: 'ten-times',
--- a/internal/testbed/load/experiment/experiment_test.go
+++ b/internal/testbed/load/experiment/experiment_test.go
@@ -23,11 +23,11 @@
 		}
 	}
 	if len(files) < 10 {
-		t.Errorf("%d examples were found", len(files))
+		t.Errorf("expected at least 10 examples, found %d", len(files))
 	}
 }
 
-// Files with mistakes, and the errors that name their lines.
+// Shows the errors for files with mistakes. Each error names the line.
 func ExampleParse() {
 	for _, text := range []string{
 		"{ name: 'x' }",
@@ -58,7 +58,7 @@
 	// x.jsonnet:1: load.trace: expected a trace that can be read (open none.trace: no such file or directory), found "none.trace"
 }
 
-// A closed loop of one user doesn't see what was due while it waited.
+// Shows coordinated omission: a closed loop of one user doesn't measure the requests that are due while the user waits.
 func Example_closedLoop() {
 	var truths []trueLatency
 	for i := range 100 {
@@ -89,8 +89,8 @@
   bounds: { own: '1s', check_truth: true, truth_least: '%s' },
 }`
 
-// A complete run against a frontend that is paused: offered as planned, and reported as it truly was; a bound that can't
-// be kept is missed.
+// A complete run against a frontend that is paused in between must offer the whole schedule and report the true latencies.
+// With a tolerance of zero, which no run can meet, the run must miss the bound.
 func TestRun(t *testing.T) {
 	for bound, good := range map[string]bool{"100ms": true, "0s": false} {
 		e, err := Parse("short.jsonnet", fmt.Sprintf(shortExperiment, bound))
@@ -110,7 +110,7 @@
 	}
 }
 
-// A run whose context is done ends at once, with an error.
+// A run must end early with the context's error when its context is done.
 func TestCanceledRun(t *testing.T) {
 	e, err := Parse("short.jsonnet", strings.Replace(fmt.Sprintf(shortExperiment, "1s"), "'2s'", "'10m'", 1))
 	if err != nil {
@@ -124,10 +124,10 @@
 }
 
 func TestStepsFailWithoutSite(t *testing.T) {
-	for verb, target := range targetsOfVerbs {
+	for verb, target := range targetsByVerb {
 		step := Step{Do: verb, Which: "all", target: target}
 		if err := step.run(nil, nil); target != targetFrontend && err == nil {
-			t.Errorf("%s was carried out without a site", verb)
+			t.Errorf("step %s succeeded without an installation", verb)
 		}
 	}
 }
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -1,4 +1,4 @@
-// Package experiment reads an experiment from its file, runs it on loopback and judges the result by the file's bounds.
+// Package experiment reads an experiment from a file, runs it on loopback and checks the result against the file's bounds.
 package experiment
 
 import (
@@ -15,52 +15,53 @@
 	"magpiebank/internal/testbed/load/client"
 )
 
-// Experiment is the content of an experiment's file.
+// Experiment is the content of an experiment's file. Its load goes to an installation, to a fake frontend or to given
+// addresses, whichever is set.
 type Experiment struct {
 	Name         string
 	Seed         int64
-	Length       time.Duration
+	Length       time.Duration // of the load; 0: until the shape ends
 	Shape        arrival.Shape
 	Classes      []arrival.Class
 	Behavior     client.Behavior
-	Works        []fake.Work
-	Installation *installation.Plan // gateways between fakes; nil: none are started
-	FakeFrontend bool               // a fake for the gateway takes the load
-	Targets      []string           // or addresses that are there
+	Works        []fake.Work        // how the fakes run requests
+	Installation *installation.Plan // gateways with fake engines and a fake discovery
+	FakeFrontend bool               // a fake takes the gateways' place
+	Targets      []string           // loopback addresses of programs that are already running
 	Script       []Step
 	Bounds       Bounds
-	Loops        int
-	Workers      int // processes that send; 0: this one
-	OnLoss       string
+	Loops        int    // goroutines that send, in each process; 0: half the cores
+	Workers      int    // processes that send; 0: this process sends
+	OnLoss       string // what happens to a lost worker's requests: share (others send them) or drop
 }
 
-// Bounds are what a run must keep to be called good.
+// Bounds are the conditions that a good run meets.
 type Bounds struct {
-	GeneratorDelay    time.Duration    // of the generator's own delay at p99
-	QueueDelay        time.Duration    // of waits for a connection under the limit at p99; 0: not judged
-	OfferedTolerance  float64          // share by which what was offered may miss the schedule
-	TruthTolerance    float64          // share by which reported quantiles may miss the true ones,
-	MinTruthTolerance time.Duration    // or this, whichever is larger
-	AllowedOutcomes   []client.Outcome // that would break a rule otherwise
+	GeneratorDelay    time.Duration    // most at p99 that the generator itself adds to latencies
+	QueueDelay        time.Duration    // most at p99 of the wait for a connection under the clients' limit; 0: not checked
+	OfferedTolerance  float64          // relative error of the offered requests against the schedule
+	TruthTolerance    float64          // relative error of reported quantiles against the true ones
+	MinTruthTolerance time.Duration    // absolute error of reported quantiles that is always tolerated
+	AllowedOutcomes   []client.Outcome // outcomes that don't count as violations
 	Goals             []Goal
-	CheckTruth        bool
-	ClosedUsers       int // of the closed loop that the run is compared with; 0: as many as it holds at its median
+	CheckTruth        bool // compare reported latencies with those in the fakes' log
+	ClosedUsers       int  // users of the closed loop that the run is compared with; 0: chosen by closedLoopUsers
 }
 
-// Goal is a quantile that a class must reach.
+// Goal is a latency quantile or a share of served requests that a class must reach.
 type Goal struct {
 	Class    string
-	Quantile float64
+	Quantile float64 // 0: the latency is not checked
 	Within   time.Duration
-	Share    float64 // of the class's requests that are served; 0: not asked
+	Share    float64 // least share of the class's requests that are served; 0: not checked
 }
 
-// The bounds where a file names none: the delay is a tenth of what the shortest quoted times leave for noise, the
-// others are those that the testbed's own measurements hold (docs/load.md).
+// The bounds if a file names none. The delay is a tenth of the noise that the shortest latency objectives allow. The
+// testbed's own measurements meet the others (docs/load.md).
 const (
-	defaultGeneratorDelay = time.Millisecond
-	defaultOfferedMiss    = 0.001
-	defaultTruthMiss      = 0.01
+	defaultGeneratorDelay   = time.Millisecond
+	defaultOfferedTolerance = 0.001
+	defaultTruthTolerance   = 0.01
 )
 
 // Read reads an experiment's file.
@@ -72,7 +73,7 @@
 	return decode(file, filepath.Dir(path))
 }
 
-// Parse reads an experiment from a text that stands for a file of that name.
+// Parse reads an experiment from a text as if it were in a file of the given name.
 func Parse(name, text string) (*Experiment, error) {
 	_, file, err := configfile.Parse(name, text)
 	if err != nil {
@@ -84,8 +85,8 @@
 // decoder reads one experiment.
 type decoder struct {
 	experiment     *Experiment
-	folder         string // that relative paths start from
-	gatewayClasses []installation.Class
+	folder         string               // that relative paths refer to
+	gatewayClasses []installation.Class // classes that the gateways are configured with
 }
 
 func decode(file *configfile.Object, folder string) (*Experiment, error) {
@@ -136,9 +137,9 @@
 
 func (d *decoder) decodeStep(o *configfile.Object) {
 	step := Step{At: o.Duration("at", 0), Do: o.RequiredText("do"), Which: o.Text("which", "all"), Share: o.Number("share", 0, 0, 100)}
-	target, ok := targetsOfVerbs[step.Do]
+	target, ok := targetsByVerb[step.Do]
 	if !ok {
-		o.OneOf("do", "", slices.Sorted(maps.Keys(targetsOfVerbs))...)
+		o.OneOf("do", "", slices.Sorted(maps.Keys(targetsByVerb))...)
 	}
 	step.target = target
 	if d.experiment.FakeFrontend && target == targetEngines {
@@ -150,7 +151,8 @@
 	d.experiment.Script = append(d.experiment.Script, step)
 }
 
-// checkTargets checks that the file names one thing that takes the load, on loopback, and how long the load lasts.
+// checkTargets checks that the file names exactly one target of the load, that it is on loopback, and that the file says how
+// long the load lasts.
 func (d *decoder) checkTargets(file *configfile.Object) {
 	e := d.experiment
 	named := 0
@@ -195,10 +197,10 @@
 	return plan
 }
 
-// decodeBounds reads the bounds; o is nil where the file names none.
+// decodeBounds reads the bounds. o is nil if the file has none.
 func (d *decoder) decodeBounds(o *configfile.Object) {
 	bounds := &d.experiment.Bounds
-	*bounds = Bounds{GeneratorDelay: defaultGeneratorDelay, OfferedTolerance: defaultOfferedMiss, TruthTolerance: defaultTruthMiss, MinTruthTolerance: time.Millisecond}
+	*bounds = Bounds{GeneratorDelay: defaultGeneratorDelay, OfferedTolerance: defaultOfferedTolerance, TruthTolerance: defaultTruthTolerance, MinTruthTolerance: time.Millisecond}
 	if o == nil {
 		return
 	}
@@ -240,7 +242,7 @@
 	return goal
 }
 
-// classIndex returns the index of a class, or -1 where there is none of that name.
+// classIndex returns the index of the class of a name, or -1 if there is none.
 func (e *Experiment) classIndex(name string) int {
 	return slices.IndexFunc(e.Classes, func(class arrival.Class) bool { return class.Name == name })
 }
--- a/internal/testbed/load/experiment/read_load.go
+++ b/internal/testbed/load/experiment/read_load.go
@@ -13,10 +13,11 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-// defaultStatement is what classes send whose statements the file doesn't name.
+// defaultStatement is the statement of classes for which the file names no statements.
 const defaultStatement = "SELECT dia, count(*), max(nota) FROM actas_{group}.mesas WHERE clave = '{literal}' GROUP BY dia"
 
-// decodeClass reads one class of the load, the gateways' class of that name, and how the fakes work on its requests.
+// decodeClass reads one class of the load, the class of the same name in the gateways' configuration, and how the fakes run
+// the class's requests. A class with the field "as" uses the gateways' class of an earlier one.
 func (d *decoder) decodeClass(o *configfile.Object) {
 	e := d.experiment
 	class := arrival.Class{Name: o.RequiredText("name"), GatewayClass: o.Text("as", ""), Share: o.Number("share", 1, 0, 1e6), Statements: o.Texts("statements"),
@@ -42,14 +43,14 @@
 	}
 }
 
-// decodeWorks reads how the fakes work on a class's requests.
+// decodeWorks reads how the fakes run a class's requests.
 func (d *decoder) decodeWorks(o *configfile.Object, wireName string) {
 	work := fake.Work{Class: wireName, Rows: o.Int("rows", 3, 1, 2000), MemoryMB: float64(o.Size("memory", 64<<20)) / (1 << 20),
 		FailureShare: o.Fraction("fails", 0)}
 	if service := o.Object("service"); service != nil {
 		work.Service = decodeServiceTime(service)
 	}
-	for _, heavy := range o.Objects("heavy") { // statements that differ from the rest of their class
+	for _, heavy := range o.Objects("heavy") { // statements that cost more than the rest of their class
 		heavyWork := work
 		heavyWork.Contains = heavy.RequiredText("contains")
 		if heavy.HasField("rows") {
@@ -72,7 +73,7 @@
 	return service
 }
 
-// decodeShape reads one shape of arrivals with its parts.
+// decodeShape reads a shape of arrivals and the shapes that it consists of.
 func (d *decoder) decodeShape(o *configfile.Object) arrival.Shape {
 	shape := arrival.Shape{Kind: arrival.Kind(o.OneOf("kind", "poisson", "poisson", "steady", "bursts", "on-off", "ramp", "step",
 		"diurnal", "flash", "replay", "sum", "scale", "thin", "sequence")),
@@ -90,7 +91,7 @@
 	return shape
 }
 
-// decodeReplay reads the trace that a shape replays.
+// decodeReplay reads the trace that a shape replays, and divides the times in it by the speed.
 func (d *decoder) decodeReplay(o *configfile.Object, shape *arrival.Shape) {
 	path := o.RequiredText("trace")
 	if !filepath.IsAbs(path) {
--- a/internal/testbed/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -14,32 +14,33 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// headStart and workersStart are the times that loops and workers have to be ready before the first arrival.
 const (
-	headStart    = 200 * time.Millisecond
-	workersStart = time.Second
-	// progressInterval is the time between reports of the progress.
+	// loopStartup is the time that the loops have to start before the load begins.
+	loopStartup = 200 * time.Millisecond
+	// workerStartup is the further time that worker processes have to start.
+	workerStartup = time.Second
+	// progressInterval is the time between calls of onProgress.
 	progressInterval = 500 * time.Millisecond
 )
 
-// Sender sends a load in place of this process: workers do.
+// Sender sends a load and returns its metrics. Worker processes do so in place of this process.
 type Sender func(ctx context.Context, load driver.Load, start time.Time, onProgress func(Progress)) (metrics *stats.Metrics, notSent, unknown int64, err error)
 
-// Progress is how far a run is.
+// Progress is the state of a run: the time since its start, and the numbers of requests and of open sessions.
 type Progress struct {
 	At                      time.Duration
 	Offered, Finished, Open int64
 }
 
-// environment is what an experiment sends its load to, and the log of the fakes in it.
+// environment holds the targets of an experiment's load, and the log of the fakes among them.
 type environment struct {
 	targets  []string
-	site     *installation.Installation // nil: none
-	frontend *fake.Frontend             // nil: none
-	log      *fake.ExecutionLog         // nil: none
+	site     *installation.Installation // nil: no installation was started
+	frontend *fake.Frontend             // nil: no fake frontend was started
+	log      *fake.ExecutionLog         // nil: there are no fakes, or the latencies are not checked
 }
 
-// startEnvironment starts the gateways and fakes that the experiment names; the caller stops them.
+// startEnvironment starts the gateways and fakes of the experiment. The caller stops them.
 func (e *Experiment) startEnvironment(folder string) (*environment, error) {
 	started := &environment{targets: e.Targets}
 	var err error
@@ -72,7 +73,7 @@
 	}
 }
 
-// recordUsage adds what gateways and engines tell of a run to its result.
+// recordUsage adds the memory use of gateways and engines to a run's result.
 func (v *environment) recordUsage(result *Result) {
 	if v.site == nil {
 		return
@@ -85,8 +86,8 @@
 	}
 }
 
-// Run runs an experiment until it is over or ctx is done. The gateways' files go to a folder; onProgress, where it is
-// given, is called some times a second.
+// Run runs an experiment until it is over or ctx is done, and checks the result. The gateways' files go to folder. If send is
+// nil, this process sends the load. onProgress, if not nil, is called every progressInterval by this process's sender.
 func (e *Experiment) Run(ctx context.Context, folder string, send Sender, onProgress func(Progress)) (*Result, error) {
 	if send == nil {
 		send = sendFromThisProcess
@@ -108,9 +109,9 @@
 	load := driver.Load{Targets: running.targets, Shape: &e.Shape, Classes: e.Classes, Behavior: e.Behavior, Seed: e.Seed,
 		Length: e.Length, Loops: e.Loops, CheckRows: e.Installation != nil || e.FakeFrontend}
 	before := currentUsage()
-	result.Began = time.Now().Add(headStart)
+	result.Began = time.Now().Add(loopStartup)
 	if e.Workers > 0 {
-		result.Began = result.Began.Add(workersStart)
+		result.Began = result.Began.Add(workerStartup)
 	}
 	stop := make(chan struct{})
 	var script sync.WaitGroup
@@ -127,11 +128,11 @@
 	}
 	result.Process = currentUsage().since(before)
 	running.recordUsage(result)
-	result.judge(e, running.log)
+	result.checkBounds(e, running.log)
 	return result, nil
 }
 
-// Finish judges a run that another process had begun: its metrics come from serve.
+// Finish completes a run that another process started: it gets the metrics from serve and checks the result.
 func (e *Experiment) Finish(began time.Time, serve func() (*stats.Metrics, int64, int64, error)) (*Result, error) {
 	result := &Result{Name: e.Name, Seed: e.Seed, Length: e.Length, Began: began}
 	err := result.countSchedule(e)
@@ -144,11 +145,11 @@
 		return nil, err
 	}
 	result.Took, result.Process = time.Since(began), currentUsage().since(before)
-	result.judge(e, nil)
+	result.checkBounds(e, nil)
 	return result, nil
 }
 
-// sendFromThisProcess is the Sender where no workers are asked for.
+// sendFromThisProcess is the Sender for experiments without workers.
 func sendFromThisProcess(ctx context.Context, load driver.Load, start time.Time, onProgress func(Progress)) (*stats.Metrics, int64, int64, error) {
 	started, err := driver.Start(load, start)
 	if err != nil {
@@ -177,7 +178,7 @@
 	}
 }
 
-// DefaultFolder is where a run's files go when no other place is named.
+// DefaultFolder returns the default folder for a run's files.
 func DefaultFolder(name string) string {
 	return filepath.Join(os.TempDir(), fmt.Sprintf("magpiebank-testbed-%s-%d", name, os.Getpid()))
 }
--- a/internal/testbed/load/experiment/script.go
+++ b/internal/testbed/load/experiment/script.go
@@ -10,12 +10,12 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// Step is something that happens to the installation at a time.
+// Step is an action on the installation, or on the fake frontend, at a time of the run.
 type Step struct {
 	At     time.Duration
-	Do     string
-	Which  string // all, a zone, or a number from 0 on: of engines, or of gateways for verbs that are theirs
-	Share  float64
+	Do     string  // a verb of targetsByVerb
+	Which  string  // all, an index of an engine or a gateway (depending on the verb), or a zone of engines
+	Share  float64 // for slow: the engine's speed; for fail: the share of its queries that fail
 	target stepTarget
 }
 
@@ -29,7 +29,8 @@
 	targetFrontend
 )
 
-var targetsOfVerbs = map[string]stepTarget{
+// targetsByVerb maps the verbs of steps to what they act on.
+var targetsByVerb = map[string]stepTarget{
 	"pause": targetEngines, "resume": targetEngines, "refuse": targetEngines, "accept": targetEngines, "reset": targetEngines,
 	"silent": targetEngines, "speak": targetEngines, "slow": targetEngines, "fail": targetEngines,
 	"drain": targetEngines, "gone": targetEngines, "ready": targetEngines,
@@ -37,9 +38,9 @@
 	"break-list": targetDiscovery, "hold-list": targetDiscovery, "mend-list": targetDiscovery,
 }
 
-var errNoSite = errors.New("there is no site")
+var errNoInstallation = errors.New("there is no site")
 
-// runScript carries out the script's steps at their times.
+// runScript carries out the script's steps at their times, until stop is closed.
 func (e *Experiment) runScript(result *Result, running *environment, stop <-chan struct{}) {
 	for index := range e.Script {
 		step := &e.Script[index]
@@ -58,7 +59,7 @@
 	}
 }
 
-// run carries out a step on the installation, or on the frontend that takes the load in its place.
+// run carries out a step on the installation, or on the fake frontend.
 func (s *Step) run(site *installation.Installation, frontend *fake.Frontend) error {
 	if s.target == targetFrontend {
 		if s.Do == "pause" {
@@ -69,7 +70,7 @@
 		return nil
 	}
 	if site == nil {
-		return errNoSite
+		return errNoInstallation
 	}
 	switch s.target {
 	case targetDiscovery:
--- a/internal/testbed/load/experiment/truth.go
+++ b/internal/testbed/load/experiment/truth.go
@@ -11,11 +11,11 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// Comparison holds one class's reported latencies against the true ones.
+// Comparison compares one class's reported latencies with the true ones.
 type Comparison struct {
 	Class    string `json:"lane"`
-	Requests int    `json:"tasks"`
-	Hidden   int    `json:"hidden"` // requests that a closed loop would not have sent
+	Requests int    `json:"tasks"`  // that have a true latency
+	Hidden   int    `json:"hidden"` // requests that the closed loop would not have sent
 	Users    int    `json:"closed_loop_users"`
 	Rows     []Row  `json:"rows"`
 	Good     bool   `json:"good"`
@@ -23,19 +23,19 @@
 
 // Row is one quantile of a comparison.
 type Row struct {
-	Quantile float64       `json:"quantile"` // 1: the longest
+	Quantile float64       `json:"quantile"` // 1: the maximum
 	Reported time.Duration `json:"reported_ns"`
 	True     time.Duration `json:"true_ns"`
-	Closed   time.Duration `json:"closed_loop_ns"` // what a closed loop would have reported
+	Closed   time.Duration `json:"closed_loop_ns"` // the quantile that the closed loop would have reported
 	Good     bool          `json:"good"`
 }
 
-// trueLatency is what the fakes' log holds of one request.
+// trueLatency is a request's intended time, and its latency by the fakes' log.
 type trueLatency struct{ at, latency time.Duration }
 
-// judgeTruth compares what the metrics report with what the fakes' log holds: an answer's latency is from the intended
-// time to when its last byte left.
-func (r *Result) judgeTruth(e *Experiment, log *fake.ExecutionLog) {
+// checkTruth compares the reported latencies with those in the fakes' log. A true latency lasts from the request's intended
+// time until the fake has sent the last byte of the answer.
+func (r *Result) checkTruth(e *Experiment, log *fake.ExecutionLog) {
 	r.trueLatencies = map[int][]trueLatency{}
 	unanswered := 0
 	e.eachRequest(func(request *arrival.Request) {
@@ -57,7 +57,7 @@
 		100*e.Bounds.TruthTolerance, e.Bounds.MinTruthTolerance, unanswered)
 }
 
-// findAnswer returns when the last attempt that was answered with data had its answer.
+// findAnswer returns the time of the answer to the request's last attempt that was answered with data.
 func findAnswer(e *Experiment, log *fake.ExecutionLog, request *arrival.Request) (answeredAt time.Time, ok bool) {
 	for attempt := max(1, e.Behavior.MaxAttempts); attempt >= 1; attempt-- {
 		record, ok := log.Find(wireID(e.Seed, request.Number, attempt))
@@ -93,8 +93,8 @@
 	return comparison
 }
 
-// closedLoopUsers is how many users of a closed loop would send the load: as many as it holds at its median, where the
-// bounds name no number.
+// closedLoopUsers returns the number of users of the closed loop. If the bounds give none, it is the number of requests that
+// are in progress at a time at the run's rate and median latency.
 func closedLoopUsers(truths []trueLatency, sorted []time.Duration, bounds *Bounds) int {
 	if bounds.ClosedUsers != 0 || len(truths) <= 1 {
 		return bounds.ClosedUsers
@@ -103,8 +103,8 @@
 	return max(1, int(math.Ceil(float64(len(truths))/span.Seconds()*exactQuantile(sorted, 0.5).Seconds())))
 }
 
-// closedLoopLatencies returns the latencies that would have been seen by so many users who each send their next request
-// only when the last is answered: requests that were due meanwhile are not sent.
+// closedLoopLatencies returns the latencies that a closed loop would measure. Each user sends the next request only after the
+// previous one is answered, so requests that are due while all users wait are not sent.
 func closedLoopLatencies(truths []trueLatency, users int) (seen []time.Duration) {
 	busyUntil := make([]time.Duration, max(1, users))
 	for _, truth := range truths {
@@ -119,8 +119,8 @@
 	return seen
 }
 
-// exactQuantile is a quantile of sorted times: the time whose rank is the quantile of their number, rounded, as
-// histograms have it.
+// exactQuantile returns a quantile of sorted times: the time whose rank is the quantile times the number of times, rounded,
+// as in histograms.
 func exactQuantile(sorted []time.Duration, quantile float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/testbed/load/experiment/usage.go
+++ b/internal/testbed/load/experiment/usage.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ProcessUsage is what the generator itself used.
+// ProcessUsage is the resource usage of the generator's process.
 type ProcessUsage struct {
 	CPU        time.Duration `json:"cpu_ns"`
 	PeakKB     int64         `json:"peak_kb"`
@@ -14,7 +14,7 @@
 	AllocBytes uint64        `json:"allocated_bytes"`
 }
 
-// currentUsage returns what this process has used since its start.
+// currentUsage returns the resource usage of this process since its start.
 func currentUsage() (usage ProcessUsage) {
 	var resources syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &resources) == nil {
@@ -27,7 +27,7 @@
 	return usage
 }
 
-// since returns what was used after an earlier moment; the peak is that of the whole process.
+// since returns the usage after an earlier measurement. PeakKB remains the peak since the start of the process.
 func (p ProcessUsage) since(earlier ProcessUsage) ProcessUsage {
 	return ProcessUsage{p.CPU - earlier.CPU, p.PeakKB, p.Mallocs - earlier.Mallocs, p.AllocBytes - earlier.AllocBytes}
 }
--- a/internal/testbed/load/experiment/verdicts.go
+++ b/internal/testbed/load/experiment/verdicts.go
@@ -13,23 +13,23 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// judgedQuantile is the quantile of the generator's delays that the bounds hold for.
-const judgedQuantile = 0.99
+// checkedQuantile is the quantile of the generator's and queue delays that is compared with the bounds.
+const checkedQuantile = 0.99
 
-// judge adds the verdicts of a run by its experiment's bounds. log is the fakes' log, or nil where there is none.
-func (r *Result) judge(e *Experiment, log *fake.ExecutionLog) {
+// checkBounds checks the result against the experiment's bounds and adds the verdicts. log is the fakes' log, or nil.
+func (r *Result) checkBounds(e *Experiment, log *fake.ExecutionLog) {
 	r.Metrics.RecordMissing(r.Scheduled - r.NotSent - r.Unknown)
-	r.judgeDelays(&e.Bounds)
-	r.judgeOffered(&e.Bounds)
-	r.judgeRules(&e.Bounds)
+	r.checkDelays(&e.Bounds)
+	r.checkOffered(&e.Bounds)
+	r.checkRules(&e.Bounds)
 	if log != nil && e.Installation != nil {
-		r.judgeEffects(e, log)
+		r.checkEffects(e, log)
 	}
 	for i := range e.Bounds.Goals {
-		r.judgeGoal(e, &e.Bounds.Goals[i])
+		r.checkGoal(e, &e.Bounds.Goals[i])
 	}
 	if e.Bounds.CheckTruth && log != nil {
-		r.judgeTruth(e, log)
+		r.checkTruth(e, log)
 	}
 }
 
@@ -37,29 +37,29 @@
 	r.Verdicts = append(r.Verdicts, Verdict{name, good, fmt.Sprintf(format, args...)})
 }
 
-// judgeDelays judges what the generator added to the latencies.
-func (r *Result) judgeDelays(bounds *Bounds) {
+// checkDelays checks the delays that the generator and the limit of connections added to the latencies.
+func (r *Result) checkDelays(bounds *Bounds) {
 	metrics := r.Metrics
-	delay := metrics.GeneratorDelayQuantile(judgedQuantile)
+	delay := metrics.GeneratorDelayQuantile(checkedQuantile)
 	punctuality := "in time"
 	if delay > bounds.GeneratorDelay {
 		punctuality = "late"
 	}
 	r.addVerdict("generator", delay <= bounds.GeneratorDelay, "%s: its own delay is %v at p99 and %v at most; the bound is %v at p99; "+
 		"waits for a connection under its limit %v at p99", punctuality, delay, metrics.GeneratorDelayQuantile(1), bounds.GeneratorDelay,
-		metrics.QueueDelayQuantile(judgedQuantile))
+		metrics.QueueDelayQuantile(checkedQuantile))
 	if bounds.QueueDelay > 0 {
-		queueDelay := metrics.QueueDelayQuantile(judgedQuantile)
+		queueDelay := metrics.QueueDelayQuantile(checkedQuantile)
 		r.addVerdict("connections", queueDelay <= bounds.QueueDelay, "waits for a connection under the limit are %v at p99, the bound is %v",
 			queueDelay, bounds.QueueDelay)
 	}
 }
 
-// judgeOffered judges whether the schedule's requests were offered, in all and in each second.
-func (r *Result) judgeOffered(bounds *Bounds) {
+// checkOffered checks that the schedule's requests were offered, in all and in each second.
+func (r *Result) checkOffered(bounds *Bounds) {
 	metrics := r.Metrics
 	worstMiss, worstSecond := 0.0, 0
-	for second, expected := range r.bySecond {
+	for second, expected := range r.scheduledBySecond {
 		var offered int64
 		if second < len(metrics.Seconds) {
 			offered = metrics.Seconds[second].Offered
@@ -79,19 +79,19 @@
 		r.NotSent, r.Unknown)
 }
 
-// violationsOf maps the outcomes that an experiment may allow to the violations that they count as.
-var violationsOf = map[client.Outcome]string{
+// violationsByOutcome maps the outcomes that an experiment may allow to the violations as which they otherwise count.
+var violationsByOutcome = map[client.Outcome]string{
 	client.ConnectionLost:  stats.ViolationConnectionLost,
 	client.TimedOut:        stats.ViolationNoAnswer,
 	client.MalformedAnswer: stats.ViolationIncompleteRows,
 }
 
-// judgeRules judges whether each request had one complete answer, but for what the experiment allows.
-func (r *Result) judgeRules(bounds *Bounds) {
+// checkRules checks that each request had one complete answer, except for the outcomes that the experiment allows.
+func (r *Result) checkRules(bounds *Bounds) {
 	metrics := r.Metrics
 	allowed := map[string]bool{}
 	for _, outcome := range bounds.AllowedOutcomes {
-		if violation, ok := violationsOf[outcome]; ok {
+		if violation, ok := violationsByOutcome[outcome]; ok {
 			allowed[violation] = true
 		}
 	}
@@ -104,8 +104,8 @@
 	r.addVerdict("rules", broken == "", "one whole answer a task%s", broken)
 }
 
-// judgeEffects judges whether attempts at requests that are not idempotent began to run at most once.
-func (r *Result) judgeEffects(e *Experiment, log *fake.ExecutionLog) {
+// checkEffects checks that no attempt of a non-idempotent request started to run more than once.
+func (r *Result) checkEffects(e *Experiment, log *fake.ExecutionLog) {
 	twice := 0
 	nonIdempotent := map[string]bool{}
 	for index, class := range e.Installation.Classes {
@@ -125,7 +125,7 @@
 	r.addVerdict("effects", twice == 0, "%d tries of unrepeatable tasks began to run more than once", twice)
 }
 
-func (r *Result) judgeGoal(e *Experiment, goal *Goal) {
+func (r *Result) checkGoal(e *Experiment, goal *Goal) {
 	class := &r.Metrics.Classes[e.classIndex(goal.Class)]
 	if goal.Quantile > 0 {
 		found := class.Quantile(client.Served, goal.Quantile)
@@ -137,6 +137,7 @@
 	}
 }
 
+// wireID returns the id under which an attempt of a request is in the fakes' log.
 func wireID(seed int64, request uint64, attempt int) string {
 	var buffer [16]byte
 	return string(mysql.AppendID(buffer[:0], client.ID(seed, request, attempt)))
@@ -146,7 +147,7 @@
 func (e *Experiment) eachRequest(visit func(*arrival.Request)) {
 	schedule, err := arrival.NewSchedule(&e.Shape, e.Classes, e.Seed, e.Length)
 	if err != nil {
-		return // the run has made the same schedule before
+		return // can't happen: the run has created the same schedule before
 	}
 	for request, ok := schedule.Next(); ok; request, ok = schedule.Next() {
 		visit(&request)
--- a/internal/testbed/load/workers/assignment.go
+++ b/internal/testbed/load/workers/assignment.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Loss is a worker that is lost; its requests from a time on go to its heirs.
+// Loss records that a worker was lost. Its requests whose intended time is From or later go to its heirs.
 type Loss struct {
 	Worker int           `json:"worker"`
 	From   time.Duration `json:"from_ns"`
-	Heirs  []int         `json:"heirs"` // none: they are not offered
+	Heirs  []int         `json:"heirs"` // workers that share these requests; if there are none, the requests are not sent
 	Why    string        `json:"why"`
 }
 
-// NoWorker is the owner of a request that is not offered.
+// NoWorker is returned by Owner for a request that no worker sends, because its worker was lost without heirs.
 const NoWorker = -1
 
-// Owner returns the worker that sends a request, and the index of the loss by which the request came to that worker (-1:
-// it was that worker's from the start).
+// Owner returns the worker that sends a request, and the index of the loss through which that worker inherited the request.
+// The index is -1 if the request was assigned to that worker from the start.
 func Owner(number uint64, at time.Duration, workers int, losses []Loss) (owner, byLoss int) {
 	owner, byLoss = int(number%uint64(workers)), -1
 	for index := range losses {
@@ -31,16 +31,17 @@
 	return owner, byLoss
 }
 
-// Assignment decides, for one worker, which requests are its own. It is immutable, because the worker's loops read it
-// from their goroutines; a change makes a new one.
+// Assignment determines which requests one worker sends. It is immutable, because the goroutines of the worker's loops read
+// it; a change creates a new Assignment.
 type Assignment struct {
 	Worker, Workers int
-	LeaseUntil      time.Duration // of the lease
+	LeaseUntil      time.Duration // end of the worker's lease; requests intended then or later are skipped
 	Losses          []Loss
-	TakeoverFrom    []time.Duration // by loss: from when on this worker sends what came by it
+	TakeoverFrom    []time.Duration // by index of the loss: the intended time of the first requests that this worker sends as an heir
 }
 
-// Owns tells whether a request is this worker's, and whether it would be if the lease were not over.
+// Owns reports whether this worker sends a request. skipped reports that the request is assigned to this worker but is not
+// sent, because it is intended for a time at which the lease is over.
 func (a *Assignment) Owns(number uint64, at time.Duration) (owned, skipped bool) {
 	owner, byLoss := Owner(number, at, a.Workers, a.Losses)
 	if owner != a.Worker || byLoss >= 0 && at < a.TakeoverFrom[byLoss] {
@@ -52,16 +53,17 @@
 	return true, false
 }
 
-// WithLease returns the assignment with a lease that a coordinator granted.
+// WithLease returns the assignment with a lease until the given time, or with its present lease if that one ends later.
 func (a *Assignment) WithLease(until time.Duration) *Assignment {
 	next := *a
 	next.LeaseUntil = max(a.LeaseUntil, until)
 	return &next
 }
 
-// WithoutCoordinator returns the assignment now that no coordinator is there, which is proven. A worker whose lease still
-// runs can't have been given up, and another coordinator, which can't have begun yet, waits for OrphanPeriod before it
-// gives a worker up.
+// WithoutCoordinator returns the assignment for a worker that has proof that no coordinator is running. A lease that still
+// runs is extended to OrphanPeriod from now. This is safe: a worker whose lease still runs has not been declared lost, and the
+// next coordinator, which has not started yet, declares no worker lost before all workers have joined or OrphanPeriod has
+// passed.
 func (a *Assignment) WithoutCoordinator(now time.Duration) *Assignment {
 	if now >= a.LeaseUntil {
 		return a
@@ -69,10 +71,10 @@
 	return a.WithLease(now + OrphanPeriod)
 }
 
-// WithLosses returns the assignment with a list of losses that is received now; takeovers holds, by the index of each new
-// loss, from when on this worker sends what the loss brings it.
+// WithLosses returns the assignment with a list of losses that is received now. takeovers holds, by the index of each new
+// loss, the intended time from which this worker sends the requests that it inherits through the loss.
 func (a *Assignment) WithLosses(now time.Duration, losses []Loss) (next *Assignment, takeovers map[int]time.Duration) {
-	if len(losses) < len(a.Losses) { // an older list
+	if len(losses) < len(a.Losses) { // the list is older than the present one
 		return a, nil
 	}
 	changed := *a
@@ -80,7 +82,7 @@
 	changed.TakeoverFrom = append([]time.Duration(nil), a.TakeoverFrom...)
 	takeovers = map[int]time.Duration{}
 	for index := len(a.TakeoverFrom); index < len(losses); index++ {
-		from := max(losses[index].From, now+handoverDelay) // the loops may have passed some of the requests already
+		from := max(losses[index].From, now+handoverDelay) // the loops may already have passed requests before that time
 		changed.TakeoverFrom = append(changed.TakeoverFrom, from)
 		takeovers[index] = from
 	}
--- a/internal/testbed/load/workers/coordinator.go
+++ b/internal/testbed/load/workers/coordinator.go
@@ -18,43 +18,43 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// Run is what a coordinator writes to a file at its start, so that another can go on in its place.
+// Run describes a run. The coordinator writes it to a file at its start, so that another coordinator can resume the run.
 type Run struct {
 	ID      string      `json:"id"`
-	Address string      `json:"address"`
+	Address string      `json:"address"` // on which the coordinator listens
 	Start   time.Time   `json:"start"`
 	Workers int         `json:"workers"`
-	Drop    bool        `json:"drop"`
+	Drop    bool        `json:"drop"` // a lost worker's requests are not sent, instead of going to other workers
 	Load    driver.Load `json:"load"`
 }
 
 const runFile = "run.json"
 
-// Coordinator runs a load with workers.
+// Coordinator runs a load with worker processes, and collects their reports.
 type Coordinator struct {
 	run      Run
 	listener net.Listener
-	resumed  bool
-	Spawn    func(worker int, address string) error // starts a worker's process
+	resumed  bool                                   // another coordinator started the run
+	Spawn    func(worker int, address string) error // starts a worker's process; nil: the workers are started by others
 	Log      func(string)
 	Progress func(at time.Duration, offered, ended, open int64)
 
-	mu           sync.Mutex // of all below, which connections' goroutines use
+	mu           sync.Mutex // guards the fields below, which the connections' goroutines use
 	registry     *Registry
-	connections  []*connection // by worker; nil: none
+	connections  []*connection // by worker; nil: the worker is not connected
 	metrics      *stats.Metrics
-	received     []int64 // reports, by worker
-	openSessions []int64 // by worker
-	skipped      map[uint64]bool
-	killed       bool
+	received     []int64         // number of reports, by worker
+	openSessions []int64         // by worker, as last reported
+	skipped      map[uint64]bool // numbers of the requests that workers reported as skipped
+	killed       bool            // Kill was called or Serve has ended: received frames are ignored
 }
 
-// progressInterval is how many ticks of the registry lie between calls of Progress.
+// progressInterval is the number of the registry's ticks between calls of Progress.
 const progressInterval = 10
 
 var errKilled = errors.New("the coordinator was killed")
 
-// NewCoordinator begins a run and writes it to a file in a folder.
+// NewCoordinator creates a run and the listener for its workers, and writes the run to a file in a folder.
 func NewCoordinator(folder string, workers int, drop bool, load driver.Load, start time.Time) (*Coordinator, error) {
 	listener, err := listen("127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,8 @@
 	return coordinator, os.WriteFile(filepath.Join(folder, runFile), encoded, 0o600)
 }
 
-// ResumeCoordinator goes on with a run whose coordinator has died.
+// ResumeCoordinator returns a coordinator that resumes the run in a folder after the run's coordinator has crashed. It fails
+// if it can't listen on the run's address, on which the other coordinator may still be listening.
 func ResumeCoordinator(folder string) (*Coordinator, error) {
 	encoded, err := os.ReadFile(filepath.Join(folder, runFile))
 	if err != nil {
@@ -84,7 +85,7 @@
 	}
 	coordinator.listener, err = listen(coordinator.run.Address)
 	if err != nil {
-		return nil, fmt.Errorf("the run's coordinator may be alive: %w", err)
+		return nil, fmt.Errorf("the run's coordinator may still be running: %w", err)
 	}
 	return coordinator, nil
 }
@@ -98,8 +99,8 @@
 
 func (c *Coordinator) now() time.Duration { return time.Since(c.run.Start) }
 
-// Serve runs the load to its end. It returns the metrics, how many requests were not offered, and how many a lost worker
-// may have sent.
+// Serve runs the load to its end. It returns the metrics, the number of requests that were not sent, and the number of
+// unknown requests: those that a lost worker may have sent.
 func (c *Coordinator) Serve() (metrics *stats.Metrics, notSent, unknown int64, err error) {
 	c.prepare()
 	go c.acceptConnections() // ends when the listener is closed
@@ -127,10 +128,10 @@
 		c.send(worker, frameEnd, nil)
 	}
 	c.mu.Unlock()
-	time.Sleep(renewalInterval) // workers that don't receive frameEnd look for another coordinator for a while
+	time.Sleep(renewalInterval) // lets frameEnd be written: a worker that doesn't receive it looks for another coordinator for a while
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.killed = true // what comes now is not counted
+	c.killed = true // reports that arrive from now on are not counted
 	notSent, unknown, err = c.countUnreported()
 	return c.metrics, notSent, unknown, err
 }
@@ -148,7 +149,7 @@
 	c.registry = NewRegistry(c.now(), c.run.Workers, c.run.Drop, c.resumed, registryHost{c})
 }
 
-// tick lets the registry act, and tells whether the run is finished.
+// tick calls the registry's Tick, calls Progress if reportProgress is set, and reports whether the run is finished.
 func (c *Coordinator) tick(reportProgress bool) (finished bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +168,7 @@
 	return finished, nil
 }
 
-// Kill ends a coordinator as its process's death would.
+// Kill stops the coordinator abruptly, as if its process had been killed: it closes the listener and all connections.
 func (c *Coordinator) Kill() {
 	c.listener.Close()
 	c.mu.Lock()
@@ -180,7 +181,8 @@
 	}
 }
 
-// countUnreported counts the requests that no worker reported.
+// countUnreported counts the requests that have no outcome: those that were not sent, and the unknown ones, which a worker
+// may have sent without reporting them.
 func (c *Coordinator) countUnreported() (notSent, unknown int64, err error) {
 	load := &c.run.Load
 	schedule, err := arrival.NewSchedule(load.Shape, load.Classes, load.Seed, load.Length)
--- a/internal/testbed/load/workers/coordinator_connections.go
+++ b/internal/testbed/load/workers/coordinator_connections.go
@@ -8,8 +8,8 @@
 	"magpiebank/internal/testbed/load/client"
 )
 
-// registryHost carries out the registry's decisions for the coordinator, whose lock is held meanwhile. Frames are written
-// by a goroutine of each connection, so that a worker that doesn't read can't hold up the others.
+// registryHost carries out the registry's decisions for the coordinator, whose lock the caller holds. Each connection has a
+// goroutine that writes its frames, so that a worker that doesn't read can't delay the others.
 type registryHost struct{ coordinator *Coordinator }
 
 // GrantLease implements RegistryHost.
@@ -29,7 +29,8 @@
 	}
 }
 
-// send queues a frame for a worker that is connected. It closes the connection of one that has left too many unread.
+// send queues a frame for a worker, if the worker is connected. If the queue is full, because the worker has left too many
+// frames unread, send closes the connection.
 func (c *Coordinator) send(worker int, kind byte, message any) {
 	target := c.connections[worker]
 	if target == nil {
@@ -52,11 +53,11 @@
 		if err != nil {
 			return
 		}
-		go c.serveConnection(newConnection(tcp)) // ends with its connection
+		go c.serveConnection(newConnection(tcp)) // ends when its connection ends
 	}
 }
 
-// serveConnection handles a worker's frames until its connection ends or another takes its place.
+// serveConnection handles a worker's frames until the connection ends or a newer connection of the worker replaces it.
 func (c *Coordinator) serveConnection(served *connection) {
 	defer served.tcp.Close()
 	kind, payload, err := served.read()
@@ -84,7 +85,8 @@
 	return (greeting.Run == c.run.ID || greeting.Run == "") && greeting.Worker >= 0 && greeting.Worker < c.run.Workers
 }
 
-// register makes a connection its worker's, in place of an older one. It returns false where the coordinator has ended.
+// register stores a connection as its worker's, and closes an older connection of that worker. It returns false if the
+// coordinator has ended.
 func (c *Coordinator) register(joining *connection, greeting *hello) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +103,7 @@
 	return true
 }
 
-// handleRead handles the result of one read; it tells whether the connection is still the worker's.
+// handleRead handles the result of one read, and reports whether the connection is still open and the worker's current one.
 func (c *Coordinator) handleRead(served *connection, worker int, read frame, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +121,7 @@
 	return true
 }
 
-// handleFrame handles a worker's frame; one that can't be read is ignored.
+// handleFrame handles a frame from a worker. A frame that can't be decoded is ignored.
 func (c *Coordinator) handleFrame(worker int, kind byte, payload []byte) {
 	switch kind {
 	case frameHeartbeat:
@@ -150,7 +152,7 @@
 	if request.Class >= len(c.metrics.Classes) {
 		return
 	}
-	if report.Outcome == skipped {
+	if report.Outcome == outcomeSkipped {
 		c.skipped[request.Number] = true
 		return
 	}
--- a/internal/testbed/load/workers/simulation_test.go
+++ b/internal/testbed/load/workers/simulation_test.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// simulation runs a coordinator and its workers in steps of 10 ms: messages take some steps, workers stall, die and come
-// back, the coordinator may die and another take its place.
+// simulation runs a coordinator and its workers in steps of simStep. Messages take messageDelay. Workers crash, or stall and
+// continue. The coordinator may crash, and another takes its place.
 type simulation struct {
-	t                interface{ Fatalf(string, ...any) }
-	now              time.Duration
-	registry         *Registry // of the coordinator that is or was alive last
-	workers          []*simWorker
-	queue            []delayedCall
-	coordinatorAlive bool
-	restartAt        time.Duration  // when another coordinator starts; negative: none is due
-	sentBy           map[uint64]int // worker, by request
-	skipped          map[uint64]bool
-	messageDelay     time.Duration
+	t                  interface{ Fatalf(string, ...any) }
+	now                time.Duration
+	registry           *Registry // of the running coordinator, or of the last one that ran
+	workers            []*simWorker
+	queue              []delayedCall
+	coordinatorRunning bool
+	restartAt          time.Duration   // when the next coordinator starts; negative: none is scheduled
+	sentBy             map[uint64]int  // index of the worker that sent a request, by the request's number
+	skipped            map[uint64]bool // numbers of the requests that a worker skipped
+	messageDelay       time.Duration
 }
 
 type simWorker struct {
 	assignment   *Assignment
-	dead         bool
+	crashed      bool
 	stalledUntil time.Duration
 	nextRequest  uint64
-	joined       *Registry     // nil: none
-	searchTime   time.Duration // that it takes to look for another coordinator
-	searchUntil  time.Duration
+	joined       *Registry     // of the coordinator that it is connected to; nil: none
+	searchTime   time.Duration // how long it takes to find the next coordinator
+	searchUntil  time.Duration // it tries to connect from this time on
 }
 
-// delayedCall is a message under way.
+// delayedCall is a message in transit: it calls run at a time.
 type delayedCall struct {
 	at  time.Duration
 	run func()
@@ -38,7 +38,7 @@
 
 const (
 	simWorkers  = 4
-	simRequests = 3000 // one each 2 ms
+	simRequests = 3000 // of the schedule: one every simGap
 	simGap      = 2 * time.Millisecond
 	simStep     = 10 * time.Millisecond
 	simLength   = 12 * time.Second
@@ -48,12 +48,13 @@
 	s.queue = append(s.queue, delayedCall{s.now + s.messageDelay, call})
 }
 
-// sendToWorker has a worker read a message once it isn't stalled; what it hasn't read is lost with the coordinator.
+// sendToWorker delivers a message to a worker as soon as the worker isn't stalled. Messages that it hasn't read are lost when
+// the coordinator is replaced.
 func (s *simulation) sendToWorker(index int, read func(worker *simWorker)) {
 	var deliver func()
 	deliver = func() {
 		switch worker := s.workers[index]; {
-		case worker.dead || worker.joined != s.registry:
+		case worker.crashed || worker.joined != s.registry:
 		case s.now < worker.stalledUntil:
 			s.queue = append(s.queue, delayedCall{worker.stalledUntil, deliver})
 		default:
@@ -87,11 +88,11 @@
 	s.now += simStep
 	s.deliverMessages()
 	for index, worker := range s.workers {
-		if worker.dead || s.now < worker.stalledUntil {
+		if worker.crashed || s.now < worker.stalledUntil {
 			continue
 		}
 		s.sendRequests(index, worker)
-		if !s.stayJoined(index, worker) {
+		if !s.ensureJoined(index, worker) {
 			continue
 		}
 		registry, horizon, done := s.registry, s.now, worker.nextRequest >= simRequests
@@ -101,7 +102,7 @@
 			}
 		})
 	}
-	if s.coordinatorAlive {
+	if s.coordinatorRunning {
 		s.registry.Tick(s.now)
 	}
 }
@@ -118,7 +119,7 @@
 	}
 }
 
-// sendRequests sends what is due of a worker's requests, and checks that nobody has sent one of them before.
+// sendRequests sends a worker's requests that are due, and checks that no worker has sent any of them before.
 func (s *simulation) sendRequests(index int, worker *simWorker) {
 	for ; worker.nextRequest < simRequests && time.Duration(worker.nextRequest)*simGap <= s.now; worker.nextRequest++ {
 		number, at := worker.nextRequest, time.Duration(worker.nextRequest)*simGap
@@ -135,9 +136,10 @@
 	}
 }
 
-// stayJoined has a worker without a coordinator look for one; it tells whether the worker has one now.
-func (s *simulation) stayJoined(index int, worker *simWorker) bool {
-	if worker.joined != nil && (worker.joined != s.registry || !s.coordinatorAlive) { // its connection has ended
+// ensureJoined lets a worker that has lost its coordinator look for another. It reports whether the worker is connected to a
+// coordinator.
+func (s *simulation) ensureJoined(index int, worker *simWorker) bool {
+	if worker.joined != nil && (worker.joined != s.registry || !s.coordinatorRunning) { // the connection has ended
 		worker.joined, worker.searchUntil = nil, s.now+worker.searchTime
 	}
 	if worker.joined != nil {
@@ -146,7 +148,7 @@
 	if s.now < worker.searchUntil {
 		return false
 	}
-	if !s.coordinatorAlive { // refused
+	if !s.coordinatorRunning { // the connection is refused
 		worker.assignment = worker.assignment.WithoutCoordinator(s.now)
 		return false
 	}
@@ -159,42 +161,42 @@
 type faultKind int
 
 const (
-	workerDies faultKind = iota
+	workerCrashes faultKind = iota
 	workerStalls
-	workerStallsToo // draws that stall a worker are twice as likely as the others
-	coordinatorDies // and another starts
+	workerStallsAgain  // the same as workerStalls, so that a random draw stalls a worker twice as often
+	coordinatorCrashes // another one starts after the fault's duration
 )
 
 type fault struct {
 	at       time.Duration
 	kind     faultKind
-	worker   int
-	duration time.Duration
+	worker   int           // unused if the coordinator crashes
+	duration time.Duration // of the stall, or until the next coordinator starts
 }
 
-// inject brings a fault about.
+// inject causes a fault.
 func (s *simulation) inject(injected fault) {
 	worker := s.workers[injected.worker]
 	switch injected.kind {
-	case workerDies:
-		worker.dead = true
-		if worker.joined == s.registry && s.coordinatorAlive {
+	case workerCrashes:
+		worker.crashed = true
+		if worker.joined == s.registry && s.coordinatorRunning {
 			registry := s.registry
 			s.sendLater(func() { registry.HandleDisconnect(s.now, injected.worker) })
 		}
-	case workerStalls, workerStallsToo:
+	case workerStalls, workerStallsAgain:
 		worker.stalledUntil = s.now + injected.duration
-	case coordinatorDies: // with all messages under way
-		if s.coordinatorAlive {
-			s.coordinatorAlive, s.queue, s.restartAt = false, nil, s.now+injected.duration
+	case coordinatorCrashes: // messages in transit are lost
+		if s.coordinatorRunning {
+			s.coordinatorRunning, s.queue, s.restartAt = false, nil, s.now+injected.duration
 		}
 	}
 }
 
-// run checks that, whatever dies or stalls, no request is sent twice, and each that nobody sent is one that a worker
-// reported as skipped, or one that the coordinator counts as not offered or unknown.
+// run runs the simulation with the given faults. It checks that no request is sent twice, and that each request that no
+// worker sent was skipped by a worker or is counted by the coordinator as not sent or unknown.
 func (s *simulation) run(drop bool, searchTimes []time.Duration, faults []fault) {
-	s.coordinatorAlive, s.sentBy, s.skipped = true, map[uint64]int{}, map[uint64]bool{}
+	s.coordinatorRunning, s.sentBy, s.skipped = true, map[uint64]int{}, map[uint64]bool{}
 	s.registry = NewRegistry(0, simWorkers, drop, false, s)
 	for index := range simWorkers {
 		s.workers = append(s.workers, &simWorker{assignment: &Assignment{Worker: index, Workers: simWorkers}, searchTime: searchTimes[index]})
@@ -209,8 +211,8 @@
 			pending[index].at = -1
 			s.inject(pending[index])
 		}
-		if !s.coordinatorAlive && s.restartAt >= 0 && s.now >= s.restartAt {
-			s.coordinatorAlive, s.restartAt = true, -1
+		if !s.coordinatorRunning && s.restartAt >= 0 && s.now >= s.restartAt {
+			s.coordinatorRunning, s.restartAt = true, -1
 			s.registry = NewRegistry(s.now, simWorkers, drop, true, s)
 		}
 		s.step()
@@ -228,7 +230,7 @@
 			s.t.Fatalf("request %d at %v was not sent, though nothing went wrong", number, at)
 		}
 		owner, _ := Owner(number, at, simWorkers, s.registry.Losses())
-		if owner >= 0 && s.registry.MayHaveBeenSent(number, at) && !s.workers[owner].dead && s.workers[owner].nextRequest >= simRequests {
+		if owner >= 0 && s.registry.MayHaveBeenSent(number, at) && !s.workers[owner].crashed && s.workers[owner].nextRequest >= simRequests {
 			s.t.Fatalf("request %d at %v was neither sent nor skipped by its live owner %d; losses %+v", number, at, owner, s.registry.Losses())
 		}
 	}
--- a/internal/testbed/load/workers/wire.go
+++ b/internal/testbed/load/workers/wire.go
@@ -14,53 +14,55 @@
 	"magpiebank/internal/testbed/load/client"
 )
 
-// A frame on the wire between coordinator and worker is a kind (one byte), the payload's length (u32, little-endian)
-// and the payload: JSON, but for reports.
+// A frame on the wire between coordinator and worker consists of its kind (one byte), the length of its payload (32 bits,
+// little-endian), and the payload. The payload is JSON, except that reports are packed. The comments name the sender.
 const (
-	frameHello     = 'h'     // worker: its number and what it knows
-	frameLoad      = 'l'     // coordinator: what is to be sent
-	frameGrant     = 'g'     // coordinator: the lease
-	frameLosses    = 'x'     // coordinator: the list of losses
-	frameTakeovers = 't'     // worker: from when on it sends what losses bring it
-	frameHeartbeat = 'b'     // worker: heartbeat
-	frameReports   = 'r'     // worker: outcomes, packed
+	frameHello     = 'h'     // worker: a hello message
+	frameLoad      = 'l'     // coordinator: the run, as a loadMessage
+	frameGrant     = 'g'     // coordinator: the end of the worker's lease
+	frameLosses    = 'x'     // coordinator: the complete list of losses
+	frameTakeovers = 't'     // worker: by index of the loss, the time from which it sends the requests that it inherited
+	frameHeartbeat = 'b'     // worker: a heartbeat message
+	frameReports   = 'r'     // worker: packed reports
 	frameEnd       = 'e'     // coordinator: the run is over
 	maxFrameSize   = 1 << 24 // bytes
 )
 
+// hello is the first message of a worker on a connection.
 type hello struct {
-	Run    string        `json:"run"`
+	Run    string        `json:"run"` // id of the run; empty at the first connection
 	Worker int           `json:"worker"`
-	Losses []Loss        `json:"losses"`
-	Until  time.Duration `json:"until_ns"` // end of its lease
+	Losses []Loss        `json:"losses"`   // that the worker applies
+	Until  time.Duration `json:"until_ns"` // end of the worker's lease
 }
 
+// heartbeat is the periodic message of a worker.
 type heartbeat struct {
-	Horizon time.Duration `json:"horizon_ns"`
-	Done    bool          `json:"done"`
-	Open    int64         `json:"open"`
+	Horizon time.Duration `json:"horizon_ns"` // the worker has handed out its schedule up to this time
+	Done    bool          `json:"done"`       // all requests of the worker have ended
+	Open    int64         `json:"open"`       // number of open sessions
 }
 
-// loadMessage tells a worker what to send; Received is how many of its reports the coordinator has.
+// loadMessage is the coordinator's answer to hello. Received is the number of the worker's reports that the coordinator has.
 type loadMessage struct {
 	Run
 	Received int64 `json:"got"`
 }
 
 const (
-	// outgoingFrames is how many frames a connection queues. A worker that reads none of so many has stalled for longer
-	// than a lease.
+	// outgoingFrames is the number of frames that a connection queues. A worker that has left this many frames unread has
+	// stalled for longer than a lease.
 	outgoingFrames = 256
 	readBufferSize = 1 << 16 // bytes
 	headerSize     = 5       // bytes
 )
 
-// connection is one end of a connection between coordinator and worker; writers take turns.
+// connection is one end of a connection between coordinator and worker.
 type connection struct {
 	tcp      net.Conn
 	reader   *bufio.Reader
-	mu       sync.Mutex // of writing
-	outgoing chan frame // to writeQueued
+	mu       sync.Mutex // held during a write
+	outgoing chan frame // read by writeQueued
 }
 
 type frame struct {
@@ -81,7 +83,7 @@
 	}
 }
 
-// write sends a frame; it fails where the other side reads nothing for a lease's length.
+// write sends a frame. It fails if the frame can't be written within LeasePeriod, because the other side doesn't read.
 func (c *connection) write(kind byte, payload []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,21 +110,22 @@
 	}
 	length := binary.LittleEndian.Uint32(header[1:])
 	if length > maxFrameSize {
-		return 0, nil, fmt.Errorf("a frame of %d bytes", length)
+		return 0, nil, fmt.Errorf("a frame of %d bytes is too long", length)
 	}
 	payload = make([]byte, length)
 	_, err = io.ReadFull(c.reader, payload)
 	return header[0], payload, err
 }
 
-// The layout of a packed report: numbers of eight bytes, little-endian, and single bytes.
+// The layout of a packed report: reportNumbers little-endian numbers of eight bytes each, then the outcome, the class, the
+// misbehaving flag and a zero byte.
 const (
 	reportNumbers     = 7
 	outcomeOffset     = 8 * reportNumbers
 	classOffset       = outcomeOffset + 1
 	misbehavingOffset = outcomeOffset + 2
 	reportSize        = outcomeOffset + 4
-	skipped           = 0xff // in place of an outcome: the worker did not send the request, as its lease had ended
+	outcomeSkipped    = 0xff // in place of an outcome: the worker did not send the request, because its lease was over
 )
 
 func packReport(dst []byte, report *client.Report) []byte {
@@ -138,7 +141,7 @@
 }
 
 func packSkipped(dst []byte, request *arrival.Request) []byte {
-	return packReport(dst, &client.Report{Request: request, Outcome: skipped})
+	return packReport(dst, &client.Report{Request: request, Outcome: outcomeSkipped})
 }
 
 func unpackReport(packed []byte, report *client.Report, request *arrival.Request) {
--- a/internal/testbed/load/workers/worker.go
+++ b/internal/testbed/load/workers/worker.go
@@ -15,7 +15,7 @@
 	"magpiebank/internal/testbed/load/driver"
 )
 
-// Worker is a process that sends its share of a run.
+// Worker is the state of a process that sends its share of a run's requests.
 type Worker struct {
 	address    string
 	number     int
@@ -27,18 +27,19 @@
 	done       atomic.Bool
 
 	mu      sync.Mutex
-	reports []byte // all of the run, packed: another coordinator wants them from the first on
+	reports []byte // packed reports of the whole run, because the next coordinator needs all of them
 }
 
-// maxOrphanSearch is how long a worker that has nothing to send any more looks for a coordinator to report to.
+// maxOrphanSearch is how long a worker that has nothing left to send looks for a coordinator that collects its reports.
 const maxOrphanSearch = 30 * time.Second
 
-var errNoCoordinator = errors.New("no coordinator came back for the figures")
+var errNoCoordinator = errors.New("no coordinator came back to collect the reports")
 
-// RunWorker joins a coordinator and sends until the run is over.
+// RunWorker joins the coordinator at an address and sends requests until the run is over. When the connection ends, it joins
+// again.
 func RunWorker(address string, number int) error {
 	worker := &Worker{address: address, number: number}
-	var orphanedAt time.Time // since when there is no coordinator
+	var orphanedAt time.Time // start of the time without a coordinator
 	for {
 		over, err := worker.serveConnection()
 		if over {
@@ -51,7 +52,7 @@
 		if orphanedAt.IsZero() || err == nil {
 			orphanedAt = now
 		}
-		if errors.Is(err, syscall.ECONNREFUSED) && !worker.start.IsZero() { // proof that no coordinator is there
+		if errors.Is(err, syscall.ECONNREFUSED) && !worker.start.IsZero() { // the refusal proves that no coordinator is running
 			worker.assignment.Store(worker.assignment.Load().WithoutCoordinator(time.Since(worker.start)))
 			if worker.done.Load() && now.Sub(orphanedAt) > maxOrphanSearch {
 				return errNoCoordinator
@@ -61,7 +62,7 @@
 	}
 }
 
-// serveConnection serves one connection to the coordinator; it tells whether the run is over.
+// serveConnection connects to the coordinator and serves the connection until it ends. It reports whether the run is over.
 func (w *Worker) serveConnection() (over bool, err error) {
 	dialer := net.Dialer{Timeout: LeasePeriod}
 	tcp, err := dialer.DialContext(context.Background(), "tcp", w.address)
@@ -79,7 +80,7 @@
 	go w.sendReports(coordinator, received, stop)
 	for {
 		kind, payload, err := coordinator.read()
-		if err != nil { // the connection is lost, which is no error of this worker: it joins again
+		if err != nil { // the connection is lost, and the worker joins again: not an error
 			return false, nil
 		}
 		if kind == frameEnd {
@@ -89,8 +90,8 @@
 	}
 }
 
-// join introduces the worker, and starts the load that the coordinator names. It returns how many of this worker's
-// reports the coordinator has.
+// join sends the worker's hello, and starts the load that the coordinator answers with. received is the number of this
+// worker's reports that the coordinator has.
 func (w *Worker) join(coordinator *connection) (received int64, joined bool, err error) {
 	greeting := hello{Run: w.run.ID, Worker: w.number}
 	if current := w.assignment.Load(); current != nil {
@@ -113,7 +114,7 @@
 	return message.Received, err == nil, err
 }
 
-// handleFrame applies a lease or a list of losses; a frame that can't be read is ignored.
+// handleFrame applies a lease or a list of losses. A frame that can't be decoded is ignored.
 func (w *Worker) handleFrame(coordinator *connection, kind byte, payload []byte) {
 	switch kind {
 	case frameGrant:
@@ -129,13 +130,13 @@
 		next, takeovers := w.assignment.Load().WithLosses(time.Since(w.start), losses)
 		w.assignment.Store(next)
 		if len(takeovers) > 0 {
-			// Where the write fails, the connection is lost, and the read after this finds that.
+			// If the write fails, the connection is lost, and the next read returns an error.
 			_ = coordinator.writeJSON(frameTakeovers, takeovers)
 		}
 	}
 }
 
-// startLoad starts the load, once.
+// startLoad starts the load. It does nothing if the load has been started before.
 func (w *Worker) startLoad(run Run) error {
 	if w.started {
 		return nil
@@ -162,7 +163,8 @@
 	return nil
 }
 
-// owns tells whether this worker sends a request, and records one that it would send if its lease were not over.
+// owns reports whether this worker sends a request. A request that the worker skips, because its lease is over, is recorded
+// among the reports.
 func (w *Worker) owns(request *arrival.Request) bool {
 	owned, missed := w.assignment.Load().Owns(request.Number, request.At)
 	if missed {
@@ -173,14 +175,14 @@
 	return owned
 }
 
-// maxBatchSize is how many bytes of whole reports fit into a frame.
+// maxBatchSize is the size in bytes of the largest batch of whole reports that fits into a frame.
 const maxBatchSize = maxFrameSize / reportSize * reportSize
 
-// sendReports sends the reports that the coordinator doesn't have, and heartbeats, until the connection ends.
+// sendReports sends heartbeats and the reports that the coordinator doesn't have, until the connection ends.
 func (w *Worker) sendReports(coordinator *connection, received int64, stop <-chan struct{}) {
 	sent := int(received) * reportSize
 	for {
-		done := w.done.Load() // before the reports are looked at, so that none is left out
+		done := w.done.Load() // loaded before the reports: if it is true, the batches hold all reports
 		batch, remaining := w.nextBatch(sent)
 		if len(batch) > 0 {
 			if coordinator.write(frameReports, batch) != nil {
@@ -203,8 +205,8 @@
 	}
 }
 
-// nextBatch returns a copy of the reports from an offset on, as many as fit into a frame, and how many bytes remain after
-// them.
+// nextBatch returns a copy of the packed reports from the offset sent on, as many as fit into a frame, and the number of
+// bytes that remain after them.
 func (w *Worker) nextBatch(sent int) (batch []byte, remaining int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/load/workers/workers_test.go
+++ b/internal/testbed/load/workers/workers_test.go
@@ -32,7 +32,7 @@
 			searchTimes = append(searchTimes, time.Duration(rapid.IntRange(0, 3000).Draw(t, "lag"))*time.Millisecond)
 		}
 		var faults []fault
-		first := rapid.IntRange(0, 3000).Draw(t, "first") // the others come soon after, where they meet
+		first := rapid.IntRange(0, 3000).Draw(t, "first") // the faults lie within 1.5 s from this time, so that they coincide
 		for range rapid.IntRange(0, 6).Draw(t, "troubles") {
 			faults = append(faults, fault{time.Duration(first+rapid.IntRange(0, 1500).Draw(t, "at")) * time.Millisecond,
 				faultKind(rapid.IntRange(0, 3).Draw(t, "what")), rapid.IntRange(0, simWorkers-1).Draw(t, "who"),
@@ -42,25 +42,25 @@
 	})
 }
 
-// A worker that never came was given up; the coordinator dies, and the worker joins the next one before those that know of
-// its loss.
+// A worker that joins late was declared lost by a coordinator that then crashed. It joins the next coordinator before the
+// workers that know of its loss do, and must not get a lease before then.
 func TestLateWorkerGetsNoLeaseBeforeItsLossIsKnown(t *testing.T) {
 	const ms = time.Millisecond
 	cluster := &simulation{t: t}
 	cluster.run(false, []time.Duration{421 * ms, 0, 0, 0},
-		[]fault{{0, workerDies, 1, 0}, {0, workerStalls, 2, 1500 * ms}, {0, workerDies, 3, 0}, {1061 * ms, coordinatorDies, 0, 10 * ms}})
+		[]fault{{0, workerCrashes, 1, 0}, {0, workerStalls, 2, 1500 * ms}, {0, workerCrashes, 3, 0}, {1061 * ms, coordinatorCrashes, 0, 10 * ms}})
 }
 
-// Faults that coincide in a way that random draws seldom bring about.
+// Combinations of faults that random draws seldom produce.
 func TestCoincidingFaults(t *testing.T) {
 	const ms = time.Millisecond
 	for _, faults := range [][]fault{
-		// A worker is given up while it stalls; the coordinator dies, and the worker goes on as an orphan.
-		{{1000 * ms, workerStalls, 1, 1500 * ms}, {2000 * ms, coordinatorDies, 0, 3000 * ms}},
-		// A worker takes long to find the next coordinator, which dies too: its lease doesn't grow.
-		{{500 * ms, coordinatorDies, 0, 700 * ms}, {1300 * ms, coordinatorDies, 0, 10 * ms}, {2500 * ms, coordinatorDies, 0, 700 * ms},
-			{3300 * ms, coordinatorDies, 0, 100 * ms}},
-		{{500 * ms, coordinatorDies, 0, 2000 * ms}, {3000 * ms, workerDies, 2, 0}, {3100 * ms, coordinatorDies, 0, 100 * ms}},
+		// A worker is declared lost while it stalls. The coordinator crashes, and the worker continues without a coordinator.
+		{{1000 * ms, workerStalls, 1, 1500 * ms}, {2000 * ms, coordinatorCrashes, 0, 3000 * ms}},
+		// A worker takes long to find the next coordinator, which crashes too: the worker's lease must not be extended.
+		{{500 * ms, coordinatorCrashes, 0, 700 * ms}, {1300 * ms, coordinatorCrashes, 0, 10 * ms}, {2500 * ms, coordinatorCrashes, 0, 700 * ms},
+			{3300 * ms, coordinatorCrashes, 0, 100 * ms}},
+		{{500 * ms, coordinatorCrashes, 0, 2000 * ms}, {3000 * ms, workerCrashes, 2, 0}, {3100 * ms, coordinatorCrashes, 0, 100 * ms}},
 	} {
 		for _, messageDelay := range []time.Duration{0, 50 * ms} {
 			for _, searchTime := range []time.Duration{0, 900 * ms, 2500 * ms} {
@@ -71,7 +71,7 @@
 	}
 }
 
-// The same runs each time; -rapid.seed=0 draws others.
+// Fixes the seed of the random draws, so that each run is the same. -rapid.seed=0 draws other runs.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// The test's own program serves as a worker's process. It is started with these environment variables.
+// The test binary also serves as the worker process. These environment variables make it run a worker.
 const (
 	addressVariable = "WORKERS_TEST_JOIN"
 	indexVariable   = "WORKERS_TEST_INDEX"
@@ -101,7 +101,7 @@
 	os.Exit(m.Run())
 }
 
-// processRun is a load with worker processes before a fake frontend.
+// processRun is a load that worker processes send to a fake frontend.
 type processRun struct {
 	t        *testing.T
 	folder   string
@@ -154,8 +154,8 @@
 	}
 }
 
-// checkCounts checks that every request is counted once, as sent, not offered or unknown, and that the frontend saw none
-// twice.
+// checkCounts checks that every request is counted exactly once, as one with an outcome, as not sent or as unknown, and that
+// the frontend received no request twice.
 func (s *processRun) checkCounts(metrics *stats.Metrics, notSent, unknown int64) {
 	s.t.Helper()
 	schedule, err := arrival.NewSchedule(s.load.Shape, s.load.Classes, s.load.Seed, s.load.Length)
@@ -175,7 +175,8 @@
 	s.t.Logf("%d requests: %d with outcomes, %d not offered, %d unknown", all, metrics.Total(), notSent, unknown)
 }
 
-// A worker is killed, another is stopped: their requests go to the others, and nothing is sent twice.
+// One worker is killed and another is suspended. Both must be declared lost, so that the third sends their requests, and no
+// request may be sent twice.
 func TestLostWorkersAreReplaced(t *testing.T) {
 	s := newProcessRun(t)
 	coordinator, err := NewCoordinator(s.folder, 3, false, s.load, time.Now().Add(1500*time.Millisecond))
@@ -195,11 +196,12 @@
 	}
 	s.checkCounts(metrics, notSent, unknown)
 	if len(coordinator.registry.Losses()) != 2 || metrics.Total() == 0 {
-		t.Errorf("lost: %+v", coordinator.registry.Losses())
+		t.Errorf("expected two lost workers and some outcomes, found %+v", coordinator.registry.Losses())
 	}
 }
 
-// The coordinator dies and another collects what the workers have done; the workers go on meanwhile.
+// The coordinator is killed, and the workers go on without it. The next coordinator must collect the reports of the whole
+// run.
 func TestCoordinatorIsReplaced(t *testing.T) {
 	s := newProcessRun(t)
 	coordinator, err := NewCoordinator(s.folder, 2, false, s.load, time.Now().Add(1500*time.Millisecond))
@@ -224,11 +226,11 @@
 		t.Fatal(err)
 	}
 	s.checkCounts(metrics, notSent, unknown)
-	if metrics.Total() < notSent+unknown { // on a machine that is busy with other things a lease may run out
+	if metrics.Total() < notSent+unknown { // on a busy machine a lease may run out, so a few are tolerated
 		t.Errorf("%d not offered and %d unknown, though no worker was lost", notSent, unknown)
 	}
 	if _, err := ResumeCoordinator(filepath.Join(s.folder, "none")); err == nil {
-		t.Error("a run that isn't there was resumed")
+		t.Error("a run that does not exist was resumed")
 	}
 }
 
