--- a/internal/testbed/load/classification/classification.go
+++ b/internal/testbed/load/classification/classification.go
@@ -1,6 +1,7 @@
-// Package classification measures how well statements are classed by what they will cost, against fakes whose true cost is
-// known: at first sight, and after so many answers; and how soon a changed cost is detected. Its figures are simulated: it
-// has no clock and no sockets, and the fakes' costs are drawn.
+// Package classification measures how well statements are classified by their predicted cost, at first sight and after given
+// numbers of answers, and how soon a change of the cost is detected. It compares predictions with a fake planner whose true
+// costs are known. These results are simulated: there are no clock and no sockets, and the costs are drawn. Only the delay of
+// classification is measured on this machine's clock.
 package classification
 
 import (
@@ -14,8 +15,8 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// The classes: look-ups, reports, and statements that load an engine noticeably. classUpperBounds are the times in ms under
-// which the first and second stay.
+// The classes are look-ups, reports, and statements that load an engine noticeably. classUpperBounds holds the upper bounds of
+// the work of the first two, in milliseconds.
 var (
 	classUpperBounds = []float64{45, 500}
 	classNames       = []string{"short", "middle", "heavy"}
@@ -30,15 +31,16 @@
 	return len(classUpperBounds)
 }
 
-// Matrix counts predicted classes against true ones, for statements whose shape and group of tables had so many answers.
-// The last column is of those for which nothing was known.
+// Matrix is a confusion matrix for statements whose template had the same number of answers on their group of tables. Count
+// has a row for each true class and a column for each predicted one. The last column counts the statements without a
+// prediction.
 type Matrix struct {
 	After int       `json:"answers"`
 	Count [3][4]int `json:"true_given"`
 }
 
-// ErrorRates returns the share of predicted classes that were wrong, and the share of statements that got none.
-func (m *Matrix) ErrorRates() (wrong, none float64) {
+// ErrorRates returns the share of predictions that were wrong, and the share of statements without a prediction.
+func (m *Matrix) ErrorRates() (errorRate, unclassified float64) {
 	all, incorrect, unknown := 0, 0, 0
 	for trueClass, row := range m.Count {
 		for predicted, count := range row {
@@ -60,20 +62,20 @@
 	Templates       int      `json:"forms"`
 	Statements      int      `json:"statements"`
 	Matrices        []Matrix `json:"matrices"`
-	RecognizedScans int      `json:"scans_named_at_first_sight"` // templates that read a whole table
-	Scans           int      `json:"scans"`
-	FalseScans      int      `json:"others_named_scans"`
-	SplitShapes     int64    `json:"split_by_literal"`
-	SkewedTemplates int      `json:"skewed_forms"`
-
-	Shifts                 int     `json:"shifts"`       // of factor three
-	DetectedShifts         int     `json:"found_within"` // 20 answers
-	FalseAlarms            int64   `json:"false_alarms"`
-	SteadyAnswers          int     `json:"answers_without_shift"`
-	MeanAnswersToDetection float64 `json:"answers_until_found"`
+	RecognizedScans int      `json:"scans_named_at_first_sight"` // templates that read a whole table and were recognized as such
+	Scans           int      `json:"scans"`                      // templates that read a whole table
+	FalseScans      int      `json:"others_named_scans"`         // templates that were wrongly recognized as reading a whole table
+	SplitShapes     int64    `json:"split_by_literal"`           // shapes whose cost was found to depend on a literal
+	SkewedTemplates int      `json:"skewed_forms"`               // templates whose cost is many times higher for some literals
+
+	Shifts                 int     `json:"shifts"`                // of a cost, by a factor of three
+	DetectedShifts         int     `json:"found_within"`          // shifts that were detected within 20 answers
+	FalseAlarms            int64   `json:"false_alarms"`          // shifts that were detected while the cost was steady
+	SteadyAnswers          int     `json:"answers_without_shift"` // answers while the cost was steady
+	MeanAnswersToDetection float64 `json:"answers_until_found"`   // mean over shifts; maxShiftAnswers for an undetected one
 }
 
-// answerCounts are the numbers of answers after which predicted classes are compared.
+// answerCounts are the numbers of answers after which predicted classes are compared with the true ones.
 var answerCounts = []int{0, 10, 100, 1000}
 
 const (
@@ -81,26 +83,26 @@
 	tableRows      = 1e6
 	zipfExponent   = 1.05
 	zipfOffset     = 20
-	literals       = 40  // different ones of a template
-	bulkLoadRarity = 200 // of so many drawn bulk loads one is run
+	literals       = 40  // number of different literals of a template
+	bulkLoadRarity = 200 // one in this many drawn bulk loads is run
 	nanosPerMilli  = 1e6
 )
 
 // templateGroup is a template on one group of tables.
 type templateGroup struct{ template, group int }
 
-// measurement is one run of a planner's statements through a cost model.
+// measurement runs the statements of a fake planner through a cost model.
 type measurement struct {
 	result        *Result
 	planner       *fake.Planner
 	model         *costmodel.Model
 	groups        int
 	answerCount   map[templateGroup]int
-	seenTemplates map[int]bool // templates
+	seenTemplates map[int]bool // by template
 }
 
-// Measure runs statements of a planner through a cost model, in the order that clients would send them: templates, groups
-// and literals are drawn, and bulk loads among them grow the tables.
+// Measure runs statements of a fake planner through a cost model, in random order as clients would send them: templates, groups
+// and literals are drawn, and bulk loads among the statements make the tables grow. It also measures the detection of shifts.
 func Measure(seed int64, templates, groups, statements int) *Result {
 	m := &measurement{result: &Result{Seed: seed, Templates: templates, Statements: statements}, planner: fake.NewPlanner(seed, templates),
 		groups: groups, answerCount: map[templateGroup]int{}, seenTemplates: map[int]bool{}}
@@ -126,7 +128,7 @@
 	return m.result
 }
 
-// run predicts a statement's cost, runs it, and has the model observe what it took.
+// run predicts a statement's cost, draws the true cost, and lets the model observe it.
 func (m *measurement) run(key templateGroup, text, id string) {
 	template := &m.planner.Templates[key.template]
 	sql := []byte(text)
@@ -146,10 +148,11 @@
 	}
 }
 
-// countPrediction compares the predicted class with the true one, where the statement had one of the counts of answers.
+// countPrediction counts the predicted class against the true one, if the template's number of answers on this group is among
+// answerCounts.
 func (m *measurement) countPrediction(key templateGroup, text string, estimate *costmodel.Estimate) {
 	for index, count := range answerCounts {
-		// At first sight that of the shape counts, on whatever group it comes first.
+		// The count of 0 means that the template is new on all groups, not only on this one.
 		if m.answerCount[key] != count || count == 0 && !m.isFirstSight(key.template) {
 			continue
 		}
@@ -162,7 +165,7 @@
 	}
 }
 
-// isFirstSight tells whether a template had no answer on any group.
+// isFirstSight reports whether a template has had no answer on any group.
 func (m *measurement) isFirstSight(template int) bool {
 	for group := 1; group <= m.groups; group++ {
 		if m.answerCount[templateGroup{template, group}] > 0 {
@@ -172,21 +175,22 @@
 	return true
 }
 
-// countFullScan counts whether a template that reads a whole table was recognized at first sight.
+// countFullScan counts whether the estimate at first sight correctly says if a template reads a whole table.
 func (r *Result) countFullScan(template *fake.Template, estimate *costmodel.Estimate) {
-	named := estimate.FullScan != ""
+	recognized := estimate.FullScan != ""
 	switch {
 	case template.Kind == fake.FullScan || template.Kind == fake.CrossJoin:
 		r.Scans++
-		if named {
+		if recognized {
 			r.RecognizedScans++
 		}
-	case template.Kind != fake.BulkLoad && named:
+	case template.Kind != fake.BulkLoad && recognized:
 		r.FalseScans++
 	}
 }
 
-// MeasureSeeds adds up the measurements of so many seeds from one on: a single one has some hundred first sights.
+// MeasureSeeds adds up the measurements of consecutive seeds, the first of which is seed. A single measurement has only some
+// hundred first sights.
 func MeasureSeeds(seed int64, seeds, templates, groups, statements int) *Result {
 	sum := Measure(seed, templates, groups, statements)
 	for number := 1; number < seeds; number++ {
--- a/internal/testbed/load/classification/delay.go
+++ b/internal/testbed/load/classification/delay.go
@@ -15,7 +15,7 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// Delay is what reading, costing and classing adds to a look-up, on this machine's clock.
+// Delay is the time that parsing, cost estimation and classification add to a look-up, measured on this machine's clock.
 type Delay struct {
 	Name  string        `json:"name"`
 	Count int           `json:"count"`
@@ -25,16 +25,17 @@
 	Max   time.Duration `json:"max_ns"`
 }
 
-// lookupStatement is a statement whose shape is known, and newShapeStatement one whose shape never comes again.
+// lookupStatement returns a look-up. All look-ups have the same shape, which the model knows.
 func lookupStatement(number int) []byte {
 	return fmt.Appendf(nil, "SELECT nota, mesa FROM actas_%d.mesas WHERE clave = 'v%d' AND distrito IN (%d, 7, 9) ORDER BY dia LIMIT 20", number%12+1, number, number)
 }
 
+// newShapeStatement returns a statement of a shape that no other number has.
 func newShapeStatement(number int) []byte {
 	return fmt.Appendf(nil, "SELECT c%d, count(*), max(nota) AS m FROM actas_%d.mesas WHERE clave = 'v' AND nota > 3 GROUP BY c%d ORDER BY m DESC LIMIT 5", number, number%12+1, number)
 }
 
-// floodInterval is how often a statement of a new shape comes under a flood of them.
+// floodInterval says that in a flood of new shapes, one statement in floodInterval has a new shape.
 const floodInterval = 10
 
 func floodStatement(number int) []byte {
@@ -44,23 +45,23 @@
 	return lookupStatement(number)
 }
 
-// MeasureDelays times look-ups whose shape is known, some of shapes never seen, and known ones among which every tenth is of a
-// shape that never comes again.
-func MeasureDelays(known, fresh int) []Delay {
+// MeasureDelays measures the delays of look-ups whose shape is known, of statements of new shapes, and of look-ups among which
+// one statement in floodInterval has a new shape.
+func MeasureDelays(lookups, newShapes int) []Delay {
 	all := func(int) bool { return true }
-	isLookUp := func(number int) bool { return number%floodInterval != 0 }
+	isLookup := func(number int) bool { return number%floodInterval != 0 }
 	return []Delay{
-		measureDelay("known", known, lookupStatement, all),
-		measureDelay("never seen", fresh, newShapeStatement, all),
-		measureDelay("known, under a flood", known, floodStatement, isLookUp),
+		measureDelay("known", lookups, lookupStatement, all),
+		measureDelay("never seen", newShapes, newShapeStatement, all),
+		measureDelay("known, under a flood", lookups, floodStatement, isLookup),
 	}
 }
 
-// observedLookups is how many look-ups the model has observed before a measurement begins.
+// observedLookups is the number of look-ups that the model observes before a measurement.
 const observedLookups = 1000
 
-// measureDelay times so many statements of those that isTimed names.
-func measureDelay(name string, count int, text func(number int) []byte, isTimed func(number int) bool) Delay {
+// measureDelay runs count statements and measures the delays of those for which isTimed returns true.
+func measureDelay(name string, count int, statementOf func(number int) []byte, isTimed func(number int) bool) Delay {
 	plan := newPlan()
 	tables := func(*costmodel.Table) (float64, []string, bool) { return tableRows, fake.KeyColumns, true }
 	model := costmodel.NewModel(2<<20, 1, tables)
@@ -70,13 +71,13 @@
 	}
 	histogram := hdrhistogram.New(1, int64(10*time.Second), 3)
 	delay := Delay{Name: name}
-	var subject resourcegroup.ClassificationInput
+	var input resourcegroup.ClassificationInput
 	for number := range count {
-		sql := text(number)
+		sql := statementOf(number)
 		startedAt := time.Now()
 		statement := model.Inspect(sql, mysql.TableGroup(sql), 0)
-		subject = resourcegroup.ClassificationInput{Features: statement.Features(), Estimate: model.Estimate(&statement)}
-		plan.Classify(&subject)
+		input = resourcegroup.ClassificationInput{Features: statement.Features(), Estimate: model.Estimate(&statement)}
+		plan.Classify(&input)
 		took := time.Since(startedAt)
 		if isTimed(number) {
 			delay.Count++
@@ -88,7 +89,8 @@
 	return delay
 }
 
-// newPlan has one class by what the statement reads and one by its estimate, so that both kinds of conditions are timed.
+// newPlan returns a plan with one class by what the statement reads and one by the statement's estimate, so that both kinds of
+// conditions are evaluated in the measurement.
 func newPlan() *resourcegroup.Plan {
 	fullScan := true
 	return &resourcegroup.Plan{Classes: []resourcegroup.Class{
@@ -97,24 +99,25 @@
 	}}
 }
 
-// maxDelay is what reading a statement may add to a look-up: a hundredth of what the shortest latency objectives leave.
+// maxDelay bounds the delay of a look-up at p99.9. It is a hundredth of the slack that the shortest latency objectives
+// leave.
 const maxDelay = time.Millisecond
 
-// CheckDelays tells whether all but one of a thousand delays stay under the bound. The longest one is shown alone, because
-// on a shared machine it is the scheduler's as a rule.
-func CheckDelays(delays []Delay) (good bool, text []string) {
+// CheckDelays reports whether all but one in a thousand delays are below maxDelay. The maximum is shown without a bound,
+// because on a shared machine the scheduler usually causes it.
+func CheckDelays(delays []Delay) (good bool, lines []string) {
 	good = true
 	for _, delay := range delays {
 		verdict := "good"
 		if delay.P999 >= maxDelay {
 			verdict, good = "BAD ", false
 		}
-		text = append(text, fmt.Sprintf("%s   delay of a look-up, %s: p99.9 %v, the bound is %v; at most %v", verdict, delay.Name, delay.P999, maxDelay, delay.Max))
+		lines = append(lines, fmt.Sprintf("%s   delay of a look-up, %s: p99.9 %v, the bound is %v; at most %v", verdict, delay.Name, delay.P999, maxDelay, delay.Max))
 	}
-	return good, text
+	return good, lines
 }
 
-// ShowDelays writes delays as a table.
+// ShowDelays writes the delays as a table.
 func ShowDelays(out io.Writer, delays []Delay) {
 	fmt.Fprintln(out, "delay added to a look-up by reading, costing and classing it, in microseconds (this machine)")
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
@@ -123,6 +126,6 @@
 	for _, delay := range delays {
 		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%s\t\n", delay.Name, delay.Count, micros(delay.P50), micros(delay.P99), micros(delay.P999), micros(delay.Max))
 	}
-	_ = table.Flush() // an error of the output, as those of the lines around it
+	_ = table.Flush() // a write error is ignored, as on the lines around this one
 	fmt.Fprintln(out)
 }
--- a/internal/testbed/load/classification/shifts.go
+++ b/internal/testbed/load/classification/shifts.go
@@ -7,28 +7,28 @@
 	"magpiebank/internal/query/costmodel"
 )
 
-// The measurement of shifts: in each run a cost is steady for a while and then grows by a factor of three.
+// The measurement of shifts: in each run a cost is steady for steadyAnswers and then grows by a factor of three.
 const (
 	shiftRuns       = 200
 	steadyAnswers   = 500
-	detectionBound  = 20 // answers within which a shift should be detected
+	detectionBound  = 20 // number of answers within which a shift counts as detected
 	maxShiftAnswers = 100
 	steadyMillis    = 100
 	shiftedMillis   = 300
-	costScatter     = 0.5 // of the logarithm
+	costScatter     = 0.5 // standard deviation of the cost's logarithm
 	badPlanShare    = 0.1
 	shiftModelBytes = 1 << 20
-	seedStride      = 1000
+	seedStride      = 1000 // distance between the random seeds of consecutive measurements; at least shiftRuns, so that no seed is used twice
 )
 
-// shiftRun is a cost model that observes one statement.
+// shiftRun is one run of the measurement: a cost model that observes a single statement.
 type shiftRun struct {
 	random    *rand.Rand
 	model     *costmodel.Model
 	statement costmodel.Query
 }
 
-// observe draws a cost around a mean, with bad plans and scatter as planners have.
+// observe draws a cost around a mean, with the scatter and the bad plans of a real planner, and lets the model observe it.
 func (s *shiftRun) observe(meanMillis float64) {
 	workMillis := meanMillis * math.Exp(costScatter*s.random.NormFloat64())
 	if s.random.Float64() < badPlanShare {
@@ -37,7 +37,7 @@
 	s.model.Observe(&s.statement, workMillis, 0)
 }
 
-// measureShifts has costs grow by a factor of three after some hundred answers, and counts how soon that is detected.
+// measureShifts adds to the result how soon the model detects that a cost has grown by a factor of three.
 func (r *Result) measureShifts(seed int64) {
 	sum := 0
 	for number := range shiftRuns {
--- a/internal/testbed/load/classification/verdict.go
+++ b/internal/testbed/load/classification/verdict.go
@@ -7,23 +7,23 @@
 	"text/tabwriter"
 )
 
-// The bounds of a good measurement, as shares.
+// The bounds of a good measurement, as fractions.
 const (
 	maxEarlyErrorRate = 0.15
-	maxLateErrorRate  = 0.03 // after a hundred answers
-	minDetectionRate  = 0.9  // of shifts, within twenty answers
-	maxFalseAlarmRate = 1e-4 // an answer
+	maxLateErrorRate  = 0.03 // after 100 answers or more
+	minDetectionRate  = 0.9  // of shifts, within detectionBound answers
+	maxFalseAlarmRate = 1e-4 // for each answer while the cost is steady
 )
 
-// Verdict tells whether the bounds are kept, and by which it is not.
-func (r *Result) Verdict() (good bool, text []string) {
+// Verdict reports whether the bounds are met, with a line of text for each bound.
+func (r *Result) Verdict() (good bool, lines []string) {
 	good = true
-	line := func(ok bool, format string, args ...any) {
+	addLine := func(ok bool, format string, args ...any) {
 		verdict := "good"
 		if !ok {
 			verdict, good = "BAD ", false
 		}
-		text = append(text, verdict+"   "+fmt.Sprintf(format, args...))
+		lines = append(lines, verdict+"   "+fmt.Sprintf(format, args...))
 	}
 	for i := range r.Matrices {
 		matrix := &r.Matrices[i]
@@ -31,16 +31,16 @@
 		if matrix.After < 100 {
 			bound = maxEarlyErrorRate
 		}
-		wrong, none := matrix.ErrorRates()
-		line(wrong < bound, "classes after %d answers: %.1f%% wrong, the bound is %.0f%%; %.1f%% were given none", matrix.After, 100*wrong, 100*bound, 100*none)
+		errorRate, unclassified := matrix.ErrorRates()
+		addLine(errorRate < bound, "classes after %d answers: %.1f%% wrong, the bound is %.0f%%; %.1f%% were given none", matrix.After, 100*errorRate, 100*bound, 100*unclassified)
 	}
-	line(r.RecognizedScans == r.Scans, "whole tables named at first sight: %d of %d; %d others taken for such", r.RecognizedScans, r.Scans, r.FalseScans)
-	line(float64(r.DetectedShifts) >= minDetectionRate*float64(r.Shifts), "shifts of factor three found within 20 answers: %d of %d, on average after %.1f", r.DetectedShifts, r.Shifts, r.MeanAnswersToDetection)
-	line(float64(r.FalseAlarms) < maxFalseAlarmRate*float64(r.SteadyAnswers), "false alarms: %d in %d answers", r.FalseAlarms, r.SteadyAnswers)
-	return good, text
+	addLine(r.RecognizedScans == r.Scans, "whole tables named at first sight: %d of %d; %d others taken for such", r.RecognizedScans, r.Scans, r.FalseScans)
+	addLine(float64(r.DetectedShifts) >= minDetectionRate*float64(r.Shifts), "shifts of factor three found within 20 answers: %d of %d, on average after %.1f", r.DetectedShifts, r.Shifts, r.MeanAnswersToDetection)
+	addLine(float64(r.FalseAlarms) < maxFalseAlarmRate*float64(r.SteadyAnswers), "false alarms: %d in %d answers", r.FalseAlarms, r.SteadyAnswers)
+	return good, lines
 }
 
-// Text writes a result as tables.
+// Text writes the result as tables.
 func (r *Result) Text(out io.Writer) {
 	fmt.Fprintf(out, "seeds from %d on, %d forms, %d statements (simulated); %d forms skewed, on %d groups of tables split by their literal\n", r.Seed, r.Templates, r.Statements, r.SkewedTemplates, r.SplitShapes)
 	for i := range r.Matrices {
@@ -55,7 +55,7 @@
 			}
 			fmt.Fprintln(table, "\t")
 		}
-		_ = table.Flush() // an error of the output, as those of the lines around it
+		_ = table.Flush() // a write error is ignored, as on the lines around this one
 	}
 	fmt.Fprintln(out)
 }
--- a/internal/testbed/load/crashtest/crashtest.go
+++ b/internal/testbed/load/crashtest/crashtest.go
@@ -18,18 +18,19 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// The times of a run: requests take some tens of milliseconds, so that many are in flight at each kill; a gateway lives
-// for some hundreds, so that some requests are recorded, some in flight and some answered when it dies.
+// The times of a run. Requests take some tens of milliseconds, so that many are in flight when the gateway is killed. The
+// gateway runs for some hundreds of milliseconds, so that at each kill some requests are recorded in the journal, some
+// are in flight and some are answered.
 const (
 	meanLoadServiceTime   = 30 * time.Millisecond
 	meanLookupServiceTime = 4 * time.Millisecond
 	minUptime             = 100 * time.Millisecond
 	maxUptime             = 400 * time.Millisecond
 	maxWait               = 8 * time.Second
-	answerTimeout         = 20 * time.Second // a client that had no answer within it never gets one
-	// maxRecovery is for how long a gateway that was started is waited for.
+	answerTimeout         = 20 * time.Second // a client that has no answer by then counts as unanswered
+	// maxRecovery is how long a run waits for a started gateway to accept connections.
 	maxRecovery = 5 * time.Second
-	// maxRetryDelay bounds the random time between a lost connection and the next attempt.
+	// maxRetryDelay is the upper bound of the random delay between a lost connection and the next attempt.
 	maxRetryDelay  = 20 * time.Millisecond
 	lookupInterval = 2 * time.Millisecond
 )
@@ -40,21 +41,22 @@
 	lookupIDPrefix = "2"
 )
 
+// runner is the state of a run.
 type runner struct {
 	plan    Plan
 	db      *sql.DB
 	stopped atomic.Bool
 	clients sync.WaitGroup
 
-	mu              sync.Mutex // of all below
+	mu              sync.Mutex // guards the fields below
 	result          Result
-	outcomes        map[string]string // by request
-	lookupLatencies []time.Duration   // latencies
-	loadLatencies   []time.Duration
+	outcomes        map[string]string // of non-idempotent requests, by id
+	lookupLatencies []time.Duration   // of served look-ups
+	loadLatencies   []time.Duration   // of non-idempotent requests that were sent once
 }
 
-// Run runs a load with a gateway that is killed and started again as often as the plan says. It returns the context's
-// error where that is done before.
+// Run sends a load to a gateway that is killed and started again plan.Kills times. It returns the context's error if the
+// context is done before the last kill.
 func Run(ctx context.Context, plan Plan) (*Result, error) {
 	site, err := installation.Start(newInstallationPlan(&plan), plan.Folder)
 	if err != nil {
@@ -66,8 +68,8 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = run.db.Close() }() // all clients have ended, so nothing is lost with an error
-	run.db.SetMaxIdleConns(0)             // each attempt on a connection of its own, as the last one may be dead
+	defer func() { _ = run.db.Close() }() // all clients have ended, so an error doesn't matter
+	run.db.SetMaxIdleConns(0)             // each attempt uses a new connection, because the gateway may have been killed since the last one
 	run.startClients()
 	gateway := site.Gateways[0]
 	err = run.killRepeatedly(ctx, gateway)
@@ -86,16 +88,16 @@
 }
 
 func newInstallationPlan(plan *Plan) installation.Plan {
-	created := installation.Plan{Gateways: 1, Engines: 4, Zones: []string{"norte", "sur"}, Cores: 8, MemoryMB: 192, Sockets: 512,
+	installationPlan := installation.Plan{Gateways: 1, Engines: 4, Zones: []string{"norte", "sur"}, Cores: 8, MemoryMB: 192, Sockets: 512,
 		ConnectWithin: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Seed: plan.Seed, Program: plan.Program,
 		Classes: []installation.Class{{Name: "look", LatencyObjective: time.Second, MaxWait: maxWait, Weight: 1, Effect: "idempotent", Threads: 1},
 			{Name: "load", LatencyObjective: 4 * time.Second, MaxWait: maxWait, Weight: 10, Effect: "unrepeatable", Threads: 1}},
 		Behavior: fake.EngineBehavior{Threads: 16, Cores: 8, Works: []fake.Work{{Class: "load", Rows: 2, Service: fake.ServiceTime{Kind: "exponential", Mean: meanLoadServiceTime}},
 			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: meanLookupServiceTime}}}}}
 	if !plan.NoJournal {
-		created.ExtraArguments = []string{"--state", filepath.Join(plan.Folder, "state")}
+		installationPlan.ExtraArguments = []string{"--state", filepath.Join(plan.Folder, "state")}
 	}
-	return created
+	return installationPlan
 }
 
 func (r *runner) startClients() {
@@ -107,7 +109,7 @@
 	}
 }
 
-// killRepeatedly kills the gateway and starts it again, after random lifetimes.
+// killRepeatedly kills the gateway after random times and starts it again at once.
 func (r *runner) killRepeatedly(ctx context.Context, gateway *installation.Gateway) error {
 	random := rand.New(rand.NewSource(r.plan.Seed))
 	for range r.plan.Kills {
@@ -131,15 +133,15 @@
 	return nil
 }
 
-// awaitConnection waits until the gateway accepts a connection, or a time.
+// awaitConnection waits until the gateway accepts a connection, at most until the deadline.
 func (r *runner) awaitConnection(deadline time.Time) {
 	for r.db.PingContext(context.Background()) != nil && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// send sends one statement and returns its outcome. A gateway that is not there or doesn't answer counts like one whose
-// connection was lost.
+// send sends one statement and returns its outcome. If the gateway can't be reached or doesn't answer in time, the outcome is
+// ConnectionLost.
 func (r *runner) send(class, id, statement string) string {
 	outcome := sqlclient.Query(r.db, class, id, statement, maxWait)
 	if outcome == sqlclient.NotConnected || outcome == sqlclient.TimedOut {
@@ -148,54 +150,57 @@
 	return outcome
 }
 
-// sendLoads sends one request after the other, and each again until it has its answer; some are sent once more then.
+// sendLoads sends non-idempotent requests one after the other until the run stops. It sends each until it is answered, and
+// some of them again after that.
 func (r *runner) sendLoads(client int) {
 	random := rand.New(rand.NewSource(r.plan.Seed*100 + int64(client)))
 	for number := 0; !r.stopped.Load(); number++ {
-		sent := loadRequest{id: fmt.Sprintf("%s%07x%08x", loadIDPrefix, client, number),
+		request := loadRequest{id: fmt.Sprintf("%s%07x%08x", loadIDPrefix, client, number),
 			statement: fmt.Sprintf("INSERT INTO actas_%d.mesas SELECT * FROM staging.lote_%d", client%4+1, number), startedAt: time.Now()}
-		r.sendUntilAnswered(&sent, random)
-		r.recordLoad(&sent)
+		r.sendUntilAnswered(&request, random)
+		r.recordLoad(&request)
 	}
 }
 
-// loadRequest is a non-idempotent request and its outcomes.
+// loadRequest is a non-idempotent request, with its outcomes.
 type loadRequest struct {
 	id, statement string
 	startedAt     time.Time
 	attempts      int
-	latency       time.Duration // of the first outcome
-	outcome       string
-	repeatOutcome string // outcome after the answer, or the first one where the request was not sent again
+	latency       time.Duration // until the answer, or until the client stopped retrying
+	outcome       string        // of the last attempt before the repetition
+	repeatOutcome string        // outcome when the request was sent again after its answer; the same as outcome if it was not
 }
 
-func (r *runner) sendUntilAnswered(sent *loadRequest, random *rand.Rand) {
-	sent.outcome = sqlclient.ConnectionLost
-	for sent.outcome == sqlclient.ConnectionLost && time.Since(sent.startedAt) < answerTimeout {
-		if sent.attempts > 0 {
+// sendUntilAnswered sends a request until it has an answer or answerTimeout has passed. It sends one in three of the answered
+// requests again, to compare the answers.
+func (r *runner) sendUntilAnswered(request *loadRequest, random *rand.Rand) {
+	request.outcome = sqlclient.ConnectionLost
+	for request.outcome == sqlclient.ConnectionLost && time.Since(request.startedAt) < answerTimeout {
+		if request.attempts > 0 {
 			time.Sleep(time.Duration(random.Int63n(int64(maxRetryDelay))))
 		}
-		sent.outcome = r.send("load", sent.id, sent.statement)
-		sent.attempts++
+		request.outcome = r.send("load", request.id, request.statement)
+		request.attempts++
 	}
-	sent.latency = time.Since(sent.startedAt)
-	sent.repeatOutcome = sent.outcome
-	if sent.outcome == sqlclient.ConnectionLost || random.Intn(3) != 0 {
+	request.latency = time.Since(request.startedAt)
+	request.repeatOutcome = request.outcome
+	if request.outcome == sqlclient.ConnectionLost || random.Intn(3) != 0 {
 		return
 	}
-	sent.repeatOutcome = sqlclient.ConnectionLost
-	for sent.repeatOutcome == sqlclient.ConnectionLost && time.Since(sent.startedAt) < 2*answerTimeout {
-		sent.repeatOutcome = r.send("load", sent.id, sent.statement)
-		sent.attempts++
+	request.repeatOutcome = sqlclient.ConnectionLost
+	for request.repeatOutcome == sqlclient.ConnectionLost && time.Since(request.startedAt) < 2*answerTimeout {
+		request.repeatOutcome = r.send("load", request.id, request.statement)
+		request.attempts++
 	}
 }
 
-func (r *runner) recordLoad(sent *loadRequest) {
+func (r *runner) recordLoad(request *loadRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.Requests++
-	r.result.Retries += sent.attempts - 1
-	switch sent.outcome {
+	r.result.Retries += request.attempts - 1
+	switch request.outcome {
 	case sqlclient.Served:
 		r.result.Served++
 	case sqlclient.Rejected:
@@ -203,35 +208,36 @@
 	case sqlclient.Failed:
 		r.result.Failed++
 	case sqlclient.ConnectionLost:
-		r.result.Unanswered = append(r.result.Unanswered, sent.id)
+		r.result.Unanswered = append(r.result.Unanswered, request.id)
 	default:
-		r.result.FalseAnswers = append(r.result.FalseAnswers, sent.id+": "+sent.outcome)
+		r.result.FalseAnswers = append(r.result.FalseAnswers, request.id+": "+request.outcome)
 	}
-	if sent.attempts == 1 {
-		r.loadLatencies = append(r.loadLatencies, sent.latency)
+	if request.attempts == 1 {
+		r.loadLatencies = append(r.loadLatencies, request.latency)
 	}
-	if sent.repeatOutcome != sent.outcome {
-		r.result.AnsweredDifferently = append(r.result.AnsweredDifferently, fmt.Sprintf("%s: %s, then %s", sent.id, sent.outcome, sent.repeatOutcome))
+	if request.repeatOutcome != request.outcome {
+		r.result.AnsweredDifferently = append(r.result.AnsweredDifferently, fmt.Sprintf("%s: %s, then %s", request.id, request.outcome, request.repeatOutcome))
 	}
-	r.outcomes[sent.id] = sent.outcome
+	r.outcomes[request.id] = request.outcome
 }
 
-// checkAnswers checks the answers against what the engines ran.
+// checkAnswers compares the outcomes with what the engines ran.
 func (r *runner) checkAnswers(log *fake.ExecutionLog) {
 	log.Each(func(record fake.ExecutionRecord) {
 		if strings.HasPrefix(record.ID, loadIDPrefix) && record.Starts > 1 {
 			r.result.RunTwice = append(r.result.RunTwice, fmt.Sprintf("%s began %d times", record.ID, record.Starts))
 		}
 	})
-	for id, answer := range r.outcomes {
+	for id, outcome := range r.outcomes {
 		record, _ := log.Find(id)
-		if answer == sqlclient.Served && record.Completions != 1 || answer == sqlclient.Rejected && record.Starts > 0 {
-			r.result.FalseAnswers = append(r.result.FalseAnswers, fmt.Sprintf("%s was %s, and ran %d times", id, answer, record.Starts))
+		if outcome == sqlclient.Served && record.Completions != 1 || outcome == sqlclient.Rejected && record.Starts > 0 {
+			r.result.FalseAnswers = append(r.result.FalseAnswers, fmt.Sprintf("%s was %s, and ran %d times", id, outcome, record.Starts))
 		}
 	}
 	slices.Sort(r.result.FalseAnswers)
 }
 
+// sendLookups sends look-ups one after the other, each once, until the run stops.
 func (r *runner) sendLookups(client int) {
 	for number := 0; !r.stopped.Load(); number++ {
 		startedAt := time.Now()
--- a/internal/testbed/load/crashtest/crashtest_test.go
+++ b/internal/testbed/load/crashtest/crashtest_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Some kills of a real gateway; the full run is magpiebank-testbed experiment run restart. Without a journal the same run
-// shows loads that ran twice, so it can tell.
+// Kills a real gateway a few times. The full run is magpiebank-testbed experiment run restart. The same run without a journal
+// must be bad, because loads run twice: this proves that the checks detect such loads.
 func TestRestarts(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "magpiebank")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", program, "magpiebank/cmd/magpiebank").CombinedOutput(); err != nil {
@@ -24,7 +24,7 @@
 		result.Text(&text)
 		t.Logf("without a journal %t\n%s", withoutJournal, &text)
 		if result.Good() == withoutJournal {
-			t.Errorf("without a journal %t: good %t", withoutJournal, result.Good())
+			t.Errorf("without a journal %t: the result must be good exactly with a journal, found good %t", withoutJournal, result.Good())
 		}
 	}
 }
--- a/internal/testbed/load/crashtest/result.go
+++ b/internal/testbed/load/crashtest/result.go
@@ -1,6 +1,6 @@
-// Package crashtest kills a gateway that keeps a journal of its requests, again and again under load, and checks what its
-// clients and engines have seen: no non-idempotent request runs twice, each gets one answer, and a client that sends a
-// request again gets the same answer.
+// Package crashtest repeatedly kills a gateway that keeps a request journal, under load, and checks the answers of clients
+// against what the engines ran: no non-idempotent request runs twice, each gets an answer, and a client that sends a request
+// again gets the same answer.
 package crashtest
 
 import (
@@ -11,41 +11,41 @@
 
 // Plan describes a run.
 type Plan struct {
-	Program       string // the gateway's
-	Folder        string
+	Program       string // path of the gateway's program
+	Folder        string // for the run's files
 	Kills         int
 	LoadClients   int // clients that send non-idempotent requests, one after the other
 	LookupClients int // clients that send look-ups
 	Seed          int64
-	NoJournal     bool // the gateway keeps no journal, so that the checks fail
+	NoJournal     bool // the gateway keeps no journal, so the checks must find violations
 }
 
 // Result is the outcome of a run.
 type Result struct {
 	Kills               int           `json:"kills"`
-	Requests            int           `json:"tasks"`     // non-idempotent ones
-	Served              int           `json:"delivered"` // by their final answers
+	Requests            int           `json:"tasks"`     // non-idempotent requests
+	Served              int           `json:"delivered"` // non-idempotent requests by outcome, as are the next two
 	Rejected            int           `json:"nacked"`
 	Failed              int           `json:"written_off"`
-	Retries             int           `json:"asked_again"` // retries of a request whose connection was lost, or that was answered
+	Retries             int           `json:"asked_again"` // further attempts, after a lost connection or after the answer
 	RunTwice            []string      `json:"begun_twice"`
 	AnsweredDifferently []string      `json:"answered_differently"`
-	FalseAnswers        []string      `json:"answers_that_are_not_true"` // served that did not run, rejected that did
+	FalseAnswers        []string      `json:"answers_that_are_not_true"` // unexpected errors, served but not run once, rejected but run
 	Unanswered          []string      `json:"without_an_answer"`
 	LookupsP50          time.Duration `json:"look_ups_p50_ns"`
 	LoadsP50            time.Duration `json:"loads_p50_ns"`
-	Recovery            time.Duration `json:"longest_recovery_ns"` // from a start to the first accepted connection
+	Recovery            time.Duration `json:"longest_recovery_ns"` // longest time from a start to the first accepted connection
 }
 
-// Good tells whether the rules were kept.
+// Good reports whether at least one request was served and no rule was violated.
 func (r *Result) Good() bool {
 	return len(r.RunTwice)+len(r.AnsweredDifferently)+len(r.FalseAnswers)+len(r.Unanswered) == 0 && r.Served > 0
 }
 
-// maxListed is how many violations of a rule are listed.
+// maxListed is the number of violations that Text lists for each rule.
 const maxListed = 5
 
-// Text writes a result.
+// Text writes the result as text.
 func (r *Result) Text(out io.Writer) {
 	fmt.Fprintf(out, "%d kills, %d tasks that may not run twice, %d asked again: %d delivered, %d nacked, %d written off (real sockets on loopback)\n",
 		r.Kills, r.Requests, r.Retries, r.Served, r.Rejected, r.Failed)
--- a/internal/testbed/load/experiment/experiment_test.go
+++ b/internal/testbed/load/experiment/experiment_test.go
@@ -92,8 +92,8 @@
 // A complete run against a frontend that is paused in between must offer the whole schedule and report the true latencies.
 // With a tolerance of zero, which no run can meet, the run must miss the bound.
 func TestRun(t *testing.T) {
-	for bound, good := range map[string]bool{"100ms": true, "0s": false} {
-		e, err := Parse("short.jsonnet", fmt.Sprintf(shortExperiment, bound))
+	for tolerance, good := range map[string]bool{"100ms": true, "0s": false} {
+		e, err := Parse("short.jsonnet", fmt.Sprintf(shortExperiment, tolerance))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -105,7 +105,7 @@
 			t.Fatal(err)
 		}
 		if r.Good() != good || r.Metrics.Total() != r.Scheduled || len(r.Script) != 2 {
-			t.Errorf("bound %s: %+v", bound, r.Verdicts)
+			t.Errorf("bound %s: %+v", tolerance, r.Verdicts)
 		}
 	}
 }
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -155,13 +155,13 @@
 // long the load lasts.
 func (d *decoder) checkTargets(file *configfile.Object) {
 	e := d.experiment
-	named := 0
-	for _, isNamed := range []bool{e.Installation != nil, e.FakeFrontend, len(e.Targets) > 0} {
-		if isNamed {
-			named++
+	targetCount := 0
+	for _, isGiven := range []bool{e.Installation != nil, e.FakeFrontend, len(e.Targets) > 0} {
+		if isGiven {
+			targetCount++
 		}
 	}
-	if named != 1 {
+	if targetCount != 1 {
 		file.Reject("site", "one of site, front: true, and targets")
 	}
 	if !file.HasField("length") && e.Shape.Kind != arrival.Replay && e.Shape.For <= 0 {
--- a/internal/testbed/load/experiment/read_load.go
+++ b/internal/testbed/load/experiment/read_load.go
@@ -37,8 +37,8 @@
 		d.gatewayClasses = append(d.gatewayClasses, gatewayClass)
 		return
 	}
-	isNamed := func(earlier installation.Class) bool { return earlier.Name == class.GatewayClass }
-	if !slices.ContainsFunc(d.gatewayClasses, isNamed) {
+	isGatewayClass := func(earlier installation.Class) bool { return earlier.Name == class.GatewayClass }
+	if !slices.ContainsFunc(d.gatewayClasses, isGatewayClass) {
 		o.Reject("as", "the name of a lane before it")
 	}
 }
--- a/internal/testbed/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -23,7 +23,8 @@
 	progressInterval = 500 * time.Millisecond
 )
 
-// Sender sends a load and returns its metrics. Worker processes do so in place of this process.
+// Sender sends a load in place of this process, for example from worker processes. It returns the metrics, the number of
+// requests that were not sent, and the number of unknown requests, which a lost worker may have sent.
 type Sender func(ctx context.Context, load driver.Load, start time.Time, onProgress func(Progress)) (metrics *stats.Metrics, notSent, unknown int64, err error)
 
 // Progress is the state of a run: the time since its start, and the numbers of requests and of open sessions.
@@ -37,7 +38,7 @@
 	targets  []string
 	site     *installation.Installation // nil: no installation was started
 	frontend *fake.Frontend             // nil: no fake frontend was started
-	log      *fake.ExecutionLog         // nil: there are no fakes, or the latencies are not checked
+	log      *fake.ExecutionLog         // nil: there are no fakes, or the fake frontend's latencies are not checked
 }
 
 // startEnvironment starts the gateways and fakes of the experiment. The caller stops them.
@@ -64,30 +65,30 @@
 	return started, nil
 }
 
-func (v *environment) stop() {
-	if v.site != nil {
-		v.site.Stop()
+func (env *environment) stop() {
+	if env.site != nil {
+		env.site.Stop()
 	}
-	if v.frontend != nil {
-		v.frontend.Close()
+	if env.frontend != nil {
+		env.frontend.Close()
 	}
 }
 
 // recordUsage adds the memory use of gateways and engines to a run's result.
-func (v *environment) recordUsage(result *Result) {
-	if v.site == nil {
+func (env *environment) recordUsage(result *Result) {
+	if env.site == nil {
 		return
 	}
-	for _, gateway := range v.site.Gateways {
+	for _, gateway := range env.site.Gateways {
 		result.Gateways = append(result.Gateways, GatewayMetrics{gateway.Name, gateway.PeakMemoryKB()})
 	}
-	for _, engine := range v.site.Engines {
+	for _, engine := range env.site.Engines {
 		result.Swapped += engine.SwappedQueries()
 	}
 }
 
 // Run runs an experiment until it is over or ctx is done, and checks the result. The gateways' files go to folder. If send is
-// nil, this process sends the load. onProgress, if not nil, is called every progressInterval by this process's sender.
+// nil, this process sends the load. onProgress, if not nil, is called by the sender a few times a second.
 func (e *Experiment) Run(ctx context.Context, folder string, send Sender, onProgress func(Progress)) (*Result, error) {
 	if send == nil {
 		send = sendFromThisProcess
@@ -97,16 +98,16 @@
 	if err != nil {
 		return nil, err
 	}
-	running, err := e.startEnvironment(folder)
+	env, err := e.startEnvironment(folder)
 	if err != nil {
 		return nil, err
 	}
-	defer running.stop()
+	defer env.stop()
 	err = result.countSchedule(e)
 	if err != nil {
 		return nil, err
 	}
-	load := driver.Load{Targets: running.targets, Shape: &e.Shape, Classes: e.Classes, Behavior: e.Behavior, Seed: e.Seed,
+	load := driver.Load{Targets: env.targets, Shape: &e.Shape, Classes: e.Classes, Behavior: e.Behavior, Seed: e.Seed,
 		Length: e.Length, Loops: e.Loops, CheckRows: e.Installation != nil || e.FakeFrontend}
 	before := currentUsage()
 	result.Began = time.Now().Add(loopStartup)
@@ -115,7 +116,7 @@
 	}
 	stop := make(chan struct{})
 	var script sync.WaitGroup
-	script.Go(func() { e.runScript(result, running, stop) })
+	script.Go(func() { e.runScript(result, env, stop) })
 	result.Metrics, result.NotSent, result.Unknown, err = send(ctx, load, result.Began, onProgress)
 	result.Took = time.Since(result.Began)
 	close(stop)
@@ -127,8 +128,8 @@
 		return nil, err
 	}
 	result.Process = currentUsage().since(before)
-	running.recordUsage(result)
-	result.checkBounds(e, running.log)
+	env.recordUsage(result)
+	result.checkBounds(e, env.log)
 	return result, nil
 }
 
@@ -167,13 +168,13 @@
 	return metrics, 0, 0, nil
 }
 
-func reportProgress(running *driver.Driver, start time.Time, onProgress func(Progress), done <-chan struct{}) {
+func reportProgress(started *driver.Driver, start time.Time, onProgress func(Progress), done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
 		case <-time.After(progressInterval):
-			onProgress(Progress{time.Since(start), running.Offered.Load(), running.Finished.Load(), running.OpenSessions.Load()})
+			onProgress(Progress{time.Since(start), started.Offered.Load(), started.Finished.Load(), started.OpenSessions.Load()})
 		}
 	}
 }
--- a/internal/testbed/load/experiment/script.go
+++ b/internal/testbed/load/experiment/script.go
@@ -41,7 +41,7 @@
 var errNoInstallation = errors.New("there is no site")
 
 // runScript carries out the script's steps at their times, until stop is closed.
-func (e *Experiment) runScript(result *Result, running *environment, stop <-chan struct{}) {
+func (e *Experiment) runScript(result *Result, env *environment, stop <-chan struct{}) {
 	for index := range e.Script {
 		step := &e.Script[index]
 		select {
@@ -51,7 +51,7 @@
 		}
 		at := time.Since(result.Began)
 		what := step.Do + " " + step.Which
-		err := step.run(running.site, running.frontend)
+		err := step.run(env.site, env.frontend)
 		if err != nil {
 			what += ": " + err.Error()
 		}
--- a/internal/testbed/load/experiment/verdicts.go
+++ b/internal/testbed/load/experiment/verdicts.go
@@ -58,7 +58,7 @@
 // checkOffered checks that the schedule's requests were offered, in all and in each second.
 func (r *Result) checkOffered(bounds *Bounds) {
 	metrics := r.Metrics
-	worstMiss, worstSecond := 0.0, 0
+	worstDeviation, worstSecond := 0.0, 0
 	for second, expected := range r.scheduledBySecond {
 		var offered int64
 		if second < len(metrics.Seconds) {
@@ -67,15 +67,15 @@
 		if expected <= 0 {
 			continue
 		}
-		miss := math.Abs(float64(offered-expected)) / float64(expected)
-		if miss > worstMiss {
-			worstMiss, worstSecond = miss, second
+		deviation := math.Abs(float64(offered-expected)) / float64(expected)
+		if deviation > worstDeviation {
+			worstDeviation, worstSecond = deviation, second
 		}
 	}
 	offered := metrics.Total()
-	miss := math.Abs(float64(offered-r.Scheduled)) / math.Max(1, float64(r.Scheduled))
-	r.addVerdict("offered", miss <= bounds.OfferedTolerance && worstMiss <= bounds.OfferedTolerance, "%d of %d tasks of the schedule were offered; the worst second "+
-		"(%d) misses by %.3f%%; %d not offered and %d unknown by the loss of workers", offered, r.Scheduled, worstSecond, 100*worstMiss,
+	deviation := math.Abs(float64(offered-r.Scheduled)) / math.Max(1, float64(r.Scheduled))
+	r.addVerdict("offered", deviation <= bounds.OfferedTolerance && worstDeviation <= bounds.OfferedTolerance, "%d of %d tasks of the schedule were offered; the worst second "+
+		"(%d) misses by %.3f%%; %d not offered and %d unknown by the loss of workers", offered, r.Scheduled, worstSecond, 100*worstDeviation,
 		r.NotSent, r.Unknown)
 }
 
@@ -106,7 +106,7 @@
 
 // checkEffects checks that no attempt of a non-idempotent request started to run more than once.
 func (r *Result) checkEffects(e *Experiment, log *fake.ExecutionLog) {
-	twice := 0
+	startedTwice := 0
 	nonIdempotent := map[string]bool{}
 	for index, class := range e.Installation.Classes {
 		nonIdempotent[e.Classes[index].Name] = class.Effect == "unrepeatable"
@@ -118,11 +118,11 @@
 		for attempt := 1; attempt <= e.Behavior.MaxAttempts; attempt++ {
 			record, ok := log.Find(wireID(e.Seed, request.Number, attempt))
 			if ok && record.Starts > 1 {
-				twice++
+				startedTwice++
 			}
 		}
 	})
-	r.addVerdict("effects", twice == 0, "%d tries of unrepeatable tasks began to run more than once", twice)
+	r.addVerdict("effects", startedTwice == 0, "%d tries of unrepeatable tasks began to run more than once", startedTwice)
 }
 
 func (r *Result) checkGoal(e *Experiment, goal *Goal) {
--- a/internal/testbed/load/workers/coordinator.go
+++ b/internal/testbed/load/workers/coordinator.go
@@ -174,9 +174,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.killed = true
-	for _, open := range c.connections {
-		if open != nil {
-			open.tcp.Close()
+	for _, conn := range c.connections {
+		if conn != nil {
+			conn.tcp.Close()
 		}
 	}
 }
--- a/internal/testbed/load/workers/coordinator_connections.go
+++ b/internal/testbed/load/workers/coordinator_connections.go
@@ -58,9 +58,9 @@
 }
 
 // serveConnection handles a worker's frames until the connection ends or a newer connection of the worker replaces it.
-func (c *Coordinator) serveConnection(served *connection) {
-	defer served.tcp.Close()
-	kind, payload, err := served.read()
+func (c *Coordinator) serveConnection(conn *connection) {
+	defer conn.tcp.Close()
+	kind, payload, err := conn.read()
 	if err != nil || kind != frameHello {
 		return
 	}
@@ -68,14 +68,14 @@
 	if json.Unmarshal(payload, &greeting) != nil || !c.accepts(&greeting) {
 		return
 	}
-	go served.writeQueued()
-	defer close(served.outgoing)
-	if !c.register(served, &greeting) {
+	go conn.writeQueued()
+	defer close(conn.outgoing)
+	if !c.register(conn, &greeting) {
 		return
 	}
 	for {
-		kind, payload, err := served.read()
-		if !c.handleRead(served, greeting.Worker, frame{kind, payload}, err) {
+		kind, payload, err := conn.read()
+		if !c.handleRead(conn, greeting.Worker, frame{kind, payload}, err) {
 			return
 		}
 	}
@@ -87,7 +87,7 @@
 
 // register stores a connection as its worker's, and closes an older connection of that worker. It returns false if the
 // coordinator has ended.
-func (c *Coordinator) register(joining *connection, greeting *hello) bool {
+func (c *Coordinator) register(conn *connection, greeting *hello) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.killed {
@@ -97,17 +97,17 @@
 	if old := c.connections[worker]; old != nil {
 		old.tcp.Close()
 	}
-	c.connections[worker] = joining
+	c.connections[worker] = conn
 	c.send(worker, frameLoad, loadMessage{c.run, c.received[worker]})
 	c.registry.HandleJoin(c.now(), worker, greeting.Losses, greeting.Until)
 	return true
 }
 
 // handleRead handles the result of one read, and reports whether the connection is still open and the worker's current one.
-func (c *Coordinator) handleRead(served *connection, worker int, read frame, err error) bool {
+func (c *Coordinator) handleRead(conn *connection, worker int, received frame, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.connections[worker] != served {
+	if c.connections[worker] != conn {
 		return false
 	}
 	if err != nil || c.killed {
@@ -117,7 +117,7 @@
 		}
 		return false
 	}
-	c.handleFrame(worker, read.kind, read.payload)
+	c.handleFrame(worker, received.kind, received.payload)
 	return true
 }
 
@@ -133,8 +133,8 @@
 	case frameTakeovers:
 		takeovers := map[int]time.Duration{}
 		if json.Unmarshal(payload, &takeovers) == nil {
-			for loss, from := range takeovers {
-				c.registry.HandleTakeover(worker, loss, from)
+			for lossIndex, from := range takeovers {
+				c.registry.HandleTakeover(worker, lossIndex, from)
 			}
 		}
 	case frameReports:
--- a/internal/testbed/load/workers/registry.go
+++ b/internal/testbed/load/workers/registry.go
@@ -122,12 +122,12 @@
 }
 
 // HandleTakeover records the intended time from which a worker sends the requests that it inherited through a loss.
-func (r *Registry) HandleTakeover(worker, loss int, from time.Duration) {
+func (r *Registry) HandleTakeover(worker, lossIndex int, from time.Duration) {
 	heir := &r.members[worker]
 	if heir.takeoverFrom == nil {
 		heir.takeoverFrom = map[int]time.Duration{}
 	}
-	heir.takeoverFrom[loss] = from
+	heir.takeoverFrom[lossIndex] = from
 }
 
 // knowsAllLosses reports whether the list of losses is complete. After a resumption it may lack losses that the previous
@@ -209,8 +209,8 @@
 func (r *Registry) Finished() bool {
 	for worker := range r.members {
 		checked := &r.members[worker]
-		gone := checked.lost && (!checked.connected || r.renewedAt-checked.lastContact > OrphanPeriod)
-		if !checked.done && !gone {
+		departed := checked.lost && (!checked.connected || r.renewedAt-checked.lastContact > OrphanPeriod)
+		if !checked.done && !departed {
 			return false
 		}
 	}
--- a/internal/testbed/load/workers/simulation_test.go
+++ b/internal/testbed/load/workers/simulation_test.go
@@ -50,7 +50,7 @@
 
 // sendToWorker delivers a message to a worker as soon as the worker isn't stalled. Messages that it hasn't read are lost when
 // the coordinator is replaced.
-func (s *simulation) sendToWorker(index int, read func(worker *simWorker)) {
+func (s *simulation) sendToWorker(index int, handle func(worker *simWorker)) {
 	var deliver func()
 	deliver = func() {
 		switch worker := s.workers[index]; {
@@ -58,7 +58,7 @@
 		case s.now < worker.stalledUntil:
 			s.queue = append(s.queue, delayedCall{worker.stalledUntil, deliver})
 		default:
-			read(worker)
+			handle(worker)
 		}
 	}
 	s.sendLater(deliver)
@@ -125,8 +125,8 @@
 		number, at := worker.nextRequest, time.Duration(worker.nextRequest)*simGap
 		owned, skipped := worker.assignment.Owns(number, at)
 		if owned {
-			if other, twice := s.sentBy[number]; twice {
-				s.t.Fatalf("at %v worker %d sends request %d, which %d has sent; losses %+v", s.now, index, number, other, worker.assignment.Losses)
+			if sender, sentBefore := s.sentBy[number]; sentBefore {
+				s.t.Fatalf("at %v worker %d sends request %d, which %d has sent; losses %+v", s.now, index, number, sender, worker.assignment.Losses)
 			}
 			s.sentBy[number] = index
 		}
--- a/internal/testbed/load/workers/worker.go
+++ b/internal/testbed/load/workers/worker.go
@@ -41,8 +41,8 @@
 	worker := &Worker{address: address, number: number}
 	var orphanedAt time.Time // start of the time without a coordinator
 	for {
-		over, err := worker.serveConnection()
-		if over {
+		finished, err := worker.serveConnection()
+		if finished {
 			return nil
 		}
 		if !worker.started && err != nil {
@@ -63,7 +63,7 @@
 }
 
 // serveConnection connects to the coordinator and serves the connection until it ends. It reports whether the run is over.
-func (w *Worker) serveConnection() (over bool, err error) {
+func (w *Worker) serveConnection() (finished bool, err error) {
 	dialer := net.Dialer{Timeout: LeasePeriod}
 	tcp, err := dialer.DialContext(context.Background(), "tcp", w.address)
 	if err != nil {
@@ -166,8 +166,8 @@
 // owns reports whether this worker sends a request. A request that the worker skips, because its lease is over, is recorded
 // among the reports.
 func (w *Worker) owns(request *arrival.Request) bool {
-	owned, missed := w.assignment.Load().Owns(request.Number, request.At)
-	if missed {
+	owned, skipped := w.assignment.Load().Owns(request.Number, request.At)
+	if skipped {
 		w.mu.Lock()
 		w.reports = packSkipped(w.reports, request)
 		w.mu.Unlock()
