--- a/internal/testbed/load/classification/classification.go
+++ b/internal/testbed/load/classification/classification.go
@@ -31,9 +31,9 @@
 	return len(classUpperBounds)
 }
 
-// Matrix is a confusion matrix for statements whose template had the same number of answers on their group of tables. Count
-// has a row for each true class and a column for each predicted one. The last column counts the statements without a
-// prediction.
+// Matrix is a confusion matrix of predicted classes. It counts the statements whose template had had exactly After answers on
+// their group of tables. Count has a row for each true class and a column for each predicted one. Its last column counts the
+// statements without a prediction.
 type Matrix struct {
 	After int       `json:"answers"`
 	Count [3][4]int `json:"true_given"`
@@ -189,8 +189,8 @@
 	}
 }
 
-// MeasureSeeds adds up the measurements of consecutive seeds, the first of which is seed. A single measurement has only some
-// hundred first sights.
+// MeasureSeeds adds up the measurements of consecutive seeds, the first of which is seed. A single measurement sees only
+// some hundred templates for the first time.
 func MeasureSeeds(seed int64, seeds, templates, groups, statements int) *Result {
 	sum := Measure(seed, templates, groups, statements)
 	for number := 1; number < seeds; number++ {
--- a/internal/testbed/load/crashtest/crashtest.go
+++ b/internal/testbed/load/crashtest/crashtest.go
@@ -27,7 +27,7 @@
 	minUptime             = 100 * time.Millisecond
 	maxUptime             = 400 * time.Millisecond
 	maxWait               = 8 * time.Second
-	answerTimeout         = 20 * time.Second // a client that has no answer by then counts as unanswered
+	answerTimeout         = 20 * time.Second // a request that has no answer by then counts as unanswered
 	// maxRecovery is how long a run waits for a started gateway to accept connections.
 	maxRecovery = 5 * time.Second
 	// maxRetryDelay is the upper bound of the random delay between a lost connection and the next attempt.
@@ -50,9 +50,9 @@
 
 	mu              sync.Mutex // guards the fields below
 	result          Result
-	outcomes        map[string]string // of non-idempotent requests, by id
-	lookupLatencies []time.Duration   // of served look-ups
-	loadLatencies   []time.Duration   // of non-idempotent requests that were sent once
+	outcomes        map[string]string // outcomes of non-idempotent requests, by id
+	lookupLatencies []time.Duration   // latencies of served look-ups
+	loadLatencies   []time.Duration   // latencies of non-idempotent requests that were sent once
 }
 
 // Run sends a load to a gateway that is killed and started again plan.Kills times. It returns the context's error if the
--- a/internal/testbed/load/crashtest/result.go
+++ b/internal/testbed/load/crashtest/result.go
@@ -23,15 +23,15 @@
 // Result is the outcome of a run.
 type Result struct {
 	Kills               int           `json:"kills"`
-	Requests            int           `json:"tasks"`     // non-idempotent requests
-	Served              int           `json:"delivered"` // non-idempotent requests by outcome, as are the next two
-	Rejected            int           `json:"nacked"`
-	Failed              int           `json:"written_off"`
-	Retries             int           `json:"asked_again"` // further attempts, after a lost connection or after the answer
-	RunTwice            []string      `json:"begun_twice"`
-	AnsweredDifferently []string      `json:"answered_differently"`
-	FalseAnswers        []string      `json:"answers_that_are_not_true"` // unexpected errors, served but not run once, rejected but run
-	Unanswered          []string      `json:"without_an_answer"`
+	Requests            int           `json:"tasks"`                     // number of non-idempotent requests; the other counts refer to them too
+	Served              int           `json:"delivered"`                 // requests that were finally served
+	Rejected            int           `json:"nacked"`                    // requests that were finally rejected
+	Failed              int           `json:"written_off"`               // requests that finally failed
+	Retries             int           `json:"asked_again"`               // further attempts, after a lost connection or after the answer
+	RunTwice            []string      `json:"begun_twice"`               // started more than once
+	AnsweredDifferently []string      `json:"answered_differently"`      // answered differently when sent again
+	FalseAnswers        []string      `json:"answers_that_are_not_true"` // unexpected errors; served, but not run once; rejected, but started
+	Unanswered          []string      `json:"without_an_answer"`         // not answered within answerTimeout
 	LookupsP50          time.Duration `json:"look_ups_p50_ns"`
 	LoadsP50            time.Duration `json:"loads_p50_ns"`
 	Recovery            time.Duration `json:"longest_recovery_ns"` // longest time from a start to the first accepted connection
--- a/internal/testbed/load/experiment/read.go
+++ b/internal/testbed/load/experiment/read.go
@@ -20,7 +20,7 @@
 type Experiment struct {
 	Name         string
 	Seed         int64
-	Length       time.Duration // of the load; 0: until the shape ends
+	Length       time.Duration // duration of the load; 0: until the shape ends
 	Shape        arrival.Shape
 	Classes      []arrival.Class
 	Behavior     client.Behavior
@@ -30,7 +30,7 @@
 	Targets      []string           // loopback addresses of programs that are already running
 	Script       []Step
 	Bounds       Bounds
-	Loops        int    // goroutines that send, in each process; 0: half the cores
+	Loops        int    // goroutines that send, in each process; 0: as many as half the cores
 	Workers      int    // processes that send; 0: this process sends
 	OnLoss       string // what happens to a lost worker's requests: share (others send them) or drop
 }
@@ -85,7 +85,7 @@
 // decoder reads one experiment.
 type decoder struct {
 	experiment     *Experiment
-	folder         string               // that relative paths refer to
+	folder         string               // folder that relative paths start from
 	gatewayClasses []installation.Class // classes that the gateways are configured with
 }
 
--- a/internal/testbed/load/experiment/read_load.go
+++ b/internal/testbed/load/experiment/read_load.go
@@ -50,7 +50,7 @@
 	if service := o.Object("service"); service != nil {
 		work.Service = decodeServiceTime(service)
 	}
-	for _, heavy := range o.Objects("heavy") { // statements that cost more than the rest of their class
+	for _, heavy := range o.Objects("heavy") { // statements whose cost differs from the rest of their class
 		heavyWork := work
 		heavyWork.Contains = heavy.RequiredText("contains")
 		if heavy.HasField("rows") {
--- a/internal/testbed/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -19,7 +19,7 @@
 	loopStartup = 200 * time.Millisecond
 	// workerStartup is the further time that worker processes have to start.
 	workerStartup = time.Second
-	// progressInterval is the time between calls of onProgress.
+	// progressInterval is the time between calls of onProgress if this process sends the load.
 	progressInterval = 500 * time.Millisecond
 )
 
@@ -74,7 +74,8 @@
 	}
 }
 
-// recordUsage adds the memory use of gateways and engines to a run's result.
+// recordUsage adds to a run's result the peak memory of the gateways and the number of queries that started while their engine
+// was short of memory.
 func (env *environment) recordUsage(result *Result) {
 	if env.site == nil {
 		return
--- a/internal/testbed/load/experiment/script.go
+++ b/internal/testbed/load/experiment/script.go
@@ -14,7 +14,7 @@
 type Step struct {
 	At     time.Duration
 	Do     string  // a verb of targetsByVerb
-	Which  string  // all, an index of an engine or a gateway (depending on the verb), or a zone of engines
+	Which  string  // all, an index (from 0) of an engine or a gateway, depending on the verb, or a zone of engines
 	Share  float64 // for slow: the engine's speed; for fail: the share of its queries that fail
 	target stepTarget
 }
--- a/internal/testbed/load/experiment/truth.go
+++ b/internal/testbed/load/experiment/truth.go
@@ -14,7 +14,7 @@
 // Comparison compares one class's reported latencies with the true ones.
 type Comparison struct {
 	Class    string `json:"lane"`
-	Requests int    `json:"tasks"`  // that have a true latency
+	Requests int    `json:"tasks"`  // requests that have a true latency
 	Hidden   int    `json:"hidden"` // requests that the closed loop would not have sent
 	Users    int    `json:"closed_loop_users"`
 	Rows     []Row  `json:"rows"`
@@ -93,8 +93,8 @@
 	return comparison
 }
 
-// closedLoopUsers returns the number of users of the closed loop. If the bounds give none, it is the number of requests that
-// are in progress at a time at the run's rate and median latency.
+// closedLoopUsers returns the number of users of the closed loop. If the bounds give none, it is the mean number of
+// requests in progress that follows from the run's rate and median latency.
 func closedLoopUsers(truths []trueLatency, sorted []time.Duration, bounds *Bounds) int {
 	if bounds.ClosedUsers != 0 || len(truths) <= 1 {
 		return bounds.ClosedUsers
--- a/internal/testbed/load/workers/simulation_test.go
+++ b/internal/testbed/load/workers/simulation_test.go
@@ -10,7 +10,7 @@
 type simulation struct {
 	t                  interface{ Fatalf(string, ...any) }
 	now                time.Duration
-	registry           *Registry // of the running coordinator, or of the last one that ran
+	registry           *Registry // registry of the running coordinator, or of the last one that ran
 	workers            []*simWorker
 	queue              []delayedCall
 	coordinatorRunning bool
@@ -20,12 +20,13 @@
 	messageDelay       time.Duration
 }
 
+// simWorker is the simulated state of a worker.
 type simWorker struct {
 	assignment   *Assignment
 	crashed      bool
 	stalledUntil time.Duration
 	nextRequest  uint64
-	joined       *Registry     // of the coordinator that it is connected to; nil: none
+	joined       *Registry     // registry of the coordinator that it is connected to; nil: none
 	searchTime   time.Duration // how long it takes to find the next coordinator
 	searchUntil  time.Duration // it tries to connect from this time on
 }
@@ -38,7 +39,7 @@
 
 const (
 	simWorkers  = 4
-	simRequests = 3000 // of the schedule: one every simGap
+	simRequests = 3000 // number of requests in the schedule, one every simGap
 	simGap      = 2 * time.Millisecond
 	simStep     = 10 * time.Millisecond
 	simLength   = 12 * time.Second
@@ -171,10 +172,10 @@
 	at       time.Duration
 	kind     faultKind
 	worker   int           // unused if the coordinator crashes
-	duration time.Duration // of the stall, or until the next coordinator starts
+	duration time.Duration // duration of the stall, or time until the next coordinator starts
 }
 
-// inject causes a fault.
+// inject makes a fault occur.
 func (s *simulation) inject(injected fault) {
 	worker := s.workers[injected.worker]
 	switch injected.kind {
--- a/internal/testbed/load/workers/wire.go
+++ b/internal/testbed/load/workers/wire.go
@@ -32,7 +32,7 @@
 type hello struct {
 	Run    string        `json:"run"` // id of the run; empty at the first connection
 	Worker int           `json:"worker"`
-	Losses []Loss        `json:"losses"`   // that the worker applies
+	Losses []Loss        `json:"losses"`   // list of losses that the worker applies
 	Until  time.Duration `json:"until_ns"` // end of the worker's lease
 }
 
@@ -61,7 +61,7 @@
 type connection struct {
 	tcp      net.Conn
 	reader   *bufio.Reader
-	mu       sync.Mutex // held during a write
+	mu       sync.Mutex // serializes writes
 	outgoing chan frame // read by writeQueued
 }
 
--- a/internal/testbed/load/workers/workers_test.go
+++ b/internal/testbed/load/workers/workers_test.go
@@ -128,7 +128,7 @@
 			if err := cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 				t.Error(err)
 			}
-			_ = cmd.Wait() // a killed process's exit is an error
+			_ = cmd.Wait() // ignored: the exit of a killed process is an error
 		}
 		frontend.Close()
 	})
@@ -226,7 +226,8 @@
 		t.Fatal(err)
 	}
 	s.checkCounts(metrics, notSent, unknown)
-	if metrics.Total() < notSent+unknown { // on a busy machine a lease may run out, so a few are tolerated
+	// On a busy machine a lease may run out, so these requests are tolerated unless they outnumber those with outcomes.
+	if metrics.Total() < notSent+unknown {
 		t.Errorf("%d not offered and %d unknown, though no worker was lost", notSent, unknown)
 	}
 	if _, err := ResumeCoordinator(filepath.Join(s.folder, "none")); err == nil {
