--- a/internal/testbed/load/crashtest/result.go
+++ b/internal/testbed/load/crashtest/result.go
@@ -23,7 +23,7 @@
 // Result is the outcome of a run.
 type Result struct {
 	Kills               int           `json:"kills"`
-	Requests            int           `json:"tasks"`                     // number of non-idempotent requests; the other counts refer to them too
+	Requests            int           `json:"tasks"`                     // non-idempotent requests, as in the counts and lists below
 	Served              int           `json:"delivered"`                 // requests that were finally served
 	Rejected            int           `json:"nacked"`                    // requests that were finally rejected
 	Failed              int           `json:"written_off"`               // requests that finally failed
