--- a/internal/testbed/faultproxy/network.go
+++ b/internal/testbed/faultproxy/network.go
@@ -119,25 +119,25 @@
 }
 
 // effectiveRule joins the rules that hold for a direction: the worse of each field counts. It is called with the lock held.
-func (n *Network) effectiveRule(d direction) (joined Rule) {
+func (n *Network) effectiveRule(d direction) (combined Rule) {
 	for _, named := range n.rules {
 		if !matchesAny(named.from, d.from) || !matchesAny(named.to, d.to) {
 			continue
 		}
 		rule := &named.rule
-		joined.Cut = joined.Cut || rule.Cut
-		joined.Refuse = joined.Refuse || rule.Refuse
-		joined.Loss = max(joined.Loss, rule.Loss)
-		joined.Duplicate = max(joined.Duplicate, rule.Duplicate)
-		joined.Reorder = max(joined.Reorder, rule.Reorder)
-		joined.Corrupt = max(joined.Corrupt, rule.Corrupt)
-		joined.Delay = max(joined.Delay, rule.Delay)
-		joined.Jitter = max(joined.Jitter, rule.Jitter)
-		if rule.Rate > 0 && (joined.Rate == 0 || rule.Rate < joined.Rate) {
-			joined.Rate = rule.Rate
+		combined.Cut = combined.Cut || rule.Cut
+		combined.Refuse = combined.Refuse || rule.Refuse
+		combined.Loss = max(combined.Loss, rule.Loss)
+		combined.Duplicate = max(combined.Duplicate, rule.Duplicate)
+		combined.Reorder = max(combined.Reorder, rule.Reorder)
+		combined.Corrupt = max(combined.Corrupt, rule.Corrupt)
+		combined.Delay = max(combined.Delay, rule.Delay)
+		combined.Jitter = max(combined.Jitter, rule.Jitter)
+		if rule.Rate > 0 && (combined.Rate == 0 || rule.Rate < combined.Rate) {
+			combined.Rate = rule.Rate
 		}
 	}
-	return joined
+	return combined
 }
 
 // delay is how long a message of that many bytes takes by a direction's rule; with a rate it waits for those before it. It is called
--- a/internal/testbed/faultproxy/network_test.go
+++ b/internal/testbed/faultproxy/network_test.go
@@ -28,15 +28,15 @@
 	if err := n.RegisterSender(c.LocalAddr().String(), name); err != nil {
 		t.Fatal(err)
 	}
-	at, err := n.RelayDatagrams(name, c.LocalAddr().String())
+	relayAddress, err := n.RelayDatagrams(name, c.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := net.ResolveUDPAddr("udp", at)
+	resolved, err := net.ResolveUDPAddr("udp", relayAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &endpoint{c, a}
+	return &endpoint{c, resolved}
 }
 
 // receive returns what arrives within a time after some datagrams were sent to the endpoint.
@@ -65,13 +65,13 @@
 	n := New(1)
 	defer n.Close()
 	a, b := listen(t, n, "a"), listen(t, n, "b")
-	const some, wait = 100, 200 * time.Millisecond
-	both := func() (int, int) { return len(b.receive(t, a, some, wait)), len(a.receive(t, b, some, wait)) }
-	if there, back := both(); there != some || back != some {
-		t.Errorf("no rule: %d there, %d back", there, back)
+	const count, wait = 100, 200 * time.Millisecond
+	sendBothWays := func() (int, int) { return len(b.receive(t, a, count, wait)), len(a.receive(t, b, count, wait)) }
+	if forward, backward := sendBothWays(); forward != count || backward != count {
+		t.Errorf("no rule: %d there, %d back", forward, backward)
 	}
 	for _, c := range []struct {
-		what        string
+		name        string
 		rule        Rule
 		least, most int
 	}{
@@ -82,27 +82,27 @@
 		{"later than the look", Rule{Delay: time.Second}, 0, 0},
 	} {
 		n.SetRule("rule", []string{"a"}, []string{"b*"}, c.rule)
-		there, back := both()
-		if there < c.least || there > c.most || back != some {
-			t.Errorf("%s: %d there, of %d to %d, and %d back", c.what, there, c.least, c.most, back)
+		forward, backward := sendBothWays()
+		if forward < c.least || forward > c.most || backward != count {
+			t.Errorf("%s: %d there, of %d to %d, and %d back", c.name, forward, c.least, c.most, backward)
 		}
 		n.RemoveRule("rule")
 		time.Sleep(1100 * time.Millisecond) // what is late has come
 		b.receive(t, a, 0, 10*time.Millisecond)
 	}
 	n.SetRule("rule", []string{"a"}, []string{"b"}, Rule{Corrupt: 1, Reorder: 0.3})
-	got := b.receive(t, a, some, wait)
-	turned, order := 0, 0
+	got := b.receive(t, a, count, wait)
+	corrupted, outOfOrder := 0, 0
 	for i, g := range got {
 		if g != fmt.Sprintf("%03d", i) {
-			turned++
+			corrupted++
 		}
 		if i > 0 && strings.Compare(g, got[i-1]) < 0 {
-			order++
+			outOfOrder++
 		}
 	}
-	if len(got) != some || turned < some/2 || order < 5 {
-		t.Errorf("flipped and reordered: %d came, %d not as sent, %d out of order", len(got), turned, order)
+	if len(got) != count || corrupted < count/2 || outOfOrder < 5 {
+		t.Errorf("flipped and reordered: %d came, %d not as sent, %d out of order", len(got), corrupted, outOfOrder)
 	}
 }
 
@@ -161,10 +161,10 @@
 	return strings.TrimSpace(line)
 }
 
-func expect(t *testing.T, what, got, want string) {
+func expect(t *testing.T, name, got, want string) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s: %q, expected %q", what, got, want)
+		t.Errorf("%s: %q, expected %q", name, got, want)
 	}
 }
 
@@ -182,20 +182,20 @@
 	}
 	c := dial()
 	expect(t, "no rule", c.echo("one", time.Second), "one")
-	for _, way := range [][2]string{{"g", "e"}, {"e", "g"}} {
-		n.SetRule("cut", way[:1], way[1:], Rule{Cut: true})
-		expect(t, "cut "+way[0], c.echo("two", 100*time.Millisecond), "silent")
-		half := dial() // the relay accepts it, without data
-		expect(t, "new while cut "+way[0], half.echo("three", 100*time.Millisecond), "silent")
+	for _, pair := range [][2]string{{"g", "e"}, {"e", "g"}} {
+		n.SetRule("cut", pair[:1], pair[1:], Rule{Cut: true})
+		expect(t, "cut "+pair[0], c.echo("two", 100*time.Millisecond), "silent")
+		openedWhileCut := dial() // the relay accepts it, without data
+		expect(t, "new while cut "+pair[0], openedWhileCut.echo("three", 100*time.Millisecond), "silent")
 		n.RemoveRule("cut")
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		line, _ := c.reader.ReadString('\n')
 		expect(t, "what was held", strings.TrimSpace(line), "two")
 	}
 	n.SetRule("slow", []string{"g"}, []string{"e"}, Rule{Rate: 1000})
-	began := time.Now()
+	sentAt := time.Now()
 	expect(t, "at a rate", c.echo(strings.Repeat("x", 300), 2*time.Second), strings.Repeat("x", 300))
-	if took := time.Since(began); took < 250*time.Millisecond {
+	if took := time.Since(sentAt); took < 250*time.Millisecond {
 		t.Errorf("300 bytes at 1,000 a second took %v", took)
 	}
 	n.RemoveRule("slow")
--- a/internal/testbed/faultproxy/streams.go
+++ b/internal/testbed/faultproxy/streams.go
@@ -17,12 +17,12 @@
 
 // stream is one connection through a relay.
 type stream struct {
-	network  *Network
-	from, to string
-	near     net.Conn // to the process that connected
-	far      net.Conn
-	once     sync.Once
-	closed   chan struct{}
+	network    *Network
+	from, to   string
+	clientConn net.Conn // to the process that connected
+	targetConn net.Conn
+	closeOnce  sync.Once
+	closed     chan struct{}
 }
 
 // chunk is a part of a stream, and when it arrives at the earliest.
@@ -40,11 +40,11 @@
 	n.closeWithNetwork(listener)
 	go func() {
 		for {
-			near, err := listener.Accept()
+			clientConn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s := &stream{network: n, from: from, to: to, near: near, closed: make(chan struct{})}
+			s := &stream{network: n, from: from, to: to, clientConn: clientConn, closed: make(chan struct{})}
 			go s.run(target)
 		}
 	}()
@@ -53,27 +53,27 @@
 
 // run connects the stream to its target and relays both directions until they end.
 func (s *stream) run(target func() string) {
-	there, back := direction{s.from, s.to}, direction{s.to, s.from}
+	forward, backward := direction{s.from, s.to}, direction{s.to, s.from}
 	refuse := s.network.addStream(s)
 	defer s.network.removeStream(s)
 	if refuse {
 		s.reset()
 		return
 	}
-	if !s.waitWhileCut(there) { // a cut link accepts connections without data
+	if !s.waitWhileCut(forward) { // a cut link accepts connections without data
 		return
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
-	far, err := dialer.DialContext(context.Background(), "tcp", target())
+	targetConn, err := dialer.DialContext(context.Background(), "tcp", target())
 	if err != nil {
 		s.reset()
 		return
 	}
-	s.far = far
+	s.targetConn = targetConn
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); s.relay(s.near, far, there) }()
-	go func() { defer both.Done(); s.relay(far, s.near, back) }()
+	go func() { defer both.Done(); s.relay(s.clientConn, targetConn, forward) }()
+	go func() { defer both.Done(); s.relay(targetConn, s.clientConn, backward) }()
 	both.Wait()
 	s.close()
 }
@@ -94,18 +94,18 @@
 
 // close closes both sides.
 func (s *stream) close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.closed)
-		s.near.Close()
-		if s.far != nil {
-			s.far.Close()
+		s.clientConn.Close()
+		if s.targetConn != nil {
+			s.targetConn.Close()
 		}
 	})
 }
 
 // reset closes both sides with a reset in place of an end of stream.
 func (s *stream) reset() {
-	for _, c := range []net.Conn{s.near, s.far} {
+	for _, c := range []net.Conn{s.clientConn, s.targetConn} {
 		if tcp, ok := c.(*net.TCPConn); ok && tcp != nil {
 			_ = tcp.SetLinger(0) // fails on a closed connection, which needs no reset
 		}
--- a/internal/testbed/faulttest/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -37,12 +37,12 @@
 
 // historyChecker follows what each incarnation of a process knew, and collects the violations.
 type historyChecker struct {
-	startedAt int64
-	failures  map[engineObserver][]int64 // when an incarnation itself saw an engine fail
-	began     map[incarnation]incarnation
-	views     map[incarnation]*clusterView
-	broken    []string
-	late      []string
+	startedAt         int64
+	failures          map[engineObserver][]int64 // when an incarnation itself saw an engine fail
+	firstIncarnations map[incarnation]incarnation
+	views             map[incarnation]*clusterView
+	broken            []string
+	late              []string
 }
 
 // engineObserver is a process that sends requests to one start of an engine.
@@ -54,19 +54,19 @@
 
 // clusterView is what one incarnation knows of the engines and of the other members.
 type clusterView struct {
-	maxEjectedShare float64
-	endpoints       map[string]int64 // by engine: its start, as the endpoint list has it
-	memberStarts    map[string]uint64
-	heardAt         map[string]map[string]int64 // by engine and member: when its report of a failure was last received
-	suspectedUntil  map[string]int64            // engines against which reports of others count, and until when
+	maxEjectedShare   float64
+	endpoints         map[string]int64 // by engine: its start, as the endpoint list has it
+	memberStarts      map[string]uint64
+	failureReportedAt map[string]map[string]int64 // by engine and member: when its report of a failure was last received
+	suspectedUntil    map[string]int64            // engines against which reports of others count, and until when
 }
 
 func newHistoryChecker(events []history.Event) *historyChecker {
 	c := &historyChecker{
-		startedAt: math.MaxInt64,
-		failures:  map[engineObserver][]int64{},
-		began:     map[incarnation]incarnation{},
-		views:     map[incarnation]*clusterView{},
+		startedAt:         math.MaxInt64,
+		failures:          map[engineObserver][]int64{},
+		firstIncarnations: map[incarnation]incarnation{},
+		views:             map[incarnation]*clusterView{},
 	}
 	if len(events) > 0 {
 		c.startedAt = events[0].At
@@ -78,7 +78,7 @@
 			observer := engineObserver{incarnationOf(e), e.Engine, e.EngineStart}
 			c.failures[observer] = append(c.failures[observer], e.At)
 		case e.Kind == history.StartChanged:
-			c.began[incarnation{e.Process, e.Detail}] = incarnationOf(e)
+			c.firstIncarnations[incarnation{e.Process, e.Detail}] = incarnationOf(e)
 		}
 	}
 	return c
@@ -108,10 +108,10 @@
 	view := c.views[of]
 	if view == nil {
 		view = &clusterView{
-			endpoints:      map[string]int64{},
-			memberStarts:   map[string]uint64{},
-			heardAt:        map[string]map[string]int64{},
-			suspectedUntil: map[string]int64{},
+			endpoints:         map[string]int64{},
+			memberStarts:      map[string]uint64{},
+			failureReportedAt: map[string]map[string]int64{},
+			suspectedUntil:    map[string]int64{},
 		}
 		c.views[of] = view
 	}
@@ -129,7 +129,7 @@
 	} else {
 		v.endpoints[e.Engine] = e.EngineStart
 	}
-	delete(v.heardAt, e.Engine)
+	delete(v.failureReportedAt, e.Engine)
 	delete(v.suspectedUntil, e.Engine)
 }
 
@@ -156,24 +156,24 @@
 	if e.Success {
 		return
 	}
-	if view.heardAt[e.Engine] == nil {
-		view.heardAt[e.Engine] = map[string]int64{}
+	if view.failureReportedAt[e.Engine] == nil {
+		view.failureReportedAt[e.Engine] = map[string]int64{}
 	}
-	view.heardAt[e.Engine][e.Member] = e.At
-	if !c.sawFailure(e) {
+	view.failureReportedAt[e.Engine][e.Member] = e.At
+	if !c.observedFailure(e) {
 		c.late = append(c.late, c.message(e, "evidence: %s is said to have failed at %s some %.1f s ago, and wrote down no such failure", e.Member, e.Engine, float64(e.AgeNanos)/1e9))
 	}
 }
 
-// sawFailure tells whether the member that reports a failure wrote it down itself.
-func (c *historyChecker) sawFailure(e *history.Event) bool {
+// observedFailure tells whether the member that reports a failure wrote it down itself.
+func (c *historyChecker) observedFailure(e *history.Event) bool {
 	reporter := incarnation{e.Member, e.Detail}
-	if first, ok := c.began[reporter]; ok {
+	if first, ok := c.firstIncarnations[reporter]; ok {
 		reporter = first
 	}
 	failedAt := e.At - e.AgeNanos
-	for _, sawAt := range c.failures[engineObserver{reporter, e.Engine, e.EngineStart}] {
-		if failedAt >= sawAt-ageTolerance && failedAt <= sawAt+ageTolerance {
+	for _, observedAt := range c.failures[engineObserver{reporter, e.Engine, e.EngineStart}] {
+		if failedAt >= observedAt-ageTolerance && failedAt <= observedAt+ageTolerance {
 			return true
 		}
 	}
@@ -198,21 +198,21 @@
 			suspected++
 		}
 	}
-	if most := max(1, int(view.maxEjectedShare*float64(len(view.endpoints)))); suspected > most {
-		c.late = append(c.late, c.message(e, "part: hearsay holds something against %d engines at a time, of %d at most %d", suspected, len(view.endpoints), most))
+	if maxSuspected := max(1, int(view.maxEjectedShare*float64(len(view.endpoints)))); suspected > maxSuspected {
+		c.late = append(c.late, c.message(e, "part: hearsay holds something against %d engines at a time, of %d at most %d", suspected, len(view.endpoints), maxSuspected))
 	}
 }
 
 // countWitnesses counts the members whose reports of a failure still count, the process itself among them.
 func (c *historyChecker) countWitnesses(view *clusterView, e *history.Event) int {
 	witnesses := 0
-	for _, heardAt := range view.heardAt[e.Engine] {
+	for _, heardAt := range view.failureReportedAt[e.Engine] {
 		if e.ObservedAt-heardAt <= failureLifetime+ageTolerance {
 			witnesses++
 		}
 	}
-	for _, sawAt := range c.failures[engineObserver{incarnationOf(e), e.Engine, e.EngineStart}] {
-		if e.ObservedAt-sawAt <= failureLifetime+ageTolerance && sawAt <= e.At {
+	for _, observedAt := range c.failures[engineObserver{incarnationOf(e), e.Engine, e.EngineStart}] {
+		if e.ObservedAt-observedAt <= failureLifetime+ageTolerance && observedAt <= e.At {
 			return witnesses + 1
 		}
 	}
--- a/internal/testbed/faulttest/check_counts.go
+++ b/internal/testbed/faulttest/check_counts.go
@@ -66,11 +66,11 @@
 
 // interval is where the true sum may lie as of the instant of a reading, whose age is by a clock that runs up to a twentieth off.
 func (c *ownCounts) interval(reading *history.Event) (least, most int) {
-	which := btoi(reading.Code == "runs")
+	countIndex := btoi(reading.Code == "runs")
 	at := reading.At - reading.AgeNanos
 	spread := countWriteDelay + reading.AgeNanos/18
 	for _, owner := range c.owners {
-		low, high := c.ownInterval(owner, which, at-spread, at+spread)
+		low, high := c.ownInterval(owner, countIndex, at-spread, at+spread)
 		least += low
 		most += high
 	}
@@ -78,7 +78,7 @@
 }
 
 // ownInterval is the range of one process's count between two instants.
-func (c *ownCounts) ownInterval(owner incarnation, which int, from, until int64) (low, high int) {
+func (c *ownCounts) ownInterval(owner incarnation, countIndex int, from, until int64) (low, high int) {
 	low = math.MaxInt
 	include := func(count int) {
 		low = min(low, count)
@@ -91,10 +91,10 @@
 	if next == 0 {
 		include(0)
 	} else {
-		include(changes[next-1].counts[which])
+		include(changes[next-1].counts[countIndex])
 	}
 	for ; next < len(changes) && changes[next].at <= until; next++ {
-		include(changes[next].counts[which])
+		include(changes[next].counts[countIndex])
 	}
 	if c.mayBeUncounted(owner, until) {
 		include(0)
--- a/internal/testbed/faulttest/check_policies.go
+++ b/internal/testbed/faulttest/check_policies.go
@@ -12,16 +12,16 @@
 
 // PolicyMetrics are what a run came to as to policies.
 type PolicyMetrics struct {
-	Decisions int           `json:"decisions"` // that bear a number
-	Older     int           `json:"older"`     // by an older number after a newer one
-	Unsure    int           `json:"unsure"`    // loads rejected as no policy was known to be in force
-	Loads     int           `json:"loads"`     // that came
-	Highest   int           `json:"highest"`   // number in force
-	Gap50     time.Duration `json:"gap50"`     // between the check whether an attempt may be written, and the write
-	Gap99     time.Duration `json:"gap99"`
-	GapMost   time.Duration `json:"gap_most"`
-	Took50    time.Duration `json:"took50"` // of proposals that were decided
-	Took99    time.Duration `json:"took99"`
+	Decisions      int           `json:"decisions"` // that bear a number
+	OlderDecisions int           `json:"older"`     // by an older number after a newer one
+	RejectedUnsure int           `json:"unsure"`    // loads rejected as no policy was known to be in force
+	Loads          int           `json:"loads"`     // that came
+	Highest        int           `json:"highest"`   // number in force
+	WriteGapP50    time.Duration `json:"gap50"`     // between the check whether an attempt may be written, and the write
+	WriteGapP99    time.Duration `json:"gap99"`
+	WriteGapMax    time.Duration `json:"gap_most"`
+	DecisionP50    time.Duration `json:"took50"` // of proposals that were decided
+	DecisionP99    time.Duration `json:"took99"`
 }
 
 // CheckPolicies reads a merged history for what must hold of policies: nobody decides by a number after anybody has decided by a later one;
@@ -30,7 +30,7 @@
 	c := &policyChecker{
 		digests:     map[int]string{},
 		leases:      map[incarnation]int{},
-		checkedAt:   map[requestOf]int64{},
+		checkedAt:   map[requestKey]int64{},
 		firstUsedAt: firstPolicyUses(events),
 	}
 	if len(events) > 0 {
@@ -49,9 +49,9 @@
 	}
 	slices.Sort(c.gaps)
 	if n := len(c.gaps); n > 0 {
-		c.metrics.Gap50 = c.gaps[n/2]
-		c.metrics.Gap99 = c.gaps[n*99/100]
-		c.metrics.GapMost = c.gaps[n-1]
+		c.metrics.WriteGapP50 = c.gaps[n/2]
+		c.metrics.WriteGapP99 = c.gaps[n*99/100]
+		c.metrics.WriteGapMax = c.gaps[n-1]
 	}
 	return c.metrics, c.violations
 }
@@ -59,17 +59,17 @@
 // policyChecker follows which policy each incarnation of a process goes by, and collects the violations.
 type policyChecker struct {
 	startedAt   int64
-	digests     map[int]string      // by number
-	leases      map[incarnation]int // the highest number that it holds a lease on, plus one
-	checkedAt   map[requestOf]int64 // when a request was found to be allowed, until it is written
-	firstUsedAt map[int]policyUse   // by number
-	gaps        []time.Duration     // from check to write
+	digests     map[int]string       // by number
+	leases      map[incarnation]int  // the highest number that it holds a lease on, plus one
+	checkedAt   map[requestKey]int64 // when a request was found to be allowed, until it is written
+	firstUsedAt map[int]policyUse    // by number
+	gaps        []time.Duration      // from check to write
 	metrics     PolicyMetrics
 	violations  []string
 }
 
-// requestOf is a request at one incarnation of a gateway.
-type requestOf struct {
+// requestKey is a request at one incarnation of a gateway.
+type requestKey struct {
 	incarnation
 	request string
 }
@@ -114,7 +114,7 @@
 }
 
 func (c *policyChecker) recordWrite(e *history.Event) {
-	request := requestOf{incarnationOf(e), e.Request}
+	request := requestKey{incarnationOf(e), e.Request}
 	if at, ok := c.checkedAt[request]; ok {
 		c.gaps = append(c.gaps, time.Duration(e.At-at))
 		delete(c.checkedAt, request)
@@ -123,7 +123,7 @@
 
 func (c *policyChecker) checkDecision(e *history.Event) {
 	if e.Code == "unsure" {
-		c.metrics.Unsure++
+		c.metrics.RejectedUnsure++
 		return
 	}
 	if e.Number < 0 {
@@ -132,13 +132,13 @@
 	c.metrics.Decisions++
 	c.metrics.Highest = max(c.metrics.Highest, e.Number)
 	if e.Code == "sent" {
-		c.checkedAt[requestOf{incarnationOf(e), e.Request}] = e.ObservedAt
+		c.checkedAt[requestKey{incarnationOf(e), e.Request}] = e.ObservedAt
 	}
 	if c.leases[incarnationOf(e)] < e.Number+1 {
 		c.addViolation(e, "%s by number %d, without a word that it goes by it", e.Code, e.Number)
 	}
 	if number, first, found := c.laterUse(e); found {
-		c.metrics.Older++
+		c.metrics.OlderDecisions++
 		c.addViolation(e, "%s of %s by number %d, %.1f ms after %s decided by %d", e.Code, e.Request, e.Number, float64(e.ObservedAt-first.at)/1e6, first.process, number)
 	}
 }
@@ -160,11 +160,11 @@
 // checkPolicies holds a run's histories and proposals against what must hold.
 func (p *run) checkPolicies(r *Result) {
 	metrics, violations := CheckPolicies(r.Events)
-	r.Proposals = p.proposed
-	slices.SortFunc(r.Proposals, func(a, b Proposed) int { return int(a.At - b.At) })
+	r.Proposals = p.proposalResults
+	slices.SortFunc(r.Proposals, func(a, b ProposalResult) int { return int(a.At - b.At) })
 	violations = append(violations, r.checkProposalEnds()...)
 	violations = append(violations, p.checkProposalsInForce(r)...)
-	metrics.Took50, metrics.Took99 = percentiles(decidedTimes(r.Proposals))
+	metrics.DecisionP50, metrics.DecisionP99 = percentiles(decidedTimes(r.Proposals))
 	for i := range r.Requests {
 		metrics.Loads += btoi(r.Requests[i].Load)
 	}
@@ -174,13 +174,13 @@
 
 // checkProposalEnds takes down proposals that did not end, and returns those that ended in two ways.
 func (r *Result) checkProposalEnds() (violations []string) {
-	ends := map[uint64]Proposed{}
+	ends := map[uint64]ProposalResult{}
 	for _, proposal := range r.Proposals {
 		if proposal.End == "unknown" || proposal.End == "pending" {
 			r.addTimedViolations(fmt.Sprintf("eventual: what %s proposed at %v had not ended %v later: %s", proposal.By, proposal.At.Round(time.Millisecond), proposal.Took.Round(time.Millisecond), proposal.Why))
 		}
-		if before, ok := ends[proposal.id]; ok && before.End != proposal.End {
-			violations = append(violations, fmt.Sprintf("policy: one proposal is %s and %s", before, proposal))
+		if earlier, ok := ends[proposal.id]; ok && earlier.End != proposal.End {
+			violations = append(violations, fmt.Sprintf("policy: one proposal is %s and %s", earlier, proposal))
 		}
 		ends[proposal.id] = proposal
 	}
@@ -191,8 +191,8 @@
 func (p *run) checkProposalsInForce(r *Result) (violations []string) {
 	decided := map[string]bool{rollout.DigestOf(p.firstPolicyText()).String(): true}
 	for _, proposal := range r.Proposals {
-		mayHold := proposal.End != "dropped" && proposal.End != "refused" && proposal.End != "rehearsed"
-		decided[proposal.digest] = decided[proposal.digest] || mayHold
+		mayBeInForce := proposal.End != "dropped" && proposal.End != "refused" && proposal.End != "rehearsed"
+		decided[proposal.digest] = decided[proposal.digest] || mayBeInForce
 	}
 	for _, proposal := range r.Proposals {
 		if decided[proposal.digest] {
@@ -209,7 +209,7 @@
 }
 
 // decidedTimes are how long proposals took that were decided.
-func decidedTimes(proposals []Proposed) (took []time.Duration) {
+func decidedTimes(proposals []ProposalResult) (took []time.Duration) {
 	for _, proposal := range proposals {
 		if proposal.End == "decided" {
 			took = append(took, proposal.Took)
@@ -228,18 +228,18 @@
 }
 
 // Text writes the metrics for people.
-func (m *PolicyMetrics) Text(out io.Writer, proposals []Proposed) {
+func (m *PolicyMetrics) Text(out io.Writer, proposals []ProposalResult) {
 	fmt.Fprintf(out, "%d proposals:", len(proposals))
 	for _, end := range countEnds(proposals) {
 		fmt.Fprint(out, " ", end)
 	}
-	fmt.Fprintf(out, "; number %d at the end; until they took hold %.0f ms at the median, %.0f at p99\n", m.Highest, m.Took50.Seconds()*1000, m.Took99.Seconds()*1000)
+	fmt.Fprintf(out, "; number %d at the end; until they took hold %.0f ms at the median, %.0f at p99\n", m.Highest, m.DecisionP50.Seconds()*1000, m.DecisionP99.Seconds()*1000)
 	fmt.Fprintf(out, "%d decisions, %d by an older number after a newer; %d of %d loads turned away for want of a lease; %.3f ms from look to write at the median, %.3f at p99, %.3f at most\n",
-		m.Decisions, m.Older, m.Unsure, m.Loads, m.Gap50.Seconds()*1000, m.Gap99.Seconds()*1000, m.GapMost.Seconds()*1000)
+		m.Decisions, m.OlderDecisions, m.RejectedUnsure, m.Loads, m.WriteGapP50.Seconds()*1000, m.WriteGapP99.Seconds()*1000, m.WriteGapMax.Seconds()*1000)
 }
 
 // countEnds is how many proposals ended in each way, as in "3 decided", sorted by the way.
-func countEnds(proposals []Proposed) (counts []string) {
+func countEnds(proposals []ProposalResult) (counts []string) {
 	ends := map[string]int{}
 	for _, proposal := range proposals {
 		ends[proposal.End]++
--- a/internal/testbed/faulttest/check_quotas.go
+++ b/internal/testbed/faulttest/check_quotas.go
@@ -13,7 +13,7 @@
 // quotaTotals are the totals that quotas had, under which policy numbers, and from when on each replica went by a number.
 type quotaTotals struct {
 	byCode       map[string][]quotaTotal
-	since        map[uint64]map[string]int64 // by number and replica: when the replica first went by the number
+	appliedSince map[uint64]map[string]int64 // by number and replica: when the replica first went by the number
 	replicas     []string
 	loweredAfter int64 // nanoseconds after which a total that was lowered counts
 }
@@ -26,7 +26,7 @@
 func readQuotaTotals(events []history.Event, replicas []string, loweredAfter time.Duration) *quotaTotals {
 	totals := &quotaTotals{
 		byCode:       map[string][]quotaTotal{},
-		since:        map[uint64]map[string]int64{},
+		appliedSince: map[uint64]map[string]int64{},
 		replicas:     replicas,
 		loweredAfter: int64(loweredAfter),
 	}
@@ -39,11 +39,11 @@
 		if !slices.Contains(totals.byCode[e.Code], total) {
 			totals.byCode[e.Code] = append(totals.byCode[e.Code], total)
 		}
-		if totals.since[e.Detail] == nil {
-			totals.since[e.Detail] = map[string]int64{}
+		if totals.appliedSince[e.Detail] == nil {
+			totals.appliedSince[e.Detail] = map[string]int64{}
 		}
-		if _, ok := totals.since[e.Detail][e.Process]; !ok && slices.Contains(replicas, e.Process) {
-			totals.since[e.Detail][e.Process] = e.At
+		if _, ok := totals.appliedSince[e.Detail][e.Process]; !ok && slices.Contains(replicas, e.Process) {
+			totals.appliedSince[e.Detail][e.Process] = e.At
 		}
 	}
 	return totals
@@ -51,20 +51,20 @@
 
 // allowed is the most that may be in use of a quota at a time: the highest total among the numbers that may still be in force.
 func (t *quotaTotals) allowed(code string, at int64) (most int) {
-	least := uint64(0)
-	for number, since := range t.since {
-		replicas := 0
-		for _, began := range since {
-			if began+t.loweredAfter <= at {
-				replicas++
+	inForce := uint64(0)
+	for number, since := range t.appliedSince {
+		applied := 0
+		for _, appliedAt := range since {
+			if appliedAt+t.loweredAfter <= at {
+				applied++
 			}
 		}
-		if 2*replicas > len(t.replicas) {
-			least = max(least, number)
+		if 2*applied > len(t.replicas) {
+			inForce = max(inForce, number)
 		}
 	}
 	for _, total := range t.byCode[code] {
-		if total.number >= least {
+		if total.number >= inForce {
 			most = max(most, total.amount)
 		}
 	}
@@ -73,7 +73,7 @@
 
 // CheckEngines holds the loads that run by the engines' own count against the total of threads. What a gateway gave up without the engine
 // hearing of it still runs there: a scenario in which engines are unreachable, or stand still, is not read.
-func CheckEngines(s *Scenario, runs []fake.RunningChange, began time.Time, zero int64, totals *quotaTotals) (out []string) {
+func CheckEngines(s *Scenario, runs []fake.RunningChange, startedAt time.Time, startMonotonic int64, totals *quotaTotals) (out []string) {
 	if s.Limits.Threads == 0 || slices.ContainsFunc(s.Steps, hidesEngines) {
 		return nil
 	}
@@ -83,8 +83,8 @@
 			continue
 		}
 		running += change.Delta
-		if most := totals.allowed("loads threads", zero+int64(change.At.Sub(began))); running > most {
-			out = append(out, fmt.Sprintf("%.3f s: engines: %d loads run there, of %d that may", change.At.Sub(began).Seconds(), running, most))
+		if most := totals.allowed("loads threads", startMonotonic+int64(change.At.Sub(startedAt))); running > most {
+			out = append(out, fmt.Sprintf("%.3f s: engines: %d loads run there, of %d that may", change.At.Sub(startedAt).Seconds(), running, most))
 		}
 	}
 	return out
--- a/internal/testbed/faulttest/clients.go
+++ b/internal/testbed/faulttest/clients.go
@@ -16,8 +16,8 @@
 func (p *run) requestRate(g *installation.Gateway, at time.Duration) float64 {
 	rate := p.scenario.RequestRate
 	for _, step := range p.scenario.Steps {
-		isOn := at >= step.At && (step.Until == 0 || at < step.Until)
-		if step.Action == "surge" && isOn && matchesAny(step.Gateways, g.Label()) {
+		isActive := at >= step.At && (step.Until == 0 || at < step.Until)
+		if step.Action == "surge" && isActive && matchesAny(step.Gateways, g.Label()) {
 			rate += step.ExtraRate
 		}
 	}
--- a/internal/testbed/faulttest/convergence.go
+++ b/internal/testbed/faulttest/convergence.go
@@ -39,7 +39,7 @@
 		}
 		time.Sleep(sharePollInterval)
 	}
-	p.failures = append(p.failures, "eventual: not all members hold their part of the budget a term after the start")
+	p.missedDeadlines = append(p.missedDeadlines, "eventual: not all members hold their part of the budget a term after the start")
 }
 
 // allHoldShares tells whether all gateways that are to be there hold their share of the quotas.
--- a/internal/testbed/faulttest/decode.go
+++ b/internal/testbed/faulttest/decode.go
@@ -87,9 +87,9 @@
 		return
 	}
 	s.Rollout = installation.Rollout{
-		Voters: policy.Int("voters", 5, 1, 7),
-		Lease:  policy.Duration("lease", 2*time.Second),
-		Within: policy.Duration("within", 3*time.Second),
+		Voters:       policy.Int("voters", 5, 1, 7),
+		Lease:        policy.Duration("lease", 2*time.Second),
+		DecideWithin: policy.Duration("within", 3*time.Second),
 	}
 	if s.Rollout.Voters > s.Gateways || s.Rollout.Voters%2 == 0 {
 		policy.Reject("voters", "1, 3, 5 or 7 of the gateways")
@@ -205,17 +205,17 @@
 	t.PolicyNumber = file.Int("number", 0, 0, 1e6)
 	t.ProposalName = file.Text("as", "")
 	t.Policy = installation.Policy{
-		ClusterLimits: readLimits(file),
-		Refuse:        file.Bool("refuse", false),
-		Looks:         file.Bool("looks", false),
-		Zones:         file.Texts("zones"),
-		Field:         file.Text("field", ""),
-		Both:          file.Duration("both_for", 0),
-		Rehearse:      file.Duration("rehearse", 0),
-		Guard:         file.Fraction("guard", 0),
-		Probation:     file.Duration("probation", 0),
-		Bound:         file.Fraction("bound", 0),
-		Size:          file.Size("size", 0),
+		ClusterLimits:    readLimits(file),
+		Refuse:           file.Bool("refuse", false),
+		LookClass:        file.Bool("looks", false),
+		Zones:            file.Texts("zones"),
+		UnknownField:     file.Text("field", ""),
+		BothFor:          file.Duration("both_for", 0),
+		Rehearse:         file.Duration("rehearse", 0),
+		MaxRejectedShare: file.Fraction("guard", 0),
+		Probation:        file.Duration("probation", 0),
+		MaxShedShare:     file.Fraction("bound", 0),
+		MinTextBytes:     file.Size("size", 0),
 	}
 }
 
--- a/internal/testbed/faulttest/disturbance.go
+++ b/internal/testbed/faulttest/disturbance.go
@@ -12,16 +12,16 @@
 // connectWithin is how long a connection between the processes of a scenario may take to come up: the shortest time limit that they keep.
 const connectWithin = 250 * time.Millisecond
 
-// wakePace is how often a wakeMeter is to be woken.
-const wakePace = 5 * time.Millisecond
+// wakeInterval is how often a wakeMeter is to be woken.
+const wakeInterval = 5 * time.Millisecond
 
 // wakeMeter measures the longest delay with which this process wakes a goroutine whose time has come. It is long where the machine, or
 // the testbed itself, asks for more than the cores give, and then clients and engines of a scenario are as late.
 type wakeMeter struct {
-	longest atomic.Int64
-	once    sync.Once
-	stopped chan struct{}
-	ended   chan struct{}
+	longest  atomic.Int64
+	stopOnce sync.Once
+	stopped  chan struct{}
+	ended    chan struct{}
 }
 
 func newWakeMeter() *wakeMeter {
@@ -33,11 +33,11 @@
 func (m *wakeMeter) measure() {
 	defer close(m.ended)
 	for {
-		due := time.Now().Add(wakePace)
+		due := time.Now().Add(wakeInterval)
 		select {
 		case <-m.stopped:
 			return
-		case <-time.After(wakePace):
+		case <-time.After(wakeInterval):
 		}
 		m.observe(time.Since(due))
 	}
@@ -51,7 +51,7 @@
 
 // stop ends the measurement, if it hasn't ended, and tells the longest delay.
 func (m *wakeMeter) stop() time.Duration {
-	m.once.Do(func() { close(m.stopped) })
+	m.stopOnce.Do(func() { close(m.stopped) })
 	<-m.ended
 	return time.Duration(m.longest.Load())
 }
@@ -84,9 +84,11 @@
 // later than the shortest time limit between the processes.
 func (r *Result) Disturbed() bool { return r.WakeDelay >= connectWithin }
 
-// Repeat tells whether a run has to be played again, as it was disturbed and violated nothing but what rests on time. What must hold
+// MustRepeat tells whether a run has to be played again, as it was disturbed and violated nothing but what rests on time. What must hold
 // whatever the times are counts in any run.
-func (r *Result) Repeat() bool { return r.Disturbed() && !r.Good() && r.timely == len(r.Violations) }
+func (r *Result) MustRepeat() bool {
+	return r.Disturbed() && !r.Good() && r.timedViolations == len(r.Violations)
+}
 
 // addViolations takes down what must hold at every instant, and did not.
 func (r *Result) addViolations(what ...string) { r.Violations = append(r.Violations, what...) }
@@ -94,5 +96,5 @@
 // addTimedViolations takes down what was to come about within a time, and did not.
 func (r *Result) addTimedViolations(what ...string) {
 	r.addViolations(what...)
-	r.timely += len(what)
+	r.timedViolations += len(what)
 }
--- a/internal/testbed/faulttest/disturbance_test.go
+++ b/internal/testbed/faulttest/disturbance_test.go
@@ -8,24 +8,24 @@
 )
 
 // Only a disturbed run in which nothing but time was missed is played again.
-func TestOnlyWhatRestsOnTimeIsRepeated(t *testing.T) {
+func TestOnlyTimedViolationsAreRepeated(t *testing.T) {
 	for _, c := range []struct {
-		what            string
-		delay           time.Duration
-		strict, missed  []string
-		disturbed, runs bool
+		name              string
+		delay             time.Duration
+		strict, timed     []string
+		disturbed, repeat bool
 	}{
-		{what: "all well", delay: time.Second, disturbed: true},
-		{what: "late in a disturbed run", delay: connectWithin, missed: []string{"eventual: late"}, disturbed: true, runs: true},
-		{what: "late in a run that was not disturbed", delay: connectWithin - 1, missed: []string{"eventual: late"}},
-		{what: "a rule broken in a disturbed run", delay: time.Second, strict: []string{"rule 2: twice"}, disturbed: true},
-		{what: "a rule broken, and late, in a disturbed run", delay: time.Second, strict: []string{"rule 2: twice"}, missed: []string{"eventual: late", "broken"}, disturbed: true},
+		{name: "all well", delay: time.Second, disturbed: true},
+		{name: "late in a disturbed run", delay: connectWithin, timed: []string{"eventual: late"}, disturbed: true, repeat: true},
+		{name: "late in a run that was not disturbed", delay: connectWithin - 1, timed: []string{"eventual: late"}},
+		{name: "a rule broken in a disturbed run", delay: time.Second, strict: []string{"rule 2: twice"}, disturbed: true},
+		{name: "a rule broken, and late, in a disturbed run", delay: time.Second, strict: []string{"rule 2: twice"}, timed: []string{"eventual: late", "broken"}, disturbed: true},
 	} {
 		r := &Result{WakeDelay: c.delay}
-		r.addTimedViolations(c.missed...)
+		r.addTimedViolations(c.timed...)
 		r.addViolations(c.strict...)
-		if r.Disturbed() != c.disturbed || r.Repeat() != c.runs || len(r.Violations) != len(c.strict)+len(c.missed) {
-			t.Errorf("%s: disturbed %v, to be repeated %v, violations %q", c.what, r.Disturbed(), r.Repeat(), r.Violations)
+		if r.Disturbed() != c.disturbed || r.MustRepeat() != c.repeat || len(r.Violations) != len(c.strict)+len(c.timed) {
+			t.Errorf("%s: disturbed %v, to be repeated %v, violations %q", c.name, r.Disturbed(), r.MustRepeat(), r.Violations)
 		}
 	}
 }
@@ -45,22 +45,22 @@
 
 // A disturbed run halves how many are played at a time, down to one; those beside it count with it.
 func TestFewerScenariosAtATimeOnceDisturbed(t *testing.T) {
-	l := newLimit(100)
+	limiter := newScenarioLimiter(100)
 	for range 8 {
-		l.enter()
+		limiter.acquire()
 	}
 	for _, c := range []struct {
-		disturbed  bool
-		took, most int
+		disturbed      bool
+		capacity, want int
 	}{{false, 100, 100}, {true, 100, 3}, {true, 100, 3}, {false, 3, 3}, {true, 3, 1}, {true, 1, 1}} {
-		if l.leave(c.disturbed, c.took); l.most != c.most {
-			t.Errorf("after a run beside up to %d, disturbed %v: %d at a time, expected %d", c.took, c.disturbed, l.most, c.most)
+		if limiter.release(c.disturbed, c.capacity); limiter.capacity != c.want {
+			t.Errorf("after a run beside up to %d, disturbed %v: %d at a time, expected %d", c.capacity, c.disturbed, limiter.capacity, c.want)
 		}
 	}
-	l.leave(false, 1)
+	limiter.release(false, 1)
 	entered := make(chan int)
-	go func() { entered <- l.enter() }() // one is still in, so this waits
-	l.leave(false, 1)
+	go func() { entered <- limiter.acquire() }() // one is still in, so this waits
+	limiter.release(false, 1)
 	if got := <-entered; got != 1 {
 		t.Errorf("entered beside %d", got)
 	}
--- a/internal/testbed/faulttest/draw.go
+++ b/internal/testbed/faulttest/draw.go
@@ -137,7 +137,7 @@
 // drawRollout has policies be decided on by voters, and adds proposals while all the rest happens.
 func (d *drawer) drawRollout() {
 	s := d.scenario
-	s.Rollout = installation.Rollout{Voters: 5, Lease: 2 * time.Second, Within: 2 * time.Second}
+	s.Rollout = installation.Rollout{Voters: 5, Lease: 2 * time.Second, DecideWithin: 2 * time.Second}
 	for i := range s.Steps {
 		step := &s.Steps[i]
 		if step.Action == "limit" {
@@ -151,7 +151,7 @@
 		step := Step{At: d.instant(9000), Action: "propose", ProposalKind: "change", Gateways: d.someGateways(1), Folder: "same"}
 		step.Policy.Threads = d.threads()
 		if d.random.IntN(3) == 0 {
-			step.Policy.Both = 3 * time.Second
+			step.Policy.BothFor = 3 * time.Second
 		}
 		d.addStep(step)
 	}
@@ -159,17 +159,17 @@
 
 // Shrink looks for the fewest steps that still fail; fails plays a scenario. At most attempts of them are played.
 func Shrink(s *Scenario, tries int, fails func(*Scenario) bool) *Scenario {
-	for again := true; again; {
-		again = false
+	for found := true; found; {
+		found = false
 		for i := range s.Steps {
 			if tries == 0 {
 				return s
 			}
 			tries--
-			less := *s
-			less.Steps = slices.Delete(slices.Clone(s.Steps), i, i+1)
-			if fails(&less) {
-				s, again = &less, true
+			smaller := *s
+			smaller.Steps = slices.Delete(slices.Clone(s.Steps), i, i+1)
+			if fails(&smaller) {
+				s, found = &smaller, true
 				break
 			}
 		}
--- a/internal/testbed/faulttest/expectations.go
+++ b/internal/testbed/faulttest/expectations.go
@@ -19,14 +19,14 @@
 func (p *run) check(r *Result, plan *installation.Plan) {
 	s := p.scenario
 	r.Requests = p.requests
-	r.addTimedViolations(p.failures...)
+	r.addTimedViolations(p.missedDeadlines...)
 	p.checkRequests(r)
-	r.Runs = p.installation.Log.Runs()
+	r.RunningChanges = p.installation.Log.Runs()
 	r.SlowStarts = slowStartRecords(s, plan.SlowStart, plan.Behavior.Cores, p.installation.Log.Sent(), p.startedAt)
 	for _, record := range r.SlowStarts {
-		if record.Most > 1 {
+		if record.MaxOverload > 1 {
 			// A fake that was late reads what came over a while in one moment.
-			r.addTimedViolations(fmt.Sprintf("rule 4: %s, which started at %v, was sent %.2f times what tips it over", record.Engine, record.At, record.Most))
+			r.addTimedViolations(fmt.Sprintf("rule 4: %s, which started at %v, was sent %.2f times what tips it over", record.Engine, record.At, record.MaxOverload))
 		}
 	}
 	loweredAfter := s.ShareTerm + s.ShareTerm/2
@@ -39,7 +39,7 @@
 	r.addViolations(broken...)
 	r.addTimedViolations(late...)
 	r.addViolations(CheckQuotas(r.Events, totals)...)
-	r.addViolations(CheckEngines(s, r.Runs, r.Began, r.StartMonotonic, totals)...)
+	r.addViolations(CheckEngines(s, r.RunningChanges, r.StartedAt, r.StartMonotonic, totals)...)
 	for _, e := range r.Events {
 		if e.Kind == history.MemberChanged && e.Code == "displaced" {
 			r.Displaced++
@@ -53,18 +53,18 @@
 
 // checkRequests holds the clients' side against the engines': one answer each, no load begun twice, no answer that is not true.
 func (p *run) checkRequests(r *Result) {
-	asked, earned := 0.0, 0.0
+	requested, earned := 0.0, 0.0
 	for i := range r.Requests {
 		request := &r.Requests[i]
 		r.Ends[request.End]++
 		if request.End != sqlclient.NotConnected {
-			asked += request.worth()
-			earned += request.Worth()
+			requested += request.weight()
+			earned += request.EarnedWeight()
 		}
 		p.checkRequest(r, request)
 	}
-	if asked > 0 {
-		r.Served = earned / asked
+	if requested > 0 {
+		r.Served = earned / requested
 	}
 }
 
--- a/internal/testbed/faulttest/outages.go
+++ b/internal/testbed/faulttest/outages.go
@@ -58,15 +58,15 @@
 	if len(times) > 0 {
 		outage.T95 = times[min(len(times)-1, len(times)*95/100)]
 	}
-	asked, earned := 0.0, 0.0
+	requested, earned := 0.0, 0.0
 	for i := range r.Requests {
 		request := &r.Requests[i]
 		if request.At >= step.At && request.At < step.Until && request.End != sqlclient.NotConnected {
-			asked += request.worth()
-			earned += request.Worth()
+			requested += request.weight()
+			earned += request.EarnedWeight()
 		}
 	}
-	outage.Served = earned / max(1, asked)
+	outage.Served = earned / max(1, requested)
 	return outage
 }
 
--- a/internal/testbed/faulttest/outcome.go
+++ b/internal/testbed/faulttest/outcome.go
@@ -29,9 +29,9 @@
 
 // RunScenario plays a scenario as it is meant to be: one that measures health reports with sharing and without, one that measures quotas with each way
 // of sharing them, or the first few, one with engines that are warming up with slow-start quotas shared and by number, any other by itself.
-func RunScenario(ctx context.Context, s *Scenario, folder, program string, both bool, few int) (*Outcome, error) {
+func RunScenario(ctx context.Context, s *Scenario, folder, program string, compareSharing bool, maxModes int) (*Outcome, error) {
 	switch {
-	case both || strings.HasPrefix(s.Name, "judgement"):
+	case compareSharing || strings.HasPrefix(s.Name, "judgement"):
 		with, without, err := RunWithAndWithoutSharing(ctx, s, folder, program)
 		if err != nil {
 			return nil, err
@@ -51,7 +51,7 @@
 		}
 		return &Outcome{[]*Result{list[0].Result}, func(out io.Writer) { WritePolicyModes(out, list) }, list}, nil
 	case len(s.Phases) > 0:
-		list, err := CompareQuotaModes(ctx, s, folder, program, few)
+		list, err := CompareQuotaModes(ctx, s, folder, program, maxModes)
 		if err != nil {
 			return nil, err
 		}
@@ -77,12 +77,12 @@
 	var errs [2]error
 	var results [2]*Result
 	for i, sharing := range []bool{true, false} {
-		one := *s
-		one.HealthReports = sharing
+		variant := *s
+		variant.HealthReports = sharing
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			results[i], errs[i] = Run(ctx, &one, filepath.Join(folder, []string{"with", "without"}[i]), program)
+			results[i], errs[i] = Run(ctx, &variant, filepath.Join(folder, []string{"with", "without"}[i]), program)
 		}()
 	}
 	all.Wait()
--- a/internal/testbed/faulttest/page.go
+++ b/internal/testbed/faulttest/page.go
@@ -21,7 +21,7 @@
 const (
 	rowHeight = 22
 	leftEdge  = 70
-	wide      = 1000
+	plotWidth = 1000
 )
 
 // band is a fault, from X on over the width W in the row whose top is Y.
@@ -42,8 +42,8 @@
 	Name string
 }
 
-// axis is one time on the axis.
-type axis struct {
+// axisLabel is one time on the axis.
+type axisLabel struct {
 	X    float64
 	Text string
 }
@@ -57,7 +57,7 @@
 	Rows           []row
 	Bands          []band
 	Marks          []mark
-	Axis           []axis
+	Axis           []axisLabel
 	Width, Height  float64
 }
 
@@ -71,7 +71,7 @@
 
 // x is where a time from the load's begin lies.
 func (w *pageWriter) x(at time.Duration) float64 {
-	return leftEdge + wide*float64(max(0, min(at, w.length)))/float64(w.length)
+	return leftEdge + plotWidth*float64(max(0, min(at, w.length)))/float64(w.length)
 }
 
 func (w *pageWriter) addRow(name string) {
@@ -80,15 +80,15 @@
 	w.picture.Rows = append(w.picture.Rows, row{top + rowHeight/2 + 4, name})
 }
 
-func (w *pageWriter) addMark(at float64, top float64, class, say string) {
-	w.picture.Marks = append(w.picture.Marks, mark{at, top + rowHeight/2, class, say})
+func (w *pageWriter) addMark(at float64, top float64, class, tooltip string) {
+	w.picture.Marks = append(w.picture.Marks, mark{at, top + rowHeight/2, class, tooltip})
 }
 
 // Page writes a run as a page: a row for each process and engine, faults as bands, decisions as marks.
 func (r *Result) Page(out io.Writer) error {
 	s := r.Scenario
 	w := &pageWriter{
-		picture: picture{Title: s.Name, Good: r.Good(), File: s.Text(), Width: leftEdge + wide + 20},
+		picture: picture{Title: s.Name, Good: r.Good(), File: s.Text(), Width: leftEdge + plotWidth + 20},
 		length:  s.Length + r.ConvergedAgain + time.Second,
 		rows:    map[string]float64{},
 		labels:  r.labels(),
@@ -102,7 +102,7 @@
 	w.picture.Height = float64(len(w.picture.Rows)*rowHeight) + 60
 	tick := max(time.Second, (w.length / 12).Round(time.Second))
 	for at := time.Duration(0); at <= w.length; at += tick {
-		w.picture.Axis = append(w.picture.Axis, axis{w.x(at), at.String()})
+		w.picture.Axis = append(w.picture.Axis, axisLabel{w.x(at), at.String()})
 	}
 	for i := range s.Steps {
 		w.addStep(&s.Steps[i], s.Length)
@@ -130,11 +130,11 @@
 	default:
 		until = min(length, step.At+instantWidth)
 	}
-	say := fmt.Sprintf("%s %s %v to %v: %+v", step.Action, step.EngineState, step.At, until, step.Rule)
+	tooltip := fmt.Sprintf("%s %s %v to %v: %+v", step.Action, step.EngineState, step.At, until, step.Rule)
 	names := step.rowPatterns()
 	for name, top := range w.rows {
 		if matchesAny(names, name) {
-			w.picture.Bands = append(w.picture.Bands, band{w.x(step.At), top, w.x(until) - w.x(step.At), rowHeight - 2, step.Action, say})
+			w.picture.Bands = append(w.picture.Bands, band{w.x(step.At), top, w.x(until) - w.x(step.At), rowHeight - 2, step.Action, tooltip})
 		}
 	}
 }
--- a/internal/testbed/faulttest/policy_modes.go
+++ b/internal/testbed/faulttest/policy_modes.go
@@ -15,26 +15,26 @@
 
 // PolicyMode is one way in which policies change, and what came of a run with it.
 type PolicyMode struct {
-	Name   string        `json:"name"`
-	Result *Result       `json:"result"`
-	Phases []PolicyPhase `json:"phases"`
-	Older  int           `json:"older"` // uses of shared quotas, by an older number after a newer one
-	Uses   int           `json:"uses"`
+	Name      string        `json:"name"`
+	Result    *Result       `json:"result"`
+	Phases    []PolicyPhase `json:"phases"`
+	OlderUses int           `json:"older"` // uses of shared quotas, by an older number after a newer one
+	Uses      int           `json:"uses"`
 }
 
 // PolicyPhase is what changes came to in one phase.
 type PolicyPhase struct {
 	Phase
-	Proposals int           `json:"proposals"`
-	Ends      []string      `json:"ends"`
-	Took50    time.Duration `json:"took50"` // of those that were decided
-	Took99    time.Duration `json:"took99"`
-	Loads     int           `json:"loads"`
-	Unsure    int           `json:"unsure"` // loads rejected for want of a lease
-	Served    float64       `json:"served"` // share of the priority weight asked for
-	Older     int           `json:"older"`
-	P50       time.Duration `json:"p50"` // of look-ups that came in it and were served
-	P99       time.Duration `json:"p99"`
+	Proposals      int           `json:"proposals"`
+	Ends           []string      `json:"ends"`
+	DecisionP50    time.Duration `json:"took50"` // of those that were decided
+	DecisionP99    time.Duration `json:"took99"`
+	Loads          int           `json:"loads"`
+	RejectedUnsure int           `json:"unsure"` // loads rejected for want of a lease
+	Served         float64       `json:"served"` // share of the priority weight asked for
+	OlderUses      int           `json:"older"`
+	P50            time.Duration `json:"p50"` // of look-ups that came in it and were served
+	P99            time.Duration `json:"p99"`
 }
 
 // pauseBetweenFiles is the time from one gateway's new file to the next one's, as a script would go through them.
@@ -50,7 +50,7 @@
 		}
 		uses, olderUses := mode.Result.countUses()
 		mode.Uses = uses
-		mode.Older = len(olderUses)
+		mode.OlderUses = len(olderUses)
 		for _, phase := range s.Phases {
 			mode.Phases = append(mode.Phases, mode.Result.policyPhase(phase, olderUses))
 		}
@@ -110,7 +110,7 @@
 
 func (r *Result) policyPhase(phase Phase, olderUses []time.Duration) PolicyPhase {
 	metrics := PolicyPhase{Phase: phase}
-	var proposals []Proposed
+	var proposals []ProposalResult
 	for _, proposal := range r.Proposals {
 		if phase.contains(proposal.At) {
 			proposals = append(proposals, proposal)
@@ -118,23 +118,23 @@
 	}
 	metrics.Proposals = len(proposals)
 	metrics.Ends = countEnds(proposals)
-	metrics.Took50, metrics.Took99 = percentiles(decidedTimes(proposals))
+	metrics.DecisionP50, metrics.DecisionP99 = percentiles(decidedTimes(proposals))
 	metrics.measureRequests(r.Requests)
 	for i := range r.Events {
 		e := &r.Events[i]
 		if e.Kind == history.RequestDecided && e.Code == "unsure" && phase.contains(time.Duration(e.At-r.StartMonotonic)) {
-			metrics.Unsure++
+			metrics.RejectedUnsure++
 		}
 	}
 	for _, at := range olderUses {
-		metrics.Older += btoi(phase.contains(at))
+		metrics.OlderUses += btoi(phase.contains(at))
 	}
 	return metrics
 }
 
 // measureRequests takes in the requests that came in the phase.
 func (p *PolicyPhase) measureRequests(requests []Request) {
-	asked, earned := 0.0, 0.0
+	requested, earned := 0.0, 0.0
 	var took []time.Duration
 	for i := range requests {
 		request := &requests[i]
@@ -142,15 +142,15 @@
 			continue
 		}
 		p.Loads += btoi(request.Load)
-		asked += request.worth()
-		earned += request.Worth()
+		requested += request.weight()
+		earned += request.EarnedWeight()
 		if request.End == sqlclient.Served && !request.Load {
 			took = append(took, request.Took)
 		}
 	}
 	p.P50, p.P99 = percentiles(took)
-	if asked > 0 {
-		p.Served = earned / asked
+	if requested > 0 {
+		p.Served = earned / requested
 	}
 }
 
@@ -162,10 +162,10 @@
 	for _, mode := range list {
 		fmt.Fprintf(out, "\n%s\n%-16s %9s %9s %9s %9s %9s %9s %9s %7s  %s\n", mode.Name, "phase", "in force", "p99", "no lease", "served", "older", "look p50", "p99", "changes", "")
 		for _, p := range mode.Phases {
-			fmt.Fprintf(out, "%-16s %6.0f ms %6.0f ms %9.4f %9.3f %9d %6.1f ms %6.1f ms %7d  %s\n", p.Name, p.Took50.Seconds()*1000, p.Took99.Seconds()*1000, float64(p.Unsure)/float64(max(1, p.Loads)), p.Served,
-				p.Older, p.P50.Seconds()*1000, p.P99.Seconds()*1000, p.Proposals, strings.Join(p.Ends, ", "))
+			fmt.Fprintf(out, "%-16s %6.0f ms %6.0f ms %9.4f %9.3f %9d %6.1f ms %6.1f ms %7d  %s\n", p.Name, p.DecisionP50.Seconds()*1000, p.DecisionP99.Seconds()*1000, float64(p.RejectedUnsure)/float64(max(1, p.Loads)), p.Served,
+				p.OlderUses, p.P50.Seconds()*1000, p.P99.Seconds()*1000, p.Proposals, strings.Join(p.Ends, ", "))
 		}
-		fmt.Fprintf(out, "%d of %d uses of what is the fleet's were by an older number after a newer\n", mode.Older, mode.Uses)
+		fmt.Fprintf(out, "%d of %d uses of what is the fleet's were by an older number after a newer\n", mode.OlderUses, mode.Uses)
 		mode.Result.Text(out)
 	}
 }
--- a/internal/testbed/faulttest/print.go
+++ b/internal/testbed/faulttest/print.go
@@ -81,7 +81,7 @@
 	w.field("counts", s.Counters)
 	w.field("state", s.Durable)
 	if rollout := s.Rollout; rollout.Voters > 0 {
-		w.field("policy", map[string]any{"voters": rollout.Voters, "lease": rollout.Lease.String(), "within": rollout.Within.String()})
+		w.field("policy", map[string]any{"voters": rollout.Voters, "lease": rollout.Lease.String(), "within": rollout.DecideWithin.String()})
 	}
 }
 
@@ -172,15 +172,15 @@
 	w.fieldIf(t.PolicyNumber > 0, "number", t.PolicyNumber)
 	w.fieldIf(t.ProposalName != "", "as", t.ProposalName)
 	w.fieldIf(policy.Refuse, "refuse", true)
-	w.fieldIf(policy.Looks, "looks", true)
+	w.fieldIf(policy.LookClass, "looks", true)
 	w.fieldIf(len(policy.Zones) > 0, "zones", policy.Zones)
-	w.fieldIf(policy.Field != "", "field", policy.Field)
-	w.durationIf(policy.Both > 0, "both_for", policy.Both)
+	w.fieldIf(policy.UnknownField != "", "field", policy.UnknownField)
+	w.durationIf(policy.BothFor > 0, "both_for", policy.BothFor)
 	w.durationIf(policy.Rehearse > 0, "rehearse", policy.Rehearse)
-	w.fieldIf(policy.Guard > 0, "guard", policy.Guard)
+	w.fieldIf(policy.MaxRejectedShare > 0, "guard", policy.MaxRejectedShare)
 	w.durationIf(policy.Probation > 0, "probation", policy.Probation)
-	w.fieldIf(policy.Bound > 0, "bound", policy.Bound)
-	w.fieldIf(policy.Size > 0, "size", fmt.Sprintf("%dB", policy.Size))
+	w.fieldIf(policy.MaxShedShare > 0, "bound", policy.MaxShedShare)
+	w.fieldIf(policy.MinTextBytes > 0, "size", fmt.Sprintf("%dB", policy.MinTextBytes))
 }
 
 func (s *Scenario) writeExpectations(w *scenarioWriter) {
--- a/internal/testbed/faulttest/proposals.go
+++ b/internal/testbed/faulttest/proposals.go
@@ -14,8 +14,8 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// Proposed is a proposal that was made, and what became of it.
-type Proposed struct {
+// ProposalResult is a proposal that was made, and what became of it.
+type ProposalResult struct {
 	At     time.Duration `json:"at"` // from the load's begin
 	By     string        `json:"by"`
 	Took   time.Duration `json:"took"`
@@ -26,7 +26,7 @@
 	digest string
 }
 
-func (p Proposed) String() string {
+func (p ProposalResult) String() string {
 	return strings.TrimSpace(fmt.Sprintf("%s %d %s", p.End, p.Number, p.Why))
 }
 
@@ -41,9 +41,9 @@
 func (s *Scenario) proposalTimeout() time.Duration {
 	longest := s.Rollout.Lease
 	for _, step := range s.Steps {
-		longest = max(longest, step.Policy.Both)
+		longest = max(longest, step.Policy.BothFor)
 	}
-	return s.Rollout.Within + 4*longest + 20*time.Second
+	return s.Rollout.DecideWithin + 4*longest + 20*time.Second
 }
 
 // isDown tells whether a gateway is not to be running at this time of the scenario.
@@ -55,12 +55,12 @@
 
 // requestPolicy sends a request to a gateway, and to the next ones in turn while it is away.
 func (p *run) requestPolicy(ctx context.Context, first *installation.Gateway, request *agent.PolicyRequest, deadline time.Time) (*agent.PolicyReply, error) {
-	turn := slices.Index(p.installation.Gateways, first)
+	index := slices.Index(p.installation.Gateways, first)
 	var lastError error
 	for time.Now().Before(deadline) {
 		gateways := p.installation.Gateways
-		gateway := gateways[turn%len(gateways)]
-		turn++
+		gateway := gateways[index%len(gateways)]
+		index++
 		if !p.isDown(gateway) && gateway.IsRunning() {
 			reply, err := sendPolicyRequest(ctx, gateway, request, deadline)
 			if err == nil {
@@ -95,14 +95,14 @@
 func (p *run) propose(step Step) {
 	gateways := p.matchingGateways(step.Gateways)
 	if len(gateways) == 0 {
-		p.failures = append(p.failures, fmt.Sprintf("step at %v: no gateway is called %v", step.At, step.Gateways))
+		p.missedDeadlines = append(p.missedDeadlines, fmt.Sprintf("step at %v: no gateway is called %v", step.At, step.Gateways))
 		return
 	}
 	first := gateways[0]
 	if step.Action == "voters" || step.Action == "force" {
 		request := &agent.PolicyRequest{Operation: agent.PolicyOperation(step.Action), Voters: step.Gateways}
 		if _, err := p.requestPolicy(context.Background(), first, request, time.Now().Add(changeVotersWithin)); err != nil {
-			p.failures = append(p.failures, fmt.Sprintf("step at %v: %s: %v", step.At, step.Action, err))
+			p.missedDeadlines = append(p.missedDeadlines, fmt.Sprintf("step at %v: %s: %v", step.At, step.Action, err))
 		}
 		return
 	}
@@ -160,7 +160,7 @@
 func (p *run) tryProposal(first *installation.Gateway, request *agent.PolicyRequest) bool {
 	began := time.Now()
 	reply, err := p.requestPolicy(context.Background(), first, request, began.Add(p.scenario.proposalTimeout()))
-	proposal := Proposed{At: began.Sub(p.startedAt), By: first.Label(), Took: time.Since(began), End: "unknown", id: request.ID}
+	proposal := ProposalResult{At: began.Sub(p.startedAt), By: first.Label(), Took: time.Since(began), End: "unknown", id: request.ID}
 	if request.Text != nil { // else it goes back to an earlier policy
 		proposal.digest = rollout.DigestOf(request.Text).String()
 	}
@@ -171,7 +171,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.proposed = append(p.proposed, proposal)
+	p.proposalResults = append(p.proposalResults, proposal)
 	return proposal.End == "refused" && strings.Contains(proposal.Why, "is open")
 }
 
--- a/internal/testbed/faulttest/quota_modes.go
+++ b/internal/testbed/faulttest/quota_modes.go
@@ -22,30 +22,30 @@
 
 // QuotaMode is one way of sharing a quota, and what came of a run with it.
 type QuotaMode struct {
-	Name     string     `json:"name"`
-	Mutation string     `json:"-"` // the mutation that shares this way
-	Result   *Result    `json:"result"`
-	Phases   []PhaseUse `json:"phases"`
-	Sent     float64    `json:"datagrams"` // a request more than without a limit
+	Name           string     `json:"name"`
+	Mutation       string     `json:"-"` // the mutation that shares this way
+	Result         *Result    `json:"result"`
+	Phases         []PhaseUse `json:"phases"`
+	ExtraDatagrams float64    `json:"datagrams"` // a request more than without a limit
 }
 
 // PhaseUse is the use of the quotas in one phase.
 type PhaseUse struct {
 	Phase
-	Used     float64       `json:"used"`  // share of the total, over the phase
-	Least    float64       `json:"least"` // in its least half second
-	Own      float64       `json:"own"`   // share of the phase's gateways' own part that they used, if it names any
-	P50      time.Duration `json:"p50"`   // of requests that came in it and were served, beyond their service
-	P99      time.Duration `json:"p99"`
-	Requests int           `json:"tasks"`
+	UsedShare      float64       `json:"used"`  // share of the total, over the phase
+	LeastUsedShare float64       `json:"least"` // in its least half second
+	OwnUsedShare   float64       `json:"own"`   // share of the phase's gateways' own part that they used, if it names any
+	P50            time.Duration `json:"p50"`   // of requests that came in it and were served, beyond their service
+	P99            time.Duration `json:"p99"`
+	Requests       int           `json:"tasks"`
 }
 
 // CompareQuotaModes plays a scenario with each way of sharing its quota, or the first few, one after the other on the same machine; the last is without
 // a limit: what it uses, up to the total, is what an all-knowing one could have.
-func CompareQuotaModes(ctx context.Context, s *Scenario, folder, program string, few int) (list []*QuotaMode, err error) {
+func CompareQuotaModes(ctx context.Context, s *Scenario, folder, program string, maxModes int) (list []*QuotaMode, err error) {
 	list = []*QuotaMode{{Name: "lent"}, {Name: "equal parts", Mutation: "equal-parts"}, {Name: "a quorum a task", Mutation: "quorum"}, {Name: "no limit"}}
-	if few > 0 && few < len(list) {
-		list = append(list[:few], list[len(list)-1])
+	if maxModes > 0 && maxModes < len(list) {
+		list = append(list[:maxModes], list[len(list)-1])
 	}
 	unlimited := list[len(list)-1]
 	for i, mode := range list {
@@ -62,7 +62,7 @@
 	}
 	for _, mode := range list {
 		extra := mode.Result.datagramsPerSecond() - unlimited.Result.datagramsPerSecond()
-		mode.Sent = extra * mode.Result.PlayTime.Seconds() / float64(max(1, mode.Result.Ends[sqlclient.Served]))
+		mode.ExtraDatagrams = extra * mode.Result.PlayTime.Seconds() / float64(max(1, mode.Result.Ends[sqlclient.Served]))
 	}
 	return list, nil
 }
@@ -77,7 +77,7 @@
 // useSampler samples how many threads each process has in use, from the load's begin to the end of the scenario.
 type useSampler struct {
 	labels  []string
-	open    []threadUse
+	active  []threadUse
 	next    int64 // instant of the next sample
 	end     int64
 	samples [][]float64 // by time and process
@@ -92,9 +92,9 @@
 // sampleUntil takes the samples up to an instant.
 func (u *useSampler) sampleUntil(at int64) {
 	for ; u.next <= min(at, u.end); u.next += int64(sampleInterval) {
-		u.open = slices.DeleteFunc(u.open, func(use threadUse) bool { return use.until <= u.next })
+		u.active = slices.DeleteFunc(u.active, func(use threadUse) bool { return use.until <= u.next })
 		sample := make([]float64, len(u.labels))
-		for _, use := range u.open {
+		for _, use := range u.active {
 			if i := slices.Index(u.labels, use.label); i >= 0 {
 				sample[i]++
 			}
@@ -105,9 +105,9 @@
 
 // release takes out the process's earliest use.
 func (u *useSampler) release(label string) {
-	i := slices.IndexFunc(u.open, func(use threadUse) bool { return use.label == label })
+	i := slices.IndexFunc(u.active, func(use threadUse) bool { return use.label == label })
 	if i >= 0 {
-		u.open = slices.Delete(u.open, i, i+1)
+		u.active = slices.Delete(u.active, i, i+1)
 	}
 }
 
@@ -128,7 +128,7 @@
 		switch e.Kind {
 		case history.BudgetUsed:
 			sampler.sampleUntil(e.At)
-			sampler.open = append(sampler.open, threadUse{label, e.At + e.ValidNanos})
+			sampler.active = append(sampler.active, threadUse{label, e.At + e.ValidNanos})
 		case history.BudgetReleased:
 			sampler.sampleUntil(e.At)
 			sampler.release(label)
@@ -141,11 +141,11 @@
 // sampleRunning is how many loads run by the engines' count, up to the total, by samples.
 func (r *Result) sampleRunning(total int) (samples [][]float64) {
 	running, next := 0, sampleInterval
-	for _, change := range r.Runs {
+	for _, change := range r.RunningChanges {
 		if change.Class != "load" {
 			continue
 		}
-		for ; next <= min(change.At.Sub(r.Began), r.Scenario.Length); next += sampleInterval {
+		for ; next <= min(change.At.Sub(r.StartedAt), r.Scenario.Length); next += sampleInterval {
 			samples = append(samples, []float64{float64(min(running, total))})
 		}
 		running += change.Delta
@@ -160,7 +160,7 @@
 		labels, samples = []string{""}, r.sampleRunning(total)
 	}
 	for _, phase := range r.Scenario.Phases {
-		use := PhaseUse{Phase: phase, Least: 1}
+		use := PhaseUse{Phase: phase, LeastUsedShare: 1}
 		use.measureSamples(labels, samples, float64(total))
 		use.measureRequests(r.Requests, r.Scenario.LoadService)
 		uses = append(uses, use)
@@ -191,20 +191,20 @@
 	for k := int(u.At / sampleInterval); k < min(len(samples), int(u.Until/sampleInterval)); k++ {
 		sum, own := sumUse(samples[k], isOwn)
 		count++
-		u.Used += sum / total
+		u.UsedShare += sum / total
 		window = append(window, sum/total)
 		if len(window) > leastWindow {
 			window = window[1:]
 		}
 		if len(window) == leastWindow {
-			u.Least = min(u.Least, mean(window))
+			u.LeastUsedShare = min(u.LeastUsedShare, mean(window))
 		}
 		if owners > 0 {
-			u.Own += own / (total * owners / float64(len(labels)))
+			u.OwnUsedShare += own / (total * owners / float64(len(labels)))
 		}
 	}
-	u.Used /= max(1, count)
-	u.Own /= max(1, count)
+	u.UsedShare /= max(1, count)
+	u.OwnUsedShare /= max(1, count)
 }
 
 // sumUse sums a sample, and what some of its processes have of it.
@@ -251,10 +251,10 @@
 	for i, phase := range s.Phases {
 		writeModeRow(out, phase.Name, list, func(mode *QuotaMode) string { return mode.phaseCell(i) })
 		if len(phase.Gateways) > 0 {
-			writeModeRow(out, "  its own part", list, func(mode *QuotaMode) string { return mode.ownPartCell(i) })
+			writeModeRow(out, "  its own part", list, func(mode *QuotaMode) string { return mode.ownShareCell(i) })
 		}
 	}
-	writeModeRow(out, "datagrams a task", list, func(mode *QuotaMode) string { return fmt.Sprintf("  %-29.1f", mode.Sent) })
+	writeModeRow(out, "datagrams a task", list, func(mode *QuotaMode) string { return fmt.Sprintf("  %-29.1f", mode.ExtraDatagrams) })
 	writeModeRow(out, "delivered", list, func(mode *QuotaMode) string {
 		return fmt.Sprintf("  %-29s", fmt.Sprintf("%d of %d", mode.Result.Ends[sqlclient.Served], len(mode.Result.Requests)))
 	})
@@ -280,14 +280,14 @@
 		return ""
 	}
 	use := m.Phases[phase]
-	return fmt.Sprintf("  %5.3f %5.3f %8.1f %8.1f", use.Used, use.Least, milliseconds(use.P50), milliseconds(use.P99))
+	return fmt.Sprintf("  %5.3f %5.3f %8.1f %8.1f", use.UsedShare, use.LeastUsedShare, milliseconds(use.P50), milliseconds(use.P99))
 }
 
-func (m *QuotaMode) ownPartCell(phase int) string {
+func (m *QuotaMode) ownShareCell(phase int) string {
 	if phase >= len(m.Phases) {
 		return ""
 	}
-	return fmt.Sprintf("  %5.3f %5s %8s %8s", m.Phases[phase].Own, "", "", "")
+	return fmt.Sprintf("  %5.3f %5s %8s %8s", m.Phases[phase].OwnUsedShare, "", "", "")
 }
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
--- a/internal/testbed/faulttest/result.go
+++ b/internal/testbed/faulttest/result.go
@@ -23,16 +23,16 @@
 	id      string
 }
 
-// Worth is the priority weight that it earned: all of it if it was served within the latency objective, else nothing.
-func (r *Request) Worth() float64 {
+// EarnedWeight is the priority weight that it earned: all of it if it was served within the latency objective, else nothing.
+func (r *Request) EarnedWeight() float64 {
 	if r.End != sqlclient.Served || r.Took > latencyObjective {
 		return 0
 	}
-	return r.worth()
+	return r.weight()
 }
 
-// worth is the priority weight that it asked for.
-func (r *Request) worth() float64 {
+// weight is the priority weight that it asked for.
+func (r *Request) weight() float64 {
 	if r.Load {
 		return loadWeight
 	}
@@ -41,28 +41,28 @@
 
 // Result is what came of a run.
 type Result struct {
-	Scenario       *Scenario            `json:"-"`
-	Folder         string               `json:"folder"`
-	Joined         time.Duration        `json:"joined"`  // until all had found each other at first
-	ConvergedAgain time.Duration        `json:"settled"` // and again, after the last fault
-	Violations     []string             `json:"violations"`
-	WakeDelay      time.Duration        `json:"wake_delay"` // the longest of the testbed and of gateways: see Disturbed
-	Requests       []Request            `json:"-"`
-	Ends           map[string]int       `json:"ends"`
-	Served         float64              `json:"served"` // share of the priority weight asked for
-	Counts         faultproxy.Counts    `json:"counts"`
-	Events         []history.Event      `json:"-"`
-	StartMonotonic int64                `json:"-"` // CLOCK_MONOTONIC of the load's begin
-	Processes      []string             `json:"-"`
-	Displaced      int                  `json:"displaced"` // processes that found their name taken by a later one
-	PlayTime       time.Duration        `json:"played"`    // while datagrams were counted
-	SlowStarts     []SlowStartRecord    `json:"colds,omitempty"`
-	Runs           []fake.RunningChange `json:"-"` // loads and look-ups, as the engines have them
-	Began          time.Time            `json:"-"` // of the load
-	Proposals      []Proposed           `json:"proposals,omitempty"`
-	Policies       *PolicyMetrics       `json:"policies,omitempty"`
-	Voters         []string             `json:"voters,omitempty"` // of policies, at the end
-	timely         int                  // how many of the violations rest on time
+	Scenario         *Scenario            `json:"-"`
+	Folder           string               `json:"folder"`
+	ConvergedAtStart time.Duration        `json:"joined"`  // until all had found each other at first
+	ConvergedAgain   time.Duration        `json:"settled"` // and again, after the last fault
+	Violations       []string             `json:"violations"`
+	WakeDelay        time.Duration        `json:"wake_delay"` // the longest of the testbed and of gateways: see Disturbed
+	Requests         []Request            `json:"-"`
+	Ends             map[string]int       `json:"ends"`
+	Served           float64              `json:"served"` // share of the priority weight asked for
+	Counts           faultproxy.Counts    `json:"counts"`
+	Events           []history.Event      `json:"-"`
+	StartMonotonic   int64                `json:"-"` // CLOCK_MONOTONIC of the load's begin
+	Processes        []string             `json:"-"`
+	Displaced        int                  `json:"displaced"` // processes that found their name taken by a later one
+	PlayTime         time.Duration        `json:"played"`    // while datagrams were counted
+	SlowStarts       []SlowStartRecord    `json:"colds,omitempty"`
+	RunningChanges   []fake.RunningChange `json:"-"` // loads and look-ups, as the engines have them
+	StartedAt        time.Time            `json:"-"` // of the load
+	Proposals        []ProposalResult     `json:"proposals,omitempty"`
+	Policies         *PolicyMetrics       `json:"policies,omitempty"`
+	Voters           []string             `json:"voters,omitempty"` // of policies, at the end
+	timedViolations  int                  // how many of the violations rest on time
 }
 
 // Good tells whether all held.
@@ -121,7 +121,7 @@
 func (r *Result) Text(out io.Writer) {
 	fmt.Fprintf(out, "%s: %d gateways, %d engines, real processes and sockets on loopback; %d steps in %v\n", r.Scenario.Name, r.Scenario.Gateways, r.Scenario.Engines,
 		len(r.Scenario.Steps), r.Scenario.Length)
-	fmt.Fprintf(out, "all knew each other after %.1f s, and %.1f s after the last fault; %d processes displaced\n", r.Joined.Seconds(), r.ConvergedAgain.Seconds(), r.Displaced)
+	fmt.Fprintf(out, "all knew each other after %.1f s, and %.1f s after the last fault; %d processes displaced\n", r.ConvergedAtStart.Seconds(), r.ConvergedAgain.Seconds(), r.Displaced)
 	fmt.Fprintf(out, "%d tasks:", len(r.Requests))
 	for _, end := range sortedKeys(r.Ends) {
 		fmt.Fprintf(out, " %d %s", r.Ends[end], end)
@@ -131,7 +131,7 @@
 		r.Policies.Text(out, r.Proposals)
 	}
 	for _, record := range r.SlowStarts {
-		fmt.Fprintf(out, "%s, cold from %v on, was sent %.2f of what tips it over at most; tasks by second %v\n", record.Engine, record.At, record.Most, record.Requests)
+		fmt.Fprintf(out, "%s, cold from %v on, was sent %.2f of what tips it over at most; tasks by second %v\n", record.Engine, record.At, record.MaxOverload, record.Requests)
 	}
 	fmt.Fprintf(out, "%d datagrams of %d bytes in the mean, %d dropped, %d doubled, %d with a bit turned; %d events of history\n", r.Counts.Datagrams,
 		r.Counts.Bytes/max(1, r.Counts.Datagrams), r.Counts.Dropped, r.Counts.Duplicated, r.Counts.Corrupted, len(r.Events))
--- a/internal/testbed/faulttest/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -35,21 +35,21 @@
 
 // run is a scenario while it is played.
 type run struct {
-	scenario     *Scenario
-	installation *installation.Installation
-	network      *faultproxy.Network
-	mu           sync.Mutex
-	requests     []Request
-	killed       map[string][]time.Duration // by process: when it was killed or told to leave, from the begin
-	notRunning   map[string]bool            // by process: not to be there
-	startedAt    time.Time
-	dbs          map[string]*sql.DB
-	clients      sync.WaitGroup
-	folder       string
-	proposals    sync.WaitGroup // proposals that have not ended
-	proposed     []Proposed
-	proposalIDs  map[string]uint64 // ids of proposals that have a name
-	failures     []string          // what did not come about in time
+	scenario        *Scenario
+	installation    *installation.Installation
+	network         *faultproxy.Network
+	mu              sync.Mutex
+	requests        []Request
+	killed          map[string][]time.Duration // by process: when it was killed or told to leave, from the begin
+	notRunning      map[string]bool            // by process: not to be there
+	startedAt       time.Time
+	dbs             map[string]*sql.DB
+	clients         sync.WaitGroup
+	folder          string
+	proposals       sync.WaitGroup // proposals that have not ended
+	proposalResults []ProposalResult
+	proposalIDs     map[string]uint64 // ids of proposals that have a name
+	missedDeadlines []string          // what did not come about in time
 }
 
 // Run plays a scenario. Files go to a folder; program is the gateway's, which must be built with -tags testbed where clocks drift,
@@ -58,7 +58,7 @@
 	if err := checkProgram(ctx, s, program); err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	if err := clearFolder(folder); err != nil {
 		return nil, err
 	}
@@ -67,19 +67,19 @@
 		p.notRunning[name] = true
 	}
 	plan := p.plan(program)
-	up, err := installation.Start(plan, folder)
+	started, err := installation.Start(plan, folder)
 	if err != nil {
 		return nil, err
 	}
-	p.installation = up
-	defer up.Stop()
-	up.Log.RetainEvents()
+	p.installation = started
+	defer started.Stop()
+	started.Log.RetainEvents()
 	r := &Result{Scenario: s, Folder: folder, Ends: map[string]int{}}
 	meter := newWakeMeter()
 	defer meter.stop()
 	p.prepare(ctx, r)
 	err = p.runLoad(ctx, r)
-	r.Counts, r.PlayTime = p.network.Counts(), time.Since(begun)
+	r.Counts, r.PlayTime = p.network.Counts(), time.Since(startedAt)
 	histories := p.endGateways(r)
 	r.WakeDelay = meter.stop()
 	if err != nil {
@@ -132,10 +132,10 @@
 		loads = fake.ServiceTime{Kind: "constant", Mean: s.LoadService}
 	}
 	plan := installation.Plan{
-		Gateways: s.Gateways, Engines: s.Engines, Zones: s.Zones, Down: s.NotStarted, Durable: s.Durable,
+		Gateways: s.Gateways, Engines: s.Engines, Zones: s.Zones, NotStarted: s.NotStarted, Durable: s.Durable,
 		Cores: 8, MemoryMB: 96, Sockets: 384, ConnectWithin: connectWithin, IdleTimeout: 30 * time.Second,
 		Seed: int64(s.Seed), Program: program, Env: p.env, Proxies: p.network,
-		Cluster: &installation.Cluster{Seeds: 2, HealthReports: s.HealthReports, Counts: s.Counters, Limits: s.Limits, ShareTerm: s.ShareTerm, Rollout: s.Rollout},
+		Cluster: &installation.Cluster{SeedCount: 2, HealthReports: s.HealthReports, Counts: s.Counters, Limits: s.Limits, ShareTerm: s.ShareTerm, Rollout: s.Rollout},
 		Classes: []installation.Class{
 			{Name: "look", LatencyObjective: latencyObjective, MaxWait: s.MaxWait, Weight: lookWeight, Effect: "idempotent", Threads: 1},
 			{Name: "load", LatencyObjective: latencyObjective, MaxWait: s.MaxWait, Weight: loadWeight, Effect: "unrepeatable", Threads: 1}},
@@ -144,7 +144,7 @@
 			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: lookService}}}},
 	}
 	if s.WarmUp > 0 { // a third of the speed at first; twice what they can do for a second overloads them
-		plan.SlowStart = installation.SlowStart{Share: 0.32, Factor: 2, Warm: s.WarmUp, Tip: time.Second}
+		plan.SlowStart = installation.SlowStart{Share: 0.32, OverloadFactor: 2, WarmUp: s.WarmUp, OverloadAfter: time.Second}
 		plan.Behavior.ColdSpeed, plan.Behavior.WarmUp, plan.Cluster.SlowStart = plan.SlowStart.Share, s.WarmUp, s.SharedSlowStart
 	}
 	return plan
@@ -155,7 +155,7 @@
 	s := p.scenario
 	if len(s.NotStarted) == 0 { // else whoever is up may know nobody
 		var ok bool
-		if r.Joined, ok = p.waitForMembership(ctx, s.ConvergeWithin); !ok {
+		if r.ConvergedAtStart, ok = p.waitForMembership(ctx, s.ConvergeWithin); !ok {
 			r.addTimedViolations(fmt.Sprintf("eventual: at the start the members did not know each other after %v: %s", s.ConvergeWithin, p.membershipDifference()))
 		}
 	}
@@ -172,7 +172,7 @@
 // runLoad plays the load with its faults, and waits until the members know each other after the last one.
 func (p *run) runLoad(ctx context.Context, r *Result) error {
 	p.startedAt, r.StartMonotonic = time.Now(), history.Now()
-	r.Began = p.startedAt
+	r.StartedAt = p.startedAt
 	stop, cancel := context.WithCancel(ctx)
 	for _, gateway := range p.installation.Gateways {
 		p.runClient(stop, gateway)
--- a/internal/testbed/faulttest/scenario.go
+++ b/internal/testbed/faulttest/scenario.go
@@ -116,28 +116,28 @@
 		if err != nil {
 			return nil, err
 		}
-		base, err := builtins.ReadFile("builtin/judgement.jsonnet")
+		importedText, err := builtins.ReadFile("builtin/judgement.jsonnet")
 		if err != nil {
 			return nil, err
 		}
 		// The one import that built-in files have is put in its place, as the evaluator reads no embedded files.
-		return Parse(name+".jsonnet", strings.ReplaceAll(string(text), "import 'judgement.jsonnet'", "("+string(base)+")"))
+		return Parse(name+".jsonnet", strings.ReplaceAll(string(text), "import 'judgement.jsonnet'", "("+string(importedText)+")"))
 	}
 	if _, err := os.Stat(name); err != nil {
 		return nil, fmt.Errorf("%s: no such file, nor one of the built-in scenarios %s", name, strings.Join(Builtin(), ", "))
 	}
-	_, o, err := configfile.Read(name)
+	_, file, err := configfile.Read(name)
 	if err != nil {
 		return nil, err
 	}
-	return decode(o)
+	return decode(file)
 }
 
 // Parse reads a text that stands for a file of that name.
 func Parse(name, text string) (*Scenario, error) {
-	_, o, err := configfile.Parse(name, text)
+	_, file, err := configfile.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
-	return decode(o)
+	return decode(file)
 }
--- a/internal/testbed/faulttest/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -17,11 +17,11 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-var built string // folder of the testbed's build
+var buildFolder string // folder of the testbed's build
 
 func TestMain(m *testing.M) {
 	status := m.Run()
-	if err := os.RemoveAll(built); err != nil {
+	if err := os.RemoveAll(buildFolder); err != nil {
 		fmt.Fprintln(os.Stderr, "the testbed's build is left:", err)
 	}
 	os.Exit(status)
@@ -29,16 +29,16 @@
 
 // buildTestbed builds the gateway with clocks that may drift and mutations that may be on.
 var buildTestbed = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "magpiebank-lab")
+	folder, err := os.MkdirTemp("", "magpiebank-lab")
 	if err != nil {
 		return "", err
 	}
-	built = dir
-	out, err := exec.Command("go", "build", "-tags", "testbed", "-o", dir+"/", "magpiebank/cmd/magpiebank", "magpiebank/cmd/magpiebank-operator").CombinedOutput()
+	buildFolder = folder
+	out, err := exec.Command("go", "build", "-tags", "testbed", "-o", folder+"/", "magpiebank/cmd/magpiebank", "magpiebank/cmd/magpiebank-operator").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w\n%s", err, out)
 	}
-	return filepath.Join(dir, "magpiebank"), err
+	return filepath.Join(folder, "magpiebank"), err
 })
 
 func runScenario(t *testing.T, s *Scenario) *Result {
@@ -57,14 +57,14 @@
 	return r
 }
 
-// undisturbed plays a scenario beside others. Where that run was disturbed and something was not in time, it is played again, beside fewer.
-func undisturbed(t *testing.T, s *Scenario) *Result {
+// runUndisturbed plays a scenario beside others. Where that run was disturbed and something was not in time, it is played again, beside fewer.
+func runUndisturbed(t *testing.T, s *Scenario) *Result {
 	t.Helper()
 	for {
-		beside := playing.enter()
+		capacity := limiter.acquire()
 		r := runScenario(t, s)
-		playing.leave(r.Disturbed(), beside)
-		if !r.Repeat() || beside == 1 {
+		limiter.release(r.Disturbed(), capacity)
+		if !r.MustRepeat() || capacity == 1 {
 			return r
 		}
 		t.Log("disturbed: played again beside fewer")
@@ -83,7 +83,7 @@
 			if s.Gateways > 12 {
 				t.Skip("a measurement: magpiebank-testbed fleet run " + name)
 			}
-			if r := undisturbed(t, s); !r.Good() {
+			if r := runUndisturbed(t, s); !r.Good() {
 				t.Errorf("scenario: %s", s.Text())
 			}
 		})
@@ -192,47 +192,47 @@
 	}
 	base := []history.Event{event(0, "g0", history.Event{Kind: history.ProcessStarted, Number: 250}), event(0, "g0", history.Event{Kind: history.EngineListed, State: "live"}),
 		event(1, "g1", history.Event{Kind: history.OutcomeObserved})}
-	rate := history.Event{Kind: history.RateGranted, Code: "loads", Number: 2, ValidNanos: int64(time.Second)}
-	took := history.Event{Kind: history.BudgetUsed, Code: "loads", Number: 1, ValidNanos: int64(4 * time.Second)}
-	heard := history.Event{Kind: history.PeerOutcomeReceived, Member: "g1", Detail: 1, AgeNanos: int64(time.Second / 2)}
+	granted := history.Event{Kind: history.RateGranted, Code: "loads", Number: 2, ValidNanos: int64(time.Second)}
+	used := history.Event{Kind: history.BudgetUsed, Code: "loads", Number: 1, ValidNanos: int64(4 * time.Second)}
+	reported := history.Event{Kind: history.PeerOutcomeReceived, Member: "g1", Detail: 1, AgeNanos: int64(time.Second / 2)}
 	counted := history.Event{Kind: history.RequestsCounted, Number: 0, High: 2}
 	reading := func(low, high int) history.Event {
 		return history.Event{Kind: history.CountersRead, Code: "runs", AgeNanos: 1e9, Number: low, High: high}
 	}
 	for _, c := range []struct {
-		what string
-		more []history.Event
-		want string
+		name  string
+		extra []history.Event
+		want  string
 	}{
-		{"all well", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 1, Number: 1, ValidNanos: 1e10})}, ""},
-		{"evidence of nothing", []history.Event{event(9, "g0", heard)}, "evidence:"},
+		{"all well", []history.Event{event(1.5, "g0", reported), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 1, Number: 1, ValidNanos: 1e10})}, ""},
+		{"evidence of nothing", []history.Event{event(9, "g0", reported)}, "evidence:"},
 		{"another's evidence", []history.Event{event(1.5, "g0", history.Event{Kind: history.PeerOutcomeReceived, Member: "g2", Detail: 1})}, "evidence:"},
-		{"one witness for two", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 2, Number: 2, ValidNanos: 1e10})}, "witnesses:"},
-		{"too many out", []history.Event{event(1.5, "g0", heard), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 1, Number: 1, ValidNanos: 1e10}),
+		{"one witness for two", []history.Event{event(1.5, "g0", reported), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 2, Number: 2, ValidNanos: 1e10})}, "witnesses:"},
+		{"too many out", []history.Event{event(1.5, "g0", reported), event(1.6, "g0", history.Event{Kind: history.EngineAssessed, FailureScore: 1, Number: 1, ValidNanos: 1e10}),
 			event(1.7, "g0", history.Event{Kind: history.EngineListed, Engine: "e2", State: "live"}), event(1.8, "g1", history.Event{Kind: history.OutcomeObserved, Engine: "e2"}),
 			event(1.9, "g0", history.Event{Kind: history.PeerOutcomeReceived, Member: "g1", Detail: 1, Engine: "e2"}),
 			event(2, "g0", history.Event{Kind: history.EngineAssessed, Engine: "e2", FailureScore: 1, Number: 1, ValidNanos: 1e10})}, "part:"},
 		{"an earlier start", []history.Event{event(2, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Detail: 5}),
 			event(3, "g0", history.Event{Kind: history.MemberChanged, Code: "joined", Member: "g3", Detail: 4})}, "start:"},
 		{"an engine that the list doesn't name", []history.Event{event(2, "g0", history.Event{Kind: history.AttemptSent, Engine: "e9"})}, "list:"},
-		{"within the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", took), event(2, "g1", took),
-			event(2.5, "g0", history.Event{Kind: history.BudgetReleased, Code: "loads", Number: 1}), event(2.6, "g1", took), event(7, "g2", took)}, ""},
+		{"within the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", used), event(2, "g1", used),
+			event(2.5, "g0", history.Event{Kind: history.BudgetReleased, Code: "loads", Number: 1}), event(2.6, "g1", used), event(7, "g2", used)}, ""},
 		{"beyond a total that was lowered", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2, Detail: 1}), event(2, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 1, Detail: 2}),
-			event(4, "g0", took), event(4.5, "g1", took), event(5.5, "g2", took)}, "budget: 3 of loads"},
-		{"a rate beyond the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", rate), event(2.5, "g1", rate)}, "budget:"},
-		{"rates one after the other", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", rate), event(3.5, "g1", rate)}, ""},
-		{"beyond the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", took), event(2, "g1", took),
-			event(2.6, "g2", took)}, "budget:"},
+			event(4, "g0", used), event(4.5, "g1", used), event(5.5, "g2", used)}, "budget: 3 of loads"},
+		{"a rate beyond the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", granted), event(2.5, "g1", granted)}, "budget:"},
+		{"rates one after the other", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", granted), event(3.5, "g1", granted)}, ""},
+		{"beyond the total", []history.Event{event(1, "g0", history.Event{Kind: history.TotalChanged, Code: "loads", Number: 2}), event(2, "g0", used), event(2, "g1", used),
+			event(2.6, "g2", used)}, "budget:"},
 		{"a count in its interval", []history.Event{event(2, "g0", counted), event(2.5, "g1", counted), event(4, "g1", reading(3, 5))}, ""},
 		{"a count above its interval", []history.Event{event(2, "g0", counted), event(2.5, "g1", counted), event(4, "g1", reading(0, 3)), event(9, "g0", counted), event(9, "g1", counted)}, "count:"},
 		{"a count below its interval", []history.Event{event(2, "g0", counted), event(3.5, "g1", counted), event(4, "g1", reading(3, -1))}, "count:"},
-		{"an engine's earlier start", []history.Event{event(1.2, "g0", history.Event{Kind: history.EngineListed, State: "live", EngineStart: 7}), event(1.5, "g0", heard)}, "engine's start:"},
+		{"an engine's earlier start", []history.Event{event(1.2, "g0", history.Event{Kind: history.EngineListed, State: "live", EngineStart: 7}), event(1.5, "g0", reported)}, "engine's start:"},
 	} {
-		all := append(append([]history.Event{}, base...), c.more...)
+		all := append(append([]history.Event{}, base...), c.extra...)
 		broken, late := Check(all)
 		got := strings.Join(slices.Concat(broken, late, CheckCounts(all), CheckQuotas(all, readQuotaTotals(all, []string{"g0"}, 3*time.Second))), "; ")
 		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
-			t.Errorf("%s: found %q, expected %q", c.what, got, c.want)
+			t.Errorf("%s: found %q, expected %q", c.name, got, c.want)
 		}
 	}
 }
@@ -246,34 +246,34 @@
 		}
 		return e
 	}
-	stands := func(at float64, process string, number int, digest string) history.Event {
+	applies := func(at float64, process string, number int, digest string) history.Event {
 		return event(at, process, history.Event{Kind: history.PolicyChanged, Number: number, Success: true, Code: digest})
 	}
 	decided := func(at float64, process string, number int) history.Event {
 		return event(at, process, history.Event{Kind: history.RequestDecided, Code: "sent", Number: number, Request: fmt.Sprint(at)})
 	}
-	base := []history.Event{stands(0, "g0", 1, "aa"), stands(0, "g1", 1, "aa"), decided(1, "g0", 1), decided(1.1, "g1", 1)}
+	base := []history.Event{applies(0, "g0", 1, "aa"), applies(0, "g1", 1, "aa"), decided(1, "g0", 1), decided(1.1, "g1", 1)}
 	both := decided(3, "g1", 1)
 	both.Ejects = true
 	late := decided(3, "g1", 1) // looked at before, written after
 	late.ObservedAt = int64(1.9e9)
 	for _, c := range []struct {
-		what string
-		more []history.Event
-		want string
+		name  string
+		extra []history.Event
+		want  string
 	}{
-		{"one after the other", []history.Event{stands(2, "g0", 2, "bb"), decided(2.1, "g0", 2), stands(2.2, "g1", 2, "bb"), decided(2.3, "g1", 2)}, ""},
-		{"an older one later", []history.Event{stands(2, "g0", 2, "bb"), decided(2.1, "g0", 2), decided(2.3, "g1", 1)}, "by number 1, 199.0 ms after g0 decided by 2"},
-		{"looked at in time", []history.Event{stands(2, "g0", 2, "bb"), decided(2.1, "g0", 2), late}, ""},
-		{"what two allow", []history.Event{stands(2, "g0", 2, "bb"), decided(2.1, "g0", 2), both}, ""},
-		{"what two allow, too late", []history.Event{stands(2, "g0", 2, "bb"), decided(2.1, "g0", 2), stands(2.5, "g0", 3, "cc"), decided(2.6, "g0", 3), both}, "after g0 decided by 3"},
-		{"two policies of one number", []history.Event{stands(2, "g0", 2, "bb"), stands(2.1, "g1", 2, "cc")}, "number 2 is cc here, and bb elsewhere"},
+		{"one after the other", []history.Event{applies(2, "g0", 2, "bb"), decided(2.1, "g0", 2), applies(2.2, "g1", 2, "bb"), decided(2.3, "g1", 2)}, ""},
+		{"an older one later", []history.Event{applies(2, "g0", 2, "bb"), decided(2.1, "g0", 2), decided(2.3, "g1", 1)}, "by number 1, 199.0 ms after g0 decided by 2"},
+		{"looked at in time", []history.Event{applies(2, "g0", 2, "bb"), decided(2.1, "g0", 2), late}, ""},
+		{"what two allow", []history.Event{applies(2, "g0", 2, "bb"), decided(2.1, "g0", 2), both}, ""},
+		{"what two allow, too late", []history.Event{applies(2, "g0", 2, "bb"), decided(2.1, "g0", 2), applies(2.5, "g0", 3, "cc"), decided(2.6, "g0", 3), both}, "after g0 decided by 3"},
+		{"two policies of one number", []history.Event{applies(2, "g0", 2, "bb"), applies(2.1, "g1", 2, "cc")}, "number 2 is cc here, and bb elsewhere"},
 		{"without a word", []history.Event{decided(2.1, "g0", 2)}, "without a word that it goes by it"},
-		{"by none", []history.Event{stands(2, "g0", 2, "bb"), decided(2.1, "g0", 2), event(3, "g1", history.Event{Kind: history.RequestDecided, Code: "taken", Number: -1})}, ""},
+		{"by none", []history.Event{applies(2, "g0", 2, "bb"), decided(2.1, "g0", 2), event(3, "g1", history.Event{Kind: history.RequestDecided, Code: "taken", Number: -1})}, ""},
 	} {
-		_, out := CheckPolicies(append(append([]history.Event{}, base...), c.more...))
+		_, out := CheckPolicies(append(append([]history.Event{}, base...), c.extra...))
 		if got := strings.Join(out, "; "); (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
-			t.Errorf("%s: found %q, expected %q", c.what, got, c.want)
+			t.Errorf("%s: found %q, expected %q", c.name, got, c.want)
 		}
 	}
 }
@@ -281,8 +281,8 @@
 // What engines say runs there is held against the total, where they could hear of all that was given up.
 func TestCheckEngines(t *testing.T) {
 	began := time.Now()
-	run := func(seconds float64, class string, by int) fake.RunningChange {
-		return fake.RunningChange{At: began.Add(time.Duration(seconds * float64(time.Second))), Class: class, Delta: by}
+	run := func(seconds float64, class string, delta int) fake.RunningChange {
+		return fake.RunningChange{At: began.Add(time.Duration(seconds * float64(time.Second))), Class: class, Delta: delta}
 	}
 	limits := readQuotaTotals([]history.Event{{Kind: history.TotalChanged, Code: "loads threads", Number: 2, Detail: 1, Process: "g0"}}, []string{"g0"}, time.Second)
 	s := &Scenario{Limits: installation.ClusterLimits{Threads: 2}}
--- a/internal/testbed/faulttest/slow_start.go
+++ b/internal/testbed/faulttest/slow_start.go
@@ -13,15 +13,15 @@
 
 // SlowStartRecord is what an engine was sent after it had started, by its own count.
 type SlowStartRecord struct {
-	Engine   string        `json:"engine"`
-	At       time.Duration `json:"at"`
-	Most     float64       `json:"most"`  // in any time after which it tips over, as a multiple of what tips it over in its first moment
-	Requests []int         `json:"tasks"` // by second from its start on
+	Engine      string        `json:"engine"`
+	At          time.Duration `json:"at"`
+	MaxOverload float64       `json:"most"`  // in any time after which it tips over, as a multiple of what tips it over in its first moment
+	Requests    []int         `json:"tasks"` // by second from its start on
 }
 
 // slowStartRecords reads what engines that restarted were sent until they were warm.
 func slowStartRecords(s *Scenario, plan installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) (records []SlowStartRecord) {
-	if plan.Warm == 0 {
+	if plan.WarmUp == 0 {
 		return nil
 	}
 	for _, step := range s.Steps {
@@ -37,13 +37,13 @@
 
 // slowStartRecord reads what one engine was sent from its start on, at a time from the load's begin, until it was warm.
 func slowStartRecord(engine string, startedAt time.Duration, plan installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) SlowStartRecord {
-	record := SlowStartRecord{Engine: engine, At: startedAt, Requests: make([]int, int(plan.Warm/time.Second))}
-	overloadWork := plan.Factor * plan.Share * cores * plan.Tip.Seconds()
+	record := SlowStartRecord{Engine: engine, At: startedAt, Requests: make([]int, int(plan.WarmUp/time.Second))}
+	overloadWork := plan.OverloadFactor * plan.Share * cores * plan.OverloadAfter.Seconds()
 	var window []fake.Sent
 	work := 0.0
 	for _, attempt := range sent {
 		at := attempt.At.Sub(began)
-		if attempt.Engine != engine || at < startedAt || at >= startedAt+plan.Warm {
+		if attempt.Engine != engine || at < startedAt || at >= startedAt+plan.WarmUp {
 			continue
 		}
 		if second := int((at - startedAt) / time.Second); second < len(record.Requests) {
@@ -51,11 +51,11 @@
 		}
 		window = append(window, attempt)
 		work += attempt.Work.Seconds()
-		for attempt.At.Sub(window[0].At) >= plan.Tip {
+		for attempt.At.Sub(window[0].At) >= plan.OverloadAfter {
 			work -= window[0].Work.Seconds()
 			window = window[1:]
 		}
-		record.Most = max(record.Most, work/overloadWork)
+		record.MaxOverload = max(record.MaxOverload, work/overloadWork)
 	}
 	return record
 }
@@ -80,7 +80,7 @@
 	fmt.Fprintln(out, "most sent in a second after which an engine tips over (1: what tips it over in its first moment), tasks by second from its start")
 	for i, r := range []*Result{shared, byNumber} {
 		for _, record := range r.SlowStarts {
-			fmt.Fprintf(out, "%-9s %s at %3.0f s  %5.2f  %v\n", names[i], record.Engine, record.At.Seconds(), record.Most, record.Requests)
+			fmt.Fprintf(out, "%-9s %s at %3.0f s  %5.2f  %v\n", names[i], record.Engine, record.At.Seconds(), record.MaxOverload, record.Requests)
 		}
 	}
 	for i, r := range []*Result{shared, byNumber} {
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -32,15 +32,15 @@
 // gives the bytes of the file again.
 func CheckRoundTrip[T any](t *testing.T, name string, decode func([]byte) (T, error), encode func(T) []byte) {
 	t.Helper()
-	form := Read(t, name+".form")
-	value, err := decode(form)
+	encoded := Read(t, name+".form")
+	value, err := decode(encoded)
 	if err != nil {
 		t.Fatalf("%s: decoding what an earlier version wrote: %v", name, err)
 	}
 	CheckValues(t, name, value)
-	again := encode(value)
-	if string(again) != string(form) {
-		t.Errorf("%s: encoding again gives other bytes:\nexpected %q\nfound    %q", name, form, again)
+	reencoded := encode(value)
+	if string(reencoded) != string(encoded) {
+		t.Errorf("%s: encoding again gives other bytes:\nexpected %q\nfound    %q", name, encoded, reencoded)
 	}
 }
 
--- a/internal/testbed/installation/cluster.go
+++ b/internal/testbed/installation/cluster.go
@@ -14,15 +14,15 @@
 
 // Cluster is how the gateways of an installation form a cluster.
 type Cluster struct {
-	Seeds         int  // how many of them the others know by their addresses from the start
+	SeedCount     int  // how many of them the others know by their addresses from the start
 	HealthReports bool // on engines are shared
 	Counts        bool // are shared
 	SlowStart     bool // what engines that are warming up may be sent is shared
 	Limits        ClusterLimits
 	ShareTerm     time.Duration // for which a share of a quota is held without a renewal
 	Rollout       Rollout
-	key           string
-	seeds         []string
+	keyFile       string
+	seedAddresses []string
 }
 
 // ClusterLimits is what requests of the class named load may use over the whole cluster; 0: no limit.
@@ -34,8 +34,8 @@
 
 // Rollout is how the gateways decide on policies; without voters each goes by its own file.
 type Rollout struct {
-	Voters        int // how many of the gateways, the first ones
-	Lease, Within time.Duration
+	Voters              int // how many of the gateways, the first ones
+	Lease, DecideWithin time.Duration
 }
 
 // addTo writes the limits into the JSON of a class.
@@ -69,8 +69,8 @@
 }
 
 // firstNames are the names of the first gateways, at most that many.
-func (s *Installation) firstNames(most int) (names []string) {
-	for _, gateway := range s.Gateways[:min(most, s.plan.Gateways)] {
+func (s *Installation) firstNames(maxCount int) (names []string) {
+	for _, gateway := range s.Gateways[:min(maxCount, s.plan.Gateways)] {
 		names = append(names, gateway.Name)
 	}
 	return names
@@ -94,7 +94,7 @@
 	g := &Gateway{Name: name, Address: address, installation: s, index: index}
 	g.LogFile = filepath.Join(s.Folder, g.Label()+".log")
 	if s.plan.Proxies == nil {
-		g.discovery, g.snapshot = s.Discovery.Address, s.Discovery.Snapshot
+		g.discoveryAddress, g.snapshot = s.Discovery.Address, s.Discovery.Snapshot
 		return g, nil
 	}
 	return g, s.addProxies(g)
@@ -103,13 +103,13 @@
 // addProxies opens the proxies between a gateway and the engines, and starts a discovery service of its own that lists them.
 func (s *Installation) addProxies(g *Gateway) error {
 	proxies := s.plan.Proxies
-	endpoints := slices.Clone(s.entries)
+	endpoints := slices.Clone(s.endpoints)
 	for i := range endpoints {
 		address, err := proxies.RelayStream(g.Label(), endpoints[i].ID, func() string { return s.Engines[i].Address })
 		if err != nil {
 			return err
 		}
-		g.engines = append(g.engines, address)
+		g.engineAddresses = append(g.engineAddresses, address)
 		endpoints[i].Address = address
 	}
 	discovery, err := fake.StartDiscovery("127.0.0.1:0", endpoints)
@@ -118,16 +118,16 @@
 	}
 	s.Discoveries = append(s.Discoveries, discovery)
 	g.snapshot = discovery.Snapshot
-	g.discovery, err = proxies.RelayStream(g.Label(), "list", func() string { return discovery.Address })
+	g.discoveryAddress, err = proxies.RelayStream(g.Label(), "list", func() string { return discovery.Address })
 	return err
 }
 
 // formCluster writes the cluster's key, and gives all gateways their addresses in it.
 func (s *Installation) formCluster() error {
 	cluster := s.plan.Cluster
-	cluster.key = filepath.Join(s.Folder, "fleet.key")
+	cluster.keyFile = filepath.Join(s.Folder, "fleet.key")
 	key := fmt.Sprintf("%064x\n", uint64(s.plan.Seed)+0x6d61677069650000)
-	if err := os.WriteFile(cluster.key, []byte(key), 0o600); err != nil {
+	if err := os.WriteFile(cluster.keyFile, []byte(key), 0o600); err != nil {
 		return err
 	}
 	for _, gateway := range s.Gateways {
@@ -135,8 +135,8 @@
 			return err
 		}
 	}
-	for _, gateway := range s.Gateways[:min(max(1, cluster.Seeds), len(s.Gateways))] {
-		cluster.seeds = append(cluster.seeds, gateway.advertise)
+	for _, gateway := range s.Gateways[:min(max(1, cluster.SeedCount), len(s.Gateways))] {
+		cluster.seedAddresses = append(cluster.seedAddresses, gateway.advertisedAddress)
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	g.listenUDP, g.advertise = address, address
+	g.listenUDP, g.advertisedAddress = address, address
 	g.History = filepath.Join(s.Folder, g.Label()+".history")
 	g.Control = filepath.Join(s.Folder, g.Label()+".sock")
 	proxies := s.plan.Proxies
@@ -157,7 +157,7 @@
 	if err := proxies.RegisterSender(address, g.Label()); err != nil {
 		return err
 	}
-	g.advertise, err = proxies.RelayDatagrams(g.Label(), address)
+	g.advertisedAddress, err = proxies.RelayDatagrams(g.Label(), address)
 	return err
 }
 
@@ -177,12 +177,12 @@
 
 func (g *Gateway) operatorSettings() map[string]any {
 	cluster := g.installation.plan.Cluster
-	settings := map[string]any{"listen": g.listenUDP, "advertise": g.advertise, "seeds": cluster.seeds, "key": cluster.key, "control": g.Control, "history": g.History,
+	settings := map[string]any{"listen": g.listenUDP, "advertise": g.advertisedAddress, "seeds": cluster.seedAddresses, "key": cluster.keyFile, "control": g.Control, "history": g.History,
 		"judgements": cluster.HealthReports, "counts": cluster.Counts}
 	file := map[string]any{"fleet": settings}
 	switch rollout := cluster.Rollout; {
 	case rollout.Voters > 0:
-		settings["policy"] = map[string]any{"voters": g.installation.Voters(), "folder": g.PolicyFolder(), "lease": rollout.Lease.String(), "within": rollout.Within.String()}
+		settings["policy"] = map[string]any{"voters": g.installation.Voters(), "folder": g.PolicyFolder(), "lease": rollout.Lease.String(), "within": rollout.DecideWithin.String()}
 		settings["budgets"] = g.quotaSettings(map[string]any{"cold": cluster.SlowStart})
 		file["statements"] = map[string]any{}
 	case cluster.Limits.Any():
@@ -207,8 +207,8 @@
 }
 
 // StartTwin starts a second process under a gateway's name, with addresses and files of its own; the first one keeps running.
-func (s *Installation) StartTwin(of int) (*Gateway, error) {
-	g, err := s.newGateway(s.Gateways[of].Name, len(s.Gateways))
+func (s *Installation) StartTwin(index int) (*Gateway, error) {
+	g, err := s.newGateway(s.Gateways[index].Name, len(s.Gateways))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/installation/gateway.go
+++ b/internal/testbed/installation/gateway.go
@@ -23,13 +23,13 @@
 	History string // file, where the gateways are a cluster
 	Control string // Unix socket, the same
 
-	listenUDP string // where it listens for datagrams
-	advertise string // by which the others reach it
-	discovery string // its discovery service's address
-	snapshot  func() json.RawMessage
+	listenUDP         string // where it listens for datagrams
+	advertisedAddress string // by which the others reach it
+	discoveryAddress  string // its discovery service's address
+	snapshot          func() json.RawMessage
 
-	limits  ClusterLimits // of the whole cluster, that its file has
-	engines []string      // addresses by which it reaches them, with proxies between
+	limits          ClusterLimits // of the whole cluster, that its file has
+	engineAddresses []string      // addresses by which it reaches them, with proxies between
 
 	installation *Installation
 	index        int
@@ -46,7 +46,7 @@
 	return json.MarshalIndent(map[string]any{
 		"name": g.Name, "listen": g.Address, "seed": fmt.Sprintf("%016x", uint64(p.Seed)*0x9e3779b97f4a7c15+uint64(g.index)+1),
 		"limits":      map[string]any{"memory_mb": p.MemoryMB, "sockets": p.Sockets, "cores": 1.0},
-		"coordinator": g.discovery, "known": g.snapshot(),
+		"coordinator": g.discoveryAddress, "known": g.snapshot(),
 		"settings": map[string]any{
 			"fleetSize": p.Gateways, "me": g.index, "zones": p.Zones, "skus": []string{"std"}, "classes": p.classSettings(),
 			"familyInfo": p.familySettings(),
@@ -62,7 +62,7 @@
 func (p *Plan) classSettings() (settings []map[string]any) {
 	for _, class := range p.Classes {
 		settings = append(settings, map[string]any{"name": class.Name, "sloUs": class.LatencyObjective.Microseconds(), "deadlineUs": class.MaxWait.Microseconds(),
-			"worth": class.Weight, "lateWorth": class.LateShare, "effect": effects[class.Effect], "aimStretch": 1.5})
+			"worth": class.Weight, "lateWorth": class.LateShare, "effect": effectNames[class.Effect], "aimStretch": 1.5})
 	}
 	return settings
 }
@@ -81,11 +81,11 @@
 
 func (p *Plan) ruleSettings() map[string]any {
 	rules := map[string]any{"extraFree": 20, "resendRatio": 0.2, "ratioSpanUs": (10 * time.Second).Microseconds(), "settleAfterDoubtUs": time.Second.Microseconds()}
-	if start := p.SlowStart; start.Warm > 0 {
+	if start := p.SlowStart; start.WarmUp > 0 {
 		rules["coldShare"] = start.Share
-		rules["warmAfterUs"] = start.Warm.Microseconds()
-		rules["overloadFactor"] = start.Factor
-		rules["tipAfterUs"] = start.Tip.Microseconds()
+		rules["warmAfterUs"] = start.WarmUp.Microseconds()
+		rules["overloadFactor"] = start.OverloadFactor
+		rules["tipAfterUs"] = start.OverloadAfter.Microseconds()
 	}
 	return rules
 }
--- a/internal/testbed/installation/installation.go
+++ b/internal/testbed/installation/installation.go
@@ -47,23 +47,23 @@
 	Program        string   // the gateway's; empty: magpiebank beside this program
 	ExtraArguments []string // arguments after serve --config FILE
 
-	Cluster   *Cluster                    // the gateways speak to each other; nil: they don't
-	Proxies   *faultproxy.Network         // through which all messages between processes go; nil: they reach each other directly
-	Durable   bool                        // each keeps a request journal in a folder of its own
-	Down      []string                    // gateways that are not started
-	SlowStart SlowStart                   // engines that have just started are slow, and tip over
-	Env       func(label string) []string // further environment variables of a process; a twin has a label of its own
+	Cluster    *Cluster                    // the gateways speak to each other; nil: they don't
+	Proxies    *faultproxy.Network         // through which all messages between processes go; nil: they reach each other directly
+	Durable    bool                        // each keeps a request journal in a folder of its own
+	NotStarted []string                    // gateways that are not started
+	SlowStart  SlowStart                   // engines that have just started are slow, and tip over
+	Env        func(label string) []string // further environment variables of a process; a twin has a label of its own
 }
 
 // SlowStart is how engines start: at a share of their speed, warm after a time. Sent more than Factor times what they can do for the
 // time Tip, they are overloaded.
 type SlowStart struct {
-	Share, Factor float64
-	Warm, Tip     time.Duration
+	Share, OverloadFactor float64
+	WarmUp, OverloadAfter time.Duration
 }
 
-// effects are the platform's words for effects.
-var effects = map[string]string{"idempotent": "read_like", "deduplicated": "idempotency_key", "unrepeatable": "non_idempotent"}
+// effectNames are the platform's words for effects.
+var effectNames = map[string]string{"idempotent": "read_like", "deduplicated": "idempotency_key", "unrepeatable": "non_idempotent"}
 
 // Check returns an error for the first field that is wrong.
 func (p *Plan) Check() error {
@@ -71,7 +71,7 @@
 		return errors.New("site: expected 1 to 64 gateways, 1 to 1000 engines, and at least one zone and one lane")
 	}
 	for i, class := range p.Classes {
-		if effects[class.Effect] == "" {
+		if effectNames[class.Effect] == "" {
 			return fmt.Errorf("site.lanes[%d].effect: expected idempotent, deduplicated or unrepeatable, found %q", i, class.Effect)
 		}
 	}
@@ -87,7 +87,7 @@
 	Gateways    []*Gateway
 	Folder      string
 	plan        Plan
-	entries     []fake.Endpoint
+	endpoints   []fake.Endpoint
 }
 
 // readyWithin is how long a gateway may take until it accepts connections.
@@ -112,11 +112,11 @@
 // findProgram completes the path of the gateway's program, and checks that it is there.
 func (p *Plan) findProgram() error {
 	if p.Program == "" {
-		self, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		p.Program = filepath.Join(filepath.Dir(self), "magpiebank")
+		p.Program = filepath.Join(filepath.Dir(executable), "magpiebank")
 	}
 	if _, err := os.Stat(p.Program); err != nil {
 		return fmt.Errorf("the gateway's program: %w (build both with: go build -o bin/ ./cmd/...)", err)
@@ -131,7 +131,7 @@
 		}
 	}
 	if s.plan.Proxies == nil {
-		discovery, err := fake.StartDiscovery("127.0.0.1:0", s.entries)
+		discovery, err := fake.StartDiscovery("127.0.0.1:0", s.endpoints)
 		if err != nil {
 			return err
 		}
@@ -165,9 +165,9 @@
 	var engine *fake.Engine
 	var err error
 	for range addressAttempts {
-		address, noAddress := freeAddress()
-		if noAddress != nil {
-			return noAddress
+		address, addressErr := freeAddress()
+		if addressErr != nil {
+			return addressErr
 		}
 		engine, err = fake.StartEngine(name, address, s.plan.Behavior, s.Log, uint64(s.plan.Seed)+uint64(i))
 		if err == nil {
@@ -178,7 +178,7 @@
 		return err
 	}
 	s.Engines = append(s.Engines, engine)
-	s.entries = append(s.entries, fake.Endpoint{
+	s.endpoints = append(s.endpoints, fake.Endpoint{
 		ID:      name,
 		Address: engine.Address,
 		Zone:    s.plan.Zones[i%len(s.plan.Zones)],
@@ -192,13 +192,13 @@
 
 // startGateways starts the gateways that the plan has up, and waits until they accept connections.
 func (s *Installation) startGateways() error {
-	up := slices.DeleteFunc(slices.Clone(s.Gateways), func(g *Gateway) bool { return slices.Contains(s.plan.Down, g.Name) })
-	for _, gateway := range up {
+	started := slices.DeleteFunc(slices.Clone(s.Gateways), func(g *Gateway) bool { return slices.Contains(s.plan.NotStarted, g.Name) })
+	for _, gateway := range started {
 		if err := gateway.Start(); err != nil {
 			return err
 		}
 	}
-	for _, gateway := range up {
+	for _, gateway := range started {
 		if err := gateway.waitUntilReady(readyWithin); err != nil {
 			return err
 		}
@@ -216,7 +216,7 @@
 
 // PublishState has the discovery service publish a state of an engine: Ready, Terminating or Gone.
 func (s *Installation) PublishState(engine int, state string) {
-	endpoint := s.entries[engine]
+	endpoint := s.endpoints[engine]
 	endpoint.State = state
 	if state == "Ready" {
 		endpoint.Started = time.Now().UnixMilli()
@@ -224,7 +224,7 @@
 	for i, discovery := range s.Discoveries {
 		published := endpoint
 		if s.plan.Proxies != nil {
-			published.Address = s.Gateways[i].engines[engine]
+			published.Address = s.Gateways[i].engineAddresses[engine]
 		}
 		discovery.Publish(published)
 	}
@@ -247,18 +247,18 @@
 }
 
 // Zone is the zone of an engine.
-func (s *Installation) Zone(engine int) string { return s.entries[engine].Zone }
+func (s *Installation) Zone(engine int) string { return s.endpoints[engine].Zone }
 
-// ports is the number of the next port to try. It begins at one that follows from the process id. All lie below the ephemeral ports,
+// portCounter is the number of the next port to try. It begins at one that follows from the process id. All lie below the ephemeral ports,
 // so that no connection of the testbed's takes one before its gateway does.
-var ports atomic.Int32
+var portCounter atomic.Int32
 
-func init() { ports.Store(int32(os.Getpid()) * 331 % 20000) }
+func init() { portCounter.Store(int32(os.Getpid()) * 331 % 20000) }
 
 // freeAddress is one on loopback that nobody listens on, for streams and datagrams; gateways come back to it after a restart.
 func freeAddress() (string, error) {
 	for range 20000 {
-		address := fmt.Sprintf("127.0.0.1:%d", 10000+ports.Add(1)%20000)
+		address := fmt.Sprintf("127.0.0.1:%d", 10000+portCounter.Add(1)%20000)
 		if isFree(address) {
 			return address, nil
 		}
--- a/internal/testbed/installation/policy.go
+++ b/internal/testbed/installation/policy.go
@@ -9,17 +9,17 @@
 // Policy is one that is proposed: what loads may use, and what is asked of the change.
 type Policy struct {
 	ClusterLimits
-	Fleet     bool          // the limits are those of all gateways together
-	Refuse    bool          // loads are never sent
-	Looks     bool          // look-ups are of a class as well
-	Zones     []string      // of the pool that loads go to
-	Field     string        // one that no build knows
-	Both      time.Duration // for which a gateway that hears nothing goes by what both policies allow
-	Rehearse  time.Duration
-	Guard     float64 // share of requests that may be rejected in the rehearsal; 0: any
-	Probation time.Duration
-	Bound     float64 // share of requests that may be shed in probation; 0: any
-	Size      int64   // bytes that its text is filled up to
+	Fleet            bool          // the limits are those of all gateways together
+	Refuse           bool          // loads are never sent
+	LookClass        bool          // look-ups are of a class as well
+	Zones            []string      // of the pool that loads go to
+	UnknownField     string        // one that no build knows
+	BothFor          time.Duration // for which a gateway that hears nothing goes by what both policies allow
+	Rehearse         time.Duration
+	MaxRejectedShare float64 // share of requests that may be rejected in the rehearsal; 0: any
+	Probation        time.Duration
+	MaxShedShare     float64 // share of requests that may be shed in probation; 0: any
+	MinTextBytes     int64   // bytes that its text is filled up to
 }
 
 // Text is a policy as it is proposed.
@@ -47,15 +47,15 @@
 		loads["pool"] = "some"
 		pools = append(pools, map[string]any{"name": "some", "zones": p.Zones})
 	}
-	if p.Field != "" {
-		loads[p.Field] = true
+	if p.UnknownField != "" {
+		loads[p.UnknownField] = true
 	}
 	classes = append(classes, loads)
-	if p.Looks {
+	if p.LookClass {
 		classes = append(classes, map[string]any{"name": "looks", "when": map[string]any{"lanes": []string{"look"}}})
 	}
-	if p.Size > 0 {
-		classes = append(classes, map[string]any{"name": "filled", "when": map[string]any{"lanes": []string{"none"}}, "refuse": strings.Repeat("no ", int(p.Size)/3)})
+	if p.MinTextBytes > 0 {
+		classes = append(classes, map[string]any{"name": "filled", "when": map[string]any{"lanes": []string{"none"}}, "refuse": strings.Repeat("no ", int(p.MinTextBytes)/3)})
 	}
 	return classes, pools
 }
@@ -63,20 +63,20 @@
 // rolloutSettings are what is asked of the change.
 func (p *Policy) rolloutSettings() map[string]any {
 	settings := map[string]any{}
-	if p.Both > 0 {
-		settings["silent"], settings["both_for"] = "both", p.Both.String()
+	if p.BothFor > 0 {
+		settings["silent"], settings["both_for"] = "both", p.BothFor.String()
 	}
 	if p.Rehearse > 0 {
 		rehearsal := map[string]any{"length": p.Rehearse.String()}
-		if p.Guard > 0 {
-			rehearsal["refused_above"] = p.Guard
+		if p.MaxRejectedShare > 0 {
+			rehearsal["refused_above"] = p.MaxRejectedShare
 		}
 		settings["rehearse"] = rehearsal
 	}
 	if p.Probation > 0 {
 		probation := map[string]any{"length": p.Probation.String()}
-		if p.Bound > 0 {
-			probation["held_above"] = p.Bound
+		if p.MaxShedShare > 0 {
+			probation["held_above"] = p.MaxShedShare
 		}
 		settings["probation"] = probation
 	}
