--- a/internal/testbed/faultproxy/datagrams.go
+++ b/internal/testbed/faultproxy/datagrams.go
@@ -13,7 +13,7 @@
 	socketBufferBytes = 1 << 20
 )
 
-// RegisterSender names the process that sends datagrams from an address.
+// RegisterSender registers the name of the process that sends datagrams from the address.
 func (n *Network) RegisterSender(address, name string) error {
 	sender, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// datagramRelay relays datagrams to one receiver.
+// datagramRelay forwards the datagrams that arrive at its socket to one receiver.
 type datagramRelay struct {
 	network *Network
 	socket  *net.UDPConn
@@ -33,7 +33,8 @@
 	target  netip.AddrPort
 }
 
-// RelayDatagrams opens a relay to one receiver, and returns its address, which senders use in place of the receiver's.
+// RelayDatagrams opens a relay to the process named to, which listens at the address target, and returns the address of the relay.
+// Senders use it in place of the receiver's address.
 func (n *Network) RelayDatagrams(to, target string) (string, error) {
 	receiver, err := netip.ParseAddrPort(target)
 	if err != nil {
@@ -43,17 +44,17 @@
 	if err != nil {
 		return "", fmt.Errorf("relay to %s: %w", to, err)
 	}
-	_ = socket.SetReadBuffer(socketBufferBytes) // a smaller buffer only drops more at peaks
+	_ = socket.SetReadBuffer(socketBufferBytes) // on an error the smaller default buffer stays, which only drops more datagrams at peaks
 	n.closeWithNetwork(socket)
 	relay := &datagramRelay{network: n, socket: socket, to: to, target: receiver}
 	go relay.run()
 	return socket.LocalAddr().String(), nil
 }
 
-// run relays datagrams until the socket is closed.
+// run forwards datagrams until the socket is closed.
 func (r *datagramRelay) run() {
 	for {
-		buffer := make([]byte, maxDatagramBytes) // delayed datagrams keep theirs
+		buffer := make([]byte, maxDatagramBytes) // a new buffer for each datagram, because delayed datagrams still need theirs
 		size, source, err := r.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
@@ -65,7 +66,7 @@
 	}
 }
 
-// relay sends a datagram on by the rules, in no copy, one or two.
+// relay applies the rules to a datagram and forwards zero, one or two copies of it.
 func (r *datagramRelay) relay(source netip.AddrPort, datagram []byte) {
 	for _, delay := range r.network.planDatagram(source, r.to, datagram) {
 		if delay == 0 {
@@ -77,10 +78,10 @@
 }
 
 func (r *datagramRelay) send(datagram []byte) {
-	_, _ = r.socket.WriteToUDPAddrPort(datagram, r.target) // a datagram that can't be sent is lost, as on any network
+	_, _ = r.socket.WriteToUDPAddrPort(datagram, r.target) // a datagram that cannot be sent is lost, as on a real network
 }
 
-// planDatagram counts a datagram and returns the delay of each of its copies. It may flip a bit of it.
+// planDatagram counts a datagram and returns the delay of each copy to be sent. It may flip one bit of the datagram.
 func (n *Network) planDatagram(source netip.AddrPort, to string, datagram []byte) (delays []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/faultproxy/network.go
+++ b/internal/testbed/faultproxy/network.go
@@ -1,5 +1,5 @@
-// Package faultproxy relays all messages between the processes of an installation, and cuts, drops, delays, duplicates, reorders,
-// corrupts or throttles them, by rules for each direction. All of it is on loopback.
+// Package faultproxy relays all messages between the processes of an installation. By rules for each direction it cuts, drops, delays,
+// duplicates, reorders, corrupts or throttles them. All sockets are on the loopback interface.
 package faultproxy
 
 import (
@@ -12,24 +12,25 @@
 	"time"
 )
 
-// Rule is what happens to messages in one direction of a link. Loss, Duplicate and Reorder don't apply to streams, which keep their
-// bytes complete and in order.
+// Rule describes the faults of one direction of a link. Loss, Duplicate and Reorder have no effect on streams, whose bytes stay
+// complete and in order.
 type Rule struct {
-	Cut       bool          // nothing passes; streams stay open, and new ones open, without data
-	Refuse    bool          // connections are reset
-	Loss      float64       // share of datagrams
-	Duplicate float64       // share of datagrams that come twice
-	Reorder   float64       // share of datagrams that arrive reorderDelay later, behind others
+	Cut       bool          // no data passes; open streams stay open, and new ones are accepted
+	Refuse    bool          // streams that were or are opened in this direction are reset; datagrams are not affected
+	Loss      float64       // share of datagrams that are dropped
+	Duplicate float64       // share of datagrams that are sent twice
+	Reorder   float64       // share of datagrams that are delayed by reorderDelay, so that later ones overtake them
 	Corrupt   float64       // share of datagrams, or of a stream's chunks, in which one bit is flipped
-	Delay     time.Duration // of all
-	Jitter    time.Duration // how much more, at most
-	Rate      int64         // bytes a second; 0: no limit
+	Delay     time.Duration // of every message
+	Jitter    time.Duration // upper limit of the random delay that is added to Delay
+	Rate      int64         // bytes per second; 0: no limit
 }
 
-// reorderDelay is how much later a reordered datagram arrives: behind what a gateway sends within several of its ticks.
+// reorderDelay is the additional delay of a reordered datagram. It is several ticks of a gateway, so that datagrams of later ticks
+// overtake it.
 const reorderDelay = 50 * time.Millisecond
 
-// namedRule is a rule with its name and the patterns of the processes between which it holds.
+// namedRule is a rule with its name. It applies to messages from processes that match a pattern in from to those that match one in to.
 type namedRule struct {
 	name     string
 	from, to []string
@@ -39,7 +40,7 @@
 // direction is one direction of a link.
 type direction struct{ from, to string }
 
-// Network is the network of an installation.
+// Network holds the rules, relays and open streams between the processes of an installation.
 type Network struct {
 	mu        sync.Mutex
 	rules     []namedRule
@@ -47,16 +48,17 @@
 	random    *rand.Rand
 	closers   []io.Closer
 	streams   map[*stream]bool
-	busyUntil map[direction]time.Time // until when a direction with a rate sends what came before
-	changed   chan struct{}           // closed when the rules change
+	busyUntil map[direction]time.Time // time at which a direction with a rate limit has sent all earlier messages
+	changed   chan struct{}           // closed and replaced when the rules change
 	closed    bool
 	counts    Counts
 }
 
-// Counts are what has passed so far.
+// Counts holds what the relays have counted so far. Datagrams and Bytes count what arrived at the datagram relays, including what was
+// then dropped; Corrupted also counts chunks of streams.
 type Counts struct{ Datagrams, Dropped, Duplicated, Corrupted, Bytes int64 }
 
-// New is a network without faults.
+// New returns a network without faults. The seed determines its random choices.
 func New(seed uint64) *Network {
 	return &Network{
 		senders:   map[netip.AddrPort]string{},
@@ -67,8 +69,9 @@
 	}
 }
 
-// SetRule adds a rule, under a name, for messages from some processes to others. from and to are patterns in the form of path.Match.
-// A rule that refuses also resets the open streams.
+// SetRule adds a named rule for messages from the processes that match one of the patterns in from to those that match one in to. The
+// patterns have the syntax of path.Match. A rule with Refuse also resets the open streams that
+// were opened in this direction.
 func (n *Network) SetRule(name string, from, to []string, rule Rule) {
 	n.mu.Lock()
 	n.rules = append(n.rules, namedRule{name, from, to, rule})
@@ -87,7 +90,7 @@
 	}
 }
 
-// RemoveRule removes the rules of a name, or all rules if the name is empty.
+// RemoveRule removes the rules with the name, or all rules if the name is empty.
 func (n *Network) RemoveRule(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,20 +98,20 @@
 	n.notifyChange()
 }
 
-// notifyChange wakes streams that wait for a change of the rules. It is called with the lock held.
+// notifyChange wakes the streams that wait for a change of the rules. The caller must hold n.mu.
 func (n *Network) notifyChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// Counts are what has passed so far.
+// Counts returns the counts so far.
 func (n *Network) Counts() Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
 }
 
-// matchesAny tells whether one of the patterns fits a name.
+// matchesAny reports whether one of the patterns matches the name.
 func matchesAny(patterns []string, name string) bool {
 	for _, pattern := range patterns {
 		if ok, err := path.Match(pattern, name); err == nil && ok {
@@ -118,7 +121,7 @@
 	return false
 }
 
-// effectiveRule joins the rules that hold for a direction: the worse of each field counts. It is called with the lock held.
+// effectiveRule combines the rules for a direction. For each field it takes the most harmful value. The caller must hold n.mu.
 func (n *Network) effectiveRule(d direction) (combined Rule) {
 	for _, named := range n.rules {
 		if !matchesAny(named.from, d.from) || !matchesAny(named.to, d.to) {
@@ -140,8 +143,8 @@
 	return combined
 }
 
-// delay is how long a message of that many bytes takes by a direction's rule; with a rate it waits for those before it. It is called
-// with the lock held.
+// delay returns the delay of a message of the given size under the rule of a direction. With a rate limit, the message waits for all
+// earlier messages of the direction. The caller must hold n.mu.
 func (n *Network) delay(rule *Rule, d direction, bytes int) time.Duration {
 	delay := rule.Delay
 	if rule.Jitter > 0 {
@@ -158,7 +161,7 @@
 	return delay
 }
 
-// maybeCorrupt flips one bit of a message by a direction's rule. It is called with the lock held.
+// maybeCorrupt flips one bit of a message with the probability rule.Corrupt. The caller must hold n.mu.
 func (n *Network) maybeCorrupt(rule *Rule, message []byte) {
 	if rule.Corrupt > 0 && n.random.Float64() < rule.Corrupt && len(message) > 0 {
 		message[n.random.IntN(len(message))] ^= 1 << n.random.IntN(8)
@@ -166,14 +169,14 @@
 	}
 }
 
-// closeWithNetwork has Close close a relay's socket.
+// closeWithNetwork registers a socket of a relay that Close will close.
 func (n *Network) closeWithNetwork(c io.Closer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closers = append(n.closers, c)
 }
 
-// Close ends all relays.
+// Close closes the sockets of all relays and resets all streams.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -181,7 +184,7 @@
 	n.closers, n.streams = nil, map[*stream]bool{}
 	n.mu.Unlock()
 	for _, c := range closers {
-		_ = c.Close() // a socket that can't be closed is closed already
+		_ = c.Close() // fails only if the socket is already closed
 	}
 	for s := range streams {
 		s.reset()
--- a/internal/testbed/faultproxy/network_test.go
+++ b/internal/testbed/faultproxy/network_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// endpoint is one process's socket for datagrams, and the address of the relay through which others reach it.
+// endpoint is a process's datagram socket, with the address of the relay through which other processes reach it.
 type endpoint struct {
 	*net.UDPConn
 	relay *net.UDPAddr
@@ -39,7 +39,7 @@
 	return &endpoint{c, resolved}
 }
 
-// receive returns what arrives within a time after some datagrams were sent to the endpoint.
+// receive sends count datagrams from another endpoint to e and returns what e receives within the given time.
 func (e *endpoint) receive(t *testing.T, from *endpoint, count int, within time.Duration) (got []string) {
 	t.Helper()
 	for i := range count {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Each direction by itself: what a rule says of one says nothing of the other.
+// TestDatagrams checks each fault on datagrams, and that a rule for one direction leaves the other direction unchanged.
 func TestDatagrams(t *testing.T) {
 	n := New(1)
 	defer n.Close()
@@ -68,7 +68,7 @@
 	const count, wait = 100, 200 * time.Millisecond
 	sendBothWays := func() (int, int) { return len(b.receive(t, a, count, wait)), len(a.receive(t, b, count, wait)) }
 	if forward, backward := sendBothWays(); forward != count || backward != count {
-		t.Errorf("no rule: %d there, %d back", forward, backward)
+		t.Errorf("no rule: %d datagrams arrived at b, %d at a", forward, backward)
 	}
 	for _, c := range []struct {
 		name        string
@@ -78,16 +78,16 @@
 		{"cut", Rule{Cut: true}, 0, 0},
 		{"half lost", Rule{Loss: 0.5}, 25, 75},
 		{"half doubled", Rule{Duplicate: 0.5}, 125, 175},
-		{"300 bytes a second", Rule{Rate: 300}, 10, 30}, // 60 in the time, 20 datagrams
+		{"300 bytes a second", Rule{Rate: 300}, 10, 30}, // 60 bytes in 200 ms, which are 20 datagrams
 		{"later than the look", Rule{Delay: time.Second}, 0, 0},
 	} {
 		n.SetRule("rule", []string{"a"}, []string{"b*"}, c.rule)
 		forward, backward := sendBothWays()
 		if forward < c.least || forward > c.most || backward != count {
-			t.Errorf("%s: %d there, of %d to %d, and %d back", c.name, forward, c.least, c.most, backward)
+			t.Errorf("%s: %d datagrams arrived at b, expected %d to %d; %d arrived at a", c.name, forward, c.least, c.most, backward)
 		}
 		n.RemoveRule("rule")
-		time.Sleep(1100 * time.Millisecond) // what is late has come
+		time.Sleep(1100 * time.Millisecond) // until all delayed datagrams have arrived
 		b.receive(t, a, 0, 10*time.Millisecond)
 	}
 	n.SetRule("rule", []string{"a"}, []string{"b"}, Rule{Corrupt: 1, Reorder: 0.3})
@@ -102,11 +102,11 @@
 		}
 	}
 	if len(got) != count || corrupted < count/2 || outOfOrder < 5 {
-		t.Errorf("flipped and reordered: %d came, %d not as sent, %d out of order", len(got), corrupted, outOfOrder)
+		t.Errorf("corrupted and reordered: %d datagrams arrived, %d differ from what was sent at their position, %d are out of order", len(got), corrupted, outOfOrder)
 	}
 }
 
-// echoThroughRelay starts an echo behind a relay from g to e, and returns the relay's address.
+// echoThroughRelay starts an echo server behind a relay from g to e, and returns the relay's address.
 func echoThroughRelay(t *testing.T, n *Network) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -120,7 +120,7 @@
 			if err != nil {
 				return
 			}
-			go func() { _, _ = io.Copy(c, c) }() // ends with its connection
+			go func() { _, _ = io.Copy(c, c) }() // ends when the connection ends
 		}
 	}()
 	address, err := n.RelayStream("g", "e", func() string { return listener.Addr().String() })
@@ -146,7 +146,7 @@
 	return &streamClient{conn, bufio.NewReader(conn)}, nil
 }
 
-// echo sends a line and returns its echo: "silent" if there is none in time, "broken" if the connection ends.
+// echo sends a line and returns its echo. It returns "silent" if no echo arrives in time, and "broken" if the connection ends.
 func (c *streamClient) echo(text string, within time.Duration) string {
 	fmt.Fprintln(c, text)
 	c.SetReadDeadline(time.Now().Add(within))
@@ -168,7 +168,8 @@
 	}
 }
 
-// A cut stream stays open without data, and continues when the cut ends; a refused one breaks.
+// TestStreams checks that a cut stream stays open without data and delivers the delayed data after the cut, and that a refused stream
+// is reset.
 func TestStreams(t *testing.T) {
 	n := New(1)
 	defer n.Close()
@@ -185,7 +186,7 @@
 	for _, pair := range [][2]string{{"g", "e"}, {"e", "g"}} {
 		n.SetRule("cut", pair[:1], pair[1:], Rule{Cut: true})
 		expect(t, "cut "+pair[0], c.echo("two", 100*time.Millisecond), "silent")
-		openedWhileCut := dial() // the relay accepts it, without data
+		openedWhileCut := dial() // the relay accepts the connection, but passes no data
 		expect(t, "new while cut "+pair[0], openedWhileCut.echo("three", 100*time.Millisecond), "silent")
 		n.RemoveRule("cut")
 		c.SetReadDeadline(time.Now().Add(time.Second))
@@ -196,12 +197,12 @@
 	sentAt := time.Now()
 	expect(t, "at a rate", c.echo(strings.Repeat("x", 300), 2*time.Second), strings.Repeat("x", 300))
 	if took := time.Since(sentAt); took < 250*time.Millisecond {
-		t.Errorf("300 bytes at 1,000 a second took %v", took)
+		t.Errorf("300 bytes at 1,000 bytes per second took %v, expected at least 250 ms", took)
 	}
 	n.RemoveRule("slow")
 	n.SetRule("refuse", []string{"g"}, []string{"e"}, Rule{Refuse: true})
 	expect(t, "refused", c.echo("four", time.Second), "broken")
-	// The reset may reach this side while it still dials, which then fails by it; else the first exchange does.
+	// If the reset arrives while the client is still dialing, the dial fails; otherwise the first exchange fails.
 	refused, err := dialRelay(t, address)
 	if errors.Is(err, syscall.ECONNRESET) {
 		return
--- a/internal/testbed/faultproxy/streams.go
+++ b/internal/testbed/faultproxy/streams.go
@@ -11,27 +11,28 @@
 const (
 	dialTimeout = time.Second
 	chunkBytes  = 16 << 10
-	// maxChunks is how many chunks of a direction may be on their way.
+	// maxChunks is the number of chunks that one direction of a stream buffers.
 	maxChunks = 256
 )
 
-// stream is one connection through a relay.
+// stream is one connection through a relay, made of the client's connection to the relay and the relay's connection to the target.
 type stream struct {
 	network    *Network
 	from, to   string
-	clientConn net.Conn // to the process that connected
+	clientConn net.Conn // connection to the process that opened the stream
 	targetConn net.Conn
 	closeOnce  sync.Once
 	closed     chan struct{}
 }
 
-// chunk is a part of a stream, and when it arrives at the earliest.
+// chunk is a piece of a stream and the earliest time at which it may be written to the receiver.
 type chunk struct {
 	bytes []byte
 	dueAt time.Time
 }
 
-// RelayStream opens a relay for connections from one process to another, and returns its address.
+// RelayStream opens a relay for connections between two named processes, and returns the address of the relay. It calls target for each
+// connection, which returns the address to connect to.
 func (n *Network) RelayStream(from, to string, target func() string) (string, error) {
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +52,7 @@
 	return listener.Addr().String(), nil
 }
 
-// run connects the stream to its target and relays both directions until they end.
+// run connects the stream to its target and forwards both directions until both end.
 func (s *stream) run(target func() string) {
 	forward, backward := direction{s.from, s.to}, direction{s.to, s.from}
 	refuse := s.network.addStream(s)
@@ -60,7 +61,7 @@
 		s.reset()
 		return
 	}
-	if !s.waitWhileCut(forward) { // a cut link accepts connections without data
+	if !s.waitWhileCut(forward) { // a cut link accepts connections, but passes no data
 		return
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -78,7 +79,7 @@
 	s.close()
 }
 
-// addStream registers a stream, and tells whether it is to be refused.
+// addStream registers a stream, and reports whether it must be refused.
 func (n *Network) addStream(s *stream) (refuse bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,7 +93,7 @@
 	delete(n.streams, s)
 }
 
-// close closes both sides.
+// close closes both connections of the stream. Only the first call has an effect.
 func (s *stream) close() {
 	s.closeOnce.Do(func() {
 		close(s.closed)
@@ -103,17 +104,17 @@
 	})
 }
 
-// reset closes both sides with a reset in place of an end of stream.
+// reset closes both connections with a TCP reset instead of an orderly end of stream.
 func (s *stream) reset() {
 	for _, c := range []net.Conn{s.clientConn, s.targetConn} {
 		if tcp, ok := c.(*net.TCPConn); ok && tcp != nil {
-			_ = tcp.SetLinger(0) // fails on a closed connection, which needs no reset
+			_ = tcp.SetLinger(0) // fails only on a closed connection, which needs no reset
 		}
 	}
 	s.close()
 }
 
-// waitWhileCut waits while a direction is cut, and returns false if the stream was closed.
+// waitWhileCut waits while a direction is cut. It returns false if the stream is closed meanwhile.
 func (s *stream) waitWhileCut(d direction) bool {
 	for {
 		s.network.mu.Lock()
@@ -130,7 +131,7 @@
 	}
 }
 
-// relay relays one direction in order. An end of stream on one side is passed on to the other, unless the direction is cut.
+// relay forwards one direction in order. It also forwards the end of the stream, after any cut of the direction has ended.
 func (s *stream) relay(in, out net.Conn, d direction) {
 	chunks := make(chan chunk, maxChunks)
 	go s.readChunks(in, d, chunks)
@@ -147,11 +148,11 @@
 		return
 	}
 	if tcp, ok := out.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // fails on a closed connection, whose other side has seen the end
+		_ = tcp.CloseWrite() // fails only on a closed connection, whose other side already knows of the end
 	}
 }
 
-// readChunks reads chunks until the end of the stream, and closes the channel.
+// readChunks reads chunks until the end of the stream or until the stream is closed, and then closes the channel.
 func (s *stream) readChunks(in net.Conn, d direction, chunks chan<- chunk) {
 	defer close(chunks)
 	for {
@@ -171,7 +172,7 @@
 	}
 }
 
-// planChunk returns the delay of a chunk. It may flip a bit of it.
+// planChunk returns the delay of a chunk. It may flip one bit of the chunk.
 func (n *Network) planChunk(d direction, bytes []byte) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -181,7 +182,7 @@
 	return delay
 }
 
-// waitUntilDue waits until a chunk arrives, and returns false if the stream was closed.
+// waitUntilDue waits until a chunk may be written. It returns false if the stream is closed meanwhile.
 func (s *stream) waitUntilDue(c chunk) bool {
 	wait := time.Until(c.dueAt)
 	if wait <= 0 {
--- a/internal/testbed/faulttest/decode.go
+++ b/internal/testbed/faulttest/decode.go
@@ -215,7 +215,7 @@
 		MaxRejectedShare: file.Fraction("guard", 0),
 		Probation:        file.Duration("probation", 0),
 		MaxShedShare:     file.Fraction("bound", 0),
-		MinTextBytes:     file.Size("size", 0),
+		FillerBytes:      file.Size("size", 0),
 	}
 }
 
--- a/internal/testbed/faulttest/print.go
+++ b/internal/testbed/faulttest/print.go
@@ -180,7 +180,7 @@
 	w.fieldIf(policy.MaxRejectedShare > 0, "guard", policy.MaxRejectedShare)
 	w.durationIf(policy.Probation > 0, "probation", policy.Probation)
 	w.fieldIf(policy.MaxShedShare > 0, "bound", policy.MaxShedShare)
-	w.fieldIf(policy.MinTextBytes > 0, "size", fmt.Sprintf("%dB", policy.MinTextBytes))
+	w.fieldIf(policy.FillerBytes > 0, "size", fmt.Sprintf("%dB", policy.FillerBytes))
 }
 
 func (s *Scenario) writeExpectations(w *scenarioWriter) {
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden holds stored and exchanged forms against files that an earlier version wrote. Each form has a file with its bytes
-// and one with the values that the earlier version had put into it, so that renamed or regrouped fields still read what they read
-// before. The files lie in testdata/format of the package that reads the form; they are never written anew.
+// Package golden compares encodings of stored data and messages with files that an earlier version wrote. Each encoding has a file
+// with its bytes and a file with the values that the earlier version encoded. So tests detect if renamed or regrouped fields no longer
+// decode to the same values. The files are in testdata/format of the package that decodes them, and are never regenerated.
 package golden
 
 import (
@@ -28,8 +28,8 @@
 	return content
 }
 
-// CheckRoundTrip decodes the file NAME.form, compares the decoded values with those listed in NAME.values, and expects that encoding
-// gives the bytes of the file again.
+// CheckRoundTrip decodes the file NAME.form, compares the decoded values with those listed in NAME.values, and checks that encoding
+// the value again yields the bytes of the file.
 func CheckRoundTrip[T any](t *testing.T, name string, decode func([]byte) (T, error), encode func(T) []byte) {
 	t.Helper()
 	encoded := Read(t, name+".form")
@@ -40,11 +40,11 @@
 	CheckValues(t, name, value)
 	reencoded := encode(value)
 	if string(reencoded) != string(encoded) {
-		t.Errorf("%s: encoding again gives other bytes:\nexpected %q\nfound    %q", name, encoded, reencoded)
+		t.Errorf("%s: encoding the decoded value yields different bytes:\nexpected %q\nfound    %q", name, encoded, reencoded)
 	}
 }
 
-// CheckValues compares the values below a value, in the order of its fields, with those listed in NAME.values.
+// CheckValues compares the result of Values for a value with the list in the file NAME.values.
 func CheckValues(t *testing.T, name string, value any) {
 	t.Helper()
 	expected := strings.Split(strings.TrimSuffix(string(Read(t, name+".values")), "\n"), "\n")
@@ -61,8 +61,9 @@
 	}
 }
 
-// Values lists the numbers, texts and booleans below a value, exported or not, in the order of the fields. Numbers and texts that are
-// zero are left out, so that fields may be added; booleans are not, as one that is true can be told from its neighbour by place alone.
+// Values lists the numbers, strings and booleans inside a value, in exported and unexported fields, in the order of the fields. Zero
+// numbers and empty strings are left out, so that fields may be added. False booleans are listed, because only the position shows
+// which field a true one belongs to.
 func Values(value any) []string { return appendValues(nil, reflect.ValueOf(value)) }
 
 func appendValues(list []string, v reflect.Value) []string {
@@ -97,7 +98,7 @@
 	if v.CanUint() {
 		return append(list, strconv.FormatUint(v.Uint(), 10))
 	}
-	panic("golden: no way to list a " + v.Kind().String())
+	panic("golden: cannot list a value of kind " + v.Kind().String())
 }
 
 func appendElements(list []string, v reflect.Value) []string {
@@ -117,7 +118,7 @@
 	return list
 }
 
-// appendEntries lists a map's keys, in order, each followed by what is below its value.
+// appendEntries lists the entries of a map in sorted order, each as the values in its key followed by those in its value.
 func appendEntries(list []string, v reflect.Value) []string {
 	var entries [][]string
 	for _, key := range v.MapKeys() {
@@ -127,7 +128,7 @@
 	return append(list, slices.Concat(entries...)...)
 }
 
-// ZeroFields lists the fields below a value that hold nothing, by their paths.
+// ZeroFields lists the paths of the fields inside a value that are zero or empty. It does not look into maps and arrays.
 func ZeroFields(value any) []string { return appendZeroFields(nil, "", reflect.ValueOf(value)) }
 
 func appendZeroFields(list []string, path string, v reflect.Value) []string {
@@ -162,7 +163,7 @@
 	return path
 }
 
-// DecodeJSON decodes a value and refuses fields that it doesn't know.
+// DecodeJSON decodes a value and returns an error if the JSON has fields that T does not have.
 func DecodeJSON[T any](content []byte) (*T, error) {
 	value := new(T)
 	decoder := json.NewDecoder(bytes.NewReader(content))
@@ -170,7 +171,7 @@
 	return value, decoder.Decode(value)
 }
 
-// EncodeJSON encodes a value; one that can't be gives nothing.
+// EncodeJSON encodes a value. It returns nil if the value cannot be encoded.
 func EncodeJSON[T any](value *T) []byte {
 	content, err := json.Marshal(value)
 	if err != nil {
--- a/internal/testbed/installation/cluster.go
+++ b/internal/testbed/installation/cluster.go
@@ -12,33 +12,33 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// Cluster is how the gateways of an installation form a cluster.
+// Cluster configures the gateways of an installation as a cluster.
 type Cluster struct {
-	SeedCount     int  // how many of them the others know by their addresses from the start
-	HealthReports bool // on engines are shared
-	Counts        bool // are shared
-	SlowStart     bool // what engines that are warming up may be sent is shared
+	SeedCount     int  // number of gateways whose addresses are configured at all gateways
+	HealthReports bool // the gateways send each other health reports on engines
+	Counts        bool // the gateways send each other the counts of their requests
+	SlowStart     bool // the gateways share a quota of what may be sent to each engine that is warming up
 	Limits        ClusterLimits
-	ShareTerm     time.Duration // for which a share of a quota is held without a renewal
+	ShareTerm     time.Duration // time for which a gateway holds its share of a quota without a renewal
 	Rollout       Rollout
 	keyFile       string
 	seedAddresses []string
 }
 
-// ClusterLimits is what requests of the class named load may use over the whole cluster; 0: no limit.
+// ClusterLimits limits what requests of the class named load may use in the whole cluster. In each field but Version, 0 means no limit.
 type ClusterLimits struct {
 	Threads, MaxWaiting int
-	Work                time.Duration // a second
-	Version             int           // raised with every change
+	Work                time.Duration // work per second
+	Version             int           // policy revision, which increases with every change
 }
 
-// Rollout is how the gateways decide on policies; without voters each goes by its own file.
+// Rollout configures how the gateways decide on policies. Without voters, each gateway applies the policy in its own operator file.
 type Rollout struct {
-	Voters              int // how many of the gateways, the first ones
+	Voters              int // number of gateways that vote, counted from the first one
 	Lease, DecideWithin time.Duration
 }
 
-// addTo writes the limits into the JSON of a class.
+// addTo adds the limits to the JSON object of a class.
 func (l ClusterLimits) addTo(class map[string]any) {
 	class["fleet"] = l.Any()
 	if l.Threads > 0 {
@@ -52,23 +52,23 @@
 	}
 }
 
-// Any tells whether there is any limit.
+// Any reports whether any limit is set.
 func (l ClusterLimits) Any() bool { return l.Threads > 0 || l.MaxWaiting > 0 || l.Work > 0 }
 
-// Voters are the names of the gateways that vote on policies at first.
+// Voters returns the names of the gateways that vote on policies at the start.
 func (s *Installation) Voters() []string {
 	return s.firstNames(s.plan.Cluster.Rollout.Voters)
 }
 
-// quotaReplicas is how many gateways replicate the shared quotas.
+// quotaReplicas is the number of gateways that replicate the state of the shared quotas.
 const quotaReplicas = 3
 
-// QuotaReplicas are the names of the gateways that replicate the shared quotas.
+// QuotaReplicas returns the names of the gateways that replicate the state of the shared quotas.
 func (s *Installation) QuotaReplicas() []string {
 	return s.firstNames(quotaReplicas)
 }
 
-// firstNames are the names of the first gateways, at most that many.
+// firstNames returns the names of the first gateways of the plan, at most maxCount.
 func (s *Installation) firstNames(maxCount int) (names []string) {
 	for _, gateway := range s.Gateways[:min(maxCount, s.plan.Gateways)] {
 		names = append(names, gateway.Name)
@@ -76,7 +76,7 @@
 	return names
 }
 
-// SetLimits writes other limits of the whole cluster into the files of some gateways, which read them again.
+// SetLimits writes new limits for the whole cluster into the operator files of some gateways, and has these gateways read them again.
 func (s *Installation) SetLimits(limits ClusterLimits, gateways []*Gateway) {
 	for _, gateway := range gateways {
 		gateway.limits = limits
@@ -85,7 +85,7 @@
 	}
 }
 
-// newGateway makes a gateway with its proxies. It is not started yet.
+// newGateway creates a gateway with its proxies. It does not start the process.
 func (s *Installation) newGateway(name string, index int) (*Gateway, error) {
 	address, err := freeAddress()
 	if err != nil {
@@ -100,7 +100,8 @@
 	return g, s.addProxies(g)
 }
 
-// addProxies opens the proxies between a gateway and the engines, and starts a discovery service of its own that lists them.
+// addProxies opens proxies between the gateway and all engines. It also starts a discovery service for this gateway alone, which lists
+// the proxies in place of the engines, and a proxy to this service.
 func (s *Installation) addProxies(g *Gateway) error {
 	proxies := s.plan.Proxies
 	endpoints := slices.Clone(s.endpoints)
@@ -122,7 +123,7 @@
 	return err
 }
 
-// formCluster writes the cluster's key, and gives all gateways their addresses in it.
+// formCluster writes the cluster's key, and assigns each gateway its address in the cluster.
 func (s *Installation) formCluster() error {
 	cluster := s.plan.Cluster
 	cluster.keyFile = filepath.Join(s.Folder, "fleet.key")
@@ -161,8 +162,8 @@
 	return err
 }
 
-// writeOperatorFile writes the gateway's operator file and returns its path. If it can't be written, the path tells why, and the
-// gateway reports it at its start.
+// writeOperatorFile writes the gateway's operator file and returns its path. If the file cannot be written, the returned path contains
+// the error, so that the gateway reports it when it starts.
 func (g *Gateway) writeOperatorFile() string {
 	path := filepath.Join(g.installation.Folder, g.Label()+".operator.jsonnet")
 	text, err := json.MarshalIndent(g.operatorSettings(), "", " ")
@@ -196,7 +197,7 @@
 	return file
 }
 
-// quotaSettings completes the settings of the shared quotas.
+// quotaSettings adds the settings that all configurations of shared quotas have, and returns the map.
 func (g *Gateway) quotaSettings(settings map[string]any) map[string]any {
 	settings["keepers"] = g.installation.QuotaReplicas()
 	settings["term"] = g.installation.plan.Cluster.ShareTerm.String()
@@ -206,7 +207,8 @@
 	return settings
 }
 
-// StartTwin starts a second process under a gateway's name, with addresses and files of its own; the first one keeps running.
+// StartTwin starts a second process with the name of an existing gateway, but with its own addresses and files. The first process keeps
+// running.
 func (s *Installation) StartTwin(index int) (*Gateway, error) {
 	g, err := s.newGateway(s.Gateways[index].Name, len(s.Gateways))
 	if err != nil {
--- a/internal/testbed/installation/gateway.go
+++ b/internal/testbed/installation/gateway.go
@@ -15,32 +15,32 @@
 	"time"
 )
 
-// Gateway is one gateway's process.
+// Gateway is a gateway of the installation. Its process may be started and killed several times.
 type Gateway struct {
 	Name    string
 	Address string
 	LogFile string
-	History string // file, where the gateways are a cluster
-	Control string // Unix socket, the same
+	History string // path of the history file; empty unless the gateways form a cluster
+	Control string // path of the control socket; empty unless the gateways form a cluster
 
-	listenUDP         string // where it listens for datagrams
-	advertisedAddress string // by which the others reach it
-	discoveryAddress  string // its discovery service's address
+	listenUDP         string // address at which the process listens for datagrams
+	advertisedAddress string // address at which the other gateways reach it; with proxies, that of its relay
+	discoveryAddress  string // address of its discovery service
 	snapshot          func() json.RawMessage
 
-	limits          ClusterLimits // of the whole cluster, that its file has
-	engineAddresses []string      // addresses by which it reaches them, with proxies between
+	limits          ClusterLimits // limits of the whole cluster, as in the gateway's operator file
+	engineAddresses []string      // with proxies: by engine, the address of the proxy between the gateway and the engine
 
 	installation *Installation
 	index        int
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	cmd          *exec.Cmd
 	ended        chan struct{} // closed when the process has ended
-	peakMemoryKB int64         // resident, of processes that have ended
+	peakMemoryKB int64         // largest resident memory of any of its processes that has ended
 }
 
-// configuration is the JSON object that the platform would give the gateway.
+// configuration returns the configuration that the platform would give the gateway, as JSON.
 func (g *Gateway) configuration() ([]byte, error) {
 	p := &g.installation.plan
 	return json.MarshalIndent(map[string]any{
@@ -90,7 +90,7 @@
 	return rules
 }
 
-// Start starts the gateway's process, which is given the endpoint list as it is by now.
+// Start starts the gateway's process. Its configuration contains the current endpoint list.
 func (g *Gateway) Start() error {
 	config, err := g.configuration()
 	if err != nil {
@@ -107,7 +107,7 @@
 	cmd := g.command(path)
 	cmd.Stdout, cmd.Stderr = log, log
 	err = cmd.Start()
-	_ = log.Close() // the process has a descriptor of its own
+	_ = log.Close() // the process has its own file descriptor
 	if err != nil {
 		return fmt.Errorf("gateway %s: %w", g.Name, err)
 	}
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// command is the gateway's process, not yet started.
+// command returns the command that runs the gateway's process. It does not start it.
 func (g *Gateway) command(configFile string) *exec.Cmd {
 	plan := &g.installation.plan
 	args := append([]string{"serve", "--config", configFile}, plan.ExtraArguments...)
@@ -134,14 +134,14 @@
 	if plan.Env != nil {
 		cmd.Env = append(cmd.Env, plan.Env(g.Label())...)
 	}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the testbed
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the gateway must not outlive the testbed
 	return cmd
 }
 
-// waitForEnd waits for the process, takes down its memory and closes ended.
+// waitForEnd waits for the process to end, records its peak memory and closes ended.
 func (g *Gateway) waitForEnd(cmd *exec.Cmd, ended chan struct{}) {
 	defer close(ended)
-	_ = cmd.Wait() // most are killed, and end with an error
+	_ = cmd.Wait() // most processes are killed, for which Wait returns an error
 	if usage, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 		g.mu.Lock()
 		g.peakMemoryKB = max(g.peakMemoryKB, usage.Maxrss)
@@ -163,7 +163,7 @@
 			return fmt.Errorf("gateway %s ended at start; its log: %s", g.Name, g.LogFile)
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("gateway %s takes no connection after %v; its log: %s", g.Name, within, g.LogFile)
+			return fmt.Errorf("gateway %s accepts no connections after %v; its log: %s", g.Name, within, g.LogFile)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd != nil && g.cmd.Process != nil {
-		_ = g.cmd.Process.Signal(s) // one that has ended needs none
+		_ = g.cmd.Process.Signal(s) // fails only if the process has ended
 	}
 }
 
@@ -188,7 +188,7 @@
 	}
 }
 
-// PeakMemoryKB is the most memory that its process has held so far, in kB resident.
+// PeakMemoryKB returns the peak resident memory of the gateway's processes so far, in kB.
 func (g *Gateway) PeakMemoryKB() int64 {
 	g.mu.Lock()
 	peak, cmd := g.peakMemoryKB, g.cmd
@@ -209,10 +209,10 @@
 	return peak
 }
 
-// Label is its name in proxies and files. A twin has one of its own.
+// Label returns the gateway's name in proxies and file names. It is unique, while the twin of a gateway has the same Name.
 func (g *Gateway) Label() string { return "g" + strconv.Itoa(g.index) }
 
-// IsRunning tells whether its process runs, stopped or not.
+// IsRunning reports whether the gateway's process exists, even if it is stopped by a signal.
 func (g *Gateway) IsRunning() bool {
 	g.mu.Lock()
 	ended := g.ended
--- a/internal/testbed/installation/installation.go
+++ b/internal/testbed/installation/installation.go
@@ -1,5 +1,5 @@
-// Package installation starts one installation on loopback: fakes of engines and of the discovery service, and gateways as
-// processes between them and a load.
+// Package installation starts an installation on the loopback interface: fake engines, a fake discovery service, and real gateway
+// processes between a load and the engines.
 package installation
 
 import (
@@ -18,54 +18,54 @@
 	"magpiebank/internal/testbed/faultproxy"
 )
 
-// Class is a class as gateways are told of it.
+// Class is a class of requests in the configuration of the gateways.
 type Class struct {
 	Name             string
 	LatencyObjective time.Duration
-	MaxWait          time.Duration // that its clients wait
+	MaxWait          time.Duration // deadline of its clients
 	Weight           float64
-	LateShare        float64 // share of the weight that is earned after the latency objective
+	LateShare        float64 // share of the weight that a request earns if it is served after the latency objective
 	Effect           string  // idempotent, deduplicated or unrepeatable
-	Threads          int     // of one of its requests on an engine
-	Load             bool    // it loads tables, so that others wait for it
-	BlockedByLoads   bool    // its requests wait for loads
+	Threads          int     // threads that one of its requests uses on an engine
+	Load             bool    // its requests load tables, and classes with BlockedByLoads wait for them
+	BlockedByLoads   bool    // its requests wait while loads run
 }
 
-// Plan is what an installation consists of.
+// Plan describes an installation that Start can start.
 type Plan struct {
 	Gateways       int
 	Engines        int
-	Zones          []string // engines stand in them in turn
-	Cores          float64  // of an engine
+	Zones          []string // the engines are assigned to the zones in turn
+	Cores          float64  // cores of an engine
 	Classes        []Class
 	Behavior       fake.EngineBehavior
-	MemoryMB       int // of a gateway
+	MemoryMB       int // memory limit of a gateway
 	Sockets        int
 	ConnectWithin  time.Duration
-	IdleTimeout    time.Duration // after which engines close connections
+	IdleTimeout    time.Duration // time after which engines close idle connections
 	Seed           int64
-	Program        string   // the gateway's; empty: magpiebank beside this program
-	ExtraArguments []string // arguments after serve --config FILE
+	Program        string   // path of the gateway's program; empty: magpiebank in the folder of the running program
+	ExtraArguments []string // arguments of the gateways after "serve --config FILE"
 
-	Cluster    *Cluster                    // the gateways speak to each other; nil: they don't
-	Proxies    *faultproxy.Network         // through which all messages between processes go; nil: they reach each other directly
-	Durable    bool                        // each keeps a request journal in a folder of its own
-	NotStarted []string                    // gateways that are not started
-	SlowStart  SlowStart                   // engines that have just started are slow, and tip over
-	Env        func(label string) []string // further environment variables of a process; a twin has a label of its own
+	Cluster    *Cluster                    // nil: the gateways exchange no messages
+	Proxies    *faultproxy.Network         // relays all messages between the processes; nil: the processes connect directly
+	Durable    bool                        // each gateway has a request journal in its own folder
+	NotStarted []string                    // names of gateways that Start does not start
+	SlowStart  SlowStart                   // how slow engines are after a start, and how they become overloaded
+	Env        func(label string) []string // returns additional environment variables for the gateway with the label
 }
 
-// SlowStart is how engines start: at a share of their speed, warm after a time. Sent more than Factor times what they can do for the
-// time Tip, they are overloaded.
+// SlowStart describes engines that start at a share of their speed and reach full speed after WarmUp. They become overloaded if, for the
+// time OverloadAfter, they are sent more than OverloadFactor times the work that they can do.
 type SlowStart struct {
 	Share, OverloadFactor float64
 	WarmUp, OverloadAfter time.Duration
 }
 
-// effectNames are the platform's words for effects.
+// effectNames maps the values of Class.Effect to their names in the gateways' configuration.
 var effectNames = map[string]string{"idempotent": "read_like", "deduplicated": "idempotency_key", "unrepeatable": "non_idempotent"}
 
-// Check returns an error for the first field that is wrong.
+// Check returns an error if a field of the plan is invalid.
 func (p *Plan) Check() error {
 	if p.Gateways < 1 || p.Gateways > 64 || p.Engines < 1 || p.Engines > 1000 || len(p.Zones) == 0 || len(p.Classes) == 0 {
 		return errors.New("site: expected 1 to 64 gateways, 1 to 1000 engines, and at least one zone and one lane")
@@ -78,11 +78,11 @@
 	return nil
 }
 
-// Installation is an installation that is up.
+// Installation is an installation that has been started.
 type Installation struct {
 	Engines     []*fake.Engine
 	Discovery   *fake.Discovery
-	Discoveries []*fake.Discovery // with proxies, one for each gateway, as each reaches engines through its own; else the one
+	Discoveries []*fake.Discovery // with proxies, one per gateway, because each gateway has its own proxies to the engines; otherwise only Discovery
 	Log         *fake.ExecutionLog
 	Gateways    []*Gateway
 	Folder      string
@@ -90,10 +90,10 @@
 	endpoints   []fake.Endpoint
 }
 
-// readyWithin is how long a gateway may take until it accepts connections.
+// readyWithin is the time within which a started gateway must accept connections.
 const readyWithin = 5 * time.Second
 
-// Start starts an installation; files go to a folder. On an error all that was started is stopped.
+// Start starts an installation, which writes its files to the folder. If it returns an error, it has stopped what it had started.
 func Start(p Plan, folder string) (*Installation, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 	return s, nil
 }
 
-// findProgram completes the path of the gateway's program, and checks that it is there.
+// findProgram sets the path of the gateway's program if it is empty, and checks that the program exists.
 func (p *Plan) findProgram() error {
 	if p.Program == "" {
 		executable, err := os.Executable()
@@ -156,10 +156,10 @@
 	return s.startGateways()
 }
 
-// addressAttempts is how many addresses are tried for an engine, as another process may take a free one first.
+// addressAttempts is the number of addresses that are tried for an engine, because another process may take a free address first.
 const addressAttempts = 3
 
-// startEngine starts an engine on an address to which it returns after it has refused connections for a while.
+// startEngine starts an engine at a free address. The engine uses the same address again after it has refused connections for a while.
 func (s *Installation) startEngine(i int) error {
 	name := fmt.Sprintf("e-%03d", i+1)
 	var engine *fake.Engine
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// startGateways starts the gateways that the plan has up, and waits until they accept connections.
+// startGateways starts all gateways except those in plan.NotStarted, and waits until they accept connections.
 func (s *Installation) startGateways() error {
 	started := slices.DeleteFunc(slices.Clone(s.Gateways), func(g *Gateway) bool { return slices.Contains(s.plan.NotStarted, g.Name) })
 	for _, gateway := range started {
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// Targets are the gateways' addresses.
+// Targets returns the addresses of the gateways.
 func (s *Installation) Targets() (addresses []string) {
 	for _, gateway := range s.Gateways {
 		addresses = append(addresses, gateway.Address)
@@ -214,7 +214,8 @@
 	return addresses
 }
 
-// PublishState has the discovery service publish a state of an engine: Ready, Terminating or Gone.
+// PublishState has all discovery services publish the state of an engine: Ready, Terminating or Gone. With Ready, the engine's start is
+// the current time.
 func (s *Installation) PublishState(engine int, state string) {
 	endpoint := s.endpoints[engine]
 	endpoint.State = state
@@ -230,7 +231,7 @@
 	}
 }
 
-// Stop ends all of it.
+// Stop stops all gateways, engines, discovery services and proxies.
 func (s *Installation) Stop() {
 	for _, g := range s.Gateways {
 		g.Kill()
@@ -246,16 +247,17 @@
 	}
 }
 
-// Zone is the zone of an engine.
+// Zone returns the zone of an engine.
 func (s *Installation) Zone(engine int) string { return s.endpoints[engine].Zone }
 
-// portCounter is the number of the next port to try. It begins at one that follows from the process id. All lie below the ephemeral ports,
-// so that no connection of the testbed's takes one before its gateway does.
+// portCounter determines the next port to try, which is 10000 plus the counter modulo 20000. It starts at a value that depends on the
+// process id. All these ports are below the ephemeral ports, so that no outgoing connection of the testbed takes a port that was chosen
+// for a gateway.
 var portCounter atomic.Int32
 
 func init() { portCounter.Store(int32(os.Getpid()) * 331 % 20000) }
 
-// freeAddress is one on loopback that nobody listens on, for streams and datagrams; gateways come back to it after a restart.
+// freeAddress returns a loopback address whose port is free for both TCP and UDP. Gateways use it again after a restart.
 func freeAddress() (string, error) {
 	for range 20000 {
 		address := fmt.Sprintf("127.0.0.1:%d", 10000+portCounter.Add(1)%20000)
@@ -266,7 +268,7 @@
 	return "", errors.New("site: no port between 10000 and 30000 is free")
 }
 
-// isFree tells whether nobody listens on an address, neither for streams nor for datagrams.
+// isFree reports whether an address is free for both TCP and UDP.
 func isFree(address string) bool {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", address)
--- a/internal/testbed/installation/state.go
+++ b/internal/testbed/installation/state.go
@@ -6,25 +6,25 @@
 	"path/filepath"
 )
 
-// copySuffix is the ending of the copies that CopyState makes.
+// copySuffix is appended to the name of a folder for the copy that CopyState makes.
 const copySuffix = ".older"
 
-// StateFolder is the folder of its request journal.
+// StateFolder returns the path of the gateway's request journal.
 func (g *Gateway) StateFolder() string {
 	return filepath.Join(g.installation.Folder, g.Label()+".state")
 }
 
-// PolicyFolder is the folder of its policy store.
+// PolicyFolder returns the path of the gateway's policy store.
 func (g *Gateway) PolicyFolder() string {
 	return filepath.Join(g.installation.Folder, g.Label()+".policy")
 }
 
-// QuotaFolder is the folder of the snapshot by which its share of the quotas passes to its next process.
+// QuotaFolder returns the path of the snapshots with which the next process of the gateway takes over its share of the quotas.
 func (g *Gateway) QuotaFolder() string {
 	return filepath.Join(g.installation.Folder, g.Label()+".seat")
 }
 
-// folders are those that survive its process.
+// folders returns the folders whose contents survive a restart of the process.
 func (g *Gateway) folders() (folders []string) {
 	if g.installation.plan.Durable {
 		folders = append(folders, g.StateFolder())
@@ -38,7 +38,7 @@
 	return folders
 }
 
-// HasStateCopy tells whether CopyState has made copies.
+// HasStateCopy reports whether there is a copy made by CopyState.
 func (g *Gateway) HasStateCopy() bool {
 	for _, folder := range g.folders() {
 		if _, err := os.Stat(folder + copySuffix); err == nil {
@@ -48,7 +48,7 @@
 	return false
 }
 
-// CopyState copies the folders as they are now, in place of earlier copies; RestoreState puts the copies in their place.
+// CopyState copies the gateway's folders and replaces earlier copies. RestoreState restores the folders from the copies.
 func (g *Gateway) CopyState() error {
 	for _, folder := range g.folders() {
 		if err := os.RemoveAll(folder + copySuffix); err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// RestoreState puts the copies in the place of the folders. A folder without a copy is deleted.
+// RestoreState replaces the gateway's folders with their copies. It deletes folders without a copy.
 func (g *Gateway) RestoreState() error {
 	for _, folder := range g.folders() {
 		if err := os.RemoveAll(folder); err != nil {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// DeleteState deletes the folders.
+// DeleteState deletes the gateway's folders, but not their copies.
 func (g *Gateway) DeleteState() (err error) {
 	for _, folder := range g.folders() {
 		err = errors.Join(err, os.RemoveAll(folder))
