--- a/internal/testbed/faulttest/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -9,14 +9,14 @@
 	"magpiebank/internal/cluster/history"
 )
 
-// ageTolerance is how far a reported age may be off, in nanoseconds: the steps in which ages are sent, a tenth of the longest age for
-// clocks that run a twentieth off on both sides, and the spread of the links.
+// ageTolerance is the largest accepted error of a reported age, in nanoseconds. It covers the resolution with which ages are sent, a
+// tenth of the longest age because the clocks of both sides may run a twentieth too fast or too slow, and the jitter of the links.
 const ageTolerance = int64(1500 * time.Millisecond)
 
-// failureLifetime is the longest that a reported failure counts anywhere, in nanoseconds.
+// failureLifetime is the longest time for which a reported failure counts at any gateway, in nanoseconds.
 const failureLifetime = int64(healthreport.ConfirmedFailureLifetime * 1e5)
 
-// incarnation is one start of a process that bears a name.
+// incarnation identifies a process by its name and the incarnation with which it started.
 type incarnation struct {
 	process string
 	start   uint64
@@ -24,9 +24,9 @@
 
 func incarnationOf(e *history.Event) incarnation { return incarnation{e.Process, e.Start} }
 
-// Check reads a merged history for what must hold at every instant, whatever was lost, duplicated, late, stopped or killed. It knows
-// nothing of the code: only what processes wrote down. Messages are dated as of when they were written down, so late lists what
-// holds unless a process was woken later than ageTolerance.
+// Check checks a merged history for rules that must hold at every instant, even if messages are lost, duplicated or late, and processes
+// are stopped or killed. It uses only what the processes recorded. It returns two lists of violations. A received message has the time
+// at which the receiver recorded it. So the violations in late may also come from a process that was woken more than ageTolerance late.
 func Check(events []history.Event) (broken, late []string) {
 	c := newHistoryChecker(events)
 	for i := range events {
@@ -35,30 +35,30 @@
 	return c.broken, c.late
 }
 
-// historyChecker follows what each incarnation of a process knew, and collects the violations.
+// historyChecker tracks what each incarnation of a process knew, and collects the violations.
 type historyChecker struct {
 	startedAt         int64
-	failures          map[engineObserver][]int64 // when an incarnation itself saw an engine fail
-	firstIncarnations map[incarnation]incarnation
+	failures          map[engineObserver][]int64  // times at which an incarnation itself observed a failure of an engine
+	firstIncarnations map[incarnation]incarnation // by later incarnation of a process: the one with which it started
 	views             map[incarnation]*clusterView
 	broken            []string
 	late              []string
 }
 
-// engineObserver is a process that sends requests to one start of an engine.
+// engineObserver is a process together with one start of an engine to which it sends requests.
 type engineObserver struct {
 	incarnation
 	engine      string
 	engineStart int64
 }
 
-// clusterView is what one incarnation knows of the engines and of the other members.
+// clusterView holds what one incarnation knows about the engines and the other members.
 type clusterView struct {
 	maxEjectedShare   float64
-	endpoints         map[string]int64 // by engine: its start, as the endpoint list has it
+	endpoints         map[string]int64 // start time of each engine in the endpoint list
 	memberStarts      map[string]uint64
-	failureReportedAt map[string]map[string]int64 // by engine and member: when its report of a failure was last received
-	suspectedUntil    map[string]int64            // engines against which reports of others count, and until when
+	failureReportedAt map[string]map[string]int64 // by engine and member: time at which the member's report of a failure was last received
+	suspectedUntil    map[string]int64            // by engine: time until which reports of other members count against it
 }
 
 func newHistoryChecker(events []history.Event) *historyChecker {
@@ -93,7 +93,7 @@
 		view.updateEndpoint(e)
 	case history.AttemptSent:
 		if _, ok := view.endpoints[e.Engine]; !ok {
-			c.broken = append(c.broken, c.message(e, "list: a hand-off went to %s, which its own list doesn't name", e.Engine))
+			c.broken = append(c.broken, c.message(e, "list: an attempt was sent to %s, which its own endpoint list does not contain", e.Engine))
 		}
 	case history.MemberChanged:
 		c.checkMemberChange(view, e)
@@ -122,7 +122,7 @@
 	return fmt.Sprintf("%.3f s, %s: %s", float64(e.At-c.startedAt)/1e9, e.Process, fmt.Sprintf(format, args...))
 }
 
-// updateEndpoint takes in a change of the endpoint list. An engine that is listed anew starts with a clean record.
+// updateEndpoint applies a change of the endpoint list. It discards what was reported about the engine before.
 func (v *clusterView) updateEndpoint(e *history.Event) {
 	if e.State == "gone" {
 		delete(v.endpoints, e.Engine)
@@ -133,25 +133,25 @@
 	delete(v.suspectedUntil, e.Engine)
 }
 
-// checkMemberChange checks that the start by which a member is known never goes back.
+// checkMemberChange checks that the known start of a member never decreases.
 func (c *historyChecker) checkMemberChange(view *clusterView, e *history.Event) {
 	if e.Code == "displaced" {
 		return
 	}
 	if e.Detail < view.memberStarts[e.Member] {
-		c.broken = append(c.broken, c.message(e, "start: %s under start %d is %s, after start %d was known", e.Member, e.Detail, e.Code, view.memberStarts[e.Member]))
+		c.broken = append(c.broken, c.message(e, "start: %s with start %d is %s, although start %d was known", e.Member, e.Detail, e.Code, view.memberStarts[e.Member]))
 	}
 	view.memberStarts[e.Member] = max(view.memberStarts[e.Member], e.Detail)
 }
 
-// checkPeerOutcome checks that a report of another member is of its latest start and of the listed start of the engine, and that the
-// member itself saw a failure that it reports.
+// checkPeerOutcome checks a report of another member: it comes from the member's latest start, it concerns the listed start of the
+// engine, and if it reports a failure, the member itself observed this failure.
 func (c *historyChecker) checkPeerOutcome(view *clusterView, e *history.Event) {
 	if e.Detail < view.memberStarts[e.Member] {
-		c.broken = append(c.broken, c.message(e, "start: evidence of %s under start %d was taken in, after start %d was known", e.Member, e.Detail, view.memberStarts[e.Member]))
+		c.broken = append(c.broken, c.message(e, "start: a report of %s with start %d was accepted, although start %d was known", e.Member, e.Detail, view.memberStarts[e.Member]))
 	}
 	if engineStart, ok := view.endpoints[e.Engine]; !ok || engineStart != e.EngineStart {
-		c.broken = append(c.broken, c.message(e, "engine's start: evidence on %s of start %d was taken in, its own list has %d", e.Engine, e.EngineStart, engineStart))
+		c.broken = append(c.broken, c.message(e, "engine's start: a report on %s with start %d was accepted, but its own list has start %d", e.Engine, e.EngineStart, engineStart))
 	}
 	if e.Success {
 		return
@@ -161,11 +161,11 @@
 	}
 	view.failureReportedAt[e.Engine][e.Member] = e.At
 	if !c.observedFailure(e) {
-		c.late = append(c.late, c.message(e, "evidence: %s is said to have failed at %s some %.1f s ago, and wrote down no such failure", e.Member, e.Engine, float64(e.AgeNanos)/1e9))
+		c.late = append(c.late, c.message(e, "evidence: a report says that %s observed a failure of %s %.1f s ago, but its history has no such failure", e.Member, e.Engine, float64(e.AgeNanos)/1e9))
 	}
 }
 
-// observedFailure tells whether the member that reports a failure wrote it down itself.
+// observedFailure reports whether the member that reported a failure recorded it in its own history.
 func (c *historyChecker) observedFailure(e *history.Event) bool {
 	reporter := incarnation{e.Member, e.Detail}
 	if first, ok := c.firstIncarnations[reporter]; ok {
@@ -180,16 +180,16 @@
 	return false
 }
 
-// checkAssessment checks that a failure score rests on as many reports as it claims, and that reports of others are held against no more
-// engines at a time than the process is allowed.
+// checkAssessment checks that a failure score is based on as many witnesses as it claims, and that reports of other members count
+// against no more engines at a time than the process allows.
 func (c *historyChecker) checkAssessment(view *clusterView, e *history.Event) {
 	witnesses := c.countWitnesses(view, e)
 	if e.FailureScore > 0 && e.Number > witnesses || e.FailureScore > float64(e.Number)+1e-9 {
-		c.late = append(c.late, c.message(e, "witnesses: %.2f is held against %s by %d witnesses, and %d were heard", e.FailureScore, e.Engine, e.Number, witnesses))
+		c.late = append(c.late, c.message(e, "witnesses: the failure score %.2f of %s claims %d witnesses, but the histories show %d", e.FailureScore, e.Engine, e.Number, witnesses))
 	}
 	delete(view.suspectedUntil, e.Engine)
 	if e.FailureScore > 0 {
-		// The score ends by the clock of the process that decides, however late it learns of it.
+		// The validity of the score starts when the process read the reports, even if the process recorded the score later.
 		view.suspectedUntil[e.Engine] = e.ObservedAt + e.ValidNanos
 	}
 	suspected := 0
@@ -199,11 +199,12 @@
 		}
 	}
 	if maxSuspected := max(1, int(view.maxEjectedShare*float64(len(view.endpoints)))); suspected > maxSuspected {
-		c.late = append(c.late, c.message(e, "part: hearsay holds something against %d engines at a time, of %d at most %d", suspected, len(view.endpoints), maxSuspected))
+		c.late = append(c.late, c.message(e, "part: reports of other members count against %d engines at a time; of %d engines they may count against %d", suspected, len(view.endpoints), maxSuspected))
 	}
 }
 
-// countWitnesses counts the members whose reports of a failure still count, the process itself among them.
+// countWitnesses returns the number of members whose reports of a failure of the engine still count. It includes the process itself if
+// it observed such a failure.
 func (c *historyChecker) countWitnesses(view *clusterView, e *history.Event) int {
 	witnesses := 0
 	for _, heardAt := range view.failureReportedAt[e.Engine] {
--- a/internal/testbed/faulttest/check_counts.go
+++ b/internal/testbed/faulttest/check_counts.go
@@ -9,12 +9,13 @@
 	"magpiebank/internal/cluster/history"
 )
 
-// countWriteDelay is how long after a change of a count the history may have it, in nanoseconds.
+// countWriteDelay is the largest delay between a change of a count and its event in the history, in nanoseconds.
 const countWriteDelay = int64(30 * time.Millisecond)
 
-// CheckCounts holds what processes read of the cluster's counts against what each of them wrote down of its own: as of the instant of a
-// reading the true sum must lie in its interval. A process that was killed has nothing from its last event on; as nobody can know that,
-// what it had last may count or not. Nor is a process counted of which another has the name, though it may still serve.
+// CheckCounts compares the cluster-wide counts that processes read with the counts that each process recorded of its own requests. At the
+// instant that a reading refers to, the true sum must be in the interval that was read. A process that was killed has no requests after
+// its last event. Other processes cannot know this, so its last counts may be included or not. The same holds for a process whose name
+// a later process has taken, although it may still serve requests.
 func CheckCounts(events []history.Event) (out []string) {
 	counts := readOwnCounts(events)
 	for i := range events {
@@ -24,22 +25,22 @@
 		}
 		least, most := counts.interval(e)
 		if e.Number > most || e.High >= 0 && e.High < least {
-			out = append(out, fmt.Sprintf("%.3f s, %s: count: as of %.3f s ago %d to %d tasks were read that %s, in truth %d to %d", float64(e.At-events[0].At)/1e9, e.Process,
+			out = append(out, fmt.Sprintf("%.3f s, %s: count: the reading of %.3f s ago says that %d to %d requests %s, but the histories show %d to %d", float64(e.At-events[0].At)/1e9, e.Process,
 				float64(e.AgeNanos)/1e9, e.Number, e.High, e.Code[:len(e.Code)-1], least, most))
 		}
 	}
 	return out
 }
 
-// ownCounts are the counts that processes wrote down of their own requests.
+// ownCounts holds the counts that each process recorded of its own requests.
 type ownCounts struct {
 	owners  []incarnation
 	changes map[incarnation][]countChange
-	lastAt  map[incarnation]int64 // when it wrote down its last event
-	stopped map[incarnation]bool  // ended in its turn, not killed
+	lastAt  map[incarnation]int64 // time of the process's last event
+	stopped map[incarnation]bool  // processes that stopped in an orderly way, and were not killed
 }
 
-// countChange is a pair of counts, of requests that wait and that run, and since when they hold.
+// countChange holds the numbers of waiting and running requests of a process, which are valid from the time at on.
 type countChange struct {
 	at     int64
 	counts [2]int
@@ -64,7 +65,8 @@
 	return c
 }
 
-// interval is where the true sum may lie as of the instant of a reading, whose age is by a clock that runs up to a twentieth off.
+// interval returns the range of the true sum at the instant that a reading refers to. The reading's age was measured with a clock that
+// may run up to a twentieth too fast or too slow.
 func (c *ownCounts) interval(reading *history.Event) (least, most int) {
 	countIndex := btoi(reading.Code == "runs")
 	at := reading.At - reading.AgeNanos
@@ -77,7 +79,7 @@
 	return least, most
 }
 
-// ownInterval is the range of one process's count between two instants.
+// ownInterval returns the range of one process's count between two instants.
 func (c *ownCounts) ownInterval(owner incarnation, countIndex int, from, until int64) (low, high int) {
 	low = math.MaxInt
 	include := func(count int) {
@@ -102,7 +104,8 @@
 	return low, high
 }
 
-// mayBeUncounted tells whether others may take a process for gone at an instant.
+// mayBeUncounted reports whether other processes may leave out a process at an instant because they consider it replaced, stopped or
+// dead.
 func (c *ownCounts) mayBeUncounted(owner incarnation, at int64) bool {
 	replaced := slices.ContainsFunc(c.owners, func(other incarnation) bool {
 		return other.process == owner.process && other.start > owner.start
--- a/internal/testbed/faulttest/check_policies.go
+++ b/internal/testbed/faulttest/check_policies.go
@@ -10,22 +10,23 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// PolicyMetrics are what a run came to as to policies.
+// PolicyMetrics summarizes the policy changes and the decisions under policies in a run.
 type PolicyMetrics struct {
-	Decisions      int           `json:"decisions"` // that bear a number
-	OlderDecisions int           `json:"older"`     // by an older number after a newer one
-	RejectedUnsure int           `json:"unsure"`    // loads rejected as no policy was known to be in force
-	Loads          int           `json:"loads"`     // that came
-	Highest        int           `json:"highest"`   // number in force
-	WriteGapP50    time.Duration `json:"gap50"`     // between the check whether an attempt may be written, and the write
+	Decisions      int           `json:"decisions"` // decisions on requests that name a policy revision
+	OlderDecisions int           `json:"older"`     // decisions that rest on an older revision after a decision rested on a newer one
+	RejectedUnsure int           `json:"unsure"`    // loads rejected because the gateway did not know which policy is in force
+	Loads          int           `json:"loads"`     // all loads that clients sent
+	Highest        int           `json:"highest"`   // highest policy revision that a decision rests on
+	WriteGapP50    time.Duration `json:"gap50"`     // time from the check whether an attempt may be sent to its write
 	WriteGapP99    time.Duration `json:"gap99"`
 	WriteGapMax    time.Duration `json:"gap_most"`
-	DecisionP50    time.Duration `json:"took50"` // of proposals that were decided
+	DecisionP50    time.Duration `json:"took50"` // time that decided proposals took
 	DecisionP99    time.Duration `json:"took99"`
 }
 
-// CheckPolicies reads a merged history for what must hold of policies: nobody decides by a number after anybody has decided by a later one;
-// one number is one policy; who decides by a number has written down that it holds a lease on it.
+// CheckPolicies checks a merged history for the rules of policies. No process makes a decision with a policy revision after any process
+// has made one with a later revision. Each revision is one policy. A process that makes a decision with a revision has recorded that it
+// holds a lease on that revision.
 func CheckPolicies(events []history.Event) (PolicyMetrics, []string) {
 	c := &policyChecker{
 		digests:     map[int]string{},
@@ -56,14 +57,14 @@
 	return c.metrics, c.violations
 }
 
-// policyChecker follows which policy each incarnation of a process goes by, and collects the violations.
+// policyChecker tracks which policy each incarnation of a process applies, and collects the violations.
 type policyChecker struct {
 	startedAt   int64
-	digests     map[int]string       // by number
-	leases      map[incarnation]int  // the highest number that it holds a lease on, plus one
-	checkedAt   map[requestKey]int64 // when a request was found to be allowed, until it is written
-	firstUsedAt map[int]policyUse    // by number
-	gaps        []time.Duration      // from check to write
+	digests     map[int]string       // by policy revision
+	leases      map[incarnation]int  // highest revision that it held a lease on, plus one; 0: none
+	checkedAt   map[requestKey]int64 // time of the check that allowed a request, until the request is written
+	firstUsedAt map[int]policyUse    // by policy revision
+	gaps        []time.Duration      // times from the check of a request to its write
 	metrics     PolicyMetrics
 	violations  []string
 }
@@ -74,14 +75,14 @@
 	request string
 }
 
-// policyUse is when and by whom a request was decided by a number.
+// policyUse is a decision on a request with a policy revision.
 type policyUse struct {
 	at      int64
 	process string
 }
 
-// firstPolicyUses are, by number, when a request was first surely decided by it. A number is in force from the first write whose check
-// came after it was; so what was checked earlier may be written down later.
+// firstPolicyUses returns, by policy revision, the first decision that was recorded with this revision alone. Decisions that also rest on
+// a proposed policy don't count. The revision is in force from then on. Decisions that were checked earlier may be recorded later.
 func firstPolicyUses(events []history.Event) map[int]policyUse {
 	uses := map[int]policyUse{}
 	for i := range events {
@@ -143,11 +144,11 @@
 	}
 }
 
-// laterUse is the first use of a later number before the check that a decision rests on.
+// laterUse returns the earliest use of a later policy revision, if there is one before the check of the decision.
 func (c *policyChecker) laterUse(decision *history.Event) (number int, first policyUse, found bool) {
 	newest := decision.Number
 	if decision.Ejects {
-		newest++ // what two policies allow holds under both
+		newest++ // a decision that rests on two policies is valid under both
 	}
 	for n, use := range c.firstUsedAt {
 		if n > newest && use.at < decision.ObservedAt && (!found || use.at < first.at) {
@@ -157,7 +158,7 @@
 	return number, first, found
 }
 
-// checkPolicies holds a run's histories and proposals against what must hold.
+// checkPolicies checks a run's histories and proposals, and adds the violations and metrics to the result.
 func (p *run) checkPolicies(r *Result) {
 	metrics, violations := CheckPolicies(r.Events)
 	r.Proposals = p.proposalResults
@@ -172,22 +173,23 @@
 	r.addViolations(violations...)
 }
 
-// checkProposalEnds takes down proposals that did not end, and returns those that ended in two ways.
+// checkProposalEnds adds a timed violation for each proposal that did not end, and returns a violation for each proposal that ended in
+// two different ways.
 func (r *Result) checkProposalEnds() (violations []string) {
 	ends := map[uint64]ProposalResult{}
 	for _, proposal := range r.Proposals {
 		if proposal.End == "unknown" || proposal.End == "pending" {
-			r.addTimedViolations(fmt.Sprintf("eventual: what %s proposed at %v had not ended %v later: %s", proposal.By, proposal.At.Round(time.Millisecond), proposal.Took.Round(time.Millisecond), proposal.Why))
+			r.addTimedViolations(fmt.Sprintf("eventual: the proposal made by %s at %v had not ended %v later: %s", proposal.By, proposal.At.Round(time.Millisecond), proposal.Took.Round(time.Millisecond), proposal.Why))
 		}
 		if earlier, ok := ends[proposal.id]; ok && earlier.End != proposal.End {
-			violations = append(violations, fmt.Sprintf("policy: one proposal is %s and %s", earlier, proposal))
+			violations = append(violations, fmt.Sprintf("policy: one proposal has two outcomes: %s and %s", earlier, proposal))
 		}
 		ends[proposal.id] = proposal
 	}
 	return violations
 }
 
-// checkProposalsInForce returns the proposals that a process went by though they were not decided.
+// checkProposalsInForce returns a violation for each proposal that a process applied although it was not decided.
 func (p *run) checkProposalsInForce(r *Result) (violations []string) {
 	decided := map[string]bool{rollout.DigestOf(p.firstPolicyText()).String(): true}
 	for _, proposal := range r.Proposals {
@@ -202,13 +204,13 @@
 			return e.Kind == history.PolicyChanged && e.Success && e.Code == proposal.digest
 		})
 		if i >= 0 {
-			violations = append(violations, fmt.Sprintf("policy: %s went by what was %s", r.Events[i].Process, proposal))
+			violations = append(violations, fmt.Sprintf("policy: %s applied a proposal with the outcome %s", r.Events[i].Process, proposal))
 		}
 	}
 	return violations
 }
 
-// decidedTimes are how long proposals took that were decided.
+// decidedTimes returns the times that decided proposals took.
 func decidedTimes(proposals []ProposalResult) (took []time.Duration) {
 	for _, proposal := range proposals {
 		if proposal.End == "decided" {
@@ -218,7 +220,7 @@
 	return took
 }
 
-// percentiles sorts times in place, and returns their median and 99th percentile; zeros where there are none.
+// percentiles sorts times in place, and returns their median and 99th percentile. Without times, it returns zeros.
 func percentiles(times []time.Duration) (p50, p99 time.Duration) {
 	if len(times) == 0 {
 		return 0, 0
@@ -227,7 +229,7 @@
 	return times[len(times)/2], times[len(times)*99/100]
 }
 
-// Text writes the metrics for people.
+// Text writes the metrics in readable form.
 func (m *PolicyMetrics) Text(out io.Writer, proposals []ProposalResult) {
 	fmt.Fprintf(out, "%d proposals:", len(proposals))
 	for _, end := range countEnds(proposals) {
@@ -238,7 +240,7 @@
 		m.Decisions, m.OlderDecisions, m.RejectedUnsure, m.Loads, m.WriteGapP50.Seconds()*1000, m.WriteGapP99.Seconds()*1000, m.WriteGapMax.Seconds()*1000)
 }
 
-// countEnds is how many proposals ended in each way, as in "3 decided", sorted by the way.
+// countEnds returns the number of proposals with each outcome, as in "3 decided", sorted by outcome.
 func countEnds(proposals []ProposalResult) (counts []string) {
 	ends := map[string]int{}
 	for _, proposal := range proposals {
--- a/internal/testbed/faulttest/check_quotas.go
+++ b/internal/testbed/faulttest/check_quotas.go
@@ -10,12 +10,12 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// quotaTotals are the totals that quotas had, under which policy numbers, and from when on each replica went by a number.
+// quotaTotals holds the totals of the quotas under each policy revision, and when each replica first applied each revision.
 type quotaTotals struct {
-	byCode       map[string][]quotaTotal
-	appliedSince map[uint64]map[string]int64 // by number and replica: when the replica first went by the number
+	byCode       map[string][]quotaTotal     // by code of the quota
+	appliedSince map[uint64]map[string]int64 // by policy revision and replica: time at which the replica first applied the revision
 	replicas     []string
-	loweredAfter int64 // nanoseconds after which a total that was lowered counts
+	loweredAfter int64 // nanoseconds after which a lowered total must be kept to
 }
 
 type quotaTotal struct {
@@ -49,7 +49,8 @@
 	return totals
 }
 
-// allowed is the most that may be in use of a quota at a time: the highest total among the numbers that may still be in force.
+// allowed returns how much of a quota may be in use at a time. It is the highest total of all policy revisions except those that are
+// older than a revision that a majority of the replicas applied at least loweredAfter before.
 func (t *quotaTotals) allowed(code string, at int64) (most int) {
 	inForce := uint64(0)
 	for number, since := range t.appliedSince {
@@ -71,8 +72,9 @@
 	return most
 }
 
-// CheckEngines holds the loads that run by the engines' own count against the total of threads. What a gateway gave up without the engine
-// hearing of it still runs there: a scenario in which engines are unreachable, or stand still, is not read.
+// CheckEngines compares the number of running loads, as the engines count them, with the total of threads. An engine that receives no
+// cancellation continues to run a load that its gateway has abandoned. So CheckEngines returns nil for scenarios in which engines may be
+// unreachable or faulty.
 func CheckEngines(s *Scenario, runs []fake.RunningChange, startedAt time.Time, startMonotonic int64, totals *quotaTotals) (out []string) {
 	if s.Limits.Threads == 0 || slices.ContainsFunc(s.Steps, hidesEngines) {
 		return nil
@@ -84,13 +86,13 @@
 		}
 		running += change.Delta
 		if most := totals.allowed("loads threads", startMonotonic+int64(change.At.Sub(startedAt))); running > most {
-			out = append(out, fmt.Sprintf("%.3f s: engines: %d loads run there, of %d that may", change.At.Sub(startedAt).Seconds(), running, most))
+			out = append(out, fmt.Sprintf("%.3f s: engines: %d loads run on the engines, at most %d may", change.At.Sub(startedAt).Seconds(), running, most))
 		}
 	}
 	return out
 }
 
-// hidesEngines tells whether engines may be unreachable, or stand still, in a step.
+// hidesEngines reports whether engines may be unreachable or faulty in a step.
 func hidesEngines(step Step) bool {
 	if step.Action == "engine" && step.EngineState != "gone" && step.EngineState != "drains" {
 		return true
@@ -100,9 +102,9 @@
 	})
 }
 
-// CheckQuotas reads a merged history for what all processes use of each quota at every instant. What a process that died had
-// counts until it would have ended: nobody else may use it before. A total that was lowered counts a stated time after a majority of
-// the replicas first went by its number; until then the larger counts.
+// CheckQuotas checks in a merged history that all processes together never use more of a quota than its total. What a process used when
+// it died counts until its validity ends, because no other process may use it before. A lowered total counts from totals.loweredAfter
+// after a majority of the replicas has applied its policy revision; until then the larger total counts.
 func CheckQuotas(events []history.Event, totals *quotaTotals) (out []string) {
 	uses := &quotaUses{reserved: map[quotaOwner][]quotaUse{}, rates: map[quotaOwner]quotaUse{}}
 	for i := range events {
@@ -112,16 +114,16 @@
 		}
 		sum := uses.sum(e.Code, e.At)
 		if most := totals.allowed(e.Code, e.At); sum > most {
-			out = append(out, fmt.Sprintf("%.3f s, %s: budget: %d of %s are in use by all together, of %d", float64(e.At-events[0].At)/1e9, e.Process, sum, e.Code, most))
+			out = append(out, fmt.Sprintf("%.3f s, %s: budget: %d of %s are in use by all processes together, at most %d may be", float64(e.At-events[0].At)/1e9, e.Process, sum, e.Code, most))
 		}
 	}
 	return out
 }
 
-// quotaUses is what all processes use of the quotas.
+// quotaUses holds the current use of the quotas by all processes.
 type quotaUses struct {
 	reserved map[quotaOwner][]quotaUse
-	rates    map[quotaOwner]quotaUse
+	rates    map[quotaOwner]quotaUse // the last rate granted to each process
 }
 
 type quotaOwner struct {
@@ -134,7 +136,7 @@
 	until  int64
 }
 
-// record takes in an event, and tells whether a use may have grown by it.
+// record applies an event, and reports whether it may have increased the use of a quota.
 func (u *quotaUses) record(e *history.Event) bool {
 	owner := quotaOwner{incarnationOf(e), e.Code}
 	switch e.Kind {
@@ -150,7 +152,7 @@
 	return false
 }
 
-// release takes out the use of that amount that ends first.
+// release removes a use of the given amount, the one that ends first.
 func (u *quotaUses) release(owner quotaOwner, amount int) {
 	first := -1
 	uses := u.reserved[owner]
@@ -164,7 +166,7 @@
 	}
 }
 
-// sum is what is in use of one quota at an instant.
+// sum returns how much of a quota is in use at an instant.
 func (u *quotaUses) sum(code string, at int64) int {
 	sum := 0
 	for owner, uses := range u.reserved {
--- a/internal/testbed/faulttest/clients.go
+++ b/internal/testbed/faulttest/clients.go
@@ -12,7 +12,7 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// requestRate is how many requests a second come to a gateway at a time from the load's begin.
+// requestRate returns the requests per second that a gateway receives at a time since the start of the load.
 func (p *run) requestRate(g *installation.Gateway, at time.Duration) float64 {
 	rate := p.scenario.RequestRate
 	for _, step := range p.scenario.Steps {
@@ -26,20 +26,21 @@
 
 const (
 	idleConnections = 8
-	// maxGap is the longest gap that is drawn at once: after it the next one is drawn anew, as the rate may have changed.
+	// maxGap is the longest time between two requests that is used as drawn. After a longer gap was drawn, the client waits for maxGap
+	// and draws again, because the rate may have changed.
 	maxGap = 250 * time.Millisecond
 )
 
-// client sends a gateway its load, each request at its time, whatever became of the others.
+// client sends the load to a gateway. It sends each request when it is due, even if earlier requests have not been answered.
 type client struct {
 	run     *run
 	gateway *installation.Gateway
 	db      *sql.DB
 	random  *rand.Rand
-	number  int // of the client, in the ids of its requests
+	number  int // number of the client, which is part of the ids of its requests
 }
 
-// runClient starts the client of a gateway, which ends with its context.
+// runClient starts the client of a gateway, which runs until ctx ends.
 func (p *run) runClient(ctx context.Context, g *installation.Gateway) {
 	if p.scenario.RequestRate == 0 {
 		return
@@ -56,11 +57,11 @@
 	go func() {
 		defer p.clients.Done()
 		c.sendRequests(ctx)
-		_ = db.Close() // all answers are in, and a connection that can't be closed ends with its gateway
+		_ = db.Close() // all requests have ended, and a connection that cannot be closed ends with its gateway
 	}()
 }
 
-// sendRequests sends requests until its context ends, and returns when all have been answered.
+// sendRequests sends requests until ctx ends, and returns when all of them have ended.
 func (c *client) sendRequests(ctx context.Context) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
@@ -85,7 +86,7 @@
 	}
 }
 
-// sendRequest sends the client's request of an index and records how it ended. Its time counts from when it was due.
+// sendRequest sends the client's request with the given index and records how it ended. Its time is measured from when it was due.
 func (c *client) sendRequest(due time.Time, isLoad bool, index int) {
 	request := Request{
 		Gateway: c.gateway.Label(),
@@ -107,7 +108,7 @@
 	return 0
 }
 
-// query sends one request's statement and returns how it ended.
+// query sends the statement of a request and returns how the request ended.
 func query(db *sql.DB, request *Request, index int, wait time.Duration) string {
 	class, statement := "look", fmt.Sprintf("SELECT nota FROM actas_%d.mesas WHERE clave = 'v%d'", index%4+1, index)
 	if request.Load {
--- a/internal/testbed/faulttest/decode.go
+++ b/internal/testbed/faulttest/decode.go
@@ -11,19 +11,19 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// The ranges of a scenario's fields.
+// Upper limits of a scenario's fields.
 const (
 	maxGateways    = 64
 	maxEngines     = 100
-	maxRequestRate = 1000 // requests a second at a gateway
+	maxRequestRate = 1000 // requests per second at each gateway
 	maxLimit       = 10000
 	maxSeed        = 1 << 31
 )
 
-// actionsOnGateways are the actions of a step that name gateways.
+// actionsOnGateways lists the actions for which a step must name gateways.
 var actionsOnGateways = []string{"kill", "stop", "leave", "start", "twin", "limit", "surge", "propose", "voters", "force", "keep", "revive"}
 
-// decode reads a scenario and reports the first field that is wrong.
+// decode reads a scenario. It returns an error if fields are invalid.
 func decode(file *configfile.Object) (*Scenario, error) {
 	scenario := &Scenario{
 		Name:            file.RequiredText("name"),
@@ -71,7 +71,7 @@
 	return scenario, file.Validate()
 }
 
-// readLimits reads limits of the whole cluster.
+// readLimits reads the limits of the whole cluster.
 func readLimits(file *configfile.Object) installation.ClusterLimits {
 	return installation.ClusterLimits{
 		Threads:    file.Int("threads", 0, 0, maxLimit),
@@ -135,7 +135,7 @@
 		s.Disks[disk.RequiredText("gateway")] = disk.OneOf("be", "full", "full", "slow", "unsynced", "lies") + " " + disk.Duration("after", 0).String()
 	}
 	if !s.Durable && s.Rollout.Voters == 0 {
-		file.Reject("state", "true, or a policy, where disks fail")
+		file.Reject("state", "true, or a policy, if disks fail")
 	}
 }
 
@@ -151,7 +151,7 @@
 		Voters:         file.Texts("voters"),
 	}
 	if (expectation.EjectedEngine == "") != (expectation.Within == 0) {
-		file.Reject("engine", "an engine that turns bad, and within which time it is left alone")
+		file.Reject("engine", "an engine that becomes faulty, and within, the time after which it is left alone")
 	}
 	return expectation
 }
@@ -175,7 +175,7 @@
 	case "propose":
 		step.decodeProposal(file)
 		if s.Rollout.Voters == 0 {
-			file.Reject("do", "policy in the file, by which it is decided on")
+			file.Reject("do", "policy in the file, which configures the voters")
 		}
 	}
 	step.ExtraRate = file.Number("more", 0, 0, maxRequestRate)
@@ -229,11 +229,11 @@
 	case onEngines != (len(t.Engines) > 0) || (onEngines || onDiscovery) != (t.EngineState != ""):
 		file.Reject("do", "engines and be where engines are told to be something, be where the list is")
 	case slices.Contains(actionsOnGateways, t.Action) && len(t.Gateways) == 0:
-		file.Reject("gateways", "some of them, as in ['g1']")
+		file.Reject("gateways", "at least one gateway, as in ['g1']")
 	}
 	for _, pattern := range slices.Concat(t.From, t.To, t.Gateways, t.Engines) {
 		if _, err := path.Match(pattern, ""); err != nil {
-			file.Reject("do", "names, with * for any letters; "+pattern+" is none")
+			file.Reject("do", "patterns of names, with * for any characters; "+pattern+" is invalid")
 		}
 	}
 }
--- a/internal/testbed/faulttest/disturbance.go
+++ b/internal/testbed/faulttest/disturbance.go
@@ -9,14 +9,15 @@
 	"magpiebank/internal/cluster/history"
 )
 
-// connectWithin is how long a connection between the processes of a scenario may take to come up: the shortest time limit that they keep.
+// connectWithin is the time limit for opening a connection between the processes of a scenario. It is the shortest time limit that the
+// processes have.
 const connectWithin = 250 * time.Millisecond
 
-// wakeInterval is how often a wakeMeter is to be woken.
+// wakeInterval is the time between two wake-ups of a wakeMeter.
 const wakeInterval = 5 * time.Millisecond
 
-// wakeMeter measures the longest delay with which this process wakes a goroutine whose time has come. It is long where the machine, or
-// the testbed itself, asks for more than the cores give, and then clients and engines of a scenario are as late.
+// wakeMeter measures the longest delay with which this process wakes a goroutine after its timer has expired. The delay is long if the
+// machine or the testbed needs more CPU time than the cores have. The clients and engines of a scenario are then late by as much.
 type wakeMeter struct {
 	longest  atomic.Int64
 	stopOnce sync.Once
@@ -49,14 +50,15 @@
 	}
 }
 
-// stop ends the measurement, if it hasn't ended, and tells the longest delay.
+// stop ends the measurement and returns the longest delay. It may be called again.
 func (m *wakeMeter) stop() time.Duration {
 	m.stopOnce.Do(func() { close(m.stopped) })
 	<-m.ended
 	return time.Duration(m.longest.Load())
 }
 
-// wakeDelay is the longest delay that gateways wrote down of themselves, except those that the scenario itself stops.
+// wakeDelay returns the longest delay that gateways recorded of their own wake-ups. It leaves out gateways that the scenario itself may
+// stop.
 func (s *Scenario) wakeDelay(events []history.Event) time.Duration {
 	longest := int64(0)
 	for i := range events {
@@ -67,7 +69,7 @@
 	return time.Duration(longest)
 }
 
-// mayStop tells whether a scenario stops a process, or may stop it.
+// mayStop reports whether the scenario stops a process, or may stop it at its crash point.
 func (s *Scenario) mayStop(label string) bool {
 	if s.CrashPoint != "" && strings.Contains(s.CrashPoint, "stop") {
 		return true
@@ -80,20 +82,20 @@
 	return false
 }
 
-// Disturbed tells whether the machine was too busy for the run's times to mean anything: the testbed itself, or a gateway, was woken
-// later than the shortest time limit between the processes.
+// Disturbed reports whether the machine was too busy for the run's times to be meaningful. This is so if the testbed or a gateway was
+// woken later than the shortest time limit between the processes.
 func (r *Result) Disturbed() bool { return r.WakeDelay >= connectWithin }
 
-// MustRepeat tells whether a run has to be played again, as it was disturbed and violated nothing but what rests on time. What must hold
-// whatever the times are counts in any run.
+// MustRepeat reports whether the run must be repeated, because it was disturbed and has only timed violations. Other violations count
+// in every run, because they do not depend on time.
 func (r *Result) MustRepeat() bool {
 	return r.Disturbed() && !r.Good() && r.timedViolations == len(r.Violations)
 }
 
-// addViolations takes down what must hold at every instant, and did not.
+// addViolations records violations of rules that must hold at every instant.
 func (r *Result) addViolations(what ...string) { r.Violations = append(r.Violations, what...) }
 
-// addTimedViolations takes down what was to come about within a time, and did not.
+// addTimedViolations records violations that depend on time: something did not happen in time, or a busy machine can cause them.
 func (r *Result) addTimedViolations(what ...string) {
 	r.addViolations(what...)
 	r.timedViolations += len(what)
--- a/internal/testbed/faulttest/disturbance_test.go
+++ b/internal/testbed/faulttest/disturbance_test.go
@@ -7,7 +7,7 @@
 	"magpiebank/internal/cluster/history"
 )
 
-// Only a disturbed run in which nothing but time was missed is played again.
+// TestOnlyTimedViolationsAreRepeated checks that a run is repeated only if it was disturbed and all its violations depend on time.
 func TestOnlyTimedViolationsAreRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -30,43 +30,45 @@
 	}
 }
 
-// The longest delay counts, whenever it was, and stopping twice is harmless.
+// TestWakeMeterKeepsTheLongestDelay checks that the longest delay is returned even if shorter ones follow, and that stop may be called
+// twice.
 func TestWakeMeterKeepsTheLongestDelay(t *testing.T) {
 	m := newWakeMeter()
 	m.observe(time.Hour)
 	m.observe(time.Minute)
 	if got := m.stop(); got != time.Hour {
-		t.Errorf("%v", got)
+		t.Errorf("longest delay: %v, expected 1h", got)
 	}
 	if got := m.stop(); got != time.Hour {
-		t.Errorf("%v after a second stop", got)
+		t.Errorf("longest delay after a second stop: %v, expected 1h", got)
 	}
 }
 
-// A disturbed run halves how many are played at a time, down to one; those beside it count with it.
+// TestFewerScenariosAtATimeOnceDisturbed checks that a disturbed run halves the number of scenarios that run at a time, down to one.
+// Further disturbed runs that started under the same limit do not halve it again.
 func TestFewerScenariosAtATimeOnceDisturbed(t *testing.T) {
 	limiter := newScenarioLimiter(100)
 	for range 8 {
 		limiter.acquire()
 	}
 	for _, c := range []struct {
-		disturbed      bool
-		capacity, want int
+		disturbed          bool
+		startedUnder, want int
 	}{{false, 100, 100}, {true, 100, 3}, {true, 100, 3}, {false, 3, 3}, {true, 3, 1}, {true, 1, 1}} {
-		if limiter.release(c.disturbed, c.capacity); limiter.capacity != c.want {
-			t.Errorf("after a run beside up to %d, disturbed %v: %d at a time, expected %d", c.capacity, c.disturbed, limiter.capacity, c.want)
+		if limiter.release(c.disturbed, c.startedUnder); limiter.capacity != c.want {
+			t.Errorf("after a run that started with a limit of %d, disturbed %v: the limit is %d, expected %d", c.startedUnder, c.disturbed, limiter.capacity, c.want)
 		}
 	}
 	limiter.release(false, 1)
 	entered := make(chan int)
-	go func() { entered <- limiter.acquire() }() // one is still in, so this waits
+	go func() { entered <- limiter.acquire() }() // one scenario is still running, so this waits
 	limiter.release(false, 1)
 	if got := <-entered; got != 1 {
-		t.Errorf("entered beside %d", got)
+		t.Errorf("acquire returned the limit %d, expected 1", got)
 	}
 }
 
-// What gateways wrote down of themselves counts, but for those that the scenario has stand still.
+// TestGatewaysWokenLateDisturbARun checks that delays which gateways recorded count, except those of gateways that the scenario may stop.
 func TestGatewaysWokenLateDisturbARun(t *testing.T) {
 	woke := func(label string, after time.Duration) history.Event {
 		return history.Event{Kind: history.LateWake, Label: label, AgeNanos: int64(after)}
@@ -74,9 +76,9 @@
 	events := []history.Event{woke("g0", 3*time.Second), woke("g1", time.Second), woke("g2", 2*time.Second), {Kind: history.OutcomeObserved, Label: "g1", AgeNanos: int64(time.Hour)}}
 	s := &Scenario{Steps: []Step{{Action: "stop", Gateways: []string{"g0"}}, {Action: "kill", Gateways: []string{"g2"}}}}
 	if got := s.wakeDelay(events); got != 2*time.Second {
-		t.Errorf("%v", got)
+		t.Errorf("longest delay: %v, expected 2s", got)
 	}
 	if got := (&Scenario{CrashPoint: "leading yielding 0 stop"}).wakeDelay(events); got != 0 {
-		t.Errorf("%v where any may be stopped", got)
+		t.Errorf("longest delay if the scenario may stop any gateway: %v, expected 0", got)
 	}
 }
--- a/internal/testbed/faulttest/draw.go
+++ b/internal/testbed/faulttest/draw.go
@@ -10,13 +10,13 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// drawer draws the parts of one scenario. The order of its draws is part of what a seed stands for.
+// drawer generates one scenario from random numbers. If the order of its draws changes, the same seed gives another scenario.
 type drawer struct {
 	random   *rand.Rand
 	scenario *Scenario
 }
 
-// Draw makes a scenario from a seed: some faults at once and one after the other, all over some seconds before the end.
+// Draw generates a scenario from a seed. It has several faults that may overlap. All faults end before the scenario does.
 func Draw(seed uint64, gateways, engines int) *Scenario {
 	random := rand.New(rand.NewPCG(seed, 11))
 	d := &drawer{random: random, scenario: &Scenario{
@@ -50,7 +50,7 @@
 
 func (d *drawer) addStep(step Step) { d.scenario.Steps = append(d.scenario.Steps, step) }
 
-// someGateways draws the names of one gateway or more.
+// someGateways draws the names of one to most different gateways.
 func (d *drawer) someGateways(most int) (names []string) {
 	for _, n := range d.random.Perm(d.scenario.Gateways)[:1+d.random.IntN(most)] {
 		names = append(names, fmt.Sprint("g", n))
@@ -58,16 +58,16 @@
 	return names
 }
 
-// instant draws a time from half a second on, within a span in milliseconds.
+// instant draws a time between 500 ms and 500 ms + spanMillis.
 func (d *drawer) instant(spanMillis int) time.Duration {
 	return time.Duration(500+d.random.IntN(spanMillis)) * time.Millisecond
 }
 
-// threads draws a total of threads.
+// threads draws a total of threads, between 1 and twice the number of gateways.
 func (d *drawer) threads() int { return 1 + d.random.IntN(2*d.scenario.Gateways) }
 
-// drawQuota adds a quota, clocks that drift, surges and changes of the limit. Clients wait for less, as a share of the quota is held for
-// at least six times as long.
+// drawQuota adds a quota, clocks that drift, surges and changes of the limit. It lowers the clients' deadline, because a share of the
+// quota is held for at least six times the deadline.
 func (d *drawer) drawQuota() {
 	s := d.scenario
 	s.Limits = installation.ClusterLimits{Threads: d.threads(), Version: 1}
@@ -88,7 +88,7 @@
 	}
 }
 
-// drawnEngineStates are the states that Draw has engines in.
+// drawnEngineStates lists the faulty states of engines that Draw uses.
 var drawnEngineStates = []string{"silent", "errs", "loses", "slow", "refuses", "restarts", "paused"}
 
 func (d *drawer) drawFault() Step {
@@ -122,7 +122,7 @@
 	return step
 }
 
-// drawRule draws what a bad link does to datagrams.
+// drawRule draws the faults of a bad link.
 func (d *drawer) drawRule() faultproxy.Rule {
 	return faultproxy.Rule{
 		Loss:      0.6 * d.random.Float64(),
@@ -134,7 +134,7 @@
 	}
 }
 
-// drawRollout has policies be decided on by voters, and adds proposals while all the rest happens.
+// drawRollout turns the policy rollout on, makes changes of the limit proposals, and adds further proposals during the faults.
 func (d *drawer) drawRollout() {
 	s := d.scenario
 	s.Rollout = installation.Rollout{Voters: 5, Lease: 2 * time.Second, DecideWithin: 2 * time.Second}
@@ -145,7 +145,7 @@
 			step.Policy = installation.Policy{ClusterLimits: step.Limits}
 			step.Limits = installation.ClusterLimits{}
 		}
-		step.Folder = "same" // a majority of voters that lose their state is outside what rollouts promise
+		step.Folder = "same" // rollouts don't guarantee anything if a majority of the voters loses its state
 	}
 	for range 2 + d.random.IntN(3) {
 		step := Step{At: d.instant(9000), Action: "propose", ProposalKind: "change", Gateways: d.someGateways(1), Folder: "same"}
@@ -157,7 +157,8 @@
 	}
 }
 
-// Shrink looks for the fewest steps that still fail; fails plays a scenario. At most attempts of them are played.
+// Shrink removes steps from a failing scenario, one by one, as long as the smaller scenario still fails. It calls fails, which runs a
+// scenario and reports whether it failed, at most tries times.
 func Shrink(s *Scenario, tries int, fails func(*Scenario) bool) *Scenario {
 	for found := true; found; {
 		found = false
--- a/internal/testbed/faulttest/expectations.go
+++ b/internal/testbed/faulttest/expectations.go
@@ -12,10 +12,10 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// excuseMargin is how long before and after a gateway's death a request that it had may end in any way.
+// excuseMargin extends the time of a request on both sides: if its gateway ended in the extended time, the request may end in any way.
 const excuseMargin = time.Second
 
-// check holds what clients, engines and histories recorded against what must hold.
+// check checks the records of clients, engines and histories against all rules, and adds the violations to the result.
 func (p *run) check(r *Result, plan *installation.Plan) {
 	s := p.scenario
 	r.Requests = p.requests
@@ -25,12 +25,12 @@
 	r.SlowStarts = slowStartRecords(s, plan.SlowStart, plan.Behavior.Cores, p.installation.Log.Sent(), p.startedAt)
 	for _, record := range r.SlowStarts {
 		if record.MaxOverload > 1 {
-			// A fake that was late reads what came over a while in one moment.
-			r.addTimedViolations(fmt.Sprintf("rule 4: %s, which started at %v, was sent %.2f times what tips it over", record.Engine, record.At, record.MaxOverload))
+			// The violation depends on time, because a fake engine that is woken late reads the requests of a longer time at once.
+			r.addTimedViolations(fmt.Sprintf("rule 4: %s, which started at %v, was sent %.2f times the work that overloads it", record.Engine, record.At, record.MaxOverload))
 		}
 	}
 	loweredAfter := s.ShareTerm + s.ShareTerm/2
-	if s.Rollout.Voters > 0 { // all go by the new total at once: what runs by the old one ends with its request
+	if s.Rollout.Voters > 0 { // all gateways switch to the new total at once; requests that run under the old total end by their deadline
 		loweredAfter = s.MaxWait + s.MaxWait/4
 	}
 	totals := readQuotaTotals(r.Events, p.installation.QuotaReplicas(), loweredAfter)
@@ -51,7 +51,8 @@
 	r.addTimedViolations(r.missedExpectations()...)
 }
 
-// checkRequests holds the clients' side against the engines': one answer each, no load begun twice, no answer that is not true.
+// checkRequests compares how requests ended at the clients with what the engines executed: every request has one answer, no load starts
+// twice, and no answer is false.
 func (p *run) checkRequests(r *Result) {
 	requested, earned := 0.0, 0.0
 	for i := range r.Requests {
@@ -71,16 +72,16 @@
 func (p *run) checkRequest(r *Result, request *Request) {
 	execution, arrived := p.installation.Log.Find(request.id)
 	if request.Load && execution.Starts > 1 {
-		r.addViolations(fmt.Sprintf("rule 2: load %s of %s began %d times", request.id, request.Gateway, execution.Starts))
+		r.addViolations(fmt.Sprintf("rule 2: load %s of %s started %d times", request.id, request.Gateway, execution.Starts))
 	}
 	switch request.End {
 	case sqlclient.Served:
 		if !arrived || execution.Completions == 0 {
-			r.addViolations(fmt.Sprintf("rule 1: %s of %s was delivered, and never ran", request.id, request.Gateway))
+			r.addViolations(fmt.Sprintf("rule 1: request %s of %s was served, but never ran", request.id, request.Gateway))
 		}
 	case sqlclient.Rejected:
 		if request.Load && execution.Starts > 0 {
-			r.addViolations(fmt.Sprintf("rule 1: load %s of %s was nacked, and ran", request.id, request.Gateway))
+			r.addViolations(fmt.Sprintf("rule 1: load %s of %s was rejected, but ran", request.id, request.Gateway))
 		}
 	case sqlclient.Failed, sqlclient.NotConnected:
 	default:
@@ -88,20 +89,20 @@
 	}
 }
 
-// checkUnexpectedEnd takes down an end that no client should see, unless a fault at the gateway explains it.
+// checkUnexpectedEnd records a violation for an outcome that no client should see, unless a fault at the gateway explains it.
 func (p *run) checkUnexpectedEnd(r *Result, request *Request) {
 	if p.isExcused(request) {
 		return
 	}
-	violation := fmt.Sprintf("rule 1: %s of %s, sent at %v, ended as %q", request.id, request.Gateway, request.At.Round(time.Millisecond), request.End)
-	if request.End == sqlclient.TimedOut || request.End == sqlclient.ConnectionLost { // as for a slow client, whose connection is closed
+	violation := fmt.Sprintf("rule 1: request %s of %s, sent at %v, ended as %q", request.id, request.Gateway, request.At.Round(time.Millisecond), request.End)
+	if request.End == sqlclient.TimedOut || request.End == sqlclient.ConnectionLost { // depends on time: the connection of a slow client is closed as well
 		r.addTimedViolations(violation)
 	} else {
 		r.addViolations(violation)
 	}
 }
 
-// isExcused tells whether the gateway died, or was stopped, while it had a request.
+// isExcused reports whether the gateway ended, or was stopped, while it had the request.
 func (p *run) isExcused(request *Request) bool {
 	return p.wasKilledDuring(request) || p.crashedDuring(request) || p.wasStoppedDuring(request)
 }
@@ -112,8 +113,8 @@
 	})
 }
 
-// crashedDuring tells whether the scenario's crash point may have ended the request's gateway. Which of the voters it ended is not
-// known, so it excuses the requests of all, until one is revived.
+// crashedDuring reports whether the scenario's crash point may have ended the request's gateway. It is not known which of the voters the
+// crash point ended. So the crash excuses the requests of all voters, until the step that revives gateways.
 func (p *run) crashedDuring(request *Request) bool {
 	if p.scenario.CrashPoint == "" {
 		return false
--- a/internal/testbed/faulttest/outages.go
+++ b/internal/testbed/faulttest/outages.go
@@ -10,19 +10,19 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// Outage is a time in which an engine was faulty, and how the gateways dealt with it.
+// Outage is a period in which an engine was faulty, with measurements of how the gateways reacted.
 type Outage struct {
 	Engine      string        `json:"engine"`
 	EngineState string        `json:"be"`
 	At          time.Duration `json:"at"`
 	Length      time.Duration `json:"length"`
-	T95         time.Duration `json:"t95"`    // after which 95% of the gateways sent it nothing new, to the end of the outage
-	Sent        int           `json:"sent"`   // attempts to it in that time
-	Others      int           `json:"others"` // and to all other engines
-	Served      float64       `json:"served"` // share of the priority weight asked for in that time that was served within the latency objective
+	T95         time.Duration `json:"t95"`    // time after which 95 % of the gateways sent no more attempts to it until the outage ended
+	Sent        int           `json:"sent"`   // attempts sent to the engine during the outage
+	Others      int           `json:"others"` // attempts sent to all other engines during the outage
+	Served      float64       `json:"served"` // share of the priority weight of the requests during the outage that was served within the latency objective
 }
 
-// Outages are the outages of engines in a run.
+// Outages returns the outages of engines in a run.
 func (r *Result) Outages() (outages []Outage) {
 	for _, step := range r.Scenario.Steps {
 		if step.Action != "engine" || step.Until == 0 {
@@ -37,7 +37,7 @@
 
 func (r *Result) outage(engine string, step Step) Outage {
 	outage := Outage{Engine: engine, EngineState: step.EngineState, At: step.At, Length: step.Until - step.At}
-	lastSent := map[string]time.Duration{} // by gateway: its last attempt, from the outage's begin
+	lastSent := map[string]time.Duration{} // by gateway: time of its last attempt, since the start of the outage
 	for _, e := range r.Events {
 		at := time.Duration(e.At - r.StartMonotonic)
 		if e.Kind != history.AttemptSent || at < step.At || at >= step.Until {
@@ -70,7 +70,7 @@
 	return outage
 }
 
-// Compare writes the outages of a run with shared health reports beside those of one without.
+// Compare writes a table with the outages of a run with shared health reports and of one without.
 func Compare(out io.Writer, with, without *Result) {
 	shared, unshared := with.Outages(), without.Outages()
 	fmt.Fprintf(out, "%s: %d gateways, %d engines, %.1f tasks a second each; real processes and sockets on loopback, both at the same time\n", with.Scenario.Name,
@@ -90,7 +90,7 @@
 	}
 }
 
-// bytesPerSecond is what a gateway sent in datagrams, in the mean.
+// bytesPerSecond returns the mean rate of bytes that a gateway sent in datagrams.
 func bytesPerSecond(r *Result) float64 {
 	return float64(r.Counts.Bytes) / r.Scenario.Length.Seconds() / float64(r.Scenario.Gateways)
 }
--- a/internal/testbed/faulttest/outcome.go
+++ b/internal/testbed/faulttest/outcome.go
@@ -10,14 +10,14 @@
 	"sync"
 )
 
-// Outcome is what came of a scenario: one run, or those that are compared, the one of interest first.
+// Outcome holds the results of a scenario: of one run, or of several runs that are compared, with the most relevant one first.
 type Outcome struct {
 	Results []*Result
 	Text    func(out io.Writer)
-	Data    any // what Text prints, for encoding/json
+	Data    any // the values that Text prints, to be encoded as JSON
 }
 
-// Good tells whether nothing was violated in any run.
+// Good reports whether no run has violations.
 func (o *Outcome) Good() bool {
 	for _, r := range o.Results {
 		if !r.Good() {
@@ -27,8 +27,11 @@
 	return true
 }
 
-// RunScenario plays a scenario as it is meant to be: one that measures health reports with sharing and without, one that measures quotas with each way
-// of sharing them, or the first few, one with engines that are warming up with slow-start quotas shared and by number, any other by itself.
+// RunScenario runs a scenario in all variants that it is meant to compare. Scenarios that measure health reports, or all scenarios with
+// compareSharing, run with and without shared health reports. Scenarios with engines that warm up run with slow-start quotas shared by
+// messages and divided by the number of gateways. Scenarios with phases and voters run with a policy rollout and with policy files.
+// Other scenarios with phases run with each way of sharing a quota; if maxModes is above 0, only with the first maxModes ways and
+// without a limit. Any other scenario runs once.
 func RunScenario(ctx context.Context, s *Scenario, folder, program string, compareSharing bool, maxModes int) (*Outcome, error) {
 	switch {
 	case compareSharing || strings.HasPrefix(s.Name, "judgement"):
@@ -71,7 +74,8 @@
 	}, r}, nil
 }
 
-// RunWithAndWithoutSharing plays a scenario with sharing and without, at the same time on the same machine, so that both have the same of it.
+// RunWithAndWithoutSharing runs a scenario with and without shared health reports. Both runs take place at the same time on the same
+// machine, so that their conditions are the same.
 func RunWithAndWithoutSharing(ctx context.Context, s *Scenario, folder, program string) (with, without *Result, err error) {
 	var all sync.WaitGroup
 	var errs [2]error
--- a/internal/testbed/faulttest/page.go
+++ b/internal/testbed/faulttest/page.go
@@ -17,38 +17,38 @@
 
 var page = template.Must(template.New("page").Parse(pageText))
 
-// The picture's sizes, in points.
+// Sizes in the picture, in units of the SVG.
 const (
 	rowHeight = 22
-	leftEdge  = 70
-	plotWidth = 1000
+	leftEdge  = 70   // x of the start of the load
+	plotWidth = 1000 // from the start of the load to the end of the picture's time
 )
 
-// band is a fault, from X on over the width W in the row whose top is Y.
+// band is a rectangle that shows a fault: X and Y are its top left corner, W and H its width and height, Say its tooltip.
 type band struct {
 	X, Y, W, H float64
 	Class, Say string
 }
 
-// mark is a decision.
+// mark is a circle that shows an event of a history, such as an attempt or a decision. Say is its tooltip.
 type mark struct {
 	X, Y       float64
 	Class, Say string
 }
 
-// row is the name of a process or an engine, beside its row.
+// row is the label of a process's or an engine's row.
 type row struct {
 	Y    float64
 	Name string
 }
 
-// axisLabel is one time on the axis.
+// axisLabel is a labeled time on the time axis.
 type axisLabel struct {
 	X    float64
 	Text string
 }
 
-// picture is what the page's template is filled with.
+// picture holds the values for the page's template.
 type picture struct {
 	Title, Verdict string
 	Good           bool
@@ -61,15 +61,15 @@
 	Width, Height  float64
 }
 
-// pageWriter lays out a run on its page.
+// pageWriter computes the positions of a run's faults and events on its page.
 type pageWriter struct {
 	picture picture
-	length  time.Duration      // that the page's width stands for
-	rows    map[string]float64 // by name of a process or an engine: the top of its row
+	length  time.Duration      // time that the width of the picture represents
+	rows    map[string]float64 // by process or engine: y of the top of its row
 	labels  map[incarnation]string
 }
 
-// x is where a time from the load's begin lies.
+// x returns the horizontal position of a time since the start of the load.
 func (w *pageWriter) x(at time.Duration) float64 {
 	return leftEdge + plotWidth*float64(max(0, min(at, w.length)))/float64(w.length)
 }
@@ -84,7 +84,7 @@
 	w.picture.Marks = append(w.picture.Marks, mark{at, top + rowHeight/2, class, tooltip})
 }
 
-// Page writes a run as a page: a row for each process and engine, faults as bands, decisions as marks.
+// Page writes an HTML page about a run. Its picture has a row for each process and engine, with faults as bands and events as marks.
 func (r *Result) Page(out io.Writer) error {
 	s := r.Scenario
 	w := &pageWriter{
@@ -117,10 +117,10 @@
 	return page.Execute(out, w.picture)
 }
 
-// instantWidth is how long a step without a length is drawn.
+// instantWidth is the length of time with which a step without a length is drawn.
 const instantWidth = 300 * time.Millisecond
 
-// addStep draws a step as a band in the row of everyone that it names.
+// addStep draws a step as a band in the row of each process and engine that the step names.
 func (w *pageWriter) addStep(step *Step, length time.Duration) {
 	until := step.Until
 	switch {
@@ -139,7 +139,8 @@
 	}
 }
 
-// rowPatterns are the patterns of those in whose rows a step is drawn.
+// rowPatterns returns the patterns of the processes and engines in whose rows a step is drawn. For a link to all gateways or to
+// everything, these are only the senders.
 func (t *Step) rowPatterns() []string {
 	if t.Action != "link" {
 		return slices.Concat(t.From, t.Gateways, t.Engines)
@@ -150,7 +151,8 @@
 	return slices.Concat(t.From, t.Gateways, t.Engines, t.To)
 }
 
-// addEvent draws an event as a mark in the row of its process, and an attempt in the row of its engine too.
+// addEvent draws an event as a mark in the row of its process, and an attempt also in the row of its engine. Other kinds of events than
+// attempts, ejections and membership changes are not drawn.
 func (w *pageWriter) addEvent(e *history.Event, startMonotonic int64) {
 	top, ok := w.rows[w.labels[incarnationOf(e)]]
 	if !ok {
@@ -172,7 +174,8 @@
 	}
 }
 
-// labels tells the row of each process: a twin's is its own, though it bears another's name.
+// labels returns the label of each incarnation's process, which names its row. A twin has its own label, although it has the name of
+// another process.
 func (r *Result) labels() map[incarnation]string {
 	labels := map[incarnation]string{}
 	for i := range r.Events {
--- a/internal/testbed/faulttest/playing_test.go
+++ b/internal/testbed/faulttest/playing_test.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// scenarioLimiter bounds how many scenarios are played at a time: fewer, once a run shows that they are too many for the machine.
+// scenarioLimiter limits how many scenarios run at a time. It lowers the limit when a disturbed run shows that the machine is overloaded.
 type scenarioLimiter struct {
 	mu       sync.Mutex
 	released sync.Cond
-	capacity int
+	capacity int // scenarios that may run at a time
 	running  int
 }
 
-// limiter is the limit of this package's tests. They begin with as many as go test -parallel lets run.
+// limiter limits the scenarios of this package's tests. Its first limit is so high that only go test -parallel limits them.
 var limiter = newScenarioLimiter(1 << 10)
 
 func newScenarioLimiter(capacity int) *scenarioLimiter {
@@ -19,7 +19,7 @@
 	return l
 }
 
-// acquire waits for a turn, and tells how many there are by now.
+// acquire waits until fewer scenarios are running than the limit allows, and returns the current limit.
 func (l *scenarioLimiter) acquire() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,8 +30,8 @@
 	return l.capacity
 }
 
-// release ends a turn that was taken when there were so many. A disturbed run has half as many turns be there as are taken; the others of
-// its time say nothing more.
+// release ends a run that started when acquire returned the given capacity. After a disturbed run it sets the limit to half the number of
+// running scenarios, but at least to one. Further runs that started under the same limit do not lower it again.
 func (l *scenarioLimiter) release(disturbed bool, capacity int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/faulttest/policy_modes.go
+++ b/internal/testbed/faulttest/policy_modes.go
@@ -13,34 +13,35 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// PolicyMode is one way in which policies change, and what came of a run with it.
+// PolicyMode is one way of changing policies, with the result of a run that uses it.
 type PolicyMode struct {
 	Name      string        `json:"name"`
 	Result    *Result       `json:"result"`
 	Phases    []PolicyPhase `json:"phases"`
-	OlderUses int           `json:"older"` // uses of shared quotas, by an older number after a newer one
-	Uses      int           `json:"uses"`
+	OlderUses int           `json:"older"` // uses of shared quotas under an older policy revision after a use under a newer one
+	Uses      int           `json:"uses"`  // all uses of shared quotas
 }
 
-// PolicyPhase is what changes came to in one phase.
+// PolicyPhase summarizes the policy changes and requests of one phase.
 type PolicyPhase struct {
 	Phase
 	Proposals      int           `json:"proposals"`
 	Ends           []string      `json:"ends"`
-	DecisionP50    time.Duration `json:"took50"` // of those that were decided
+	DecisionP50    time.Duration `json:"took50"` // time that decided proposals took
 	DecisionP99    time.Duration `json:"took99"`
 	Loads          int           `json:"loads"`
-	RejectedUnsure int           `json:"unsure"` // loads rejected for want of a lease
-	Served         float64       `json:"served"` // share of the priority weight asked for
+	RejectedUnsure int           `json:"unsure"` // loads rejected because the gateway held no lease on a policy
+	Served         float64       `json:"served"` // share of the priority weight of all requests that was served within the latency objective
 	OlderUses      int           `json:"older"`
-	P50            time.Duration `json:"p50"` // of look-ups that came in it and were served
+	P50            time.Duration `json:"p50"` // latency of look-ups that were sent in the phase and served
 	P99            time.Duration `json:"p99"`
 }
 
-// pauseBetweenFiles is the time from one gateway's new file to the next one's, as a script would go through them.
+// pauseBetweenFiles is the time between the new files of two gateways, as in a script that updates one gateway after the other.
 const pauseBetweenFiles = 100 * time.Millisecond
 
-// ComparePolicyModes plays a scenario with a policy rollout, and the same changes from files that gateways read at SIGHUP one after the other.
+// ComparePolicyModes runs a scenario twice: with a policy rollout, and with the same changes in operator files that the gateways read at
+// SIGHUP, one gateway after the other.
 func ComparePolicyModes(ctx context.Context, s *Scenario, folder, program string) (list []*PolicyMode, err error) {
 	scenarios := []*Scenario{s, s.withPolicyFiles()}
 	for i, mode := range []*PolicyMode{{Name: "charter"}, {Name: "files at SIGHUP"}} {
@@ -59,7 +60,8 @@
 	return list, nil
 }
 
-// withPolicyFiles is the scenario without a rollout: each proposal is a new file for one gateway after the other.
+// withPolicyFiles returns the scenario without a rollout. Each proposal is replaced by new operator files, for one gateway after the
+// other.
 func (s *Scenario) withPolicyFiles() *Scenario {
 	files := *s
 	files.Rollout, files.Steps = installation.Rollout{}, nil
@@ -84,7 +86,8 @@
 	return &files
 }
 
-// countUses counts uses of quotas, and returns when a process used one by an older number than anyone had used one by before.
+// countUses counts the uses of quotas. olderUses has the times of those under an older policy revision than an earlier use by any
+// process.
 func (r *Result) countUses() (uses int, olderUses []time.Duration) {
 	numbers := map[incarnation]uint64{}
 	highest := uint64(0)
@@ -105,7 +108,7 @@
 	return uses, olderUses
 }
 
-// contains tells whether an instant, counted from the load's begin, lies in the phase.
+// contains reports whether a time since the start of the load is in the phase.
 func (p *Phase) contains(at time.Duration) bool { return at >= p.At && at < p.Until }
 
 func (r *Result) policyPhase(phase Phase, olderUses []time.Duration) PolicyPhase {
@@ -132,7 +135,7 @@
 	return metrics
 }
 
-// measureRequests takes in the requests that came in the phase.
+// measureRequests computes the metrics of the requests that were sent in the phase.
 func (p *PolicyPhase) measureRequests(requests []Request) {
 	requested, earned := 0.0, 0.0
 	var took []time.Duration
@@ -154,7 +157,7 @@
 	}
 }
 
-// WritePolicyModes writes the modes one below the other.
+// WritePolicyModes writes a table for each mode.
 func WritePolicyModes(out io.Writer, list []*PolicyMode) {
 	s := list[0].Result.Scenario
 	fmt.Fprintf(out, "%s: %d gateways, %d voters, lease %v, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Rollout.Voters, s.Rollout.Lease,
--- a/internal/testbed/faulttest/print.go
+++ b/internal/testbed/faulttest/print.go
@@ -10,16 +10,16 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// scenarioWriter writes fields of a scenario's file.
+// scenarioWriter writes the fields of a scenario as Jsonnet.
 type scenarioWriter struct{ strings.Builder }
 
-// field writes a field; values are marshalled as JSON, which is Jsonnet as well.
+// field writes a field with its value as JSON, which is valid Jsonnet.
 func (w *scenarioWriter) field(name string, value any) {
-	text, _ := json.Marshal(value) // of texts, numbers and lists of them, which always can be
+	text, _ := json.Marshal(value) // strings, numbers, booleans, and lists and maps of them can always be encoded
 	fmt.Fprintf(w, " %s: %s,", name, text)
 }
 
-// fieldIf writes a field where a condition holds.
+// fieldIf writes a field if the condition is true.
 func (w *scenarioWriter) fieldIf(condition bool, name string, value any) {
 	if condition {
 		w.field(name, value)
@@ -40,7 +40,7 @@
 	w.durationIf(limits.Work > 0, "work", limits.Work)
 }
 
-// Text is a file that reads as this scenario.
+// Text returns the text of a file from which Parse reads the same scenario.
 func (s *Scenario) Text() string {
 	w := &scenarioWriter{}
 	w.WriteString("{")
@@ -85,7 +85,8 @@
 	}
 }
 
-// writeFaultyParts writes what is wrong with processes from the start: mutations, clocks, disks.
+// writeFaultyParts writes the faults that processes have from the start: mutations, crash points, clocks and disks. It also writes
+// which gateways are not started.
 func (s *Scenario) writeFaultyParts(w *scenarioWriter) {
 	w.fieldIf(s.Mutation != "", "planted", s.Mutation)
 	w.fieldIf(s.CrashPoint != "", "dies", s.CrashPoint)
@@ -112,7 +113,8 @@
 	w.fieldIf(disks != nil, "disks", disks)
 }
 
-// clockFields are the fields of a clock, from the form of MAGPIEBANK_CLOCK. Those that can't be read are zero, which reads as an error.
+// clockFields returns the fields of a gateway's clock, parsed from the format of MAGPIEBANK_CLOCK. If parsing fails, fields are zero,
+// and reading them from a file gives an error.
 func (s *Scenario) clockFields(gateway string) map[string]any {
 	var rate float64
 	var jump, after string
--- a/internal/testbed/faulttest/proposals.go
+++ b/internal/testbed/faulttest/proposals.go
@@ -14,12 +14,12 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// ProposalResult is a proposal that was made, and what became of it.
+// ProposalResult is a proposal that was made, with its outcome.
 type ProposalResult struct {
-	At     time.Duration `json:"at"` // from the load's begin
+	At     time.Duration `json:"at"` // time since the start of the load
 	By     string        `json:"by"`
 	Took   time.Duration `json:"took"`
-	End    string        `json:"end"` // unknown: no gateway answered
+	End    string        `json:"end"` // outcome in the gateway's reply; unknown: there was no reply with an outcome
 	Number uint64        `json:"number"`
 	Why    string        `json:"why,omitempty"`
 	id     uint64
@@ -31,13 +31,13 @@
 }
 
 const (
-	policyRetryDelay   = 50 * time.Millisecond  // before another gateway is asked
-	proposalRetryDelay = 100 * time.Millisecond // before a proposal is made again, as another one was open
+	policyRetryDelay   = 50 * time.Millisecond  // before a request is sent to another gateway, or the status is requested again
+	proposalRetryDelay = 100 * time.Millisecond // before a proposal is made again because another one was open
 	changeVotersWithin = 10 * time.Second
 )
 
-// proposalTimeout is how long a proposal may take at most while a majority of the voters is there: the rollout's own limit, the longest
-// leases that may have to end, an election, some attempts and the answer.
+// proposalTimeout returns how long a proposal may take while a majority of the voters is running. It covers the rollout's own time
+// limit, the longest leases that may have to end first, an election, several attempts and the reply.
 func (s *Scenario) proposalTimeout() time.Duration {
 	longest := s.Rollout.Lease
 	for _, step := range s.Steps {
@@ -46,14 +46,14 @@
 	return s.Rollout.DecideWithin + 4*longest + 20*time.Second
 }
 
-// isDown tells whether a gateway is not to be running at this time of the scenario.
+// isDown reports whether, according to the scenario, a gateway is not running at present.
 func (p *run) isDown(gateway *installation.Gateway) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.notRunning[gateway.Label()]
 }
 
-// requestPolicy sends a request to a gateway, and to the next ones in turn while it is away.
+// requestPolicy sends a request to the gateway first. While it gets no reply, it tries the other gateways in turn, until the deadline.
 func (p *run) requestPolicy(ctx context.Context, first *installation.Gateway, request *agent.PolicyRequest, deadline time.Time) (*agent.PolicyReply, error) {
 	index := slices.Index(p.installation.Gateways, first)
 	var lastError error
@@ -77,7 +77,7 @@
 	return nil, fmt.Errorf("no gateway answered: %w", lastError)
 }
 
-// sendPolicyRequest sends a request to one gateway. A reply that bears an error is returned as that error.
+// sendPolicyRequest sends a request to one gateway. If the reply contains an error, it returns this error.
 func sendPolicyRequest(ctx context.Context, gateway *installation.Gateway, request *agent.PolicyRequest, deadline time.Time) (*agent.PolicyReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -91,11 +91,12 @@
 	return reply, nil
 }
 
-// propose makes a step's proposal, and waits for its end beside the steps that follow.
+// propose makes the proposal of a step. It waits for the outcome in the background, while further steps run. Steps that change the voters
+// are carried out before propose returns.
 func (p *run) propose(step Step) {
 	gateways := p.matchingGateways(step.Gateways)
 	if len(gateways) == 0 {
-		p.missedDeadlines = append(p.missedDeadlines, fmt.Sprintf("step at %v: no gateway is called %v", step.At, step.Gateways))
+		p.missedDeadlines = append(p.missedDeadlines, fmt.Sprintf("step at %v: no gateway matches %v", step.At, step.Gateways))
 		return
 	}
 	first := gateways[0]
@@ -113,7 +114,7 @@
 		deadline := time.Now().Add(p.scenario.proposalTimeout())
 		for p.tryProposal(first, request) && step.ProposalName == "" && time.Now().Before(deadline) {
 			time.Sleep(proposalRetryDelay)
-			request.ID = rand.Uint64() | 1 // another one was open: it is proposed again, as its operator would
+			request.ID = rand.Uint64() | 1 // another proposal was open, so it is proposed again with a new id, as an operator would do
 		}
 	}()
 }
@@ -124,7 +125,7 @@
 	"rehearse": agent.RehearseOperation,
 }
 
-// proposalRequest is the request that makes a step's proposal.
+// proposalRequest returns the request that makes the proposal of a step.
 func (p *run) proposalRequest(step Step) *agent.PolicyRequest {
 	step.Policy.Fleet = p.scenario.Limits.Any()
 	request := &agent.PolicyRequest{
@@ -140,7 +141,7 @@
 	return request
 }
 
-// proposalID is the id of the proposals that bear a name, or a new one where they bear none.
+// proposalID returns the common id of all proposals with the name, or a new id if the name is empty.
 func (p *run) proposalID(name string) uint64 {
 	if id := p.proposalIDs[name]; id != 0 {
 		return id
@@ -156,12 +157,13 @@
 	return id
 }
 
-// tryProposal makes a proposal and waits for its end. It returns true if another one was open.
+// tryProposal makes a proposal, waits for its outcome and records it. It returns true if the proposal was refused because another one
+// was open.
 func (p *run) tryProposal(first *installation.Gateway, request *agent.PolicyRequest) bool {
 	began := time.Now()
 	reply, err := p.requestPolicy(context.Background(), first, request, began.Add(p.scenario.proposalTimeout()))
 	proposal := ProposalResult{At: began.Sub(p.startedAt), By: first.Label(), Took: time.Since(began), End: "unknown", id: request.ID}
-	if request.Text != nil { // else it goes back to an earlier policy
+	if request.Text != nil { // without a text, the proposal is a rollback to an earlier policy
 		proposal.digest = rollout.DigestOf(request.Text).String()
 	}
 	if err != nil {
@@ -175,12 +177,12 @@
 	return proposal.End == "refused" && strings.Contains(proposal.Why, "is open")
 }
 
-// firstPolicyText is the first policy's: the scenario's limits.
+// firstPolicyText returns the text of the first policy, which has the scenario's limits.
 func (p *run) firstPolicyText() []byte {
 	return (&installation.Policy{ClusterLimits: p.scenario.Limits, Fleet: p.scenario.Limits.Any()}).Text()
 }
 
-// proposeFirst proposes the scenario's limits as the first policy, and waits until all gateways go by it.
+// proposeFirst proposes the first policy, and waits until all running gateways apply it.
 func (p *run) proposeFirst(ctx context.Context) error {
 	request := &agent.PolicyRequest{Operation: agent.ProposeOperation, ID: 1, Text: p.firstPolicyText()}
 	deadline := time.Now().Add(p.scenario.ConvergeWithin + 5*p.scenario.Rollout.Lease)
@@ -198,10 +200,11 @@
 		}
 		time.Sleep(policyRetryDelay)
 	}
-	return fmt.Errorf("eventual: not all go by the first policy: %s", p.policyDifference())
+	return fmt.Errorf("eventual: not all gateways apply the first policy: %s", p.policyDifference())
 }
 
-// policyDifference names the first gateway that is there and does not go by the others' policy; it is empty if there is none.
+// policyDifference describes the first running gateway that does not answer, holds no lease, or applies another policy than the gateways
+// before it. It is empty if there is none. Gateways whose name another process has taken are left out.
 func (p *run) policyDifference() string {
 	number, other := uint64(0), ""
 	for _, gateway := range p.installation.Gateways {
@@ -209,7 +212,7 @@
 			continue
 		}
 		if status, err := agent.FetchStatus(gateway.Control); err != nil || status.Displaced {
-			continue // another process has its name
+			continue // another process has taken its name, or its status is not available
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		reply, err := agent.SendPolicyRequest(ctx, gateway.Control, &agent.PolicyRequest{Operation: agent.StatusOperation})
@@ -220,7 +223,7 @@
 		case reply.Status == nil || reply.Status.LeaseSeconds == 0:
 			return gateway.Label() + " holds no lease"
 		case other != "" && reply.Status.Number != number:
-			return fmt.Sprintf("%s goes by number %d, %s by %d", gateway.Label(), reply.Status.Number, other, number)
+			return fmt.Sprintf("%s applies policy %d, but %s applies %d", gateway.Label(), reply.Status.Number, other, number)
 		}
 		number, other = reply.Status.Number, gateway.Label()
 	}
--- a/internal/testbed/faulttest/quota_modes.go
+++ b/internal/testbed/faulttest/quota_modes.go
@@ -20,28 +20,28 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// QuotaMode is one way of sharing a quota, and what came of a run with it.
+// QuotaMode is one way of sharing a quota, with the result of a run that uses it.
 type QuotaMode struct {
 	Name           string     `json:"name"`
-	Mutation       string     `json:"-"` // the mutation that shares this way
+	Mutation       string     `json:"-"` // mutation of the gateways that makes them share the quota in this way; empty: none
 	Result         *Result    `json:"result"`
 	Phases         []PhaseUse `json:"phases"`
-	ExtraDatagrams float64    `json:"datagrams"` // a request more than without a limit
+	ExtraDatagrams float64    `json:"datagrams"` // additional datagrams per served request, compared with the run without a limit
 }
 
-// PhaseUse is the use of the quotas in one phase.
+// PhaseUse summarizes the use of the quota of threads, and the requests, in one phase.
 type PhaseUse struct {
 	Phase
-	UsedShare      float64       `json:"used"`  // share of the total, over the phase
-	LeastUsedShare float64       `json:"least"` // in its least half second
-	OwnUsedShare   float64       `json:"own"`   // share of the phase's gateways' own part that they used, if it names any
-	P50            time.Duration `json:"p50"`   // of requests that came in it and were served, beyond their service
+	UsedShare      float64       `json:"used"`  // mean share of the total that was in use
+	LeastUsedShare float64       `json:"least"` // the same in the half second with the least use
+	OwnUsedShare   float64       `json:"own"`   // if the phase names gateways: their use, relative to an equal share of the total for each of them
+	P50            time.Duration `json:"p50"`   // latency minus service time of requests that were sent in the phase and served
 	P99            time.Duration `json:"p99"`
 	Requests       int           `json:"tasks"`
 }
 
-// CompareQuotaModes plays a scenario with each way of sharing its quota, or the first few, one after the other on the same machine; the last is without
-// a limit: what it uses, up to the total, is what an all-knowing one could have.
+// CompareQuotaModes runs a scenario with each way of sharing its quota, one after the other on the same machine. If maxModes is above 0,
+// only the first maxModes ways are run. The last run has no limit. Its use, up to the total, is what ideal sharing could reach.
 func CompareQuotaModes(ctx context.Context, s *Scenario, folder, program string, maxModes int) (list []*QuotaMode, err error) {
 	list = []*QuotaMode{{Name: "lent"}, {Name: "equal parts", Mutation: "equal-parts"}, {Name: "a quorum a task", Mutation: "quorum"}, {Name: "no limit"}}
 	if maxModes > 0 && maxModes < len(list) {
@@ -71,25 +71,25 @@
 	return float64(r.Counts.Datagrams) / r.PlayTime.Seconds()
 }
 
-// sampleInterval is the time between samples of the use; each holds what is in use at its end.
+// sampleInterval is the time between two samples of the use.
 const sampleInterval = 100 * time.Millisecond
 
-// useSampler samples how many threads each process has in use, from the load's begin to the end of the scenario.
+// useSampler samples how many threads each process has in use, from the start of the load to the end of the scenario.
 type useSampler struct {
 	labels  []string
 	active  []threadUse
-	next    int64 // instant of the next sample
+	next    int64 // time of the next sample
 	end     int64
-	samples [][]float64 // by time and process
+	samples [][]float64 // by time and process: threads in use
 }
 
-// threadUse is one thread that a process has in use, until it is released or its lease ends.
+// threadUse is one use of a thread by a process, until the thread is released or the validity of its use ends.
 type threadUse struct {
 	label string
 	until int64
 }
 
-// sampleUntil takes the samples up to an instant.
+// sampleUntil takes all samples that are due up to the given time.
 func (u *useSampler) sampleUntil(at int64) {
 	for ; u.next <= min(at, u.end); u.next += int64(sampleInterval) {
 		u.active = slices.DeleteFunc(u.active, func(use threadUse) bool { return use.until <= u.next })
@@ -103,7 +103,7 @@
 	}
 }
 
-// release takes out the process's earliest use.
+// release removes the earliest use of the process.
 func (u *useSampler) release(label string) {
 	i := slices.IndexFunc(u.active, func(use threadUse) bool { return use.label == label })
 	if i >= 0 {
@@ -111,7 +111,8 @@
 	}
 }
 
-// sampleUse follows what each process uses of the quota of threads, by samples from the load's begin.
+// sampleUse samples, from the histories, how many threads of the quota each process uses. The first sample is one sampleInterval after the
+// start of the load.
 func (r *Result) sampleUse() (labels []string, samples [][]float64) {
 	labelOf := r.labels()
 	sampler := &useSampler{
@@ -138,7 +139,7 @@
 	return sampler.labels, sampler.samples
 }
 
-// sampleRunning is how many loads run by the engines' count, up to the total, by samples.
+// sampleRunning samples how many loads run on the engines, by the engines' own count. Higher numbers than the total count as the total.
 func (r *Result) sampleRunning(total int) (samples [][]float64) {
 	running, next := 0, sampleInterval
 	for _, change := range r.RunningChanges {
@@ -153,7 +154,8 @@
 	return samples
 }
 
-// Uses measures the phases. Without a limit the use is by the engines' count, up to the total.
+// Uses returns the use of the quota in each phase. In a run without a limit, the use is the number of loads that run on the engines, up to
+// the total.
 func (r *Result) Uses(total int) (uses []PhaseUse) {
 	labels, samples := r.sampleUse()
 	if r.Scenario.Limits.Threads == 0 {
@@ -168,10 +170,10 @@
 	return uses
 }
 
-// leastWindow is how many samples the least half second has.
+// leastWindow is the number of samples in half a second, over which LeastUsedShare is averaged.
 const leastWindow = 5
 
-// measureSamples measures what was used in the phase, of a total.
+// measureSamples computes the shares of the total that were in use in the phase.
 func (u *PhaseUse) measureSamples(labels []string, samples [][]float64, total float64) {
 	if total <= 0 {
 		return
@@ -207,7 +209,7 @@
 	u.OwnUsedShare /= max(1, count)
 }
 
-// sumUse sums a sample, and what some of its processes have of it.
+// sumUse returns the sum of a sample, and the sum over those of its processes that isOwn marks.
 func sumUse(sample []float64, isOwn []bool) (sum, own float64) {
 	for i, used := range sample {
 		sum += used
@@ -218,7 +220,7 @@
 	return sum, own
 }
 
-// measureRequests measures the requests that came in the phase.
+// measureRequests computes the metrics of the requests that were sent in the phase.
 func (u *PhaseUse) measureRequests(requests []Request, service time.Duration) {
 	var took []time.Duration
 	for i := range requests {
@@ -241,7 +243,7 @@
 	return m
 }
 
-// WriteQuotaModes writes the modes side by side.
+// WriteQuotaModes writes a table with the modes side by side.
 func WriteQuotaModes(out io.Writer, list []*QuotaMode) {
 	s := list[0].Result.Scenario
 	fmt.Fprintf(out, "%s: %d gateways, %d threads for all, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Limits.Threads, s.Engines)
@@ -265,7 +267,7 @@
 	}
 }
 
-// writeModeRow writes one line of the table: its name, and a cell for each mode.
+// writeModeRow writes one row of the table: a name, and a cell for each mode.
 func writeModeRow(out io.Writer, name string, list []*QuotaMode, cell func(*QuotaMode) string) {
 	fmt.Fprintf(out, "%-17s", name)
 	for _, mode := range list {
@@ -274,7 +276,7 @@
 	fmt.Fprintln(out)
 }
 
-// phaseCell is a mode's cell for a phase; it is empty if the mode doesn't have the phase.
+// phaseCell returns the cell of a phase. It is empty if the mode does not have the phase.
 func (m *QuotaMode) phaseCell(phase int) string {
 	if phase >= len(m.Phases) {
 		return ""
@@ -292,8 +294,8 @@
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// PlotUse draws the total and what each gateway uses over time into a picture. The gateways' areas are stacked, so that the outline is
-// the sum.
+// PlotUse draws the total and each gateway's use over time, and saves the picture to a file. The gateways' areas are stacked, so that
+// the upper edge shows the sum.
 func (r *Result) PlotUse(path, title string) error {
 	labels, samples := r.sampleUse()
 	picture := plot.New()
@@ -321,7 +323,7 @@
 	return picture.Save(24*vg.Centimeter, 12*vg.Centimeter, path)
 }
 
-// plotAreas adds an area for each gateway, on top of those before it.
+// plotAreas adds an area for each gateway, on top of the areas of the gateways before it.
 func plotAreas(picture *plot.Plot, gateways int, samples [][]float64) error {
 	colors := palette.Rainbow(max(2, gateways), palette.Blue, palette.Red, 0.7, 0.9, 1).Colors()
 	base := make([]float64, len(samples))
--- a/internal/testbed/faulttest/result.go
+++ b/internal/testbed/faulttest/result.go
@@ -13,17 +13,18 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// Request is one request of the load as its client saw it.
+// Request is one request of the load, with its outcome as the client observed it.
 type Request struct {
 	Gateway string        `json:"gateway"`
-	At      time.Duration `json:"at"` // from the load's begin
+	At      time.Duration `json:"at"` // time since the start of the load
 	Took    time.Duration `json:"took"`
 	Load    bool          `json:"load"`
-	End     string        `json:"end"` // served, rejected, failed, or what was wrong
+	End     string        `json:"end"` // one of the outcomes of package sqlclient, or the text of an error
 	id      string
 }
 
-// EarnedWeight is the priority weight that it earned: all of it if it was served within the latency objective, else nothing.
+// EarnedWeight returns the priority weight that the request earned: its whole weight if it was served within the latency objective,
+// otherwise 0.
 func (r *Request) EarnedWeight() float64 {
 	if r.End != sqlclient.Served || r.Took > latencyObjective {
 		return 0
@@ -31,7 +32,7 @@
 	return r.weight()
 }
 
-// weight is the priority weight that it asked for.
+// weight returns the priority weight of the request.
 func (r *Request) weight() float64 {
 	if r.Load {
 		return loadWeight
@@ -39,40 +40,40 @@
 	return lookWeight
 }
 
-// Result is what came of a run.
+// Result holds the records, measurements and violations of a run.
 type Result struct {
 	Scenario         *Scenario            `json:"-"`
 	Folder           string               `json:"folder"`
-	ConvergedAtStart time.Duration        `json:"joined"`  // until all had found each other at first
-	ConvergedAgain   time.Duration        `json:"settled"` // and again, after the last fault
+	ConvergedAtStart time.Duration        `json:"joined"`  // time until all gateways knew each other after the start
+	ConvergedAgain   time.Duration        `json:"settled"` // time until all gateways knew each other again after the load and all faults had ended
 	Violations       []string             `json:"violations"`
-	WakeDelay        time.Duration        `json:"wake_delay"` // the longest of the testbed and of gateways: see Disturbed
+	WakeDelay        time.Duration        `json:"wake_delay"` // longest delay with which the testbed or a gateway was woken; see Disturbed
 	Requests         []Request            `json:"-"`
 	Ends             map[string]int       `json:"ends"`
-	Served           float64              `json:"served"` // share of the priority weight asked for
+	Served           float64              `json:"served"` // share of the priority weight of all requests that was served within the latency objective
 	Counts           faultproxy.Counts    `json:"counts"`
 	Events           []history.Event      `json:"-"`
-	StartMonotonic   int64                `json:"-"` // CLOCK_MONOTONIC of the load's begin
+	StartMonotonic   int64                `json:"-"` // CLOCK_MONOTONIC at the start of the load
 	Processes        []string             `json:"-"`
-	Displaced        int                  `json:"displaced"` // processes that found their name taken by a later one
-	PlayTime         time.Duration        `json:"played"`    // while datagrams were counted
+	Displaced        int                  `json:"displaced"` // number of processes that found their name taken by a later process
+	PlayTime         time.Duration        `json:"played"`    // time during which datagrams were counted
 	SlowStarts       []SlowStartRecord    `json:"colds,omitempty"`
-	RunningChanges   []fake.RunningChange `json:"-"` // loads and look-ups, as the engines have them
-	StartedAt        time.Time            `json:"-"` // of the load
+	RunningChanges   []fake.RunningChange `json:"-"` // changes in the number of running loads and look-ups, as the engines count them
+	StartedAt        time.Time            `json:"-"` // start of the load
 	Proposals        []ProposalResult     `json:"proposals,omitempty"`
 	Policies         *PolicyMetrics       `json:"policies,omitempty"`
-	Voters           []string             `json:"voters,omitempty"` // of policies, at the end
-	timedViolations  int                  // how many of the violations rest on time
+	Voters           []string             `json:"voters,omitempty"` // gateways that vote on policies at the end
+	timedViolations  int                  // number of the violations that depend on time; see addTimedViolations
 }
 
-// Good tells whether all held.
+// Good reports whether the run has no violations.
 func (r *Result) Good() bool { return len(r.Violations) == 0 }
 
-// missedExpectations tells which expectations did not come about.
+// missedExpectations describes the expectations that were not met.
 func (r *Result) missedExpectations() (missed []string) {
 	for _, expectation := range r.Scenario.Expectations {
 		if r.Served < expectation.MinServed {
-			missed = append(missed, fmt.Sprintf("expected: %.3f of the worth served, found %.3f", expectation.MinServed, r.Served))
+			missed = append(missed, fmt.Sprintf("expected: %.3f of the priority weight served, found %.3f", expectation.MinServed, r.Served))
 		}
 		if expectation.Displaced > 0 && r.Displaced != expectation.Displaced {
 			missed = append(missed, fmt.Sprintf("expected: %d processes displaced, found %d", expectation.Displaced, r.Displaced))
@@ -96,10 +97,10 @@
 		}
 	}
 	if decided < expectation.MinDecided {
-		missed = append(missed, fmt.Sprintf("expected: %d proposals that take hold, found %d: %v", expectation.MinDecided, decided, r.Proposals))
+		missed = append(missed, fmt.Sprintf("expected: %d proposals that are decided, found %d: %v", expectation.MinDecided, decided, r.Proposals))
 	}
 	if !found {
-		missed = append(missed, fmt.Sprintf("expected: a proposal that is %s, with %q; found %v", expectation.ProposalEnd, expectation.ProposalReason, r.Proposals))
+		missed = append(missed, fmt.Sprintf("expected: a proposal with the outcome %q and a reason that contains %q; found %v", expectation.ProposalEnd, expectation.ProposalReason, r.Proposals))
 	}
 	return missed
 }
@@ -114,10 +115,10 @@
 	return missed
 }
 
-// maxPrintedViolations is how many violations a result prints.
+// maxPrintedViolations is the largest number of violations that Text prints.
 const maxPrintedViolations = 12
 
-// Text writes a result for people.
+// Text writes the result in readable form.
 func (r *Result) Text(out io.Writer) {
 	fmt.Fprintf(out, "%s: %d gateways, %d engines, real processes and sockets on loopback; %d steps in %v\n", r.Scenario.Name, r.Scenario.Gateways, r.Scenario.Engines,
 		len(r.Scenario.Steps), r.Scenario.Length)
--- a/internal/testbed/faulttest/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -20,7 +20,8 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// The load's classes. Look-ups are idempotent, loads are not; engines have the capacity for several times the load.
+// Parameters of the load's two classes, look-ups and loads. Look-ups are idempotent, loads are not. The engines have capacity for several
+// times the load.
 const (
 	lookService      = 20 * time.Millisecond
 	loadService      = 60 * time.Millisecond
@@ -30,30 +31,30 @@
 	loadWeight       = 5.0
 )
 
-// endWithin is how long a gateway without requests may take to end after SIGTERM.
+// endWithin is the time within which a gateway without requests must end after SIGTERM.
 const endWithin = 20 * time.Second
 
-// run is a scenario while it is played.
+// run holds the state of a scenario while it runs.
 type run struct {
 	scenario        *Scenario
 	installation    *installation.Installation
 	network         *faultproxy.Network
 	mu              sync.Mutex
 	requests        []Request
-	killed          map[string][]time.Duration // by process: when it was killed or told to leave, from the begin
-	notRunning      map[string]bool            // by process: not to be there
+	killed          map[string][]time.Duration // by process: times since the start of the load at which it was killed or told to leave
+	notRunning      map[string]bool            // by process: according to the scenario, it is not running
 	startedAt       time.Time
 	dbs             map[string]*sql.DB
 	clients         sync.WaitGroup
 	folder          string
-	proposals       sync.WaitGroup // proposals that have not ended
-	proposalResults []ProposalResult
-	proposalIDs     map[string]uint64 // ids of proposals that have a name
-	missedDeadlines []string          // what did not come about in time
+	proposals       sync.WaitGroup    // proposals whose outcome is not known yet
+	proposalResults []ProposalResult  // proposals whose outcome is known
+	proposalIDs     map[string]uint64 // by name of a proposal; see Step.ProposalName
+	missedDeadlines []string          // descriptions of what did not happen in time, or failed
 }
 
-// Run plays a scenario. Files go to a folder; program is the gateway's, which must be built with -tags testbed where clocks drift,
-// disks fail or a mutation is on.
+// Run runs a scenario, which writes its files to the folder. program is the path of the gateway's program. It must be built with -tags
+// testbed if the scenario has skewed clocks, failing disks, a crash point or mutations.
 func Run(ctx context.Context, s *Scenario, folder, program string) (*Result, error) {
 	if err := checkProgram(ctx, s, program); err != nil {
 		return nil, err
@@ -93,19 +94,20 @@
 	return r, nil
 }
 
-// checkProgram tells whether a gateway's program can do what a scenario asks of it.
+// checkProgram returns an error if the scenario needs a gateway built with -tags testbed, and program is not one.
 func checkProgram(ctx context.Context, s *Scenario, program string) error {
 	if s.Mutation+s.CrashPoint == "" && len(s.Clocks)+len(s.Disks)+len(s.MutationAt) == 0 {
 		return nil
 	}
 	version, err := exec.CommandContext(ctx, program, "version").Output()
 	if err != nil || !strings.Contains(string(version), "laboratory") {
-		return fmt.Errorf("scenario %s: clocks that run off, disks that fail and planted defects need a gateway built with -tags testbed, %s is none", s.Name, program)
+		return fmt.Errorf("scenario %s: skewed clocks, failing disks, crash points and mutations need a gateway built with -tags testbed, which %s is not", s.Name, program)
 	}
 	return nil
 }
 
-// clearFolder makes a folder, or removes what an earlier run left there, whose requests bear the same ids.
+// clearFolder creates the folder if it does not exist, and removes the state and histories of an earlier run from it, because the
+// requests of both runs have the same ids.
 func clearFolder(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -124,7 +126,7 @@
 	return nil
 }
 
-// plan is the installation on which a scenario is played.
+// plan returns the plan of the installation on which the scenario runs.
 func (p *run) plan(program string) installation.Plan {
 	s := p.scenario
 	loads := fake.ServiceTime{Kind: "exponential", Mean: loadService}
@@ -143,17 +145,18 @@
 			{Class: "load", Rows: 1, Service: loads},
 			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: lookService}}}},
 	}
-	if s.WarmUp > 0 { // a third of the speed at first; twice what they can do for a second overloads them
+	if s.WarmUp > 0 { // engines start with a third of their speed, and twice the work that they can do, for a second, overloads them
 		plan.SlowStart = installation.SlowStart{Share: 0.32, OverloadFactor: 2, WarmUp: s.WarmUp, OverloadAfter: time.Second}
 		plan.Behavior.ColdSpeed, plan.Behavior.WarmUp, plan.Cluster.SlowStart = plan.SlowStart.Share, s.WarmUp, s.SharedSlowStart
 	}
 	return plan
 }
 
-// prepare waits until the gateways know each other and hold what they need for the load.
+// prepare waits until the gateways know each other, apply the first policy and hold their shares of the quotas, as far as the scenario has
+// these.
 func (p *run) prepare(ctx context.Context, r *Result) {
 	s := p.scenario
-	if len(s.NotStarted) == 0 { // else whoever is up may know nobody
+	if len(s.NotStarted) == 0 { // otherwise the gateways that run may be unable to find each other
 		var ok bool
 		if r.ConvergedAtStart, ok = p.waitForMembership(ctx, s.ConvergeWithin); !ok {
 			r.addTimedViolations(fmt.Sprintf("eventual: at the start the members did not know each other after %v: %s", s.ConvergeWithin, p.membershipDifference()))
@@ -165,11 +168,11 @@
 		}
 	}
 	if s.Limits.Any() || s.SharedSlowStart {
-		p.waitForShares(ctx, s.ConvergeWithin) // replicas confirm nothing for a term and some after they have started
+		p.waitForShares(ctx, s.ConvergeWithin) // replicas confirm no shares until somewhat more than a term after they have started
 	}
 }
 
-// runLoad plays the load with its faults, and waits until the members know each other after the last one.
+// runLoad runs the load and the steps, and then waits until the members know each other again.
 func (p *run) runLoad(ctx context.Context, r *Result) error {
 	p.startedAt, r.StartMonotonic = time.Now(), history.Now()
 	r.StartedAt = p.startedAt
@@ -195,7 +198,7 @@
 	return nil
 }
 
-// voters are the gateways that say of themselves that they vote on policies.
+// voters returns the names of the gateways that report that they vote on policies.
 func (p *run) voters(ctx context.Context) (names []string) {
 	for _, gateway := range p.installation.Gateways {
 		answer, err := agent.SendPolicyRequest(ctx, gateway.Control, &agent.PolicyRequest{Operation: agent.StatusOperation})
@@ -206,7 +209,7 @@
 	return names
 }
 
-// endGateways ends all processes, and returns the files of their histories.
+// endGateways ends all gateways with SIGTERM, and returns the paths of their histories.
 func (p *run) endGateways(r *Result) (histories []string) {
 	for _, gateway := range p.installation.Gateways {
 		r.Processes = append(r.Processes, gateway.Label())
@@ -218,14 +221,14 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, gateway := range p.installation.Gateways {
-		if gateway.IsRunning() { // and its history is not whole
-			r.addTimedViolations(fmt.Sprintf("eventual: %s had not ended %v after SIGTERM, with nothing in its hands", gateway.Label(), endWithin))
+		if gateway.IsRunning() { // then its history is not complete either
+			r.addTimedViolations(fmt.Sprintf("eventual: %s had not ended %v after SIGTERM, although all requests had ended", gateway.Label(), endWithin))
 		}
 	}
 	return histories
 }
 
-// env are the environment variables that a process gets besides the testbed's own.
+// env returns the environment variables with which the scenario's faults are set at a gateway.
 func (p *run) env(name string) (out []string) {
 	if p.scenario.Mutation != "" {
 		out = append(out, "MAGPIEBANK_PLANTED="+p.scenario.Mutation)
--- a/internal/testbed/faulttest/scenario.go
+++ b/internal/testbed/faulttest/scenario.go
@@ -1,6 +1,7 @@
-// Package faulttest injects faults between the processes of a cluster: real gateways before fake engines, a load, and steps at
-// stated times that cut, lose, delay, kill, stop and restart. What must hold at every instant is read from the merged history
-// afterwards; what must come about in the end, within a stated time. A scenario that was drawn from a seed prints as a file.
+// Package faulttest runs scenarios with faults on a cluster of real gateways, fake engines and a load. The steps of a scenario cut links,
+// lose or delay messages, and kill, stop and restart processes at given times. Rules that must hold at every instant are checked
+// afterwards in the merged history of all processes. Conditions that must hold in the end, such as a converged membership, have a time
+// limit. Scenarios are read from files or generated from a seed; a generated scenario can be printed as a file.
 package faulttest
 
 import (
@@ -16,7 +17,7 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// Scenario is what is played.
+// Scenario describes a cluster, its load, and the faults and expectations of a run.
 type Scenario struct {
 	Name            string
 	Gateways        int
@@ -24,71 +25,71 @@
 	Zones           []string
 	Seed            uint64
 	Length          time.Duration
-	ConvergeWithin  time.Duration              // within which all must know each other again, once the last fault has ended
-	RequestRate     float64                    // requests a second at each gateway
-	LoadShare       float64                    // share of them that are loads
-	LoadService     time.Duration              // of a load, always the same; 0: as it comes
-	WarmUp          time.Duration              // until an engine that has started is warm; 0: it is at once
-	SharedSlowStart bool                       // what engines that are warming up may be sent is shared
-	Limits          installation.ClusterLimits // that loads may use over the whole cluster
-	ShareTerm       time.Duration              // for which a share of it is held without a renewal
-	MaxWait         time.Duration              // that a client waits
-	HealthReports   bool
-	Counters        bool // are shared
-	Durable         bool
-	Rollout         installation.Rollout // how policies are decided on; without voters each gateway goes by its file
-	Mutation        string               // a mutation of the gateways, to see that it is found
-	Clocks          map[string]string    // by process: rate, jump and when, as MAGPIEBANK_CLOCK
-	ClockOffsets    map[string]string    // by process: how far its wall clock is off at its start, as MAGPIEBANK_BORN
-	MutationAt      map[string]string    // by process: a mutation of it alone
-	CrashPoint      string               // where the first voter that reaches it ends or stops itself, as MAGPIEBANK_DIE without its file
-	Disks           map[string]string    // by gateway: how the disk under its journal fails and when, as MAGPIEBANK_DISK
-	NotStarted      []string             // gateways that are not started before a step does it
+	ConvergeWithin  time.Duration              // time within which all gateways must know each other, after the start and after the last fault
+	RequestRate     float64                    // requests per second at each gateway
+	LoadShare       float64                    // share of the requests that are loads
+	LoadService     time.Duration              // constant service time of loads; 0: it varies
+	WarmUp          time.Duration              // time that an engine warms up after a start; 0: it has full speed at once
+	SharedSlowStart bool                       // the gateways share a quota of what may be sent to each engine that is warming up
+	Limits          installation.ClusterLimits // limits of loads in the whole cluster
+	ShareTerm       time.Duration              // time for which a gateway holds its share of a quota without a renewal
+	MaxWait         time.Duration              // deadline of the clients
+	HealthReports   bool                       // the gateways send each other health reports on engines
+	Counters        bool                       // the gateways send each other the counts of their requests
+	Durable         bool                       // each gateway has a request journal
+	Rollout         installation.Rollout       // how the gateways decide on policies; without voters, each gateway applies its operator file
+	Mutation        string                     // mutation of all gateways, with which a test checks that violations are found
+	Clocks          map[string]string          // by label of a gateway: rate of its clock, and jump and time of the jump, in the format of MAGPIEBANK_CLOCK
+	ClockOffsets    map[string]string          // by label of a gateway: offset of its wall clock at its start, in the format of MAGPIEBANK_BORN
+	MutationAt      map[string]string          // by label of a gateway: additional mutation of this gateway alone
+	CrashPoint      string                     // point at which the first voter that reaches it ends or stops itself; format of MAGPIEBANK_DIE without the file
+	Disks           map[string]string          // by label of a gateway: how and when its disk fails, in the format of MAGPIEBANK_DISK
+	NotStarted      []string                   // gateways that do not run until a step starts them
 	Steps           []Step
 	Expectations    []Expectation
-	Phases          []Phase // in which the use of quotas is measured
+	Phases          []Phase // periods that are measured separately
 }
 
-// Phase is a part of a run.
+// Phase is a period of a run that is measured separately.
 type Phase struct {
 	Name     string        `json:"name"`
 	At       time.Duration `json:"at"`
 	Until    time.Duration `json:"until"`
-	Gateways []string      `json:"part,omitempty"` // gateways that are measured by themselves as well
+	Gateways []string      `json:"part,omitempty"` // patterns of gateways whose own use is also measured
 }
 
-// Expectation is what must come about besides what must hold always.
+// Expectation lists what a run of this scenario must achieve, in addition to the rules for all runs. Zero fields expect nothing.
 type Expectation struct {
-	MinServed      float64       // least share of the priority weight asked for that is served within the latency objective
-	Displaced      int           // processes that find their name taken by a later one
-	EjectedEngine  string        // that is sent nothing new
-	Within         time.Duration // this long after it turned faulty, by 95% of the gateways, to the end of the outage
+	MinServed      float64       // least share of the priority weight of all requests that is served within the latency objective
+	Displaced      int           // number of processes that find their name taken by a later process
+	EjectedEngine  string        // engine that 95 % of the gateways stop using, until its outage ends
+	Within         time.Duration // time after the start of the outage at which they must have stopped
 	MinDecided     int           // least number of proposals that are decided
-	ProposalEnd    string        // how one of them ends, as in "dropped", and why: words that stand in it
-	ProposalReason string
-	Voters         []string // at the end
+	ProposalEnd    string        // outcome of at least one proposal, as in "dropped"
+	ProposalReason string        // text that the reason of the same proposal contains
+	Voters         []string      // gateways that vote on policies at the end
 }
 
-// Step is a fault, or the end of one.
+// Step is a fault or another action at a given time. Most fields are used by some actions only.
 type Step struct {
-	At, Until    time.Duration // Until 0: to the end, or it has no length
+	At, Until    time.Duration // Until 0: the step lasts to the end, or has no length
 	Action       string        // link, kill, stop, leave, start, twin, engine, list, limit, surge, propose, voters, force, keep or revive
-	From, To     []string      // of a link
-	BothWays     bool          // the other direction too
+	From, To     []string      // patterns of the processes at the ends of a link
+	BothWays     bool          // the rule also applies to the other direction of the link
 	Rule         faultproxy.Rule
 	Gateways     []string
-	Folder       string // after a kill: same, none or older, which is as it was kept, or at the kill
-	ProposalKind string // of what is proposed: change, rollback or rehearse
+	Folder       string // state after a kill: same, none, or older, which is the copy made by keep or, without one, at the kill
+	ProposalKind string // change, rollback or rehearse
 	Policy       installation.Policy
-	PolicyNumber int    // of the policy gone back to
-	ProposalName string // proposals of one name are one, proposed again
+	PolicyNumber int    // of a rollback: number of the earlier policy
+	ProposalName string // steps with the same name propose with the same id, like one proposal that is sent again
 	Engines      []string
-	Limits       installation.ClusterLimits // the limits that some go by from then on
-	ExtraRate    float64                    // requests a second more at some, while it lasts
-	EngineState  string                     // of engines: silent, errs, loses, slow, refuses, paused, restarts, drains, gone; of the list: held or broken
+	Limits       installation.ClusterLimits // new limits in the operator files of the gateways
+	ExtraRate    float64                    // additional requests per second at the gateways during the step
+	EngineState  string                     // of engines: silent, errs, loses, slow, refuses, paused, restarts, drains or gone; of the discovery service: held or broken
 }
 
-// The values of a step's fields.
+// The values of the fields Action and EngineState of a step.
 var (
 	actions = []string{"link", "kill", "stop", "leave", "start", "twin", "engine", "list", "limit", "surge", "propose", "voters", "force", "keep", "revive"}
 	states  = []string{"silent", "errs", "loses", "slow", "refuses", "paused", "restarts", "drains", "gone", "held", "broken"}
@@ -97,7 +98,7 @@
 //go:embed builtin/*.jsonnet
 var builtins embed.FS
 
-// Builtin are the names of those that are built in.
+// Builtin returns the names of the built-in scenarios.
 func Builtin() (names []string) {
 	entries, err := builtins.ReadDir("builtin")
 	if err != nil {
@@ -109,7 +110,7 @@
 	return names
 }
 
-// Read reads a built-in scenario by its name, or a file.
+// Read reads the built-in scenario with the name or, if there is none, the file with this path.
 func Read(name string) (*Scenario, error) {
 	if slices.Contains(Builtin(), name) {
 		text, err := builtins.ReadFile("builtin/" + name + ".jsonnet")
@@ -120,11 +121,11 @@
 		if err != nil {
 			return nil, err
 		}
-		// The one import that built-in files have is put in its place, as the evaluator reads no embedded files.
+		// The only import in built-in files is replaced by the imported text, because the evaluator does not read embedded files.
 		return Parse(name+".jsonnet", strings.ReplaceAll(string(text), "import 'judgement.jsonnet'", "("+string(importedText)+")"))
 	}
 	if _, err := os.Stat(name); err != nil {
-		return nil, fmt.Errorf("%s: no such file, nor one of the built-in scenarios %s", name, strings.Join(Builtin(), ", "))
+		return nil, fmt.Errorf("%s is neither a file nor one of the built-in scenarios %s", name, strings.Join(Builtin(), ", "))
 	}
 	_, file, err := configfile.Read(name)
 	if err != nil {
@@ -133,7 +134,7 @@
 	return decode(file)
 }
 
-// Parse reads a text that stands for a file of that name.
+// Parse reads a scenario from a text. Errors refer to the text as a file with the given name.
 func Parse(name, text string) (*Scenario, error) {
 	_, file, err := configfile.Parse(name, text)
 	if err != nil {
--- a/internal/testbed/faulttest/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -17,17 +17,17 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-var buildFolder string // folder of the testbed's build
+var buildFolder string // folder of the programs that buildTestbed builds; empty until then
 
 func TestMain(m *testing.M) {
 	status := m.Run()
 	if err := os.RemoveAll(buildFolder); err != nil {
-		fmt.Fprintln(os.Stderr, "the testbed's build is left:", err)
+		fmt.Fprintln(os.Stderr, "the testbed's programs were not removed:", err)
 	}
 	os.Exit(status)
 }
 
-// buildTestbed builds the gateway with clocks that may drift and mutations that may be on.
+// buildTestbed builds the gateway with support for skewed clocks and mutations, and returns the path of its program.
 var buildTestbed = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "magpiebank-lab")
 	if err != nil {
@@ -57,7 +57,8 @@
 	return r
 }
 
-// runUndisturbed plays a scenario beside others. Where that run was disturbed and something was not in time, it is played again, beside fewer.
+// runUndisturbed runs a scenario in parallel with others. If the run was disturbed and has only timed violations, it runs the scenario
+// again, with fewer scenarios in parallel.
 func runUndisturbed(t *testing.T, s *Scenario) *Result {
 	t.Helper()
 	for {
@@ -67,11 +68,12 @@
 		if !r.MustRepeat() || capacity == 1 {
 			return r
 		}
-		t.Log("disturbed: played again beside fewer")
+		t.Log("disturbed: running again with fewer scenarios in parallel")
 	}
 }
 
-// Real processes with each fault between them: what must hold holds, and all know each other again in time.
+// TestBuiltin runs each built-in scenario with real processes, and checks that no rule is violated and that the membership converges in
+// time.
 func TestBuiltin(t *testing.T) {
 	for _, name := range Builtin() {
 		t.Run(name, func(t *testing.T) {
@@ -84,13 +86,13 @@
 				t.Skip("a measurement: magpiebank-testbed fleet run " + name)
 			}
 			if r := runUndisturbed(t, s); !r.Good() {
-				t.Errorf("scenario: %s", s.Text())
+				t.Errorf("the run has violations; scenario: %s", s.Text())
 			}
 		})
 	}
 }
 
-// Mutations are caught by the same checkers.
+// TestMutationsAreCaught checks that the checkers find a violation of the expected rule in runs with each mutation.
 func TestMutationsAreCaught(t *testing.T) {
 	for _, c := range []struct{ defect, on, rule string }{
 		{"relays-hearsay", "noise", "evidence:"},
@@ -121,7 +123,8 @@
 	}
 }
 
-// An expectation can fail: without sharing the same engine is not left alone in time.
+// TestExpectation checks that an expectation can fail: without shared health reports, the gateways don't stop using the faulty engine in
+// time.
 func TestExpectation(t *testing.T) {
 	t.Parallel()
 	s, err := Read("bad-engine")
@@ -130,11 +133,11 @@
 	}
 	s.HealthReports = false
 	if r := runScenario(t, s); !slices.ContainsFunc(r.Violations, func(v string) bool { return strings.Contains(v, "left alone") }) {
-		t.Errorf("without sharing nothing was missed: %q", r.Violations)
+		t.Errorf("without shared health reports the expectation was not missed: %q", r.Violations)
 	}
 }
 
-// A scenario prints as a file that reads as itself, also one that was drawn; the same seed draws the same.
+// TestText checks that generated scenarios are read back unchanged from their text, and that the same seed gives the same scenario.
 func TestText(t *testing.T) {
 	for seed := range uint64(200) {
 		s := Draw(seed, 8, 6)
@@ -181,7 +184,7 @@
 	//  ], }
 }
 
-// What the checker reads off histories made up for it.
+// TestCheck checks which violations the checkers find in constructed histories.
 func TestCheck(t *testing.T) {
 	event := func(at float64, process string, e history.Event) history.Event {
 		e.At, e.Process, e.Start, e.ObservedAt = int64(at*1e9)+1, process, 1, int64(at*1e9)+1
@@ -237,7 +240,7 @@
 	}
 }
 
-// What the checker of policies reads off histories made up for it.
+// TestCheckPolicies checks which violations CheckPolicies finds in constructed histories.
 func TestCheckPolicies(t *testing.T) {
 	event := func(at float64, process string, e history.Event) history.Event {
 		e.At, e.Process, e.Start = int64(at*1e9)+1, process, 1
@@ -255,7 +258,7 @@
 	base := []history.Event{applies(0, "g0", 1, "aa"), applies(0, "g1", 1, "aa"), decided(1, "g0", 1), decided(1.1, "g1", 1)}
 	both := decided(3, "g1", 1)
 	both.Ejects = true
-	late := decided(3, "g1", 1) // looked at before, written after
+	late := decided(3, "g1", 1) // checked before revision 2 was first used, recorded after
 	late.ObservedAt = int64(1.9e9)
 	for _, c := range []struct {
 		name  string
@@ -278,7 +281,7 @@
 	}
 }
 
-// What engines say runs there is held against the total, where they could hear of all that was given up.
+// TestCheckEngines checks that the running loads are compared with the total, except in scenarios in which engines may be unreachable.
 func TestCheckEngines(t *testing.T) {
 	began := time.Now()
 	run := func(seconds float64, class string, delta int) fake.RunningChange {
--- a/internal/testbed/faulttest/slow_start.go
+++ b/internal/testbed/faulttest/slow_start.go
@@ -11,15 +11,15 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// SlowStartRecord is what an engine was sent after it had started, by its own count.
+// SlowStartRecord describes the work that an engine received while it warmed up, by the engine's own records.
 type SlowStartRecord struct {
 	Engine      string        `json:"engine"`
 	At          time.Duration `json:"at"`
-	MaxOverload float64       `json:"most"`  // in any time after which it tips over, as a multiple of what tips it over in its first moment
-	Requests    []int         `json:"tasks"` // by second from its start on
+	MaxOverload float64       `json:"most"`  // most work in any window of SlowStart.OverloadAfter, as a multiple of the work that overloads an engine just after its start
+	Requests    []int         `json:"tasks"` // number of requests in each second since its start
 }
 
-// slowStartRecords reads what engines that restarted were sent until they were warm.
+// slowStartRecords returns a record for each restart of an engine. It returns none if engines don't warm up.
 func slowStartRecords(s *Scenario, plan installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) (records []SlowStartRecord) {
 	if plan.WarmUp == 0 {
 		return nil
@@ -35,7 +35,7 @@
 	return records
 }
 
-// slowStartRecord reads what one engine was sent from its start on, at a time from the load's begin, until it was warm.
+// slowStartRecord returns the record of one engine that started at a time since the start of the load, until it was warm.
 func slowStartRecord(engine string, startedAt time.Duration, plan installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) SlowStartRecord {
 	record := SlowStartRecord{Engine: engine, At: startedAt, Requests: make([]int, int(plan.WarmUp/time.Second))}
 	overloadWork := plan.OverloadFactor * plan.Share * cores * plan.OverloadAfter.Seconds()
@@ -60,7 +60,8 @@
 	return record
 }
 
-// CompareSlowStart plays a scenario with what engines that are warming up may be sent shared by messages, and by number, one after the other.
+// CompareSlowStart runs a scenario twice, one run after the other. In the first run the gateways share, by messages, what may be sent to
+// engines that are warming up. In the second run it is divided by the number of gateways.
 func CompareSlowStart(ctx context.Context, s *Scenario, folder, program string) (shared, byNumber *Result, err error) {
 	withSharing, withoutSharing := *s, *s
 	withSharing.SharedSlowStart, withoutSharing.SharedSlowStart = true, false
@@ -72,7 +73,7 @@
 	return shared, byNumber, err
 }
 
-// WriteSlowStartComparison writes both side by side.
+// WriteSlowStartComparison writes the records and metrics of both runs.
 func WriteSlowStartComparison(out io.Writer, shared, byNumber *Result) {
 	s := shared.Scenario
 	names := []string{"shared", "by number"}
--- a/internal/testbed/faulttest/steps.go
+++ b/internal/testbed/faulttest/steps.go
@@ -12,15 +12,15 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// stepEvent is the begin or the end of a step, at a time from the load's begin.
+// stepEvent is the start or the end of a step, at a time since the start of the load.
 type stepEvent struct {
 	at      time.Duration
 	step    Step
-	ruleSet string // name under which the network has the step's rule
+	ruleSet string // name of the step's rules in the network
 	isEnd   bool
 }
 
-// stepEvents are the begins and ends of a scenario's steps in their order.
+// stepEvents returns the starts and ends of all steps in the order of time.
 func stepEvents(steps []Step) []stepEvent {
 	var events []stepEvent
 	for i, step := range steps {
@@ -34,7 +34,8 @@
 	return events
 }
 
-// runSteps carries out the steps, each begin and end at its time, and returns when the scenario's length is over.
+// runSteps starts and ends each step at its time, and returns after the scenario's length. At the end it resumes the gateways that are
+// still stopped.
 func (p *run) runSteps(ctx context.Context) error {
 	for _, event := range stepEvents(p.scenario.Steps) {
 		if err := p.sleepUntil(ctx, event.at); err != nil {
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// sleepUntil waits for a time from the load's begin.
+// sleepUntil waits until a time since the start of the load, or until ctx ends.
 func (p *run) sleepUntil(ctx context.Context, at time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -69,7 +70,7 @@
 	}
 }
 
-// matchesAny tells whether one of the patterns, in the form of path.Match, fits a name.
+// matchesAny reports whether one of the patterns, in the syntax of path.Match, matches the name.
 func matchesAny(patterns []string, name string) bool {
 	return slices.ContainsFunc(patterns, func(pattern string) bool {
 		fits, err := path.Match(pattern, name)
@@ -77,7 +78,7 @@
 	})
 }
 
-// matchingGateways are the gateways whose labels fit one of the patterns.
+// matchingGateways returns the gateways whose labels match one of the patterns.
 func (p *run) matchingGateways(patterns []string) (gateways []*installation.Gateway) {
 	for _, gateway := range p.installation.Gateways {
 		if matchesAny(patterns, gateway.Label()) {
@@ -87,7 +88,7 @@
 	return gateways
 }
 
-// eachGateway calls f for the gateways whose labels fit one of the patterns, up to the first error.
+// eachGateway calls f for each gateway whose label matches one of the patterns, until f returns an error.
 func (p *run) eachGateway(patterns []string, f func(*installation.Gateway) error) error {
 	for _, gateway := range p.matchingGateways(patterns) {
 		if err := f(gateway); err != nil {
@@ -103,7 +104,7 @@
 	}
 }
 
-// eachEngine calls f for the engines whose names fit one of the patterns, up to the first error.
+// eachEngine calls f for each engine whose name matches one of the patterns, until f returns an error.
 func (p *run) eachEngine(patterns []string, f func(i int, e *fake.Engine) error) error {
 	for i, engine := range p.installation.Engines {
 		if !matchesAny(patterns, engine.Name) {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// markDown takes down that a gateway ends now, and is not to be running until it is started again.
+// markDown records that a gateway ends now, and that it is not running until it is started again.
 func (p *run) markDown(gateway *installation.Gateway) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,14 +165,14 @@
 func (p *run) killGateways(step Step) {
 	for _, gateway := range p.matchingGateways(step.Gateways) {
 		if step.Folder == "older" && !gateway.HasStateCopy() {
-			_ = gateway.CopyState() // files may vanish while a running gateway's folders are copied; it restarts from what was copied
+			_ = gateway.CopyState() // the running gateway may remove files during the copy; it restarts from what was copied
 		}
 		p.markDown(gateway)
 		gateway.Kill()
 	}
 }
 
-// setLimits writes other limits into the files of some gateways. Each change has a version of its own.
+// setLimits writes new limits into the operator files of the gateways that the step names. Each change has a new version.
 func (p *run) setLimits(step Step) {
 	limits := step.Limits
 	limits.Version = 2
@@ -186,14 +187,14 @@
 	p.installation.SetLimits(limits, p.matchingGateways(step.Gateways))
 }
 
-// startTwin starts a second process under a gateway's name.
+// startTwin starts a second process with the gateway's name.
 func (p *run) startTwin(gateway *installation.Gateway) error {
 	i := slices.Index(p.installation.Gateways, gateway)
 	_, err := p.installation.StartTwin(i)
 	return err
 }
 
-// reviveGateway starts a gateway that has ended, and resumes one that is stopped.
+// reviveGateway resumes the gateway if it is stopped, and starts it if it has ended.
 func (p *run) reviveGateway(gateway *installation.Gateway) error {
 	gateway.Signal(syscall.SIGCONT)
 	if gateway.IsRunning() {
@@ -204,7 +205,7 @@
 }
 
 func (p *run) startGateway(gateway *installation.Gateway) error {
-	if gateway.IsRunning() { // it is still leaving, or another step has started it
+	if gateway.IsRunning() { // it has not left yet, or another step has started it
 		p.markDown(gateway)
 		gateway.Kill()
 	}
@@ -214,7 +215,7 @@
 	return gateway.Start()
 }
 
-// disturbDiscovery has the discovery services hold polls, or truncate their answers.
+// disturbDiscovery makes the discovery services hold polls (state "held") or truncate their answers.
 func (p *run) disturbDiscovery(state string) {
 	for _, discovery := range p.installation.Discoveries {
 		if state == "held" {
@@ -225,7 +226,7 @@
 	}
 }
 
-// slowSpeed is the share of its speed at which a slow engine runs.
+// slowSpeed is the speed of a slow engine, as a share of its normal speed.
 const slowSpeed = 0.02
 
 func (p *run) setEngineState(state string, i int, e *fake.Engine) error {
@@ -254,7 +255,7 @@
 	return nil
 }
 
-// resetEngineState ends what setEngineState began.
+// resetEngineState ends the state that setEngineState has set.
 func (p *run) resetEngineState(state string, i int, e *fake.Engine) error {
 	switch state {
 	case "silent":
@@ -295,7 +296,7 @@
 	return nil
 }
 
-// restartAfterKill starts a killed gateway with its state as it was, without it, or with an older copy of it.
+// restartAfterKill starts a killed gateway with its state at the kill, without state, or with an older copy of its state.
 func (p *run) restartAfterKill(gateway *installation.Gateway, folder string) error {
 	var err error
 	switch folder {
