--- a/internal/testbed/faulttest/builtin/bad-engine.jsonnet
+++ b/internal/testbed/faulttest/builtin/bad-engine.jsonnet
@@ -1,4 +1,4 @@
-// One engine of six errs for eight seconds while all is well else: the fleet leaves it alone within seconds.
+// One of six engines returns errors for eight seconds, and all else works. The gateways must stop using it within four seconds.
 {
   name: 'bad-engine', gateways: 12, length: '14s', rate: 6,
   steps: [{ at: '4s', until: '12s', do: 'engine', engines: ['e-004'], be: 'errs' }],
--- a/internal/testbed/faulttest/builtin/bad-for-one-zone.jsonnet
+++ b/internal/testbed/faulttest/builtin/bad-for-one-zone.jsonnet
@@ -1,4 +1,4 @@
-// An engine can't be reached by half of the gateways; for the others it works.
+// Half of the gateways cannot reach one engine, and for some seconds get no answers from a second one. For the other gateways both work.
 {
   name: 'bad-for-one-zone', length: '12s',
   steps: [
--- a/internal/testbed/faulttest/builtin/born-behind.jsonnet
+++ b/internal/testbed/faulttest/builtin/born-behind.jsonnet
@@ -1,5 +1,6 @@
-// A process takes the place of a killed one on a machine whose wall clock is an hour behind, and another doubles a living one from there:
-// each has to find a later start than its predecessor's, and has its part of the budget after it. A slow link carries 3 kB a second.
+// A second process takes over the name of a killed gateway, and another one takes over the name of a running gateway. The wall clock of both
+// is an hour behind. Each must get a later incarnation than its predecessor, and then its share of the quota. A slow link carries only
+// 3 kB per second.
 {
   name: 'born-behind', gateways: 8, length: '34s', threads: 8, term: '24s', loads: 0.4, rate: 4,
   clocks: [{ gateway: 'g8', born: '-1h' }, { gateway: 'g9', born: '-1h' }],
--- a/internal/testbed/faulttest/builtin/budget-late.jsonnet
+++ b/internal/testbed/faulttest/builtin/budget-late.jsonnet
@@ -1,5 +1,5 @@
-// What three of eight gateways say of budgets for some seconds comes a minute late, half of it twice: to processes of which some have since
-// started again under the same name, and from one that has.
+// For some seconds, the messages of three of eight gateways on quotas arrive a minute late, half of them twice. Some of the receivers, and
+// one of the senders, have restarted with the same name in the meantime.
 {
   name: 'budget-late', gateways: 8, threads: 6, term: '24s', loads: 0.6, rate: 5, length: '72s',
   steps: [
--- a/internal/testbed/faulttest/builtin/budget-moving.jsonnet
+++ b/internal/testbed/faulttest/builtin/budget-moving.jsonnet
@@ -1,4 +1,5 @@
-// Nine tenths of the demand come to one of ten gateways, to another every five seconds; a third is cut off for a while.
+// Nine tenths of the demand are at one of ten gateways, at another one every five seconds. Three gateways are cut off from the others for
+// six seconds.
 {
   name: 'budget-moving', gateways: 10, threads: 10, term: '24s', loads: 0.8, rate: 1, length: '26s',
   steps: [
--- a/internal/testbed/faulttest/builtin/budget-restarts.jsonnet
+++ b/internal/testbed/faulttest/builtin/budget-restarts.jsonnet
@@ -1,4 +1,4 @@
-// All gateways leave and return within nine seconds, one after the other, then three are killed at once; what they held is used again.
+// All gateways leave and return within nine seconds, one after the other. Then three are killed at once. What they held must be used again.
 {
   name: 'budget-restarts', gateways: 9, threads: 9, term: '24s', loads: 0.6, rate: 5, length: '24s',
   steps: [
--- a/internal/testbed/faulttest/builtin/budget-return.jsonnet
+++ b/internal/testbed/faulttest/builtin/budget-return.jsonnet
@@ -1,6 +1,7 @@
-// Six threads for all loads of nine gateways that keep folders by which their part passes on. Two are killed and come back at once, one with an
-// older copy of its folder, one with none; one that came back is killed again and again; a name is doubled; keepers are killed, two at a time.
-// All ask for more than there is.
+// All loads of nine gateways may use six threads, and the demand is higher. The gateways have folders from which a new process takes over its
+// predecessor's share. Several gateways are killed and return at once, one with an older copy of its folder and one without a folder. One is
+// killed again and again, a second process starts with the name of another, one is stopped for some seconds, and replicas of the quotas
+// are killed, two at a time.
 {
   name: 'budget-return', gateways: 9, threads: 6, term: '24s', loads: 0.7, rate: 8, length: '40s', state: true,
   steps: [
--- a/internal/testbed/faulttest/builtin/budget-split.jsonnet
+++ b/internal/testbed/faulttest/builtin/budget-split.jsonnet
@@ -1,5 +1,6 @@
-// Six threads for all loads of nine gateways. The fleet falls into three parts, one of them a single gateway, and heals the other way
-// round; a lender dies, another stands still for longer than a loan, a name is doubled. All ask for more than there is.
+// All loads of nine gateways may use six threads, and the demand is higher. The cluster splits into three parts, one of them a single gateway.
+// After that it splits in another way. A gateway that lends threads is killed, another one is stopped for longer than a loan lasts, and a second
+// process starts with the name of a third one.
 {
   name: 'budget-split', gateways: 9, threads: 6, term: '24s', loads: 0.7, rate: 8, length: '30s',
   steps: [
--- a/internal/testbed/faulttest/builtin/budget-totals.jsonnet
+++ b/internal/testbed/faulttest/builtin/budget-totals.jsonnet
@@ -1,5 +1,5 @@
-// Threads of the whole fleet are raised, lowered below what is out and taken away, each time while a third of the gateways is cut off
-// or down and reads its file only later.
+// The total of threads is raised, then lowered below what is in use, and raised again. Meanwhile some gateways are cut off or down, and
+// read a new total only later.
 {
   name: 'budget-totals', gateways: 9, threads: 12, term: '24s', loads: 0.7, rate: 8, length: '70s',
   steps: [
--- a/internal/testbed/faulttest/builtin/budget-work.jsonnet
+++ b/internal/testbed/faulttest/builtin/budget-work.jsonnet
@@ -1,4 +1,5 @@
-// Places and work a second of the whole fleet, threads too: links that lose and double, engines of the pool that go and come.
+// Requests that wait, work per second and threads are limited for the whole cluster. Links lose and duplicate messages, engines of the pool
+// leave and return, and three gateways are cut off.
 {
   name: 'budget-work', gateways: 8, threads: 8, waiting: 24, work: '1s', term: '24s', loads: 0.6, rate: 6, length: '24s',
   steps: [
--- a/internal/testbed/faulttest/builtin/budgets.jsonnet
+++ b/internal/testbed/faulttest/builtin/budgets.jsonnet
@@ -1,8 +1,9 @@
-// How well a total is used, by how it is shared: even demand, by Zipf's law, nine tenths at one gateway and at another every 5 s, with a
-// third cut off, and after it. Played with each way of sharing in turn: magpiebank-testbed fleet run budgets.
+// Measures how well a total is used with different ways of sharing it. The demand is even, then distributed by Zipf's law, then nine tenths of
+// it are at one gateway, another one every 5 s. Then a third of the gateways is cut off, and connected again. It runs with each way of
+// sharing, one after the other: magpiebank-testbed fleet run budgets.
 local n = 32, total = 64, service = 0.4;
-local demand = 1.4 * total / service;  // tasks a second
-local calm = 1.5;  // at each gateway: three tenths of what the total has room for
+local demand = 1.4 * total / service;  // requests per second
+local calm = 1.5;  // requests per second at each gateway; together three tenths of what the total allows
 local harmonic = std.foldl(function(sum, k) sum + 1 / (k + 1), std.range(0, n - 1), 0);
 local surge(from, to, gateways, rate) = { at: '%ds' % from, until: '%ds' % to, do: 'surge', gateways: gateways, more: std.max(0, rate - calm) };
 {
--- a/internal/testbed/faulttest/builtin/clocks.jsonnet
+++ b/internal/testbed/faulttest/builtin/clocks.jsonnet
@@ -1,4 +1,4 @@
-// One clock runs a twentieth fast, one slow, and one is set back a minute; engines err and recover.
+// One clock runs a twentieth too fast, one a twentieth too slow, and one is set back by a minute. Engines fail and recover.
 {
   name: 'clocks', length: '16s',
   clocks: [{ gateway: 'g1', rate: 1.05 }, { gateway: 'g2', rate: 0.95 }, { gateway: 'g3', jump: '-60s', after: '6s' }],
--- a/internal/testbed/faulttest/builtin/cold-cut.jsonnet
+++ b/internal/testbed/faulttest/builtin/cold-cut.jsonnet
@@ -1,5 +1,5 @@
-// Two engines restart while a third of the gateways hears nothing from the others, and one is killed: together they send a cold engine
-// less than what tips it over.
+// Two engines restart while a third of the gateways is cut off from the others, and one gateway is killed. All gateways together must send an
+// engine that is warming up less work than what overloads it.
 {
   name: 'cold-cut', gateways: 9, engines: 3, rate: 8, loads: 1, service: '200ms', warm: '6s', cold: true, term: '24s', length: '20s',
   steps: [
--- a/internal/testbed/faulttest/builtin/engine-restarts.jsonnet
+++ b/internal/testbed/faulttest/builtin/engine-restarts.jsonnet
@@ -1,4 +1,4 @@
-// An engine errs, starts again twice in a second, and once more, while evidence about its earlier starts is still under way.
+// An engine returns errors, restarts twice within a second, and restarts once more, while reports about its earlier starts are still on their way.
 {
   name: 'engine-restarts', length: '14s',
   steps: [
--- a/internal/testbed/faulttest/builtin/judgement-lying.jsonnet
+++ b/internal/testbed/faulttest/builtin/judgement-lying.jsonnet
@@ -1,4 +1,4 @@
-// As judgement, while one gateway breaks with every engine and says so of all, and loses half of its datagrams.
+// Like judgement, while one gateway cannot reach any engine, reports failures of all of them, and loses half of its datagrams.
 local judgement = import 'judgement.jsonnet';
 judgement { name: 'judgement-lying', steps+: [
   { at: '1s', from: ['g5'], to: ['e-*'], refuse: true },
--- a/internal/testbed/faulttest/builtin/judgement.jsonnet
+++ b/internal/testbed/faulttest/builtin/judgement.jsonnet
@@ -1,5 +1,5 @@
-// Engines turn bad one after the other, each in its own way: how long until the gateways send nothing there, and what is served
-// meanwhile. Played with sharing and without side by side: magpiebank-testbed fleet run judgement.
+// Engines become faulty one after the other, each in another way. Measures how long it takes until the gateways stop sending requests to them,
+// and what is served meanwhile. It runs with and without shared health reports at the same time: magpiebank-testbed fleet run judgement.
 local bad = ['errs', 'loses', 'silent', 'refuses', 'slow'];
 {
   name: 'judgement', gateways: 32, engines: 12, rate: 1.3, length: '%ds' % (3 + 30 * std.length(bad)), settle: '30s', counts: false,
--- a/internal/testbed/faulttest/builtin/late-words.jsonnet
+++ b/internal/testbed/faulttest/builtin/late-words.jsonnet
@@ -1,4 +1,4 @@
-// What two gateways say comes four seconds late, doubled and out of order, while engines err and recover.
+// The messages of two gateways arrive four seconds late, duplicated and out of order, while engines fail and recover.
 {
   name: 'late-words', length: '14s',
   steps: [
--- a/internal/testbed/faulttest/builtin/lossy-router.jsonnet
+++ b/internal/testbed/faulttest/builtin/lossy-router.jsonnet
@@ -1,4 +1,5 @@
-// The network of one gateway loses half of all its datagrams and breaks its connections to every engine: it accuses them all.
+// The links between one gateway and the others lose half of the datagrams, and twice the gateway cannot connect to any engine for
+// some seconds. So it reports failures of all engines.
 {
   name: 'lossy-router', length: '12s',
   steps: [
--- a/internal/testbed/faulttest/builtin/minute-deaf.jsonnet
+++ b/internal/testbed/faulttest/builtin/minute-deaf.jsonnet
@@ -1,5 +1,5 @@
-// A third of fifteen gateways hears nothing from the others for a minute, one way for half of it, then both ways; engines turn bad
-// meanwhile. Too long for every test run: magpiebank-testbed fleet run minute-deaf.
+// Five of fifteen gateways receive no messages for a minute. In the first half they can still send, in the second half they are cut off from the
+// others in both directions. Engines become faulty meanwhile. It is too long for the tests: magpiebank-testbed fleet run minute-deaf.
 {
   name: 'minute-deaf', gateways: 15, length: '66s', rate: 2,
   steps: [
--- a/internal/testbed/faulttest/builtin/most-killed.jsonnet
+++ b/internal/testbed/faulttest/builtin/most-killed.jsonnet
@@ -1,4 +1,4 @@
-// Seven in ten gateways are killed at once and come back with nothing.
+// Seven of ten gateways are killed at once and return without their state. Later another one returns with an older copy of its state.
 {
   name: 'most-killed', gateways: 10, length: '12s', state: true,
   steps: [
--- a/internal/testbed/faulttest/builtin/noise.jsonnet
+++ b/internal/testbed/faulttest/builtin/noise.jsonnet
@@ -1,4 +1,4 @@
-// Every link of the fleet loses, doubles, delays, reorders and flips bits, while engines turn bad one after the other.
+// Every link between gateways loses, duplicates, delays, reorders and corrupts messages, while engines become faulty one after the other.
 {
   name: 'noise', length: '14s',
   steps: [
--- a/internal/testbed/faulttest/builtin/one-name-twice.jsonnet
+++ b/internal/testbed/faulttest/builtin/one-name-twice.jsonnet
@@ -1,4 +1,4 @@
-// A second process starts under a gateway's name while the first lives; and one under the name of a gateway that stands still.
+// A second process starts with the name of a running gateway, and another one with the name of a stopped gateway.
 {
   name: 'one-name-twice', length: '16s',
   steps: [
--- a/internal/testbed/faulttest/builtin/policy-both.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-both.jsonnet
@@ -1,4 +1,4 @@
-// Who falls silent during a change goes on by what both policies allow, and by no later change.
+// Gateways that are cut off during a change continue with what both the old and the new policy allow, and apply no later change.
 {
   name: 'policy-both', gateways: 9, loads: 0.5, rate: 8, length: '30s',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-changes.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-changes.jsonnet
@@ -1,5 +1,6 @@
-// Threads of loads are changed again and again under load, with nobody silent: two proposals at once, one made twice, a long one, one that only
-// tries, and one that a pool of no zone here stops, with the member and the field.
+// The threads of loads are changed again and again under load, with all gateways connected. Two proposals are made at once, one is made twice,
+// and one has a long text. One has a pool in a zone that does not exist and one an unknown field; both must be refused with the name of the
+// field. One is only rehearsed.
 {
   name: 'policy-changes', gateways: 8, threads: 8, term: '24s', loads: 0.5, rate: 8, length: '10s',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-cut.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-cut.jsonnet
@@ -1,5 +1,6 @@
-// Changes across cuts: two voters with a member apart, then the others apart, then words that go one way only, links that lose, double
-// and delay. Who hears nothing turns loads away once its lease is over, and never goes by an older policy.
+// Policies change while links are cut: first two voters and another gateway are separated, then other groups, then two gateways cannot send.
+// At the end all links lose, duplicate and delay messages. A gateway that receives no messages must reject loads once its lease has
+// ended, and must never apply an older policy.
 {
   name: 'policy-cut', gateways: 9, loads: 0.5, rate: 8, length: '26s',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-dies-taking.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-dies-taking.jsonnet
@@ -1,4 +1,5 @@
-// The leader has all members ready for a change and dies before it asks them to give up the old one. Another leads; the change has one end, the same for all, and the dead one comes back with its folder.
+// The leader is killed when all members are ready for a change, before it asks them to give up the old policy. Another voter becomes the leader.
+// The change must have the same outcome for all, and the killed gateway returns with its folder.
 {
   name: 'policy-dies-taking', gateways: 8, loads: 0.5, rate: 8, length: '14s', dies: 'yielding yielding 0 kill',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-dies-telling.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-dies-telling.jsonnet
@@ -1,4 +1,5 @@
-// The leader dies after a change was decided and some were told. Another leads; the change has one end, the same for all, and the dead one comes back with its folder.
+// The leader is killed after a change has been decided and after it has sent the decision to some members. Another voter becomes the leader. The
+// change must have the same outcome for all, and the killed gateway returns with its folder.
 {
   name: 'policy-dies-telling', gateways: 8, loads: 0.5, rate: 8, length: '14s', dies: 'yielding decided 4 kill',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-disks.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-disks.jsonnet
@@ -1,5 +1,6 @@
-// A voter's disk is full, another's takes a third of a second for each sync, a third says that it has what it has not. All gateways are killed
-// in the moment of deciding and come back: nobody goes back to an older policy. The full one, which has no room, stops all further changes.
+// The disk of one voter becomes full, that of another one takes a third of a second for each sync, and that of a third one reports data as
+// stored that is not. All gateways are killed while a change is being decided, and return. None may apply an older policy then. The voter with
+// the full disk blocks all further changes.
 {
   name: 'policy-disks', gateways: 8, loads: 0.5, rate: 6, length: '26s',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-down.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-down.jsonnet
@@ -1,6 +1,6 @@
-// Four of ten are down while changes are made, and come back one by one with folders of the old number; one has the folder of a change that was
-// dropped, one an older folder, one none at all, and one is started twice under its name. The first of them hears nobody
-// for two seconds.
+// Four of ten gateways are down while policies change. They return one by one with the folders of the old policy: one with a folder from
+// the time of a proposal that was dropped, one with an older folder, one without a folder. The first one to return is cut off for two
+// seconds. Later a second process starts with the name of another one.
 {
   name: 'policy-down', gateways: 10, loads: 0.5, rate: 6, length: '22s',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-force.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-force.jsonnet
@@ -1,5 +1,5 @@
-// Two of three voters are lost for good. Nothing is decided, leases end, and loads are turned away, until the operator forces a new log at
-// the third; the two come back with what they had, and join the new one.
+// Two of three voters are down for a long time. Nothing is decided, leases end, and loads are rejected, until the operator forces a new log with
+// other voters at the third one. The two return with their old state and join the new log.
 {
   name: 'policy-force', gateways: 8, loads: 0.5, rate: 6, length: '40s',
   policy: { voters: 3, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-hard.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-hard.jsonnet
@@ -1,5 +1,5 @@
-// Changes while an engine drains, while the pool that loads go to is empty, and while threads are lent across a cut: totals are never above the larger
-// one during a change, nor above the new one after.
+// Policies change while an engine drains, while the pool for loads is empty, and while threads are lent to gateways that are then cut off. The
+// threads in use must never exceed the larger total during a change, nor the new total after it.
 {
   name: 'policy-hard', gateways: 9, threads: 6, term: '24s', loads: 0.7, rate: 6, length: '30s',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-sleeps.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-sleeps.jsonnet
@@ -1,5 +1,5 @@
-// The leader stands still after a change was decided and before it told anyone, and wakes as one that still thinks it leads, in the
-// smaller part of a fleet that was cut meanwhile.
+// The leader is stopped after a change has been decided and before it has sent the decision to anyone. When it resumes, it still takes itself for
+// the leader, in the smaller part of a cluster that has been split meanwhile.
 {
   name: 'policy-sleeps', gateways: 8, loads: 0.5, rate: 8, length: '16s', dies: 'yielding decided 0 stop',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-slow.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-slow.jsonnet
@@ -1,5 +1,5 @@
-// A gateway whose clock runs a twentieth slow, before voters whose clocks run fast, hears nothing through a change and is busy: it holds its lease
-// for longer than the leader's clock says, and the change waits for that.
+// The clock of a busy gateway runs a twentieth too slow, and those of the voters run too fast. The gateway receives no messages during two
+// changes. It holds its lease for longer than the leader's clock shows, and a change must wait for that.
 {
   name: 'policy-slow', gateways: 8, loads: 0.5, rate: 8, length: '12s',
   policy: { voters: 5, lease: '3s' },
--- a/internal/testbed/faulttest/builtin/policy-stopped.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-stopped.jsonnet
@@ -1,4 +1,5 @@
-// A member, and then a voter, stand still through a whole change and wake with a decision half made; clocks run 2% off both ways.
+// Two members, and later two voters, are stopped during changes, and resume in the middle of the protocol. Clocks run 2 % too fast and too
+// slow.
 {
   name: 'policy-stopped', gateways: 8, loads: 0.5, rate: 8, length: '18s',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-tries.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-tries.jsonnet
@@ -1,5 +1,6 @@
-// A change is rehearsed first and stopped by its guard; another is taken back on probation, by a change of its own; an operator goes back by hand; a
-// member of an older build can't follow, and stops a change for all.
+// One change is rehearsed first and dropped, because too many requests would be rejected. Another one is taken back during its probation, by a
+// change of its own. An operator returns to an earlier policy. A gateway with an older build does not support a field, and so blocks a
+// change for all.
 {
   name: 'policy-tries', gateways: 8, loads: 0.5, rate: 10, length: '18s',
   policy: { voters: 5, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy-voters.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy-voters.jsonnet
@@ -1,4 +1,5 @@
-// Voters are replaced one at a time under load, another one loses its folder and is another voter from then on, and a change goes on through all of it.
+// All voters are replaced, one at a time, under load. Another voter loses its folder and is a different voter from then on. Policies are
+// changed during all of this.
 {
   name: 'policy-voters', gateways: 9, loads: 0.5, rate: 6, length: '40s',
   policy: { voters: 3, lease: '2s' },
--- a/internal/testbed/faulttest/builtin/policy.jsonnet
+++ b/internal/testbed/faulttest/builtin/policy.jsonnet
@@ -1,5 +1,6 @@
-// A hundred changes of what loads may use over 32 gateways: with all connected, with a third silent, and under faults drawn from a seed all the while.
-// Played once with a charter, and once with the same changes read from files at SIGHUP, one gateway after the other: magpiebank-testbed fleet run policy.
+// A hundred policy changes for the loads of 32 gateways: with all gateways connected, with a third of them cut off, and under random faults.
+// It runs with a policy rollout, and then with the same changes in files that gateways read at SIGHUP, one gateway after the other:
+// magpiebank-testbed fleet run policy.
 local n = 32, seed = 1;
 local chance(k, what) = std.parseHex(std.substr(std.md5('%d %s %d' % [seed, what, k]), 0, 6)) / 16777216;
 local pick(k, what, of) = std.floor(chance(k, what) * of);
--- a/internal/testbed/faulttest/builtin/seeds-down.jsonnet
+++ b/internal/testbed/faulttest/builtin/seeds-down.jsonnet
@@ -1,4 +1,4 @@
-// All start at once with seeds that are down; one of them comes up, later the other, and gateways leave and return.
+// All gateways start at once while both seeds are down. First one seed starts, later the other one, and gateways leave and return.
 {
   name: 'seeds-down', length: '14s', down: ['g0', 'g1'],
   steps: [
--- a/internal/testbed/faulttest/builtin/sick-disks.jsonnet
+++ b/internal/testbed/faulttest/builtin/sick-disks.jsonnet
@@ -1,5 +1,5 @@
-// The disk under one gateway's record of tasks is full, under another it is slow, and under a third no sync succeeds; two of them are
-// killed and come back with what there is.
+// The disk under one gateway's request journal is full, that of another one is slow, and on that of a third one no sync succeeds. The first two
+// are killed and return with what has been stored.
 {
   name: 'sick-disks', length: '14s', state: true,
   disks: [{ gateway: 'g1', be: 'full', after: '3s' }, { gateway: 'g2', be: 'slow', after: '2s' }, { gateway: 'g3', be: 'unsynced', after: '3s' }],
--- a/internal/testbed/faulttest/builtin/stopped.jsonnet
+++ b/internal/testbed/faulttest/builtin/stopped.jsonnet
@@ -1,4 +1,4 @@
-// Two gateways stand still, one of them for long, and wake with evidence that they may think is fresh; an engine errs meanwhile.
+// Two gateways are stopped, one of them for 20 s, and resume with old reports that they may consider fresh. An engine returns errors meanwhile.
 {
   name: 'stopped', length: '26s',
   steps: [
--- a/internal/testbed/faulttest/builtin/third-alone.jsonnet
+++ b/internal/testbed/faulttest/builtin/third-alone.jsonnet
@@ -1,4 +1,4 @@
-// A third of the gateways is cut off from the others and from all engines; the list is out of reach for them as well.
+// A third of the gateways is cut off from the others, from all engines and from the discovery service.
 {
   name: 'third-alone', gateways: 9, length: '14s',
   steps: [
--- a/internal/testbed/faulttest/builtin/third-deaf.jsonnet
+++ b/internal/testbed/faulttest/builtin/third-deaf.jsonnet
@@ -1,4 +1,4 @@
-// A third of the gateways hears nothing from the others, first one way only, then both, while an engine errs.
+// A third of the gateways receives no messages from the others, first with only this direction cut, then both, while an engine is faulty.
 {
   name: 'third-deaf', gateways: 9, length: '20s',
   steps: [
--- a/internal/testbed/faulttest/builtin/woken.jsonnet
+++ b/internal/testbed/faulttest/builtin/woken.jsonnet
@@ -1,5 +1,5 @@
-// A gateway that stood still reads at once what came meanwhile, from one that it had not heard of before: what that one saw seconds ago
-// must not pass for news.
+// Two stopped gateways resume and read all messages of the meantime at once. Some come from restarted gateways that they did not know before.
+// What those observed seconds ago must not count as fresh.
 {
   name: 'woken', length: '11s', threads: 13, term: '12s', longest: '2s', loads: 0.6,
   steps: [
