--- a/internal/testbed/faultproxy/network.go
+++ b/internal/testbed/faultproxy/network.go
@@ -70,8 +70,7 @@
 }
 
 // SetRule adds a named rule for messages from the processes that match one of the patterns in from to those that match one in to. The
-// patterns have the syntax of path.Match. A rule with Refuse also resets the open streams that
-// were opened in this direction.
+// patterns have the syntax of path.Match. A rule with Refuse also resets the open streams that were opened in this direction.
 func (n *Network) SetRule(name string, from, to []string, rule Rule) {
 	n.mu.Lock()
 	n.rules = append(n.rules, namedRule{name, from, to, rule})
--- a/internal/testbed/faulttest/builtin/cold.jsonnet
+++ b/internal/testbed/faulttest/builtin/cold.jsonnet
@@ -1,5 +1,5 @@
-// Engines restart one after the other and warm up for a while. Measures what forty gateways together send them, with slow-start quotas that are
-// shared by messages and that are divided by the number of gateways. Run it with: magpiebank-testbed fleet run cold.
+// Engines restart one after the other and warm up for a while. Measures what forty gateways together send them, first if the gateways share
+// slow-start quotas by messages, then if they take turns by their numbers. Run it with: magpiebank-testbed fleet run cold.
 {
   name: 'cold', gateways: 40, engines: 8, rate: 2.5, loads: 1, service: '400ms', warm: '14s', cold: true, term: '24s', sharing: false, counts: false,
   length: '54s', settle: '30s',
--- a/internal/testbed/faulttest/check.go
+++ b/internal/testbed/faulttest/check.go
@@ -26,13 +26,13 @@
 
 // Check checks a merged history for rules that must hold at every instant, even if messages are lost, duplicated or late, and processes
 // are stopped or killed. It uses only what the processes recorded. It returns two lists of violations. A received message has the time
-// at which the receiver recorded it. So the violations in late may also come from a process that was woken more than ageTolerance late.
-func Check(events []history.Event) (broken, late []string) {
+// at which the receiver recorded it. So the violations in timed may also come from a process that was woken more than ageTolerance late.
+func Check(events []history.Event) (violations, timed []string) {
 	c := newHistoryChecker(events)
 	for i := range events {
 		c.checkEvent(&events[i])
 	}
-	return c.broken, c.late
+	return c.violations, c.timedViolations
 }
 
 // historyChecker tracks what each incarnation of a process knew, and collects the violations.
@@ -41,8 +41,8 @@
 	failures          map[engineObserver][]int64  // times at which an incarnation itself observed a failure of an engine
 	firstIncarnations map[incarnation]incarnation // by later incarnation of a process: the one with which it started
 	views             map[incarnation]*clusterView
-	broken            []string
-	late              []string
+	violations        []string
+	timedViolations   []string
 }
 
 // engineObserver is a process together with one start of an engine to which it sends requests.
@@ -93,7 +93,7 @@
 		view.updateEndpoint(e)
 	case history.AttemptSent:
 		if _, ok := view.endpoints[e.Engine]; !ok {
-			c.broken = append(c.broken, c.message(e, "list: an attempt was sent to %s, which its own endpoint list does not contain", e.Engine))
+			c.violations = append(c.violations, c.message(e, "list: an attempt was sent to %s, which its own endpoint list does not contain", e.Engine))
 		}
 	case history.MemberChanged:
 		c.checkMemberChange(view, e)
@@ -139,7 +139,7 @@
 		return
 	}
 	if e.Detail < view.memberStarts[e.Member] {
-		c.broken = append(c.broken, c.message(e, "start: %s with start %d is %s, although start %d was known", e.Member, e.Detail, e.Code, view.memberStarts[e.Member]))
+		c.violations = append(c.violations, c.message(e, "start: %s with start %d is %s, although start %d was known", e.Member, e.Detail, e.Code, view.memberStarts[e.Member]))
 	}
 	view.memberStarts[e.Member] = max(view.memberStarts[e.Member], e.Detail)
 }
@@ -148,10 +148,10 @@
 // engine, and if it reports a failure, the member itself observed this failure.
 func (c *historyChecker) checkPeerOutcome(view *clusterView, e *history.Event) {
 	if e.Detail < view.memberStarts[e.Member] {
-		c.broken = append(c.broken, c.message(e, "start: a report of %s with start %d was accepted, although start %d was known", e.Member, e.Detail, view.memberStarts[e.Member]))
+		c.violations = append(c.violations, c.message(e, "start: a report of %s with start %d was accepted, although start %d was known", e.Member, e.Detail, view.memberStarts[e.Member]))
 	}
 	if engineStart, ok := view.endpoints[e.Engine]; !ok || engineStart != e.EngineStart {
-		c.broken = append(c.broken, c.message(e, "engine's start: a report on %s with start %d was accepted, but its own list has start %d", e.Engine, e.EngineStart, engineStart))
+		c.violations = append(c.violations, c.message(e, "engine's start: a report on %s with start %d was accepted, but its own list has start %d", e.Engine, e.EngineStart, engineStart))
 	}
 	if e.Success {
 		return
@@ -161,7 +161,7 @@
 	}
 	view.failureReportedAt[e.Engine][e.Member] = e.At
 	if !c.observedFailure(e) {
-		c.late = append(c.late, c.message(e, "evidence: a report says that %s observed a failure of %s %.1f s ago, but its history has no such failure", e.Member, e.Engine, float64(e.AgeNanos)/1e9))
+		c.timedViolations = append(c.timedViolations, c.message(e, "evidence: a report says that %s observed a failure of %s %.1f s ago, but its history has no such failure", e.Member, e.Engine, float64(e.AgeNanos)/1e9))
 	}
 }
 
@@ -185,7 +185,7 @@
 func (c *historyChecker) checkAssessment(view *clusterView, e *history.Event) {
 	witnesses := c.countWitnesses(view, e)
 	if e.FailureScore > 0 && e.Number > witnesses || e.FailureScore > float64(e.Number)+1e-9 {
-		c.late = append(c.late, c.message(e, "witnesses: the failure score %.2f of %s claims %d witnesses, but the histories show %d", e.FailureScore, e.Engine, e.Number, witnesses))
+		c.timedViolations = append(c.timedViolations, c.message(e, "witnesses: the failure score %.2f of %s claims %d witnesses, but the histories show %d", e.FailureScore, e.Engine, e.Number, witnesses))
 	}
 	delete(view.suspectedUntil, e.Engine)
 	if e.FailureScore > 0 {
@@ -199,7 +199,7 @@
 		}
 	}
 	if maxSuspected := max(1, int(view.maxEjectedShare*float64(len(view.endpoints)))); suspected > maxSuspected {
-		c.late = append(c.late, c.message(e, "part: reports of other members count against %d engines at a time; of %d engines they may count against %d", suspected, len(view.endpoints), maxSuspected))
+		c.timedViolations = append(c.timedViolations, c.message(e, "part: reports of other members count against %d engines at a time; of %d engines they may count against %d", suspected, len(view.endpoints), maxSuspected))
 	}
 }
 
--- a/internal/testbed/faulttest/expectations.go
+++ b/internal/testbed/faulttest/expectations.go
@@ -35,9 +35,9 @@
 	}
 	totals := readQuotaTotals(r.Events, p.installation.QuotaReplicas(), loweredAfter)
 	r.addTimedViolations(CheckCounts(r.Events)...)
-	broken, late := Check(r.Events)
-	r.addViolations(broken...)
-	r.addTimedViolations(late...)
+	violations, timed := Check(r.Events)
+	r.addViolations(violations...)
+	r.addTimedViolations(timed...)
 	r.addViolations(CheckQuotas(r.Events, totals)...)
 	r.addViolations(CheckEngines(s, r.RunningChanges, r.StartedAt, r.StartMonotonic, totals)...)
 	for _, e := range r.Events {
@@ -94,8 +94,9 @@
 	if p.isExcused(request) {
 		return
 	}
+	// A gateway closes the connection of a slow client, so the outcomes TimedOut and ConnectionLost depend on time.
 	violation := fmt.Sprintf("rule 1: request %s of %s, sent at %v, ended as %q", request.id, request.Gateway, request.At.Round(time.Millisecond), request.End)
-	if request.End == sqlclient.TimedOut || request.End == sqlclient.ConnectionLost { // depends on time: the connection of a slow client is closed as well
+	if request.End == sqlclient.TimedOut || request.End == sqlclient.ConnectionLost {
 		r.addTimedViolations(violation)
 	} else {
 		r.addViolations(violation)
--- a/internal/testbed/faulttest/outages.go
+++ b/internal/testbed/faulttest/outages.go
@@ -19,7 +19,7 @@
 	T95         time.Duration `json:"t95"`    // time after which 95 % of the gateways sent no more attempts to it until the outage ended
 	Sent        int           `json:"sent"`   // attempts sent to the engine during the outage
 	Others      int           `json:"others"` // attempts sent to all other engines during the outage
-	Served      float64       `json:"served"` // share of the priority weight of the requests during the outage that was served within the latency objective
+	Served      float64       `json:"served"` // share of the requests' priority weight, during the outage, that was served within the latency objective
 }
 
 // Outages returns the outages of engines in a run.
--- a/internal/testbed/faulttest/outcome.go
+++ b/internal/testbed/faulttest/outcome.go
@@ -28,10 +28,10 @@
 }
 
 // RunScenario runs a scenario in all variants that it is meant to compare. Scenarios that measure health reports, or all scenarios with
-// compareSharing, run with and without shared health reports. Scenarios with engines that warm up run with slow-start quotas shared by
-// messages and divided by the number of gateways. Scenarios with phases and voters run with a policy rollout and with policy files.
-// Other scenarios with phases run with each way of sharing a quota; if maxModes is above 0, only with the first maxModes ways and
-// without a limit. Any other scenario runs once.
+// compareSharing, run with and without shared health reports. Scenarios with engines that warm up run with slow-start quotas that are
+// shared by messages, and with gateways that take turns by their numbers. Scenarios with phases and voters run with a policy rollout and
+// with policy files. Other scenarios with phases run with each way of sharing a quota; if maxModes is above 0, only with the first
+// maxModes ways and without a limit. Any other scenario runs once.
 func RunScenario(ctx context.Context, s *Scenario, folder, program string, compareSharing bool, maxModes int) (*Outcome, error) {
 	switch {
 	case compareSharing || strings.HasPrefix(s.Name, "judgement"):
--- a/internal/testbed/faulttest/quota_modes.go
+++ b/internal/testbed/faulttest/quota_modes.go
@@ -33,7 +33,7 @@
 type PhaseUse struct {
 	Phase
 	UsedShare      float64       `json:"used"`  // mean share of the total that was in use
-	LeastUsedShare float64       `json:"least"` // the same in the half second with the least use
+	LeastUsedShare float64       `json:"least"` // mean share of the total in use in the half second with the least use
 	OwnUsedShare   float64       `json:"own"`   // if the phase names gateways: their use, relative to an equal share of the total for each of them
 	P50            time.Duration `json:"p50"`   // latency minus service time of requests that were sent in the phase and served
 	P99            time.Duration `json:"p99"`
--- a/internal/testbed/faulttest/result.go
+++ b/internal/testbed/faulttest/result.go
@@ -45,12 +45,12 @@
 	Scenario         *Scenario            `json:"-"`
 	Folder           string               `json:"folder"`
 	ConvergedAtStart time.Duration        `json:"joined"`  // time until all gateways knew each other after the start
-	ConvergedAgain   time.Duration        `json:"settled"` // time until all gateways knew each other again after the load and all faults had ended
+	ConvergedAgain   time.Duration        `json:"settled"` // time until all gateways knew each other after the end of the load and all faults
 	Violations       []string             `json:"violations"`
 	WakeDelay        time.Duration        `json:"wake_delay"` // longest delay with which the testbed or a gateway was woken; see Disturbed
 	Requests         []Request            `json:"-"`
 	Ends             map[string]int       `json:"ends"`
-	Served           float64              `json:"served"` // share of the priority weight of all requests that was served within the latency objective
+	Served           float64              `json:"served"` // share of the requests' priority weight that was served within the latency objective
 	Counts           faultproxy.Counts    `json:"counts"`
 	Events           []history.Event      `json:"-"`
 	StartMonotonic   int64                `json:"-"` // CLOCK_MONOTONIC at the start of the load
--- a/internal/testbed/faulttest/scenario.go
+++ b/internal/testbed/faulttest/scenario.go
@@ -39,10 +39,10 @@
 	Durable         bool                       // each gateway has a request journal
 	Rollout         installation.Rollout       // how the gateways decide on policies; without voters, each gateway applies its operator file
 	Mutation        string                     // mutation of all gateways, with which a test checks that violations are found
-	Clocks          map[string]string          // by label of a gateway: rate of its clock, and jump and time of the jump, in the format of MAGPIEBANK_CLOCK
-	ClockOffsets    map[string]string          // by label of a gateway: offset of its wall clock at its start, in the format of MAGPIEBANK_BORN
+	Clocks          map[string]string          // by label of a gateway: rate and jump of its clock, in the format of MAGPIEBANK_CLOCK
+	ClockOffsets    map[string]string          // by label of a gateway: initial offset of its wall clock, as in MAGPIEBANK_BORN
 	MutationAt      map[string]string          // by label of a gateway: additional mutation of this gateway alone
-	CrashPoint      string                     // point at which the first voter that reaches it ends or stops itself; format of MAGPIEBANK_DIE without the file
+	CrashPoint      string                     // where the first voter to get there kills or stops itself, as in MAGPIEBANK_DIE without the file
 	Disks           map[string]string          // by label of a gateway: how and when its disk fails, in the format of MAGPIEBANK_DISK
 	NotStarted      []string                   // gateways that do not run until a step starts them
 	Steps           []Step
@@ -86,7 +86,7 @@
 	Engines      []string
 	Limits       installation.ClusterLimits // new limits in the operator files of the gateways
 	ExtraRate    float64                    // additional requests per second at the gateways during the step
-	EngineState  string                     // of engines: silent, errs, loses, slow, refuses, paused, restarts, drains or gone; of the discovery service: held or broken
+	EngineState  string                     // one of states; held and broken are states of the discovery services, all others of engines
 }
 
 // The values of the fields Action and EngineState of a step.
--- a/internal/testbed/faulttest/scenario_test.go
+++ b/internal/testbed/faulttest/scenario_test.go
@@ -232,8 +232,8 @@
 		{"an engine's earlier start", []history.Event{event(1.2, "g0", history.Event{Kind: history.EngineListed, State: "live", EngineStart: 7}), event(1.5, "g0", reported)}, "engine's start:"},
 	} {
 		all := append(append([]history.Event{}, base...), c.extra...)
-		broken, late := Check(all)
-		got := strings.Join(slices.Concat(broken, late, CheckCounts(all), CheckQuotas(all, readQuotaTotals(all, []string{"g0"}, 3*time.Second))), "; ")
+		violations, timed := Check(all)
+		got := strings.Join(slices.Concat(violations, timed, CheckCounts(all), CheckQuotas(all, readQuotaTotals(all, []string{"g0"}, 3*time.Second))), "; ")
 		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
 			t.Errorf("%s: found %q, expected %q", c.name, got, c.want)
 		}
--- a/internal/testbed/faulttest/slow_start.go
+++ b/internal/testbed/faulttest/slow_start.go
@@ -15,7 +15,7 @@
 type SlowStartRecord struct {
 	Engine      string        `json:"engine"`
 	At          time.Duration `json:"at"`
-	MaxOverload float64       `json:"most"`  // most work in any window of SlowStart.OverloadAfter, as a multiple of the work that overloads an engine just after its start
+	MaxOverload float64       `json:"most"`  // most work within SlowStart.OverloadAfter, relative to what overloads an engine just started
 	Requests    []int         `json:"tasks"` // number of requests in each second since its start
 }
 
@@ -61,7 +61,7 @@
 }
 
 // CompareSlowStart runs a scenario twice, one run after the other. In the first run the gateways share, by messages, what may be sent to
-// engines that are warming up. In the second run it is divided by the number of gateways.
+// engines that are warming up. In the second run they exchange no such messages and take turns, by their numbers and their clocks.
 func CompareSlowStart(ctx context.Context, s *Scenario, folder, program string) (shared, byNumber *Result, err error) {
 	withSharing, withoutSharing := *s, *s
 	withSharing.SharedSlowStart, withoutSharing.SharedSlowStart = true, false
--- a/internal/testbed/installation/gateway.go
+++ b/internal/testbed/installation/gateway.go
@@ -23,10 +23,10 @@
 	History string // path of the history file; empty unless the gateways form a cluster
 	Control string // path of the control socket; empty unless the gateways form a cluster
 
-	listenUDP         string // address at which the process listens for datagrams
-	advertisedAddress string // address at which the other gateways reach it; with proxies, that of its relay
-	discoveryAddress  string // address of its discovery service
-	snapshot          func() json.RawMessage
+	listenUDP         string                 // address at which the process listens for datagrams
+	advertisedAddress string                 // address at which the other gateways reach it; with proxies, that of its relay
+	discoveryAddress  string                 // address of its discovery service
+	snapshot          func() json.RawMessage // returns the events of its discovery service so far
 
 	limits          ClusterLimits // limits of the whole cluster, as in the gateway's operator file
 	engineAddresses []string      // with proxies: by engine, the address of the proxy between the gateway and the engine
