--- a/internal/testbed/faulttest/expectations.go
+++ b/internal/testbed/faulttest/expectations.go
@@ -21,8 +21,8 @@
 	r.Requests = p.requests
 	r.addTimedViolations(p.missedDeadlines...)
 	p.checkRequests(r)
-	r.RunningChanges = p.installation.Log.Runs()
-	r.SlowStarts = slowStartRecords(s, plan.SlowStart, plan.Behavior.Cores, p.installation.Log.Sent(), p.startedAt)
+	r.RunningChanges = p.installation.Log.RunningChanges()
+	r.SlowStarts = slowStartRecords(s, plan.SlowStart, plan.Behavior.Cores, p.installation.Log.AcceptedRequests(), p.startedAt)
 	for _, record := range r.SlowStarts {
 		if record.MaxOverload > 1 {
 			// The violation depends on time, because a fake engine that is woken late reads the requests of a longer time at once.
--- a/internal/testbed/faulttest/policy_modes.go
+++ b/internal/testbed/faulttest/policy_modes.go
@@ -31,7 +31,7 @@
 	DecisionP99    time.Duration `json:"took99"`
 	Loads          int           `json:"loads"`
 	RejectedUnsure int           `json:"unsure"` // loads rejected because the gateway held no lease on a policy
-	Served         float64       `json:"served"` // share of the priority weight of all requests that was served within the latency objective
+	Served         float64       `json:"served"` // share of the requests' priority weight that was served within the latency objective
 	OlderUses      int           `json:"older"`
 	P50            time.Duration `json:"p50"` // latency of look-ups that were sent in the phase and served
 	P99            time.Duration `json:"p99"`
--- a/internal/testbed/faulttest/scenario.go
+++ b/internal/testbed/faulttest/scenario.go
@@ -81,7 +81,7 @@
 	Folder       string // state after a kill: same, none, or older, which is the copy made by keep or, without one, at the kill
 	ProposalKind string // change, rollback or rehearse
 	Policy       installation.Policy
-	PolicyNumber int    // of a rollback: number of the earlier policy
+	PolicyNumber int    // of a rollback: number of the earlier policy; of limit: version of the new limits, 0: derived from the earlier steps
 	ProposalName string // steps with the same name propose with the same id, like one proposal that is sent again
 	Engines      []string
 	Limits       installation.ClusterLimits // new limits in the operator files of the gateways
--- a/internal/testbed/faulttest/slow_start.go
+++ b/internal/testbed/faulttest/slow_start.go
@@ -20,7 +20,7 @@
 }
 
 // slowStartRecords returns a record for each restart of an engine. It returns none if engines don't warm up.
-func slowStartRecords(s *Scenario, plan installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) (records []SlowStartRecord) {
+func slowStartRecords(s *Scenario, plan installation.SlowStart, cores float64, sent []fake.AcceptedRequest, began time.Time) (records []SlowStartRecord) {
 	if plan.WarmUp == 0 {
 		return nil
 	}
@@ -36,10 +36,10 @@
 }
 
 // slowStartRecord returns the record of one engine that started at a time since the start of the load, until it was warm.
-func slowStartRecord(engine string, startedAt time.Duration, plan installation.SlowStart, cores float64, sent []fake.Sent, began time.Time) SlowStartRecord {
+func slowStartRecord(engine string, startedAt time.Duration, plan installation.SlowStart, cores float64, sent []fake.AcceptedRequest, began time.Time) SlowStartRecord {
 	record := SlowStartRecord{Engine: engine, At: startedAt, Requests: make([]int, int(plan.WarmUp/time.Second))}
 	overloadWork := plan.OverloadFactor * plan.Share * cores * plan.OverloadAfter.Seconds()
-	var window []fake.Sent
+	var window []fake.AcceptedRequest
 	work := 0.0
 	for _, attempt := range sent {
 		at := attempt.At.Sub(began)
--- a/internal/testbed/faulttest/steps.go
+++ b/internal/testbed/faulttest/steps.go
@@ -172,7 +172,8 @@
 	}
 }
 
-// setLimits writes new limits into the operator files of the gateways that the step names. Each change has a new version.
+// setLimits writes new limits into the operator files of the gateways that the step names. Each change has a new version, unless the step
+// sets the version.
 func (p *run) setLimits(step Step) {
 	limits := step.Limits
 	limits.Version = 2
--- a/internal/testbed/load/experiment/run.go
+++ b/internal/testbed/load/experiment/run.go
@@ -172,12 +172,12 @@
 		case <-done:
 			return
 		case <-time.After(progressInterval):
-			onProgress(Progress{time.Since(start), running.Offered.Load(), running.Ended.Load(), running.Open.Load()})
+			onProgress(Progress{time.Since(start), running.Offered.Load(), running.Finished.Load(), running.OpenSessions.Load()})
 		}
 	}
 }
 
-// Folder is where a run's files go when no other place is named.
-func Folder(name string) string {
+// DefaultFolder is where a run's files go when no other place is named.
+func DefaultFolder(name string) string {
 	return filepath.Join(os.TempDir(), fmt.Sprintf("magpiebank-testbed-%s-%d", name, os.Getpid()))
 }
--- a/internal/workload/source/source.go
+++ b/internal/workload/source/source.go
@@ -1,4 +1,4 @@
-// Package source reads the operator's file.
+// Package source reads and validates operators' files.
 package source
 
 import (
@@ -10,7 +10,7 @@
 	"magpiebank/internal/workload"
 )
 
-// Read reads a file. Its error lists all that is wrong in the file, a line each with file, line and field.
+// Read reads and validates a file. Its error has one line, with file, line and field, for each invalid field.
 func Read(path string) (*workload.File, error) {
 	_, object, err := configfile.Read(path)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return decode(object)
 }
 
-// Parse reads a text as a file of the given name would be read.
+// Parse reads a text as if it were the content of a file of the given name.
 func Parse(name, text string) (*workload.File, error) {
 	_, object, err := configfile.Parse(name, text)
 	if err != nil {
@@ -33,40 +33,40 @@
 	if statements := root.Object("statements"); statements != nil {
 		file.Statements = readStatements(statements)
 	}
-	if fleet := root.Object("fleet"); fleet != nil {
-		file.Fleet = readFleet(fleet)
+	if cluster := root.Object("fleet"); cluster != nil {
+		file.Cluster = readCluster(cluster)
 	}
-	hasFleetPolicy := file.Fleet != nil && file.Fleet.Policy != nil
+	hasClusterPolicy := file.Cluster != nil && file.Cluster.Policy != nil
 	if policy := root.Object("policy"); policy != nil {
-		if !hasFleetPolicy {
+		if !hasClusterPolicy {
 			root.RejectError(errors.New("policy: expected fleet.policy in the file, by which it takes hold, found nothing"))
 		}
 		readRequirements(policy)
 	}
-	if file.Statements != nil && hasFleetPolicy {
-		// The plan in force is the one that the fleet has decided on, which this one is only proposed for.
+	if file.Statements != nil && hasClusterPolicy {
+		// The cluster's policy provides the plan in force. The plan in this file takes effect only if it is proposed.
 		plan := &file.Statements.Plan
-		file.PolicyProposed = len(plan.Pools)+len(plan.Classes) > 0
+		file.PlanNeedsProposal = len(plan.Pools)+len(plan.Classes) > 0
 		*plan = resourcegroup.Plan{}
 	}
 	if file.Statements != nil {
-		addFleetBudgets(root, file)
+		addClusterBudgets(root, file)
 	}
 	return file, root.Validate()
 }
 
-// addFleetBudgets has the gateways share the budgets of fleet-wide classes.
-func addFleetBudgets(root *configfile.Object, file *workload.File) {
+// addClusterBudgets adds the budgets of ClusterWide classes to the quota, or rejects such classes if the file has no quota.
+func addClusterBudgets(root *configfile.Object, file *workload.File) {
 	plan := &file.Statements.Plan
-	if file.Fleet != nil && file.Fleet.Quota != nil {
-		quota := file.Fleet.Quota
-		names, totals := plan.FleetBudgets()
+	if file.Cluster != nil && file.Cluster.Quota != nil {
+		quota := file.Cluster.Quota
+		names, totals := plan.ClusterBudgets()
 		quota.Names = append(quota.Names, names...)
 		quota.Totals = append(quota.Totals, totals...)
 		return
 	}
 	for i := range plan.Classes {
-		if plan.Classes[i].FleetWide {
+		if plan.Classes[i].ClusterWide {
 			root.RejectError(fmt.Errorf("statements.classes[%d].fleet: expected fleet.budgets in the file, by which gateways share it, found nothing", i))
 		}
 	}
