--- a/internal/testbed/faulttest/print.go
+++ b/internal/testbed/faulttest/print.go
@@ -10,16 +10,16 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// scenarioWriter writes fields of a scenario's file.
+// scenarioWriter writes the fields of a scenario as Jsonnet.
 type scenarioWriter struct{ strings.Builder }
 
-// field writes a field; values are marshalled as JSON, which is Jsonnet as well.
+// field writes a field with its value as JSON, which is valid Jsonnet.
 func (w *scenarioWriter) field(name string, value any) {
-	text, _ := json.Marshal(value) // of texts, numbers and lists of them, which always can be
+	text, _ := json.Marshal(value) // strings, numbers, booleans, and lists and maps of them can always be encoded
 	fmt.Fprintf(w, " %s: %s,", name, text)
 }
 
-// fieldIf writes a field where a condition holds.
+// fieldIf writes a field if the condition is true.
 func (w *scenarioWriter) fieldIf(condition bool, name string, value any) {
 	if condition {
 		w.field(name, value)
@@ -40,7 +40,7 @@
 	w.durationIf(limits.Work > 0, "work", limits.Work)
 }
 
-// Text is a file that reads as this scenario.
+// Text returns the text of a file from which Parse reads the same scenario.
 func (s *Scenario) Text() string {
 	w := &scenarioWriter{}
 	w.WriteString("{")
@@ -81,11 +81,12 @@
 	w.field("counts", s.Counters)
 	w.field("state", s.Durable)
 	if rollout := s.Rollout; rollout.Voters > 0 {
-		w.field("policy", map[string]any{"voters": rollout.Voters, "lease": rollout.Lease.String(), "within": rollout.Within.String()})
+		w.field("policy", map[string]any{"voters": rollout.Voters, "lease": rollout.Lease.String(), "within": rollout.DecideWithin.String()})
 	}
 }
 
-// writeFaultyParts writes what is wrong with processes from the start: mutations, clocks, disks.
+// writeFaultyParts writes the faults that processes have from the start: mutations, crash points, clocks and disks. It also writes
+// which gateways are not started.
 func (s *Scenario) writeFaultyParts(w *scenarioWriter) {
 	w.fieldIf(s.Mutation != "", "planted", s.Mutation)
 	w.fieldIf(s.CrashPoint != "", "dies", s.CrashPoint)
@@ -112,7 +113,8 @@
 	w.fieldIf(disks != nil, "disks", disks)
 }
 
-// clockFields are the fields of a clock, from the form of MAGPIEBANK_CLOCK. Those that can't be read are zero, which reads as an error.
+// clockFields returns the fields of a gateway's clock, parsed from the format of MAGPIEBANK_CLOCK. If parsing fails, fields are zero,
+// and reading them from a file gives an error.
 func (s *Scenario) clockFields(gateway string) map[string]any {
 	var rate float64
 	var jump, after string
@@ -172,15 +174,15 @@
 	w.fieldIf(t.PolicyNumber > 0, "number", t.PolicyNumber)
 	w.fieldIf(t.ProposalName != "", "as", t.ProposalName)
 	w.fieldIf(policy.Refuse, "refuse", true)
-	w.fieldIf(policy.Looks, "looks", true)
+	w.fieldIf(policy.LookClass, "looks", true)
 	w.fieldIf(len(policy.Zones) > 0, "zones", policy.Zones)
-	w.fieldIf(policy.Field != "", "field", policy.Field)
-	w.durationIf(policy.Both > 0, "both_for", policy.Both)
+	w.fieldIf(policy.UnknownField != "", "field", policy.UnknownField)
+	w.durationIf(policy.BothFor > 0, "both_for", policy.BothFor)
 	w.durationIf(policy.Rehearse > 0, "rehearse", policy.Rehearse)
-	w.fieldIf(policy.Guard > 0, "guard", policy.Guard)
+	w.fieldIf(policy.MaxRejectedShare > 0, "guard", policy.MaxRejectedShare)
 	w.durationIf(policy.Probation > 0, "probation", policy.Probation)
-	w.fieldIf(policy.Bound > 0, "bound", policy.Bound)
-	w.fieldIf(policy.Size > 0, "size", fmt.Sprintf("%dB", policy.Size))
+	w.fieldIf(policy.MaxShedShare > 0, "bound", policy.MaxShedShare)
+	w.fieldIf(policy.FillerBytes > 0, "size", fmt.Sprintf("%dB", policy.FillerBytes))
 }
 
 func (s *Scenario) writeExpectations(w *scenarioWriter) {
