--- a/internal/testbed/load/classification/classification.go
+++ b/internal/testbed/load/classification/classification.go
@@ -1,6 +1,7 @@
-// Package classification measures how well statements are classed by what they will cost, against fakes whose true cost is
-// known: at first sight, and after so many answers; and how soon a changed cost is detected. Its figures are simulated: it
-// has no clock and no sockets, and the fakes' costs are drawn.
+// Package classification measures how well statements are classified by their predicted cost, at first sight and after given
+// numbers of answers, and how soon a change of the cost is detected. It compares predictions with a fake planner whose true
+// costs are known. These results are simulated: there are no clock and no sockets, and the costs are drawn. Only the delay of
+// classification is measured on this machine's clock.
 package classification
 
 import (
@@ -14,31 +15,32 @@
 	"magpiebank/internal/testbed/fake"
 )
 
-// The classes: look-ups, reports, and statements that load an engine noticeably. classBounds are the times in ms under
-// which the first and second stay.
+// The classes are look-ups, reports, and statements that load an engine noticeably. classUpperBounds holds the upper bounds of
+// the work of the first two, in milliseconds.
 var (
-	classBounds = []float64{45, 500}
-	classNames  = []string{"short", "middle", "heavy"}
+	classUpperBounds = []float64{45, 500}
+	classNames       = []string{"short", "middle", "heavy"}
 )
 
 func classOf(workMillis float64) int {
-	for class, bound := range classBounds {
+	for class, bound := range classUpperBounds {
 		if workMillis < bound {
 			return class
 		}
 	}
-	return len(classBounds)
+	return len(classUpperBounds)
 }
 
-// Matrix counts predicted classes against true ones, for statements whose shape and group of tables had so many answers.
-// The last column is of those for which nothing was known.
+// Matrix is a confusion matrix of predicted classes. It counts the statements whose template had had exactly After answers on
+// their group of tables. Count has a row for each true class and a column for each predicted one. Its last column counts the
+// statements without a prediction.
 type Matrix struct {
 	After int       `json:"answers"`
 	Count [3][4]int `json:"true_given"`
 }
 
-// Wrong returns the share of predicted classes that were wrong, and the share of statements that got none.
-func (m *Matrix) Wrong() (wrong, none float64) {
+// ErrorRates returns the share of predictions that were wrong, and the share of statements without a prediction.
+func (m *Matrix) ErrorRates() (errorRate, unclassified float64) {
 	all, incorrect, unknown := 0, 0, 0
 	for trueClass, row := range m.Count {
 		for predicted, count := range row {
@@ -56,24 +58,24 @@
 
 // Result is the outcome of a measurement.
 type Result struct {
-	Seed       int64    `json:"seed"`
-	Templates  int      `json:"forms"`
-	Statements int      `json:"statements"`
-	Matrices   []Matrix `json:"matrices"`
-	Named      int      `json:"scans_named_at_first_sight"` // templates that read a whole table
-	Scans      int      `json:"scans"`
-	Mistaken   int      `json:"others_named_scans"`
-	Split      int64    `json:"split_by_literal"`
-	Skewed     int      `json:"skewed_forms"`
-
-	Shifts  int     `json:"shifts"`       // of factor three
-	Found   int     `json:"found_within"` // 20 answers
-	Alarms  int64   `json:"false_alarms"`
-	Answers int     `json:"answers_without_shift"`
-	Mean    float64 `json:"answers_until_found"`
+	Seed            int64    `json:"seed"`
+	Templates       int      `json:"forms"`
+	Statements      int      `json:"statements"`
+	Matrices        []Matrix `json:"matrices"`
+	RecognizedScans int      `json:"scans_named_at_first_sight"` // templates that read a whole table and were recognized as such
+	Scans           int      `json:"scans"`                      // templates that read a whole table
+	FalseScans      int      `json:"others_named_scans"`         // templates that were wrongly recognized as reading a whole table
+	SplitShapes     int64    `json:"split_by_literal"`           // shapes whose cost was found to depend on a literal
+	SkewedTemplates int      `json:"skewed_forms"`               // templates whose cost is many times higher for some literals
+
+	Shifts                 int     `json:"shifts"`                // of a cost, by a factor of three
+	DetectedShifts         int     `json:"found_within"`          // shifts that were detected within 20 answers
+	FalseAlarms            int64   `json:"false_alarms"`          // shifts that were detected while the cost was steady
+	SteadyAnswers          int     `json:"answers_without_shift"` // answers while the cost was steady
+	MeanAnswersToDetection float64 `json:"answers_until_found"`   // mean over shifts; maxShiftAnswers for an undetected one
 }
 
-// answerCounts are the numbers of answers after which predicted classes are compared.
+// answerCounts are the numbers of answers after which predicted classes are compared with the true ones.
 var answerCounts = []int{0, 10, 100, 1000}
 
 const (
@@ -81,29 +83,29 @@
 	tableRows      = 1e6
 	zipfExponent   = 1.05
 	zipfOffset     = 20
-	literals       = 40  // different ones of a template
-	bulkLoadRarity = 200 // of so many drawn bulk loads one is run
+	literals       = 40  // number of different literals of a template
+	bulkLoadRarity = 200 // one in this many drawn bulk loads is run
 	nanosPerMilli  = 1e6
 )
 
 // templateGroup is a template on one group of tables.
 type templateGroup struct{ template, group int }
 
-// measurement is one run of a planner's statements through a cost model.
+// measurement runs the statements of a fake planner through a cost model.
 type measurement struct {
-	result  *Result
-	planner *fake.Planner
-	model   *costmodel.Model
-	groups  int
-	answers map[templateGroup]int
-	seen    map[int]bool // templates
+	result        *Result
+	planner       *fake.Planner
+	model         *costmodel.Model
+	groups        int
+	answerCount   map[templateGroup]int
+	seenTemplates map[int]bool // by template
 }
 
-// Measure runs statements of a planner through a cost model, in the order that clients would send them: templates, groups
-// and literals are drawn, and bulk loads among them grow the tables.
+// Measure runs statements of a fake planner through a cost model, in random order as clients would send them: templates, groups
+// and literals are drawn, and bulk loads among the statements make the tables grow. It also measures the detection of shifts.
 func Measure(seed int64, templates, groups, statements int) *Result {
 	m := &measurement{result: &Result{Seed: seed, Templates: templates, Statements: statements}, planner: fake.NewPlanner(seed, templates),
-		groups: groups, answers: map[templateGroup]int{}, seen: map[int]bool{}}
+		groups: groups, answerCount: map[templateGroup]int{}, seenTemplates: map[int]bool{}}
 	m.model = costmodel.NewModel(modelBytes, 1, func(table *costmodel.Table) (rows float64, keys []string, ok bool) {
 		return tableRows, fake.KeyColumns, strings.HasPrefix(table.Schema, "actas_")
 	})
@@ -121,23 +123,23 @@
 		text := fillTemplate(m.planner.Templates[template].Text, group, random.Intn(literals))
 		m.run(templateGroup{template, group}, text, strconv.Itoa(number)+"-"+strconv.FormatInt(seed, 10))
 	}
-	m.result.Split, m.result.Skewed = m.model.SplitShapes.Load(), m.planner.SkewedTemplates()
+	m.result.SplitShapes, m.result.SkewedTemplates = m.model.SplitShapes.Load(), m.planner.SkewedTemplates()
 	m.result.measureShifts(seed)
 	return m.result
 }
 
-// run predicts a statement's cost, runs it, and has the model observe what it took.
+// run predicts a statement's cost, draws the true cost, and lets the model observe it.
 func (m *measurement) run(key templateGroup, text, id string) {
 	template := &m.planner.Templates[key.template]
 	sql := []byte(text)
 	statement := m.model.Inspect(sql, mysql.TableGroup(sql), 0)
 	estimate := m.model.Estimate(&statement)
-	if !m.seen[key.template] {
-		m.seen[key.template] = true
+	if !m.seenTemplates[key.template] {
+		m.seenTemplates[key.template] = true
 		m.result.countFullScan(template, &estimate)
 	}
 	m.countPrediction(key, text, &estimate)
-	m.answers[key]++
+	m.answerCount[key]++
 	took, memory, _ := m.planner.DrawCost(text, id)
 	m.model.Observe(&statement, float64(took)/nanosPerMilli, memory)
 	m.planner.RecordCompletion(text)
@@ -146,11 +148,12 @@
 	}
 }
 
-// countPrediction compares the predicted class with the true one, where the statement had one of the counts of answers.
+// countPrediction counts the predicted class against the true one, if the template's number of answers on this group is among
+// answerCounts.
 func (m *measurement) countPrediction(key templateGroup, text string, estimate *costmodel.Estimate) {
 	for index, count := range answerCounts {
-		// At first sight that of the shape counts, on whatever group it comes first.
-		if m.answers[key] != count || count == 0 && !m.isFirstSight(key.template) {
+		// The count of 0 means that the template is new on all groups, not only on this one.
+		if m.answerCount[key] != count || count == 0 && !m.isFirstSight(key.template) {
 			continue
 		}
 		typicalMillis, _, _ := m.planner.TypicalCost(text)
@@ -162,36 +165,37 @@
 	}
 }
 
-// isFirstSight tells whether a template had no answer on any group.
+// isFirstSight reports whether a template has had no answer on any group.
 func (m *measurement) isFirstSight(template int) bool {
 	for group := 1; group <= m.groups; group++ {
-		if m.answers[templateGroup{template, group}] > 0 {
+		if m.answerCount[templateGroup{template, group}] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// countFullScan counts whether a template that reads a whole table was recognized at first sight.
+// countFullScan counts whether the estimate at first sight correctly says if a template reads a whole table.
 func (r *Result) countFullScan(template *fake.Template, estimate *costmodel.Estimate) {
-	named := estimate.FullScan != ""
+	recognized := estimate.FullScan != ""
 	switch {
 	case template.Kind == fake.FullScan || template.Kind == fake.CrossJoin:
 		r.Scans++
-		if named {
-			r.Named++
+		if recognized {
+			r.RecognizedScans++
 		}
-	case template.Kind != fake.BulkLoad && named:
-		r.Mistaken++
+	case template.Kind != fake.BulkLoad && recognized:
+		r.FalseScans++
 	}
 }
 
-// MeasureSeeds adds up the measurements of so many seeds from one on: a single one has some hundred first sights.
+// MeasureSeeds adds up the measurements of consecutive seeds, the first of which is seed. A single measurement sees only
+// some hundred templates for the first time.
 func MeasureSeeds(seed int64, seeds, templates, groups, statements int) *Result {
 	sum := Measure(seed, templates, groups, statements)
 	for number := 1; number < seeds; number++ {
 		one := Measure(seed+int64(number), templates, groups, statements)
-		sum.Mean = (sum.Mean*float64(number) + one.Mean) / float64(number+1)
+		sum.MeanAnswersToDetection = (sum.MeanAnswersToDetection*float64(number) + one.MeanAnswersToDetection) / float64(number+1)
 		sum.addCounts(one)
 	}
 	return sum
@@ -207,15 +211,15 @@
 	}
 	r.Templates += other.Templates
 	r.Statements += other.Statements
-	r.Named += other.Named
+	r.RecognizedScans += other.RecognizedScans
 	r.Scans += other.Scans
-	r.Mistaken += other.Mistaken
-	r.Split += other.Split
-	r.Skewed += other.Skewed
+	r.FalseScans += other.FalseScans
+	r.SplitShapes += other.SplitShapes
+	r.SkewedTemplates += other.SkewedTemplates
 	r.Shifts += other.Shifts
-	r.Found += other.Found
-	r.Alarms += other.Alarms
-	r.Answers += other.Answers
+	r.DetectedShifts += other.DetectedShifts
+	r.FalseAlarms += other.FalseAlarms
+	r.SteadyAnswers += other.SteadyAnswers
 }
 
 func fillTemplate(text string, group, literal int) string {
