--- a/cmd/magpiebank-testbed/experiment.go
+++ b/cmd/magpiebank-testbed/experiment.go
@@ -35,8 +35,8 @@
 	c.Flags().StringVar(&o.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one")
 }
 
-// play runs an experiment and shows its result.
-func play(ctx context.Context, c *cobra.Command, e *experiment.Experiment, o *output) (*experiment.Result, error) {
+// runExperiment runs an experiment and shows its result.
+func runExperiment(ctx context.Context, c *cobra.Command, e *experiment.Experiment, o *output) (*experiment.Result, error) {
 	if o.folder == "" {
 		o.folder = experiment.Folder(e.Name)
 	}
@@ -53,11 +53,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return result, show(c, result, o)
+	return result, showResult(c, result, o)
 }
 
-// show prints a result and keeps it where that was asked for.
-func show(c *cobra.Command, result *experiment.Result, o *output) error {
+// showResult prints a result and keeps it where that was asked for.
+func showResult(c *cobra.Command, result *experiment.Result, o *output) error {
 	if o.json {
 		if err := writeJSON(c.OutOrStdout(), result); err != nil {
 			return err
@@ -95,10 +95,10 @@
 	return writeFile(path, func(out io.Writer) error { return report.Page(out, result) })
 }
 
-// verdict returns errMissed if a result has missed a bound.
-func verdict(r *experiment.Result) error {
+// verdictError returns errReported if a result has missed a bound.
+func verdictError(r *experiment.Result) error {
 	if !r.Good() {
-		return errMissed
+		return errReported
 	}
 	return nil
 }
@@ -147,46 +147,46 @@
 	var o output
 	var repeat int
 	var seed int64
-	var without bool
+	var noJournal bool
 	run := &cobra.Command{Use: "run NAME", Short: "Run a built-in experiment; status 1 when a bound is missed", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			switch args[0] {
 			case "clock-jumps":
-				return clockJumps(c, &o)
+				return runClockJumps(c, &o)
 			case "starved":
-				return starved(c, &o)
+				return runStarved(c, &o)
 			case "restart":
-				return restarts(c, &o, seed, without)
+				return runRestarts(c, &o, seed, noJournal)
 			case "statements":
 				return statementsExperiment(c, &o, seed)
 			}
-			return playNamed(c, args[0], &o, repeat, -1)
+			return runNamed(c, args[0], &o, repeat, -1)
 		}}
 	o.flags(run)
 	run.Flags().IntVar(&repeat, "repeat", 1, "how many times, with seeds one after the other")
 	run.Flags().Int64Var(&seed, "seed", 101, "of statements and restart: what is drawn")
-	run.Flags().BoolVar(&without, "without-state", false, "of restart: keep no record, for what that is like")
+	run.Flags().BoolVar(&noJournal, "without-state", false, "of restart: keep no record, for what that is like")
 	c.AddCommand(list, run)
 	return c
 }
 
-// playNamed plays an experiment once or several times.
-func playNamed(c *cobra.Command, name string, o *output, repeat, workers int) error {
+// runNamed plays an experiment once or several times.
+func runNamed(c *cobra.Command, name string, o *output, repeat, workers int) error {
 	var bad error
 	for k := range max(1, repeat) {
 		e, err := experiment.Find(name)
 		if err != nil {
-			return badFile{err}
+			return inputError{err}
 		}
 		e.Seed += int64(k)
 		if workers >= 0 {
 			e.Workers = workers
 		}
-		r, err := play(c.Context(), c, e, o)
+		r, err := runExperiment(c.Context(), c, e, o)
 		if err != nil {
 			return err
 		}
-		if err := verdict(r); err != nil {
+		if err := verdictError(r); err != nil {
 			bad = err
 		}
 	}
@@ -203,7 +203,7 @@
 			if resume != "" {
 				return resumeRun(c, args[0], resume, &o)
 			}
-			return playNamed(c, args[0], &o, repeat, workers)
+			return runNamed(c, args[0], &o, repeat, workers)
 		}}
 	o.flags(c)
 	c.Flags().IntVar(&repeat, "repeat", 1, "how many times, with seeds one after the other")
@@ -220,7 +220,7 @@
 				e, err := experiment.Find(path)
 				if err != nil {
 					fmt.Fprintln(c.ErrOrStderr(), err)
-					first = badFile{fmt.Errorf("some files are amiss")}
+					first = inputError{fmt.Errorf("some files are amiss")}
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %v, %d lanes\n", filepath.Base(path), e.Name, e.Length, len(e.Classes))
@@ -249,12 +249,12 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d engines and their list, %d gateways, %v of load; engine 0 stands still from 20 s to 25 s\n\n",
 				e.Installation.Engines, e.Installation.Gateways, e.Length)
-			r, err := play(c.Context(), c, e, &o)
+			r, err := runExperiment(c.Context(), c, e, &o)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "\nThe report's page: %s\nLogs of the gateways: %s\n", o.page, o.folder)
-			return verdict(r)
+			return verdictError(r)
 		}}
 	o.flags(c)
 	c.Flags().DurationVar(&length, "length", 0, "play so long, in place of a minute")
--- a/cmd/magpiebank-testbed/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -37,15 +37,15 @@
 	}}
 }
 
-// place is where runs leave their files, and which gateway they start.
-type place struct{ folder, gateway string }
+// runLocation is where runs leave their files, and which gateway they start.
+type runLocation struct{ folder, gateway string }
 
-func (p *place) flags(c *cobra.Command) {
+func (p *runLocation) flags(c *cobra.Command) {
 	c.Flags().StringVar(&p.folder, "folder", "", "folder for logs and histories; default one under the temporary folder")
 	c.Flags().StringVar(&p.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one; clocks that run off need one built with -tags testbed")
 }
 
-func (p *place) find(name string) error {
+func (p *runLocation) setDefaults(name string) error {
 	if p.folder == "" {
 		p.folder = filepath.Join(os.TempDir(), "magpiebank-testbed-fleet-"+strings.TrimSuffix(filepath.Base(name), ".jsonnet"))
 	}
@@ -61,7 +61,7 @@
 
 // fleetRunOptions are the flags of fleet run.
 type fleetRunOptions struct {
-	place      place
+	location   runLocation
 	html, plot string
 	json, both bool
 	ways       int
@@ -73,18 +73,18 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := faulttest.Read(args[0])
 			if err != nil {
-				return badFile{err}
+				return inputError{err}
 			}
-			if err := o.place.find(args[0]); err != nil {
+			if err := o.location.setDefaults(args[0]); err != nil {
 				return err
 			}
-			outcome, err := faulttest.RunScenario(c.Context(), s, o.place.folder, o.place.gateway, o.both, o.ways)
+			outcome, err := faulttest.RunScenario(c.Context(), s, o.location.folder, o.location.gateway, o.both, o.ways)
 			if err != nil {
 				return err
 			}
 			return o.show(c.OutOrStdout(), s, outcome)
 		}}
-	o.place.flags(c)
+	o.location.flags(c)
 	c.Flags().StringVar(&o.html, "html", "", "write the run as a page with its picture to this file")
 	c.Flags().StringVar(&o.plot, "plot", "", "of one with threads of the whole fleet, draw each member's use over time into this picture (svg or png)")
 	c.Flags().IntVar(&o.ways, "ways", 0, "of one that measures budgets, how many ways of sharing are played beside none: lent, equal parts, a quorum; 0: all")
@@ -93,7 +93,7 @@
 	return c
 }
 
-// show prints an outcome, writes its page and picture, and returns errMissed if anything was violated.
+// show prints an outcome, writes its page and picture, and returns errReported if anything was violated.
 func (o *fleetRunOptions) show(out io.Writer, s *faulttest.Scenario, outcome *faulttest.Outcome) error {
 	if o.json {
 		if err := writeJSON(out, outcome.Data); err != nil {
@@ -118,7 +118,7 @@
 	if !o.json && len(outcome.Results) == 1 {
 		fmt.Fprint(out, "\nto play it again:\n", s.Text())
 	}
-	return errMissed
+	return errReported
 }
 
 // writeJSON writes a value as indented JSON.
@@ -149,7 +149,7 @@
 			quotamodel.Explore(states, report)
 			rolloutmodel.Explore(states, report)
 			if !good {
-				return errMissed
+				return errReported
 			}
 			return nil
 		}}
--- a/cmd/magpiebank-testbed/fleet_scale.go
+++ b/cmd/magpiebank-testbed/fleet_scale.go
@@ -21,37 +21,37 @@
 const scaleSeed = 1
 
 func fleetScale() *cobra.Command {
-	var most int
+	var maxMembers int
 	var picture string
 	c := &cobra.Command{Use: "scale", Short: "Fleets of 8 to 500 members in one process, in virtual time: detection, sharing, budgets, counts, changes of policy", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			out := c.OutOrStdout()
 			fmt.Fprintln(out, "simulated: one process, virtual time, seed 1")
-			members := scaleMembership(out, most)
+			members := scaleMembership(out, maxMembers)
 			fmt.Fprintln(out)
-			scaleHealthReports(out, most)
+			scaleHealthReports(out, maxMembers)
 			fmt.Fprintln(out)
-			quotas := forSizes(most, func(n int) simcluster.QuotaResult { return simcluster.MeasureQuota(n, scaleSeed) })
+			quotas := forSizes(maxMembers, func(n int) simcluster.QuotaResult { return simcluster.MeasureQuota(n, scaleSeed) })
 			simcluster.WriteQuota(out, quotas)
 			fmt.Fprintln(out)
-			counters := forSizes(most, func(n int) simcluster.CounterResult { return simcluster.MeasureCounters(n, 0, scaleSeed) })
-			simcluster.WriteCounters(out, append(counters, simcluster.MeasureCounters(min(most, 32), 0.2, scaleSeed)))
+			counters := forSizes(maxMembers, func(n int) simcluster.CounterResult { return simcluster.MeasureCounters(n, 0, scaleSeed) })
+			simcluster.WriteCounters(out, append(counters, simcluster.MeasureCounters(min(maxMembers, 32), 0.2, scaleSeed)))
 			fmt.Fprintln(out)
-			simcluster.WriteRollout(out, forSizes(most, func(n int) simcluster.RolloutResult { return simcluster.MeasureRollout(n, scaleSeed) }))
+			simcluster.WriteRollout(out, forSizes(maxMembers, func(n int) simcluster.RolloutResult { return simcluster.MeasureRollout(n, scaleSeed) }))
 			if picture == "" {
 				return nil
 			}
 			return plotScale(picture, members, quotas)
 		}}
-	c.Flags().IntVar(&most, "most", 500, "members of the largest fleet")
+	c.Flags().IntVar(&maxMembers, "most", 500, "members of the largest fleet")
 	c.Flags().StringVar(&picture, "plot", "", "write detection and bytes by size of the fleet to this picture (png or svg)")
 	return c
 }
 
 // forSizes measures clusters of each size up to a largest one.
-func forSizes[Result any](most int, measure func(members int) Result) (results []Result) {
+func forSizes[Result any](maxMembers int, measure func(members int) Result) (results []Result) {
 	for _, members := range scaleSizes {
-		if members <= most {
+		if members <= maxMembers {
 			results = append(results, measure(members))
 		}
 	}
@@ -59,23 +59,23 @@
 }
 
 // scaleMembership measures and prints membership by size, and by loss and stopped members; it returns those by size.
-func scaleMembership(out io.Writer, most int) []simcluster.MembershipResult {
-	bySize := forSizes(most, func(n int) simcluster.MembershipResult { return simcluster.MeasureMembership(n, 0, 0, scaleSeed) })
+func scaleMembership(out io.Writer, maxMembers int) []simcluster.MembershipResult {
+	bySize := forSizes(maxMembers, func(n int) simcluster.MembershipResult { return simcluster.MeasureMembership(n, 0, 0, scaleSeed) })
 	all := bySize
 	for _, faults := range []struct{ loss, stopped float64 }{{0.05, 0}, {0.2, 0}, {0.4, 0}, {0, 0.1}, {0.05, 0.1}} {
-		all = append(all, simcluster.MeasureMembership(most, faults.loss, faults.stopped, scaleSeed))
+		all = append(all, simcluster.MeasureMembership(maxMembers, faults.loss, faults.stopped, scaleSeed))
 	}
 	simcluster.WriteMembership(out, all)
 	return bySize
 }
 
 // scaleHealthReports measures and prints health reports by size, and with loss and with more failures.
-func scaleHealthReports(out io.Writer, most int) {
+func scaleHealthReports(out io.Writer, maxMembers int) {
 	measure := func(members int, failures, loss float64) simcluster.HealthReportResult {
 		return simcluster.MeasureHealthReports(simcluster.HealthReportLoad{Members: members, Engines: max(6, members/5), Rate: 1.3, Errors: failures, Loss: loss}, scaleSeed)
 	}
-	results := forSizes(most, func(n int) simcluster.HealthReportResult { return measure(n, 0.01, 0) })
-	results = append(results, measure(min(most, 100), 0.01, 0.2), measure(min(most, 100), 0.05, 0))
+	results := forSizes(maxMembers, func(n int) simcluster.HealthReportResult { return measure(n, 0.01, 0) })
+	results = append(results, measure(min(maxMembers, 100), 0.01, 0.2), measure(min(maxMembers, 100), 0.05, 0))
 	simcluster.WriteHealthReports(out, results)
 }
 
@@ -86,17 +86,17 @@
 	p.X.Label.Text = "members"
 	p.Y.Label.Text, p.Y.Min = "seconds; hundreds of bytes/s", 0
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	var detect, bytes, there, lent plotter.XYs
+	var detection, membershipBytes, burstTimes, quotaBytes plotter.XYs
 	for _, f := range members {
-		detect = append(detect, plotter.XY{X: float64(f.Members), Y: float64(f.Detect) / float64(admission.Second)})
-		bytes = append(bytes, plotter.XY{X: float64(f.Members), Y: f.Bytes / 100})
+		detection = append(detection, plotter.XY{X: float64(f.Members), Y: float64(f.Detect) / float64(admission.Second)})
+		membershipBytes = append(membershipBytes, plotter.XY{X: float64(f.Members), Y: f.Bytes / 100})
 	}
 	for _, d := range quotas {
-		there = append(there, plotter.XY{X: float64(d.Members), Y: float64(d.BurstTime) / float64(admission.Second)})
-		lent = append(lent, plotter.XY{X: float64(d.Members), Y: d.Bytes / 100})
+		burstTimes = append(burstTimes, plotter.XY{X: float64(d.Members), Y: float64(d.BurstTime) / float64(admission.Second)})
+		quotaBytes = append(quotaBytes, plotter.XY{X: float64(d.Members), Y: d.Bytes / 100})
 	}
-	if err := plotutil.AddLinePoints(p, "until 9 of 10 know of a death, s", detect, "members, bytes/s a member / 100", bytes,
-		"until 9/10 of a budget is at one, s", there, "budgets, moving demand, bytes/s a member / 100", lent); err != nil {
+	if err := plotutil.AddLinePoints(p, "until 9 of 10 know of a death, s", detection, "members, bytes/s a member / 100", membershipBytes,
+		"until 9/10 of a budget is at one, s", burstTimes, "budgets, moving demand, bytes/s a member / 100", quotaBytes); err != nil {
 		return err
 	}
 	p.Legend.Top, p.Legend.Left = true, true
--- a/cmd/magpiebank-testbed/fmt.go
+++ b/cmd/magpiebank-testbed/fmt.go
@@ -28,7 +28,7 @@
 				}
 			}
 			if test && differ {
-				return errMissed
+				return errReported
 			}
 			return nil
 		}}
@@ -40,11 +40,11 @@
 func formatFile(path string, write bool) (changed bool, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return false, badFile{err}
+		return false, inputError{err}
 	}
 	formatted, err := formatter.Format(path, string(text), formatter.DefaultOptions())
 	if err != nil {
-		return false, badFile{err}
+		return false, inputError{err}
 	}
 	if formatted == string(text) {
 		return false, nil
--- a/cmd/magpiebank-testbed/main.go
+++ b/cmd/magpiebank-testbed/main.go
@@ -16,15 +16,15 @@
 
 // The exit statuses.
 const (
-	missed = 1 // a bound was missed, or the run could not be made
-	misuse = 2 // of the command line or a file
+	exitFailure = 1 // a bound was missed, or the run could not be made
+	exitMisuse  = 2 // of the command line or a file
 )
 
-// errMissed ends a command whose output has said what is amiss.
-var errMissed = errors.New("a bound was missed")
+// errReported ends a command whose output has said what is amiss.
+var errReported = errors.New("a bound was missed")
 
-// badFile is an error in what the operator wrote.
-type badFile struct{ error }
+// inputError is an error in what the operator wrote.
+type inputError struct{ error }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -43,21 +43,21 @@
 	root.AddCommand(demoCommand(), runCommand(), workerCommand(), experimentCommand(), checkCommand(), fmtCommand(), traceCommand(), runsCommand(),
 		searchCommand(), standinCommand(), fleetCommand())
 	root.SetArgs(args)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badFile{err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return inputError{err} })
 	err := root.ExecuteContext(ctx)
-	var bad badFile
+	var badInput inputError
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errMissed):
-		return missed
+	case errors.Is(err, errReported):
+		return exitFailure
 	case errors.Is(err, context.Canceled):
 		fmt.Fprintln(os.Stderr, "magpiebank-testbed: called off")
-		return missed
-	case errors.As(err, &bad):
+		return exitFailure
+	case errors.As(err, &badInput):
 		fmt.Fprintln(os.Stderr, "magpiebank-testbed:", err)
-		return misuse
+		return exitMisuse
 	}
 	fmt.Fprintln(os.Stderr, "magpiebank-testbed:", err)
-	return missed
+	return exitFailure
 }
--- a/cmd/magpiebank-testbed/restart.go
+++ b/cmd/magpiebank-testbed/restart.go
@@ -9,15 +9,15 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// restarts kills a gateway with a record of its requests a hundred times under load.
-func restarts(c *cobra.Command, o *output, seed int64, without bool) error {
+// runRestarts kills a gateway with a record of its requests a hundred times under load.
+func runRestarts(c *cobra.Command, o *output, seed int64, noJournal bool) error {
 	if o.folder == "" {
 		o.folder = experiment.Folder("restart")
 	}
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return err
 	}
-	r, err := crashtest.Run(c.Context(), crashtest.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, Loads: 24, Looks: 8, Seed: seed, NoJournal: without})
+	r, err := crashtest.Run(c.Context(), crashtest.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, Loads: 24, Looks: 8, Seed: seed, NoJournal: noJournal})
 	if err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 		r.Text(c.OutOrStdout())
 	}
 	if err == nil && !r.Good() {
-		err = errMissed
+		err = errReported
 	}
 	return err
 }
--- a/cmd/magpiebank-testbed/runs.go
+++ b/cmd/magpiebank-testbed/runs.go
@@ -13,8 +13,8 @@
 	"magpiebank/internal/testbed/report"
 )
 
-// usualArchive is the default of --archive; archives of earlier versions lie under this name.
-const usualArchive = "magpielab.runs"
+// defaultArchive is the default of --archive; archives of earlier versions lie under this name.
+const defaultArchive = "magpielab.runs"
 
 // archiveCommand makes the commands that read an archive.
 type archiveCommand struct{ path string }
@@ -38,7 +38,7 @@
 func runsCommand() *cobra.Command {
 	var a archiveCommand
 	c := &cobra.Command{Use: "runs", Short: "Runs that were kept with --archive"}
-	c.PersistentFlags().StringVar(&a.path, "archive", usualArchive, "the archive's file")
+	c.PersistentFlags().StringVar(&a.path, "archive", defaultArchive, "the archive's file")
 	c.AddCommand(a.listCommand(), a.showCommand(), a.compareCommand(), a.removeCommand())
 	return c
 }
@@ -139,7 +139,7 @@
 		first, firstErr := strconv.ParseUint(firstText, 10, 64)
 		last, lastErr := strconv.ParseUint(lastText, 10, 64)
 		if firstErr != nil || lastErr != nil || first > last || last-first > maxRunRange {
-			return nil, badFile{fmt.Errorf("%q: expected numbers of runs, as in 1,4-6", text)}
+			return nil, inputError{fmt.Errorf("%q: expected numbers of runs, as in 1,4-6", text)}
 		}
 		for id := first; id <= last; id++ {
 			ids = append(ids, id)
@@ -157,7 +157,7 @@
 	for _, id := range ids {
 		run, err := archive.Get(id)
 		if err != nil {
-			return nil, badFile{err}
+			return nil, inputError{err}
 		}
 		results = append(results, run.Result)
 	}
--- a/cmd/magpiebank-testbed/search.go
+++ b/cmd/magpiebank-testbed/search.go
@@ -22,7 +22,7 @@
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if !(from > 0 && to > from && step > 0) || tries < 1 {
-				return badFile{fmt.Errorf("expected from above 0, to above from, step above 0, and tries from 1")}
+				return inputError{fmt.Errorf("expected from above 0, to above from, step above 0, and tries from 1")}
 			}
 			good, bad := 0.0, 0.0
 			for factor := from; ; {
@@ -43,7 +43,7 @@
 					factor = min(to, 2*factor)
 				case good == 0 && factor/2 < step:
 					fmt.Fprintf(c.OutOrStdout(), "not kept at %.3f times the rate\n", factor)
-					return errMissed
+					return errReported
 				case good == 0:
 					factor /= 2
 				case bad/good <= 1+step:
@@ -68,7 +68,7 @@
 	for k := range tries {
 		e, err := experiment.Find(name)
 		if err != nil {
-			return false, badFile{err}
+			return false, inputError{err}
 		}
 		if length > 0 {
 			e.Length = length
@@ -80,14 +80,14 @@
 			return false, err
 		}
 		rate := float64(r.Scheduled) / e.Length.Seconds()
-		first := ""
+		firstMissed := ""
 		for _, v := range r.Verdicts {
-			if !v.Good && first == "" {
-				first = "; missed: " + v.Name + ": " + v.Text
+			if !v.Good && firstMissed == "" {
+				firstMissed = "; missed: " + v.Name + ": " + v.Text
 			}
 		}
 		fmt.Fprintf(c.OutOrStdout(), "x%-8.3f %9.0f tasks/s  own delay p99 %v  allocations a task %.1f  peak %d MB%s\n", factor, rate,
-			r.Metrics.GeneratorDelayQuantile(0.99), float64(r.Process.Mallocs)/float64(max(1, r.Scheduled)), r.Process.PeakKB>>10, first)
+			r.Metrics.GeneratorDelayQuantile(0.99), float64(r.Process.Mallocs)/float64(max(1, r.Scheduled)), r.Process.PeakKB>>10, firstMissed)
 		if r.Good() {
 			return true, nil
 		}
--- a/cmd/magpiebank-testbed/standin.go
+++ b/cmd/magpiebank-testbed/standin.go
@@ -19,7 +19,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Find(args[0])
 			if err != nil {
-				return badFile{err}
+				return inputError{err}
 			}
 			if folder == "" {
 				folder = experiment.Folder(e.Name)
@@ -46,7 +46,7 @@
 				}
 				fmt.Fprintf(c.OutOrStdout(), "engine list %s\n", s.Discovery.Address)
 			default:
-				return badFile{fmt.Errorf("the experiment has no site of its own")}
+				return inputError{fmt.Errorf("the experiment has no site of its own")}
 			}
 			<-c.Context().Done()
 			return nil
--- a/cmd/magpiebank-testbed/starved.go
+++ b/cmd/magpiebank-testbed/starved.go
@@ -13,15 +13,15 @@
 )
 
 // spin keeps a processor busy until it is over.
-func spin(over *atomic.Bool) {
+func spin(stop *atomic.Bool) {
 	rounds := 0
-	for !over.Load() {
+	for !stop.Load() {
 		rounds++
 	}
 }
 
-// starved plays a load on one processor beside a busy loop: the run must say that it was late, and not be called good.
-func starved(c *cobra.Command, o *output) error {
+// runStarved plays a load on one processor beside a busy loop: the run must say that it was late, and not be called good.
+func runStarved(c *cobra.Command, o *output) error {
 	e, err := experiment.Find("generator")
 	if err != nil {
 		return err
@@ -29,10 +29,10 @@
 	e.Name, e.Length, e.Loops = "starved", 5*time.Second, 1
 	e.Shape = arrival.Shape{Kind: arrival.Poisson, Rate: 1000}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	var over atomic.Bool
-	defer over.Store(true)
-	go spin(&over)
-	r, err := play(c.Context(), c, e, o)
+	var stop atomic.Bool
+	defer stop.Store(true)
+	go spin(&stop)
+	r, err := runExperiment(c.Context(), c, e, o)
 	if err != nil {
 		return err
 	}
@@ -43,5 +43,5 @@
 		}
 	}
 	fmt.Fprintln(c.OutOrStdout(), "\nstarved, but the run was called in time")
-	return errMissed
+	return errReported
 }
--- a/cmd/magpiebank-testbed/trace.go
+++ b/cmd/magpiebank-testbed/trace.go
@@ -63,14 +63,14 @@
 	if path != "-" {
 		file, err := os.Open(path)
 		if err != nil {
-			return badFile{err}
+			return inputError{err}
 		}
 		defer func() { _ = file.Close() }() // it was only read
 		in = file
 	}
 	entries, problems, err := importer.Read(in, importer.Format(t.format), t.options)
 	if err != nil {
-		return badFile{fmt.Errorf("%s: %w", path, err)}
+		return inputError{fmt.Errorf("%s: %w", path, err)}
 	}
 	imported, repairs := importer.RepairClock(entries, t.clock)
 	if err := imported.WriteFile(t.out); err != nil {
@@ -98,7 +98,7 @@
 		}
 		name, column, ok := strings.Cut(pair, "=")
 		if !ok {
-			return nil, badFile{fmt.Errorf("flag columns: expected NAME=COLUMN,..., found %q", pair)}
+			return nil, inputError{fmt.Errorf("flag columns: expected NAME=COLUMN,..., found %q", pair)}
 		}
 		columns[name] = column
 	}
@@ -115,14 +115,14 @@
 
 func showTraceCommand() *cobra.Command {
 	var salvage bool
-	var most int
+	var maxRecords int
 	c := &cobra.Command{Use: "show FILE", Short: "Print a trace's records", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			t, err := trace.ReadFile(args[0], salvage)
 			if t != nil {
 				fmt.Fprintf(c.OutOrStdout(), "%d records over %v, from %s\n", len(t.Records), span(t), t.Start.UTC().Format(time.RFC3339Nano))
 				for i, r := range t.Records {
-					if i == most {
+					if i == maxRecords {
 						fmt.Fprintf(c.OutOrStdout(), "and %d more\n", len(t.Records)-i)
 						break
 					}
@@ -131,12 +131,12 @@
 				}
 			}
 			if err != nil {
-				return badFile{err}
+				return inputError{err}
 			}
 			return nil
 		}}
 	c.Flags().BoolVar(&salvage, "salvage", false, "show what stands before the first damage, too")
-	c.Flags().IntVar(&most, "most", 20, "records shown")
+	c.Flags().IntVar(&maxRecords, "most", 20, "records shown")
 	return c
 }
 
@@ -151,13 +151,13 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			t, err := trace.ReadFile(args[0], salvage)
 			if err != nil && (!salvage || t == nil) {
-				return badFile{err}
+				return inputError{err}
 			}
 			if err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), "magpiebank-testbed:", err)
 			}
 			if speed <= 0 || thin < 0 || thin > 1 || loop < 1 || from < 0 || to < 0 {
-				return badFile{fmt.Errorf("expected speed above 0, thin from 0 to 1, loop from 1, and times from 0")}
+				return inputError{fmt.Errorf("expected speed above 0, thin from 0 to 1, loop from 1, and times from 0")}
 			}
 			if from > 0 || to > 0 {
 				t = importer.Trim(t, from, to)
--- a/cmd/magpiebank-testbed/worker.go
+++ b/cmd/magpiebank-testbed/worker.go
@@ -39,23 +39,23 @@
 		if err != nil {
 			return nil, 0, 0, err
 		}
-		started := &workerProcesses{program: self, folder: folder}
-		coordinator.Spawn = started.start
+		processes := &workerProcesses{program: self, folder: folder}
+		coordinator.Spawn = processes.start
 		coordinator.Log = func(text string) { fmt.Fprintln(os.Stderr, "magpiebank-testbed:", text) }
 		coordinator.Progress = func(at time.Duration, offered, ended, open int64) {
 			report(experiment.Progress{At: at, Offered: offered, Finished: ended, Open: open})
 		}
 		defer context.AfterFunc(ctx, coordinator.Kill)()
-		defer started.kill()
+		defer processes.kill()
 		return coordinator.Serve()
 	}
 }
 
 // workerProcesses are the worker processes of a run.
 type workerProcesses struct {
-	program string
-	folder  string
-	started []*exec.Cmd
+	program  string
+	folder   string
+	commands []*exec.Cmd
 }
 
 // start starts a worker, with a log and a file with its process id.
@@ -70,14 +70,14 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.started = append(p.started, cmd)
+	p.commands = append(p.commands, cmd)
 	go func() { _ = cmd.Wait() }() // its coordinator learns of its end by its connection
 	return os.WriteFile(filepath.Join(p.folder, fmt.Sprintf("worker-%d.pid", worker)), []byte(strconv.Itoa(cmd.Process.Pid)), 0o600)
 }
 
 // kill ends the workers that are stopped or lost; the others have ended.
 func (p *workerProcesses) kill() {
-	for _, cmd := range p.started {
+	for _, cmd := range p.commands {
 		_ = cmd.Process.Kill() // fails for those that have ended
 	}
 }
@@ -86,23 +86,23 @@
 func resumeRun(c *cobra.Command, name, folder string, o *output) error {
 	e, err := experiment.Find(name)
 	if err != nil {
-		return badFile{err}
+		return inputError{err}
 	}
 	if len(e.Targets) == 0 {
-		return badFile{fmt.Errorf("only a run against targets can be gone on with: what the coordinator itself had started died with it")}
+		return inputError{fmt.Errorf("only a run against targets can be gone on with: what the coordinator itself had started died with it")}
 	}
-	co, err := workers.ResumeCoordinator(folder)
+	coordinator, err := workers.ResumeCoordinator(folder)
 	if err != nil {
 		return err
 	}
-	e.Workers, o.folder = co.Run().Workers, folder
-	co.Log = func(text string) { fmt.Fprintln(c.ErrOrStderr(), "magpiebank-testbed:", text) }
-	r, err := e.Finish(co.Run().Start, func() (*stats.Metrics, int64, int64, error) { return co.Serve() })
+	e.Workers, o.folder = coordinator.Run().Workers, folder
+	coordinator.Log = func(text string) { fmt.Fprintln(c.ErrOrStderr(), "magpiebank-testbed:", text) }
+	r, err := e.Finish(coordinator.Run().Start, func() (*stats.Metrics, int64, int64, error) { return coordinator.Serve() })
 	if err != nil {
 		return err
 	}
-	if err := show(c, r, o); err != nil {
+	if err := showResult(c, r, o); err != nil {
 		return err
 	}
-	return verdict(r)
+	return verdictError(r)
 }
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -41,12 +41,12 @@
 type Discovery struct {
 	Address string
 
-	mu       sync.Mutex
-	events   []listEvent
-	changed  chan struct{}
-	server   *http.Server
-	truncate bool // answers break off in the middle
-	hold     bool // polls are held and never answered
+	mu              sync.Mutex
+	events          []listEvent
+	changed         chan struct{}
+	server          *http.Server
+	truncateAnswers bool // answers break off in the middle
+	holdPolls       bool // polls are held and never answered
 }
 
 // StartDiscovery starts a discovery service that lists some endpoints at first.
@@ -90,21 +90,21 @@
 func (d *Discovery) TruncateAnswers() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.truncate = true
+	d.truncateAnswers = true
 }
 
 // HoldPolls has polls be held and never answered from now on; Recover ends that.
 func (d *Discovery) HoldPolls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.hold = true
+	d.holdPolls = true
 }
 
 // Recover ends TruncateAnswers and HoldPolls.
 func (d *Discovery) Recover() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.truncate, d.hold = false, false
+	d.truncateAnswers, d.holdPolls = false, false
 }
 
 // Close ends it with all its connections.
@@ -117,19 +117,19 @@
 
 // stream answers a poll with the events after one, at once or when there are some.
 func (d *Discovery) stream(w http.ResponseWriter, r *http.Request) {
-	follow, followErr := strconv.Atoi(r.URL.Query().Get("follow"))
+	afterIndex, followErr := strconv.Atoi(r.URL.Query().Get("follow"))
 	wait, waitErr := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	if followErr != nil || waitErr != nil || follow < 0 || wait < 0 {
+	if followErr != nil || waitErr != nil || afterIndex < 0 || wait < 0 {
 		http.Error(w, "follow and wait_ms: expected numbers from 0", http.StatusBadRequest)
 		return
 	}
 	timeout := time.After(time.Duration(min(wait, maxWaitMillis)) * time.Millisecond)
 	for {
 		d.mu.Lock()
-		changed, last, hold, truncate := d.changed, len(d.events), d.hold, d.truncate
+		changed, last, hold, truncate := d.changed, len(d.events), d.holdPolls, d.truncateAnswers
 		var updates []listEvent
-		if follow < last {
-			updates = d.events[follow:]
+		if afterIndex < last {
+			updates = d.events[afterIndex:]
 		}
 		d.mu.Unlock()
 		switch {
--- a/internal/testbed/fake/engine.go
+++ b/internal/testbed/fake/engine.go
@@ -36,11 +36,11 @@
 	Address string
 	Log     *ExecutionLog
 
-	behavior EngineBehavior
-	listener net.Listener
-	calls    chan func() // to be run by the owner
-	closed   chan struct{}
-	once     sync.Once
+	behavior  EngineBehavior
+	listener  net.Listener
+	calls     chan func() // to be run by the owner
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	// What follows belongs to the owner's goroutine.
 	clock    engineClock
@@ -97,8 +97,8 @@
 
 // message is a message from a connection, in its words.
 type message struct {
-	conn  *engineConn
-	words []string
+	conn     *engineConn
+	elements []string
 }
 
 type engineConn struct {
@@ -135,8 +135,8 @@
 
 // timerEntry is what a timer is for: the end of a request, or its next note.
 type timerEntry struct {
-	request *request
-	isNote  bool
+	request  *request
+	isNotice bool
 }
 
 func (t *timerTable) add(entry timerEntry) int {
@@ -268,14 +268,14 @@
 }
 
 const (
-	listenWithin     = time.Second
+	listenTimeout    = time.Second
 	listenRetryDelay = 10 * time.Millisecond
 )
 
 // AcceptConnections lets it take connections again, at the same address. Another process that looks for free ports may have it for a
 // moment, so it is tried for a second.
 func (e *Engine) AcceptConnections() error {
-	deadline := time.Now().Add(listenWithin)
+	deadline := time.Now().Add(listenTimeout)
 	listener, err := listen(e.Address)
 	for err != nil && time.Now().Before(deadline) {
 		time.Sleep(listenRetryDelay)
@@ -291,7 +291,7 @@
 
 // Close ends it.
 func (e *Engine) Close() {
-	e.once.Do(func() {
+	e.closeOnce.Do(func() {
 		e.RefuseConnections()
 		close(e.closed)
 	})
--- a/internal/testbed/fake/engine_conn.go
+++ b/internal/testbed/fake/engine_conn.go
@@ -49,15 +49,15 @@
 			continue
 		}
 		arrivedAt := time.Now()
-		words := make([]string, len(parts))
+		elements := make([]string, len(parts))
 		for i := range parts {
-			words[i] = string(parts[i])
+			elements[i] = string(parts[i])
 		}
 		buffer = buffer[:copy(buffer, buffer[length:])]
-		if words[0] == "do" && len(words) == 4 {
-			e.Log.recordArrival(words[1], arrivedAt)
+		if elements[0] == "do" && len(elements) == 4 {
+			e.Log.recordArrival(elements[1], arrivedAt)
 		}
-		e.send(func() { e.handleMessage(message{c, words}) })
+		e.send(func() { e.handleMessage(message{c, elements}) })
 	}
 }
 
--- a/internal/testbed/fake/engine_requests.go
+++ b/internal/testbed/fake/engine_requests.go
@@ -18,13 +18,13 @@
 	if !e.conns[m.conn] {
 		return
 	}
-	key := requestKey{m.conn, m.word(1)}
-	switch m.words[0] {
+	key := requestKey{m.conn, m.element(1)}
+	switch m.elements[0] {
 	case "ping", "top":
 		e.answer(m.conn, key.id, "well", "gauges="+e.gauges(), "")
 	case "do":
-		if len(m.words) == 4 {
-			e.take(key, m.words[2], m.words[3])
+		if len(m.elements) == 4 {
+			e.admit(key, m.elements[2], m.elements[3])
 		}
 	case "undo", "forget":
 		if request := e.requests[key]; request != nil {
@@ -32,14 +32,14 @@
 			e.startQueued()
 		}
 	case "page":
-		e.sendPage(key, m.word(2))
+		e.sendPage(key, m.element(2))
 	}
 }
 
-// word is a word of a message, or empty if the message has fewer.
-func (m *message) word(i int) string {
-	if i < len(m.words) {
-		return m.words[i]
+// element is a word of a message, or empty if the message has fewer.
+func (m *message) element(i int) string {
+	if i < len(m.elements) {
+		return m.elements[i]
 	}
 	return ""
 }
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("inflight:%d;util:%.3f", e.held, min(1, float64(e.running)/max(1, e.behavior.Cores)))
 }
 
-// take queues a request, or rejects it.
-func (e *Engine) take(key requestKey, fields, statement string) {
+// admit queues a request, or rejects it.
+func (e *Engine) admit(key requestKey, fields, statement string) {
 	switch {
 	case e.requests[key] != nil:
 		e.answer(key.conn, key.id, "failed", "-", "")
@@ -79,7 +79,7 @@
 		return
 	}
 	request := e.newRequest(key, string(resp.FindField([]byte(fields), "kind")), statement)
-	e.Log.recordSent(e.Name, request.service)
+	e.Log.recordAccepted(e.Name, request.service)
 	e.requests[key] = request
 	e.held++
 	e.mostHeld = max(e.mostHeld, e.held)
@@ -132,26 +132,26 @@
 	r.endsAt = e.clock.now() + time.Duration(float64(r.service)/speed)
 	r.timerID = e.timers.add(timerEntry{request: r})
 	r.timer = e.wheel.Add(timerwheel.Tick(r.endsAt/engineTick), uint64(r.timerID))
-	e.scheduleNote(r)
+	e.scheduleNotice(r)
 }
 
-// scheduleNote sets the timer of the next note on a request.
-func (e *Engine) scheduleNote(r *request) {
+// scheduleNotice sets the timer of the next note on a request.
+func (e *Engine) scheduleNotice(r *request) {
 	interval := e.behavior.NoticeInterval
 	if interval > 0 && e.clock.now()+interval < r.endsAt {
-		id := e.timers.add(timerEntry{request: r, isNote: true})
+		id := e.timers.add(timerEntry{request: r, isNotice: true})
 		e.wheel.Add(timerwheel.Tick((e.clock.now()+interval)/engineTick), uint64(id))
 	}
 }
 
-// sendNote reports how far a request has run.
-func (e *Engine) sendNote(r *request) {
+// sendNotice reports how far a request has run.
+func (e *Engine) sendNotice(r *request) {
 	if !r.isRunning || e.requests[r.key] != r {
 		return
 	}
 	done := float64(e.clock.now()-r.beganAt) / float64(max(1, r.endsAt-r.beganAt))
 	e.answer(r.key.conn, r.key.id, "news", fmt.Sprintf("res=so_far,v=%.3f", min(1, done)), "")
-	e.scheduleNote(r)
+	e.scheduleNotice(r)
 }
 
 // fireTimer sends the note, or completes the request, that a timer is for.
@@ -159,8 +159,8 @@
 	entry := e.timers.remove(id)
 	switch {
 	case entry.request == nil:
-	case entry.isNote:
-		e.sendNote(entry.request)
+	case entry.isNotice:
+		e.sendNotice(entry.request)
 	case e.requests[entry.request.key] == entry.request:
 		e.complete(entry.request)
 		e.startQueued()
--- a/internal/testbed/fake/execution_log.go
+++ b/internal/testbed/fake/execution_log.go
@@ -20,12 +20,12 @@
 
 // ExecutionLog keeps records by request id.
 type ExecutionLog struct {
-	mu       sync.Mutex
-	byID     map[string]*ExecutionRecord
-	arrivals int
-	retain   bool // runs and sent
-	runs     []RunningChange
-	sent     []AcceptedRequest
+	mu               sync.Mutex
+	byID             map[string]*ExecutionRecord
+	arrivals         int
+	retainEvents     bool // runs and sent
+	runningChanges   []RunningChange
+	acceptedRequests []AcceptedRequest
 }
 
 // RunningChange is that a request of a class began to run (Delta 1), or stopped (Delta -1).
@@ -46,14 +46,14 @@
 func (l *ExecutionLog) RetainEvents() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.retain = true
+	l.retainEvents = true
 }
 
-func (l *ExecutionLog) recordSent(engine string, work time.Duration) {
+func (l *ExecutionLog) recordAccepted(engine string, work time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.retain {
-		l.sent = append(l.sent, AcceptedRequest{time.Now(), engine, work})
+	if l.retainEvents {
+		l.acceptedRequests = append(l.acceptedRequests, AcceptedRequest{time.Now(), engine, work})
 	}
 }
 
@@ -61,12 +61,12 @@
 func (l *ExecutionLog) AcceptedRequests() []AcceptedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.sent)
+	return slices.Clone(l.acceptedRequests)
 }
 
 func (l *ExecutionLog) recordChange(class string, delta int) {
-	if l.retain {
-		l.runs = append(l.runs, RunningChange{time.Now(), class, delta})
+	if l.retainEvents {
+		l.runningChanges = append(l.runningChanges, RunningChange{time.Now(), class, delta})
 	}
 }
 
@@ -113,7 +113,7 @@
 func (l *ExecutionLog) RunningChanges() []RunningChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.runs)
+	return slices.Clone(l.runningChanges)
 }
 
 func (l *ExecutionLog) recordCompletion(id string) {
--- a/internal/testbed/fake/fake_test.go
+++ b/internal/testbed/fake/fake_test.go
@@ -13,21 +13,21 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// caller speaks to an engine by hand.
-type caller struct {
+// testClient speaks to an engine by hand.
+type testClient struct {
 	t   *testing.T
 	tcp net.Conn
 	buf []byte
 }
 
-func call(t *testing.T, e *Engine) *caller {
+func connect(t *testing.T, e *Engine) *testClient {
 	t.Helper()
 	tcp, err := dial(t, e.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { tcp.Close() })
-	return &caller{t: t, tcp: tcp}
+	return &testClient{t: t, tcp: tcp}
 }
 
 func dial(t *testing.T, address string) (net.Conn, error) {
@@ -35,7 +35,7 @@
 	return new(net.Dialer).DialContext(t.Context(), "tcp", address)
 }
 
-func (c *caller) say(words ...string) {
+func (c *testClient) send(words ...string) {
 	c.t.Helper()
 	if _, err := c.tcp.Write(resp.AppendArray(nil, words...)); err != nil {
 		c.t.Fatal(err)
@@ -43,28 +43,28 @@
 }
 
 // skipTo reads answers up to an expected one.
-func (c *caller) skipTo(answer string) {
+func (c *testClient) skipTo(answer string) {
 	c.t.Helper()
 	c.skipUntil(answer, func(got string) bool { return got == answer })
 }
 
 // skipToPrefix reads answers up to one that begins with a prefix.
-func (c *caller) skipToPrefix(prefix string) {
+func (c *testClient) skipToPrefix(prefix string) {
 	c.t.Helper()
 	c.skipUntil(prefix, func(got string) bool { return strings.HasPrefix(got, prefix) })
 }
 
-func (c *caller) skipUntil(what string, fits func(string) bool) {
+func (c *testClient) skipUntil(what string, matches func(string) bool) {
 	c.t.Helper()
-	for got := c.hear(long); !fits(got); got = c.hear(long) {
+	for got := c.receive(receiveTimeout); !matches(got); got = c.receive(receiveTimeout) {
 		if got == "end" || got == "nothing" {
 			c.t.Fatalf("%s before %q", got, what)
 		}
 	}
 }
 
-// hear is the next answer, or why there is none within a time.
-func (c *caller) hear(within time.Duration) string {
+// receive is the next answer, or why there is none within a time.
+func (c *testClient) receive(timeout time.Duration) string {
 	b := make([]byte, 4096)
 	for {
 		parts, n, err := resp.Parse(c.buf, nil)
@@ -85,7 +85,7 @@
 			c.buf = c.buf[n:]
 			return strings.ReplaceAll(strings.Join(words, " "), "\n", "\\n")
 		}
-		c.tcp.SetReadDeadline(time.Now().Add(within))
+		c.tcp.SetReadDeadline(time.Now().Add(timeout))
 		k, err := c.tcp.Read(b)
 		var e net.Error
 		if errors.As(err, &e) && e.Timeout() {
@@ -104,7 +104,7 @@
 	}
 }
 
-const long = 5 * time.Second
+const receiveTimeout = 5 * time.Second
 
 func startTestEngine(t *testing.T, log *ExecutionLog) *Engine {
 	t.Helper()
@@ -122,99 +122,99 @@
 func TestEngine(t *testing.T) {
 	log := NewExecutionLog()
 	e := startTestEngine(t, log)
-	c := call(t, e)
+	c := connect(t, e)
 	checkPages(t, c)
 	checkQueue(t, c)
 	checkPause(t, e, c, log)
-	checkTwice(t, e, c, log)
+	checkDuplicateID(t, e, c, log)
 	checkFaults(t, e, c)
 }
 
-func checkPages(t *testing.T, c *caller) {
+func checkPages(t *testing.T, c *testClient) {
 	t.Helper()
-	c.say("top", "t1")
-	want(t, "top", c.hear(long), "t1 well gauges=inflight:0;util:0.000 ")
-	c.say("do", "a1", "kind=look,ms=900,prio=1", "SELECT 1")
-	want(t, "pages", c.hear(long), "a1 data pages=2 a1\t1/400\tacta\\na1\t2/400\tacta\\na1\t3/400\tact")
-	c.say("page", "a1", "2")
-	want(t, "a page that is not there", c.hear(long), "a1 failed - ")
-	c.say("page", "a1", "1")
-	if got := c.hear(long); !strings.HasPrefix(got, "a1 page page=1 a1\t") {
+	c.send("top", "t1")
+	want(t, "top", c.receive(receiveTimeout), "t1 well gauges=inflight:0;util:0.000 ")
+	c.send("do", "a1", "kind=look,ms=900,prio=1", "SELECT 1")
+	want(t, "pages", c.receive(receiveTimeout), "a1 data pages=2 a1\t1/400\tacta\\na1\t2/400\tacta\\na1\t3/400\tact")
+	c.send("page", "a1", "2")
+	want(t, "a page that is not there", c.receive(receiveTimeout), "a1 failed - ")
+	c.send("page", "a1", "1")
+	if got := c.receive(receiveTimeout); !strings.HasPrefix(got, "a1 page page=1 a1\t") {
 		t.Errorf("page: %q", got)
 	}
-	c.say("page", "a1", "1")
-	want(t, "after all pages have left", c.hear(long), "a1 failed - ")
+	c.send("page", "a1", "1")
+	want(t, "after all pages have left", c.receive(receiveTimeout), "a1 failed - ")
 }
 
-func checkQueue(t *testing.T, c *caller) {
+func checkQueue(t *testing.T, c *testClient) {
 	t.Helper()
-	c.say("do", "a2", "kind=look", "some")
-	want(t, "a note", c.hear(long)[:17], "a2 news res=so_fa")
+	c.send("do", "a2", "kind=look", "some")
+	want(t, "a note", c.receive(receiveTimeout)[:17], "a2 news res=so_fa")
 	c.skipTo("a2 data pages=1 a2\t1/1\tacta\\n")
-	c.say("do", "a3", "kind=look", "slow")
-	c.say("do", "a4", "kind=look", "quick")
-	c.say("do", "a5", "kind=look", "quick")
+	c.send("do", "a3", "kind=look", "slow")
+	c.send("do", "a4", "kind=look", "quick")
+	c.send("do", "a5", "kind=look", "quick")
 	c.skipTo("a5 full - ") // one runs, one waits
-	c.say("undo", "a3")
+	c.send("undo", "a3")
 	c.skipToPrefix("a4 data") // its thread is free
-	c.say("forget", "a4")
+	c.send("forget", "a4")
 }
 
-func checkPause(t *testing.T, e *Engine, c *caller, log *ExecutionLog) {
+func checkPause(t *testing.T, e *Engine, c *testClient, log *ExecutionLog) {
 	t.Helper()
 	e.Pause()
-	c.say("do", "a6", "kind=look", "some")
-	want(t, "paused", c.hear(150*time.Millisecond), "nothing")
+	c.send("do", "a6", "kind=look", "some")
+	want(t, "paused", c.receive(150*time.Millisecond), "nothing")
 	if held, _ := e.InFlight(); held != 0 {
 		t.Errorf("%d held while it stands still", held)
 	}
 	e.Resume()
 	c.skipToPrefix("a6 data")
-	if came, ok := log.Find("a6"); !ok || came.AnsweredAt.Sub(came.ReceivedAt) < 250*time.Millisecond || came.Completions != 1 {
-		t.Errorf("the truth of what waited out a pause: %+v", came)
+	if record, ok := log.Find("a6"); !ok || record.AnsweredAt.Sub(record.ReceivedAt) < 250*time.Millisecond || record.Completions != 1 {
+		t.Errorf("the truth of what waited out a pause: %+v", record)
 	}
 }
 
-// checkTwice sends one id on two connections, which a gateway must not do; the log tells.
-func checkTwice(t *testing.T, e *Engine, c *caller, log *ExecutionLog) {
+// checkDuplicateID sends one id on two connections, which a gateway must not do; the log tells.
+func checkDuplicateID(t *testing.T, e *Engine, c *testClient, log *ExecutionLog) {
 	t.Helper()
-	for _, twice := range []*caller{c, call(t, e)} {
-		twice.say("do", "a9", "kind=load", "quick")
-		twice.skipToPrefix("a9 data")
+	for _, client := range []*testClient{c, connect(t, e)} {
+		client.send("do", "a9", "kind=load", "quick")
+		client.skipToPrefix("a9 data")
 	}
 	if got, _ := log.Find("a9"); got.Starts != 2 {
 		t.Errorf("began %d times, sent twice", got.Starts)
 	}
 }
 
-func checkFaults(t *testing.T, e *Engine, c *caller) {
+func checkFaults(t *testing.T, e *Engine, c *testClient) {
 	t.Helper()
 	e.FailQueries(1)
-	c.say("do", "a7", "kind=look", "quick")
-	want(t, "fails", c.hear(long), "a7 failed - ")
+	c.send("do", "a7", "kind=look", "quick")
+	want(t, "fails", c.receive(receiveTimeout), "a7 failed - ")
 	e.FailQueries(0)
 	e.StopAnswering()
-	c.say("do", "a8", "kind=look", "quick")
-	want(t, "silent", c.hear(100*time.Millisecond), "nothing")
+	c.send("do", "a8", "kind=look", "quick")
+	want(t, "silent", c.receive(100*time.Millisecond), "nothing")
 	e.ResumeAnswering()
 	e.ResetConnections()
-	want(t, "reset", c.hear(long), "end")
-	c = call(t, e)
-	c.say("ping", "p")
-	want(t, "ping", c.hear(long), "p well gauges=inflight:0;util:0.000 ")
+	want(t, "reset", c.receive(receiveTimeout), "end")
+	c = connect(t, e)
+	c.send("ping", "p")
+	want(t, "ping", c.receive(receiveTimeout), "p well gauges=inflight:0;util:0.000 ")
 	e.RefuseConnections()
-	want(t, "refuses", c.hear(long), "end")
+	want(t, "refuses", c.receive(receiveTimeout), "end")
 	if _, err := dial(t, e.Address); err == nil {
 		t.Error("a connection came up to an engine that refuses them")
 	}
 	if err := e.AcceptConnections(); err != nil {
 		t.Fatal(err)
 	}
-	call(t, e)
+	connect(t, e)
 }
 
 // Polls of the list: what was told, an empty one, an answer that breaks off.
-func TestList(t *testing.T) {
+func TestDiscovery(t *testing.T) {
 	l, err := StartDiscovery("127.0.0.1:0", []Endpoint{{ID: "e-1", State: "Ready"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/fake/frontend.go
+++ b/internal/testbed/fake/frontend.go
@@ -18,9 +18,9 @@
 	Address string
 	Log     *ExecutionLog // nil: none is kept
 
-	works    []Work
-	listener net.Listener
-	lastConn atomic.Uint32 // id
+	works      []Work
+	listener   net.Listener
+	lastConnID atomic.Uint32 // id
 
 	mu         sync.Mutex
 	resumed    *sync.Cond
@@ -32,7 +32,7 @@
 	// Spoil, Double and Drop are faults for the checker of the load to find: one of so many answers has the rows of another request, is
 	// sent twice, or is dropped with the connection. 0: none.
 	CorruptEvery, DuplicateEvery, DropEvery atomic.Int64
-	answers                                 atomic.Int64
+	answerCount                             atomic.Int64
 }
 
 // StartFrontend starts a frontend on a loopback address. log may be nil.
@@ -91,33 +91,33 @@
 	}
 }
 
-// work takes as long as the service does on the frontend's own clock, which stops in pauses.
-func (f *Frontend) work(service time.Duration) {
+// simulateService takes as long as the service does on the frontend's own clock, which stops in pauses.
+func (f *Frontend) simulateService(service time.Duration) {
 	f.mu.Lock()
 	for f.paused {
 		f.resumed.Wait()
 	}
-	left, pausedBefore, began := service, f.pausedTime, time.Now()
+	remaining, pausedBefore, began := service, f.pausedTime, time.Now()
 	f.mu.Unlock()
-	if left <= 0 {
+	if remaining <= 0 {
 		return
 	}
 	for {
-		time.Sleep(left)
+		time.Sleep(remaining)
 		f.mu.Lock()
 		for f.paused {
 			f.resumed.Wait()
 		}
-		left = service + f.pausedTime - pausedBefore - time.Since(began)
+		remaining = service + f.pausedTime - pausedBefore - time.Since(began)
 		f.mu.Unlock()
-		if left <= 0 {
+		if remaining <= 0 {
 			return
 		}
 	}
 }
 
-// readBytes is the size of a session's read buffer.
-const readBytes = 4096
+// frontendReadBufferBytes is the size of a session's read buffer.
+const frontendReadBufferBytes = 4096
 
 // serve serves one session until it ends.
 func (f *Frontend) serve(tcp net.Conn) {
@@ -127,9 +127,9 @@
 		delete(f.conns, tcp)
 		f.mu.Unlock()
 	}()
-	session := &frontendSession{frontend: f, tcp: tcp, reader: bufio.NewReaderSize(tcp, readBytes)}
+	session := &frontendSession{frontend: f, tcp: tcp, reader: bufio.NewReaderSize(tcp, frontendReadBufferBytes)}
 	var salt [20]byte
-	if _, err := tcp.Write(mysql.AppendGreeting(nil, f.lastConn.Add(1), &salt)); err != nil {
+	if _, err := tcp.Write(mysql.AppendGreeting(nil, f.lastConnID.Add(1), &salt)); err != nil {
 		return
 	}
 	if number, ok := session.readPacket(); !ok || !session.write(mysql.AppendOK(nil, number+1)) { // the client's login
@@ -209,17 +209,17 @@
 		f.Log.recordArrival(id, receivedAt)
 	}
 	work := findWork(f.works, string(request.Class), string(request.Statement))
-	f.work(work.Service.draw(id))
-	answer := f.answers.Add(1)
-	if isEvery(answer, f.DropEvery.Load()) {
+	f.simulateService(work.Service.draw(id))
+	answer := f.answerCount.Add(1)
+	if isNth(answer, f.DropEvery.Load()) {
 		return false
 	}
-	rowsOf := id
-	if isEvery(answer, f.CorruptEvery.Load()) {
-		rowsOf = otherRequestID
+	rowRequestID := id
+	if isNth(answer, f.CorruptEvery.Load()) {
+		rowRequestID = otherRequestID
 	}
-	s.out = appendResult(s.out[:0], number+1, resultPages(rowsOf, work.Rows))
-	if isEvery(answer, f.DuplicateEvery.Load()) {
+	s.out = appendResult(s.out[:0], number+1, resultPages(rowRequestID, work.Rows))
+	if isNth(answer, f.DuplicateEvery.Load()) {
 		s.out = append(s.out, s.out...)
 	}
 	ok := s.write(s.out)
@@ -230,8 +230,8 @@
 	return ok
 }
 
-// isEvery tells whether the answer of a number is one of every so many; 0: none is.
-func isEvery(answer, interval int64) bool { return interval > 0 && answer%interval == 0 }
+// isNth tells whether the answer of a number is one of every so many; 0: none is.
+func isNth(answer, interval int64) bool { return interval > 0 && answer%interval == 0 }
 
 // appendResult appends a result set of some pages.
 func appendResult(out []byte, number byte, pages [][]byte) []byte {
--- a/internal/testbed/report/archive.go
+++ b/internal/testbed/report/archive.go
@@ -58,13 +58,13 @@
 		if err != nil {
 			return err
 		}
-		return bucket.Put(key(id), text)
+		return bucket.Put(runKey(id), text)
 	})
 	return id, err
 }
 
-// key is the key of a run; keys sort by number.
-func key(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
+// runKey is the key of a run; keys sort by number.
+func runKey(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
 
 // ErrNoRun is the error for a number that the archive doesn't have.
 var ErrNoRun = errors.New("no such run in the archive")
@@ -72,7 +72,7 @@
 // Get returns the run of a number, or ErrNoRun.
 func (a *Archive) Get(id uint64) (run *ArchivedRun, err error) {
 	err = a.db.View(func(tx *bbolt.Tx) error {
-		text := tx.Bucket(runsBucket).Get(key(id))
+		text := tx.Bucket(runsBucket).Get(runKey(id))
 		if text == nil {
 			return fmt.Errorf("run %d: %w", id, ErrNoRun)
 		}
@@ -98,9 +98,9 @@
 func (a *Archive) Remove(id uint64) error {
 	return a.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(runsBucket)
-		if bucket.Get(key(id)) == nil {
+		if bucket.Get(runKey(id)) == nil {
 			return fmt.Errorf("run %d: %w", id, ErrNoRun)
 		}
-		return bucket.Delete(key(id))
+		return bucket.Delete(runKey(id))
 	})
 }
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -62,9 +62,9 @@
 	} else {
 		middle = values[n/2]
 	}
-	below := distuv.Binomial{N: float64(n), P: 0.5} // how many values lie below the true median
+	countBelow := distuv.Binomial{N: float64(n), P: 0.5} // how many values lie below the true median
 	rank := 0
-	for 2*below.CDF(float64(rank)) <= significance {
+	for 2*countBelow.CDF(float64(rank)) <= significance {
 		rank++
 	}
 	if rank == 0 {
@@ -125,8 +125,8 @@
 	}
 	medianBefore, _, _ := median(before)
 	medianAfter, _, _ := median(after)
-	apart := before[len(before)-1] < after[0] || after[len(after)-1] < before[0] // median has sorted both
-	if !apart && (rankSum(before, after) >= significance || len(before)+len(after) < minRunsForRankSum) {
+	disjoint := before[len(before)-1] < after[0] || after[len(after)-1] < before[0] // median has sorted both
+	if !disjoint && (rankSum(before, after) >= significance || len(before)+len(after) < minRunsForRankSum) {
 		return noise
 	}
 	if (medianAfter-medianBefore)*direction > 0 {
--- a/internal/testbed/report/format_test.go
+++ b/internal/testbed/report/format_test.go
@@ -11,8 +11,8 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// packedHistogram is a histogram in JSON. Its bytes are a compressor's, which may change with the language's version.
-var packedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
+// encodedHistogram is a histogram in JSON. Its bytes are a compressor's, which may change with the language's version.
+var encodedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
 
 // What `run --json` prints; package stats checks the figures in it.
 func TestResultOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
@@ -50,8 +50,8 @@
 // checkResult holds a result against what the earlier version wrote.
 func checkResult(t *testing.T, result *experiment.Result) {
 	t.Helper()
-	expected := packedHistogram.ReplaceAllString(string(golden.Read(t, "result.form")), `"histogram"`)
-	found := packedHistogram.ReplaceAllString(string(golden.EncodeJSON(result)), `"histogram"`)
+	expected := encodedHistogram.ReplaceAllString(string(golden.Read(t, "result.form")), `"histogram"`)
+	found := encodedHistogram.ReplaceAllString(string(golden.EncodeJSON(result)), `"histogram"`)
 	if found != expected {
 		t.Errorf("expected %s\nfound    %s", expected, found)
 	}
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -35,8 +35,8 @@
 	SVG         template.HTML
 }
 
-// figures are the plots of a page.
-var figures = []struct {
+// pagePlots are the plots of a page.
+var pagePlots = []struct {
 	title, text string
 	draw        func(*experiment.Result) (*plot.Plot, error)
 }{
@@ -51,7 +51,7 @@
 // Page writes a result as one HTML page that needs no other file.
 func Page(out io.Writer, result *experiment.Result) error {
 	view := pageView{Result: result, Good: result.Good(), Lanes: classRows(result.Metrics), Outcomes: outcomeRows(result.Metrics)}
-	for _, figure := range figures {
+	for _, figure := range pagePlots {
 		drawn, err := figure.draw(result)
 		if err != nil {
 			return fmt.Errorf("%s: %w", figure.title, err)
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -15,20 +15,20 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// result is one of a run in which look-ups took about so long.
-func result(name string, about time.Duration) *experiment.Result {
-	f := stats.New([]string{"look", "load"}, []time.Duration{50 * time.Millisecond, time.Second})
+// newResult is one of a run in which look-ups took about so long.
+func newResult(name string, latency time.Duration) *experiment.Result {
+	metrics := stats.New([]string{"look", "load"}, []time.Duration{50 * time.Millisecond, time.Second})
 	for n := range uint64(2000) {
 		at := time.Duration(n) * 5 * time.Millisecond
-		how := client.Served
+		outcome := client.Served
 		if n%100 == 99 {
-			how = client.Rejected
+			outcome = client.Rejected
 		}
-		f.RecordOffered(at)
-		f.RecordFinished(&client.Report{Request: &arrival.Request{Number: n, At: at, Class: int(n % 2)}, Outcome: how, FinishedAt: at + about + time.Duration(n%50)*time.Millisecond,
+		metrics.RecordOffered(at)
+		metrics.RecordFinished(&client.Report{Request: &arrival.Request{Number: n, At: at, Class: int(n % 2)}, Outcome: outcome, FinishedAt: at + latency + time.Duration(n%50)*time.Millisecond,
 			SentAt: at, Attempts: 1})
 	}
-	r := &experiment.Result{Name: name, Seed: 4, Scheduled: 2000, Took: 10 * time.Second, Length: 10 * time.Second, Metrics: f}
+	r := &experiment.Result{Name: name, Seed: 4, Scheduled: 2000, Took: 10 * time.Second, Length: 10 * time.Second, Metrics: metrics}
 	r.Verdicts = []experiment.Verdict{{Name: "generator", Good: true, Text: "in time"}, {Name: "rules", Text: "broken <b>"}}
 	r.Script = []experiment.ScriptEvent{{At: time.Second, What: "pause 0"}}
 	r.Truth = []experiment.Comparison{{Class: "look", Requests: 10, Rows: []experiment.Row{{Quantile: 0.5, Reported: time.Second, True: time.Second, Good: true}}}}
@@ -36,7 +36,7 @@
 }
 
 func ExampleText() {
-	Text(os.Stdout, result("some", 10*time.Millisecond))
+	Text(os.Stdout, newResult("some", 10*time.Millisecond))
 	// Output:
 	// some: seed 4, 2000 tasks in 10s, real sockets on loopback
 	//
@@ -60,9 +60,9 @@
 
 // Medians and intervals; a difference counts where it exceeds what repeats differ by.
 func ExampleCompare() {
-	runs := func(n int, about, each time.Duration) (out []*experiment.Result) {
+	runs := func(n int, latency, step time.Duration) (out []*experiment.Result) {
 		for i := range n {
-			out = append(out, result("some", about+time.Duration(i)*each))
+			out = append(out, newResult("some", latency+time.Duration(i)*step))
 		}
 		return out
 	}
@@ -70,7 +70,7 @@
 	fmt.Println(Compare(os.Stdout, runs(5, 20*ms, ms), runs(5, 21*ms, ms)))
 	fmt.Println(Compare(os.Stdout, runs(5, 40*ms, ms), runs(6, 10*ms, ms)))
 	fmt.Println(Compare(os.Stdout, runs(2, 40*ms, ms), runs(6, 10*ms, ms)))
-	fmt.Println(Compare(os.Stdout, runs(1, ms, ms), []*experiment.Result{result("other", ms)}))
+	fmt.Println(Compare(os.Stdout, runs(1, ms, ms), []*experiment.Result{newResult("other", ms)}))
 	// Output:
 	// some                   before (5)      interval  after (5)      interval  difference           verdict
 	// look p50 ms                 46.02  44.03..48.03      47.01  45.02..49.02       +0.99  within the noise
@@ -108,7 +108,7 @@
 // The page holds all of it and needs no other file.
 func TestPage(t *testing.T) {
 	var b bytes.Buffer
-	if err := Page(&b, result("some", 10*time.Millisecond)); err != nil {
+	if err := Page(&b, newResult("some", 10*time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		if id, err := a.Put(result("some", time.Duration(i)*time.Millisecond), "note"); err != nil || id != uint64(i+1) {
+		if id, err := a.Put(newResult("some", time.Duration(i)*time.Millisecond), "note"); err != nil || id != uint64(i+1) {
 			t.Fatalf("%d %v", id, err)
 		}
 	}
@@ -155,9 +155,9 @@
 	if err := a.Each(func(k *ArchivedRun) error { n += int(k.ID); return nil }); err != nil {
 		t.Error(err)
 	}
-	k, err := a.Get(3)
-	if err != nil || n != 4 || k.Note != "note" || k.Result.Metrics.Total() != 2000 || k.Result.Good() {
-		t.Errorf("%d %v %+v", n, err, k)
+	run, err := a.Get(3)
+	if err != nil || n != 4 || run.Note != "note" || run.Result.Metrics.Total() != 2000 || run.Result.Good() {
+		t.Errorf("%d %v %+v", n, err, run)
 	}
 	if _, err := a.Get(2); err == nil {
 		t.Error("a run that isn't there was found")
