--- a/cmd/magpiebank-testbed/clock.go
+++ b/cmd/magpiebank-testbed/clock.go
@@ -14,7 +14,8 @@
 	"magpiebank/internal/traffic/importer"
 )
 
-// runClockJumps records a load with a clock that jumps, imports it, and plays what was mended against what is true.
+// runClockJumps makes a log of a load with a clock that jumps, imports the log with its times repaired, compares the repaired times with
+// the true ones, and replays the resulting trace.
 func runClockJumps(c *cobra.Command, o *output) error {
 	if o.folder == "" {
 		o.folder = experiment.Folder("clock-jumps")
@@ -41,8 +42,9 @@
 	for i := range t.Records {
 		worst = max(worst, (t.Records[i].Offset - trueTimes[i]).Abs())
 	}
-	const bound = 250 * time.Millisecond // three jumps whose true gaps nobody knows any more, and stamps spread evenly
-	fmt.Fprintf(c.OutOrStdout(), "%d records, %d amiss; intended times differ from the true ones by %v at most, the bound is %v\n\n",
+	// Repaired times deviate because the true gaps at the three faults of the clock are lost, and equal timestamps are spread evenly.
+	const bound = 250 * time.Millisecond
+	fmt.Fprintf(c.OutOrStdout(), "%d records, %d invalid entries; intended times differ from the true ones by at most %v, the bound is %v\n\n",
 		len(t.Records), len(problems), worst.Round(time.Microsecond), bound)
 	e, err := experiment.Parse(filepath.Join(o.folder, "clock-jumps.jsonnet"), `{
   name: 'clock-jumps',
@@ -64,8 +66,8 @@
 	return verdictError(r)
 }
 
-// jumpingLog is a load of some 20 seconds as a clock would record it that jumps back an hour, forward a day, and stands
-// still for ten thousand entries; truth has the times from the first entry on.
+// jumpingLog returns a JSON Lines log of a load of about 20 seconds, with timestamps of a clock that jumps back an hour, jumps forward
+// a day, and stands still for ten thousand entries. trueTimes holds the true times of the entries, counted from the first one.
 func jumpingLog() (trueTimes []time.Duration, recorded []byte) {
 	r := rand.New(rand.NewSource(4))
 	var b bytes.Buffer
--- a/cmd/magpiebank-testbed/experiment.go
+++ b/cmd/magpiebank-testbed/experiment.go
@@ -16,21 +16,21 @@
 	"magpiebank/internal/testbed/report"
 )
 
-// output is where a run's results go.
+// output holds the flags for the results and files of a run.
 type output struct {
 	json    bool
-	page    string
-	archive string
+	page    string // path for the report's page; empty: none
+	archive string // path of the archive; empty: none
 	note    string
-	folder  string
-	gateway string
+	folder  string // for logs; empty: a default one
+	gateway string // path of the gateway's program; empty: a default one
 }
 
 func (o *output) flags(c *cobra.Command) {
 	c.Flags().BoolVar(&o.json, "json", false, "print the result as JSON")
 	c.Flags().StringVar(&o.page, "html", "", "write the report's page to this file")
-	c.Flags().StringVar(&o.archive, "archive", "", "keep the run in this archive (see magpiebank-testbed runs)")
-	c.Flags().StringVar(&o.note, "note", "", "a line kept with the run in the archive")
+	c.Flags().StringVar(&o.archive, "archive", "", "store the run in this archive (see magpiebank-testbed runs)")
+	c.Flags().StringVar(&o.note, "note", "", "a line stored with the run in the archive")
 	c.Flags().StringVar(&o.folder, "folder", "", "folder for the logs of gateways; default one under the temporary folder")
 	c.Flags().StringVar(&o.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one")
 }
@@ -43,7 +43,7 @@
 	if e.Installation != nil && o.gateway != "" {
 		e.Installation.Program = o.gateway
 	}
-	var send experiment.Sender // nil: this process sends
+	var send experiment.Sender // nil: this process sends the load itself
 	if e.Workers > 0 {
 		send = workerSender(e, o.folder)
 	}
@@ -56,7 +56,7 @@
 	return result, showResult(c, result, o)
 }
 
-// showResult prints a result and keeps it where that was asked for.
+// showResult prints a result, and writes it as a page and stores it in an archive if the flags request that.
 func showResult(c *cobra.Command, result *experiment.Result, o *output) error {
 	if o.json {
 		if err := writeJSON(c.OutOrStdout(), result); err != nil {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.ErrOrStderr(), "kept as run %d in %s\n", id, o.archive)
+	fmt.Fprintf(c.ErrOrStderr(), "stored as run %d in %s\n", id, o.archive)
 	return nil
 }
 
@@ -95,7 +95,7 @@
 	return writeFile(path, func(out io.Writer) error { return report.Page(out, result) })
 }
 
-// verdictError returns errReported if a result has missed a bound.
+// verdictError returns errReported if a result missed a bound.
 func verdictError(r *experiment.Result) error {
 	if !r.Good() {
 		return errReported
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// progress shows how far a run is on a terminal, and nothing elsewhere.
+// progress shows the progress of a run on a terminal. It shows nothing if the output is not a terminal.
 type progress struct {
-	w      io.Writer
+	w      io.Writer // nil: the output is not a terminal
 	length time.Duration
 	shown  bool
 }
@@ -136,7 +136,7 @@
 }
 
 func experimentCommand() *cobra.Command {
-	c := &cobra.Command{Use: "experiment", Short: "Experiments that are built in"}
+	c := &cobra.Command{Use: "experiment", Short: "List and run built-in experiments"}
 	list := &cobra.Command{Use: "list", Short: "List the built-in experiments", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			for _, name := range append(experiment.Names(), "clock-jumps", "starved", "statements", "restart") {
@@ -148,7 +148,7 @@
 	var repeat int
 	var seed int64
 	var noJournal bool
-	run := &cobra.Command{Use: "run NAME", Short: "Run a built-in experiment; status 1 when a bound is missed", Args: cobra.ExactArgs(1),
+	run := &cobra.Command{Use: "run NAME", Short: "Run a built-in experiment; status 1 if a bound is missed", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			switch args[0] {
 			case "clock-jumps":
@@ -163,14 +163,15 @@
 			return runNamed(c, args[0], &o, repeat, -1)
 		}}
 	o.flags(run)
-	run.Flags().IntVar(&repeat, "repeat", 1, "how many times, with seeds one after the other")
-	run.Flags().Int64Var(&seed, "seed", 101, "of statements and restart: what is drawn")
-	run.Flags().BoolVar(&noJournal, "without-state", false, "of restart: keep no record, for what that is like")
+	run.Flags().IntVar(&repeat, "repeat", 1, "how many times to run, each time with the next seed")
+	run.Flags().Int64Var(&seed, "seed", 101, "for statements and restart: the seed of random values")
+	run.Flags().BoolVar(&noJournal, "without-state", false, "for restart: run gateways without a request journal, for comparison")
 	c.AddCommand(list, run)
 	return c
 }
 
-// runNamed plays an experiment once or several times.
+// runNamed runs an experiment, given by its name or file, once or several times, each time with the next seed. workers below 0 leaves
+// the number of workers as the experiment sets it.
 func runNamed(c *cobra.Command, name string, o *output, repeat, workers int) error {
 	var bad error
 	for k := range max(1, repeat) {
@@ -197,7 +198,7 @@
 	var o output
 	var repeat, workers int
 	var resume string
-	c := &cobra.Command{Use: "run FILE", Short: "Run an experiment from its file; status 1 when a bound is missed, 2 when the file is amiss",
+	c := &cobra.Command{Use: "run FILE", Short: "Run an experiment from its file; status 1 if a bound is missed, 2 if the file is invalid",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if resume != "" {
@@ -206,21 +207,21 @@
 			return runNamed(c, args[0], &o, repeat, workers)
 		}}
 	o.flags(c)
-	c.Flags().IntVar(&repeat, "repeat", 1, "how many times, with seeds one after the other")
-	c.Flags().IntVar(&workers, "workers", -1, "processes that send; default as the file says")
-	c.Flags().StringVar(&resume, "resume", "", "go on in place of a coordinator that died, by its folder")
+	c.Flags().IntVar(&repeat, "repeat", 1, "how many times to run, each time with the next seed")
+	c.Flags().IntVar(&workers, "workers", -1, "number of processes that send; below 0: as the file sets it")
+	c.Flags().StringVar(&resume, "resume", "", "resume the run in this folder, whose coordinator died")
 	return c
 }
 
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check FILE...", Short: "Read experiments and say what is amiss", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{Use: "check FILE...", Short: "Check the files of experiments and report errors", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var first error
 			for _, path := range args {
 				e, err := experiment.Find(path)
 				if err != nil {
 					fmt.Fprintln(c.ErrOrStderr(), err)
-					first = inputError{fmt.Errorf("some files are amiss")}
+					first = inputError{fmt.Errorf("some files are invalid")}
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %v, %d lanes\n", filepath.Base(path), e.Name, e.Length, len(e.Classes))
@@ -247,7 +248,7 @@
 			if o.page == "" {
 				o.page = filepath.Join(o.folder, "report.html")
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d engines and their list, %d gateways, %v of load; engine 0 stands still from 20 s to 25 s\n\n",
+			fmt.Fprintf(c.OutOrStdout(), "%d engines and a discovery service, %d gateways, %v of load; engine 0 is paused from 20 s to 25 s\n\n",
 				e.Installation.Engines, e.Installation.Gateways, e.Length)
 			r, err := runExperiment(c.Context(), c, e, &o)
 			if err != nil {
@@ -257,6 +258,6 @@
 			return verdictError(r)
 		}}
 	o.flags(c)
-	c.Flags().DurationVar(&length, "length", 0, "play so long, in place of a minute")
+	c.Flags().DurationVar(&length, "length", 0, "length of the load; 0: a minute")
 	return c
 }
--- a/cmd/magpiebank-testbed/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -17,15 +17,15 @@
 	"magpiebank/internal/testbed/rolloutmodel"
 )
 
-// fleetCommand injects faults between the gateways of a cluster.
+// fleetCommand returns the commands that test clusters of gateways: scenarios with injected faults, simulations and model checking.
 func fleetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "Faults between the processes of a fleet, and what must hold all the same"}
+	c := &cobra.Command{Use: "fleet", Short: "Test fleets of gateways with faults between their processes, by scenarios, simulation and model checking"}
 	c.AddCommand(fleetList(), fleetRun(), fleetSearch(), fleetScale(), fleetExplore())
 	return c
 }
 
 func fleetList() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "The scenarios that are built in", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+	return &cobra.Command{Use: "list", Short: "List the built-in scenarios", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		for _, name := range faulttest.Builtin() {
 			s, err := faulttest.Read(name)
 			if err != nil {
@@ -37,14 +37,15 @@
 	}}
 }
 
-// runLocation is where runs leave their files, and which gateway they start.
+// runLocation holds the folder for the files of runs and the path of the gateway's program.
 type runLocation struct{ folder, gateway string }
 
 func (p *runLocation) flags(c *cobra.Command) {
 	c.Flags().StringVar(&p.folder, "folder", "", "folder for logs and histories; default one under the temporary folder")
-	c.Flags().StringVar(&p.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one; clocks that run off need one built with -tags testbed")
+	c.Flags().StringVar(&p.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one; scenarios with clock faults need one built with -tags testbed")
 }
 
+// setDefaults sets the paths that the flags leave empty. name is the name or file of the scenario.
 func (p *runLocation) setDefaults(name string) error {
 	if p.folder == "" {
 		p.folder = filepath.Join(os.TempDir(), "magpiebank-testbed-fleet-"+strings.TrimSuffix(filepath.Base(name), ".jsonnet"))
@@ -59,17 +60,17 @@
 	return nil
 }
 
-// fleetRunOptions are the flags of fleet run.
+// fleetRunOptions holds the flags of fleet run.
 type fleetRunOptions struct {
 	location   runLocation
 	html, plot string
 	json, both bool
-	ways       int
+	ways       int // how many ways of sharing run besides none; 0: all
 }
 
 func fleetRun() *cobra.Command {
 	var o fleetRunOptions
-	c := &cobra.Command{Use: "run NAME|FILE", Short: "Play one scenario; those that measure judgements are played with sharing and without, those that measure budgets with each way to share", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "run NAME|FILE", Short: "Run a scenario; one that measures health reports runs with and without sharing, one that measures budgets with each way of sharing", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := faulttest.Read(args[0])
 			if err != nil {
@@ -85,15 +86,15 @@
 			return o.show(c.OutOrStdout(), s, outcome)
 		}}
 	o.location.flags(c)
-	c.Flags().StringVar(&o.html, "html", "", "write the run as a page with its picture to this file")
-	c.Flags().StringVar(&o.plot, "plot", "", "of one with threads of the whole fleet, draw each member's use over time into this picture (svg or png)")
-	c.Flags().IntVar(&o.ways, "ways", 0, "of one that measures budgets, how many ways of sharing are played beside none: lent, equal parts, a quorum; 0: all")
+	c.Flags().StringVar(&o.html, "html", "", "write the run as a page with a plot to this file")
+	c.Flags().StringVar(&o.plot, "plot", "", "for a scenario with thread limits for the whole fleet: plot each member's use over time to this file (svg or png)")
+	c.Flags().IntVar(&o.ways, "ways", 0, "for a scenario that measures budgets: how many ways of sharing run besides none, of lent, equal parts, a quorum; 0: all")
 	c.Flags().BoolVar(&o.json, "json", false, "print the result as JSON")
-	c.Flags().BoolVar(&o.both, "both", false, "play it with sharing and without at the same time, and compare")
+	c.Flags().BoolVar(&o.both, "both", false, "run it with and without sharing at the same time, and compare")
 	return c
 }
 
-// show prints an outcome, writes its page and picture, and returns errReported if anything was violated.
+// show prints an outcome, writes its page and plot, and returns errReported if the outcome violates an expectation.
 func (o *fleetRunOptions) show(out io.Writer, s *faulttest.Scenario, outcome *faulttest.Outcome) error {
 	if o.json {
 		if err := writeJSON(out, outcome.Data); err != nil {
@@ -116,7 +117,7 @@
 		return nil
 	}
 	if !o.json && len(outcome.Results) == 1 {
-		fmt.Fprint(out, "\nto play it again:\n", s.Text())
+		fmt.Fprint(out, "\nto run it again:\n", s.Text())
 	}
 	return errReported
 }
@@ -128,7 +129,7 @@
 	return encoder.Encode(value)
 }
 
-// writeFile creates a file and has a function write it.
+// writeFile creates a file and calls a function that writes its contents.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -139,7 +140,7 @@
 
 func fleetExplore() *cobra.Command {
 	var states int
-	c := &cobra.Command{Use: "explore", Short: "Walk every interleaving of small fleets that share a budget, or change their policy, up to a number of states", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "explore", Short: "Check models of small fleets that share a budget or change their policy, for every interleaving up to a number of states", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			good, out := true, c.OutOrStdout()
 			report := func(model string, result modelcheck.Result) {
@@ -153,6 +154,6 @@
 			}
 			return nil
 		}}
-	c.Flags().IntVar(&states, "states", 1_000_000, "states of each model; some 40,000 a second, 0.3 kB each")
+	c.Flags().IntVar(&states, "states", 1_000_000, "maximum states of each model; about 40,000 per second, 0.3 kB each")
 	return c
 }
--- a/cmd/magpiebank-testbed/fleet_scale.go
+++ b/cmd/magpiebank-testbed/fleet_scale.go
@@ -14,7 +14,7 @@
 	"magpiebank/internal/testbed/simcluster"
 )
 
-// scaleSizes are the sizes of the simulated clusters, in members.
+// scaleSizes lists the sizes of the simulated clusters, in members.
 var scaleSizes = []int{8, 32, 100, 200, 500}
 
 // scaleSeed is the seed of all simulations of fleet scale.
@@ -23,7 +23,7 @@
 func fleetScale() *cobra.Command {
 	var maxMembers int
 	var picture string
-	c := &cobra.Command{Use: "scale", Short: "Fleets of 8 to 500 members in one process, in virtual time: detection, sharing, budgets, counts, changes of policy", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "scale", Short: "Simulate fleets of 8 to 500 members in one process and virtual time: detection, health reports, budgets, counters, policy rollouts", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			out := c.OutOrStdout()
 			fmt.Fprintln(out, "simulated: one process, virtual time, seed 1")
@@ -44,11 +44,11 @@
 			return plotScale(picture, members, quotas)
 		}}
 	c.Flags().IntVar(&maxMembers, "most", 500, "members of the largest fleet")
-	c.Flags().StringVar(&picture, "plot", "", "write detection and bytes by size of the fleet to this picture (png or svg)")
+	c.Flags().StringVar(&picture, "plot", "", "plot times and bytes by size of the fleet to this file (png or svg)")
 	return c
 }
 
-// forSizes measures clusters of each size up to a largest one.
+// forSizes measures clusters of each size in scaleSizes up to maxMembers.
 func forSizes[Result any](maxMembers int, measure func(members int) Result) (results []Result) {
 	for _, members := range scaleSizes {
 		if members <= maxMembers {
@@ -58,7 +58,8 @@
 	return results
 }
 
-// scaleMembership measures and prints membership by size, and by loss and stopped members; it returns those by size.
+// scaleMembership measures and prints membership by size without faults, and at the largest size with message loss and paused members.
+// It returns the results by size.
 func scaleMembership(out io.Writer, maxMembers int) []simcluster.MembershipResult {
 	bySize := forSizes(maxMembers, func(n int) simcluster.MembershipResult { return simcluster.MeasureMembership(n, 0, 0, scaleSeed) })
 	all := bySize
@@ -69,7 +70,7 @@
 	return bySize
 }
 
-// scaleHealthReports measures and prints health reports by size, and with loss and with more failures.
+// scaleHealthReports measures and prints health reports by size, and for up to 100 members with message loss and with more failures.
 func scaleHealthReports(out io.Writer, maxMembers int) {
 	measure := func(members int, failures, loss float64) simcluster.HealthReportResult {
 		return simcluster.MeasureHealthReports(simcluster.HealthReportLoad{Members: members, Engines: max(6, members/5), Rate: 1.3, Errors: failures, Loss: loss}, scaleSeed)
@@ -79,7 +80,7 @@
 	simcluster.WriteHealthReports(out, results)
 }
 
-// plotScale draws times and bytes by the size of the cluster.
+// plotScale plots the times and bytes of membership and quotas by the size of the cluster, and writes the plot to a file.
 func plotScale(path string, members []simcluster.MembershipResult, quotas []simcluster.QuotaResult) error {
 	p := plot.New()
 	p.Title.Text = "A fleet's cost by its size (simulated)"
@@ -95,8 +96,8 @@
 		burstTimes = append(burstTimes, plotter.XY{X: float64(d.Members), Y: float64(d.BurstTime) / float64(admission.Second)})
 		quotaBytes = append(quotaBytes, plotter.XY{X: float64(d.Members), Y: d.Bytes / 100})
 	}
-	if err := plotutil.AddLinePoints(p, "until 9 of 10 know of a death, s", detection, "members, bytes/s a member / 100", membershipBytes,
-		"until 9/10 of a budget is at one, s", burstTimes, "budgets, moving demand, bytes/s a member / 100", quotaBytes); err != nil {
+	if err := plotutil.AddLinePoints(p, "until 9 of 10 detect a killed member, s", detection, "members, bytes/s a member / 100", membershipBytes,
+		"until one member uses 9/10 of a budget, s", burstTimes, "budgets, moving demand, bytes/s a member / 100", quotaBytes); err != nil {
 		return err
 	}
 	p.Legend.Top, p.Legend.Left = true, true
--- a/cmd/magpiebank-testbed/fleet_search.go
+++ b/cmd/magpiebank-testbed/fleet_search.go
@@ -13,25 +13,25 @@
 	"magpiebank/internal/testbed/faulttest"
 )
 
-// shrinkTries is the most runs that are spent on making a failing scenario smaller.
+// shrinkTries limits the runs that search for a smaller version of a failing scenario.
 const shrinkTries = 20
 
-// scenarioSearch plays scenarios drawn from seeds, several at a time.
+// scenarioSearch runs scenarios drawn from seeds, several at a time.
 type scenarioSearch struct {
 	location                       runLocation
 	seedCount, firstSeed, parallel int
 	gateways, engines              int
 	shrink                         bool
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	out        io.Writer
 	violations int
-	err        error // of the last run that could not be made
+	err        error // of the last run that returned an error
 }
 
 func fleetSearch() *cobra.Command {
 	var s scenarioSearch
-	c := &cobra.Command{Use: "search", Short: "Play scenarios drawn from seeds, and print each that violates anything", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "search", Short: "Run scenarios drawn from seeds, and print those that violate an expectation", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := s.location.setDefaults("search"); err != nil {
 				return err
@@ -40,16 +40,16 @@
 			return s.run(c.Context())
 		}}
 	s.location.flags(c)
-	c.Flags().IntVar(&s.seedCount, "seeds", 20, "how many")
+	c.Flags().IntVar(&s.seedCount, "seeds", 20, "number of seeds")
 	c.Flags().IntVar(&s.firstSeed, "from", 1, "the first seed")
 	c.Flags().IntVar(&s.gateways, "gateways", 8, "gateways in each")
 	c.Flags().IntVar(&s.engines, "engines", 6, "engines in each")
-	c.Flags().IntVar(&s.parallel, "beside", 4, "how many are played at the same time")
-	c.Flags().BoolVar(&s.shrink, "shrink", false, "look for the fewest steps that still violate something")
+	c.Flags().IntVar(&s.parallel, "beside", 4, "number of scenarios that run at the same time")
+	c.Flags().BoolVar(&s.shrink, "shrink", false, "search for the fewest steps that still violate an expectation")
 	return c
 }
 
-// run plays the scenarios and returns errReported if one violated anything.
+// run runs the scenarios of all seeds. It returns errReported if one violated an expectation.
 func (s *scenarioSearch) run(ctx context.Context) error {
 	began := time.Now()
 	seeds := make(chan int)
@@ -71,7 +71,7 @@
 	}
 	close(seeds)
 	workers.Wait()
-	fmt.Fprintf(s.out, "%d scenarios of %d gateways drawn from seeds %d to %d, %d violated something; %.0f s\n", played, s.gateways, s.firstSeed, s.firstSeed+played-1, s.violations, time.Since(began).Seconds())
+	fmt.Fprintf(s.out, "%d scenarios of %d gateways drawn from seeds %d to %d, %d violated an expectation; %.0f s\n", played, s.gateways, s.firstSeed, s.firstSeed+played-1, s.violations, time.Since(began).Seconds())
 	if s.err != nil {
 		return s.err
 	}
@@ -81,7 +81,8 @@
 	return ctx.Err()
 }
 
-// runSeed plays the scenario of one seed, and prints it if it violates anything.
+// runSeed runs the scenario of a seed, and prints it if it violates an expectation or returns an error. With shrink it prints a smaller
+// version of the scenario that still violates one.
 func (s *scenarioSearch) runSeed(ctx context.Context, seed int, folder string) {
 	scenario := faulttest.Draw(uint64(seed), s.gateways, s.engines)
 	result, err := faulttest.Run(ctx, scenario, folder, s.location.gateway)
--- a/cmd/magpiebank-testbed/fmt.go
+++ b/cmd/magpiebank-testbed/fmt.go
@@ -8,13 +8,13 @@
 	"github.com/spf13/cobra"
 )
 
-// formattedFileMode is the mode of a file that fmt creates; files that are there keep theirs.
+// formattedFileMode is the mode for new files. An existing file, which is the usual case, keeps its mode.
 const formattedFileMode = 0o644
 
-// fmtCommand formats operators' files.
+// fmtCommand returns the command that formats Jsonnet files, such as experiments and operators' files.
 func fmtCommand() *cobra.Command {
 	var test bool
-	c := &cobra.Command{Use: "fmt FILE...", Short: "Write Jsonnet files in their usual form", Args: cobra.MinimumNArgs(1),
+	c := &cobra.Command{Use: "fmt FILE...", Short: "Format Jsonnet files", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			differ := false
 			for _, path := range args {
@@ -32,11 +32,11 @@
 			}
 			return nil
 		}}
-	c.Flags().BoolVar(&test, "test", false, "write nothing; status 1 when a file is not in its usual form")
+	c.Flags().BoolVar(&test, "test", false, "write nothing; status 1 if a file is not formatted")
 	return c
 }
 
-// formatFile tells whether formatting changes a file, and writes the change if it is to.
+// formatFile formats a file, and writes the result if write is set. It returns whether formatting changes the file.
 func formatFile(path string, write bool) (changed bool, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/magpiebank-testbed/main.go
+++ b/cmd/magpiebank-testbed/main.go
@@ -1,4 +1,4 @@
-// Magpiebank-testbed puts gateways under load on loopback and tells what came of it.
+// Magpiebank-testbed runs load tests, experiments and fault scenarios against gateways on loopback addresses and reports the results.
 package main
 
 import (
@@ -16,14 +16,14 @@
 
 // The exit statuses.
 const (
-	exitFailure = 1 // a bound was missed, or the run could not be made
-	exitMisuse  = 2 // of the command line or a file
+	exitFailure = 1 // a check failed, for example a bound was missed, or the command could not finish
+	exitMisuse  = 2 // the command line or a file is invalid
 )
 
-// errReported ends a command whose output has said what is amiss.
+// errReported ends a command with exitFailure. main doesn't print it, because the command's output already reports the failure.
 var errReported = errors.New("a bound was missed")
 
-// inputError is an error in what the operator wrote.
+// inputError is an error in the command line or in a file from the user. It leads to exitMisuse.
 type inputError struct{ error }
 
 func main() {
@@ -35,9 +35,9 @@
 func run(ctx context.Context, args []string) int {
 	root := &cobra.Command{
 		Use:   "magpiebank-testbed",
-		Short: "Puts gateways under load on loopback and tells what came of it",
-		Long: `The testbed of magpiebank starts fake engines and a fake discovery service, gateways between them and a load, and
-tells what came of it. All of it stays on this machine's loopback addresses.`,
+		Short: "Puts gateways under load on loopback addresses and reports the results",
+		Long: `The testbed of magpiebank starts fake engines, a fake discovery service and gateways, sends a load to the gateways and
+reports the results. All connections use this machine's loopback addresses.`,
 		SilenceErrors: true, SilenceUsage: true, Version: version,
 	}
 	root.AddCommand(demoCommand(), runCommand(), workerCommand(), experimentCommand(), checkCommand(), fmtCommand(), traceCommand(), runsCommand(),
@@ -52,7 +52,7 @@
 	case errors.Is(err, errReported):
 		return exitFailure
 	case errors.Is(err, context.Canceled):
-		fmt.Fprintln(os.Stderr, "magpiebank-testbed: called off")
+		fmt.Fprintln(os.Stderr, "magpiebank-testbed: cancelled")
 		return exitFailure
 	case errors.As(err, &badInput):
 		fmt.Fprintln(os.Stderr, "magpiebank-testbed:", err)
--- a/cmd/magpiebank-testbed/restart.go
+++ b/cmd/magpiebank-testbed/restart.go
@@ -9,7 +9,8 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// runRestarts kills a gateway with a record of its requests a hundred times under load.
+// runRestarts kills and restarts a gateway a hundred times under load, and checks its answers against the engines' log. The gateway
+// keeps a request journal unless noJournal is set; the checks fail without one.
 func runRestarts(c *cobra.Command, o *output, seed int64, noJournal bool) error {
 	if o.folder == "" {
 		o.folder = experiment.Folder("restart")
--- a/cmd/magpiebank-testbed/runs.go
+++ b/cmd/magpiebank-testbed/runs.go
@@ -13,13 +13,13 @@
 	"magpiebank/internal/testbed/report"
 )
 
-// defaultArchive is the default of --archive; archives of earlier versions lie under this name.
+// defaultArchive is the default of --archive. Archives of earlier versions have this name.
 const defaultArchive = "magpielab.runs"
 
-// archiveCommand makes the commands that read an archive.
+// archiveCommand makes the subcommands of runs. path is the archive's file.
 type archiveCommand struct{ path string }
 
-// run opens the archive around a command.
+// run returns a function for cobra that opens the archive, calls a command with it, and closes it.
 func (a *archiveCommand) run(command func(c *cobra.Command, archive *report.Archive, args []string) error) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) (err error) {
 		archive, err := report.OpenArchive(a.path)
@@ -37,14 +37,14 @@
 
 func runsCommand() *cobra.Command {
 	var a archiveCommand
-	c := &cobra.Command{Use: "runs", Short: "Runs that were kept with --archive"}
+	c := &cobra.Command{Use: "runs", Short: "Manage the runs that were stored with --archive"}
 	c.PersistentFlags().StringVar(&a.path, "archive", defaultArchive, "the archive's file")
 	c.AddCommand(a.listCommand(), a.showCommand(), a.compareCommand(), a.removeCommand())
 	return c
 }
 
 func (a *archiveCommand) listCommand() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "List them", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "list", Short: "List the runs", Args: cobra.NoArgs,
 		RunE: a.run(func(c *cobra.Command, archive *report.Archive, _ []string) error {
 			return archive.Each(func(run *report.ArchivedRun) error {
 				verdict := "good"
@@ -61,7 +61,7 @@
 func (a *archiveCommand) showCommand() *cobra.Command {
 	var asJSON bool
 	var page string
-	c := &cobra.Command{Use: "show N", Short: "Show one", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "show N", Short: "Show runs", Args: cobra.ExactArgs(1),
 		RunE: a.run(func(c *cobra.Command, archive *report.Archive, args []string) error {
 			results, err := readRuns(archive, args[0])
 			if err != nil {
@@ -79,7 +79,7 @@
 	return c
 }
 
-// showRun prints a run, and writes its page if a path is given.
+// showRun prints a result, and also writes it as a page if page, a path, is not empty.
 func showRun(out io.Writer, result *experiment.Result, page string, asJSON bool) error {
 	if page != "" {
 		if err := writePage(page, result); err != nil {
@@ -109,7 +109,7 @@
 }
 
 func (a *archiveCommand) removeCommand() *cobra.Command {
-	return &cobra.Command{Use: "rm N...", Short: "Take runs out", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{Use: "rm N...", Short: "Remove runs", Args: cobra.MinimumNArgs(1),
 		RunE: a.run(func(_ *cobra.Command, archive *report.Archive, args []string) error {
 			for _, arg := range args {
 				ids, err := parseRunNumbers(arg)
@@ -126,10 +126,10 @@
 		})}
 }
 
-// maxRunRange is the most runs that a range such as 4-6 may name.
+// maxRunRange limits the difference between the ends of a range such as 4-6.
 const maxRunRange = 10000
 
-// parseRunNumbers reads a list such as 1,4-6.
+// parseRunNumbers parses a list of run numbers and ranges, such as 1,4-6.
 func parseRunNumbers(text string) (ids []uint64, err error) {
 	for _, part := range strings.Split(text, ",") {
 		firstText, lastText, isRange := strings.Cut(part, "-")
@@ -148,7 +148,7 @@
 	return ids, nil
 }
 
-// readRuns reads the runs of a list such as 1,4-6.
+// readRuns reads the results of the runs in a list such as 1,4-6.
 func readRuns(archive *report.Archive, list string) (results []*experiment.Result, err error) {
 	ids, err := parseRunNumbers(list)
 	if err != nil {
--- a/cmd/magpiebank-testbed/search.go
+++ b/cmd/magpiebank-testbed/search.go
@@ -10,21 +10,21 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// searchCommand finds the highest rate at which an experiment keeps its bounds.
+// searchCommand returns the command that finds the highest rate at which an experiment keeps its bounds.
 func searchCommand() *cobra.Command {
 	var o output
 	var from, to, step float64
 	var length time.Duration
 	var tries int
 	c := &cobra.Command{Use: "search NAME", Short: "Find the highest rate at which an experiment keeps its bounds",
-		Long: `Plays the experiment with all its rates times a factor: doubled while the bounds are kept, then halved in between until
-the step is reached. A rate counts as kept when one of the tries keeps all bounds.`,
+		Long: `Runs the experiment with all its rates multiplied by a factor. The factor is doubled while the bounds are kept; then a
+binary search follows until the step is reached. The bounds are kept at a rate if one of the tries keeps all of them.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if !(from > 0 && to > from && step > 0) || tries < 1 {
 				return inputError{fmt.Errorf("expected from above 0, to above from, step above 0, and tries from 1")}
 			}
-			good, bad := 0.0, 0.0
+			good, bad := 0.0, 0.0 // the highest factor at which the bounds are kept, and the lowest at which they are not; 0: none yet
 			for factor := from; ; {
 				kept, err := keepsBounds(c, args[0], factor, length, tries)
 				if err != nil {
@@ -37,7 +37,7 @@
 				}
 				switch {
 				case bad == 0 && factor >= to:
-					fmt.Fprintf(c.OutOrStdout(), "kept up to %.3f times the rate, the highest asked for\n", good)
+					fmt.Fprintf(c.OutOrStdout(), "kept up to %.3f times the rate, the highest factor requested\n", good)
 					return nil
 				case bad == 0:
 					factor = min(to, 2*factor)
@@ -57,13 +57,14 @@
 	o.flags(c)
 	c.Flags().Float64Var(&from, "from", 1, "first factor")
 	c.Flags().Float64Var(&to, "to", 64, "highest factor")
-	c.Flags().Float64Var(&step, "step", 0.05, "share by which the result may be too low")
+	c.Flags().Float64Var(&step, "step", 0.05, "fraction by which the result may be too low")
 	c.Flags().DurationVar(&length, "length", 0, "length of each try; default the experiment's")
 	c.Flags().IntVar(&tries, "tries", 2, "tries at each rate")
 	return c
 }
 
-// keepsBounds tells whether one of some tries keeps all bounds with the rates times a factor.
+// keepsBounds reports whether an experiment keeps all bounds in at least one of several tries with its rates multiplied by a factor.
+// Each try has a seed of its own.
 func keepsBounds(c *cobra.Command, name string, factor float64, length time.Duration, tries int) (bool, error) {
 	for k := range tries {
 		e, err := experiment.Find(name)
--- a/cmd/magpiebank-testbed/standin.go
+++ b/cmd/magpiebank-testbed/standin.go
@@ -12,10 +12,11 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// standinCommand keeps an experiment's installation up, for other loads or to be looked at by hand.
+// standinCommand returns the command that starts the servers of an experiment and keeps them running without a load, for other load
+// generators or for manual inspection.
 func standinCommand() *cobra.Command {
 	var folder string
-	c := &cobra.Command{Use: "standin NAME", Short: "Keep an experiment's engines, list and gateways up until a signal", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "standin NAME", Short: "Run an experiment's engines, discovery service and gateways until a signal", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Find(args[0])
 			if err != nil {
@@ -46,7 +47,7 @@
 				}
 				fmt.Fprintf(c.OutOrStdout(), "engine list %s\n", s.Discovery.Address)
 			default:
-				return inputError{fmt.Errorf("the experiment has no site of its own")}
+				return inputError{fmt.Errorf("the experiment has no installation and no fake frontend to start")}
 			}
 			<-c.Context().Done()
 			return nil
--- a/cmd/magpiebank-testbed/starved.go
+++ b/cmd/magpiebank-testbed/starved.go
@@ -12,7 +12,7 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// spin keeps a processor busy until it is over.
+// spin keeps a processor busy until stop is set.
 func spin(stop *atomic.Bool) {
 	rounds := 0
 	for !stop.Load() {
@@ -20,7 +20,8 @@
 	}
 }
 
-// runStarved plays a load on one processor beside a busy loop: the run must say that it was late, and not be called good.
+// runStarved runs a load on one processor together with a busy loop. The load generator is then late, and the run's verdict has to
+// report that; otherwise runStarved returns errReported.
 func runStarved(c *cobra.Command, o *output) error {
 	e, err := experiment.Find("generator")
 	if err != nil {
@@ -38,10 +39,10 @@
 	}
 	for _, v := range r.Verdicts {
 		if v.Name == "generator" && !v.Good {
-			fmt.Fprintln(c.OutOrStdout(), "\nstarved, and the run says so")
+			fmt.Fprintln(c.OutOrStdout(), "\nstarved, and the run reports it")
 			return nil
 		}
 	}
-	fmt.Fprintln(c.OutOrStdout(), "\nstarved, but the run was called in time")
+	fmt.Fprintln(c.OutOrStdout(), "\nstarved, but the run reports that the generator was in time")
 	return errReported
 }
--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -21,7 +21,8 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// The operator's file of the run with classes: what reads a whole table goes to one zone, and few of it at a time.
+// classesFile is the operator's file of the run with classes. Statements that scan a whole table go to the engines of one zone, and are
+// limited to 6 threads.
 const classesFile = `{ statements: { log_every: '5s',
   tables: [{ schema: 'actas_*', name: '*', rows: 1e6, keys: ['clave', 'distrito', 'dia'] }],
   pools: [{ name: 'scans', zones: ['norte'] }],
@@ -29,8 +30,8 @@
 } }
 `
 
-// The load of the runs on sockets: look-ups at three quarters of what they leave of engines' time for reports, and for
-// ten seconds whole tables read under the look-ups' name, at twice what all engines together can do.
+// The load of the runs on sockets. With the default seed, look-ups and reports keep about an eighth of the engines' threads busy. For
+// ten seconds, scans of whole tables arrive in the class of look-ups, at about three times the rate that all engines together can serve.
 const (
 	statementsLength           = 40 * time.Second
 	burstFrom, burstUntil      = 12 * time.Second, 22 * time.Second
@@ -42,11 +43,12 @@
 	measureGroups              = 3
 	measureStatements          = 600000
 	measureSeeds               = 3
-	engineMemory               = 1500 // MB: six whole tables at a time are more
+	engineMemory               = 1500 // MB; six scans of whole tables at a time need more
 	engineCores, engineThreads = 8, 12
 )
 
-// statementsExperiment measures classes by simulation, and the same traffic on sockets without and with classes.
+// statementsExperiment measures the classification of statements by simulation. It then runs the same traffic on sockets without and
+// with classes, and returns errReported if a bound is missed or classes make the results worse.
 func statementsExperiment(c *cobra.Command, o *output, seed int64) error {
 	out := c.OutOrStdout()
 	measurement := classification.Several(seed, measureSeeds, measureTemplates, measureGroups, measureStatements)
@@ -68,7 +70,7 @@
 		writeStatementsRuns(out, runs)
 	}
 	noWorse := runs[1].LookupsP99 <= runs[0].LookupsP99 && runs[1].Swapped <= runs[0].Swapped && runs[1].Earned >= runs[0].Earned
-	lines = append(lines, fmt.Sprintf("%-5s  with classes look-ups' p99 in the burst, earnings and swaps are no worse", map[bool]string{true: "good", false: "BAD"}[noWorse]))
+	lines = append(lines, fmt.Sprintf("%-5s  with classes, look-ups' p99 in the burst, earnings and swaps are no worse", map[bool]string{true: "good", false: "BAD"}[noWorse]))
 	for _, r := range runs {
 		for _, v := range r.bad {
 			lines, good = append(lines, "BAD    "+r.Name+": "+v), false
@@ -83,10 +85,10 @@
 	return nil
 }
 
-// statementsRun is one run on sockets.
+// statementsRun is the result of one run on sockets.
 type statementsRun struct {
 	Name            string           `json:"name"`
-	Earned          float64          `json:"earned_in_quoted_time"` // of look-ups and reports
+	Earned          float64          `json:"earned_in_quoted_time"` // by look-ups (1 each) and reports (reportEarnings each)
 	WithinObjective map[string]int64 `json:"in_quoted_time"`
 	Offered         map[string]int64 `json:"offered"`
 	LookupsP99      time.Duration    `json:"look_ups_p99_in_burst_ns"`
@@ -95,6 +97,7 @@
 	bad             []string
 }
 
+// runStatements runs the traffic on sockets: first without classes, then with them.
 func runStatements(c *cobra.Command, o *output, seed int64) (runs []*statementsRun, err error) {
 	if o.folder == "" {
 		o.folder = experiment.Folder("statements")
@@ -144,7 +147,8 @@
 	return runs, nil
 }
 
-// silentCommand is a command whose output is thrown away, for runs that are shown together.
+// silentCommand returns a command with the context and error output of c, and without output. The results of the runs are shown together
+// later.
 func silentCommand(c *cobra.Command) *cobra.Command {
 	q := &cobra.Command{}
 	q.SetContext(c.Context())
@@ -153,8 +157,10 @@
 	return q
 }
 
+// reportEarnings is how much a report within its latency objective earns. A look-up earns 1.
 const reportEarnings = 10
 
+// newStatementsExperiment returns the experiment for one run on sockets. arguments are further arguments of the gateways.
 func newStatementsExperiment(seed int64, p *fake.Planner, arguments []string) *experiment.Experiment {
 	texts := func(kinds ...fake.Kind) (out []string) {
 		for i := range p.Templates {
@@ -217,6 +223,7 @@
 	return e
 }
 
+// writeStatementsRuns writes the results of the runs on sockets as a table.
 func writeStatementsRuns(out io.Writer, runs []*statementsRun) {
 	fmt.Fprintf(out, "the same traffic without and with classes, %d whole tables a second under the look-ups' name from %v to %v (real sockets on loopback)\n",
 		int(scansRate), burstFrom, burstUntil)
--- a/cmd/magpiebank-testbed/trace.go
+++ b/cmd/magpiebank-testbed/trace.go
@@ -15,12 +15,12 @@
 )
 
 func traceCommand() *cobra.Command {
-	c := &cobra.Command{Use: "trace", Short: "Import, show and change recorded load"}
+	c := &cobra.Command{Use: "trace", Short: "Import, show and edit traces of recorded load"}
 	c.AddCommand(importCommand(), showTraceCommand(), editCommand())
 	return c
 }
 
-// traceImport are the flags of trace import.
+// traceImport holds the flags of trace import.
 type traceImport struct {
 	format, out, columns string
 	options              importer.Options
@@ -30,30 +30,30 @@
 
 func importCommand() *cobra.Command {
 	var t traceImport
-	c := &cobra.Command{Use: "import FILE", Short: "Make a trace of JSON lines, CSV or MySQL's general or slow log, and mend its clock",
+	c := &cobra.Command{Use: "import FILE", Short: "Import JSON lines, CSV, or MySQL's general or slow log as a trace, and repair its times",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return t.run(c.InOrStdin(), c.OutOrStdout(), args[0]) }}
 	c.Flags().StringVar(&t.format, "form", "jsonl", "jsonl, csv, mysql-general or mysql-slow")
 	c.Flags().StringVarP(&t.out, "out", "o", "", "file for the trace")
-	c.Flags().StringVar(&t.options.Class, "lane", "lookup", "lane of entries that name none")
-	c.Flags().DurationVar(&t.options.Wait, "wait", 5*time.Second, "patience of entries that state none")
-	c.Flags().StringVar(&t.columns, "columns", "", "names in the file for time, lane, group, wait_ms, retry, statement: NAME=COLUMN,...")
-	c.Flags().BoolVar(&t.options.KeepText, "keep-text", false, "keep statements, not their shapes only")
-	c.Flags().BoolVar(&t.clock.KeepGaps, "keep-gaps", false, "long gaps are quiet times, not jumps of the clock")
-	c.Flags().DurationVar(&t.clock.MaxGap, "most-gap", time.Minute, "a longer gap is a jump of the clock")
+	c.Flags().StringVar(&t.options.Class, "lane", "lookup", "lane of entries without one")
+	c.Flags().DurationVar(&t.options.Wait, "wait", 5*time.Second, "maximum wait of entries without one")
+	c.Flags().StringVar(&t.columns, "columns", "", "names of the file's columns for time, lane, group, wait_ms, retry, statement: NAME=COLUMN,...")
+	c.Flags().BoolVar(&t.options.KeepText, "keep-text", false, "store the text of statements, not only their shapes")
+	c.Flags().BoolVar(&t.clock.KeepGaps, "keep-gaps", false, "treat long gaps as quiet times, not as jumps of the clock")
+	c.Flags().DurationVar(&t.clock.MaxGap, "most-gap", time.Minute, "longest gap that is not treated as a jump of the clock")
 	c.Flags().BoolVar(&t.json, "json", false, "print the report as JSON")
 	requireFlag(c, "out")
 	return c
 }
 
-// requireFlag marks a flag that must be given.
+// requireFlag marks a flag as required.
 func requireFlag(c *cobra.Command, name string) {
 	if err := c.MarkFlagRequired(name); err != nil {
-		panic(err) // the command has no such flag
+		panic(err) // only if the command has no such flag
 	}
 }
 
-// run imports a file, or standard input for "-".
+// run imports the file at a path, or in for the path "-", and prints a report.
 func (t *traceImport) run(in io.Reader, out io.Writer, path string) error {
 	columns, err := parseColumns(t.columns)
 	if err != nil {
@@ -65,7 +65,7 @@
 		if err != nil {
 			return inputError{err}
 		}
-		defer func() { _ = file.Close() }() // it was only read
+		defer func() { _ = file.Close() }() // the file was only read
 		in = file
 	}
 	entries, problems, err := importer.Read(in, importer.Format(t.format), t.options)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// parseColumns reads a list such as time=at,lane=class.
+// parseColumns parses a list such as time=at,lane=class.
 func parseColumns(list string) (map[string]string, error) {
 	columns := map[string]string{}
 	for _, pair := range strings.Split(list, ",") {
@@ -105,7 +105,7 @@
 	return columns, nil
 }
 
-// span is the time from a trace's start to its last record.
+// span returns the time from a trace's start to its last record.
 func span(t *trace.Trace) time.Duration {
 	if len(t.Records) == 0 {
 		return 0
@@ -135,8 +135,8 @@
 			}
 			return nil
 		}}
-	c.Flags().BoolVar(&salvage, "salvage", false, "show what stands before the first damage, too")
-	c.Flags().IntVar(&maxRecords, "most", 20, "records shown")
+	c.Flags().BoolVar(&salvage, "salvage", false, "also show a damaged trace, up to the first damage")
+	c.Flags().IntVar(&maxRecords, "most", 20, "maximum number of records shown")
 	return c
 }
 
@@ -173,13 +173,13 @@
 			return nil
 		}}
 	c.Flags().StringVarP(&out, "out", "o", "", "file for the trace")
-	c.Flags().DurationVar(&from, "from", 0, "cut: from this time on")
-	c.Flags().DurationVar(&to, "to", 0, "cut: before this time; 0: to the end")
-	c.Flags().Float64Var(&speed, "speed", 1, "so many times as fast")
-	c.Flags().Float64Var(&thin, "thin", 1, "share of the records that stays")
-	c.Flags().IntVar(&loop, "loop", 1, "play it so many times")
-	c.Flags().Int64Var(&seed, "seed", 1, "for thinning")
-	c.Flags().BoolVar(&salvage, "salvage", false, "use what stands before the first damage")
+	c.Flags().DurationVar(&from, "from", 0, "cut everything before this time")
+	c.Flags().DurationVar(&to, "to", 0, "cut everything from this time on; 0: keep everything to the end")
+	c.Flags().Float64Var(&speed, "speed", 1, "factor by which the trace is sped up")
+	c.Flags().Float64Var(&thin, "thin", 1, "share of the records to keep")
+	c.Flags().IntVar(&loop, "loop", 1, "how many times the trace is repeated")
+	c.Flags().Int64Var(&seed, "seed", 1, "seed for thinning")
+	c.Flags().BoolVar(&salvage, "salvage", false, "use a damaged trace, up to the first damage")
 	requireFlag(c, "out")
 	return c
 }
--- a/cmd/magpiebank-testbed/worker.go
+++ b/cmd/magpiebank-testbed/worker.go
@@ -28,7 +28,7 @@
 	return c
 }
 
-// workerSender sends a run by worker processes.
+// workerSender returns a sender that distributes the load over worker processes. Their logs are in the folder.
 func workerSender(e *experiment.Experiment, folder string) experiment.Sender {
 	return func(ctx context.Context, load driver.Load, start time.Time, report func(experiment.Progress)) (*stats.Metrics, int64, int64, error) {
 		coordinator, err := workers.NewCoordinator(folder, e.Workers, e.OnLoss == "drop", load, start)
@@ -51,45 +51,45 @@
 	}
 }
 
-// workerProcesses are the worker processes of a run.
+// workerProcesses holds the worker processes of a run.
 type workerProcesses struct {
 	program  string
 	folder   string
 	commands []*exec.Cmd
 }
 
-// start starts a worker, with a log and a file with its process id.
+// start starts a worker process, and creates its log file and a file with its process id.
 func (p *workerProcesses) start(worker int, address string) error {
 	log, err := os.Create(filepath.Join(p.folder, fmt.Sprintf("worker-%d.log", worker)))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }()                                                                                        // the process has a descriptor of its own
-	cmd := exec.CommandContext(context.Background(), p.program, "worker", "--join", address, "--index", strconv.Itoa(worker)) // kill ends it
+	defer func() { _ = log.Close() }()                                                                                        // the process has its own descriptor
+	cmd := exec.CommandContext(context.Background(), p.program, "worker", "--join", address, "--index", strconv.Itoa(worker)) // not the run's context: kill ends the process
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	p.commands = append(p.commands, cmd)
-	go func() { _ = cmd.Wait() }() // its coordinator learns of its end by its connection
+	go func() { _ = cmd.Wait() }() // only reaps the process; the coordinator notices its end by its connection
 	return os.WriteFile(filepath.Join(p.folder, fmt.Sprintf("worker-%d.pid", worker)), []byte(strconv.Itoa(cmd.Process.Pid)), 0o600)
 }
 
-// kill ends the workers that are stopped or lost; the others have ended.
+// kill kills the worker processes that are still there, for example stopped ones. The others have ended by themselves.
 func (p *workerProcesses) kill() {
 	for _, cmd := range p.commands {
-		_ = cmd.Process.Kill() // fails for those that have ended
+		_ = cmd.Process.Kill() // fails for processes that have ended
 	}
 }
 
-// resumeRun continues a run in place of a coordinator that died.
+// resumeRun continues a run whose coordinator process died, from the files in the run's folder.
 func resumeRun(c *cobra.Command, name, folder string, o *output) error {
 	e, err := experiment.Find(name)
 	if err != nil {
 		return inputError{err}
 	}
 	if len(e.Targets) == 0 {
-		return inputError{fmt.Errorf("only a run against targets can be gone on with: what the coordinator itself had started died with it")}
+		return inputError{fmt.Errorf("only a run against targets can be resumed: engines and gateways that the coordinator started ended with it")}
 	}
 	coordinator, err := workers.ResumeCoordinator(folder)
 	if err != nil {
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Endpoint is one engine as the discovery service lists it.
+// Endpoint is the entry of one engine in the discovery service.
 type Endpoint struct {
 	ID      string `json:"id"`
 	Address string `json:"addr"`
@@ -43,13 +43,13 @@
 
 	mu              sync.Mutex
 	events          []listEvent
-	changed         chan struct{}
+	changed         chan struct{} // closed and replaced when an event is added
 	server          *http.Server
-	truncateAnswers bool // answers break off in the middle
-	holdPolls       bool // polls are held and never answered
+	truncateAnswers bool // answers with events are cut off in the middle
+	holdPolls       bool // polls are not answered until the client disconnects
 }
 
-// StartDiscovery starts a discovery service that lists some endpoints at first.
+// StartDiscovery starts a discovery service whose first event lists the given endpoints.
 func StartDiscovery(address string, endpoints []Endpoint) (*Discovery, error) {
 	d := &Discovery{changed: make(chan struct{})}
 	d.events = append(d.events, listEvent{1, listEndpoints{1, true, endpoints}})
@@ -61,11 +61,11 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v2/stream", d.stream)
 	d.server = &http.Server{Handler: mux}
-	go func() { _ = d.server.Serve(listener) }() // ends with an error when it is closed
+	go func() { _ = d.server.Serve(listener) }() // always returns an error when the server is closed
 	return d, nil
 }
 
-// Publish adds an event with the endpoints that have changed.
+// Publish adds an event with the endpoints that have changed, and wakes the polls that wait for one.
 func (d *Discovery) Publish(changed ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,25 +75,25 @@
 	d.changed = make(chan struct{})
 }
 
-// Snapshot is the events so far, as a gateway's configuration holds them.
+// Snapshot returns all events so far in the format of a gateway's configuration.
 func (d *Discovery) Snapshot() json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b, err := json.Marshal(listAnswer{len(d.events), d.events})
 	if err != nil {
-		panic(err) // of plain texts and numbers
+		panic(err) // encoding strings, numbers and booleans doesn't fail
 	}
 	return b
 }
 
-// TruncateAnswers has answers break off in their middle from now on; Recover ends that.
+// TruncateAnswers makes the service cut off answers that carry events in the middle from now on. Recover ends this.
 func (d *Discovery) TruncateAnswers() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.truncateAnswers = true
 }
 
-// HoldPolls has polls be held and never answered from now on; Recover ends that.
+// HoldPolls makes the service leave new polls unanswered from now on. Recover ends this; polls that were held stay unanswered.
 func (d *Discovery) HoldPolls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,15 +107,16 @@
 	d.truncateAnswers, d.holdPolls = false, false
 }
 
-// Close ends it with all its connections.
+// Close stops the service and closes all its connections.
 func (d *Discovery) Close() {
-	_ = d.server.Close() // its listener is closed, whatever it returns
+	_ = d.server.Close() // closes the listener even if it returns an error
 }
 
-// maxWaitMillis is the longest that a poll is held without news.
+// maxWaitMillis limits how long a poll waits for an event.
 const maxWaitMillis = 5000
 
-// stream answers a poll with the events after one, at once or when there are some.
+// stream answers a poll with the events after the index in the parameter follow. If there are none, it waits for one for up to wait_ms
+// milliseconds, and then answers without events.
 func (d *Discovery) stream(w http.ResponseWriter, r *http.Request) {
 	afterIndex, followErr := strconv.Atoi(r.URL.Query().Get("follow"))
 	wait, waitErr := strconv.Atoi(r.URL.Query().Get("wait_ms"))
@@ -151,18 +152,18 @@
 	}
 }
 
-// answer writes an answer, or half of it.
+// answer writes an answer to a poll. With truncate it writes the first half and closes the connection.
 func (d *Discovery) answer(w http.ResponseWriter, last int, updates []listEvent, truncate bool) {
 	text, err := json.Marshal(listAnswer{last, updates})
 	if err != nil {
-		panic(err) // of plain texts and numbers
+		panic(err) // encoding strings, numbers and booleans doesn't fail
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	if !truncate {
-		_, _ = w.Write(text) // a watcher that has gone polls again
+		_, _ = w.Write(text) // a watcher that lost its connection polls again
 		return
 	}
 	_, _ = w.Write(text[:len(text)/2])
-	_ = http.NewResponseController(w).Flush() // the half is to arrive
+	_ = http.NewResponseController(w).Flush() // send the half before the connection is closed
 	panic(http.ErrAbortHandler)
 }
--- a/internal/testbed/fake/engine.go
+++ b/internal/testbed/fake/engine.go
@@ -11,26 +11,26 @@
 	"magpiebank/internal/testbed/load/timerwheel"
 )
 
-// EngineBehavior is how an engine works.
+// EngineBehavior configures a fake engine.
 type EngineBehavior struct {
-	Threads        int           // requests that run at the same time; the others wait in a queue
-	MaxHeld        int           // requests that it holds at all; more are answered full. 0: no limit
-	Works          []Work        // by class or statement
-	Cores          float64       // for the load it reports: running requests against cores
-	NoticeInterval time.Duration // of notes on how far running requests are; 0: none
-	ColdSpeed      float64       // speed just after its start, as a share; 0: always warm
-	WarmUp         time.Duration // until it has come up to full speed
-
-	Planner  *Planner // what statements of its templates take; nil: Works alone tell
-	MemoryMB float64  // a request that begins while running requests need more than this swaps; 0: no limit
+	Threads        int           // maximum number of requests that run at the same time; others wait in a queue
+	MaxHeld        int           // maximum number of waiting and running requests; further ones are rejected as full; 0: no limit
+	Works          []Work        // the cost of requests by class and statement; the first match applies
+	Cores          float64       // the reported utilization is running requests divided by Cores, at most 1
+	NoticeInterval time.Duration // interval between progress notices of a running request; 0: no notices
+	ColdSpeed      float64       // speed right after a start, as a fraction of full speed; 0: no warm-up
+	WarmUp         time.Duration // time from a start until full speed; 0: no warm-up
+
+	Planner  *Planner // gives the service time and memory of statements made from its templates; nil: Works gives them
+	MemoryMB float64  // a request swaps if it and the requests running when it starts need more than this; 0: no limit
 }
 
-// swapSpeed is the share of its speed at which a request runs that began while memory was short: disks are several times slower
-// than memory.
+// swapSpeed is the speed of a request that started while memory was short, as a fraction of the speed it would have had. Disks are
+// several times slower than memory.
 const swapSpeed = 0.2
 
-// Engine is a fake of an engine, on the engines' wire. One goroutine owns its state; its clock stops while it is paused, so that a
-// pause delays all that runs.
+// Engine is a fake engine that speaks the engines' wire protocol. One goroutine, the owner, has exclusive access to its state. The
+// engine's clock stops while the engine is paused, so a pause delays all running requests.
 type Engine struct {
 	Name    string
 	Address string
@@ -38,35 +38,35 @@
 
 	behavior  EngineBehavior
 	listener  net.Listener
-	calls     chan func() // to be run by the owner
+	calls     chan func() // functions that the owner runs
 	closed    chan struct{}
 	closeOnce sync.Once
 
-	// What follows belongs to the owner's goroutine.
+	// Only the owner's goroutine accesses the fields below.
 	clock    engineClock
 	wheel    *timerwheel.Wheel
 	timers   timerTable
 	conns    map[*engineConn]bool
 	requests map[requestKey]*request
-	queue    []*request // that wait for a thread
-	deferred []message  // that came while it was paused
+	queue    []*request // requests that wait for a thread, and abandoned ones that startQueued skips
+	deferred []message  // messages that arrived during a pause
 	faults   engineFaults
 	random   *rand.Rand
 
 	running  int
-	held     int     // requests that wait or run; those whose pages lie here are over
-	mostHeld int     // requests held at the same time so far
-	memoryMB float64 // that running requests need
-	swapped  int     // requests that began while it was short of memory
+	held     int     // requests that wait or run; completed ones with unsent pages are not included
+	mostHeld int     // highest value of held so far
+	memoryMB float64 // memory that the running requests need
+	swapped  int     // requests that started while memory was short
 }
 
 // engineClock is the clock of an engine, which stops while the engine is paused.
 type engineClock struct {
 	began     time.Time
-	startedAt time.Duration // of the last start
+	startedAt time.Duration // when the engine last started or accepted connections again
 	paused    bool
 	pausedAt  time.Duration
-	lag       time.Duration // by which the clock is behind
+	lag       time.Duration // total time in pauses that are over
 }
 
 func (c *engineClock) now() time.Duration {
@@ -87,15 +87,15 @@
 	c.paused = false
 }
 
-// engineFaults are how an engine misbehaves.
+// engineFaults holds the faults that are injected into an engine.
 type engineFaults struct {
-	silent    bool
-	speed     float64 // share of its speed
-	failShare float64 // of requests that end with an error
-	dropShare float64 // of answers that never leave
+	silent    bool    // the engine sends no answers
+	speed     float64 // fraction of the normal speed
+	failShare float64 // share of completed requests that are answered with an error
+	dropShare float64 // share of completed requests that are never answered
 }
 
-// message is a message from a connection, in its words.
+// message is a message received on a connection: a RESP array, split into its elements.
 type message struct {
 	conn     *engineConn
 	elements []string
@@ -110,32 +110,32 @@
 	id   string
 }
 
-// request is a request that an engine holds, or whose pages it holds.
+// request is a request that waits or runs, or a completed one with pages that are still to be sent.
 type request struct {
 	key       requestKey
 	work      Work
 	class     string
-	statement string        // of a planner's form; else empty
-	service   time.Duration // that it takes at full speed
+	statement string        // the statement if it matches a template of the planner; otherwise empty
+	service   time.Duration // service time at full speed
 	beganAt   time.Duration // on the engine's clock
 	endsAt    time.Duration // on the engine's clock
 	isRunning bool
-	isDone    bool
-	timer     timerwheel.Timer
-	timerID   int
+	isDone    bool             // it ran to its end
+	timer     timerwheel.Timer // of its end
+	timerID   int              // of timer
 	pages     [][]byte
-	pagesSent int // that were asked for
+	pagesSent int // pages that were sent on request; the first page is sent with the result and not included
 }
 
-// timerTable gives the requests with a timer the numbers by which the wheel knows them.
+// timerTable assigns the ids under which the timer wheel stores an engine's timers. It reuses ids of removed timers.
 type timerTable struct {
 	entries []timerEntry
 	free    []int
 }
 
-// timerEntry is what a timer is for: the end of a request, or its next note.
+// timerEntry is the purpose of a timer: the end of a request, or its next progress notice.
 type timerEntry struct {
-	request  *request
+	request  *request // nil: the timer was removed
 	isNotice bool
 }
 
@@ -160,7 +160,7 @@
 // engineTick is the resolution of an engine's timers.
 const engineTick = 100 * time.Microsecond
 
-// StartEngine starts an engine on a loopback address ("127.0.0.1:0": any port).
+// StartEngine starts an engine that listens on a loopback address; "127.0.0.1:0" selects a free port.
 func StartEngine(name, address string, behavior EngineBehavior, log *ExecutionLog, seed uint64) (*Engine, error) {
 	listener, err := listen(address)
 	if err != nil {
@@ -187,12 +187,12 @@
 	return e, nil
 }
 
-// listen opens a listener for streams.
+// listen opens a TCP listener.
 func listen(address string) (net.Listener, error) {
 	return new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 }
 
-// call has the owner run a function, and waits until it has.
+// call runs a function on the owner's goroutine and waits until it has returned. It does nothing once the engine is closed.
 func (e *Engine) call(f func()) {
 	done := make(chan struct{})
 	select {
@@ -202,7 +202,7 @@
 	}
 }
 
-// send has the owner run a function, in its turn.
+// send queues a function for the owner's goroutine and doesn't wait for it to run.
 func (e *Engine) send(f func()) {
 	select {
 	case e.calls <- f:
@@ -210,10 +210,10 @@
 	}
 }
 
-// Pause stops its clock: it reads, but does and answers nothing.
+// Pause stops the engine's clock. The engine reads messages, but handles and answers none until Resume.
 func (e *Engine) Pause() { e.call(e.clock.pause) }
 
-// Resume ends a pause.
+// Resume ends a pause, and handles the messages that arrived during it.
 func (e *Engine) Resume() {
 	e.call(func() {
 		if !e.clock.paused {
@@ -228,32 +228,32 @@
 	})
 }
 
-// minSpeed is the least share of its speed at which an engine runs.
+// minSpeed is the lowest speed that SetSpeed sets, as a fraction of the normal speed. A speed of 0 would mean endless requests.
 const minSpeed = 1e-3
 
-// SetSpeed has it run at a share of its speed from now on; what runs already is not slowed.
+// SetSpeed makes requests that start from now on run at a fraction of the normal speed. Running requests keep their speed.
 func (e *Engine) SetSpeed(share float64) {
 	e.call(func() { e.faults.speed = max(share, minSpeed) })
 }
 
-// FailQueries has a share of all requests end with an error from now on.
+// FailQueries makes the engine answer a share of the requests that complete from now on with an error.
 func (e *Engine) FailQueries(share float64) { e.call(func() { e.faults.failShare = share }) }
 
-// DropAnswers has a share of all results never leave from now on.
+// DropAnswers makes the engine leave a share of the requests that complete from now on unanswered.
 func (e *Engine) DropAnswers(share float64) { e.call(func() { e.faults.dropShare = share }) }
 
-// StopAnswering has it answer nothing from now on, while it goes on with its work; ResumeAnswering ends that.
+// StopAnswering makes the engine discard all answers from now on, while it continues to run requests. ResumeAnswering ends this.
 func (e *Engine) StopAnswering() { e.call(func() { e.faults.silent = true }) }
 
 // ResumeAnswering ends StopAnswering.
 func (e *Engine) ResumeAnswering() { e.call(func() { e.faults.silent = false }) }
 
-// ResetConnections resets all its connections; what ran on them is abandoned.
+// ResetConnections resets all connections of the engine and abandons their requests.
 func (e *Engine) ResetConnections() {
 	e.call(func() {
 		for c := range e.conns {
 			if tcp, ok := c.tcp.(*net.TCPConn); ok {
-				_ = tcp.SetLinger(0) // fails on a closed connection, which needs no reset
+				_ = tcp.SetLinger(0) // close with a reset; the call fails on a closed connection, which needs none
 			}
 			c.tcp.Close()
 			e.removeConn(c)
@@ -261,7 +261,7 @@
 	})
 }
 
-// RefuseConnections has it take no connection and resets those it has; AcceptConnections ends that, and it comes back cold.
+// RefuseConnections closes the engine's listener and resets its connections. AcceptConnections ends this.
 func (e *Engine) RefuseConnections() {
 	e.call(func() { e.listener.Close() })
 	e.ResetConnections()
@@ -272,8 +272,8 @@
 	listenRetryDelay = 10 * time.Millisecond
 )
 
-// AcceptConnections lets it take connections again, at the same address. Another process that looks for free ports may have it for a
-// moment, so it is tried for a second.
+// AcceptConnections makes the engine listen again at the same address. The warm-up starts over. Another process that looks for free
+// ports may hold the port for a moment, so AcceptConnections retries for listenTimeout.
 func (e *Engine) AcceptConnections() error {
 	deadline := time.Now().Add(listenTimeout)
 	listener, err := listen(e.Address)
@@ -289,7 +289,7 @@
 	return nil
 }
 
-// Close ends it.
+// Close stops the engine and resets its connections.
 func (e *Engine) Close() {
 	e.closeOnce.Do(func() {
 		e.RefuseConnections()
@@ -297,19 +297,19 @@
 	})
 }
 
-// SwappedQueries is how many requests have begun while it was short of memory.
+// SwappedQueries returns the number of requests that started while memory was short.
 func (e *Engine) SwappedQueries() (count int) {
 	e.call(func() { count = e.swapped })
 	return count
 }
 
-// InFlight is how many requests it holds, and the most that it held so far.
+// InFlight returns the current and the highest number of waiting and running requests.
 func (e *Engine) InFlight() (now, most int) {
 	e.call(func() { now, most = e.held, e.mostHeld })
 	return now, most
 }
 
-// run is the owner's goroutine.
+// run is the body of the owner's goroutine: it runs the queued functions and fires timers until the engine is closed.
 func (e *Engine) run() {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
@@ -325,7 +325,7 @@
 	}
 }
 
-// advance fires the timers that are due, and returns how long it is until the next one.
+// advance fires the timers that are due, and returns the time until the next one; an hour if there is none or the engine is paused.
 func (e *Engine) advance() time.Duration {
 	if e.clock.paused {
 		return time.Hour
--- a/internal/testbed/fake/engine_conn.go
+++ b/internal/testbed/fake/engine_conn.go
@@ -10,7 +10,7 @@
 
 const (
 	readBufferBytes = 4096
-	// writeTimeout is how long a caller that reads nothing may hold up the others.
+	// writeTimeout limits how long a client that doesn't read can block the owner's goroutine, and thereby all other clients.
 	writeTimeout = time.Second
 )
 
@@ -26,8 +26,8 @@
 	}
 }
 
-// readMessages reads messages until the connection ends. The time at which a request arrived is taken here, also while the engine is
-// paused.
+// readMessages reads messages until the connection ends. It records when each request arrives, so the recorded time is right even
+// while the engine is paused.
 func (e *Engine) readMessages(c *engineConn) {
 	defer e.send(func() { e.removeConn(c) })
 	defer c.tcp.Close()
@@ -61,7 +61,7 @@
 	}
 }
 
-// appendAvailable waits for at least one byte and appends what there is.
+// appendAvailable waits until the reader has at least one byte, and appends all bytes that it has buffered.
 func appendAvailable(buffer []byte, reader *bufio.Reader) ([]byte, error) {
 	if _, err := reader.Peek(1); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	return buffer, err
 }
 
-// answer writes to a connection unless the engine is silent.
+// answer writes a message to a connection. It writes nothing if the engine is silent or the connection was removed.
 func (e *Engine) answer(c *engineConn, parts ...string) {
 	if e.faults.silent || !e.conns[c] {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// removeConn forgets a connection and abandons its requests.
+// removeConn removes a connection and abandons its requests. It then starts queued requests on the threads this freed.
 func (e *Engine) removeConn(c *engineConn) {
 	delete(e.conns, c)
 	for key, request := range e.requests {
--- a/internal/testbed/fake/engine_requests.go
+++ b/internal/testbed/fake/engine_requests.go
@@ -9,7 +9,8 @@
 	"magpiebank/internal/testbed/load/timerwheel"
 )
 
-// handleMessage does what a message asks for. While the engine is paused the message waits.
+// handleMessage executes a message. While the engine is paused, it defers the message until Resume. Messages of connections that
+// were removed and unknown messages are ignored.
 func (e *Engine) handleMessage(m message) {
 	if e.clock.paused {
 		e.deferred = append(e.deferred, m)
@@ -36,7 +37,7 @@
 	}
 }
 
-// element is a word of a message, or empty if the message has fewer.
+// element returns an element of a message, or "" if the message has fewer elements.
 func (m *message) element(i int) string {
 	if i < len(m.elements) {
 		return m.elements[i]
@@ -44,7 +45,8 @@
 	return ""
 }
 
-// sendPage answers with a page of a result.
+// sendPage answers with a page of a result, or with "failed" if the request has no such page. Page 0 was sent with the result. The
+// request is removed when as many pages were sent as the result has.
 func (e *Engine) sendPage(key requestKey, number string) {
 	request := e.requests[key]
 	page, err := strconv.Atoi(number)
@@ -57,17 +59,17 @@
 	}
 	e.answer(key.conn, key.id, "page", "page="+strconv.Itoa(page), string(request.pages[page]))
 	request.pagesSent++
-	if request.pagesSent >= len(request.pages)-1 { // the first page left with the answer
+	if request.pagesSent >= len(request.pages)-1 { // the first page was sent with the result
 		delete(e.requests, key)
 	}
 }
 
-// gauges is the load that the engine reports.
+// gauges returns the load report of the engine: its requests in flight and its utilization.
 func (e *Engine) gauges() string {
 	return fmt.Sprintf("inflight:%d;util:%.3f", e.held, min(1, float64(e.running)/max(1, e.behavior.Cores)))
 }
 
-// admit queues a request, or rejects it.
+// admit queues a request. It rejects a request with an id in use on the connection, and any request while the engine is full.
 func (e *Engine) admit(key requestKey, fields, statement string) {
 	switch {
 	case e.requests[key] != nil:
@@ -99,7 +101,8 @@
 	return r
 }
 
-// currentSpeed is the share of its speed at which the engine runs by now.
+// currentSpeed returns the engine's speed as a fraction of full speed. It includes the warm-up, in which the speed grows linearly,
+// and the speed set by SetSpeed.
 func (e *Engine) currentSpeed() float64 {
 	cold, warmUp := e.behavior.ColdSpeed, e.behavior.WarmUp
 	if cold <= 0 || warmUp <= 0 {
@@ -108,7 +111,7 @@
 	return e.faults.speed * min(1, cold+(1-cold)*float64(e.clock.now()-e.clock.startedAt)/float64(warmUp))
 }
 
-// startQueued starts requests while there are threads for them.
+// startQueued starts queued requests, oldest first, while there are free threads.
 func (e *Engine) startQueued() {
 	for e.running < e.behavior.Threads && len(e.queue) > 0 {
 		request := e.queue[0]
@@ -135,7 +138,7 @@
 	e.scheduleNotice(r)
 }
 
-// scheduleNotice sets the timer of the next note on a request.
+// scheduleNotice sets the timer for the next progress notice of a request, unless the request ends before.
 func (e *Engine) scheduleNotice(r *request) {
 	interval := e.behavior.NoticeInterval
 	if interval > 0 && e.clock.now()+interval < r.endsAt {
@@ -144,7 +147,7 @@
 	}
 }
 
-// sendNotice reports how far a request has run.
+// sendNotice sends the completed fraction of a running request and schedules the next notice.
 func (e *Engine) sendNotice(r *request) {
 	if !r.isRunning || e.requests[r.key] != r {
 		return
@@ -154,7 +157,7 @@
 	e.scheduleNotice(r)
 }
 
-// fireTimer sends the note, or completes the request, that a timer is for.
+// fireTimer handles a timer that is due: it sends a progress notice or completes a request.
 func (e *Engine) fireTimer(id int) {
 	entry := e.timers.remove(id)
 	switch {
@@ -167,7 +170,7 @@
 	}
 }
 
-// complete ends a request that has run, and answers it.
+// complete ends a request that ran to its end, and answers it with its result or, by the injected faults, with an error or not at all.
 func (e *Engine) complete(r *request) {
 	e.running--
 	e.held--
@@ -191,12 +194,12 @@
 	}
 }
 
-// drawShare draws whether a share applies. A share of 0 takes no draw.
+// drawShare returns true with a probability of share. A share of 0 draws no random number, so the sequence of draws stays the same.
 func (e *Engine) drawShare(share float64) bool {
 	return share > 0 && e.random.Float64() < share
 }
 
-// sendResult answers with the first page of a result.
+// sendResult answers with the first page of a result, and keeps the request if the result has more pages.
 func (e *Engine) sendResult(r *request) {
 	r.pages = resultPages(r.key.id, r.work.Rows)
 	e.Log.recordAnswer(r.key.id, "data", time.Now())
@@ -207,7 +210,7 @@
 	}
 }
 
-// abandon forgets a request, whatever it does.
+// abandon removes a request that waits, runs or has unsent pages.
 func (e *Engine) abandon(r *request) {
 	delete(e.requests, r.key)
 	if !r.isDone {
@@ -223,12 +226,13 @@
 }
 
 const (
-	// pageBytes is below the wire's limit of 6,000 bytes by the length of a row.
+	// pageBytes is the maximum size of a page. It leaves a margin of more than one row below the wire protocol's limit of 6,000 bytes.
 	pageBytes   = 5900
 	maxRowBytes = 64
 )
 
-// resultPages is the result of a request: rows that hold its id, the number of the row and of all rows, and some text.
+// resultPages returns the pages of a result. Each row holds the id of the request, the row's number and the number of rows, and a
+// constant text. A result has at least one row.
 func resultPages(id string, rows int) (pages [][]byte) {
 	rows = max(1, rows)
 	var page []byte
--- a/internal/testbed/fake/execution_log.go
+++ b/internal/testbed/fake/execution_log.go
@@ -1,5 +1,6 @@
-// Package fake has fakes of the systems around a gateway on loopback: engines, a discovery service, and a gateway's own
-// frontend for a load to be measured against. Each does what it is told, and keeps a log of when things truly happened.
+// Package fake provides fakes that listen on loopback addresses: engines and a discovery service for a gateway to use, and a
+// frontend in place of a gateway against which a load generator is measured. Tests inject faults into the fakes. Engines and
+// frontends log the true times of requests.
 package fake
 
 import (
@@ -8,41 +9,43 @@
 	"time"
 )
 
-// ExecutionRecord is what happened to one request: when its last byte arrived, and when the last byte of its answer left.
+// ExecutionRecord records the execution of one request. ReceivedAt is the time when its last byte arrived. AnsweredAt is the time when
+// its answer was sent; for a result of several pages first the time of page 0, later that of the last page. A silent engine sets
+// AnsweredAt although it sends nothing.
 type ExecutionRecord struct {
 	ID          string
 	ReceivedAt  time.Time
-	AnsweredAt  time.Time // zero: no answer left
+	AnsweredAt  time.Time // zero: no answer yet
 	Answer      string    // the answer's verb on the wire
-	Starts      int       // how many times it began to run
-	Completions int       // and ran to its end
+	Starts      int       // how many times the request started to run
+	Completions int       // how many times the request ran to its end
 }
 
-// ExecutionLog keeps records by request id.
+// ExecutionLog stores the execution records of fakes by request id.
 type ExecutionLog struct {
 	mu               sync.Mutex
 	byID             map[string]*ExecutionRecord
 	arrivals         int
-	retainEvents     bool // runs and sent
+	retainEvents     bool // retain runningChanges and acceptedRequests
 	runningChanges   []RunningChange
 	acceptedRequests []AcceptedRequest
 }
 
-// RunningChange is that a request of a class began to run (Delta 1), or stopped (Delta -1).
+// RunningChange records that a request of a class started to run (Delta 1) or stopped running (Delta -1).
 type RunningChange struct {
 	At    time.Time
 	Class string
 	Delta int
 }
 
-// AcceptedRequest is that an engine took a request, which is that much work.
+// AcceptedRequest records that an engine accepted a request. Work is the request's service time at full speed.
 type AcceptedRequest struct {
 	At     time.Time
 	Engine string
 	Work   time.Duration
 }
 
-// RetainEvents has the log keep each Sent and RunningChange from now on.
+// RetainEvents makes the log retain every AcceptedRequest and RunningChange from now on.
 func (l *ExecutionLog) RetainEvents() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +60,7 @@
 	}
 }
 
-// AcceptedRequests is all that engines took, in order.
+// AcceptedRequests returns the retained records of the requests that engines accepted, oldest first.
 func (l *ExecutionLog) AcceptedRequests() []AcceptedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +73,7 @@
 	}
 }
 
-// NewExecutionLog is an empty log; several fakes may share one.
+// NewExecutionLog returns an empty log. Several fakes may share a log.
 func NewExecutionLog() *ExecutionLog { return &ExecutionLog{byID: map[string]*ExecutionRecord{}} }
 
 func (l *ExecutionLog) recordArrival(id string, at time.Time) {
@@ -102,14 +105,14 @@
 	}
 }
 
-// recordStop takes down that a request runs no more, to its end or not.
+// recordStop records that a request of a class stopped running, either completed or abandoned.
 func (l *ExecutionLog) recordStop(class string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recordChange(class, -1)
 }
 
-// RunningChanges are all changes of what runs, in order, as far as they were retained.
+// RunningChanges returns the retained starts and stops of requests, oldest first.
 func (l *ExecutionLog) RunningChanges() []RunningChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +127,7 @@
 	}
 }
 
-// Find returns the record of an id, and whether there is one.
+// Find returns the record of a request id, and whether there is one.
 func (l *ExecutionLog) Find(id string) (ExecutionRecord, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,7 +138,7 @@
 	return *record, true
 }
 
-// Each calls f for the record of every id, in no order.
+// Each calls f for the record of every request id, in no particular order.
 func (l *ExecutionLog) Each(f func(ExecutionRecord)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,7 +147,7 @@
 	}
 }
 
-// Requests is how many requests arrived.
+// Requests returns the number of requests that arrived; requests with the same id count separately.
 func (l *ExecutionLog) Requests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/fake/fake_test.go
+++ b/internal/testbed/fake/fake_test.go
@@ -13,7 +13,7 @@
 	"magpiebank/internal/protocol/resp"
 )
 
-// testClient speaks to an engine by hand.
+// testClient sends single messages to an engine and reads its answers.
 type testClient struct {
 	t   *testing.T
 	tcp net.Conn
@@ -42,13 +42,13 @@
 	}
 }
 
-// skipTo reads answers up to an expected one.
+// skipTo reads answers up to and including an expected one.
 func (c *testClient) skipTo(answer string) {
 	c.t.Helper()
 	c.skipUntil(answer, func(got string) bool { return got == answer })
 }
 
-// skipToPrefix reads answers up to one that begins with a prefix.
+// skipToPrefix reads answers up to and including one that begins with a prefix.
 func (c *testClient) skipToPrefix(prefix string) {
 	c.t.Helper()
 	c.skipUntil(prefix, func(got string) bool { return strings.HasPrefix(got, prefix) })
@@ -58,12 +58,13 @@
 	c.t.Helper()
 	for got := c.receive(receiveTimeout); !matches(got); got = c.receive(receiveTimeout) {
 		if got == "end" || got == "nothing" {
-			c.t.Fatalf("%s before %q", got, what)
+			c.t.Fatalf("found %s before the answer %q", got, what)
 		}
 	}
 }
 
-// receive is the next answer, or why there is none within a time.
+// receive returns the next answer with its long elements shortened. Without an answer it returns "nothing" after the timeout, or "end"
+// if the connection ended.
 func (c *testClient) receive(timeout time.Duration) string {
 	b := make([]byte, 4096)
 	for {
@@ -74,7 +75,7 @@
 		if n > 0 {
 			var words []string
 			for i, p := range parts {
-				if i == 2 { // figures of time and load
+				if i == 2 { // only the first field; the others hold varying times and loads
 					p = []byte(strings.Split(string(p), ",")[0])
 				}
 				if len(p) > 40 {
@@ -118,7 +119,7 @@
 	return e
 }
 
-// What an engine does with requests, and what it is told to do: the stages go by the same engine, one after the other.
+// TestEngine checks how an engine handles requests, pauses and injected faults. All stages use the same engine, one after the other.
 func TestEngine(t *testing.T) {
 	log := NewExecutionLog()
 	e := startTestEngine(t, log)
@@ -137,26 +138,26 @@
 	c.send("do", "a1", "kind=look,ms=900,prio=1", "SELECT 1")
 	want(t, "pages", c.receive(receiveTimeout), "a1 data pages=2 a1\t1/400\tacta\\na1\t2/400\tacta\\na1\t3/400\tact")
 	c.send("page", "a1", "2")
-	want(t, "a page that is not there", c.receive(receiveTimeout), "a1 failed - ")
+	want(t, "answer for a page that does not exist", c.receive(receiveTimeout), "a1 failed - ")
 	c.send("page", "a1", "1")
 	if got := c.receive(receiveTimeout); !strings.HasPrefix(got, "a1 page page=1 a1\t") {
-		t.Errorf("page: %q", got)
+		t.Errorf("expected page 1 of a1, found %q", got)
 	}
 	c.send("page", "a1", "1")
-	want(t, "after all pages have left", c.receive(receiveTimeout), "a1 failed - ")
+	want(t, "answer for a page after all pages were sent", c.receive(receiveTimeout), "a1 failed - ")
 }
 
 func checkQueue(t *testing.T, c *testClient) {
 	t.Helper()
 	c.send("do", "a2", "kind=look", "some")
-	want(t, "a note", c.receive(receiveTimeout)[:17], "a2 news res=so_fa")
+	want(t, "a progress notice", c.receive(receiveTimeout)[:17], "a2 news res=so_fa")
 	c.skipTo("a2 data pages=1 a2\t1/1\tacta\\n")
 	c.send("do", "a3", "kind=look", "slow")
 	c.send("do", "a4", "kind=look", "quick")
 	c.send("do", "a5", "kind=look", "quick")
-	c.skipTo("a5 full - ") // one runs, one waits
+	c.skipTo("a5 full - ") // a3 runs and a4 waits, which is MaxHeld
 	c.send("undo", "a3")
-	c.skipToPrefix("a4 data") // its thread is free
+	c.skipToPrefix("a4 data") // a4 runs on the thread of a3
 	c.send("forget", "a4")
 }
 
@@ -166,16 +167,17 @@
 	c.send("do", "a6", "kind=look", "some")
 	want(t, "paused", c.receive(150*time.Millisecond), "nothing")
 	if held, _ := e.InFlight(); held != 0 {
-		t.Errorf("%d held while it stands still", held)
+		t.Errorf("expected no request in flight during a pause, found %d", held)
 	}
 	e.Resume()
 	c.skipToPrefix("a6 data")
 	if record, ok := log.Find("a6"); !ok || record.AnsweredAt.Sub(record.ReceivedAt) < 250*time.Millisecond || record.Completions != 1 {
-		t.Errorf("the truth of what waited out a pause: %+v", record)
+		t.Errorf("expected one completion and at least 250 ms for a request that arrived in a pause, found %+v", record)
 	}
 }
 
-// checkDuplicateID sends one id on two connections, which a gateway must not do; the log tells.
+// checkDuplicateID checks that the log counts both starts of an id that is sent on two connections, so that tests can find a gateway
+// that runs a request twice.
 func checkDuplicateID(t *testing.T, e *Engine, c *testClient, log *ExecutionLog) {
 	t.Helper()
 	for _, client := range []*testClient{c, connect(t, e)} {
@@ -183,7 +185,7 @@
 		client.skipToPrefix("a9 data")
 	}
 	if got, _ := log.Find("a9"); got.Starts != 2 {
-		t.Errorf("began %d times, sent twice", got.Starts)
+		t.Errorf("expected two starts of a request that was sent twice, found %d", got.Starts)
 	}
 }
 
@@ -205,7 +207,7 @@
 	e.RefuseConnections()
 	want(t, "refuses", c.receive(receiveTimeout), "end")
 	if _, err := dial(t, e.Address); err == nil {
-		t.Error("a connection came up to an engine that refuses them")
+		t.Error("expected an engine that refuses connections to accept none, but it accepted one")
 	}
 	if err := e.AcceptConnections(); err != nil {
 		t.Fatal(err)
@@ -213,7 +215,7 @@
 	connect(t, e)
 }
 
-// Polls of the list: what was told, an empty one, an answer that breaks off.
+// TestDiscovery checks the answers to polls: without events, with a published event, cut off in the middle, and for invalid parameters.
 func TestDiscovery(t *testing.T) {
 	l, err := StartDiscovery("127.0.0.1:0", []Endpoint{{ID: "e-1", State: "Ready"}})
 	if err != nil {
--- a/internal/testbed/fake/frontend.go
+++ b/internal/testbed/fake/frontend.go
@@ -12,25 +12,26 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-// Frontend is a fake of a gateway: it speaks MySQL and answers each query itself after its service time, as many at
-// a time as there are sessions. A load measured against it shows what the load generator itself adds.
+// Frontend is a fake gateway. It speaks the MySQL protocol and answers each query itself after the query's service time. All
+// sessions run at the same time, without a queue, so latencies measured against it show the delay that the load generator adds.
 type Frontend struct {
 	Address string
-	Log     *ExecutionLog // nil: none is kept
+	Log     *ExecutionLog // nil: requests are not logged
 
 	works      []Work
 	listener   net.Listener
-	lastConnID atomic.Uint32 // id
+	lastConnID atomic.Uint32
 
 	mu         sync.Mutex
 	resumed    *sync.Cond
 	paused     bool
 	pausedAt   time.Time
-	pausedTime time.Duration // in all pauses that are over
+	pausedTime time.Duration // total time in pauses that are over
 	conns      map[net.Conn]bool
 
-	// Spoil, Double and Drop are faults for the checker of the load to find: one of so many answers has the rows of another request, is
-	// sent twice, or is dropped with the connection. 0: none.
+	// CorruptEvery, DuplicateEvery and DropEvery inject faults that the load's checker has to find. Every n-th answer has the rows of
+	// another request (CorruptEvery n), is sent twice (DuplicateEvery n), or is replaced by closing the connection (DropEvery n). 0
+	// disables a fault.
 	CorruptEvery, DuplicateEvery, DropEvery atomic.Int64
 	answerCount                             atomic.Int64
 }
@@ -39,7 +40,7 @@
 func StartFrontend(address string, works []Work, log *ExecutionLog) (*Frontend, error) {
 	listener, err := listen(address)
 	if err != nil {
-		return nil, fmt.Errorf("front: %w", err)
+		return nil, fmt.Errorf("fake frontend: %w", err)
 	}
 	f := &Frontend{Address: listener.Addr().String(), Log: log, works: works, listener: listener, conns: map[net.Conn]bool{}}
 	f.resumed = sync.NewCond(&f.mu)
@@ -60,7 +61,7 @@
 	}
 }
 
-// Pause stops it: all that runs takes as much longer. Resume ends a pause.
+// Pause stops the frontend's clock: running queries take longer by the length of the pause. Resume ends a pause.
 func (f *Frontend) Pause() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +70,7 @@
 	}
 }
 
-// Resume ends a pause.
+// Resume ends a pause and lets the queries go on.
 func (f *Frontend) Resume() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-// Close ends it with all sessions.
+// Close stops the frontend and closes all sessions.
 func (f *Frontend) Close() {
 	f.Resume()
 	f.listener.Close()
@@ -91,7 +92,7 @@
 	}
 }
 
-// simulateService takes as long as the service does on the frontend's own clock, which stops in pauses.
+// simulateService sleeps for a service time on the frontend's clock, which stops during pauses.
 func (f *Frontend) simulateService(service time.Duration) {
 	f.mu.Lock()
 	for f.paused {
@@ -119,7 +120,7 @@
 // frontendReadBufferBytes is the size of a session's read buffer.
 const frontendReadBufferBytes = 4096
 
-// serve serves one session until it ends.
+// serve handles one session until it ends.
 func (f *Frontend) serve(tcp net.Conn) {
 	defer func() {
 		tcp.Close()
@@ -132,7 +133,8 @@
 	if _, err := tcp.Write(mysql.AppendGreeting(nil, f.lastConnID.Add(1), &salt)); err != nil {
 		return
 	}
-	if number, ok := session.readPacket(); !ok || !session.write(mysql.AppendOK(nil, number+1)) { // the client's login
+	// The first packet is the client's login, which is always accepted.
+	if number, ok := session.readPacket(); !ok || !session.write(mysql.AppendOK(nil, number+1)) {
 		return
 	}
 	for {
@@ -143,16 +145,16 @@
 	}
 }
 
-// frontendSession is one client's session.
+// frontendSession is the session of one client connection.
 type frontendSession struct {
 	frontend *Frontend
 	tcp      net.Conn
 	reader   *bufio.Reader
-	payload  []byte // of the last packet
-	out      []byte
+	payload  []byte // of the last packet read
+	out      []byte // buffer for the answer
 }
 
-// readPacket reads a packet and returns its number; ok is false at the end of the session.
+// readPacket reads a packet into payload and returns its sequence number. ok is false if the connection ended or the packet is empty.
 func (s *frontendSession) readPacket() (number byte, ok bool) {
 	header, err := s.reader.Peek(mysql.HeaderSize)
 	if err != nil {
@@ -175,7 +177,7 @@
 	return err == nil
 }
 
-// handle answers the last packet, and returns false if the session ends.
+// handle executes the command in the last packet, and returns false if the session is to end. KILL QUERY succeeds without an effect.
 func (s *frontendSession) handle(number byte) bool {
 	receivedAt := time.Now()
 	switch s.payload[0] {
@@ -194,10 +196,10 @@
 	return s.write(s.out)
 }
 
-// otherRequestID is the id in spoilt answers.
+// otherRequestID is the request id in the rows of corrupted answers.
 const otherRequestID = "0000000000000000"
 
-// handleQuery answers a query after its service time, and returns false if the session ends.
+// handleQuery answers a query after its service time, and returns false if the session is to end.
 func (s *frontendSession) handleQuery(number byte, sql []byte, receivedAt time.Time) bool {
 	f := s.frontend
 	request, err := mysql.ReadRequest(sql)
@@ -230,17 +232,17 @@
 	return ok
 }
 
-// isNth tells whether the answer of a number is one of every so many; 0: none is.
+// isNth reports whether a fault with the given interval applies to an answer; answers are numbered from 1. An interval of 0 means never.
 func isNth(answer, interval int64) bool { return interval > 0 && answer%interval == 0 }
 
-// appendResult appends a result set of some pages.
+// appendResult appends a MySQL result set with the rows of all pages. number is the sequence number of its first packet.
 func appendResult(out []byte, number byte, pages [][]byte) []byte {
 	out, next := mysql.AppendColumns(out, number)
 	for _, page := range pages {
 		var err error
 		out, next, err = mysql.AppendRows(out, next, page)
 		if err != nil {
-			panic(err) // of pages that it made itself
+			panic(err) // resultPages makes valid pages
 		}
 	}
 	return mysql.AppendEOF(out, next)
--- a/internal/testbed/fake/planner.go
+++ b/internal/testbed/fake/planner.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Kind is how the rows of a template are found.
+// Kind is the access method of a template.
 type Kind int
 
 // The kinds of templates.
 const (
-	PointLookup Kind = iota // by a key, to one value
-	RangeScan               // by a key, over a range
-	IndexJoin               // as a span, with another table found by its key
-	FullScan                // all rows: by no column, by one that is no key, or by a function of one
-	CrossJoin               // two tables that no condition binds
-	BulkLoad                // it loads its table
+	PointLookup Kind = iota // reads rows by one value of a key
+	RangeScan               // reads a range of a key
+	IndexJoin               // reads a range of a key and joins another table by its key
+	FullScan                // reads all rows: no condition, or one that can't use a key
+	CrossJoin               // joins two tables without a join condition
+	BulkLoad                // inserts rows into its table
 	KindCount   = iota
 )
 
@@ -29,54 +29,54 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Template is one of a planner's statements: its text, with {group} and {literal} to be replaced, and what it costs.
+// Template is one of a planner's statements. The caller replaces {group} and {literal} in its text.
 type Template struct {
 	Kind Kind
 	Text string
 
-	factor   float64 // of its own, by which what its kind takes is multiplied
-	badShare float64 // share of runs with a bad plan
-	skewed   bool    // for some literals it takes many times the usual
+	factor   float64 // multiplies the service time of the template's kind
+	badShare float64 // probability that a run uses a bad plan
+	skewed   bool    // some literals multiply the service time by skewFactor
 }
 
-// Planner is a fake of an engine's optimizer and disks. What a run costs depends on the statement, its literal, and how far loads
-// have grown its tables. The planner knows a template by a mark in the name of a column and does not parse the statement, so that it
-// shares no code with the classifier that is measured against it.
+// Planner is a fake of an engine's optimizer and disks. The cost of a run depends on the statement, its literal, and how much bulk
+// loads have grown its tables. The planner recognizes a template by a mark, the name of a column, and doesn't parse the statement, so
+// it shares no code with the classifier that is measured against it.
 type Planner struct {
 	Templates []Template
 
 	mu    sync.Mutex
 	seed  uint64
-	loads map[int]int
+	loads map[int]int // completed bulk loads by group
 }
 
-// The constants of a planner, chosen once so that the kinds differ by as much as in a service of look-ups and reports, with some
-// templates in between. Measurements use other seeds than those with which the constants were chosen.
+// The parameters of a planner. With them the kinds differ by as much as in a service of look-ups and reports, with some templates in
+// between. Measurements use other seeds than those with which these values were set, so the values don't favor a measured seed.
 const (
-	plannerRows    = 1e6  // of a table, usually
-	rowsSpread     = 0.3  // of their logarithms
-	templateSpread = 0.3  // of the logarithms of templates' own factors
-	runSpread      = 0.35 // of the logarithms of runs
+	plannerRows    = 1e6  // median number of rows of a table without loads
+	rowsSpread     = 0.3  // standard deviation of the logarithm of a table's rows
+	templateSpread = 0.3  // standard deviation of the logarithm of a template's factor
+	runSpread      = 0.35 // standard deviation of the logarithm of a statement's service times with a good plan
 	badPlanShare   = 0.1
-	badPlanFactor  = 10.0 // times the usual, up to twice that
+	badPlanFactor  = 10.0 // a bad plan takes 10 to 20 times as long as a good one
 	skewFactor     = 25.0
-	skewLiterals   = 16   // one of so many literals is expensive
-	loadGrowth     = 1.03 // by which each load multiplies the rows of its tables
+	skewLiterals   = 16   // one in 16 literals is expensive
+	loadGrowth     = 1.03 // factor by which each load multiplies the rows of its group's tables
 )
 
-// The names of columns. Keys are those that an operator would declare as keys.
+// The names of columns. KeyColumns are those that an operator would declare as keys.
 var (
 	KeyColumns   = []string{"clave", "distrito", "dia"}
 	otherColumns = []string{"nota", "votos", "mesa", "ronda", "acta", "folio", "turno", "cargo"}
 )
 
-// kindShares are the shares of the kinds among templates, added up; what is left over are bulk loads.
+// kindShares holds the cumulative shares of the kinds among templates. The remaining templates are bulk loads.
 var kindShares = []struct {
 	below float64
 	kind  Kind
 }{{0.40, PointLookup}, {0.62, RangeScan}, {0.74, IndexJoin}, {0.92, FullScan}, {0.96, CrossJoin}}
 
-// NewPlanner draws so many templates.
+// NewPlanner returns a planner with the given number of templates, drawn from a seed.
 func NewPlanner(seed int64, templates int) *Planner {
 	p := &Planner{seed: uint64(seed), loads: map[int]int{}}
 	d := templateDrawer{rand.New(rand.NewPCG(p.seed, 11))}
@@ -86,7 +86,7 @@
 	return p
 }
 
-// templateDrawer draws templates. The order of its draws is part of what a seed stands for.
+// templateDrawer draws random templates. The order of its draws must not change: it determines the templates that a seed gives.
 type templateDrawer struct{ random *rand.Rand }
 
 func (d templateDrawer) pick(list []string) string { return list[d.random.IntN(len(list))] }
@@ -101,7 +101,7 @@
 	return BulkLoad
 }
 
-// draw draws a template with a mark as the name of a column.
+// draw draws a template. The mark is the name of a column in its text.
 func (d templateDrawer) draw(mark string) Template {
 	t := Template{factor: math.Exp(templateSpread * d.random.NormFloat64())}
 	t.Kind = d.drawKind()
@@ -127,7 +127,7 @@
 	joinedTable = "actas_{group}.centros"
 )
 
-// drawText draws the text of a template, and how often its plans are bad.
+// drawText draws the text of a template, and sets whether it is skewed and how likely a bad plan is.
 func (d templateDrawer) drawText(t *Template, mark, columns, key, tail string) {
 	switch t.Kind {
 	case PointLookup:
@@ -157,14 +157,15 @@
 	}
 }
 
-// match finds the template of a statement by its mark, with the number of its group and its literal; nil: there is none.
+// match finds the template of a statement by its mark, and the number of its group and its literal. template is nil if no template
+// matches.
 func (p *Planner) match(statement string) (template *Template, group int, literal string) {
 	template = p.findMark(statement)
 	if template == nil {
 		return nil, 0, ""
 	}
 	if _, rest, ok := strings.Cut(statement, "actas_"); ok {
-		group, _ = strconv.Atoi(leadingDigits(rest)) // 0 if it has none
+		group, _ = strconv.Atoi(leadingDigits(rest)) // 0 if there are no digits
 	}
 	if _, rest, ok := strings.Cut(statement, "'"); ok {
 		literal, _, _ = strings.Cut(strings.TrimPrefix(rest, "%"), "'")
@@ -173,7 +174,7 @@
 	return template, group, literal
 }
 
-// findMark finds the template whose mark, f and its number, stands in a statement as the start of a word.
+// findMark finds the template whose mark occurs in a statement at the start of a word. A mark is "f" and the template's number.
 func (p *Planner) findMark(statement string) *Template {
 	for at := 0; ; {
 		i := strings.IndexByte(statement[at:], 'f')
@@ -198,8 +199,8 @@
 	return text[:end]
 }
 
-// TypicalCost is what a statement takes with a good plan, in ms, and the memory it needs in MB; ok is false for
-// a statement of none of the planner's templates.
+// TypicalCost returns the service time of a statement with a good plan, in ms, and the memory it needs, in MB. ok is false if the
+// statement matches none of the planner's templates.
 func (p *Planner) TypicalCost(statement string) (ms, memory float64, ok bool) {
 	template, group, literal := p.match(statement)
 	if template == nil {
@@ -209,7 +210,7 @@
 	return ms, memory, true
 }
 
-// typicalCost is what a template takes with a good plan for one group and literal, in ms, and the memory it needs in MB.
+// typicalCost returns the service time of a template with a good plan for one group and literal, in ms, and the memory it needs, in MB.
 func (p *Planner) typicalCost(template *Template, group int, literal string) (ms, memory float64) {
 	p.mu.Lock()
 	loads := p.loads[group]
@@ -236,14 +237,15 @@
 	return ms * template.factor, memory
 }
 
-// IsExpensive tells whether a literal is one for which skewed templates take many times the usual.
+// IsExpensive reports whether a literal multiplies the service time of skewed templates by skewFactor.
 func IsExpensive(literal string) bool {
 	hash := fnv.New32a()
 	hash.Write([]byte(literal))
 	return hash.Sum32()%skewLiterals == 0
 }
 
-// DrawCost is what one run of a statement takes, drawn by the id of its request: the same wherever it runs.
+// DrawCost draws the service time of one run of a statement, and returns it with the memory that the run needs, in MB. The request
+// id seeds the draw, so the cost doesn't depend on the engine. ok is false if the statement matches no template.
 func (p *Planner) DrawCost(statement, id string) (took time.Duration, memory float64, ok bool) {
 	template, group, literal := p.match(statement)
 	if template == nil {
@@ -260,7 +262,7 @@
 	return time.Duration(ms * float64(time.Millisecond)), memory, true
 }
 
-// RecordCompletion takes down that a statement has run to its end: a load grows its tables.
+// RecordCompletion records that a statement ran to its end. A bulk load grows the tables of its group.
 func (p *Planner) RecordCompletion(statement string) {
 	if template, group, _ := p.match(statement); template != nil && template.Kind == BulkLoad {
 		p.mu.Lock()
@@ -269,7 +271,7 @@
 	}
 }
 
-// SkewedTemplates is how many templates take many times the usual for some literals.
+// SkewedTemplates returns the number of templates for which some literals are expensive.
 func (p *Planner) SkewedTemplates() (n int) {
 	for i := range p.Templates {
 		if p.Templates[i].skewed {
--- a/internal/testbed/fake/work.go
+++ b/internal/testbed/fake/work.go
@@ -11,13 +11,13 @@
 
 // ServiceTime is a distribution of service times with a mean.
 type ServiceTime struct {
-	Kind string // constant, exponential, lognormal or pareto
+	Kind string // constant, exponential, lognormal or pareto; empty: constant
 	Mean time.Duration
-	CV   float64 // of lognormal: the standard deviation against the mean
-	Tail float64 // of pareto, above 1
+	CV   float64 // of lognormal: the standard deviation divided by the mean
+	Tail float64 // of pareto: the shape parameter, above 1
 }
 
-// Check returns an error for the first field that is wrong; path is the name of the distribution in its file.
+// Check returns an error for the first invalid field. path is the path of the distribution in its file, for error messages.
 func (s ServiceTime) Check(path string) error {
 	switch {
 	case s.Mean < 0 || s.Mean > time.Hour:
@@ -34,7 +34,8 @@
 	return fmt.Errorf("%s.kind: expected constant, exponential, lognormal or pareto, found %q", path, s.Kind)
 }
 
-// draw gives the time for an id: the same wherever and whenever it runs.
+// draw draws a service time of at most an hour. The request id seeds the draw, so a request takes the same time on every engine and
+// on every run.
 func (s ServiceTime) draw(id string) time.Duration {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
@@ -52,17 +53,17 @@
 	return time.Duration(min(mean, float64(time.Hour)))
 }
 
-// Work is what requests take, of a class or with a text in their statement.
+// Work is the cost of requests of a class, or of requests whose statement contains a text, or both.
 type Work struct {
 	Class        string // empty: any
-	Contains     string // text of the statement; empty: any
+	Contains     string // text that the statement contains; empty: any
 	Service      ServiceTime
 	Rows         int // of the result
 	MemoryMB     float64
 	FailureShare float64 // share of requests that end with an error
 }
 
-// findWork is the first work that fits a request; without one it is one row at once.
+// findWork returns the first work that matches a request. If none matches, the request takes no time and returns one row.
 func findWork(works []Work, class, statement string) Work {
 	for _, work := range works {
 		if (work.Class == "" || work.Class == class) && (work.Contains == "" || strings.Contains(statement, work.Contains)) {
--- a/internal/testbed/report/archive.go
+++ b/internal/testbed/report/archive.go
@@ -12,10 +12,10 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// Archive stores runs in one file.
+// Archive stores the results of runs in one database file.
 type Archive struct{ db *bbolt.DB }
 
-// ArchivedRun is a run with what the archive knows of it.
+// ArchivedRun is the result of a run with its number and note in the archive.
 type ArchivedRun struct {
 	ID     uint64             `json:"id"`
 	Note   string             `json:"note"`
@@ -24,10 +24,10 @@
 
 var runsBucket = []byte("runs")
 
-// openTimeout is how long another process that has the file open is waited for.
+// openTimeout limits the wait for another process that has the file open.
 const openTimeout = 2 * time.Second
 
-// OpenArchive opens an archive's file, or creates it. Another process that has it open is waited for.
+// OpenArchive opens an archive's file, or creates it. If another process has the file open, it waits for up to openTimeout.
 func OpenArchive(path string) (*Archive, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
@@ -63,13 +63,13 @@
 	return id, err
 }
 
-// runKey is the key of a run; keys sort by number.
+// runKey returns the database key of a run. Keys are big-endian, so they sort by number.
 func runKey(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
 
-// ErrNoRun is the error for a number that the archive doesn't have.
+// ErrNoRun is the error for a number that no run in the archive has.
 var ErrNoRun = errors.New("no such run in the archive")
 
-// Get returns the run of a number, or ErrNoRun.
+// Get returns the run with a number, or an error that wraps ErrNoRun if there is none.
 func (a *Archive) Get(id uint64) (run *ArchivedRun, err error) {
 	err = a.db.View(func(tx *bbolt.Tx) error {
 		text := tx.Bucket(runsBucket).Get(runKey(id))
@@ -81,7 +81,7 @@
 	return run, err
 }
 
-// Each calls f for every run, oldest first, up to the first error.
+// Each calls f for every run, oldest first, and stops at the first error.
 func (a *Archive) Each(f func(*ArchivedRun) error) error {
 	return a.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(runsBucket).ForEach(func(_, text []byte) error {
@@ -94,7 +94,7 @@
 	})
 }
 
-// Remove deletes the run of a number, or returns ErrNoRun.
+// Remove deletes the run with a number, or returns an error that wraps ErrNoRun if there is none.
 func (a *Archive) Remove(id uint64) error {
 	return a.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(runsBucket)
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -14,7 +14,7 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// metric is one figure of a run. direction is 1 if more is better, and -1 if less is.
+// metric is one value of a run. direction is 1 if higher values are better, and -1 if lower ones are.
 type metric struct {
 	name      string
 	direction float64
@@ -24,7 +24,7 @@
 // comparedQuantiles are the quantiles of latencies that are compared.
 var comparedQuantiles = []float64{0.5, 0.99, 0.999}
 
-// comparedMetrics are the metrics of a run's classes.
+// comparedMetrics returns the metrics that Compare shows for each class of a run.
 func comparedMetrics(r *experiment.Result) (metrics []metric) {
 	for i := range r.Metrics.Classes {
 		name := r.Metrics.Classes[i].Name
@@ -41,7 +41,7 @@
 	return metrics
 }
 
-// valuesOf are a metric's values in some runs.
+// valuesOf returns the values of a metric in runs.
 func valuesOf(m metric, runs []*experiment.Result) (values []float64) {
 	for _, run := range runs {
 		values = append(values, m.value(run))
@@ -49,8 +49,9 @@
 	return values
 }
 
-// median sorts values and returns their median, and an interval that contains the true one with a probability of 95 percent at least:
-// two order statistics by the binomial distribution. With fewer than six runs no two reach it, so the interval is the whole range.
+// median sorts values and returns their median and a confidence interval, which contains the true median with a probability of at
+// least 95 percent. The interval's ends are two of the values, selected by the binomial distribution. With fewer than six values no two
+// of them reach 95 percent; the interval is then the whole range.
 func median(values []float64) (middle, low, high float64) {
 	sort.Float64s(values)
 	n := len(values)
@@ -62,7 +63,7 @@
 	} else {
 		middle = values[n/2]
 	}
-	countBelow := distuv.Binomial{N: float64(n), P: 0.5} // how many values lie below the true median
+	countBelow := distuv.Binomial{N: float64(n), P: 0.5} // number of values below the true median
 	rank := 0
 	for 2*countBelow.CDF(float64(rank)) <= significance {
 		rank++
@@ -83,15 +84,15 @@
 
 const (
 	significance = 0.05
-	// minRuns is how many runs each side needs for a verdict.
+	// minRuns is the number of runs that each side needs for a verdict.
 	minRuns = 3
-	// minRunsForRankSum is how many runs both sides together need for the rank-sum test to tell anything.
+	// minRunsForRankSum is the number of runs that both sides together need for a meaningful rank-sum test.
 	minRunsForRankSum = 8
 )
 
-// Compare writes, for two sets of runs of one experiment, medians with intervals and whether they differ by more than the
-// noise: the rank-sum test's probability of such a difference by chance is under 5 percent, or, with too few runs for the test, the
-// ranges do not overlap.
+// Compare writes a table that compares two sets of runs of one experiment: for each metric the medians with their intervals, and
+// whether they differ by more than the noise. They do if the ranges of the values don't overlap, or if the rank-sum test gives a
+// probability of under 5 percent for such a difference by chance. With too few runs for the test only the ranges count.
 func Compare(out io.Writer, before, after []*experiment.Result) error {
 	if len(before) == 0 || len(after) == 0 {
 		return errors.New("expected runs on both sides")
@@ -118,14 +119,14 @@
 		fmt.Sprintf("%.2f..%.2f", lowAfter, highAfter), fmt.Sprintf("%+.2f", medianAfter-medianBefore), verdict(before, after, m.direction)}
 }
 
-// verdict tells whether values after differ from those before by more than the noise.
+// verdict returns whether the values after are better or worse than those before by more than the noise. It sorts both.
 func verdict(before, after []float64, direction float64) string {
 	if len(before) < minRuns || len(after) < minRuns {
 		return tooFew
 	}
 	medianBefore, _, _ := median(before)
 	medianAfter, _, _ := median(after)
-	disjoint := before[len(before)-1] < after[0] || after[len(after)-1] < before[0] // median has sorted both
+	disjoint := before[len(before)-1] < after[0] || after[len(after)-1] < before[0] // median sorted both
 	if !disjoint && (rankSum(before, after) >= significance || len(before)+len(after) < minRunsForRankSum) {
 		return noise
 	}
@@ -135,11 +136,12 @@
 	return worse
 }
 
-// rankSum is the two-sided probability of ranks that differ as much, by the normal approximation with ties.
+// rankSum returns the p-value of the two-sided rank-sum test: the probability that ranks differ at least as much by chance. It uses the
+// normal approximation with corrections for ties and continuity.
 func rankSum(x, y []float64) float64 {
 	type rankedValue struct {
 		value   float64
-		isFirst bool // of x
+		isFirst bool // whether value is from x
 	}
 	var all []rankedValue
 	for _, value := range x {
--- a/internal/testbed/report/format_test.go
+++ b/internal/testbed/report/format_test.go
@@ -11,10 +11,11 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// encodedHistogram is a histogram in JSON. Its bytes are a compressor's, which may change with the language's version.
+// encodedHistogram matches an encoded histogram in JSON. Its bytes are compressed and may differ between versions of Go, so tests
+// don't compare them.
 var encodedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
 
-// What `run --json` prints; package stats checks the figures in it.
+// The result is in the format that `run --json` prints. Package stats tests the values of the metrics.
 func TestResultOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
 	result, err := golden.DecodeJSON[experiment.Result](golden.Read(t, "result.form"))
 	if err != nil {
@@ -24,7 +25,7 @@
 }
 
 func TestArchiveOfEarlierVersionIsRead(t *testing.T) {
-	archive, err := OpenArchive(filepath.Join(golden.CopyFolder(t, "."), "runs.form")) // a file that is opened may be written to
+	archive, err := OpenArchive(filepath.Join(golden.CopyFolder(t, "."), "runs.form")) // a copy, because opening an archive may write to it
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +48,7 @@
 	}
 }
 
-// checkResult holds a result against what the earlier version wrote.
+// checkResult checks that a result equals the one that the earlier version wrote.
 func checkResult(t *testing.T, result *experiment.Result) {
 	t.Helper()
 	expected := encodedHistogram.ReplaceAllString(string(golden.Read(t, "result.form")), `"histogram"`)
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -21,7 +21,7 @@
 	"quantile": quantileName,
 }).Parse(pageText))
 
-// pageView is what the page's template reads.
+// pageView holds the data for the page's template. The template refers to the fields by name.
 type pageView struct {
 	*experiment.Result
 	Good     bool
@@ -35,20 +35,20 @@
 	SVG         template.HTML
 }
 
-// pagePlots are the plots of a page.
+// pagePlots lists the plots of a page with their titles and explanations.
 var pagePlots = []struct {
 	title, text string
 	draw        func(*experiment.Result) (*plot.Plot, error)
 }{
-	{"Offered against answered", "Tasks by the second in which they were intended.", plotOffered},
-	{"Latency over time", "Delivered tasks by the second in which they were intended; the cross marks the worst.", plotLatency},
-	{"Latency by quantile", "From the intended times, by lane; to the right ever fewer tasks are slower.", plotQuantiles},
-	{"Outcomes by second", "All ends but delivered.", plotOutcomes},
-	{"The generator's own delay", "What of the latencies is the generator's, by quantile; a run is late where p99 passes the bound.",
+	{"Offered and delivered tasks", "Tasks by the second of their intended time.", plotOffered},
+	{"Latency over time", "Delivered tasks by the second of their intended time. The cross marks the longest latency.", plotLatency},
+	{"Latency by quantile", "Latencies from the intended times, by lane. Each step to the right divides the share of slower tasks by 10.", plotQuantiles},
+	{"Outcomes by second", "All outcomes except delivered.", plotOutcomes},
+	{"The generator's own delay", "The delay that the load generator adds to latencies, by quantile. A run is late if p99 exceeds the bound.",
 		plotGeneratorDelay},
 }
 
-// Page writes a result as one HTML page that needs no other file.
+// Page writes a result as an HTML page that refers to no other file.
 func Page(out io.Writer, result *experiment.Result) error {
 	view := pageView{Result: result, Good: result.Good(), Lanes: classRows(result.Metrics), Outcomes: outcomeRows(result.Metrics)}
 	for _, figure := range pagePlots {
--- a/internal/testbed/report/plots.go
+++ b/internal/testbed/report/plots.go
@@ -23,11 +23,11 @@
 	pictureHeight = 8 * vg.Centimeter
 )
 
-// seriesColors can also be told apart by readers who don't distinguish red and green.
+// seriesColors are the colors of lines. Readers with red-green color blindness can distinguish them, too.
 var seriesColors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{60, 60, 60, 255}}
 
-// Indexes into seriesColors of what has a color of its own.
+// Indexes into seriesColors for series and marks with a fixed color.
 const (
 	colorOffered = 0
 	colorWorst   = 1
@@ -49,10 +49,10 @@
 	if start := strings.Index(text, "<svg"); start > 0 {
 		text = text[start:]
 	}
-	return template.HTML(text), nil // made by the library from numbers and the names that it escapes
+	return template.HTML(text), nil // safe: the library makes it from numbers and names, and escapes the names
 }
 
-// boundLogAxis gives a logarithmic axis a range where it has none of its own: nothing is drawn, or all at one height.
+// boundLogAxis sets the range of a logarithmic axis if the plotted values give none: there are no values, or all are equal.
 func boundLogAxis(axis *plot.Axis) {
 	_, isLog := axis.Scale.(plot.LogScale)
 	if !isLog || axis.Min > 0 && axis.Max > axis.Min && !math.IsInf(axis.Min, 0) {
@@ -85,7 +85,8 @@
 	return created
 }
 
-// addLine adds a series in the color of an index; one without points is left out.
+// addLine adds a series as a line in a color of seriesColors, selected by colorIndex modulo their number. A series without points is
+// left out.
 func addLine(target *plot.Plot, name string, points plotter.XYs, colorIndex int) error {
 	if len(points) == 0 {
 		return nil
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// pointsBySecond returns a value for each second of a run.
+// pointsBySecond returns one point for each second of a run, with the second as x and its value as y.
 func pointsBySecond(result *experiment.Result, value func(second int) float64) (points plotter.XYs) {
 	for second := range result.Metrics.Seconds {
 		points = append(points, plotter.XY{X: float64(second), Y: value(second)})
@@ -120,7 +121,7 @@
 	return drawn, addLine(drawn, "delivered", served, colorServed)
 }
 
-// logMillis is a latency in milliseconds on a logarithmic axis, which has no 0.
+// logMillis returns a latency in milliseconds for a logarithmic axis, and at least 0.01 because such an axis has no 0.
 func logMillis(latency time.Duration) float64 {
 	return math.Max(0.01, float64(latency)/float64(time.Millisecond))
 }
@@ -140,7 +141,7 @@
 	return drawn, markWorst(drawn, result)
 }
 
-// latencyBySecond returns a quantile of each second that has served requests; 1 is the exact maximum.
+// latencyBySecond returns a quantile of the latencies in each second that has served requests. The quantile 1 is the exact maximum.
 func latencyBySecond(result *experiment.Result, quantile float64) (points plotter.XYs) {
 	for index := range result.Metrics.Seconds {
 		second := &result.Metrics.Seconds[index]
@@ -156,7 +157,7 @@
 	return points
 }
 
-// markWorst puts a cross on the longest latency of a run.
+// markWorst marks the longest latency of a run with a cross.
 func markWorst(target *plot.Plot, result *experiment.Result) error {
 	worst, worstSecond := time.Duration(0), 0
 	for index := range result.Metrics.Seconds {
@@ -177,14 +178,13 @@
 	return nil
 }
 
-// The axis of quantiles has equal steps from each nine to the next. maxNines is its end, ninesStep the distance of its
-// points.
+// The axis of quantiles is logarithmic: the quantiles 90%, 99%, 99.9% and so on are at equal distances of 1.
 const (
-	maxNines  = 5
-	ninesStep = 0.05
+	maxNines  = 5    // the end of the axis, at 99.999%
+	ninesStep = 0.05 // distance between points of a line
 )
 
-// nines is the position of a quantile on the axis of quantiles.
+// nines returns the position of a quantile on the axis of quantiles: its number of nines, 2 for 0.99.
 func nines(quantile float64) float64 { return -math.Log10(1 - quantile) }
 
 // quantileTicks labels the axis of quantiles.
@@ -203,11 +203,12 @@
 	return ticks
 }
 
-// pointsByQuantile returns the quantiles of a distribution of so many values, up to its last one.
+// pointsByQuantile returns points for the quantiles of a distribution of count latencies. It leaves out the quantiles above which the
+// distribution has no latency.
 func pointsByQuantile(count int64, latency func(quantile float64) time.Duration) (points plotter.XYs) {
 	for x := 0.0; x <= maxNines; x += ninesStep {
 		quantile := 1 - math.Pow(10, -x)
-		if float64(count)*(1-quantile) < 0.5 { // no request lies beyond
+		if float64(count)*(1-quantile) < 0.5 { // no latency is above this quantile
 			break
 		}
 		points = append(points, plotter.XY{X: x, Y: logMillis(latency(quantile))})
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -15,7 +15,8 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// newResult is one of a run in which look-ups took about so long.
+// newResult returns the result of a run of 2,000 requests with latencies from the given one to 49 ms more. Every hundredth request was
+// rejected.
 func newResult(name string, latency time.Duration) *experiment.Result {
 	metrics := stats.New([]string{"look", "load"}, []time.Duration{50 * time.Millisecond, time.Second})
 	for n := range uint64(2000) {
@@ -58,7 +59,7 @@
 	// MISSED rules: broken <b>
 }
 
-// Medians and intervals; a difference counts where it exceeds what repeats differ by.
+// The verdict is better or worse only if the difference exceeds the differences between repeated runs, and there are enough runs.
 func ExampleCompare() {
 	runs := func(n int, latency, step time.Duration) (out []*experiment.Result) {
 		for i := range n {
@@ -105,7 +106,7 @@
 	// runs of some and of other can't be compared
 }
 
-// The page holds all of it and needs no other file.
+// The page has all parts of the result and refers to no other file.
 func TestPage(t *testing.T) {
 	var b bytes.Buffer
 	if err := Page(&b, newResult("some", 10*time.Millisecond)); err != nil {
@@ -118,11 +119,11 @@
 		}
 	}
 	if n := strings.Count(page, "<svg"); n != 5 || strings.Contains(page, "src=") || strings.Contains(page, "href=\"http") {
-		t.Errorf("%d pictures", n)
+		t.Errorf("expected 5 pictures and no links to other files, found %d pictures", n)
 	}
 	empty := &experiment.Result{Name: "empty", Metrics: stats.New([]string{"look"}, []time.Duration{1})}
 	if err := Page(&bytes.Buffer{}, empty); err != nil {
-		t.Errorf("a run without a task: %v", err)
+		t.Errorf("page of a run without requests: %v", err)
 	}
 }
 
@@ -134,14 +135,14 @@
 	}
 	for i := range 3 {
 		if id, err := a.Put(newResult("some", time.Duration(i)*time.Millisecond), "note"); err != nil || id != uint64(i+1) {
-			t.Fatalf("%d %v", id, err)
+			t.Fatalf("expected numbers from 1 for stored runs, found %d, error %v", id, err)
 		}
 	}
 	if err := a.Remove(2); err != nil {
 		t.Error(err)
 	}
 	if err := a.Remove(2); err == nil {
-		t.Error("a run was taken out twice")
+		t.Error("expected an error when a run is removed twice")
 	}
 	if err := a.Close(); err != nil {
 		t.Fatal(err)
@@ -157,9 +158,9 @@
 	}
 	run, err := a.Get(3)
 	if err != nil || n != 4 || run.Note != "note" || run.Result.Metrics.Total() != 2000 || run.Result.Good() {
-		t.Errorf("%d %v %+v", n, err, run)
+		t.Errorf("expected run 3 and a sum of numbers of 4, found a sum of %d, error %v, run %+v", n, err, run)
 	}
 	if _, err := a.Get(2); err == nil {
-		t.Error("a run that isn't there was found")
+		t.Error("expected an error for a removed run, but it was found")
 	}
 }
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -1,4 +1,5 @@
-// Package report shows the result of a run: as a table for a terminal, as JSON, and as one page.
+// Package report presents the results of runs: as tables for a terminal and as an HTML page. It also archives results and compares
+// those of several runs.
 package report
 
 import (
@@ -13,10 +14,10 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// shownQuantiles are those in the tables.
+// shownQuantiles are the latency quantiles in the table of classes; 1 is the maximum.
 var shownQuantiles = []float64{0.5, 0.9, 0.99, 0.999, 1}
 
-// formatMillis formats a latency in milliseconds with three digits or more.
+// formatMillis formats a latency in milliseconds, with two decimals below 10 ms, one below 1000 ms, and none from there on.
 func formatMillis(latency time.Duration) string {
 	millis := float64(latency) / float64(time.Millisecond)
 	switch {
@@ -28,7 +29,7 @@
 	return fmt.Sprintf("%.2f", millis)
 }
 
-// quantileName is "p99" for 0.99, and "max" for 1.
+// quantileName returns the short name of a quantile: "p99" for 0.99, and "max" for 1.
 func quantileName(quantile float64) string {
 	if quantile == 1 {
 		return "max"
@@ -36,7 +37,7 @@
 	return fmt.Sprintf("p%g", 100*quantile)
 }
 
-// writeTable writes rows with their columns below each other; the first column is aligned left, the others right.
+// writeTable writes rows as a table with aligned columns: the first column to the left, the others to the right.
 func writeTable(out io.Writer, rows [][]string) {
 	var widths []int
 	for _, row := range rows {
@@ -61,7 +62,7 @@
 	}
 }
 
-// classRows are the metrics by class.
+// classRows returns a table with a header and the metrics of each class. Requests of misbehaving clients have a row of their own.
 func classRows(metrics *stats.Metrics) [][]string {
 	rows := [][]string{{"lane", "offered", "delivered", "in quoted time", "p50 ms", "p90", "p99", "p99.9", "max", "tries"}}
 	classes := slices.Clone(metrics.Classes)
@@ -87,7 +88,8 @@
 	return fmt.Sprintf("%.2f%%", 100*float64(count)/float64(total))
 }
 
-// outcomeRows are the counts of the outcomes that occurred, by class.
+// outcomeRows returns a table with a header and, for each class, the number of requests by outcome. Outcomes that didn't occur have no
+// column.
 func outcomeRows(metrics *stats.Metrics) [][]string {
 	header := []string{"outcomes"}
 	var shown []client.Outcome
@@ -137,7 +139,7 @@
 	}
 }
 
-// writeComparison writes the measured latencies of a class beside the true ones.
+// writeComparison writes a table of the reported latencies of a class, the true ones, and those that a closed loop would have measured.
 func writeComparison(out io.Writer, comparison *experiment.Comparison) {
 	fmt.Fprintf(out, "\n%s against the truth: %d answers; a closed loop of %d users would not have sent %d of them\n", comparison.Class,
 		comparison.Requests, comparison.Users, comparison.Hidden)
