--- a/cmd/magpiebank-testbed/main.go
+++ b/cmd/magpiebank-testbed/main.go
@@ -14,13 +14,13 @@
 
 const version = "0.1.0"
 
-// The exit statuses.
+// The exit statuses besides 0.
 const (
 	exitFailure = 1 // a check failed, for example a bound was missed, or the command could not finish
 	exitMisuse  = 2 // the command line or a file is invalid
 )
 
-// errReported ends a command with exitFailure. main doesn't print it, because the command's output already reports the failure.
+// errReported ends a command with exitFailure. It is not printed, because the command's output already reports the failure.
 var errReported = errors.New("a bound was missed")
 
 // inputError is an error in the command line or in a file from the user. It leads to exitMisuse.
--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -30,7 +30,7 @@
 } }
 `
 
-// The load of the runs on sockets. With the default seed, look-ups and reports keep about an eighth of the engines' threads busy. For
+// The load of the runs on sockets. With the default seed, look-ups and reports keep about a tenth of the engines' threads busy. For
 // ten seconds, scans of whole tables arrive in the class of look-ups, at about three times the rate that all engines together can serve.
 const (
 	statementsLength           = 40 * time.Second
--- a/cmd/magpiebank-testbed/trace.go
+++ b/cmd/magpiebank-testbed/trace.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// run imports the file at a path, or in for the path "-", and prints a report.
+// run imports the file at a path and prints a report. If the path is "-", it imports from in.
 func (t *traceImport) run(in io.Reader, out io.Writer, path string) error {
 	columns, err := parseColumns(t.columns)
 	if err != nil {
--- a/cmd/magpiebank-testbed/worker.go
+++ b/cmd/magpiebank-testbed/worker.go
@@ -64,8 +64,9 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }()                                                                                        // the process has its own descriptor
-	cmd := exec.CommandContext(context.Background(), p.program, "worker", "--join", address, "--index", strconv.Itoa(worker)) // not the run's context: kill ends the process
+	defer func() { _ = log.Close() }() // the process has its own descriptor
+	// The process isn't bound to the run's context: kill ends it.
+	cmd := exec.CommandContext(context.Background(), p.program, "worker", "--join", address, "--index", strconv.Itoa(worker))
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
--- a/internal/testbed/fake/engine_requests.go
+++ b/internal/testbed/fake/engine_requests.go
@@ -194,7 +194,8 @@
 	}
 }
 
-// drawShare returns true with a probability of share. A share of 0 draws no random number, so the sequence of draws stays the same.
+// drawShare returns true with a probability of share. A share of 0 uses no random number, so a fault that is off doesn't change the
+// draws for other faults.
 func (e *Engine) drawShare(share float64) bool {
 	return share > 0 && e.random.Float64() < share
 }
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -21,7 +21,7 @@
 	value     func(*experiment.Result) float64
 }
 
-// comparedQuantiles are the quantiles of latencies that are compared.
+// comparedQuantiles are the latency quantiles that Compare shows for each class.
 var comparedQuantiles = []float64{0.5, 0.99, 0.999}
 
 // comparedMetrics returns the metrics that Compare shows for each class of a run.
@@ -63,7 +63,7 @@
 	} else {
 		middle = values[n/2]
 	}
-	countBelow := distuv.Binomial{N: float64(n), P: 0.5} // number of values below the true median
+	countBelow := distuv.Binomial{N: float64(n), P: 0.5} // distribution of the number of values below the true median
 	rank := 0
 	for 2*countBelow.CDF(float64(rank)) <= significance {
 		rank++
