--- a/cmd/magpiebank-testbed/clock.go
+++ b/cmd/magpiebank-testbed/clock.go
@@ -18,7 +18,7 @@
 // the true ones, and replays the resulting trace.
 func runClockJumps(c *cobra.Command, o *output) error {
 	if o.folder == "" {
-		o.folder = experiment.Folder("clock-jumps")
+		o.folder = experiment.DefaultFolder("clock-jumps")
 	}
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return err
--- a/cmd/magpiebank-testbed/restart.go
+++ b/cmd/magpiebank-testbed/restart.go
@@ -13,12 +13,12 @@
 // keeps a request journal unless noJournal is set; the checks fail without one.
 func runRestarts(c *cobra.Command, o *output, seed int64, noJournal bool) error {
 	if o.folder == "" {
-		o.folder = experiment.Folder("restart")
+		o.folder = experiment.DefaultFolder("restart")
 	}
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return err
 	}
-	r, err := crashtest.Run(c.Context(), crashtest.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, Loads: 24, Looks: 8, Seed: seed, NoJournal: noJournal})
+	r, err := crashtest.Run(c.Context(), crashtest.Plan{Program: o.gateway, Folder: o.folder, Kills: 100, LoadClients: 24, LookupClients: 8, Seed: seed, NoJournal: noJournal})
 	if err != nil {
 		return err
 	}
--- a/cmd/magpiebank-testbed/statements.go
+++ b/cmd/magpiebank-testbed/statements.go
@@ -51,14 +51,14 @@
 // with classes, and returns errReported if a bound is missed or classes make the results worse.
 func statementsExperiment(c *cobra.Command, o *output, seed int64) error {
 	out := c.OutOrStdout()
-	measurement := classification.Several(seed, measureSeeds, measureTemplates, measureGroups, measureStatements)
-	delays := classification.Delays(1000000, 20000)
+	measurement := classification.MeasureSeeds(seed, measureSeeds, measureTemplates, measureGroups, measureStatements)
+	delays := classification.MeasureDelays(1000000, 20000)
 	runs, err := runStatements(c, o, seed)
 	if err != nil {
 		return err
 	}
 	good, lines := measurement.Verdict()
-	delaysGood, delayLines := classification.JudgeDelays(delays)
+	delaysGood, delayLines := classification.CheckDelays(delays)
 	good, lines = good && delaysGood, append(lines, delayLines...)
 	if o.json {
 		if err := writeJSON(out, map[string]any{"classes": measurement, "delays": delays, "runs": runs}); err != nil {
@@ -100,7 +100,7 @@
 // runStatements runs the traffic on sockets: first without classes, then with them.
 func runStatements(c *cobra.Command, o *output, seed int64) (runs []*statementsRun, err error) {
 	if o.folder == "" {
-		o.folder = experiment.Folder("statements")
+		o.folder = experiment.DefaultFolder("statements")
 	}
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return nil, err
@@ -182,7 +182,7 @@
 			class("reports", "report", 4*time.Second, 12*time.Second, texts(fake.RangeScan, fake.IndexJoin)),
 			class("whole tables", "look", time.Second, 5*time.Second, texts(fake.FullScan)),
 		},
-		Bounds: experiment.Bounds{GeneratorDelay: 10 * time.Millisecond, Offered: 0.01, Allow: []client.Outcome{client.TimedOut}},
+		Bounds: experiment.Bounds{GeneratorDelay: 10 * time.Millisecond, OfferedTolerance: 0.01, AllowedOutcomes: []client.Outcome{client.TimedOut}},
 	}
 	e.Shape = arrival.Shape{Kind: arrival.Replay}
 	r := rand.New(rand.NewSource(seed))
