--- a/cmd/magpiebank-testbed/fleet_search.go
+++ b/cmd/magpiebank-testbed/fleet_search.go
@@ -64,14 +64,14 @@
 			}
 		}()
 	}
-	played := 0
+	started := 0
 	for seed := s.firstSeed; seed < s.firstSeed+s.seedCount && ctx.Err() == nil; seed++ {
 		seeds <- seed
-		played++
+		started++
 	}
 	close(seeds)
 	workers.Wait()
-	fmt.Fprintf(s.out, "%d scenarios of %d gateways drawn from seeds %d to %d, %d violated an expectation; %.0f s\n", played, s.gateways, s.firstSeed, s.firstSeed+played-1, s.violations, time.Since(began).Seconds())
+	fmt.Fprintf(s.out, "%d scenarios of %d gateways drawn from seeds %d to %d, %d violated an expectation; %.0f s\n", started, s.gateways, s.firstSeed, s.firstSeed+started-1, s.violations, time.Since(began).Seconds())
 	if s.err != nil {
 		return s.err
 	}
--- a/internal/testbed/fake/engine.go
+++ b/internal/testbed/fake/engine.go
@@ -62,18 +62,18 @@
 
 // engineClock is the clock of an engine, which stops while the engine is paused.
 type engineClock struct {
-	began     time.Time
-	startedAt time.Duration // when the engine last started or accepted connections again
-	paused    bool
-	pausedAt  time.Duration
-	lag       time.Duration // total time in pauses that are over
+	began      time.Time
+	startedAt  time.Duration // when the engine last started or accepted connections again
+	paused     bool
+	pausedAt   time.Duration
+	pausedTime time.Duration // total time in pauses that are over
 }
 
 func (c *engineClock) now() time.Duration {
 	if c.paused {
 		return c.pausedAt
 	}
-	return time.Since(c.began) - c.lag
+	return time.Since(c.began) - c.pausedTime
 }
 
 func (c *engineClock) pause() {
@@ -83,7 +83,7 @@
 }
 
 func (c *engineClock) resume() {
-	c.lag = time.Since(c.began) - c.pausedAt
+	c.pausedTime = time.Since(c.began) - c.pausedAt
 	c.paused = false
 }
 
@@ -120,9 +120,9 @@
 	beganAt   time.Duration // on the engine's clock
 	endsAt    time.Duration // on the engine's clock
 	isRunning bool
-	isDone    bool             // it ran to its end
-	timer     timerwheel.Timer // of its end
-	timerID   int              // of timer
+	isDone    bool             // the request ran to its end
+	timer     timerwheel.Timer // fires at endsAt
+	timerID   int              // id of timer in Engine.timers
 	pages     [][]byte
 	pagesSent int // pages that were sent on request; the first page is sent with the result and not included
 }
--- a/internal/testbed/fake/fake_test.go
+++ b/internal/testbed/fake/fake_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-func want(t *testing.T, what, got, want string) {
+func checkEqual(t *testing.T, what, got, want string) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%s: got %q, want %q", what, got, want)
@@ -134,23 +134,23 @@
 func checkPages(t *testing.T, c *testClient) {
 	t.Helper()
 	c.send("top", "t1")
-	want(t, "top", c.receive(receiveTimeout), "t1 well gauges=inflight:0;util:0.000 ")
+	checkEqual(t, "top", c.receive(receiveTimeout), "t1 well gauges=inflight:0;util:0.000 ")
 	c.send("do", "a1", "kind=look,ms=900,prio=1", "SELECT 1")
-	want(t, "pages", c.receive(receiveTimeout), "a1 data pages=2 a1\t1/400\tacta\\na1\t2/400\tacta\\na1\t3/400\tact")
+	checkEqual(t, "pages", c.receive(receiveTimeout), "a1 data pages=2 a1\t1/400\tacta\\na1\t2/400\tacta\\na1\t3/400\tact")
 	c.send("page", "a1", "2")
-	want(t, "answer for a page that does not exist", c.receive(receiveTimeout), "a1 failed - ")
+	checkEqual(t, "answer for a page that does not exist", c.receive(receiveTimeout), "a1 failed - ")
 	c.send("page", "a1", "1")
 	if got := c.receive(receiveTimeout); !strings.HasPrefix(got, "a1 page page=1 a1\t") {
 		t.Errorf("expected page 1 of a1, found %q", got)
 	}
 	c.send("page", "a1", "1")
-	want(t, "answer for a page after all pages were sent", c.receive(receiveTimeout), "a1 failed - ")
+	checkEqual(t, "answer for a page after all pages were sent", c.receive(receiveTimeout), "a1 failed - ")
 }
 
 func checkQueue(t *testing.T, c *testClient) {
 	t.Helper()
 	c.send("do", "a2", "kind=look", "some")
-	want(t, "a progress notice", c.receive(receiveTimeout)[:17], "a2 news res=so_fa")
+	checkEqual(t, "a progress notice", c.receive(receiveTimeout)[:17], "a2 news res=so_fa")
 	c.skipTo("a2 data pages=1 a2\t1/1\tacta\\n")
 	c.send("do", "a3", "kind=look", "slow")
 	c.send("do", "a4", "kind=look", "quick")
@@ -165,7 +165,7 @@
 	t.Helper()
 	e.Pause()
 	c.send("do", "a6", "kind=look", "some")
-	want(t, "paused", c.receive(150*time.Millisecond), "nothing")
+	checkEqual(t, "paused", c.receive(150*time.Millisecond), "nothing")
 	if held, _ := e.InFlight(); held != 0 {
 		t.Errorf("expected no request in flight during a pause, found %d", held)
 	}
@@ -193,19 +193,19 @@
 	t.Helper()
 	e.FailQueries(1)
 	c.send("do", "a7", "kind=look", "quick")
-	want(t, "fails", c.receive(receiveTimeout), "a7 failed - ")
+	checkEqual(t, "fails", c.receive(receiveTimeout), "a7 failed - ")
 	e.FailQueries(0)
 	e.StopAnswering()
 	c.send("do", "a8", "kind=look", "quick")
-	want(t, "silent", c.receive(100*time.Millisecond), "nothing")
+	checkEqual(t, "silent", c.receive(100*time.Millisecond), "nothing")
 	e.ResumeAnswering()
 	e.ResetConnections()
-	want(t, "reset", c.receive(receiveTimeout), "end")
+	checkEqual(t, "reset", c.receive(receiveTimeout), "end")
 	c = connect(t, e)
 	c.send("ping", "p")
-	want(t, "ping", c.receive(receiveTimeout), "p well gauges=inflight:0;util:0.000 ")
+	checkEqual(t, "ping", c.receive(receiveTimeout), "p well gauges=inflight:0;util:0.000 ")
 	e.RefuseConnections()
-	want(t, "refuses", c.receive(receiveTimeout), "end")
+	checkEqual(t, "refuses", c.receive(receiveTimeout), "end")
 	if _, err := dial(t, e.Address); err == nil {
 		t.Error("expected an engine that refuses connections to accept none, but it accepted one")
 	}
@@ -239,15 +239,15 @@
 		}
 		return string(b)
 	}
-	want(t, "nothing new", poll(1, 10), `{"index":1,"updates":[]}`)
+	checkEqual(t, "nothing new", poll(1, 10), `{"index":1,"updates":[]}`)
 	go func() {
 		time.Sleep(20 * time.Millisecond)
 		l.Publish(Endpoint{ID: "e-1", State: "Gone"})
 	}()
-	want(t, "an event", poll(1, 5000), `{"index":2,"updates":[{"index":2,"endpoints":{"version":2,"full":false,"servers":[`+
+	checkEqual(t, "an event", poll(1, 5000), `{"index":2,"updates":[{"index":2,"endpoints":{"version":2,"full":false,"servers":[`+
 		`{"id":"e-1","addr":"","zone":"","kind":"","cell":0,"state":"Gone","weight":0,"started_ms":0}]}}]}`)
 	l.TruncateAnswers()
-	want(t, "broken", poll(0, 10), "breaks off")
+	checkEqual(t, "broken", poll(0, 10), "breaks off")
 	l.Recover()
-	want(t, "amiss", poll(-1, 10), "follow and wait_ms: expected numbers from 0\n")
+	checkEqual(t, "amiss", poll(-1, 10), "follow and wait_ms: expected numbers from 0\n")
 }
--- a/internal/testbed/fake/planner.go
+++ b/internal/testbed/fake/planner.go
@@ -34,9 +34,9 @@
 	Kind Kind
 	Text string
 
-	factor   float64 // multiplies the service time of the template's kind
-	badShare float64 // probability that a run uses a bad plan
-	skewed   bool    // some literals multiply the service time by skewFactor
+	factor             float64 // multiplies the service time of the template's kind
+	badPlanProbability float64 // probability that a run uses a bad plan
+	skewed             bool    // some literals multiply the service time by skewFactor
 }
 
 // Planner is a fake of an engine's optimizer and disks. The cost of a run depends on the statement, its literal, and how much bulk
@@ -92,9 +92,9 @@
 func (d templateDrawer) pick(list []string) string { return list[d.random.IntN(len(list))] }
 
 func (d templateDrawer) drawKind() Kind {
-	at := d.random.Float64()
+	point := d.random.Float64()
 	for _, share := range kindShares {
-		if at < share.below {
+		if point < share.below {
 			return share.kind
 		}
 	}
@@ -136,16 +136,16 @@
 			t.Text += " AND " + d.pick(otherColumns) + " > 3"
 		}
 	case RangeScan:
-		t.badShare, t.skewed = badPlanShare, d.random.IntN(4) == 0
+		t.badPlanProbability, t.skewed = badPlanShare, d.random.IntN(4) == 0
 		condition := []string{" BETWEEN '{literal}' AND 'z'", " > '{literal}'", " LIKE '{literal}%'"}[d.random.IntN(3)]
 		t.Text = fmt.Sprintf("SELECT %s FROM %s WHERE %s%s%s", columns, mainTable, key, condition, tail)
 	case IndexJoin:
-		t.badShare = badPlanShare
+		t.badPlanProbability = badPlanShare
 		t.Text = fmt.Sprintf("SELECT m.%s FROM %s m JOIN %s c ON c.clave = m.clave WHERE m.%s > '{literal}'%s",
 			strings.ReplaceAll(columns, ", ", ", m."), mainTable, joinedTable, key, strings.ReplaceAll(tail, "BY ", "BY m."))
 		t.Text = strings.ReplaceAll(t.Text, "m.count(", "count(")
 	case FullScan:
-		t.badShare = badPlanShare
+		t.badPlanProbability = badPlanShare
 		condition := []string{"", " WHERE " + d.pick(otherColumns) + " = '{literal}'", " WHERE upper(" + key + ") = '{literal}'",
 			" WHERE " + key + " LIKE '%{literal}'"}[d.random.IntN(4)]
 		t.Text = "SELECT " + columns + " FROM " + mainTable + condition + tail
@@ -246,7 +246,7 @@
 
 // DrawCost draws the service time of one run of a statement, and returns it with the memory that the run needs, in MB. The request
 // id seeds the draw, so the cost doesn't depend on the engine. ok is false if the statement matches no template.
-func (p *Planner) DrawCost(statement, id string) (took time.Duration, memory float64, ok bool) {
+func (p *Planner) DrawCost(statement, id string) (service time.Duration, memory float64, ok bool) {
 	template, group, literal := p.match(statement)
 	if template == nil {
 		return 0, 0, false
@@ -256,7 +256,7 @@
 	hash.Write([]byte(id))
 	random := rand.New(rand.NewPCG(hash.Sum64(), p.seed))
 	ms *= math.Exp(runSpread * random.NormFloat64())
-	if random.Float64() < template.badShare {
+	if random.Float64() < template.badPlanProbability {
 		ms *= badPlanFactor * (1 + random.Float64())
 	}
 	return time.Duration(ms * float64(time.Millisecond)), memory, true
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -51,16 +51,16 @@
 // Page writes a result as an HTML page that refers to no other file.
 func Page(out io.Writer, result *experiment.Result) error {
 	view := pageView{Result: result, Good: result.Good(), Lanes: classRows(result.Metrics), Outcomes: outcomeRows(result.Metrics)}
-	for _, figure := range pagePlots {
-		drawn, err := figure.draw(result)
+	for _, pagePlot := range pagePlots {
+		drawn, err := pagePlot.draw(result)
 		if err != nil {
-			return fmt.Errorf("%s: %w", figure.title, err)
+			return fmt.Errorf("%s: %w", pagePlot.title, err)
 		}
 		svg, err := renderSVG(drawn)
 		if err != nil {
-			return fmt.Errorf("%s: %w", figure.title, err)
+			return fmt.Errorf("%s: %w", pagePlot.title, err)
 		}
-		view.Pictures = append(view.Pictures, picture{figure.title, figure.text, svg})
+		view.Pictures = append(view.Pictures, picture{pagePlot.title, pagePlot.text, svg})
 	}
 	return pageTemplate.Execute(out, view)
 }
