--- a/internal/testbed/faulttest/page.go
+++ b/internal/testbed/faulttest/page.go
@@ -17,38 +17,38 @@
 
 var page = template.Must(template.New("page").Parse(pageText))
 
-// The picture's sizes, in points.
+// Sizes in the picture, in units of the SVG.
 const (
 	rowHeight = 22
-	leftEdge  = 70
-	wide      = 1000
+	leftEdge  = 70   // x of the start of the load
+	plotWidth = 1000 // from the start of the load to the end of the picture's time
 )
 
-// band is a fault, from X on over the width W in the row whose top is Y.
+// band is a rectangle that shows a fault: X and Y are its top left corner, W and H its width and height, Say its tooltip.
 type band struct {
 	X, Y, W, H float64
 	Class, Say string
 }
 
-// mark is a decision.
+// mark is a circle that shows an event of a history, such as an attempt or a decision. Say is its tooltip.
 type mark struct {
 	X, Y       float64
 	Class, Say string
 }
 
-// row is the name of a process or an engine, beside its row.
+// row is the label of a process's or an engine's row.
 type row struct {
 	Y    float64
 	Name string
 }
 
-// axis is one time on the axis.
-type axis struct {
+// axisLabel is a labeled time on the time axis.
+type axisLabel struct {
 	X    float64
 	Text string
 }
 
-// picture is what the page's template is filled with.
+// picture holds the values for the page's template.
 type picture struct {
 	Title, Verdict string
 	Good           bool
@@ -57,21 +57,21 @@
 	Rows           []row
 	Bands          []band
 	Marks          []mark
-	Axis           []axis
+	Axis           []axisLabel
 	Width, Height  float64
 }
 
-// pageWriter lays out a run on its page.
+// pageWriter computes the positions of a run's faults and events on its page.
 type pageWriter struct {
 	picture picture
-	length  time.Duration      // that the page's width stands for
-	rows    map[string]float64 // by name of a process or an engine: the top of its row
+	length  time.Duration      // time that the width of the picture represents
+	rows    map[string]float64 // by process or engine: y of the top of its row
 	labels  map[incarnation]string
 }
 
-// x is where a time from the load's begin lies.
+// x returns the horizontal position of a time since the start of the load.
 func (w *pageWriter) x(at time.Duration) float64 {
-	return leftEdge + wide*float64(max(0, min(at, w.length)))/float64(w.length)
+	return leftEdge + plotWidth*float64(max(0, min(at, w.length)))/float64(w.length)
 }
 
 func (w *pageWriter) addRow(name string) {
@@ -80,15 +80,15 @@
 	w.picture.Rows = append(w.picture.Rows, row{top + rowHeight/2 + 4, name})
 }
 
-func (w *pageWriter) addMark(at float64, top float64, class, say string) {
-	w.picture.Marks = append(w.picture.Marks, mark{at, top + rowHeight/2, class, say})
+func (w *pageWriter) addMark(at float64, top float64, class, tooltip string) {
+	w.picture.Marks = append(w.picture.Marks, mark{at, top + rowHeight/2, class, tooltip})
 }
 
-// Page writes a run as a page: a row for each process and engine, faults as bands, decisions as marks.
+// Page writes an HTML page about a run. Its picture has a row for each process and engine, with faults as bands and events as marks.
 func (r *Result) Page(out io.Writer) error {
 	s := r.Scenario
 	w := &pageWriter{
-		picture: picture{Title: s.Name, Good: r.Good(), File: s.Text(), Width: leftEdge + wide + 20},
+		picture: picture{Title: s.Name, Good: r.Good(), File: s.Text(), Width: leftEdge + plotWidth + 20},
 		length:  s.Length + r.ConvergedAgain + time.Second,
 		rows:    map[string]float64{},
 		labels:  r.labels(),
@@ -102,7 +102,7 @@
 	w.picture.Height = float64(len(w.picture.Rows)*rowHeight) + 60
 	tick := max(time.Second, (w.length / 12).Round(time.Second))
 	for at := time.Duration(0); at <= w.length; at += tick {
-		w.picture.Axis = append(w.picture.Axis, axis{w.x(at), at.String()})
+		w.picture.Axis = append(w.picture.Axis, axisLabel{w.x(at), at.String()})
 	}
 	for i := range s.Steps {
 		w.addStep(&s.Steps[i], s.Length)
@@ -117,10 +117,10 @@
 	return page.Execute(out, w.picture)
 }
 
-// instantWidth is how long a step without a length is drawn.
+// instantWidth is the length of time with which a step without a length is drawn.
 const instantWidth = 300 * time.Millisecond
 
-// addStep draws a step as a band in the row of everyone that it names.
+// addStep draws a step as a band in the row of each process and engine that the step names.
 func (w *pageWriter) addStep(step *Step, length time.Duration) {
 	until := step.Until
 	switch {
@@ -130,16 +130,17 @@
 	default:
 		until = min(length, step.At+instantWidth)
 	}
-	say := fmt.Sprintf("%s %s %v to %v: %+v", step.Action, step.EngineState, step.At, until, step.Rule)
+	tooltip := fmt.Sprintf("%s %s %v to %v: %+v", step.Action, step.EngineState, step.At, until, step.Rule)
 	names := step.rowPatterns()
 	for name, top := range w.rows {
 		if matchesAny(names, name) {
-			w.picture.Bands = append(w.picture.Bands, band{w.x(step.At), top, w.x(until) - w.x(step.At), rowHeight - 2, step.Action, say})
+			w.picture.Bands = append(w.picture.Bands, band{w.x(step.At), top, w.x(until) - w.x(step.At), rowHeight - 2, step.Action, tooltip})
 		}
 	}
 }
 
-// rowPatterns are the patterns of those in whose rows a step is drawn.
+// rowPatterns returns the patterns of the processes and engines in whose rows a step is drawn. For a link to all gateways or to
+// everything, these are only the senders.
 func (t *Step) rowPatterns() []string {
 	if t.Action != "link" {
 		return slices.Concat(t.From, t.Gateways, t.Engines)
@@ -150,7 +151,8 @@
 	return slices.Concat(t.From, t.Gateways, t.Engines, t.To)
 }
 
-// addEvent draws an event as a mark in the row of its process, and an attempt in the row of its engine too.
+// addEvent draws an event as a mark in the row of its process, and an attempt also in the row of its engine. Other kinds of events than
+// attempts, ejections and membership changes are not drawn.
 func (w *pageWriter) addEvent(e *history.Event, startMonotonic int64) {
 	top, ok := w.rows[w.labels[incarnationOf(e)]]
 	if !ok {
@@ -172,7 +174,8 @@
 	}
 }
 
-// labels tells the row of each process: a twin's is its own, though it bears another's name.
+// labels returns the label of each incarnation's process, which names its row. A twin has its own label, although it has the name of
+// another process.
 func (r *Result) labels() map[incarnation]string {
 	labels := map[incarnation]string{}
 	for i := range r.Events {
--- a/internal/testbed/faulttest/policy_modes.go
+++ b/internal/testbed/faulttest/policy_modes.go
@@ -13,34 +13,35 @@
 	"magpiebank/internal/testbed/load/sqlclient"
 )
 
-// PolicyMode is one way in which policies change, and what came of a run with it.
+// PolicyMode is one way of changing policies, with the result of a run that uses it.
 type PolicyMode struct {
-	Name   string        `json:"name"`
-	Result *Result       `json:"result"`
-	Phases []PolicyPhase `json:"phases"`
-	Older  int           `json:"older"` // uses of shared quotas, by an older number after a newer one
-	Uses   int           `json:"uses"`
+	Name      string        `json:"name"`
+	Result    *Result       `json:"result"`
+	Phases    []PolicyPhase `json:"phases"`
+	OlderUses int           `json:"older"` // uses of shared quotas under an older policy revision after a use under a newer one
+	Uses      int           `json:"uses"`  // all uses of shared quotas
 }
 
-// PolicyPhase is what changes came to in one phase.
+// PolicyPhase summarizes the policy changes and requests of one phase.
 type PolicyPhase struct {
 	Phase
-	Proposals int           `json:"proposals"`
-	Ends      []string      `json:"ends"`
-	Took50    time.Duration `json:"took50"` // of those that were decided
-	Took99    time.Duration `json:"took99"`
-	Loads     int           `json:"loads"`
-	Unsure    int           `json:"unsure"` // loads rejected for want of a lease
-	Served    float64       `json:"served"` // share of the priority weight asked for
-	Older     int           `json:"older"`
-	P50       time.Duration `json:"p50"` // of look-ups that came in it and were served
-	P99       time.Duration `json:"p99"`
+	Proposals      int           `json:"proposals"`
+	Ends           []string      `json:"ends"`
+	DecisionP50    time.Duration `json:"took50"` // time that decided proposals took
+	DecisionP99    time.Duration `json:"took99"`
+	Loads          int           `json:"loads"`
+	RejectedUnsure int           `json:"unsure"` // loads rejected because the gateway held no lease on a policy
+	Served         float64       `json:"served"` // share of the requests' priority weight that was served within the latency objective
+	OlderUses      int           `json:"older"`
+	P50            time.Duration `json:"p50"` // latency of look-ups that were sent in the phase and served
+	P99            time.Duration `json:"p99"`
 }
 
-// pauseBetweenFiles is the time from one gateway's new file to the next one's, as a script would go through them.
+// pauseBetweenFiles is the time between the new files of two gateways, as in a script that updates one gateway after the other.
 const pauseBetweenFiles = 100 * time.Millisecond
 
-// ComparePolicyModes plays a scenario with a policy rollout, and the same changes from files that gateways read at SIGHUP one after the other.
+// ComparePolicyModes runs a scenario twice: with a policy rollout, and with the same changes in operator files that the gateways read at
+// SIGHUP, one gateway after the other.
 func ComparePolicyModes(ctx context.Context, s *Scenario, folder, program string) (list []*PolicyMode, err error) {
 	scenarios := []*Scenario{s, s.withPolicyFiles()}
 	for i, mode := range []*PolicyMode{{Name: "charter"}, {Name: "files at SIGHUP"}} {
@@ -50,7 +51,7 @@
 		}
 		uses, olderUses := mode.Result.countUses()
 		mode.Uses = uses
-		mode.Older = len(olderUses)
+		mode.OlderUses = len(olderUses)
 		for _, phase := range s.Phases {
 			mode.Phases = append(mode.Phases, mode.Result.policyPhase(phase, olderUses))
 		}
@@ -59,7 +60,8 @@
 	return list, nil
 }
 
-// withPolicyFiles is the scenario without a rollout: each proposal is a new file for one gateway after the other.
+// withPolicyFiles returns the scenario without a rollout. Each proposal is replaced by new operator files, for one gateway after the
+// other.
 func (s *Scenario) withPolicyFiles() *Scenario {
 	files := *s
 	files.Rollout, files.Steps = installation.Rollout{}, nil
@@ -84,7 +86,8 @@
 	return &files
 }
 
-// countUses counts uses of quotas, and returns when a process used one by an older number than anyone had used one by before.
+// countUses counts the uses of quotas. olderUses has the times of those under an older policy revision than an earlier use by any
+// process.
 func (r *Result) countUses() (uses int, olderUses []time.Duration) {
 	numbers := map[incarnation]uint64{}
 	highest := uint64(0)
@@ -105,12 +108,12 @@
 	return uses, olderUses
 }
 
-// contains tells whether an instant, counted from the load's begin, lies in the phase.
+// contains reports whether a time since the start of the load is in the phase.
 func (p *Phase) contains(at time.Duration) bool { return at >= p.At && at < p.Until }
 
 func (r *Result) policyPhase(phase Phase, olderUses []time.Duration) PolicyPhase {
 	metrics := PolicyPhase{Phase: phase}
-	var proposals []Proposed
+	var proposals []ProposalResult
 	for _, proposal := range r.Proposals {
 		if phase.contains(proposal.At) {
 			proposals = append(proposals, proposal)
@@ -118,23 +121,23 @@
 	}
 	metrics.Proposals = len(proposals)
 	metrics.Ends = countEnds(proposals)
-	metrics.Took50, metrics.Took99 = percentiles(decidedTimes(proposals))
+	metrics.DecisionP50, metrics.DecisionP99 = percentiles(decidedTimes(proposals))
 	metrics.measureRequests(r.Requests)
 	for i := range r.Events {
 		e := &r.Events[i]
 		if e.Kind == history.RequestDecided && e.Code == "unsure" && phase.contains(time.Duration(e.At-r.StartMonotonic)) {
-			metrics.Unsure++
+			metrics.RejectedUnsure++
 		}
 	}
 	for _, at := range olderUses {
-		metrics.Older += btoi(phase.contains(at))
+		metrics.OlderUses += btoi(phase.contains(at))
 	}
 	return metrics
 }
 
-// measureRequests takes in the requests that came in the phase.
+// measureRequests computes the metrics of the requests that were sent in the phase.
 func (p *PolicyPhase) measureRequests(requests []Request) {
-	asked, earned := 0.0, 0.0
+	requested, earned := 0.0, 0.0
 	var took []time.Duration
 	for i := range requests {
 		request := &requests[i]
@@ -142,19 +145,19 @@
 			continue
 		}
 		p.Loads += btoi(request.Load)
-		asked += request.worth()
-		earned += request.Worth()
+		requested += request.weight()
+		earned += request.EarnedWeight()
 		if request.End == sqlclient.Served && !request.Load {
 			took = append(took, request.Took)
 		}
 	}
 	p.P50, p.P99 = percentiles(took)
-	if asked > 0 {
-		p.Served = earned / asked
+	if requested > 0 {
+		p.Served = earned / requested
 	}
 }
 
-// WritePolicyModes writes the modes one below the other.
+// WritePolicyModes writes a table for each mode.
 func WritePolicyModes(out io.Writer, list []*PolicyMode) {
 	s := list[0].Result.Scenario
 	fmt.Fprintf(out, "%s: %d gateways, %d voters, lease %v, %d engines; real processes and sockets on loopback, one way after the other\n", s.Name, s.Gateways, s.Rollout.Voters, s.Rollout.Lease,
@@ -162,10 +165,10 @@
 	for _, mode := range list {
 		fmt.Fprintf(out, "\n%s\n%-16s %9s %9s %9s %9s %9s %9s %9s %7s  %s\n", mode.Name, "phase", "in force", "p99", "no lease", "served", "older", "look p50", "p99", "changes", "")
 		for _, p := range mode.Phases {
-			fmt.Fprintf(out, "%-16s %6.0f ms %6.0f ms %9.4f %9.3f %9d %6.1f ms %6.1f ms %7d  %s\n", p.Name, p.Took50.Seconds()*1000, p.Took99.Seconds()*1000, float64(p.Unsure)/float64(max(1, p.Loads)), p.Served,
-				p.Older, p.P50.Seconds()*1000, p.P99.Seconds()*1000, p.Proposals, strings.Join(p.Ends, ", "))
+			fmt.Fprintf(out, "%-16s %6.0f ms %6.0f ms %9.4f %9.3f %9d %6.1f ms %6.1f ms %7d  %s\n", p.Name, p.DecisionP50.Seconds()*1000, p.DecisionP99.Seconds()*1000, float64(p.RejectedUnsure)/float64(max(1, p.Loads)), p.Served,
+				p.OlderUses, p.P50.Seconds()*1000, p.P99.Seconds()*1000, p.Proposals, strings.Join(p.Ends, ", "))
 		}
-		fmt.Fprintf(out, "%d of %d uses of what is the fleet's were by an older number after a newer\n", mode.Older, mode.Uses)
+		fmt.Fprintf(out, "%d of %d uses of what is the fleet's were by an older number after a newer\n", mode.OlderUses, mode.Uses)
 		mode.Result.Text(out)
 	}
 }
