--- a/cmd/magpiebank-testbed/starved.go
+++ b/cmd/magpiebank-testbed/starved.go
@@ -12,16 +12,17 @@
 	"magpiebank/internal/testbed/load/experiment"
 )
 
-// spin keeps a processor busy until it is over.
-func spin(over *atomic.Bool) {
+// spin keeps a processor busy until stop is set.
+func spin(stop *atomic.Bool) {
 	rounds := 0
-	for !over.Load() {
+	for !stop.Load() {
 		rounds++
 	}
 }
 
-// starved plays a load on one processor beside a busy loop: the run must say that it was late, and not be called good.
-func starved(c *cobra.Command, o *output) error {
+// runStarved runs a load on one processor together with a busy loop. The load generator is then late, and the run's verdict has to
+// report that; otherwise runStarved returns errReported.
+func runStarved(c *cobra.Command, o *output) error {
 	e, err := experiment.Find("generator")
 	if err != nil {
 		return err
@@ -29,19 +30,19 @@
 	e.Name, e.Length, e.Loops = "starved", 5*time.Second, 1
 	e.Shape = arrival.Shape{Kind: arrival.Poisson, Rate: 1000}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	var over atomic.Bool
-	defer over.Store(true)
-	go spin(&over)
-	r, err := play(c.Context(), c, e, o)
+	var stop atomic.Bool
+	defer stop.Store(true)
+	go spin(&stop)
+	r, err := runExperiment(c.Context(), c, e, o)
 	if err != nil {
 		return err
 	}
 	for _, v := range r.Verdicts {
 		if v.Name == "generator" && !v.Good {
-			fmt.Fprintln(c.OutOrStdout(), "\nstarved, and the run says so")
+			fmt.Fprintln(c.OutOrStdout(), "\nstarved, and the run reports it")
 			return nil
 		}
 	}
-	fmt.Fprintln(c.OutOrStdout(), "\nstarved, but the run was called in time")
-	return errMissed
+	fmt.Fprintln(c.OutOrStdout(), "\nstarved, but the run reports that the generator was in time")
+	return errReported
 }
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -15,20 +15,21 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// result is one of a run in which look-ups took about so long.
-func result(name string, about time.Duration) *experiment.Result {
-	f := stats.New([]string{"look", "load"}, []time.Duration{50 * time.Millisecond, time.Second})
+// newResult returns the result of a run of 2,000 requests with latencies from the given one to 49 ms more. Every hundredth request was
+// rejected.
+func newResult(name string, latency time.Duration) *experiment.Result {
+	metrics := stats.New([]string{"look", "load"}, []time.Duration{50 * time.Millisecond, time.Second})
 	for n := range uint64(2000) {
 		at := time.Duration(n) * 5 * time.Millisecond
-		how := client.Served
+		outcome := client.Served
 		if n%100 == 99 {
-			how = client.Rejected
+			outcome = client.Rejected
 		}
-		f.RecordOffered(at)
-		f.RecordFinished(&client.Report{Request: &arrival.Request{Number: n, At: at, Class: int(n % 2)}, Outcome: how, FinishedAt: at + about + time.Duration(n%50)*time.Millisecond,
+		metrics.RecordOffered(at)
+		metrics.RecordFinished(&client.Report{Request: &arrival.Request{Number: n, At: at, Class: int(n % 2)}, Outcome: outcome, FinishedAt: at + latency + time.Duration(n%50)*time.Millisecond,
 			SentAt: at, Attempts: 1})
 	}
-	r := &experiment.Result{Name: name, Seed: 4, Scheduled: 2000, Took: 10 * time.Second, Length: 10 * time.Second, Metrics: f}
+	r := &experiment.Result{Name: name, Seed: 4, Scheduled: 2000, Took: 10 * time.Second, Length: 10 * time.Second, Metrics: metrics}
 	r.Verdicts = []experiment.Verdict{{Name: "generator", Good: true, Text: "in time"}, {Name: "rules", Text: "broken <b>"}}
 	r.Script = []experiment.ScriptEvent{{At: time.Second, What: "pause 0"}}
 	r.Truth = []experiment.Comparison{{Class: "look", Requests: 10, Rows: []experiment.Row{{Quantile: 0.5, Reported: time.Second, True: time.Second, Good: true}}}}
@@ -36,7 +37,7 @@
 }
 
 func ExampleText() {
-	Text(os.Stdout, result("some", 10*time.Millisecond))
+	Text(os.Stdout, newResult("some", 10*time.Millisecond))
 	// Output:
 	// some: seed 4, 2000 tasks in 10s, real sockets on loopback
 	//
@@ -58,11 +59,11 @@
 	// MISSED rules: broken <b>
 }
 
-// Medians and intervals; a difference counts where it exceeds what repeats differ by.
+// The verdict is better or worse only if the difference exceeds the differences between repeated runs, and there are enough runs.
 func ExampleCompare() {
-	runs := func(n int, about, each time.Duration) (out []*experiment.Result) {
+	runs := func(n int, latency, step time.Duration) (out []*experiment.Result) {
 		for i := range n {
-			out = append(out, result("some", about+time.Duration(i)*each))
+			out = append(out, newResult("some", latency+time.Duration(i)*step))
 		}
 		return out
 	}
@@ -70,7 +71,7 @@
 	fmt.Println(Compare(os.Stdout, runs(5, 20*ms, ms), runs(5, 21*ms, ms)))
 	fmt.Println(Compare(os.Stdout, runs(5, 40*ms, ms), runs(6, 10*ms, ms)))
 	fmt.Println(Compare(os.Stdout, runs(2, 40*ms, ms), runs(6, 10*ms, ms)))
-	fmt.Println(Compare(os.Stdout, runs(1, ms, ms), []*experiment.Result{result("other", ms)}))
+	fmt.Println(Compare(os.Stdout, runs(1, ms, ms), []*experiment.Result{newResult("other", ms)}))
 	// Output:
 	// some                   before (5)      interval  after (5)      interval  difference           verdict
 	// look p50 ms                 46.02  44.03..48.03      47.01  45.02..49.02       +0.99  within the noise
@@ -105,10 +106,10 @@
 	// runs of some and of other can't be compared
 }
 
-// The page holds all of it and needs no other file.
+// The page has all parts of the result and refers to no other file.
 func TestPage(t *testing.T) {
 	var b bytes.Buffer
-	if err := Page(&b, result("some", 10*time.Millisecond)); err != nil {
+	if err := Page(&b, newResult("some", 10*time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
@@ -118,11 +119,11 @@
 		}
 	}
 	if n := strings.Count(page, "<svg"); n != 5 || strings.Contains(page, "src=") || strings.Contains(page, "href=\"http") {
-		t.Errorf("%d pictures", n)
+		t.Errorf("expected 5 pictures and no links to other files, found %d pictures", n)
 	}
 	empty := &experiment.Result{Name: "empty", Metrics: stats.New([]string{"look"}, []time.Duration{1})}
 	if err := Page(&bytes.Buffer{}, empty); err != nil {
-		t.Errorf("a run without a task: %v", err)
+		t.Errorf("page of a run without requests: %v", err)
 	}
 }
 
@@ -133,15 +134,15 @@
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		if id, err := a.Put(result("some", time.Duration(i)*time.Millisecond), "note"); err != nil || id != uint64(i+1) {
-			t.Fatalf("%d %v", id, err)
+		if id, err := a.Put(newResult("some", time.Duration(i)*time.Millisecond), "note"); err != nil || id != uint64(i+1) {
+			t.Fatalf("expected numbers from 1 for stored runs, found %d, error %v", id, err)
 		}
 	}
 	if err := a.Remove(2); err != nil {
 		t.Error(err)
 	}
 	if err := a.Remove(2); err == nil {
-		t.Error("a run was taken out twice")
+		t.Error("expected an error when a run is removed twice")
 	}
 	if err := a.Close(); err != nil {
 		t.Fatal(err)
@@ -155,11 +156,11 @@
 	if err := a.Each(func(k *ArchivedRun) error { n += int(k.ID); return nil }); err != nil {
 		t.Error(err)
 	}
-	k, err := a.Get(3)
-	if err != nil || n != 4 || k.Note != "note" || k.Result.Metrics.Total() != 2000 || k.Result.Good() {
-		t.Errorf("%d %v %+v", n, err, k)
+	run, err := a.Get(3)
+	if err != nil || n != 4 || run.Note != "note" || run.Result.Metrics.Total() != 2000 || run.Result.Good() {
+		t.Errorf("expected run 3 and a sum of numbers of 4, found a sum of %d, error %v, run %+v", n, err, run)
 	}
 	if _, err := a.Get(2); err == nil {
-		t.Error("a run that isn't there was found")
+		t.Error("expected an error for a removed run, but it was found")
 	}
 }
