--- a/internal/testbed/load/arrival/arrival_test.go
+++ b/internal/testbed/load/arrival/arrival_test.go
@@ -70,10 +70,10 @@
 }
 
 func ExampleShape_Check() {
-	for _, s := range []Shape{{Kind: "poison"}, {Kind: Poisson, Rate: -1}, {Kind: Bursts}, {Kind: Ramp, Rate: 1},
+	for _, shape := range []Shape{{Kind: "poison"}, {Kind: Poisson, Rate: -1}, {Kind: Bursts}, {Kind: Ramp, Rate: 1},
 		{Kind: OnOff, On: 1, Off: 1, Tail: 1}, {Kind: Sum, Parts: []Shape{{Kind: Steady}, {Kind: Thin, Factor: 2, Parts: []Shape{{Kind: Steady}}}}},
 		{Kind: Sequence, Parts: []Shape{{Kind: Steady}, {Kind: Steady}}}, {Kind: Replay, Times: []time.Duration{2, 1}}} {
-		fmt.Println(s.Check("load"))
+		fmt.Println(shape.Check("load"))
 	}
 	// Output:
 	// load.kind: expected one of poisson, steady, bursts, on-off, ramp, step, diurnal, flash, replay, sum, scale, thin and sequence, found "poison"
@@ -92,9 +92,9 @@
 }
 
 func ExampleSchedule() {
-	s, err := NewSchedule(&Shape{Kind: Steady, Rate: 10}, testClasses, 3, time.Second)
-	for t, ok := s.Next(); ok; t, ok = s.Next() {
-		fmt.Printf("%d %v %s %s\n", t.Number, t.At, testClasses[t.Class].Name, testClasses[t.Class].Statement(nil, &t))
+	schedule, err := NewSchedule(&Shape{Kind: Steady, Rate: 10}, testClasses, 3, time.Second)
+	for request, ok := schedule.Next(); ok; request, ok = schedule.Next() {
+		fmt.Printf("%d %v %s %s\n", request.Number, request.At, testClasses[request.Class].Name, testClasses[request.Class].Statement(nil, &request))
 	}
 	fmt.Println(err)
 	// Output:
@@ -162,14 +162,14 @@
 }
 
 func BenchmarkSchedule(b *testing.B) {
-	s, err := NewSchedule(&Shape{Kind: Poisson, Rate: 50000}, testClasses, 1, 0)
+	schedule, err := NewSchedule(&Shape{Kind: Poisson, Rate: 50000}, testClasses, 1, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	var text []byte
 	for b.Loop() {
-		t, _ := s.Next()
-		text = testClasses[t.Class].Statement(text[:0], &t)
+		request, _ := schedule.Next()
+		text = testClasses[request.Class].Statement(text[:0], &request)
 	}
 }
--- a/internal/testbed/load/arrival/schedule.go
+++ b/internal/testbed/load/arrival/schedule.go
@@ -35,26 +35,26 @@
 
 // Request is one arrival. Number counts all arrivals of a schedule from 0, whoever sends them.
 type Request struct {
-	Number   uint64
-	At       time.Duration // intended, from the start of the run
-	Class    int
-	Template int
-	Group    int
-	Literal  uint64
-	Draw     uint64 // random, for what the client decides
+	Number     uint64
+	At         time.Duration // intended, from the start of the run
+	Class      int
+	Template   int
+	Group      int
+	Literal    uint64
+	RandomBits uint64 // random, for what the client decides
 }
 
 // Schedule gives the requests of a load in order. What a request is depends on the seed and its number alone, so that
 // it is the same whoever draws it.
 type Schedule struct {
-	classes          []Class
-	cumulativeShares []float64   // of the classes
-	cumulativeGroups [][]float64 // weights of the groups, by class
-	stream           Stream
-	seed             uint64
-	length           time.Duration
-	next             uint64 // number of the next request
-	marks            []Mark
+	classes                []Class
+	cumulativeShares       []float64   // of the classes
+	cumulativeGroupWeights [][]float64 // weights of the groups, by class
+	stream                 Stream
+	seed                   uint64
+	length                 time.Duration
+	next                   uint64 // number of the next request
+	marks                  []Mark
 }
 
 // maxGroups bounds a class's groups of tables.
@@ -74,7 +74,7 @@
 		}
 		sum += class.Share
 		schedule.cumulativeShares = append(schedule.cumulativeShares, sum)
-		schedule.cumulativeGroups = append(schedule.cumulativeGroups, cumulativeZipf(max(1, class.Groups), class.Zipf))
+		schedule.cumulativeGroupWeights = append(schedule.cumulativeGroupWeights, cumulativeZipf(max(1, class.Groups), class.Zipf))
 	}
 	if !(sum > 0) {
 		return nil, errors.New("lanes: expected shares that sum up to more than 0")
@@ -104,7 +104,7 @@
 	request = Request{Number: number, At: at, Class: findFraction(s.cumulativeShares, drawFraction(random))}
 	class := &s.classes[request.Class]
 	request.Template = int(random.Uint64() % uint64(len(class.Statements)))
-	request.Group = 1 + findFraction(s.cumulativeGroups[request.Class], drawFraction(random))
+	request.Group = 1 + findFraction(s.cumulativeGroupWeights[request.Class], drawFraction(random))
 	if s.marks != nil { // after the same draws as without marks, so that the following draws are the same too
 		request.Class, request.Group = s.marks[number].Class, max(1, s.marks[number].Group)
 		request.Template %= len(s.classes[request.Class].Statements)
@@ -114,7 +114,7 @@
 	if class.Literals > 0 {
 		request.Literal %= uint64(class.Literals)
 	}
-	request.Draw = random.Uint64()
+	request.RandomBits = random.Uint64()
 	return request, true
 }
 
--- a/internal/testbed/load/arrival/shape_stream.go
+++ b/internal/testbed/load/arrival/shape_stream.go
@@ -42,7 +42,7 @@
 	switch s.Kind {
 	case Poisson, Ramp, Step, Diurnal, Flash:
 		rate, maximum := s.rateOverTime(factor)
-		return &varyingStream{random: random, maximum: maximum, rate: rate}
+		return &varyingRateStream{random: random, maximum: maximum, rate: rate}
 	case Steady:
 		return &steadyStream{rate: s.Rate * factor}
 	case Bursts, OnOff:
--- a/internal/testbed/load/arrival/stream.go
+++ b/internal/testbed/load/arrival/stream.go
@@ -29,9 +29,9 @@
 	return at, at < never
 }
 
-// varyingStream is a Poisson process whose rate changes with time. It draws candidates at the maximum rate and accepts
+// varyingRateStream is a Poisson process whose rate changes with time. It draws candidates at the maximum rate and accepts
 // each with the probability of the rate there.
-type varyingStream struct {
+type varyingRateStream struct {
 	random  *rand.Rand
 	maximum float64 // rate a second
 	rate    func(time.Duration) float64
@@ -42,7 +42,7 @@
 // candidates and then goes on, but for one that was given a rate a million times under its peak.
 const maxRejectedCandidates = 10_000_000
 
-func (v *varyingStream) Next() (time.Duration, bool) {
+func (v *varyingRateStream) Next() (time.Duration, bool) {
 	if v.maximum <= 0 {
 		return 0, false
 	}
@@ -62,51 +62,51 @@
 
 // modulatedStream is a Poisson process that keeps a rate for a while and then enters the next state.
 type modulatedStream struct {
-	random    *rand.Rand
-	drawState func(number int) (rate float64, length time.Duration)
-	states    int // entered so far
-	rate      float64
-	at        time.Duration
-	until     time.Duration // end of the state
+	random        *rand.Rand
+	drawState     func(number int) (rate float64, length time.Duration)
+	statesEntered int // entered so far
+	rate          float64
+	at            time.Duration
+	stateEnd      time.Duration // end of the state
 }
 
 func (m *modulatedStream) enterState() {
 	var length time.Duration
-	m.rate, length = m.drawState(m.states)
-	m.states++
-	m.until += max(length, 1)
+	m.rate, length = m.drawState(m.statesEntered)
+	m.statesEntered++
+	m.stateEnd += max(length, 1)
 }
 
 func (m *modulatedStream) Next() (time.Duration, bool) {
-	for m.until < never/2 {
+	for m.stateEnd < never/2 {
 		if m.rate > 0 {
 			at := m.at + fromSeconds(m.random.ExpFloat64()/m.rate)
-			if at < m.until && at >= m.at {
+			if at < m.stateEnd && at >= m.at {
 				m.at = at
 				return at, true
 			}
 		}
-		m.at = m.until // the process has no memory, so a time past the state's end is drawn anew
+		m.at = m.stateEnd // the process has no memory, so a time past the state's end is drawn anew
 		m.enterState()
 	}
 	return 0, false
 }
 
 type replayStream struct {
-	times  []time.Duration
-	random *rand.Rand // nil: at the times themselves; otherwise somewhere in the gap that follows each
-	next   int        // index into times
-	last   time.Duration
+	times     []time.Duration
+	random    *rand.Rand // nil: at the times themselves; otherwise somewhere in the gap that follows each
+	nextIndex int        // index into times
+	last      time.Duration
 }
 
 func (r *replayStream) Next() (time.Duration, bool) {
-	if r.next >= len(r.times) {
+	if r.nextIndex >= len(r.times) {
 		return 0, false
 	}
-	at := r.times[r.next]
-	r.next++
-	if r.random != nil && r.next < len(r.times) {
-		at += time.Duration(r.random.Float64() * float64(r.times[r.next]-at))
+	at := r.times[r.nextIndex]
+	r.nextIndex++
+	if r.random != nil && r.nextIndex < len(r.times) {
+		at += time.Duration(r.random.Float64() * float64(r.times[r.nextIndex]-at))
 	}
 	r.last = max(r.last, at)
 	return r.last, true
@@ -118,7 +118,7 @@
 // streamHead is the next time of one of the streams.
 type streamHead struct {
 	at     time.Duration
-	part   int
+	order  int
 	source Stream
 }
 
@@ -127,7 +127,7 @@
 	if m.heads[i].at != m.heads[j].at {
 		return m.heads[i].at < m.heads[j].at
 	}
-	return m.heads[i].part < m.heads[j].part
+	return m.heads[i].order < m.heads[j].order
 }
 func (m *mergedStream) Swap(i, j int) { m.heads[i], m.heads[j] = m.heads[j], m.heads[i] }
 
--- a/internal/testbed/load/client/client.go
+++ b/internal/testbed/load/client/client.go
@@ -56,8 +56,8 @@
 	SilentShare  float64 `json:"Mute"`  // connect and never send a query
 }
 
-// Session names a connection of a load; the numbers of closed sessions are reused.
-type Session int32
+// SessionID names a connection of a load; the numbers of closed sessions are reused.
+type SessionID int32
 
 // Attempt is what the driver sends for one attempt at a request.
 type Attempt struct {
@@ -82,10 +82,10 @@
 
 // Transport carries out what the clients decide. Its results come back later, as calls of the Clients' Handle methods.
 type Transport interface {
-	Dial(session Session)                                      // then HandleConnected or HandleClosed
-	Send(session Session, attempt *Attempt)                    // then HandleAnswer or HandleClosed
-	Close(session Session)                                     // then nothing more of this session
-	KillQuery(connection uint32)                               // KILL QUERY on a session of its own, without a result
+	Dial(sessionID SessionID)                                  // then HandleConnected or HandleClosed
+	Send(sessionID SessionID, attempt *Attempt)                // then HandleAnswer or HandleClosed
+	Close(sessionID SessionID)                                 // then nothing more of this session
+	KillQuery(connectionID uint32)                             // KILL QUERY on a session of its own, without a result
 	SetTimer(at time.Duration, request int32, sequence uint32) // then HandleTimer
 	Finished(report *Report)
 }
--- a/internal/testbed/load/client/clients.go
+++ b/internal/testbed/load/client/clients.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// closeRace is how long after a send a close still counts as having crossed the request, which is sent again once.
-	closeRace = 50 * time.Millisecond
+	// closeRaceWindow is how long after a send a close still counts as having crossed the request, which is sent again once.
+	closeRaceWindow = 50 * time.Millisecond
 	// killGrace is the time from KILL QUERY to the close.
 	killGrace = 500 * time.Millisecond
 	// maxIdleTimeout bounds Behavior.IdleTimeout.
@@ -46,8 +46,8 @@
 type pendingRequest struct {
 	request        arrival.Request
 	state          requestState
-	session        Session // -1: none
-	timerSequence  uint32  // a timer that was set with another one is out of date
+	session        SessionID // -1: none
+	timerSequence  uint32    // a timer that was set with another one is out of date
 	attempts       int
 	id             uint64
 	misbehavior    misbehavior
@@ -68,18 +68,18 @@
 	random    *rand.Rand
 	seed      int64
 
-	requests     []pendingRequest
-	freeRequest  int32 // head of the free list; -1: none
-	sessions     []session
-	freeSessions []Session
-	openSessions int             // that count under the limit
-	queue        sequencedQueue  // of requests that wait for a connection
-	pool         []sequencedSlot // of idle sessions that may be used again
-	heldOpen     sequencedQueue  // of sessions that are not used again, the longest idle first
-	retryBudget  retryBudget
-	unfinished   int
-	attempt      Attempt // passed to the transport, reused to avoid an allocation
-	report       Report  // passed to the transport, reused to avoid an allocation
+	requests        []pendingRequest
+	freeRequestHead int32 // head of the free list; -1: none
+	sessions        []session
+	freeSessions    []SessionID
+	openSessions    int              // that count under the limit
+	queue           sequencedQueue   // of requests that wait for a connection
+	pool            []sequencedIndex // of idle sessions that may be used again
+	heldOpen        sequencedQueue   // of sessions that are not used again, the longest idle first
+	retryBudget     retryBudget
+	unfinished      int
+	attempt         Attempt // passed to the transport, reused to avoid an allocation
+	report          Report  // passed to the transport, reused to avoid an allocation
 }
 
 // NewClients returns a load's clients, or a shard of them: ids come from the load's seed and the request's number,
@@ -90,7 +90,7 @@
 		behavior.IdleTimeout = maxIdleTimeout
 	}
 	return &Clients{transport: transport, behavior: behavior, classes: classes, random: rand.New(rand.NewSource(seed + shard)),
-		seed: seed, freeRequest: -1, retryBudget: retryBudget{span: behavior.RetryWindow}}
+		seed: seed, freeRequestHead: -1, retryBudget: retryBudget{window: behavior.RetryWindow}}
 }
 
 // Unfinished is how many requests have no outcome yet.
@@ -101,19 +101,19 @@
 
 // HandleArrival begins a request at its intended time, or later when the driver is late.
 func (c *Clients) HandleArrival(now time.Duration, request arrival.Request) {
-	index := c.freeRequest
+	index := c.freeRequestHead
 	if index < 0 {
 		c.requests = append(c.requests, pendingRequest{})
 		index = int32(len(c.requests) - 1)
 	} else {
-		c.freeRequest = c.requests[index].nextFree
+		c.freeRequestHead = c.requests[index].nextFree
 	}
 	pending := &c.requests[index]
 	sequence := pending.timerSequence + 1
 	*pending = pendingRequest{request: request, timerSequence: sequence, session: -1, generatorDelay: max(0, now-request.At),
-		deadline: request.At + c.classes[request.Class].MaxWait, misbehavior: c.behavior.misbehaviorOf(request.Draw)}
+		deadline: request.At + c.classes[request.Class].MaxWait, misbehavior: c.behavior.misbehaviorOf(request.RandomBits)}
 	c.unfinished++
-	c.retryBudget.recordFirst(now)
+	c.retryBudget.recordFirstAttempt(now)
 	c.startAttempt(now, index)
 }
 
@@ -154,11 +154,11 @@
 }
 
 // useSession sends an attempt on a session that is connected and idle.
-func (c *Clients) useSession(now time.Duration, index int32, number Session) {
-	pending, used := &c.requests[index], &c.sessions[number]
-	used.request = index
-	used.sequence++
-	pending.session = number
+func (c *Clients) useSession(now time.Duration, index int32, sessionID SessionID) {
+	pending, acquired := &c.requests[index], &c.sessions[sessionID]
+	acquired.request = index
+	acquired.sequence++
+	pending.session = sessionID
 	if now >= pending.deadline {
 		c.finish(now, index, NotSent)
 		return
@@ -177,5 +177,5 @@
 	c.setTimer(index, endsAt)
 	c.attempt = Attempt{Request: &pending.request, ID: pending.id, WaitMS: max(1, (pending.deadline - now).Milliseconds()),
 		Retry: pending.attempts > 1 && c.classes[pending.request.Class].MarkRetry, Slow: pending.misbehavior == readsSlowly}
-	c.transport.Send(number, &c.attempt)
+	c.transport.Send(sessionID, &c.attempt)
 }
--- a/internal/testbed/load/client/clients_test.go
+++ b/internal/testbed/load/client/clients_test.go
@@ -20,7 +20,7 @@
 	clients    *Clients
 	now        time.Duration
 	timers     []scriptTimer
-	ids        map[Session]uint64
+	ids        map[SessionID]uint64
 	nextNumber uint64
 }
 
@@ -32,7 +32,7 @@
 
 func newScript(t *testing.T, behavior Behavior) *script {
 	t.Helper()
-	s := &script{t: t, ids: map[Session]uint64{}}
+	s := &script{t: t, ids: map[SessionID]uint64{}}
 	class := arrival.Class{Name: "look", LatencyObjective: time.Second, MaxWait: 3 * time.Second, MarkRetry: true}
 	idempotent := class
 	idempotent.Idempotent = true
@@ -44,28 +44,28 @@
 	fmt.Fprintf(&s.out, "%8.1f ms  %s\n", float64(s.now)/1e6, fmt.Sprintf(format, args...))
 }
 
-func (s *script) Dial(c Session) { s.logf("dial %d", c) }
-func (s *script) Send(c Session, a *Attempt) {
-	s.ids[c] = a.ID
-	s.logf("send task %d on %d, wait %d ms, retry %v, slow %v", a.Request.Number, c, a.WaitMS, a.Retry, a.Slow)
+func (s *script) Dial(sessionID SessionID) { s.logf("dial %d", sessionID) }
+func (s *script) Send(sessionID SessionID, attempt *Attempt) {
+	s.ids[sessionID] = attempt.ID
+	s.logf("send task %d on %d, wait %d ms, retry %v, slow %v", attempt.Request.Number, sessionID, attempt.WaitMS, attempt.Retry, attempt.Slow)
 }
-func (s *script) Close(c Session)             { s.logf("close %d", c) }
-func (s *script) KillQuery(connection uint32) { s.logf("kill %d", connection) }
+func (s *script) Close(sessionID SessionID)     { s.logf("close %d", sessionID) }
+func (s *script) KillQuery(connectionID uint32) { s.logf("kill %d", connectionID) }
 func (s *script) SetTimer(at time.Duration, request int32, sequence uint32) {
 	s.timers = append(s.timers, scriptTimer{at, request, sequence})
 }
-func (s *script) Finished(r *Report) {
-	s.logf("task %d %s after %.1f ms, own %.1f, queued %.1f, tries %d, odd %v", r.Request.Number, r.Outcome,
-		float64(r.FinishedAt-r.Request.At)/1e6, float64(r.GeneratorDelay)/1e6, float64(r.QueueDelay)/1e6, r.Attempts, r.Misbehaving)
+func (s *script) Finished(report *Report) {
+	s.logf("task %d %s after %.1f ms, own %.1f, queued %.1f, tries %d, odd %v", report.Request.Number, report.Outcome,
+		float64(report.FinishedAt-report.Request.At)/1e6, float64(report.GeneratorDelay)/1e6, float64(report.QueueDelay)/1e6, report.Attempts, report.Misbehaving)
 }
 
 // advance lets time pass and fires the timers that come due.
-func (s *script) advance(d time.Duration) {
-	until := s.now + d
+func (s *script) advance(duration time.Duration) {
+	until := s.now + duration
 	for {
 		first := -1
-		for i, t := range s.timers {
-			if t.at <= until && (first < 0 || t.at < s.timers[first].at) {
+		for i, timer := range s.timers {
+			if timer.at <= until && (first < 0 || timer.at < s.timers[first].at) {
 				first = i
 			}
 		}
@@ -73,25 +73,27 @@
 			s.now = until
 			return
 		}
-		t := s.timers[first]
+		timer := s.timers[first]
 		s.timers = append(s.timers[:first], s.timers[first+1:]...)
-		s.now = max(s.now, t.at)
-		s.clients.HandleTimer(s.now, t.request, t.sequence)
+		s.now = max(s.now, timer.at)
+		s.clients.HandleTimer(s.now, timer.request, timer.sequence)
 	}
 }
 
 func (s *script) arrive(class int) {
-	s.clients.HandleArrival(s.now, arrival.Request{Number: s.nextNumber, At: s.now, Class: class, Draw: 1 << 62})
+	s.clients.HandleArrival(s.now, arrival.Request{Number: s.nextNumber, At: s.now, Class: class, RandomBits: 1 << 62})
 	s.nextNumber++
 }
 
-func (s *script) connect(c Session) { s.clients.HandleConnected(s.now, c, 100+uint32(c)) }
-func (s *script) answer(c Session, outcome Outcome, retryAfter time.Duration) {
-	s.clients.HandleAnswer(s.now, c, s.ids[c], outcome, retryAfter)
+func (s *script) connect(sessionID SessionID) {
+	s.clients.HandleConnected(s.now, sessionID, 100+uint32(sessionID))
+}
+func (s *script) answer(sessionID SessionID, outcome Outcome, retryAfter time.Duration) {
+	s.clients.HandleAnswer(s.now, sessionID, s.ids[sessionID], outcome, retryAfter)
 }
 
-// closeFirst closes session 0 from the other side.
-func (s *script) closeFirst(refused bool) { s.clients.HandleClosed(s.now, 0, refused) }
+// closeSession0 closes session 0 from the other side.
+func (s *script) closeSession0(refused bool) { s.clients.HandleClosed(s.now, 0, refused) }
 
 func (s *script) checkTrace(name string) {
 	s.t.Helper()
@@ -151,7 +153,7 @@
 }
 
 // The attempt timeout ends: KILL QUERY, the close half a second later, and an answer in between is ignored.
-func TestAttemptTimeout(t *testing.T) {
+func TestDeadline(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 1})
 	s.arrive(0)
 	s.advance(40 * ms)
@@ -164,7 +166,7 @@
 	s.arrive(0) // the connection ends while the client is leaving
 	s.connect(0)
 	s.advance(3100 * ms)
-	s.closeFirst(false)
+	s.closeSession0(false)
 	s.advance(time.Second)
 	s.checkTrace("patience")
 }
@@ -173,25 +175,25 @@
 func TestConnectionsLost(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 2, Backoff: 100 * ms})
 	s.arrive(0)
-	s.closeFirst(true)
+	s.closeSession0(true)
 	s.advance(200 * ms)
 	s.connect(0)
 	s.answer(0, Served, 0)
 	s.arrive(0) // on a session that was idle; a close crosses the request
 	s.advance(20 * ms)
-	s.closeFirst(false)
+	s.closeSession0(false)
 	s.connect(0)
 	s.advance(20 * ms)
-	s.closeFirst(false) // this one is new, so it is lost
+	s.closeSession0(false) // this one is new, so it is lost
 	s.arrive(0)
 	s.connect(0)
 	s.answer(0, Served, 0)
 	s.arrive(0)
 	s.advance(60 * ms)
-	s.closeFirst(false) // too late to have crossed
-	s.arrive(1)         // lost, and may be repeated
+	s.closeSession0(false) // too late to have crossed
+	s.arrive(1)            // lost, and may be repeated
 	s.connect(0)
-	s.closeFirst(false)
+	s.closeSession0(false)
 	s.advance(150 * ms)
 	s.connect(0)
 	s.answer(0, MalformedAnswer, 0)
@@ -228,7 +230,7 @@
 	s.arrive(0)
 	s.answer(1, Served, 0)
 	s.advance(time.Second)
-	s.closeFirst(false) // closed by the other side while idle
+	s.closeSession0(false) // closed by the other side while idle
 	s.clients.CloseIdle(s.now)
 	s.advance(1100 * ms)
 	s.clients.CloseIdle(s.now)
@@ -237,17 +239,17 @@
 
 // Clients that leave, that are slow, that never send.
 func TestMisbehavingClients(t *testing.T) {
-	for _, m := range []Behavior{{SlowShare: 1}, {LeavingShare: 1}, {SilentShare: 1}} {
-		m.MaxAttempts = 3
-		s := newScript(t, m)
+	for _, behavior := range []Behavior{{SlowShare: 1}, {LeavingShare: 1}, {SilentShare: 1}} {
+		behavior.MaxAttempts = 3
+		s := newScript(t, behavior)
 		s.arrive(0)
 		s.connect(0)
 		s.advance(2500 * ms)
-		if m.SlowShare > 0 {
+		if behavior.SlowShare > 0 {
 			s.answer(0, Served, 0)
 		}
 		s.advance(2000 * ms)
-		s.checkTrace(fmt.Sprintf("odd-%g-%g-%g", m.SlowShare, m.LeavingShare, m.SilentShare))
+		s.checkTrace(fmt.Sprintf("odd-%g-%g-%g", behavior.SlowShare, behavior.LeavingShare, behavior.SilentShare))
 	}
 }
 
@@ -266,23 +268,23 @@
 
 type silentTransport struct{}
 
-func (silentTransport) Dial(Session)                          {}
-func (silentTransport) Send(Session, *Attempt)                {}
-func (silentTransport) Close(Session)                         {}
+func (silentTransport) Dial(SessionID)                        {}
+func (silentTransport) Send(SessionID, *Attempt)              {}
+func (silentTransport) Close(SessionID)                       {}
 func (silentTransport) KillQuery(uint32)                      {}
 func (silentTransport) SetTimer(time.Duration, int32, uint32) {}
 func (silentTransport) Finished(*Report)                      {}
 
 func BenchmarkClient(b *testing.B) { // a request on a session that is there, from arrival to answer
-	c := NewClients(silentTransport{}, Behavior{PooledShare: 1, MaxAttempts: 1}, []arrival.Class{{Name: "look", MaxWait: time.Second}}, 1, 0)
+	clients := NewClients(silentTransport{}, Behavior{PooledShare: 1, MaxAttempts: 1}, []arrival.Class{{Name: "look", MaxWait: time.Second}}, 1, 0)
 	b.ReportAllocs()
 	now := time.Duration(0)
 	for n := uint64(0); b.Loop(); n++ {
 		now += 20 * time.Microsecond
-		c.HandleArrival(now, arrival.Request{Number: n, At: now, Draw: 1 << 62})
+		clients.HandleArrival(now, arrival.Request{Number: n, At: now, RandomBits: 1 << 62})
 		if n == 0 {
-			c.HandleConnected(now, 0, 1)
+			clients.HandleConnected(now, 0, 1)
 		}
-		c.HandleAnswer(now, 0, ID(1, n, 1), Served, 0)
+		clients.HandleAnswer(now, 0, ID(1, n, 1), Served, 0)
 	}
 }
--- a/internal/testbed/load/client/events.go
+++ b/internal/testbed/load/client/events.go
@@ -4,18 +4,18 @@
 
 // HandleConnected starts the attempt that waits for a session which is logged in now; connection is its id at the
 // server.
-func (c *Clients) HandleConnected(now time.Duration, number Session, connection uint32) {
-	connected := &c.sessions[number]
+func (c *Clients) HandleConnected(now time.Duration, sessionID SessionID, connectionID uint32) {
+	connected := &c.sessions[sessionID]
 	if !connected.open || connected.request < 0 {
 		return
 	}
-	connected.connected, connected.connection = true, connection
-	c.useSession(now, connected.request, number)
+	connected.connected, connected.connectionID = true, connectionID
+	c.useSession(now, connected.request, sessionID)
 }
 
 // HandleSent records when an attempt's last byte was written, as that may be later than it was decided.
-func (c *Clients) HandleSent(at time.Duration, number Session, id uint64) {
-	written := &c.sessions[number]
+func (c *Clients) HandleSent(at time.Duration, sessionID SessionID, id uint64) {
+	written := &c.sessions[sessionID]
 	if !written.open || written.request < 0 {
 		return
 	}
@@ -28,8 +28,8 @@
 
 // HandleAnswer ends the attempt in flight on a session: its answer is complete or can't be read. retryAfter is the time
 // after which the server wants a retry; 0: it named none.
-func (c *Clients) HandleAnswer(now time.Duration, number Session, id uint64, outcome Outcome, retryAfter time.Duration) {
-	answered := &c.sessions[number]
+func (c *Clients) HandleAnswer(now time.Duration, sessionID SessionID, id uint64, outcome Outcome, retryAfter time.Duration) {
+	answered := &c.sessions[sessionID]
 	if !answered.open || answered.request < 0 {
 		return
 	}
@@ -39,39 +39,39 @@
 	if pending.id != id || pending.state != stateSent {
 		return
 	}
-	c.releaseSession(now, number, outcome)
+	c.releaseSession(now, sessionID, outcome)
 	c.endAttempt(now, index, outcome, retryAfter)
 	c.serveQueue(now)
 }
 
 // HandleClosed ends a session that the other side has closed, or that never connected (refused).
-func (c *Clients) HandleClosed(now time.Duration, number Session, refused bool) {
-	closed := &c.sessions[number]
+func (c *Clients) HandleClosed(now time.Duration, sessionID SessionID, refused bool) {
+	closed := &c.sessions[sessionID]
 	if !closed.open {
 		return
 	}
-	index, used := closed.request, closed.used
-	c.removeSession(number)
+	index, hasAnswered := closed.request, closed.hasAnswered
+	c.removeSession(sessionID)
 	if index >= 0 {
-		c.handleSessionLost(now, index, used, refused)
+		c.handleSessionLost(now, index, hasAnswered, refused)
 	}
 	c.serveQueue(now)
 }
 
 // handleSessionLost decides what becomes of the request whose session was closed; used tells whether the session had
 // carried another query before.
-func (c *Clients) handleSessionLost(now time.Duration, index int32, used, refused bool) {
+func (c *Clients) handleSessionLost(now time.Duration, index int32, hasAnswered, refused bool) {
 	pending := &c.requests[index]
 	pending.session = -1
 	switch pending.state {
 	case stateSilent:
 		c.finish(now, index, ClientLeft)
 	case stateKilled:
-		c.freeRequestSlot(index)
+		c.releaseRequest(index)
 	case stateDialing:
 		c.endAttempt(now, index, NoConnection, 0)
 	case stateSent:
-		if used && !pending.resent && now-pending.sentAt <= closeRace {
+		if hasAnswered && !pending.resent && now-pending.sentAt <= closeRaceWindow {
 			pending.resent = true
 			c.acquireSession(now, index)
 			return
@@ -146,14 +146,14 @@
 			c.abandonSession(now, index, ClientLeft)
 			return
 		}
-		c.transport.KillQuery(c.sessions[pending.session].connection)
+		c.transport.KillQuery(c.sessions[pending.session].connectionID)
 		c.reportOutcome(now, pending, TimedOut)
 		pending.state = stateKilled
 		c.setTimer(index, now+killGrace)
 	case stateKilled:
-		number := pending.session
-		c.freeRequestSlot(index)
-		c.closeSession(number)
+		sessionID := pending.session
+		c.releaseRequest(index)
+		c.closeSession(sessionID)
 		c.serveQueue(now)
 	}
 }
@@ -180,18 +180,18 @@
 func (c *Clients) finish(now time.Duration, index int32, outcome Outcome) {
 	pending := &c.requests[index]
 	c.reportOutcome(now, pending, outcome)
-	if number := pending.session; number >= 0 && outcome == NotSent { // the session connected too late
+	if sessionID := pending.session; sessionID >= 0 && outcome == NotSent { // the session connected too late
 		pending.session = -1
-		c.closeSession(number)
+		c.closeSession(sessionID)
 	}
-	c.freeRequestSlot(index)
+	c.releaseRequest(index)
 }
 
-func (c *Clients) freeRequestSlot(index int32) {
+func (c *Clients) releaseRequest(index int32) {
 	pending := &c.requests[index]
 	pending.state, pending.session = stateFree, -1
 	pending.timerSequence++
-	pending.nextFree, c.freeRequest = c.freeRequest, index
+	pending.nextFree, c.freeRequestHead = c.freeRequestHead, index
 }
 
 // Stop gives every request that has no outcome the one that it would have if its attempt timeout ended now.
@@ -213,10 +213,10 @@
 // stopRequest gives a request its outcome and closes the session that it may hold.
 func (c *Clients) stopRequest(now time.Duration, index int32, outcome Outcome) {
 	pending := &c.requests[index]
-	number := pending.session
+	sessionID := pending.session
 	c.reportOutcome(now, pending, outcome)
-	c.freeRequestSlot(index)
-	if number >= 0 {
-		c.closeSession(number)
+	c.releaseRequest(index)
+	if sessionID >= 0 {
+		c.closeSession(sessionID)
 	}
 }
--- a/internal/testbed/load/client/retry_budget.go
+++ b/internal/testbed/load/client/retry_budget.go
@@ -7,43 +7,43 @@
 
 // retryBudget counts first attempts and retries over a sliding window, in buckets of a tenth of it.
 type retryBudget struct {
-	span            time.Duration // length of the window; 0: retries are not limited
-	current         int64         // number of the current bucket, counted from the start of the run
-	firsts, retries [budgetBuckets]int
+	window                 time.Duration // length of the window; 0: retries are not limited
+	currentBucket          int64         // number of the current bucket, counted from the start of the run
+	firstAttempts, retries [budgetBuckets]int
 }
 
 // advance empties the buckets that have left the window.
 func (b *retryBudget) advance(now time.Duration) {
-	if b.span <= 0 {
+	if b.window <= 0 {
 		return
 	}
-	current := int64(now / max(1, b.span/budgetBuckets))
-	for bucket := max(b.current+1, current-budgetBuckets+1); bucket <= current; bucket++ {
-		b.firsts[bucket%budgetBuckets], b.retries[bucket%budgetBuckets] = 0, 0
+	current := int64(now / max(1, b.window/budgetBuckets))
+	for bucket := max(b.currentBucket+1, current-budgetBuckets+1); bucket <= current; bucket++ {
+		b.firstAttempts[bucket%budgetBuckets], b.retries[bucket%budgetBuckets] = 0, 0
 	}
-	b.current = max(b.current, current)
+	b.currentBucket = max(b.currentBucket, current)
 }
 
-func (b *retryBudget) recordFirst(now time.Duration) {
+func (b *retryBudget) recordFirstAttempt(now time.Duration) {
 	b.advance(now)
-	b.firsts[b.current%budgetBuckets]++
+	b.firstAttempts[b.currentBucket%budgetBuckets]++
 }
 
 func (b *retryBudget) recordRetry(now time.Duration) {
 	b.advance(now)
-	b.retries[b.current%budgetBuckets]++
+	b.retries[b.currentBucket%budgetBuckets]++
 }
 
 // allows tells whether one more retry fits into the budget: ratio of the first attempts in the window, and burst.
 func (b *retryBudget) allows(now time.Duration, ratio float64, burst int) bool {
-	if b.span <= 0 {
+	if b.window <= 0 {
 		return true
 	}
 	b.advance(now)
-	firsts, retries := 0, 0
-	for bucket := range b.firsts {
-		firsts += b.firsts[bucket]
+	firstAttempts, retries := 0, 0
+	for bucket := range b.firstAttempts {
+		firstAttempts += b.firstAttempts[bucket]
 		retries += b.retries[bucket]
 	}
-	return float64(retries+1) <= ratio*float64(firsts)+float64(burst)
+	return float64(retries+1) <= ratio*float64(firstAttempts)+float64(burst)
 }
--- a/internal/testbed/load/client/sessions.go
+++ b/internal/testbed/load/client/sessions.go
@@ -3,12 +3,12 @@
 import "time"
 
 type session struct {
-	request         int32 // that uses it; -1: idle
-	connection      uint32
-	connected, used bool
-	idleSince       time.Duration
-	sequence        uint32 // a slot of the pool or of the held-open sessions with another one is out of date
-	open            bool
+	request                int32 // that uses it; -1: idle
+	connectionID           uint32
+	connected, hasAnswered bool
+	idleSince              time.Duration
+	sequence               uint32 // a slot of the pool or of the held-open sessions with another one is out of date
+	open                   bool
 }
 
 // acquireSession finds a session for an attempt: a pooled one, a new one while the limit allows; otherwise the request
@@ -18,10 +18,10 @@
 	pending.queuedSince = now
 	if pending.misbehavior != neverSends && !pending.resent { // a request that a close has crossed goes on a new connection
 		for len(c.pool) > 0 {
-			slot := c.pool[len(c.pool)-1]
+			entry := c.pool[len(c.pool)-1]
 			c.pool = c.pool[:len(c.pool)-1]
-			if c.isIdle(slot) {
-				c.useSession(now, index, Session(slot.index))
+			if c.isIdle(entry) {
+				c.useSession(now, index, SessionID(entry.index))
 				return
 			}
 		}
@@ -43,19 +43,19 @@
 // returns false where no session is idle.
 func (c *Clients) evictIdleSession() bool {
 	for {
-		slot, ok := c.heldOpen.pop()
+		entry, ok := c.heldOpen.pop()
 		if !ok {
 			break
 		}
-		if c.isIdle(slot) {
-			c.closeSession(Session(slot.index))
+		if c.isIdle(entry) {
+			c.closeSession(SessionID(entry.index))
 			return true
 		}
 	}
-	for position, slot := range c.pool {
-		if c.isIdle(slot) {
+	for position, entry := range c.pool {
+		if c.isIdle(entry) {
 			c.pool = append(c.pool[:position], c.pool[position+1:]...)
-			c.closeSession(Session(slot.index))
+			c.closeSession(SessionID(entry.index))
 			return true
 		}
 	}
@@ -63,37 +63,37 @@
 }
 
 // isIdle tells whether a session has been idle since its slot was stored.
-func (c *Clients) isIdle(slot sequencedSlot) bool {
-	stored := &c.sessions[slot.index]
-	return stored.open && stored.request < 0 && stored.sequence == slot.sequence
+func (c *Clients) isIdle(entry sequencedIndex) bool {
+	stored := &c.sessions[entry.index]
+	return stored.open && stored.request < 0 && stored.sequence == entry.sequence
 }
 
 func (c *Clients) dial(index int32) {
-	var number Session
+	var sessionID SessionID
 	if free := len(c.freeSessions); free > 0 {
-		number, c.freeSessions = c.freeSessions[free-1], c.freeSessions[:free-1]
+		sessionID, c.freeSessions = c.freeSessions[free-1], c.freeSessions[:free-1]
 	} else {
 		c.sessions = append(c.sessions, session{})
-		number = Session(len(c.sessions) - 1)
+		sessionID = SessionID(len(c.sessions) - 1)
 	}
-	c.sessions[number] = session{request: index, open: true, sequence: c.sessions[number].sequence + 1}
+	c.sessions[sessionID] = session{request: index, open: true, sequence: c.sessions[sessionID].sequence + 1}
 	c.openSessions++
 	pending := &c.requests[index]
-	pending.state, pending.session = stateDialing, number
+	pending.state, pending.session = stateDialing, sessionID
 	c.setTimer(index, pending.deadline)
-	c.transport.Dial(number)
+	c.transport.Dial(sessionID)
 }
 
 // closeSession ends a session from this side.
-func (c *Clients) closeSession(number Session) {
-	c.removeSession(number)
-	c.transport.Close(number)
+func (c *Clients) closeSession(sessionID SessionID) {
+	c.removeSession(sessionID)
+	c.transport.Close(sessionID)
 }
 
-func (c *Clients) removeSession(number Session) {
-	c.sessions[number].open = false
-	c.sessions[number].request = -1
-	c.freeSessions = append(c.freeSessions, number)
+func (c *Clients) removeSession(sessionID SessionID) {
+	c.sessions[sessionID].open = false
+	c.sessions[sessionID].request = -1
+	c.freeSessions = append(c.freeSessions, sessionID)
 	c.openSessions--
 }
 
@@ -111,47 +111,47 @@
 // serveQueue gives free connections to the requests that wait for one.
 func (c *Clients) serveQueue(now time.Duration) {
 	for c.queue.len() > 0 && c.hasCapacity() {
-		slot, ok := c.queue.pop()
+		entry, ok := c.queue.pop()
 		if !ok {
 			return
 		}
-		pending := &c.requests[slot.index]
-		if pending.state != stateQueued || pending.timerSequence != slot.sequence {
+		pending := &c.requests[entry.index]
+		if pending.state != stateQueued || pending.timerSequence != entry.sequence {
 			continue // it waits no longer
 		}
 		pending.queueDelay += now - pending.queuedSince
-		c.acquireSession(now, slot.index)
+		c.acquireSession(now, entry.index)
 	}
 }
 
 // releaseSession draws what becomes of a session whose query is answered: it is pooled, held open or closed.
-func (c *Clients) releaseSession(now time.Duration, number Session, outcome Outcome) {
-	released := &c.sessions[number]
-	released.request, released.used, released.idleSince = -1, true, now
+func (c *Clients) releaseSession(now time.Duration, sessionID SessionID, outcome Outcome) {
+	released := &c.sessions[sessionID]
+	released.request, released.hasAnswered, released.idleSince = -1, true, now
 	if outcome == MalformedAnswer {
-		c.closeSession(number)
+		c.closeSession(sessionID)
 		return
 	}
 	switch fraction := c.random.Float64(); {
 	case fraction < c.behavior.PooledShare:
-		c.pool = append(c.pool, sequencedSlot{int32(number), released.sequence})
+		c.pool = append(c.pool, sequencedIndex{int32(sessionID), released.sequence})
 	case fraction < c.behavior.PooledShare+c.behavior.HeldOpenShare:
-		c.heldOpen.push(int32(number), released.sequence)
+		c.heldOpen.push(int32(sessionID), released.sequence)
 	default:
-		c.closeSession(number)
+		c.closeSession(sessionID)
 	}
 }
 
 // CloseIdle closes pooled sessions that were idle for too long; a driver calls it some times a second.
 func (c *Clients) CloseIdle(now time.Duration) {
 	remaining := c.pool[:0]
-	for _, slot := range c.pool {
+	for _, entry := range c.pool {
 		switch {
-		case !c.isIdle(slot):
-		case now-c.sessions[slot.index].idleSince >= c.behavior.IdleTimeout:
-			c.closeSession(Session(slot.index))
+		case !c.isIdle(entry):
+		case now-c.sessions[entry.index].idleSince >= c.behavior.IdleTimeout:
+			c.closeSession(SessionID(entry.index))
 		default:
-			remaining = append(remaining, slot)
+			remaining = append(remaining, entry)
 		}
 	}
 	c.pool = remaining
--- a/internal/testbed/load/driver/conn.go
+++ b/internal/testbed/load/driver/conn.go
@@ -34,34 +34,34 @@
 // conn is one connection. Its goroutine dials, logs in and reads; it ends when the connection does, which the loop
 // brings about by leave.
 type conn struct {
-	loop       *loop
-	session    client.Session
-	target     int
-	connection uint32        // the server's id
-	connected  bool          // of the loop's goroutine
-	expected   atomic.Uint64 // id of the query whose answer is awaited; 0: none
-	slow       atomic.Bool
-	payload    []byte // of the packet that is read, reused; of the connection's goroutine
-
-	mu     sync.Mutex
-	tcp    net.Conn // set once, before eventConnected
-	left   bool
-	reader *bufio.Reader
+	loop         *loop
+	sessionID    client.SessionID
+	target       int
+	connectionID uint32        // the server's id
+	connected    bool          // of the loop's goroutine
+	expectedID   atomic.Uint64 // id of the query whose answer is awaited; 0: none
+	slow         atomic.Bool
+	payload      []byte // of the packet that is read, reused; of the connection's goroutine
+
+	mu            sync.Mutex
+	tcp           net.Conn // set once, before eventConnected
+	closedLocally bool
+	reader        *bufio.Reader
 }
 
 // write sends bytes. Its errors are not looked at, because the reader finds the connection's end.
 func (c *conn) write(packet []byte) { _, _ = c.tcp.Write(packet) }
 
-// leave closes the connection from this side, as soon as there is one.
-func (c *conn) leave() {
+// close closes the connection from this side, as soon as there is one.
+func (c *conn) close() {
 	c.mu.Lock()
-	c.left = true
+	c.closedLocally = true
 	tcp := c.tcp
 	c.mu.Unlock()
 	if tcp == nil {
 		return
 	}
-	if c.expected.Load() == 0 {
+	if c.expectedID.Load() == 0 {
 		c.write(quitPacket)
 	}
 	tcp.Close()
@@ -70,22 +70,22 @@
 func (c *conn) run() {
 	refused, err := c.open()
 	if err == nil {
-		c.loop.notify(event{kind: eventConnected, at: c.loop.now(), conn: c})
+		c.loop.enqueue(event{kind: eventConnected, at: c.loop.now(), conn: c})
 		c.readAnswers()
 	}
 	if c.tcp != nil {
 		c.tcp.Close()
 	}
-	c.loop.notify(event{kind: eventClosed, at: c.loop.now(), conn: c, refused: refused})
+	c.loop.enqueue(event{kind: eventClosed, at: c.loop.now(), conn: c, refused: refused})
 }
 
 // open dials and logs in; refused tells that no query can have come through.
 func (c *conn) open() (refused bool, err error) {
-	tcp, connection, reader, err := dial(c.loop.driver.load.Targets[c.target])
+	tcp, connectionID, reader, err := dial(c.loop.driver.load.Targets[c.target])
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tcp, c.reader, c.connection = tcp, reader, connection
-	if err == nil && c.left {
+	c.tcp, c.reader, c.connectionID = tcp, reader, connectionID
+	if err == nil && c.closedLocally {
 		err = net.ErrClosed
 	}
 	return err != nil, err
@@ -100,18 +100,18 @@
 		return nil, 0, nil, err
 	}
 	reader := bufio.NewReaderSize(tcp, readBufferSize)
-	connection, err := logIn(tcp, reader)
-	return tcp, connection, reader, err
+	connectionID, err := logIn(tcp, reader)
+	return tcp, connectionID, reader, err
 }
 
 // logIn returns the server's id of the connection.
-func logIn(tcp net.Conn, reader *bufio.Reader) (connection uint32, err error) {
+func logIn(tcp net.Conn, reader *bufio.Reader) (connectionID uint32, err error) {
 	tcp.SetDeadline(time.Now().Add(handshakeTimeout))
 	payload, err := readPacket(reader, nil)
 	if err != nil {
 		return 0, err
 	}
-	connection, err = mysql.ReadGreeting(payload)
+	connectionID, err = mysql.ReadGreeting(payload)
 	if err != nil {
 		return 0, err
 	}
@@ -127,7 +127,7 @@
 		return 0, errDenied
 	}
 	tcp.SetDeadline(time.Time{})
-	return connection, nil
+	return connectionID, nil
 }
 
 // readPacket reads the next packet's payload into a buffer, or into a new one where that is too small.
@@ -193,9 +193,9 @@
 		if _, err := c.reader.Peek(1); err != nil {
 			return
 		}
-		id := c.expected.Load()
+		id := c.expectedID.Load()
 		if id == 0 {
-			c.loop.notify(event{kind: eventUnexpectedAnswer, conn: c})
+			c.loop.enqueue(event{kind: eventUnexpectedAnswer, conn: c})
 			return
 		}
 		received, err := c.readAnswer(id)
@@ -204,12 +204,12 @@
 		}
 		at := c.loop.now()
 		outcome := received.outcome()
-		c.expected.Store(0)
+		c.expectedID.Store(0)
 		hasMore := c.reader.Buffered() > 0 // nothing more was asked for
-		c.loop.notify(event{kind: eventAnswered, at: at, conn: c, id: id, outcome: outcome,
+		c.loop.enqueue(event{kind: eventAnswered, at: at, conn: c, id: id, outcome: outcome,
 			retryAfter: time.Duration(received.response.RetryAfterMS) * time.Millisecond})
 		if hasMore {
-			c.loop.notify(event{kind: eventUnexpectedAnswer, conn: c, id: id})
+			c.loop.enqueue(event{kind: eventUnexpectedAnswer, conn: c, id: id})
 			return
 		}
 		if received.readErr != nil {
@@ -219,7 +219,7 @@
 }
 
 // killQuery sends KILL QUERY on a session of its own.
-func killQuery(target string, connection uint32) {
+func killQuery(target string, connectionID uint32) {
 	tcp, _, reader, err := dial(target)
 	if tcp == nil {
 		return
@@ -230,7 +230,7 @@
 	}
 	tcp.SetDeadline(time.Now().Add(handshakeTimeout))
 	// KILL QUERY is sent on a best effort: a client that leaves doesn't wait for its result.
-	_, _ = tcp.Write(mysql.AppendKill(nil, connection))
+	_, _ = tcp.Write(mysql.AppendKill(nil, connectionID))
 	_, _ = readPacket(reader, nil)
 	_, _ = tcp.Write(quitPacket)
 }
--- a/internal/testbed/load/driver/driver_test.go
+++ b/internal/testbed/load/driver/driver_test.go
@@ -67,9 +67,9 @@
 		{"twice", func(f *fake.Frontend) { f.Double.Store(39) }, stats.ViolationUnexpectedAnswer},
 		{"dropped", func(f *fake.Frontend) { f.Drop.Store(40) }, stats.ViolationConnectionLost},
 	} {
-		f := startFrontend(t, fake.Work{Rows: 2, Service: fake.ServiceTime{Mean: 60 * time.Millisecond}})
-		fault.inject(f)
-		if got := runLoad(t, newLoad(f)); got.Violations[fault.want] != 10 || len(got.Violations) != 1 {
+		frontend := startFrontend(t, fake.Work{Rows: 2, Service: fake.ServiceTime{Mean: 60 * time.Millisecond}})
+		fault.inject(frontend)
+		if got := runLoad(t, newLoad(frontend)); got.Violations[fault.want] != 10 || len(got.Violations) != 1 {
 			t.Errorf("%s: %v", fault.name, got.Violations)
 		}
 	}
@@ -77,14 +77,14 @@
 
 // A frontend that is paused for a while is offered as much as ever, and its delay shows.
 func TestStalledFrontendIsOfferedTheSameLoad(t *testing.T) {
-	f := startFrontend(t)
+	frontend := startFrontend(t)
 	go func() {
 		time.Sleep(250 * time.Millisecond)
-		f.Pause()
+		frontend.Pause()
 		time.Sleep(500 * time.Millisecond)
-		f.Resume()
+		frontend.Resume()
 	}()
-	got := runLoad(t, newLoad(f))
+	got := runLoad(t, newLoad(frontend))
 	if got.Seconds[0].Offered != 400 || got.Classes[0].Quantile(client.Served, 0.8) < 200*time.Millisecond {
 		t.Errorf("%d offered, p80 %v", got.Seconds[0].Offered, got.Classes[0].Quantile(client.Served, 0.8))
 	}
@@ -92,10 +92,10 @@
 
 // A target that refuses connections, one that accepts them and sends nothing, and one that outlasts the attempt timeout.
 func TestUnresponsiveTargets(t *testing.T) {
-	f := startFrontend(t)
-	l := newLoad(f)
-	f.Close()
-	if got := runLoad(t, l); got.Count(client.NoConnection) != 400 {
+	frontend := startFrontend(t)
+	load := newLoad(frontend)
+	frontend.Close()
+	if got := runLoad(t, load); got.Count(client.NoConnection) != 400 {
 		t.Errorf("nobody listens: %d without a connection", got.Count(client.NoConnection))
 	}
 	silent, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -103,13 +103,13 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	l.Targets = []string{silent.Addr().String()}
-	l.Classes[0].MaxWait = 200 * time.Millisecond
-	if got := runLoad(t, l); got.Count(client.TimedOut) != 400 {
+	load.Targets = []string{silent.Addr().String()}
+	load.Classes[0].MaxWait = 200 * time.Millisecond
+	if got := runLoad(t, load); got.Count(client.TimedOut) != 400 {
 		t.Errorf("nothing is sent: %d timed out", got.Count(client.TimedOut))
 	}
-	l.Targets = []string{startFrontend(t, fake.Work{Rows: 1, Service: fake.ServiceTime{Mean: time.Second}}).Address}
-	if got := runLoad(t, l); got.Count(client.TimedOut) != 400 {
+	load.Targets = []string{startFrontend(t, fake.Work{Rows: 1, Service: fake.ServiceTime{Mean: time.Second}}).Address}
+	if got := runLoad(t, load); got.Count(client.TimedOut) != 400 {
 		t.Errorf("slow: %d timed out", got.Count(client.TimedOut))
 	}
 }
--- a/internal/testbed/load/driver/events.go
+++ b/internal/testbed/load/driver/events.go
@@ -31,53 +31,53 @@
 // balancer's health check takes to notice, as a rule.
 const refusalCooldown = time.Second
 
-// notify queues an event; it wakes the loop only where that sleeps.
-func (w *loop) notify(sent event) {
-	w.mu.Lock()
-	w.inbox = append(w.inbox, sent)
-	w.mu.Unlock()
-	if w.asleep.Load() {
+// enqueue queues an event; it wakes the loop only where that sleeps.
+func (l *loop) enqueue(sent event) {
+	l.mu.Lock()
+	l.inbox = append(l.inbox, sent)
+	l.mu.Unlock()
+	if l.waitsForEvent.Load() {
 		select {
-		case w.wake <- struct{}{}:
+		case l.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (w *loop) drainInbox() {
-	w.mu.Lock()
-	events := w.inbox
-	w.inbox = w.spare[:0]
-	w.mu.Unlock()
+func (l *loop) drainInbox() {
+	l.mu.Lock()
+	events := l.inbox
+	l.inbox = l.spareInbox[:0]
+	l.mu.Unlock()
 	for i := range events {
-		w.handle(&events[i])
+		l.handle(&events[i])
 		events[i] = event{}
 	}
-	w.spare = events
+	l.spareInbox = events
 }
 
-func (w *loop) handle(received *event) {
+func (l *loop) handle(received *event) {
 	source := received.conn
 	if received.kind == eventUnexpectedAnswer {
-		w.metrics.RecordViolation(stats.ViolationUnexpectedAnswer, received.id)
+		l.metrics.RecordViolation(stats.ViolationUnexpectedAnswer, received.id)
 		return
 	}
-	if w.connections[source.session] != source { // closed by this side meanwhile
+	if l.connections[source.sessionID] != source { // closed by this side meanwhile
 		return
 	}
 	switch received.kind {
 	case eventUnexpectedAnswer: // recorded above
 	case eventConnected:
 		source.connected = true
-		w.clients.HandleConnected(received.at, source.session, source.connection)
+		l.clients.HandleConnected(received.at, source.sessionID, source.connectionID)
 	case eventAnswered:
-		w.clients.HandleAnswer(received.at, source.session, received.id, received.outcome, received.retryAfter)
+		l.clients.HandleAnswer(received.at, source.sessionID, received.id, received.outcome, received.retryAfter)
 	case eventClosed:
 		if received.refused {
-			w.avoidTargets[source.target] = received.at + refusalCooldown
+			l.avoidTargetUntil[source.target] = received.at + refusalCooldown
 		}
-		w.connections[source.session] = nil
-		w.driver.OpenSessions.Add(-1)
-		w.clients.HandleClosed(received.at, source.session, received.refused)
+		l.connections[source.sessionID] = nil
+		l.driver.OpenSessions.Add(-1)
+		l.clients.HandleClosed(received.at, source.sessionID, received.refused)
 	}
 }
--- a/internal/testbed/load/driver/load.go
+++ b/internal/testbed/load/driver/load.go
@@ -27,9 +27,9 @@
 	CheckRows  bool          // rows must be those of our own fakes: the request's id, then k/n
 	// Owns tells, where it is given, whether this process sends an arrival, in place of Shard and ShardCount; the
 	// answer may change until the arrival's time has come.
-	Owns func(t *arrival.Request) bool `json:"-"`
+	Owns func(request *arrival.Request) bool `json:"-"`
 	// OnFinished, where it is given, is called with each report by the loops' goroutines.
-	OnFinished func(r *client.Report) `json:"-"`
+	OnFinished func(report *client.Report) `json:"-"`
 }
 
 // Driver is a run under way.
--- a/internal/testbed/load/driver/loop.go
+++ b/internal/testbed/load/driver/loop.go
@@ -15,10 +15,10 @@
 const (
 	// tickSize is the timer wheel's unit: a tenth of a millisecond, as fine as sleeps are exact.
 	tickSize = 100 * time.Microsecond
-	// maxNap is the longest that a loop sleeps without looking at its inbox when it waits for a time that is closer
-	// than napBelow; longer waits are slept by the runtime, whose timers are exact to a millisecond or so.
-	maxNap   = 200 * time.Microsecond
-	napBelow = 2 * time.Millisecond
+	// maxShortSleep is the longest that a loop sleeps without looking at its inbox when it waits for a time that is closer
+	// than shortSleepBelow; longer waits are slept by the runtime, whose timers are exact to a millisecond or so.
+	maxShortSleep   = 200 * time.Microsecond
+	shortSleepBelow = 2 * time.Millisecond
 	// housekeepingInterval is how often idle sessions are closed, and the longest that a loop waits.
 	housekeepingInterval = 250 * time.Millisecond
 )
@@ -31,25 +31,25 @@
 	clients      *client.Clients
 	metrics      *stats.Metrics
 	next         arrival.Request // the schedule's next arrival
-	more         bool            // next is one
+	hasNext      bool            // next is one
 	stop         <-chan struct{} // nil once the loop has stopped
-	alarm        *time.Timer
+	waitTimer    *time.Timer
 	idleClosedAt time.Duration
 
-	connections  []*conn // by session
-	buffer       []byte  // of the packet that is sent, reused
-	lastTarget   int
-	avoidTargets []time.Duration // by target: until when it gets no connection, as it refused one
+	connections      []*conn // by session
+	buffer           []byte  // of the packet that is sent, reused
+	lastTarget       int
+	avoidTargetUntil []time.Duration // by target: until when it gets no connection, as it refused one
 
 	wheel      *timerwheel.Wheel
 	timers     []timer // by the number that the wheel holds
 	freeTimers []int32
 
-	mu     sync.Mutex // of inbox
-	inbox  []event
-	spare  []event
-	wake   chan struct{}
-	asleep atomic.Bool
+	mu            sync.Mutex // of inbox
+	inbox         []event
+	spareInbox    []event
+	wake          chan struct{}
+	waitsForEvent atomic.Bool
 }
 
 // timer is what a number in the wheel stands for.
@@ -66,81 +66,81 @@
 		behavior.Connections = max(1, (behavior.Connections+load.Loops-1-index)/load.Loops)
 	}
 	created := &loop{driver: driver, index: index, schedule: schedule, wheel: timerwheel.New(0), metrics: metrics, stop: driver.stop,
-		wake: make(chan struct{}, 1), avoidTargets: make([]time.Duration, len(load.Targets))}
+		wake: make(chan struct{}, 1), avoidTargetUntil: make([]time.Duration, len(load.Targets))}
 	// Ids are drawn by the run's seed and the request's number, backoffs by a random source of each loop's own.
 	created.clients = client.NewClients(created, behavior, load.Classes, load.Seed, int64(load.Shard*load.Loops+index))
 	return created
 }
 
 // now is the time from the start of the run.
-func (w *loop) now() time.Duration { return time.Since(w.driver.start) }
+func (l *loop) now() time.Duration { return time.Since(l.driver.start) }
 
-func (w *loop) run() {
-	if time.Until(w.driver.start) > 0 {
-		time.Sleep(time.Until(w.driver.start) - napBelow)
+func (l *loop) run() {
+	if time.Until(l.driver.start) > 0 {
+		time.Sleep(time.Until(l.driver.start) - shortSleepBelow)
 	}
-	w.next, w.more = w.schedule.Next()
-	w.alarm = time.NewTimer(time.Hour)
-	defer w.alarm.Stop()
+	l.next, l.hasNext = l.schedule.Next()
+	l.waitTimer = time.NewTimer(time.Hour)
+	defer l.waitTimer.Stop()
 	for {
-		w.drainInbox()
-		now := w.now()
-		w.fireTimers(now)
-		now = w.offerArrivals(now)
-		if w.index == 0 {
-			w.driver.OfferedUntil.Store(int64(now))
+		l.drainInbox()
+		now := l.now()
+		l.fireTimers(now)
+		now = l.offerArrivals(now)
+		if l.index == 0 {
+			l.driver.OfferedUntil.Store(int64(now))
 		}
-		if now-w.idleClosedAt > housekeepingInterval {
-			w.idleClosedAt = now
-			w.clients.CloseIdle(now)
+		if now-l.idleClosedAt > housekeepingInterval {
+			l.idleClosedAt = now
+			l.clients.CloseIdle(now)
 		}
-		if !w.more && w.clients.Unfinished() == 0 {
+		if !l.hasNext && l.clients.Unfinished() == 0 {
 			break
 		}
-		until := w.nextWakeUp(now)
+		until := l.nextWakeUp(now)
 		select {
-		case <-w.stop:
-			w.stopOffering(now)
+		case <-l.stop:
+			l.stopOffering(now)
 			continue
 		default:
 		}
-		w.waitUntil(until)
+		l.waitUntil(until)
 	}
-	for _, open := range w.connections {
+	for _, open := range l.connections {
 		if open != nil {
-			open.leave()
+			open.close()
 		}
 	}
 }
 
-func (w *loop) fireTimers(now time.Duration) {
-	w.wheel.Advance(timerwheel.Tick(now/tickSize), func(number uint64) { w.fire(now, int32(number)) })
+func (l *loop) fireTimers(now time.Duration) {
+	l.wheel.Advance(timerwheel.Tick(now/tickSize), func(number uint64) { l.fireTimer(now, int32(number)) })
 }
 
-func (w *loop) fire(now time.Duration, number int32) {
-	fired := w.timers[number]
-	w.freeTimers = append(w.freeTimers, number)
-	w.clients.HandleTimer(max(now, fired.at), fired.request, fired.sequence)
+func (l *loop) fireTimer(now time.Duration, number int32) {
+	fired := l.timers[number]
+	l.freeTimers = append(l.freeTimers, number)
+	l.clients.HandleTimer(max(now, fired.at), fired.request, fired.sequence)
 }
 
 // offerArrivals hands out the arrivals whose time has come, and returns the time after the last one.
-func (w *loop) offerArrivals(now time.Duration) time.Duration {
-	for w.more && w.next.At <= now {
-		if w.owns(&w.next) {
-			w.metrics.RecordOffered(w.next.At)
-			w.driver.Offered.Add(1)
-			w.clients.HandleArrival(max(now, w.next.At), w.next)
-			now = w.now()
+func (l *loop) offerArrivals(now time.Duration) time.Duration {
+	for l.hasNext && l.next.At <= now {
+		if l.owns(&l.next) {
+			l.metrics.RecordOffered(l.next.At)
+			l.driver.Offered.Add(1)
+			l.clients.HandleArrival(max(now, l.next.At), l.next)
+			now = l.now()
 		}
-		w.next, w.more = w.schedule.Next()
+		l.next, l.hasNext = l.schedule.Next()
 	}
 	return now
 }
 
 // owns tells whether an arrival is this loop's.
-func (w *loop) owns(request *arrival.Request) bool {
-	load := &w.driver.load
-	if int(request.Number/uint64(load.ShardCount))%load.Loops != w.index {
+func (l *loop) owns(request *arrival.Request) bool {
+	load := &l.driver.load
+	if int(request.Number/uint64(load.ShardCount))%load.Loops != l.index {
 		return false
 	}
 	if load.Owns != nil {
@@ -150,55 +150,55 @@
 }
 
 // nextWakeUp is when the loop has something to do next, events aside.
-func (w *loop) nextWakeUp(now time.Duration) time.Duration {
+func (l *loop) nextWakeUp(now time.Duration) time.Duration {
 	until := now + housekeepingInterval
-	if w.more {
-		until = min(until, w.next.At)
+	if l.hasNext {
+		until = min(until, l.next.At)
 	}
-	if at, ok := w.wheel.Next(); ok {
+	if at, ok := l.wheel.Next(); ok {
 		until = min(until, time.Duration(at)*tickSize)
 	}
 	return until
 }
 
 // stopOffering ends the schedule and gives all requests their outcomes.
-func (w *loop) stopOffering(now time.Duration) {
-	w.more, w.stop = false, nil
-	w.clients.Stop(now)
+func (l *loop) stopOffering(now time.Duration) {
+	l.hasNext, l.stop = false, nil
+	l.clients.Stop(now)
 }
 
 // waitUntil sleeps until a time or, where that is not close, an event.
-func (w *loop) waitUntil(until time.Duration) {
-	remaining := until - w.now()
+func (l *loop) waitUntil(until time.Duration) {
+	remaining := until - l.now()
 	switch {
 	case remaining <= 0:
-	case remaining < napBelow:
-		sleepExactly(min(remaining, maxNap))
+	case remaining < shortSleepBelow:
+		sleepPrecisely(min(remaining, maxShortSleep))
 	default:
-		w.asleep.Store(true)
-		w.mu.Lock()
-		waiting := len(w.inbox)
-		w.mu.Unlock()
+		l.waitsForEvent.Store(true)
+		l.mu.Lock()
+		waiting := len(l.inbox)
+		l.mu.Unlock()
 		if waiting == 0 {
-			w.waitForEvent(remaining - napBelow/2)
+			l.waitForEvent(remaining - shortSleepBelow/2)
 		}
-		w.asleep.Store(false)
+		l.waitsForEvent.Store(false)
 	}
 }
 
-func (w *loop) waitForEvent(timeout time.Duration) {
-	w.alarm.Reset(timeout)
+func (l *loop) waitForEvent(timeout time.Duration) {
+	l.waitTimer.Reset(timeout)
 	select {
-	case <-w.wake:
-	case <-w.alarm.C:
-	case <-w.stop:
-		w.stopOffering(w.now())
+	case <-l.wake:
+	case <-l.waitTimer.C:
+	case <-l.stop:
+		l.stopOffering(l.now())
 	}
 }
 
-// sleepExactly sleeps by the system call, because the runtime's own timers may be a millisecond late when nothing else
+// sleepPrecisely sleeps by the system call, because the runtime's own timers may be a millisecond late when nothing else
 // goes on. A signal may end the sleep early; the loop then looks at the clock again.
-func sleepExactly(duration time.Duration) {
+func sleepPrecisely(duration time.Duration) {
 	spec := syscall.NsecToTimespec(int64(duration))
 	_ = syscall.Nanosleep(&spec, nil)
 }
--- a/internal/testbed/load/driver/rows.go
+++ b/internal/testbed/load/driver/rows.go
@@ -13,22 +13,22 @@
 	id            uint64
 	enabled       bool
 	number, total int // of the row before
-	wrong         bool
+	invalid       bool
 }
 
 func (r *rowChecker) checkRow(columns [3][]byte) {
-	if !r.enabled || r.wrong {
+	if !r.enabled || r.invalid {
 		return
 	}
 	var id [16]byte
 	numberText, totalText, ok := bytes.Cut(columns[1], []byte{'/'})
 	number, numberErr := strconv.Atoi(string(numberText))
 	total, totalErr := strconv.Atoi(string(totalText))
-	r.wrong = !bytes.Equal(mysql.AppendID(id[:0], r.id), columns[0]) || !ok || numberErr != nil || totalErr != nil ||
+	r.invalid = !bytes.Equal(mysql.AppendID(id[:0], r.id), columns[0]) || !ok || numberErr != nil || totalErr != nil ||
 		number != r.number+1 || r.number > 0 && total != r.total
 	r.number, r.total = number, total
 }
 
 func (r *rowChecker) isComplete() bool {
-	return !r.enabled || !r.wrong && r.number > 0 && r.number == r.total
+	return !r.enabled || !r.invalid && r.number > 0 && r.number == r.total
 }
--- a/internal/testbed/load/driver/transport.go
+++ b/internal/testbed/load/driver/transport.go
@@ -17,55 +17,55 @@
 var _ client.Transport = (*loop)(nil)
 
 // SetTimer implements client.Transport.
-func (w *loop) SetTimer(at time.Duration, request int32, sequence uint32) {
+func (l *loop) SetTimer(at time.Duration, request int32, sequence uint32) {
 	var number int32
-	if free := len(w.freeTimers); free > 0 {
-		number, w.freeTimers = w.freeTimers[free-1], w.freeTimers[:free-1]
+	if free := len(l.freeTimers); free > 0 {
+		number, l.freeTimers = l.freeTimers[free-1], l.freeTimers[:free-1]
 	} else {
-		w.timers = append(w.timers, timer{})
-		number = int32(len(w.timers) - 1)
+		l.timers = append(l.timers, timer{})
+		number = int32(len(l.timers) - 1)
 	}
-	w.timers[number] = timer{at, request, sequence}
-	w.wheel.Add(timerwheel.Tick((at+tickSize-1)/tickSize), uint64(number))
+	l.timers[number] = timer{at, request, sequence}
+	l.wheel.Add(timerwheel.Tick((at+tickSize-1)/tickSize), uint64(number))
 }
 
 // Dial implements client.Transport.
-func (w *loop) Dial(session client.Session) {
-	for len(w.connections) <= int(session) {
-		w.connections = append(w.connections, nil)
+func (l *loop) Dial(sessionID client.SessionID) {
+	for len(l.connections) <= int(sessionID) {
+		l.connections = append(l.connections, nil)
 	}
-	dialed := &conn{loop: w, session: session, target: w.pickTarget()}
-	w.connections[session] = dialed
-	w.driver.OpenSessions.Add(1)
+	dialed := &conn{loop: l, sessionID: sessionID, target: l.pickTarget()}
+	l.connections[sessionID] = dialed
+	l.driver.OpenSessions.Add(1)
 	go dialed.run()
 }
 
 // pickTarget takes the targets in turn and leaves out those that refused a moment ago, unless all did.
-func (w *loop) pickTarget() int {
-	now := w.now()
-	for range w.avoidTargets {
-		w.lastTarget = (w.lastTarget + 1) % len(w.avoidTargets)
-		if w.avoidTargets[w.lastTarget] <= now {
-			return w.lastTarget
+func (l *loop) pickTarget() int {
+	now := l.now()
+	for range l.avoidTargetUntil {
+		l.lastTarget = (l.lastTarget + 1) % len(l.avoidTargetUntil)
+		if l.avoidTargetUntil[l.lastTarget] <= now {
+			return l.lastTarget
 		}
 	}
-	w.lastTarget = (w.lastTarget + 1) % len(w.avoidTargets)
-	return w.lastTarget
+	l.lastTarget = (l.lastTarget + 1) % len(l.avoidTargetUntil)
+	return l.lastTarget
 }
 
 // Send implements client.Transport.
-func (w *loop) Send(session client.Session, attempt *client.Attempt) {
-	target := w.connections[session]
-	class := &w.driver.load.Classes[attempt.Request.Class]
-	w.buffer = appendQuery(w.buffer[:0], class, attempt)
+func (l *loop) Send(sessionID client.SessionID, attempt *client.Attempt) {
+	target := l.connections[sessionID]
+	class := &l.driver.load.Classes[attempt.Request.Class]
+	l.buffer = appendQuery(l.buffer[:0], class, attempt)
 	target.slow.Store(attempt.Slow)
-	target.expected.Store(attempt.ID)
-	if len(w.buffer) > maxInlineWrite {
-		go target.write(slices.Clone(w.buffer)) // ends at the latest when the connection is closed
+	target.expectedID.Store(attempt.ID)
+	if len(l.buffer) > maxInlineWrite {
+		go target.write(slices.Clone(l.buffer)) // ends at the latest when the connection is closed
 		return
 	}
-	target.write(w.buffer)
-	w.clients.HandleSent(w.now(), session, attempt.ID)
+	target.write(l.buffer)
+	l.clients.HandleSent(l.now(), sessionID, attempt.ID)
 }
 
 // appendQuery appends an attempt's packet.
@@ -77,30 +77,30 @@
 }
 
 // Close implements client.Transport.
-func (w *loop) Close(session client.Session) {
-	closed := w.connections[session]
-	w.connections[session] = nil
-	w.driver.OpenSessions.Add(-1)
-	closed.leave()
+func (l *loop) Close(sessionID client.SessionID) {
+	closed := l.connections[sessionID]
+	l.connections[sessionID] = nil
+	l.driver.OpenSessions.Add(-1)
+	closed.close()
 }
 
 // KillQuery implements client.Transport.
-func (w *loop) KillQuery(connection uint32) {
-	target := w.lastTarget
-	for _, open := range w.connections {
-		if open != nil && open.connected && open.connection == connection {
+func (l *loop) KillQuery(connectionID uint32) {
+	target := l.lastTarget
+	for _, open := range l.connections {
+		if open != nil && open.connected && open.connectionID == connectionID {
 			target = open.target
 			break
 		}
 	}
-	go killQuery(w.driver.load.Targets[target], connection) // ends with its session's deadline
+	go killQuery(l.driver.load.Targets[target], connectionID) // ends with its session's deadline
 }
 
 // Finished implements client.Transport.
-func (w *loop) Finished(report *client.Report) {
-	w.driver.Finished.Add(1)
-	w.metrics.RecordFinished(report)
-	if w.driver.load.OnFinished != nil {
-		w.driver.load.OnFinished(report)
+func (l *loop) Finished(report *client.Report) {
+	l.driver.Finished.Add(1)
+	l.metrics.RecordFinished(report)
+	if l.driver.load.OnFinished != nil {
+		l.driver.load.OnFinished(report)
 	}
 }
--- a/internal/testbed/load/stats/encoding.go
+++ b/internal/testbed/load/stats/encoding.go
@@ -14,15 +14,15 @@
 // The JSON form in which metrics are sent and stored; histograms are in the library's own compressed form.
 type (
 	encodedMetrics struct {
-		Version        int               `json:"v"`
-		Classes        []encodedClass    `json:"lanes"`
-		Misbehaving    encodedClass      `json:"odd"`
-		Seconds        []encodedSecond   `json:"seconds"`
-		GeneratorDelay string            `json:"own"`
-		QueueDelay     string            `json:"queued"`
-		Violations     map[string]int64  `json:"breach"`
-		Examples       map[string]uint64 `json:"example"`
-		Seen           map[uint64]uint64 `json:"seen,omitempty"`
+		Version          int               `json:"v"`
+		Classes          []encodedClass    `json:"lanes"`
+		Misbehaving      encodedClass      `json:"odd"`
+		Seconds          []encodedSecond   `json:"seconds"`
+		GeneratorDelay   string            `json:"own"`
+		QueueDelay       string            `json:"queued"`
+		Violations       map[string]int64  `json:"breach"`
+		Examples         map[string]uint64 `json:"example"`
+		FinishedRequests map[uint64]uint64 `json:"seen,omitempty"`
 	}
 	encodedClass struct {
 		Name             string        `json:"name"`
@@ -45,7 +45,7 @@
 // MarshalJSON writes the form in which metrics are sent and stored.
 func (m *Metrics) MarshalJSON() ([]byte, error) {
 	encoded := encodedMetrics{Version: encodingVersion, Misbehaving: m.Misbehaving.encode(), GeneratorDelay: encodeHistogram(m.GeneratorDelay),
-		QueueDelay: encodeHistogram(m.QueueDelay), Violations: m.Violations, Examples: m.Examples, Seen: m.seen}
+		QueueDelay: encodeHistogram(m.QueueDelay), Violations: m.Violations, Examples: m.Examples, FinishedRequests: m.finishedRequests}
 	for i := range m.Classes {
 		encoded.Classes = append(encoded.Classes, m.Classes[i].encode())
 	}
@@ -92,19 +92,19 @@
 	if err != nil {
 		return err
 	}
-	m.GeneratorDelay, err = decodeHistogram(encoded.GeneratorDelay, digits)
+	m.GeneratorDelay, err = decodeHistogram(encoded.GeneratorDelay, significantDigits)
 	if err != nil {
 		return err
 	}
-	m.QueueDelay, err = decodeHistogram(encoded.QueueDelay, digits)
+	m.QueueDelay, err = decodeHistogram(encoded.QueueDelay, significantDigits)
 	if err != nil {
 		return err
 	}
 	if encoded.Violations != nil {
 		m.Violations, m.Examples = encoded.Violations, encoded.Examples
 	}
-	if encoded.Seen != nil {
-		m.seen = encoded.Seen
+	if encoded.FinishedRequests != nil {
+		m.finishedRequests = encoded.FinishedRequests
 	}
 	return nil
 }
@@ -116,12 +116,12 @@
 		return fmt.Errorf("lane %q: expected %d outcomes, found %d", encoded.Name, len(c.Outcomes), len(encoded.Outcomes))
 	}
 	for outcome := range c.Outcomes {
-		c.Outcomes[outcome], err = decodeHistogram(encoded.Outcomes[outcome], digits)
+		c.Outcomes[outcome], err = decodeHistogram(encoded.Outcomes[outcome], significantDigits)
 		if err != nil {
 			return err
 		}
 	}
-	c.ClosedLoop, err = decodeHistogram(encoded.ClosedLoop, digits)
+	c.ClosedLoop, err = decodeHistogram(encoded.ClosedLoop, significantDigits)
 	return err
 }
 
@@ -133,7 +133,7 @@
 		}
 		second := Second{Offered: source.Offered, Worst: source.Worst, WorstRequest: source.WorstRequest}
 		copy(second.Outcomes[:], source.Outcomes)
-		second.latency, err = decodeHistogram(source.Latency, digitsBySecond)
+		second.latency, err = decodeHistogram(source.Latency, significantDigitsPerSecond)
 		if err != nil {
 			return err
 		}
--- a/internal/testbed/load/stats/format_test.go
+++ b/internal/testbed/load/stats/format_test.go
@@ -9,16 +9,16 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-// packedHistogram is a histogram in JSON. Its bytes are a compressor's, which may change with the language's version.
-var packedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
+// encodedHistogram is a histogram in JSON. Its bytes are a compressor's, which may change with the language's version.
+var encodedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
 
 func TestMetricsOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
-	form := golden.Read(t, "metrics.form")
-	metrics := decodeMetrics(t, form)
+	encoded := golden.Read(t, "metrics.form")
+	metrics := decodeMetrics(t, encoded)
 	golden.CheckValues(t, "metrics", metricsValues(metrics))
-	again := golden.EncodeJSON(metrics)
-	golden.CheckValues(t, "metrics", metricsValues(decodeMetrics(t, again)))
-	expected, found := packedHistogram.ReplaceAllString(string(form), `"histogram"`), packedHistogram.ReplaceAllString(string(again), `"histogram"`)
+	reencoded := golden.EncodeJSON(metrics)
+	golden.CheckValues(t, "metrics", metricsValues(decodeMetrics(t, reencoded)))
+	expected, found := encodedHistogram.ReplaceAllString(string(encoded), `"histogram"`), encodedHistogram.ReplaceAllString(string(reencoded), `"histogram"`)
 	if found != expected {
 		t.Errorf("expected %s\nfound    %s", expected, found)
 	}
@@ -49,5 +49,5 @@
 	}
 	addHistogram(m.GeneratorDelay)
 	addHistogram(m.QueueDelay)
-	return append(values, m.Violations, m.Examples, m.seen)
+	return append(values, m.Violations, m.Examples, m.finishedRequests)
 }
--- a/internal/testbed/load/stats/histogram.go
+++ b/internal/testbed/load/stats/histogram.go
@@ -10,10 +10,10 @@
 // Latencies are counted in whole microseconds up to the longest wait that a load states, in three digits: a tenth of
 // the hundredth that reports promise. A second's histogram takes two digits, because there are many of them.
 const (
-	maxLatency     = 10 * time.Minute
-	digits         = 3
-	digitsBySecond = 2
-	histogramUnit  = time.Microsecond
+	maxLatency                 = 10 * time.Minute
+	significantDigits          = 3
+	significantDigitsPerSecond = 2
+	histogramUnit              = time.Microsecond
 )
 
 func newHistogram(digits int) *hdrhistogram.Histogram {
--- a/internal/testbed/load/stats/merge.go
+++ b/internal/testbed/load/stats/merge.go
@@ -23,7 +23,7 @@
 	m.GeneratorDelay.Merge(other.GeneratorDelay)
 	m.QueueDelay.Merge(other.QueueDelay)
 	m.mergeViolations(other)
-	m.mergeSeen(other)
+	m.mergeFinishedRequests(other)
 	return nil
 }
 
@@ -57,14 +57,14 @@
 	}
 }
 
-func (m *Metrics) mergeSeen(other *Metrics) {
-	for index, bitmap := range other.seen {
-		inBoth := m.seen[index] & bitmap
+func (m *Metrics) mergeFinishedRequests(other *Metrics) {
+	for index, bitmap := range other.finishedRequests {
+		inBoth := m.finishedRequests[index] & bitmap
 		for bit := range uint64(64) {
 			if inBoth&(1<<bit) != 0 {
 				m.RecordViolation(ViolationTwoOutcomes, index*64+bit)
 			}
 		}
-		m.seen[index] |= bitmap
+		m.finishedRequests[index] |= bitmap
 	}
 }
--- a/internal/testbed/load/stats/metrics.go
+++ b/internal/testbed/load/stats/metrics.go
@@ -49,7 +49,7 @@
 	Violations     map[string]int64        // broken rules by kind
 	Examples       map[string]uint64       // and a request for each
 
-	seen map[uint64]uint64 // a bit for each request that has its outcome
+	finishedRequests map[uint64]uint64 // a bit for each request that has its outcome
 }
 
 // misbehavingName names the metrics of misbehaving clients in tables.
@@ -57,8 +57,8 @@
 
 // New returns empty metrics for classes with these names and latency objectives.
 func New(names []string, objectives []time.Duration) *Metrics {
-	metrics := &Metrics{GeneratorDelay: newHistogram(digits), QueueDelay: newHistogram(digits), Violations: map[string]int64{},
-		Examples: map[string]uint64{}, seen: map[uint64]uint64{}}
+	metrics := &Metrics{GeneratorDelay: newHistogram(significantDigits), QueueDelay: newHistogram(significantDigits), Violations: map[string]int64{},
+		Examples: map[string]uint64{}, finishedRequests: map[uint64]uint64{}}
 	for i, name := range names {
 		metrics.Classes = append(metrics.Classes, newClassMetrics(name, objectives[i]))
 	}
@@ -67,9 +67,9 @@
 }
 
 func newClassMetrics(name string, objective time.Duration) ClassMetrics {
-	class := ClassMetrics{Name: name, LatencyObjective: objective, ClosedLoop: newHistogram(digits)}
+	class := ClassMetrics{Name: name, LatencyObjective: objective, ClosedLoop: newHistogram(significantDigits)}
 	for outcome := range class.Outcomes {
-		class.Outcomes[outcome] = newHistogram(digits)
+		class.Outcomes[outcome] = newHistogram(significantDigits)
 	}
 	return class
 }
@@ -80,7 +80,7 @@
 func (m *Metrics) second(at time.Duration) *Second {
 	index := min(max(0, int(at/time.Second)), maxSeconds)
 	for len(m.Seconds) <= index {
-		m.Seconds = append(m.Seconds, Second{latency: newHistogram(digitsBySecond)})
+		m.Seconds = append(m.Seconds, Second{latency: newHistogram(significantDigitsPerSecond)})
 	}
 	return &m.Seconds[index]
 }
@@ -134,7 +134,7 @@
 		m.RecordViolation(ViolationTwoOutcomes, number)
 		return
 	}
-	m.seen[number/64] |= 1 << (number % 64)
+	m.finishedRequests[number/64] |= 1 << (number % 64)
 	latency := report.FinishedAt - report.Request.At
 	class := m.class(report.Request.Class, report.Misbehaving)
 	class.Offered++
@@ -165,13 +165,13 @@
 
 // HasOutcome tells whether a request has its outcome.
 func (m *Metrics) HasOutcome(request uint64) bool {
-	return m.seen[request/64]&(1<<(request%64)) != 0
+	return m.finishedRequests[request/64]&(1<<(request%64)) != 0
 }
 
 // RecordMissing counts the requests of a schedule that have no outcome.
 func (m *Metrics) RecordMissing(offered int64) {
 	finished := int64(0)
-	for _, bitmap := range m.seen {
+	for _, bitmap := range m.finishedRequests {
 		finished += int64(bits.OnesCount64(bitmap))
 	}
 	if missing := offered - finished; missing > 0 {
--- a/internal/testbed/load/stats/metrics_test.go
+++ b/internal/testbed/load/stats/metrics_test.go
@@ -22,24 +22,24 @@
 
 // Shards are merged; a request that two shards have, and one that none has, are found.
 func ExampleMetrics_Merge() {
-	one, two := New([]string{"look"}, []time.Duration{time.Second}), New([]string{"look"}, []time.Duration{time.Second})
+	first, second := New([]string{"look"}, []time.Duration{time.Second}), New([]string{"look"}, []time.Duration{time.Second})
 	for n := range uint64(100) {
-		recordRequest(one, 2*n, client.Served, time.Duration(n)*10*time.Millisecond, time.Duration(n+1)*time.Millisecond)
-		recordRequest(two, 2*n+1, client.Served, time.Duration(n)*10*time.Millisecond, time.Duration(n+1)*20*time.Millisecond)
+		recordRequest(first, 2*n, client.Served, time.Duration(n)*10*time.Millisecond, time.Duration(n+1)*time.Millisecond)
+		recordRequest(second, 2*n+1, client.Served, time.Duration(n)*10*time.Millisecond, time.Duration(n+1)*20*time.Millisecond)
 	}
-	recordRequest(two, 300, client.MalformedAnswer, 0, time.Second)
-	recordRequest(two, 4, client.Served, 0, time.Second)
-	recordRequest(two, 5, client.Served, 0, time.Second)
-	text, err := json.Marshal(two)
+	recordRequest(second, 300, client.MalformedAnswer, 0, time.Second)
+	recordRequest(second, 4, client.Served, 0, time.Second)
+	recordRequest(second, 5, client.Served, 0, time.Second)
+	text, err := json.Marshal(second)
 	fmt.Println(err)
-	var read Metrics
-	fmt.Println(json.Unmarshal(text, &read))
-	printMetrics(one)
-	printMetrics(&read)
-	fmt.Println(one.Merge(&read))
-	one.RecordMissing(205)
-	printMetrics(one)
-	fmt.Println(json.Unmarshal([]byte(`{"v":2}`), &read), one.Merge(New(nil, nil)))
+	var decoded Metrics
+	fmt.Println(json.Unmarshal(text, &decoded))
+	printMetrics(first)
+	printMetrics(&decoded)
+	fmt.Println(first.Merge(&decoded))
+	first.RecordMissing(205)
+	printMetrics(first)
+	fmt.Println(json.Unmarshal([]byte(`{"v":2}`), &decoded), first.Merge(New(nil, nil)))
 	// Output:
 	// <nil>
 	// <nil>
--- a/internal/testbed/load/timerwheel/timerwheel.go
+++ b/internal/testbed/load/timerwheel/timerwheel.go
@@ -11,10 +11,10 @@
 // it. Six levels reach 2^36 ticks: 79 days of tenths of a millisecond. A timer that lies further stands in the
 // last slot, and is linked again when that slot begins.
 const (
-	slotBits = 6
-	slots    = 1 << slotBits
-	levels   = 6
-	reach    = Tick(1) << (slotBits * levels)
+	slotBits  = 6
+	slots     = 1 << slotBits
+	levels    = 6
+	wheelSpan = Tick(1) << (slotBits * levels)
 )
 
 // Timer identifies a timer; 0 is none. A value is used again only after four billion other timers of the same entry.
@@ -30,12 +30,12 @@
 
 // Wheel holds timers that carry a number each.
 type Wheel struct {
-	now     Tick
-	entries []entry               // entry 0 is unused
-	free    int32                 // head of the free list; 0: none
-	heads   [levels * slots]int32 // first entry of each slot's ring; 0: none
-	used    [levels]uint64        // a bit for each slot with timers
-	count   int
+	now      Tick
+	entries  []entry               // entry 0 is unused
+	free     int32                 // head of the free list; 0: none
+	heads    [levels * slots]int32 // first entry of each slot's ring; 0: none
+	occupied [levels]uint64        // a bit for each slot with timers
+	count    int
 }
 
 // New returns a wheel that begins at a time.
@@ -83,7 +83,7 @@
 // now.
 func (w *Wheel) link(index int32) {
 	linked := &w.entries[index]
-	at := min(linked.at, w.now+reach-1)
+	at := min(linked.at, w.now+wheelSpan-1)
 	level := (63 - bits.LeadingZeros64(uint64(at^w.now)|1)) / slotBits
 	if level >= levels { // only the topmost digit wraps around; that slot begins in time
 		level = levels - 1
@@ -97,7 +97,7 @@
 	} else {
 		linked.next, linked.prev = index, index
 		w.heads[slot] = index
-		w.used[level] |= 1 << (slot & (slots - 1))
+		w.occupied[level] |= 1 << (slot & (slots - 1))
 	}
 }
 
@@ -105,7 +105,7 @@
 	unlinked := &w.entries[index]
 	if unlinked.next == index {
 		w.heads[unlinked.slot] = 0
-		w.used[unlinked.slot/slots] &^= 1 << (unlinked.slot & (slots - 1))
+		w.occupied[unlinked.slot/slots] &^= 1 << (unlinked.slot & (slots - 1))
 		return
 	}
 	w.entries[unlinked.prev].next, w.entries[unlinked.next].prev = unlinked.next, unlinked.prev
@@ -120,12 +120,12 @@
 	for level := range levels {
 		width := slotBits * level
 		digit := uint(w.now>>width) & (slots - 1)
-		if ahead := w.used[level] &^ (1<<(digit+1) - 1); ahead != 0 {
+		if ahead := w.occupied[level] &^ (1<<(digit+1) - 1); ahead != 0 {
 			slot := Tick(bits.TrailingZeros64(ahead))
 			return w.now>>(width+slotBits)<<(width+slotBits) | slot<<width, true
 		}
-		if level == levels-1 && w.used[level] != 0 { // after the topmost digit wraps around
-			slot := Tick(bits.TrailingZeros64(w.used[level]))
+		if level == levels-1 && w.occupied[level] != 0 { // after the topmost digit wraps around
+			slot := Tick(bits.TrailingZeros64(w.occupied[level]))
 			return (w.now>>(width+slotBits)+1)<<(width+slotBits) | slot<<width, true
 		}
 	}
@@ -166,7 +166,7 @@
 		return
 	}
 	w.heads[slot] = 0
-	w.used[slot/slots] &^= 1 << (slot & (slots - 1))
+	w.occupied[slot/slots] &^= 1 << (slot & (slots - 1))
 	for index := first; ; {
 		next := w.entries[index].next
 		w.link(index)
--- a/internal/testbed/load/timerwheel/timerwheel_test.go
+++ b/internal/testbed/load/timerwheel/timerwheel_test.go
@@ -62,7 +62,7 @@
 	r.checkNext()
 	last := r.now
 	r.wheel.Advance(to, func(number uint64) {
-		index := slices.IndexFunc(r.timers, func(one referenceTimer) bool { return one.number == number })
+		index := slices.IndexFunc(r.timers, func(timer referenceTimer) bool { return timer.number == number })
 		if index < 0 || r.timers[index].at > to || r.timers[index].at < last {
 			r.t.Fatalf("timer %d fired in moving to %d, last %d: %v", number, to, last, r.timers)
 		}
@@ -70,9 +70,9 @@
 		r.timers = slices.Delete(r.timers, index, index+1)
 	})
 	r.now = to
-	for _, one := range r.timers {
-		if one.at <= r.now {
-			r.t.Fatalf("timer for %d did not fire by %d", one.at, r.now)
+	for _, timer := range r.timers {
+		if timer.at <= r.now {
+			r.t.Fatalf("timer for %d did not fire by %d", timer.at, r.now)
 		}
 	}
 }
@@ -82,9 +82,9 @@
 	if ok != (len(r.timers) > 0) {
 		r.t.Fatalf("next: %v %v with %d set", at, ok, len(r.timers))
 	}
-	for _, one := range r.timers {
-		if one.at < at {
-			r.t.Fatalf("a timer is due at %d, before %d", one.at, at)
+	for _, timer := range r.timers {
+		if timer.at < at {
+			r.t.Fatalf("a timer is due at %d, before %d", timer.at, at)
 		}
 	}
 }
@@ -112,16 +112,16 @@
 
 // A timer that sets another for the same time, and one that stops its neighbour.
 func TestAddAndStopWhileFiring(t *testing.T) {
-	w := New(0)
+	wheel := New(0)
 	var got []uint64
 	var third Timer
-	w.Add(5, 1)
-	third = w.Add(5, 3)
-	w.Advance(10, func(number uint64) {
+	wheel.Add(5, 1)
+	third = wheel.Add(5, 3)
+	wheel.Advance(10, func(number uint64) {
 		got = append(got, number)
 		if number == 1 {
-			w.Add(5, 2) // fires a tick later
-			w.Stop(third)
+			wheel.Add(5, 2) // fires a tick later
+			wheel.Stop(third)
 		}
 	})
 	if !slices.Equal(got, []uint64{1, 2}) {
@@ -133,39 +133,39 @@
 const openTimers = 100_000
 
 func BenchmarkWheel(b *testing.B) {
-	w := New(0)
-	r := rand.New(rand.NewSource(1))
-	names := make([]Timer, openTimers)
-	for i := range names {
-		names[i] = w.Add(Tick(r.Intn(50000)+1), uint64(i))
+	wheel := New(0)
+	random := rand.New(rand.NewSource(1))
+	timers := make([]Timer, openTimers)
+	for i := range timers {
+		timers[i] = wheel.Add(Tick(random.Intn(50000)+1), uint64(i))
 	}
 	b.ReportAllocs()
 	now := Tick(0)
 	for n := 0; b.Loop(); n++ {
 		i := n % openTimers
-		w.Stop(names[i])
-		names[i] = w.Add(now+Tick(r.Intn(50000)+1), uint64(i))
+		wheel.Stop(timers[i])
+		timers[i] = wheel.Add(now+Tick(random.Intn(50000)+1), uint64(i))
 		if n%8 == 0 {
 			now++
-			w.Advance(now, func(number uint64) { names[number] = w.Add(now+50000, number) })
+			wheel.Advance(now, func(number uint64) { timers[number] = wheel.Add(now+50000, number) })
 		}
 	}
 }
 
 func BenchmarkAfterFunc(b *testing.B) {
-	r := rand.New(rand.NewSource(1))
+	random := rand.New(rand.NewSource(1))
 	timers := make([]*time.Timer, openTimers)
 	for i := range timers {
-		timers[i] = time.AfterFunc(time.Duration(r.Intn(50000)+50000)*100*time.Microsecond, func() {})
+		timers[i] = time.AfterFunc(time.Duration(random.Intn(50000)+50000)*100*time.Microsecond, func() {})
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		i := n % openTimers
 		timers[i].Stop()
-		timers[i] = time.AfterFunc(time.Duration(r.Intn(50000)+50000)*100*time.Microsecond, func() {})
+		timers[i] = time.AfterFunc(time.Duration(random.Intn(50000)+50000)*100*time.Microsecond, func() {})
 	}
-	for _, t := range timers {
-		t.Stop()
+	for _, timer := range timers {
+		timer.Stop()
 	}
 }
 
@@ -197,24 +197,24 @@
 }
 
 func BenchmarkHeap(b *testing.B) {
-	r := rand.New(rand.NewSource(1))
-	var h timerHeap
+	random := rand.New(rand.NewSource(1))
+	var timersByTime timerHeap
 	timers := make([]*heapTimer, openTimers)
 	for i := range timers {
-		timers[i] = &heapTimer{at: Tick(r.Intn(50000) + 1)}
-		heap.Push(&h, timers[i])
+		timers[i] = &heapTimer{at: Tick(random.Intn(50000) + 1)}
+		heap.Push(&timersByTime, timers[i])
 	}
 	b.ReportAllocs()
 	now := Tick(0)
 	for n := 0; b.Loop(); n++ {
-		t := timers[n%openTimers]
-		t.at = now + Tick(r.Intn(50000)+1)
-		heap.Fix(&h, t.index)
+		timer := timers[n%openTimers]
+		timer.at = now + Tick(random.Intn(50000)+1)
+		heap.Fix(&timersByTime, timer.index)
 		if n%8 == 0 {
 			now++
-			for h[0].at <= now {
-				h[0].at = now + 50000
-				heap.Fix(&h, 0)
+			for timersByTime[0].at <= now {
+				timersByTime[0].at = now + 50000
+				heap.Fix(&timersByTime, 0)
 			}
 		}
 	}
