--- a/internal/testbed/load/arrival/arrival_test.go
+++ b/internal/testbed/load/arrival/arrival_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// countBySecond counts a shape's arrivals in each of the first seconds.
+// countBySecond returns the number of a shape's arrivals in each of the first seconds.
 func countBySecond(shape Shape, seconds int) (counts []int) {
 	counts = make([]int, seconds)
 	stream := shape.Stream(7)
@@ -16,14 +16,14 @@
 			return counts
 		}
 		if at < last {
-			panic("times went back")
+			panic("arrival times are not in ascending order")
 		}
 		last = at
 		counts[at/time.Second]++
 	}
 }
 
-// One line for each shape: arrivals in each of eight seconds.
+// Prints the number of arrivals of each shape in each of the first eight seconds.
 func ExampleShape() {
 	trace := Shape{Kind: Replay, Times: []time.Duration{0, time.Second, time.Second, 2500 * time.Millisecond, 7 * time.Second}}
 	for _, example := range []struct {
@@ -123,7 +123,8 @@
 	return requests
 }
 
-// The union of the shards is exactly the schedule that nobody split, and the draws are the classes' shares and Zipf's.
+// The shards together contain exactly the requests of the undivided schedule. The classes occur in proportion to their
+// shares, and the groups follow Zipf's law.
 func TestShardsMakeUpTheSchedule(t *testing.T) {
 	shape := &Shape{Kind: Sum, Parts: []Shape{{Kind: Poisson, Rate: 500}, {Kind: Bursts, Levels: []float64{0, 900}, Dwell: 100 * time.Millisecond}}}
 	const seed, length, shards = 9, 20 * time.Second, 5
@@ -154,10 +155,10 @@
 		}
 	}
 	if count := float64(len(complete)); len(sharded) != len(complete) || float64(lookUps)/count < 0.73 || float64(lookUps)/count > 0.77 {
-		t.Errorf("%d requests, %d in shards, %d look-ups", len(complete), len(sharded), lookUps)
+		t.Errorf("%d requests in the schedule, %d in its shards, %d of the class look", len(complete), len(sharded), lookUps)
 	}
-	if fraction := float64(firstGroup) / float64(lookUps); fraction < 0.32 || fraction > 0.36 { // 1 over the sum of 1/k up to 10 is 0.341
-		t.Errorf("the first group has a share of %.3f", fraction)
+	if fraction := float64(firstGroup) / float64(lookUps); fraction < 0.32 || fraction > 0.36 { // expected: 0.341, which is 1 / (1/1 + 1/2 + ... + 1/10)
+		t.Errorf("the first group has %.3f of the requests of the class look, expected 0.341", fraction)
 	}
 }
 
--- a/internal/testbed/load/arrival/schedule.go
+++ b/internal/testbed/load/arrival/schedule.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// Class is one kind of request in the load.
+// Class describes one kind of request in the load.
 type Class struct {
 	Name             string
-	GatewayClass     string        `json:"As"` // the class that is sent to gateways; empty: Name
-	Share            float64       // of all requests, against the other classes' shares
-	Statements       []string      // templates, drawn evenly: {group} and {literal} are filled in
-	Groups           int           // of tables, from 1 on; their draws follow Zipf's law
-	Zipf             float64       // its exponent; 0: all groups alike
-	Literals         int           // how many different literals there are; 0: each its own
-	LatencyObjective time.Duration `json:"Quoted"`   // an answer within it has its full weight
-	MaxWait          time.Duration `json:"Patience"` // how long the client waits for the answer
+	GatewayClass     string        `json:"As"` // class that is sent to gateways; empty: Name
+	Share            float64       // of all requests, relative to the shares of the other classes
+	Statements       []string      // templates, chosen with equal probability; {group} and {literal} are replaced
+	Groups           int           // number of table groups; requests choose a group from 1 to Groups by Zipf's law
+	Zipf             float64       // exponent of Zipf's law; 0: all groups have equal probability
+	Literals         int           // number of different literals; 0: each request draws its own
+	LatencyObjective time.Duration `json:"Quoted"`   // an answer within this time earns the full weight
+	MaxWait          time.Duration `json:"Patience"` // how long the client waits for the answer, with all retries
 	MarkRetry        bool          // the client's own retries carry retry=1
-	Idempotent       bool          `json:"Repeat"` // a second run does no harm, so that clients may retry after any end
+	Idempotent       bool          `json:"Repeat"` // a second execution does no harm, so clients may retry even if the first may have run
 }
 
-// WireName is the name of the class that is sent to gateways.
+// WireName returns the name of the class that is sent to gateways.
 func (c *Class) WireName() string {
 	if c.GatewayClass != "" {
 		return c.GatewayClass
@@ -33,34 +33,35 @@
 	return c.Name
 }
 
-// Request is one arrival. Number counts all arrivals of a schedule from 0, whoever sends them.
+// Request is one arrival of a schedule. Number is its position in the schedule, from 0, regardless of which process
+// sends it.
 type Request struct {
 	Number     uint64
-	At         time.Duration // intended, from the start of the run
-	Class      int
-	Template   int
-	Group      int
+	At         time.Duration // intended time, from the start of the run
+	Class      int           // index into the classes of the load
+	Template   int           // index into the statements of the class
+	Group      int           // table group, from 1
 	Literal    uint64
-	RandomBits uint64 // random, for what the client decides
+	RandomBits uint64 // random; the client's misbehavior is drawn from it
 }
 
-// Schedule gives the requests of a load in order. What a request is depends on the seed and its number alone, so that
-// it is the same whoever draws it.
+// Schedule generates the requests of a load in the order of their times. A request depends only on the seed and its
+// number, so every process that generates the schedule gets the same requests.
 type Schedule struct {
 	classes                []Class
-	cumulativeShares       []float64   // of the classes
-	cumulativeGroupWeights [][]float64 // weights of the groups, by class
+	cumulativeShares       []float64   // by class: sum of the shares up to this class
+	cumulativeGroupWeights [][]float64 // by class and group: sum of the group weights up to this group
 	stream                 Stream
 	seed                   uint64
-	length                 time.Duration
-	next                   uint64 // number of the next request
-	marks                  []Mark
+	length                 time.Duration // 0: until the shape ends
+	next                   uint64        // number of the next request
+	marks                  []Mark        // by number of the request; nil: class and group are drawn
 }
 
-// maxGroups bounds a class's groups of tables.
+// maxGroups is the largest number of table groups of a class.
 const maxGroups = 1 << 20
 
-// NewSchedule draws a load from a shape for a length of time (0: until the shape ends).
+// NewSchedule returns the schedule of a load with a shape and a length (0: until the shape ends).
 func NewSchedule(shape *Shape, classes []Class, seed int64, length time.Duration) (*Schedule, error) {
 	schedule := &Schedule{classes: classes, stream: shape.Stream(seed), seed: uint64(seed), length: length}
 	if shape.Kind == Replay && len(shape.Marks) == len(shape.Times) {
@@ -82,7 +83,7 @@
 	return schedule, nil
 }
 
-// cumulativeZipf returns the growing sums of Zipf's weights.
+// cumulativeZipf returns the cumulative sums of the weights of Zipf's law, which are 1/rank^exponent.
 func cumulativeZipf(groups int, exponent float64) (sums []float64) {
 	sum := 0.0
 	for rank := 1; rank <= groups; rank++ {
@@ -92,7 +93,7 @@
 	return sums
 }
 
-// Next returns the next arrival, whoever sends it.
+// Next returns the next arrival, regardless of which process sends it. ok is false at the end of the schedule.
 func (s *Schedule) Next() (request Request, ok bool) {
 	at, ok := s.stream.Next()
 	if !ok || s.length > 0 && at >= s.length {
@@ -105,7 +106,8 @@
 	class := &s.classes[request.Class]
 	request.Template = int(random.Uint64() % uint64(len(class.Statements)))
 	request.Group = 1 + findFraction(s.cumulativeGroupWeights[request.Class], drawFraction(random))
-	if s.marks != nil { // after the same draws as without marks, so that the following draws are the same too
+	// Marks replace class and group only after the draws above, so that the draws below are the same as without marks.
+	if s.marks != nil {
 		request.Class, request.Group = s.marks[number].Class, max(1, s.marks[number].Group)
 		request.Template %= len(s.classes[request.Class].Statements)
 		class = &s.classes[request.Class]
@@ -118,10 +120,10 @@
 	return request, true
 }
 
-// drawFraction draws from 0 to 1.
+// drawFraction draws a number that is at least 0 and less than 1.
 func drawFraction(random *rand.PCG) float64 { return float64(random.Uint64()>>11) / (1 << 53) }
 
-// findFraction returns the index of the growing sum into which a fraction of the last sum falls.
+// findFraction returns the index of the first cumulative sum that exceeds the given fraction of the last sum.
 func findFraction(sums []float64, fraction float64) int {
 	wanted := fraction * sums[len(sums)-1]
 	low, high := 0, len(sums)-1
@@ -136,10 +138,10 @@
 	return low
 }
 
-// Shard tells which of so many processes sends an arrival.
+// Shard returns the index of the process that sends an arrival, if the arrivals are divided among processes.
 func Shard(number uint64, processes int) int { return int(number % uint64(processes)) }
 
-// Statement appends a request's text, without the comment that carries its fields.
+// Statement appends the text of a request's statement, without the comment that carries the request's fields.
 func (c *Class) Statement(dst []byte, request *Request) []byte {
 	text := c.Statements[request.Template]
 	for len(text) > 0 {
--- a/internal/testbed/load/arrival/shape.go
+++ b/internal/testbed/load/arrival/shape.go
@@ -1,5 +1,5 @@
-// Package arrival draws the times at which load arrives: seeded, without I/O and without a clock of its own. A
-// schedule never looks at answers, so a stalled system is offered just as much.
+// Package arrival draws the arrival times and the contents of a load's requests from a seed. It does no I/O and reads
+// no clock. A schedule doesn't depend on answers, so a stalled system is offered the same load as a fast one.
 package arrival
 
 import (
@@ -8,27 +8,29 @@
 	"time"
 )
 
-// Kind names how the times of a shape are drawn.
+// Kind selects how the arrival times of a shape are drawn.
 type Kind string
 
-// The kinds of shapes. Rates are requests a second.
+// The kinds of shapes, with the fields of Shape that each kind uses. Rates are in requests per second. All kinds with a
+// rate except Steady are Poisson processes.
 const (
-	Poisson  Kind = "poisson"  // Rate
-	Steady   Kind = "steady"   // Rate, at even distances
-	Bursts   Kind = "bursts"   // Markov-modulated: Levels, each for an exponential time with the mean Dwell
-	OnOff    Kind = "on-off"   // Rate while on; on and off last Pareto times with the means On and Off and the tail Tail
-	Ramp     Kind = "ramp"     // from Rate to Peak over Over, and Peak from then on
-	Step     Kind = "step"     // Levels, each for Dwell, the last one without end
-	Diurnal  Kind = "diurnal"  // Rate on average, swinging by the share Swing over Period; the peak comes at Peaks
-	Flash    Kind = "flash"    // Rate; from From on it rises to Peak over Over, then what exceeds Rate halves every Half
-	Replay   Kind = "replay"   // Times
-	Sum      Kind = "sum"      // all Parts at once
-	Scale    Kind = "scale"    // Parts[0] with every rate times Factor
-	Thin     Kind = "thin"     // of Parts[0] each arrival with the chance Factor
-	Sequence Kind = "sequence" // the Parts in turn, each for its For
+	Poisson  Kind = "poisson"  // constant Rate
+	Steady   Kind = "steady"   // constant Rate, with equal gaps
+	Bursts   Kind = "bursts"   // Markov-modulated: cycles through the rates in Levels, each for an exponential time with the mean Dwell
+	OnOff    Kind = "on-off"   // Rate while on, 0 while off, each for a Pareto-distributed time: means On and Off, tail index Tail
+	Ramp     Kind = "ramp"     // the rate changes linearly from Rate to Peak during Over, then stays at Peak
+	Step     Kind = "step"     // each of the rates in Levels for Dwell; the last one has no end
+	Diurnal  Kind = "diurnal"  // cosine around Rate with the relative amplitude Swing and the period Period; the maximum is at Peaks
+	Flash    Kind = "flash"    // Rate until From, then linearly to Peak during Over; after that, the excess over Rate halves every Half
+	Replay   Kind = "replay"   // the recorded Times
+	Sum      Kind = "sum"      // all Parts at the same time
+	Scale    Kind = "scale"    // Parts[0] with every rate multiplied by Factor
+	Thin     Kind = "thin"     // Parts[0], where each arrival is retained with the probability Factor
+	Sequence Kind = "sequence" // the Parts one after the other, each for its own For
 )
 
-// Shape is a tree of kinds; each uses the fields that its kind names, and all may end after For.
+// Shape describes how arrivals are distributed over time. It is a tree, because some kinds combine other shapes. Each
+// kind uses the fields listed at its constant. A shape of any kind ends after For, if that is set.
 type Shape struct {
 	Kind                      Kind
 	Rate, Peak, Swing, Factor float64
@@ -36,25 +38,25 @@
 	Tail                      float64
 	On, Off, Dwell, Over      time.Duration
 	Period, Peaks, From, Half time.Duration
-	For                       time.Duration // 0: without end
+	For                       time.Duration // length of the shape; 0: unlimited
 	Times                     []time.Duration
-	Marks                     []Mark // of Times, where a replayed trace knows them; used when the shape is no part
+	Marks                     []Mark // classes and groups of Times, if the trace has them; used only if the outermost shape is the Replay
 	Parts                     []Shape
 }
 
-// Mark is what a recorded arrival was.
+// Mark holds the class and the table group of a recorded arrival.
 type Mark struct {
 	Class int `json:"Lane"`
 	Group int
 }
 
-// maxRate is above what one machine can offer; a larger rate is a mistake in the unit.
+// maxRate is the largest rate, in requests per second. One machine can offer less; a larger rate has the wrong unit.
 const maxRate = 1e7
 
-// maxFactor bounds the factor of Scale.
+// maxFactor is the largest Factor of Scale.
 const maxFactor = 1e4
 
-// Check returns an error for the first field, named by its path, whose value is out of its range.
+// Check returns an error for the first field whose value is out of range. The error names the field by its path.
 func (s *Shape) Check(path string) error {
 	err := s.checkFields(path)
 	if err != nil {
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// checkComposition checks the fields of the kinds that are made of parts.
+// checkComposition checks the fields of the kinds that combine other shapes.
 func (s *Shape) checkComposition(path string) error {
 	if s.Kind == Sum || s.Kind == Sequence {
 		if len(s.Parts) == 0 {
--- a/internal/testbed/load/arrival/shape_stream.go
+++ b/internal/testbed/load/arrival/shape_stream.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// Stream gives times in order, from the start on; ok is false when there are no more.
+// Stream generates arrival times in ascending order, counted from the start of the stream. ok is false when there are
+// no more.
 type Stream interface {
 	Next() (at time.Duration, ok bool)
 }
 
-// never is later than any run lasts.
+// never is later than the end of any run.
 const never = time.Duration(math.MaxInt64)
 
-// Multipliers that derive the seeds of parts and of copies.
+// Multipliers that derive the seeds of a shape's parts and of the copies in a scaled replay.
 const (
 	partSeedMultiplier = 31
 	copySeedMultiplier = 7919
 )
 
-// Stream draws a shape's times; the same seed draws the same.
+// Stream returns a stream of the shape's arrival times. The same seed gives the same times.
 func (s *Shape) Stream(seed int64) Stream { return s.newStream(seed, 1) }
 
-// newStream draws the times with every rate multiplied by a factor.
+// newStream returns the shape's stream with every rate multiplied by factor.
 func (s *Shape) newStream(seed int64, factor float64) Stream {
 	stream := s.newEndlessStream(seed, factor)
 	if s.For > 0 {
@@ -32,11 +33,12 @@
 	return stream
 }
 
-// newPartStream draws a part's times; each part has a random source of its own.
+// newPartStream returns the stream of a part. Each part has its own random source.
 func (s *Shape) newPartStream(part int, seed int64, factor float64) Stream {
 	return s.Parts[part].newStream(seed*partSeedMultiplier+int64(part)+1, factor)
 }
 
+// newEndlessStream returns the shape's stream without the limit For.
 func (s *Shape) newEndlessStream(seed int64, factor float64) Stream {
 	random := rand.New(rand.NewSource(seed))
 	switch s.Kind {
@@ -71,8 +73,8 @@
 	}
 }
 
-// rateOverTime returns the rate at each time, and its maximum, of the kinds that are Poisson processes with a rate that
-// depends on time alone.
+// rateOverTime returns the rate as a function of time, and the maximum of the rate. It is for the kinds that are
+// Poisson processes whose rate depends only on the time.
 func (s *Shape) rateOverTime(factor float64) (rate func(time.Duration) float64, maximum float64) {
 	switch s.Kind {
 	case Ramp:
@@ -110,7 +112,8 @@
 	}
 }
 
-// stateDraw returns a function that draws the rate and length of the numbered state of a modulated process.
+// stateDraw returns a function that draws the rate and the length of a state of a Bursts or OnOff process. number
+// counts the states from 0.
 func (s *Shape) stateDraw(random *rand.Rand, factor float64) func(number int) (rate float64, length time.Duration) {
 	if s.Kind == Bursts {
 		return func(number int) (float64, time.Duration) {
@@ -125,15 +128,17 @@
 	}
 }
 
-// drawPareto draws a heavy-tailed time with a given mean.
+// drawPareto draws a Pareto-distributed, thus heavy-tailed, time with the given mean and tail index. The result is at
+// most never/4, so that adding it to the current time doesn't overflow.
 func drawPareto(random *rand.Rand, mean time.Duration, tail float64) time.Duration {
 	minimum := float64(mean) * (tail - 1) / tail
 	return time.Duration(min(minimum*math.Pow(1-random.Float64(), -1/tail), float64(never)/4))
 }
 
-// newScaledReplay scales recorded times: as many copies as the factor's whole part, and a thinned one for its fraction.
-// The times of copies after the first fall anywhere in the gap that follows the recorded time, so that the trace's own
-// pace is preserved and no two arrivals come in pairs.
+// newScaledReplay multiplies the rate of recorded arrivals by factor: it merges one complete copy of the times for each
+// unit of the factor and a thinned copy for its fraction. In all copies but the first, each time moves to a random
+// point in the gap that follows the recorded time. This preserves the trace's variation of the rate and prevents
+// arrivals in pairs.
 func newScaledReplay(s *Shape, seed int64, factor float64) Stream {
 	merged := &mergedStream{}
 	for number := 0; float64(number) < factor; number++ {
--- a/internal/testbed/load/arrival/stream.go
+++ b/internal/testbed/load/arrival/stream.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fromSeconds converts to a time on the schedule, which counts whole nanoseconds.
+// fromSeconds converts seconds to whole nanoseconds. More than 1e9 seconds become never.
 func fromSeconds(seconds float64) time.Duration {
 	if seconds > 1e9 {
 		return never
@@ -14,32 +14,33 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// steadyStream has even distances.
+// steadyStream generates arrivals with equal gaps.
 type steadyStream struct {
-	rate  float64 // a second
-	count int64
+	rate  float64 // requests per second
+	count int64   // arrivals generated so far
 }
 
 func (s *steadyStream) Next() (time.Duration, bool) {
 	if s.rate <= 0 {
 		return 0, false
 	}
-	at := fromSeconds(float64(s.count) / s.rate) // from the count, so that rounding errors don't add up
+	at := fromSeconds(float64(s.count) / s.rate) // computed from the count, so that rounding errors don't accumulate
 	s.count++
 	return at, at < never
 }
 
-// varyingRateStream is a Poisson process whose rate changes with time. It draws candidates at the maximum rate and accepts
-// each with the probability of the rate there.
+// varyingRateStream is a Poisson process whose rate varies over time. It draws candidates at the maximum rate and
+// accepts each with the probability rate/maximum, where rate is the rate at the candidate's time.
 type varyingRateStream struct {
 	random  *rand.Rand
-	maximum float64 // rate a second
-	rate    func(time.Duration) float64
-	seconds float64 // time of the last candidate
+	maximum float64                     // maximum of rate
+	rate    func(time.Duration) float64 // requests per second at a time
+	seconds float64                     // time of the last candidate
 }
 
-// maxRejectedCandidates ends a process whose rate has come down to nothing without end: no shape has a gap of so many
-// candidates and then goes on, but for one that was given a rate a million times under its peak.
+// maxRejectedCandidates is the number of consecutive rejected candidates after which a stream ends, because its rate
+// has dropped to 0 for good. A shape that continues after such a long gap would need a rate a million times below its
+// peak.
 const maxRejectedCandidates = 10_000_000
 
 func (v *varyingRateStream) Next() (time.Duration, bool) {
@@ -60,14 +61,15 @@
 	return 0, false
 }
 
-// modulatedStream is a Poisson process that keeps a rate for a while and then enters the next state.
+// modulatedStream is a Poisson process with a constant rate in each state. When a state ends, the process enters the
+// next one.
 type modulatedStream struct {
 	random        *rand.Rand
 	drawState     func(number int) (rate float64, length time.Duration)
-	statesEntered int // entered so far
+	statesEntered int
 	rate          float64
-	at            time.Duration
-	stateEnd      time.Duration // end of the state
+	at            time.Duration // last arrival, or start of the state if it is later
+	stateEnd      time.Duration
 }
 
 func (m *modulatedStream) enterState() {
@@ -86,17 +88,20 @@
 				return at, true
 			}
 		}
-		m.at = m.stateEnd // the process has no memory, so a time past the state's end is drawn anew
+		// The process has no memory, so a time after the end of the state is discarded and drawn again in the next
+		// state.
+		m.at = m.stateEnd
 		m.enterState()
 	}
 	return 0, false
 }
 
+// replayStream generates recorded times, or a random time in the gap that follows each recorded time.
 type replayStream struct {
 	times     []time.Duration
-	random    *rand.Rand // nil: at the times themselves; otherwise somewhere in the gap that follows each
-	nextIndex int        // index into times
-	last      time.Duration
+	random    *rand.Rand    // nil: generate the recorded times themselves
+	nextIndex int           // index into times
+	last      time.Duration // last generated time
 }
 
 func (r *replayStream) Next() (time.Duration, bool) {
@@ -112,13 +117,13 @@
 	return r.last, true
 }
 
-// mergedStream gives the times of several streams in order; of equal times the earlier part's first.
+// mergedStream merges streams in the order of their times. At equal times, the stream that was added first comes first.
 type mergedStream struct{ heads []streamHead }
 
-// streamHead is the next time of one of the streams.
+// streamHead is the next time of one of the merged streams.
 type streamHead struct {
 	at     time.Duration
-	order  int
+	order  int // position in which the stream was added
 	source Stream
 }
 
@@ -135,7 +140,7 @@
 func (m *mergedStream) Push(pushed any) {
 	head, ok := pushed.(streamHead)
 	if !ok {
-		panic("arrival: the heap holds stream heads alone")
+		panic("arrival: only a streamHead can be pushed to the heap")
 	}
 	m.heads = append(m.heads, head)
 }
@@ -168,7 +173,7 @@
 	return at, true
 }
 
-// thinnedStream passes each time on with a probability.
+// thinnedStream passes on each time of its source with a probability.
 type thinnedStream struct {
 	source      Stream
 	random      *rand.Rand
@@ -187,6 +192,7 @@
 	}
 }
 
+// boundedStream ends its source at a time.
 type boundedStream struct {
 	source Stream
 	end    time.Duration
@@ -197,13 +203,13 @@
 	return at, ok && at < b.end
 }
 
-// sequenceStream gives its parts' times one part after the other; a part's own times count from its start.
+// sequenceStream generates the times of its parts one after the other. The times of a part count from the part's start.
 type sequenceStream struct {
 	parts   []Shape
 	newPart func(part int) Stream
-	part    int
-	source  Stream // of the part; nil: not made yet
-	start   time.Duration
+	part    int           // index of the current part
+	source  Stream        // of the current part; nil: not created yet
+	start   time.Duration // start of the current part
 }
 
 func (s *sequenceStream) Next() (time.Duration, bool) {
--- a/internal/testbed/load/client/client.go
+++ b/internal/testbed/load/client/client.go
@@ -1,5 +1,6 @@
-// Package client decides what the clients of a load do: when they send, on which session, how long they wait, whether
-// they retry. It does no I/O and has no clock; a driver brings events and carries out the calls on its Transport.
+// Package client decides what the simulated clients of a load do: when they send requests, on which session, how long
+// they wait and whether they retry. It does no I/O and reads no clock: a driver calls the Handle methods of Clients for
+// events, and implements Transport, which carries out the decisions.
 package client
 
 import (
@@ -8,20 +9,20 @@
 	"magpiebank/internal/testbed/load/arrival"
 )
 
-// Outcome is how a request ended for the client that sent it.
+// Outcome is the result of a request, as seen by the client that sent it.
 type Outcome uint8
 
 // The outcomes. Every request of a schedule gets exactly one.
 const (
 	Served          Outcome = iota
 	Rejected                // the last attempt was rejected
-	Failed                  // the last attempt got an error that doesn't say whether the statement ran
-	TimedOut                // the attempt timeout ended while an attempt was in flight or a backoff was running
-	NotSent                 // the attempt timeout ended before a connection was free
+	Failed                  // the last attempt got an error that leaves open whether the statement ran
+	TimedOut                // the deadline passed, or the run was stopped, during an attempt or a backoff
+	NotSent                 // the deadline passed, or the run was stopped, before the request got a free connection
 	NoConnection            // the last attempt could not connect
-	ConnectionLost          // the connection ended without a complete answer
-	MalformedAnswer         // the answer couldn't be read, or its rows aren't complete
-	ClientLeft              // the client went away on purpose
+	ConnectionLost          // the connection closed before a complete answer
+	MalformedAnswer         // the answer could not be parsed, or its rows are incomplete
+	ClientLeft              // a misbehaving client closed the connection on purpose
 	OutcomeCount    = iota
 )
 
@@ -30,62 +31,65 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Behavior is how the clients of a load behave.
+// Behavior configures how the clients of a load behave.
 type Behavior struct {
-	Connections int // that may be open at once; 0: no limit. Requests that find none free wait, first come first served.
-	// PooledShare of the sessions goes back to a pool, last in first out; HeldOpenShare stays open and is not used
-	// again; the others end with their query.
+	// Connections is the maximum number of open connections; 0: no limit. Requests that find no free connection wait in
+	// first-in, first-out order.
+	Connections int
+	// After a query, PooledShare of the sessions return to a pool, from which the last one is used first. HeldOpenShare
+	// of the sessions stay open but are not used again. The others are closed.
 	PooledShare   float64       `json:"Reused"`
 	HeldOpenShare float64       `json:"Kept"`
-	IdleTimeout   time.Duration `json:"Idle"` // after which a pooled session is closed
+	IdleTimeout   time.Duration `json:"Idle"` // time after which an idle pooled session is closed
 
-	MaxAttempts                int           `json:"Tries"`       // in all, the first included
-	Backoff                    time.Duration `json:"BackOff"`     // before the second attempt; doubled each time
-	MaxBackoff                 time.Duration `json:"MostBackOff"` // bound of the doubled backoff
-	Jitter                     float64       // share of a backoff that is drawn
-	HonorRetryAfterProbability float64       `json:"Honour"` // chance that a retry-after time is kept to
+	MaxAttempts                int           `json:"Tries"`       // includes the first attempt
+	Backoff                    time.Duration `json:"BackOff"`     // before the second attempt; doubles with each attempt
+	MaxBackoff                 time.Duration `json:"MostBackOff"` // limit of the doubled backoff; 0: no limit
+	Jitter                     float64       // fraction of a backoff that is random
+	HonorRetryAfterProbability float64       `json:"Honour"` // that a client waits for the Retry-After time of a rejection
 
-	// The retry budget allows in each RetryWindow RetryBurst retries and RetryRatio of the first attempts in it.
+	// The retry budget: in each sliding window of length RetryWindow, the clients may retry RetryBurst times plus
+	// RetryRatio times the number of first attempts. Without RetryWindow, retries are not limited.
 	RetryRatio  float64       `json:"Budget"`
 	RetryBurst  int           `json:"BudgetFree"`
 	RetryWindow time.Duration `json:"BudgetWindow"`
 
-	// Shares of clients that misbehave.
-	SlowShare    float64 `json:"Slow"`  // read slowly
-	LeavingShare float64 `json:"Leave"` // close the connection before the answer came
+	// Shares of clients that misbehave:
+	SlowShare    float64 `json:"Slow"`  // read answers slowly
+	LeavingShare float64 `json:"Leave"` // close the connection before the answer arrives
 	SilentShare  float64 `json:"Mute"`  // connect and never send a query
 }
 
-// SessionID names a connection of a load; the numbers of closed sessions are reused.
+// SessionID identifies a connection of a load. The ids of closed sessions are reused.
 type SessionID int32
 
-// Attempt is what the driver sends for one attempt at a request.
+// Attempt holds what the driver needs to send one attempt at a request.
 type Attempt struct {
 	Request *arrival.Request
-	ID      uint64
-	WaitMS  int64
-	Retry   bool
-	Slow    bool
+	ID      uint64 // of the attempt; see function ID
+	WaitMS  int64  // remaining time until the deadline
+	Retry   bool   // mark the attempt as a retry
+	Slow    bool   // read the answer slowly
 }
 
-// Report is how one request ended.
+// Report describes how one request ended. All times count from the start of the run.
 type Report struct {
 	Request        *arrival.Request
 	Outcome        Outcome
-	FinishedAt     time.Duration // when, from the start of the run
-	GeneratorDelay time.Duration // part of the latency that is the generator's: it woke late, or wrote late
-	QueueDelay     time.Duration // part of it that was spent waiting for a connection under the limit
+	FinishedAt     time.Duration
+	GeneratorDelay time.Duration // part of the latency that the load generator caused by waking up or writing late
+	QueueDelay     time.Duration // part of the latency spent waiting for a connection under the limit
 	SentAt         time.Duration // when the last attempt was written
 	Attempts       int
-	Misbehaving    bool // of a slow, leaving or silent client, whose metrics are kept apart
+	Misbehaving    bool // from a slow, leaving or silent client, whose metrics are separate
 }
 
-// Transport carries out what the clients decide. Its results come back later, as calls of the Clients' Handle methods.
+// Transport carries out the decisions of Clients. It reports results later, by calling the Handle methods of Clients.
 type Transport interface {
-	Dial(sessionID SessionID)                                  // then HandleConnected or HandleClosed
-	Send(sessionID SessionID, attempt *Attempt)                // then HandleAnswer or HandleClosed
-	Close(sessionID SessionID)                                 // then nothing more of this session
-	KillQuery(connectionID uint32)                             // KILL QUERY on a session of its own, without a result
-	SetTimer(at time.Duration, request int32, sequence uint32) // then HandleTimer
-	Finished(report *Report)
+	Dial(sessionID SessionID)                                  // followed by HandleConnected or HandleClosed
+	Send(sessionID SessionID, attempt *Attempt)                // followed by HandleAnswer or HandleClosed
+	Close(sessionID SessionID)                                 // not followed by any call for this session
+	KillQuery(connectionID uint32)                             // sends KILL QUERY on a separate connection; the result is not reported
+	SetTimer(at time.Duration, request int32, sequence uint32) // followed by HandleTimer
+	Finished(report *Report)                                   // called once for each request
 }
--- a/internal/testbed/load/client/clients.go
+++ b/internal/testbed/load/client/clients.go
@@ -8,31 +8,34 @@
 )
 
 const (
-	// closeRaceWindow is how long after a send a close still counts as having crossed the request, which is sent again once.
+	// closeRaceWindow is how soon after a send a close of a reused session counts as a race: the server closed the idle
+	// session while the request was on its way. Such a request is sent again, once.
 	closeRaceWindow = 50 * time.Millisecond
-	// killGrace is the time from KILL QUERY to the close.
+	// killGrace is the time between KILL QUERY and closing the connection.
 	killGrace = 500 * time.Millisecond
-	// maxIdleTimeout bounds Behavior.IdleTimeout.
+	// maxIdleTimeout is the largest Behavior.IdleTimeout, and its default.
 	maxIdleTimeout = 4 * time.Second
-	// maxAttempts bounds Behavior.MaxAttempts, because ids are drawn by request and attempt.
+	// maxAttempts is the largest Behavior.MaxAttempts. The limit exists because ID packs request number and attempt
+	// into one number.
 	maxAttempts = 63
-	// maxBackoffDoublings keeps the shift of a doubled backoff from overflowing.
+	// maxBackoffDoublings prevents an overflow when the backoff is shifted left.
 	maxBackoffDoublings = 20
 )
 
+// requestState is the state of an entry in the table of requests.
 type requestState uint8
 
 const (
 	stateFree    requestState = iota
-	stateQueued               // waits for a connection under the limit
+	stateQueued               // waiting for a connection under the limit
 	stateDialing              // its session is connecting
-	stateSent
-	stateBackoff
-	stateKilled // KILL QUERY is sent, the close follows after killGrace
-	stateSilent // holds a session and never sends
+	stateSent                 // waiting for the answer
+	stateBackoff              // waiting for the next attempt
+	stateKilled               // outcome reported and KILL QUERY sent; the session is closed after killGrace
+	stateSilent               // holds a session and never sends
 )
 
-// misbehavior is how the client of a request differs from a well-behaved one.
+// misbehavior is how the client of a request deviates from a well-behaved client.
 type misbehavior uint8
 
 const (
@@ -42,25 +45,25 @@
 	neverSends
 )
 
-// pendingRequest is a request that has no outcome yet. All times count from the start of the run.
+// pendingRequest is an entry in the table of requests. All times count from the start of the run.
 type pendingRequest struct {
 	request        arrival.Request
 	state          requestState
 	session        SessionID // -1: none
-	timerSequence  uint32    // a timer that was set with another one is out of date
+	timerSequence  uint32    // number of the current timer; timers with other numbers are out of date
 	attempts       int
-	id             uint64
+	id             uint64 // of the current attempt
 	misbehavior    misbehavior
-	resent         bool          // sent again after a close that crossed it
-	queuedSince    time.Duration // when it last asked for a session
-	sentAt         time.Duration
+	resent         bool          // already sent again after a close race
+	queuedSince    time.Duration // when it last requested a session
+	sentAt         time.Duration // when the last attempt was sent
 	generatorDelay time.Duration
 	queueDelay     time.Duration
-	deadline       time.Duration // when the attempt timeout ends
-	nextFree       int32         // in the free list; -1: the last
+	deadline       time.Duration // when the client stops waiting: MaxWait after the intended time
+	nextFree       int32         // next entry of the free list; -1: none
 }
 
-// Clients is all clients of one driver.
+// Clients simulates the clients of one driver loop.
 type Clients struct {
 	transport Transport
 	behavior  Behavior
@@ -72,18 +75,18 @@
 	freeRequestHead int32 // head of the free list; -1: none
 	sessions        []session
 	freeSessions    []SessionID
-	openSessions    int              // that count under the limit
-	queue           sequencedQueue   // of requests that wait for a connection
-	pool            []sequencedIndex // of idle sessions that may be used again
-	heldOpen        sequencedQueue   // of sessions that are not used again, the longest idle first
+	openSessions    int              // counted against the limit
+	queue           sequencedQueue   // requests that wait for a connection
+	pool            []sequencedIndex // idle sessions that may be used again
+	heldOpen        sequencedQueue   // idle sessions that are not used again, the longest idle first
 	retryBudget     retryBudget
-	unfinished      int
+	unfinished      int     // number of requests without an outcome
 	attempt         Attempt // passed to the transport, reused to avoid an allocation
 	report          Report  // passed to the transport, reused to avoid an allocation
 }
 
-// NewClients returns a load's clients, or a shard of them: ids come from the load's seed and the request's number,
-// backoffs from the shard's own random source.
+// NewClients returns the clients of a load, or of a shard of it. Attempt ids depend on the seed of the load and the
+// number of the request. Other random values, such as backoffs, come from a random source that belongs to the shard.
 func NewClients(transport Transport, behavior Behavior, classes []arrival.Class, seed, shard int64) *Clients {
 	behavior.MaxAttempts = min(max(1, behavior.MaxAttempts), maxAttempts)
 	if behavior.IdleTimeout <= 0 || behavior.IdleTimeout > maxIdleTimeout {
@@ -93,13 +96,13 @@
 		seed: seed, freeRequestHead: -1, retryBudget: retryBudget{window: behavior.RetryWindow}}
 }
 
-// Unfinished is how many requests have no outcome yet.
+// Unfinished returns the number of requests without an outcome.
 func (c *Clients) Unfinished() int { return c.unfinished }
 
-// OpenSessions is how many sessions are open.
+// OpenSessions returns the number of open sessions.
 func (c *Clients) OpenSessions() int { return c.openSessions }
 
-// HandleArrival begins a request at its intended time, or later when the driver is late.
+// HandleArrival starts a request at its intended time, or later if the driver is late.
 func (c *Clients) HandleArrival(now time.Duration, request arrival.Request) {
 	index := c.freeRequestHead
 	if index < 0 {
@@ -117,7 +120,7 @@
 	c.startAttempt(now, index)
 }
 
-// misbehaviorOf maps a request's random draw to one of the shares of misbehaving clients.
+// misbehaviorOf maps the random bits of a request to one of the shares of misbehaving clients, or to wellBehaved.
 func (b *Behavior) misbehaviorOf(draw uint64) misbehavior {
 	switch fraction := float64(draw>>11) / (1 << 53); {
 	case fraction < b.SlowShare:
@@ -130,8 +133,8 @@
 	return wellBehaved
 }
 
-// ID names an attempt at a request on the wire. It is a bijection of request and attempt (from 1), so that no two are
-// the same.
+// ID returns the id that identifies an attempt at a request on the wire. It is a bijection of the request number and
+// the attempt (from 1), so no two attempts have the same id.
 func ID(seed int64, request uint64, attempt int) uint64 {
 	x := request*(maxAttempts+1) + uint64(attempt) + uint64(seed)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -139,6 +142,7 @@
 	return x ^ x>>31
 }
 
+// startAttempt begins the next attempt at a request.
 func (c *Clients) startAttempt(now time.Duration, index int32) {
 	pending := &c.requests[index]
 	pending.attempts++
@@ -146,14 +150,14 @@
 	c.acquireSession(now, index)
 }
 
-// setTimer replaces a request's timer.
+// setTimer replaces the timer of a request.
 func (c *Clients) setTimer(index int32, at time.Duration) {
 	pending := &c.requests[index]
 	pending.timerSequence++
 	c.transport.SetTimer(at, index, pending.timerSequence)
 }
 
-// useSession sends an attempt on a session that is connected and idle.
+// useSession sends an attempt on a session that is connected and idle. A silent client only holds the session.
 func (c *Clients) useSession(now time.Duration, index int32, sessionID SessionID) {
 	pending, acquired := &c.requests[index], &c.sessions[sessionID]
 	acquired.request = index
@@ -170,7 +174,7 @@
 	}
 	pending.state, pending.sentAt = stateSent, now
 	endsAt := pending.deadline
-	if pending.misbehavior == leavesEarly { // somewhere in the latency objective
+	if pending.misbehavior == leavesEarly { // at a random time within the latency objective
 		objective := c.classes[pending.request.Class].LatencyObjective
 		endsAt = min(endsAt, now+time.Duration(c.random.Int63n(int64(max(objective, 1)))))
 	}
--- a/internal/testbed/load/client/clients_test.go
+++ b/internal/testbed/load/client/clients_test.go
@@ -11,9 +11,9 @@
 	"magpiebank/internal/testbed/load/arrival"
 )
 
-var updateTraces = flag.Bool("keep", false, "keep the traces as they come out now")
+var updateTraces = flag.Bool("keep", false, "write the current traces to testdata")
 
-// script drives clients by a script: what they do is printed, and timers come as time passes.
+// script drives Clients in a test. It records what they do as a trace and fires their timers in simulated time.
 type script struct {
 	t          *testing.T
 	out        strings.Builder
@@ -59,7 +59,7 @@
 		float64(report.FinishedAt-report.Request.At)/1e6, float64(report.GeneratorDelay)/1e6, float64(report.QueueDelay)/1e6, report.Attempts, report.Misbehaving)
 }
 
-// advance lets time pass and fires the timers that come due.
+// advance moves the simulated time forward and fires the timers that are due.
 func (s *script) advance(duration time.Duration) {
 	until := s.now + duration
 	for {
@@ -92,7 +92,7 @@
 	s.clients.HandleAnswer(s.now, sessionID, s.ids[sessionID], outcome, retryAfter)
 }
 
-// closeSession0 closes session 0 from the other side.
+// closeSession0 closes session 0 from the server's side.
 func (s *script) closeSession0(refused bool) { s.clients.HandleClosed(s.now, 0, refused) }
 
 func (s *script) checkTrace(name string) {
@@ -107,16 +107,16 @@
 		}
 	}
 	if want, err := os.ReadFile(path); err != nil || s.out.String() != string(want) {
-		s.t.Errorf("got:\n%s\nkept:\n%s\n%v", s.out.String(), want, err)
+		s.t.Errorf("got:\n%s\nexpected:\n%s\n%v", s.out.String(), want, err)
 	}
 	if s.clients.Unfinished() != 0 {
-		s.t.Errorf("%d tasks have no outcome", s.clients.Unfinished())
+		s.t.Errorf("%d requests have no outcome", s.clients.Unfinished())
 	}
 }
 
 const ms = time.Millisecond
 
-// Rejections with and without a Retry-After time that is honored, until the attempts are used up.
+// Rejected requests are retried until the attempts are used up. A Retry-After time is honored.
 func TestRetries(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 3, Backoff: 100 * ms, HonorRetryAfterProbability: 1})
 	s.arrive(0)
@@ -127,18 +127,18 @@
 	s.answer(0, Rejected, 0)
 	s.advance(250 * ms)
 	s.answer(0, Rejected, 0)
-	s.arrive(0) // an error of unknown effect ends a request that is not idempotent, and only that
+	s.arrive(0) // an error of unknown effect ends a request, unless the request is idempotent
 	s.answer(0, Failed, 0)
 	s.arrive(1)
 	s.answer(0, Failed, 0)
 	s.advance(150 * ms)
 	s.answer(0, Served, 0)
-	s.arrive(0) // a backoff that would end past the attempt timeout
+	s.arrive(0) // the backoff would end after the deadline
 	s.answer(0, Rejected, 5*time.Second)
 	s.checkTrace("retries")
 }
 
-// The retry budget: a burst of one, and a fifth of the first attempts.
+// The retry budget permits a burst of one retry plus a fifth of the first attempts.
 func TestRetryBudget(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 5, Backoff: 10 * ms, RetryRatio: 0.2, RetryBurst: 1, RetryWindow: time.Second})
 	for range 4 {
@@ -147,12 +147,13 @@
 		s.answer(0, Rejected, 0)
 		s.advance(20 * ms)
 	}
-	s.advance(1200 * ms) // the window is over
+	s.advance(1200 * ms) // the window has passed
 	s.clients.Stop(s.now)
 	s.checkTrace("budget")
 }
 
-// The attempt timeout ends: KILL QUERY, the close half a second later, and an answer in between is ignored.
+// When the deadline passes, the client sends KILL QUERY and closes the connection half a second later. It ignores an
+// answer that arrives in between.
 func TestDeadline(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 1})
 	s.arrive(0)
@@ -161,9 +162,9 @@
 	s.advance(3000 * ms)
 	s.answer(0, Served, 0)
 	s.advance(600 * ms)
-	s.arrive(0) // no connection comes up
+	s.arrive(0) // the connection is never established
 	s.advance(4000 * ms)
-	s.arrive(0) // the connection ends while the client is leaving
+	s.arrive(0) // the server closes the connection after KILL QUERY
 	s.connect(0)
 	s.advance(3100 * ms)
 	s.closeSession0(false)
@@ -171,7 +172,8 @@
 	s.checkTrace("patience")
 }
 
-// Ends of connections: refused, crossed by a close and sent again once, lost.
+// A connection is refused; a connection is closed while a request is on its way, which is sent again once; connections
+// are lost.
 func TestConnectionsLost(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 2, Backoff: 100 * ms})
 	s.arrive(0)
@@ -179,19 +181,19 @@
 	s.advance(200 * ms)
 	s.connect(0)
 	s.answer(0, Served, 0)
-	s.arrive(0) // on a session that was idle; a close crosses the request
+	s.arrive(0) // on a session that was idle; the server closes it while the request is on its way
 	s.advance(20 * ms)
 	s.closeSession0(false)
 	s.connect(0)
 	s.advance(20 * ms)
-	s.closeSession0(false) // this one is new, so it is lost
+	s.closeSession0(false) // the session is new, so the request is lost
 	s.arrive(0)
 	s.connect(0)
 	s.answer(0, Served, 0)
 	s.arrive(0)
 	s.advance(60 * ms)
-	s.closeSession0(false) // too late to have crossed
-	s.arrive(1)            // lost, and may be repeated
+	s.closeSession0(false) // after closeRaceWindow
+	s.arrive(1)            // lost, but idempotent, so it is retried
 	s.connect(0)
 	s.closeSession0(false)
 	s.advance(150 * ms)
@@ -200,8 +202,8 @@
 	s.checkTrace("ends")
 }
 
-// Two connections at most: requests that find none wait in order, a held-open session is evicted, the attempt timeout
-// ends the wait.
+// With at most two connections, other requests wait in order. A held-open session is closed for them, and their
+// deadlines end the wait.
 func TestConnectionLimit(t *testing.T) {
 	s := newScript(t, Behavior{Connections: 2, HeldOpenShare: 1, MaxAttempts: 1})
 	for range 5 {
@@ -211,13 +213,13 @@
 	s.connect(0)
 	s.connect(1)
 	s.advance(10 * ms)
-	s.answer(0, Served, 0) // held open, but the next in the queue needs its connection
+	s.answer(0, Served, 0) // the session is held open, but is closed for the next request in the queue
 	s.connect(0)
 	s.advance(5000 * ms)
 	s.checkTrace("limit")
 }
 
-// Pooled sessions are used last in first out, and closed when idle for too long.
+// The pooled session that was used last is used first. Sessions that are idle for too long are closed.
 func TestSessionPool(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 1, IdleTimeout: 2 * time.Second})
 	s.arrive(0)
@@ -230,14 +232,14 @@
 	s.arrive(0)
 	s.answer(1, Served, 0)
 	s.advance(time.Second)
-	s.closeSession0(false) // closed by the other side while idle
+	s.closeSession0(false) // the server closes the idle session
 	s.clients.CloseIdle(s.now)
 	s.advance(1100 * ms)
 	s.clients.CloseIdle(s.now)
 	s.checkTrace("pool")
 }
 
-// Clients that leave, that are slow, that never send.
+// Clients read slowly, close the connection before the answer, or never send a query.
 func TestMisbehavingClients(t *testing.T) {
 	for _, behavior := range []Behavior{{SlowShare: 1}, {LeavingShare: 1}, {SilentShare: 1}} {
 		behavior.MaxAttempts = 3
@@ -253,13 +255,14 @@
 	}
 }
 
-func TestIDsAreUnique(t *testing.T) { // no two attempts of any requests share one
+// No two attempts have the same id, even at different requests.
+func TestIDsAreUnique(t *testing.T) {
 	seen := map[uint64]bool{}
 	for request := range uint64(2000) {
 		for attempt := 1; attempt <= maxAttempts; attempt++ {
 			id := ID(5, request, attempt)
 			if seen[id] {
-				t.Fatalf("request %d attempt %d has the id of another", request, attempt)
+				t.Fatalf("request %d attempt %d has the id of another attempt", request, attempt)
 			}
 			seen[id] = true
 		}
@@ -275,7 +278,8 @@
 func (silentTransport) SetTimer(time.Duration, int32, uint32) {}
 func (silentTransport) Finished(*Report)                      {}
 
-func BenchmarkClient(b *testing.B) { // a request on a session that is there, from arrival to answer
+// BenchmarkClient measures a request on an open session, from arrival to answer.
+func BenchmarkClient(b *testing.B) {
 	clients := NewClients(silentTransport{}, Behavior{PooledShare: 1, MaxAttempts: 1}, []arrival.Class{{Name: "look", MaxWait: time.Second}}, 1, 0)
 	b.ReportAllocs()
 	now := time.Duration(0)
--- a/internal/testbed/load/client/events.go
+++ b/internal/testbed/load/client/events.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// HandleConnected starts the attempt that waits for a session which is logged in now; connection is its id at the
-// server.
+// HandleConnected continues the attempt that waits for a session to connect and log in. connectionID is the id that the
+// server gave to the connection.
 func (c *Clients) HandleConnected(now time.Duration, sessionID SessionID, connectionID uint32) {
 	connected := &c.sessions[sessionID]
 	if !connected.open || connected.request < 0 {
@@ -13,7 +13,7 @@
 	c.useSession(now, connected.request, sessionID)
 }
 
-// HandleSent records when an attempt's last byte was written, as that may be later than it was decided.
+// HandleSent records when the last byte of an attempt was written. That may be later than the decision to send it.
 func (c *Clients) HandleSent(at time.Duration, sessionID SessionID, id uint64) {
 	written := &c.sessions[sessionID]
 	if !written.open || written.request < 0 {
@@ -26,8 +26,8 @@
 	}
 }
 
-// HandleAnswer ends the attempt in flight on a session: its answer is complete or can't be read. retryAfter is the time
-// after which the server wants a retry; 0: it named none.
+// HandleAnswer ends the attempt in flight on a session, whose answer is complete or can't be parsed. retryAfter is the
+// time after which the server accepts a retry; 0: the server named none.
 func (c *Clients) HandleAnswer(now time.Duration, sessionID SessionID, id uint64, outcome Outcome, retryAfter time.Duration) {
 	answered := &c.sessions[sessionID]
 	if !answered.open || answered.request < 0 {
@@ -35,7 +35,7 @@
 	}
 	index := answered.request
 	pending := &c.requests[index]
-	// After KILL QUERY the request has its outcome already, so the answer is ignored.
+	// An answer after KILL QUERY is ignored, because the request already has its outcome.
 	if pending.id != id || pending.state != stateSent {
 		return
 	}
@@ -44,7 +44,7 @@
 	c.serveQueue(now)
 }
 
-// HandleClosed ends a session that the other side has closed, or that never connected (refused).
+// HandleClosed ends a session that the server closed, or that failed to connect (refused).
 func (c *Clients) HandleClosed(now time.Duration, sessionID SessionID, refused bool) {
 	closed := &c.sessions[sessionID]
 	if !closed.open {
@@ -58,8 +58,8 @@
 	c.serveQueue(now)
 }
 
-// handleSessionLost decides what becomes of the request whose session was closed; used tells whether the session had
-// carried another query before.
+// handleSessionLost continues or finishes a request whose session was closed. hasAnswered reports whether the session
+// had answered an earlier query.
 func (c *Clients) handleSessionLost(now time.Duration, index int32, hasAnswered, refused bool) {
 	pending := &c.requests[index]
 	pending.session = -1
@@ -81,11 +81,11 @@
 			outcome = NoConnection
 		}
 		c.endAttempt(now, index, outcome, 0)
-	case stateFree, stateQueued, stateBackoff: // these hold no session
+	case stateFree, stateQueued, stateBackoff: // these requests hold no session
 	}
 }
 
-// endAttempt decides, at the end of an attempt, whether the request is retried.
+// endAttempt ends an attempt: it finishes the request or schedules a retry.
 func (c *Clients) endAttempt(now time.Duration, index int32, outcome Outcome, retryAfter time.Duration) {
 	pending := &c.requests[index]
 	pending.session = -1
@@ -94,7 +94,7 @@
 		return
 	}
 	backoff := c.drawBackoff(pending.attempts, retryAfter)
-	if now+backoff >= pending.deadline { // the client would not wait for the answer
+	if now+backoff >= pending.deadline { // the client would no longer wait for the answer
 		c.finish(now, index, outcome)
 		return
 	}
@@ -110,8 +110,8 @@
 		c.retryBudget.allows(now, c.behavior.RetryRatio, c.behavior.RetryBurst)
 }
 
-// drawBackoff returns the doubled and jittered backoff after so many attempts, or the Retry-After time where it is
-// longer and this client honors it.
+// drawBackoff returns the backoff after the given number of attempts, doubled for each attempt and with jitter. If the
+// Retry-After time is longer and this client honors it, drawBackoff returns that time.
 func (c *Clients) drawBackoff(attempts int, retryAfter time.Duration) time.Duration {
 	backoff := c.behavior.Backoff << min(attempts-1, maxBackoffDoublings)
 	if c.behavior.MaxBackoff > 0 {
@@ -124,7 +124,7 @@
 	return backoff
 }
 
-// HandleTimer acts on a timer that has come; one that was replaced meanwhile is ignored.
+// HandleTimer handles a timer that is due. It ignores timers that have been replaced.
 func (c *Clients) HandleTimer(now time.Duration, index int32, sequence uint32) {
 	pending := &c.requests[index]
 	if pending.timerSequence != sequence || pending.state == stateFree {
@@ -158,7 +158,7 @@
 	}
 }
 
-// abandonSession closes a request's session and gives the request its outcome.
+// abandonSession closes the session of a request and finishes the request with an outcome.
 func (c *Clients) abandonSession(now time.Duration, index int32, outcome Outcome) {
 	pending := &c.requests[index]
 	c.closeSession(pending.session)
@@ -167,7 +167,7 @@
 	c.serveQueue(now)
 }
 
-// reportOutcome reports a request's one outcome.
+// reportOutcome reports the outcome of a request, which happens once for each request.
 func (c *Clients) reportOutcome(now time.Duration, pending *pendingRequest, outcome Outcome) {
 	c.unfinished--
 	c.report = Report{Request: &pending.request, Outcome: outcome, FinishedAt: now, GeneratorDelay: pending.generatorDelay,
@@ -176,17 +176,18 @@
 	c.transport.Finished(&c.report)
 }
 
-// finish reports a request's outcome and frees its slot.
+// finish reports the outcome of a request and frees the request's entry.
 func (c *Clients) finish(now time.Duration, index int32, outcome Outcome) {
 	pending := &c.requests[index]
 	c.reportOutcome(now, pending, outcome)
-	if sessionID := pending.session; sessionID >= 0 && outcome == NotSent { // the session connected too late
+	if sessionID := pending.session; sessionID >= 0 && outcome == NotSent { // the session was available only after the deadline
 		pending.session = -1
 		c.closeSession(sessionID)
 	}
 	c.releaseRequest(index)
 }
 
+// releaseRequest returns the entry of a request to the free list.
 func (c *Clients) releaseRequest(index int32) {
 	pending := &c.requests[index]
 	pending.state, pending.session = stateFree, -1
@@ -194,7 +195,7 @@
 	pending.nextFree, c.freeRequestHead = c.freeRequestHead, index
 }
 
-// Stop gives every request that has no outcome the one that it would have if its attempt timeout ended now.
+// Stop finishes every request that has no outcome, as if its deadline passed now.
 func (c *Clients) Stop(now time.Duration) {
 	for position := range c.requests {
 		index := int32(position)
@@ -205,12 +206,12 @@
 			c.stopRequest(now, index, TimedOut)
 		case stateSilent:
 			c.stopRequest(now, index, ClientLeft)
-		case stateFree, stateKilled: // these have their outcome
+		case stateFree, stateKilled: // no request, or its outcome has been reported
 		}
 	}
 }
 
-// stopRequest gives a request its outcome and closes the session that it may hold.
+// stopRequest finishes a request with an outcome and closes its session, if it has one.
 func (c *Clients) stopRequest(now time.Duration, index int32, outcome Outcome) {
 	pending := &c.requests[index]
 	sessionID := pending.session
--- a/internal/testbed/load/client/queue.go
+++ b/internal/testbed/load/client/queue.go
@@ -1,25 +1,25 @@
 package client
 
-// sequencedIndex is an index into the table of requests or of sessions, with the sequence number that the entry had when
-// the slot was stored. An entry with another number has been used for something else since.
+// sequencedIndex is an index into the table of requests or of sessions, together with the sequence number of that entry
+// when the index was stored. If the entry has another sequence number now, the index is out of date.
 type sequencedIndex struct {
 	index    int32
 	sequence uint32
 }
 
-// sequencedQueue is a first-in-first-out queue.
+// sequencedQueue is a first-in, first-out queue.
 type sequencedQueue struct {
 	items []sequencedIndex
-	head  int
+	head  int // index of the first item
 }
 
-// compactionThreshold is how many popped items the queue lets stand before it moves the others down.
+// compactionThreshold is the number of popped items up to which push doesn't move the other items to the front.
 const compactionThreshold = 64
 
 func (q *sequencedQueue) len() int { return len(q.items) - q.head }
 
 func (q *sequencedQueue) push(index int32, sequence uint32) {
-	if q.head > compactionThreshold && q.head > len(q.items)/2 { // reuse the space of what was popped
+	if q.head > compactionThreshold && q.head > len(q.items)/2 { // reuse the memory of popped items
 		q.items = q.items[:copy(q.items, q.items[q.head:])]
 		q.head = 0
 	}
@@ -28,7 +28,7 @@
 
 func (q *sequencedQueue) first() sequencedIndex { return q.items[q.head] }
 
-// pop takes the first item out; ok is false where the queue is empty.
+// pop removes and returns the first item; ok is false if the queue is empty.
 func (q *sequencedQueue) pop() (first sequencedIndex, ok bool) {
 	if q.head >= len(q.items) {
 		return sequencedIndex{}, false
--- a/internal/testbed/load/client/retry_budget.go
+++ b/internal/testbed/load/client/retry_budget.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// budgetBuckets is how many buckets the retry budget's window has.
+// budgetBuckets is the number of buckets in the window of a retry budget.
 const budgetBuckets = 10
 
-// retryBudget counts first attempts and retries over a sliding window, in buckets of a tenth of it.
+// retryBudget counts first attempts and retries in a sliding window, which is divided into budgetBuckets buckets.
 type retryBudget struct {
-	window                 time.Duration // length of the window; 0: retries are not limited
-	currentBucket          int64         // number of the current bucket, counted from the start of the run
-	firstAttempts, retries [budgetBuckets]int
+	window                 time.Duration      // length of the window; 0: retries are not limited
+	currentBucket          int64              // number of the current bucket, counted from the start of the run
+	firstAttempts, retries [budgetBuckets]int // by bucket number modulo budgetBuckets
 }
 
-// advance empties the buckets that have left the window.
+// advance moves the window to now and clears the buckets that have left the window.
 func (b *retryBudget) advance(now time.Duration) {
 	if b.window <= 0 {
 		return
@@ -34,7 +34,8 @@
 	b.retries[b.currentBucket%budgetBuckets]++
 }
 
-// allows tells whether one more retry fits into the budget: ratio of the first attempts in the window, and burst.
+// allows reports whether the budget permits one more retry. In each window, it permits burst retries plus ratio times
+// the number of first attempts.
 func (b *retryBudget) allows(now time.Duration, ratio float64, burst int) bool {
 	if b.window <= 0 {
 		return true
--- a/internal/testbed/load/client/sessions.go
+++ b/internal/testbed/load/client/sessions.go
@@ -2,21 +2,23 @@
 
 import "time"
 
+// session is an entry in the table of sessions.
 type session struct {
-	request                int32 // that uses it; -1: idle
-	connectionID           uint32
-	connected, hasAnswered bool
+	request                int32  // index of the request that uses the session; -1: the session is idle
+	connectionID           uint32 // of the server
+	connected, hasAnswered bool   // logged in; has answered at least one query
 	idleSince              time.Duration
-	sequence               uint32 // a slot of the pool or of the held-open sessions with another one is out of date
+	sequence               uint32 // an entry of the pool or of the held-open sessions with another number is out of date
 	open                   bool
 }
 
-// acquireSession finds a session for an attempt: a pooled one, a new one while the limit allows; otherwise the request
-// waits in the queue.
+// acquireSession gets a session for an attempt: a pooled one, or a new one if the limit allows it or an idle session
+// can be closed. Otherwise the request waits in the queue.
 func (c *Clients) acquireSession(now time.Duration, index int32) {
 	pending := &c.requests[index]
 	pending.queuedSince = now
-	if pending.misbehavior != neverSends && !pending.resent { // a request that a close has crossed goes on a new connection
+	// Silent clients, and requests that are sent again after a close race, don't use pooled sessions.
+	if pending.misbehavior != neverSends && !pending.resent {
 		for len(c.pool) > 0 {
 			entry := c.pool[len(c.pool)-1]
 			c.pool = c.pool[:len(c.pool)-1]
@@ -39,8 +41,8 @@
 	return c.behavior.Connections > 0 && c.openSessions >= c.behavior.Connections
 }
 
-// evictIdleSession closes the held-open session that has been idle the longest, or a pooled one where there is none. It
-// returns false where no session is idle.
+// evictIdleSession closes the held-open session that has been idle the longest. If there is none, it closes the pooled
+// session that has been idle the longest. It returns false if no session is idle.
 func (c *Clients) evictIdleSession() bool {
 	for {
 		entry, ok := c.heldOpen.pop()
@@ -62,12 +64,13 @@
 	return false
 }
 
-// isIdle tells whether a session has been idle since its slot was stored.
+// isIdle reports whether a session has been idle since its index was stored.
 func (c *Clients) isIdle(entry sequencedIndex) bool {
 	stored := &c.sessions[entry.index]
 	return stored.open && stored.request < 0 && stored.sequence == entry.sequence
 }
 
+// dial opens a new session for a request.
 func (c *Clients) dial(index int32) {
 	var sessionID SessionID
 	if free := len(c.freeSessions); free > 0 {
@@ -84,12 +87,13 @@
 	c.transport.Dial(sessionID)
 }
 
-// closeSession ends a session from this side.
+// closeSession closes a session from the client's side.
 func (c *Clients) closeSession(sessionID SessionID) {
 	c.removeSession(sessionID)
 	c.transport.Close(sessionID)
 }
 
+// removeSession frees the entry of a session that is closed.
 func (c *Clients) removeSession(sessionID SessionID) {
 	c.sessions[sessionID].open = false
 	c.sessions[sessionID].request = -1
@@ -97,7 +101,7 @@
 	c.openSessions--
 }
 
-// hasCapacity tells whether an attempt would find an idle session or could open one.
+// hasCapacity reports whether an attempt could use an idle session or open a new one.
 func (c *Clients) hasCapacity() bool {
 	for last := len(c.pool); last > 0 && !c.isIdle(c.pool[last-1]); last-- {
 		c.pool = c.pool[:last-1]
@@ -108,7 +112,7 @@
 	return !c.isAtLimit() || len(c.pool) > 0 || c.heldOpen.len() > 0
 }
 
-// serveQueue gives free connections to the requests that wait for one.
+// serveQueue gives free connections to the requests in the queue, until no connection is free.
 func (c *Clients) serveQueue(now time.Duration) {
 	for c.queue.len() > 0 && c.hasCapacity() {
 		entry, ok := c.queue.pop()
@@ -117,14 +121,15 @@
 		}
 		pending := &c.requests[entry.index]
 		if pending.state != stateQueued || pending.timerSequence != entry.sequence {
-			continue // it waits no longer
+			continue // the request no longer waits
 		}
 		pending.queueDelay += now - pending.queuedSince
 		c.acquireSession(now, entry.index)
 	}
 }
 
-// releaseSession draws what becomes of a session whose query is answered: it is pooled, held open or closed.
+// releaseSession draws whether a session whose query was answered is pooled, held open or closed. After a malformed
+// answer, the session is always closed.
 func (c *Clients) releaseSession(now time.Duration, sessionID SessionID, outcome Outcome) {
 	released := &c.sessions[sessionID]
 	released.request, released.hasAnswered, released.idleSince = -1, true, now
@@ -142,7 +147,7 @@
 	}
 }
 
-// CloseIdle closes pooled sessions that were idle for too long; a driver calls it some times a second.
+// CloseIdle closes the pooled sessions that have been idle for IdleTimeout. The driver calls it several times a second.
 func (c *Clients) CloseIdle(now time.Duration) {
 	remaining := c.pool[:0]
 	for _, entry := range c.pool {
--- a/internal/testbed/load/driver/conn.go
+++ b/internal/testbed/load/driver/conn.go
@@ -17,42 +17,42 @@
 const (
 	user     = "app"
 	database = "reports"
-	// handshakeTimeout is for how long a gateway may take a connection and send nothing. A query's own attempt timeout
-	// ends sooner as a rule; this bounds what is left behind.
+	// handshakeTimeout is how long a gateway may accept a connection but send nothing. The deadline of a query usually
+	// ends the wait sooner; handshakeTimeout limits how long abandoned connections remain.
 	handshakeTimeout = 10 * time.Second
-	// slowReadDelay is how long a slow client waits before each packet that it reads.
+	// slowReadDelay is how long a slow client waits before it reads a packet.
 	slowReadDelay = 20 * time.Millisecond
-	// readBufferSize is the size in bytes of a connection's read buffer.
+	// readBufferSize is the size of a connection's read buffer in bytes.
 	readBufferSize = 4096
 )
 
 var (
 	quitPacket = mysql.AppendCommand(nil, mysql.Quit)
-	errDenied  = errors.New("the login was not taken")
+	errDenied  = errors.New("the server rejected the login")
 )
 
-// conn is one connection. Its goroutine dials, logs in and reads; it ends when the connection does, which the loop
-// brings about by leave.
+// conn is one connection. Its goroutine dials, logs in and reads answers. The goroutine ends when the connection is
+// closed; the loop closes it by calling close.
 type conn struct {
 	loop         *loop
 	sessionID    client.SessionID
 	target       int
-	connectionID uint32        // the server's id
-	connected    bool          // of the loop's goroutine
-	expectedID   atomic.Uint64 // id of the query whose answer is awaited; 0: none
-	slow         atomic.Bool
-	payload      []byte // of the packet that is read, reused; of the connection's goroutine
+	connectionID uint32        // of the server
+	connected    bool          // logged in; used only by the goroutine of the loop
+	expectedID   atomic.Uint64 // id of the attempt whose answer is expected; 0: none
+	slow         atomic.Bool   // read answers slowly
+	payload      []byte        // packet that is being read; reused; used only by the goroutine of the connection
 
 	mu            sync.Mutex
 	tcp           net.Conn // set once, before eventConnected
-	closedLocally bool
+	closedLocally bool     // close was called
 	reader        *bufio.Reader
 }
 
-// write sends bytes. Its errors are not looked at, because the reader finds the connection's end.
+// write sends a packet. It ignores errors, because the reading goroutine detects the end of the connection.
 func (c *conn) write(packet []byte) { _, _ = c.tcp.Write(packet) }
 
-// close closes the connection from this side, as soon as there is one.
+// close closes the connection from the client's side. If the connection isn't open yet, open fails and run closes it.
 func (c *conn) close() {
 	c.mu.Lock()
 	c.closedLocally = true
@@ -67,6 +67,7 @@
 	tcp.Close()
 }
 
+// run opens the connection, reads its answers and closes it, and notifies the loop.
 func (c *conn) run() {
 	refused, err := c.open()
 	if err == nil {
@@ -79,7 +80,7 @@
 	c.loop.enqueue(event{kind: eventClosed, at: c.loop.now(), conn: c, refused: refused})
 }
 
-// open dials and logs in; refused tells that no query can have come through.
+// open dials and logs in. refused reports that the connection can't have carried a query.
 func (c *conn) open() (refused bool, err error) {
 	tcp, connectionID, reader, err := dial(c.loop.driver.load.Targets[c.target])
 	c.mu.Lock()
@@ -91,8 +92,8 @@
 	return err != nil, err
 }
 
-// dial opens a session: the greeting, a login, and the answer that it is accepted. The connection is returned also with
-// an error, where there is one; the caller closes it.
+// dial opens a session: it reads the greeting, logs in and checks that the login is accepted. If it fails after
+// connecting, it returns the connection with the error; the caller closes the connection.
 func dial(target string) (net.Conn, uint32, *bufio.Reader, error) {
 	dialer := net.Dialer{Timeout: handshakeTimeout}
 	tcp, err := dialer.DialContext(context.Background(), "tcp", target)
@@ -104,7 +105,7 @@
 	return tcp, connectionID, reader, err
 }
 
-// logIn returns the server's id of the connection.
+// logIn performs the handshake and returns the id that the server gave to the connection.
 func logIn(tcp net.Conn, reader *bufio.Reader) (connectionID uint32, err error) {
 	tcp.SetDeadline(time.Now().Add(handshakeTimeout))
 	payload, err := readPacket(reader, nil)
@@ -130,14 +131,14 @@
 	return connectionID, nil
 }
 
-// readPacket reads the next packet's payload into a buffer, or into a new one where that is too small.
+// readPacket reads the payload of the next packet into buffer, or into a new one if buffer is too small.
 func readPacket(reader *bufio.Reader, buffer []byte) ([]byte, error) {
 	header, err := reader.Peek(mysql.HeaderSize)
 	if err != nil {
 		return buffer[:0], err
 	}
 	length, _ := mysql.ParseHeader(header)
-	_, err = reader.Discard(mysql.HeaderSize) // what was peeked at is there
+	_, err = reader.Discard(mysql.HeaderSize) // the header is buffered, because Peek has read it
 	if err != nil {
 		return buffer[:0], err
 	}
@@ -149,11 +150,11 @@
 	return buffer, err
 }
 
-// answer is what came for one query.
+// answer is what the server sent for one query.
 type answer struct {
 	response mysql.Response
 	rows     rowChecker
-	readErr  error // of an answer that can't be read
+	readErr  error // why the answer can't be parsed
 }
 
 func (a *answer) outcome() client.Outcome {
@@ -168,7 +169,7 @@
 	return client.Failed
 }
 
-// readAnswer reads the answer to a query; err is the connection's.
+// readAnswer reads the answer to the query with an id. err is an error of the connection.
 func (c *conn) readAnswer(id uint64) (received answer, err error) {
 	received.rows = rowChecker{id: id, enabled: c.loop.driver.load.CheckRows}
 	for done := false; !done; {
@@ -187,7 +188,8 @@
 	return received, nil
 }
 
-// readAnswers reads answers until the connection ends, or something comes that can't be read or was not asked for.
+// readAnswers reads answers until the connection ends, an answer can't be parsed, or data arrives that no query
+// expects.
 func (c *conn) readAnswers() {
 	for {
 		if _, err := c.reader.Peek(1); err != nil {
@@ -205,7 +207,7 @@
 		at := c.loop.now()
 		outcome := received.outcome()
 		c.expectedID.Store(0)
-		hasMore := c.reader.Buffered() > 0 // nothing more was asked for
+		hasMore := c.reader.Buffered() > 0 // data after the answer belongs to no query
 		c.loop.enqueue(event{kind: eventAnswered, at: at, conn: c, id: id, outcome: outcome,
 			retryAfter: time.Duration(received.response.RetryAfterMS) * time.Millisecond})
 		if hasMore {
@@ -218,7 +220,7 @@
 	}
 }
 
-// killQuery sends KILL QUERY on a session of its own.
+// killQuery sends KILL QUERY on a separate connection.
 func killQuery(target string, connectionID uint32) {
 	tcp, _, reader, err := dial(target)
 	if tcp == nil {
@@ -229,7 +231,7 @@
 		return
 	}
 	tcp.SetDeadline(time.Now().Add(handshakeTimeout))
-	// KILL QUERY is sent on a best effort: a client that leaves doesn't wait for its result.
+	// Errors are ignored, because KILL QUERY is a best effort: the request already has its outcome.
 	_, _ = tcp.Write(mysql.AppendKill(nil, connectionID))
 	_, _ = readPacket(reader, nil)
 	_, _ = tcp.Write(quitPacket)
--- a/internal/testbed/load/driver/driver_test.go
+++ b/internal/testbed/load/driver/driver_test.go
@@ -36,12 +36,13 @@
 	}
 	metrics := driver.Wait()
 	if metrics.Total() != 400 {
-		t.Errorf("%d of 400 requests have an outcome", metrics.Total())
+		t.Errorf("%d requests have an outcome, expected 400", metrics.Total())
 	}
 	return metrics
 }
 
-// Every kind of session, and misbehaving clients among them; each request has one outcome and no rule is broken.
+// Whether sessions are pooled, held open or closed, with a limit and with misbehaving clients: each request has one
+// outcome, and there are no violations.
 func TestSessions(t *testing.T) {
 	for _, behavior := range []client.Behavior{{PooledShare: 1}, {HeldOpenShare: 1, Connections: 300}, {}, {PooledShare: 0.5, HeldOpenShare: 0.3, Connections: 8},
 		{PooledShare: 1, SlowShare: 0.02, LeavingShare: 0.1, SilentShare: 0.02}} {
@@ -50,13 +51,13 @@
 		load.Behavior = behavior
 		metrics := runLoad(t, load)
 		if len(metrics.Violations) > 0 || metrics.Count(client.Served)+metrics.Misbehaving.Offered != 400 {
-			t.Errorf("%+v: %d served, %d of misbehaving clients, %v", behavior, metrics.Count(client.Served), metrics.Misbehaving.Offered, metrics.Violations)
+			t.Errorf("%+v: %d requests served, %d from misbehaving clients, violations %v", behavior, metrics.Count(client.Served), metrics.Misbehaving.Offered, metrics.Violations)
 		}
 	}
 }
 
-// The checker on the client's side sees what the frontend does wrong: rows of another request, answers given twice,
-// answers dropped with their connection.
+// The driver detects the faults of a frontend: rows of another request, answers that are sent twice, and answers that
+// are lost with their connection.
 func TestFrontendFaultsAreCounted(t *testing.T) {
 	for _, fault := range []struct {
 		name   string
@@ -70,12 +71,12 @@
 		frontend := startFrontend(t, fake.Work{Rows: 2, Service: fake.ServiceTime{Mean: 60 * time.Millisecond}})
 		fault.inject(frontend)
 		if got := runLoad(t, newLoad(frontend)); got.Violations[fault.want] != 10 || len(got.Violations) != 1 {
-			t.Errorf("%s: %v", fault.name, got.Violations)
+			t.Errorf("%s: violations %v", fault.name, got.Violations)
 		}
 	}
 }
 
-// A frontend that is paused for a while is offered as much as ever, and its delay shows.
+// A frontend that pauses is offered the same load, and the latencies include the pause.
 func TestStalledFrontendIsOfferedTheSameLoad(t *testing.T) {
 	frontend := startFrontend(t)
 	go func() {
@@ -86,17 +87,17 @@
 	}()
 	got := runLoad(t, newLoad(frontend))
 	if got.Seconds[0].Offered != 400 || got.Classes[0].Quantile(client.Served, 0.8) < 200*time.Millisecond {
-		t.Errorf("%d offered, p80 %v", got.Seconds[0].Offered, got.Classes[0].Quantile(client.Served, 0.8))
+		t.Errorf("%d requests offered in the first second, expected 400; latency at p80 %v, expected at least 200ms", got.Seconds[0].Offered, got.Classes[0].Quantile(client.Served, 0.8))
 	}
 }
 
-// A target that refuses connections, one that accepts them and sends nothing, and one that outlasts the attempt timeout.
+// The targets refuse connections, accept connections but send nothing, or answer after the deadline.
 func TestUnresponsiveTargets(t *testing.T) {
 	frontend := startFrontend(t)
 	load := newLoad(frontend)
 	frontend.Close()
 	if got := runLoad(t, load); got.Count(client.NoConnection) != 400 {
-		t.Errorf("nobody listens: %d without a connection", got.Count(client.NoConnection))
+		t.Errorf("target that refuses connections: %d of 400 requests have the outcome NoConnection", got.Count(client.NoConnection))
 	}
 	silent, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,10 +107,10 @@
 	load.Targets = []string{silent.Addr().String()}
 	load.Classes[0].MaxWait = 200 * time.Millisecond
 	if got := runLoad(t, load); got.Count(client.TimedOut) != 400 {
-		t.Errorf("nothing is sent: %d timed out", got.Count(client.TimedOut))
+		t.Errorf("target that sends nothing: %d of 400 requests timed out", got.Count(client.TimedOut))
 	}
 	load.Targets = []string{startFrontend(t, fake.Work{Rows: 1, Service: fake.ServiceTime{Mean: time.Second}}).Address}
 	if got := runLoad(t, load); got.Count(client.TimedOut) != 400 {
-		t.Errorf("slow: %d timed out", got.Count(client.TimedOut))
+		t.Errorf("target that answers too late: %d of 400 requests timed out", got.Count(client.TimedOut))
 	}
 }
--- a/internal/testbed/load/driver/events.go
+++ b/internal/testbed/load/driver/events.go
@@ -13,25 +13,25 @@
 	eventConnected eventKind = iota
 	eventAnswered
 	eventClosed
-	eventUnexpectedAnswer // something came though no answer was awaited
+	eventUnexpectedAnswer // data arrived although no answer was expected
 )
 
-// event is what a connection's goroutine sends its loop.
+// event is a message from the goroutine of a connection to its loop.
 type event struct {
 	kind       eventKind
-	at         time.Duration
+	at         time.Duration // from the start of the run
 	conn       *conn
-	id         uint64
+	id         uint64 // of the attempt
 	outcome    client.Outcome
 	retryAfter time.Duration
-	refused    bool
+	refused    bool // of eventClosed: the connection can't have carried a query
 }
 
-// refusalCooldown is for how long a target that refused a connection gets none while others are there: as long as a load
-// balancer's health check takes to notice, as a rule.
+// refusalCooldown is how long a target that refused a connection gets no new ones while other targets are available.
+// The health check of a load balancer usually takes this long to detect a failure.
 const refusalCooldown = time.Second
 
-// enqueue queues an event; it wakes the loop only where that sleeps.
+// enqueue adds an event to the inbox of the loop. It wakes the loop only if the loop waits for an event.
 func (l *loop) enqueue(sent event) {
 	l.mu.Lock()
 	l.inbox = append(l.inbox, sent)
@@ -44,6 +44,7 @@
 	}
 }
 
+// drainInbox handles all events in the inbox.
 func (l *loop) drainInbox() {
 	l.mu.Lock()
 	events := l.inbox
@@ -62,11 +63,11 @@
 		l.metrics.RecordViolation(stats.ViolationUnexpectedAnswer, received.id)
 		return
 	}
-	if l.connections[source.sessionID] != source { // closed by this side meanwhile
+	if l.connections[source.sessionID] != source { // the loop has closed the connection in the meantime
 		return
 	}
 	switch received.kind {
-	case eventUnexpectedAnswer: // recorded above
+	case eventUnexpectedAnswer: // handled above
 	case eventConnected:
 		source.connected = true
 		l.clients.HandleConnected(received.at, source.sessionID, source.connectionID)
--- a/internal/testbed/load/driver/format_test.go
+++ b/internal/testbed/load/driver/format_test.go
@@ -12,8 +12,9 @@
 	"magpiebank/internal/testbed/load/client"
 )
 
-// A coordinator's folder holds the load of its run, and workers get it as a message: earlier versions' must be read, and ours be
-// readable by them. testdata/load.json was written by the version before the fields had their present names.
+// The folder of a coordinator holds the load of its run, and workers receive the load in a message. This version must
+// read the loads of earlier versions and write loads that they can read. testdata/load.json was written by the version
+// before the fields got their present names.
 func TestLoadOfEarlierVersionIsReadAndWritten(t *testing.T) {
 	golden, err := os.ReadFile("testdata/load.json")
 	if err != nil {
--- a/internal/testbed/load/driver/load.go
+++ b/internal/testbed/load/driver/load.go
@@ -1,5 +1,6 @@
-// Package driver sends a schedule over sockets at its intended times. It carries out what the clients of a load decide;
-// each loop is one goroutine that owns its clients, its timers and its share of the schedule.
+// Package driver sends the requests of a schedule over TCP connections at their intended times, and carries out the
+// decisions of package client. Each loop is one goroutine that owns its clients, its timers and its part of the
+// schedule.
 package driver
 
 import (
@@ -13,9 +14,9 @@
 	"magpiebank/internal/testbed/load/stats"
 )
 
-// Load is what one process sends.
+// Load describes what one process sends.
 type Load struct {
-	Targets    []string // gateways; sessions go to them in turn
+	Targets    []string // addresses of gateways; new sessions use them in turn
 	Shape      *arrival.Shape
 	Classes    []arrival.Class `json:"Lanes"`
 	Behavior   client.Behavior `json:"Manners"`
@@ -23,16 +24,16 @@
 	Length     time.Duration // 0: until the shape ends
 	Shard      int           // this process sends the arrivals whose number modulo ShardCount is Shard
 	ShardCount int           `json:"Of"`
-	Loops      int           // 0: as many as half the cores
-	CheckRows  bool          // rows must be those of our own fakes: the request's id, then k/n
-	// Owns tells, where it is given, whether this process sends an arrival, in place of Shard and ShardCount; the
-	// answer may change until the arrival's time has come.
+	Loops      int           // 0: half the number of cores
+	CheckRows  bool          // expect the rows of the testbed's own fakes: the id of the request, then k/n
+	// Owns reports whether this process sends an arrival; nil: Shard decides. The loops still divide the arrivals by
+	// ShardCount. The result for an arrival may change until the time of the arrival.
 	Owns func(request *arrival.Request) bool `json:"-"`
-	// OnFinished, where it is given, is called with each report by the loops' goroutines.
+	// OnFinished, unless it is nil, is called with each report, in the goroutines of the loops.
 	OnFinished func(report *client.Report) `json:"-"`
 }
 
-// Driver is a run under way.
+// Driver is a running load.
 type Driver struct {
 	load     Load
 	start    time.Time
@@ -41,12 +42,12 @@
 	stop     chan struct{}
 	stopOnce sync.Once
 
-	Offered, Finished, OpenSessions atomic.Int64 // for progress
-	OfferedUntil                    atomic.Int64 // ns from the start up to which all arrivals have been handed out
+	Offered, Finished, OpenSessions atomic.Int64 // numbers of requests and of sessions, for progress reports
+	OfferedUntil                    atomic.Int64 // ns from the start of the run up to which loop 0 has handed out all its arrivals
 }
 
-// Start begins to send at a time, which may lie a little ahead. The caller ends the loops' goroutines by Stop, or lets
-// the schedule end, and waits for them by Wait.
+// Start begins to send at a time, which may be slightly in the future. The goroutines of the loops end after Stop, or
+// when the schedule has ended and all requests have outcomes. The caller waits for them with Wait.
 func Start(load Load, at time.Time) (*Driver, error) {
 	if load.Loops <= 0 {
 		load.Loops = max(1, runtime.GOMAXPROCS(0)/2)
@@ -75,7 +76,7 @@
 // Stop ends the run: nothing more is sent, and requests in flight are abandoned.
 func (d *Driver) Stop() { d.stopOnce.Do(func() { close(d.stop) }) }
 
-// Wait returns the metrics when all requests have their outcomes.
+// Wait waits until all requests have outcomes and returns the metrics.
 func (d *Driver) Wait() *stats.Metrics {
 	d.running.Wait()
 	return d.mergeMetrics()
@@ -87,7 +88,7 @@
 		if i == 0 {
 			all = ended.metrics
 		} else if err := all.Merge(ended.metrics); err != nil {
-			panic(err) // they were made from the same classes
+			panic(err) // can't happen: all loops have the same classes
 		}
 	}
 	return all
--- a/internal/testbed/load/driver/loop.go
+++ b/internal/testbed/load/driver/loop.go
@@ -13,46 +13,48 @@
 )
 
 const (
-	// tickSize is the timer wheel's unit: a tenth of a millisecond, as fine as sleeps are exact.
+	// tickSize is the unit of the timer wheel: 0.1 ms, which is as precise as a sleep.
 	tickSize = 100 * time.Microsecond
-	// maxShortSleep is the longest that a loop sleeps without looking at its inbox when it waits for a time that is closer
-	// than shortSleepBelow; longer waits are slept by the runtime, whose timers are exact to a millisecond or so.
+	// If the next action of a loop is closer than shortSleepBelow, the loop sleeps for at most maxShortSleep before it
+	// checks its inbox. It uses the runtime's timers for longer waits, because they are only precise to about a
+	// millisecond.
 	maxShortSleep   = 200 * time.Microsecond
 	shortSleepBelow = 2 * time.Millisecond
-	// housekeepingInterval is how often idle sessions are closed, and the longest that a loop waits.
+	// housekeepingInterval is the time between checks for idle sessions, and the longest wait of a loop.
 	housekeepingInterval = 250 * time.Millisecond
 )
 
-// loop sends one share of the process's arrivals. Its goroutine owns all fields but those of the inbox.
+// loop sends a part of the arrivals of the process. Its goroutine owns all fields except inbox, wake and waitsForEvent,
+// which the goroutines of the connections use to deliver events.
 type loop struct {
 	driver       *Driver
 	index        int
 	schedule     *arrival.Schedule
 	clients      *client.Clients
 	metrics      *stats.Metrics
-	next         arrival.Request // the schedule's next arrival
-	hasNext      bool            // next is one
-	stop         <-chan struct{} // nil once the loop has stopped
-	waitTimer    *time.Timer
-	idleClosedAt time.Duration
+	next         arrival.Request // next arrival of the schedule
+	hasNext      bool            // next is valid
+	stop         <-chan struct{} // nil after the loop has stopped
+	waitTimer    *time.Timer     // ends waitForEvent
+	idleClosedAt time.Duration   // when idle sessions were last closed
 
-	connections      []*conn // by session
-	buffer           []byte  // of the packet that is sent, reused
-	lastTarget       int
-	avoidTargetUntil []time.Duration // by target: until when it gets no connection, as it refused one
+	connections      []*conn         // by session
+	buffer           []byte          // packet that is being sent; reused
+	lastTarget       int             // index of the target that was chosen last
+	avoidTargetUntil []time.Duration // by target: after a refused connection, when the target may get connections again
 
 	wheel      *timerwheel.Wheel
-	timers     []timer // by the number that the wheel holds
-	freeTimers []int32
+	timers     []timer // by the number that the wheel stores
+	freeTimers []int32 // indexes of unused timers
 
-	mu            sync.Mutex // of inbox
+	mu            sync.Mutex // guards inbox
 	inbox         []event
-	spareInbox    []event
-	wake          chan struct{}
-	waitsForEvent atomic.Bool
+	spareInbox    []event       // an empty inbox whose memory is reused
+	wake          chan struct{} // ends waitForEvent when an event arrives
+	waitsForEvent atomic.Bool   // set while the loop is in waitForEvent, or about to be
 }
 
-// timer is what a number in the wheel stands for.
+// timer is a timer of a request. The wheel stores its index in loop.timers.
 type timer struct {
 	at       time.Duration
 	request  int32
@@ -62,17 +64,18 @@
 func newLoop(driver *Driver, index int, schedule *arrival.Schedule, metrics *stats.Metrics) *loop {
 	load := &driver.load
 	behavior := load.Behavior
-	if behavior.Connections > 0 { // the limit is the process's: each loop gets its share of it
+	// The limit is for the whole process: each loop gets an equal part of it.
+	if behavior.Connections > 0 {
 		behavior.Connections = max(1, (behavior.Connections+load.Loops-1-index)/load.Loops)
 	}
 	created := &loop{driver: driver, index: index, schedule: schedule, wheel: timerwheel.New(0), metrics: metrics, stop: driver.stop,
 		wake: make(chan struct{}, 1), avoidTargetUntil: make([]time.Duration, len(load.Targets))}
-	// Ids are drawn by the run's seed and the request's number, backoffs by a random source of each loop's own.
+	// Attempt ids depend on the seed of the run and the number of the request; backoffs come from the loop's own random source.
 	created.clients = client.NewClients(created, behavior, load.Classes, load.Seed, int64(load.Shard*load.Loops+index))
 	return created
 }
 
-// now is the time from the start of the run.
+// now returns the time since the start of the run.
 func (l *loop) now() time.Duration { return time.Since(l.driver.start) }
 
 func (l *loop) run() {
@@ -123,7 +126,7 @@
 	l.clients.HandleTimer(max(now, fired.at), fired.request, fired.sequence)
 }
 
-// offerArrivals hands out the arrivals whose time has come, and returns the time after the last one.
+// offerArrivals hands the arrivals that are due to the clients. It returns the time after the last of them.
 func (l *loop) offerArrivals(now time.Duration) time.Duration {
 	for l.hasNext && l.next.At <= now {
 		if l.owns(&l.next) {
@@ -137,7 +140,7 @@
 	return now
 }
 
-// owns tells whether an arrival is this loop's.
+// owns reports whether this loop sends an arrival.
 func (l *loop) owns(request *arrival.Request) bool {
 	load := &l.driver.load
 	if int(request.Number/uint64(load.ShardCount))%load.Loops != l.index {
@@ -149,7 +152,7 @@
 	return arrival.Shard(request.Number, load.ShardCount) == load.Shard
 }
 
-// nextWakeUp is when the loop has something to do next, events aside.
+// nextWakeUp returns the time of the loop's next action if no event arrives.
 func (l *loop) nextWakeUp(now time.Duration) time.Duration {
 	until := now + housekeepingInterval
 	if l.hasNext {
@@ -167,7 +170,7 @@
 	l.clients.Stop(now)
 }
 
-// waitUntil sleeps until a time or, where that is not close, an event.
+// waitUntil sleeps until a time. A short wait is limited to maxShortSleep; a longer one ends when an event arrives.
 func (l *loop) waitUntil(until time.Duration) {
 	remaining := until - l.now()
 	switch {
@@ -196,8 +199,8 @@
 	}
 }
 
-// sleepPrecisely sleeps by the system call, because the runtime's own timers may be a millisecond late when nothing else
-// goes on. A signal may end the sleep early; the loop then looks at the clock again.
+// sleepPrecisely calls nanosleep, because the runtime's timers may be a millisecond late while the process is otherwise
+// idle. A signal may end the sleep early; the loop then reads the clock again.
 func sleepPrecisely(duration time.Duration) {
 	spec := syscall.NsecToTimespec(int64(duration))
 	_ = syscall.Nanosleep(&spec, nil)
--- a/internal/testbed/load/driver/rows.go
+++ b/internal/testbed/load/driver/rows.go
@@ -7,12 +7,12 @@
 	"magpiebank/internal/protocol/mysql"
 )
 
-// rowChecker checks that a result is that of a request, complete and in order: the fakes' rows hold the id and k/n, the
-// row's number (from 1) and how many there are.
+// rowChecker checks that a result belongs to a request, is complete and is in order. A row of the testbed's fakes holds
+// the id of the request and k/n: the number of the row, from 1, and the number of rows.
 type rowChecker struct {
 	id            uint64
 	enabled       bool
-	number, total int // of the row before
+	number, total int // k and n of the previous row
 	invalid       bool
 }
 
@@ -29,6 +29,7 @@
 	r.number, r.total = number, total
 }
 
+// isComplete reports whether all rows were valid and none is missing.
 func (r *rowChecker) isComplete() bool {
 	return !r.enabled || !r.invalid && r.number > 0 && r.number == r.total
 }
--- a/internal/testbed/load/driver/transport.go
+++ b/internal/testbed/load/driver/transport.go
@@ -10,8 +10,8 @@
 	"magpiebank/internal/testbed/load/timerwheel"
 )
 
-// maxInlineWrite is how many bytes fit into a socket's buffer when nothing else is in it. Longer packets are written by
-// a goroutine, because the write may block.
+// maxInlineWrite is the number of bytes that fit into an empty socket buffer. A separate goroutine writes longer
+// packets, because the write may block.
 const maxInlineWrite = 1 << 14
 
 var _ client.Transport = (*loop)(nil)
@@ -40,7 +40,7 @@
 	go dialed.run()
 }
 
-// pickTarget takes the targets in turn and leaves out those that refused a moment ago, unless all did.
+// pickTarget returns the next target in turn. It skips targets that refused a connection recently, unless all did.
 func (l *loop) pickTarget() int {
 	now := l.now()
 	for range l.avoidTargetUntil {
@@ -61,14 +61,14 @@
 	target.slow.Store(attempt.Slow)
 	target.expectedID.Store(attempt.ID)
 	if len(l.buffer) > maxInlineWrite {
-		go target.write(slices.Clone(l.buffer)) // ends at the latest when the connection is closed
+		go target.write(slices.Clone(l.buffer)) // ends when the connection is closed, at the latest
 		return
 	}
 	target.write(l.buffer)
 	l.clients.HandleSent(l.now(), sessionID, attempt.ID)
 }
 
-// appendQuery appends an attempt's packet.
+// appendQuery appends the query packet of an attempt.
 func appendQuery(dst []byte, class *arrival.Class, attempt *client.Attempt) []byte {
 	fields := mysql.QueryFields{Class: class.WireName(), ID: attempt.ID, WaitMS: attempt.WaitMS, Retry: attempt.Retry}
 	return mysql.AppendQuery(dst, fields, func(dst []byte) []byte {
@@ -93,7 +93,7 @@
 			break
 		}
 	}
-	go killQuery(l.driver.load.Targets[target], connectionID) // ends with its session's deadline
+	go killQuery(l.driver.load.Targets[target], connectionID) // ends when the deadline of its connection passes, at the latest
 }
 
 // Finished implements client.Transport.
--- a/internal/testbed/load/sqlclient/sqlclient.go
+++ b/internal/testbed/load/sqlclient/sqlclient.go
@@ -1,5 +1,5 @@
-// Package sqlclient sends requests one by one, by another project's client of the protocol, and returns how each ended. It
-// is for runs that check single answers, where package client is for many.
+// Package sqlclient sends single requests through an independent implementation of the MySQL protocol and returns the
+// outcome of each. It is for runs that check individual answers; package client is for loads of many requests.
 package sqlclient
 
 import (
@@ -13,37 +13,38 @@
 	driver "github.com/go-sql-driver/mysql"
 )
 
-// Outcomes of a request. Any other text is an error that no gateway should give.
+// Outcomes of a request. Any other outcome is the text of an error that no gateway should return.
 const (
 	Served         = "delivered"
 	Rejected       = "nacked"
 	Failed         = "written off"
-	ConnectionLost = "broken"            // the connection ended without an answer
-	NotConnected   = "not taken"         // there was no connection, so no request
-	TimedOut       = "no answer in time" // nor a second after
+	ConnectionLost = "broken"            // the connection closed before an answer
+	NotConnected   = "not taken"         // no connection was established, so the request was not sent
+	TimedOut       = "no answer in time" // no answer within the wait and one more second
 )
 
-// Numbers of errors by which a gateway rejects a request, or reports one as failed.
+// Numbers of the errors with which a gateway rejects a request or reports a failed one.
 const (
 	errorRejected = 1203
 	errorFailed   = 1317
 )
 
-// silenceDriver throws away what the driver logs of lost connections, because runs break them on purpose.
+// silenceDriver discards what the driver logs about lost connections, because runs break connections on purpose.
 var silenceDriver = sync.OnceFunc(func() {
 	err := driver.SetLogger(&driver.NopLogger{})
 	if err != nil {
-		panic(err) // it is given a logger
+		panic(err) // SetLogger fails only without a logger
 	}
 })
 
-// Open returns a client of the gateway at an address.
+// Open returns a database handle for the gateway at an address.
 func Open(address string) (*sql.DB, error) {
 	silenceDriver()
 	return sql.Open("mysql", "app@tcp("+address+")/reports?timeout=1s")
 }
 
-// Query sends one request, which waits for so long, and returns its outcome. Rows that don't hold its id are no answer.
+// Query sends one request, which may wait for the given time, and returns its outcome. Rows whose first column is not
+// the request's id don't count as an answer.
 func Query(db *sql.DB, class, id, statement string, wait time.Duration) string {
 	ctx, cancel := context.WithTimeout(context.Background(), wait+time.Second)
 	defer cancel()
@@ -54,7 +55,7 @@
 	} else if err != nil {
 		return NotConnected
 	}
-	defer func() { _ = conn.Close() }() // the request has its outcome by then
+	defer func() { _ = conn.Close() }() // an error is ignored, because the outcome is known by then
 	count, err := queryRows(ctx, conn, id, fmt.Sprintf("/* class=%s,id=%s,wait=%d */ %s", class, id, wait.Milliseconds(), statement))
 	switch {
 	case err == nil && count > 0:
@@ -71,7 +72,7 @@
 	return ConnectionLost
 }
 
-// queryRows runs a query and counts the rows whose first column is the request's id.
+// queryRows runs a query and returns the number of rows whose first column is the request's id.
 func queryRows(ctx context.Context, conn *sql.Conn, id, query string) (count int, err error) {
 	rows, err := conn.QueryContext(ctx, query)
 	if err != nil {
--- a/internal/testbed/load/stats/encoding.go
+++ b/internal/testbed/load/stats/encoding.go
@@ -8,10 +8,10 @@
 	"magpiebank/internal/testbed/load/client"
 )
 
-// encodingVersion is the version of the JSON form below.
+// encodingVersion is the version of the JSON encoding below.
 const encodingVersion = 1
 
-// The JSON form in which metrics are sent and stored; histograms are in the library's own compressed form.
+// The JSON encoding in which metrics are sent and stored. Histograms are strings in the library's compressed encoding.
 type (
 	encodedMetrics struct {
 		Version          int               `json:"v"`
@@ -42,7 +42,7 @@
 	}
 )
 
-// MarshalJSON writes the form in which metrics are sent and stored.
+// MarshalJSON returns the encoding in which metrics are sent and stored.
 func (m *Metrics) MarshalJSON() ([]byte, error) {
 	encoded := encodedMetrics{Version: encodingVersion, Misbehaving: m.Misbehaving.encode(), GeneratorDelay: encodeHistogram(m.GeneratorDelay),
 		QueueDelay: encodeHistogram(m.QueueDelay), Violations: m.Violations, Examples: m.Examples, FinishedRequests: m.finishedRequests}
@@ -66,7 +66,7 @@
 	return encoded
 }
 
-// UnmarshalJSON reads the form that MarshalJSON writes.
+// UnmarshalJSON decodes what MarshalJSON returns.
 func (m *Metrics) UnmarshalJSON(content []byte) error {
 	var encoded encodedMetrics
 	err := json.Unmarshal(content, &encoded)
--- a/internal/testbed/load/stats/format_test.go
+++ b/internal/testbed/load/stats/format_test.go
@@ -9,7 +9,8 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-// encodedHistogram is a histogram in JSON. Its bytes are a compressor's, which may change with the language's version.
+// encodedHistogram matches a histogram in JSON. Its bytes come from a compressor whose output may change with the Go
+// version.
 var encodedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
 
 func TestMetricsOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
@@ -33,7 +34,8 @@
 	return metrics
 }
 
-// metricsValues lists all that metrics hold, in the order in which the earlier version had it; of a histogram its count and maximum.
+// metricsValues lists all values in metrics, in the order of the earlier version's fields. For a histogram, it lists
+// the count and the maximum.
 func metricsValues(m *Metrics) (values []any) {
 	addHistogram := func(h *hdrhistogram.Histogram) { values = append(values, h.TotalCount(), h.Max()) }
 	for _, c := range append(m.Classes, m.Misbehaving) {
--- a/internal/testbed/load/stats/histogram.go
+++ b/internal/testbed/load/stats/histogram.go
@@ -7,8 +7,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latencies are counted in whole microseconds up to the longest wait that a load states, in three digits: a tenth of
-// the hundredth that reports promise. A second's histogram takes two digits, because there are many of them.
+// Histograms count latencies in whole microseconds up to the longest wait that a load specifies. Three significant digits
+// give a precision of 0.1 %, a tenth of the 1 % that reports promise. The histograms by second have two digits to save
+// memory, because there are many of them.
 const (
 	maxLatency                 = 10 * time.Minute
 	significantDigits          = 3
@@ -20,12 +21,13 @@
 	return hdrhistogram.New(1, int64(maxLatency/histogramUnit), digits)
 }
 
+// record adds a latency to a histogram.
 func record(histogram *hdrhistogram.Histogram, latency time.Duration) {
-	// Values out of the histogram's range are its only error, and these are cut to the range.
+	// RecordValue fails only for values outside the range of the histogram, and the latency is limited to that range.
 	_ = histogram.RecordValue(int64(max(0, min(latency, maxLatency)) / histogramUnit))
 }
 
-// quantile returns a quantile (from 0 to 1) of a histogram; 0 where it is empty.
+// quantile returns a quantile (q from 0 to 1) of a histogram; 0 if the histogram is empty.
 func quantile(histogram *hdrhistogram.Histogram, q float64) time.Duration {
 	if histogram == nil || histogram.TotalCount() == 0 {
 		return 0
@@ -33,14 +35,14 @@
 	return time.Duration(histogram.ValueAtPercentile(q*100)) * histogramUnit
 }
 
-// encodeHistogram returns the library's compressed form; empty for an empty histogram.
+// encodeHistogram returns a histogram in the library's compressed encoding, or an empty string for an empty histogram.
 func encodeHistogram(histogram *hdrhistogram.Histogram) string {
 	if histogram.TotalCount() == 0 {
 		return ""
 	}
 	encoded, err := histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
-		return "" // not seen, because it writes to memory
+		return "" // can't happen, because Encode writes to memory
 	}
 	return string(encoded)
 }
--- a/internal/testbed/load/stats/merge.go
+++ b/internal/testbed/load/stats/merge.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Merge adds the metrics of another shard. A request that both have counts as one with two outcomes.
+// Merge adds the metrics of another shard. A request with an outcome in both shards counts as a ViolationTwoOutcomes.
 func (m *Metrics) Merge(other *Metrics) error {
 	if len(m.Classes) != len(other.Classes) {
 		return fmt.Errorf("figures of %d lanes and of %d can't be merged", len(m.Classes), len(other.Classes))
--- a/internal/testbed/load/stats/metrics.go
+++ b/internal/testbed/load/stats/metrics.go
@@ -1,5 +1,5 @@
-// Package stats counts what became of a load: latencies from the intended times, outcomes by class and second, what
-// of the delay was the generator's own, and whether each request had one complete answer.
+// Package stats aggregates the results of a load: latencies, which count from the intended times, outcomes by class and
+// second, delays that the load generator caused, and whether each request had one complete answer.
 package stats
 
 import (
@@ -11,48 +11,48 @@
 	"magpiebank/internal/testbed/load/client"
 )
 
-// Second is what was intended within one second, and what became of it.
+// Second holds the metrics of the requests whose intended time is in one second.
 type Second struct {
 	Offered      int64
 	Outcomes     [client.OutcomeCount]int64
-	Worst        time.Duration // latency of an answer
-	WorstRequest uint64        // and the request's number
-	latency      *hdrhistogram.Histogram
+	Worst        time.Duration           // longest latency of a served request
+	WorstRequest uint64                  // number of that request
+	latency      *hdrhistogram.Histogram // of served requests
 }
 
-// Quantile is the latency of the second's served requests.
+// Quantile returns a latency quantile (q from 0 to 1) of the second's served requests.
 func (s *Second) Quantile(q float64) time.Duration { return quantile(s.latency, q) }
 
-// ClassMetrics is the metrics of one class.
+// ClassMetrics holds the metrics of one class.
 type ClassMetrics struct {
 	Name             string
 	LatencyObjective time.Duration
 	Offered          int64
 	WithinObjective  int64 // served within the latency objective
 	Attempts         int64
-	Outcomes         [client.OutcomeCount]*hdrhistogram.Histogram
-	ClosedLoop       *hdrhistogram.Histogram // served ones as a closed loop would count them: from when they were sent
+	Outcomes         [client.OutcomeCount]*hdrhistogram.Histogram // latencies by outcome
+	ClosedLoop       *hdrhistogram.Histogram                      // latencies of served requests as a closed loop would measure them: from the time of sending
 }
 
-// Quantile is the latency of a class's requests of one outcome.
+// Quantile returns a latency quantile (q from 0 to 1) of the class's requests with an outcome.
 func (c *ClassMetrics) Quantile(outcome client.Outcome, q float64) time.Duration {
 	return quantile(c.Outcomes[outcome], q)
 }
 
-// Metrics are those of one run, or of a shard of it; shards are merged.
+// Metrics holds the metrics of one run or of a shard of it. Merge combines shards.
 type Metrics struct {
 	Classes        []ClassMetrics
-	Misbehaving    ClassMetrics // of clients that are slow, leave or are silent
+	Misbehaving    ClassMetrics // of slow, leaving and silent clients
 	Seconds        []Second
-	GeneratorDelay *hdrhistogram.Histogram // the generator's own share of each latency
-	QueueDelay     *hdrhistogram.Histogram // the share that was spent waiting for a connection under the limit
-	Violations     map[string]int64        // broken rules by kind
-	Examples       map[string]uint64       // and a request for each
+	GeneratorDelay *hdrhistogram.Histogram // part of each latency that the load generator caused
+	QueueDelay     *hdrhistogram.Histogram // part of each latency spent waiting for a connection under the limit
+	Violations     map[string]int64        // number of violations by kind
+	Examples       map[string]uint64       // by kind of violation: number of a request that caused it
 
-	finishedRequests map[uint64]uint64 // a bit for each request that has its outcome
+	finishedRequests map[uint64]uint64 // bitmap of the requests with an outcome: request n is bit n%64 of entry n/64
 }
 
-// misbehavingName names the metrics of misbehaving clients in tables.
+// misbehavingName is the name of the misbehaving clients' metrics in tables.
 const misbehavingName = "odd clients"
 
 // New returns empty metrics for classes with these names and latency objectives.
@@ -74,9 +74,10 @@
 	return class
 }
 
-// maxSeconds bounds the metrics by second: a day.
+// maxSeconds limits the metrics by second to a day; later requests count in the last entry.
 const maxSeconds = 86400
 
+// second returns the metrics for the second that contains a time.
 func (m *Metrics) second(at time.Duration) *Second {
 	index := min(max(0, int(at/time.Second)), maxSeconds)
 	for len(m.Seconds) <= index {
@@ -92,10 +93,10 @@
 	return &m.Classes[index]
 }
 
-// RecordOffered counts a request that was handed to a client.
+// RecordOffered counts a request that was handed to the clients, by its intended time.
 func (m *Metrics) RecordOffered(at time.Duration) { m.second(at).Offered++ }
 
-// The kinds of broken rules.
+// The kinds of violations.
 const (
 	ViolationTwoOutcomes      = "a task had two outcomes"
 	ViolationUnexpectedAnswer = "an answer that nobody asked for, or a second one"
@@ -105,7 +106,7 @@
 	ViolationNoAnswer         = "no answer while the client waited"
 )
 
-// RecordViolation counts a broken rule, with the number of the request that broke it.
+// RecordViolation counts a violation. It stores the number of the request if the violation is the first of its kind.
 func (m *Metrics) RecordViolation(kind string, request uint64) {
 	m.Violations[kind]++
 	if m.Violations[kind] == 1 {
@@ -113,7 +114,7 @@
 	}
 }
 
-// violationOf returns the rule that an outcome breaks; empty: none.
+// violationOf returns the kind of violation that an outcome is; empty: none.
 func violationOf(outcome client.Outcome) string {
 	switch outcome {
 	case client.MalformedAnswer:
@@ -127,7 +128,7 @@
 	}
 }
 
-// RecordFinished counts a request's outcome. A second outcome of the same request counts as a violation alone.
+// RecordFinished counts the outcome of a request. A second outcome of the same request counts only as a violation.
 func (m *Metrics) RecordFinished(report *client.Report) {
 	number := report.Request.Number
 	if m.HasOutcome(number) {
@@ -163,12 +164,13 @@
 	}
 }
 
-// HasOutcome tells whether a request has its outcome.
+// HasOutcome reports whether a request has an outcome.
 func (m *Metrics) HasOutcome(request uint64) bool {
 	return m.finishedRequests[request/64]&(1<<(request%64)) != 0
 }
 
-// RecordMissing counts the requests of a schedule that have no outcome.
+// RecordMissing counts the offered requests that have no outcome as violations. offered is the number of offered
+// requests.
 func (m *Metrics) RecordMissing(offered int64) {
 	finished := int64(0)
 	for _, bitmap := range m.finishedRequests {
@@ -179,7 +181,7 @@
 	}
 }
 
-// Total is how many requests have an outcome.
+// Total returns the number of requests with an outcome.
 func (m *Metrics) Total() (total int64) {
 	for i := range m.Classes {
 		total += m.Classes[i].Offered
@@ -187,7 +189,7 @@
 	return total + m.Misbehaving.Offered
 }
 
-// Count is how many requests of well-behaved clients had an outcome.
+// Count returns the number of requests from well-behaved clients that had an outcome.
 func (m *Metrics) Count(outcome client.Outcome) (count int64) {
 	for i := range m.Classes {
 		count += m.Classes[i].Outcomes[outcome].TotalCount()
@@ -195,10 +197,10 @@
 	return count
 }
 
-// GeneratorDelayQuantile is a quantile of the delays that are the generator's own.
+// GeneratorDelayQuantile returns a quantile (q from 0 to 1) of the delays that the load generator caused.
 func (m *Metrics) GeneratorDelayQuantile(q float64) time.Duration {
 	return quantile(m.GeneratorDelay, q)
 }
 
-// QueueDelayQuantile is a quantile of the waits for a connection.
+// QueueDelayQuantile returns a quantile (q from 0 to 1) of the times that requests waited for a connection.
 func (m *Metrics) QueueDelayQuantile(q float64) time.Duration { return quantile(m.QueueDelay, q) }
--- a/internal/testbed/load/stats/metrics_test.go
+++ b/internal/testbed/load/stats/metrics_test.go
@@ -20,7 +20,7 @@
 		class.Quantile(client.Served, 0.5), class.Quantile(client.Served, 1), len(metrics.Seconds), metrics.Seconds[0].Worst, metrics.Seconds[0].WorstRequest, metrics.Violations)
 }
 
-// Shards are merged; a request that two shards have, and one that none has, are found.
+// Merges two shards. Requests in both shards, and requests in neither, are found.
 func ExampleMetrics_Merge() {
 	first, second := New([]string{"look"}, []time.Duration{time.Second}), New([]string{"look"}, []time.Duration{time.Second})
 	for n := range uint64(100) {
--- a/internal/testbed/load/timerwheel/timerwheel.go
+++ b/internal/testbed/load/timerwheel/timerwheel.go
@@ -1,15 +1,15 @@
-// Package timerwheel keeps many timers for one goroutine: a hierarchical wheel, whose timers cost no allocation, no
-// goroutine and no lock. Adding and stopping take constant time.
+// Package timerwheel manages many timers for a single goroutine in a hierarchical timer wheel. A timer needs no
+// allocation of its own, no goroutine and no lock. Adding and stopping a timer take constant time.
 package timerwheel
 
 import "math/bits"
 
-// Tick is a point in time, or a length, in the wheel's unit.
+// Tick is a point in time, or a duration, in the unit that the user of the wheel chooses.
 type Tick int64
 
-// A level has 64 slots, so that one bitmap word tells which of them hold timers, and each slot spans a whole level below
-// it. Six levels reach 2^36 ticks: 79 days of tenths of a millisecond. A timer that lies further stands in the
-// last slot, and is linked again when that slot begins.
+// A level has 64 slots, so that one 64-bit word records which of them hold timers. Each slot covers as much time as the
+// whole level below. Six levels cover 2^36 ticks, which is 79 days if a tick is 0.1 ms. A timer that is due later
+// waits in the slot that begins last, and is linked again when that slot begins.
 const (
 	slotBits  = 6
 	slots     = 1 << slotBits
@@ -17,34 +17,35 @@
 	wheelSpan = Tick(1) << (slotBits * levels)
 )
 
-// Timer identifies a timer; 0 is none. A value is used again only after four billion other timers of the same entry.
+// Timer identifies a timer; 0 identifies none. A value is reused only after its entry has held 2^32 timers.
 type Timer uint64
 
+// entry holds a timer that is set, or is an unused element of the free list.
 type entry struct {
 	at         Tick
-	number     uint64 // the caller's
-	next, prev int32  // in its slot's ring; in the free list only next
-	slot       int32  // level*slots + slot; -1: not set
-	generation uint32 // how many timers the entry has held
+	number     uint64 // passed to fire when the timer is due
+	next, prev int32  // neighbors in the ring of the slot; in the free list only next is used
+	slot       int32  // level*slots + slot in the level; -1: the timer is not set
+	generation uint32 // number of timers that the entry has held
 }
 
-// Wheel holds timers that carry a number each.
+// Wheel holds timers, each with a number that the caller chose.
 type Wheel struct {
 	now      Tick
-	entries  []entry               // entry 0 is unused
+	entries  []entry               // entry 0 is unused, so that index 0 means none
 	free     int32                 // head of the free list; 0: none
-	heads    [levels * slots]int32 // first entry of each slot's ring; 0: none
-	occupied [levels]uint64        // a bit for each slot with timers
-	count    int
+	heads    [levels * slots]int32 // first entry in the ring of each slot; 0: none
+	occupied [levels]uint64        // by level: one bit for each slot, set if the slot holds timers
+	count    int                   // number of timers that are set
 }
 
-// New returns a wheel that begins at a time.
+// New returns an empty wheel whose current time is now.
 func New(now Tick) *Wheel { return &Wheel{now: now, entries: make([]entry, 1)} }
 
-// Len is how many timers are set.
+// Len returns the number of timers that are set.
 func (w *Wheel) Len() int { return w.count }
 
-// Add sets a timer that carries a number; one for a time that is past fires with the next Advance.
+// Add sets a timer with a number. A timer for the current time or a past time fires one tick after the current time.
 func (w *Wheel) Add(at Tick, number uint64) Timer {
 	index := w.free
 	if index == 0 {
@@ -61,7 +62,7 @@
 	return Timer(uint64(added.generation)<<32 | uint64(uint32(index)))
 }
 
-// Stop stops a timer; it tells whether the timer was still set.
+// Stop stops a timer and reports whether the timer was still set.
 func (w *Wheel) Stop(timer Timer) bool {
 	index, generation := int32(uint32(timer)), uint32(timer>>32)
 	if index <= 0 || int(index) >= len(w.entries) || w.entries[index].generation != generation || w.entries[index].slot < 0 {
@@ -72,20 +73,22 @@
 	return true
 }
 
-// release puts an entry into the free list.
+// release returns an entry to the free list.
 func (w *Wheel) release(index int32) {
 	released := &w.entries[index]
 	released.slot, released.next, w.free = -1, w.free, index
 	w.count--
 }
 
-// link puts a timer into the slot for its time: the level is that of the highest digit in which the time differs from
-// now.
+// link adds an entry to the slot for its time. The level is the highest base-64 digit in which that time differs from
+// the current time.
 func (w *Wheel) link(index int32) {
 	linked := &w.entries[index]
 	at := min(linked.at, w.now+wheelSpan-1)
 	level := (63 - bits.LeadingZeros64(uint64(at^w.now)|1)) / slotBits
-	if level >= levels { // only the topmost digit wraps around; that slot begins in time
+	// The times differ above the top level. The top level wraps around: the slot begins in its next round, at or before
+	// the time of the timer.
+	if level >= levels {
 		level = levels - 1
 	}
 	slot := int32(level*slots) + int32(at>>(slotBits*level))&(slots-1)
@@ -101,6 +104,7 @@
 	}
 }
 
+// unlink removes an entry from its slot.
 func (w *Wheel) unlink(index int32) {
 	unlinked := &w.entries[index]
 	if unlinked.next == index {
@@ -114,8 +118,8 @@
 	}
 }
 
-// Next returns a time before which no timer fires; ok is false where none is set. It is the time of the next timer
-// itself when that lies within the lowest level, and otherwise the beginning of its slot.
+// Next returns a time before which no timer fires; ok is false if no timer is set. If the next timer is in the lowest
+// level, the result is the time of that timer, otherwise it is the start of the timer's slot.
 func (w *Wheel) Next() (at Tick, ok bool) {
 	for level := range levels {
 		width := slotBits * level
@@ -124,7 +128,7 @@
 			slot := Tick(bits.TrailingZeros64(ahead))
 			return w.now>>(width+slotBits)<<(width+slotBits) | slot<<width, true
 		}
-		if level == levels-1 && w.occupied[level] != 0 { // after the topmost digit wraps around
+		if level == levels-1 && w.occupied[level] != 0 { // the slot begins after the top level has wrapped around
 			slot := Tick(bits.TrailingZeros64(w.occupied[level]))
 			return (w.now>>(width+slotBits)+1)<<(width+slotBits) | slot<<width, true
 		}
@@ -132,8 +136,9 @@
 	return 0, false
 }
 
-// Advance moves to a time and calls fire for each timer that is due, in order of time; those of one tick fire in the
-// order in which they reached its slot. fire may add and stop timers.
+// Advance moves the current time to a later time and calls fire for each timer that is due, in the order of time.
+// Timers of the same tick fire in the order in which they were added to the slot of that tick. fire may add and stop
+// timers.
 func (w *Wheel) Advance(to Tick, fire func(number uint64)) {
 	for w.now < to {
 		next, ok := w.Next()
@@ -142,7 +147,7 @@
 			return
 		}
 		w.now = next
-		for level := levels - 1; level > 0; level-- { // slots that begin here move to the levels below
+		for level := levels - 1; level > 0; level-- { // timers in slots that begin now move to lower levels
 			width := slotBits * level
 			if next&(1<<width-1) == 0 {
 				w.cascade(int32(level*slots) + int32(next>>width)&(slots-1))
@@ -159,7 +164,8 @@
 	}
 }
 
-// cascade links a slot's timers again, into the levels below.
+// cascade links the timers of a slot that begins now again, so that they move to lower levels. Timers that are due
+// after the time span of the wheel stay in the top level.
 func (w *Wheel) cascade(slot int32) {
 	first := w.heads[slot]
 	if first == 0 {
--- a/internal/testbed/load/timerwheel/timerwheel_test.go
+++ b/internal/testbed/load/timerwheel/timerwheel_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same runs each time; -rapid.seed=0 draws others.
+// Each test run draws the same values; -rapid.seed=0 draws others.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-// reference is a wheel beside a plain list of its timers.
+// reference compares a wheel with a plain list of the same timers.
 type reference struct {
 	t      *rapid.T
 	wheel  *Wheel
@@ -35,7 +35,7 @@
 	timer  Timer
 }
 
-// drawSpan draws a length of any level, and past the last one.
+// drawSpan draws a duration that may be in any level of the wheel, or beyond the top level.
 func (r *reference) drawSpan(minimum int64, label string) Tick {
 	return Tick(rapid.Int64Range(minimum, 1<<rapid.IntRange(1, 38).Draw(r.t, "bits")).Draw(r.t, label))
 }
@@ -52,7 +52,7 @@
 	}
 	index := rapid.IntRange(0, len(r.timers)-1).Draw(r.t, "which")
 	if !r.wheel.Stop(r.timers[index].timer) || r.wheel.Stop(r.timers[index].timer) {
-		r.t.Fatal("a timer that was set could not be stopped once")
+		r.t.Fatal("stopping a timer twice: expected success the first time only")
 	}
 	r.timers = slices.Delete(r.timers, index, index+1)
 }
@@ -64,7 +64,7 @@
 	r.wheel.Advance(to, func(number uint64) {
 		index := slices.IndexFunc(r.timers, func(timer referenceTimer) bool { return timer.number == number })
 		if index < 0 || r.timers[index].at > to || r.timers[index].at < last {
-			r.t.Fatalf("timer %d fired in moving to %d, last %d: %v", number, to, last, r.timers)
+			r.t.Fatalf("timer %d fired at the wrong time while advancing to %d; time of the previous timer %d; timers set: %v", number, to, last, r.timers)
 		}
 		last = r.timers[index].at
 		r.timers = slices.Delete(r.timers, index, index+1)
@@ -72,7 +72,7 @@
 	r.now = to
 	for _, timer := range r.timers {
 		if timer.at <= r.now {
-			r.t.Fatalf("timer for %d did not fire by %d", timer.at, r.now)
+			r.t.Fatalf("timer due at %d did not fire by %d", timer.at, r.now)
 		}
 	}
 }
@@ -80,16 +80,17 @@
 func (r *reference) checkNext() {
 	at, ok := r.wheel.Next()
 	if ok != (len(r.timers) > 0) {
-		r.t.Fatalf("next: %v %v with %d set", at, ok, len(r.timers))
+		r.t.Fatalf("Next returned %v, %v while %d timers were set", at, ok, len(r.timers))
 	}
 	for _, timer := range r.timers {
 		if timer.at < at {
-			r.t.Fatalf("a timer is due at %d, before %d", timer.at, at)
+			r.t.Fatalf("a timer is due at %d, before %d, which Next returned", timer.at, at)
 		}
 	}
 }
 
-// Whatever is added, stopped and moved, the same timers fire as of a plain list, each at its time, in order.
+// After any sequence of adding, stopping and advancing, the wheel has fired the same timers as a plain list, each at
+// its time and in order.
 func TestWheelFiresAsPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := Tick(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
@@ -104,13 +105,13 @@
 				r.advance()
 			}
 			if r.wheel.Len() != len(r.timers) {
-				t.Fatalf("%d are set, expected %d", r.wheel.Len(), len(r.timers))
+				t.Fatalf("%d timers are set, expected %d", r.wheel.Len(), len(r.timers))
 			}
 		}
 	})
 }
 
-// A timer that sets another for the same time, and one that stops its neighbour.
+// A timer that fires may add another timer for its own time and stop the next timer of the same tick.
 func TestAddAndStopWhileFiring(t *testing.T) {
 	wheel := New(0)
 	var got []uint64
@@ -120,16 +121,17 @@
 	wheel.Advance(10, func(number uint64) {
 		got = append(got, number)
 		if number == 1 {
-			wheel.Add(5, 2) // fires a tick later
+			wheel.Add(5, 2) // fires at 6, because 5 is the current time
 			wheel.Stop(third)
 		}
 	})
 	if !slices.Equal(got, []uint64{1, 2}) {
-		t.Errorf("fired: %v", got)
+		t.Errorf("fired timers: %v, expected 1 and 2", got)
 	}
 }
 
-// What a load does with a timer: set an attempt timeout, stop it when the answer comes, with 100,000 open.
+// openTimers is the number of timers that the benchmarks keep set. Like a load, BenchmarkWheel and BenchmarkAfterFunc
+// set timers for timeouts and stop most of them early, as if an answer had arrived.
 const openTimers = 100_000
 
 func BenchmarkWheel(b *testing.B) {
@@ -185,7 +187,7 @@
 func (h *timerHeap) Push(pushed any) {
 	timer, ok := pushed.(*heapTimer)
 	if !ok {
-		panic("the heap holds timers alone")
+		panic("only a heapTimer can be pushed to the heap")
 	}
 	timer.index = len(*h)
 	*h = append(*h, timer)
