--- a/internal/testbed/load/arrival/arrival_test.go
+++ b/internal/testbed/load/arrival/arrival_test.go
@@ -94,7 +94,8 @@
 func ExampleSchedule() {
 	schedule, err := NewSchedule(&Shape{Kind: Steady, Rate: 10}, testClasses, 3, time.Second)
 	for request, ok := schedule.Next(); ok; request, ok = schedule.Next() {
-		fmt.Printf("%d %v %s %s\n", request.Number, request.At, testClasses[request.Class].Name, testClasses[request.Class].Statement(nil, &request))
+		fmt.Printf("%d %v %s %s\n", request.Number, request.At, testClasses[request.Class].Name,
+			testClasses[request.Class].Statement(nil, &request))
 	}
 	fmt.Println(err)
 	// Output:
@@ -157,7 +158,8 @@
 	if count := float64(len(complete)); len(sharded) != len(complete) || float64(lookUps)/count < 0.73 || float64(lookUps)/count > 0.77 {
 		t.Errorf("%d requests in the schedule, %d in its shards, %d of the class look", len(complete), len(sharded), lookUps)
 	}
-	if fraction := float64(firstGroup) / float64(lookUps); fraction < 0.32 || fraction > 0.36 { // expected: 0.341, which is 1 / (1/1 + 1/2 + ... + 1/10)
+	// The expected fraction is 0.341: 1 / (1/1 + 1/2 + ... + 1/10).
+	if fraction := float64(firstGroup) / float64(lookUps); fraction < 0.32 || fraction > 0.36 {
 		t.Errorf("the first group has %.3f of the requests of the class look, expected 0.341", fraction)
 	}
 }
--- a/internal/testbed/load/arrival/schedule.go
+++ b/internal/testbed/load/arrival/schedule.go
@@ -20,7 +20,7 @@
 	Zipf             float64       // exponent of Zipf's law; 0: all groups have equal probability
 	Literals         int           // number of different literals; 0: each request draws its own
 	LatencyObjective time.Duration `json:"Quoted"`   // an answer within this time earns the full weight
-	MaxWait          time.Duration `json:"Patience"` // how long the client waits for the answer, with all retries
+	MaxWait          time.Duration `json:"Patience"` // how long the client waits for the answer, including all retries
 	MarkRetry        bool          // the client's own retries carry retry=1
 	Idempotent       bool          `json:"Repeat"` // a second execution does no harm, so clients may retry even if the first may have run
 }
@@ -45,8 +45,8 @@
 	RandomBits uint64 // random; the client's misbehavior is drawn from it
 }
 
-// Schedule generates the requests of a load in the order of their times. A request depends only on the seed and its
-// number, so every process that generates the schedule gets the same requests.
+// Schedule generates the requests of a load in the order of their times. For a given shape and classes, a request
+// depends only on the seed and its number, so every process that generates the schedule gets the same requests.
 type Schedule struct {
 	classes                []Class
 	cumulativeShares       []float64   // by class: sum of the shares up to this class
--- a/internal/testbed/load/arrival/shape.go
+++ b/internal/testbed/load/arrival/shape.go
@@ -50,7 +50,7 @@
 	Group int
 }
 
-// maxRate is the largest rate, in requests per second. One machine can offer less; a larger rate has the wrong unit.
+// maxRate, in requests per second, is more than one machine can offer. A larger rate is a mistake in the unit.
 const maxRate = 1e7
 
 // maxFactor is the largest Factor of Scale.
--- a/internal/testbed/load/client/client.go
+++ b/internal/testbed/load/client/client.go
@@ -45,8 +45,8 @@
 	MaxAttempts                int           `json:"Tries"`       // includes the first attempt
 	Backoff                    time.Duration `json:"BackOff"`     // before the second attempt; doubles with each attempt
 	MaxBackoff                 time.Duration `json:"MostBackOff"` // limit of the doubled backoff; 0: no limit
-	Jitter                     float64       // fraction of a backoff that is random
-	HonorRetryAfterProbability float64       `json:"Honour"` // that a client waits for the Retry-After time of a rejection
+	Jitter                     float64       // a backoff is shortened by up to this fraction, at random
+	HonorRetryAfterProbability float64       `json:"Honour"` // that a client waits for the server's Retry-After time
 
 	// The retry budget: in each sliding window of length RetryWindow, the clients may retry RetryBurst times plus
 	// RetryRatio times the number of first attempts. Without RetryWindow, retries are not limited.
@@ -66,7 +66,7 @@
 // Attempt holds what the driver needs to send one attempt at a request.
 type Attempt struct {
 	Request *arrival.Request
-	ID      uint64 // of the attempt; see function ID
+	ID      uint64 // returned by the function ID
 	WaitMS  int64  // remaining time until the deadline
 	Retry   bool   // mark the attempt as a retry
 	Slow    bool   // read the answer slowly
--- a/internal/testbed/load/client/clients.go
+++ b/internal/testbed/load/client/clients.go
@@ -174,7 +174,7 @@
 	}
 	pending.state, pending.sentAt = stateSent, now
 	endsAt := pending.deadline
-	if pending.misbehavior == leavesEarly { // at a random time within the latency objective
+	if pending.misbehavior == leavesEarly { // the client leaves at a random time within the latency objective
 		objective := c.classes[pending.request.Class].LatencyObjective
 		endsAt = min(endsAt, now+time.Duration(c.random.Int63n(int64(max(objective, 1)))))
 	}
--- a/internal/testbed/load/client/clients_test.go
+++ b/internal/testbed/load/client/clients_test.go
@@ -56,7 +56,8 @@
 }
 func (s *script) Finished(report *Report) {
 	s.logf("task %d %s after %.1f ms, own %.1f, queued %.1f, tries %d, odd %v", report.Request.Number, report.Outcome,
-		float64(report.FinishedAt-report.Request.At)/1e6, float64(report.GeneratorDelay)/1e6, float64(report.QueueDelay)/1e6, report.Attempts, report.Misbehaving)
+		float64(report.FinishedAt-report.Request.At)/1e6, float64(report.GeneratorDelay)/1e6, float64(report.QueueDelay)/1e6,
+		report.Attempts, report.Misbehaving)
 }
 
 // advance moves the simulated time forward and fires the timers that are due.
@@ -172,8 +173,8 @@
 	s.checkTrace("patience")
 }
 
-// A connection is refused; a connection is closed while a request is on its way, which is sent again once; connections
-// are lost.
+// Connections end in three ways: they are refused, they are closed while a request is on its way, which is then sent
+// again once, and they are lost.
 func TestConnectionsLost(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 2, Backoff: 100 * ms})
 	s.arrive(0)
@@ -202,8 +203,8 @@
 	s.checkTrace("ends")
 }
 
-// With at most two connections, other requests wait in order. A held-open session is closed for them, and their
-// deadlines end the wait.
+// With a limit of two connections, other requests wait in order. A held-open session is closed to make its connection
+// free, and the deadline ends the wait.
 func TestConnectionLimit(t *testing.T) {
 	s := newScript(t, Behavior{Connections: 2, HeldOpenShare: 1, MaxAttempts: 1})
 	for range 5 {
@@ -255,7 +256,7 @@
 	}
 }
 
-// No two attempts have the same id, even at different requests.
+// No two attempts have the same id, whether at the same request or at different ones.
 func TestIDsAreUnique(t *testing.T) {
 	seen := map[uint64]bool{}
 	for request := range uint64(2000) {
@@ -269,18 +270,18 @@
 	}
 }
 
-type silentTransport struct{}
+type noopTransport struct{}
 
-func (silentTransport) Dial(SessionID)                        {}
-func (silentTransport) Send(SessionID, *Attempt)              {}
-func (silentTransport) Close(SessionID)                       {}
-func (silentTransport) KillQuery(uint32)                      {}
-func (silentTransport) SetTimer(time.Duration, int32, uint32) {}
-func (silentTransport) Finished(*Report)                      {}
+func (noopTransport) Dial(SessionID)                        {}
+func (noopTransport) Send(SessionID, *Attempt)              {}
+func (noopTransport) Close(SessionID)                       {}
+func (noopTransport) KillQuery(uint32)                      {}
+func (noopTransport) SetTimer(time.Duration, int32, uint32) {}
+func (noopTransport) Finished(*Report)                      {}
 
 // BenchmarkClient measures a request on an open session, from arrival to answer.
 func BenchmarkClient(b *testing.B) {
-	clients := NewClients(silentTransport{}, Behavior{PooledShare: 1, MaxAttempts: 1}, []arrival.Class{{Name: "look", MaxWait: time.Second}}, 1, 0)
+	clients := NewClients(noopTransport{}, Behavior{PooledShare: 1, MaxAttempts: 1}, []arrival.Class{{Name: "look", MaxWait: time.Second}}, 1, 0)
 	b.ReportAllocs()
 	now := time.Duration(0)
 	for n := uint64(0); b.Loop(); n++ {
--- a/internal/testbed/load/client/events.go
+++ b/internal/testbed/load/client/events.go
@@ -110,8 +110,8 @@
 		c.retryBudget.allows(now, c.behavior.RetryRatio, c.behavior.RetryBurst)
 }
 
-// drawBackoff returns the backoff after the given number of attempts, doubled for each attempt and with jitter. If the
-// Retry-After time is longer and this client honors it, drawBackoff returns that time.
+// drawBackoff returns the backoff after the given number of attempts, which doubles with each attempt and is shortened
+// by the jitter. If the Retry-After time is longer and this client honors it, drawBackoff returns that time.
 func (c *Clients) drawBackoff(attempts int, retryAfter time.Duration) time.Duration {
 	backoff := c.behavior.Backoff << min(attempts-1, maxBackoffDoublings)
 	if c.behavior.MaxBackoff > 0 {
--- a/internal/testbed/load/client/queue.go
+++ b/internal/testbed/load/client/queue.go
@@ -13,7 +13,8 @@
 	head  int // index of the first item
 }
 
-// compactionThreshold is the number of popped items up to which push doesn't move the other items to the front.
+// compactionThreshold is the number of popped items that a queue retains before push moves the other items to the
+// front.
 const compactionThreshold = 64
 
 func (q *sequencedQueue) len() int { return len(q.items) - q.head }
--- a/internal/testbed/load/client/sessions.go
+++ b/internal/testbed/load/client/sessions.go
@@ -4,11 +4,12 @@
 
 // session is an entry in the table of sessions.
 type session struct {
-	request                int32  // index of the request that uses the session; -1: the session is idle
-	connectionID           uint32 // of the server
-	connected, hasAnswered bool   // logged in; has answered at least one query
+	request      int32  // index of the request that uses the session; -1: the session is idle
+	connectionID uint32 // id that the server gave to the connection
+	// connected is set once the session is logged in, and hasAnswered once it has answered a query.
+	connected, hasAnswered bool
 	idleSince              time.Duration
-	sequence               uint32 // an entry of the pool or of the held-open sessions with another number is out of date
+	sequence               uint32 // incremented at each use; indexes in pool and heldOpen with another number are out of date
 	open                   bool
 }
 
--- a/internal/testbed/load/driver/conn.go
+++ b/internal/testbed/load/driver/conn.go
@@ -17,8 +17,9 @@
 const (
 	user     = "app"
 	database = "reports"
-	// handshakeTimeout is how long a gateway may accept a connection but send nothing. The deadline of a query usually
-	// ends the wait sooner; handshakeTimeout limits how long abandoned connections remain.
+	// handshakeTimeout limits the time to connect and the time to log in, because a gateway may accept a connection and
+	// send nothing. The deadline of a query usually ends the wait sooner; the timeout limits how long abandoned
+	// connections remain.
 	handshakeTimeout = 10 * time.Second
 	// slowReadDelay is how long a slow client waits before it reads a packet.
 	slowReadDelay = 20 * time.Millisecond
@@ -32,12 +33,12 @@
 )
 
 // conn is one connection. Its goroutine dials, logs in and reads answers. The goroutine ends when the connection is
-// closed; the loop closes it by calling close.
+// closed; the loop closes it by calling disconnect.
 type conn struct {
 	loop         *loop
 	sessionID    client.SessionID
 	target       int
-	connectionID uint32        // of the server
+	connectionID uint32        // id that the server gave to the connection
 	connected    bool          // logged in; used only by the goroutine of the loop
 	expectedID   atomic.Uint64 // id of the attempt whose answer is expected; 0: none
 	slow         atomic.Bool   // read answers slowly
@@ -45,15 +46,15 @@
 
 	mu            sync.Mutex
 	tcp           net.Conn // set once, before eventConnected
-	closedLocally bool     // close was called
+	closedLocally bool     // disconnect was called
 	reader        *bufio.Reader
 }
 
 // write sends a packet. It ignores errors, because the reading goroutine detects the end of the connection.
 func (c *conn) write(packet []byte) { _, _ = c.tcp.Write(packet) }
 
-// close closes the connection from the client's side. If the connection isn't open yet, open fails and run closes it.
-func (c *conn) close() {
+// disconnect closes the connection from the client's side. If the connection isn't open yet, open fails and run closes it.
+func (c *conn) disconnect() {
 	c.mu.Lock()
 	c.closedLocally = true
 	tcp := c.tcp
@@ -80,7 +81,7 @@
 	c.loop.enqueue(event{kind: eventClosed, at: c.loop.now(), conn: c, refused: refused})
 }
 
-// open dials and logs in. refused reports that the connection can't have carried a query.
+// open dials and logs in. refused reports whether it failed, so that the connection can't have carried a query.
 func (c *conn) open() (refused bool, err error) {
 	tcp, connectionID, reader, err := dial(c.loop.driver.load.Targets[c.target])
 	c.mu.Lock()
--- a/internal/testbed/load/driver/driver_test.go
+++ b/internal/testbed/load/driver/driver_test.go
@@ -51,7 +51,8 @@
 		load.Behavior = behavior
 		metrics := runLoad(t, load)
 		if len(metrics.Violations) > 0 || metrics.Count(client.Served)+metrics.Misbehaving.Offered != 400 {
-			t.Errorf("%+v: %d requests served, %d from misbehaving clients, violations %v", behavior, metrics.Count(client.Served), metrics.Misbehaving.Offered, metrics.Violations)
+			t.Errorf("%+v: %d requests served, %d from misbehaving clients, violations %v", behavior,
+				metrics.Count(client.Served), metrics.Misbehaving.Offered, metrics.Violations)
 		}
 	}
 }
@@ -87,7 +88,8 @@
 	}()
 	got := runLoad(t, newLoad(frontend))
 	if got.Seconds[0].Offered != 400 || got.Classes[0].Quantile(client.Served, 0.8) < 200*time.Millisecond {
-		t.Errorf("%d requests offered in the first second, expected 400; latency at p80 %v, expected at least 200ms", got.Seconds[0].Offered, got.Classes[0].Quantile(client.Served, 0.8))
+		t.Errorf("%d requests offered in the first second, expected 400; latency at p80 %v, expected at least 200ms",
+			got.Seconds[0].Offered, got.Classes[0].Quantile(client.Served, 0.8))
 	}
 }
 
--- a/internal/testbed/load/driver/format_test.go
+++ b/internal/testbed/load/driver/format_test.go
@@ -29,8 +29,9 @@
 		}},
 		Behavior: client.Behavior{
 			Connections: 5, PooledShare: 0.25, HeldOpenShare: 0.125, IdleTimeout: time.Second, MaxAttempts: 3, Backoff: time.Millisecond,
-			MaxBackoff: 8 * time.Millisecond, Jitter: 0.5, HonorRetryAfterProbability: 0.75, RetryRatio: 0.1, RetryBurst: 7, RetryWindow: 9 * time.Second,
-			SlowShare: 0.01, LeavingShare: 0.02, SilentShare: 0.03,
+			MaxBackoff: 8 * time.Millisecond, Jitter: 0.5, HonorRetryAfterProbability: 0.75, RetryRatio: 0.1, RetryBurst: 7,
+			RetryWindow: 9 * time.Second,
+			SlowShare:   0.01, LeavingShare: 0.02, SilentShare: 0.03,
 		},
 		Seed: 11, Length: time.Minute, Shard: 1, ShardCount: 2, Loops: 3, CheckRows: true,
 	}
--- a/internal/testbed/load/driver/load.go
+++ b/internal/testbed/load/driver/load.go
@@ -26,10 +26,10 @@
 	ShardCount int           `json:"Of"`
 	Loops      int           // 0: half the number of cores
 	CheckRows  bool          // expect the rows of the testbed's own fakes: the id of the request, then k/n
-	// Owns reports whether this process sends an arrival; nil: Shard decides. The loops still divide the arrivals by
-	// ShardCount. The result for an arrival may change until the time of the arrival.
+	// Owns, if it is set, replaces Shard: it reports whether this process sends an arrival. ShardCount still determines
+	// which loop sends it. The result for an arrival may change until the time of the arrival.
 	Owns func(request *arrival.Request) bool `json:"-"`
-	// OnFinished, unless it is nil, is called with each report, in the goroutines of the loops.
+	// OnFinished, if it is set, is called with each report, in the goroutines of the loops.
 	OnFinished func(report *client.Report) `json:"-"`
 }
 
@@ -42,7 +42,8 @@
 	stop     chan struct{}
 	stopOnce sync.Once
 
-	Offered, Finished, OpenSessions atomic.Int64 // numbers of requests and of sessions, for progress reports
+	// Offered and Finished count requests; OpenSessions is the number of open sessions. They are for progress reports.
+	Offered, Finished, OpenSessions atomic.Int64
 	OfferedUntil                    atomic.Int64 // ns from the start of the run up to which loop 0 has handed out all its arrivals
 }
 
--- a/internal/testbed/load/driver/loop.go
+++ b/internal/testbed/load/driver/loop.go
@@ -16,8 +16,7 @@
 	// tickSize is the unit of the timer wheel: 0.1 ms, which is as precise as a sleep.
 	tickSize = 100 * time.Microsecond
 	// If the next action of a loop is closer than shortSleepBelow, the loop sleeps for at most maxShortSleep before it
-	// checks its inbox. It uses the runtime's timers for longer waits, because they are only precise to about a
-	// millisecond.
+	// checks its inbox. Longer waits use the runtime's timers, which are only precise to about a millisecond.
 	maxShortSleep   = 200 * time.Microsecond
 	shortSleepBelow = 2 * time.Millisecond
 	// housekeepingInterval is the time between checks for idle sessions, and the longest wait of a loop.
@@ -34,8 +33,8 @@
 	metrics      *stats.Metrics
 	next         arrival.Request // next arrival of the schedule
 	hasNext      bool            // next is valid
-	stop         <-chan struct{} // nil after the loop has stopped
-	waitTimer    *time.Timer     // ends waitForEvent
+	stop         <-chan struct{} // nil after stopOffering
+	waitTimer    *time.Timer     // limits waitForEvent
 	idleClosedAt time.Duration   // when idle sessions were last closed
 
 	connections      []*conn         // by session
@@ -111,7 +110,7 @@
 	}
 	for _, open := range l.connections {
 		if open != nil {
-			open.close()
+			open.disconnect()
 		}
 	}
 }
--- a/internal/testbed/load/driver/transport.go
+++ b/internal/testbed/load/driver/transport.go
@@ -81,7 +81,7 @@
 	closed := l.connections[sessionID]
 	l.connections[sessionID] = nil
 	l.driver.OpenSessions.Add(-1)
-	closed.close()
+	closed.disconnect()
 }
 
 // KillQuery implements client.Transport.
--- a/internal/testbed/load/stats/format_test.go
+++ b/internal/testbed/load/stats/format_test.go
@@ -19,7 +19,8 @@
 	golden.CheckValues(t, "metrics", metricsValues(metrics))
 	reencoded := golden.EncodeJSON(metrics)
 	golden.CheckValues(t, "metrics", metricsValues(decodeMetrics(t, reencoded)))
-	expected, found := encodedHistogram.ReplaceAllString(string(encoded), `"histogram"`), encodedHistogram.ReplaceAllString(string(reencoded), `"histogram"`)
+	expected, found := encodedHistogram.ReplaceAllString(string(encoded), `"histogram"`),
+		encodedHistogram.ReplaceAllString(string(reencoded), `"histogram"`)
 	if found != expected {
 		t.Errorf("expected %s\nfound    %s", expected, found)
 	}
--- a/internal/testbed/load/stats/histogram.go
+++ b/internal/testbed/load/stats/histogram.go
@@ -8,8 +8,8 @@
 )
 
 // Histograms count latencies in whole microseconds up to the longest wait that a load specifies. Three significant digits
-// give a precision of 0.1 %, a tenth of the 1 % that reports promise. The histograms by second have two digits to save
-// memory, because there are many of them.
+// give a precision of 0.1 %, a tenth of the 1 % that reports promise. The histograms by second have two digits,
+// because there are many of them.
 const (
 	maxLatency                 = 10 * time.Minute
 	significantDigits          = 3
--- a/internal/testbed/load/stats/metrics.go
+++ b/internal/testbed/load/stats/metrics.go
@@ -31,7 +31,8 @@
 	WithinObjective  int64 // served within the latency objective
 	Attempts         int64
 	Outcomes         [client.OutcomeCount]*hdrhistogram.Histogram // latencies by outcome
-	ClosedLoop       *hdrhistogram.Histogram                      // latencies of served requests as a closed loop would measure them: from the time of sending
+	// ClosedLoop holds the latencies of served requests as a closed loop would measure them: from the time of sending.
+	ClosedLoop *hdrhistogram.Histogram
 }
 
 // Quantile returns a latency quantile (q from 0 to 1) of the class's requests with an outcome.
@@ -57,8 +58,8 @@
 
 // New returns empty metrics for classes with these names and latency objectives.
 func New(names []string, objectives []time.Duration) *Metrics {
-	metrics := &Metrics{GeneratorDelay: newHistogram(significantDigits), QueueDelay: newHistogram(significantDigits), Violations: map[string]int64{},
-		Examples: map[string]uint64{}, finishedRequests: map[uint64]uint64{}}
+	metrics := &Metrics{GeneratorDelay: newHistogram(significantDigits), QueueDelay: newHistogram(significantDigits),
+		Violations: map[string]int64{}, Examples: map[string]uint64{}, finishedRequests: map[uint64]uint64{}}
 	for i, name := range names {
 		metrics.Classes = append(metrics.Classes, newClassMetrics(name, objectives[i]))
 	}
--- a/internal/testbed/load/timerwheel/timerwheel.go
+++ b/internal/testbed/load/timerwheel/timerwheel.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// cascade links the timers of a slot that begins now again, so that they move to lower levels. Timers that are due
+// cascade links the timers of a slot again when the slot begins, so that they move to lower levels. Timers that are due
 // after the time span of the wheel stay in the top level.
 func (w *Wheel) cascade(slot int32) {
 	first := w.heads[slot]
--- a/internal/testbed/load/timerwheel/timerwheel_test.go
+++ b/internal/testbed/load/timerwheel/timerwheel_test.go
@@ -64,7 +64,8 @@
 	r.wheel.Advance(to, func(number uint64) {
 		index := slices.IndexFunc(r.timers, func(timer referenceTimer) bool { return timer.number == number })
 		if index < 0 || r.timers[index].at > to || r.timers[index].at < last {
-			r.t.Fatalf("timer %d fired at the wrong time while advancing to %d; time of the previous timer %d; timers set: %v", number, to, last, r.timers)
+			r.t.Fatalf("timer %d fired at the wrong time while advancing to %d; time of the previous timer %d; timers set: %v",
+				number, to, last, r.timers)
 		}
 		last = r.timers[index].at
 		r.timers = slices.Delete(r.timers, index, index+1)
