--- a/internal/traffic/importer/importer_test.go
+++ b/internal/traffic/importer/importer_test.go
@@ -9,10 +9,10 @@
 	"magpiebank/internal/traffic/trace"
 )
 
-func show(form Format, text string, o Options) {
-	entries, malformed, err := Read(strings.NewReader(text), form, o)
+func show(format Format, text string, o Options) {
+	entries, malformed, err := Read(strings.NewReader(text), format, o)
 	t, repairs := RepairClock(entries, ClockRepair{})
-	fmt.Printf("%s: %d, %v\n", form, len(entries), err)
+	fmt.Printf("%s: %d, %v\n", format, len(entries), err)
 	for _, r := range t.Records {
 		fmt.Printf("  %v %s group %d wait %d retry %v text %q\n", r.Offset, r.Class, r.Group, r.WaitMS, r.Retry, r.Text)
 	}
@@ -24,7 +24,7 @@
 	}
 }
 
-// Each format that can be read, with malformed entries in it.
+// The example reads each format, with malformed entries in it.
 func ExampleRead() {
 	o := Options{Class: "look", Wait: 5 * time.Second, KeepText: true}
 	show(JSONLines, `{"time":"2026-11-01T18:00:00Z","lane":"report","group":4,"wait_ms":900,"retry":true}
@@ -86,8 +86,8 @@
 	// xml: 0, form "xml": expected jsonl, csv, mysql-general or mysql-slow
 }
 
-// raw is entries with stamps in milliseconds from noon; -1: none.
-func raw(ms ...int64) (out []Entry) {
+// entriesAt returns entries with timestamps in milliseconds from noon; -1 stands for none.
+func entriesAt(ms ...int64) (out []Entry) {
 	noon := time.Date(2026, 11, 1, 12, 0, 0, 0, time.UTC)
 	for i, m := range ms {
 		r := Entry{Line: i + 1, Record: trace.Record{Group: i}}
@@ -99,7 +99,7 @@
 	return out
 }
 
-// One line a rule: the times that come of some timestamps, and what was repaired.
+// Each case lists the times that result from some timestamps, and the repairs.
 func ExampleRepairClock() {
 	const hour, day = int64(3600_000), int64(86400_000)
 	for _, c := range []struct {
@@ -107,15 +107,15 @@
 		entries []Entry
 		clock   ClockRepair
 	}{
-		{"as it was", raw(0, 100, 200, 300), ClockRepair{}},
-		{"jumps back an hour", raw(2*hour, 2*hour+100, hour+200, hour+300), ClockRepair{}},
-		{"jumps forward a day", raw(0, 100, 200, day+300, day+400), ClockRepair{}},
-		{"a day of quiet, kept", raw(0, 100, 200, day+300, day+400), ClockRepair{KeepGaps: true}},
-		{"days in the wrong order", raw(day, day+100, 0, 100, 2*day, 2*day+100), ClockRepair{}},
-		{"a little out of order", raw(0, 200, 150, 300), ClockRepair{}},
-		{"no stamps", raw(0, -1, -1, 300), ClockRepair{}},
-		{"none at all", raw(-1, -1), ClockRepair{}},
-		{"whole seconds", raw(0, 0, 0, 0, 1000, 1000, 2000), ClockRepair{}},
+		{"as it was", entriesAt(0, 100, 200, 300), ClockRepair{}},
+		{"jumps back an hour", entriesAt(2*hour, 2*hour+100, hour+200, hour+300), ClockRepair{}},
+		{"jumps forward a day", entriesAt(0, 100, 200, day+300, day+400), ClockRepair{}},
+		{"a day of quiet, kept", entriesAt(0, 100, 200, day+300, day+400), ClockRepair{KeepGaps: true}},
+		{"days in the wrong order", entriesAt(day, day+100, 0, 100, 2*day, 2*day+100), ClockRepair{}},
+		{"a little out of order", entriesAt(0, 200, 150, 300), ClockRepair{}},
+		{"no stamps", entriesAt(0, -1, -1, 300), ClockRepair{}},
+		{"none at all", entriesAt(-1, -1), ClockRepair{}},
+		{"whole seconds", entriesAt(0, 0, 0, 0, 1000, 1000, 2000), ClockRepair{}},
 		{"nothing", nil, ClockRepair{}},
 	} {
 		t, repairs := RepairClock(c.entries, c.clock)
@@ -152,7 +152,8 @@
 	// nothing
 }
 
-func ExampleCut() {
+// The example trims, accelerates, samples and repeats a trace.
+func ExampleTrim() {
 	t := &trace.Trace{Records: []trace.Record{{Offset: 0}, {Offset: time.Second}, {Offset: 2 * time.Second}, {Offset: 5 * time.Second}}}
 	show := func(name string, t *trace.Trace) {
 		fmt.Print(name)
@@ -172,14 +173,14 @@
 	// loop 0s 1s 2s 5s 6.666666666s 7.666666666s 8.666666666s 11.666666666s
 }
 
-// Order is kept and no time goes back, whatever the stamps are.
-func TestOrder(t *testing.T) {
+// RepairClock keeps the order, and times never decrease, whatever the timestamps are.
+func TestRepairClockKeepsOrder(t *testing.T) {
 	stamps := []int64{5, 5, -1, 3, 86400_000 * 3, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 0, 3600_000, -1, 1}
-	for turn := range stamps {
-		got, _ := RepairClock(raw(append(stamps[turn:len(stamps):len(stamps)], stamps[:turn]...)...), ClockRepair{})
+	for rotation := range stamps {
+		got, _ := RepairClock(entriesAt(append(stamps[rotation:len(stamps):len(stamps)], stamps[:rotation]...)...), ClockRepair{})
 		for i, r := range got.Records {
 			if r.Group != i || i > 0 && r.Offset < got.Records[i-1].Offset {
-				t.Fatalf("turn %d: record %d is %+v", turn, i, r)
+				t.Fatalf("rotation %d: record %d is %+v", rotation, i, r)
 			}
 		}
 	}
