--- a/internal/testbed/faulttest/run.go
+++ b/internal/testbed/faulttest/run.go
@@ -20,7 +20,8 @@
 	"magpiebank/internal/testbed/installation"
 )
 
-// The load's classes. Look-ups are idempotent, loads are not; engines have the capacity for several times the load.
+// Parameters of the load's two classes, look-ups and loads. Look-ups are idempotent, loads are not. The engines have capacity for several
+// times the load.
 const (
 	lookService      = 20 * time.Millisecond
 	loadService      = 60 * time.Millisecond
@@ -30,35 +31,35 @@
 	loadWeight       = 5.0
 )
 
-// endWithin is how long a gateway without requests may take to end after SIGTERM.
+// endWithin is the time within which a gateway without requests must end after SIGTERM.
 const endWithin = 20 * time.Second
 
-// run is a scenario while it is played.
+// run holds the state of a scenario while it runs.
 type run struct {
-	scenario     *Scenario
-	installation *installation.Installation
-	network      *faultproxy.Network
-	mu           sync.Mutex
-	requests     []Request
-	killed       map[string][]time.Duration // by process: when it was killed or told to leave, from the begin
-	notRunning   map[string]bool            // by process: not to be there
-	startedAt    time.Time
-	dbs          map[string]*sql.DB
-	clients      sync.WaitGroup
-	folder       string
-	proposals    sync.WaitGroup // proposals that have not ended
-	proposed     []Proposed
-	proposalIDs  map[string]uint64 // ids of proposals that have a name
-	failures     []string          // what did not come about in time
+	scenario        *Scenario
+	installation    *installation.Installation
+	network         *faultproxy.Network
+	mu              sync.Mutex
+	requests        []Request
+	killed          map[string][]time.Duration // by process: times since the start of the load at which it was killed or told to leave
+	notRunning      map[string]bool            // by process: according to the scenario, it is not running
+	startedAt       time.Time
+	dbs             map[string]*sql.DB
+	clients         sync.WaitGroup
+	folder          string
+	proposals       sync.WaitGroup    // proposals whose outcome is not known yet
+	proposalResults []ProposalResult  // proposals whose outcome is known
+	proposalIDs     map[string]uint64 // by name of a proposal; see Step.ProposalName
+	missedDeadlines []string          // descriptions of what did not happen in time, or failed
 }
 
-// Run plays a scenario. Files go to a folder; program is the gateway's, which must be built with -tags testbed where clocks drift,
-// disks fail or a mutation is on.
+// Run runs a scenario, which writes its files to the folder. program is the path of the gateway's program. It must be built with -tags
+// testbed if the scenario has skewed clocks, failing disks, a crash point or mutations.
 func Run(ctx context.Context, s *Scenario, folder, program string) (*Result, error) {
 	if err := checkProgram(ctx, s, program); err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	if err := clearFolder(folder); err != nil {
 		return nil, err
 	}
@@ -67,19 +68,19 @@
 		p.notRunning[name] = true
 	}
 	plan := p.plan(program)
-	up, err := installation.Start(plan, folder)
+	started, err := installation.Start(plan, folder)
 	if err != nil {
 		return nil, err
 	}
-	p.installation = up
-	defer up.Stop()
-	up.Log.RetainEvents()
+	p.installation = started
+	defer started.Stop()
+	started.Log.RetainEvents()
 	r := &Result{Scenario: s, Folder: folder, Ends: map[string]int{}}
 	meter := newWakeMeter()
 	defer meter.stop()
 	p.prepare(ctx, r)
 	err = p.runLoad(ctx, r)
-	r.Counts, r.PlayTime = p.network.Counts(), time.Since(begun)
+	r.Counts, r.PlayTime = p.network.Counts(), time.Since(startedAt)
 	histories := p.endGateways(r)
 	r.WakeDelay = meter.stop()
 	if err != nil {
@@ -93,19 +94,20 @@
 	return r, nil
 }
 
-// checkProgram tells whether a gateway's program can do what a scenario asks of it.
+// checkProgram returns an error if the scenario needs a gateway built with -tags testbed, and program is not one.
 func checkProgram(ctx context.Context, s *Scenario, program string) error {
 	if s.Mutation+s.CrashPoint == "" && len(s.Clocks)+len(s.Disks)+len(s.MutationAt) == 0 {
 		return nil
 	}
 	version, err := exec.CommandContext(ctx, program, "version").Output()
 	if err != nil || !strings.Contains(string(version), "laboratory") {
-		return fmt.Errorf("scenario %s: clocks that run off, disks that fail and planted defects need a gateway built with -tags testbed, %s is none", s.Name, program)
+		return fmt.Errorf("scenario %s: skewed clocks, failing disks, crash points and mutations need a gateway built with -tags testbed, which %s is not", s.Name, program)
 	}
 	return nil
 }
 
-// clearFolder makes a folder, or removes what an earlier run left there, whose requests bear the same ids.
+// clearFolder creates the folder if it does not exist, and removes the state and histories of an earlier run from it, because the
+// requests of both runs have the same ids.
 func clearFolder(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -124,7 +126,7 @@
 	return nil
 }
 
-// plan is the installation on which a scenario is played.
+// plan returns the plan of the installation on which the scenario runs.
 func (p *run) plan(program string) installation.Plan {
 	s := p.scenario
 	loads := fake.ServiceTime{Kind: "exponential", Mean: loadService}
@@ -132,10 +134,10 @@
 		loads = fake.ServiceTime{Kind: "constant", Mean: s.LoadService}
 	}
 	plan := installation.Plan{
-		Gateways: s.Gateways, Engines: s.Engines, Zones: s.Zones, Down: s.NotStarted, Durable: s.Durable,
+		Gateways: s.Gateways, Engines: s.Engines, Zones: s.Zones, NotStarted: s.NotStarted, Durable: s.Durable,
 		Cores: 8, MemoryMB: 96, Sockets: 384, ConnectWithin: connectWithin, IdleTimeout: 30 * time.Second,
 		Seed: int64(s.Seed), Program: program, Env: p.env, Proxies: p.network,
-		Cluster: &installation.Cluster{Seeds: 2, HealthReports: s.HealthReports, Counts: s.Counters, Limits: s.Limits, ShareTerm: s.ShareTerm, Rollout: s.Rollout},
+		Cluster: &installation.Cluster{SeedCount: 2, HealthReports: s.HealthReports, Counts: s.Counters, Limits: s.Limits, ShareTerm: s.ShareTerm, Rollout: s.Rollout},
 		Classes: []installation.Class{
 			{Name: "look", LatencyObjective: latencyObjective, MaxWait: s.MaxWait, Weight: lookWeight, Effect: "idempotent", Threads: 1},
 			{Name: "load", LatencyObjective: latencyObjective, MaxWait: s.MaxWait, Weight: loadWeight, Effect: "unrepeatable", Threads: 1}},
@@ -143,19 +145,20 @@
 			{Class: "load", Rows: 1, Service: loads},
 			{Class: "look", Rows: 1, Service: fake.ServiceTime{Kind: "exponential", Mean: lookService}}}},
 	}
-	if s.WarmUp > 0 { // a third of the speed at first; twice what they can do for a second overloads them
-		plan.SlowStart = installation.SlowStart{Share: 0.32, Factor: 2, Warm: s.WarmUp, Tip: time.Second}
+	if s.WarmUp > 0 { // engines start with a third of their speed, and twice the work that they can do, for a second, overloads them
+		plan.SlowStart = installation.SlowStart{Share: 0.32, OverloadFactor: 2, WarmUp: s.WarmUp, OverloadAfter: time.Second}
 		plan.Behavior.ColdSpeed, plan.Behavior.WarmUp, plan.Cluster.SlowStart = plan.SlowStart.Share, s.WarmUp, s.SharedSlowStart
 	}
 	return plan
 }
 
-// prepare waits until the gateways know each other and hold what they need for the load.
+// prepare waits until the gateways know each other, apply the first policy and hold their shares of the quotas, as far as the scenario has
+// these.
 func (p *run) prepare(ctx context.Context, r *Result) {
 	s := p.scenario
-	if len(s.NotStarted) == 0 { // else whoever is up may know nobody
+	if len(s.NotStarted) == 0 { // otherwise the gateways that run may be unable to find each other
 		var ok bool
-		if r.Joined, ok = p.waitForMembership(ctx, s.ConvergeWithin); !ok {
+		if r.ConvergedAtStart, ok = p.waitForMembership(ctx, s.ConvergeWithin); !ok {
 			r.addTimedViolations(fmt.Sprintf("eventual: at the start the members did not know each other after %v: %s", s.ConvergeWithin, p.membershipDifference()))
 		}
 	}
@@ -165,14 +168,14 @@
 		}
 	}
 	if s.Limits.Any() || s.SharedSlowStart {
-		p.waitForShares(ctx, s.ConvergeWithin) // replicas confirm nothing for a term and some after they have started
+		p.waitForShares(ctx, s.ConvergeWithin) // replicas confirm no shares until somewhat more than a term after they have started
 	}
 }
 
-// runLoad plays the load with its faults, and waits until the members know each other after the last one.
+// runLoad runs the load and the steps, and then waits until the members know each other again.
 func (p *run) runLoad(ctx context.Context, r *Result) error {
 	p.startedAt, r.StartMonotonic = time.Now(), history.Now()
-	r.Began = p.startedAt
+	r.StartedAt = p.startedAt
 	stop, cancel := context.WithCancel(ctx)
 	for _, gateway := range p.installation.Gateways {
 		p.runClient(stop, gateway)
@@ -195,7 +198,7 @@
 	return nil
 }
 
-// voters are the gateways that say of themselves that they vote on policies.
+// voters returns the names of the gateways that report that they vote on policies.
 func (p *run) voters(ctx context.Context) (names []string) {
 	for _, gateway := range p.installation.Gateways {
 		answer, err := agent.SendPolicyRequest(ctx, gateway.Control, &agent.PolicyRequest{Operation: agent.StatusOperation})
@@ -206,7 +209,7 @@
 	return names
 }
 
-// endGateways ends all processes, and returns the files of their histories.
+// endGateways ends all gateways with SIGTERM, and returns the paths of their histories.
 func (p *run) endGateways(r *Result) (histories []string) {
 	for _, gateway := range p.installation.Gateways {
 		r.Processes = append(r.Processes, gateway.Label())
@@ -218,14 +221,14 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, gateway := range p.installation.Gateways {
-		if gateway.IsRunning() { // and its history is not whole
-			r.addTimedViolations(fmt.Sprintf("eventual: %s had not ended %v after SIGTERM, with nothing in its hands", gateway.Label(), endWithin))
+		if gateway.IsRunning() { // then its history is not complete either
+			r.addTimedViolations(fmt.Sprintf("eventual: %s had not ended %v after SIGTERM, although all requests had ended", gateway.Label(), endWithin))
 		}
 	}
 	return histories
 }
 
-// env are the environment variables that a process gets besides the testbed's own.
+// env returns the environment variables with which the scenario's faults are set at a gateway.
 func (p *run) env(name string) (out []string) {
 	if p.scenario.Mutation != "" {
 		out = append(out, "MAGPIEBANK_PLANTED="+p.scenario.Mutation)
