--- a/internal/testbed/load/client/clients_test.go
+++ b/internal/testbed/load/client/clients_test.go
@@ -11,16 +11,16 @@
 	"magpiebank/internal/testbed/load/arrival"
 )
 
-var updateTraces = flag.Bool("keep", false, "keep the traces as they come out now")
+var updateTraces = flag.Bool("keep", false, "write the current traces to testdata")
 
-// script drives clients by a script: what they do is printed, and timers come as time passes.
+// script drives Clients in a test. It records what they do as a trace and fires their timers in simulated time.
 type script struct {
 	t          *testing.T
 	out        strings.Builder
 	clients    *Clients
 	now        time.Duration
 	timers     []scriptTimer
-	ids        map[Session]uint64
+	ids        map[SessionID]uint64
 	nextNumber uint64
 }
 
@@ -32,7 +32,7 @@
 
 func newScript(t *testing.T, behavior Behavior) *script {
 	t.Helper()
-	s := &script{t: t, ids: map[Session]uint64{}}
+	s := &script{t: t, ids: map[SessionID]uint64{}}
 	class := arrival.Class{Name: "look", LatencyObjective: time.Second, MaxWait: 3 * time.Second, MarkRetry: true}
 	idempotent := class
 	idempotent.Idempotent = true
@@ -44,28 +44,29 @@
 	fmt.Fprintf(&s.out, "%8.1f ms  %s\n", float64(s.now)/1e6, fmt.Sprintf(format, args...))
 }
 
-func (s *script) Dial(c Session) { s.logf("dial %d", c) }
-func (s *script) Send(c Session, a *Attempt) {
-	s.ids[c] = a.ID
-	s.logf("send task %d on %d, wait %d ms, retry %v, slow %v", a.Request.Number, c, a.WaitMS, a.Retry, a.Slow)
+func (s *script) Dial(sessionID SessionID) { s.logf("dial %d", sessionID) }
+func (s *script) Send(sessionID SessionID, attempt *Attempt) {
+	s.ids[sessionID] = attempt.ID
+	s.logf("send task %d on %d, wait %d ms, retry %v, slow %v", attempt.Request.Number, sessionID, attempt.WaitMS, attempt.Retry, attempt.Slow)
 }
-func (s *script) Close(c Session)             { s.logf("close %d", c) }
-func (s *script) KillQuery(connection uint32) { s.logf("kill %d", connection) }
+func (s *script) Close(sessionID SessionID)     { s.logf("close %d", sessionID) }
+func (s *script) KillQuery(connectionID uint32) { s.logf("kill %d", connectionID) }
 func (s *script) SetTimer(at time.Duration, request int32, sequence uint32) {
 	s.timers = append(s.timers, scriptTimer{at, request, sequence})
 }
-func (s *script) Finished(r *Report) {
-	s.logf("task %d %s after %.1f ms, own %.1f, queued %.1f, tries %d, odd %v", r.Request.Number, r.Outcome,
-		float64(r.FinishedAt-r.Request.At)/1e6, float64(r.GeneratorDelay)/1e6, float64(r.QueueDelay)/1e6, r.Attempts, r.Misbehaving)
+func (s *script) Finished(report *Report) {
+	s.logf("task %d %s after %.1f ms, own %.1f, queued %.1f, tries %d, odd %v", report.Request.Number, report.Outcome,
+		float64(report.FinishedAt-report.Request.At)/1e6, float64(report.GeneratorDelay)/1e6, float64(report.QueueDelay)/1e6,
+		report.Attempts, report.Misbehaving)
 }
 
-// advance lets time pass and fires the timers that come due.
-func (s *script) advance(d time.Duration) {
-	until := s.now + d
+// advance moves the simulated time forward and fires the timers that are due.
+func (s *script) advance(duration time.Duration) {
+	until := s.now + duration
 	for {
 		first := -1
-		for i, t := range s.timers {
-			if t.at <= until && (first < 0 || t.at < s.timers[first].at) {
+		for i, timer := range s.timers {
+			if timer.at <= until && (first < 0 || timer.at < s.timers[first].at) {
 				first = i
 			}
 		}
@@ -73,25 +74,27 @@
 			s.now = until
 			return
 		}
-		t := s.timers[first]
+		timer := s.timers[first]
 		s.timers = append(s.timers[:first], s.timers[first+1:]...)
-		s.now = max(s.now, t.at)
-		s.clients.HandleTimer(s.now, t.request, t.sequence)
+		s.now = max(s.now, timer.at)
+		s.clients.HandleTimer(s.now, timer.request, timer.sequence)
 	}
 }
 
 func (s *script) arrive(class int) {
-	s.clients.HandleArrival(s.now, arrival.Request{Number: s.nextNumber, At: s.now, Class: class, Draw: 1 << 62})
+	s.clients.HandleArrival(s.now, arrival.Request{Number: s.nextNumber, At: s.now, Class: class, RandomBits: 1 << 62})
 	s.nextNumber++
 }
 
-func (s *script) connect(c Session) { s.clients.HandleConnected(s.now, c, 100+uint32(c)) }
-func (s *script) answer(c Session, outcome Outcome, retryAfter time.Duration) {
-	s.clients.HandleAnswer(s.now, c, s.ids[c], outcome, retryAfter)
+func (s *script) connect(sessionID SessionID) {
+	s.clients.HandleConnected(s.now, sessionID, 100+uint32(sessionID))
+}
+func (s *script) answer(sessionID SessionID, outcome Outcome, retryAfter time.Duration) {
+	s.clients.HandleAnswer(s.now, sessionID, s.ids[sessionID], outcome, retryAfter)
 }
 
-// closeFirst closes session 0 from the other side.
-func (s *script) closeFirst(refused bool) { s.clients.HandleClosed(s.now, 0, refused) }
+// closeSession0 closes session 0 from the server's side.
+func (s *script) closeSession0(refused bool) { s.clients.HandleClosed(s.now, 0, refused) }
 
 func (s *script) checkTrace(name string) {
 	s.t.Helper()
@@ -105,16 +108,16 @@
 		}
 	}
 	if want, err := os.ReadFile(path); err != nil || s.out.String() != string(want) {
-		s.t.Errorf("got:\n%s\nkept:\n%s\n%v", s.out.String(), want, err)
+		s.t.Errorf("got:\n%s\nexpected:\n%s\n%v", s.out.String(), want, err)
 	}
 	if s.clients.Unfinished() != 0 {
-		s.t.Errorf("%d tasks have no outcome", s.clients.Unfinished())
+		s.t.Errorf("%d requests have no outcome", s.clients.Unfinished())
 	}
 }
 
 const ms = time.Millisecond
 
-// Rejections with and without a Retry-After time that is honored, until the attempts are used up.
+// Rejected requests are retried until the attempts are used up. A Retry-After time is honored.
 func TestRetries(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 3, Backoff: 100 * ms, HonorRetryAfterProbability: 1})
 	s.arrive(0)
@@ -125,18 +128,18 @@
 	s.answer(0, Rejected, 0)
 	s.advance(250 * ms)
 	s.answer(0, Rejected, 0)
-	s.arrive(0) // an error of unknown effect ends a request that is not idempotent, and only that
+	s.arrive(0) // an error of unknown effect ends a request, unless the request is idempotent
 	s.answer(0, Failed, 0)
 	s.arrive(1)
 	s.answer(0, Failed, 0)
 	s.advance(150 * ms)
 	s.answer(0, Served, 0)
-	s.arrive(0) // a backoff that would end past the attempt timeout
+	s.arrive(0) // the backoff would end after the deadline
 	s.answer(0, Rejected, 5*time.Second)
 	s.checkTrace("retries")
 }
 
-// The retry budget: a burst of one, and a fifth of the first attempts.
+// The retry budget permits a burst of one retry plus a fifth of the first attempts.
 func TestRetryBudget(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 5, Backoff: 10 * ms, RetryRatio: 0.2, RetryBurst: 1, RetryWindow: time.Second})
 	for range 4 {
@@ -145,13 +148,14 @@
 		s.answer(0, Rejected, 0)
 		s.advance(20 * ms)
 	}
-	s.advance(1200 * ms) // the window is over
+	s.advance(1200 * ms) // the window has passed
 	s.clients.Stop(s.now)
 	s.checkTrace("budget")
 }
 
-// The attempt timeout ends: KILL QUERY, the close half a second later, and an answer in between is ignored.
-func TestAttemptTimeout(t *testing.T) {
+// When the deadline passes, the client sends KILL QUERY and closes the connection half a second later. It ignores an
+// answer that arrives in between.
+func TestDeadline(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 1})
 	s.arrive(0)
 	s.advance(40 * ms)
@@ -159,47 +163,48 @@
 	s.advance(3000 * ms)
 	s.answer(0, Served, 0)
 	s.advance(600 * ms)
-	s.arrive(0) // no connection comes up
+	s.arrive(0) // the connection is never established
 	s.advance(4000 * ms)
-	s.arrive(0) // the connection ends while the client is leaving
+	s.arrive(0) // the server closes the connection after KILL QUERY
 	s.connect(0)
 	s.advance(3100 * ms)
-	s.closeFirst(false)
+	s.closeSession0(false)
 	s.advance(time.Second)
 	s.checkTrace("patience")
 }
 
-// Ends of connections: refused, crossed by a close and sent again once, lost.
+// Connections end in three ways: they are refused, they are closed while a request is on its way, which is then sent
+// again once, and they are lost.
 func TestConnectionsLost(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 2, Backoff: 100 * ms})
 	s.arrive(0)
-	s.closeFirst(true)
+	s.closeSession0(true)
 	s.advance(200 * ms)
 	s.connect(0)
 	s.answer(0, Served, 0)
-	s.arrive(0) // on a session that was idle; a close crosses the request
+	s.arrive(0) // on a session that was idle; the server closes it while the request is on its way
 	s.advance(20 * ms)
-	s.closeFirst(false)
+	s.closeSession0(false)
 	s.connect(0)
 	s.advance(20 * ms)
-	s.closeFirst(false) // this one is new, so it is lost
+	s.closeSession0(false) // the session is new, so the request is lost
 	s.arrive(0)
 	s.connect(0)
 	s.answer(0, Served, 0)
 	s.arrive(0)
 	s.advance(60 * ms)
-	s.closeFirst(false) // too late to have crossed
-	s.arrive(1)         // lost, and may be repeated
+	s.closeSession0(false) // after closeRaceWindow
+	s.arrive(1)            // lost, but idempotent, so it is retried
 	s.connect(0)
-	s.closeFirst(false)
+	s.closeSession0(false)
 	s.advance(150 * ms)
 	s.connect(0)
 	s.answer(0, MalformedAnswer, 0)
 	s.checkTrace("ends")
 }
 
-// Two connections at most: requests that find none wait in order, a held-open session is evicted, the attempt timeout
-// ends the wait.
+// With a limit of two connections, other requests wait in order. A held-open session is closed to make its connection
+// free, and the deadline ends the wait.
 func TestConnectionLimit(t *testing.T) {
 	s := newScript(t, Behavior{Connections: 2, HeldOpenShare: 1, MaxAttempts: 1})
 	for range 5 {
@@ -209,13 +214,13 @@
 	s.connect(0)
 	s.connect(1)
 	s.advance(10 * ms)
-	s.answer(0, Served, 0) // held open, but the next in the queue needs its connection
+	s.answer(0, Served, 0) // the session is held open, but is closed for the next request in the queue
 	s.connect(0)
 	s.advance(5000 * ms)
 	s.checkTrace("limit")
 }
 
-// Pooled sessions are used last in first out, and closed when idle for too long.
+// The pooled session that was used last is used first. Sessions that are idle for too long are closed.
 func TestSessionPool(t *testing.T) {
 	s := newScript(t, Behavior{PooledShare: 1, MaxAttempts: 1, IdleTimeout: 2 * time.Second})
 	s.arrive(0)
@@ -228,61 +233,63 @@
 	s.arrive(0)
 	s.answer(1, Served, 0)
 	s.advance(time.Second)
-	s.closeFirst(false) // closed by the other side while idle
+	s.closeSession0(false) // the server closes the idle session
 	s.clients.CloseIdle(s.now)
 	s.advance(1100 * ms)
 	s.clients.CloseIdle(s.now)
 	s.checkTrace("pool")
 }
 
-// Clients that leave, that are slow, that never send.
+// Clients read slowly, close the connection before the answer, or never send a query.
 func TestMisbehavingClients(t *testing.T) {
-	for _, m := range []Behavior{{SlowShare: 1}, {LeavingShare: 1}, {SilentShare: 1}} {
-		m.MaxAttempts = 3
-		s := newScript(t, m)
+	for _, behavior := range []Behavior{{SlowShare: 1}, {LeavingShare: 1}, {SilentShare: 1}} {
+		behavior.MaxAttempts = 3
+		s := newScript(t, behavior)
 		s.arrive(0)
 		s.connect(0)
 		s.advance(2500 * ms)
-		if m.SlowShare > 0 {
+		if behavior.SlowShare > 0 {
 			s.answer(0, Served, 0)
 		}
 		s.advance(2000 * ms)
-		s.checkTrace(fmt.Sprintf("odd-%g-%g-%g", m.SlowShare, m.LeavingShare, m.SilentShare))
+		s.checkTrace(fmt.Sprintf("odd-%g-%g-%g", behavior.SlowShare, behavior.LeavingShare, behavior.SilentShare))
 	}
 }
 
-func TestIDsAreUnique(t *testing.T) { // no two attempts of any requests share one
+// No two attempts have the same id, whether at the same request or at different ones.
+func TestIDsAreUnique(t *testing.T) {
 	seen := map[uint64]bool{}
 	for request := range uint64(2000) {
 		for attempt := 1; attempt <= maxAttempts; attempt++ {
 			id := ID(5, request, attempt)
 			if seen[id] {
-				t.Fatalf("request %d attempt %d has the id of another", request, attempt)
+				t.Fatalf("request %d attempt %d has the id of another attempt", request, attempt)
 			}
 			seen[id] = true
 		}
 	}
 }
 
-type silentTransport struct{}
+type noopTransport struct{}
 
-func (silentTransport) Dial(Session)                          {}
-func (silentTransport) Send(Session, *Attempt)                {}
-func (silentTransport) Close(Session)                         {}
-func (silentTransport) KillQuery(uint32)                      {}
-func (silentTransport) SetTimer(time.Duration, int32, uint32) {}
-func (silentTransport) Finished(*Report)                      {}
+func (noopTransport) Dial(SessionID)                        {}
+func (noopTransport) Send(SessionID, *Attempt)              {}
+func (noopTransport) Close(SessionID)                       {}
+func (noopTransport) KillQuery(uint32)                      {}
+func (noopTransport) SetTimer(time.Duration, int32, uint32) {}
+func (noopTransport) Finished(*Report)                      {}
 
-func BenchmarkClient(b *testing.B) { // a request on a session that is there, from arrival to answer
-	c := NewClients(silentTransport{}, Behavior{PooledShare: 1, MaxAttempts: 1}, []arrival.Class{{Name: "look", MaxWait: time.Second}}, 1, 0)
+// BenchmarkClient measures a request on an open session, from arrival to answer.
+func BenchmarkClient(b *testing.B) {
+	clients := NewClients(noopTransport{}, Behavior{PooledShare: 1, MaxAttempts: 1}, []arrival.Class{{Name: "look", MaxWait: time.Second}}, 1, 0)
 	b.ReportAllocs()
 	now := time.Duration(0)
 	for n := uint64(0); b.Loop(); n++ {
 		now += 20 * time.Microsecond
-		c.HandleArrival(now, arrival.Request{Number: n, At: now, Draw: 1 << 62})
+		clients.HandleArrival(now, arrival.Request{Number: n, At: now, RandomBits: 1 << 62})
 		if n == 0 {
-			c.HandleConnected(now, 0, 1)
+			clients.HandleConnected(now, 0, 1)
 		}
-		c.HandleAnswer(now, 0, ID(1, n, 1), Served, 0)
+		clients.HandleAnswer(now, 0, ID(1, n, 1), Served, 0)
 	}
 }
--- a/internal/testbed/load/client/events.go
+++ b/internal/testbed/load/client/events.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// HandleConnected starts the attempt that waits for a session which is logged in now; connection is its id at the
-// server.
-func (c *Clients) HandleConnected(now time.Duration, number Session, connection uint32) {
-	connected := &c.sessions[number]
+// HandleConnected continues the attempt that waits for a session to connect and log in. connectionID is the id that the
+// server gave to the connection.
+func (c *Clients) HandleConnected(now time.Duration, sessionID SessionID, connectionID uint32) {
+	connected := &c.sessions[sessionID]
 	if !connected.open || connected.request < 0 {
 		return
 	}
-	connected.connected, connected.connection = true, connection
-	c.useSession(now, connected.request, number)
+	connected.connected, connected.connectionID = true, connectionID
+	c.useSession(now, connected.request, sessionID)
 }
 
-// HandleSent records when an attempt's last byte was written, as that may be later than it was decided.
-func (c *Clients) HandleSent(at time.Duration, number Session, id uint64) {
-	written := &c.sessions[number]
+// HandleSent records when the last byte of an attempt was written. That may be later than the decision to send it.
+func (c *Clients) HandleSent(at time.Duration, sessionID SessionID, id uint64) {
+	written := &c.sessions[sessionID]
 	if !written.open || written.request < 0 {
 		return
 	}
@@ -26,52 +26,52 @@
 	}
 }
 
-// HandleAnswer ends the attempt in flight on a session: its answer is complete or can't be read. retryAfter is the time
-// after which the server wants a retry; 0: it named none.
-func (c *Clients) HandleAnswer(now time.Duration, number Session, id uint64, outcome Outcome, retryAfter time.Duration) {
-	answered := &c.sessions[number]
+// HandleAnswer ends the attempt in flight on a session, whose answer is complete or can't be parsed. retryAfter is the
+// time after which the server accepts a retry; 0: the server named none.
+func (c *Clients) HandleAnswer(now time.Duration, sessionID SessionID, id uint64, outcome Outcome, retryAfter time.Duration) {
+	answered := &c.sessions[sessionID]
 	if !answered.open || answered.request < 0 {
 		return
 	}
 	index := answered.request
 	pending := &c.requests[index]
-	// After KILL QUERY the request has its outcome already, so the answer is ignored.
+	// An answer after KILL QUERY is ignored, because the request already has its outcome.
 	if pending.id != id || pending.state != stateSent {
 		return
 	}
-	c.releaseSession(now, number, outcome)
+	c.releaseSession(now, sessionID, outcome)
 	c.endAttempt(now, index, outcome, retryAfter)
 	c.serveQueue(now)
 }
 
-// HandleClosed ends a session that the other side has closed, or that never connected (refused).
-func (c *Clients) HandleClosed(now time.Duration, number Session, refused bool) {
-	closed := &c.sessions[number]
+// HandleClosed ends a session that the server closed, or that failed to connect (refused).
+func (c *Clients) HandleClosed(now time.Duration, sessionID SessionID, refused bool) {
+	closed := &c.sessions[sessionID]
 	if !closed.open {
 		return
 	}
-	index, used := closed.request, closed.used
-	c.removeSession(number)
+	index, hasAnswered := closed.request, closed.hasAnswered
+	c.removeSession(sessionID)
 	if index >= 0 {
-		c.handleSessionLost(now, index, used, refused)
+		c.handleSessionLost(now, index, hasAnswered, refused)
 	}
 	c.serveQueue(now)
 }
 
-// handleSessionLost decides what becomes of the request whose session was closed; used tells whether the session had
-// carried another query before.
-func (c *Clients) handleSessionLost(now time.Duration, index int32, used, refused bool) {
+// handleSessionLost continues or finishes a request whose session was closed. hasAnswered reports whether the session
+// had answered an earlier query.
+func (c *Clients) handleSessionLost(now time.Duration, index int32, hasAnswered, refused bool) {
 	pending := &c.requests[index]
 	pending.session = -1
 	switch pending.state {
 	case stateSilent:
 		c.finish(now, index, ClientLeft)
 	case stateKilled:
-		c.freeRequestSlot(index)
+		c.releaseRequest(index)
 	case stateDialing:
 		c.endAttempt(now, index, NoConnection, 0)
 	case stateSent:
-		if used && !pending.resent && now-pending.sentAt <= closeRace {
+		if hasAnswered && !pending.resent && now-pending.sentAt <= closeRaceWindow {
 			pending.resent = true
 			c.acquireSession(now, index)
 			return
@@ -81,11 +81,11 @@
 			outcome = NoConnection
 		}
 		c.endAttempt(now, index, outcome, 0)
-	case stateFree, stateQueued, stateBackoff: // these hold no session
+	case stateFree, stateQueued, stateBackoff: // these requests hold no session
 	}
 }
 
-// endAttempt decides, at the end of an attempt, whether the request is retried.
+// endAttempt ends an attempt: it finishes the request or schedules a retry.
 func (c *Clients) endAttempt(now time.Duration, index int32, outcome Outcome, retryAfter time.Duration) {
 	pending := &c.requests[index]
 	pending.session = -1
@@ -94,7 +94,7 @@
 		return
 	}
 	backoff := c.drawBackoff(pending.attempts, retryAfter)
-	if now+backoff >= pending.deadline { // the client would not wait for the answer
+	if now+backoff >= pending.deadline { // the client would no longer wait for the answer
 		c.finish(now, index, outcome)
 		return
 	}
@@ -110,8 +110,8 @@
 		c.retryBudget.allows(now, c.behavior.RetryRatio, c.behavior.RetryBurst)
 }
 
-// drawBackoff returns the doubled and jittered backoff after so many attempts, or the Retry-After time where it is
-// longer and this client honors it.
+// drawBackoff returns the backoff after the given number of attempts, which doubles with each attempt and is shortened
+// by the jitter. If the Retry-After time is longer and this client honors it, drawBackoff returns that time.
 func (c *Clients) drawBackoff(attempts int, retryAfter time.Duration) time.Duration {
 	backoff := c.behavior.Backoff << min(attempts-1, maxBackoffDoublings)
 	if c.behavior.MaxBackoff > 0 {
@@ -124,7 +124,7 @@
 	return backoff
 }
 
-// HandleTimer acts on a timer that has come; one that was replaced meanwhile is ignored.
+// HandleTimer handles a timer that is due. It ignores timers that have been replaced.
 func (c *Clients) HandleTimer(now time.Duration, index int32, sequence uint32) {
 	pending := &c.requests[index]
 	if pending.timerSequence != sequence || pending.state == stateFree {
@@ -146,19 +146,19 @@
 			c.abandonSession(now, index, ClientLeft)
 			return
 		}
-		c.transport.KillQuery(c.sessions[pending.session].connection)
+		c.transport.KillQuery(c.sessions[pending.session].connectionID)
 		c.reportOutcome(now, pending, TimedOut)
 		pending.state = stateKilled
 		c.setTimer(index, now+killGrace)
 	case stateKilled:
-		number := pending.session
-		c.freeRequestSlot(index)
-		c.closeSession(number)
+		sessionID := pending.session
+		c.releaseRequest(index)
+		c.closeSession(sessionID)
 		c.serveQueue(now)
 	}
 }
 
-// abandonSession closes a request's session and gives the request its outcome.
+// abandonSession closes the session of a request and finishes the request with an outcome.
 func (c *Clients) abandonSession(now time.Duration, index int32, outcome Outcome) {
 	pending := &c.requests[index]
 	c.closeSession(pending.session)
@@ -167,7 +167,7 @@
 	c.serveQueue(now)
 }
 
-// reportOutcome reports a request's one outcome.
+// reportOutcome reports the outcome of a request, which happens once for each request.
 func (c *Clients) reportOutcome(now time.Duration, pending *pendingRequest, outcome Outcome) {
 	c.unfinished--
 	c.report = Report{Request: &pending.request, Outcome: outcome, FinishedAt: now, GeneratorDelay: pending.generatorDelay,
@@ -176,25 +176,26 @@
 	c.transport.Finished(&c.report)
 }
 
-// finish reports a request's outcome and frees its slot.
+// finish reports the outcome of a request and frees the request's entry.
 func (c *Clients) finish(now time.Duration, index int32, outcome Outcome) {
 	pending := &c.requests[index]
 	c.reportOutcome(now, pending, outcome)
-	if number := pending.session; number >= 0 && outcome == NotSent { // the session connected too late
+	if sessionID := pending.session; sessionID >= 0 && outcome == NotSent { // the session was available only after the deadline
 		pending.session = -1
-		c.closeSession(number)
+		c.closeSession(sessionID)
 	}
-	c.freeRequestSlot(index)
+	c.releaseRequest(index)
 }
 
-func (c *Clients) freeRequestSlot(index int32) {
+// releaseRequest returns the entry of a request to the free list.
+func (c *Clients) releaseRequest(index int32) {
 	pending := &c.requests[index]
 	pending.state, pending.session = stateFree, -1
 	pending.timerSequence++
-	pending.nextFree, c.freeRequest = c.freeRequest, index
+	pending.nextFree, c.freeRequestHead = c.freeRequestHead, index
 }
 
-// Stop gives every request that has no outcome the one that it would have if its attempt timeout ended now.
+// Stop finishes every request that has no outcome, as if its deadline passed now.
 func (c *Clients) Stop(now time.Duration) {
 	for position := range c.requests {
 		index := int32(position)
@@ -205,18 +206,18 @@
 			c.stopRequest(now, index, TimedOut)
 		case stateSilent:
 			c.stopRequest(now, index, ClientLeft)
-		case stateFree, stateKilled: // these have their outcome
+		case stateFree, stateKilled: // no request, or its outcome has been reported
 		}
 	}
 }
 
-// stopRequest gives a request its outcome and closes the session that it may hold.
+// stopRequest finishes a request with an outcome and closes its session, if it has one.
 func (c *Clients) stopRequest(now time.Duration, index int32, outcome Outcome) {
 	pending := &c.requests[index]
-	number := pending.session
+	sessionID := pending.session
 	c.reportOutcome(now, pending, outcome)
-	c.freeRequestSlot(index)
-	if number >= 0 {
-		c.closeSession(number)
+	c.releaseRequest(index)
+	if sessionID >= 0 {
+		c.closeSession(sessionID)
 	}
 }
--- a/internal/testbed/load/driver/events.go
+++ b/internal/testbed/load/driver/events.go
@@ -13,71 +13,72 @@
 	eventConnected eventKind = iota
 	eventAnswered
 	eventClosed
-	eventUnexpectedAnswer // something came though no answer was awaited
+	eventUnexpectedAnswer // data arrived although no answer was expected
 )
 
-// event is what a connection's goroutine sends its loop.
+// event is a message from the goroutine of a connection to its loop.
 type event struct {
 	kind       eventKind
-	at         time.Duration
+	at         time.Duration // from the start of the run
 	conn       *conn
-	id         uint64
+	id         uint64 // of the attempt
 	outcome    client.Outcome
 	retryAfter time.Duration
-	refused    bool
+	refused    bool // of eventClosed: the connection can't have carried a query
 }
 
-// refusalCooldown is for how long a target that refused a connection gets none while others are there: as long as a load
-// balancer's health check takes to notice, as a rule.
+// refusalCooldown is how long a target that refused a connection gets no new ones while other targets are available.
+// The health check of a load balancer usually takes this long to detect a failure.
 const refusalCooldown = time.Second
 
-// notify queues an event; it wakes the loop only where that sleeps.
-func (w *loop) notify(sent event) {
-	w.mu.Lock()
-	w.inbox = append(w.inbox, sent)
-	w.mu.Unlock()
-	if w.asleep.Load() {
+// enqueue adds an event to the inbox of the loop. It wakes the loop only if the loop waits for an event.
+func (l *loop) enqueue(sent event) {
+	l.mu.Lock()
+	l.inbox = append(l.inbox, sent)
+	l.mu.Unlock()
+	if l.waitsForEvent.Load() {
 		select {
-		case w.wake <- struct{}{}:
+		case l.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (w *loop) drainInbox() {
-	w.mu.Lock()
-	events := w.inbox
-	w.inbox = w.spare[:0]
-	w.mu.Unlock()
+// drainInbox handles all events in the inbox.
+func (l *loop) drainInbox() {
+	l.mu.Lock()
+	events := l.inbox
+	l.inbox = l.spareInbox[:0]
+	l.mu.Unlock()
 	for i := range events {
-		w.handle(&events[i])
+		l.handle(&events[i])
 		events[i] = event{}
 	}
-	w.spare = events
+	l.spareInbox = events
 }
 
-func (w *loop) handle(received *event) {
+func (l *loop) handle(received *event) {
 	source := received.conn
 	if received.kind == eventUnexpectedAnswer {
-		w.metrics.RecordViolation(stats.ViolationUnexpectedAnswer, received.id)
+		l.metrics.RecordViolation(stats.ViolationUnexpectedAnswer, received.id)
 		return
 	}
-	if w.connections[source.session] != source { // closed by this side meanwhile
+	if l.connections[source.sessionID] != source { // the loop has closed the connection in the meantime
 		return
 	}
 	switch received.kind {
-	case eventUnexpectedAnswer: // recorded above
+	case eventUnexpectedAnswer: // handled above
 	case eventConnected:
 		source.connected = true
-		w.clients.HandleConnected(received.at, source.session, source.connection)
+		l.clients.HandleConnected(received.at, source.sessionID, source.connectionID)
 	case eventAnswered:
-		w.clients.HandleAnswer(received.at, source.session, received.id, received.outcome, received.retryAfter)
+		l.clients.HandleAnswer(received.at, source.sessionID, received.id, received.outcome, received.retryAfter)
 	case eventClosed:
 		if received.refused {
-			w.avoidTargets[source.target] = received.at + refusalCooldown
+			l.avoidTargetUntil[source.target] = received.at + refusalCooldown
 		}
-		w.connections[source.session] = nil
-		w.driver.OpenSessions.Add(-1)
-		w.clients.HandleClosed(received.at, source.session, received.refused)
+		l.connections[source.sessionID] = nil
+		l.driver.OpenSessions.Add(-1)
+		l.clients.HandleClosed(received.at, source.sessionID, received.refused)
 	}
 }
--- a/internal/testbed/load/driver/format_test.go
+++ b/internal/testbed/load/driver/format_test.go
@@ -12,8 +12,9 @@
 	"magpiebank/internal/testbed/load/client"
 )
 
-// A coordinator's folder holds the load of its run, and workers get it as a message: earlier versions' must be read, and ours be
-// readable by them. testdata/load.json was written by the version before the fields had their present names.
+// The folder of a coordinator holds the load of its run, and workers receive the load in a message. This version must
+// read the loads of earlier versions and write loads that they can read. testdata/load.json was written by the version
+// before the fields got their present names.
 func TestLoadOfEarlierVersionIsReadAndWritten(t *testing.T) {
 	golden, err := os.ReadFile("testdata/load.json")
 	if err != nil {
@@ -28,8 +29,9 @@
 		}},
 		Behavior: client.Behavior{
 			Connections: 5, PooledShare: 0.25, HeldOpenShare: 0.125, IdleTimeout: time.Second, MaxAttempts: 3, Backoff: time.Millisecond,
-			MaxBackoff: 8 * time.Millisecond, Jitter: 0.5, HonorRetryAfterProbability: 0.75, RetryRatio: 0.1, RetryBurst: 7, RetryWindow: 9 * time.Second,
-			SlowShare: 0.01, LeavingShare: 0.02, SilentShare: 0.03,
+			MaxBackoff: 8 * time.Millisecond, Jitter: 0.5, HonorRetryAfterProbability: 0.75, RetryRatio: 0.1, RetryBurst: 7,
+			RetryWindow: 9 * time.Second,
+			SlowShare:   0.01, LeavingShare: 0.02, SilentShare: 0.03,
 		},
 		Seed: 11, Length: time.Minute, Shard: 1, ShardCount: 2, Loops: 3, CheckRows: true,
 	}
--- a/internal/testbed/load/driver/loop.go
+++ b/internal/testbed/load/driver/loop.go
@@ -13,46 +13,47 @@
 )
 
 const (
-	// tickSize is the timer wheel's unit: a tenth of a millisecond, as fine as sleeps are exact.
+	// tickSize is the unit of the timer wheel: 0.1 ms, which is as precise as a sleep.
 	tickSize = 100 * time.Microsecond
-	// maxNap is the longest that a loop sleeps without looking at its inbox when it waits for a time that is closer
-	// than napBelow; longer waits are slept by the runtime, whose timers are exact to a millisecond or so.
-	maxNap   = 200 * time.Microsecond
-	napBelow = 2 * time.Millisecond
-	// housekeepingInterval is how often idle sessions are closed, and the longest that a loop waits.
+	// If the next action of a loop is closer than shortSleepBelow, the loop sleeps for at most maxShortSleep before it
+	// checks its inbox. Longer waits use the runtime's timers, which are only precise to about a millisecond.
+	maxShortSleep   = 200 * time.Microsecond
+	shortSleepBelow = 2 * time.Millisecond
+	// housekeepingInterval is the time between checks for idle sessions, and the longest wait of a loop.
 	housekeepingInterval = 250 * time.Millisecond
 )
 
-// loop sends one share of the process's arrivals. Its goroutine owns all fields but those of the inbox.
+// loop sends a part of the arrivals of the process. Its goroutine owns all fields except inbox, wake and waitsForEvent,
+// which the goroutines of the connections use to deliver events.
 type loop struct {
 	driver       *Driver
 	index        int
 	schedule     *arrival.Schedule
 	clients      *client.Clients
 	metrics      *stats.Metrics
-	next         arrival.Request // the schedule's next arrival
-	more         bool            // next is one
-	stop         <-chan struct{} // nil once the loop has stopped
-	alarm        *time.Timer
-	idleClosedAt time.Duration
+	next         arrival.Request // next arrival of the schedule
+	hasNext      bool            // next is valid
+	stop         <-chan struct{} // nil after stopOffering
+	waitTimer    *time.Timer     // limits waitForEvent
+	idleClosedAt time.Duration   // when idle sessions were last closed
 
-	connections  []*conn // by session
-	buffer       []byte  // of the packet that is sent, reused
-	lastTarget   int
-	avoidTargets []time.Duration // by target: until when it gets no connection, as it refused one
+	connections      []*conn         // by session
+	buffer           []byte          // packet that is being sent; reused
+	lastTarget       int             // index of the target that was chosen last
+	avoidTargetUntil []time.Duration // by target: after a refused connection, when the target may get connections again
 
 	wheel      *timerwheel.Wheel
-	timers     []timer // by the number that the wheel holds
-	freeTimers []int32
-
-	mu     sync.Mutex // of inbox
-	inbox  []event
-	spare  []event
-	wake   chan struct{}
-	asleep atomic.Bool
+	timers     []timer // by the number that the wheel stores
+	freeTimers []int32 // indexes of unused timers
+
+	mu            sync.Mutex // guards inbox
+	inbox         []event
+	spareInbox    []event       // an empty inbox whose memory is reused
+	wake          chan struct{} // ends waitForEvent when an event arrives
+	waitsForEvent atomic.Bool   // set while the loop is in waitForEvent, or about to be
 }
 
-// timer is what a number in the wheel stands for.
+// timer is a timer of a request. The wheel stores its index in loop.timers.
 type timer struct {
 	at       time.Duration
 	request  int32
@@ -62,85 +63,86 @@
 func newLoop(driver *Driver, index int, schedule *arrival.Schedule, metrics *stats.Metrics) *loop {
 	load := &driver.load
 	behavior := load.Behavior
-	if behavior.Connections > 0 { // the limit is the process's: each loop gets its share of it
+	// The limit is for the whole process: each loop gets an equal part of it.
+	if behavior.Connections > 0 {
 		behavior.Connections = max(1, (behavior.Connections+load.Loops-1-index)/load.Loops)
 	}
 	created := &loop{driver: driver, index: index, schedule: schedule, wheel: timerwheel.New(0), metrics: metrics, stop: driver.stop,
-		wake: make(chan struct{}, 1), avoidTargets: make([]time.Duration, len(load.Targets))}
-	// Ids are drawn by the run's seed and the request's number, backoffs by a random source of each loop's own.
+		wake: make(chan struct{}, 1), avoidTargetUntil: make([]time.Duration, len(load.Targets))}
+	// Attempt ids depend on the seed of the run and the number of the request; backoffs come from the loop's own random source.
 	created.clients = client.NewClients(created, behavior, load.Classes, load.Seed, int64(load.Shard*load.Loops+index))
 	return created
 }
 
-// now is the time from the start of the run.
-func (w *loop) now() time.Duration { return time.Since(w.driver.start) }
+// now returns the time since the start of the run.
+func (l *loop) now() time.Duration { return time.Since(l.driver.start) }
 
-func (w *loop) run() {
-	if time.Until(w.driver.start) > 0 {
-		time.Sleep(time.Until(w.driver.start) - napBelow)
+func (l *loop) run() {
+	if time.Until(l.driver.start) > 0 {
+		time.Sleep(time.Until(l.driver.start) - shortSleepBelow)
 	}
-	w.next, w.more = w.schedule.Next()
-	w.alarm = time.NewTimer(time.Hour)
-	defer w.alarm.Stop()
+	l.next, l.hasNext = l.schedule.Next()
+	l.waitTimer = time.NewTimer(time.Hour)
+	defer l.waitTimer.Stop()
 	for {
-		w.drainInbox()
-		now := w.now()
-		w.fireTimers(now)
-		now = w.offerArrivals(now)
-		if w.index == 0 {
-			w.driver.OfferedUntil.Store(int64(now))
+		l.drainInbox()
+		now := l.now()
+		l.fireTimers(now)
+		now = l.offerArrivals(now)
+		if l.index == 0 {
+			l.driver.OfferedUntil.Store(int64(now))
 		}
-		if now-w.idleClosedAt > housekeepingInterval {
-			w.idleClosedAt = now
-			w.clients.CloseIdle(now)
+		if now-l.idleClosedAt > housekeepingInterval {
+			l.idleClosedAt = now
+			l.clients.CloseIdle(now)
 		}
-		if !w.more && w.clients.Unfinished() == 0 {
+		if !l.hasNext && l.clients.Unfinished() == 0 {
 			break
 		}
-		until := w.nextWakeUp(now)
+		until := l.nextWakeUp(now)
 		select {
-		case <-w.stop:
-			w.stopOffering(now)
+		case <-l.stop:
+			l.stopOffering(now)
 			continue
 		default:
 		}
-		w.waitUntil(until)
+		l.waitUntil(until)
 	}
-	for _, open := range w.connections {
+	for _, open := range l.connections {
 		if open != nil {
-			open.leave()
+			open.disconnect()
 		}
 	}
 }
 
-func (w *loop) fireTimers(now time.Duration) {
-	w.wheel.Advance(timerwheel.Tick(now/tickSize), func(number uint64) { w.fire(now, int32(number)) })
+func (l *loop) fireTimers(now time.Duration) {
+	l.wheel.Advance(timerwheel.Tick(now/tickSize), func(number uint64) { l.fireTimer(now, int32(number)) })
 }
 
-func (w *loop) fire(now time.Duration, number int32) {
-	fired := w.timers[number]
-	w.freeTimers = append(w.freeTimers, number)
-	w.clients.HandleTimer(max(now, fired.at), fired.request, fired.sequence)
+func (l *loop) fireTimer(now time.Duration, number int32) {
+	fired := l.timers[number]
+	l.freeTimers = append(l.freeTimers, number)
+	l.clients.HandleTimer(max(now, fired.at), fired.request, fired.sequence)
 }
 
-// offerArrivals hands out the arrivals whose time has come, and returns the time after the last one.
-func (w *loop) offerArrivals(now time.Duration) time.Duration {
-	for w.more && w.next.At <= now {
-		if w.owns(&w.next) {
-			w.metrics.RecordOffered(w.next.At)
-			w.driver.Offered.Add(1)
-			w.clients.HandleArrival(max(now, w.next.At), w.next)
-			now = w.now()
+// offerArrivals hands the arrivals that are due to the clients. It returns the time after the last of them.
+func (l *loop) offerArrivals(now time.Duration) time.Duration {
+	for l.hasNext && l.next.At <= now {
+		if l.owns(&l.next) {
+			l.metrics.RecordOffered(l.next.At)
+			l.driver.Offered.Add(1)
+			l.clients.HandleArrival(max(now, l.next.At), l.next)
+			now = l.now()
 		}
-		w.next, w.more = w.schedule.Next()
+		l.next, l.hasNext = l.schedule.Next()
 	}
 	return now
 }
 
-// owns tells whether an arrival is this loop's.
-func (w *loop) owns(request *arrival.Request) bool {
-	load := &w.driver.load
-	if int(request.Number/uint64(load.ShardCount))%load.Loops != w.index {
+// owns reports whether this loop sends an arrival.
+func (l *loop) owns(request *arrival.Request) bool {
+	load := &l.driver.load
+	if int(request.Number/uint64(load.ShardCount))%load.Loops != l.index {
 		return false
 	}
 	if load.Owns != nil {
@@ -149,56 +151,56 @@
 	return arrival.Shard(request.Number, load.ShardCount) == load.Shard
 }
 
-// nextWakeUp is when the loop has something to do next, events aside.
-func (w *loop) nextWakeUp(now time.Duration) time.Duration {
+// nextWakeUp returns the time of the loop's next action if no event arrives.
+func (l *loop) nextWakeUp(now time.Duration) time.Duration {
 	until := now + housekeepingInterval
-	if w.more {
-		until = min(until, w.next.At)
+	if l.hasNext {
+		until = min(until, l.next.At)
 	}
-	if at, ok := w.wheel.Next(); ok {
+	if at, ok := l.wheel.Next(); ok {
 		until = min(until, time.Duration(at)*tickSize)
 	}
 	return until
 }
 
 // stopOffering ends the schedule and gives all requests their outcomes.
-func (w *loop) stopOffering(now time.Duration) {
-	w.more, w.stop = false, nil
-	w.clients.Stop(now)
+func (l *loop) stopOffering(now time.Duration) {
+	l.hasNext, l.stop = false, nil
+	l.clients.Stop(now)
 }
 
-// waitUntil sleeps until a time or, where that is not close, an event.
-func (w *loop) waitUntil(until time.Duration) {
-	remaining := until - w.now()
+// waitUntil sleeps until a time. A short wait is limited to maxShortSleep; a longer one ends when an event arrives.
+func (l *loop) waitUntil(until time.Duration) {
+	remaining := until - l.now()
 	switch {
 	case remaining <= 0:
-	case remaining < napBelow:
-		sleepExactly(min(remaining, maxNap))
+	case remaining < shortSleepBelow:
+		sleepPrecisely(min(remaining, maxShortSleep))
 	default:
-		w.asleep.Store(true)
-		w.mu.Lock()
-		waiting := len(w.inbox)
-		w.mu.Unlock()
+		l.waitsForEvent.Store(true)
+		l.mu.Lock()
+		waiting := len(l.inbox)
+		l.mu.Unlock()
 		if waiting == 0 {
-			w.waitForEvent(remaining - napBelow/2)
+			l.waitForEvent(remaining - shortSleepBelow/2)
 		}
-		w.asleep.Store(false)
+		l.waitsForEvent.Store(false)
 	}
 }
 
-func (w *loop) waitForEvent(timeout time.Duration) {
-	w.alarm.Reset(timeout)
+func (l *loop) waitForEvent(timeout time.Duration) {
+	l.waitTimer.Reset(timeout)
 	select {
-	case <-w.wake:
-	case <-w.alarm.C:
-	case <-w.stop:
-		w.stopOffering(w.now())
+	case <-l.wake:
+	case <-l.waitTimer.C:
+	case <-l.stop:
+		l.stopOffering(l.now())
 	}
 }
 
-// sleepExactly sleeps by the system call, because the runtime's own timers may be a millisecond late when nothing else
-// goes on. A signal may end the sleep early; the loop then looks at the clock again.
-func sleepExactly(duration time.Duration) {
+// sleepPrecisely calls nanosleep, because the runtime's timers may be a millisecond late while the process is otherwise
+// idle. A signal may end the sleep early; the loop then reads the clock again.
+func sleepPrecisely(duration time.Duration) {
 	spec := syscall.NsecToTimespec(int64(duration))
 	_ = syscall.Nanosleep(&spec, nil)
 }
--- a/internal/testbed/load/stats/format_test.go
+++ b/internal/testbed/load/stats/format_test.go
@@ -9,16 +9,18 @@
 	"magpiebank/internal/testbed/golden"
 )
 
-// packedHistogram is a histogram in JSON. Its bytes are a compressor's, which may change with the language's version.
-var packedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
+// encodedHistogram matches a histogram in JSON. Its bytes come from a compressor whose output may change with the Go
+// version.
+var encodedHistogram = regexp.MustCompile(`"HIST[^"]*"`)
 
 func TestMetricsOfEarlierVersionAreReadAndWrittenAlike(t *testing.T) {
-	form := golden.Read(t, "metrics.form")
-	metrics := decodeMetrics(t, form)
+	encoded := golden.Read(t, "metrics.form")
+	metrics := decodeMetrics(t, encoded)
 	golden.CheckValues(t, "metrics", metricsValues(metrics))
-	again := golden.EncodeJSON(metrics)
-	golden.CheckValues(t, "metrics", metricsValues(decodeMetrics(t, again)))
-	expected, found := packedHistogram.ReplaceAllString(string(form), `"histogram"`), packedHistogram.ReplaceAllString(string(again), `"histogram"`)
+	reencoded := golden.EncodeJSON(metrics)
+	golden.CheckValues(t, "metrics", metricsValues(decodeMetrics(t, reencoded)))
+	expected, found := encodedHistogram.ReplaceAllString(string(encoded), `"histogram"`),
+		encodedHistogram.ReplaceAllString(string(reencoded), `"histogram"`)
 	if found != expected {
 		t.Errorf("expected %s\nfound    %s", expected, found)
 	}
@@ -33,7 +35,8 @@
 	return metrics
 }
 
-// metricsValues lists all that metrics hold, in the order in which the earlier version had it; of a histogram its count and maximum.
+// metricsValues lists all values in metrics, in the order of the earlier version's fields. For a histogram, it lists
+// the count and the maximum.
 func metricsValues(m *Metrics) (values []any) {
 	addHistogram := func(h *hdrhistogram.Histogram) { values = append(values, h.TotalCount(), h.Max()) }
 	for _, c := range append(m.Classes, m.Misbehaving) {
@@ -49,5 +52,5 @@
 	}
 	addHistogram(m.GeneratorDelay)
 	addHistogram(m.QueueDelay)
-	return append(values, m.Violations, m.Examples, m.seen)
+	return append(values, m.Violations, m.Examples, m.finishedRequests)
 }
