--- a/internal/testbed/modelcheck/explore.go
+++ b/internal/testbed/modelcheck/explore.go
@@ -1,5 +1,6 @@
-// Package modelcheck explores every interleaving of a small system, breadth first, up to a bound. A violation that it finds comes with
-// the shortest run that leads to it. The system says what can happen next and which states are the same.
+// Package modelcheck explores every interleaving of a small system, breadth first, up to a maximum number of states and a maximum depth.
+// For a violation that it finds, it returns the shortest sequence of transitions that leads to it. The system defines the transitions
+// that are possible in a state, and a key that is equal for equivalent states.
 package modelcheck
 
 import (
@@ -9,17 +10,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is one state of a system. It is not changed once made.
+// State is one state of a system. It is immutable.
 type State interface {
-	// Key returns the state's key. States that differ only in what does not matter (absolute times, which of two equal members) share one.
+	// Key returns the state's key. States that differ only in irrelevant details have the same key. Examples are absolute times, and which
+	// of two equal members something happened to.
 	Key() []byte
-	// Transitions returns all that can happen next, in a fixed order.
+	// Transitions returns all transitions that are possible in this state, in a fixed order.
 	Transitions() []Transition
-	// Violation returns what does not hold; empty: all does.
+	// Violation describes the property that the state violates. It is empty if the state violates none.
 	Violation() string
 }
 
-// Transition is one thing that can happen.
+// Transition is a possible event in a state. Next returns the state after the event.
 type Transition struct {
 	Name string
 	Next func() State
@@ -28,35 +30,36 @@
 // Result is the outcome of an exploration.
 type Result struct {
 	States, Transitions int
-	Depth               int      // of the last state explored, in transitions
-	Complete            bool     // nothing was left out because of a bound
-	Violation           string   // the first that was found
-	Trace               []string // the names of the transitions of the shortest run to it
+	Depth               int      // length of the longest path explored, in transitions
+	Complete            bool     // false if maxStates, maxDepth or a violation in a later state than the first ended the exploration
+	Violation           string   // the first violation found; empty: none
+	Trace               []string // names of the transitions on the shortest path to the violation
 }
 
-// step leads back to where a state was first found. The hash of 64 bits stands for a state's key: of ten million states two are
-// taken for one with a chance of some 3 in a million. With its step a state takes 16 bytes.
+// step records how a state was reached first. Of each state the exploration stores only its step and a 64-bit hash of its key, 16 bytes
+// together. Among ten million states, the probability that two different states have the same hash is about 3 in a million.
 type step struct {
-	from       int32 // index of the step before; -1: none
-	transition uint16
+	from       int32  // index of the previous state's step; -1: this is the first state
+	transition uint16 // index in the previous state's Transitions
 }
 
-// frontierState is a state whose transitions are still to be explored.
+// frontierState is a state whose transitions have not been explored yet.
 type frontierState struct {
 	state State
-	step  int32
+	step  int32 // index of the state's step
 }
 
-// exploration is one under way.
+// exploration holds the progress of one call of Explore.
 type exploration struct {
 	first     State
 	maxStates int
 	result    Result
-	seen      map[uint64]struct{} // hashes of keys
+	seen      map[uint64]struct{} // hashes of the keys of all states found
 	steps     []step
 }
 
-// Explore explores at most maxStates states, none deeper than maxDepth transitions.
+// Explore explores the states that can be reached from first: at most maxStates states, at most maxDepth transitions deep. It stops at the
+// first violation.
 func Explore(first State, maxStates, maxDepth int) Result {
 	e := &exploration{
 		first: first, maxStates: maxStates,
@@ -88,7 +91,8 @@
 	return e.result
 }
 
-// expand appends the new states that a state leads to; ended: a violation or the bound ends the exploration.
+// expand appends to next the new states that are one transition away from a state. It returns true if the exploration has to end, because
+// of a violation or because maxStates is reached.
 func (e *exploration) expand(from frontierState, next []frontierState) (_ []frontierState, ended bool) {
 	for i, transition := range from.state.Transitions() {
 		e.result.Transitions++
@@ -115,7 +119,8 @@
 	return next, false
 }
 
-// trace plays the transitions to a state once more for their names.
+// trace returns the names of the transitions that lead to a state. It repeats the transitions to get the names, because steps do not store
+// them.
 func (e *exploration) trace(index int32) (names []string) {
 	var transitions []uint16
 	for ; index > 0; index = e.steps[index].from {
@@ -130,7 +135,7 @@
 	return names
 }
 
-// WriteText writes a result for people.
+// WriteText writes a result as human-readable text.
 func (r *Result) WriteText(out io.Writer, description string) {
 	extent := "up to the bound"
 	switch {
--- a/internal/testbed/modelcheck/explore_test.go
+++ b/internal/testbed/modelcheck/explore_test.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// cups are two of three and five litres. Four litres in one of them count as a violation.
+// cups is a state of two cups that hold three and five litres. Four litres in the larger cup count as a violation.
 type cups struct{ three, five int }
 
 func (c cups) Key() []byte { return []byte{byte(c.three), byte(c.five)} }
--- a/internal/testbed/modelcheck/race_off.go
+++ b/internal/testbed/modelcheck/race_off.go
@@ -2,6 +2,6 @@
 
 package modelcheck
 
-// RaceEnabled reports a build with the race detector, in which explorations take ten times as long and have a single
-// goroutine. .ci/run runs them without it.
+// RaceEnabled reports whether this is a build with the race detector. In such a build an exploration takes ten times as long, and the race
+// detector can't find anything in it, because an exploration has a single goroutine. The script .ci/run explores without the race detector.
 const RaceEnabled = false
--- a/internal/testbed/quorumquota/quorumquota.go
+++ b/internal/testbed/quorumquota/quorumquota.go
@@ -1,6 +1,7 @@
-// Package quorumquota is the baseline that the synchronized quotas are measured against: each unit of a total is requested from a
-// majority of the replicas for each use, when a request waits for it, and is returned at the end of the use. No unit is reserved ahead
-// or leased to others. Only builds of the testbed contain it. It does no I/O.
+// Package quorumquota implements a quota by majorities, the baseline that the synchronized quotas of package quota are compared with. For
+// each use, a process requests each unit from all replicas once a request is waiting for it. It may use the unit when a majority of the
+// replicas has granted it, and returns the unit at the end of the use. Units are neither reserved in advance nor leased to other processes.
+// Only testbed builds contain this package. It does no I/O.
 package quorumquota
 
 import (
@@ -16,15 +17,15 @@
 type Time = admission.Time
 
 const (
-	// attemptTimeout is how long an attempt without a majority of answers lasts.
+	// attemptTimeout is how long an attempt to get a unit waits for a majority.
 	attemptTimeout = 100 * admission.Millisecond
-	// maxAttempts is how many units of a quota are requested at a time.
+	// maxAttempts is the maximum number of units of a quota that are requested at a time.
 	maxAttempts = 32
-	// fullBackoff is how long nothing is requested after a replica said that all units are in use.
+	// fullBackoff is how long a process requests no units of a quota after a replica has reported that all units are held.
 	fullBackoff = 20 * admission.Millisecond
 )
 
-// Core is one process's part. Its methods may be called from several goroutines.
+// Core is the state of one process, which may also be a replica. Its methods may be called from several goroutines.
 type Core struct {
 	mu          sync.Mutex
 	plan        *quota.Plan
@@ -33,22 +34,22 @@
 	incarnation uint64
 	random      *rand.Rand
 	now         Time
-	sequence    uint32 // of the last attempt
-	attempts    []unit
-	reserved    []unit // that are in no use
+	sequence    uint32 // number of the last attempt
+	attempts    []unit // requested, and not granted by a majority yet
+	reserved    []unit // granted by a majority, and not in use
 	inUse       []unit
 	quotas      []demand
 	isReplica   bool
-	grantsFrom  Time // a replica grants from then on, as what its predecessor granted has ended
-	grants      [][]grant
+	grantsFrom  Time      // when a replica starts to grant units, because all grants of its predecessor have ended by then
+	grants      [][]grant // at a replica: the holder of each unit, by quota and unit
 }
 
-// demand is what this process wants of one quota.
+// demand is this process's demand for units of one quota.
 type demand struct {
-	wanted    int64 // units that requests wait for
-	promised  int64 // units, to a request that is about to be sent
-	freeHints []int // units that a replica said are free
-	backoff   Time  // until when nothing is requested
+	wanted    int64 // number of units that requests are waiting for
+	promised  int64 // number of units that TryReserve has promised to a request that has not been sent yet
+	freeHints []int // units that replicas have reported as free
+	backoff   Time  // no units are requested before this time
 }
 
 // unit is one unit of a quota that is requested, reserved or in use.
@@ -58,11 +59,11 @@
 	sequence    uint32
 	requestedAt Time
 	usedUntil   Time
-	granted     []string // by which replicas
-	rejected    []string
+	granted     []string // names of the replicas that granted the unit
+	rejected    []string // names of the replicas that rejected the request
 }
 
-// grant is who holds a unit, as a replica knows it.
+// grant is a replica's record of the process that holds a unit.
 type grant struct {
 	holder      string
 	incarnation uint64
@@ -88,10 +89,12 @@
 	return c
 }
 
-// lease is how long a unit is held: it must last to the end of a use that begins within another.
+// lease returns how long a unit is held after its request. It is twice the plan's LongestUse, so that a use that begins within LongestUse after
+// the request ends within the lease.
 func (c *Core) lease() Time { return 2 * c.plan.LongestUse }
 
-// replicaLease is the lease at a replica, by whose clock it must certainly have ended.
+// replicaLease returns how long a replica regards a unit as held. By then the lease has certainly ended on the holder's clock, which may run
+// slower.
 func (c *Core) replicaLease() Time { return c.lease() + 3*c.lease()/c.plan.DriftDivisor + 1 }
 
 func (c *Core) send(to string, m quota.Message) {
@@ -106,7 +109,7 @@
 	}
 }
 
-// HandleMessage handles a message, and returns true if a unit was granted by it.
+// HandleMessage handles a message. It returns true if a unit became reserved, because a majority has now granted it.
 func (c *Core) HandleMessage(now Time, m quota.Message) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +133,7 @@
 	return false
 }
 
-// handleRequest grants a unit that nobody holds. A rejection names a free unit, if there is any.
+// handleRequest grants a unit to the sender unless another process holds it. A rejection names a free unit, if there is one.
 func (c *Core) handleRequest(index int, m quota.Message) {
 	g := &c.grants[index][m.Share]
 	answer := quota.Message{Kind: quota.KindLeaseGrant, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Share: m.Share, Sequence: m.Sequence}
@@ -145,7 +148,7 @@
 
 func (g *grant) isHeld(now Time) bool { return g.incarnation > 0 && now < g.until }
 
-// findFree finds a unit that nobody holds, from a random one on; -1: there is none.
+// findFree returns a unit that nobody holds, or -1 if there is none. The search starts at a random unit.
 func (c *Core) findFree(index int) int {
 	grants := c.grants[index]
 	first := c.random.IntN(len(grants))
@@ -184,7 +187,7 @@
 	return false
 }
 
-// takeHint takes in which unit a replica said is free; below 0: none.
+// takeHint stores the unit that a replica reported as free. A negative number means that no unit is free, which delays further requests.
 func (c *Core) takeHint(d *demand, free int) {
 	if free >= 0 {
 		d.freeHints = append(d.freeHints, free)
@@ -194,14 +197,15 @@
 	d.backoff = c.now + fullBackoff
 }
 
-// giveBack returns a unit of a list to the replicas.
+// giveBack removes a unit from a list and returns it to the replicas.
 func (c *Core) giveBack(list *[]unit, i int) {
 	u := (*list)[i]
 	*list = slices.Delete(*list, i, i+1)
 	c.broadcast(quota.KindLeaseReturn, &u)
 }
 
-// Tick does what is due: it gives up attempts, returns units, and requests those that are waited for.
+// Tick performs the actions that are due: it abandons attempts, returns units that are no longer needed, and requests units that requests
+// are waiting for.
 func (c *Core) Tick(now Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -224,12 +228,12 @@
 	}
 }
 
-// lastsForUse tells whether a reserved unit lasts to the end of a use that begins now.
+// lastsForUse reports whether a reserved unit lasts to the end of a use that begins now.
 func (c *Core) lastsForUse(u *unit) bool {
 	return c.now+c.plan.LongestUse < u.requestedAt+c.lease()
 }
 
-// requestUnits requests as many units of a quota as are waited for.
+// requestUnits requests the units of a quota that requests are waiting for and that are neither requested nor reserved yet.
 func (c *Core) requestUnits(index int) {
 	d := &c.quotas[index]
 	attempts := countUnits(c.attempts, index)
@@ -253,7 +257,7 @@
 	}
 }
 
-// has tells whether a unit is requested, reserved or in use here.
+// has reports whether a unit is requested, reserved or in use by this process.
 func (c *Core) has(u *unit) bool {
 	isSame := func(other unit) bool { return other.quota == u.quota && other.number == u.number }
 	return slices.ContainsFunc(c.attempts, isSame) || slices.ContainsFunc(c.reserved, isSame) || slices.ContainsFunc(c.inUse, isSame)
@@ -268,7 +272,7 @@
 	return count
 }
 
-// usable are the indices of the reserved units that last to the end of a use that begins now.
+// usable returns the indices of a quota's reserved units that last to the end of a use that begins now.
 func (c *Core) usable(index int) (indices []int) {
 	for i := range c.reserved {
 		if c.reserved[i].quota == index && c.lastsForUse(&c.reserved[i]) {
@@ -278,8 +282,8 @@
 	return indices
 }
 
-// TryReserve tells whether a use may begin now; where it may not, its units are waited for from now on. The length of the use, at most
-// the plan's longest, does not matter.
+// TryReserve reports whether a use may begin now. If not, its units are added to the demand, and later ticks request them. The length of the
+// use has no effect, as long as it is at most the plan's LongestUse.
 func (c *Core) TryReserve(now Time, index int, amount int64, _ Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -293,7 +297,7 @@
 	return true
 }
 
-// CommitReservation begins a use of units that TryReserve promised.
+// CommitReservation begins a use of units that TryReserve has promised. It returns false if there are not enough usable units.
 func (c *Core) CommitReservation(now Time, index int, amount int64, length Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -325,12 +329,12 @@
 		}
 		u := c.inUse[i]
 		c.inUse = slices.Delete(c.inUse, i, i+1)
-		u.requestedAt = -c.lease() // it lasts for no use, so that Tick returns it
+		u.requestedAt = -c.lease() // too old for any use, so that the next Tick returns the unit
 		c.reserved = append(c.reserved, u)
 	}
 }
 
-// SetDemand sets how much the waiting requests would use.
+// SetDemand sets the number of units that the waiting requests would use.
 func (c *Core) SetDemand(_ Time, index int, amount int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -338,8 +342,8 @@
 	d.promised, d.wanted = 0, amount
 }
 
-// ReserveRate grants nothing: rates are not measured.
+// ReserveRate grants nothing, because rates are not part of the comparison.
 func (c *Core) ReserveRate(Time, int, int64) (int64, Time) { return 0, quota.Never }
 
-// ScaleTotal does nothing: scaled totals are not measured.
+// ScaleTotal does nothing, because scaled totals are not part of the comparison.
 func (c *Core) ScaleTotal(Time, int, float64) {}
--- a/internal/testbed/quorumquota/quorumquota_test.go
+++ b/internal/testbed/quorumquota/quorumquota_test.go
@@ -35,13 +35,14 @@
 	return c
 }
 
-// start starts a member anew.
+// start starts or restarts a member without state.
 func (c *lossyCluster) start(member int) {
 	c.starts++
 	c.cores[member] = New(c.now, c.plan, "g"+strconv.Itoa(member), c.starts, c)
 }
 
-// Send sends a message to a member called g and its number.
+// Send sends a message to the member with the name "g" and a number. The message is lost, or arrives once or twice, each with a probability of
+// one third, and each copy has a random delay.
 func (c *lossyCluster) Send(to string, m quota.Message) {
 	member, err := strconv.Atoi(to[1:])
 	if err != nil {
@@ -69,14 +70,14 @@
 	c.inFlight = append(c.inFlight, later...)
 }
 
-// step ends and begins uses at all members, and returns how many units are in use.
+// step ends and begins uses at all members, and returns the number of units in use.
 func (c *lossyCluster) step() (used int) {
 	for _, core := range c.cores {
 		if c.random.IntN(60) == 0 && len(core.inUse) > 0 {
 			core.Release(c.now, 0, 1)
 		}
 		if core.TryReserve(c.now, 0, 1, c.plan.LongestUse) && !core.CommitReservation(c.now, 0, 1, c.plan.LongestUse) {
-			c.t.Fatal("what was promised was not there")
+			c.t.Fatal("TryReserve promised a unit that CommitReservation did not find")
 		}
 		core.Tick(c.now)
 		used += len(core.inUse)
@@ -84,14 +85,15 @@
 	return used
 }
 
-// Never more uses than units, and nearly all are used, though a third of the messages is lost and members are started anew.
+// There are never more units in use than the total, and at the peak at least 8 of 10, although a third of the messages is lost and members
+// restart.
 func TestNeverMore(t *testing.T) {
 	const members = 8
 	c := newLossyCluster(t, &quota.Plan{Shares: members, Voters: []string{"g0", "g1", "g2"}, LongestUse: admission.Second / 2, DriftDivisor: 20, Revision: 1, QuotaIDs: []uint32{7}, Totals: []int64{10}}, members)
 	most, sum, looks := 0, 0, 0
 	for ; c.now < 60*admission.Second; c.now += 5 * admission.Millisecond {
 		c.deliver()
-		if c.random.IntN(1000) == 0 { // a replica as well: it grants nothing until what it granted has ended
+		if c.random.IntN(1000) == 0 { // may be a replica, which then grants nothing until its earlier grants have ended
 			c.start(c.random.IntN(members))
 		}
 		used := c.step()
@@ -101,8 +103,8 @@
 			looks++
 		}
 	}
-	t.Logf("at most %d of 10 in use, %.2f in the mean", most, float64(sum)/float64(looks))
+	t.Logf("at most %d of 10 units in use, %.2f on average", most, float64(sum)/float64(looks))
 	if most > 10 || most < 8 {
-		t.Error("8 to 10 were expected")
+		t.Errorf("at most %d units were in use, expected 8 to 10", most)
 	}
 }
--- a/internal/testbed/quotamodel/leases.go
+++ b/internal/testbed/quotamodel/leases.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	maxRequests = 2   // of leases that a process has open
-	allUnits    = 100 // more than there are
+	maxRequests = 2   // maximum open lease requests of a process
+	allUnits    = 100 // more units than any total here
 )
 
-// leaseSystem is the system of leases: three holders whose shares last, one of them with a fast clock and one with a slow one. A process
-// may be killed, and a message duplicated.
+// leaseSystem returns the system that explores leases. Three processes, with a fast, a true and a slow clock, hold their shares forever and
+// lease units to each other. One process may be killed, and one message may be duplicated.
 func leaseSystem(mutation quota.Mutation, total int64) *system {
 	plan := &quota.Plan{Shares: 3, Voters: []string{"a", "b", "c"}, ShareTerm: 1000 * tick, LeaseTerm: 2 * tick, DriftDivisor: driftDivisor, Revision: 1,
 		QuotaIDs: []uint32{0}, Totals: []int64{total}, Mutation: mutation}
@@ -28,21 +28,21 @@
 	return s
 }
 
-// recallSystem is one of leases in which a lender recalls what it has granted, and no process is killed.
+// recallSystem returns a lease system in which a lender may recall the leases that it has granted, and no process is killed.
 func recallSystem(mutation quota.Mutation) *system {
 	s := leaseSystem(mutation, 3)
 	s.faults.crashes, s.faults.recalls = 0, 1
 	return s
 }
 
-// leaseSuccessorSystem is one of leases in which a holder is killed and has a successor.
+// leaseSuccessorSystem returns a lease system in which a share holder may be killed and followed by a successor.
 func leaseSuccessorSystem(mutation quota.Mutation) *system {
 	s := leaseSystem(mutation, 3)
 	s.faults.crashes, s.faults.successors = 0, 1
 	return s
 }
 
-// checkTotal reports if all processes together hold more than the total.
+// checkTotal returns a violation if all processes together hold more units than the total.
 func checkTotal(s *system) string {
 	sum, parts := int64(0), ""
 	for _, p := range s.processes {
@@ -51,7 +51,7 @@
 		parts += fmt.Sprintf(" %s %d", p, units)
 	}
 	if total := s.plan.Totals[0]; sum > total {
-		return fmt.Sprintf("%d may be used of %d:%s", sum, total, parts)
+		return fmt.Sprintf("%d units may be used, the total is %d:%s", sum, total, parts)
 	}
 	return ""
 }
@@ -61,7 +61,7 @@
 	for i, p := range s.processes {
 		lender := s.processes[(i+1)%len(s.processes)].core.Name()
 		requested, taken, granted := p.core.LeaseCounts()
-		if i != 1 && requested < maxRequests { // the slow one borrows from the fast one, and the fast one from the true one
+		if i != 1 && requested < maxRequests { // the slow process borrows from the fast one, and the fast one from the true one
 			out = append(out, s.transition(fmt.Sprintf("%s requests a lease from %s", p.core.Name(), lender), func(s *system) {
 				s.processes[i].core.RequestLease(0, lender, 1)
 			}))
@@ -101,7 +101,8 @@
 	return out
 }
 
-// restartHolder starts a process anew, which does not claim its share.
+// restartHolder replaces a process by a new one that has no share and does not claim one. Join messages of voters are dropped, because
+// voters take no part in the lease systems.
 func (s *system) restartHolder(i int) {
 	p := s.processes[i]
 	p.core = s.start(p, i)
--- a/internal/testbed/quotamodel/quotamodel_test.go
+++ b/internal/testbed/quotamodel/quotamodel_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestNoStateUpToTheBoundViolatesTheQuota(t *testing.T) {
-	maxStates := 50_000 // .ci/run explores further by magpiebank-testbed
+	maxStates := 50_000 // .ci/run explores more states with magpiebank-testbed
 	if modelcheck.RaceEnabled {
 		maxStates = 10_000
 	}
@@ -27,10 +27,10 @@
 	})
 }
 
-// Each mutation is found by the system that claims to show faults of its kind.
+// For each mutation, the exploration of the system that is meant to reveal this kind of defect finds a violation.
 func TestEveryMutationIsFound(t *testing.T) {
 	if modelcheck.RaceEnabled {
-		t.Skip("made without the race detector")
+		t.Skip("the mutations are explored without the race detector, because it is ten times as slow")
 	}
 	const maxStates = 1_500_000
 	for _, c := range []struct {
@@ -54,7 +54,7 @@
 			r := modelcheck.Explore(c.system, maxStates, maxDepth)
 			t.Log(text(c.description, r))
 			if r.Violation == "" {
-				t.Error("not found")
+				t.Error("the mutation was not found")
 			}
 		})
 	}
--- a/internal/testbed/quotamodel/shares.go
+++ b/internal/testbed/quotamodel/shares.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	maxClaims      = 2 // of a member
+	maxClaims      = 2 // maximum claims of a process of the member
 	noShare        = -1
 	member         = "m"
-	members        = 2 // processes under the member's name
-	longStep       = 7 // ticks, more than a share term
+	members        = 2 // number of processes under the member's name
+	longStep       = 7 // ticks; longer than a share term
 	secondVoter    = 1
 	thirdVoter     = 2
-	firstVoterTwin = 5 // place of another process under the first voter's name
+	firstVoterTwin = 5 // index of another process under the first voter's name
 )
 
-// shareSystem is the system of shares: three voters with a true, a fast and a slow clock, and two processes under the name
-// of one member, for which there is one share. They are killed and doubled as the faults allow, each becoming a process
-// that knows nothing. Time passes by some numbers of ticks.
+// shareSystem returns the system that explores shares: three voters with a true, a fast and a slow clock, and two processes under the name
+// of one member, which claim the only share. As often as f allows, a process is killed and replaced by a new one, or a second process
+// starts under a voter's name; a new process starts without state. Each transition of time advances it by one of the given numbers of
+// ticks.
 func shareSystem(mutation quota.Mutation, f faults, steps ...quota.Time) *system {
 	plan := &quota.Plan{Shares: 1, Voters: []string{"a", "b", "c"}, ShareTerm: 4 * tick, LeaseTerm: tick, DriftDivisor: driftDivisor, Revision: 1,
 		QuotaIDs: []uint32{0}, Totals: []int64{1}, Mutation: mutation}
@@ -30,7 +31,7 @@
 	s.listTransitions = func(s *system) []modelcheck.Transition { return shareTransitions(s, steps) }
 	for i, name := range plan.Voters {
 		p := &process{rate: []quota.Time{trueRate, fastRate, slowRate}[i], core: s.newCore(0, name, uint64(i+1), noShare)}
-		p.core.OpenVoter(0, []uint64{1, 2, 3}, []uint64{1, 2, 3}) // they have long been there
+		p.core.OpenVoter(0, []uint64{1, 2, 3}, []uint64{1, 2, 3}) // the voters have been open for a long time
 		s.processes = append(s.processes, p)
 	}
 	for k := range members {
@@ -41,7 +42,8 @@
 	return s
 }
 
-// voterTwinSystem is one of shares with another process under a voter's name, which one other voter knows. No process is killed.
+// voterTwinSystem returns a share system with a second process, a twin, under the first voter's name. Of the other voters only the third
+// knows the twin. No process is killed.
 func voterTwinSystem(mutation quota.Mutation) *system {
 	s := shareSystem(mutation, faults{}, longStep)
 	s.lastIncarnation++
@@ -54,8 +56,9 @@
 	return s
 }
 
-// forgottenTwinSystem is one of shares with two voters that were both restarted since the third was doubled, and joined by its earlier
-// process: neither has heard of the later one, which has long been there.
+// forgottenTwinSystem returns a share system in which two processes, the earlier one and a later twin, have the first voter's name. The
+// second and the third voter have both restarted since the twin started, and have joined with the help of the earlier process. Neither
+// knows the twin, which has been open for a long time.
 func forgottenTwinSystem(mutation quota.Mutation) *system {
 	s := shareSystem(mutation, faults{}, 1, longStep)
 	s.lastIncarnation, s.pairsOnly = 8, true
@@ -67,8 +70,8 @@
 	return s
 }
 
-// joiningSystem is that with one of the two still to join, by either process of the third. The later one and the other
-// voter have answered it.
+// joiningSystem returns a forgottenTwinSystem in which the third voter has not joined yet, and can join with the help of either process of
+// the first voter. The twin and the second voter have already answered its join message.
 func joiningSystem(mutation quota.Mutation) *system {
 	s := forgottenTwinSystem(mutation)
 	s.processes[thirdVoter].core.RestartJoin()
@@ -85,7 +88,7 @@
 	return c
 }
 
-// checkOneHolder reports if the share has several holders.
+// checkOneHolder returns a violation if several processes hold the share.
 func checkOneHolder(s *system) string {
 	var holders []string
 	for _, p := range s.processes {
@@ -94,7 +97,7 @@
 		}
 	}
 	if len(holders) > 1 {
-		return "one share, held by " + strings.Join(holders, " and ")
+		return "the only share is held by " + strings.Join(holders, " and ")
 	}
 	return ""
 }
@@ -159,13 +162,14 @@
 	return out
 }
 
-// voterSubset is some of the voters' processes, by place in the system.
+// voterSubset is a set of voter processes, identified by their indices in the system.
 type voterSubset struct {
 	processes []int
 	names     string
 }
 
-// voterSubsets returns the subsets that can make a difference: two processes at least.
+// voterSubsets returns the subsets of two or more voter processes, or only the pairs if pairsOnly is set. Smaller subsets change nothing,
+// because they are no majority.
 func voterSubsets(s *system) (out []voterSubset) {
 	var voters []int
 	for i, p := range s.processes {
@@ -188,8 +192,10 @@
 	return out
 }
 
-// deliverQuestions delivers the questions that were just sent at once to those of the processes that have the recipient's name, and to no
-// others. What matters of a question's delay is in that of the answer, because its time counts from the question.
+// deliverQuestions delivers all messages in flight at once, except share confirmations. A message reaches those of the given processes that
+// have the recipient's name. It is lost for all others. Rejections are dropped, because only lease requests react to them. A delay of a
+// claim need not be explored separately: the term of a confirmed share starts at the claim, so that a delay of the confirmation has the same
+// effect.
 func (s *system) deliverQuestions(processes []int) {
 	var questions []envelope
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(e envelope) bool {
--- a/internal/testbed/quotamodel/system.go
+++ b/internal/testbed/quotamodel/system.go
@@ -1,7 +1,8 @@
-// Package quotamodel explores the states of small systems that run the protocol of package quota. Its safety falls into two
-// parts, which meet only in that a lease must end before its lender's share does: a share has one holder at a time,
-// whatever becomes of holders and voters; and of what a holder has, what is leased out and what is left together are never
-// more than it. There is a system for each. Clocks run a quarter fast or slow in them, so that few steps tell.
+// Package quotamodel explores the states of small systems that run the protocol of package quota. The protocol is safe if two properties
+// hold. First, a share has at most one holder at a time, whatever faults its holders and the voters have. Second, the units that a holder
+// has leased out and those that it still uses are together never more than its share. The properties depend on each other only in one
+// point: a lease must end before its lender's share. Therefore the package has separate systems for shares and for leases. Clocks run up
+// to a quarter fast or slow, so that a few steps of time reveal errors in the handling of clock drift.
 package quotamodel
 
 import (
@@ -16,18 +17,18 @@
 
 const (
 	driftDivisor = 4
-	tick         = quota.Time(4) // of a true clock, at each step of time; a fast one goes on by 5, a slow one by 3
-	fastRate     = quota.Time(5)
+	tick         = quota.Time(4) // the time that passes on a true clock in one tick
+	fastRate     = quota.Time(5) // the time that passes on a fast clock in one tick
 	trueRate     = quota.Time(4)
 	slowRate     = quota.Time(3)
-	maxInFlight  = 3 // messages; the oldest of more are lost
+	maxInFlight  = 3 // maximum messages in flight; beyond it the first messages of the list are lost
 )
 
 // envelope is a message in flight.
 type envelope struct {
 	to  string
 	m   quota.Message
-	key string // the message's fields in bytes; equal messages have equal keys
+	key string // the encoded recipient and message; equal envelopes have equal keys
 }
 
 func seal(to string, m quota.Message) envelope {
@@ -45,31 +46,31 @@
 // process is one process of a system.
 type process struct {
 	core *quota.Core
-	rate quota.Time // of its clock, in a tick
+	rate quota.Time // the time that passes on its clock in one tick
 }
 
 func (p *process) String() string {
 	return fmt.Sprintf("%s/%d", p.core.Name(), p.core.Incarnation())
 }
 
-// faults are how often each fault may still happen.
+// faults holds how many times each fault may still happen.
 type faults struct {
-	crashes    int // a process is killed and starts with nothing
-	successors int // a process is killed, and its successor knows that it has ended
-	twins      int // another process starts under the name of one that lives
-	duplicates int // a message is delivered and is still in flight
-	recalls    int // a lender's own requests begin to lack what it has leased out
+	crashes    int // a process is killed and restarts without state
+	successors int // a process is killed, and its successor knows that the process has ended
+	twins      int // a second process starts under the name of a running voter
+	duplicates int // a message is delivered and stays in flight
+	recalls    int // a lender's own requests need the units that it has leased out
 }
 
-// system is a state of a small cluster. It is not changed once made: after returns another one.
+// system is a state of a small cluster. It is immutable: the method after returns a changed copy.
 type system struct {
 	plan            *quota.Plan
-	ticks           quota.Time // that have passed
+	ticks           quota.Time // number of ticks that have passed
 	processes       []*process
 	inFlight        []envelope
 	faults          faults
 	lastIncarnation uint64
-	pairsOnly       bool // of the voters two receive a question, no more
+	pairsOnly       bool // a claim or join message reaches exactly two voter processes, instead of any two or more
 
 	listTransitions func(*system) []modelcheck.Transition
 	check           func(*system) string
@@ -83,13 +84,13 @@
 }
 func (n network) Peers() []string { return nil }
 
-// Transitions returns the system's.
+// Transitions implements modelcheck.State.
 func (s *system) Transitions() []modelcheck.Transition { return s.listTransitions(s) }
 
-// Violation returns what the system's check finds.
+// Violation implements modelcheck.State. It returns the result of the system's check.
 func (s *system) Violation() string { return s.check(s) }
 
-// Key returns the state without absolute times, because all that counts is how far off things are.
+// Key implements modelcheck.State. It encodes times relative to now, because the future of a system does not depend on absolute times.
 func (s *system) Key() []byte {
 	b := []byte{byte(s.faults.crashes), byte(s.faults.successors), byte(s.faults.twins), byte(s.faults.duplicates), byte(s.faults.recalls)}
 	for _, p := range s.processes {
@@ -103,7 +104,7 @@
 	return b
 }
 
-// after returns the system after something is done in a copy of it.
+// after returns a copy of the system that is changed by do.
 func (s *system) after(do func(*system)) modelcheck.State {
 	next := *s
 	next.processes = make([]*process, len(s.processes))
@@ -116,13 +117,13 @@
 	return &next
 }
 
-// transition is one that does something in a copy of the system.
+// transition returns a transition to a copy of the system that is changed by do.
 func (s *system) transition(name string, do func(*system)) modelcheck.Transition {
 	return modelcheck.Transition{Name: name, Next: func() modelcheck.State { return s.after(do) }}
 }
 
-// settle delivers the messages of processes to themselves, which no network loses, loses the oldest of those that are too many, and
-// brings the others into a fixed order.
+// settle delivers the messages of processes to themselves, which no network can lose. Of the other messages it drops the first ones if there
+// are more than maxInFlight, sorts the rest and removes duplicates, so that equivalent states have equal keys.
 func (s *system) settle() {
 	for s.deliverToSelf() {
 	}
@@ -155,7 +156,7 @@
 
 func (s *system) clock(p *process) quota.Time { return s.ticks * p.rate }
 
-// start makes a core of another incarnation under a process's name.
+// start returns a new core with the name of a process and the next incarnation.
 func (s *system) start(p *process, share int) *quota.Core {
 	s.lastIncarnation++
 	return s.newCore(s.clock(p), p.core.Name(), s.lastIncarnation, share)
@@ -165,8 +166,8 @@
 	return quota.New(now, quota.Options{Plan: s.plan, Name: name, Incarnation: incarnation, Share: share, Host: network{s}})
 }
 
-// commonTransitions are those of all systems: time passes, and a message is delivered to a process that has the recipient's
-// name, once or once more.
+// commonTransitions returns the transitions that all systems have. Time passes by one of the given numbers of ticks. A message is delivered
+// to a process that has the recipient's name, and may stay in flight as a duplicate.
 func (s *system) commonTransitions(steps ...quota.Time) (out []modelcheck.Transition) {
 	for _, ticks := range steps {
 		out = append(out, s.transition(fmt.Sprintf("%d ticks pass", ticks), func(s *system) {
--- a/internal/testbed/rolloutmodel/host.go
+++ b/internal/testbed/rolloutmodel/host.go
@@ -5,7 +5,7 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// host is what the core of one process acts on; it implements rollout.Host and rollout.MessageSender.
+// host connects the core of one process to the system. It implements rollout.Host and rollout.MessageSender.
 type host struct {
 	system *system
 	index  int
@@ -16,7 +16,7 @@
 	h.system.inFlight = append(h.system.inFlight, envelope{to, h.system.processes[h.index].name, m})
 }
 
-// Send implements rollout.Host; cores call SendMessage instead.
+// Send implements rollout.Host. Cores never call it, because the host implements rollout.MessageSender.
 func (h host) Send(string, []byte) {}
 
 // Peers implements rollout.Host.
@@ -29,7 +29,7 @@
 	return names
 }
 
-// CheckPolicy implements rollout.Host: every gateway can follow every policy.
+// CheckPolicy implements rollout.Host. Every gateway can follow every policy.
 func (h host) CheckPolicy(_ rollout.Digest, _ []byte, done func(rollout.Parameters, error)) {
 	done(rollout.Parameters{}, nil)
 }
@@ -37,7 +37,7 @@
 // SetInForce implements rollout.Host.
 func (h host) SetInForce(inForce *rollout.InForce) { h.system.processes[h.index].inForce = *inForce }
 
-// SaveRecords implements rollout.Host: a restart takes up what the killed core knew (rollout.Core.LastPolicyRecord).
+// SaveRecords implements rollout.Host. It stores nothing and reports no result: a restarted process starts with the killed core's LastPolicyRecord.
 func (h host) SaveRecords([]consensus.Record, func(error)) {}
 
 // LoadPolicy implements rollout.Host.
--- a/internal/testbed/rolloutmodel/key.go
+++ b/internal/testbed/rolloutmodel/key.go
@@ -8,7 +8,7 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// keyBuilder writes what tells states apart. Times are written as what is left of them, as absolute times don't matter.
+// keyBuilder encodes the key of a state. It encodes times relative to now, because absolute times don't affect what can happen next.
 type keyBuilder struct{ b []byte }
 
 func (k *keyBuilder) numbers(list ...int64) {
@@ -25,7 +25,7 @@
 
 func (k *keyBuilder) text(s string) { k.b = append(append(k.b, s...), 0xff) }
 
-// remaining writes how far off a time is; all times that have passed are alike.
+// remaining appends how long it is from now until t. All times in the past have the same encoding.
 func (k *keyBuilder) remaining(t, now admission.Time) { k.numbers(int64(max(-1, t-now))) }
 
 func asNumber(set bool) int64 {
@@ -35,7 +35,7 @@
 	return 0
 }
 
-// Key is the state without absolute times.
+// Key implements modelcheck.State. The key contains no absolute times.
 func (s *system) Key() []byte {
 	k := &keyBuilder{}
 	k.numbers(int64(s.restarts), int64(s.elections), int64(s.leaseRequests), int64(s.duplicates), int64(len(s.proposals)), int64(s.latestNumber),
@@ -102,7 +102,7 @@
 	}
 }
 
-// addHolder writes what a leader knows of a member. Of sequence numbers only the distance to the latest one matters.
+// addHolder appends a leader's state for one member. It encodes sequence numbers as differences, because their absolute values don't matter.
 func (s *system) addHolder(k *keyBuilder, h *rollout.HolderState, now admission.Time) {
 	k.b = append(k.b, h.Name...)
 	k.numbers(int64(h.Incarnation), int64(h.OverlapWith), int64(h.ReadyFor), asNumber(h.AwaitsConfirmation))
@@ -116,7 +116,8 @@
 	k.flags(h.Excluded, h.AwaitsReply, h.HoldsLease)
 }
 
-// envelopeKey tells messages apart. It has a request's number as its distance to the latest request.
+// envelopeKey returns a key that identifies a message. For a reply, it contains the number of requests that the recipient has sent after the
+// request that is answered, instead of that request's sequence number.
 func (s *system) envelopeKey(e *envelope) string {
 	reply := e.message.LeaseReply
 	if reply == nil {
--- a/internal/testbed/rolloutmodel/model.go
+++ b/internal/testbed/rolloutmodel/model.go
@@ -1,11 +1,12 @@
-// Package rolloutmodel explores the protocol of package rollout: every interleaving of a small system, up to a number of states, with
-// the cores that gateways run. It looks for a gateway that decides by an older policy after another has decided by a newer one.
+// Package rolloutmodel explores the protocol of package rollout: every interleaving of a small system, up to a maximum number of states, with
+// the cores that gateways run. It looks for a gateway that applies an older policy to a request after another gateway has applied a newer one.
 //
-// The system has three voters, of which two can be elected, and a member that doesn't vote; all are gateways, and two policies are
-// proposed. The voters' log is modelled by what a log by majority promises and no more (sharedLog). The clocks of the three run true,
-// a quarter fast and a quarter slow, so that few steps of time show what drift does. The leader that counts always has a lease of its
-// own. All have the texts of both policies. Lease requests arrive at once, unless DelayRequests says otherwise: a lease counts from its
-// request, so that the delay of the reply covers that of the request.
+// The system has three voters, a, b and c, and a member m that doesn't vote. Only a and b can be elected, and c has no process. Voter a and
+// the member are gateways. Voter b is a gateway only if there are elections. Two policies are proposed. The model of the voters' log makes
+// only the guarantees that a replicated log with majority decisions makes (see sharedLog). The clock of a runs true, that of b a quarter fast
+// and that of m a quarter slow, so that a few steps of time reveal errors in the handling of clock drift. While the current leader
+// grants leases, it renews its own after every transition. All processes have the texts of both policies. Lease requests arrive at once unless Options.DelayRequests is set. A lease
+// starts at its request, so that a delay of the reply has the same effect as a delay of the request.
 package rolloutmodel
 
 import (
@@ -17,32 +18,32 @@
 )
 
 const (
-	// Clocks run at most one part in so many fast or slow.
+	// The rate of a clock is wrong by at most 1/clockDriftDivisor.
 	clockDriftDivisor = 4
-	// timeStep is how far a true clock goes at a time; a fast one goes five quarters of it, a slow one three.
+	// timeStep is the time that passes on a true clock in one step. On a fast clock 5/4 of it pass, on a slow clock 3/4.
 	timeStep = rollout.YieldTimeout
-	// maxInFlight is how many messages are under way at most; beyond it the oldest are lost.
+	// maxInFlight is the maximum number of messages in flight. Beyond it the first messages of the list are lost.
 	maxInFlight = 2
-	// maxDepth bounds how many transitions lead to a state.
+	// maxDepth is the maximum number of transitions to a state. It does not limit any exploration in practice.
 	maxDepth = 1000
-	// The member that doesn't vote.
+	// memberIndex and memberName identify the member that doesn't vote.
 	memberIndex = 2
 	memberName  = "m"
-	// No voter leads.
+	// nobody is the value of sharedLog.leader while no voter leads.
 	nobody = -1
 )
 
-// Options are the faults of a model and what its proposals allow.
+// Options are the faults that may happen in a model, and the settings of its proposals.
 type Options struct {
 	Mutation      rollout.Mutation
-	Overlap       admission.Time // for which gateways without a lease may go by what two policies both allow
-	Restarts      int            // of the member, which is killed and starts by its folder
-	Elections     int
-	Duplicates    int  // messages that arrive twice
-	DelayRequests bool // lease requests stay under way like other messages
+	Overlap       admission.Time // how long a gateway without a lease may admit requests that both the old and the new policy allow
+	Restarts      int            // how many times the member may be killed and restarted with its stored state
+	Elections     int            // number of elections after the first
+	Duplicates    int            // number of messages that may arrive twice
+	DelayRequests bool           // lease requests stay in flight like other messages
 }
 
-// New is the model's first state: voter a has led for long, and no policy is in force.
+// New returns the first state of the model: voter a has been the leader for a long time, and no policy is in force.
 func New(options Options) modelcheck.State {
 	config := &rollout.Config{
 		Voters: []string{"a", "b", "c"}, LeaseDuration: 2 * timeStep, PrepareTimeout: timeStep, ClockDriftDivisor: clockDriftDivisor,
@@ -53,7 +54,7 @@
 		delayRequests: options.DelayRequests, leaseRequests: 4, log: sharedLog{leader: nobody},
 	}
 	quarters := []admission.Time{4, 5, 3}
-	s.now = -100 // time steps: long ago, when voter a was elected
+	s.now = -100 // voter a is elected 100 time steps before the first state
 	for i, name := range []string{"a", "b", memberName} {
 		p := &process{name: name, clockQuarters: quarters[i], isGateway: i != 1 || options.Elections > 0}
 		s.processes = append(s.processes, p)
@@ -78,21 +79,21 @@
 	return s
 }
 
-// policyTexts are the texts of the policies that are proposed.
+// policyTexts are the texts of the two proposed policies.
 var policyTexts = [][]byte{[]byte("one"), []byte("two")}
 
-func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) } // what is drawn decides nothing here
+func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) } // the cores need a random source, but the model does not depend on its numbers
 
-// Explore explores the model in some forms, each up to a number of states, and reports the result of each by a name.
+// Explore explores several variants of the model, each up to maxStates states, and calls report with the name and the result of each.
 func Explore(maxStates int, report func(name string, result modelcheck.Result)) {
 	for _, form := range []struct {
 		name    string
 		options Options
 	}{
-		{"the member killed, a message doubled", Options{Restarts: 1, Duplicates: 1}},
+		{"the member is killed, a message is duplicated", Options{Restarts: 1, Duplicates: 1}},
 		{"two elections", Options{Elections: 2}},
-		{"an election, gateways go by what both allow", Options{Elections: 1, Overlap: 4 * timeStep}},
-		{"an election, asks are late", Options{Elections: 1, DelayRequests: true}},
+		{"an election, gateways without a lease admit what both policies allow", Options{Elections: 1, Overlap: 4 * timeStep}},
+		{"an election, lease requests are delayed", Options{Elections: 1, DelayRequests: true}},
 	} {
 		report("policy, 3 voters, 1 member, 2 proposals, "+form.name, modelcheck.Explore(New(form.options), maxStates, maxDepth))
 	}
--- a/internal/testbed/rolloutmodel/model_test.go
+++ b/internal/testbed/rolloutmodel/model_test.go
@@ -10,9 +10,9 @@
 	"magpiebank/internal/testbed/modelcheck"
 )
 
-// The exploration finds nothing in the protocol as it is, and each mutation of it.
+// The exploration finds a violation for each mutation of the protocol, and none without a mutation.
 func TestExplorationFindsMutationsAlone(t *testing.T) {
-	maxStates := 50_000 // .ci/run explores further by magpiebank-testbed
+	maxStates := 50_000 // .ci/run explores more states with magpiebank-testbed
 	if modelcheck.RaceEnabled {
 		maxStates = 5_000
 	}
@@ -30,18 +30,18 @@
 		{"both-forever", Options{Mutation: rollout.IgnoreOverlap, Overlap: 6 * timeStep}},
 	} {
 		if modelcheck.RaceEnabled {
-			break // made without the race detector
+			break // the mutations are explored without the race detector, because it is ten times as slow
 		}
 		if rollout.ParseMutation(c.name) != c.options.Mutation {
-			t.Errorf("%s: names another mutation", c.name)
+			t.Errorf("%s: the name selects another mutation", c.name)
 		}
 		began := time.Now()
 		r := modelcheck.Explore(New(c.options), 600_000, maxDepth)
 		if r.Violation == "" {
-			t.Errorf("%s: not found in %d states, %d deep", c.name, r.States, r.Depth)
+			t.Errorf("%s: no violation found in %d states, depth %d", c.name, r.States, r.Depth)
 			continue
 		}
-		t.Logf("%s: found after %d moves, %d states, %.1f s: %s", c.name, r.Depth, r.States, time.Since(began).Seconds(), r.Violation)
+		t.Logf("%s: violation found at depth %d, after %d states, %.1f s: %s", c.name, r.Depth, r.States, time.Since(began).Seconds(), r.Violation)
 		t.Log(strings.Join(r.Trace, "; "))
 	}
 	Explore(maxStates, func(what string, r modelcheck.Result) {
--- a/internal/testbed/rolloutmodel/system.go
+++ b/internal/testbed/rolloutmodel/system.go
@@ -10,51 +10,51 @@
 	"magpiebank/internal/testbed/modelcheck"
 )
 
-// system is one state of the model; it implements modelcheck.State.
+// system is one state of the model. It implements modelcheck.State.
 type system struct {
 	config        *rollout.Config
-	now           admission.Time // in time steps
+	now           admission.Time // number of time steps
 	log           sharedLog
 	processes     []*process
 	inFlight      []envelope
-	proposals     []*rollout.LoggedProposal // still to be made
-	starts        uint64                    // incarnations so far
+	proposals     []*rollout.LoggedProposal // not appended to the log yet
+	starts        uint64                    // number of process starts, which is also the last incarnation
 	delayRequests bool
 
-	// Faults and lease requests that may still come.
+	// How many times each fault, and a lease request by the member, may still happen.
 	restarts, elections, duplicates, leaseRequests int
 
-	latestNumber uint64 // the highest that any gateway has decided by
-	latestBy     string // which gateway
+	latestNumber uint64 // the highest policy number that any gateway has applied
+	latestBy     string // the first gateway that applied it
 	violation    string
 }
 
-// process is one process: a core, its clock, and its replica of the log if it votes.
+// process is one process: a core, its clock, and its replica of the log if it is a voter.
 type process struct {
 	name          string
 	incarnation   uint64
 	core          *rollout.Core
-	replica       *replica       // nil: it doesn't vote
-	clockQuarters admission.Time // quarters of a time step that its clock goes at a time
-	isGateway     bool           // it goes by policies
+	replica       *replica       // nil: not a voter
+	clockQuarters admission.Time // how far its clock advances in one time step, in quarters of timeStep
+	isGateway     bool           // it applies policies to requests
 	inForce       rollout.InForce
 }
 
 func (p *process) label() string { return fmt.Sprintf("%s/%d", p.name, p.incarnation) }
 
-// envelope is a message under way.
+// envelope is a message in flight.
 type envelope struct {
 	to, from string
 	message  *rollout.Message
 }
 
-// clock is the time by the clock of a process.
+// clock returns the time on the clock of a process.
 func (s *system) clock(p *process) admission.Time { return s.now * timeStep * p.clockQuarters / 4 }
 
-// Violation is the first decision by an older policy.
+// Violation implements modelcheck.State. It describes the first application of an older policy, if there was one.
 func (s *system) Violation() string { return s.violation }
 
-// start has a process start with what its folder holds.
+// start starts a process with its stored state, or without one.
 func (s *system) start(index int, stored *rollout.StoredState) {
 	p := s.processes[index]
 	s.starts++
@@ -65,8 +65,8 @@
 	}
 }
 
-// elect has a voter lead by a majority. It is told first what was decided before it, and with keepAppended also what the last leader
-// appended.
+// elect makes a voter the current leader. Before it leads, all entries decided so far are applied to its core. With keepAppended, the
+// undecided entry that the last leader appended is decided; without it, that entry is lost.
 func (s *system) elect(index int, keepAppended bool) {
 	log := &s.log
 	log.term++
@@ -84,14 +84,14 @@
 	p.core.LogHost().LeadershipChanged(log.term)
 }
 
-// decideNext has a majority have what the leader appended.
+// decideNext decides the entry that the leader appended, as if a majority had stored it, and applies it to the leader's core.
 func (s *system) decideNext() {
 	log := &s.log
 	log.decided, log.next = append(log.decided, log.next), nil
 	s.processes[log.leader].replica.applyNext()
 }
 
-// after is the state after a transition, which changes a copy.
+// after returns a copy of the system that is changed by change.
 func (s *system) after(change func(*system)) modelcheck.State {
 	next := *s
 	next.log.decided = slices.Clone(s.log.decided)
@@ -111,8 +111,8 @@
 	return &next
 }
 
-// settle does what nothing can come between, renews the lease of the leader that counts, loses the oldest of too many messages, and
-// checks who decides by what.
+// settle completes a transition. It runs the immediate events, renews the current leader's own lease, drops the first messages if more than
+// maxInFlight are in flight, sorts the rest and removes duplicates, and checks which policy each gateway applies.
 func (s *system) settle() {
 	s.runImmediate()
 	if i := s.log.leader; i != nobody && s.processes[i].replica.counts() && s.processes[i].core.GrantsLeases() {
@@ -131,8 +131,9 @@
 	p.core.RequestLease(s.clock(p), leader, 100*s.config.LeaseDuration)
 }
 
-// runImmediate does all that nothing can come between: messages of processes to themselves, lease requests unless they are delayed,
-// confirmations by a majority, and decisions where no election can come before them.
+// runImmediate runs the events that happen before any other transition: messages of processes to themselves, lease requests unless they are
+// delayed, a majority's confirmations for the current leader, and the decision of the appended entry. If elections are still possible, an
+// entry that puts a policy in force is not decided here, because an election may come first.
 func (s *system) runImmediate() {
 	for again := true; again; {
 		again = s.deliverImmediate()
@@ -151,8 +152,8 @@
 	}
 }
 
-// deliverImmediate delivers the first message that arrives at once, and tells whether there was one. A request of a process that was
-// killed since is lost.
+// deliverImmediate delivers the first message in flight that has no delay, and reports whether there was one. A message of a process to
+// itself is lost if the process has been killed since.
 func (s *system) deliverImmediate() bool {
 	immediate := func(e envelope) bool { return e.to == e.from || e.message.LeaseRequest != nil && !s.delayRequests }
 	i := slices.IndexFunc(s.inFlight, immediate)
@@ -172,7 +173,7 @@
 	return true
 }
 
-// isRunning tells whether an incarnation of a process still runs.
+// isRunning reports whether an incarnation of a process is still running.
 func (s *system) isRunning(name string, incarnation uint64) bool {
 	return slices.ContainsFunc(s.processes, func(p *process) bool { return p.name == name && p.incarnation == incarnation })
 }
@@ -183,7 +184,8 @@
 	}
 }
 
-// checkDecisions takes each gateway that may decide as deciding now. Gateways that lag come first, as all decide at one instant.
+// checkDecisions treats every gateway that may apply a policy as if it did so now. Gateways whose policy number is not higher than the highest
+// number applied before are checked first, because all of them apply their policies at the same instant.
 func (s *system) checkDecisions() {
 	for _, newer := range []bool{false, true} {
 		for _, p := range s.processes {
@@ -202,14 +204,15 @@
 		s.latestNumber, s.latestBy = inForce.Number, p.label()
 	case s.violation != "":
 	case holds && inForce.Number < s.latestNumber:
-		s.violation = fmt.Sprintf("%s decides by number %d, after %s has decided by %d", p.label(), inForce.Number, s.latestBy, s.latestNumber)
+		s.violation = fmt.Sprintf("%s applies policy number %d after %s has applied number %d", p.label(), inForce.Number, s.latestBy, s.latestNumber)
 	case holds:
 	case inForce.OverlapDigest != (rollout.Digest{}) && now < inForce.OverlapUntil && !s.allowsOverlap(inForce):
-		s.violation = fmt.Sprintf("%s decides by what number %d and a proposal allow, after %s has decided by %d", p.label(), inForce.Number, s.latestBy, s.latestNumber)
+		s.violation = fmt.Sprintf("%s applies the overlap of policy number %d and a proposal after %s has applied number %d", p.label(), inForce.Number, s.latestBy, s.latestNumber)
 	}
 }
 
-// allowsOverlap tells whether the latest policy decided by is one of the two whose overlap a gateway goes by.
+// allowsOverlap reports whether a gateway may still apply the overlap of two policies: the policy with the highest number applied so far must
+// be one of the two, or an earlier one.
 func (s *system) allowsOverlap(inForce *rollout.InForce) bool {
 	if s.latestNumber == inForce.Number+1 {
 		return s.digestOf(s.latestNumber) == inForce.OverlapDigest
@@ -217,7 +220,7 @@
 	return s.latestNumber <= inForce.Number
 }
 
-// digestOf is the policy of a number, as the log has it.
+// digestOf returns the digest of the policy with a number, according to the log.
 func (s *system) digestOf(number uint64) rollout.Digest {
 	var table rollout.Table
 	for _, entry := range s.log.decided {
--- a/internal/testbed/rolloutmodel/transitions.go
+++ b/internal/testbed/rolloutmodel/transitions.go
@@ -8,7 +8,7 @@
 	"magpiebank/internal/testbed/modelcheck"
 )
 
-// transitionList collects the transitions from one state.
+// transitionList collects the transitions that are possible in one state.
 type transitionList struct {
 	system *system
 	list   []modelcheck.Transition
@@ -18,7 +18,7 @@
 	t.list = append(t.list, modelcheck.Transition{Name: name, Next: func() modelcheck.State { return t.system.after(change) }})
 }
 
-// Transitions are all that can happen next, in a fixed order.
+// Transitions implements modelcheck.State.
 func (s *system) Transitions() []modelcheck.Transition {
 	t := &transitionList{system: s}
 	t.add("time passes", (*system).passTime)
@@ -41,7 +41,8 @@
 	}
 }
 
-// addMember adds what a gateway that doesn't vote may do.
+// addMember adds the transitions of a gateway that doesn't vote: it requests a lease from a voter that believes that it leads, or it is killed
+// and restarts.
 func (t *transitionList) addMember(index int) {
 	member := t.system.processes[index]
 	for _, voter := range t.system.processes {
@@ -49,13 +50,13 @@
 			continue
 		}
 		leader := voter.name
-		t.add(member.label()+" asks "+leader, func(s *system) {
+		t.add(member.label()+" requests a lease from "+leader, func(s *system) {
 			s.leaseRequests--
 			s.requestLease(s.processes[index], leader)
 		})
 	}
 	if t.system.restarts > 0 {
-		t.add(member.label()+" is killed and starts by its folder", func(s *system) {
+		t.add(member.label()+" is killed and restarts with its stored state", func(s *system) {
 			s.restarts--
 			floor := member.core.LastPolicyRecord()
 			stored := &rollout.StoredState{}
@@ -65,13 +66,14 @@
 	}
 }
 
-// addVoter adds what may happen to a voter and, while it is the leader that counts, to what it appends.
+// addVoter adds the transitions of a voter: its elections and, after another election, the news that it does not lead any more. For the
+// current leader it adds the decision of the appended entry or, if there is none, the next proposal.
 func (t *transitionList) addVoter(index int) {
 	s := t.system
 	voter := s.processes[index]
 	t.addElections(index)
 	if voter.replica.term > 0 && voter.replica.term < s.log.term {
-		t.add(voter.label()+" learns that another leads", func(s *system) {
+		t.add(voter.label()+" learns that another voter leads", func(s *system) {
 			p := s.processes[index]
 			p.replica.term, p.replica.pendingRead = 0, 0
 			p.core.LogHost().LeadershipChanged(0)
@@ -81,18 +83,19 @@
 		return
 	}
 	if s.log.next != nil {
-		t.add("what "+voter.label()+" appended is decided", (*system).decideNext)
+		t.add("the entry that "+voter.label()+" appended is decided", (*system).decideNext)
 		return
 	}
 	if len(s.proposals) > 0 {
-		t.add(fmt.Sprintf("%s takes in proposal %d", voter.label(), s.proposals[0].ID), func(s *system) {
+		t.add(fmt.Sprintf("%s appends proposal %d", voter.label(), s.proposals[0].ID), func(s *system) {
 			s.processes[index].core.AppendProposal(s.proposals[0])
 			s.proposals = s.proposals[1:]
 		})
 	}
 }
 
-// addElections adds the elections that a voter may win: with what the last leader appended, if there is something, and without it.
+// addElections adds the elections that a voter may win: without the entry that the last leader appended and, if there is such an entry, with
+// it.
 func (t *transitionList) addElections(index int) {
 	s := t.system
 	voter := s.processes[index]
@@ -107,24 +110,25 @@
 	}
 	elect(voter.label()+" is elected", false)
 	if s.log.next != nil {
-		elect(voter.label()+" is elected, and has what was appended before", true)
+		elect(voter.label()+" is elected and keeps the entry that was appended before", true)
 	}
 }
 
-// addDeliveries adds the arrival of each message under way, and its arrival with a duplicate left.
+// addDeliveries adds the delivery of each message in flight and, while duplicates may happen, a delivery after which the message stays in
+// flight.
 func (t *transitionList) addDeliveries() {
 	for i, e := range t.system.inFlight {
 		for k, p := range t.system.processes {
 			if p.name != e.to {
 				continue
 			}
-			name := fmt.Sprintf("%s of %s/%d comes to %s", describe(e.message), e.from, e.message.Incarnation, p.label())
+			name := fmt.Sprintf("%s of %s/%d is delivered to %s", describe(e.message), e.from, e.message.Incarnation, p.label())
 			t.add(name, func(s *system) {
 				s.inFlight = slices.Delete(s.inFlight, i, i+1)
 				s.deliver(s.processes[k], e)
 			})
 			if t.system.duplicates > 0 {
-				t.add(name+", and is still under way", func(s *system) {
+				t.add(name+", and is still in flight", func(s *system) {
 					s.duplicates--
 					s.deliver(s.processes[k], e)
 				})
@@ -133,20 +137,20 @@
 	}
 }
 
-// describe names a message in a trace.
+// describe returns the name of a message for a trace and for envelopeKey.
 func describe(m *rollout.Message) string {
 	request, reply := m.LeaseRequest, m.LeaseReply
 	switch {
 	case request != nil && request.ReleasedFor != 0:
 		return fmt.Sprintf("release %d", request.Seq)
 	case request != nil:
-		return fmt.Sprintf("ask %d", request.Seq)
+		return fmt.Sprintf("lease request %d", request.Seq)
 	case reply != nil && reply.YieldFor != 0:
-		return "word to yield"
+		return "request to yield"
 	case reply != nil && reply.Lease > 0:
-		return fmt.Sprintf("lease on %d for ask %d", reply.Decided.Number, reply.Seq)
+		return fmt.Sprintf("lease on policy number %d for request %d", reply.Decided.Number, reply.Seq)
 	case reply != nil:
-		return fmt.Sprintf("word that %d is in force", reply.Decided.Number)
+		return fmt.Sprintf("notice that policy number %d is in force", reply.Decided.Number)
 	}
 	return "message"
 }
--- a/internal/testbed/simcluster/cluster.go
+++ b/internal/testbed/simcluster/cluster.go
@@ -1,6 +1,6 @@
-// Package simcluster runs a cluster of some hundred members in one process, in virtual time under a seeded schedule: the same
-// cores that gateways run, with links that lose, delay, duplicate and cut messages, processes that die, stop and come back,
-// and clocks that drift. The same seed gives the same run.
+// Package simcluster simulates a cluster of up to several hundred members in one process, in virtual time and with a seeded random schedule.
+// Members run the same cores as gateways. Links lose, delay, duplicate and cut off messages, processes are killed, paused and restarted, and
+// clocks drift. The same seed gives the same run.
 package simcluster
 
 import (
@@ -12,14 +12,14 @@
 	"magpiebank/internal/cluster/membership"
 )
 
-// Time is virtual, in tenths of a millisecond from the run's begin.
+// Time is virtual time in tenths of a millisecond since the start of the run.
 type Time = admission.Time
 
 // Link describes the path of a message from one process to another.
 type Link struct {
 	Cut             bool
-	Loss, Duplicate float64 // shares
-	Delay, Jitter   Time    // Jitter is the most that a random part adds to Delay
+	Loss, Duplicate float64 // shares of the messages that are lost and that arrive twice
+	Delay, Jitter   Time    // Jitter is the maximum of a random time that is added to Delay
 }
 
 // Process is one member of a cluster.
@@ -29,22 +29,22 @@
 	Core              *membership.Core
 	HealthReports     *healthreport.Table
 	Up                bool
-	Sent              int64 // bytes
-	Messages          int64
-	healthReportBytes int64 // of Sent
+	Sent              int64 // number of bytes sent
+	Messages          int64 // number of messages sent
+	healthReportBytes int64 // number of bytes of health reports included in Sent
 	cluster           *Cluster
-	incarnation       int     // timers of an earlier process under this name are ignored
-	pausedUntil       Time    // 0: it runs
-	clockRate         float64 // against the virtual time
+	incarnation       int     // number of starts and kills; timers set before the last one are ignored
+	pausedUntil       Time    // 0: not paused
+	clockRate         float64 // speed of its clock relative to virtual time
 	clockOffset       Time
-	waiting           []event // that came while it was paused
+	waiting           []event // events that happened during the pause
 	timerSet          bool
 }
 
-// MembershipChange is one change that a member noticed.
+// MembershipChange is a change of a member's state that another member noticed.
 type MembershipChange struct {
 	At     Time
-	By     int
+	By     int // index of the process that noticed the change
 	Code   membership.EventCode
 	Member membership.Member
 }
@@ -65,10 +65,10 @@
 
 const (
 	firstIncarnation = 1000
-	messageOverhead  = 28 + 60 // bytes of the datagram's own headers, and what sealing adds
+	messageOverhead  = 28 + 60 // bytes that the headers of the datagram and the encryption add to a message
 )
 
-// New creates a cluster of so many processes, none of which is up. The first two are the seeds of all.
+// New creates a cluster of size processes, none of which is up. The first two are the seeds of all processes.
 func New(size int, seed uint64) *Cluster {
 	cluster := &Cluster{random: rand.New(rand.NewPCG(seed, 1)), lastIncarnation: firstIncarnation, seeds: []string{"a0", "a1"}}
 	cluster.Link = func(int, int) Link { return Link{Delay: 10, Jitter: 20} }
@@ -78,7 +78,8 @@
 	return cluster
 }
 
-// Start starts a process; its incarnation is later than any before, unless one is named, as by a clock that is behind.
+// Start starts a process. For incarnation 0, the process gets a later incarnation than any process started before. A test can set an earlier
+// incarnation, which a process whose clock is behind would have.
 func (p *Process) Start(incarnation uint64) {
 	cluster := p.cluster
 	cluster.lastIncarnation++
@@ -99,7 +100,7 @@
 	p.incarnation++
 }
 
-// Pause stops a process for a time; what comes meanwhile waits for it.
+// Pause stops a process for a time. The process handles the events of that time at the end of the pause.
 func (p *Process) Pause(length Time) {
 	if !p.Up || p.pausedUntil != 0 {
 		return
@@ -119,7 +120,7 @@
 	})
 }
 
-// SetClockRate has the process's clock run at a rate from now on.
+// SetClockRate sets the speed of the process's clock relative to virtual time, from now on.
 func (p *Process) SetClockRate(rate float64) {
 	now := p.clock()
 	p.clockRate = rate
@@ -128,7 +129,7 @@
 
 func (p *Process) clock() Time { return Time(float64(p.cluster.Now)*p.clockRate) + p.clockOffset }
 
-// membershipHost carries out what a process's membership decides.
+// membershipHost sends the messages of a process's membership core and records the changes that it notices. It implements membership.Host.
 type membershipHost struct{ process *Process }
 
 // Send implements membership.Host.
@@ -152,7 +153,7 @@
 	cluster.Changes = append(cluster.Changes, change)
 }
 
-// processAt finds a process by its address, as "a7".
+// processAt returns the process with an address such as "a7".
 func (c *Cluster) processAt(address string) (process *Process, ok bool) {
 	var index int
 	_, err := fmt.Sscanf(address, "a%d", &index)
@@ -179,7 +180,7 @@
 	}
 }
 
-// countTrue is 1 for true, and 0 for false.
+// countTrue returns 1 for true and 0 for false.
 func countTrue(condition bool) int {
 	if condition {
 		return 1
@@ -187,7 +188,7 @@
 	return 0
 }
 
-// SendHealthReport has a process send its health report to all members that it takes to be alive.
+// SendHealthReport sends the process's health report to all members that the process considers alive or suspects.
 func (p *Process) SendHealthReport() {
 	if !p.Up || p.pausedUntil > 0 {
 		return
@@ -214,14 +215,14 @@
 	}
 	now := p.clock()
 	switch received.kind {
-	case eventCall: // carried out by the cluster
+	case eventCall: // Cluster.Run handles it
 	case eventTimer:
 		p.timerSet = false
 		p.Core.Tick(now)
 	case eventMembership:
-		_ = p.Core.HandleMessage(now, received.message) // messages that can't be used are dropped, as by gateways
+		_ = p.Core.HandleMessage(now, received.message) // invalid messages are dropped, as gateways do
 	case eventHealthReport:
-		_ = p.HealthReports.HandleMessage(now, sourceOf(received.from.Core.Self()), received.message) // likewise
+		_ = p.HealthReports.HandleMessage(now, sourceOf(received.from.Core.Self()), received.message) // invalid messages are dropped, as gateways do
 	}
 	p.setTimer()
 }
@@ -230,7 +231,7 @@
 	return healthreport.Source{Name: member.Name, Incarnation: member.Incarnation}
 }
 
-// setTimer schedules the next tick of the membership.
+// setTimer schedules the next tick of the membership core.
 func (p *Process) setTimer() {
 	if p.timerSet || !p.Up {
 		return
@@ -240,7 +241,7 @@
 	p.cluster.push(event{at: p.cluster.Now + wait, to: p, incarnation: p.incarnation, kind: eventTimer})
 }
 
-// Run advances the virtual time.
+// Run advances the virtual time and handles the events until then.
 func (c *Cluster) Run(until Time) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		next := c.events.popFirst()
@@ -248,22 +249,22 @@
 		switch {
 		case next.call != nil:
 			next.call()
-		case next.to.Up && (next.kind != eventTimer || next.incarnation == next.to.incarnation): // a message reaches whoever has the address by then
+		case next.to.Up && (next.kind != eventTimer || next.incarnation == next.to.incarnation): // a message reaches the process that has the address on arrival
 			next.to.handle(next)
 		}
 	}
 	c.Now = until
 }
 
-// Start starts all processes, spread over a time, and lets them find each other.
+// Start schedules the start of all processes, evenly spread over a time.
 func (c *Cluster) Start(over Time) {
 	for index, process := range c.Processes {
 		c.Schedule(c.Now+over*Time(index)/Time(len(c.Processes)), func() { process.Start(0) })
 	}
 }
 
-// WrongViews counts the ordered pairs of processes that are up of which the first doesn't take the second to be alive, or
-// not under the right incarnation.
+// WrongViews counts the ordered pairs of processes that are up in which the first process considers the second neither alive nor suspected,
+// or knows it by a wrong incarnation.
 func (c *Cluster) WrongViews() (wrong int) {
 	for _, viewer := range c.Processes {
 		if !viewer.Up || viewer.Core.IsInactive() {
--- a/internal/testbed/simcluster/counter_cluster.go
+++ b/internal/testbed/simcluster/counter_cluster.go
@@ -10,15 +10,15 @@
 	"magpiebank/internal/cluster/counters"
 )
 
-// counterCluster is a simulated cluster whose processes share counts of their requests.
+// counterCluster is a simulated cluster whose processes share the counts of their requests with each other.
 type counterCluster struct {
 	network[counterMessage]
 	members         []*counterMember
 	starts          uint64
-	eventsPerSecond float64 // at each process: arrivals, attempts and ends of requests
+	eventsPerSecond float64 // rate at each process of requests that arrive, start to run, or end
 }
 
-// counterMember is one process, and its true counts.
+// counterMember is one process and the history of its true counts.
 type counterMember struct {
 	cluster     *counterCluster
 	index       int
@@ -33,7 +33,8 @@
 	nextEventAt Time
 }
 
-// countChange are the true counts of one incarnation from a time on, by counters.Waiting, Running and Attempted.
+// countChange holds the true counts of one incarnation from a time on. The indices of counts are counters.Waiting, counters.Running and
+// counters.Attempted.
 type countChange struct {
 	at          Time
 	counts      [3]int64
@@ -46,7 +47,8 @@
 	bytes       []byte
 }
 
-// The most requests that a process has in flight, and for how long.
+// Limits for the requests of a process: how many are in flight at a time, and how long a request runs. The second is only an option of the
+// core; the simulation does not end requests by it.
 const (
 	maxInFlight = 40
 	maxRunTime  = 4 * admission.Second
@@ -66,12 +68,12 @@
 
 func (p *counterMember) clock() Time { return Time(float64(p.cluster.now)*p.clockRate + p.clockOffset) }
 
-// timeAt is the time at which its clock showed a value.
+// timeAt returns the virtual time at which the process's clock showed a value.
 func (p *counterMember) timeAt(clock Time) Time {
 	return Time((float64(clock) - p.clockOffset) / p.clockRate)
 }
 
-// start starts the process, or starts it again.
+// start starts or restarts the process.
 func (p *counterMember) start() {
 	p.cluster.starts++
 	p.incarnation, p.up, p.nextEventAt = p.cluster.starts, true, p.cluster.now
@@ -79,7 +81,7 @@
 	p.core = counters.New(p.clock(), counters.Options{Name: p.name, MaxProcesses: len(p.cluster.members), MaxInFlight: maxInFlight, LongestRequest: maxRunTime, Host: p})
 }
 
-// kill ends the process: it has no requests any more.
+// kill ends the process and all its requests.
 func (p *counterMember) kill() {
 	p.up = false
 	p.recordTrueCounts([3]int64{})
@@ -105,10 +107,10 @@
 	return names
 }
 
-// lookClass is the class of which the requests are counted besides all.
+// lookClass is a class. All requests belong to it, so that they are counted once in total and once for the class.
 var lookClass = counters.Key{Kind: counters.KindClass, Name: "look"}
 
-// tick has requests arrive, be sent and end.
+// tick simulates the due events of requests: a request arrives, starts to run, or ends.
 func (p *counterMember) tick() {
 	now := p.clock()
 	for p.nextEventAt <= p.cluster.now {
@@ -137,7 +139,7 @@
 func (c *counterCluster) simulate(length Time, check func()) {
 	c.advance(length, func(d datagram[counterMessage]) {
 		if p := c.members[d.to]; p.isRunning() {
-			_ = p.core.HandleMessage(p.clock(), c.members[d.from].name, d.message.incarnation, d.message.bytes) // one that can't be read is dropped
+			_ = p.core.HandleMessage(p.clock(), c.members[d.from].name, d.message.incarnation, d.message.bytes) // invalid messages are dropped
 		}
 	}, func() {
 		for _, p := range c.members {
@@ -148,8 +150,9 @@
 	}, check)
 }
 
-// trueRange is the range of the true sum of a count at a time, as clocks show tenths of a millisecond. Attempts are those since the
-// start of a process: of one that is dead, or was started again, a reader may know the earlier ones.
+// trueRange returns the range of the true sum of a count over all processes at a time. It is a range because clocks show only tenths of a
+// millisecond, and because a process counts attempts since its start: for a process that is dead or has restarted, a reader may still know
+// the attempts of an earlier incarnation.
 func (c *counterCluster) trueRange(count int, at Time) (low, high int64) {
 	for _, p := range c.members {
 		ownLow, ownHigh := p.trueRange(count, at)
@@ -170,7 +173,7 @@
 	for k := first; k < len(changes) && (k < next || changes[k].at <= at+1); k++ {
 		value := changes[k].counts[count]
 		if k < next-1 && changes[k+1].incarnation == changes[k].incarnation && changes[k+1].counts[count] >= value {
-			continue // of each incarnation the last one counts
+			continue // the next value of the same incarnation replaces this one, unless it is lower, as after a kill
 		}
 		high = max(high, value)
 		if low < 0 || value < low {
@@ -180,7 +183,7 @@
 	return max(0, low), high
 }
 
-// checkReading takes a reading at one process, and tells which of its ranges doesn't contain the truth; empty: all do.
+// checkReading takes a reading at one process. It returns a violation if a range of the reading does not contain the true count.
 func (c *counterCluster) checkReading(p *counterMember) (reading counters.Reading, violation string) {
 	reading = p.core.TakeReading(p.clock(), counters.Key{}, lookClass)
 	at := p.timeAt(p.clock() - reading.Age)
@@ -188,7 +191,7 @@
 		for count, claimed := range counts.Ranges {
 			low, high := c.trueRange(count, at)
 			if claimed.Low > high || claimed.High >= 0 && claimed.High < low {
-				return reading, fmt.Sprintf("%.3f s, %s: as of %.3f s ago figure %d of %v %s in [%d, %d], in truth %d", float64(c.now)/float64(admission.Second), p.name,
+				return reading, fmt.Sprintf("%.3f s, %s: the reading of %.3f s ago has count %d of %v %s in [%d, %d], the true count is %d", float64(c.now)/float64(admission.Second), p.name,
 					float64(reading.Age)/float64(admission.Second), count, counts.Kind, counts.Name, claimed.Low, claimed.High, low)
 			}
 		}
@@ -196,21 +199,22 @@
 	return reading, ""
 }
 
-// CounterResult is how close readings of shared counts come to the truth.
+// CounterResult describes how accurate the readings of shared counts are.
 type CounterResult struct {
 	Members int
-	Age     Time    // of a reading, in the mean
-	Width   float64 // of the range of running requests, against their number
-	Silent  float64 // processes of which a reading knows nothing, in the mean
-	Bytes   float64 // a second a member
-	Wrong   int     // readings whose range didn't contain the truth
-	Reads   int
+	Age     Time    // mean age of a reading
+	Width   float64 // mean width of the range of running requests, divided by their mean number
+	Silent  float64 // mean number of processes that are unknown to a reading
+	Bytes   float64 // bytes sent per second and member
+	Wrong   int     // number of readings in which a range did not contain the true count
+	Reads   int     // number of readings
 }
 
-// stepsPerReading is how many steps of the clock lie between two readings.
+// stepsPerReading is the number of simulation steps from one reading to the next.
 const stepsPerReading = 5
 
-// MeasureCounters measures a cluster whose messages are lost with some probability, over ten seconds once all have heard of each other.
+// MeasureCounters measures ten seconds of a cluster with n members that loses messages with a probability of loss. Before, it lets the cluster
+// run until all members have received messages from all others.
 func MeasureCounters(n int, loss float64, seed uint64) CounterResult {
 	c := newCounterCluster(seed, n)
 	c.loss = loss
@@ -245,7 +249,7 @@
 	return result
 }
 
-// WriteCounters writes results as a table.
+// WriteCounters writes a list of results as a table.
 func WriteCounters(out io.Writer, list []CounterResult) {
 	fmt.Fprintln(out, "members  reading's age s  interval / tasks that run  silent  bytes/s a member  wrong of readings")
 	for _, c := range list {
--- a/internal/testbed/simcluster/counter_cluster_test.go
+++ b/internal/testbed/simcluster/counter_cluster_test.go
@@ -6,7 +6,7 @@
 	"magpiebank/internal/admission"
 )
 
-// counterFault has a fault happen to a random process or to the network, or ends one.
+// counterFault injects a random fault into a random process or the network, or ends a fault.
 func (c *counterCluster) counterFault() {
 	p := c.members[c.random.IntN(len(c.members))]
 	switch c.random.IntN(6) {
@@ -15,7 +15,7 @@
 			p.kill()
 		}
 	case 1:
-		if !p.up { // an earlier process of the name is surely gone
+		if !p.up { // no two processes with one name run at a time
 			p.start()
 		}
 	case 2:
@@ -24,13 +24,14 @@
 		n := c.random.IntN(3)
 		c.cut = func(from, to int) bool { return from%3 == n != (to%3 == n) }
 	case 4:
-		c.cut = func(from, to int) bool { return from < 4 && to >= 4 } // one way
+		c.cut = func(from, to int) bool { return from < 4 && to >= 4 } // in one direction only
 	case 5:
 		c.cut = nil
 	}
 }
 
-// Whatever is lost, late, duplicated, cut, killed, started again or paused, and however clocks run: the truth is in the interval.
+// Every range of a reading contains the true count, although messages are lost, delayed, duplicated and cut off, processes are killed, restarted
+// and paused, and clocks run at different rates.
 func TestTruthInInterval(t *testing.T) {
 	reads, silent, widest := 0, 0, int64(0)
 	for seed := range uint64(6) {
@@ -59,17 +60,17 @@
 			c.simulate(Time(100+c.random.IntN(1900))*admission.Millisecond, check)
 		}
 	}
-	t.Logf("%d readings, %d of them with silent processes; at most %d wide with none", reads, silent, widest)
+	t.Logf("%d readings, %d of them with unknown processes; without unknown processes, the widest range is %d", reads, silent, widest)
 	if silent == 0 || silent == reads {
-		t.Error("both kinds of readings were expected")
+		t.Error("expected readings with and without unknown processes")
 	}
 }
 
-// A reading is fresh and narrow while all are heard.
+// Readings are recent and their ranges are narrow while messages arrive from all members.
 func TestReadingsAreFreshAndNarrow(t *testing.T) {
 	c := MeasureCounters(32, 0, 1)
 	t.Logf("%+v", c)
 	if c.Wrong > 0 || c.Silent > 0 || c.Age > 2*second || c.Width > 1.5 {
-		t.Error("expected nothing wrong or silent, 2 s of age and one and a half times what runs at most")
+		t.Error("expected no wrong readings, no unknown processes, an age of at most 2 s, and a range at most 1.5 times as wide as the number of running requests")
 	}
 }
--- a/internal/testbed/simcluster/event_queue.go
+++ b/internal/testbed/simcluster/event_queue.go
@@ -5,16 +5,16 @@
 type eventKind uint8
 
 const (
-	eventCall         eventKind = iota // a scheduled function
-	eventMembership                    // a message of the membership
-	eventHealthReport                  // a message with a health report
-	eventTimer
+	eventCall         eventKind = iota // a call of a scheduled function
+	eventMembership                    // the arrival of a membership message
+	eventHealthReport                  // the arrival of a health report
+	eventTimer                         // a tick of the membership core
 )
 
-// event is something that happens at a time.
+// event is a scheduled event.
 type event struct {
 	at          Time
-	order       uint64 // of events at one time
+	order       uint64 // events at the same time happen in this order
 	to          *Process
 	incarnation int
 	from        *Process
@@ -23,7 +23,7 @@
 	call        func()
 }
 
-// eventQueue is a heap of events by their time and order.
+// eventQueue is a heap of events, sorted by time and order.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -49,12 +49,12 @@
 func mustBeEvent(item any) event {
 	asserted, ok := item.(event)
 	if !ok {
-		panic("simcluster: the queue holds events alone")
+		panic("simcluster: the event queue contains a value that is not an event")
 	}
 	return asserted
 }
 
-// Schedule calls a function at a time.
+// Schedule schedules a call of a function at a time.
 func (c *Cluster) Schedule(at Time, call func()) { c.push(event{at: at, call: call}) }
 
 func (c *Cluster) push(pushed event) {
--- a/internal/testbed/simcluster/health_reports.go
+++ b/internal/testbed/simcluster/health_reports.go
@@ -8,48 +8,49 @@
 	"magpiebank/internal/admission"
 )
 
-// HealthReportResult is the result of sharing health reports in a cluster whose members send requests to engines drawn at random.
+// HealthReportResult is the result of a simulation in which members send requests to random engines and exchange health reports.
 type HealthReportResult struct {
 	Members, Engines int
-	Loss             float64
-	Rate             float64 // requests a second at each member
-	Detect           Time    // until nine of ten members have ejected the faulty engine; below 0: they did not
-	Sent             int     // requests that went there while it was faulty
-	Alone            float64 // and how many would have without ejection
-	Wrong            int     // times that a healthy engine was ejected, because of its single errors
-	Bytes            float64 // a second a member, of health reports alone
+	Loss             float64 // share of messages that are lost
+	Rate             float64 // requests per second at each member
+	Detect           Time    // time from the fault until nine of ten members have ejected the faulty engine; below 0: they did not
+	Sent             int     // number of requests sent to the faulty engine during the fault
+	Alone            float64 // expected number of these requests without ejection
+	Wrong            int     // number of findings that eject a healthy engine, because of its single errors
+	Bytes            float64 // bytes of health reports sent per second and member
 }
 
 const (
-	faultDelay    = 20 * admission.Second // from the begin of the load to the fault
+	faultDelay    = 20 * admission.Second // time from the first requests to the fault
 	faultLength   = 30 * admission.Second
-	reportPeriod  = 200 // in ticks of Time
+	reportPeriod  = 200 // in units of Time: 20 ms
 	faultyEngine  = admission.EngineID("e0")
 	clockSamples  = 3
-	detectedShare = 10 // all but one in so many have to detect the fault
+	detectedShare = 10 // all members except one in ten have to detect the fault
 )
 
-// HealthReportLoad is the load of a run with health reports.
+// HealthReportLoad describes the requests and faults of a simulation of health reports.
 type HealthReportLoad struct {
 	Members, Engines int
-	Rate             float64 // requests a second at each member
+	Rate             float64 // requests per second at each member
 	Errors           float64 // share of requests that fail at a healthy engine
 	Loss             float64 // share of messages that are lost
 }
 
-// healthReportRun is a run in which members send requests to engines and share health reports.
+// healthReportRun is a simulation in which members send requests to engines and exchange health reports.
 type healthReportRun struct {
 	cluster   *Cluster
 	load      HealthReportLoad
 	endpoints []admission.Endpoint
 	faultFrom Time
 	faultEnd  Time
-	ejected   []map[admission.EngineID]Time // by member: until when it sends an engine nothing
-	detected  []Time                        // by member: how long after the fault it ejected the engine; 0: not yet
+	ejected   []map[admission.EngineID]Time // by member: the engines that it has ejected, and the end of each ejection
+	detected  []Time                        // by member: time from the fault until it ejected the faulty engine; 0: not yet
 	result    HealthReportResult
 }
 
-// MeasureHealthReports simulates a cluster whose engines have single errors, and of which one fails all requests for half a minute.
+// MeasureHealthReports simulates a cluster whose engines fail single requests. During the fault, which lasts half a minute, one engine fails all
+// requests.
 func MeasureHealthReports(load HealthReportLoad, seed uint64) HealthReportResult {
 	const second = admission.Second
 	c := New(load.Members, seed)
@@ -128,7 +129,7 @@
 	p.HealthReports.Observe(p.clock(), engine, outcome, admission.NoReport, 1e9)
 }
 
-// recordFinding takes down what a member's health reports came to on an engine.
+// recordFinding records whether the health reports at a member lead it to eject an engine, and until when.
 func (r *healthReportRun) recordFinding(p *Process, finding *admission.PeerReport) {
 	c := r.cluster
 	ejected := r.ejected[p.Index]
@@ -144,7 +145,7 @@
 	}
 }
 
-// exchangeClocks has all processes know each other's clocks, as by the datagrams of membership between gateways.
+// exchangeClocks passes samples of every process's clock to all others. Between gateways the datagrams of membership do this.
 func (c *Cluster) exchangeClocks() {
 	for _, p := range c.Processes {
 		for _, other := range c.Processes {
@@ -158,9 +159,9 @@
 	}
 }
 
-// detectTime is when nine of ten members had detected the fault; below 0: they had not. It sorts the times.
+// detectTime returns the time until nine of ten members had detected the fault, or -1 if fewer did. It sorts the times.
 func detectTime(detected []Time) Time {
-	slices.Sort(detected) // members that never did come first, with 0
+	slices.Sort(detected) // members that did not detect the fault come first, with 0
 	n := len(detected)
 	never := slices.IndexFunc(detected, func(t Time) bool { return t > 0 })
 	if never < 0 || never > n/detectedShare {
@@ -169,7 +170,7 @@
 	return detected[never+(n*9+9)/10-1-min(never, n/detectedShare)]
 }
 
-// WriteHealthReports writes results as a table.
+// WriteHealthReports writes a list of results as a table.
 func WriteHealthReports(out io.Writer, list []HealthReportResult) {
 	fmt.Fprintln(out, "members  engines  tasks/s each  loss  9 of 10 send it nothing after s  tasks to it in 30 s  without sharing  sound ones out  bytes/s a member")
 	for _, s := range list {
