--- a/internal/testbed/simcluster/membership.go
+++ b/internal/testbed/simcluster/membership.go
@@ -9,23 +9,24 @@
 	"magpiebank/internal/cluster/membership"
 )
 
-// MembershipResult is the result of one run of membership.
+// MembershipResult is the result of one simulation of membership.
 type MembershipResult struct {
 	Members   int
-	Loss      float64
-	Stopped   float64 // share of members that are paused now and then
-	Joined    Time    // until all had found each other; below 0: they had not
-	Detect    Time    // until nine of ten had taken a killed member for dead, the median of those killed
-	DetectAll Time    // the longest until all had
-	False     int     // times that a member took a living one for dead
-	Suspected int     // suspicions of members that ran
-	Bytes     float64 // a second a member, with headers of datagrams and sealing
-	Seconds   float64 // of the quiet part over which the last three were counted
+	Loss      float64 // share of messages that are lost
+	Stopped   float64 // share of members that are paused from time to time
+	Joined    Time    // time until all members knew each other; below 0: they did not within a minute
+	Detect    Time    // time until nine of ten members declared a killed member dead, the median over the killed members; below 0: they did not
+	DetectAll Time    // the longest time until a member declared a killed member dead
+	False     int     // number of times that a member declared a living member dead
+	Suspected int     // number of times that a member suspected another while no member was killed
+	Bytes     float64 // bytes sent per second and member, including datagram headers and encryption
+	Seconds   float64 // length of the quiet phase, in which False, Suspected and Bytes are measured
 }
 
 const quietSeconds = 60
 
-// MeasureMembership simulates one cluster: it starts, runs for a minute with loss and with members that pause, and loses members at once.
+// MeasureMembership simulates a cluster of n members that loses messages with a probability of loss. After the start it measures a quiet phase
+// of one minute, in which a share of stopped members pause from time to time, and then kills some members at once.
 func MeasureMembership(n int, loss, stopped float64, seed uint64) MembershipResult {
 	const second = admission.Second
 	c := New(n, seed)
@@ -44,7 +45,8 @@
 	return result
 }
 
-// measureQuiet runs the cluster without deaths, while some members pause, and counts its mistakes and bytes.
+// measureQuiet runs the cluster for the quiet phase, in which some members pause and none is killed, and counts false deaths, suspicions and
+// bytes.
 func (c *Cluster) measureQuiet(result *MembershipResult) {
 	for _, p := range c.Processes {
 		p.Sent = 0
@@ -70,7 +72,7 @@
 	result.Bytes = float64(bytes) / float64(result.Members) / result.Seconds
 }
 
-// schedulePauses has a process pause for one to four seconds every eight to fourteen, until a time.
+// schedulePauses schedules pauses of a process until a time. A pause of one to four seconds starts every eight to fourteen seconds.
 func (c *Cluster) schedulePauses(p *Process, until Time) {
 	const second = admission.Second
 	for at := c.Now + Time(c.random.Int64N(int64(10*second))); at < until; at += 8*second + Time(c.random.Int64N(int64(6*second))) {
@@ -78,9 +80,9 @@
 	}
 }
 
-// measureDeaths kills one member in fifty at once, and measures when the others have taken them for dead.
+// measureDeaths kills one member in fifty, all at once, and measures when the others declare them dead.
 func (c *Cluster) measureDeaths(result *MembershipResult) {
-	killed := map[string][]Time{} // by name: when each other member took it for dead
+	killed := map[string][]Time{} // by name: when each other member declared it dead
 	began := c.Now
 	c.OnChange = func(change MembershipChange) {
 		if times, ok := killed[change.Member.Name]; ok && change.Code == membership.Died {
@@ -98,7 +100,7 @@
 		}
 	}
 	c.Run(c.Now + 120*admission.Second)
-	var detected []Time // by nine of ten
+	var detected []Time // for each killed member: time until nine of ten other members declared it dead
 	others := n - len(names)
 	for _, name := range names {
 		times := killed[name]
@@ -117,7 +119,7 @@
 	}
 }
 
-// WriteMembership writes results as a table.
+// WriteMembership writes a list of results as a table.
 func WriteMembership(out io.Writer, list []MembershipResult) {
 	fmt.Fprintln(out, "members  loss  stopped  joined s  dead known to 9 of 10 s  to all s  false deaths  suspicions  bytes/s a member")
 	for _, f := range list {
--- a/internal/testbed/simcluster/membership_test.go
+++ b/internal/testbed/simcluster/membership_test.go
@@ -11,11 +11,11 @@
 	"magpiebank/internal/cluster/membership"
 )
 
-var keep = flag.Bool("keep", false, "keep the traces as they come out now")
+var keep = flag.Bool("keep", false, "write the traces of this run to testdata as the expected traces")
 
 const second = admission.Second
 
-// up is a cluster whose members have found each other.
+// up returns a cluster whose members know each other.
 func up(t *testing.T, n int, seed uint64) *Cluster {
 	t.Helper()
 	c := New(n, seed)
@@ -24,20 +24,20 @@
 	return c
 }
 
-// settle runs until all that are up know each other, within a time.
+// settle runs the cluster until all members that are up know each other. It fails the test if that takes too long.
 func (c *Cluster) settle(t *testing.T, within Time, when string) {
 	t.Helper()
 	began := c.Now
 	for c.Now < began+within {
 		if c.Run(c.Now + second/2); c.WrongViews() == 0 && c.Now >= began+2*second {
-			t.Logf("%s: all know each other after %.1f s", when, float64(c.Now-began)/float64(second))
+			t.Logf("%s: all members know each other after %.1f s", when, float64(c.Now-began)/float64(second))
 			return
 		}
 	}
-	t.Errorf("%s: %d pairs don't know each other after %.0f s", when, c.WrongViews(), float64(within)/float64(second))
+	t.Errorf("%s: %d pairs of members don't know each other after %.0f s", when, c.WrongViews(), float64(within)/float64(second))
 }
 
-// died is how often a member was taken for dead that the test didn't kill.
+// died returns how many times a member declared another one dead, except for the members that except accepts.
 func (c *Cluster) died(except func(name string) bool) (n int) {
 	for _, change := range c.Changes {
 		if change.Code == membership.Died && !except(change.Member.Name) {
@@ -49,7 +49,7 @@
 
 func nobody(string) bool { return false }
 
-// The changes that one member of a small cluster notices.
+// The changes that member g000 of a small cluster notices equal those in testdata/small.txt. With the flag -keep the file is written.
 func TestSmallClusterTrace(t *testing.T) {
 	c := New(4, 7)
 	var out strings.Builder
@@ -87,21 +87,22 @@
 	}
 	want, _ := os.ReadFile("testdata/small.txt")
 	if out.String() != string(want) {
-		t.Errorf("got:\n%s\nkept:\n%s", &out, want)
+		t.Errorf("got:\n%s\nwant:\n%s", &out, want)
 	}
 }
 
-// What can't reach each other directly, but by others, takes nobody for dead.
+// Members that reach each other only through other members do not declare each other dead.
 func TestIndirectlyReachableMembersStayAlive(t *testing.T) {
 	c := up(t, 12, 1)
 	c.Link = func(from, to int) Link { return Link{Cut: from < 3 && to > 8, Delay: 10, Jitter: 20} }
 	c.Run(c.Now + 60*second)
 	if n := c.died(nobody); n > 0 {
-		t.Errorf("%d taken for dead, though others reach them", n)
+		t.Errorf("members were declared dead %d times, although other members reach them", n)
 	}
 }
 
-// A third of the cluster hears nothing, one way or both, for a minute.
+// For a minute a third of the cluster receives no messages from the others, and in a second run the others receive none from it either. The
+// others declare the third dead, and the cluster joins again afterwards.
 func TestThirdHearsNothing(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		c := up(t, 24, 2)
@@ -111,28 +112,29 @@
 		}
 		c.Run(c.Now + 60*second)
 		if split := c.Processes[20].Core.CountDead(); split != 8 {
-			t.Errorf("both %t: the others miss %d, expected 8", both, split)
+			t.Errorf("both directions cut %t: the others consider %d members dead, expected 8", both, split)
 		}
 		for i := range 8 {
 			if living := c.Processes[i].Core.CountReachable(); both && living != 7 && living != 0 {
-				t.Errorf("both: %d sees %d others, expected those with it", i, living)
+				t.Errorf("both directions cut: member %d reaches %d others, expected 7 or 0", i, living)
 			}
 		}
 		c.Link = func(int, int) Link { return Link{Delay: 10, Jitter: 20} }
-		c.settle(t, 30*second, fmt.Sprintf("joined again, both %t", both))
+		c.settle(t, 30*second, fmt.Sprintf("after the cut, both directions %t", both))
 	}
 }
 
-// An hour apart.
+// The cluster joins again after its two halves were cut off from each other for an hour.
 func TestHourApart(t *testing.T) {
 	c := up(t, 10, 3)
 	c.Link = func(from, to int) Link { return Link{Cut: from%2 != to%2, Delay: 10, Jitter: 20} }
 	c.Run(c.Now + 3600*second)
 	c.Link = func(int, int) Link { return Link{Delay: 10, Jitter: 20} }
-	c.settle(t, 30*second, "after an hour apart")
+	c.settle(t, 30*second, "after a cut of an hour")
 }
 
-// Seven in ten are killed at once and come back with nothing, their clocks behind: each has to outbid its own past.
+// Seven in ten members are killed at once and restart without state and with clocks that are behind. Each has to choose a higher incarnation
+// than it had before the restart.
 func TestMostKilled(t *testing.T) {
 	c := up(t, 30, 4)
 	for i := range 21 {
@@ -142,13 +144,13 @@
 	for i := range 21 {
 		c.Processes[i].Start(uint64(10 + i))
 	}
-	c.settle(t, 30*second, "back with clocks behind")
+	c.settle(t, 30*second, "after restarts with clocks that are behind")
 	if n := c.died(func(name string) bool { return name < "g021" }); n > 0 {
-		t.Errorf("%d of those not killed taken for dead", n)
+		t.Errorf("members that were not killed were declared dead %d times", n)
 	}
 }
 
-// A cluster whose seeds are down waits for them, and is complete once one is up.
+// The members of a cluster whose seeds are all down find each other once one seed is up.
 func TestClusterFormsOnceOneSeedIsUp(t *testing.T) {
 	c := New(12, 5)
 	for _, p := range c.Processes[2:] {
@@ -156,10 +158,10 @@
 	}
 	c.Run(30 * second)
 	c.Processes[1].Start(0)
-	c.settle(t, 20*second, "one seed is up")
+	c.settle(t, 20*second, "after the start of one seed")
 }
 
-// Of two processes under one name the later counts, and the one before it says that it is displaced.
+// If two processes have the same name, all members know the later one, and the earlier one becomes inactive.
 func TestOneNameTwice(t *testing.T) {
 	c := up(t, 8, 6)
 	twin := &Process{Index: 8, Name: "g003", cluster: c, clockRate: 1}
@@ -167,14 +169,14 @@
 	twin.Start(0)
 	c.Run(c.Now + 10*second)
 	if !c.Processes[3].Core.IsInactive() || twin.Core.IsInactive() {
-		t.Error("the earlier process still takes part, or the later doesn't")
+		t.Error("the earlier process is still active, or the later one is inactive")
 	}
 	for i, p := range c.Processes[:8] {
 		if m, _ := p.Core.Find("g003"); i != 3 && m.Incarnation != twin.Core.Self().Incarnation {
-			t.Errorf("%d goes by start %d of g003", i, m.Incarnation)
+			t.Errorf("member %d knows g003 by incarnation %d instead of the later one", i, m.Incarnation)
 		}
 	}
-	// One that was stopped while another took its name finds out when it wakes.
+	// A process that is paused while another process takes its name becomes inactive after the pause.
 	c = up(t, 8, 6)
 	c.Processes[5].Pause(20 * second)
 	c.Run(c.Now + second)
@@ -183,11 +185,11 @@
 	twin.Start(0)
 	c.Run(c.Now + 30*second)
 	if !c.Processes[5].Core.IsInactive() || twin.Core.IsInactive() {
-		t.Error("the one that woke still takes part, or the other doesn't")
+		t.Error("the process that was paused is still active, or the other one is inactive")
 	}
 }
 
-// One that stood still accuses nobody for what it missed, and is there again.
+// A member that was paused does not suspect others because of the messages that it missed, and joins again.
 func TestPausedMemberAccusesNobody(t *testing.T) {
 	c := up(t, 16, 7)
 	c.Changes = nil
@@ -195,15 +197,15 @@
 	c.Run(c.Now + 60*second)
 	for _, change := range c.Changes {
 		if change.By == 4 && (change.Code == membership.Died || change.Code == membership.Suspected && change.Member.Accuser == "g004") {
-			t.Errorf("at %.1f s it took %s for %s", float64(change.At)/float64(second), change.Member.Name, change.Code)
+			t.Errorf("at %.1f s the paused member changed the state of %s to %s", float64(change.At)/float64(second), change.Member.Name, change.Code)
 		}
 	}
 	if c.WrongViews() > 0 {
-		t.Error("it is not back")
+		t.Error("the paused member has not joined again")
 	}
 }
 
-// Clocks a twentieth fast and slow, and half of all packets of one lost: nobody is taken for dead.
+// One clock runs 5% fast and one 5% slow, and one member loses half of its packets. No other member is declared dead.
 func TestDriftAndLossKillNobody(t *testing.T) {
 	c := up(t, 16, 8)
 	c.Processes[2].SetClockRate(1.05)
@@ -217,12 +219,12 @@
 	}
 	c.Run(c.Now + 120*second)
 	if n := c.died(func(name string) bool { return name == "g005" }); n > 0 {
-		t.Errorf("%d others than the one with the losses taken for dead", n)
+		t.Errorf("members other than the one with the losses were declared dead %d times", n)
 	}
 	c.settle(t, 20*second, "with losses")
 }
 
-// The same seed plays the same run.
+// Two simulations with the same seed have the same result.
 func TestSameSeedGivesSameRun(t *testing.T) {
 	play := func() string { return fmt.Sprintf("%+v", MeasureMembership(16, 0.3, 0.1, 9)) }
 	if a, b := play(), play(); a != b {
@@ -230,11 +232,12 @@
 	}
 }
 
-// Two hundred, with loss and with members that stand still; the table up to five hundred is magpiebank-testbed fleet scale.
+// Membership works for two hundred members with message loss and pauses. The command "magpiebank-testbed fleet scale" measures up to five
+// hundred members.
 func TestTwoHundred(t *testing.T) {
 	f := MeasureMembership(200, 0.05, 0.02, 10)
 	t.Logf("%+v", f)
 	if f.Joined < 0 || f.Joined > 20*second || f.False > 0 || f.Detect < 0 || f.Detect > 30*second || f.Bytes > 6000 {
-		t.Errorf("joined within 20 s, dead known within 30 s, no false death, 6,000 bytes a second were expected")
+		t.Errorf("expected: joined within 20 s, deaths detected within 30 s, no false death, at most 6,000 bytes per second and member")
 	}
 }
--- a/internal/testbed/simcluster/network.go
+++ b/internal/testbed/simcluster/network.go
@@ -8,25 +8,24 @@
 )
 
 const (
-	// datagramOverhead is what a message costs besides itself, in bytes: the datagram's headers, and what sealing and the
-	// sender's name add.
+	// datagramOverhead is the number of bytes that the datagram's headers, the encryption and the sender's name add to a message.
 	datagramOverhead = 28 + 70
 	networkStep      = 10 * admission.Millisecond
 	maxUsualDelay    = 20 * admission.Millisecond
 )
 
-// network carries messages among processes that advance ten milliseconds at a time: it loses, duplicates, delays and cuts.
+// network carries messages between processes. It advances in steps of networkStep, and loses, duplicates, delays and cuts off messages.
 type network[M any] struct {
 	now          Time
 	random       *rand.Rand
 	loss         float64
-	duplicate    float64 // share of messages that come twice
-	delayedShare float64 // share of messages that take up to maxDelay
+	duplicate    float64 // share of messages that are sent twice
+	delayedShare float64 // share of messages that are delayed by up to maxDelay instead of up to maxUsualDelay
 	maxDelay     Time
 	cut          func(from, to int) bool
 	inFlight     []datagram[M]
-	sent         int // messages
-	bytes        int
+	sent         int // number of messages sent
+	bytes        int // number of bytes sent
 }
 
 type datagram[M any] struct {
@@ -35,7 +34,7 @@
 	message  M
 }
 
-// send sends a message of so many bytes to some processes, which have one name.
+// send sends a message with a length of bytes to the recipients to. All of them have the same name, so that it counts as one message.
 func (n *network[M]) send(from int, to []int, message M, bytes int) {
 	n.sent++
 	n.bytes += bytes + datagramOverhead
@@ -53,7 +52,7 @@
 	}
 }
 
-// advance lets time pass: in each step what is due is delivered, the processes are stepped, and then check is called.
+// advance simulates some time. Each simulation step delivers the messages that are due, calls step to advance the processes, and calls check.
 func (n *network[M]) advance(length Time, deliver func(datagram[M]), step, check func()) {
 	for until := n.now + length; n.now < until; {
 		n.now += networkStep
--- a/internal/testbed/simcluster/quota_cluster.go
+++ b/internal/testbed/simcluster/quota_cluster.go
@@ -11,33 +11,33 @@
 	"magpiebank/internal/cluster/quota"
 )
 
-// quotaCluster is a simulated cluster that shares a quota, with links that lose, delay and duplicate, processes that are killed,
-// started twice and paused, and clocks that drift.
+// quotaCluster is a simulated cluster that shares a quota. Links lose, delay and duplicate messages, processes are killed and paused, a second
+// process may run under a name, and clocks drift.
 type quotaCluster struct {
 	network[quota.Message]
 	plan     *quota.Plan
 	members  []*quotaMember
 	starts   uint64
-	requests int
-	byName   map[string][]int
+	requests int              // number of requests that have begun
+	byName   map[string][]int // indices of the processes with a name
 }
 
 // quotaMember is one process.
 type quotaMember struct {
 	cluster      *quotaCluster
-	share        int // modulo the plan's shares
-	index        int // among all processes
+	share        int // number of its share, modulo the plan's number of shares
+	index        int // index among all processes
 	name         string
 	core         *quota.Core
 	clockRate    float64
 	clockOffset  float64
 	up           bool
 	pausedUntil  Time
-	demand       int64 // requests that it would run at once
-	requestUnits int64 // that each needs
-	served       int
-	running      []Time   // when each running request ends
-	incarnations []uint64 // of its processes so far
+	demand       int64    // number of requests that it would run at the same time
+	requestUnits int64    // units that each request needs
+	served       int      // number of requests that have begun
+	running      []Time   // when each running request ends, on the process's clock
+	incarnations []uint64 // incarnations of all starts so far
 }
 
 func (p *quotaMember) Send(to string, m quota.Message) {
@@ -57,7 +57,7 @@
 
 func (p *quotaMember) isRunning() bool { return p.up && p.pausedUntil <= p.cluster.now }
 
-// start starts a process that knows of none before it.
+// start starts a process that knows no predecessors.
 func (p *quotaMember) start() {
 	p.cluster.starts++
 	p.up, p.running, p.requestUnits = true, nil, max(1, p.requestUnits)
@@ -65,17 +65,17 @@
 	p.incarnations = append(p.incarnations, p.cluster.starts)
 }
 
-// succeed starts a process that knows that those before it on its machine have ended.
+// succeed starts a process that knows that its earlier incarnations have ended, as a restart on the same machine does.
 func (p *quotaMember) succeed() {
 	before := p.incarnations
 	p.start()
 	p.core.SetPredecessors(before[max(0, len(before)-quota.MaxPredecessors):])
 }
 
-// quotaVoters is how many members replicate the quota.
+// quotaVoters is the number of members that are voters of the quota.
 const quotaVoters = 3
 
-// newQuotaCluster starts a cluster of so many members that share a total.
+// newQuotaCluster starts a cluster of members that share a total.
 func newQuotaCluster(seed uint64, members int, total int64) *quotaCluster {
 	c := &quotaCluster{byName: map[string][]int{}, plan: &quota.Plan{Shares: members, ShareTerm: 2 * admission.Second, LeaseTerm: admission.Second, LongestUse: admission.Second / 4, DriftDivisor: 20, Revision: 1, QuotaIDs: []uint32{7}, Totals: []int64{total}}}
 	c.random, c.maxDelay = rand.New(rand.NewPCG(seed, 3)), 3*c.plan.ShareTerm
@@ -88,7 +88,7 @@
 	return c
 }
 
-// add starts a process.
+// add adds a process to the cluster and starts it.
 func (c *quotaCluster) add(p *quotaMember) {
 	p.name, p.index = fmt.Sprint("g", p.share%c.plan.Shares), len(c.members)
 	c.byName[p.name] = append(c.byName[p.name], len(c.members))
@@ -96,7 +96,7 @@
 	p.start()
 }
 
-// advance simulates some time, and calls check after each step.
+// advance simulates some time, and calls check after each simulation step.
 func (c *quotaCluster) advance(length Time, check func()) {
 	c.network.advance(length, func(d datagram[quota.Message]) {
 		if p := c.members[d.to]; p.isRunning() {
@@ -115,7 +115,7 @@
 	}, check)
 }
 
-// tick lets requests end, and begin as far as its demand and the quota allow.
+// tick ends the requests that are due, and begins new ones up to the process's demand as far as the quota allows.
 func (p *quotaMember) tick() {
 	now := p.clock()
 	p.running = slices.DeleteFunc(p.running, func(end Time) bool {
@@ -134,7 +134,7 @@
 	p.core.Tick(now)
 }
 
-// totals are the units that all processes that are up may use now, and that they do use.
+// totals returns how many units all processes that are up may use now, and how many they use.
 func (c *quotaCluster) totals() (held, used int64) {
 	for _, p := range c.members {
 		if p.up {
@@ -145,20 +145,21 @@
 	return held, used
 }
 
-// QuotaResult is how well a total was used, as a share of what an all-knowing one would have used at each instant.
+// QuotaResult describes how well a cluster uses a total. The utilizations are shares of the units that an ideal distribution, which knows the
+// demand of all members at every instant, would use.
 type QuotaResult struct {
 	Members     int
-	Even, Zipf  float64 // with a demand of two thirds more than the total, even and by Zipf's law
-	Moving      float64 // with nine tenths of the demand at one member, at another every five seconds
-	EqualEven   float64 // the same with fixed equal shares
-	EqualZipf   float64
-	EqualMoving float64
-	BurstTime   Time    // until nine tenths of the total are used at one member, after it was wanted there alone; below 0: they never were
-	Bytes       float64 // a second a member, under moving demand
-	Messages    float64 // a request, under moving demand
+	Even, Zipf  float64 // utilization if the demand is two thirds above the total, and distributed evenly or by Zipf's law
+	Moving      float64 // utilization if nine tenths of the demand are at one member, and at another one every five seconds
+	EqualEven   float64 // like Even, for fixed equal shares
+	EqualZipf   float64 // like Zipf, for fixed equal shares
+	EqualMoving float64 // like Moving, for fixed equal shares
+	BurstTime   Time    // time from a burst at a single member until it uses nine tenths of the total; below 0: it never did
+	Bytes       float64 // bytes sent per second and member, under moving demand
+	Messages    float64 // messages sent per request, under moving demand
 }
 
-// MeasureQuota simulates a cluster whose total is twice its members.
+// MeasureQuota simulates a cluster of n members with a total of 2n units.
 func MeasureQuota(n int, seed uint64) QuotaResult {
 	const second = admission.Second
 	c := newQuotaCluster(seed, n, int64(2*n))
@@ -179,7 +180,7 @@
 	return result
 }
 
-// setDemand shares a demand of two thirds more than the total among the members by their weights.
+// setDemand distributes a demand of 5/3 of the total among the members in proportion to their weights.
 func (c *quotaCluster) setDemand(weight func(n int) float64) {
 	sum := 0.0
 	for _, p := range c.members {
@@ -190,7 +191,8 @@
 	}
 }
 
-// measureUse measures for a time how much is used, and would be with fixed equal shares, of what an all-knowing one would use.
+// measureUse simulates some time. It returns the utilization, and the utilization that fixed equal shares would reach, both as shares of the
+// ideal use (see QuotaResult).
 func (c *quotaCluster) measureUse(length Time) (share, equalShare float64) {
 	var used, equal, ideal float64
 	total := c.plan.Totals[0]
@@ -207,7 +209,7 @@
 	return used / ideal, equal / ideal
 }
 
-// measureMovingDemand has nine tenths of the demand at one member, and every five seconds at another.
+// measureMovingDemand measures the cluster while nine tenths of the demand are at one member, and at another one every five seconds.
 func (c *quotaCluster) measureMovingDemand(result *QuotaResult) {
 	const second, moves = admission.Second, 4
 	n := result.Members
@@ -229,7 +231,8 @@
 	result.Messages = float64(c.sent) / float64(max(1, c.requests))
 }
 
-// measureBurst is how long it takes until one member uses nine tenths of the total; below 0: longer than twenty seconds.
+// measureBurst raises the demand of a member to the total, and returns the time until all members together use nine tenths of the total; -1:
+// longer than twenty seconds.
 func (c *quotaCluster) measureBurst(p *quotaMember) Time {
 	total := c.plan.Totals[0]
 	p.demand = total
@@ -242,7 +245,7 @@
 	return took
 }
 
-// WriteQuota writes results as a table.
+// WriteQuota writes a list of results as a table.
 func WriteQuota(out io.Writer, list []QuotaResult) {
 	fmt.Fprintln(out, "         share of what one that knows all would use: lent (equal parts)")
 	fmt.Fprintln(out, "members  even           Zipf           moving         all at one after s  bytes/s a member  messages a task")
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// seeds of TestNeverMore; three thousand were played once.
+// seeds is the number of seeds in TestNeverMore.
 var seeds = 60
 
-// margin is a term at a process that waits for its end by its own clock.
+// margin returns how long a process must wait on its own clock until a term has certainly ended on another clock, which may run slower.
 func margin(term Time) Time { return term + 3*term/20 + 1 }
 
-// mayStart keeps to the stated bound: of the replicas a minority at most runs twice at a time.
+// mayStart reports whether a process may start for a share without exceeding the faults that the protocol tolerates: only a minority of the
+// voters may have two running processes at a time.
 func (c *quotaCluster) mayStart(share int, starting *quotaMember) bool {
 	running := map[int]int{}
 	for _, p := range c.members {
@@ -29,7 +30,7 @@
 	return 2*twice < len(c.plan.Voters)
 }
 
-// quotaFault has a fault happen to a random process or to the network, or ends one.
+// quotaFault injects a random fault into a random process or the network, or ends a fault.
 func (c *quotaCluster) quotaFault() {
 	p := c.members[c.random.IntN(len(c.members))]
 	switch c.random.IntN(8) {
@@ -43,7 +44,7 @@
 		k := c.random.IntN(3)
 		c.cut = func(from, to int) bool { return from%3 == k != (to%3 == k) }
 	case 4:
-		c.cut = func(from, to int) bool { return from < 4 && to >= 4 } // one way
+		c.cut = func(from, to int) bool { return from < 4 && to >= 4 } // in one direction only
 	case 5:
 		c.cut = nil
 	case 6:
@@ -67,7 +68,7 @@
 	}
 }
 
-// startTwin starts a second process under a random name that runs, while there are few.
+// startTwin starts another process under the name of a random member, unless there are 16 processes already.
 func (c *quotaCluster) startTwin(p *quotaMember) {
 	if len(c.members) >= 16 {
 		return
@@ -78,14 +79,15 @@
 	}
 }
 
-// Whatever is lost, late, duplicated, cut, killed, paused or started twice under one name, and however clocks run: never more.
+// The units held and the units used never exceed the total, although messages are lost, delayed, duplicated and cut off, processes are killed
+// and paused, two processes run under one name, and clocks run at different rates.
 func TestNeverMore(t *testing.T) {
 	for seed := range uint64(seeds) {
 		c := newQuotaCluster(seed, 12, []int64{30, 7, 3}[seed%3])
 		total := c.plan.Totals[0]
 		check := func() {
 			if held, used := c.totals(); held > total || used > total {
-				t.Fatalf("seed %d, %.2f s: %d held and %d used of %d", seed, float64(c.now)/float64(second), held, used, total)
+				t.Fatalf("seed %d, %.2f s: %d units held and %d used, the total is %d", seed, float64(c.now)/float64(second), held, used, total)
 			}
 		}
 		c.advance(6*second, check)
@@ -100,7 +102,8 @@
 	}
 }
 
-// A member that is killed has its share again after a lease if it knows that the process before it has ended; else after a term.
+// A member that was killed and restarts may use its share again after a lease term if it knows that its predecessor has ended, and otherwise
+// after a share term.
 func TestSuccessorHasItsShareBack(t *testing.T) {
 	var took [2]Time
 	for k := range took {
@@ -110,7 +113,7 @@
 		}
 		c.advance(8*second, func() {})
 		for _, p := range c.members {
-			p.demand = 0 // nothing is leased to others, so that what it has is its share
+			p.demand = 0 // without demand no units are leased, so that each member holds exactly its share
 		}
 		p := c.members[4]
 		p.up = false
@@ -126,13 +129,13 @@
 		}
 		took[k] = c.now - began
 	}
-	term, lease := 2*second, second // of the plan
+	term, lease := 2*second, second // ShareTerm and LeaseTerm of the plan
 	if took[0] < lease || took[0] > margin(lease)+second/5 || took[1] < term-term/4 || took[1] > 2*margin(term) {
-		t.Errorf("its part is back after %.2f s, and after %.2f s for one that comes with nothing", float64(took[0])/float64(second), float64(took[1])/float64(second))
+		t.Errorf("the share is usable after %.2f s with predecessors, and after %.2f s without", float64(took[0])/float64(second), float64(took[1])/float64(second))
 	}
 }
 
-// replacePlan has some members go by another total.
+// replacePlan applies a plan with another total at some members.
 func (c *quotaCluster) replacePlan(number uint64, total int64, some func(n int) bool) {
 	plan := *c.plan
 	plan.Revision, plan.Totals = number, []int64{total}
@@ -143,12 +146,12 @@
 			}
 		}
 	}
-	c.plan = &plan // by which processes start from now on
+	c.plan = &plan // for processes that start from now on
 }
 
-// A total that is raised, lowered below what is out, and taken away, while a third of the members is cut off and does not hear of it:
-// never more than the larger, and after a term, a lease and their drift never more than the new one. Who comes back under the old
-// number holds nothing of it.
+// The total is raised, lowered below the units in use, and reduced to zero, while a third of the members is cut off and does not receive the
+// change. The units held never exceed the larger of the old and the new total. After a share term, a lease term and their margins for clock
+// drift, they never exceed the new total. Members that come back with the old plan revision hold no units.
 func TestTotals(t *testing.T) {
 	c := newQuotaCluster(4, 12, 24)
 	for _, p := range c.members {
@@ -157,7 +160,7 @@
 	most := int64(24)
 	check := func() {
 		if held, used := c.totals(); held > most || used > most {
-			t.Fatalf("%.2f s: %d held and %d used of %d", float64(c.now)/float64(second), held, used, most)
+			t.Fatalf("%.2f s: %d units held and %d used, the limit is %d", float64(c.now)/float64(second), held, used, most)
 		}
 	}
 	third := func(n int) bool { return n >= 8 }
@@ -169,27 +172,27 @@
 		most = max(most, total)
 		c.replacePlan(uint64(2+i), total, func(n int) bool { return !third(n) })
 		c.advance(bound, check)
-		most = total // the third still lives, by the old number
+		most = total // the third is still cut off, with the old plan revision
 		c.advance(2*second, check)
 		c.cut = nil
 		c.advance(2*second, check)
 		held, _ := c.totals()
 		for _, p := range c.members {
 			if third(p.share) && p.core.HeldUnits(p.clock(), 0) > 0 {
-				t.Errorf("total %d: %s has %d by the old number", total, p.name, p.core.HeldUnits(p.clock(), 0))
+				t.Errorf("total %d: %s holds %d units under the old plan revision", total, p.name, p.core.HeldUnits(p.clock(), 0))
 			}
 		}
 		c.replacePlan(uint64(2+i), total, third)
 		c.advance(margin(c.plan.ShareTerm)+c.plan.ShareTerm, check)
 		now, used := c.totals()
-		t.Logf("total %d: %d held without the third, %d with it again, %d used", total, held, now, used)
+		t.Logf("total %d: %d units held without the third, %d with it again, %d used", total, held, now, used)
 		if used < total*9/10 {
-			t.Errorf("total %d: only %d are used", total, used)
+			t.Errorf("total %d: only %d units are used", total, used)
 		}
 	}
 }
 
-// A member that leaves with nothing in use frees its share at once for its successor.
+// A member that leaves and uses no units frees its share, so that its successor holds the share at once.
 func TestFarewell(t *testing.T) {
 	c := newQuotaCluster(5, 12, 24)
 	c.advance(6*second, func() {})
@@ -199,12 +202,12 @@
 	p.start()
 	c.advance(second/2, func() {})
 	if got := p.core.HeldUnits(p.clock(), 0); got != 2 {
-		t.Errorf("half a second after it follows it has %d, expected 2", got)
+		t.Errorf("half a second after its start the successor holds %d units, expected 2", got)
 	}
 }
 
-// Connected and wanted, nearly all of it is used, wherever the demand is; a side that is cut off uses its own share for a term, and all
-// is used again soon after.
+// Connected members use nearly all of the total if there is enough demand, at whichever members. Members that are cut off use their own shares
+// for a share term. Soon after the cut ends, nearly all of the total is used again.
 func TestWellUsed(t *testing.T) {
 	c := newQuotaCluster(1, 32, 64)
 	check := func() {}
@@ -243,14 +246,15 @@
 	c.cut = nil
 	c.advance(3*second, check)
 	healed := share(5 * second)
-	t.Logf("share of the total used: even demand %.3f, all at one of 32 %.3f, a third cut off for half a term %.3f, for three terms %.3f, 3 s after %.3f", even, one, during, long, healed)
-	// The replicas are on one side; on the other shares are held for three quarters of a term at least, and are then taken over.
+	t.Logf("used share of the total: even demand %.3f, all demand at one of 32 members %.3f, a third cut off for half a term %.3f, for three terms %.3f, 3 s after the cut %.3f", even, one, during, long, healed)
+	// All voters are on one side of the cut. The other side holds its shares for at least three quarters of a term, and then the voters' side
+	// takes them over.
 	if even < 0.95 || one < 0.95 || during < 0.8 || long < 0.95 || healed < 0.95 {
-		t.Error("0.95, 0.95, 0.8, 0.95 and 0.95 were expected")
+		t.Error("expected at least 0.95, 0.95, 0.8, 0.95 and 0.95")
 	}
 }
 
-// A total far below the members' number is still used whole, though not yet by all: docs/budgets.md, to come.
+// Nearly all of a total that is far below the number of members is used, although not by all members yet; docs/budgets.md will describe this.
 func TestSmallTotal(t *testing.T) {
 	c := newQuotaCluster(2, 40, 3)
 	c.advance(6*second, func() {})
@@ -262,7 +266,7 @@
 	c.advance(20*second, func() {
 		held, used := c.totals()
 		if held > 3 {
-			t.Fatalf("%d held of 3", held)
+			t.Fatalf("%d units held, the total is 3", held)
 		}
 		sum, n = sum+float64(used)/3, n+1
 		for _, p := range c.members {
@@ -271,13 +275,14 @@
 			}
 		}
 	})
-	t.Logf("share of the total used %.3f, by %d of 40 members", sum/float64(n), len(had))
+	t.Logf("used share of the total %.3f, by %d of 40 members", sum/float64(n), len(had))
 	if sum/float64(n) < 0.95 {
-		t.Error("0.95 was expected")
+		t.Error("expected a used share of at least 0.95")
 	}
 }
 
-// Requests that need more than a member's share, and more than a few could lease to it: not all hold a little and wait for each other.
+// Requests need more units than a member's share, and more than a few other members could lease to it. The members must not block each other by
+// all holding some of the units that the others wait for.
 func TestWide(t *testing.T) {
 	c := newQuotaCluster(3, 40, 48)
 	c.advance(6*second, func() {})
@@ -289,20 +294,20 @@
 	c.advance(30*second, func() {
 		held, used := c.totals()
 		if held > 48 {
-			t.Fatalf("%d held of 48", held)
+			t.Fatalf("%d units held, the total is 48", held)
 		}
 		sum, n = sum+float64(used)/48, n+1
 	})
 	for _, p := range c.members {
 		served += countTrue(p.served > 0)
 	}
-	t.Logf("share of the total used %.3f, by %d of 40 members", sum/float64(n), served)
+	t.Logf("used share of the total %.3f, by %d of 40 members", sum/float64(n), served)
 	if sum/float64(n) < 0.3 || served < 10 {
-		t.Error("0.3, and 10 members, were expected")
+		t.Error("expected a used share of at least 0.3, by at least 10 members")
 	}
 }
 
-// A burst at one member, while all others idle, has nearly all of the total within half a second.
+// A member with a burst uses nearly all of the total within half a second, while all other members are idle.
 func TestBurstHasTheTotalInHalfASecond(t *testing.T) {
 	c := newQuotaCluster(1, 32, 64)
 	c.advance(9*second, func() {})
@@ -313,13 +318,14 @@
 			there = c.now - began
 		}
 	})
-	t.Logf("nine tenths after %.2f s", float64(there)/float64(second))
+	t.Logf("nine tenths of the total are used after %.2f s", float64(there)/float64(second))
 	if there < 0 || there > second/2 {
-		t.Error("half a second was expected")
+		t.Error("expected at most half a second")
 	}
 }
 
-// Units are where the demand is also in a larger cluster, where a member hears of another only every few seconds: members not heard of lately are asked.
+// Units follow the demand in a larger cluster too. There a member receives the spare units of another member only every few seconds, and requests
+// leases from members whose spare units it has not received lately.
 func TestQuotaFollowsMovingDemand(t *testing.T) {
 	if d := MeasureQuota(100, 2); d.Zipf < 0.97 || d.Moving < 0.85 || d.BurstTime < 0 || d.BurstTime > second/2 || d.Messages > 8 {
 		t.Errorf("%+v", d)
--- a/internal/testbed/simcluster/rollout_cluster.go
+++ b/internal/testbed/simcluster/rollout_cluster.go
@@ -13,25 +13,25 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// rolloutCluster is a simulated cluster that rolls out policies: with links that lose, delay, duplicate and cut, processes that are
-// killed, started twice and paused, disks that are slow, full or lie, and clocks that drift.
+// rolloutCluster is a simulated cluster that rolls out policies. Links lose, delay, duplicate and cut off messages, processes are killed and
+// paused, a second process may run under a name, disks may be slow, be full or report writes that they have not done, and clocks drift.
 type rolloutCluster struct {
 	network[[]byte]
 	plan              *rollout.Config
 	members           []*rolloutMember
 	starts            uint64
-	byName            map[string][]int
-	highestDecision   policyNumber // that any process has decided by
-	highestDecisionBy string       // which process
-	decisions         int          // how many times a process could decide by a lease
-	undecided         int          // how many times a process could decide nothing
-	violation         string       // the first decision by an older number
+	byName            map[string][]int // indices of the processes with a name
+	highestDecision   policyNumber     // the highest policy number that any process has applied with a lease
+	highestDecisionBy string           // name of the process that was the first to apply it
+	decisions         int              // number of simulation steps in which a process had a lease, over all processes
+	undecided         int              // number of simulation steps in which a process could apply no policy, over all processes
+	violation         string           // the first application of an older policy
 	voters            []string
 	onEvent           func(p *rolloutMember, code rollout.EventCode, more []any)
-	policies          map[rollout.Digest]bool // that went into force anywhere
+	policies          map[rollout.Digest]bool // policies that any process has applied with a lease
 }
 
-// policyNumber is a policy's number in its era.
+// policyNumber identifies a policy by its era and its number in the era.
 type policyNumber struct{ era, number uint64 }
 
 func (n policyNumber) isLaterThan(other policyNumber) bool {
@@ -49,32 +49,32 @@
 	up            bool
 	pausedUntil   Time
 	inForce       rollout.InForce
-	disk          []consensus.Record // what survives
-	unsynced      []consensus.Record // what doesn't yet
+	disk          []consensus.Record // synced records, which survive a kill
+	unsynced      []consensus.Record // written records that may be lost in a kill
 	pending       []pendingWrite
-	syncTime      Time // that a sync takes
-	diskFull      bool
-	diskLies      bool          // it reports records as synced that it hasn't written
-	deferred      []heldMessage // that came while it was paused
-	drainingUntil Time          // until when requests decided by the policy before are on their way
-	shedsHalf     bool          // of its requests
+	syncTime      Time          // duration of a sync
+	diskFull      bool          // every write fails; no test sets this yet
+	diskLies      bool          // the disk reports records as synced that it has not written
+	deferred      []heldMessage // messages that arrived during the pause
+	drainingUntil Time          // until this time, requests that the previous policy admitted are in progress
+	shedsHalf     bool          // half of its requests are shed
 }
 
-// pendingWrite is a write, or another call of the core's, that ends later.
+// pendingWrite is a write, or another asynchronous call of a core, that is not complete yet.
 type pendingWrite struct {
 	dueAt   Time
-	core    *rollout.Core // for which it is; nil: for any
+	core    *rollout.Core // the core that waits for it; nil: any core
 	finish  func()
-	records int // of unsynced, that survive with it
+	records int // number of unsynced records that are synced when it completes
 }
 
-// heldMessage is a message in the buffer of a socket.
+// heldMessage is a message in the socket buffer of a paused process.
 type heldMessage struct {
 	from    string
 	message []byte
 }
 
-// maxDeferred is how many messages a socket's buffer holds.
+// maxDeferred is the maximum number of messages in a socket buffer.
 const maxDeferred = 500
 
 func newRolloutCluster(seed uint64, n, voters int, lease Time) *rolloutCluster {
@@ -104,7 +104,7 @@
 
 func (p *rolloutMember) isRunning() bool { return p.up && p.pausedUntil <= p.cluster.now }
 
-// start starts a process with what its disk has.
+// start starts a process with the records on its disk.
 func (p *rolloutMember) start() {
 	p.cluster.starts++
 	p.up, p.inForce, p.pending, p.deferred, p.unsynced, p.drainingUntil = true, rollout.InForce{}, nil, nil, nil, 0
@@ -121,7 +121,7 @@
 	}, p)
 }
 
-// latestRecords are the last record of each key on the disk, in the order in which they were written.
+// latestRecords returns the last record of each key on the disk, in the order of the writes.
 func (p *rolloutMember) latestRecords() (records []consensus.Record) {
 	last := map[[16]byte]int{}
 	for i, record := range p.disk {
@@ -135,7 +135,7 @@
 	return records
 }
 
-// kill ends a process; of the records that were not synced, any first ones survive.
+// kill ends a process. Of the unsynced records, a random number of the first ones survives, or none if the disk lies.
 func (p *rolloutMember) kill() {
 	p.up = false
 	if !p.diskLies {
@@ -148,7 +148,7 @@
 	p.cluster.send(p.index, p.cluster.byName[to], p.wrap(m), len(m))
 }
 
-// wrap puts the sender's name before a message, as the datagrams of a cluster have it.
+// wrap prepends the sender's name to a message, like the datagrams of a real cluster.
 func (p *rolloutMember) wrap(m []byte) []byte {
 	return append(append([]byte{byte(len(p.name))}, p.name...), m...)
 }
@@ -162,7 +162,7 @@
 	return names
 }
 
-// CheckPolicy reads the terms of a policy from words in its text; a policy that says so is wrong at this process.
+// CheckPolicy reads the parameters of a policy from words in its text. A policy with the text "not for" and this process's name is invalid here.
 func (p *rolloutMember) CheckPolicy(_ rollout.Digest, text []byte, done func(rollout.Parameters, error)) {
 	p.later(Time(p.cluster.random.IntN(50)), 0, func() {
 		var terms rollout.Parameters
@@ -194,7 +194,7 @@
 	p.later(p.syncTime+Time(p.cluster.random.IntN(20)), len(records), func() { done(nil) })
 }
 
-// later calls a function after some time, in the order of the calls of later. That many unsynced records are on the disk by then.
+// later calls finish after some time, but not before the functions of earlier calls of later. A number of unsynced records is synced just before.
 func (p *rolloutMember) later(wait Time, records int, finish func()) {
 	dueAt := p.cluster.now + wait
 	if n := len(p.pending); n > 0 {
@@ -239,7 +239,7 @@
 	}
 }
 
-// tick does what is due at a process, and checks by which policy it may decide.
+// tick completes the due writes of a process, handles its deferred messages, ticks its core, and checks which policy it applies.
 func (p *rolloutMember) tick() {
 	for len(p.pending) > 0 && p.pending[0].dueAt <= p.cluster.now {
 		write := p.pending[0]
@@ -267,7 +267,8 @@
 	}
 }
 
-// decide checks a process that may decide requests: by a number, or without a lease by what two policies allow.
+// decide treats a process as if it admitted a request now, by the policy of its lease, or without a lease by the overlap of two policies. It
+// records a violation if another process has already applied a later policy.
 func (p *rolloutMember) decide() {
 	c, s := p.cluster, &p.inForce
 	current := policyNumber{s.Era, s.Number}
@@ -317,7 +318,7 @@
 	}, func() {})
 }
 
-// propose has a process propose a policy; done is called with the result.
+// propose makes a process propose a policy, and calls done with the result.
 func (c *rolloutCluster) propose(p *rolloutMember, text string, done func(rollout.Result)) {
 	id := c.random.Uint64() | 1
 	if err := p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.KindChange, Text: []byte(text)}, done); err != nil {
@@ -325,7 +326,7 @@
 	}
 }
 
-// countInForce counts the processes that may decide by a policy now.
+// countInForce returns the number of processes that hold a lease on a policy now.
 func (c *rolloutCluster) countInForce(d rollout.Digest) (n int) {
 	for _, p := range c.members {
 		if p.up && p.inForce.HoldsLease(p.clock()) && p.inForce.Digest == d {
@@ -335,18 +336,18 @@
 	return n
 }
 
-// RolloutResult is the result of policy changes in a cluster of some size.
+// RolloutResult is the result of a simulation of policy changes.
 type RolloutResult struct {
 	Members  int
 	Voters   int
-	Took     Time    // from a proposal until all go by it, the mean of some
-	Gap      float64 // share of a second for which a member could decide nothing, a change
-	Silent   Time    // the same with a third of the members cut off, until the others go by it
-	Messages float64 // a member, a change
-	Bytes    float64 // a second a member, at rest
+	Took     Time    // mean time from a proposal until all members apply the policy
+	Gap      float64 // mean time per member and change in which the member could apply no policy, in seconds
+	Silent   Time    // time from a proposal until all connected members apply the policy, while a third of the members is cut off
+	Messages float64 // messages sent per member and change, beyond those sent without changes
+	Bytes    float64 // bytes sent per second and member, without changes
 }
 
-// MeasureRollout simulates changes of a policy of some kB in a cluster.
+// MeasureRollout simulates policy changes in a cluster of n members. Each policy has about 3 kB.
 func MeasureRollout(n int, seed uint64) RolloutResult {
 	const second, voters, changes = admission.Second, 5, 5
 	result := RolloutResult{Members: n, Voters: voters}
@@ -373,7 +374,7 @@
 	return result
 }
 
-// measureChange is how long it takes until so many members go by a new policy, a minute at most.
+// measureChange proposes a new policy, and returns the time until the given number of members apply it, or a minute if it takes longer.
 func (c *rolloutCluster) measureChange(number, members int) Time {
 	text := fmt.Sprintf("policy %d %s", number, bytes.Repeat([]byte("x"), 3000))
 	began := c.now
@@ -384,7 +385,7 @@
 	return c.now - began
 }
 
-// WriteRollout writes results as a table.
+// WriteRollout writes a list of results as a table.
 func WriteRollout(out io.Writer, list []RolloutResult) {
 	fmt.Fprintln(out, "members  voters  until all go by it s  no lease ms a change  a third silent s  messages a member a change  bytes/s a member at rest")
 	for _, e := range list {
--- a/internal/testbed/simcluster/rollout_cluster_test.go
+++ b/internal/testbed/simcluster/rollout_cluster_test.go
@@ -12,17 +12,18 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// decisions is how many seeds are played; some hundreds were once.
+// decisions is the number of seeds in TestNeverOlder.
 var decisions = 16
 
-// faultyRollout is a cluster in which policies are proposed everywhere while faults of all kinds happen.
+// faultyRollout is a cluster in which random members propose policies while faults of all kinds happen.
 type faultyRollout struct {
 	*rolloutCluster
-	proposed, decided int
+	proposed, decided int // number of policies
 }
 
-// runWithFaults simulates a cluster with faults of all kinds, one after the other, while policies are proposed everywhere, and then
-// heals it. It returns the first decision that was made by an older policy, or what didn't come about; empty: all held. log may be nil.
+// runWithFaults simulates a cluster with a sequence of random faults, while random members propose policies. Then it ends all faults and
+// proposes a last policy. It returns the first application of an older policy, or how the last policy failed, or an empty string if there was
+// neither. log may be nil.
 func runWithFaults(seed uint64, mutation string, log func(string)) string {
 	r := &faultyRollout{rolloutCluster: newRolloutCluster(seed, 8, []int{3, 5}[seed%2], 2*second)}
 	r.plan.Mutation = rollout.ParseMutation(mutation)
@@ -49,12 +50,12 @@
 	}
 	problem := r.checkLastChange(seed)
 	if problem == "" && log != nil {
-		log(fmt.Sprintf("%d proposed, %d decided, %d looks, %d without a lease", r.proposed, r.decided, r.decisions, r.undecided))
+		log(fmt.Sprintf("%d policies proposed, %d decided, %d samples with a lease, %d without a policy", r.proposed, r.decided, r.decisions, r.undecided))
 	}
 	return problem
 }
 
-// proposeRandom has a random member propose a policy with random terms, if it runs.
+// proposeRandom makes a random member propose a policy with random parameters, if the member is running.
 func (r *faultyRollout) proposeRandom() {
 	p := r.members[r.random.IntN(len(r.members))]
 	if !p.isRunning() {
@@ -78,7 +79,7 @@
 	})
 }
 
-// disturb has a fault happen to a process or to the network, or ends some.
+// disturb injects a random fault into a process or the network, or ends faults.
 func (r *faultyRollout) disturb(p *rolloutMember) {
 	switch r.random.IntN(11) {
 	case 0:
@@ -94,7 +95,7 @@
 		r.cut = func(from, to int) bool { return from%8 < k != (to%8 < k) }
 	case 5:
 		k := r.random.IntN(8)
-		r.cut = func(from, _ int) bool { return from%8 == k } // one way
+		r.cut = func(from, _ int) bool { return from%8 == k } // in one direction only
 	case 6:
 		k := r.random.IntN(8)
 		r.cut = func(_, to int) bool { return to%8 == k }
@@ -103,7 +104,7 @@
 	case 8:
 		r.loseFolder(p)
 	case 9:
-		if len(r.members) < 11 { // a second process under a name that runs, with a folder of its own
+		if len(r.members) < 11 { // another process under the member's name, with its own folder
 			r.add(&rolloutMember{cluster: r.rolloutCluster, name: p.name, clockRate: p.clockRate, clockOffset: p.clockOffset, syncTime: p.syncTime})
 		}
 	case 10:
@@ -111,7 +112,7 @@
 	}
 }
 
-// startSome starts about half of the processes that are down.
+// startSome starts each process that is down with a probability of one half.
 func (r *faultyRollout) startSome() {
 	for _, p := range r.members {
 		if !p.up && r.random.IntN(2) == 0 {
@@ -120,7 +121,7 @@
 	}
 }
 
-// loseFolder kills a member that doesn't vote, and leaves it its folder as it was earlier, or none.
+// loseFolder kills a member that is not a voter, and replaces its folder by an earlier state of it, which may be empty.
 func (r *faultyRollout) loseFolder(p *rolloutMember) {
 	if slices.Contains(r.voters, p.name) || !p.up {
 		return
@@ -130,7 +131,7 @@
 	p.disk = earlier
 }
 
-// heal ends all faults, and waits until open proposals and the leases of whatever was cut off have ended.
+// heal ends all faults, and waits until open proposals and the leases of processes that were cut off have ended.
 func (r *faultyRollout) heal() {
 	r.cut, r.loss, r.duplicate, r.delayedShare = nil, 0, 0, 0
 	for _, p := range r.members[:8] {
@@ -145,7 +146,7 @@
 	r.advance(40 * second)
 }
 
-// checkLastChange proposes one more policy, and tells what didn't come about; empty: all go by it.
+// checkLastChange proposes one more policy. It returns an empty string if all members apply it, and otherwise describes what failed.
 func (r *faultyRollout) checkLastChange(seed uint64) string {
 	var last rollout.Result
 	text := fmt.Sprint("the last policy of seed ", seed)
@@ -155,15 +156,16 @@
 	case r.violation != "":
 		return r.violation
 	case inForce != 8:
-		return fmt.Sprintf("eventual: 5 s after a proposal in a fleet that hears itself again %d of 8 go by it: %s %s", inForce, last.Outcome, last.Reason)
+		return fmt.Sprintf("eventual: 5 s after a proposal in the healed cluster, %d of 8 members apply it: %s %s", inForce, last.Outcome, last.Reason)
 	case r.decisions < 1000:
-		return fmt.Sprintf("eventual: only %d looks found somebody with a lease", r.decisions)
+		return fmt.Sprintf("eventual: a process had a lease in only %d samples", r.decisions)
 	}
 	return ""
 }
 
-// Whatever is lost, late, duplicated, cut, killed, paused, started twice under one name or with an older folder, and however clocks run:
-// nobody decides by a policy after anybody has decided by a later one; and once all hear each other a change takes hold everywhere.
+// No process applies a policy after another process has applied a later one, although messages are lost, delayed, duplicated and cut off,
+// processes are killed, paused, started with an older folder or run twice under one name, and clocks run at different rates. Once all members
+// are connected again, all of them apply a new policy.
 func TestNeverOlder(t *testing.T) {
 	for seed := range uint64(decisions) {
 		if wrong := runWithFaults(seed, "", nil); wrong != "" {
@@ -172,7 +174,7 @@
 	}
 }
 
-// Mutations are found by the same seeds.
+// The simulation of TestNeverOlder finds a violation for each of these mutations.
 func TestNeverOlderFindsMutations(t *testing.T) {
 	for _, mutation := range []string{"switches-on-word", "believes-folder", "leader-without-wait", "keeps-on-yield", "both-forever"} {
 		found := ""
@@ -183,14 +185,14 @@
 			}
 		}
 		if !strings.Contains(found, "decides by") {
-			t.Errorf("%s was not found in 60 seeds", mutation)
+			t.Errorf("mutation %s was not found with 60 seeds", mutation)
 		}
 	}
 }
 
 func TestNeverOlderOne(t *testing.T) {
 	if os.Getenv("SEED") == "" {
-		t.Skip("one seed, by hand: SEED=16 go test -run NeverOlderOne -v")
+		t.Skip("runs a single seed by hand: SEED=16 go test -run NeverOlderOne -v")
 	}
 	seed, _ := strconv.ParseUint(os.Getenv("SEED"), 10, 64)
 	t.Log(runWithFaults(seed, os.Getenv("PLANTED"), func(s string) { t.Log(s) }))
--- a/internal/testbed/simcluster/rollout_linearizable_test.go
+++ b/internal/testbed/simcluster/rollout_linearizable_test.go
@@ -11,16 +11,17 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// registerInput is an operation on the register: a proposal, which writes the next number, or a decision, which reads the number.
+// registerInput is an operation on the register. A proposal writes: it increases the number by one. A process that applies a policy reads: it
+// returns the number.
 type registerInput struct {
 	isWrite bool
-	id      uint64
+	id      uint64 // of a proposal
 }
 
-// unknownNumber is the output of a proposal of which nobody knows the end.
+// unknownNumber is the output of a proposal whose outcome is unknown.
 const unknownNumber uint64 = math.MaxUint64
 
-// registerModel is a register whose writes give it the next number, or fail with 0.
+// registerModel returns the model of a register. A write increases the register's number by one and returns it, or fails and returns 0.
 func registerModel(t *testing.T) porcupine.Model {
 	t.Helper()
 	model := porcupine.NondeterministicModel{
@@ -30,7 +31,7 @@
 			input, isInput := in.(registerInput)
 			output, isOutput := out.(uint64)
 			if !isNumber || !isInput || !isOutput {
-				t.Fatalf("a history of %T, %T and %T", state, in, out)
+				t.Fatalf("unexpected types in the history: state %T, input %T, output %T", state, in, out)
 			}
 			return stepRegister(number, input, output)
 		},
@@ -38,7 +39,8 @@
 	return model.ToModel()
 }
 
-// stepRegister are the numbers that the register may have after an operation; none: it could not have that output.
+// stepRegister returns the numbers that the register may have after an operation with an output. It returns none if the operation cannot have
+// that output.
 func stepRegister(number uint64, input registerInput, output uint64) []any {
 	switch {
 	case !input.isWrite && number == output, input.isWrite && output == 0:
@@ -51,15 +53,15 @@
 	return nil
 }
 
-// registerHistory is the history of proposals and of decisions by numbers in a cluster with faults.
+// registerHistory records the proposals and the applied policy numbers in a cluster with faults.
 type registerHistory struct {
 	t          *testing.T
 	cluster    *rolloutCluster
 	operations []porcupine.Operation
-	open       map[uint64]int // by proposal id: its operation
+	open       map[uint64]int // by proposal ID: index of its operation
 }
 
-// propose has a random member propose a policy, if it runs.
+// propose makes a random member propose a policy, if the member is running.
 func (h *registerHistory) propose(seed uint64, client int) {
 	c := h.cluster
 	p := c.members[c.random.IntN(len(c.members))]
@@ -77,12 +79,12 @@
 			operation.Output = r.Number
 		}
 	})
-	if err != nil { // the operation's end stays unknown, which allows for more than happened
-		h.t.Logf("%s takes no proposal: %v", p.name, err)
+	if err != nil { // the outcome stays unknown, so that the model allows a write that did not happen
+		h.t.Logf("%s rejects the proposal: %v", p.name, err)
 	}
 }
 
-// disturb has a fault happen to a random process or to the network, or ends all but pauses.
+// disturb injects a random fault into a random process or the network, or ends all faults except pauses.
 func (h *registerHistory) disturb() {
 	c := h.cluster
 	p := c.members[c.random.IntN(len(c.members))]
@@ -106,7 +108,7 @@
 	}
 }
 
-// observe simulates some time and takes down by which numbers members decide.
+// observe simulates some time, and records the policy numbers that a random third of the members with a lease apply.
 func (h *registerHistory) observe() {
 	c := h.cluster
 	c.advance(100 * admission.Millisecond)
@@ -117,7 +119,7 @@
 	}
 }
 
-// countWrites counts the proposals that are known to be decided.
+// countWrites returns the number of proposals that are known to be decided.
 func (h *registerHistory) countWrites() (writes int) {
 	for _, operation := range h.operations {
 		input, isInput := operation.Input.(registerInput)
@@ -129,7 +131,7 @@
 	return writes
 }
 
-// The histories of proposals and of decisions by numbers, under faults, are those of one register.
+// Under faults, the histories of proposals and applied policy numbers are linearizable: they are possible histories of a single register.
 func TestLinearizable(t *testing.T) {
 	model := registerModel(t)
 	for seed := range uint64(6) {
@@ -145,10 +147,10 @@
 			}
 		}
 		if !porcupine.CheckOperations(model, h.operations) {
-			t.Errorf("seed %d: %d operations are not those of one register", seed, len(h.operations))
+			t.Errorf("seed %d: the history of %d operations is not linearizable", seed, len(h.operations))
 		}
 		if writes := h.countWrites(); len(h.operations) < 200 || writes < 3 {
-			t.Errorf("seed %d: only %d operations, %d changes", seed, len(h.operations), writes)
+			t.Errorf("seed %d: only %d operations with %d decided changes", seed, len(h.operations), writes)
 		}
 	}
 }
--- a/internal/testbed/simcluster/rollout_size_test.go
+++ b/internal/testbed/simcluster/rollout_size_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The core among a hundred: all go by a change within half a second, a third silent costs a lease, and the figures come out the same again.
+// In a cluster of a hundred members, all members apply a new policy within half a second. If a third of the members is cut off, the change waits
+// for the end of their leases. A second simulation with the same seed has the same result.
 func TestChangeReachesHundredMembers(t *testing.T) {
 	n := 100
 	e := MeasureRollout(n, 1)
@@ -14,6 +15,6 @@
 		t.Errorf("%+v", e)
 	}
 	if again := MeasureRollout(n, 1); again != e {
-		t.Errorf("the same seed: %+v and %+v", e, again)
+		t.Errorf("different results with the same seed: %+v and %+v", e, again)
 	}
 }
--- a/internal/testbed/simcluster/rollout_test.go
+++ b/internal/testbed/simcluster/rollout_test.go
@@ -10,20 +10,20 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// calm is a cluster that has a leader and leases.
+// calm returns a cluster without faults, in which all members hold a lease.
 func calm(t *testing.T, seed uint64, n, voters int) *rolloutCluster {
 	t.Helper()
 	a := newRolloutCluster(seed, n, voters, 2*second)
 	a.advance(6 * second)
 	if got := a.countInForce(rollout.Digest{}); got != n {
-		t.Fatalf("%d of %d hold a lease", got, n)
+		t.Fatalf("%d of %d members hold a lease", got, n)
 	}
 	return a
 }
 
-// enact proposes a policy and waits for its end.
+// enact proposes a policy and waits for its outcome.
 func (c *rolloutCluster) enact(by int, text string, wait Time) rollout.Result {
-	r := rollout.Result{Reason: "it has not ended"}
+	r := rollout.Result{Reason: "the proposal has no outcome yet"}
 	c.propose(c.members[by], text, func(end rollout.Result) { r = end })
 	for until := c.now + wait; c.now < until && r.Outcome == rollout.OutcomePending; {
 		c.advance(10 * admission.Millisecond)
@@ -31,7 +31,7 @@
 	return r
 }
 
-// proposeThere has a member propose, waits for a time, and returns what the member knows of the proposal by then.
+// proposeThere makes a member propose a policy, waits for a time, and returns the result that the member knows by then.
 func (c *rolloutCluster) proposeThere(t *testing.T, by int, p rollout.Proposal, wait Time) rollout.Result {
 	t.Helper()
 	member := c.members[by]
@@ -43,7 +43,7 @@
 	return result
 }
 
-// proposeTwoAtOnce has two members propose at once, and returns the result of the proposal that was taken first, and of the other.
+// proposeTwoAtOnce makes two members propose at the same time. It returns the result of the accepted proposal first, and then that of the other.
 func (c *rolloutCluster) proposeTwoAtOnce() (taken, rejected rollout.Result) {
 	c.propose(c.members[6], "three; rehearse;", func(r rollout.Result) { taken = r })
 	c.propose(c.members[7], "four", func(r rollout.Result) { rejected = r })
@@ -54,7 +54,7 @@
 	return taken, rejected
 }
 
-// proposeRepeatedly proposes the same again and again, here and elsewhere, as after a lost answer.
+// proposeRepeatedly makes two members propose the same proposal three times each, as an operator may do after lost answers.
 func (c *rolloutCluster) proposeRepeatedly(t *testing.T, p rollout.Proposal) rollout.Result {
 	t.Helper()
 	for range 3 {
@@ -80,7 +80,7 @@
 back to 77: refused 0 number 77 is not among the last 16
 meant to follow 1: refused 0 it is meant to follow number 1, and 4 is in force`
 
-// What becomes of proposals, as an operator is told it.
+// Proposals have the outcomes and reasons that the operator expects.
 func TestEnds(t *testing.T) {
 	a := calm(t, 1, 8, 5)
 	var got []string
@@ -107,11 +107,12 @@
 		t.Errorf("found\n%s\nexpected\n%s", text, wantedEnds)
 	}
 	if a.countInForce(rollout.DigestOf([]byte("one"))) != 8 || a.violation != "" {
-		t.Errorf("%d of 8 go by it; %s", a.countInForce(rollout.DigestOf([]byte("one"))), a.violation)
+		t.Errorf("%d of 8 members apply the policy; %s", a.countInForce(rollout.DigestOf([]byte("one"))), a.violation)
 	}
 }
 
-// enactThousand proposes a thousand policies in a row, one of the largest size, while members come and go.
+// enactThousand proposes a thousand policies in a row, one of them with the maximum size, while members are killed and restarted. It returns the
+// number of decided ones.
 func (c *rolloutCluster) enactThousand(t *testing.T) (decided int) {
 	t.Helper()
 	for k := range 1000 {
@@ -137,7 +138,8 @@
 	return decided
 }
 
-// A thousand changes in a row while members come and go, one of them a megabyte; one that was away through all of it is there in a second.
+// A thousand changes in a row are decided while members are killed and restarted. One of the policies has a megabyte. A member that was down
+// during all changes applies the last policy within a second of its start.
 func TestThousandChangesInARow(t *testing.T) {
 	a := calm(t, 3, 10, 3)
 	away := a.members[9]
@@ -151,21 +153,22 @@
 		a.advance(10 * admission.Millisecond)
 	}
 	if took := a.now - began; took > second || away.inForce.Number != 1000 {
-		t.Errorf("who was away through it goes by number %d after %.2f s", away.inForce.Number, float64(took)/float64(second))
+		t.Errorf("the member that was down applies policy number %d after %.2f s", away.inForce.Number, float64(took)/float64(second))
 	}
-	for _, p := range a.members[:3] { // sixteen policies, one of them a megabyte, and the log
+	for _, p := range a.members[:3] { // a voter stores the last 16 policies and the log
 		bytes := 0
 		for _, record := range p.latestRecords() {
 			bytes += len(record.Value)
 		}
 		if bytes > 100<<10 {
-			t.Errorf("%s keeps %d bytes", p.name, bytes)
+			t.Errorf("%s stores %d bytes", p.name, bytes)
 		}
 	}
 }
 
-// A voter that lost its folder is another voter: it takes the lost one's place once that was not heard for a while, and not before. Who
-// comes with an older folder finds that out, where the leader knows better.
+// A voter that has lost its folder restarts as a new voter. It takes the place of the lost voter only after no messages have arrived from that
+// one for a while. A voter that restarts with an older folder learns from the leader that its log has lost entries, and also becomes a new
+// voter.
 func TestVotersFolders(t *testing.T) {
 	a := calm(t, 5, 6, 3)
 	said := map[rollout.EventCode]int{}
@@ -180,11 +183,11 @@
 	lost.start()
 	a.advance(8 * second)
 	if lost.core.Status(lost.clock()).IsVoter {
-		t.Error("a voter without its folder votes before the one that it was is known to be gone")
+		t.Error("a voter without its folder votes before the lost voter counts as gone")
 	}
 	a.advance(8 * second)
 	if s := lost.core.Status(lost.clock()); !s.IsVoter || said[rollout.VotersChanged] == 0 {
-		t.Errorf("a voter that lost its folder has not come back as another: %v", said)
+		t.Errorf("a voter that lost its folder has not become a new voter; events: %v", said)
 	}
 	older := slices.Clone(old.disk)
 	for k := range 3 {
@@ -197,7 +200,7 @@
 	old.start()
 	a.advance(16 * second)
 	if s := old.core.Status(old.clock()); !s.IsVoter || said[rollout.LogLost] == 0 {
-		t.Errorf("an older folder was not found out, or its voter has not come back as another: %v", said)
+		t.Errorf("an older folder was not detected, or its voter has not become a new voter; events: %v", said)
 	}
 	a.members[leader].kill()
 	if r := a.enact(5, "the last", 20*second); r.Outcome != rollout.OutcomeDecided || a.violation != "" {
@@ -205,8 +208,9 @@
 	}
 }
 
-// A voter's sync lies, all lose power, and the honest one that had it all stays away: the two that are left know less than members
-// have gone by. They give no lease, loudly, until the operator forces a new log.
+// The disk of a voter reports a write that it has not done, and a policy is decided with that voter's vote. Then this voter and the leader are
+// killed, and only the first restarts. The remaining two voters lack a policy that members have already applied. They grant no leases and
+// report that voters are behind, until the operator forces a new log.
 func TestLyingDisk(t *testing.T) {
 	a := calm(t, 6, 6, 3)
 	behind := 0
@@ -225,34 +229,35 @@
 	if r := a.enact(5, "two", 10*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	a.advance(second) // all but one go by it
+	a.advance(second) // all members except the one that is cut off apply the policy
 	liar.kill()
 	a.members[leader].kill()
 	liar.diskLies, a.cut = false, nil
-	a.advance(second) // what was said to it is gone
+	a.advance(second) // messages in flight to the killed processes are lost
 	liar.start()
 	a.advance(15 * second)
 	if n := a.countInForce(rollout.DigestOf([]byte("one"))) + a.countInForce(rollout.DigestOf([]byte("two"))); behind == 0 || n > 0 {
-		t.Errorf("said %d times that voters are behind; %d hold a lease", behind, n)
+		t.Errorf("voters were reported as behind %d times, and %d members hold a lease", behind, n)
 	}
 	if err := a.members[4].core.ForceNewLog(a.members[4].clock(), []string{"g3", "g4", "g5"}); err != nil {
 		t.Fatal(err)
 	}
 	a.advance(30 * second)
 	if n := a.countInForce(rollout.DigestOf([]byte("two"))); n < 5 || a.violation != "" {
-		t.Errorf("%d go by the policy that was lost after it was forced; %s", n, a.violation)
+		t.Errorf("%d members apply the lost policy after the new log was forced; %s", n, a.violation)
 	}
 	if r := a.enact(5, "three", 10*second); r.Outcome != rollout.OutcomeDecided {
 		t.Errorf("%s %s", r.Outcome, r.Reason)
 	}
 	for _, n := range []int{3, 4, 5} {
 		if p := a.members[n]; !p.core.Status(p.clock()).IsVoter {
-			t.Errorf("%s was named as a voter, and doesn't vote", p.name)
+			t.Errorf("%s was named as a voter, but is not one", p.name)
 		}
 	}
 }
 
-// Without a lease what both policies allow goes on, where the policy says so, and ends in time.
+// If a policy sets an overlap, a member that loses its lease during the change still admits the requests that both policies allow, for a limited
+// time. The next change waits for the end of that time.
 func TestOverlapWithoutLease(t *testing.T) {
 	a := calm(t, 7, 6, 3)
 	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
@@ -262,14 +267,14 @@
 	a.cut = func(from, to int) bool { return from == apart != (to == apart) }
 	var one, two rollout.Result
 	a.advance(second)
-	a.propose(a.members[5], "two; both;", func(r rollout.Result) { one = r }) // g4 is silent: the others wait for its lease
+	a.propose(a.members[5], "two; both;", func(r rollout.Result) { one = r }) // g4 is cut off, so the others wait for the end of its lease
 	a.advance(second / 2)
 	cut := a.cut
-	a.cut = func(from, to int) bool { return cut(from, to) || from == 3 != (to == 3) } // and now g3 is, which has heard of both
+	a.cut = func(from, to int) bool { return cut(from, to) || from == 3 != (to == 3) } // g3 knows both policies and is now cut off too
 	a.advance(3 * second)
 	s := a.members[3].inForce
 	if one.Outcome != rollout.OutcomeDecided || s.OverlapDigest != rollout.DigestOf([]byte("two; both;")) || s.HoldsLease(a.members[3].clock()) || a.members[3].clock() >= s.OverlapUntil {
-		t.Errorf("%v; g3 goes by %s and %s", one, s.Digest, s.OverlapDigest)
+		t.Errorf("%v; g3 applies %s and %s", one, s.Digest, s.OverlapDigest)
 	}
 	at := a.now
 	a.propose(a.members[5], "three", func(r rollout.Result) { two = r })
@@ -277,14 +282,14 @@
 		a.advance(10 * admission.Millisecond)
 	}
 	if two.Outcome != rollout.OutcomeDecided || a.now-at < second {
-		t.Errorf("the change after it: %s %s after %.1f s", two.Outcome, two.Reason, float64(a.now-at)/float64(second))
+		t.Errorf("the next change: %s %s after %.1f s", two.Outcome, two.Reason, float64(a.now-at)/float64(second))
 	}
 	if a.violation != "" {
 		t.Error(a.violation)
 	}
 }
 
-// A policy on probation that is worse than it says it may be is taken back once, as a change of its own.
+// A policy on probation that exceeds its probation bounds is rolled back. The rollback is a change with its own policy number.
 func TestProbation(t *testing.T) {
 	a := calm(t, 8, 6, 3)
 	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
@@ -299,7 +304,7 @@
 	a.advance(3 * second)
 	p := a.members[0]
 	if n := a.countInForce(rollout.DigestOf([]byte("one"))); n != 6 || p.inForce.Number != 3 {
-		t.Errorf("%d of 6 go by the one before, under number %d", n, p.inForce.Number)
+		t.Errorf("%d of 6 members apply the policy before it, with number %d", n, p.inForce.Number)
 	}
 	for _, p := range a.members {
 		p.shedsHalf = false
@@ -309,6 +314,6 @@
 	}
 	a.advance(5 * second)
 	if p.inForce.Number != 4 {
-		t.Errorf("a good one was taken back: number %d", p.inForce.Number)
+		t.Errorf("a policy within its bounds was rolled back: number %d", p.inForce.Number)
 	}
 }
