--- a/internal/testbed/quorumquota/quorumquota.go
+++ b/internal/testbed/quorumquota/quorumquota.go
@@ -139,7 +139,7 @@
 	answer := quota.Message{Kind: quota.KindLeaseGrant, RecipientIncarnation: m.SenderIncarnation, QuotaID: m.QuotaID, Share: m.Share, Sequence: m.Sequence}
 	if g.isHeld(c.now) && (g.holder != m.Sender || g.incarnation != m.SenderIncarnation) {
 		answer.Kind = quota.KindReject
-		answer.LeaseID = uint32(c.findFree(index) + 1)
+		answer.LeaseID = uint32(c.findFreeUnit(index) + 1)
 	} else {
 		*g = grant{m.Sender, m.SenderIncarnation, c.now + c.replicaLease()}
 	}
@@ -148,8 +148,8 @@
 
 func (g *grant) isHeld(now Time) bool { return g.incarnation > 0 && now < g.until }
 
-// findFree returns a unit that nobody holds, or -1 if there is none. The search starts at a random unit.
-func (c *Core) findFree(index int) int {
+// findFreeUnit returns a unit that nobody holds, or -1 if there is none. The search starts at a random unit.
+func (c *Core) findFreeUnit(index int) int {
 	grants := c.grants[index]
 	first := c.random.IntN(len(grants))
 	for i := range grants {
@@ -170,7 +170,7 @@
 	answers := &u.granted
 	if m.Kind == quota.KindReject {
 		answers = &u.rejected
-		c.takeHint(&c.quotas[index], int(m.LeaseID)-1)
+		c.storeHint(&c.quotas[index], int(m.LeaseID)-1)
 	}
 	if !slices.Contains(*answers, m.Sender) {
 		*answers = append(*answers, m.Sender)
@@ -181,14 +181,14 @@
 		c.attempts = slices.Delete(c.attempts, i, i+1)
 		return true
 	case 2*len(u.rejected) > len(c.plan.Voters):
-		c.giveBack(&c.attempts, i)
+		c.returnUnit(&c.attempts, i)
 		c.requestUnits(index)
 	}
 	return false
 }
 
-// takeHint stores the unit that a replica reported as free. A negative number means that no unit is free, which delays further requests.
-func (c *Core) takeHint(d *demand, free int) {
+// storeHint stores the unit that a replica reported as free. A negative number means that no unit is free, which delays further requests.
+func (c *Core) storeHint(d *demand, free int) {
 	if free >= 0 {
 		d.freeHints = append(d.freeHints, free)
 		return
@@ -197,8 +197,8 @@
 	d.backoff = c.now + fullBackoff
 }
 
-// giveBack removes a unit from a list and returns it to the replicas.
-func (c *Core) giveBack(list *[]unit, i int) {
+// returnUnit removes a unit from a list and returns it to the replicas.
+func (c *Core) returnUnit(list *[]unit, i int) {
 	u := (*list)[i]
 	*list = slices.Delete(*list, i, i+1)
 	c.broadcast(quota.KindLeaseReturn, &u)
@@ -212,7 +212,7 @@
 	c.now = max(c.now, now)
 	for i := len(c.attempts) - 1; i >= 0; i-- {
 		if c.now-c.attempts[i].requestedAt >= attemptTimeout {
-			c.giveBack(&c.attempts, i)
+			c.returnUnit(&c.attempts, i)
 		}
 	}
 	c.inUse = slices.DeleteFunc(c.inUse, func(u unit) bool { return c.now >= u.usedUntil })
@@ -220,7 +220,7 @@
 		u := &c.reserved[i]
 		d := &c.quotas[u.quota]
 		if !c.lastsForUse(u) || d.wanted+d.promised == 0 {
-			c.giveBack(&c.reserved, i)
+			c.returnUnit(&c.reserved, i)
 		}
 	}
 	for index := range c.quotas {
@@ -247,7 +247,7 @@
 			u.number = d.freeHints[n-1]
 			d.freeHints = d.freeHints[:n-1]
 		}
-		if c.has(&u) {
+		if c.hasUnit(&u) {
 			continue
 		}
 		c.sequence++
@@ -257,8 +257,8 @@
 	}
 }
 
-// has reports whether a unit is requested, reserved or in use by this process.
-func (c *Core) has(u *unit) bool {
+// hasUnit reports whether a unit is requested, reserved or in use by this process.
+func (c *Core) hasUnit(u *unit) bool {
 	isSame := func(other unit) bool { return other.quota == u.quota && other.number == u.number }
 	return slices.ContainsFunc(c.attempts, isSame) || slices.ContainsFunc(c.reserved, isSame) || slices.ContainsFunc(c.inUse, isSame)
 }
@@ -272,8 +272,8 @@
 	return count
 }
 
-// usable returns the indices of a quota's reserved units that last to the end of a use that begins now.
-func (c *Core) usable(index int) (indices []int) {
+// usableUnits returns the indices of a quota's reserved units that last to the end of a use that begins now.
+func (c *Core) usableUnits(index int) (indices []int) {
 	for i := range c.reserved {
 		if c.reserved[i].quota == index && c.lastsForUse(&c.reserved[i]) {
 			indices = append(indices, i)
@@ -289,7 +289,7 @@
 	defer c.mu.Unlock()
 	c.now = max(c.now, now)
 	d := &c.quotas[index]
-	if int64(len(c.usable(index))) < amount {
+	if int64(len(c.usableUnits(index))) < amount {
 		d.wanted = max(d.wanted, amount)
 		return false
 	}
@@ -305,7 +305,7 @@
 	d := &c.quotas[index]
 	d.promised = 0
 	d.wanted = max(0, d.wanted-amount)
-	usable := c.usable(index)
+	usable := c.usableUnits(index)
 	if int64(len(usable)) < amount {
 		return false
 	}
--- a/internal/testbed/quorumquota/quorumquota_test.go
+++ b/internal/testbed/quorumquota/quorumquota_test.go
@@ -87,24 +87,24 @@
 
 // There are never more units in use than the total, and at the peak at least 8 of 10, although a third of the messages is lost and members
 // restart.
-func TestNeverMore(t *testing.T) {
+func TestUseNeverExceedsTotal(t *testing.T) {
 	const members = 8
 	c := newLossyCluster(t, &quota.Plan{Shares: members, Voters: []string{"g0", "g1", "g2"}, LongestUse: admission.Second / 2, DriftDivisor: 20, Revision: 1, QuotaIDs: []uint32{7}, Totals: []int64{10}}, members)
-	most, sum, looks := 0, 0, 0
+	maxUsed, sum, samples := 0, 0, 0
 	for ; c.now < 60*admission.Second; c.now += 5 * admission.Millisecond {
 		c.deliver()
 		if c.random.IntN(1000) == 0 { // may be a replica, which then grants nothing until its earlier grants have ended
 			c.start(c.random.IntN(members))
 		}
 		used := c.step()
-		most = max(most, used)
+		maxUsed = max(maxUsed, used)
 		if c.now > 2*admission.Second {
 			sum += used
-			looks++
+			samples++
 		}
 	}
-	t.Logf("at most %d of 10 units in use, %.2f on average", most, float64(sum)/float64(looks))
-	if most > 10 || most < 8 {
-		t.Errorf("at most %d units were in use, expected 8 to 10", most)
+	t.Logf("at most %d of 10 units in use, %.2f on average", maxUsed, float64(sum)/float64(samples))
+	if maxUsed > 10 || maxUsed < 8 {
+		t.Error("expected a maximum of 8 to 10 units in use")
 	}
 }
--- a/internal/testbed/quotamodel/quotamodel_test.go
+++ b/internal/testbed/quotamodel/quotamodel_test.go
@@ -8,7 +8,7 @@
 	"magpiebank/internal/testbed/modelcheck"
 )
 
-func text(description string, r modelcheck.Result) string {
+func resultText(description string, r modelcheck.Result) string {
 	var out strings.Builder
 	r.WriteText(&out, description)
 	return "\n" + out.String()
@@ -20,7 +20,7 @@
 		maxStates = 10_000
 	}
 	Explore(maxStates, func(description string, r modelcheck.Result) {
-		t.Log(text(description, r))
+		t.Log(resultText(description, r))
 		if r.Violation != "" {
 			t.Error(description)
 		}
@@ -52,7 +52,7 @@
 	} {
 		t.Run(c.description, func(t *testing.T) {
 			r := modelcheck.Explore(c.system, maxStates, maxDepth)
-			t.Log(text(c.description, r))
+			t.Log(resultText(c.description, r))
 			if r.Violation == "" {
 				t.Error("the mutation was not found")
 			}
--- a/internal/testbed/quotamodel/shares.go
+++ b/internal/testbed/quotamodel/shares.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	maxClaims      = 2 // maximum claims of a process of the member
-	noShare        = -1
-	member         = "m"
-	members        = 2 // number of processes under the member's name
-	longStep       = 7 // ticks; longer than a share term
-	secondVoter    = 1
-	thirdVoter     = 2
-	firstVoterTwin = 5 // index of another process under the first voter's name
+	maxClaims       = 2 // maximum claims of a process of the member
+	noShare         = -1
+	memberName      = "m"
+	memberProcesses = 2 // number of processes under the member's name
+	longStep        = 7 // ticks; longer than a share term
+	secondVoter     = 1
+	thirdVoter      = 2
+	firstVoterTwin  = 5 // index of another process under the first voter's name
 )
 
 // shareSystem returns the system that explores shares: three voters with a true, a fast and a slow clock, and two processes under the name
@@ -34,8 +34,8 @@
 		p.core.OpenVoter(0, []uint64{1, 2, 3}, []uint64{1, 2, 3}) // the voters have been open for a long time
 		s.processes = append(s.processes, p)
 	}
-	for k := range members {
-		p := &process{rate: []quota.Time{slowRate, fastRate}[k], core: s.newCore(0, member, uint64(4+k), 0)}
+	for k := range memberProcesses {
+		p := &process{rate: []quota.Time{slowRate, fastRate}[k], core: s.newCore(0, memberName, uint64(4+k), 0)}
 		s.processes = append(s.processes, p)
 	}
 	s.inFlight = nil
@@ -50,8 +50,8 @@
 	s.processes = append(s.processes, &process{core: s.newCore(0, "a", s.lastIncarnation, noShare), rate: trueRate})
 	s.inFlight, s.pairsOnly = nil, true
 	s.processes[firstVoterTwin].core.JoinVoters(0)
-	s.deliverQuestions([]int{thirdVoter})
-	s.deliverQuestions([]int{firstVoterTwin})
+	s.deliverAtOnce([]int{thirdVoter})
+	s.deliverAtOnce([]int{firstVoterTwin})
 	s.inFlight = nil
 	return s
 }
@@ -76,8 +76,8 @@
 	s := forgottenTwinSystem(mutation)
 	s.processes[thirdVoter].core.RestartJoin()
 	s.processes[thirdVoter].core.JoinVoters(0)
-	s.deliverQuestions([]int{secondVoter, firstVoterTwin})
-	s.deliverQuestions([]int{thirdVoter})
+	s.deliverAtOnce([]int{secondVoter, firstVoterTwin})
+	s.deliverAtOnce([]int{thirdVoter})
 	s.inFlight = nil
 	return s
 }
@@ -121,7 +121,7 @@
 		for _, voters := range voterSubsets(s) {
 			out = append(out, s.transition(fmt.Sprintf("%s claims the share, received by%s", p, voters.names), func(s *system) {
 				s.processes[i].core.ClaimShare(s.clock(s.processes[i]))
-				s.deliverQuestions(voters.processes)
+				s.deliverAtOnce(voters.processes)
 			}))
 		}
 	}
@@ -142,8 +142,8 @@
 		for _, voters := range voterSubsets(s) {
 			out = append(out, s.transition(fmt.Sprintf("%s joins, received and answered by%s", p, voters.names), func(s *system) {
 				s.processes[i].core.JoinVoters(s.clock(s.processes[i]))
-				s.deliverQuestions(voters.processes)
-				s.deliverQuestions([]int{i})
+				s.deliverAtOnce(voters.processes)
+				s.deliverAtOnce([]int{i})
 			}))
 		}
 	}
@@ -192,20 +192,20 @@
 	return out
 }
 
-// deliverQuestions delivers all messages in flight at once, except share confirmations. A message reaches those of the given processes that
+// deliverAtOnce delivers all messages in flight at once, except share confirmations. A message reaches those of the given processes that
 // have the recipient's name. It is lost for all others. Rejections are dropped, because only lease requests react to them. A delay of a
 // claim need not be explored separately: the term of a confirmed share starts at the claim, so that a delay of the confirmation has the same
 // effect.
-func (s *system) deliverQuestions(processes []int) {
-	var questions []envelope
+func (s *system) deliverAtOnce(processes []int) {
+	var messages []envelope
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(e envelope) bool {
-		isQuestion := e.m.Kind != quota.KindShareConfirm && e.m.Kind != quota.KindReject
-		if isQuestion {
-			questions = append(questions, e)
+		hasNoDelay := e.m.Kind != quota.KindShareConfirm && e.m.Kind != quota.KindReject
+		if hasNoDelay {
+			messages = append(messages, e)
 		}
-		return isQuestion
+		return hasNoDelay
 	})
-	for _, e := range questions {
+	for _, e := range messages {
 		for _, i := range processes {
 			if p := s.processes[i]; p.core.Name() == e.to {
 				p.core.HandleMessage(s.clock(p), e.m)
--- a/internal/testbed/quotamodel/system.go
+++ b/internal/testbed/quotamodel/system.go
@@ -31,7 +31,7 @@
 	key string // the encoded recipient and message; equal envelopes have equal keys
 }
 
-func seal(to string, m quota.Message) envelope {
+func newEnvelope(to string, m quota.Message) envelope {
 	b := append([]byte(to), byte(m.Kind), byte(m.Share))
 	b = append(b, m.Sender...)
 	for _, v := range []uint64{m.SenderIncarnation, m.RecipientIncarnation, m.PlanRevision, uint64(m.Sequence), uint64(m.QuotaID), uint64(m.Units), uint64(m.LeaseID)} {
@@ -80,7 +80,7 @@
 type network struct{ s *system }
 
 func (n network) Send(to string, m quota.Message) {
-	n.s.inFlight = append(n.s.inFlight, seal(to, m))
+	n.s.inFlight = append(n.s.inFlight, newEnvelope(to, m))
 }
 func (n network) Peers() []string { return nil }
 
--- a/internal/testbed/rolloutmodel/model.go
+++ b/internal/testbed/rolloutmodel/model.go
@@ -29,8 +29,8 @@
 	// memberIndex and memberName identify the member that doesn't vote.
 	memberIndex = 2
 	memberName  = "m"
-	// nobody is the value of sharedLog.leader while no voter leads.
-	nobody = -1
+	// noLeader is the value of sharedLog.leader while no voter leads.
+	noLeader = -1
 )
 
 // Options are the faults that may happen in a model, and the settings of its proposals.
@@ -51,7 +51,7 @@
 	}
 	s := &system{
 		config: config, restarts: options.Restarts, elections: options.Elections, duplicates: options.Duplicates,
-		delayRequests: options.DelayRequests, leaseRequests: 4, log: sharedLog{leader: nobody},
+		delayRequests: options.DelayRequests, leaseRequests: 4, log: sharedLog{leader: noLeader},
 	}
 	quarters := []admission.Time{4, 5, 3}
 	s.now = -100 // voter a is elected 100 time steps before the first state
@@ -86,7 +86,7 @@
 
 // Explore explores several variants of the model, each up to maxStates states, and calls report with the name and the result of each.
 func Explore(maxStates int, report func(name string, result modelcheck.Result)) {
-	for _, form := range []struct {
+	for _, variant := range []struct {
 		name    string
 		options Options
 	}{
@@ -95,6 +95,6 @@
 		{"an election, gateways without a lease admit what both policies allow", Options{Elections: 1, Overlap: 4 * timeStep}},
 		{"an election, lease requests are delayed", Options{Elections: 1, DelayRequests: true}},
 	} {
-		report("policy, 3 voters, 1 member, 2 proposals, "+form.name, modelcheck.Explore(New(form.options), maxStates, maxDepth))
+		report("policy, 3 voters, 1 member, 2 proposals, "+variant.name, modelcheck.Explore(New(variant.options), maxStates, maxDepth))
 	}
 }
--- a/internal/testbed/rolloutmodel/model_test.go
+++ b/internal/testbed/rolloutmodel/model_test.go
@@ -44,10 +44,10 @@
 		t.Logf("%s: violation found at depth %d, after %d states, %.1f s: %s", c.name, r.Depth, r.States, time.Since(began).Seconds(), r.Violation)
 		t.Log(strings.Join(r.Trace, "; "))
 	}
-	Explore(maxStates, func(what string, r modelcheck.Result) {
-		t.Log(what, fmt.Sprintf("%d states, %d deep", r.States, r.Depth))
+	Explore(maxStates, func(description string, r modelcheck.Result) {
+		t.Log(description, fmt.Sprintf("%d states, %d deep", r.States, r.Depth))
 		if r.Violation != "" {
-			t.Errorf("%s: %s", what, r.Violation)
+			t.Errorf("%s: %s", description, r.Violation)
 			for i, m := range r.Trace {
 				t.Logf("%4d  %s", i+1, m)
 			}
--- a/internal/testbed/rolloutmodel/replica.go
+++ b/internal/testbed/rolloutmodel/replica.go
@@ -26,7 +26,7 @@
 	if r.term == 0 {
 		return consensus.ErrNotLeader
 	}
-	if !r.counts() {
+	if !r.isCurrentLeader() {
 		return nil
 	}
 	log := &r.system.log
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// counts reports whether this replica is the current leader.
-func (r *replica) counts() bool {
+// isCurrentLeader reports whether this replica is the current leader.
+func (r *replica) isCurrentLeader() bool {
 	log := &r.system.log
 	return log.leader == r.index && log.term == r.term
 }
--- a/internal/testbed/rolloutmodel/system.go
+++ b/internal/testbed/rolloutmodel/system.go
@@ -24,9 +24,9 @@
 	// How many times each fault, and a lease request by the member, may still happen.
 	restarts, elections, duplicates, leaseRequests int
 
-	latestNumber uint64 // the highest policy number that any gateway has applied
-	latestBy     string // the first gateway that applied it
-	violation    string
+	latestNumber   uint64 // the highest policy number that any gateway has applied
+	latestNumberBy string // the first gateway that applied it
+	violation      string
 }
 
 // process is one process: a core, its clock, and its replica of the log if it is a voter.
@@ -115,7 +115,7 @@
 // maxInFlight are in flight, sorts the rest and removes duplicates, and checks which policy each gateway applies.
 func (s *system) settle() {
 	s.runImmediate()
-	if i := s.log.leader; i != nobody && s.processes[i].replica.counts() && s.processes[i].core.GrantsLeases() {
+	if i := s.log.leader; i != noLeader && s.processes[i].replica.isCurrentLeader() && s.processes[i].core.GrantsLeases() {
 		s.requestLease(s.processes[i], s.processes[i].name)
 		s.runImmediate()
 	}
@@ -138,7 +138,7 @@
 	for again := true; again; {
 		again = s.deliverImmediate()
 		for i, p := range s.processes {
-			if r := p.replica; r != nil && r.pendingRead != 0 && r.counts() && s.log.leader == i {
+			if r := p.replica; r != nil && r.pendingRead != 0 && r.isCurrentLeader() && s.log.leader == i {
 				read := r.pendingRead
 				r.pendingRead = 0
 				p.core.LogHost().LeadershipConfirmed(read)
@@ -198,16 +198,16 @@
 
 func (s *system) checkDecision(p *process) {
 	inForce, now := &p.inForce, s.clock(p)
-	holds := inForce.HoldsLease(now)
+	holdsLease := inForce.HoldsLease(now)
 	switch {
-	case holds && inForce.Number > s.latestNumber:
-		s.latestNumber, s.latestBy = inForce.Number, p.label()
+	case holdsLease && inForce.Number > s.latestNumber:
+		s.latestNumber, s.latestNumberBy = inForce.Number, p.label()
 	case s.violation != "":
-	case holds && inForce.Number < s.latestNumber:
-		s.violation = fmt.Sprintf("%s applies policy number %d after %s has applied number %d", p.label(), inForce.Number, s.latestBy, s.latestNumber)
-	case holds:
+	case holdsLease && inForce.Number < s.latestNumber:
+		s.violation = fmt.Sprintf("%s applies policy number %d after %s has applied number %d", p.label(), inForce.Number, s.latestNumberBy, s.latestNumber)
+	case holdsLease:
 	case inForce.OverlapDigest != (rollout.Digest{}) && now < inForce.OverlapUntil && !s.allowsOverlap(inForce):
-		s.violation = fmt.Sprintf("%s applies the overlap of policy number %d and a proposal after %s has applied number %d", p.label(), inForce.Number, s.latestBy, s.latestNumber)
+		s.violation = fmt.Sprintf("%s applies the overlap of policy number %d and a proposal after %s has applied number %d", p.label(), inForce.Number, s.latestNumberBy, s.latestNumber)
 	}
 }
 
--- a/internal/testbed/rolloutmodel/transitions.go
+++ b/internal/testbed/rolloutmodel/transitions.go
@@ -79,7 +79,7 @@
 			p.core.LogHost().LeadershipChanged(0)
 		})
 	}
-	if !voter.replica.counts() {
+	if !voter.replica.isCurrentLeader() {
 		return
 	}
 	if s.log.next != nil {
@@ -99,7 +99,7 @@
 func (t *transitionList) addElections(index int) {
 	s := t.system
 	voter := s.processes[index]
-	if s.elections == 0 || voter.replica.term > 0 && voter.replica.counts() {
+	if s.elections == 0 || voter.replica.term > 0 && voter.replica.isCurrentLeader() {
 		return
 	}
 	elect := func(name string, keepAppended bool) {
--- a/internal/testbed/simcluster/cluster.go
+++ b/internal/testbed/simcluster/cluster.go
@@ -171,7 +171,7 @@
 	if link.Cut || link.Loss > 0 && c.random.Float64() < link.Loss {
 		return
 	}
-	for range 1 + countTrue(link.Duplicate > 0 && c.random.Float64() < link.Duplicate) {
+	for range 1 + boolToInt(link.Duplicate > 0 && c.random.Float64() < link.Duplicate) {
 		at := c.Now + link.Delay
 		if link.Jitter > 0 {
 			at += Time(c.random.Int64N(int64(link.Jitter)))
@@ -180,8 +180,8 @@
 	}
 }
 
-// countTrue returns 1 for true and 0 for false.
-func countTrue(condition bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
--- a/internal/testbed/simcluster/counter_cluster.go
+++ b/internal/testbed/simcluster/counter_cluster.go
@@ -107,8 +107,8 @@
 	return names
 }
 
-// lookClass is a class. All requests belong to it, so that they are counted once in total and once for the class.
-var lookClass = counters.Key{Kind: counters.KindClass, Name: "look"}
+// requestClass is a class. All requests belong to it, so that they are counted once in total and once for the class.
+var requestClass = counters.Key{Kind: counters.KindClass, Name: "look"}
 
 // tick simulates the due events of requests: a request arrives, starts to run, or ends.
 func (p *counterMember) tick() {
@@ -119,21 +119,21 @@
 		var waiting, running, attempted int64
 		switch p.cluster.random.IntN(3) {
 		case 0:
-			waiting = btoi64(counts[counters.Waiting]+counts[counters.Running] < maxInFlight)
+			waiting = boolToInt64(counts[counters.Waiting]+counts[counters.Running] < maxInFlight)
 		case 1:
-			waiting = -btoi64(counts[counters.Waiting] > 0)
+			waiting = -boolToInt64(counts[counters.Waiting] > 0)
 			running, attempted = -waiting, -waiting
 		case 2:
-			running = -btoi64(counts[counters.Running] > 0)
+			running = -boolToInt64(counts[counters.Running] > 0)
 		}
 		delta := [3]int64{waiting, running, attempted}
-		p.core.ApplyChanges(now, counters.Change{Delta: delta}, counters.Change{Key: lookClass, Delta: delta})
+		p.core.ApplyChanges(now, counters.Change{Delta: delta}, counters.Change{Key: requestClass, Delta: delta})
 		p.recordTrueCounts(p.core.OwnCounts(counters.Key{}))
 	}
 	p.core.Tick(now)
 }
 
-func btoi64(b bool) int64 { return int64(countTrue(b)) }
+func boolToInt64(b bool) int64 { return int64(boolToInt(b)) }
 
 // simulate simulates some time, and calls check after each step.
 func (c *counterCluster) simulate(length Time, check func()) {
@@ -185,7 +185,7 @@
 
 // checkReading takes a reading at one process. It returns a violation if a range of the reading does not contain the true count.
 func (c *counterCluster) checkReading(p *counterMember) (reading counters.Reading, violation string) {
-	reading = p.core.TakeReading(p.clock(), counters.Key{}, lookClass)
+	reading = p.core.TakeReading(p.clock(), counters.Key{}, requestClass)
 	at := p.timeAt(p.clock() - reading.Age)
 	for _, counts := range reading.Counts {
 		for count, claimed := range counts.Ranges {
--- a/internal/testbed/simcluster/counter_cluster_test.go
+++ b/internal/testbed/simcluster/counter_cluster_test.go
@@ -6,8 +6,8 @@
 	"magpiebank/internal/admission"
 )
 
-// counterFault injects a random fault into a random process or the network, or ends a fault.
-func (c *counterCluster) counterFault() {
+// injectFault injects a random fault into a random process or the network, or ends a fault.
+func (c *counterCluster) injectFault() {
 	p := c.members[c.random.IntN(len(c.members))]
 	switch c.random.IntN(6) {
 	case 0:
@@ -48,7 +48,7 @@
 				t.Fatalf("seed %d: %s", seed, violation)
 			}
 			reads++
-			silent += countTrue(reading.Unknown > 0)
+			silent += boolToInt(reading.Unknown > 0)
 			if reading.Unknown == 0 {
 				widest = max(widest, reading.Counts[0].Ranges[1].High-reading.Counts[0].Ranges[1].Low)
 			}
@@ -56,7 +56,7 @@
 		c.simulate(3*second, check)
 		c.loss, c.duplicate, c.delayedShare = 0.15, 0.1, 0.01
 		for range 30 {
-			c.counterFault()
+			c.injectFault()
 			c.simulate(Time(100+c.random.IntN(1900))*admission.Millisecond, check)
 		}
 	}
--- a/internal/testbed/simcluster/health_reports.go
+++ b/internal/testbed/simcluster/health_reports.go
@@ -10,14 +10,14 @@
 
 // HealthReportResult is the result of a simulation in which members send requests to random engines and exchange health reports.
 type HealthReportResult struct {
-	Members, Engines int
-	Loss             float64 // share of messages that are lost
-	Rate             float64 // requests per second at each member
-	Detect           Time    // time from the fault until nine of ten members have ejected the faulty engine; below 0: they did not
-	Sent             int     // number of requests sent to the faulty engine during the fault
-	Alone            float64 // expected number of these requests without ejection
-	Wrong            int     // number of findings that eject a healthy engine, because of its single errors
-	Bytes            float64 // bytes of health reports sent per second and member
+	Members, Engines        int
+	Loss                    float64 // share of messages that are lost
+	Rate                    float64 // requests per second at each member
+	DetectTime              Time    // time from the fault until nine of ten members have ejected the faulty engine; below 0: they did not
+	FaultyRequests          int     // number of requests sent to the faulty engine during the fault
+	RequestsWithoutEjection float64 // expected number of these requests without ejection
+	WrongEjections          int     // number of findings that eject a healthy engine, because of its single errors
+	Bytes                   float64 // bytes of health reports sent per second and member
 }
 
 const (
@@ -63,8 +63,8 @@
 		faultFrom: c.Now + faultDelay,
 		faultEnd:  c.Now + faultDelay + faultLength,
 		detected:  make([]Time, load.Members),
-		result: HealthReportResult{Members: load.Members, Engines: load.Engines, Loss: load.Loss, Rate: load.Rate, Detect: -1,
-			Alone: 30 * load.Rate * float64(load.Members) / float64(load.Engines)},
+		result: HealthReportResult{Members: load.Members, Engines: load.Engines, Loss: load.Loss, Rate: load.Rate, DetectTime: -1,
+			RequestsWithoutEjection: 30 * load.Rate * float64(load.Members) / float64(load.Engines)},
 	}
 	for i := range load.Engines {
 		r.endpoints = append(r.endpoints, admission.Endpoint{Engine: admission.EngineID(fmt.Sprint("e", i)), StartedAt: second})
@@ -84,7 +84,7 @@
 		bytes += p.healthReportBytes
 	}
 	r.result.Bytes = float64(bytes) / float64(load.Members) / (float64(c.Now-began) / float64(second))
-	r.result.Detect = detectTime(r.detected)
+	r.result.DetectTime = detectTime(r.detected)
 	return r.result
 }
 
@@ -122,7 +122,7 @@
 	outcome := admission.Answered
 	if r.isFaulty(engine) {
 		outcome = admission.Erred
-		r.result.Sent++
+		r.result.FaultyRequests++
 	} else if c.random.Float64() < r.load.Errors {
 		outcome = admission.Erred
 	}
@@ -139,7 +139,7 @@
 	}
 	ejected[finding.Engine] = c.Now + finding.ScoreUntil - p.clock()
 	if finding.Engine != faultyEngine {
-		r.result.Wrong++
+		r.result.WrongEjections++
 	} else if r.detected[p.Index] == 0 && c.Now >= r.faultFrom {
 		r.detected[p.Index] = c.Now - r.faultFrom
 	}
@@ -174,7 +174,7 @@
 func WriteHealthReports(out io.Writer, list []HealthReportResult) {
 	fmt.Fprintln(out, "members  engines  tasks/s each  loss  9 of 10 send it nothing after s  tasks to it in 30 s  without sharing  sound ones out  bytes/s a member")
 	for _, s := range list {
-		fmt.Fprintf(out, "%7d  %7d  %12.1f  %3.0f%%  %30.2f  %19d  %15.0f  %14d  %16.0f\n", s.Members, s.Engines, s.Rate, 100*s.Loss, float64(s.Detect)/float64(admission.Second), s.Sent,
-			s.Alone, s.Wrong, s.Bytes)
+		fmt.Fprintf(out, "%7d  %7d  %12.1f  %3.0f%%  %30.2f  %19d  %15.0f  %14d  %16.0f\n", s.Members, s.Engines, s.Rate, 100*s.Loss, float64(s.DetectTime)/float64(admission.Second), s.FaultyRequests,
+			s.RequestsWithoutEjection, s.WrongEjections, s.Bytes)
 	}
 }
--- a/internal/testbed/simcluster/network.go
+++ b/internal/testbed/simcluster/network.go
@@ -39,7 +39,7 @@
 	n.sent++
 	n.bytes += bytes + datagramOverhead
 	for _, recipient := range to {
-		for range 1 + countTrue(n.duplicate > 0 && n.random.Float64() < n.duplicate) {
+		for range 1 + boolToInt(n.duplicate > 0 && n.random.Float64() < n.duplicate) {
 			if recipient != from && (n.random.Float64() < n.loss || n.cut != nil && n.cut(from, recipient)) {
 				continue
 			}
--- a/internal/testbed/simcluster/quota_cluster.go
+++ b/internal/testbed/simcluster/quota_cluster.go
@@ -65,8 +65,8 @@
 	p.incarnations = append(p.incarnations, p.cluster.starts)
 }
 
-// succeed starts a process that knows that its earlier incarnations have ended, as a restart on the same machine does.
-func (p *quotaMember) succeed() {
+// startSuccessor starts a process that knows that its earlier incarnations have ended, as a restart on the same machine does.
+func (p *quotaMember) startSuccessor() {
 	before := p.incarnations
 	p.start()
 	p.core.SetPredecessors(before[max(0, len(before)-quota.MaxPredecessors):])
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// seeds is the number of seeds in TestNeverMore.
-var seeds = 60
+// quotaSeeds is the number of seeds in TestNeverMore.
+var quotaSeeds = 60
 
-// margin returns how long a process must wait on its own clock until a term has certainly ended on another clock, which may run slower.
-func margin(term Time) Time { return term + 3*term/20 + 1 }
+// withDrift returns how long a process must wait on its own clock until a term has certainly ended on another clock, which may run slower.
+func withDrift(term Time) Time { return term + 3*term/20 + 1 }
 
 // mayStart reports whether a process may start for a share without exceeding the faults that the protocol tolerates: only a minority of the
 // voters may have two running processes at a time.
@@ -30,8 +30,8 @@
 	return 2*twice < len(c.plan.Voters)
 }
 
-// quotaFault injects a random fault into a random process or the network, or ends a fault.
-func (c *quotaCluster) quotaFault() {
+// injectFault injects a random fault into a random process or the network, or ends a fault.
+func (c *quotaCluster) injectFault() {
 	p := c.members[c.random.IntN(len(c.members))]
 	switch c.random.IntN(8) {
 	case 0:
@@ -62,7 +62,7 @@
 		return
 	}
 	if c.random.IntN(2) == 0 {
-		p.succeed()
+		p.startSuccessor()
 	} else {
 		p.start()
 	}
@@ -81,8 +81,8 @@
 
 // The units held and the units used never exceed the total, although messages are lost, delayed, duplicated and cut off, processes are killed
 // and paused, two processes run under one name, and clocks run at different rates.
-func TestNeverMore(t *testing.T) {
-	for seed := range uint64(seeds) {
+func TestQuotaIsNeverExceeded(t *testing.T) {
+	for seed := range uint64(quotaSeeds) {
 		c := newQuotaCluster(seed, 12, []int64{30, 7, 3}[seed%3])
 		total := c.plan.Totals[0]
 		check := func() {
@@ -96,7 +96,7 @@
 			for _, p := range c.members {
 				p.demand = int64(c.random.IntN(2) * c.random.IntN(int(total)+2))
 			}
-			c.quotaFault()
+			c.injectFault()
 			c.advance(Time(100+c.random.IntN(900))*admission.Millisecond, check)
 		}
 	}
@@ -119,7 +119,7 @@
 		p.up = false
 		c.advance(second/10, func() {})
 		if k == 0 {
-			p.succeed()
+			p.startSuccessor()
 		} else {
 			p.start()
 		}
@@ -130,7 +130,7 @@
 		took[k] = c.now - began
 	}
 	term, lease := 2*second, second // ShareTerm and LeaseTerm of the plan
-	if took[0] < lease || took[0] > margin(lease)+second/5 || took[1] < term-term/4 || took[1] > 2*margin(term) {
+	if took[0] < lease || took[0] > withDrift(lease)+second/5 || took[1] < term-term/4 || took[1] > 2*withDrift(term) {
 		t.Errorf("the share is usable after %.2f s with predecessors, and after %.2f s without", float64(took[0])/float64(second), float64(took[1])/float64(second))
 	}
 }
@@ -152,27 +152,27 @@
 // The total is raised, lowered below the units in use, and reduced to zero, while a third of the members is cut off and does not receive the
 // change. The units held never exceed the larger of the old and the new total. After a share term, a lease term and their margins for clock
 // drift, they never exceed the new total. Members that come back with the old plan revision hold no units.
-func TestTotals(t *testing.T) {
+func TestTotalChanges(t *testing.T) {
 	c := newQuotaCluster(4, 12, 24)
 	for _, p := range c.members {
 		p.demand = 4
 	}
-	most := int64(24)
+	limit := int64(24)
 	check := func() {
-		if held, used := c.totals(); held > most || used > most {
-			t.Fatalf("%.2f s: %d units held and %d used, the limit is %d", float64(c.now)/float64(second), held, used, most)
+		if held, used := c.totals(); held > limit || used > limit {
+			t.Fatalf("%.2f s: %d units held and %d used, the limit is %d", float64(c.now)/float64(second), held, used, limit)
 		}
 	}
 	third := func(n int) bool { return n >= 8 }
-	bound := margin(c.plan.ShareTerm) + margin(c.plan.LeaseTerm) + c.plan.ShareTerm/4
+	changeTime := withDrift(c.plan.ShareTerm) + withDrift(c.plan.LeaseTerm) + c.plan.ShareTerm/4
 	c.advance(6*second, check)
 	for i, total := range []int64{36, 6, 0, 24} {
 		c.cut = func(from, to int) bool { return third(from) != third(to) }
 		c.advance(second/5, check)
-		most = max(most, total)
+		limit = max(limit, total)
 		c.replacePlan(uint64(2+i), total, func(n int) bool { return !third(n) })
-		c.advance(bound, check)
-		most = total // the third is still cut off, with the old plan revision
+		c.advance(changeTime, check)
+		limit = total // the third is still cut off, with the old plan revision
 		c.advance(2*second, check)
 		c.cut = nil
 		c.advance(2*second, check)
@@ -183,9 +183,9 @@
 			}
 		}
 		c.replacePlan(uint64(2+i), total, third)
-		c.advance(margin(c.plan.ShareTerm)+c.plan.ShareTerm, check)
-		now, used := c.totals()
-		t.Logf("total %d: %d units held without the third, %d with it again, %d used", total, held, now, used)
+		c.advance(withDrift(c.plan.ShareTerm)+c.plan.ShareTerm, check)
+		heldAgain, used := c.totals()
+		t.Logf("total %d: %d units held without the third, %d with it again, %d used", total, held, heldAgain, used)
 		if used < total*9/10 {
 			t.Errorf("total %d: only %d units are used", total, used)
 		}
@@ -193,7 +193,7 @@
 }
 
 // A member that leaves and uses no units frees its share, so that its successor holds the share at once.
-func TestFarewell(t *testing.T) {
+func TestReleasedShareIsFreeAtOnce(t *testing.T) {
 	c := newQuotaCluster(5, 12, 24)
 	c.advance(6*second, func() {})
 	p := c.members[7]
@@ -208,7 +208,7 @@
 
 // Connected members use nearly all of the total if there is enough demand, at whichever members. Members that are cut off use their own shares
 // for a share term. Soon after the cut ends, nearly all of the total is used again.
-func TestWellUsed(t *testing.T) {
+func TestTotalIsNearlyAllUsed(t *testing.T) {
 	c := newQuotaCluster(1, 32, 64)
 	check := func() {}
 	c.advance(6*second, check)
@@ -255,14 +255,14 @@
 }
 
 // Nearly all of a total that is far below the number of members is used, although not by all members yet; docs/budgets.md will describe this.
-func TestSmallTotal(t *testing.T) {
+func TestTotalBelowMemberCount(t *testing.T) {
 	c := newQuotaCluster(2, 40, 3)
 	c.advance(6*second, func() {})
 	for _, p := range c.members {
 		p.demand = 1
 	}
 	c.advance(2*second, func() {})
-	sum, n, had := 0.0, 0, map[int]bool{}
+	sum, n, servedMembers := 0.0, 0, map[int]bool{}
 	c.advance(20*second, func() {
 		held, used := c.totals()
 		if held > 3 {
@@ -271,11 +271,11 @@
 		sum, n = sum+float64(used)/3, n+1
 		for _, p := range c.members {
 			if len(p.running) > 0 {
-				had[p.share] = true
+				servedMembers[p.share] = true
 			}
 		}
 	})
-	t.Logf("used share of the total %.3f, by %d of 40 members", sum/float64(n), len(had))
+	t.Logf("used share of the total %.3f, by %d of 40 members", sum/float64(n), len(servedMembers))
 	if sum/float64(n) < 0.95 {
 		t.Error("expected a used share of at least 0.95")
 	}
@@ -283,7 +283,7 @@
 
 // Requests need more units than a member's share, and more than a few other members could lease to it. The members must not block each other by
 // all holding some of the units that the others wait for.
-func TestWide(t *testing.T) {
+func TestWideRequestsProgress(t *testing.T) {
 	c := newQuotaCluster(3, 40, 48)
 	c.advance(6*second, func() {})
 	for _, p := range c.members {
@@ -299,7 +299,7 @@
 		sum, n = sum+float64(used)/48, n+1
 	})
 	for _, p := range c.members {
-		served += countTrue(p.served > 0)
+		served += boolToInt(p.served > 0)
 	}
 	t.Logf("used share of the total %.3f, by %d of 40 members", sum/float64(n), served)
 	if sum/float64(n) < 0.3 || served < 10 {
@@ -312,14 +312,14 @@
 	c := newQuotaCluster(1, 32, 64)
 	c.advance(9*second, func() {})
 	c.members[16].demand = 64
-	began, there := c.now, Time(-1)
+	began, took := c.now, Time(-1)
 	c.advance(2*second, func() {
-		if _, used := c.totals(); used >= 58 && there < 0 {
-			there = c.now - began
+		if _, used := c.totals(); used >= 58 && took < 0 {
+			took = c.now - began
 		}
 	})
-	t.Logf("nine tenths of the total are used after %.2f s", float64(there)/float64(second))
-	if there < 0 || there > second/2 {
+	t.Logf("nine tenths of the total are used after %.2f s", float64(took)/float64(second))
+	if took < 0 || took > second/2 {
 		t.Error("expected at most half a second")
 	}
 }
--- a/internal/testbed/simcluster/rollout_cluster.go
+++ b/internal/testbed/simcluster/rollout_cluster.go
@@ -17,18 +17,18 @@
 // paused, a second process may run under a name, disks may be slow, be full or report writes that they have not done, and clocks drift.
 type rolloutCluster struct {
 	network[[]byte]
-	plan              *rollout.Config
-	members           []*rolloutMember
-	starts            uint64
-	byName            map[string][]int // indices of the processes with a name
-	highestDecision   policyNumber     // the highest policy number that any process has applied with a lease
-	highestDecisionBy string           // name of the process that was the first to apply it
-	decisions         int              // number of simulation steps in which a process had a lease, over all processes
-	undecided         int              // number of simulation steps in which a process could apply no policy, over all processes
-	violation         string           // the first application of an older policy
-	voters            []string
-	onEvent           func(p *rolloutMember, code rollout.EventCode, more []any)
-	policies          map[rollout.Digest]bool // policies that any process has applied with a lease
+	config             *rollout.Config
+	members            []*rolloutMember
+	starts             uint64
+	byName             map[string][]int // indices of the processes with a name
+	highestApplied     policyNumber     // the highest policy number that any process has applied with a lease
+	highestAppliedBy   string           // name of the process that was the first to apply it
+	leaseSteps         int              // number of simulation steps in which a process had a lease, over all processes
+	stepsWithoutPolicy int              // number of simulation steps in which a process could apply no policy, over all processes
+	violation          string           // the first application of an older policy
+	voters             []string
+	onEvent            func(p *rolloutMember, code rollout.EventCode, more []any)
+	policies           map[rollout.Digest]bool // policies that any process has applied with a lease
 }
 
 // policyNumber identifies a policy by its era and its number in the era.
@@ -52,12 +52,12 @@
 	disk          []consensus.Record // synced records, which survive a kill
 	unsynced      []consensus.Record // written records that may be lost in a kill
 	pending       []pendingWrite
-	syncTime      Time          // duration of a sync
-	diskFull      bool          // every write fails; no test sets this yet
-	diskLies      bool          // the disk reports records as synced that it has not written
-	deferred      []heldMessage // messages that arrived during the pause
-	drainingUntil Time          // until this time, requests that the previous policy admitted are in progress
-	shedsHalf     bool          // half of its requests are shed
+	syncTime      Time              // duration of a sync
+	diskFull      bool              // every write fails; no test sets this yet
+	diskLies      bool              // the disk reports records as synced that it has not written
+	deferred      []deferredMessage // messages that arrived during the pause
+	drainingUntil Time              // until this time, requests that the previous policy admitted are in progress
+	shedsHalf     bool              // half of its requests are shed
 }
 
 // pendingWrite is a write, or another asynchronous call of a core, that is not complete yet.
@@ -68,8 +68,8 @@
 	records int // number of unsynced records that are synced when it completes
 }
 
-// heldMessage is a message in the socket buffer of a paused process.
-type heldMessage struct {
+// deferredMessage is a message in the socket buffer of a paused process.
+type deferredMessage struct {
 	from    string
 	message []byte
 }
@@ -83,8 +83,8 @@
 	for k := range voters {
 		c.voters = append(c.voters, fmt.Sprint("g", k))
 	}
-	c.plan = &rollout.Config{Voters: c.voters, LeaseDuration: lease, PrepareTimeout: 3 * admission.Second, ClockDriftDivisor: 20, Persistent: true}
-	c.highestDecisionBy = "nobody"
+	c.config = &rollout.Config{Voters: c.voters, LeaseDuration: lease, PrepareTimeout: 3 * admission.Second, ClockDriftDivisor: 20, Persistent: true}
+	c.highestAppliedBy = "nobody"
 	for k := range n {
 		p := &rolloutMember{cluster: c, name: fmt.Sprint("g", k), clockRate: 0.955 + 0.09*c.random.Float64(), clockOffset: float64(c.random.IntN(1e6)), syncTime: 2 * admission.Millisecond}
 		c.add(p)
@@ -116,7 +116,7 @@
 		panic(stored.Err())
 	}
 	p.core = nil
-	p.core = rollout.New(p.clock(), p.cluster.plan, rollout.Process{
+	p.core = rollout.New(p.clock(), p.cluster.config, rollout.Process{
 		Name: p.name, Incarnation: p.cluster.starts, Random: rand.New(rand.NewPCG(p.cluster.random.Uint64(), 4)), Stored: stored,
 	}, p)
 }
@@ -165,21 +165,21 @@
 // CheckPolicy reads the parameters of a policy from words in its text. A policy with the text "not for" and this process's name is invalid here.
 func (p *rolloutMember) CheckPolicy(_ rollout.Digest, text []byte, done func(rollout.Parameters, error)) {
 	p.later(Time(p.cluster.random.IntN(50)), 0, func() {
-		var terms rollout.Parameters
+		var parameters rollout.Parameters
 		if bytes.Contains(text, []byte("not for "+p.name+";")) {
-			done(terms, errors.New("statements.pools[0].zones: expected some of [norte], found [este]"))
+			done(parameters, errors.New("statements.pools[0].zones: expected some of [norte], found [este]"))
 			return
 		}
 		if bytes.Contains(text, []byte("both;")) {
-			terms.Overlap = 3 * p.cluster.plan.LeaseDuration
+			parameters.Overlap = 3 * p.cluster.config.LeaseDuration
 		}
 		if bytes.Contains(text, []byte("rehearse;")) {
-			terms.RehearsalLength = admission.Second / 2
+			parameters.RehearsalLength = admission.Second / 2
 		}
 		if bytes.Contains(text, []byte("probation;")) {
-			terms.Probation, terms.ProbationBounds = 2*admission.Second, rollout.Bounds{Rejected: 0.1, Shed: 0.1}
+			parameters.Probation, parameters.ProbationBounds = 2*admission.Second, rollout.Bounds{Rejected: 0.1, Shed: 0.1}
 		}
-		done(terms, nil)
+		done(parameters, nil)
 	})
 }
 
@@ -258,7 +258,7 @@
 		p.handleMessage(held.from, held.message)
 	}
 	p.core.Tick(p.clock())
-	p.decide()
+	p.checkDecision()
 }
 
 func (p *rolloutMember) handleMessage(from string, m []byte) {
@@ -267,30 +267,30 @@
 	}
 }
 
-// decide treats a process as if it admitted a request now, by the policy of its lease, or without a lease by the overlap of two policies. It
+// checkDecision treats a process as if it admitted a request now, by the policy of its lease, or without a lease by the overlap of two policies. It
 // records a violation if another process has already applied a later policy.
-func (p *rolloutMember) decide() {
+func (p *rolloutMember) checkDecision() {
 	c, s := p.cluster, &p.inForce
 	current := policyNumber{s.Era, s.Number}
 	switch now := p.clock(); {
 	case s.HoldsLease(now):
-		c.decisions++
-		if c.highestDecision.isLaterThan(current) && c.violation == "" {
-			c.violation = fmt.Sprintf("%.3f s: %s decides by number %d of era %d, after %s has decided by %d of %d", float64(c.now)/float64(admission.Second), p.name, s.Number, s.Era, c.highestDecisionBy,
-				c.highestDecision.number, c.highestDecision.era)
+		c.leaseSteps++
+		if c.highestApplied.isLaterThan(current) && c.violation == "" {
+			c.violation = fmt.Sprintf("%.3f s: %s decides by number %d of era %d, after %s has decided by %d of %d", float64(c.now)/float64(admission.Second), p.name, s.Number, s.Era, c.highestAppliedBy,
+				c.highestApplied.number, c.highestApplied.era)
 		}
-		if current.isLaterThan(c.highestDecision) {
-			c.highestDecision, c.highestDecisionBy = current, p.name
+		if current.isLaterThan(c.highestApplied) {
+			c.highestApplied, c.highestAppliedBy = current, p.name
 		}
 		c.policies[s.Digest] = true
 	case s.OverlapDigest != (rollout.Digest{}) && now < s.OverlapUntil:
 		next := policyNumber{s.Era, s.Number + 1}
-		if c.violation == "" && (c.highestDecision.isLaterThan(next) || c.highestDecision == next && !c.policies[s.OverlapDigest]) {
+		if c.violation == "" && (c.highestApplied.isLaterThan(next) || c.highestApplied == next && !c.policies[s.OverlapDigest]) {
 			c.violation = fmt.Sprintf("%.3f s: %s decides by what number %d and a proposal after it allow, after %s has decided by %d", float64(c.now)/float64(admission.Second), p.name, s.Number,
-				c.highestDecisionBy, c.highestDecision.number)
+				c.highestAppliedBy, c.highestApplied.number)
 		}
 	default:
-		c.undecided++
+		c.stepsWithoutPolicy++
 	}
 }
 
@@ -304,7 +304,7 @@
 		case !p.up:
 		case p.pausedUntil > c.now:
 			if len(p.deferred) < maxDeferred {
-				p.deferred = append(p.deferred, heldMessage{from, message})
+				p.deferred = append(p.deferred, deferredMessage{from, message})
 			}
 		default:
 			p.handleMessage(from, message)
@@ -357,7 +357,7 @@
 	c.advance(10 * second)
 	result.Bytes = float64(c.bytes) / float64(n) / 10
 	sentAtRest := c.sent
-	c.sent, c.undecided = 0, 0
+	c.sent, c.stepsWithoutPolicy = 0, 0
 	began := c.now
 	var took Time
 	for k := range changes {
@@ -365,7 +365,7 @@
 	}
 	result.Took = took / changes
 	result.Messages = (float64(c.sent) - float64(sentAtRest)/10*float64(c.now-began)/float64(second)) / float64(n) / changes
-	result.Gap = float64(c.undecided) * 0.01 / float64(n) / changes
+	result.Gap = float64(c.stepsWithoutPolicy) * 0.01 / float64(n) / changes
 	third := n / 3
 	isAway := func(member int) bool { return member >= voters && member < voters+third }
 	c.cut = func(from, to int) bool { return isAway(from) != isAway(to) }
--- a/internal/testbed/simcluster/rollout_cluster_test.go
+++ b/internal/testbed/simcluster/rollout_cluster_test.go
@@ -12,8 +12,8 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// decisions is the number of seeds in TestNeverOlder.
-var decisions = 16
+// rolloutSeeds is the number of seeds in TestOlderPolicyIsNeverApplied.
+var rolloutSeeds = 16
 
 // faultyRollout is a cluster in which random members propose policies while faults of all kinds happen.
 type faultyRollout struct {
@@ -26,7 +26,7 @@
 // neither. log may be nil.
 func runWithFaults(seed uint64, mutation string, log func(string)) string {
 	r := &faultyRollout{rolloutCluster: newRolloutCluster(seed, 8, []int{3, 5}[seed%2], 2*second)}
-	r.plan.Mutation = rollout.ParseMutation(mutation)
+	r.config.Mutation = rollout.ParseMutation(mutation)
 	if log != nil {
 		r.onEvent = func(p *rolloutMember, code rollout.EventCode, more []any) {
 			log(fmt.Sprintf("%.2f %s/%d %s %v", float64(r.now)/10000, p.name, p.index, code, more))
@@ -38,7 +38,7 @@
 		if r.random.IntN(3) > 0 {
 			r.proposeRandom()
 		}
-		r.disturb(r.members[r.random.IntN(len(r.members))])
+		r.injectFault(r.members[r.random.IntN(len(r.members))])
 		r.advance(Time(100+r.random.IntN(1400)) * admission.Millisecond)
 		if r.violation != "" {
 			return r.violation
@@ -50,7 +50,7 @@
 	}
 	problem := r.checkLastChange(seed)
 	if problem == "" && log != nil {
-		log(fmt.Sprintf("%d policies proposed, %d decided, %d samples with a lease, %d without a policy", r.proposed, r.decided, r.decisions, r.undecided))
+		log(fmt.Sprintf("%d policies proposed, %d decided, %d samples with a lease, %d without a policy", r.proposed, r.decided, r.leaseSteps, r.stepsWithoutPolicy))
 	}
 	return problem
 }
@@ -79,8 +79,8 @@
 	})
 }
 
-// disturb injects a random fault into a process or the network, or ends faults.
-func (r *faultyRollout) disturb(p *rolloutMember) {
+// injectFault injects a random fault into a process or the network, or ends faults.
+func (r *faultyRollout) injectFault(p *rolloutMember) {
 	switch r.random.IntN(11) {
 	case 0:
 		if p.up {
@@ -157,8 +157,8 @@
 		return r.violation
 	case inForce != 8:
 		return fmt.Sprintf("eventual: 5 s after a proposal in the healed cluster, %d of 8 members apply it: %s %s", inForce, last.Outcome, last.Reason)
-	case r.decisions < 1000:
-		return fmt.Sprintf("eventual: a process had a lease in only %d samples", r.decisions)
+	case r.leaseSteps < 1000:
+		return fmt.Sprintf("eventual: a process had a lease in only %d samples", r.leaseSteps)
 	}
 	return ""
 }
@@ -166,16 +166,16 @@
 // No process applies a policy after another process has applied a later one, although messages are lost, delayed, duplicated and cut off,
 // processes are killed, paused, started with an older folder or run twice under one name, and clocks run at different rates. Once all members
 // are connected again, all of them apply a new policy.
-func TestNeverOlder(t *testing.T) {
-	for seed := range uint64(decisions) {
-		if wrong := runWithFaults(seed, "", nil); wrong != "" {
-			t.Errorf("seed %d: %s", seed, wrong)
+func TestOlderPolicyIsNeverApplied(t *testing.T) {
+	for seed := range uint64(rolloutSeeds) {
+		if problem := runWithFaults(seed, "", nil); problem != "" {
+			t.Errorf("seed %d: %s", seed, problem)
 		}
 	}
 }
 
-// The simulation of TestNeverOlder finds a violation for each of these mutations.
-func TestNeverOlderFindsMutations(t *testing.T) {
+// The simulation of TestOlderPolicyIsNeverApplied finds a violation for each of these mutations.
+func TestMutationsApplyOlderPolicies(t *testing.T) {
 	for _, mutation := range []string{"switches-on-word", "believes-folder", "leader-without-wait", "keeps-on-yield", "both-forever"} {
 		found := ""
 		for seed := range uint64(60) {
@@ -190,9 +190,9 @@
 	}
 }
 
-func TestNeverOlderOne(t *testing.T) {
+func TestOlderPolicySingleSeed(t *testing.T) {
 	if os.Getenv("SEED") == "" {
-		t.Skip("runs a single seed by hand: SEED=16 go test -run NeverOlderOne -v")
+		t.Skip("runs a single seed by hand: SEED=16 go test -run OlderPolicySingleSeed -v")
 	}
 	seed, _ := strconv.ParseUint(os.Getenv("SEED"), 10, 64)
 	t.Log(runWithFaults(seed, os.Getenv("PLANTED"), func(s string) { t.Log(s) }))
--- a/internal/testbed/simcluster/rollout_linearizable_test.go
+++ b/internal/testbed/simcluster/rollout_linearizable_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// disturb injects a random fault into a random process or the network, or ends all faults except pauses.
-func (h *registerHistory) disturb() {
+// injectFault injects a random fault into a random process or the network, or ends all faults except pauses.
+func (h *registerHistory) injectFault() {
 	c := h.cluster
 	p := c.members[c.random.IntN(len(c.members))]
 	switch c.random.IntN(5) {
@@ -141,7 +141,7 @@
 		c.loss, c.duplicate, c.delayedShare = 0.05, 0.05, 0.01
 		for client := range 24 {
 			h.propose(seed, client)
-			h.disturb()
+			h.injectFault()
 			for range 10 {
 				h.observe()
 			}
--- a/internal/testbed/simcluster/rollout_test.go
+++ b/internal/testbed/simcluster/rollout_test.go
@@ -10,19 +10,19 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// calm returns a cluster without faults, in which all members hold a lease.
-func calm(t *testing.T, seed uint64, n, voters int) *rolloutCluster {
+// newLeasedCluster returns a cluster without faults, in which all members hold a lease.
+func newLeasedCluster(t *testing.T, seed uint64, n, voters int) *rolloutCluster {
 	t.Helper()
-	a := newRolloutCluster(seed, n, voters, 2*second)
-	a.advance(6 * second)
-	if got := a.countInForce(rollout.Digest{}); got != n {
+	c := newRolloutCluster(seed, n, voters, 2*second)
+	c.advance(6 * second)
+	if got := c.countInForce(rollout.Digest{}); got != n {
 		t.Fatalf("%d of %d members hold a lease", got, n)
 	}
-	return a
+	return c
 }
 
-// enact proposes a policy and waits for its outcome.
-func (c *rolloutCluster) enact(by int, text string, wait Time) rollout.Result {
+// proposeAndWait proposes a policy and waits for its outcome.
+func (c *rolloutCluster) proposeAndWait(by int, text string, wait Time) rollout.Result {
 	r := rollout.Result{Reason: "the proposal has no outcome yet"}
 	c.propose(c.members[by], text, func(end rollout.Result) { r = end })
 	for until := c.now + wait; c.now < until && r.Outcome == rollout.OutcomePending; {
@@ -31,8 +31,8 @@
 	return r
 }
 
-// proposeThere makes a member propose a policy, waits for a time, and returns the result that the member knows by then.
-func (c *rolloutCluster) proposeThere(t *testing.T, by int, p rollout.Proposal, wait Time) rollout.Result {
+// proposeAt makes a member propose a policy, waits for a time, and returns the result that the member knows by then.
+func (c *rolloutCluster) proposeAt(t *testing.T, by int, p rollout.Proposal, wait Time) rollout.Result {
 	t.Helper()
 	member := c.members[by]
 	if err := member.core.Propose(member.clock(), p, func(rollout.Result) {}); err != nil {
@@ -69,7 +69,7 @@
 	return result
 }
 
-const wantedEnds = `plain: decided 1 
+const wantOutcomes = `plain: decided 1 
 a member can't follow: dropped 0 g7: statements.pools[0].zones: expected some of [norte], found [este]
 the leader can't follow: refused 0 LEADER: statements.pools[0].zones: expected some of [norte], found [este]
 the same again: refused 1 number 1 in force is the same
@@ -81,39 +81,39 @@
 meant to follow 1: refused 0 it is meant to follow number 1, and 4 is in force`
 
 // Proposals have the outcomes and reasons that the operator expects.
-func TestEnds(t *testing.T) {
-	a := calm(t, 1, 8, 5)
+func TestProposalOutcomes(t *testing.T) {
+	c := newLeasedCluster(t, 1, 8, 5)
 	var got []string
-	tell := func(what string, r rollout.Result) {
+	record := func(what string, r rollout.Result) {
 		got = append(got, fmt.Sprintf("%s: %s %d %s", what, r.Outcome, r.Number, r.Reason))
 	}
-	tell("plain", a.enact(6, "one", 5*second))
-	tell("a member can't follow", a.enact(5, "two; not for g7;", 5*second))
-	tell("the leader can't follow", a.enact(5, "two; not for g0; not for g1; not for g2; not for g3; not for g4;", 5*second))
-	tell("the same again", a.enact(4, "one", 5*second))
-	one, two := a.proposeTwoAtOnce()
+	record("plain", c.proposeAndWait(6, "one", 5*second))
+	record("a member can't follow", c.proposeAndWait(5, "two; not for g7;", 5*second))
+	record("the leader can't follow", c.proposeAndWait(5, "two; not for g0; not for g1; not for g2; not for g3; not for g4;", 5*second))
+	record("the same again", c.proposeAndWait(4, "one", 5*second))
+	one, two := c.proposeTwoAtOnce()
 	two.Reason = two.Reason[strings.LastIndex(two.Reason, " of "):]
-	tell("one of two at once", rollout.Result{Outcome: one.Outcome, Number: one.Number})
-	tell("the other", rollout.Result{Outcome: two.Outcome, Reason: "proposal ... of one " + two.Reason[len(two.Reason)-7:]})
-	tell("one proposed six times", a.proposeRepeatedly(t, rollout.Proposal{ID: 99, Kind: rollout.KindChange, Text: []byte("five")}))
-	tell("back to 1", a.proposeThere(t, 2, rollout.Proposal{ID: 100, Kind: rollout.KindRollback, RollbackTo: 1}, 2*second))
-	tell("back to 77", a.proposeThere(t, 2, rollout.Proposal{ID: 101, Kind: rollout.KindRollback, RollbackTo: 77}, 2*second))
-	tell("meant to follow 1", a.proposeThere(t, 2, rollout.Proposal{ID: 102, Kind: rollout.KindChange, Text: []byte("six"), BaseNumber: 1}, 2*second))
+	record("one of two at once", rollout.Result{Outcome: one.Outcome, Number: one.Number})
+	record("the other", rollout.Result{Outcome: two.Outcome, Reason: "proposal ... of one " + two.Reason[len(two.Reason)-7:]})
+	record("one proposed six times", c.proposeRepeatedly(t, rollout.Proposal{ID: 99, Kind: rollout.KindChange, Text: []byte("five")}))
+	record("back to 1", c.proposeAt(t, 2, rollout.Proposal{ID: 100, Kind: rollout.KindRollback, RollbackTo: 1}, 2*second))
+	record("back to 77", c.proposeAt(t, 2, rollout.Proposal{ID: 101, Kind: rollout.KindRollback, RollbackTo: 77}, 2*second))
+	record("meant to follow 1", c.proposeAt(t, 2, rollout.Proposal{ID: 102, Kind: rollout.KindChange, Text: []byte("six"), BaseNumber: 1}, 2*second))
 	text := strings.Join(got, "\n")
-	for _, v := range a.voters {
+	for _, v := range c.voters {
 		text = strings.ReplaceAll(text, "refused 0 "+v+":", "refused 0 LEADER:")
 	}
-	if text != wantedEnds {
-		t.Errorf("found\n%s\nexpected\n%s", text, wantedEnds)
+	if text != wantOutcomes {
+		t.Errorf("found\n%s\nexpected\n%s", text, wantOutcomes)
 	}
-	if a.countInForce(rollout.DigestOf([]byte("one"))) != 8 || a.violation != "" {
-		t.Errorf("%d of 8 members apply the policy; %s", a.countInForce(rollout.DigestOf([]byte("one"))), a.violation)
+	if c.countInForce(rollout.DigestOf([]byte("one"))) != 8 || c.violation != "" {
+		t.Errorf("%d of 8 members apply the policy; %s", c.countInForce(rollout.DigestOf([]byte("one"))), c.violation)
 	}
 }
 
-// enactThousand proposes a thousand policies in a row, one of them with the maximum size, while members are killed and restarted. It returns the
+// proposeThousand proposes a thousand policies in a row, one of them with the maximum size, while members are killed and restarted. It returns the
 // number of decided ones.
-func (c *rolloutCluster) enactThousand(t *testing.T) (decided int) {
+func (c *rolloutCluster) proposeThousand(t *testing.T) (decided int) {
 	t.Helper()
 	for k := range 1000 {
 		size := 100
@@ -121,7 +121,7 @@
 			size = rollout.MaxPolicyBytes
 		}
 		text := fmt.Sprintf("%d %s", k, strings.Repeat("x", size-5))
-		result := c.enact(k%3, text, 20*second)
+		result := c.proposeAndWait(k%3, text, 20*second)
 		switch result.Outcome {
 		case rollout.OutcomeDecided:
 			decided++
@@ -141,21 +141,21 @@
 // A thousand changes in a row are decided while members are killed and restarted. One of the policies has a megabyte. A member that was down
 // during all changes applies the last policy within a second of its start.
 func TestThousandChangesInARow(t *testing.T) {
-	a := calm(t, 3, 10, 3)
-	away := a.members[9]
+	c := newLeasedCluster(t, 3, 10, 3)
+	away := c.members[9]
 	away.kill()
-	if decided := a.enactThousand(t); decided != 1000 || a.violation != "" {
-		t.Errorf("%d of 1000 were decided; %s", decided, a.violation)
+	if decided := c.proposeThousand(t); decided != 1000 || c.violation != "" {
+		t.Errorf("%d of 1000 were decided; %s", decided, c.violation)
 	}
 	away.start()
-	began := a.now
-	for !away.inForce.HoldsLease(away.clock()) && a.now-began < 10*second {
-		a.advance(10 * admission.Millisecond)
+	began := c.now
+	for !away.inForce.HoldsLease(away.clock()) && c.now-began < 10*second {
+		c.advance(10 * admission.Millisecond)
 	}
-	if took := a.now - began; took > second || away.inForce.Number != 1000 {
+	if took := c.now - began; took > second || away.inForce.Number != 1000 {
 		t.Errorf("the member that was down applies policy number %d after %.2f s", away.inForce.Number, float64(took)/float64(second))
 	}
-	for _, p := range a.members[:3] { // a voter stores the last 16 policies and the log
+	for _, p := range c.members[:3] { // a voter stores the last 16 policies and the log
 		bytes := 0
 		for _, record := range p.latestRecords() {
 			bytes += len(record.Value)
@@ -169,42 +169,42 @@
 // A voter that has lost its folder restarts as a new voter. It takes the place of the lost voter only after no messages have arrived from that
 // one for a while. A voter that restarts with an older folder learns from the leader that its log has lost entries, and also becomes a new
 // voter.
-func TestVotersFolders(t *testing.T) {
-	a := calm(t, 5, 6, 3)
-	said := map[rollout.EventCode]int{}
-	a.onEvent = func(_ *rolloutMember, code rollout.EventCode, _ []any) { said[code]++ }
-	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
+func TestVotersWithLostOrOlderFolder(t *testing.T) {
+	c := newLeasedCluster(t, 5, 6, 3)
+	eventCounts := map[rollout.EventCode]int{}
+	c.onEvent = func(_ *rolloutMember, code rollout.EventCode, _ []any) { eventCounts[code]++ }
+	if r := c.proposeAndWait(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	leader := slices.IndexFunc(a.members, func(p *rolloutMember) bool { return len(p.core.Status(p.clock()).Members) > 0 })
-	lost, old := a.members[(leader+1)%3], a.members[(leader+2)%3]
+	leader := slices.IndexFunc(c.members, func(p *rolloutMember) bool { return len(p.core.Status(p.clock()).Members) > 0 })
+	lost, old := c.members[(leader+1)%3], c.members[(leader+2)%3]
 	lost.kill()
 	lost.disk = nil
 	lost.start()
-	a.advance(8 * second)
+	c.advance(8 * second)
 	if lost.core.Status(lost.clock()).IsVoter {
 		t.Error("a voter without its folder votes before the lost voter counts as gone")
 	}
-	a.advance(8 * second)
-	if s := lost.core.Status(lost.clock()); !s.IsVoter || said[rollout.VotersChanged] == 0 {
-		t.Errorf("a voter that lost its folder has not become a new voter; events: %v", said)
+	c.advance(8 * second)
+	if s := lost.core.Status(lost.clock()); !s.IsVoter || eventCounts[rollout.VotersChanged] == 0 {
+		t.Errorf("a voter that lost its folder has not become a new voter; events: %v", eventCounts)
 	}
 	older := slices.Clone(old.disk)
 	for k := range 3 {
-		if r := a.enact(5, fmt.Sprint("more ", k), 5*second); r.Outcome != rollout.OutcomeDecided {
+		if r := c.proposeAndWait(5, fmt.Sprint("more ", k), 5*second); r.Outcome != rollout.OutcomeDecided {
 			t.Fatal(r)
 		}
 	}
 	old.kill()
 	old.disk = older
 	old.start()
-	a.advance(16 * second)
-	if s := old.core.Status(old.clock()); !s.IsVoter || said[rollout.LogLost] == 0 {
-		t.Errorf("an older folder was not detected, or its voter has not become a new voter; events: %v", said)
+	c.advance(16 * second)
+	if s := old.core.Status(old.clock()); !s.IsVoter || eventCounts[rollout.LogLost] == 0 {
+		t.Errorf("an older folder was not detected, or its voter has not become a new voter; events: %v", eventCounts)
 	}
-	a.members[leader].kill()
-	if r := a.enact(5, "the last", 20*second); r.Outcome != rollout.OutcomeDecided || a.violation != "" {
-		t.Errorf("%s %s; %s", r.Outcome, r.Reason, a.violation)
+	c.members[leader].kill()
+	if r := c.proposeAndWait(5, "the last", 20*second); r.Outcome != rollout.OutcomeDecided || c.violation != "" {
+		t.Errorf("%s %s; %s", r.Outcome, r.Reason, c.violation)
 	}
 }
 
@@ -212,45 +212,45 @@
 // killed, and only the first restarts. The remaining two voters lack a policy that members have already applied. They grant no leases and
 // report that voters are behind, until the operator forces a new log.
 func TestLyingDisk(t *testing.T) {
-	a := calm(t, 6, 6, 3)
+	c := newLeasedCluster(t, 6, 6, 3)
 	behind := 0
-	a.onEvent = func(_ *rolloutMember, code rollout.EventCode, _ []any) {
+	c.onEvent = func(_ *rolloutMember, code rollout.EventCode, _ []any) {
 		if code == rollout.VotersBehind {
 			behind++
 		}
 	}
-	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
+	if r := c.proposeAndWait(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	leader := slices.IndexFunc(a.members, func(p *rolloutMember) bool { return len(p.core.Status(p.clock()).Members) > 0 })
-	liar, late := a.members[(leader+1)%3], a.members[(leader+2)%3]
-	liar.diskLies = true
-	a.cut = func(from, to int) bool { return from == late.index != (to == late.index) }
-	if r := a.enact(5, "two", 10*second); r.Outcome != rollout.OutcomeDecided {
+	leader := slices.IndexFunc(c.members, func(p *rolloutMember) bool { return len(p.core.Status(p.clock()).Members) > 0 })
+	lyingVoter, cutOffVoter := c.members[(leader+1)%3], c.members[(leader+2)%3]
+	lyingVoter.diskLies = true
+	c.cut = func(from, to int) bool { return from == cutOffVoter.index != (to == cutOffVoter.index) }
+	if r := c.proposeAndWait(5, "two", 10*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	a.advance(second) // all members except the one that is cut off apply the policy
-	liar.kill()
-	a.members[leader].kill()
-	liar.diskLies, a.cut = false, nil
-	a.advance(second) // messages in flight to the killed processes are lost
-	liar.start()
-	a.advance(15 * second)
-	if n := a.countInForce(rollout.DigestOf([]byte("one"))) + a.countInForce(rollout.DigestOf([]byte("two"))); behind == 0 || n > 0 {
+	c.advance(second) // all members except the one that is cut off apply the policy
+	lyingVoter.kill()
+	c.members[leader].kill()
+	lyingVoter.diskLies, c.cut = false, nil
+	c.advance(second) // messages in flight to the killed processes are lost
+	lyingVoter.start()
+	c.advance(15 * second)
+	if n := c.countInForce(rollout.DigestOf([]byte("one"))) + c.countInForce(rollout.DigestOf([]byte("two"))); behind == 0 || n > 0 {
 		t.Errorf("voters were reported as behind %d times, and %d members hold a lease", behind, n)
 	}
-	if err := a.members[4].core.ForceNewLog(a.members[4].clock(), []string{"g3", "g4", "g5"}); err != nil {
+	if err := c.members[4].core.ForceNewLog(c.members[4].clock(), []string{"g3", "g4", "g5"}); err != nil {
 		t.Fatal(err)
 	}
-	a.advance(30 * second)
-	if n := a.countInForce(rollout.DigestOf([]byte("two"))); n < 5 || a.violation != "" {
-		t.Errorf("%d members apply the lost policy after the new log was forced; %s", n, a.violation)
+	c.advance(30 * second)
+	if n := c.countInForce(rollout.DigestOf([]byte("two"))); n < 5 || c.violation != "" {
+		t.Errorf("%d members apply the lost policy after the new log was forced; %s", n, c.violation)
 	}
-	if r := a.enact(5, "three", 10*second); r.Outcome != rollout.OutcomeDecided {
+	if r := c.proposeAndWait(5, "three", 10*second); r.Outcome != rollout.OutcomeDecided {
 		t.Errorf("%s %s", r.Outcome, r.Reason)
 	}
 	for _, n := range []int{3, 4, 5} {
-		if p := a.members[n]; !p.core.Status(p.clock()).IsVoter {
+		if p := c.members[n]; !p.core.Status(p.clock()).IsVoter {
 			t.Errorf("%s was named as a voter, but is not one", p.name)
 		}
 	}
@@ -259,60 +259,60 @@
 // If a policy sets an overlap, a member that loses its lease during the change still admits the requests that both policies allow, for a limited
 // time. The next change waits for the end of that time.
 func TestOverlapWithoutLease(t *testing.T) {
-	a := calm(t, 7, 6, 3)
-	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
+	c := newLeasedCluster(t, 7, 6, 3)
+	if r := c.proposeAndWait(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	apart := 4
-	a.cut = func(from, to int) bool { return from == apart != (to == apart) }
+	cutOff := 4
+	c.cut = func(from, to int) bool { return from == cutOff != (to == cutOff) }
 	var one, two rollout.Result
-	a.advance(second)
-	a.propose(a.members[5], "two; both;", func(r rollout.Result) { one = r }) // g4 is cut off, so the others wait for the end of its lease
-	a.advance(second / 2)
-	cut := a.cut
-	a.cut = func(from, to int) bool { return cut(from, to) || from == 3 != (to == 3) } // g3 knows both policies and is now cut off too
-	a.advance(3 * second)
-	s := a.members[3].inForce
-	if one.Outcome != rollout.OutcomeDecided || s.OverlapDigest != rollout.DigestOf([]byte("two; both;")) || s.HoldsLease(a.members[3].clock()) || a.members[3].clock() >= s.OverlapUntil {
+	c.advance(second)
+	c.propose(c.members[5], "two; both;", func(r rollout.Result) { one = r }) // g4 is cut off, so the others wait for the end of its lease
+	c.advance(second / 2)
+	cut := c.cut
+	c.cut = func(from, to int) bool { return cut(from, to) || from == 3 != (to == 3) } // g3 knows both policies and is now cut off too
+	c.advance(3 * second)
+	s := c.members[3].inForce
+	if one.Outcome != rollout.OutcomeDecided || s.OverlapDigest != rollout.DigestOf([]byte("two; both;")) || s.HoldsLease(c.members[3].clock()) || c.members[3].clock() >= s.OverlapUntil {
 		t.Errorf("%v; g3 applies %s and %s", one, s.Digest, s.OverlapDigest)
 	}
-	at := a.now
-	a.propose(a.members[5], "three", func(r rollout.Result) { two = r })
-	for two.Outcome == rollout.OutcomePending && a.now-at < 30*second {
-		a.advance(10 * admission.Millisecond)
+	proposedAt := c.now
+	c.propose(c.members[5], "three", func(r rollout.Result) { two = r })
+	for two.Outcome == rollout.OutcomePending && c.now-proposedAt < 30*second {
+		c.advance(10 * admission.Millisecond)
 	}
-	if two.Outcome != rollout.OutcomeDecided || a.now-at < second {
-		t.Errorf("the next change: %s %s after %.1f s", two.Outcome, two.Reason, float64(a.now-at)/float64(second))
+	if two.Outcome != rollout.OutcomeDecided || c.now-proposedAt < second {
+		t.Errorf("the next change: %s %s after %.1f s", two.Outcome, two.Reason, float64(c.now-proposedAt)/float64(second))
 	}
-	if a.violation != "" {
-		t.Error(a.violation)
+	if c.violation != "" {
+		t.Error(c.violation)
 	}
 }
 
 // A policy on probation that exceeds its probation bounds is rolled back. The rollback is a change with its own policy number.
 func TestProbation(t *testing.T) {
-	a := calm(t, 8, 6, 3)
-	if r := a.enact(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
+	c := newLeasedCluster(t, 8, 6, 3)
+	if r := c.proposeAndWait(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	for _, p := range a.members {
+	for _, p := range c.members {
 		p.shedsHalf = true
 	}
-	if r := a.enact(5, "two; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
+	if r := c.proposeAndWait(5, "two; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	a.advance(3 * second)
-	p := a.members[0]
-	if n := a.countInForce(rollout.DigestOf([]byte("one"))); n != 6 || p.inForce.Number != 3 {
+	c.advance(3 * second)
+	p := c.members[0]
+	if n := c.countInForce(rollout.DigestOf([]byte("one"))); n != 6 || p.inForce.Number != 3 {
 		t.Errorf("%d of 6 members apply the policy before it, with number %d", n, p.inForce.Number)
 	}
-	for _, p := range a.members {
+	for _, p := range c.members {
 		p.shedsHalf = false
 	}
-	if r := a.enact(5, "three; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
+	if r := c.proposeAndWait(5, "three; probation;", 5*second); r.Outcome != rollout.OutcomeDecided {
 		t.Fatal(r)
 	}
-	a.advance(5 * second)
+	c.advance(5 * second)
 	if p.inForce.Number != 4 {
 		t.Errorf("a policy within its bounds was rolled back: number %d", p.inForce.Number)
 	}
