--- a/internal/testbed/quorumquota/quorumquota.go
+++ b/internal/testbed/quorumquota/quorumquota.go
@@ -89,12 +89,12 @@
 	return c
 }
 
-// lease returns how long a unit is held after its request. It is twice the plan's LongestUse, so that a use that begins within LongestUse after
-// the request ends within the lease.
+// lease returns how long a unit is held after its request. It is twice the plan's LongestUse, so that a use that begins within LongestUse
+// after the request ends within the lease.
 func (c *Core) lease() Time { return 2 * c.plan.LongestUse }
 
-// replicaLease returns how long a replica regards a unit as held. By then the lease has certainly ended on the holder's clock, which may run
-// slower.
+// replicaLease returns how long a replica regards a unit as held. By then the lease has certainly ended on the holder's clock, which may
+// run slower.
 func (c *Core) replicaLease() Time { return c.lease() + 3*c.lease()/c.plan.DriftDivisor + 1 }
 
 func (c *Core) send(to string, m quota.Message) {
@@ -282,8 +282,8 @@
 	return indices
 }
 
-// TryReserve reports whether a use may begin now. If not, its units are added to the demand, and later ticks request them. The length of the
-// use has no effect, as long as it is at most the plan's LongestUse.
+// TryReserve reports whether a use may begin now. If not, its units are added to the demand, and later ticks request them. The length of
+// the use has no effect, as long as it is at most the plan's LongestUse.
 func (c *Core) TryReserve(now Time, index int, amount int64, _ Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/quorumquota/quorumquota_test.go
+++ b/internal/testbed/quorumquota/quorumquota_test.go
@@ -41,8 +41,8 @@
 	c.cores[member] = New(c.now, c.plan, "g"+strconv.Itoa(member), c.starts, c)
 }
 
-// Send sends a message to the member with the name "g" and a number. The message is lost, or arrives once or twice, each with a probability of
-// one third, and each copy has a random delay.
+// Send sends a message to the member with the name "g" and a number. The message is lost, or arrives once or twice, each with a
+// probability of one third, and each copy has a random delay.
 func (c *lossyCluster) Send(to string, m quota.Message) {
 	member, err := strconv.Atoi(to[1:])
 	if err != nil {
--- a/internal/testbed/quotamodel/leases.go
+++ b/internal/testbed/quotamodel/leases.go
@@ -72,7 +72,7 @@
 			}))
 		}
 		if s.faults.recalls > 0 && granted > 0 {
-			out = append(out, s.transition(p.core.Name()+"'s own requests lack units", func(s *system) {
+			out = append(out, s.transition(p.core.Name()+"'s own requests need more units", func(s *system) {
 				s.faults.recalls--
 				s.processes[i].core.SetDemand(s.clock(s.processes[i]), 0, s.plan.Totals[0])
 			}))
@@ -85,13 +85,13 @@
 func leaseHolderFaults(s *system, i int) (out []modelcheck.Transition) {
 	name, incarnation := s.processes[i].core.Name(), s.processes[i].core.Incarnation()
 	if s.faults.crashes > 0 {
-		out = append(out, s.transition(name+" is killed and starts with nothing", func(s *system) {
+		out = append(out, s.transition(name+" is killed and restarts without state", func(s *system) {
 			s.faults.crashes--
 			s.restartHolder(i)
 		}))
 	}
 	if s.faults.successors > 0 {
-		out = append(out, s.transition(name+" is killed, and its successor has its share", func(s *system) {
+		out = append(out, s.transition(name+" is killed, and its successor holds its share", func(s *system) {
 			s.faults.successors--
 			s.restartHolder(i)
 			s.processes[i].core.SetPredecessors([]uint64{incarnation})
--- a/internal/testbed/quotamodel/shares.go
+++ b/internal/testbed/quotamodel/shares.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	maxClaims       = 2 // maximum claims of a process of the member
-	noShare         = -1
+	maxClaims       = 2  // maximum claims of a process of the member
+	noShare         = -1 // share of a process without a share of its own
 	memberName      = "m"
 	memberProcesses = 2 // number of processes under the member's name
 	longStep        = 7 // ticks; longer than a share term
-	secondVoter     = 1
-	thirdVoter      = 2
-	firstVoterTwin  = 5 // index of another process under the first voter's name
+	secondVoter     = 1 // index in system.processes
+	thirdVoter      = 2 // index in system.processes
+	firstVoterTwin  = 5 // index in system.processes of a second process under the first voter's name
 )
 
 // shareSystem returns the system that explores shares: three voters with a true, a fast and a slow clock, and two processes under the name
-// of one member, which claim the only share. As often as f allows, a process is killed and replaced by a new one, or a second process
-// starts under a voter's name; a new process starts without state. Each transition of time advances it by one of the given numbers of
-// ticks.
+// of one member, which claim the only share. As often as f allows, a voter is killed and restarts, a process of the member is killed and
+// followed by a successor, or a second process starts under a voter's name. New processes have no state, except that a successor knows its
+// predecessor. Each transition of time advances it by one of the given numbers of ticks.
 func shareSystem(mutation quota.Mutation, f faults, steps ...quota.Time) *system {
 	plan := &quota.Plan{Shares: 1, Voters: []string{"a", "b", "c"}, ShareTerm: 4 * tick, LeaseTerm: tick, DriftDivisor: driftDivisor, Revision: 1,
 		QuotaIDs: []uint32{0}, Totals: []int64{1}, Mutation: mutation}
@@ -127,7 +127,7 @@
 	}
 	if s.faults.successors > 0 {
 		incarnation := p.core.Incarnation()
-		out = append(out, s.transition(p.String()+" is killed and has a successor", func(s *system) {
+		out = append(out, s.transition(p.String()+" is killed and followed by a successor", func(s *system) {
 			s.faults.successors--
 			s.processes[i].core = s.start(s.processes[i], 0)
 			s.processes[i].core.SetPredecessors([]uint64{incarnation})
@@ -148,7 +148,7 @@
 		}
 	}
 	if s.faults.crashes > 0 {
-		out = append(out, s.transition(p.String()+" is killed and starts with nothing", func(s *system) {
+		out = append(out, s.transition(p.String()+" is killed and restarts without state", func(s *system) {
 			s.faults.crashes--
 			s.processes[i].core = s.start(s.processes[i], noShare)
 		}))
@@ -194,8 +194,8 @@
 
 // deliverAtOnce delivers all messages in flight at once, except share confirmations. A message reaches those of the given processes that
 // have the recipient's name. It is lost for all others. Rejections are dropped, because only lease requests react to them. A delay of a
-// claim need not be explored separately: the term of a confirmed share starts at the claim, so that a delay of the confirmation has the same
-// effect.
+// claim need not be explored separately: the term of a confirmed share starts at the claim, so that a delay of the confirmation has the
+// same effect.
 func (s *system) deliverAtOnce(processes []int) {
 	var messages []envelope
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(e envelope) bool {
--- a/internal/testbed/quotamodel/system.go
+++ b/internal/testbed/quotamodel/system.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	driftDivisor = 4
+	driftDivisor = 4             // the rate of a clock is wrong by at most 1/driftDivisor
 	tick         = quota.Time(4) // the time that passes on a true clock in one tick
 	fastRate     = quota.Time(5) // the time that passes on a fast clock in one tick
 	trueRate     = quota.Time(4)
@@ -122,8 +122,8 @@
 	return modelcheck.Transition{Name: name, Next: func() modelcheck.State { return s.after(do) }}
 }
 
-// settle delivers the messages of processes to themselves, which no network can lose. Of the other messages it drops the first ones if there
-// are more than maxInFlight, sorts the rest and removes duplicates, so that equivalent states have equal keys.
+// settle delivers the messages of processes to themselves, which no network can lose. Of the other messages it drops the first ones if
+// there are more than maxInFlight, sorts the rest and removes duplicates, so that equivalent states have equal keys.
 func (s *system) settle() {
 	for s.deliverToSelf() {
 	}
--- a/internal/testbed/rolloutmodel/host.go
+++ b/internal/testbed/rolloutmodel/host.go
@@ -37,7 +37,8 @@
 // SetInForce implements rollout.Host.
 func (h host) SetInForce(inForce *rollout.InForce) { h.system.processes[h.index].inForce = *inForce }
 
-// SaveRecords implements rollout.Host. It stores nothing and reports no result: a restarted process starts with the killed core's LastPolicyRecord.
+// SaveRecords implements rollout.Host. It stores nothing and reports no result: a restarted process starts with the killed core's
+// LastPolicyRecord.
 func (h host) SaveRecords([]consensus.Record, func(error)) {}
 
 // LoadPolicy implements rollout.Host.
--- a/internal/testbed/rolloutmodel/key.go
+++ b/internal/testbed/rolloutmodel/key.go
@@ -102,7 +102,8 @@
 	}
 }
 
-// addHolder appends a leader's state for one member. It encodes sequence numbers as differences, because their absolute values don't matter.
+// addHolder appends a leader's state for one member. It encodes sequence numbers as differences, because their absolute values don't
+// matter.
 func (s *system) addHolder(k *keyBuilder, h *rollout.HolderState, now admission.Time) {
 	k.b = append(k.b, h.Name...)
 	k.numbers(int64(h.Incarnation), int64(h.OverlapWith), int64(h.ReadyFor), asNumber(h.AwaitsConfirmation))
@@ -116,8 +117,8 @@
 	k.flags(h.Excluded, h.AwaitsReply, h.HoldsLease)
 }
 
-// envelopeKey returns a key that identifies a message. For a reply, it contains the number of requests that the recipient has sent after the
-// request that is answered, instead of that request's sequence number.
+// envelopeKey returns a key that identifies a message. For a reply, it contains the number of requests that the recipient has sent after
+// the request that is answered, instead of that request's sequence number.
 func (s *system) envelopeKey(e *envelope) string {
 	reply := e.message.LeaseReply
 	if reply == nil {
--- a/internal/testbed/rolloutmodel/model.go
+++ b/internal/testbed/rolloutmodel/model.go
@@ -1,12 +1,14 @@
-// Package rolloutmodel explores the protocol of package rollout: every interleaving of a small system, up to a maximum number of states, with
-// the cores that gateways run. It looks for a gateway that applies an older policy to a request after another gateway has applied a newer one.
+// Package rolloutmodel explores the protocol of package rollout: every interleaving of a small system, up to a maximum number of states,
+// with the cores that gateways run. It looks for a gateway that applies an older policy to a request after another gateway has applied a
+// newer one.
 //
-// The system has three voters, a, b and c, and a member m that doesn't vote. Only a and b can be elected, and c has no process. Voter a and
-// the member are gateways. Voter b is a gateway only if there are elections. Two policies are proposed. The model of the voters' log makes
-// only the guarantees that a replicated log with majority decisions makes (see sharedLog). The clock of a runs true, that of b a quarter fast
-// and that of m a quarter slow, so that a few steps of time reveal errors in the handling of clock drift. While the current leader
-// grants leases, it renews its own after every transition. All processes have the texts of both policies. Lease requests arrive at once unless Options.DelayRequests is set. A lease
-// starts at its request, so that a delay of the reply has the same effect as a delay of the request.
+// The system has three voters, a, b and c, and a member m that doesn't vote. Only a and b can be elected, and c has no process. Voter a
+// and the member are gateways. Voter b is a gateway only if there are elections. Two policies are proposed. The model of the voters' log
+// makes only the guarantees that a replicated log with majority decisions makes (see sharedLog). The clock of a runs true, that of b a
+// quarter fast and that of m a quarter slow, so that a few steps of time reveal errors in the handling of clock drift. While the current
+// leader grants leases, it renews its own after every transition. All processes have the texts of both policies. Lease requests arrive at
+// once unless Options.DelayRequests is set. A lease starts at its request, so that a delay of the reply has the same effect as a delay of
+// the request.
 package rolloutmodel
 
 import (
@@ -39,7 +41,7 @@
 	Overlap       admission.Time // how long a gateway without a lease may admit requests that both the old and the new policy allow
 	Restarts      int            // how many times the member may be killed and restarted with its stored state
 	Elections     int            // number of elections after the first
-	Duplicates    int            // number of messages that may arrive twice
+	Duplicates    int            // how many times a message may be delivered and stay in flight
 	DelayRequests bool           // lease requests stay in flight like other messages
 }
 
--- a/internal/testbed/rolloutmodel/system.go
+++ b/internal/testbed/rolloutmodel/system.go
@@ -25,7 +25,7 @@
 	restarts, elections, duplicates, leaseRequests int
 
 	latestNumber   uint64 // the highest policy number that any gateway has applied
-	latestNumberBy string // the first gateway that applied it
+	latestNumberBy string // label of the first gateway that applied it
 	violation      string
 }
 
@@ -54,7 +54,7 @@
 // Violation implements modelcheck.State. It describes the first application of an older policy, if there was one.
 func (s *system) Violation() string { return s.violation }
 
-// start starts a process with its stored state, or without one.
+// start starts a process, with stored state unless stored is nil.
 func (s *system) start(index int, stored *rollout.StoredState) {
 	p := s.processes[index]
 	s.starts++
@@ -184,8 +184,8 @@
 	}
 }
 
-// checkDecisions treats every gateway that may apply a policy as if it did so now. Gateways whose policy number is not higher than the highest
-// number applied before are checked first, because all of them apply their policies at the same instant.
+// checkDecisions treats every gateway that may apply a policy as if it did so now. Gateways whose policy number is not higher than the
+// highest number applied before are checked first, because all of them apply their policies at the same instant.
 func (s *system) checkDecisions() {
 	for _, newer := range []bool{false, true} {
 		for _, p := range s.processes {
@@ -211,8 +211,8 @@
 	}
 }
 
-// allowsOverlap reports whether a gateway may still apply the overlap of two policies: the policy with the highest number applied so far must
-// be one of the two, or an earlier one.
+// allowsOverlap reports whether a gateway may still apply the overlap of two policies: the policy with the highest number applied so far
+// must be one of the two, or an earlier one.
 func (s *system) allowsOverlap(inForce *rollout.InForce) bool {
 	if s.latestNumber == inForce.Number+1 {
 		return s.digestOf(s.latestNumber) == inForce.OverlapDigest
--- a/internal/testbed/rolloutmodel/transitions.go
+++ b/internal/testbed/rolloutmodel/transitions.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// addMember adds the transitions of a gateway that doesn't vote: it requests a lease from a voter that believes that it leads, or it is killed
-// and restarts.
+// addMember adds the transitions of a gateway that doesn't vote: it requests a lease from a voter that believes that it leads, or it is
+// killed and restarts.
 func (t *transitionList) addMember(index int) {
 	member := t.system.processes[index]
 	for _, voter := range t.system.processes {
@@ -94,8 +94,8 @@
 	}
 }
 
-// addElections adds the elections that a voter may win: without the entry that the last leader appended and, if there is such an entry, with
-// it.
+// addElections adds the elections that a voter may win: without the entry that the last leader appended and, if there is such an entry,
+// with it.
 func (t *transitionList) addElections(index int) {
 	s := t.system
 	voter := s.processes[index]
--- a/internal/testbed/simcluster/cluster.go
+++ b/internal/testbed/simcluster/cluster.go
@@ -1,6 +1,6 @@
-// Package simcluster simulates a cluster of up to several hundred members in one process, in virtual time and with a seeded random schedule.
-// Members run the same cores as gateways. Links lose, delay, duplicate and cut off messages, processes are killed, paused and restarted, and
-// clocks drift. The same seed gives the same run.
+// Package simcluster simulates a cluster of up to several hundred members in one process, in virtual time and with a seeded random
+// schedule. Members run the same cores as gateways. Links lose, delay, duplicate and cut off messages, processes are killed, paused and
+// restarted, and clocks drift. The same seed gives the same run.
 package simcluster
 
 import (
@@ -78,8 +78,8 @@
 	return cluster
 }
 
-// Start starts a process. For incarnation 0, the process gets a later incarnation than any process started before. A test can set an earlier
-// incarnation, which a process whose clock is behind would have.
+// Start starts a process. For incarnation 0, the process gets a later incarnation than any process started before. A test can set an
+// earlier incarnation, which a process whose clock is behind would have.
 func (p *Process) Start(incarnation uint64) {
 	cluster := p.cluster
 	cluster.lastIncarnation++
--- a/internal/testbed/simcluster/counter_cluster.go
+++ b/internal/testbed/simcluster/counter_cluster.go
@@ -107,7 +107,7 @@
 	return names
 }
 
-// requestClass is a class. All requests belong to it, so that they are counted once in total and once for the class.
+// requestClass is the class of all requests. Every request is counted twice: in total and for its class.
 var requestClass = counters.Key{Kind: counters.KindClass, Name: "look"}
 
 // tick simulates the due events of requests: a request arrives, starts to run, or ends.
@@ -213,8 +213,8 @@
 // stepsPerReading is the number of simulation steps from one reading to the next.
 const stepsPerReading = 5
 
-// MeasureCounters measures ten seconds of a cluster with n members that loses messages with a probability of loss. Before, it lets the cluster
-// run until all members have received messages from all others.
+// MeasureCounters simulates a cluster with n members that loses messages with a probability of loss, and measures it for ten seconds. The
+// measurement starts after 6+n/8 seconds, when all members have received messages from each other.
 func MeasureCounters(n int, loss float64, seed uint64) CounterResult {
 	c := newCounterCluster(seed, n)
 	c.loss = loss
--- a/internal/testbed/simcluster/counter_cluster_test.go
+++ b/internal/testbed/simcluster/counter_cluster_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Every range of a reading contains the true count, although messages are lost, delayed, duplicated and cut off, processes are killed, restarted
-// and paused, and clocks run at different rates.
+// Every range of a reading contains the true count, although messages are lost, delayed, duplicated and cut off, processes are killed,
+// restarted and paused, and clocks run at different rates.
 func TestTruthInInterval(t *testing.T) {
 	reads, silent, widest := 0, 0, int64(0)
 	for seed := range uint64(6) {
--- a/internal/testbed/simcluster/health_reports.go
+++ b/internal/testbed/simcluster/health_reports.go
@@ -49,8 +49,8 @@
 	result    HealthReportResult
 }
 
-// MeasureHealthReports simulates a cluster whose engines fail single requests. During the fault, which lasts half a minute, one engine fails all
-// requests.
+// MeasureHealthReports simulates a cluster whose engines fail single requests. During the fault, which lasts half a minute, one engine
+// fails all requests.
 func MeasureHealthReports(load HealthReportLoad, seed uint64) HealthReportResult {
 	const second = admission.Second
 	c := New(load.Members, seed)
--- a/internal/testbed/simcluster/membership.go
+++ b/internal/testbed/simcluster/membership.go
@@ -25,8 +25,8 @@
 
 const quietSeconds = 60
 
-// MeasureMembership simulates a cluster of n members that loses messages with a probability of loss. After the start it measures a quiet phase
-// of one minute, in which a share of stopped members pause from time to time, and then kills some members at once.
+// MeasureMembership simulates a cluster of n members that loses messages with a probability of loss. After the start it measures a quiet
+// phase of one minute, in which a share of stopped members pause from time to time, and then kills some members at once.
 func MeasureMembership(n int, loss, stopped float64, seed uint64) MembershipResult {
 	const second = admission.Second
 	c := New(n, seed)
@@ -45,8 +45,8 @@
 	return result
 }
 
-// measureQuiet runs the cluster for the quiet phase, in which some members pause and none is killed, and counts false deaths, suspicions and
-// bytes.
+// measureQuiet runs the cluster for the quiet phase, in which some members pause and none is killed, and counts false deaths, suspicions
+// and bytes.
 func (c *Cluster) measureQuiet(result *MembershipResult) {
 	for _, p := range c.Processes {
 		p.Sent = 0
--- a/internal/testbed/simcluster/membership_test.go
+++ b/internal/testbed/simcluster/membership_test.go
@@ -133,8 +133,8 @@
 	c.waitUntilJoined(t, 30*second, "after a cut of an hour")
 }
 
-// Seven in ten members are killed at once and restart without state and with clocks that are behind. Each has to choose a higher incarnation
-// than it had before the restart.
+// Seven in ten members are killed at once and restart without state and with clocks that are behind. Each has to choose a higher
+// incarnation than it had before the restart.
 func TestMostMembersRestartWithClocksBehind(t *testing.T) {
 	c := newJoinedCluster(t, 30, 4)
 	for i := range 21 {
--- a/internal/testbed/simcluster/network.go
+++ b/internal/testbed/simcluster/network.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// advance simulates some time. Each simulation step delivers the messages that are due, calls step to advance the processes, and calls check.
+// advance simulates some time. Each simulation step delivers the messages that are due, calls step to advance the processes, and calls
+// check.
 func (n *network[M]) advance(length Time, deliver func(datagram[M]), step, check func()) {
 	for until := n.now + length; n.now < until; {
 		n.now += networkStep
--- a/internal/testbed/simcluster/quota_cluster.go
+++ b/internal/testbed/simcluster/quota_cluster.go
@@ -11,8 +11,8 @@
 	"magpiebank/internal/cluster/quota"
 )
 
-// quotaCluster is a simulated cluster that shares a quota. Links lose, delay and duplicate messages, processes are killed and paused, a second
-// process may run under a name, and clocks drift.
+// quotaCluster is a simulated cluster that shares a quota. Links lose, delay and duplicate messages, processes are killed and paused, a
+// second process may run under a name, and clocks drift.
 type quotaCluster struct {
 	network[quota.Message]
 	plan     *quota.Plan
@@ -145,8 +145,8 @@
 	return held, used
 }
 
-// QuotaResult describes how well a cluster uses a total. The utilizations are shares of the units that an ideal distribution, which knows the
-// demand of all members at every instant, would use.
+// QuotaResult describes how well a cluster uses a total. The utilizations are shares of the units that an ideal distribution, which knows
+// the demand of all members at every instant, would use.
 type QuotaResult struct {
 	Members     int
 	Even, Zipf  float64 // utilization if the demand is two thirds above the total, and distributed evenly or by Zipf's law
@@ -191,8 +191,8 @@
 	}
 }
 
-// measureUse simulates some time. It returns the utilization, and the utilization that fixed equal shares would reach, both as shares of the
-// ideal use (see QuotaResult).
+// measureUse simulates some time. It returns the utilization, and the utilization that fixed equal shares would reach, both as shares of
+// the ideal use (see QuotaResult).
 func (c *quotaCluster) measureUse(length Time) (share, equalShare float64) {
 	var used, equal, ideal float64
 	total := c.plan.Totals[0]
@@ -231,8 +231,8 @@
 	result.Messages = float64(c.sent) / float64(max(1, c.requests))
 }
 
-// measureBurst raises the demand of a member to the total, and returns the time until all members together use nine tenths of the total; -1:
-// longer than twenty seconds.
+// measureBurst raises the demand of a member to the total, and returns the time until all members together use nine tenths of the total;
+// -1: longer than twenty seconds.
 func (c *quotaCluster) measureBurst(p *quotaMember) Time {
 	total := c.plan.Totals[0]
 	p.demand = total
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// The units held and the units used never exceed the total, although messages are lost, delayed, duplicated and cut off, processes are killed
-// and paused, two processes run under one name, and clocks run at different rates.
+// The units held and the units used never exceed the total, although messages are lost, delayed, duplicated and cut off, processes are
+// killed and paused, two processes run under one name, and clocks run at different rates.
 func TestQuotaIsNeverExceeded(t *testing.T) {
 	for seed := range uint64(quotaSeeds) {
 		c := newQuotaCluster(seed, 12, []int64{30, 7, 3}[seed%3])
@@ -102,8 +102,8 @@
 	}
 }
 
-// A member that was killed and restarts may use its share again after a lease term if it knows that its predecessor has ended, and otherwise
-// after a share term.
+// A member that was killed and restarts may use its share again after a lease term if it knows that its predecessor has ended, and
+// otherwise after a share term.
 func TestSuccessorHasItsShareBack(t *testing.T) {
 	var took [2]Time
 	for k := range took {
@@ -149,9 +149,9 @@
 	c.plan = &plan // for processes that start from now on
 }
 
-// The total is raised, lowered below the units in use, and reduced to zero, while a third of the members is cut off and does not receive the
-// change. The units held never exceed the larger of the old and the new total. After a share term, a lease term and their margins for clock
-// drift, they never exceed the new total. Members that come back with the old plan revision hold no units.
+// The total is raised, lowered below the units in use, and reduced to zero, while a third of the members is cut off and does not receive
+// the change. The units held never exceed the larger of the old and the new total. After a share term, a lease term and their margins for
+// clock drift, they never exceed the new total. Members that come back with the old plan revision hold no units.
 func TestTotalChanges(t *testing.T) {
 	c := newQuotaCluster(4, 12, 24)
 	for _, p := range c.members {
@@ -206,8 +206,8 @@
 	}
 }
 
-// Connected members use nearly all of the total if there is enough demand, at whichever members. Members that are cut off use their own shares
-// for a share term. Soon after the cut ends, nearly all of the total is used again.
+// Connected members use nearly all of the total if there is enough demand, at whichever members. Members that are cut off use their own
+// shares for a share term. Soon after the cut ends, nearly all of the total is used again.
 func TestTotalIsNearlyAllUsed(t *testing.T) {
 	c := newQuotaCluster(1, 32, 64)
 	check := func() {}
@@ -247,14 +247,15 @@
 	c.advance(3*second, check)
 	healed := share(5 * second)
 	t.Logf("used share of the total: even demand %.3f, all demand at one of 32 members %.3f, a third cut off for half a term %.3f, for three terms %.3f, 3 s after the cut %.3f", even, one, during, long, healed)
-	// All voters are on one side of the cut. The other side holds its shares for at least three quarters of a term, and then the voters' side
-	// takes them over.
+	// All voters are on one side of the cut. The other side holds its shares for at least three quarters of a term, and then the voters'
+	// side takes them over.
 	if even < 0.95 || one < 0.95 || during < 0.8 || long < 0.95 || healed < 0.95 {
 		t.Error("expected at least 0.95, 0.95, 0.8, 0.95 and 0.95")
 	}
 }
 
-// Nearly all of a total that is far below the number of members is used, although not by all members yet; docs/budgets.md will describe this.
+// Nearly all of a total that is far below the number of members is used, although not by all members yet; docs/budgets.md will describe
+// this.
 func TestTotalBelowMemberCount(t *testing.T) {
 	c := newQuotaCluster(2, 40, 3)
 	c.advance(6*second, func() {})
@@ -281,8 +282,8 @@
 	}
 }
 
-// Requests need more units than a member's share, and more than a few other members could lease to it. The members must not block each other by
-// all holding some of the units that the others wait for.
+// Requests need more units than a member's share, and more than a few other members could lease to it. The members must not block each
+// other by all holding some of the units that the others wait for.
 func TestWideRequestsProgress(t *testing.T) {
 	c := newQuotaCluster(3, 40, 48)
 	c.advance(6*second, func() {})
@@ -324,8 +325,8 @@
 	}
 }
 
-// Units follow the demand in a larger cluster too. There a member receives the spare units of another member only every few seconds, and requests
-// leases from members whose spare units it has not received lately.
+// Units follow the demand in a larger cluster too. There a member receives the spare units of another member only every few seconds, and
+// requests leases from members whose spare units it has not received lately.
 func TestQuotaFollowsMovingDemand(t *testing.T) {
 	if d := MeasureQuota(100, 2); d.Zipf < 0.97 || d.Moving < 0.85 || d.BurstTime < 0 || d.BurstTime > second/2 || d.Messages > 8 {
 		t.Errorf("%+v", d)
--- a/internal/testbed/simcluster/rollout_cluster.go
+++ b/internal/testbed/simcluster/rollout_cluster.go
@@ -13,8 +13,9 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// rolloutCluster is a simulated cluster that rolls out policies. Links lose, delay, duplicate and cut off messages, processes are killed and
-// paused, a second process may run under a name, disks may be slow, be full or report writes that they have not done, and clocks drift.
+// rolloutCluster is a simulated cluster that rolls out policies. Links lose, delay, duplicate and cut off messages, processes are killed
+// and paused, a second process may run under a name, disks may be slow, be full or report writes that they have not done, and clocks
+// drift.
 type rolloutCluster struct {
 	network[[]byte]
 	config             *rollout.Config
@@ -162,7 +163,8 @@
 	return names
 }
 
-// CheckPolicy reads the parameters of a policy from words in its text. A policy with the text "not for" and this process's name is invalid here.
+// CheckPolicy reads the parameters of a policy from words in its text. A policy with the text "not for" and this process's name is
+// invalid here.
 func (p *rolloutMember) CheckPolicy(_ rollout.Digest, text []byte, done func(rollout.Parameters, error)) {
 	p.later(Time(p.cluster.random.IntN(50)), 0, func() {
 		var parameters rollout.Parameters
@@ -194,7 +196,8 @@
 	p.later(p.syncTime+Time(p.cluster.random.IntN(20)), len(records), func() { done(nil) })
 }
 
-// later calls finish after some time, but not before the functions of earlier calls of later. A number of unsynced records is synced just before.
+// later calls finish after some time, but not before the functions of earlier calls of later. A number of unsynced records is synced just
+// before.
 func (p *rolloutMember) later(wait Time, records int, finish func()) {
 	dueAt := p.cluster.now + wait
 	if n := len(p.pending); n > 0 {
@@ -267,8 +270,8 @@
 	}
 }
 
-// checkDecision treats a process as if it admitted a request now, by the policy of its lease, or without a lease by the overlap of two policies. It
-// records a violation if another process has already applied a later policy.
+// checkDecision treats a process as if it admitted a request now, by the policy of its lease, or without a lease by the overlap of two
+// policies. It records a violation if another process has already applied a later policy.
 func (p *rolloutMember) checkDecision() {
 	c, s := p.cluster, &p.inForce
 	current := policyNumber{s.Era, s.Number}
--- a/internal/testbed/simcluster/rollout_cluster_test.go
+++ b/internal/testbed/simcluster/rollout_cluster_test.go
@@ -22,8 +22,8 @@
 }
 
 // runWithFaults simulates a cluster with a sequence of random faults, while random members propose policies. Then it ends all faults and
-// proposes a last policy. It returns the first application of an older policy, or how the last policy failed, or an empty string if there was
-// neither. log may be nil.
+// proposes a last policy. It returns the first application of an older policy, or how the last policy failed, or an empty string if there
+// was neither. log may be nil.
 func runWithFaults(seed uint64, mutation string, log func(string)) string {
 	r := &faultyRollout{rolloutCluster: newRolloutCluster(seed, 8, []int{3, 5}[seed%2], 2*second)}
 	r.config.Mutation = rollout.ParseMutation(mutation)
@@ -164,8 +164,8 @@
 }
 
 // No process applies a policy after another process has applied a later one, although messages are lost, delayed, duplicated and cut off,
-// processes are killed, paused, started with an older folder or run twice under one name, and clocks run at different rates. Once all members
-// are connected again, all of them apply a new policy.
+// processes are killed, paused, started with an older folder or run twice under one name, and clocks run at different rates. Once all
+// members are connected again, all of them apply a new policy.
 func TestOlderPolicyIsNeverApplied(t *testing.T) {
 	for seed := range uint64(rolloutSeeds) {
 		if problem := runWithFaults(seed, "", nil); problem != "" {
--- a/internal/testbed/simcluster/rollout_linearizable_test.go
+++ b/internal/testbed/simcluster/rollout_linearizable_test.go
@@ -11,8 +11,8 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// registerInput is an operation on the register. A proposal writes: it increases the number by one. A process that applies a policy reads: it
-// returns the number.
+// registerInput is an operation on the register. A proposal writes: it increases the number by one. A process that applies a policy
+// reads: it returns the number.
 type registerInput struct {
 	isWrite bool
 	id      uint64 // of a proposal
@@ -39,8 +39,8 @@
 	return model.ToModel()
 }
 
-// stepRegister returns the numbers that the register may have after an operation with an output. It returns none if the operation cannot have
-// that output.
+// stepRegister returns the numbers that the register may have after an operation with an output. It returns none if the operation cannot
+// have that output.
 func stepRegister(number uint64, input registerInput, output uint64) []any {
 	switch {
 	case !input.isWrite && number == output, input.isWrite && output == 0:
--- a/internal/testbed/simcluster/rollout_size_test.go
+++ b/internal/testbed/simcluster/rollout_size_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// In a cluster of a hundred members, all members apply a new policy within half a second. If a third of the members is cut off, the change waits
-// for the end of their leases. A second simulation with the same seed has the same result.
+// In a cluster of a hundred members, all members apply a new policy within half a second. If a third of the members is cut off, the
+// change waits for the end of their leases. A second simulation with the same seed has the same result.
 func TestChangeReachesHundredMembers(t *testing.T) {
 	n := 100
 	e := MeasureRollout(n, 1)
--- a/internal/testbed/simcluster/rollout_test.go
+++ b/internal/testbed/simcluster/rollout_test.go
@@ -43,7 +43,8 @@
 	return result
 }
 
-// proposeTwoAtOnce makes two members propose at the same time. It returns the result of the accepted proposal first, and then that of the other.
+// proposeTwoAtOnce makes two members propose at the same time. It returns the result of the accepted proposal first, and then that of the
+// other.
 func (c *rolloutCluster) proposeTwoAtOnce() (taken, rejected rollout.Result) {
 	c.propose(c.members[6], "three; rehearse;", func(r rollout.Result) { taken = r })
 	c.propose(c.members[7], "four", func(r rollout.Result) { rejected = r })
@@ -111,8 +112,8 @@
 	}
 }
 
-// proposeThousand proposes a thousand policies in a row, one of them with the maximum size, while members are killed and restarted. It returns the
-// number of decided ones.
+// proposeThousand proposes a thousand policies in a row, one of them with the maximum size, while members are killed and restarted. It
+// returns the number of decided ones.
 func (c *rolloutCluster) proposeThousand(t *testing.T) (decided int) {
 	t.Helper()
 	for k := range 1000 {
@@ -138,8 +139,8 @@
 	return decided
 }
 
-// A thousand changes in a row are decided while members are killed and restarted. One of the policies has a megabyte. A member that was down
-// during all changes applies the last policy within a second of its start.
+// A thousand changes in a row are decided while members are killed and restarted. One of the policies has a megabyte. A member that was
+// down during all changes applies the last policy within a second of its start.
 func TestThousandChangesInARow(t *testing.T) {
 	c := newLeasedCluster(t, 3, 10, 3)
 	away := c.members[9]
@@ -166,9 +167,9 @@
 	}
 }
 
-// A voter that has lost its folder restarts as a new voter. It takes the place of the lost voter only after no messages have arrived from that
-// one for a while. A voter that restarts with an older folder learns from the leader that its log has lost entries, and also becomes a new
-// voter.
+// A voter that has lost its folder restarts as a new voter. It takes the place of the lost voter only after no messages have arrived from
+// that one for a while. A voter that restarts with an older folder learns from the leader that its log has lost entries, and also becomes
+// a new voter.
 func TestVotersWithLostOrOlderFolder(t *testing.T) {
 	c := newLeasedCluster(t, 5, 6, 3)
 	eventCounts := map[rollout.EventCode]int{}
@@ -208,9 +209,9 @@
 	}
 }
 
-// The disk of a voter reports a write that it has not done, and a policy is decided with that voter's vote. Then this voter and the leader are
-// killed, and only the first restarts. The remaining two voters lack a policy that members have already applied. They grant no leases and
-// report that voters are behind, until the operator forces a new log.
+// The disk of a voter reports a write that it has not done, and a policy is decided with that voter's vote. Then this voter and the
+// leader are killed, and only the first restarts. The remaining two voters lack a policy that members have already applied. They grant no
+// leases and report that voters are behind, until the operator forces a new log.
 func TestLyingDisk(t *testing.T) {
 	c := newLeasedCluster(t, 6, 6, 3)
 	behind := 0
@@ -256,8 +257,8 @@
 	}
 }
 
-// If a policy sets an overlap, a member that loses its lease during the change still admits the requests that both policies allow, for a limited
-// time. The next change waits for the end of that time.
+// If a policy sets an overlap, a member that loses its lease during the change still admits the requests that both policies allow, for a
+// limited time. The next change waits for the end of that time.
 func TestOverlapWithoutLease(t *testing.T) {
 	c := newLeasedCluster(t, 7, 6, 3)
 	if r := c.proposeAndWait(5, "one", 5*second); r.Outcome != rollout.OutcomeDecided {
