--- a/internal/testbed/quotamodel/quotamodel_test.go
+++ b/internal/testbed/quotamodel/quotamodel_test.go
@@ -14,7 +14,7 @@
 	return "\n" + out.String()
 }
 
-func TestNoStateUpToTheBoundViolatesTheQuota(t *testing.T) {
+func TestNoExploredStateViolatesTheQuota(t *testing.T) {
 	maxStates := 50_000 // .ci/run explores more states with magpiebank-testbed
 	if modelcheck.RaceEnabled {
 		maxStates = 10_000
--- a/internal/testbed/rolloutmodel/model.go
+++ b/internal/testbed/rolloutmodel/model.go
@@ -84,7 +84,7 @@
 // policyTexts are the texts of the two proposed policies.
 var policyTexts = [][]byte{[]byte("one"), []byte("two")}
 
-func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) } // the cores need a random source, but the model does not depend on its numbers
+func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) } // the cores need a random source, but its numbers don't matter here
 
 // Explore explores several variants of the model, each up to maxStates states, and calls report with the name and the result of each.
 func Explore(maxStates int, report func(name string, result modelcheck.Result)) {
--- a/internal/testbed/rolloutmodel/model_test.go
+++ b/internal/testbed/rolloutmodel/model_test.go
@@ -11,7 +11,7 @@
 )
 
 // The exploration finds a violation for each mutation of the protocol, and none without a mutation.
-func TestExplorationFindsMutationsAlone(t *testing.T) {
+func TestExplorationFindsViolationsOnlyInMutations(t *testing.T) {
 	maxStates := 50_000 // .ci/run explores more states with magpiebank-testbed
 	if modelcheck.RaceEnabled {
 		maxStates = 5_000
--- a/internal/testbed/rolloutmodel/replica.go
+++ b/internal/testbed/rolloutmodel/replica.go
@@ -7,7 +7,7 @@
 // election, or be decided by the next leader. A majority confirms only the current leader's leadership.
 type sharedLog struct {
 	term    uint64
-	leader  int // index of the current leader's process, or nobody
+	leader  int // index of the current leader's process, or noLeader
 	decided [][]byte
 	next    []byte // the entry that the leader has appended and that is not decided yet; nil: none
 }
--- a/internal/testbed/simcluster/counter_cluster_test.go
+++ b/internal/testbed/simcluster/counter_cluster_test.go
@@ -32,8 +32,8 @@
 
 // Every range of a reading contains the true count, although messages are lost, delayed, duplicated and cut off, processes are killed,
 // restarted and paused, and clocks run at different rates.
-func TestTruthInInterval(t *testing.T) {
-	reads, silent, widest := 0, 0, int64(0)
+func TestRangesContainTrueCounts(t *testing.T) {
+	reads, withUnknown, widest := 0, 0, int64(0)
 	for seed := range uint64(6) {
 		c := newCounterCluster(seed, 10)
 		steps := 0
@@ -48,7 +48,7 @@
 				t.Fatalf("seed %d: %s", seed, violation)
 			}
 			reads++
-			silent += boolToInt(reading.Unknown > 0)
+			withUnknown += boolToInt(reading.Unknown > 0)
 			if reading.Unknown == 0 {
 				widest = max(widest, reading.Counts[0].Ranges[1].High-reading.Counts[0].Ranges[1].Low)
 			}
@@ -60,8 +60,8 @@
 			c.simulate(Time(100+c.random.IntN(1900))*admission.Millisecond, check)
 		}
 	}
-	t.Logf("%d readings, %d of them with unknown processes; without unknown processes, the widest range is %d", reads, silent, widest)
-	if silent == 0 || silent == reads {
+	t.Logf("%d readings, %d of them with unknown processes; without unknown processes, the widest range is %d", reads, withUnknown, widest)
+	if withUnknown == 0 || withUnknown == reads {
 		t.Error("expected readings with and without unknown processes")
 	}
 }
--- a/internal/testbed/simcluster/quota_cluster_test.go
+++ b/internal/testbed/simcluster/quota_cluster_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// quotaSeeds is the number of seeds in TestNeverMore.
+// quotaSeeds is the number of seeds in TestQuotaIsNeverExceeded.
 var quotaSeeds = 60
 
 // withDrift returns how long a process must wait on its own clock until a term has certainly ended on another clock, which may run slower.
@@ -68,7 +68,7 @@
 	}
 }
 
-// startTwin starts another process under the name of a random member, unless there are 16 processes already.
+// startTwin starts another process under the name of a random member, unless there are 16 processes already or mayStart forbids the start.
 func (c *quotaCluster) startTwin(p *quotaMember) {
 	if len(c.members) >= 16 {
 		return
--- a/internal/testbed/simcluster/rollout_test.go
+++ b/internal/testbed/simcluster/rollout_test.go
@@ -45,17 +45,18 @@
 
 // proposeTwoAtOnce makes two members propose at the same time. It returns the result of the accepted proposal first, and then that of the
 // other.
-func (c *rolloutCluster) proposeTwoAtOnce() (taken, rejected rollout.Result) {
-	c.propose(c.members[6], "three; rehearse;", func(r rollout.Result) { taken = r })
+func (c *rolloutCluster) proposeTwoAtOnce() (accepted, rejected rollout.Result) {
+	c.propose(c.members[6], "three; rehearse;", func(r rollout.Result) { accepted = r })
 	c.propose(c.members[7], "four", func(r rollout.Result) { rejected = r })
 	c.advance(3 * second)
-	if taken.Outcome == rollout.OutcomeRejected {
-		taken, rejected = rejected, taken
+	if accepted.Outcome == rollout.OutcomeRejected {
+		accepted, rejected = rejected, accepted
 	}
-	return taken, rejected
+	return accepted, rejected
 }
 
-// proposeRepeatedly makes two members propose the same proposal three times each, as an operator may do after lost answers.
+// proposeRepeatedly makes two members propose the same proposal three times each, as an operator may do after lost answers. It returns the
+// result that the second member knows at the end.
 func (c *rolloutCluster) proposeRepeatedly(t *testing.T, p rollout.Proposal) rollout.Result {
 	t.Helper()
 	for range 3 {
@@ -81,7 +82,7 @@
 back to 77: refused 0 number 77 is not among the last 16
 meant to follow 1: refused 0 it is meant to follow number 1, and 4 is in force`
 
-// Proposals have the outcomes and reasons that the operator expects.
+// Proposals end with the outcomes, policy numbers and reasons that are reported to an operator.
 func TestProposalOutcomes(t *testing.T) {
 	c := newLeasedCluster(t, 1, 8, 5)
 	var got []string
@@ -92,10 +93,10 @@
 	record("a member can't follow", c.proposeAndWait(5, "two; not for g7;", 5*second))
 	record("the leader can't follow", c.proposeAndWait(5, "two; not for g0; not for g1; not for g2; not for g3; not for g4;", 5*second))
 	record("the same again", c.proposeAndWait(4, "one", 5*second))
-	one, two := c.proposeTwoAtOnce()
-	two.Reason = two.Reason[strings.LastIndex(two.Reason, " of "):]
-	record("one of two at once", rollout.Result{Outcome: one.Outcome, Number: one.Number})
-	record("the other", rollout.Result{Outcome: two.Outcome, Reason: "proposal ... of one " + two.Reason[len(two.Reason)-7:]})
+	accepted, rejected := c.proposeTwoAtOnce()
+	rejected.Reason = rejected.Reason[strings.LastIndex(rejected.Reason, " of "):]
+	record("one of two at once", rollout.Result{Outcome: accepted.Outcome, Number: accepted.Number})
+	record("the other", rollout.Result{Outcome: rejected.Outcome, Reason: "proposal ... of one " + rejected.Reason[len(rejected.Reason)-7:]})
 	record("one proposed six times", c.proposeRepeatedly(t, rollout.Proposal{ID: 99, Kind: rollout.KindChange, Text: []byte("five")}))
 	record("back to 1", c.proposeAt(t, 2, rollout.Proposal{ID: 100, Kind: rollout.KindRollback, RollbackTo: 1}, 2*second))
 	record("back to 77", c.proposeAt(t, 2, rollout.Proposal{ID: 101, Kind: rollout.KindRollback, RollbackTo: 77}, 2*second))
@@ -210,7 +211,7 @@
 }
 
 // The disk of a voter reports a write that it has not done, and a policy is decided with that voter's vote. Then this voter and the
-// leader are killed, and only the first restarts. The remaining two voters lack a policy that members have already applied. They grant no
+// leader are killed, and only this voter restarts. The remaining two voters lack a policy that members have already applied. They grant no
 // leases and report that voters are behind, until the operator forces a new log.
 func TestLyingDisk(t *testing.T) {
 	c := newLeasedCluster(t, 6, 6, 3)
