--- a/internal/testbed/simcluster/cluster.go
+++ b/internal/testbed/simcluster/cluster.go
@@ -249,7 +249,7 @@
 		switch {
 		case next.call != nil:
 			next.call()
-		case next.to.Up && (next.kind != eventTimer || next.incarnation == next.to.incarnation): // a message reaches the process that has the address on arrival
+		case next.to.Up && (next.kind != eventTimer || next.incarnation == next.to.incarnation): // messages also reach a restarted process
 			next.to.handle(next)
 		}
 	}
--- a/internal/testbed/simcluster/counter_cluster.go
+++ b/internal/testbed/simcluster/counter_cluster.go
@@ -47,8 +47,8 @@
 	bytes       []byte
 }
 
-// Limits for the requests of a process: how many are in flight at a time, and how long a request runs. The second is only an option of the
-// core; the simulation does not end requests by it.
+// Limits for the requests of a process: how many are in flight at a time, and how long a request runs. The simulation passes maxRunTime to
+// the cores, but does not enforce it.
 const (
 	maxInFlight = 40
 	maxRunTime  = 4 * admission.Second
--- a/internal/testbed/simcluster/rollout_cluster.go
+++ b/internal/testbed/simcluster/rollout_cluster.go
@@ -196,8 +196,8 @@
 	p.later(p.syncTime+Time(p.cluster.random.IntN(20)), len(records), func() { done(nil) })
 }
 
-// later calls finish after some time, but not before the functions of earlier calls of later. A number of unsynced records is synced just
-// before.
+// later schedules a call of finish after some time, and after all functions that were scheduled before. Just before the call, the given
+// number of unsynced records is synced.
 func (p *rolloutMember) later(wait Time, records int, finish func()) {
 	dueAt := p.cluster.now + wait
 	if n := len(p.pending); n > 0 {
