--- a/cmd/magpiebank-testbed/fleet.go
+++ b/cmd/magpiebank-testbed/fleet.go
@@ -17,15 +17,15 @@
 	"magpiebank/internal/testbed/rolloutmodel"
 )
 
-// fleetCommand injects faults between the gateways of a cluster.
+// fleetCommand returns the commands that test clusters of gateways: scenarios with injected faults, simulations and model checking.
 func fleetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "Faults between the processes of a fleet, and what must hold all the same"}
+	c := &cobra.Command{Use: "fleet", Short: "Test fleets of gateways with faults between their processes, by scenarios, simulation and model checking"}
 	c.AddCommand(fleetList(), fleetRun(), fleetSearch(), fleetScale(), fleetExplore())
 	return c
 }
 
 func fleetList() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "The scenarios that are built in", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+	return &cobra.Command{Use: "list", Short: "List the built-in scenarios", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		for _, name := range faulttest.Builtin() {
 			s, err := faulttest.Read(name)
 			if err != nil {
@@ -37,15 +37,16 @@
 	}}
 }
 
-// place is where runs leave their files, and which gateway they start.
-type place struct{ folder, gateway string }
+// runLocation holds the folder for the files of runs and the path of the gateway's program.
+type runLocation struct{ folder, gateway string }
 
-func (p *place) flags(c *cobra.Command) {
+func (p *runLocation) flags(c *cobra.Command) {
 	c.Flags().StringVar(&p.folder, "folder", "", "folder for logs and histories; default one under the temporary folder")
-	c.Flags().StringVar(&p.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one; clocks that run off need one built with -tags testbed")
+	c.Flags().StringVar(&p.gateway, "gateway", "", "the gateway's program; default magpiebank beside this one; scenarios with clock faults need one built with -tags testbed")
 }
 
-func (p *place) find(name string) error {
+// setDefaults sets the paths that the flags leave empty. name is the name or file of the scenario.
+func (p *runLocation) setDefaults(name string) error {
 	if p.folder == "" {
 		p.folder = filepath.Join(os.TempDir(), "magpiebank-testbed-fleet-"+strings.TrimSuffix(filepath.Base(name), ".jsonnet"))
 	}
@@ -59,41 +60,41 @@
 	return nil
 }
 
-// fleetRunOptions are the flags of fleet run.
+// fleetRunOptions holds the flags of fleet run.
 type fleetRunOptions struct {
-	place      place
+	location   runLocation
 	html, plot string
 	json, both bool
-	ways       int
+	ways       int // how many ways of sharing run besides none; 0: all
 }
 
 func fleetRun() *cobra.Command {
 	var o fleetRunOptions
-	c := &cobra.Command{Use: "run NAME|FILE", Short: "Play one scenario; those that measure judgements are played with sharing and without, those that measure budgets with each way to share", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "run NAME|FILE", Short: "Run a scenario; one that measures health reports runs with and without sharing, one that measures budgets with each way of sharing", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := faulttest.Read(args[0])
 			if err != nil {
-				return badFile{err}
+				return inputError{err}
 			}
-			if err := o.place.find(args[0]); err != nil {
+			if err := o.location.setDefaults(args[0]); err != nil {
 				return err
 			}
-			outcome, err := faulttest.RunScenario(c.Context(), s, o.place.folder, o.place.gateway, o.both, o.ways)
+			outcome, err := faulttest.RunScenario(c.Context(), s, o.location.folder, o.location.gateway, o.both, o.ways)
 			if err != nil {
 				return err
 			}
 			return o.show(c.OutOrStdout(), s, outcome)
 		}}
-	o.place.flags(c)
-	c.Flags().StringVar(&o.html, "html", "", "write the run as a page with its picture to this file")
-	c.Flags().StringVar(&o.plot, "plot", "", "of one with threads of the whole fleet, draw each member's use over time into this picture (svg or png)")
-	c.Flags().IntVar(&o.ways, "ways", 0, "of one that measures budgets, how many ways of sharing are played beside none: lent, equal parts, a quorum; 0: all")
+	o.location.flags(c)
+	c.Flags().StringVar(&o.html, "html", "", "write the run as a page with a plot to this file")
+	c.Flags().StringVar(&o.plot, "plot", "", "for a scenario with thread limits for the whole fleet: plot each member's use over time to this file (svg or png)")
+	c.Flags().IntVar(&o.ways, "ways", 0, "for a scenario that measures budgets: how many ways of sharing run besides none, of lent, equal parts, a quorum; 0: all")
 	c.Flags().BoolVar(&o.json, "json", false, "print the result as JSON")
-	c.Flags().BoolVar(&o.both, "both", false, "play it with sharing and without at the same time, and compare")
+	c.Flags().BoolVar(&o.both, "both", false, "run it with and without sharing at the same time, and compare")
 	return c
 }
 
-// show prints an outcome, writes its page and picture, and returns errMissed if anything was violated.
+// show prints an outcome, writes its page and plot, and returns errReported if the outcome violates an expectation.
 func (o *fleetRunOptions) show(out io.Writer, s *faulttest.Scenario, outcome *faulttest.Outcome) error {
 	if o.json {
 		if err := writeJSON(out, outcome.Data); err != nil {
@@ -116,9 +117,9 @@
 		return nil
 	}
 	if !o.json && len(outcome.Results) == 1 {
-		fmt.Fprint(out, "\nto play it again:\n", s.Text())
+		fmt.Fprint(out, "\nto run it again:\n", s.Text())
 	}
-	return errMissed
+	return errReported
 }
 
 // writeJSON writes a value as indented JSON.
@@ -128,7 +129,7 @@
 	return encoder.Encode(value)
 }
 
-// writeFile creates a file and has a function write it.
+// writeFile creates a file and calls a function that writes its contents.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -139,7 +140,7 @@
 
 func fleetExplore() *cobra.Command {
 	var states int
-	c := &cobra.Command{Use: "explore", Short: "Walk every interleaving of small fleets that share a budget, or change their policy, up to a number of states", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "explore", Short: "Check models of small fleets that share a budget or change their policy, for every interleaving up to a number of states", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			good, out := true, c.OutOrStdout()
 			report := func(model string, result modelcheck.Result) {
@@ -149,10 +150,10 @@
 			quotamodel.Explore(states, report)
 			rolloutmodel.Explore(states, report)
 			if !good {
-				return errMissed
+				return errReported
 			}
 			return nil
 		}}
-	c.Flags().IntVar(&states, "states", 1_000_000, "states of each model; some 40,000 a second, 0.3 kB each")
+	c.Flags().IntVar(&states, "states", 1_000_000, "maximum states of each model; about 40,000 per second, 0.3 kB each")
 	return c
 }
--- a/cmd/magpiebank-testbed/main.go
+++ b/cmd/magpiebank-testbed/main.go
@@ -1,4 +1,4 @@
-// Magpiebank-testbed puts gateways under load on loopback and tells what came of it.
+// Magpiebank-testbed runs load tests, experiments and fault scenarios against gateways on loopback addresses and reports the results.
 package main
 
 import (
@@ -14,17 +14,17 @@
 
 const version = "0.1.0"
 
-// The exit statuses.
+// The exit statuses besides 0.
 const (
-	missed = 1 // a bound was missed, or the run could not be made
-	misuse = 2 // of the command line or a file
+	exitFailure = 1 // a check failed, for example a bound was missed, or the command could not finish
+	exitMisuse  = 2 // the command line or a file is invalid
 )
 
-// errMissed ends a command whose output has said what is amiss.
-var errMissed = errors.New("a bound was missed")
+// errReported ends a command with exitFailure. It is not printed, because the command's output already reports the failure.
+var errReported = errors.New("a bound was missed")
 
-// badFile is an error in what the operator wrote.
-type badFile struct{ error }
+// inputError is an error in the command line or in a file from the user. It leads to exitMisuse.
+type inputError struct{ error }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -35,29 +35,29 @@
 func run(ctx context.Context, args []string) int {
 	root := &cobra.Command{
 		Use:   "magpiebank-testbed",
-		Short: "Puts gateways under load on loopback and tells what came of it",
-		Long: `The testbed of magpiebank starts fake engines and a fake discovery service, gateways between them and a load, and
-tells what came of it. All of it stays on this machine's loopback addresses.`,
+		Short: "Puts gateways under load on loopback addresses and reports the results",
+		Long: `The testbed of magpiebank starts fake engines, a fake discovery service and gateways, sends a load to the gateways and
+reports the results. All connections use this machine's loopback addresses.`,
 		SilenceErrors: true, SilenceUsage: true, Version: version,
 	}
 	root.AddCommand(demoCommand(), runCommand(), workerCommand(), experimentCommand(), checkCommand(), fmtCommand(), traceCommand(), runsCommand(),
 		searchCommand(), standinCommand(), fleetCommand())
 	root.SetArgs(args)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badFile{err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return inputError{err} })
 	err := root.ExecuteContext(ctx)
-	var bad badFile
+	var badInput inputError
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errMissed):
-		return missed
+	case errors.Is(err, errReported):
+		return exitFailure
 	case errors.Is(err, context.Canceled):
-		fmt.Fprintln(os.Stderr, "magpiebank-testbed: called off")
-		return missed
-	case errors.As(err, &bad):
+		fmt.Fprintln(os.Stderr, "magpiebank-testbed: cancelled")
+		return exitFailure
+	case errors.As(err, &badInput):
 		fmt.Fprintln(os.Stderr, "magpiebank-testbed:", err)
-		return misuse
+		return exitMisuse
 	}
 	fmt.Fprintln(os.Stderr, "magpiebank-testbed:", err)
-	return missed
+	return exitFailure
 }
