--- a/internal/testbed/quotamodel/quotamodel_test.go
+++ b/internal/testbed/quotamodel/quotamodel_test.go
@@ -8,29 +8,29 @@
 	"magpiebank/internal/testbed/modelcheck"
 )
 
-func text(description string, r modelcheck.Result) string {
+func resultText(description string, r modelcheck.Result) string {
 	var out strings.Builder
 	r.WriteText(&out, description)
 	return "\n" + out.String()
 }
 
-func TestNoStateUpToTheBoundViolatesTheQuota(t *testing.T) {
-	maxStates := 50_000 // .ci/run explores further by magpiebank-testbed
+func TestNoExploredStateViolatesTheQuota(t *testing.T) {
+	maxStates := 50_000 // .ci/run explores more states with magpiebank-testbed
 	if modelcheck.RaceEnabled {
 		maxStates = 10_000
 	}
 	Explore(maxStates, func(description string, r modelcheck.Result) {
-		t.Log(text(description, r))
+		t.Log(resultText(description, r))
 		if r.Violation != "" {
 			t.Error(description)
 		}
 	})
 }
 
-// Each mutation is found by the system that claims to show faults of its kind.
+// For each mutation, the exploration of the system that is meant to reveal this kind of defect finds a violation.
 func TestEveryMutationIsFound(t *testing.T) {
 	if modelcheck.RaceEnabled {
-		t.Skip("made without the race detector")
+		t.Skip("the mutations are explored without the race detector, because it is ten times as slow")
 	}
 	const maxStates = 1_500_000
 	for _, c := range []struct {
@@ -52,9 +52,9 @@
 	} {
 		t.Run(c.description, func(t *testing.T) {
 			r := modelcheck.Explore(c.system, maxStates, maxDepth)
-			t.Log(text(c.description, r))
+			t.Log(resultText(c.description, r))
 			if r.Violation == "" {
-				t.Error("not found")
+				t.Error("the mutation was not found")
 			}
 		})
 	}
--- a/internal/testbed/simcluster/rollout_cluster.go
+++ b/internal/testbed/simcluster/rollout_cluster.go
@@ -13,25 +13,26 @@
 	"magpiebank/internal/cluster/rollout"
 )
 
-// rolloutCluster is a simulated cluster that rolls out policies: with links that lose, delay, duplicate and cut, processes that are
-// killed, started twice and paused, disks that are slow, full or lie, and clocks that drift.
+// rolloutCluster is a simulated cluster that rolls out policies. Links lose, delay, duplicate and cut off messages, processes are killed
+// and paused, a second process may run under a name, disks may be slow, be full or report writes that they have not done, and clocks
+// drift.
 type rolloutCluster struct {
 	network[[]byte]
-	plan              *rollout.Config
-	members           []*rolloutMember
-	starts            uint64
-	byName            map[string][]int
-	highestDecision   policyNumber // that any process has decided by
-	highestDecisionBy string       // which process
-	decisions         int          // how many times a process could decide by a lease
-	undecided         int          // how many times a process could decide nothing
-	violation         string       // the first decision by an older number
-	voters            []string
-	onEvent           func(p *rolloutMember, code rollout.EventCode, more []any)
-	policies          map[rollout.Digest]bool // that went into force anywhere
+	config             *rollout.Config
+	members            []*rolloutMember
+	starts             uint64
+	byName             map[string][]int // indices of the processes with a name
+	highestApplied     policyNumber     // the highest policy number that any process has applied with a lease
+	highestAppliedBy   string           // name of the process that was the first to apply it
+	leaseSteps         int              // number of simulation steps in which a process had a lease, over all processes
+	stepsWithoutPolicy int              // number of simulation steps in which a process could apply no policy, over all processes
+	violation          string           // the first application of an older policy
+	voters             []string
+	onEvent            func(p *rolloutMember, code rollout.EventCode, more []any)
+	policies           map[rollout.Digest]bool // policies that any process has applied with a lease
 }
 
-// policyNumber is a policy's number in its era.
+// policyNumber identifies a policy by its era and its number in the era.
 type policyNumber struct{ era, number uint64 }
 
 func (n policyNumber) isLaterThan(other policyNumber) bool {
@@ -49,32 +50,32 @@
 	up            bool
 	pausedUntil   Time
 	inForce       rollout.InForce
-	disk          []consensus.Record // what survives
-	unsynced      []consensus.Record // what doesn't yet
+	disk          []consensus.Record // synced records, which survive a kill
+	unsynced      []consensus.Record // written records that may be lost in a kill
 	pending       []pendingWrite
-	syncTime      Time // that a sync takes
-	diskFull      bool
-	diskLies      bool          // it reports records as synced that it hasn't written
-	deferred      []heldMessage // that came while it was paused
-	drainingUntil Time          // until when requests decided by the policy before are on their way
-	shedsHalf     bool          // of its requests
+	syncTime      Time              // duration of a sync
+	diskFull      bool              // every write fails; no test sets this yet
+	diskLies      bool              // the disk reports records as synced that it has not written
+	deferred      []deferredMessage // messages that arrived during the pause
+	drainingUntil Time              // until this time, requests that the previous policy admitted are in progress
+	shedsHalf     bool              // half of its requests are shed
 }
 
-// pendingWrite is a write, or another call of the core's, that ends later.
+// pendingWrite is a write, or another asynchronous call of a core, that is not complete yet.
 type pendingWrite struct {
 	dueAt   Time
-	core    *rollout.Core // for which it is; nil: for any
+	core    *rollout.Core // the core that waits for it; nil: any core
 	finish  func()
-	records int // of unsynced, that survive with it
+	records int // number of unsynced records that are synced when it completes
 }
 
-// heldMessage is a message in the buffer of a socket.
-type heldMessage struct {
+// deferredMessage is a message in the socket buffer of a paused process.
+type deferredMessage struct {
 	from    string
 	message []byte
 }
 
-// maxDeferred is how many messages a socket's buffer holds.
+// maxDeferred is the maximum number of messages in a socket buffer.
 const maxDeferred = 500
 
 func newRolloutCluster(seed uint64, n, voters int, lease Time) *rolloutCluster {
@@ -83,8 +84,8 @@
 	for k := range voters {
 		c.voters = append(c.voters, fmt.Sprint("g", k))
 	}
-	c.plan = &rollout.Config{Voters: c.voters, LeaseDuration: lease, PrepareTimeout: 3 * admission.Second, ClockDriftDivisor: 20, Persistent: true}
-	c.highestDecisionBy = "nobody"
+	c.config = &rollout.Config{Voters: c.voters, LeaseDuration: lease, PrepareTimeout: 3 * admission.Second, ClockDriftDivisor: 20, Persistent: true}
+	c.highestAppliedBy = "nobody"
 	for k := range n {
 		p := &rolloutMember{cluster: c, name: fmt.Sprint("g", k), clockRate: 0.955 + 0.09*c.random.Float64(), clockOffset: float64(c.random.IntN(1e6)), syncTime: 2 * admission.Millisecond}
 		c.add(p)
@@ -104,7 +105,7 @@
 
 func (p *rolloutMember) isRunning() bool { return p.up && p.pausedUntil <= p.cluster.now }
 
-// start starts a process with what its disk has.
+// start starts a process with the records on its disk.
 func (p *rolloutMember) start() {
 	p.cluster.starts++
 	p.up, p.inForce, p.pending, p.deferred, p.unsynced, p.drainingUntil = true, rollout.InForce{}, nil, nil, nil, 0
@@ -116,12 +117,12 @@
 		panic(stored.Err())
 	}
 	p.core = nil
-	p.core = rollout.New(p.clock(), p.cluster.plan, rollout.Process{
+	p.core = rollout.New(p.clock(), p.cluster.config, rollout.Process{
 		Name: p.name, Incarnation: p.cluster.starts, Random: rand.New(rand.NewPCG(p.cluster.random.Uint64(), 4)), Stored: stored,
 	}, p)
 }
 
-// latestRecords are the last record of each key on the disk, in the order in which they were written.
+// latestRecords returns the last record of each key on the disk, in the order of the writes.
 func (p *rolloutMember) latestRecords() (records []consensus.Record) {
 	last := map[[16]byte]int{}
 	for i, record := range p.disk {
@@ -135,7 +136,7 @@
 	return records
 }
 
-// kill ends a process; of the records that were not synced, any first ones survive.
+// kill ends a process. Of the unsynced records, a random number of the first ones survives, or none if the disk lies.
 func (p *rolloutMember) kill() {
 	p.up = false
 	if !p.diskLies {
@@ -148,7 +149,7 @@
 	p.cluster.send(p.index, p.cluster.byName[to], p.wrap(m), len(m))
 }
 
-// wrap puts the sender's name before a message, as the datagrams of a cluster have it.
+// wrap prepends the sender's name to a message, like the datagrams of a real cluster.
 func (p *rolloutMember) wrap(m []byte) []byte {
 	return append(append([]byte{byte(len(p.name))}, p.name...), m...)
 }
@@ -162,24 +163,25 @@
 	return names
 }
 
-// CheckPolicy reads the terms of a policy from words in its text; a policy that says so is wrong at this process.
+// CheckPolicy reads the parameters of a policy from words in its text. A policy with the text "not for" and this process's name is
+// invalid here.
 func (p *rolloutMember) CheckPolicy(_ rollout.Digest, text []byte, done func(rollout.Parameters, error)) {
 	p.later(Time(p.cluster.random.IntN(50)), 0, func() {
-		var terms rollout.Parameters
+		var parameters rollout.Parameters
 		if bytes.Contains(text, []byte("not for "+p.name+";")) {
-			done(terms, errors.New("statements.pools[0].zones: expected some of [norte], found [este]"))
+			done(parameters, errors.New("statements.pools[0].zones: expected some of [norte], found [este]"))
 			return
 		}
 		if bytes.Contains(text, []byte("both;")) {
-			terms.Overlap = 3 * p.cluster.plan.LeaseDuration
+			parameters.Overlap = 3 * p.cluster.config.LeaseDuration
 		}
 		if bytes.Contains(text, []byte("rehearse;")) {
-			terms.RehearsalLength = admission.Second / 2
+			parameters.RehearsalLength = admission.Second / 2
 		}
 		if bytes.Contains(text, []byte("probation;")) {
-			terms.Probation, terms.ProbationBounds = 2*admission.Second, rollout.Bounds{Rejected: 0.1, Shed: 0.1}
+			parameters.Probation, parameters.ProbationBounds = 2*admission.Second, rollout.Bounds{Rejected: 0.1, Shed: 0.1}
 		}
-		done(terms, nil)
+		done(parameters, nil)
 	})
 }
 
@@ -194,7 +196,8 @@
 	p.later(p.syncTime+Time(p.cluster.random.IntN(20)), len(records), func() { done(nil) })
 }
 
-// later calls a function after some time, in the order of the calls of later. That many unsynced records are on the disk by then.
+// later schedules a call of finish after some time, and after all functions that were scheduled before. Just before the call, the given
+// number of unsynced records is synced.
 func (p *rolloutMember) later(wait Time, records int, finish func()) {
 	dueAt := p.cluster.now + wait
 	if n := len(p.pending); n > 0 {
@@ -239,7 +242,7 @@
 	}
 }
 
-// tick does what is due at a process, and checks by which policy it may decide.
+// tick completes the due writes of a process, handles its deferred messages, ticks its core, and checks which policy it applies.
 func (p *rolloutMember) tick() {
 	for len(p.pending) > 0 && p.pending[0].dueAt <= p.cluster.now {
 		write := p.pending[0]
@@ -258,7 +261,7 @@
 		p.handleMessage(held.from, held.message)
 	}
 	p.core.Tick(p.clock())
-	p.decide()
+	p.checkDecision()
 }
 
 func (p *rolloutMember) handleMessage(from string, m []byte) {
@@ -267,29 +270,30 @@
 	}
 }
 
-// decide checks a process that may decide requests: by a number, or without a lease by what two policies allow.
-func (p *rolloutMember) decide() {
+// checkDecision treats a process as if it admitted a request now, by the policy of its lease, or without a lease by the overlap of two
+// policies. It records a violation if another process has already applied a later policy.
+func (p *rolloutMember) checkDecision() {
 	c, s := p.cluster, &p.inForce
 	current := policyNumber{s.Era, s.Number}
 	switch now := p.clock(); {
 	case s.HoldsLease(now):
-		c.decisions++
-		if c.highestDecision.isLaterThan(current) && c.violation == "" {
-			c.violation = fmt.Sprintf("%.3f s: %s decides by number %d of era %d, after %s has decided by %d of %d", float64(c.now)/float64(admission.Second), p.name, s.Number, s.Era, c.highestDecisionBy,
-				c.highestDecision.number, c.highestDecision.era)
+		c.leaseSteps++
+		if c.highestApplied.isLaterThan(current) && c.violation == "" {
+			c.violation = fmt.Sprintf("%.3f s: %s decides by number %d of era %d, after %s has decided by %d of %d", float64(c.now)/float64(admission.Second), p.name, s.Number, s.Era, c.highestAppliedBy,
+				c.highestApplied.number, c.highestApplied.era)
 		}
-		if current.isLaterThan(c.highestDecision) {
-			c.highestDecision, c.highestDecisionBy = current, p.name
+		if current.isLaterThan(c.highestApplied) {
+			c.highestApplied, c.highestAppliedBy = current, p.name
 		}
 		c.policies[s.Digest] = true
 	case s.OverlapDigest != (rollout.Digest{}) && now < s.OverlapUntil:
 		next := policyNumber{s.Era, s.Number + 1}
-		if c.violation == "" && (c.highestDecision.isLaterThan(next) || c.highestDecision == next && !c.policies[s.OverlapDigest]) {
+		if c.violation == "" && (c.highestApplied.isLaterThan(next) || c.highestApplied == next && !c.policies[s.OverlapDigest]) {
 			c.violation = fmt.Sprintf("%.3f s: %s decides by what number %d and a proposal after it allow, after %s has decided by %d", float64(c.now)/float64(admission.Second), p.name, s.Number,
-				c.highestDecisionBy, c.highestDecision.number)
+				c.highestAppliedBy, c.highestApplied.number)
 		}
 	default:
-		c.undecided++
+		c.stepsWithoutPolicy++
 	}
 }
 
@@ -303,7 +307,7 @@
 		case !p.up:
 		case p.pausedUntil > c.now:
 			if len(p.deferred) < maxDeferred {
-				p.deferred = append(p.deferred, heldMessage{from, message})
+				p.deferred = append(p.deferred, deferredMessage{from, message})
 			}
 		default:
 			p.handleMessage(from, message)
@@ -317,7 +321,7 @@
 	}, func() {})
 }
 
-// propose has a process propose a policy; done is called with the result.
+// propose makes a process propose a policy, and calls done with the result.
 func (c *rolloutCluster) propose(p *rolloutMember, text string, done func(rollout.Result)) {
 	id := c.random.Uint64() | 1
 	if err := p.core.Propose(p.clock(), rollout.Proposal{ID: id, Kind: rollout.KindChange, Text: []byte(text)}, done); err != nil {
@@ -325,7 +329,7 @@
 	}
 }
 
-// countInForce counts the processes that may decide by a policy now.
+// countInForce returns the number of processes that hold a lease on a policy now.
 func (c *rolloutCluster) countInForce(d rollout.Digest) (n int) {
 	for _, p := range c.members {
 		if p.up && p.inForce.HoldsLease(p.clock()) && p.inForce.Digest == d {
@@ -335,18 +339,18 @@
 	return n
 }
 
-// RolloutResult is the result of policy changes in a cluster of some size.
+// RolloutResult is the result of a simulation of policy changes.
 type RolloutResult struct {
 	Members  int
 	Voters   int
-	Took     Time    // from a proposal until all go by it, the mean of some
-	Gap      float64 // share of a second for which a member could decide nothing, a change
-	Silent   Time    // the same with a third of the members cut off, until the others go by it
-	Messages float64 // a member, a change
-	Bytes    float64 // a second a member, at rest
+	Took     Time    // mean time from a proposal until all members apply the policy
+	Gap      float64 // mean time per member and change in which the member could apply no policy, in seconds
+	Silent   Time    // time from a proposal until all connected members apply the policy, while a third of the members is cut off
+	Messages float64 // messages sent per member and change, beyond those sent without changes
+	Bytes    float64 // bytes sent per second and member, without changes
 }
 
-// MeasureRollout simulates changes of a policy of some kB in a cluster.
+// MeasureRollout simulates policy changes in a cluster of n members. Each policy has about 3 kB.
 func MeasureRollout(n int, seed uint64) RolloutResult {
 	const second, voters, changes = admission.Second, 5, 5
 	result := RolloutResult{Members: n, Voters: voters}
@@ -356,7 +360,7 @@
 	c.advance(10 * second)
 	result.Bytes = float64(c.bytes) / float64(n) / 10
 	sentAtRest := c.sent
-	c.sent, c.undecided = 0, 0
+	c.sent, c.stepsWithoutPolicy = 0, 0
 	began := c.now
 	var took Time
 	for k := range changes {
@@ -364,7 +368,7 @@
 	}
 	result.Took = took / changes
 	result.Messages = (float64(c.sent) - float64(sentAtRest)/10*float64(c.now-began)/float64(second)) / float64(n) / changes
-	result.Gap = float64(c.undecided) * 0.01 / float64(n) / changes
+	result.Gap = float64(c.stepsWithoutPolicy) * 0.01 / float64(n) / changes
 	third := n / 3
 	isAway := func(member int) bool { return member >= voters && member < voters+third }
 	c.cut = func(from, to int) bool { return isAway(from) != isAway(to) }
@@ -373,7 +377,7 @@
 	return result
 }
 
-// measureChange is how long it takes until so many members go by a new policy, a minute at most.
+// measureChange proposes a new policy, and returns the time until the given number of members apply it, or a minute if it takes longer.
 func (c *rolloutCluster) measureChange(number, members int) Time {
 	text := fmt.Sprintf("policy %d %s", number, bytes.Repeat([]byte("x"), 3000))
 	began := c.now
@@ -384,7 +388,7 @@
 	return c.now - began
 }
 
-// WriteRollout writes results as a table.
+// WriteRollout writes a list of results as a table.
 func WriteRollout(out io.Writer, list []RolloutResult) {
 	fmt.Fprintln(out, "members  voters  until all go by it s  no lease ms a change  a third silent s  messages a member a change  bytes/s a member at rest")
 	for _, e := range list {
